--- a/cmd/pinelab/progress.go
+++ b/cmd/pinelab/progress.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"fmt"
 	"os"
 	"time"
 
@@ -17,3 +18,13 @@
 		progressbar.OptionClearOnFinish(), progressbar.OptionShowCount(), progressbar.OptionThrottle(100*time.Millisecond))
 	return func(done, _ int) { _ = bar.Set(done) }
 }
+
+// tellProgress overwrites the line of progress, where a person is watching.
+func tellProgress(text string) {
+	if term.IsTerminal(int(os.Stderr.Fd())) {
+		fmt.Fprintf(os.Stderr, "\r\033[K%s", text)
+	}
+}
+
+// clearProgress takes the line away.
+func clearProgress() { tellProgress("") }
--- /dev/null
+++ b/lab/scale/scale_test.go
@@ -0,0 +1,71 @@
+package scale
+
+import (
+	"context"
+	"errors"
+	"strings"
+	"testing"
+
+	"pineport/lab/slopes"
+)
+
+func doubling() Experiment {
+	return Experiment{Name: "doubling", Plays: 3,
+		Measure: func(_ context.Context, play *Play) error {
+			for _, size := range []float64{1, 10, 100} {
+				play.Record(map[string]float64{"size": size, "kind": 1}, "twice", 2*size)
+				play.Record(map[string]float64{"size": size, "kind": 2}, "twice", 20*size)
+			}
+			play.Miss("thrice", "nobody asked")
+			return nil
+		},
+		Fit: func(results *Results) error {
+			return results.Fit(Curve{Name: "twice", Figure: "twice", Over: "size", Where: map[string]float64{"kind": 1}, Models: []slopes.Model{slopes.Constant, slopes.Linear}})
+		},
+		Check: func(results *Results) error {
+			if _, figures := results.Values("twice", "size", nil); len(figures) == 0 {
+				return errors.New("nothing counted")
+			}
+			return nil
+		},
+	}
+}
+
+func TestRunKeepsPointsAndSlopes(t *testing.T) {
+	run, err := Run(context.Background(), doubling(), Options{Seed: 1})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(run.Points) != 6 || len(run.Points[0].Values["twice"]) != 3 || len(run.Missing) != 1 {
+		t.Errorf("points %+v, missing %+v", run.Points, run.Missing)
+	}
+	if len(run.Slopes) != 1 || run.Slopes[0].Name != "doubling.twice" || run.Slopes[0].Fit.Model != slopes.Linear {
+		t.Fatalf("slopes %+v", run.Slopes)
+	}
+	if at := run.Slopes[0].At(1000); at < 1999 || at > 2001 {
+		t.Errorf("at 1000: %v", at)
+	}
+	quick, err := Run(context.Background(), doubling(), Options{Quick: true})
+	if err != nil || quick.Plays != 1 || len(quick.Slopes) != 0 {
+		t.Errorf("quick: %+v, %v", quick, err)
+	}
+}
+
+func TestStoppedRunLeavesNothing(t *testing.T) {
+	ctx, stop := context.WithCancel(context.Background())
+	stop()
+	if run, err := Run(ctx, doubling(), Options{}); err == nil || len(run.Points) > 0 {
+		t.Errorf("stopped: %+v, %v", run, err)
+	}
+}
+
+func TestFailedCheckFailsTheRun(t *testing.T) {
+	broken := doubling()
+	broken.Check = func(*Results) error { return errors.New("counted wrong") }
+	if _, err := Run(context.Background(), broken, Options{Quick: true}); err == nil || !strings.Contains(err.Error(), "counted wrong") {
+		t.Errorf("%v", err)
+	}
+	if _, err := Find("nothing-like-it"); err == nil || !strings.Contains(err.Error(), "nothing-like-it") {
+		t.Errorf("%v", err)
+	}
+}
--- /dev/null
+++ b/lab/slopes/fit.go
@@ -0,0 +1,160 @@
+package slopes
+
+import (
+	"fmt"
+	"math"
+
+	"gonum.org/v1/gonum/stat"
+)
+
+// Model is the curve that was fitted.
+type Model string
+
+// Models. Power is fitted to logarithms, the others to the figures weighted by one over their square, so that each point
+// counts by its relative error.
+const (
+	Constant  Model = "constant"  // Base
+	Linear    Model = "linear"    // Base + Rate * size
+	Logarithm Model = "logarithm" // Base + Rate * ln(size)
+	Power     Model = "power"     // Base * size ^ Rate
+)
+
+// Fit is a fitted curve with its spread.
+type Fit struct {
+	Model  Model   `json:"model"`
+	Base   float64 `json:"base"`
+	Rate   float64 `json:"rate"`
+	Spread float64 `json:"spread"` // root mean square of the relative residuals over all plays: 0.1 is ten in a hundred
+	Error  float64 `json:"error"`  // standard error of Rate, relative to it; 0 for Constant
+}
+
+// At is the fitted figure at a size.
+func (f Fit) At(size float64) float64 {
+	switch f.Model {
+	case Linear:
+		return f.Base + f.Rate*size
+	case Logarithm:
+		return f.Base + f.Rate*math.Log(size)
+	case Power:
+		return f.Base * math.Pow(size, f.Rate)
+	}
+	return f.Base
+}
+
+// SizeAt is the size at which the curve reaches a figure: 0 where it lies above it from the start, infinite where it never does.
+func (f Fit) SizeAt(figure float64) float64 {
+	switch {
+	case f.Model == Constant || f.Rate == 0:
+		if f.Base > figure {
+			return 0
+		}
+		return math.Inf(1)
+	case f.Rate < 0:
+		return math.Inf(1)
+	case f.Model == Linear:
+		return max(0, (figure-f.Base)/f.Rate)
+	case f.Model == Logarithm:
+		return math.Exp((figure - f.Base) / f.Rate)
+	}
+	return math.Pow(figure/f.Base, 1/f.Rate)
+}
+
+func (f Fit) check() error {
+	switch f.Model {
+	case Constant, Linear, Logarithm, Power:
+		return nil
+	}
+	return fmt.Errorf("fit.model: constant, linear, logarithm or power was expected, not %q", f.Model)
+}
+
+// minPoints of different size make a curve.
+const minPoints = 3
+
+// FitTo fits a model to sizes and the figures measured there, one pair for each play.
+func FitTo(model Model, sizes, figures []float64) (Fit, error) {
+	if len(sizes) != len(figures) {
+		return Fit{}, fmt.Errorf("%d sizes and %d figures", len(sizes), len(figures))
+	}
+	different := map[float64]bool{}
+	for i, size := range sizes {
+		if size <= 0 || figures[i] <= 0 || math.IsInf(figures[i], 0) || math.IsNaN(figures[i]) {
+			return Fit{}, fmt.Errorf("size %v: figure %v: both above nought were expected", size, figures[i])
+		}
+		different[size] = true
+	}
+	if len(different) < minPoints {
+		return Fit{}, fmt.Errorf("%d sizes: %d different ones at least make a curve", len(different), minPoints)
+	}
+	fit, err := solve(model, sizes, figures)
+	if err != nil {
+		return Fit{}, err
+	}
+	var squares float64
+	for i, size := range sizes {
+		residual := (figures[i] - fit.At(size)) / figures[i]
+		squares += residual * residual
+	}
+	fit.Spread = math.Sqrt(squares / float64(len(sizes)))
+	return fit, nil
+}
+
+func solve(model Model, sizes, figures []float64) (Fit, error) {
+	x, y, weights := make([]float64, len(sizes)), make([]float64, len(sizes)), make([]float64, len(sizes))
+	for i, size := range sizes {
+		x[i], y[i], weights[i] = size, figures[i], 1/(figures[i]*figures[i])
+		switch model {
+		case Logarithm:
+			x[i] = math.Log(size)
+		case Power:
+			x[i], y[i], weights[i] = math.Log(size), math.Log(figures[i]), 1
+		}
+	}
+	switch model {
+	case Constant:
+		return Fit{Model: model, Base: stat.Mean(y, weights)}, nil
+	case Linear, Logarithm, Power:
+		base, rate := stat.LinearRegression(x, y, weights, false)
+		fit := Fit{Model: model, Base: base, Rate: rate, Error: relativeError(x, y, weights, base, rate)}
+		if model == Power {
+			fit.Base = math.Exp(base)
+		}
+		return fit, nil
+	}
+	return Fit{}, fmt.Errorf("no model has the name %q", model)
+}
+
+// relativeError is the standard error of the rate of a weighted regression, over that rate.
+func relativeError(x, y, weights []float64, base, rate float64) float64 {
+	const fitted = 2 // base and rate
+	if len(x) <= fitted || rate == 0 {
+		return 0
+	}
+	mean, sum, squares, spread := stat.Mean(x, weights), 0.0, 0.0, 0.0
+	for i := range x {
+		residual := y[i] - base - rate*x[i]
+		squares += weights[i] * residual * residual
+		spread += weights[i] * (x[i] - mean) * (x[i] - mean)
+		sum += weights[i]
+	}
+	if spread == 0 || sum == 0 {
+		return 0
+	}
+	return math.Abs(math.Sqrt(squares/float64(len(x)-fitted)/spread) / rate)
+}
+
+// Best fits several models and returns the one of the least spread; an earlier one is kept unless a later one has under nine
+// tenths of its spread, so the simplest is to be named first.
+func Best(sizes, figures []float64, models ...Model) (Fit, error) {
+	const clearlyBetter = 0.9
+	var best Fit
+	for i, model := range models {
+		fit, err := FitTo(model, sizes, figures)
+		if err != nil {
+			return Fit{}, err
+		}
+		if i == 0 || fit.Spread < clearlyBetter*best.Spread {
+			best = fit
+		}
+	}
+	return best, nil
+}
