--- a/logic/logic.go
+++ b/logic/logic.go
@@ -440,7 +440,8 @@
 }
 
 // strike counts signs of an outage: three in a row with nothing served for a while, two where calls are rare.
-// A refusal may tell of a limit, unless it is known to be none: three; of one that is used up it is no sign.
+// A refusal may tell of a limit, unless it is known to be none: three. Of one that is used up it is no sign, unless this
+// courier calls less than once a second: kept to its part, it was refused thrice, and an outage may look like that.
 func (c *Courier) strike(rt *route, signs *int, o Outcome, shut bool) {
 	few := 3
 	if c.base(rt) < rare && (o != Full || rt.rate == 0 || shut) {
@@ -448,7 +449,7 @@
 			few = 1 // all that most couriers like this one will see of it
 		}
 	}
-	usedUp := o == Full && rt.told && rt.left < scarce
+	usedUp := o == Full && rt.told && rt.left < scarce && c.base(rt) >= 4*rare
 	if *signs++; *signs >= few && c.now-rt.lastDone > outageAfter && !usedUp {
 		c.sicken(rt)
 	}
