--- a/logic/logic.go
+++ b/logic/logic.go
@@ -440,7 +440,7 @@
 }
 
 // strike counts signs of an outage: three in a row with nothing served for a while, two where calls are rare.
-// A refusal may tell of a limit: three, and at one that is used up none if this courier could use it up alone.
+// A refusal may tell of a limit: three, and at one used up none if this courier could use it up alone.
 func (c *Courier) strike(rt *route, signs *int, o Outcome, shut bool) {
 	few := 3
 	if c.base(rt) < rare && (o != Full || rt.rate == 0 || shut) {
