--- a/Makefile
+++ b/Makefile
@@ -11,6 +11,7 @@
 lint:
 	test -z "$$(gofmt -l .)"
 	go vet ./...
+	go tool staticcheck ./...
 
 demo: build
 	bin/pinelab demo
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -188,21 +188,19 @@
 	net    *links.Net
 	ops    []string
 	gossip []string
-	extra  []*net.TCPListener
 	field  *live.Field
 
-	mu      sync.Mutex
-	down    map[int]time.Time // since when a courier is away
-	back    map[int]time.Time
-	starts  map[int]int
-	on      map[string]int // faults that are on
-	saw     map[[2]int]string
-	res     *Result
-	looks   []look
-	traffic [2]int64
-	loans   ledger.Loans
-	shared  []exchange.Shown
-	idle    []string
+	mu     sync.Mutex
+	down   map[int]time.Time // since when a courier is away
+	back   map[int]time.Time
+	starts map[int]int
+	on     map[string]int // faults that are on
+	saw    map[[2]int]string
+	res    *Result
+	looks  []look
+	loans  ledger.Loans
+	shared []exchange.Shown
+	idle   []string
 }
 
 // Play plays a plan.
--- a/peers/view/view.go
+++ b/peers/view/view.go
@@ -320,7 +320,7 @@
 		v.number++
 		v.out = append(v.out, Renumber{v.terms.Start})
 	default:
-		v.out = append(v.out, StandBack{e.Start, e.At})
+		v.out = append(v.out, StandBack(e))
 		v.to(Aside)
 	}
 }
