--- /dev/null
+++ b/routing/actions.go
@@ -0,0 +1,32 @@
+package routing
+
+import "pineport/logic"
+
+// carryOut does what the decisions want; sends go out last, after clients have heard that theirs was taken.
+func (r *Router) carryOut(actions []logic.Action) {
+	var calls []*call
+	for _, action := range actions {
+		switch a := action.(type) {
+		case logic.Send:
+			calls = r.load(calls, a)
+		case logic.Cancel:
+			r.cancel(a)
+		case logic.Bounce:
+			r.end(a.Record, true, a.Pause)
+		case logic.Terminate:
+			r.end(a.Record, false, 0)
+		case logic.Wake:
+			r.wakeAt = min(r.wakeAt, a.At)
+		case logic.CloseIdle:
+			r.links.closeIdle(peerOf(r.hosts[a.Endpoint]))
+		case logic.Watch:
+			r.platform.watch()
+		case logic.Note:
+			r.log.Info("note", "text", a.Text)
+		}
+	}
+	r.reply()
+	for _, c := range calls {
+		r.start(c)
+	}
+}
--- /dev/null
+++ b/routing/inbox.go
@@ -0,0 +1,80 @@
+package routing
+
+import (
+	"fmt"
+	"runtime/debug"
+	"time"
+
+	"pineport/config"
+	"pineport/logic"
+)
+
+// late is more than a loaded machine delays a timer by, and less than an answer takes.
+const late = 50 * 1000
+
+const hour = 3600 * 1000 * 1000
+
+// standstill lets in what came while this process stood still, before anything is judged overdue: its own
+// delay would pass for the endpoints' silence.
+func (r *Router) standstill(due logic.Micros) {
+	for waited := 0; r.clock()-due > late && waited < 4; waited++ {
+		time.Sleep(late / 2 * time.Microsecond)
+		if len(r.inbox) == 0 {
+			return
+		}
+		r.gather()
+	}
+}
+
+// gather takes in all that has come by now.
+func (r *Router) gather() {
+	for range len(r.door) {
+		r.take(<-r.door)
+	}
+	for range cap(r.inbox) {
+		select {
+		case what := <-r.inbox:
+			r.take(what)
+		default:
+			return
+		}
+	}
+}
+
+func (r *Router) take(what any) {
+	r.now = r.clock()
+	defer func() {
+		if fault := recover(); fault != nil {
+			r.log.Error("panic over what came in", "fault", fmt.Sprint(fault), "stack", string(debug.Stack()))
+			if c, ok := what.(commands); ok {
+				c.from.conn.Close()
+			}
+		}
+	}()
+	switch e := what.(type) {
+	case commands:
+		r.clients.commands(e)
+	case clientGone:
+		r.clients.gone(e)
+	case *client:
+		r.clients.add(e)
+	case *config.Deployment:
+		r.reload(e)
+	case request:
+		r.staff.asked(e)
+	case knock:
+		r.upgrade.knocked(e)
+	case said:
+		r.upgrade.said(e)
+	case sharing:
+		r.settled(e)
+	case linkUp:
+		r.links.up(e)
+	case linkBegun:
+		r.links.begun(e)
+	case linkAnswer:
+		r.links.answered(e)
+	case linkDown:
+		r.links.down(e)
+	}
+}
--- /dev/null
+++ b/routing/listing.go
@@ -0,0 +1,66 @@
+package routing
+
+import (
+	"maps"
+
+	"pineport/logic"
+	"pineport/protocol"
+)
+
+// news hands a list, or changes of it, to the decisions, and keeps the addresses.
+func (r *Router) news(l protocol.List, how logic.ListKind) {
+	for _, fault := range l.Faults {
+		r.log.Warn("entry of the list left out", "fault", fault)
+	}
+	news, before := logic.ListNews{How: how}, maps.Clone(r.hosts)
+	if how != logic.Partial {
+		clear(r.hosts)
+	}
+	for _, h := range l.Hosts {
+		listing, ok := r.listing(h)
+		if !ok {
+			r.log.Warn("entry of the list left out", "host", h.Host, "site", h.Zone, "class", h.Kind)
+			continue
+		}
+		if h.Health == protocol.Terminated {
+			delete(r.hosts, listing.Endpoint)
+		} else {
+			r.hosts[listing.Endpoint] = h
+		}
+		news.Entries = append(news.Entries, listing)
+	}
+	r.events = append(r.events, news)
+	for id, h := range before {
+		if now := r.hosts[id]; now.Health != protocol.InService || peerOf(now) != peerOf(h) {
+			r.links.closeIdle(peerOf(h)) // nothing new goes there, or what they lead to is not there any more
+		}
+	}
+	for dest, until := range r.dests {
+		if until == never {
+			r.dests[dest] = r.now + unlisted
+		} else if until <= r.now {
+			delete(r.dests, dest)
+		}
+	}
+	for _, h := range r.hosts {
+		r.dests[h.Dest] = never
+	}
+}
+
+// unlisted is how long a destination without any endpoint on the list is still known: many times what replacing its
+// endpoints takes.
+const unlisted = 600 * 1000 * 1000
+
+// knows tells whether there is such a destination; without any list nobody can say.
+func (r *Router) knows(dest int) bool {
+	until, ok := r.dests[dest]
+	return ok && until > r.now || len(r.dests) == 0
+}
+
+func (r *Router) listing(h protocol.Host) (logic.Listing, bool) {
+	phases := map[protocol.Health]logic.Phase{protocol.InService: logic.In, protocol.Terminating: logic.Draining,
+		protocol.Terminated: logic.Gone}
+	zone, shape := index(r.dep.Zones, h.Zone), index(r.dep.Shapes, h.Kind)
+	return logic.Listing{Endpoint: logic.EndpointID(h.Host), Zone: logic.ZoneID(zone), Shape: logic.ShapeID(shape),
+		Dest: logic.DestID(h.Dest), Phase: phases[h.Health], Rate: h.Rate}, zone >= 0 && shape >= 0
+}
--- /dev/null
+++ b/routing/shutdown.go
@@ -0,0 +1,34 @@
+package routing
+
+// parting is when, after being told to end, nobody is sent here any more who could go elsewhere. Who can not, as it
+// has a courier of its own, is served to the end.
+const parting = 500 * 1000
+
+// lastWords is how long, after the last connection came in, all who are connected are still served; then each is closed as soon as it
+// has no reply due, and after lastChance whatever stands.
+const (
+	lastWords  = 50 * 1000
+	lastChance = 100 * 1000
+	shutEvery  = 2 * 1000
+)
+
+// done tells whether the process may end. Nothing is read any more by then, or it would have had an answer. Failures: what was read
+// between the last look and the end had none; connections whose first request was on its way were closed.
+func (r *Router) done() bool {
+	handed := r.upgrade.handed && r.endBy < never && len(r.flying) == 0
+	if !r.leaving && (r.now >= r.endBy || handed) {
+		r.leaving, r.endBy, r.lastBy, r.partAt = true, r.now+lastWords, r.now+lastWords+lastChance, never
+		r.driver.Deafen()
+		r.clients.sendAway()
+	}
+	if r.now >= r.partAt {
+		if r.partAt = never; r.clients.sendAway() {
+			r.partAt = r.now + newcomer
+		}
+	}
+	if !r.leaving || r.now < r.endBy {
+		return false
+	}
+	r.endBy = r.now + shutEvery
+	return r.clients.shut() || r.now >= r.lastBy
+}
--- /dev/null
+++ b/routing/step.go
@@ -0,0 +1,92 @@
+package routing
+
+import (
+	"fmt"
+	"runtime/debug"
+
+	"pineport/logic"
+)
+
+// due is when something is to be done next, unasked.
+func (r *Router) due() logic.Micros {
+	at := min(r.wakeAt, r.links.due(), r.clients.due(), r.platform.due(), r.lore.due(), r.staff.due(), r.links.unwritten(), r.endBy, r.partAt)
+	for _, t := range r.flying {
+		at = min(at, t.limit)
+	}
+	return at
+}
+
+// guarded is a turn after which the process goes on whatever went wrong in it.
+func (r *Router) guarded() {
+	defer func() {
+		if fault := recover(); fault != nil {
+			r.log.Error("panic in a turn", "fault", fmt.Sprint(fault), "stack", string(debug.Stack()))
+			r.renew()
+		}
+	}()
+	r.turn()
+}
+
+// turn hands over what happened, once, and carries out what is to be done.
+func (r *Router) turn() {
+	r.now = r.clock()
+	r.links.expire()
+	r.links.flushed()
+	r.clients.sweep()
+	r.staff.tick()
+	r.malformed.tell(r.log, r.now)
+	if !r.upgrade.handed {
+		r.platform.tick()
+	}
+	for _, t := range append([]*trip(nil), r.flying...) {
+		if !t.over && t.limit <= r.now {
+			r.overdue(t)
+		}
+	}
+	if r.upgrade.handed { // another process decides
+		r.reply()
+		r.staff.publish()
+		return
+	}
+	if r.wakeAt <= r.now {
+		r.wakeAt = never
+		r.events = append(r.events, logic.Woken{})
+	}
+	r.reckon()
+	for len(r.events) > 0 {
+		events := r.events
+		r.events = nil
+		r.carryOut(r.decide(events))
+	}
+	r.reply()
+	r.platform.tick()
+	r.learnt(false)
+	r.tellNeeds()
+	r.staff.publish()
+}
+
+// reply writes what clients wait for; from then on the platform is told how a record ends.
+func (r *Router) reply() {
+	for _, reply := range r.replies {
+		reply.client.write(reply)
+		if reply.rec != nil {
+			reply.rec.waiting = nil
+		}
+	}
+	r.replies = r.replies[:0]
+}
+
+// decide asks the decisions. Should they fail, they begin anew, as after a restart of the process.
+func (r *Router) decide(events []logic.Event) (actions []logic.Action) {
+	defer func() {
+		if fault := recover(); fault != nil {
+			r.log.Error("the decisions failed", "fault", fmt.Sprint(fault), "stack", string(debug.Stack()))
+			r.renew()
+		}
+	}()
+	actions = r.courier.Handle(r.now, events)
+	r.trace(events, actions)
+	r.failed = 0
+	r.watch.see(r, events, actions)
+	return actions
+}
