--- a/routing/calls.go
+++ b/routing/calls.go
@@ -37,8 +37,8 @@
 
 // load puts a trip on a call: sends of one turn to one endpoint go together, up to what its shape takes.
 func (r *Router) load(calls []*call, a logic.Send) []*call {
-	rec := r.records[a.Record]
-	if rec == nil || rec.ended {
+	message := r.messages[a.Record]
+	if message == nil || message.ended {
 		return calls
 	}
 	host := r.hosts[a.Endpoint]
@@ -56,16 +56,16 @@
 		c = &call{endpoint: a.Endpoint, host: host}
 		calls = append(calls, c)
 	}
-	t := &trip{rec: rec, no: len(rec.trips), call: c, sent: r.now, limit: r.now + a.Limit}
-	rec.trips = append(rec.trips, t)
-	rec.out++
+	t := &trip{message: message, no: len(message.trips), call: c, sent: r.now, limit: r.now + a.Limit}
+	message.trips = append(message.trips, t)
+	message.out++
 	r.flying = append(r.flying, t)
 	c.trips = append(c.trips, t)
 	return calls
 }
 
 // waitAlike has all trips of a call waited for as long as the least of them allows, and returns until when. Failure: with a time
-// of its own for each, one trip was given up while its call went on for the others, and records were counted as lost.
+// of its own for each, one trip was given up while its call went on for the others, and messages were counted as lost.
 func (c *call) waitAlike() logic.Micros {
 	limit := never
 	for _, t := range c.trips {
@@ -97,10 +97,10 @@
 
 // leaves writes down a call's trips as its first byte is about to leave, and no sooner, and puts the bytes together. Failures: noted when
 // they were decided, trips whose connection was still coming up as the process was killed passed for calls that may have run, and what may
-// not be repeated was given up after the restart with no call. Put together then, a call went out with records called off meanwhile.
+// not be repeated was given up after the restart with no call. Put together then, a call went out with messages called off meanwhile.
 func (r *Router) leaves(c *call) error {
 	for _, t := range slices.Clone(c.trips) {
-		if t.rec.ended {
+		if t.message.ended {
 			r.settle(t, logic.Settled{Outcome: logic.Void})
 		}
 	}
@@ -111,7 +111,7 @@
 			r.check(err)
 			return err // so not sent: a restart would not know of it
 		}
-		items = append(items, protocol.Item{ID: t.rec.kept.ID, Mark: t.rec.kept.Mark, Body: t.rec.kept.Body})
+		items = append(items, protocol.Item{ID: t.message.kept.ID, Mark: t.message.kept.Mark, Body: t.message.kept.Body})
 	}
 	if len(items) == 0 {
 		return errNobody
@@ -128,14 +128,14 @@
 		return nil
 	}
 	t.noted = true
-	return r.spool.Begin(t.rec.kept.ID, spool.Trip{Endpoint: string(t.call.endpoint), Zone: max(0, index(r.dep.Zones, t.call.host.Zone)),
+	return r.spool.Begin(t.message.kept.ID, spool.Trip{Endpoint: string(t.call.endpoint), Zone: max(0, index(r.dep.Zones, t.call.host.Zone)),
 		Sent: int64(t.sent), Outcome: outcome})
 }
 
 // outcome writes down how a trip ended.
 func (r *Router) outcome(t *trip, o logic.Outcome) {
 	if t.noted {
-		r.check(r.spool.Settle(t.rec.kept.ID, t.no, outcomeName(o)))
+		r.check(r.spool.Settle(t.message.kept.ID, t.no, outcomeName(o)))
 	} else {
 		r.check(r.note(t, outcomeName(o)))
 	}
@@ -185,7 +185,7 @@
 	for _, t := range c.trips {
 		s := outcomeOf(a)
 		if ends != nil {
-			s = endOf(ends[t.rec.kept.ID])
+			s = endOf(ends[t.message.kept.ID])
 		}
 		s.Pressure, s.Wait = pressure, logic.Micros(a.WaitMs)*1000
 		r.settle(t, s)
@@ -229,7 +229,7 @@
 	return logic.Settled{Outcome: logic.Failure} // unknown: it may have run
 }
 
-// endOf reads one record's end from an answer for several; one that is not named may have run.
+// endOf reads one message's end from an answer for several; one that is not named may have run.
 func endOf(word string) logic.Settled {
 	switch word {
 	case protocol.Accepted:
@@ -251,19 +251,19 @@
 		return
 	}
 	if t.over {
-		if s.Over && !t.rec.ended { // called off, and delivered all the same
+		if s.Over && !t.message.ended { // called off, and delivered all the same
 			if s.Outcome == logic.Done {
-				r.count(t.rec.kept.Workload, delivered)
+				r.count(t.message.kept.Workload, delivered)
 			}
-			r.clients.over.add(t.rec, r.now)
-			r.finish(t.rec)
-			r.events = append(r.events, logic.Left{Record: logic.RecordID(t.rec.kept.ID)})
-			r.forget(t.rec)
+			r.clients.over.add(t.message, r.now)
+			r.finish(t.message)
+			r.events = append(r.events, logic.Left{Record: logic.RecordID(t.message.kept.ID)})
+			r.forget(t.message)
 		}
 		return
 	}
 	t.over = true
-	t.rec.out--
+	t.message.out--
 	for i, o := range r.flying {
 		if o == t {
 			r.flying = append(r.flying[:i], r.flying[i+1:]...)
@@ -271,22 +271,22 @@
 		}
 	}
 	if s.Over {
-		if !t.rec.ended && s.Outcome == logic.Done {
-			r.count(t.rec.kept.Workload, delivered)
+		if !t.message.ended && s.Outcome == logic.Done {
+			r.count(t.message.kept.Workload, delivered)
 		}
-		r.clients.over.add(t.rec, r.now)
-		r.finish(t.rec)
-	} else if !t.rec.ended {
+		r.clients.over.add(t.message, r.now)
+		r.finish(t.message)
+	} else if !t.message.ended {
 		r.outcome(t, s.Outcome)
 	}
-	s.Record, s.Trip, s.Took = logic.RecordID(t.rec.kept.ID), logic.TripNo(t.no), r.now-t.sent
-	s.Over = s.Over || t.rec.ended
+	s.Record, s.Trip, s.Took = logic.RecordID(t.message.kept.ID), logic.TripNo(t.no), r.now-t.sent
+	s.Over = s.Over || t.message.ended
 	r.events = append(r.events, s)
 	r.lore.note(s.Outcome)
-	r.forget(t.rec)
+	r.forget(t.message)
 }
 
-// overdue ends a trip that was waited for long enough, unless its answer is here and only not taken in yet. Failure: a delivered record
+// overdue ends a trip that was waited for long enough, unless its answer is here and only not taken in yet. Failure: a delivered message
 // passed for one without an answer.
 func (r *Router) overdue(t *trip) {
 	if r.arrives(t) {
@@ -325,11 +325,11 @@
 }
 
 func (r *Router) cancel(a logic.Cancel) {
-	rec := r.records[a.Record]
-	if rec == nil || int(a.Trip) >= len(rec.trips) || rec.trips[a.Trip].over {
+	message := r.messages[a.Record]
+	if message == nil || int(a.Trip) >= len(message.trips) || message.trips[a.Trip].over {
 		return
 	}
-	t, o := rec.trips[a.Trip], logic.Withdrawn
+	t, o := message.trips[a.Trip], logic.Withdrawn
 	if r.arrives(t) {
 		return // its answer says more
 	}
--- a/routing/clients.go
+++ b/routing/clients.go
@@ -124,8 +124,8 @@
 	over    over
 }
 
-// over are records that were taken on and have ended, for as long as their clients may hand them in once more. Failure: a reset took away
-// a reply that the socket had; the client sent the same request again, the record was over by then, and was taken on a second time.
+// over are messages that were taken on and have ended, for as long as their clients may hand them in once more. Failure: a reset took away
+// a reply that the socket had; the client sent the same request again, the message was over by then, and was taken on a second time.
 type over struct {
 	until map[logic.RecordID]logic.Micros
 	order []logic.RecordID // oldest first
@@ -137,12 +137,12 @@
 	overMost = 4096 // a hundred times what ends in that time at a busy courier
 )
 
-func (o *over) add(rec *record, now logic.Micros) {
+func (o *over) add(message *message, now logic.Micros) {
 	for len(o.order) > 0 && (o.until[o.order[0]] <= now || len(o.order) >= overMost) {
 		delete(o.until, o.order[0])
 		o.order = o.order[1:]
 	}
-	id, until := logic.RecordID(rec.kept.ID), rec.taken+onceMore
+	id, until := logic.RecordID(message.kept.ID), message.taken+onceMore
 	if until > now && o.until[id] == 0 {
 		if o.until == nil {
 			o.until = map[logic.RecordID]logic.Micros{}
@@ -152,7 +152,7 @@
 	}
 }
 
-// has tells whether a record was taken on and is over.
+// has tells whether a message was taken on and is over.
 func (o *over) has(id logic.RecordID, now logic.Micros) bool { return o.until[id] > now }
 
 func (cs *clients) init(r *Router) {
@@ -249,15 +249,15 @@
 func (cs *clients) gone(e clientGone) {
 	delete(cs.all, e.from)
 	for _, rep := range cs.r.replies {
-		rec := rep.rec
-		if rep.client != e.from || rec == nil {
+		message := rep.message
+		if rep.client != e.from || message == nil {
 			continue
 		}
-		rep.rec = nil
-		if rec.waiting = slices.DeleteFunc(rec.waiting, func(o *reply) bool { return o == rep }); len(rec.waiting) == 0 {
-			cs.r.finish(rec)
-			cs.r.events = append(cs.r.events, logic.Left{Record: logic.RecordID(rec.kept.ID)})
-			cs.r.forget(rec)
+		rep.message = nil
+		if message.waiting = slices.DeleteFunc(message.waiting, func(o *reply) bool { return o == rep }); len(message.waiting) == 0 {
+			cs.r.finish(message)
+			cs.r.events = append(cs.r.events, logic.Left{Record: logic.RecordID(message.kept.ID)})
+			cs.r.forget(message)
 		}
 	}
 }
@@ -335,7 +335,7 @@
 	cs.r.malformed.clients, cs.r.malformed.client = cs.r.malformed.clients+1, fault
 }
 
-// enqueue puts a record into the spool and hands it to the decisions; the reply is written after those.
+// enqueue puts a message into the spool and hands it to the decisions; the reply is written after those.
 func (cs *clients) enqueue(args [][]byte, rep *reply) {
 	r := cs.r
 	if r.upgrade.handed { // was on its way as the connection was to be closed: nothing of it is taken, and it may come again at once
@@ -356,12 +356,12 @@
 		rep.text = protocol.ReplyError(err.Error())
 		return
 	}
-	switch rec := r.records[logic.RecordID(e.ID)]; {
-	case rec != nil && len(rec.waiting) > 0: // sent once more in the turn that takes it on: whatever the first reply is
-		rep.rec, rep.text = rec, protocol.ReplyOK
-		rec.waiting = append(rec.waiting, rep)
+	switch message := r.messages[logic.RecordID(e.ID)]; {
+	case message != nil && len(message.waiting) > 0: // sent once more in the turn that takes it on: whatever the first reply is
+		rep.message, rep.text = message, protocol.ReplyOK
+		message.waiting = append(message.waiting, rep)
 		return
-	case rec != nil || cs.over.has(logic.RecordID(e.ID), r.now):
+	case message != nil || cs.over.has(logic.RecordID(e.ID), r.now):
 		rep.text = protocol.ReplyOK // sent once more after a closed connection: it was taken on
 		return
 	}
@@ -376,8 +376,8 @@
 		return
 	}
 	rep.text = protocol.ReplyOK
-	rep.rec = &record{kept: kept, waiting: []*reply{rep}, taken: r.now}
-	r.records[logic.RecordID(e.ID)] = rep.rec
+	rep.message = &message{kept: kept, waiting: []*reply{rep}, taken: r.now}
+	r.messages[logic.RecordID(e.ID)] = rep.message
 	r.counters.taken()
 	r.events = append(r.events, r.taken(kept))
 }
--- a/routing/crossings_test.go
+++ b/routing/crossings_test.go
@@ -73,7 +73,7 @@
 	return &spool.Record{ID: id, Workload: "order", Dest: 1, CutOff: time.Now().Add(time.Minute).UnixMicro()}
 }
 
-// onDisk is what a process that started now would find of a record.
+// onDisk is what a process that started now would find of a message.
 func onDisk(t *testing.T, r *Router, id string) *spool.Record {
 	t.Helper()
 	all, _, err := spool.Inspect(r.dep.Spool)
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// TestUntriedUntilItLeaves. Failure: killed while the connection came up, a record that was never sent came back as one that may have
+// TestUntriedUntilItLeaves. Failure: killed while the connection came up, a message that was never sent came back as one that may have
 // run, and was given up with no call if it may not be repeated.
 func TestUntriedUntilItLeaves(t *testing.T) {
 	r := byHand(t, open(t, 0), single("one"))
@@ -117,7 +117,7 @@
 }
 
 // TestCalledOffBeforeItLeft. Failure: a trip that was called off while its connection came up passed for one that may have run, and
-// its record could not go again; put together when it was decided, a call for several went out with it all the same.
+// its message could not go again; put together when it was decided, a call for several went out with it all the same.
 func TestCalledOffBeforeItLeft(t *testing.T) {
 	r := byHand(t, open(t, 0), single("one"), single("two"))
 	var calls []*call
@@ -136,7 +136,7 @@
 		t.Errorf("never sent, and called off as %v", s.Outcome)
 	}
 	r.take(up)
-	if c := calls[0]; len(c.trips) != 1 || c.trips[0].rec.kept.ID != "two" || c.exchange.whole {
+	if c := calls[0]; len(c.trips) != 1 || c.trips[0].message.kept.ID != "two" || c.exchange.whole {
 		t.Errorf("it went out with %d trips, whole %v", len(c.trips), c.exchange.whole)
 	}
 	if rec := onDisk(t, r, "one"); len(rec.Trips) != 1 || rec.Trips[0].Outcome != "void" {
@@ -283,20 +283,20 @@
 	}
 	r.recover([]*spool.Record{single("two")}, nil)
 	r.turn()
-	if out := r.records["two"].trips; len(out) != 1 || out[0].call.exchange.sent {
+	if out := r.messages["two"].trips; len(out) != 1 || out[0].call.exchange.sent {
 		t.Fatalf("%d trips; written to what had ended", len(out))
 	}
 	goOn()
 	r.take(until(t, r, func(e linkUp) bool { return toEndpoint(e.on) }))
 	io.WriteString(called(t, l), okAnswer)
 	r.take(until(t, r, func(e linkAnswer) bool { return toEndpoint(e.on) }))
-	if r.turn(); r.records["two"] != nil {
+	if r.turn(); r.messages["two"] != nil {
 		t.Error("not delivered")
 	}
 }
 
 // TestAnAnswerThatCrossesItsTime. Failure: an answer that lay at the router, untaken, as the time for it ran out, or as its trip was called
-// off, passed for none; a delivered record was sent again, or given up.
+// off, passed for none; a delivered message was sent again, or given up.
 func TestAnAnswerThatCrossesItsTime(t *testing.T) {
 	for name, cross := range map[string]func(r *Router, tr *trip){
 		"overdue":    func(r *Router, tr *trip) { r.overdue(tr) },
@@ -308,7 +308,7 @@
 			r := byHand(t, w, single("one"))
 			io.WriteString(sent(t, r, l), okAnswer)
 			answer := until(t, r, func(e linkAnswer) bool { return toEndpoint(e.on) })
-			tr := r.records["one"].trips[0]
+			tr := r.messages["one"].trips[0]
 			cross(r, tr)
 			if tr.over {
 				t.Error("ended although its answer is here")
@@ -340,7 +340,7 @@
 				l := raw(t, w)
 				r := byHand(t, w, single("one"))
 				conn := sent(t, r, l)
-				tr := r.records["one"].trips[0]
+				tr := r.messages["one"].trips[0]
 				for tr.call.exchange.link.conn.Stirs() { // its handler may still be telling that it is up
 					time.Sleep(100 * time.Microsecond)
 				}
@@ -400,7 +400,7 @@
 	if !port.Arrived(conn) {
 		t.Fatal("it never arrived")
 	}
-	tr := r.records["one"].trips[0]
+	tr := r.messages["one"].trips[0]
 	r.now = tr.limit
 	if r.overdue(tr); tr.over || tr.limit != r.now+lastLook {
 		t.Fatalf("over %v, waited for %d us longer", tr.over, tr.limit-r.now)
@@ -437,7 +437,7 @@
 	if n, _ := conn.Read(make([]byte, 1)); n > 0 {
 		t.Error("the call was written all the same")
 	}
-	if r.turn(); r.records["one"] == nil || r.records["one"].ended {
+	if r.turn(); r.messages["one"] == nil || r.messages["one"].ended {
 		t.Error("given up, though it never ran")
 	}
 }
@@ -451,7 +451,7 @@
 	up := until(t, r, func(e linkUp) bool { return toEndpoint(e.on) })
 	r.spool.Close()
 	r.take(up)
-	tr := r.records["one"].trips[0]
+	tr := r.messages["one"].trips[0]
 	if !tr.over || tr.call.exchange.sent {
 		t.Errorf("over %v, sent %v", tr.over, tr.call.exchange.sent)
 	}
@@ -535,7 +535,7 @@
 	for _, e := range []any{one, two, clientGone{one.from}, clientGone{two.from}} {
 		r.take(e)
 	}
-	if r.turn(); onDisk(t, r, "one") != nil || r.records["one"] != nil {
+	if r.turn(); onDisk(t, r, "one") != nil || r.messages["one"] != nil {
 		t.Error("still held")
 	}
 }
@@ -550,15 +550,15 @@
 	r.turn()
 	first.SetLinger(0) // whatever reply it had is gone
 	first.Close()
-	for r.records["one"] != nil {
+	for r.messages["one"] != nil {
 		r.take(until(t, r, func(e linkAnswer) bool { return toEndpoint(e.on) }))
 		r.turn()
 	}
 	second := visit(t, r)
 	r.take(second.asks(t, r, "one"))
 	r.turn()
-	if got := second.reply(); got != "+OK" || r.records["one"] != nil {
-		t.Errorf("told %q, held again %v", got, r.records["one"] != nil)
+	if got := second.reply(); got != "+OK" || r.messages["one"] != nil {
+		t.Errorf("told %q, held again %v", got, r.messages["one"] != nil)
 	}
 	if began, _, _ := w.Seen("one"); began != 1 {
 		t.Errorf("%d calls", began)
@@ -569,7 +569,7 @@
 func TestEndsAreForgotten(t *testing.T) {
 	var o over
 	for i := range 3 * overMost {
-		o.add(&record{kept: &spool.Record{ID: fmt.Sprint(i)}, taken: 5}, 5)
+		o.add(&message{kept: &spool.Record{ID: fmt.Sprint(i)}, taken: 5}, 5)
 	}
 	if len(o.until) > overMost || len(o.order) > overMost || !o.has(logic.RecordID(fmt.Sprint(3*overMost-1)), 5) {
 		t.Errorf("%d ids, %d in order", len(o.until), len(o.order))
@@ -577,7 +577,7 @@
 	if o.has(logic.RecordID(fmt.Sprint(3*overMost-1)), 5+onceMore) {
 		t.Error("known for ever")
 	}
-	o.add(&record{kept: &spool.Record{ID: "late"}, taken: 5}, 5+onceMore)
+	o.add(&message{kept: &spool.Record{ID: "late"}, taken: 5}, 5+onceMore)
 	if len(o.until) > 0 || len(o.order) > 0 {
 		t.Errorf("%d ids are left", len(o.until))
 	}
--- a/routing/fleet.go
+++ b/routing/fleet.go
@@ -6,7 +6,7 @@
 )
 
 // Reckon has the decisions reckon with so many couriers from the next turn on. It never waits, and no turn waits for it:
-// whatever becomes of the fleet's membership, records flow.
+// whatever becomes of the fleet's membership, messages flow.
 func (r *Router) Reckon(couriers int) { r.couriers.Store(int64(couriers)) }
 
 // Parted has f give up this process's place in the fleet, at the instant at which another one takes over.
--- a/routing/lore.go
+++ b/routing/lore.go
@@ -35,7 +35,7 @@
 	if before == nil || len(r.events) == 0 {
 		return
 	}
-	// After the list, which is the first event, and before the records that were held.
+	// After the list, which is the first event, and before the messages that were held.
 	r.events = append(r.events[:1:1], append([]logic.Event{logic.Learned{Lore: *before}}, r.events[1:]...)...)
 }
 
--- a/routing/message.go
+++ b/routing/message.go
@@ -6,34 +6,34 @@
 	"pineport/spool"
 )
 
-// record is what is held beside the decisions: what goes on the wire, and what is out.
-type record struct {
-	kept    *spool.Record
-	waiting []*reply     // until they are written; more than one where it was handed in again in the same turn
-	taken   logic.Micros // or taken up again
+// message is a message that the courier has accepted, for as long as it is not ended or a call with it is still out.
+type message struct {
+	kept    *spool.Record // as the spool has it
+	waiting []*reply      // until they are written; more than one where it was handed in again in the same turn
+	taken   logic.Micros  // or taken up again
 	trips   []*trip
-	out     int
+	out     int // trips that are not over
 	ended   bool
 }
 
-// trip is one trip of a record; limit is when this side stops waiting.
+// trip is one trip of a message; limit is when this side stops waiting.
 type trip struct {
-	rec    *record
-	no     int // among all trips of the record
-	call   *call
-	sent   logic.Micros
-	limit  logic.Micros
-	noted  bool // in the spool
-	looked bool // as it was to be given up, something had come
-	over   bool
+	message *message
+	no      int // among all trips of the message
+	call    *call
+	sent    logic.Micros
+	limit   logic.Micros
+	noted   bool // in the spool
+	looked  bool // as it was to be given up, something had come
+	over    bool
 }
 
 // reply is the answer to one command, written in the order of the commands.
 type reply struct {
-	client *client
-	rec    *record // taken with it
-	text   string
-	close  bool
+	client  *client
+	message *message // taken with it
+	text    string
+	close   bool
 }
 
 func index(names []string, name string) int {
@@ -52,52 +52,52 @@
 		CutOff: logic.Micros(k.CutOff), Again: k.Again}
 }
 
-// How a record ended that was not delivered, as the spool has it.
+// How a message ended that was not delivered, as the spool has it.
 const (
 	bounced    = "bounced"
 	terminated = "terminated"
 )
 
-// end ends a record undelivered: the client hears it if it still waits, or else the platform.
+// end ends a message undelivered: the client hears it if it still waits, or else the platform.
 func (r *Router) end(id logic.RecordID, bounce bool, pause logic.Micros) {
-	rec := r.records[id]
-	if rec == nil || rec.ended {
+	message := r.messages[id]
+	if message == nil || message.ended {
 		return
 	}
-	rec.ended = true
+	message.ended = true
 	how, again, ends := terminated, int64(0), failed
 	if bounce {
 		how, again, ends = bounced, int64((pause+999)/1000), turnedAway
 	}
 	r.counters.over()
-	r.count(rec.kept.Workload, ends)
-	if len(rec.waiting) > 0 {
-		for _, rep := range rec.waiting {
+	r.count(message.kept.Workload, ends)
+	if len(message.waiting) > 0 {
+		for _, rep := range message.waiting {
 			rep.text = protocol.ReplyError("ERR terminated")
 			if bounce {
 				rep.text = protocol.ReplyBusy(again)
 			}
 		}
-		r.check(r.spool.Forget(rec.kept.ID))
+		r.check(r.spool.Forget(message.kept.ID))
 	} else {
-		r.clients.over.add(rec, r.now)
-		r.check(r.spool.End(rec.kept.ID, how, again))
-		r.platform.tell(rec.kept)
+		r.clients.over.add(message, r.now)
+		r.check(r.spool.End(message.kept.ID, how, again))
+		r.platform.tell(message.kept)
 	}
-	r.forget(rec)
+	r.forget(message)
 }
 
-// finish ends a record for which nothing more is owed.
-func (r *Router) finish(rec *record) {
-	if !rec.ended {
-		rec.ended = true
+// finish ends a message for which nothing more is owed.
+func (r *Router) finish(message *message) {
+	if !message.ended {
+		message.ended = true
 		r.counters.over()
-		r.check(r.spool.Forget(rec.kept.ID))
+		r.check(r.spool.Forget(message.kept.ID))
 	}
 }
 
-func (r *Router) forget(rec *record) {
-	if rec.ended && rec.out == 0 {
-		delete(r.records, logic.RecordID(rec.kept.ID))
+func (r *Router) forget(message *message) {
+	if message.ended && message.out == 0 {
+		delete(r.messages, logic.RecordID(message.kept.ID))
 	}
 }
--- a/routing/platform.go
+++ b/routing/platform.go
@@ -25,7 +25,7 @@
 	noticeSlack = 2 * 1000 * 1000
 	noticeCalls = 4                // out at once
 	noticeMost  = 64               // in one call
-	noticeLong  = 10 * 1000 * 1000 // after a record's time nobody asks for its end any more
+	noticeLong  = 10 * 1000 * 1000 // after a message's time nobody asks for its end any more
 )
 
 // owed is a notice that the platform has not confirmed.
@@ -153,7 +153,7 @@
 	p.calls, p.owed = nil, nil
 }
 
-// tell owes the platform the end of a record.
+// tell owes the platform the end of a message.
 func (p *platform) tell(k *spool.Record) {
 	p.owed = append(p.owed, &owed{until: logic.Micros(k.CutOff) + noticeLong,
 		notice: protocol.Notice{ID: k.ID, Bounced: k.Ended == bounced, AgainMs: k.AgainMs}})
--- a/routing/recovery.go
+++ b/routing/recovery.go
@@ -11,7 +11,7 @@
 )
 
 // renew hands all that is held to decisions that know nothing yet, and nothing of what the failed ones had learned. Where they fail again over that, it is ended,
-// so that one record cannot stop all others for ever.
+// so that one message cannot stop all others for ever.
 func (r *Router) renew() {
 	if r.upgrade.handed {
 		return
@@ -22,11 +22,11 @@
 	}
 	r.events, r.courier, r.wakeAt = nil, r.begin(), never
 	r.watch.start(r)
-	held := make([]*record, 0, len(r.records))
-	for _, rec := range r.records {
-		held = append(held, rec)
+	held := make([]*message, 0, len(r.messages))
+	for _, message := range r.messages {
+		held = append(held, message)
 	}
-	slices.SortFunc(held, func(a, b *record) int { return cmp.Compare(a.kept.Number, b.kept.Number) })
+	slices.SortFunc(held, func(a, b *message) int { return cmp.Compare(a.kept.Number, b.kept.Number) })
 	news := logic.ListNews{How: logic.Persisted}
 	for _, id := range slices.Sorted(maps.Keys(r.hosts)) {
 		if l, ok := r.listing(r.hosts[id]); ok {
@@ -39,11 +39,11 @@
 		r.events = append(r.events, logic.Closing{At: r.endBy})
 	}
 	r.failed++
-	for _, rec := range held {
+	for _, message := range held {
 		if r.failed > 1 {
-			r.end(logic.RecordID(rec.kept.ID), false, 0)
-		} else if !rec.ended {
-			r.events = append(r.events, r.recall(rec))
+			r.end(logic.RecordID(message.kept.ID), false, 0)
+		} else if !message.ended {
+			r.events = append(r.events, r.recall(message))
 		}
 	}
 }
@@ -67,33 +67,33 @@
 			r.platform.tell(kept)
 			continue
 		}
-		rec := &record{kept: kept, taken: r.now}
+		message := &message{kept: kept, taken: r.now}
 		for i := range kept.Trips {
-			t := &trip{rec: rec, no: i, sent: logic.Micros(kept.Trips[i].Sent), noted: true, over: true}
-			rec.trips = append(rec.trips, t)
+			t := &trip{message: message, no: i, sent: logic.Micros(kept.Trips[i].Sent), noted: true, over: true}
+			message.trips = append(message.trips, t)
 			if limit, ok := out[handover.Out{Record: kept.ID, Trip: i}]; ok {
 				r.upgrade.adopt(t, limit)
 			}
 		}
-		r.records[logic.RecordID(kept.ID)] = rec
+		r.messages[logic.RecordID(kept.ID)] = message
 		r.counters.taken()
-		r.events = append(r.events, r.recall(rec))
+		r.events = append(r.events, r.recall(message))
 	}
 	if len(unfinished) > 0 {
-		r.log.Info("taken up again", "records", len(r.records), "notices", len(unfinished)-len(r.records))
+		r.log.Info("taken up again", "records", len(r.messages), "notices", len(unfinished)-len(r.messages))
 	}
 }
 
-// recall is what the decisions are told of a record from before them.
-func (r *Router) recall(rec *record) logic.Recovered {
-	e := logic.Recovered{Taken: r.taken(rec.kept)}
-	for i, t := range rec.kept.Trips {
+// recall is what the decisions are told of a message from before them.
+func (r *Router) recall(message *message) logic.Recovered {
+	e := logic.Recovered{Taken: r.taken(message.kept)}
+	for i, t := range message.kept.Trips {
 		outcome, known := outcomes[t.Outcome]
 		if !known {
 			outcome = logic.Broken // nothing was heard: it may have run
 		}
 		e.Trips = append(e.Trips, logic.Past{Endpoint: logic.EndpointID(t.Endpoint), Zone: logic.ZoneID(t.Zone),
-			Sent: logic.Micros(t.Sent), Outcome: outcome, Out: !rec.trips[i].over})
+			Sent: logic.Micros(t.Sent), Outcome: outcome, Out: !message.trips[i].over})
 	}
 	return e
 }
--- a/routing/reload.go
+++ b/routing/reload.go
@@ -10,8 +10,8 @@
 // Reloaded has f told of each configuration that was taken over, for what the process itself must set.
 func (r *Router) Reloaded(f func(*config.Deployment)) { r.reloaded = f }
 
-// reload takes over what a configuration read anew changes, while records are held: all that is held, out or told to wait
-// stays as it is, and records keep what they were promised when they were taken. What must wait for a start is named.
+// reload takes over what a configuration read anew changes, while messages are held: all that is held, out or told to wait
+// stays as it is, and messages keep what they were promised when they were taken. What must wait for a start is named.
 func (r *Router) reload(next *config.Deployment) {
 	waiting := r.dep.Waiting(next)
 	merged := r.dep.Merged(next)
@@ -52,10 +52,10 @@
 	}
 }
 
-// heldOf is how many records of a workload are held.
+// heldOf is how many messages of a workload are held.
 func (r *Router) heldOf(workload string) (n int) {
-	for _, rec := range r.records {
-		if !rec.ended && rec.kept.Workload == workload {
+	for _, message := range r.messages {
+		if !message.ended && message.kept.Workload == workload {
 			n++
 		}
 	}
--- a/routing/router.go
+++ b/routing/router.go
@@ -1,5 +1,5 @@
 // Package routing joins the decisions with the outside: one goroutine owns the logic.Courier and all that is
-// known of records, gathers what happened, calls Handle and carries out what it returns. It decides nothing.
+// known of messages, gathers what happened, calls Handle and carries out what it returns. It decides nothing.
 package routing
 
 import (
@@ -49,7 +49,7 @@
 	wakeAt    logic.Micros
 	events    []logic.Event
 	replies   []*reply
-	records   map[logic.RecordID]*record
+	messages  map[logic.RecordID]*message
 	flying    []*trip // oldest first
 	hosts     map[logic.EndpointID]protocol.Host
 	dests     map[int]logic.Micros    // those that lists name, and until when
@@ -81,7 +81,7 @@
 // handed over while it ran, nil where none did.
 func New(dep *config.Deployment, sp *spool.Spool, unfinished []*spool.Record, given *handover.State, log *slog.Logger) (*Router, error) {
 	r := &Router{dep: dep, log: log, spool: sp, inbox: make(chan any, inboxSize), door: make(chan any, doorSize),
-		base: time.Now(), wakeAt: never, endBy: never, partAt: never, records: map[logic.RecordID]*record{},
+		base: time.Now(), wakeAt: never, endBy: never, partAt: never, messages: map[logic.RecordID]*message{},
 		hosts: map[logic.EndpointID]protocol.Host{}, waits: map[string]logic.Micros{}, dests: map[int]logic.Micros{}}
 	r.tracer = log.With(logs.Component, "decisions")
 	r.baseUnix = logic.Micros(r.base.UnixMicro())
@@ -148,7 +148,7 @@
 			r.partAt = r.clock() + parting
 			r.staff.open.Store(false)
 			r.events = append(r.events, logic.Closing{At: r.endBy})
-			r.log.Info("told to end", "held", len(r.records), "out", len(r.flying))
+			r.log.Info("told to end", "held", len(r.messages), "out", len(r.flying))
 		}
 		r.take(what)
 		r.standstill(due)
@@ -164,7 +164,7 @@
 				r.log.Info("ended, handed over", "out", len(r.flying))
 				return nil
 			}
-			r.log.Info("ended", "held", len(r.records))
+			r.log.Info("ended", "held", len(r.messages))
 			r.partLore()
 			r.watch.tell(r.log)
 			return r.spool.Close()
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -22,7 +22,7 @@
 	"pineport/transport"
 )
 
-// failing panics at the first record whose id begins so, each time or once.
+// failing panics at the first message whose id begins so, each time or once.
 type failing struct {
 	decider
 	at    string
@@ -79,7 +79,7 @@
 	return r
 }
 
-// serve runs a router in this process; its decisions fail so many times at records whose ids begin with "bad".
+// serve runs a router in this process; its decisions fail so many times at messages whose ids begin with "bad".
 func serve(t *testing.T, w *scripted.World, times int) (listen string) {
 	t.Helper()
 	r := prepare(t, w)
@@ -97,7 +97,7 @@
 	return r.dep.Listen
 }
 
-// handTo hands in one record for a destination.
+// handTo hands in one message for a destination.
 func handTo(t *testing.T, listen, id string, dest int) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", listen)
@@ -151,7 +151,7 @@
 	return w
 }
 
-// waitForEnd returns how a record ended.
+// waitForEnd returns how a message ended.
 func waitForEnd(t *testing.T, w *scripted.World, id string) string {
 	t.Helper()
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
@@ -249,7 +249,7 @@
 
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
-// TestEndpointsThatMisbehave: what a raw answer means for a record that must not run twice, where the connection ends
+// TestEndpointsThatMisbehave: what a raw answer means for a message that must not run twice, where the connection ends
 // after it and where it stays: a spoilt one has run, and nobody waits for the rest of it until no time is left. An end after a
 // refusal that did not announce it is left out: the second call may have gone out on the connection by then, and may have run.
 func TestEndpointsThatMisbehave(t *testing.T) {
@@ -291,10 +291,10 @@
 	}
 }
 
-// How a record that must not run twice goes on after an answer.
+// How a message that must not run twice goes on after an answer.
 const lost, done, again = "undeliverable", "done", "second call"
 
-// answered has an endpoint answer the first call for such a record with raw bytes, and holds what becomes of it against want.
+// answered has an endpoint answer the first call for such a message with raw bytes, and holds what becomes of it against want.
 func answered(t *testing.T, raw string, stays bool, want string) {
 	t.Helper()
 	w := open(t, 0)
@@ -324,7 +324,7 @@
 }
 
 // TestSilentAfterAnyByte: an endpoint falls silent, or leaves, after any byte of a good answer. Once the first line has come the
-// record is done; before, it may have run and is not sent again.
+// message is done; before, it may have run and is not sent again.
 func TestSilentAfterAnyByte(t *testing.T) {
 	const answer, line = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine", 17
 	for at := 1; at <= len(answer); at++ {
@@ -566,7 +566,7 @@
 				}
 				r.take(what)
 			}
-			trips := r.records["one"].kept.Trips
+			trips := r.messages["one"].kept.Trips
 			if sent := trips[0].Outcome != "void"; sent != (name == "nothing") {
 				t.Errorf("trips %+v", trips)
 			}
@@ -574,8 +574,8 @@
 	}
 }
 
-// TestOneRecordStopsNoOthers: where the decisions fail over a record each time, it is ended and others go on.
-func TestOneRecordStopsNoOthers(t *testing.T) {
+// TestOneMessageStopsNoOthers: where the decisions fail over a message each time, it is ended and others go on.
+func TestOneMessageStopsNoOthers(t *testing.T) {
 	w := open(t, 0)
 	listen := serve(t, w, 1000)
 	if got := hand(t, listen, "bad", "next"); got[0] != "+OK" || got[1] != "+OK" {
@@ -588,7 +588,7 @@
 	}
 }
 
-// TestOneCallOneWait. Failure: one record of a call was given up while the call went on for the others.
+// TestOneCallOneWait. Failure: one message of a call was given up while the call went on for the others.
 func TestOneCallOneWait(t *testing.T) {
 	c := &call{trips: []*trip{{limit: 900}, {limit: 300}, {limit: 700}}}
 	if got := c.waitAlike(); got != 300 {
--- a/routing/step.go
+++ b/routing/step.go
@@ -65,12 +65,12 @@
 	r.staff.publish()
 }
 
-// reply writes what clients wait for; from then on the platform is told how a record ends.
+// reply writes what clients wait for; from then on the platform is told how a message ends.
 func (r *Router) reply() {
 	for _, reply := range r.replies {
 		reply.client.write(reply)
-		if reply.rec != nil {
-			reply.rec.waiting = nil
+		if reply.message != nil {
+			reply.message.waiting = nil
 		}
 	}
 	r.replies = r.replies[:0]
--- a/routing/upgrade.go
+++ b/routing/upgrade.go
@@ -123,7 +123,7 @@
 	u.giver.Given()
 	u.giving = false
 	r.counters.held = 0
-	r.log.Info("handed over", "held", len(r.records), "out", len(r.flying), "clients", len(r.clients.all), "took", time.Duration(r.clock()-began)*time.Microsecond)
+	r.log.Info("handed over", "held", len(r.messages), "out", len(r.flying), "clients", len(r.clients.all), "took", time.Duration(r.clock()-began)*time.Microsecond)
 	debug.FreeOSMemory() // both processes have one limit
 }
 
@@ -150,7 +150,7 @@
 		s.Hosts = append(s.Hosts, r.hosts[id])
 	}
 	for _, t := range r.flying {
-		s.Out = append(s.Out, handover.Out{Record: t.rec.kept.ID, Trip: t.no, Limit: t.limit})
+		s.Out = append(s.Out, handover.Out{Record: t.message.kept.ID, Trip: t.no, Limit: t.limit})
 	}
 	return s
 }
@@ -178,7 +178,7 @@
 
 // adopt takes over a trip that the predecessor has out; where its endpoint is not listed any more, it is given up.
 func (u *upgrade) adopt(t *trip, limit logic.Micros) {
-	id := logic.EndpointID(t.rec.kept.Trips[t.no].Endpoint)
+	id := logic.EndpointID(t.message.kept.Trips[t.no].Endpoint)
 	host, ok := u.r.hosts[id]
 	if !ok {
 		u.strangers = append(u.strangers, t)
@@ -186,7 +186,7 @@
 	}
 	t.over, t.limit = false, limit+adoptSlack
 	t.call = &call{endpoint: id, host: host, trips: []*trip{t}, predecessor: true}
-	t.rec.out++
+	t.message.out++
 	u.r.flying = append(u.r.flying, t)
 }
 
@@ -205,7 +205,7 @@
 // cancel tells the predecessor that a trip is waited for no more.
 func (u *upgrade) cancel(t *trip) {
 	if u.predecessor != nil {
-		u.predecessor.Send(handover.Message{Cancel: &handover.Out{Record: t.rec.kept.ID, Trip: t.no}})
+		u.predecessor.Send(handover.Message{Cancel: &handover.Out{Record: t.message.kept.ID, Trip: t.no}})
 	}
 }
 
@@ -227,7 +227,7 @@
 		return
 	}
 	u.land(t)
-	s.Record, s.Trip = logic.RecordID(t.rec.kept.ID), logic.TripNo(t.no)
+	s.Record, s.Trip = logic.RecordID(t.message.kept.ID), logic.TripNo(t.no)
 	u.successor.Send(handover.Message{Settled: &s})
 }
 
@@ -278,11 +278,11 @@
 	r := u.r
 	switch {
 	case m.Settled != nil:
-		rec := r.records[m.Settled.Record]
-		if rec == nil || int(m.Settled.Trip) < 0 || int(m.Settled.Trip) >= len(rec.trips) {
+		message := r.messages[m.Settled.Record]
+		if message == nil || int(m.Settled.Trip) < 0 || int(m.Settled.Trip) >= len(message.trips) {
 			return
 		}
-		t := rec.trips[m.Settled.Trip]
+		t := message.trips[m.Settled.Trip]
 		if t.call == nil || !t.call.predecessor {
 			return
 		}
@@ -327,7 +327,7 @@
 		r.log.Info("another process serves", "out", len(r.flying))
 	case m.Cancel != nil:
 		for _, t := range slices.Clone(r.flying) {
-			if t.rec.kept.ID == m.Cancel.Record && t.no == m.Cancel.Trip {
+			if t.message.kept.ID == m.Cancel.Record && t.no == m.Cancel.Trip {
 				u.land(t)
 				r.drop(t.call)
 			}
