--- a/routing/calls.go
+++ b/routing/calls.go
@@ -11,14 +11,14 @@
 	"pineport/spool"
 )
 
-// call is what goes to an endpoint at once: one trip, or several where the charter allows.
+// call is what goes to an endpoint at once: one attempt, or several where the charter allows.
 type call struct {
 	endpoint    logic.EndpointID
 	host        protocol.Host
-	trips       []*trip
+	attempts    []*attempt
 	exchange    *exchange
 	limit       logic.Micros // until when it is waited for
-	predecessor bool         // the other process of an upgrade has it out; one trip
+	predecessor bool         // the other process of an upgrade has it out; one attempt
 }
 
 var outcomes = map[string]logic.Outcome{
@@ -35,7 +35,7 @@
 	return ""
 }
 
-// load puts a trip on a call: sends of one turn to one endpoint go together, up to what its shape takes.
+// load puts an attempt on a call: sends of one turn to one endpoint go together, up to what its shape takes.
 func (r *Router) load(calls []*call, a logic.Send) []*call {
 	message := r.messages[a.Record]
 	if message == nil || message.ended {
@@ -48,7 +48,7 @@
 	}
 	var c *call
 	for _, o := range calls {
-		if o.endpoint == a.Endpoint && len(o.trips) < perCall {
+		if o.endpoint == a.Endpoint && len(o.attempts) < perCall {
 			c = o
 		}
 	}
@@ -56,23 +56,23 @@
 		c = &call{endpoint: a.Endpoint, host: host}
 		calls = append(calls, c)
 	}
-	t := &trip{message: message, no: len(message.trips), call: c, sent: r.now, limit: r.now + a.Limit}
-	message.trips = append(message.trips, t)
+	attempt := &attempt{message: message, number: len(message.attempts), call: c, sent: r.now, limit: r.now + a.Limit}
+	message.attempts = append(message.attempts, attempt)
 	message.out++
-	r.flying = append(r.flying, t)
-	c.trips = append(c.trips, t)
+	r.flying = append(r.flying, attempt)
+	c.attempts = append(c.attempts, attempt)
 	return calls
 }
 
-// waitAlike has all trips of a call waited for as long as the least of them allows, and returns until when. Failure: with a time
-// of its own for each, one trip was given up while its call went on for the others, and messages were counted as lost.
+// waitAlike has all attempts of a call waited for as long as the least of them allows, and returns until when. Failure: with a time
+// of its own for each, one attempt was given up while its call went on for the others, and messages were counted as lost.
 func (c *call) waitAlike() logic.Micros {
 	limit := never
-	for _, t := range c.trips {
-		limit = min(limit, t.limit)
+	for _, attempt := range c.attempts {
+		limit = min(limit, attempt.limit)
 	}
-	for _, t := range c.trips {
-		t.limit = limit
+	for _, attempt := range c.attempts {
+		attempt.limit = limit
 	}
 	c.limit = limit
 	return limit
@@ -80,7 +80,7 @@
 
 // start sends a call on its way.
 func (r *Router) start(c *call) {
-	if len(c.trips) == 0 {
+	if len(c.attempts) == 0 {
 		return
 	}
 	c.waitAlike()
@@ -90,28 +90,28 @@
 		still: func() bool {
 			return r.hosts[c.endpoint].Health == protocol.InService && !r.staff.out[string(c.endpoint)] && r.waits[r.route(c.host)] <= r.now
 		},
-		written: func() { r.counters.dispatches += int64(len(c.trips)) },
+		written: func() { r.counters.dispatches += int64(len(c.attempts)) },
 		end:     func(a protocol.Answer, err error) { r.answered(c, a, err) }}
 	r.links.start(c.exchange)
 }
 
-// leaves writes down a call's trips as its first byte is about to leave, and no sooner, and puts the bytes together. Failures: noted when
-// they were decided, trips whose connection was still coming up as the process was killed passed for calls that may have run, and what may
+// leaves writes down a call's attempts as its first byte is about to leave, and no sooner, and puts the bytes together. Failures: noted when
+// they were decided, attempts whose connection was still coming up as the process was killed passed for calls that may have run, and what may
 // not be repeated was given up after the restart with no call. Put together then, a call went out with messages called off meanwhile.
 func (r *Router) leaves(c *call) error {
-	for _, t := range slices.Clone(c.trips) {
-		if t.message.ended {
-			r.settle(t, logic.Settled{Outcome: logic.Void})
+	for _, attempt := range slices.Clone(c.attempts) {
+		if attempt.message.ended {
+			r.settle(attempt, logic.Settled{Outcome: logic.Void})
 		}
 	}
-	c.trips = slices.DeleteFunc(c.trips, func(t *trip) bool { return t.over })
+	c.attempts = slices.DeleteFunc(c.attempts, func(attempt *attempt) bool { return attempt.over })
 	var items []protocol.Item
-	for _, t := range c.trips {
-		if err := r.note(t, ""); err != nil {
+	for _, attempt := range c.attempts {
+		if err := r.note(attempt, ""); err != nil {
 			r.check(err)
 			return err // so not sent: a restart would not know of it
 		}
-		items = append(items, protocol.Item{ID: t.message.kept.ID, Mark: t.message.kept.Mark, Body: t.message.kept.Body})
+		items = append(items, protocol.Item{ID: attempt.message.kept.ID, Mark: attempt.message.kept.Mark, Body: attempt.message.kept.Body})
 	}
 	if len(items) == 0 {
 		return errNobody
@@ -122,22 +122,22 @@
 
 var errNobody = errors.New("nothing of it is wanted any more")
 
-// note writes a trip into the spool, once; with its outcome where it ended before it was sent.
-func (r *Router) note(t *trip, outcome string) error {
-	if t.noted {
+// note writes an attempt into the spool, once; with its outcome where it ended before it was sent.
+func (r *Router) note(attempt *attempt, outcome string) error {
+	if attempt.noted {
 		return nil
 	}
-	t.noted = true
-	return r.spool.Begin(t.message.kept.ID, spool.Trip{Endpoint: string(t.call.endpoint), Zone: max(0, index(r.dep.Zones, t.call.host.Zone)),
-		Sent: int64(t.sent), Outcome: outcome})
+	attempt.noted = true
+	return r.spool.Begin(attempt.message.kept.ID, spool.Trip{Endpoint: string(attempt.call.endpoint), Zone: max(0, index(r.dep.Zones, attempt.call.host.Zone)),
+		Sent: int64(attempt.sent), Outcome: outcome})
 }
 
-// outcome writes down how a trip ended.
-func (r *Router) outcome(t *trip, o logic.Outcome) {
-	if t.noted {
-		r.check(r.spool.Settle(t.message.kept.ID, t.no, outcomeName(o)))
+// outcome writes down how an attempt ended.
+func (r *Router) outcome(attempt *attempt, o logic.Outcome) {
+	if attempt.noted {
+		r.check(r.spool.Settle(attempt.message.kept.ID, attempt.number, outcomeName(o)))
 	} else {
-		r.check(r.note(t, outcomeName(o)))
+		r.check(r.note(attempt, outcomeName(o)))
 	}
 }
 
@@ -150,18 +150,18 @@
 
 // begun shortens the waiting for an answer of which a part has come, and takes that back where it was an interim one.
 func (r *Router) begun(c *call, begun bool) {
-	for _, t := range c.trips {
-		if t.limit = c.limit; begun {
-			t.limit = min(t.limit, r.now+restSlack)
+	for _, attempt := range c.attempts {
+		if attempt.limit = c.limit; begun {
+			attempt.limit = min(attempt.limit, r.now+restSlack)
 		}
 	}
 }
 
-// answered turns the end of a call into the outcomes of its trips.
+// answered turns the end of a call into the outcomes of its attempts.
 func (r *Router) answered(c *call, a protocol.Answer, err error) {
 	if errors.Is(err, errOvertaken) {
-		for _, t := range c.trips {
-			r.settle(t, logic.Settled{Outcome: logic.Void})
+		for _, attempt := range c.attempts {
+			r.settle(attempt, logic.Settled{Outcome: logic.Void})
 		}
 		return
 	}
@@ -169,26 +169,26 @@
 	if errors.As(err, &failure) {
 		outcome := map[protocol.Progress]logic.Outcome{protocol.BeforeLastByte: logic.Unreachable,
 			protocol.AfterLastByte: logic.Broken, protocol.InAnswer: logic.Failure}[failure.Progress]
-		for _, t := range c.trips {
-			r.settle(t, logic.Settled{Outcome: outcome})
+		for _, attempt := range c.attempts {
+			r.settle(attempt, logic.Settled{Outcome: outcome})
 		}
 		return
 	}
 	var ends map[string]string
-	if a.Status == 200 && len(c.trips) > 1 {
+	if a.Status == 200 && len(c.attempts) > 1 {
 		ends = protocol.ReadEnds(a.Body)
 	}
 	if a.WaitMs > 0 {
 		r.told(c.host, r.now+logic.Micros(a.WaitMs)*1000)
 	}
 	pressure := protocol.Pressure(a.Report, r.dep.Report)
-	for _, t := range c.trips {
+	for _, attempt := range c.attempts {
 		s := outcomeOf(a)
 		if ends != nil {
-			s = endOf(ends[t.message.kept.ID])
+			s = endOf(ends[attempt.message.kept.ID])
 		}
 		s.Pressure, s.Wait = pressure, logic.Micros(a.WaitMs)*1000
-		r.settle(t, s)
+		r.settle(attempt, s)
 	}
 }
 
@@ -244,57 +244,57 @@
 	return logic.Settled{Outcome: logic.Failure}
 }
 
-// settle books the outcome of a trip and tells the decisions.
-func (r *Router) settle(t *trip, s logic.Settled) {
+// settle books the outcome of an attempt and tells the decisions.
+func (r *Router) settle(attempt *attempt, s logic.Settled) {
 	if r.upgrade.handed {
-		r.upgrade.echo(t, s)
+		r.upgrade.echo(attempt, s)
 		return
 	}
-	if t.over {
-		if s.Over && !t.message.ended { // called off, and delivered all the same
+	if attempt.over {
+		if s.Over && !attempt.message.ended { // called off, and delivered all the same
 			if s.Outcome == logic.Done {
-				r.count(t.message.kept.Workload, delivered)
+				r.count(attempt.message.kept.Workload, delivered)
 			}
-			r.clients.over.add(t.message, r.now)
-			r.finish(t.message)
-			r.events = append(r.events, logic.Left{Record: logic.RecordID(t.message.kept.ID)})
-			r.forget(t.message)
+			r.clients.over.add(attempt.message, r.now)
+			r.finish(attempt.message)
+			r.events = append(r.events, logic.Left{Record: logic.RecordID(attempt.message.kept.ID)})
+			r.forget(attempt.message)
 		}
 		return
 	}
-	t.over = true
-	t.message.out--
+	attempt.over = true
+	attempt.message.out--
 	for i, o := range r.flying {
-		if o == t {
+		if o == attempt {
 			r.flying = append(r.flying[:i], r.flying[i+1:]...)
 			break
 		}
 	}
 	if s.Over {
-		if !t.message.ended && s.Outcome == logic.Done {
-			r.count(t.message.kept.Workload, delivered)
+		if !attempt.message.ended && s.Outcome == logic.Done {
+			r.count(attempt.message.kept.Workload, delivered)
 		}
-		r.clients.over.add(t.message, r.now)
-		r.finish(t.message)
-	} else if !t.message.ended {
-		r.outcome(t, s.Outcome)
+		r.clients.over.add(attempt.message, r.now)
+		r.finish(attempt.message)
+	} else if !attempt.message.ended {
+		r.outcome(attempt, s.Outcome)
 	}
-	s.Record, s.Trip, s.Took = logic.RecordID(t.message.kept.ID), logic.TripNo(t.no), r.now-t.sent
-	s.Over = s.Over || t.message.ended
+	s.Record, s.Trip, s.Took = logic.RecordID(attempt.message.kept.ID), logic.TripNo(attempt.number), r.now-attempt.sent
+	s.Over = s.Over || attempt.message.ended
 	r.events = append(r.events, s)
 	r.lore.note(s.Outcome)
-	r.forget(t.message)
+	r.forget(attempt.message)
 }
 
-// overdue ends a trip that was waited for long enough, unless its answer is here and only not taken in yet. Failure: a delivered message
+// overdue ends an attempt that was waited for long enough, unless its answer is here and only not taken in yet. Failure: a delivered message
 // passed for one without an answer.
-func (r *Router) overdue(t *trip) {
-	if r.arrives(t) {
+func (r *Router) overdue(attempt *attempt) {
+	if r.arrives(attempt) {
 		return
 	}
 	s := logic.Settled{Outcome: logic.TimedOut}
-	switch x := t.call.exchange; {
-	case t.call.predecessor: // the other process has said nothing of it for longer than it should wait
+	switch x := attempt.call.exchange; {
+	case attempt.call.predecessor: // the other process has said nothing of it for longer than it should wait
 	case !r.links.out(x):
 		s.Outcome = logic.Unreachable
 	case !x.whole && x.link.first.Load() == 200:
@@ -302,53 +302,53 @@
 	case x.cut:
 		s.Outcome = logic.Failure // it answers, but nothing that can be read
 	}
-	r.settle(t, s)
-	r.drop(t.call)
+	r.settle(attempt, s)
+	r.drop(attempt.call)
 }
 
-// lastLook is how long a trip that is to be given up is waited for where something that came over its connection lies unread. The poller
+// lastLook is how long an attempt that is to be given up is waited for where something that came over its connection lies unread. The poller
 // reads that at once unless the machine is busy; a peer that sends on and on gains no more than this.
 const lastLook = 5 * 1000
 
-// arrives tells whether the answer to a trip is here, or may be: whole but not taken in yet, or unread in the socket. For the latter it
-// gives the trip a moment, once.
-func (r *Router) arrives(t *trip) bool {
-	x := t.call.exchange
+// arrives tells whether the answer to an attempt is here, or may be: whole but not taken in yet, or unread in the socket. For the latter it
+// gives the attempt a moment, once.
+func (r *Router) arrives(attempt *attempt) bool {
+	x := attempt.call.exchange
 	if r.links.heard(x) {
 		return true
 	}
-	if t.looked || !r.links.stirs(x) {
+	if attempt.looked || !r.links.stirs(x) {
 		return false
 	}
-	t.looked, t.limit = true, r.now+lastLook
+	attempt.looked, attempt.limit = true, r.now+lastLook
 	return true
 }
 
 func (r *Router) cancel(a logic.Cancel) {
 	message := r.messages[a.Record]
-	if message == nil || int(a.Trip) >= len(message.trips) || message.trips[a.Trip].over {
+	if message == nil || int(a.Trip) >= len(message.attempts) || message.attempts[a.Trip].over {
 		return
 	}
-	t, o := message.trips[a.Trip], logic.Withdrawn
-	if r.arrives(t) {
+	attempt, o := message.attempts[a.Trip], logic.Withdrawn
+	if r.arrives(attempt) {
 		return // its answer says more
 	}
-	if x := t.call.exchange; x != nil && !x.sent {
+	if x := attempt.call.exchange; x != nil && !x.sent {
 		o = logic.Void // its connection is still coming up: it never ran
 	}
-	r.settle(t, logic.Settled{Outcome: o})
-	r.drop(t.call)
+	r.settle(attempt, logic.Settled{Outcome: o})
+	r.drop(attempt.call)
 }
 
 // drop gives up a call once nobody waits for any of it.
 func (r *Router) drop(c *call) {
-	for _, t := range c.trips {
-		if !t.over {
+	for _, attempt := range c.attempts {
+		if !attempt.over {
 			return
 		}
 	}
 	if c.predecessor {
-		r.upgrade.cancel(c.trips[0])
+		r.upgrade.cancel(c.attempts[0])
 		return
 	}
 	r.links.abort(c.exchange)
--- a/routing/crossings_test.go
+++ b/routing/crossings_test.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// TestNeverUpIsNoted: a trip that failed before anything was sent stands in the spool with its outcome, so that those after it keep
+// TestNeverUpIsNoted: an attempt that failed before anything was sent stands in the spool with its outcome, so that those after it keep
 // their numbers.
 func TestNeverUpIsNoted(t *testing.T) {
 	w := open(t, 0)
@@ -116,7 +116,7 @@
 	}
 }
 
-// TestCalledOffBeforeItLeft. Failure: a trip that was called off while its connection came up passed for one that may have run, and
+// TestCalledOffBeforeItLeft. Failure: an attempt that was called off while its connection came up passed for one that may have run, and
 // its message could not go again; put together when it was decided, a call for several went out with it all the same.
 func TestCalledOffBeforeItLeft(t *testing.T) {
 	r := byHand(t, open(t, 0), single("one"), single("two"))
@@ -125,7 +125,7 @@
 	for _, id := range []logic.RecordID{"one", "two"} {
 		calls = r.load(calls, logic.Send{Record: id, Endpoint: "s-0", Limit: 5 * 1000 * 1000})
 	}
-	if len(calls) != 1 || len(calls[0].trips) != 2 {
+	if len(calls) != 1 || len(calls[0].attempts) != 2 {
 		t.Fatalf("%d calls", len(calls))
 	}
 	r.events = nil
@@ -136,8 +136,8 @@
 		t.Errorf("never sent, and called off as %v", s.Outcome)
 	}
 	r.take(up)
-	if c := calls[0]; len(c.trips) != 1 || c.trips[0].message.kept.ID != "two" || c.exchange.whole {
-		t.Errorf("it went out with %d trips, whole %v", len(c.trips), c.exchange.whole)
+	if c := calls[0]; len(c.attempts) != 1 || c.attempts[0].message.kept.ID != "two" || c.exchange.whole {
+		t.Errorf("it went out with %d trips, whole %v", len(c.attempts), c.exchange.whole)
 	}
 	if rec := onDisk(t, r, "one"); len(rec.Trips) != 1 || rec.Trips[0].Outcome != "void" {
 		t.Errorf("of the one called off a restart would find %+v", rec.Trips)
@@ -283,7 +283,7 @@
 	}
 	r.recover([]*spool.Record{single("two")}, nil)
 	r.turn()
-	if out := r.messages["two"].trips; len(out) != 1 || out[0].call.exchange.sent {
+	if out := r.messages["two"].attempts; len(out) != 1 || out[0].call.exchange.sent {
 		t.Fatalf("%d trips; written to what had ended", len(out))
 	}
 	goOn()
@@ -295,12 +295,12 @@
 	}
 }
 
-// TestAnAnswerThatCrossesItsTime. Failure: an answer that lay at the router, untaken, as the time for it ran out, or as its trip was called
+// TestAnAnswerThatCrossesItsTime. Failure: an answer that lay at the router, untaken, as the time for it ran out, or as its attempt was called
 // off, passed for none; a delivered message was sent again, or given up.
 func TestAnAnswerThatCrossesItsTime(t *testing.T) {
-	for name, cross := range map[string]func(r *Router, tr *trip){
-		"overdue":    func(r *Router, tr *trip) { r.overdue(tr) },
-		"called off": func(r *Router, tr *trip) { r.cancel(logic.Cancel{Record: "one"}) },
+	for name, cross := range map[string]func(r *Router, attempt *attempt){
+		"overdue":    func(r *Router, attempt *attempt) { r.overdue(attempt) },
+		"called off": func(r *Router, attempt *attempt) { r.cancel(logic.Cancel{Record: "one"}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := open(t, 0)
@@ -308,9 +308,9 @@
 			r := byHand(t, w, single("one"))
 			io.WriteString(sent(t, r, l), okAnswer)
 			answer := until(t, r, func(e linkAnswer) bool { return toEndpoint(e.on) })
-			tr := r.messages["one"].trips[0]
-			cross(r, tr)
-			if tr.over {
+			attempt := r.messages["one"].attempts[0]
+			cross(r, attempt)
+			if attempt.over {
 				t.Error("ended although its answer is here")
 			}
 			r.take(answer)
@@ -322,7 +322,7 @@
 }
 
 // TestAnAnswerUnreadAtItsTime. Failure: an answer that lay in the socket as the time for it ran out passed for none. Where it is none, or
-// not whole, the trip ends a moment later, whatever comes on and on.
+// not whole, the attempt ends a moment later, whatever comes on and on.
 func TestAnAnswerUnreadAtItsTime(t *testing.T) {
 	for name, c := range map[string]struct {
 		bytes string
@@ -331,17 +331,17 @@
 		"whole": {okAnswer, logic.Done}, "its first line": {okAnswer[:17], logic.Done}, "half a line": {"HTTP/1.1 2", logic.Failure},
 		"nothing": {"", logic.TimedOut},
 	} {
-		for how, cross := range map[string]func(r *Router, tr *trip){
-			"overdue":    func(r *Router, tr *trip) { r.overdue(tr) },
-			"called off": func(r *Router, tr *trip) { r.cancel(logic.Cancel{Record: "one"}) },
+		for how, cross := range map[string]func(r *Router, attempt *attempt){
+			"overdue":    func(r *Router, attempt *attempt) { r.overdue(attempt) },
+			"called off": func(r *Router, attempt *attempt) { r.cancel(logic.Cancel{Record: "one"}) },
 		} {
 			t.Run(name+" "+how, func(t *testing.T) {
 				w := open(t, 0)
 				l := raw(t, w)
 				r := byHand(t, w, single("one"))
 				conn := sent(t, r, l)
-				tr := r.messages["one"].trips[0]
-				for tr.call.exchange.link.conn.Stirs() { // its handler may still be telling that it is up
+				attempt := r.messages["one"].attempts[0]
+				for attempt.call.exchange.link.conn.Stirs() { // its handler may still be telling that it is up
 					time.Sleep(100 * time.Microsecond)
 				}
 				goOn := stop(t, r)
@@ -350,8 +350,8 @@
 					t.Fatal("it never arrived")
 				}
 				r.events, r.now = nil, r.clock()
-				if cross(r, tr); tr.over != (c.bytes == "") {
-					t.Fatalf("over %v at its time", tr.over)
+				if cross(r, attempt); attempt.over != (c.bytes == "") {
+					t.Fatalf("over %v at its time", attempt.over)
 				}
 				goOn()
 				want := c.want
@@ -374,8 +374,8 @@
 					r.take(what)
 				}
 				for range 3 { // as what has begun may take a moment too
-					if r.now = max(r.clock(), tr.limit); !tr.over {
-						r.overdue(tr)
+					if r.now = max(r.clock(), attempt.limit); !attempt.over {
+						r.overdue(attempt)
 					}
 				}
 				for _, e := range r.events {
@@ -400,13 +400,13 @@
 	if !port.Arrived(conn) {
 		t.Fatal("it never arrived")
 	}
-	tr := r.messages["one"].trips[0]
-	r.now = tr.limit
-	if r.overdue(tr); tr.over || tr.limit != r.now+lastLook {
-		t.Fatalf("over %v, waited for %d us longer", tr.over, tr.limit-r.now)
+	attempt := r.messages["one"].attempts[0]
+	r.now = attempt.limit
+	if r.overdue(attempt); attempt.over || attempt.limit != r.now+lastLook {
+		t.Fatalf("over %v, waited for %d us longer", attempt.over, attempt.limit-r.now)
 	}
-	r.now = tr.limit
-	if r.overdue(tr); !tr.over {
+	r.now = attempt.limit
+	if r.overdue(attempt); !attempt.over {
 		t.Error("waited for on and on")
 	}
 }
@@ -451,9 +451,9 @@
 	up := until(t, r, func(e linkUp) bool { return toEndpoint(e.on) })
 	r.spool.Close()
 	r.take(up)
-	tr := r.messages["one"].trips[0]
-	if !tr.over || tr.call.exchange.sent {
-		t.Errorf("over %v, sent %v", tr.over, tr.call.exchange.sent)
+	attempt := r.messages["one"].attempts[0]
+	if !attempt.over || attempt.call.exchange.sent {
+		t.Errorf("over %v, sent %v", attempt.over, attempt.call.exchange.sent)
 	}
 	conn, err := l.AcceptTCP()
 	if err != nil {
--- a/routing/lore.go
+++ b/routing/lore.go
@@ -39,7 +39,7 @@
 	r.events = append(r.events[:1:1], append([]logic.Event{logic.Learned{Lore: *before}}, r.events[1:]...)...)
 }
 
-// note takes down that a trip had an outcome.
+// note takes down that an attempt had an outcome.
 func (l *lore) note(o logic.Outcome) {
 	switch o {
 	case logic.Done:
--- a/routing/message.go
+++ b/routing/message.go
@@ -8,23 +8,23 @@
 
 // message is a message that the courier has accepted, for as long as it is not ended or a call with it is still out.
 type message struct {
-	kept    *spool.Record // as the spool has it
-	waiting []*reply      // until they are written; more than one where it was handed in again in the same turn
-	taken   logic.Micros  // or taken up again
-	trips   []*trip
-	out     int // trips that are not over
-	ended   bool
+	kept     *spool.Record // as the spool has it
+	waiting  []*reply      // until they are written; more than one where it was handed in again in the same turn
+	taken    logic.Micros  // or taken up again
+	attempts []*attempt
+	out      int // attempts that are not over
+	ended    bool
 }
 
-// trip is one trip of a message; limit is when this side stops waiting.
-type trip struct {
+// attempt is one try to deliver a message: a call to an endpoint, alone or together with attempts of other messages.
+type attempt struct {
 	message *message
-	no      int // among all trips of the message
+	number  int // among the message's attempts, from 0
 	call    *call
-	sent    logic.Micros
-	limit   logic.Micros
-	noted   bool // in the spool
-	looked  bool // as it was to be given up, something had come
+	sent    logic.Micros // when it was decided
+	limit   logic.Micros // when this side stops waiting
+	noted   bool         // in the spool
+	looked  bool         // as it was to be given up, something had come
 	over    bool
 }
 
--- a/routing/recovery.go
+++ b/routing/recovery.go
@@ -16,9 +16,9 @@
 	if r.upgrade.handed {
 		return
 	}
-	for _, t := range append([]*trip(nil), r.flying...) {
-		r.settle(t, logic.Settled{Outcome: logic.Broken})
-		r.drop(t.call)
+	for _, attempt := range append([]*attempt(nil), r.flying...) {
+		r.settle(attempt, logic.Settled{Outcome: logic.Broken})
+		r.drop(attempt.call)
 	}
 	r.events, r.courier, r.wakeAt = nil, r.begin(), never
 	r.watch.start(r)
@@ -69,10 +69,10 @@
 		}
 		message := &message{kept: kept, taken: r.now}
 		for i := range kept.Trips {
-			t := &trip{message: message, no: i, sent: logic.Micros(kept.Trips[i].Sent), noted: true, over: true}
-			message.trips = append(message.trips, t)
+			attempt := &attempt{message: message, number: i, sent: logic.Micros(kept.Trips[i].Sent), noted: true, over: true}
+			message.attempts = append(message.attempts, attempt)
 			if limit, ok := out[handover.Out{Record: kept.ID, Trip: i}]; ok {
-				r.upgrade.adopt(t, limit)
+				r.upgrade.adopt(attempt, limit)
 			}
 		}
 		r.messages[logic.RecordID(kept.ID)] = message
@@ -93,7 +93,7 @@
 			outcome = logic.Broken // nothing was heard: it may have run
 		}
 		e.Trips = append(e.Trips, logic.Past{Endpoint: logic.EndpointID(t.Endpoint), Zone: logic.ZoneID(t.Zone),
-			Sent: logic.Micros(t.Sent), Outcome: outcome, Out: !message.trips[i].over})
+			Sent: logic.Micros(t.Sent), Outcome: outcome, Out: !message.attempts[i].over})
 	}
 	return e
 }
--- a/routing/router.go
+++ b/routing/router.go
@@ -50,7 +50,7 @@
 	events    []logic.Event
 	replies   []*reply
 	messages  map[logic.RecordID]*message
-	flying    []*trip // oldest first
+	flying    []*attempt // oldest first
 	hosts     map[logic.EndpointID]protocol.Host
 	dests     map[int]logic.Micros    // those that lists name, and until when
 	waits     map[string]logic.Micros // told by a route, until when; the decisions keep their own
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -590,13 +590,13 @@
 
 // TestOneCallOneWait. Failure: one message of a call was given up while the call went on for the others.
 func TestOneCallOneWait(t *testing.T) {
-	c := &call{trips: []*trip{{limit: 900}, {limit: 300}, {limit: 700}}}
+	c := &call{attempts: []*attempt{{limit: 900}, {limit: 300}, {limit: 700}}}
 	if got := c.waitAlike(); got != 300 {
 		t.Errorf("waited for until %d, not 300", got)
 	}
-	for i, tr := range c.trips {
-		if tr.limit != 300 {
-			t.Errorf("trip %d is waited for until %d", i, tr.limit)
+	for i, attempt := range c.attempts {
+		if attempt.limit != 300 {
+			t.Errorf("trip %d is waited for until %d", i, attempt.limit)
 		}
 	}
 }
--- a/routing/step.go
+++ b/routing/step.go
@@ -10,8 +10,8 @@
 // due is when something is to be done next, unasked.
 func (r *Router) due() logic.Micros {
 	at := min(r.wakeAt, r.links.due(), r.clients.due(), r.platform.due(), r.lore.due(), r.staff.due(), r.links.unwritten(), r.endBy, r.partAt)
-	for _, t := range r.flying {
-		at = min(at, t.limit)
+	for _, attempt := range r.flying {
+		at = min(at, attempt.limit)
 	}
 	return at
 }
@@ -38,9 +38,9 @@
 	if !r.upgrade.handed {
 		r.platform.tick()
 	}
-	for _, t := range append([]*trip(nil), r.flying...) {
-		if !t.over && t.limit <= r.now {
-			r.overdue(t)
+	for _, attempt := range append([]*attempt(nil), r.flying...) {
+		if !attempt.over && attempt.limit <= r.now {
+			r.overdue(attempt)
 		}
 	}
 	if r.upgrade.handed { // another process decides
--- a/routing/upgrade.go
+++ b/routing/upgrade.go
@@ -42,7 +42,7 @@
 	handed      bool // the successor decides
 	regain      bool
 	predecessor *handover.Link
-	strangers   []*trip    // of the predecessor, to endpoints that are not listed any more
+	strangers   []*attempt // of the predecessor, to endpoints that are not listed any more
 	keptLore    logic.Lore // as it was handed over, and the waits told since
 	asks        map[int64]chan answer
 	asked       int64
@@ -129,11 +129,11 @@
 
 // recallUnsent takes back what waits for a connection: until that is up the successor may have heard that nothing may go there.
 func (u *upgrade) recallUnsent() {
-	for _, t := range slices.Clone(u.r.flying) {
-		if x := t.call.exchange; x != nil && !x.sent {
-			u.land(t)
+	for _, attempt := range slices.Clone(u.r.flying) {
+		if x := attempt.call.exchange; x != nil && !x.sent {
+			u.land(attempt)
 			u.r.links.abort(x)
-			u.r.outcome(t, logic.Void)
+			u.r.outcome(attempt, logic.Void)
 		}
 	}
 }
@@ -149,8 +149,8 @@
 	for _, id := range slices.Sorted(maps.Keys(r.hosts)) {
 		s.Hosts = append(s.Hosts, r.hosts[id])
 	}
-	for _, t := range r.flying {
-		s.Out = append(s.Out, handover.Out{Record: t.message.kept.ID, Trip: t.no, Limit: t.limit})
+	for _, attempt := range r.flying {
+		s.Out = append(s.Out, handover.Out{Record: attempt.message.kept.ID, Trip: attempt.number, Limit: attempt.limit})
 	}
 	return s
 }
@@ -176,18 +176,18 @@
 	}
 }
 
-// adopt takes over a trip that the predecessor has out; where its endpoint is not listed any more, it is given up.
-func (u *upgrade) adopt(t *trip, limit logic.Micros) {
-	id := logic.EndpointID(t.message.kept.Trips[t.no].Endpoint)
+// adopt takes over an attempt that the predecessor has out; where its endpoint is not listed any more, it is given up.
+func (u *upgrade) adopt(adopted *attempt, limit logic.Micros) {
+	id := logic.EndpointID(adopted.message.kept.Trips[adopted.number].Endpoint)
 	host, ok := u.r.hosts[id]
 	if !ok {
-		u.strangers = append(u.strangers, t)
+		u.strangers = append(u.strangers, adopted)
 		return
 	}
-	t.over, t.limit = false, limit+adoptSlack
-	t.call = &call{endpoint: id, host: host, trips: []*trip{t}, predecessor: true}
-	t.message.out++
-	u.r.flying = append(u.r.flying, t)
+	adopted.over, adopted.limit = false, limit+adoptSlack
+	adopted.call = &call{endpoint: id, host: host, attempts: []*attempt{adopted}, predecessor: true}
+	adopted.message.out++
+	u.r.flying = append(u.r.flying, adopted)
 }
 
 // serving tells the predecessor that clients are taken here.
@@ -196,16 +196,16 @@
 		return
 	}
 	u.predecessor.Send(handover.Message{Serving: true})
-	for _, t := range u.strangers {
-		u.cancel(t)
+	for _, attempt := range u.strangers {
+		u.cancel(attempt)
 	}
 	u.strangers = nil
 }
 
-// cancel tells the predecessor that a trip is waited for no more.
-func (u *upgrade) cancel(t *trip) {
+// cancel tells the predecessor that an attempt is waited for no more.
+func (u *upgrade) cancel(attempt *attempt) {
 	if u.predecessor != nil {
-		u.predecessor.Send(handover.Message{Cancel: &handover.Out{Record: t.message.kept.ID, Trip: t.no}})
+		u.predecessor.Send(handover.Message{Cancel: &handover.Out{Record: attempt.message.kept.ID, Trip: attempt.number}})
 	}
 }
 
@@ -221,19 +221,19 @@
 	u.predecessor.Send(handover.Message{Wait: w})
 }
 
-// echo tells the successor how a trip ended.
-func (u *upgrade) echo(t *trip, s logic.Settled) {
-	if t.over {
+// echo tells the successor how an attempt ended.
+func (u *upgrade) echo(attempt *attempt, s logic.Settled) {
+	if attempt.over {
 		return
 	}
-	u.land(t)
-	s.Record, s.Trip = logic.RecordID(t.message.kept.ID), logic.TripNo(t.no)
+	u.land(attempt)
+	s.Record, s.Trip = logic.RecordID(attempt.message.kept.ID), logic.TripNo(attempt.number)
 	u.successor.Send(handover.Message{Settled: &s})
 }
 
-func (u *upgrade) land(t *trip) {
-	t.over = true
-	u.r.flying = slices.DeleteFunc(u.r.flying, func(o *trip) bool { return o == t })
+func (u *upgrade) land(landed *attempt) {
+	landed.over = true
+	u.r.flying = slices.DeleteFunc(u.r.flying, func(o *attempt) bool { return o == landed })
 }
 
 // ask hands what operators want to the successor, which decides.
@@ -279,18 +279,18 @@
 	switch {
 	case m.Settled != nil:
 		message := r.messages[m.Settled.Record]
-		if message == nil || int(m.Settled.Trip) < 0 || int(m.Settled.Trip) >= len(message.trips) {
+		if message == nil || int(m.Settled.Trip) < 0 || int(m.Settled.Trip) >= len(message.attempts) {
 			return
 		}
-		t := message.trips[m.Settled.Trip]
-		if t.call == nil || !t.call.predecessor {
+		attempt := message.attempts[m.Settled.Trip]
+		if attempt.call == nil || !attempt.call.predecessor {
 			return
 		}
 		s := *m.Settled
 		if s.Wait > 0 {
-			r.told(t.call.host, r.now+s.Wait)
+			r.told(attempt.call.host, r.now+s.Wait)
 		}
-		r.settle(t, logic.Settled{Outcome: s.Outcome, Over: s.Over, Wait: s.Wait, Pressure: s.Pressure})
+		r.settle(attempt, logic.Settled{Outcome: s.Outcome, Over: s.Over, Wait: s.Wait, Pressure: s.Pressure})
 	case m.Ask != nil:
 		q, link := request{ops.Away{Away: m.Ask.Yes}, make(chan answer, 1)}, u.predecessor
 		if m.Ask.Endpoint != "" {
@@ -307,14 +307,14 @@
 	}
 }
 
-// orphaned: nobody will tell any more how the predecessor's trips ended; they may have run.
+// orphaned: nobody will tell any more how the predecessor's attempts ended; they may have run.
 func (u *upgrade) orphaned() {
 	u.predecessor = nil
 	lost := 0
-	for _, t := range slices.Clone(u.r.flying) {
-		if t.call.predecessor {
+	for _, attempt := range slices.Clone(u.r.flying) {
+		if attempt.call.predecessor {
 			lost++
-			u.r.settle(t, logic.Settled{Outcome: logic.Broken})
+			u.r.settle(attempt, logic.Settled{Outcome: logic.Broken})
 		}
 	}
 	u.r.log.Info("the process before this one has ended", "unheard", lost)
@@ -326,10 +326,10 @@
 	case m.Serving:
 		r.log.Info("another process serves", "out", len(r.flying))
 	case m.Cancel != nil:
-		for _, t := range slices.Clone(r.flying) {
-			if t.message.kept.ID == m.Cancel.Record && t.no == m.Cancel.Trip {
-				u.land(t)
-				r.drop(t.call)
+		for _, attempt := range slices.Clone(r.flying) {
+			if attempt.message.kept.ID == m.Cancel.Record && attempt.number == m.Cancel.Trip {
+				u.land(attempt)
+				r.drop(attempt.call)
 			}
 		}
 	case m.Wait != nil:
