--- a/cmd/pineport/run.go
+++ b/cmd/pineport/run.go
@@ -148,9 +148,9 @@
 	if dep.Learn > 0 {
 		notes := log.With(logs.Component, "learned")
 		_, limit := learned.Room(int64(dep.SpoolMB * 1e6))
-		router.Learn(learned.Keep(dep.Spool, dep.Name, limit, notes), dep.Learn)
+		router.KeepLearned(learned.Keep(dep.Spool, dep.Name, limit, notes), dep.Learn)
 		if given == nil {
-			router.Believe(p.known(before, limit, notes))
+			router.RestoreLearned(p.known(before, limit, notes))
 		}
 	}
 	router.Reloaded(func(next *config.Deployment) {
@@ -180,7 +180,7 @@
 	if before == nil {
 		return lore
 	}
-	own := before.Kept()
+	own := before.LearnedAtHandoff()
 	if lore == nil || lore.At < own.At {
 		return own
 	}
--- a/routing/calls.go
+++ b/routing/calls.go
@@ -282,7 +282,7 @@
 	s.Record, s.Trip, s.Took = logic.RecordID(attempt.message.kept.ID), logic.TripNo(attempt.number), r.now-attempt.sent
 	s.Over = s.Over || attempt.message.ended
 	r.events = append(r.events, s)
-	r.lore.note(s.Outcome)
+	r.learned.observe(s.Outcome)
 	r.forget(attempt.message)
 }
 
--- a/routing/router.go
+++ b/routing/router.go
@@ -58,7 +58,7 @@
 	clients   clients
 	platform  platform
 	malformed malformed
-	lore      lore
+	learned   learnedState
 	watch     watch
 	counters  counters
 	staff     staff
@@ -165,7 +165,7 @@
 				return nil
 			}
 			r.log.Info("ended", "held", len(r.messages))
-			r.partLore()
+			r.saveLearnedAtEnd()
 			r.watch.tell(r.log)
 			return r.spool.Close()
 		}
--- a/routing/step.go
+++ b/routing/step.go
@@ -9,7 +9,7 @@
 
 // due is when something is to be done next, unasked.
 func (r *Router) due() logic.Micros {
-	at := min(r.wakeAt, r.links.due(), r.clients.due(), r.platform.due(), r.lore.due(), r.staff.due(), r.links.unwritten(), r.endBy, r.partAt)
+	at := min(r.wakeAt, r.links.due(), r.clients.due(), r.platform.due(), r.learned.due(), r.staff.due(), r.links.unwritten(), r.endBy, r.partAt)
 	for _, attempt := range r.flying {
 		at = min(at, attempt.limit)
 	}
@@ -60,7 +60,7 @@
 	}
 	r.reply()
 	r.platform.tick()
-	r.learnt(false)
+	r.saveLearned(false)
 	r.tellNeeds()
 	r.staff.publish()
 }
--- a/routing/upgrade.go
+++ b/routing/upgrade.go
@@ -33,19 +33,19 @@
 
 // upgrade is the other process of an upgrade: first a predecessor that handed all to this one, later a successor.
 type upgrade struct {
-	r           *Router
-	giver       *handover.Giver
-	release     func() // frees the folder
-	successor   *handover.Link
-	wanted      bool // the successor is ready, and nothing is handed over yet
-	giving      bool // between the two
-	handed      bool // the successor decides
-	regain      bool
-	predecessor *handover.Link
-	strangers   []*attempt // of the predecessor, to endpoints that are not listed any more
-	keptLore    logic.Lore // as it was handed over, and the waits told since
-	asks        map[int64]chan answer
-	asked       int64
+	r                *Router
+	giver            *handover.Giver
+	release          func() // frees the folder
+	successor        *handover.Link
+	wanted           bool // the successor is ready, and nothing is handed over yet
+	giving           bool // between the two
+	handed           bool // the successor decides
+	regain           bool
+	predecessor      *handover.Link
+	strangers        []*attempt // of the predecessor, to endpoints that are not listed any more
+	learnedAtHandoff logic.Lore // as it was handed over, and the waits told since
+	asks             map[int64]chan answer
+	asked            int64
 }
 
 func (u *upgrade) init(r *Router) {
@@ -108,12 +108,12 @@
 	}
 	u.recallUnsent()
 	state := u.state()
-	u.handed, u.keptLore = true, state.Lore
+	u.handed, u.learnedAtHandoff = true, state.Lore
 	r.staff.keeper.Shut()
 	r.staff.partAt = r.now
-	if r.lore.keeper != nil {
-		r.lore.keeper.Close(lastWrite)
-		r.lore.keeper = nil
+	if r.learned.keeper != nil {
+		r.learned.keeper.Close(lastWrite)
+		r.learned.keeper = nil
 	}
 	r.platform.stop()
 	r.links.closeResting()
@@ -141,7 +141,7 @@
 // state is what the folder does not hold.
 func (u *upgrade) state() *handover.State {
 	r := u.r
-	s := &handover.State{Lore: r.fresh(), Seq: r.platform.seq, Waits: maps.Clone(r.waits), Gone: slices.Sorted(maps.Keys(r.staff.out)),
+	s := &handover.State{Lore: r.snapshotLearned(), Seq: r.platform.seq, Waits: maps.Clone(r.waits), Gone: slices.Sorted(maps.Keys(r.staff.out)),
 		Away: r.staff.away()}
 	if r.parted != nil {
 		s.Peers = r.parted()
@@ -351,7 +351,7 @@
 }
 
 func (u *upgrade) keepWait(w handover.Wait) {
-	Waiting(&u.keptLore, &logic.Lore{Routes: []logic.RouteLore{{Dest: w.Dest, Endpoint: w.Endpoint, WaitTo: w.Until}}})
+	Waiting(&u.learnedAtHandoff, &logic.Lore{Routes: []logic.RouteLore{{Dest: w.Dest, Endpoint: w.Endpoint, WaitTo: w.Until}}})
 }
 
 // Waiting adds to what is known the waits of another: of each route the later one holds.
@@ -389,5 +389,5 @@
 	r.staff.faulty.Store(before.staff.faulty.Load())
 }
 
-// Kept is what this process knew as it handed all over, for a router that goes on after its successor has gone.
-func (r *Router) Kept() *logic.Lore { return &r.upgrade.keptLore }
+// LearnedAtHandoff is what this process had learned as it handed all over, for a router that goes on after its successor has gone.
+func (r *Router) LearnedAtHandoff() *logic.Lore { return &r.upgrade.learnedAtHandoff }
