--- a/cmd/pineport/run.go
+++ b/cmd/pineport/run.go
@@ -54,7 +54,7 @@
 	}
 	var desk *ops.Server
 	if dep.Ops != "" { // answers from the start: with no, until there is a router
-		if desk, err = ops.Open(dep.Ops, routing.StaffSockets(dep)-2, log.With(logs.Component, "ops")); err != nil {
+		if desk, err = ops.Open(dep.Ops, routing.OperatorSockets(dep)-2, log.With(logs.Component, "ops")); err != nil {
 			return fmt.Errorf("ops: %w", err)
 		}
 		defer desk.Close()
--- a/routing/calls.go
+++ b/routing/calls.go
@@ -88,7 +88,7 @@
 		begun:  func(begun bool) { r.begun(c, begun) },
 		leaves: func() error { return r.leaves(c) },
 		still: func() bool {
-			return r.hosts[c.endpoint].Health == protocol.InService && !r.staff.out[string(c.endpoint)] && r.waits[r.route(c.host)] <= r.now
+			return r.hosts[c.endpoint].Health == protocol.InService && !r.operators.out[string(c.endpoint)] && r.waits[r.route(c.host)] <= r.now
 		},
 		written: func() { r.counters.dispatches += int64(len(c.attempts)) },
 		end:     func(a protocol.Answer, err error) { r.answered(c, a, err) }}
--- a/routing/clients.go
+++ b/routing/clients.go
@@ -163,7 +163,7 @@
 // limit takes the limits of the deployment: four tenths of the descriptors, and half of them while many come at once, so
 // that endpoints and the platform always find some. An eighth of the memory goes to commands that are not whole.
 func (cs *clients) limit() {
-	sockets := cs.r.dep.Sockets - StaffSockets(cs.r.dep)
+	sockets := cs.r.dep.Sockets - OperatorSockets(cs.r.dep)
 	cs.most = sockets * 4 / 10
 	cs.hard.Store(int64(sockets / 2))
 	cs.room.Store(int64(cs.r.dep.MemoryMB) << 20 / 8)
@@ -315,7 +315,7 @@
 
 func (cs *clients) command(args [][]byte, reply *reply) {
 	switch {
-	case protocol.IsCommand(args, "PING") && len(args) == 1 && cs.r.staff.away():
+	case protocol.IsCommand(args, "PING") && len(args) == 1 && cs.r.operators.away():
 		reply.text = protocol.ReplyError("ERR sent away: the courier takes no more clients")
 	case protocol.IsCommand(args, "PING") && len(args) == 1:
 		reply.text = protocol.ReplyPong
--- a/routing/counters.go
+++ b/routing/counters.go
@@ -43,7 +43,7 @@
 func (r *Router) figures() *ops.Figures {
 	f := &ops.Figures{Success: map[string]int64{}, Overload: map[string]int64{}, Error: map[string]int64{},
 		Dispatches: r.counters.dispatches, Concurrent: r.counters.held, Targets: int64(len(r.hosts)),
-		ReloadSuccess: r.staff.reloads, ReloadFailure: r.staff.faulty.Load()}
+		ReloadSuccess: r.operators.reloads, ReloadFailure: r.operators.faulty.Load()}
 	for w, name := range r.dep.Workloads {
 		f.Success[name], f.Overload[name], f.Error[name] = r.counters.ends[w][delivered], r.counters.ends[w][turnedAway], r.counters.ends[w][failed]
 	}
--- a/routing/inbox.go
+++ b/routing/inbox.go
@@ -61,7 +61,7 @@
 	case *config.Deployment:
 		r.reload(e)
 	case request:
-		r.staff.asked(e)
+		r.operators.asked(e)
 	case knock:
 		r.upgrade.knocked(e)
 	case said:
--- a/routing/links.go
+++ b/routing/links.go
@@ -144,7 +144,7 @@
 // limit takes the limits of the deployment.
 func (ls *links) limit() {
 	r := ls.r
-	ls.most = (r.dep.Sockets - StaffSockets(r.dep)) * 4 / 10
+	ls.most = (r.dep.Sockets - OperatorSockets(r.dep)) * 4 / 10
 	// The other side closes at the latest after the whole of it, counted from when it wrote its answer, and a
 	// request that comes later is lost: the longest way there and back that is told of is under 300 ms.
 	idle := r.dep.Charter.IdleAfter
--- a/routing/staff.go
+++ b/routing/operators.go
@@ -17,8 +17,8 @@
 // doorSize bounds what operators may have waiting; each of them waits for the answer.
 const doorSize = 16
 
-// StaffSockets is how many descriptors of the courier's allowance are the operators'.
-func StaffSockets(dep *config.Deployment) int {
+// OperatorSockets is how many of the courier's descriptors are set aside for the operators' address.
+func OperatorSockets(dep *config.Deployment) int {
 	if dep.Ops == "" {
 		return 0
 	}
@@ -38,10 +38,10 @@
 	out  map[string]bool // endpoints out then
 }
 
-// staff is what operators have told the courier, and what they are told.
-type staff struct {
+// operators is what operators have told the courier, and what they are told.
+type operators struct {
 	r       *Router
-	out     map[string]bool // endpoints that people have taken out
+	out     map[string]bool // endpoints that are out for maintenance
 	turn    int64           // of changes of that
 	keeper  *maintenance.Keeper
 	open    atomic.Bool // clients are taken
@@ -53,36 +53,36 @@
 	faulty  atomic.Int64
 }
 
-func (s *staff) init(r *Router) {
-	s.r, s.out, s.partAt, s.showAt = r, map[string]bool{}, never, never
-	s.keeper = maintenance.Keep(r.dep.Spool, r.dep.Name)
+func (o *operators) init(r *Router) {
+	o.r, o.out, o.partAt, o.showAt = r, map[string]bool{}, never, never
+	o.keeper = maintenance.Keep(r.dep.Spool, r.dep.Name)
 	if r.dep.Ops != "" {
-		s.showAt = 0
+		o.showAt = 0
 	}
 	out, err := maintenance.Read(r.dep.Spool, r.dep.Name)
 	if err != nil {
 		r.log.Error("who was out for maintenance cannot be read: all are taken for in", "file", maintenance.Name, "fault", err)
 	}
 	for _, id := range out {
-		s.out[id] = true
+		o.out[id] = true
 	}
 }
 
 // remind tells decisions that begin who is out.
-func (s *staff) remind() {
-	for _, id := range slices.Sorted(maps.Keys(s.out)) {
-		s.r.events = append(s.r.events, logic.Maintained{Endpoint: logic.EndpointID(id), Out: true})
+func (o *operators) remind() {
+	for _, id := range slices.Sorted(maps.Keys(o.out)) {
+		o.r.events = append(o.r.events, logic.Maintained{Endpoint: logic.EndpointID(id), Out: true})
 	}
 }
 
 // Serving tells whether this process takes clients.
-func (r *Router) Serving() bool { return r.staff.open.Load() }
+func (r *Router) Serving() bool { return r.operators.open.Load() }
 
 // Figures are the last that were made up.
-func (r *Router) Figures() *ops.Figures { return r.staff.shown.Load() }
+func (r *Router) Figures() *ops.Figures { return r.operators.shown.Load() }
 
 // FaultyReload counts a configuration that was left out.
-func (r *Router) FaultyReload() { r.staff.faulty.Add(1) }
+func (r *Router) FaultyReload() { r.operators.faulty.Add(1) }
 
 // Ask has the router do what operators want, and returns once it is done and lasts.
 func (r *Router) Ask(ctx context.Context, what any) error {
@@ -106,46 +106,46 @@
 	if a.err != nil || a.out == nil {
 		return a.err
 	}
-	return r.staff.keeper.Write(a.turn, a.out)
+	return r.operators.keeper.Write(a.turn, a.out)
 }
 
 var errNoOps = errors.New("no such call here")
 
 // asked does what operators want; they are told after the turn.
-func (s *staff) asked(q request) {
-	if s.r.upgrade.handed {
-		s.r.upgrade.ask(q)
+func (o *operators) asked(q request) {
+	if o.r.upgrade.handed {
+		o.r.upgrade.ask(q)
 		return
 	}
 	a := answer{}
 	switch w := q.what.(type) {
 	case ops.Maintain:
-		a = s.maintain(w)
+		a = o.maintain(w)
 	case ops.Away:
-		s.send(w.Away)
+		o.send(w.Away)
 	default:
 		a.err = fmt.Errorf("%w: %T", errNoOps, q.what)
 	}
-	s.answers = append(s.answers, func() { q.done <- a })
+	o.answers = append(o.answers, func() { q.done <- a })
 }
 
 // maintain takes an endpoint out or puts it back; it must be on the list, or out.
-func (s *staff) maintain(w ops.Maintain) answer {
-	host, listed := s.r.hosts[logic.EndpointID(w.Endpoint)]
-	if !listed && !s.out[w.Endpoint] {
+func (o *operators) maintain(w ops.Maintain) answer {
+	host, listed := o.r.hosts[logic.EndpointID(w.Endpoint)]
+	if !listed && !o.out[w.Endpoint] {
 		return answer{err: ops.ErrUnknown}
 	}
-	if s.out[w.Endpoint] != w.Out {
-		if s.turn++; w.Out {
-			s.out[w.Endpoint] = true
-			s.r.links.closeIdle(peerOf(host))
+	if o.out[w.Endpoint] != w.Out {
+		if o.turn++; w.Out {
+			o.out[w.Endpoint] = true
+			o.r.links.closeIdle(peerOf(host))
 		} else {
-			delete(s.out, w.Endpoint)
+			delete(o.out, w.Endpoint)
 		}
-		s.r.log.Info("maintenance", "endpoint", w.Endpoint, "out", w.Out)
-		s.r.events = append(s.r.events, logic.Maintained{Endpoint: logic.EndpointID(w.Endpoint), Out: w.Out})
+		o.r.log.Info("maintenance", "endpoint", w.Endpoint, "out", w.Out)
+		o.r.events = append(o.r.events, logic.Maintained{Endpoint: logic.EndpointID(w.Endpoint), Out: w.Out})
 	}
-	return answer{turn: s.turn, out: maps.Clone(s.out)} // written again if it is there already: the first try may have failed
+	return answer{turn: o.turn, out: maps.Clone(o.out)} // written again if it is there already: the first try may have failed
 }
 
 const (
@@ -155,27 +155,27 @@
 )
 
 // send sends clients away, or ends that. Connections that are up are served, and closed between two requests.
-func (s *staff) send(away bool) {
-	if away == s.away() {
+func (o *operators) send(away bool) {
+	if away == o.away() {
 		return
 	}
-	s.r.log.Info("clients are sent away", "away", away, "clients", len(s.r.clients.all))
-	s.partAt = never
+	o.r.log.Info("clients are sent away", "away", away, "clients", len(o.r.clients.all))
+	o.partAt = never
 	if away {
-		s.partAt = s.r.now + partAfter
+		o.partAt = o.r.now + partAfter
 	}
-	s.open.Store(!away && s.r.endBy == never)
+	o.open.Store(!away && o.r.endBy == never)
 }
 
-func (s *staff) away() bool { return s.partAt < never }
+func (o *operators) away() bool { return o.partAt < never }
 
-func (s *staff) due() logic.Micros { return min(s.partAt, s.showAt) }
+func (o *operators) due() logic.Micros { return min(o.partAt, o.showAt) }
 
 // tick closes what rests while clients are sent away.
-func (s *staff) tick() {
-	if s.partAt <= s.r.now {
-		s.partAt = s.r.now + partEvery
-		s.r.clients.sendAway()
+func (o *operators) tick() {
+	if o.partAt <= o.r.now {
+		o.partAt = o.r.now + partEvery
+		o.r.clients.sendAway()
 	}
 }
 
@@ -183,13 +183,13 @@
 const showEvery = 200 * 1000
 
 // publish makes the figures up anew, and tells operators what was done.
-func (s *staff) publish() {
-	if s.r.dep.Ops != "" && s.r.now >= s.showAt || len(s.answers) > 0 {
-		s.showAt = s.r.now + showEvery
-		s.shown.Store(s.r.figures())
+func (o *operators) publish() {
+	if o.r.dep.Ops != "" && o.r.now >= o.showAt || len(o.answers) > 0 {
+		o.showAt = o.r.now + showEvery
+		o.shown.Store(o.r.figures())
 	}
-	for _, tell := range s.answers {
+	for _, tell := range o.answers {
 		tell()
 	}
-	s.answers = nil
+	o.answers = nil
 }
--- a/routing/recovery.go
+++ b/routing/recovery.go
@@ -34,7 +34,7 @@
 		}
 	}
 	r.events = append(r.events, news)
-	r.staff.remind()
+	r.operators.remind()
 	if r.endBy < never {
 		r.events = append(r.events, logic.Closing{At: r.endBy})
 	}
--- a/routing/reload.go
+++ b/routing/reload.go
@@ -28,7 +28,7 @@
 	}
 	old := r.dep
 	r.dep = merged
-	r.staff.reloads++
+	r.operators.reloads++
 	if old.Discovery != merged.Discovery {
 		r.platform.moved(old.Discovery)
 	}
--- a/routing/router.go
+++ b/routing/router.go
@@ -61,7 +61,7 @@
 	learned   learnedState
 	watch     watch
 	counters  counters
-	staff     staff
+	operators operators
 	upgrade   upgrade
 	reloaded  func(*config.Deployment) // told of each configuration taken over
 	parted    func() *handover.Peers   // gives up this process's place in the fleet
@@ -98,7 +98,7 @@
 	r.clients.init(r)
 	r.platform.init(r)
 	r.counters.grow(len(dep.Workloads))
-	r.staff.init(r)
+	r.operators.init(r)
 	list, err := protocol.ReadList(dep.Known)
 	if err != nil {
 		log.Warn("known list not used", "key", "known", "fault", err)
@@ -112,7 +112,7 @@
 	if given != nil {
 		r.upgrade.inherit(given)
 	}
-	r.staff.remind()
+	r.operators.remind()
 	r.recover(unfinished, given)
 	return r, nil
 }
@@ -127,7 +127,7 @@
 	r.driver = driver
 	r.platform.start()
 	r.turn()
-	r.staff.open.Store(!r.staff.away())
+	r.operators.open.Store(!r.operators.away())
 	r.upgrade.serving()
 	r.log.Info("serving", "name", r.dep.Name, "listen", r.dep.Listen)
 	timer := time.NewTimer(0)
@@ -146,7 +146,7 @@
 			r.upgrade.giver.Ending()
 			r.endBy = r.clock() + logic.Micros(grace.Microseconds())
 			r.partAt = r.clock() + parting
-			r.staff.open.Store(false)
+			r.operators.open.Store(false)
 			r.events = append(r.events, logic.Closing{At: r.endBy})
 			r.log.Info("told to end", "held", len(r.messages), "out", len(r.flying))
 		}
--- a/routing/share.go
+++ b/routing/share.go
@@ -56,7 +56,7 @@
 		return r.baseUnix + logic.Micros(s.zero.Add(time.Duration(t)*time.Microsecond).Sub(r.base).Microseconds())
 	}
 	r.events = append(r.events, commons.Settled(s.parts, at))
-	r.staff.answers = append(r.staff.answers, func() { close(s.taken) })
+	r.operators.answers = append(r.operators.answers, func() { close(s.taken) })
 }
 
 // tellNeeds has the decisions tell of their routes, now and then.
--- a/routing/step.go
+++ b/routing/step.go
@@ -9,7 +9,7 @@
 
 // due is when something is to be done next, unasked.
 func (r *Router) due() logic.Micros {
-	at := min(r.wakeAt, r.links.due(), r.clients.due(), r.platform.due(), r.learned.due(), r.staff.due(), r.links.unwritten(), r.endBy, r.partAt)
+	at := min(r.wakeAt, r.links.due(), r.clients.due(), r.platform.due(), r.learned.due(), r.operators.due(), r.links.unwritten(), r.endBy, r.partAt)
 	for _, attempt := range r.flying {
 		at = min(at, attempt.limit)
 	}
@@ -33,7 +33,7 @@
 	r.links.expire()
 	r.links.flushed()
 	r.clients.sweep()
-	r.staff.tick()
+	r.operators.tick()
 	r.malformed.tell(r.log, r.now)
 	if !r.upgrade.handed {
 		r.platform.tick()
@@ -45,7 +45,7 @@
 	}
 	if r.upgrade.handed { // another process decides
 		r.reply()
-		r.staff.publish()
+		r.operators.publish()
 		return
 	}
 	if r.wakeAt <= r.now {
@@ -62,7 +62,7 @@
 	r.platform.tick()
 	r.saveLearned(false)
 	r.tellNeeds()
-	r.staff.publish()
+	r.operators.publish()
 }
 
 // reply writes what clients wait for; from then on the platform is told how a message ends.
--- a/routing/upgrade.go
+++ b/routing/upgrade.go
@@ -95,7 +95,7 @@
 	u.wanted, u.giving = false, true
 	r := u.r
 	began := r.clock()
-	r.staff.open.Store(false)
+	r.operators.open.Store(false)
 	r.driver.Deafen()
 	for { // new connections wait for the successor now; those that rest close, and their clients come there
 		r.gather()
@@ -109,8 +109,8 @@
 	u.recallUnsent()
 	state := u.state()
 	u.handed, u.learnedAtHandoff = true, state.Lore
-	r.staff.keeper.Shut()
-	r.staff.partAt = r.now
+	r.operators.keeper.Shut()
+	r.operators.partAt = r.now
 	if r.learned.keeper != nil {
 		r.learned.keeper.Close(lastWrite)
 		r.learned.keeper = nil
@@ -141,8 +141,8 @@
 // state is what the folder does not hold.
 func (u *upgrade) state() *handover.State {
 	r := u.r
-	s := &handover.State{Lore: r.snapshotLearned(), Seq: r.platform.seq, Waits: maps.Clone(r.waits), Gone: slices.Sorted(maps.Keys(r.staff.out)),
-		Away: r.staff.away()}
+	s := &handover.State{Lore: r.snapshotLearned(), Seq: r.platform.seq, Waits: maps.Clone(r.waits), Gone: slices.Sorted(maps.Keys(r.operators.out)),
+		Away: r.operators.away()}
 	if r.parted != nil {
 		s.Peers = r.parted()
 	}
@@ -161,18 +161,18 @@
 	s.Lore.At = min(s.Lore.At, r.now)
 	r.events = append(r.events, logic.Learned{Lore: s.Lore})
 	maps.Copy(r.waits, s.Waits)
-	if gone := slices.Sorted(maps.Keys(r.staff.out)); !slices.Equal(gone, s.Gone) {
-		r.staff.out = map[string]bool{}
+	if gone := slices.Sorted(maps.Keys(r.operators.out)); !slices.Equal(gone, s.Gone) {
+		r.operators.out = map[string]bool{}
 		for _, id := range s.Gone {
-			r.staff.out[id] = true
+			r.operators.out[id] = true
 		}
-		r.staff.turn++
-		if err := r.staff.keeper.Write(r.staff.turn, r.staff.out); err != nil {
+		r.operators.turn++
+		if err := r.operators.keeper.Write(r.operators.turn, r.operators.out); err != nil {
 			r.log.Error("who is out for maintenance cannot be written", "file", maintenance.Name, "fault", err)
 		}
 	}
 	if s.Away {
-		r.staff.send(true)
+		r.operators.send(true)
 	}
 }
 
@@ -296,7 +296,7 @@
 		if m.Ask.Endpoint != "" {
 			q.what = ops.Maintain{Endpoint: m.Ask.Endpoint, Out: m.Ask.Yes}
 		}
-		r.staff.asked(q)
+		r.operators.asked(q)
 		go func() { // the answer waits for the disk
 			a := handover.Answer{Number: m.Ask.Number}
 			if err := r.lasting(<-q.done); err != nil {
@@ -385,8 +385,8 @@
 func (r *Router) After(before *Router) {
 	r.counters.ends, r.counters.dispatches = before.counters.ends, before.counters.dispatches
 	r.counters.grow(len(r.dep.Workloads))
-	r.staff.reloads = before.staff.reloads
-	r.staff.faulty.Store(before.staff.faulty.Load())
+	r.operators.reloads = before.operators.reloads
+	r.operators.faulty.Store(before.operators.faulty.Load())
 }
 
 // LearnedAtHandoff is what this process had learned as it handed all over, for a router that goes on after its successor has gone.
