--- a/routing/calls.go
+++ b/routing/calls.go
@@ -35,7 +35,7 @@
 	return ""
 }
 
-// load puts an attempt on a call: sends of one turn to one endpoint go together, up to what its shape takes.
+// load puts an attempt on a call: sends of one step to one endpoint go together, up to what its shape takes.
 func (r *Router) load(calls []*call, a logic.Send) []*call {
 	message := r.messages[a.Record]
 	if message == nil || message.ended {
--- a/routing/clients.go
+++ b/routing/clients.go
@@ -357,7 +357,7 @@
 		return
 	}
 	switch message := r.messages[logic.RecordID(e.ID)]; {
-	case message != nil && len(message.waiting) > 0: // sent once more in the turn that takes it on: whatever the first reply is
+	case message != nil && len(message.waiting) > 0: // sent once more in the step that takes it on: whatever the first reply is
 		rep.message, rep.text = message, protocol.ReplyOK
 		message.waiting = append(message.waiting, rep)
 		return
--- a/routing/crossings_test.go
+++ b/routing/crossings_test.go
@@ -48,7 +48,7 @@
 	return r
 }
 
-// until takes what comes, a turn after each, up to the first event that is wanted; that one is not taken.
+// until takes what comes, a step after each, up to the first event that is wanted; that one is not taken.
 func until[E any](t *testing.T, r *Router, wanted func(E) bool) (e E) {
 	t.Helper()
 	waits := time.After(10 * time.Second)
@@ -59,7 +59,7 @@
 				return e
 			}
 			r.take(what)
-			r.turn()
+			r.step()
 		case <-waits:
 			t.Fatalf("no %T came", e)
 		}
@@ -92,7 +92,7 @@
 // run, and was given up with no call if it may not be repeated.
 func TestUntriedUntilItLeaves(t *testing.T) {
 	r := byHand(t, open(t, 0), single("one"))
-	r.turn()
+	r.step()
 	up := until(t, r, func(e linkUp) bool { return toEndpoint(e.on) })
 	if rec := onDisk(t, r, "one"); len(rec.Trips) > 0 {
 		t.Errorf("before anything was sent a restart would find %+v", rec.Trips)
@@ -108,7 +108,7 @@
 func TestNeverUpIsNoted(t *testing.T) {
 	w := open(t, 0)
 	r := byHand(t, w, single("one"))
-	r.turn()
+	r.step()
 	up := until(t, r, func(e linkUp) bool { return toEndpoint(e.on) })
 	r.take(linkDown{on: up.on, err: errLate})
 	if rec := onDisk(t, r, "one"); len(rec.Trips) != 1 || rec.Trips[0].Outcome != "unreachable" {
@@ -258,7 +258,7 @@
 // sent has a router send what it holds to the test's endpoint, and reads it there.
 func sent(t *testing.T, r *Router, l *net.TCPListener) *net.TCPConn {
 	t.Helper()
-	r.turn()
+	r.step()
 	r.take(until(t, r, func(e linkUp) bool { return toEndpoint(e.on) }))
 	return called(t, l)
 }
@@ -272,7 +272,7 @@
 	conn := sent(t, r, l)
 	io.WriteString(conn, okAnswer)
 	r.take(until(t, r, func(e linkAnswer) bool { return toEndpoint(e.on) }))
-	r.turn()
+	r.step()
 	goOn := stop(t, r)
 	conn.CloseWrite()
 	if !port.Arrived(conn) {
@@ -282,7 +282,7 @@
 		t.Fatal(err)
 	}
 	r.recover([]*spool.Record{single("two")}, nil)
-	r.turn()
+	r.step()
 	if out := r.messages["two"].attempts; len(out) != 1 || out[0].call.exchange.sent {
 		t.Fatalf("%d trips; written to what had ended", len(out))
 	}
@@ -290,7 +290,7 @@
 	r.take(until(t, r, func(e linkUp) bool { return toEndpoint(e.on) }))
 	io.WriteString(called(t, l), okAnswer)
 	r.take(until(t, r, func(e linkAnswer) bool { return toEndpoint(e.on) }))
-	if r.turn(); r.messages["two"] != nil {
+	if r.step(); r.messages["two"] != nil {
 		t.Error("not delivered")
 	}
 }
@@ -416,7 +416,7 @@
 	w := open(t, 0)
 	l := raw(t, w)
 	r := byHand(t, w, single("one"))
-	r.turn()
+	r.step()
 	up := until(t, r, func(e linkUp) bool { return toEndpoint(e.on) })
 	conn, err := l.AcceptTCP()
 	if err != nil {
@@ -437,7 +437,7 @@
 	if n, _ := conn.Read(make([]byte, 1)); n > 0 {
 		t.Error("the call was written all the same")
 	}
-	if r.turn(); r.messages["one"] == nil || r.messages["one"].ended {
+	if r.step(); r.messages["one"] == nil || r.messages["one"].ended {
 		t.Error("given up, though it never ran")
 	}
 }
@@ -447,7 +447,7 @@
 	w := open(t, 0)
 	l := raw(t, w)
 	r := byHand(t, w, single("one"))
-	r.turn()
+	r.step()
 	up := until(t, r, func(e linkUp) bool { return toEndpoint(e.on) })
 	r.spool.Close()
 	r.take(up)
@@ -467,11 +467,11 @@
 	}
 }
 
-// TestHandedInTwiceAtOnce. Failure: a request sent again over a new connection in the turn that took it on was promised what went with
-// the first connection as that ended, or what was refused in that turn.
+// TestHandedInTwiceAtOnce. Failure: a request sent again over a new connection in the step that took it on was promised what went with
+// the first connection as that ended, or what was refused in that step.
 func TestHandedInTwiceAtOnce(t *testing.T) {
 	for name, c := range map[string]struct {
-		gone  int // whose connection ends before the turn, 0 for nobody's
+		gone  int // whose connection ends before the step, 0 for nobody's
 		busy  bool
 		want  string // for whoever stays
 		keeps bool
@@ -494,7 +494,7 @@
 				stay[c.gone-1].SetLinger(0)
 				stay[c.gone-1].Close()
 				from := []commands{one, two}[c.gone-1].from
-				for gone := false; !gone; { // no turn in between
+				for gone := false; !gone; { // no step in between
 					what := <-r.inbox
 					e, ok := what.(clientGone)
 					gone = ok && e.from == from
@@ -502,7 +502,7 @@
 				}
 				stay = []*visitor{stay[2-c.gone]}
 			}
-			r.turn()
+			r.step()
 			for _, v := range stay {
 				if got := v.reply(); got != c.want {
 					t.Errorf("told %q", got)
@@ -535,7 +535,7 @@
 	for _, e := range []any{one, two, clientGone{one.from}, clientGone{two.from}} {
 		r.take(e)
 	}
-	if r.turn(); onDisk(t, r, "one") != nil || r.messages["one"] != nil {
+	if r.step(); onDisk(t, r, "one") != nil || r.messages["one"] != nil {
 		t.Error("still held")
 	}
 }
@@ -547,16 +547,16 @@
 	r := byHand(t, w)
 	first := visit(t, r)
 	r.take(first.asks(t, r, "one"))
-	r.turn()
+	r.step()
 	first.SetLinger(0) // whatever reply it had is gone
 	first.Close()
 	for r.messages["one"] != nil {
 		r.take(until(t, r, func(e linkAnswer) bool { return toEndpoint(e.on) }))
-		r.turn()
+		r.step()
 	}
 	second := visit(t, r)
 	r.take(second.asks(t, r, "one"))
-	r.turn()
+	r.step()
 	if got := second.reply(); got != "+OK" || r.messages["one"] != nil {
 		t.Errorf("told %q, held again %v", got, r.messages["one"] != nil)
 	}
@@ -588,7 +588,7 @@
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(100 * time.Microsecond) {
 		r.gather()
-		r.turn()
+		r.step()
 		if r.done() {
 			return true
 		}
@@ -672,7 +672,7 @@
 		t.Errorf("the one at rest: %s", got)
 	}
 	r.take(v.asks(t, r, "one"))
-	r.turn()
+	r.step()
 	if got := v.reply(); got != "+OK" {
 		t.Errorf("told %q", got)
 	}
@@ -830,7 +830,7 @@
 	if r.clients.resting() {
 		t.Error("at rest before its reply")
 	}
-	r.turn()
+	r.step()
 	if got := v.reply(); got != "+OK" || !r.clients.resting() {
 		t.Errorf("told %q; at rest %v", got, r.clients.resting())
 	}
--- a/routing/fleet.go
+++ b/routing/fleet.go
@@ -5,7 +5,7 @@
 	"pineport/logic"
 )
 
-// Reckon has the decisions reckon with so many couriers from the next turn on. It never waits, and no turn waits for it:
+// Reckon has the decisions reckon with so many couriers from the next step on. It never waits, and no step waits for it:
 // whatever becomes of the fleet's membership, messages flow.
 func (r *Router) Reckon(couriers int) { r.couriers.Store(int64(couriers)) }
 
--- a/routing/links.go
+++ b/routing/links.go
@@ -48,34 +48,34 @@
 
 // link is one connection to an endpoint or the platform; one exchange at a time goes over it.
 type link struct {
-	router *Router
-	peer   peer
-	conn   *transport.Conn
-	parser *protocol.Answers
-	turn   atomic.Int64 // how many requests were written
-	had    atomic.Int64 // the turn whose answer was complete; written by the poller, whose own the parser is
-	told   int64        // the turn of which the router knows that its answer has begun, else 0
-	x      *exchange
-	idle   logic.Micros // since when
-	first  atomic.Int64 // status of an answer that has begun and is not complete
+	router    *Router
+	peer      peer
+	conn      *transport.Conn
+	parser    *protocol.Answers
+	requests  atomic.Int64 // how many were written: the number of the last
+	answered  atomic.Int64 // the request whose answer was complete; written by the poller, whose own the parser is
+	toldBegun int64        // the request of which the router knows that its answer has begun, else 0
+	x         *exchange
+	idle      logic.Micros // since when
+	first     atomic.Int64 // status of an answer that has begun and is not complete
 }
 
 type (
 	linkUp     struct{ on *link }
 	linkAnswer struct {
-		on   *link
-		turn int64
-		a    protocol.Answer
+		on      *link
+		request int64 // its number on the connection
+		a       protocol.Answer
 	}
 	linkBegun struct {
-		on    *link
-		turn  int64
-		begun bool // false: what had begun was an interim answer
-		part  []byte
+		on      *link
+		request int64
+		begun   bool // false: what had begun was an interim answer
+		part    []byte
 	}
 	linkDown struct {
 		on      *link
-		turn    int64
+		request int64
 		status  int // of an answer that was cut short
 		part    []byte
 		flushed bool
@@ -86,8 +86,8 @@
 func (l *link) Opened(*transport.Conn) { l.router.inbox <- linkUp{l} }
 
 func (l *link) Data(conn *transport.Conn, b []byte) {
-	turn := l.turn.Load()
-	if l.had.Load() == turn {
+	last := l.requests.Load()
+	if l.answered.Load() == last {
 		conn.Fail(errUnasked)
 		return
 	}
@@ -97,14 +97,14 @@
 	begun = begun && (status == 0 || status >= 200) // the first bytes of its first line are enough: a peer may fall silent there
 	switch {
 	case done:
-		l.had.Store(turn)
+		l.answered.Store(last)
 		a.Close = a.Close || err != nil
-		l.router.inbox <- linkAnswer{l, turn, a}
-	case err == nil && begun != (l.told == turn):
-		if l.told = 0; begun {
-			l.told = turn
+		l.router.inbox <- linkAnswer{l, last, a}
+	case err == nil && begun != (l.toldBegun == last):
+		if l.toldBegun = 0; begun {
+			l.toldBegun = last
 		}
-		l.router.inbox <- linkBegun{l, turn, begun, slices.Clone(l.parser.Part())}
+		l.router.inbox <- linkBegun{l, last, begun, slices.Clone(l.parser.Part())}
 	}
 	if err != nil {
 		conn.Fail(err)
@@ -117,13 +117,13 @@
 
 func (l *link) Closed(conn *transport.Conn, err error) {
 	if a, ok := l.parser.End(); ok {
-		l.router.inbox <- linkAnswer{l, l.turn.Load(), a}
+		l.router.inbox <- linkAnswer{l, l.requests.Load(), a}
 	}
 	if err == nil {
 		err = errors.New("closed by the other side")
 	}
 	status, _ := l.parser.Begun()
-	l.router.inbox <- linkDown{l, l.turn.Load(), status, slices.Clone(l.parser.Part()), conn.Flushed(), err}
+	l.router.inbox <- linkDown{l, l.requests.Load(), status, slices.Clone(l.parser.Part()), conn.Flushed(), err}
 }
 
 // links are the connections this courier opened.
@@ -189,9 +189,9 @@
 		}
 	}
 	l.x, x.link, x.sent = x, l, true
-	l.turn.Add(1)
+	l.requests.Add(1)
 	if err := l.conn.Write(x.bytes); err != nil {
-		ls.down(linkDown{on: l, turn: l.turn.Load(), flushed: false, err: err})
+		ls.down(linkDown{on: l, request: l.requests.Load(), flushed: false, err: err})
 		return
 	}
 	if x.noted(l.conn.Flushed()); x.written != nil {
@@ -222,7 +222,7 @@
 
 // heard tells whether the whole answer to an exchange has come; it may not be taken in yet.
 func (ls *links) heard(x *exchange) bool {
-	return x != nil && x.sent && !x.over && ls.all[x.link] && x.link.had.Load() == x.link.turn.Load()
+	return x != nil && x.sent && !x.over && ls.all[x.link] && x.link.answered.Load() == x.link.requests.Load()
 }
 
 // stirs tells whether something that came since an exchange was written lies unread.
@@ -274,7 +274,7 @@
 
 func (ls *links) answered(e linkAnswer) {
 	l, x := e.on, e.on.x
-	if x == nil || x.over || e.turn != l.turn.Load() || !x.sent {
+	if x == nil || x.over || e.request != l.requests.Load() || !x.sent {
 		return // given up meanwhile, and its connection with it
 	}
 	l.x, x.over = nil, true
@@ -289,7 +289,7 @@
 
 // begun: the rest of an answer follows at once, or never. What follows an interim one may take its time.
 func (ls *links) begun(e linkBegun) {
-	if x := e.on.x; x != nil && !x.over && e.turn == e.on.turn.Load() {
+	if x := e.on.x; x != nil && !x.over && e.request == e.on.requests.Load() {
 		x.cut, x.part = e.begun, e.part
 		x.begun(e.begun)
 	}
@@ -312,7 +312,7 @@
 	if len(e.part) > len(x.part) {
 		x.part = e.part
 	}
-	if e.status == 200 && !x.whole && e.turn == l.turn.Load() {
+	if e.status == 200 && !x.whole && e.request == l.requests.Load() {
 		x.end(protocol.Answer{Status: 200}, nil) // its first line is all that counts
 		return
 	}
--- a/routing/message.go
+++ b/routing/message.go
@@ -9,7 +9,7 @@
 // message is a message that the courier has accepted, for as long as it is not ended or a call with it is still out.
 type message struct {
 	kept     *spool.Record // as the spool has it
-	waiting  []*reply      // until they are written; more than one where it was handed in again in the same turn
+	waiting  []*reply      // until they are written; more than one where it was handed in again in the same step
 	taken    logic.Micros  // or taken up again
 	attempts []*attempt
 	out      int // attempts that are not over
--- a/routing/operators.go
+++ b/routing/operators.go
@@ -25,32 +25,32 @@
 	return min(16, dep.Sockets/24)
 }
 
-// request is one thing that operators ask for; done is told once, after the turn that did it.
+// request is one thing that operators ask for; done is told once, after the step that did it.
 type request struct {
 	what any
 	done chan answer
 }
 
-// answer says what stands after the turn.
+// answer says what stands after the step.
 type answer struct {
-	err  error
-	turn int64
-	out  map[string]bool // endpoints out then
+	err        error
+	generation int64
+	out        map[string]bool // endpoints out then
 }
 
 // operators is what operators have told the courier, and what they are told.
 type operators struct {
-	r       *Router
-	out     map[string]bool // endpoints that are out for maintenance
-	turn    int64           // of changes of that
-	keeper  *maintenance.Keeper
-	open    atomic.Bool // clients are taken
-	partAt  logic.Micros
-	answers []func()
-	shown   atomic.Pointer[ops.Figures]
-	showAt  logic.Micros
-	reloads int64
-	faulty  atomic.Int64
+	r          *Router
+	out        map[string]bool // endpoints that are out for maintenance
+	generation int64           // of changes of that
+	keeper     *maintenance.Keeper
+	open       atomic.Bool // clients are taken
+	partAt     logic.Micros
+	answers    []func()
+	shown      atomic.Pointer[ops.Figures]
+	showAt     logic.Micros
+	reloads    int64
+	faulty     atomic.Int64
 }
 
 func (o *operators) init(r *Router) {
@@ -106,12 +106,12 @@
 	if a.err != nil || a.out == nil {
 		return a.err
 	}
-	return r.operators.keeper.Write(a.turn, a.out)
+	return r.operators.keeper.Write(a.generation, a.out)
 }
 
 var errNoOps = errors.New("no such call here")
 
-// asked does what operators want; they are told after the turn.
+// asked does what operators want; they are told after the step.
 func (o *operators) asked(q request) {
 	if o.r.upgrade.handed {
 		o.r.upgrade.ask(q)
@@ -136,7 +136,7 @@
 		return answer{err: ops.ErrUnknown}
 	}
 	if o.out[w.Endpoint] != w.Out {
-		if o.turn++; w.Out {
+		if o.generation++; w.Out {
 			o.out[w.Endpoint] = true
 			o.r.links.closeIdle(peerOf(host))
 		} else {
@@ -145,7 +145,7 @@
 		o.r.log.Info("maintenance", "endpoint", w.Endpoint, "out", w.Out)
 		o.r.events = append(o.r.events, logic.Maintained{Endpoint: logic.EndpointID(w.Endpoint), Out: w.Out})
 	}
-	return answer{turn: o.turn, out: maps.Clone(o.out)} // written again if it is there already: the first try may have failed
+	return answer{generation: o.generation, out: maps.Clone(o.out)} // written again if it is there already: the first try may have failed
 }
 
 const (
--- a/routing/router.go
+++ b/routing/router.go
@@ -126,7 +126,7 @@
 	}
 	r.driver = driver
 	r.platform.start()
-	r.turn()
+	r.step()
 	r.operators.open.Store(!r.operators.away())
 	r.upgrade.serving()
 	r.log.Info("serving", "name", r.dep.Name, "listen", r.dep.Listen)
@@ -153,7 +153,7 @@
 		r.take(what)
 		r.standstill(due)
 		r.gather()
-		r.guarded()
+		r.guardedStep()
 		r.upgrade.give()
 		if r.upgrade.regain {
 			r.driver.Close()
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -552,7 +552,7 @@
 			}
 			t.Cleanup(driver.Close)
 			r.driver = driver
-			r.turn()
+			r.step()
 			for up := false; !up; {
 				var what any
 				select {
--- a/routing/share.go
+++ b/routing/share.go
@@ -17,7 +17,7 @@
 // needsEvery is how old what the decisions tell of their routes may be.
 const needsEvery = 100 * 1000
 
-// Share hands the decisions what stands on limits, at their next turn; what it returns is closed after that. It never waits: nil where
+// Share hands the decisions what stands on limits, at their next step; what it returns is closed after that. It never waits: nil where
 // this process cannot take it just now.
 func (r *Router) Share(parts []commons.Part, zero time.Time) (taken <-chan struct{}) {
 	s := sharing{parts, zero, make(chan struct{})}
--- a/routing/step.go
+++ b/routing/step.go
@@ -16,19 +16,19 @@
 	return at
 }
 
-// guarded is a turn after which the process goes on whatever went wrong in it.
-func (r *Router) guarded() {
+// guardedStep is a step after which the process goes on whatever went wrong in it.
+func (r *Router) guardedStep() {
 	defer func() {
 		if fault := recover(); fault != nil {
 			r.log.Error("panic in a turn", "fault", fmt.Sprint(fault), "stack", string(debug.Stack()))
 			r.renew()
 		}
 	}()
-	r.turn()
+	r.step()
 }
 
-// turn hands over what happened, once, and carries out what is to be done.
-func (r *Router) turn() {
+// step hands the decisions what happened since the last one, and carries out their actions.
+func (r *Router) step() {
 	r.now = r.clock()
 	r.links.expire()
 	r.links.flushed()
--- a/routing/upgrade.go
+++ b/routing/upgrade.go
@@ -99,7 +99,7 @@
 	r.driver.Deafen()
 	for { // new connections wait for the successor now; those that rest close, and their clients come there
 		r.gather()
-		r.guarded()
+		r.guardedStep()
 		r.clients.sendAway()
 		if r.clients.resting() && len(r.inbox) == 0 || r.clock()-began > settleWithin {
 			break
@@ -166,8 +166,8 @@
 		for _, id := range s.Gone {
 			r.operators.out[id] = true
 		}
-		r.operators.turn++
-		if err := r.operators.keeper.Write(r.operators.turn, r.operators.out); err != nil {
+		r.operators.generation++
+		if err := r.operators.keeper.Write(r.operators.generation, r.operators.out); err != nil {
 			r.log.Error("who is out for maintenance cannot be written", "file", maintenance.Name, "fault", err)
 		}
 	}
