--- a/routing/actions.go
+++ b/routing/actions.go
@@ -2,7 +2,7 @@
 
 import "pineport/logic"
 
-// carryOut does what the decisions want; sends go out last, after clients have heard that theirs was taken.
+// carryOut does what the decisions want; sends go out last, after clients have heard that theirs was accepted.
 func (r *Router) carryOut(actions []logic.Action) {
 	var calls []*call
 	for _, action := range actions {
--- a/routing/calls.go
+++ b/routing/calls.go
@@ -101,7 +101,7 @@
 func (r *Router) leaves(c *call) error {
 	for _, attempt := range slices.Clone(c.attempts) {
 		if attempt.message.ended {
-			r.settle(attempt, logic.Settled{Outcome: logic.Void})
+			r.complete(attempt, logic.Settled{Outcome: logic.Void})
 		}
 	}
 	c.attempts = slices.DeleteFunc(c.attempts, func(attempt *attempt) bool { return attempt.over })
@@ -161,7 +161,7 @@
 func (r *Router) answered(c *call, a protocol.Answer, err error) {
 	if errors.Is(err, errOvertaken) {
 		for _, attempt := range c.attempts {
-			r.settle(attempt, logic.Settled{Outcome: logic.Void})
+			r.complete(attempt, logic.Settled{Outcome: logic.Void})
 		}
 		return
 	}
@@ -170,7 +170,7 @@
 		outcome := map[protocol.Progress]logic.Outcome{protocol.BeforeLastByte: logic.Unreachable,
 			protocol.AfterLastByte: logic.Broken, protocol.InAnswer: logic.Failure}[failure.Progress]
 		for _, attempt := range c.attempts {
-			r.settle(attempt, logic.Settled{Outcome: outcome})
+			r.complete(attempt, logic.Settled{Outcome: outcome})
 		}
 		return
 	}
@@ -179,7 +179,7 @@
 		ends = protocol.ReadEnds(a.Body)
 	}
 	if a.WaitMs > 0 {
-		r.told(c.host, r.now+logic.Micros(a.WaitMs)*1000)
+		r.keepWait(c.host, r.now+logic.Micros(a.WaitMs)*1000)
 	}
 	pressure := protocol.Pressure(a.Report, r.dep.Report)
 	for _, attempt := range c.attempts {
@@ -188,12 +188,12 @@
 			s = endOf(ends[attempt.message.kept.ID])
 		}
 		s.Pressure, s.Wait = pressure, logic.Micros(a.WaitMs)*1000
-		r.settle(attempt, s)
+		r.complete(attempt, s)
 	}
 }
 
-// told keeps a wait that an endpoint told.
-func (r *Router) told(h protocol.Host, until logic.Micros) {
+// keepWait keeps a wait that an endpoint told.
+func (r *Router) keepWait(h protocol.Host, until logic.Micros) {
 	maps.DeleteFunc(r.waits, func(_ string, until logic.Micros) bool { return until <= r.now })
 	r.waits[r.route(h)] = max(until, r.waits[r.route(h)])
 	r.upgrade.waits(h, until)
@@ -244,8 +244,8 @@
 	return logic.Settled{Outcome: logic.Failure}
 }
 
-// settle books the outcome of an attempt and tells the decisions.
-func (r *Router) settle(attempt *attempt, s logic.Settled) {
+// complete ends an attempt with its outcome and tells the decisions.
+func (r *Router) complete(attempt *attempt, s logic.Settled) {
 	if r.upgrade.handed {
 		r.upgrade.echo(attempt, s)
 		return
@@ -286,7 +286,7 @@
 	r.forget(attempt.message)
 }
 
-// overdue ends an attempt that was waited for long enough, unless its answer is here and only not taken in yet. Failure: a delivered message
+// overdue ends an attempt that was waited for long enough, unless its answer is here and only not dispatched yet. Failure: a delivered message
 // passed for one without an answer.
 func (r *Router) overdue(attempt *attempt) {
 	if r.arrives(attempt) {
@@ -302,25 +302,25 @@
 	case x.cut:
 		s.Outcome = logic.Failure // it answers, but nothing that can be read
 	}
-	r.settle(attempt, s)
+	r.complete(attempt, s)
 	r.drop(attempt.call)
 }
 
-// lastLook is how long an attempt that is to be given up is waited for where something that came over its connection lies unread. The poller
+// recheckAfter is how long an attempt that is to be given up is waited for where something that came over its connection lies unread. The poller
 // reads that at once unless the machine is busy; a peer that sends on and on gains no more than this.
-const lastLook = 5 * 1000
+const recheckAfter = 5 * 1000
 
-// arrives tells whether the answer to an attempt is here, or may be: whole but not taken in yet, or unread in the socket. For the latter it
+// arrives tells whether the answer to an attempt is here, or may be: whole but not dispatched yet, or unread in the socket. For the latter it
 // gives the attempt a moment, once.
 func (r *Router) arrives(attempt *attempt) bool {
 	x := attempt.call.exchange
 	if r.links.heard(x) {
 		return true
 	}
-	if attempt.looked || !r.links.stirs(x) {
+	if attempt.rechecked || !r.links.stirs(x) {
 		return false
 	}
-	attempt.looked, attempt.limit = true, r.now+lastLook
+	attempt.rechecked, attempt.limit = true, r.now+recheckAfter
 	return true
 }
 
@@ -336,7 +336,7 @@
 	if x := attempt.call.exchange; x != nil && !x.sent {
 		o = logic.Void // its connection is still coming up: it never ran
 	}
-	r.settle(attempt, logic.Settled{Outcome: o})
+	r.complete(attempt, logic.Settled{Outcome: o})
 	r.drop(attempt.call)
 }
 
--- a/routing/clients.go
+++ b/routing/clients.go
@@ -124,8 +124,8 @@
 	over    over
 }
 
-// over are messages that were taken on and have ended, for as long as their clients may hand them in once more. Failure: a reset took away
-// a reply that the socket had; the client sent the same request again, the message was over by then, and was taken on a second time.
+// over are messages that were accepted and have ended, for as long as their clients may hand them in once more. Failure: a reset took away
+// a reply that the socket had; the client sent the same request again, the message was over by then, and was accepted a second time.
 type over struct {
 	until map[logic.RecordID]logic.Micros
 	order []logic.RecordID // oldest first
@@ -142,7 +142,7 @@
 		delete(o.until, o.order[0])
 		o.order = o.order[1:]
 	}
-	id, until := logic.RecordID(message.kept.ID), message.taken+onceMore
+	id, until := logic.RecordID(message.kept.ID), message.acceptedAt+onceMore
 	if until > now && o.until[id] == 0 {
 		if o.until == nil {
 			o.until = map[logic.RecordID]logic.Micros{}
@@ -152,7 +152,7 @@
 	}
 }
 
-// has tells whether a message was taken on and is over.
+// has tells whether a message was accepted and is over.
 func (o *over) has(id logic.RecordID, now logic.Micros) bool { return o.until[id] > now }
 
 func (cs *clients) init(r *Router) {
@@ -338,7 +338,7 @@
 // enqueue puts a message into the spool and hands it to the decisions; the reply is written after those.
 func (cs *clients) enqueue(args [][]byte, rep *reply) {
 	r := cs.r
-	if r.upgrade.handed { // was on its way as the connection was to be closed: nothing of it is taken, and it may come again at once
+	if r.upgrade.handed { // was on its way as the connection was to be closed: nothing of it is accepted, and it may come again at once
 		rep.text, rep.close = protocol.ReplyBusy(1), true
 		return
 	}
@@ -357,12 +357,12 @@
 		return
 	}
 	switch message := r.messages[logic.RecordID(e.ID)]; {
-	case message != nil && len(message.waiting) > 0: // sent once more in the step that takes it on: whatever the first reply is
+	case message != nil && len(message.waiting) > 0: // sent once more in the step that accepts it: whatever the first reply is
 		rep.message, rep.text = message, protocol.ReplyOK
 		message.waiting = append(message.waiting, rep)
 		return
 	case message != nil || cs.over.has(logic.RecordID(e.ID), r.now):
-		rep.text = protocol.ReplyOK // sent once more after a closed connection: it was taken on
+		rep.text = protocol.ReplyOK // sent once more after a closed connection: it was accepted
 		return
 	}
 	kept := &spool.Record{ID: e.ID, Workload: e.Workload, Dest: e.Dest, Party: e.Party, Key: e.Key, Mark: e.Mark, Again: e.Again,
@@ -376,8 +376,8 @@
 		return
 	}
 	rep.text = protocol.ReplyOK
-	rep.message = &message{kept: kept, waiting: []*reply{rep}, taken: r.now}
+	rep.message = &message{kept: kept, waiting: []*reply{rep}, acceptedAt: r.now}
 	r.messages[logic.RecordID(e.ID)] = rep.message
-	r.counters.taken()
-	r.events = append(r.events, r.taken(kept))
+	r.counters.accepted()
+	r.events = append(r.events, r.accepted(kept))
 }
--- a/routing/counters.go
+++ b/routing/counters.go
@@ -21,7 +21,7 @@
 type counters struct {
 	ends       [][endings]int64 // by workload
 	dispatches int64
-	held       int64 // taken and not ended
+	held       int64 // accepted and not ended
 }
 
 // grow makes room for further workloads.
@@ -29,8 +29,8 @@
 	c.ends = append(c.ends, make([][endings]int64, max(0, workloads-len(c.ends)))...)
 }
 
-func (c *counters) taken() { c.held++ }
-func (c *counters) over()  { c.held-- }
+func (c *counters) accepted() { c.held++ }
+func (c *counters) ended()    { c.held-- }
 
 // count takes down how a message of a workload ended; of an unknown one nobody asks.
 func (r *Router) count(workload string, how ending) {
--- a/routing/crossings_test.go
+++ b/routing/crossings_test.go
@@ -58,7 +58,7 @@
 			if e, ok := what.(E); ok && wanted(e) {
 				return e
 			}
-			r.take(what)
+			r.dispatch(what)
 			r.step()
 		case <-waits:
 			t.Fatalf("no %T came", e)
@@ -97,7 +97,7 @@
 	if rec := onDisk(t, r, "one"); len(rec.Trips) > 0 {
 		t.Errorf("before anything was sent a restart would find %+v", rec.Trips)
 	}
-	r.take(up)
+	r.dispatch(up)
 	if rec := onDisk(t, r, "one"); len(rec.Trips) != 1 || rec.Trips[0].Outcome != "" || rec.Trips[0].Endpoint != "s-0" {
 		t.Errorf("once it was sent a restart would find %+v", rec.Trips)
 	}
@@ -110,7 +110,7 @@
 	r := byHand(t, w, single("one"))
 	r.step()
 	up := until(t, r, func(e linkUp) bool { return toEndpoint(e.on) })
-	r.take(linkDown{on: up.on, err: errLate})
+	r.dispatch(linkDown{on: up.on, err: errLate})
 	if rec := onDisk(t, r, "one"); len(rec.Trips) != 1 || rec.Trips[0].Outcome != "unreachable" {
 		t.Errorf("a restart would find %+v", rec.Trips)
 	}
@@ -135,7 +135,7 @@
 	if s := r.events[len(r.events)-1].(logic.Settled); s.Outcome != logic.Void {
 		t.Errorf("never sent, and called off as %v", s.Outcome)
 	}
-	r.take(up)
+	r.dispatch(up)
 	if c := calls[0]; len(c.attempts) != 1 || c.attempts[0].message.kept.ID != "two" || c.exchange.whole {
 		t.Errorf("it went out with %d trips, whole %v", len(c.attempts), c.exchange.whole)
 	}
@@ -195,7 +195,7 @@
 	}
 	t.Cleanup(func() { conn.Close() })
 	conn.SetDeadline(time.Now().Add(10 * time.Second))
-	r.take(until(t, r, func(*client) bool { return true }))
+	r.dispatch(until(t, r, func(*client) bool { return true }))
 	return &visitor{conn.(*net.TCPConn), bufio.NewReader(conn)}
 }
 
@@ -259,7 +259,7 @@
 func sent(t *testing.T, r *Router, l *net.TCPListener) *net.TCPConn {
 	t.Helper()
 	r.step()
-	r.take(until(t, r, func(e linkUp) bool { return toEndpoint(e.on) }))
+	r.dispatch(until(t, r, func(e linkUp) bool { return toEndpoint(e.on) }))
 	return called(t, l)
 }
 
@@ -271,7 +271,7 @@
 	r := byHand(t, w, single("one"))
 	conn := sent(t, r, l)
 	io.WriteString(conn, okAnswer)
-	r.take(until(t, r, func(e linkAnswer) bool { return toEndpoint(e.on) }))
+	r.dispatch(until(t, r, func(e linkAnswer) bool { return toEndpoint(e.on) }))
 	r.step()
 	goOn := stop(t, r)
 	conn.CloseWrite()
@@ -287,9 +287,9 @@
 		t.Fatalf("%d trips; written to what had ended", len(out))
 	}
 	goOn()
-	r.take(until(t, r, func(e linkUp) bool { return toEndpoint(e.on) }))
+	r.dispatch(until(t, r, func(e linkUp) bool { return toEndpoint(e.on) }))
 	io.WriteString(called(t, l), okAnswer)
-	r.take(until(t, r, func(e linkAnswer) bool { return toEndpoint(e.on) }))
+	r.dispatch(until(t, r, func(e linkAnswer) bool { return toEndpoint(e.on) }))
 	if r.step(); r.messages["two"] != nil {
 		t.Error("not delivered")
 	}
@@ -313,7 +313,7 @@
 			if attempt.over {
 				t.Error("ended although its answer is here")
 			}
-			r.take(answer)
+			r.dispatch(answer)
 			if s, ok := r.events[len(r.events)-1].(logic.Settled); !ok || s.Outcome != logic.Done {
 				t.Errorf("ended as %+v", r.events)
 			}
@@ -371,7 +371,7 @@
 					case linkBegun:
 						read = toEndpoint(e.on)
 					}
-					r.take(what)
+					r.dispatch(what)
 				}
 				for range 3 { // as what has begun may take a moment too
 					if r.now = max(r.clock(), attempt.limit); !attempt.over {
@@ -402,7 +402,7 @@
 	}
 	attempt := r.messages["one"].attempts[0]
 	r.now = attempt.limit
-	if r.overdue(attempt); attempt.over || attempt.limit != r.now+lastLook {
+	if r.overdue(attempt); attempt.over || attempt.limit != r.now+recheckAfter {
 		t.Fatalf("over %v, waited for %d us longer", attempt.over, attempt.limit-r.now)
 	}
 	r.now = attempt.limit
@@ -425,11 +425,11 @@
 	defer conn.Close()
 	io.WriteString(conn, okAnswer)
 	down := until(t, r, func(e linkDown) bool { return toEndpoint(e.on) })
-	r.take(up)
+	r.dispatch(up)
 	if !errors.Is(down.err, errUnasked) {
 		t.Errorf("ended by %v", down.err)
 	}
-	r.take(down)
+	r.dispatch(down)
 	if rec := onDisk(t, r, "one"); len(rec.Trips) != 1 || rec.Trips[0].Outcome != "unreachable" {
 		t.Errorf("a restart would find %+v", rec.Trips)
 	}
@@ -450,7 +450,7 @@
 	r.step()
 	up := until(t, r, func(e linkUp) bool { return toEndpoint(e.on) })
 	r.spool.Close()
-	r.take(up)
+	r.dispatch(up)
 	attempt := r.messages["one"].attempts[0]
 	if !attempt.over || attempt.call.exchange.sent {
 		t.Errorf("over %v, sent %v", attempt.over, attempt.call.exchange.sent)
@@ -467,7 +467,7 @@
 	}
 }
 
-// TestHandedInTwiceAtOnce. Failure: a request sent again over a new connection in the step that took it on was promised what went with
+// TestHandedInTwiceAtOnce. Failure: a request sent again over a new connection in the step that accepted it was promised what went with
 // the first connection as that ended, or what was refused in that step.
 func TestHandedInTwiceAtOnce(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -487,8 +487,8 @@
 			first, second := visit(t, r), visit(t, r)
 			one := first.asks(t, r, "one")
 			two := second.asks(t, r, "one")
-			r.take(one)
-			r.take(two)
+			r.dispatch(one)
+			r.dispatch(two)
 			stay := []*visitor{first, second}
 			if c.gone > 0 {
 				stay[c.gone-1].SetLinger(0)
@@ -498,7 +498,7 @@
 					what := <-r.inbox
 					e, ok := what.(clientGone)
 					gone = ok && e.from == from
-					r.take(what)
+					r.dispatch(what)
 				}
 				stay = []*visitor{stay[2-c.gone]}
 			}
@@ -515,7 +515,7 @@
 	}
 }
 
-// refusing are decisions that bounce whatever is taken on.
+// refusing are decisions that bounce whatever is accepted.
 type refusing struct{}
 
 func (refusing) Handle(_ logic.Micros, events []logic.Event) (actions []logic.Action) {
@@ -533,7 +533,7 @@
 	first, second := visit(t, r), visit(t, r)
 	one, two := first.asks(t, r, "one"), second.asks(t, r, "one")
 	for _, e := range []any{one, two, clientGone{one.from}, clientGone{two.from}} {
-		r.take(e)
+		r.dispatch(e)
 	}
 	if r.step(); onDisk(t, r, "one") != nil || r.messages["one"] != nil {
 		t.Error("still held")
@@ -541,21 +541,21 @@
 }
 
 // TestHandedInOnceMoreAfterItsEnd. Failure: a reset took away a reply that the socket had; the request came once more, was over by then, and
-// was taken on anew: a second effect.
+// was accepted anew: a second effect.
 func TestHandedInOnceMoreAfterItsEnd(t *testing.T) {
 	w := open(t, 0)
 	r := byHand(t, w)
 	first := visit(t, r)
-	r.take(first.asks(t, r, "one"))
+	r.dispatch(first.asks(t, r, "one"))
 	r.step()
 	first.SetLinger(0) // whatever reply it had is gone
 	first.Close()
 	for r.messages["one"] != nil {
-		r.take(until(t, r, func(e linkAnswer) bool { return toEndpoint(e.on) }))
+		r.dispatch(until(t, r, func(e linkAnswer) bool { return toEndpoint(e.on) }))
 		r.step()
 	}
 	second := visit(t, r)
-	r.take(second.asks(t, r, "one"))
+	r.dispatch(second.asks(t, r, "one"))
 	r.step()
 	if got := second.reply(); got != "+OK" || r.messages["one"] != nil {
 		t.Errorf("told %q, held again %v", got, r.messages["one"] != nil)
@@ -569,7 +569,7 @@
 func TestEndsAreForgotten(t *testing.T) {
 	var o over
 	for i := range 3 * overMost {
-		o.add(&message{kept: &spool.Record{ID: fmt.Sprint(i)}, taken: 5}, 5)
+		o.add(&message{kept: &spool.Record{ID: fmt.Sprint(i)}, acceptedAt: 5}, 5)
 	}
 	if len(o.until) > overMost || len(o.order) > overMost || !o.has(logic.RecordID(fmt.Sprint(3*overMost-1)), 5) {
 		t.Errorf("%d ids, %d in order", len(o.until), len(o.order))
@@ -577,7 +577,7 @@
 	if o.has(logic.RecordID(fmt.Sprint(3*overMost-1)), 5+onceMore) {
 		t.Error("known for ever")
 	}
-	o.add(&message{kept: &spool.Record{ID: "late"}, taken: 5}, 5+onceMore)
+	o.add(&message{kept: &spool.Record{ID: "late"}, acceptedAt: 5}, 5+onceMore)
 	if len(o.until) > 0 || len(o.order) > 0 {
 		t.Errorf("%d ids are left", len(o.until))
 	}
@@ -589,7 +589,7 @@
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(100 * time.Microsecond) {
 		r.gather()
 		r.step()
-		if r.done() {
+		if r.mayExit() {
 			return true
 		}
 		if cross() {
@@ -665,19 +665,19 @@
 	v := visit(t, r)
 	r.now = r.clock()
 	r.partAt, r.endBy = r.now, r.now+hour
-	if r.done() {
+	if r.mayExit() {
 		t.Fatal("it ended")
 	}
 	if got := rests.reply(); got != io.EOF.Error() {
 		t.Errorf("the one at rest: %s", got)
 	}
-	r.take(v.asks(t, r, "one"))
+	r.dispatch(v.asks(t, r, "one"))
 	r.step()
 	if got := v.reply(); got != "+OK" {
 		t.Errorf("told %q", got)
 	}
 	for r.partAt < never {
-		if r.now = r.clock(); r.done() {
+		if r.now = r.clock(); r.mayExit() {
 			t.Fatal("it ended")
 		}
 		time.Sleep(time.Millisecond)
@@ -737,13 +737,13 @@
 		p.watch()
 		x := p.watching
 		for !x.sent {
-			r.take(<-r.inbox)
+			r.dispatch(<-r.inbox)
 		}
 		conn := called(t, l.(*net.TCPListener))
 		io.WriteString(conn, answer)
 		conn.Close()
 		for p.watching == x {
-			r.take(<-r.inbox)
+			r.dispatch(<-r.inbox)
 		}
 	}
 	const cut = "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"seq\":9,\"whole\":false,\"hosts\":["
@@ -771,21 +771,21 @@
 	ofDiscovery := func(l *link) bool { return !toEndpoint(l) }
 	r.platform.seq = 0
 	r.platform.watch()
-	r.take(until(t, r, func(e linkUp) bool { return ofDiscovery(e.on) }))
+	r.dispatch(until(t, r, func(e linkUp) bool { return ofDiscovery(e.on) }))
 	answer := until(t, r, func(e linkAnswer) bool { return ofDiscovery(e.on) })
 	if _, err := w.Move(); err != nil {
 		t.Fatal(err)
 	}
 	next := *r.dep
 	next.Discovery = w.Discovery
-	r.take(&next)
+	r.dispatch(&next)
 	watching := r.platform.watching
-	r.take(answer)
+	r.dispatch(answer)
 	if r.platform.watching != watching || watching == nil || watching.peer.addr != w.Discovery || r.platform.seq != 0 {
 		t.Errorf("watching %+v, version %d", r.platform.watching, r.platform.seq)
 	}
-	r.take(until(t, r, func(e linkUp) bool { return ofDiscovery(e.on) }))
-	r.take(until(t, r, func(e linkAnswer) bool { return ofDiscovery(e.on) }))
+	r.dispatch(until(t, r, func(e linkUp) bool { return ofDiscovery(e.on) }))
+	r.dispatch(until(t, r, func(e linkAnswer) bool { return ofDiscovery(e.on) }))
 	if r.platform.seq == 0 {
 		t.Error("the new one was not heard")
 	}
@@ -800,7 +800,7 @@
 	r.Reloaded(func(dep *config.Deployment) { told = dep })
 	next := *r.dep
 	next.Discovery = "127.0.0.1:9"
-	r.take(&next)
+	r.dispatch(&next)
 	if told == nil || told.Discovery != next.Discovery {
 		t.Errorf("the next router here begins with %+v", told)
 	}
@@ -826,7 +826,7 @@
 		}
 	}
 	io.WriteString(v, text[len(text)-1:])
-	r.take(until(t, r, func(commands) bool { return true }))
+	r.dispatch(until(t, r, func(commands) bool { return true }))
 	if r.clients.resting() {
 		t.Error("at rest before its reply")
 	}
--- a/routing/inbox.go
+++ b/routing/inbox.go
@@ -26,22 +26,23 @@
 	}
 }
 
-// gather takes in all that has come by now.
+// gather dispatches all that has come by now.
 func (r *Router) gather() {
 	for range len(r.door) {
-		r.take(<-r.door)
+		r.dispatch(<-r.door)
 	}
 	for range cap(r.inbox) {
 		select {
 		case what := <-r.inbox:
-			r.take(what)
+			r.dispatch(what)
 		default:
 			return
 		}
 	}
 }
 
-func (r *Router) take(what any) {
+// dispatch hands what came in to the part that it is for. A panic over it costs the client that sent it its connection, and nothing else.
+func (r *Router) dispatch(what any) {
 	r.now = r.clock()
 	defer func() {
 		if fault := recover(); fault != nil {
@@ -67,7 +68,7 @@
 	case said:
 		r.upgrade.said(e)
 	case sharing:
-		r.settled(e)
+		r.applySharing(e)
 	case linkUp:
 		r.links.up(e)
 	case linkBegun:
--- a/routing/listing.go
+++ b/routing/listing.go
@@ -7,8 +7,8 @@
 	"pineport/protocol"
 )
 
-// news hands a list, or changes of it, to the decisions, and keeps the addresses.
-func (r *Router) news(l protocol.List, how logic.ListKind) {
+// applyListing hands a list, or changes of it, to the decisions, and keeps the addresses.
+func (r *Router) applyListing(l protocol.List, how logic.ListKind) {
 	for _, fault := range l.Faults {
 		r.log.Warn("entry of the list left out", "fault", fault)
 	}
--- a/routing/message.go
+++ b/routing/message.go
@@ -8,30 +8,30 @@
 
 // message is a message that the courier has accepted, for as long as it is not ended or a call with it is still out.
 type message struct {
-	kept     *spool.Record // as the spool has it
-	waiting  []*reply      // until they are written; more than one where it was handed in again in the same step
-	taken    logic.Micros  // or taken up again
-	attempts []*attempt
-	out      int // attempts that are not over
-	ended    bool
+	kept       *spool.Record // as the spool has it
+	waiting    []*reply      // until they are written; more than one where it was handed in again in the same step
+	acceptedAt logic.Micros  // or taken up again after a restart
+	attempts   []*attempt
+	out        int // attempts that are not over
+	ended      bool
 }
 
 // attempt is one try to deliver a message: a call to an endpoint, alone or together with attempts of other messages.
 type attempt struct {
-	message *message
-	number  int // among the message's attempts, from 0
-	call    *call
-	sent    logic.Micros // when it was decided
-	limit   logic.Micros // when this side stops waiting
-	noted   bool         // in the spool
-	looked  bool         // as it was to be given up, something had come
-	over    bool
+	message   *message
+	number    int // among the message's attempts, from 0
+	call      *call
+	sent      logic.Micros // when it was decided
+	limit     logic.Micros // when this side stops waiting
+	noted     bool         // in the spool
+	rechecked bool         // as it was to be given up, something had come
+	over      bool
 }
 
 // reply is the answer to one command, written in the order of the commands.
 type reply struct {
 	client  *client
-	message *message // taken with it
+	message *message // accepted with it
 	text    string
 	close   bool
 }
@@ -45,7 +45,8 @@
 	return -1
 }
 
-func (r *Router) taken(k *spool.Record) logic.Taken {
+// accepted is what the decisions are told of a message that was accepted.
+func (r *Router) accepted(k *spool.Record) logic.Taken {
 	return logic.Taken{Record: logic.RecordID(k.ID), Dest: logic.DestID(k.Dest),
 		Workload: logic.WorkloadID(index(r.dep.Workloads, k.Workload)),
 		Party:    logic.PartyID(max(0, index(r.dep.Parties, k.Party))), Key: logic.Key(k.Key),
@@ -69,7 +70,7 @@
 	if bounce {
 		how, again, ends = bounced, int64((pause+999)/1000), turnedAway
 	}
-	r.counters.over()
+	r.counters.ended()
 	r.count(message.kept.Workload, ends)
 	if len(message.waiting) > 0 {
 		for _, rep := range message.waiting {
@@ -91,7 +92,7 @@
 func (r *Router) finish(message *message) {
 	if !message.ended {
 		message.ended = true
-		r.counters.over()
+		r.counters.ended()
 		r.check(r.spool.Forget(message.kept.ID))
 	}
 }
--- a/routing/platform.go
+++ b/routing/platform.go
@@ -97,7 +97,7 @@
 		p.r.log.Warn("watch failed", "fault", err, "cut", cut)
 		if cut { // it has begun to tell, and what it told counts
 			if list := protocol.ReadPart(part); list.Seq > p.seq {
-				p.r.news(list, logic.Partial)
+				p.r.applyListing(list, logic.Partial)
 			}
 			// Failure: a list that broke off each time was asked for thirty times a second.
 			p.askAt = p.r.now + min(logic.Micros(cutAgain)<<min(p.cuts, 8), askAgain)
@@ -115,9 +115,9 @@
 	case list.Seq < p.seq:
 		p.r.log.Warn("an older list left out", "seq", list.Seq, "held", p.seq)
 	case list.Whole:
-		p.r.news(list, logic.Complete)
+		p.r.applyListing(list, logic.Complete)
 	default:
-		p.r.news(list, logic.Partial)
+		p.r.applyListing(list, logic.Partial)
 	}
 	if list.Seq <= p.seq && p.r.now-p.askedAt < nothingNew {
 		p.askAt = p.r.now + nothingNew
--- a/routing/recovery.go
+++ b/routing/recovery.go
@@ -17,7 +17,7 @@
 		return
 	}
 	for _, attempt := range append([]*attempt(nil), r.flying...) {
-		r.settle(attempt, logic.Settled{Outcome: logic.Broken})
+		r.complete(attempt, logic.Settled{Outcome: logic.Broken})
 		r.drop(attempt.call)
 	}
 	r.events, r.courier, r.wakeAt = nil, r.begin(), never
@@ -67,7 +67,7 @@
 			r.platform.tell(kept)
 			continue
 		}
-		message := &message{kept: kept, taken: r.now}
+		message := &message{kept: kept, acceptedAt: r.now}
 		for i := range kept.Trips {
 			attempt := &attempt{message: message, number: i, sent: logic.Micros(kept.Trips[i].Sent), noted: true, over: true}
 			message.attempts = append(message.attempts, attempt)
@@ -76,7 +76,7 @@
 			}
 		}
 		r.messages[logic.RecordID(kept.ID)] = message
-		r.counters.taken()
+		r.counters.accepted()
 		r.events = append(r.events, r.recall(message))
 	}
 	if len(unfinished) > 0 {
@@ -86,7 +86,7 @@
 
 // recall is what the decisions are told of a message from before them.
 func (r *Router) recall(message *message) logic.Recovered {
-	e := logic.Recovered{Taken: r.taken(message.kept)}
+	e := logic.Recovered{Taken: r.accepted(message.kept)}
 	for i, t := range message.kept.Trips {
 		outcome, known := outcomes[t.Outcome]
 		if !known {
--- a/routing/reload.go
+++ b/routing/reload.go
@@ -11,7 +11,7 @@
 func (r *Router) Reloaded(f func(*config.Deployment)) { r.reloaded = f }
 
 // reload takes over what a configuration read anew changes, while messages are held: all that is held, out or told to wait
-// stays as it is, and messages keep what they were promised when they were taken. What must wait for a start is named.
+// stays as it is, and messages keep what they were promised when they were accepted. What must wait for a start is named.
 func (r *Router) reload(next *config.Deployment) {
 	waiting := r.dep.Waiting(next)
 	merged := r.dep.Merged(next)
--- a/routing/router.go
+++ b/routing/router.go
@@ -108,7 +108,7 @@
 		list = protocol.List{Seq: given.Seq, Whole: true, Hosts: given.Hosts}
 	}
 	r.platform.seq = list.Seq
-	r.news(list, logic.Persisted)
+	r.applyListing(list, logic.Persisted)
 	if given != nil {
 		r.upgrade.inherit(given)
 	}
@@ -150,7 +150,7 @@
 			r.events = append(r.events, logic.Closing{At: r.endBy})
 			r.log.Info("told to end", "held", len(r.messages), "out", len(r.flying))
 		}
-		r.take(what)
+		r.dispatch(what)
 		r.standstill(due)
 		r.gather()
 		r.guardedStep()
@@ -159,7 +159,7 @@
 			r.driver.Close()
 			return ErrRegain
 		}
-		if r.done() {
+		if r.mayExit() {
 			if !r.upgrade.giver.Keeps() {
 				r.log.Info("ended, handed over", "out", len(r.flying))
 				return nil
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -313,7 +313,7 @@
 	if got != want {
 		t.Fatalf("ended by %s, want %s", got, want)
 	}
-	if got == done { // it is over only if its id can be taken on anew
+	if got == done { // it is over only if its id can be accepted anew
 		hand(t, listen, "one")
 		select {
 		case <-calls:
@@ -449,7 +449,7 @@
 		r.links.rests(l)
 		after := before
 		change(&after)
-		r.news(protocol.List{Whole: true, Hosts: []protocol.Host{after}}, logic.Complete)
+		r.applyListing(protocol.List{Whole: true, Hosts: []protocol.Host{after}}, logic.Complete)
 		if kept := r.links.all[l] && len(r.links.idle[peerOf(after)]) == 1; kept != (name == "same") {
 			t.Errorf("%s: kept %v", name, kept)
 		}
@@ -534,12 +534,12 @@
 func TestOvertakenWhileDialling(t *testing.T) {
 	for name, overtake := range map[string]func(r *Router){
 		"wait":    func(r *Router) { r.waits["1"] = r.now + 1000*1000 },
-		"gone":    func(r *Router) { r.news(protocol.List{Whole: true}, logic.Complete) },
+		"gone":    func(r *Router) { r.applyListing(protocol.List{Whole: true}, logic.Complete) },
 		"nothing": func(*Router) {},
 		"drain": func(r *Router) {
 			for _, h := range r.hosts {
 				h.Health = protocol.Terminating
-				r.news(protocol.List{Hosts: []protocol.Host{h}}, logic.Partial)
+				r.applyListing(protocol.List{Hosts: []protocol.Host{h}}, logic.Partial)
 			}
 		},
 	} {
@@ -564,7 +564,7 @@
 					up = true
 					overtake(r)
 				}
-				r.take(what)
+				r.dispatch(what)
 			}
 			trips := r.messages["one"].kept.Trips
 			if sent := trips[0].Outcome != "void"; sent != (name == "nothing") {
--- a/routing/share.go
+++ b/routing/share.go
@@ -9,9 +9,9 @@
 
 // sharing is what couriers have settled among themselves, on its way to the decisions.
 type sharing struct {
-	parts []commons.Part
-	zero  time.Time // their clock's
-	taken chan struct{}
+	parts   []commons.Part
+	zero    time.Time // their clock's
+	applied chan struct{}
 }
 
 // needsEvery is how old what the decisions tell of their routes may be.
@@ -19,11 +19,11 @@
 
 // Share hands the decisions what stands on limits, at their next step; what it returns is closed after that. It never waits: nil where
 // this process cannot take it just now.
-func (r *Router) Share(parts []commons.Part, zero time.Time) (taken <-chan struct{}) {
+func (r *Router) Share(parts []commons.Part, zero time.Time) (applied <-chan struct{}) {
 	s := sharing{parts, zero, make(chan struct{})}
 	select {
 	case r.door <- s:
-		return s.taken
+		return s.applied
 	default:
 		return nil
 	}
@@ -47,8 +47,8 @@
 	}
 }
 
-// settled takes in what couriers have settled.
-func (r *Router) settled(s sharing) {
+// applySharing hands the decisions what couriers have settled.
+func (r *Router) applySharing(s sharing) {
 	if r.upgrade.handed {
 		return // another process decides, and has been told nothing
 	}
@@ -56,7 +56,7 @@
 		return r.baseUnix + logic.Micros(s.zero.Add(time.Duration(t)*time.Microsecond).Sub(r.base).Microseconds())
 	}
 	r.events = append(r.events, commons.Settled(s.parts, at))
-	r.operators.answers = append(r.operators.answers, func() { close(s.taken) })
+	r.operators.answers = append(r.operators.answers, func() { close(s.applied) })
 }
 
 // tellNeeds has the decisions tell of their routes, now and then.
--- a/routing/upgrade.go
+++ b/routing/upgrade.go
@@ -69,8 +69,8 @@
 }
 
 func (u *upgrade) knocked(e knock) {
-	do, why := u.giver.Knocked(e.hello)
-	if do == handover.Refuse {
+	verdict, why := u.giver.Knocked(e.hello)
+	if verdict == handover.Refuse {
 		u.r.log.Warn("a new process is refused", "why", why)
 		e.link.Refuse(why)
 		return
@@ -288,9 +288,9 @@
 		}
 		s := *m.Settled
 		if s.Wait > 0 {
-			r.told(attempt.call.host, r.now+s.Wait)
+			r.keepWait(attempt.call.host, r.now+s.Wait)
 		}
-		r.settle(attempt, logic.Settled{Outcome: s.Outcome, Over: s.Over, Wait: s.Wait, Pressure: s.Pressure})
+		r.complete(attempt, logic.Settled{Outcome: s.Outcome, Over: s.Over, Wait: s.Wait, Pressure: s.Pressure})
 	case m.Ask != nil:
 		q, link := request{ops.Away{Away: m.Ask.Yes}, make(chan answer, 1)}, u.predecessor
 		if m.Ask.Endpoint != "" {
@@ -314,7 +314,7 @@
 	for _, attempt := range slices.Clone(u.r.flying) {
 		if attempt.call.predecessor {
 			lost++
-			u.r.settle(attempt, logic.Settled{Outcome: logic.Broken})
+			u.r.complete(attempt, logic.Settled{Outcome: logic.Broken})
 		}
 	}
 	u.r.log.Info("the process before this one has ended", "unheard", lost)
