--- a/routing/actions.go
+++ b/routing/actions.go
@@ -12,9 +12,9 @@
 		case logic.Cancel:
 			r.cancel(a)
 		case logic.Bounce:
-			r.end(a.Record, true, a.Pause)
+			r.reject(a.Record, a.Pause)
 		case logic.Terminate:
-			r.end(a.Record, false, 0)
+			r.fail(a.Record)
 		case logic.Wake:
 			r.wakeAt = min(r.wakeAt, a.At)
 		case logic.CloseIdle:
--- a/routing/clients.go
+++ b/routing/clients.go
@@ -372,7 +372,7 @@
 			r.check(err)
 		}
 		rep.text = protocol.ReplyBusy(0)
-		r.count(kept.Workload, turnedAway)
+		r.count(kept.Workload, rejected)
 		return
 	}
 	rep.text = protocol.ReplyOK
--- a/routing/counters.go
+++ b/routing/counters.go
@@ -12,7 +12,7 @@
 
 const (
 	delivered ending = iota
-	turnedAway
+	rejected
 	failed
 	endings
 )
@@ -45,7 +45,7 @@
 		Dispatches: r.counters.dispatches, Concurrent: r.counters.held, Targets: int64(len(r.hosts)),
 		ReloadSuccess: r.operators.reloads, ReloadFailure: r.operators.faulty.Load()}
 	for w, name := range r.dep.Workloads {
-		f.Success[name], f.Overload[name], f.Error[name] = r.counters.ends[w][delivered], r.counters.ends[w][turnedAway], r.counters.ends[w][failed]
+		f.Success[name], f.Overload[name], f.Error[name] = r.counters.ends[w][delivered], r.counters.ends[w][rejected], r.counters.ends[w][failed]
 	}
 	if c, ok := r.courier.(interface {
 		Avoided(logic.Micros, logic.EndpointID) bool
--- a/routing/crossings_test.go
+++ b/routing/crossings_test.go
@@ -515,7 +515,7 @@
 	}
 }
 
-// refusing are decisions that bounce whatever is accepted.
+// refusing are decisions that reject whatever is accepted.
 type refusing struct{}
 
 func (refusing) Handle(_ logic.Micros, events []logic.Event) (actions []logic.Action) {
--- a/routing/message.go
+++ b/routing/message.go
@@ -55,34 +55,46 @@
 
 // How a message ended that was not delivered, as the spool has it.
 const (
-	bounced    = "bounced"
-	terminated = "terminated"
+	storedRejected = "bounced"
+	storedFailed   = "terminated"
 )
 
-// end ends a message undelivered: the client hears it if it still waits, or else the platform.
-func (r *Router) end(id logic.RecordID, bounce bool, pause logic.Micros) {
+// undelivered is how a message ends that is not delivered.
+type undelivered struct {
+	reply   string // to a client that still waits for one
+	stored  string
+	againMs int64 // after so long its client may try again; 0 where that is left to the client
+	counted ending
+}
+
+// reject ends a message undelivered in a way that may be tried again, after the pause.
+func (r *Router) reject(id logic.RecordID, pause logic.Micros) {
+	againMs := int64((pause + 999) / 1000)
+	r.endUndelivered(id, undelivered{reply: protocol.ReplyBusy(againMs), stored: storedRejected, againMs: againMs, counted: rejected})
+}
+
+// fail ends a message undelivered for good: trying again might do harm.
+func (r *Router) fail(id logic.RecordID) {
+	r.endUndelivered(id, undelivered{reply: protocol.ReplyError("ERR terminated"), stored: storedFailed, counted: failed})
+}
+
+// endUndelivered tells the client how a message ended if it still waits for its reply, and else the platform.
+func (r *Router) endUndelivered(id logic.RecordID, how undelivered) {
 	message := r.messages[id]
 	if message == nil || message.ended {
 		return
 	}
 	message.ended = true
-	how, again, ends := terminated, int64(0), failed
-	if bounce {
-		how, again, ends = bounced, int64((pause+999)/1000), turnedAway
-	}
 	r.counters.ended()
-	r.count(message.kept.Workload, ends)
+	r.count(message.kept.Workload, how.counted)
 	if len(message.waiting) > 0 {
 		for _, rep := range message.waiting {
-			rep.text = protocol.ReplyError("ERR terminated")
-			if bounce {
-				rep.text = protocol.ReplyBusy(again)
-			}
+			rep.text = how.reply
 		}
 		r.check(r.spool.Forget(message.kept.ID))
 	} else {
 		r.clients.over.add(message, r.now)
-		r.check(r.spool.End(message.kept.ID, how, again))
+		r.check(r.spool.End(message.kept.ID, how.stored, how.againMs))
 		r.platform.tell(message.kept)
 	}
 	r.forget(message)
@@ -97,6 +109,7 @@
 	}
 }
 
+// forget gives up what is held of a message that is ended, once no call with it is out.
 func (r *Router) forget(message *message) {
 	if message.ended && message.out == 0 {
 		delete(r.messages, logic.RecordID(message.kept.ID))
--- a/routing/platform.go
+++ b/routing/platform.go
@@ -156,7 +156,7 @@
 // tell owes the platform the end of a message.
 func (p *platform) tell(k *spool.Record) {
 	p.owed = append(p.owed, &owed{until: logic.Micros(k.CutOff) + noticeLong,
-		notice: protocol.Notice{ID: k.ID, Bounced: k.Ended == bounced, AgainMs: k.AgainMs}})
+		notice: protocol.Notice{ID: k.ID, Bounced: k.Ended == storedRejected, AgainMs: k.AgainMs}})
 }
 
 func (p *platform) due() logic.Micros {
--- a/routing/recovery.go
+++ b/routing/recovery.go
@@ -41,7 +41,7 @@
 	r.failed++
 	for _, message := range held {
 		if r.failed > 1 {
-			r.end(logic.RecordID(message.kept.ID), false, 0)
+			r.fail(logic.RecordID(message.kept.ID))
 		} else if !message.ended {
 			r.events = append(r.events, r.recall(message))
 		}
@@ -63,7 +63,7 @@
 		}
 		if index(r.dep.Workloads, kept.Workload) < 0 {
 			r.log.Warn("record of an unknown workload", "id", kept.ID, "workload", kept.Workload)
-			r.check(r.spool.End(kept.ID, terminated, 0))
+			r.check(r.spool.End(kept.ID, storedFailed, 0))
 			r.platform.tell(kept)
 			continue
 		}
