--- a/routing/calls.go
+++ b/routing/calls.go
@@ -59,7 +59,7 @@
 	attempt := &attempt{message: message, number: len(message.attempts), call: c, sent: r.now, limit: r.now + a.Limit}
 	message.attempts = append(message.attempts, attempt)
 	message.out++
-	r.flying = append(r.flying, attempt)
+	r.inFlight = append(r.inFlight, attempt)
 	c.attempts = append(c.attempts, attempt)
 	return calls
 }
@@ -264,9 +264,9 @@
 	}
 	attempt.over = true
 	attempt.message.out--
-	for i, o := range r.flying {
+	for i, o := range r.inFlight {
 		if o == attempt {
-			r.flying = append(r.flying[:i], r.flying[i+1:]...)
+			r.inFlight = append(r.inFlight[:i], r.inFlight[i+1:]...)
 			break
 		}
 	}
--- a/routing/recovery.go
+++ b/routing/recovery.go
@@ -16,7 +16,7 @@
 	if r.upgrade.handed {
 		return
 	}
-	for _, attempt := range append([]*attempt(nil), r.flying...) {
+	for _, attempt := range append([]*attempt(nil), r.inFlight...) {
 		r.complete(attempt, logic.Settled{Outcome: logic.Broken})
 		r.drop(attempt.call)
 	}
--- a/routing/router.go
+++ b/routing/router.go
@@ -50,7 +50,7 @@
 	events    []logic.Event
 	replies   []*reply
 	messages  map[logic.RecordID]*message
-	flying    []*attempt // oldest first
+	inFlight  []*attempt // oldest first
 	hosts     map[logic.EndpointID]protocol.Host
 	dests     map[int]logic.Micros    // those that lists name, and until when
 	waits     map[string]logic.Micros // told by a route, until when; the decisions keep their own
@@ -148,7 +148,7 @@
 			r.partAt = r.clock() + parting
 			r.operators.open.Store(false)
 			r.events = append(r.events, logic.Closing{At: r.endBy})
-			r.log.Info("told to end", "held", len(r.messages), "out", len(r.flying))
+			r.log.Info("told to end", "held", len(r.messages), "out", len(r.inFlight))
 		}
 		r.dispatch(what)
 		r.standstill(due)
@@ -161,7 +161,7 @@
 		}
 		if r.mayExit() {
 			if !r.upgrade.giver.Keeps() {
-				r.log.Info("ended, handed over", "out", len(r.flying))
+				r.log.Info("ended, handed over", "out", len(r.inFlight))
 				return nil
 			}
 			r.log.Info("ended", "held", len(r.messages))
--- a/routing/shutdown.go
+++ b/routing/shutdown.go
@@ -15,7 +15,7 @@
 // mayExit tells whether the process may end. Nothing is read any more by then, or it would have had an answer. Failures: what was read
 // between the last read and the end had none; connections whose first request was on its way were closed.
 func (r *Router) mayExit() bool {
-	handed := r.upgrade.handed && r.endBy < never && len(r.flying) == 0
+	handed := r.upgrade.handed && r.endBy < never && len(r.inFlight) == 0
 	if !r.leaving && (r.now >= r.endBy || handed) {
 		r.leaving, r.endBy, r.lastBy, r.partAt = true, r.now+lastWords, r.now+lastWords+lastChance, never
 		r.driver.Deafen()
--- a/routing/step.go
+++ b/routing/step.go
@@ -10,7 +10,7 @@
 // due is when something is to be done next, unasked.
 func (r *Router) due() logic.Micros {
 	at := min(r.wakeAt, r.links.due(), r.clients.due(), r.platform.due(), r.learned.due(), r.operators.due(), r.links.unwritten(), r.endBy, r.partAt)
-	for _, attempt := range r.flying {
+	for _, attempt := range r.inFlight {
 		at = min(at, attempt.limit)
 	}
 	return at
@@ -38,7 +38,7 @@
 	if !r.upgrade.handed {
 		r.platform.tick()
 	}
-	for _, attempt := range append([]*attempt(nil), r.flying...) {
+	for _, attempt := range append([]*attempt(nil), r.inFlight...) {
 		if !attempt.over && attempt.limit <= r.now {
 			r.overdue(attempt)
 		}
--- a/routing/upgrade.go
+++ b/routing/upgrade.go
@@ -123,13 +123,13 @@
 	u.giver.Given()
 	u.giving = false
 	r.counters.held = 0
-	r.log.Info("handed over", "held", len(r.messages), "out", len(r.flying), "clients", len(r.clients.all), "took", time.Duration(r.clock()-began)*time.Microsecond)
+	r.log.Info("handed over", "held", len(r.messages), "out", len(r.inFlight), "clients", len(r.clients.all), "took", time.Duration(r.clock()-began)*time.Microsecond)
 	debug.FreeOSMemory() // both processes have one limit
 }
 
 // recallUnsent takes back what waits for a connection: until that is up the successor may have heard that nothing may go there.
 func (u *upgrade) recallUnsent() {
-	for _, attempt := range slices.Clone(u.r.flying) {
+	for _, attempt := range slices.Clone(u.r.inFlight) {
 		if x := attempt.call.exchange; x != nil && !x.sent {
 			u.land(attempt)
 			u.r.links.abort(x)
@@ -149,7 +149,7 @@
 	for _, id := range slices.Sorted(maps.Keys(r.hosts)) {
 		s.Hosts = append(s.Hosts, r.hosts[id])
 	}
-	for _, attempt := range r.flying {
+	for _, attempt := range r.inFlight {
 		s.Out = append(s.Out, handover.Out{Record: attempt.message.kept.ID, Trip: attempt.number, Limit: attempt.limit})
 	}
 	return s
@@ -187,7 +187,7 @@
 	adopted.over, adopted.limit = false, limit+adoptSlack
 	adopted.call = &call{endpoint: id, host: host, attempts: []*attempt{adopted}, predecessor: true}
 	adopted.message.out++
-	u.r.flying = append(u.r.flying, adopted)
+	u.r.inFlight = append(u.r.inFlight, adopted)
 }
 
 // serving tells the predecessor that clients are taken here.
@@ -233,7 +233,7 @@
 
 func (u *upgrade) land(landed *attempt) {
 	landed.over = true
-	u.r.flying = slices.DeleteFunc(u.r.flying, func(o *attempt) bool { return o == landed })
+	u.r.inFlight = slices.DeleteFunc(u.r.inFlight, func(o *attempt) bool { return o == landed })
 }
 
 // ask hands what operators want to the successor, which decides.
@@ -311,7 +311,7 @@
 func (u *upgrade) orphaned() {
 	u.predecessor = nil
 	lost := 0
-	for _, attempt := range slices.Clone(u.r.flying) {
+	for _, attempt := range slices.Clone(u.r.inFlight) {
 		if attempt.call.predecessor {
 			lost++
 			u.r.complete(attempt, logic.Settled{Outcome: logic.Broken})
@@ -324,9 +324,9 @@
 	r := u.r
 	switch {
 	case m.Serving:
-		r.log.Info("another process serves", "out", len(r.flying))
+		r.log.Info("another process serves", "out", len(r.inFlight))
 	case m.Cancel != nil:
-		for _, attempt := range slices.Clone(r.flying) {
+		for _, attempt := range slices.Clone(r.inFlight) {
 			if attempt.message.kept.ID == m.Cancel.Record && attempt.number == m.Cancel.Trip {
 				u.land(attempt)
 				r.drop(attempt.call)
@@ -376,7 +376,7 @@
 	u.wanted = false
 	// Failure: a successor that left while all was made ready for it was given it even so, and nobody decided any more.
 	if u.giver.Lost() == handover.Regain || u.giving {
-		u.r.log.Error("the process that took over has gone: this one goes on", "out", len(u.r.flying))
+		u.r.log.Error("the process that took over has gone: this one goes on", "out", len(u.r.inFlight))
 		u.regain = true
 	}
 }
