--- a/routing/calls.go
+++ b/routing/calls.go
@@ -43,8 +43,8 @@
 	}
 	host := r.hosts[a.Endpoint]
 	perCall := 1
-	if shape := index(r.dep.Shapes, host.Kind); shape >= 0 && shape < len(r.dep.Charter.Shapes) {
-		perCall = r.dep.Charter.Shapes[shape].PerCall
+	if kind, ok := r.kindOf(host); ok {
+		perCall = kind.PerCall
 	}
 	var c *call
 	for _, o := range calls {
@@ -128,7 +128,7 @@
 		return nil
 	}
 	attempt.noted = true
-	return r.spool.Begin(attempt.message.kept.ID, spool.Trip{Endpoint: string(attempt.call.endpoint), Zone: max(0, index(r.dep.Zones, attempt.call.host.Zone)),
+	return r.spool.Begin(attempt.message.kept.ID, spool.Trip{Endpoint: string(attempt.call.endpoint), Zone: max(0, slices.Index(r.dep.Zones, attempt.call.host.Zone)),
 		Sent: int64(attempt.sent), Outcome: outcome})
 }
 
@@ -207,9 +207,19 @@
 	return strconv.Itoa(h.Dest)
 }
 
+// apart tells whether a wait that an endpoint told holds for it alone.
 func (r *Router) apart(h protocol.Host) bool {
-	shape := index(r.dep.Shapes, h.Kind)
-	return shape >= 0 && shape < len(r.dep.Charter.Shapes) && r.dep.Charter.Shapes[shape].Apart
+	kind, ok := r.kindOf(h)
+	return ok && kind.Apart
+}
+
+// kindOf is what the settings say of the kind that an endpoint is of; false where they know none of that name.
+func (r *Router) kindOf(h protocol.Host) (logic.Shape, bool) {
+	i := slices.Index(r.dep.Shapes, h.Kind)
+	if i < 0 || i >= len(r.dep.Charter.Shapes) {
+		return logic.Shape{}, false
+	}
+	return r.dep.Charter.Shapes[i], true
 }
 
 // outcomeOf reads an answer for all that a call carried.
--- a/routing/clients.go
+++ b/routing/clients.go
@@ -345,7 +345,7 @@
 	e, err := protocol.ReadEnqueue(args)
 	switch {
 	case err != nil:
-	case index(r.dep.Workloads, e.Workload) < 0 || r.dep.Retired[e.Workload]:
+	case slices.Index(r.dep.Workloads, e.Workload) < 0 || r.dep.Retired[e.Workload]:
 		err = errors.New("ERR unknown workload")
 	case !r.knows(e.Dest):
 		err = errors.New("ERR unknown destination")
--- a/routing/counters.go
+++ b/routing/counters.go
@@ -2,6 +2,7 @@
 
 import (
 	"maps"
+	"slices"
 
 	"pineport/logic"
 	"pineport/ops"
@@ -34,7 +35,7 @@
 
 // count takes down how a message of a workload ended; of an unknown one nobody asks.
 func (r *Router) count(workload string, how ending) {
-	if w := index(r.dep.Workloads, workload); w >= 0 {
+	if w := slices.Index(r.dep.Workloads, workload); w >= 0 {
 		r.counters.ends[w][how]++
 	}
 }
--- a/routing/listing.go
+++ b/routing/listing.go
@@ -2,6 +2,7 @@
 
 import (
 	"maps"
+	"slices"
 
 	"pineport/logic"
 	"pineport/protocol"
@@ -60,7 +61,7 @@
 func (r *Router) listing(h protocol.Host) (logic.Listing, bool) {
 	phases := map[protocol.Health]logic.Phase{protocol.InService: logic.In, protocol.Terminating: logic.Draining,
 		protocol.Terminated: logic.Gone}
-	zone, shape := index(r.dep.Zones, h.Zone), index(r.dep.Shapes, h.Kind)
+	zone, shape := slices.Index(r.dep.Zones, h.Zone), slices.Index(r.dep.Shapes, h.Kind)
 	return logic.Listing{Endpoint: logic.EndpointID(h.Host), Zone: logic.ZoneID(zone), Shape: logic.ShapeID(shape),
 		Dest: logic.DestID(h.Dest), Phase: phases[h.Health], Rate: h.Rate}, zone >= 0 && shape >= 0
 }
--- a/routing/message.go
+++ b/routing/message.go
@@ -4,6 +4,7 @@
 	"pineport/logic"
 	"pineport/protocol"
 	"pineport/spool"
+	"slices"
 )
 
 // message is a message that the courier has accepted, for as long as it is not ended or a call with it is still out.
@@ -36,20 +37,11 @@
 	close   bool
 }
 
-func index(names []string, name string) int {
-	for i, n := range names {
-		if n == name {
-			return i
-		}
-	}
-	return -1
-}
-
 // accepted is what the decisions are told of a message that was accepted.
 func (r *Router) accepted(k *spool.Record) logic.Taken {
 	return logic.Taken{Record: logic.RecordID(k.ID), Dest: logic.DestID(k.Dest),
-		Workload: logic.WorkloadID(index(r.dep.Workloads, k.Workload)),
-		Party:    logic.PartyID(max(0, index(r.dep.Parties, k.Party))), Key: logic.Key(k.Key),
+		Workload: logic.WorkloadID(slices.Index(r.dep.Workloads, k.Workload)),
+		Party:    logic.PartyID(max(0, slices.Index(r.dep.Parties, k.Party))), Key: logic.Key(k.Key),
 		CutOff: logic.Micros(k.CutOff), Again: k.Again}
 }
 
--- a/routing/recovery.go
+++ b/routing/recovery.go
@@ -61,7 +61,7 @@
 			r.platform.tell(kept)
 			continue
 		}
-		if index(r.dep.Workloads, kept.Workload) < 0 {
+		if slices.Index(r.dep.Workloads, kept.Workload) < 0 {
 			r.log.Warn("record of an unknown workload", "id", kept.ID, "workload", kept.Workload)
 			r.check(r.spool.End(kept.ID, storedFailed, 0))
 			r.platform.tell(kept)
