--- a/routing/clients.go
+++ b/routing/clients.go
@@ -335,38 +335,59 @@
 	cs.r.malformed.clients, cs.r.malformed.client = cs.r.malformed.clients+1, fault
 }
 
-// enqueue puts a message into the spool and hands it to the decisions; the reply is written after those.
+// enqueue accepts a message; the reply is written after the decisions have heard of it.
 func (cs *clients) enqueue(args [][]byte, rep *reply) {
-	r := cs.r
-	if r.upgrade.handed { // was on its way as the connection was to be closed: nothing of it is accepted, and it may come again at once
+	if cs.r.upgrade.handed { // was on its way as the connection was to be closed: nothing of it is accepted, and it may come again at once
 		rep.text, rep.close = protocol.ReplyBusy(1), true
 		return
 	}
-	e, err := protocol.ReadEnqueue(args)
-	switch {
-	case err != nil:
-	case slices.Index(r.dep.Workloads, e.Workload) < 0 || r.dep.Retired[e.Workload]:
-		err = errors.New("ERR unknown workload")
-	case !r.knows(e.Dest):
-		err = errors.New("ERR unknown destination")
-		r.count(e.Workload, failed)
+	request, err := protocol.ReadEnqueue(args)
+	if err == nil {
+		err = cs.checkEnqueue(request)
 	}
 	if err != nil {
 		cs.malformed(err)
 		rep.text = protocol.ReplyError(err.Error())
 		return
 	}
-	switch message := r.messages[logic.RecordID(e.ID)]; {
+	if !cs.acceptedBefore(request, rep) {
+		cs.acceptMessage(request, rep)
+	}
+}
+
+// checkEnqueue tells what a message names that the courier does not know.
+func (cs *clients) checkEnqueue(request protocol.Enqueue) error {
+	r := cs.r
+	if !slices.Contains(r.dep.Workloads, request.Workload) || r.dep.Retired[request.Workload] {
+		return errors.New("ERR unknown workload")
+	}
+	if !r.knows(request.Dest) {
+		r.count(request.Workload, failed)
+		return errors.New("ERR unknown destination")
+	}
+	return nil
+}
+
+// acceptedBefore tells whether a message was accepted already, and then answers that it was.
+func (cs *clients) acceptedBefore(request protocol.Enqueue, rep *reply) bool {
+	id := logic.RecordID(request.ID)
+	switch message := cs.r.messages[id]; {
 	case message != nil && len(message.waiting) > 0: // sent once more in the step that accepts it: whatever the first reply is
 		rep.message, rep.text = message, protocol.ReplyOK
 		message.waiting = append(message.waiting, rep)
-		return
-	case message != nil || cs.over.has(logic.RecordID(e.ID), r.now):
-		rep.text = protocol.ReplyOK // sent once more after a closed connection: it was accepted
-		return
+		return true
+	case message != nil || cs.over.has(id, cs.r.now): // sent once more after a closed connection
+		rep.text = protocol.ReplyOK
+		return true
 	}
-	kept := &spool.Record{ID: e.ID, Workload: e.Workload, Dest: e.Dest, Party: e.Party, Key: e.Key, Mark: e.Mark, Again: e.Again,
-		CutOff: int64(r.now) + int64(e.LeftMs)*1000, Body: e.Body}
+	return false
+}
+
+// acceptMessage puts a message into the spool and hands it to the decisions.
+func (cs *clients) acceptMessage(request protocol.Enqueue, rep *reply) {
+	r := cs.r
+	kept := &spool.Record{ID: request.ID, Workload: request.Workload, Dest: request.Dest, Party: request.Party, Key: request.Key,
+		Mark: request.Mark, Again: request.Again, CutOff: int64(r.now) + int64(request.LeftMs)*1000, Body: request.Body}
 	if err := r.spool.Take(kept); err != nil {
 		if !errors.Is(err, spool.ErrFull) {
 			r.check(err)
@@ -377,7 +398,7 @@
 	}
 	rep.text = protocol.ReplyOK
 	rep.message = &message{kept: kept, waiting: []*reply{rep}, acceptedAt: r.now}
-	r.messages[logic.RecordID(e.ID)] = rep.message
+	r.messages[logic.RecordID(request.ID)] = rep.message
 	r.counters.accepted()
 	r.events = append(r.events, r.accepted(kept))
 }
--- a/routing/router.go
+++ b/routing/router.go
@@ -120,16 +120,9 @@
 // Run listens and works until stop is closed; then it goes on for as long as grace allows. What comes in over reloads
 // is taken over as far as a process that runs can.
 func (r *Router) Run(stop <-chan struct{}, reloads <-chan *config.Deployment, grace time.Duration) error {
-	driver, err := r.drive()
-	if err != nil {
+	if err := r.startServing(); err != nil {
 		return err
 	}
-	r.driver = driver
-	r.platform.start()
-	r.step()
-	r.operators.open.Store(!r.operators.away())
-	r.upgrade.serving()
-	r.log.Info("serving", "name", r.dep.Name, "listen", r.dep.Listen)
 	timer := time.NewTimer(0)
 	for {
 		began := r.clock()
@@ -143,12 +136,7 @@
 		case what = <-r.door:
 		case <-stop:
 			stop = nil
-			r.upgrade.giver.Ending()
-			r.endBy = r.clock() + logic.Micros(grace.Microseconds())
-			r.partAt = r.clock() + parting
-			r.operators.open.Store(false)
-			r.events = append(r.events, logic.Closing{At: r.endBy})
-			r.log.Info("told to end", "held", len(r.messages), "out", len(r.inFlight))
+			r.beginShutdown(grace)
 		}
 		r.dispatch(what)
 		r.standstill(due)
@@ -160,18 +148,26 @@
 			return ErrRegain
 		}
 		if r.mayExit() {
-			if !r.upgrade.giver.Keeps() {
-				r.log.Info("ended, handed over", "out", len(r.inFlight))
-				return nil
-			}
-			r.log.Info("ended", "held", len(r.messages))
-			r.saveLearnedAtEnd()
-			r.watch.tell(r.log)
-			return r.spool.Close()
+			return r.finishShutdown()
 		}
 	}
 }
 
+// startServing listens, and takes the first step: over what the router began with.
+func (r *Router) startServing() error {
+	driver, err := r.drive()
+	if err != nil {
+		return err
+	}
+	r.driver = driver
+	r.platform.start()
+	r.step()
+	r.operators.open.Store(!r.operators.away())
+	r.upgrade.serving()
+	r.log.Info("serving", "name", r.dep.Name, "listen", r.dep.Listen)
+	return nil
+}
+
 func (r *Router) drive() (*transport.Driver, error) {
 	var inherited net.Listener
 	if r.dep.Socket > 0 {
--- a/routing/shutdown.go
+++ b/routing/shutdown.go
@@ -1,5 +1,33 @@
 package routing
 
+import (
+	"time"
+
+	"pineport/logic"
+)
+
+// beginShutdown has the process end after a grace; until then it goes on as before, and clients with somewhere else to go are sent there.
+func (r *Router) beginShutdown(grace time.Duration) {
+	r.upgrade.giver.Ending()
+	r.endBy = r.clock() + logic.Micros(grace.Microseconds())
+	r.partAt = r.clock() + parting
+	r.operators.open.Store(false)
+	r.events = append(r.events, logic.Closing{At: r.endBy})
+	r.log.Info("told to end", "held", len(r.messages), "out", len(r.inFlight))
+}
+
+// finishShutdown stores what outlasts the process, unless a successor has the folder.
+func (r *Router) finishShutdown() error {
+	if !r.upgrade.giver.Keeps() {
+		r.log.Info("ended, handed over", "out", len(r.inFlight))
+		return nil
+	}
+	r.log.Info("ended", "held", len(r.messages))
+	r.saveLearnedAtEnd()
+	r.watch.tell(r.log)
+	return r.spool.Close()
+}
+
 // parting is when, after being told to end, nobody is sent here any more who could go elsewhere. Who can not, as it
 // has a courier of its own, is served to the end.
 const parting = 500 * 1000
