--- a/routing/clients.go
+++ b/routing/clients.go
@@ -124,8 +124,8 @@
 	over    over
 }
 
-// over are records that were taken on and have ended, for as long as their clients may hand them in once more. Failure: a reset took away
-// a reply that the socket had; the client sent the same request again, the record was over by then, and was taken on a second time.
+// over are messages that were accepted and have ended, for as long as their clients may hand them in once more. Failure: a reset took away
+// a reply that the socket had; the client sent the same request again, the message was over by then, and was accepted a second time.
 type over struct {
 	until map[logic.RecordID]logic.Micros
 	order []logic.RecordID // oldest first
@@ -137,12 +137,12 @@
 	overMost = 4096 // a hundred times what ends in that time at a busy courier
 )
 
-func (o *over) add(rec *record, now logic.Micros) {
+func (o *over) add(message *message, now logic.Micros) {
 	for len(o.order) > 0 && (o.until[o.order[0]] <= now || len(o.order) >= overMost) {
 		delete(o.until, o.order[0])
 		o.order = o.order[1:]
 	}
-	id, until := logic.RecordID(rec.kept.ID), rec.taken+onceMore
+	id, until := logic.RecordID(message.kept.ID), message.acceptedAt+onceMore
 	if until > now && o.until[id] == 0 {
 		if o.until == nil {
 			o.until = map[logic.RecordID]logic.Micros{}
@@ -152,7 +152,7 @@
 	}
 }
 
-// has tells whether a record was taken on and is over.
+// has tells whether a message was accepted and is over.
 func (o *over) has(id logic.RecordID, now logic.Micros) bool { return o.until[id] > now }
 
 func (cs *clients) init(r *Router) {
@@ -163,7 +163,7 @@
 // limit takes the limits of the deployment: four tenths of the descriptors, and half of them while many come at once, so
 // that endpoints and the platform always find some. An eighth of the memory goes to commands that are not whole.
 func (cs *clients) limit() {
-	sockets := cs.r.dep.Sockets - StaffSockets(cs.r.dep)
+	sockets := cs.r.dep.Sockets - OperatorSockets(cs.r.dep)
 	cs.most = sockets * 4 / 10
 	cs.hard.Store(int64(sockets / 2))
 	cs.room.Store(int64(cs.r.dep.MemoryMB) << 20 / 8)
@@ -249,15 +249,15 @@
 func (cs *clients) gone(e clientGone) {
 	delete(cs.all, e.from)
 	for _, rep := range cs.r.replies {
-		rec := rep.rec
-		if rep.client != e.from || rec == nil {
+		message := rep.message
+		if rep.client != e.from || message == nil {
 			continue
 		}
-		rep.rec = nil
-		if rec.waiting = slices.DeleteFunc(rec.waiting, func(o *reply) bool { return o == rep }); len(rec.waiting) == 0 {
-			cs.r.finish(rec)
-			cs.r.events = append(cs.r.events, logic.Left{Record: logic.RecordID(rec.kept.ID)})
-			cs.r.forget(rec)
+		rep.message = nil
+		if message.waiting = slices.DeleteFunc(message.waiting, func(o *reply) bool { return o == rep }); len(message.waiting) == 0 {
+			cs.r.finish(message)
+			cs.r.events = append(cs.r.events, logic.Left{Record: logic.RecordID(message.kept.ID)})
+			cs.r.forget(message)
 		}
 	}
 }
@@ -315,7 +315,7 @@
 
 func (cs *clients) command(args [][]byte, reply *reply) {
 	switch {
-	case protocol.IsCommand(args, "PING") && len(args) == 1 && cs.r.staff.away():
+	case protocol.IsCommand(args, "PING") && len(args) == 1 && cs.r.operators.away():
 		reply.text = protocol.ReplyError("ERR sent away: the courier takes no more clients")
 	case protocol.IsCommand(args, "PING") && len(args) == 1:
 		reply.text = protocol.ReplyPong
@@ -335,49 +335,70 @@
 	cs.r.malformed.clients, cs.r.malformed.client = cs.r.malformed.clients+1, fault
 }
 
-// enqueue puts a record into the spool and hands it to the decisions; the reply is written after those.
+// enqueue accepts a message; the reply is written after the decisions have heard of it.
 func (cs *clients) enqueue(args [][]byte, rep *reply) {
-	r := cs.r
-	if r.upgrade.handed { // was on its way as the connection was to be closed: nothing of it is taken, and it may come again at once
+	if cs.r.upgrade.handed { // was on its way as the connection was to be closed: nothing of it is accepted, and it may come again at once
 		rep.text, rep.close = protocol.ReplyBusy(1), true
 		return
 	}
-	e, err := protocol.ReadEnqueue(args)
-	switch {
-	case err != nil:
-	case index(r.dep.Workloads, e.Workload) < 0 || r.dep.Retired[e.Workload]:
-		err = errors.New("ERR unknown workload")
-	case !r.knows(e.Dest):
-		err = errors.New("ERR unknown destination")
-		r.count(e.Workload, failed)
+	request, err := protocol.ReadEnqueue(args)
+	if err == nil {
+		err = cs.checkEnqueue(request)
 	}
 	if err != nil {
 		cs.malformed(err)
 		rep.text = protocol.ReplyError(err.Error())
 		return
 	}
-	switch rec := r.records[logic.RecordID(e.ID)]; {
-	case rec != nil && len(rec.waiting) > 0: // sent once more in the turn that takes it on: whatever the first reply is
-		rep.rec, rep.text = rec, protocol.ReplyOK
-		rec.waiting = append(rec.waiting, rep)
-		return
-	case rec != nil || cs.over.has(logic.RecordID(e.ID), r.now):
-		rep.text = protocol.ReplyOK // sent once more after a closed connection: it was taken on
-		return
+	if !cs.acceptedBefore(request, rep) {
+		cs.acceptMessage(request, rep)
+	}
+}
+
+// checkEnqueue tells what a message names that the courier does not know.
+func (cs *clients) checkEnqueue(request protocol.Enqueue) error {
+	r := cs.r
+	if !slices.Contains(r.dep.Workloads, request.Workload) || r.dep.Retired[request.Workload] {
+		return errors.New("ERR unknown workload")
 	}
-	kept := &spool.Record{ID: e.ID, Workload: e.Workload, Dest: e.Dest, Party: e.Party, Key: e.Key, Mark: e.Mark, Again: e.Again,
-		CutOff: int64(r.now) + int64(e.LeftMs)*1000, Body: e.Body}
+	if !r.knows(request.Dest) {
+		r.count(request.Workload, failed)
+		return errors.New("ERR unknown destination")
+	}
+	return nil
+}
+
+// acceptedBefore tells whether a message was accepted already, and then answers that it was.
+func (cs *clients) acceptedBefore(request protocol.Enqueue, rep *reply) bool {
+	id := logic.RecordID(request.ID)
+	switch message := cs.r.messages[id]; {
+	case message != nil && len(message.waiting) > 0: // sent once more in the step that accepts it: whatever the first reply is
+		rep.message, rep.text = message, protocol.ReplyOK
+		message.waiting = append(message.waiting, rep)
+		return true
+	case message != nil || cs.over.has(id, cs.r.now): // sent once more after a closed connection
+		rep.text = protocol.ReplyOK
+		return true
+	}
+	return false
+}
+
+// acceptMessage puts a message into the spool and hands it to the decisions.
+func (cs *clients) acceptMessage(request protocol.Enqueue, rep *reply) {
+	r := cs.r
+	kept := &spool.Record{ID: request.ID, Workload: request.Workload, Dest: request.Dest, Party: request.Party, Key: request.Key,
+		Mark: request.Mark, Again: request.Again, CutOff: int64(r.now) + int64(request.LeftMs)*1000, Body: request.Body}
 	if err := r.spool.Take(kept); err != nil {
 		if !errors.Is(err, spool.ErrFull) {
 			r.check(err)
 		}
 		rep.text = protocol.ReplyBusy(0)
-		r.count(kept.Workload, turnedAway)
+		r.count(kept.Workload, rejected)
 		return
 	}
 	rep.text = protocol.ReplyOK
-	rep.rec = &record{kept: kept, waiting: []*reply{rep}, taken: r.now}
-	r.records[logic.RecordID(e.ID)] = rep.rec
-	r.counters.taken()
-	r.events = append(r.events, r.taken(kept))
+	rep.message = &message{kept: kept, waiting: []*reply{rep}, acceptedAt: r.now}
+	r.messages[logic.RecordID(request.ID)] = rep.message
+	r.counters.accepted()
+	r.events = append(r.events, r.accepted(kept))
 }
--- a/routing/counters.go
+++ b/routing/counters.go
@@ -2,6 +2,7 @@
 
 import (
 	"maps"
+	"slices"
 
 	"pineport/logic"
 	"pineport/ops"
@@ -12,7 +13,7 @@
 
 const (
 	delivered ending = iota
-	turnedAway
+	rejected
 	failed
 	endings
 )
@@ -21,7 +22,7 @@
 type counters struct {
 	ends       [][endings]int64 // by workload
 	dispatches int64
-	held       int64 // taken and not ended
+	held       int64 // accepted and not ended
 }
 
 // grow makes room for further workloads.
@@ -29,12 +30,12 @@
 	c.ends = append(c.ends, make([][endings]int64, max(0, workloads-len(c.ends)))...)
 }
 
-func (c *counters) taken() { c.held++ }
-func (c *counters) over()  { c.held-- }
+func (c *counters) accepted() { c.held++ }
+func (c *counters) ended()    { c.held-- }
 
 // count takes down how a message of a workload ended; of an unknown one nobody asks.
 func (r *Router) count(workload string, how ending) {
-	if w := index(r.dep.Workloads, workload); w >= 0 {
+	if w := slices.Index(r.dep.Workloads, workload); w >= 0 {
 		r.counters.ends[w][how]++
 	}
 }
@@ -43,9 +44,9 @@
 func (r *Router) figures() *ops.Figures {
 	f := &ops.Figures{Success: map[string]int64{}, Overload: map[string]int64{}, Error: map[string]int64{},
 		Dispatches: r.counters.dispatches, Concurrent: r.counters.held, Targets: int64(len(r.hosts)),
-		ReloadSuccess: r.staff.reloads, ReloadFailure: r.staff.faulty.Load()}
+		ReloadSuccess: r.operators.reloads, ReloadFailure: r.operators.faulty.Load()}
 	for w, name := range r.dep.Workloads {
-		f.Success[name], f.Overload[name], f.Error[name] = r.counters.ends[w][delivered], r.counters.ends[w][turnedAway], r.counters.ends[w][failed]
+		f.Success[name], f.Overload[name], f.Error[name] = r.counters.ends[w][delivered], r.counters.ends[w][rejected], r.counters.ends[w][failed]
 	}
 	if c, ok := r.courier.(interface {
 		Avoided(logic.Micros, logic.EndpointID) bool
--- a/routing/crossings_test.go
+++ b/routing/crossings_test.go
@@ -48,7 +48,7 @@
 	return r
 }
 
-// until takes what comes, a turn after each, up to the first event that is wanted; that one is not taken.
+// until takes what comes, a step after each, up to the first event that is wanted; that one is not taken.
 func until[E any](t *testing.T, r *Router, wanted func(E) bool) (e E) {
 	t.Helper()
 	waits := time.After(10 * time.Second)
@@ -58,8 +58,8 @@
 			if e, ok := what.(E); ok && wanted(e) {
 				return e
 			}
-			r.take(what)
-			r.turn()
+			r.dispatch(what)
+			r.step()
 		case <-waits:
 			t.Fatalf("no %T came", e)
 		}
@@ -73,7 +73,7 @@
 	return &spool.Record{ID: id, Workload: "order", Dest: 1, CutOff: time.Now().Add(time.Minute).UnixMicro()}
 }
 
-// onDisk is what a process that started now would find of a record.
+// onDisk is what a process that started now would find of a message.
 func onDisk(t *testing.T, r *Router, id string) *spool.Record {
 	t.Helper()
 	all, _, err := spool.Inspect(r.dep.Spool)
@@ -88,36 +88,36 @@
 	return nil
 }
 
-// TestUntriedUntilItLeaves. Failure: killed while the connection came up, a record that was never sent came back as one that may have
+// TestUntriedUntilItLeaves. Failure: killed while the connection came up, a message that was never sent came back as one that may have
 // run, and was given up with no call if it may not be repeated.
 func TestUntriedUntilItLeaves(t *testing.T) {
 	r := byHand(t, open(t, 0), single("one"))
-	r.turn()
+	r.step()
 	up := until(t, r, func(e linkUp) bool { return toEndpoint(e.on) })
 	if rec := onDisk(t, r, "one"); len(rec.Trips) > 0 {
 		t.Errorf("before anything was sent a restart would find %+v", rec.Trips)
 	}
-	r.take(up)
+	r.dispatch(up)
 	if rec := onDisk(t, r, "one"); len(rec.Trips) != 1 || rec.Trips[0].Outcome != "" || rec.Trips[0].Endpoint != "s-0" {
 		t.Errorf("once it was sent a restart would find %+v", rec.Trips)
 	}
 }
 
-// TestNeverUpIsNoted: a trip that failed before anything was sent stands in the spool with its outcome, so that those after it keep
+// TestNeverUpIsNoted: an attempt that failed before anything was sent stands in the spool with its outcome, so that those after it keep
 // their numbers.
 func TestNeverUpIsNoted(t *testing.T) {
 	w := open(t, 0)
 	r := byHand(t, w, single("one"))
-	r.turn()
+	r.step()
 	up := until(t, r, func(e linkUp) bool { return toEndpoint(e.on) })
-	r.take(linkDown{on: up.on, err: errLate})
+	r.dispatch(linkDown{on: up.on, err: errLate})
 	if rec := onDisk(t, r, "one"); len(rec.Trips) != 1 || rec.Trips[0].Outcome != "unreachable" {
 		t.Errorf("a restart would find %+v", rec.Trips)
 	}
 }
 
-// TestCalledOffBeforeItLeft. Failure: a trip that was called off while its connection came up passed for one that may have run, and
-// its record could not go again; put together when it was decided, a call for several went out with it all the same.
+// TestCalledOffBeforeItLeft. Failure: an attempt that was called off while its connection came up passed for one that may have run, and
+// its message could not go again; put together when it was decided, a call for several went out with it all the same.
 func TestCalledOffBeforeItLeft(t *testing.T) {
 	r := byHand(t, open(t, 0), single("one"), single("two"))
 	var calls []*call
@@ -125,7 +125,7 @@
 	for _, id := range []logic.RecordID{"one", "two"} {
 		calls = r.load(calls, logic.Send{Record: id, Endpoint: "s-0", Limit: 5 * 1000 * 1000})
 	}
-	if len(calls) != 1 || len(calls[0].trips) != 2 {
+	if len(calls) != 1 || len(calls[0].attempts) != 2 {
 		t.Fatalf("%d calls", len(calls))
 	}
 	r.events = nil
@@ -135,9 +135,9 @@
 	if s := r.events[len(r.events)-1].(logic.Settled); s.Outcome != logic.Void {
 		t.Errorf("never sent, and called off as %v", s.Outcome)
 	}
-	r.take(up)
-	if c := calls[0]; len(c.trips) != 1 || c.trips[0].rec.kept.ID != "two" || c.exchange.whole {
-		t.Errorf("it went out with %d trips, whole %v", len(c.trips), c.exchange.whole)
+	r.dispatch(up)
+	if c := calls[0]; len(c.attempts) != 1 || c.attempts[0].message.kept.ID != "two" || c.exchange.whole {
+		t.Errorf("it went out with %d trips, whole %v", len(c.attempts), c.exchange.whole)
 	}
 	if rec := onDisk(t, r, "one"); len(rec.Trips) != 1 || rec.Trips[0].Outcome != "void" {
 		t.Errorf("of the one called off a restart would find %+v", rec.Trips)
@@ -195,7 +195,7 @@
 	}
 	t.Cleanup(func() { conn.Close() })
 	conn.SetDeadline(time.Now().Add(10 * time.Second))
-	r.take(until(t, r, func(*client) bool { return true }))
+	r.dispatch(until(t, r, func(*client) bool { return true }))
 	return &visitor{conn.(*net.TCPConn), bufio.NewReader(conn)}
 }
 
@@ -258,8 +258,8 @@
 // sent has a router send what it holds to the test's endpoint, and reads it there.
 func sent(t *testing.T, r *Router, l *net.TCPListener) *net.TCPConn {
 	t.Helper()
-	r.turn()
-	r.take(until(t, r, func(e linkUp) bool { return toEndpoint(e.on) }))
+	r.step()
+	r.dispatch(until(t, r, func(e linkUp) bool { return toEndpoint(e.on) }))
 	return called(t, l)
 }
 
@@ -271,8 +271,8 @@
 	r := byHand(t, w, single("one"))
 	conn := sent(t, r, l)
 	io.WriteString(conn, okAnswer)
-	r.take(until(t, r, func(e linkAnswer) bool { return toEndpoint(e.on) }))
-	r.turn()
+	r.dispatch(until(t, r, func(e linkAnswer) bool { return toEndpoint(e.on) }))
+	r.step()
 	goOn := stop(t, r)
 	conn.CloseWrite()
 	if !port.Arrived(conn) {
@@ -282,25 +282,25 @@
 		t.Fatal(err)
 	}
 	r.recover([]*spool.Record{single("two")}, nil)
-	r.turn()
-	if out := r.records["two"].trips; len(out) != 1 || out[0].call.exchange.sent {
+	r.step()
+	if out := r.messages["two"].attempts; len(out) != 1 || out[0].call.exchange.sent {
 		t.Fatalf("%d trips; written to what had ended", len(out))
 	}
 	goOn()
-	r.take(until(t, r, func(e linkUp) bool { return toEndpoint(e.on) }))
+	r.dispatch(until(t, r, func(e linkUp) bool { return toEndpoint(e.on) }))
 	io.WriteString(called(t, l), okAnswer)
-	r.take(until(t, r, func(e linkAnswer) bool { return toEndpoint(e.on) }))
-	if r.turn(); r.records["two"] != nil {
+	r.dispatch(until(t, r, func(e linkAnswer) bool { return toEndpoint(e.on) }))
+	if r.step(); r.messages["two"] != nil {
 		t.Error("not delivered")
 	}
 }
 
-// TestAnAnswerThatCrossesItsTime. Failure: an answer that lay at the router, untaken, as the time for it ran out, or as its trip was called
-// off, passed for none; a delivered record was sent again, or given up.
+// TestAnAnswerThatCrossesItsTime. Failure: an answer that lay at the router, untaken, as the time for it ran out, or as its attempt was called
+// off, passed for none; a delivered message was sent again, or given up.
 func TestAnAnswerThatCrossesItsTime(t *testing.T) {
-	for name, cross := range map[string]func(r *Router, tr *trip){
-		"overdue":    func(r *Router, tr *trip) { r.overdue(tr) },
-		"called off": func(r *Router, tr *trip) { r.cancel(logic.Cancel{Record: "one"}) },
+	for name, cross := range map[string]func(r *Router, attempt *attempt){
+		"overdue":    func(r *Router, attempt *attempt) { r.overdue(attempt) },
+		"called off": func(r *Router, attempt *attempt) { r.cancel(logic.Cancel{Record: "one"}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := open(t, 0)
@@ -308,12 +308,12 @@
 			r := byHand(t, w, single("one"))
 			io.WriteString(sent(t, r, l), okAnswer)
 			answer := until(t, r, func(e linkAnswer) bool { return toEndpoint(e.on) })
-			tr := r.records["one"].trips[0]
-			cross(r, tr)
-			if tr.over {
+			attempt := r.messages["one"].attempts[0]
+			cross(r, attempt)
+			if attempt.over {
 				t.Error("ended although its answer is here")
 			}
-			r.take(answer)
+			r.dispatch(answer)
 			if s, ok := r.events[len(r.events)-1].(logic.Settled); !ok || s.Outcome != logic.Done {
 				t.Errorf("ended as %+v", r.events)
 			}
@@ -322,7 +322,7 @@
 }
 
 // TestAnAnswerUnreadAtItsTime. Failure: an answer that lay in the socket as the time for it ran out passed for none. Where it is none, or
-// not whole, the trip ends a moment later, whatever comes on and on.
+// not whole, the attempt ends a moment later, whatever comes on and on.
 func TestAnAnswerUnreadAtItsTime(t *testing.T) {
 	for name, c := range map[string]struct {
 		bytes string
@@ -331,17 +331,17 @@
 		"whole": {okAnswer, logic.Done}, "its first line": {okAnswer[:17], logic.Done}, "half a line": {"HTTP/1.1 2", logic.Failure},
 		"nothing": {"", logic.TimedOut},
 	} {
-		for how, cross := range map[string]func(r *Router, tr *trip){
-			"overdue":    func(r *Router, tr *trip) { r.overdue(tr) },
-			"called off": func(r *Router, tr *trip) { r.cancel(logic.Cancel{Record: "one"}) },
+		for how, cross := range map[string]func(r *Router, attempt *attempt){
+			"overdue":    func(r *Router, attempt *attempt) { r.overdue(attempt) },
+			"called off": func(r *Router, attempt *attempt) { r.cancel(logic.Cancel{Record: "one"}) },
 		} {
 			t.Run(name+" "+how, func(t *testing.T) {
 				w := open(t, 0)
 				l := raw(t, w)
 				r := byHand(t, w, single("one"))
 				conn := sent(t, r, l)
-				tr := r.records["one"].trips[0]
-				for tr.call.exchange.link.conn.Stirs() { // its handler may still be telling that it is up
+				attempt := r.messages["one"].attempts[0]
+				for attempt.call.exchange.link.conn.Stirs() { // its handler may still be telling that it is up
 					time.Sleep(100 * time.Microsecond)
 				}
 				goOn := stop(t, r)
@@ -350,8 +350,8 @@
 					t.Fatal("it never arrived")
 				}
 				r.events, r.now = nil, r.clock()
-				if cross(r, tr); tr.over != (c.bytes == "") {
-					t.Fatalf("over %v at its time", tr.over)
+				if cross(r, attempt); attempt.over != (c.bytes == "") {
+					t.Fatalf("over %v at its time", attempt.over)
 				}
 				goOn()
 				want := c.want
@@ -371,11 +371,11 @@
 					case linkBegun:
 						read = toEndpoint(e.on)
 					}
-					r.take(what)
+					r.dispatch(what)
 				}
 				for range 3 { // as what has begun may take a moment too
-					if r.now = max(r.clock(), tr.limit); !tr.over {
-						r.overdue(tr)
+					if r.now = max(r.clock(), attempt.limit); !attempt.over {
+						r.overdue(attempt)
 					}
 				}
 				for _, e := range r.events {
@@ -400,13 +400,13 @@
 	if !port.Arrived(conn) {
 		t.Fatal("it never arrived")
 	}
-	tr := r.records["one"].trips[0]
-	r.now = tr.limit
-	if r.overdue(tr); tr.over || tr.limit != r.now+lastLook {
-		t.Fatalf("over %v, waited for %d us longer", tr.over, tr.limit-r.now)
+	attempt := r.messages["one"].attempts[0]
+	r.now = attempt.limit
+	if r.overdue(attempt); attempt.over || attempt.limit != r.now+recheckAfter {
+		t.Fatalf("over %v, waited for %d us longer", attempt.over, attempt.limit-r.now)
 	}
-	r.now = tr.limit
-	if r.overdue(tr); !tr.over {
+	r.now = attempt.limit
+	if r.overdue(attempt); !attempt.over {
 		t.Error("waited for on and on")
 	}
 }
@@ -416,7 +416,7 @@
 	w := open(t, 0)
 	l := raw(t, w)
 	r := byHand(t, w, single("one"))
-	r.turn()
+	r.step()
 	up := until(t, r, func(e linkUp) bool { return toEndpoint(e.on) })
 	conn, err := l.AcceptTCP()
 	if err != nil {
@@ -425,11 +425,11 @@
 	defer conn.Close()
 	io.WriteString(conn, okAnswer)
 	down := until(t, r, func(e linkDown) bool { return toEndpoint(e.on) })
-	r.take(up)
+	r.dispatch(up)
 	if !errors.Is(down.err, errUnasked) {
 		t.Errorf("ended by %v", down.err)
 	}
-	r.take(down)
+	r.dispatch(down)
 	if rec := onDisk(t, r, "one"); len(rec.Trips) != 1 || rec.Trips[0].Outcome != "unreachable" {
 		t.Errorf("a restart would find %+v", rec.Trips)
 	}
@@ -437,7 +437,7 @@
 	if n, _ := conn.Read(make([]byte, 1)); n > 0 {
 		t.Error("the call was written all the same")
 	}
-	if r.turn(); r.records["one"] == nil || r.records["one"].ended {
+	if r.step(); r.messages["one"] == nil || r.messages["one"].ended {
 		t.Error("given up, though it never ran")
 	}
 }
@@ -447,13 +447,13 @@
 	w := open(t, 0)
 	l := raw(t, w)
 	r := byHand(t, w, single("one"))
-	r.turn()
+	r.step()
 	up := until(t, r, func(e linkUp) bool { return toEndpoint(e.on) })
 	r.spool.Close()
-	r.take(up)
-	tr := r.records["one"].trips[0]
-	if !tr.over || tr.call.exchange.sent {
-		t.Errorf("over %v, sent %v", tr.over, tr.call.exchange.sent)
+	r.dispatch(up)
+	attempt := r.messages["one"].attempts[0]
+	if !attempt.over || attempt.call.exchange.sent {
+		t.Errorf("over %v, sent %v", attempt.over, attempt.call.exchange.sent)
 	}
 	conn, err := l.AcceptTCP()
 	if err != nil {
@@ -467,11 +467,11 @@
 	}
 }
 
-// TestHandedInTwiceAtOnce. Failure: a request sent again over a new connection in the turn that took it on was promised what went with
-// the first connection as that ended, or what was refused in that turn.
+// TestHandedInTwiceAtOnce. Failure: a request sent again over a new connection in the step that accepted it was promised what went with
+// the first connection as that ended, or what was refused in that step.
 func TestHandedInTwiceAtOnce(t *testing.T) {
 	for name, c := range map[string]struct {
-		gone  int // whose connection ends before the turn, 0 for nobody's
+		gone  int // whose connection ends before the step, 0 for nobody's
 		busy  bool
 		want  string // for whoever stays
 		keeps bool
@@ -487,22 +487,22 @@
 			first, second := visit(t, r), visit(t, r)
 			one := first.asks(t, r, "one")
 			two := second.asks(t, r, "one")
-			r.take(one)
-			r.take(two)
+			r.dispatch(one)
+			r.dispatch(two)
 			stay := []*visitor{first, second}
 			if c.gone > 0 {
 				stay[c.gone-1].SetLinger(0)
 				stay[c.gone-1].Close()
 				from := []commands{one, two}[c.gone-1].from
-				for gone := false; !gone; { // no turn in between
+				for gone := false; !gone; { // no step in between
 					what := <-r.inbox
 					e, ok := what.(clientGone)
 					gone = ok && e.from == from
-					r.take(what)
+					r.dispatch(what)
 				}
 				stay = []*visitor{stay[2-c.gone]}
 			}
-			r.turn()
+			r.step()
 			for _, v := range stay {
 				if got := v.reply(); got != c.want {
 					t.Errorf("told %q", got)
@@ -515,7 +515,7 @@
 	}
 }
 
-// refusing are decisions that bounce whatever is taken on.
+// refusing are decisions that reject whatever is accepted.
 type refusing struct{}
 
 func (refusing) Handle(_ logic.Micros, events []logic.Event) (actions []logic.Action) {
@@ -533,32 +533,32 @@
 	first, second := visit(t, r), visit(t, r)
 	one, two := first.asks(t, r, "one"), second.asks(t, r, "one")
 	for _, e := range []any{one, two, clientGone{one.from}, clientGone{two.from}} {
-		r.take(e)
+		r.dispatch(e)
 	}
-	if r.turn(); onDisk(t, r, "one") != nil || r.records["one"] != nil {
+	if r.step(); onDisk(t, r, "one") != nil || r.messages["one"] != nil {
 		t.Error("still held")
 	}
 }
 
 // TestHandedInOnceMoreAfterItsEnd. Failure: a reset took away a reply that the socket had; the request came once more, was over by then, and
-// was taken on anew: a second effect.
+// was accepted anew: a second effect.
 func TestHandedInOnceMoreAfterItsEnd(t *testing.T) {
 	w := open(t, 0)
 	r := byHand(t, w)
 	first := visit(t, r)
-	r.take(first.asks(t, r, "one"))
-	r.turn()
+	r.dispatch(first.asks(t, r, "one"))
+	r.step()
 	first.SetLinger(0) // whatever reply it had is gone
 	first.Close()
-	for r.records["one"] != nil {
-		r.take(until(t, r, func(e linkAnswer) bool { return toEndpoint(e.on) }))
-		r.turn()
+	for r.messages["one"] != nil {
+		r.dispatch(until(t, r, func(e linkAnswer) bool { return toEndpoint(e.on) }))
+		r.step()
 	}
 	second := visit(t, r)
-	r.take(second.asks(t, r, "one"))
-	r.turn()
-	if got := second.reply(); got != "+OK" || r.records["one"] != nil {
-		t.Errorf("told %q, held again %v", got, r.records["one"] != nil)
+	r.dispatch(second.asks(t, r, "one"))
+	r.step()
+	if got := second.reply(); got != "+OK" || r.messages["one"] != nil {
+		t.Errorf("told %q, held again %v", got, r.messages["one"] != nil)
 	}
 	if began, _, _ := w.Seen("one"); began != 1 {
 		t.Errorf("%d calls", began)
@@ -569,7 +569,7 @@
 func TestEndsAreForgotten(t *testing.T) {
 	var o over
 	for i := range 3 * overMost {
-		o.add(&record{kept: &spool.Record{ID: fmt.Sprint(i)}, taken: 5}, 5)
+		o.add(&message{kept: &spool.Record{ID: fmt.Sprint(i)}, acceptedAt: 5}, 5)
 	}
 	if len(o.until) > overMost || len(o.order) > overMost || !o.has(logic.RecordID(fmt.Sprint(3*overMost-1)), 5) {
 		t.Errorf("%d ids, %d in order", len(o.until), len(o.order))
@@ -577,7 +577,7 @@
 	if o.has(logic.RecordID(fmt.Sprint(3*overMost-1)), 5+onceMore) {
 		t.Error("known for ever")
 	}
-	o.add(&record{kept: &spool.Record{ID: "late"}, taken: 5}, 5+onceMore)
+	o.add(&message{kept: &spool.Record{ID: "late"}, acceptedAt: 5}, 5+onceMore)
 	if len(o.until) > 0 || len(o.order) > 0 {
 		t.Errorf("%d ids are left", len(o.until))
 	}
@@ -588,8 +588,8 @@
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(100 * time.Microsecond) {
 		r.gather()
-		r.turn()
-		if r.done() {
+		r.step()
+		if r.mayExit() {
 			return true
 		}
 		if cross() {
@@ -665,19 +665,19 @@
 	v := visit(t, r)
 	r.now = r.clock()
 	r.partAt, r.endBy = r.now, r.now+hour
-	if r.done() {
+	if r.mayExit() {
 		t.Fatal("it ended")
 	}
 	if got := rests.reply(); got != io.EOF.Error() {
 		t.Errorf("the one at rest: %s", got)
 	}
-	r.take(v.asks(t, r, "one"))
-	r.turn()
+	r.dispatch(v.asks(t, r, "one"))
+	r.step()
 	if got := v.reply(); got != "+OK" {
 		t.Errorf("told %q", got)
 	}
 	for r.partAt < never {
-		if r.now = r.clock(); r.done() {
+		if r.now = r.clock(); r.mayExit() {
 			t.Fatal("it ended")
 		}
 		time.Sleep(time.Millisecond)
@@ -737,13 +737,13 @@
 		p.watch()
 		x := p.watching
 		for !x.sent {
-			r.take(<-r.inbox)
+			r.dispatch(<-r.inbox)
 		}
 		conn := called(t, l.(*net.TCPListener))
 		io.WriteString(conn, answer)
 		conn.Close()
 		for p.watching == x {
-			r.take(<-r.inbox)
+			r.dispatch(<-r.inbox)
 		}
 	}
 	const cut = "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"seq\":9,\"whole\":false,\"hosts\":["
@@ -771,21 +771,21 @@
 	ofDiscovery := func(l *link) bool { return !toEndpoint(l) }
 	r.platform.seq = 0
 	r.platform.watch()
-	r.take(until(t, r, func(e linkUp) bool { return ofDiscovery(e.on) }))
+	r.dispatch(until(t, r, func(e linkUp) bool { return ofDiscovery(e.on) }))
 	answer := until(t, r, func(e linkAnswer) bool { return ofDiscovery(e.on) })
 	if _, err := w.Move(); err != nil {
 		t.Fatal(err)
 	}
 	next := *r.dep
 	next.Discovery = w.Discovery
-	r.take(&next)
+	r.dispatch(&next)
 	watching := r.platform.watching
-	r.take(answer)
+	r.dispatch(answer)
 	if r.platform.watching != watching || watching == nil || watching.peer.addr != w.Discovery || r.platform.seq != 0 {
 		t.Errorf("watching %+v, version %d", r.platform.watching, r.platform.seq)
 	}
-	r.take(until(t, r, func(e linkUp) bool { return ofDiscovery(e.on) }))
-	r.take(until(t, r, func(e linkAnswer) bool { return ofDiscovery(e.on) }))
+	r.dispatch(until(t, r, func(e linkUp) bool { return ofDiscovery(e.on) }))
+	r.dispatch(until(t, r, func(e linkAnswer) bool { return ofDiscovery(e.on) }))
 	if r.platform.seq == 0 {
 		t.Error("the new one was not heard")
 	}
@@ -800,7 +800,7 @@
 	r.Reloaded(func(dep *config.Deployment) { told = dep })
 	next := *r.dep
 	next.Discovery = "127.0.0.1:9"
-	r.take(&next)
+	r.dispatch(&next)
 	if told == nil || told.Discovery != next.Discovery {
 		t.Errorf("the next router here begins with %+v", told)
 	}
@@ -826,11 +826,11 @@
 		}
 	}
 	io.WriteString(v, text[len(text)-1:])
-	r.take(until(t, r, func(commands) bool { return true }))
+	r.dispatch(until(t, r, func(commands) bool { return true }))
 	if r.clients.resting() {
 		t.Error("at rest before its reply")
 	}
-	r.turn()
+	r.step()
 	if got := v.reply(); got != "+OK" || !r.clients.resting() {
 		t.Errorf("told %q; at rest %v", got, r.clients.resting())
 	}
--- a/routing/fleet.go
+++ b/routing/fleet.go
@@ -5,8 +5,8 @@
 	"pineport/logic"
 )
 
-// Reckon has the decisions reckon with so many couriers from the next turn on. It never waits, and no turn waits for it:
-// whatever becomes of the fleet's membership, records flow.
+// Reckon has the decisions reckon with so many couriers from the next step on. It never waits, and no step waits for it:
+// whatever becomes of the fleet's membership, messages flow.
 func (r *Router) Reckon(couriers int) { r.couriers.Store(int64(couriers)) }
 
 // Parted has f give up this process's place in the fleet, at the instant at which another one takes over.
--- /dev/null
+++ b/routing/message.go
@@ -0,0 +1,109 @@
+package routing
+
+import (
+	"pineport/logic"
+	"pineport/protocol"
+	"pineport/spool"
+	"slices"
+)
+
+// message is a message that the courier has accepted, for as long as it is not ended or a call with it is still out.
+type message struct {
+	kept       *spool.Record // as the spool has it
+	waiting    []*reply      // until they are written; more than one where it was handed in again in the same step
+	acceptedAt logic.Micros  // or taken up again after a restart
+	attempts   []*attempt
+	out        int // attempts that are not over
+	ended      bool
+}
+
+// attempt is one try to deliver a message: a call to an endpoint, alone or together with attempts of other messages.
+type attempt struct {
+	message   *message
+	number    int // among the message's attempts, from 0
+	call      *call
+	sent      logic.Micros // when it was decided
+	limit     logic.Micros // when this side stops waiting
+	noted     bool         // in the spool
+	rechecked bool         // as it was to be given up, something had come
+	over      bool
+}
+
+// reply is the answer to one command, written in the order of the commands.
+type reply struct {
+	client  *client
+	message *message // accepted with it
+	text    string
+	close   bool
+}
+
+// accepted is what the decisions are told of a message that was accepted.
+func (r *Router) accepted(k *spool.Record) logic.Taken {
+	return logic.Taken{Record: logic.RecordID(k.ID), Dest: logic.DestID(k.Dest),
+		Workload: logic.WorkloadID(slices.Index(r.dep.Workloads, k.Workload)),
+		Party:    logic.PartyID(max(0, slices.Index(r.dep.Parties, k.Party))), Key: logic.Key(k.Key),
+		CutOff: logic.Micros(k.CutOff), Again: k.Again}
+}
+
+// How a message ended that was not delivered, as the spool has it.
+const (
+	storedRejected = "bounced"
+	storedFailed   = "terminated"
+)
+
+// undelivered is how a message ends that is not delivered.
+type undelivered struct {
+	reply   string // to a client that still waits for one
+	stored  string
+	againMs int64 // after so long its client may try again; 0 where that is left to the client
+	counted ending
+}
+
+// reject ends a message undelivered in a way that may be tried again, after the pause.
+func (r *Router) reject(id logic.RecordID, pause logic.Micros) {
+	againMs := int64((pause + 999) / 1000)
+	r.endUndelivered(id, undelivered{reply: protocol.ReplyBusy(againMs), stored: storedRejected, againMs: againMs, counted: rejected})
+}
+
+// fail ends a message undelivered for good: trying again might do harm.
+func (r *Router) fail(id logic.RecordID) {
+	r.endUndelivered(id, undelivered{reply: protocol.ReplyError("ERR terminated"), stored: storedFailed, counted: failed})
+}
+
+// endUndelivered tells the client how a message ended if it still waits for its reply, and else the platform.
+func (r *Router) endUndelivered(id logic.RecordID, how undelivered) {
+	message := r.messages[id]
+	if message == nil || message.ended {
+		return
+	}
+	message.ended = true
+	r.counters.ended()
+	r.count(message.kept.Workload, how.counted)
+	if len(message.waiting) > 0 {
+		for _, rep := range message.waiting {
+			rep.text = how.reply
+		}
+		r.check(r.spool.Forget(message.kept.ID))
+	} else {
+		r.clients.over.add(message, r.now)
+		r.check(r.spool.End(message.kept.ID, how.stored, how.againMs))
+		r.platform.tell(message.kept)
+	}
+	r.forget(message)
+}
+
+// finish ends a message for which nothing more is owed.
+func (r *Router) finish(message *message) {
+	if !message.ended {
+		message.ended = true
+		r.counters.ended()
+		r.check(r.spool.Forget(message.kept.ID))
+	}
+}
+
+// forget gives up what is held of a message that is ended, once no call with it is out.
+func (r *Router) forget(message *message) {
+	if message.ended && message.out == 0 {
+		delete(r.messages, logic.RecordID(message.kept.ID))
+	}
+}
--- a/routing/platform.go
+++ b/routing/platform.go
@@ -25,7 +25,7 @@
 	noticeSlack = 2 * 1000 * 1000
 	noticeCalls = 4                // out at once
 	noticeMost  = 64               // in one call
-	noticeLong  = 10 * 1000 * 1000 // after a record's time nobody asks for its end any more
+	noticeLong  = 10 * 1000 * 1000 // after a message's time nobody asks for its end any more
 )
 
 // owed is a notice that the platform has not confirmed.
@@ -97,7 +97,7 @@
 		p.r.log.Warn("watch failed", "fault", err, "cut", cut)
 		if cut { // it has begun to tell, and what it told counts
 			if list := protocol.ReadPart(part); list.Seq > p.seq {
-				p.r.news(list, logic.Partial)
+				p.r.applyListing(list, logic.Partial)
 			}
 			// Failure: a list that broke off each time was asked for thirty times a second.
 			p.askAt = p.r.now + min(logic.Micros(cutAgain)<<min(p.cuts, 8), askAgain)
@@ -115,9 +115,9 @@
 	case list.Seq < p.seq:
 		p.r.log.Warn("an older list left out", "seq", list.Seq, "held", p.seq)
 	case list.Whole:
-		p.r.news(list, logic.Complete)
+		p.r.applyListing(list, logic.Complete)
 	default:
-		p.r.news(list, logic.Partial)
+		p.r.applyListing(list, logic.Partial)
 	}
 	if list.Seq <= p.seq && p.r.now-p.askedAt < nothingNew {
 		p.askAt = p.r.now + nothingNew
@@ -153,10 +153,10 @@
 	p.calls, p.owed = nil, nil
 }
 
-// tell owes the platform the end of a record.
+// tell owes the platform the end of a message.
 func (p *platform) tell(k *spool.Record) {
 	p.owed = append(p.owed, &owed{until: logic.Micros(k.CutOff) + noticeLong,
-		notice: protocol.Notice{ID: k.ID, Bounced: k.Ended == bounced, AgainMs: k.AgainMs}})
+		notice: protocol.Notice{ID: k.ID, Bounced: k.Ended == storedRejected, AgainMs: k.AgainMs}})
 }
 
 func (p *platform) due() logic.Micros {
--- a/routing/upgrade.go
+++ b/routing/upgrade.go
@@ -33,19 +33,19 @@
 
 // upgrade is the other process of an upgrade: first a predecessor that handed all to this one, later a successor.
 type upgrade struct {
-	r           *Router
-	giver       *handover.Giver
-	release     func() // frees the folder
-	successor   *handover.Link
-	wanted      bool // the successor is ready, and nothing is handed over yet
-	giving      bool // between the two
-	handed      bool // the successor decides
-	regain      bool
-	predecessor *handover.Link
-	strangers   []*trip    // of the predecessor, to endpoints that are not listed any more
-	keptLore    logic.Lore // as it was handed over, and the waits told since
-	asks        map[int64]chan answer
-	asked       int64
+	r                *Router
+	giver            *handover.Giver
+	release          func() // frees the folder
+	successor        *handover.Link
+	wanted           bool // the successor is ready, and nothing is handed over yet
+	giving           bool // between the two
+	handed           bool // the successor decides
+	regain           bool
+	predecessor      *handover.Link
+	strangers        []*attempt // of the predecessor, to endpoints that are not listed any more
+	learnedAtHandoff logic.Lore // as it was handed over, and the waits told since
+	asks             map[int64]chan answer
+	asked            int64
 }
 
 func (u *upgrade) init(r *Router) {
@@ -69,8 +69,8 @@
 }
 
 func (u *upgrade) knocked(e knock) {
-	do, why := u.giver.Knocked(e.hello)
-	if do == handover.Refuse {
+	verdict, why := u.giver.Knocked(e.hello)
+	if verdict == handover.Refuse {
 		u.r.log.Warn("a new process is refused", "why", why)
 		e.link.Refuse(why)
 		return
@@ -95,11 +95,11 @@
 	u.wanted, u.giving = false, true
 	r := u.r
 	began := r.clock()
-	r.staff.open.Store(false)
+	r.operators.open.Store(false)
 	r.driver.Deafen()
 	for { // new connections wait for the successor now; those that rest close, and their clients come there
 		r.gather()
-		r.guarded()
+		r.guardedStep()
 		r.clients.sendAway()
 		if r.clients.resting() && len(r.inbox) == 0 || r.clock()-began > settleWithin {
 			break
@@ -108,12 +108,12 @@
 	}
 	u.recallUnsent()
 	state := u.state()
-	u.handed, u.keptLore = true, state.Lore
-	r.staff.keeper.Shut()
-	r.staff.partAt = r.now
-	if r.lore.keeper != nil {
-		r.lore.keeper.Close(lastWrite)
-		r.lore.keeper = nil
+	u.handed, u.learnedAtHandoff = true, state.Lore
+	r.operators.keeper.Shut()
+	r.operators.partAt = r.now
+	if r.learned.keeper != nil {
+		r.learned.keeper.Close(lastWrite)
+		r.learned.keeper = nil
 	}
 	r.platform.stop()
 	r.links.closeResting()
@@ -123,17 +123,17 @@
 	u.giver.Given()
 	u.giving = false
 	r.counters.held = 0
-	r.log.Info("handed over", "held", len(r.records), "out", len(r.flying), "clients", len(r.clients.all), "took", time.Duration(r.clock()-began)*time.Microsecond)
+	r.log.Info("handed over", "held", len(r.messages), "out", len(r.inFlight), "clients", len(r.clients.all), "took", time.Duration(r.clock()-began)*time.Microsecond)
 	debug.FreeOSMemory() // both processes have one limit
 }
 
 // recallUnsent takes back what waits for a connection: until that is up the successor may have heard that nothing may go there.
 func (u *upgrade) recallUnsent() {
-	for _, t := range slices.Clone(u.r.flying) {
-		if x := t.call.exchange; x != nil && !x.sent {
-			u.land(t)
+	for _, attempt := range slices.Clone(u.r.inFlight) {
+		if x := attempt.call.exchange; x != nil && !x.sent {
+			u.land(attempt)
 			u.r.links.abort(x)
-			u.r.outcome(t, logic.Void)
+			u.r.outcome(attempt, logic.Void)
 		}
 	}
 }
@@ -141,16 +141,16 @@
 // state is what the folder does not hold.
 func (u *upgrade) state() *handover.State {
 	r := u.r
-	s := &handover.State{Lore: r.fresh(), Seq: r.platform.seq, Waits: maps.Clone(r.waits), Gone: slices.Sorted(maps.Keys(r.staff.out)),
-		Away: r.staff.away()}
+	s := &handover.State{Lore: r.snapshotLearned(), Seq: r.platform.seq, Waits: maps.Clone(r.waits), Gone: slices.Sorted(maps.Keys(r.operators.out)),
+		Away: r.operators.away()}
 	if r.parted != nil {
 		s.Peers = r.parted()
 	}
 	for _, id := range slices.Sorted(maps.Keys(r.hosts)) {
 		s.Hosts = append(s.Hosts, r.hosts[id])
 	}
-	for _, t := range r.flying {
-		s.Out = append(s.Out, handover.Out{Record: t.rec.kept.ID, Trip: t.no, Limit: t.limit})
+	for _, attempt := range r.inFlight {
+		s.Out = append(s.Out, handover.Out{Record: attempt.message.kept.ID, Trip: attempt.number, Limit: attempt.limit})
 	}
 	return s
 }
@@ -161,33 +161,33 @@
 	s.Lore.At = min(s.Lore.At, r.now)
 	r.events = append(r.events, logic.Learned{Lore: s.Lore})
 	maps.Copy(r.waits, s.Waits)
-	if gone := slices.Sorted(maps.Keys(r.staff.out)); !slices.Equal(gone, s.Gone) {
-		r.staff.out = map[string]bool{}
+	if gone := slices.Sorted(maps.Keys(r.operators.out)); !slices.Equal(gone, s.Gone) {
+		r.operators.out = map[string]bool{}
 		for _, id := range s.Gone {
-			r.staff.out[id] = true
+			r.operators.out[id] = true
 		}
-		r.staff.turn++
-		if err := r.staff.keeper.Write(r.staff.turn, r.staff.out); err != nil {
+		r.operators.generation++
+		if err := r.operators.keeper.Write(r.operators.generation, r.operators.out); err != nil {
 			r.log.Error("who is out for maintenance cannot be written", "file", maintenance.Name, "fault", err)
 		}
 	}
 	if s.Away {
-		r.staff.send(true)
+		r.operators.send(true)
 	}
 }
 
-// adopt takes over a trip that the predecessor has out; where its endpoint is not listed any more, it is given up.
-func (u *upgrade) adopt(t *trip, limit logic.Micros) {
-	id := logic.EndpointID(t.rec.kept.Trips[t.no].Endpoint)
+// adopt takes over an attempt that the predecessor has out; where its endpoint is not listed any more, it is given up.
+func (u *upgrade) adopt(adopted *attempt, limit logic.Micros) {
+	id := logic.EndpointID(adopted.message.kept.Trips[adopted.number].Endpoint)
 	host, ok := u.r.hosts[id]
 	if !ok {
-		u.strangers = append(u.strangers, t)
+		u.strangers = append(u.strangers, adopted)
 		return
 	}
-	t.over, t.limit = false, limit+adoptSlack
-	t.call = &call{endpoint: id, host: host, trips: []*trip{t}, predecessor: true}
-	t.rec.out++
-	u.r.flying = append(u.r.flying, t)
+	adopted.over, adopted.limit = false, limit+adoptSlack
+	adopted.call = &call{endpoint: id, host: host, attempts: []*attempt{adopted}, predecessor: true}
+	adopted.message.out++
+	u.r.inFlight = append(u.r.inFlight, adopted)
 }
 
 // serving tells the predecessor that clients are taken here.
@@ -196,16 +196,16 @@
 		return
 	}
 	u.predecessor.Send(handover.Message{Serving: true})
-	for _, t := range u.strangers {
-		u.cancel(t)
+	for _, attempt := range u.strangers {
+		u.cancel(attempt)
 	}
 	u.strangers = nil
 }
 
-// cancel tells the predecessor that a trip is waited for no more.
-func (u *upgrade) cancel(t *trip) {
+// cancel tells the predecessor that an attempt is waited for no more.
+func (u *upgrade) cancel(attempt *attempt) {
 	if u.predecessor != nil {
-		u.predecessor.Send(handover.Message{Cancel: &handover.Out{Record: t.rec.kept.ID, Trip: t.no}})
+		u.predecessor.Send(handover.Message{Cancel: &handover.Out{Record: attempt.message.kept.ID, Trip: attempt.number}})
 	}
 }
 
@@ -221,19 +221,19 @@
 	u.predecessor.Send(handover.Message{Wait: w})
 }
 
-// echo tells the successor how a trip ended.
-func (u *upgrade) echo(t *trip, s logic.Settled) {
-	if t.over {
+// echo tells the successor how an attempt ended.
+func (u *upgrade) echo(attempt *attempt, s logic.Settled) {
+	if attempt.over {
 		return
 	}
-	u.land(t)
-	s.Record, s.Trip = logic.RecordID(t.rec.kept.ID), logic.TripNo(t.no)
+	u.land(attempt)
+	s.Record, s.Trip = logic.RecordID(attempt.message.kept.ID), logic.TripNo(attempt.number)
 	u.successor.Send(handover.Message{Settled: &s})
 }
 
-func (u *upgrade) land(t *trip) {
-	t.over = true
-	u.r.flying = slices.DeleteFunc(u.r.flying, func(o *trip) bool { return o == t })
+func (u *upgrade) land(landed *attempt) {
+	landed.over = true
+	u.r.inFlight = slices.DeleteFunc(u.r.inFlight, func(o *attempt) bool { return o == landed })
 }
 
 // ask hands what operators want to the successor, which decides.
@@ -278,25 +278,25 @@
 	r := u.r
 	switch {
 	case m.Settled != nil:
-		rec := r.records[m.Settled.Record]
-		if rec == nil || int(m.Settled.Trip) < 0 || int(m.Settled.Trip) >= len(rec.trips) {
+		message := r.messages[m.Settled.Record]
+		if message == nil || int(m.Settled.Trip) < 0 || int(m.Settled.Trip) >= len(message.attempts) {
 			return
 		}
-		t := rec.trips[m.Settled.Trip]
-		if t.call == nil || !t.call.predecessor {
+		attempt := message.attempts[m.Settled.Trip]
+		if attempt.call == nil || !attempt.call.predecessor {
 			return
 		}
 		s := *m.Settled
 		if s.Wait > 0 {
-			r.told(t.call.host, r.now+s.Wait)
+			r.keepWait(attempt.call.host, r.now+s.Wait)
 		}
-		r.settle(t, logic.Settled{Outcome: s.Outcome, Over: s.Over, Wait: s.Wait, Pressure: s.Pressure})
+		r.complete(attempt, logic.Settled{Outcome: s.Outcome, Over: s.Over, Wait: s.Wait, Pressure: s.Pressure})
 	case m.Ask != nil:
 		q, link := request{ops.Away{Away: m.Ask.Yes}, make(chan answer, 1)}, u.predecessor
 		if m.Ask.Endpoint != "" {
 			q.what = ops.Maintain{Endpoint: m.Ask.Endpoint, Out: m.Ask.Yes}
 		}
-		r.staff.asked(q)
+		r.operators.asked(q)
 		go func() { // the answer waits for the disk
 			a := handover.Answer{Number: m.Ask.Number}
 			if err := r.lasting(<-q.done); err != nil {
@@ -307,14 +307,14 @@
 	}
 }
 
-// orphaned: nobody will tell any more how the predecessor's trips ended; they may have run.
+// orphaned: nobody will tell any more how the predecessor's attempts ended; they may have run.
 func (u *upgrade) orphaned() {
 	u.predecessor = nil
 	lost := 0
-	for _, t := range slices.Clone(u.r.flying) {
-		if t.call.predecessor {
+	for _, attempt := range slices.Clone(u.r.inFlight) {
+		if attempt.call.predecessor {
 			lost++
-			u.r.settle(t, logic.Settled{Outcome: logic.Broken})
+			u.r.complete(attempt, logic.Settled{Outcome: logic.Broken})
 		}
 	}
 	u.r.log.Info("the process before this one has ended", "unheard", lost)
@@ -324,12 +324,12 @@
 	r := u.r
 	switch {
 	case m.Serving:
-		r.log.Info("another process serves", "out", len(r.flying))
+		r.log.Info("another process serves", "out", len(r.inFlight))
 	case m.Cancel != nil:
-		for _, t := range slices.Clone(r.flying) {
-			if t.rec.kept.ID == m.Cancel.Record && t.no == m.Cancel.Trip {
-				u.land(t)
-				r.drop(t.call)
+		for _, attempt := range slices.Clone(r.inFlight) {
+			if attempt.message.kept.ID == m.Cancel.Record && attempt.number == m.Cancel.Trip {
+				u.land(attempt)
+				r.drop(attempt.call)
 			}
 		}
 	case m.Wait != nil:
@@ -351,7 +351,7 @@
 }
 
 func (u *upgrade) keepWait(w handover.Wait) {
-	Waiting(&u.keptLore, &logic.Lore{Routes: []logic.RouteLore{{Dest: w.Dest, Endpoint: w.Endpoint, WaitTo: w.Until}}})
+	Waiting(&u.learnedAtHandoff, &logic.Lore{Routes: []logic.RouteLore{{Dest: w.Dest, Endpoint: w.Endpoint, WaitTo: w.Until}}})
 }
 
 // Waiting adds to what is known the waits of another: of each route the later one holds.
@@ -376,7 +376,7 @@
 	u.wanted = false
 	// Failure: a successor that left while all was made ready for it was given it even so, and nobody decided any more.
 	if u.giver.Lost() == handover.Regain || u.giving {
-		u.r.log.Error("the process that took over has gone: this one goes on", "out", len(u.r.flying))
+		u.r.log.Error("the process that took over has gone: this one goes on", "out", len(u.r.inFlight))
 		u.regain = true
 	}
 }
@@ -385,9 +385,9 @@
 func (r *Router) After(before *Router) {
 	r.counters.ends, r.counters.dispatches = before.counters.ends, before.counters.dispatches
 	r.counters.grow(len(r.dep.Workloads))
-	r.staff.reloads = before.staff.reloads
-	r.staff.faulty.Store(before.staff.faulty.Load())
+	r.operators.reloads = before.operators.reloads
+	r.operators.faulty.Store(before.operators.faulty.Load())
 }
 
-// Kept is what this process knew as it handed all over, for a router that goes on after its successor has gone.
-func (r *Router) Kept() *logic.Lore { return &r.upgrade.keptLore }
+// LearnedAtHandoff is what this process had learned as it handed all over, for a router that goes on after its successor has gone.
+func (r *Router) LearnedAtHandoff() *logic.Lore { return &r.upgrade.learnedAtHandoff }
