--- a/lab/scale/scale.go
+++ b/lab/scale/scale.go
@@ -108,24 +108,8 @@
 
 // Values are all pairs of a size and a figure recorded there, over the points whose other sizes are as given.
 func (r *Results) Values(figure, over string, where map[string]float64) (sizes, figures []float64) {
-	for _, point := range r.Points() {
-		if !matches(point.Sizes, where) {
-			continue
-		}
-		for _, value := range point.Values[figure] {
-			sizes, figures = append(sizes, point.Sizes[over]), append(figures, value)
-		}
-	}
-	return sizes, figures
-}
-
-func matches(sizes, where map[string]float64) bool {
-	for name, want := range where {
-		if sizes[name] != want {
-			return false
-		}
-	}
-	return true
+	run := slopes.Run{Points: r.Points()}
+	return run.Values(figure, over, where)
 }
 
 // Curve is a slope to be fitted.
@@ -152,7 +136,8 @@
 	}
 	different := slices.Compact(slices.Sorted(slices.Values(sizes)))
 	r.fits = append(r.fits, slopes.Slope{Name: name, About: curve.About, Unit: curve.Unit, Over: curve.Over,
-		From: different[0], To: different[len(different)-1], Points: len(different), Plays: r.plays, Fit: fit})
+		From: different[0], To: different[len(different)-1], Points: len(different), Plays: r.plays, Fit: fit,
+		Figure: curve.Figure, Where: curve.Where})
 	return nil
 }
 
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -45,6 +45,10 @@
 	if at := run.Slopes[0].At(1000); at < 1999 || at > 2001 {
 		t.Errorf("at 1000: %v", at)
 	}
+	slope := &run.Slopes[0]
+	if sizes, figures := run.Values(slope.Figure, slope.Over, slope.Where); len(sizes) != 9 || sizes[8] != 100 || figures[8] != 200 {
+		t.Errorf("points of the slope: %v, %v", sizes, figures)
+	}
 	quick, err := Run(context.Background(), doubling(), Options{Quick: true})
 	if err != nil || quick.Plays != 1 || len(quick.Slopes) != 0 {
 		t.Errorf("quick: %+v, %v", quick, err)
--- a/lab/slopes/slopes.go
+++ b/lab/slopes/slopes.go
@@ -64,6 +64,10 @@
 	Points int     `json:"points"`
 	Plays  int     `json:"plays"`
 	Fit    Fit     `json:"fit"`
+	// Figure and Where tell which values of the run's points the curve was fitted to: those of this name, at the points whose other
+	// sizes are these.
+	Figure string             `json:"figure"`
+	Where  map[string]float64 `json:"where,omitempty"`
 }
 
 // At carries the figure to a size.
@@ -72,6 +76,29 @@
 // Carried is how many times beyond the largest size measured a size lies; 1 and less is within.
 func (s *Slope) Carried(size float64) float64 { return size / s.To }
 
+// Values are all pairs of a size and a figure that a curve was fitted to, one for each play.
+func (r *Run) Values(figure, over string, where map[string]float64) (sizes, figures []float64) {
+	for _, point := range r.Points {
+		if !point.isAt(where) {
+			continue
+		}
+		for _, value := range point.Values[figure] {
+			sizes, figures = append(sizes, point.Sizes[over]), append(figures, value)
+		}
+	}
+	return sizes, figures
+}
+
+// isAt tells whether a point has these sizes, whatever its others are.
+func (p *Point) isAt(sizes map[string]float64) bool {
+	for name, want := range sizes {
+		if p.Sizes[name] != want {
+			return false
+		}
+	}
+	return true
+}
+
 // Find returns the slope of a name.
 func (m *Measured) Find(name string) (*Slope, *Run, bool) {
 	for i := range m.Runs {
