--- /dev/null
+++ b/lab/capacity/arithmetic_test.go
@@ -0,0 +1,145 @@
+package capacity
+
+import (
+	"math"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// TestArithmeticOfThePlan holds the arithmetic against figures worked out by hand from the sizes alone.
+func TestArithmeticOfThePlan(t *testing.T) {
+	plan := planned(t)
+	d := Derive(plan)
+	for what, pair := range map[string][2]float64{
+		"events a courier":         {d.EventsPerCourier, 354.5},
+		"held a courier":           {d.HeldPerCourier, 17.27e6},
+		"down":                     {d.DestinationsDown, 172_800},
+		"events a destination":     {d.EventsPerDestination, 1.0833},
+		"meeting":                  {d.MeetingSeconds, 2.82 * 3600},
+		"five failures":            {d.FiveFailuresSeconds, 14.1 * 3600},
+		"opening":                  {d.OpeningSeconds, 16.92 * 3600},
+		"zone":                     {d.CouriersPerZone, 440},
+		"region":                   {d.CouriersPerRegion, 1100},
+		"control":                  {d.CouriersPerControl, 314.3},
+		"changes":                  {d.ChangesPerSecond, 0.6713},
+		"waiting":                  {d.ChangesWaitingAfterCut, 2417},
+		"lately called":            {d.RoutesLately, 42_295},
+		"backlog of a destination": {d.BacklogPerDestination, 1.0995e6},
+		"gone words":               {d.GoneWordsPerDay, 308_000},
+	} {
+		if math.Abs(pair[0]/pair[1]-1) > 1e-3 {
+			t.Errorf("%s: %v, not %v", what, pair[0], pair[1])
+		}
+	}
+}
+
+// TestStatedArithmetic: what was done by hand agrees, but for the half day until five failures.
+func TestStatedArithmetic(t *testing.T) {
+	plan := planned(t)
+	d := Derive(plan)
+	checked := Check(plan, &d)
+	if len(checked) != 10 {
+		t.Fatalf("%d stated figures, not 10: %+v", len(checked), checked)
+	}
+	for _, c := range checked {
+		if c.Agrees == (c.Key == "five_failures_s") {
+			t.Errorf("%s: stated %v, worked out %v, agrees: %v", c.Key, c.Stated, c.Worked, c.Agrees)
+		}
+	}
+	plan.Stated = Stated{CouriersPerZone: 380}
+	if checked = Check(plan, &d); len(checked) != 1 || checked[0].Agrees || math.Abs(checked[0].Off+60.0/440) > 1e-9 {
+		t.Errorf("380 couriers a zone: %+v", checked)
+	}
+}
+
+func TestStatedKeysAreFigures(t *testing.T) {
+	figures := figuresOf(&Derived{})
+	for _, key := range Keys() {
+		if name, isStated := statedName(key); isStated {
+			if figure, found := figures[name]; !found || figure.Unit != key.Unit {
+				t.Errorf("%s: the arithmetic has %+v", key.Path, figure)
+			}
+		}
+	}
+}
+
+// TestAssumedFiguresAreSeen: what rests on an assumed figure says so, and nothing else does.
+func TestAssumedFiguresAreSeen(t *testing.T) {
+	plan := planned(t)
+	drain := assumedBehind(plan, func(_ *Plan, d *Derived) float64 { return d.DrainSeconds })
+	if len(drain) != 1 || drain[0] != "traffic.headroom" {
+		t.Errorf("the drain rests on %v", drain)
+	}
+	if stated := assumedBehind(plan, heldMessages.At); len(stated) != 0 {
+		t.Errorf("messages held rest on %v", stated)
+	}
+}
+
+// TestConstantsOfTheCode holds figures that this package repeats against the code that has them: they are not exported there.
+func TestConstantsOfTheCode(t *testing.T) {
+	type constant struct {
+		file, pattern string
+		figure        float64
+	}
+	all := []constant{
+		{"logic/logic.go", `idleAfter\s+= (\d+) \* second`, idleAfter},
+		{"peers/gossip/gossip.go", `ticks\s+= (\d+)\s`, gossipTicks},
+		{"routing/platform.go", `watchWait\s+= (\d+) \* 1000 \* 1000`, watchSeconds},
+		{"cmd/pineport/fleet.go", `Beat: min\(o\.Pace/(\d+), beatMost\)`, sharingBeats},
+		{"routing/router.go", `const late = (\d+) \* 1000`, 1000 * planned(t).Budget.Courier.StepSeconds},
+	}
+	bounds := 0
+	for _, row := range Rows() {
+		if bound := row.CodeBound; bound != nil {
+			all = append(all, constant{bound.File, bound.Name + `(?:\s+=|:) (\d+)`, bound.Figure})
+			bounds++
+		}
+	}
+	if bounds != 3 {
+		t.Errorf("%d bounds of the code, not 3", bounds)
+	}
+	for _, c := range all {
+		text, err := os.ReadFile(filepath.Join("../..", c.file))
+		if err != nil {
+			t.Fatal(err)
+		}
+		found := regexp.MustCompile(c.pattern).FindStringSubmatch(string(text))
+		if found == nil {
+			t.Errorf("%s: nothing matches %s", c.file, c.pattern)
+			continue
+		}
+		if figure, _ := strconv.ParseFloat(found[1], 64); figure != c.figure {
+			t.Errorf("%s: %s is %v there, %v here", c.file, c.pattern, figure, c.figure)
+		}
+	}
+}
+
+// TestPromisesAreHeld: the tests that a promise names are there, and so are the pages.
+func TestPromisesAreHeld(t *testing.T) {
+	for _, promise := range Promises() {
+		if _, err := os.Stat(filepath.Join("../..", promise.Page)); err != nil {
+			t.Errorf("%s: %v", promise.Piece, err)
+		}
+		files, err := filepath.Glob(filepath.Join("../..", promise.Package, "*_test.go"))
+		if err != nil || len(files) == 0 || len(promise.ShownBy) == 0 {
+			t.Errorf("%s: no tests in %s: %v", promise.Piece, promise.Package, err)
+		}
+		var text strings.Builder
+		for _, file := range files {
+			source, err := os.ReadFile(file)
+			if err != nil {
+				t.Fatal(err)
+			}
+			text.Write(source)
+		}
+		for _, name := range promise.ShownBy {
+			if !strings.Contains(text.String(), "func "+name+"(t *testing.T)") {
+				t.Errorf("%s: no test of %s is called %s", promise.Piece, promise.Package, name)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/lab/capacity/figures.go
@@ -0,0 +1,33 @@
+package capacity
+
+import (
+	"reflect"
+	"strings"
+)
+
+// Figure is one figure of the arithmetic with what it is.
+type Figure struct {
+	Name, Doc, Unit string
+	Value           float64
+}
+
+// Figures are all figures of the arithmetic, in order.
+func (d *Derived) Figures() (all []Figure) {
+	value := reflect.ValueOf(d).Elem()
+	for i := range value.NumField() {
+		tag := value.Type().Field(i).Tag
+		all = append(all, Figure{Name: tag.Get("json"), Doc: tag.Get("doc"), Unit: tag.Get("unit"), Value: value.Field(i).Float()})
+	}
+	return all
+}
+
+func figuresOf(d *Derived) map[string]Figure {
+	all := map[string]Figure{}
+	for _, figure := range d.Figures() {
+		all[figure.Name] = figure
+	}
+	return all
+}
+
+// statedName is the figure of the arithmetic that a key of the plan's table "stated" tells by hand.
+func statedName(key Key) (name string, ok bool) { return strings.CutPrefix(key.Path, "stated.") }
--- /dev/null
+++ b/lab/capacity/rows_courier.go
@@ -0,0 +1,189 @@
+package capacity
+
+// one is a row of one slope.
+func one(slope, unit string, over Size, times func(*Plan, *Derived) float64) []Part {
+	return []Part{{Slope: slope, Unit: unit, Over: over, Times: times}}
+}
+
+// courierRows are what one courier has to carry. Slopes of the run held are taken where many destinations are down, as at the planned
+// size a courier holds messages for nearly all of them.
+func courierRows() []Row {
+	var all []Row
+	all = append(all, heldRows()...)
+	all = append(all, outageRows()...)
+	all = append(all, listRows()...)
+	all = append(all, membershipRows()...)
+	all = append(all, sharingRows()...)
+	all = append(all, controlSums()...)
+	return append(all, connectionRows()...)
+}
+
+// Packages that carry rows.
+const (
+	decisions     = "logic"
+	decisionsList = "logic, routing"
+	spoolPackage  = "spool"
+	membershipPkg = "peers/view, peers/gossip"
+	sharingPkg    = "commons, commons/exchange"
+	routerPkg     = "routing, transport"
+)
+
+// batched says why a full core does not break the main job yet.
+const batched = "a step takes in all that came meanwhile, so a core that is never idle delays and does not yet break; the length of a step is what breaks"
+
+func heldRows() []Row {
+	step := one("held.step.many", "s", heldMessages, nil)
+	memory := func(slope string) Part { return Part{Slope: slope, Unit: "bytes", Over: heldMessages} }
+	return []Row{
+		{Role: RoleCourier, Resource: State, What: "messages held", Unit: "events", Worked: heldMessages.At,
+			Mechanism: HeldMemory, Package: "logic, routing, spool", Standing: RunsToday},
+		{Role: RoleCourier, Resource: Latency, What: "one step of the decisions, nothing due", Unit: "s", Parts: step, Budget: stepSeconds,
+			Mechanism: HeldWork, Package: decisions, Standing: RunsToday},
+		{Role: RoleCourier, Resource: Latency, What: "one step in which a message comes and goes", Unit: "s",
+			Parts: one("held.step_arrival.many", "s", heldMessages, nil), Budget: stepSeconds, Mechanism: HeldWork, Package: decisions, Standing: RunsToday},
+		{Role: RoleCourier, Resource: Latency, What: "the same, where few destinations are down", Unit: "s",
+			Parts: one("held.step_arrival.few", "s", heldMessages, nil), Budget: stepSeconds, Mechanism: HeldWork, Package: decisions, Standing: RunsToday},
+		{Role: RoleCourier, Resource: Processor, What: "decisions, were there a step for each message", Unit: "cores",
+			Parts: one("held.step_arrival.many", "s", heldMessages, eachEvent), Budget: courierCores, Mechanism: HeldWork, Package: decisions,
+			Standing: RunsToday, Told: batched},
+		{Role: RoleCourier, Resource: Memory, What: "messages held, in the decisions", Unit: "bytes", Parts: []Part{memory("held.module.many")},
+			Budget: courierMemory, Mechanism: HeldMemory, Package: decisions, Standing: RunsToday},
+		{Role: RoleCourier, Resource: Memory, What: "messages held, in the router", Unit: "bytes", Parts: []Part{memory("held.router.many")},
+			Budget: courierMemory, Mechanism: HeldMemory, Package: "routing", Standing: RunsToday},
+		{Role: RoleCourier, Resource: Memory, What: "messages held, in the spool", Unit: "bytes", Parts: []Part{memory("held.spool_memory.many")},
+			Budget: courierMemory, Mechanism: HeldMemory, Package: spoolPackage, Standing: RunsToday},
+		{Role: RoleCourier, Resource: Memory, What: "messages held, all together", Unit: "bytes",
+			Parts:  []Part{memory("held.module.many"), memory("held.router.many"), memory("held.spool_memory.many")},
+			Budget: courierMemory, Mechanism: HeldMemory, Package: "logic, routing, spool", Standing: RunsToday},
+		{Role: RoleCourier, Resource: Disk, What: "messages held, in the folder", Unit: "bytes", Parts: one("held.spool_disk.many", "bytes", heldMessages, nil),
+			Budget: courierDisk, Mechanism: HeldMemory, Package: spoolPackage, Standing: RunsToday},
+		{Role: RoleCourier, Resource: Latency, What: "a restart until the first step is over", Unit: "s",
+			Parts: one("held.restart.many", "s", heldMessages, nil), Budget: readySeconds, Mechanism: HeldRestart, Package: "spool, routing, logic", Standing: RunsToday},
+	}
+}
+
+func outageRows() []Row {
+	return []Row{
+		{Role: RoleCourier, Resource: Calls, What: "calls into an outage for each message that it holds up, all couriers", Unit: "calls",
+			Parts: one("outage.calls_per_message", "calls", fleetCouriers, nil), Budget: callsEach, Mechanism: OutageAlone, Package: decisions, Standing: RunsToday},
+		{Role: RoleCourier, Resource: Latency, What: "until an outage is parked by all who send there", Unit: "s",
+			Parts: one("outage.parked_seconds", "s", fleetCouriers, nil), Budget: parkedSeconds, Mechanism: OutageAlone, Package: decisions, Standing: RunsToday},
+	}
+}
+
+func listRows() []Row {
+	list := func(what string, resource Resource, slope, unit string) Row {
+		return Row{Role: RoleCourier, Resource: resource, What: what, Unit: unit, Parts: one(slope, unit, knownDestinations, nil),
+			Mechanism: FullList, Package: decisionsList, Standing: RunsToday}
+	}
+	memory := list("destinations known", Memory, "destinations.bytes", "bytes")
+	memory.Budget = controlMemory
+	first := list("the first list, from its coming to the end of the step", Latency, "destinations.first_list", "s")
+	first.Budget = readySeconds
+	again := list("a whole list again", Latency, "destinations.list_again", "s")
+	again.Budget = stepSeconds
+	change := list("one change of the list: no message moves on meanwhile", Latency, "destinations.change", "s")
+	change.Budget = stepSeconds
+	busy := Row{Role: RoleCourier, Resource: Processor, What: "changes of the list, as often as they are planned", Unit: "cores",
+		Parts: one("destinations.change", "s", knownDestinations, eachChange), Budget: controlCores, Mechanism: FullList, Package: decisionsList,
+		Standing: RunsToday}
+	idle := list("a step of an idle courier", Latency, "destinations.step", "s")
+	idle.Budget = stepSeconds
+	known := Row{Role: RoleCourier, Resource: State, What: "destinations known", Unit: "destinations", Worked: knownDestinations.At,
+		Mechanism: FullList, Package: decisionsList, Standing: RunsToday}
+	return []Row{known, memory, first, again, change, busy, idle}
+}
+
+// lookedAtRarely says why the view's picture has no budget of its own.
+const lookedAtRarely = "drawn when an operator or the beat of sharing asks"
+
+func membershipRows() []Row {
+	member := func(resource Resource, what, slope, unit string, budget func(*Plan) Budget) Row {
+		return Row{Role: RoleCourier, Resource: resource, What: what, Unit: unit, Parts: one(slope, unit, fleetMembers, nil), Budget: budget,
+			Mechanism: Membership, Package: membershipPkg, Standing: Hollow}
+	}
+	view := func(resource Resource, what, slope, unit string, times func(*Plan, *Derived) float64, budget func(*Plan) Budget) Row {
+		row := member(resource, what, slope, unit, budget)
+		row.Parts = []Part{{Slope: slope, Unit: unit, Over: viewNames, Times: times}}
+		return row
+	}
+	tick := view(Processor, "ticks of the view", "couriers.view.tick", "s", ticksPerSecond, controlCores)
+	tick.Unit = "cores"
+	look := view(Latency, "one picture of the view", "couriers.view.look", "s", nil, nil)
+	look.Told = lookedAtRarely
+	return []Row{
+		{Role: RoleCourier, Resource: Bound, What: "members that a view keeps by name; the failed beyond are counted on", Unit: "couriers",
+			Worked: fleetMembers.At, CodeBound: &CodeBound{"mostNames", "peers/view/view.go", 4096}, Mechanism: Membership, Package: "peers/view", Standing: RunsToday},
+		{Role: RoleCourier, Resource: Bound, What: "starts that a full exchange tells; a larger one is refused whole", Unit: "couriers",
+			Worked: fleetMembers.At, CodeBound: &CodeBound{"MaxMapPairs", "peers/gossip/gossip.go", 8192}, Mechanism: Membership, Package: "peers/gossip", Standing: RunsToday},
+		member(Messages, "packets of membership sent", "couriers.packets", "packets/s", nil),
+		member(Bytes, "packets of membership", "couriers.packet_bytes", "bytes/s", controlBytes),
+		member(Bytes, "full exchanges of membership", "couriers.exchange_bytes", "bytes/s", controlBytes),
+		member(Bytes, "one full exchange", "couriers.exchange_size", "bytes", nil),
+		member(Processor, "membership", "couriers.processor", "cores", controlCores),
+		tick,
+		view(Latency, "one word of the detector, taken in", "couriers.view.word", "s", nil, nil),
+		look,
+		member(Memory, "membership", "couriers.heap", "bytes", controlMemory),
+	}
+}
+
+func sharingRows() []Row {
+	share := func(resource Resource, what, slope, unit string, over Size, budget func(*Plan) Budget) Row {
+		return Row{Role: RoleCourier, Resource: resource, What: what, Unit: unit, Parts: one(slope, unit, over, nil), Budget: budget,
+			Mechanism: Sharing, Package: sharingPkg, Standing: Hollow}
+	}
+	beats := share(Processor, "beats of sharing, over the routes in use", "sharing.beat_seconds.routes_over_room", "s", sharedRoutes, controlCores)
+	beats.Unit, beats.Parts[0].Times = "cores", beatsPerSecond
+	heard := share(Processor, "beats of sharing, over the others that are heard", "sharing.beat_seconds.heard_over_room", "s", othersHeard, controlCores)
+	heard.Unit, heard.Parts[0].Times = "cores", beatsPerSecond
+	return []Row{
+		{Role: RoleCourier, Resource: Bound, What: "routes whose limits are shared, of those called within two minutes; others are left out", Unit: "routes",
+			Worked: sharedRoutes.At, CodeBound: &CodeBound{"mostKeys", "commons/commons.go", 1024}, Mechanism: Sharing, Package: "commons", Standing: RunsToday},
+		beats, heard,
+		share(Processor, "sharing of ten limits in a whole fleet", "sharing.cores", "cores", fleetCouriers, controlCores),
+		share(Memory, "sharing, over the routes in use", "sharing.kept_bytes.routes_over_room", "bytes", sharedRoutes, controlMemory),
+		share(Memory, "sharing, over the others that are heard", "sharing.kept_bytes.heard_over_room", "bytes", othersHeard, controlMemory),
+		share(Messages, "packets of sharing sent", "sharing.packets_per_second", "packets/s", fleetCouriers, nil),
+		share(Bytes, "packets of sharing", "sharing.bytes_per_second", "bytes/s", fleetCouriers, controlBytes),
+		share(Processor, "one packet of sharing, read and taken in", "sharing.hear_seconds.heard_over_room", "s", othersHeard, nil),
+		share(State, "couriers of whose use of a limit one knows", "sharing.heard_couriers", "couriers", fleetCouriers, nil),
+		share(State, "load of a limit that the decisions are told, over the true one", "sharing.told_ratio", "ratio", fleetCouriers, nil),
+		share(State, "others of whose use a courier knows, of all", "sharing.heard_ratio", "ratio", fleetCouriers, nil),
+	}
+}
+
+// summed says why sums take no part in the choice.
+const summed = "a sum over mechanisms; each stands for itself in the choice"
+
+func controlSums() []Row {
+	return []Row{
+		{Role: RoleCourier, Resource: Processor, What: "control, all together: membership, sharing, changes of the list", Unit: "cores", Parts: []Part{
+			{Slope: "couriers.processor", Unit: "cores", Over: fleetMembers},
+			{Slope: "sharing.cores", Unit: "cores", Over: fleetCouriers},
+			{Slope: "destinations.change", Unit: "s", Over: knownDestinations, Times: eachChange},
+		}, Budget: controlCores, Package: "peers, commons, logic", Standing: Hollow, Told: summed},
+		{Role: RoleCourier, Resource: Memory, What: "control, all together: membership, sharing, the list", Unit: "bytes", Parts: []Part{
+			{Slope: "couriers.heap", Unit: "bytes", Over: fleetMembers},
+			{Slope: "sharing.kept_bytes.routes_over_room", Unit: "bytes", Over: sharedRoutes},
+			{Slope: "destinations.bytes", Unit: "bytes", Over: knownDestinations},
+		}, Budget: controlMemory, Package: "peers, commons, logic", Standing: Hollow, Told: summed},
+		{Role: RoleCourier, Resource: Bytes, What: "control, all together: membership and sharing; the list as discovery sends it is not in it", Unit: "bytes/s", Parts: []Part{
+			{Slope: "couriers.packet_bytes", Unit: "bytes/s", Over: fleetMembers},
+			{Slope: "couriers.exchange_bytes", Unit: "bytes/s", Over: fleetMembers},
+			{Slope: "sharing.bytes_per_second", Unit: "bytes/s", Over: fleetCouriers},
+		}, Budget: controlBytes, Package: "peers, commons", Standing: Hollow, Told: summed},
+	}
+}
+
+func connectionRows() []Row {
+	return []Row{
+		{Role: RoleCourier, Resource: Messages, What: "messages taken", Unit: "events/s", Worked: eachEvent,
+			Mechanism: Connections, Package: routerPkg, Standing: RunsToday},
+		{Role: RoleCourier, Resource: Descriptors, What: "calls under way and connections that rest", Unit: "descriptors",
+			Worked: func(_ *Plan, d *Derived) float64 { return d.CallsOut + d.IdleConnections }, Budget: descriptors,
+			Mechanism: Connections, Package: routerPkg, Standing: RunsToday},
+		{Role: RoleCourier, Resource: Processor, What: "taking, parsing, writing and calling, sockets included", Unit: "cores",
+			None: "no scale run has sockets; the standing test times them at a few couriers", Mechanism: Connections, Package: routerPkg, Standing: RunsToday},
+	}
+}
