--- a/lab/capacity/arithmetic_test.go
+++ b/lab/capacity/arithmetic_test.go
@@ -118,6 +118,40 @@
 	}
 }
 
+// TestOutageIsPlayedAsTakenFor holds what this package takes of the run outage against that run, as soon as either is there.
+func TestOutageIsPlayedAsTakenFor(t *testing.T) {
+	const run = "../scale/outage.go"
+	if !exists(t, run) {
+		if exists(t, measuredFile) {
+			t.Errorf("slopes are measured, and there is no %s to hold its figures against", run)
+		}
+		t.Log("the run is not there yet, and nothing is measured")
+		return
+	}
+	text, err := os.ReadFile(run)
+	if err != nil {
+		t.Fatal(err)
+	}
+	figure := func(name string) float64 {
+		t.Helper()
+		found := regexp.MustCompile(name + `\s+= ([\d.]+)\s`).FindStringSubmatch(string(text))
+		if found == nil {
+			t.Fatalf("%s: no constant %s", run, name)
+		}
+		value, err := strconv.ParseFloat(found[1], 64)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return value
+	}
+	if rate := figure("outageTraffic") / figure("outageDestinations"); rate != outageRate {
+		t.Errorf("%v messages a second for one destination there, %v here", rate, outageRate)
+	}
+	if down, lasts := figure("outageDown"), figure("outageLasts"); down != outageDown || lasts != outageSeconds {
+		t.Errorf("%v destinations down for %v s there, %v for %v s here", down, lasts, outageDown, outageSeconds)
+	}
+}
+
 // TestPromisesAreHeld: the tests that a promise names are there, and so are the pages.
 func TestPromisesAreHeld(t *testing.T) {
 	for _, promise := range Promises() {
--- a/lab/capacity/choice.go
+++ b/lab/capacity/choice.go
@@ -99,6 +99,14 @@
 	return fmt.Sprintf("close to %q, and more rows rest on it (%d and %d)", smallest.Mechanism.ID, taken.Rests, smallest.Rests)
 }
 
+// reason is why a candidate stands where it does, with what no run can show of it.
+func (c *Candidate) reason() string {
+	if c.Mechanism.Unshown == "" {
+		return c.Why
+	}
+	return c.Why + "; " + c.Mechanism.Unshown
+}
+
 // Trial is the choice made again with other budgets.
 type Trial struct {
 	Times float64     `json:"times"` // the assumed budgets
--- a/lab/capacity/markdown.go
+++ b/lab/capacity/markdown.go
@@ -208,7 +208,7 @@
 		if candidate.Assumed {
 			by += " (assumed budget)"
 		}
-		m.row(place, candidate.Mechanism.Today, share, by, yes(candidate.Mechanism.OnPath), fmt.Sprint(candidate.Rests), candidate.Why, candidate.Mechanism.Missing)
+		m.row(place, candidate.Mechanism.Today, share, by, yes(candidate.Mechanism.OnPath), fmt.Sprint(candidate.Rests), candidate.reason(), candidate.Mechanism.Missing)
 	}
 	m.say("\n")
 	page.chosen(m)
--- a/lab/capacity/row.go
+++ b/lab/capacity/row.go
@@ -115,7 +115,7 @@
 	Never     bool        `json:"never_breaks,omitempty"`
 	Mechanism MechanismID `json:"mechanism,omitempty"`
 	Package   string      `json:"package"`
-	Standing  Standing    `json:"standing"`
+	Standing  Standing    `json:"standing,omitempty"` // empty for lines of events: that of the rows of their mechanism
 	Told      string      `json:"told,omitempty"`
 	Assumes   []string    `json:"assumes,omitempty"` // keys whose figures nobody stated, on which the figure rests
 }
