--- a/lab/scale/scale.go
+++ b/lab/scale/scale.go
@@ -108,8 +108,24 @@
 
 // Values are all pairs of a size and a figure recorded there, over the points whose other sizes are as given.
 func (r *Results) Values(figure, over string, where map[string]float64) (sizes, figures []float64) {
-	run := slopes.Run{Points: r.Points()}
-	return run.Values(figure, over, where)
+	for _, point := range r.Points() {
+		if !matches(point.Sizes, where) {
+			continue
+		}
+		for _, value := range point.Values[figure] {
+			sizes, figures = append(sizes, point.Sizes[over]), append(figures, value)
+		}
+	}
+	return sizes, figures
+}
+
+func matches(sizes, where map[string]float64) bool {
+	for name, want := range where {
+		if sizes[name] != want {
+			return false
+		}
+	}
+	return true
 }
 
 // Curve is a slope to be fitted.
--- a/lab/slopes/slopes.go
+++ b/lab/slopes/slopes.go
@@ -76,10 +76,11 @@
 // Carried is how many times beyond the largest size measured a size lies; 1 and less is within.
 func (s *Slope) Carried(size float64) float64 { return size / s.To }
 
-// Values are all pairs of a size and a figure that a curve was fitted to, one for each play.
+// Values are all pairs of a size and a figure that a curve was fitted to, one for each play: those of the points that have that size,
+// and whose other sizes are as given.
 func (r *Run) Values(figure, over string, where map[string]float64) (sizes, figures []float64) {
 	for _, point := range r.Points {
-		if !point.isAt(where) {
+		if _, sized := point.Sizes[over]; !sized || !point.isAt(where) {
 			continue
 		}
 		for _, value := range point.Values[figure] {
