--- a/lab/capacity/events.go
+++ b/lab/capacity/events.go
@@ -201,6 +201,7 @@
 			told("the same, 99.9 in 100", "changes.everywhere_seconds.worst"),
 			told("the same with restarts and 5 s without discovery, median", "changes.everywhere_seconds.troubled_median"),
 			told("the same with restarts and 5 s without discovery, 99.9 in 100", "changes.everywhere_seconds.troubled_worst"),
+			told("of the list, until a courier that discovery can reach is told, 99.9 in 100", "changes.told_seconds.reachable_worst"),
 			withBudget(unmeasured(AspectKnown, "of settings, until in force everywhere", "s", "nothing carries settings from machine to machine: a file at each "+
 				"courier is written by somebody and read on a signal"), inForce, HandOut, "config, routing"),
 			words(AspectMeanwhile, "each courier goes on with what it has; a faulty file changes nothing"),
--- a/lab/capacity/rows_others.go
+++ b/lab/capacity/rows_others.go
@@ -82,6 +82,8 @@
 		}),
 		{Role: RolePartners, Resource: Calls, What: "calls in the first second after the return of one destination, all couriers", Unit: "calls",
 			Parts: one("outage.return_calls.refusing", "calls", rareCouriers, eachOutage), Mechanism: OutageAlone, Package: decisions, Standing: RunsToday},
+		{Role: RolePartners, Resource: State, What: "returning destinations that are pushed over, of all", Unit: "ratio",
+			Parts: one("outage.pushed_over.refusing", "ratio", rareCouriers, nil), Mechanism: OutageAlone, Package: decisions, Standing: RunsToday},
 		{Role: RolePartners, Resource: Bytes, What: "bytes that a client or an endpoint sends and receives", Unit: "bytes/s",
 			None: "bodies differ by client; no scale run has sockets", Mechanism: Connections, Package: "protocol, transport", Standing: RunsToday},
 	}
