--- a/lab/scale/scale.go
+++ b/lab/scale/scale.go
@@ -152,7 +152,8 @@
 	}
 	different := slices.Compact(slices.Sorted(slices.Values(sizes)))
 	r.fits = append(r.fits, slopes.Slope{Name: name, About: curve.About, Unit: curve.Unit, Over: curve.Over,
-		From: different[0], To: different[len(different)-1], Points: len(different), Plays: r.plays, Fit: fit})
+		From: different[0], To: different[len(different)-1], Points: len(different), Plays: r.plays, Fit: fit,
+		Figure: curve.Figure, Where: curve.Where})
 	return nil
 }
 
