--- /dev/null
+++ b/lab/scale/outage.go
@@ -0,0 +1,387 @@
+package scale
+
+import (
+	"context"
+	"fmt"
+	"slices"
+
+	"pineport/lab/day"
+	"pineport/lab/ledger"
+	"pineport/lab/sim"
+	"pineport/lab/slopes"
+	"pineport/logic"
+)
+
+// Sizes and figures of outage. All are sums or means over the whole fleet.
+const (
+	outageCouriers = "couriers"
+	outageKind     = "kind"
+	outageFailed   = "failed_calls"
+	outageShare    = "parked_share"
+	outageParked   = "parked_after"
+	outageReturn   = "return_calls"
+	outageFigure   = "figure"
+	outagePushed   = "pushed_over"
+
+	// Counts, for the check.
+	outageStruck    = "count_destinations_down"
+	outageBroken    = "count_other_rules_broken"
+	outageUnended   = "count_without_end"
+	outageUnseen    = "count_attempts_unseen"
+	outageDifferent = "count_replay_differs"
+)
+
+// The day that is played: constant traffic over destinations that are all alike, some of which are down for a while.
+const (
+	outageTraffic      = 100.0 // messages a second, of all couriers together
+	outageDestinations = 40
+	outageDown         = 10
+	outageBegins       = 20.0 // seconds
+	outageLasts        = 30.0
+	outageAfterwards   = 30.0
+	outageDays         = 5 // drawn for each play; their mean counts
+	outageDaysQuick    = 1
+	rampSecond         = second
+)
+
+// outageKinds are how a destination can be down, and the number that stands for it among the sizes.
+var outageKinds = []struct {
+	name   string
+	number float64
+	kind   string // of the laboratory's troubles
+}{
+	{"refusing", 1, "refuse"}, // connections are refused
+	{"throttling", 2, "shut"}, // every call is throttled, and some are told when to come again
+}
+
+// outage measures how a fleet meets destinations that go down and return, each courier on its own.
+type outage struct{ decide decide }
+
+func outageExperiment() Experiment { return outage{realDecisions}.experiment() }
+
+func (o outage) experiment() Experiment {
+	return Experiment{Name: "outage", Plays: 3,
+		About: "100 messages a second in all for 40 destinations, 10 of which are down for 30 s, over more and more couriers in virtual time; " +
+			"summed over the fleet, mean of 5 days a play. Refusing: no connection comes up; throttling: each call is answered as throttled.",
+		Measure: o.measure, Fit: fitOutage, Check: checkOutage}
+}
+
+func (o outage) measure(ctx context.Context, play *Play) error {
+	fleets, days := []int{3, 10, 30, 100, 300, 1000}, outageDays
+	if play.Quick {
+		fleets, days = []int{3, 10, 30}, outageDaysQuick
+	}
+	for _, kind := range outageKinds {
+		for _, count := range fleets {
+			if err := ctx.Err(); err != nil {
+				return err
+			}
+			play.Progress("%d couriers, %s", count, kind.name)
+			sizes := map[string]float64{outageCouriers: float64(count), outageKind: kind.number}
+			if err := o.days(play, sizes, kind.kind, count, days, count == fleets[0]); err != nil {
+				return err
+			}
+		}
+	}
+	return nil
+}
+
+// days plays some days and records their mean; the first of them twice, if asked to.
+func (o outage) days(play *Play, sizes map[string]float64, kind string, count, days int, again bool) error {
+	var all outageSums
+	for number := range days {
+		seed := play.Seed*1000 + int64(number)
+		sums, err := o.play(kind, count, seed)
+		if err != nil {
+			return err
+		}
+		all.add(sums)
+		if number > 0 || !again {
+			continue
+		}
+		second, err := o.play(kind, count, seed)
+		if err != nil {
+			return err
+		}
+		differs := 0.0
+		if second != sums {
+			differs = 1
+		}
+		play.Record(sizes, outageDifferent, differs)
+	}
+	each := 1 / float64(days)
+	play.Record(sizes, outageFailed, float64(all.failed)*each)
+	play.Record(sizes, outageShare, float64(all.parked)/float64(max(1, all.callers)))
+	play.Record(sizes, outageParked, all.parkedAfter/float64(max(1, all.callers)))
+	play.Record(sizes, outageReturn, float64(all.returned)*each)
+	play.Record(sizes, outageFigure, all.figure*each)
+	play.Record(sizes, outagePushed, float64(all.pushed)/float64(max(1, all.struck)))
+	play.Record(sizes, outageStruck, float64(all.struck)*each)
+	play.Record(sizes, outageBroken, float64(all.broken))
+	play.Record(sizes, outageUnended, float64(all.unended))
+	play.Record(sizes, outageUnseen, float64(all.unseen))
+	return nil
+}
+
+// outageSums are sums over a fleet's day.
+type outageSums struct {
+	failed      int     // attempts sent while their destination was down, and not delivered
+	callers     int     // pairs of a courier and a destination that is down with such an attempt
+	parked      int     // those of them that parked the destination before it returned
+	parkedAfter float64 // seconds from the begin of the outage until then, or until its end
+	returned    int     // attempts sent in the first second after the return
+	figure      float64
+	struck      int // destinations that were down
+	pushed      int // destinations that were pushed over on their return
+	broken      int // other rules, by how often
+	unended     int // messages taken without an answer
+	unseen      int // attempts that only the ledger saw, or only the couriers' watch
+}
+
+func (s *outageSums) add(t outageSums) {
+	s.failed, s.callers, s.parked, s.returned = s.failed+t.failed, s.callers+t.callers, s.parked+t.parked, s.returned+t.returned
+	s.parkedAfter, s.figure, s.struck = s.parkedAfter+t.parkedAfter, s.figure+t.figure, s.struck+t.struck
+	s.pushed, s.broken, s.unended, s.unseen = s.pushed+t.pushed, s.broken+t.broken, s.unended+t.unended, s.unseen+t.unseen
+}
+
+// outageDay is the laboratory's calm day with the traffic, fleet and trouble of this experiment.
+func outageDay(kind string, count int) (*day.Day, error) {
+	d, err := day.Find("calm")
+	if err != nil {
+		return nil, err
+	}
+	d.Length, d.Load = outageBegins+outageLasts+outageAfterwards, day.Range{1, 1}
+	d.Fleet.Couriers = count
+	d.Traffic.FullPerSec, d.Traffic.Destinations = outageTraffic, outageDestinations
+	d.Traffic.Zipf, d.Traffic.Swing, d.Traffic.Clumps = 0, 0, day.Range{}
+	firms := d.Kinds[slices.IndexFunc(d.Kinds, func(k day.Kind) bool { return k.Name == "firms" })]
+	firms.Connections, firms.Endpoints = day.Range{}, day.Range{1, 1}
+	d.Kinds = []day.Kind{firms}
+	d.Workloads = slices.DeleteFunc(d.Workloads, func(w day.Workload) bool { return w.Name != "update" })
+	d.Troubles = []day.Trouble{{Kind: kind, At: day.Range{outageBegins, outageBegins}, Length: day.Range{outageLasts, outageLasts},
+		Part: float64(outageDown) / outageDestinations, By: "any", Whole: 1}}
+	return d, nil
+}
+
+// play plays one day of a fleet.
+func (o outage) play(kind string, count int, seed int64) (outageSums, error) {
+	d, err := outageDay(kind, count)
+	if err != nil {
+		return outageSums{}, err
+	}
+	drawn := day.Draw(d, seed)
+	watch := newOutageWatch(drawn)
+	host := sim.NewLocal(func(courier int, settings logic.Charter) sim.Decider {
+		return &outageWatcher{outageWatch: watch, courier: courier, decisions: o.decide(settings), into: map[attempt]logic.DestID{},
+			sent: map[logic.RecordID]logic.TripNo{}}
+	})
+	verdict, _, err := sim.Play(drawn, host, sim.Options{})
+	if err != nil {
+		return outageSums{}, err
+	}
+	return watch.finish(verdict), nil
+}
+
+// outageWatch sees what a whole fleet sends to destinations that are down or have just returned.
+type outageWatch struct {
+	dest     map[logic.EndpointID]logic.DestID
+	down     map[logic.DestID]bool
+	from, to logic.Micros
+	parkedAt map[pair]logic.Micros // or never, for those that called without parking
+	attempts int
+	outageSums
+}
+
+// pair is a courier and a destination that it called while that was down.
+type pair struct {
+	courier     int
+	destination logic.DestID
+}
+
+// attempt is one of a message's.
+type attempt struct {
+	message logic.RecordID
+	number  logic.TripNo
+}
+
+const notParked logic.Micros = -1
+
+func newOutageWatch(drawn *day.Drawn) *outageWatch {
+	w := &outageWatch{dest: map[logic.EndpointID]logic.DestID{}, down: map[logic.DestID]bool{}, parkedAt: map[pair]logic.Micros{}}
+	for number := range drawn.Destinations {
+		for _, endpoint := range drawn.Destinations[number].Endpoints {
+			w.dest[endpoint.ID] = logic.DestID(number)
+		}
+	}
+	for _, act := range drawn.Acts {
+		switch act.Kind {
+		case day.Begins:
+			w.from, w.down[logic.DestID(act.Dest)] = act.At, true
+		case day.Ends:
+			w.to = act.At
+		}
+	}
+	return w
+}
+
+// finish sums up.
+func (w *outageWatch) finish(verdict *ledger.Verdict) outageSums {
+	sums := w.outageSums
+	sums.callers, sums.struck = len(w.parkedAt), len(w.down)
+	sums.figure = verdict.Service - verdict.Costs // the day's, which a broken rule would make nought
+	var parkedAfter logic.Micros                  // whole microseconds, as the order of a map is none
+	for _, at := range w.parkedAt {
+		if at == notParked {
+			at = w.to
+		} else {
+			sums.parked++
+		}
+		parkedAfter += at - w.from
+	}
+	sums.parkedAfter = float64(parkedAfter) / float64(second)
+	for rule, count := range verdict.Broken {
+		if rule == ledger.Pushed {
+			sums.pushed += count
+		} else {
+			sums.broken += count
+		}
+	}
+	counts := verdict.Counts
+	sums.unended = counts.Lost + max(counts.Taken-counts.Done-counts.Bounced-counts.Terminated, 0)
+	sums.unseen = max(counts.Trips-w.attempts, w.attempts-counts.Trips)
+	return sums
+}
+
+// outageWatcher sees what one courier does, and changes nothing.
+type outageWatcher struct {
+	*outageWatch
+	courier   int
+	decisions sim.Decider
+	into      map[attempt]logic.DestID // sent while the destination was down, without an outcome
+	sent      map[logic.RecordID]logic.TripNo
+}
+
+// Handle implements sim.Decider.
+func (w *outageWatcher) Handle(now logic.Micros, events []logic.Event) []logic.Action {
+	actions := w.decisions.Handle(now, events)
+	failed := w.outcomes(events)
+	if failed && now < w.to {
+		w.lookForParked(now)
+	}
+	for _, action := range actions {
+		if send, ok := action.(logic.Send); ok {
+			w.send(now, send)
+		}
+	}
+	return actions
+}
+
+// outcomes counts attempts into the outage that failed, and tells whether there were any.
+func (w *outageWatcher) outcomes(events []logic.Event) (failed bool) {
+	for _, event := range events {
+		settled, ok := event.(logic.Settled)
+		if !ok {
+			continue
+		}
+		key := attempt{settled.Record, settled.Trip}
+		destination, ok := w.into[key]
+		delete(w.into, key)
+		if !ok || settled.Outcome == logic.Done || settled.Outcome == logic.Void || settled.Outcome == logic.Withdrawn {
+			continue
+		}
+		failed = true
+		w.failed++
+		if called := (pair{w.courier, destination}); w.parkedAt[called] == 0 {
+			w.parkedAt[called] = notParked
+		}
+	}
+	return failed
+}
+
+func (w *outageWatcher) send(now logic.Micros, send logic.Send) {
+	w.attempts++
+	key := attempt{send.Record, w.sent[send.Record]}
+	w.sent[send.Record]++
+	destination := w.dest[send.Endpoint]
+	switch {
+	case !w.down[destination]:
+	case now >= w.from && now < w.to:
+		w.into[key] = destination
+	case now >= w.to && now < w.to+rampSecond:
+		w.returned++
+	}
+}
+
+// lookForParked notes the destinations that this courier has come to hold back from: sick or waited for, or with an open breaker.
+func (w *outageWatcher) lookForParked(now logic.Micros) {
+	learned, ok := w.decisions.(interface{ Lore() logic.Lore })
+	if !ok {
+		return
+	}
+	for _, route := range learned.Lore().Routes {
+		called := pair{w.courier, route.Dest}
+		if w.parkedAt[called] == notParked && isParked(route, now) {
+			w.parkedAt[called] = now
+		}
+	}
+}
+
+func isParked(route logic.RouteLore, now logic.Micros) bool {
+	return route.Sick || route.WaitTo > now || slices.ContainsFunc(route.Breakers, func(b logic.BreakerLore) bool { return b.Until > 0 })
+}
+
+func fitOutage(results *Results) error {
+	levelling := []slopes.Model{slopes.Constant, slopes.Logarithm, slopes.Power} // what is called at most is what comes in all
+	ratio := []slopes.Model{slopes.Constant, slopes.Power}                       // neither falls below nought beyond the sizes measured
+	bounded := []slopes.Model{slopes.Constant, slopes.Logarithm}
+	for _, kind := range outageKinds {
+		for _, curve := range []Curve{
+			{Figure: outageFailed, About: "attempts into the outage that failed, of the whole fleet", Unit: "calls", Models: levelling},
+			{Figure: outageShare, About: "share of the couriers calling a destination that is down that park it before it returns", Unit: "ratio", Models: ratio},
+			{Figure: outageParked, About: "from the begin of the outage until a courier that calls parks it, or until its end after 30 s; mean", Unit: "s", Models: bounded},
+			{Figure: outageReturn, About: "attempts in the first second after the return, of the whole fleet", Unit: "calls", Models: levelling},
+			{Figure: outagePushed, About: "share of the returning destinations that are pushed over", Unit: "ratio", Models: ratio},
+			{Figure: outageFigure, About: "figure of the day, rules aside", Unit: "ratio", Models: ratio},
+		} {
+			curve.Name, curve.Over = curve.Figure+"."+kind.name, outageCouriers
+			curve.Where = map[string]float64{outageKind: kind.number}
+			if _, figures := results.Values(curve.Figure, curve.Over, curve.Where); slices.Min(figures) <= 0 {
+				results.Miss(curve.Name, "no curve: nothing was counted at one of the sizes")
+				continue
+			}
+			if err := results.Fit(curve); err != nil {
+				return err
+			}
+		}
+	}
+	return nil
+}
+
+// neverPushedOver is the largest fleet that is held to push over no return: the terms of the acceptance name 5, 20 and 30 couriers.
+// In larger ones it is measured how often that happens.
+const neverPushedOver = 30
+
+// checkOutage: as many destinations were down as planned and were called meanwhile; no rule was broken, but that larger fleets may
+// push over a return; each message taken had its answer; the ledger saw each attempt that the couriers made; the same day played
+// again is the same.
+func checkOutage(results *Results) error {
+	for _, point := range results.Points() {
+		if err := equalCounts(point, outageStruck, outageDown); err != nil {
+			return fmt.Errorf("%v: %w", point.Sizes, err)
+		}
+		for _, figure := range []string{outageUnended, outageUnseen, outageDifferent, outageBroken} {
+			if err := equalCounts(point, figure, 0); err != nil {
+				return fmt.Errorf("%v: %w", point.Sizes, err)
+			}
+		}
+		if point.Sizes[outageCouriers] <= neverPushedOver {
+			if err := equalCounts(point, outagePushed, 0); err != nil {
+				return fmt.Errorf("%v: %w", point.Sizes, err)
+			}
+		}
+		if slices.Min(point.Values[outageFailed]) <= 0 {
+			return fmt.Errorf("%v: no attempt failed at destinations that were down", point.Sizes)
+		}
+	}
+	return nil
+}
--- a/lab/scale/registry.go
+++ b/lab/scale/registry.go
@@ -10,6 +10,7 @@
 	return []Experiment{
 		heldExperiment(),
 		destinationsExperiment(),
+		outageExperiment(),
 	}
 }
 
