--- a/lab/scale/registry.go
+++ b/lab/scale/registry.go
@@ -7,7 +7,11 @@
 
 // Experiments are all scale runs, in the order in which they are played.
 func Experiments() []Experiment {
-	return []Experiment{}
+	return []Experiment{
+		heldExperiment(),
+		destinationsExperiment(),
+		outageExperiment(),
+	}
 }
 
 // Find returns the experiment of a name.
