--- /dev/null
+++ b/lab/scale/directorychanges.go
@@ -0,0 +1,276 @@
+package scale
+
+import (
+	"context"
+	"fmt"
+	"slices"
+
+	"gonum.org/v1/gonum/stat"
+
+	"pineport/lab/day"
+	"pineport/lab/sim"
+	"pineport/logic"
+)
+
+// Figures of changes of the list, in virtual time.
+const (
+	figureTold            = "told_median_seconds"
+	figureToldWorst       = "told_worst_seconds"
+	figureEverywhere      = "everywhere_median_seconds"
+	figureEverywhereWorst = "everywhere_worst_seconds"
+	figureReachableWorst  = "reachable_worst_seconds" // the same, from when discovery could be reached again
+	figureUntold          = "untold"                  // couriers that run to the end and were never told of a change
+	figureChanges         = "list_changes"
+	// worstOf is the quantile that is called the worst.
+	worstOf = 0.999
+)
+
+// directoryDay is a day of little traffic on which endpoints drain and are replaced; the file takes the number of couriers.
+const directoryDay = `
+name = "changes"
+length_s = 60
+load = [0.5, 0.5]
+[fleet]
+couriers = %d
+[traffic]
+full_per_s = 10
+destinations = 60
+[directory]
+mode = "ask"
+notice_s = [0.02, 0.2]
+call_ms = [20, 200]
+[[kind]]
+name = "plain"
+endpoints = [2, 3]
+[[workload]]
+name = "update"
+quoted_s = 1
+cut_off_s = 8
+[[trouble]]
+kind = "drain"
+at_s = [5, 5]
+length_s = [45, 45]
+part = 0.5
+size = [2, 5]
+`
+
+// directoryTroubles are restarts in turn, kills, and some seconds without discovery.
+const directoryTroubles = `
+[[trouble]]
+kind = "courier-roll"
+at_s = [8, 10]
+length_s = [30, 30]
+part = 0.5
+size = [0.5, 1]
+[[trouble]]
+kind = "courier-kill"
+at_s = [20, 25]
+length_s = [2, 4]
+part = 0.1
+[[trouble]]
+kind = "directory-down"
+at_s = [15, 30]
+length_s = [5, 5]
+`
+
+func measureDirectory(ctx context.Context, play *Play) error {
+	for _, couriers := range changeFleets(play.Quick) {
+		for trouble, troubles := range []string{"", directoryTroubles} {
+			if err := ctx.Err(); err != nil {
+				return err
+			}
+			play.Progress("changes of the list told to %d couriers", couriers)
+			drawn, err := readDay(couriers, troubles, play.Seed)
+			if err != nil {
+				return err
+			}
+			host := newToldHost(couriers)
+			if _, _, err := sim.Play(drawn, host, sim.Options{}); err != nil {
+				return err
+			}
+			told := host.against(drawn)
+			told.record(play, map[string]float64{sizeCouriers: float64(couriers), sizeTrouble: float64(trouble)})
+		}
+	}
+	return nil
+}
+
+func readDay(couriers int, troubles string, seed int64) (*day.Drawn, error) {
+	d, err := day.Read("changes.toml", []byte(fmt.Sprintf(directoryDay, couriers)+troubles))
+	if err != nil {
+		return nil, err
+	}
+	return day.Draw(d, seed), nil
+}
+
+// toldHost runs the decisions in this process, and notes what each courier is told of the list, and when.
+type toldHost struct {
+	*sim.Local
+	news []map[logic.EndpointID][]toldPhase // by courier
+}
+
+// downTime is when a courier does not run; to is 0 where it never starts again.
+type downTime struct{ from, to logic.Micros }
+
+type toldPhase struct {
+	at    logic.Micros
+	phase logic.Phase
+}
+
+func newToldHost(couriers int) *toldHost {
+	h := &toldHost{Local: sim.NewLocal(nil)}
+	for range couriers {
+		h.news = append(h.news, map[logic.EndpointID][]toldPhase{})
+	}
+	return h
+}
+
+// Turn implements sim.Host.
+func (h *toldHost) Turn(now logic.Micros, batches []sim.Batch) ([][]logic.Action, error) {
+	for _, b := range batches {
+		for _, event := range b.Events {
+			if news, ok := event.(logic.ListNews); ok {
+				h.note(now, b.Courier, news)
+			}
+		}
+	}
+	return h.Local.Turn(now, batches)
+}
+
+// note keeps news of the list. What a start hands over is as old as the process before it, and tells nothing new.
+func (h *toldHost) note(now logic.Micros, courier int, news logic.ListNews) {
+	known := h.news[courier]
+	tell := func(id logic.EndpointID, phase logic.Phase) {
+		if all := known[id]; len(all) == 0 || all[len(all)-1].phase != phase {
+			known[id] = append(all, toldPhase{now, phase})
+		}
+	}
+	if news.How == logic.ListError || news.How == logic.Persisted && len(known) > 0 {
+		return
+	}
+	listed := map[logic.EndpointID]bool{}
+	for _, entry := range news.Entries {
+		listed[entry.Endpoint] = true
+		tell(entry.Endpoint, entry.Phase)
+	}
+	if news.How != logic.Complete {
+		return
+	}
+	for id := range known { // what is missing in a whole list is gone
+		if !listed[id] {
+			tell(id, logic.Gone)
+		}
+	}
+}
+
+// toldAt is when a courier was first told of a phase of an endpoint, or of a later one.
+func (h *toldHost) toldAt(courier int, id logic.EndpointID, phase logic.Phase) (logic.Micros, bool) {
+	for _, told := range h.news[courier][id] {
+		if told.phase >= phase {
+			return told.at, true
+		}
+	}
+	return 0, false
+}
+
+// listTimes are how long changes took, in seconds.
+type listTimes struct {
+	changes, untold             int
+	told, everywhere, reachable []float64
+}
+
+// against holds what was told against the changes of the day. A courier that does not run at a change is to know it from its start on;
+// one that is never told although it was listed and gone between two lists has nothing to know.
+func (h *toldHost) against(drawn *day.Drawn) (t listTimes) {
+	phases := map[day.ActKind]logic.Phase{day.Adds: logic.In, day.Drains: logic.Draining, day.Removes: logic.Gone}
+	downs, away := downTimes(drawn), awayTimes(drawn)
+	for _, act := range drawn.Acts {
+		phase, ok := phases[act.Kind]
+		if !ok {
+			continue
+		}
+		t.changes++
+		slowest := 0.0
+		for courier := range h.news {
+			from := runsFrom(downs[courier], act.At)
+			at, told := h.toldAt(courier, act.Endpoint.ID, phase)
+			if !told {
+				t.untold++
+				continue
+			}
+			t.told = append(t.told, seconds(at-from))
+			t.reachable = append(t.reachable, seconds(at-reachableFrom(away, from, at)))
+			slowest = max(slowest, seconds(at-from))
+		}
+		t.everywhere = append(t.everywhere, slowest)
+	}
+	slices.Sort(t.told)
+	slices.Sort(t.everywhere)
+	slices.Sort(t.reachable)
+	return t
+}
+
+func seconds(span logic.Micros) float64 {
+	return float64(max(0, span)) / float64(microsPerSecond)
+}
+
+// awayTimes are when discovery cannot be reached.
+func awayTimes(drawn *day.Drawn) (away []downTime) {
+	for _, act := range drawn.Acts {
+		switch act.Kind {
+		case day.ListDown:
+			away = append(away, downTime{from: act.At})
+		case day.ListUp:
+			away[len(away)-1].to = act.At
+		}
+	}
+	return away
+}
+
+// reachableFrom is when discovery came back, where it did so between a change and a courier being told of it; else the change.
+func reachableFrom(away []downTime, from, told logic.Micros) logic.Micros {
+	for _, a := range away {
+		if from < a.to && told >= a.to {
+			from = a.to
+		}
+	}
+	return from
+}
+
+// downTimes are when each courier does not run.
+func downTimes(drawn *day.Drawn) map[int][]downTime {
+	downs := map[int][]downTime{}
+	for _, act := range drawn.Acts {
+		all := downs[act.Courier]
+		switch {
+		case act.Kind == day.Kills:
+			downs[act.Courier] = append(all, downTime{from: act.At})
+		case act.Kind == day.Starts && len(all) > 0 && all[len(all)-1].to == 0:
+			all[len(all)-1].to = act.At
+		}
+	}
+	return downs
+}
+
+// runsFrom is the instant, or the first after it, at which a courier runs.
+func runsFrom(downs []downTime, at logic.Micros) logic.Micros {
+	for _, down := range downs {
+		if at >= down.from && at < down.to {
+			return down.to
+		}
+	}
+	return at
+}
+
+func (t listTimes) record(play *Play, sizes map[string]float64) {
+	play.Record(sizes, figureChanges, float64(t.changes))
+	play.Record(sizes, figureUntold, float64(t.untold))
+	if len(t.told) == 0 {
+		return
+	}
+	play.Record(sizes, figureTold, stat.Quantile(0.5, stat.Empirical, t.told, nil))
+	play.Record(sizes, figureToldWorst, stat.Quantile(worstOf, stat.Empirical, t.told, nil))
+	play.Record(sizes, figureReachableWorst, stat.Quantile(worstOf, stat.Empirical, t.reachable, nil))
+	play.Record(sizes, figureEverywhere, stat.Quantile(0.5, stat.Empirical, t.everywhere, nil))
+	play.Record(sizes, figureEverywhereWorst, stat.Quantile(worstOf, stat.Empirical, t.everywhere, nil))
+}
--- a/lab/scale/machine.go
+++ b/lab/scale/machine.go
@@ -27,8 +27,9 @@
 	return time.Duration(used.Utime.Nano() + used.Stime.Nano())
 }
 
-// heapInUse is what the heap holds after a full collection, in bytes.
+// heapInUse is what the heap holds after a full collection, in bytes. What a pool holds goes with the second one.
 func heapInUse() uint64 {
+	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
--- a/lab/scale/registry.go
+++ b/lab/scale/registry.go
@@ -9,6 +9,7 @@
 func Experiments() []Experiment {
 	return []Experiment{
 		sharing(),
+		changes(),
 	}
 }
 
--- /dev/null
+++ b/lab/scale/reloads.go
@@ -0,0 +1,330 @@
+package scale
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"runtime"
+	"time"
+
+	"pineport/config"
+	"pineport/logic"
+	"pineport/protocol"
+)
+
+// Figures of settings that are read anew.
+const (
+	figureReload      = "reload_seconds"
+	figureReloadCores = "reload_cores"
+	figureReloadKept  = "reload_kept_bytes"
+	figureReloadUsed  = "reload_used_bytes"
+	figureFile        = "file_bytes"
+	figureInForce     = "in_force" // 1: the decisions go by what the file says
+	figureHandout     = "handout_seconds"
+	figureStale       = "stale_ratio" // of the couriers, after a cut has ended
+	figureStaleAgain  = "stale_again" // couriers, after the settings were handed out once more
+	figureMissed      = "missed"      // couriers that were within reach and do not go by the new settings
+)
+
+const (
+	// fewTenants and fewKnown are in a file while the other size grows.
+	fewTenants = 10
+	fewKnown   = 10
+	// generationQuota is the quota of the first tenant, which tells generations of settings apart.
+	generationQuota = 1000
+	// cutEvery courier of a fleet is cut off while settings are handed out, and the one after it restarts.
+	cutEvery = 10
+)
+
+// hollowConfig is a courier of which only configuration and decisions run. Its file lies in a folder of its own.
+type hollowConfig struct {
+	file, state string
+	deployment  *config.Deployment
+	courier     *logic.Courier
+}
+
+// settingsFile is a courier's file in the platform's form.
+func settingsFile(tenants, known, generation int) ([]byte, error) {
+	var parties []any
+	for i := range tenants {
+		quota := generationQuota
+		if i == 0 {
+			quota += generation
+		}
+		parties = append(parties, map[string]any{"name": fmt.Sprintf("tenant-%d", i), "quota-per-s": quota})
+	}
+	class := func(name, idempotency string) map[string]any {
+		return map[string]any{"name": name, "idempotency": idempotency, "points": 1, "slo-s": 1.0, "deadline-s": 8.0, "late-worth": 0.5,
+			"dedup-window-s": 5.0, "group": "all"}
+	}
+	return json.MarshalIndent(map[string]any{
+		"name": "n0", "listen": "127.0.0.1:6379", "discovery": "127.0.0.1:8500", "seed": "8c1f30d27a5be964",
+		"known":  listText{Seq: 1, Whole: true, Hosts: listedHosts(known)},
+		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024, "disk_mb": 3},
+		"settings": map[string]any{
+			"classes": []any{class("update", "free"), class("order", "single_shot")}, "tenants": parties,
+			"zones": []string{listedZone}, "shapes": []string{listedKind}, "fleet-size": 1, "ordinal": 0, "locality": 0,
+			"tick-s": 0.005, "discovery": "subscribe", "weight-kind": "nominal",
+			"family-info": map[string]any{"slots": 20, "decay": "halves", "per-call": []int{1}, "separate-routes": []bool{false}},
+			"ceilings": map[string]any{"open-cap": 200, "try-limit": 6, "may-cancel": true, "retry-after": true, "max-retry-after-s": 2.0,
+				"conn-idle-s": 5.0, "connect-timeout-s": 1.0},
+			"rules": map[string]any{"cold-from": 0.2, "ramp-time-s": 10.0, "fall-multiple": 2.0},
+		},
+	}, "", " ")
+}
+
+// startHollow writes a file and starts a courier on it.
+func startHollow(folder string, tenants, known int) (*hollowConfig, error) {
+	h := &hollowConfig{file: filepath.Join(folder, "config.json"), state: filepath.Join(folder, "state")}
+	if err := os.MkdirAll(folder, 0o755); err != nil {
+		return nil, err
+	}
+	if err := h.write(tenants, known, 0); err != nil {
+		return nil, err
+	}
+	return h, h.start()
+}
+
+func (h *hollowConfig) write(tenants, known, generation int) error {
+	text, err := settingsFile(tenants, known, generation)
+	if err != nil {
+		return err
+	}
+	return os.WriteFile(h.file, text, 0o644)
+}
+
+// read reads the file as a start does, or as a hangup does where the process runs already.
+func (h *hollowConfig) read(anew bool) (*config.Deployment, error) {
+	return config.From(config.Sources{Getenv: func(string) string { return "" }, File: h.file, State: h.state, Anew: anew})
+}
+
+func (h *hollowConfig) start() (err error) {
+	if h.deployment, err = h.read(false); err != nil {
+		return err
+	}
+	h.courier = logic.New(h.deployment.Charter)
+	return nil
+}
+
+// hangup does what SIGHUP has a courier do: see cmd/pineport's process.hear and routing's Router.reload.
+func (h *hollowConfig) hangup(now logic.Micros) error {
+	next, err := h.read(true)
+	if err != nil {
+		return err
+	}
+	if waiting := h.deployment.Waiting(next); len(waiting) > 0 {
+		return fmt.Errorf("%s: changes that wait for a start: %v", h.file, waiting)
+	}
+	merged := h.deployment.Merged(next)
+	if !h.deployment.SameDecisions(merged) {
+		h.courier.Handle(now, []logic.Event{logic.Rechartered{Charter: merged.Charter}})
+	}
+	h.deployment = merged
+	return nil
+}
+
+// generation is that of the settings in force.
+func (h *hollowConfig) generation() int {
+	return int(h.deployment.Charter.Parties[0].PerSec) - generationQuota
+}
+
+// fileSize is one size of a settings file.
+type fileSize struct {
+	size           string
+	tenants, known int
+}
+
+func fileSizes(quick bool) (all []fileSize) {
+	tenants, known := []int{10, 100, 1000, 10000}, []int{10, 100, 1000, 10000}
+	if quick {
+		tenants, known = []int{10, 100, 300}, []int{10, 100, 300}
+	}
+	for _, n := range tenants {
+		all = append(all, fileSize{sizeTenants, n, fewKnown})
+	}
+	for _, n := range known {
+		all = append(all, fileSize{sizeKnown, fewTenants, n})
+	}
+	return all
+}
+
+func measureReloads(ctx context.Context, play *Play) error {
+	folder, err := os.MkdirTemp("", "pinelab-scale-")
+	if err != nil {
+		return err
+	}
+	defer os.RemoveAll(folder)
+	for i, size := range fileSizes(play.Quick) {
+		if err := ctx.Err(); err != nil {
+			return err
+		}
+		play.Progress("settings of %d tenants and %d endpoints", size.tenants, size.known)
+		if err := size.measure(play, filepath.Join(folder, fmt.Sprint(i))); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (size fileSize) measure(play *Play, folder string) error {
+	reloads := 10
+	if size.tenants >= 10000 || play.Quick {
+		reloads = 3
+	}
+	before := heapInUse()
+	h, err := startHollow(folder, size.tenants, size.known)
+	if err != nil {
+		return err
+	}
+	kept := float64(heapInUse()) - float64(before)
+	var spent time.Duration
+	var used uint64
+	inForce := 1.0
+	for generation := 1; generation <= reloads; generation++ {
+		if err := h.write(size.tenants, size.known, generation); err != nil {
+			return err
+		}
+		usedBefore, begun := allocated(), processorTime()
+		if err := h.hangup(logic.Micros(generation) * logic.Micros(microsPerSecond)); err != nil {
+			return err
+		}
+		spent += processorTime() - begun
+		used += allocated() - usedBefore
+		if h.generation() != generation {
+			inForce = 0
+		}
+	}
+	info, err := os.Stat(h.file)
+	if err != nil {
+		return err
+	}
+	seconds := spent.Seconds() / float64(reloads)
+	sizes := map[string]float64{size.size: float64(size.tenants)}
+	if size.size == sizeKnown {
+		sizes = map[string]float64{size.size: float64(size.known)}
+	}
+	for figure, value := range map[string]float64{figureReload: seconds, figureReloadCores: seconds * changesPerSecond, figureReloadKept: kept,
+		figureReloadUsed: float64(used) / float64(reloads), figureFile: float64(info.Size()), figureInForce: inForce} {
+		play.Record(sizes, figure, value)
+	}
+	runtime.KeepAlive(h)
+	return nil
+}
+
+// allocated is all that was ever allocated, in bytes.
+func allocated() uint64 {
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return stats.TotalAlloc
+}
+
+// changeFleets are fleets that changes reach.
+func changeFleets(quick bool) []int {
+	if quick {
+		return []int{10, 20, 30}
+	}
+	return []int{10, 30, 100, 300}
+}
+
+func measureHandouts(ctx context.Context, play *Play) error {
+	folder, err := os.MkdirTemp("", "pinelab-scale-")
+	if err != nil {
+		return err
+	}
+	defer os.RemoveAll(folder)
+	for _, couriers := range changeFleets(play.Quick) {
+		if err := ctx.Err(); err != nil {
+			return err
+		}
+		play.Progress("settings handed out to %d couriers", couriers)
+		if err := measureHandout(play, filepath.Join(folder, fmt.Sprint(couriers)), couriers); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// measureHandout hands settings out to a fleet of which some are cut off and some restart, and once more when the cut is over.
+func measureHandout(play *Play, folder string, couriers int) error {
+	var fleet []*hollowConfig
+	for i := range couriers {
+		h, err := startHollow(filepath.Join(folder, fmt.Sprint(i)), fewTenants, fewKnown)
+		if err != nil {
+			return err
+		}
+		fleet = append(fleet, h)
+	}
+	var spent time.Duration
+	for i, h := range fleet {
+		if i%cutEvery == 0 {
+			continue // cut off: nobody can write its file
+		}
+		if err := h.write(fewTenants, fewKnown, 1); err != nil {
+			return err
+		}
+		begun := processorTime()
+		if err := h.takeOver(i%cutEvery == 1); err != nil {
+			return err
+		}
+		spent += processorTime() - begun
+	}
+	stale, missed := 0, 0
+	for i, h := range fleet {
+		if h.generation() == 1 {
+			continue
+		}
+		stale++
+		if i%cutEvery != 0 {
+			missed++
+		}
+	}
+	again := 0
+	for _, h := range fleet {
+		if err := h.write(fewTenants, fewKnown, 1); err != nil {
+			return err
+		}
+		if err := h.takeOver(false); err != nil {
+			return err
+		}
+		if h.generation() != 1 {
+			again++
+		}
+	}
+	sizes := map[string]float64{sizeCouriers: float64(couriers)}
+	for figure, value := range map[string]float64{figureHandout: spent.Seconds(), figureStale: float64(stale) / float64(couriers), figureMissed: float64(missed), figureStaleAgain: float64(again)} {
+		play.Record(sizes, figure, value)
+	}
+	return nil
+}
+
+// takeOver has a courier go by its file: at a hangup, or because it starts anew.
+func (h *hollowConfig) takeOver(restarts bool) error {
+	if restarts {
+		return h.start()
+	}
+	return h.hangup(logic.Micros(microsPerSecond))
+}
+
+const (
+	listedZone = "a"
+	listedKind = "plain"
+)
+
+// listText is discovery's list as it is sent.
+type listText struct {
+	Seq   int64           `json:"seq"`
+	Whole bool            `json:"whole"`
+	Hosts []protocol.Host `json:"hosts"`
+}
+
+// listedHosts are so many endpoints, each of a destination of its own.
+func listedHosts(n int) []protocol.Host {
+	hosts := make([]protocol.Host, 0, n)
+	for i := range n {
+		hosts = append(hosts, protocol.Host{Host: fmt.Sprintf("e%d-0", i), Dial: fmt.Sprintf("10.%d.%d.%d:8080", i>>16&255, i>>8&255, i&255),
+			Zone: listedZone, Kind: listedKind, Dest: i, Health: protocol.InService, Rate: 50})
+	}
+	return hosts
+}
--- a/lab/scale/scale.go
+++ b/lab/scale/scale.go
@@ -106,10 +106,10 @@
 	return all
 }
 
-// Values are all pairs of a size and a figure recorded there, over the points whose other sizes are as given.
+// Values are all pairs of a size and a figure recorded there, over the points that have this size and whose other sizes are as given.
 func (r *Results) Values(figure, over string, where map[string]float64) (sizes, figures []float64) {
 	for _, point := range r.Points() {
-		if !matches(point.Sizes, where) {
+		if _, sized := point.Sizes[over]; !sized || !matches(point.Sizes, where) {
 			continue
 		}
 		for _, value := range point.Values[figure] {
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -16,6 +16,7 @@
 				play.Record(map[string]float64{"size": size, "kind": 1}, "twice", 2*size)
 				play.Record(map[string]float64{"size": size, "kind": 2}, "twice", 20*size)
 			}
+			play.Record(map[string]float64{"length": 7, "kind": 1}, "twice", 14) // grows with something else
 			play.Miss("thrice", "nobody asked")
 			return nil
 		},
@@ -36,7 +37,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(run.Points) != 6 || len(run.Points[0].Values["twice"]) != 3 || len(run.Missing) != 1 {
+	if len(run.Points) != 7 || len(run.Points[0].Values["twice"]) != 3 || len(run.Missing) != 1 {
 		t.Errorf("points %+v, missing %+v", run.Points, run.Missing)
 	}
 	if len(run.Slopes) != 1 || run.Slopes[0].Name != "doubling.twice" || run.Slopes[0].Fit.Model != slopes.Linear {
--- a/lab/scale/sharing.go
+++ b/lab/scale/sharing.go
@@ -179,7 +179,7 @@
 	}
 	sizes := l.sizes()
 	for figure, value := range map[string]float64{
-		figureBeat: beating.Seconds() / float64(beats), figureHear: hearing.Seconds() / float64(packets), figureKept: max(kept, 1),
+		figureBeat: beating.Seconds() / float64(beats), figureHear: hearing.Seconds() / float64(packets), figureKept: kept,
 		figureSaid: float64(said) / float64(beats), figureLargest: float64(largest), figureRoutes: float64(len(lines)),
 		figureCounts: float64(counts), figureForgotten: float64(sums.Forgotten),
 	} {
