--- a/lab/scale/registry.go
+++ b/lab/scale/registry.go
@@ -11,6 +11,8 @@
 		heldExperiment(),
 		destinationsExperiment(),
 		outageExperiment(),
+		sharing(),
+		changes(),
 	}
 }
 
