--- a/lab/scale/registry.go
+++ b/lab/scale/registry.go
@@ -7,7 +7,9 @@
 
 // Experiments are all scale runs, in the order in which they are played.
 func Experiments() []Experiment {
-	return []Experiment{}
+	return []Experiment{
+		couriers(),
+	}
 }
 
 // Find returns the experiment of a name.
--- /dev/null
+++ b/lab/scale/views.go
@@ -0,0 +1,137 @@
+package scale
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math/rand"
+	"runtime"
+	"time"
+
+	"pineport/peers/view"
+)
+
+// Figures of the view by itself.
+const (
+	figureWord     = "word_s"
+	figureTick     = "tick_s"
+	figureLook     = "look_s"
+	figureViewHeap = "view_heap_bytes"
+	figureKept     = "names_kept"
+	figureReckoned = "reckoned"        // couriers that it reckons with after it heard of each other one once
+	figureAgain    = "reckoned_again"  // after it heard of wordsAgain that are drawn once more
+	viewTick       = 200 * 1000        // microseconds between ticks, as at a pace of 1 s
+	viewSpan       = time.Second / 2   // for which each step is repeated
+	viewSpanQuick  = time.Second / 100 // in a quick run
+	viewAtLeast    = 20                // repetitions
+	wordsAgain     = 1000
+)
+
+func viewSizes(quick bool) []int {
+	if quick {
+		return []int{100, 1000, 4200}
+	}
+	return []int{100, 1000, 4000, 11000}
+}
+
+func measureViews(ctx context.Context, play *Play) error {
+	for _, names := range viewSizes(play.Quick) {
+		if err := ctx.Err(); err != nil {
+			return err
+		}
+		measureView(play, names)
+	}
+	return nil
+}
+
+// measureView measures a view of a fleet of so many couriers, this one included.
+func measureView(play *Play, names int) {
+	record := func(figure string, value float64) {
+		play.Record(map[string]float64{sizeNames: float64(names)}, figure, value)
+	}
+	heapBefore := heapInUse()
+	hearing := newHearing(names, play.Seed)
+	hearing.hearAll()
+	record(figureViewHeap, float64(heapInUse())-float64(heapBefore))
+	record(figureReckoned, float64(hearing.view.Couriers()))
+	record(figureKept, float64(len(hearing.view.Look().Members)))
+	for range wordsAgain {
+		hearing.hearAny()
+	}
+	record(figureAgain, float64(hearing.view.Couriers()))
+
+	span := viewSpan
+	if play.Quick {
+		span = viewSpanQuick
+	}
+	record(figureWord, timeOf(span, hearing.hearAny))
+	record(figureTick, timeOf(span, hearing.tick))
+	record(figureLook, timeOf(span, func() { hearing.view.Look() }))
+	runtime.KeepAlive(hearing)
+}
+
+// timeOf is how long a step takes, in seconds, over repetitions for a span.
+func timeOf(span time.Duration, step func()) float64 {
+	begun, times := time.Now(), 0
+	for times < viewAtLeast || time.Since(begun) < span {
+		step()
+		times++
+	}
+	return time.Since(begun).Seconds() / float64(times)
+}
+
+// hearing is a view that a detector talks to.
+type hearing struct {
+	view  *view.View
+	rng   *rand.Rand
+	now   view.Micros
+	names int
+}
+
+func newHearing(names int, seed int64) *hearing {
+	terms := view.Terms{Self: courierName(0), Start: 1, Fleet: names, Tick: viewTick, Salt: seed}
+	return &hearing{view: view.New(terms), rng: rand.New(rand.NewSource(seed)), names: names}
+}
+
+func courierName(i int) view.Name { return view.Name(fmt.Sprintf("courier-%05d", i)) }
+
+// hear has the view hear that a courier is alive.
+func (h *hearing) hear(i int) {
+	h.now++
+	h.view.Handle(h.now, view.Heard{Name: courierName(i), Start: 1, State: view.Alive, Zone: "a", At: "10.0.0.1:7000"})
+}
+
+// hearAll has it hear of all others, one after the other.
+func (h *hearing) hearAll() {
+	for i := 1; i < h.names; i++ {
+		h.hear(i)
+	}
+}
+
+// hearAny has it hear of one that is drawn.
+func (h *hearing) hearAny() { h.hear(1 + h.rng.Intn(h.names-1)) }
+
+func (h *hearing) tick() {
+	h.now += viewTick
+	h.view.Handle(h.now, view.Passed{})
+}
+
+// checkViews: a view never reckons with fewer than there are, and with just as many where it keeps every name.
+func checkViews(results *Results) error {
+	sizes, reckoned := results.Values(figureReckoned, sizeNames, nil)
+	_, again := results.Values(figureAgain, sizeNames, nil)
+	_, kept := results.Values(figureKept, sizeNames, nil)
+	if len(sizes) == 0 {
+		return errors.New("no view was measured")
+	}
+	var faults []error
+	for i, size := range sizes {
+		if reckoned[i] < size || again[i] < size {
+			faults = append(faults, fmt.Errorf("a view of %v couriers reckons with %v, then %v", size, reckoned[i], again[i]))
+		}
+		if kept[i] == size-1 && (reckoned[i] != size || again[i] != size) {
+			faults = append(faults, fmt.Errorf("a view that keeps all %v other names reckons with %v, then %v", kept[i], reckoned[i], again[i]))
+		}
+	}
+	return errors.Join(faults...)
+}
