--- a/lab/scale/couriers.go
+++ b/lab/scale/couriers.go
@@ -26,9 +26,10 @@
 
 // Names of sizes.
 const (
-	sizeMembers  = "members"             // of a hollow fleet
-	sizeCompared = "members_at_pace_1_s" // of one that is played at the usual pace, for comparison
-	sizeNames    = "names"               // that a view hears of
+	sizeMembers   = "members"             // of a hollow fleet
+	sizeCompared  = "members_at_pace_1_s" // of one that is played at the usual pace, for comparison
+	sizeNames     = "names"               // that a view hears of
+	sizeForgotten = "forgotten"           // 1 where these are more than a view keeps
 )
 
 // Figures of a hollow fleet. Rates and times are those of a pace of 1 s: what was counted a pace, and paces that passed.
@@ -220,8 +221,9 @@
 	fleet := func(name, figure, unit, about string, models ...slopes.Model) Curve {
 		return Curve{Name: name, Figure: figure, About: about, Unit: unit, Over: sizeMembers, Models: models}
 	}
-	view := func(name, figure, unit, about string, models ...slopes.Model) Curve {
-		return Curve{Name: name, Figure: figure, About: about, Unit: unit, Over: sizeNames, Models: models}
+	view := func(name, figure, unit, about string, forgotten float64) Curve {
+		return Curve{Name: "view." + name, Figure: figure, About: about, Unit: unit, Over: sizeNames,
+			Where: map[string]float64{sizeForgotten: forgotten}, Models: []slopes.Model{slopes.Linear, slopes.Power}}
 	}
 	const constant, linear, logarithm, power = slopes.Constant, slopes.Linear, slopes.Logarithm, slopes.Power
 	for _, curve := range []Curve{
@@ -235,10 +237,11 @@
 		fleet("death.all", figureDeathAll, "s", "from a death until all members know of it, pace 1 s", constant, logarithm),
 		fleet("zone_death.all", figureZoneDeath, "s", "from the death of a zone at once until all know all of it, pace 1 s", constant, logarithm),
 		fleet("zone_return.all", figureZoneReturn, "s", "from the return of a zone until all hear all, pace 1 s", constant, logarithm, linear),
-		view("view.word", figureWord, "s", "the view: one word of the detector", linear, power),
-		view("view.tick", figureTick, "s", "the view: one tick", linear, power),
-		view("view.look", figureLook, "s", "the view: one picture of it", linear, power),
-		view("view.heap", figureViewHeap, "bytes", "the view: heap", linear, power),
+		view("word", figureWord, "s", "the view: one word of the detector, up to the names that it keeps", 0),
+		view("word.beyond", figureWord, "s", "the view: one word of the detector, of more names than it keeps", 1),
+		view("tick", figureTick, "s", "the view: one tick, up to the names that it keeps", 0),
+		view("look", figureLook, "s", "the view: one picture of it, up to the names that it keeps", 0),
+		view("heap", figureViewHeap, "bytes", "the view: heap, up to the names that it keeps", 0),
 	} {
 		if err := results.Fit(curve); err != nil {
 			return err
--- a/lab/scale/couriers_test.go
+++ b/lab/scale/couriers_test.go
@@ -169,6 +169,40 @@
 	noGoroutineLeft(t, before)
 }
 
+// TestFitNamesAllSlopes: every slope that the page reads is there, of points over a decade, with the curves that were drawn.
+func TestFitNamesAllSlopes(t *testing.T) {
+	results := played(t, func(play *Play) {
+		for _, size := range fleetSizes(false) {
+			record := recorderOf(play, size)
+			for _, figure := range []string{figurePackets, figurePacketBytes, figureExchangeBytes, figureExchangeSize, figureProcessor, figureHeap,
+				figureDeathHalf, figureDeathAll, figureZoneDeath, figureZoneReturn} {
+				record(figure, 3*float64(size.members))
+			}
+		}
+		recorderOf(play, comparedFleet)(figurePackets, 1)
+		for _, names := range viewSizes(false) {
+			for _, figure := range []string{figureWord, figureTick, figureLook, figureViewHeap} {
+				play.Record(viewPoint(names), figure, 2*float64(names))
+			}
+		}
+	})
+	results.run = "couriers"
+	if err := fitCouriers(results); err != nil {
+		t.Fatal(err)
+	}
+	for _, slope := range results.fits {
+		if slope.Over == sizeMembers && slope.Points != len(fleetSizes(false)) {
+			t.Errorf("%s: of %d points", slope.Name, slope.Points)
+		}
+		if slope.Name == "couriers.packets" && (slope.At(500) < 1499 || slope.At(500) > 1501) {
+			t.Errorf("packets at 500: %v", slope.At(500))
+		}
+		if slope.Name == "couriers.view.word.beyond" && slope.From <= namesKept {
+			t.Errorf("words beyond the names kept begin at %v", slope.From)
+		}
+	}
+}
+
 func TestExchangePeriod(t *testing.T) {
 	for members, want := range map[int]int{2: 15, 32: 15, 33: 30, 64: 30, 100: 45, 300: 75, 1000: 90} {
 		if got := exchangePeriod(members); got != want {
--- a/lab/scale/scale.go
+++ b/lab/scale/scale.go
@@ -21,6 +21,8 @@
 	Plays int    // how often each size is played in full; a quick run plays it once
 	// Timed experiments measure processor time: nothing else should run on the machine.
 	Timed bool
+	// Real experiments play real couriers beside hollow ones, in full runs.
+	Real bool
 	// Measure plays every size once and records what it found.
 	Measure func(ctx context.Context, play *Play) error
 	// Fit says which slopes the recorded points make.
@@ -35,6 +37,7 @@
 	Seed     int64 // of the first play; each further play takes the next
 	Commit   string
 	Command  string
+	Courier  string            // path of the courier's binary, for experiments with real couriers
 	Progress func(text string) // may be nil
 }
 
@@ -43,6 +46,7 @@
 	Quick   bool
 	Number  int // from 0
 	Seed    int64
+	Courier string // path of the courier's binary
 	results *Results
 	tell    func(text string)
 }
@@ -106,14 +110,16 @@
 	return all
 }
 
-// Values are all pairs of a size and a figure recorded there, over the points whose other sizes are as given.
+// Values are all pairs of a size and a figure recorded there, over the points that have this size and whose other sizes are as
+// given; a size that a point does not have counts as nought.
 func (r *Results) Values(figure, over string, where map[string]float64) (sizes, figures []float64) {
 	for _, point := range r.Points() {
-		if !matches(point.Sizes, where) {
+		size, has := point.Sizes[over]
+		if !has || !matches(point.Sizes, where) {
 			continue
 		}
 		for _, value := range point.Values[figure] {
-			sizes, figures = append(sizes, point.Sizes[over]), append(figures, value)
+			sizes, figures = append(sizes, size), append(figures, value)
 		}
 	}
 	return sizes, figures
@@ -165,7 +171,7 @@
 	begun := time.Now()
 	results := &Results{run: experiment.Name, plays: plays, point: map[string]*slopes.Point{}}
 	for n := range plays {
-		play := &Play{Quick: o.Quick, Number: n, Seed: o.Seed + int64(n), results: results, tell: func(text string) {
+		play := &Play{Quick: o.Quick, Number: n, Seed: o.Seed + int64(n), Courier: o.Courier, results: results, tell: func(text string) {
 			if o.Progress != nil {
 				o.Progress(fmt.Sprintf("%s, play %d of %d: %s", experiment.Name, n+1, plays, text))
 			}
--- a/lab/scale/views.go
+++ b/lab/scale/views.go
@@ -21,17 +21,24 @@
 	figureReckoned = "reckoned"        // couriers that it reckons with after it heard of each other one once
 	figureAgain    = "reckoned_again"  // after it heard of wordsAgain that are drawn once more
 	viewTick       = 200 * 1000        // microseconds between ticks, as at a pace of 1 s
-	viewSpan       = time.Second / 2   // for which each step is repeated
+	viewSpan       = time.Second / 5   // for which each step is repeated
 	viewSpanQuick  = time.Second / 100 // in a quick run
 	viewAtLeast    = 20                // repetitions
 	wordsAgain     = 1000
 )
 
+// namesKept is what a view keeps at most, as peers/view bounds it. Beyond, each word on a forgotten name costs a search for another
+// one to be forgotten, so those sizes make curves of their own.
+const namesKept = 4096
+
+// viewsAtOnce is how many names views hold together while their heap is measured, so that small ones can be weighed.
+const viewsAtOnce = 8000
+
 func viewSizes(quick bool) []int {
 	if quick {
 		return []int{100, 1000, 4200}
 	}
-	return []int{100, 1000, 4000, 11000}
+	return []int{100, 1000, 4000, 4500, 6000, 11000}
 }
 
 func measureViews(ctx context.Context, play *Play) error {
@@ -44,15 +51,27 @@
 	return nil
 }
 
+// viewPoint is the size of a view of a fleet: its names, and 1 where it cannot keep all of them.
+func viewPoint(names int) map[string]float64 {
+	sizes := map[string]float64{sizeNames: float64(names)}
+	if forgotten := names - 1 - namesKept; forgotten > 0 {
+		sizes[sizeForgotten] = 1
+	}
+	return sizes
+}
+
 // measureView measures a view of a fleet of so many couriers, this one included.
 func measureView(play *Play, names int) {
-	record := func(figure string, value float64) {
-		play.Record(map[string]float64{sizeNames: float64(names)}, figure, value)
-	}
+	sizes := viewPoint(names)
+	record := func(figure string, value float64) { play.Record(sizes, figure, value) }
 	heapBefore := heapInUse()
-	hearing := newHearing(names, play.Seed)
-	hearing.hearAll()
-	record(figureViewHeap, float64(heapInUse())-float64(heapBefore))
+	views := make([]*hearing, max(1, viewsAtOnce/names))
+	for i := range views {
+		views[i] = newHearing(names, play.Seed)
+		views[i].hearAll()
+	}
+	record(figureViewHeap, (float64(heapInUse())-float64(heapBefore))/float64(len(views)))
+	hearing := views[0]
 	record(figureReckoned, float64(hearing.view.Couriers()))
 	record(figureKept, float64(len(hearing.view.Look().Members)))
 	for range wordsAgain {
@@ -67,7 +86,7 @@
 	record(figureWord, timeOf(span, hearing.hearAny))
 	record(figureTick, timeOf(span, hearing.tick))
 	record(figureLook, timeOf(span, func() { hearing.view.Look() }))
-	runtime.KeepAlive(hearing)
+	runtime.KeepAlive(views)
 }
 
 // timeOf is how long a step takes, in seconds, over repetitions for a span.
