--- a/cmd/pinelab/scale.go
+++ b/cmd/pinelab/scale.go
@@ -19,10 +19,11 @@
 const allRuns = "all"
 
 type scaleFlags struct {
-	quick bool
-	seed  int64
-	out   string
-	list  bool
+	quick   bool
+	seed    int64
+	out     string
+	list    bool
+	courier string
 }
 
 func scaleCmd() *cobra.Command {
@@ -50,6 +51,7 @@
 	cmd.Flags().BoolVar(&f.quick, "quick", false, "the small sizes, once")
 	cmd.Flags().Int64Var(&f.seed, "seed", 1, "seed of the first play; each further play takes the next")
 	cmd.Flags().StringVar(&f.out, "out", "", "folder whose measured.json takes the run in (empty: printed only)")
+	cmd.Flags().StringVar(&f.courier, "courier", "", "the courier's binary, for runs with real ones (empty: beside this program, or built anew)")
 	cmd.Flags().BoolVar(&f.list, "list", false, "list the runs")
 	return cmd
 }
@@ -66,9 +68,14 @@
 	if f.quick && f.out != "" {
 		return fmt.Errorf("--out: slopes come from full runs; --quick measures none")
 	}
+	courier, clean, err := courierOf(experiments, f)
+	if err != nil {
+		return err
+	}
+	defer clean()
 	failed := false
 	for _, experiment := range experiments {
-		o := scale.Options{Quick: f.quick, Seed: f.seed, Commit: commit(), Command: "pinelab scale " + experiment.Name, Progress: tellProgress}
+		o := scale.Options{Quick: f.quick, Seed: f.seed, Commit: commit(), Command: "pinelab scale " + experiment.Name, Courier: courier, Progress: tellProgress}
 		run, err := scale.Run(cmd.Context(), experiment, o)
 		clearProgress()
 		switch {
@@ -90,6 +97,15 @@
 	return nil
 }
 
+// courierOf finds the courier's binary where a run plays real couriers.
+func courierOf(experiments []scale.Experiment, f scaleFlags) (path string, clean func(), err error) {
+	playsReal := slices.ContainsFunc(experiments, func(experiment scale.Experiment) bool { return experiment.Real })
+	if f.quick || !playsReal {
+		return "", func() {}, nil
+	}
+	return courierBinary(f.courier)
+}
+
 // keepRun takes a run into the folder's file.
 func keepRun(folder string, run slopes.Run) error {
 	if folder == "" {
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -255,7 +255,7 @@
 func (r *rig) addresses() error {
 	for i := range r.n {
 		for _, list := range []*[]string{&r.ops, &r.gossip} {
-			at, err := free(i)
+			at, err := Free(i)
 			if err != nil {
 				return err
 			}
@@ -265,8 +265,8 @@
 	return nil
 }
 
-// free is an address of the rig's own that nobody uses, over UDP and TCP.
-func free(i int) (string, error) {
+// Free is an address of the rig's own that nobody uses, over UDP and TCP.
+func Free(i int) (string, error) {
 	ip := net.IPv4(127, byte(140+(os.Getpid()>>8)%50), byte(os.Getpid()), byte(1+i%250))
 	for range 20 {
 		l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: ip})
@@ -392,7 +392,7 @@
 		})
 	case Address:
 		r.away(no, day.Kills, f.Length, stop, func() {
-			if at, err := free(no); err == nil {
+			if at, err := Free(no); err == nil {
 				r.mu.Lock()
 				r.gossip[no] = at
 				r.mu.Unlock()
--- a/lab/proc/proc.go
+++ b/lab/proc/proc.go
@@ -199,6 +199,41 @@
 	return c.cmd != nil
 }
 
+// clockTick is the unit of processor time in /proc/PID/stat.
+const clockTick = 10 * time.Millisecond
+
+// Taken is what the process that runs has taken so far on the processor, and what it has resident, in bytes, read of /proc.
+func (c *Courier) Taken() (cpu time.Duration, resident int64, err error) {
+	c.mu.Lock()
+	cmd := c.cmd
+	c.mu.Unlock()
+	if cmd == nil {
+		return 0, 0, fmt.Errorf("courier %d does not run", c.No)
+	}
+	text, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(cmd.Process.Pid), "stat"))
+	if err != nil {
+		return 0, 0, err
+	}
+	return parseStat(string(text))
+}
+
+// parseStat reads utime, stime and rss of the text of /proc/PID/stat: the 14th, 15th and 24th field, of which the second, the
+// name, ends at the last parenthesis.
+func parseStat(text string) (cpu time.Duration, resident int64, err error) {
+	const userTime, systemTime, residentPages = 14 - 3, 15 - 3, 24 - 3
+	fields := strings.Fields(text[strings.LastIndexByte(text, ')')+1:])
+	if len(fields) <= residentPages {
+		return 0, 0, fmt.Errorf("%q: more fields were expected", text)
+	}
+	var values [3]int64
+	for i, at := range []int{userTime, systemTime, residentPages} {
+		if values[i], err = strconv.ParseInt(fields[at], 10, 64); err != nil {
+			return 0, 0, err
+		}
+	}
+	return time.Duration(values[0]+values[1]) * clockTick, values[2] * int64(os.Getpagesize()), nil
+}
+
 // Used is what all its processes took: time on the processor, and resident memory at most.
 func (c *Courier) Used() (cpu time.Duration, maxRSSKiB int64) {
 	c.mu.Lock()
--- a/lab/scale/registry.go
+++ b/lab/scale/registry.go
@@ -9,6 +9,7 @@
 func Experiments() []Experiment {
 	return []Experiment{
 		couriers(),
+		sideBySide(),
 	}
 }
 
