--- a/lab/scale/changes.go
+++ b/lab/scale/changes.go
@@ -25,7 +25,7 @@
 )
 
 // changes measures how a change of configuration comes into force.
-func changes() Experiment {
+func changesExperiment() Experiment {
 	return Experiment{
 		Name: "changes",
 		About: "settings: a file for each courier read anew, by the code that a hangup runs; endpoints: discovery's list as lab/sim plays it (a change is " +
--- a/lab/scale/changes_test.go
+++ b/lab/scale/changes_test.go
@@ -56,7 +56,7 @@
 	virtual := []string{figureInForce, figureUnread, figureMissed, figureStaleAgain, figureStale, figureUntold, figureChanges, figureTold, figureToldWorst,
 		figureEverywhere, figureEverywhereWorst, figureListBytes, figureChangeBytes, figureCatchUpBytes, figureFile}
 	counted := func() (all []float64) {
-		run, err := Run(context.Background(), changes(), Options{Quick: true, Seed: 3})
+		run, err := Run(context.Background(), changesExperiment(), Options{Quick: true, Seed: 3})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/lab/scale/destinations_test.go
+++ b/lab/scale/destinations_test.go
@@ -7,13 +7,13 @@
 	"pineport/logic"
 )
 
-// hearing is a courier whose events are spoilt before it hears of them.
-type hearing struct {
+// spoiltHearing is a courier whose events are spoilt before it hears of them.
+type spoiltHearing struct {
 	*logic.Courier
 	hear func(event logic.Event) (logic.Event, bool)
 }
 
-func (h hearing) Handle(now logic.Micros, events []logic.Event) []logic.Action {
+func (h spoiltHearing) Handle(now logic.Micros, events []logic.Event) []logic.Action {
 	var heard []logic.Event
 	for _, event := range events {
 		if event, ok := h.hear(event); ok {
@@ -24,7 +24,7 @@
 }
 
 func hearingOnly(hear func(event logic.Event) (logic.Event, bool)) decide {
-	return func(settings logic.Charter) sim.Decider { return hearing{logic.New(settings), hear} }
+	return func(settings logic.Charter) sim.Decider { return spoiltHearing{logic.New(settings), hear} }
 }
 
 // acting is a courier that does more than it decided.
--- a/lab/scale/driver.go
+++ b/lab/scale/driver.go
@@ -23,7 +23,7 @@
 	millisecond                  = second / 1000
 	messageDeadline              = 24 * 3600 * second
 	targetLatency                = 3600 * second
-	couriers                     = 10
+	couriersInFleet              = 10
 	slots                        = 200
 	attemptsAtMost               = 8
 	perDestination               = 50.0 // calls a second that a destination takes from all couriers
@@ -32,7 +32,7 @@
 
 // courierSettings are for a courier that may hold so many messages.
 func courierSettings(seed int64, hold int) logic.Charter {
-	return logic.Charter{Salt: seed, Couriers: couriers, Slots: slots, Hold: hold, MaxTrips: attemptsAtMost, MayAdvise: true,
+	return logic.Charter{Salt: seed, Couriers: couriersInFleet, Slots: slots, Hold: hold, MaxTrips: attemptsAtMost, MayAdvise: true,
 		Workloads:     []logic.Workload{{Quoted: targetLatency, Life: messageDeadline, Payoff: 1, LatePart: 0.5, Repeat: logic.Replayable}},
 		Shapes:        []logic.Shape{{PerCall: 1}},
 		LongestAdvice: 2 * second, IdleAfter: 5 * second, Tick: 5 * millisecond, Rates: logic.NominalRates, LeftAt: -1, RateAt: -1,
--- a/lab/scale/outage.go
+++ b/lab/scale/outage.go
@@ -14,14 +14,13 @@
 
 // Sizes and figures of outage. All are sums or means over the whole fleet.
 const (
-	outageCouriers = "couriers"
-	outageKind     = "kind"
-	outageFailed   = "failed_calls"
-	outageShare    = "parked_share"
-	outageParked   = "parked_after"
-	outageReturn   = "return_calls"
-	outageFigure   = "figure"
-	outagePushed   = "pushed_over"
+	outageKind   = "kind"
+	outageFailed = "failed_calls"
+	outageShare  = "parked_share"
+	outageParked = "parked_after"
+	outageReturn = "return_calls"
+	outageFigure = "figure"
+	outagePushed = "pushed_over"
 
 	// Counts, for the check.
 	outageStruck    = "count_destinations_down"
@@ -77,7 +76,7 @@
 				return err
 			}
 			play.Progress("%d couriers, %s", count, kind.name)
-			sizes := map[string]float64{outageCouriers: float64(count), outageKind: kind.number}
+			sizes := map[string]float64{sizeCouriers: float64(count), outageKind: kind.number}
 			if err := o.days(play, sizes, kind.kind, count, days, count == fleets[0]); err != nil {
 				return err
 			}
@@ -343,7 +342,7 @@
 			{Figure: outagePushed, About: "share of the returning destinations that are pushed over", Unit: "ratio", Models: ratio},
 			{Figure: outageFigure, About: "figure of the day, rules aside", Unit: "ratio", Models: ratio},
 		} {
-			curve.Name, curve.Over = curve.Figure+"."+kind.name, outageCouriers
+			curve.Name, curve.Over = curve.Figure+"."+kind.name, sizeCouriers
 			curve.Where = map[string]float64{outageKind: kind.number}
 			if _, figures := results.Values(curve.Figure, curve.Over, curve.Where); slices.Min(figures) <= 0 {
 				results.Miss(curve.Name, "no curve: nothing was counted at one of the sizes")
@@ -374,7 +373,7 @@
 				return fmt.Errorf("%v: %w", point.Sizes, err)
 			}
 		}
-		if point.Sizes[outageCouriers] <= neverPushedOver {
+		if point.Sizes[sizeCouriers] <= neverPushedOver {
 			if err := equalCounts(point, outagePushed, 0); err != nil {
 				return fmt.Errorf("%v: %w", point.Sizes, err)
 			}
--- a/lab/scale/outage_test.go
+++ b/lab/scale/outage_test.go
@@ -117,7 +117,7 @@
 			if figure == spoilt {
 				count = value
 			}
-			results.add(map[string]float64{outageCouriers: couriers}, figure, count)
+			results.add(map[string]float64{sizeCouriers: couriers}, figure, count)
 		}
 		return results
 	}
--- a/lab/scale/registry.go
+++ b/lab/scale/registry.go
@@ -11,8 +11,10 @@
 		heldExperiment(),
 		destinationsExperiment(),
 		outageExperiment(),
-		sharing(),
-		changes(),
+		sharingExperiment(),
+		changesExperiment(),
+		couriersExperiment(),
+		sideBySideExperiment(),
 	}
 }
 
--- a/lab/scale/scale.go
+++ b/lab/scale/scale.go
@@ -21,6 +21,8 @@
 	Plays int    // how often each size is played in full; a quick run plays it once
 	// Timed experiments measure processor time: nothing else should run on the machine.
 	Timed bool
+	// Real experiments play real couriers beside hollow ones, in full runs.
+	Real bool
 	// Measure plays every size once and records what it found.
 	Measure func(ctx context.Context, play *Play) error
 	// Fit says which slopes the recorded points make.
@@ -29,12 +31,16 @@
 	Check func(results *Results) error
 }
 
+// sizeCouriers is the size that several experiments have in common: how many couriers the fleet has.
+const sizeCouriers = "couriers"
+
 // Options are how an experiment is played.
 type Options struct {
 	Quick    bool  // the small sizes, once
 	Seed     int64 // of the first play; each further play takes the next
 	Commit   string
 	Command  string
+	Courier  string            // path of the courier's binary, for experiments with real couriers
 	Progress func(text string) // may be nil
 }
 
@@ -43,6 +49,7 @@
 	Quick   bool
 	Number  int // from 0
 	Seed    int64
+	Courier string // path of the courier's binary
 	results *Results
 	tell    func(text string)
 }
@@ -108,24 +115,8 @@
 
 // Values are all pairs of a size and a figure recorded there, over the points that have this size and whose other sizes are as given.
 func (r *Results) Values(figure, over string, where map[string]float64) (sizes, figures []float64) {
-	for _, point := range r.Points() {
-		if _, sized := point.Sizes[over]; !sized || !matches(point.Sizes, where) {
-			continue
-		}
-		for _, value := range point.Values[figure] {
-			sizes, figures = append(sizes, point.Sizes[over]), append(figures, value)
-		}
-	}
-	return sizes, figures
-}
-
-func matches(sizes, where map[string]float64) bool {
-	for name, want := range where {
-		if sizes[name] != want {
-			return false
-		}
-	}
-	return true
+	recorded := slopes.Run{Points: r.Points()}
+	return recorded.Values(figure, over, where)
 }
 
 // Curve is a slope to be fitted.
@@ -166,7 +157,7 @@
 	begun := time.Now()
 	results := &Results{run: experiment.Name, plays: plays, point: map[string]*slopes.Point{}}
 	for n := range plays {
-		play := &Play{Quick: o.Quick, Number: n, Seed: o.Seed + int64(n), results: results, tell: func(text string) {
+		play := &Play{Quick: o.Quick, Number: n, Seed: o.Seed + int64(n), Courier: o.Courier, results: results, tell: func(text string) {
 			if o.Progress != nil {
 				o.Progress(fmt.Sprintf("%s, play %d of %d: %s", experiment.Name, n+1, plays, text))
 			}
--- a/lab/scale/sharing.go
+++ b/lab/scale/sharing.go
@@ -16,30 +16,29 @@
 const (
 	sizeRoutes   = "routes"    // whose limits are shared
 	sizeHeard    = "heard"     // other couriers that one hears of, on every route
-	sizeCouriers = "couriers"  // that share with one another
 	sizeOverRoom = "over_room" // 1 where more is heard than is kept
 )
 
 // Figures of one courier that hears all others.
 const (
-	figureBeat      = "beat_seconds"       // one beat, with the needs of all routes
-	figureHear      = "hear_seconds"       // one packet taken in: read and merged
-	figureKept      = "kept_bytes"         // memory, all that it has heard included
-	figureSaid      = "said_bytes"         // in the packets of one beat
-	figureRoutes    = "kept_routes"        // routes that are kept
-	figureCounts    = "kept_counts"        // counts of others that are kept
-	figureForgotten = "left_out"           // routes and counts left out for want of room
-	figureLargest   = "largest_packet"     // bytes
-	figureOverLent  = "over_lent"          // instants at which the parts of a limit made more than the whole
-	figureSpoilt    = "spoilt_packets"     // that their receiver refused
-	figureLoans     = "loans"              // taken up by their borrowers
-	figurePackets   = "packets_per_second" // that one courier says
-	figureBytes     = "bytes_per_second"   // that one courier says
-	figureCores     = "cores"              // of processor time, one courier
-	figureHeardOf   = "heard_ratio"        // couriers whose use is known at an instant, of all others
-	figureHeard     = "heard_couriers"     // the same as a number
-	figureUseKnown  = "use_ratio"          // their use as it was last heard, of what all others use
-	figureToldLoad  = "told_ratio"         // the load that the decisions are told, over the true one
+	figureBeat        = "beat_seconds"       // one beat, with the needs of all routes
+	figureHear        = "hear_seconds"       // one packet taken in: read and merged
+	figureKeptBytes   = "kept_bytes"         // memory, all that it has heard included
+	figureSaid        = "said_bytes"         // in the packets of one beat
+	figureRoutes      = "kept_routes"        // routes that are kept
+	figureCounts      = "kept_counts"        // counts of others that are kept
+	figureForgotten   = "left_out"           // routes and counts left out for want of room
+	figureLargest     = "largest_packet"     // bytes
+	figureOverLent    = "over_lent"          // instants at which the parts of a limit made more than the whole
+	figureSpoilt      = "spoilt_packets"     // that their receiver refused
+	figureLoans       = "loans"              // taken up by their borrowers
+	figureSaidPackets = "packets_per_second" // that one courier says
+	figureBytes       = "bytes_per_second"   // that one courier says
+	figureCores       = "cores"              // of processor time, one courier
+	figureHeardOf     = "heard_ratio"        // couriers whose use is known at an instant, of all others
+	figureHeard       = "heard_couriers"     // the same as a number
+	figureUseKnown    = "use_ratio"          // their use as it was last heard, of what all others use
+	figureToldLoad    = "told_ratio"         // the load that the decisions are told, over the true one
 )
 
 // Bounds that commons promise: see docs/commons.md.
@@ -61,7 +60,7 @@
 )
 
 // sharing measures the sharing of limits as package commons does it.
-func sharing() Experiment {
+func sharingExperiment() Experiment {
 	return Experiment{
 		Name: "sharing",
 		About: "commons alone: one courier that hears all others on all routes, and whole fleets of hollow couriers that exchange encoded packets " +
@@ -179,7 +178,7 @@
 	}
 	sizes := l.sizes()
 	for figure, value := range map[string]float64{
-		figureBeat: beating.Seconds() / float64(beats), figureHear: hearing.Seconds() / float64(packets), figureKept: kept,
+		figureBeat: beating.Seconds() / float64(beats), figureHear: hearing.Seconds() / float64(packets), figureKeptBytes: kept,
 		figureSaid: float64(said) / float64(beats), figureLargest: float64(largest), figureRoutes: float64(len(lines)),
 		figureCounts: float64(counts), figureForgotten: float64(sums.Forgotten),
 	} {
@@ -270,14 +269,14 @@
 		{Name: "beat_seconds.heard", Figure: figureBeat, About: "a beat of one courier with 100 routes, all that is heard kept", Unit: "s", Over: sizeHeard, Where: byHeard, Models: grows},
 		{Name: "beat_seconds.heard_over_room", Figure: figureBeat, About: "a beat of one courier with 100 routes, more heard than is kept", Unit: "s", Over: sizeHeard, Where: byHeardOver, Models: grows},
 		{Name: "hear_seconds.heard_over_room", Figure: figureHear, About: "a packet of 10 counts read and taken in, 100 routes", Unit: "s", Over: sizeHeard, Where: byHeardOver, Models: grows},
-		{Name: "kept_bytes.routes", Figure: figureKept, About: "memory of one courier's sharing, 100 others heard, all of it kept", Unit: "bytes", Over: sizeRoutes, Where: byRoutes, Models: grows},
-		{Name: "kept_bytes.routes_over_room", Figure: figureKept, About: "memory of one courier's sharing, 100 others heard, more than is kept", Unit: "bytes", Over: sizeRoutes, Where: byRoutesOver, Models: bounded},
-		{Name: "kept_bytes.heard", Figure: figureKept, About: "memory of one courier's sharing with 100 routes, all that is heard kept", Unit: "bytes", Over: sizeHeard, Where: byHeard, Models: grows},
-		{Name: "kept_bytes.heard_over_room", Figure: figureKept, About: "memory of one courier's sharing with 100 routes, more heard than is kept", Unit: "bytes", Over: sizeHeard, Where: byHeardOver, Models: bounded},
+		{Name: "kept_bytes.routes", Figure: figureKeptBytes, About: "memory of one courier's sharing, 100 others heard, all of it kept", Unit: "bytes", Over: sizeRoutes, Where: byRoutes, Models: grows},
+		{Name: "kept_bytes.routes_over_room", Figure: figureKeptBytes, About: "memory of one courier's sharing, 100 others heard, more than is kept", Unit: "bytes", Over: sizeRoutes, Where: byRoutesOver, Models: bounded},
+		{Name: "kept_bytes.heard", Figure: figureKeptBytes, About: "memory of one courier's sharing with 100 routes, all that is heard kept", Unit: "bytes", Over: sizeHeard, Where: byHeard, Models: grows},
+		{Name: "kept_bytes.heard_over_room", Figure: figureKeptBytes, About: "memory of one courier's sharing with 100 routes, more heard than is kept", Unit: "bytes", Over: sizeHeard, Where: byHeardOver, Models: bounded},
 		{Name: "said_bytes.routes_over_room", Figure: figureSaid, About: "said by one courier each beat, 100 others heard", Unit: "bytes", Over: sizeRoutes, Where: byRoutesOver, Models: bounded},
 		{Name: "said_bytes.heard_over_room", Figure: figureSaid, About: "said by one courier each beat, 100 routes", Unit: "bytes", Over: sizeHeard, Where: byHeardOver, Models: bounded},
 		{Name: "bytes_per_second", Figure: figureBytes, About: "said by each courier of a fleet that shares 10 limits, without headers of UDP", Unit: "bytes/s", Over: sizeCouriers, Models: bounded},
-		{Name: "packets_per_second", Figure: figurePackets, About: "said by each courier of a fleet that shares 10 limits", Unit: "packets/s", Over: sizeCouriers, Models: bounded},
+		{Name: "packets_per_second", Figure: figureSaidPackets, About: "said by each courier of a fleet that shares 10 limits", Unit: "packets/s", Over: sizeCouriers, Models: bounded},
 		{Name: "cores", Figure: figureCores, About: "processor time of each courier's sharing of 10 limits, packets written and read", Unit: "cores", Over: sizeCouriers, Models: grows},
 		{Name: "heard_couriers", Figure: figureHeard, About: "couriers whose use of a limit one knows at an instant", Unit: "couriers", Over: sizeCouriers, Models: bounded},
 		{Name: "heard_ratio", Figure: figureHeardOf, About: "the same, of all others", Unit: "ratio", Over: sizeCouriers, Models: falls},
--- a/lab/scale/sharing_test.go
+++ b/lab/scale/sharing_test.go
@@ -54,7 +54,7 @@
 // TestSharingCountsTheSame: what a quick run counts, and so its verdict, goes by the seed alone.
 func TestSharingCountsTheSame(t *testing.T) {
 	counted := func() map[string][]float64 {
-		run, err := Run(context.Background(), sharing(), Options{Quick: true, Seed: 5})
+		run, err := Run(context.Background(), sharingExperiment(), Options{Quick: true, Seed: 5})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/lab/scale/sharingfleet.go
+++ b/lab/scale/sharingfleet.go
@@ -86,7 +86,7 @@
 	span := float64(sharingLasts-sharingWarmUp) / float64(microsPerSecond) * float64(couriers)
 	sizes := map[string]float64{sizeCouriers: float64(couriers), sizeRoutes: fleetRoutes}
 	for figure, value := range map[string]float64{
-		figurePackets: float64(f.packets) / span, figureBytes: float64(f.bytes) / span, figureCores: used.Seconds() / span,
+		figureSaidPackets: float64(f.packets) / span, figureBytes: float64(f.bytes) / span, figureCores: used.Seconds() / span,
 		figureHeardOf: f.heardOf / float64(f.samples), figureHeard: f.heardOf / float64(f.samples) * float64(couriers-1), figureUseKnown: f.useKnown / float64(f.samples), figureToldLoad: f.told / float64(f.samples),
 		figureLoans: float64(loans), figureLargest: float64(f.largest), figureSpoilt: float64(f.spoilt), figureOverLent: float64(f.overLent),
 	} {
--- a/lab/slopes/slopes.go
+++ b/lab/slopes/slopes.go
@@ -77,7 +77,7 @@
 func (s *Slope) Carried(size float64) float64 { return size / s.To }
 
 // Values are all pairs of a size and a figure that a curve was fitted to, one for each play: those of the points that have that size,
-// and whose other sizes are as given.
+// and whose other sizes are as given; a size that a point does not have counts as nought.
 func (r *Run) Values(figure, over string, where map[string]float64) (sizes, figures []float64) {
 	for _, point := range r.Points {
 		if _, sized := point.Sizes[over]; !sized || !point.isAt(where) {
