--- a/lab/scale/changes.go
+++ b/lab/scale/changes.go
@@ -30,7 +30,7 @@
 		Name: "changes",
 		About: "settings: a file for each courier read anew, by the code that a hangup runs; endpoints: discovery's list as lab/sim plays it (a change is " +
 			"told 20 to 200 ms after it, restarts and 5 s without discovery meanwhile) and by protocol's parser; nothing carries settings between machines",
-		Plays: 3, Timed: true, Measure: measureChanges, Fit: fitChanges, Check: checkChanges,
+		Plays: 3, Timed: true, Real: true, Measure: measureChanges, Fit: fitChanges, Check: checkChanges,
 	}
 }
 
@@ -50,7 +50,7 @@
 	calm, troubled := map[string]float64{sizeTrouble: 0}, map[string]float64{sizeTrouble: 1}
 	grows := []slopes.Model{slopes.Linear, slopes.Power}
 	flat := []slopes.Model{slopes.Constant, slopes.Logarithm, slopes.Power}
-	for _, curve := range []Curve{
+	return results.FitAll([]Curve{
 		{Name: "reload_seconds.tenants", Figure: figureReload, About: "a settings file read, checked, compared and taken over by one courier", Unit: "s", Over: sizeTenants, Models: grows},
 		{Name: "reload_seconds.known", Figure: figureReload, About: "the same, by endpoints that the file lists as known", Unit: "s", Over: sizeKnown, Models: grows},
 		{Name: "reload_cores.tenants", Figure: figureReloadCores, About: "58,000 changes a day, each a reload of the whole file", Unit: "cores", Over: sizeTenants, Models: grows},
@@ -74,12 +74,7 @@
 		{Name: "told_seconds.reachable_worst", Figure: figureReachableWorst, About: "the same, counted from when discovery could be reached again", Unit: "s", Over: sizeCouriers, Where: troubled, Models: flat},
 		{Name: "everywhere_seconds.troubled_median", Figure: figureEverywhere, About: "from a change to the last courier being told, restarts and 5 s without discovery, median", Unit: "s", Over: sizeCouriers, Where: troubled, Models: flat},
 		{Name: "everywhere_seconds.troubled_worst", Figure: figureEverywhereWorst, About: "the same, 99.9 in 100", Unit: "s", Over: sizeCouriers, Where: troubled, Models: flat},
-	} {
-		if err := results.Fit(curve); err != nil {
-			return err
-		}
-	}
-	return nil
+	})
 }
 
 // checkChanges holds what was counted: each reload is in force, a list is read whole, and every courier that runs is told of every change
--- a/lab/scale/couriers.go
+++ b/lab/scale/couriers.go
@@ -226,7 +226,7 @@
 			Where: map[string]float64{sizeForgotten: forgotten}, Models: []slopes.Model{slopes.Linear, slopes.Power}}
 	}
 	const constant, linear, logarithm, power = slopes.Constant, slopes.Linear, slopes.Logarithm, slopes.Power
-	for _, curve := range []Curve{
+	return results.FitAll([]Curve{
 		fleet("packets", figurePackets, "packets/s", "packets that a member sends at a pace of 1 s", constant, logarithm, linear, power),
 		fleet("packet_bytes", figurePacketBytes, "bytes/s", "bytes of these packets, headers of IP and UDP apart", logarithm, linear, power),
 		fleet("exchange_bytes", figureExchangeBytes, "bytes/s", "bytes of full exchanges, both directions, a member", linear, power),
@@ -242,12 +242,7 @@
 		view("tick", figureTick, "s", "the view: one tick, up to the names that it keeps", 0),
 		view("look", figureLook, "s", "the view: one picture of it, up to the names that it keeps", 0),
 		view("heap", figureViewHeap, "bytes", "the view: heap, up to the names that it keeps", 0),
-	} {
-		if err := results.Fit(curve); err != nil {
-			return err
-		}
-	}
-	return nil
+	})
 }
 
 // Bounds of Check on what a member sends in a pace. At rest it probes one other, answers one probe and gossips some words; a
--- a/lab/scale/hangups.go
+++ b/lab/scale/hangups.go
@@ -36,16 +36,11 @@
 	reloadedLine = "configuration read anew"
 )
 
-// measureHangups has real couriers take over settings at SIGHUP, in full runs and where there is a courier beside this program.
+// measureHangups has real couriers take over settings at SIGHUP, in full runs.
 func measureHangups(ctx context.Context, play *Play) error {
 	if play.Quick {
 		return nil
 	}
-	binary, ok := courierBeside()
-	if !ok {
-		play.Miss("changes.hangup_seconds of real couriers", "no program pineport lies beside this one")
-		return nil
-	}
 	folder, err := os.MkdirTemp("", "pinelab-scale-")
 	if err != nil {
 		return err
@@ -57,7 +52,7 @@
 	}
 	defer world.Close()
 	play.Progress("%d real couriers", realCouriers)
-	fleet, err := startReal(ctx, world, binary, folder)
+	fleet, err := startReal(ctx, world, play.Courier, folder)
 	defer func() {
 		for _, c := range fleet {
 			c.Kill()
@@ -83,17 +78,6 @@
 	return nil
 }
 
-// courierBeside is the courier's program in the folder of this one.
-func courierBeside() (path string, ok bool) {
-	self, err := os.Executable()
-	if err != nil {
-		return "", false
-	}
-	path = filepath.Join(filepath.Dir(self), "pineport")
-	_, err = os.Stat(path)
-	return path, err == nil
-}
-
 // startReal starts couriers one after the other; those that were started are returned with an error, too.
 func startReal(ctx context.Context, world *scripted.World, binary, folder string) (fleet []*proc.Courier, err error) {
 	for i := range realCouriers {
--- a/lab/scale/scale.go
+++ b/lab/scale/scale.go
@@ -148,6 +148,16 @@
 	return nil
 }
 
+// FitAll fits curves one after the other, up to the first that cannot be fitted.
+func (r *Results) FitAll(curves []Curve) error {
+	for _, curve := range curves {
+		if err := r.Fit(curve); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
 // Run plays an experiment and returns what it measured. A run that was stopped or failed returns no half of it.
 func Run(ctx context.Context, experiment Experiment, o Options) (slopes.Run, error) {
 	plays := experiment.Plays
--- a/lab/scale/sharing.go
+++ b/lab/scale/sharing.go
@@ -263,7 +263,7 @@
 	grows := []slopes.Model{slopes.Linear, slopes.Power}
 	bounded := []slopes.Model{slopes.Constant, slopes.Logarithm, slopes.Power}
 	falls := []slopes.Model{slopes.Power}
-	for _, curve := range []Curve{
+	return results.FitAll([]Curve{
 		{Name: "beat_seconds.routes", Figure: figureBeat, About: "a beat of one courier, 100 others heard, all of it kept", Unit: "s", Over: sizeRoutes, Where: byRoutes, Models: grows},
 		{Name: "beat_seconds.routes_over_room", Figure: figureBeat, About: "a beat of one courier, 100 others heard, more than is kept", Unit: "s", Over: sizeRoutes, Where: byRoutesOver, Models: grows},
 		{Name: "beat_seconds.heard", Figure: figureBeat, About: "a beat of one courier with 100 routes, all that is heard kept", Unit: "s", Over: sizeHeard, Where: byHeard, Models: grows},
@@ -282,12 +282,7 @@
 		{Name: "heard_ratio", Figure: figureHeardOf, About: "the same, of all others", Unit: "ratio", Over: sizeCouriers, Models: falls},
 		{Name: "use_ratio", Figure: figureUseKnown, About: "of the others' use of a limit, what a courier has heard of", Unit: "ratio", Over: sizeCouriers, Models: falls},
 		{Name: "told_ratio", Figure: figureToldLoad, About: "the load of a limit that the decisions are told, over the true one", Unit: "ratio", Over: sizeCouriers, Models: falls},
-	} {
-		if err := results.Fit(curve); err != nil {
-			return err
-		}
-	}
-	return nil
+	})
 }
 
 // checkSharing holds commons to what docs/commons.md promises: bounds on what is kept and said, and never more lent than there is.
