--- a/lab/scale/couriers.go
+++ b/lab/scale/couriers.go
@@ -6,8 +6,11 @@
 	"fmt"
 	"math"
 	"runtime"
+	"strings"
 	"time"
 
+	"gonum.org/v1/gonum/stat"
+
 	"pineport/lab/slopes"
 )
 
@@ -247,9 +250,26 @@
 			return err
 		}
 	}
+	tellPaces(results)
 	return nil
 }
 
+// tellPaces notes how figures by the pace compare between the usual pace and the shorter one that was played.
+func tellPaces(results *Results) {
+	at := map[string]float64{sizeMembers: float64(comparedFleet.members)}
+	var parts []string
+	for _, figure := range []string{figurePackets, figurePacketBytes, figureExchangeBytes, figureProcessor, figureHeap, figureDeathAll, figureZoneDeath} {
+		_, usual := results.Values(figure, sizeCompared, nil)
+		_, short := results.Values(figure, sizeMembers, at)
+		if len(usual) == 0 || len(short) == 0 {
+			continue
+		}
+		parts = append(parts, fmt.Sprintf("%s %.2f", figure, stat.Mean(usual, nil)/stat.Mean(short, nil)))
+	}
+	results.Miss("every size at a pace of 1 s", fmt.Sprintf("played at shorter paces and told by the pace; %d members at 1 s over the same at the pace played: %s",
+		comparedFleet.members, strings.Join(parts, ", ")))
+}
+
 // Bounds of Check on what a member sends in a pace. At rest it probes one other, answers one probe and gossips some words; a
 // stand-in that loses what is sent, or a storm that does not end, lies far outside.
 const (
--- a/lab/scale/couriers_test.go
+++ b/lab/scale/couriers_test.go
@@ -179,7 +179,7 @@
 				record(figure, 3*float64(size.members))
 			}
 		}
-		recorderOf(play, comparedFleet)(figurePackets, 1)
+		recorderOf(play, comparedFleet)(figurePackets, 180)
 		for _, names := range viewSizes(false) {
 			for _, figure := range []string{figureWord, figureTick, figureLook, figureViewHeap} {
 				play.Record(viewPoint(names), figure, 2*float64(names))
@@ -190,6 +190,9 @@
 	if err := fitCouriers(results); err != nil {
 		t.Fatal(err)
 	}
+	if len(results.gaps) != 1 || !strings.Contains(results.gaps[0].Why, figurePackets+" 2.00") {
+		t.Errorf("how the paces compare: %+v", results.gaps)
+	}
 	for _, slope := range results.fits {
 		if slope.Over == sizeMembers && slope.Points != len(fleetSizes(false)) {
 			t.Errorf("%s: of %d points", slope.Name, slope.Points)
