--- a/lab/capacity/cells.go
+++ b/lab/capacity/cells.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"strings"
+
+	"pineport/lab/slopes"
 )
 
 // empty is printed where there is nothing to say.
@@ -10,6 +12,9 @@
 
 // figureCell is a row's figure at the planned size.
 func figureCell(a *Answer) string {
+	if len(a.Counts) > 0 {
+		return countsText(a.Counts, a.Unit)
+	}
 	if a.Figure == nil {
 		return string(NotMeasured)
 	}
@@ -24,7 +29,10 @@
 func restsCell(a *Answer) string {
 	var parts []string
 	for _, part := range a.Parts {
-		parts = append(parts, fmt.Sprintf("`%s` (%s, spread %s)", part.Slope, part.Fit.Model, percent(part.Fit.Spread)))
+		parts = append(parts, fmt.Sprintf("`%s` (%s)", part.Slope, fitText(&part, a.Unit)))
+	}
+	if a.Added > 0 {
+		parts = append(parts, "and "+Text(a.Added, a.Unit)+" by "+string(Arithmetic)+assumedText(a.Assumes))
 	}
 	for _, missing := range a.Missing {
 		if len(a.Parts) > 0 || a.Evidence != NotMeasured || isSlopeName(missing) {
@@ -32,12 +40,59 @@
 		}
 		parts = append(parts, missing)
 	}
+	if len(a.Counts) > 0 {
+		parts = append(parts, "`"+a.Counts[0].Figure+"` ("+string(a.Evidence)+")")
+	}
 	if len(parts) == 0 {
 		parts = append(parts, string(a.Evidence)+assumedText(a.Assumes))
 	}
 	return strings.Join(parts, "; ")
 }
 
+// wideSpread is the spread of a fit from which on the page points at it.
+const wideSpread = 0.3
+
+// lastFarOff is how far the figure at the largest size may lie off the curve before the page points at it.
+const lastFarOff = 1.25
+
+// fitText says what curve was fitted, how far its points lie off it, and what bounds it.
+func fitText(part *PartUsed, unit string) string {
+	text := string(part.Fit.Model)
+	if part.Fit.Model == slopes.Power {
+		text += " " + plain(part.Fit.Rate)
+	}
+	spread := "spread " + percent(part.Fit.Spread)
+	if part.Fit.Spread >= wideSpread {
+		spread = "**" + spread + "**"
+	}
+	text += ", " + spread
+	if part.Last > lastFarOff || part.Last > 0 && part.Last < 1/lastFarOff {
+		text += ", **last point " + plain(part.Last) + " x the curve**"
+	}
+	if part.AtMost > 0 {
+		text += ", " + Text(part.Times*part.AtMost, unit) + " at most"
+	}
+	return text
+}
+
+// countsText tells counts by their sizes; sizes that follow each other with the same count are told together.
+func countsText(counts []Count, unit string) string {
+	var parts []string
+	for from := 0; from < len(counts); {
+		to := from
+		for to+1 < len(counts) && counts[to+1].Mean == counts[from].Mean {
+			to++
+		}
+		sizes := plain(counts[from].Size)
+		if to > from {
+			sizes += " to " + plain(counts[to].Size)
+		}
+		parts = append(parts, fmt.Sprintf("%s at %s %s", Text(counts[from].Mean, unit), sizes, counts[from].Over))
+		from = to + 1
+	}
+	return strings.Join(parts, ", ")
+}
+
 // assumedText names the assumed figures on which another one rests.
 func assumedText(keys []string) string {
 	if len(keys) == 0 {
--- a/lab/capacity/events.go
+++ b/lab/capacity/events.go
@@ -80,6 +80,12 @@
 	return EventLine{Aspect: aspect, Row: &Row{Resource: resourceOf(unit), What: what, Unit: unit, Parts: one(slope, slopeUnit, over, times)}}
 }
 
+// atMost bounds the figure of a line's slope.
+func atMost(line EventLine, most float64) EventLine {
+	line.Row.Parts[0].AtMost = most
+	return line
+}
+
 func unmeasured(aspect Aspect, what, unit, why string) EventLine {
 	return EventLine{Aspect: aspect, Row: &Row{Resource: Latency, What: what, Unit: unit, None: why}}
 }
@@ -126,7 +132,7 @@
 				"routes called last that fit 256 KiB (some 950)"),
 			withBudget(carried(AspectCaughtUp, "until the first step with a full backlog is over", "s", "held.restart.many", "s", heldMessages, nil),
 				readySeconds, HeldRestart, "spool, routing, logic"),
-			carried(AspectCaughtUp, "a whole list parsed and taken in", "s", "changes.list_seconds", "s", listedEndpoints, nil),
+			carried(AspectCaughtUp, "a whole list parsed and taken in, the router's own books not counted", "s", "changes.list_seconds", "s", listedEndpoints, nil),
 			withBudget(carried(AspectCaughtUp, "the first list, the decisions alone", "s", "destinations.first_list", "s", knownDestinations, nil), readySeconds, FullList, decisionsList),
 			carried(AspectCaughtUp, "couriers that are starting at any moment, by these restarts alone", "couriers", "held.restart.many", "s", heldMessages,
 				eachRestart),
@@ -142,7 +148,7 @@
 				func(p *Plan, d *Derived) float64 { return p.Failures.RackCouriers * d.EventsPerCourier }),
 			worked(AspectMessages, "messages that wait behind it, at the full backlog", "events",
 				func(p *Plan, d *Derived) float64 { return p.Failures.RackCouriers * d.HeldPerCourier }),
-			unmeasured(AspectKnown, "until all know all of it", "s", "no run has so many die at once; one death and a zone's are measured"),
+			unmeasured(AspectKnown, "until all know that all of it is gone", "s", "no run has so many die at once; one death and a zone's are measured"),
 			words(AspectMeanwhile, "as for one machine; behind a switch the couriers may be at work, and are counted"),
 			words(AspectCaughtUp, "behind a switch: as after a region's cut. With a rack lost: as for one machine, each"),
 		}}
@@ -198,9 +204,9 @@
 		Lines: []EventLine{
 			worked(AspectMessages, "messages, one a courier and change", "messages/s", eachChangeToAll),
 			told("of the list, until the last courier is told, median", "changes.everywhere_seconds.median"),
-			told("the same, 99.9 in 100", "changes.everywhere_seconds.worst"),
-			told("the same with restarts and 5 s without discovery, median", "changes.everywhere_seconds.troubled_median"),
-			told("the same with restarts and 5 s without discovery, 99.9 in 100", "changes.everywhere_seconds.troubled_worst"),
+			told("of the list, until the last courier is told, 99.9 in 100", "changes.everywhere_seconds.worst"),
+			told("of the list, until the last courier is told, with restarts and 5 s without discovery, median", "changes.everywhere_seconds.troubled_median"),
+			told("of the list, until the last courier is told, with restarts and 5 s without discovery, 99.9 in 100", "changes.everywhere_seconds.troubled_worst"),
 			told("of the list, until a courier that discovery can reach is told, 99.9 in 100", "changes.told_seconds.reachable_worst"),
 			withBudget(unmeasured(AspectKnown, "of settings, until in force everywhere", "s", "nothing carries settings from machine to machine: a file at each "+
 				"courier is written by somebody and read on a signal"), inForce, HandOut, "config, routing"),
@@ -220,7 +226,8 @@
 			worked(AspectKnown, "until one courier has met a destination six times, which opens its breaker", "s", func(_ *Plan, d *Derived) float64 { return d.OpeningSeconds }),
 			carried(AspectKnown, "couriers that call it and park it before it is back, where it is down for 30 s", "ratio", "outage.parked_share.refusing", "ratio",
 				rareCouriers, nil),
-			carried(AspectKnown, "until a courier that calls parks it, mean; 30 s, its end, where it doesn't", "s", "outage.parked_after.refusing", "s", rareCouriers, nil),
+			atMost(carried(AspectKnown, "until a courier that calls parks it, mean; 30 s, its end, where it doesn't", "s", "outage.parked_after.refusing", "s",
+				rareCouriers, nil), outageSeconds),
 			words(AspectMeanwhile, "messages wait in the hold of the courier that took them, and are tried as the gap of that courier allows"),
 			worked(AspectCaughtUp, "messages that wait for one of them, at the full backlog", "events", func(_ *Plan, d *Derived) float64 { return d.BacklogPerDestination }),
 		}}
--- a/lab/capacity/markdown.go
+++ b/lab/capacity/markdown.go
@@ -55,8 +55,15 @@
 		"`docs/capacity/measured.json`; do not edit: a test holds the page against the two files. " +
 		"`pinelab capacity --plan FILE` answers for another fleet.")
 	m.say("How to read it:\n\n")
+	m.say("- A *courier* is one process that takes messages (*events*), holds them on its disk and calls the endpoints of their *destinations*. Its decision " +
+		"module works in *steps*: what came meanwhile goes in, what to do comes out, and no message moves on while it works. A destination that fails is " +
+		"*parked*: its messages are *held* without calls, and further tries come rarely. A *route* is a destination as one class of messages uses it. " +
+		"*Membership* is what couriers know of each other; *sharing* divides a destination's limit among them, in *beats* twice a second. *Discovery* is " +
+		"the platform's list of endpoints.\n")
 	m.say("- A figure at the planned size is a slope that a scale run measured, carried there. *Carried* is how far beyond the largest size " +
-		"measured; over tenfold is in **bold**: read it as a direction, not as a figure. The spread is that of the fit, over all plays.\n")
+		"measured; over tenfold is in **bold**: read it as a direction, not as a figure. The spread is that of the fit, over all plays; from 30 %% on it is bold too. " +
+		"*power 1.4*: the figure grows with the size to the power of 1.4, so more than linearly. *Last point 1.5 x the curve*: at the largest size the figure " +
+		"lies so far above the curve, which is then too low beyond.\n")
 	m.say("- *Breaks at*: the share of the planned size at which the budget is used up; under 100 %% the planned size does not fit. Budgets that " +
 		"nobody stated are marked as assumed.\n")
 	m.say("- *runs today*: in the courier as it is. *shown with hollow couriers*: the real code, many couriers in one process, stand-ins for " +
--- a/lab/capacity/page_test.go
+++ b/lab/capacity/page_test.go
@@ -414,3 +414,75 @@
 		}
 	}
 }
+
+// TestCountsAreToldAndNotCarried: what a run counted stands at its sizes, and has neither a figure at the planned size nor a share.
+func TestCountsAreToldAndNotCarried(t *testing.T) {
+	row := Row{What: "made up", Unit: "ratio", Counted: &Counted{Run: "run", Figure: "figure", Over: "things", Where: map[string]float64{"kind": 2}}}
+	point := func(size, kind float64, values ...float64) slopes.Point {
+		return slopes.Point{Sizes: map[string]float64{"things": size, "kind": kind}, Values: map[string][]float64{"figure": values}}
+	}
+	measured := &slopes.Measured{Version: slopes.Version, Runs: []slopes.Run{{Name: "run",
+		Points: []slopes.Point{point(3, 1, 0.5, 0.5), point(30, 2, 0, 0), point(3, 2, 0, 0), point(1000, 2, 0.04, 0)}}}}
+	answer, err := row.Work(&Plan{}, &Derived{}, measured)
+	if err != nil || answer.Figure != nil || answer.Share != nil || answer.Evidence != CountedOnly {
+		t.Errorf("%+v, %v", answer, err)
+	}
+	if cell := figureCell(&answer); cell != "0 at 3 to 30 things, 0.02 at 1,000 things" {
+		t.Errorf("%q", cell)
+	}
+	if cell := restsCell(&answer); cell != "`run.figure` (counted, not carried)" {
+		t.Errorf("%q", cell)
+	}
+	answer, err = row.Work(&Plan{}, &Derived{}, &slopes.Measured{Version: slopes.Version})
+	if err != nil || answer.Evidence != NotMeasured || figureCell(&answer) != "not measured" {
+		t.Errorf("without the run: %+v, %v", answer, err)
+	}
+}
+
+// TestAddedArithmeticBreaksEarlier: what is added to a slope counts in the figure and in the share.
+func TestAddedArithmeticBreaksEarlier(t *testing.T) {
+	row := Row{What: "made up", Unit: "s", Parts: one("run.figure", "s", Size{"things", func(*Plan, *Derived) float64 { return 100 }}, nil),
+		Added:  func(*Plan, *Derived) float64 { return 300 },
+		Budget: func(*Plan) Budget { return Budget{Key: "made.up", Figure: 200} }}
+	measured := &slopes.Measured{Version: slopes.Version, Runs: []slopes.Run{{Name: "run", Slopes: []slopes.Slope{
+		{Name: "run.figure", Unit: "s", Over: "things", From: 1, To: 100, Fit: slopes.Fit{Model: slopes.Linear, Rate: 1}}}}}}
+	answer, err := row.Work(&Plan{}, &Derived{}, measured)
+	if err != nil || !near(*answer.Figure, 400) || !near(*answer.Share, 0.5) {
+		t.Errorf("%+v, %v", answer, err)
+	}
+}
+
+// TestBoundedFigure: a figure that its measurement bounds is carried no higher, and a budget beyond the bound never breaks.
+func TestBoundedFigure(t *testing.T) {
+	for budget, share := range map[float64]float64{20: 0.02, 30: math.Inf(1), 40: math.Inf(1)} {
+		row := Row{What: "made up", Unit: "s", Parts: one("run.figure", "s", Size{"things", func(*Plan, *Derived) float64 { return 1000 }}, nil),
+			Budget: func(*Plan) Budget { return Budget{Key: "made.up", Figure: budget} }}
+		row.Parts[0].AtMost = 30
+		measured := &slopes.Measured{Version: slopes.Version, Runs: []slopes.Run{{Name: "run", Slopes: []slopes.Slope{
+			{Name: "run.figure", Unit: "s", Over: "things", From: 1, To: 100, Fit: slopes.Fit{Model: slopes.Linear, Rate: 1}}}}}}
+		answer, err := row.Work(&Plan{}, &Derived{}, measured)
+		if err != nil || *answer.Figure != 30 || !(shareOf(answer) == share || near(shareOf(answer), share)) {
+			t.Errorf("budget %v: %+v, %v", budget, answer, err)
+		}
+		if cell := restsCell(&answer); !strings.Contains(cell, "30 s at most") {
+			t.Errorf("%q", cell)
+		}
+	}
+}
+
+// TestLastPointOffTheCurve: a fit that its largest size lies far off, and a wide spread, are pointed at.
+func TestLastPointOffTheCurve(t *testing.T) {
+	for last, told := range map[float64]bool{100: false, 120: false, 150: true, 70: true} {
+		slope := slopes.Slope{Name: "run.figure", Unit: "s", Over: "things", From: 1, To: 100, Figure: "figure",
+			Fit: slopes.Fit{Model: slopes.Power, Base: 1, Rate: 1, Spread: 0.4}}
+		run := slopes.Run{Name: "run", Slopes: []slopes.Slope{slope}, Points: []slopes.Point{
+			{Sizes: map[string]float64{"things": 100}, Values: map[string][]float64{"figure": {last - 1, last + 1}}},
+			{Sizes: map[string]float64{"things": 1}, Values: map[string][]float64{"figure": {1}}}}}
+		row := Row{What: "made up", Unit: "s", Parts: one("run.figure", "s", Size{"things", func(*Plan, *Derived) float64 { return 100 }}, nil)}
+		answer, err := row.Work(&Plan{}, &Derived{}, &slopes.Measured{Version: slopes.Version, Runs: []slopes.Run{run}})
+		cell := restsCell(&answer)
+		if err != nil || strings.Contains(cell, "last point") != told || !strings.Contains(cell, "power 1, **spread 40 %**") {
+			t.Errorf("last point %v: %q, %v", last, cell, err)
+		}
+	}
+}
--- a/lab/capacity/row.go
+++ b/lab/capacity/row.go
@@ -2,7 +2,9 @@
 
 import (
 	"fmt"
+	"maps"
 	"math"
+	"slices"
 	"strings"
 
 	"pineport/lab/slopes"
@@ -60,6 +62,14 @@
 	Unit  string // that the slope is to have
 	Over  Size
 	Times func(*Plan, *Derived) float64 // nil: 1
+	// AtMost bounds the slope's figure, where the way it is measured does; 0: nothing bounds it.
+	AtMost float64
+}
+
+// Counted is a figure of a run that is told at the sizes where it was counted, and carried nowhere.
+type Counted struct {
+	Run, Figure, Over string
+	Where             map[string]float64
 }
 
 // Budget is what a row is held against.
@@ -70,14 +80,16 @@
 	Assumed bool    `json:"assumed,omitempty"` // nobody stated it
 }
 
-// Row is one line of the page before it is worked out. One of Parts, Worked, CodeBound and None says where its figure comes from.
+// Row is one line of the page before it is worked out. One of Parts, Worked, CodeBound, Counted and None says where its figure comes from.
 type Row struct {
 	Role     Role
 	Resource Resource
 	What     string
 	Unit     string
 	Parts    []Part
+	Added    func(*Plan, *Derived) float64 // arithmetic on top of Parts, in proportion to the share of the planned size; nil: none
 	Worked   func(*Plan, *Derived) float64 // arithmetic alone
+	Counted  *Counted
 	// CodeBound is a bound that the code has: it is the budget of Worked, the size that has to fit.
 	CodeBound *CodeBound
 	None      string // why there is no figure at all
@@ -106,6 +118,8 @@
 	Figure    *float64    `json:"figure,omitempty"` // at the planned size; nil: not measured
 	AtLeast   bool        `json:"at_least,omitempty"`
 	Parts     []PartUsed  `json:"parts,omitempty"`
+	Added     float64     `json:"added,omitempty"`   // arithmetic on top of the parts, at the planned size
+	Counts    []Count     `json:"counts,omitempty"`  // at the sizes of a run, carried nowhere
 	Missing   []string    `json:"missing,omitempty"` // slopes that are not measured, or why there is no figure
 	Spread    float64     `json:"spread,omitempty"`  // largest of the fits
 	Carried   float64     `json:"carried,omitempty"` // times beyond the largest size measured, the largest of the parts
@@ -128,6 +142,7 @@
 	Measured    Evidence = "slope"
 	Arithmetic  Evidence = "arithmetic"
 	InTheCode   Evidence = "bound in the code"
+	CountedOnly Evidence = "counted, not carried"
 	NotMeasured Evidence = "not measured"
 )
 
@@ -141,15 +156,43 @@
 	Size    float64    `json:"size"` // planned
 	Carried float64    `json:"carried"`
 	Times   float64    `json:"times"`
+	AtMost  float64    `json:"at_most,omitempty"` // of the slope's figure
 	Fit     slopes.Fit `json:"fit"`
 	Unit    string     `json:"unit"`
+	// Last is what was measured at the largest size, the mean of its plays, over the curve there; 0: the run's points tell nothing.
+	Last float64 `json:"last,omitempty"`
 }
 
 // markedBeyond is how far a slope may be carried without a mark.
 const markedBeyond = 10
 
+// Count is a figure as a run counted it at one size.
+type Count struct {
+	Figure string  `json:"figure"` // RUN.FIGURE
+	Over   string  `json:"over"`
+	Size   float64 `json:"size"`
+	Mean   float64 `json:"mean"` // over all plays
+	Plays  int     `json:"plays"`
+}
+
 // at is the figure of a part at a share of the planned size.
-func (u *PartUsed) at(share float64) float64 { return u.Times * u.Fit.At(share*u.Size) }
+func (u *PartUsed) at(share float64) float64 { return u.Times * u.bounded(u.Fit.At(share*u.Size)) }
+
+// bounded is a figure of the slope within its bound.
+func (u *PartUsed) bounded(figure float64) float64 {
+	if u.AtMost > 0 {
+		return min(figure, u.AtMost)
+	}
+	return figure
+}
+
+// shareAt is the share of the planned size at which the part reaches a figure.
+func (u *PartUsed) shareAt(figure float64) float64 {
+	if u.Times == 0 || u.AtMost > 0 && figure/u.Times >= u.AtMost {
+		return math.Inf(1)
+	}
+	return u.Fit.SizeAt(figure/u.Times) / u.Size
+}
 
 // Work carries a row to the plan's size. Its error tells of a slope that is not what the row takes it for.
 func (row *Row) Work(plan *Plan, d *Derived, measured *slopes.Measured) (Answer, error) {
@@ -168,7 +211,12 @@
 	case row.Worked != nil:
 		answer.Assumes = assumedBehind(plan, row.Worked)
 		answer.worked(row.Worked(plan, d))
+	case row.Counted != nil:
+		answer.count(row.Counted, measured)
 	default:
+		if row.Added != nil {
+			answer.Added, answer.Assumes = row.Added(plan, d), assumedBehind(plan, row.Added)
+		}
 		return answer, answer.carry(row.Parts, plan, d, measured)
 	}
 	return answer, nil
@@ -187,6 +235,33 @@
 	}
 }
 
+// count takes what a run counted at each of its sizes.
+func (a *Answer) count(counted *Counted, measured *slopes.Measured) {
+	i := slices.IndexFunc(measured.Runs, func(run slopes.Run) bool { return run.Name == counted.Run })
+	if i >= 0 {
+		sizes, figures := measured.Runs[i].Values(counted.Figure, counted.Over, counted.Where)
+		a.Counts = countsOf(counted.Run+"."+counted.Figure, counted.Over, sizes, figures)
+	}
+	if len(a.Counts) == 0 {
+		a.Evidence, a.Missing = NotMeasured, []string{counted.Run + "." + counted.Figure}
+		return
+	}
+	a.Evidence = CountedOnly
+}
+
+// countsOf makes one count of all plays at a size, smallest size first.
+func countsOf(figure, over string, sizes, figures []float64) (all []Count) {
+	sums, plays := map[float64]float64{}, map[float64]int{}
+	for i, size := range sizes {
+		sums[size] += figures[i]
+		plays[size]++
+	}
+	for _, size := range slices.Sorted(maps.Keys(sums)) {
+		all = append(all, Count{Figure: figure, Over: over, Size: size, Mean: sums[size] / float64(plays[size]), Plays: plays[size]})
+	}
+	return all
+}
+
 // carry takes every slope of a row to its size.
 func (a *Answer) carry(parts []Part, plan *Plan, d *Derived, measured *slopes.Measured) error {
 	for _, part := range parts {
@@ -199,11 +274,12 @@
 			return fmt.Errorf("slope %q: %s over %s was expected, not %s over %s", part.Slope, part.Unit, part.Over.Name, slope.Unit, slope.Over)
 		}
 		used := PartUsed{Slope: part.Slope, Run: run.Name, Over: slope.Over, From: slope.From, To: slope.To, Size: part.Over.At(plan, d), Times: 1,
-			Fit: slope.Fit, Unit: slope.Unit}
+			AtMost: part.AtMost, Fit: slope.Fit, Unit: slope.Unit}
 		if part.Times != nil {
 			used.Times = part.Times(plan, d)
 		}
 		used.Carried = slope.Carried(used.Size)
+		used.Last = lastOver(slope, run)
 		a.Parts = append(a.Parts, used)
 		a.Spread = max(a.Spread, slope.Fit.Spread)
 		a.Carried = max(a.Carried, used.Carried)
@@ -222,6 +298,17 @@
 	return nil
 }
 
+// lastOver is what was measured at the largest size, over the fitted curve there.
+func lastOver(slope *slopes.Slope, run *slopes.Run) float64 {
+	sizes, figures := run.Values(slope.Figure, slope.Over, slope.Where)
+	counts := countsOf(slope.Name, slope.Over, sizes, figures)
+	if len(counts) == 0 {
+		return 0
+	}
+	last := counts[len(counts)-1]
+	return last.Mean / slope.At(last.Size)
+}
+
 // brokenThroughout mends the share of a figure that falls as the size grows and is over its budget at the planned size all the same.
 func (a *Answer) brokenThroughout() {
 	if a.Never && *a.Figure > a.Budget.Figure {
@@ -235,17 +322,13 @@
 	for i := range a.Parts {
 		figure += a.Parts[i].at(share)
 	}
-	return figure
+	return figure + share*a.Added
 }
 
 // shareAt is the share of the planned size at which the row reaches a figure.
 func (a *Answer) shareAt(figure float64) float64 {
-	if len(a.Parts) == 1 {
-		only := &a.Parts[0]
-		if only.Times == 0 {
-			return math.Inf(1)
-		}
-		return only.Fit.SizeAt(figure/only.Times) / only.Size
+	if len(a.Parts) == 1 && a.Added == 0 {
+		return a.Parts[0].shareAt(figure)
 	}
 	return a.shareOfSum(figure)
 }
--- a/lab/capacity/rows_courier.go
+++ b/lab/capacity/rows_courier.go
@@ -42,7 +42,7 @@
 			Mechanism: HeldWork, Package: decisions, Standing: RunsToday},
 		{Role: RoleCourier, Resource: Latency, What: "one step in which a message comes and goes", Unit: "s",
 			Parts: one("held.step_arrival.many", "s", heldMessages, nil), Budget: stepSeconds, Mechanism: HeldWork, Package: decisions, Standing: RunsToday},
-		{Role: RoleCourier, Resource: Latency, What: "the same, where few destinations are down", Unit: "s",
+		{Role: RoleCourier, Resource: Latency, What: "one step in which a message comes and goes, few destinations down", Unit: "s",
 			Parts: one("held.step_arrival.few", "s", heldMessages, nil), Budget: stepSeconds, Mechanism: HeldWork, Package: decisions, Standing: RunsToday},
 		{Role: RoleCourier, Resource: Processor, What: "decisions, were there a step for each message", Unit: "cores",
 			Parts: one("held.step_arrival.many", "s", heldMessages, eachEvent), Budget: courierCores, Mechanism: HeldWork, Package: decisions,
@@ -58,6 +58,9 @@
 			Budget: courierMemory, Mechanism: HeldMemory, Package: "logic, routing, spool", Standing: RunsToday},
 		{Role: RoleCourier, Resource: Disk, What: "messages held, in the folder", Unit: "bytes", Parts: one("held.spool_disk.many", "bytes", heldMessages, nil),
 			Budget: courierDisk, Mechanism: HeldMemory, Package: spoolPackage, Standing: RunsToday},
+		{Role: RoleCourier, Resource: Disk, What: "messages held, in the folder, with the 1,024 bytes of each that the spool keeps free for what attempts add", Unit: "bytes",
+			Parts: one("held.spool_disk.many", "bytes", heldMessages, nil), Added: keptFree, Budget: courierDisk, Mechanism: HeldMemory, Package: spoolPackage,
+			Standing: RunsToday},
 		{Role: RoleCourier, Resource: Latency, What: "a restart until the first step is over", Unit: "s",
 			Parts: one("held.restart.many", "s", heldMessages, nil), Budget: readySeconds, Mechanism: HeldRestart, Package: "spool, routing, logic", Standing: RunsToday},
 	}
@@ -71,7 +74,7 @@
 	}
 	return []Row{
 		calls("calls into an outage for each message that it holds up, all couriers, connections refused", "outage.failed_calls.refusing"),
-		calls("the same, every call throttled", "outage.failed_calls.throttling"),
+		calls("calls into an outage for each message that it holds up, all couriers, every call throttled", "outage.failed_calls.throttling"),
 		{Role: RoleCourier, Resource: State, What: "couriers that call a destination which is down and park it before it is back, after 30 s", Unit: "ratio",
 			Parts: one("outage.parked_share.refusing", "ratio", rareCouriers, nil), Mechanism: OutageAlone, Package: decisions, Standing: RunsToday},
 	}
@@ -137,6 +140,10 @@
 	}
 }
 
+// hearsFew says why processor time of the fleets that share is told only.
+const hearsFew = "up to 300 couriers it shows next to nothing of what goes by each member that is heard; the row over the others that are heard has that, and takes " +
+	"part in its place"
+
 func sharingRows() []Row {
 	share := func(resource Resource, what, slope, unit string, over Size, budget func(*Plan) Budget) Row {
 		return Row{Role: RoleCourier, Resource: resource, What: what, Unit: unit, Parts: one(slope, unit, over, nil), Budget: budget,
@@ -146,11 +153,13 @@
 	beats.Unit, beats.Parts[0].Times = "cores", beatsPerSecond
 	heard := share(Processor, "beats of sharing, over the others that are heard", "sharing.beat_seconds.heard_over_room", "s", othersHeard, controlCores)
 	heard.Unit, heard.Parts[0].Times = "cores", beatsPerSecond
+	fleet := share(Processor, "sharing of ten limits in a whole fleet", "sharing.cores", "cores", fleetCouriers, controlCores)
+	fleet.Told = hearsFew
 	return []Row{
 		{Role: RoleCourier, Resource: Bound, What: "routes whose limits are shared, of those called within two minutes; others are left out", Unit: "routes",
 			Worked: sharedRoutes.At, CodeBound: &CodeBound{"mostKeys", "commons/commons.go", 1024}, Mechanism: Sharing, Package: "commons", Standing: RunsToday},
 		beats, heard,
-		share(Processor, "sharing of ten limits in a whole fleet", "sharing.cores", "cores", fleetCouriers, controlCores),
+		fleet,
 		share(Memory, "sharing, over the routes in use", "sharing.kept_bytes.routes_over_room", "bytes", sharedRoutes, controlMemory),
 		share(Memory, "sharing, over the others that are heard", "sharing.kept_bytes.heard_over_room", "bytes", othersHeard, controlMemory),
 		share(Messages, "packets of sharing sent", "sharing.packets_per_second", "packets/s", fleetCouriers, nil),
@@ -180,7 +189,7 @@
 	return []Row{
 		{Role: RoleCourier, Resource: Processor, What: "control, all together: membership, sharing, changes of the list", Unit: "cores", Parts: []Part{
 			{Slope: "couriers.processor", Unit: "cores", Over: fleetMembers},
-			{Slope: "sharing.cores", Unit: "cores", Over: fleetCouriers},
+			{Slope: "sharing.beat_seconds.heard_over_room", Unit: "s", Over: othersHeard, Times: beatsPerSecond},
 			{Slope: "destinations.change", Unit: "s", Over: knownDestinations, Times: eachChange},
 		}, Budget: controlCores, Package: "peers, commons, logic", Standing: Hollow, Told: summed},
 		{Role: RoleCourier, Resource: Memory, What: "control, all together: membership, sharing, the list", Unit: "bytes", Parts: []Part{
--- a/lab/capacity/rows_others.go
+++ b/lab/capacity/rows_others.go
@@ -64,6 +64,19 @@
 	}
 }
 
+// Kinds of the run outage, by the size kind of its points: lab/scale/outage.go.
+const (
+	outageRefusing   = 1
+	outageThrottling = 2
+)
+
+// pushedOver is counted and not carried: at most sizes no return is pushed over, so that no curve can be fitted.
+func pushedOver(how string, kind float64) Row {
+	return Row{Role: RolePartners, Resource: State, What: "returning destinations that are pushed over, of all that return after an outage of 30 s: " + how, Unit: "ratio",
+		Counted:   &Counted{Run: "outage", Figure: "pushed_over", Over: "couriers", Where: map[string]float64{"kind": kind}},
+		Mechanism: OutageAlone, Package: decisions, Standing: RunsToday}
+}
+
 // watchSeconds is how long discovery may hold a watch: watchWait of routing/platform.go.
 const watchSeconds = 5
 
@@ -82,8 +95,8 @@
 		}),
 		{Role: RolePartners, Resource: Calls, What: "calls in the first second after the return of one destination, all couriers", Unit: "calls",
 			Parts: one("outage.return_calls.refusing", "calls", rareCouriers, eachOutage), Mechanism: OutageAlone, Package: decisions, Standing: RunsToday},
-		{Role: RolePartners, Resource: State, What: "returning destinations that are pushed over, of all", Unit: "ratio",
-			Parts: one("outage.pushed_over.refusing", "ratio", rareCouriers, nil), Mechanism: OutageAlone, Package: decisions, Standing: RunsToday},
+		pushedOver("connections refused", outageRefusing),
+		pushedOver("every call throttled", outageThrottling),
 		{Role: RolePartners, Resource: Bytes, What: "bytes that a client or an endpoint sends and receives", Unit: "bytes/s",
 			None: "bodies differ by client; no scale run has sockets", Mechanism: Connections, Package: "protocol, transport", Standing: RunsToday},
 	}
--- a/lab/capacity/sizes.go
+++ b/lab/capacity/sizes.go
@@ -51,6 +51,12 @@
 	liveDisk = 0.5
 )
 
+// keptFree is what the spool keeps free for what attempts add to the messages held: extra of spool/spool.go.
+func keptFree(_ *Plan, d *Derived) float64 {
+	const each = 1024
+	return each * d.HeldPerCourier
+}
+
 // budget makes a budget of one key of a plan.
 func budget(key string, figure func(*Plan) float64) func(*Plan) Budget {
 	return func(p *Plan) Budget {
