--- a/lab/scale/machine.go
+++ b/lab/scale/machine.go
@@ -27,10 +27,14 @@
 	return time.Duration(used.Utime.Nano() + used.Stime.Nano())
 }
 
-// heapInUse is what the heap holds after a full collection, in bytes.
+// heapInUse is what the heap holds after a full collection, in bytes. What a pool holds goes with the second one.
 func heapInUse() uint64 {
+	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return stats.HeapAlloc
 }
+
+// keepAlive holds what a figure of the heap counts until it has been taken.
+func keepAlive(kept ...any) { runtime.KeepAlive(kept) }
--- a/lab/scale/registry.go
+++ b/lab/scale/registry.go
@@ -7,7 +7,15 @@
 
 // Experiments are all scale runs, in the order in which they are played.
 func Experiments() []Experiment {
-	return []Experiment{}
+	return []Experiment{
+		heldExperiment(),
+		destinationsExperiment(),
+		outageExperiment(),
+		sharingExperiment(),
+		changesExperiment(),
+		couriersExperiment(),
+		sideBySideExperiment(),
+	}
 }
 
 // Find returns the experiment of a name.
--- a/lab/scale/scale.go
+++ b/lab/scale/scale.go
@@ -21,6 +21,8 @@
 	Plays int    // how often each size is played in full; a quick run plays it once
 	// Timed experiments measure processor time: nothing else should run on the machine.
 	Timed bool
+	// Real experiments play real couriers beside hollow ones, in full runs.
+	Real bool
 	// Measure plays every size once and records what it found.
 	Measure func(ctx context.Context, play *Play) error
 	// Fit says which slopes the recorded points make.
@@ -29,12 +31,16 @@
 	Check func(results *Results) error
 }
 
+// sizeCouriers is the size that several experiments have in common: how many couriers the fleet has.
+const sizeCouriers = "couriers"
+
 // Options are how an experiment is played.
 type Options struct {
 	Quick    bool  // the small sizes, once
 	Seed     int64 // of the first play; each further play takes the next
 	Commit   string
 	Command  string
+	Courier  string            // path of the courier's binary, for experiments with real couriers
 	Progress func(text string) // may be nil
 }
 
@@ -43,6 +49,7 @@
 	Quick   bool
 	Number  int // from 0
 	Seed    int64
+	Courier string // path of the courier's binary
 	results *Results
 	tell    func(text string)
 }
@@ -106,26 +113,10 @@
 	return all
 }
 
-// Values are all pairs of a size and a figure recorded there, over the points whose other sizes are as given.
+// Values are all pairs of a size and a figure recorded there, over the points that have this size and whose other sizes are as given.
 func (r *Results) Values(figure, over string, where map[string]float64) (sizes, figures []float64) {
-	for _, point := range r.Points() {
-		if !matches(point.Sizes, where) {
-			continue
-		}
-		for _, value := range point.Values[figure] {
-			sizes, figures = append(sizes, point.Sizes[over]), append(figures, value)
-		}
-	}
-	return sizes, figures
-}
-
-func matches(sizes, where map[string]float64) bool {
-	for name, want := range where {
-		if sizes[name] != want {
-			return false
-		}
-	}
-	return true
+	recorded := slopes.Run{Points: r.Points()}
+	return recorded.Values(figure, over, where)
 }
 
 // Curve is a slope to be fitted.
@@ -152,7 +143,18 @@
 	}
 	different := slices.Compact(slices.Sorted(slices.Values(sizes)))
 	r.fits = append(r.fits, slopes.Slope{Name: name, About: curve.About, Unit: curve.Unit, Over: curve.Over,
-		From: different[0], To: different[len(different)-1], Points: len(different), Plays: r.plays, Fit: fit})
+		From: different[0], To: different[len(different)-1], Points: len(different), Plays: r.plays, Fit: fit,
+		Figure: curve.Figure, Where: curve.Where})
+	return nil
+}
+
+// FitAll fits curves one after the other, up to the first that cannot be fitted.
+func (r *Results) FitAll(curves []Curve) error {
+	for _, curve := range curves {
+		if err := r.Fit(curve); err != nil {
+			return err
+		}
+	}
 	return nil
 }
 
@@ -165,7 +167,7 @@
 	begun := time.Now()
 	results := &Results{run: experiment.Name, plays: plays, point: map[string]*slopes.Point{}}
 	for n := range plays {
-		play := &Play{Quick: o.Quick, Number: n, Seed: o.Seed + int64(n), results: results, tell: func(text string) {
+		play := &Play{Quick: o.Quick, Number: n, Seed: o.Seed + int64(n), Courier: o.Courier, results: results, tell: func(text string) {
 			if o.Progress != nil {
 				o.Progress(fmt.Sprintf("%s, play %d of %d: %s", experiment.Name, n+1, plays, text))
 			}
