--- a/routing/platform.go
+++ b/routing/platform.go
@@ -11,12 +11,15 @@
 )
 
 const (
-	watchWait  = 5 * 1000 * 1000 // how long discovery may hold a watch; a dead connection shows so much later
-	watchSlack = 1500 * 1000     // and its answer may take
-	listSlack  = 150 * 1000      // the rest of a list that has begun may take; a drain that it tells has a grace of less
-	cutAgain   = 30 * 1000       // after one that broke off; twice as long after each further one, askAgain at most
-	askAgain   = 1000 * 1000     // where nobody else says when to ask again
-	nothingNew = 100 * 1000      // an answer that comes sooner and is no newer would have us ask in a circle
+	// How long discovery may hold a watch, and its answer may take after that; a dead connection shows so much later. Both
+	// together leave a call that hangs half a second to be asked anew: what it misses counts as told 6 s after discovery had
+	// it. Failure: given up after 6.5 s, a change from just after the call was told 6.35 s after it was made.
+	watchWait  = 4500 * 1000
+	watchSlack = 1000 * 1000
+	listSlack  = 150 * 1000  // the rest of a list that has begun may take; a drain that it tells has a grace of less
+	cutAgain   = 30 * 1000   // after one that broke off; twice as long after each further one, askAgain at most
+	askAgain   = 1000 * 1000 // where nobody else says when to ask again
+	nothingNew = 100 * 1000  // an answer that comes sooner and is no newer would have us ask in a circle
 
 	// A notice that is not confirmed goes again beside the first, as that may hang and its time be short; ever
 	// more slowly. The longest way there and back that a deployment tells of is a fifth of a second.
--- /dev/null
+++ b/routing/standing_terms_test.go
@@ -0,0 +1,298 @@
+package routing_test
+
+import (
+	"bufio"
+	"bytes"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"pineport/config"
+	"pineport/lab/port"
+	"pineport/lab/scripted"
+	"pineport/routing"
+	"pineport/spool"
+)
+
+// Terms of the acceptance that hold whatever else is allowed; docs/crossings.md has a row for each. These tests see the courier
+// from outside: its address, its configuration and what its peers are asked.
+
+// toldWithin is when a change counts as told at the latest, after discovery had it and could be reached.
+const toldWithin = 6 * time.Second
+
+// failure is one way in which a call to discovery fails. It is handed the call's connection, and tells whether that is kept
+// open and silent.
+type failure func(conn *net.TCPConn, request *bufio.Reader) (stays bool)
+
+// readRequest reads the head of a call; it has no body.
+func readRequest(in *bufio.Reader) error {
+	for {
+		line, err := in.ReadString('\n')
+		if err != nil || line == "\r\n" {
+			return err
+		}
+	}
+}
+
+// answering writes a text once the call has been read, and then closes or falls silent.
+func answering(text string, stays bool) failure {
+	return func(conn *net.TCPConn, request *bufio.Reader) bool {
+		if readRequest(request) != nil {
+			return false
+		}
+		io.WriteString(conn, text)
+		return stays
+	}
+}
+
+func resetting(afterRequest bool) failure {
+	return func(conn *net.TCPConn, request *bufio.Reader) bool {
+		if afterRequest && readRequest(request) != nil {
+			return false
+		}
+		conn.SetLinger(0)
+		return false
+	}
+}
+
+const (
+	halfAList   = "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"seq\":9,\"whole\":false,\"hosts\":["
+	serverError = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
+	noList      = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{]"
+	interim     = "HTTP/1.1 102 Processing\r\n\r\n"
+)
+
+// failures are the ways in which discovery is unwell, one call after the other; none means that connections are refused.
+var failures = map[string][]failure{
+	"refuses":                   nil,
+	"resets new connections":    {resetting(false)},
+	"resets under the call":     {resetting(true)},
+	"answers errors":            {answering(serverError, true)},
+	"answers what is no list":   {answering(noList, true)},
+	"hangs":                     {answering("", true)},
+	"hangs after an interim":    {answering(interim, true)},
+	"breaks off lists":          {answering(halfAList, false)},
+	"lists get stuck":           {answering(halfAList, true)},
+	"all of it, one by one":     {answering(serverError, true), resetting(true), answering(halfAList, false), resetting(false), answering("", true), answering(halfAList, true)},
+	"resets and hangs in turns": {resetting(true), answering("", true)},
+}
+
+// moodyDiscovery fails all calls until it recovers; from then on it has a change, and answers each new call with it at once.
+// Calls that hang by then stay as they are.
+type moodyDiscovery struct {
+	addr      string
+	fails     []failure
+	calls     atomic.Int64
+	recovered atomic.Bool
+	list      string // the whole list, with the change
+	mu        sync.Mutex
+	listener  net.Listener
+	conns     []net.Conn
+}
+
+func (d *moodyDiscovery) listen() error {
+	l, err := net.Listen("tcp", d.addr)
+	if err != nil {
+		return err
+	}
+	d.mu.Lock()
+	d.listener = l
+	d.mu.Unlock()
+	go func() {
+		for {
+			conn, err := l.Accept()
+			if err != nil {
+				return
+			}
+			d.mu.Lock()
+			d.conns = append(d.conns, conn)
+			d.mu.Unlock()
+			go d.serve(conn.(*net.TCPConn))
+		}
+	}()
+	return nil
+}
+
+func (d *moodyDiscovery) serve(conn *net.TCPConn) {
+	in := bufio.NewReader(conn)
+	for !d.recovered.Load() {
+		n := int(d.calls.Add(1)) - 1
+		if !d.fails[n%len(d.fails)](conn, in) {
+			conn.Close()
+			return
+		}
+		if _, err := in.Peek(1); err != nil { // silent until the next call comes over it
+			conn.Close()
+			return
+		}
+	}
+	defer conn.Close()
+	for told := false; readRequest(in) == nil; told = true {
+		if !told {
+			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(d.list), d.list)
+		}
+	}
+}
+
+// recover makes discovery reachable and well.
+func (d *moodyDiscovery) recover() error {
+	d.recovered.Store(true)
+	if d.fails == nil {
+		return d.listen()
+	}
+	return nil
+}
+
+func (d *moodyDiscovery) close() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.listener != nil {
+		d.listener.Close()
+	}
+	for _, conn := range d.conns {
+		conn.Close()
+	}
+}
+
+// The destination that every courier here knows from its start, and the one that only the change has.
+const (
+	knownDest   = 1
+	changedDest = 2
+)
+
+// newMoodyDiscovery serves discovery at an address of its own; the change is an endpoint of changedDest.
+func newMoodyDiscovery(t *testing.T, endpoint string, fails []failure) *moodyDiscovery {
+	t.Helper()
+	addr, letGo, err := port.Reserve()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(letGo)
+	d := &moodyDiscovery{addr: addr, fails: fails, list: fmt.Sprintf(`{"seq":9,"whole":true,"hosts":[{"host":"s-9","dial":%q,`+
+		`"site":"a","class":"plain","block":%d,"health":"in_service","share":50.0,"born_ms":0}]}`, endpoint, changedDest)}
+	t.Cleanup(d.close)
+	if fails != nil {
+		if err := d.listen(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return d
+}
+
+// startCourier runs a courier in this process by a configuration that edit may change, and returns its address.
+func startCourier(t *testing.T, w *scripted.World, edit func(text []byte) []byte) (listen string) {
+	t.Helper()
+	dir := t.TempDir()
+	listen, letGo, err := port.Reserve()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(letGo)
+	path := filepath.Join(dir, "config.json")
+	if err := os.WriteFile(path, edit(w.Configuration("n0", listen)), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	dep, err := config.Load(func(key string) string { return map[string]string{"RELAY_CONFIG": path, "RELAY_STATE": dir}[key] })
+	if err != nil {
+		t.Fatal(err)
+	}
+	kept, _, _, err := spool.Open(dir, 1e6)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r, err := routing.New(dep, kept, nil, nil, slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	stop, ended := make(chan struct{}), make(chan error)
+	go func() { ended <- r.Run(stop, nil, 50*time.Millisecond) }()
+	t.Cleanup(func() {
+		close(stop)
+		if err := <-ended; err != nil {
+			t.Error(err)
+		}
+	})
+	return listen
+}
+
+// knows asks a courier to take a message for a destination, and tells whether it knows that.
+func knows(listen, id string, dest int) bool {
+	conn, err := net.Dial("tcp", listen)
+	if err != nil {
+		return false
+	}
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(5 * time.Second))
+	attributes := fmt.Sprintf("c=order,d=8000,dest=%d", dest)
+	fmt.Fprintf(conn, "*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$1\r\nx\r\n", len(id), id, len(attributes), attributes)
+	line, err := bufio.NewReader(conn).ReadString('\n')
+	return err == nil && strings.TrimSpace(line) == "+OK"
+}
+
+// TestAChangeIsToldInTime: whatever calls to discovery came to while it was unwell, and whenever it recovers, the courier has a
+// change 6 s after discovery had it and could be reached, where lists are asked for and where they are pushed.
+func TestAChangeIsToldInTime(t *testing.T) {
+	// Instants of recovery, from the courier's start: within its first call, between two, and after several.
+	recoveries := []time.Duration{200 * time.Millisecond, 2500 * time.Millisecond, 7100 * time.Millisecond}
+	var all sync.WaitGroup
+	var mu sync.Mutex
+	seed := 0
+	worst := map[string]time.Duration{}
+	for _, mode := range []string{"subscribe", "automatic"} {
+		for name, fails := range failures {
+			for _, recovery := range recoveries {
+				w, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
+				if err != nil {
+					t.Fatal(err)
+				}
+				t.Cleanup(w.Close)
+				d := newMoodyDiscovery(t, w.Endpoints[0], fails)
+				w.Discovery = d.addr
+				seed++ // so that each draws its pauses anew
+				listen := startCourier(t, w, func(text []byte) []byte {
+					text = bytes.ReplaceAll(text, []byte(`"seed": "8c1f30d27a5be964"`), fmt.Appendf(nil, `"seed": "%016x"`, seed))
+					return bytes.ReplaceAll(text, []byte(`"subscribe"`), []byte(`"`+mode+`"`))
+				})
+				all.Add(1)
+				go func() {
+					defer all.Done()
+					time.Sleep(recovery)
+					if knows(listen, "early", changedDest) || !knows(listen, "usual", knownDest) {
+						t.Errorf("%s, %s: the courier knows the change before it was made, or not what it was started with", mode, name)
+					}
+					began := time.Now()
+					if err := d.recover(); err != nil {
+						t.Error(err)
+						return
+					}
+					const poll, giveUp = 20 * time.Millisecond, 2 * toldWithin
+					for n := 0; !knows(listen, fmt.Sprint("late-", n), changedDest); n++ {
+						if time.Since(began) > giveUp {
+							break
+						}
+						time.Sleep(poll)
+					}
+					took := time.Since(began)
+					if took > toldWithin {
+						t.Errorf("%s, %s, recovered after %v: the change was told after %v", mode, name, recovery, took)
+					}
+					mu.Lock()
+					defer mu.Unlock()
+					worst[mode+", "+name] = max(worst[mode+", "+name], took)
+				}()
+			}
+		}
+	}
+	all.Wait()
+	for name, took := range worst {
+		t.Logf("%s: at worst %v", name, took.Round(10*time.Millisecond))
+	}
+}
