--- a/routing/calls.go
+++ b/routing/calls.go
@@ -100,7 +100,7 @@
 // not be repeated was given up after the restart with no call. Put together then, a call went out with records called off meanwhile.
 func (r *Router) leaves(c *call) error {
 	for _, t := range slices.Clone(c.trips) {
-		if t.rec.ended {
+		if t.rec.ended || r.windowOver(t.rec) {
 			r.settle(t, logic.Settled{Outcome: logic.Void})
 		}
 	}
@@ -120,6 +120,26 @@
 	return nil
 }
 
+// windowOver tells whether an earlier attempt of a message may have run, so long ago that a repeat is not known by its idempotency key any
+// more. Failure: a repeat that was decided within the window went out after it, as its connection took a second to come up.
+func (r *Router) windowOver(rec *record) bool {
+	class := r.dep.Charter.Workloads[index(r.dep.Workloads, rec.kept.Workload)]
+	if class.Repeat != logic.Referenced {
+		return false
+	}
+	for _, t := range rec.kept.Trips {
+		if o, heard := outcomes[t.Outcome]; !heard || mayHaveRun(o) {
+			return r.now >= logic.Micros(t.Sent)+class.Window
+		}
+	}
+	return false
+}
+
+// mayHaveRun tells whether an attempt that ended so may have taken effect.
+func mayHaveRun(o logic.Outcome) bool {
+	return o != logic.Full && o != logic.Unreachable && o != logic.Void
+}
+
 var errNobody = errors.New("nothing of it is wanted any more")
 
 // note writes a trip into the spool, once; with its outcome where it ended before it was sent.
