--- a/lab/sim/client.go
+++ b/lab/sim/client.go
@@ -59,7 +59,8 @@
 		id += logic.RecordID("." + strconv.Itoa(cl.tries))
 	}
 	cl.tries++
-	r := &record{id: id, client: cl, courier: c}
+	s.taken++
+	r := &record{id: id, number: s.taken, client: cl, courier: c}
 	cl.held = r
 	c.records[id] = r
 	c.held++
@@ -68,8 +69,9 @@
 		key = logic.Key("k" + strconv.Itoa(int(cl.arrival.Key)))
 	}
 	s.books.Taken(s.now, id, cl.id, c.no, key, cl.cutOff)
-	s.tell(c, logic.Taken{Record: id, Dest: logic.DestID(cl.arrival.Dest), Workload: logic.WorkloadID(cl.arrival.Workload),
-		Party: logic.PartyID(cl.arrival.Party), Key: key, CutOff: cl.cutOff, Again: again})
+	r.taken = logic.Taken{Record: id, Dest: logic.DestID(cl.arrival.Dest), Workload: logic.WorkloadID(cl.arrival.Workload),
+		Party: logic.PartyID(cl.arrival.Party), Key: key, CutOff: cl.cutOff, Again: again}
+	s.tell(c, r.taken)
 }
 
 // other is where a client goes whose courier did not serve it.
--- a/lab/sim/courier.go
+++ b/lab/sim/courier.go
@@ -1,6 +1,7 @@
 package sim
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
 	"maps"
@@ -20,7 +21,8 @@
 	zone     logic.ZoneID
 	alive    bool
 	closing  bool
-	life     int // counts its starts, so that what belongs to an earlier one is known
+	life     int       // counts its starts, so that what belongs to an earlier one is known
+	spooled  []*record // what its folder holds while it is down, in the order taken
 	standsTo logic.Micros
 	events   []logic.Event
 	due      logic.Micros // the tick at which it is told them; 0: none
@@ -39,6 +41,8 @@
 	id      logic.RecordID
 	client  *client
 	courier *courier
+	number  int // in the order taken by all couriers
+	taken   logic.Taken
 	trips   []*trip
 	out     int
 	over    bool
@@ -49,6 +53,7 @@
 	no   logic.TripNo
 	book int // its number in the books
 	call *call
+	past logic.Past // as a folder has it; the outcome counts once it is over
 	over bool
 }
 
@@ -88,6 +93,7 @@
 	if lore, ok := s.lores[c.no]; ok {
 		s.tell(c, logic.Learned{Lore: lore})
 	}
+	s.takeUpAgain(c)
 	if s.w.Day.Directory.Mode == "push" {
 		s.listed.fetch(c)
 	}
@@ -136,12 +142,51 @@
 		if r.over {
 			continue
 		}
+		if s.Spool {
+			s.cutOff(r)
+			c.spooled = append(c.spooled, r)
+			continue
+		}
 		r.over = true
 		if work := &s.w.Day.Workloads[r.client.arrival.Workload]; work.Repeat != "single-use" || !s.books.MayHaveRun(id) {
 			s.after(s.now+s.between(s.w.Day.Clients.Again), func() { s.handIn(r.client, s.other(c), true) })
 		}
 	}
-	s.books.Down(s.now, c.no, true, s.Lore == 0)
+	slices.SortStableFunc(c.spooled, func(a, b *record) int { return cmp.Compare(a.number, b.number) })
+	s.books.Down(s.now, c.no, !s.Spool, s.Lore == 0)
+}
+
+// takeUpAgain hands a courier what its folder held.
+func (s *Sim) takeUpAgain(c *courier) {
+	for _, r := range c.spooled {
+		if r.over {
+			continue // withdrawn meanwhile
+		}
+		e := logic.Recovered{Taken: r.taken}
+		for _, t := range r.trips {
+			e.Trips = append(e.Trips, t.past)
+		}
+		c.records[r.id] = r
+		c.held++
+		s.tell(c, e)
+	}
+	c.spooled = nil
+}
+
+// cutOff ends what a killed courier had out. A folder knows of an attempt from its first byte on: before, it never was;
+// after, it may have run.
+func (s *Sim) cutOff(r *record) {
+	r.out = 0
+	r.trips = slices.DeleteFunc(r.trips, func(t *trip) bool {
+		if t.over {
+			return false
+		}
+		t.over, t.past.Outcome = true, logic.Broken
+		if !t.call.linked {
+			s.books.Settled(s.now, r.id, t.book, logic.Unreachable, 0)
+		}
+		return !t.call.linked
+	})
 }
 
 // tell puts something before a courier's next turn.
--- /dev/null
+++ b/lab/sim/restarts_test.go
@@ -0,0 +1,128 @@
+package sim
+
+import (
+	"os"
+	"testing"
+
+	"pineport/lab/day"
+	"pineport/logic"
+)
+
+// readDay reads a day of testdata.
+func readDay(t *testing.T, name string) *day.Day {
+	t.Helper()
+	file := "testdata/" + name + ".toml"
+	text, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	d, err := day.Read(file, text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return d
+}
+
+// recoveries counts what restarts found, by what may be done about it.
+type recoveries struct {
+	Decider
+	seen *foundAtRestarts
+}
+
+// foundAtRestarts are messages with an idempotency key that restarts found, and how often such a one was sent afterwards.
+type foundAtRestarts struct {
+	window                            logic.Micros
+	workloads                         map[logic.WorkloadID]bool // those with an idempotency key
+	untried, within, over             map[logic.RecordID]bool
+	sentUntried, sentWithin, sentOver int
+}
+
+func newFoundAtRestarts(window logic.Micros, keyed ...logic.WorkloadID) *foundAtRestarts {
+	f := &foundAtRestarts{window: window, workloads: map[logic.WorkloadID]bool{}, untried: map[logic.RecordID]bool{},
+		within: map[logic.RecordID]bool{}, over: map[logic.RecordID]bool{}}
+	for _, w := range keyed {
+		f.workloads[w] = true
+	}
+	return f
+}
+
+// found sorts a message that a restart found.
+func (f *foundAtRestarts) found(now logic.Micros, e logic.Recovered) {
+	delete(f.untried, e.Record)
+	delete(f.within, e.Record)
+	if !f.workloads[e.Workload] {
+		return
+	}
+	for _, p := range e.Trips {
+		if p.Outcome == logic.Full || p.Outcome == logic.Unreachable || p.Outcome == logic.Void {
+			continue
+		}
+		if now >= p.Sent+f.window {
+			f.over[e.Record] = true
+		} else {
+			f.within[e.Record] = true
+		}
+		return
+	}
+	f.untried[e.Record] = true
+}
+
+func (f *foundAtRestarts) sent(id logic.RecordID) {
+	switch {
+	case f.over[id]:
+		f.sentOver++
+	case f.within[id]:
+		f.sentWithin++
+	case f.untried[id]:
+		f.sentUntried++
+	}
+}
+
+// Handle implements Decider.
+func (r *recoveries) Handle(now logic.Micros, events []logic.Event) []logic.Action {
+	for _, event := range events {
+		if e, ok := event.(logic.Recovered); ok {
+			r.seen.found(now, e)
+		}
+	}
+	actions := r.Decider.Handle(now, events)
+	for _, action := range actions {
+		if a, ok := action.(logic.Send); ok {
+			r.seen.sent(a.Record)
+		}
+	}
+	return actions
+}
+
+// TestShortWindowOverRestarts: on days full of restarts, with repeats known for a second only, all rules hold; what a restart
+// finds past its window never goes again, what is within it may, and what was never tried still is.
+func TestShortWindowOverRestarts(t *testing.T) {
+	const (
+		seeds  = 12
+		window = 1000 * 1000 // as the day has it for the first two workloads
+	)
+	var untried, within, over, sentUntried, sentWithin, sentOver int
+	for seed := int64(1); seed <= seeds; seed++ {
+		w := day.Draw(readDay(t, "restarts"), seed)
+		found := newFoundAtRestarts(window, 0, 1)
+		v, _, err := Play(w, NewLocal(func(_ int, ch logic.Charter) Decider {
+			return &recoveries{logic.New(ch), found}
+		}), Options{Spool: true})
+		if err != nil {
+			t.Fatal(err)
+		}
+		if !v.OK() {
+			t.Errorf("seed %d: %s %v", seed, v.Short(), v.Breaches)
+		}
+		untried, within, over = untried+len(found.untried), within+len(found.within), over+len(found.over)
+		sentUntried, sentWithin, sentOver = sentUntried+found.sentUntried, sentWithin+found.sentWithin, sentOver+found.sentOver
+	}
+	t.Logf("%d days: restarts found %d messages untried (%d attempts followed), %d within their window (%d attempts), %d past it (%d attempts)",
+		seeds, untried, sentUntried, within, sentWithin, over, sentOver)
+	if sentOver > 0 {
+		t.Errorf("%d attempts of messages that were past their window when a restart found them", sentOver)
+	}
+	if over == 0 || sentWithin == 0 || sentUntried == 0 {
+		t.Error("these days show too little")
+	}
+}
