--- /dev/null
+++ b/cmd/pineport/crowd_test.go
@@ -0,0 +1,161 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"pineport/lab/port"
+	"pineport/lab/scripted"
+)
+
+// descriptors is how many the courier's process holds.
+func (c *courier) descriptors() int {
+	c.t.Helper()
+	all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", c.cmd.Process.Pid))
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	return len(all)
+}
+
+// crowd is clients that come, say nothing or half a command, and come again at once when they are sent away.
+type crowd struct {
+	stopped chan struct{}
+	all     sync.WaitGroup
+	up      atomic.Int64
+}
+
+func gatherCrowd(address string, clients int) *crowd {
+	w := &crowd{stopped: make(chan struct{})}
+	for i := range clients {
+		w.all.Add(1)
+		go func() {
+			defer w.all.Done()
+			for !w.over() {
+				w.visit(address, i%2 == 0)
+			}
+		}()
+	}
+	return w
+}
+
+func (w *crowd) over() bool {
+	select {
+	case <-w.stopped:
+		return true
+	default:
+		return false
+	}
+}
+
+// visit stays on one connection until it is closed.
+func (w *crowd) visit(address string, halfACommand bool) {
+	conn, err := net.DialTimeout("tcp", address, time.Second)
+	if err != nil {
+		time.Sleep(10 * time.Millisecond)
+		return
+	}
+	defer conn.Close()
+	w.up.Add(1)
+	defer w.up.Add(-1)
+	if halfACommand {
+		fmt.Fprint(conn, "*5\r\n$7\r\nENQ")
+	}
+	for !w.over() {
+		conn.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
+		_, err := conn.Read(make([]byte, 64))
+		var late net.Error
+		if errors.As(err, &late) && late.Timeout() {
+			continue
+		}
+		if err != nil {
+			return
+		}
+	}
+}
+
+func (w *crowd) leave() {
+	close(w.stopped)
+	w.all.Wait()
+}
+
+// TestDiscoveryIsReachedThroughACrowd: idle clients take all the descriptors that they can get while discovery is down; when it
+// is back it is asked again, in time, with the crowd still there.
+func TestDiscoveryIsReachedThroughACrowd(t *testing.T) {
+	const (
+		sockets   = 128
+		clients   = 4 * sockets
+		downFor   = 5 * time.Second
+		backAfter = 6 * time.Second // what is told counts as told by then
+	)
+	w, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer w.Close()
+	discovery, letGo, err := port.Reserve()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer letGo()
+	w.Discovery = discovery
+	c := newCourier(t, w)
+	c.rewrite(`"sockets": 1024`, fmt.Sprintf(`"sockets": %d`, sockets))
+	c.start()
+	limit := unix.Rlimit{Cur: sockets, Max: sockets}
+	if err := unix.Prlimit(c.cmd.Process.Pid, unix.RLIMIT_NOFILE, &limit, nil); err != nil {
+		t.Fatal(err)
+	}
+	crowd := gatherCrowd(c.listen, clients)
+	leave := sync.OnceFunc(crowd.leave)
+	defer leave()
+	most := 0
+	for began := time.Now(); time.Since(began) < downFor; time.Sleep(50 * time.Millisecond) {
+		most = max(most, c.descriptors())
+	}
+	if most < sockets*4/10 {
+		t.Errorf("%d descriptors of %d: no crowd", most, sockets)
+	}
+	asked := make(chan time.Time, 1)
+	list := fmt.Sprintf(`{"seq":9,"whole":true,"hosts":[{"host":"s-9","dial":%q,"site":"a","class":"plain","block":2,`+
+		`"health":"in_service","share":50.0,"born_ms":0}]}`, w.Endpoints[0])
+	var calls atomic.Int64
+	server := &http.Server{Handler: http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+		if calls.Add(1) > 1 {
+			<-r.Context().Done() // nothing newer
+			return
+		}
+		asked <- time.Now()
+		fmt.Fprint(rw, list)
+	})}
+	listener, err := net.Listen("tcp", discovery)
+	if err != nil {
+		t.Fatal(err)
+	}
+	back := time.Now()
+	go server.Serve(listener)
+	defer server.Close()
+	select {
+	case at := <-asked:
+		t.Logf("at most %d descriptors of %d held, %d clients connected; discovery was asked %v after it was back", most, sockets, crowd.up.Load(),
+			at.Sub(back).Round(10*time.Millisecond))
+	case <-time.After(backAfter):
+		t.Fatalf("discovery was not asked within %v; %d descriptors held", backAfter, c.descriptors())
+	}
+	leave()
+	waitFor(t, "a message for what the list brought", 5*time.Second, func() bool {
+		got := c.ask(strings.Replace(enqueue("next", "update", 8000), "dest=1", "dest=2", 1))
+		return got[0] == "+OK"
+	})
+	waitFor(t, "next", 5*time.Second, func() bool { _, done, _ := w.Seen("next"); return done == 1 })
+}
