--- /dev/null
+++ b/cmd/pineport/ready_test.go
@@ -0,0 +1,125 @@
+package main
+
+import (
+	"bufio"
+	"bytes"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"slices"
+	"syscall"
+	"testing"
+	"time"
+
+	"pineport/config"
+	"pineport/lab/scripted"
+	"pineport/routing"
+	"pineport/spool"
+)
+
+// fill puts as many messages into the courier's folder as it takes, each with a history of attempts, and returns how many it added.
+func (c *courier) fill(round, body int) (messages int) {
+	c.t.Helper()
+	dep, err := config.Load(func(key string) string {
+		return map[string]string{"RELAY_CONFIG": filepath.Join(c.dir, "config.json"), "RELAY_STATE": filepath.Join(c.dir, "state")}[key]
+	})
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	room := routing.SpoolRoom(dep)
+	kept, _, _, err := spool.Open(dep.Spool, room)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	defer kept.Close()
+	for ; ; messages++ {
+		id := fmt.Sprintf("kept-%d-%d", round, messages)
+		err := kept.Take(&spool.Record{ID: id, Workload: []string{"update", "order"}[messages%2], Dest: 1,
+			CutOff: time.Now().Add(time.Hour).UnixMicro(), Body: bytes.Repeat([]byte("x"), body)})
+		if errors.Is(err, spool.ErrFull) {
+			break
+		}
+		for n := range 3 {
+			err = errors.Join(err, kept.Begin(id, spool.Trip{Endpoint: "s-0", Sent: time.Now().UnixMicro()}), kept.Settle(id, n, "unreachable"))
+		}
+		if err != nil {
+			c.t.Fatal(err)
+		}
+	}
+	if round == 0 {
+		c.t.Logf("%d messages of %d bytes, %d of %d bytes of the folder", messages, body, kept.Size(), room)
+	}
+	return messages
+}
+
+// startTimed starts the courier and returns how long it took until it answered a PING.
+func (c *courier) startTimed() time.Duration {
+	c.t.Helper()
+	const crashAfter = 30 * time.Second // one that is not ready by then fails the day
+	began := time.Now()
+	c.cmd = exec.Command(c.binary)
+	c.cmd.Env = append(os.Environ(), "RELAY_CONFIG="+filepath.Join(c.dir, "config.json"), "RELAY_STATE="+filepath.Join(c.dir, "state"))
+	c.cmd.Stderr = c.log
+	if err := c.cmd.Start(); err != nil {
+		c.t.Fatal(err)
+	}
+	for ; time.Since(began) < crashAfter; time.Sleep(time.Millisecond) {
+		if c.answersPing() {
+			return time.Since(began)
+		}
+	}
+	c.t.Fatalf("not ready within %v", crashAfter)
+	return 0
+}
+
+func (c *courier) answersPing() bool {
+	conn, err := net.Dial("tcp", c.listen)
+	if err != nil {
+		return false
+	}
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(30 * time.Second))
+	fmt.Fprint(conn, command("PING"))
+	line, err := bufio.NewReader(conn).ReadString('\n')
+	return err == nil && line == "+PONG\r\n"
+}
+
+// TestReadyWithAFullFolder: nine in ten restarted processes are ready within 10 s, with a folder as full as it gets, of many small
+// messages or of few large ones, at the size of folder that the platform gives and at one ten times as large.
+func TestReadyWithAFullFolder(t *testing.T) {
+	const (
+		restarts    = 10
+		readyWithin = 10 * time.Second
+	)
+	for _, folder := range []struct {
+		name         string
+		diskMB, body int
+	}{{"many small messages", 3, 20}, {"few large messages", 3, 60000}, {"ten times the folder", 30, 20}} {
+		t.Run(folder.name, func(t *testing.T) {
+			w, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 429, WaitMs: 60000} })
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer w.Close()
+			c := newCourier(t, w)
+			c.rewrite(`"disk_mb": 3`, fmt.Sprintf(`"disk_mb": %d`, folder.diskMB))
+			var took []time.Duration
+			for round := range restarts {
+				if added := c.fill(round, folder.body); round == 0 && added == 0 {
+					t.Fatal("nothing fits into the folder")
+				}
+				took = append(took, c.startTimed().Round(time.Millisecond))
+				c.cmd.Process.Signal(syscall.SIGKILL)
+				c.cmd.Wait()
+			}
+			t.Logf("ready after %v", took)
+			slices.Sort(took)
+			if ninth := took[restarts*9/10-1]; ninth > readyWithin {
+				t.Errorf("nine in ten were ready within %v, and not within %v", ninth, readyWithin)
+			}
+		})
+	}
+}
