--- a/routing/calls.go
+++ b/routing/calls.go
@@ -100,7 +100,7 @@
 // not be repeated was given up after the restart with no call. Put together then, a call went out with messages called off meanwhile.
 func (r *Router) leaves(c *call) error {
 	for _, attempt := range slices.Clone(c.attempts) {
-		if attempt.message.ended {
+		if attempt.message.ended || attempt.message.windowOver(r.now) {
 			r.complete(attempt, logic.Settled{Outcome: logic.Void})
 		}
 	}
--- a/routing/clients.go
+++ b/routing/clients.go
@@ -397,7 +397,7 @@
 		return
 	}
 	rep.text = protocol.ReplyOK
-	rep.message = &message{kept: kept, waiting: []*reply{rep}, acceptedAt: r.now}
+	rep.message = &message{kept: kept, waiting: []*reply{rep}, acceptedAt: r.now, repeatWindow: r.repeatWindow(kept.Workload)}
 	r.messages[logic.RecordID(request.ID)] = rep.message
 	r.counters.accepted()
 	r.events = append(r.events, r.accepted(kept))
--- a/routing/message.go
+++ b/routing/message.go
@@ -15,6 +15,36 @@
 	attempts   []*attempt
 	out        int // attempts that are not over
 	ended      bool
+	// repeatWindow is how long a repeat is known by its idempotency key, as the class had it when the message was accepted; 0: no matter.
+	repeatWindow logic.Micros
+}
+
+// repeatWindow is the window of a class whose repeats are known by an idempotency key; 0 for all others.
+func (r *Router) repeatWindow(workload string) logic.Micros {
+	class := r.dep.Charter.Workloads[slices.Index(r.dep.Workloads, workload)]
+	if class.Repeat != logic.Referenced {
+		return 0
+	}
+	return class.Window
+}
+
+// windowOver tells whether an earlier attempt may have run, so long ago that a repeat is not known by its idempotency key any more.
+// Failure: a repeat that was decided within the window went out after it, as its connection took a second to come up.
+func (m *message) windowOver(now logic.Micros) bool {
+	if m.repeatWindow == 0 {
+		return false
+	}
+	for _, trip := range m.kept.Trips {
+		if outcome, heard := outcomes[trip.Outcome]; !heard || mayHaveRun(outcome) {
+			return now >= logic.Micros(trip.Sent)+m.repeatWindow
+		}
+	}
+	return false
+}
+
+// mayHaveRun tells whether an attempt that ended so may have taken effect.
+func mayHaveRun(outcome logic.Outcome) bool {
+	return outcome != logic.Full && outcome != logic.Unreachable && outcome != logic.Void
 }
 
 // attempt is one try to deliver a message: a call to an endpoint, alone or together with attempts of other messages.
--- a/routing/recovery.go
+++ b/routing/recovery.go
@@ -67,7 +67,7 @@
 			r.platform.tell(kept)
 			continue
 		}
-		message := &message{kept: kept, acceptedAt: r.now}
+		message := &message{kept: kept, acceptedAt: r.now, repeatWindow: r.repeatWindow(kept.Workload)}
 		for i := range kept.Trips {
 			attempt := &attempt{message: message, number: i, sent: logic.Micros(kept.Trips[i].Sent), noted: true, over: true}
 			message.attempts = append(message.attempts, attempt)
