--- a/logic/logic.go
+++ b/logic/logic.go
@@ -440,16 +440,16 @@
 }
 
 // strike counts signs of an outage: three in a row with nothing served for a while, two where calls are rare.
-// A refusal may tell of a limit: three, and at one used up none if this courier could use it up alone.
+// A refusal may tell of a limit: three; at one used up none, but where this courier long kept to a small part.
 func (c *Courier) strike(rt *route, signs *int, o Outcome, shut bool) {
-	few := 3
+	few, unserved := 3, c.now-rt.lastDone
 	if c.base(rt) < rare && (o != Full || rt.rate == 0 || shut) {
 		if few = 2; o == Full {
 			few = 1 // all that most couriers like this one will see of it
 		}
 	}
-	usedUp := o == Full && rt.told && rt.left < scarce && c.base(rt) >= 4*rare
-	if *signs++; *signs >= few && c.now-rt.lastDone > outageAfter && !usedUp {
+	usedUp := o == Full && rt.told && rt.left < scarce && (c.base(rt) >= 4*rare || unserved < 3*outageAfter)
+	if *signs++; *signs >= few && unserved > outageAfter && !usedUp {
 		c.sicken(rt)
 	}
 }
