--- a/logic/logic.go
+++ b/logic/logic.go
@@ -440,7 +440,7 @@
 }
 
 // strike counts signs of an outage: three in a row with nothing served for a while, two where calls are rare.
-// A refusal may tell of a limit: three; at one used up none, but where this courier long kept to a small part.
+// A refusal may tell of a limit: three; at one used up none, unless this courier long kept to a small part.
 func (c *Courier) strike(rt *route, signs *int, o Outcome, shut bool) {
 	few, unserved := 3, c.now-rt.lastDone
 	if c.base(rt) < rare && (o != Full || rt.rate == 0 || shut) {
