--- a/lab/capacity/cells.go
+++ b/lab/capacity/cells.go
@@ -32,7 +32,10 @@
 		parts = append(parts, fmt.Sprintf("`%s` (%s)", part.Slope, fitText(&part, a.Unit)))
 	}
 	if a.Added > 0 {
-		parts = append(parts, "and "+Text(a.Added, a.Unit)+" by "+string(Arithmetic)+assumedText(a.Assumes))
+		parts = append(parts, "and "+Text(a.Added, a.Unit)+" by "+string(Arithmetic))
+	}
+	if len(parts) > 0 {
+		parts[len(parts)-1] += assumedText(a.Assumes)
 	}
 	for _, missing := range a.Missing {
 		if len(a.Parts) > 0 || a.Evidence != NotMeasured || isSlopeName(missing) {
@@ -153,6 +156,9 @@
 	if a.AtLeast {
 		text = "at most " + text
 	}
+	if a.Seen {
+		text += " (seen there)"
+	}
 	if a.Told != "" {
 		text += " (told only)"
 	}
--- a/lab/capacity/sizes.go
+++ b/lab/capacity/sizes.go
@@ -5,7 +5,8 @@
 	heldMessages      = Size{"messages", func(_ *Plan, d *Derived) float64 { return d.HeldPerCourier }}
 	knownDestinations = Size{"destinations", func(p *Plan, _ *Derived) float64 { return p.Traffic.Destinations }}
 	fleetMembers      = Size{"members", func(p *Plan, _ *Derived) float64 { return p.Fleet.Couriers }}
-	viewNames         = Size{"names", func(p *Plan, _ *Derived) float64 { return p.Fleet.Couriers }}
+	namesKept         = Size{"names", func(p *Plan, _ *Derived) float64 { return min(p.Fleet.Couriers, mostNames) }}
+	namesBeyond       = Size{"names", func(p *Plan, _ *Derived) float64 { return max(p.Fleet.Couriers, mostNames+1) }}
 	fleetCouriers     = Size{"couriers", func(p *Plan, _ *Derived) float64 { return p.Fleet.Couriers }}
 	othersHeard       = Size{"heard", func(p *Plan, _ *Derived) float64 { return p.Fleet.Couriers - 1 }}
 	listedEndpoints   = Size{"listed", func(p *Plan, _ *Derived) float64 { return p.Traffic.Destinations }} // one endpoint each, at least
@@ -17,6 +18,9 @@
 	sharedRoutes = Size{"routes", func(_ *Plan, d *Derived) float64 { return d.RoutesLately }}
 )
 
+// mostNames is what a view keeps by name: mostNames of peers/view/view.go.
+const mostNames = 4096
+
 // Factors of a part.
 func eachEvent(_ *Plan, d *Derived) float64      { return d.EventsPerCourier }
 func eachChange(_ *Plan, d *Derived) float64     { return d.ChangesPerSecond }
--- a/lab/scale/couriers.go
+++ b/lab/scale/couriers.go
@@ -259,6 +259,10 @@
 		if len(usual) == 0 || len(short) == 0 {
 			continue
 		}
+		if stat.Mean(usual, nil) <= 0 || stat.Mean(short, nil) <= 0 {
+			parts = append(parts, figure+" not told, as a reading lay at or below nought")
+			continue
+		}
 		parts = append(parts, fmt.Sprintf("%s %.2f", figure, stat.Mean(usual, nil)/stat.Mean(short, nil)))
 	}
 	results.Miss("every size at a pace of 1 s", fmt.Sprintf("played at shorter paces and told by the pace; %d members at 1 s over the same at the pace played: %s",
