--- a/lab/capacity/cells.go
+++ b/lab/capacity/cells.go
@@ -64,7 +64,7 @@
 	if part.Fit.Model == slopes.Power {
 		text += " " + plain(part.Fit.Rate)
 	}
-	spread := "spread " + percent(part.Fit.Spread)
+	spread := "spread " + percent(roundedSpread(part.Fit.Spread))
 	if part.Fit.Spread >= wideSpread {
 		spread = "**" + spread + "**"
 	}
@@ -78,6 +78,15 @@
 	return text
 }
 
+// roundedSpread is nought where a spread is that of rounding alone.
+func roundedSpread(spread float64) float64 {
+	const rounding = 1e-9
+	if spread < rounding {
+		return 0
+	}
+	return spread
+}
+
 // countsText tells counts by their sizes; sizes that follow each other with the same count are told together.
 func countsText(counts []Count, unit string) string {
 	var parts []string
