--- a/lab/capacity/cells.go
+++ b/lab/capacity/cells.go
@@ -32,7 +32,10 @@
 		parts = append(parts, fmt.Sprintf("`%s` (%s)", part.Slope, fitText(&part, a.Unit)))
 	}
 	if a.Added > 0 {
-		parts = append(parts, "and "+Text(a.Added, a.Unit)+" by "+string(Arithmetic)+assumedText(a.Assumes))
+		parts = append(parts, "and "+Text(a.Added, a.Unit)+" by "+string(Arithmetic))
+	}
+	if len(parts) > 0 {
+		parts[len(parts)-1] += assumedText(a.Assumes)
 	}
 	for _, missing := range a.Missing {
 		if len(a.Parts) > 0 || a.Evidence != NotMeasured || isSlopeName(missing) {
@@ -61,7 +64,7 @@
 	if part.Fit.Model == slopes.Power {
 		text += " " + plain(part.Fit.Rate)
 	}
-	spread := "spread " + percent(part.Fit.Spread)
+	spread := "spread " + percent(roundedSpread(part.Fit.Spread))
 	if part.Fit.Spread >= wideSpread {
 		spread = "**" + spread + "**"
 	}
@@ -75,6 +78,15 @@
 	return text
 }
 
+// roundedSpread is nought where a spread is that of rounding alone.
+func roundedSpread(spread float64) float64 {
+	const rounding = 1e-9
+	if spread < rounding {
+		return 0
+	}
+	return spread
+}
+
 // countsText tells counts by their sizes; sizes that follow each other with the same count are told together.
 func countsText(counts []Count, unit string) string {
 	var parts []string
@@ -153,6 +165,9 @@
 	if a.AtLeast {
 		text = "at most " + text
 	}
+	if a.Seen {
+		text += " (seen there)"
+	}
 	if a.Told != "" {
 		text += " (told only)"
 	}
