--- a/lab/capacity/arithmetic_test.go
+++ b/lab/capacity/arithmetic_test.go
@@ -88,9 +88,10 @@
 	all := []constant{
 		{"logic/logic.go", `idleAfter\s+= (\d+) \* second`, idleAfter},
 		{"peers/gossip/gossip.go", `ticks\s+= (\d+)\s`, gossipTicks},
-		{"routing/platform.go", `watchWait\s+= (\d+) \* 1000 \* 1000`, watchSeconds},
+		{"routing/platform.go", `watchWait\s+= (\d+) \* 1000\n`, 1000 * watchSeconds},
 		{"cmd/pineport/fleet.go", `Beat: min\(o\.Pace/(\d+), beatMost\)`, sharingBeats},
-		{"routing/router.go", `const late = (\d+) \* 1000`, 1000 * planned(t).Budget.Courier.StepSeconds},
+		{"spool/spool.go", `extra: (\d+)}`, keptFreeEach},
+		{"routing/inbox.go", `const late = (\d+) \* 1000`, 1000 * planned(t).Budget.Courier.StepSeconds},
 	}
 	bounds := 0
 	for _, row := range Rows() {
--- a/lab/capacity/rows_others.go
+++ b/lab/capacity/rows_others.go
@@ -48,7 +48,7 @@
 	}
 	return []Row{
 		discovery(Descriptors, "watches that stay open, one a courier", "connections", fleetCouriers.At),
-		discovery(Messages, "watches asked again, each held for 5 s at most", "calls/s",
+		discovery(Messages, "watches asked again, each held for 4.5 s at most", "calls/s",
 			func(p *Plan, d *Derived) float64 { return p.Fleet.Couriers * max(1/watchSeconds, d.ChangesPerSecond) }),
 		discovery(Messages, "changes told, one a courier and change", "messages/s",
 			func(p *Plan, d *Derived) float64 { return p.Fleet.Couriers * d.ChangesPerSecond }),
@@ -78,7 +78,7 @@
 }
 
 // watchSeconds is how long discovery may hold a watch: watchWait of routing/platform.go.
-const watchSeconds = 5
+const watchSeconds = 4.5
 
 func partnerRows() []Row {
 	partner := func(resource Resource, what, unit string, worked func(*Plan, *Derived) float64) Row {
--- a/lab/capacity/sizes.go
+++ b/lab/capacity/sizes.go
@@ -55,11 +55,10 @@
 	liveDisk = 0.5
 )
 
-// keptFree is what the spool keeps free for what attempts add to the messages held: extra of spool/spool.go.
-func keptFree(_ *Plan, d *Derived) float64 {
-	const each = 1024
-	return each * d.HeldPerCourier
-}
+// keptFreeEach is what the spool keeps free of each message for what attempts add to it, in bytes: extra of spool/spool.go.
+const keptFreeEach = 1024
+
+func keptFree(_ *Plan, d *Derived) float64 { return keptFreeEach * d.HeldPerCourier }
 
 // budget makes a budget of one key of a plan.
 func budget(key string, figure func(*Plan) float64) func(*Plan) Budget {
