--- a/lab/capacity/arithmetic_test.go
+++ b/lab/capacity/arithmetic_test.go
@@ -90,6 +90,7 @@
 		{"peers/gossip/gossip.go", `ticks\s+= (\d+)\s`, gossipTicks},
 		{"routing/platform.go", `watchWait\s+= (\d+) \* 1000\n`, 1000 * watchSeconds},
 		{"cmd/pineport/fleet.go", `Beat: min\(o\.Pace/(\d+), beatMost\)`, sharingBeats},
+		{"spool/spool.go", `extra: (\d+)}`, keptFreeEach},
 		{"routing/inbox.go", `const late = (\d+) \* 1000`, 1000 * planned(t).Budget.Courier.StepSeconds},
 	}
 	bounds := 0
