--- a/logic/state.go
+++ b/logic/state.go
@@ -1,7 +1,6 @@
 package logic
 
 import (
-	"cmp"
 	"math"
 	"math/bits"
 	"math/rand"
@@ -25,7 +24,8 @@
 	out       []Action
 	records   map[RecordID]*record
 	dests     map[DestID]*dest
-	waiting   []*dest // with records to be sent, by id
+	backlog   backlog
+	plan      planner
 	flying    []*trip // without an outcome, oldest first
 	endpoints map[EndpointID]*endpoint
 	barred    map[EndpointID]bool // by people, whatever the list says
@@ -65,6 +65,8 @@
 		refused:   make([]tally, len(ch.Shapes)+1),
 		crowd:     make([]crowding, len(ch.Shapes)+1),
 		wakeAt:    never,
+		backlog:   newBacklog(),
+		plan:      indexed{},
 	}
 }
 
@@ -75,6 +77,7 @@
 func (c *Courier) makeWider() {
 	n := len(c.ch.Workloads)
 	for _, d := range c.dests {
+		c.touch(d)
 		for _, rt := range d.routes {
 			rt.breakers = grown(rt.breakers, n)
 		}
@@ -98,7 +101,8 @@
 	cutOff  Micros
 	payoff  float64
 	lot     float64 // its place among the records of all couriers
-	loss    float64 // by waiting a second longer
+	lane    *lane   // where it is queued
+	seq     uint64  // grows with each time a message is queued
 	line    *keyLine
 	place   int // where it stood there when it left
 	trips   []*trip
@@ -111,6 +115,7 @@
 	mayRan  bool
 	untried bool      // as a restart found it: nothing had run
 	last    *endpoint // where the last trip failed
+	restTo  Micros    // as indexed: its key rests until then; 0: it does not
 }
 
 type trip struct {
@@ -133,13 +138,14 @@
 
 type dest struct {
 	urgency   float64 // what a slot gains there
-	taken     tally   // records, for the first time
+	at        Micros  // when what is sent in this step is answered: the order of its queue goes by that
+	queue     queue
+	taken     tally // records, for the first time
 	id        DestID
 	shape     Shape
 	kind      int // of its shape, in what is counted by it
 	routes    []*route
 	endpoints []*endpoint // in rank
-	queue     []*record
 	calls     int
 }
 
@@ -207,7 +213,7 @@
 		breakers: make([]breaker, len(c.ch.Workloads)), shared: SharedPart{Lent: mostLent, LentTo: c.ch.LentTo}}
 }
 
-// tally is a decaying sum; it is brought up to date when read.
+// tally is a decaying sum as it stood when something was last added; reading it changes nothing.
 type tally struct {
 	weight, sum float64
 	at          Micros
@@ -220,17 +226,17 @@
 	on   bool
 }
 
-// fade brings a tally up to date and returns it.
-func (t *tally) fade(now, over Micros) *tally {
-	if now > t.at {
-		keep := math.Exp(-float64(now-t.at) / float64(over))
-		t.weight, t.sum, t.at = t.weight*keep, t.sum*keep, now
+// fade returns what is left of a tally at an instant.
+func (t *tally) fade(now, over Micros) tally {
+	if now <= t.at {
+		return *t
 	}
-	return t
+	keep := math.Exp(-float64(now-t.at) / float64(over))
+	return tally{weight: t.weight * keep, sum: t.sum * keep, at: now}
 }
 
 func (t *tally) add(now, over Micros, value float64) {
-	t.fade(now, over)
+	*t = t.fade(now, over)
 	t.weight, t.sum = t.weight+1, t.sum+value
 }
 
@@ -281,29 +287,6 @@
 	return len(ep.route.breakers) > 0
 }
 
-func (c *Courier) enqueue(r *record) {
-	r.queued = true
-	r.dest.queue = append(r.dest.queue, r)
-	byID := func(d *dest, id DestID) int { return cmp.Compare(d.id, id) }
-	if i, found := slices.BinarySearchFunc(c.waiting, r.dest.id, byID); !found {
-		c.waiting = slices.Insert(c.waiting, i, r.dest)
-	}
-}
-
-func (c *Courier) unqueue(r *record) {
-	if r.queued {
-		r.queued = false
-		if i := slices.Index(r.dest.queue, r); i >= 0 {
-			r.dest.queue = slices.Delete(r.dest.queue, i, i+1)
-		}
-	}
-}
-
-// stillWaiting drops destinations that nothing waits for any more.
-func (c *Courier) stillWaiting() {
-	c.waiting = slices.DeleteFunc(c.waiting, func(d *dest) bool { return len(d.queue) == 0 })
-}
-
 // end forgets a record that has its answer; trips still out are remembered until their outcome.
 func (c *Courier) end(r *record) {
 	if r == nil || r.ended {
@@ -322,6 +305,7 @@
 	if r.ended && r.out == 0 {
 		delete(c.records, r.id)
 		r.line.leave(r)
+		c.nextOfKey(r.line)
 		if l := r.line; l != nil && len(l.records) == 0 && c.now >= l.restTo {
 			delete(c.keys, l.key)
 		} else if l != nil && len(l.records) == 0 {
@@ -373,7 +357,7 @@
 	c.forgetLate()
 	for _, d := range c.dests {
 		c.pruneEndpoints(d, idle)
-		wanted := len(d.endpoints)+len(d.queue)+d.calls > 0
+		wanted := len(d.endpoints)+d.queue.count+d.calls > 0
 		for _, rt := range d.routes {
 			wanted = wanted || c.now-rt.lastCall <= idle || c.now <= rt.waitTo
 		}
@@ -396,12 +380,13 @@
 		}
 	}
 	d.endpoints = slices.DeleteFunc(d.endpoints, past)
+	c.touch(d)
 }
 
 func (c *Courier) destination(id DestID) *dest {
 	d := c.dests[id]
 	if d == nil {
-		d = &dest{id: id}
+		d = &dest{id: id, queue: queue{endsAt: nothing}}
 		c.dests[id] = d
 	}
 	return d
@@ -443,6 +428,7 @@
 	ep.sent.add(c.now, rateOver, 1)
 	ep.route.called++
 	c.lately(ep.route)
+	c.touch(ep.dest)
 	return cl
 }
 
@@ -457,7 +443,8 @@
 // breakFrom is the rest from which on calls break more often than on new connections, by so much. Twice is no chance.
 func (c *Courier) breakFrom(more float64) Micros {
 	share := func(t *tally, known float64) float64 {
-		return max(0, t.fade(c.now, rateOver).sum-known) / (t.weight + 2)
+		left := t.fade(c.now, rateOver)
+		return max(0, left.sum-known) / (left.weight + 2)
 	}
 	for age := 1; age < len(c.broke); age++ {
 		if share(&c.broke[age], 1) > share(&c.broke[0], 0)+more {
@@ -484,6 +471,7 @@
 	t.over = true
 	t.rec.out--
 	rt := t.at.route
+	c.touch(rt.dest)
 	same := func(o *trip) bool { return o == t }
 	rt.out, c.flying = slices.DeleteFunc(rt.out, same), slices.DeleteFunc(c.flying, same)
 	switch e.Outcome {
