--- a/logic/logic.go
+++ b/logic/logic.go
@@ -43,7 +43,7 @@
 
 // Handle takes what happened at one instant and returns what is to be done.
 func (c *Courier) Handle(now Micros, events []Event) []Action {
-	c.now, c.out = now, nil
+	c.now, c.out, c.lookAt = now, nil, never
 	if c.wakeAt <= now {
 		c.stood(now - c.wakeAt)
 		c.wakeAt = never
@@ -60,7 +60,6 @@
 			c.settle(e)
 		case Closing:
 			c.closeAt = e.At
-			c.touchAll()
 		case Learned:
 			c.believe(e.Lore)
 		case Rechartered:
@@ -79,13 +78,13 @@
 		c.askAt, c.asked = never, now
 		c.do(Watch{})
 	}
-	c.giveUpAll(c.plan.over(c))
-	c.dispatch(c.plan.ready(c))
+	c.look(c.askAt)
+	c.expire()
+	c.dispatch()
 	c.makeRoom()
-	c.lookAt = c.askAt
-	c.plan.lookAhead(c)
-	if c.backlog.count > 0 {
-		c.look(now + lookEvery) // for what falls due unannounced: silence, overdue calls
+	c.stillWaiting()
+	if len(c.waiting) > 0 {
+		c.look(now + second/10) // for what falls due unannounced: silence, overdue calls
 	}
 	if at := max(c.lookAt, now+c.ch.Tick); c.lookAt < never && at < c.wakeAt {
 		c.wakeAt = at
@@ -100,14 +99,10 @@
 	for _, rt := range c.late {
 		if span > second/4 && c.now-rt.hurt < c.ch.Ramp {
 			rt.waitTo = max(rt.waitTo, c.now+Micros(c.rng.Int63n(int64(span))))
-			c.touch(rt.dest)
 		}
 	}
 }
 
-// lookEvery is how often a courier looks at what it holds, unasked.
-const lookEvery = second / 10
-
 func (c *Courier) do(a Action)    { c.out = append(c.out, a) }
 func (c *Courier) look(at Micros) { c.lookAt = min(c.lookAt, at) }
 
@@ -146,35 +141,11 @@
 	case late <= 0:
 		return r.payoff
 	case c.ch.Decay == Halves:
-		return r.payoff * r.work.halved(at-r.due)
+		return r.payoff * max(r.work.LatePart, math.Exp2(-late/float64(r.work.Quoted)))
 	}
 	return r.payoff * (1 - (1-r.work.LatePart)*late/float64(r.cutOff-r.due))
 }
 
-// halved is what is left of a payoff that halves, so late.
-func (w *Workload) halved(late Micros) float64 {
-	return max(w.LatePart, math.Exp2(-float64(late)/float64(max(w.Quoted, 1))))
-}
-
-// loss is what a record loses by going a second after an instant. It is computed so that what records lose alike
-// is alike to the last digit: then the one that is due first goes first, and not the one that rounding put there.
-func (c *Courier) loss(r *record, at Micros) float64 {
-	late := at - r.due
-	switch {
-	case at+second >= r.cutOff:
-		return c.worth(r, at)
-	case late+second <= 0:
-		return 0
-	case c.ch.Decay == Halves && late >= 0:
-		left := r.work.halved(late)
-		rate := -math.Expm1(-math.Ln2 * float64(second) / float64(max(r.work.Quoted, 1)))
-		return r.payoff * min(left-r.work.LatePart, left*rate)
-	case c.ch.Decay == Halves:
-		return r.payoff - c.worth(r, at+second)
-	}
-	return r.payoff * (1 - r.work.LatePart) * float64(min(second, late+second)) / float64(r.cutOff-r.due)
-}
-
 func (c *Courier) take(e Taken) {
 	if c.records[e.Record] != nil || int(e.Workload) >= len(c.ch.Workloads) {
 		return
@@ -246,23 +217,23 @@
 		(!r.mayRan || r.work.Repeat == Replayable || c.now < r.ranAt+r.work.Window && r.work.Repeat == Referenced)
 }
 
-// margin is how long before its cut-off a record is given up, as no answer would come in time any more.
-func (c *Courier) margin(d *dest) Micros {
-	quick := c.prior
-	for _, rt := range d.routes {
-		quick = min(quick, c.mean(rt)/2)
-	}
-	return max(quick, 4*c.ch.Tick)
-}
-
-// giveUpAll gives up what can no longer be delivered: of a destination, what ends first before the rest.
-func (c *Courier) giveUpAll(over []*record) {
-	slices.SortFunc(over, func(a, b *record) int {
-		return cmp.Or(cmp.Compare(a.dest.id, b.dest.id), cmp.Compare(a.cutOff, b.cutOff), cmp.Compare(a.seq, b.seq))
-	})
-	for _, r := range over {
-		if r.queued {
-			c.giveUp(r)
+// expire gives up what can no longer be delivered.
+func (c *Courier) expire() {
+	for _, d := range c.waiting {
+		quick := c.prior
+		for _, rt := range d.routes {
+			quick = min(quick, c.mean(rt)/2)
+		}
+		for _, r := range slices.Clone(d.queue) {
+			last := r.cutOff - max(quick, 4*c.ch.Tick)
+			if r.mayRan && r.work.Repeat == Referenced {
+				last = min(last, r.ranAt+r.work.Window-c.ch.Tick)
+			}
+			if c.now >= last {
+				c.giveUp(r)
+			} else {
+				c.look(last)
+			}
 		}
 	}
 }
@@ -271,12 +242,15 @@
 func (c *Courier) makeRoom() {
 	c.roomy = min(c.roomy, c.held)
 	for c.held >= max(c.ch.Hold, c.roomy+1) && c.ch.Hold > 0 {
-		var victim *record
+		var victim *record // none that a restart found untried, until three quarters of its life are over
 		least := math.Inf(1)
-		for _, d := range c.waiting() {
-			c.answeredAt(d)
-			for i, r := range c.plan.queue(c, d) {
-				if brings := c.brings(r, i); brings < least && c.mayMakeRoom(r) {
+		for _, d := range c.waiting {
+			for i, r := range d.queue {
+				brings, at := r.payoff/1000, c.soonest(r)
+				if at < never {
+					brings += c.worth(r, max(at, c.now)+c.mean(d.routes[0])+Micros(i)*c.spacing(d.routes[0]))
+				}
+				if brings < least && (!r.untried || r.mayRan || r.cutOff-c.now < r.work.Life/4) {
 					victim, least = r, brings
 				}
 			}
@@ -288,21 +262,6 @@
 	}
 }
 
-// brings is what keeping a record brings that has so many before it, less the later it may be sent.
-func (c *Courier) brings(r *record, before int) float64 {
-	at := c.soonest(r)
-	if at == never {
-		return r.payoff / 1000
-	}
-	first := r.dest.routes[0]
-	return r.payoff/1000 + c.worth(r, max(at, c.now)+c.mean(first)+Micros(before)*c.spacing(first))
-}
-
-// mayMakeRoom: nothing that a restart found untried, until three quarters of its life are over.
-func (c *Courier) mayMakeRoom(r *record) bool {
-	return !r.untried || r.mayRan || r.cutOff-c.now < r.work.Life/4
-}
-
 // turn tells when a record may be sent as far as its key goes.
 func (l *keyLine) turn(r *record) Micros {
 	switch {
@@ -324,7 +283,6 @@
 	if e.How != Partial {
 		for _, ep := range c.endpoints {
 			ep.Phase = Gone
-			c.touch(ep.dest)
 		}
 	}
 	for _, l := range e.Entries {
@@ -333,7 +291,6 @@
 			ep = c.admit(l)
 		}
 		ep.Listing = l
-		c.touch(ep.dest)
 		if c.ch.Rates != NoRates && l.Rate > 0 && !ep.route.told {
 			ep.route.rate = l.Rate
 		}
@@ -404,7 +361,6 @@
 	if !rt.sick && !rt.cold {
 		rt.usual = max(rt.usual, c.seen(rt))
 	}
-	c.touch(rt.dest)
 	if !rt.sick {
 		rt.sickAt = c.now
 	}
@@ -415,9 +371,6 @@
 // it is cold then. Where no sibling is warm that is a return of the whole route. Hurts if it was not.
 func (c *Courier) maintain(e Maintained) {
 	ep, was := c.endpoints[e.Endpoint], c.barred[e.Endpoint]
-	if ep != nil {
-		c.touch(ep.dest)
-	}
 	if c.barred[e.Endpoint] = e.Out; e.Out {
 		return
 	}
@@ -470,7 +423,6 @@
 			continue
 		}
 		c.lately(rt)
-		c.touch(rt.dest)
 		rt.took, rt.done, rt.since, rt.usual = r.Took.tally(l.At), r.Done.tally(l.At), r.Since, r.Usual
 		rt.lastCall, rt.lastDone, rt.gap, rt.knee = r.LastCall, r.LastDone, r.Gap, r.Knee
 		rt.strikes, rt.fulls, rt.sick, rt.sickAt, rt.cold = r.Strikes, r.Fulls, r.Sick, r.SickAt, r.Cold
@@ -561,7 +513,6 @@
 	}
 	if r.line != nil && (o == TimedOut || o == Broken || o == Withdrawn) {
 		r.line.restTo = max(r.line.restTo, c.now+c.ch.KeyRest+c.ch.Tick)
-		c.nextOfKey(r.line)
 	}
 }
 
@@ -575,15 +526,14 @@
 	if crowd.on {
 		share = 0.005 // an outage is over in seconds; a crowd that was given way to comes back
 	}
-	lately := crowd.fade(c.now, rateOver)
-	crowd.on = lately.sum > share*(lately.weight+5)
+	crowd.fade(c.now, rateOver)
+	crowd.on = crowd.sum > share*(crowd.weight+5)
 	return crowd.on && float64(c.ch.Couriers)*idle > 4
 }
 
 // learn takes in what an outcome tells of its route.
 func (c *Courier) learn(e Settled, t *trip) {
 	ep, rt, o := t.at, t.at.route, e.Outcome
-	c.touch(rt.dest)
 	if l, r := c.ch.LeftAt, c.ch.RateAt; min(l, r) >= 0 && len(e.Pressure) > max(l, r) && e.Pressure[r] > 0 {
 		rt.rate, rt.left, rt.told, rt.toldAt = e.Pressure[r], e.Pressure[l], true, c.now
 	}
@@ -769,18 +719,21 @@
 }
 
 // dispatch sends where a slot gains most first.
-func (c *Courier) dispatch(order []*dest) {
-	late := math.Inf(1)
+func (c *Courier) dispatch() {
+	for _, d := range c.waiting {
+		c.sortQueue(d)
+	}
+	order, late := slices.Clone(c.waiting), math.Inf(1)
 	slices.SortStableFunc(order, func(a, b *dest) int { return cmp.Compare(b.urgency, a.urgency) })
 	for sent := true; sent; {
 		sent = false
 		for _, d := range order {
 			switch free := c.ch.Slots - c.calls; {
-			case d.queue.count == 0 || free > 0 && d.calls > c.most(d, free):
+			case len(d.queue) == 0 || free > 0 && d.calls > c.most(d, free):
 			case free > 0:
 				sent = c.sendOne(d) || sent
 			default: // there is no slot
-				if ep, _ := c.place(c.plan.first(c, d)); ep != nil {
+				if ep, _ := c.place(d.queue[0]); ep != nil {
 					late = min(late, 3+float64(min(d.calls, 1))) // more where it has a call out
 				}
 			}
@@ -821,43 +774,47 @@
 	}
 }
 
-// inOrder puts first what loses most by waiting a second longer.
-func (c *Courier) inOrder(a, b *record) int {
-	at := a.dest.at
-	return cmp.Or(cmp.Compare(c.loss(b, at), c.loss(a, at)), cmp.Compare(b.payoff, a.payoff),
-		cmp.Compare(a.due, b.due), cmp.Compare(a.seq, b.seq))
-}
-
-// answeredAt sets by when what is sent to a destination in this step is answered.
-func (c *Courier) answeredAt(d *dest) {
-	if d.at = c.now; len(d.routes) > 0 {
-		d.at += c.mean(d.routes[0])
+// sortQueue puts first what loses most by waiting a second longer; a slot gains that by the time it is taken.
+func (c *Courier) sortQueue(d *dest) {
+	if len(d.queue) == 0 || len(d.routes) == 0 {
+		return
 	}
-}
-
-// rate sets what a slot gains there: the loss of the first record over the time that it is taken.
-func (c *Courier) rate(d *dest, first *record) {
-	d.urgency = (c.loss(first, d.at) + first.payoff/100) / float64(d.at-c.now+second/10)
+	at := c.now + c.mean(d.routes[0])
+	for _, r := range d.queue {
+		r.loss = c.worth(r, at) - c.worth(r, at+second)
+	}
+	slices.SortStableFunc(d.queue, func(a, b *record) int {
+		return cmp.Or(cmp.Compare(b.loss, a.loss), cmp.Compare(b.payoff, a.payoff), cmp.Compare(a.due, b.due))
+	})
+	d.urgency = (d.queue[0].loss + d.queue[0].payoff/100) / float64(at-c.now+second/10)
 }
 
 // sendOne sends the first record that may go, and with it what its call may carry besides.
 func (c *Courier) sendOne(d *dest) bool {
-	r, ep, trial := c.plan.next(c, d)
-	if r == nil {
-		return false
-	}
-	// Closed unsaid on the way: what rested so long breaks more often, and a new one costs less than that.
-	if ep.idleSince > 0 && c.now-ep.idleSince >= c.breakFrom(0.05) {
-		c.closeIdle(ep)
-	}
-	cl := c.startCall(ep)
-	c.send(r, ep, cl, trial)
-	if !trial && !ep.route.cold && !ep.route.sick {
-		for _, more := range c.plan.besides(c, d, ep, d.shape.PerCall-cl.open) {
-			c.send(more, ep, cl, false)
+	for _, r := range d.queue {
+		ep, trial := c.place(r)
+		if ep == nil {
+			continue
 		}
+		// Closed unsaid on the way: what rested so long breaks more often, and a new one costs less than that.
+		if ep.idleSince > 0 && c.now-ep.idleSince >= c.breakFrom(0.05) {
+			c.closeIdle(ep)
+		}
+		cl := c.startCall(ep)
+		c.send(r, ep, cl, trial)
+		if !trial && !ep.route.cold && !ep.route.sick {
+			for _, more := range slices.Clone(d.queue) {
+				if cl.open >= d.shape.PerCall {
+					break
+				}
+				if c.fits(more, ep) && ep.route.breakers[more.class].state == closed {
+					c.send(more, ep, cl, false)
+				}
+			}
+		}
+		return true
 	}
-	return true
+	return false
 }
 
 func (c *Courier) send(r *record, ep *endpoint, cl *call, trial bool) {
@@ -914,12 +871,7 @@
 
 // opens is when a route takes a record, as far as is known.
 func (c *Courier) opens(r *record, rt *route) Micros {
-	return c.opensFor(r.class, r.work, rt, func(below float64) bool { return len(r.trips) == 0 && r.lot < below })
-}
-
-// opensFor is that for all records of a workload that are alike but for their lots.
-func (c *Courier) opensFor(class WorkloadID, work *Workload, rt *route, wins func(below float64) bool) Micros {
-	b := &rt.breakers[class]
+	b := &rt.breakers[r.class]
 	b.ready(c.now)
 	switch {
 	case b.state == open:
@@ -932,90 +884,17 @@
 	if len(rt.out) > 1 && rt.heard < rt.out[1].sent && c.now-rt.out[1].sent > late {
 		gap = max(gap, late)
 	}
-	gap = Micros(float64(gap) * c.stretch(work, rt, c.base(rt)))
+	if !rt.sick && !rt.cold && c.base(rt) < 4*rare {
+		// One queue cannot sort what waits at many couriers: the gap lets go first what loses most by waiting;
+		// fourfold at most, or what loses nothing by it would never go.
+		gap = Micros(float64(gap) * min(4, max(1, math.Cbrt(c.steepest/max(c.steep(r.work), 1e-12)))))
+	}
 	// All who were told when a shut destination opens would be there at that instant: each draws a lot.
 	at := rt.waitTo + Micros(rt.lot*float64(gap))
 	// A courier that calls rarely can keep no pace: of its new records a part goes at once, by lot.
-	won := wins(c.wonBelow(rt))
+	won := len(r.trips) == 0 && r.lot < 0.4*c.ch.FallMultiple*c.warmth(rt)
 	if won && (rt.sick || rt.cold) && c.base(rt) < rare {
 		return at
 	}
 	return max(at, rt.lastCall+gap)
 }
-
-// wonBelow: of new records those go at once, where calls are rare, whose lot is below this.
-func (c *Courier) wonBelow(rt *route) float64 { return 0.4 * c.ch.FallMultiple * c.warmth(rt) }
-
-// stretch: one queue cannot sort what waits at many couriers, so the gap lets go first what loses most by waiting;
-// fourfold at most, or what loses nothing by it would never go.
-func (c *Courier) stretch(work *Workload, rt *route, base float64) float64 {
-	if rt.sick || rt.cold || base >= 4*rare {
-		return 1
-	}
-	return min(4, max(1, math.Cbrt(c.steepest/max(c.steep(work), 1e-12))))
-}
-
-// opensFrom is the earliest instant at which a route may take a record of a workload, and whether it is just that, for as long as
-// nothing is heard of the route. What may change by itself is taken at its boldest: an allowance that comes back, a ramp that goes on,
-// lent parts that come back, a rate that is forgotten.
-func (c *Courier) opensFrom(class WorkloadID, work *Workload, rt *route, won bool) (from Micros, exact bool) {
-	b := &rt.breakers[class]
-	switch {
-	case b.state == open:
-		return b.until, true
-	case b.state == halfOpen && b.trial != nil:
-		return never, true
-	case won && (rt.sick || rt.cold):
-		return rt.waitTo, false
-	}
-	base := c.baseAtMost(rt)
-	by := max(rt.waitTo, rt.lastCall) + 4*c.spacing(rt)
-	gap := Micros(float64(c.spacingAtLeast(rt, base, by)) * c.stretch(work, rt, base))
-	return max(rt.waitTo+Micros(rt.lot*float64(gap)), rt.lastCall+gap), false
-}
-
-// baseAtMost is the most that base can become while nothing is heard of the route.
-func (c *Courier) baseAtMost(rt *route) float64 {
-	base := c.base(rt)
-	return base * (1 + max(0, rt.shared.most(c.now))) / (1 + rt.shared.more(c.now))
-}
-
-// spacingAtLeast is the least that spacing can become by an instant while nothing is heard of the route.
-func (c *Courier) spacingAtLeast(rt *route, base float64, by Micros) Micros {
-	gap, part := rt.gap, float64(second)/base
-	if left := min(rt.leftAtMost(by), 1-rt.shared.load(by)); left < scarce {
-		gap = max(gap, Micros((1-left/scarce)*part))
-	}
-	if rt.sick || rt.cold {
-		rate := max(base, c.own(rt)) * max(1, 0.7*c.ch.FallMultiple) * c.warmthBy(rt, by)
-		gap = max(gap, min(Micros(float64(second)/rate), Micros(max(2, c.ch.Couriers))*second))
-	}
-	return gap
-}
-
-// leftAtMost is the most that may be left of a limit by an instant.
-func (rt *route) leftAtMost(by Micros) float64 {
-	if !rt.told {
-		return 1
-	}
-	return rt.left + float64(by-rt.toldAt)/float64(10*second)
-}
-
-// warmthBy is the share of its capacity that a route has by an instant, if nothing is heard of it.
-func (c *Courier) warmthBy(rt *route, by Micros) float64 {
-	warm := max(c.ch.ColdFrom, 0.05)
-	if rt.cold {
-		warm += (1 - warm) * float64(by-rt.coldSince) / float64(max(1, c.ch.Ramp))
-	}
-	return min(1, warm)
-}
-
-// winsFrom is the instant from which a lot lets a new record go at once, as a ramp goes on.
-func (c *Courier) winsFrom(rt *route, lot float64) Micros {
-	least := max(c.ch.ColdFrom, 0.05)
-	warm := lot / max(1e-9, 0.4*c.ch.FallMultiple)
-	if !rt.cold || warm > 1 {
-		return never
-	}
-	return rt.coldSince + Micros((warm-least)/max(1e-9, 1-least)*float64(c.ch.Ramp))
-}
--- a/logic/lore.go
+++ b/logic/lore.go
@@ -93,8 +93,8 @@
 // Lore hands out what is known of routes that were called lately; what it costs goes by those, and not by the list.
 func (c *Courier) Lore() Lore {
 	sum := func(t *tally, over Micros) Sum {
-		left := t.fade(c.now, over)
-		return Sum{left.weight, left.sum}
+		t.fade(c.now, over)
+		return Sum{t.weight, t.sum}
 	}
 	l := Lore{At: c.now, Took: sum(&c.took, tookOver)}
 	for key, line := range c.keys {
--- a/logic/share.go
+++ b/logic/share.go
@@ -36,7 +36,7 @@
 // Needs is what the courier does on the routes that were called lately.
 func (c *Courier) Needs() (all []Need) {
 	for _, rt := range c.late {
-		n := Need{Dest: rt.dest.id, Calls: rt.called, Done: rt.served, Refused: rt.turned, Waiting: rt.dest.queue.count}
+		n := Need{Dest: rt.dest.id, Calls: rt.called, Done: rt.served, Refused: rt.turned, Waiting: len(rt.dest.queue)}
 		if rt.told || c.ch.Rates == NominalRates {
 			n.Limit = c.limit(rt)
 		}
@@ -61,7 +61,6 @@
 				p.Lent, p.LentTo = max(p.Lent, mostLent), c.ch.LentTo
 			}
 			rt.shared = p
-			c.touch(rt.dest)
 		}
 	}
 }
@@ -77,14 +76,6 @@
 	return more
 }
 
-// most is the most that more can become by itself: what is lent has come back, and a loan still stands.
-func (p *SharedPart) most(now Micros) float64 {
-	if now < p.LoanTo {
-		return p.Loan
-	}
-	return 0
-}
-
 // load is what is known of others' use of the limit, 0 where nothing fresh is.
 func (p *SharedPart) load(now Micros) float64 {
 	if now < p.LoadTo {
--- a/logic/state.go
+++ b/logic/state.go
@@ -1,6 +1,7 @@
 package logic
 
 import (
+	"cmp"
 	"math"
 	"math/bits"
 	"math/rand"
@@ -24,8 +25,7 @@
 	out       []Action
 	records   map[RecordID]*record
 	dests     map[DestID]*dest
-	backlog   backlog
-	plan      planner
+	waiting   []*dest // with records to be sent, by id
 	flying    []*trip // without an outcome, oldest first
 	endpoints map[EndpointID]*endpoint
 	barred    map[EndpointID]bool // by people, whatever the list says
@@ -65,8 +65,6 @@
 		refused:   make([]tally, len(ch.Shapes)+1),
 		crowd:     make([]crowding, len(ch.Shapes)+1),
 		wakeAt:    never,
-		backlog:   newBacklog(),
-		plan:      indexed{},
 	}
 }
 
@@ -77,7 +75,6 @@
 func (c *Courier) makeWider() {
 	n := len(c.ch.Workloads)
 	for _, d := range c.dests {
-		c.touch(d)
 		for _, rt := range d.routes {
 			rt.breakers = grown(rt.breakers, n)
 		}
@@ -101,8 +98,7 @@
 	cutOff  Micros
 	payoff  float64
 	lot     float64 // its place among the records of all couriers
-	lane    *lane   // where it is queued
-	seq     uint64  // grows with each time a message is queued
+	loss    float64 // by waiting a second longer
 	line    *keyLine
 	place   int // where it stood there when it left
 	trips   []*trip
@@ -115,7 +111,6 @@
 	mayRan  bool
 	untried bool      // as a restart found it: nothing had run
 	last    *endpoint // where the last trip failed
-	restTo  Micros    // as indexed: its key rests until then; 0: it does not
 }
 
 type trip struct {
@@ -138,14 +133,13 @@
 
 type dest struct {
 	urgency   float64 // what a slot gains there
-	at        Micros  // when what is sent in this step is answered: the order of its queue goes by that
-	queue     queue
-	taken     tally // records, for the first time
+	taken     tally   // records, for the first time
 	id        DestID
 	shape     Shape
 	kind      int // of its shape, in what is counted by it
 	routes    []*route
 	endpoints []*endpoint // in rank
+	queue     []*record
 	calls     int
 }
 
@@ -213,7 +207,7 @@
 		breakers: make([]breaker, len(c.ch.Workloads)), shared: SharedPart{Lent: mostLent, LentTo: c.ch.LentTo}}
 }
 
-// tally is a decaying sum as it stood when something was last added; reading it changes nothing.
+// tally is a decaying sum; it is brought up to date when read.
 type tally struct {
 	weight, sum float64
 	at          Micros
@@ -226,17 +220,17 @@
 	on   bool
 }
 
-// fade returns what is left of a tally at an instant.
-func (t *tally) fade(now, over Micros) tally {
-	if now <= t.at {
-		return *t
+// fade brings a tally up to date and returns it.
+func (t *tally) fade(now, over Micros) *tally {
+	if now > t.at {
+		keep := math.Exp(-float64(now-t.at) / float64(over))
+		t.weight, t.sum, t.at = t.weight*keep, t.sum*keep, now
 	}
-	keep := math.Exp(-float64(now-t.at) / float64(over))
-	return tally{weight: t.weight * keep, sum: t.sum * keep, at: now}
+	return t
 }
 
 func (t *tally) add(now, over Micros, value float64) {
-	*t = t.fade(now, over)
+	t.fade(now, over)
 	t.weight, t.sum = t.weight+1, t.sum+value
 }
 
@@ -287,6 +281,29 @@
 	return len(ep.route.breakers) > 0
 }
 
+func (c *Courier) enqueue(r *record) {
+	r.queued = true
+	r.dest.queue = append(r.dest.queue, r)
+	byID := func(d *dest, id DestID) int { return cmp.Compare(d.id, id) }
+	if i, found := slices.BinarySearchFunc(c.waiting, r.dest.id, byID); !found {
+		c.waiting = slices.Insert(c.waiting, i, r.dest)
+	}
+}
+
+func (c *Courier) unqueue(r *record) {
+	if r.queued {
+		r.queued = false
+		if i := slices.Index(r.dest.queue, r); i >= 0 {
+			r.dest.queue = slices.Delete(r.dest.queue, i, i+1)
+		}
+	}
+}
+
+// stillWaiting drops destinations that nothing waits for any more.
+func (c *Courier) stillWaiting() {
+	c.waiting = slices.DeleteFunc(c.waiting, func(d *dest) bool { return len(d.queue) == 0 })
+}
+
 // end forgets a record that has its answer; trips still out are remembered until their outcome.
 func (c *Courier) end(r *record) {
 	if r == nil || r.ended {
@@ -305,7 +322,6 @@
 	if r.ended && r.out == 0 {
 		delete(c.records, r.id)
 		r.line.leave(r)
-		c.nextOfKey(r.line)
 		if l := r.line; l != nil && len(l.records) == 0 && c.now >= l.restTo {
 			delete(c.keys, l.key)
 		} else if l != nil && len(l.records) == 0 {
@@ -357,7 +373,7 @@
 	c.forgetLate()
 	for _, d := range c.dests {
 		c.pruneEndpoints(d, idle)
-		wanted := len(d.endpoints)+d.queue.count+d.calls > 0
+		wanted := len(d.endpoints)+len(d.queue)+d.calls > 0
 		for _, rt := range d.routes {
 			wanted = wanted || c.now-rt.lastCall <= idle || c.now <= rt.waitTo
 		}
@@ -380,13 +396,12 @@
 		}
 	}
 	d.endpoints = slices.DeleteFunc(d.endpoints, past)
-	c.touch(d)
 }
 
 func (c *Courier) destination(id DestID) *dest {
 	d := c.dests[id]
 	if d == nil {
-		d = &dest{id: id, queue: queue{endsAt: nothing}}
+		d = &dest{id: id}
 		c.dests[id] = d
 	}
 	return d
@@ -428,7 +443,6 @@
 	ep.sent.add(c.now, rateOver, 1)
 	ep.route.called++
 	c.lately(ep.route)
-	c.touch(ep.dest)
 	return cl
 }
 
@@ -443,8 +457,7 @@
 // breakFrom is the rest from which on calls break more often than on new connections, by so much. Twice is no chance.
 func (c *Courier) breakFrom(more float64) Micros {
 	share := func(t *tally, known float64) float64 {
-		left := t.fade(c.now, rateOver)
-		return max(0, left.sum-known) / (left.weight + 2)
+		return max(0, t.fade(c.now, rateOver).sum-known) / (t.weight + 2)
 	}
 	for age := 1; age < len(c.broke); age++ {
 		if share(&c.broke[age], 1) > share(&c.broke[0], 0)+more {
@@ -471,7 +484,6 @@
 	t.over = true
 	t.rec.out--
 	rt := t.at.route
-	c.touch(rt.dest)
 	same := func(o *trip) bool { return o == t }
 	rt.out, c.flying = slices.DeleteFunc(rt.out, same), slices.DeleteFunc(c.flying, same)
 	switch e.Outcome {
--- a/logic/watch.go
+++ b/logic/watch.go
@@ -212,9 +212,6 @@
 	c.records[r.id] = r
 	if l := r.line; l != nil && !slices.Contains(l.records, r) {
 		l.records = slices.Insert(l.records, min(r.place, len(l.records)), r)
-		if len(l.records) > 1 {
-			c.placeAnew(l.records[1])
-		}
 		c.keys[l.key] = l
 		c.resting = slices.DeleteFunc(c.resting, func(o *keyLine) bool { return o == l })
 	}
@@ -231,7 +228,6 @@
 	r.out--
 	rt, same := t.at.route, func(o *trip) bool { return o == t }
 	rt.out, c.flying = slices.DeleteFunc(rt.out, same), slices.DeleteFunc(c.flying, same)
-	c.touch(rt.dest)
 	if b := &rt.breakers[r.class]; b.trial == t {
 		b.trial = nil
 	}
