--- a/commons/commons.go
+++ b/commons/commons.go
@@ -11,9 +11,7 @@
 
 import (
 	"cmp"
-	"hash/fnv"
 	"maps"
-	"math"
 	"math/rand"
 	"slices"
 
@@ -77,85 +75,6 @@
 	No       uint64 // beyond all that an earlier process of this start has counted by
 }
 
-// Event is something that happened: one of the types below.
-type Event interface{ event() }
-
-type (
-	// Needs is what the decisions say of their routes.
-	Needs struct{ All []Need }
-	// Need is one of them; the counts are since the process started.
-	Need struct {
-		Key
-		Limit                float64 // calls a second from all couriers; 0 where it is not known
-		Calls, Done, Refused uint64
-		Waiting              int // records held for it
-	}
-	// Fleet: so many couriers are to be reckoned with, and these others are heard.
-	Fleet struct {
-		Couriers int
-		Alive    []string
-	}
-	// Heard are words of another courier.
-	Heard struct{ Words Words }
-	// Beat comes at a steady pace.
-	Beat struct{}
-)
-
-func (Needs) event() {}
-func (Fleet) event() {}
-func (Heard) event() {}
-func (Beat) event()  {}
-
-// Action is something to be done: one of the types below.
-type Action interface{ action() }
-
-type (
-	// Say has a member hear words. They may be lost.
-	Say struct {
-		To    string
-		Words Words
-	}
-	// Share is what stands for the decisions, for all routes that they named.
-	Share struct{ Parts []Part }
-)
-
-func (Say) action()   {}
-func (Share) action() {}
-
-// Part is what stands for one route.
-type Part struct {
-	Key
-	Lent   float64 // of the base part, taken off until LentTo
-	LentTo Micros
-	Loan   float64 // of the base part, on top until LoanTo
-	LoanTo Micros
-	Load   float64 // what all couriers that were heard use of the limit, until LoadTo
-	LoadTo Micros
-}
-
-type loan struct {
-	who   string
-	no    uint64
-	units Units
-	until Micros
-}
-
-type ask struct {
-	who   string
-	units Units
-	at    Micros
-}
-
-type slot struct {
-	count Count
-	at    Micros // when it was so, by this courier's clock
-}
-
-type sample struct {
-	at    Micros
-	calls uint64
-}
-
 // route is what is known of one key.
 type route struct {
 	need    Need
@@ -186,12 +105,6 @@
 	sums   Sums
 }
 
-// Sums count what happened since the start.
-type Sums struct {
-	Asked, Lent, Taken, Late uint64 // asks made, loans given, loans taken up, loans that came too late or unasked
-	Forgotten                uint64 // counts left out for want of room
-}
-
 // New makes commons that know only their terms. Asks are numbered by a source that no earlier process of this courier had. Failure: a
 // start with the same salt asked under the same numbers, and took a loan that had been given to the one before it for its own.
 func New(now Micros, t Terms) *Commons {
@@ -223,31 +136,6 @@
 // base is the part that needs nobody.
 func (c *Commons) base() Units { return whole / Units(max(1, c.terms.Couriers)) }
 
-// away is what of the base part is not this courier's to use now.
-func (c *Commons) away(rt *route) (sum Units) {
-	if c.now < c.heldTo {
-		sum = c.base() / 2 // as much as an earlier start may have lent
-	}
-	for _, l := range rt.lent {
-		if c.now < l.until {
-			sum += l.units
-		}
-	}
-	return sum
-}
-
-// borrowed is what others' loans add, of those that hold for a while longer.
-func (c *Commons) borrowed(rt *route, longer Micros) (sum Units, until Micros) {
-	for _, l := range rt.taken {
-		if c.now+longer < l.until {
-			if sum += l.units; until == 0 || l.until < until {
-				until = l.until
-			}
-		}
-	}
-	return sum, until
-}
-
 // route finds what is kept of a key, or makes room for it; nil where there is none.
 func (c *Commons) route(k Key) *route {
 	rt := c.routes[k]
@@ -318,70 +206,6 @@
 	c.out = append(c.out, Say{to, w})
 }
 
-// take adds a loan, until a span after it was asked for, once.
-func (c *Commons) take(from string, l Loan) {
-	rt := c.routes[l.Key]
-	if rt == nil {
-		return
-	}
-	a, ok := rt.asked[l.No]
-	if !ok || a.who != from || l.Units > a.units || c.now >= a.at+span {
-		c.sums.Late++
-		return
-	}
-	delete(rt.asked, l.No)
-	c.sums.Taken++
-	rt.taken = append(rt.taken, loan{from, l.No, l.Units, a.at + span})
-}
-
-// lend gives of what this courier does not need, half of its base part at most, and takes it off first. A tenth is kept for what comes
-// unforeseen; less than a fiftieth is not worth a word.
-func (c *Commons) lend(to string, a Ask) (Loan, bool) {
-	rt := c.routes[a.Key]
-	if rt == nil {
-		rt = c.route(a.Key) // nobody needs it here
-	}
-	if rt == nil || !slices.Contains(c.alive, to) {
-		return Loan{}, false
-	}
-	for _, l := range rt.lent {
-		if l.who == to && l.no == a.No {
-			return Loan{}, false // a doubled ask
-		}
-	}
-	base, away := c.base(), c.away(rt)
-	units := min(a.Units, base-away-rt.usage*5/4-base/10, base/2-away)
-	if units < max(1, base/50) {
-		return Loan{}, false
-	}
-	rt.lent = append(rt.lent, loan{to, a.No, units, c.now + backAfter})
-	c.sums.Lent++
-	return Loan{a.Key, units, a.No}, true
-}
-
-// merge keeps, of each courier, the latest count of its latest start; in any order, any number of times.
-func (c *Commons) merge(n Count) {
-	if n.Who == c.terms.Self {
-		return
-	}
-	rt := c.route(n.Key)
-	if rt == nil {
-		return
-	}
-	was, known := rt.slots[n.Who]
-	switch {
-	case known && cmp.Or(cmp.Compare(n.Start, was.count.Start), cmp.Compare(n.No, was.count.No)) <= 0:
-		return
-	case !known && c.kept >= mostSlots:
-		c.sums.Forgotten++
-		return
-	}
-	if !known {
-		c.kept++
-	}
-	rt.slots[n.Who] = slot{n, c.now - n.Age}
-}
-
 func (c *Commons) beat() {
 	c.no++
 	c.forget()
@@ -418,55 +242,6 @@
 	}
 }
 
-// ask seeks what is wanted beyond this courier's part: a quarter over what it uses, and what waits, within a second. Who uses least of
-// the limit is asked first, and of those alike each courier asks others, drawn by the names.
-func (c *Commons) ask(rt *route, asks map[string][]Ask) {
-	base := c.base()
-	lasting, _ := c.borrowed(rt, span/2)
-	for _, a := range rt.asked {
-		if c.now-a.at < span/4 {
-			lasting += a.units
-		}
-	}
-	waiting := Units(min(float64(whole), float64(rt.need.Waiting)/rt.need.Limit*float64(whole)))
-	want := min(whole-base, rt.usage*5/4+waiting) - (base - c.away(rt)) - lasting
-	if rt.usage == 0 || want < max(1, base/20) {
-		return
-	}
-	type member struct {
-		name  string
-		usage Units
-		rank  uint64
-	}
-	var all []member
-	for _, name := range c.alive {
-		m := member{name: name, rank: rank(c.terms.Self, name, rt.need.Key)}
-		if s, ok := rt.slots[name]; ok && c.now-s.at <= freshFor {
-			m.usage = s.count.Usage
-		}
-		if m.usage < base/2 {
-			all = append(all, m)
-		}
-	}
-	slices.SortFunc(all, func(a, b member) int { return cmp.Or(cmp.Compare(a.usage, b.usage), cmp.Compare(a.rank, b.rank)) })
-	for _, m := range all[:min(askOf, len(all))] {
-		a := Ask{rt.need.Key, want/Units(min(askOf, len(all))) + 1, c.rng.Uint64()}
-		rt.asked[a.No] = ask{m.name, a.Units, c.now}
-		asks[m.name] = append(asks[m.name], a)
-		c.sums.Asked++
-	}
-}
-
-// rank orders members for one courier and route, by rendezvous hashing.
-func rank(self, other string, k Key) uint64 {
-	h := fnv.New64a()
-	for _, s := range []string{self, other, k.Endpoint} {
-		h.Write([]byte(s))
-		h.Write([]byte{0, byte(k.Dest), byte(k.Dest >> 8)})
-	}
-	return h.Sum64()
-}
-
 func (c *Commons) part(rt *route) Part {
 	base := c.base()
 	units, until := c.borrowed(rt, 0)
@@ -479,146 +254,3 @@
 	}
 	return p
 }
-
-// follow has the load that is told follow the one that is known, as slowly as use is measured. Failure: couriers that all knew the same
-// fresh load held back and let go in step, and the more they knew the worse.
-func (c *Commons) follow(rt *route) {
-	sum, heard := c.load(rt)
-	if !heard {
-		return
-	}
-	load, passed := float64(sum)/float64(whole), c.now-rt.loadAt
-	if rt.loadAt > 0 && passed < freshFor {
-		load = rt.load + (load-rt.load)*(1-math.Exp(-float64(passed)/float64(rateOver)))
-	}
-	rt.load, rt.loadAt = load, c.now
-}
-
-// load is what all couriers use of a limit, as far as it is known: what is known of by word, and at least as much as those who spoke
-// for themselves lately make likely for all. False where nobody was heard.
-func (c *Commons) load(rt *route) (sum Units, heard bool) {
-	known, said := Units(0), Units(0)
-	for who, s := range rt.slots {
-		if c.now-s.at > freshFor {
-			continue
-		}
-		known, heard = known+s.count.Usage, true
-		if at, ok := c.direct[who]; ok && c.now-at <= freshFor {
-			said += s.count.Usage
-		}
-	}
-	likely := float64(said) * float64(len(c.alive)) / float64(max(1, len(c.direct)))
-	return rt.usage + max(known, Units(likely)), heard
-}
-
-// spread says asks to whom they are for, and counts to some members: this courier's own first, then others' in turn.
-func (c *Commons) spread(keys []Key, asks map[string][]Ask) {
-	var own, others []Count
-	from := 0
-	if c.kept > mostOthers {
-		from = int(c.no % uint64(len(keys)))
-	}
-	for i := range keys {
-		k := keys[(from+i)%len(keys)]
-		rt := c.routes[k]
-		if n := rt.need; rt.usage > 0 {
-			own = append(own, Count{Key: k, Who: c.terms.Self, Start: c.terms.Start, No: c.no, Calls: n.Calls, Done: n.Done, Refused: n.Refused, Usage: rt.usage})
-		}
-		if len(others) >= mostOthers {
-			continue
-		}
-		for _, who := range slices.Sorted(maps.Keys(rt.slots)) {
-			if s := rt.slots[who]; c.now-s.at <= freshFor/2 {
-				n := s.count
-				n.Age = max(0, c.now-s.at)
-				others = append(others, n)
-			}
-		}
-	}
-	slices.SortStableFunc(own, func(a, b Count) int { return cmp.Compare(b.Usage, a.Usage) })
-	to, hear := map[string]Words{}, map[string]bool{}
-	for _, i := range c.rng.Perm(len(c.alive))[:min(sayTo, len(c.alive))] {
-		hear[c.alive[i]] = true
-		to[c.alive[i]] = Words{}
-	}
-	for name, a := range asks {
-		to[name] = Words{Asks: a}
-	}
-	said := 0
-	for _, name := range slices.Sorted(maps.Keys(to)) {
-		w, room := Words{}, packet(c.terms.Self)
-		for _, a := range to[name].Asks { // those beyond are lost, and asked again
-			if room.take(a.size()) {
-				w.Asks = append(w.Asks, a)
-			}
-		}
-		if hear[name] {
-			for i := 0; i < len(own) && room.take(own[i].size()); i++ {
-				w.Counts = append(w.Counts, own[i])
-			}
-			for i := 0; i < len(others); i++ {
-				n := others[(c.turn+i)%len(others)]
-				if !room.take(n.size()) {
-					break
-				}
-				w.Counts, said = append(w.Counts, n), max(said, i+1)
-			}
-		}
-		c.say(name, w) // also where nothing is used: that is worth knowing, too
-	}
-	c.turn += said
-}
-
-// Line is what stands for one route, to be shown.
-type Line struct {
-	Key
-	Limit    float64 `json:"limit_per_s"`
-	Base     Units   `json:"base_ppm"`
-	Lent     Units   `json:"lent_ppm"`
-	Borrowed Units   `json:"borrowed_ppm"`
-	Usage    Units   `json:"usage_ppm"`
-	Load     float64 `json:"load"`
-	Heard    int     `json:"couriers_heard"`
-	Calls    uint64  `json:"calls"`
-	Done     uint64  `json:"done"`
-	Refused  uint64  `json:"refused"`
-	LentTo   []Lot   `json:"lent_to,omitempty"`
-	From     []Lot   `json:"borrowed_from,omitempty"`
-}
-
-// Lot is one loan: with whom, its number, and how long it still holds here.
-type Lot struct {
-	Who   string `json:"who"`
-	No    uint64 `json:"no"`
-	Units Units  `json:"ppm"`
-	For   Micros `json:"for_us"`
-}
-
-func (c *Commons) lots(all []loan) (lots []Lot) {
-	for _, l := range all {
-		if c.now < l.until {
-			lots = append(lots, Lot{l.who, l.no, l.units, l.until - c.now})
-		}
-	}
-	return lots
-}
-
-// Look is what stands at an instant, by route, and what happened.
-func (c *Commons) Look(now Micros) (lines []Line, sums Sums) {
-	c.now = max(c.now, now)
-	for _, k := range slices.SortedFunc(maps.Keys(c.routes), compare) {
-		rt := c.routes[k]
-		p := c.part(rt)
-		units, _ := c.borrowed(rt, 0)
-		l := Line{Key: k, Limit: rt.need.Limit, Base: c.base(), Lent: min(c.base(), c.away(rt)), Borrowed: units, Usage: rt.usage, Load: p.Load,
-			Calls: rt.need.Calls, Done: rt.need.Done, Refused: rt.need.Refused, LentTo: c.lots(rt.lent), From: c.lots(rt.taken)}
-		for _, s := range rt.slots {
-			if c.now-s.at <= freshFor {
-				l.Heard++
-				l.Calls, l.Done, l.Refused = l.Calls+s.count.Calls, l.Done+s.count.Done, l.Refused+s.count.Refused
-			}
-		}
-		lines = append(lines, l)
-	}
-	return lines, c.sums
-}
