--- a/config/decode.go
+++ b/config/decode.go
@@ -113,13 +113,7 @@
 
 func decodeTOML(text []byte) (tree map[string]any, lines map[string]int, err error) {
 	if err := toml.Unmarshal(text, &tree); err != nil {
-		var wrong *toml.DecodeError
-		fault := Fault{Expected: strings.TrimPrefix(err.Error(), "toml: ")}
-		if errors.As(err, &wrong) {
-			fault.Line, _ = wrong.Position()
-			fault.Key = strings.Join(wrong.Key(), ".")
-		}
-		return nil, nil, fault
+		return nil, nil, TOMLFault("", err)
 	}
 	return tree, TOMLLines(text), nil
 }
@@ -260,3 +254,24 @@
 	}
 	return row[len(b)] - max(0, len(b)-len(a))
 }
+
+// LineOf is the line of a key in TOMLLines, or of the nearest table around it; 0: none is known.
+func LineOf(lines map[string]int, path string) int {
+	line := lines[path]
+	for line == 0 && strings.Contains(path, ".") {
+		path = path[:strings.LastIndexByte(path, '.')]
+		line = lines[path]
+	}
+	return line
+}
+
+// TOMLFault tells what go-toml found wrong with a file, with line and key where it knows them.
+func TOMLFault(file string, err error) Fault {
+	fault := Fault{File: file, Expected: strings.TrimPrefix(err.Error(), "toml: ")}
+	var wrong *toml.DecodeError
+	if errors.As(err, &wrong) {
+		fault.Line, _ = wrong.Position()
+		fault.Key = strings.Join(wrong.Key(), ".")
+	}
+	return fault
+}
--- a/lab/capacity/check.go
+++ b/lab/capacity/check.go
@@ -63,7 +63,7 @@
 func ReadPlan(file string, text []byte) (*Plan, error) {
 	var tree map[string]any
 	if err := toml.Unmarshal(text, &tree); err != nil {
-		return nil, syntaxFault(file, err)
+		return nil, config.TOMLFault(file, err)
 	}
 	reader := planReader{file: file, lines: config.TOMLLines(text), given: map[string]any{}}
 	reader.flatten("", tree)
@@ -78,16 +78,6 @@
 	return plan, reader.err()
 }
 
-func syntaxFault(file string, err error) error {
-	fault := Fault{File: file, Expected: strings.TrimPrefix(err.Error(), "toml: ")}
-	var wrong *toml.DecodeError
-	if errors.As(err, &wrong) {
-		fault.Line, _ = wrong.Position()
-		fault.Key = strings.Join(wrong.Key(), ".")
-	}
-	return fault
-}
-
 // planReader holds the values of a file against the schema.
 type planReader struct {
 	file   string
@@ -108,12 +98,7 @@
 }
 
 func (r *planReader) fault(path, format string, args ...any) {
-	line := r.lines[path]
-	for table := path; line == 0 && strings.Contains(table, "."); {
-		table = table[:strings.LastIndexByte(table, '.')]
-		line = r.lines[table]
-	}
-	r.faults = append(r.faults, Fault{File: r.file, Line: line, Key: path, Expected: fmt.Sprintf(format, args...)})
+	r.faults = append(r.faults, Fault{File: r.file, Line: config.LineOf(r.lines, path), Key: path, Expected: fmt.Sprintf(format, args...)})
 }
 
 // take puts one value into the plan, or tells what was expected.
--- a/lab/day/read.go
+++ b/lab/day/read.go
@@ -42,21 +42,16 @@
 
 func decodeFaults(file string, err error) error {
 	var strict *toml.StrictMissingError
-	var wrong *toml.DecodeError
-	switch {
-	case errors.As(err, &strict):
-		var all []error
-		for _, e := range strict.Errors {
-			line, _ := e.Position()
-			key := strings.Join(e.Key(), ".")
-			all = append(all, Fault{File: file, Line: line, Key: key, Expected: "no such key" + nearest(key)})
-		}
-		return errors.Join(all...)
-	case errors.As(err, &wrong):
-		line, _ := wrong.Position()
-		return Fault{File: file, Line: line, Key: strings.Join(wrong.Key(), "."), Expected: strings.TrimPrefix(wrong.Error(), "toml: ")}
+	if !errors.As(err, &strict) {
+		return config.TOMLFault(file, err)
+	}
+	var all []error
+	for _, e := range strict.Errors {
+		line, _ := e.Position()
+		key := strings.Join(e.Key(), ".")
+		all = append(all, Fault{File: file, Line: line, Key: key, Expected: "no such key" + nearest(key)})
 	}
-	return Fault{File: file, Expected: strings.TrimPrefix(err.Error(), "toml: ")}
+	return errors.Join(all...)
 }
 
 // nearest proposes the known key that has most in common with a strange one.
@@ -79,12 +74,7 @@
 }
 
 func (c *checker) fault(path, format string, args ...any) {
-	line := c.lines[path]
-	for at := path; line == 0 && strings.Contains(at, "."); {
-		at = at[:strings.LastIndexByte(at, '.')]
-		line = c.lines[at]
-	}
-	c.faults = append(c.faults, Fault{File: c.file, Line: line, Key: path, Expected: fmt.Sprintf(format, args...)})
+	c.faults = append(c.faults, Fault{File: c.file, Line: config.LineOf(c.lines, path), Key: path, Expected: fmt.Sprintf(format, args...)})
 }
 
 func (c *checker) table(path string, v reflect.Value) {
