--- a/lab/sim/returns_test.go
+++ b/lab/sim/returns_test.go
@@ -21,6 +21,17 @@
 // and 2*sqrt(calls)+2 beyond it are put down to chance. It is of what all couriers of the fleet send together.
 func returnBudget(calls float64) float64 { return calls + 2*math.Sqrt(calls) + 2 }
 
+// slowStartBudget is how many calls a server in slow start may get in the span of the rule: calls is what the settings allow, and
+// 2*sqrt(calls)+2 beyond it (3*sqrt(calls)+3 under 30 calls) are put down to chance. It binds on every day, whoever sent the calls
+// and however many couriers run (RULES).
+func slowStartBudget(calls float64) float64 {
+	const fewCalls = 30
+	if calls < fewCalls {
+		return calls + 3*math.Sqrt(calls) + 3
+	}
+	return returnBudget(calls)
+}
+
 // fleetCall is one call of one courier, as far as it weighs on a cold destination.
 type fleetCall struct {
 	at      logic.Micros
@@ -36,7 +47,10 @@
 	knowing   map[int]bool // the couriers that had seen the outage
 	window    []fleetCall  // the calls of the last span, of the whole fleet
 	worst     windowLoad
-	pushed    bool // some span had too many calls, and they came from couriers that knew
+	pushed    bool       // some span had too many calls, and they came from couriers that knew
+	worstSlow windowLoad // against the slow start budget
+	fell      bool       // some span was over the slow start budget, whoever sent the calls
+	fellKnown bool       // ... and its calls came from couriers that knew
 }
 
 // windowLoad is the calls of one span against what the destination takes in it.
@@ -49,6 +63,9 @@
 func (w windowLoad) ratio() float64 { return float64(w.calls) / max(w.budget, 1e-9) }
 func (w windowLoad) over() bool     { return float64(w.calls) > w.budget }
 
+// known tells whether the calls came from couriers that had seen the outage.
+func (w windowLoad) known() bool { return float64(w.knowing) >= knowingShare*float64(w.calls) }
+
 // count adds a call at an instant of the ramp, and keeps the fullest span.
 func (r *watchedRoute) count(now logic.Micros, courier int) {
 	plan := &r.plan.Plan
@@ -61,8 +78,8 @@
 	}
 	warm := plan.ColdFrom + (1-plan.ColdFrom)*float64(now-r.cold)/float64(plan.Ramp)
 	capacity := plan.Capacity() * float64(r.endpoints) * warm
-	load := windowLoad{calls: len(r.window), sinceCold: now - r.cold,
-		budget: returnBudget(plan.Fall * capacity * float64(plan.FallSpan) / 1e6)}
+	allowed := plan.Fall * capacity * float64(plan.FallSpan) / 1e6
+	load := windowLoad{calls: len(r.window), sinceCold: now - r.cold, budget: returnBudget(allowed)}
 	for _, c := range r.window {
 		if c.knowing {
 			load.knowing++
@@ -71,7 +88,13 @@
 	if load.ratio() > r.worst.ratio() {
 		r.worst = load
 	}
-	r.pushed = r.pushed || load.over() && float64(load.knowing) >= knowingShare*float64(load.calls)
+	r.pushed = r.pushed || load.over() && load.known()
+	slow := load
+	if slow.budget = slowStartBudget(allowed); slow.ratio() > r.worstSlow.ratio() {
+		r.worstSlow = slow
+	}
+	r.fell = r.fell || slow.over()
+	r.fellKnown = r.fellKnown || slow.over() && slow.known()
 }
 
 // returnCounter hosts the decisions as Local does, and counts what the whole fleet sends to destinations that come back.
@@ -202,6 +225,9 @@
 	seedsOver             int
 	worst                 windowLoad
 	worstSeed             int64
+	fell, fellKnown       int        // returns over the slow start budget; those by couriers that knew
+	worstSlow             windowLoad // against the slow start budget
+	worstSlowSeed         int64
 }
 
 // add takes in the returns of one play.
@@ -221,6 +247,17 @@
 		if r.worst.ratio() > f.worst.ratio() {
 			f.worst, f.worstSeed = r.worst, seed
 		}
+		if r.fell {
+			f.fell++
+			t.Logf("seed %d, %s: over the slow start budget: %d calls, %d of them by couriers that knew, of %.1f at most, %.2f s after the return",
+				seed, outageKind(seed), r.worstSlow.calls, r.worstSlow.knowing, r.worstSlow.budget, float64(r.worstSlow.sinceCold)/1e6)
+		}
+		if r.fellKnown {
+			f.fellKnown++
+		}
+		if r.worstSlow.ratio() > f.worstSlow.ratio() {
+			f.worstSlow, f.worstSlowSeed = r.worstSlow, seed
+		}
 	}
 	if f.over > before {
 		f.seedsOver++
@@ -239,11 +276,13 @@
 	}
 	t.Logf("%d couriers: %d returns, worst %.2f of what a cold destination takes (%d calls, %.1f taken, seed %d); %d of %d seeds over, %d pushed by who knew",
 		couriers, f.returns, f.worst.ratio(), f.worst.calls, f.worst.budget, f.worstSeed, f.seedsOver, seeds, f.pushed)
+	t.Logf("%d couriers, slow start budget: worst %.2f of it (%d calls, %.1f allowed, seed %d); %d of %d returns over, %d of these by who knew",
+		couriers, f.worstSlow.ratio(), f.worstSlow.calls, f.worstSlow.budget, f.worstSlowSeed, f.fell, f.returns, f.fellKnown)
 	return f
 }
 
 // TestFleetReturns: whatever the size of the fleet, no cold destination gets more than its budget from couriers that had
-// seen its outage, and hardly ever more from all together.
+// seen its outage, and hardly ever more from all together; and the slow start budget binds on every return, whoever sent the calls.
 func TestFleetReturns(t *testing.T) {
 	const seeds = 50
 	// maxSeedsOver bounds days on which couriers that had seen no outage sent too much all the same: no rule is broken by
@@ -255,6 +294,8 @@
 		couriers int
 		rules    rampRules
 	}{
+		{"1 courier", 1, usual},
+		{"3 couriers", 3, usual},
 		{"5 couriers", 5, usual},
 		{"20 couriers", 20, usual},
 		{"30 couriers", 30, usual},
@@ -272,6 +313,9 @@
 			if f.seedsOver > maxSeedsOver {
 				t.Errorf("too many calls on %d of %d days, at most %d", f.seedsOver, seeds, maxSeedsOver)
 			}
+			if f.fell > 0 {
+				t.Errorf("%d returns got more than the slow start budget, %d of them from couriers that had seen the outage", f.fell, f.fellKnown)
+			}
 		})
 	}
 }
@@ -284,4 +328,7 @@
 	if f.pushed == 0 {
 		t.Error("no return counts as pushed over")
 	}
+	if f.fell == 0 || f.fellKnown == 0 {
+		t.Errorf("%d returns count as over the slow start budget, %d by who knew", f.fell, f.fellKnown)
+	}
 }
