--- a/routing/clients.go
+++ b/routing/clients.go
@@ -27,6 +27,7 @@
 	whole  atomic.Bool  // a command has come
 	half   atomic.Int64 // when the command that is not whole began; 0 between two
 	shut   bool         // for good
+	ended  bool         // it sends nothing more, and may still read its replies
 }
 
 const maxUnread = 64 << 10 // thousands of replies
@@ -100,9 +101,18 @@
 	return c.asked.Load() == 0 && c.half.Load() == 0 && c.conn.Flushed()
 }
 
+// RepliesDue implements transport.Replier.
+func (c *client) RepliesDue() bool { return c.asked.Load() > 0 }
+
 func (c *client) write(r *reply) {
 	c.asked.Add(-1)
 	_ = c.conn.Write([]byte(r.text)) // a client that has gone is told of by Closed
+	if c.ended {
+		if !c.RepliesDue() {
+			c.conn.CloseReplies()
+		}
+		return
+	}
 	if c.conn.Unsent() > maxUnread {
 		c.conn.Close() // asks on and on and reads nothing
 	}
@@ -245,9 +255,13 @@
 }
 
 // gone: what such a client handed in and was not told of is nobody's, unless it has handed it in over another connection too; else it
-// hands it in anew. Failure: the other connection was promised what had gone with the first.
+// hands it in anew. Failure: the other connection was promised what had gone with the first. A client that has only ended its sending and
+// still reads is answered that its message is rejected. Failure: it was closed with no answer to what had been read.
 func (cs *clients) gone(e clientGone) {
 	delete(cs.all, e.from)
+	if e.from.ended = true; !e.from.RepliesDue() {
+		e.from.conn.CloseReplies()
+	}
 	for _, rep := range cs.r.replies {
 		message := rep.message
 		if rep.client != e.from || message == nil {
@@ -258,6 +272,10 @@
 			cs.r.finish(message)
 			cs.r.events = append(cs.r.events, logic.Left{Record: logic.RecordID(message.kept.ID)})
 			cs.r.forget(message)
+			if e.from.conn.HalfClosed() {
+				rep.text = protocol.ReplyBusy(0)
+				cs.r.count(message.kept.Workload, rejected)
+			}
 		}
 	}
 }
@@ -277,6 +295,29 @@
 	return left == 0
 }
 
+// answered reports whether all that was read has its reply, once nothing more is read.
+func (cs *clients) answered() bool {
+	for c := range cs.all {
+		if !c.conn.Idle() || c.RepliesDue() {
+			return false
+		}
+	}
+	return len(cs.r.inbox) == 0
+}
+
+// commandsFailed answers the commands of an event that could not be handled; before is how many replies were due until then. Failure: the
+// connection was closed with no answer to what had been read.
+func (cs *clients) commandsFailed(e commands, before int) {
+	for len(cs.r.replies) < before+len(e.all) {
+		cs.r.replies = append(cs.r.replies, &reply{client: e.from})
+	}
+	for _, rep := range cs.r.replies[before:] {
+		if rep.close = true; rep.text == "" {
+			rep.text = protocol.ReplyError("ERR internal error")
+		}
+	}
+}
+
 // resting tells whether no command is on its way in, as far as is known here.
 func (cs *clients) resting() bool {
 	for c := range cs.all {
--- a/routing/inbox.go
+++ b/routing/inbox.go
@@ -44,11 +44,12 @@
 // dispatch hands what came in to the part that it is for. A panic over it costs the client that sent it its connection, and nothing else.
 func (r *Router) dispatch(what any) {
 	r.now = r.clock()
+	repliesBefore := len(r.replies)
 	defer func() {
 		if fault := recover(); fault != nil {
 			r.log.Error("panic over what came in", "fault", fmt.Sprint(fault), "stack", string(debug.Stack()))
 			if c, ok := what.(commands); ok {
-				c.from.conn.Close()
+				r.clients.commandsFailed(c, repliesBefore)
 			}
 		}
 	}()
--- a/routing/shutdown.go
+++ b/routing/shutdown.go
@@ -37,7 +37,9 @@
 const (
 	lastWords  = 50 * 1000
 	lastChance = 100 * 1000
-	shutEvery  = 2 * 1000
+	// lastReplies is how long, after nothing more is read, the replies to what was read may take.
+	lastReplies = 50 * 1000
+	shutEvery   = 2 * 1000
 )
 
 // mayExit tells whether the process may end. Nothing is read any more by then, or it would have had an answer. Failures: what was read
@@ -58,5 +60,10 @@
 		return false
 	}
 	r.endBy = r.now + shutEvery
-	return r.clients.shut() || r.now >= r.lastBy
+	if r.now < r.lastBy {
+		return r.clients.shut()
+	}
+	// Failure: what the poller had read at the last look was closed with no answer.
+	r.driver.StopReading()
+	return r.clients.shut() || r.clients.answered() || r.now >= r.lastBy+lastReplies
 }
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -43,6 +43,7 @@
 	engine   *nbio.Engine
 	listener net.Listener
 	deaf     atomic.Bool // after Deafen
+	stopped  atomic.Bool // after StopReading
 	log      *slog.Logger
 	// joined counts connections as they are given to nbio. Its tables are its own and say nothing of order: whoever finds a connection
 	// there reads this first, and sees all that stood before it was given.
@@ -155,6 +156,9 @@
 	d.listener.Close()
 }
 
+// StopReading leaves all that comes from now on unread. Once a connection is Idle, nothing more is read from it.
+func (d *Driver) StopReading() { d.stopped.Store(true) }
+
 // knocked tells whether a connection waits to be accepted.
 func (d *Driver) knocked() (waits bool) {
 	l, ok := d.listener.(gate).Listener.(syscall.Conn)
@@ -201,6 +205,9 @@
 	last    bool       // Closed was told
 	queued  atomic.Int64
 	written atomic.Int64
+
+	halfClosed      bool // the peer has ended its sending and is still owed replies; guarded by state
+	replyDescriptor int  // of those replies, while halfClosed
 }
 
 // Dial brings up a connection in the background. nbio's own DialAsync gives no hold of a dial that is under
@@ -256,10 +263,13 @@
 func (c *Conn) Write(b []byte) error {
 	raw := c.up()
 	if raw == nil {
-		return net.ErrClosed
+		return c.writeReply(b)
 	}
 	c.queued.Add(int64(len(b)))
 	_, err := raw.Write(b)
+	if err != nil && c.HalfClosed() { // closed by nbio a moment ago
+		return c.writeReply(b)
+	}
 	return err
 }
 
@@ -294,6 +304,7 @@
 		c.why = why
 	}
 	c.state.Unlock()
+	c.CloseReplies()
 	if raw != nil {
 		raw.CloseWithError(why)
 	} else if c.giveUp != nil {
@@ -337,6 +348,15 @@
 	return c.unread()
 }
 
+// Idle reports whether neither bytes are being read nor the handler runs.
+func (c *Conn) Idle() bool {
+	if !c.turn.TryLock() {
+		return false
+	}
+	c.turn.Unlock()
+	return true
+}
+
 // unread tells whether something that came lies unread, an end too. The caller holds the turn.
 func (c *Conn) unread() bool {
 	raw := c.up()
@@ -379,7 +399,7 @@
 func (c *Conn) read(raw *nbio.Conn, buffer []byte) {
 	for range readsInRow {
 		c.turn.Lock()
-		if c.last || c.isOver() {
+		if c.last || c.isOver() || c.driver.stopped.Load() {
 			c.turn.Unlock()
 			return
 		}
@@ -387,6 +407,9 @@
 		if n > 0 {
 			c.run(func() { c.handler.Data(c, buffer[:n]) })
 		}
+		if isEnd(err) || err == nil && n < len(buffer) {
+			c.keepForReplies(raw)
+		}
 		c.turn.Unlock()
 		switch {
 		case errors.Is(err, syscall.EINTR):
