--- /dev/null
+++ b/cmd/pineport/final_answer_test.go
@@ -0,0 +1,159 @@
+package main
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"slices"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"pineport/lab/scripted"
+)
+
+// rawEndpoint is an endpoint that reads calls and treats each as answer says; it ends with the test.
+func rawEndpoint(t *testing.T, answer func(conn net.Conn, id string)) (address string) {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { l.Close() })
+	go func() {
+		for {
+			conn, err := l.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				defer conn.Close()
+				request, err := http.ReadRequest(bufio.NewReader(conn))
+				if err != nil {
+					return
+				}
+				io.Copy(io.Discard, request.Body)
+				answer(conn, request.Header.Get("X-Call-Id"))
+			}()
+		}
+	}()
+	return l.Addr().String()
+}
+
+// flood sends commands and reads no reply until stopped, on one connection after the other: 100,000 commands a second at most.
+func flood(address string, stopped *atomic.Bool) {
+	const pause = 10 * time.Millisecond
+	text := strings.Repeat(command("PING"), 1000)
+	for !stopped.Load() {
+		conn, err := net.Dial("tcp", address)
+		if err != nil {
+			time.Sleep(10 * time.Millisecond)
+			continue
+		}
+		conn.SetDeadline(time.Now().Add(time.Second))
+		for err == nil && !stopped.Load() {
+			_, err = io.WriteString(conn, text)
+			time.Sleep(pause)
+		}
+		conn.Close()
+	}
+}
+
+// TestFinalAnswerAmongAllFaults: with hostile clients, spoilt answers, endpoints that hang and discovery down, all at once, each request
+// of a usual client gets its reply, and each message that was accepted ends once, in time: delivered or with one notice.
+func TestFinalAnswerAmongAllFaults(t *testing.T) {
+	const (
+		clients   = 4
+		perClient = 25
+		lifetime  = 4 * time.Second
+		slack     = 500 * time.Millisecond
+	)
+	w, err := scripted.Open(4, fates())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer w.Close()
+	hung := make(chan struct{})
+	var halfAnswered sync.Map
+	defer close(hung)
+	w.Endpoints[1] = rawEndpoint(t, func(net.Conn, string) { <-hung })
+	w.Endpoints[2] = rawEndpoint(t, func(conn net.Conn, _ string) { io.WriteString(conn, "HTTP/1.1 2x0 \x00\r\nContent-Length: -7\r\n\r\n") })
+	w.Endpoints[3] = rawEndpoint(t, func(conn net.Conn, id string) { // a head without an end; its first line is the delivery
+		halfAnswered.Store(id, true)
+		for {
+			if _, err := io.WriteString(conn, "HTTP/1.1 200 OK\r\nX: y\r\n"); err != nil {
+				return
+			}
+			time.Sleep(20 * time.Millisecond)
+		}
+	})
+	w.Lists = func(int) string { return "{]" } // discovery answers nothing that can be used
+	c := newCourier(t, w)
+	c.start()
+
+	var stopped atomic.Bool
+	var hostile sync.WaitGroup
+	for range 4 {
+		hostile.Go(func() { flood(c.listen, &stopped) })
+	}
+	hostile.Go(func() {
+		for !stopped.Load() {
+			c.raw("*1\r\n$99999999999999999999\r\n")
+		}
+	})
+	idle := gatherCrowd(c.listen, 50)
+
+	began := time.Now()
+	var usual sync.WaitGroup
+	replies := make([]map[string]string, clients)
+	for client := range clients {
+		replies[client] = map[string]string{}
+		usual.Go(func() {
+			for i := range perClient {
+				kind := []string{"okay", "slow", "full", "fail", "brok"}[i%5]
+				class := []string{"update", "order"}[i/5%2]
+				id := fmt.Sprintf("%s-%s-%d-%d", kind, class, client, i)
+				replies[client][id] = c.ask(enqueue(id, class, int(lifetime/time.Millisecond)))[0]
+				time.Sleep(20 * time.Millisecond)
+			}
+		})
+	}
+	usual.Wait()
+	ended := time.Now()
+	t.Logf("asked for %v", ended.Sub(began))
+	time.Sleep(time.Until(ended.Add(lifetime + slack)))
+	delivered, noticed, refused := 0, 0, 0
+	for _, all := range replies {
+		for id, reply := range all {
+			_, done, notices := w.Seen(id)
+			if _, ok := halfAnswered.Load(id); ok {
+				done++
+			}
+			switch {
+			case strings.HasPrefix(reply, "-BUSY"):
+				refused++
+			case reply != "+OK":
+				t.Errorf("%s: answered %q", id, reply)
+			case done == 0 && len(notices) == 0:
+				t.Errorf("%s was accepted and has no final answer", id)
+			case len(slices.Compact(notices)) > 1: // one that was not confirmed in time goes again, alike
+				t.Errorf("%s: notices %v", id, notices)
+			case done > 0:
+				delivered++
+			default:
+				noticed++
+			}
+		}
+	}
+	t.Logf("of %d requests: %d delivered, %d with a notice, %d rejected at once", clients*perClient, delivered, noticed, refused)
+	if delivered < clients*perClient/4 {
+		t.Errorf("%d of %d delivered: too few to tell", delivered, clients*perClient)
+	}
+	stopped.Store(true)
+	idle.leave()
+	hostile.Wait()
+}
