--- /dev/null
+++ b/cmd/pineport/golden_test.go
@@ -0,0 +1,124 @@
+package main
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"pineport/commons/exchange"
+	"pineport/config"
+	"pineport/lab/golden"
+	"pineport/learned"
+)
+
+// copyRecorded puts a recorded file of another package into a folder.
+func copyRecorded(t *testing.T, from, dir, name string) {
+	t.Helper()
+	content, err := os.ReadFile(from)
+	if err == nil {
+		err = os.WriteFile(filepath.Join(dir, name), content, 0o600)
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+}
+
+// TestOutputIsAsRecorded: what the commands print for scripts, over stored data that an earlier program wrote.
+func TestOutputIsAsRecorded(t *testing.T) {
+	golden.Tagged(t, pictured{})
+	golden.Tagged(t, exchange.Shown{})
+	golden.Tagged(t, config.Plan{})
+	golden.Tagged(t, config.Value{})
+	t.Setenv("RELAY_CONFIG", "")
+	dir := t.TempDir()
+	copyRecorded(t, "../../spool/testdata/segment.golden", dir, "0000000001.seg")
+	copyRecorded(t, "../../learned/testdata/version-2.golden", dir, learned.Name)
+	write := func(name, text string) string {
+		path := filepath.Join(dir, name)
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		return path
+	}
+	good := write("good.toml", config.Example())
+	next := write("next.toml", strings.Replace(config.Example(), "slots = 20", "slots = 10", 1))
+
+	var members pictured
+	var shared exchange.Shown
+	golden.Fill(&members)
+	golden.Fill(&shared)
+	desk := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		switch r.URL.Path {
+		case "/peers":
+			json.NewEncoder(w).Encode(members)
+		case "/commons":
+			json.NewEncoder(w).Encode(shared)
+		}
+	}))
+	defer desk.Close()
+	ops := strings.TrimPrefix(desk.URL, "http://")
+
+	for name, args := range map[string]string{
+		"spool-ls":     "spool ls --output json " + dir,
+		"spool-show":   "spool show " + dir + " broken",
+		"state-show":   "state show --output json " + dir,
+		"config-check": "config check --output json --against " + good + " " + next,
+		"config-show":  "config show --output json " + good,
+		"config-init":  "config init",
+		"peers-ls":     "peers ls --output json --ops " + ops,
+		"commons-show": "commons show --output json --ops " + ops,
+	} {
+		out, err := tool(strings.Fields(args)...)
+		if err != nil {
+			t.Errorf("%s: %v", name, err)
+			continue
+		}
+		golden.Check(t, name+".golden", []byte(out))
+	}
+}
+
+// TestSettingsAreAsRecorded: every key of the settings with its form, unit, default, variable and what a reload does with it.
+func TestSettingsAreAsRecorded(t *testing.T) {
+	var lines strings.Builder
+	for _, k := range config.Schema {
+		fmt.Fprintf(&lines, "%s\n  unread %v, unit %q, default %q, variable %q, on reload %q, expects %q\n", k.Path, k.Unread, k.Unit, k.Default, k.Variable,
+			k.OnReload(), k.Expects())
+	}
+	golden.Check(t, "settings.golden", []byte(lines.String()))
+}
+
+// TestExitCodes: 0 where all is well, 1 where there is a fault, which is named on standard error.
+func TestExitCodes(t *testing.T) {
+	dir := t.TempDir()
+	good := filepath.Join(dir, "good.toml")
+	if err := os.WriteFile(good, []byte(config.Example()), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	for args, want := range map[string]int{
+		"version": 0, "config check " + good: 0, "config init": 0, "spool verify " + dir: 0,
+		"config check " + dir + "/none.toml": 1, "spool ls " + dir + "/none": 1, "state verify " + dir: 1, "nonsense": 1, "spool ls": 1,
+	} {
+		cmd := exec.Command(binary(), strings.Fields(args)...)
+		cmd.Env = append(os.Environ(), "RELAY_CONFIG=")
+		var stderr strings.Builder
+		cmd.Stderr = &stderr
+		err := cmd.Run()
+		var failed *exec.ExitError
+		code := 0
+		if errors.As(err, &failed) {
+			code = failed.ExitCode()
+		} else if err != nil {
+			t.Fatal(err)
+		}
+		if code != want || (code != 0) != strings.HasPrefix(stderr.String(), "pineport: ") {
+			t.Errorf("%s: exit code %d, %q", args, code, stderr.String())
+		}
+	}
+}
--- a/commons/show.go
+++ b/commons/show.go
@@ -9,8 +9,11 @@
 
 // Sums count what happened since the start.
 type Sums struct {
-	Asked, Lent, Taken, Late uint64 // asks made, loans given, loans taken up, loans that came too late or unasked
-	Forgotten                uint64 // counts left out for want of room
+	Asked     uint64 `json:"Asked"`     // asks made
+	Lent      uint64 `json:"Lent"`      // loans given
+	Taken     uint64 `json:"Taken"`     // loans taken up
+	Late      uint64 `json:"Late"`      // loans that came too late or unasked
+	Forgotten uint64 `json:"Forgotten"` // counts left out for want of room
 }
 
 // Line is what stands for one route, to be shown.
--- a/config/document.go
+++ b/config/document.go
@@ -15,9 +15,9 @@
 
 // Value is one value of a configuration, as text, and where it came from.
 type Value struct {
-	Text string
-	From string // "default", "file", a variable, or "flag"
-	Line int    // in the file
+	Text string `json:"Text"`
+	From string `json:"From"` // "default", "file", a variable, or "flag"
+	Line int    `json:"Line"` // in the file
 }
 
 // Document is a configuration with all its layers: defaults under the file under variables under flags.
--- a/learned/file.go
+++ b/learned/file.go
@@ -39,8 +39,8 @@
 
 // State is what a file holds.
 type State struct {
-	Courier string
-	Lore    logic.Lore
+	Courier string     `json:"Courier"`
+	Lore    logic.Lore `json:"Lore"`
 }
 
 // body of version 2.
--- a/logic/lore.go
+++ b/logic/lore.go
@@ -8,65 +8,68 @@
 // What a courier has learned, handed out and taken back: bookkeeping only. What of it to believe is in logic.go.
 
 // Sum is a decaying sum as it stood at the instant of its Lore.
-type Sum struct{ Weight, Total float64 }
+type Sum struct {
+	Weight float64 `json:"Weight"`
+	Total  float64 `json:"Total"`
+}
 
 // Lore is what a courier has learned of its destinations, as a value that shares nothing with it. Learned hands it to
 // another one.
 type Lore struct {
-	At        Micros // when it was so
-	Took      Sum    // answer times everywhere
-	Broke     []Sum  // calls that broke or got lost, by how long their connection had rested
-	Routes    []RouteLore
-	Endpoints []EndpointLore
-	Resting   []KeyLore // no file keeps them: they rest for a moment, and there may be many
+	At        Micros         `json:"At"`    // when it was so
+	Took      Sum            `json:"Took"`  // answer times everywhere
+	Broke     []Sum          `json:"Broke"` // calls that broke or got lost, by how long their connection had rested
+	Routes    []RouteLore    `json:"Routes"`
+	Endpoints []EndpointLore `json:"Endpoints"`
+	Resting   []KeyLore      `json:"Resting"` // no file keeps them: they rest for a moment, and there may be many
 }
 
 // KeyLore is a key that rests, as a trip of one of its records may still run.
 type KeyLore struct {
-	Key    Key
-	RestTo Micros
+	Key    Key    `json:"Key"`
+	RestTo Micros `json:"RestTo"`
 }
 
 // RouteLore is what is known of one route: a destination, or one endpoint of it where they are apart.
 type RouteLore struct {
-	Dest     DestID
-	Endpoint EndpointID // empty where the route is the destination
-	Took     Sum
-	Done     Sum
-	Since    Micros // counted since then
-	LastCall Micros
-	LastDone Micros
-	WaitTo   Micros
-	Gap      Micros
-	Knee     Micros
-	Strikes  int
-	Fulls    int
-	Sick     bool
-	SickAt   Micros
-	Cold     bool
-	Ramped   Micros  // how far its ramp had come
-	Usual    float64 // calls a second
-	Rate     float64 // as told by reports; 0 if none told it
-	Breakers []BreakerLore
+	Dest     DestID        `json:"Dest"`
+	Endpoint EndpointID    `json:"Endpoint"` // empty where the route is the destination
+	Took     Sum           `json:"Took"`
+	Done     Sum           `json:"Done"`
+	Since    Micros        `json:"Since"` // counted since then
+	LastCall Micros        `json:"LastCall"`
+	LastDone Micros        `json:"LastDone"`
+	WaitTo   Micros        `json:"WaitTo"`
+	Gap      Micros        `json:"Gap"`
+	Knee     Micros        `json:"Knee"`
+	Strikes  int           `json:"Strikes"`
+	Fulls    int           `json:"Fulls"`
+	Sick     bool          `json:"Sick"`
+	SickAt   Micros        `json:"SickAt"`
+	Cold     bool          `json:"Cold"`
+	Ramped   Micros        `json:"Ramped"` // how far its ramp had come
+	Usual    float64       `json:"Usual"`  // calls a second
+	Rate     float64       `json:"Rate"`   // as told by reports; 0 if none told it
+	Breakers []BreakerLore `json:"Breakers"`
 }
 
 // BreakerLore is a breaker, by workload; Until is nought where it is closed.
 type BreakerLore struct {
-	Fails int
-	Until Micros
+	Fails int    `json:"Fails"`
+	Until Micros `json:"Until"`
 }
 
 // EndpointLore is what is known of one endpoint; only those are listed that failed lately or were put back.
 type EndpointLore struct {
-	Endpoint EndpointID
-	Runs     []RunLore // in all, then by workload
-	ColdTo   Micros    // put back by people: warm from then on
+	Endpoint EndpointID `json:"Endpoint"`
+	Runs     []RunLore  `json:"Runs"`   // in all, then by workload
+	ColdTo   Micros     `json:"ColdTo"` // put back by people: warm from then on
 }
 
 // RunLore is how often in a row trips failed, and how long the endpoint rests for that.
 type RunLore struct {
-	Fails  int
-	RestTo Micros
+	Fails  int    `json:"Fails"`
+	RestTo Micros `json:"RestTo"`
 }
 
 // Learned hands over what was learned before a restart. It comes after the list that it is about.
--- a/logic/scenario_test.go
+++ b/logic/scenario_test.go
@@ -1,7 +1,10 @@
 package logic
 
 import (
+	"crypto/sha256"
 	"fmt"
+	"hash"
+	"io"
 	"math"
 	"os"
 	"path/filepath"
@@ -10,6 +13,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"pineport/lab/golden"
 )
 
 // TestScenarios plays testdata/*.txt; parts are set apart by lines or semicolons, # begins a comment. First what
@@ -24,13 +29,14 @@
 	if err != nil || len(files) == 0 {
 		t.Fatalf("no scenarios: %v", err)
 	}
+	var digests strings.Builder
 	for _, file := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".txt"), func(t *testing.T) {
 			text, err := os.ReadFile(file)
 			if err != nil {
 				t.Fatal(err)
 			}
-			p := &player{t: t, records: map[string]*fate{}, replies: map[string]reply{}, phase: map[EndpointID]Phase{}, barred: map[string]bool{}}
+			p := &player{t: t, records: map[string]*fate{}, replies: map[string]reply{}, phase: map[EndpointID]Phase{}, barred: map[string]bool{}, digest: sha256.New()}
 			p.charter = Charter{Salt: 7, Couriers: 1, Slots: 50, Hold: 100, MaxTrips: 8, MayAdvise: true,
 				MayCancel: true, LongestAdvice: 2 * second, Tick: 5 * millisecond, LeftAt: -1, RateAt: -1,
 				ColdFrom: 0.2, Ramp: 10 * second, FallMultiple: 2, IdleAfter: 5 * second,
@@ -48,8 +54,35 @@
 			if p.checks == 0 {
 				t.Fatal("nothing is asked for")
 			}
+			fmt.Fprintf(&digests, "%s %x\n", filepath.Base(file), p.digest.Sum(nil)[:16])
 		})
 	}
+	golden.Check(t, "actions.golden", []byte(digests.String()))
+}
+
+// digestAction adds an action, in full, to a digest that names no type and no field of the program.
+func digestAction(digest io.Writer, now Micros, action Action) {
+	fmt.Fprintf(digest, "%d ", now)
+	switch a := action.(type) {
+	case Send:
+		fmt.Fprintf(digest, "1 %q %q %d\n", a.Record, a.Endpoint, a.Limit)
+	case Cancel:
+		fmt.Fprintf(digest, "2 %q %d\n", a.Record, a.Trip)
+	case Bounce:
+		fmt.Fprintf(digest, "3 %q %d\n", a.Record, a.Pause)
+	case Terminate:
+		fmt.Fprintf(digest, "4 %q\n", a.Record)
+	case Wake:
+		fmt.Fprintf(digest, "5 %d\n", a.At)
+	case CloseIdle:
+		fmt.Fprintf(digest, "6 %q\n", a.Endpoint)
+	case Watch:
+		fmt.Fprintf(digest, "7\n")
+	case Note:
+		fmt.Fprintf(digest, "8 %q\n", a.Text)
+	default:
+		panic(fmt.Sprintf("an action without a number: %T", action))
+	}
 }
 
 type reply struct {
@@ -90,6 +123,7 @@
 	replies      map[string]reply
 	phase        map[EndpointID]Phase
 	barred       map[string]bool
+	digest       hash.Hash // of all actions, in order
 }
 
 func (p *player) fatal(format string, args ...any) {
@@ -326,6 +360,7 @@
 	actions := p.courier.Handle(p.now, events)
 	p.watchers.see(p, events, actions)
 	for _, action := range actions {
+		digestAction(p.digest, p.now, action)
 		p.rules(action)
 		p.did = append(p.did, action)
 	}
--- a/logic/types.go
+++ b/logic/types.go
@@ -154,13 +154,13 @@
 	}
 	// Settled is the one outcome of a trip.
 	Settled struct {
-		Record   RecordID
-		Trip     TripNo
-		Outcome  Outcome
-		Took     Micros
-		Over     bool   // the record is finished
-		Wait     Micros // told with Full
-		Pressure []float64
+		Record   RecordID  `json:"Record"`
+		Trip     TripNo    `json:"Trip"`
+		Outcome  Outcome   `json:"Outcome"`
+		Took     Micros    `json:"Took"`
+		Over     bool      `json:"Over"` // the record is finished
+		Wait     Micros    `json:"Wait"` // told with Full
+		Pressure []float64 `json:"Pressure"`
 	}
 	// Closing announces the end of this process; what is out then is cut off, and all else handed on.
 	Closing struct{ At Micros }
--- /dev/null
+++ b/peers/gossip/golden_test.go
@@ -0,0 +1,27 @@
+package gossip
+
+import (
+	"encoding/hex"
+	"fmt"
+	"strings"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"pineport/lab/golden"
+)
+
+// TestPacketsAreAsRecorded: what members send one another beside the detector's own messages, with every field set, byte by byte.
+func TestPacketsAreAsRecorded(t *testing.T) {
+	var lines strings.Builder
+	for _, packet := range []any{&tag{}, &state{}, &namesake{}, &parcel{}} {
+		golden.Tagged(t, packet)
+		golden.Fill(packet)
+		text, err := cbor.Marshal(packet)
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintln(&lines, hex.EncodeToString(text))
+	}
+	golden.Check(t, "packets.golden", []byte(lines.String()))
+}
--- a/peers/gossip/transport.go
+++ b/peers/gossip/transport.go
@@ -23,7 +23,12 @@
 
 // Counts is what went over the network, both ways.
 type Counts struct {
-	PacketsIn, PacketsOut, BytesIn, BytesOut, Streams, Turned int64
+	PacketsIn  int64 `json:"PacketsIn"`
+	PacketsOut int64 `json:"PacketsOut"`
+	BytesIn    int64 `json:"BytesIn"`
+	BytesOut   int64 `json:"BytesOut"`
+	Streams    int64 `json:"Streams"`
+	Turned     int64 `json:"Turned"`
 }
 
 // counters are Counts as they grow.
--- /dev/null
+++ b/peers/identity/golden_test.go
@@ -0,0 +1,26 @@
+package identity
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+
+	"pineport/lab/golden"
+)
+
+// TestFileIsAsRecorded: the file is written byte by byte as recorded, and the recorded one is gone on from.
+func TestFileIsAsRecorded(t *testing.T) {
+	golden.Tagged(t, kept{})
+	dir := t.TempDir()
+	if err := Keep(dir, "n0", 41); err != nil {
+		t.Fatal(err)
+	}
+	content, err := os.ReadFile(filepath.Join(dir, Name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Check(t, "start.golden", content)
+	if next, fault, err := Next(dir, "n0"); next != 42 || fault != nil || err != nil {
+		t.Errorf("%d, %v, %v", next, fault, err)
+	}
+}
