--- a/Makefile
+++ b/Makefile
@@ -14,7 +14,7 @@
 	go tool staticcheck ./...
 
 demo: build
-	bin/pinelab demo
+	bin/pineport-testbed demo
 
 check: build
-	bin/pinelab check
+	bin/pineport-testbed check
--- a/ops/ops.go
+++ b/admin/admin.go
@@ -1,6 +1,6 @@
-// Package ops is the second address, for operators alone: it listens, reads a call, answers and closes. What a call
+// Package admin is the second address, for operators alone: it listens, reads a call, answers and closes. What a call
 // means for the courier is not known here.
-package ops
+package admin
 
 import (
 	"context"
--- a/ops/ops_test.go
+++ b/admin/admin_test.go
@@ -1,4 +1,4 @@
-package ops
+package admin
 
 import (
 	"bufio"
@@ -16,7 +16,7 @@
 
 	"go.uber.org/goleak"
 
-	"pineport/lab/port"
+	"pineport/testbed/port"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/ops/golden_test.go
+++ b/admin/golden_test.go
@@ -1,4 +1,4 @@
-package ops
+package admin
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"pineport/lab/golden"
+	"pineport/testbed/golden"
 )
 
 // recordedCourier answers every call with all that it could say.
--- a/sealed/sealed.go
+++ b/atomicfile/atomicfile.go
@@ -1,6 +1,6 @@
-// Package sealed writes and reads small files that outlast a process: versioned, checksummed, replaced whole, never half
+// Package atomicfile writes and reads small files that outlast a process: versioned, checksummed, replaced whole, never half
 // written.
-package sealed
+package atomicfile
 
 import (
 	"encoding/binary"
--- a/cmd/pinelab/capacity.go
+++ b/cmd/pineport-testbed/capacity.go
@@ -7,8 +7,8 @@
 	"github.com/google/renameio/v2"
 	"github.com/spf13/cobra"
 
-	"pineport/lab/capacity"
-	"pineport/lab/report"
+	"pineport/testbed/capacity"
+	"pineport/testbed/report"
 )
 
 type capacityFlags struct {
@@ -23,17 +23,17 @@
 	cmd := &cobra.Command{
 		Use:   "capacity",
 		Short: "Work out what a fleet of a planned size asks of each part, and what breaks first",
-		Long: `Carry the slopes that pinelab scale measured to the sizes of a plan, hold them against its budgets, and say at which share of the
+		Long: `Carry the slopes that pineport-testbed scale measured to the sizes of a plan, hold them against its budgets, and say at which share of the
 planned size each breaks. Another operator's fleet is another --plan; docs/capacity/plan.toml is the example, with each key explained.
 A faulty plan is told by file, line, key and what was expected, all faults at once. Exit codes: 0 all well; 2 a file is at fault.`,
-		Example: `  pinelab capacity --plan ours.toml
-  pinelab capacity --output json
-  pinelab capacity --output markdown --write docs/CAPACITY.md --charts docs/capacity`,
+		Example: `  pineport-testbed capacity --plan ours.toml
+  pineport-testbed capacity --output json
+  pineport-testbed capacity --output markdown --write docs/CAPACITY.md --charts docs/capacity`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return workOutCapacity(cmd, f) },
 	}
 	cmd.Flags().StringVar(&f.plan, "plan", "docs/capacity/plan.toml", "the planned size, budgets and failure rates")
-	cmd.Flags().StringVar(&f.measured, "measured", "docs/capacity/measured.json", "slopes as pinelab scale wrote them")
+	cmd.Flags().StringVar(&f.measured, "measured", "docs/capacity/measured.json", "slopes as pineport-testbed scale wrote them")
 	cmd.Flags().StringVar(&f.output, "output", "table", "table, json or markdown")
 	cmd.Flags().StringVar(&f.write, "write", "", "file that takes the page, as markdown, whatever --output says (empty: printed only)")
 	cmd.Flags().StringVar(&f.charts, "charts", "", "folder that takes a chart of each slope (empty: none)")
--- a/cmd/pinelab/check.go
+++ b/cmd/pineport-testbed/check.go
@@ -7,8 +7,8 @@
 
 	"github.com/spf13/cobra"
 
-	"pineport/lab/day"
-	"pineport/lab/experiment"
+	"pineport/testbed/experiment"
+	"pineport/testbed/scenario"
 )
 
 // unchecked are the built-in days that take too long for a check.
@@ -39,11 +39,11 @@
 			for seed := range seeds {
 				plan.Seeds = append(plan.Seeds, seed+1)
 			}
-			for _, name := range day.BuiltIn() {
+			for _, name := range scenario.BuiltIn() {
 				if slices.Contains(unchecked, name) {
 					continue
 				}
-				d, err := day.Find(name)
+				d, err := scenario.Find(name)
 				if err != nil {
 					return err
 				}
@@ -54,7 +54,7 @@
 				return err
 			}
 			if !virtual {
-				d, err := day.Find("demo")
+				d, err := scenario.Find("demo")
 				if err != nil {
 					return err
 				}
--- a/cmd/pinelab/compare.go
+++ b/cmd/pineport-testbed/compare.go
@@ -9,36 +9,36 @@
 
 	"github.com/spf13/cobra"
 
-	"pineport/lab/day"
-	"pineport/lab/experiment"
-	"pineport/lab/ledger"
+	"pineport/testbed/experiment"
+	"pineport/testbed/invariants"
+	"pineport/testbed/scenario"
 )
 
 func jobs() int { return runtime.GOMAXPROCS(0) }
 
-var figures = map[string]func(*ledger.Verdict) float64{
-	"figure":  func(v *ledger.Verdict) float64 { return v.Figure },
-	"service": func(v *ledger.Verdict) float64 { return v.Service },
-	"whole":   func(v *ledger.Verdict) float64 { return v.Whole },
-	"window":  func(v *ledger.Verdict) float64 { return v.Window },
-	"net":     func(v *ledger.Verdict) float64 { return v.Service - v.Costs },
-	"falls":   func(v *ledger.Verdict) float64 { return float64(v.Counts.Falls) },
-	"refused": func(v *ledger.Verdict) float64 { return float64(v.Counts.Full) },
-	"failed": func(v *ledger.Verdict) float64 {
+var figures = map[string]func(*invariants.Verdict) float64{
+	"figure":  func(v *invariants.Verdict) float64 { return v.Figure },
+	"service": func(v *invariants.Verdict) float64 { return v.Service },
+	"whole":   func(v *invariants.Verdict) float64 { return v.Whole },
+	"window":  func(v *invariants.Verdict) float64 { return v.Window },
+	"net":     func(v *invariants.Verdict) float64 { return v.Service - v.Costs },
+	"falls":   func(v *invariants.Verdict) float64 { return float64(v.Counts.Falls) },
+	"refused": func(v *invariants.Verdict) float64 { return float64(v.Counts.Full) },
+	"failed": func(v *invariants.Verdict) float64 {
 		n := v.Counts
 		return float64(n.Failures + n.TimedOut + n.Unreachable + n.Broken)
 	},
-	"costs": func(v *ledger.Verdict) float64 { return v.Costs },
+	"costs": func(v *invariants.Verdict) float64 { return v.Costs },
 }
 
 // stretch is a figure of a part of the day.
-func stretch(figure string, from, to float64) (func(*ledger.Verdict) float64, bool) {
-	pick := map[string]func(ledger.Within) float64{
-		"whole":   func(w ledger.Within) float64 { return w.Payoff },
-		"failed":  func(w ledger.Within) float64 { return w.Fails },
-		"refused": func(w ledger.Within) float64 { return w.Refused },
+func stretch(figure string, from, to float64) (func(*invariants.Verdict) float64, bool) {
+	pick := map[string]func(invariants.Within) float64{
+		"whole":   func(w invariants.Within) float64 { return w.Payoff },
+		"failed":  func(w invariants.Within) float64 { return w.Fails },
+		"refused": func(w invariants.Within) float64 { return w.Refused },
 	}[figure]
-	return func(v *ledger.Verdict) float64 { return pick(v.Series.Between(from, to)) }, pick != nil
+	return func(v *invariants.Verdict) float64 { return pick(v.Series.Between(from, to)) }, pick != nil
 }
 
 func compareCmd() *cobra.Command {
@@ -49,8 +49,8 @@
 	cmd := &cobra.Command{
 		Use:   "compare VARIANT VARIANT...",
 		Short: "Play variants of the decisions on the same days and seeds, and tell how far they differ from the first",
-		Example: `  pinelab compare module baseline:textbook --day overload,chance --seeds 20
-  pinelab compare module "old=wire:/tmp/old/simhost" --figure whole`,
+		Example: `  pineport-testbed compare module baseline:textbook --day overload,chance --seeds 20
+  pineport-testbed compare module "old=wire:/tmp/old/simadapter" --figure whole`,
 		Args: cobra.MinimumNArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			pick, ok := figures[figure]
@@ -64,7 +64,7 @@
 			}
 			plan := experiment.Plan{Jobs: workers}
 			for _, name := range names {
-				d, err := day.Find(name)
+				d, err := scenario.Find(name)
 				if err != nil {
 					return err
 				}
--- a/cmd/pinelab/demo.go
+++ b/cmd/pineport-testbed/demo.go
@@ -6,10 +6,10 @@
 
 	"github.com/spf13/cobra"
 
-	"pineport/lab/day"
-	"pineport/lab/live"
-	"pineport/lab/report"
-	"pineport/logic"
+	"pineport/dispatch"
+	"pineport/testbed/realtime"
+	"pineport/testbed/report"
+	"pineport/testbed/scenario"
 )
 
 func demoCmd() *cobra.Command {
@@ -19,7 +19,7 @@
 		Short: "A small world on loopback, two couriers, load and trouble, and a plain account of what was decided; 20 s",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			d, err := day.Find("demo")
+			d, err := scenario.Find("demo")
 			if err != nil {
 				return err
 			}
@@ -28,7 +28,7 @@
 				return err
 			}
 			defer clean()
-			w := day.Draw(d, d.Seed)
+			w := scenario.Draw(d, d.Seed)
 			say := func(format string, args ...any) { fmt.Fprintf(cmd.OutOrStdout(), format, args...) }
 			say("%s\n\n", d.About)
 			say("%d couriers, %d destinations, about %.0f records a second for %.0f s, all on loopback.\n", d.Fleet.Couriers,
@@ -41,7 +41,7 @@
 			report.Timeline(cmd.OutOrStdout(), w, 10)
 			say("\nPlaying ...\n")
 			var mu sync.Mutex
-			v, cost, err := live.Play(cmd.Context(), w, live.Options{Binary: binary, Watch: func(at logic.Micros, a day.Act) {
+			v, cost, err := realtime.Play(cmd.Context(), w, realtime.Options{Binary: binary, Watch: func(at dispatch.Micros, a scenario.Act) {
 				mu.Lock()
 				defer mu.Unlock()
 				say("  %5.1f s  %s\n", float64(at)/1e6, report.Event(w, a))
--- a/cmd/pinelab/fleet.go
+++ b/cmd/pineport-testbed/fleet.go
@@ -14,8 +14,8 @@
 	"github.com/spf13/cobra"
 	"gonum.org/v1/gonum/stat"
 
-	"pineport/lab/fleet"
-	"pineport/lab/report"
+	"pineport/testbed/fleet"
+	"pineport/testbed/report"
 )
 
 type fleetFlags struct {
@@ -38,9 +38,9 @@
 		Use:   "fleet DAY",
 		Short: "Play a day with real couriers that know each other, and faults between them",
 		Long: `Play a day with real couriers that know each other, while the network between them fails and they are killed, stopped and
-restarted. DAY is one of pinelab fleet --list, or a file.`,
-		Example: `  pinelab fleet partition --couriers 12
-  pinelab fleet mass-kill --seed 3 --trace links.jsonl --out results/`,
+restarted. DAY is one of pineport-testbed fleet --list, or a file.`,
+		Example: `  pineport-testbed fleet partition --couriers 12
+  pineport-testbed fleet mass-kill --seed 3 --trace links.jsonl --out results/`,
 		Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if f.list || len(args) == 0 {
--- a/cmd/pinelab/main.go
+++ b/cmd/pineport-testbed/main.go
@@ -1,5 +1,5 @@
-// Command pinelab is the project's laboratory: days with troubles, played in virtual time or on loopback sockets against
-// the couriers' decisions, judged by the six rules and by payoff. docs/lab.md says how to work with it.
+// Command pineport-testbed is the project's laboratory: days with troubles, played in virtual time or on loopback sockets against
+// the couriers' decisions, judged by the six rules and by payoff. docs/testbed.md says how to work with it.
 package main
 
 import (
@@ -31,16 +31,16 @@
 	case errors.Is(err, errBroken):
 		os.Exit(exitBroken)
 	default:
-		fmt.Fprintln(os.Stderr, "pinelab:", err)
+		fmt.Fprintln(os.Stderr, "pineport-testbed:", err)
 		os.Exit(exitUsage)
 	}
 }
 
 func root() *cobra.Command {
 	cmd := &cobra.Command{
-		Use:   "pinelab",
+		Use:   "pineport-testbed",
 		Short: "Play days with troubles against the courier's decisions, and judge them",
-		Long: `pinelab plays days with troubles against the courier's decisions, in virtual time or on loopback sockets, and judges
+		Long: `pineport-testbed plays days with troubles against the courier's decisions, in virtual time or on loopback sockets, and judges
 them by the six rules and by payoff.
 
 Exit codes: 0 all well; 1 a rule broke, or a run does not count; 2 the command line or a file is at fault.`,
--- a/cmd/pinelab/play.go
+++ b/cmd/pineport-testbed/play.go
@@ -12,11 +12,11 @@
 
 	"github.com/spf13/cobra"
 
-	"pineport/lab/day"
-	"pineport/lab/experiment"
-	"pineport/lab/ledger"
-	"pineport/lab/live"
-	"pineport/lab/report"
+	"pineport/testbed/experiment"
+	"pineport/testbed/invariants"
+	"pineport/testbed/realtime"
+	"pineport/testbed/report"
+	"pineport/testbed/scenario"
 )
 
 func daysCmd() *cobra.Command {
@@ -26,8 +26,8 @@
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 8, 2, ' ', 0)
-			for _, name := range day.BuiltIn() {
-				d, err := day.Find(name)
+			for _, name := range scenario.BuiltIn() {
+				d, err := scenario.Find(name)
 				if err != nil {
 					return err
 				}
@@ -43,7 +43,7 @@
 		Use:   "format",
 		Short: "Write the page on the format of a day's file",
 		Args:  cobra.NoArgs,
-		RunE:  func(cmd *cobra.Command, _ []string) error { return day.WriteFormat(cmd.OutOrStdout()) },
+		RunE:  func(cmd *cobra.Command, _ []string) error { return scenario.WriteFormat(cmd.OutOrStdout()) },
 	}
 }
 
@@ -63,8 +63,8 @@
 	cmd := &cobra.Command{
 		Use:   "play DAY",
 		Short: "Play one day and print its judgement",
-		Example: `  pinelab play overload --virtual --seed 3
-  pinelab play my-day.toml --courier bin/pineport --out results/`,
+		Example: `  pineport-testbed play overload --virtual --seed 3
+  pineport-testbed play my-day.toml --courier bin/pineport --out results/`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error { return play(cmd, args[0], f) },
 	}
@@ -80,7 +80,7 @@
 }
 
 func play(cmd *cobra.Command, name string, f playFlags) error {
-	d, err := day.Find(name)
+	d, err := scenario.Find(name)
 	if err != nil {
 		return err
 	}
@@ -104,7 +104,7 @@
 		if err := writeCell(f.out, cell); err != nil {
 			return err
 		}
-		if _, err := report.Day(f.out, day.Draw(d, seed), cell.Verdict); err != nil {
+		if _, err := report.Day(f.out, scenario.Draw(d, seed), cell.Verdict); err != nil {
 			return err
 		}
 	}
@@ -124,13 +124,13 @@
 }
 
 // playLive plays on sockets.
-func playLive(cmd *cobra.Command, d *day.Day, seed int64, f playFlags) (experiment.Cell, error) {
+func playLive(cmd *cobra.Command, d *scenario.Day, seed int64, f playFlags) (experiment.Cell, error) {
 	binary, clean, err := courierBinary(f.courier)
 	if err != nil {
 		return experiment.Cell{}, err
 	}
 	defer clean()
-	v, cost, err := live.Play(cmd.Context(), day.Draw(d, seed), live.Options{Binary: binary, Reload: f.reload, Dir: f.dir})
+	v, cost, err := realtime.Play(cmd.Context(), scenario.Draw(d, seed), realtime.Options{Binary: binary, Reload: f.reload, Dir: f.dir})
 	return experiment.Cell{Day: d.Name, Seed: seed, Variant: "sockets", Verdict: v, Wall: cost.Wall, Live: &cost}, err
 }
 
@@ -147,7 +147,7 @@
 			return beside, clean, nil
 		}
 	}
-	dir, err := os.MkdirTemp("", "pinelab-bin-")
+	dir, err := os.MkdirTemp("", "pineport-testbed-bin-")
 	if err != nil {
 		return "", clean, err
 	}
@@ -202,7 +202,7 @@
 	printBreaches(out, v)
 }
 
-func printBreaches(out io.Writer, v *ledger.Verdict) {
+func printBreaches(out io.Writer, v *invariants.Verdict) {
 	for _, b := range v.Breaches {
 		fmt.Fprintf(out, "  %8.3f s  %s: %s\n", b.At, b.Rule, b.Text)
 	}
--- a/cmd/pinelab/report.go
+++ b/cmd/pineport-testbed/report.go
@@ -7,8 +7,8 @@
 
 	"github.com/spf13/cobra"
 
-	"pineport/lab/experiment"
-	"pineport/lab/report"
+	"pineport/testbed/experiment"
+	"pineport/testbed/report"
 )
 
 func reportCmd() *cobra.Command {
--- a/cmd/pinelab/scale.go
+++ b/cmd/pineport-testbed/scale.go
@@ -12,8 +12,8 @@
 
 	"github.com/spf13/cobra"
 
-	"pineport/lab/scale"
-	"pineport/lab/slopes"
+	"pineport/testbed/scale"
+	"pineport/testbed/slopes"
 )
 
 const allRuns = "all"
@@ -32,11 +32,11 @@
 		Use:   "scale RUN",
 		Short: "Measure how cost and knowledge grow with the size of the fleet",
 		Long: `Measure how cost and knowledge grow with the size of the fleet, with hollow couriers: the real decisions, membership and sharing
-in one process, over stand-ins for clients, endpoints, disk and sockets. RUN is one of pinelab scale --list, or all.
-A full run writes its points and slopes into measured.json in the folder of --out, from which pinelab capacity works out the page.
+in one process, over stand-ins for clients, endpoints, disk and sockets. RUN is one of pineport-testbed scale --list, or all.
+A full run writes its points and slopes into measured.json in the folder of --out, from which pineport-testbed capacity works out the page.
 A quick one plays the small sizes once, and is judged by what it counts alone. Exit codes: 0 all well; 1 a run failed its check.`,
-		Example: `  pinelab scale all --quick
-  pinelab scale held --out docs/capacity`,
+		Example: `  pineport-testbed scale all --quick
+  pineport-testbed scale held --out docs/capacity`,
 		Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if f.list || len(args) == 0 {
@@ -75,7 +75,7 @@
 	defer clean()
 	failed := false
 	for _, experiment := range experiments {
-		o := scale.Options{Quick: f.quick, Seed: f.seed, Commit: commit(), Command: "pinelab scale " + experiment.Name, Courier: courier, Progress: tellProgress}
+		o := scale.Options{Quick: f.quick, Seed: f.seed, Commit: commit(), Command: "pineport-testbed scale " + experiment.Name, Courier: courier, Progress: tellProgress}
 		run, err := scale.Run(cmd.Context(), experiment, o)
 		clearProgress()
 		switch {
--- a/cmd/pinelab/send.go
+++ b/cmd/pineport-testbed/send.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"pineport/lab/load"
+	"pineport/testbed/load"
 )
 
 func sendCmd() *cobra.Command {
@@ -17,7 +17,7 @@
 	cmd := &cobra.Command{
 		Use:     "send",
 		Short:   "Hand some records to a courier and print its replies",
-		Example: "  pinelab send --to 127.0.0.1:7379 --workload update --dest 0 --count 5",
+		Example: "  pineport-testbed send --to 127.0.0.1:7379 --workload update --dest 0 --count 5",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			pool := load.NewPool(to)
--- a/cmd/pinelab/serve.go
+++ b/cmd/pineport-testbed/serve.go
@@ -10,10 +10,10 @@
 
 	"github.com/spf13/cobra"
 
-	"pineport/lab/day"
-	"pineport/lab/ledger"
-	"pineport/lab/report"
-	"pineport/lab/world"
+	"pineport/testbed/environment"
+	"pineport/testbed/invariants"
+	"pineport/testbed/report"
+	"pineport/testbed/scenario"
 )
 
 func serveCmd() *cobra.Command {
@@ -23,19 +23,19 @@
 		Use:   "serve DAY",
 		Short: "Put up a day's world alone, for couriers that you start yourself",
 		Long: `serve puts up the endpoints and directories of a day on loopback and writes a configuration for each of its couriers.
-Its troubles begin at once. Records are yours to hand in: "pinelab send" does it.`,
-		Example: "  pinelab serve demo --dir example/run\n  RELAY_CONFIG=example/run/courier-0.json RELAY_STATE=example/run/state bin/pineport",
+Its troubles begin at once. Records are yours to hand in: "pineport-testbed send" does it.`,
+		Example: "  pineport-testbed serve demo --dir example/run\n  RELAY_CONFIG=example/run/courier-0.json RELAY_STATE=example/run/state bin/pineport",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			d, err := day.Find(args[0])
+			d, err := scenario.Find(args[0])
 			if err != nil {
 				return err
 			}
 			if seed == 0 {
 				seed = d.Seed
 			}
-			w := day.Draw(d, seed)
-			o, err := world.Open(w, slog.New(slog.NewTextHandler(os.Stderr, nil)))
+			w := scenario.Draw(d, seed)
+			o, err := environment.Open(w, slog.New(slog.NewTextHandler(os.Stderr, nil)))
 			if err != nil {
 				return err
 			}
@@ -58,8 +58,8 @@
 				fmt.Fprintf(cmd.OutOrStdout(), "courier %d: RELAY_CONFIG=%s\n", i, path)
 			}
 			report.Timeline(cmd.OutOrStdout(), w, 20)
-			books := ledger.New(ledger.ForDay(w))
-			o.Begin(books, func(day.Act) {})
+			books := invariants.New(invariants.ForDay(w))
+			o.Begin(books, func(scenario.Act) {})
 			<-cmd.Context().Done()
 			return nil
 		},
--- a/cmd/pineport/crowd_test.go
+++ b/cmd/pineport/crowd_test.go
@@ -14,8 +14,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"pineport/lab/port"
-	"pineport/lab/scripted"
+	"pineport/testbed/port"
+	"pineport/testbed/scripted"
 )
 
 // descriptors is how many the courier's process holds.
--- a/cmd/pineport/final_answer_test.go
+++ b/cmd/pineport/final_answer_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"pineport/lab/scripted"
+	"pineport/testbed/scripted"
 )
 
 // rawEndpoint is an endpoint that reads calls and treats each as answer says; it ends with the test.
--- a/cmd/pineport/fleet.go
+++ b/cmd/pineport/fleet.go
@@ -6,13 +6,13 @@
 	"sync/atomic"
 	"time"
 
-	"pineport/commons/exchange"
-	"pineport/handover"
-	"pineport/logs"
-	"pineport/peers/gossip"
-	"pineport/peers/identity"
-	"pineport/peers/view"
-	"pineport/routing"
+	"pineport/handoff"
+	"pineport/logging"
+	"pineport/membership"
+	"pineport/membership/gossip"
+	"pineport/membership/incarnation"
+	"pineport/quota/exchange"
+	"pineport/server"
 )
 
 // enterWithin is how long a process that took over tries for the address that the one before it gives up.
@@ -23,8 +23,8 @@
 
 // enter makes this process a member of its fleet, where it is to be one, and returns what ends that. Records do not wait for
 // it, and a fault of it is told and stops nothing else.
-func (p *process) enter(ctx context.Context, router *routing.Router, given *handover.State) (end func()) {
-	dep, log := p.dep, p.log.With(logs.Component, "peers")
+func (p *process) enter(ctx context.Context, router *server.Router, given *handoff.State) (end func()) {
+	dep, log := p.dep, p.log.With(logging.Component, "peers")
 	if !dep.Peers.On() {
 		if dep.Peers.Listen != "" {
 			log.Warn("no membership: the settings let couriers not talk", "key", "settings.ceilings.peers")
@@ -32,13 +32,13 @@
 		return func() {}
 	}
 	member := make(chan *gossip.Member, 1)
-	router.Parted(func() *handover.Peers {
+	router.Parted(func() *handoff.Peers {
 		m := p.member.Swap(nil)
 		if m == nil {
 			return nil
 		}
 		go m.Hand() // at once, as its successor wants the address
-		return &handover.Peers{Start: m.Start(), Members: m.Members()}
+		return &handoff.Peers{Start: m.Start(), Members: m.Members()}
 	})
 	go func() {
 		m, x, err := p.join(ctx, router, given, log)
@@ -71,11 +71,11 @@
 	}
 }
 
-func (p *process) join(ctx context.Context, router *routing.Router, given *handover.State, log *slog.Logger) (*gossip.Member, *exchange.Exchange, error) {
+func (p *process) join(ctx context.Context, router *server.Router, given *handoff.State, log *slog.Logger) (*gossip.Member, *exchange.Exchange, error) {
 	dep := p.dep
 	o := gossip.Options{Name: dep.Name, Couriers: dep.Charter.Couriers, Fleet: dep.Peers.Fleet, Listen: dep.Peers.Listen,
 		Advertise: dep.Peers.Advertise, Join: dep.Peers.Join, Key: dep.Peers.Key, Pace: dep.Peers.Pace, Salt: dep.Charter.Salt, Log: log, Reckon: router.Reckon,
-		Keep: func(start uint64) error { return identity.Keep(dep.Spool, dep.Name, start) }}
+		Keep: func(start uint64) error { return incarnation.Keep(dep.Spool, dep.Name, start) }}
 	if z := int(dep.Charter.Zone); z < len(dep.Zones) {
 		o.Zone = dep.Zones[z]
 	}
@@ -87,8 +87,8 @@
 		o.Start, o.Join = given.Peers.Start, append(given.Peers.Members, o.Join...)
 	} else {
 		var fault error
-		if o.Start, fault, err = identity.Next(dep.Spool, dep.Name); fault != nil {
-			log.Warn("the number of the last start is not known", "file", identity.Name, "fault", fault)
+		if o.Start, fault, err = incarnation.Next(dep.Spool, dep.Name); fault != nil {
+			log.Warn("the number of the last start is not known", "file", incarnation.Name, "fault", fault)
 		}
 		if err != nil {
 			return nil, nil, err // a number that is not kept might be used twice
@@ -117,11 +117,11 @@
 }
 
 // share has this courier lend and borrow parts of limits, at half the pace of membership or faster.
-func share(m *gossip.Member, router *routing.Router, o gossip.Options) *exchange.Exchange {
+func share(m *gossip.Member, router *server.Router, o gossip.Options) *exchange.Exchange {
 	heard := func() (couriers int, alive []string) {
 		p := m.Picture()
 		for _, one := range p.Members {
-			if one.State == view.Alive {
+			if one.State == membership.Alive {
 				alive = append(alive, string(one.Name))
 			}
 		}
@@ -139,7 +139,7 @@
 
 // pictured is what GET /peers says.
 type pictured struct {
-	view.Picture
+	membership.Picture
 	Figures gossip.Figures `json:"figures"`
 }
 
--- a/cmd/pineport/golden_test.go
+++ b/cmd/pineport/golden_test.go
@@ -12,10 +12,10 @@
 	"strings"
 	"testing"
 
-	"pineport/commons/exchange"
 	"pineport/config"
-	"pineport/lab/golden"
-	"pineport/learned"
+	"pineport/quota/exchange"
+	"pineport/snapshot"
+	"pineport/testbed/golden"
 )
 
 // copyRecorded puts a recorded file of another package into a folder.
@@ -39,7 +39,7 @@
 	t.Setenv("RELAY_CONFIG", "")
 	dir := t.TempDir()
 	copyRecorded(t, "../../spool/testdata/segment.golden", dir, "0000000001.seg")
-	copyRecorded(t, "../../learned/testdata/version-2.golden", dir, learned.Name)
+	copyRecorded(t, "../../snapshot/testdata/version-2.golden", dir, snapshot.Name)
 	write := func(name, text string) string {
 		path := filepath.Join(dir, name)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
--- a/cmd/pineport/learned_test.go
+++ b/cmd/pineport/learned_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"pineport/lab/scripted"
-	"pineport/learned"
+	"pineport/snapshot"
+	"pineport/testbed/scripted"
 )
 
 // TestLearnedOverRestart: a courier that is killed while a destination is down knows so when it is back, and finds it out
@@ -38,7 +38,7 @@
 		return calls
 	}
 	before := hand("first")
-	file := filepath.Join(c.dir, "state", learned.Name)
+	file := filepath.Join(c.dir, "state", snapshot.Name)
 	waitFor(t, "the file", 5*time.Second, func() bool { _, err := os.Stat(file); return err == nil })
 	time.Sleep(1200 * time.Millisecond) // what was learned in the last second
 	c.cmd.Process.Signal(syscall.SIGKILL)
@@ -51,7 +51,7 @@
 	if err := c.cmd.Wait(); err != nil {
 		t.Fatal(err)
 	}
-	s, err := learned.Read(filepath.Join(c.dir, "state"), "n0", 0, 1<<20)
+	s, err := snapshot.Read(filepath.Join(c.dir, "state"), "n0", 0, 1<<20)
 	if err != nil || len(s.Lore.Routes) != 1 || !s.Lore.Routes[0].Sick {
 		t.Errorf("after a planned end: %+v, %v", s, err)
 	}
--- a/cmd/pineport/main_test.go
+++ b/cmd/pineport/main_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"pineport/lab/scripted"
+	"pineport/testbed/scripted"
 )
 
 // courier is a real process beside a stand-in for the world around it.
--- a/cmd/pineport/ops_test.go
+++ b/cmd/pineport/ops_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"pineport/lab/port"
-	"pineport/lab/scripted"
-	"pineport/ops"
+	"pineport/admin"
+	"pineport/testbed/port"
+	"pineport/testbed/scripted"
 )
 
 // operated is a courier with an address for operators, that serves.
@@ -65,7 +65,7 @@
 	}
 }
 
-func (c *courier) figures() (f ops.Figures) {
+func (c *courier) figures() (f admin.Figures) {
 	c.t.Helper()
 	status, body := c.call("GET", "/status/metrics")
 	if err := json.Unmarshal(body, &f); status != 200 || err != nil {
@@ -94,7 +94,7 @@
 			}
 		}
 	}
-	want := ops.Figures{Success: map[string]int64{}, Overload: map[string]int64{}, Error: map[string]int64{}}
+	want := admin.Figures{Success: map[string]int64{}, Overload: map[string]int64{}, Error: map[string]int64{}}
 	taken := map[string]bool{}
 	for i, line := range c.ask(all...) {
 		if taken[ids[i]] = line == "+OK"; !taken[ids[i]] {
--- a/cmd/pineport/peers_test.go
+++ b/cmd/pineport/peers_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"pineport/peers/gossip"
-	"pineport/peers/identity"
+	"pineport/membership/gossip"
+	"pineport/membership/incarnation"
 )
 
 // talk has a courier's file allow talk, or not, and name an address for it.
@@ -83,7 +83,7 @@
 	if n, _, err := heard.ReadFrom(make([]byte, 100)); err == nil {
 		t.Errorf("%d bytes were sent to a member", n)
 	}
-	if _, err := os.Stat(filepath.Join(c.dir, "state", identity.Name)); err == nil {
+	if _, err := os.Stat(filepath.Join(c.dir, "state", incarnation.Name)); err == nil {
 		t.Error("a start is numbered")
 	}
 	for _, path := range []string{"/peers", "/commons"} {
--- a/cmd/pineport/commons.go
+++ b/cmd/pineport/quota.go
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/cobra"
 
-	"pineport/commons/exchange"
+	"pineport/quota/exchange"
 )
 
 func commonsCmd() *cobra.Command {
--- a/cmd/pineport/ready_test.go
+++ b/cmd/pineport/ready_test.go
@@ -15,9 +15,9 @@
 	"time"
 
 	"pineport/config"
-	"pineport/lab/scripted"
-	"pineport/routing"
+	"pineport/server"
 	"pineport/spool"
+	"pineport/testbed/scripted"
 )
 
 // fill puts as many messages into the courier's folder as it takes, each with a history of attempts, and returns how many it added.
@@ -29,7 +29,7 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	room := routing.SpoolRoom(dep)
+	room := server.SpoolRoom(dep)
 	kept, _, _, err := spool.Open(dep.Spool, room)
 	if err != nil {
 		c.t.Fatal(err)
--- a/cmd/pineport/reload_test.go
+++ b/cmd/pineport/reload_test.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"pineport/config"
-	"pineport/lab/scripted"
-	"pineport/logs"
+	"pineport/logging"
+	"pineport/testbed/scripted"
 )
 
 // TestSettingsUnderFire: ten reloads in a second while records are held and come in, each with other limits below what is
@@ -143,7 +143,7 @@
 			t.Fatal(err)
 		}
 	}
-	log, err := logs.New(io.Discard, logs.Options{Level: "info", Queue: 16})
+	log, err := logging.New(io.Discard, logging.Options{Level: "info", Queue: 16})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/pineport/run.go
+++ b/cmd/pineport/run.go
@@ -14,14 +14,14 @@
 	"syscall"
 	"time"
 
+	"pineport/admin"
 	"pineport/config"
-	"pineport/handover"
-	"pineport/learned"
-	"pineport/logic"
-	"pineport/logs"
-	"pineport/ops"
-	"pineport/peers/gossip"
-	"pineport/routing"
+	"pineport/dispatch"
+	"pineport/handoff"
+	"pineport/logging"
+	"pineport/membership/gossip"
+	"pineport/server"
+	"pineport/snapshot"
 	"pineport/spool"
 	"pineport/transport"
 )
@@ -40,7 +40,7 @@
 	if err != nil {
 		return err
 	}
-	log, err := logs.New(out, logOptions(dep))
+	log, err := logging.New(out, logOptions(dep))
 	if err != nil {
 		return err
 	}
@@ -52,9 +52,9 @@
 		}
 		l.Close()
 	}
-	var desk *ops.Server
+	var desk *admin.Server
 	if dep.Ops != "" { // answers from the start: with no, until there is a router
-		if desk, err = ops.Open(dep.Ops, routing.OperatorSockets(dep)-2, log.With(logs.Component, "ops")); err != nil {
+		if desk, err = admin.Open(dep.Ops, server.OperatorSockets(dep)-2, log.With(logging.Component, "ops")); err != nil {
 			return fmt.Errorf("ops: %w", err)
 		}
 		defer desk.Close()
@@ -70,7 +70,7 @@
 	}()
 	go p.hear(hangups)
 	for {
-		if err := p.serve(); !errors.Is(err, routing.ErrRegain) {
+		if err := p.serve(); !errors.Is(err, server.ErrRegain) {
 			return err
 		}
 	}
@@ -80,11 +80,11 @@
 type process struct {
 	sources config.Sources
 	dep     *config.Deployment
-	log     *logs.Log
-	desk    *ops.Server // nil: none
+	log     *logging.Log
+	desk    *admin.Server // nil: none
 	stop    chan struct{}
 	reloads chan *config.Deployment
-	router  atomic.Pointer[routing.Router]
+	router  atomic.Pointer[server.Router]
 	member  atomic.Pointer[gossip.Member] // of the fleet; nil: none
 }
 
@@ -118,7 +118,7 @@
 		case <-ctx.Done():
 		}
 	}()
-	folder, given, predecessor, err := handover.Acquire(ctx, dep.Spool, dep.Name, log.With(logs.Component, "handover"))
+	folder, given, predecessor, err := handoff.Acquire(ctx, dep.Spool, dep.Name, log.With(logging.Component, "handover"))
 	if ctx.Err() != nil {
 		return nil // told to end before there was anything to do
 	}
@@ -126,15 +126,15 @@
 		return fmt.Errorf("RELAY_STATE: %w", err)
 	}
 	defer folder.Close()
-	learned.Sweep(dep.Spool) // before the spool fills the room
-	kept, unfinished, faults, err := spool.Open(dep.Spool, routing.SpoolRoom(dep))
+	snapshot.Sweep(dep.Spool) // before the spool fills the room
+	kept, unfinished, faults, err := spool.Open(dep.Spool, server.SpoolRoom(dep))
 	if err != nil {
 		return fmt.Errorf("RELAY_STATE: %w", err)
 	}
 	for _, fault := range faults {
-		log.With(logs.Component, "spool").Warn("spool", "fault", fault)
+		log.With(logging.Component, "spool").Warn("spool", "fault", fault)
 	}
-	router, err := routing.New(dep, kept, unfinished, given, log.With(logs.Component, "routing"))
+	router, err := server.New(dep, kept, unfinished, given, log.With(logging.Component, "routing"))
 	if err != nil {
 		return err
 	}
@@ -146,9 +146,9 @@
 		p.desk.Stand(router)
 	}
 	if dep.Learn > 0 {
-		notes := log.With(logs.Component, "learned")
-		_, limit := learned.Room(int64(dep.SpoolMB * 1e6))
-		router.KeepLearned(learned.Keep(dep.Spool, dep.Name, limit, notes), dep.Learn)
+		notes := log.With(logging.Component, "learned")
+		_, limit := snapshot.Room(int64(dep.SpoolMB * 1e6))
+		router.KeepLearned(snapshot.Keep(dep.Spool, dep.Name, limit, notes), dep.Learn)
 		if given == nil {
 			router.RestoreLearned(p.known(before, limit, notes))
 		}
@@ -175,7 +175,7 @@
 }
 
 // known is what was learned by an earlier process, or by this one before it handed all over: the younger, with all waits.
-func (p *process) known(before *routing.Router, limit int, log *slog.Logger) *logic.Lore {
+func (p *process) known(before *server.Router, limit int, log *slog.Logger) *dispatch.Lore {
 	lore := earlier(p.dep, limit, log)
 	if before == nil {
 		return lore
@@ -184,11 +184,11 @@
 	if lore == nil || lore.At < own.At {
 		return own
 	}
-	return routing.Waiting(lore, own)
+	return server.Waiting(lore, own)
 }
 
-func logOptions(dep *config.Deployment) logs.Options {
-	return logs.Options{Level: dep.Log.Level, Levels: dep.Log.Levels, JSON: dep.Log.JSON, Repeats: dep.Log.Repeats, Queue: dep.Log.Queue}
+func logOptions(dep *config.Deployment) logging.Options {
+	return logging.Options{Level: dep.Log.Level, Levels: dep.Log.Levels, JSON: dep.Log.JSON, Repeats: dep.Log.Repeats, Queue: dep.Log.Queue}
 }
 
 // limits sets what the process itself must keep.
@@ -205,13 +205,13 @@
 }
 
 // earlier is what an earlier process learned; nil, and a line in the log, where it cannot be used.
-func earlier(dep *config.Deployment, limit int, log *slog.Logger) *logic.Lore {
-	s, err := learned.Read(dep.Spool, dep.Name, logic.Micros(time.Now().UnixMicro()), limit)
+func earlier(dep *config.Deployment, limit int, log *slog.Logger) *dispatch.Lore {
+	s, err := snapshot.Read(dep.Spool, dep.Name, dispatch.Micros(time.Now().UnixMicro()), limit)
 	switch {
-	case errors.Is(err, learned.ErrAbsent):
+	case errors.Is(err, snapshot.ErrAbsent):
 		return nil
 	case err != nil:
-		log.Warn("what was learned is not used", "file", learned.Name, "fault", err)
+		log.Warn("what was learned is not used", "file", snapshot.Name, "fault", err)
 		return nil
 	}
 	age := time.Since(time.UnixMicro(int64(s.Lore.At)))
--- a/cmd/pineport/short_window_test.go
+++ b/cmd/pineport/short_window_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"pineport/lab/scripted"
+	"pineport/testbed/scripted"
 )
 
 // rewrite changes the configuration that the courier's next start reads: each pair is a text of it and its replacement.
--- a/cmd/pineport/signals_test.go
+++ b/cmd/pineport/signals_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"pineport/lab/scripted"
+	"pineport/testbed/scripted"
 )
 
 // TestSignalsAtAnyMoment: a hangup, an end and an end once more at any moment of a start, whose spool holds a record. The process ends by
--- a/cmd/pineport/state.go
+++ b/cmd/pineport/state.go
@@ -11,8 +11,8 @@
 
 	"github.com/spf13/cobra"
 
-	"pineport/learned"
-	"pineport/logic"
+	"pineport/dispatch"
+	"pineport/snapshot"
 )
 
 func stateCmd() *cobra.Command {
@@ -54,25 +54,25 @@
 	return cmd
 }
 
-func readState(path string) (s learned.State, size int, err error) {
+func readState(path string) (s snapshot.State, size int, err error) {
 	if info, err := os.Stat(path); err == nil && info.IsDir() {
-		path = filepath.Join(path, learned.Name)
+		path = filepath.Join(path, snapshot.Name)
 	}
 	content, err := os.ReadFile(path)
 	if err != nil {
 		return s, 0, err
 	}
-	if s, err = learned.Decode(content); err != nil {
+	if s, err = snapshot.Decode(content); err != nil {
 		err = fmt.Errorf("%s: %w", path, err)
 	}
 	return s, len(content), err
 }
 
-func age(at logic.Micros) time.Duration {
+func age(at dispatch.Micros) time.Duration {
 	return time.Since(time.UnixMicro(int64(at))).Round(time.Millisecond)
 }
 
-func showState(out io.Writer, s learned.State, size int) error {
+func showState(out io.Writer, s snapshot.State, size int) error {
 	l := s.Lore
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintf(w, "courier %s, kept %s (%s ago), %d bytes\n\n", s.Courier, time.UnixMicro(int64(l.At)).Format(time.RFC3339Nano), age(l.At), size)
@@ -97,7 +97,7 @@
 		}
 		mean := "-"
 		if r.Took.Weight > 0.01 {
-			mean = span(logic.Micros(r.Took.Total / r.Took.Weight))
+			mean = span(dispatch.Micros(r.Took.Total / r.Took.Weight))
 		}
 		limit := "-"
 		if r.Rate > 0 {
@@ -112,6 +112,6 @@
 	return w.Flush()
 }
 
-func span(t logic.Micros) string {
+func span(t dispatch.Micros) string {
 	return (time.Duration(t) * time.Microsecond).Round(time.Millisecond).String()
 }
--- a/cmd/pineport/upgrade_test.go
+++ b/cmd/pineport/upgrade_test.go
@@ -20,15 +20,15 @@
 	"testing"
 	"time"
 
-	"pineport/handover"
-	"pineport/lab/scripted"
+	"pineport/handoff"
+	"pineport/testbed/scripted"
 )
 
 // hangs names the variable that has this test's own program play a new version that takes all over and then says nothing.
 const hangs = "PINEPORT_TEST_HANGS"
 
 func hang() {
-	folder, _, _, _ := handover.Acquire(context.Background(), os.Getenv("RELAY_STATE"), "n0", slog.New(slog.DiscardHandler))
+	folder, _, _, _ := handoff.Acquire(context.Background(), os.Getenv("RELAY_STATE"), "n0", slog.New(slog.DiscardHandler))
 	for {
 		time.Sleep(time.Hour)
 		runtime.KeepAlive(folder)
@@ -412,7 +412,7 @@
 	p := newPlatform(t, w)
 	now := p.begin(p.binary)
 	p.must(now)
-	hello, err := json.Marshal(handover.Message{Hello: &handover.Hello{Version: handover.Version, Courier: "n0"}})
+	hello, err := json.Marshal(handoff.Message{Hello: &handoff.Hello{Version: handoff.Version, Courier: "n0"}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/pineport/watch_test.go
+++ b/cmd/pineport/watch_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"pineport/lab/scripted"
+	"pineport/testbed/scripted"
 )
 
 // TestWatchedSettings: beside a courier that serves as before, settings to come are decided by; where they would have held
--- a/cmd/simhost/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command simhost runs many couriers on the simulator's wire, standard input to standard output.
+// Command simadapter runs many couriers on the simulator's wire, standard input to standard output.
 package main
 
 import (
@@ -7,24 +7,24 @@
 	"io"
 	"os"
 
-	"pineport/logic"
-	"pineport/simwire"
+	"pineport/dispatch"
+	"pineport/simprotocol"
 )
 
 func main() {
 	if err := run(os.Stdin, os.Stdout, os.Stderr); err != nil {
-		fmt.Fprintln(os.Stderr, "simhost:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
 
 // run answers each batch with one reply until input ends.
 func run(in io.Reader, out, log io.Writer) error {
-	reader := simwire.NewReader(in, func(line int, fault error) {
-		fmt.Fprintf(log, "simhost: line %d: %v\n", line, fault)
+	reader := simprotocol.NewReader(in, func(line int, fault error) {
+		fmt.Fprintf(log, "simadapter: line %d: %v\n", line, fault)
 	})
-	writer := simwire.NewWriter(out)
-	couriers := map[int]*logic.Courier{}
+	writer := simprotocol.NewWriter(out)
+	couriers := map[int]*dispatch.Courier{}
 	for {
 		batch, err := reader.Next()
 		if errors.Is(err, io.EOF) {
@@ -34,7 +34,7 @@
 			return err
 		}
 		var order []int
-		events := map[int][]logic.Event{}
+		events := map[int][]dispatch.Event{}
 		seen := map[int]bool{}
 		for _, item := range batch.Items {
 			if !seen[item.Courier] {
@@ -42,13 +42,13 @@
 				order = append(order, item.Courier)
 			}
 			switch what := item.What.(type) {
-			case simwire.Started:
-				couriers[item.Courier] = logic.New(what.Charter)
+			case simprotocol.Started:
+				couriers[item.Courier] = dispatch.New(what.Charter)
 				events[item.Courier] = nil
-			case simwire.Killed:
+			case simprotocol.Killed:
 				delete(couriers, item.Courier)
 				events[item.Courier] = nil
-			case logic.Event:
+			case dispatch.Event:
 				events[item.Courier] = append(events[item.Courier], what)
 			}
 		}
@@ -56,7 +56,7 @@
 			courier := couriers[id]
 			if courier == nil {
 				if len(events[id]) > 0 {
-					fmt.Fprintf(log, "simhost: courier %d has not begun; %d events left out\n", id, len(events[id]))
+					fmt.Fprintf(log, "simadapter: courier %d has not begun; %d events left out\n", id, len(events[id]))
 				}
 				continue
 			}
@@ -74,7 +74,7 @@
 }
 
 // decide turns a panic in the decisions into a report that the wire can carry.
-func decide(c *logic.Courier, now logic.Micros, events []logic.Event) (actions []logic.Action, fault string) {
+func decide(c *dispatch.Courier, now dispatch.Micros, events []dispatch.Event) (actions []dispatch.Action, fault string) {
 	defer func() {
 		if r := recover(); r != nil {
 			fault = fmt.Sprint(r)
--- a/config/charter.go
+++ b/config/charter.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"strings"
 
-	"pineport/logic"
+	"pineport/dispatch"
 )
 
 // pairs are settings by their paths, read key by key; the first fault is kept.
@@ -41,8 +41,8 @@
 	return int(n)
 }
 
-func (p *pairs) span(key string) logic.Micros { return Micros(p.number(key)) }
-func (p *pairs) flag(key string) bool         { return p.values[key] == "true" || p.values[key] == "1" }
+func (p *pairs) span(key string) dispatch.Micros { return Micros(p.number(key)) }
+func (p *pairs) flag(key string) bool            { return p.values[key] == "true" || p.values[key] == "1" }
 
 func (p *pairs) words(key string) []string {
 	if p.values[key] == "" {
@@ -52,7 +52,7 @@
 }
 
 // Micros turns seconds into the decisions' unit.
-func Micros(seconds float64) logic.Micros { return logic.Micros(math.Round(seconds * 1e6)) }
+func Micros(seconds float64) dispatch.Micros { return dispatch.Micros(math.Round(seconds * 1e6)) }
 
 // Sound holds settings that come without a file, by their paths, against the schema: the first key whose value doesn't fit, or
 // can't hold beside another, is told. Keys that nobody knows are passed over.
@@ -71,9 +71,9 @@
 }
 
 // Charter decodes what a courier is handed at its start: values by path, such as classes.0.points.
-func Charter(salt int64, values map[string]string) (logic.Charter, error) {
+func Charter(salt int64, values map[string]string) (dispatch.Charter, error) {
 	p := &pairs{values: values, prefix: "settings."}
-	ch := logic.Charter{
+	ch := dispatch.Charter{
 		Salt:          salt,
 		Couriers:      p.count("fleet-size"),
 		Number:        p.count("ordinal"),
@@ -91,19 +91,19 @@
 		Ramp:          p.span("rules.ramp-time-s"),
 		FallMultiple:  p.number("rules.fall-multiple"),
 		KeyRest:       p.span("rules.key-rest-s"),
-		Zone:          logic.ZoneID(p.count("locality")),
+		Zone:          dispatch.ZoneID(p.count("locality")),
 		CrossFee:      p.number("prices.cross-zone"),
 		LeftAt:        -1,
 		RateAt:        -1,
 	}
 	if p.values["family-info.decay"] == "halves" {
-		ch.Decay = logic.Halves
+		ch.Decay = dispatch.Halves
 	}
 	switch p.values["weight-kind"] {
 	case "rough":
-		ch.Rates = logic.RoughRates
+		ch.Rates = dispatch.RoughRates
 	case "nominal":
-		ch.Rates = logic.NominalRates
+		ch.Rates = dispatch.NominalRates
 	}
 	for i, name := range p.words("telemetry.fields") {
 		switch name {
@@ -115,7 +115,7 @@
 	}
 	for i := range p.count("classes.count") {
 		at := fmt.Sprintf("classes.%d.", i)
-		w := logic.Workload{
+		w := dispatch.Workload{
 			Quoted:   p.span(at + "slo-s"),
 			Life:     p.span(at + "deadline-s"),
 			Payoff:   p.number(at + "points"),
@@ -123,20 +123,20 @@
 			OneZone:  p.values[at+"group"] != "all",
 			Window:   p.span(at + "dedup-window-s"),
 			InOrder:  p.flag(at + "in-order"),
-			Repeat:   logic.SingleUse,
+			Repeat:   dispatch.SingleUse,
 		}
 		switch p.values[at+"idempotency"] {
 		case "free":
-			w.Repeat = logic.Replayable
+			w.Repeat = dispatch.Replayable
 		case "guarded":
-			w.Repeat = logic.Referenced
+			w.Repeat = dispatch.Referenced
 		}
 		ch.Workloads = append(ch.Workloads, w)
 	}
 	apart := p.words("family-info.separate-routes")
 	perCall := p.words("family-info.per-call")
 	for i := range p.words("shapes") {
-		shape := logic.Shape{PerCall: 1}
+		shape := dispatch.Shape{PerCall: 1}
 		if i < len(apart) {
 			shape.Apart = apart[i] == "true"
 		}
@@ -148,7 +148,7 @@
 		ch.Shapes = append(ch.Shapes, shape)
 	}
 	for i := range p.count("tenants.count") {
-		ch.Parties = append(ch.Parties, logic.Party{PerSec: p.number(fmt.Sprintf("tenants.%d.quota-per-s", i))})
+		ch.Parties = append(ch.Parties, dispatch.Party{PerSec: p.number(fmt.Sprintf("tenants.%d.quota-per-s", i))})
 	}
 	for _, word := range p.words("family-info.route-fee") {
 		fee, _ := strconv.ParseFloat(word, 64)
--- a/config/config.go
+++ b/config/config.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"pineport/logic"
+	"pineport/dispatch"
 )
 
 // Deployment is what one real courier is told.
@@ -33,7 +33,7 @@
 	Watch     *Deployment // whose settings are watched; nil for none
 	WatchTell time.Duration
 
-	Charter        logic.Charter
+	Charter        dispatch.Charter
 	Workloads      []string        // names, by the charter's numbers
 	Retired        map[string]bool // workloads that a reload removed: they take no more records
 	Zones          []string
@@ -211,7 +211,7 @@
 	m.Zones, from = numbers(d.Zones, next.Zones)
 	ch.RouteFee = pick(from, next.Charter.RouteFee, old.RouteFee)
 	if z := int(next.Charter.Zone); z < len(next.Zones) {
-		ch.Zone = logic.ZoneID(slices.Index(m.Zones, next.Zones[z]))
+		ch.Zone = dispatch.ZoneID(slices.Index(m.Zones, next.Zones[z]))
 	}
 	ch.Salt, ch.MustAsk = old.Salt, old.MustAsk
 	m.Charter = ch
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -8,8 +8,8 @@
 	"strings"
 	"testing"
 
-	"pineport/lab/scripted"
-	"pineport/logic"
+	"pineport/dispatch"
+	"pineport/testbed/scripted"
 )
 
 // load writes a configuration changed by edit and has it read.
@@ -50,8 +50,8 @@
 	}
 	c := d.Charter
 	if d.Name != "n4" || d.Listen != "127.0.0.1:6379" || d.Sockets != 1024 || len(d.Workloads) != 2 || d.Workloads[1] != "order" ||
-		c.Workloads[1].Repeat != logic.SingleUse || c.Workloads[1].Payoff != 2 || c.Slots != 20 || c.LeftAt != 1 || c.RateAt != 0 ||
-		c.Rates != logic.NominalRates || len(c.Shapes) != 1 || c.Shapes[0].PerCall != 1 || !c.MustAsk || c.Salt == 0 {
+		c.Workloads[1].Repeat != dispatch.SingleUse || c.Workloads[1].Payoff != 2 || c.Slots != 20 || c.LeftAt != 1 || c.RateAt != 0 ||
+		c.Rates != dispatch.NominalRates || len(c.Shapes) != 1 || c.Shapes[0].PerCall != 1 || !c.MustAsk || c.Salt == 0 {
 		t.Errorf("%+v", d)
 	}
 }
--- a/logic/logic.go
+++ b/dispatch/logic.go
@@ -1,7 +1,7 @@
-// Package logic decides what a courier does with the records it has taken.
+// Package dispatch decides what a courier does with the records it has taken.
 // New reads the Charter once; Handle takes the instant and what happened since the last call, and returns
 // what is to be done, in order. No clock, nothing shared. Interface: types.go; why: docs/design.md.
-package logic
+package dispatch
 
 import (
 	"cmp"
--- a/logic/scenario_test.go
+++ b/dispatch/scenario_test.go
@@ -1,4 +1,4 @@
-package logic
+package dispatch
 
 import (
 	"crypto/sha256"
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"pineport/lab/golden"
+	"pineport/testbed/golden"
 )
 
 // TestScenarios plays testdata/*.txt; parts are set apart by lines or semicolons, # begins a comment. First what
--- a/logic/share.go
+++ b/dispatch/share.go
@@ -1,4 +1,4 @@
-package logic
+package dispatch
 
 // What couriers of a fleet share of limits, handed out and taken in: bookkeeping only. What it does to gaps is in logic.go.
 
--- a/logic/state.go
+++ b/dispatch/state.go
@@ -1,4 +1,4 @@
-package logic
+package dispatch
 
 import (
 	"cmp"
--- a/logic/types.go
+++ b/dispatch/types.go
@@ -1,4 +1,4 @@
-package logic
+package dispatch
 
 // Micros is an instant of the courier's clock, or a span, in whole microseconds.
 type Micros int64
--- a/handover/own_test.go
+++ b/handoff/folder_test.go
@@ -1,4 +1,4 @@
-package handover
+package handoff
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"pineport/logic"
+	"pineport/dispatch"
 )
 
 var quiet = slog.New(slog.DiscardHandler)
@@ -62,7 +62,7 @@
 	if s != nil || l != nil {
 		t.Fatal("handed over by nobody")
 	}
-	state := &State{Seq: 7, Gone: []string{"s-1"}, Out: []Out{{"r", 1, 5}}, Lore: logic.Lore{At: 3, Routes: make([]logic.RouteLore, 5000)}}
+	state := &State{Seq: 7, Gone: []string{"s-1"}, Out: []Out{{"r", 1, 5}}, Lore: dispatch.Lore{At: 3, Routes: make([]dispatch.RouteLore, 5000)}}
 	links := serve(t, old, state)
 	_, s, l = acquire(t, dir)
 	if s == nil || s.Seq != 7 || len(s.Lore.Routes) != 5000 || s.Out[0] != state.Out[0] || s.Gone[0] != "s-1" {
@@ -70,12 +70,12 @@
 	}
 	predecessor := <-links
 	for i := range 100 {
-		predecessor.Send(Message{Settled: &logic.Settled{Record: logic.RecordID(fmt.Sprint(i)), Outcome: logic.Full, Wait: 9}})
+		predecessor.Send(Message{Settled: &dispatch.Settled{Record: dispatch.RecordID(fmt.Sprint(i)), Outcome: dispatch.Full, Wait: 9}})
 	}
 	heard := make(chan *Message, 200)
 	go l.Listen(func(m *Message) { heard <- m })
 	for i := range 100 {
-		if m := <-heard; m == nil || m.Settled.Record != logic.RecordID(fmt.Sprint(i)) || m.Settled.Wait != 9 {
+		if m := <-heard; m == nil || m.Settled.Record != dispatch.RecordID(fmt.Sprint(i)) || m.Settled.Wait != 9 {
 			t.Fatalf("%d: %+v", i, m)
 		}
 	}
--- a/handover/golden_test.go
+++ b/handoff/golden_test.go
@@ -1,4 +1,4 @@
-package handover
+package handoff
 
 import (
 	"bytes"
@@ -6,7 +6,7 @@
 	"reflect"
 	"testing"
 
-	"pineport/lab/golden"
+	"pineport/testbed/golden"
 )
 
 // TestMessagesAreAsRecorded: each message between the two processes of an upgrade, with every field set, is written byte by byte as
--- a/handover/machine.go
+++ b/handoff/machine.go
@@ -1,4 +1,4 @@
-package handover
+package handoff
 
 // Giver is the old process's side, without any I/O: it says what is to be done about what happened. It decides, and the
 // folder is its own, as long as it Keeps.
--- a/handover/machine_test.go
+++ b/handoff/machine_test.go
@@ -1,4 +1,4 @@
-package handover
+package handoff
 
 import (
 	"fmt"
--- a/handover/message.go
+++ b/handoff/message.go
@@ -1,7 +1,7 @@
-// Package handover lets the two processes of an upgrade talk: the old one, which owns the folder that lasts and decides,
+// Package handoff lets the two processes of an upgrade talk: the old one, which owns the folder that lasts and decides,
 // hands both to the new one, and tells it afterwards how the calls ended that it still had out. A lock on the folder says
 // who owns it, whatever is said.
-package handover
+package handoff
 
 import (
 	"bufio"
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"pineport/logic"
+	"pineport/dispatch"
 	"pineport/protocol"
 )
 
@@ -22,15 +22,15 @@
 
 // Message is one thing said; one of its fields is set.
 type Message struct {
-	Hello   *Hello         `json:"hello,omitempty"`   // new: ready to take over
-	Refused string         `json:"refused,omitempty"` // old: goes on by itself, and why
-	State   *State         `json:"state,omitempty"`   // old: decides no more
-	Serving bool           `json:"serving,omitempty"` // new: takes clients
-	Settled *logic.Settled `json:"settled,omitempty"` // old: a trip that it had out ended
-	Cancel  *Out           `json:"cancel,omitempty"`  // new: it is waited for no more
-	Wait    *Wait          `json:"wait,omitempty"`    // new: was told to wait, in case the old one must go on
-	Ask     *Ask           `json:"ask,omitempty"`     // old: operators want something
-	Answer  *Answer        `json:"answer,omitempty"`  // new: what became of it
+	Hello   *Hello            `json:"hello,omitempty"`   // new: ready to take over
+	Refused string            `json:"refused,omitempty"` // old: goes on by itself, and why
+	State   *State            `json:"state,omitempty"`   // old: decides no more
+	Serving bool              `json:"serving,omitempty"` // new: takes clients
+	Settled *dispatch.Settled `json:"settled,omitempty"` // old: a trip that it had out ended
+	Cancel  *Out              `json:"cancel,omitempty"`  // new: it is waited for no more
+	Wait    *Wait             `json:"wait,omitempty"`    // new: was told to wait, in case the old one must go on
+	Ask     *Ask              `json:"ask,omitempty"`     // old: operators want something
+	Answer  *Answer           `json:"answer,omitempty"`  // new: what became of it
 }
 
 // Hello says who is there.
@@ -41,14 +41,14 @@
 
 // State is all that the folder that lasts does not hold.
 type State struct {
-	Lore  logic.Lore              `json:"lore"`
-	Seq   int64                   `json:"seq"` // of the list
-	Hosts []protocol.Host         `json:"hosts"`
-	Out   []Out                   `json:"out"`   // trips whose outcome is still to be told
-	Waits map[string]logic.Micros `json:"waits"` // by route, until when
-	Gone  []string                `json:"gone"`  // endpoints out for maintenance
-	Away  bool                    `json:"away"`  // clients are sent away
-	Peers *Peers                  `json:"peers,omitempty"`
+	Lore  dispatch.Lore              `json:"lore"`
+	Seq   int64                      `json:"seq"` // of the list
+	Hosts []protocol.Host            `json:"hosts"`
+	Out   []Out                      `json:"out"`   // trips whose outcome is still to be told
+	Waits map[string]dispatch.Micros `json:"waits"` // by route, until when
+	Gone  []string                   `json:"gone"`  // endpoints out for maintenance
+	Away  bool                       `json:"away"`  // clients are sent away
+	Peers *Peers                     `json:"peers,omitempty"`
 }
 
 // Peers is what the fleet knows this courier by, and where its members are: both processes are one member.
@@ -59,16 +59,16 @@
 
 // Out is one trip.
 type Out struct {
-	Record string       `json:"record"`
-	Trip   int          `json:"trip"`
-	Limit  logic.Micros `json:"limit,omitempty"`
+	Record string          `json:"record"`
+	Trip   int             `json:"trip"`
+	Limit  dispatch.Micros `json:"limit,omitempty"`
 }
 
 // Wait is what a route told; Endpoint is empty where the route is the destination.
 type Wait struct {
-	Dest     logic.DestID     `json:"dest"`
-	Endpoint logic.EndpointID `json:"endpoint,omitempty"`
-	Until    logic.Micros     `json:"until"`
+	Dest     dispatch.DestID     `json:"dest"`
+	Endpoint dispatch.EndpointID `json:"endpoint,omitempty"`
+	Until    dispatch.Micros     `json:"until"`
 }
 
 // Ask is a call of an operator: an endpoint out or back, or clients away or back.
--- a/logs/logs.go
+++ b/logging/logging.go
@@ -1,7 +1,7 @@
-// Package logs is the courier's log on log/slog: text or JSON, levels for single components that change while it runs,
+// Package logging is the courier's log on log/slog: text or JSON, levels for single components that change while it runs,
 // repeats counted and told once, and a bounded queue before the writer, so that a reader that does not read, or a disk that is
 // full, stops nobody.
-package logs
+package logging
 
 import (
 	"context"
--- a/logs/logs_test.go
+++ b/logging/logging_test.go
@@ -1,4 +1,4 @@
-package logs
+package logging
 
 import (
 	"bytes"
--- a/maintenance/golden_test.go
+++ b/maintenance/golden_test.go
@@ -6,7 +6,7 @@
 	"slices"
 	"testing"
 
-	"pineport/lab/golden"
+	"pineport/testbed/golden"
 )
 
 // TestFileIsAsRecorded: the file is written byte by byte as recorded, and reads as what was written.
--- a/maintenance/maintenance.go
+++ b/maintenance/maintenance.go
@@ -10,7 +10,7 @@
 	"slices"
 	"sync"
 
-	"pineport/sealed"
+	"pineport/atomicfile"
 )
 
 // Name of the file, in the folder that lasts.
@@ -41,22 +41,22 @@
 
 func encode(courier string, out []string) ([]byte, error) {
 	text, err := json.Marshal(body{courier, out})
-	if err == nil && len(text)+sealed.HeadSize > Limit {
+	if err == nil && len(text)+atomicfile.HeadSize > Limit {
 		err = ErrTooMany
 	}
-	return sealed.Seal(magic, version, text), err
+	return atomicfile.Seal(magic, version, text), err
 }
 
 // Read tells which endpoints are out, by the file in a folder; none where there is no file.
 func Read(dir, courier string) ([]string, error) {
-	content, err := sealed.Read(dir, Name, Limit)
-	if errors.Is(err, sealed.ErrAbsent) {
+	content, err := atomicfile.Read(dir, Name, Limit)
+	if errors.Is(err, atomicfile.ErrAbsent) {
 		return nil, nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	v, text, err := sealed.Open(magic, content)
+	v, text, err := atomicfile.Open(magic, content)
 	switch {
 	case err != nil:
 		return nil, err
@@ -65,7 +65,7 @@
 	}
 	var b body
 	if err := json.Unmarshal(text, &b); err != nil {
-		return nil, fmt.Errorf("%w: %v", sealed.ErrTorn, err)
+		return nil, fmt.Errorf("%w: %v", atomicfile.ErrTorn, err)
 	}
 	if b.Courier != courier {
 		return nil, fmt.Errorf("%w: %q", ErrStranger, b.Courier)
@@ -83,7 +83,7 @@
 
 // Keep makes a keeper for a folder, and removes what a write left behind that was cut off.
 func Keep(dir, courier string) *Keeper {
-	sealed.Sweep(dir, Name)
+	atomicfile.Sweep(dir, Name)
 	return &Keeper{dir: dir, courier: courier}
 }
 
@@ -105,7 +105,7 @@
 	if turn <= k.written || k.shut {
 		return nil
 	}
-	if err := sealed.Write(k.dir, Name, content); err != nil {
+	if err := atomicfile.Write(k.dir, Name, content); err != nil {
 		return err
 	}
 	k.written = turn
--- a/maintenance/maintenance_test.go
+++ b/maintenance/maintenance_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"pineport/sealed"
+	"pineport/atomicfile"
 )
 
 // Failure: endpoints that people had taken out were called again after a restart, or a damaged file ended the start.
@@ -38,13 +38,13 @@
 		courier string
 		fault   error
 	}{
-		"torn":         {sound[:len(sound)-1], "n0", sealed.ErrTorn},
-		"damaged":      {append(slices.Clone(sound[:len(sound)-1]), 'x'), "n0", sealed.ErrTorn},
-		"empty":        {nil, "n0", sealed.ErrTorn},
-		"newer":        {sealed.Seal(magic, version+1, []byte("{}")), "n0", ErrVersion},
-		"other things": {sealed.Seal(magic, version, []byte("[]")), "n0", sealed.ErrTorn},
+		"torn":         {sound[:len(sound)-1], "n0", atomicfile.ErrTorn},
+		"damaged":      {append(slices.Clone(sound[:len(sound)-1]), 'x'), "n0", atomicfile.ErrTorn},
+		"empty":        {nil, "n0", atomicfile.ErrTorn},
+		"newer":        {atomicfile.Seal(magic, version+1, []byte("{}")), "n0", ErrVersion},
+		"other things": {atomicfile.Seal(magic, version, []byte("[]")), "n0", atomicfile.ErrTorn},
 		"stranger":     {sound, "n1", ErrStranger},
-		"too large":    {make([]byte, Limit+1), "n0", sealed.ErrTooLarge},
+		"too large":    {make([]byte, Limit+1), "n0", atomicfile.ErrTooLarge},
 	} {
 		if err := os.WriteFile(filepath.Join(dir, Name), c.content, 0o600); err != nil {
 			t.Fatal(err)
--- a/peers/gossip/golden_test.go
+++ b/membership/gossip/golden_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"pineport/lab/golden"
+	"pineport/testbed/golden"
 )
 
 // TestPacketsAreAsRecorded: what members send one another beside the detector's own messages, with every field set, byte by byte.
--- a/peers/gossip/gossip.go
+++ b/membership/gossip/gossip.go
@@ -1,4 +1,4 @@
-// Package gossip carries what a fleet's couriers say of one another: hashicorp/memberlist detects, peers/view decides, and
+// Package gossip carries what a fleet's couriers say of one another: hashicorp/memberlist detects, membership decides, and
 // this joins the two with a clock, a network and a log. Nothing here is on a record's way, and nothing waits for it.
 package gossip
 
@@ -17,8 +17,8 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/hashicorp/memberlist"
 
-	"pineport/logic"
-	"pineport/peers/view"
+	"pineport/dispatch"
+	"pineport/membership"
 )
 
 // Options are what a member is told.
@@ -103,15 +103,15 @@
 	log     *slog.Logger
 	list    *memberlist.Memberlist
 	sockets *sockets // nil: another transport
-	view    *view.View
-	events  chan view.Event
+	view    *membership.View
+	events  chan membership.Event
 	begun   time.Time
 	start   atomic.Uint64
 	leaving atomic.Bool
 	aside   atomic.Bool
 	lost    atomic.Int64
-	picture atomic.Pointer[view.Picture]
-	starts  atomic.Pointer[map[view.Name]view.Start]
+	picture atomic.Pointer[membership.Picture]
+	starts  atomic.Pointer[map[membership.Name]membership.Start]
 	changes map[string]int64 // by the state that was reached; the loop's
 	counted atomic.Pointer[map[string]int64]
 	stop    context.CancelFunc
@@ -134,9 +134,9 @@
 	if err != nil || len(key) != 0 && len(key) != 16 && len(key) != 24 && len(key) != 32 {
 		return nil, fmt.Errorf("peers.key: 16, 24 or 32 bytes in hex were expected")
 	}
-	m := &Member{o: o, log: o.Log, events: make(chan view.Event, queueSize), begun: time.Now(), changes: map[string]int64{}}
+	m := &Member{o: o, log: o.Log, events: make(chan membership.Event, queueSize), begun: time.Now(), changes: map[string]int64{}}
 	m.start.Store(o.Start)
-	m.view = view.New(view.Terms{Self: view.Name(o.Name), Start: view.Start(o.Start), Fleet: o.Couriers, Tick: logic.Micros((o.Pace / ticks).Microseconds()), Salt: o.Salt})
+	m.view = membership.New(membership.Terms{Self: membership.Name(o.Name), Start: membership.Start(o.Start), Fleet: o.Couriers, Tick: dispatch.Micros((o.Pace / ticks).Microseconds()), Salt: o.Salt})
 	m.publish()
 	c := m.settings(key)
 	if o.Transport == nil {
@@ -175,7 +175,7 @@
 	defer m.done.Done()
 	wait := m.o.Pace
 	for {
-		if p := m.Picture(); p.Standing != view.Whole.String() && len(m.o.Join) > 0 && !m.aside.Load() {
+		if p := m.Picture(); p.Standing != membership.Whole.String() && len(m.o.Join) > 0 && !m.aside.Load() {
 			if n, err := m.list.Join(m.o.Join); n == 0 {
 				m.log.Debug("nobody reached", "fault", err)
 				wait = min(2*wait, 16*m.o.Pace)
@@ -198,7 +198,7 @@
 	defer tick.Stop()
 	var lost int64
 	for passed, since := 0, 0; ; {
-		var events []view.Event
+		var events []membership.Event
 		select {
 		case <-ctx.Done():
 			return
@@ -206,7 +206,7 @@
 			events = append(events, e)
 		case <-tick.C:
 			// Behind what the detector has told already, or what came in while this process stood still would count as old.
-			events = append(events, view.Passed{})
+			events = append(events, membership.Passed{})
 			passed++
 			if since++; since >= againTicks || m.lost.Load() != lost {
 				since, lost = 0, m.lost.Load()
@@ -216,7 +216,7 @@
 		for range len(m.events) {
 			events = append(events, <-m.events)
 		}
-		actions := m.view.Handle(logic.Micros(time.Since(m.begun).Microseconds())+1, events...)
+		actions := m.view.Handle(dispatch.Micros(time.Since(m.begun).Microseconds())+1, events...)
 		m.carryOut(actions)
 		if len(actions) > 0 || passed >= ticks { // who answered last may be shown a pace late
 			passed = 0
@@ -227,40 +227,40 @@
 
 // again says anew where the detector's list and the view differ. Failure: the detector tells a change once, and one that found the
 // queue full was never heard of; in a storm of joins a member stayed failed for good.
-func (m *Member) again() (events []view.Event) {
-	states := map[view.Name]view.State{}
+func (m *Member) again() (events []membership.Event) {
+	states := map[membership.Name]membership.State{}
 	for _, o := range m.Picture().Members {
 		states[o.Name] = o.State
 	}
 	for _, n := range m.list.Members() {
-		name := view.Name(n.Name)
+		name := membership.Name(n.Name)
 		state, known := states[name]
 		delete(states, name)
-		if e, ok := m.word(n, view.Alive); ok && (!known || state == view.Failed || state == view.Left) {
+		if e, ok := m.word(n, membership.Alive); ok && (!known || state == membership.Failed || state == membership.Left) {
 			events = append(events, e)
 		}
 	}
 	asked := 0
 	for _, o := range m.Picture().Members {
-		if o.State == view.Suspected && asked < askMost { // that a suspicion is over is told to nobody: ask
+		if o.State == membership.Suspected && asked < askMost { // that a suspicion is over is told to nobody: ask
 			asked++
 			go m.ask(o)
 		}
-		if _, missing := states[o.Name]; missing && o.State != view.Failed && o.State != view.Left {
-			events = append(events, view.Heard{Name: o.Name, Start: o.Start, State: view.Failed, Zone: o.Zone, At: o.At})
+		if _, missing := states[o.Name]; missing && o.State != membership.Failed && o.State != membership.Left {
+			events = append(events, membership.Heard{Name: o.Name, Start: o.Start, State: membership.Failed, Zone: o.Zone, At: o.At})
 		}
 	}
 	return events
 }
 
 // ask has a member prove that it is there.
-func (m *Member) ask(o view.Member) {
+func (m *Member) ask(o membership.Member) {
 	at, err := net.ResolveUDPAddr("udp", o.At)
 	if err != nil {
 		return
 	}
 	if _, err := m.list.Ping(string(o.Name), at); err == nil {
-		m.tell(view.Answered{Name: o.Name})
+		m.tell(membership.Answered{Name: o.Name})
 	}
 }
 
@@ -274,22 +274,22 @@
 	m.counted.Store(&counts)
 }
 
-func (m *Member) carryOut(actions []view.Action) {
+func (m *Member) carryOut(actions []membership.Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
-		case view.Changed:
+		case membership.Changed:
 			m.changes[a.To.String()]++
 			m.log.Info("member", "name", a.Name, "was", a.From.String(), "is", a.To.String(), "start", uint64(a.Start), "taken_back", a.Revoked)
-		case view.Stands:
+		case membership.Stands:
 			m.log.Info("standing", "was", a.From.String(), "is", a.To.String())
-		case view.Reckon:
+		case membership.Reckon:
 			m.log.Info("fleet", "couriers", a.Couriers)
 			if m.o.Reckon != nil {
 				m.o.Reckon(a.Couriers)
 			}
-		case view.Renumber:
+		case membership.Renumber:
 			m.renumber(uint64(a.Start))
-		case view.StandBack:
+		case membership.StandBack:
 			m.log.Error("a younger courier of this name is in the fleet: this one stands back, and delivers on by itself", "its_start", uint64(a.Start), "at", a.At)
 			m.aside.Store(true)
 			go m.withdraw()
@@ -313,7 +313,7 @@
 func (m *Member) withdraw() { m.list.Shutdown() }
 
 // tell puts an event before the view; the detector must not wait.
-func (m *Member) tell(e view.Event) {
+func (m *Member) tell(e membership.Event) {
 	select {
 	case m.events <- e:
 	default:
@@ -322,7 +322,7 @@
 }
 
 // Picture is the view as it last stood.
-func (m *Member) Picture() view.Picture { return *m.picture.Load() }
+func (m *Member) Picture() membership.Picture { return *m.picture.Load() }
 
 // Figures count what happened, and what it took.
 type Figures struct {
@@ -357,15 +357,15 @@
 }
 
 // Sized tells that the settings name another number of couriers.
-func (m *Member) Sized(couriers int) { m.tell(view.Sized{Fleet: couriers}) }
+func (m *Member) Sized(couriers int) { m.tell(membership.Sized{Fleet: couriers}) }
 
 // Gone tells that a member will not come back, as an operator says.
-func (m *Member) Gone(name string) { m.tell(view.Gone{Name: view.Name(name)}) }
+func (m *Member) Gone(name string) { m.tell(membership.Gone{Name: membership.Name(name)}) }
 
 // Members are the addresses of those heard, for a process that takes over.
 func (m *Member) Members() (at []string) {
 	for _, o := range m.Picture().Members {
-		if o.State != view.Left && o.At != "" {
+		if o.State != membership.Left && o.At != "" {
 			at = append(at, o.At)
 		}
 	}
@@ -418,7 +418,7 @@
 	}
 	var n namesake
 	if decoder.Unmarshal(text, &n) == nil && n.Version == Version && n.Name == d.m.o.Name && len(n.At) <= nameMost {
-		d.m.tell(view.Namesake{Start: view.Start(n.Start), At: n.At})
+		d.m.tell(membership.Namesake{Start: membership.Start(n.Start), At: n.At})
 	}
 }
 
@@ -442,33 +442,33 @@
 		return
 	}
 	if start, ok := s.Starts[d.m.o.Name]; ok {
-		d.m.tell(view.Claimed{Start: view.Start(start)})
+		d.m.tell(membership.Claimed{Start: membership.Start(start)})
 	}
-	d.m.tell(view.Answered{Name: view.Name(s.From)})
+	d.m.tell(membership.Answered{Name: membership.Name(s.From)})
 }
 
 // heard makes a word of the view's out of one of the detector's.
-func (d delegate) heard(n *memberlist.Node, state view.State) {
+func (d delegate) heard(n *memberlist.Node, state membership.State) {
 	if e, ok := d.m.word(n, state); ok {
 		d.m.tell(e)
 	}
 }
 
 // word is what a member of the detector's list is to the view, unless it makes no sense or is this courier.
-func (m *Member) word(n *memberlist.Node, state view.State) (view.Heard, bool) {
+func (m *Member) word(n *memberlist.Node, state membership.State) (membership.Heard, bool) {
 	var t tag
 	if n.Name == m.o.Name || decoder.Unmarshal(n.Meta, &t) != nil || len(n.Name) > nameMost || len(t.Zone) > nameMost {
-		return view.Heard{}, false
+		return membership.Heard{}, false
 	}
 	if t.Leaving {
-		state = view.Left
+		state = membership.Left
 	}
-	return view.Heard{Name: view.Name(n.Name), Start: view.Start(t.Start), State: state, Zone: t.Zone, At: n.Address()}, true
+	return membership.Heard{Name: membership.Name(n.Name), Start: membership.Start(t.Start), State: state, Zone: t.Zone, At: n.Address()}, true
 }
 
-func (d delegate) NotifyJoin(n *memberlist.Node)   { d.heard(n, view.Alive) }
-func (d delegate) NotifyUpdate(n *memberlist.Node) { d.heard(n, view.Alive) }
-func (d delegate) NotifyLeave(n *memberlist.Node)  { d.heard(n, view.Failed) }
+func (d delegate) NotifyJoin(n *memberlist.Node)   { d.heard(n, membership.Alive) }
+func (d delegate) NotifyUpdate(n *memberlist.Node) { d.heard(n, membership.Alive) }
+func (d delegate) NotifyLeave(n *memberlist.Node)  { d.heard(n, membership.Failed) }
 
 func (d delegate) NotifyConflict(existing, other *memberlist.Node) {
 	var here, there tag
@@ -476,7 +476,7 @@
 		return
 	}
 	if other.Name == d.m.o.Name {
-		d.m.tell(view.Namesake{Start: view.Start(there.Start), At: other.Address()})
+		d.m.tell(membership.Namesake{Start: membership.Start(there.Start), At: other.Address()})
 		return
 	}
 	older, younger, start := *existing, *other, there.Start
@@ -491,7 +491,7 @@
 
 func (d delegate) AckPayload() []byte { return nil }
 func (d delegate) NotifyPingComplete(other *memberlist.Node, _ time.Duration, _ []byte) {
-	d.m.tell(view.Answered{Name: view.Name(other.Name)})
+	d.m.tell(membership.Answered{Name: membership.Name(other.Name)})
 }
 
 // words is the detector's log. Whom it suspects stands nowhere else; should the line change, nobody is shown as suspected
@@ -502,7 +502,7 @@
 	text := string(line)
 	if _, rest, ok := strings.Cut(text, "memberlist: Suspect "); ok {
 		if name, _, ok := strings.Cut(rest, " has failed"); ok {
-			w.m.suspect(view.Name(name))
+			w.m.suspect(membership.Name(name))
 		}
 	}
 	level := slog.LevelDebug
@@ -513,10 +513,10 @@
 	return len(line), nil
 }
 
-func (m *Member) suspect(name view.Name) {
+func (m *Member) suspect(name membership.Name) {
 	for _, o := range m.Picture().Members {
-		if o.Name == name && (o.State == view.Alive || o.State == view.Unknown) {
-			m.tell(view.Heard{Name: name, Start: o.Start, State: view.Suspected, Zone: o.Zone, At: o.At})
+		if o.Name == name && (o.State == membership.Alive || o.State == membership.Unknown) {
+			m.tell(membership.Heard{Name: name, Start: o.Start, State: membership.Suspected, Zone: o.Zone, At: o.At})
 		}
 	}
 }
--- a/peers/gossip/gossip_test.go
+++ b/membership/gossip/gossip_test.go
@@ -11,14 +11,14 @@
 	"testing/synctest"
 	"time"
 
-	"pineport/lab/links"
-	"pineport/peers/view"
+	"pineport/membership"
+	"pineport/testbed/netfault"
 )
 
 // fleet is members in virtual time.
 type fleet struct {
 	t       *testing.T
-	mesh    *links.Mesh
+	mesh    *netfault.Mesh
 	members []*Member
 	starts  []uint64
 }
@@ -34,7 +34,7 @@
 }
 
 func begin(t *testing.T, n int, seed int64) *fleet {
-	f := &fleet{t: t, mesh: links.NewMesh(n+1, seed), members: make([]*Member, n), starts: make([]uint64, n)}
+	f := &fleet{t: t, mesh: netfault.NewMesh(n+1, seed), members: make([]*Member, n), starts: make([]uint64, n)}
 	for i := range n {
 		f.begin(i)
 	}
@@ -72,7 +72,7 @@
 			told++
 			f.t.Errorf("n%d, start %d: %s, %d to %d couriers, %d words lost", i, m.Start(), p.Standing, p.Least, p.Most, m.Figures().Lost)
 			for _, o := range p.Members {
-				if o.State != view.Alive {
+				if o.State != membership.Alive {
 					f.t.Errorf("  %s is %v, start %d", o.Name, o.State, o.Start)
 				}
 			}
@@ -82,15 +82,15 @@
 	return 0
 }
 
-func whole(_ int, m *Member) bool { return m.Picture().Standing == view.Whole.String() }
+func whole(_ int, m *Member) bool { return m.Picture().Standing == membership.Whole.String() }
 
-func stateOf(m *Member, name string) view.State {
+func stateOf(m *Member, name string) membership.State {
 	for _, o := range m.Picture().Members {
 		if string(o.Name) == name {
 			return o.State
 		}
 	}
-	return view.Unknown
+	return membership.Unknown
 }
 
 // TestFaultsFromSeeds: whatever strikes the network, once it is over all know of all again, nobody counted fewer meanwhile,
@@ -105,7 +105,7 @@
 			f := begin(t, n, int64(seed))
 			defer f.end()
 			f.settle(2*time.Minute, whole)
-			for _, fault := range links.Draw(int64(seed), 4, n, 120) {
+			for _, fault := range netfault.Draw(int64(seed), 4, n, 120) {
 				end := f.mesh.Begin(fault)
 				for range int(fault.Length * 10) {
 					time.Sleep(100 * time.Millisecond)
@@ -157,7 +157,7 @@
 		defer f.end()
 		f.settle(time.Minute, whole)
 		for _, side := range [][]int{{0, 1, 2}, {3, 4, 5}} {
-			end := f.mesh.Begin(links.Fault{Kind: "cut", From: side})
+			end := f.mesh.Begin(netfault.Fault{Kind: "cut", From: side})
 			f.settle(time.Minute, func(i int, m *Member) bool {
 				p := m.Picture()
 				inside := 6
@@ -166,7 +166,7 @@
 						inside = 3
 					}
 				}
-				return p.Least == inside && p.Most == n && p.Standing == view.Part.String()
+				return p.Least == inside && p.Most == n && p.Standing == membership.Part.String()
 			})
 			if err := end(); err != nil {
 				t.Error(err)
@@ -184,7 +184,7 @@
 		f.settle(time.Minute, whole)
 		var ends []func() error
 		for _, p := range [][2]int{{0, 1}, {1, 2}, {2, 0}} {
-			ends = append(ends, f.mesh.Begin(links.Fault{Kind: "one-way", From: p[:1], To: p[1:]}))
+			ends = append(ends, f.mesh.Begin(netfault.Fault{Kind: "one-way", From: p[:1], To: p[1:]}))
 		}
 		time.Sleep(40 * time.Second)
 		for i, m := range f.members {
@@ -206,7 +206,7 @@
 		defer f.end()
 		f.settle(time.Minute, whole)
 		f.members[2].Leave()
-		f.settle(time.Minute, func(_ int, m *Member) bool { return stateOf(m, "n2") == view.Left }, 2)
+		f.settle(time.Minute, func(_ int, m *Member) bool { return stateOf(m, "n2") == membership.Left }, 2)
 		f.begin(2)
 		f.settle(time.Minute, whole)
 		for i, m := range f.members {
@@ -241,7 +241,7 @@
 		}
 		defer twin.Hand()
 		f.settle(2*time.Minute, func(i int, m *Member) bool {
-			return i != 1 || m.Picture().Standing == view.Aside.String()
+			return i != 1 || m.Picture().Standing == membership.Aside.String()
 		})
 	})
 }
@@ -276,12 +276,12 @@
 		defer f.end()
 		f.settle(time.Minute, whole)
 		m := f.members[0]
-		m.tell(view.Heard{Name: "n1", Start: 1, State: view.Failed}) // and the word that it is back is lost
+		m.tell(membership.Heard{Name: "n1", Start: 1, State: membership.Failed}) // and the word that it is back is lost
 		for m.lost.Load() == 0 {
-			m.tell(view.Answered{Name: "nobody"})
+			m.tell(membership.Answered{Name: "nobody"})
 		}
 		f.settle(5*time.Second, whole)
-		m.tell(view.Heard{Name: "n2", Start: 1, State: view.Failed}) // without anybody noticing that a word was lost
+		m.tell(membership.Heard{Name: "n2", Start: 1, State: membership.Failed}) // without anybody noticing that a word was lost
 		time.Sleep(50 * time.Millisecond)
 		f.settle(15*time.Second, whole)
 	})
@@ -295,15 +295,15 @@
 		f.mesh.Keep = true
 		f.settle(time.Minute, whole)
 		f.members[3].Leave()
-		f.settle(time.Minute, func(_ int, m *Member) bool { return stateOf(m, "n3") == view.Left }, 3)
+		f.settle(time.Minute, func(_ int, m *Member) bool { return stateOf(m, "n3") == membership.Left }, 3)
 		f.members[2].Leave()
 		f.begin(2)
-		f.settle(time.Minute, func(_ int, m *Member) bool { return stateOf(m, "n2") == view.Alive }, 2, 3)
+		f.settle(time.Minute, func(_ int, m *Member) bool { return stateOf(m, "n2") == membership.Alive }, 2, 3)
 		n := f.mesh.Replay()
 		time.Sleep(30 * time.Second)
 		for i, m := range f.members[:3] {
 			for _, o := range m.Picture().Members {
-				if o.Name == "n3" && o.State != view.Left || o.Name == "n2" && (o.State != view.Alive || o.Start != 2) {
+				if o.Name == "n3" && o.State != membership.Left || o.Name == "n2" && (o.State != membership.Alive || o.Start != 2) {
 					t.Errorf("n%d believes %d packets of before: %s is %v, start %d", i, n, o.Name, o.State, o.Start)
 				}
 			}
@@ -317,7 +317,7 @@
 		f := begin(t, 12, 15)
 		defer f.end()
 		f.settle(time.Minute, whole)
-		end := f.mesh.Begin(links.Fault{Kind: "slow", From: []int{5}, Size: 400})
+		end := f.mesh.Begin(netfault.Fault{Kind: "slow", From: []int{5}, Size: 400})
 		time.Sleep(2 * time.Minute)
 		if err := end(); err != nil {
 			t.Error(err)
@@ -393,11 +393,11 @@
 		t.Error("nothing is turned away")
 	}
 	b := open("b", "f", key, loopback(t))
-	for end := time.Now().Add(40 * time.Second); b.Picture().Standing != view.Whole.String() && time.Now().Before(end); {
+	for end := time.Now().Add(40 * time.Second); b.Picture().Standing != membership.Whole.String() && time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond)
 	}
 	for _, m := range []*Member{a, b} {
-		if p := m.Picture(); len(p.Members) != 1 || p.Members[0].State != view.Alive {
+		if p := m.Picture(); len(p.Members) != 1 || p.Members[0].State != membership.Alive {
 			t.Errorf("%s knows %+v", p.Self, p.Members)
 		}
 	}
@@ -429,8 +429,8 @@
 			runtime.ReadMemStats(&after)
 			f.mesh.Drop(n / 2)
 			f.members[n/2].Hand()
-			first := f.settle(10*time.Minute, func(i int, m *Member) bool { return i != 0 || stateOf(m, fmt.Sprintf("n%d", n/2)) == view.Failed }, n/2)
-			all := f.settle(10*time.Minute, func(_ int, m *Member) bool { return stateOf(m, fmt.Sprintf("n%d", n/2)) == view.Failed }, n/2)
+			first := f.settle(10*time.Minute, func(i int, m *Member) bool { return i != 0 || stateOf(m, fmt.Sprintf("n%d", n/2)) == membership.Failed }, n/2)
+			all := f.settle(10*time.Minute, func(_ int, m *Member) bool { return stateOf(m, fmt.Sprintf("n%d", n/2)) == membership.Failed }, n/2)
 			t.Logf("%4d members: whole after %v; %.1f packets/s and %.0f bytes/s each; %.0f kB of heap each; a death known to one after %v, to the last %v later",
 				n, found, float64(sent2-sent)/60/float64(n), float64(bytes2-bytes)/60/float64(n), float64(after.HeapAlloc)/1024/float64(n), first, all)
 		})
--- a/peers/identity/golden_test.go
+++ b/membership/incarnation/golden_test.go
@@ -1,11 +1,11 @@
-package identity
+package incarnation
 
 import (
 	"os"
 	"path/filepath"
 	"testing"
 
-	"pineport/lab/golden"
+	"pineport/testbed/golden"
 )
 
 // TestFileIsAsRecorded: the file is written byte by byte as recorded, and the recorded one is gone on from.
--- a/peers/identity/identity.go
+++ b/membership/incarnation/incarnation.go
@@ -1,13 +1,13 @@
-// Package identity keeps the number of a courier's starts over restarts: it grows with each, and is written down before it
+// Package incarnation keeps the number of a courier's starts over restarts: it grows with each, and is written down before it
 // is used.
-package identity
+package incarnation
 
 import (
 	"encoding/json"
 	"errors"
 	"fmt"
 
-	"pineport/sealed"
+	"pineport/atomicfile"
 )
 
 // Name of the file, in the folder that lasts.
@@ -39,18 +39,18 @@
 	if err != nil {
 		return err
 	}
-	return sealed.Write(dir, Name, sealed.Seal(magic, version, text))
+	return atomicfile.Write(dir, Name, atomicfile.Seal(magic, version, text))
 }
 
 func read(dir, courier string) (uint64, error) {
-	content, err := sealed.Read(dir, Name, limit)
-	if errors.Is(err, sealed.ErrAbsent) {
+	content, err := atomicfile.Read(dir, Name, limit)
+	if errors.Is(err, atomicfile.ErrAbsent) {
 		return 0, nil
 	}
 	if err != nil {
 		return 0, err
 	}
-	v, text, err := sealed.Open(magic, content)
+	v, text, err := atomicfile.Open(magic, content)
 	if err != nil {
 		return 0, err
 	}
--- a/peers/identity/identity_test.go
+++ b/membership/incarnation/incarnation_test.go
@@ -1,4 +1,4 @@
-package identity
+package incarnation
 
 import (
 	"os"
--- a/peers/view/view.go
+++ b/membership/membership.go
@@ -1,7 +1,7 @@
-// Package view decides who is in a fleet of couriers, and where this one stands in it: from what a detector and the other
+// Package membership decides who is in a fleet of couriers, and where this one stands in it: from what a detector and the other
 // members say, without any I/O or clock. New reads the Terms once; Handle takes the instant and what happened, and returns
 // what is to be done and told, in order. docs/membership.md says what is promised.
-package view
+package membership
 
 import (
 	"cmp"
@@ -9,12 +9,12 @@
 	"math/rand"
 	"slices"
 
-	"pineport/logic"
+	"pineport/dispatch"
 )
 
 type (
 	// Micros is an instant of this process's clock, or a span.
-	Micros = logic.Micros
+	Micros = dispatch.Micros
 	// Name of a courier, the same over all its starts.
 	Name string
 	// Start counts the starts of a courier; it only grows.
--- a/peers/view/view_test.go
+++ b/membership/membership_test.go
@@ -1,4 +1,4 @@
-package view
+package membership
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"reflect"
 	"testing"
 
-	"pineport/check"
+	"pineport/modelcheck"
 )
 
 const tick = second / 5
@@ -252,7 +252,7 @@
 	if os.Getenv("PINEPORT_DEEP") != "" {
 		depth = 5
 	}
-	check.Orders(depth, len(all), func(order []int) bool {
+	modelcheck.Orders(depth, len(all), func(order []int) bool {
 		n++
 		if err := run(order, all, nil); err != nil {
 			t.Errorf("%v: %v", order, err)
@@ -290,7 +290,7 @@
 		"counts without telling": func(v *View) { v.asked = 9 },
 	} {
 		caught := false
-		check.Orders(3, len(all), func(order []int) bool {
+		modelcheck.Orders(3, len(all), func(order []int) bool {
 			caught = run(order, all, plant) != nil
 			return !caught
 		})
@@ -304,7 +304,7 @@
 func TestRandomWalks(t *testing.T) {
 	all := steps()
 	for seed := range int64(2000) {
-		order := check.Walk(seed, 60, len(all))
+		order := modelcheck.Walk(seed, 60, len(all))
 		if err := run(order, all, nil); err != nil {
 			t.Fatalf("seed %d, %v: %v", seed, order, err)
 		}
--- a/check/check.go
+++ b/modelcheck/modelcheck.go
@@ -1,5 +1,5 @@
-// Package check plays orders of events against modules that hold no I/O: every order up to a depth, and long ones drawn from a seed.
-package check
+// Package modelcheck plays orders of events against modules that hold no I/O: every order up to a depth, and long ones drawn from a seed.
+package modelcheck
 
 import "math/rand"
 
--- a/check/check_test.go
+++ b/modelcheck/modelcheck_test.go
@@ -1,4 +1,4 @@
-package check
+package modelcheck
 
 import "testing"
 
--- a/commons/events.go
+++ b/quota/events.go
@@ -1,4 +1,4 @@
-package commons
+package quota
 
 // What commons are told, and what they say and hand out.
 
--- a/commons/exchange/exchange.go
+++ b/quota/exchange/exchange.go
@@ -11,8 +11,8 @@
 	"sync/atomic"
 	"time"
 
-	"pineport/commons"
-	"pineport/logic"
+	"pineport/dispatch"
+	"pineport/quota"
 )
 
 // Options are what an exchange is told.
@@ -26,9 +26,9 @@
 	// Say has a member hear words, which may be lost. It must not wait.
 	Say func(to string, text []byte) error
 	// Needs is what the decisions last told of their routes.
-	Needs func() []logic.Need
+	Needs func() []dispatch.Need
 	// Share hands the decisions what stands, by a clock that began at zero. What it returns is closed once it is taken in; nil if it is not.
-	Share func(parts []commons.Part, zero time.Time) (taken <-chan struct{})
+	Share func(parts []quota.Part, zero time.Time) (taken <-chan struct{})
 }
 
 const (
@@ -41,8 +41,8 @@
 type Exchange struct {
 	o       Options
 	begun   time.Time
-	commons *commons.Commons
-	packets chan commons.Words
+	commons *quota.Commons
+	packets chan quota.Words
 	counts  Counts
 	looks   chan chan Shown
 	stop    context.CancelFunc
@@ -54,15 +54,15 @@
 
 // Shown is what operators are shown.
 type Shown struct {
-	Start    uint64         `json:"start"`
-	Lines    []commons.Line `json:"routes"`
-	Sums     commons.Sums   `json:"sums"`
-	Out      int64          `json:"packets_out"`
-	BytesOut int64          `json:"bytes_out"`
-	In       int64          `json:"packets_in"`
-	Spoilt   int64          `json:"packets_spoilt"`
-	Dropped  int64          `json:"packets_dropped"`
-	Withheld int64          `json:"loans_withheld"`
+	Start    uint64       `json:"start"`
+	Lines    []quota.Line `json:"routes"`
+	Sums     quota.Sums   `json:"sums"`
+	Out      int64        `json:"packets_out"`
+	BytesOut int64        `json:"bytes_out"`
+	In       int64        `json:"packets_in"`
+	Spoilt   int64        `json:"packets_spoilt"`
+	Dropped  int64        `json:"packets_dropped"`
+	Withheld int64        `json:"loans_withheld"`
 }
 
 // Open begins to share.
@@ -70,11 +70,11 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	x := &Exchange{o: o, begun: time.Now(), packets: make(chan commons.Words, queueSize), looks: make(chan chan Shown)}
+	x := &Exchange{o: o, begun: time.Now(), packets: make(chan quota.Words, queueSize), looks: make(chan chan Shown)}
 	var salt [8]byte
 	rand.Read(salt[:])
 	couriers, _ := o.Fleet()
-	x.commons = commons.New(x.now(), commons.Terms{Self: o.Self, Start: o.Start, Couriers: couriers, Salt: int64(binary.LittleEndian.Uint64(salt[:])),
+	x.commons = quota.New(x.now(), quota.Terms{Self: o.Self, Start: o.Start, Couriers: couriers, Salt: int64(binary.LittleEndian.Uint64(salt[:])),
 		No: uint64(x.begun.UnixMilli())}) // the two processes of an upgrade have one start
 	ctx, cancel := context.WithCancel(context.Background())
 	x.stop = cancel
@@ -92,7 +92,7 @@
 // Hear takes in what a member said. It does not wait.
 func (x *Exchange) Hear(text []byte) {
 	x.counts.In.Add(1)
-	w, err := commons.Decode(text)
+	w, err := quota.Decode(text)
 	if err != nil {
 		x.counts.Spoilt.Add(1)
 		return
@@ -124,8 +124,8 @@
 	}
 }
 
-func (x *Exchange) now() logic.Micros {
-	return logic.Micros(time.Since(x.begun).Microseconds()) + 1
+func (x *Exchange) now() dispatch.Micros {
+	return dispatch.Micros(time.Since(x.begun).Microseconds()) + 1
 }
 
 func (x *Exchange) run(ctx context.Context) {
@@ -133,15 +133,15 @@
 	beat := time.NewTicker(x.o.Beat)
 	defer beat.Stop()
 	for {
-		var actions []commons.Action
+		var actions []quota.Action
 		select {
 		case <-ctx.Done():
 			return
 		case w := <-x.packets:
-			actions = x.commons.Handle(x.now(), commons.Heard{Words: w})
+			actions = x.commons.Handle(x.now(), quota.Heard{Words: w})
 		case <-beat.C:
 			couriers, alive := x.o.Fleet()
-			actions = x.commons.Handle(x.now(), commons.Fleet{Couriers: couriers, Alive: alive}, commons.Told(x.o.Needs()), commons.Beat{})
+			actions = x.commons.Handle(x.now(), quota.Fleet{Couriers: couriers, Alive: alive}, quota.Told(x.o.Needs()), quota.Beat{})
 		case to := <-x.looks:
 			to <- x.look()
 		}
@@ -150,18 +150,18 @@
 }
 
 // carryOut does what was decided, in order: a loan is said only once the decisions go without it.
-func (x *Exchange) carryOut(ctx context.Context, actions []commons.Action) {
+func (x *Exchange) carryOut(ctx context.Context, actions []quota.Action) {
 	known := true
 	for _, action := range actions {
 		switch a := action.(type) {
-		case commons.Share:
+		case quota.Share:
 			known = x.share(ctx, a.Parts)
-		case commons.Say:
+		case quota.Say:
 			if len(a.Words.Loans) > 0 && !known {
 				x.counts.Withheld.Add(1)
 				continue
 			}
-			text, err := commons.Encode(a.Words)
+			text, err := quota.Encode(a.Words)
 			if err == nil {
 				err = x.o.Say(a.To, text)
 			}
@@ -175,7 +175,7 @@
 	}
 }
 
-func (x *Exchange) share(ctx context.Context, parts []commons.Part) bool {
+func (x *Exchange) share(ctx context.Context, parts []quota.Part) bool {
 	if len(parts) == 0 {
 		return true
 	}
--- a/commons/exchange/exchange_test.go
+++ b/quota/exchange/exchange_test.go
@@ -6,8 +6,8 @@
 	"testing/synctest"
 	"time"
 
-	"pineport/commons"
-	"pineport/logic"
+	"pineport/dispatch"
+	"pineport/quota"
 )
 
 // mate writes down what an exchange says to b, and answers for the decisions.
@@ -16,21 +16,21 @@
 	loans int
 	takes bool // the decisions take in what stands
 	hangs bool // they never say so
-	needs []logic.Need
+	needs []dispatch.Need
 }
 
 func (m *mate) open() *Exchange {
 	return Open(Options{Self: "a", Start: 1, Beat: 500 * time.Millisecond,
 		Fleet: func() (int, []string) { return 2, []string{"b"} },
-		Needs: func() []logic.Need { return m.needs },
+		Needs: func() []dispatch.Need { return m.needs },
 		Say: func(_ string, text []byte) error {
-			w, err := commons.Decode(text)
+			w, err := quota.Decode(text)
 			m.mu.Lock()
 			defer m.mu.Unlock()
 			m.loans += len(w.Loans)
 			return err
 		},
-		Share: func([]commons.Part, time.Time) <-chan struct{} {
+		Share: func([]quota.Part, time.Time) <-chan struct{} {
 			m.mu.Lock()
 			defer m.mu.Unlock()
 			if !m.takes {
@@ -52,7 +52,7 @@
 }
 
 func (m *mate) asked(x *Exchange, no uint64) int {
-	text, err := commons.Encode(commons.Words{From: "b", Asks: []commons.Ask{{Key: commons.Key{Dest: 1}, Units: 100000, No: no}}})
+	text, err := quota.Encode(quota.Words{From: "b", Asks: []quota.Ask{{Key: quota.Key{Dest: 1}, Units: 100000, No: no}}})
 	if err != nil {
 		panic(err)
 	}
@@ -67,7 +67,7 @@
 // Failure meant: both sides use the same part, as the lender's decisions hang or are another process's.
 func TestNoLoanBeforeItIsTakenOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &mate{takes: true, needs: []logic.Need{{Dest: 1, Limit: 10}}}
+		m := &mate{takes: true, needs: []dispatch.Need{{Dest: 1, Limit: 10}}}
 		x := m.open()
 		defer x.Close()
 		if n := m.asked(x, 1); n != 0 {
@@ -95,11 +95,11 @@
 // waited for for ever.
 func TestWhatNobodySays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &mate{takes: true, hangs: true, needs: []logic.Need{{Dest: 1, Limit: 10}}}
+		m := &mate{takes: true, hangs: true, needs: []dispatch.Need{{Dest: 1, Limit: 10}}}
 		x := m.open()
 		time.Sleep(600 * time.Millisecond) // since the first beat it waits for the decisions, and hears nothing
 		x.Hear([]byte("noise"))
-		text, err := commons.Encode(commons.Words{From: "b"})
+		text, err := quota.Encode(quota.Words{From: "b"})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/commons/golden_test.go
+++ b/quota/golden_test.go
@@ -1,4 +1,4 @@
-package commons
+package quota
 
 import (
 	"encoding/hex"
@@ -6,7 +6,7 @@
 	"reflect"
 	"testing"
 
-	"pineport/lab/golden"
+	"pineport/testbed/golden"
 )
 
 // TestPacketIsAsRecorded: a packet with every field set is written byte by byte as recorded, and reads as what was written.
--- a/commons/commons.go
+++ b/quota/quota.go
@@ -1,13 +1,13 @@
-// Package commons decides what couriers of one fleet share of the limits that hold over all of them, without I/O or clock: parts of
+// Package quota decides what couriers of one fleet share of the limits that hold over all of them, without I/O or clock: parts of
 // limits are lent, and what each uses is counted. New reads the Terms once; Handle takes the instant and what happened, and returns
-// what is to be said and what stands. docs/commons.md says what is promised.
+// what is to be said and what stands. docs/quota.md says what is promised.
 //
 // A part is a share of a limit, in millionths. Each courier has a base part that needs nobody: one of as many as it reckons with. What
 // it does not need it may lend, up to half of it. A loan is taken off at the lender before it is said, ends at the borrower a span
 // after it *asked*, and is back at the lender strictly later than that, for clocks that run by a hundredth apart. So a word that is
 // lost, late or doubled can only make room smaller, and no clock is compared with another one. A start holds back what an earlier
 // start of the same courier may have lent: nothing has to be kept in a file, and an older copy of the folder does no harm.
-package commons
+package quota
 
 import (
 	"cmp"
@@ -15,12 +15,12 @@
 	"math/rand"
 	"slices"
 
-	"pineport/logic"
+	"pineport/dispatch"
 )
 
 type (
 	// Micros is an instant of this process's clock, or a span.
-	Micros = logic.Micros
+	Micros = dispatch.Micros
 	// Units are millionths of a limit.
 	Units int64
 )
--- a/commons/commons_test.go
+++ b/quota/quota_test.go
@@ -1,4 +1,4 @@
-package commons
+package quota
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"pineport/check"
+	"pineport/modelcheck"
 )
 
 // fleet is a few couriers' commons under one true clock, each with a clock of its own that runs a hundredth slow or fast, and words
@@ -226,7 +226,7 @@
 	if os.Getenv("PINEPORT_DEEP") != "" {
 		depth = 5
 	}
-	check.Orders(depth, len(all), func(order []int) bool {
+	modelcheck.Orders(depth, len(all), func(order []int) bool {
 		n++
 		if err := run(order, all, nil); err != nil {
 			t.Errorf("%v: %v", order, err)
@@ -279,7 +279,7 @@
 
 // walk plays a long order drawn from a seed.
 func walk(seed int64, steps []func(*fleet), plant func(*fleet, int)) error {
-	return run(check.Walk(seed, 120, len(steps)), steps, plant)
+	return run(modelcheck.Walk(seed, 120, len(steps)), steps, plant)
 }
 
 // TestRandomWalks goes beyond every order; PINEPORT_DEEP plays 10,000 seeds.
--- a/commons/show.go
+++ b/quota/show.go
@@ -1,4 +1,4 @@
-package commons
+package quota
 
 import (
 	"maps"
--- a/routing/actions.go
+++ b/server/actions.go
@@ -1,27 +1,27 @@
-package routing
+package server
 
-import "pineport/logic"
+import "pineport/dispatch"
 
 // carryOut does what the decisions want; sends go out last, after clients have heard that theirs was accepted.
-func (r *Router) carryOut(actions []logic.Action) {
+func (r *Router) carryOut(actions []dispatch.Action) {
 	var calls []*call
 	for _, action := range actions {
 		switch a := action.(type) {
-		case logic.Send:
+		case dispatch.Send:
 			calls = r.load(calls, a)
-		case logic.Cancel:
+		case dispatch.Cancel:
 			r.cancel(a)
-		case logic.Bounce:
+		case dispatch.Bounce:
 			r.reject(a.Record, a.Pause)
-		case logic.Terminate:
+		case dispatch.Terminate:
 			r.fail(a.Record)
-		case logic.Wake:
+		case dispatch.Wake:
 			r.wakeAt = min(r.wakeAt, a.At)
-		case logic.CloseIdle:
+		case dispatch.CloseIdle:
 			r.links.closeIdle(peerOf(r.hosts[a.Endpoint]))
-		case logic.Watch:
+		case dispatch.Watch:
 			r.platform.watch()
-		case logic.Note:
+		case dispatch.Note:
 			r.log.Info("note", "text", a.Text)
 		}
 	}
--- a/routing/answer_test.go
+++ b/server/answer_test.go
@@ -1,4 +1,4 @@
-package routing
+package server
 
 import (
 	"io"
--- a/routing/calls.go
+++ b/server/calls.go
@@ -1,4 +1,4 @@
-package routing
+package server
 
 import (
 	"errors"
@@ -6,27 +6,27 @@
 	"slices"
 	"strconv"
 
-	"pineport/logic"
+	"pineport/dispatch"
 	"pineport/protocol"
 	"pineport/spool"
 )
 
 // call is what goes to an endpoint at once: one attempt, or several where the charter allows.
 type call struct {
-	endpoint    logic.EndpointID
+	endpoint    dispatch.EndpointID
 	host        protocol.Host
 	attempts    []*attempt
 	exchange    *exchange
-	limit       logic.Micros // until when it is waited for
-	predecessor bool         // the other process of an upgrade has it out; one attempt
+	limit       dispatch.Micros // until when it is waited for
+	predecessor bool            // the other process of an upgrade has it out; one attempt
 }
 
-var outcomes = map[string]logic.Outcome{
-	"done": logic.Done, "failure": logic.Failure, "full": logic.Full, "timed_out": logic.TimedOut,
-	"unreachable": logic.Unreachable, "broken": logic.Broken, "withdrawn": logic.Withdrawn, "void": logic.Void,
+var outcomes = map[string]dispatch.Outcome{
+	"done": dispatch.Done, "failure": dispatch.Failure, "full": dispatch.Full, "timed_out": dispatch.TimedOut,
+	"unreachable": dispatch.Unreachable, "broken": dispatch.Broken, "withdrawn": dispatch.Withdrawn, "void": dispatch.Void,
 }
 
-func outcomeName(o logic.Outcome) string {
+func outcomeName(o dispatch.Outcome) string {
 	for name, other := range outcomes {
 		if other == o {
 			return name
@@ -36,7 +36,7 @@
 }
 
 // load puts an attempt on a call: sends of one step to one endpoint go together, up to what its shape takes.
-func (r *Router) load(calls []*call, a logic.Send) []*call {
+func (r *Router) load(calls []*call, a dispatch.Send) []*call {
 	message := r.messages[a.Record]
 	if message == nil || message.ended {
 		return calls
@@ -66,7 +66,7 @@
 
 // waitAlike has all attempts of a call waited for as long as the least of them allows, and returns until when. Failure: with a time
 // of its own for each, one attempt was given up while its call went on for the others, and messages were counted as lost.
-func (c *call) waitAlike() logic.Micros {
+func (c *call) waitAlike() dispatch.Micros {
 	limit := never
 	for _, attempt := range c.attempts {
 		limit = min(limit, attempt.limit)
@@ -101,7 +101,7 @@
 func (r *Router) leaves(c *call) error {
 	for _, attempt := range slices.Clone(c.attempts) {
 		if attempt.message.ended || attempt.message.windowOver(r.now) {
-			r.complete(attempt, logic.Settled{Outcome: logic.Void})
+			r.complete(attempt, dispatch.Settled{Outcome: dispatch.Void})
 		}
 	}
 	c.attempts = slices.DeleteFunc(c.attempts, func(attempt *attempt) bool { return attempt.over })
@@ -133,7 +133,7 @@
 }
 
 // outcome writes down how an attempt ended.
-func (r *Router) outcome(attempt *attempt, o logic.Outcome) {
+func (r *Router) outcome(attempt *attempt, o dispatch.Outcome) {
 	if attempt.noted {
 		r.check(r.spool.Settle(attempt.message.kept.ID, attempt.number, outcomeName(o)))
 	} else {
@@ -161,16 +161,16 @@
 func (r *Router) answered(c *call, a protocol.Answer, err error) {
 	if errors.Is(err, errOvertaken) {
 		for _, attempt := range c.attempts {
-			r.complete(attempt, logic.Settled{Outcome: logic.Void})
+			r.complete(attempt, dispatch.Settled{Outcome: dispatch.Void})
 		}
 		return
 	}
 	var failure *protocol.Failure
 	if errors.As(err, &failure) {
-		outcome := map[protocol.Progress]logic.Outcome{protocol.BeforeLastByte: logic.Unreachable,
-			protocol.AfterLastByte: logic.Broken, protocol.InAnswer: logic.Failure}[failure.Progress]
+		outcome := map[protocol.Progress]dispatch.Outcome{protocol.BeforeLastByte: dispatch.Unreachable,
+			protocol.AfterLastByte: dispatch.Broken, protocol.InAnswer: dispatch.Failure}[failure.Progress]
 		for _, attempt := range c.attempts {
-			r.complete(attempt, logic.Settled{Outcome: outcome})
+			r.complete(attempt, dispatch.Settled{Outcome: outcome})
 		}
 		return
 	}
@@ -179,7 +179,7 @@
 		ends = protocol.ReadEnds(a.Body)
 	}
 	if a.WaitMs > 0 {
-		r.keepWait(c.host, r.now+logic.Micros(a.WaitMs)*1000)
+		r.keepWait(c.host, r.now+dispatch.Micros(a.WaitMs)*1000)
 	}
 	pressure := protocol.Pressure(a.Report, r.dep.Report)
 	for _, attempt := range c.attempts {
@@ -187,14 +187,14 @@
 		if ends != nil {
 			s = endOf(ends[attempt.message.kept.ID])
 		}
-		s.Pressure, s.Wait = pressure, logic.Micros(a.WaitMs)*1000
+		s.Pressure, s.Wait = pressure, dispatch.Micros(a.WaitMs)*1000
 		r.complete(attempt, s)
 	}
 }
 
 // keepWait keeps a wait that an endpoint told.
-func (r *Router) keepWait(h protocol.Host, until logic.Micros) {
-	maps.DeleteFunc(r.waits, func(_ string, until logic.Micros) bool { return until <= r.now })
+func (r *Router) keepWait(h protocol.Host, until dispatch.Micros) {
+	maps.DeleteFunc(r.waits, func(_ string, until dispatch.Micros) bool { return until <= r.now })
 	r.waits[r.route(h)] = max(until, r.waits[r.route(h)])
 	r.upgrade.waits(h, until)
 }
@@ -214,60 +214,60 @@
 }
 
 // kindOf is what the settings say of the kind that an endpoint is of; false where they know none of that name.
-func (r *Router) kindOf(h protocol.Host) (logic.Shape, bool) {
+func (r *Router) kindOf(h protocol.Host) (dispatch.Shape, bool) {
 	i := slices.Index(r.dep.Shapes, h.Kind)
 	if i < 0 || i >= len(r.dep.Charter.Shapes) {
-		return logic.Shape{}, false
+		return dispatch.Shape{}, false
 	}
 	return r.dep.Charter.Shapes[i], true
 }
 
 // outcomeOf reads an answer for all that a call carried.
-func outcomeOf(a protocol.Answer) logic.Settled {
+func outcomeOf(a protocol.Answer) dispatch.Settled {
 	switch {
 	case a.Status == 200:
-		return logic.Settled{Outcome: logic.Done, Over: true}
+		return dispatch.Settled{Outcome: dispatch.Done, Over: true}
 	case a.Status == 503 && a.NoSlot, a.Status == 504:
-		return logic.Settled{Outcome: logic.Void}
+		return dispatch.Settled{Outcome: dispatch.Void}
 	case a.Status == 429, a.Status == 503:
-		return logic.Settled{Outcome: logic.Full}
+		return dispatch.Settled{Outcome: dispatch.Full}
 	case a.Status == 410:
-		return logic.Settled{Outcome: logic.Void, Over: true}
+		return dispatch.Settled{Outcome: dispatch.Void, Over: true}
 	case a.Status == 400, a.Status == 404, a.Status == 413:
-		return logic.Settled{Outcome: logic.Void} // nothing of it was read
+		return dispatch.Settled{Outcome: dispatch.Void} // nothing of it was read
 	}
-	return logic.Settled{Outcome: logic.Failure} // unknown: it may have run
+	return dispatch.Settled{Outcome: dispatch.Failure} // unknown: it may have run
 }
 
 // endOf reads one message's end from an answer for several; one that is not named may have run.
-func endOf(word string) logic.Settled {
+func endOf(word string) dispatch.Settled {
 	switch word {
 	case protocol.Accepted:
-		return logic.Settled{Outcome: logic.Done, Over: true}
+		return dispatch.Settled{Outcome: dispatch.Done, Over: true}
 	case protocol.Deferred:
-		return logic.Settled{Outcome: logic.Full}
+		return dispatch.Settled{Outcome: dispatch.Full}
 	case protocol.Expired:
-		return logic.Settled{Outcome: logic.Void, Over: true}
+		return dispatch.Settled{Outcome: dispatch.Void, Over: true}
 	case protocol.NoMore:
-		return logic.Settled{Outcome: logic.Void}
+		return dispatch.Settled{Outcome: dispatch.Void}
 	}
-	return logic.Settled{Outcome: logic.Failure}
+	return dispatch.Settled{Outcome: dispatch.Failure}
 }
 
 // complete ends an attempt with its outcome and tells the decisions.
-func (r *Router) complete(attempt *attempt, s logic.Settled) {
+func (r *Router) complete(attempt *attempt, s dispatch.Settled) {
 	if r.upgrade.handed {
 		r.upgrade.echo(attempt, s)
 		return
 	}
 	if attempt.over {
 		if s.Over && !attempt.message.ended { // called off, and delivered all the same
-			if s.Outcome == logic.Done {
+			if s.Outcome == dispatch.Done {
 				r.count(attempt.message.kept.Workload, delivered)
 			}
 			r.clients.over.add(attempt.message, r.now)
 			r.finish(attempt.message)
-			r.events = append(r.events, logic.Left{Record: logic.RecordID(attempt.message.kept.ID)})
+			r.events = append(r.events, dispatch.Left{Record: dispatch.RecordID(attempt.message.kept.ID)})
 			r.forget(attempt.message)
 		}
 		return
@@ -281,7 +281,7 @@
 		}
 	}
 	if s.Over {
-		if !attempt.message.ended && s.Outcome == logic.Done {
+		if !attempt.message.ended && s.Outcome == dispatch.Done {
 			r.count(attempt.message.kept.Workload, delivered)
 		}
 		r.clients.over.add(attempt.message, r.now)
@@ -289,7 +289,7 @@
 	} else if !attempt.message.ended {
 		r.outcome(attempt, s.Outcome)
 	}
-	s.Record, s.Trip, s.Took = logic.RecordID(attempt.message.kept.ID), logic.TripNo(attempt.number), r.now-attempt.sent
+	s.Record, s.Trip, s.Took = dispatch.RecordID(attempt.message.kept.ID), dispatch.TripNo(attempt.number), r.now-attempt.sent
 	s.Over = s.Over || attempt.message.ended
 	r.events = append(r.events, s)
 	r.learned.observe(s.Outcome)
@@ -302,15 +302,15 @@
 	if r.arrives(attempt) {
 		return
 	}
-	s := logic.Settled{Outcome: logic.TimedOut}
+	s := dispatch.Settled{Outcome: dispatch.TimedOut}
 	switch x := attempt.call.exchange; {
 	case attempt.call.predecessor: // the other process has said nothing of it for longer than it should wait
 	case !r.links.out(x):
-		s.Outcome = logic.Unreachable
+		s.Outcome = dispatch.Unreachable
 	case !x.whole && x.link.first.Load() == 200:
-		s.Outcome, s.Over = logic.Done, true // the rest of the answer is slow, but this was its first line
+		s.Outcome, s.Over = dispatch.Done, true // the rest of the answer is slow, but this was its first line
 	case x.cut:
-		s.Outcome = logic.Failure // it answers, but nothing that can be read
+		s.Outcome = dispatch.Failure // it answers, but nothing that can be read
 	}
 	r.complete(attempt, s)
 	r.drop(attempt.call)
@@ -334,19 +334,19 @@
 	return true
 }
 
-func (r *Router) cancel(a logic.Cancel) {
+func (r *Router) cancel(a dispatch.Cancel) {
 	message := r.messages[a.Record]
 	if message == nil || int(a.Trip) >= len(message.attempts) || message.attempts[a.Trip].over {
 		return
 	}
-	attempt, o := message.attempts[a.Trip], logic.Withdrawn
+	attempt, o := message.attempts[a.Trip], dispatch.Withdrawn
 	if r.arrives(attempt) {
 		return // its answer says more
 	}
 	if x := attempt.call.exchange; x != nil && !x.sent {
-		o = logic.Void // its connection is still coming up: it never ran
+		o = dispatch.Void // its connection is still coming up: it never ran
 	}
-	r.complete(attempt, logic.Settled{Outcome: o})
+	r.complete(attempt, dispatch.Settled{Outcome: o})
 	r.drop(attempt.call)
 }
 
--- a/routing/clients.go
+++ b/server/clients.go
@@ -1,4 +1,4 @@
-package routing
+package server
 
 import (
 	"cmp"
@@ -7,7 +7,7 @@
 	"sync/atomic"
 	"time"
 
-	"pineport/logic"
+	"pineport/dispatch"
 	"pineport/protocol"
 	"pineport/spool"
 	"pineport/transport"
@@ -21,8 +21,8 @@
 	sunk   int   // bytes since then
 	held   int64 // bytes of a command that is not whole
 	conn   *transport.Conn
-	came   logic.Micros
-	heard  logic.Micros
+	came   dispatch.Micros
+	heard  dispatch.Micros
 	asked  atomic.Int64 // commands without a reply
 	whole  atomic.Bool  // a command has come
 	half   atomic.Int64 // when the command that is not whole began; 0 between two
@@ -130,15 +130,15 @@
 	up      atomic.Int64 // connections, those that the router has not heard of yet too
 	bytes   atomic.Int64 // held of commands that are not whole, by all together
 	room    atomic.Int64 // for those
-	sweepAt logic.Micros
+	sweepAt dispatch.Micros
 	over    over
 }
 
 // over are messages that were accepted and have ended, for as long as their clients may hand them in once more. Failure: a reset took away
 // a reply that the socket had; the client sent the same request again, the message was over by then, and was accepted a second time.
 type over struct {
-	until map[logic.RecordID]logic.Micros
-	order []logic.RecordID // oldest first
+	until map[dispatch.RecordID]dispatch.Micros
+	order []dispatch.RecordID // oldest first
 }
 
 const (
@@ -147,15 +147,15 @@
 	overMost = 4096 // a hundred times what ends in that time at a busy courier
 )
 
-func (o *over) add(message *message, now logic.Micros) {
+func (o *over) add(message *message, now dispatch.Micros) {
 	for len(o.order) > 0 && (o.until[o.order[0]] <= now || len(o.order) >= overMost) {
 		delete(o.until, o.order[0])
 		o.order = o.order[1:]
 	}
-	id, until := logic.RecordID(message.kept.ID), message.acceptedAt+onceMore
+	id, until := dispatch.RecordID(message.kept.ID), message.acceptedAt+onceMore
 	if until > now && o.until[id] == 0 {
 		if o.until == nil {
-			o.until = map[logic.RecordID]logic.Micros{}
+			o.until = map[dispatch.RecordID]dispatch.Micros{}
 		}
 		o.until[id] = until
 		o.order = append(o.order, id)
@@ -163,7 +163,7 @@
 }
 
 // has tells whether a message was accepted and is over.
-func (o *over) has(id logic.RecordID, now logic.Micros) bool { return o.until[id] > now }
+func (o *over) has(id dispatch.RecordID, now dispatch.Micros) bool { return o.until[id] > now }
 
 func (cs *clients) init(r *Router) {
 	cs.r, cs.all, cs.sweepAt = r, map[*client]bool{}, never
@@ -207,7 +207,7 @@
 // now, then the one that has rested longest between two requests.
 func (cs *clients) makeRoom(latest *client) {
 	now := cs.r.now
-	rank := func(c *client) logic.Micros {
+	rank := func(c *client) dispatch.Micros {
 		switch {
 		case c.whole.Load():
 			return c.heard
@@ -233,11 +233,11 @@
 
 // stuck tells whether a command does not go on.
 func (cs *clients) stuck(c *client) bool {
-	half := logic.Micros(c.half.Load())
+	half := dispatch.Micros(c.half.Load())
 	return half > 0 && cs.r.now-half > stuckAfter && c.asked.Load() == 0
 }
 
-func (cs *clients) due() logic.Micros { return cs.sweepAt }
+func (cs *clients) due() dispatch.Micros { return cs.sweepAt }
 
 // sweep closes connections on which nothing comes.
 func (cs *clients) sweep() {
@@ -270,7 +270,7 @@
 		rep.message = nil
 		if message.waiting = slices.DeleteFunc(message.waiting, func(o *reply) bool { return o == rep }); len(message.waiting) == 0 {
 			cs.r.finish(message)
-			cs.r.events = append(cs.r.events, logic.Left{Record: logic.RecordID(message.kept.ID)})
+			cs.r.events = append(cs.r.events, dispatch.Left{Record: dispatch.RecordID(message.kept.ID)})
 			cs.r.forget(message)
 			if e.from.conn.HalfClosed() {
 				rep.text = protocol.ReplyBusy(0)
@@ -411,7 +411,7 @@
 
 // acceptedBefore tells whether a message was accepted already, and then answers that it was.
 func (cs *clients) acceptedBefore(request protocol.Enqueue, rep *reply) bool {
-	id := logic.RecordID(request.ID)
+	id := dispatch.RecordID(request.ID)
 	switch message := cs.r.messages[id]; {
 	case message != nil && len(message.waiting) > 0: // sent once more in the step that accepts it: whatever the first reply is
 		rep.message, rep.text = message, protocol.ReplyOK
@@ -439,7 +439,7 @@
 	}
 	rep.text = protocol.ReplyOK
 	rep.message = &message{kept: kept, waiting: []*reply{rep}, acceptedAt: r.now, repeatWindow: r.repeatWindow(kept.Workload)}
-	r.messages[logic.RecordID(request.ID)] = rep.message
+	r.messages[dispatch.RecordID(request.ID)] = rep.message
 	r.counters.accepted()
 	r.events = append(r.events, r.accepted(kept))
 }
--- a/routing/counters.go
+++ b/server/counters.go
@@ -1,11 +1,11 @@
-package routing
+package server
 
 import (
 	"maps"
 	"slices"
 
-	"pineport/logic"
-	"pineport/ops"
+	"pineport/admin"
+	"pineport/dispatch"
 )
 
 // ending is what a message is counted under.
@@ -41,15 +41,15 @@
 }
 
 // figures is a copy of the counters that belongs to nobody else.
-func (r *Router) figures() *ops.Figures {
-	f := &ops.Figures{Success: map[string]int64{}, Overload: map[string]int64{}, Error: map[string]int64{},
+func (r *Router) figures() *admin.Figures {
+	f := &admin.Figures{Success: map[string]int64{}, Overload: map[string]int64{}, Error: map[string]int64{},
 		Dispatches: r.counters.dispatches, Concurrent: r.counters.held, Targets: int64(len(r.hosts)),
 		ReloadSuccess: r.operators.reloads, ReloadFailure: r.operators.faulty.Load()}
 	for w, name := range r.dep.Workloads {
 		f.Success[name], f.Overload[name], f.Error[name] = r.counters.ends[w][delivered], r.counters.ends[w][rejected], r.counters.ends[w][failed]
 	}
 	if c, ok := r.courier.(interface {
-		Avoided(logic.Micros, logic.EndpointID) bool
+		Avoided(dispatch.Micros, dispatch.EndpointID) bool
 	}); ok {
 		for id := range maps.Keys(r.hosts) {
 			if c.Avoided(r.now, id) {
--- a/routing/crossings_test.go
+++ b/server/crossings_test.go
@@ -1,4 +1,4 @@
-package routing
+package server
 
 import (
 	"bufio"
@@ -12,10 +12,10 @@
 	"time"
 
 	"pineport/config"
-	"pineport/lab/port"
-	"pineport/lab/scripted"
-	"pineport/logic"
+	"pineport/dispatch"
 	"pineport/spool"
+	"pineport/testbed/port"
+	"pineport/testbed/scripted"
 	"pineport/transport"
 )
 
@@ -122,8 +122,8 @@
 	r := byHand(t, open(t, 0), single("one"), single("two"))
 	var calls []*call
 	r.dep.Charter.Shapes[0].PerCall = 5
-	for _, id := range []logic.RecordID{"one", "two"} {
-		calls = r.load(calls, logic.Send{Record: id, Endpoint: "s-0", Limit: 5 * 1000 * 1000})
+	for _, id := range []dispatch.RecordID{"one", "two"} {
+		calls = r.load(calls, dispatch.Send{Record: id, Endpoint: "s-0", Limit: 5 * 1000 * 1000})
 	}
 	if len(calls) != 1 || len(calls[0].attempts) != 2 {
 		t.Fatalf("%d calls", len(calls))
@@ -131,8 +131,8 @@
 	r.events = nil
 	r.start(calls[0])
 	up := until(t, r, func(e linkUp) bool { return toEndpoint(e.on) })
-	r.cancel(logic.Cancel{Record: "one", Trip: 0})
-	if s := r.events[len(r.events)-1].(logic.Settled); s.Outcome != logic.Void {
+	r.cancel(dispatch.Cancel{Record: "one", Trip: 0})
+	if s := r.events[len(r.events)-1].(dispatch.Settled); s.Outcome != dispatch.Void {
 		t.Errorf("never sent, and called off as %v", s.Outcome)
 	}
 	r.dispatch(up)
@@ -300,7 +300,7 @@
 func TestAnAnswerThatCrossesItsTime(t *testing.T) {
 	for name, cross := range map[string]func(r *Router, attempt *attempt){
 		"overdue":    func(r *Router, attempt *attempt) { r.overdue(attempt) },
-		"called off": func(r *Router, attempt *attempt) { r.cancel(logic.Cancel{Record: "one"}) },
+		"called off": func(r *Router, attempt *attempt) { r.cancel(dispatch.Cancel{Record: "one"}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := open(t, 0)
@@ -314,7 +314,7 @@
 				t.Error("ended although its answer is here")
 			}
 			r.dispatch(answer)
-			if s, ok := r.events[len(r.events)-1].(logic.Settled); !ok || s.Outcome != logic.Done {
+			if s, ok := r.events[len(r.events)-1].(dispatch.Settled); !ok || s.Outcome != dispatch.Done {
 				t.Errorf("ended as %+v", r.events)
 			}
 		})
@@ -326,14 +326,14 @@
 func TestAnAnswerUnreadAtItsTime(t *testing.T) {
 	for name, c := range map[string]struct {
 		bytes string
-		want  logic.Outcome
+		want  dispatch.Outcome
 	}{
-		"whole": {okAnswer, logic.Done}, "its first line": {okAnswer[:17], logic.Done}, "half a line": {"HTTP/1.1 2", logic.Failure},
-		"nothing": {"", logic.TimedOut},
+		"whole": {okAnswer, dispatch.Done}, "its first line": {okAnswer[:17], dispatch.Done}, "half a line": {"HTTP/1.1 2", dispatch.Failure},
+		"nothing": {"", dispatch.TimedOut},
 	} {
 		for how, cross := range map[string]func(r *Router, attempt *attempt){
 			"overdue":    func(r *Router, attempt *attempt) { r.overdue(attempt) },
-			"called off": func(r *Router, attempt *attempt) { r.cancel(logic.Cancel{Record: "one"}) },
+			"called off": func(r *Router, attempt *attempt) { r.cancel(dispatch.Cancel{Record: "one"}) },
 		} {
 			t.Run(name+" "+how, func(t *testing.T) {
 				w := open(t, 0)
@@ -356,7 +356,7 @@
 				goOn()
 				want := c.want
 				if c.bytes == "" && how == "called off" {
-					want = logic.Withdrawn
+					want = dispatch.Withdrawn
 				}
 				for read := c.bytes == ""; !read; {
 					var what any
@@ -379,7 +379,7 @@
 					}
 				}
 				for _, e := range r.events {
-					if s, ok := e.(logic.Settled); ok && s.Outcome == want {
+					if s, ok := e.(dispatch.Settled); ok && s.Outcome == want {
 						return
 					}
 				}
@@ -518,10 +518,10 @@
 // refusing are decisions that reject whatever is accepted.
 type refusing struct{}
 
-func (refusing) Handle(_ logic.Micros, events []logic.Event) (actions []logic.Action) {
+func (refusing) Handle(_ dispatch.Micros, events []dispatch.Event) (actions []dispatch.Action) {
 	for _, event := range events {
-		if e, ok := event.(logic.Taken); ok {
-			actions = append(actions, logic.Bounce{Record: e.Record, Pause: 7000})
+		if e, ok := event.(dispatch.Taken); ok {
+			actions = append(actions, dispatch.Bounce{Record: e.Record, Pause: 7000})
 		}
 	}
 	return actions
@@ -571,10 +571,10 @@
 	for i := range 3 * overMost {
 		o.add(&message{kept: &spool.Record{ID: fmt.Sprint(i)}, acceptedAt: 5}, 5)
 	}
-	if len(o.until) > overMost || len(o.order) > overMost || !o.has(logic.RecordID(fmt.Sprint(3*overMost-1)), 5) {
+	if len(o.until) > overMost || len(o.order) > overMost || !o.has(dispatch.RecordID(fmt.Sprint(3*overMost-1)), 5) {
 		t.Errorf("%d ids, %d in order", len(o.until), len(o.order))
 	}
-	if o.has(logic.RecordID(fmt.Sprint(3*overMost-1)), 5+onceMore) {
+	if o.has(dispatch.RecordID(fmt.Sprint(3*overMost-1)), 5+onceMore) {
 		t.Error("known for ever")
 	}
 	o.add(&message{kept: &spool.Record{ID: "late"}, acceptedAt: 5}, 5+onceMore)
@@ -747,7 +747,7 @@
 		}
 	}
 	const cut = "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"seq\":9,\"whole\":false,\"hosts\":["
-	last := logic.Micros(0)
+	last := dispatch.Micros(0)
 	for n := range 8 {
 		ask(cut)
 		pause := p.askAt - r.now
--- a/routing/inbox.go
+++ b/server/inbox.go
@@ -1,4 +1,4 @@
-package routing
+package server
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"time"
 
 	"pineport/config"
-	"pineport/logic"
+	"pineport/dispatch"
 )
 
 // late is more than a loaded machine delays a timer by, and less than an answer takes.
@@ -16,7 +16,7 @@
 
 // standstill lets in what came while this process stood still, before anything is judged overdue: its own
 // delay would pass for the endpoints' silence.
-func (r *Router) standstill(due logic.Micros) {
+func (r *Router) standstill(due dispatch.Micros) {
 	for waited := 0; r.clock()-due > late && waited < 4; waited++ {
 		time.Sleep(late / 2 * time.Microsecond)
 		if len(r.inbox) == 0 {
--- a/routing/learned_state.go
+++ b/server/learned_state.go
@@ -1,24 +1,24 @@
-package routing
+package server
 
 import (
 	"time"
 
-	"pineport/logic"
+	"pineport/dispatch"
 )
 
 // keeper stores snapshots of the learned state, without waiting for a disk.
 type keeper interface {
-	Offer(logic.Lore)
+	Offer(dispatch.Lore)
 	Close(within time.Duration)
 }
 
 // learnedState says when a snapshot of what the decisions have learned is due: soon after any outcome but a delivery, else now and then.
 type learnedState struct {
 	keeper   keeper
-	every    logic.Micros
-	last     logic.Micros // when the last snapshot was taken
-	served   bool         // something was, since then
-	troubled bool         // something went wrong since then
+	every    dispatch.Micros
+	last     dispatch.Micros // when the last snapshot was taken
+	served   bool            // something was, since then
+	troubled bool            // something went wrong since then
 }
 
 // calmFactor: where every call is delivered, little is learned, and the next snapshot may wait so many times as long.
@@ -26,31 +26,31 @@
 
 // KeepLearned has snapshots of the learned state stored from now on, one in every so long at most.
 func (r *Router) KeepLearned(k keeper, every time.Duration) {
-	r.learned = learnedState{keeper: k, every: logic.Micros(every.Microseconds())}
+	r.learned = learnedState{keeper: k, every: dispatch.Micros(every.Microseconds())}
 }
 
 // RestoreLearned hands the learned state of an earlier run to the decisions, beside the list that it is about; nil where there is none
 // that can be used.
-func (r *Router) RestoreLearned(before *logic.Lore) {
+func (r *Router) RestoreLearned(before *dispatch.Lore) {
 	if before == nil || len(r.events) == 0 {
 		return
 	}
 	// After the list, which is the first event, and before the messages that were held.
-	r.events = append(r.events[:1:1], append([]logic.Event{logic.Learned{Lore: *before}}, r.events[1:]...)...)
+	r.events = append(r.events[:1:1], append([]dispatch.Event{dispatch.Learned{Lore: *before}}, r.events[1:]...)...)
 }
 
 // observe takes down that an attempt had an outcome.
-func (l *learnedState) observe(o logic.Outcome) {
+func (l *learnedState) observe(o dispatch.Outcome) {
 	switch o {
-	case logic.Done:
+	case dispatch.Done:
 		l.served = true
-	case logic.Void, logic.Withdrawn:
+	case dispatch.Void, dispatch.Withdrawn:
 	default:
 		l.troubled = true
 	}
 }
 
-func (l *learnedState) due() logic.Micros {
+func (l *learnedState) due() dispatch.Micros {
 	switch {
 	case l.keeper == nil:
 	case l.troubled:
@@ -71,8 +71,8 @@
 }
 
 // snapshotLearned is what the decisions have learned by now.
-func (r *Router) snapshotLearned() (l logic.Lore) {
-	if d, ok := r.courier.(interface{ Lore() logic.Lore }); ok {
+func (r *Router) snapshotLearned() (l dispatch.Lore) {
+	if d, ok := r.courier.(interface{ Lore() dispatch.Lore }); ok {
 		l = d.Lore()
 	}
 	return l
--- a/routing/links.go
+++ b/server/links.go
@@ -1,4 +1,4 @@
-package routing
+package server
 
 import (
 	"errors"
@@ -6,7 +6,7 @@
 	"slices"
 	"sync/atomic"
 
-	"pineport/logic"
+	"pineport/dispatch"
 	"pineport/protocol"
 	"pineport/transport"
 )
@@ -56,8 +56,8 @@
 	answered  atomic.Int64 // the request whose answer was complete; written by the poller, whose own the parser is
 	toldBegun int64        // the request of which the router knows that its answer has begun, else 0
 	x         *exchange
-	idle      logic.Micros // since when
-	first     atomic.Int64 // status of an answer that has begun and is not complete
+	idle      dispatch.Micros // since when
+	first     atomic.Int64    // status of an answer that has begun and is not complete
 }
 
 type (
@@ -133,7 +133,7 @@
 	slow []*exchange      // with bytes that the socket has not taken
 	all  map[*link]bool
 	most int
-	rest logic.Micros // how long an idle connection is kept
+	rest dispatch.Micros // how long an idle connection is kept
 }
 
 func (ls *links) init(r *Router) {
@@ -202,7 +202,7 @@
 const slowEvery = 50 * 1000
 
 // unwritten is when to look again at what the sockets have not taken yet.
-func (ls *links) unwritten() logic.Micros {
+func (ls *links) unwritten() dispatch.Micros {
 	if len(ls.slow) == 0 {
 		return never
 	}
@@ -361,7 +361,7 @@
 }
 
 // due is when the next idle connection has been kept long enough.
-func (ls *links) due() logic.Micros {
+func (ls *links) due() dispatch.Micros {
 	at := never
 	for _, pool := range ls.idle {
 		if len(pool) > 0 {
--- a/routing/listing.go
+++ b/server/listing.go
@@ -1,20 +1,20 @@
-package routing
+package server
 
 import (
 	"maps"
 	"slices"
 
-	"pineport/logic"
+	"pineport/dispatch"
 	"pineport/protocol"
 )
 
 // applyListing hands a list, or changes of it, to the decisions, and keeps the addresses.
-func (r *Router) applyListing(l protocol.List, how logic.ListKind) {
+func (r *Router) applyListing(l protocol.List, how dispatch.ListKind) {
 	for _, fault := range l.Faults {
 		r.log.Warn("entry of the list left out", "fault", fault)
 	}
-	news, before := logic.ListNews{How: how}, maps.Clone(r.hosts)
-	if how != logic.Partial {
+	news, before := dispatch.ListNews{How: how}, maps.Clone(r.hosts)
+	if how != dispatch.Partial {
 		clear(r.hosts)
 	}
 	for _, h := range l.Hosts {
@@ -58,10 +58,10 @@
 	return ok && until > r.now || len(r.dests) == 0
 }
 
-func (r *Router) listing(h protocol.Host) (logic.Listing, bool) {
-	phases := map[protocol.Health]logic.Phase{protocol.InService: logic.In, protocol.Terminating: logic.Draining,
-		protocol.Terminated: logic.Gone}
+func (r *Router) listing(h protocol.Host) (dispatch.Listing, bool) {
+	phases := map[protocol.Health]dispatch.Phase{protocol.InService: dispatch.In, protocol.Terminating: dispatch.Draining,
+		protocol.Terminated: dispatch.Gone}
 	zone, shape := slices.Index(r.dep.Zones, h.Zone), slices.Index(r.dep.Shapes, h.Kind)
-	return logic.Listing{Endpoint: logic.EndpointID(h.Host), Zone: logic.ZoneID(zone), Shape: logic.ShapeID(shape),
-		Dest: logic.DestID(h.Dest), Phase: phases[h.Health], Rate: h.Rate}, zone >= 0 && shape >= 0
+	return dispatch.Listing{Endpoint: dispatch.EndpointID(h.Host), Zone: dispatch.ZoneID(zone), Shape: dispatch.ShapeID(shape),
+		Dest: dispatch.DestID(h.Dest), Phase: phases[h.Health], Rate: h.Rate}, zone >= 0 && shape >= 0
 }
--- a/routing/malformed.go
+++ b/server/malformed.go
@@ -1,9 +1,9 @@
-package routing
+package server
 
 import (
 	"log/slog"
 
-	"pineport/logic"
+	"pineport/dispatch"
 )
 
 // malformed is what came in that could not be used, since it was last logged: one line for all of it, as it may come at
@@ -11,12 +11,12 @@
 type malformed struct {
 	clients, answers int
 	client, answer   error // the last
-	next             logic.Micros
+	next             dispatch.Micros
 }
 
 const tellMalformed = 10 * 1000 * 1000
 
-func (m *malformed) tell(log *slog.Logger, now logic.Micros) {
+func (m *malformed) tell(log *slog.Logger, now dispatch.Micros) {
 	if now < m.next || m.clients+m.answers == 0 {
 		return
 	}
--- a/routing/message.go
+++ b/server/message.go
@@ -1,7 +1,7 @@
-package routing
+package server
 
 import (
-	"pineport/logic"
+	"pineport/dispatch"
 	"pineport/protocol"
 	"pineport/spool"
 	"slices"
@@ -9,20 +9,20 @@
 
 // message is a message that the courier has accepted, for as long as it is not ended or a call with it is still out.
 type message struct {
-	kept       *spool.Record // as the spool has it
-	waiting    []*reply      // until they are written; more than one where it was handed in again in the same step
-	acceptedAt logic.Micros  // or taken up again after a restart
+	kept       *spool.Record   // as the spool has it
+	waiting    []*reply        // until they are written; more than one where it was handed in again in the same step
+	acceptedAt dispatch.Micros // or taken up again after a restart
 	attempts   []*attempt
 	out        int // attempts that are not over
 	ended      bool
 	// repeatWindow is how long a repeat is known by its idempotency key, as the class had it when the message was accepted; 0: no matter.
-	repeatWindow logic.Micros
+	repeatWindow dispatch.Micros
 }
 
 // repeatWindow is the window of a class whose repeats are known by an idempotency key; 0 for all others.
-func (r *Router) repeatWindow(workload string) logic.Micros {
+func (r *Router) repeatWindow(workload string) dispatch.Micros {
 	class := r.dep.Charter.Workloads[slices.Index(r.dep.Workloads, workload)]
-	if class.Repeat != logic.Referenced {
+	if class.Repeat != dispatch.Referenced {
 		return 0
 	}
 	return class.Window
@@ -30,21 +30,21 @@
 
 // windowOver tells whether an earlier attempt may have run, so long ago that a repeat is not known by its idempotency key any more.
 // Failure: a repeat that was decided within the window went out after it, as its connection took a second to come up.
-func (m *message) windowOver(now logic.Micros) bool {
+func (m *message) windowOver(now dispatch.Micros) bool {
 	if m.repeatWindow == 0 {
 		return false
 	}
 	for _, trip := range m.kept.Trips {
 		if outcome, heard := outcomes[trip.Outcome]; !heard || mayHaveRun(outcome) {
-			return now >= logic.Micros(trip.Sent)+m.repeatWindow
+			return now >= dispatch.Micros(trip.Sent)+m.repeatWindow
 		}
 	}
 	return false
 }
 
 // mayHaveRun tells whether an attempt that ended so may have taken effect.
-func mayHaveRun(outcome logic.Outcome) bool {
-	return outcome != logic.Full && outcome != logic.Unreachable && outcome != logic.Void
+func mayHaveRun(outcome dispatch.Outcome) bool {
+	return outcome != dispatch.Full && outcome != dispatch.Unreachable && outcome != dispatch.Void
 }
 
 // attempt is one try to deliver a message: a call to an endpoint, alone or together with attempts of other messages.
@@ -52,10 +52,10 @@
 	message   *message
 	number    int // among the message's attempts, from 0
 	call      *call
-	sent      logic.Micros // when it was decided
-	limit     logic.Micros // when this side stops waiting
-	noted     bool         // in the spool
-	rechecked bool         // as it was to be given up, something had come
+	sent      dispatch.Micros // when it was decided
+	limit     dispatch.Micros // when this side stops waiting
+	noted     bool            // in the spool
+	rechecked bool            // as it was to be given up, something had come
 	over      bool
 }
 
@@ -68,11 +68,11 @@
 }
 
 // accepted is what the decisions are told of a message that was accepted.
-func (r *Router) accepted(k *spool.Record) logic.Taken {
-	return logic.Taken{Record: logic.RecordID(k.ID), Dest: logic.DestID(k.Dest),
-		Workload: logic.WorkloadID(slices.Index(r.dep.Workloads, k.Workload)),
-		Party:    logic.PartyID(max(0, slices.Index(r.dep.Parties, k.Party))), Key: logic.Key(k.Key),
-		CutOff: logic.Micros(k.CutOff), Again: k.Again}
+func (r *Router) accepted(k *spool.Record) dispatch.Taken {
+	return dispatch.Taken{Record: dispatch.RecordID(k.ID), Dest: dispatch.DestID(k.Dest),
+		Workload: dispatch.WorkloadID(slices.Index(r.dep.Workloads, k.Workload)),
+		Party:    dispatch.PartyID(max(0, slices.Index(r.dep.Parties, k.Party))), Key: dispatch.Key(k.Key),
+		CutOff: dispatch.Micros(k.CutOff), Again: k.Again}
 }
 
 // How a message ended that was not delivered, as the spool has it.
@@ -90,18 +90,18 @@
 }
 
 // reject ends a message undelivered in a way that may be tried again, after the pause.
-func (r *Router) reject(id logic.RecordID, pause logic.Micros) {
+func (r *Router) reject(id dispatch.RecordID, pause dispatch.Micros) {
 	againMs := int64((pause + 999) / 1000)
 	r.endUndelivered(id, undelivered{reply: protocol.ReplyBusy(againMs), stored: storedRejected, againMs: againMs, counted: rejected})
 }
 
 // fail ends a message undelivered for good: trying again might do harm.
-func (r *Router) fail(id logic.RecordID) {
+func (r *Router) fail(id dispatch.RecordID) {
 	r.endUndelivered(id, undelivered{reply: protocol.ReplyError("ERR terminated"), stored: storedFailed, counted: failed})
 }
 
 // endUndelivered tells the client how a message ended if it still waits for its reply, and else the platform.
-func (r *Router) endUndelivered(id logic.RecordID, how undelivered) {
+func (r *Router) endUndelivered(id dispatch.RecordID, how undelivered) {
 	message := r.messages[id]
 	if message == nil || message.ended {
 		return
@@ -134,6 +134,6 @@
 // forget gives up what is held of a message that is ended, once no call with it is out.
 func (r *Router) forget(message *message) {
 	if message.ended && message.out == 0 {
-		delete(r.messages, logic.RecordID(message.kept.ID))
+		delete(r.messages, dispatch.RecordID(message.kept.ID))
 	}
 }
--- a/routing/operators.go
+++ b/server/operators.go
@@ -1,4 +1,4 @@
-package routing
+package server
 
 import (
 	"context"
@@ -8,10 +8,10 @@
 	"slices"
 	"sync/atomic"
 
+	"pineport/admin"
 	"pineport/config"
-	"pineport/logic"
+	"pineport/dispatch"
 	"pineport/maintenance"
-	"pineport/ops"
 )
 
 // doorSize bounds what operators may have waiting; each of them waits for the answer.
@@ -45,10 +45,10 @@
 	generation int64           // of changes of that
 	keeper     *maintenance.Keeper
 	open       atomic.Bool // clients are taken
-	partAt     logic.Micros
+	partAt     dispatch.Micros
 	answers    []func()
-	shown      atomic.Pointer[ops.Figures]
-	showAt     logic.Micros
+	shown      atomic.Pointer[admin.Figures]
+	showAt     dispatch.Micros
 	reloads    int64
 	faulty     atomic.Int64
 }
@@ -71,7 +71,7 @@
 // remind tells decisions that begin who is out.
 func (o *operators) remind() {
 	for _, id := range slices.Sorted(maps.Keys(o.out)) {
-		o.r.events = append(o.r.events, logic.Maintained{Endpoint: logic.EndpointID(id), Out: true})
+		o.r.events = append(o.r.events, dispatch.Maintained{Endpoint: dispatch.EndpointID(id), Out: true})
 	}
 }
 
@@ -79,7 +79,7 @@
 func (r *Router) Serving() bool { return r.operators.open.Load() }
 
 // Figures are the last that were made up.
-func (r *Router) Figures() *ops.Figures { return r.operators.shown.Load() }
+func (r *Router) Figures() *admin.Figures { return r.operators.shown.Load() }
 
 // FaultyReload counts a configuration that was left out.
 func (r *Router) FaultyReload() { r.operators.faulty.Add(1) }
@@ -119,9 +119,9 @@
 	}
 	a := answer{}
 	switch w := q.what.(type) {
-	case ops.Maintain:
+	case admin.Maintain:
 		a = o.maintain(w)
-	case ops.Away:
+	case admin.Away:
 		o.send(w.Away)
 	default:
 		a.err = fmt.Errorf("%w: %T", errNoOps, q.what)
@@ -130,10 +130,10 @@
 }
 
 // maintain takes an endpoint out or puts it back; it must be on the list, or out.
-func (o *operators) maintain(w ops.Maintain) answer {
-	host, listed := o.r.hosts[logic.EndpointID(w.Endpoint)]
+func (o *operators) maintain(w admin.Maintain) answer {
+	host, listed := o.r.hosts[dispatch.EndpointID(w.Endpoint)]
 	if !listed && !o.out[w.Endpoint] {
-		return answer{err: ops.ErrUnknown}
+		return answer{err: admin.ErrUnknown}
 	}
 	if o.out[w.Endpoint] != w.Out {
 		if o.generation++; w.Out {
@@ -143,7 +143,7 @@
 			delete(o.out, w.Endpoint)
 		}
 		o.r.log.Info("maintenance", "endpoint", w.Endpoint, "out", w.Out)
-		o.r.events = append(o.r.events, logic.Maintained{Endpoint: logic.EndpointID(w.Endpoint), Out: w.Out})
+		o.r.events = append(o.r.events, dispatch.Maintained{Endpoint: dispatch.EndpointID(w.Endpoint), Out: w.Out})
 	}
 	return answer{generation: o.generation, out: maps.Clone(o.out)} // written again if it is there already: the first try may have failed
 }
@@ -169,7 +169,7 @@
 
 func (o *operators) away() bool { return o.partAt < never }
 
-func (o *operators) due() logic.Micros { return min(o.partAt, o.showAt) }
+func (o *operators) due() dispatch.Micros { return min(o.partAt, o.showAt) }
 
 // tick closes what rests while clients are sent away.
 func (o *operators) tick() {
--- a/routing/platform.go
+++ b/server/platform.go
@@ -1,11 +1,11 @@
-package routing
+package server
 
 import (
 	"errors"
 	"fmt"
 	"slices"
 
-	"pineport/logic"
+	"pineport/dispatch"
 	"pineport/protocol"
 	"pineport/spool"
 )
@@ -34,8 +34,8 @@
 // owed is a notice that the platform has not confirmed.
 type owed struct {
 	notice protocol.Notice
-	until  logic.Micros
-	next   logic.Micros // when it goes, or goes again
+	until  dispatch.Micros
+	next   dispatch.Micros // when it goes, or goes again
 	tries  int
 	over   bool
 }
@@ -43,7 +43,7 @@
 // telling is one call with notices.
 type telling struct {
 	x    *exchange
-	by   logic.Micros
+	by   dispatch.Micros
 	with []*owed
 }
 
@@ -52,9 +52,9 @@
 	r        *Router
 	seq      int64
 	watching *exchange
-	watchBy  logic.Micros
-	askAt    logic.Micros
-	askedAt  logic.Micros
+	watchBy  dispatch.Micros
+	askAt    dispatch.Micros
+	askedAt  dispatch.Micros
 	cuts     int // lists in a row that broke off
 	owed     []*owed
 	calls    []*telling
@@ -100,14 +100,14 @@
 		p.r.log.Warn("watch failed", "fault", err, "cut", cut)
 		if cut { // it has begun to tell, and what it told counts
 			if list := protocol.ReadPart(part); list.Seq > p.seq {
-				p.r.applyListing(list, logic.Partial)
+				p.r.applyListing(list, dispatch.Partial)
 			}
 			// Failure: a list that broke off each time was asked for thirty times a second.
-			p.askAt = p.r.now + min(logic.Micros(cutAgain)<<min(p.cuts, 8), askAgain)
+			p.askAt = p.r.now + min(dispatch.Micros(cutAgain)<<min(p.cuts, 8), askAgain)
 			p.cuts++
 			return
 		}
-		p.r.events = append(p.r.events, logic.ListNews{How: logic.ListError})
+		p.r.events = append(p.r.events, dispatch.ListNews{How: dispatch.ListError})
 		if !p.r.dep.Charter.MustAsk {
 			p.askAt = p.r.now + askAgain
 		}
@@ -118,9 +118,9 @@
 	case list.Seq < p.seq:
 		p.r.log.Warn("an older list left out", "seq", list.Seq, "held", p.seq)
 	case list.Whole:
-		p.r.applyListing(list, logic.Complete)
+		p.r.applyListing(list, dispatch.Complete)
 	default:
-		p.r.applyListing(list, logic.Partial)
+		p.r.applyListing(list, dispatch.Partial)
 	}
 	if list.Seq <= p.seq && p.r.now-p.askedAt < nothingNew {
 		p.askAt = p.r.now + nothingNew
@@ -158,11 +158,11 @@
 
 // tell owes the platform the end of a message.
 func (p *platform) tell(k *spool.Record) {
-	p.owed = append(p.owed, &owed{until: logic.Micros(k.CutOff) + noticeLong,
+	p.owed = append(p.owed, &owed{until: dispatch.Micros(k.CutOff) + noticeLong,
 		notice: protocol.Notice{ID: k.ID, Bounced: k.Ended == storedRejected, AgainMs: k.AgainMs}})
 }
 
-func (p *platform) due() logic.Micros {
+func (p *platform) due() dispatch.Micros {
 	at := min(p.watchBy, p.askAt)
 	for _, t := range p.calls {
 		at = min(at, t.by)
--- a/routing/recovery.go
+++ b/server/recovery.go
@@ -1,12 +1,12 @@
-package routing
+package server
 
 import (
 	"cmp"
 	"maps"
 	"slices"
 
-	"pineport/handover"
-	"pineport/logic"
+	"pineport/dispatch"
+	"pineport/handoff"
 	"pineport/spool"
 )
 
@@ -17,7 +17,7 @@
 		return
 	}
 	for _, attempt := range append([]*attempt(nil), r.inFlight...) {
-		r.complete(attempt, logic.Settled{Outcome: logic.Broken})
+		r.complete(attempt, dispatch.Settled{Outcome: dispatch.Broken})
 		r.drop(attempt.call)
 	}
 	r.events, r.courier, r.wakeAt = nil, r.begin(), never
@@ -27,7 +27,7 @@
 		held = append(held, message)
 	}
 	slices.SortFunc(held, func(a, b *message) int { return cmp.Compare(a.kept.Number, b.kept.Number) })
-	news := logic.ListNews{How: logic.Persisted}
+	news := dispatch.ListNews{How: dispatch.Persisted}
 	for _, id := range slices.Sorted(maps.Keys(r.hosts)) {
 		if l, ok := r.listing(r.hosts[id]); ok {
 			news.Entries = append(news.Entries, l)
@@ -36,12 +36,12 @@
 	r.events = append(r.events, news)
 	r.operators.remind()
 	if r.endBy < never {
-		r.events = append(r.events, logic.Closing{At: r.endBy})
+		r.events = append(r.events, dispatch.Closing{At: r.endBy})
 	}
 	r.failed++
 	for _, message := range held {
 		if r.failed > 1 {
-			r.fail(logic.RecordID(message.kept.ID))
+			r.fail(dispatch.RecordID(message.kept.ID))
 		} else if !message.ended {
 			r.events = append(r.events, r.recall(message))
 		}
@@ -49,11 +49,11 @@
 }
 
 // recover hands what the spool held to the decisions.
-func (r *Router) recover(unfinished []*spool.Record, given *handover.State) {
-	out := map[handover.Out]logic.Micros{}
+func (r *Router) recover(unfinished []*spool.Record, given *handoff.State) {
+	out := map[handoff.Out]dispatch.Micros{}
 	if given != nil {
 		for _, o := range given.Out {
-			out[handover.Out{Record: o.Record, Trip: o.Trip}] = o.Limit
+			out[handoff.Out{Record: o.Record, Trip: o.Trip}] = o.Limit
 		}
 	}
 	for _, kept := range unfinished {
@@ -69,13 +69,13 @@
 		}
 		message := &message{kept: kept, acceptedAt: r.now, repeatWindow: r.repeatWindow(kept.Workload)}
 		for i := range kept.Trips {
-			attempt := &attempt{message: message, number: i, sent: logic.Micros(kept.Trips[i].Sent), noted: true, over: true}
+			attempt := &attempt{message: message, number: i, sent: dispatch.Micros(kept.Trips[i].Sent), noted: true, over: true}
 			message.attempts = append(message.attempts, attempt)
-			if limit, ok := out[handover.Out{Record: kept.ID, Trip: i}]; ok {
+			if limit, ok := out[handoff.Out{Record: kept.ID, Trip: i}]; ok {
 				r.upgrade.adopt(attempt, limit)
 			}
 		}
-		r.messages[logic.RecordID(kept.ID)] = message
+		r.messages[dispatch.RecordID(kept.ID)] = message
 		r.counters.accepted()
 		r.events = append(r.events, r.recall(message))
 	}
@@ -85,15 +85,15 @@
 }
 
 // recall is what the decisions are told of a message from before them.
-func (r *Router) recall(message *message) logic.Recovered {
-	e := logic.Recovered{Taken: r.accepted(message.kept)}
+func (r *Router) recall(message *message) dispatch.Recovered {
+	e := dispatch.Recovered{Taken: r.accepted(message.kept)}
 	for i, t := range message.kept.Trips {
 		outcome, known := outcomes[t.Outcome]
 		if !known {
-			outcome = logic.Broken // nothing was heard: it may have run
+			outcome = dispatch.Broken // nothing was heard: it may have run
 		}
-		e.Trips = append(e.Trips, logic.Past{Endpoint: logic.EndpointID(t.Endpoint), Zone: logic.ZoneID(t.Zone),
-			Sent: logic.Micros(t.Sent), Outcome: outcome, Out: !message.attempts[i].over})
+		e.Trips = append(e.Trips, dispatch.Past{Endpoint: dispatch.EndpointID(t.Endpoint), Zone: dispatch.ZoneID(t.Zone),
+			Sent: dispatch.Micros(t.Sent), Outcome: outcome, Out: !message.attempts[i].over})
 	}
 	return e
 }
--- a/routing/reload.go
+++ b/server/reload.go
@@ -1,10 +1,10 @@
-package routing
+package server
 
 import (
 	"pineport/config"
-	"pineport/learned"
-	"pineport/logic"
+	"pineport/dispatch"
 	"pineport/maintenance"
+	"pineport/snapshot"
 )
 
 // Reloaded has f told of each configuration that was taken over, for what the process itself must set.
@@ -39,7 +39,7 @@
 		r.spool.Resize(SpoolRoom(merged))
 	}
 	if !old.SameDecisions(merged) {
-		r.events = append(r.events, logic.Rechartered{Charter: r.charter()})
+		r.events = append(r.events, dispatch.Rechartered{Charter: r.charter()})
 		r.watch.recharter(r)
 	}
 	for name := range merged.Retired { // the decisions need not hear of it: they end what is held, and get no more
@@ -67,7 +67,7 @@
 	folder := int64(dep.SpoolMB * 1e6)
 	left := folder
 	if dep.Learn > 0 {
-		room, _ := learned.Room(folder)
+		room, _ := snapshot.Room(folder)
 		left -= room
 	}
 	if dep.Ops != "" {
--- a/routing/repeat_window_test.go
+++ b/server/repeat_window_test.go
@@ -1,4 +1,4 @@
-package routing_test
+package server_test
 
 import (
 	"bufio"
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"pineport/lab/scripted"
-	"pineport/routing"
+	"pineport/server"
+	"pineport/testbed/scripted"
 )
 
 // lateEndpoint is an endpoint whose connections come up when the test says: meanwhile its system drops what asks for one, and
@@ -70,7 +70,7 @@
 	}
 	defer w.Close()
 	w.Endpoints[0] = l.Addr().String()
-	listen := routing.StartCourier(t, w, func(text []byte) []byte {
+	listen := server.StartCourier(t, w, func(text []byte) []byte {
 		for from, to := range map[string]string{`"single_shot"`: `"guarded"`, `"dedup-window-s": 5`: `"dedup-window-s": 1`,
 			`"connect-timeout-s": 1`: `"connect-timeout-s": 3`} {
 			if !bytes.Contains(text, []byte(from)) {
--- a/routing/router.go
+++ b/server/router.go
@@ -1,6 +1,6 @@
-// Package routing joins the decisions with the outside: one goroutine owns the logic.Courier and all that is
+// Package server joins the decisions with the outside: one goroutine owns the dispatch.Courier and all that is
 // known of messages, gathers what happened, calls Handle and carries out what it returns. It decides nothing.
-package routing
+package server
 
 import (
 	"fmt"
@@ -11,23 +11,23 @@
 	"time"
 
 	"pineport/config"
-	"pineport/handover"
-	"pineport/logic"
-	"pineport/logs"
+	"pineport/dispatch"
+	"pineport/handoff"
+	"pineport/logging"
 	"pineport/protocol"
 	"pineport/spool"
 	"pineport/transport"
 )
 
-const never = logic.Micros(math.MaxInt64)
+const never = dispatch.Micros(math.MaxInt64)
 
 // inboxSize bounds what waits for the router; when it is full the poller reads on later. 256 took 70 MB of small
 // commands from five clients that read no replies.
 const inboxSize = 64
 
-// decider is a logic.Courier.
+// decider is a dispatch.Courier.
 type decider interface {
-	Handle(logic.Micros, []logic.Event) []logic.Action
+	Handle(dispatch.Micros, []dispatch.Event) []dispatch.Action
 }
 
 // Router runs one courier.
@@ -44,16 +44,16 @@
 	door    chan any // operators and the other process of an upgrade, served before the inbox
 
 	base      time.Time // for the clock: Unix time at the start, and what has passed since
-	baseUnix  logic.Micros
-	now       logic.Micros
-	wakeAt    logic.Micros
-	events    []logic.Event
+	baseUnix  dispatch.Micros
+	now       dispatch.Micros
+	wakeAt    dispatch.Micros
+	events    []dispatch.Event
 	replies   []*reply
-	messages  map[logic.RecordID]*message
+	messages  map[dispatch.RecordID]*message
 	inFlight  []*attempt // oldest first
-	hosts     map[logic.EndpointID]protocol.Host
-	dests     map[int]logic.Micros    // those that lists name, and until when
-	waits     map[string]logic.Micros // told by a route, until when; the decisions keep their own
+	hosts     map[dispatch.EndpointID]protocol.Host
+	dests     map[int]dispatch.Micros    // those that lists name, and until when
+	waits     map[string]dispatch.Micros // told by a route, until when; the decisions keep their own
 	links     links
 	clients   clients
 	platform  platform
@@ -64,33 +64,33 @@
 	operators operators
 	upgrade   upgrade
 	reloaded  func(*config.Deployment) // told of each configuration taken over
-	parted    func() *handover.Peers   // gives up this process's place in the fleet
+	parted    func() *handoff.Peers    // gives up this process's place in the fleet
 	couriers  atomic.Int64             // that the fleet counts, 0 where nobody does
 	reckoned  int64
 	counted   int // couriers, as the decisions were told
-	needs     atomic.Pointer[[]logic.Need]
-	needsAt   logic.Micros
-	lentTo    logic.Micros // until then an earlier start may have lent half of each part
-	endBy     logic.Micros
+	needs     atomic.Pointer[[]dispatch.Need]
+	needsAt   dispatch.Micros
+	lentTo    dispatch.Micros // until then an earlier start may have lent half of each part
+	endBy     dispatch.Micros
 	leaving   bool
-	lastBy    logic.Micros // while leaving: until then at the latest
-	partAt    logic.Micros // from here on clients' connections are closed between requests
+	lastBy    dispatch.Micros // while leaving: until then at the latest
+	partAt    dispatch.Micros // from here on clients' connections are closed between requests
 }
 
 // New makes a router over an open spool; unfinished is what the spool still held. given is what the process before this one
 // handed over while it ran, nil where none did.
-func New(dep *config.Deployment, sp *spool.Spool, unfinished []*spool.Record, given *handover.State, log *slog.Logger) (*Router, error) {
+func New(dep *config.Deployment, sp *spool.Spool, unfinished []*spool.Record, given *handoff.State, log *slog.Logger) (*Router, error) {
 	r := &Router{dep: dep, log: log, spool: sp, inbox: make(chan any, inboxSize), door: make(chan any, doorSize),
-		base: time.Now(), wakeAt: never, endBy: never, partAt: never, messages: map[logic.RecordID]*message{},
-		hosts: map[logic.EndpointID]protocol.Host{}, waits: map[string]logic.Micros{}, dests: map[int]logic.Micros{}}
-	r.tracer = log.With(logs.Component, "decisions")
-	r.baseUnix = logic.Micros(r.base.UnixMicro())
+		base: time.Now(), wakeAt: never, endBy: never, partAt: never, messages: map[dispatch.RecordID]*message{},
+		hosts: map[dispatch.EndpointID]protocol.Host{}, waits: map[string]dispatch.Micros{}, dests: map[int]dispatch.Micros{}}
+	r.tracer = log.With(logging.Component, "decisions")
+	r.baseUnix = dispatch.Micros(r.base.UnixMicro())
 	r.now = r.baseUnix
 	r.begin = func() decider {
 		r.holdBack()
 		ch := r.charter()
 		r.counted = ch.Couriers
-		return logic.New(ch)
+		return dispatch.New(ch)
 	}
 	r.courier = r.begin()
 	r.watch.start(r)
@@ -108,7 +108,7 @@
 		list = protocol.List{Seq: given.Seq, Whole: true, Hosts: given.Hosts}
 	}
 	r.platform.seq = list.Seq
-	r.applyListing(list, logic.Persisted)
+	r.applyListing(list, dispatch.Persisted)
 	if given != nil {
 		r.upgrade.inherit(given)
 	}
@@ -180,8 +180,8 @@
 	return transport.Open(r.dep.Listen, inherited, r.dep.Sockets, r.log, r.clients.admit, r.clients.accept)
 }
 
-func (r *Router) clock() logic.Micros {
-	return r.baseUnix + logic.Micros(time.Since(r.base).Microseconds())
+func (r *Router) clock() dispatch.Micros {
+	return r.baseUnix + dispatch.Micros(time.Since(r.base).Microseconds())
 }
 
 // check logs what the spool could not write; decisions go on with what is in memory.
--- a/routing/router_test.go
+++ b/server/router_test.go
@@ -1,4 +1,4 @@
-package routing
+package server
 
 import (
 	"bufio"
@@ -13,12 +13,12 @@
 	"time"
 
 	"pineport/config"
-	"pineport/handover"
-	"pineport/lab/port"
-	"pineport/lab/scripted"
-	"pineport/logic"
+	"pineport/dispatch"
+	"pineport/handoff"
 	"pineport/protocol"
 	"pineport/spool"
+	"pineport/testbed/port"
+	"pineport/testbed/scripted"
 	"pineport/transport"
 )
 
@@ -29,13 +29,13 @@
 	times *int
 }
 
-func (f failing) Handle(now logic.Micros, events []logic.Event) []logic.Action {
+func (f failing) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
 	for _, event := range events {
-		var id logic.RecordID
+		var id dispatch.RecordID
 		switch e := event.(type) {
-		case logic.Taken:
+		case dispatch.Taken:
 			id = e.Record
-		case logic.Recovered:
+		case dispatch.Recovered:
 			id = e.Record
 		}
 		if strings.HasPrefix(string(id), f.at) && *f.times > 0 {
@@ -467,7 +467,7 @@
 		r.links.rests(l)
 		after := before
 		change(&after)
-		r.applyListing(protocol.List{Whole: true, Hosts: []protocol.Host{after}}, logic.Complete)
+		r.applyListing(protocol.List{Whole: true, Hosts: []protocol.Host{after}}, dispatch.Complete)
 		if kept := r.links.all[l] && len(r.links.idle[peerOf(after)]) == 1; kept != (name == "same") {
 			t.Errorf("%s: kept %v", name, kept)
 		}
@@ -552,12 +552,12 @@
 func TestOvertakenWhileDialling(t *testing.T) {
 	for name, overtake := range map[string]func(r *Router){
 		"wait":    func(r *Router) { r.waits["1"] = r.now + 1000*1000 },
-		"gone":    func(r *Router) { r.applyListing(protocol.List{Whole: true}, logic.Complete) },
+		"gone":    func(r *Router) { r.applyListing(protocol.List{Whole: true}, dispatch.Complete) },
 		"nothing": func(*Router) {},
 		"drain": func(r *Router) {
 			for _, h := range r.hosts {
 				h.Health = protocol.Terminating
-				r.applyListing(protocol.List{Hosts: []protocol.Host{h}}, logic.Partial)
+				r.applyListing(protocol.List{Hosts: []protocol.Host{h}}, dispatch.Partial)
 			}
 		},
 	} {
@@ -622,7 +622,7 @@
 // TestSuccessorLostWhileGiving. Failure: a successor that left while all was made ready for it was given it, and nobody decided any more.
 func TestSuccessorLostWhileGiving(t *testing.T) {
 	r := prepare(t, open(t, 0))
-	if do, why := r.upgrade.giver.Knocked(&handover.Hello{Version: handover.Version, Courier: "n0"}); do != handover.Give {
+	if do, why := r.upgrade.giver.Knocked(&handoff.Hello{Version: handoff.Version, Courier: "n0"}); do != handoff.Give {
 		t.Fatal(why)
 	}
 	r.upgrade.giving = true
--- a/routing/share.go
+++ b/server/share.go
@@ -1,15 +1,15 @@
-package routing
+package server
 
 import (
 	"time"
 
-	"pineport/commons"
-	"pineport/logic"
+	"pineport/dispatch"
+	"pineport/quota"
 )
 
 // sharing is what couriers have settled among themselves, on its way to the decisions.
 type sharing struct {
-	parts   []commons.Part
+	parts   []quota.Part
 	zero    time.Time // their clock's
 	applied chan struct{}
 }
@@ -19,7 +19,7 @@
 
 // Share hands the decisions what stands on limits, at their next step; what it returns is closed after that. It never waits: nil where
 // this process cannot take it just now.
-func (r *Router) Share(parts []commons.Part, zero time.Time) (applied <-chan struct{}) {
+func (r *Router) Share(parts []quota.Part, zero time.Time) (applied <-chan struct{}) {
 	s := sharing{parts, zero, make(chan struct{})}
 	select {
 	case r.door <- s:
@@ -30,7 +30,7 @@
 }
 
 // Needs is what the decisions last told of their routes.
-func (r *Router) Needs() []logic.Need {
+func (r *Router) Needs() []dispatch.Need {
 	if all := r.needs.Load(); all != nil {
 		return *all
 	}
@@ -43,7 +43,7 @@
 // holdBack is told at each beginning of the decisions: an earlier start, or the decisions that failed, may have lent half of each part.
 func (r *Router) holdBack() {
 	if r.shares() {
-		r.lentTo = r.clock() + commons.Held
+		r.lentTo = r.clock() + quota.Held
 	}
 }
 
@@ -52,10 +52,10 @@
 	if r.upgrade.handed {
 		return // another process decides, and has been told nothing
 	}
-	at := func(t logic.Micros) logic.Micros {
-		return r.baseUnix + logic.Micros(s.zero.Add(time.Duration(t)*time.Microsecond).Sub(r.base).Microseconds())
+	at := func(t dispatch.Micros) dispatch.Micros {
+		return r.baseUnix + dispatch.Micros(s.zero.Add(time.Duration(t)*time.Microsecond).Sub(r.base).Microseconds())
 	}
-	r.events = append(r.events, commons.Settled(s.parts, at))
+	r.events = append(r.events, quota.Settled(s.parts, at))
 	r.operators.answers = append(r.operators.answers, func() { close(s.applied) })
 }
 
@@ -65,7 +65,7 @@
 		return
 	}
 	r.needsAt = r.now + needsEvery
-	if d, ok := r.courier.(interface{ Needs() []logic.Need }); ok {
+	if d, ok := r.courier.(interface{ Needs() []dispatch.Need }); ok {
 		all := d.Needs()
 		r.needs.Store(&all)
 	}
--- a/routing/shutdown.go
+++ b/server/shutdown.go
@@ -1,18 +1,18 @@
-package routing
+package server
 
 import (
 	"time"
 
-	"pineport/logic"
+	"pineport/dispatch"
 )
 
 // beginShutdown has the process end after a grace; until then it goes on as before, and clients with somewhere else to go are sent there.
 func (r *Router) beginShutdown(grace time.Duration) {
 	r.upgrade.giver.Ending()
-	r.endBy = r.clock() + logic.Micros(grace.Microseconds())
+	r.endBy = r.clock() + dispatch.Micros(grace.Microseconds())
 	r.partAt = r.clock() + parting
 	r.operators.open.Store(false)
-	r.events = append(r.events, logic.Closing{At: r.endBy})
+	r.events = append(r.events, dispatch.Closing{At: r.endBy})
 	r.log.Info("told to end", "held", len(r.messages), "out", len(r.inFlight))
 }
 
--- a/routing/standing_terms_test.go
+++ b/server/standing_terms_test.go
@@ -1,4 +1,4 @@
-package routing_test
+package server_test
 
 import (
 	"bufio"
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"pineport/lab/port"
-	"pineport/lab/scripted"
-	"pineport/routing"
+	"pineport/server"
+	"pineport/testbed/port"
+	"pineport/testbed/scripted"
 )
 
 // Terms of the acceptance that hold whatever else is allowed; docs/crossings.md has a row for each. These tests see the courier
@@ -270,7 +270,7 @@
 				d := newMoodyDiscovery(t, w.Endpoints[0], fails)
 				w.Discovery = d.addr
 				seed++ // so that each draws its pauses anew
-				listen := routing.StartCourier(t, w, func(text []byte) []byte {
+				listen := server.StartCourier(t, w, func(text []byte) []byte {
 					text = bytes.ReplaceAll(text, []byte(`"seed": "8c1f30d27a5be964"`), fmt.Appendf(nil, `"seed": "%016x"`, seed))
 					text = bytes.ReplaceAll(text, []byte(`"sockets": 1024`), []byte(`"sockets": 8192`)) // of all in this process
 					return bytes.ReplaceAll(text, []byte(`"subscribe"`), []byte(`"`+mode+`"`))
--- a/routing/step.go
+++ b/server/step.go
@@ -1,14 +1,14 @@
-package routing
+package server
 
 import (
 	"fmt"
 	"runtime/debug"
 
-	"pineport/logic"
+	"pineport/dispatch"
 )
 
 // due is when something is to be done next, unasked.
-func (r *Router) due() logic.Micros {
+func (r *Router) due() dispatch.Micros {
 	at := min(r.wakeAt, r.links.due(), r.clients.due(), r.platform.due(), r.learned.due(), r.operators.due(), r.links.unwritten(), r.endBy, r.partAt)
 	for _, attempt := range r.inFlight {
 		at = min(at, attempt.limit)
@@ -50,7 +50,7 @@
 	}
 	if r.wakeAt <= r.now {
 		r.wakeAt = never
-		r.events = append(r.events, logic.Woken{})
+		r.events = append(r.events, dispatch.Woken{})
 	}
 	r.reckon()
 	for len(r.events) > 0 {
@@ -77,7 +77,7 @@
 }
 
 // decide asks the decisions. Should they fail, they begin anew, as after a restart of the process.
-func (r *Router) decide(events []logic.Event) (actions []logic.Action) {
+func (r *Router) decide(events []dispatch.Event) (actions []dispatch.Action) {
 	defer func() {
 		if fault := recover(); fault != nil {
 			r.log.Error("the decisions failed", "fault", fmt.Sprint(fault), "stack", string(debug.Stack()))
--- a/routing/trace.go
+++ b/server/trace.go
@@ -1,40 +1,40 @@
-package routing
+package server
 
 import (
 	"context"
 	"log/slog"
 
-	"pineport/logic"
+	"pineport/dispatch"
 )
 
 // trace writes what the decisions were told and what they did, at debug level of the component decisions: a
 // replay of a day counts them across the fleet. Off, it costs one check a step.
-func (r *Router) trace(events []logic.Event, actions []logic.Action) {
+func (r *Router) trace(events []dispatch.Event, actions []dispatch.Action) {
 	if !r.tracer.Enabled(context.Background(), slog.LevelDebug) {
 		return
 	}
 	for _, event := range events {
 		switch e := event.(type) {
-		case logic.Taken:
+		case dispatch.Taken:
 			r.tracer.Debug("taken", "record", e.Record, "dest", e.Dest, "workload", e.Workload)
-		case logic.Settled:
+		case dispatch.Settled:
 			r.tracer.Debug("settled", "record", e.Record, "trip", e.Trip, "outcome", e.Outcome, "took", e.Took,
 				"wait", e.Wait, "pressure", e.Pressure)
-		case logic.ListNews:
+		case dispatch.ListNews:
 			r.tracer.Debug("list", "how", e.How, "entries", len(e.Entries))
 		}
 	}
 	for _, action := range actions {
 		switch a := action.(type) {
-		case logic.Send:
+		case dispatch.Send:
 			r.tracer.Debug("send", "record", a.Record, "endpoint", a.Endpoint, "limit", a.Limit)
-		case logic.Cancel:
+		case dispatch.Cancel:
 			r.tracer.Debug("cancel", "record", a.Record, "trip", a.Trip)
-		case logic.Bounce:
+		case dispatch.Bounce:
 			r.tracer.Debug("bounce", "record", a.Record, "pause", a.Pause)
-		case logic.Terminate:
+		case dispatch.Terminate:
 			r.tracer.Debug("terminate", "record", a.Record)
-		case logic.Watch:
+		case dispatch.Watch:
 			r.tracer.Debug("watch")
 		}
 	}
--- a/routing/trace_test.go
+++ b/server/trace_test.go
@@ -1,4 +1,4 @@
-package routing
+package server
 
 import (
 	"bytes"
@@ -6,13 +6,13 @@
 	"strings"
 	"testing"
 
-	"pineport/logic"
+	"pineport/dispatch"
 )
 
 // The trace of the decisions tells what they were told and did, a line each, at debug level; above it, nothing.
 func TestTraceOfDecisions(t *testing.T) {
-	events := []logic.Event{logic.Taken{Record: "r7", Dest: 2}, logic.Settled{Record: "r7", Outcome: logic.Full, Wait: 500}}
-	actions := []logic.Action{logic.Send{Record: "r7", Endpoint: "s-1", Limit: 900}, logic.Bounce{Record: "r7", Pause: 40}}
+	events := []dispatch.Event{dispatch.Taken{Record: "r7", Dest: 2}, dispatch.Settled{Record: "r7", Outcome: dispatch.Full, Wait: 500}}
+	actions := []dispatch.Action{dispatch.Send{Record: "r7", Endpoint: "s-1", Limit: 900}, dispatch.Bounce{Record: "r7", Pause: 40}}
 	for _, level := range []slog.Level{slog.LevelDebug, slog.LevelInfo} {
 		var b bytes.Buffer
 		r := &Router{tracer: slog.New(slog.NewTextHandler(&b, &slog.HandlerOptions{Level: level}))}
--- a/routing/upgrade.go
+++ b/server/upgrade.go
@@ -1,4 +1,4 @@
-package routing
+package server
 
 import (
 	"errors"
@@ -8,10 +8,10 @@
 	"slices"
 	"time"
 
-	"pineport/handover"
-	"pineport/logic"
+	"pineport/admin"
+	"pineport/dispatch"
+	"pineport/handoff"
 	"pineport/maintenance"
-	"pineport/ops"
 	"pineport/protocol"
 )
 
@@ -21,56 +21,56 @@
 type (
 	// knock is a new process that is ready to take over.
 	knock struct {
-		link  *handover.Link
-		hello *handover.Hello
+		link  *handoff.Link
+		hello *handoff.Hello
 	}
 	// said is a message of the other process, nil when it has gone.
 	said struct {
-		link *handover.Link
-		m    *handover.Message
+		link *handoff.Link
+		m    *handoff.Message
 	}
 )
 
 // upgrade is the other process of an upgrade: first a predecessor that handed all to this one, later a successor.
 type upgrade struct {
 	r                *Router
-	giver            *handover.Giver
+	giver            *handoff.Giver
 	release          func() // frees the folder
-	successor        *handover.Link
+	successor        *handoff.Link
 	wanted           bool // the successor is ready, and nothing is handed over yet
 	giving           bool // between the two
 	handed           bool // the successor decides
 	regain           bool
-	predecessor      *handover.Link
-	strangers        []*attempt // of the predecessor, to endpoints that are not listed any more
-	learnedAtHandoff logic.Lore // as it was handed over, and the waits told since
+	predecessor      *handoff.Link
+	strangers        []*attempt    // of the predecessor, to endpoints that are not listed any more
+	learnedAtHandoff dispatch.Lore // as it was handed over, and the waits told since
 	asks             map[int64]chan answer
 	asked            int64
 }
 
 func (u *upgrade) init(r *Router) {
-	u.r, u.giver, u.asks, u.release = r, handover.NewGiver(r.dep.Name), map[int64]chan answer{}, func() {}
+	u.r, u.giver, u.asks, u.release = r, handoff.NewGiver(r.dep.Name), map[int64]chan answer{}, func() {}
 }
 
 // Successors lets new processes take over: release frees the folder at that instant.
 func (r *Router) Successors(release func()) { r.upgrade.release = release }
 
 // Knocked is told of a new process that is ready to take over.
-func (r *Router) Knocked(link *handover.Link, hello *handover.Hello) { r.door <- knock{link, hello} }
+func (r *Router) Knocked(link *handoff.Link, hello *handoff.Hello) { r.door <- knock{link, hello} }
 
 // Predecessor joins the router with the process that handed all over.
-func (r *Router) Predecessor(link *handover.Link) {
+func (r *Router) Predecessor(link *handoff.Link) {
 	r.upgrade.predecessor = link
 	go r.hear(link)
 }
 
-func (r *Router) hear(link *handover.Link) {
-	link.Listen(func(m *handover.Message) { r.door <- said{link, m} })
+func (r *Router) hear(link *handoff.Link) {
+	link.Listen(func(m *handoff.Message) { r.door <- said{link, m} })
 }
 
 func (u *upgrade) knocked(e knock) {
 	verdict, why := u.giver.Knocked(e.hello)
-	if verdict == handover.Refuse {
+	if verdict == handoff.Refuse {
 		u.r.log.Warn("a new process is refused", "why", why)
 		e.link.Refuse(why)
 		return
@@ -119,7 +119,7 @@
 	r.links.closeResting()
 	r.check(r.spool.Close())
 	u.release()
-	u.successor.Send(handover.Message{State: state})
+	u.successor.Send(handoff.Message{State: state})
 	u.giver.Given()
 	u.giving = false
 	r.counters.held = 0
@@ -133,15 +133,15 @@
 		if x := attempt.call.exchange; x != nil && !x.sent {
 			u.land(attempt)
 			u.r.links.abort(x)
-			u.r.outcome(attempt, logic.Void)
+			u.r.outcome(attempt, dispatch.Void)
 		}
 	}
 }
 
 // state is what the folder does not hold.
-func (u *upgrade) state() *handover.State {
+func (u *upgrade) state() *handoff.State {
 	r := u.r
-	s := &handover.State{Lore: r.snapshotLearned(), Seq: r.platform.seq, Waits: maps.Clone(r.waits), Gone: slices.Sorted(maps.Keys(r.operators.out)),
+	s := &handoff.State{Lore: r.snapshotLearned(), Seq: r.platform.seq, Waits: maps.Clone(r.waits), Gone: slices.Sorted(maps.Keys(r.operators.out)),
 		Away: r.operators.away()}
 	if r.parted != nil {
 		s.Peers = r.parted()
@@ -150,16 +150,16 @@
 		s.Hosts = append(s.Hosts, r.hosts[id])
 	}
 	for _, attempt := range r.inFlight {
-		s.Out = append(s.Out, handover.Out{Record: attempt.message.kept.ID, Trip: attempt.number, Limit: attempt.limit})
+		s.Out = append(s.Out, handoff.Out{Record: attempt.message.kept.ID, Trip: attempt.number, Limit: attempt.limit})
 	}
 	return s
 }
 
 // inherit takes over what the predecessor handed on, beside the list.
-func (u *upgrade) inherit(s *handover.State) {
+func (u *upgrade) inherit(s *handoff.State) {
 	r := u.r
 	s.Lore.At = min(s.Lore.At, r.now)
-	r.events = append(r.events, logic.Learned{Lore: s.Lore})
+	r.events = append(r.events, dispatch.Learned{Lore: s.Lore})
 	maps.Copy(r.waits, s.Waits)
 	if gone := slices.Sorted(maps.Keys(r.operators.out)); !slices.Equal(gone, s.Gone) {
 		r.operators.out = map[string]bool{}
@@ -177,8 +177,8 @@
 }
 
 // adopt takes over an attempt that the predecessor has out; where its endpoint is not listed any more, it is given up.
-func (u *upgrade) adopt(adopted *attempt, limit logic.Micros) {
-	id := logic.EndpointID(adopted.message.kept.Trips[adopted.number].Endpoint)
+func (u *upgrade) adopt(adopted *attempt, limit dispatch.Micros) {
+	id := dispatch.EndpointID(adopted.message.kept.Trips[adopted.number].Endpoint)
 	host, ok := u.r.hosts[id]
 	if !ok {
 		u.strangers = append(u.strangers, adopted)
@@ -195,7 +195,7 @@
 	if u.predecessor == nil {
 		return
 	}
-	u.predecessor.Send(handover.Message{Serving: true})
+	u.predecessor.Send(handoff.Message{Serving: true})
 	for _, attempt := range u.strangers {
 		u.cancel(attempt)
 	}
@@ -205,30 +205,30 @@
 // cancel tells the predecessor that an attempt is waited for no more.
 func (u *upgrade) cancel(attempt *attempt) {
 	if u.predecessor != nil {
-		u.predecessor.Send(handover.Message{Cancel: &handover.Out{Record: attempt.message.kept.ID, Trip: attempt.number}})
+		u.predecessor.Send(handoff.Message{Cancel: &handoff.Out{Record: attempt.message.kept.ID, Trip: attempt.number}})
 	}
 }
 
 // waits tells the predecessor of a wait, in case it has to go on.
-func (u *upgrade) waits(h protocol.Host, until logic.Micros) {
+func (u *upgrade) waits(h protocol.Host, until dispatch.Micros) {
 	if u.predecessor == nil {
 		return
 	}
-	w := &handover.Wait{Dest: logic.DestID(h.Dest), Until: until}
+	w := &handoff.Wait{Dest: dispatch.DestID(h.Dest), Until: until}
 	if u.r.apart(h) {
-		w.Endpoint = logic.EndpointID(h.Host)
+		w.Endpoint = dispatch.EndpointID(h.Host)
 	}
-	u.predecessor.Send(handover.Message{Wait: w})
+	u.predecessor.Send(handoff.Message{Wait: w})
 }
 
 // echo tells the successor how an attempt ended.
-func (u *upgrade) echo(attempt *attempt, s logic.Settled) {
+func (u *upgrade) echo(attempt *attempt, s dispatch.Settled) {
 	if attempt.over {
 		return
 	}
 	u.land(attempt)
-	s.Record, s.Trip = logic.RecordID(attempt.message.kept.ID), logic.TripNo(attempt.number)
-	u.successor.Send(handover.Message{Settled: &s})
+	s.Record, s.Trip = dispatch.RecordID(attempt.message.kept.ID), dispatch.TripNo(attempt.number)
+	u.successor.Send(handoff.Message{Settled: &s})
 }
 
 func (u *upgrade) land(landed *attempt) {
@@ -242,16 +242,16 @@
 		q.done <- answer{err: errBusy}
 		return
 	}
-	a := &handover.Ask{Number: u.asked}
+	a := &handoff.Ask{Number: u.asked}
 	switch w := q.what.(type) {
-	case ops.Maintain:
+	case admin.Maintain:
 		a.Endpoint, a.Yes = w.Endpoint, w.Out
-	case ops.Away:
+	case admin.Away:
 		a.Yes = w.Away
 	}
 	u.asks[u.asked] = q.done
 	u.asked++
-	u.successor.Send(handover.Message{Ask: a})
+	u.successor.Send(handoff.Message{Ask: a})
 }
 
 var errBusy = errors.New("too many calls wait for the process that took over")
@@ -266,7 +266,7 @@
 	case e.link != u.successor:
 	case e.m == nil:
 		u.bereft()
-	case u.giver.Said(e.m) == handover.Drop:
+	case u.giver.Said(e.m) == handoff.Drop:
 		u.r.log.Error("the process that takes over said what makes no sense")
 		e.link.Close()
 	default:
@@ -274,7 +274,7 @@
 	}
 }
 
-func (u *upgrade) fromPredecessor(m *handover.Message) {
+func (u *upgrade) fromPredecessor(m *handoff.Message) {
 	r := u.r
 	switch {
 	case m.Settled != nil:
@@ -290,19 +290,19 @@
 		if s.Wait > 0 {
 			r.keepWait(attempt.call.host, r.now+s.Wait)
 		}
-		r.complete(attempt, logic.Settled{Outcome: s.Outcome, Over: s.Over, Wait: s.Wait, Pressure: s.Pressure})
+		r.complete(attempt, dispatch.Settled{Outcome: s.Outcome, Over: s.Over, Wait: s.Wait, Pressure: s.Pressure})
 	case m.Ask != nil:
-		q, link := request{ops.Away{Away: m.Ask.Yes}, make(chan answer, 1)}, u.predecessor
+		q, link := request{admin.Away{Away: m.Ask.Yes}, make(chan answer, 1)}, u.predecessor
 		if m.Ask.Endpoint != "" {
-			q.what = ops.Maintain{Endpoint: m.Ask.Endpoint, Out: m.Ask.Yes}
+			q.what = admin.Maintain{Endpoint: m.Ask.Endpoint, Out: m.Ask.Yes}
 		}
 		r.operators.asked(q)
 		go func() { // the answer waits for the disk
-			a := handover.Answer{Number: m.Ask.Number}
+			a := handoff.Answer{Number: m.Ask.Number}
 			if err := r.lasting(<-q.done); err != nil {
-				a.Fault, a.Unknown = err.Error(), errors.Is(err, ops.ErrUnknown)
+				a.Fault, a.Unknown = err.Error(), errors.Is(err, admin.ErrUnknown)
 			}
-			link.Send(handover.Message{Answer: &a})
+			link.Send(handoff.Message{Answer: &a})
 		}()
 	}
 }
@@ -314,13 +314,13 @@
 	for _, attempt := range slices.Clone(u.r.inFlight) {
 		if attempt.call.predecessor {
 			lost++
-			u.r.complete(attempt, logic.Settled{Outcome: logic.Broken})
+			u.r.complete(attempt, dispatch.Settled{Outcome: dispatch.Broken})
 		}
 	}
 	u.r.log.Info("the process before this one has ended", "unheard", lost)
 }
 
-func (u *upgrade) fromSuccessor(m *handover.Message) {
+func (u *upgrade) fromSuccessor(m *handoff.Message) {
 	r := u.r
 	switch {
 	case m.Serving:
@@ -342,7 +342,7 @@
 		delete(u.asks, m.Answer.Number)
 		a := answer{}
 		if m.Answer.Unknown {
-			a.err = ops.ErrUnknown
+			a.err = admin.ErrUnknown
 		} else if m.Answer.Fault != "" {
 			a.err = errors.New(m.Answer.Fault)
 		}
@@ -350,17 +350,17 @@
 	}
 }
 
-func (u *upgrade) keepWait(w handover.Wait) {
-	Waiting(&u.learnedAtHandoff, &logic.Lore{Routes: []logic.RouteLore{{Dest: w.Dest, Endpoint: w.Endpoint, WaitTo: w.Until}}})
+func (u *upgrade) keepWait(w handoff.Wait) {
+	Waiting(&u.learnedAtHandoff, &dispatch.Lore{Routes: []dispatch.RouteLore{{Dest: w.Dest, Endpoint: w.Endpoint, WaitTo: w.Until}}})
 }
 
 // Waiting adds to what is known the waits of another: of each route the later one holds.
-func Waiting(l, other *logic.Lore) *logic.Lore {
+func Waiting(l, other *dispatch.Lore) *dispatch.Lore {
 	for _, o := range other.Routes {
-		i := slices.IndexFunc(l.Routes, func(r logic.RouteLore) bool { return r.Dest == o.Dest && r.Endpoint == o.Endpoint })
+		i := slices.IndexFunc(l.Routes, func(r dispatch.RouteLore) bool { return r.Dest == o.Dest && r.Endpoint == o.Endpoint })
 		if i < 0 {
 			i = len(l.Routes)
-			l.Routes = append(l.Routes, logic.RouteLore{Dest: o.Dest, Endpoint: o.Endpoint, Since: l.At, LastCall: l.At, LastDone: l.At})
+			l.Routes = append(l.Routes, dispatch.RouteLore{Dest: o.Dest, Endpoint: o.Endpoint, Since: l.At, LastCall: l.At, LastDone: l.At})
 		}
 		l.Routes[i].WaitTo = max(l.Routes[i].WaitTo, o.WaitTo)
 	}
@@ -375,7 +375,7 @@
 	clear(u.asks)
 	u.wanted = false
 	// Failure: a successor that left while all was made ready for it was given it even so, and nobody decided any more.
-	if u.giver.Lost() == handover.Regain || u.giving {
+	if u.giver.Lost() == handoff.Regain || u.giving {
 		u.r.log.Error("the process that took over has gone: this one goes on", "out", len(u.r.inFlight))
 		u.regain = true
 	}
@@ -390,4 +390,4 @@
 }
 
 // LearnedAtHandoff is what this process had learned as it handed all over, for a router that goes on after its successor has gone.
-func (r *Router) LearnedAtHandoff() *logic.Lore { return &r.upgrade.learnedAtHandoff }
+func (r *Router) LearnedAtHandoff() *dispatch.Lore { return &r.upgrade.learnedAtHandoff }
--- a/routing/watch.go
+++ b/server/watch.go
@@ -1,4 +1,4 @@
-package routing
+package server
 
 import (
 	"fmt"
@@ -6,27 +6,27 @@
 	"runtime/debug"
 
 	"pineport/config"
-	"pineport/logic"
+	"pineport/dispatch"
 )
 
 // watch runs decisions under settings to come beside those that are carried out, and counts where they differ.
 type watch struct {
 	settings *config.Deployment // to come
-	watcher  *logic.Watcher
-	every    logic.Micros
-	next     logic.Micros // when the counts are logged
-	told     int          // decisions compared by then
+	watcher  *dispatch.Watcher
+	every    dispatch.Micros
+	next     dispatch.Micros // when the counts are logged
+	told     int             // decisions compared by then
 }
 
-var differences = [logic.Differences]string{logic.Elsewhere: "elsewhere", logic.Sooner: "sooner", logic.Later: "later",
-	logic.Bounced: "bounced", logic.Terminated: "terminated", logic.Kept: "kept", logic.CalledOff: "called_off",
-	logic.WaitedFor: "waited_for", logic.Advised: "advised"}
+var differences = [dispatch.Differences]string{dispatch.Elsewhere: "elsewhere", dispatch.Sooner: "sooner", dispatch.Later: "later",
+	dispatch.Bounced: "bounced", dispatch.Terminated: "terminated", dispatch.Kept: "kept", dispatch.CalledOff: "called_off",
+	dispatch.WaitedFor: "waited_for", dispatch.Advised: "advised"}
 
 func (w *watch) start(r *Router) {
 	w.settings, w.watcher = r.dep.Watch, nil
-	w.every = logic.Micros(r.dep.WatchTell.Microseconds())
+	w.every = dispatch.Micros(r.dep.WatchTell.Microseconds())
 	if w.settings != nil {
-		w.watcher, w.next = logic.NewWatcher(r.dep.Merged(w.settings).Charter), r.now+w.every
+		w.watcher, w.next = dispatch.NewWatcher(r.dep.Merged(w.settings).Charter), r.now+w.every
 	}
 }
 
@@ -38,7 +38,7 @@
 }
 
 // see shows the watched decisions what happened and what is done about it. Should they fail, watching ends; nothing else.
-func (w *watch) see(r *Router, events []logic.Event, did []logic.Action) {
+func (w *watch) see(r *Router, events []dispatch.Event, did []dispatch.Action) {
 	if w.watcher == nil {
 		return
 	}
--- a/simwire/read.go
+++ b/simprotocol/read.go
@@ -1,5 +1,5 @@
-// Package simwire reads and writes the simulator's wire; the wire's names end here.
-package simwire
+// Package simprotocol reads and writes the simulator's wire; the wire's names end here.
+package simprotocol
 
 import (
 	"bufio"
@@ -11,17 +11,17 @@
 	"strings"
 
 	"pineport/config"
-	"pineport/logic"
+	"pineport/dispatch"
 )
 
 // Started says that a courier begins anew, and Killed that it was killed; both come before the
 // decisions, so they are the host's.
 type (
-	Started struct{ Charter logic.Charter }
+	Started struct{ Charter dispatch.Charter }
 	Killed  struct{}
 )
 
-// Item is one event of a batch: a logic.Event, Started, or Killed.
+// Item is one event of a batch: a dispatch.Event, Started, or Killed.
 type Item struct {
 	Courier int
 	What    any
@@ -29,7 +29,7 @@
 
 // Batch is what came in at one instant, in order of arrival.
 type Batch struct {
-	Now   logic.Micros
+	Now   dispatch.Micros
 	Items []Item
 }
 
@@ -38,13 +38,13 @@
 	in       *bufio.Reader
 	complain func(line int, fault error)
 	line     int
-	now      logic.Micros
-	pages    map[int][]logic.Listing
+	now      dispatch.Micros
+	pages    map[int][]dispatch.Listing
 }
 
 // NewReader reads from in; complain is told of each line that is left out.
 func NewReader(in io.Reader, complain func(line int, fault error)) *Reader {
-	return &Reader{in: bufio.NewReaderSize(in, 1<<16), complain: complain, pages: map[int][]logic.Listing{}}
+	return &Reader{in: bufio.NewReaderSize(in, 1<<16), complain: complain, pages: map[int][]dispatch.Listing{}}
 }
 
 func (r *Reader) next() (string, error) {
@@ -129,16 +129,16 @@
 	case "topology":
 		f.integer()
 		page, how := f.optionalCount(), f.word()
-		news := logic.ListNews{}
+		news := dispatch.ListNews{}
 		switch how {
 		case "Persisted":
-			news.How = logic.Persisted
+			news.How = dispatch.Persisted
 		case "Complete":
-			news.How = logic.Complete
+			news.How = dispatch.Complete
 		case "Partial":
-			news.How = logic.Partial
+			news.How = dispatch.Partial
 		case "Error":
-			news.How = logic.ListError
+			news.How = dispatch.ListError
 			return news
 		default:
 			f.fail("unknown kind of list %q", how)
@@ -151,25 +151,25 @@
 		news.Entries = entries
 		return news
 	case "job_in":
-		t := logic.Taken{Record: logic.RecordID(f.need())}
+		t := dispatch.Taken{Record: dispatch.RecordID(f.need())}
 		f.word()
-		t.Dest = logic.DestID(f.count())
-		t.Party = logic.PartyID(f.optionalCount())
+		t.Dest = dispatch.DestID(f.count())
+		t.Party = dispatch.PartyID(f.optionalCount())
 		if key := f.word(); key != "-" {
-			t.Key = logic.Key(key)
+			t.Key = dispatch.Key(key)
 		}
 		t.CutOff = f.span()
-		t.Workload = logic.WorkloadID(f.count())
+		t.Workload = dispatch.WorkloadID(f.count())
 		t.Again = f.optionalCount()&(2|16) != 0
 		return t
 	case "settled":
-		s := logic.Settled{Record: logic.RecordID(f.need()), Trip: logic.TripNo(f.count())}
+		s := dispatch.Settled{Record: dispatch.RecordID(f.need()), Trip: dispatch.TripNo(f.count())}
 		f.word()
 		s.Outcome = f.outcome()
 		s.Took = f.optionalSpan()
 		s.Over = f.word() == "1"
-		if remark := f.optionalCount(); s.Outcome == logic.Full { // with others it means something else
-			s.Wait = logic.Micros(remark) * 1000
+		if remark := f.optionalCount(); s.Outcome == dispatch.Full { // with others it means something else
+			s.Wait = dispatch.Micros(remark) * 1000
 		}
 		if row := f.word(); row != "-" && row != "" {
 			for _, part := range strings.Split(row, ",") {
@@ -182,11 +182,11 @@
 		}
 		return s
 	case "client_left":
-		return logic.Left{Record: logic.RecordID(f.need())}
+		return dispatch.Left{Record: dispatch.RecordID(f.need())}
 	case "tick_due":
-		return logic.Woken{}
+		return dispatch.Woken{}
 	case "health", "begun", "peer":
-		return logic.Woken{} // nothing the decisions ask for; the courier only looks again
+		return dispatch.Woken{} // nothing the decisions ask for; the courier only looks again
 	}
 	f.fail("unknown event %q", name)
 	return nil
@@ -198,7 +198,7 @@
 	if f.err != nil {
 		return f.err
 	}
-	entries := make([]logic.Listing, 0, min(n, 1<<12))
+	entries := make([]dispatch.Listing, 0, min(n, 1<<12))
 	var first error
 	for range n {
 		text, err := r.next()
@@ -209,16 +209,16 @@
 		if row.word() != "row" {
 			row.fail("a row was expected, not %q", text)
 		}
-		l := logic.Listing{Endpoint: logic.EndpointID(row.need())}
-		l.Zone = logic.ZoneID(row.count())
-		l.Shape = logic.ShapeID(row.count())
-		l.Dest = logic.DestID(row.count())
+		l := dispatch.Listing{Endpoint: dispatch.EndpointID(row.need())}
+		l.Zone = dispatch.ZoneID(row.count())
+		l.Shape = dispatch.ShapeID(row.count())
+		l.Dest = dispatch.DestID(row.count())
 		switch phase := row.word(); phase {
 		case "IN":
 		case "LAME":
-			l.Phase = logic.Draining
+			l.Phase = dispatch.Draining
 		case "OUT":
-			l.Phase = logic.Gone
+			l.Phase = dispatch.Gone
 		default:
 			row.fail("unknown phase %q", phase)
 		}
@@ -281,8 +281,8 @@
 	return 0
 }
 
-func (f *fields) span() logic.Micros         { return config.Micros(f.parse(f.need())) }
-func (f *fields) optionalSpan() logic.Micros { return config.Micros(f.optionalNumber()) }
+func (f *fields) span() dispatch.Micros         { return config.Micros(f.parse(f.need())) }
+func (f *fields) optionalSpan() dispatch.Micros { return config.Micros(f.optionalNumber()) }
 
 func (f *fields) integer() int64 {
 	text := f.need()
@@ -313,12 +313,12 @@
 	return 0
 }
 
-var outcomes = map[string]logic.Outcome{
-	"success": logic.Done, "failure": logic.Failure, "overloaded": logic.Full, "timed_out": logic.TimedOut,
-	"unreachable": logic.Unreachable, "broken": logic.Broken, "withdrawn": logic.Withdrawn, "void": logic.Void,
+var outcomes = map[string]dispatch.Outcome{
+	"success": dispatch.Done, "failure": dispatch.Failure, "overloaded": dispatch.Full, "timed_out": dispatch.TimedOut,
+	"unreachable": dispatch.Unreachable, "broken": dispatch.Broken, "withdrawn": dispatch.Withdrawn, "void": dispatch.Void,
 }
 
-func (f *fields) outcome() logic.Outcome {
+func (f *fields) outcome() dispatch.Outcome {
 	text := f.need()
 	o, ok := outcomes[text]
 	if !ok {
--- a/simwire/wire_test.go
+++ b/simprotocol/wire_test.go
@@ -1,4 +1,4 @@
-package simwire
+package simprotocol
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"pineport/logic"
+	"pineport/dispatch"
 )
 
 func TestReaderNamesBadLinesAndGoesOn(t *testing.T) {
@@ -35,10 +35,10 @@
 		t.Errorf("bad lines %v, want %v", bad, want)
 	}
 	want := Batch{Now: 1500000, Items: []Item{
-		{3, logic.ListNews{How: logic.Persisted, Entries: []logic.Listing{
+		{3, dispatch.ListNews{How: dispatch.Persisted, Entries: []dispatch.Listing{
 			{Endpoint: "a:1", Shape: 1, Dest: 57, Rate: 2.5}}}},
-		{3, logic.Taken{Record: "t/x", Dest: 57, Workload: 1, CutOff: 9500000, Again: true}},
-		{3, logic.Settled{Record: "t/x", Outcome: logic.Full, Took: 250000, Wait: 400000, Pressure: []float64{0.5, 2}}},
+		{3, dispatch.Taken{Record: "t/x", Dest: 57, Workload: 1, CutOff: 9500000, Again: true}},
+		{3, dispatch.Settled{Record: "t/x", Outcome: dispatch.Full, Took: 250000, Wait: 400000, Pressure: []float64{0.5, 2}}},
 	}}
 	if !reflect.DeepEqual(batch, want) {
 		t.Errorf("read %+v, want %+v", batch, want)
@@ -75,7 +75,7 @@
 func TestWriterKeepsExactTimes(t *testing.T) {
 	var out strings.Builder
 	w := NewWriter(&out)
-	w.Actions(2, []logic.Action{logic.Send{Record: "t/x", Endpoint: "a:1", Limit: 80001}, logic.Wake{At: 434704055501}})
+	w.Actions(2, []dispatch.Action{dispatch.Send{Record: "t/x", Endpoint: "a:1", Limit: 80001}, dispatch.Wake{At: 434704055501}})
 	w.Fault(5, "index\nout of range")
 	if err := w.End(); err != nil {
 		t.Fatal(err)
--- a/simwire/write.go
+++ b/simprotocol/write.go
@@ -1,4 +1,4 @@
-package simwire
+package simprotocol
 
 import (
 	"bufio"
@@ -6,7 +6,7 @@
 	"strconv"
 	"strings"
 
-	"pineport/logic"
+	"pineport/dispatch"
 )
 
 // Writer puts replies on a stream.
@@ -27,31 +27,31 @@
 	w.out.WriteByte('\n')
 }
 
-func seconds(t logic.Micros) string { return strconv.FormatFloat(float64(t)/1e6, 'f', -1, 64) }
+func seconds(t dispatch.Micros) string { return strconv.FormatFloat(float64(t)/1e6, 'f', -1, 64) }
 
 // Actions writes what one courier wants done.
-func (w *Writer) Actions(courier int, actions []logic.Action) {
+func (w *Writer) Actions(courier int, actions []dispatch.Action) {
 	if len(actions) == 0 {
 		return
 	}
 	w.line("at", strconv.Itoa(courier))
 	for _, action := range actions {
 		switch a := action.(type) {
-		case logic.Send:
+		case dispatch.Send:
 			w.line("transmit", string(a.Record), string(a.Endpoint), seconds(a.Limit))
-		case logic.Cancel:
+		case dispatch.Cancel:
 			w.line("cancel", string(a.Record), strconv.Itoa(int(a.Trip)))
-		case logic.Bounce:
+		case dispatch.Bounce:
 			w.line("reject", string(a.Record), seconds(a.Pause))
-		case logic.Terminate:
+		case dispatch.Terminate:
 			w.line("abort", string(a.Record))
-		case logic.Wake:
+		case dispatch.Wake:
 			w.line("wake_me", seconds(a.At), "look")
-		case logic.CloseIdle:
+		case dispatch.CloseIdle:
 			w.line("let_go", string(a.Endpoint))
-		case logic.Watch:
+		case dispatch.Watch:
 			w.line("stream_changes", "1")
-		case logic.Note:
+		case dispatch.Note:
 			w.line("journal_line", oneLine(a.Text))
 		}
 	}
--- a/learned/file.go
+++ b/snapshot/file.go
@@ -1,6 +1,6 @@
-// Package learned keeps what a courier's decisions have learned in one file that outlasts its process: versioned,
+// Package snapshot keeps what a courier's decisions have learned in one file that outlasts its process: versioned,
 // checksummed, replaced whole, never half written. What of it to believe after a while is not decided here.
-package learned
+package snapshot
 
 import (
 	"errors"
@@ -10,8 +10,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"pineport/logic"
-	"pineport/sealed"
+	"pineport/atomicfile"
+	"pineport/dispatch"
 )
 
 // Name of the file, in the folder that lasts.
@@ -21,15 +21,15 @@
 const (
 	magic    = "PPLL"
 	version  = 2
-	headSize = sealed.HeadSize
+	headSize = atomicfile.HeadSize
 	block    = 512 // files count in whole blocks
 )
 
 // Why a file is not used; each is told with the file's name and what stood there.
 var (
-	ErrAbsent   = sealed.ErrAbsent
-	ErrTorn     = sealed.ErrTorn
-	ErrTooLarge = sealed.ErrTooLarge
+	ErrAbsent   = atomicfile.ErrAbsent
+	ErrTorn     = atomicfile.ErrTorn
+	ErrTooLarge = atomicfile.ErrTooLarge
 	ErrOlder    = errors.New("of a version that is too old")
 	ErrNewer    = errors.New("of a newer version")
 	ErrStranger = errors.New("of another courier")
@@ -39,22 +39,22 @@
 
 // State is what a file holds.
 type State struct {
-	Courier string     `json:"Courier"`
-	Lore    logic.Lore `json:"Lore"`
+	Courier string        `json:"Courier"`
+	Lore    dispatch.Lore `json:"Lore"`
 }
 
 // body of version 2.
 type body struct {
-	Courier string     `cbor:"1,keyasint"`
-	Lore    logic.Lore `cbor:"2,keyasint"`
+	Courier string        `cbor:"1,keyasint"`
+	Lore    dispatch.Lore `cbor:"2,keyasint"`
 }
 
 // bodyV1 had no lore of connections and endpoints; what it has means the same.
 type bodyV1 struct {
-	Courier string            `cbor:"1,keyasint"`
-	At      logic.Micros      `cbor:"2,keyasint"`
-	Routes  []logic.RouteLore `cbor:"3,keyasint"`
-	Took    logic.Sum         `cbor:"4,keyasint"`
+	Courier string               `cbor:"1,keyasint"`
+	At      dispatch.Micros      `cbor:"2,keyasint"`
+	Routes  []dispatch.RouteLore `cbor:"3,keyasint"`
+	Took    dispatch.Sum         `cbor:"4,keyasint"`
 }
 
 var (
@@ -75,14 +75,14 @@
 func Encode(s State, limit int) ([]byte, error) {
 	l := s.Lore
 	l.Routes, l.Resting = slices.Clone(l.Routes), nil
-	slices.SortStableFunc(l.Routes, func(a, b logic.RouteLore) int { return int(min(1, max(-1, b.LastCall-a.LastCall))) })
+	slices.SortStableFunc(l.Routes, func(a, b dispatch.RouteLore) int { return int(min(1, max(-1, b.LastCall-a.LastCall))) })
 	for {
 		text, err := encoder.Marshal(body{s.Courier, l})
 		if err != nil {
 			return nil, err
 		}
 		if len(text)+headSize <= limit {
-			return sealed.Seal(magic, version, text), nil
+			return atomicfile.Seal(magic, version, text), nil
 		}
 		if len(l.Routes) == 0 && len(l.Endpoints) == 0 {
 			return nil, fmt.Errorf("%w: %d bytes, %d allowed", ErrTooLarge, len(text)+headSize, limit)
@@ -96,7 +96,7 @@
 
 // Decode reads a file's content.
 func Decode(content []byte) (State, error) {
-	v, text, err := sealed.Open(magic, content)
+	v, text, err := atomicfile.Open(magic, content)
 	if err != nil {
 		return State{}, err
 	}
@@ -109,7 +109,7 @@
 		if err := decoder.Unmarshal(text, &b); err != nil {
 			return s, fmt.Errorf("%w: %v", ErrTorn, err)
 		}
-		s = State{b.Courier, logic.Lore{At: b.At, Routes: b.Routes, Took: b.Took}}
+		s = State{b.Courier, dispatch.Lore{At: b.At, Routes: b.Routes, Took: b.Took}}
 	case v < 1:
 		return s, fmt.Errorf("%w: %d", ErrOlder, v)
 	default:
@@ -127,12 +127,12 @@
 
 // Bounds of what can be: wide, so that they only catch what would harm the decisions.
 const (
-	longest = logic.Micros(3600 * 1000 * 1000) // of a gap, or of a wait that is still to come
+	longest = dispatch.Micros(3600 * 1000 * 1000) // of a gap, or of a wait that is still to come
 	largest = 1e9
 )
 
 // sane holds numbers against what can be. A checksum proves that a file is what was written, not that it made sense.
-func sane(l logic.Lore) error {
+func sane(l dispatch.Lore) error {
 	number := func(values ...float64) bool {
 		for _, v := range values {
 			if math.IsNaN(v) || v < 0 || v > largest {
@@ -141,7 +141,7 @@
 		}
 		return true
 	}
-	sums := func(all ...logic.Sum) bool {
+	sums := func(all ...dispatch.Sum) bool {
 		for _, s := range all {
 			if math.IsNaN(s.Weight) || s.Weight < 0 || s.Weight > largest || math.IsNaN(s.Total) || math.Abs(s.Total) > 1e18 || s.Total < 0 {
 				return false
@@ -153,7 +153,7 @@
 		return fmt.Errorf("%w: sums", ErrSense)
 	}
 	for _, r := range l.Routes {
-		past := func(at logic.Micros) bool { return at <= l.At }
+		past := func(at dispatch.Micros) bool { return at <= l.At }
 		ok := sums(r.Took, r.Done) && number(r.Usual, r.Rate) && past(r.Since) && past(r.LastCall) && past(r.LastDone) &&
 			past(r.SickAt) && r.WaitTo <= l.At+longest && r.Gap >= 0 && r.Gap <= longest && r.Knee >= 0 && r.Knee <= longest &&
 			r.Ramped >= 0 && r.Ramped <= longest && r.Strikes >= 0 && r.Fulls >= 0
@@ -178,11 +178,11 @@
 }
 
 // Write replaces the file in a folder, whole.
-func Write(dir string, content []byte) error { return sealed.Write(dir, Name, content) }
+func Write(dir string, content []byte) error { return atomicfile.Write(dir, Name, content) }
 
 // Read reads the file in a folder for a courier, at an instant. The fault says why nothing is to be had.
-func Read(dir, courier string, now logic.Micros, limit int) (State, error) {
-	content, err := sealed.Read(dir, Name, limit)
+func Read(dir, courier string, now dispatch.Micros, limit int) (State, error) {
+	content, err := atomicfile.Read(dir, Name, limit)
 	if err != nil {
 		return State{}, err
 	}
@@ -199,7 +199,7 @@
 }
 
 // Sweep removes what a write left behind that was cut off, and returns how much there was.
-func Sweep(dir string) (removed int) { return sealed.Sweep(dir, Name) }
+func Sweep(dir string) (removed int) { return atomicfile.Sweep(dir, Name) }
 
 // Room is how much of a folder's limit is set apart: for the file and, while it is replaced, its successor, in whole
 // blocks. Limit is the most that one of them may hold. A sixteenth goes to it, a quarter of a megabyte at most.
--- a/learned/golden_test.go
+++ b/snapshot/golden_test.go
@@ -1,4 +1,4 @@
-package learned
+package snapshot
 
 import (
 	"bytes"
@@ -7,8 +7,8 @@
 	"reflect"
 	"testing"
 
-	"pineport/lab/golden"
-	"pineport/sealed"
+	"pineport/atomicfile"
+	"pineport/testbed/golden"
 )
 
 const millionYears = 1 << 60 // microseconds: later than any instant that golden.Fill sets
@@ -62,7 +62,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Check(t, "version-1.golden", sealed.Seal(magic, 1, text))
+	golden.Check(t, "version-1.golden", atomicfile.Seal(magic, 1, text))
 }
 
 // TestStateInJSONIsAsRecorded: what "state show --output json" prints, and a script reads.
--- a/learned/learned_test.go
+++ b/snapshot/snapshot_test.go
@@ -1,4 +1,4 @@
-package learned
+package snapshot
 
 import (
 	"errors"
@@ -17,8 +17,8 @@
 
 	"pgregory.net/rapid"
 
-	"pineport/logic"
-	"pineport/sealed"
+	"pineport/atomicfile"
+	"pineport/dispatch"
 )
 
 var kills = flag.Int("kills", 60, "how often a process is killed while it writes")
@@ -30,34 +30,34 @@
 	os.Exit(m.Run())
 }
 
-const at = logic.Micros(1_700_000_000_000_000)
+const at = dispatch.Micros(1_700_000_000_000_000)
 
-func sums(t *rapid.T, n int) (all []logic.Sum) {
+func sums(t *rapid.T, n int) (all []dispatch.Sum) {
 	for range n {
-		all = append(all, logic.Sum{Weight: rapid.Float64Range(0, 1e6).Draw(t, "weight"), Total: rapid.Float64Range(0, 1e12).Draw(t, "total")})
+		all = append(all, dispatch.Sum{Weight: rapid.Float64Range(0, 1e6).Draw(t, "weight"), Total: rapid.Float64Range(0, 1e12).Draw(t, "total")})
 	}
 	return all
 }
 
-func ago(t *rapid.T, what string) logic.Micros {
-	return at - logic.Micros(rapid.Int64Range(0, 1e9).Draw(t, what))
+func ago(t *rapid.T, what string) dispatch.Micros {
+	return at - dispatch.Micros(rapid.Int64Range(0, 1e9).Draw(t, what))
 }
 
-func span(t *rapid.T, what string) logic.Micros {
-	return logic.Micros(rapid.Int64Range(0, int64(longest)).Draw(t, what))
+func span(t *rapid.T, what string) dispatch.Micros {
+	return dispatch.Micros(rapid.Int64Range(0, int64(longest)).Draw(t, what))
 }
 
 func state(t *rapid.T) State {
-	l := logic.Lore{At: at, Took: sums(t, 1)[0], Broke: sums(t, 10)}
+	l := dispatch.Lore{At: at, Took: sums(t, 1)[0], Broke: sums(t, 10)}
 	for i := range rapid.IntRange(0, 30).Draw(t, "routes") {
-		l.Routes = append(l.Routes, logic.RouteLore{Dest: logic.DestID(i), Endpoint: logic.EndpointID(rapid.StringN(0, 20, -1).Draw(t, "endpoint")),
+		l.Routes = append(l.Routes, dispatch.RouteLore{Dest: dispatch.DestID(i), Endpoint: dispatch.EndpointID(rapid.StringN(0, 20, -1).Draw(t, "endpoint")),
 			Took: sums(t, 1)[0], Done: sums(t, 1)[0], Since: ago(t, "since"), LastCall: ago(t, "call"), LastDone: ago(t, "done"),
 			WaitTo: at + span(t, "wait"), Gap: span(t, "gap"), Knee: span(t, "knee"), Strikes: rapid.IntRange(0, 99).Draw(t, "strikes"),
 			Sick: rapid.Bool().Draw(t, "sick"), SickAt: ago(t, "sick at"), Cold: rapid.Bool().Draw(t, "cold"), Ramped: span(t, "ramped"),
 			Usual: rapid.Float64Range(0, 1e6).Draw(t, "usual"), Rate: rapid.Float64Range(0, 1e6).Draw(t, "rate"),
-			Breakers: []logic.BreakerLore{{Fails: rapid.IntRange(0, 6).Draw(t, "fails"), Until: at + span(t, "until")}}})
+			Breakers: []dispatch.BreakerLore{{Fails: rapid.IntRange(0, 6).Draw(t, "fails"), Until: at + span(t, "until")}}})
 	}
-	l.Endpoints = append(l.Endpoints, logic.EndpointLore{Endpoint: "x", Runs: []logic.RunLore{{Fails: 2, RestTo: at + 5}}})
+	l.Endpoints = append(l.Endpoints, dispatch.EndpointLore{Endpoint: "x", Runs: []dispatch.RunLore{{Fails: 2, RestTo: at + 5}}})
 	return State{Courier: rapid.StringN(1, 30, -1).Draw(t, "courier"), Lore: l}
 }
 
@@ -84,7 +84,7 @@
 		if back, err = Decode(small); err != nil || len(small) > limit {
 			t.Fatalf("%d bytes of %d: %v", len(small), limit, err)
 		}
-		kept := map[logic.DestID]bool{}
+		kept := map[dispatch.DestID]bool{}
 		oldest := at
 		for _, r := range back.Lore.Routes {
 			kept[r.Dest], oldest = true, min(oldest, r.LastCall)
@@ -99,7 +99,7 @@
 
 // TestSpoilt: a flipped bit anywhere, a cut anywhere, nonsense and an empty file are each told and never used.
 func TestSpoilt(t *testing.T) {
-	content, err := Encode(State{Courier: "n1", Lore: logic.Lore{At: at, Routes: []logic.RouteLore{{Dest: 1}, {Dest: 2}}}}, 1<<16)
+	content, err := Encode(State{Courier: "n1", Lore: dispatch.Lore{At: at, Routes: []dispatch.RouteLore{{Dest: 1}, {Dest: 2}}}}, 1<<16)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -115,15 +115,15 @@
 			t.Fatalf("cut at byte %d", i)
 		}
 	}
-	for _, l := range []logic.Lore{
-		{At: at, Took: logic.Sum{Weight: math.NaN()}},
-		{At: at, Routes: []logic.RouteLore{{Usual: math.Inf(1)}}},
-		{At: at, Routes: []logic.RouteLore{{Gap: -1}}},
-		{At: at, Routes: []logic.RouteLore{{LastCall: at + 1}}},
-		{At: at, Routes: []logic.RouteLore{{WaitTo: at + 2*longest}}},
-		{At: at, Routes: []logic.RouteLore{{Breakers: []logic.BreakerLore{{Until: math.MaxInt64}}}}},
-		{At: at, Endpoints: []logic.EndpointLore{{Endpoint: "x", Runs: []logic.RunLore{{RestTo: math.MaxInt64}}}}},
-		{At: at, Endpoints: []logic.EndpointLore{{Endpoint: "x"}}},
+	for _, l := range []dispatch.Lore{
+		{At: at, Took: dispatch.Sum{Weight: math.NaN()}},
+		{At: at, Routes: []dispatch.RouteLore{{Usual: math.Inf(1)}}},
+		{At: at, Routes: []dispatch.RouteLore{{Gap: -1}}},
+		{At: at, Routes: []dispatch.RouteLore{{LastCall: at + 1}}},
+		{At: at, Routes: []dispatch.RouteLore{{WaitTo: at + 2*longest}}},
+		{At: at, Routes: []dispatch.RouteLore{{Breakers: []dispatch.BreakerLore{{Until: math.MaxInt64}}}}},
+		{At: at, Endpoints: []dispatch.EndpointLore{{Endpoint: "x", Runs: []dispatch.RunLore{{RestTo: math.MaxInt64}}}}},
+		{At: at, Endpoints: []dispatch.EndpointLore{{Endpoint: "x"}}},
 	} {
 		content, err := Encode(State{"n1", l}, 1<<16)
 		if err != nil {
@@ -136,11 +136,11 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	content, _ := Encode(State{Courier: "n1", Lore: logic.Lore{At: at, Routes: []logic.RouteLore{{Dest: 1}}}}, 1<<16)
+	content, _ := Encode(State{Courier: "n1", Lore: dispatch.Lore{At: at, Routes: []dispatch.RouteLore{{Dest: 1}}}}, 1<<16)
 	f.Add(content[headSize:])
 	f.Fuzz(func(t *testing.T, text []byte) {
 		for v := range uint32(3) {
-			if s, err := Decode(sealed.Seal(magic, v, text)); err == nil && sane(s.Lore) != nil {
+			if s, err := Decode(atomicfile.Seal(magic, v, text)); err == nil && sane(s.Lore) != nil {
 				t.Fatal("taken, and holds what cannot be")
 			}
 		}
@@ -149,7 +149,7 @@
 
 // TestFoldersAndVersions: whose file it is, how old, of which version and what else may stand in its place.
 func TestFoldersAndVersions(t *testing.T) {
-	good := State{Courier: "n1", Lore: logic.Lore{At: at, Routes: []logic.RouteLore{{Dest: 7, Sick: true}}}}
+	good := State{Courier: "n1", Lore: dispatch.Lore{At: at, Routes: []dispatch.RouteLore{{Dest: 7, Sick: true}}}}
 	content, err := Encode(good, 1<<16)
 	if err != nil {
 		t.Fatal(err)
@@ -162,7 +162,7 @@
 		content []byte
 		want    error
 	}{
-		"sound": {content, nil}, "older": {sealed.Seal(magic, 1, old), nil}, "oldest": {sealed.Seal(magic, 0, old), ErrOlder}, "newer": {sealed.Seal(magic, version+1, content[headSize:]), ErrNewer},
+		"sound": {content, nil}, "older": {atomicfile.Seal(magic, 1, old), nil}, "oldest": {atomicfile.Seal(magic, 0, old), ErrOlder}, "newer": {atomicfile.Seal(magic, version+1, content[headSize:]), ErrNewer},
 		"empty": {nil, ErrTorn}, "huge": {make([]byte, 1<<17), ErrTooLarge}, "nonsense": {[]byte(strings.Repeat("x", 99)), ErrTorn},
 	} {
 		dir := t.TempDir()
@@ -207,9 +207,9 @@
 
 // writeForEver is the process that is killed: each file says how many it has written, and stdout which is finished.
 func writeForEver(dir string) {
-	routes := make([]logic.RouteLore, 300)
+	routes := make([]dispatch.RouteLore, 300)
 	for i := 1; ; i++ {
-		content, err := Encode(State{Courier: "n1", Lore: logic.Lore{At: at + logic.Micros(i), Routes: routes}}, 1<<18)
+		content, err := Encode(State{Courier: "n1", Lore: dispatch.Lore{At: at + dispatch.Micros(i), Routes: routes}}, 1<<18)
 		if err == nil {
 			err = Write(dir, content)
 		}
@@ -261,7 +261,7 @@
 	k := keep(t.TempDir(), "n1", 1<<16, logger, func(string, []byte) error { <-stuck; return nil })
 	began := time.Now()
 	for range 1000 {
-		k.Offer(logic.Lore{At: at})
+		k.Offer(dispatch.Lore{At: at})
 	}
 	if took := time.Since(began); took > time.Second {
 		t.Errorf("a thousand offers took %v", took)
@@ -280,7 +280,7 @@
 		return nil
 	})
 	for i := range 6 {
-		full.Offer(logic.Lore{At: at + logic.Micros(i)})
+		full.Offer(dispatch.Lore{At: at + dispatch.Micros(i)})
 		time.Sleep(20 * time.Millisecond)
 	}
 	full.Close(time.Second)
--- a/learned/keeper.go
+++ b/snapshot/writer.go
@@ -1,11 +1,11 @@
-package learned
+package snapshot
 
 import (
 	"log/slog"
 	"sync"
 	"time"
 
-	"pineport/logic"
+	"pineport/dispatch"
 )
 
 // Keeper writes what it is offered on a goroutine of its own, so that decisions never wait for a disk. Of what comes in
@@ -15,7 +15,7 @@
 	limit        int
 	log          *slog.Logger
 	mu           sync.Mutex
-	next         *logic.Lore
+	next         *dispatch.Lore
 	wake         chan struct{}
 	done         chan struct{}
 	write        func(dir string, content []byte) error
@@ -35,7 +35,7 @@
 }
 
 // Offer hands over what was learned; it never waits. The lore belongs to the keeper from now on.
-func (k *Keeper) Offer(l logic.Lore) {
+func (k *Keeper) Offer(l dispatch.Lore) {
 	k.mu.Lock()
 	k.next = &l
 	k.mu.Unlock()
--- a/spool/golden_test.go
+++ b/spool/golden_test.go
@@ -7,7 +7,7 @@
 	"path/filepath"
 	"testing"
 
-	"pineport/lab/golden"
+	"pineport/testbed/golden"
 )
 
 // recordedStates puts messages of every state into a spool: untried, in flight, with each outcome, ended with their notice
