--- a/lab/baseline/baseline.go
+++ b/testbed/baseline/baseline.go
@@ -6,12 +6,12 @@
 	"maps"
 	"slices"
 
-	"pineport/logic"
+	"pineport/dispatch"
 )
 
 const (
-	millisecond logic.Micros = 1000
-	second                   = 1000 * millisecond
+	millisecond dispatch.Micros = 1000
+	second                      = 1000 * millisecond
 )
 
 // Names lists the policies, with what each does.
@@ -25,93 +25,93 @@
 }
 
 // New makes a policy by its name; nil for an unknown one.
-func New(name string, ch logic.Charter) *Policy {
+func New(name string, ch dispatch.Charter) *Policy {
 	if _, ok := Names()[name]; !ok {
 		return nil
 	}
 	return &Policy{ch: ch, again: name != "once", wait: name == "backoff" || name == "textbook", breaker: name == "textbook",
-		endpoints: map[logic.EndpointID]*endpoint{}, dests: map[logic.DestID]*dest{}, records: map[logic.RecordID]*record{}}
+		endpoints: map[dispatch.EndpointID]*endpoint{}, dests: map[dispatch.DestID]*dest{}, records: map[dispatch.RecordID]*record{}}
 }
 
 // Policy is one courier.
 type Policy struct {
-	ch                   logic.Charter
+	ch                   dispatch.Charter
 	again, wait, breaker bool
-	now                  logic.Micros
-	endpoints            map[logic.EndpointID]*endpoint
-	dests                map[logic.DestID]*dest
-	records              map[logic.RecordID]*record
+	now                  dispatch.Micros
+	endpoints            map[dispatch.EndpointID]*endpoint
+	dests                map[dispatch.DestID]*dest
+	records              map[dispatch.RecordID]*record
 	queue                []*record
-	out                  []logic.Action
+	out                  []dispatch.Action
 	slots                int
-	wakeAt               logic.Micros
+	wakeAt               dispatch.Micros
 	asked                bool
 }
 
 type endpoint struct {
-	logic.Listing
+	dispatch.Listing
 	calls int
 }
 
 type dest struct {
 	endpoints []*endpoint
-	waitTo    logic.Micros
+	waitTo    dispatch.Micros
 	fails     int
 }
 
 type record struct {
-	logic.Taken
+	dispatch.Taken
 	dest  *dest
-	work  *logic.Workload
+	work  *dispatch.Workload
 	trips []*endpoint
 	out   int
 	ran   bool
-	ready logic.Micros
+	ready dispatch.Micros
 	over  bool
 }
 
 // Handle implements the decisions' one entry.
-func (p *Policy) Handle(now logic.Micros, events []logic.Event) []logic.Action {
+func (p *Policy) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
 	p.now, p.out = now, nil
 	for _, e := range events {
 		switch e := e.(type) {
-		case logic.Taken:
+		case dispatch.Taken:
 			r := &record{Taken: e, dest: p.dest(e.Dest), work: &p.ch.Workloads[e.Workload], ready: now}
 			p.records[e.Record] = r
 			p.queue = append(p.queue, r)
-		case logic.Settled:
+		case dispatch.Settled:
 			p.settle(e)
-		case logic.Left:
+		case dispatch.Left:
 			if r := p.records[e.Record]; r != nil {
 				r.over = true
 			}
-		case logic.ListNews:
+		case dispatch.ListNews:
 			p.list(e)
 		}
 	}
 	if p.ch.MustAsk && !p.asked {
 		p.asked = true
-		p.out = append(p.out, logic.Watch{})
+		p.out = append(p.out, dispatch.Watch{})
 	}
 	p.dispatch()
 	return p.out
 }
 
-func (p *Policy) dest(id logic.DestID) *dest {
+func (p *Policy) dest(id dispatch.DestID) *dest {
 	if p.dests[id] == nil {
 		p.dests[id] = &dest{}
 	}
 	return p.dests[id]
 }
 
-func (p *Policy) list(e logic.ListNews) {
-	if e.How == logic.ListError {
+func (p *Policy) list(e dispatch.ListNews) {
+	if e.How == dispatch.ListError {
 		p.asked = false
 		return
 	}
-	if e.How != logic.Partial {
+	if e.How != dispatch.Partial {
 		for _, ep := range p.endpoints {
-			ep.Phase = logic.Gone
+			ep.Phase = dispatch.Gone
 		}
 	}
 	for _, l := range e.Entries {
@@ -125,7 +125,7 @@
 	}
 }
 
-func (p *Policy) settle(e logic.Settled) {
+func (p *Policy) settle(e dispatch.Settled) {
 	r := p.records[e.Record]
 	if r == nil {
 		return
@@ -135,13 +135,13 @@
 	r.trips[e.Trip].calls--
 	d := r.dest
 	switch e.Outcome {
-	case logic.Full:
+	case dispatch.Full:
 		if p.wait {
 			d.waitTo = max(d.waitTo, p.now+e.Wait+p.ch.Tick)
 		}
-	case logic.Done:
+	case dispatch.Done:
 		d.fails = 0
-	case logic.Unreachable, logic.Void:
+	case dispatch.Unreachable, dispatch.Void:
 		d.fails++
 	default:
 		d.fails++
@@ -154,7 +154,7 @@
 		delete(p.records, e.Record)
 		return
 	}
-	if !p.again || len(r.trips) >= p.ch.MaxTrips || r.ran && r.work.Repeat != logic.Replayable {
+	if !p.again || len(r.trips) >= p.ch.MaxTrips || r.ran && r.work.Repeat != dispatch.Replayable {
 		p.giveUp(r)
 		return
 	}
@@ -167,10 +167,10 @@
 
 func (p *Policy) giveUp(r *record) {
 	r.over = true
-	if r.ran && r.work.Repeat != logic.Replayable {
-		p.out = append(p.out, logic.Terminate{Record: r.Record})
+	if r.ran && r.work.Repeat != dispatch.Replayable {
+		p.out = append(p.out, dispatch.Terminate{Record: r.Record})
 	} else {
-		p.out = append(p.out, logic.Bounce{Record: r.Record})
+		p.out = append(p.out, dispatch.Bounce{Record: r.Record})
 	}
 	if r.out == 0 {
 		delete(p.records, r.Record)
@@ -203,19 +203,19 @@
 		ep.calls++
 		r.out++
 		r.trips = append(r.trips, ep)
-		p.out = append(p.out, logic.Send{Record: r.Record, Endpoint: ep.Endpoint, Limit: min(3*second, r.CutOff-p.now-2*p.ch.Tick)})
+		p.out = append(p.out, dispatch.Send{Record: r.Record, Endpoint: ep.Endpoint, Limit: min(3*second, r.CutOff-p.now-2*p.ch.Tick)})
 		return true
 	})
 	if len(p.queue) > 0 && (p.wakeAt <= p.now || next < p.wakeAt) {
 		p.wakeAt = max(next, p.now+p.ch.Tick)
-		p.out = append(p.out, logic.Wake{At: p.wakeAt})
+		p.out = append(p.out, dispatch.Wake{At: p.wakeAt})
 	}
 }
 
 // best is the endpoint with fewest calls out, the first listed of those.
 func (d *dest) best() (best *endpoint) {
 	for _, ep := range d.endpoints {
-		if ep.Phase == logic.In && (best == nil || ep.calls < best.calls) {
+		if ep.Phase == dispatch.In && (best == nil || ep.calls < best.calls) {
 			best = ep
 		}
 	}
--- a/lab/capacity/arithmetic.go
+++ b/testbed/capacity/arithmetic.go
@@ -11,7 +11,7 @@
 	// openingFailures in a row open a breaker: more than 5, as the design has it (docs/design.md, "Kept").
 	openingFailures = statedFailures + 1
 	// idleAfter is how long the decisions count a route as lately called, and keep a closed breaker's failures: idleAfter of
-	// logic/logic.go, in seconds.
+	// dispatch/logic.go, in seconds.
 	idleAfter = 120
 )
 
--- a/lab/capacity/arithmetic_test.go
+++ b/testbed/capacity/arithmetic_test.go
@@ -86,12 +86,12 @@
 		figure        float64
 	}
 	all := []constant{
-		{"logic/logic.go", `idleAfter\s+= (\d+) \* second`, idleAfter},
-		{"peers/gossip/gossip.go", `ticks\s+= (\d+)\s`, gossipTicks},
-		{"routing/platform.go", `watchWait\s+= (\d+) \* 1000\n`, 1000 * watchSeconds},
+		{"dispatch/logic.go", `idleAfter\s+= (\d+) \* second`, idleAfter},
+		{"membership/gossip/gossip.go", `ticks\s+= (\d+)\s`, gossipTicks},
+		{"server/platform.go", `watchWait\s+= (\d+) \* 1000\n`, 1000 * watchSeconds},
 		{"cmd/pineport/fleet.go", `Beat: min\(o\.Pace/(\d+), beatMost\)`, sharingBeats},
 		{"spool/spool.go", `extra: (\d+)}`, keptFreeEach},
-		{"routing/inbox.go", `const late = (\d+) \* 1000`, 1000 * planned(t).Budget.Courier.StepSeconds},
+		{"server/inbox.go", `const late = (\d+) \* 1000`, 1000 * planned(t).Budget.Courier.StepSeconds},
 	}
 	bounds := 0
 	for _, row := range Rows() {
--- a/lab/capacity/cells.go
+++ b/testbed/capacity/cells.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"strings"
 
-	"pineport/lab/slopes"
+	"pineport/testbed/slopes"
 )
 
 // empty is printed where there is nothing to say.
--- a/lab/capacity/chart.go
+++ b/testbed/capacity/chart.go
@@ -1,8 +1,8 @@
 package capacity
 
-import "pineport/lab/slopes"
+import "pineport/testbed/slopes"
 
-// Chart is what is to be drawn of one slope. lab/report draws it.
+// Chart is what is to be drawn of one slope. testbed/report draws it.
 type Chart struct {
 	Slope   string
 	About   string
--- a/lab/capacity/events.go
+++ b/testbed/capacity/events.go
@@ -1,6 +1,6 @@
 package capacity
 
-import "pineport/lab/slopes"
+import "pineport/testbed/slopes"
 
 // Aspect is one question about an event.
 type Aspect string
@@ -113,7 +113,7 @@
 			by(worked(AspectMessages, "messages whose only copy was on its disk, at the full backlog", "events",
 				func(_ *Plan, d *Derived) float64 { return d.LostPerMachine }), OnlyCopy, "spool"),
 			by(worked(AspectMessages, "words of operators, as each courier is told by itself that one is gone", "words/day",
-				func(_ *Plan, d *Derived) float64 { return d.GoneWordsPerDay }), Membership, "peers/view"),
+				func(_ *Plan, d *Derived) float64 { return d.GoneWordsPerDay }), Membership, "membership"),
 			carried(AspectKnown, "until all know of it", "s", "couriers.death.all", "s", fleetMembers, nil),
 			carried(AspectKnown, "until half of them do", "s", "couriers.death.half", "s", fleetMembers, nil),
 			words(AspectMeanwhile, "it is counted as before, so nobody's part of a limit grows; its clients go to other couriers by themselves"),
@@ -131,9 +131,9 @@
 			words(AspectMeanwhile, "clients are turned away and go elsewhere; its messages wait on its disk; what it had learned is believed for 30 s, for the "+
 				"routes called last that fit 256 KiB (some 950)"),
 			withBudget(carried(AspectCaughtUp, "until the first step with a full backlog is over", "s", "held.restart.many", "s", heldMessages, nil),
-				readySeconds, HeldRestart, "spool, routing, logic"),
+				readySeconds, HeldRestart, "spool, server, dispatch"),
 			withBudget(carried(AspectCaughtUp, "a whole list parsed and taken in, the router's own books not counted", "s", "changes.list_seconds", "s",
-				listedEndpoints, nil), readySeconds, FullList, "protocol, logic"),
+				listedEndpoints, nil), readySeconds, FullList, "protocol, dispatch"),
 			withBudget(carried(AspectCaughtUp, "the first list, the decisions alone", "s", "destinations.first_list", "s", knownDestinations, nil), readySeconds, FullList, decisionsList),
 			carried(AspectCaughtUp, "couriers that are starting at any moment, by these restarts alone", "couriers", "held.restart.many", "s", heldMessages,
 				eachRestart),
@@ -197,12 +197,12 @@
 }
 
 // toldWithin is by when, in seconds, the run changes has told every courier that discovery reaches, in calm: discovery tells 20 to 200 ms
-// after a change (lab/scale/directorychanges.go), and a courier steps every 5 ms.
+// after a change (testbed/scale/directorychanges.go), and a courier steps every 5 ms.
 const toldWithin = 0.205
 
 func changesOfADay() Event {
 	told := func(what, slope string) EventLine {
-		return withBudget(carried(AspectKnown, what, "s", slope, "s", fleetCouriers, nil), inForce, FullList, "protocol, routing")
+		return withBudget(carried(AspectKnown, what, "s", slope, "s", fleetCouriers, nil), inForce, FullList, "protocol, server")
 	}
 	calm := func(what, slope string) EventLine { return atMost(told(what, slope), toldWithin) }
 	return Event{Name: "a change of configuration",
@@ -215,7 +215,7 @@
 			told("of the list, until the last courier is told, with restarts and 5 s without discovery, 99.9 in 100", "changes.everywhere_seconds.troubled_worst"),
 			told("of the list, until a courier that discovery can reach is told, 99.9 in 100", "changes.told_seconds.reachable_worst"),
 			withBudget(unmeasured(AspectKnown, "of settings, until in force everywhere", "s", "nothing carries settings from machine to machine: a file at each "+
-				"courier is written by somebody and read on a signal"), inForce, HandOut, "config, routing"),
+				"courier is written by somebody and read on a signal"), inForce, HandOut, "config, server"),
 			words(AspectMeanwhile, "each courier goes on with what it has; a faulty file changes nothing"),
 			carried(AspectCaughtUp, "a courier's decisions, for one change of its list", "s", "destinations.change", "s", knownDestinations, nil),
 			carried(AspectCaughtUp, "processor time of all couriers for one change of settings, once their files are there", "s", "changes.handout_seconds", "s", fleetCouriers, nil),
--- a/lab/capacity/markdown.go
+++ b/testbed/capacity/markdown.go
@@ -51,9 +51,9 @@
 
 func (page *Page) opening(m *markdown) {
 	m.paragraph("# Capacity: %s", page.Plan.Name)
-	m.paragraph("Written by `pinelab capacity --write docs/CAPACITY.md --charts docs/capacity` from `docs/capacity/plan.toml` and " +
+	m.paragraph("Written by `pineport-testbed capacity --write docs/CAPACITY.md --charts docs/capacity` from `docs/capacity/plan.toml` and " +
 		"`docs/capacity/measured.json`; do not edit: a test holds the page against the two files. " +
-		"`pinelab capacity --plan FILE` answers for another fleet.")
+		"`pineport-testbed capacity --plan FILE` answers for another fleet.")
 	m.say("How to read it:\n\n")
 	m.say("- A *courier* is one process that takes messages (*events*), holds them on its disk and calls the endpoints of their *destinations*. Its decision " +
 		"module works in *steps*: what came meanwhile goes in, what to do comes out, and no message moves on while it works. A destination that fails is " +
@@ -123,7 +123,7 @@
 	m.paragraph("A breaker opens after more than %d failures in a row, so at the %dth and not at the %dth: %s.",
 		statedFailures, openingFailures, statedFailures, Text(d.OpeningSeconds, "s"))
 	if d.MeetingSeconds > idleAfter {
-		m.paragraph("That is still too hopeful: a closed breaker that was not used for %s is dropped (`idleAfter` in `logic/logic.go`), and a courier "+
+		m.paragraph("That is still too hopeful: a closed breaker that was not used for %s is dropped (`idleAfter` in `dispatch/logic.go`), and a courier "+
 			"meets a destination every %s, so its count begins anew each time. By first attempts of new messages alone it never opens; "+
 			"further attempts of messages that wait there add to it, where they follow within those %s.",
 			Text(idleAfter, "s"), Text(d.MeetingSeconds, "s"), Text(idleAfter, "s"))
--- a/lab/capacity/page.go
+++ b/testbed/capacity/page.go
@@ -7,7 +7,7 @@
 	"reflect"
 	"strings"
 
-	"pineport/lab/slopes"
+	"pineport/testbed/slopes"
 )
 
 // Page is all that follows from a plan and from what was measured.
--- a/lab/capacity/page_test.go
+++ b/testbed/capacity/page_test.go
@@ -13,7 +13,7 @@
 
 	"pgregory.net/rapid"
 
-	"pineport/lab/slopes"
+	"pineport/testbed/slopes"
 )
 
 // madeUp are slopes that nobody measured, for tests.
@@ -379,7 +379,7 @@
 		t.Fatal(err)
 	}
 	if string(text) != page.Markdown() {
-		t.Error("docs/CAPACITY.md is not what the two files give: go run ./cmd/pinelab capacity --write docs/CAPACITY.md --charts docs/capacity")
+		t.Error("docs/CAPACITY.md is not what the two files give: go run ./cmd/pineport-testbed capacity --write docs/CAPACITY.md --charts docs/capacity")
 	}
 	for _, chart := range page.Charts() {
 		if !exists(t, filepath.Join("../../docs", ChartFolder, chart.File)) {
--- a/lab/capacity/plan.go
+++ b/testbed/capacity/plan.go
@@ -1,6 +1,6 @@
 // Package capacity works out what a fleet of a planned size asks of each part of pineport: it carries the slopes that scale runs
-// measured (lab/slopes) to the sizes of a plan, holds them against the plan's budgets, and says at which share of the planned size
-// each budget breaks. It measures nothing and does no I/O but in Load; the page docs/CAPACITY.md and pinelab capacity are its output.
+// measured (testbed/slopes) to the sizes of a plan, holds them against the plan's budgets, and says at which share of the planned size
+// each budget breaks. It measures nothing and does no I/O but in Load; the page docs/CAPACITY.md and pineport-testbed capacity are its output.
 package capacity
 
 // Plan is a fleet's planned size with its failure rates and budgets, as plan.toml gives it. The tags are the one place that says
--- a/lab/capacity/row.go
+++ b/testbed/capacity/row.go
@@ -7,7 +7,7 @@
 	"slices"
 	"strings"
 
-	"pineport/lab/slopes"
+	"pineport/testbed/slopes"
 )
 
 // Role is a part of a deployment that the page speaks of.
--- a/lab/capacity/rows_courier.go
+++ b/testbed/capacity/rows_courier.go
@@ -21,12 +21,12 @@
 
 // Packages that carry rows.
 const (
-	decisions     = "logic"
-	decisionsList = "logic, routing"
+	decisions     = "dispatch"
+	decisionsList = "dispatch, server"
 	spoolPackage  = "spool"
-	membershipPkg = "peers/view, peers/gossip"
-	sharingPkg    = "commons, commons/exchange"
-	routerPkg     = "routing, transport"
+	membershipPkg = "membership, membership/gossip"
+	sharingPkg    = "quota, quota/exchange"
+	routerPkg     = "server, transport"
 )
 
 // batched says why a full core does not break the main job yet.
@@ -37,7 +37,7 @@
 	memory := func(slope string) Part { return Part{Slope: slope, Unit: "bytes", Over: heldMessages} }
 	return []Row{
 		{Role: RoleCourier, Resource: State, What: "messages held", Unit: "events", Worked: heldMessages.At,
-			Mechanism: HeldMemory, Package: "logic, routing, spool", Standing: RunsToday},
+			Mechanism: HeldMemory, Package: "dispatch, server, spool", Standing: RunsToday},
 		{Role: RoleCourier, Resource: Latency, What: "one step of the decisions, nothing due", Unit: "s", Parts: step, Budget: stepSeconds,
 			Mechanism: HeldWork, Package: decisions, Standing: RunsToday},
 		{Role: RoleCourier, Resource: Latency, What: "one step in which a message comes and goes", Unit: "s",
@@ -50,19 +50,19 @@
 		{Role: RoleCourier, Resource: Memory, What: "messages held, in the decisions", Unit: "bytes", Parts: []Part{memory("held.module.many")},
 			Budget: courierMemory, Mechanism: HeldMemory, Package: decisions, Standing: RunsToday},
 		{Role: RoleCourier, Resource: Memory, What: "messages held, in the router", Unit: "bytes", Parts: []Part{memory("held.router.many")},
-			Budget: courierMemory, Mechanism: HeldMemory, Package: "routing", Standing: RunsToday},
+			Budget: courierMemory, Mechanism: HeldMemory, Package: "server", Standing: RunsToday},
 		{Role: RoleCourier, Resource: Memory, What: "messages held, in the spool", Unit: "bytes", Parts: []Part{memory("held.spool_memory.many")},
 			Budget: courierMemory, Mechanism: HeldMemory, Package: spoolPackage, Standing: RunsToday},
 		{Role: RoleCourier, Resource: Memory, What: "messages held, all together", Unit: "bytes",
 			Parts:  []Part{memory("held.module.many"), memory("held.router.many"), memory("held.spool_memory.many")},
-			Budget: courierMemory, Mechanism: HeldMemory, Package: "logic, routing, spool", Standing: RunsToday},
+			Budget: courierMemory, Mechanism: HeldMemory, Package: "dispatch, server, spool", Standing: RunsToday},
 		{Role: RoleCourier, Resource: Disk, What: "messages held, in the folder", Unit: "bytes", Parts: one("held.spool_disk.many", "bytes", heldMessages, nil),
 			Budget: courierDisk, Mechanism: HeldMemory, Package: spoolPackage, Standing: RunsToday},
 		{Role: RoleCourier, Resource: Disk, What: "messages held, in the folder, with the 1,024 bytes of each that the spool keeps free for what attempts add", Unit: "bytes",
 			Parts: one("held.spool_disk.many", "bytes", heldMessages, nil), Added: keptFree, Budget: courierDisk, Mechanism: HeldMemory, Package: spoolPackage,
 			Standing: RunsToday},
 		{Role: RoleCourier, Resource: Latency, What: "a restart until the first step is over", Unit: "s",
-			Parts: one("held.restart.many", "s", heldMessages, nil), Budget: readySeconds, Mechanism: HeldRestart, Package: "spool, routing, logic", Standing: RunsToday},
+			Parts: one("held.restart.many", "s", heldMessages, nil), Budget: readySeconds, Mechanism: HeldRestart, Package: "spool, server, dispatch", Standing: RunsToday},
 	}
 }
 
@@ -97,7 +97,7 @@
 		Parts: one("destinations.change", "s", knownDestinations, eachChange), Budget: controlCores, Mechanism: FullList, Package: decisionsList,
 		Standing: RunsToday}
 	told := Row{Role: RoleCourier, Resource: Bytes, What: "changes of the list, as discovery tells them", Unit: "bytes/s",
-		Parts: one("changes.change_bytes", "bytes", listedEndpoints, eachChange), Budget: controlBytes, Mechanism: FullList, Package: "protocol, routing",
+		Parts: one("changes.change_bytes", "bytes", listedEndpoints, eachChange), Budget: controlBytes, Mechanism: FullList, Package: "protocol, server",
 		Standing: RunsToday}
 	idle := list("a step of an idle courier", Latency, "destinations.step", "s")
 	idle.Budget = stepSeconds
@@ -125,9 +125,9 @@
 	look.Told = lookedAtRarely
 	return []Row{
 		{Role: RoleCourier, Resource: Bound, What: "members that a view keeps by name; the failed beyond are counted on", Unit: "couriers",
-			Worked: fleetMembers.At, CodeBound: &CodeBound{"mostNames", "peers/view/view.go", mostNames}, Mechanism: Membership, Package: "peers/view", Standing: RunsToday},
+			Worked: fleetMembers.At, CodeBound: &CodeBound{"mostNames", "membership/membership.go", mostNames}, Mechanism: Membership, Package: "membership", Standing: RunsToday},
 		{Role: RoleCourier, Resource: Bound, What: "starts that a full exchange tells; a larger one is refused whole", Unit: "couriers",
-			Worked: fleetMembers.At, CodeBound: &CodeBound{"MaxMapPairs", "peers/gossip/gossip.go", 8192}, Mechanism: Membership, Package: "peers/gossip", Standing: RunsToday},
+			Worked: fleetMembers.At, CodeBound: &CodeBound{"MaxMapPairs", "membership/gossip/gossip.go", 8192}, Mechanism: Membership, Package: "membership/gossip", Standing: RunsToday},
 		member(Messages, "packets of membership sent", "couriers.packets", "packets/s", nil),
 		member(Bytes, "packets of membership", "couriers.packet_bytes", "bytes/s", controlBytes),
 		member(Bytes, "full exchanges of membership", "couriers.exchange_bytes", "bytes/s", controlBytes),
@@ -158,7 +158,7 @@
 	fleet.Told = hearsFew
 	return []Row{
 		{Role: RoleCourier, Resource: Bound, What: "routes whose limits are shared, of those called within two minutes; others are left out", Unit: "routes",
-			Worked: sharedRoutes.At, CodeBound: &CodeBound{"mostKeys", "commons/commons.go", 1024}, Mechanism: Sharing, Package: "commons", Standing: RunsToday},
+			Worked: sharedRoutes.At, CodeBound: &CodeBound{"mostKeys", "quota/quota.go", 1024}, Mechanism: Sharing, Package: "commons", Standing: RunsToday},
 		beats, heard,
 		fleet,
 		share(Memory, "sharing, over the routes in use", "sharing.kept_bytes.routes_over_room", "bytes", sharedRoutes, controlMemory),
@@ -175,7 +175,7 @@
 // settingsRows take every change of configuration for one of the settings, as none says of which kind it is.
 func settingsRows() []Row {
 	reload := Row{Role: RoleCourier, Resource: Processor, What: "settings read anew, were every change one of them", Unit: "cores",
-		Parts: one("changes.reload_seconds.tenants", "s", settingsTenants, eachChange), Budget: controlCores, Mechanism: HandOut, Package: "config, routing",
+		Parts: one("changes.reload_seconds.tenants", "s", settingsTenants, eachChange), Budget: controlCores, Mechanism: HandOut, Package: "config, server",
 		Standing: RunsToday}
 	memory := Row{Role: RoleCourier, Resource: Memory, What: "settings in force", Unit: "bytes",
 		Parts: one("changes.reload_kept_bytes.tenants", "bytes", settingsTenants, nil), Budget: controlMemory, Mechanism: HandOut, Package: "config",
@@ -192,12 +192,12 @@
 			{Slope: "couriers.processor", Unit: "cores", Over: fleetMembers},
 			{Slope: "sharing.beat_seconds.heard_over_room", Unit: "s", Over: othersHeard, Times: beatsPerSecond},
 			{Slope: "destinations.change", Unit: "s", Over: knownDestinations, Times: eachChange},
-		}, Budget: controlCores, Package: "peers, commons, logic", Standing: Hollow, Told: summed},
+		}, Budget: controlCores, Package: "membership, quota, dispatch", Standing: Hollow, Told: summed},
 		{Role: RoleCourier, Resource: Memory, What: "control, all together: membership, sharing, the list", Unit: "bytes", Parts: []Part{
 			{Slope: "couriers.heap", Unit: "bytes", Over: fleetMembers},
 			{Slope: "sharing.kept_bytes.routes_over_room", Unit: "bytes", Over: sharedRoutes},
 			{Slope: "destinations.bytes", Unit: "bytes", Over: knownDestinations},
-		}, Budget: controlMemory, Package: "peers, commons, logic", Standing: Hollow, Told: summed},
+		}, Budget: controlMemory, Package: "membership, quota, dispatch", Standing: Hollow, Told: summed},
 		{Role: RoleCourier, Resource: Bytes, What: "control, all together: membership, sharing, changes of the list", Unit: "bytes/s", Parts: []Part{
 			{Slope: "couriers.packet_bytes", Unit: "bytes/s", Over: fleetMembers},
 			{Slope: "couriers.exchange_bytes", Unit: "bytes/s", Over: fleetMembers},
--- a/lab/capacity/rows_others.go
+++ b/testbed/capacity/rows_others.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// Kinds of the run outage, by the size kind of its points: lab/scale/outage.go.
+// Kinds of the run outage, by the size kind of its points: testbed/scale/outage.go.
 const (
 	outageRefusing   = 1
 	outageThrottling = 2
@@ -77,7 +77,7 @@
 		Mechanism: OutageAlone, Package: decisions, Standing: RunsToday}
 }
 
-// watchSeconds is how long discovery may hold a watch: watchWait of routing/platform.go.
+// watchSeconds is how long discovery may hold a watch: watchWait of server/platform.go.
 const watchSeconds = 4.5
 
 func partnerRows() []Row {
--- a/lab/capacity/sizes.go
+++ b/testbed/capacity/sizes.go
@@ -18,7 +18,7 @@
 	sharedRoutes = Size{"routes", func(_ *Plan, d *Derived) float64 { return d.RoutesLately }}
 )
 
-// mostNames is what a view keeps by name: mostNames of peers/view/view.go.
+// mostNames is what a view keeps by name: mostNames of membership/membership.go.
 const mostNames = 4096
 
 // Factors of a part.
@@ -28,7 +28,7 @@
 func ticksPerSecond(_ *Plan, _ *Derived) float64 { return gossipTicks }
 func beatsPerSecond(_ *Plan, _ *Derived) float64 { return sharingBeats }
 
-// The run outage, as lab/scale/outage.go plays it: messages a second for one destination, destinations that are down, and for how long.
+// The run outage, as testbed/scale/outage.go plays it: messages a second for one destination, destinations that are down, and for how long.
 const (
 	outageRate     = 100.0 / 40
 	outageDown     = 10
@@ -47,7 +47,7 @@
 func eachChangeToAll(p *Plan, d *Derived) float64 { return p.Fleet.Couriers * d.ChangesPerSecond }
 
 const (
-	// gossipTicks of the view a second at the default interval of heartbeats, 1 s: ticks of peers/gossip.
+	// gossipTicks of the view a second at the default interval of heartbeats, 1 s: ticks of membership/gossip.
 	gossipTicks = 5
 	// sharingBeats a second at that interval: half an interval each, see cmd/pineport/fleet.go.
 	sharingBeats = 2
--- a/lab/partner/endpoint.go
+++ b/testbed/endpointmodel/endpoint.go
@@ -1,9 +1,9 @@
-package partner
+package endpointmodel
 
 import (
 	"slices"
 
-	"pineport/logic"
+	"pineport/dispatch"
 )
 
 type endpoint struct {
@@ -23,7 +23,7 @@
 // ill is what all strikes at an endpoint come to.
 type ill struct {
 	refuses, silent, hangs, shut, stands bool
-	until                                logic.Micros // when a shut endpoint opens
+	until                                dispatch.Micros // when a shut endpoint opens
 	hangActs                             float64
 	errors, errorActs                    float64
 	swallow, resets, resetActs           float64
@@ -69,15 +69,15 @@
 	began  bool // a worker is on it
 	over   bool
 	called bool // off
-	after  logic.Micros
+	after  dispatch.Micros
 }
 
 // fate is what will come of a job, settled when it begins.
 type fate struct {
-	outcome logic.Outcome
+	outcome dispatch.Outcome
 	acts    bool
 	mute    bool // no answer comes
-	wait    logic.Micros
+	wait    dispatch.Micros
 }
 
 func (ep *endpoint) drop(j *job) {
--- a/lab/partner/partner.go
+++ b/testbed/endpointmodel/endpointmodel.go
@@ -1,4 +1,4 @@
-package partner
+package endpointmodel
 
 import (
 	"container/heap"
@@ -8,11 +8,11 @@
 
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"pineport/logic"
+	"pineport/dispatch"
 )
 
 // Never is an instant that does not come.
-const Never = logic.Micros(math.MaxInt64)
+const Never = dispatch.Micros(math.MaxInt64)
 
 // Partner is one destination.
 type Partner struct {
@@ -20,27 +20,27 @@
 	rng       *rand.Rand
 	spread    distuv.LogNormal // of the time of service, with the mean 1
 	routes    []*route
-	endpoints map[logic.EndpointID]*endpoint
+	endpoints map[dispatch.EndpointID]*endpoint
 	order     []*endpoint
 	timers    timers
 	seq       int
-	ran       map[logic.RecordID][]effect
+	ran       map[dispatch.RecordID][]effect
 	out       []Output
 }
 
 // effect is one time that a record took effect.
 type effect struct {
-	at   logic.Micros
-	zone logic.ZoneID
+	at   dispatch.Micros
+	zone dispatch.ZoneID
 }
 
 // New makes a destination.
 func New(plan Plan) *Partner {
 	source := rand.NewPCG(plan.Seed, 0x70617274)
 	variance := math.Log(1 + plan.Spread*plan.Spread)
-	p := &Partner{plan: plan, rng: rand.New(source), endpoints: map[logic.EndpointID]*endpoint{},
+	p := &Partner{plan: plan, rng: rand.New(source), endpoints: map[dispatch.EndpointID]*endpoint{},
 		spread: distuv.LogNormal{Mu: -variance / 2, Sigma: math.Sqrt(variance), Src: source},
-		ran:    map[logic.RecordID][]effect{}}
+		ran:    map[dispatch.RecordID][]effect{}}
 	for _, e := range plan.Endpoints {
 		p.Add(e)
 	}
@@ -63,7 +63,7 @@
 }
 
 // Route is the number of the route that an endpoint belongs to; -1 for a strange endpoint.
-func (p *Partner) Route(id logic.EndpointID) int {
+func (p *Partner) Route(id dispatch.EndpointID) int {
 	if ep := p.endpoints[id]; ep != nil {
 		return ep.route.no
 	}
@@ -71,7 +71,7 @@
 }
 
 // Remove takes an endpoint away: what it had in hand is cut off, connections are refused from now on.
-func (p *Partner) Remove(now logic.Micros, id logic.EndpointID) []Output {
+func (p *Partner) Remove(now dispatch.Micros, id dispatch.EndpointID) []Output {
 	p.out = nil
 	if ep := p.endpoints[id]; ep != nil && !ep.gone {
 		ep.gone = true
@@ -81,7 +81,7 @@
 }
 
 // Connect asks an endpoint for a connection.
-func (p *Partner) Connect(now logic.Micros, id logic.EndpointID) Link {
+func (p *Partner) Connect(now dispatch.Micros, id dispatch.EndpointID) Link {
 	link := p.Door(id)
 	if link == Up {
 		p.endpoints[id].open++
@@ -90,18 +90,18 @@
 }
 
 // Disconnect gives a connection back.
-func (p *Partner) Disconnect(id logic.EndpointID) {
+func (p *Partner) Disconnect(id dispatch.EndpointID) {
 	if ep := p.endpoints[id]; ep != nil && ep.open > 0 {
 		ep.open--
 	}
 }
 
 // Take takes a call over a connection that is up.
-func (p *Partner) Take(now logic.Micros, c *Call) []Output {
+func (p *Partner) Take(now dispatch.Micros, c *Call) []Output {
 	p.out = nil
 	ep := p.endpoints[c.Endpoint]
 	if ep == nil || ep.gone || ep.refuses {
-		p.say(Answer{Call: c, Outcome: logic.Broken})
+		p.say(Answer{Call: c, Outcome: dispatch.Broken})
 		return p.out
 	}
 	j := &job{call: c, ep: ep}
@@ -114,7 +114,7 @@
 		p.say(Fell{Route: ep.route.no, Since: since, Sent: sent})
 		p.fall(now, ep.route)
 		if ep.refuses {
-			p.say(Answer{Call: c, Outcome: logic.Broken})
+			p.say(Answer{Call: c, Outcome: dispatch.Broken})
 			return p.out
 		}
 	}
@@ -126,15 +126,15 @@
 const quick = 1000
 
 // judge settles what comes of a call, as far as health, limit and queue go.
-func (p *Partner) judge(now logic.Micros, j *job) {
+func (p *Partner) judge(now dispatch.Micros, j *job) {
 	ep := j.ep
-	full := func(wait logic.Micros) {
-		j.fate = fate{outcome: logic.Full, wait: (wait + quick - 1) / quick * quick} // told in whole milliseconds
+	full := func(wait dispatch.Micros) {
+		j.fate = fate{outcome: dispatch.Full, wait: (wait + quick - 1) / quick * quick} // told in whole milliseconds
 		ep.hand = append(ep.hand, j)
 		p.after(now+quick, j)
 	}
 	if ep.shut {
-		wait := logic.Micros(0)
+		wait := dispatch.Micros(0)
 		if ep.until > now && p.rng.Float64() < p.plan.Limit.Tells {
 			wait = ep.until - now
 		}
@@ -152,16 +152,16 @@
 		p.after(now+p.service(now, j), j) // it holds no worker: what hangs would else answer full before long
 		return
 	case chance < ep.errors || chance < p.plan.ErrorRate:
-		j.fate = fate{outcome: logic.Failure, acts: p.rng.Float64() < ep.errorActs}
+		j.fate = fate{outcome: dispatch.Failure, acts: p.rng.Float64() < ep.errorActs}
 		ep.hand = append(ep.hand, j)
 		p.after(now+p.service(now, j)/10, j)
 		return
 	case chance < ep.resets:
-		j.fate = fate{outcome: logic.Broken, acts: p.rng.Float64() < ep.resetActs}
+		j.fate = fate{outcome: dispatch.Broken, acts: p.rng.Float64() < ep.resetActs}
 	case chance < ep.swallow:
 		j.fate = fate{mute: true, acts: true}
 	default:
-		j.fate = fate{outcome: logic.Done, acts: true}
+		j.fate = fate{outcome: dispatch.Done, acts: true}
 	}
 	switch {
 	case ep.busy < p.plan.Workers:
@@ -174,24 +174,24 @@
 	}
 }
 
-func (p *Partner) begin(now logic.Micros, j *job) {
+func (p *Partner) begin(now dispatch.Micros, j *job) {
 	j.began = true
 	j.ep.busy++
 	p.after(now+p.service(now, j), j)
 }
 
 // service draws how long a call takes.
-func (p *Partner) service(now logic.Micros, j *job) logic.Micros {
+func (p *Partner) service(now dispatch.Micros, j *job) dispatch.Micros {
 	work := 1 + p.plan.ItemCost*float64(len(j.call.Items)-1)
 	span := float64(p.plan.Answer) * work * j.ep.slow / j.ep.route.warm(now)
 	if p.plan.Spread > 0 {
 		span *= p.spread.Rand()
 	}
-	return max(quick, logic.Micros(span))
+	return max(quick, dispatch.Micros(span))
 }
 
 // CallOff tells that nobody waits for a call any more: what has not begun is dropped, what has runs on.
-func (p *Partner) CallOff(now logic.Micros, c *Call) []Output {
+func (p *Partner) CallOff(now dispatch.Micros, c *Call) []Output {
 	p.out = nil
 	j := c.job
 	if j == nil {
@@ -209,7 +209,7 @@
 }
 
 // Due is when something happens next by itself.
-func (p *Partner) Due() logic.Micros {
+func (p *Partner) Due() dispatch.Micros {
 	if len(p.timers) == 0 {
 		return Never
 	}
@@ -217,7 +217,7 @@
 }
 
 // Step lets happen what is due.
-func (p *Partner) Step(now logic.Micros) []Output {
+func (p *Partner) Step(now dispatch.Micros) []Output {
 	p.out = nil
 	for len(p.timers) > 0 && p.timers[0].at <= now {
 		t := heap.Pop(&p.timers).(timer)
@@ -235,7 +235,7 @@
 }
 
 // finish ends a job: its effect, its answer, and the next in the queue.
-func (p *Partner) finish(now logic.Micros, j *job) {
+func (p *Partner) finish(now dispatch.Micros, j *job) {
 	ep := j.ep
 	j.over = true
 	if j.fate.acts {
@@ -253,7 +253,7 @@
 	}
 }
 
-func (p *Partner) nextInQueue(now logic.Micros, ep *endpoint) {
+func (p *Partner) nextInQueue(now dispatch.Micros, ep *endpoint) {
 	for len(ep.queue) > 0 && ep.busy < p.plan.Workers {
 		next := ep.queue[0]
 		ep.queue = ep.queue[1:]
@@ -261,7 +261,7 @@
 	}
 }
 
-func (p *Partner) answer(now logic.Micros, j *job) {
+func (p *Partner) answer(now dispatch.Micros, j *job) {
 	a := Answer{Call: j.call, Outcome: j.fate.outcome, Wait: j.fate.wait}
 	if p.plan.Reports {
 		a.Pressure = j.ep.route.meter.report(now)
@@ -272,11 +272,11 @@
 }
 
 // act lets the records of a call take effect, but for repeats that are known by their mark.
-func (p *Partner) act(now logic.Micros, j *job) {
+func (p *Partner) act(now dispatch.Micros, j *job) {
 	for _, item := range j.call.Items {
 		before := p.ran[item.Origin]
 		known := false
-		if item.Repeat == logic.Referenced {
+		if item.Repeat == dispatch.Referenced {
 			for _, e := range before {
 				known = known || now-e.at <= item.Window && (!item.OneZone || e.zone == j.ep.Zone)
 			}
@@ -289,10 +289,10 @@
 }
 
 // cutOff breaks what an endpoint has in hand; it comes to nothing.
-func (p *Partner) cutOff(now logic.Micros, ep *endpoint) {
+func (p *Partner) cutOff(now dispatch.Micros, ep *endpoint) {
 	for _, j := range append(slices.Clone(ep.hand), ep.lost...) {
 		if j.call != nil && !j.called {
-			p.say(Answer{Call: j.call, Outcome: logic.Broken})
+			p.say(Answer{Call: j.call, Outcome: dispatch.Broken})
 		}
 		j.over = true
 	}
@@ -301,7 +301,7 @@
 
 func (p *Partner) say(o Output) { p.out = append(p.out, o) }
 
-func (p *Partner) after(at logic.Micros, j *job) {
+func (p *Partner) after(at dispatch.Micros, j *job) {
 	p.seq++
 	heap.Push(&p.timers, timer{at: at, seq: p.seq, job: j})
 }
@@ -310,7 +310,7 @@
 type timers []timer
 
 type timer struct {
-	at    logic.Micros
+	at    dispatch.Micros
 	seq   int
 	job   *job
 	route *route
@@ -330,7 +330,7 @@
 }
 
 // Door tells how an endpoint treats who asks for a connection just now, without opening one.
-func (p *Partner) Door(id logic.EndpointID) Link {
+func (p *Partner) Door(id dispatch.EndpointID) Link {
 	ep := p.endpoints[id]
 	switch {
 	case p.Dead(id):
@@ -344,7 +344,7 @@
 }
 
 // Dead tells whether an endpoint's process does not run: no connection to it lives.
-func (p *Partner) Dead(id logic.EndpointID) bool {
+func (p *Partner) Dead(id dispatch.EndpointID) bool {
 	ep := p.endpoints[id]
 	return ep == nil || ep.gone || ep.refuses
 }
--- a/lab/partner/partner_test.go
+++ b/testbed/endpointmodel/endpointmodel_test.go
@@ -1,14 +1,14 @@
-package partner
+package endpointmodel
 
 import (
 	"testing"
 
 	"pgregory.net/rapid"
 
-	"pineport/logic"
+	"pineport/dispatch"
 )
 
-const ms = logic.Micros(1000)
+const ms = dispatch.Micros(1000)
 
 func plan() Plan {
 	return Plan{Endpoints: []Endpoint{{ID: "a", Zone: 0}, {ID: "b", Zone: 1}}, Workers: 2, Queue: 1, Answer: 100 * ms, PerCall: 5,
@@ -16,14 +16,14 @@
 }
 
 // until steps a partner up to an instant and returns what came of it.
-func until(p *Partner, to logic.Micros) (all []Output) {
+func until(p *Partner, to dispatch.Micros) (all []Output) {
 	for p.Due() <= to {
 		all = append(all, p.Step(p.Due())...)
 	}
 	return all
 }
 
-func take(p *Partner, at logic.Micros, id uint64, ep logic.EndpointID, items ...Item) []Output {
+func take(p *Partner, at dispatch.Micros, id uint64, ep dispatch.EndpointID, items ...Item) []Output {
 	if len(items) == 0 {
 		items = []Item{{Record: "r", Origin: "r"}}
 	}
@@ -35,11 +35,11 @@
 		switch o := o.(type) {
 		case Answer:
 			switch o.Outcome {
-			case logic.Done:
+			case dispatch.Done:
 				done++
-			case logic.Full:
+			case dispatch.Full:
 				full++
-			case logic.Broken:
+			case dispatch.Broken:
 				broken++
 			}
 		case Ran:
@@ -75,11 +75,11 @@
 
 func TestKnowsRepeatsInWindowAndZone(t *testing.T) {
 	p := New(plan())
-	item := Item{Record: "x", Origin: "x", Repeat: logic.Referenced, Window: 1000 * ms, OneZone: true}
+	item := Item{Record: "x", Origin: "x", Repeat: dispatch.Referenced, Window: 1000 * ms, OneZone: true}
 	var all []Output
 	for _, c := range []struct {
-		at logic.Micros
-		ep logic.EndpointID
+		at dispatch.Micros
+		ep dispatch.EndpointID
 	}{{0, "a"}, {500 * ms, "a"}, {600 * ms, "b"}, {5000 * ms, "a"}} {
 		all = append(all, take(p, c.at, uint64(c.at)+1, c.ep, item)...)
 		all = append(all, until(p, c.at+400*ms)...)
@@ -93,7 +93,7 @@
 // TestPushedOverOnReturn: more than its multiple of what it can do puts a returning destination down, and less does not.
 func TestPushedOverOnReturn(t *testing.T) {
 	for _, c := range []struct {
-		every logic.Micros
+		every dispatch.Micros
 		falls int
 	}{{20 * ms, 1}, {400 * ms, 0}} {
 		p := New(plan())
@@ -146,11 +146,11 @@
 				}
 			}
 		}
-		at := logic.Micros(0)
+		at := dispatch.Micros(0)
 		for i := range rapid.IntRange(1, 80).Draw(t, "steps") {
-			at += logic.Micros(rapid.IntRange(0, 300).Draw(t, "pause")) * ms
+			at += dispatch.Micros(rapid.IntRange(0, 300).Draw(t, "pause")) * ms
 			see(until(p, at))
-			ep := []logic.EndpointID{"a", "b"}[rapid.IntRange(0, 1).Draw(t, "endpoint")]
+			ep := []dispatch.EndpointID{"a", "b"}[rapid.IntRange(0, 1).Draw(t, "endpoint")]
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
 				see(p.Strike(at, ep, Strike{ID: i, Kind: rapid.SampledFrom(kinds).Draw(t, "kind"), Size: 0.5, Acts: 0.5, Until: at + 1000*ms}))
--- a/lab/partner/health.go
+++ b/testbed/endpointmodel/health.go
@@ -1,14 +1,14 @@
-package partner
+package endpointmodel
 
 import (
 	"container/heap"
 	"slices"
 
-	"pineport/logic"
+	"pineport/dispatch"
 )
 
 // Strike lets a trouble begin at an endpoint.
-func (p *Partner) Strike(now logic.Micros, id logic.EndpointID, s Strike) []Output {
+func (p *Partner) Strike(now dispatch.Micros, id dispatch.EndpointID, s Strike) []Output {
 	p.out = nil
 	ep := p.endpoints[id]
 	if ep == nil || ep.gone {
@@ -21,7 +21,7 @@
 }
 
 // Heal ends a trouble at an endpoint.
-func (p *Partner) Heal(now logic.Micros, id logic.EndpointID, strike int) []Output {
+func (p *Partner) Heal(now dispatch.Micros, id dispatch.EndpointID, strike int) []Output {
 	p.out = nil
 	ep := p.endpoints[id]
 	if ep == nil {
@@ -34,7 +34,7 @@
 }
 
 // changed carries out what new or ended strikes mean for what is in hand.
-func (p *Partner) changed(now logic.Micros, ep *endpoint, before ill) {
+func (p *Partner) changed(now dispatch.Micros, ep *endpoint, before ill) {
 	ep.diagnose(ep.route.fellTo > now)
 	shrunk := 1.0
 	for _, other := range ep.route.endpoints {
@@ -67,7 +67,7 @@
 }
 
 // goOn ends a standstill: what fell due in it ends now.
-func (p *Partner) goOn(now logic.Micros, ep *endpoint) {
+func (p *Partner) goOn(now dispatch.Micros, ep *endpoint) {
 	for _, j := range ep.hand {
 		if j.after > 0 && !j.over {
 			j.after = 0
@@ -77,7 +77,7 @@
 }
 
 // look brings the phase of a route up to date.
-func (p *Partner) look(now logic.Micros, rt *route) {
+func (p *Partner) look(now dispatch.Micros, rt *route) {
 	if rt.fellTo > 0 && now >= rt.fellTo {
 		rt.fellTo = 0
 		for _, ep := range rt.endpoints {
@@ -100,7 +100,7 @@
 }
 
 // fall puts a route down that was sent too much on its return.
-func (p *Partner) fall(now logic.Micros, rt *route) {
+func (p *Partner) fall(now dispatch.Micros, rt *route) {
 	rt.fellTo = now + p.plan.FallDown
 	for _, ep := range rt.endpoints {
 		ep.diagnose(true)
@@ -111,7 +111,7 @@
 	p.look(now, rt)
 }
 
-func (p *Partner) lookAt(at logic.Micros, rt *route) {
+func (p *Partner) lookAt(at dispatch.Micros, rt *route) {
 	p.seq++
 	heap.Push(&p.timers, timer{at: at, seq: p.seq, route: rt})
 }
--- a/lab/partner/limit.go
+++ b/testbed/endpointmodel/limit.go
@@ -1,9 +1,9 @@
-package partner
+package endpointmodel
 
 import (
 	"math/rand/v2"
 
-	"pineport/logic"
+	"pineport/dispatch"
 )
 
 // meter counts calls against a limit.
@@ -12,13 +12,13 @@
 	rng    *rand.Rand
 	shrunk float64 // what is left of the limit, by strikes
 	tokens float64
-	at     logic.Micros
+	at     dispatch.Micros
 	span   int64 // the window that is counted
 	used   int
 
-	every          logic.Micros // of its reports
+	every          dispatch.Micros // of its reports
 	noise          float64
-	reportAt       logic.Micros
+	reportAt       dispatch.Micros
 	leftAt, rateAt float64
 }
 
@@ -27,7 +27,7 @@
 // saved is how many calls may be saved up: half a second's worth.
 func (m *meter) saved() float64 { return max(1, m.rate()/2) }
 
-func (m *meter) fill(now logic.Micros) {
+func (m *meter) fill(now dispatch.Micros) {
 	switch m.limit.Kind {
 	case Rate:
 		m.tokens = min(m.saved(), m.tokens+m.rate()*float64(now-m.at)/1e6)
@@ -42,7 +42,7 @@
 func (m *meter) windowful() int { return max(1, int(m.rate()*float64(m.limit.Span)/1e6)) }
 
 // take tells whether a call is within the limit; where it is not, how long to wait, if that is told.
-func (m *meter) take(now logic.Micros) (ok bool, wait logic.Micros) {
+func (m *meter) take(now dispatch.Micros) (ok bool, wait dispatch.Micros) {
 	m.fill(now)
 	switch m.limit.Kind {
 	case NoLimit:
@@ -52,7 +52,7 @@
 			m.used++
 			return true, 0
 		}
-		wait = logic.Micros(m.span+1)*m.limit.Span - now
+		wait = dispatch.Micros(m.span+1)*m.limit.Span - now
 	default:
 		if m.tokens >= 1 {
 			m.tokens--
@@ -61,7 +61,7 @@
 		if m.limit.RefusedCount {
 			m.tokens = max(-m.saved(), m.tokens-1)
 		}
-		wait = logic.Micros((1 - m.tokens) / max(m.rate(), 1e-3) * 1e6)
+		wait = dispatch.Micros((1 - m.tokens) / max(m.rate(), 1e-3) * 1e6)
 	}
 	if m.rng.Float64() >= m.limit.Tells {
 		return false, 0
@@ -70,7 +70,7 @@
 }
 
 // report is the share of the limit that is left, and the limit; late and noisy, as it is read now and then.
-func (m *meter) report(now logic.Micros) []float64 {
+func (m *meter) report(now dispatch.Micros) []float64 {
 	if m.limit.Kind == NoLimit {
 		return []float64{0, 0}
 	}
--- a/lab/partner/plan.go
+++ b/testbed/endpointmodel/plan.go
@@ -1,11 +1,11 @@
-// Package partner is a destination as its couriers meet it: endpoints with workers, a queue and a connection table, a
+// Package endpointmodel is a destination as its couriers meet it: endpoints with workers, a queue and a connection table, a
 // limit, troubles, and a cold return. It is a state machine: it has no socket and no clock, is told the instant with
 // each call of a method, and returns what comes of it. Chance comes from the seed that it is made with.
 //
 // It is written from the public pages and this project's own docs. It is a model, and no measurement of anybody's system.
-package partner
+package endpointmodel
 
-import "pineport/logic"
+import "pineport/dispatch"
 
 // LimitKind is how a destination counts what it takes.
 type LimitKind int
@@ -20,41 +20,41 @@
 type Limit struct {
 	Kind         LimitKind
 	PerSec       float64
-	Span         logic.Micros // of a Window
-	RefusedCount bool         // refused calls use it up as well
-	Tells        float64      // share of refusals that tell how long to wait
-	LeastWait    logic.Micros // the shortest wait that is told
+	Span         dispatch.Micros // of a Window
+	RefusedCount bool            // refused calls use it up as well
+	Tells        float64         // share of refusals that tell how long to wait
+	LeastWait    dispatch.Micros // the shortest wait that is told
 }
 
 // Endpoint is one address of a destination.
 type Endpoint struct {
-	ID   logic.EndpointID
-	Zone logic.ZoneID
+	ID   dispatch.EndpointID
+	Zone dispatch.ZoneID
 }
 
 // Plan is what a destination is made from.
 type Plan struct {
-	Dest        logic.DestID
-	Kind        logic.ShapeID
+	Dest        dispatch.DestID
+	Kind        dispatch.ShapeID
 	Apart       bool // each endpoint is a route of its own, with its own limit, outages and return
 	PerCall     int  // records in a call at most
 	ItemCost    float64
 	Endpoints   []Endpoint
-	Workers     int          // calls that an endpoint serves at once
-	Queue       int          // calls that wait at an endpoint at most
-	Connections int          // that an endpoint holds, idle ones counted; 0: any number
-	Answer      logic.Micros // mean time of service
-	Spread      float64      // coefficient of variation of it (lognormal)
-	ErrorRate   float64      // of calls in good health
+	Workers     int             // calls that an endpoint serves at once
+	Queue       int             // calls that wait at an endpoint at most
+	Connections int             // that an endpoint holds, idle ones counted; 0: any number
+	Answer      dispatch.Micros // mean time of service
+	Spread      float64         // coefficient of variation of it (lognormal)
+	ErrorRate   float64         // of calls in good health
 	Limit       Limit
 	Reports     bool // answers tell how much of the limit is left, and the limit
-	ReportEvery logic.Micros
+	ReportEvery dispatch.Micros
 	ReportNoise float64
 	ColdFrom    float64 // share of the capacity at a return
-	Ramp        logic.Micros
+	Ramp        dispatch.Micros
 	Fall        float64 // sent more than this multiple of its present capacity ...
-	FallSpan    logic.Micros
-	FallDown    logic.Micros // ... for so long, it falls over, and is down for so long
+	FallSpan    dispatch.Micros
+	FallDown    dispatch.Micros // ... for so long, it falls over, and is down for so long
 	Seed        uint64
 }
 
@@ -63,17 +63,17 @@
 
 // Item is one record within a call. Origin stays the same when a client hands a record in again.
 type Item struct {
-	Record, Origin logic.RecordID
-	Repeat         logic.Repeat
-	OneZone        bool         // referenced: only this zone's endpoints know a repeat
-	Window         logic.Micros // referenced: for so long
+	Record, Origin dispatch.RecordID
+	Repeat         dispatch.Repeat
+	OneZone        bool            // referenced: only this zone's endpoints know a repeat
+	Window         dispatch.Micros // referenced: for so long
 }
 
 // Call is one call whose last byte has come.
 type Call struct {
 	ID       uint64
 	Courier  int
-	Endpoint logic.EndpointID
+	Endpoint dispatch.EndpointID
 	Items    []Item
 	job      *job
 }
@@ -85,15 +85,15 @@
 	// Answer ends a call. Outcome is Done, Failure, Full, or Broken where its connection breaks.
 	Answer struct {
 		Call     *Call
-		Outcome  logic.Outcome
-		Wait     logic.Micros
+		Outcome  dispatch.Outcome
+		Wait     dispatch.Micros
 		Pressure []float64 // share of the limit left, and the limit in calls a second
 	}
 	// Ran is an effect: Before is how often this record had taken effect before. Where the destination knew the repeat
 	// by its mark, nothing ran and Known is set.
 	Ran struct {
 		Item     Item
-		Endpoint logic.EndpointID
+		Endpoint dispatch.EndpointID
 		Courier  int
 		Before   int
 		Known    bool
@@ -101,7 +101,7 @@
 	// Fell: a returning route was sent more than it could take, and is down again. Sent has what each courier sent.
 	Fell struct {
 		Route int
-		Since logic.Micros
+		Since dispatch.Micros
 		Sent  map[int]float64
 	}
 	// Turned tells of the health of a route: an outage began, it came back cold, or it is warm again.
@@ -160,7 +160,7 @@
 	Kind  Trouble
 	Size  float64
 	Acts  float64
-	Until logic.Micros // when it ends, as far as a destination itself may tell: when a shut one opens
+	Until dispatch.Micros // when it ends, as far as a destination itself may tell: when a shut one opens
 }
 
 // outage tells whether a strike is one from which a route comes back cold.
--- a/lab/partner/route.go
+++ b/testbed/endpointmodel/route.go
@@ -1,9 +1,9 @@
-package partner
+package endpointmodel
 
 import (
 	"math/rand/v2"
 
-	"pineport/logic"
+	"pineport/dispatch"
 )
 
 // route is what a limit, an outage and a return belong to: a destination, or each endpoint apart.
@@ -13,13 +13,13 @@
 	meter     meter
 	endpoints []*endpoint
 	phase     Phase
-	coldSince logic.Micros
-	fellTo    logic.Micros // down from a fall until then
-	load      []arrival    // of the last FallSpan of a return
+	coldSince dispatch.Micros
+	fellTo    dispatch.Micros // down from a fall until then
+	load      []arrival       // of the last FallSpan of a return
 }
 
 type arrival struct {
-	at      logic.Micros
+	at      dispatch.Micros
 	courier int
 }
 
@@ -39,7 +39,7 @@
 }
 
 // warm is the share of its capacity that the route has.
-func (r *route) warm(now logic.Micros) float64 {
+func (r *route) warm(now dispatch.Micros) float64 {
 	if r.phase != Cold || r.plan.Ramp <= 0 {
 		return 1
 	}
@@ -48,7 +48,7 @@
 }
 
 // capacity is what all endpoints of the route that are up serve in a second.
-func (r *route) capacity(now logic.Micros) float64 {
+func (r *route) capacity(now dispatch.Micros) float64 {
 	n := 0
 	for _, ep := range r.endpoints {
 		if !ep.gone && !ep.outage {
@@ -62,7 +62,7 @@
 const slack = 3
 
 // press counts a call at a cold route and tells whether it falls over.
-func (r *route) press(now logic.Micros, courier int) (sent map[int]float64, since logic.Micros, falls bool) {
+func (r *route) press(now dispatch.Micros, courier int) (sent map[int]float64, since dispatch.Micros, falls bool) {
 	if r.phase != Cold || r.plan.Fall <= 0 {
 		return nil, 0, false
 	}
--- a/lab/world/directory.go
+++ b/testbed/environment/directory.go
@@ -1,4 +1,4 @@
-package world
+package environment
 
 import (
 	"bufio"
@@ -11,9 +11,9 @@
 	"sync"
 	"time"
 
-	"pineport/lab/ledger"
-	"pineport/lab/partner"
-	"pineport/logic"
+	"pineport/dispatch"
+	"pineport/testbed/endpointmodel"
+	"pineport/testbed/invariants"
 )
 
 // directory is discovery and the platform as one courier meets them.
@@ -24,24 +24,24 @@
 	address string
 	mu      sync.Mutex
 	seq     int
-	entries map[logic.EndpointID]entry
+	entries map[dispatch.EndpointID]entry
 	log     []change
 	changed chan struct{} // closed with each change
 	isDown  bool
-	newsAt  logic.Micros
+	newsAt  dispatch.Micros
 	pending []entry
 }
 
 // entry is one endpoint in the platform's form.
 type entry struct {
-	Host   logic.EndpointID `json:"host"`
-	Dial   string           `json:"dial"`
-	Site   string           `json:"site"`
-	Class  string           `json:"class"`
-	Block  int              `json:"block"`
-	Health string           `json:"health"`
-	Share  float64          `json:"share"`
-	Born   int64            `json:"born_ms"`
+	Host   dispatch.EndpointID `json:"host"`
+	Dial   string              `json:"dial"`
+	Site   string              `json:"site"`
+	Class  string              `json:"class"`
+	Block  int                 `json:"block"`
+	Health string              `json:"health"`
+	Share  float64             `json:"share"`
+	Born   int64               `json:"born_ms"`
 }
 
 type change struct {
@@ -55,19 +55,19 @@
 	Hosts []entry `json:"hosts"`
 }
 
-var health = map[logic.Phase]string{logic.In: "in_service", logic.Draining: "terminating", logic.Gone: "terminated"}
+var health = map[dispatch.Phase]string{dispatch.In: "in_service", dispatch.Draining: "terminating", dispatch.Gone: "terminated"}
 
-func (w *World) entry(dest int, e partner.Endpoint, phase logic.Phase, born int64) entry {
+func (w *World) entry(dest int, e endpointmodel.Endpoint, phase dispatch.Phase, born int64) entry {
 	dst := &w.Day.Destinations[dest]
 	return entry{Host: e.ID, Dial: w.endpoint(e.ID).address, Site: w.Day.Day.Fleet.Zones[e.Zone], Class: dst.KindName, Block: dest,
 		Health: health[phase], Share: dst.Listed, Born: born}
 }
 
 func openDirectory(w *World, courier int) (*directory, error) {
-	d := &directory{world: w, courier: courier, seq: 1, entries: map[logic.EndpointID]entry{}, changed: make(chan struct{})}
+	d := &directory{world: w, courier: courier, seq: 1, entries: map[dispatch.EndpointID]entry{}, changed: make(chan struct{})}
 	for i := range w.Day.Destinations {
 		for _, e := range w.Day.Destinations[i].Endpoints {
-			d.entries[e.ID] = w.entry(i, e, logic.In, 0)
+			d.entries[e.ID] = w.entry(i, e, dispatch.In, 0)
 		}
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -89,9 +89,9 @@
 func (d *directory) close() { d.server.Close() }
 
 // later tells of a change after a while, in the order of changes.
-func (d *directory) later(late logic.Micros, dest int, e partner.Endpoint, phase logic.Phase) {
+func (d *directory) later(late dispatch.Micros, dest int, e endpointmodel.Endpoint, phase dispatch.Phase) {
 	born := int64(0)
-	if phase == logic.In {
+	if phase == dispatch.In {
 		born = time.Now().UnixMilli()
 	}
 	en := d.world.entry(dest, e, phase, born)
@@ -113,7 +113,7 @@
 
 func (d *directory) put(en entry) {
 	d.seq++
-	if en.Health == health[logic.Gone] {
+	if en.Health == health[dispatch.Gone] {
 		delete(d.entries, en.Host)
 	} else {
 		d.entries[en.Host] = en
@@ -246,9 +246,9 @@
 	}
 	w := d.world
 	for _, n := range all {
-		how := ledger.Terminated
+		how := invariants.Terminated
 		if n.Status == "deferred" {
-			how = ledger.Bounced
+			how = invariants.Bounced
 		}
 		if w.Books == nil || !w.Books.Noticed(w.Clock.Now(), n.ID, how) {
 			continue
@@ -262,9 +262,9 @@
 }
 
 type notice struct {
-	ID      logic.RecordID `json:"id"`
-	Status  string         `json:"status"`
-	AgainMs int64          `json:"again_ms"`
+	ID      dispatch.RecordID `json:"id"`
+	Status  string            `json:"status"`
+	AgainMs int64             `json:"again_ms"`
 }
 
 // Known is the list that a courier is handed at its start, in the platform's form.
--- a/lab/world/endpoint.go
+++ b/testbed/environment/endpoint.go
@@ -1,4 +1,4 @@
-package world
+package environment
 
 import (
 	"bufio"
@@ -15,19 +15,19 @@
 	"syscall"
 	"time"
 
-	"pineport/lab/ledger"
-	"pineport/lab/partner"
-	"pineport/logic"
+	"pineport/dispatch"
+	"pineport/testbed/endpointmodel"
+	"pineport/testbed/invariants"
 )
 
 // endpoint is one endpoint on a socket. Its door is open, shut (connections are refused) or stuffed (they never come up).
 type endpoint struct {
-	partner.Endpoint
+	endpointmodel.Endpoint
 	world    *World
 	site     *site
 	address  string
 	mu       sync.Mutex
-	door     partner.Link
+	door     endpointmodel.Link
 	listener *net.TCPListener
 	plugs    []net.Conn // what keeps the door stuffed
 	conns    map[*net.TCPConn]bool
@@ -35,8 +35,8 @@
 }
 
 // put puts up an endpoint, at an address that another one had or a new one.
-func (w *World) put(s *site, e partner.Endpoint, address string) (*endpoint, error) {
-	ep := &endpoint{Endpoint: e, world: w, site: s, address: address, door: partner.Refused, conns: map[*net.TCPConn]bool{}}
+func (w *World) put(s *site, e endpointmodel.Endpoint, address string) (*endpoint, error) {
+	ep := &endpoint{Endpoint: e, world: w, site: s, address: address, door: endpointmodel.Refused, conns: map[*net.TCPConn]bool{}}
 	if address == "" {
 		ep.address = "127.0.0.1:0"
 	}
@@ -62,7 +62,7 @@
 	if err != nil {
 		return err
 	}
-	e.listener, e.address, e.door = l.(*net.TCPListener), l.Addr().String(), partner.Up
+	e.listener, e.address, e.door = l.(*net.TCPListener), l.Addr().String(), endpointmodel.Up
 	e.world.wg.Add(1)
 	go e.accept(e.listener)
 	return nil
@@ -78,12 +78,12 @@
 		if err != nil {
 			return
 		}
-		link := partner.Refused
-		e.site.do(func(p *partner.Partner, now logic.Micros) []partner.Output {
+		link := endpointmodel.Refused
+		e.site.do(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
 			link = p.Connect(now, e.ID)
 			return nil
 		})
-		if link != partner.Up {
+		if link != endpointmodel.Up {
 			reset(conn)
 			e.gate()
 			continue
@@ -116,19 +116,19 @@
 	was := e.door
 	e.door = want
 	switch {
-	case want == partner.NoWord:
+	case want == endpointmodel.NoWord:
 		e.stuff()
-	case was == partner.NoWord:
+	case was == endpointmodel.NoWord:
 		for _, c := range e.plugs {
 			reset(c.(*net.TCPConn))
 		}
 		e.plugs = nil
 		e.shut()
 		e.resetAll()
-		if want == partner.Up {
+		if want == endpointmodel.Up {
 			e.reopen()
 		}
-	case want == partner.Refused:
+	case want == endpointmodel.Refused:
 		e.shut()
 	default:
 		e.reopen()
@@ -138,7 +138,7 @@
 func (e *endpoint) reopen() {
 	if err := e.listen(); err != nil {
 		e.world.log.Warn("endpoint not opened again", "endpoint", e.ID, "fault", err)
-		e.door = partner.Refused
+		e.door = endpointmodel.Refused
 	}
 }
 
@@ -156,7 +156,7 @@
 		if err := e.listen(); err != nil {
 			return
 		}
-		e.door = partner.NoWord
+		e.door = endpointmodel.NoWord
 	}
 	e.listener.SetDeadline(time.Now())
 	if raw, err := e.listener.SyscallConn(); err == nil {
@@ -198,7 +198,7 @@
 type inbound struct {
 	req   *http.Request
 	body  []byte
-	first logic.Micros // when its first byte had come
+	first dispatch.Micros // when its first byte had come
 }
 
 // serve reads calls off a connection and answers them, one at a time.
@@ -225,7 +225,10 @@
 	delete(e.conns, conn)
 	e.mu.Unlock()
 	if mine { // else it was cut off, and the partner has counted it out
-		e.site.do(func(p *partner.Partner, _ logic.Micros) []partner.Output { p.Disconnect(e.ID); return nil })
+		e.site.do(func(p *endpointmodel.Partner, _ dispatch.Micros) []endpointmodel.Output {
+			p.Disconnect(e.ID)
+			return nil
+		})
 	}
 	e.gate()
 }
@@ -259,7 +262,7 @@
 func (e *endpoint) call(conn *net.TCPConn, in inbound, closed <-chan inbound) bool {
 	switch {
 	case in.req.Method == http.MethodPost && in.req.URL.Path == "/hook":
-		return e.carry(conn, in, []logic.RecordID{logic.RecordID(in.req.Header.Get("X-Call-Id"))}, false, closed)
+		return e.carry(conn, in, []dispatch.RecordID{dispatch.RecordID(in.req.Header.Get("X-Call-Id"))}, false, closed)
 	case in.req.Method == http.MethodPost && in.req.URL.Path == "/hook/batch":
 		ids, err := batch(in.body)
 		if err != nil {
@@ -274,7 +277,7 @@
 }
 
 // batch reads the ids of a call with several records.
-func batch(body []byte) (ids []logic.RecordID, err error) {
+func batch(body []byte) (ids []dispatch.RecordID, err error) {
 	for len(body) > 0 {
 		line, rest, ok := bytes.Cut(body, []byte("\r\n"))
 		parts := strings.Fields(string(line))
@@ -286,11 +289,11 @@
 			return nil, fmt.Errorf("%s: %q is no length of what follows", parts[0], parts[2])
 		}
 		for _, id := range ids {
-			if id == logic.RecordID(parts[0]) {
+			if id == dispatch.RecordID(parts[0]) {
 				return nil, fmt.Errorf("%s is named twice", id)
 			}
 		}
-		ids, body = append(ids, logic.RecordID(parts[0])), rest[n+2:]
+		ids, body = append(ids, dispatch.RecordID(parts[0])), rest[n+2:]
 	}
 	if len(ids) == 0 {
 		return nil, errors.New("no records")
@@ -301,26 +304,26 @@
 // admitted is what a call's records come to before the partner sees it.
 type admitted struct {
 	courier int
-	items   []partner.Item
-	ids     []logic.RecordID
+	items   []endpointmodel.Item
+	ids     []dispatch.RecordID
 	trips   []int
-	ends    map[logic.RecordID]string // what is not sent on
+	ends    map[dispatch.RecordID]string // what is not sent on
 	full    bool
 }
 
 // admit looks the records of a call up, counts trips and takes a slot.
-func (e *endpoint) admit(in inbound, ids []logic.RecordID) (a admitted, fault string) {
+func (e *endpoint) admit(in inbound, ids []dispatch.RecordID) (a admitted, fault string) {
 	w := e.world
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	a.ends, a.courier = map[logic.RecordID]string{}, -1
+	a.ends, a.courier = map[dispatch.RecordID]string{}, -1
 	for _, id := range ids {
 		r := w.records[id]
 		if r == nil && w.Guests {
 			r = &Record{Origin: id, Dest: e.site.no}
 			w.records[id] = r
-			w.Books.Offered(in.first, id, 0, 0, logic.DestID(r.Dest))
-			w.Books.Taken(in.first, id, id, 0, "", in.first+logic.Micros(w.Day.Day.Workloads[0].CutOff*1e6))
+			w.Books.Offered(in.first, id, 0, 0, dispatch.DestID(r.Dest))
+			w.Books.Taken(in.first, id, id, 0, "", in.first+dispatch.Micros(w.Day.Day.Workloads[0].CutOff*1e6))
 		}
 		switch {
 		case r == nil:
@@ -337,41 +340,41 @@
 			a.ends[id] = "no_more"
 		default:
 			a.ids = append(a.ids, id)
-			a.items = append(a.items, partner.Item{Record: id, Origin: r.Origin, Repeat: ledger.RepeatOf(wl.Repeat),
-				OneZone: wl.OneZone, Window: logic.Micros(wl.Window * 1e6)})
+			a.items = append(a.items, endpointmodel.Item{Record: id, Origin: r.Origin, Repeat: invariants.RepeatOf(wl.Repeat),
+				OneZone: wl.OneZone, Window: dispatch.Micros(wl.Window * 1e6)})
 		}
 	}
 	if a.full = w.out[a.courier] >= w.Day.Slots; !a.full {
 		w.out[a.courier]++
 	}
 	for _, id := range a.ids {
-		a.trips = append(a.trips, w.Books.Sent(in.first, id, ledger.Place{Dest: logic.DestID(e.site.no),
+		a.trips = append(a.trips, w.Books.Sent(in.first, id, invariants.Place{Dest: dispatch.DestID(e.site.no),
 			Route: e.site.route(e.ID), Endpoint: e.ID, Zone: e.Zone}))
 	}
 	return a, ""
 }
 
-func (s *site) route(id logic.EndpointID) int {
+func (s *site) route(id dispatch.EndpointID) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.partner.Route(id)
 }
 
 // carry plays one call with records.
-func (e *endpoint) carry(conn *net.TCPConn, in inbound, ids []logic.RecordID, several bool, closed <-chan inbound) bool {
+func (e *endpoint) carry(conn *net.TCPConn, in inbound, ids []dispatch.RecordID, several bool, closed <-chan inbound) bool {
 	w := e.world
 	a, fault := e.admit(in, ids)
 	if fault != "" {
 		w.Books.Crashed(in.first, max(0, a.courier), fault)
 		return e.write(conn, 400, "", fault)
 	}
-	settle := func(o logic.Outcome, wait logic.Micros) {
+	settle := func(o dispatch.Outcome, wait dispatch.Micros) {
 		for i, id := range a.ids {
 			w.Books.Settled(w.Clock.Now(), id, a.trips[i], o, wait)
 		}
 	}
 	if a.full {
-		settle(logic.Void, 0)
+		settle(dispatch.Void, 0)
 		return e.write(conn, 503, "X-Egress-Full: 1\r\n", "")
 	}
 	defer func() {
@@ -387,30 +390,30 @@
 	}
 	w.mu.Lock()
 	w.calls++
-	call := &partner.Call{ID: w.calls, Courier: a.courier, Endpoint: e.ID, Items: a.items}
+	call := &endpointmodel.Call{ID: w.calls, Courier: a.courier, Endpoint: e.ID, Items: a.items}
 	w.mu.Unlock()
-	answer := make(chan partner.Answer, 1)
+	answer := make(chan endpointmodel.Answer, 1)
 	way := w.way(a.courier, e.Zone)
 	time.AfterFunc(way, func() {
-		e.site.do(func(p *partner.Partner, now logic.Micros) []partner.Output {
+		e.site.do(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
 			e.site.waiting[call.ID] = answer
 			return p.Take(now, call)
 		})
 		e.site.gates()
 	})
-	var got partner.Answer
+	var got endpointmodel.Answer
 	select {
 	case got = <-answer:
 	case <-closed: // the courier hung up, or was cut off
-		e.site.do(func(p *partner.Partner, now logic.Micros) []partner.Output {
+		e.site.do(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
 			delete(e.site.waiting, call.ID)
 			return p.CallOff(now, call)
 		})
-		settle(logic.TimedOut, 0)
+		settle(dispatch.TimedOut, 0)
 		return false
 	}
-	if got.Outcome == logic.Broken {
-		settle(logic.Broken, 0)
+	if got.Outcome == dispatch.Broken {
+		settle(dispatch.Broken, 0)
 		conn.SetLinger(0)
 		return false
 	}
@@ -419,16 +422,16 @@
 	return e.reply(conn, ids, a, got, several)
 }
 
-func (e *endpoint) reply(conn net.Conn, ids []logic.RecordID, a admitted, got partner.Answer, several bool) bool {
+func (e *endpoint) reply(conn net.Conn, ids []dispatch.RecordID, a admitted, got endpointmodel.Answer, several bool) bool {
 	head := ""
 	if len(got.Pressure) == 2 {
 		head = fmt.Sprintf("X-Load-Report: x0=%.4f,x1=%.4f\r\n", got.Pressure[0], got.Pressure[1])
 	}
 	status, body := 200, ""
 	switch got.Outcome {
-	case logic.Failure:
+	case dispatch.Failure:
 		status = 500
-	case logic.Full:
+	case dispatch.Full:
 		if status = 503; got.Wait > 0 {
 			status = 429
 			head += fmt.Sprintf("X-Backoff-Ms: %d\r\n", int64(got.Wait+999)/1000)
@@ -442,7 +445,7 @@
 }
 
 // ends is the body of an answer for several.
-func (e *endpoint) ends(ids []logic.RecordID, ends map[logic.RecordID]string, otherwise string) string {
+func (e *endpoint) ends(ids []dispatch.RecordID, ends map[dispatch.RecordID]string, otherwise string) string {
 	var b strings.Builder
 	for _, id := range ids {
 		end := ends[id]
--- a/lab/world/world.go
+++ b/testbed/environment/environment.go
@@ -1,7 +1,7 @@
-// Package world plays the outside of a day on loopback sockets: endpoints behind the same partners as in virtual time,
+// Package environment plays the outside of a day on loopback sockets: endpoints behind the same partners as in virtual time,
 // the directory, and the platform's notices. Each courier has a directory of its own to talk to, so that the books know
 // what it was told; what calls it makes is known by the records that it was handed.
-package world
+package environment
 
 import (
 	"log/slog"
@@ -12,26 +12,26 @@
 	"time"
 
 	"pineport/config"
-	"pineport/lab/day"
-	"pineport/lab/ledger"
-	"pineport/lab/partner"
-	"pineport/logic"
+	"pineport/dispatch"
+	"pineport/testbed/endpointmodel"
+	"pineport/testbed/invariants"
+	"pineport/testbed/scenario"
 )
 
 // Clock counts from the beginning of a day.
 type Clock struct{ Start time.Time }
 
 // Now is the instant of the day.
-func (c Clock) Now() logic.Micros { return logic.Micros(time.Since(c.Start).Microseconds()) }
+func (c Clock) Now() dispatch.Micros { return dispatch.Micros(time.Since(c.Start).Microseconds()) }
 
 // After does something at an instant of the day.
-func (c Clock) After(at logic.Micros, do func()) *time.Timer {
+func (c Clock) After(at dispatch.Micros, do func()) *time.Timer {
 	return time.AfterFunc(time.Duration(at-c.Now())*time.Microsecond, do)
 }
 
 // Record is what a client handed in, as far as endpoints must know.
 type Record struct {
-	Origin  logic.RecordID
+	Origin  dispatch.RecordID
 	Courier int
 	Work    int
 	Dest    int
@@ -41,11 +41,11 @@
 
 // World is the outside of one day.
 type World struct {
-	Day   *day.Drawn
-	Books *ledger.Ledger
+	Day   *scenario.Drawn
+	Books *invariants.Ledger
 	Clock Clock
 	// Noticed is told of each notice that ends a record: how, and for a bounce when to come again.
-	Noticed func(id logic.RecordID, how ledger.End, again time.Duration)
+	Noticed func(id dispatch.RecordID, how invariants.End, again time.Duration)
 
 	// Guests lets in records that nobody announced, for clients that are not ours: of the first workload, from courier 0.
 	Guests bool
@@ -54,8 +54,8 @@
 	mu        sync.Mutex
 	rng       *rand.Rand
 	sites     []*site
-	endpoints map[logic.EndpointID]*endpoint
-	records   map[logic.RecordID]*Record
+	endpoints map[dispatch.EndpointID]*endpoint
+	records   map[dispatch.RecordID]*Record
 	out       []int // calls out, by courier
 	directory []*directory
 	closed    bool
@@ -71,19 +71,19 @@
 	world   *World
 	no      int
 	mu      sync.Mutex
-	partner *partner.Partner
+	partner *endpointmodel.Partner
 	timer   *time.Timer
-	dueAt   logic.Micros
-	waiting map[uint64]chan partner.Answer
+	dueAt   dispatch.Micros
+	waiting map[uint64]chan endpointmodel.Answer
 }
 
 // Open puts up the world of a day; nothing goes wrong in it before Begin.
-func Open(w *day.Drawn, log *slog.Logger) (*World, error) {
-	o := &World{Day: w, log: log, rng: rand.New(rand.NewPCG(uint64(w.Seed), 99)), endpoints: map[logic.EndpointID]*endpoint{},
-		records: map[logic.RecordID]*Record{}, out: make([]int, w.Day.Fleet.Couriers), Clock: Clock{time.Now()}}
+func Open(w *scenario.Drawn, log *slog.Logger) (*World, error) {
+	o := &World{Day: w, log: log, rng: rand.New(rand.NewPCG(uint64(w.Seed), 99)), endpoints: map[dispatch.EndpointID]*endpoint{},
+		records: map[dispatch.RecordID]*Record{}, out: make([]int, w.Day.Fleet.Couriers), Clock: Clock{time.Now()}}
 	for i := range w.Destinations {
-		s := &site{world: o, no: i, partner: partner.New(w.Destinations[i].Plan), dueAt: partner.Never,
-			waiting: map[uint64]chan partner.Answer{}}
+		s := &site{world: o, no: i, partner: endpointmodel.New(w.Destinations[i].Plan), dueAt: endpointmodel.Never,
+			waiting: map[uint64]chan endpointmodel.Answer{}}
 		o.sites = append(o.sites, s)
 		for _, e := range w.Destinations[i].Endpoints {
 			if _, err := o.put(s, e, ""); err != nil {
@@ -105,7 +105,7 @@
 
 // Begin starts the day: from now on its clock runs and its troubles come. Each act is told to courier first; those of couriers are its to
 // carry out.
-func (w *World) Begin(books *ledger.Ledger, courier func(day.Act)) {
+func (w *World) Begin(books *invariants.Ledger, courier func(scenario.Act)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.Books, w.Clock = books, Clock{time.Now()}
@@ -114,39 +114,44 @@
 	}
 }
 
-func (w *World) act(a day.Act, courier func(day.Act)) {
+func (w *World) act(a scenario.Act, courier func(scenario.Act)) {
 	courier(a)
 	var s *site
-	if a.Kind <= day.Removes {
+	if a.Kind <= scenario.Removes {
 		s = w.sites[a.Dest]
 	}
 	switch a.Kind {
-	case day.Begins:
-		s.do(func(p *partner.Partner, now logic.Micros) []partner.Output {
+	case scenario.Begins:
+		s.do(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
 			return p.Strike(now, a.Endpoint.ID, a.Strike)
 		})
-	case day.Ends:
-		s.do(func(p *partner.Partner, now logic.Micros) []partner.Output {
+	case scenario.Ends:
+		s.do(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
 			return p.Heal(now, a.Endpoint.ID, a.Strike.ID)
 		})
-	case day.Adds:
+	case scenario.Adds:
 		address := ""
 		if old := w.endpoint(a.Address); old != nil {
 			address = old.address
 		}
-		s.do(func(p *partner.Partner, _ logic.Micros) []partner.Output { p.Add(a.Endpoint); return nil })
+		s.do(func(p *endpointmodel.Partner, _ dispatch.Micros) []endpointmodel.Output {
+			p.Add(a.Endpoint)
+			return nil
+		})
 		if _, err := w.put(s, a.Endpoint, address); err != nil {
 			w.log.Warn("endpoint not put up", "endpoint", a.Endpoint.ID, "fault", err)
 		}
-		w.listed(a.Dest, a.Endpoint, logic.In)
-	case day.Drains:
-		w.listed(a.Dest, a.Endpoint, logic.Draining)
-	case day.Removes:
-		s.do(func(p *partner.Partner, now logic.Micros) []partner.Output { return p.Remove(now, a.Endpoint.ID) })
-		w.listed(a.Dest, a.Endpoint, logic.Gone)
-	case day.ListDown, day.ListUp:
+		w.listed(a.Dest, a.Endpoint, dispatch.In)
+	case scenario.Drains:
+		w.listed(a.Dest, a.Endpoint, dispatch.Draining)
+	case scenario.Removes:
+		s.do(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
+			return p.Remove(now, a.Endpoint.ID)
+		})
+		w.listed(a.Dest, a.Endpoint, dispatch.Gone)
+	case scenario.ListDown, scenario.ListUp:
 		for _, d := range w.directory {
-			d.down(a.Kind == day.ListDown)
+			d.down(a.Kind == scenario.ListDown)
 		}
 	}
 	if s != nil {
@@ -154,7 +159,7 @@
 	}
 }
 
-func (w *World) listed(dest int, e partner.Endpoint, phase logic.Phase) {
+func (w *World) listed(dest int, e endpointmodel.Endpoint, phase dispatch.Phase) {
 	for _, d := range w.directory {
 		w.mu.Lock()
 		r := w.Day.Day.Directory.Notice
@@ -164,21 +169,21 @@
 	}
 }
 
-func (w *World) endpoint(id logic.EndpointID) *endpoint {
+func (w *World) endpoint(id dispatch.EndpointID) *endpoint {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.endpoints[id]
 }
 
 // Expect tells of a record before it is handed in: calls with other records are strange.
-func (w *World) Expect(id logic.RecordID, r Record) {
+func (w *World) Expect(id dispatch.RecordID, r Record) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.records[id] = &r
 }
 
 // Drop tells that what is still sent for a record counts for nothing.
-func (w *World) Drop(id logic.RecordID) {
+func (w *World) Drop(id dispatch.RecordID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if r := w.records[id]; r != nil {
@@ -227,7 +232,7 @@
 }
 
 // way draws how long something takes between a courier and an endpoint.
-func (w *World) way(courier int, zone logic.ZoneID) time.Duration {
+func (w *World) way(courier int, zone dispatch.ZoneID) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	r := w.Day.Day.Network.Same
@@ -238,7 +243,7 @@
 }
 
 // do has something done to the partner, and takes in what comes of it.
-func (s *site) do(what func(p *partner.Partner, now logic.Micros) []partner.Output) {
+func (s *site) do(what func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output) {
 	s.mu.Lock()
 	now := s.world.Clock.Now()
 	outs := what(s.partner, now)
@@ -252,7 +257,7 @@
 	}
 	var answers []func()
 	for _, o := range outs {
-		if a, ok := o.(partner.Answer); ok {
+		if a, ok := o.(endpointmodel.Answer); ok {
 			if ch := s.waiting[a.Call.ID]; ch != nil {
 				delete(s.waiting, a.Call.ID)
 				answers = append(answers, func() { ch <- a })
@@ -270,24 +275,24 @@
 
 func (s *site) step() {
 	s.mu.Lock()
-	s.dueAt = partner.Never
+	s.dueAt = endpointmodel.Never
 	s.mu.Unlock()
-	s.do(func(p *partner.Partner, now logic.Micros) []partner.Output { return p.Step(now) })
+	s.do(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output { return p.Step(now) })
 	s.gates()
 }
 
-func (s *site) book(now logic.Micros, o partner.Output) {
+func (s *site) book(now dispatch.Micros, o endpointmodel.Output) {
 	books := s.world.Books
 	if books == nil {
 		return
 	}
 	switch o := o.(type) {
-	case partner.Ran:
+	case endpointmodel.Ran:
 		books.Ran(now, o.Item.Record, o.Endpoint, o.Before, o.Known)
-	case partner.Fell:
-		books.Fell(now, logic.DestID(s.no), o.Route, o.Sent)
-	case partner.Turned:
-		books.Turned(now, logic.DestID(s.no), o.Route, o.Phase == partner.Out)
+	case endpointmodel.Fell:
+		books.Fell(now, dispatch.DestID(s.no), o.Route, o.Sent)
+	case endpointmodel.Turned:
+		books.Turned(now, dispatch.DestID(s.no), o.Route, o.Phase == endpointmodel.Out)
 	}
 }
 
--- a/lab/experiment/experiment.go
+++ b/testbed/experiment/experiment.go
@@ -15,20 +15,20 @@
 	"golang.org/x/sync/errgroup"
 	"gonum.org/v1/gonum/stat"
 
-	"pineport/lab/baseline"
-	"pineport/lab/day"
-	"pineport/lab/ledger"
-	"pineport/lab/live"
-	"pineport/lab/sim"
-	"pineport/lab/wirehost"
-	"pineport/logic"
+	"pineport/dispatch"
+	"pineport/testbed/baseline"
+	"pineport/testbed/invariants"
+	"pineport/testbed/realtime"
+	"pineport/testbed/scenario"
+	"pineport/testbed/simulation"
+	"pineport/testbed/wirehost"
 )
 
 // Variant is one way to decide.
 type Variant struct {
 	Name string
-	Open func() (sim.Host, error)
-	sim.Options
+	Open func() (simulation.Host, error)
+	simulation.Options
 }
 
 // Parse reads a variant: "module", "module:lore", "module:share", "baseline:NAME", or "wire:COMMAND" for another build, each with NAME= before it if it
@@ -42,33 +42,33 @@
 	switch kind {
 	case "module":
 		o, err := options(rest)
-		return Variant{name, func() (sim.Host, error) { return sim.NewLocal(nil), nil }, o}, err
+		return Variant{name, func() (simulation.Host, error) { return simulation.NewLocal(nil), nil }, o}, err
 	case "baseline":
 		if _, ok := baseline.Names()[rest]; !ok {
 			return Variant{}, fmt.Errorf("no baseline has the name %q; there are %s", rest, strings.Join(baseline.Sorted(), ", "))
 		}
-		return Variant{name, func() (sim.Host, error) {
-			return sim.NewLocal(func(_ int, ch logic.Charter) sim.Decider { return baseline.New(rest, ch) }), nil
-		}, sim.Options{}}, nil
+		return Variant{name, func() (simulation.Host, error) {
+			return simulation.NewLocal(func(_ int, ch dispatch.Charter) simulation.Decider { return baseline.New(rest, ch) }), nil
+		}, simulation.Options{}}, nil
 	case "wire":
-		return Variant{name, func() (sim.Host, error) { return wirehost.Open(rest) }, sim.Options{}}, nil
+		return Variant{name, func() (simulation.Host, error) { return wirehost.Open(rest) }, simulation.Options{}}, nil
 	}
 	return Variant{}, fmt.Errorf("%q: module, baseline:NAME or wire:COMMAND was expected", text)
 }
 
 // options of the module as a variant: "lore" keeps what couriers learned over their restarts, once a second; "share" has them share
 // limits, "share-deaf" while half of them hear nothing, "share-lossy" while 30 in 100 packets are lost.
-func options(text string) (o sim.Options, err error) {
+func options(text string) (o simulation.Options, err error) {
 	switch text {
 	case "":
 	case "lore":
 		o.Lore = 1000 * 1000
 	case "share":
-		o.Share = sim.Share{Beat: 500 * 1000}
+		o.Share = simulation.Share{Beat: 500 * 1000}
 	case "share-deaf":
-		o.Share = sim.Share{Beat: 500 * 1000, Deaf: 0.5}
+		o.Share = simulation.Share{Beat: 500 * 1000, Deaf: 0.5}
 	case "share-lossy":
-		o.Share = sim.Share{Beat: 500 * 1000, Loss: 0.3}
+		o.Share = simulation.Share{Beat: 500 * 1000, Loss: 0.3}
 	default:
 		err = fmt.Errorf("module:%s: module, or module: with lore, share, share-deaf or share-lossy was expected", text)
 	}
@@ -77,18 +77,18 @@
 
 // Cell is one day, played once.
 type Cell struct {
-	Day     string          `json:"day"`
-	Seed    int64           `json:"seed"`
-	Variant string          `json:"variant"`
-	Verdict *ledger.Verdict `json:"verdict"`
-	Stats   sim.Stats       `json:"stats"`
-	Wall    float64         `json:"wall_s"`
-	Live    *live.Cost      `json:"live,omitempty"` // on sockets
+	Day     string              `json:"day"`
+	Seed    int64               `json:"seed"`
+	Variant string              `json:"variant"`
+	Verdict *invariants.Verdict `json:"verdict"`
+	Stats   simulation.Stats    `json:"stats"`
+	Wall    float64             `json:"wall_s"`
+	Live    *realtime.Cost      `json:"live,omitempty"` // on sockets
 }
 
 // Plan is what is to be played.
 type Plan struct {
-	Days     []*day.Day
+	Days     []*scenario.Day
 	Seeds    []int64
 	Variants []Variant
 	Jobs     int
@@ -126,7 +126,7 @@
 }
 
 // One plays one day once.
-func One(d *day.Day, seed int64, v Variant) (c Cell, err error) {
+func One(d *scenario.Day, seed int64, v Variant) (c Cell, err error) {
 	host, err := v.Open()
 	if err != nil {
 		return Cell{}, err
@@ -134,7 +134,7 @@
 	defer host.Close()
 	c = Cell{Day: d.Name, Seed: seed, Variant: v.Name}
 	began := time.Now()
-	c.Verdict, c.Stats, err = sim.Play(day.Draw(d, seed), host, v.Options)
+	c.Verdict, c.Stats, err = simulation.Play(scenario.Draw(d, seed), host, v.Options)
 	c.Wall = time.Since(began).Seconds()
 	return c, err
 }
@@ -156,7 +156,7 @@
 const resamples = 4000
 
 // Compare holds each variant against the first, day by day and over all. Figure picks what is compared.
-func Compare(cells []Cell, base string, figure func(*ledger.Verdict) float64) []Paired {
+func Compare(cells []Cell, base string, figure func(*invariants.Verdict) float64) []Paired {
 	type key struct {
 		day  string
 		seed int64
--- a/lab/experiment/experiment_test.go
+++ b/testbed/experiment/experiment_test.go
@@ -5,8 +5,8 @@
 	"strings"
 	"testing"
 
-	"pineport/lab/day"
-	"pineport/lab/ledger"
+	"pineport/testbed/invariants"
+	"pineport/testbed/scenario"
 )
 
 func TestVariants(t *testing.T) {
@@ -25,11 +25,11 @@
 
 // TestPairsAndIntervals: the module against itself differs by nothing; against a plain policy by what is surely not chance.
 func TestPairsAndIntervals(t *testing.T) {
-	d, err := day.Find("silent-and-cold")
+	d, err := scenario.Find("silent-and-cold")
 	if err != nil {
 		t.Fatal(err)
 	}
-	plan := Plan{Days: []*day.Day{d}, Seeds: []int64{1, 2, 3, 4}, Jobs: 4}
+	plan := Plan{Days: []*scenario.Day{d}, Seeds: []int64{1, 2, 3, 4}, Jobs: 4}
 	for _, text := range []string{"module", "same=module:", "baseline:once"} {
 		v, err := Parse(text)
 		if err != nil {
@@ -41,7 +41,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	rows := Compare(cells, "module", func(v *ledger.Verdict) float64 { return v.Whole })
+	rows := Compare(cells, "module", func(v *invariants.Verdict) float64 { return v.Whole })
 	for _, r := range rows {
 		switch r.Variant {
 		case "same":
--- a/lab/fleet/fleet.go
+++ b/testbed/fleet/fleet.go
@@ -21,15 +21,15 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"pineport/commons"
-	"pineport/commons/exchange"
-	"pineport/lab/day"
-	"pineport/lab/ledger"
-	"pineport/lab/links"
-	"pineport/lab/live"
-	"pineport/lab/proc"
-	"pineport/logic"
-	"pineport/peers/identity"
+	"pineport/dispatch"
+	"pineport/membership/incarnation"
+	"pineport/quota"
+	"pineport/quota/exchange"
+	"pineport/testbed/invariants"
+	"pineport/testbed/netfault"
+	"pineport/testbed/process"
+	"pineport/testbed/realtime"
+	"pineport/testbed/scenario"
 )
 
 //go:embed days/*.toml
@@ -37,12 +37,12 @@
 
 // Plan is a fleet's day: a day of the laboratory, and what goes wrong between the couriers besides.
 type Plan struct {
-	About    string        `toml:"about"`
-	Day      string        `toml:"day"`      // whose destinations, workloads and traffic it takes
-	Couriers int           `toml:"couriers"` // 0: the day's own
-	Length   float64       `toml:"length_s"`
-	Load     float64       `toml:"full_per_s"` // records a second at full load, for each courier
-	Faults   []links.Fault `toml:"fault"`
+	About    string           `toml:"about"`
+	Day      string           `toml:"day"`      // whose destinations, workloads and traffic it takes
+	Couriers int              `toml:"couriers"` // 0: the day's own
+	Length   float64          `toml:"length_s"`
+	Load     float64          `toml:"full_per_s"` // records a second at full load, for each courier
+	Faults   []netfault.Fault `toml:"fault"`
 }
 
 // Process faults, beside those of the network: what happens to each courier named, At, for Length.
@@ -58,7 +58,7 @@
 var processFaults = []string{Kill, Stop, Roll, Empty, Older, Address}
 
 // Days lists the plans that come with the laboratory.
-func Days() []string { return day.Names(builtIn) }
+func Days() []string { return scenario.Names(builtIn) }
 
 // Find reads a plan that comes with the laboratory, or else a file.
 func Find(name string) (*Plan, error) {
@@ -79,11 +79,11 @@
 func (p *Plan) check(name string) error {
 	for i, f := range p.Faults {
 		switch {
-		case !links.OnNetwork(f.Kind) && !slices.Contains(processFaults, f.Kind):
+		case !netfault.OnNetwork(f.Kind) && !slices.Contains(processFaults, f.Kind):
 			return fmt.Errorf("%s: fault.%d.kind: no fault has the name %q", name, i, f.Kind)
 		case f.At < 0 || f.Length <= 0 || f.At+f.Length > p.Length:
 			return fmt.Errorf("%s: fault.%d: a span within the day's %v s was expected, not %v s from %v s", name, i, p.Length, f.Length, f.At)
-		case len(f.From) == 0 && !links.OnNetwork(f.Kind):
+		case len(f.From) == 0 && !netfault.OnNetwork(f.Kind):
 			return fmt.Errorf("%s: fault.%d.from: the couriers that it strikes were expected", name, i)
 		}
 	}
@@ -104,23 +104,23 @@
 
 // Result is what came of it.
 type Result struct {
-	Verdict  *ledger.Verdict `json:"verdict"`
-	Cost     live.Cost       `json:"cost"`
-	Couriers int             `json:"couriers"`
-	Struck   map[string]int  `json:"struck"`
-	Idle     []string        `json:"faults_that_never_struck,omitempty"`
+	Verdict  *invariants.Verdict `json:"verdict"`
+	Cost     realtime.Cost       `json:"cost"`
+	Couriers int                 `json:"couriers"`
+	Struck   map[string]int      `json:"struck"`
+	Idle     []string            `json:"faults_that_never_struck,omitempty"`
 	// Known are spans in seconds, one for each courier that came to know: of a death, and of a return.
 	Deaths  []float64 `json:"deaths_known_s"`
 	Returns []float64 `json:"returns_known_s"`
 	// False counts deaths believed while the courier was up, by kind of fault that was on (none: no fault).
-	False    map[string]int `json:"deaths_believed_that_were_none"`
-	Fewer    int            `json:"counted_fewer"` // looks at which a courier reckoned with fewer than there are
-	Whole    bool           `json:"whole_at_the_end"`
-	Healed   float64        `json:"whole_after_the_last_fault_s"`
-	Messages float64        `json:"packets_a_second_each"`
-	Bytes    float64        `json:"bytes_a_second_each"`
-	Hours    float64        `json:"process_hours"`
-	Drawn    *day.Drawn     `json:"-"`
+	False    map[string]int  `json:"deaths_believed_that_were_none"`
+	Fewer    int             `json:"counted_fewer"` // looks at which a courier reckoned with fewer than there are
+	Whole    bool            `json:"whole_at_the_end"`
+	Healed   float64         `json:"whole_after_the_last_fault_s"`
+	Messages float64         `json:"packets_a_second_each"`
+	Bytes    float64         `json:"bytes_a_second_each"`
+	Hours    float64         `json:"process_hours"`
+	Drawn    *scenario.Drawn `json:"-"`
 	// Of what couriers share: loans that were seen, what was wrong with them, and what was heard.
 	Loans      int      `json:"loans_seen"`
 	Widest     float64  `json:"widest_loan"` // of a base part
@@ -130,7 +130,7 @@
 	ShareBytes float64  `json:"commons_bytes_a_second_each"`
 }
 
-// Parts is what of each limit was lent and borrowed over time, as shares of it summed over couriers, by destination and ledger.Bin.
+// Parts is what of each limit was lent and borrowed over time, as shares of it summed over couriers, by destination and invariants.Bin.
 type Parts map[int32]*Lots
 
 // Lots is one destination's.
@@ -143,7 +143,7 @@
 func (r *rig) total(now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	bin := int(now.Microseconds() / int64(ledger.Bin))
+	bin := int(now.Microseconds() / int64(invariants.Bin))
 	sums := map[int32][2]float64{}
 	for _, s := range r.shared {
 		for _, l := range s.Lines {
@@ -185,10 +185,10 @@
 	plan   *Plan
 	o      Options
 	n      int
-	net    *links.Net
+	net    *netfault.Net
 	ops    []string
 	gossip []string
-	field  *live.Field
+	field  *realtime.Field
 
 	mu     sync.Mutex
 	down   map[int]time.Time // since when a courier is away
@@ -198,14 +198,14 @@
 	saw    map[[2]int]string
 	res    *Result
 	looks  []look
-	loans  ledger.Loans
+	loans  invariants.Loans
 	shared []exchange.Shown
 	idle   []string
 }
 
 // Play plays a plan.
 func Play(ctx context.Context, p *Plan, o Options) (*Result, error) {
-	d, err := day.Find(p.Day)
+	d, err := scenario.Find(p.Day)
 	if err != nil {
 		return nil, err
 	}
@@ -220,7 +220,7 @@
 		o.Pace = 200 * time.Millisecond
 	}
 	if o.Dir == "" {
-		dir, err := os.MkdirTemp("", "pinelab-fleet-")
+		dir, err := os.MkdirTemp("", "pineport-testbed-fleet-")
 		if err != nil {
 			return nil, err
 		}
@@ -232,16 +232,16 @@
 	if err := r.addresses(); err != nil {
 		return nil, err
 	}
-	if r.net, err = links.Open(o.Seed, r.gossip, o.Trace); err != nil {
+	if r.net, err = netfault.Open(o.Seed, r.gossip, o.Trace); err != nil {
 		return nil, err
 	}
 	defer r.net.Close()
-	lo := live.Options{Binary: o.Binary, Dir: o.Dir, Log: o.Log, Begun: r.begun}
+	lo := realtime.Options{Binary: o.Binary, Dir: o.Dir, Log: o.Log, Begun: r.begun}
 	if o.Peers {
 		lo.Extra = r.configure
 	}
-	r.res.Drawn = day.Draw(d, o.Seed)
-	v, cost, err := live.Play(ctx, r.res.Drawn, lo)
+	r.res.Drawn = scenario.Draw(d, o.Seed)
+	v, cost, err := realtime.Play(ctx, r.res.Drawn, lo)
 	if err != nil {
 		return nil, err
 	}
@@ -282,7 +282,7 @@
 	return "", fmt.Errorf("no address free for both UDP and TCP")
 }
 
-func (r *rig) configure(c *proc.Courier) (map[string]any, error) {
+func (r *rig) configure(c *process.Courier) (map[string]any, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	join := []string{r.gossip[0], r.gossip[(c.No+1)%r.n], r.gossip[(c.No+r.n/2)%r.n]}
@@ -292,7 +292,7 @@
 }
 
 // begun has the faults happen and watches, until the day is over.
-func (r *rig) begun(f *live.Field) func() {
+func (r *rig) begun(f *realtime.Field) func() {
 	r.field = f
 	keep := r.copies()
 	stop := make(chan struct{})
@@ -325,14 +325,14 @@
 func (r *rig) copies() map[int][]byte {
 	keep := map[int][]byte{}
 	for _, c := range r.field.Couriers() {
-		if text, err := os.ReadFile(filepath.Join(c.Dir, "state", identity.Name)); err == nil {
+		if text, err := os.ReadFile(filepath.Join(c.Dir, "state", incarnation.Name)); err == nil {
 			keep[c.No] = text
 		}
 	}
 	return keep
 }
 
-func (r *rig) fault(f links.Fault, stop <-chan struct{}, keep map[int][]byte) {
+func (r *rig) fault(f netfault.Fault, stop <-chan struct{}, keep map[int][]byte) {
 	wait := func(until float64) {
 		select {
 		case <-time.After(time.Duration(until*float64(time.Second)) - r.field.Since()):
@@ -344,7 +344,7 @@
 	defer func() { // what was believed while it was on comes to light a little later
 		time.AfterFunc(25*r.o.Pace, func() { r.mark(f.Kind, -1) })
 	}()
-	if links.OnNetwork(f.Kind) {
+	if netfault.OnNetwork(f.Kind) {
 		end := r.net.Begin(f)
 		wait(f.At + f.Length)
 		if err := end(); err != nil && r.o.Peers {
@@ -362,7 +362,7 @@
 			if f.Kind == Roll {
 				part := f.Length / float64(len(f.From))
 				wait(f.At + float64(i)*part)
-				r.away(no, day.Asks, min(part, 5), stop, nil)
+				r.away(no, scenario.Asks, min(part, 5), stop, nil)
 				return
 			}
 			r.process(f, no, stop, keep)
@@ -371,25 +371,25 @@
 	all.Wait()
 }
 
-func (r *rig) process(f links.Fault, no int, stop <-chan struct{}, keep map[int][]byte) {
+func (r *rig) process(f netfault.Fault, no int, stop <-chan struct{}, keep map[int][]byte) {
 	c := r.field.Couriers()[no]
 	state := filepath.Join(c.Dir, "state")
 	switch f.Kind {
 	case Stop:
-		r.field.Act(day.Act{Kind: day.Stands, Courier: no, Span: logic.Micros(f.Length * 1e6)})
+		r.field.Act(scenario.Act{Kind: scenario.Stands, Courier: no, Span: dispatch.Micros(f.Length * 1e6)})
 		time.Sleep(time.Duration(f.Length * float64(time.Second)))
 	case Kill:
-		r.away(no, day.Kills, f.Length, stop, nil)
+		r.away(no, scenario.Kills, f.Length, stop, nil)
 	case Empty:
-		r.away(no, day.Kills, f.Length, stop, func() { os.Remove(filepath.Join(state, identity.Name)) })
+		r.away(no, scenario.Kills, f.Length, stop, func() { os.Remove(filepath.Join(state, incarnation.Name)) })
 	case Older:
-		r.away(no, day.Kills, f.Length, stop, func() {
+		r.away(no, scenario.Kills, f.Length, stop, func() {
 			if text := keep[no]; text != nil {
-				os.WriteFile(filepath.Join(state, identity.Name), text, 0o600)
+				os.WriteFile(filepath.Join(state, incarnation.Name), text, 0o600)
 			}
 		})
 	case Address:
-		r.away(no, day.Kills, f.Length, stop, func() {
+		r.away(no, scenario.Kills, f.Length, stop, func() {
 			if at, err := Free(no); err == nil {
 				r.mu.Lock()
 				r.gossip[no] = at
@@ -401,12 +401,12 @@
 }
 
 // away takes a courier down for a while and starts it again, after what is done to its folder.
-func (r *rig) away(no int, how day.ActKind, span float64, stop <-chan struct{}, meanwhile func()) {
+func (r *rig) away(no int, how scenario.ActKind, span float64, stop <-chan struct{}, meanwhile func()) {
 	r.mu.Lock()
 	r.down[no] = time.Now()
 	r.mu.Unlock()
-	r.field.Act(day.Act{Kind: how, Courier: no})
-	if how == day.Asks { // it goes on for some seconds
+	r.field.Act(scenario.Act{Kind: how, Courier: no})
+	if how == scenario.Asks { // it goes on for some seconds
 		c := r.field.Couriers()[no]
 		for c.Running() {
 			select {
@@ -426,7 +426,7 @@
 	r.mu.Lock()
 	r.starts[no]++
 	r.mu.Unlock()
-	r.field.Act(day.Act{Kind: day.Starts, Courier: no})
+	r.field.Act(scenario.Act{Kind: scenario.Starts, Courier: no})
 	r.mu.Lock()
 	delete(r.down, no)
 	r.back[no] = time.Now()
@@ -462,11 +462,11 @@
 
 // borrow holds what a courier shows of its loans against what the others show.
 func (r *rig) borrow(no int, from, to time.Duration, s exchange.Shown) {
-	lots := func(of func(commons.Line) []commons.Lot) (all [][]ledger.Lot) {
+	lots := func(of func(quota.Line) []quota.Lot) (all [][]invariants.Lot) {
 		for _, line := range s.Lines {
-			var route []ledger.Lot
+			var route []invariants.Lot
 			for _, lot := range of(line) {
-				route = append(route, ledger.Lot{Who: lot.Who, No: lot.No, Units: int64(lot.Units), Base: int64(line.Base)})
+				route = append(route, invariants.Lot{Who: lot.Who, No: lot.No, Units: int64(lot.Units), Base: int64(line.Base)})
 			}
 			all = append(all, route)
 		}
@@ -475,8 +475,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.shared[no] = s
-	r.loans.Saw(ledger.Look{Name: fmt.Sprintf("n%d", no), Start: s.Start, From: logic.Micros(from.Microseconds()), To: logic.Micros(to.Microseconds()),
-		Lent: lots(func(l commons.Line) []commons.Lot { return l.LentTo }), Used: lots(func(l commons.Line) []commons.Lot { return l.From })})
+	r.loans.Saw(invariants.Look{Name: fmt.Sprintf("n%d", no), Start: s.Start, From: dispatch.Micros(from.Microseconds()), To: dispatch.Micros(to.Microseconds()),
+		Lent: lots(func(l quota.Line) []quota.Lot { return l.LentTo }), Used: lots(func(l quota.Line) []quota.Lot { return l.From })})
 }
 
 // watch looks at every courier again and again, and books what changed.
@@ -578,7 +578,7 @@
 	}
 }
 
-func (r *rig) sum(f *live.Field) {
+func (r *rig) sum(f *realtime.Field) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.res.Hours = f.Since().Hours() * float64(r.n)
--- a/lab/fleet/fleet_test.go
+++ b/testbed/fleet/fleet_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"pineport/lab/links"
+	"pineport/testbed/netfault"
 )
 
 // binary builds the courier once for all tests.
@@ -24,7 +24,7 @@
 // TestProcesses: ten real couriers through kill, stop, a one-way cut, a partition and its heal, an old folder, none and another
 // address, under load. Bounds are counts, or wide: the verdict is the same on any machine.
 func TestProcesses(t *testing.T) {
-	p := &Plan{Day: "calm", Couriers: 10, Length: 24, Load: 3, Faults: []links.Fault{
+	p := &Plan{Day: "calm", Couriers: 10, Length: 24, Load: 3, Faults: []netfault.Fault{
 		{Kind: Kill, At: 2, Length: 3, From: []int{1, 2}},
 		{Kind: Stop, At: 3, Length: 4, From: []int{3}},
 		{Kind: "one-way", At: 3, Length: 4, From: []int{4}, To: []int{5}},
@@ -67,7 +67,7 @@
 // deaf one way, one stands still, two are killed and three are cut off. Judged from outside: nobody uses a loan that its lender has back
 // or never gave, nobody lends more than half, and the rules are kept.
 func TestSharedLimits(t *testing.T) {
-	p := &Plan{Day: "shared-limits", Couriers: 12, Length: 26, Load: 4, Faults: []links.Fault{
+	p := &Plan{Day: "shared-limits", Couriers: 12, Length: 26, Load: 4, Faults: []netfault.Fault{
 		{Kind: "one-way", At: 6, Length: 5, From: []int{0, 1, 2, 3, 4, 5}, To: []int{6, 7, 8, 9, 10, 11}},
 		{Kind: Stop, At: 8, Length: 5, From: []int{7}},
 		{Kind: Kill, At: 9, Length: 2, From: []int{8, 9}},
@@ -103,12 +103,12 @@
 
 // TestIdleFaultsAreTold: a fault that never struck fails a run.
 func TestIdleFaultsAreTold(t *testing.T) {
-	n, err := links.Open(1, []string{"127.0.0.1:9", "127.0.0.1:9"}, nil)
+	n, err := netfault.Open(1, []string{"127.0.0.1:9", "127.0.0.1:9"}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer n.Close()
-	end := n.Begin(links.Fault{Kind: "cut", From: []int{0}})
+	end := n.Begin(netfault.Fault{Kind: "cut", From: []int{0}})
 	time.Sleep(10 * time.Millisecond)
 	if end() == nil {
 		t.Error("a cut over which nothing went passes for one that struck")
@@ -126,7 +126,7 @@
 	if _, err := Find(bad); err == nil {
 		t.Error("a day that is not there")
 	}
-	if err := (&Plan{Length: 5, Faults: []links.Fault{{Kind: "nonsense", Length: 1}}}).check("x"); err == nil {
+	if err := (&Plan{Length: 5, Faults: []netfault.Fault{{Kind: "nonsense", Length: 1}}}).check("x"); err == nil {
 		t.Error("a fault of no kind")
 	}
 }
--- a/lab/ledger/fromday.go
+++ b/testbed/invariants/fromday.go
@@ -1,15 +1,15 @@
-package ledger
+package invariants
 
 import (
 	"math"
 
-	"pineport/lab/day"
-	"pineport/logic"
+	"pineport/dispatch"
+	"pineport/testbed/scenario"
 )
 
 // ForDay is the setup for a day in virtual time.
-func ForDay(w *day.Drawn) Setup {
-	d, us := w.Day, func(s float64) logic.Micros { return logic.Micros(math.Round(s * 1e6)) }
+func ForDay(w *scenario.Drawn) Setup {
+	d, us := w.Day, func(s float64) dispatch.Micros { return dispatch.Micros(math.Round(s * 1e6)) }
 	setup := Setup{OverShare: d.Rules.OverShare, Halves: d.Rules.Decay == "halves", Length: w.Length,
 		AnswerSlack: us(d.Rules.AnswerSlack), DrainGrace: us(d.Rules.DrainGrace), KeyRest: us(d.Rules.KeyRest),
 		Goal:   Weights{d.Goal.Whole, d.Goal.Window, d.Goal.Workload, d.Goal.Party},
@@ -27,12 +27,12 @@
 }
 
 // RepeatOf reads the word of a day's file.
-func RepeatOf(word string) logic.Repeat {
+func RepeatOf(word string) dispatch.Repeat {
 	switch word {
 	case "replayable":
-		return logic.Replayable
+		return dispatch.Replayable
 	case "referenced":
-		return logic.Referenced
+		return dispatch.Referenced
 	}
-	return logic.SingleUse
+	return dispatch.SingleUse
 }
--- a/lab/ledger/ledger.go
+++ b/testbed/invariants/invariants.go
@@ -1,24 +1,24 @@
-// Package ledger judges a day by what was seen of it from outside: what was handed in, sent, answered, told and what
+// Package invariants judges a day by what was seen of it from outside: what was handed in, sent, answered, told and what
 // took effect. It keeps the books of payoff and holds every courier against the six rules. No other part of the
 // laboratory says whether a day was good, and it knows neither whether the day was virtual nor which decisions were made.
-package ledger
+package invariants
 
 import (
 	"fmt"
 	"math"
 	"sync"
 
-	"pineport/logic"
+	"pineport/dispatch"
 )
 
 // Workload is what a kind of record promises.
 type Workload struct {
 	Name         string
-	Quoted, Life logic.Micros
+	Quoted, Life dispatch.Micros
 	Payoff       float64
 	LatePart     float64
-	Repeat       logic.Repeat
-	Window       logic.Micros
+	Repeat       dispatch.Repeat
+	Window       dispatch.Micros
 	OneZone      bool
 	InOrder      bool
 }
@@ -30,18 +30,18 @@
 	Quotas      []float64 // records a second within a party's share; 0: no share
 	OverShare   float64
 	Halves      bool // payoff halves with each further quoted time, else falls evenly
-	Length      logic.Micros
-	AnswerSlack logic.Micros
-	DrainGrace  logic.Micros
-	KeyRest     logic.Micros
+	Length      dispatch.Micros
+	AnswerSlack dispatch.Micros
+	DrainGrace  dispatch.Micros
+	KeyRest     dispatch.Micros
 	Goal        Weights
 	Prices      Prices
 	// Leeway is what is granted for clocks of two parties that do not see the same instant; 0 in virtual time.
-	Leeway logic.Micros
+	Leeway dispatch.Micros
 	// WaitFrom: calls that come so soon after a wait was told crossed it; 0 in virtual time.
-	WaitFrom logic.Micros
+	WaitFrom dispatch.Micros
 	// Excused is how long after a courier is up again no answer is overdue.
-	Excused logic.Micros
+	Excused dispatch.Micros
 }
 
 // Weights of a day's figure.
@@ -52,14 +52,14 @@
 
 // Place is where a call goes.
 type Place struct {
-	Dest     logic.DestID
+	Dest     dispatch.DestID
 	Route    int
-	Endpoint logic.EndpointID
-	Zone     logic.ZoneID
+	Endpoint dispatch.EndpointID
+	Zone     dispatch.ZoneID
 }
 
 type routeKey struct {
-	dest  logic.DestID
+	dest  dispatch.DestID
 	route int
 }
 
@@ -83,52 +83,52 @@
 type origin struct {
 	work   int
 	party  int
-	dest   logic.DestID
-	at     logic.Micros // when it was due to be handed in first
-	worth  float64      // within its quoted time
+	dest   dispatch.DestID
+	at     dispatch.Micros // when it was due to be handed in first
+	worth  float64         // within its quoted time
 	won    float64
-	doneAt logic.Micros
+	doneAt dispatch.Micros
 	end    End
 }
 
 type record struct {
-	id      logic.RecordID
+	id      dispatch.RecordID
 	origin  *origin
 	work    *Workload
 	courier int
-	key     logic.Key
-	cutOff  logic.Micros
-	taken   logic.Micros
+	key     dispatch.Key
+	cutOff  dispatch.Micros
+	taken   dispatch.Micros
 	trips   []*trip
 	end     End
-	endAt   logic.Micros
+	endAt   dispatch.Micros
 	mayRan  bool
-	ranAt   logic.Micros
-	ranZone logic.ZoneID
+	ranAt   dispatch.Micros
+	ranZone dispatch.ZoneID
 	out     int
 	unheard bool // its answer went to a courier that was killed then, and may not have been read
 }
 
 type trip struct {
 	place   Place
-	sent    logic.Micros
+	sent    dispatch.Micros
 	over    bool
-	outcome logic.Outcome
+	outcome dispatch.Outcome
 }
 
 type keyOf struct {
 	courier int
-	key     logic.Key
+	key     dispatch.Key
 }
 
 type line struct {
 	records []*record
-	restTo  logic.Micros
+	restTo  dispatch.Micros
 }
 
 type toldKey struct {
 	courier  int
-	endpoint logic.EndpointID
+	endpoint dispatch.EndpointID
 }
 
 type waitKey struct {
@@ -136,14 +136,14 @@
 	route   routeKey
 }
 
-type wait struct{ from, to logic.Micros }
+type wait struct{ from, to dispatch.Micros }
 
 // down is a stretch in which a courier owed no answers.
-type down struct{ from, to logic.Micros }
+type down struct{ from, to dispatch.Micros }
 
 // outage is what is kept of the present or last outage of a route.
 type outage struct {
-	since logic.Micros
+	since dispatch.Micros
 	on    bool
 	seen  map[int]bool // couriers that saw it
 }
@@ -152,15 +152,15 @@
 type Ledger struct {
 	mu       sync.Mutex
 	setup    Setup
-	origins  map[logic.RecordID]*origin
+	origins  map[dispatch.RecordID]*origin
 	order    []*origin
-	records  map[logic.RecordID]*record
+	records  map[dispatch.RecordID]*record
 	all      []*record
 	lines    map[keyOf]*line
-	told     map[toldKey]logic.Micros
+	told     map[toldKey]dispatch.Micros
 	waits    map[waitKey]wait
 	downs    map[int][]down
-	killed   map[int]logic.Micros
+	killed   map[int]dispatch.Micros
 	outages  map[routeKey]*outage
 	shares   []share
 	breaches map[Rule]*breach
@@ -171,19 +171,19 @@
 
 type share struct {
 	saved float64
-	at    logic.Micros
+	at    dispatch.Micros
 }
 
 // New begins the books of a day.
 func New(setup Setup) *Ledger {
-	return &Ledger{setup: setup, origins: map[logic.RecordID]*origin{}, records: map[logic.RecordID]*record{},
-		lines: map[keyOf]*line{}, told: map[toldKey]logic.Micros{}, waits: map[waitKey]wait{}, downs: map[int][]down{}, killed: map[int]logic.Micros{},
+	return &Ledger{setup: setup, origins: map[dispatch.RecordID]*origin{}, records: map[dispatch.RecordID]*record{},
+		lines: map[keyOf]*line{}, told: map[toldKey]dispatch.Micros{}, waits: map[waitKey]wait{}, downs: map[int][]down{}, killed: map[int]dispatch.Micros{},
 		outages: map[routeKey]*outage{}, shares: make([]share, len(setup.Quotas)), breaches: map[Rule]*breach{},
-		series: series{dests: map[logic.DestID]*DestSeries{}}, latency: newLatencies(setup.Workloads)}
+		series: series{dests: map[dispatch.DestID]*DestSeries{}}, latency: newLatencies(setup.Workloads)}
 }
 
 // Offered: a client has a record for the first time.
-func (l *Ledger) Offered(at logic.Micros, id logic.RecordID, work, party int, dest logic.DestID) {
+func (l *Ledger) Offered(at dispatch.Micros, id dispatch.RecordID, work, party int, dest dispatch.DestID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	w := &l.setup.Workloads[work]
@@ -197,7 +197,7 @@
 }
 
 // withinShare spends a party's share; two seconds of it may be saved up.
-func (l *Ledger) withinShare(at logic.Micros, party int) bool {
+func (l *Ledger) withinShare(at dispatch.Micros, party int) bool {
 	if party >= len(l.shares) || l.setup.Quotas[party] <= 0 {
 		return true
 	}
@@ -212,7 +212,7 @@
 }
 
 // Taken: a courier owes a record's end from now on.
-func (l *Ledger) Taken(at logic.Micros, id, originID logic.RecordID, courier int, key logic.Key, cutOff logic.Micros) {
+func (l *Ledger) Taken(at dispatch.Micros, id, originID dispatch.RecordID, courier int, key dispatch.Key, cutOff dispatch.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	o := l.origins[originID]
@@ -235,7 +235,7 @@
 }
 
 // Sent: a courier began a trip of a record. Trips are numbered as they are sent.
-func (l *Ledger) Sent(at logic.Micros, id logic.RecordID, p Place) (no int) {
+func (l *Ledger) Sent(at dispatch.Micros, id dispatch.RecordID, p Place) (no int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.records[id]
@@ -252,7 +252,7 @@
 }
 
 // Settled: the courier has the outcome of a trip, or has stopped waiting for it.
-func (l *Ledger) Settled(at logic.Micros, id logic.RecordID, no int, o logic.Outcome, told logic.Micros) {
+func (l *Ledger) Settled(at dispatch.Micros, id dispatch.RecordID, no int, o dispatch.Outcome, told dispatch.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.records[id]
@@ -265,7 +265,7 @@
 	rk := routeKey{t.place.Dest, t.place.Route}
 	l.series.settled(at, t.place.Dest, o)
 	l.counts.settle(o)
-	mayRun := o != logic.Full && o != logic.Unreachable && o != logic.Void
+	mayRun := o != dispatch.Full && o != dispatch.Unreachable && o != dispatch.Void
 	if mayRun && !r.mayRan {
 		r.mayRan, r.ranAt, r.ranZone = true, t.sent, t.place.Zone
 	}
@@ -280,14 +280,14 @@
 			l.waits[k] = wait{from, to}
 		}
 	}
-	if og := l.outages[rk]; og != nil && og.on && o != logic.Done && o != logic.Void && o != logic.Withdrawn {
+	if og := l.outages[rk]; og != nil && og.on && o != dispatch.Done && o != dispatch.Void && o != dispatch.Withdrawn {
 		og.seen[r.courier] = true
 	}
-	if r.work.InOrder && r.key != "" && (o == logic.TimedOut || o == logic.Broken || o == logic.Withdrawn) {
+	if r.work.InOrder && r.key != "" && (o == dispatch.TimedOut || o == dispatch.Broken || o == dispatch.Withdrawn) {
 		line := l.lines[keyOf{r.courier, r.key}]
 		line.restTo = max(line.restTo, at+l.setup.KeyRest)
 	}
-	if o == logic.Done {
+	if o == dispatch.Done {
 		_, dead := l.killed[r.courier]
 		r.unheard = r.unheard || dead && r.end == Open
 		l.delivered(at, r)
@@ -295,7 +295,7 @@
 }
 
 // delivered counts a record's payoff.
-func (l *Ledger) delivered(at logic.Micros, r *record) {
+func (l *Ledger) delivered(at dispatch.Micros, r *record) {
 	if r.end == Bounced || r.end == Terminated {
 		return // its client was told otherwise
 	}
@@ -314,7 +314,7 @@
 }
 
 // part is what is left of a record's payoff at an instant.
-func (l *Ledger) part(o *origin, at logic.Micros) float64 {
+func (l *Ledger) part(o *origin, at dispatch.Micros) float64 {
 	w := &l.setup.Workloads[o.work]
 	late := float64(at - o.at - w.Quoted)
 	switch {
@@ -329,13 +329,13 @@
 }
 
 // Ended: a record has its final answer without having been delivered.
-func (l *Ledger) Ended(at logic.Micros, id logic.RecordID, how End) {
+func (l *Ledger) Ended(at dispatch.Micros, id dispatch.RecordID, how End) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ended(at, id, how)
 }
 
-func (l *Ledger) ended(at logic.Micros, id logic.RecordID, how End) {
+func (l *Ledger) ended(at dispatch.Micros, id dispatch.RecordID, how End) {
 	r := l.records[id]
 	if r == nil {
 		if how == Bounced || how == Terminated {
@@ -367,7 +367,7 @@
 
 // Noticed takes a notice for a record; it tells whether that ended it. Notices are sent until they are confirmed, and one
 // for a record that is over does no harm.
-func (l *Ledger) Noticed(at logic.Micros, id logic.RecordID, how End) bool {
+func (l *Ledger) Noticed(at dispatch.Micros, id dispatch.RecordID, how End) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if r := l.records[id]; r != nil && r.end != Open {
@@ -378,7 +378,7 @@
 }
 
 // MayHaveRun tells whether any trip of a record may have taken effect, as far as its client can know.
-func (l *Ledger) MayHaveRun(id logic.RecordID) bool {
+func (l *Ledger) MayHaveRun(id dispatch.RecordID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.records[id]
@@ -386,7 +386,7 @@
 }
 
 // Ran: a record took effect; before is how often it had done so already, known whether the repeat was dropped.
-func (l *Ledger) Ran(at logic.Micros, id logic.RecordID, where logic.EndpointID, before int, known bool) {
+func (l *Ledger) Ran(at dispatch.Micros, id dispatch.RecordID, where dispatch.EndpointID, before int, known bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts.Effects++
@@ -396,17 +396,17 @@
 	}
 	l.counts.Repeats++
 	// A referenced record's repeats are judged when they are sent: a hand-in after a courier died is its client's.
-	if r.work.Repeat == logic.SingleUse && r.end != Dropped {
+	if r.work.Repeat == dispatch.SingleUse && r.end != Dropped {
 		l.breach(Twice, at, "%s took effect for the %d. time, at %s", id, before+1, where)
 	}
 }
 
 // Told: a courier has word that an endpoint drains or is gone; or that it is in again.
-func (l *Ledger) Told(at logic.Micros, courier int, endpoint logic.EndpointID, phase logic.Phase) {
+func (l *Ledger) Told(at dispatch.Micros, courier int, endpoint dispatch.EndpointID, phase dispatch.Phase) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := toldKey{courier, endpoint}
-	if phase == logic.In {
+	if phase == dispatch.In {
 		delete(l.told, k)
 	} else if _, ok := l.told[k]; !ok {
 		l.told[k] = at
@@ -415,7 +415,7 @@
 
 // Down and Back: a courier is away. Where lost is set, what it held went with it; where it forgets, nothing that it had
 // learned survives, and nobody can ask it to know.
-func (l *Ledger) Down(at logic.Micros, courier int, lost, forgets bool) {
+func (l *Ledger) Down(at dispatch.Micros, courier int, lost, forgets bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.downs[courier] = append(l.downs[courier], down{at, math.MaxInt64})
@@ -452,7 +452,7 @@
 
 // Killed: a courier was ended outright. An answer that was on its way to it then may not have been read: what it was for may
 // go again, as far as its workload allows.
-func (l *Ledger) Killed(at logic.Micros, courier int) {
+func (l *Ledger) Killed(at dispatch.Micros, courier int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.killed[courier] = at
@@ -462,7 +462,7 @@
 }
 
 // Back: a courier serves again.
-func (l *Ledger) Back(at logic.Micros, courier int) {
+func (l *Ledger) Back(at dispatch.Micros, courier int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.killed, courier)
@@ -474,14 +474,14 @@
 }
 
 // Stood: a courier stood still, and could answer nothing until then.
-func (l *Ledger) Stood(at logic.Micros, courier int, to logic.Micros) {
+func (l *Ledger) Stood(at dispatch.Micros, courier int, to dispatch.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.downs[courier] = append(l.downs[courier], down{at, to})
 }
 
 // Turned: the health of a route changed.
-func (l *Ledger) Turned(at logic.Micros, dest logic.DestID, route int, out bool) {
+func (l *Ledger) Turned(at dispatch.Micros, dest dispatch.DestID, route int, out bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := routeKey{dest, route}
@@ -497,7 +497,7 @@
 }
 
 // Fell: a returning route was sent more than it could take; sent has what each courier sent of that.
-func (l *Ledger) Fell(at logic.Micros, dest logic.DestID, route int, sent map[int]float64) {
+func (l *Ledger) Fell(at dispatch.Micros, dest dispatch.DestID, route int, sent map[int]float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts.Falls++
@@ -522,13 +522,13 @@
 }
 
 // Crashed: a courier ended by itself, or its decisions failed.
-func (l *Ledger) Crashed(at logic.Micros, courier int, why string) {
+func (l *Ledger) Crashed(at dispatch.Micros, courier int, why string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.breach(Crash, at, "courier %d: %s", courier, why)
 }
 
-func seconds(t logic.Micros) string { return fmt.Sprintf("%.3f s", float64(t)/1e6) }
+func seconds(t dispatch.Micros) string { return fmt.Sprintf("%.3f s", float64(t)/1e6) }
 
 // Open is how many records are taken and have no final answer.
 func (l *Ledger) Open() int {
@@ -538,14 +538,14 @@
 }
 
 // Excused tells whether a courier owes no answers at an instant.
-func (l *Ledger) Excused(at logic.Micros, courier int) bool {
+func (l *Ledger) Excused(at dispatch.Micros, courier int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.excused(courier, at) != at
 }
 
 // Unanswered: a courier that runs ended a connection without an answer to what it had read.
-func (l *Ledger) Unanswered(at logic.Micros, id logic.RecordID, courier int) {
+func (l *Ledger) Unanswered(at dispatch.Micros, id dispatch.RecordID, courier int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.breach(Final, at, "courier %d closed a connection without an answer to %s", courier, id)
--- a/lab/ledger/loans.go
+++ b/testbed/invariants/loans.go
@@ -1,9 +1,9 @@
-package ledger
+package invariants
 
 import (
 	"fmt"
 
-	"pineport/logic"
+	"pineport/dispatch"
 )
 
 // Loans holds what couriers show of the parts of limits that they lent and borrowed against one another, from outside: whoever uses a
@@ -19,9 +19,9 @@
 
 type seenLoan struct {
 	lender  string
-	start   uint64       // of the lender, when the loan was first seen; 0 not known
-	used    logic.Micros // a look at the borrower that showed it had ended by then
-	missing logic.Micros // a look at the lender since then that did not show it had ended by then
+	start   uint64          // of the lender, when the loan was first seen; 0 not known
+	used    dispatch.Micros // a look at the borrower that showed it had ended by then
+	missing dispatch.Micros // a look at the lender since then that did not show it had ended by then
 }
 
 // Lot is a loan as one side shows it.
@@ -36,7 +36,7 @@
 type Look struct {
 	Name       string
 	Start      uint64
-	From, To   logic.Micros
+	From, To   dispatch.Micros
 	Lent, Used [][]Lot // by route
 }
 
--- a/lab/ledger/loans_test.go
+++ b/testbed/invariants/loans_test.go
@@ -1,9 +1,9 @@
-package ledger
+package invariants
 
 import (
 	"testing"
 
-	"pineport/logic"
+	"pineport/dispatch"
 )
 
 // TestLoansAreHeldAgainstEachOther: what is used after it was back, what was never lent and what is more than half is seen; what
@@ -12,10 +12,10 @@
 	lot := []Lot{{"b", 7, 100, 1000}}
 	back := []Lot{{"a", 7, 100, 1000}}
 	a := func(from int64, used ...[]Lot) Look {
-		return Look{Name: "a", Start: 1, From: logic.Micros(from), To: logic.Micros(from + 1), Used: used}
+		return Look{Name: "a", Start: 1, From: dispatch.Micros(from), To: dispatch.Micros(from + 1), Used: used}
 	}
 	b := func(from int64, start uint64, lent ...[]Lot) Look {
-		return Look{Name: "b", Start: start, From: logic.Micros(from), To: logic.Micros(from + 1), Lent: lent}
+		return Look{Name: "b", Start: start, From: dispatch.Micros(from), To: dispatch.Micros(from + 1), Lent: lent}
 	}
 	for name, c := range map[string]struct {
 		looks []Look
--- a/lab/ledger/rules.go
+++ b/testbed/invariants/rules.go
@@ -1,10 +1,10 @@
-package ledger
+package invariants
 
 import (
 	"fmt"
 	"slices"
 
-	"pineport/logic"
+	"pineport/dispatch"
 )
 
 // Rule is one of the six, or that nothing crashes.
@@ -39,7 +39,7 @@
 
 const examples = 5
 
-func (l *Ledger) breach(rule Rule, at logic.Micros, format string, args ...any) {
+func (l *Ledger) breach(rule Rule, at dispatch.Micros, format string, args ...any) {
 	b := l.breaches[rule]
 	if b == nil {
 		b = &breach{}
@@ -51,7 +51,7 @@
 }
 
 // judgeSend holds a trip against the rules on ends, effects, drains, waits and order.
-func (l *Ledger) judgeSend(at logic.Micros, r *record, p Place) {
+func (l *Ledger) judgeSend(at dispatch.Micros, r *record, p Place) {
 	if r.end != Open && r.end != Dropped && !r.unheard && at > r.endAt+l.setup.Leeway {
 		l.breach(Final, at, "%s was sent to %s after it was %s at %s", r.id, p.Endpoint, r.end, seconds(r.endAt))
 	}
@@ -69,8 +69,8 @@
 
 // judgeRepeat: a single-use record goes again only if every earlier trip provably never ran; a referenced one that may
 // have run only in its window and group.
-func (l *Ledger) judgeRepeat(at logic.Micros, r *record, p Place) {
-	if r.work.Repeat == logic.Replayable || len(r.trips) == 0 {
+func (l *Ledger) judgeRepeat(at dispatch.Micros, r *record, p Place) {
+	if r.work.Repeat == dispatch.Replayable || len(r.trips) == 0 {
 		return
 	}
 	may, ranAt, zone := r.mayRan, r.ranAt, r.ranZone
@@ -81,7 +81,7 @@
 	}
 	switch {
 	case !may:
-	case r.work.Repeat == logic.SingleUse:
+	case r.work.Repeat == dispatch.SingleUse:
 		l.breach(Twice, at, "%s, single-use, went to %s though an earlier trip may have run", r.id, p.Endpoint)
 	case at > ranAt+r.work.Window+l.setup.Leeway:
 		l.breach(Twice, at, "%s, referenced, went to %s after its window of %s", r.id, p.Endpoint, seconds(r.work.Window))
@@ -91,15 +91,15 @@
 }
 
 // judgeBounce: a bounce says that trying again is harmless.
-func (l *Ledger) judgeBounce(at logic.Micros, r *record) {
+func (l *Ledger) judgeBounce(at dispatch.Micros, r *record) {
 	may := r.mayRan || r.out > 0
-	if may && (r.work.Repeat == logic.SingleUse || r.work.Repeat == logic.Referenced && r.work.OneZone) {
+	if may && (r.work.Repeat == dispatch.SingleUse || r.work.Repeat == dispatch.Referenced && r.work.OneZone) {
 		l.breach(Twice, at, "%s was bounced though a trip may have run", r.id)
 	}
 }
 
 // judgeOrder: nothing is sent for a record while an earlier one of its key is not over.
-func (l *Ledger) judgeOrder(at logic.Micros, r *record) {
+func (l *Ledger) judgeOrder(at dispatch.Micros, r *record) {
 	line := l.lines[keyOf{r.courier, r.key}]
 	line.records = slices.DeleteFunc(line.records, func(o *record) bool { return o.end != Open && o.out == 0 })
 	if len(line.records) > 0 && line.records[0] != r {
@@ -112,7 +112,7 @@
 }
 
 // overdue holds what was taken against its cut-off, at the end of the day.
-func (l *Ledger) overdue(end logic.Micros) {
+func (l *Ledger) overdue(end dispatch.Micros) {
 	for _, r := range l.all {
 		by := l.excused(r.courier, r.cutOff+l.setup.AnswerSlack+l.setup.Leeway)
 		switch {
@@ -126,7 +126,7 @@
 }
 
 // excused moves an instant out of the stretches in which a courier owed no answers.
-func (l *Ledger) excused(courier int, at logic.Micros) logic.Micros {
+func (l *Ledger) excused(courier int, at dispatch.Micros) dispatch.Micros {
 	for _, d := range l.downs[courier] {
 		if at >= d.from && at < d.to {
 			at = d.to
--- a/lab/ledger/series.go
+++ b/testbed/invariants/series.go
@@ -1,13 +1,13 @@
-package ledger
+package invariants
 
 import (
 	"slices"
 
-	"pineport/logic"
+	"pineport/dispatch"
 )
 
 // Bin is the span of one point of a series.
-const Bin = logic.Micros(500 * 1000)
+const Bin = dispatch.Micros(500 * 1000)
 
 // Series is a day over time, in bins of half a second.
 type Series struct {
@@ -18,7 +18,7 @@
 
 // DestSeries is what went to one destination.
 type DestSeries struct {
-	Dest                      logic.DestID
+	Dest                      dispatch.DestID
 	Offered                   []float64
 	Calls, Done, Full, Failed []float64
 	Outages                   [][2]float64 // in seconds
@@ -28,11 +28,11 @@
 type series struct {
 	holding int
 	heldAt  []float64
-	dests   map[logic.DestID]*DestSeries
+	dests   map[dispatch.DestID]*DestSeries
 }
 
 // put adds to a bin; what lies before the day counts to its first bin.
-func put(s []float64, at logic.Micros, n float64) []float64 {
+func put(s []float64, at dispatch.Micros, n float64) []float64 {
 	i := max(0, int(at/Bin))
 	for len(s) <= i {
 		s = append(s, 0)
@@ -41,7 +41,7 @@
 	return s
 }
 
-func (s *series) held(at logic.Micros, n int) {
+func (s *series) held(at dispatch.Micros, n int) {
 	s.holding += n
 	i := max(0, int(at/Bin))
 	for len(s.heldAt) <= i {
@@ -50,7 +50,7 @@
 	s.heldAt[i] = float64(s.holding)
 }
 
-func (s *series) dest(id logic.DestID) *DestSeries {
+func (s *series) dest(id dispatch.DestID) *DestSeries {
 	d := s.dests[id]
 	if d == nil {
 		d = &DestSeries{Dest: id}
@@ -59,25 +59,25 @@
 	return d
 }
 
-func (s *series) call(at logic.Micros, id logic.DestID) {
+func (s *series) call(at dispatch.Micros, id dispatch.DestID) {
 	d := s.dest(id)
 	d.Calls = put(d.Calls, at, 1)
 }
 
-func (s *series) settled(at logic.Micros, id logic.DestID, o logic.Outcome) {
+func (s *series) settled(at dispatch.Micros, id dispatch.DestID, o dispatch.Outcome) {
 	switch d := s.dest(id); o {
-	case logic.Done:
+	case dispatch.Done:
 		d.Done = put(d.Done, at, 1)
-	case logic.Full:
+	case dispatch.Full:
 		d.Full = put(d.Full, at, 1)
-	case logic.Void, logic.Withdrawn:
+	case dispatch.Void, dispatch.Withdrawn:
 	default:
 		d.Failed = put(d.Failed, at, 1)
 	}
 }
 
 // out notes that a route of a destination went out or came back; the destination is out while any of them is.
-func (s *series) out(at logic.Micros, id logic.DestID, on bool) {
+func (s *series) out(at dispatch.Micros, id dispatch.DestID, on bool) {
 	d := s.dest(id)
 	switch {
 	case on:
@@ -91,7 +91,7 @@
 	}
 }
 
-func (s *series) finish(l *Ledger, end logic.Micros) *Series {
+func (s *series) finish(l *Ledger, end dispatch.Micros) *Series {
 	out, bins := &Series{}, int(end/Bin)+1
 	for _, o := range l.order {
 		out.Asked = put(out.Asked, o.at, o.worth)
--- a/lab/ledger/verdict.go
+++ b/testbed/invariants/verdict.go
@@ -1,4 +1,4 @@
-package ledger
+package invariants
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"pineport/logic"
+	"pineport/dispatch"
 )
 
 // Counts are sums over a day.
@@ -32,21 +32,21 @@
 	Falls       int `json:"falls"`
 }
 
-func (c *Counts) settle(o logic.Outcome) {
+func (c *Counts) settle(o dispatch.Outcome) {
 	switch o {
-	case logic.Full:
+	case dispatch.Full:
 		c.Full++
-	case logic.Failure:
+	case dispatch.Failure:
 		c.Failures++
-	case logic.TimedOut:
+	case dispatch.TimedOut:
 		c.TimedOut++
-	case logic.Unreachable:
+	case dispatch.Unreachable:
 		c.Unreachable++
-	case logic.Broken:
+	case dispatch.Broken:
 		c.Broken++
-	case logic.Withdrawn:
+	case dispatch.Withdrawn:
 		c.Withdrawn++
-	case logic.Void:
+	case dispatch.Void:
 		c.Void++
 	}
 }
@@ -92,7 +92,7 @@
 const windowSpan = 10 * 1000 * 1000
 
 // Finish closes the books at the end of a day.
-func (l *Ledger) Finish(end logic.Micros) *Verdict {
+func (l *Ledger) Finish(end dispatch.Micros) *Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.overdue(end)
@@ -184,7 +184,7 @@
 	return l
 }
 
-func (l *latencies) note(work int, took logic.Micros) {
+func (l *latencies) note(work int, took dispatch.Micros) {
 	_ = l.all[work].RecordValue(min(max(100, int64(took)), 3600*1000*1000)) // always within its bounds
 }
 
--- a/lab/ledger/window.go
+++ b/testbed/invariants/window.go
@@ -1,4 +1,4 @@
-package ledger
+package invariants
 
 // Within is what happened in a stretch of a day, by the bins of its series.
 type Within struct {
--- a/lab/links/conditions.go
+++ b/testbed/netfault/conditions.go
@@ -1,7 +1,7 @@
-// Package links is the network between processes, in user space: each directed pair of them has an address of its own that
+// Package netfault is the network between processes, in user space: each directed pair of them has an address of its own that
 // leads to the other's, and what passes there can be lost, delayed, throttled, put out of order, doubled, torn or cut, one
 // way or both. The same conditions hold in memory (Mesh), for tests that run hundreds of members in virtual time.
-package links
+package netfault
 
 import (
 	"encoding/json"
--- a/lab/links/mesh.go
+++ b/testbed/netfault/mesh.go
@@ -1,4 +1,4 @@
-package links
+package netfault
 
 import (
 	"fmt"
--- a/lab/proc/proc.go
+++ b/testbed/process/process.go
@@ -1,5 +1,5 @@
-// Package proc starts, kills, stops and restarts real courier processes for a day on sockets.
-package proc
+// Package process starts, kills, stops and restarts real courier processes for a day on sockets.
+package process
 
 import (
 	"bufio"
--- a/lab/proc/proc_test.go
+++ b/testbed/process/process_test.go
@@ -1,4 +1,4 @@
-package proc
+package process
 
 import (
 	"os"
--- a/lab/live/client.go
+++ b/testbed/realtime/client.go
@@ -1,22 +1,22 @@
-package live
+package realtime
 
 import (
 	"strconv"
 	"time"
 
-	"pineport/lab/day"
-	"pineport/lab/ledger"
-	"pineport/lab/load"
-	"pineport/lab/world"
-	"pineport/logic"
+	"pineport/dispatch"
+	"pineport/testbed/environment"
+	"pineport/testbed/invariants"
+	"pineport/testbed/load"
+	"pineport/testbed/scenario"
 )
 
 // client is who handed in a record first, and hands it in again where it may. The run's lock guards it.
 type client struct {
-	id      logic.RecordID
-	arrival day.Arrival
-	due     logic.Micros
-	cutOff  logic.Micros
+	id      dispatch.RecordID
+	arrival scenario.Arrival
+	due     dispatch.Micros
+	cutOff  dispatch.Micros
 	tries   int
 	bounces int
 	dropped int // hand-ins that nobody answered: what comes of them counts for nothing
@@ -25,8 +25,8 @@
 func (r *run) offer(i int) {
 	a := r.day.Arrivals[i]
 	wl := r.day.Day.Workloads[a.Workload]
-	cl := &client{id: logic.RecordID("r" + strconv.Itoa(i)), arrival: a, due: a.At, cutOff: a.At + logic.Micros(wl.CutOff*1e6)}
-	r.books.Offered(a.At, cl.id, int(a.Workload), int(a.Party), logic.DestID(a.Dest))
+	cl := &client{id: dispatch.RecordID("r" + strconv.Itoa(i)), arrival: a, due: a.At, cutOff: a.At + dispatch.Micros(wl.CutOff*1e6)}
+	r.books.Offered(a.At, cl.id, int(a.Workload), int(a.Party), dispatch.DestID(a.Dest))
 	r.pend(1)
 	r.handIn(cl, int(a.Courier), false, false)
 }
@@ -37,7 +37,7 @@
 	r.pending += n
 }
 
-func (r *run) between(b day.Range) time.Duration {
+func (r *run) between(b scenario.Range) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return time.Duration((b[0] + (b[1]-b[0])*r.rng.Float64()) * float64(time.Second))
@@ -45,7 +45,7 @@
 
 // later hands in again after a while, if there is time left then.
 func (r *run) later(cl *client, after time.Duration, courier int, again, afterDeath bool) {
-	if r.world.Clock.Now()+logic.Micros(after.Microseconds()) < cl.cutOff {
+	if r.world.Clock.Now()+dispatch.Micros(after.Microseconds()) < cl.cutOff {
 		r.pend(1)
 		time.AfterFunc(after, func() { r.handIn(cl, courier, again, afterDeath) })
 	}
@@ -76,21 +76,21 @@
 	r.mu.Lock()
 	id, origin := cl.id, cl.id
 	if cl.tries > 0 {
-		id += logic.RecordID("." + strconv.Itoa(cl.tries))
+		id += dispatch.RecordID("." + strconv.Itoa(cl.tries))
 	}
 	if cl.dropped > 0 { // what ran under an id that nobody answered for counts for nothing
-		origin += logic.RecordID("+" + strconv.Itoa(cl.dropped))
+		origin += dispatch.RecordID("+" + strconv.Itoa(cl.dropped))
 	}
 	cl.tries++
 	r.clients[id] = cl
 	r.mu.Unlock()
 	a := cl.arrival
 	wl := r.day.Day.Workloads[a.Workload]
-	key := logic.Key("")
+	key := dispatch.Key("")
 	if a.Key >= 0 {
-		key = logic.Key("k" + strconv.Itoa(int(a.Key)))
+		key = dispatch.Key("k" + strconv.Itoa(int(a.Key)))
 	}
-	r.world.Expect(id, world.Record{Origin: origin, Courier: courier, Work: int(a.Workload), Dest: int(a.Dest)})
+	r.world.Expect(id, environment.Record{Origin: origin, Courier: courier, Work: int(a.Workload), Dest: int(a.Dest)})
 	r.books.Taken(now, id, cl.id, courier, key, cl.cutOff)
 	rec := load.Record{ID: string(id), Workload: wl.Name, Left: time.Duration(cl.cutOff-now) * time.Microsecond, Dest: int(a.Dest),
 		Key: string(key), Again: again, AfterDeath: afterDeath, Body: r.body}
@@ -104,24 +104,24 @@
 		// From now on its end is owed: a call answered with 200, or a notice.
 	case load.Busy:
 		r.world.Drop(id)
-		r.books.Ended(now, id, ledger.Bounced)
+		r.books.Ended(now, id, invariants.Bounced)
 		r.comeAgain(cl, courier, reply.Again)
 	case load.Failed:
 		r.world.Drop(id)
-		r.books.Ended(now, id, ledger.Terminated)
+		r.books.Ended(now, id, invariants.Terminated)
 	default:
 		r.unanswered(cl, id, courier, reply)
 	}
 }
 
 // unanswered is a hand-in that a courier did not answer: it was down, cut the connection or kept silent.
-func (r *run) unanswered(cl *client, id logic.RecordID, courier int, reply load.Reply) {
+func (r *run) unanswered(cl *client, id dispatch.RecordID, courier int, reply load.Reply) {
 	now := r.world.Clock.Now()
 	if reply.Kind == load.Cut && r.couriers[courier].Up() && !r.books.Excused(now, courier) {
 		r.books.Unanswered(now, id, courier)
 	}
 	r.world.Drop(id)
-	r.books.Ended(now, id, ledger.Dropped)
+	r.books.Ended(now, id, invariants.Dropped)
 	r.mu.Lock()
 	cl.dropped++
 	r.mu.Unlock()
@@ -144,7 +144,7 @@
 	n := cl.bounces
 	cl.bounces++
 	r.mu.Unlock()
-	wait := r.between(day.Range{d.Backoff[0] / 1000, d.Backoff[1] / 1000}) << n
+	wait := r.between(scenario.Range{d.Backoff[0] / 1000, d.Backoff[1] / 1000}) << n
 	if advice > 0 && heeds {
 		wait = min(advice, time.Duration(r.day.Day.Fleet.LongestWait*float64(time.Second)))
 	}
@@ -152,14 +152,14 @@
 }
 
 // noticed takes a notice for a record that a courier had taken on.
-func (r *run) noticed(id logic.RecordID, how ledger.End, again time.Duration) {
+func (r *run) noticed(id dispatch.RecordID, how invariants.End, again time.Duration) {
 	r.mu.Lock()
 	cl := r.clients[id]
 	r.mu.Unlock()
 	if cl == nil {
 		return
 	}
-	if how == ledger.Bounced {
+	if how == invariants.Bounced {
 		r.comeAgain(cl, int(cl.arrival.Courier), again)
 	}
 }
--- a/lab/live/live.go
+++ b/testbed/realtime/realtime.go
@@ -1,6 +1,6 @@
-// Package live plays a day on loopback sockets: the world's endpoints and directories, open-loop clients, and real courier
+// Package realtime plays a day on loopback sockets: the world's endpoints and directories, open-loop clients, and real courier
 // processes that are killed, asked to end, restarted and stopped as the day has it.
-package live
+package realtime
 
 import (
 	"context"
@@ -14,12 +14,12 @@
 	"syscall"
 	"time"
 
-	"pineport/lab/day"
-	"pineport/lab/ledger"
-	"pineport/lab/load"
-	"pineport/lab/proc"
-	"pineport/lab/world"
-	"pineport/logic"
+	"pineport/dispatch"
+	"pineport/testbed/environment"
+	"pineport/testbed/invariants"
+	"pineport/testbed/load"
+	"pineport/testbed/process"
+	"pineport/testbed/scenario"
 )
 
 // Options are how a day is played.
@@ -29,11 +29,11 @@
 	Log    *slog.Logger
 	Ready  time.Duration // for a courier to answer PING
 	// Watch is told of what happens by itself, as it happens.
-	Watch func(at logic.Micros, a day.Act)
+	Watch func(at dispatch.Micros, a scenario.Act)
 	// Reload is how often each courier's configuration is written anew, with other settings, and read on SIGHUP; 0: never.
 	Reload time.Duration
 	// Extra is what a courier is configured with besides; it goes over the rest, key by key.
-	Extra func(c *proc.Courier) (map[string]any, error)
+	Extra func(c *process.Courier) (map[string]any, error)
 	// Begun is told, once, when the day begins; what it returns is called when the last record has its answer.
 	Begun func(f *Field) (end func())
 	// Limits of a courier, in the platform's form; nil: 1 core, 192 MB, 1,024 descriptors, 3 MB of disk.
@@ -44,13 +44,13 @@
 type Field struct{ run *run }
 
 // Couriers are those of the day, by number.
-func (f *Field) Couriers() []*proc.Courier { return f.run.couriers }
+func (f *Field) Couriers() []*process.Courier { return f.run.couriers }
 
 // Since is how long the day has been on.
 func (f *Field) Since() time.Duration { return time.Since(f.run.world.Clock.Start) }
 
 // Act carries out a trouble of a courier, and books it.
-func (f *Field) Act(a day.Act) { f.run.act(a) }
+func (f *Field) Act(a scenario.Act) { f.run.act(a) }
 
 // Cost is what a run took of the machine.
 type Cost struct {
@@ -68,18 +68,18 @@
 // run is one day being played.
 type run struct {
 	Options
-	day      *day.Drawn
-	books    *ledger.Ledger
-	world    *world.World
-	couriers []*proc.Courier
+	day      *scenario.Drawn
+	books    *invariants.Ledger
+	world    *environment.World
+	couriers []*process.Courier
 	pools    []*load.Pool
 	late     *load.Lateness
 	stop     chan struct{}
 
 	mu       sync.Mutex
 	rng      *rand.Rand
-	clients  map[logic.RecordID]*client // by each id that it handed in
-	pending  int                        // hand-ins under way or to come
+	clients  map[dispatch.RecordID]*client // by each id that it handed in
+	pending  int                           // hand-ins under way or to come
 	restarts int
 	reloads  int
 	fault    string
@@ -88,7 +88,7 @@
 
 // Play plays a day, and returns its judgement. The run ends when all records have their answer, at the day's end at the
 // latest, or when ctx is done.
-func Play(ctx context.Context, w *day.Drawn, o Options) (*ledger.Verdict, Cost, error) {
+func Play(ctx context.Context, w *scenario.Drawn, o Options) (*invariants.Verdict, Cost, error) {
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
@@ -96,17 +96,17 @@
 		o.Ready = 10 * time.Second
 	}
 	if o.Dir == "" {
-		dir, err := os.MkdirTemp("", "pinelab-")
+		dir, err := os.MkdirTemp("", "pineport-testbed-")
 		if err != nil {
 			return nil, Cost{}, err
 		}
 		defer os.RemoveAll(dir)
 		o.Dir = dir
 	}
-	r := &run{Options: o, day: w, books: ledger.New(setup(w)), late: load.NewLateness(), stop: make(chan struct{}),
-		rng: rand.New(rand.NewPCG(uint64(w.Seed), 55)), clients: map[logic.RecordID]*client{}, body: []byte("record of a laboratory day")}
+	r := &run{Options: o, day: w, books: invariants.New(setup(w)), late: load.NewLateness(), stop: make(chan struct{}),
+		rng: rand.New(rand.NewPCG(uint64(w.Seed), 55)), clients: map[dispatch.RecordID]*client{}, body: []byte("record of a laboratory day")}
 	var err error
-	if r.world, err = world.Open(w, o.Log); err != nil {
+	if r.world, err = environment.Open(w, o.Log); err != nil {
 		return nil, Cost{}, err
 	}
 	defer r.world.Close()
@@ -146,9 +146,9 @@
 }
 
 // setup grants what clocks of several processes need. The figures are those of the platform's protocol.
-func setup(w *day.Drawn) ledger.Setup {
-	s := ledger.ForDay(w)
-	const ms = logic.Micros(1000)
+func setup(w *scenario.Drawn) invariants.Setup {
+	s := invariants.ForDay(w)
+	const ms = dispatch.Micros(1000)
 	s.Leeway, s.WaitFrom, s.AnswerSlack, s.Excused = 50*ms, 100*ms, 300*ms, 1500*ms
 	return s
 }
@@ -166,7 +166,7 @@
 	n := r.day.Day.Fleet.Couriers
 	faults := make([]error, n)
 	for i := range n {
-		c, err := proc.New(i, r.Binary, r.Dir, r.crashed)
+		c, err := process.New(i, r.Binary, r.Dir, r.crashed)
 		if err != nil {
 			return err
 		}
@@ -186,7 +186,7 @@
 	return errors.Join(faults...)
 }
 
-func (r *run) configure(c *proc.Courier) error {
+func (r *run) configure(c *process.Courier) error {
 	limits := r.Limits
 	if limits == nil {
 		limits = map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024, "disk_mb": 3}
@@ -281,23 +281,23 @@
 }
 
 // act carries out what happens to couriers by itself.
-func (r *run) act(a day.Act) {
+func (r *run) act(a scenario.Act) {
 	now := r.world.Clock.Now()
 	if r.Watch != nil {
 		r.Watch(now, a)
 	}
 	c := r.couriers[a.Courier]
 	switch a.Kind {
-	case day.Kills:
+	case scenario.Kills:
 		if c.Up() {
 			r.books.Down(now, a.Courier, false, false)
 			r.books.Killed(now, a.Courier)
 		}
 		c.Kill()
-	case day.Asks:
+	case scenario.Asks:
 		r.books.Down(now, a.Courier, false, false)
 		c.Signal(syscall.SIGTERM)
-	case day.Starts:
+	case scenario.Starts:
 		err := r.configure(c)
 		if err == nil {
 			err = c.Start(r.Ready)
@@ -309,7 +309,7 @@
 		r.restarts++
 		r.mu.Unlock()
 		r.books.Back(r.world.Clock.Now(), a.Courier)
-	case day.Stands:
+	case scenario.Stands:
 		c.Signal(syscall.SIGSTOP)
 		r.books.Stood(now, a.Courier, now+a.Span+standsLonger)
 		r.world.Clock.After(now+a.Span, func() { c.Signal(syscall.SIGCONT) })
@@ -317,7 +317,7 @@
 }
 
 // standsLonger is what a process needs to come to itself after it stood still.
-const standsLonger = logic.Micros(200 * 1000)
+const standsLonger = dispatch.Micros(200 * 1000)
 
 // play hands in the day's records and waits for their ends.
 func (r *run) play(ctx context.Context) {
--- a/lab/live/live_test.go
+++ b/testbed/realtime/realtime_test.go
@@ -1,4 +1,4 @@
-package live
+package realtime
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 
 	"go.uber.org/goleak"
 
-	"pineport/lab/day"
-	"pineport/lab/ledger"
+	"pineport/testbed/invariants"
+	"pineport/testbed/scenario"
 )
 
 func build(t *testing.T) string {
@@ -25,24 +25,24 @@
 }
 
 // short is a day of a few seconds with a restart, a kill, a silence, a drain and a standstill.
-func short(t *testing.T) *day.Day {
+func short(t *testing.T) *scenario.Day {
 	t.Helper()
-	d, err := day.Find("demo")
+	d, err := scenario.Find("demo")
 	if err != nil {
 		t.Fatal(err)
 	}
 	d.Length = 7
-	at := func(kind string, from, length float64) day.Trouble {
-		return day.Trouble{Kind: kind, At: day.Range{from, from}, Length: day.Range{length, length}, Part: 0.5, By: "any", Whole: 1, Acts: 0.5}
+	at := func(kind string, from, length float64) scenario.Trouble {
+		return scenario.Trouble{Kind: kind, At: scenario.Range{from, from}, Length: scenario.Range{length, length}, Part: 0.5, By: "any", Whole: 1, Acts: 0.5}
 	}
-	d.Troubles = []day.Trouble{at("courier-kill", 1, 0.5), at("silent", 2, 2), at("drain", 1, 3), at("courier-stand", 4, 2), at("resets", 3, 3)}
+	d.Troubles = []scenario.Trouble{at("courier-kill", 1, 0.5), at("silent", 2, 2), at("drain", 1, 3), at("courier-stand", 4, 2), at("resets", 3, 3)}
 	return d
 }
 
 // TestDayOnSockets: a day with restarts and troubles keeps the rules, and leaves nothing running behind.
 func TestDayOnSockets(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	v, cost, err := Play(context.Background(), day.Draw(short(t), 2), Options{Binary: build(t)})
+	v, cost, err := Play(context.Background(), scenario.Draw(short(t), 2), Options{Binary: build(t)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,7 +63,7 @@
 		}
 		return path
 	}
-	w := day.Draw(short(t), 1)
+	w := scenario.Draw(short(t), 1)
 	for binary, want := range map[string]string{
 		"/nowhere/at-all":                      "no such file",
 		script("echo out of luck >&2; exit 3"): "out of luck",
@@ -77,7 +77,7 @@
 	}
 	crashing := script("timeout -s KILL 2.5 " + build(t) + "; exit 1")
 	v, _, err := Play(context.Background(), w, Options{Binary: crashing})
-	if err != nil || v.Broken[ledger.Crash] == 0 || v.Figure != 0 {
+	if err != nil || v.Broken[invariants.Crash] == 0 || v.Figure != 0 {
 		t.Errorf("%v, %+v", err, v)
 	}
 }
@@ -87,7 +87,7 @@
 	ctx, stop := context.WithTimeout(context.Background(), 2*time.Second)
 	defer stop()
 	began := time.Now()
-	v, _, err := Play(ctx, day.Draw(short(t), 1), Options{Binary: build(t)})
+	v, _, err := Play(ctx, scenario.Draw(short(t), 1), Options{Binary: build(t)})
 	if err != nil || v.Void == "" || time.Since(began) > 8*time.Second {
 		t.Errorf("%v, %+v after %v", err, v, time.Since(began))
 	}
--- a/lab/report/account.go
+++ b/testbed/report/account.go
@@ -7,38 +7,38 @@
 	"slices"
 	"strings"
 
-	"pineport/lab/day"
-	"pineport/lab/ledger"
-	"pineport/logic"
+	"pineport/dispatch"
+	"pineport/testbed/invariants"
+	"pineport/testbed/scenario"
 )
 
 // Event says in words what happens by itself on a day.
-func Event(w *day.Drawn, a day.Act) string {
+func Event(w *scenario.Drawn, a scenario.Act) string {
 	at := func() string {
 		return fmt.Sprintf("endpoint %s of destination %d (%s)", a.Endpoint.ID, a.Dest, w.Destinations[a.Dest].KindName)
 	}
 	switch a.Kind {
-	case day.Begins:
+	case scenario.Begins:
 		return at() + " " + begun[string(a.Strike.Kind)]
-	case day.Ends:
+	case scenario.Ends:
 		return at() + " is over its trouble (" + string(a.Strike.Kind) + ")"
-	case day.Adds:
+	case scenario.Adds:
 		return at() + " goes up"
-	case day.Drains:
+	case scenario.Drains:
 		return at() + " is listed as draining"
-	case day.Removes:
+	case scenario.Removes:
 		return at() + " goes down for good"
-	case day.Kills:
+	case scenario.Kills:
 		return fmt.Sprintf("courier %d is killed", a.Courier)
-	case day.Asks:
+	case scenario.Asks:
 		return fmt.Sprintf("courier %d is asked to end", a.Courier)
-	case day.Starts:
+	case scenario.Starts:
 		return fmt.Sprintf("courier %d starts again", a.Courier)
-	case day.Stands:
+	case scenario.Stands:
 		return fmt.Sprintf("courier %d stands still for %.0f ms", a.Courier, float64(a.Span)/1000)
-	case day.ListDown:
+	case scenario.ListDown:
 		return "the directory stops answering"
-	case day.ListUp:
+	case scenario.ListUp:
 		return "the directory answers again"
 	}
 	return a.Text
@@ -52,9 +52,9 @@
 }
 
 // Account tells, for each destination that had an outage, what the couriers did about it, as the books have it.
-func Account(out io.Writer, w *day.Drawn, v *ledger.Verdict) {
+func Account(out io.Writer, w *scenario.Drawn, v *invariants.Verdict) {
 	type stretch struct {
-		dest     *ledger.DestSeries
+		dest     *invariants.DestSeries
 		from, to float64
 	}
 	var all []stretch
@@ -79,7 +79,7 @@
 
 // rate is how much of a series fell into a stretch, and how much a second.
 func rate(values []float64, from, to float64) (n, perSec float64) {
-	bin := float64(ledger.Bin) / 1e6
+	bin := float64(invariants.Bin) / 1e6
 	for i, x := range values {
 		if at := float64(i) * bin; at >= from && at < to {
 			n += x
@@ -88,7 +88,7 @@
 	return n, n / max(bin, to-from)
 }
 
-func describe(out io.Writer, d *ledger.DestSeries, from, to float64) {
+func describe(out io.Writer, d *invariants.DestSeries, from, to float64) {
 	_, usual := rate(d.Calls, max(0, from-8), from)
 	tried, during := rate(d.Calls, from, to)
 	offered, _ := rate(d.Offered, from, to)
@@ -108,7 +108,7 @@
 	}
 	first := -1.0
 	for i, n := range d.Done {
-		if at := float64(i) * float64(ledger.Bin) / 1e6; n > 0 && at >= to {
+		if at := float64(i) * float64(invariants.Bin) / 1e6; n > 0 && at >= to {
 			first = at
 			break
 		}
@@ -124,7 +124,7 @@
 }
 
 // Answers says what became of the records.
-func Answers(out io.Writer, v *ledger.Verdict) {
+func Answers(out io.Writer, v *invariants.Verdict) {
 	n := v.Counts
 	fmt.Fprintf(out, "%d records were handed in %d times: %d delivered, %d bounced (trying again is harmless), %d terminated, %d without an answer.\n",
 		n.Offered, n.Taken, n.Done, n.Bounced, n.Terminated, n.Lost)
@@ -134,9 +134,9 @@
 }
 
 // Timeline lists what happens by itself, those that fall together in one line.
-func Timeline(out io.Writer, w *day.Drawn, most int) {
+func Timeline(out io.Writer, w *scenario.Drawn, most int) {
 	type row struct {
-		at    logic.Micros
+		at    dispatch.Micros
 		texts []string
 	}
 	var rows []row
--- a/lab/report/chart.go
+++ b/testbed/report/chart.go
@@ -14,8 +14,8 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"pineport/lab/day"
-	"pineport/lab/ledger"
+	"pineport/testbed/invariants"
+	"pineport/testbed/scenario"
 )
 
 const (
@@ -43,7 +43,7 @@
 		for _, v := range values[from : i+1] {
 			sum += v
 		}
-		pts[i].X, pts[i].Y = float64(i)*float64(ledger.Bin)/1e6, sum/float64(i+1-from)
+		pts[i].X, pts[i].Y = float64(i)*float64(invariants.Bin)/1e6, sum/float64(i+1-from)
 	}
 	l, err := plotter.NewLine(pts)
 	if err != nil {
@@ -85,11 +85,11 @@
 }
 
 // perSecond turns counts of a bin into a rate.
-const perSecond = 1e6 / float64(ledger.Bin)
+const perSecond = 1e6 / float64(invariants.Bin)
 
 // Day draws a day's charts into a folder: payoff, held records, and calls of the destinations that had trouble or most
 // traffic. It returns the files.
-func Day(dir string, w *day.Drawn, v *ledger.Verdict) (files []string, err error) {
+func Day(dir string, w *scenario.Drawn, v *invariants.Verdict) (files []string, err error) {
 	s := v.Series
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
@@ -135,7 +135,7 @@
 }
 
 // destination draws the calls of one destination against what it can do.
-func destination(w *day.Drawn, d *ledger.DestSeries) (*plot.Plot, error) {
+func destination(w *scenario.Drawn, d *invariants.DestSeries) (*plot.Plot, error) {
 	dst := &w.Destinations[d.Dest]
 	p := newPlot(fmt.Sprintf("Destination %d (%s): calls by outcome; shaded: out", d.Dest, dst.KindName), "calls a second")
 	top := perSecond * most(d.Calls, d.Offered)
@@ -161,7 +161,7 @@
 }
 
 // Troubled picks destinations worth a look: those that were out or failed most, then the busiest.
-func Troubled(s *ledger.Series, n int) []*ledger.DestSeries {
+func Troubled(s *invariants.Series, n int) []*invariants.DestSeries {
 	sum := func(v []float64) (t float64) {
 		for _, x := range v {
 			t += x
@@ -169,14 +169,14 @@
 		return t
 	}
 	all := slices.Clone(s.Dests)
-	weight := func(d *ledger.DestSeries) float64 {
+	weight := func(d *invariants.DestSeries) float64 {
 		out := 0.0
 		for _, o := range d.Outages {
 			out += o[1] - o[0]
 		}
 		return min(1, out)*1e6 + 10*sum(d.Failed) + 3*sum(d.Full) + sum(d.Calls)/100
 	}
-	slices.SortStableFunc(all, func(a, b *ledger.DestSeries) int { return cmp.Compare(weight(b), weight(a)) })
+	slices.SortStableFunc(all, func(a, b *invariants.DestSeries) int { return cmp.Compare(weight(b), weight(a)) })
 	return all[:min(n, len(all))]
 }
 
--- a/lab/report/parts.go
+++ b/testbed/report/parts.go
@@ -7,7 +7,7 @@
 	"path/filepath"
 	"slices"
 
-	"pineport/lab/fleet"
+	"pineport/testbed/fleet"
 )
 
 // Parts draws what of the limits couriers lent and borrowed over time: summed, and for the destinations with most of it.
--- a/lab/report/slope.go
+++ b/testbed/report/slope.go
@@ -12,7 +12,7 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"pineport/lab/capacity"
+	"pineport/testbed/capacity"
 )
 
 // curvePoints are how many points a curve is drawn by.
--- a/lab/report/slope_test.go
+++ b/testbed/report/slope_test.go
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
-	"pineport/lab/capacity"
-	"pineport/lab/slopes"
+	"pineport/testbed/capacity"
+	"pineport/testbed/slopes"
 )
 
 func TestSlopeChartShowsWhatItIsToldOf(t *testing.T) {
--- a/lab/scale/changes_test.go
+++ b/testbed/scale/changes_test.go
@@ -7,11 +7,11 @@
 	"strings"
 	"testing"
 
-	"pineport/lab/day"
-	"pineport/lab/partner"
-	"pineport/lab/sim"
-	"pineport/lab/slopes"
-	"pineport/logic"
+	"pineport/dispatch"
+	"pineport/testbed/endpointmodel"
+	"pineport/testbed/scenario"
+	"pineport/testbed/simulation"
+	"pineport/testbed/slopes"
 )
 
 // soundChanges are results that pass the check.
@@ -123,27 +123,27 @@
 
 // TestToldTimes: what a courier is told, by a change or a whole list, counts from the change on, or from its start if it was down.
 func TestToldTimes(t *testing.T) {
-	const s = logic.Micros(microsPerSecond)
-	entry := func(id logic.EndpointID, phase logic.Phase) logic.Listing {
-		return logic.Listing{Endpoint: id, Phase: phase}
+	const s = dispatch.Micros(microsPerSecond)
+	entry := func(id dispatch.EndpointID, phase dispatch.Phase) dispatch.Listing {
+		return dispatch.Listing{Endpoint: id, Phase: phase}
 	}
-	news := func(how logic.ListKind, entries ...logic.Listing) logic.ListNews {
-		return logic.ListNews{How: how, Entries: entries}
+	news := func(how dispatch.ListKind, entries ...dispatch.Listing) dispatch.ListNews {
+		return dispatch.ListNews{How: how, Entries: entries}
 	}
 	h := newToldHost(3)
 	for courier := range 3 {
-		h.note(1, courier, news(logic.Persisted, entry("a", logic.In)))
-	}
-	h.note(11*s, 0, news(logic.Partial, entry("a", logic.Draining)))
-	h.note(12*s, 0, news(logic.ListError))
-	h.note(15*s, 1, news(logic.Persisted, entry("a", logic.In)))
-	h.note(16*s, 1, news(logic.Complete)) // a second after discovery came back
-	drawn := &day.Drawn{Acts: []day.Act{
-		{At: 9 * s, Kind: day.Kills, Courier: 1},
-		{At: 10 * s, Kind: day.Drains, Endpoint: partner.Endpoint{ID: "a"}},
-		{At: 13 * s, Kind: day.ListDown},
-		{At: 14 * s, Kind: day.Starts, Courier: 1},
-		{At: 15 * s, Kind: day.ListUp},
+		h.note(1, courier, news(dispatch.Persisted, entry("a", dispatch.In)))
+	}
+	h.note(11*s, 0, news(dispatch.Partial, entry("a", dispatch.Draining)))
+	h.note(12*s, 0, news(dispatch.ListError))
+	h.note(15*s, 1, news(dispatch.Persisted, entry("a", dispatch.In)))
+	h.note(16*s, 1, news(dispatch.Complete)) // a second after discovery came back
+	drawn := &scenario.Drawn{Acts: []scenario.Act{
+		{At: 9 * s, Kind: scenario.Kills, Courier: 1},
+		{At: 10 * s, Kind: scenario.Drains, Endpoint: endpointmodel.Endpoint{ID: "a"}},
+		{At: 13 * s, Kind: scenario.ListDown},
+		{At: 14 * s, Kind: scenario.Starts, Courier: 1},
+		{At: 15 * s, Kind: scenario.ListUp},
 	}}
 	got := h.against(drawn)
 	if got.changes != 1 || got.untold != 1 || !slices.Equal(got.told, []float64{1, 2}) || !slices.Equal(got.everywhere, []float64{2}) ||
@@ -155,12 +155,12 @@
 // deafHost keeps the news of the list from its first courier.
 type deafHost struct{ *toldHost }
 
-func (h deafHost) Turn(now logic.Micros, batches []sim.Batch) ([][]logic.Action, error) {
+func (h deafHost) Turn(now dispatch.Micros, batches []simulation.Batch) ([][]dispatch.Action, error) {
 	for i, b := range batches {
 		if b.Courier == 0 {
-			batches[i].Events = slices.DeleteFunc(b.Events, func(e logic.Event) bool {
-				news, ok := e.(logic.ListNews)
-				return ok && news.How != logic.Persisted
+			batches[i].Events = slices.DeleteFunc(b.Events, func(e dispatch.Event) bool {
+				news, ok := e.(dispatch.ListNews)
+				return ok && news.How != dispatch.Persisted
 			})
 		}
 	}
@@ -174,7 +174,7 @@
 			t.Fatal(err)
 		}
 		deaf := deafHost{newToldHost(10)}
-		if _, _, err := sim.Play(drawn, deaf, sim.Options{}); err != nil {
+		if _, _, err := simulation.Play(drawn, deaf, simulation.Options{}); err != nil {
 			t.Fatal(err)
 		}
 		if got := deaf.against(drawn); got.untold != got.changes || got.changes == 0 {
@@ -190,7 +190,7 @@
 			t.Fatal(err)
 		}
 		host := newToldHost(20)
-		if _, _, err := sim.Play(drawn, host, sim.Options{}); err != nil {
+		if _, _, err := simulation.Play(drawn, host, simulation.Options{}); err != nil {
 			t.Fatal(err)
 		}
 		if got := host.against(drawn); got.untold > 0 || got.changes == 0 {
--- a/lab/scale/couriers.go
+++ b/testbed/scale/couriers.go
@@ -11,7 +11,7 @@
 
 	"gonum.org/v1/gonum/stat"
 
-	"pineport/lab/slopes"
+	"pineport/testbed/slopes"
 )
 
 // couriers measures membership: hollow members in one process, the view by itself, and how many starts a full exchange may tell.
--- a/lab/scale/couriers_test.go
+++ b/testbed/scale/couriers_test.go
@@ -9,7 +9,7 @@
 
 	"go.uber.org/goleak"
 
-	"pineport/lab/links"
+	"pineport/testbed/netfault"
 )
 
 // soundFleet records what a sound fleet of ten might have been counted.
@@ -99,7 +99,7 @@
 	fleet := newHollowFleet(4, quickPace, 1)
 	defer fleet.close()
 	fleet.patience = time.Second
-	fleet.mesh.Begin(links.Fault{Kind: "cut", From: []int{0, 1}})
+	fleet.mesh.Begin(netfault.Fault{Kind: "cut", From: []int{0, 1}})
 	if err := fleet.start(context.Background()); err != nil {
 		t.Fatal(err)
 	}
@@ -124,7 +124,7 @@
 	}
 }
 
-// TestExchangeLimitIsFound: the decoder's bound of peers/gossip, found from outside.
+// TestExchangeLimitIsFound: the decoder's bound of membership/gossip, found from outside.
 func TestExchangeLimitIsFound(t *testing.T) {
 	teller, err := newStartsTeller(1)
 	if err != nil {
--- a/lab/scale/directorychanges.go
+++ b/testbed/scale/directorychanges.go
@@ -7,9 +7,9 @@
 
 	"gonum.org/v1/gonum/stat"
 
-	"pineport/lab/day"
-	"pineport/lab/sim"
-	"pineport/logic"
+	"pineport/dispatch"
+	"pineport/testbed/scenario"
+	"pineport/testbed/simulation"
 )
 
 // Figures of changes of the list, in virtual time.
@@ -85,7 +85,7 @@
 				return err
 			}
 			host := newToldHost(couriers)
-			if _, _, err := sim.Play(drawn, host, sim.Options{}); err != nil {
+			if _, _, err := simulation.Play(drawn, host, simulation.Options{}); err != nil {
 				return err
 			}
 			told := host.against(drawn)
@@ -95,41 +95,41 @@
 	return nil
 }
 
-func readDay(couriers int, troubles string, seed int64) (*day.Drawn, error) {
-	d, err := day.Read("changes.toml", []byte(fmt.Sprintf(directoryDay, couriers)+troubles))
+func readDay(couriers int, troubles string, seed int64) (*scenario.Drawn, error) {
+	d, err := scenario.Read("changes.toml", []byte(fmt.Sprintf(directoryDay, couriers)+troubles))
 	if err != nil {
 		return nil, err
 	}
-	return day.Draw(d, seed), nil
+	return scenario.Draw(d, seed), nil
 }
 
 // toldHost runs the decisions in this process, and notes what each courier is told of the list, and when.
 type toldHost struct {
-	*sim.Local
-	news []map[logic.EndpointID][]toldPhase // by courier
+	*simulation.Local
+	news []map[dispatch.EndpointID][]toldPhase // by courier
 }
 
 // downTime is when a courier does not run; to is 0 where it never starts again.
-type downTime struct{ from, to logic.Micros }
+type downTime struct{ from, to dispatch.Micros }
 
 type toldPhase struct {
-	at    logic.Micros
-	phase logic.Phase
+	at    dispatch.Micros
+	phase dispatch.Phase
 }
 
 func newToldHost(couriers int) *toldHost {
-	h := &toldHost{Local: sim.NewLocal(nil)}
+	h := &toldHost{Local: simulation.NewLocal(nil)}
 	for range couriers {
-		h.news = append(h.news, map[logic.EndpointID][]toldPhase{})
+		h.news = append(h.news, map[dispatch.EndpointID][]toldPhase{})
 	}
 	return h
 }
 
-// Turn implements sim.Host.
-func (h *toldHost) Turn(now logic.Micros, batches []sim.Batch) ([][]logic.Action, error) {
+// Turn implements simulation.Host.
+func (h *toldHost) Turn(now dispatch.Micros, batches []simulation.Batch) ([][]dispatch.Action, error) {
 	for _, b := range batches {
 		for _, event := range b.Events {
-			if news, ok := event.(logic.ListNews); ok {
+			if news, ok := event.(dispatch.ListNews); ok {
 				h.note(now, b.Courier, news)
 			}
 		}
@@ -138,33 +138,33 @@
 }
 
 // note keeps news of the list. What a start hands over is as old as the process before it, and tells nothing new.
-func (h *toldHost) note(now logic.Micros, courier int, news logic.ListNews) {
+func (h *toldHost) note(now dispatch.Micros, courier int, news dispatch.ListNews) {
 	known := h.news[courier]
-	tell := func(id logic.EndpointID, phase logic.Phase) {
+	tell := func(id dispatch.EndpointID, phase dispatch.Phase) {
 		if all := known[id]; len(all) == 0 || all[len(all)-1].phase != phase {
 			known[id] = append(all, toldPhase{now, phase})
 		}
 	}
-	if news.How == logic.ListError || news.How == logic.Persisted && len(known) > 0 {
+	if news.How == dispatch.ListError || news.How == dispatch.Persisted && len(known) > 0 {
 		return
 	}
-	listed := map[logic.EndpointID]bool{}
+	listed := map[dispatch.EndpointID]bool{}
 	for _, entry := range news.Entries {
 		listed[entry.Endpoint] = true
 		tell(entry.Endpoint, entry.Phase)
 	}
-	if news.How != logic.Complete {
+	if news.How != dispatch.Complete {
 		return
 	}
 	for id := range known { // what is missing in a whole list is gone
 		if !listed[id] {
-			tell(id, logic.Gone)
+			tell(id, dispatch.Gone)
 		}
 	}
 }
 
 // toldAt is when a courier was first told of a phase of an endpoint, or of a later one.
-func (h *toldHost) toldAt(courier int, id logic.EndpointID, phase logic.Phase) (logic.Micros, bool) {
+func (h *toldHost) toldAt(courier int, id dispatch.EndpointID, phase dispatch.Phase) (dispatch.Micros, bool) {
 	for _, told := range h.news[courier][id] {
 		if told.phase >= phase {
 			return told.at, true
@@ -181,8 +181,8 @@
 
 // against holds what was told against the changes of the day. A courier that does not run at a change is to know it from its start on;
 // one that is never told although it was listed and gone between two lists has nothing to know.
-func (h *toldHost) against(drawn *day.Drawn) (t listTimes) {
-	phases := map[day.ActKind]logic.Phase{day.Adds: logic.In, day.Drains: logic.Draining, day.Removes: logic.Gone}
+func (h *toldHost) against(drawn *scenario.Drawn) (t listTimes) {
+	phases := map[scenario.ActKind]dispatch.Phase{scenario.Adds: dispatch.In, scenario.Drains: dispatch.Draining, scenario.Removes: dispatch.Gone}
 	downs, away := downTimes(drawn), awayTimes(drawn)
 	for _, act := range drawn.Acts {
 		phase, ok := phases[act.Kind]
@@ -210,17 +210,17 @@
 	return t
 }
 
-func seconds(span logic.Micros) float64 {
+func seconds(span dispatch.Micros) float64 {
 	return float64(max(0, span)) / float64(microsPerSecond)
 }
 
 // awayTimes are when discovery cannot be reached.
-func awayTimes(drawn *day.Drawn) (away []downTime) {
+func awayTimes(drawn *scenario.Drawn) (away []downTime) {
 	for _, act := range drawn.Acts {
 		switch act.Kind {
-		case day.ListDown:
+		case scenario.ListDown:
 			away = append(away, downTime{from: act.At})
-		case day.ListUp:
+		case scenario.ListUp:
 			away[len(away)-1].to = act.At
 		}
 	}
@@ -228,7 +228,7 @@
 }
 
 // reachableFrom is when discovery came back, where it did so between a change and a courier being told of it; else the change.
-func reachableFrom(away []downTime, from, told logic.Micros) logic.Micros {
+func reachableFrom(away []downTime, from, told dispatch.Micros) dispatch.Micros {
 	for _, a := range away {
 		if from < a.to && told >= a.to {
 			from = a.to
@@ -238,14 +238,14 @@
 }
 
 // downTimes are when each courier does not run.
-func downTimes(drawn *day.Drawn) map[int][]downTime {
+func downTimes(drawn *scenario.Drawn) map[int][]downTime {
 	downs := map[int][]downTime{}
 	for _, act := range drawn.Acts {
 		all := downs[act.Courier]
 		switch {
-		case act.Kind == day.Kills:
+		case act.Kind == scenario.Kills:
 			downs[act.Courier] = append(all, downTime{from: act.At})
-		case act.Kind == day.Starts && len(all) > 0 && all[len(all)-1].to == 0:
+		case act.Kind == scenario.Starts && len(all) > 0 && all[len(all)-1].to == 0:
 			all[len(all)-1].to = act.At
 		}
 	}
@@ -253,7 +253,7 @@
 }
 
 // runsFrom is the instant, or the first after it, at which a courier runs.
-func runsFrom(downs []downTime, at logic.Micros) logic.Micros {
+func runsFrom(downs []downTime, at dispatch.Micros) dispatch.Micros {
 	for _, down := range downs {
 		if at >= down.from && at < down.to {
 			return down.to
--- a/lab/scale/driver.go
+++ b/testbed/scale/driver.go
@@ -6,51 +6,51 @@
 	"strconv"
 	"time"
 
-	"pineport/lab/sim"
-	"pineport/logic"
+	"pineport/dispatch"
+	"pineport/testbed/simulation"
 )
 
 // decide makes the decisions of one courier.
-type decide func(settings logic.Charter) sim.Decider
+type decide func(settings dispatch.Charter) simulation.Decider
 
 // realDecisions is the decision module as it is.
-func realDecisions(settings logic.Charter) sim.Decider { return logic.New(settings) }
+func realDecisions(settings dispatch.Charter) simulation.Decider { return dispatch.New(settings) }
 
 // What every courier here is told: one class of messages that may run again and live for a day, and destinations with a limit
 // far above what is sent, so that failures are judged on the ordinary path, by breakers.
 const (
-	second          logic.Micros = 1_000_000
-	millisecond                  = second / 1000
-	messageDeadline              = 24 * 3600 * second
-	targetLatency                = 3600 * second
-	couriersInFleet              = 10
-	slots                        = 200
-	attemptsAtMost               = 8
-	perDestination               = 50.0 // calls a second that a destination takes from all couriers
-	firstInstant                 = 1000 * second
+	second          dispatch.Micros = 1_000_000
+	millisecond                     = second / 1000
+	messageDeadline                 = 24 * 3600 * second
+	targetLatency                   = 3600 * second
+	couriersInFleet                 = 10
+	slots                           = 200
+	attemptsAtMost                  = 8
+	perDestination                  = 50.0 // calls a second that a destination takes from all couriers
+	firstInstant                    = 1000 * second
 )
 
 // courierSettings are for a courier that may hold so many messages.
-func courierSettings(seed int64, hold int) logic.Charter {
-	return logic.Charter{Salt: seed, Couriers: couriersInFleet, Slots: slots, Hold: hold, MaxTrips: attemptsAtMost, MayAdvise: true,
-		Workloads:     []logic.Workload{{Quoted: targetLatency, Life: messageDeadline, Payoff: 1, LatePart: 0.5, Repeat: logic.Replayable}},
-		Shapes:        []logic.Shape{{PerCall: 1}},
-		LongestAdvice: 2 * second, IdleAfter: 5 * second, Tick: 5 * millisecond, Rates: logic.NominalRates, LeftAt: -1, RateAt: -1,
+func courierSettings(seed int64, hold int) dispatch.Charter {
+	return dispatch.Charter{Salt: seed, Couriers: couriersInFleet, Slots: slots, Hold: hold, MaxTrips: attemptsAtMost, MayAdvise: true,
+		Workloads:     []dispatch.Workload{{Quoted: targetLatency, Life: messageDeadline, Payoff: 1, LatePart: 0.5, Repeat: dispatch.Replayable}},
+		Shapes:        []dispatch.Shape{{PerCall: 1}},
+		LongestAdvice: 2 * second, IdleAfter: 5 * second, Tick: 5 * millisecond, Rates: dispatch.NominalRates, LeftAt: -1, RateAt: -1,
 		ColdFrom: 0.2, Ramp: 10 * second, FallMultiple: 2}
 }
 
 // listing lists a destination's one endpoint.
-func listing(destination int) logic.Listing {
-	return logic.Listing{Endpoint: endpointOf(destination), Dest: logic.DestID(destination), Phase: logic.In, Rate: perDestination}
+func listing(destination int) dispatch.Listing {
+	return dispatch.Listing{Endpoint: endpointOf(destination), Dest: dispatch.DestID(destination), Phase: dispatch.In, Rate: perDestination}
 }
 
-func endpointOf(destination int) logic.EndpointID {
-	return logic.EndpointID("endpoint-" + strconv.Itoa(destination))
+func endpointOf(destination int) dispatch.EndpointID {
+	return dispatch.EndpointID("endpoint-" + strconv.Itoa(destination))
 }
 
 // listings lists destinations 0 to count-1.
-func listings(count int) []logic.Listing {
-	all := make([]logic.Listing, 0, count)
+func listings(count int) []dispatch.Listing {
+	all := make([]dispatch.Listing, 0, count)
 	for destination := range count {
 		all = append(all, listing(destination))
 	}
@@ -58,10 +58,10 @@
 }
 
 // messageIDs are count ids of 16 characters, by number.
-func messageIDs(count int) []logic.RecordID {
-	ids := make([]logic.RecordID, count)
+func messageIDs(count int) []dispatch.RecordID {
+	ids := make([]dispatch.RecordID, count)
 	for i := range ids {
-		ids[i] = logic.RecordID(fmt.Sprintf("%016x", i))
+		ids[i] = dispatch.RecordID(fmt.Sprintf("%016x", i))
 	}
 	return ids
 }
@@ -69,10 +69,10 @@
 // memoryDriver stands in for clients, network and endpoints of one courier: it carries out each action at once, and tells how an
 // attempt ended in the next step. Endpoints of destinations below down refuse every connection, all others deliver.
 type memoryDriver struct {
-	courier  sim.Decider
-	now      logic.Micros
+	courier  simulation.Decider
+	now      dispatch.Micros
 	down     int
-	outcomes []logic.Event
+	outcomes []dispatch.Event
 	attempts []uint8 // made of each message, by its number
 	took     time.Duration
 	counts   driverCounts
@@ -86,19 +86,19 @@
 	invalid                 int // actions that nothing asked for
 }
 
-func newDriver(courier sim.Decider, down, messages int) *memoryDriver {
+func newDriver(courier simulation.Decider, down, messages int) *memoryDriver {
 	return &memoryDriver{courier: courier, now: firstInstant, down: down, attempts: make([]uint8, messages)}
 }
 
 // message hands in a message; its number says which.
-func (d *memoryDriver) message(id logic.RecordID, destination int) logic.Taken {
+func (d *memoryDriver) message(id dispatch.RecordID, destination int) dispatch.Taken {
 	d.counts.given++
-	return logic.Taken{Record: id, Dest: logic.DestID(destination), CutOff: d.now + messageDeadline}
+	return dispatch.Taken{Record: id, Dest: dispatch.DestID(destination), CutOff: d.now + messageDeadline}
 }
 
 // step lets time pass and has the courier handle what came, with the outcomes of the step before. It returns how many messages
 // were sent.
-func (d *memoryDriver) step(pass logic.Micros, events ...logic.Event) (sent int) {
+func (d *memoryDriver) step(pass dispatch.Micros, events ...dispatch.Event) (sent int) {
 	d.now += pass
 	events = append(d.outcomes, events...)
 	d.outcomes = nil
@@ -107,10 +107,10 @@
 	d.took = time.Since(began)
 	for _, action := range actions {
 		switch a := action.(type) {
-		case logic.Send:
+		case dispatch.Send:
 			sent++
 			d.send(a)
-		case logic.Bounce, logic.Terminate:
+		case dispatch.Bounce, dispatch.Terminate:
 			d.counts.ended++
 		}
 	}
@@ -118,24 +118,24 @@
 	return sent
 }
 
-func (d *memoryDriver) send(a logic.Send) {
+func (d *memoryDriver) send(a dispatch.Send) {
 	number, err := strconv.ParseUint(string(a.Record), 16, 32)
 	if err != nil || int(number) >= len(d.attempts) {
 		d.counts.invalid++
 		return
 	}
-	outcome := logic.Settled{Record: a.Record, Trip: logic.TripNo(d.attempts[number]), Outcome: logic.Done, Took: millisecond, Over: true}
+	outcome := dispatch.Settled{Record: a.Record, Trip: dispatch.TripNo(d.attempts[number]), Outcome: dispatch.Done, Took: millisecond, Over: true}
 	d.attempts[number]++
 	if d.isDown(a.Endpoint) {
 		d.counts.sentDown++
-		outcome.Outcome, outcome.Over = logic.Unreachable, false
+		outcome.Outcome, outcome.Over = dispatch.Unreachable, false
 	} else {
 		d.counts.delivered++
 	}
 	d.outcomes = append(d.outcomes, outcome)
 }
 
-func (d *memoryDriver) isDown(endpoint logic.EndpointID) bool {
+func (d *memoryDriver) isDown(endpoint dispatch.EndpointID) bool {
 	var destination int
 	if _, err := fmt.Sscanf(string(endpoint), "endpoint-%d", &destination); err != nil {
 		d.counts.invalid++
@@ -143,7 +143,7 @@
 	return destination < d.down
 }
 
-func (d *memoryDriver) note(actions []logic.Action) {
+func (d *memoryDriver) note(actions []dispatch.Action) {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%d %d", d.trace, d.now)
 	for _, action := range actions {
--- a/lab/scale/hangups.go
+++ b/testbed/scale/hangups.go
@@ -14,8 +14,8 @@
 
 	"gonum.org/v1/gonum/stat"
 
-	"pineport/lab/proc"
-	"pineport/lab/scripted"
+	"pineport/testbed/process"
+	"pineport/testbed/scripted"
 )
 
 // Figures of real couriers that are sent SIGHUP.
@@ -41,7 +41,7 @@
 	if play.Quick {
 		return nil
 	}
-	folder, err := os.MkdirTemp("", "pinelab-scale-")
+	folder, err := os.MkdirTemp("", "pineport-testbed-scale-")
 	if err != nil {
 		return err
 	}
@@ -79,9 +79,9 @@
 }
 
 // startReal starts couriers one after the other; those that were started are returned with an error, too.
-func startReal(ctx context.Context, world *scripted.World, binary, folder string) (fleet []*proc.Courier, err error) {
+func startReal(ctx context.Context, world *scripted.World, binary, folder string) (fleet []*process.Courier, err error) {
 	for i := range realCouriers {
-		c, err := proc.New(i, binary, folder, func(int, string) {})
+		c, err := process.New(i, binary, folder, func(int, string) {})
 		if err != nil {
 			return fleet, err
 		}
@@ -100,7 +100,7 @@
 }
 
 // configureReal writes a courier's file: of each generation, another number of records that it may hold.
-func configureReal(c *proc.Courier, world *scripted.World, generation int) error {
+func configureReal(c *process.Courier, world *scripted.World, generation int) error {
 	var file map[string]any
 	if err := json.Unmarshal(world.Configuration(fmt.Sprintf("n%d", c.No), c.Listen), &file); err != nil {
 		return err
@@ -112,7 +112,7 @@
 }
 
 // hangUpAll writes each courier's file, sends all of them SIGHUP, and tells how many seconds each took to go by it.
-func hangUpAll(ctx context.Context, fleet []*proc.Courier, world *scripted.World, generation int) ([]float64, error) {
+func hangUpAll(ctx context.Context, fleet []*process.Courier, world *scripted.World, generation int) ([]float64, error) {
 	for _, c := range fleet {
 		if err := configureReal(c, world, generation); err != nil {
 			return nil, err
@@ -138,7 +138,7 @@
 }
 
 // waitForReload waits until a courier's log tells of so many reloads.
-func waitForReload(ctx context.Context, c *proc.Courier, reloads int) error {
+func waitForReload(ctx context.Context, c *process.Courier, reloads int) error {
 	deadline := time.Now().Add(inForceWithin)
 	for time.Now().Before(deadline) {
 		text, err := os.ReadFile(filepath.Join(c.Dir, "log"))
--- a/lab/scale/held.go
+++ b/testbed/scale/held.go
@@ -10,11 +10,11 @@
 	"time"
 
 	"pineport/config"
-	"pineport/lab/slopes"
-	"pineport/logic"
+	"pineport/dispatch"
 	"pineport/protocol"
-	"pineport/routing"
+	"pineport/server"
 	"pineport/spool"
+	"pineport/testbed/slopes"
 )
 
 // Sizes and figures of held.
@@ -106,7 +106,7 @@
 	}
 	ids := messageIDs(count + rounds)
 	driver := newDriver(h.decide(courierSettings(play.Seed, 2*count+rounds)), down, len(ids))
-	driver.step(0, logic.ListNews{How: logic.Complete, Entries: listings(down + 1)})
+	driver.step(0, dispatch.ListNews{How: dispatch.Complete, Entries: listings(down + 1)})
 	before := heapInUse()
 	h.park(driver, ids[:count])
 	play.Record(sizes, heldModule, float64(heapInUse())-float64(before))
@@ -114,7 +114,7 @@
 
 	var idle, arrival []float64
 	for round := range rounds {
-		driver.step(millisecond, logic.Woken{})
+		driver.step(millisecond, dispatch.Woken{})
 		idle = append(idle, driver.took.Seconds())
 		driver.step(millisecond, driver.message(ids[count+round], down))
 		arrival = append(arrival, driver.took.Seconds())
@@ -158,7 +158,7 @@
 )
 
 // park gives a courier messages for destinations that are down, one each first, until the breakers are open, and then all others.
-func (h held) park(driver *memoryDriver, ids []logic.RecordID) {
+func (h held) park(driver *memoryDriver, ids []dispatch.RecordID) {
 	first := min(driver.down, len(ids))
 	driver.step(parkStep, driver.messages(ids, 0, first)...)
 	for until := driver.now + parkFor; driver.now < until; {
@@ -169,8 +169,8 @@
 }
 
 // messages hands in those numbered from one up to another, spread over the destinations that are down.
-func (d *memoryDriver) messages(ids []logic.RecordID, from, to int) []logic.Event {
-	var events []logic.Event
+func (d *memoryDriver) messages(ids []dispatch.RecordID, from, to int) []dispatch.Event {
+	var events []dispatch.Event
 	for number := from; number < to; number++ {
 		events = append(events, d.message(ids[number], number%d.down))
 	}
@@ -178,12 +178,12 @@
 }
 
 // replay plays the same again and tells whether any action differs: 1, or 0.
-func (h held) replay(seed int64, down int, ids []logic.RecordID, count, rounds int, trace uint64) float64 {
+func (h held) replay(seed int64, down int, ids []dispatch.RecordID, count, rounds int, trace uint64) float64 {
 	driver := newDriver(h.decide(courierSettings(seed, 2*count+rounds)), down, len(ids))
-	driver.step(0, logic.ListNews{How: logic.Complete, Entries: listings(down + 1)})
+	driver.step(0, dispatch.ListNews{How: dispatch.Complete, Entries: listings(down + 1)})
 	h.park(driver, ids[:count])
 	for round := range rounds {
-		driver.step(millisecond, logic.Woken{})
+		driver.step(millisecond, dispatch.Woken{})
 		driver.step(millisecond, driver.message(ids[count+round], down))
 		driver.step(millisecond)
 	}
@@ -234,7 +234,7 @@
 
 const className = "update"
 
-func realNow() logic.Micros { return logic.Micros(time.Now().UnixMicro()) }
+func realNow() dispatch.Micros { return dispatch.Micros(time.Now().UnixMicro()) }
 
 // startAgain does what a process does from its start until it takes clients, but for sockets: it reads the spool, makes the
 // router and has the decision module handle what was recovered. Times are of these parts alone, bytes are of what stays.
@@ -257,7 +257,7 @@
 	heapSpool := heapInUse()
 
 	began = time.Now()
-	router, err := routing.New(deployment, kept, unfinished, nil, slog.New(slog.DiscardHandler))
+	router, err := server.New(deployment, kept, unfinished, nil, slog.New(slog.DiscardHandler))
 	took += time.Since(began)
 	if err != nil {
 		return err
@@ -268,7 +268,7 @@
 	heapEvents := heapInUse()
 	driver := newDriver(h.decide(settings), down, count)
 	driver.now = realNow()
-	driver.step(0, append([]logic.Event{logic.ListNews{How: logic.Persisted, Entries: listings(down)}}, events...)...)
+	driver.step(0, append([]dispatch.Event{dispatch.ListNews{How: dispatch.Persisted, Entries: listings(down)}}, events...)...)
 	took += driver.took
 
 	pointers := 8 * float64(cap(unfinished)) // of the slice that is dropped after the start
@@ -284,17 +284,17 @@
 }
 
 // recovered is what the router tells the decisions of each message at its start, kept in the same way until the first step.
-func recovered(unfinished []*spool.Record) []logic.Event {
-	var events []logic.Event
+func recovered(unfinished []*spool.Record) []dispatch.Event {
+	var events []dispatch.Event
 	for _, kept := range unfinished {
-		events = append(events, logic.Recovered{Taken: logic.Taken{Record: logic.RecordID(kept.ID), Dest: logic.DestID(kept.Dest),
-			CutOff: logic.Micros(kept.CutOff)}})
+		events = append(events, dispatch.Recovered{Taken: dispatch.Taken{Record: dispatch.RecordID(kept.ID), Dest: dispatch.DestID(kept.Dest),
+			CutOff: dispatch.Micros(kept.CutOff)}})
 	}
 	return events
 }
 
 // deploymentOf is the configuration of a real courier whose list names the destinations.
-func deploymentOf(settings logic.Charter, folder string, destinations int) (*config.Deployment, error) {
+func deploymentOf(settings dispatch.Charter, folder string, destinations int) (*config.Deployment, error) {
 	type host map[string]any
 	var hosts []host
 	for destination := range destinations {
--- a/lab/scale/held_test.go
+++ b/testbed/scale/held_test.go
@@ -5,24 +5,24 @@
 	"strings"
 	"testing"
 
-	"pineport/lab/sim"
-	"pineport/logic"
+	"pineport/dispatch"
 	"pineport/spool"
+	"pineport/testbed/simulation"
 )
 
 // spoilt passes events and actions through and spoils the actions.
 type spoilt struct {
-	sim.Decider
-	spoil func(events []logic.Event, actions []logic.Action) []logic.Action
+	simulation.Decider
+	spoil func(events []dispatch.Event, actions []dispatch.Action) []dispatch.Action
 }
 
-func (s spoilt) Handle(now logic.Micros, events []logic.Event) []logic.Action {
+func (s spoilt) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
 	return s.spoil(events, s.Decider.Handle(now, events))
 }
 
 // spoiling makes deciders whose actions are spoilt.
-func spoiling(spoil func(events []logic.Event, actions []logic.Action) []logic.Action) decide {
-	return func(settings logic.Charter) sim.Decider { return spoilt{logic.New(settings), spoil} }
+func spoiling(spoil func(events []dispatch.Event, actions []dispatch.Action) []dispatch.Action) decide {
+	return func(settings dispatch.Charter) simulation.Decider { return spoilt{dispatch.New(settings), spoil} }
 }
 
 func allRecovered(unfinished []*spool.Record) []*spool.Record { return unfinished }
@@ -51,32 +51,32 @@
 		name, say string
 		decide    decide
 	}{
-		{"rejects what it was given", "count_held", spoiling(func(events []logic.Event, actions []logic.Action) []logic.Action {
+		{"rejects what it was given", "count_held", spoiling(func(events []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 			for _, event := range events {
-				if taken, ok := event.(logic.Taken); ok && strings.HasSuffix(string(taken.Record), "7") {
-					return append(actions, logic.Bounce{Record: taken.Record})
+				if taken, ok := event.(dispatch.Taken); ok && strings.HasSuffix(string(taken.Record), "7") {
+					return append(actions, dispatch.Bounce{Record: taken.Record})
 				}
 			}
 			return actions
 		})},
-		{"calls a destination that is parked", heldSentDown, spoiling(func(events []logic.Event, actions []logic.Action) []logic.Action {
-			if len(events) == 1 && events[0] == (logic.Woken{}) {
-				return append(actions, logic.Send{Record: "0000000000000000", Endpoint: endpointOf(0)})
+		{"calls a destination that is parked", heldSentDown, spoiling(func(events []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
+			if len(events) == 1 && events[0] == (dispatch.Woken{}) {
+				return append(actions, dispatch.Send{Record: "0000000000000000", Endpoint: endpointOf(0)})
 			}
 			return actions
 		})},
-		{"sends nothing", "for the healthy destination were delivered", func(logic.Charter) sim.Decider { return idle{} }},
-		{"forgets one that it holds", "after all destinations had returned", func(settings logic.Charter) sim.Decider {
-			return forgetful{logic.New(settings)}
+		{"sends nothing", "for the healthy destination were delivered", func(dispatch.Charter) simulation.Decider { return idle{} }},
+		{"forgets one that it holds", "after all destinations had returned", func(settings dispatch.Charter) simulation.Decider {
+			return forgetful{dispatch.New(settings)}
 		}},
-		{"acts by chance", heldDifferent, func(settings logic.Charter) sim.Decider {
+		{"acts by chance", heldDifferent, func(settings dispatch.Charter) simulation.Decider {
 			plays++
-			return spoilt{logic.New(settings), func(_ []logic.Event, actions []logic.Action) []logic.Action {
-				return append(actions, logic.Wake{At: logic.Micros(plays)})
+			return spoilt{dispatch.New(settings), func(_ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
+				return append(actions, dispatch.Wake{At: dispatch.Micros(plays)})
 			}}
 		}},
-		{"sends what nobody gave it", heldInvalid, spoiling(func(events []logic.Event, actions []logic.Action) []logic.Action {
-			return append(actions, logic.Send{Record: "nobody's", Endpoint: endpointOf(0)})
+		{"sends what nobody gave it", heldInvalid, spoiling(func(events []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
+			return append(actions, dispatch.Send{Record: "nobody's", Endpoint: endpointOf(0)})
 		})},
 	} {
 		t.Run(wrong.name, func(t *testing.T) {
@@ -88,10 +88,10 @@
 		expectFailure(t, held{realDecisions, lossy}.experiment(), "a restart found")
 	})
 	t.Run("a restart gives one up", func(t *testing.T) {
-		rejecting := spoiling(func(events []logic.Event, actions []logic.Action) []logic.Action {
+		rejecting := spoiling(func(events []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 			for _, event := range events {
-				if recovered, ok := event.(logic.Recovered); ok {
-					return append(actions, logic.Bounce{Record: recovered.Record})
+				if recovered, ok := event.(dispatch.Recovered); ok {
+					return append(actions, dispatch.Bounce{Record: recovered.Record})
 				}
 			}
 			return actions
@@ -103,15 +103,15 @@
 // idle does nothing whatever comes.
 type idle struct{}
 
-func (idle) Handle(logic.Micros, []logic.Event) []logic.Action { return nil }
+func (idle) Handle(dispatch.Micros, []dispatch.Event) []dispatch.Action { return nil }
 
 // forgetful never hears of the message with number 500.
-type forgetful struct{ sim.Decider }
+type forgetful struct{ simulation.Decider }
 
-func (f forgetful) Handle(now logic.Micros, events []logic.Event) []logic.Action {
-	var heard []logic.Event
+func (f forgetful) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
+	var heard []dispatch.Event
 	for _, event := range events {
-		if taken, ok := event.(logic.Taken); !ok || taken.Record != messageIDs(501)[500] {
+		if taken, ok := event.(dispatch.Taken); !ok || taken.Record != messageIDs(501)[500] {
 			heard = append(heard, event)
 		}
 	}
--- a/lab/scale/lists.go
+++ b/testbed/scale/lists.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"pineport/config"
-	"pineport/logic"
+	"pineport/dispatch"
 	"pineport/protocol"
 )
 
@@ -24,8 +24,8 @@
 
 // lister is a courier that is told lists: protocol's parser and the decisions, the router's books left out.
 type lister struct {
-	courier *logic.Courier
-	now     logic.Micros
+	courier *dispatch.Courier
+	now     dispatch.Micros
 	seq     int64
 }
 
@@ -44,7 +44,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &lister{courier: logic.New(charter)}, nil
+	return &lister{courier: dispatch.New(charter)}, nil
 }
 
 // listCost is what one answer of discovery costs a courier.
@@ -56,7 +56,7 @@
 // tell hands the courier one answer of discovery.
 func (l *lister) tell(whole bool, hosts []protocol.Host) (cost listCost, err error) {
 	l.seq++
-	l.now += logic.Micros(microsPerSecond)
+	l.now += dispatch.Micros(microsPerSecond)
 	text, err := json.Marshal(listText{Seq: l.seq, Whole: whole, Hosts: hosts})
 	if err != nil {
 		return cost, err
@@ -66,21 +66,21 @@
 	if err != nil {
 		return cost, err
 	}
-	news := logic.ListNews{How: logic.Partial, Entries: make([]logic.Listing, 0, len(list.Hosts))}
+	news := dispatch.ListNews{How: dispatch.Partial, Entries: make([]dispatch.Listing, 0, len(list.Hosts))}
 	if list.Whole {
-		news.How = logic.Complete
+		news.How = dispatch.Complete
 	}
 	for _, host := range list.Hosts {
 		news.Entries = append(news.Entries, listingOf(host))
 	}
-	l.courier.Handle(l.now, []logic.Event{news})
+	l.courier.Handle(l.now, []dispatch.Event{news})
 	return listCost{bytes: len(text), unread: len(hosts) - len(list.Hosts), spent: time.Since(begun)}, nil
 }
 
 // listingOf is what the router makes of an entry.
-func listingOf(host protocol.Host) logic.Listing {
-	phases := map[protocol.Health]logic.Phase{protocol.InService: logic.In, protocol.Terminating: logic.Draining, protocol.Terminated: logic.Gone}
-	return logic.Listing{Endpoint: logic.EndpointID(host.Host), Dest: logic.DestID(host.Dest), Phase: phases[host.Health], Rate: host.Rate}
+func listingOf(host protocol.Host) dispatch.Listing {
+	phases := map[protocol.Health]dispatch.Phase{protocol.InService: dispatch.In, protocol.Terminating: dispatch.Draining, protocol.Terminated: dispatch.Gone}
+	return dispatch.Listing{Endpoint: dispatch.EndpointID(host.Host), Dest: dispatch.DestID(host.Dest), Phase: phases[host.Health], Rate: host.Rate}
 }
 
 func measureLists(ctx context.Context, play *Play) error {
--- a/lab/scale/members.go
+++ b/testbed/scale/members.go
@@ -11,9 +11,9 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"pineport/lab/links"
-	"pineport/peers/gossip"
-	"pineport/peers/view"
+	"pineport/membership"
+	"pineport/membership/gossip"
+	"pineport/testbed/netfault"
 )
 
 // Settings of a member, hollow or real: the same for both, so that what they send can be compared.
@@ -38,7 +38,7 @@
 
 // countingTransport is one member's way onto the network in memory, with all that it sends counted.
 type countingTransport struct {
-	*links.Node
+	*netfault.Node
 	traffic *traffic
 }
 
@@ -81,7 +81,7 @@
 type hollowFleet struct {
 	pace     time.Duration
 	seed     int64
-	mesh     *links.Mesh
+	mesh     *netfault.Mesh
 	traffic  traffic
 	members  []*gossip.Member // nil: down
 	starts   []uint64
@@ -93,7 +93,7 @@
 func memberName(i int) string { return fmt.Sprintf("n%d", i) }
 
 func newHollowFleet(size int, pace time.Duration, seed int64) *hollowFleet {
-	return &hollowFleet{pace: pace, seed: seed, mesh: links.NewMesh(size, seed), members: make([]*gossip.Member, size), starts: make([]uint64, size),
+	return &hollowFleet{pace: pace, seed: seed, mesh: netfault.NewMesh(size, seed), members: make([]*gossip.Member, size), starts: make([]uint64, size),
 		patience: max(leastPatience, patiencePaces*pace)}
 }
 
@@ -174,7 +174,7 @@
 type spread struct{ half, all time.Duration }
 
 // await waits until every member that is up knows of something.
-func (f *hollowFleet) await(ctx context.Context, what string, knows func(picture view.Picture) bool) (spread, error) {
+func (f *hollowFleet) await(ctx context.Context, what string, knows func(picture membership.Picture) bool) (spread, error) {
 	begun := time.Now()
 	pending := f.up()
 	half, known := len(pending)/2, spread{}
@@ -205,7 +205,7 @@
 }
 
 // summary tells how many members a picture has in which state.
-func summary(picture view.Picture) string {
+func summary(picture membership.Picture) string {
 	states := map[string]int{}
 	for _, member := range picture.Members {
 		states[member.Is]++
@@ -225,23 +225,23 @@
 // awaitWhole waits until every member hears all others.
 func (f *hollowFleet) awaitWhole(ctx context.Context) (spread, error) {
 	size := len(f.members)
-	return f.await(ctx, "the whole fleet", func(picture view.Picture) bool {
-		return picture.Standing == view.Whole.String() && picture.Least == size
+	return f.await(ctx, "the whole fleet", func(picture membership.Picture) bool {
+		return picture.Standing == membership.Whole.String() && picture.Least == size
 	})
 }
 
 // awaitDeaths waits until every member that is up believes that all the dead have failed.
 func (f *hollowFleet) awaitDeaths(ctx context.Context, dead []int) (spread, error) {
-	return f.await(ctx, fmt.Sprintf("%d deaths", len(dead)), func(picture view.Picture) bool {
-		return !slices.ContainsFunc(dead, func(i int) bool { return stateIn(picture, memberName(i)) != view.Failed })
+	return f.await(ctx, fmt.Sprintf("%d deaths", len(dead)), func(picture membership.Picture) bool {
+		return !slices.ContainsFunc(dead, func(i int) bool { return stateIn(picture, memberName(i)) != membership.Failed })
 	})
 }
 
 // stateIn is what a picture, whose members are sorted by name, says of one of them.
-func stateIn(picture view.Picture, name string) view.State {
-	i, found := slices.BinarySearchFunc(picture.Members, name, func(m view.Member, name string) int { return strings.Compare(string(m.Name), name) })
+func stateIn(picture membership.Picture, name string) membership.State {
+	i, found := slices.BinarySearchFunc(picture.Members, name, func(m membership.Member, name string) int { return strings.Compare(string(m.Name), name) })
 	if !found {
-		return view.Unknown
+		return membership.Unknown
 	}
 	return picture.Members[i].State
 }
--- a/lab/scale/outage.go
+++ b/testbed/scale/outage.go
@@ -5,11 +5,11 @@
 	"fmt"
 	"slices"
 
-	"pineport/lab/day"
-	"pineport/lab/ledger"
-	"pineport/lab/sim"
-	"pineport/lab/slopes"
-	"pineport/logic"
+	"pineport/dispatch"
+	"pineport/testbed/invariants"
+	"pineport/testbed/scenario"
+	"pineport/testbed/simulation"
+	"pineport/testbed/slopes"
 )
 
 // Sizes and figures of outage. All are sums or means over the whole fleet.
@@ -144,20 +144,20 @@
 }
 
 // outageDay is the laboratory's calm day with the traffic, fleet and trouble of this experiment.
-func outageDay(kind string, count int) (*day.Day, error) {
-	d, err := day.Find("calm")
+func outageDay(kind string, count int) (*scenario.Day, error) {
+	d, err := scenario.Find("calm")
 	if err != nil {
 		return nil, err
 	}
-	d.Length, d.Load = outageBegins+outageLasts+outageAfterwards, day.Range{1, 1}
+	d.Length, d.Load = outageBegins+outageLasts+outageAfterwards, scenario.Range{1, 1}
 	d.Fleet.Couriers = count
 	d.Traffic.FullPerSec, d.Traffic.Destinations = outageTraffic, outageDestinations
-	d.Traffic.Zipf, d.Traffic.Swing, d.Traffic.Clumps = 0, 0, day.Range{}
-	firms := d.Kinds[slices.IndexFunc(d.Kinds, func(k day.Kind) bool { return k.Name == "firms" })]
-	firms.Connections, firms.Endpoints = day.Range{}, day.Range{1, 1}
-	d.Kinds = []day.Kind{firms}
-	d.Workloads = slices.DeleteFunc(d.Workloads, func(w day.Workload) bool { return w.Name != "update" })
-	d.Troubles = []day.Trouble{{Kind: kind, At: day.Range{outageBegins, outageBegins}, Length: day.Range{outageLasts, outageLasts},
+	d.Traffic.Zipf, d.Traffic.Swing, d.Traffic.Clumps = 0, 0, scenario.Range{}
+	firms := d.Kinds[slices.IndexFunc(d.Kinds, func(k scenario.Kind) bool { return k.Name == "firms" })]
+	firms.Connections, firms.Endpoints = scenario.Range{}, scenario.Range{1, 1}
+	d.Kinds = []scenario.Kind{firms}
+	d.Workloads = slices.DeleteFunc(d.Workloads, func(w scenario.Workload) bool { return w.Name != "update" })
+	d.Troubles = []scenario.Trouble{{Kind: kind, At: scenario.Range{outageBegins, outageBegins}, Length: scenario.Range{outageLasts, outageLasts},
 		Part: float64(outageDown) / outageDestinations, By: "any", Whole: 1}}
 	return d, nil
 }
@@ -168,13 +168,13 @@
 	if err != nil {
 		return outageSums{}, err
 	}
-	drawn := day.Draw(d, seed)
+	drawn := scenario.Draw(d, seed)
 	watch := newOutageWatch(drawn)
-	host := sim.NewLocal(func(courier int, settings logic.Charter) sim.Decider {
-		return &outageWatcher{outageWatch: watch, courier: courier, decisions: o.decide(settings), into: map[attempt]logic.DestID{},
-			sent: map[logic.RecordID]logic.TripNo{}}
+	host := simulation.NewLocal(func(courier int, settings dispatch.Charter) simulation.Decider {
+		return &outageWatcher{outageWatch: watch, courier: courier, decisions: o.decide(settings), into: map[attempt]dispatch.DestID{},
+			sent: map[dispatch.RecordID]dispatch.TripNo{}}
 	})
-	verdict, _, err := sim.Play(drawn, host, sim.Options{})
+	verdict, _, err := simulation.Play(drawn, host, simulation.Options{})
 	if err != nil {
 		return outageSums{}, err
 	}
@@ -183,10 +183,10 @@
 
 // outageWatch sees what a whole fleet sends to destinations that are down or have just returned.
 type outageWatch struct {
-	dest     map[logic.EndpointID]logic.DestID
-	down     map[logic.DestID]bool
-	from, to logic.Micros
-	parkedAt map[pair]logic.Micros // or never, for those that called without parking
+	dest     map[dispatch.EndpointID]dispatch.DestID
+	down     map[dispatch.DestID]bool
+	from, to dispatch.Micros
+	parkedAt map[pair]dispatch.Micros // or never, for those that called without parking
 	attempts int
 	outageSums
 }
@@ -194,29 +194,29 @@
 // pair is a courier and a destination that it called while that was down.
 type pair struct {
 	courier     int
-	destination logic.DestID
+	destination dispatch.DestID
 }
 
 // attempt is one of a message's.
 type attempt struct {
-	message logic.RecordID
-	number  logic.TripNo
+	message dispatch.RecordID
+	number  dispatch.TripNo
 }
 
-const notParked logic.Micros = -1
+const notParked dispatch.Micros = -1
 
-func newOutageWatch(drawn *day.Drawn) *outageWatch {
-	w := &outageWatch{dest: map[logic.EndpointID]logic.DestID{}, down: map[logic.DestID]bool{}, parkedAt: map[pair]logic.Micros{}}
+func newOutageWatch(drawn *scenario.Drawn) *outageWatch {
+	w := &outageWatch{dest: map[dispatch.EndpointID]dispatch.DestID{}, down: map[dispatch.DestID]bool{}, parkedAt: map[pair]dispatch.Micros{}}
 	for number := range drawn.Destinations {
 		for _, endpoint := range drawn.Destinations[number].Endpoints {
-			w.dest[endpoint.ID] = logic.DestID(number)
+			w.dest[endpoint.ID] = dispatch.DestID(number)
 		}
 	}
 	for _, act := range drawn.Acts {
 		switch act.Kind {
-		case day.Begins:
-			w.from, w.down[logic.DestID(act.Dest)] = act.At, true
-		case day.Ends:
+		case scenario.Begins:
+			w.from, w.down[dispatch.DestID(act.Dest)] = act.At, true
+		case scenario.Ends:
 			w.to = act.At
 		}
 	}
@@ -224,11 +224,11 @@
 }
 
 // finish sums up.
-func (w *outageWatch) finish(verdict *ledger.Verdict) outageSums {
+func (w *outageWatch) finish(verdict *invariants.Verdict) outageSums {
 	sums := w.outageSums
 	sums.callers, sums.struck = len(w.parkedAt), len(w.down)
 	sums.figure = verdict.Service - verdict.Costs // the day's, which a broken rule would make nought
-	var parkedAfter logic.Micros                  // whole microseconds, as the order of a map is none
+	var parkedAfter dispatch.Micros               // whole microseconds, as the order of a map is none
 	for _, at := range w.parkedAt {
 		if at == notParked {
 			at = w.to
@@ -239,7 +239,7 @@
 	}
 	sums.parkedAfter = float64(parkedAfter) / float64(second)
 	for rule, count := range verdict.Broken {
-		if rule == ledger.Pushed {
+		if rule == invariants.Pushed {
 			sums.pushed += count
 		} else {
 			sums.broken += count
@@ -255,20 +255,20 @@
 type outageWatcher struct {
 	*outageWatch
 	courier   int
-	decisions sim.Decider
-	into      map[attempt]logic.DestID // sent while the destination was down, without an outcome
-	sent      map[logic.RecordID]logic.TripNo
+	decisions simulation.Decider
+	into      map[attempt]dispatch.DestID // sent while the destination was down, without an outcome
+	sent      map[dispatch.RecordID]dispatch.TripNo
 }
 
-// Handle implements sim.Decider.
-func (w *outageWatcher) Handle(now logic.Micros, events []logic.Event) []logic.Action {
+// Handle implements simulation.Decider.
+func (w *outageWatcher) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
 	actions := w.decisions.Handle(now, events)
 	failed := w.outcomes(events)
 	if failed && now < w.to {
 		w.lookForParked(now)
 	}
 	for _, action := range actions {
-		if send, ok := action.(logic.Send); ok {
+		if send, ok := action.(dispatch.Send); ok {
 			w.send(now, send)
 		}
 	}
@@ -276,16 +276,16 @@
 }
 
 // outcomes counts attempts into the outage that failed, and tells whether there were any.
-func (w *outageWatcher) outcomes(events []logic.Event) (failed bool) {
+func (w *outageWatcher) outcomes(events []dispatch.Event) (failed bool) {
 	for _, event := range events {
-		settled, ok := event.(logic.Settled)
+		settled, ok := event.(dispatch.Settled)
 		if !ok {
 			continue
 		}
 		key := attempt{settled.Record, settled.Trip}
 		destination, ok := w.into[key]
 		delete(w.into, key)
-		if !ok || settled.Outcome == logic.Done || settled.Outcome == logic.Void || settled.Outcome == logic.Withdrawn {
+		if !ok || settled.Outcome == dispatch.Done || settled.Outcome == dispatch.Void || settled.Outcome == dispatch.Withdrawn {
 			continue
 		}
 		failed = true
@@ -297,7 +297,7 @@
 	return failed
 }
 
-func (w *outageWatcher) send(now logic.Micros, send logic.Send) {
+func (w *outageWatcher) send(now dispatch.Micros, send dispatch.Send) {
 	w.attempts++
 	key := attempt{send.Record, w.sent[send.Record]}
 	w.sent[send.Record]++
@@ -312,8 +312,8 @@
 }
 
 // lookForParked notes the destinations that this courier has come to hold back from: sick or waited for, or with an open breaker.
-func (w *outageWatcher) lookForParked(now logic.Micros) {
-	learned, ok := w.decisions.(interface{ Lore() logic.Lore })
+func (w *outageWatcher) lookForParked(now dispatch.Micros) {
+	learned, ok := w.decisions.(interface{ Lore() dispatch.Lore })
 	if !ok {
 		return
 	}
@@ -325,8 +325,8 @@
 	}
 }
 
-func isParked(route logic.RouteLore, now logic.Micros) bool {
-	return route.Sick || route.WaitTo > now || slices.ContainsFunc(route.Breakers, func(b logic.BreakerLore) bool { return b.Until > 0 })
+func isParked(route dispatch.RouteLore, now dispatch.Micros) bool {
+	return route.Sick || route.WaitTo > now || slices.ContainsFunc(route.Breakers, func(b dispatch.BreakerLore) bool { return b.Until > 0 })
 }
 
 func fitOutage(results *Results) error {
