--- a/lab/scale/outage_test.go
+++ b/testbed/scale/outage_test.go
@@ -3,10 +3,10 @@
 import (
 	"testing"
 
-	"pineport/lab/day"
-	"pineport/lab/sim"
-	"pineport/lab/slopes"
-	"pineport/logic"
+	"pineport/dispatch"
+	"pineport/testbed/scenario"
+	"pineport/testbed/simulation"
+	"pineport/testbed/slopes"
 )
 
 func TestOutagePassesWithTheRealModule(t *testing.T) {
@@ -21,8 +21,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			watch := newOutageWatch(day.Draw(d, seed))
-			if len(watch.down) != outageDown || watch.to-watch.from != logic.Micros(outageLasts)*second {
+			watch := newOutageWatch(scenario.Draw(d, seed))
+			if len(watch.down) != outageDown || watch.to-watch.from != dispatch.Micros(outageLasts)*second {
 				t.Errorf("%s, seed %d: %d down, from %d to %d", kind.name, seed, len(watch.down), watch.from, watch.to)
 			}
 		}
@@ -36,20 +36,20 @@
 		name, say string
 		decide    decide
 	}{
-		{"sends nothing and keeps what it takes", outageUnended, func(logic.Charter) sim.Decider { return idle{} }},
-		{"rejects all", "no attempt failed", func(logic.Charter) sim.Decider { return rejecting{} }},
-		{"answers twice", outageBroken, spoiling(func(_ []logic.Event, actions []logic.Action) []logic.Action {
+		{"sends nothing and keeps what it takes", outageUnended, func(dispatch.Charter) simulation.Decider { return idle{} }},
+		{"rejects all", "no attempt failed", func(dispatch.Charter) simulation.Decider { return rejecting{} }},
+		{"answers twice", outageBroken, spoiling(func(_ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 			for _, action := range actions {
-				if rejected, ok := action.(logic.Bounce); ok {
+				if rejected, ok := action.(dispatch.Bounce); ok {
 					return append(actions, rejected)
 				}
 			}
 			return actions
 		})},
-		{"acts by chance", outageDifferent, func(settings logic.Charter) sim.Decider {
+		{"acts by chance", outageDifferent, func(settings dispatch.Charter) simulation.Decider {
 			started++
 			settings.Salt += int64(started)
-			return logic.New(settings)
+			return dispatch.New(settings)
 		}},
 	} {
 		t.Run(wrong.name, func(t *testing.T) {
@@ -61,10 +61,10 @@
 // rejecting rejects each message at once.
 type rejecting struct{}
 
-func (rejecting) Handle(_ logic.Micros, events []logic.Event) (actions []logic.Action) {
+func (rejecting) Handle(_ dispatch.Micros, events []dispatch.Event) (actions []dispatch.Action) {
 	for _, event := range events {
-		if taken, ok := event.(logic.Taken); ok {
-			actions = append(actions, logic.Bounce{Record: taken.Record})
+		if taken, ok := event.(dispatch.Taken); ok {
+			actions = append(actions, dispatch.Bounce{Record: taken.Record})
 		}
 	}
 	return actions
@@ -73,21 +73,21 @@
 // TestOutageWatchCounts holds the watch of one courier against a made-up outage: what failed, what was parked and what came back.
 func TestOutageWatchCounts(t *testing.T) {
 	decisions := &scriptedDecisions{}
-	watch := &outageWatch{dest: map[logic.EndpointID]logic.DestID{"e": 7, "f": 8}, down: map[logic.DestID]bool{7: true, 8: true},
-		from: 10 * second, to: 20 * second, parkedAt: map[pair]logic.Micros{}}
-	courier := &outageWatcher{outageWatch: watch, decisions: decisions, into: map[attempt]logic.DestID{}, sent: map[logic.RecordID]logic.TripNo{}}
-	handle := func(now logic.Micros, events []logic.Event, actions ...logic.Action) {
+	watch := &outageWatch{dest: map[dispatch.EndpointID]dispatch.DestID{"e": 7, "f": 8}, down: map[dispatch.DestID]bool{7: true, 8: true},
+		from: 10 * second, to: 20 * second, parkedAt: map[pair]dispatch.Micros{}}
+	courier := &outageWatcher{outageWatch: watch, decisions: decisions, into: map[attempt]dispatch.DestID{}, sent: map[dispatch.RecordID]dispatch.TripNo{}}
+	handle := func(now dispatch.Micros, events []dispatch.Event, actions ...dispatch.Action) {
 		decisions.next = actions
 		courier.Handle(now, events)
 	}
-	handle(9*second, nil, logic.Send{Record: "before", Endpoint: "e"})
-	handle(11*second, nil, logic.Send{Record: "a", Endpoint: "e"}, logic.Send{Record: "b", Endpoint: "f"})
-	decisions.lore.Routes = []logic.RouteLore{{Dest: 7, Sick: true}, {Dest: 8}}
-	handle(12*second, []logic.Event{logic.Settled{Record: "a", Outcome: logic.Unreachable}, logic.Settled{Record: "b", Outcome: logic.Full},
-		logic.Settled{Record: "before", Outcome: logic.Unreachable}}, logic.Send{Record: "a", Endpoint: "e"})
-	handle(13*second, []logic.Event{logic.Settled{Record: "a", Trip: 1, Outcome: logic.Done}})
-	handle(20*second, nil, logic.Send{Record: "c", Endpoint: "e"})
-	handle(21*second, nil, logic.Send{Record: "d", Endpoint: "e"})
+	handle(9*second, nil, dispatch.Send{Record: "before", Endpoint: "e"})
+	handle(11*second, nil, dispatch.Send{Record: "a", Endpoint: "e"}, dispatch.Send{Record: "b", Endpoint: "f"})
+	decisions.lore.Routes = []dispatch.RouteLore{{Dest: 7, Sick: true}, {Dest: 8}}
+	handle(12*second, []dispatch.Event{dispatch.Settled{Record: "a", Outcome: dispatch.Unreachable}, dispatch.Settled{Record: "b", Outcome: dispatch.Full},
+		dispatch.Settled{Record: "before", Outcome: dispatch.Unreachable}}, dispatch.Send{Record: "a", Endpoint: "e"})
+	handle(13*second, []dispatch.Event{dispatch.Settled{Record: "a", Trip: 1, Outcome: dispatch.Done}})
+	handle(20*second, nil, dispatch.Send{Record: "c", Endpoint: "e"})
+	handle(21*second, nil, dispatch.Send{Record: "d", Endpoint: "e"})
 	if watch.failed != 2 || watch.returned != 1 || watch.attempts != 6 {
 		t.Errorf("%d failed, %d returned, %d attempts", watch.failed, watch.returned, watch.attempts)
 	}
@@ -101,12 +101,14 @@
 
 // scriptedDecisions does and knows what a test says.
 type scriptedDecisions struct {
-	next []logic.Action
-	lore logic.Lore
+	next []dispatch.Action
+	lore dispatch.Lore
 }
 
-func (s *scriptedDecisions) Handle(logic.Micros, []logic.Event) []logic.Action { return s.next }
-func (s *scriptedDecisions) Lore() logic.Lore                                  { return s.lore }
+func (s *scriptedDecisions) Handle(dispatch.Micros, []dispatch.Event) []dispatch.Action {
+	return s.next
+}
+func (s *scriptedDecisions) Lore() dispatch.Lore { return s.lore }
 
 // TestOutageCheckHoldsEachCount: a count that is off fails the check, whichever it is.
 func TestOutageCheckHoldsEachCount(t *testing.T) {
--- a/lab/scale/realfleet.go
+++ b/testbed/scale/realfleet.go
@@ -8,12 +8,12 @@
 	"net/http"
 	"time"
 
-	"pineport/lab/day"
-	"pineport/lab/fleet"
-	"pineport/lab/live"
-	"pineport/lab/proc"
-	"pineport/peers/gossip"
-	"pineport/peers/view"
+	"pineport/membership"
+	"pineport/membership/gossip"
+	"pineport/testbed/fleet"
+	"pineport/testbed/process"
+	"pineport/testbed/realtime"
+	"pineport/testbed/scenario"
 )
 
 // realFleet is a fleet of courier processes to be played on loopback, under load, without any fault.
@@ -46,7 +46,7 @@
 
 // play plays the fleet and returns what its couriers took while they were observed.
 func (f realFleet) play(ctx context.Context) (realLoad, error) {
-	traffic, err := day.Find(loadDay)
+	traffic, err := scenario.Find(loadDay)
 	if err != nil {
 		return realLoad{}, err
 	}
@@ -57,8 +57,8 @@
 	if err != nil {
 		return realLoad{}, err
 	}
-	verdict, _, err := live.Play(ctx, day.Draw(traffic, f.seed), live.Options{Binary: f.binary, Extra: observer.configure,
-		Begun: func(field *live.Field) func() { return observer.begin(ctx, field.Couriers()) }})
+	verdict, _, err := realtime.Play(ctx, scenario.Draw(traffic, f.seed), realtime.Options{Binary: f.binary, Extra: observer.configure,
+		Begun: func(field *realtime.Field) func() { return observer.begin(ctx, field.Couriers()) }})
 	switch {
 	case err != nil:
 		return realLoad{}, err
@@ -99,7 +99,7 @@
 }
 
 // configure is what a courier is told besides what its day says; membership as hollowFleet has it.
-func (o *realObserver) configure(courier *proc.Courier) (map[string]any, error) {
+func (o *realObserver) configure(courier *process.Courier) (map[string]any, error) {
 	settings := map[string]any{"ops": o.operators[courier.No]}
 	if !o.fleet.membership {
 		return settings, nil
@@ -113,7 +113,7 @@
 }
 
 // begin observes the couriers beside the day, and returns what waits for that to end.
-func (o *realObserver) begin(ctx context.Context, couriers []*proc.Courier) (end func()) {
+func (o *realObserver) begin(ctx context.Context, couriers []*process.Courier) (end func()) {
 	observed := make(chan struct{})
 	go func() {
 		defer close(observed)
@@ -122,7 +122,7 @@
 	return func() { <-observed }
 }
 
-func (o *realObserver) run(ctx context.Context, couriers []*proc.Courier) error {
+func (o *realObserver) run(ctx context.Context, couriers []*process.Courier) error {
 	if err := sleep(ctx, o.fleet.settle); err != nil {
 		return err
 	}
@@ -144,7 +144,7 @@
 }
 
 // read sums what all couriers have taken so far.
-func (o *realObserver) read(ctx context.Context, couriers []*proc.Courier) (realLoad, error) {
+func (o *realObserver) read(ctx context.Context, couriers []*process.Courier) (realLoad, error) {
 	var total realLoad
 	for _, courier := range couriers {
 		processor, resident, err := courier.Taken()
@@ -160,8 +160,8 @@
 		if err != nil {
 			return realLoad{}, fmt.Errorf("courier %d: %w", courier.No, err)
 		}
-		if told.Standing != view.Whole.String() {
-			return realLoad{}, fmt.Errorf("courier %d is %s, not %s", courier.No, told.Standing, view.Whole)
+		if told.Standing != membership.Whole.String() {
+			return realLoad{}, fmt.Errorf("courier %d is %s, not %s", courier.No, told.Standing, membership.Whole)
 		}
 		total.packets += told.Figures.Network.PacketsOut
 		total.bytes += told.Figures.Network.BytesOut
--- a/lab/scale/reloads.go
+++ b/testbed/scale/reloads.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"pineport/config"
-	"pineport/logic"
+	"pineport/dispatch"
 	"pineport/protocol"
 )
 
@@ -42,7 +42,7 @@
 type hollowConfig struct {
 	file, state string
 	deployment  *config.Deployment
-	courier     *logic.Courier
+	courier     *dispatch.Courier
 }
 
 // settingsFile is a courier's file in the platform's form.
@@ -104,12 +104,12 @@
 	if h.deployment, err = h.read(false); err != nil {
 		return err
 	}
-	h.courier = logic.New(h.deployment.Charter)
+	h.courier = dispatch.New(h.deployment.Charter)
 	return nil
 }
 
 // hangup does what SIGHUP has a courier do: see cmd/pineport's process.hear and routing's Router.reload.
-func (h *hollowConfig) hangup(now logic.Micros) error {
+func (h *hollowConfig) hangup(now dispatch.Micros) error {
 	next, err := h.read(true)
 	if err != nil {
 		return err
@@ -119,7 +119,7 @@
 	}
 	merged := h.deployment.Merged(next)
 	if !h.deployment.SameDecisions(merged) {
-		h.courier.Handle(now, []logic.Event{logic.Rechartered{Charter: merged.Charter}})
+		h.courier.Handle(now, []dispatch.Event{dispatch.Rechartered{Charter: merged.Charter}})
 	}
 	h.deployment = merged
 	return nil
@@ -151,7 +151,7 @@
 }
 
 func measureReloads(ctx context.Context, play *Play) error {
-	folder, err := os.MkdirTemp("", "pinelab-scale-")
+	folder, err := os.MkdirTemp("", "pineport-testbed-scale-")
 	if err != nil {
 		return err
 	}
@@ -187,7 +187,7 @@
 			return err
 		}
 		usedBefore, begun := allocated(), processorTime()
-		if err := h.hangup(logic.Micros(generation) * logic.Micros(microsPerSecond)); err != nil {
+		if err := h.hangup(dispatch.Micros(generation) * dispatch.Micros(microsPerSecond)); err != nil {
 			return err
 		}
 		spent += processorTime() - begun
@@ -229,7 +229,7 @@
 }
 
 func measureHandouts(ctx context.Context, play *Play) error {
-	folder, err := os.MkdirTemp("", "pinelab-scale-")
+	folder, err := os.MkdirTemp("", "pineport-testbed-scale-")
 	if err != nil {
 		return err
 	}
@@ -304,7 +304,7 @@
 	if restarts {
 		return h.start()
 	}
-	return h.hangup(logic.Micros(microsPerSecond))
+	return h.hangup(dispatch.Micros(microsPerSecond))
 }
 
 const (
--- a/lab/scale/scale.go
+++ b/testbed/scale/scale.go
@@ -11,12 +11,12 @@
 	"strings"
 	"time"
 
-	"pineport/lab/slopes"
+	"pineport/testbed/slopes"
 )
 
 // Experiment is one scale run.
 type Experiment struct {
-	Name  string // as in pinelab scale NAME
+	Name  string // as in pineport-testbed scale NAME
 	About string // what is played, in one sentence
 	Plays int    // how often each size is played in full; a quick run plays it once
 	// Timed experiments measure processor time: nothing else should run on the machine.
--- a/lab/scale/scale_test.go
+++ b/testbed/scale/scale_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"pineport/lab/slopes"
+	"pineport/testbed/slopes"
 )
 
 func doubling() Experiment {
--- a/lab/scale/sharing.go
+++ b/testbed/scale/sharing.go
@@ -8,8 +8,8 @@
 	"runtime"
 	"time"
 
-	"pineport/commons"
-	"pineport/lab/slopes"
+	"pineport/quota"
+	"pineport/testbed/slopes"
 )
 
 // The sizes of the run sharing.
@@ -41,7 +41,7 @@
 	figureToldLoad    = "told_ratio"         // the load that the decisions are told, over the true one
 )
 
-// Bounds that commons promise: see docs/commons.md.
+// Bounds that commons promise: see docs/quota.md.
 const (
 	mostSharedRoutes = 1024
 	mostSharedCounts = 8192
@@ -49,7 +49,7 @@
 )
 
 const (
-	microsPerSecond = commons.Micros(time.Second / time.Microsecond)
+	microsPerSecond = quota.Micros(time.Second / time.Microsecond)
 	// beatSpan is how often a courier beats at the default interval of its heartbeats, 1 s: peers.pace_s / 2.
 	beatSpan = microsPerSecond / 2
 	// countsPerWord is how many counts a packet of one courier holds in the first form of the run.
@@ -134,7 +134,7 @@
 			return err
 		}
 	}
-	play.Miss("sharing.bytes_per_second with loss, deafness and real sockets", "packets are neither lost nor late here; pinelab fleet shared-limits plays those between processes")
+	play.Miss("sharing.bytes_per_second with loss, deafness and real sockets", "packets are neither lost nor late here; pineport-testbed fleet shared-limits plays those between processes")
 	return nil
 }
 
@@ -144,7 +144,7 @@
 	names := courierNames(l.heard + 1)
 	words := l.words(names)
 	before := heapInUse()
-	c := commons.New(1, commons.Terms{Self: names[0], Start: 1, Couriers: len(names), Salt: play.Seed})
+	c := quota.New(1, quota.Terms{Self: names[0], Start: 1, Couriers: len(names), Salt: play.Seed})
 	now := 10 * microsPerSecond
 	var beating, hearing time.Duration
 	var said, largest, packets int
@@ -160,7 +160,7 @@
 		}
 		needs := l.needs(beat + 1)
 		begun := time.Now()
-		actions := c.Handle(now, commons.Fleet{Couriers: len(names), Alive: names[1:]}, needs, commons.Beat{})
+		actions := c.Handle(now, quota.Fleet{Couriers: len(names), Alive: names[1:]}, needs, quota.Beat{})
 		beating += time.Since(begun)
 		bytes, most, err := packetBytes(actions)
 		if err != nil {
@@ -195,22 +195,22 @@
 }
 
 // needs are those of the courier after so many beats: some routes are used twice and three times as much as others.
-func (l listener) needs(beats int) commons.Needs {
-	needs := commons.Needs{All: make([]commons.Need, 0, l.routes)}
+func (l listener) needs(beats int) quota.Needs {
+	needs := quota.Needs{All: make([]quota.Need, 0, l.routes)}
 	for route := range l.routes {
-		needs.All = append(needs.All, commons.Need{Key: commons.Key{Dest: int32(route)}, Limit: routeLimit, Calls: uint64(beats * (1 + route%3))})
+		needs.All = append(needs.All, quota.Need{Key: quota.Key{Dest: int32(route)}, Limit: routeLimit, Calls: uint64(beats * (1 + route%3))})
 	}
 	return needs
 }
 
 // words are what all others say of all routes.
-func (l listener) words(names []string) (all []commons.Words) {
+func (l listener) words(names []string) (all []quota.Words) {
 	const usage = 100 // millionths of the limit
 	for _, name := range names[1:] {
 		for from := 0; from < l.routes; from += countsPerWord {
-			w := commons.Words{Version: commons.Version, From: name}
+			w := quota.Words{Version: quota.Version, From: name}
 			for route := from; route < min(from+countsPerWord, l.routes); route++ {
-				w.Counts = append(w.Counts, commons.Count{Key: commons.Key{Dest: int32(route)}, Who: name, Start: 1, Usage: usage})
+				w.Counts = append(w.Counts, quota.Count{Key: quota.Key{Dest: int32(route)}, Who: name, Start: 1, Usage: usage})
 			}
 			all = append(all, w)
 		}
@@ -219,34 +219,34 @@
 }
 
 // hearAll has the courier read and take in one packet of each of the words, and tells how long that took.
-func hearAll(c *commons.Commons, now commons.Micros, words []commons.Words, no uint64) (spent time.Duration, err error) {
+func hearAll(c *quota.Commons, now quota.Micros, words []quota.Words, no uint64) (spent time.Duration, err error) {
 	for _, w := range words {
 		for i := range w.Counts {
 			w.Counts[i].No = no
 		}
-		text, err := commons.Encode(w)
+		text, err := quota.Encode(w)
 		if err != nil {
 			return 0, err
 		}
 		begun := time.Now()
-		heard, err := commons.Decode(text)
+		heard, err := quota.Decode(text)
 		if err != nil {
 			return 0, fmt.Errorf("a packet that was just written is refused: %w", err)
 		}
-		c.Handle(now, commons.Heard{Words: heard})
+		c.Handle(now, quota.Heard{Words: heard})
 		spent += time.Since(begun)
 	}
 	return spent, nil
 }
 
 // packetBytes is what the packets among actions hold together, and the largest of them.
-func packetBytes(actions []commons.Action) (sum, largest int, err error) {
+func packetBytes(actions []quota.Action) (sum, largest int, err error) {
 	for _, action := range actions {
-		say, ok := action.(commons.Say)
+		say, ok := action.(quota.Say)
 		if !ok {
 			continue
 		}
-		text, err := commons.Encode(say.Words)
+		text, err := quota.Encode(say.Words)
 		if err != nil {
 			return 0, 0, err
 		}
@@ -285,7 +285,7 @@
 	})
 }
 
-// checkSharing holds commons to what docs/commons.md promises: bounds on what is kept and said, and never more lent than there is.
+// checkSharing holds commons to what docs/quota.md promises: bounds on what is kept and said, and never more lent than there is.
 func checkSharing(results *Results) error {
 	return errors.Join(
 		within(results, figureRoutes, sizeRoutes, 1, mostSharedRoutes),
--- a/lab/scale/sharing_test.go
+++ b/testbed/scale/sharing_test.go
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
-	"pineport/commons"
-	"pineport/lab/slopes"
+	"pineport/quota"
+	"pineport/testbed/slopes"
 )
 
 // soundSharing are results that pass the check, at one size of each form.
@@ -101,7 +101,7 @@
 
 func TestSharingCountsSpoiltPackets(t *testing.T) {
 	f := newSharingFleet(2, 1)
-	text, err := commons.Encode(commons.Words{From: f.names[1]})
+	text, err := quota.Encode(quota.Words{From: f.names[1]})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/lab/scale/sharingfleet.go
+++ b/testbed/scale/sharingfleet.go
@@ -8,7 +8,7 @@
 	"runtime"
 	"time"
 
-	"pineport/commons"
+	"pineport/quota"
 )
 
 const (
@@ -17,7 +17,7 @@
 	fleetLoad  = 0.8
 	heavyUse   = 3.0
 	heavyEvery = 4
-	// A packet takes so long, as in lab/sim: a network of one country.
+	// A packet takes so long, as in testbed/simulation: a network of one country.
 	packetLeast = 10 * microsPerSecond / 1000
 	packetMost  = 60 * microsPerSecond / 1000
 	// sharingWarmUp is longer than a start holds back what an earlier one may have lent, and than usage is measured over.
@@ -33,21 +33,21 @@
 // sharer is one hollow courier of the fleet.
 type sharer struct {
 	name    string
-	commons *commons.Commons
+	commons *quota.Commons
 	rates   []float64 // calls a second, by route
 	calls   []uint64
-	heard   map[commons.Key]map[string]heardUse // nil: not gone through
+	heard   map[quota.Key]map[string]heardUse // nil: not gone through
 }
 
 // heardUse is what was said last of one courier's use.
 type heardUse struct {
-	usage commons.Units
-	at    commons.Micros
+	usage quota.Units
+	at    quota.Micros
 }
 
 // sharingFleet is a fleet of hollow couriers in virtual time, on one goroutine.
 type sharingFleet struct {
-	now     commons.Micros
+	now     quota.Micros
 	rng     *rand.Rand
 	queue   laterQueue
 	sharers []*sharer
@@ -101,7 +101,7 @@
 	light := fleetLoad * routeLimit / (float64(couriers-heavy) + heavyUse*float64(heavy))
 	for i, name := range f.names {
 		s := &sharer{name: name, rates: make([]float64, fleetRoutes), calls: make([]uint64, fleetRoutes),
-			commons: commons.New(f.now, commons.Terms{Self: name, Start: 1, Couriers: couriers, Salt: int64(f.rng.Uint64() >> 1)})}
+			commons: quota.New(f.now, quota.Terms{Self: name, Start: 1, Couriers: couriers, Salt: int64(f.rng.Uint64() >> 1)})}
 		for route := range s.rates {
 			s.rates[route] = light
 			if (i+route)%heavyEvery == 0 {
@@ -109,21 +109,21 @@
 			}
 		}
 		if i < listenersSampled {
-			s.heard = map[commons.Key]map[string]heardUse{}
+			s.heard = map[quota.Key]map[string]heardUse{}
 		}
 		f.sharers, f.byName[name] = append(f.sharers, s), s
 	}
 	for i, s := range f.sharers {
 		alive := make([]string, 0, couriers-1)
 		alive = append(append(alive, f.names[:i]...), f.names[i+1:]...)
-		f.after(f.now+commons.Micros(f.rng.Int64N(int64(beatSpan))), func() { f.beat(s, alive) })
+		f.after(f.now+quota.Micros(f.rng.Int64N(int64(beatSpan))), func() { f.beat(s, alive) })
 	}
 	f.after(sharingWarmUp+sharingSampled, f.sampleAgain)
 	return f
 }
 
 // run plays until an instant.
-func (f *sharingFleet) run(ctx context.Context, until commons.Micros) {
+func (f *sharingFleet) run(ctx context.Context, until quota.Micros) {
 	for f.fault == nil && f.queue.all[0].at <= until {
 		if f.fault = ctx.Err(); f.fault != nil {
 			return
@@ -134,7 +134,7 @@
 	}
 }
 
-func (f *sharingFleet) after(at commons.Micros, do func()) {
+func (f *sharingFleet) after(at quota.Micros, do func()) {
 	f.queue.number++
 	heap.Push(&f.queue, later{at, f.queue.number, do})
 }
@@ -142,12 +142,12 @@
 // beat has one courier tell what it used since its last beat, and say what it says.
 func (f *sharingFleet) beat(s *sharer, alive []string) {
 	f.after(f.now+beatSpan, func() { f.beat(s, alive) })
-	needs := commons.Needs{All: make([]commons.Need, 0, fleetRoutes)}
+	needs := quota.Needs{All: make([]quota.Need, 0, fleetRoutes)}
 	for route, rate := range s.rates {
 		s.calls[route] += f.calls(rate * float64(beatSpan) / float64(microsPerSecond))
-		needs.All = append(needs.All, commons.Need{Key: commons.Key{Dest: int32(route)}, Limit: routeLimit, Calls: s.calls[route], Done: s.calls[route]})
+		needs.All = append(needs.All, quota.Need{Key: quota.Key{Dest: int32(route)}, Limit: routeLimit, Calls: s.calls[route], Done: s.calls[route]})
 	}
-	f.carry(s, commons.Fleet{Couriers: f.expected, Alive: alive}, needs, commons.Beat{})
+	f.carry(s, quota.Fleet{Couriers: f.expected, Alive: alive}, needs, quota.Beat{})
 }
 
 // calls draws how many calls are made where so many are usual, evenly spread in time: the whole part, and one more by chance.
@@ -160,13 +160,13 @@
 }
 
 // carry hands events to a courier's commons and carries what it says, as package exchange does: encoded.
-func (f *sharingFleet) carry(s *sharer, events ...commons.Event) {
+func (f *sharingFleet) carry(s *sharer, events ...quota.Event) {
 	for _, action := range s.commons.Handle(f.now, events...) {
-		say, ok := action.(commons.Say)
+		say, ok := action.(quota.Say)
 		if !ok {
 			continue
 		}
-		text, err := commons.Encode(say.Words)
+		text, err := quota.Encode(say.Words)
 		if err != nil {
 			f.fault = fmt.Errorf("%s: words that cannot be written: %w", s.name, err)
 			return
@@ -176,22 +176,22 @@
 		}
 		f.largest = max(f.largest, len(text))
 		to := f.byName[say.To]
-		f.after(f.now+packetLeast+commons.Micros(f.rng.Int64N(int64(packetMost-packetLeast))), func() { f.hear(to, text) })
+		f.after(f.now+packetLeast+quota.Micros(f.rng.Int64N(int64(packetMost-packetLeast))), func() { f.hear(to, text) })
 	}
 }
 
 func (f *sharingFleet) hear(s *sharer, text []byte) {
-	words, err := commons.Decode(text)
+	words, err := quota.Decode(text)
 	if err != nil {
 		f.spoilt++
 		return
 	}
 	s.note(f.now, words)
-	f.carry(s, commons.Heard{Words: words})
+	f.carry(s, quota.Heard{Words: words})
 }
 
 // note keeps what a sampled courier was told of others' use.
-func (s *sharer) note(now commons.Micros, words commons.Words) {
+func (s *sharer) note(now quota.Micros, words quota.Words) {
 	if s.heard == nil {
 		return
 	}
@@ -208,7 +208,7 @@
 }
 
 // known is what a sampled courier has lately heard that others use of a route.
-func (s *sharer) known(now commons.Micros, key commons.Key) (sum commons.Units) {
+func (s *sharer) known(now quota.Micros, key quota.Key) (sum quota.Units) {
 	for _, use := range s.heard[key] {
 		if now-use.at <= heardFresh {
 			sum += use.usage
@@ -226,13 +226,13 @@
 
 // sample holds the parts of each limit against the whole, and what couriers know of the others' use against what they use.
 func (f *sharingFleet) sample() {
-	const whole = commons.Units(1000 * 1000)
-	all := make([][]commons.Line, len(f.sharers))
+	const whole = quota.Units(1000 * 1000)
+	all := make([][]quota.Line, len(f.sharers))
 	for i, s := range f.sharers {
 		all[i], _ = s.commons.Look(f.now)
 	}
 	for route := range fleetRoutes {
-		var parts, use commons.Units
+		var parts, use quota.Units
 		for _, lines := range all {
 			line := &lines[route]
 			parts += line.Base - line.Lent + line.Borrowed
@@ -245,7 +245,7 @@
 	}
 }
 
-func (f *sharingFleet) sampleRoute(all [][]commons.Line, route int, use commons.Units) {
+func (f *sharingFleet) sampleRoute(all [][]quota.Line, route int, use quota.Units) {
 	const whole = 1e6
 	if use == 0 {
 		return
@@ -268,7 +268,7 @@
 
 // later is something that happens at an instant; what is due at one instant happens in the order in which it was set.
 type later struct {
-	at     commons.Micros
+	at     quota.Micros
 	number int
 	do     func()
 }
--- a/lab/scale/starts.go
+++ b/testbed/scale/starts.go
@@ -13,8 +13,8 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/hashicorp/memberlist"
 
-	"pineport/lab/links"
-	"pineport/peers/gossip"
+	"pineport/membership/gossip"
+	"pineport/testbed/netfault"
 )
 
 // Figures of the full exchange of starts.
@@ -69,7 +69,7 @@
 const startsMember = "n0"
 
 func newStartsTeller(seed int64) (*startsTeller, error) {
-	mesh := links.NewMesh(2, seed)
+	mesh := netfault.NewMesh(2, seed)
 	teller := &startsTeller{address: mesh.At(0), reckoned: make(chan int, 1), couriers: 2, start: 1}
 	member, err := gossip.Open(gossip.Options{Name: startsMember, Start: teller.start, Couriers: teller.couriers, Salt: seed,
 		Transport: mesh.Join(0), Reckon: func(couriers int) { teller.reckoned <- couriers }})
@@ -117,7 +117,7 @@
 	return t.member.Start() > before, nil
 }
 
-// startsState is the text of a full exchange, as peers/gossip writes it: version, sender, starts by name.
+// startsState is the text of a full exchange, as membership/gossip writes it: version, sender, starts by name.
 func startsState(starts int, own uint64) ([]byte, error) {
 	all := map[string]uint64{startsMember: own}
 	for i := 1; i < starts; i++ {
@@ -147,7 +147,7 @@
 func (t *startsTeller) MergeRemoteState([]byte, bool) {}
 
 // lastingTransport begins streams whose Close waits until the other side has done.
-type lastingTransport struct{ *links.Node }
+type lastingTransport struct{ *netfault.Node }
 
 // DialTimeout begins a stream.
 func (l lastingTransport) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
--- a/lab/scale/views.go
+++ b/testbed/scale/views.go
@@ -8,7 +8,7 @@
 	"runtime"
 	"time"
 
-	"pineport/peers/view"
+	"pineport/membership"
 )
 
 // Figures of the view by itself.
@@ -27,7 +27,7 @@
 	wordsAgain     = 1000
 )
 
-// namesKept is what a view keeps at most, as peers/view bounds it. Beyond, each word on a forgotten name costs a search for another
+// namesKept is what a view keeps at most, as membership bounds it. Beyond, each word on a forgotten name costs a search for another
 // one to be forgotten, so those sizes make curves of their own.
 const namesKept = 4096
 
@@ -101,23 +101,23 @@
 
 // hearing is a view that a detector talks to.
 type hearing struct {
-	view  *view.View
+	view  *membership.View
 	rng   *rand.Rand
-	now   view.Micros
+	now   membership.Micros
 	names int
 }
 
 func newHearing(names int, seed int64) *hearing {
-	terms := view.Terms{Self: courierName(0), Start: 1, Fleet: names, Tick: viewTick, Salt: seed}
-	return &hearing{view: view.New(terms), rng: rand.New(rand.NewSource(seed)), names: names}
+	terms := membership.Terms{Self: courierName(0), Start: 1, Fleet: names, Tick: viewTick, Salt: seed}
+	return &hearing{view: membership.New(terms), rng: rand.New(rand.NewSource(seed)), names: names}
 }
 
-func courierName(i int) view.Name { return view.Name(fmt.Sprintf("courier-%05d", i)) }
+func courierName(i int) membership.Name { return membership.Name(fmt.Sprintf("courier-%05d", i)) }
 
 // hear has the view hear that a courier is alive.
 func (h *hearing) hear(i int) {
 	h.now++
-	h.view.Handle(h.now, view.Heard{Name: courierName(i), Start: 1, State: view.Alive, Zone: "a", At: "10.0.0.1:7000"})
+	h.view.Handle(h.now, membership.Heard{Name: courierName(i), Start: 1, State: membership.Alive, Zone: "a", At: "10.0.0.1:7000"})
 }
 
 // hearAll has it hear of all others, one after the other.
@@ -132,7 +132,7 @@
 
 func (h *hearing) tick() {
 	h.now += viewTick
-	h.view.Handle(h.now, view.Passed{})
+	h.view.Handle(h.now, membership.Passed{})
 }
 
 // checkViews: a view never reckons with fewer than there are, and with just as many where it keeps every name.
--- a/lab/day/days.go
+++ b/testbed/scenario/days.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"embed"
--- a/lab/day/draw.go
+++ b/testbed/scenario/draw.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"cmp"
@@ -7,8 +7,8 @@
 	"math/rand/v2"
 	"slices"
 
-	"pineport/lab/partner"
-	"pineport/logic"
+	"pineport/dispatch"
+	"pineport/testbed/endpointmodel"
 )
 
 // Drawn is a day as it happens: what is fixed by the file and a seed.
@@ -16,18 +16,18 @@
 	Day          *Day
 	Seed         int64
 	Load         float64
-	Length       logic.Micros // records arrive until then
-	End          logic.Micros // all is over
+	Length       dispatch.Micros // records arrive until then
+	End          dispatch.Micros // all is over
 	Destinations []Destination
 	Arrivals     []Arrival // by instant
 	Acts         []Act     // by instant
 	Slots, Hold  int       // of a courier
-	CourierZone  []logic.ZoneID
+	CourierZone  []dispatch.ZoneID
 }
 
 // Destination is a partner and its traffic.
 type Destination struct {
-	partner.Plan
+	endpointmodel.Plan
 	KindName string
 	Usual    float64 // records a second at full load
 	Listed   float64 // the rate on the list, for a route
@@ -36,7 +36,7 @@
 
 // Arrival is a record handed in for the first time.
 type Arrival struct {
-	At       logic.Micros
+	At       dispatch.Micros
 	Dest     int32
 	Workload int32
 	Party    int32
@@ -65,19 +65,19 @@
 
 // Act is one thing that happens by itself.
 type Act struct {
-	At       logic.Micros
+	At       dispatch.Micros
 	Kind     ActKind
 	Trouble  int // its number, from 1; 0 for none
 	Dest     int
-	Endpoint partner.Endpoint
-	Address  logic.EndpointID // Adds: the endpoint whose address it takes over; empty: a new address
-	Strike   partner.Strike
+	Endpoint endpointmodel.Endpoint
+	Address  dispatch.EndpointID // Adds: the endpoint whose address it takes over; empty: a new address
+	Strike   endpointmodel.Strike
 	Courier  int
-	Span     logic.Micros
+	Span     dispatch.Micros
 	Text     string
 }
 
-func micros(seconds float64) logic.Micros { return logic.Micros(math.Round(seconds * 1e6)) }
+func micros(seconds float64) dispatch.Micros { return dispatch.Micros(math.Round(seconds * 1e6)) }
 
 // stream is the chance of one part of the drawing, so that a change in one part leaves the others as they are.
 func stream(seed int64, part uint64) *rand.Rand { return rand.New(rand.NewPCG(uint64(seed), part)) }
@@ -192,7 +192,7 @@
 	if answer > k.Answer[1]/1000 {
 		answer = k.Answer[1] / 1000
 	}
-	p := partner.Plan{Dest: logic.DestID(number), Kind: logic.ShapeID(kind), Apart: k.Apart, PerCall: k.PerCall,
+	p := endpointmodel.Plan{Dest: dispatch.DestID(number), Kind: dispatch.ShapeID(kind), Apart: k.Apart, PerCall: k.PerCall,
 		ItemCost: k.ItemCost, Workers: int(workers), Answer: micros(answer), Spread: k.Spread.draw(rng),
 		Queue: int(math.Ceil(perEndpoint * k.Queue.draw(rng))), ErrorRate: k.ErrorRate.draw(rng),
 		Reports: k.Reports, ReportEvery: micros(k.ReportEvery / 1000), ReportNoise: k.ReportNoise,
@@ -202,20 +202,20 @@
 	if k.Apart {
 		perRoute /= float64(endpoints)
 	}
-	p.Limit = partner.Limit{PerSec: perRoute, Span: micros(k.WindowSpan / 1000), Tells: k.Tells.draw(rng),
+	p.Limit = endpointmodel.Limit{PerSec: perRoute, Span: micros(k.WindowSpan / 1000), Tells: k.Tells.draw(rng),
 		LeastWait: micros(k.Wait.draw(rng) / 1000), RefusedCount: rng.Float64() < k.RefusedCount}
 	switch k.Limits[rng.IntN(len(k.Limits))] {
 	case "rate":
-		p.Limit.Kind = partner.Rate
+		p.Limit.Kind = endpointmodel.Rate
 	case "window":
-		p.Limit.Kind = partner.Window
+		p.Limit.Kind = endpointmodel.Window
 	}
 	if k.Connections[1] > 0 {
 		p.Connections = max(k.LeastConns, int(math.Ceil(k.Connections.draw(rng)*workers)))
 	}
 	for e := range endpoints {
-		p.Endpoints = append(p.Endpoints, partner.Endpoint{ID: endpointID(number, e),
-			Zone: logic.ZoneID(rng.IntN(len(d.Fleet.Zones)))})
+		p.Endpoints = append(p.Endpoints, endpointmodel.Endpoint{ID: endpointID(number, e),
+			Zone: dispatch.ZoneID(rng.IntN(len(d.Fleet.Zones)))})
 	}
 	dst.Plan = p
 	switch d.Directory.Rates {
@@ -226,8 +226,8 @@
 	}
 }
 
-func endpointID(dest, n int) logic.EndpointID {
-	return logic.EndpointID(fmt.Sprintf("e%d-%d", dest, n))
+func endpointID(dest, n int) dispatch.EndpointID {
+	return dispatch.EndpointID(fmt.Sprintf("e%d-%d", dest, n))
 }
 
 func (w *Drawn) couriers() {
@@ -240,13 +240,13 @@
 	w.Slots = max(d.Fleet.LeastSlots, int(math.Ceil(d.Fleet.SlotsRoom*busy/n)))
 	w.Hold = max(d.Fleet.LeastHold, int(math.Ceil(d.Fleet.HoldFor*d.Traffic.FullPerSec/n)))
 	for i := range d.Fleet.Couriers {
-		w.CourierZone = append(w.CourierZone, logic.ZoneID(i%len(d.Fleet.Zones)))
+		w.CourierZone = append(w.CourierZone, dispatch.ZoneID(i%len(d.Fleet.Zones)))
 	}
 }
 
 // flood is a stretch in which a party sends more.
 type flood struct {
-	from, to logic.Micros
+	from, to dispatch.Micros
 	party    int // -1: all
 	times    float64
 }
@@ -274,7 +274,7 @@
 	if d.Traffic.Uneven > 0 {
 		busy = newPicker(weights(d.Fleet.Couriers, d.Traffic.Uneven, stream(w.Seed, 9)))
 	}
-	add := func(at logic.Micros, dest int) {
+	add := func(at dispatch.Micros, dest int) {
 		dst := &w.Destinations[dest]
 		a := Arrival{At: at, Dest: int32(dest), Party: int32(max(0, dst.Party)), Courier: int32(rng.IntN(d.Fleet.Couriers)), Key: -1}
 		a.Workload = int32(works[dst.Plan.Kind].draw(rng))
--- a/lab/day/format.go
+++ b/testbed/scenario/format.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"fmt"
@@ -49,7 +49,7 @@
 			_, err = fmt.Fprintf(w, format, args...)
 		}
 	}
-	say("# A day's file\n\nWritten by `pinelab format`; do not edit. TOML; a range is written `[low, high]`, the same twice for a fixed value.\n")
+	say("# A day's file\n\nWritten by `pineport-testbed format`; do not edit. TOML; a range is written `[low, high]`, the same twice for a fixed value.\n")
 	table := "none yet"
 	for _, k := range Keys() {
 		if k.Table != table {
--- a/lab/day/day.go
+++ b/testbed/scenario/scenario.go
@@ -1,7 +1,7 @@
-// Package day is a day as a file: a fleet, its destinations, workloads and traffic, and what goes wrong. Read checks a
+// Package scenario is a day as a file: a fleet, its destinations, workloads and traffic, and what goes wrong. Read checks a
 // file; Draw makes of it, with a seed, every arrival and every trouble of the day. The same seed gives the same day, to
 // the byte.
-package day
+package scenario
 
 // Range is two bounds between which a value is drawn; the same twice for a fixed one.
 type Range [2]float64
--- a/lab/day/day_test.go
+++ b/testbed/scenario/scenario_test.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"errors"
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"pineport/lab/partner"
+	"pineport/testbed/endpointmodel"
 )
 
 func TestFaultsNameFileLineKey(t *testing.T) {
@@ -97,7 +97,7 @@
 			if n := float64(len(dst.Endpoints)); n < k.Endpoints[0] || n > k.Endpoints[1] {
 				t.Errorf("%v endpoints", n)
 			}
-			if dst.Limit.Kind != partner.NoLimit && dst.Capacity()*float64(len(dst.Endpoints)) < dst.Limit.PerSec*0.9 {
+			if dst.Limit.Kind != endpointmodel.NoLimit && dst.Capacity()*float64(len(dst.Endpoints)) < dst.Limit.PerSec*0.9 {
 				t.Errorf("capacity %v under the limit %v", dst.Capacity()*float64(len(dst.Endpoints)), dst.Limit.PerSec)
 			}
 		}
@@ -119,9 +119,9 @@
 	if err := WriteFormat(&b); err != nil {
 		t.Fatal(err)
 	}
-	page, err := os.ReadFile("../../docs/lab-day.md")
+	page, err := os.ReadFile("../../docs/scenario-format.md")
 	if err != nil || string(page) != b.String() {
-		t.Errorf("docs/lab-day.md is stale: go run ./cmd/pinelab format > docs/lab-day.md (%v)", err)
+		t.Errorf("docs/scenario-format.md is stale: go run ./cmd/pineport-testbed format > docs/scenario-format.md (%v)", err)
 	}
 }
 
--- a/lab/day/strike.go
+++ b/testbed/scenario/strike.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"cmp"
@@ -6,8 +6,8 @@
 	"math/rand/v2"
 	"slices"
 
-	"pineport/lab/partner"
-	"pineport/logic"
+	"pineport/dispatch"
+	"pineport/testbed/endpointmodel"
 )
 
 // troubles draws what goes wrong, and returns the floods, which the arrivals need.
@@ -79,12 +79,12 @@
 	case "pauses":
 		for _, e := range s.struck(t) {
 			for at := from + micros(2*s.rng.Float64()); at < to; at += micros(2) {
-				s.begin(e, partner.Strike{Kind: partner.Stand}, at, at+micros(n/1000))
+				s.begin(e, endpointmodel.Strike{Kind: endpointmodel.Stand}, at, at+micros(n/1000))
 			}
 		}
 	default:
 		for _, e := range s.struck(t) {
-			s.begin(e, partner.Strike{Kind: partner.Trouble(t.Kind), Size: n, Acts: t.Acts, Until: to}, from, to)
+			s.begin(e, endpointmodel.Strike{Kind: endpointmodel.Trouble(t.Kind), Size: n, Acts: t.Acts, Until: to}, from, to)
 		}
 	}
 }
@@ -92,10 +92,10 @@
 // at is an endpoint of a destination.
 type place struct {
 	dest int
-	partner.Endpoint
+	endpointmodel.Endpoint
 }
 
-func (s *striker) begin(e place, strike partner.Strike, from, to logic.Micros) {
+func (s *striker) begin(e place, strike endpointmodel.Strike, from, to dispatch.Micros) {
 	s.ids++
 	strike.ID = s.ids
 	s.act(Act{At: from, Kind: Begins, Dest: e.dest, Endpoint: e.Endpoint, Strike: strike})
@@ -105,9 +105,9 @@
 // struck picks endpoints until the part of the traffic is reached; a destination is struck whole or at one endpoint.
 func (s *striker) struck(t Trouble) (all []place) {
 	d := s.Day
-	zone := logic.ZoneID(-1)
+	zone := dispatch.ZoneID(-1)
 	if t.By == "zone" {
-		zone = logic.ZoneID(s.rng.IntN(len(d.Fleet.Zones)))
+		zone = dispatch.ZoneID(s.rng.IntN(len(d.Fleet.Zones)))
 	}
 	left := t.Part * d.Traffic.FullPerSec
 	for _, i := range s.rng.Perm(len(s.Destinations)) {
@@ -136,7 +136,7 @@
 	return all
 }
 
-func (s *striker) couriersStruck(t Trouble, from, to logic.Micros, n float64) {
+func (s *striker) couriersStruck(t Trouble, from, to dispatch.Micros, n float64) {
 	count := max(1, int(t.Part*float64(s.Day.Fleet.Couriers)+0.5))
 	order := s.rng.Perm(s.Day.Fleet.Couriers)[:min(count, s.Day.Fleet.Couriers)]
 	for i, c := range order {
@@ -145,7 +145,7 @@
 			s.act(Act{At: from, Kind: Kills, Courier: c})
 			s.act(Act{At: to, Kind: Starts, Courier: c})
 		case "courier-roll":
-			at := from + (to-from)*logic.Micros(i)/logic.Micros(len(order))
+			at := from + (to-from)*dispatch.Micros(i)/dispatch.Micros(len(order))
 			s.act(Act{At: at, Kind: Asks, Courier: c, Span: micros(3.7)})
 			s.act(Act{At: at + micros(3.7), Kind: Kills, Courier: c})
 			s.act(Act{At: at + micros(3.7+n), Kind: Starts, Courier: c})
@@ -157,12 +157,12 @@
 	}
 }
 
-func (s *striker) endpointsMoved(t Trouble, from, to logic.Micros, n float64) {
+func (s *striker) endpointsMoved(t Trouble, from, to dispatch.Micros, n float64) {
 	all := s.struck(t)
 	for i, e := range all {
 		s.fresh++
-		next := partner.Endpoint{ID: endpointID(e.dest, 1000+s.fresh), Zone: e.Zone}
-		at := from + (to-from)*logic.Micros(i)/logic.Micros(len(all))
+		next := endpointmodel.Endpoint{ID: endpointID(e.dest, 1000+s.fresh), Zone: e.Zone}
+		at := from + (to-from)*dispatch.Micros(i)/dispatch.Micros(len(all))
 		if t.Kind == "drain" {
 			s.act(Act{At: at, Kind: Adds, Dest: e.dest, Endpoint: next})
 			s.act(Act{At: at + micros(0.5), Kind: Drains, Dest: e.dest, Endpoint: e.Endpoint})
--- a/lab/sim/bench_test.go
+++ b/testbed/simulation/bench_test.go
@@ -1,10 +1,10 @@
-package sim
+package simulation
 
 import (
 	"fmt"
 	"testing"
 
-	"pineport/lab/day"
+	"pineport/testbed/scenario"
 )
 
 // BenchmarkDay plays days at growing size, with as many records for each endpoint: how cost grows is the question. It
@@ -15,13 +15,13 @@
 			if testing.Short() {
 				b.Skip("long")
 			}
-			d, err := day.Find("full-size")
+			d, err := scenario.Find("full-size")
 			if err != nil {
 				b.Fatal(err)
 			}
 			d.Length, d.Fleet.Couriers, d.Chance.Troubles = 20, size.couriers, [2]int{} // calm: what rules do is not the question
 			d.Traffic.Destinations, d.Traffic.FullPerSec = size.destinations, float64(size.perSec)
-			w := day.Draw(d, 1)
+			w := scenario.Draw(d, 1)
 			b.ResetTimer()
 			var turns, records int
 			for range b.N {
--- a/lab/sim/call.go
+++ b/testbed/simulation/call.go
@@ -1,29 +1,29 @@
-package sim
+package simulation
 
 import (
 	"pineport/config"
-	"pineport/lab/ledger"
-	"pineport/lab/partner"
-	"pineport/logic"
+	"pineport/dispatch"
+	"pineport/testbed/endpointmodel"
+	"pineport/testbed/invariants"
 )
 
 // load puts a record on a call; it returns the call if that is new.
-func (s *Sim) load(c *courier, a logic.Send, open map[logic.EndpointID]*call) *call {
+func (s *Sim) load(c *courier, a dispatch.Send, open map[dispatch.EndpointID]*call) *call {
 	at, r := s.at[a.Endpoint], c.records[a.Record]
 	if at == nil || r != nil && at.dest != int(r.client.arrival.Dest) {
 		s.books.Crashed(s.now, c.no, "sent "+string(a.Record)+" to "+string(a.Endpoint)+", which is not of its destination")
 		return nil
 	}
-	book := s.books.Sent(s.now, a.Record, ledger.Place{Dest: logic.DestID(at.dest), Route: at.route, Endpoint: a.Endpoint, Zone: at.endpoint.Zone})
+	book := s.books.Sent(s.now, a.Record, invariants.Place{Dest: dispatch.DestID(at.dest), Route: at.route, Endpoint: a.Endpoint, Zone: at.endpoint.Zone})
 	if r == nil {
 		return nil
 	}
-	t := &trip{rec: r, no: logic.TripNo(len(r.trips)), book: book,
-		past: logic.Past{Endpoint: a.Endpoint, Zone: at.endpoint.Zone, Sent: s.now}}
+	t := &trip{rec: r, no: dispatch.TripNo(len(r.trips)), book: book,
+		past: dispatch.Past{Endpoint: a.Endpoint, Zone: at.endpoint.Zone, Sent: s.now}}
 	r.trips = append(r.trips, t)
 	r.out++
 	if r.over || len(r.trips) > s.w.Day.Fleet.MaxTrips {
-		s.settle(t, logic.Settled{Outcome: logic.Void})
+		s.settle(t, dispatch.Settled{Outcome: dispatch.Void})
 		return nil
 	}
 	plan := s.partners[at.dest].Plan()
@@ -34,21 +34,21 @@
 		return nil
 	}
 	if c.slots >= s.w.Slots {
-		s.settle(t, logic.Settled{Outcome: logic.Void})
+		s.settle(t, dispatch.Settled{Outcome: dispatch.Void})
 		return nil
 	}
 	c.slots++
 	s.calls++
-	cl := &call{Call: partner.Call{ID: s.calls, Courier: c.no, Endpoint: a.Endpoint, Items: []partner.Item{item}}, courier: c,
+	cl := &call{Call: endpointmodel.Call{ID: s.calls, Courier: c.no, Endpoint: a.Endpoint, Items: []endpointmodel.Item{item}}, courier: c,
 		life: c.life, at: at, trips: []*trip{t}, sent: s.now}
 	t.call, open[a.Endpoint] = cl, cl
 	s.limit(t, a.Limit)
 	return cl
 }
 
-func (s *Sim) item(r *record) partner.Item {
+func (s *Sim) item(r *record) endpointmodel.Item {
 	w := &s.w.Day.Workloads[r.client.arrival.Workload]
-	return partner.Item{Record: r.id, Origin: r.client.id, Repeat: ledger.RepeatOf(w.Repeat), OneZone: w.OneZone,
+	return endpointmodel.Item{Record: r.id, Origin: r.client.id, Repeat: invariants.RepeatOf(w.Repeat), OneZone: w.OneZone,
 		Window: config.Micros(w.Window)}
 }
 
@@ -73,14 +73,14 @@
 			return
 		}
 		switch p.Connect(s.now, id) {
-		case partner.Up:
+		case endpointmodel.Up:
 			s.books.Shook()
 			cl.linked = true
-			s.after(s.now+logic.Micros(2*s.w.Day.Network.Shakes*float64(way)), func() { s.reach(cl) })
-		case partner.Refused:
-			s.after(s.now+way, func() { s.outcome(cl, logic.Unreachable, 0, nil) })
-		case partner.NoWord:
-			s.after(s.now-way+config.Micros(s.w.Day.Fleet.Connect/1000), func() { s.outcome(cl, logic.Unreachable, 0, nil) })
+			s.after(s.now+dispatch.Micros(2*s.w.Day.Network.Shakes*float64(way)), func() { s.reach(cl) })
+		case endpointmodel.Refused:
+			s.after(s.now+way, func() { s.outcome(cl, dispatch.Unreachable, 0, nil) })
+		case endpointmodel.NoWord:
+			s.after(s.now-way+config.Micros(s.w.Day.Fleet.Connect/1000), func() { s.outcome(cl, dispatch.Unreachable, 0, nil) })
 		}
 	})
 }
@@ -94,7 +94,7 @@
 }
 
 // answered carries an endpoint's answer back.
-func (s *Sim) answered(a partner.Answer) {
+func (s *Sim) answered(a endpointmodel.Answer) {
 	cl := s.flying[a.Call.ID]
 	if cl == nil {
 		return // nobody waits for it any more
@@ -104,7 +104,7 @@
 }
 
 // limit ends a trip's time: the trips of one call have each their own.
-func (s *Sim) limit(t *trip, limit logic.Micros) {
+func (s *Sim) limit(t *trip, limit dispatch.Micros) {
 	if limit <= 0 {
 		return
 	}
@@ -112,17 +112,17 @@
 		if t.over || t.call.over {
 			return
 		}
-		o := logic.TimedOut
+		o := dispatch.TimedOut
 		if !t.call.linked {
-			o = logic.Unreachable // none of it was sent
+			o = dispatch.Unreachable // none of it was sent
 		}
 		s.giveUp(t, o)
 	})
 }
 
 // giveUp ends one trip; where no other is left on its call, that is called off.
-func (s *Sim) giveUp(t *trip, o logic.Outcome) {
-	s.settle(t, logic.Settled{Outcome: o, Took: s.now - t.call.sent})
+func (s *Sim) giveUp(t *trip, o dispatch.Outcome) {
+	s.settle(t, dispatch.Settled{Outcome: o, Took: s.now - t.call.sent})
 	for _, other := range t.call.trips {
 		if !other.over {
 			return
@@ -136,7 +136,7 @@
 }
 
 // outcome ends a call at its courier.
-func (s *Sim) outcome(cl *call, o logic.Outcome, wait logic.Micros, pressure []float64) {
+func (s *Sim) outcome(cl *call, o dispatch.Outcome, wait dispatch.Micros, pressure []float64) {
 	if cl.over {
 		return
 	}
@@ -144,13 +144,13 @@
 	c := cl.courier
 	c.slots--
 	switch o {
-	case logic.Done, logic.Failure, logic.Full:
+	case dispatch.Done, dispatch.Failure, dispatch.Full:
 		c.pools[cl.Endpoint] = append(c.pools[cl.Endpoint], s.now)
 	default:
 		s.hangUp(cl)
 	}
 	for _, t := range cl.trips {
-		s.settle(t, logic.Settled{Outcome: o, Took: s.now - cl.sent, Wait: wait, Pressure: pressure})
+		s.settle(t, dispatch.Settled{Outcome: o, Took: s.now - cl.sent, Wait: wait, Pressure: pressure})
 	}
 }
 
@@ -168,7 +168,7 @@
 }
 
 // settle tells a courier how a trip ended.
-func (s *Sim) settle(t *trip, e logic.Settled) {
+func (s *Sim) settle(t *trip, e dispatch.Settled) {
 	if t.over {
 		return
 	}
@@ -176,7 +176,7 @@
 	r := t.rec
 	r.out--
 	s.books.Settled(s.now, r.id, t.book, e.Outcome, e.Wait)
-	if e.Outcome == logic.Done && !r.over {
+	if e.Outcome == dispatch.Done && !r.over {
 		r.client.over = true
 		s.close(r)
 	}
@@ -188,10 +188,10 @@
 }
 
 // cancel calls a trip off.
-func (s *Sim) cancel(c *courier, a logic.Cancel) {
+func (s *Sim) cancel(c *courier, a dispatch.Cancel) {
 	r := c.records[a.Record]
 	if r == nil || int(a.Trip) >= len(r.trips) || r.trips[a.Trip].over {
 		return
 	}
-	s.giveUp(r.trips[a.Trip], logic.Withdrawn)
+	s.giveUp(r.trips[a.Trip], dispatch.Withdrawn)
 }
--- a/lab/sim/client.go
+++ b/testbed/simulation/client.go
@@ -1,19 +1,19 @@
-package sim
+package simulation
 
 import (
 	"strconv"
 
 	"pineport/config"
-	"pineport/lab/day"
-	"pineport/lab/ledger"
-	"pineport/logic"
+	"pineport/dispatch"
+	"pineport/testbed/invariants"
+	"pineport/testbed/scenario"
 )
 
 // client is who handed in a record first, and hands it in again where it may.
 type client struct {
-	id      logic.RecordID
-	arrival day.Arrival
-	cutOff  logic.Micros
+	id      dispatch.RecordID
+	arrival scenario.Arrival
+	cutOff  dispatch.Micros
 	tries   int // hand-ins that a courier took
 	bounces int
 	over    bool
@@ -32,12 +32,12 @@
 	})
 }
 
-func (s *Sim) offer(i int, a day.Arrival) {
-	id := logic.RecordID("r" + strconv.Itoa(i))
+func (s *Sim) offer(i int, a scenario.Arrival) {
+	id := dispatch.RecordID("r" + strconv.Itoa(i))
 	cl := &client{id: id, arrival: a, cutOff: s.now + config.Micros(s.w.Day.Workloads[a.Workload].CutOff)}
-	s.books.Offered(s.now, id, int(a.Workload), int(a.Party), logic.DestID(a.Dest))
+	s.books.Offered(s.now, id, int(a.Workload), int(a.Party), dispatch.DestID(a.Dest))
 	if s.rng.Float64() < s.w.Day.Clients.Leave {
-		s.after(s.now+logic.Micros(s.rng.Int64N(int64(cl.cutOff-s.now))), func() { s.leave(cl) })
+		s.after(s.now+dispatch.Micros(s.rng.Int64N(int64(cl.cutOff-s.now))), func() { s.leave(cl) })
 	}
 	s.after(s.now+config.Micros(s.w.Day.Network.Client/1000), func() { s.handIn(cl, s.couriers[a.Courier], false) })
 }
@@ -56,7 +56,7 @@
 	}
 	id := cl.id
 	if cl.tries > 0 {
-		id += logic.RecordID("." + strconv.Itoa(cl.tries))
+		id += dispatch.RecordID("." + strconv.Itoa(cl.tries))
 	}
 	cl.tries++
 	s.taken++
@@ -64,13 +64,13 @@
 	cl.held = r
 	c.records[id] = r
 	c.held++
-	key := logic.Key("")
+	key := dispatch.Key("")
 	if cl.arrival.Key >= 0 {
-		key = logic.Key("k" + strconv.Itoa(int(cl.arrival.Key)))
+		key = dispatch.Key("k" + strconv.Itoa(int(cl.arrival.Key)))
 	}
 	s.books.Taken(s.now, id, cl.id, c.no, key, cl.cutOff)
-	r.taken = logic.Taken{Record: id, Dest: logic.DestID(cl.arrival.Dest), Workload: logic.WorkloadID(cl.arrival.Workload),
-		Party: logic.PartyID(cl.arrival.Party), Key: key, CutOff: cl.cutOff, Again: again}
+	r.taken = dispatch.Taken{Record: id, Dest: dispatch.DestID(cl.arrival.Dest), Workload: dispatch.WorkloadID(cl.arrival.Workload),
+		Party: dispatch.PartyID(cl.arrival.Party), Key: key, CutOff: cl.cutOff, Again: again}
 	s.tell(c, r.taken)
 }
 
@@ -83,12 +83,12 @@
 }
 
 // comeAgain hands in anew what was bounced, after a while.
-func (s *Sim) comeAgain(cl *client, c *courier, advice logic.Micros) {
+func (s *Sim) comeAgain(cl *client, c *courier, advice dispatch.Micros) {
 	d := s.w.Day.Clients
 	if cl.over || cl.bounces >= d.Retries {
 		return
 	}
-	wait := s.between(day.Range{d.Backoff[0] / 1000, d.Backoff[1] / 1000}) << cl.bounces
+	wait := s.between(scenario.Range{d.Backoff[0] / 1000, d.Backoff[1] / 1000}) << cl.bounces
 	if advice > 0 && s.rng.Float64() < d.Heed {
 		wait = advice
 	}
@@ -103,7 +103,7 @@
 	}
 	cl.over = true
 	if r := cl.held; r != nil && !r.over {
-		s.end(r, ledger.Withdrawn)
-		s.tell(r.courier, logic.Left{Record: r.id})
+		s.end(r, invariants.Withdrawn)
+		s.tell(r.courier, dispatch.Left{Record: r.id})
 	}
 }
--- a/lab/sim/courier.go
+++ b/testbed/simulation/courier.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"cmp"
@@ -7,42 +7,42 @@
 	"maps"
 	"slices"
 
-	"pineport/commons"
 	"pineport/config"
-	"pineport/lab/ledger"
-	"pineport/lab/partner"
-	"pineport/logic"
+	"pineport/dispatch"
+	"pineport/quota"
+	"pineport/testbed/endpointmodel"
+	"pineport/testbed/invariants"
 )
 
 // courier is the world's side of one courier: what its process, sockets and folder would be.
 type courier struct {
 	sim      *Sim
 	no       int
-	zone     logic.ZoneID
+	zone     dispatch.ZoneID
 	alive    bool
 	closing  bool
 	life     int       // counts its starts, so that what belongs to an earlier one is known
 	spooled  []*record // what its folder holds while it is down, in the order taken
-	standsTo logic.Micros
-	events   []logic.Event
-	due      logic.Micros // the tick at which it is told them; 0: none
-	records  map[logic.RecordID]*record
+	standsTo dispatch.Micros
+	events   []dispatch.Event
+	due      dispatch.Micros // the tick at which it is told them; 0: none
+	records  map[dispatch.RecordID]*record
 	held     int
-	slots    int                                 // taken
-	pools    map[logic.EndpointID][]logic.Micros // idle connections, by when they began to rest
-	told     map[logic.EndpointID]logic.Listing  // the list as it had it last
-	newsAt   logic.Micros
+	slots    int                                       // taken
+	pools    map[dispatch.EndpointID][]dispatch.Micros // idle connections, by when they began to rest
+	told     map[dispatch.EndpointID]dispatch.Listing  // the list as it had it last
+	newsAt   dispatch.Micros
 	watching bool
-	commons  *commons.Commons // nil: limits are not shared
+	commons  *quota.Commons // nil: limits are not shared
 }
 
 // record is a record at one courier.
 type record struct {
-	id      logic.RecordID
+	id      dispatch.RecordID
 	client  *client
 	courier *courier
 	number  int // in the order taken by all couriers
-	taken   logic.Taken
+	taken   dispatch.Taken
 	trips   []*trip
 	out     int
 	over    bool
@@ -50,21 +50,21 @@
 
 type trip struct {
 	rec  *record
-	no   logic.TripNo
+	no   dispatch.TripNo
 	book int // its number in the books
 	call *call
-	past logic.Past // as a folder has it; the outcome counts once it is over
+	past dispatch.Past // as a folder has it; the outcome counts once it is over
 	over bool
 }
 
 // call is one call on its way.
 type call struct {
-	partner.Call
+	endpointmodel.Call
 	courier *courier
 	life    int
 	at      *spot
 	trips   []*trip
-	sent    logic.Micros
+	sent    dispatch.Micros
 	linked  bool // its connection is up
 	over    bool // the courier knows its end, or waits no more
 }
@@ -76,7 +76,7 @@
 	c.alive, c.closing, c.watching = true, false, false
 	c.life++
 	c.events, c.due, c.held, c.slots = nil, 0, 0, 0
-	c.records, c.pools = map[logic.RecordID]*record{}, map[logic.EndpointID][]logic.Micros{}
+	c.records, c.pools = map[dispatch.RecordID]*record{}, map[dispatch.EndpointID][]dispatch.Micros{}
 	salt := int64(s.rng.Uint64() >> 1)
 	ch, err := s.w.Charter(c.no, salt)
 	if err == nil {
@@ -89,9 +89,9 @@
 	if c.life > 1 {
 		s.books.Back(s.now, c.no)
 	}
-	s.tell(c, logic.ListNews{How: logic.Persisted, Entries: inOrder(c.told)})
+	s.tell(c, dispatch.ListNews{How: dispatch.Persisted, Entries: inOrder(c.told)})
 	if lore, ok := s.lores[c.no]; ok {
-		s.tell(c, logic.Learned{Lore: lore})
+		s.tell(c, dispatch.Learned{Lore: lore})
 	}
 	s.takeUpAgain(c)
 	if s.w.Day.Directory.Mode == "push" {
@@ -100,8 +100,8 @@
 }
 
 // inOrder lists entries by their names.
-func inOrder(all map[logic.EndpointID]logic.Listing) []logic.Listing {
-	list := make([]logic.Listing, 0, len(all))
+func inOrder(all map[dispatch.EndpointID]dispatch.Listing) []dispatch.Listing {
+	list := make([]dispatch.Listing, 0, len(all))
 	for _, id := range slices.Sorted(maps.Keys(all)) {
 		list = append(list, all[id])
 	}
@@ -109,10 +109,10 @@
 }
 
 // ask tells a courier that its process ends soon.
-func (s *Sim) ask(c *courier, span logic.Micros) {
+func (s *Sim) ask(c *courier, span dispatch.Micros) {
 	if c.alive {
 		c.closing = true
-		s.tell(c, logic.Closing{At: s.now + span})
+		s.tell(c, dispatch.Closing{At: s.now + span})
 	}
 }
 
@@ -162,7 +162,7 @@
 		if r.over {
 			continue // withdrawn meanwhile
 		}
-		e := logic.Recovered{Taken: r.taken}
+		e := dispatch.Recovered{Taken: r.taken}
 		for _, t := range r.trips {
 			e.Trips = append(e.Trips, t.past)
 		}
@@ -181,16 +181,16 @@
 		if t.over {
 			return false
 		}
-		t.over, t.past.Outcome = true, logic.Broken
+		t.over, t.past.Outcome = true, dispatch.Broken
 		if !t.call.linked {
-			s.books.Settled(s.now, r.id, t.book, logic.Unreachable, 0)
+			s.books.Settled(s.now, r.id, t.book, dispatch.Unreachable, 0)
 		}
 		return !t.call.linked
 	})
 }
 
 // tell puts something before a courier's next turn.
-func (s *Sim) tell(c *courier, e logic.Event) {
+func (s *Sim) tell(c *courier, e dispatch.Event) {
 	if !c.alive {
 		return
 	}
@@ -206,7 +206,7 @@
 }
 
 // turn lets all couriers decide that have something to be told by now.
-func (s *Sim) turn(at logic.Micros) {
+func (s *Sim) turn(at dispatch.Micros) {
 	due := s.turns[at]
 	delete(s.turns, at)
 	var batches []Batch
@@ -245,39 +245,39 @@
 }
 
 // carryOut does what a courier wants done.
-func (s *Sim) carryOut(c *courier, actions []logic.Action) {
+func (s *Sim) carryOut(c *courier, actions []dispatch.Action) {
 	s.stats.Actions += len(actions)
-	open := map[logic.EndpointID]*call{} // calls of this turn that may carry more
+	open := map[dispatch.EndpointID]*call{} // calls of this turn that may carry more
 	var calls []*call
 	for _, action := range actions {
 		switch a := action.(type) {
-		case logic.Send:
+		case dispatch.Send:
 			if cl := s.load(c, a, open); cl != nil {
 				calls = append(calls, cl)
 			}
-		case logic.Cancel:
+		case dispatch.Cancel:
 			s.cancel(c, a)
-		case logic.Bounce:
-			if r := s.ended(c, a.Record, ledger.Bounced); r != nil {
+		case dispatch.Bounce:
+			if r := s.ended(c, a.Record, invariants.Bounced); r != nil {
 				s.comeAgain(r.client, c, min(a.Pause, config.Micros(s.w.Day.Fleet.LongestWait)))
 			}
-		case logic.Terminate:
-			if r := s.ended(c, a.Record, ledger.Terminated); r != nil {
+		case dispatch.Terminate:
+			if r := s.ended(c, a.Record, invariants.Terminated); r != nil {
 				r.client.over = true
 			}
-		case logic.Wake:
+		case dispatch.Wake:
 			life := c.life
 			s.after(a.At, func() {
 				if c.life == life {
-					s.tell(c, logic.Woken{})
+					s.tell(c, dispatch.Woken{})
 				}
 			})
-		case logic.CloseIdle:
+		case dispatch.CloseIdle:
 			for range c.pools[a.Endpoint] {
 				s.partners[s.at[a.Endpoint].dest].Disconnect(a.Endpoint)
 			}
 			delete(c.pools, a.Endpoint)
-		case logic.Watch:
+		case dispatch.Watch:
 			s.listed.fetch(c)
 		}
 	}
@@ -287,7 +287,7 @@
 }
 
 // ended takes a courier's final answer for a record; nil where it had one already.
-func (s *Sim) ended(c *courier, id logic.RecordID, how ledger.End) *record {
+func (s *Sim) ended(c *courier, id dispatch.RecordID, how invariants.End) *record {
 	r := c.records[id]
 	if r == nil || r.over {
 		s.books.Ended(s.now, id, how) // they know what to think of it
@@ -297,7 +297,7 @@
 	return r
 }
 
-func (s *Sim) end(r *record, how ledger.End) {
+func (s *Sim) end(r *record, how invariants.End) {
 	s.books.Ended(s.now, r.id, how)
 	s.close(r)
 }
--- a/lab/sim/directory.go
+++ b/testbed/simulation/directory.go
@@ -1,35 +1,35 @@
-package sim
+package simulation
 
 import (
 	"maps"
 
-	"pineport/lab/day"
-	"pineport/lab/partner"
-	"pineport/logic"
+	"pineport/dispatch"
+	"pineport/testbed/endpointmodel"
+	"pineport/testbed/scenario"
 )
 
 // directory is the list of endpoints, and how word of it reaches the couriers.
 type directory struct {
 	sim     *Sim
-	entries map[logic.EndpointID]logic.Listing
+	entries map[dispatch.EndpointID]dispatch.Listing
 	down    bool
 	pending []func() // what could not be told while it was down
 }
 
 func newDirectory(s *Sim) *directory {
-	d := &directory{sim: s, entries: map[logic.EndpointID]logic.Listing{}}
+	d := &directory{sim: s, entries: map[dispatch.EndpointID]dispatch.Listing{}}
 	for _, l := range s.w.List() {
 		d.entries[l.Endpoint] = l
 	}
 	return d
 }
 
-func (d *directory) all() map[logic.EndpointID]logic.Listing { return maps.Clone(d.entries) }
+func (d *directory) all() map[dispatch.EndpointID]dispatch.Listing { return maps.Clone(d.entries) }
 
 // change notes that an entry changed, and tells whoever is told by itself or watches.
-func (d *directory) change(dest int, e partner.Endpoint, phase logic.Phase) {
+func (d *directory) change(dest int, e endpointmodel.Endpoint, phase dispatch.Phase) {
 	l := d.sim.w.Listing(dest, e.ID, e.Zone, phase)
-	if phase == logic.Gone {
+	if phase == dispatch.Gone {
 		delete(d.entries, e.ID)
 	} else {
 		d.entries[e.ID] = l
@@ -40,7 +40,7 @@
 }
 
 // notify tells one courier of one change, in the order of changes.
-func (d *directory) notify(c *courier, l logic.Listing) {
+func (d *directory) notify(c *courier, l dispatch.Listing) {
 	if d.down {
 		d.pending = append(d.pending, func() { d.notify(c, l) })
 		return
@@ -53,20 +53,20 @@
 		case d.down: // it went down meanwhile
 			d.pending = append(d.pending, func() { d.notify(c, l) })
 		default:
-			d.hear(c, logic.Partial, []logic.Listing{l})
+			d.hear(c, dispatch.Partial, []dispatch.Listing{l})
 		}
 	})
 }
 
 // hear hands news to a courier.
-func (d *directory) hear(c *courier, how logic.ListKind, entries []logic.Listing) {
+func (d *directory) hear(c *courier, how dispatch.ListKind, entries []dispatch.Listing) {
 	s := d.sim
 	before := c.told
-	if how == logic.Complete {
-		c.told = map[logic.EndpointID]logic.Listing{}
+	if how == dispatch.Complete {
+		c.told = map[dispatch.EndpointID]dispatch.Listing{}
 	}
 	for _, l := range entries {
-		if l.Phase == logic.Gone {
+		if l.Phase == dispatch.Gone {
 			delete(c.told, l.Endpoint)
 		} else {
 			c.told[l.Endpoint] = l
@@ -75,26 +75,26 @@
 	}
 	for id := range before { // what is missing in a whole list is gone
 		if _, listed := c.told[id]; !listed {
-			s.books.Told(s.now, c.no, id, logic.Gone)
+			s.books.Told(s.now, c.no, id, dispatch.Gone)
 		}
 	}
-	s.tell(c, logic.ListNews{How: how, Entries: entries})
+	s.tell(c, dispatch.ListNews{How: how, Entries: entries})
 }
 
 // fetch answers a courier that asks for the list, or that is told by itself from its start on.
 func (d *directory) fetch(c *courier) {
 	s, life := d.sim, c.life
 	r := s.w.Day.Directory.Call
-	s.after(s.now+s.between(day.Range{r[0] / 1000, r[1] / 1000}), func() {
+	s.after(s.now+s.between(scenario.Range{r[0] / 1000, r[1] / 1000}), func() {
 		switch {
 		case c.life != life || !c.alive:
 		case d.down && s.w.Day.Directory.Mode == "ask":
-			s.tell(c, logic.ListNews{How: logic.ListError})
+			s.tell(c, dispatch.ListNews{How: dispatch.ListError})
 		case d.down:
 			d.pending = append(d.pending, func() { d.fetch(c) })
 		default:
 			c.watching = true
-			d.hear(c, logic.Complete, inOrder(d.entries))
+			d.hear(c, dispatch.Complete, inOrder(d.entries))
 		}
 	})
 }
@@ -108,7 +108,7 @@
 	for _, c := range d.sim.couriers {
 		if c.watching {
 			c.watching = false
-			d.sim.tell(c, logic.ListNews{How: logic.ListError})
+			d.sim.tell(c, dispatch.ListNews{How: dispatch.ListError})
 		}
 	}
 }
--- a/lab/sim/golden_test.go
+++ b/testbed/simulation/golden_test.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"crypto/sha256"
@@ -8,41 +8,41 @@
 	"sync"
 	"testing"
 
-	"pineport/lab/day"
-	"pineport/lab/golden"
-	"pineport/logic"
+	"pineport/dispatch"
+	"pineport/testbed/golden"
+	"pineport/testbed/scenario"
 )
 
 // digestingDecider adds each action, in order and in full, to a digest that names no type and no field of the program.
 type digestingDecider struct {
-	*logic.Courier
+	*dispatch.Courier
 	digest  hash.Hash
 	number  int
 	actions *int
 }
 
 // Handle implements Decider.
-func (d *digestingDecider) Handle(now logic.Micros, events []logic.Event) []logic.Action {
+func (d *digestingDecider) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
 	actions := d.Courier.Handle(now, events)
 	for _, action := range actions {
 		*d.actions++
 		fmt.Fprintf(d.digest, "%d %d ", now, d.number)
 		switch a := action.(type) {
-		case logic.Send:
+		case dispatch.Send:
 			fmt.Fprintf(d.digest, "1 %q %q %d\n", a.Record, a.Endpoint, a.Limit)
-		case logic.Cancel:
+		case dispatch.Cancel:
 			fmt.Fprintf(d.digest, "2 %q %d\n", a.Record, a.Trip)
-		case logic.Bounce:
+		case dispatch.Bounce:
 			fmt.Fprintf(d.digest, "3 %q %d\n", a.Record, a.Pause)
-		case logic.Terminate:
+		case dispatch.Terminate:
 			fmt.Fprintf(d.digest, "4 %q\n", a.Record)
-		case logic.Wake:
+		case dispatch.Wake:
 			fmt.Fprintf(d.digest, "5 %d\n", a.At)
-		case logic.CloseIdle:
+		case dispatch.CloseIdle:
 			fmt.Fprintf(d.digest, "6 %q\n", a.Endpoint)
-		case logic.Watch:
+		case dispatch.Watch:
 			fmt.Fprintf(d.digest, "7\n")
-		case logic.Note:
+		case dispatch.Note:
 			fmt.Fprintf(d.digest, "8 %q\n", a.Text)
 		default:
 			panic(fmt.Sprintf("an action without a number: %T", action))
@@ -66,7 +66,7 @@
 		firstDrawn = 1001
 	)
 	var drawn []string
-	for _, name := range day.BuiltIn() {
+	for _, name := range scenario.BuiltIn() {
 		if name == fullSize {
 			continue
 		}
@@ -85,7 +85,7 @@
 
 // digest plays a day with what couriers keep over restarts, and with shared limits on the day that is about these.
 func (p goldenPlay) digest() (string, error) {
-	d, err := day.Find(p.day)
+	d, err := scenario.Find(p.day)
 	if err != nil {
 		return "", err
 	}
@@ -94,8 +94,8 @@
 		options.Share = Share{Beat: 500 * 1000, Loss: 0.1}
 	}
 	digest, actions := sha256.New(), 0
-	_, _, err = Play(day.Draw(d, p.seed), NewLocal(func(number int, ch logic.Charter) Decider {
-		return &digestingDecider{logic.New(ch), digest, number, &actions}
+	_, _, err = Play(scenario.Draw(d, p.seed), NewLocal(func(number int, ch dispatch.Charter) Decider {
+		return &digestingDecider{dispatch.New(ch), digest, number, &actions}
 	}), options)
 	return fmt.Sprintf("%s %d %d %x", p.day, p.seed, actions, digest.Sum(nil)[:16]), err
 }
--- a/lab/sim/host.go
+++ b/testbed/simulation/host.go
@@ -1,32 +1,32 @@
-package sim
+package simulation
 
 import (
 	"fmt"
 	"runtime/debug"
 
-	"pineport/logic"
+	"pineport/dispatch"
 )
 
 // Batch is what happened to one courier since its last turn.
 type Batch struct {
 	Courier int
-	Events  []logic.Event
+	Events  []dispatch.Event
 }
 
 // Host runs the decisions of all couriers.
 type Host interface {
 	// Start begins a courier that knows nothing.
-	Start(courier int, ch logic.Charter, settings map[string]string) error
+	Start(courier int, ch dispatch.Charter, settings map[string]string) error
 	// Kill ends one.
 	Kill(courier int)
 	// Turn hands over what happened, and returns what each courier wants done, in the order of the batches.
-	Turn(now logic.Micros, batches []Batch) ([][]logic.Action, error)
+	Turn(now dispatch.Micros, batches []Batch) ([][]dispatch.Action, error)
 	Close() error
 }
 
-// Decider is the decisions of one courier, as logic.Courier.
+// Decider is the decisions of one courier, as dispatch.Courier.
 type Decider interface {
-	Handle(now logic.Micros, events []logic.Event) []logic.Action
+	Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action
 }
 
 // CourierFault is a courier whose decisions failed.
@@ -39,20 +39,20 @@
 
 // Local runs the decisions in this process.
 type Local struct {
-	make     func(courier int, ch logic.Charter) Decider
+	make     func(courier int, ch dispatch.Charter) Decider
 	couriers map[int]Decider
 }
 
 // NewLocal hosts what make returns; nil stands for the module as it is.
-func NewLocal(make func(courier int, ch logic.Charter) Decider) *Local {
+func NewLocal(make func(courier int, ch dispatch.Charter) Decider) *Local {
 	if make == nil {
-		make = func(_ int, ch logic.Charter) Decider { return logic.New(ch) }
+		make = func(_ int, ch dispatch.Charter) Decider { return dispatch.New(ch) }
 	}
 	return &Local{make, map[int]Decider{}}
 }
 
 // Start implements Host.
-func (l *Local) Start(courier int, ch logic.Charter, _ map[string]string) error {
+func (l *Local) Start(courier int, ch dispatch.Charter, _ map[string]string) error {
 	l.couriers[courier] = l.make(courier, ch)
 	return nil
 }
@@ -64,7 +64,7 @@
 func (l *Local) Close() error { return nil }
 
 // Turn implements Host.
-func (l *Local) Turn(now logic.Micros, batches []Batch) (all [][]logic.Action, err error) {
+func (l *Local) Turn(now dispatch.Micros, batches []Batch) (all [][]dispatch.Action, err error) {
 	at := 0
 	defer func() {
 		if fault := recover(); fault != nil {
--- a/lab/sim/commons.go
+++ b/testbed/simulation/quota.go
@@ -1,15 +1,15 @@
-package sim
+package simulation
 
 import (
 	"fmt"
 
-	"pineport/commons"
-	"pineport/logic"
+	"pineport/dispatch"
+	"pineport/quota"
 )
 
 // Share is how couriers share limits, in virtual time; a Beat of 0: they do not. Membership is as if every courier knew at once who runs.
 type Share struct {
-	Beat logic.Micros
+	Beat dispatch.Micros
 	Deaf float64 // share of the couriers that hear nothing, and are heard
 	Loss float64 // share of the packets that are lost
 }
@@ -21,14 +21,14 @@
 )
 
 // commune has a courier that begins share limits; an earlier start may have lent half of each of its parts.
-func (s *Sim) commune(c *courier, ch logic.Charter) logic.Charter {
+func (s *Sim) commune(c *courier, ch dispatch.Charter) dispatch.Charter {
 	if s.Share.Beat <= 0 {
 		return ch
 	}
-	c.commons = commons.New(s.now, commons.Terms{Self: nameOf(c.no), Start: uint64(c.life), Couriers: ch.Couriers, Salt: int64(s.rng.Uint64() >> 1)})
+	c.commons = quota.New(s.now, quota.Terms{Self: nameOf(c.no), Start: uint64(c.life), Couriers: ch.Couriers, Salt: int64(s.rng.Uint64() >> 1)})
 	life := c.life
-	s.after(s.now+logic.Micros(s.rng.Int64N(int64(s.Share.Beat))), func() { s.beat(c, life) })
-	ch.LentTo = s.now + commons.Held
+	s.after(s.now+dispatch.Micros(s.rng.Int64N(int64(s.Share.Beat))), func() { s.beat(c, life) })
+	ch.LentTo = s.now + quota.Held
 	return ch
 }
 
@@ -43,34 +43,34 @@
 	if !ok || s.now < c.standsTo {
 		return
 	}
-	d, ok := local.Courier(c.no).(interface{ Needs() []logic.Need })
+	d, ok := local.Courier(c.no).(interface{ Needs() []dispatch.Need })
 	if !ok {
 		return
 	}
-	fleet := commons.Fleet{Couriers: len(s.couriers)}
+	fleet := quota.Fleet{Couriers: len(s.couriers)}
 	for _, o := range s.couriers {
 		if o != c && o.alive {
 			fleet.Alive = append(fleet.Alive, nameOf(o.no))
 		}
 	}
-	s.commons(c, fleet, commons.Told(d.Needs()), commons.Beat{})
+	s.commons(c, fleet, quota.Told(d.Needs()), quota.Beat{})
 }
 
-func (s *Sim) commons(c *courier, events ...commons.Event) {
+func (s *Sim) commons(c *courier, events ...quota.Event) {
 	for _, action := range c.commons.Handle(s.now, events...) {
 		switch a := action.(type) {
-		case commons.Share:
-			e := commons.Settled(a.Parts, func(t logic.Micros) logic.Micros { return t }) // one clock
+		case quota.Share:
+			e := quota.Settled(a.Parts, func(t dispatch.Micros) dispatch.Micros { return t }) // one clock
 			if len(e.Parts) > 0 {
 				s.tell(c, e)
 			}
-		case commons.Say:
+		case quota.Say:
 			s.say(a)
 		}
 	}
 }
 
-func (s *Sim) say(a commons.Say) {
+func (s *Sim) say(a quota.Say) {
 	var no int
 	if _, err := fmt.Sscanf(a.To, "n%d", &no); err != nil || no >= len(s.couriers) {
 		return
@@ -81,9 +81,9 @@
 	}
 	to := s.couriers[no]
 	life := to.life
-	s.after(s.now+packetLeast+logic.Micros(s.rng.Int64N(packetMost-packetLeast)), func() {
+	s.after(s.now+packetLeast+dispatch.Micros(s.rng.Int64N(packetMost-packetLeast)), func() {
 		if to.alive && to.life == life && s.now >= to.standsTo {
-			s.commons(to, commons.Heard{Words: a.Words})
+			s.commons(to, quota.Heard{Words: a.Words})
 		}
 	})
 }
--- a/lab/sim/restarts_test.go
+++ b/testbed/simulation/restarts_test.go
@@ -1,22 +1,22 @@
-package sim
+package simulation
 
 import (
 	"os"
 	"testing"
 
-	"pineport/lab/day"
-	"pineport/logic"
+	"pineport/dispatch"
+	"pineport/testbed/scenario"
 )
 
 // readDay reads a day of testdata.
-func readDay(t *testing.T, name string) *day.Day {
+func readDay(t *testing.T, name string) *scenario.Day {
 	t.Helper()
 	file := "testdata/" + name + ".toml"
 	text, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := day.Read(file, text)
+	d, err := scenario.Read(file, text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,15 +31,15 @@
 
 // foundAtRestarts are messages with an idempotency key that restarts found, and how often such a one was sent afterwards.
 type foundAtRestarts struct {
-	window                            logic.Micros
-	workloads                         map[logic.WorkloadID]bool // those with an idempotency key
-	untried, within, over             map[logic.RecordID]bool
+	window                            dispatch.Micros
+	workloads                         map[dispatch.WorkloadID]bool // those with an idempotency key
+	untried, within, over             map[dispatch.RecordID]bool
 	sentUntried, sentWithin, sentOver int
 }
 
-func newFoundAtRestarts(window logic.Micros, keyed ...logic.WorkloadID) *foundAtRestarts {
-	f := &foundAtRestarts{window: window, workloads: map[logic.WorkloadID]bool{}, untried: map[logic.RecordID]bool{},
-		within: map[logic.RecordID]bool{}, over: map[logic.RecordID]bool{}}
+func newFoundAtRestarts(window dispatch.Micros, keyed ...dispatch.WorkloadID) *foundAtRestarts {
+	f := &foundAtRestarts{window: window, workloads: map[dispatch.WorkloadID]bool{}, untried: map[dispatch.RecordID]bool{},
+		within: map[dispatch.RecordID]bool{}, over: map[dispatch.RecordID]bool{}}
 	for _, w := range keyed {
 		f.workloads[w] = true
 	}
@@ -47,14 +47,14 @@
 }
 
 // found sorts a message that a restart found.
-func (f *foundAtRestarts) found(now logic.Micros, e logic.Recovered) {
+func (f *foundAtRestarts) found(now dispatch.Micros, e dispatch.Recovered) {
 	delete(f.untried, e.Record)
 	delete(f.within, e.Record)
 	if !f.workloads[e.Workload] {
 		return
 	}
 	for _, p := range e.Trips {
-		if p.Outcome == logic.Full || p.Outcome == logic.Unreachable || p.Outcome == logic.Void {
+		if p.Outcome == dispatch.Full || p.Outcome == dispatch.Unreachable || p.Outcome == dispatch.Void {
 			continue
 		}
 		if now >= p.Sent+f.window {
@@ -67,7 +67,7 @@
 	f.untried[e.Record] = true
 }
 
-func (f *foundAtRestarts) sent(id logic.RecordID) {
+func (f *foundAtRestarts) sent(id dispatch.RecordID) {
 	switch {
 	case f.over[id]:
 		f.sentOver++
@@ -79,15 +79,15 @@
 }
 
 // Handle implements Decider.
-func (r *recoveries) Handle(now logic.Micros, events []logic.Event) []logic.Action {
+func (r *recoveries) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
 	for _, event := range events {
-		if e, ok := event.(logic.Recovered); ok {
+		if e, ok := event.(dispatch.Recovered); ok {
 			r.seen.found(now, e)
 		}
 	}
 	actions := r.Decider.Handle(now, events)
 	for _, action := range actions {
-		if a, ok := action.(logic.Send); ok {
+		if a, ok := action.(dispatch.Send); ok {
 			r.seen.sent(a.Record)
 		}
 	}
@@ -103,10 +103,10 @@
 	)
 	var untried, within, over, sentUntried, sentWithin, sentOver int
 	for seed := int64(1); seed <= seeds; seed++ {
-		w := day.Draw(readDay(t, "restarts"), seed)
+		w := scenario.Draw(readDay(t, "restarts"), seed)
 		found := newFoundAtRestarts(window, 0, 1)
-		v, _, err := Play(w, NewLocal(func(_ int, ch logic.Charter) Decider {
-			return &recoveries{logic.New(ch), found}
+		v, _, err := Play(w, NewLocal(func(_ int, ch dispatch.Charter) Decider {
+			return &recoveries{dispatch.New(ch), found}
 		}), Options{Spool: true})
 		if err != nil {
 			t.Fatal(err)
--- a/lab/sim/returns_test.go
+++ b/testbed/simulation/returns_test.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"maps"
@@ -6,8 +6,8 @@
 	"slices"
 	"testing"
 
-	"pineport/lab/day"
-	"pineport/logic"
+	"pineport/dispatch"
+	"pineport/testbed/scenario"
 )
 
 // outageKinds are the ways in which a destination may fail as a whole; the seeds of a fleet take them by turns.
@@ -34,18 +34,18 @@
 
 // fleetCall is one call of one courier, as far as it weighs on a cold destination.
 type fleetCall struct {
-	at      logic.Micros
+	at      dispatch.Micros
 	courier int
 	knowing bool // its courier had seen a call fail or be refused in the outage
 }
 
 // watchedRoute is what shares one return: a destination, or one of its endpoints where they are routes apart.
 type watchedRoute struct {
-	plan      *day.Destination
+	plan      *scenario.Destination
 	endpoints int
-	out, cold logic.Micros // when its outage began, and when it came back; out 0: it had none
-	knowing   map[int]bool // the couriers that had seen the outage
-	window    []fleetCall  // the calls of the last span, of the whole fleet
+	out, cold dispatch.Micros // when its outage began, and when it came back; out 0: it had none
+	knowing   map[int]bool    // the couriers that had seen the outage
+	window    []fleetCall     // the calls of the last span, of the whole fleet
 	worst     windowLoad
 	pushed    bool       // some span had too many calls, and they came from couriers that knew
 	worstSlow windowLoad // against the slow start budget
@@ -57,7 +57,7 @@
 type windowLoad struct {
 	calls, knowing int
 	budget         float64
-	sinceCold      logic.Micros
+	sinceCold      dispatch.Micros
 }
 
 func (w windowLoad) ratio() float64 { return float64(w.calls) / max(w.budget, 1e-9) }
@@ -67,7 +67,7 @@
 func (w windowLoad) known() bool { return float64(w.knowing) >= knowingShare*float64(w.calls) }
 
 // count adds a call at an instant of the ramp, and keeps the fullest span.
-func (r *watchedRoute) count(now logic.Micros, courier int) {
+func (r *watchedRoute) count(now dispatch.Micros, courier int) {
 	plan := &r.plan.Plan
 	if r.out == 0 || now < r.cold || now >= r.cold+plan.Ramp {
 		return
@@ -101,14 +101,14 @@
 // It sees what the couriers are told and what they do, and nothing of the model of the destinations.
 type returnCounter struct {
 	Host
-	routes   map[logic.EndpointID]*watchedRoute
-	attempts map[int]map[logic.RecordID][]logic.EndpointID // by courier: where each attempt of a message went
+	routes   map[dispatch.EndpointID]*watchedRoute
+	attempts map[int]map[dispatch.RecordID][]dispatch.EndpointID // by courier: where each attempt of a message went
 }
 
 // newReturnCounter watches the returns of a day on which each route has one outage at most.
-func newReturnCounter(w *day.Drawn, host Host) *returnCounter {
-	c := &returnCounter{Host: host, routes: map[logic.EndpointID]*watchedRoute{},
-		attempts: map[int]map[logic.RecordID][]logic.EndpointID{}}
+func newReturnCounter(w *scenario.Drawn, host Host) *returnCounter {
+	c := &returnCounter{Host: host, routes: map[dispatch.EndpointID]*watchedRoute{},
+		attempts: map[int]map[dispatch.RecordID][]dispatch.EndpointID{}}
 	for i := range w.Destinations {
 		d := &w.Destinations[i]
 		var route *watchedRoute
@@ -122,9 +122,9 @@
 	}
 	for _, a := range w.Acts {
 		switch a.Kind {
-		case day.Begins:
+		case scenario.Begins:
 			c.routes[a.Endpoint.ID].out = a.At
-		case day.Ends:
+		case scenario.Ends:
 			c.routes[a.Endpoint.ID].cold = a.At
 		}
 	}
@@ -132,13 +132,13 @@
 }
 
 // Start implements Host.
-func (c *returnCounter) Start(courier int, ch logic.Charter, settings map[string]string) error {
-	c.attempts[courier] = map[logic.RecordID][]logic.EndpointID{}
+func (c *returnCounter) Start(courier int, ch dispatch.Charter, settings map[string]string) error {
+	c.attempts[courier] = map[dispatch.RecordID][]dispatch.EndpointID{}
 	return c.Host.Start(courier, ch, settings)
 }
 
 // Turn implements Host.
-func (c *returnCounter) Turn(now logic.Micros, batches []Batch) ([][]logic.Action, error) {
+func (c *returnCounter) Turn(now dispatch.Micros, batches []Batch) ([][]dispatch.Action, error) {
 	all, err := c.Host.Turn(now, batches)
 	for i := range all {
 		c.sent(now, batches[i].Courier, all[i])
@@ -158,10 +158,10 @@
 }
 
 // learned notes who has seen an outage while it lasts.
-func (c *returnCounter) learned(now logic.Micros, b Batch) {
+func (c *returnCounter) learned(now dispatch.Micros, b Batch) {
 	for _, event := range b.Events {
-		e, ok := event.(logic.Settled)
-		if !ok || e.Outcome == logic.Done || e.Outcome == logic.Void || e.Outcome == logic.Withdrawn {
+		e, ok := event.(dispatch.Settled)
+		if !ok || e.Outcome == dispatch.Done || e.Outcome == dispatch.Void || e.Outcome == dispatch.Withdrawn {
 			continue
 		}
 		r := c.routes[c.attempts[b.Courier][e.Record][e.Trip]]
@@ -172,10 +172,10 @@
 }
 
 // sent counts the calls of one turn: messages for one endpoint go together, as many as its kind takes.
-func (c *returnCounter) sent(now logic.Micros, courier int, actions []logic.Action) {
-	messages := map[logic.EndpointID]int{}
+func (c *returnCounter) sent(now dispatch.Micros, courier int, actions []dispatch.Action) {
+	messages := map[dispatch.EndpointID]int{}
 	for _, action := range actions {
-		a, ok := action.(logic.Send)
+		a, ok := action.(dispatch.Send)
 		if !ok {
 			continue
 		}
@@ -195,22 +195,22 @@
 }
 
 // returnsDay is the day of testdata/returns.toml for a fleet, with one kind of outage.
-func returnsDay(t *testing.T, seed int64, couriers int, rules rampRules) *day.Drawn {
+func returnsDay(t *testing.T, seed int64, couriers int, rules rampRules) *scenario.Drawn {
 	t.Helper()
 	d := readDay(t, "returns")
 	d.Fleet.Couriers = couriers
 	d.Rules.ColdFrom, d.Rules.Fall, d.Rules.FallSpan = rules.coldFrom, rules.multiple, rules.span
 	outage := &d.Troubles[0]
 	if outage.Kind = outageKind(seed); outage.Kind == "errors" {
-		outage.Size = day.Range{1, 1}
+		outage.Size = scenario.Range{1, 1}
 	}
-	return day.Draw(d, seed)
+	return scenario.Draw(d, seed)
 }
 
 func outageKind(seed int64) string { return outageKinds[int(seed)%len(outageKinds)] }
 
 // neverFalls is the same day with destinations that take any load, so that each return is counted to its end.
-func neverFalls(w *day.Drawn) *day.Drawn {
+func neverFalls(w *scenario.Drawn) *scenario.Drawn {
 	all := *w
 	all.Destinations = slices.Clone(w.Destinations)
 	for i := range all.Destinations {
@@ -264,7 +264,7 @@
 	}
 }
 
-func playReturns(t *testing.T, seeds int64, couriers int, rules rampRules, decide func(int, logic.Charter) Decider) (f fleetReturns) {
+func playReturns(t *testing.T, seeds int64, couriers int, rules rampRules, decide func(int, dispatch.Charter) Decider) (f fleetReturns) {
 	t.Helper()
 	for seed := int64(1); seed <= seeds; seed++ {
 		w := returnsDay(t, seed, couriers, rules)
@@ -322,8 +322,8 @@
 
 // TestReturnCounterSeesAPush: couriers that heed no return are caught by the count of TestFleetReturns.
 func TestReturnCounterSeesAPush(t *testing.T) {
-	f := playReturns(t, 2, 20, rampRules{coldFrom: 0.13, multiple: 2.5, span: 2}, func(_ int, ch logic.Charter) Decider {
-		return &eager{ch: ch, list: map[logic.DestID][]logic.EndpointID{}, dest: map[logic.RecordID]logic.Taken{}}
+	f := playReturns(t, 2, 20, rampRules{coldFrom: 0.13, multiple: 2.5, span: 2}, func(_ int, ch dispatch.Charter) Decider {
+		return &eager{ch: ch, list: map[dispatch.DestID][]dispatch.EndpointID{}, dest: map[dispatch.RecordID]dispatch.Taken{}}
 	})
 	if f.pushed == 0 {
 		t.Error("no return counts as pushed over")
--- a/lab/sim/sim.go
+++ b/testbed/simulation/simulation.go
@@ -1,7 +1,7 @@
-// Package sim plays a day in virtual time: clients, network, directory and partners are models, the couriers' decisions
+// Package simulation plays a day in virtual time: clients, network, directory and partners are models, the couriers' decisions
 // are the real ones. One goroutine, no clock: an event's instant is the only time there is, and the same day against the
 // same decisions gives the same outcome to the last record.
-package sim
+package simulation
 
 import (
 	"container/heap"
@@ -10,10 +10,10 @@
 	"math/rand/v2"
 
 	"pineport/config"
-	"pineport/lab/day"
-	"pineport/lab/ledger"
-	"pineport/lab/partner"
-	"pineport/logic"
+	"pineport/dispatch"
+	"pineport/testbed/endpointmodel"
+	"pineport/testbed/invariants"
+	"pineport/testbed/scenario"
 )
 
 // Stats tells what a run cost.
@@ -26,48 +26,48 @@
 
 // Sim is a day being played.
 type Sim struct {
-	w        *day.Drawn
-	books    *ledger.Ledger
+	w        *scenario.Drawn
+	books    *invariants.Ledger
 	host     Host
 	rng      *rand.Rand
-	now      logic.Micros
-	tick     logic.Micros
+	now      dispatch.Micros
+	tick     dispatch.Micros
 	queue    queue
 	seq      int
 	partners []*site
-	at       map[logic.EndpointID]*spot
+	at       map[dispatch.EndpointID]*spot
 	couriers []*courier
-	turns    map[logic.Micros][]*courier // who has something to be told, by tick
+	turns    map[dispatch.Micros][]*courier // who has something to be told, by tick
 	listed   *directory
 	calls    uint64
 	taken    int              // messages, by all couriers
 	flying   map[uint64]*call // those whose endpoint may still answer
 	stats    Stats
 	err      error
-	lores    map[int]logic.Lore
+	lores    map[int]dispatch.Lore
 	Options
 }
 
 // site is a partner and when it was last asked to be stepped.
 type site struct {
-	*partner.Partner
-	dueAt logic.Micros
+	*endpointmodel.Partner
+	dueAt dispatch.Micros
 }
 
 // spot is an endpoint that ever was.
 type spot struct {
 	dest     int
-	endpoint partner.Endpoint
+	endpoint endpointmodel.Endpoint
 	route    int
 }
 
 // Options are how a day is played.
 type Options struct {
 	// Watch is called every half second of virtual time.
-	Watch func(now logic.Micros)
+	Watch func(now dispatch.Micros)
 	// Lore is how often each courier's lore is kept for its next start, as a file would; 0: never. At a planned end it is
 	// kept last.
-	Lore logic.Micros
+	Lore dispatch.Micros
 	// Spool has what a killed courier held come back to it at its next start, as its folder would; else its clients hand it
 	// in anew.
 	Spool bool
@@ -76,18 +76,18 @@
 }
 
 // Play plays a day.
-func Play(w *day.Drawn, host Host, o Options) (*ledger.Verdict, Stats, error) {
-	setup := ledger.ForDay(w)
+func Play(w *scenario.Drawn, host Host, o Options) (*invariants.Verdict, Stats, error) {
+	setup := invariants.ForDay(w)
 	if o.Spool { // what fell due while a courier was down is answered in its first turn
 		setup.Excused = config.Micros(w.Day.Fleet.Tick/1000) + setup.AnswerSlack
 	}
-	s := &Sim{w: w, books: ledger.New(setup), host: host, rng: rand.New(rand.NewPCG(uint64(w.Seed), 77)),
-		tick: config.Micros(w.Day.Fleet.Tick / 1000), at: map[logic.EndpointID]*spot{}, turns: map[logic.Micros][]*courier{},
-		flying: map[uint64]*call{}, lores: map[int]logic.Lore{}, Options: o}
+	s := &Sim{w: w, books: invariants.New(setup), host: host, rng: rand.New(rand.NewPCG(uint64(w.Seed), 77)),
+		tick: config.Micros(w.Day.Fleet.Tick / 1000), at: map[dispatch.EndpointID]*spot{}, turns: map[dispatch.Micros][]*courier{},
+		flying: map[uint64]*call{}, lores: map[int]dispatch.Lore{}, Options: o}
 	s.listed = newDirectory(s)
 	for i := range w.Destinations {
-		p := partner.New(w.Destinations[i].Plan)
-		s.partners = append(s.partners, &site{p, partner.Never})
+		p := endpointmodel.New(w.Destinations[i].Plan)
+		s.partners = append(s.partners, &site{p, endpointmodel.Never})
 		for _, e := range w.Destinations[i].Endpoints {
 			s.at[e.ID] = &spot{i, e, p.Route(e.ID)}
 		}
@@ -106,7 +106,7 @@
 	}
 	if o.Lore > 0 {
 		for i, c := range s.couriers {
-			s.after(o.Lore*logic.Micros(i)/logic.Micros(len(s.couriers)), func() { s.keepLore(c) })
+			s.after(o.Lore*dispatch.Micros(i)/dispatch.Micros(len(s.couriers)), func() { s.keepLore(c) })
 		}
 	}
 	for s.err == nil && len(s.queue) > 0 && s.queue[0].at <= w.End {
@@ -131,7 +131,7 @@
 
 func (s *Sim) takeLore(c *courier) {
 	if local, ok := s.host.(*Local); ok && c.alive {
-		if d, ok := local.Courier(c.no).(interface{ Lore() logic.Lore }); ok {
+		if d, ok := local.Courier(c.no).(interface{ Lore() dispatch.Lore }); ok {
 			s.lores[c.no] = d.Lore()
 		}
 	}
@@ -139,60 +139,60 @@
 
 func (s *Sim) look() {
 	s.Watch(s.now)
-	s.after(s.now+ledger.Bin, s.look)
+	s.after(s.now+invariants.Bin, s.look)
 }
 
 // after lets something happen at an instant.
-func (s *Sim) after(at logic.Micros, do func()) {
+func (s *Sim) after(at dispatch.Micros, do func()) {
 	s.seq++
 	heap.Push(&s.queue, event{max(at, s.now), s.seq, do})
 }
 
 // act is something that happens by itself.
-func (s *Sim) act(a day.Act) {
+func (s *Sim) act(a scenario.Act) {
 	switch a.Kind {
-	case day.Begins:
+	case scenario.Begins:
 		s.came(a.Dest, s.partners[a.Dest].Strike(s.now, a.Endpoint.ID, a.Strike))
-	case day.Ends:
+	case scenario.Ends:
 		s.came(a.Dest, s.partners[a.Dest].Heal(s.now, a.Endpoint.ID, a.Strike.ID))
-	case day.Adds:
+	case scenario.Adds:
 		s.partners[a.Dest].Add(a.Endpoint)
 		s.at[a.Endpoint.ID] = &spot{a.Dest, a.Endpoint, s.partners[a.Dest].Route(a.Endpoint.ID)}
-		s.listed.change(a.Dest, a.Endpoint, logic.In)
-	case day.Drains:
-		s.listed.change(a.Dest, a.Endpoint, logic.Draining)
-	case day.Removes:
+		s.listed.change(a.Dest, a.Endpoint, dispatch.In)
+	case scenario.Drains:
+		s.listed.change(a.Dest, a.Endpoint, dispatch.Draining)
+	case scenario.Removes:
 		s.came(a.Dest, s.partners[a.Dest].Remove(s.now, a.Endpoint.ID))
-		s.listed.change(a.Dest, a.Endpoint, logic.Gone)
-	case day.Kills:
+		s.listed.change(a.Dest, a.Endpoint, dispatch.Gone)
+	case scenario.Kills:
 		s.kill(s.couriers[a.Courier])
-	case day.Asks:
+	case scenario.Asks:
 		s.ask(s.couriers[a.Courier], a.Span)
-	case day.Starts:
+	case scenario.Starts:
 		s.start(s.couriers[a.Courier])
-	case day.Stands:
+	case scenario.Stands:
 		c := s.couriers[a.Courier]
 		c.standsTo = max(c.standsTo, s.now+a.Span)
 		s.books.Stood(s.now, c.no, c.standsTo+s.tick)
-	case day.ListDown:
+	case scenario.ListDown:
 		s.listed.goDown()
-	case day.ListUp:
+	case scenario.ListUp:
 		s.listed.comeUp()
 	}
 }
 
 // came takes in what came of something done to a partner, and sees to it that it is stepped when it is due.
-func (s *Sim) came(dest int, outs []partner.Output) {
+func (s *Sim) came(dest int, outs []endpointmodel.Output) {
 	for _, o := range outs {
 		switch o := o.(type) {
-		case partner.Answer:
+		case endpointmodel.Answer:
 			s.answered(o)
-		case partner.Ran:
+		case endpointmodel.Ran:
 			s.books.Ran(s.now, o.Item.Record, o.Endpoint, o.Before, o.Known)
-		case partner.Fell:
-			s.books.Fell(s.now, logic.DestID(dest), o.Route, o.Sent)
-		case partner.Turned:
-			s.books.Turned(s.now, logic.DestID(dest), o.Route, o.Phase == partner.Out)
+		case endpointmodel.Fell:
+			s.books.Fell(s.now, dispatch.DestID(dest), o.Route, o.Sent)
+		case endpointmodel.Turned:
+			s.books.Turned(s.now, dispatch.DestID(dest), o.Route, o.Phase == endpointmodel.Out)
 		}
 	}
 	p := s.partners[dest]
@@ -202,17 +202,17 @@
 	}
 }
 
-func (s *Sim) step(dest int, due logic.Micros) {
+func (s *Sim) step(dest int, due dispatch.Micros) {
 	p := s.partners[dest]
 	if p.dueAt != due {
 		return // it was asked for earlier since
 	}
-	p.dueAt = partner.Never
+	p.dueAt = endpointmodel.Never
 	s.came(dest, p.Step(s.now))
 }
 
 // way is how long something takes between a courier and an endpoint.
-func (s *Sim) way(a, b logic.ZoneID) logic.Micros {
+func (s *Sim) way(a, b dispatch.ZoneID) dispatch.Micros {
 	r := s.w.Day.Network.Same
 	if a != b {
 		r = s.w.Day.Network.Cross
@@ -220,7 +220,7 @@
 	return config.Micros((r[0] + (r[1]-r[0])*s.rng.Float64()) / 1000)
 }
 
-func (s *Sim) between(r day.Range) logic.Micros {
+func (s *Sim) between(r scenario.Range) dispatch.Micros {
 	return config.Micros(r[0] + (r[1]-r[0])*s.rng.Float64())
 }
 
@@ -232,7 +232,7 @@
 
 // event is something that happens at an instant; those of one instant happen in the order in which they were set.
 type event struct {
-	at  logic.Micros
+	at  dispatch.Micros
 	seq int
 	do  func()
 }
--- a/lab/slopes/slopes.go
+++ b/testbed/slopes/slopes.go
@@ -1,5 +1,5 @@
 // Package slopes holds what scale runs measured and how it grows: points, the curves fitted to them with their spread, and
-// the file that keeps both, docs/capacity/measured.json. It measures nothing itself; lab/scale writes, lab/capacity reads.
+// the file that keeps both, docs/capacity/measured.json. It measures nothing itself; testbed/scale writes, testbed/capacity reads.
 package slopes
 
 import (
@@ -26,7 +26,7 @@
 
 // Run is one scale run as it was played last.
 type Run struct {
-	Name     string  `json:"name"`               // as in pinelab scale NAME
+	Name     string  `json:"name"`               // as in pineport-testbed scale NAME
 	About    string  `json:"about"`              // what was played, in one sentence
 	Command  string  `json:"command"`            // the command line that repeats it
 	Commit   string  `json:"commit"`             // of the program measured; "+" at its end: with changes not committed
--- a/lab/wirehost/host.go
+++ b/testbed/wirehost/host.go
@@ -1,5 +1,5 @@
 // Package wirehost runs the decisions of another build: a program that speaks the simulator's wire on its standard
-// input and output, such as cmd/simhost of any commit. So a day in virtual time can be played against it.
+// input and output, such as cmd/simadapter of any commit. So a day in virtual time can be played against it.
 package wirehost
 
 import (
@@ -16,8 +16,8 @@
 	"time"
 
 	"pineport/config"
-	"pineport/lab/sim"
-	"pineport/logic"
+	"pineport/dispatch"
+	"pineport/testbed/simulation"
 )
 
 // Host is a program that is being talked to.
@@ -59,8 +59,8 @@
 	return h.cmd.Wait()
 }
 
-// Start implements sim.Host: a courier begins with its next turn.
-func (h *Host) Start(courier int, ch logic.Charter, settings map[string]string) error {
+// Start implements simulation.Host: a courier begins with its next turn.
+func (h *Host) Start(courier int, ch dispatch.Charter, settings map[string]string) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "begin %d", ch.Salt)
 	for _, key := range slices.Sorted(maps.Keys(settings)) {
@@ -70,11 +70,11 @@
 	return nil
 }
 
-// Kill implements sim.Host.
+// Kill implements simulation.Host.
 func (h *Host) Kill(courier int) { h.killed[courier] = true }
 
-// Turn implements sim.Host.
-func (h *Host) Turn(now logic.Micros, batches []sim.Batch) ([][]logic.Action, error) {
+// Turn implements simulation.Host.
+func (h *Host) Turn(now dispatch.Micros, batches []simulation.Batch) ([][]dispatch.Action, error) {
 	h.line("mark", seconds(now))
 	for _, i := range slices.Sorted(maps.Keys(h.killed)) {
 		h.line("on", strconv.Itoa(i))
@@ -95,7 +95,7 @@
 	if err := h.w.Flush(); err != nil {
 		return nil, err
 	}
-	all := make([][]logic.Action, len(batches))
+	all := make([][]dispatch.Action, len(batches))
 	at := map[int]int{}
 	for i, b := range batches {
 		at[b.Courier] = i
@@ -108,7 +108,7 @@
 	h.w.WriteByte('\n')
 }
 
-func seconds(t logic.Micros) string { return strconv.FormatFloat(float64(t)/1e6, 'f', -1, 64) }
+func seconds(t dispatch.Micros) string { return strconv.FormatFloat(float64(t)/1e6, 'f', -1, 64) }
 
 func dash(s string) string {
 	if s == "" {
@@ -124,22 +124,22 @@
 	return "0"
 }
 
-var outcomes = map[logic.Outcome]string{logic.Done: "success", logic.Failure: "failure", logic.Full: "overloaded",
-	logic.TimedOut: "timed_out", logic.Unreachable: "unreachable", logic.Broken: "broken", logic.Withdrawn: "withdrawn",
-	logic.Void: "void"}
+var outcomes = map[dispatch.Outcome]string{dispatch.Done: "success", dispatch.Failure: "failure", dispatch.Full: "overloaded",
+	dispatch.TimedOut: "timed_out", dispatch.Unreachable: "unreachable", dispatch.Broken: "broken", dispatch.Withdrawn: "withdrawn",
+	dispatch.Void: "void"}
 
-func (h *Host) event(e logic.Event) {
+func (h *Host) event(e dispatch.Event) {
 	switch e := e.(type) {
-	case logic.Taken:
+	case dispatch.Taken:
 		flags := "0"
 		if e.Again {
 			flags = "2"
 		}
 		h.line("job_in", string(e.Record), "-", strconv.Itoa(int(e.Dest)), strconv.Itoa(int(e.Party)), dash(string(e.Key)),
 			seconds(e.CutOff), strconv.Itoa(int(e.Workload)), flags)
-	case logic.Settled:
+	case dispatch.Settled:
 		remark := "-"
-		if e.Outcome == logic.Full && e.Wait > 0 {
+		if e.Outcome == dispatch.Full && e.Wait > 0 {
 			remark = strconv.FormatInt(int64(e.Wait+999)/1000, 10)
 		}
 		var row []string
@@ -148,18 +148,18 @@
 		}
 		h.line("settled", string(e.Record), strconv.Itoa(int(e.Trip)), "-", outcomes[e.Outcome], seconds(e.Took), bit(e.Over),
 			remark, dash(strings.Join(row, ",")))
-	case logic.Left:
+	case dispatch.Left:
 		h.line("client_left", string(e.Record))
-	case logic.Woken:
+	case dispatch.Woken:
 		h.line("tick_due", "look")
-	case logic.ListNews:
+	case dispatch.ListNews:
 		h.list(e)
 	} // the wire has no word for a planned end
 }
 
-func (h *Host) list(e logic.ListNews) {
+func (h *Host) list(e dispatch.ListNews) {
 	h.serial++
-	if e.How == logic.ListError {
+	if e.How == dispatch.ListError {
 		h.line("topology", strconv.Itoa(h.serial), "0", "Error")
 		return
 	}
@@ -173,7 +173,7 @@
 }
 
 // read takes one reply.
-func (h *Host) read(all [][]logic.Action, at map[int]int) error {
+func (h *Host) read(all [][]dispatch.Action, at map[int]int) error {
 	courier, here := -1, -1
 	for {
 		text, err := h.out.ReadString('\n')
@@ -198,14 +198,14 @@
 			}
 			courier, here = n, i
 		case "internal_error":
-			return &sim.CourierFault{Courier: courier, Text: strings.Join(f[1:], " ")}
+			return &simulation.CourierFault{Courier: courier, Text: strings.Join(f[1:], " ")}
 		default:
 			if here < 0 {
 				return fmt.Errorf("%q before any courier", f[0])
 			}
 			a, err := action(f)
 			if err != nil {
-				return &sim.CourierFault{Courier: courier, Text: err.Error()}
+				return &simulation.CourierFault{Courier: courier, Text: err.Error()}
 			}
 			if a != nil {
 				all[here] = append(all[here], a)
@@ -215,7 +215,7 @@
 }
 
 // action reads one line of a reply; nil where the laboratory has no use for it.
-func action(f []string) (a logic.Action, err error) {
+func action(f []string) (a dispatch.Action, err error) {
 	need := func(i int) string {
 		if i < len(f) {
 			return f[i]
@@ -225,7 +225,7 @@
 		}
 		return ""
 	}
-	span := func(i int, otherwise string) logic.Micros {
+	span := func(i int, otherwise string) dispatch.Micros {
 		text := otherwise
 		if i < len(f) && f[i] != "-" {
 			text = f[i]
@@ -238,25 +238,25 @@
 	}
 	switch f[0] {
 	case "transmit":
-		a = logic.Send{Record: logic.RecordID(need(1)), Endpoint: logic.EndpointID(need(2)), Limit: span(3, "0")}
+		a = dispatch.Send{Record: dispatch.RecordID(need(1)), Endpoint: dispatch.EndpointID(need(2)), Limit: span(3, "0")}
 	case "cancel":
 		n, fault := strconv.Atoi(need(2))
 		if fault != nil {
 			return nil, fmt.Errorf("cancel: bad number")
 		}
-		a = logic.Cancel{Record: logic.RecordID(need(1)), Trip: logic.TripNo(n)}
+		a = dispatch.Cancel{Record: dispatch.RecordID(need(1)), Trip: dispatch.TripNo(n)}
 	case "reject":
-		a = logic.Bounce{Record: logic.RecordID(need(1)), Pause: span(2, "0")}
+		a = dispatch.Bounce{Record: dispatch.RecordID(need(1)), Pause: span(2, "0")}
 	case "abort":
-		a = logic.Terminate{Record: logic.RecordID(need(1))}
+		a = dispatch.Terminate{Record: dispatch.RecordID(need(1))}
 	case "wake_me":
-		a = logic.Wake{At: span(1, "")}
+		a = dispatch.Wake{At: span(1, "")}
 	case "let_go":
-		a = logic.CloseIdle{Endpoint: logic.EndpointID(need(1))}
+		a = dispatch.CloseIdle{Endpoint: dispatch.EndpointID(need(1))}
 	case "stream_changes", "refresh":
-		a = logic.Watch{}
+		a = dispatch.Watch{}
 	case "journal_line":
-		a = logic.Note{Text: strings.Join(f[1:], " ")}
+		a = dispatch.Note{Text: strings.Join(f[1:], " ")}
 	default:
 		return nil, fmt.Errorf("unknown action %q", f[0])
 	}
--- a/lab/wirehost/host_test.go
+++ b/testbed/wirehost/host_test.go
@@ -8,24 +8,24 @@
 	"strings"
 	"testing"
 
-	"pineport/lab/day"
-	"pineport/lab/sim"
+	"pineport/testbed/scenario"
+	"pineport/testbed/simulation"
 )
 
 // TestSameOverTheWire: the same decisions over the simulator's wire come to the same day, to the last count. The wire
 // has no word for a planned end, so days with one are left out.
 func TestSameOverTheWire(t *testing.T) {
-	binary := filepath.Join(t.TempDir(), "simhost")
-	if out, err := exec.Command("go", "build", "-o", binary, "pineport/cmd/simhost").CombinedOutput(); err != nil {
+	binary := filepath.Join(t.TempDir(), "simadapter")
+	if out, err := exec.Command("go", "build", "-o", binary, "pineport/cmd/simadapter").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
 	for _, name := range []string{"calm", "in-order", "overload"} {
-		d, err := day.Find(name)
+		d, err := scenario.Find(name)
 		if err != nil {
 			t.Fatal(err)
 		}
-		w := day.Draw(d, 3)
-		here, _, err := sim.Play(w, sim.NewLocal(nil), sim.Options{})
+		w := scenario.Draw(d, 3)
+		here, _, err := simulation.Play(w, simulation.NewLocal(nil), simulation.Options{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -33,7 +33,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		there, _, err := sim.Play(w, host, sim.Options{})
+		there, _, err := simulation.Play(w, host, simulation.Options{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -49,17 +49,17 @@
 // TestBrokenHosts: no program, one that ends at once, one that talks nonsense and one that reports a fault each give a
 // clear error or a broken day, and no hang.
 func TestBrokenHosts(t *testing.T) {
-	d, err := day.Find("calm")
+	d, err := scenario.Find("calm")
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := day.Draw(d, 1)
+	w := scenario.Draw(d, 1)
 	for command, want := range map[string]string{"/nowhere/at-all": "broke off", "true": "broke off", "yes nonsense": "before any courier"} {
 		host, err := Open(command)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, _, err = sim.Play(w, host, sim.Options{})
+		_, _, err = simulation.Play(w, host, simulation.Options{})
 		host.Close()
 		if err == nil || !strings.Contains(err.Error(), want) && !strings.Contains(err.Error(), "pipe") {
 			t.Errorf("%s: %v", command, err)
@@ -70,8 +70,8 @@
 		t.Fatal(err)
 	}
 	defer host.Close()
-	v, _, err := sim.Play(w, host, sim.Options{})
-	var fault *sim.CourierFault
+	v, _, err := simulation.Play(w, host, simulation.Options{})
+	var fault *simulation.CourierFault
 	if errors.As(err, &fault) || v == nil || v.OK() || !strings.Contains(v.Short(), "no crash") {
 		t.Errorf("%v, %+v", err, v)
 	}
--- a/transport/crossings_test.go
+++ b/transport/crossings_test.go
@@ -13,7 +13,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"pineport/lab/port"
+	"pineport/testbed/port"
 )
 
 // What comes between two lines of this package, each forced: docs/crossings.md. The one poller is stopped in a handler of the test's, so
--- a/transport/transport_test.go
+++ b/transport/transport_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"pineport/lab/port"
+	"pineport/testbed/port"
 )
 
 // told writes down what a handler is told.
