--- a/cmd/pineport/fleet.go
+++ b/cmd/pineport/fleet.go
@@ -74,7 +74,7 @@
 func (p *process) join(ctx context.Context, router *server.Router, given *handoff.State, log *slog.Logger) (*gossip.Member, *exchange.Exchange, error) {
 	dep := p.dep
 	o := gossip.Options{Name: dep.Name, Couriers: dep.Charter.Couriers, Fleet: dep.Peers.Fleet, Listen: dep.Peers.Listen,
-		Advertise: dep.Peers.Advertise, Join: dep.Peers.Join, Key: dep.Peers.Key, Pace: dep.Peers.Pace, Salt: dep.Charter.Salt, Log: log, Reckon: router.Reckon,
+		Advertise: dep.Peers.Advertise, Join: dep.Peers.Join, Key: dep.Peers.Key, Pace: dep.Peers.Pace, Salt: dep.Charter.Seed, Log: log, Reckon: router.Reckon,
 		Keep: func(start uint64) error { return incarnation.Keep(dep.Spool, dep.Name, start) }}
 	if z := int(dep.Charter.Zone); z < len(dep.Zones) {
 		o.Zone = dep.Zones[z]
--- a/cmd/pineport/learned_test.go
+++ b/cmd/pineport/learned_test.go
@@ -52,7 +52,7 @@
 		t.Fatal(err)
 	}
 	s, err := snapshot.Read(filepath.Join(c.dir, "state"), "n0", 0, 1<<20)
-	if err != nil || len(s.Lore.Routes) != 1 || !s.Lore.Routes[0].Sick {
+	if err != nil || len(s.Lore.Groups) != 1 || !s.Lore.Groups[0].Outage {
 		t.Errorf("after a planned end: %+v, %v", s, err)
 	}
 	if err := os.WriteFile(file, []byte("spoilt"), 0o600); err != nil {
--- a/cmd/pineport/run.go
+++ b/cmd/pineport/run.go
@@ -175,13 +175,13 @@
 }
 
 // known is what was learned by an earlier process, or by this one before it handed all over: the younger, with all waits.
-func (p *process) known(before *server.Router, limit int, log *slog.Logger) *dispatch.Lore {
+func (p *process) known(before *server.Router, limit int, log *slog.Logger) *dispatch.Snapshot {
 	lore := earlier(p.dep, limit, log)
 	if before == nil {
 		return lore
 	}
 	own := before.LearnedAtHandoff()
-	if lore == nil || lore.At < own.At {
+	if lore == nil || lore.TakenAt < own.TakenAt {
 		return own
 	}
 	return server.Waiting(lore, own)
@@ -205,7 +205,7 @@
 }
 
 // earlier is what an earlier process learned; nil, and a line in the log, where it cannot be used.
-func earlier(dep *config.Deployment, limit int, log *slog.Logger) *dispatch.Lore {
+func earlier(dep *config.Deployment, limit int, log *slog.Logger) *dispatch.Snapshot {
 	s, err := snapshot.Read(dep.Spool, dep.Name, dispatch.Micros(time.Now().UnixMicro()), limit)
 	switch {
 	case errors.Is(err, snapshot.ErrAbsent):
@@ -214,7 +214,7 @@
 		log.Warn("what was learned is not used", "file", snapshot.Name, "fault", err)
 		return nil
 	}
-	age := time.Since(time.UnixMicro(int64(s.Lore.At)))
-	log.Info("learned before", "routes", len(s.Lore.Routes), "endpoints", len(s.Lore.Endpoints), "age", age.Round(time.Millisecond))
+	age := time.Since(time.UnixMicro(int64(s.Lore.TakenAt)))
+	log.Info("learned before", "routes", len(s.Lore.Groups), "endpoints", len(s.Lore.Endpoints), "age", age.Round(time.Millisecond))
 	return &s.Lore
 }
--- a/cmd/pineport/state.go
+++ b/cmd/pineport/state.go
@@ -46,7 +46,7 @@
 			s, size, err := readState(args[0])
 			if err == nil {
 				fmt.Fprintf(cmd.OutOrStdout(), "sound: courier %s, %d routes, %d endpoints, %d bytes, %s old\n", s.Courier,
-					len(s.Lore.Routes), len(s.Lore.Endpoints), size, age(s.Lore.At))
+					len(s.Lore.Groups), len(s.Lore.Endpoints), size, age(s.Lore.TakenAt))
 			}
 			return err
 		},
@@ -75,39 +75,39 @@
 func showState(out io.Writer, s snapshot.State, size int) error {
 	l := s.Lore
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
-	fmt.Fprintf(w, "courier %s, kept %s (%s ago), %d bytes\n\n", s.Courier, time.UnixMicro(int64(l.At)).Format(time.RFC3339Nano), age(l.At), size)
+	fmt.Fprintf(w, "courier %s, kept %s (%s ago), %d bytes\n\n", s.Courier, time.UnixMicro(int64(l.TakenAt)).Format(time.RFC3339Nano), age(l.TakenAt), size)
 	fmt.Fprintln(w, "DEST\tENDPOINT\tHEALTH\tBREAKERS\tGAP\tWAIT LEFT\tANSWER TIME\tDONE\tLIMIT/S")
-	for _, r := range l.Routes {
+	for _, r := range l.Groups {
 		health := "well"
-		if r.Sick {
+		if r.Outage {
 			health = "out"
-		} else if r.Cold {
+		} else if r.WarmingUp {
 			health = "returning"
 		}
 		breakers := ""
 		for _, b := range r.Breakers {
 			switch {
-			case b.Until > 0:
+			case b.OpenUntil > 0:
 				breakers += "open "
-			case b.Fails > 0:
-				breakers += fmt.Sprintf("%d-failed ", b.Fails)
+			case b.Failures > 0:
+				breakers += fmt.Sprintf("%d-failed ", b.Failures)
 			default:
 				breakers += "closed "
 			}
 		}
 		mean := "-"
-		if r.Took.Weight > 0.01 {
-			mean = span(dispatch.Micros(r.Took.Total / r.Took.Weight))
+		if r.AnswerTimes.Weight > 0.01 {
+			mean = span(dispatch.Micros(r.AnswerTimes.Total / r.AnswerTimes.Weight))
 		}
 		limit := "-"
-		if r.Rate > 0 {
-			limit = fmt.Sprintf("%.2f", r.Rate)
+		if r.ReportedRate > 0 {
+			limit = fmt.Sprintf("%.2f", r.ReportedRate)
 		}
-		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%s\t%s\t%.1f\t%s\n", r.Dest, cmp.Or(string(r.Endpoint), "(all)"), health, breakers, span(r.Gap),
-			span(max(0, r.WaitTo-l.At)), mean, r.Done.Weight, limit)
+		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%s\t%s\t%.1f\t%s\n", r.Destination, cmp.Or(string(r.Endpoint), "(all)"), health, breakers, span(r.Interval),
+			span(max(0, r.RetryAfterUntil-l.TakenAt)), mean, r.Deliveries.Weight, limit)
 	}
 	for _, e := range l.Endpoints {
-		fmt.Fprintf(w, "\nendpoint %s: %d failures in a row\n", e.Endpoint, e.Runs[0].Fails)
+		fmt.Fprintf(w, "\nendpoint %s: %d failures in a row\n", e.Endpoint, e.FailureRuns[0].Failures)
 	}
 	return w.Flush()
 }
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -24,7 +24,7 @@
 		fmt.Fprintf(log, "simadapter: line %d: %v\n", line, fault)
 	})
 	writer := simprotocol.NewWriter(out)
-	couriers := map[int]*dispatch.Courier{}
+	couriers := map[int]*dispatch.Dispatcher{}
 	for {
 		batch, err := reader.Next()
 		if errors.Is(err, io.EOF) {
@@ -74,7 +74,7 @@
 }
 
 // decide turns a panic in the decisions into a report that the wire can carry.
-func decide(c *dispatch.Courier, now dispatch.Micros, events []dispatch.Event) (actions []dispatch.Action, fault string) {
+func decide(c *dispatch.Dispatcher, now dispatch.Micros, events []dispatch.Event) (actions []dispatch.Action, fault string) {
 	defer func() {
 		if r := recover(); r != nil {
 			fault = fmt.Sprint(r)
--- a/config/charter.go
+++ b/config/charter.go
@@ -71,88 +71,88 @@
 }
 
 // Charter decodes what a courier is handed at its start: values by path, such as classes.0.points.
-func Charter(salt int64, values map[string]string) (dispatch.Charter, error) {
+func Charter(salt int64, values map[string]string) (dispatch.Config, error) {
 	p := &pairs{values: values, prefix: "settings."}
-	ch := dispatch.Charter{
-		Salt:          salt,
-		Couriers:      p.count("fleet-size"),
-		Number:        p.count("ordinal"),
-		OverSharePart: p.number("over-share-worth"),
-		Slots:         p.count("family-info.slots"),
-		Hold:          p.count("ceilings.open-cap"),
-		MaxTrips:      p.count("ceilings.try-limit"),
-		MayCancel:     p.flag("ceilings.may-cancel"),
-		MayAdvise:     p.flag("ceilings.retry-after"),
-		LongestAdvice: p.span("ceilings.max-retry-after-s"),
-		IdleAfter:     p.span("ceilings.conn-idle-s"),
-		Tick:          p.span("tick-s"),
-		MustAsk:       p.values["discovery"] == "subscribe",
-		ColdFrom:      p.number("rules.cold-from"),
-		Ramp:          p.span("rules.ramp-time-s"),
-		FallMultiple:  p.number("rules.fall-multiple"),
-		KeyRest:       p.span("rules.key-rest-s"),
-		Zone:          dispatch.ZoneID(p.count("locality")),
-		CrossFee:      p.number("prices.cross-zone"),
-		LeftAt:        -1,
-		RateAt:        -1,
+	ch := dispatch.Config{
+		Seed:              salt,
+		Couriers:          p.count("fleet-size"),
+		CourierNumber:     p.count("ordinal"),
+		OverQuotaFactor:   p.number("over-share-worth"),
+		Slots:             p.count("family-info.slots"),
+		QueueLimit:        p.count("ceilings.open-cap"),
+		MaxAttempts:       p.count("ceilings.try-limit"),
+		MayCancel:         p.flag("ceilings.may-cancel"),
+		MayTellRetryAfter: p.flag("ceilings.retry-after"),
+		MaxRetryAfter:     p.span("ceilings.max-retry-after-s"),
+		IdleTimeout:       p.span("ceilings.conn-idle-s"),
+		Tick:              p.span("tick-s"),
+		MustPoll:          p.values["discovery"] == "subscribe",
+		SlowStartFrom:     p.number("rules.cold-from"),
+		SlowStart:         p.span("rules.ramp-time-s"),
+		OverloadFactor:    p.number("rules.fall-multiple"),
+		KeyCooldown:       p.span("rules.key-rest-s"),
+		Zone:              dispatch.ZoneID(p.count("locality")),
+		CrossZoneCost:     p.number("prices.cross-zone"),
+		ReportLeftIndex:   -1,
+		ReportRateIndex:   -1,
 	}
 	if p.values["family-info.decay"] == "halves" {
-		ch.Decay = dispatch.Halves
+		ch.Decay = dispatch.HalvingDecay
 	}
 	switch p.values["weight-kind"] {
 	case "rough":
-		ch.Rates = dispatch.RoughRates
+		ch.RateQuality = dispatch.RoughRates
 	case "nominal":
-		ch.Rates = dispatch.NominalRates
+		ch.RateQuality = dispatch.NominalRates
 	}
 	for i, name := range p.words("telemetry.fields") {
 		switch name {
 		case "x0":
-			ch.LeftAt = i
+			ch.ReportLeftIndex = i
 		case "x1":
-			ch.RateAt = i
+			ch.ReportRateIndex = i
 		}
 	}
 	for i := range p.count("classes.count") {
 		at := fmt.Sprintf("classes.%d.", i)
-		w := dispatch.Workload{
-			Quoted:   p.span(at + "slo-s"),
-			Life:     p.span(at + "deadline-s"),
-			Payoff:   p.number(at + "points"),
-			LatePart: p.number(at + "late-worth"),
-			OneZone:  p.values[at+"group"] != "all",
-			Window:   p.span(at + "dedup-window-s"),
-			InOrder:  p.flag(at + "in-order"),
-			Repeat:   dispatch.SingleUse,
+		w := dispatch.Class{
+			Objective:         p.span(at + "slo-s"),
+			TimeToLive:        p.span(at + "deadline-s"),
+			Priority:          p.number(at + "points"),
+			LateFactor:        p.number(at + "late-worth"),
+			SameZone:          p.values[at+"group"] != "all",
+			IdempotencyWindow: p.span(at + "dedup-window-s"),
+			Ordered:           p.flag(at + "in-order"),
+			Idempotency:       dispatch.AtMostOnce,
 		}
 		switch p.values[at+"idempotency"] {
 		case "free":
-			w.Repeat = dispatch.Replayable
+			w.Idempotency = dispatch.Idempotent
 		case "guarded":
-			w.Repeat = dispatch.Referenced
+			w.Idempotency = dispatch.IdempotencyKey
 		}
-		ch.Workloads = append(ch.Workloads, w)
+		ch.Classes = append(ch.Classes, w)
 	}
 	apart := p.words("family-info.separate-routes")
 	perCall := p.words("family-info.per-call")
 	for i := range p.words("shapes") {
-		shape := dispatch.Shape{PerCall: 1}
+		shape := dispatch.EndpointType{MaxPerCall: 1}
 		if i < len(apart) {
-			shape.Apart = apart[i] == "true"
+			shape.Separate = apart[i] == "true"
 		}
 		if i < len(perCall) {
 			if n, err := strconv.Atoi(perCall[i]); err == nil && n > 1 {
-				shape.PerCall = n
+				shape.MaxPerCall = n
 			}
 		}
-		ch.Shapes = append(ch.Shapes, shape)
+		ch.EndpointTypes = append(ch.EndpointTypes, shape)
 	}
 	for i := range p.count("tenants.count") {
-		ch.Parties = append(ch.Parties, dispatch.Party{PerSec: p.number(fmt.Sprintf("tenants.%d.quota-per-s", i))})
+		ch.Tenants = append(ch.Tenants, dispatch.Tenant{RatePerSecond: p.number(fmt.Sprintf("tenants.%d.quota-per-s", i))})
 	}
 	for _, word := range p.words("family-info.route-fee") {
 		fee, _ := strconv.ParseFloat(word, 64)
-		ch.RouteFee = append(ch.RouteFee, fee)
+		ch.GroupCost = append(ch.GroupCost, fee)
 	}
 	return ch, p.err
 }
--- a/config/config.go
+++ b/config/config.go
@@ -33,7 +33,7 @@
 	Watch     *Deployment // whose settings are watched; nil for none
 	WatchTell time.Duration
 
-	Charter        dispatch.Charter
+	Charter        dispatch.Config
 	Workloads      []string        // names, by the charter's numbers
 	Retired        map[string]bool // workloads that a reload removed: they take no more records
 	Zones          []string
@@ -156,10 +156,10 @@
 	if d.Charter, err = Charter(int64(seed), settings); err != nil {
 		return nil, fmt.Errorf("%s: %w", doc.File, err)
 	}
-	for i := range d.Charter.Workloads {
+	for i := range d.Charter.Classes {
 		d.Workloads = append(d.Workloads, settings[fmt.Sprintf("classes.%d.name", i)])
 	}
-	for i := range d.Charter.Parties {
+	for i := range d.Charter.Tenants {
 		d.Parties = append(d.Parties, settings[fmt.Sprintf("tenants.%d.name", i)])
 	}
 	d.Peers = Peers{Listen: text("peers.listen"), Advertise: text("peers.advertise"), Fleet: text("peers.fleet"), Key: text("peers.key"),
@@ -195,25 +195,25 @@
 	m.Retired = map[string]bool{}
 	var from []int
 	m.Workloads, from = numbers(d.Workloads, next.Workloads)
-	ch.Workloads = pick(from, next.Charter.Workloads, old.Workloads)
+	ch.Classes = pick(from, next.Charter.Classes, old.Classes)
 	for i, name := range m.Workloads {
 		if from[i] < 0 {
 			m.Retired[name] = true
 		}
 	}
 	m.Shapes, from = numbers(d.Shapes, next.Shapes)
-	ch.Shapes = pick(from, next.Charter.Shapes, old.Shapes)
-	for i := range min(len(ch.Shapes), len(old.Shapes)) {
-		ch.Shapes[i].Apart = old.Shapes[i].Apart // settled when the routes were made
+	ch.EndpointTypes = pick(from, next.Charter.EndpointTypes, old.EndpointTypes)
+	for i := range min(len(ch.EndpointTypes), len(old.EndpointTypes)) {
+		ch.EndpointTypes[i].Separate = old.EndpointTypes[i].Separate // settled when the routes were made
 	}
 	m.Parties, from = numbers(d.Parties, next.Parties)
-	ch.Parties = pick(from, next.Charter.Parties, old.Parties)
+	ch.Tenants = pick(from, next.Charter.Tenants, old.Tenants)
 	m.Zones, from = numbers(d.Zones, next.Zones)
-	ch.RouteFee = pick(from, next.Charter.RouteFee, old.RouteFee)
+	ch.GroupCost = pick(from, next.Charter.GroupCost, old.GroupCost)
 	if z := int(next.Charter.Zone); z < len(next.Zones) {
 		ch.Zone = dispatch.ZoneID(slices.Index(m.Zones, next.Zones[z]))
 	}
-	ch.Salt, ch.MustAsk = old.Salt, old.MustAsk
+	ch.Seed, ch.MustPoll = old.Seed, old.MustPoll
 	m.Charter = ch
 	return &m
 }
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -50,8 +50,8 @@
 	}
 	c := d.Charter
 	if d.Name != "n4" || d.Listen != "127.0.0.1:6379" || d.Sockets != 1024 || len(d.Workloads) != 2 || d.Workloads[1] != "order" ||
-		c.Workloads[1].Repeat != dispatch.SingleUse || c.Workloads[1].Payoff != 2 || c.Slots != 20 || c.LeftAt != 1 || c.RateAt != 0 ||
-		c.Rates != dispatch.NominalRates || len(c.Shapes) != 1 || c.Shapes[0].PerCall != 1 || !c.MustAsk || c.Salt == 0 {
+		c.Classes[1].Idempotency != dispatch.AtMostOnce || c.Classes[1].Priority != 2 || c.Slots != 20 || c.ReportLeftIndex != 1 || c.ReportRateIndex != 0 ||
+		c.RateQuality != dispatch.NominalRates || len(c.EndpointTypes) != 1 || c.EndpointTypes[0].MaxPerCall != 1 || !c.MustPoll || c.Seed == 0 {
 		t.Errorf("%+v", d)
 	}
 }
@@ -168,8 +168,8 @@
 	}
 	m := first.Merged(next)
 	if !slices.Equal(m.Workloads, []string{"update", "order", "fresh"}) || !slices.Equal(m.Zones, []string{"a", "z"}) || !m.Retired["update"] ||
-		m.Retired["order"] || m.Charter.Workloads[1].Payoff != 7 || m.Charter.Workloads[2].Payoff != 3 || m.Charter.Workloads[0].Payoff != 1 ||
-		m.Charter.Hold != 5 || m.Charter.Zone != 1 || m.Charter.Salt != first.Charter.Salt {
+		m.Retired["order"] || m.Charter.Classes[1].Priority != 7 || m.Charter.Classes[2].Priority != 3 || m.Charter.Classes[0].Priority != 1 ||
+		m.Charter.QueueLimit != 5 || m.Charter.Zone != 1 || m.Charter.Seed != first.Charter.Seed {
 		t.Errorf("%+v %v %v %+v", m.Workloads, m.Zones, m.Retired, m.Charter)
 	}
 }
--- /dev/null
+++ b/dispatch/ordering.go
@@ -0,0 +1,113 @@
+package dispatch
+
+import (
+	"cmp"
+	"math"
+	"slices"
+)
+
+// sendQueued sends queued messages as far as slots and intervals allow, most urgent destinations first.
+func (d *Dispatcher) sendQueued() {
+	for _, destination := range d.waiting {
+		d.sortQueue(destination)
+	}
+	byUrgency := slices.Clone(d.waiting)
+	slices.SortStableFunc(byUrgency, func(a, b *destination) int { return cmp.Compare(b.urgency, a.urgency) })
+	overdue := math.Inf(1)
+	for sent := true; sent; {
+		sent = false
+		for _, destination := range byUrgency {
+			switch free := d.config.Slots - d.callsInFlight; {
+			case len(destination.queue) == 0 || free > 0 && destination.calls > d.maxCalls(destination, free):
+			case free > 0:
+				sent = d.sendNext(destination) || sent
+			default: // no slot is free: a ready message may have an overdue attempt canceled
+				if endpoint, _ := d.selectEndpoint(destination.queue[0]); endpoint != nil {
+					overdue = min(overdue, 3+float64(min(destination.calls, 1))) // later where it has a call in flight
+				}
+			}
+		}
+	}
+	if overdue < math.Inf(1) && d.config.MayCancel {
+		d.cancelOverdue(overdue)
+	}
+}
+
+// maxCalls is how many calls a destination may have in flight: twice the free slots, but only as many as are
+// free before its first answer and while a call is overdue, as a silent destination would take them all.
+func (d *Dispatcher) maxCalls(destination *destination, free int) int {
+	for _, group := range destination.groups {
+		if len(group.inFlight) == 0 {
+			continue
+		}
+		oldest := group.inFlight[0].sentAt
+		if group.lastAnswer == 0 || d.now-oldest > 2*d.expectedDuration(group)+second/4 {
+			return free
+		}
+	}
+	return 2 * free
+}
+
+// sortQueue puts the messages first that lose the most by waiting another second. The urgency of the
+// destination is what a slot gains there over the time that a call takes it.
+func (d *Dispatcher) sortQueue(destination *destination) {
+	if len(destination.queue) == 0 || len(destination.groups) == 0 {
+		return
+	}
+	at := d.now + d.expectedDuration(destination.groups[0])
+	for _, message := range destination.queue {
+		message.loss = d.valueAt(message, at) - d.valueAt(message, at+second)
+	}
+	slices.SortStableFunc(destination.queue, func(a, b *message) int {
+		return cmp.Or(cmp.Compare(b.loss, a.loss), cmp.Compare(b.priority, a.priority),
+			cmp.Compare(a.objectiveAt, b.objectiveAt))
+	})
+	first := destination.queue[0]
+	destination.urgency = (first.loss + first.priority/100) / float64(at-d.now+second/10)
+}
+
+// sendNext sends the first message that an endpoint is ready for, and others in the same call where that is
+// allowed.
+func (d *Dispatcher) sendNext(destination *destination) bool {
+	for _, message := range destination.queue {
+		endpoint, trial := d.selectEndpoint(message)
+		if endpoint == nil {
+			continue
+		}
+		// Connections that were idle so long are lost more often, and a new one costs less than that.
+		if endpoint.idleSince > 0 && d.now-endpoint.idleSince >= d.lossyRestTime(0.05) {
+			d.closeIdle(endpoint)
+		}
+		call := d.startCall(endpoint)
+		d.send(message, call, trial)
+		if !trial && !endpoint.group.warmingUp && !endpoint.group.outage {
+			d.fillCall(call, destination)
+		}
+		return true
+	}
+	return false
+}
+
+// fillCall adds further queued messages to a call, up to what its endpoint type takes.
+func (d *Dispatcher) fillCall(call *call, destination *destination) {
+	for _, message := range slices.Clone(destination.queue) {
+		if call.openAttempts >= destination.endpointType.MaxPerCall {
+			return
+		}
+		closed := call.endpoint.group.breakers[message.classID].state == breakerClosed
+		if d.mayReceive(message, call.endpoint) && closed {
+			d.send(message, call, false)
+		}
+	}
+}
+
+func (d *Dispatcher) send(message *message, call *call, trial bool) {
+	d.dequeue(message)
+	group := call.endpoint.group
+	attempt := d.addAttempt(message, call)
+	if trial {
+		group.breakers[message.classID].trial = attempt
+	}
+	timeout := min(d.attemptTimeout(group, message.class), message.deadline-d.now-2*d.config.Tick)
+	d.emit(Send{message.id, call.endpoint.Endpoint, max(d.config.Tick, timeout)})
+}
--- a/dispatch/scenario_test.go
+++ b/dispatch/scenario_test.go
@@ -36,11 +36,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			p := &player{t: t, records: map[string]*fate{}, replies: map[string]reply{}, phase: map[EndpointID]Phase{}, barred: map[string]bool{}, digest: sha256.New()}
-			p.charter = Charter{Salt: 7, Couriers: 1, Slots: 50, Hold: 100, MaxTrips: 8, MayAdvise: true,
-				MayCancel: true, LongestAdvice: 2 * second, Tick: 5 * millisecond, LeftAt: -1, RateAt: -1,
-				ColdFrom: 0.2, Ramp: 10 * second, FallMultiple: 2, IdleAfter: 5 * second,
-				KeyRest: second}
+			p := &player{t: t, messages: map[string]*messageBook{}, replies: map[string]reply{}, phase: map[EndpointID]Phase{}, disabled: map[string]bool{}, digest: sha256.New()}
+			p.config = Config{Seed: 7, Couriers: 1, Slots: 50, QueueLimit: 100, MaxAttempts: 8, MayTellRetryAfter: true,
+				MayCancel: true, MaxRetryAfter: 2 * second, Tick: 5 * millisecond, ReportLeftIndex: -1, ReportRateIndex: -1,
+				SlowStartFrom: 0.2, SlowStart: 10 * second, OverloadFactor: 2, IdleTimeout: 5 * second,
+				KeyCooldown: second}
 			for _, line := range strings.Split(string(text), "\n") {
 				p.line++
 				line, _, _ = strings.Cut(line, "#")
@@ -65,18 +65,18 @@
 	fmt.Fprintf(digest, "%d ", now)
 	switch a := action.(type) {
 	case Send:
-		fmt.Fprintf(digest, "1 %q %q %d\n", a.Record, a.Endpoint, a.Limit)
+		fmt.Fprintf(digest, "1 %q %q %d\n", a.Message, a.Endpoint, a.Timeout)
 	case Cancel:
-		fmt.Fprintf(digest, "2 %q %d\n", a.Record, a.Trip)
-	case Bounce:
-		fmt.Fprintf(digest, "3 %q %d\n", a.Record, a.Pause)
-	case Terminate:
-		fmt.Fprintf(digest, "4 %q\n", a.Record)
-	case Wake:
+		fmt.Fprintf(digest, "2 %q %d\n", a.Message, a.Attempt)
+	case Reject:
+		fmt.Fprintf(digest, "3 %q %d\n", a.Message, a.RetryAfter)
+	case Fail:
+		fmt.Fprintf(digest, "4 %q\n", a.Message)
+	case SetTimer:
 		fmt.Fprintf(digest, "5 %d\n", a.At)
 	case CloseIdle:
 		fmt.Fprintf(digest, "6 %q\n", a.Endpoint)
-	case Watch:
+	case WatchEndpoints:
 		fmt.Fprintf(digest, "7\n")
 	case Note:
 		fmt.Fprintf(digest, "8 %q\n", a.Text)
@@ -86,43 +86,43 @@
 }
 
 type reply struct {
-	outcome  Outcome
-	delay    Micros
-	pressure []float64
+	outcome    Outcome
+	delay      Micros
+	loadReport []float64
 }
 
 type pending struct {
-	at Micros
-	e  Settled
+	at    Micros
+	event AttemptFinished
 }
 
 // fate is what the rules need to know of a record.
-type fate struct {
-	work          Workload
-	trips         []bool // over
-	out           int
-	mayRan, ended bool
-	ranAt, cutOff Micros
+type messageBook struct {
+	class             Class
+	attempts          []bool // over
+	inFlight          int
+	mayHaveRun, ended bool
+	ranAt, deadline   Micros
 }
 
 type player struct {
 	t            *testing.T
 	line, checks int
-	charter      Charter
-	courier      *Courier
-	watchers     watchers
-	stood        bool
-	lore         *Lore
+	config       Config
+	dispatcher   *Dispatcher
+	shadows      watchers
+	paused       bool
+	snapshot     *Snapshot
 	now          Micros
 	batch        []Event
 	open         bool // a batch is being written
 	later        []pending
 	wakes        []Micros
-	did          []Action
-	records      map[string]*fate
+	actions      []Action
+	messages     map[string]*messageBook
 	replies      map[string]reply
 	phase        map[EndpointID]Phase
-	barred       map[string]bool
+	disabled     map[string]bool
 	digest       hash.Hash // of all actions, in order
 }
 
@@ -147,7 +147,7 @@
 	return x
 }
 
-func (p *player) pressure(left, rate string) []float64 {
+func (p *player) loadReport(left, rate string) []float64 {
 	if left == "" {
 		return nil
 	}
@@ -169,8 +169,8 @@
 	return out
 }
 
-var outcomeWords = map[string]Outcome{"done": Done, "failure": Failure, "full": Full, "timed_out": TimedOut,
-	"unreachable": Unreachable, "broken": Broken, "withdrawn": Withdrawn, "void": Void}
+var outcomeWords = map[string]Outcome{"done": Delivered, "failure": Failure, "full": Throttled, "timed_out": TimedOut,
+	"unreachable": Unreachable, "broken": Broken, "withdrawn": Canceled, "void": Unprocessed}
 
 func (p *player) play(w []string) {
 	opt := func(name, otherwise string) string {
@@ -182,39 +182,39 @@
 		return otherwise
 	}
 	has := func(name string) bool { return strings.Contains(" "+strings.Join(w, " ")+" ", " "+name+" ") }
-	if len(p.charter.Workloads) == 0 && w[0] == "at" {
-		p.charter.Workloads = []Workload{{Quoted: second, Life: 60 * second, Payoff: 1, LatePart: 0.5}}
+	if len(p.config.Classes) == 0 && w[0] == "at" {
+		p.config.Classes = []Class{{Objective: second, TimeToLive: 60 * second, Priority: 1, LateFactor: 0.5}}
 	}
 	if !p.open && (w[0] == "list" || w[0] == "take" || w[0] == "end" || w[0] == "left" || w[0] == "recover" || w[0] == "bar" || w[0] == "unbar" || w[0] == "learned" || w[0] == "recharter") {
 		p.fatal("an event needs an instant of its own")
 	}
 	switch w[0] {
 	case "charter":
-		c := &p.charter
+		c := &p.config
 		c.Slots = int(p.number(opt("slots", strconv.Itoa(c.Slots))))
-		c.Hold = int(p.number(opt("hold", strconv.Itoa(c.Hold))))
-		c.MaxTrips = int(p.number(opt("trips", strconv.Itoa(c.MaxTrips))))
+		c.QueueLimit = int(p.number(opt("hold", strconv.Itoa(c.QueueLimit))))
+		c.MaxAttempts = int(p.number(opt("trips", strconv.Itoa(c.MaxAttempts))))
 		c.Couriers = int(p.number(opt("couriers", strconv.Itoa(c.Couriers))))
-		c.Number = int(p.number(opt("number", "0")))
-		c.Zone, c.CrossFee = ZoneID(p.number(opt("zone", "0"))), p.number(opt("crossing", "0"))
-		c.MustAsk = has("ask")
+		c.CourierNumber = int(p.number(opt("number", "0")))
+		c.Zone, c.CrossZoneCost = ZoneID(p.number(opt("zone", "0"))), p.number(opt("crossing", "0"))
+		c.MustPoll = has("ask")
 		if has("reports") {
-			c.LeftAt, c.RateAt = 0, 1
+			c.ReportLeftIndex, c.ReportRateIndex = 0, 1
 		}
 		if has("nominal") {
-			c.Rates = NominalRates
+			c.RateQuality = NominalRates
 		}
 	case "workload":
-		kind := map[string]Repeat{"replayable": Replayable, "referenced": Referenced, "single-use": SingleUse}[w[1]]
-		p.charter.Workloads = append(p.charter.Workloads, Workload{Repeat: kind, LatePart: p.number(opt("late", "0.5")),
-			Quoted: p.span(opt("quoted", "1s")), Life: p.span(opt("life", "20s")),
-			Payoff: p.number(opt("payoff", "1")), Window: p.span(opt("window", "5s")),
-			OneZone: has("onezone"), InOrder: has("ordered")})
+		kind := map[string]Idempotency{"replayable": Idempotent, "referenced": IdempotencyKey, "single-use": AtMostOnce}[w[1]]
+		p.config.Classes = append(p.config.Classes, Class{Idempotency: kind, LateFactor: p.number(opt("late", "0.5")),
+			Objective: p.span(opt("quoted", "1s")), TimeToLive: p.span(opt("life", "20s")),
+			Priority: p.number(opt("payoff", "1")), IdempotencyWindow: p.span(opt("window", "5s")),
+			SameZone: has("onezone"), Ordered: has("ordered")})
 	case "shape":
-		p.charter.Shapes = append(p.charter.Shapes, Shape{Apart: w[1] == "apart", PerCall: int(p.number(w[2]))})
+		p.config.EndpointTypes = append(p.config.EndpointTypes, EndpointType{Separate: w[1] == "apart", MaxPerCall: int(p.number(w[2]))})
 	case "party":
-		p.charter.OverSharePart = 0.1
-		p.charter.Parties = append(p.charter.Parties, Party{p.number(w[1])})
+		p.config.OverQuotaFactor = 0.1
+		p.config.Tenants = append(p.config.Tenants, Tenant{p.number(w[1])})
 	case "at":
 		p.flush()
 		p.advance(Micros(p.number(w[1]) * 1e6))
@@ -223,98 +223,98 @@
 		if w[2] == "never" {
 			delete(p.replies, w[1])
 		} else {
-			p.replies[w[1]] = reply{outcomeWords[w[2]], p.span(opt(w[2], "20ms")), p.pressure(opt("left", ""), opt("rate", "0"))}
+			p.replies[w[1]] = reply{outcomeWords[w[2]], p.span(opt(w[2], "20ms")), p.loadReport(opt("left", ""), opt("rate", "0"))}
 		}
 	case "list":
-		news := ListNews{How: map[string]ListKind{"persisted": Persisted, "complete": Complete, "partial": Partial,
-			"error": ListError}[w[1]]}
-		if news.How == Complete {
+		news := EndpointUpdate{Kind: map[string]UpdateKind{"persisted": CachedList, "complete": CompleteList, "partial": PartialList,
+			"error": ListFailed}[w[1]]}
+		if news.Kind == CompleteList {
 			clear(p.phase)
 		}
 		for _, word := range w[2:] { // endpoint:dest:zone:shape:phase:rate
 			parts := append(strings.Split(word, ":"), "", "", "", "", "")
 			field := func(i int) int { return int(p.number("0" + parts[i])) }
-			l := Listing{Endpoint: EndpointID(parts[0]), Dest: DestID(field(1)), Zone: ZoneID(field(2)),
-				Shape: ShapeID(field(3)), Rate: float64(field(5)),
-				Phase: map[string]Phase{"": In, "in": In, "lame": Draining, "out": Gone}[parts[4]]}
-			news.Entries = append(news.Entries, l)
-			p.phase[l.Endpoint] = l.Phase
+			entry := EndpointEntry{Endpoint: EndpointID(parts[0]), Destination: DestinationID(field(1)), Zone: ZoneID(field(2)),
+				Type: EndpointTypeID(field(3)), Rate: float64(field(5)),
+				Phase: map[string]Phase{"": InService, "in": InService, "lame": Draining, "out": Removed}[parts[4]]}
+			news.Entries = append(news.Entries, entry)
+			p.phase[entry.Endpoint] = entry.Phase
 		}
 		p.batch = append(p.batch, news)
 	case "take":
 		for _, id := range p.ids(w[1]) {
-			work := WorkloadID(p.number(opt("w", "0")))
-			cutOff := p.now + p.charter.Workloads[work].Life
-			p.records[id] = &fate{work: p.charter.Workloads[work], cutOff: cutOff}
-			p.batch = append(p.batch, Taken{Record: RecordID(id), Dest: DestID(p.number(opt("dest", "1"))),
-				Workload: work, Party: PartyID(p.number(opt("p", "0"))), Key: Key(opt("key", "")), CutOff: cutOff})
+			work := ClassID(p.number(opt("w", "0")))
+			cutOff := p.now + p.config.Classes[work].TimeToLive
+			p.messages[id] = &messageBook{class: p.config.Classes[work], deadline: cutOff}
+			p.batch = append(p.batch, MessageAccepted{Message: MessageID(id), Destination: DestinationID(p.number(opt("dest", "1"))),
+				Class: work, Tenant: TenantID(p.number(opt("p", "0"))), OrderingKey: OrderingKey(opt("key", "")), Deadline: cutOff})
 		}
 	case "recover": // ID, w, key, left, trips OUTCOME@AGO[/ZONE],...; the outcome "out" is one that is still awaited
-		work := WorkloadID(p.number(opt("w", "0")))
-		f := &fate{work: p.charter.Workloads[work]}
-		f.cutOff = p.now + p.span(opt("left", "5s"))
-		e := Recovered{Taken: Taken{Record: RecordID(w[1]), Dest: 1, Workload: work, Key: Key(opt("key", "")), CutOff: f.cutOff}}
+		work := ClassID(p.number(opt("w", "0")))
+		book := &messageBook{class: p.config.Classes[work]}
+		book.deadline = p.now + p.span(opt("left", "5s"))
+		event := MessageRecovered{MessageAccepted: MessageAccepted{Message: MessageID(w[1]), Destination: 1, Class: work, OrderingKey: OrderingKey(opt("key", "")), Deadline: book.deadline}}
 		for _, word := range strings.Split(opt("trips", ""), ",") {
 			if name, rest, ok := strings.Cut(word, "@"); ok {
 				ago, zone, _ := strings.Cut(rest, "/")
-				past := Past{Endpoint: EndpointID(opt("at", "")), Sent: p.now - p.span(ago), Outcome: outcomeWords[name],
+				past := PastAttempt{Endpoint: EndpointID(opt("at", "")), SentAt: p.now - p.span(ago), Outcome: outcomeWords[name],
 					Zone: ZoneID(p.number("0" + zone))}
-				past.Out = name == "out"
-				e.Trips = append(e.Trips, past)
-				f.trips = append(f.trips, !past.Out)
-				if past.Out {
-					f.out++
-				} else if o := past.Outcome; !f.mayRan && o != Full && o != Unreachable && o != Void {
-					f.mayRan, f.ranAt = true, past.Sent
+				past.InFlight = name == "out"
+				event.Attempts = append(event.Attempts, past)
+				book.attempts = append(book.attempts, !past.InFlight)
+				if past.InFlight {
+					book.inFlight++
+				} else if outcome := past.Outcome; !book.mayHaveRun && outcome != Throttled && outcome != Unreachable && outcome != Unprocessed {
+					book.mayHaveRun, book.ranAt = true, past.SentAt
 				}
 			}
 		}
-		p.records[w[1]] = f
-		p.batch = append(p.batch, e)
+		p.messages[w[1]] = book
+		p.batch = append(p.batch, event)
 	case "restart": // all that was held is dropped; what was learned is kept for the line learned
-		lore := p.courier.Lore()
-		p.lore, p.courier, p.later, p.wakes, p.watchers = &lore, New(p.charter), nil, nil, nil
-		for _, f := range p.records {
-			f.ended = true
+		lore := p.dispatcher.Snapshot()
+		p.snapshot, p.dispatcher, p.later, p.wakes, p.shadows = &lore, New(p.config), nil, nil, nil
+		for _, book := range p.messages {
+			book.ended = true
 		}
 	case "learned":
-		p.batch = append(p.batch, Learned{*p.lore})
+		p.batch = append(p.batch, SnapshotRestored{*p.snapshot})
 	case "recharter": // slots, hold, and "single-use" for a first workload that may run twice no more
-		ch := p.charter
-		ch.Workloads = append([]Workload(nil), ch.Workloads...)
-		ch.Slots, ch.Hold = int(p.number(opt("slots", strconv.Itoa(ch.Slots)))), int(p.number(opt("hold", strconv.Itoa(ch.Hold))))
+		config := p.config
+		config.Classes = append([]Class(nil), config.Classes...)
+		config.Slots, config.QueueLimit = int(p.number(opt("slots", strconv.Itoa(config.Slots)))), int(p.number(opt("hold", strconv.Itoa(config.QueueLimit))))
 		if has("single-use") {
-			ch.Workloads[0].Repeat = SingleUse
+			config.Classes[0].Idempotency = AtMostOnce
 		}
-		ch.Workloads = append(ch.Workloads, Workload{Quoted: second, Life: 9 * second, Payoff: 5}) // and one more than before
-		p.charter = ch
-		p.batch = append(p.batch, Rechartered{ch})
+		config.Classes = append(config.Classes, Class{Objective: second, TimeToLive: 9 * second, Priority: 5}) // and one more than before
+		p.config = config
+		p.batch = append(p.batch, Reconfigured{config})
 	case "closing":
-		p.batch = append(p.batch, Closing{p.now + p.span(w[1])})
+		p.batch = append(p.batch, ShutdownScheduled{p.now + p.span(w[1])})
 	case "end":
 		for _, id := range p.ids(w[1]) {
-			s := Settled{Record: RecordID(id), Trip: TripNo(p.number(w[2])), Outcome: outcomeWords[w[3]],
-				Took: p.span(opt("took", "100ms")), Wait: p.span(opt("wait", "0s"))}
-			s.Pressure = p.pressure(opt("left", ""), opt("rate", "0"))
-			if f := p.records[id]; has("over") && f != nil {
-				f.ended = true
+			s := AttemptFinished{Message: MessageID(id), Attempt: AttemptNumber(p.number(w[2])), Outcome: outcomeWords[w[3]],
+				Duration: p.span(opt("took", "100ms")), RetryAfter: p.span(opt("wait", "0s"))}
+			s.LoadReport = p.loadReport(opt("left", ""), opt("rate", "0"))
+			if book := p.messages[id]; has("over") && book != nil {
+				book.ended = true
 			}
 			p.batch = append(p.batch, p.note(s))
 		}
 	case "bar", "unbar": // by people
-		p.batch = append(p.batch, Maintained{EndpointID(w[1]), w[0] == "bar"})
-		p.barred[w[1]] = w[0] == "bar"
+		p.batch = append(p.batch, MaintenanceChanged{EndpointID(w[1]), w[0] == "bar"})
+		p.disabled[w[1]] = w[0] == "bar"
 	case "stands": // still: what falls due until the next instant comes then, all at once
 		p.flush()
-		p.stood = true
+		p.paused = true
 	case "left":
-		p.batch = append(p.batch, Left{RecordID(w[1])})
-		p.records[w[1]].ended = true
+		p.batch = append(p.batch, MessageCanceled{MessageID(w[1])})
+		p.messages[w[1]].ended = true
 	case "holds":
 		p.flush()
 		p.checks++
-		got := map[string]int{"records": len(p.courier.records), "keys": len(p.courier.keys),
-			"endpoints": len(p.courier.endpoints), "dests": len(p.courier.dests)}[w[1]]
+		got := map[string]int{"records": len(p.dispatcher.messages), "keys": len(p.dispatcher.keys),
+			"endpoints": len(p.dispatcher.endpoints), "dests": len(p.dispatcher.destinations)}[w[1]]
 		if got != int(p.number(w[2])) {
 			p.fatal("holds %d %s, not %s", got, w[1], w[2])
 		}
@@ -327,21 +327,21 @@
 }
 
 // note keeps the books of an outcome that is about to be told.
-func (p *player) note(s Settled) Settled {
-	f := p.records[string(s.Record)]
-	if f == nil || int(s.Trip) >= len(f.trips) {
-		return s
+func (p *player) note(event AttemptFinished) AttemptFinished {
+	book := p.messages[string(event.Message)]
+	if book == nil || int(event.Attempt) >= len(book.attempts) {
+		return event
 	}
-	f.trips[s.Trip] = true
-	f.out--
-	if s.Outcome == Done {
-		f.ended = true
+	book.attempts[event.Attempt] = true
+	book.inFlight--
+	if event.Outcome == Delivered {
+		book.ended = true
 	}
-	s.Over = f.ended
-	if o := s.Outcome; o != Full && o != Unreachable && o != Void {
-		f.mayRan = true
+	event.MessageDone = book.ended
+	if outcome := event.Outcome; outcome != Throttled && outcome != Unreachable && outcome != Unprocessed {
+		book.mayHaveRun = true
 	}
-	return s
+	return event
 }
 
 // flush hands over the batch that was written.
@@ -354,22 +354,22 @@
 }
 
 func (p *player) handle(events []Event) {
-	if p.courier == nil {
-		p.courier = New(p.charter)
+	if p.dispatcher == nil {
+		p.dispatcher = New(p.config)
 	}
-	actions := p.courier.Handle(p.now, events)
-	p.watchers.see(p, events, actions)
+	actions := p.dispatcher.Handle(p.now, events)
+	p.shadows.see(p, events, actions)
 	for _, action := range actions {
 		digestAction(p.digest, p.now, action)
 		p.rules(action)
-		p.did = append(p.did, action)
+		p.actions = append(p.actions, action)
 	}
 }
 
 // advance plays wake-ups and answers that fall due before an instant; what was done before is forgotten.
 func (p *player) advance(to Micros) {
-	p.did = nil
-	for p.courier != nil {
+	p.actions = nil
+	for p.dispatcher != nil {
 		sort.SliceStable(p.later, func(i, j int) bool { return p.later[i].at < p.later[j].at })
 		sort.Slice(p.wakes, func(i, j int) bool { return p.wakes[i] < p.wakes[j] })
 		next := Micros(math.MaxInt64)
@@ -382,69 +382,69 @@
 		if next >= to {
 			break
 		}
-		if p.now = max(p.now, next); p.stood {
+		if p.now = max(p.now, next); p.paused {
 			p.now = to
 		}
 		var events []Event
 		for len(p.later) > 0 && p.later[0].at <= p.now {
-			events = append(events, p.note(p.later[0].e))
+			events = append(events, p.note(p.later[0].event))
 			p.later = p.later[1:]
 		}
 		for len(p.wakes) > 0 && p.wakes[0] <= p.now {
-			events, p.wakes = append(events, Woken{}), p.wakes[1:]
+			events, p.wakes = append(events, TimerFired{}), p.wakes[1:]
 		}
 		p.handle(events)
 	}
-	p.now, p.stood = to, false
+	p.now, p.paused = to, false
 }
 
 // rules holds every action against the six rules, in every scenario.
 func (p *player) rules(action Action) {
 	p.t.Helper()
-	end := func(id RecordID, bounce bool) {
-		f := p.records[string(id)]
-		if f == nil || f.ended {
+	end := func(id MessageID, bounce bool) {
+		book := p.messages[string(id)]
+		if book == nil || book.ended {
 			p.fatal("a second answer, or one for a stranger: %s", id)
 		}
-		if p.now > f.cutOff {
+		if p.now > book.deadline {
 			p.fatal("%s answered after its cut-off", id)
 		}
-		if bounce && (f.mayRan || f.out > 0) && (f.work.Repeat == SingleUse || f.work.OneZone) {
+		if bounce && (book.mayHaveRun || book.inFlight > 0) && (book.class.Idempotency == AtMostOnce || book.class.SameZone) {
 			p.fatal("%s bounced though it may have run", id)
 		}
-		f.ended = true
+		book.ended = true
 	}
 	switch a := action.(type) {
-	case Bounce:
-		end(a.Record, true)
-	case Terminate:
-		end(a.Record, false)
-	case Wake:
+	case Reject:
+		end(a.Message, true)
+	case Fail:
+		end(a.Message, false)
+	case SetTimer:
 		p.wakes = append(p.wakes, a.At)
 	case Send:
-		f := p.records[string(a.Record)]
+		book := p.messages[string(a.Message)]
 		switch {
-		case f == nil || f.ended:
-			p.fatal("%s sent after its end", a.Record)
-		case p.phase[a.Endpoint] != In:
-			p.fatal("%s sent to %s, which is not in", a.Record, a.Endpoint)
-		case p.barred[string(a.Endpoint)]:
-			p.fatal("%s sent to %s, which people have taken out", a.Record, a.Endpoint)
-		case f.work.Repeat == SingleUse && (f.mayRan || f.out > 0):
-			p.fatal("%s is single-use and sent again", a.Record)
-		case f.work.Repeat == Referenced && f.mayRan && p.now > f.ranAt+f.work.Window:
-			p.fatal("%s sent again after its window", a.Record)
-		case a.Limit <= 0 || p.now+a.Limit > f.cutOff:
-			p.fatal("%s may run past its cut-off", a.Record)
+		case book == nil || book.ended:
+			p.fatal("%s sent after its end", a.Message)
+		case p.phase[a.Endpoint] != InService:
+			p.fatal("%s sent to %s, which is not in", a.Message, a.Endpoint)
+		case p.disabled[string(a.Endpoint)]:
+			p.fatal("%s sent to %s, which people have taken out", a.Message, a.Endpoint)
+		case book.class.Idempotency == AtMostOnce && (book.mayHaveRun || book.inFlight > 0):
+			p.fatal("%s is single-use and sent again", a.Message)
+		case book.class.Idempotency == IdempotencyKey && book.mayHaveRun && p.now > book.ranAt+book.class.IdempotencyWindow:
+			p.fatal("%s sent again after its window", a.Message)
+		case a.Timeout <= 0 || p.now+a.Timeout > book.deadline:
+			p.fatal("%s may run past its cut-off", a.Message)
 		}
-		if len(f.trips) == 0 {
-			f.ranAt = p.now
+		if len(book.attempts) == 0 {
+			book.ranAt = p.now
 		}
-		f.trips = append(f.trips, false)
-		f.out++
+		book.attempts = append(book.attempts, false)
+		book.inFlight++
 		if r, ok := p.replies[string(a.Endpoint)]; ok {
-			p.later = append(p.later, pending{p.now + r.delay, Settled{Record: a.Record,
-				Trip: TripNo(len(f.trips) - 1), Outcome: r.outcome, Took: r.delay, Pressure: r.pressure}})
+			p.later = append(p.later, pending{p.now + r.delay, AttemptFinished{Message: a.Message,
+				Attempt: AttemptNumber(len(book.attempts) - 1), Outcome: r.outcome, Duration: r.delay, LoadReport: r.loadReport}})
 		}
 	}
 }
@@ -458,20 +458,20 @@
 		number, words = int(p.number(w[1])), w[2:]
 	}
 	n := 0
-	for _, action := range p.did {
+	for _, action := range p.actions {
 		said := ""
 		switch a := action.(type) {
 		case Send:
-			said = fmt.Sprintf("send %s %s", a.Record, a.Endpoint)
-		case Bounce:
-			said = fmt.Sprintf("bounce %s pause %d", a.Record, a.Pause/millisecond)
-		case Terminate:
-			said = fmt.Sprintf("terminate %s", a.Record)
+			said = fmt.Sprintf("send %s %s", a.Message, a.Endpoint)
+		case Reject:
+			said = fmt.Sprintf("bounce %s pause %d", a.Message, a.RetryAfter/millisecond)
+		case Fail:
+			said = fmt.Sprintf("terminate %s", a.Message)
 		case Cancel:
-			said = fmt.Sprintf("cancel %s", a.Record)
+			said = fmt.Sprintf("cancel %s", a.Message)
 		case CloseIdle:
 			said = fmt.Sprintf("close %s", a.Endpoint)
-		case Watch:
+		case WatchEndpoints:
 			said = "watch"
 		}
 		all := true
@@ -485,6 +485,6 @@
 	switch {
 	case w[0] == "want" && n == 0, w[0] == "none" && n > 0,
 		w[0] == "most" && n > number, w[0] == "least" && n < number:
-		p.fatal("%s: found %d in %+v", strings.Join(w, " "), n, p.did)
+		p.fatal("%s: found %d in %+v", strings.Join(w, " "), n, p.actions)
 	}
 }
--- /dev/null
+++ b/dispatch/snapshot_test.go
@@ -0,0 +1,153 @@
+package dispatch
+
+import (
+	"fmt"
+	"reflect"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// lived is a courier that has been through some chance events, at instant 100 s.
+func experienced(t *rapid.T, config Config) (*Dispatcher, Micros) {
+	dispatcher := New(config)
+	now := 100 * second
+	dispatcher.Handle(now, []Event{threeEndpoints()})
+	for i := range rapid.IntRange(0, 60).Draw(t, "records") {
+		now += Micros(rapid.IntRange(1, 400).Draw(t, "pause")) * millisecond
+		id := MessageID(fmt.Sprint("r", i))
+		actions := dispatcher.Handle(now, []Event{MessageAccepted{Message: id, Destination: DestinationID(rapid.IntRange(1, 2).Draw(t, "dest")), Deadline: now + 20*second}})
+		for _, a := range actions {
+			if s, ok := a.(Send); ok {
+				outcome := Outcome(rapid.IntRange(int(Delivered), int(Broken)).Draw(t, "outcome"))
+				event := AttemptFinished{Message: s.Message, Attempt: AttemptNumber(len(dispatcher.messages[s.Message].attempts) - 1), Outcome: outcome, Duration: 50 * millisecond, MessageDone: outcome == Delivered}
+				if outcome == Throttled {
+					event.RetryAfter = Micros(rapid.IntRange(0, 3000).Draw(t, "wait")) * millisecond
+				}
+				now += 50 * millisecond
+				dispatcher.Handle(now, []Event{event})
+			}
+		}
+	}
+	return dispatcher, now
+}
+
+func threeEndpoints() EndpointUpdate {
+	return EndpointUpdate{Kind: CachedList, Entries: []EndpointEntry{{Endpoint: "a", Destination: 1}, {Endpoint: "b", Destination: 1}, {Endpoint: "c", Destination: 2}}}
+}
+
+func testConfig() Config {
+	return Config{Seed: 3, Couriers: 3, Slots: 50, QueueLimit: 500, MaxAttempts: 8, Tick: 5 * millisecond, ReportLeftIndex: -1, ReportRateIndex: -1,
+		SlowStartFrom: 0.2, SlowStart: 10 * second, OverloadFactor: 2, IdleTimeout: 5 * second, MayTellRetryAfter: true, EndpointTypes: []EndpointType{{MaxPerCall: 1}},
+		Classes: []Class{{Objective: second, TimeToLive: 20 * second, Priority: 1, LateFactor: 0.5}}}
+}
+
+// TestOlderSnapshotIsMoreCautious: of two couriers that are handed the same lore, the one for which it is older never has a shorter
+// gap between calls, and never a route open that the other keeps shut for a wait or a breaker.
+func TestOlderSnapshotIsMoreCautious(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		dispatcher, at := experienced(t, testConfig())
+		lore := dispatcher.Snapshot()
+		now := at + snapshotMaxAge
+		heir := func(age Micros) *Dispatcher { // at the same instant, with lore of another age
+			h := New(testConfig())
+			h.Handle(now, []Event{threeEndpoints()})
+			snapshot := lore
+			snapshot.TakenAt = now - age
+			for i := range snapshot.Groups { // the same shape, moved in time
+				r := &snapshot.Groups[i]
+				shift := snapshot.TakenAt - lore.TakenAt
+				r.CountedSince, r.LastCall, r.LastDelivery, r.OutageAt = r.CountedSince+shift, r.LastCall+shift, r.LastDelivery+shift, r.OutageAt+shift
+			}
+			h.restore(snapshot)
+			return h
+		}
+		lore.Groups = append([]GroupSnapshot(nil), lore.Groups...)
+		younger := Micros(rapid.IntRange(0, int(snapshotMaxAge/millisecond)).Draw(t, "younger")) * millisecond
+		older := Micros(rapid.IntRange(int(younger/millisecond), int(snapshotMaxAge/millisecond)).Draw(t, "older")) * millisecond
+		saved := append([]GroupSnapshot(nil), lore.Groups...)
+		a := heir(younger)
+		copy(lore.Groups, saved)
+		b := heir(older)
+		for id, destination := range a.destinations {
+			for i, group := range destination.groups {
+				other := b.destinations[id].groups[i]
+				if x, y := a.interval(group), b.interval(other); y < x {
+					t.Fatalf("destination %d: a gap of %d at the age of %d, of %d at %d", id, x, younger, y, older)
+				}
+				if group.retryAfterUntil != other.retryAfterUntil || group.breakers[0].state != other.breakers[0].state {
+					t.Fatalf("destination %d: wait or breaker forgotten by age", id)
+				}
+			}
+		}
+	})
+}
+
+// TestSnapshotIsIndependentCopy: what is handed out stays as it was, whatever its courier does afterwards, and handing it over and
+// out again changes nothing of it.
+func TestSnapshotIsIndependentCopy(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		dispatcher, at := experienced(t, testConfig())
+		lore := dispatcher.Snapshot()
+		before := fmt.Sprintf("%+v", lore)
+		for i := range 20 {
+			dispatcher.Handle(at+Micros(i)*second, []Event{MessageAccepted{Message: MessageID(fmt.Sprint("later", i)), Destination: 1, Deadline: at + 100*second}})
+		}
+		if after := fmt.Sprintf("%+v", lore); after != before {
+			t.Fatalf("%s\nbecame %s", before, after)
+		}
+		heir := New(testConfig())
+		heir.Handle(at, []Event{threeEndpoints(), SnapshotRestored{lore}})
+		again := heir.Snapshot()
+		for i := range lore.Groups { // what is half-open has no trial out at the heir
+			if !reflect.DeepEqual(lore.Groups[i], again.Groups[i]) && lore.Groups[i].Breakers[0].OpenUntil == 0 {
+				t.Fatalf("%+v\nbecame %+v", lore.Groups[i], again.Groups[i])
+			}
+		}
+	})
+}
+
+// TestSnapshotOfUnknownEndpointsIsIgnored: lore about what the list does not have, or has otherwise, or of other workloads, changes nothing.
+func TestSnapshotOfUnknownEndpointsIsIgnored(t *testing.T) {
+	dispatcher := New(testConfig())
+	dispatcher.Handle(100*second, []Event{threeEndpoints(), SnapshotRestored{Snapshot{TakenAt: 99 * second, LostCalls: make([]SumSnapshot, 99),
+		Groups: []GroupSnapshot{{Destination: 9, Outage: true}, {Destination: 1, Endpoint: "a", Outage: true}, {Destination: 2, Endpoint: "zz", Outage: true}},
+		Endpoints: []EndpointSnapshot{{Endpoint: "zz", FailureRuns: []RunSnapshot{{5, 900 * second}}}, {Endpoint: "a", FailureRuns: []RunSnapshot{{5, 900 * second}}},
+			{Endpoint: "b"}}}}})
+	for _, destination := range dispatcher.destinations {
+		for _, group := range destination.groups {
+			if group.outage {
+				t.Errorf("destination %d took over what it had no part in", destination.id)
+			}
+		}
+	}
+	if len(dispatcher.destinations) != 2 || dispatcher.endpoints["a"].ejectedUntil != 0 {
+		t.Errorf("%d destinations, a rests to %d", len(dispatcher.destinations), dispatcher.endpoints["a"].ejectedUntil)
+	}
+	actions := dispatcher.Handle(101*second, []Event{MessageAccepted{Message: "r", Destination: 1, Deadline: 110 * second}})
+	if _, ok := actions[0].(Send); !ok {
+		t.Errorf("%+v", actions)
+	}
+}
+
+// BenchmarkSnapshot: what handing out costs goes by the routes that were called lately.
+func BenchmarkSnapshot(b *testing.B) {
+	for _, size := range []struct{ known, active int }{{250, 250}, {100000, 1000}, {100000, 100000}} {
+		b.Run(fmt.Sprintf("known=%d/active=%d", size.known, size.active), func(b *testing.B) {
+			dispatcher := New(testConfig())
+			news := EndpointUpdate{Kind: CachedList}
+			for i := range size.known {
+				news.Entries = append(news.Entries, EndpointEntry{Endpoint: EndpointID(fmt.Sprint("e", i)), Destination: DestinationID(i)})
+			}
+			dispatcher.Handle(100*second, []Event{news})
+			for i := range size.active {
+				dispatcher.markRecent(dispatcher.destinations[DestinationID(i)].groups[0])
+				dispatcher.destinations[DestinationID(i)].groups[0].lastCall = 100 * second
+			}
+			b.ResetTimer()
+			for range b.N {
+				dispatcher.Snapshot()
+			}
+		})
+	}
+}
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -1,245 +1,286 @@
 package dispatch
 
-// Micros is an instant of the courier's clock, or a span, in whole microseconds.
+// Micros is an instant of the courier's clock, or a span of time, in whole microseconds.
 type Micros int64
 
-// Ids as the outside names them; none of them carries a meaning.
+// Identifiers. Each has a type of its own so that none is taken for another; none has a meaning here.
 type (
-	RecordID   string
+	// MessageID names a message; a message that is submitted again has a new one.
+	MessageID string
+	// EndpointID names one server.
 	EndpointID string
-	Key        string
-	DestID     int32
-	WorkloadID int
-	PartyID    int
-	ZoneID     int
-	ShapeID    int
-	TripNo     int
+	// OrderingKey groups messages that are delivered one at a time, in order; empty for none.
+	OrderingKey string
+	// DestinationID numbers a receiver of messages.
+	DestinationID int32
+	// ClassID is an index into Config.Classes.
+	ClassID int
+	// TenantID is an index into Config.Tenants.
+	TenantID int
+	// ZoneID numbers a zone.
+	ZoneID int
+	// EndpointTypeID is an index into Config.EndpointTypes.
+	EndpointTypeID int
+	// AttemptNumber counts the attempts of a message from 0.
+	AttemptNumber int
 )
 
-// Repeat says what may be done about a record that may already have run.
-type Repeat int
+// Idempotency says whether a message that may already have run may be sent again.
+type Idempotency int
 
+// The kinds of idempotency.
 const (
-	Replayable Repeat = iota // may run again
-	Referenced               // a repeat is known by its mark, for a while
-	SingleUse                // must never run twice
+	Idempotent     Idempotency = iota // may run any number of times
+	IdempotencyKey                    // a repeat is recognized by its key, within Class.IdempotencyWindow
+	AtMostOnce                        // must not run twice
 )
 
-// Decay is the way a record's payoff falls after its quoted time.
-type Decay int
+// ValueDecay is how the value of a message falls after its latency objective.
+type ValueDecay int
 
+// The ways in which a value decays.
 const (
-	Evenly Decay = iota // in a line, down to LatePart at the cut-off
-	Halves              // by half with each further quoted time, not under LatePart
+	LinearDecay  ValueDecay = iota // linearly, to Class.LateFactor at the deadline
+	HalvingDecay                   // by half with each further latency objective, not below Class.LateFactor
 )
 
-// Listed says what the rates on the list are worth.
-type Listed int
+// RateQuality says how far the rates on the endpoint list can be relied on.
+type RateQuality int
 
+// The qualities of listed rates.
 const (
-	NoRates Listed = iota
-	RoughRates
-	NominalRates
+	NoRates      RateQuality = iota // there are none
+	RoughRates                      // up to half too high
+	NominalRates                    // as they are
 )
 
-// Workload is one kind of record.
-type Workload struct {
-	Quoted, Life Micros // quoted time and cut-off, from when it was first handed in
-	Payoff       float64
-	LatePart     float64
-	Repeat       Repeat
-	OneZone      bool   // referenced: only endpoints of one zone know a repeat
-	Window       Micros // referenced: for so long
-	InOrder      bool
+// Class is the configuration of one class of messages. Its times count from when a message was first submitted.
+type Class struct {
+	Objective         Micros  // latency objective
+	TimeToLive        Micros  // until the deadline
+	Priority          float64 // weight of a message delivered within its objective
+	LateFactor        float64 // share of the weight that is left at the deadline, from 0 to 1
+	Idempotency       Idempotency
+	SameZone          bool   // only endpoints of one zone recognize an idempotency key
+	IdempotencyWindow Micros // for how long, from the first attempt that may have run
+	Ordered           bool   // by ordering key
 }
 
-// Shape is one kind of destination.
-type Shape struct {
-	Apart   bool // endpoints are separate routes
-	PerCall int
+// EndpointType is the configuration of one type of endpoints.
+type EndpointType struct {
+	Separate   bool // each endpoint is a group of its own, with its own limit
+	MaxPerCall int  // messages in one call
 }
 
-// Party is a sender of records with a share.
-type Party struct{ PerSec float64 }
-
-// Charter is what a courier is handed at its start.
-type Charter struct {
-	Salt           int64
-	Couriers       int // in all
-	Number         int // of this one
-	Workloads      []Workload
-	Shapes         []Shape
-	Parties        []Party
-	OverSharePart  float64 // of the payoff, for records beyond a share
-	Decay          Decay
-	Slots, Hold    int
-	MaxTrips       int
-	MayCancel      bool
-	MayAdvise      bool
-	LongestAdvice  Micros
-	IdleAfter      Micros // an idle connection is closed
-	Tick           Micros
-	MustAsk        bool
-	Rates          Listed
-	LeftAt, RateAt int       // where a report holds the allowance left and the rate; -1 if nowhere
-	RouteFee       []float64 // by zone, for each record that a route takes on
-	Zone           ZoneID
-	CrossFee       float64 // for a trip to another zone
-	ColdFrom       float64
-	Ramp           Micros
-	FallMultiple   float64
-	KeyRest        Micros
-	LentTo         Micros // until then an earlier start may have lent half of this courier's part of each limit
+// Tenant is the configuration of one sender of messages.
+type Tenant struct {
+	RatePerSecond float64 // quota in messages a second, of all couriers; 0 for none
 }
 
-// Phase is where an endpoint stands on the list.
+// Config is the configuration of a dispatcher.
+type Config struct {
+	Seed              int64 // of all random draws
+	Couriers          int   // size of the fleet
+	CourierNumber     int   // of this one in the fleet
+	Classes           []Class
+	EndpointTypes     []EndpointType
+	Tenants           []Tenant
+	OverQuotaFactor   float64 // of the priority weight, for messages over their tenant's quota
+	Decay             ValueDecay
+	Slots             int // calls in flight at once
+	QueueLimit        int // messages held; 0 for no limit
+	MaxAttempts       int // of a message
+	MayCancel         bool
+	MayTellRetryAfter bool
+	MaxRetryAfter     Micros
+	IdleTimeout       Micros // after which a server closes an idle connection
+	Tick              Micros // shortest time between two timers
+	MustPoll          bool   // the endpoint list has to be polled; else it is pushed
+	RateQuality       RateQuality
+	ReportLeftIndex   int       // of the remaining share of the limit in a load report; -1 if there is none
+	ReportRateIndex   int       // of the limit in a load report, in calls a second; -1 if there is none
+	GroupCost         []float64 // by zone, of each message to a separate endpoint
+	Zone              ZoneID    // of this courier
+	CrossZoneCost     float64   // of a call to another zone
+	SlowStartFrom     float64   // share of its capacity with which a server starts
+	SlowStart         Micros    // how long a server takes to warm up
+	OverloadFactor    float64   // a warming server fails under so many times its capacity
+	KeyCooldown       Micros    // how long an ordering key is held after an attempt that may still run
+	GrantedUntil      Micros    // an earlier start may have granted maxGranted of each limit until then
+}
+
+// Phase is the state of an endpoint on the list.
 type Phase int
 
+// The phases of an endpoint.
 const (
-	In Phase = iota
-	Draining
-	Gone
+	InService Phase = iota
+	Draining        // finishes its calls and takes no new one
+	Removed
 )
 
-// Listing is one endpoint on the list.
-type Listing struct {
-	Endpoint EndpointID
-	Zone     ZoneID
-	Shape    ShapeID
-	Dest     DestID
-	Phase    Phase
-	Rate     float64
+// EndpointEntry is one endpoint on the list.
+type EndpointEntry struct {
+	Endpoint    EndpointID
+	Zone        ZoneID
+	Type        EndpointTypeID
+	Destination DestinationID
+	Phase       Phase
+	Rate        float64 // limit in calls a second from all couriers; 0 if unknown
 }
 
-// Outcome is how a trip ended.
+// Outcome is how an attempt ended. The numbers are those of messages between processes, and must not change.
 type Outcome int
 
+// The outcomes of an attempt.
 const (
-	Done Outcome = iota
-	Failure
-	Full
-	TimedOut
-	Unreachable
-	Broken
-	Withdrawn
-	Void
+	Delivered   Outcome = iota
+	Failure             // an error was answered: it may have run
+	Throttled           // rejected, by a limit or a full queue: it has not run
+	TimedOut            // it may have run, or may yet
+	Unreachable         // the connection was refused, or lost before the whole request was written: it has not run
+	Broken              // the connection was lost after that: it may have run
+	Canceled            // given up by the dispatcher or the client: it may have run
+	Unprocessed         // rejected without being looked at, or not sent: it has not run
 )
 
-// Event is something that happened: one of the types below.
+var outcomeNames = [...]string{"delivered", "failure", "throttled", "timed out", "unreachable", "broken", "canceled", "unprocessed"}
+
+// String implements fmt.Stringer.
+func (o Outcome) String() string {
+	if o < 0 || int(o) >= len(outcomeNames) {
+		return "unknown outcome"
+	}
+	return outcomeNames[o]
+}
+
+// Event is something that happened: one of the types of this package with that method.
 type Event interface{ event() }
 
 type (
-	// Taken hands the courier a record.
-	Taken struct {
-		Record   RecordID
-		Dest     DestID
-		Workload WorkloadID
-		Party    PartyID
-		Key      Key
-		CutOff   Micros
-		Again    bool // handed in before
+	// MessageAccepted hands over a message that was taken on.
+	MessageAccepted struct {
+		Message     MessageID
+		Destination DestinationID
+		Class       ClassID
+		Tenant      TenantID
+		OrderingKey OrderingKey
+		Deadline    Micros
+		Resubmitted bool // by its client, after a rejection
 	}
-	// Recovered hands over a record that was taken before a restart and is not over.
-	Recovered struct {
-		Taken
-		Trips []Past
+	// MessageRecovered hands over a message that was taken on before a restart and has no final answer.
+	MessageRecovered struct {
+		MessageAccepted
+		Attempts []PastAttempt // in order
 	}
-	// Past is a trip from before a restart; one whose outcome was not heard is Broken.
-	Past struct {
+	// PastAttempt is an attempt from before a restart; one without an outcome counts as Broken.
+	PastAttempt struct {
 		Endpoint EndpointID
 		Zone     ZoneID
-		Sent     Micros
+		SentAt   Micros
 		Outcome  Outcome
-		Out      bool // still out, over an upgrade: its outcome comes as any other
+		InFlight bool // at the predecessor in an upgrade: its outcome comes as AttemptFinished
 	}
-	// Settled is the one outcome of a trip.
-	Settled struct {
-		Record   RecordID  `json:"Record"`
-		Trip     TripNo    `json:"Trip"`
-		Outcome  Outcome   `json:"Outcome"`
-		Took     Micros    `json:"Took"`
-		Over     bool      `json:"Over"` // the record is finished
-		Wait     Micros    `json:"Wait"` // told with Full
-		Pressure []float64 `json:"Pressure"`
+	// AttemptFinished is the one outcome of an attempt. The tags are the names that it has between processes.
+	AttemptFinished struct {
+		Message     MessageID     `json:"Record"`
+		Attempt     AttemptNumber `json:"Trip"`
+		Outcome     Outcome       `json:"Outcome"`
+		Duration    Micros        `json:"Took"`
+		MessageDone bool          `json:"Over"`     // nothing more is owed for the message
+		RetryAfter  Micros        `json:"Wait"`     // 0 for none
+		LoadReport  []float64     `json:"Pressure"` // see Config.ReportLeftIndex
 	}
-	// Closing announces the end of this process; what is out then is cut off, and all else handed on.
-	Closing struct{ At Micros }
-	// Rechartered hands a running courier another charter. Workloads, shapes, zones and parties keep their numbers, and
-	// further ones come after them; salt and list are as they were.
-	Rechartered struct{ Charter Charter }
-	// Maintained: people have taken an endpoint out, whatever the list says of it, or put it back.
-	Maintained struct {
+	// ShutdownScheduled announces the end of the process. Attempts in flight are cut off then; other messages are handed on.
+	ShutdownScheduled struct{ At Micros }
+	// Reconfigured replaces the configuration. Classes, endpoint types, zones and tenants keep their numbers, with new ones
+	// after them; the seed and the endpoint list stay as they are.
+	Reconfigured struct{ Config Config }
+	// MaintenanceChanged reports that an operator disabled an endpoint, whatever the list says of it, or enabled it again.
+	MaintenanceChanged struct {
 		Endpoint EndpointID
-		Out      bool
+		Disabled bool
 	}
-	// Left: nobody wants the record any more.
-	Left struct{ Record RecordID }
-	// Woken is a wake-up that was asked for.
-	Woken struct{}
-	// ListNews brings the list, or changes of it, or word that asking failed.
-	ListNews struct {
-		How     ListKind
-		Entries []Listing
+	// MessageCanceled reports that a message needs no final answer any more.
+	MessageCanceled struct{ Message MessageID }
+	// TimerFired reports that a timer is over.
+	TimerFired struct{}
+	// EndpointUpdate brings the endpoint list, changes of it, or the failure of a poll.
+	EndpointUpdate struct {
+		Kind    UpdateKind
+		Entries []EndpointEntry
 	}
 )
 
-// ListKind tells how to read ListNews.
-type ListKind int
+// Snapshotter is a dispatcher whose learned state can be taken.
+type Snapshotter interface{ Snapshot() Snapshot }
 
+// Demander is a dispatcher that tells what its courier does at each group.
+type Demander interface{ Demands() []Demand }
+
+var (
+	_ Snapshotter = (*Dispatcher)(nil)
+	_ Demander    = (*Dispatcher)(nil)
+)
+
+// UpdateKind says what an EndpointUpdate brings.
+type UpdateKind int
+
+// The kinds of updates.
 const (
-	Persisted ListKind = iota
-	Complete
-	Partial
-	ListError
+	CachedList   UpdateKind = iota // the whole list, as it was stored
+	CompleteList                   // the whole list
+	PartialList                    // entries that changed
+	ListFailed                     // nothing: the poll failed
 )
 
-func (Taken) event()       {}
-func (Recovered) event()   {}
-func (Settled) event()     {}
-func (Closing) event()     {}
-func (Rechartered) event() {}
-func (Maintained) event()  {}
-func (Left) event()        {}
-func (Woken) event()       {}
-func (ListNews) event()    {}
-
-// Action is something to be done: one of the types below.
+func (MessageAccepted) event()    {}
+func (MessageRecovered) event()   {}
+func (AttemptFinished) event()    {}
+func (ShutdownScheduled) event()  {}
+func (Reconfigured) event()       {}
+func (MaintenanceChanged) event() {}
+func (MessageCanceled) event()    {}
+func (TimerFired) event()         {}
+func (EndpointUpdate) event()     {}
+
+// Action is something to be carried out: one of the types of this package with that method.
 type Action interface{ action() }
 
 type (
-	// Send starts a trip; trips of a record are numbered from 0.
+	// Send starts an attempt; the attempts of a message are numbered from 0 in the order of their Sends.
 	Send struct {
-		Record   RecordID
+		Message  MessageID
 		Endpoint EndpointID
-		Limit    Micros
+		Timeout  Micros
 	}
-	// Cancel stops waiting for a trip.
+	// Cancel gives up an attempt. Its outcome is still to be reported.
 	Cancel struct {
-		Record RecordID
-		Trip   TripNo
+		Message MessageID
+		Attempt AttemptNumber
 	}
-	// Bounce ends a record; trying again is harmless.
-	Bounce struct {
-		Record RecordID
-		Pause  Micros
+	// Reject ends a message that is safe to submit again.
+	Reject struct {
+		Message    MessageID
+		RetryAfter Micros // 0 for none
 	}
-	// Terminate ends a record and promises nothing.
-	Terminate struct{ Record RecordID }
-	// Wake asks for Woken at or after an instant.
-	Wake struct{ At Micros }
-	// CloseIdle drops idle connections to an endpoint.
+	// Fail ends a message that is not safe to submit again.
+	Fail struct{ Message MessageID }
+	// SetTimer has TimerFired reported at an instant, or later. A timer that was set for a later instant is replaced.
+	SetTimer struct{ At Micros }
+	// CloseIdle closes the idle connections to an endpoint.
 	CloseIdle struct{ Endpoint EndpointID }
-	// Watch asks for changes of the list.
-	Watch struct{}
-	// Note is a line for the operators.
+	// WatchEndpoints polls the endpoint list for changes.
+	WatchEndpoints struct{}
+	// Note is a line for the log.
 	Note struct{ Text string }
 )
 
-func (Send) action()      {}
-func (Cancel) action()    {}
-func (Bounce) action()    {}
-func (Terminate) action() {}
-func (Wake) action()      {}
-func (CloseIdle) action() {}
-func (Watch) action()     {}
-func (Note) action()      {}
+func (Send) action()           {}
+func (Cancel) action()         {}
+func (Reject) action()         {}
+func (Fail) action()           {}
+func (SetTimer) action()       {}
+func (CloseIdle) action()      {}
+func (WatchEndpoints) action() {}
+func (Note) action()           {}
--- a/handoff/folder_test.go
+++ b/handoff/folder_test.go
@@ -62,20 +62,20 @@
 	if s != nil || l != nil {
 		t.Fatal("handed over by nobody")
 	}
-	state := &State{Seq: 7, Gone: []string{"s-1"}, Out: []Out{{"r", 1, 5}}, Lore: dispatch.Lore{At: 3, Routes: make([]dispatch.RouteLore, 5000)}}
+	state := &State{Seq: 7, Gone: []string{"s-1"}, Out: []Out{{"r", 1, 5}}, Lore: dispatch.Snapshot{TakenAt: 3, Groups: make([]dispatch.GroupSnapshot, 5000)}}
 	links := serve(t, old, state)
 	_, s, l = acquire(t, dir)
-	if s == nil || s.Seq != 7 || len(s.Lore.Routes) != 5000 || s.Out[0] != state.Out[0] || s.Gone[0] != "s-1" {
+	if s == nil || s.Seq != 7 || len(s.Lore.Groups) != 5000 || s.Out[0] != state.Out[0] || s.Gone[0] != "s-1" {
 		t.Fatalf("%+v", s)
 	}
 	predecessor := <-links
 	for i := range 100 {
-		predecessor.Send(Message{Settled: &dispatch.Settled{Record: dispatch.RecordID(fmt.Sprint(i)), Outcome: dispatch.Full, Wait: 9}})
+		predecessor.Send(Message{Settled: &dispatch.AttemptFinished{Message: dispatch.MessageID(fmt.Sprint(i)), Outcome: dispatch.Throttled, RetryAfter: 9}})
 	}
 	heard := make(chan *Message, 200)
 	go l.Listen(func(m *Message) { heard <- m })
 	for i := range 100 {
-		if m := <-heard; m == nil || m.Settled.Record != dispatch.RecordID(fmt.Sprint(i)) || m.Settled.Wait != 9 {
+		if m := <-heard; m == nil || m.Settled.Message != dispatch.MessageID(fmt.Sprint(i)) || m.Settled.RetryAfter != 9 {
 			t.Fatalf("%d: %+v", i, m)
 		}
 	}
--- a/handoff/message.go
+++ b/handoff/message.go
@@ -22,15 +22,15 @@
 
 // Message is one thing said; one of its fields is set.
 type Message struct {
-	Hello   *Hello            `json:"hello,omitempty"`   // new: ready to take over
-	Refused string            `json:"refused,omitempty"` // old: goes on by itself, and why
-	State   *State            `json:"state,omitempty"`   // old: decides no more
-	Serving bool              `json:"serving,omitempty"` // new: takes clients
-	Settled *dispatch.Settled `json:"settled,omitempty"` // old: a trip that it had out ended
-	Cancel  *Out              `json:"cancel,omitempty"`  // new: it is waited for no more
-	Wait    *Wait             `json:"wait,omitempty"`    // new: was told to wait, in case the old one must go on
-	Ask     *Ask              `json:"ask,omitempty"`     // old: operators want something
-	Answer  *Answer           `json:"answer,omitempty"`  // new: what became of it
+	Hello   *Hello                    `json:"hello,omitempty"`   // new: ready to take over
+	Refused string                    `json:"refused,omitempty"` // old: goes on by itself, and why
+	State   *State                    `json:"state,omitempty"`   // old: decides no more
+	Serving bool                      `json:"serving,omitempty"` // new: takes clients
+	Settled *dispatch.AttemptFinished `json:"settled,omitempty"` // old: a trip that it had out ended
+	Cancel  *Out                      `json:"cancel,omitempty"`  // new: it is waited for no more
+	Wait    *Wait                     `json:"wait,omitempty"`    // new: was told to wait, in case the old one must go on
+	Ask     *Ask                      `json:"ask,omitempty"`     // old: operators want something
+	Answer  *Answer                   `json:"answer,omitempty"`  // new: what became of it
 }
 
 // Hello says who is there.
@@ -41,7 +41,7 @@
 
 // State is all that the folder that lasts does not hold.
 type State struct {
-	Lore  dispatch.Lore              `json:"lore"`
+	Lore  dispatch.Snapshot          `json:"lore"`
 	Seq   int64                      `json:"seq"` // of the list
 	Hosts []protocol.Host            `json:"hosts"`
 	Out   []Out                      `json:"out"`   // trips whose outcome is still to be told
@@ -66,9 +66,9 @@
 
 // Wait is what a route told; Endpoint is empty where the route is the destination.
 type Wait struct {
-	Dest     dispatch.DestID     `json:"dest"`
-	Endpoint dispatch.EndpointID `json:"endpoint,omitempty"`
-	Until    dispatch.Micros     `json:"until"`
+	Dest     dispatch.DestinationID `json:"dest"`
+	Endpoint dispatch.EndpointID    `json:"endpoint,omitempty"`
+	Until    dispatch.Micros        `json:"until"`
 }
 
 // Ask is a call of an operator: an endpoint out or back, or clients away or back.
--- a/quota/exchange/exchange.go
+++ b/quota/exchange/exchange.go
@@ -26,7 +26,7 @@
 	// Say has a member hear words, which may be lost. It must not wait.
 	Say func(to string, text []byte) error
 	// Needs is what the decisions last told of their routes.
-	Needs func() []dispatch.Need
+	Needs func() []dispatch.Demand
 	// Share hands the decisions what stands, by a clock that began at zero. What it returns is closed once it is taken in; nil if it is not.
 	Share func(parts []quota.Part, zero time.Time) (taken <-chan struct{})
 }
--- a/quota/exchange/exchange_test.go
+++ b/quota/exchange/exchange_test.go
@@ -16,13 +16,13 @@
 	loans int
 	takes bool // the decisions take in what stands
 	hangs bool // they never say so
-	needs []dispatch.Need
+	needs []dispatch.Demand
 }
 
 func (m *mate) open() *Exchange {
 	return Open(Options{Self: "a", Start: 1, Beat: 500 * time.Millisecond,
 		Fleet: func() (int, []string) { return 2, []string{"b"} },
-		Needs: func() []dispatch.Need { return m.needs },
+		Needs: func() []dispatch.Demand { return m.needs },
 		Say: func(_ string, text []byte) error {
 			w, err := quota.Decode(text)
 			m.mu.Lock()
@@ -67,7 +67,7 @@
 // Failure meant: both sides use the same part, as the lender's decisions hang or are another process's.
 func TestNoLoanBeforeItIsTakenOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &mate{takes: true, needs: []dispatch.Need{{Dest: 1, Limit: 10}}}
+		m := &mate{takes: true, needs: []dispatch.Demand{{Destination: 1, Limit: 10}}}
 		x := m.open()
 		defer x.Close()
 		if n := m.asked(x, 1); n != 0 {
@@ -95,7 +95,7 @@
 // waited for for ever.
 func TestWhatNobodySays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &mate{takes: true, hangs: true, needs: []dispatch.Need{{Dest: 1, Limit: 10}}}
+		m := &mate{takes: true, hangs: true, needs: []dispatch.Demand{{Destination: 1, Limit: 10}}}
 		x := m.open()
 		time.Sleep(600 * time.Millisecond) // since the first beat it waits for the decisions, and hears nothing
 		x.Hear([]byte("noise"))
--- a/server/actions.go
+++ b/server/actions.go
@@ -11,15 +11,15 @@
 			calls = r.load(calls, a)
 		case dispatch.Cancel:
 			r.cancel(a)
-		case dispatch.Bounce:
-			r.reject(a.Record, a.Pause)
-		case dispatch.Terminate:
-			r.fail(a.Record)
-		case dispatch.Wake:
+		case dispatch.Reject:
+			r.reject(a.Message, a.RetryAfter)
+		case dispatch.Fail:
+			r.fail(a.Message)
+		case dispatch.SetTimer:
 			r.wakeAt = min(r.wakeAt, a.At)
 		case dispatch.CloseIdle:
 			r.links.closeIdle(peerOf(r.hosts[a.Endpoint]))
-		case dispatch.Watch:
+		case dispatch.WatchEndpoints:
 			r.platform.watch()
 		case dispatch.Note:
 			r.log.Info("note", "text", a.Text)
--- a/server/calls.go
+++ b/server/calls.go
@@ -22,8 +22,8 @@
 }
 
 var outcomes = map[string]dispatch.Outcome{
-	"done": dispatch.Done, "failure": dispatch.Failure, "full": dispatch.Full, "timed_out": dispatch.TimedOut,
-	"unreachable": dispatch.Unreachable, "broken": dispatch.Broken, "withdrawn": dispatch.Withdrawn, "void": dispatch.Void,
+	"done": dispatch.Delivered, "failure": dispatch.Failure, "full": dispatch.Throttled, "timed_out": dispatch.TimedOut,
+	"unreachable": dispatch.Unreachable, "broken": dispatch.Broken, "withdrawn": dispatch.Canceled, "void": dispatch.Unprocessed,
 }
 
 func outcomeName(o dispatch.Outcome) string {
@@ -37,14 +37,14 @@
 
 // load puts an attempt on a call: sends of one step to one endpoint go together, up to what its shape takes.
 func (r *Router) load(calls []*call, a dispatch.Send) []*call {
-	message := r.messages[a.Record]
+	message := r.messages[a.Message]
 	if message == nil || message.ended {
 		return calls
 	}
 	host := r.hosts[a.Endpoint]
 	perCall := 1
 	if kind, ok := r.kindOf(host); ok {
-		perCall = kind.PerCall
+		perCall = kind.MaxPerCall
 	}
 	var c *call
 	for _, o := range calls {
@@ -56,7 +56,7 @@
 		c = &call{endpoint: a.Endpoint, host: host}
 		calls = append(calls, c)
 	}
-	attempt := &attempt{message: message, number: len(message.attempts), call: c, sent: r.now, limit: r.now + a.Limit}
+	attempt := &attempt{message: message, number: len(message.attempts), call: c, sent: r.now, limit: r.now + a.Timeout}
 	message.attempts = append(message.attempts, attempt)
 	message.out++
 	r.inFlight = append(r.inFlight, attempt)
@@ -101,7 +101,7 @@
 func (r *Router) leaves(c *call) error {
 	for _, attempt := range slices.Clone(c.attempts) {
 		if attempt.message.ended || attempt.message.windowOver(r.now) {
-			r.complete(attempt, dispatch.Settled{Outcome: dispatch.Void})
+			r.complete(attempt, dispatch.AttemptFinished{Outcome: dispatch.Unprocessed})
 		}
 	}
 	c.attempts = slices.DeleteFunc(c.attempts, func(attempt *attempt) bool { return attempt.over })
@@ -161,7 +161,7 @@
 func (r *Router) answered(c *call, a protocol.Answer, err error) {
 	if errors.Is(err, errOvertaken) {
 		for _, attempt := range c.attempts {
-			r.complete(attempt, dispatch.Settled{Outcome: dispatch.Void})
+			r.complete(attempt, dispatch.AttemptFinished{Outcome: dispatch.Unprocessed})
 		}
 		return
 	}
@@ -170,7 +170,7 @@
 		outcome := map[protocol.Progress]dispatch.Outcome{protocol.BeforeLastByte: dispatch.Unreachable,
 			protocol.AfterLastByte: dispatch.Broken, protocol.InAnswer: dispatch.Failure}[failure.Progress]
 		for _, attempt := range c.attempts {
-			r.complete(attempt, dispatch.Settled{Outcome: outcome})
+			r.complete(attempt, dispatch.AttemptFinished{Outcome: outcome})
 		}
 		return
 	}
@@ -187,7 +187,7 @@
 		if ends != nil {
 			s = endOf(ends[attempt.message.kept.ID])
 		}
-		s.Pressure, s.Wait = pressure, dispatch.Micros(a.WaitMs)*1000
+		s.LoadReport, s.RetryAfter = pressure, dispatch.Micros(a.WaitMs)*1000
 		r.complete(attempt, s)
 	}
 }
@@ -210,64 +210,64 @@
 // apart tells whether a wait that an endpoint told holds for it alone.
 func (r *Router) apart(h protocol.Host) bool {
 	kind, ok := r.kindOf(h)
-	return ok && kind.Apart
+	return ok && kind.Separate
 }
 
 // kindOf is what the settings say of the kind that an endpoint is of; false where they know none of that name.
-func (r *Router) kindOf(h protocol.Host) (dispatch.Shape, bool) {
+func (r *Router) kindOf(h protocol.Host) (dispatch.EndpointType, bool) {
 	i := slices.Index(r.dep.Shapes, h.Kind)
-	if i < 0 || i >= len(r.dep.Charter.Shapes) {
-		return dispatch.Shape{}, false
+	if i < 0 || i >= len(r.dep.Charter.EndpointTypes) {
+		return dispatch.EndpointType{}, false
 	}
-	return r.dep.Charter.Shapes[i], true
+	return r.dep.Charter.EndpointTypes[i], true
 }
 
 // outcomeOf reads an answer for all that a call carried.
-func outcomeOf(a protocol.Answer) dispatch.Settled {
+func outcomeOf(a protocol.Answer) dispatch.AttemptFinished {
 	switch {
 	case a.Status == 200:
-		return dispatch.Settled{Outcome: dispatch.Done, Over: true}
+		return dispatch.AttemptFinished{Outcome: dispatch.Delivered, MessageDone: true}
 	case a.Status == 503 && a.NoSlot, a.Status == 504:
-		return dispatch.Settled{Outcome: dispatch.Void}
+		return dispatch.AttemptFinished{Outcome: dispatch.Unprocessed}
 	case a.Status == 429, a.Status == 503:
-		return dispatch.Settled{Outcome: dispatch.Full}
+		return dispatch.AttemptFinished{Outcome: dispatch.Throttled}
 	case a.Status == 410:
-		return dispatch.Settled{Outcome: dispatch.Void, Over: true}
+		return dispatch.AttemptFinished{Outcome: dispatch.Unprocessed, MessageDone: true}
 	case a.Status == 400, a.Status == 404, a.Status == 413:
-		return dispatch.Settled{Outcome: dispatch.Void} // nothing of it was read
+		return dispatch.AttemptFinished{Outcome: dispatch.Unprocessed} // nothing of it was read
 	}
-	return dispatch.Settled{Outcome: dispatch.Failure} // unknown: it may have run
+	return dispatch.AttemptFinished{Outcome: dispatch.Failure} // unknown: it may have run
 }
 
 // endOf reads one message's end from an answer for several; one that is not named may have run.
-func endOf(word string) dispatch.Settled {
+func endOf(word string) dispatch.AttemptFinished {
 	switch word {
 	case protocol.Accepted:
-		return dispatch.Settled{Outcome: dispatch.Done, Over: true}
+		return dispatch.AttemptFinished{Outcome: dispatch.Delivered, MessageDone: true}
 	case protocol.Deferred:
-		return dispatch.Settled{Outcome: dispatch.Full}
+		return dispatch.AttemptFinished{Outcome: dispatch.Throttled}
 	case protocol.Expired:
-		return dispatch.Settled{Outcome: dispatch.Void, Over: true}
+		return dispatch.AttemptFinished{Outcome: dispatch.Unprocessed, MessageDone: true}
 	case protocol.NoMore:
-		return dispatch.Settled{Outcome: dispatch.Void}
+		return dispatch.AttemptFinished{Outcome: dispatch.Unprocessed}
 	}
-	return dispatch.Settled{Outcome: dispatch.Failure}
+	return dispatch.AttemptFinished{Outcome: dispatch.Failure}
 }
 
 // complete ends an attempt with its outcome and tells the decisions.
-func (r *Router) complete(attempt *attempt, s dispatch.Settled) {
+func (r *Router) complete(attempt *attempt, s dispatch.AttemptFinished) {
 	if r.upgrade.handed {
 		r.upgrade.echo(attempt, s)
 		return
 	}
 	if attempt.over {
-		if s.Over && !attempt.message.ended { // called off, and delivered all the same
-			if s.Outcome == dispatch.Done {
+		if s.MessageDone && !attempt.message.ended { // called off, and delivered all the same
+			if s.Outcome == dispatch.Delivered {
 				r.count(attempt.message.kept.Workload, delivered)
 			}
 			r.clients.over.add(attempt.message, r.now)
 			r.finish(attempt.message)
-			r.events = append(r.events, dispatch.Left{Record: dispatch.RecordID(attempt.message.kept.ID)})
+			r.events = append(r.events, dispatch.MessageCanceled{Message: dispatch.MessageID(attempt.message.kept.ID)})
 			r.forget(attempt.message)
 		}
 		return
@@ -280,8 +280,8 @@
 			break
 		}
 	}
-	if s.Over {
-		if !attempt.message.ended && s.Outcome == dispatch.Done {
+	if s.MessageDone {
+		if !attempt.message.ended && s.Outcome == dispatch.Delivered {
 			r.count(attempt.message.kept.Workload, delivered)
 		}
 		r.clients.over.add(attempt.message, r.now)
@@ -289,8 +289,8 @@
 	} else if !attempt.message.ended {
 		r.outcome(attempt, s.Outcome)
 	}
-	s.Record, s.Trip, s.Took = dispatch.RecordID(attempt.message.kept.ID), dispatch.TripNo(attempt.number), r.now-attempt.sent
-	s.Over = s.Over || attempt.message.ended
+	s.Message, s.Attempt, s.Duration = dispatch.MessageID(attempt.message.kept.ID), dispatch.AttemptNumber(attempt.number), r.now-attempt.sent
+	s.MessageDone = s.MessageDone || attempt.message.ended
 	r.events = append(r.events, s)
 	r.learned.observe(s.Outcome)
 	r.forget(attempt.message)
@@ -302,13 +302,13 @@
 	if r.arrives(attempt) {
 		return
 	}
-	s := dispatch.Settled{Outcome: dispatch.TimedOut}
+	s := dispatch.AttemptFinished{Outcome: dispatch.TimedOut}
 	switch x := attempt.call.exchange; {
 	case attempt.call.predecessor: // the other process has said nothing of it for longer than it should wait
 	case !r.links.out(x):
 		s.Outcome = dispatch.Unreachable
 	case !x.whole && x.link.first.Load() == 200:
-		s.Outcome, s.Over = dispatch.Done, true // the rest of the answer is slow, but this was its first line
+		s.Outcome, s.MessageDone = dispatch.Delivered, true // the rest of the answer is slow, but this was its first line
 	case x.cut:
 		s.Outcome = dispatch.Failure // it answers, but nothing that can be read
 	}
@@ -335,18 +335,18 @@
 }
 
 func (r *Router) cancel(a dispatch.Cancel) {
-	message := r.messages[a.Record]
-	if message == nil || int(a.Trip) >= len(message.attempts) || message.attempts[a.Trip].over {
+	message := r.messages[a.Message]
+	if message == nil || int(a.Attempt) >= len(message.attempts) || message.attempts[a.Attempt].over {
 		return
 	}
-	attempt, o := message.attempts[a.Trip], dispatch.Withdrawn
+	attempt, o := message.attempts[a.Attempt], dispatch.Canceled
 	if r.arrives(attempt) {
 		return // its answer says more
 	}
 	if x := attempt.call.exchange; x != nil && !x.sent {
-		o = dispatch.Void // its connection is still coming up: it never ran
+		o = dispatch.Unprocessed // its connection is still coming up: it never ran
 	}
-	r.complete(attempt, dispatch.Settled{Outcome: o})
+	r.complete(attempt, dispatch.AttemptFinished{Outcome: o})
 	r.drop(attempt.call)
 }
 
--- a/server/clients.go
+++ b/server/clients.go
@@ -137,8 +137,8 @@
 // over are messages that were accepted and have ended, for as long as their clients may hand them in once more. Failure: a reset took away
 // a reply that the socket had; the client sent the same request again, the message was over by then, and was accepted a second time.
 type over struct {
-	until map[dispatch.RecordID]dispatch.Micros
-	order []dispatch.RecordID // oldest first
+	until map[dispatch.MessageID]dispatch.Micros
+	order []dispatch.MessageID // oldest first
 }
 
 const (
@@ -152,10 +152,10 @@
 		delete(o.until, o.order[0])
 		o.order = o.order[1:]
 	}
-	id, until := dispatch.RecordID(message.kept.ID), message.acceptedAt+onceMore
+	id, until := dispatch.MessageID(message.kept.ID), message.acceptedAt+onceMore
 	if until > now && o.until[id] == 0 {
 		if o.until == nil {
-			o.until = map[dispatch.RecordID]dispatch.Micros{}
+			o.until = map[dispatch.MessageID]dispatch.Micros{}
 		}
 		o.until[id] = until
 		o.order = append(o.order, id)
@@ -163,7 +163,7 @@
 }
 
 // has tells whether a message was accepted and is over.
-func (o *over) has(id dispatch.RecordID, now dispatch.Micros) bool { return o.until[id] > now }
+func (o *over) has(id dispatch.MessageID, now dispatch.Micros) bool { return o.until[id] > now }
 
 func (cs *clients) init(r *Router) {
 	cs.r, cs.all, cs.sweepAt = r, map[*client]bool{}, never
@@ -270,7 +270,7 @@
 		rep.message = nil
 		if message.waiting = slices.DeleteFunc(message.waiting, func(o *reply) bool { return o == rep }); len(message.waiting) == 0 {
 			cs.r.finish(message)
-			cs.r.events = append(cs.r.events, dispatch.Left{Record: dispatch.RecordID(message.kept.ID)})
+			cs.r.events = append(cs.r.events, dispatch.MessageCanceled{Message: dispatch.MessageID(message.kept.ID)})
 			cs.r.forget(message)
 			if e.from.conn.HalfClosed() {
 				rep.text = protocol.ReplyBusy(0)
@@ -411,7 +411,7 @@
 
 // acceptedBefore tells whether a message was accepted already, and then answers that it was.
 func (cs *clients) acceptedBefore(request protocol.Enqueue, rep *reply) bool {
-	id := dispatch.RecordID(request.ID)
+	id := dispatch.MessageID(request.ID)
 	switch message := cs.r.messages[id]; {
 	case message != nil && len(message.waiting) > 0: // sent once more in the step that accepts it: whatever the first reply is
 		rep.message, rep.text = message, protocol.ReplyOK
@@ -439,7 +439,7 @@
 	}
 	rep.text = protocol.ReplyOK
 	rep.message = &message{kept: kept, waiting: []*reply{rep}, acceptedAt: r.now, repeatWindow: r.repeatWindow(kept.Workload)}
-	r.messages[dispatch.RecordID(request.ID)] = rep.message
+	r.messages[dispatch.MessageID(request.ID)] = rep.message
 	r.counters.accepted()
 	r.events = append(r.events, r.accepted(kept))
 }
--- a/server/crossings_test.go
+++ b/server/crossings_test.go
@@ -121,9 +121,9 @@
 func TestCalledOffBeforeItLeft(t *testing.T) {
 	r := byHand(t, open(t, 0), single("one"), single("two"))
 	var calls []*call
-	r.dep.Charter.Shapes[0].PerCall = 5
-	for _, id := range []dispatch.RecordID{"one", "two"} {
-		calls = r.load(calls, dispatch.Send{Record: id, Endpoint: "s-0", Limit: 5 * 1000 * 1000})
+	r.dep.Charter.EndpointTypes[0].MaxPerCall = 5
+	for _, id := range []dispatch.MessageID{"one", "two"} {
+		calls = r.load(calls, dispatch.Send{Message: id, Endpoint: "s-0", Timeout: 5 * 1000 * 1000})
 	}
 	if len(calls) != 1 || len(calls[0].attempts) != 2 {
 		t.Fatalf("%d calls", len(calls))
@@ -131,8 +131,8 @@
 	r.events = nil
 	r.start(calls[0])
 	up := until(t, r, func(e linkUp) bool { return toEndpoint(e.on) })
-	r.cancel(dispatch.Cancel{Record: "one", Trip: 0})
-	if s := r.events[len(r.events)-1].(dispatch.Settled); s.Outcome != dispatch.Void {
+	r.cancel(dispatch.Cancel{Message: "one", Attempt: 0})
+	if s := r.events[len(r.events)-1].(dispatch.AttemptFinished); s.Outcome != dispatch.Unprocessed {
 		t.Errorf("never sent, and called off as %v", s.Outcome)
 	}
 	r.dispatch(up)
@@ -300,7 +300,7 @@
 func TestAnAnswerThatCrossesItsTime(t *testing.T) {
 	for name, cross := range map[string]func(r *Router, attempt *attempt){
 		"overdue":    func(r *Router, attempt *attempt) { r.overdue(attempt) },
-		"called off": func(r *Router, attempt *attempt) { r.cancel(dispatch.Cancel{Record: "one"}) },
+		"called off": func(r *Router, attempt *attempt) { r.cancel(dispatch.Cancel{Message: "one"}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := open(t, 0)
@@ -314,7 +314,7 @@
 				t.Error("ended although its answer is here")
 			}
 			r.dispatch(answer)
-			if s, ok := r.events[len(r.events)-1].(dispatch.Settled); !ok || s.Outcome != dispatch.Done {
+			if s, ok := r.events[len(r.events)-1].(dispatch.AttemptFinished); !ok || s.Outcome != dispatch.Delivered {
 				t.Errorf("ended as %+v", r.events)
 			}
 		})
@@ -328,12 +328,12 @@
 		bytes string
 		want  dispatch.Outcome
 	}{
-		"whole": {okAnswer, dispatch.Done}, "its first line": {okAnswer[:17], dispatch.Done}, "half a line": {"HTTP/1.1 2", dispatch.Failure},
+		"whole": {okAnswer, dispatch.Delivered}, "its first line": {okAnswer[:17], dispatch.Delivered}, "half a line": {"HTTP/1.1 2", dispatch.Failure},
 		"nothing": {"", dispatch.TimedOut},
 	} {
 		for how, cross := range map[string]func(r *Router, attempt *attempt){
 			"overdue":    func(r *Router, attempt *attempt) { r.overdue(attempt) },
-			"called off": func(r *Router, attempt *attempt) { r.cancel(dispatch.Cancel{Record: "one"}) },
+			"called off": func(r *Router, attempt *attempt) { r.cancel(dispatch.Cancel{Message: "one"}) },
 		} {
 			t.Run(name+" "+how, func(t *testing.T) {
 				w := open(t, 0)
@@ -356,7 +356,7 @@
 				goOn()
 				want := c.want
 				if c.bytes == "" && how == "called off" {
-					want = dispatch.Withdrawn
+					want = dispatch.Canceled
 				}
 				for read := c.bytes == ""; !read; {
 					var what any
@@ -379,7 +379,7 @@
 					}
 				}
 				for _, e := range r.events {
-					if s, ok := e.(dispatch.Settled); ok && s.Outcome == want {
+					if s, ok := e.(dispatch.AttemptFinished); ok && s.Outcome == want {
 						return
 					}
 				}
@@ -520,8 +520,8 @@
 
 func (refusing) Handle(_ dispatch.Micros, events []dispatch.Event) (actions []dispatch.Action) {
 	for _, event := range events {
-		if e, ok := event.(dispatch.Taken); ok {
-			actions = append(actions, dispatch.Bounce{Record: e.Record, Pause: 7000})
+		if e, ok := event.(dispatch.MessageAccepted); ok {
+			actions = append(actions, dispatch.Reject{Message: e.Message, RetryAfter: 7000})
 		}
 	}
 	return actions
@@ -571,10 +571,10 @@
 	for i := range 3 * overMost {
 		o.add(&message{kept: &spool.Record{ID: fmt.Sprint(i)}, acceptedAt: 5}, 5)
 	}
-	if len(o.until) > overMost || len(o.order) > overMost || !o.has(dispatch.RecordID(fmt.Sprint(3*overMost-1)), 5) {
+	if len(o.until) > overMost || len(o.order) > overMost || !o.has(dispatch.MessageID(fmt.Sprint(3*overMost-1)), 5) {
 		t.Errorf("%d ids, %d in order", len(o.until), len(o.order))
 	}
-	if o.has(dispatch.RecordID(fmt.Sprint(3*overMost-1)), 5+onceMore) {
+	if o.has(dispatch.MessageID(fmt.Sprint(3*overMost-1)), 5+onceMore) {
 		t.Error("known for ever")
 	}
 	o.add(&message{kept: &spool.Record{ID: "late"}, acceptedAt: 5}, 5+onceMore)
--- a/server/fleet.go
+++ b/server/fleet.go
@@ -14,10 +14,10 @@
 
 // charter is the settings' own, with as many couriers as the fleet counts where that is more: a part of a limit can only
 // become smaller by what others say.
-func (r *Router) charter() dispatch.Charter {
+func (r *Router) charter() dispatch.Config {
 	ch := r.dep.Charter
 	ch.Couriers = max(ch.Couriers, int(r.reckoned))
-	ch.LentTo = r.lentTo
+	ch.GrantedUntil = r.lentTo
 	return ch
 }
 
@@ -25,6 +25,6 @@
 	r.reckoned = r.couriers.Load()
 	if ch := r.charter(); ch.Couriers != r.counted {
 		r.counted = ch.Couriers
-		r.events = append(r.events, dispatch.Rechartered{Charter: ch})
+		r.events = append(r.events, dispatch.Reconfigured{Config: ch})
 	}
 }
--- a/server/learned_state.go
+++ b/server/learned_state.go
@@ -8,7 +8,7 @@
 
 // keeper stores snapshots of the learned state, without waiting for a disk.
 type keeper interface {
-	Offer(dispatch.Lore)
+	Offer(dispatch.Snapshot)
 	Close(within time.Duration)
 }
 
@@ -31,20 +31,20 @@
 
 // RestoreLearned hands the learned state of an earlier run to the decisions, beside the list that it is about; nil where there is none
 // that can be used.
-func (r *Router) RestoreLearned(before *dispatch.Lore) {
+func (r *Router) RestoreLearned(before *dispatch.Snapshot) {
 	if before == nil || len(r.events) == 0 {
 		return
 	}
 	// After the list, which is the first event, and before the messages that were held.
-	r.events = append(r.events[:1:1], append([]dispatch.Event{dispatch.Learned{Lore: *before}}, r.events[1:]...)...)
+	r.events = append(r.events[:1:1], append([]dispatch.Event{dispatch.SnapshotRestored{Snapshot: *before}}, r.events[1:]...)...)
 }
 
 // observe takes down that an attempt had an outcome.
 func (l *learnedState) observe(o dispatch.Outcome) {
 	switch o {
-	case dispatch.Done:
+	case dispatch.Delivered:
 		l.served = true
-	case dispatch.Void, dispatch.Withdrawn:
+	case dispatch.Unprocessed, dispatch.Canceled:
 	default:
 		l.troubled = true
 	}
@@ -71,9 +71,9 @@
 }
 
 // snapshotLearned is what the decisions have learned by now.
-func (r *Router) snapshotLearned() (l dispatch.Lore) {
-	if d, ok := r.courier.(interface{ Lore() dispatch.Lore }); ok {
-		l = d.Lore()
+func (r *Router) snapshotLearned() (l dispatch.Snapshot) {
+	if d, ok := r.courier.(dispatch.Snapshotter); ok {
+		l = d.Snapshot()
 	}
 	return l
 }
--- a/server/listing.go
+++ b/server/listing.go
@@ -9,12 +9,12 @@
 )
 
 // applyListing hands a list, or changes of it, to the decisions, and keeps the addresses.
-func (r *Router) applyListing(l protocol.List, how dispatch.ListKind) {
+func (r *Router) applyListing(l protocol.List, how dispatch.UpdateKind) {
 	for _, fault := range l.Faults {
 		r.log.Warn("entry of the list left out", "fault", fault)
 	}
-	news, before := dispatch.ListNews{How: how}, maps.Clone(r.hosts)
-	if how != dispatch.Partial {
+	news, before := dispatch.EndpointUpdate{Kind: how}, maps.Clone(r.hosts)
+	if how != dispatch.PartialList {
 		clear(r.hosts)
 	}
 	for _, h := range l.Hosts {
@@ -58,10 +58,10 @@
 	return ok && until > r.now || len(r.dests) == 0
 }
 
-func (r *Router) listing(h protocol.Host) (dispatch.Listing, bool) {
-	phases := map[protocol.Health]dispatch.Phase{protocol.InService: dispatch.In, protocol.Terminating: dispatch.Draining,
-		protocol.Terminated: dispatch.Gone}
+func (r *Router) listing(h protocol.Host) (dispatch.EndpointEntry, bool) {
+	phases := map[protocol.Health]dispatch.Phase{protocol.InService: dispatch.InService, protocol.Terminating: dispatch.Draining,
+		protocol.Terminated: dispatch.Removed}
 	zone, shape := slices.Index(r.dep.Zones, h.Zone), slices.Index(r.dep.Shapes, h.Kind)
-	return dispatch.Listing{Endpoint: dispatch.EndpointID(h.Host), Zone: dispatch.ZoneID(zone), Shape: dispatch.ShapeID(shape),
-		Dest: dispatch.DestID(h.Dest), Phase: phases[h.Health], Rate: h.Rate}, zone >= 0 && shape >= 0
+	return dispatch.EndpointEntry{Endpoint: dispatch.EndpointID(h.Host), Zone: dispatch.ZoneID(zone), Type: dispatch.EndpointTypeID(shape),
+		Destination: dispatch.DestinationID(h.Dest), Phase: phases[h.Health], Rate: h.Rate}, zone >= 0 && shape >= 0
 }
--- a/server/message.go
+++ b/server/message.go
@@ -21,11 +21,11 @@
 
 // repeatWindow is the window of a class whose repeats are known by an idempotency key; 0 for all others.
 func (r *Router) repeatWindow(workload string) dispatch.Micros {
-	class := r.dep.Charter.Workloads[slices.Index(r.dep.Workloads, workload)]
-	if class.Repeat != dispatch.Referenced {
+	class := r.dep.Charter.Classes[slices.Index(r.dep.Workloads, workload)]
+	if class.Idempotency != dispatch.IdempotencyKey {
 		return 0
 	}
-	return class.Window
+	return class.IdempotencyWindow
 }
 
 // windowOver tells whether an earlier attempt may have run, so long ago that a repeat is not known by its idempotency key any more.
@@ -44,7 +44,7 @@
 
 // mayHaveRun tells whether an attempt that ended so may have taken effect.
 func mayHaveRun(outcome dispatch.Outcome) bool {
-	return outcome != dispatch.Full && outcome != dispatch.Unreachable && outcome != dispatch.Void
+	return outcome != dispatch.Throttled && outcome != dispatch.Unreachable && outcome != dispatch.Unprocessed
 }
 
 // attempt is one try to deliver a message: a call to an endpoint, alone or together with attempts of other messages.
@@ -68,11 +68,11 @@
 }
 
 // accepted is what the decisions are told of a message that was accepted.
-func (r *Router) accepted(k *spool.Record) dispatch.Taken {
-	return dispatch.Taken{Record: dispatch.RecordID(k.ID), Dest: dispatch.DestID(k.Dest),
-		Workload: dispatch.WorkloadID(slices.Index(r.dep.Workloads, k.Workload)),
-		Party:    dispatch.PartyID(max(0, slices.Index(r.dep.Parties, k.Party))), Key: dispatch.Key(k.Key),
-		CutOff: dispatch.Micros(k.CutOff), Again: k.Again}
+func (r *Router) accepted(k *spool.Record) dispatch.MessageAccepted {
+	return dispatch.MessageAccepted{Message: dispatch.MessageID(k.ID), Destination: dispatch.DestinationID(k.Dest),
+		Class:  dispatch.ClassID(slices.Index(r.dep.Workloads, k.Workload)),
+		Tenant: dispatch.TenantID(max(0, slices.Index(r.dep.Parties, k.Party))), OrderingKey: dispatch.OrderingKey(k.Key),
+		Deadline: dispatch.Micros(k.CutOff), Resubmitted: k.Again}
 }
 
 // How a message ended that was not delivered, as the spool has it.
@@ -90,18 +90,18 @@
 }
 
 // reject ends a message undelivered in a way that may be tried again, after the pause.
-func (r *Router) reject(id dispatch.RecordID, pause dispatch.Micros) {
+func (r *Router) reject(id dispatch.MessageID, pause dispatch.Micros) {
 	againMs := int64((pause + 999) / 1000)
 	r.endUndelivered(id, undelivered{reply: protocol.ReplyBusy(againMs), stored: storedRejected, againMs: againMs, counted: rejected})
 }
 
 // fail ends a message undelivered for good: trying again might do harm.
-func (r *Router) fail(id dispatch.RecordID) {
+func (r *Router) fail(id dispatch.MessageID) {
 	r.endUndelivered(id, undelivered{reply: protocol.ReplyError("ERR terminated"), stored: storedFailed, counted: failed})
 }
 
 // endUndelivered tells the client how a message ended if it still waits for its reply, and else the platform.
-func (r *Router) endUndelivered(id dispatch.RecordID, how undelivered) {
+func (r *Router) endUndelivered(id dispatch.MessageID, how undelivered) {
 	message := r.messages[id]
 	if message == nil || message.ended {
 		return
@@ -134,6 +134,6 @@
 // forget gives up what is held of a message that is ended, once no call with it is out.
 func (r *Router) forget(message *message) {
 	if message.ended && message.out == 0 {
-		delete(r.messages, dispatch.RecordID(message.kept.ID))
+		delete(r.messages, dispatch.MessageID(message.kept.ID))
 	}
 }
--- a/server/operators.go
+++ b/server/operators.go
@@ -71,7 +71,7 @@
 // remind tells decisions that begin who is out.
 func (o *operators) remind() {
 	for _, id := range slices.Sorted(maps.Keys(o.out)) {
-		o.r.events = append(o.r.events, dispatch.Maintained{Endpoint: dispatch.EndpointID(id), Out: true})
+		o.r.events = append(o.r.events, dispatch.MaintenanceChanged{Endpoint: dispatch.EndpointID(id), Disabled: true})
 	}
 }
 
@@ -143,7 +143,7 @@
 			delete(o.out, w.Endpoint)
 		}
 		o.r.log.Info("maintenance", "endpoint", w.Endpoint, "out", w.Out)
-		o.r.events = append(o.r.events, dispatch.Maintained{Endpoint: dispatch.EndpointID(w.Endpoint), Out: w.Out})
+		o.r.events = append(o.r.events, dispatch.MaintenanceChanged{Endpoint: dispatch.EndpointID(w.Endpoint), Disabled: w.Out})
 	}
 	return answer{generation: o.generation, out: maps.Clone(o.out)} // written again if it is there already: the first try may have failed
 }
--- a/server/platform.go
+++ b/server/platform.go
@@ -63,7 +63,7 @@
 func (p *platform) init(r *Router) { p.r, p.watchBy, p.askAt = r, never, never }
 
 func (p *platform) start() {
-	if !p.r.dep.Charter.MustAsk {
+	if !p.r.dep.Charter.MustPoll {
 		p.watch()
 	}
 }
@@ -100,15 +100,15 @@
 		p.r.log.Warn("watch failed", "fault", err, "cut", cut)
 		if cut { // it has begun to tell, and what it told counts
 			if list := protocol.ReadPart(part); list.Seq > p.seq {
-				p.r.applyListing(list, dispatch.Partial)
+				p.r.applyListing(list, dispatch.PartialList)
 			}
 			// Failure: a list that broke off each time was asked for thirty times a second.
 			p.askAt = p.r.now + min(dispatch.Micros(cutAgain)<<min(p.cuts, 8), askAgain)
 			p.cuts++
 			return
 		}
-		p.r.events = append(p.r.events, dispatch.ListNews{How: dispatch.ListError})
-		if !p.r.dep.Charter.MustAsk {
+		p.r.events = append(p.r.events, dispatch.EndpointUpdate{Kind: dispatch.ListFailed})
+		if !p.r.dep.Charter.MustPoll {
 			p.askAt = p.r.now + askAgain
 		}
 		return
@@ -118,9 +118,9 @@
 	case list.Seq < p.seq:
 		p.r.log.Warn("an older list left out", "seq", list.Seq, "held", p.seq)
 	case list.Whole:
-		p.r.applyListing(list, dispatch.Complete)
+		p.r.applyListing(list, dispatch.CompleteList)
 	default:
-		p.r.applyListing(list, dispatch.Partial)
+		p.r.applyListing(list, dispatch.PartialList)
 	}
 	if list.Seq <= p.seq && p.r.now-p.askedAt < nothingNew {
 		p.askAt = p.r.now + nothingNew
--- a/server/recovery.go
+++ b/server/recovery.go
@@ -17,7 +17,7 @@
 		return
 	}
 	for _, attempt := range append([]*attempt(nil), r.inFlight...) {
-		r.complete(attempt, dispatch.Settled{Outcome: dispatch.Broken})
+		r.complete(attempt, dispatch.AttemptFinished{Outcome: dispatch.Broken})
 		r.drop(attempt.call)
 	}
 	r.events, r.courier, r.wakeAt = nil, r.begin(), never
@@ -27,7 +27,7 @@
 		held = append(held, message)
 	}
 	slices.SortFunc(held, func(a, b *message) int { return cmp.Compare(a.kept.Number, b.kept.Number) })
-	news := dispatch.ListNews{How: dispatch.Persisted}
+	news := dispatch.EndpointUpdate{Kind: dispatch.CachedList}
 	for _, id := range slices.Sorted(maps.Keys(r.hosts)) {
 		if l, ok := r.listing(r.hosts[id]); ok {
 			news.Entries = append(news.Entries, l)
@@ -36,12 +36,12 @@
 	r.events = append(r.events, news)
 	r.operators.remind()
 	if r.endBy < never {
-		r.events = append(r.events, dispatch.Closing{At: r.endBy})
+		r.events = append(r.events, dispatch.ShutdownScheduled{At: r.endBy})
 	}
 	r.failed++
 	for _, message := range held {
 		if r.failed > 1 {
-			r.fail(dispatch.RecordID(message.kept.ID))
+			r.fail(dispatch.MessageID(message.kept.ID))
 		} else if !message.ended {
 			r.events = append(r.events, r.recall(message))
 		}
@@ -75,7 +75,7 @@
 				r.upgrade.adopt(attempt, limit)
 			}
 		}
-		r.messages[dispatch.RecordID(kept.ID)] = message
+		r.messages[dispatch.MessageID(kept.ID)] = message
 		r.counters.accepted()
 		r.events = append(r.events, r.recall(message))
 	}
@@ -85,15 +85,15 @@
 }
 
 // recall is what the decisions are told of a message from before them.
-func (r *Router) recall(message *message) dispatch.Recovered {
-	e := dispatch.Recovered{Taken: r.accepted(message.kept)}
+func (r *Router) recall(message *message) dispatch.MessageRecovered {
+	e := dispatch.MessageRecovered{MessageAccepted: r.accepted(message.kept)}
 	for i, t := range message.kept.Trips {
 		outcome, known := outcomes[t.Outcome]
 		if !known {
 			outcome = dispatch.Broken // nothing was heard: it may have run
 		}
-		e.Trips = append(e.Trips, dispatch.Past{Endpoint: dispatch.EndpointID(t.Endpoint), Zone: dispatch.ZoneID(t.Zone),
-			Sent: dispatch.Micros(t.Sent), Outcome: outcome, Out: !message.attempts[i].over})
+		e.Attempts = append(e.Attempts, dispatch.PastAttempt{Endpoint: dispatch.EndpointID(t.Endpoint), Zone: dispatch.ZoneID(t.Zone),
+			SentAt: dispatch.Micros(t.Sent), Outcome: outcome, InFlight: !message.attempts[i].over})
 	}
 	return e
 }
--- a/server/reload.go
+++ b/server/reload.go
@@ -39,7 +39,7 @@
 		r.spool.Resize(SpoolRoom(merged))
 	}
 	if !old.SameDecisions(merged) {
-		r.events = append(r.events, dispatch.Rechartered{Charter: r.charter()})
+		r.events = append(r.events, dispatch.Reconfigured{Config: r.charter()})
 		r.watch.recharter(r)
 	}
 	for name := range merged.Retired { // the decisions need not hear of it: they end what is held, and get no more
--- a/server/router.go
+++ b/server/router.go
@@ -1,4 +1,4 @@
-// Package server joins the decisions with the outside: one goroutine owns the dispatch.Courier and all that is
+// Package server joins the decisions with the outside: one goroutine owns the dispatch.Dispatcher and all that is
 // known of messages, gathers what happened, calls Handle and carries out what it returns. It decides nothing.
 package server
 
@@ -25,7 +25,7 @@
 // commands from five clients that read no replies.
 const inboxSize = 64
 
-// decider is a dispatch.Courier.
+// decider is a dispatch.Dispatcher.
 type decider interface {
 	Handle(dispatch.Micros, []dispatch.Event) []dispatch.Action
 }
@@ -49,7 +49,7 @@
 	wakeAt    dispatch.Micros
 	events    []dispatch.Event
 	replies   []*reply
-	messages  map[dispatch.RecordID]*message
+	messages  map[dispatch.MessageID]*message
 	inFlight  []*attempt // oldest first
 	hosts     map[dispatch.EndpointID]protocol.Host
 	dests     map[int]dispatch.Micros    // those that lists name, and until when
@@ -68,7 +68,7 @@
 	couriers  atomic.Int64             // that the fleet counts, 0 where nobody does
 	reckoned  int64
 	counted   int // couriers, as the decisions were told
-	needs     atomic.Pointer[[]dispatch.Need]
+	needs     atomic.Pointer[[]dispatch.Demand]
 	needsAt   dispatch.Micros
 	lentTo    dispatch.Micros // until then an earlier start may have lent half of each part
 	endBy     dispatch.Micros
@@ -81,7 +81,7 @@
 // handed over while it ran, nil where none did.
 func New(dep *config.Deployment, sp *spool.Spool, unfinished []*spool.Record, given *handoff.State, log *slog.Logger) (*Router, error) {
 	r := &Router{dep: dep, log: log, spool: sp, inbox: make(chan any, inboxSize), door: make(chan any, doorSize),
-		base: time.Now(), wakeAt: never, endBy: never, partAt: never, messages: map[dispatch.RecordID]*message{},
+		base: time.Now(), wakeAt: never, endBy: never, partAt: never, messages: map[dispatch.MessageID]*message{},
 		hosts: map[dispatch.EndpointID]protocol.Host{}, waits: map[string]dispatch.Micros{}, dests: map[int]dispatch.Micros{}}
 	r.tracer = log.With(logging.Component, "decisions")
 	r.baseUnix = dispatch.Micros(r.base.UnixMicro())
@@ -108,7 +108,7 @@
 		list = protocol.List{Seq: given.Seq, Whole: true, Hosts: given.Hosts}
 	}
 	r.platform.seq = list.Seq
-	r.applyListing(list, dispatch.Persisted)
+	r.applyListing(list, dispatch.CachedList)
 	if given != nil {
 		r.upgrade.inherit(given)
 	}
--- a/server/router_test.go
+++ b/server/router_test.go
@@ -31,12 +31,12 @@
 
 func (f failing) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
 	for _, event := range events {
-		var id dispatch.RecordID
+		var id dispatch.MessageID
 		switch e := event.(type) {
-		case dispatch.Taken:
-			id = e.Record
-		case dispatch.Recovered:
-			id = e.Record
+		case dispatch.MessageAccepted:
+			id = e.Message
+		case dispatch.MessageRecovered:
+			id = e.Message
 		}
 		if strings.HasPrefix(string(id), f.at) && *f.times > 0 {
 			*f.times--
@@ -467,7 +467,7 @@
 		r.links.rests(l)
 		after := before
 		change(&after)
-		r.applyListing(protocol.List{Whole: true, Hosts: []protocol.Host{after}}, dispatch.Complete)
+		r.applyListing(protocol.List{Whole: true, Hosts: []protocol.Host{after}}, dispatch.CompleteList)
 		if kept := r.links.all[l] && len(r.links.idle[peerOf(after)]) == 1; kept != (name == "same") {
 			t.Errorf("%s: kept %v", name, kept)
 		}
@@ -552,12 +552,12 @@
 func TestOvertakenWhileDialling(t *testing.T) {
 	for name, overtake := range map[string]func(r *Router){
 		"wait":    func(r *Router) { r.waits["1"] = r.now + 1000*1000 },
-		"gone":    func(r *Router) { r.applyListing(protocol.List{Whole: true}, dispatch.Complete) },
+		"gone":    func(r *Router) { r.applyListing(protocol.List{Whole: true}, dispatch.CompleteList) },
 		"nothing": func(*Router) {},
 		"drain": func(r *Router) {
 			for _, h := range r.hosts {
 				h.Health = protocol.Terminating
-				r.applyListing(protocol.List{Hosts: []protocol.Host{h}}, dispatch.Partial)
+				r.applyListing(protocol.List{Hosts: []protocol.Host{h}}, dispatch.PartialList)
 			}
 		},
 	} {
--- a/server/share.go
+++ b/server/share.go
@@ -30,7 +30,7 @@
 }
 
 // Needs is what the decisions last told of their routes.
-func (r *Router) Needs() []dispatch.Need {
+func (r *Router) Needs() []dispatch.Demand {
 	if all := r.needs.Load(); all != nil {
 		return *all
 	}
@@ -65,8 +65,8 @@
 		return
 	}
 	r.needsAt = r.now + needsEvery
-	if d, ok := r.courier.(interface{ Needs() []dispatch.Need }); ok {
-		all := d.Needs()
+	if d, ok := r.courier.(dispatch.Demander); ok {
+		all := d.Demands()
 		r.needs.Store(&all)
 	}
 }
--- a/server/shutdown.go
+++ b/server/shutdown.go
@@ -12,7 +12,7 @@
 	r.endBy = r.clock() + dispatch.Micros(grace.Microseconds())
 	r.partAt = r.clock() + parting
 	r.operators.open.Store(false)
-	r.events = append(r.events, dispatch.Closing{At: r.endBy})
+	r.events = append(r.events, dispatch.ShutdownScheduled{At: r.endBy})
 	r.log.Info("told to end", "held", len(r.messages), "out", len(r.inFlight))
 }
 
--- a/server/step.go
+++ b/server/step.go
@@ -50,7 +50,7 @@
 	}
 	if r.wakeAt <= r.now {
 		r.wakeAt = never
-		r.events = append(r.events, dispatch.Woken{})
+		r.events = append(r.events, dispatch.TimerFired{})
 	}
 	r.reckon()
 	for len(r.events) > 0 {
--- a/server/trace.go
+++ b/server/trace.go
@@ -15,26 +15,26 @@
 	}
 	for _, event := range events {
 		switch e := event.(type) {
-		case dispatch.Taken:
-			r.tracer.Debug("taken", "record", e.Record, "dest", e.Dest, "workload", e.Workload)
-		case dispatch.Settled:
-			r.tracer.Debug("settled", "record", e.Record, "trip", e.Trip, "outcome", e.Outcome, "took", e.Took,
-				"wait", e.Wait, "pressure", e.Pressure)
-		case dispatch.ListNews:
-			r.tracer.Debug("list", "how", e.How, "entries", len(e.Entries))
+		case dispatch.MessageAccepted:
+			r.tracer.Debug("taken", "record", e.Message, "dest", e.Destination, "workload", e.Class)
+		case dispatch.AttemptFinished:
+			r.tracer.Debug("settled", "record", e.Message, "trip", e.Attempt, "outcome", int(e.Outcome), "took", e.Duration,
+				"wait", e.RetryAfter, "pressure", e.LoadReport)
+		case dispatch.EndpointUpdate:
+			r.tracer.Debug("list", "how", e.Kind, "entries", len(e.Entries))
 		}
 	}
 	for _, action := range actions {
 		switch a := action.(type) {
 		case dispatch.Send:
-			r.tracer.Debug("send", "record", a.Record, "endpoint", a.Endpoint, "limit", a.Limit)
+			r.tracer.Debug("send", "record", a.Message, "endpoint", a.Endpoint, "limit", a.Timeout)
 		case dispatch.Cancel:
-			r.tracer.Debug("cancel", "record", a.Record, "trip", a.Trip)
-		case dispatch.Bounce:
-			r.tracer.Debug("bounce", "record", a.Record, "pause", a.Pause)
-		case dispatch.Terminate:
-			r.tracer.Debug("terminate", "record", a.Record)
-		case dispatch.Watch:
+			r.tracer.Debug("cancel", "record", a.Message, "trip", a.Attempt)
+		case dispatch.Reject:
+			r.tracer.Debug("bounce", "record", a.Message, "pause", a.RetryAfter)
+		case dispatch.Fail:
+			r.tracer.Debug("terminate", "record", a.Message)
+		case dispatch.WatchEndpoints:
 			r.tracer.Debug("watch")
 		}
 	}
--- a/server/trace_test.go
+++ b/server/trace_test.go
@@ -11,8 +11,8 @@
 
 // The trace of the decisions tells what they were told and did, a line each, at debug level; above it, nothing.
 func TestTraceOfDecisions(t *testing.T) {
-	events := []dispatch.Event{dispatch.Taken{Record: "r7", Dest: 2}, dispatch.Settled{Record: "r7", Outcome: dispatch.Full, Wait: 500}}
-	actions := []dispatch.Action{dispatch.Send{Record: "r7", Endpoint: "s-1", Limit: 900}, dispatch.Bounce{Record: "r7", Pause: 40}}
+	events := []dispatch.Event{dispatch.MessageAccepted{Message: "r7", Destination: 2}, dispatch.AttemptFinished{Message: "r7", Outcome: dispatch.Throttled, RetryAfter: 500}}
+	actions := []dispatch.Action{dispatch.Send{Message: "r7", Endpoint: "s-1", Timeout: 900}, dispatch.Reject{Message: "r7", RetryAfter: 40}}
 	for _, level := range []slog.Level{slog.LevelDebug, slog.LevelInfo} {
 		var b bytes.Buffer
 		r := &Router{tracer: slog.New(slog.NewTextHandler(&b, &slog.HandlerOptions{Level: level}))}
--- a/server/upgrade.go
+++ b/server/upgrade.go
@@ -42,8 +42,8 @@
 	handed           bool // the successor decides
 	regain           bool
 	predecessor      *handoff.Link
-	strangers        []*attempt    // of the predecessor, to endpoints that are not listed any more
-	learnedAtHandoff dispatch.Lore // as it was handed over, and the waits told since
+	strangers        []*attempt        // of the predecessor, to endpoints that are not listed any more
+	learnedAtHandoff dispatch.Snapshot // as it was handed over, and the waits told since
 	asks             map[int64]chan answer
 	asked            int64
 }
@@ -133,7 +133,7 @@
 		if x := attempt.call.exchange; x != nil && !x.sent {
 			u.land(attempt)
 			u.r.links.abort(x)
-			u.r.outcome(attempt, dispatch.Void)
+			u.r.outcome(attempt, dispatch.Unprocessed)
 		}
 	}
 }
@@ -158,8 +158,8 @@
 // inherit takes over what the predecessor handed on, beside the list.
 func (u *upgrade) inherit(s *handoff.State) {
 	r := u.r
-	s.Lore.At = min(s.Lore.At, r.now)
-	r.events = append(r.events, dispatch.Learned{Lore: s.Lore})
+	s.Lore.TakenAt = min(s.Lore.TakenAt, r.now)
+	r.events = append(r.events, dispatch.SnapshotRestored{Snapshot: s.Lore})
 	maps.Copy(r.waits, s.Waits)
 	if gone := slices.Sorted(maps.Keys(r.operators.out)); !slices.Equal(gone, s.Gone) {
 		r.operators.out = map[string]bool{}
@@ -214,7 +214,7 @@
 	if u.predecessor == nil {
 		return
 	}
-	w := &handoff.Wait{Dest: dispatch.DestID(h.Dest), Until: until}
+	w := &handoff.Wait{Dest: dispatch.DestinationID(h.Dest), Until: until}
 	if u.r.apart(h) {
 		w.Endpoint = dispatch.EndpointID(h.Host)
 	}
@@ -222,12 +222,12 @@
 }
 
 // echo tells the successor how an attempt ended.
-func (u *upgrade) echo(attempt *attempt, s dispatch.Settled) {
+func (u *upgrade) echo(attempt *attempt, s dispatch.AttemptFinished) {
 	if attempt.over {
 		return
 	}
 	u.land(attempt)
-	s.Record, s.Trip = dispatch.RecordID(attempt.message.kept.ID), dispatch.TripNo(attempt.number)
+	s.Message, s.Attempt = dispatch.MessageID(attempt.message.kept.ID), dispatch.AttemptNumber(attempt.number)
 	u.successor.Send(handoff.Message{Settled: &s})
 }
 
@@ -278,19 +278,19 @@
 	r := u.r
 	switch {
 	case m.Settled != nil:
-		message := r.messages[m.Settled.Record]
-		if message == nil || int(m.Settled.Trip) < 0 || int(m.Settled.Trip) >= len(message.attempts) {
+		message := r.messages[m.Settled.Message]
+		if message == nil || int(m.Settled.Attempt) < 0 || int(m.Settled.Attempt) >= len(message.attempts) {
 			return
 		}
-		attempt := message.attempts[m.Settled.Trip]
+		attempt := message.attempts[m.Settled.Attempt]
 		if attempt.call == nil || !attempt.call.predecessor {
 			return
 		}
 		s := *m.Settled
-		if s.Wait > 0 {
-			r.keepWait(attempt.call.host, r.now+s.Wait)
+		if s.RetryAfter > 0 {
+			r.keepWait(attempt.call.host, r.now+s.RetryAfter)
 		}
-		r.complete(attempt, dispatch.Settled{Outcome: s.Outcome, Over: s.Over, Wait: s.Wait, Pressure: s.Pressure})
+		r.complete(attempt, dispatch.AttemptFinished{Outcome: s.Outcome, MessageDone: s.MessageDone, RetryAfter: s.RetryAfter, LoadReport: s.LoadReport})
 	case m.Ask != nil:
 		q, link := request{admin.Away{Away: m.Ask.Yes}, make(chan answer, 1)}, u.predecessor
 		if m.Ask.Endpoint != "" {
@@ -314,7 +314,7 @@
 	for _, attempt := range slices.Clone(u.r.inFlight) {
 		if attempt.call.predecessor {
 			lost++
-			u.r.complete(attempt, dispatch.Settled{Outcome: dispatch.Broken})
+			u.r.complete(attempt, dispatch.AttemptFinished{Outcome: dispatch.Broken})
 		}
 	}
 	u.r.log.Info("the process before this one has ended", "unheard", lost)
@@ -351,18 +351,18 @@
 }
 
 func (u *upgrade) keepWait(w handoff.Wait) {
-	Waiting(&u.learnedAtHandoff, &dispatch.Lore{Routes: []dispatch.RouteLore{{Dest: w.Dest, Endpoint: w.Endpoint, WaitTo: w.Until}}})
+	Waiting(&u.learnedAtHandoff, &dispatch.Snapshot{Groups: []dispatch.GroupSnapshot{{Destination: w.Dest, Endpoint: w.Endpoint, RetryAfterUntil: w.Until}}})
 }
 
 // Waiting adds to what is known the waits of another: of each route the later one holds.
-func Waiting(l, other *dispatch.Lore) *dispatch.Lore {
-	for _, o := range other.Routes {
-		i := slices.IndexFunc(l.Routes, func(r dispatch.RouteLore) bool { return r.Dest == o.Dest && r.Endpoint == o.Endpoint })
+func Waiting(l, other *dispatch.Snapshot) *dispatch.Snapshot {
+	for _, o := range other.Groups {
+		i := slices.IndexFunc(l.Groups, func(r dispatch.GroupSnapshot) bool { return r.Destination == o.Destination && r.Endpoint == o.Endpoint })
 		if i < 0 {
-			i = len(l.Routes)
-			l.Routes = append(l.Routes, dispatch.RouteLore{Dest: o.Dest, Endpoint: o.Endpoint, Since: l.At, LastCall: l.At, LastDone: l.At})
+			i = len(l.Groups)
+			l.Groups = append(l.Groups, dispatch.GroupSnapshot{Destination: o.Destination, Endpoint: o.Endpoint, CountedSince: l.TakenAt, LastCall: l.TakenAt, LastDelivery: l.TakenAt})
 		}
-		l.Routes[i].WaitTo = max(l.Routes[i].WaitTo, o.WaitTo)
+		l.Groups[i].RetryAfterUntil = max(l.Groups[i].RetryAfterUntil, o.RetryAfterUntil)
 	}
 	return l
 }
@@ -390,4 +390,4 @@
 }
 
 // LearnedAtHandoff is what this process had learned as it handed all over, for a router that goes on after its successor has gone.
-func (r *Router) LearnedAtHandoff() *dispatch.Lore { return &r.upgrade.learnedAtHandoff }
+func (r *Router) LearnedAtHandoff() *dispatch.Snapshot { return &r.upgrade.learnedAtHandoff }
--- a/server/watch.go
+++ b/server/watch.go
@@ -12,28 +12,28 @@
 // watch runs decisions under settings to come beside those that are carried out, and counts where they differ.
 type watch struct {
 	settings *config.Deployment // to come
-	watcher  *dispatch.Watcher
+	watcher  *dispatch.Shadow
 	every    dispatch.Micros
 	next     dispatch.Micros // when the counts are logged
 	told     int             // decisions compared by then
 }
 
-var differences = [dispatch.Differences]string{dispatch.Elsewhere: "elsewhere", dispatch.Sooner: "sooner", dispatch.Later: "later",
-	dispatch.Bounced: "bounced", dispatch.Terminated: "terminated", dispatch.Kept: "kept", dispatch.CalledOff: "called_off",
-	dispatch.WaitedFor: "waited_for", dispatch.Advised: "advised"}
+var differences = [dispatch.Differences]string{dispatch.OtherEndpoint: "elsewhere", dispatch.SentEarlier: "sooner", dispatch.SentLater: "later",
+	dispatch.RejectedOnly: "bounced", dispatch.FailedOnly: "terminated", dispatch.StillQueued: "kept", dispatch.CanceledOnly: "called_off",
+	dispatch.StillAwaited: "waited_for", dispatch.OtherRetryAfter: "advised"}
 
 func (w *watch) start(r *Router) {
 	w.settings, w.watcher = r.dep.Watch, nil
 	w.every = dispatch.Micros(r.dep.WatchTell.Microseconds())
 	if w.settings != nil {
-		w.watcher, w.next = dispatch.NewWatcher(r.dep.Merged(w.settings).Charter), r.now+w.every
+		w.watcher, w.next = dispatch.NewShadow(r.dep.Merged(w.settings).Charter), r.now+w.every
 	}
 }
 
 // recharter keeps the numbers of workloads and parties those of a configuration that was read anew.
 func (w *watch) recharter(r *Router) {
 	if w.watcher != nil {
-		w.watcher.Recharter(r.dep.Merged(w.settings).Charter)
+		w.watcher.Reconfigure(r.dep.Merged(w.settings).Charter)
 	}
 }
 
@@ -48,7 +48,7 @@
 			w.watcher = nil
 		}
 	}()
-	w.watcher.See(r.now, events, did)
+	w.watcher.Observe(r.now, events, did)
 	if r.now >= w.next {
 		w.tell(r.log)
 		w.next = r.now + w.every
--- a/simprotocol/read.go
+++ b/simprotocol/read.go
@@ -17,7 +17,7 @@
 // Started says that a courier begins anew, and Killed that it was killed; both come before the
 // decisions, so they are the host's.
 type (
-	Started struct{ Charter dispatch.Charter }
+	Started struct{ Charter dispatch.Config }
 	Killed  struct{}
 )
 
@@ -39,12 +39,12 @@
 	complain func(line int, fault error)
 	line     int
 	now      dispatch.Micros
-	pages    map[int][]dispatch.Listing
+	pages    map[int][]dispatch.EndpointEntry
 }
 
 // NewReader reads from in; complain is told of each line that is left out.
 func NewReader(in io.Reader, complain func(line int, fault error)) *Reader {
-	return &Reader{in: bufio.NewReaderSize(in, 1<<16), complain: complain, pages: map[int][]dispatch.Listing{}}
+	return &Reader{in: bufio.NewReaderSize(in, 1<<16), complain: complain, pages: map[int][]dispatch.EndpointEntry{}}
 }
 
 func (r *Reader) next() (string, error) {
@@ -129,16 +129,16 @@
 	case "topology":
 		f.integer()
 		page, how := f.optionalCount(), f.word()
-		news := dispatch.ListNews{}
+		news := dispatch.EndpointUpdate{}
 		switch how {
 		case "Persisted":
-			news.How = dispatch.Persisted
+			news.Kind = dispatch.CachedList
 		case "Complete":
-			news.How = dispatch.Complete
+			news.Kind = dispatch.CompleteList
 		case "Partial":
-			news.How = dispatch.Partial
+			news.Kind = dispatch.PartialList
 		case "Error":
-			news.How = dispatch.ListError
+			news.Kind = dispatch.ListFailed
 			return news
 		default:
 			f.fail("unknown kind of list %q", how)
@@ -151,25 +151,25 @@
 		news.Entries = entries
 		return news
 	case "job_in":
-		t := dispatch.Taken{Record: dispatch.RecordID(f.need())}
+		t := dispatch.MessageAccepted{Message: dispatch.MessageID(f.need())}
 		f.word()
-		t.Dest = dispatch.DestID(f.count())
-		t.Party = dispatch.PartyID(f.optionalCount())
+		t.Destination = dispatch.DestinationID(f.count())
+		t.Tenant = dispatch.TenantID(f.optionalCount())
 		if key := f.word(); key != "-" {
-			t.Key = dispatch.Key(key)
+			t.OrderingKey = dispatch.OrderingKey(key)
 		}
-		t.CutOff = f.span()
-		t.Workload = dispatch.WorkloadID(f.count())
-		t.Again = f.optionalCount()&(2|16) != 0
+		t.Deadline = f.span()
+		t.Class = dispatch.ClassID(f.count())
+		t.Resubmitted = f.optionalCount()&(2|16) != 0
 		return t
 	case "settled":
-		s := dispatch.Settled{Record: dispatch.RecordID(f.need()), Trip: dispatch.TripNo(f.count())}
+		s := dispatch.AttemptFinished{Message: dispatch.MessageID(f.need()), Attempt: dispatch.AttemptNumber(f.count())}
 		f.word()
 		s.Outcome = f.outcome()
-		s.Took = f.optionalSpan()
-		s.Over = f.word() == "1"
-		if remark := f.optionalCount(); s.Outcome == dispatch.Full { // with others it means something else
-			s.Wait = dispatch.Micros(remark) * 1000
+		s.Duration = f.optionalSpan()
+		s.MessageDone = f.word() == "1"
+		if remark := f.optionalCount(); s.Outcome == dispatch.Throttled { // with others it means something else
+			s.RetryAfter = dispatch.Micros(remark) * 1000
 		}
 		if row := f.word(); row != "-" && row != "" {
 			for _, part := range strings.Split(row, ",") {
@@ -177,16 +177,16 @@
 				if err != nil {
 					f.fail("bad number %q", part)
 				}
-				s.Pressure = append(s.Pressure, value)
+				s.LoadReport = append(s.LoadReport, value)
 			}
 		}
 		return s
 	case "client_left":
-		return dispatch.Left{Record: dispatch.RecordID(f.need())}
+		return dispatch.MessageCanceled{Message: dispatch.MessageID(f.need())}
 	case "tick_due":
-		return dispatch.Woken{}
+		return dispatch.TimerFired{}
 	case "health", "begun", "peer":
-		return dispatch.Woken{} // nothing the decisions ask for; the courier only looks again
+		return dispatch.TimerFired{} // nothing the decisions ask for; the courier only looks again
 	}
 	f.fail("unknown event %q", name)
 	return nil
@@ -198,7 +198,7 @@
 	if f.err != nil {
 		return f.err
 	}
-	entries := make([]dispatch.Listing, 0, min(n, 1<<12))
+	entries := make([]dispatch.EndpointEntry, 0, min(n, 1<<12))
 	var first error
 	for range n {
 		text, err := r.next()
@@ -209,16 +209,16 @@
 		if row.word() != "row" {
 			row.fail("a row was expected, not %q", text)
 		}
-		l := dispatch.Listing{Endpoint: dispatch.EndpointID(row.need())}
+		l := dispatch.EndpointEntry{Endpoint: dispatch.EndpointID(row.need())}
 		l.Zone = dispatch.ZoneID(row.count())
-		l.Shape = dispatch.ShapeID(row.count())
-		l.Dest = dispatch.DestID(row.count())
+		l.Type = dispatch.EndpointTypeID(row.count())
+		l.Destination = dispatch.DestinationID(row.count())
 		switch phase := row.word(); phase {
 		case "IN":
 		case "LAME":
 			l.Phase = dispatch.Draining
 		case "OUT":
-			l.Phase = dispatch.Gone
+			l.Phase = dispatch.Removed
 		default:
 			row.fail("unknown phase %q", phase)
 		}
@@ -314,8 +314,8 @@
 }
 
 var outcomes = map[string]dispatch.Outcome{
-	"success": dispatch.Done, "failure": dispatch.Failure, "overloaded": dispatch.Full, "timed_out": dispatch.TimedOut,
-	"unreachable": dispatch.Unreachable, "broken": dispatch.Broken, "withdrawn": dispatch.Withdrawn, "void": dispatch.Void,
+	"success": dispatch.Delivered, "failure": dispatch.Failure, "overloaded": dispatch.Throttled, "timed_out": dispatch.TimedOut,
+	"unreachable": dispatch.Unreachable, "broken": dispatch.Broken, "withdrawn": dispatch.Canceled, "void": dispatch.Unprocessed,
 }
 
 func (f *fields) outcome() dispatch.Outcome {
--- a/simprotocol/wire_test.go
+++ b/simprotocol/wire_test.go
@@ -35,10 +35,10 @@
 		t.Errorf("bad lines %v, want %v", bad, want)
 	}
 	want := Batch{Now: 1500000, Items: []Item{
-		{3, dispatch.ListNews{How: dispatch.Persisted, Entries: []dispatch.Listing{
-			{Endpoint: "a:1", Shape: 1, Dest: 57, Rate: 2.5}}}},
-		{3, dispatch.Taken{Record: "t/x", Dest: 57, Workload: 1, CutOff: 9500000, Again: true}},
-		{3, dispatch.Settled{Record: "t/x", Outcome: dispatch.Full, Took: 250000, Wait: 400000, Pressure: []float64{0.5, 2}}},
+		{3, dispatch.EndpointUpdate{Kind: dispatch.CachedList, Entries: []dispatch.EndpointEntry{
+			{Endpoint: "a:1", Type: 1, Destination: 57, Rate: 2.5}}}},
+		{3, dispatch.MessageAccepted{Message: "t/x", Destination: 57, Class: 1, Deadline: 9500000, Resubmitted: true}},
+		{3, dispatch.AttemptFinished{Message: "t/x", Outcome: dispatch.Throttled, Duration: 250000, RetryAfter: 400000, LoadReport: []float64{0.5, 2}}},
 	}}
 	if !reflect.DeepEqual(batch, want) {
 		t.Errorf("read %+v, want %+v", batch, want)
@@ -75,7 +75,7 @@
 func TestWriterKeepsExactTimes(t *testing.T) {
 	var out strings.Builder
 	w := NewWriter(&out)
-	w.Actions(2, []dispatch.Action{dispatch.Send{Record: "t/x", Endpoint: "a:1", Limit: 80001}, dispatch.Wake{At: 434704055501}})
+	w.Actions(2, []dispatch.Action{dispatch.Send{Message: "t/x", Endpoint: "a:1", Timeout: 80001}, dispatch.SetTimer{At: 434704055501}})
 	w.Fault(5, "index\nout of range")
 	if err := w.End(); err != nil {
 		t.Fatal(err)
--- a/simprotocol/write.go
+++ b/simprotocol/write.go
@@ -38,18 +38,18 @@
 	for _, action := range actions {
 		switch a := action.(type) {
 		case dispatch.Send:
-			w.line("transmit", string(a.Record), string(a.Endpoint), seconds(a.Limit))
+			w.line("transmit", string(a.Message), string(a.Endpoint), seconds(a.Timeout))
 		case dispatch.Cancel:
-			w.line("cancel", string(a.Record), strconv.Itoa(int(a.Trip)))
-		case dispatch.Bounce:
-			w.line("reject", string(a.Record), seconds(a.Pause))
-		case dispatch.Terminate:
-			w.line("abort", string(a.Record))
-		case dispatch.Wake:
+			w.line("cancel", string(a.Message), strconv.Itoa(int(a.Attempt)))
+		case dispatch.Reject:
+			w.line("reject", string(a.Message), seconds(a.RetryAfter))
+		case dispatch.Fail:
+			w.line("abort", string(a.Message))
+		case dispatch.SetTimer:
 			w.line("wake_me", seconds(a.At), "look")
 		case dispatch.CloseIdle:
 			w.line("let_go", string(a.Endpoint))
-		case dispatch.Watch:
+		case dispatch.WatchEndpoints:
 			w.line("stream_changes", "1")
 		case dispatch.Note:
 			w.line("journal_line", oneLine(a.Text))
--- a/snapshot/file.go
+++ b/snapshot/file.go
@@ -39,22 +39,22 @@
 
 // State is what a file holds.
 type State struct {
-	Courier string        `json:"Courier"`
-	Lore    dispatch.Lore `json:"Lore"`
+	Courier string            `json:"Courier"`
+	Lore    dispatch.Snapshot `json:"Lore"`
 }
 
 // body of version 2.
 type body struct {
-	Courier string        `cbor:"1,keyasint"`
-	Lore    dispatch.Lore `cbor:"2,keyasint"`
+	Courier string            `cbor:"1,keyasint"`
+	Lore    dispatch.Snapshot `cbor:"2,keyasint"`
 }
 
 // bodyV1 had no lore of connections and endpoints; what it has means the same.
 type bodyV1 struct {
-	Courier string               `cbor:"1,keyasint"`
-	At      dispatch.Micros      `cbor:"2,keyasint"`
-	Routes  []dispatch.RouteLore `cbor:"3,keyasint"`
-	Took    dispatch.Sum         `cbor:"4,keyasint"`
+	Courier string                   `cbor:"1,keyasint"`
+	At      dispatch.Micros          `cbor:"2,keyasint"`
+	Routes  []dispatch.GroupSnapshot `cbor:"3,keyasint"`
+	Took    dispatch.SumSnapshot     `cbor:"4,keyasint"`
 }
 
 var (
@@ -74,8 +74,8 @@
 // kept, and the endpoints that failed last.
 func Encode(s State, limit int) ([]byte, error) {
 	l := s.Lore
-	l.Routes, l.Resting = slices.Clone(l.Routes), nil
-	slices.SortStableFunc(l.Routes, func(a, b dispatch.RouteLore) int { return int(min(1, max(-1, b.LastCall-a.LastCall))) })
+	l.Groups, l.RestingKeys = slices.Clone(l.Groups), nil
+	slices.SortStableFunc(l.Groups, func(a, b dispatch.GroupSnapshot) int { return int(min(1, max(-1, b.LastCall-a.LastCall))) })
 	for {
 		text, err := encoder.Marshal(body{s.Courier, l})
 		if err != nil {
@@ -84,12 +84,12 @@
 		if len(text)+headSize <= limit {
 			return atomicfile.Seal(magic, version, text), nil
 		}
-		if len(l.Routes) == 0 && len(l.Endpoints) == 0 {
+		if len(l.Groups) == 0 && len(l.Endpoints) == 0 {
 			return nil, fmt.Errorf("%w: %d bytes, %d allowed", ErrTooLarge, len(text)+headSize, limit)
 		}
 		// A little less than what seems to fit, so that it does at the second try.
 		part := 0.95 * float64(limit) / float64(len(text)+headSize)
-		l.Routes = l.Routes[:int(part*float64(len(l.Routes)))]
+		l.Groups = l.Groups[:int(part*float64(len(l.Groups)))]
 		l.Endpoints = l.Endpoints[len(l.Endpoints)-int(part*float64(len(l.Endpoints))):]
 	}
 }
@@ -109,7 +109,7 @@
 		if err := decoder.Unmarshal(text, &b); err != nil {
 			return s, fmt.Errorf("%w: %v", ErrTorn, err)
 		}
-		s = State{b.Courier, dispatch.Lore{At: b.At, Routes: b.Routes, Took: b.Took}}
+		s = State{b.Courier, dispatch.Snapshot{TakenAt: b.At, Groups: b.Routes, AnswerTimes: b.Took}}
 	case v < 1:
 		return s, fmt.Errorf("%w: %d", ErrOlder, v)
 	default:
@@ -132,7 +132,7 @@
 )
 
 // sane holds numbers against what can be. A checksum proves that a file is what was written, not that it made sense.
-func sane(l dispatch.Lore) error {
+func sane(l dispatch.Snapshot) error {
 	number := func(values ...float64) bool {
 		for _, v := range values {
 			if math.IsNaN(v) || v < 0 || v > largest {
@@ -141,7 +141,7 @@
 		}
 		return true
 	}
-	sums := func(all ...dispatch.Sum) bool {
+	sums := func(all ...dispatch.SumSnapshot) bool {
 		for _, s := range all {
 			if math.IsNaN(s.Weight) || s.Weight < 0 || s.Weight > largest || math.IsNaN(s.Total) || math.Abs(s.Total) > 1e18 || s.Total < 0 {
 				return false
@@ -149,27 +149,27 @@
 		}
 		return true
 	}
-	if !sums(l.Took) || !sums(l.Broke...) {
+	if !sums(l.AnswerTimes) || !sums(l.LostCalls...) {
 		return fmt.Errorf("%w: sums", ErrSense)
 	}
-	for _, r := range l.Routes {
-		past := func(at dispatch.Micros) bool { return at <= l.At }
-		ok := sums(r.Took, r.Done) && number(r.Usual, r.Rate) && past(r.Since) && past(r.LastCall) && past(r.LastDone) &&
-			past(r.SickAt) && r.WaitTo <= l.At+longest && r.Gap >= 0 && r.Gap <= longest && r.Knee >= 0 && r.Knee <= longest &&
-			r.Ramped >= 0 && r.Ramped <= longest && r.Strikes >= 0 && r.Fulls >= 0
+	for _, r := range l.Groups {
+		past := func(at dispatch.Micros) bool { return at <= l.TakenAt }
+		ok := sums(r.AnswerTimes, r.Deliveries) && number(r.UsualRate, r.ReportedRate) && past(r.CountedSince) && past(r.LastCall) && past(r.LastDelivery) &&
+			past(r.OutageAt) && r.RetryAfterUntil <= l.TakenAt+longest && r.Interval >= 0 && r.Interval <= longest && r.ThrottledInterval >= 0 && r.ThrottledInterval <= longest &&
+			r.WarmedFor >= 0 && r.WarmedFor <= longest && r.FailureSigns >= 0 && r.ThrottleSigns >= 0
 		for _, b := range r.Breakers {
-			ok = ok && b.Fails >= 0 && b.Until <= l.At+longest
+			ok = ok && b.Failures >= 0 && b.OpenUntil <= l.TakenAt+longest
 		}
 		if !ok {
-			return fmt.Errorf("%w: destination %d", ErrSense, r.Dest)
+			return fmt.Errorf("%w: destination %d", ErrSense, r.Destination)
 		}
 	}
 	for _, e := range l.Endpoints {
-		if len(e.Runs) == 0 {
+		if len(e.FailureRuns) == 0 {
 			return fmt.Errorf("%w: endpoint %s", ErrSense, e.Endpoint)
 		}
-		for _, n := range e.Runs {
-			if n.Fails < 0 || n.RestTo > l.At+longest {
+		for _, n := range e.FailureRuns {
+			if n.Failures < 0 || n.EjectedUntil > l.TakenAt+longest {
 				return fmt.Errorf("%w: endpoint %s", ErrSense, e.Endpoint)
 			}
 		}
@@ -192,8 +192,8 @@
 		return State{}, err
 	case courier != "" && s.Courier != courier:
 		return State{}, fmt.Errorf("%w: %q", ErrStranger, s.Courier)
-	case now > 0 && s.Lore.At > now:
-		return State{}, fmt.Errorf("%w by %.3f s", ErrFuture, float64(s.Lore.At-now)/1e6)
+	case now > 0 && s.Lore.TakenAt > now:
+		return State{}, fmt.Errorf("%w by %.3f s", ErrFuture, float64(s.Lore.TakenAt-now)/1e6)
 	}
 	return s, nil
 }
--- a/snapshot/golden_test.go
+++ b/snapshot/golden_test.go
@@ -16,8 +16,8 @@
 // recordedState is a state with every field set, as the files of testdata hold it.
 func recordedState() (s State) {
 	golden.Fill(&s)
-	s.Lore.At = millionYears
-	s.Lore.Resting = nil // no file keeps them
+	s.Lore.TakenAt = millionYears
+	s.Lore.RestingKeys = nil // no file keeps them
 	return s
 }
 
@@ -40,7 +40,7 @@
 func TestRecordedFilesAreRead(t *testing.T) {
 	for name, want := range map[string]func(*State){
 		"version-2.golden": func(*State) {},
-		"version-1.golden": func(s *State) { s.Lore.Broke, s.Lore.Endpoints = nil, nil },
+		"version-1.golden": func(s *State) { s.Lore.LostCalls, s.Lore.Endpoints = nil, nil },
 	} {
 		content, err := os.ReadFile("testdata/" + name)
 		if err != nil {
@@ -58,7 +58,7 @@
 // it would write.
 func TestFirstVersionIsAsRecorded(t *testing.T) {
 	s := recordedState()
-	text, err := encoder.Marshal(bodyV1{s.Courier, s.Lore.At, s.Lore.Routes, s.Lore.Took})
+	text, err := encoder.Marshal(bodyV1{s.Courier, s.Lore.TakenAt, s.Lore.Groups, s.Lore.AnswerTimes})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -32,9 +32,9 @@
 
 const at = dispatch.Micros(1_700_000_000_000_000)
 
-func sums(t *rapid.T, n int) (all []dispatch.Sum) {
+func sums(t *rapid.T, n int) (all []dispatch.SumSnapshot) {
 	for range n {
-		all = append(all, dispatch.Sum{Weight: rapid.Float64Range(0, 1e6).Draw(t, "weight"), Total: rapid.Float64Range(0, 1e12).Draw(t, "total")})
+		all = append(all, dispatch.SumSnapshot{Weight: rapid.Float64Range(0, 1e6).Draw(t, "weight"), Total: rapid.Float64Range(0, 1e12).Draw(t, "total")})
 	}
 	return all
 }
@@ -48,16 +48,16 @@
 }
 
 func state(t *rapid.T) State {
-	l := dispatch.Lore{At: at, Took: sums(t, 1)[0], Broke: sums(t, 10)}
+	l := dispatch.Snapshot{TakenAt: at, AnswerTimes: sums(t, 1)[0], LostCalls: sums(t, 10)}
 	for i := range rapid.IntRange(0, 30).Draw(t, "routes") {
-		l.Routes = append(l.Routes, dispatch.RouteLore{Dest: dispatch.DestID(i), Endpoint: dispatch.EndpointID(rapid.StringN(0, 20, -1).Draw(t, "endpoint")),
-			Took: sums(t, 1)[0], Done: sums(t, 1)[0], Since: ago(t, "since"), LastCall: ago(t, "call"), LastDone: ago(t, "done"),
-			WaitTo: at + span(t, "wait"), Gap: span(t, "gap"), Knee: span(t, "knee"), Strikes: rapid.IntRange(0, 99).Draw(t, "strikes"),
-			Sick: rapid.Bool().Draw(t, "sick"), SickAt: ago(t, "sick at"), Cold: rapid.Bool().Draw(t, "cold"), Ramped: span(t, "ramped"),
-			Usual: rapid.Float64Range(0, 1e6).Draw(t, "usual"), Rate: rapid.Float64Range(0, 1e6).Draw(t, "rate"),
-			Breakers: []dispatch.BreakerLore{{Fails: rapid.IntRange(0, 6).Draw(t, "fails"), Until: at + span(t, "until")}}})
+		l.Groups = append(l.Groups, dispatch.GroupSnapshot{Destination: dispatch.DestinationID(i), Endpoint: dispatch.EndpointID(rapid.StringN(0, 20, -1).Draw(t, "endpoint")),
+			AnswerTimes: sums(t, 1)[0], Deliveries: sums(t, 1)[0], CountedSince: ago(t, "since"), LastCall: ago(t, "call"), LastDelivery: ago(t, "done"),
+			RetryAfterUntil: at + span(t, "wait"), Interval: span(t, "gap"), ThrottledInterval: span(t, "knee"), FailureSigns: rapid.IntRange(0, 99).Draw(t, "strikes"),
+			Outage: rapid.Bool().Draw(t, "sick"), OutageAt: ago(t, "sick at"), WarmingUp: rapid.Bool().Draw(t, "cold"), WarmedFor: span(t, "ramped"),
+			UsualRate: rapid.Float64Range(0, 1e6).Draw(t, "usual"), ReportedRate: rapid.Float64Range(0, 1e6).Draw(t, "rate"),
+			Breakers: []dispatch.BreakerSnapshot{{Failures: rapid.IntRange(0, 6).Draw(t, "fails"), OpenUntil: at + span(t, "until")}}})
 	}
-	l.Endpoints = append(l.Endpoints, dispatch.EndpointLore{Endpoint: "x", Runs: []dispatch.RunLore{{Fails: 2, RestTo: at + 5}}})
+	l.Endpoints = append(l.Endpoints, dispatch.EndpointSnapshot{Endpoint: "x", FailureRuns: []dispatch.RunSnapshot{{Failures: 2, EjectedUntil: at + 5}}})
 	return State{Courier: rapid.StringN(1, 30, -1).Draw(t, "courier"), Lore: l}
 }
 
@@ -73,7 +73,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(back.Lore.Routes) != len(s.Lore.Routes) || back.Courier != s.Courier || !reflect.DeepEqual(back.Lore.Broke, s.Lore.Broke) {
+		if len(back.Lore.Groups) != len(s.Lore.Groups) || back.Courier != s.Courier || !reflect.DeepEqual(back.Lore.LostCalls, s.Lore.LostCalls) {
 			t.Fatalf("%+v\nbecame %+v", s, back)
 		}
 		limit := rapid.IntRange(600, 4000).Draw(t, "limit")
@@ -84,13 +84,13 @@
 		if back, err = Decode(small); err != nil || len(small) > limit {
 			t.Fatalf("%d bytes of %d: %v", len(small), limit, err)
 		}
-		kept := map[dispatch.DestID]bool{}
+		kept := map[dispatch.DestinationID]bool{}
 		oldest := at
-		for _, r := range back.Lore.Routes {
-			kept[r.Dest], oldest = true, min(oldest, r.LastCall)
+		for _, r := range back.Lore.Groups {
+			kept[r.Destination], oldest = true, min(oldest, r.LastCall)
 		}
-		for _, r := range s.Lore.Routes {
-			if !kept[r.Dest] && r.LastCall > oldest {
+		for _, r := range s.Lore.Groups {
+			if !kept[r.Destination] && r.LastCall > oldest {
 				t.Fatalf("a route called at %d was left out for one called at %d", r.LastCall, oldest)
 			}
 		}
@@ -99,7 +99,7 @@
 
 // TestSpoilt: a flipped bit anywhere, a cut anywhere, nonsense and an empty file are each told and never used.
 func TestSpoilt(t *testing.T) {
-	content, err := Encode(State{Courier: "n1", Lore: dispatch.Lore{At: at, Routes: []dispatch.RouteLore{{Dest: 1}, {Dest: 2}}}}, 1<<16)
+	content, err := Encode(State{Courier: "n1", Lore: dispatch.Snapshot{TakenAt: at, Groups: []dispatch.GroupSnapshot{{Destination: 1}, {Destination: 2}}}}, 1<<16)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -115,15 +115,15 @@
 			t.Fatalf("cut at byte %d", i)
 		}
 	}
-	for _, l := range []dispatch.Lore{
-		{At: at, Took: dispatch.Sum{Weight: math.NaN()}},
-		{At: at, Routes: []dispatch.RouteLore{{Usual: math.Inf(1)}}},
-		{At: at, Routes: []dispatch.RouteLore{{Gap: -1}}},
-		{At: at, Routes: []dispatch.RouteLore{{LastCall: at + 1}}},
-		{At: at, Routes: []dispatch.RouteLore{{WaitTo: at + 2*longest}}},
-		{At: at, Routes: []dispatch.RouteLore{{Breakers: []dispatch.BreakerLore{{Until: math.MaxInt64}}}}},
-		{At: at, Endpoints: []dispatch.EndpointLore{{Endpoint: "x", Runs: []dispatch.RunLore{{RestTo: math.MaxInt64}}}}},
-		{At: at, Endpoints: []dispatch.EndpointLore{{Endpoint: "x"}}},
+	for _, l := range []dispatch.Snapshot{
+		{TakenAt: at, AnswerTimes: dispatch.SumSnapshot{Weight: math.NaN()}},
+		{TakenAt: at, Groups: []dispatch.GroupSnapshot{{UsualRate: math.Inf(1)}}},
+		{TakenAt: at, Groups: []dispatch.GroupSnapshot{{Interval: -1}}},
+		{TakenAt: at, Groups: []dispatch.GroupSnapshot{{LastCall: at + 1}}},
+		{TakenAt: at, Groups: []dispatch.GroupSnapshot{{RetryAfterUntil: at + 2*longest}}},
+		{TakenAt: at, Groups: []dispatch.GroupSnapshot{{Breakers: []dispatch.BreakerSnapshot{{OpenUntil: math.MaxInt64}}}}},
+		{TakenAt: at, Endpoints: []dispatch.EndpointSnapshot{{Endpoint: "x", FailureRuns: []dispatch.RunSnapshot{{EjectedUntil: math.MaxInt64}}}}},
+		{TakenAt: at, Endpoints: []dispatch.EndpointSnapshot{{Endpoint: "x"}}},
 	} {
 		content, err := Encode(State{"n1", l}, 1<<16)
 		if err != nil {
@@ -136,7 +136,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	content, _ := Encode(State{Courier: "n1", Lore: dispatch.Lore{At: at, Routes: []dispatch.RouteLore{{Dest: 1}}}}, 1<<16)
+	content, _ := Encode(State{Courier: "n1", Lore: dispatch.Snapshot{TakenAt: at, Groups: []dispatch.GroupSnapshot{{Destination: 1}}}}, 1<<16)
 	f.Add(content[headSize:])
 	f.Fuzz(func(t *testing.T, text []byte) {
 		for v := range uint32(3) {
@@ -149,12 +149,12 @@
 
 // TestFoldersAndVersions: whose file it is, how old, of which version and what else may stand in its place.
 func TestFoldersAndVersions(t *testing.T) {
-	good := State{Courier: "n1", Lore: dispatch.Lore{At: at, Routes: []dispatch.RouteLore{{Dest: 7, Sick: true}}}}
+	good := State{Courier: "n1", Lore: dispatch.Snapshot{TakenAt: at, Groups: []dispatch.GroupSnapshot{{Destination: 7, Outage: true}}}}
 	content, err := Encode(good, 1<<16)
 	if err != nil {
 		t.Fatal(err)
 	}
-	old, err := encoder.Marshal(bodyV1{Courier: "n1", At: at, Routes: good.Lore.Routes})
+	old, err := encoder.Marshal(bodyV1{Courier: "n1", At: at, Routes: good.Lore.Groups})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -170,7 +170,7 @@
 			t.Fatal(err)
 		}
 		s, err := Read(dir, "n1", at+5, 1<<16)
-		if !errors.Is(err, c.want) || err == nil && (len(s.Lore.Routes) != 1 || !s.Lore.Routes[0].Sick) {
+		if !errors.Is(err, c.want) || err == nil && (len(s.Lore.Groups) != 1 || !s.Lore.Groups[0].Outage) {
 			t.Errorf("%s: %+v, %v", name, s, err)
 		}
 	}
@@ -207,9 +207,9 @@
 
 // writeForEver is the process that is killed: each file says how many it has written, and stdout which is finished.
 func writeForEver(dir string) {
-	routes := make([]dispatch.RouteLore, 300)
+	routes := make([]dispatch.GroupSnapshot, 300)
 	for i := 1; ; i++ {
-		content, err := Encode(State{Courier: "n1", Lore: dispatch.Lore{At: at + dispatch.Micros(i), Routes: routes}}, 1<<18)
+		content, err := Encode(State{Courier: "n1", Lore: dispatch.Snapshot{TakenAt: at + dispatch.Micros(i), Groups: routes}}, 1<<18)
 		if err == nil {
 			err = Write(dir, content)
 		}
@@ -244,8 +244,8 @@
 		if errors.Is(err, ErrAbsent) && finished == 0 {
 			continue
 		}
-		if err != nil || finished > 0 && int(s.Lore.At-at) < finished || len(s.Lore.Routes) != 300 {
-			t.Fatalf("kill %d: %v; %d finished, read %d", n, err, finished, s.Lore.At-at)
+		if err != nil || finished > 0 && int(s.Lore.TakenAt-at) < finished || len(s.Lore.Groups) != 300 {
+			t.Fatalf("kill %d: %v; %d finished, read %d", n, err, finished, s.Lore.TakenAt-at)
 		}
 		swept += Sweep(dir)
 	}
@@ -261,7 +261,7 @@
 	k := keep(t.TempDir(), "n1", 1<<16, logger, func(string, []byte) error { <-stuck; return nil })
 	began := time.Now()
 	for range 1000 {
-		k.Offer(dispatch.Lore{At: at})
+		k.Offer(dispatch.Snapshot{TakenAt: at})
 	}
 	if took := time.Since(began); took > time.Second {
 		t.Errorf("a thousand offers took %v", took)
@@ -280,7 +280,7 @@
 		return nil
 	})
 	for i := range 6 {
-		full.Offer(dispatch.Lore{At: at + dispatch.Micros(i)})
+		full.Offer(dispatch.Snapshot{TakenAt: at + dispatch.Micros(i)})
 		time.Sleep(20 * time.Millisecond)
 	}
 	full.Close(time.Second)
--- a/snapshot/writer.go
+++ b/snapshot/writer.go
@@ -15,7 +15,7 @@
 	limit        int
 	log          *slog.Logger
 	mu           sync.Mutex
-	next         *dispatch.Lore
+	next         *dispatch.Snapshot
 	wake         chan struct{}
 	done         chan struct{}
 	write        func(dir string, content []byte) error
@@ -35,7 +35,7 @@
 }
 
 // Offer hands over what was learned; it never waits. The lore belongs to the keeper from now on.
-func (k *Keeper) Offer(l dispatch.Lore) {
+func (k *Keeper) Offer(l dispatch.Snapshot) {
 	k.mu.Lock()
 	k.next = &l
 	k.mu.Unlock()
--- a/testbed/baseline/baseline.go
+++ b/testbed/baseline/baseline.go
@@ -25,22 +25,22 @@
 }
 
 // New makes a policy by its name; nil for an unknown one.
-func New(name string, ch dispatch.Charter) *Policy {
+func New(name string, ch dispatch.Config) *Policy {
 	if _, ok := Names()[name]; !ok {
 		return nil
 	}
 	return &Policy{ch: ch, again: name != "once", wait: name == "backoff" || name == "textbook", breaker: name == "textbook",
-		endpoints: map[dispatch.EndpointID]*endpoint{}, dests: map[dispatch.DestID]*dest{}, records: map[dispatch.RecordID]*record{}}
+		endpoints: map[dispatch.EndpointID]*endpoint{}, dests: map[dispatch.DestinationID]*dest{}, records: map[dispatch.MessageID]*record{}}
 }
 
 // Policy is one courier.
 type Policy struct {
-	ch                   dispatch.Charter
+	ch                   dispatch.Config
 	again, wait, breaker bool
 	now                  dispatch.Micros
 	endpoints            map[dispatch.EndpointID]*endpoint
-	dests                map[dispatch.DestID]*dest
-	records              map[dispatch.RecordID]*record
+	dests                map[dispatch.DestinationID]*dest
+	records              map[dispatch.MessageID]*record
 	queue                []*record
 	out                  []dispatch.Action
 	slots                int
@@ -49,7 +49,7 @@
 }
 
 type endpoint struct {
-	dispatch.Listing
+	dispatch.EndpointEntry
 	calls int
 }
 
@@ -60,9 +60,9 @@
 }
 
 type record struct {
-	dispatch.Taken
+	dispatch.MessageAccepted
 	dest  *dest
-	work  *dispatch.Workload
+	work  *dispatch.Class
 	trips []*endpoint
 	out   int
 	ran   bool
@@ -75,73 +75,73 @@
 	p.now, p.out = now, nil
 	for _, e := range events {
 		switch e := e.(type) {
-		case dispatch.Taken:
-			r := &record{Taken: e, dest: p.dest(e.Dest), work: &p.ch.Workloads[e.Workload], ready: now}
-			p.records[e.Record] = r
+		case dispatch.MessageAccepted:
+			r := &record{MessageAccepted: e, dest: p.dest(e.Destination), work: &p.ch.Classes[e.Class], ready: now}
+			p.records[e.Message] = r
 			p.queue = append(p.queue, r)
-		case dispatch.Settled:
+		case dispatch.AttemptFinished:
 			p.settle(e)
-		case dispatch.Left:
-			if r := p.records[e.Record]; r != nil {
+		case dispatch.MessageCanceled:
+			if r := p.records[e.Message]; r != nil {
 				r.over = true
 			}
-		case dispatch.ListNews:
+		case dispatch.EndpointUpdate:
 			p.list(e)
 		}
 	}
-	if p.ch.MustAsk && !p.asked {
+	if p.ch.MustPoll && !p.asked {
 		p.asked = true
-		p.out = append(p.out, dispatch.Watch{})
+		p.out = append(p.out, dispatch.WatchEndpoints{})
 	}
 	p.dispatch()
 	return p.out
 }
 
-func (p *Policy) dest(id dispatch.DestID) *dest {
+func (p *Policy) dest(id dispatch.DestinationID) *dest {
 	if p.dests[id] == nil {
 		p.dests[id] = &dest{}
 	}
 	return p.dests[id]
 }
 
-func (p *Policy) list(e dispatch.ListNews) {
-	if e.How == dispatch.ListError {
+func (p *Policy) list(e dispatch.EndpointUpdate) {
+	if e.Kind == dispatch.ListFailed {
 		p.asked = false
 		return
 	}
-	if e.How != dispatch.Partial {
+	if e.Kind != dispatch.PartialList {
 		for _, ep := range p.endpoints {
-			ep.Phase = dispatch.Gone
+			ep.Phase = dispatch.Removed
 		}
 	}
 	for _, l := range e.Entries {
 		if p.endpoints[l.Endpoint] == nil {
 			ep := &endpoint{}
 			p.endpoints[l.Endpoint] = ep
-			d := p.dest(l.Dest)
+			d := p.dest(l.Destination)
 			d.endpoints = append(d.endpoints, ep)
 		}
-		p.endpoints[l.Endpoint].Listing = l
+		p.endpoints[l.Endpoint].EndpointEntry = l
 	}
 }
 
-func (p *Policy) settle(e dispatch.Settled) {
-	r := p.records[e.Record]
+func (p *Policy) settle(e dispatch.AttemptFinished) {
+	r := p.records[e.Message]
 	if r == nil {
 		return
 	}
 	p.slots--
 	r.out--
-	r.trips[e.Trip].calls--
+	r.trips[e.Attempt].calls--
 	d := r.dest
 	switch e.Outcome {
-	case dispatch.Full:
+	case dispatch.Throttled:
 		if p.wait {
-			d.waitTo = max(d.waitTo, p.now+e.Wait+p.ch.Tick)
+			d.waitTo = max(d.waitTo, p.now+e.RetryAfter+p.ch.Tick)
 		}
-	case dispatch.Done:
+	case dispatch.Delivered:
 		d.fails = 0
-	case dispatch.Unreachable, dispatch.Void:
+	case dispatch.Unreachable, dispatch.Unprocessed:
 		d.fails++
 	default:
 		d.fails++
@@ -150,11 +150,11 @@
 	if p.breaker && d.fails >= 5 {
 		d.fails, d.waitTo = 0, max(d.waitTo, p.now+5*second)
 	}
-	if r.over = r.over || e.Over; r.over {
-		delete(p.records, e.Record)
+	if r.over = r.over || e.MessageDone; r.over {
+		delete(p.records, e.Message)
 		return
 	}
-	if !p.again || len(r.trips) >= p.ch.MaxTrips || r.ran && r.work.Repeat != dispatch.Replayable {
+	if !p.again || len(r.trips) >= p.ch.MaxAttempts || r.ran && r.work.Idempotency != dispatch.Idempotent {
 		p.giveUp(r)
 		return
 	}
@@ -167,13 +167,13 @@
 
 func (p *Policy) giveUp(r *record) {
 	r.over = true
-	if r.ran && r.work.Repeat != dispatch.Replayable {
-		p.out = append(p.out, dispatch.Terminate{Record: r.Record})
+	if r.ran && r.work.Idempotency != dispatch.Idempotent {
+		p.out = append(p.out, dispatch.Fail{Message: r.Message})
 	} else {
-		p.out = append(p.out, dispatch.Bounce{Record: r.Record})
+		p.out = append(p.out, dispatch.Reject{Message: r.Message})
 	}
 	if r.out == 0 {
-		delete(p.records, r.Record)
+		delete(p.records, r.Message)
 	}
 }
 
@@ -183,7 +183,7 @@
 		if r.over {
 			return true
 		}
-		if p.now >= r.CutOff-20*millisecond-2*p.ch.Tick {
+		if p.now >= r.Deadline-20*millisecond-2*p.ch.Tick {
 			p.giveUp(r)
 			return true
 		}
@@ -203,19 +203,19 @@
 		ep.calls++
 		r.out++
 		r.trips = append(r.trips, ep)
-		p.out = append(p.out, dispatch.Send{Record: r.Record, Endpoint: ep.Endpoint, Limit: min(3*second, r.CutOff-p.now-2*p.ch.Tick)})
+		p.out = append(p.out, dispatch.Send{Message: r.Message, Endpoint: ep.Endpoint, Timeout: min(3*second, r.Deadline-p.now-2*p.ch.Tick)})
 		return true
 	})
 	if len(p.queue) > 0 && (p.wakeAt <= p.now || next < p.wakeAt) {
 		p.wakeAt = max(next, p.now+p.ch.Tick)
-		p.out = append(p.out, dispatch.Wake{At: p.wakeAt})
+		p.out = append(p.out, dispatch.SetTimer{At: p.wakeAt})
 	}
 }
 
 // best is the endpoint with fewest calls out, the first listed of those.
 func (d *dest) best() (best *endpoint) {
 	for _, ep := range d.endpoints {
-		if ep.Phase == dispatch.In && (best == nil || ep.calls < best.calls) {
+		if ep.Phase == dispatch.InService && (best == nil || ep.calls < best.calls) {
 			best = ep
 		}
 	}
--- a/testbed/capacity/arithmetic.go
+++ b/testbed/capacity/arithmetic.go
@@ -10,9 +10,9 @@
 	statedFailures = 5 // that the hand-made arithmetic counted until a breaker opens
 	// openingFailures in a row open a breaker: more than 5, as the design has it (docs/design.md, "Kept").
 	openingFailures = statedFailures + 1
-	// idleAfter is how long the decisions count a route as lately called, and keep a closed breaker's failures: idleAfter of
-	// dispatch/logic.go, in seconds.
-	idleAfter = 120
+	// forgetAfter is how long the decisions count a route as lately called, and keep a closed breaker's failures: forgetAfter of
+	// dispatch/breaker.go, in seconds.
+	forgetAfter = 120
 )
 
 // Derived is what follows from a plan by arithmetic alone.
@@ -58,7 +58,7 @@
 	d.MeetingSeconds = fleet.Couriers / d.EventsPerDestination
 	d.FiveFailuresSeconds = statedFailures * d.MeetingSeconds
 	d.OpeningSeconds = openingFailures * d.MeetingSeconds
-	d.RoutesLately = traffic.Destinations * (1 - math.Exp(-idleAfter/d.MeetingSeconds))
+	d.RoutesLately = traffic.Destinations * (1 - math.Exp(-forgetAfter/d.MeetingSeconds))
 	d.ChangesWaitingAfterCut = d.ChangesPerSecond * failures.RegionCutSeconds
 	d.BacklogPerDestination = over(traffic.BacklogEvents, d.DestinationsDown)
 	d.BacklogAgeSeconds = d.BacklogPerDestination / d.EventsPerDestination
--- a/testbed/capacity/arithmetic_test.go
+++ b/testbed/capacity/arithmetic_test.go
@@ -86,7 +86,7 @@
 		figure        float64
 	}
 	all := []constant{
-		{"dispatch/logic.go", `idleAfter\s+= (\d+) \* second`, idleAfter},
+		{"dispatch/breaker.go", `forgetAfter\s+= (\d+) \* second`, forgetAfter},
 		{"membership/gossip/gossip.go", `ticks\s+= (\d+)\s`, gossipTicks},
 		{"server/platform.go", `watchWait\s+= (\d+) \* 1000\n`, 1000 * watchSeconds},
 		{"cmd/pineport/fleet.go", `Beat: min\(o\.Pace/(\d+), beatMost\)`, sharingBeats},
--- a/testbed/capacity/markdown.go
+++ b/testbed/capacity/markdown.go
@@ -122,11 +122,11 @@
 	d := &page.Derived
 	m.paragraph("A breaker opens after more than %d failures in a row, so at the %dth and not at the %dth: %s.",
 		statedFailures, openingFailures, statedFailures, Text(d.OpeningSeconds, "s"))
-	if d.MeetingSeconds > idleAfter {
-		m.paragraph("That is still too hopeful: a closed breaker that was not used for %s is dropped (`idleAfter` in `dispatch/logic.go`), and a courier "+
+	if d.MeetingSeconds > forgetAfter {
+		m.paragraph("That is still too hopeful: a closed breaker that was not used for %s is dropped (`forgetAfter` in `dispatch/breaker.go`), and a courier "+
 			"meets a destination every %s, so its count begins anew each time. By first attempts of new messages alone it never opens; "+
 			"further attempts of messages that wait there add to it, where they follow within those %s.",
-			Text(idleAfter, "s"), Text(d.MeetingSeconds, "s"), Text(idleAfter, "s"))
+			Text(forgetAfter, "s"), Text(d.MeetingSeconds, "s"), Text(forgetAfter, "s"))
 	}
 	if page.Plan.Traffic.BacklogEvents > 0 && d.DestinationsDown > 0 {
 		m.paragraph("The full backlog, spread over the destinations that are down, is %s of their traffic: it tells of outages that last so long, or of fewer "+
--- a/testbed/endpointmodel/endpointmodel.go
+++ b/testbed/endpointmodel/endpointmodel.go
@@ -24,7 +24,7 @@
 	order     []*endpoint
 	timers    timers
 	seq       int
-	ran       map[dispatch.RecordID][]effect
+	ran       map[dispatch.MessageID][]effect
 	out       []Output
 }
 
@@ -40,7 +40,7 @@
 	variance := math.Log(1 + plan.Spread*plan.Spread)
 	p := &Partner{plan: plan, rng: rand.New(source), endpoints: map[dispatch.EndpointID]*endpoint{},
 		spread: distuv.LogNormal{Mu: -variance / 2, Sigma: math.Sqrt(variance), Src: source},
-		ran:    map[dispatch.RecordID][]effect{}}
+		ran:    map[dispatch.MessageID][]effect{}}
 	for _, e := range plan.Endpoints {
 		p.Add(e)
 	}
@@ -129,7 +129,7 @@
 func (p *Partner) judge(now dispatch.Micros, j *job) {
 	ep := j.ep
 	full := func(wait dispatch.Micros) {
-		j.fate = fate{outcome: dispatch.Full, wait: (wait + quick - 1) / quick * quick} // told in whole milliseconds
+		j.fate = fate{outcome: dispatch.Throttled, wait: (wait + quick - 1) / quick * quick} // told in whole milliseconds
 		ep.hand = append(ep.hand, j)
 		p.after(now+quick, j)
 	}
@@ -161,7 +161,7 @@
 	case chance < ep.swallow:
 		j.fate = fate{mute: true, acts: true}
 	default:
-		j.fate = fate{outcome: dispatch.Done, acts: true}
+		j.fate = fate{outcome: dispatch.Delivered, acts: true}
 	}
 	switch {
 	case ep.busy < p.plan.Workers:
@@ -276,7 +276,7 @@
 	for _, item := range j.call.Items {
 		before := p.ran[item.Origin]
 		known := false
-		if item.Repeat == dispatch.Referenced {
+		if item.Repeat == dispatch.IdempotencyKey {
 			for _, e := range before {
 				known = known || now-e.at <= item.Window && (!item.OneZone || e.zone == j.ep.Zone)
 			}
--- a/testbed/endpointmodel/endpointmodel_test.go
+++ b/testbed/endpointmodel/endpointmodel_test.go
@@ -35,9 +35,9 @@
 		switch o := o.(type) {
 		case Answer:
 			switch o.Outcome {
-			case dispatch.Done:
+			case dispatch.Delivered:
 				done++
-			case dispatch.Full:
+			case dispatch.Throttled:
 				full++
 			case dispatch.Broken:
 				broken++
@@ -75,7 +75,7 @@
 
 func TestKnowsRepeatsInWindowAndZone(t *testing.T) {
 	p := New(plan())
-	item := Item{Record: "x", Origin: "x", Repeat: dispatch.Referenced, Window: 1000 * ms, OneZone: true}
+	item := Item{Record: "x", Origin: "x", Repeat: dispatch.IdempotencyKey, Window: 1000 * ms, OneZone: true}
 	var all []Output
 	for _, c := range []struct {
 		at dispatch.Micros
--- a/testbed/endpointmodel/plan.go
+++ b/testbed/endpointmodel/plan.go
@@ -34,8 +34,8 @@
 
 // Plan is what a destination is made from.
 type Plan struct {
-	Dest        dispatch.DestID
-	Kind        dispatch.ShapeID
+	Dest        dispatch.DestinationID
+	Kind        dispatch.EndpointTypeID
 	Apart       bool // each endpoint is a route of its own, with its own limit, outages and return
 	PerCall     int  // records in a call at most
 	ItemCost    float64
@@ -63,8 +63,8 @@
 
 // Item is one record within a call. Origin stays the same when a client hands a record in again.
 type Item struct {
-	Record, Origin dispatch.RecordID
-	Repeat         dispatch.Repeat
+	Record, Origin dispatch.MessageID
+	Repeat         dispatch.Idempotency
 	OneZone        bool            // referenced: only this zone's endpoints know a repeat
 	Window         dispatch.Micros // referenced: for so long
 }
--- a/testbed/environment/directory.go
+++ b/testbed/environment/directory.go
@@ -55,7 +55,7 @@
 	Hosts []entry `json:"hosts"`
 }
 
-var health = map[dispatch.Phase]string{dispatch.In: "in_service", dispatch.Draining: "terminating", dispatch.Gone: "terminated"}
+var health = map[dispatch.Phase]string{dispatch.InService: "in_service", dispatch.Draining: "terminating", dispatch.Removed: "terminated"}
 
 func (w *World) entry(dest int, e endpointmodel.Endpoint, phase dispatch.Phase, born int64) entry {
 	dst := &w.Day.Destinations[dest]
@@ -67,7 +67,7 @@
 	d := &directory{world: w, courier: courier, seq: 1, entries: map[dispatch.EndpointID]entry{}, changed: make(chan struct{})}
 	for i := range w.Day.Destinations {
 		for _, e := range w.Day.Destinations[i].Endpoints {
-			d.entries[e.ID] = w.entry(i, e, dispatch.In, 0)
+			d.entries[e.ID] = w.entry(i, e, dispatch.InService, 0)
 		}
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -91,7 +91,7 @@
 // later tells of a change after a while, in the order of changes.
 func (d *directory) later(late dispatch.Micros, dest int, e endpointmodel.Endpoint, phase dispatch.Phase) {
 	born := int64(0)
-	if phase == dispatch.In {
+	if phase == dispatch.InService {
 		born = time.Now().UnixMilli()
 	}
 	en := d.world.entry(dest, e, phase, born)
@@ -113,7 +113,7 @@
 
 func (d *directory) put(en entry) {
 	d.seq++
-	if en.Health == health[dispatch.Gone] {
+	if en.Health == health[dispatch.Removed] {
 		delete(d.entries, en.Host)
 	} else {
 		d.entries[en.Host] = en
@@ -262,9 +262,9 @@
 }
 
 type notice struct {
-	ID      dispatch.RecordID `json:"id"`
-	Status  string            `json:"status"`
-	AgainMs int64             `json:"again_ms"`
+	ID      dispatch.MessageID `json:"id"`
+	Status  string             `json:"status"`
+	AgainMs int64              `json:"again_ms"`
 }
 
 // Known is the list that a courier is handed at its start, in the platform's form.
--- a/testbed/environment/endpoint.go
+++ b/testbed/environment/endpoint.go
@@ -262,7 +262,7 @@
 func (e *endpoint) call(conn *net.TCPConn, in inbound, closed <-chan inbound) bool {
 	switch {
 	case in.req.Method == http.MethodPost && in.req.URL.Path == "/hook":
-		return e.carry(conn, in, []dispatch.RecordID{dispatch.RecordID(in.req.Header.Get("X-Call-Id"))}, false, closed)
+		return e.carry(conn, in, []dispatch.MessageID{dispatch.MessageID(in.req.Header.Get("X-Call-Id"))}, false, closed)
 	case in.req.Method == http.MethodPost && in.req.URL.Path == "/hook/batch":
 		ids, err := batch(in.body)
 		if err != nil {
@@ -277,7 +277,7 @@
 }
 
 // batch reads the ids of a call with several records.
-func batch(body []byte) (ids []dispatch.RecordID, err error) {
+func batch(body []byte) (ids []dispatch.MessageID, err error) {
 	for len(body) > 0 {
 		line, rest, ok := bytes.Cut(body, []byte("\r\n"))
 		parts := strings.Fields(string(line))
@@ -289,11 +289,11 @@
 			return nil, fmt.Errorf("%s: %q is no length of what follows", parts[0], parts[2])
 		}
 		for _, id := range ids {
-			if id == dispatch.RecordID(parts[0]) {
+			if id == dispatch.MessageID(parts[0]) {
 				return nil, fmt.Errorf("%s is named twice", id)
 			}
 		}
-		ids, body = append(ids, dispatch.RecordID(parts[0])), rest[n+2:]
+		ids, body = append(ids, dispatch.MessageID(parts[0])), rest[n+2:]
 	}
 	if len(ids) == 0 {
 		return nil, errors.New("no records")
@@ -305,24 +305,24 @@
 type admitted struct {
 	courier int
 	items   []endpointmodel.Item
-	ids     []dispatch.RecordID
+	ids     []dispatch.MessageID
 	trips   []int
-	ends    map[dispatch.RecordID]string // what is not sent on
+	ends    map[dispatch.MessageID]string // what is not sent on
 	full    bool
 }
 
 // admit looks the records of a call up, counts trips and takes a slot.
-func (e *endpoint) admit(in inbound, ids []dispatch.RecordID) (a admitted, fault string) {
+func (e *endpoint) admit(in inbound, ids []dispatch.MessageID) (a admitted, fault string) {
 	w := e.world
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	a.ends, a.courier = map[dispatch.RecordID]string{}, -1
+	a.ends, a.courier = map[dispatch.MessageID]string{}, -1
 	for _, id := range ids {
 		r := w.records[id]
 		if r == nil && w.Guests {
 			r = &Record{Origin: id, Dest: e.site.no}
 			w.records[id] = r
-			w.Books.Offered(in.first, id, 0, 0, dispatch.DestID(r.Dest))
+			w.Books.Offered(in.first, id, 0, 0, dispatch.DestinationID(r.Dest))
 			w.Books.Taken(in.first, id, id, 0, "", in.first+dispatch.Micros(w.Day.Day.Workloads[0].CutOff*1e6))
 		}
 		switch {
@@ -348,7 +348,7 @@
 		w.out[a.courier]++
 	}
 	for _, id := range a.ids {
-		a.trips = append(a.trips, w.Books.Sent(in.first, id, invariants.Place{Dest: dispatch.DestID(e.site.no),
+		a.trips = append(a.trips, w.Books.Sent(in.first, id, invariants.Place{Dest: dispatch.DestinationID(e.site.no),
 			Route: e.site.route(e.ID), Endpoint: e.ID, Zone: e.Zone}))
 	}
 	return a, ""
@@ -361,7 +361,7 @@
 }
 
 // carry plays one call with records.
-func (e *endpoint) carry(conn *net.TCPConn, in inbound, ids []dispatch.RecordID, several bool, closed <-chan inbound) bool {
+func (e *endpoint) carry(conn *net.TCPConn, in inbound, ids []dispatch.MessageID, several bool, closed <-chan inbound) bool {
 	w := e.world
 	a, fault := e.admit(in, ids)
 	if fault != "" {
@@ -374,7 +374,7 @@
 		}
 	}
 	if a.full {
-		settle(dispatch.Void, 0)
+		settle(dispatch.Unprocessed, 0)
 		return e.write(conn, 503, "X-Egress-Full: 1\r\n", "")
 	}
 	defer func() {
@@ -422,7 +422,7 @@
 	return e.reply(conn, ids, a, got, several)
 }
 
-func (e *endpoint) reply(conn net.Conn, ids []dispatch.RecordID, a admitted, got endpointmodel.Answer, several bool) bool {
+func (e *endpoint) reply(conn net.Conn, ids []dispatch.MessageID, a admitted, got endpointmodel.Answer, several bool) bool {
 	head := ""
 	if len(got.Pressure) == 2 {
 		head = fmt.Sprintf("X-Load-Report: x0=%.4f,x1=%.4f\r\n", got.Pressure[0], got.Pressure[1])
@@ -431,7 +431,7 @@
 	switch got.Outcome {
 	case dispatch.Failure:
 		status = 500
-	case dispatch.Full:
+	case dispatch.Throttled:
 		if status = 503; got.Wait > 0 {
 			status = 429
 			head += fmt.Sprintf("X-Backoff-Ms: %d\r\n", int64(got.Wait+999)/1000)
@@ -445,7 +445,7 @@
 }
 
 // ends is the body of an answer for several.
-func (e *endpoint) ends(ids []dispatch.RecordID, ends map[dispatch.RecordID]string, otherwise string) string {
+func (e *endpoint) ends(ids []dispatch.MessageID, ends map[dispatch.MessageID]string, otherwise string) string {
 	var b strings.Builder
 	for _, id := range ids {
 		end := ends[id]
--- a/testbed/environment/environment.go
+++ b/testbed/environment/environment.go
@@ -31,7 +31,7 @@
 
 // Record is what a client handed in, as far as endpoints must know.
 type Record struct {
-	Origin  dispatch.RecordID
+	Origin  dispatch.MessageID
 	Courier int
 	Work    int
 	Dest    int
@@ -45,7 +45,7 @@
 	Books *invariants.Ledger
 	Clock Clock
 	// Noticed is told of each notice that ends a record: how, and for a bounce when to come again.
-	Noticed func(id dispatch.RecordID, how invariants.End, again time.Duration)
+	Noticed func(id dispatch.MessageID, how invariants.End, again time.Duration)
 
 	// Guests lets in records that nobody announced, for clients that are not ours: of the first workload, from courier 0.
 	Guests bool
@@ -55,7 +55,7 @@
 	rng       *rand.Rand
 	sites     []*site
 	endpoints map[dispatch.EndpointID]*endpoint
-	records   map[dispatch.RecordID]*Record
+	records   map[dispatch.MessageID]*Record
 	out       []int // calls out, by courier
 	directory []*directory
 	closed    bool
@@ -80,7 +80,7 @@
 // Open puts up the world of a day; nothing goes wrong in it before Begin.
 func Open(w *scenario.Drawn, log *slog.Logger) (*World, error) {
 	o := &World{Day: w, log: log, rng: rand.New(rand.NewPCG(uint64(w.Seed), 99)), endpoints: map[dispatch.EndpointID]*endpoint{},
-		records: map[dispatch.RecordID]*Record{}, out: make([]int, w.Day.Fleet.Couriers), Clock: Clock{time.Now()}}
+		records: map[dispatch.MessageID]*Record{}, out: make([]int, w.Day.Fleet.Couriers), Clock: Clock{time.Now()}}
 	for i := range w.Destinations {
 		s := &site{world: o, no: i, partner: endpointmodel.New(w.Destinations[i].Plan), dueAt: endpointmodel.Never,
 			waiting: map[uint64]chan endpointmodel.Answer{}}
@@ -141,14 +141,14 @@
 		if _, err := w.put(s, a.Endpoint, address); err != nil {
 			w.log.Warn("endpoint not put up", "endpoint", a.Endpoint.ID, "fault", err)
 		}
-		w.listed(a.Dest, a.Endpoint, dispatch.In)
+		w.listed(a.Dest, a.Endpoint, dispatch.InService)
 	case scenario.Drains:
 		w.listed(a.Dest, a.Endpoint, dispatch.Draining)
 	case scenario.Removes:
 		s.do(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
 			return p.Remove(now, a.Endpoint.ID)
 		})
-		w.listed(a.Dest, a.Endpoint, dispatch.Gone)
+		w.listed(a.Dest, a.Endpoint, dispatch.Removed)
 	case scenario.ListDown, scenario.ListUp:
 		for _, d := range w.directory {
 			d.down(a.Kind == scenario.ListDown)
@@ -176,14 +176,14 @@
 }
 
 // Expect tells of a record before it is handed in: calls with other records are strange.
-func (w *World) Expect(id dispatch.RecordID, r Record) {
+func (w *World) Expect(id dispatch.MessageID, r Record) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.records[id] = &r
 }
 
 // Drop tells that what is still sent for a record counts for nothing.
-func (w *World) Drop(id dispatch.RecordID) {
+func (w *World) Drop(id dispatch.MessageID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if r := w.records[id]; r != nil {
@@ -290,9 +290,9 @@
 	case endpointmodel.Ran:
 		books.Ran(now, o.Item.Record, o.Endpoint, o.Before, o.Known)
 	case endpointmodel.Fell:
-		books.Fell(now, dispatch.DestID(s.no), o.Route, o.Sent)
+		books.Fell(now, dispatch.DestinationID(s.no), o.Route, o.Sent)
 	case endpointmodel.Turned:
-		books.Turned(now, dispatch.DestID(s.no), o.Route, o.Phase == endpointmodel.Out)
+		books.Turned(now, dispatch.DestinationID(s.no), o.Route, o.Phase == endpointmodel.Out)
 	}
 }
 
--- a/testbed/experiment/experiment.go
+++ b/testbed/experiment/experiment.go
@@ -48,7 +48,7 @@
 			return Variant{}, fmt.Errorf("no baseline has the name %q; there are %s", rest, strings.Join(baseline.Sorted(), ", "))
 		}
 		return Variant{name, func() (simulation.Host, error) {
-			return simulation.NewLocal(func(_ int, ch dispatch.Charter) simulation.Decider { return baseline.New(rest, ch) }), nil
+			return simulation.NewLocal(func(_ int, ch dispatch.Config) simulation.Decider { return baseline.New(rest, ch) }), nil
 		}, simulation.Options{}}, nil
 	case "wire":
 		return Variant{name, func() (simulation.Host, error) { return wirehost.Open(rest) }, simulation.Options{}}, nil
--- a/testbed/invariants/fromday.go
+++ b/testbed/invariants/fromday.go
@@ -27,12 +27,12 @@
 }
 
 // RepeatOf reads the word of a day's file.
-func RepeatOf(word string) dispatch.Repeat {
+func RepeatOf(word string) dispatch.Idempotency {
 	switch word {
 	case "replayable":
-		return dispatch.Replayable
+		return dispatch.Idempotent
 	case "referenced":
-		return dispatch.Referenced
+		return dispatch.IdempotencyKey
 	}
-	return dispatch.SingleUse
+	return dispatch.AtMostOnce
 }
--- a/testbed/invariants/invariants.go
+++ b/testbed/invariants/invariants.go
@@ -17,7 +17,7 @@
 	Quoted, Life dispatch.Micros
 	Payoff       float64
 	LatePart     float64
-	Repeat       dispatch.Repeat
+	Repeat       dispatch.Idempotency
 	Window       dispatch.Micros
 	OneZone      bool
 	InOrder      bool
@@ -52,14 +52,14 @@
 
 // Place is where a call goes.
 type Place struct {
-	Dest     dispatch.DestID
+	Dest     dispatch.DestinationID
 	Route    int
 	Endpoint dispatch.EndpointID
 	Zone     dispatch.ZoneID
 }
 
 type routeKey struct {
-	dest  dispatch.DestID
+	dest  dispatch.DestinationID
 	route int
 }
 
@@ -83,7 +83,7 @@
 type origin struct {
 	work   int
 	party  int
-	dest   dispatch.DestID
+	dest   dispatch.DestinationID
 	at     dispatch.Micros // when it was due to be handed in first
 	worth  float64         // within its quoted time
 	won    float64
@@ -92,11 +92,11 @@
 }
 
 type record struct {
-	id      dispatch.RecordID
+	id      dispatch.MessageID
 	origin  *origin
 	work    *Workload
 	courier int
-	key     dispatch.Key
+	key     dispatch.OrderingKey
 	cutOff  dispatch.Micros
 	taken   dispatch.Micros
 	trips   []*trip
@@ -118,7 +118,7 @@
 
 type keyOf struct {
 	courier int
-	key     dispatch.Key
+	key     dispatch.OrderingKey
 }
 
 type line struct {
@@ -152,9 +152,9 @@
 type Ledger struct {
 	mu       sync.Mutex
 	setup    Setup
-	origins  map[dispatch.RecordID]*origin
+	origins  map[dispatch.MessageID]*origin
 	order    []*origin
-	records  map[dispatch.RecordID]*record
+	records  map[dispatch.MessageID]*record
 	all      []*record
 	lines    map[keyOf]*line
 	told     map[toldKey]dispatch.Micros
@@ -176,14 +176,14 @@
 
 // New begins the books of a day.
 func New(setup Setup) *Ledger {
-	return &Ledger{setup: setup, origins: map[dispatch.RecordID]*origin{}, records: map[dispatch.RecordID]*record{},
+	return &Ledger{setup: setup, origins: map[dispatch.MessageID]*origin{}, records: map[dispatch.MessageID]*record{},
 		lines: map[keyOf]*line{}, told: map[toldKey]dispatch.Micros{}, waits: map[waitKey]wait{}, downs: map[int][]down{}, killed: map[int]dispatch.Micros{},
 		outages: map[routeKey]*outage{}, shares: make([]share, len(setup.Quotas)), breaches: map[Rule]*breach{},
-		series: series{dests: map[dispatch.DestID]*DestSeries{}}, latency: newLatencies(setup.Workloads)}
+		series: series{dests: map[dispatch.DestinationID]*DestSeries{}}, latency: newLatencies(setup.Workloads)}
 }
 
 // Offered: a client has a record for the first time.
-func (l *Ledger) Offered(at dispatch.Micros, id dispatch.RecordID, work, party int, dest dispatch.DestID) {
+func (l *Ledger) Offered(at dispatch.Micros, id dispatch.MessageID, work, party int, dest dispatch.DestinationID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	w := &l.setup.Workloads[work]
@@ -212,7 +212,7 @@
 }
 
 // Taken: a courier owes a record's end from now on.
-func (l *Ledger) Taken(at dispatch.Micros, id, originID dispatch.RecordID, courier int, key dispatch.Key, cutOff dispatch.Micros) {
+func (l *Ledger) Taken(at dispatch.Micros, id, originID dispatch.MessageID, courier int, key dispatch.OrderingKey, cutOff dispatch.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	o := l.origins[originID]
@@ -235,7 +235,7 @@
 }
 
 // Sent: a courier began a trip of a record. Trips are numbered as they are sent.
-func (l *Ledger) Sent(at dispatch.Micros, id dispatch.RecordID, p Place) (no int) {
+func (l *Ledger) Sent(at dispatch.Micros, id dispatch.MessageID, p Place) (no int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.records[id]
@@ -252,7 +252,7 @@
 }
 
 // Settled: the courier has the outcome of a trip, or has stopped waiting for it.
-func (l *Ledger) Settled(at dispatch.Micros, id dispatch.RecordID, no int, o dispatch.Outcome, told dispatch.Micros) {
+func (l *Ledger) Settled(at dispatch.Micros, id dispatch.MessageID, no int, o dispatch.Outcome, told dispatch.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.records[id]
@@ -265,7 +265,7 @@
 	rk := routeKey{t.place.Dest, t.place.Route}
 	l.series.settled(at, t.place.Dest, o)
 	l.counts.settle(o)
-	mayRun := o != dispatch.Full && o != dispatch.Unreachable && o != dispatch.Void
+	mayRun := o != dispatch.Throttled && o != dispatch.Unreachable && o != dispatch.Unprocessed
 	if mayRun && !r.mayRan {
 		r.mayRan, r.ranAt, r.ranZone = true, t.sent, t.place.Zone
 	}
@@ -280,14 +280,14 @@
 			l.waits[k] = wait{from, to}
 		}
 	}
-	if og := l.outages[rk]; og != nil && og.on && o != dispatch.Done && o != dispatch.Void && o != dispatch.Withdrawn {
+	if og := l.outages[rk]; og != nil && og.on && o != dispatch.Delivered && o != dispatch.Unprocessed && o != dispatch.Canceled {
 		og.seen[r.courier] = true
 	}
-	if r.work.InOrder && r.key != "" && (o == dispatch.TimedOut || o == dispatch.Broken || o == dispatch.Withdrawn) {
+	if r.work.InOrder && r.key != "" && (o == dispatch.TimedOut || o == dispatch.Broken || o == dispatch.Canceled) {
 		line := l.lines[keyOf{r.courier, r.key}]
 		line.restTo = max(line.restTo, at+l.setup.KeyRest)
 	}
-	if o == dispatch.Done {
+	if o == dispatch.Delivered {
 		_, dead := l.killed[r.courier]
 		r.unheard = r.unheard || dead && r.end == Open
 		l.delivered(at, r)
@@ -329,13 +329,13 @@
 }
 
 // Ended: a record has its final answer without having been delivered.
-func (l *Ledger) Ended(at dispatch.Micros, id dispatch.RecordID, how End) {
+func (l *Ledger) Ended(at dispatch.Micros, id dispatch.MessageID, how End) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ended(at, id, how)
 }
 
-func (l *Ledger) ended(at dispatch.Micros, id dispatch.RecordID, how End) {
+func (l *Ledger) ended(at dispatch.Micros, id dispatch.MessageID, how End) {
 	r := l.records[id]
 	if r == nil {
 		if how == Bounced || how == Terminated {
@@ -367,7 +367,7 @@
 
 // Noticed takes a notice for a record; it tells whether that ended it. Notices are sent until they are confirmed, and one
 // for a record that is over does no harm.
-func (l *Ledger) Noticed(at dispatch.Micros, id dispatch.RecordID, how End) bool {
+func (l *Ledger) Noticed(at dispatch.Micros, id dispatch.MessageID, how End) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if r := l.records[id]; r != nil && r.end != Open {
@@ -378,7 +378,7 @@
 }
 
 // MayHaveRun tells whether any trip of a record may have taken effect, as far as its client can know.
-func (l *Ledger) MayHaveRun(id dispatch.RecordID) bool {
+func (l *Ledger) MayHaveRun(id dispatch.MessageID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.records[id]
@@ -386,7 +386,7 @@
 }
 
 // Ran: a record took effect; before is how often it had done so already, known whether the repeat was dropped.
-func (l *Ledger) Ran(at dispatch.Micros, id dispatch.RecordID, where dispatch.EndpointID, before int, known bool) {
+func (l *Ledger) Ran(at dispatch.Micros, id dispatch.MessageID, where dispatch.EndpointID, before int, known bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts.Effects++
@@ -396,7 +396,7 @@
 	}
 	l.counts.Repeats++
 	// A referenced record's repeats are judged when they are sent: a hand-in after a courier died is its client's.
-	if r.work.Repeat == dispatch.SingleUse && r.end != Dropped {
+	if r.work.Repeat == dispatch.AtMostOnce && r.end != Dropped {
 		l.breach(Twice, at, "%s took effect for the %d. time, at %s", id, before+1, where)
 	}
 }
@@ -406,7 +406,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := toldKey{courier, endpoint}
-	if phase == dispatch.In {
+	if phase == dispatch.InService {
 		delete(l.told, k)
 	} else if _, ok := l.told[k]; !ok {
 		l.told[k] = at
@@ -481,7 +481,7 @@
 }
 
 // Turned: the health of a route changed.
-func (l *Ledger) Turned(at dispatch.Micros, dest dispatch.DestID, route int, out bool) {
+func (l *Ledger) Turned(at dispatch.Micros, dest dispatch.DestinationID, route int, out bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := routeKey{dest, route}
@@ -497,7 +497,7 @@
 }
 
 // Fell: a returning route was sent more than it could take; sent has what each courier sent of that.
-func (l *Ledger) Fell(at dispatch.Micros, dest dispatch.DestID, route int, sent map[int]float64) {
+func (l *Ledger) Fell(at dispatch.Micros, dest dispatch.DestinationID, route int, sent map[int]float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts.Falls++
@@ -545,7 +545,7 @@
 }
 
 // Unanswered: a courier that runs ended a connection without an answer to what it had read.
-func (l *Ledger) Unanswered(at dispatch.Micros, id dispatch.RecordID, courier int) {
+func (l *Ledger) Unanswered(at dispatch.Micros, id dispatch.MessageID, courier int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.breach(Final, at, "courier %d closed a connection without an answer to %s", courier, id)
--- a/testbed/invariants/rules.go
+++ b/testbed/invariants/rules.go
@@ -70,7 +70,7 @@
 // judgeRepeat: a single-use record goes again only if every earlier trip provably never ran; a referenced one that may
 // have run only in its window and group.
 func (l *Ledger) judgeRepeat(at dispatch.Micros, r *record, p Place) {
-	if r.work.Repeat == dispatch.Replayable || len(r.trips) == 0 {
+	if r.work.Repeat == dispatch.Idempotent || len(r.trips) == 0 {
 		return
 	}
 	may, ranAt, zone := r.mayRan, r.ranAt, r.ranZone
@@ -81,7 +81,7 @@
 	}
 	switch {
 	case !may:
-	case r.work.Repeat == dispatch.SingleUse:
+	case r.work.Repeat == dispatch.AtMostOnce:
 		l.breach(Twice, at, "%s, single-use, went to %s though an earlier trip may have run", r.id, p.Endpoint)
 	case at > ranAt+r.work.Window+l.setup.Leeway:
 		l.breach(Twice, at, "%s, referenced, went to %s after its window of %s", r.id, p.Endpoint, seconds(r.work.Window))
@@ -93,7 +93,7 @@
 // judgeBounce: a bounce says that trying again is harmless.
 func (l *Ledger) judgeBounce(at dispatch.Micros, r *record) {
 	may := r.mayRan || r.out > 0
-	if may && (r.work.Repeat == dispatch.SingleUse || r.work.Repeat == dispatch.Referenced && r.work.OneZone) {
+	if may && (r.work.Repeat == dispatch.AtMostOnce || r.work.Repeat == dispatch.IdempotencyKey && r.work.OneZone) {
 		l.breach(Twice, at, "%s was bounced though a trip may have run", r.id)
 	}
 }
--- a/testbed/invariants/series.go
+++ b/testbed/invariants/series.go
@@ -18,7 +18,7 @@
 
 // DestSeries is what went to one destination.
 type DestSeries struct {
-	Dest                      dispatch.DestID
+	Dest                      dispatch.DestinationID
 	Offered                   []float64
 	Calls, Done, Full, Failed []float64
 	Outages                   [][2]float64 // in seconds
@@ -28,7 +28,7 @@
 type series struct {
 	holding int
 	heldAt  []float64
-	dests   map[dispatch.DestID]*DestSeries
+	dests   map[dispatch.DestinationID]*DestSeries
 }
 
 // put adds to a bin; what lies before the day counts to its first bin.
@@ -50,7 +50,7 @@
 	s.heldAt[i] = float64(s.holding)
 }
 
-func (s *series) dest(id dispatch.DestID) *DestSeries {
+func (s *series) dest(id dispatch.DestinationID) *DestSeries {
 	d := s.dests[id]
 	if d == nil {
 		d = &DestSeries{Dest: id}
@@ -59,25 +59,25 @@
 	return d
 }
 
-func (s *series) call(at dispatch.Micros, id dispatch.DestID) {
+func (s *series) call(at dispatch.Micros, id dispatch.DestinationID) {
 	d := s.dest(id)
 	d.Calls = put(d.Calls, at, 1)
 }
 
-func (s *series) settled(at dispatch.Micros, id dispatch.DestID, o dispatch.Outcome) {
+func (s *series) settled(at dispatch.Micros, id dispatch.DestinationID, o dispatch.Outcome) {
 	switch d := s.dest(id); o {
-	case dispatch.Done:
+	case dispatch.Delivered:
 		d.Done = put(d.Done, at, 1)
-	case dispatch.Full:
+	case dispatch.Throttled:
 		d.Full = put(d.Full, at, 1)
-	case dispatch.Void, dispatch.Withdrawn:
+	case dispatch.Unprocessed, dispatch.Canceled:
 	default:
 		d.Failed = put(d.Failed, at, 1)
 	}
 }
 
 // out notes that a route of a destination went out or came back; the destination is out while any of them is.
-func (s *series) out(at dispatch.Micros, id dispatch.DestID, on bool) {
+func (s *series) out(at dispatch.Micros, id dispatch.DestinationID, on bool) {
 	d := s.dest(id)
 	switch {
 	case on:
--- a/testbed/invariants/verdict.go
+++ b/testbed/invariants/verdict.go
@@ -34,7 +34,7 @@
 
 func (c *Counts) settle(o dispatch.Outcome) {
 	switch o {
-	case dispatch.Full:
+	case dispatch.Throttled:
 		c.Full++
 	case dispatch.Failure:
 		c.Failures++
@@ -44,9 +44,9 @@
 		c.Unreachable++
 	case dispatch.Broken:
 		c.Broken++
-	case dispatch.Withdrawn:
+	case dispatch.Canceled:
 		c.Withdrawn++
-	case dispatch.Void:
+	case dispatch.Unprocessed:
 		c.Void++
 	}
 }
--- a/testbed/realtime/client.go
+++ b/testbed/realtime/client.go
@@ -13,7 +13,7 @@
 
 // client is who handed in a record first, and hands it in again where it may. The run's lock guards it.
 type client struct {
-	id      dispatch.RecordID
+	id      dispatch.MessageID
 	arrival scenario.Arrival
 	due     dispatch.Micros
 	cutOff  dispatch.Micros
@@ -25,8 +25,8 @@
 func (r *run) offer(i int) {
 	a := r.day.Arrivals[i]
 	wl := r.day.Day.Workloads[a.Workload]
-	cl := &client{id: dispatch.RecordID("r" + strconv.Itoa(i)), arrival: a, due: a.At, cutOff: a.At + dispatch.Micros(wl.CutOff*1e6)}
-	r.books.Offered(a.At, cl.id, int(a.Workload), int(a.Party), dispatch.DestID(a.Dest))
+	cl := &client{id: dispatch.MessageID("r" + strconv.Itoa(i)), arrival: a, due: a.At, cutOff: a.At + dispatch.Micros(wl.CutOff*1e6)}
+	r.books.Offered(a.At, cl.id, int(a.Workload), int(a.Party), dispatch.DestinationID(a.Dest))
 	r.pend(1)
 	r.handIn(cl, int(a.Courier), false, false)
 }
@@ -76,19 +76,19 @@
 	r.mu.Lock()
 	id, origin := cl.id, cl.id
 	if cl.tries > 0 {
-		id += dispatch.RecordID("." + strconv.Itoa(cl.tries))
+		id += dispatch.MessageID("." + strconv.Itoa(cl.tries))
 	}
 	if cl.dropped > 0 { // what ran under an id that nobody answered for counts for nothing
-		origin += dispatch.RecordID("+" + strconv.Itoa(cl.dropped))
+		origin += dispatch.MessageID("+" + strconv.Itoa(cl.dropped))
 	}
 	cl.tries++
 	r.clients[id] = cl
 	r.mu.Unlock()
 	a := cl.arrival
 	wl := r.day.Day.Workloads[a.Workload]
-	key := dispatch.Key("")
+	key := dispatch.OrderingKey("")
 	if a.Key >= 0 {
-		key = dispatch.Key("k" + strconv.Itoa(int(a.Key)))
+		key = dispatch.OrderingKey("k" + strconv.Itoa(int(a.Key)))
 	}
 	r.world.Expect(id, environment.Record{Origin: origin, Courier: courier, Work: int(a.Workload), Dest: int(a.Dest)})
 	r.books.Taken(now, id, cl.id, courier, key, cl.cutOff)
@@ -115,7 +115,7 @@
 }
 
 // unanswered is a hand-in that a courier did not answer: it was down, cut the connection or kept silent.
-func (r *run) unanswered(cl *client, id dispatch.RecordID, courier int, reply load.Reply) {
+func (r *run) unanswered(cl *client, id dispatch.MessageID, courier int, reply load.Reply) {
 	now := r.world.Clock.Now()
 	if reply.Kind == load.Cut && r.couriers[courier].Up() && !r.books.Excused(now, courier) {
 		r.books.Unanswered(now, id, courier)
@@ -152,7 +152,7 @@
 }
 
 // noticed takes a notice for a record that a courier had taken on.
-func (r *run) noticed(id dispatch.RecordID, how invariants.End, again time.Duration) {
+func (r *run) noticed(id dispatch.MessageID, how invariants.End, again time.Duration) {
 	r.mu.Lock()
 	cl := r.clients[id]
 	r.mu.Unlock()
--- a/testbed/realtime/realtime.go
+++ b/testbed/realtime/realtime.go
@@ -78,8 +78,8 @@
 
 	mu       sync.Mutex
 	rng      *rand.Rand
-	clients  map[dispatch.RecordID]*client // by each id that it handed in
-	pending  int                           // hand-ins under way or to come
+	clients  map[dispatch.MessageID]*client // by each id that it handed in
+	pending  int                            // hand-ins under way or to come
 	restarts int
 	reloads  int
 	fault    string
@@ -104,7 +104,7 @@
 		o.Dir = dir
 	}
 	r := &run{Options: o, day: w, books: invariants.New(setup(w)), late: load.NewLateness(), stop: make(chan struct{}),
-		rng: rand.New(rand.NewPCG(uint64(w.Seed), 55)), clients: map[dispatch.RecordID]*client{}, body: []byte("record of a laboratory day")}
+		rng: rand.New(rand.NewPCG(uint64(w.Seed), 55)), clients: map[dispatch.MessageID]*client{}, body: []byte("record of a laboratory day")}
 	var err error
 	if r.world, err = environment.Open(w, o.Log); err != nil {
 		return nil, Cost{}, err
--- a/testbed/scale/changes_test.go
+++ b/testbed/scale/changes_test.go
@@ -124,20 +124,20 @@
 // TestToldTimes: what a courier is told, by a change or a whole list, counts from the change on, or from its start if it was down.
 func TestToldTimes(t *testing.T) {
 	const s = dispatch.Micros(microsPerSecond)
-	entry := func(id dispatch.EndpointID, phase dispatch.Phase) dispatch.Listing {
-		return dispatch.Listing{Endpoint: id, Phase: phase}
+	entry := func(id dispatch.EndpointID, phase dispatch.Phase) dispatch.EndpointEntry {
+		return dispatch.EndpointEntry{Endpoint: id, Phase: phase}
 	}
-	news := func(how dispatch.ListKind, entries ...dispatch.Listing) dispatch.ListNews {
-		return dispatch.ListNews{How: how, Entries: entries}
+	news := func(how dispatch.UpdateKind, entries ...dispatch.EndpointEntry) dispatch.EndpointUpdate {
+		return dispatch.EndpointUpdate{Kind: how, Entries: entries}
 	}
 	h := newToldHost(3)
 	for courier := range 3 {
-		h.note(1, courier, news(dispatch.Persisted, entry("a", dispatch.In)))
+		h.note(1, courier, news(dispatch.CachedList, entry("a", dispatch.InService)))
 	}
-	h.note(11*s, 0, news(dispatch.Partial, entry("a", dispatch.Draining)))
-	h.note(12*s, 0, news(dispatch.ListError))
-	h.note(15*s, 1, news(dispatch.Persisted, entry("a", dispatch.In)))
-	h.note(16*s, 1, news(dispatch.Complete)) // a second after discovery came back
+	h.note(11*s, 0, news(dispatch.PartialList, entry("a", dispatch.Draining)))
+	h.note(12*s, 0, news(dispatch.ListFailed))
+	h.note(15*s, 1, news(dispatch.CachedList, entry("a", dispatch.InService)))
+	h.note(16*s, 1, news(dispatch.CompleteList)) // a second after discovery came back
 	drawn := &scenario.Drawn{Acts: []scenario.Act{
 		{At: 9 * s, Kind: scenario.Kills, Courier: 1},
 		{At: 10 * s, Kind: scenario.Drains, Endpoint: endpointmodel.Endpoint{ID: "a"}},
@@ -159,8 +159,8 @@
 	for i, b := range batches {
 		if b.Courier == 0 {
 			batches[i].Events = slices.DeleteFunc(b.Events, func(e dispatch.Event) bool {
-				news, ok := e.(dispatch.ListNews)
-				return ok && news.How != dispatch.Persisted
+				news, ok := e.(dispatch.EndpointUpdate)
+				return ok && news.Kind != dispatch.CachedList
 			})
 		}
 	}
--- a/testbed/scale/destinations.go
+++ b/testbed/scale/destinations.go
@@ -81,7 +81,7 @@
 	driver := newDriver(k.decide(courierSettings(play.Seed, 2*count)), 0, len(ids))
 
 	before := heapInUse()
-	driver.step(0, dispatch.ListNews{How: dispatch.Complete, Entries: list})
+	driver.step(0, dispatch.EndpointUpdate{Kind: dispatch.CompleteList, Entries: list})
 	record(knownFirst, driver.took.Seconds())
 	record(knownBytes, float64(heapInUse())-float64(before))
 	record(knownUsed, float64(driver.inUse(list)))
@@ -111,7 +111,7 @@
 }
 
 // inUse counts the endpoints that the courier would call.
-func (d *memoryDriver) inUse(list []dispatch.Listing) (count int) {
+func (d *memoryDriver) inUse(list []dispatch.EndpointEntry) (count int) {
 	courier, ok := d.courier.(interface {
 		Avoided(now dispatch.Micros, endpoint dispatch.EndpointID) bool
 	})
@@ -124,28 +124,28 @@
 }
 
 // listAgain hands in the whole list some times with nothing changed, and returns what each took, in seconds.
-func (d *memoryDriver) listAgain(list []dispatch.Listing) (took []float64) {
+func (d *memoryDriver) listAgain(list []dispatch.EndpointEntry) (took []float64) {
 	for range knownLists {
-		d.step(millisecond, dispatch.ListNews{How: dispatch.Complete, Entries: list})
+		d.step(millisecond, dispatch.EndpointUpdate{Kind: dispatch.CompleteList, Entries: list})
 		took = append(took, d.took.Seconds())
 	}
 	return took
 }
 
 // changes has one endpoint drain and return by turns; it returns what each change took, in seconds, and how many took effect.
-func (d *memoryDriver) changes(list []dispatch.Listing) (took []float64, seen int) {
+func (d *memoryDriver) changes(list []dispatch.EndpointEntry) (took []float64, seen int) {
 	for number := range knownChanges {
 		changed := list[len(list)/2]
 		if number%2 == 0 {
 			changed.Phase = dispatch.Draining
 		}
-		d.step(millisecond, dispatch.ListNews{How: dispatch.Partial, Entries: []dispatch.Listing{changed}})
+		d.step(millisecond, dispatch.EndpointUpdate{Kind: dispatch.PartialList, Entries: []dispatch.EndpointEntry{changed}})
 		took = append(took, d.took.Seconds())
-		if used := d.inUse([]dispatch.Listing{changed}) == 1; used == (changed.Phase == dispatch.In) {
+		if used := d.inUse([]dispatch.EndpointEntry{changed}) == 1; used == (changed.Phase == dispatch.InService) {
 			seen++
 		}
 	}
-	d.step(millisecond, dispatch.ListNews{How: dispatch.Partial, Entries: []dispatch.Listing{list[len(list)/2]}})
+	d.step(millisecond, dispatch.EndpointUpdate{Kind: dispatch.PartialList, Entries: []dispatch.EndpointEntry{list[len(list)/2]}})
 	return took, seen
 }
 
@@ -155,7 +155,7 @@
 	for range batches {
 		var sum float64
 		for range knownBatch {
-			sent += d.step(millisecond, dispatch.Woken{})
+			sent += d.step(millisecond, dispatch.TimerFired{})
 			sum += d.took.Seconds()
 		}
 		took = append(took, sum/knownBatch)
--- a/testbed/scale/destinations_test.go
+++ b/testbed/scale/destinations_test.go
@@ -9,7 +9,7 @@
 
 // spoiltHearing is a courier whose events are spoilt before it hears of them.
 type spoiltHearing struct {
-	*dispatch.Courier
+	*dispatch.Dispatcher
 	hear func(event dispatch.Event) (dispatch.Event, bool)
 }
 
@@ -20,21 +20,21 @@
 			heard = append(heard, event)
 		}
 	}
-	return h.Courier.Handle(now, heard)
+	return h.Dispatcher.Handle(now, heard)
 }
 
 func hearingOnly(hear func(event dispatch.Event) (dispatch.Event, bool)) decide {
-	return func(settings dispatch.Charter) simulation.Decider { return spoiltHearing{dispatch.New(settings), hear} }
+	return func(settings dispatch.Config) simulation.Decider { return spoiltHearing{dispatch.New(settings), hear} }
 }
 
 // acting is a courier that does more than it decided.
 type acting struct {
-	*dispatch.Courier
+	*dispatch.Dispatcher
 	add func(events []dispatch.Event) []dispatch.Action
 }
 
 func (a acting) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
-	return append(a.Courier.Handle(now, events), a.add(events)...)
+	return append(a.Dispatcher.Handle(now, events), a.add(events)...)
 }
 
 func TestDestinationsPassesWithTheRealModule(t *testing.T) {
@@ -50,14 +50,14 @@
 		decide    decide
 	}{
 		{"misses an entry", knownUsed + " is", hearingOnly(func(event dispatch.Event) (dispatch.Event, bool) {
-			if news, ok := event.(dispatch.ListNews); ok && news.How == dispatch.Complete {
+			if news, ok := event.(dispatch.EndpointUpdate); ok && news.Kind == dispatch.CompleteList {
 				news.Entries = news.Entries[1:]
 				return news, true
 			}
 			return event, true
 		})},
 		{"misses one when the list comes again", knownUsedAgain + " is", hearingOnly(func(event dispatch.Event) (dispatch.Event, bool) {
-			if news, ok := event.(dispatch.ListNews); ok && news.How == dispatch.Complete {
+			if news, ok := event.(dispatch.EndpointUpdate); ok && news.Kind == dispatch.CompleteList {
 				if lists++; lists > 1 {
 					news.Entries = news.Entries[1:]
 				}
@@ -66,22 +66,22 @@
 			return event, true
 		})},
 		{"misses changes", knownMoved, hearingOnly(func(event dispatch.Event) (dispatch.Event, bool) {
-			news, ok := event.(dispatch.ListNews)
-			return event, !ok || news.How != dispatch.Partial
+			news, ok := event.(dispatch.EndpointUpdate)
+			return event, !ok || news.Kind != dispatch.PartialList
 		})},
 		{"misses a message", knownDelivered, hearingOnly(func(event dispatch.Event) (dispatch.Event, bool) {
-			taken, ok := event.(dispatch.Taken)
-			return event, !ok || taken.Record != messageIDs(1)[0]
+			taken, ok := event.(dispatch.MessageAccepted)
+			return event, !ok || taken.Message != messageIDs(1)[0]
 		})},
-		{"gives up what nobody handed in", knownUnasked, func(settings dispatch.Charter) simulation.Decider {
+		{"gives up what nobody handed in", knownUnasked, func(settings dispatch.Config) simulation.Decider {
 			return acting{dispatch.New(settings), func([]dispatch.Event) []dispatch.Action {
-				return []dispatch.Action{dispatch.Bounce{Record: "nobody's"}}
+				return []dispatch.Action{dispatch.Reject{Message: "nobody's"}}
 			}}
 		}},
-		{"acts by chance", knownDifferent, func(settings dispatch.Charter) simulation.Decider {
+		{"acts by chance", knownDifferent, func(settings dispatch.Config) simulation.Decider {
 			plays++
 			at := dispatch.Micros(plays)
-			return acting{dispatch.New(settings), func([]dispatch.Event) []dispatch.Action { return []dispatch.Action{dispatch.Wake{At: at}} }}
+			return acting{dispatch.New(settings), func([]dispatch.Event) []dispatch.Action { return []dispatch.Action{dispatch.SetTimer{At: at}} }}
 		}},
 	} {
 		t.Run(wrong.name, func(t *testing.T) {
--- a/testbed/scale/directorychanges.go
+++ b/testbed/scale/directorychanges.go
@@ -129,7 +129,7 @@
 func (h *toldHost) Turn(now dispatch.Micros, batches []simulation.Batch) ([][]dispatch.Action, error) {
 	for _, b := range batches {
 		for _, event := range b.Events {
-			if news, ok := event.(dispatch.ListNews); ok {
+			if news, ok := event.(dispatch.EndpointUpdate); ok {
 				h.note(now, b.Courier, news)
 			}
 		}
@@ -138,14 +138,14 @@
 }
 
 // note keeps news of the list. What a start hands over is as old as the process before it, and tells nothing new.
-func (h *toldHost) note(now dispatch.Micros, courier int, news dispatch.ListNews) {
+func (h *toldHost) note(now dispatch.Micros, courier int, news dispatch.EndpointUpdate) {
 	known := h.news[courier]
 	tell := func(id dispatch.EndpointID, phase dispatch.Phase) {
 		if all := known[id]; len(all) == 0 || all[len(all)-1].phase != phase {
 			known[id] = append(all, toldPhase{now, phase})
 		}
 	}
-	if news.How == dispatch.ListError || news.How == dispatch.Persisted && len(known) > 0 {
+	if news.Kind == dispatch.ListFailed || news.Kind == dispatch.CachedList && len(known) > 0 {
 		return
 	}
 	listed := map[dispatch.EndpointID]bool{}
@@ -153,12 +153,12 @@
 		listed[entry.Endpoint] = true
 		tell(entry.Endpoint, entry.Phase)
 	}
-	if news.How != dispatch.Complete {
+	if news.Kind != dispatch.CompleteList {
 		return
 	}
 	for id := range known { // what is missing in a whole list is gone
 		if !listed[id] {
-			tell(id, dispatch.Gone)
+			tell(id, dispatch.Removed)
 		}
 	}
 }
@@ -182,7 +182,7 @@
 // against holds what was told against the changes of the day. A courier that does not run at a change is to know it from its start on;
 // one that is never told although it was listed and gone between two lists has nothing to know.
 func (h *toldHost) against(drawn *scenario.Drawn) (t listTimes) {
-	phases := map[scenario.ActKind]dispatch.Phase{scenario.Adds: dispatch.In, scenario.Drains: dispatch.Draining, scenario.Removes: dispatch.Gone}
+	phases := map[scenario.ActKind]dispatch.Phase{scenario.Adds: dispatch.InService, scenario.Drains: dispatch.Draining, scenario.Removes: dispatch.Removed}
 	downs, away := downTimes(drawn), awayTimes(drawn)
 	for _, act := range drawn.Acts {
 		phase, ok := phases[act.Kind]
--- a/testbed/scale/driver.go
+++ b/testbed/scale/driver.go
@@ -11,10 +11,10 @@
 )
 
 // decide makes the decisions of one courier.
-type decide func(settings dispatch.Charter) simulation.Decider
+type decide func(settings dispatch.Config) simulation.Decider
 
 // realDecisions is the decision module as it is.
-func realDecisions(settings dispatch.Charter) simulation.Decider { return dispatch.New(settings) }
+func realDecisions(settings dispatch.Config) simulation.Decider { return dispatch.New(settings) }
 
 // What every courier here is told: one class of messages that may run again and live for a day, and destinations with a limit
 // far above what is sent, so that failures are judged on the ordinary path, by breakers.
@@ -31,17 +31,17 @@
 )
 
 // courierSettings are for a courier that may hold so many messages.
-func courierSettings(seed int64, hold int) dispatch.Charter {
-	return dispatch.Charter{Salt: seed, Couriers: couriersInFleet, Slots: slots, Hold: hold, MaxTrips: attemptsAtMost, MayAdvise: true,
-		Workloads:     []dispatch.Workload{{Quoted: targetLatency, Life: messageDeadline, Payoff: 1, LatePart: 0.5, Repeat: dispatch.Replayable}},
-		Shapes:        []dispatch.Shape{{PerCall: 1}},
-		LongestAdvice: 2 * second, IdleAfter: 5 * second, Tick: 5 * millisecond, Rates: dispatch.NominalRates, LeftAt: -1, RateAt: -1,
-		ColdFrom: 0.2, Ramp: 10 * second, FallMultiple: 2}
+func courierSettings(seed int64, hold int) dispatch.Config {
+	return dispatch.Config{Seed: seed, Couriers: couriersInFleet, Slots: slots, QueueLimit: hold, MaxAttempts: attemptsAtMost, MayTellRetryAfter: true,
+		Classes:       []dispatch.Class{{Objective: targetLatency, TimeToLive: messageDeadline, Priority: 1, LateFactor: 0.5, Idempotency: dispatch.Idempotent}},
+		EndpointTypes: []dispatch.EndpointType{{MaxPerCall: 1}},
+		MaxRetryAfter: 2 * second, IdleTimeout: 5 * second, Tick: 5 * millisecond, RateQuality: dispatch.NominalRates, ReportLeftIndex: -1, ReportRateIndex: -1,
+		SlowStartFrom: 0.2, SlowStart: 10 * second, OverloadFactor: 2}
 }
 
 // listing lists a destination's one endpoint.
-func listing(destination int) dispatch.Listing {
-	return dispatch.Listing{Endpoint: endpointOf(destination), Dest: dispatch.DestID(destination), Phase: dispatch.In, Rate: perDestination}
+func listing(destination int) dispatch.EndpointEntry {
+	return dispatch.EndpointEntry{Endpoint: endpointOf(destination), Destination: dispatch.DestinationID(destination), Phase: dispatch.InService, Rate: perDestination}
 }
 
 func endpointOf(destination int) dispatch.EndpointID {
@@ -49,8 +49,8 @@
 }
 
 // listings lists destinations 0 to count-1.
-func listings(count int) []dispatch.Listing {
-	all := make([]dispatch.Listing, 0, count)
+func listings(count int) []dispatch.EndpointEntry {
+	all := make([]dispatch.EndpointEntry, 0, count)
 	for destination := range count {
 		all = append(all, listing(destination))
 	}
@@ -58,10 +58,10 @@
 }
 
 // messageIDs are count ids of 16 characters, by number.
-func messageIDs(count int) []dispatch.RecordID {
-	ids := make([]dispatch.RecordID, count)
+func messageIDs(count int) []dispatch.MessageID {
+	ids := make([]dispatch.MessageID, count)
 	for i := range ids {
-		ids[i] = dispatch.RecordID(fmt.Sprintf("%016x", i))
+		ids[i] = dispatch.MessageID(fmt.Sprintf("%016x", i))
 	}
 	return ids
 }
@@ -91,9 +91,9 @@
 }
 
 // message hands in a message; its number says which.
-func (d *memoryDriver) message(id dispatch.RecordID, destination int) dispatch.Taken {
+func (d *memoryDriver) message(id dispatch.MessageID, destination int) dispatch.MessageAccepted {
 	d.counts.given++
-	return dispatch.Taken{Record: id, Dest: dispatch.DestID(destination), CutOff: d.now + messageDeadline}
+	return dispatch.MessageAccepted{Message: id, Destination: dispatch.DestinationID(destination), Deadline: d.now + messageDeadline}
 }
 
 // step lets time pass and has the courier handle what came, with the outcomes of the step before. It returns how many messages
@@ -110,7 +110,7 @@
 		case dispatch.Send:
 			sent++
 			d.send(a)
-		case dispatch.Bounce, dispatch.Terminate:
+		case dispatch.Reject, dispatch.Fail:
 			d.counts.ended++
 		}
 	}
@@ -119,16 +119,16 @@
 }
 
 func (d *memoryDriver) send(a dispatch.Send) {
-	number, err := strconv.ParseUint(string(a.Record), 16, 32)
+	number, err := strconv.ParseUint(string(a.Message), 16, 32)
 	if err != nil || int(number) >= len(d.attempts) {
 		d.counts.invalid++
 		return
 	}
-	outcome := dispatch.Settled{Record: a.Record, Trip: dispatch.TripNo(d.attempts[number]), Outcome: dispatch.Done, Took: millisecond, Over: true}
+	outcome := dispatch.AttemptFinished{Message: a.Message, Attempt: dispatch.AttemptNumber(d.attempts[number]), Outcome: dispatch.Delivered, Duration: millisecond, MessageDone: true}
 	d.attempts[number]++
 	if d.isDown(a.Endpoint) {
 		d.counts.sentDown++
-		outcome.Outcome, outcome.Over = dispatch.Unreachable, false
+		outcome.Outcome, outcome.MessageDone = dispatch.Unreachable, false
 	} else {
 		d.counts.delivered++
 	}
