--- a/testbed/scale/held.go
+++ b/testbed/scale/held.go
@@ -106,7 +106,7 @@
 	}
 	ids := messageIDs(count + rounds)
 	driver := newDriver(h.decide(courierSettings(play.Seed, 2*count+rounds)), down, len(ids))
-	driver.step(0, dispatch.ListNews{How: dispatch.Complete, Entries: listings(down + 1)})
+	driver.step(0, dispatch.EndpointUpdate{Kind: dispatch.CompleteList, Entries: listings(down + 1)})
 	before := heapInUse()
 	h.park(driver, ids[:count])
 	play.Record(sizes, heldModule, float64(heapInUse())-float64(before))
@@ -114,7 +114,7 @@
 
 	var idle, arrival []float64
 	for round := range rounds {
-		driver.step(millisecond, dispatch.Woken{})
+		driver.step(millisecond, dispatch.TimerFired{})
 		idle = append(idle, driver.took.Seconds())
 		driver.step(millisecond, driver.message(ids[count+round], down))
 		arrival = append(arrival, driver.took.Seconds())
@@ -158,7 +158,7 @@
 )
 
 // park gives a courier messages for destinations that are down, one each first, until the breakers are open, and then all others.
-func (h held) park(driver *memoryDriver, ids []dispatch.RecordID) {
+func (h held) park(driver *memoryDriver, ids []dispatch.MessageID) {
 	first := min(driver.down, len(ids))
 	driver.step(parkStep, driver.messages(ids, 0, first)...)
 	for until := driver.now + parkFor; driver.now < until; {
@@ -169,7 +169,7 @@
 }
 
 // messages hands in those numbered from one up to another, spread over the destinations that are down.
-func (d *memoryDriver) messages(ids []dispatch.RecordID, from, to int) []dispatch.Event {
+func (d *memoryDriver) messages(ids []dispatch.MessageID, from, to int) []dispatch.Event {
 	var events []dispatch.Event
 	for number := from; number < to; number++ {
 		events = append(events, d.message(ids[number], number%d.down))
@@ -178,12 +178,12 @@
 }
 
 // replay plays the same again and tells whether any action differs: 1, or 0.
-func (h held) replay(seed int64, down int, ids []dispatch.RecordID, count, rounds int, trace uint64) float64 {
+func (h held) replay(seed int64, down int, ids []dispatch.MessageID, count, rounds int, trace uint64) float64 {
 	driver := newDriver(h.decide(courierSettings(seed, 2*count+rounds)), down, len(ids))
-	driver.step(0, dispatch.ListNews{How: dispatch.Complete, Entries: listings(down + 1)})
+	driver.step(0, dispatch.EndpointUpdate{Kind: dispatch.CompleteList, Entries: listings(down + 1)})
 	h.park(driver, ids[:count])
 	for round := range rounds {
-		driver.step(millisecond, dispatch.Woken{})
+		driver.step(millisecond, dispatch.TimerFired{})
 		driver.step(millisecond, driver.message(ids[count+round], down))
 		driver.step(millisecond)
 	}
@@ -268,7 +268,7 @@
 	heapEvents := heapInUse()
 	driver := newDriver(h.decide(settings), down, count)
 	driver.now = realNow()
-	driver.step(0, append([]dispatch.Event{dispatch.ListNews{How: dispatch.Persisted, Entries: listings(down)}}, events...)...)
+	driver.step(0, append([]dispatch.Event{dispatch.EndpointUpdate{Kind: dispatch.CachedList, Entries: listings(down)}}, events...)...)
 	took += driver.took
 
 	pointers := 8 * float64(cap(unfinished)) // of the slice that is dropped after the start
@@ -287,14 +287,14 @@
 func recovered(unfinished []*spool.Record) []dispatch.Event {
 	var events []dispatch.Event
 	for _, kept := range unfinished {
-		events = append(events, dispatch.Recovered{Taken: dispatch.Taken{Record: dispatch.RecordID(kept.ID), Dest: dispatch.DestID(kept.Dest),
-			CutOff: dispatch.Micros(kept.CutOff)}})
+		events = append(events, dispatch.MessageRecovered{MessageAccepted: dispatch.MessageAccepted{Message: dispatch.MessageID(kept.ID), Destination: dispatch.DestinationID(kept.Dest),
+			Deadline: dispatch.Micros(kept.CutOff)}})
 	}
 	return events
 }
 
 // deploymentOf is the configuration of a real courier whose list names the destinations.
-func deploymentOf(settings dispatch.Charter, folder string, destinations int) (*config.Deployment, error) {
+func deploymentOf(settings dispatch.Config, folder string, destinations int) (*config.Deployment, error) {
 	type host map[string]any
 	var hosts []host
 	for destination := range destinations {
--- a/testbed/scale/held_test.go
+++ b/testbed/scale/held_test.go
@@ -22,7 +22,7 @@
 
 // spoiling makes deciders whose actions are spoilt.
 func spoiling(spoil func(events []dispatch.Event, actions []dispatch.Action) []dispatch.Action) decide {
-	return func(settings dispatch.Charter) simulation.Decider { return spoilt{dispatch.New(settings), spoil} }
+	return func(settings dispatch.Config) simulation.Decider { return spoilt{dispatch.New(settings), spoil} }
 }
 
 func allRecovered(unfinished []*spool.Record) []*spool.Record { return unfinished }
@@ -53,30 +53,30 @@
 	}{
 		{"rejects what it was given", "count_held", spoiling(func(events []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 			for _, event := range events {
-				if taken, ok := event.(dispatch.Taken); ok && strings.HasSuffix(string(taken.Record), "7") {
-					return append(actions, dispatch.Bounce{Record: taken.Record})
+				if taken, ok := event.(dispatch.MessageAccepted); ok && strings.HasSuffix(string(taken.Message), "7") {
+					return append(actions, dispatch.Reject{Message: taken.Message})
 				}
 			}
 			return actions
 		})},
 		{"calls a destination that is parked", heldSentDown, spoiling(func(events []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
-			if len(events) == 1 && events[0] == (dispatch.Woken{}) {
-				return append(actions, dispatch.Send{Record: "0000000000000000", Endpoint: endpointOf(0)})
+			if len(events) == 1 && events[0] == (dispatch.TimerFired{}) {
+				return append(actions, dispatch.Send{Message: "0000000000000000", Endpoint: endpointOf(0)})
 			}
 			return actions
 		})},
-		{"sends nothing", "for the healthy destination were delivered", func(dispatch.Charter) simulation.Decider { return idle{} }},
-		{"forgets one that it holds", "after all destinations had returned", func(settings dispatch.Charter) simulation.Decider {
+		{"sends nothing", "for the healthy destination were delivered", func(dispatch.Config) simulation.Decider { return idle{} }},
+		{"forgets one that it holds", "after all destinations had returned", func(settings dispatch.Config) simulation.Decider {
 			return forgetful{dispatch.New(settings)}
 		}},
-		{"acts by chance", heldDifferent, func(settings dispatch.Charter) simulation.Decider {
+		{"acts by chance", heldDifferent, func(settings dispatch.Config) simulation.Decider {
 			plays++
 			return spoilt{dispatch.New(settings), func(_ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
-				return append(actions, dispatch.Wake{At: dispatch.Micros(plays)})
+				return append(actions, dispatch.SetTimer{At: dispatch.Micros(plays)})
 			}}
 		}},
 		{"sends what nobody gave it", heldInvalid, spoiling(func(events []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
-			return append(actions, dispatch.Send{Record: "nobody's", Endpoint: endpointOf(0)})
+			return append(actions, dispatch.Send{Message: "nobody's", Endpoint: endpointOf(0)})
 		})},
 	} {
 		t.Run(wrong.name, func(t *testing.T) {
@@ -90,8 +90,8 @@
 	t.Run("a restart gives one up", func(t *testing.T) {
 		rejecting := spoiling(func(events []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 			for _, event := range events {
-				if recovered, ok := event.(dispatch.Recovered); ok {
-					return append(actions, dispatch.Bounce{Record: recovered.Record})
+				if recovered, ok := event.(dispatch.MessageRecovered); ok {
+					return append(actions, dispatch.Reject{Message: recovered.Message})
 				}
 			}
 			return actions
@@ -111,7 +111,7 @@
 func (f forgetful) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
 	var heard []dispatch.Event
 	for _, event := range events {
-		if taken, ok := event.(dispatch.Taken); !ok || taken.Record != messageIDs(501)[500] {
+		if taken, ok := event.(dispatch.MessageAccepted); !ok || taken.Message != messageIDs(501)[500] {
 			heard = append(heard, event)
 		}
 	}
--- a/testbed/scale/lists.go
+++ b/testbed/scale/lists.go
@@ -24,7 +24,7 @@
 
 // lister is a courier that is told lists: protocol's parser and the decisions, the router's books left out.
 type lister struct {
-	courier *dispatch.Courier
+	courier *dispatch.Dispatcher
 	now     dispatch.Micros
 	seq     int64
 }
@@ -66,9 +66,9 @@
 	if err != nil {
 		return cost, err
 	}
-	news := dispatch.ListNews{How: dispatch.Partial, Entries: make([]dispatch.Listing, 0, len(list.Hosts))}
+	news := dispatch.EndpointUpdate{Kind: dispatch.PartialList, Entries: make([]dispatch.EndpointEntry, 0, len(list.Hosts))}
 	if list.Whole {
-		news.How = dispatch.Complete
+		news.Kind = dispatch.CompleteList
 	}
 	for _, host := range list.Hosts {
 		news.Entries = append(news.Entries, listingOf(host))
@@ -78,9 +78,9 @@
 }
 
 // listingOf is what the router makes of an entry.
-func listingOf(host protocol.Host) dispatch.Listing {
-	phases := map[protocol.Health]dispatch.Phase{protocol.InService: dispatch.In, protocol.Terminating: dispatch.Draining, protocol.Terminated: dispatch.Gone}
-	return dispatch.Listing{Endpoint: dispatch.EndpointID(host.Host), Dest: dispatch.DestID(host.Dest), Phase: phases[host.Health], Rate: host.Rate}
+func listingOf(host protocol.Host) dispatch.EndpointEntry {
+	phases := map[protocol.Health]dispatch.Phase{protocol.InService: dispatch.InService, protocol.Terminating: dispatch.Draining, protocol.Terminated: dispatch.Removed}
+	return dispatch.EndpointEntry{Endpoint: dispatch.EndpointID(host.Host), Destination: dispatch.DestinationID(host.Dest), Phase: phases[host.Health], Rate: host.Rate}
 }
 
 func measureLists(ctx context.Context, play *Play) error {
--- a/testbed/scale/outage.go
+++ b/testbed/scale/outage.go
@@ -170,9 +170,9 @@
 	}
 	drawn := scenario.Draw(d, seed)
 	watch := newOutageWatch(drawn)
-	host := simulation.NewLocal(func(courier int, settings dispatch.Charter) simulation.Decider {
-		return &outageWatcher{outageWatch: watch, courier: courier, decisions: o.decide(settings), into: map[attempt]dispatch.DestID{},
-			sent: map[dispatch.RecordID]dispatch.TripNo{}}
+	host := simulation.NewLocal(func(courier int, settings dispatch.Config) simulation.Decider {
+		return &outageWatcher{outageWatch: watch, courier: courier, decisions: o.decide(settings), into: map[attempt]dispatch.DestinationID{},
+			sent: map[dispatch.MessageID]dispatch.AttemptNumber{}}
 	})
 	verdict, _, err := simulation.Play(drawn, host, simulation.Options{})
 	if err != nil {
@@ -183,8 +183,8 @@
 
 // outageWatch sees what a whole fleet sends to destinations that are down or have just returned.
 type outageWatch struct {
-	dest     map[dispatch.EndpointID]dispatch.DestID
-	down     map[dispatch.DestID]bool
+	dest     map[dispatch.EndpointID]dispatch.DestinationID
+	down     map[dispatch.DestinationID]bool
 	from, to dispatch.Micros
 	parkedAt map[pair]dispatch.Micros // or never, for those that called without parking
 	attempts int
@@ -194,28 +194,28 @@
 // pair is a courier and a destination that it called while that was down.
 type pair struct {
 	courier     int
-	destination dispatch.DestID
+	destination dispatch.DestinationID
 }
 
 // attempt is one of a message's.
 type attempt struct {
-	message dispatch.RecordID
-	number  dispatch.TripNo
+	message dispatch.MessageID
+	number  dispatch.AttemptNumber
 }
 
 const notParked dispatch.Micros = -1
 
 func newOutageWatch(drawn *scenario.Drawn) *outageWatch {
-	w := &outageWatch{dest: map[dispatch.EndpointID]dispatch.DestID{}, down: map[dispatch.DestID]bool{}, parkedAt: map[pair]dispatch.Micros{}}
+	w := &outageWatch{dest: map[dispatch.EndpointID]dispatch.DestinationID{}, down: map[dispatch.DestinationID]bool{}, parkedAt: map[pair]dispatch.Micros{}}
 	for number := range drawn.Destinations {
 		for _, endpoint := range drawn.Destinations[number].Endpoints {
-			w.dest[endpoint.ID] = dispatch.DestID(number)
+			w.dest[endpoint.ID] = dispatch.DestinationID(number)
 		}
 	}
 	for _, act := range drawn.Acts {
 		switch act.Kind {
 		case scenario.Begins:
-			w.from, w.down[dispatch.DestID(act.Dest)] = act.At, true
+			w.from, w.down[dispatch.DestinationID(act.Dest)] = act.At, true
 		case scenario.Ends:
 			w.to = act.At
 		}
@@ -256,8 +256,8 @@
 	*outageWatch
 	courier   int
 	decisions simulation.Decider
-	into      map[attempt]dispatch.DestID // sent while the destination was down, without an outcome
-	sent      map[dispatch.RecordID]dispatch.TripNo
+	into      map[attempt]dispatch.DestinationID // sent while the destination was down, without an outcome
+	sent      map[dispatch.MessageID]dispatch.AttemptNumber
 }
 
 // Handle implements simulation.Decider.
@@ -278,14 +278,14 @@
 // outcomes counts attempts into the outage that failed, and tells whether there were any.
 func (w *outageWatcher) outcomes(events []dispatch.Event) (failed bool) {
 	for _, event := range events {
-		settled, ok := event.(dispatch.Settled)
+		settled, ok := event.(dispatch.AttemptFinished)
 		if !ok {
 			continue
 		}
-		key := attempt{settled.Record, settled.Trip}
+		key := attempt{settled.Message, settled.Attempt}
 		destination, ok := w.into[key]
 		delete(w.into, key)
-		if !ok || settled.Outcome == dispatch.Done || settled.Outcome == dispatch.Void || settled.Outcome == dispatch.Withdrawn {
+		if !ok || settled.Outcome == dispatch.Delivered || settled.Outcome == dispatch.Unprocessed || settled.Outcome == dispatch.Canceled {
 			continue
 		}
 		failed = true
@@ -299,8 +299,8 @@
 
 func (w *outageWatcher) send(now dispatch.Micros, send dispatch.Send) {
 	w.attempts++
-	key := attempt{send.Record, w.sent[send.Record]}
-	w.sent[send.Record]++
+	key := attempt{send.Message, w.sent[send.Message]}
+	w.sent[send.Message]++
 	destination := w.dest[send.Endpoint]
 	switch {
 	case !w.down[destination]:
@@ -313,20 +313,20 @@
 
 // lookForParked notes the destinations that this courier has come to hold back from: sick or waited for, or with an open breaker.
 func (w *outageWatcher) lookForParked(now dispatch.Micros) {
-	learned, ok := w.decisions.(interface{ Lore() dispatch.Lore })
+	learned, ok := w.decisions.(dispatch.Snapshotter)
 	if !ok {
 		return
 	}
-	for _, route := range learned.Lore().Routes {
-		called := pair{w.courier, route.Dest}
+	for _, route := range learned.Snapshot().Groups {
+		called := pair{w.courier, route.Destination}
 		if w.parkedAt[called] == notParked && isParked(route, now) {
 			w.parkedAt[called] = now
 		}
 	}
 }
 
-func isParked(route dispatch.RouteLore, now dispatch.Micros) bool {
-	return route.Sick || route.WaitTo > now || slices.ContainsFunc(route.Breakers, func(b dispatch.BreakerLore) bool { return b.Until > 0 })
+func isParked(route dispatch.GroupSnapshot, now dispatch.Micros) bool {
+	return route.Outage || route.RetryAfterUntil > now || slices.ContainsFunc(route.Breakers, func(b dispatch.BreakerSnapshot) bool { return b.OpenUntil > 0 })
 }
 
 func fitOutage(results *Results) error {
--- a/testbed/scale/outage_test.go
+++ b/testbed/scale/outage_test.go
@@ -36,19 +36,19 @@
 		name, say string
 		decide    decide
 	}{
-		{"sends nothing and keeps what it takes", outageUnended, func(dispatch.Charter) simulation.Decider { return idle{} }},
-		{"rejects all", "no attempt failed", func(dispatch.Charter) simulation.Decider { return rejecting{} }},
+		{"sends nothing and keeps what it takes", outageUnended, func(dispatch.Config) simulation.Decider { return idle{} }},
+		{"rejects all", "no attempt failed", func(dispatch.Config) simulation.Decider { return rejecting{} }},
 		{"answers twice", outageBroken, spoiling(func(_ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 			for _, action := range actions {
-				if rejected, ok := action.(dispatch.Bounce); ok {
+				if rejected, ok := action.(dispatch.Reject); ok {
 					return append(actions, rejected)
 				}
 			}
 			return actions
 		})},
-		{"acts by chance", outageDifferent, func(settings dispatch.Charter) simulation.Decider {
+		{"acts by chance", outageDifferent, func(settings dispatch.Config) simulation.Decider {
 			started++
-			settings.Salt += int64(started)
+			settings.Seed += int64(started)
 			return dispatch.New(settings)
 		}},
 	} {
@@ -63,8 +63,8 @@
 
 func (rejecting) Handle(_ dispatch.Micros, events []dispatch.Event) (actions []dispatch.Action) {
 	for _, event := range events {
-		if taken, ok := event.(dispatch.Taken); ok {
-			actions = append(actions, dispatch.Bounce{Record: taken.Record})
+		if taken, ok := event.(dispatch.MessageAccepted); ok {
+			actions = append(actions, dispatch.Reject{Message: taken.Message})
 		}
 	}
 	return actions
@@ -73,21 +73,21 @@
 // TestOutageWatchCounts holds the watch of one courier against a made-up outage: what failed, what was parked and what came back.
 func TestOutageWatchCounts(t *testing.T) {
 	decisions := &scriptedDecisions{}
-	watch := &outageWatch{dest: map[dispatch.EndpointID]dispatch.DestID{"e": 7, "f": 8}, down: map[dispatch.DestID]bool{7: true, 8: true},
+	watch := &outageWatch{dest: map[dispatch.EndpointID]dispatch.DestinationID{"e": 7, "f": 8}, down: map[dispatch.DestinationID]bool{7: true, 8: true},
 		from: 10 * second, to: 20 * second, parkedAt: map[pair]dispatch.Micros{}}
-	courier := &outageWatcher{outageWatch: watch, decisions: decisions, into: map[attempt]dispatch.DestID{}, sent: map[dispatch.RecordID]dispatch.TripNo{}}
+	courier := &outageWatcher{outageWatch: watch, decisions: decisions, into: map[attempt]dispatch.DestinationID{}, sent: map[dispatch.MessageID]dispatch.AttemptNumber{}}
 	handle := func(now dispatch.Micros, events []dispatch.Event, actions ...dispatch.Action) {
 		decisions.next = actions
 		courier.Handle(now, events)
 	}
-	handle(9*second, nil, dispatch.Send{Record: "before", Endpoint: "e"})
-	handle(11*second, nil, dispatch.Send{Record: "a", Endpoint: "e"}, dispatch.Send{Record: "b", Endpoint: "f"})
-	decisions.lore.Routes = []dispatch.RouteLore{{Dest: 7, Sick: true}, {Dest: 8}}
-	handle(12*second, []dispatch.Event{dispatch.Settled{Record: "a", Outcome: dispatch.Unreachable}, dispatch.Settled{Record: "b", Outcome: dispatch.Full},
-		dispatch.Settled{Record: "before", Outcome: dispatch.Unreachable}}, dispatch.Send{Record: "a", Endpoint: "e"})
-	handle(13*second, []dispatch.Event{dispatch.Settled{Record: "a", Trip: 1, Outcome: dispatch.Done}})
-	handle(20*second, nil, dispatch.Send{Record: "c", Endpoint: "e"})
-	handle(21*second, nil, dispatch.Send{Record: "d", Endpoint: "e"})
+	handle(9*second, nil, dispatch.Send{Message: "before", Endpoint: "e"})
+	handle(11*second, nil, dispatch.Send{Message: "a", Endpoint: "e"}, dispatch.Send{Message: "b", Endpoint: "f"})
+	decisions.lore.Groups = []dispatch.GroupSnapshot{{Destination: 7, Outage: true}, {Destination: 8}}
+	handle(12*second, []dispatch.Event{dispatch.AttemptFinished{Message: "a", Outcome: dispatch.Unreachable}, dispatch.AttemptFinished{Message: "b", Outcome: dispatch.Throttled},
+		dispatch.AttemptFinished{Message: "before", Outcome: dispatch.Unreachable}}, dispatch.Send{Message: "a", Endpoint: "e"})
+	handle(13*second, []dispatch.Event{dispatch.AttemptFinished{Message: "a", Attempt: 1, Outcome: dispatch.Delivered}})
+	handle(20*second, nil, dispatch.Send{Message: "c", Endpoint: "e"})
+	handle(21*second, nil, dispatch.Send{Message: "d", Endpoint: "e"})
 	if watch.failed != 2 || watch.returned != 1 || watch.attempts != 6 {
 		t.Errorf("%d failed, %d returned, %d attempts", watch.failed, watch.returned, watch.attempts)
 	}
@@ -102,13 +102,13 @@
 // scriptedDecisions does and knows what a test says.
 type scriptedDecisions struct {
 	next []dispatch.Action
-	lore dispatch.Lore
+	lore dispatch.Snapshot
 }
 
 func (s *scriptedDecisions) Handle(dispatch.Micros, []dispatch.Event) []dispatch.Action {
 	return s.next
 }
-func (s *scriptedDecisions) Lore() dispatch.Lore { return s.lore }
+func (s *scriptedDecisions) Snapshot() dispatch.Snapshot { return s.lore }
 
 // TestOutageCheckHoldsEachCount: a count that is off fails the check, whichever it is.
 func TestOutageCheckHoldsEachCount(t *testing.T) {
--- a/testbed/scale/reloads.go
+++ b/testbed/scale/reloads.go
@@ -42,7 +42,7 @@
 type hollowConfig struct {
 	file, state string
 	deployment  *config.Deployment
-	courier     *dispatch.Courier
+	courier     *dispatch.Dispatcher
 }
 
 // settingsFile is a courier's file in the platform's form.
@@ -119,7 +119,7 @@
 	}
 	merged := h.deployment.Merged(next)
 	if !h.deployment.SameDecisions(merged) {
-		h.courier.Handle(now, []dispatch.Event{dispatch.Rechartered{Charter: merged.Charter}})
+		h.courier.Handle(now, []dispatch.Event{dispatch.Reconfigured{Config: merged.Charter}})
 	}
 	h.deployment = merged
 	return nil
@@ -127,7 +127,7 @@
 
 // generation is that of the settings in force.
 func (h *hollowConfig) generation() int {
-	return int(h.deployment.Charter.Parties[0].PerSec) - generationQuota
+	return int(h.deployment.Charter.Tenants[0].RatePerSecond) - generationQuota
 }
 
 // fileSize is one size of a settings file.
--- a/testbed/scenario/draw.go
+++ b/testbed/scenario/draw.go
@@ -192,7 +192,7 @@
 	if answer > k.Answer[1]/1000 {
 		answer = k.Answer[1] / 1000
 	}
-	p := endpointmodel.Plan{Dest: dispatch.DestID(number), Kind: dispatch.ShapeID(kind), Apart: k.Apart, PerCall: k.PerCall,
+	p := endpointmodel.Plan{Dest: dispatch.DestinationID(number), Kind: dispatch.EndpointTypeID(kind), Apart: k.Apart, PerCall: k.PerCall,
 		ItemCost: k.ItemCost, Workers: int(workers), Answer: micros(answer), Spread: k.Spread.draw(rng),
 		Queue: int(math.Ceil(perEndpoint * k.Queue.draw(rng))), ErrorRate: k.ErrorRate.draw(rng),
 		Reports: k.Reports, ReportEvery: micros(k.ReportEvery / 1000), ReportNoise: k.ReportNoise,
--- a/testbed/scenario/settings.go
+++ b/testbed/scenario/settings.go
@@ -65,7 +65,7 @@
 func (w *Drawn) Quota(p Party) float64 { return p.Share * w.Day.Traffic.FullPerSec }
 
 // Charter is the same, as the decisions read it: through the same code that a real courier's configuration passes.
-func (w *Drawn) Charter(courier int, salt int64) (dispatch.Charter, error) {
+func (w *Drawn) Charter(courier int, salt int64) (dispatch.Config, error) {
 	ch, err := config.Charter(salt, config.Flatten(w.Settings(courier)))
 	if err != nil {
 		return ch, fmt.Errorf("day %s: %w", w.Day.Name, err)
@@ -74,17 +74,17 @@
 }
 
 // List is the endpoints that are listed at the start of the day.
-func (w *Drawn) List() (all []dispatch.Listing) {
+func (w *Drawn) List() (all []dispatch.EndpointEntry) {
 	for i := range w.Destinations {
 		for _, e := range w.Destinations[i].Endpoints {
-			all = append(all, w.Listing(i, e.ID, e.Zone, dispatch.In))
+			all = append(all, w.Listing(i, e.ID, e.Zone, dispatch.InService))
 		}
 	}
 	return all
 }
 
 // Listing is one endpoint as the list has it.
-func (w *Drawn) Listing(dest int, id dispatch.EndpointID, zone dispatch.ZoneID, phase dispatch.Phase) dispatch.Listing {
+func (w *Drawn) Listing(dest int, id dispatch.EndpointID, zone dispatch.ZoneID, phase dispatch.Phase) dispatch.EndpointEntry {
 	dst := &w.Destinations[dest]
-	return dispatch.Listing{Endpoint: id, Zone: zone, Shape: dst.Plan.Kind, Dest: dispatch.DestID(dest), Phase: phase, Rate: dst.Listed}
+	return dispatch.EndpointEntry{Endpoint: id, Zone: zone, Type: dst.Plan.Kind, Destination: dispatch.DestinationID(dest), Phase: phase, Rate: dst.Listed}
 }
--- a/testbed/simulation/call.go
+++ b/testbed/simulation/call.go
@@ -9,32 +9,32 @@
 
 // load puts a record on a call; it returns the call if that is new.
 func (s *Sim) load(c *courier, a dispatch.Send, open map[dispatch.EndpointID]*call) *call {
-	at, r := s.at[a.Endpoint], c.records[a.Record]
+	at, r := s.at[a.Endpoint], c.records[a.Message]
 	if at == nil || r != nil && at.dest != int(r.client.arrival.Dest) {
-		s.books.Crashed(s.now, c.no, "sent "+string(a.Record)+" to "+string(a.Endpoint)+", which is not of its destination")
+		s.books.Crashed(s.now, c.no, "sent "+string(a.Message)+" to "+string(a.Endpoint)+", which is not of its destination")
 		return nil
 	}
-	book := s.books.Sent(s.now, a.Record, invariants.Place{Dest: dispatch.DestID(at.dest), Route: at.route, Endpoint: a.Endpoint, Zone: at.endpoint.Zone})
+	book := s.books.Sent(s.now, a.Message, invariants.Place{Dest: dispatch.DestinationID(at.dest), Route: at.route, Endpoint: a.Endpoint, Zone: at.endpoint.Zone})
 	if r == nil {
 		return nil
 	}
-	t := &trip{rec: r, no: dispatch.TripNo(len(r.trips)), book: book,
-		past: dispatch.Past{Endpoint: a.Endpoint, Zone: at.endpoint.Zone, Sent: s.now}}
+	t := &trip{rec: r, no: dispatch.AttemptNumber(len(r.trips)), book: book,
+		past: dispatch.PastAttempt{Endpoint: a.Endpoint, Zone: at.endpoint.Zone, SentAt: s.now}}
 	r.trips = append(r.trips, t)
 	r.out++
 	if r.over || len(r.trips) > s.w.Day.Fleet.MaxTrips {
-		s.settle(t, dispatch.Settled{Outcome: dispatch.Void})
+		s.settle(t, dispatch.AttemptFinished{Outcome: dispatch.Unprocessed})
 		return nil
 	}
 	plan := s.partners[at.dest].Plan()
 	item := s.item(r)
 	if cl := open[a.Endpoint]; cl != nil && len(cl.Items) < plan.PerCall {
 		cl.Items, cl.trips, t.call = append(cl.Items, item), append(cl.trips, t), cl
-		s.limit(t, a.Limit)
+		s.limit(t, a.Timeout)
 		return nil
 	}
 	if c.slots >= s.w.Slots {
-		s.settle(t, dispatch.Settled{Outcome: dispatch.Void})
+		s.settle(t, dispatch.AttemptFinished{Outcome: dispatch.Unprocessed})
 		return nil
 	}
 	c.slots++
@@ -42,7 +42,7 @@
 	cl := &call{Call: endpointmodel.Call{ID: s.calls, Courier: c.no, Endpoint: a.Endpoint, Items: []endpointmodel.Item{item}}, courier: c,
 		life: c.life, at: at, trips: []*trip{t}, sent: s.now}
 	t.call, open[a.Endpoint] = cl, cl
-	s.limit(t, a.Limit)
+	s.limit(t, a.Timeout)
 	return cl
 }
 
@@ -122,7 +122,7 @@
 
 // giveUp ends one trip; where no other is left on its call, that is called off.
 func (s *Sim) giveUp(t *trip, o dispatch.Outcome) {
-	s.settle(t, dispatch.Settled{Outcome: o, Took: s.now - t.call.sent})
+	s.settle(t, dispatch.AttemptFinished{Outcome: o, Duration: s.now - t.call.sent})
 	for _, other := range t.call.trips {
 		if !other.over {
 			return
@@ -144,13 +144,13 @@
 	c := cl.courier
 	c.slots--
 	switch o {
-	case dispatch.Done, dispatch.Failure, dispatch.Full:
+	case dispatch.Delivered, dispatch.Failure, dispatch.Throttled:
 		c.pools[cl.Endpoint] = append(c.pools[cl.Endpoint], s.now)
 	default:
 		s.hangUp(cl)
 	}
 	for _, t := range cl.trips {
-		s.settle(t, dispatch.Settled{Outcome: o, Took: s.now - cl.sent, Wait: wait, Pressure: pressure})
+		s.settle(t, dispatch.AttemptFinished{Outcome: o, Duration: s.now - cl.sent, RetryAfter: wait, LoadReport: pressure})
 	}
 }
 
@@ -168,19 +168,19 @@
 }
 
 // settle tells a courier how a trip ended.
-func (s *Sim) settle(t *trip, e dispatch.Settled) {
+func (s *Sim) settle(t *trip, e dispatch.AttemptFinished) {
 	if t.over {
 		return
 	}
 	t.over, t.past.Outcome = true, e.Outcome
 	r := t.rec
 	r.out--
-	s.books.Settled(s.now, r.id, t.book, e.Outcome, e.Wait)
-	if e.Outcome == dispatch.Done && !r.over {
+	s.books.Settled(s.now, r.id, t.book, e.Outcome, e.RetryAfter)
+	if e.Outcome == dispatch.Delivered && !r.over {
 		r.client.over = true
 		s.close(r)
 	}
-	e.Record, e.Trip, e.Over = r.id, t.no, r.over
+	e.Message, e.Attempt, e.MessageDone = r.id, t.no, r.over
 	s.tell(r.courier, e)
 	if r.over {
 		s.close(r)
@@ -189,9 +189,9 @@
 
 // cancel calls a trip off.
 func (s *Sim) cancel(c *courier, a dispatch.Cancel) {
-	r := c.records[a.Record]
-	if r == nil || int(a.Trip) >= len(r.trips) || r.trips[a.Trip].over {
+	r := c.records[a.Message]
+	if r == nil || int(a.Attempt) >= len(r.trips) || r.trips[a.Attempt].over {
 		return
 	}
-	s.giveUp(r.trips[a.Trip], dispatch.Withdrawn)
+	s.giveUp(r.trips[a.Attempt], dispatch.Canceled)
 }
--- a/testbed/simulation/client.go
+++ b/testbed/simulation/client.go
@@ -11,7 +11,7 @@
 
 // client is who handed in a record first, and hands it in again where it may.
 type client struct {
-	id      dispatch.RecordID
+	id      dispatch.MessageID
 	arrival scenario.Arrival
 	cutOff  dispatch.Micros
 	tries   int // hand-ins that a courier took
@@ -33,9 +33,9 @@
 }
 
 func (s *Sim) offer(i int, a scenario.Arrival) {
-	id := dispatch.RecordID("r" + strconv.Itoa(i))
+	id := dispatch.MessageID("r" + strconv.Itoa(i))
 	cl := &client{id: id, arrival: a, cutOff: s.now + config.Micros(s.w.Day.Workloads[a.Workload].CutOff)}
-	s.books.Offered(s.now, id, int(a.Workload), int(a.Party), dispatch.DestID(a.Dest))
+	s.books.Offered(s.now, id, int(a.Workload), int(a.Party), dispatch.DestinationID(a.Dest))
 	if s.rng.Float64() < s.w.Day.Clients.Leave {
 		s.after(s.now+dispatch.Micros(s.rng.Int64N(int64(cl.cutOff-s.now))), func() { s.leave(cl) })
 	}
@@ -56,7 +56,7 @@
 	}
 	id := cl.id
 	if cl.tries > 0 {
-		id += dispatch.RecordID("." + strconv.Itoa(cl.tries))
+		id += dispatch.MessageID("." + strconv.Itoa(cl.tries))
 	}
 	cl.tries++
 	s.taken++
@@ -64,13 +64,13 @@
 	cl.held = r
 	c.records[id] = r
 	c.held++
-	key := dispatch.Key("")
+	key := dispatch.OrderingKey("")
 	if cl.arrival.Key >= 0 {
-		key = dispatch.Key("k" + strconv.Itoa(int(cl.arrival.Key)))
+		key = dispatch.OrderingKey("k" + strconv.Itoa(int(cl.arrival.Key)))
 	}
 	s.books.Taken(s.now, id, cl.id, c.no, key, cl.cutOff)
-	r.taken = dispatch.Taken{Record: id, Dest: dispatch.DestID(cl.arrival.Dest), Workload: dispatch.WorkloadID(cl.arrival.Workload),
-		Party: dispatch.PartyID(cl.arrival.Party), Key: key, CutOff: cl.cutOff, Again: again}
+	r.taken = dispatch.MessageAccepted{Message: id, Destination: dispatch.DestinationID(cl.arrival.Dest), Class: dispatch.ClassID(cl.arrival.Workload),
+		Tenant: dispatch.TenantID(cl.arrival.Party), OrderingKey: key, Deadline: cl.cutOff, Resubmitted: again}
 	s.tell(c, r.taken)
 }
 
@@ -104,6 +104,6 @@
 	cl.over = true
 	if r := cl.held; r != nil && !r.over {
 		s.end(r, invariants.Withdrawn)
-		s.tell(r.courier, dispatch.Left{Record: r.id})
+		s.tell(r.courier, dispatch.MessageCanceled{Message: r.id})
 	}
 }
--- a/testbed/simulation/courier.go
+++ b/testbed/simulation/courier.go
@@ -26,11 +26,11 @@
 	standsTo dispatch.Micros
 	events   []dispatch.Event
 	due      dispatch.Micros // the tick at which it is told them; 0: none
-	records  map[dispatch.RecordID]*record
+	records  map[dispatch.MessageID]*record
 	held     int
-	slots    int                                       // taken
-	pools    map[dispatch.EndpointID][]dispatch.Micros // idle connections, by when they began to rest
-	told     map[dispatch.EndpointID]dispatch.Listing  // the list as it had it last
+	slots    int                                            // taken
+	pools    map[dispatch.EndpointID][]dispatch.Micros      // idle connections, by when they began to rest
+	told     map[dispatch.EndpointID]dispatch.EndpointEntry // the list as it had it last
 	newsAt   dispatch.Micros
 	watching bool
 	commons  *quota.Commons // nil: limits are not shared
@@ -38,11 +38,11 @@
 
 // record is a record at one courier.
 type record struct {
-	id      dispatch.RecordID
+	id      dispatch.MessageID
 	client  *client
 	courier *courier
 	number  int // in the order taken by all couriers
-	taken   dispatch.Taken
+	taken   dispatch.MessageAccepted
 	trips   []*trip
 	out     int
 	over    bool
@@ -50,10 +50,10 @@
 
 type trip struct {
 	rec  *record
-	no   dispatch.TripNo
+	no   dispatch.AttemptNumber
 	book int // its number in the books
 	call *call
-	past dispatch.Past // as a folder has it; the outcome counts once it is over
+	past dispatch.PastAttempt // as a folder has it; the outcome counts once it is over
 	over bool
 }
 
@@ -76,7 +76,7 @@
 	c.alive, c.closing, c.watching = true, false, false
 	c.life++
 	c.events, c.due, c.held, c.slots = nil, 0, 0, 0
-	c.records, c.pools = map[dispatch.RecordID]*record{}, map[dispatch.EndpointID][]dispatch.Micros{}
+	c.records, c.pools = map[dispatch.MessageID]*record{}, map[dispatch.EndpointID][]dispatch.Micros{}
 	salt := int64(s.rng.Uint64() >> 1)
 	ch, err := s.w.Charter(c.no, salt)
 	if err == nil {
@@ -89,9 +89,9 @@
 	if c.life > 1 {
 		s.books.Back(s.now, c.no)
 	}
-	s.tell(c, dispatch.ListNews{How: dispatch.Persisted, Entries: inOrder(c.told)})
+	s.tell(c, dispatch.EndpointUpdate{Kind: dispatch.CachedList, Entries: inOrder(c.told)})
 	if lore, ok := s.lores[c.no]; ok {
-		s.tell(c, dispatch.Learned{Lore: lore})
+		s.tell(c, dispatch.SnapshotRestored{Snapshot: lore})
 	}
 	s.takeUpAgain(c)
 	if s.w.Day.Directory.Mode == "push" {
@@ -100,8 +100,8 @@
 }
 
 // inOrder lists entries by their names.
-func inOrder(all map[dispatch.EndpointID]dispatch.Listing) []dispatch.Listing {
-	list := make([]dispatch.Listing, 0, len(all))
+func inOrder(all map[dispatch.EndpointID]dispatch.EndpointEntry) []dispatch.EndpointEntry {
+	list := make([]dispatch.EndpointEntry, 0, len(all))
 	for _, id := range slices.Sorted(maps.Keys(all)) {
 		list = append(list, all[id])
 	}
@@ -112,7 +112,7 @@
 func (s *Sim) ask(c *courier, span dispatch.Micros) {
 	if c.alive {
 		c.closing = true
-		s.tell(c, dispatch.Closing{At: s.now + span})
+		s.tell(c, dispatch.ShutdownScheduled{At: s.now + span})
 	}
 }
 
@@ -162,9 +162,9 @@
 		if r.over {
 			continue // withdrawn meanwhile
 		}
-		e := dispatch.Recovered{Taken: r.taken}
+		e := dispatch.MessageRecovered{MessageAccepted: r.taken}
 		for _, t := range r.trips {
-			e.Trips = append(e.Trips, t.past)
+			e.Attempts = append(e.Attempts, t.past)
 		}
 		c.records[r.id] = r
 		c.held++
@@ -257,19 +257,19 @@
 			}
 		case dispatch.Cancel:
 			s.cancel(c, a)
-		case dispatch.Bounce:
-			if r := s.ended(c, a.Record, invariants.Bounced); r != nil {
-				s.comeAgain(r.client, c, min(a.Pause, config.Micros(s.w.Day.Fleet.LongestWait)))
+		case dispatch.Reject:
+			if r := s.ended(c, a.Message, invariants.Bounced); r != nil {
+				s.comeAgain(r.client, c, min(a.RetryAfter, config.Micros(s.w.Day.Fleet.LongestWait)))
 			}
-		case dispatch.Terminate:
-			if r := s.ended(c, a.Record, invariants.Terminated); r != nil {
+		case dispatch.Fail:
+			if r := s.ended(c, a.Message, invariants.Terminated); r != nil {
 				r.client.over = true
 			}
-		case dispatch.Wake:
+		case dispatch.SetTimer:
 			life := c.life
 			s.after(a.At, func() {
 				if c.life == life {
-					s.tell(c, dispatch.Woken{})
+					s.tell(c, dispatch.TimerFired{})
 				}
 			})
 		case dispatch.CloseIdle:
@@ -277,7 +277,7 @@
 				s.partners[s.at[a.Endpoint].dest].Disconnect(a.Endpoint)
 			}
 			delete(c.pools, a.Endpoint)
-		case dispatch.Watch:
+		case dispatch.WatchEndpoints:
 			s.listed.fetch(c)
 		}
 	}
@@ -287,7 +287,7 @@
 }
 
 // ended takes a courier's final answer for a record; nil where it had one already.
-func (s *Sim) ended(c *courier, id dispatch.RecordID, how invariants.End) *record {
+func (s *Sim) ended(c *courier, id dispatch.MessageID, how invariants.End) *record {
 	r := c.records[id]
 	if r == nil || r.over {
 		s.books.Ended(s.now, id, how) // they know what to think of it
--- a/testbed/simulation/directory.go
+++ b/testbed/simulation/directory.go
@@ -11,25 +11,27 @@
 // directory is the list of endpoints, and how word of it reaches the couriers.
 type directory struct {
 	sim     *Sim
-	entries map[dispatch.EndpointID]dispatch.Listing
+	entries map[dispatch.EndpointID]dispatch.EndpointEntry
 	down    bool
 	pending []func() // what could not be told while it was down
 }
 
 func newDirectory(s *Sim) *directory {
-	d := &directory{sim: s, entries: map[dispatch.EndpointID]dispatch.Listing{}}
+	d := &directory{sim: s, entries: map[dispatch.EndpointID]dispatch.EndpointEntry{}}
 	for _, l := range s.w.List() {
 		d.entries[l.Endpoint] = l
 	}
 	return d
 }
 
-func (d *directory) all() map[dispatch.EndpointID]dispatch.Listing { return maps.Clone(d.entries) }
+func (d *directory) all() map[dispatch.EndpointID]dispatch.EndpointEntry {
+	return maps.Clone(d.entries)
+}
 
 // change notes that an entry changed, and tells whoever is told by itself or watches.
 func (d *directory) change(dest int, e endpointmodel.Endpoint, phase dispatch.Phase) {
 	l := d.sim.w.Listing(dest, e.ID, e.Zone, phase)
-	if phase == dispatch.Gone {
+	if phase == dispatch.Removed {
 		delete(d.entries, e.ID)
 	} else {
 		d.entries[e.ID] = l
@@ -40,7 +42,7 @@
 }
 
 // notify tells one courier of one change, in the order of changes.
-func (d *directory) notify(c *courier, l dispatch.Listing) {
+func (d *directory) notify(c *courier, l dispatch.EndpointEntry) {
 	if d.down {
 		d.pending = append(d.pending, func() { d.notify(c, l) })
 		return
@@ -53,20 +55,20 @@
 		case d.down: // it went down meanwhile
 			d.pending = append(d.pending, func() { d.notify(c, l) })
 		default:
-			d.hear(c, dispatch.Partial, []dispatch.Listing{l})
+			d.hear(c, dispatch.PartialList, []dispatch.EndpointEntry{l})
 		}
 	})
 }
 
 // hear hands news to a courier.
-func (d *directory) hear(c *courier, how dispatch.ListKind, entries []dispatch.Listing) {
+func (d *directory) hear(c *courier, how dispatch.UpdateKind, entries []dispatch.EndpointEntry) {
 	s := d.sim
 	before := c.told
-	if how == dispatch.Complete {
-		c.told = map[dispatch.EndpointID]dispatch.Listing{}
+	if how == dispatch.CompleteList {
+		c.told = map[dispatch.EndpointID]dispatch.EndpointEntry{}
 	}
 	for _, l := range entries {
-		if l.Phase == dispatch.Gone {
+		if l.Phase == dispatch.Removed {
 			delete(c.told, l.Endpoint)
 		} else {
 			c.told[l.Endpoint] = l
@@ -75,10 +77,10 @@
 	}
 	for id := range before { // what is missing in a whole list is gone
 		if _, listed := c.told[id]; !listed {
-			s.books.Told(s.now, c.no, id, dispatch.Gone)
+			s.books.Told(s.now, c.no, id, dispatch.Removed)
 		}
 	}
-	s.tell(c, dispatch.ListNews{How: how, Entries: entries})
+	s.tell(c, dispatch.EndpointUpdate{Kind: how, Entries: entries})
 }
 
 // fetch answers a courier that asks for the list, or that is told by itself from its start on.
@@ -89,12 +91,12 @@
 		switch {
 		case c.life != life || !c.alive:
 		case d.down && s.w.Day.Directory.Mode == "ask":
-			s.tell(c, dispatch.ListNews{How: dispatch.ListError})
+			s.tell(c, dispatch.EndpointUpdate{Kind: dispatch.ListFailed})
 		case d.down:
 			d.pending = append(d.pending, func() { d.fetch(c) })
 		default:
 			c.watching = true
-			d.hear(c, dispatch.Complete, inOrder(d.entries))
+			d.hear(c, dispatch.CompleteList, inOrder(d.entries))
 		}
 	})
 }
@@ -108,7 +110,7 @@
 	for _, c := range d.sim.couriers {
 		if c.watching {
 			c.watching = false
-			d.sim.tell(c, dispatch.ListNews{How: dispatch.ListError})
+			d.sim.tell(c, dispatch.EndpointUpdate{Kind: dispatch.ListFailed})
 		}
 	}
 }
--- a/testbed/simulation/golden_test.go
+++ b/testbed/simulation/golden_test.go
@@ -15,7 +15,7 @@
 
 // digestingDecider adds each action, in order and in full, to a digest that names no type and no field of the program.
 type digestingDecider struct {
-	*dispatch.Courier
+	*dispatch.Dispatcher
 	digest  hash.Hash
 	number  int
 	actions *int
@@ -23,24 +23,24 @@
 
 // Handle implements Decider.
 func (d *digestingDecider) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
-	actions := d.Courier.Handle(now, events)
+	actions := d.Dispatcher.Handle(now, events)
 	for _, action := range actions {
 		*d.actions++
 		fmt.Fprintf(d.digest, "%d %d ", now, d.number)
 		switch a := action.(type) {
 		case dispatch.Send:
-			fmt.Fprintf(d.digest, "1 %q %q %d\n", a.Record, a.Endpoint, a.Limit)
+			fmt.Fprintf(d.digest, "1 %q %q %d\n", a.Message, a.Endpoint, a.Timeout)
 		case dispatch.Cancel:
-			fmt.Fprintf(d.digest, "2 %q %d\n", a.Record, a.Trip)
-		case dispatch.Bounce:
-			fmt.Fprintf(d.digest, "3 %q %d\n", a.Record, a.Pause)
-		case dispatch.Terminate:
-			fmt.Fprintf(d.digest, "4 %q\n", a.Record)
-		case dispatch.Wake:
+			fmt.Fprintf(d.digest, "2 %q %d\n", a.Message, a.Attempt)
+		case dispatch.Reject:
+			fmt.Fprintf(d.digest, "3 %q %d\n", a.Message, a.RetryAfter)
+		case dispatch.Fail:
+			fmt.Fprintf(d.digest, "4 %q\n", a.Message)
+		case dispatch.SetTimer:
 			fmt.Fprintf(d.digest, "5 %d\n", a.At)
 		case dispatch.CloseIdle:
 			fmt.Fprintf(d.digest, "6 %q\n", a.Endpoint)
-		case dispatch.Watch:
+		case dispatch.WatchEndpoints:
 			fmt.Fprintf(d.digest, "7\n")
 		case dispatch.Note:
 			fmt.Fprintf(d.digest, "8 %q\n", a.Text)
@@ -94,7 +94,7 @@
 		options.Share = Share{Beat: 500 * 1000, Loss: 0.1}
 	}
 	digest, actions := sha256.New(), 0
-	_, _, err = Play(scenario.Draw(d, p.seed), NewLocal(func(number int, ch dispatch.Charter) Decider {
+	_, _, err = Play(scenario.Draw(d, p.seed), NewLocal(func(number int, ch dispatch.Config) Decider {
 		return &digestingDecider{dispatch.New(ch), digest, number, &actions}
 	}), options)
 	return fmt.Sprintf("%s %d %d %x", p.day, p.seed, actions, digest.Sum(nil)[:16]), err
--- a/testbed/simulation/host.go
+++ b/testbed/simulation/host.go
@@ -16,7 +16,7 @@
 // Host runs the decisions of all couriers.
 type Host interface {
 	// Start begins a courier that knows nothing.
-	Start(courier int, ch dispatch.Charter, settings map[string]string) error
+	Start(courier int, ch dispatch.Config, settings map[string]string) error
 	// Kill ends one.
 	Kill(courier int)
 	// Turn hands over what happened, and returns what each courier wants done, in the order of the batches.
@@ -24,7 +24,7 @@
 	Close() error
 }
 
-// Decider is the decisions of one courier, as dispatch.Courier.
+// Decider is the decisions of one courier, as dispatch.Dispatcher.
 type Decider interface {
 	Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action
 }
@@ -39,20 +39,20 @@
 
 // Local runs the decisions in this process.
 type Local struct {
-	make     func(courier int, ch dispatch.Charter) Decider
+	make     func(courier int, ch dispatch.Config) Decider
 	couriers map[int]Decider
 }
 
 // NewLocal hosts what make returns; nil stands for the module as it is.
-func NewLocal(make func(courier int, ch dispatch.Charter) Decider) *Local {
+func NewLocal(make func(courier int, ch dispatch.Config) Decider) *Local {
 	if make == nil {
-		make = func(_ int, ch dispatch.Charter) Decider { return dispatch.New(ch) }
+		make = func(_ int, ch dispatch.Config) Decider { return dispatch.New(ch) }
 	}
 	return &Local{make, map[int]Decider{}}
 }
 
 // Start implements Host.
-func (l *Local) Start(courier int, ch dispatch.Charter, _ map[string]string) error {
+func (l *Local) Start(courier int, ch dispatch.Config, _ map[string]string) error {
 	l.couriers[courier] = l.make(courier, ch)
 	return nil
 }
--- a/testbed/simulation/quota.go
+++ b/testbed/simulation/quota.go
@@ -21,14 +21,14 @@
 )
 
 // commune has a courier that begins share limits; an earlier start may have lent half of each of its parts.
-func (s *Sim) commune(c *courier, ch dispatch.Charter) dispatch.Charter {
+func (s *Sim) commune(c *courier, ch dispatch.Config) dispatch.Config {
 	if s.Share.Beat <= 0 {
 		return ch
 	}
 	c.commons = quota.New(s.now, quota.Terms{Self: nameOf(c.no), Start: uint64(c.life), Couriers: ch.Couriers, Salt: int64(s.rng.Uint64() >> 1)})
 	life := c.life
 	s.after(s.now+dispatch.Micros(s.rng.Int64N(int64(s.Share.Beat))), func() { s.beat(c, life) })
-	ch.LentTo = s.now + quota.Held
+	ch.GrantedUntil = s.now + quota.Held
 	return ch
 }
 
@@ -43,7 +43,7 @@
 	if !ok || s.now < c.standsTo {
 		return
 	}
-	d, ok := local.Courier(c.no).(interface{ Needs() []dispatch.Need })
+	d, ok := local.Courier(c.no).(dispatch.Demander)
 	if !ok {
 		return
 	}
@@ -53,7 +53,7 @@
 			fleet.Alive = append(fleet.Alive, nameOf(o.no))
 		}
 	}
-	s.commons(c, fleet, quota.Told(d.Needs()), quota.Beat{})
+	s.commons(c, fleet, quota.Told(d.Demands()), quota.Beat{})
 }
 
 func (s *Sim) commons(c *courier, events ...quota.Event) {
@@ -61,7 +61,7 @@
 		switch a := action.(type) {
 		case quota.Share:
 			e := quota.Settled(a.Parts, func(t dispatch.Micros) dispatch.Micros { return t }) // one clock
-			if len(e.Parts) > 0 {
+			if len(e.Shares) > 0 {
 				s.tell(c, e)
 			}
 		case quota.Say:
--- a/testbed/simulation/restarts_test.go
+++ b/testbed/simulation/restarts_test.go
@@ -32,14 +32,14 @@
 // foundAtRestarts are messages with an idempotency key that restarts found, and how often such a one was sent afterwards.
 type foundAtRestarts struct {
 	window                            dispatch.Micros
-	workloads                         map[dispatch.WorkloadID]bool // those with an idempotency key
-	untried, within, over             map[dispatch.RecordID]bool
+	workloads                         map[dispatch.ClassID]bool // those with an idempotency key
+	untried, within, over             map[dispatch.MessageID]bool
 	sentUntried, sentWithin, sentOver int
 }
 
-func newFoundAtRestarts(window dispatch.Micros, keyed ...dispatch.WorkloadID) *foundAtRestarts {
-	f := &foundAtRestarts{window: window, workloads: map[dispatch.WorkloadID]bool{}, untried: map[dispatch.RecordID]bool{},
-		within: map[dispatch.RecordID]bool{}, over: map[dispatch.RecordID]bool{}}
+func newFoundAtRestarts(window dispatch.Micros, keyed ...dispatch.ClassID) *foundAtRestarts {
+	f := &foundAtRestarts{window: window, workloads: map[dispatch.ClassID]bool{}, untried: map[dispatch.MessageID]bool{},
+		within: map[dispatch.MessageID]bool{}, over: map[dispatch.MessageID]bool{}}
 	for _, w := range keyed {
 		f.workloads[w] = true
 	}
@@ -47,27 +47,27 @@
 }
 
 // found sorts a message that a restart found.
-func (f *foundAtRestarts) found(now dispatch.Micros, e dispatch.Recovered) {
-	delete(f.untried, e.Record)
-	delete(f.within, e.Record)
-	if !f.workloads[e.Workload] {
+func (f *foundAtRestarts) found(now dispatch.Micros, e dispatch.MessageRecovered) {
+	delete(f.untried, e.Message)
+	delete(f.within, e.Message)
+	if !f.workloads[e.Class] {
 		return
 	}
-	for _, p := range e.Trips {
-		if p.Outcome == dispatch.Full || p.Outcome == dispatch.Unreachable || p.Outcome == dispatch.Void {
+	for _, p := range e.Attempts {
+		if p.Outcome == dispatch.Throttled || p.Outcome == dispatch.Unreachable || p.Outcome == dispatch.Unprocessed {
 			continue
 		}
-		if now >= p.Sent+f.window {
-			f.over[e.Record] = true
+		if now >= p.SentAt+f.window {
+			f.over[e.Message] = true
 		} else {
-			f.within[e.Record] = true
+			f.within[e.Message] = true
 		}
 		return
 	}
-	f.untried[e.Record] = true
+	f.untried[e.Message] = true
 }
 
-func (f *foundAtRestarts) sent(id dispatch.RecordID) {
+func (f *foundAtRestarts) sent(id dispatch.MessageID) {
 	switch {
 	case f.over[id]:
 		f.sentOver++
@@ -81,14 +81,14 @@
 // Handle implements Decider.
 func (r *recoveries) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
 	for _, event := range events {
-		if e, ok := event.(dispatch.Recovered); ok {
+		if e, ok := event.(dispatch.MessageRecovered); ok {
 			r.seen.found(now, e)
 		}
 	}
 	actions := r.Decider.Handle(now, events)
 	for _, action := range actions {
 		if a, ok := action.(dispatch.Send); ok {
-			r.seen.sent(a.Record)
+			r.seen.sent(a.Message)
 		}
 	}
 	return actions
@@ -105,7 +105,7 @@
 	for seed := int64(1); seed <= seeds; seed++ {
 		w := scenario.Draw(readDay(t, "restarts"), seed)
 		found := newFoundAtRestarts(window, 0, 1)
-		v, _, err := Play(w, NewLocal(func(_ int, ch dispatch.Charter) Decider {
+		v, _, err := Play(w, NewLocal(func(_ int, ch dispatch.Config) Decider {
 			return &recoveries{dispatch.New(ch), found}
 		}), Options{Spool: true})
 		if err != nil {
--- a/testbed/simulation/returns_test.go
+++ b/testbed/simulation/returns_test.go
@@ -102,13 +102,13 @@
 type returnCounter struct {
 	Host
 	routes   map[dispatch.EndpointID]*watchedRoute
-	attempts map[int]map[dispatch.RecordID][]dispatch.EndpointID // by courier: where each attempt of a message went
+	attempts map[int]map[dispatch.MessageID][]dispatch.EndpointID // by courier: where each attempt of a message went
 }
 
 // newReturnCounter watches the returns of a day on which each route has one outage at most.
 func newReturnCounter(w *scenario.Drawn, host Host) *returnCounter {
 	c := &returnCounter{Host: host, routes: map[dispatch.EndpointID]*watchedRoute{},
-		attempts: map[int]map[dispatch.RecordID][]dispatch.EndpointID{}}
+		attempts: map[int]map[dispatch.MessageID][]dispatch.EndpointID{}}
 	for i := range w.Destinations {
 		d := &w.Destinations[i]
 		var route *watchedRoute
@@ -132,8 +132,8 @@
 }
 
 // Start implements Host.
-func (c *returnCounter) Start(courier int, ch dispatch.Charter, settings map[string]string) error {
-	c.attempts[courier] = map[dispatch.RecordID][]dispatch.EndpointID{}
+func (c *returnCounter) Start(courier int, ch dispatch.Config, settings map[string]string) error {
+	c.attempts[courier] = map[dispatch.MessageID][]dispatch.EndpointID{}
 	return c.Host.Start(courier, ch, settings)
 }
 
@@ -160,11 +160,11 @@
 // learned notes who has seen an outage while it lasts.
 func (c *returnCounter) learned(now dispatch.Micros, b Batch) {
 	for _, event := range b.Events {
-		e, ok := event.(dispatch.Settled)
-		if !ok || e.Outcome == dispatch.Done || e.Outcome == dispatch.Void || e.Outcome == dispatch.Withdrawn {
+		e, ok := event.(dispatch.AttemptFinished)
+		if !ok || e.Outcome == dispatch.Delivered || e.Outcome == dispatch.Unprocessed || e.Outcome == dispatch.Canceled {
 			continue
 		}
-		r := c.routes[c.attempts[b.Courier][e.Record][e.Trip]]
+		r := c.routes[c.attempts[b.Courier][e.Message][e.Attempt]]
 		if r.out > 0 && now >= r.out && now < r.cold {
 			r.knowing[b.Courier] = true
 		}
@@ -180,7 +180,7 @@
 			continue
 		}
 		attempts := c.attempts[courier]
-		attempts[a.Record] = append(attempts[a.Record], a.Endpoint)
+		attempts[a.Message] = append(attempts[a.Message], a.Endpoint)
 		r := c.routes[a.Endpoint]
 		if messages[a.Endpoint]%max(1, r.plan.PerCall) == 0 {
 			r.count(now, courier)
@@ -264,7 +264,7 @@
 	}
 }
 
-func playReturns(t *testing.T, seeds int64, couriers int, rules rampRules, decide func(int, dispatch.Charter) Decider) (f fleetReturns) {
+func playReturns(t *testing.T, seeds int64, couriers int, rules rampRules, decide func(int, dispatch.Config) Decider) (f fleetReturns) {
 	t.Helper()
 	for seed := int64(1); seed <= seeds; seed++ {
 		w := returnsDay(t, seed, couriers, rules)
@@ -322,8 +322,8 @@
 
 // TestReturnCounterSeesAPush: couriers that heed no return are caught by the count of TestFleetReturns.
 func TestReturnCounterSeesAPush(t *testing.T) {
-	f := playReturns(t, 2, 20, rampRules{coldFrom: 0.13, multiple: 2.5, span: 2}, func(_ int, ch dispatch.Charter) Decider {
-		return &eager{ch: ch, list: map[dispatch.DestID][]dispatch.EndpointID{}, dest: map[dispatch.RecordID]dispatch.Taken{}}
+	f := playReturns(t, 2, 20, rampRules{coldFrom: 0.13, multiple: 2.5, span: 2}, func(_ int, ch dispatch.Config) Decider {
+		return &eager{ch: ch, list: map[dispatch.DestinationID][]dispatch.EndpointID{}, dest: map[dispatch.MessageID]dispatch.MessageAccepted{}}
 	})
 	if f.pushed == 0 {
 		t.Error("no return counts as pushed over")
--- a/testbed/simulation/simulation.go
+++ b/testbed/simulation/simulation.go
@@ -44,7 +44,7 @@
 	flying   map[uint64]*call // those whose endpoint may still answer
 	stats    Stats
 	err      error
-	lores    map[int]dispatch.Lore
+	lores    map[int]dispatch.Snapshot
 	Options
 }
 
@@ -83,7 +83,7 @@
 	}
 	s := &Sim{w: w, books: invariants.New(setup), host: host, rng: rand.New(rand.NewPCG(uint64(w.Seed), 77)),
 		tick: config.Micros(w.Day.Fleet.Tick / 1000), at: map[dispatch.EndpointID]*spot{}, turns: map[dispatch.Micros][]*courier{},
-		flying: map[uint64]*call{}, lores: map[int]dispatch.Lore{}, Options: o}
+		flying: map[uint64]*call{}, lores: map[int]dispatch.Snapshot{}, Options: o}
 	s.listed = newDirectory(s)
 	for i := range w.Destinations {
 		p := endpointmodel.New(w.Destinations[i].Plan)
@@ -131,8 +131,8 @@
 
 func (s *Sim) takeLore(c *courier) {
 	if local, ok := s.host.(*Local); ok && c.alive {
-		if d, ok := local.Courier(c.no).(interface{ Lore() dispatch.Lore }); ok {
-			s.lores[c.no] = d.Lore()
+		if d, ok := local.Courier(c.no).(dispatch.Snapshotter); ok {
+			s.lores[c.no] = d.Snapshot()
 		}
 	}
 }
@@ -158,12 +158,12 @@
 	case scenario.Adds:
 		s.partners[a.Dest].Add(a.Endpoint)
 		s.at[a.Endpoint.ID] = &spot{a.Dest, a.Endpoint, s.partners[a.Dest].Route(a.Endpoint.ID)}
-		s.listed.change(a.Dest, a.Endpoint, dispatch.In)
+		s.listed.change(a.Dest, a.Endpoint, dispatch.InService)
 	case scenario.Drains:
 		s.listed.change(a.Dest, a.Endpoint, dispatch.Draining)
 	case scenario.Removes:
 		s.came(a.Dest, s.partners[a.Dest].Remove(s.now, a.Endpoint.ID))
-		s.listed.change(a.Dest, a.Endpoint, dispatch.Gone)
+		s.listed.change(a.Dest, a.Endpoint, dispatch.Removed)
 	case scenario.Kills:
 		s.kill(s.couriers[a.Courier])
 	case scenario.Asks:
@@ -190,9 +190,9 @@
 		case endpointmodel.Ran:
 			s.books.Ran(s.now, o.Item.Record, o.Endpoint, o.Before, o.Known)
 		case endpointmodel.Fell:
-			s.books.Fell(s.now, dispatch.DestID(dest), o.Route, o.Sent)
+			s.books.Fell(s.now, dispatch.DestinationID(dest), o.Route, o.Sent)
 		case endpointmodel.Turned:
-			s.books.Turned(s.now, dispatch.DestID(dest), o.Route, o.Phase == endpointmodel.Out)
+			s.books.Turned(s.now, dispatch.DestinationID(dest), o.Route, o.Phase == endpointmodel.Out)
 		}
 	}
 	p := s.partners[dest]
--- a/testbed/simulation/wrong_test.go
+++ b/testbed/simulation/wrong_test.go
@@ -12,31 +12,31 @@
 type wrong struct {
 	Decider
 	spoil func(w *wrong, now dispatch.Micros, events []dispatch.Event, actions []dispatch.Action) []dispatch.Action
-	seen  map[dispatch.RecordID]dispatch.Taken
-	trips map[dispatch.RecordID]int
-	ended []dispatch.RecordID
-	gone  map[dispatch.EndpointID]dispatch.DestID
-	all   map[dispatch.EndpointID]dispatch.Listing
-	waits map[dispatch.DestID]dispatch.Micros
+	seen  map[dispatch.MessageID]dispatch.MessageAccepted
+	trips map[dispatch.MessageID]int
+	ended []dispatch.MessageID
+	gone  map[dispatch.EndpointID]dispatch.DestinationID
+	all   map[dispatch.EndpointID]dispatch.EndpointEntry
+	waits map[dispatch.DestinationID]dispatch.Micros
 }
 
 func (w *wrong) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
 	for _, e := range events {
 		switch e := e.(type) {
-		case dispatch.Taken:
-			w.seen[e.Record] = e
-		case dispatch.Settled:
-			if e.Over {
-				w.ended = append(w.ended, e.Record)
+		case dispatch.MessageAccepted:
+			w.seen[e.Message] = e
+		case dispatch.AttemptFinished:
+			if e.MessageDone {
+				w.ended = append(w.ended, e.Message)
 			}
-			if e.Wait > 0 {
-				w.waits[w.seen[e.Record].Dest] = now + e.Wait
+			if e.RetryAfter > 0 {
+				w.waits[w.seen[e.Message].Destination] = now + e.RetryAfter
 			}
-		case dispatch.ListNews:
+		case dispatch.EndpointUpdate:
 			for _, l := range e.Entries {
 				w.all[l.Endpoint] = l
-				if l.Phase != dispatch.In {
-					w.gone[l.Endpoint] = l.Dest
+				if l.Phase != dispatch.InService {
+					w.gone[l.Endpoint] = l.Destination
 				}
 			}
 		}
@@ -45,18 +45,18 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case dispatch.Send:
-			w.trips[a.Record]++
-		case dispatch.Bounce:
-			w.ended = append(w.ended, a.Record)
+			w.trips[a.Message]++
+		case dispatch.Reject:
+			w.ended = append(w.ended, a.Message)
 		}
 	}
 	return w.spoil(w, now, events, actions)
 }
 
 // endpointOf is any endpoint of a destination that is listed, the first by name.
-func (w *wrong) endpointOf(d dispatch.DestID) (best dispatch.EndpointID) {
+func (w *wrong) endpointOf(d dispatch.DestinationID) (best dispatch.EndpointID) {
 	for id, l := range w.all {
-		if l.Dest == d && l.Phase == dispatch.In && (best == "" || id < best) {
+		if l.Destination == d && l.Phase == dispatch.InService && (best == "" || id < best) {
 			best = id
 		}
 	}
@@ -75,11 +75,11 @@
 		{"repeats a single-use record that may have run", "acts-then-hangs", invariants.Twice,
 			func(w *wrong, _ dispatch.Micros, events []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 				for _, e := range events {
-					s, ok := e.(dispatch.Settled)
-					mayRun := ok && (s.Outcome == dispatch.TimedOut || s.Outcome == dispatch.Broken || s.Outcome == dispatch.Withdrawn)
-					if mayRun && !s.Over && w.seen[s.Record].Workload == 1 {
-						actions = append([]dispatch.Action{dispatch.Send{Record: s.Record, Endpoint: w.endpointOf(w.seen[s.Record].Dest),
-							Limit: 1000}}, actions...)
+					s, ok := e.(dispatch.AttemptFinished)
+					mayRun := ok && (s.Outcome == dispatch.TimedOut || s.Outcome == dispatch.Broken || s.Outcome == dispatch.Canceled)
+					if mayRun && !s.MessageDone && w.seen[s.Message].Class == 1 {
+						actions = append([]dispatch.Action{dispatch.Send{Message: s.Message, Endpoint: w.endpointOf(w.seen[s.Message].Destination),
+							Timeout: 1000}}, actions...)
 					}
 				}
 				return actions
@@ -87,8 +87,8 @@
 		{"bounces what may have run", "acts-then-hangs", invariants.Twice,
 			func(_ *wrong, _ dispatch.Micros, _ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 				for i, a := range actions {
-					if end, ok := a.(dispatch.Terminate); ok {
-						actions[i] = dispatch.Bounce{Record: end.Record}
+					if end, ok := a.(dispatch.Fail); ok {
+						actions[i] = dispatch.Reject{Message: end.Message}
 					}
 				}
 				return actions
@@ -96,8 +96,8 @@
 		{"sends in a told wait", "shrunk-limits", invariants.Waits,
 			func(w *wrong, now dispatch.Micros, events []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 				for _, e := range events {
-					if taken, ok := e.(dispatch.Taken); ok && w.waits[taken.Dest] > now+10*1000 && w.seen[taken.Record].Workload == 0 {
-						return append(actions, dispatch.Send{Record: taken.Record, Endpoint: w.endpointOf(taken.Dest), Limit: 1000 * 1000})
+					if taken, ok := e.(dispatch.MessageAccepted); ok && w.waits[taken.Destination] > now+10*1000 && w.seen[taken.Message].Class == 0 {
+						return append(actions, dispatch.Send{Message: taken.Message, Endpoint: w.endpointOf(taken.Destination), Timeout: 1000 * 1000})
 					}
 				}
 				return actions
@@ -107,8 +107,8 @@
 				for i, a := range actions {
 					if send, ok := a.(dispatch.Send); ok {
 						for id, d := range w.gone {
-							if d == w.seen[send.Record].Dest {
-								actions[i] = dispatch.Send{Record: send.Record, Endpoint: id, Limit: send.Limit}
+							if d == w.seen[send.Message].Destination {
+								actions[i] = dispatch.Send{Message: send.Message, Endpoint: id, Timeout: send.Timeout}
 							}
 						}
 					}
@@ -119,7 +119,7 @@
 			func(_ *wrong, _ dispatch.Micros, _ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 				var kept []dispatch.Action
 				for _, a := range actions {
-					if _, ok := a.(dispatch.Bounce); !ok {
+					if _, ok := a.(dispatch.Reject); !ok {
 						kept = append(kept, a)
 					}
 				}
@@ -128,8 +128,8 @@
 		{"answers twice", "silent-and-cold", invariants.Final,
 			func(_ *wrong, _ dispatch.Micros, _ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 				for _, a := range actions {
-					if b, ok := a.(dispatch.Bounce); ok {
-						return append(actions, dispatch.Terminate{Record: b.Record})
+					if b, ok := a.(dispatch.Reject); ok {
+						return append(actions, dispatch.Fail{Message: b.Message})
 					}
 				}
 				return actions
@@ -139,7 +139,7 @@
 				if n := len(w.ended); n > 0 {
 					id := w.ended[n-1]
 					w.ended = w.ended[:n-1]
-					actions = append(actions, dispatch.Send{Record: id, Endpoint: w.endpointOf(w.seen[id].Dest), Limit: 1000 * 1000})
+					actions = append(actions, dispatch.Send{Message: id, Endpoint: w.endpointOf(w.seen[id].Destination), Timeout: 1000 * 1000})
 				}
 				return actions
 			}},
@@ -151,9 +151,9 @@
 			if err != nil || !right.OK() {
 				t.Fatalf("the right courier: %v, %s %v", err, right.Short(), right.Breaches)
 			}
-			v, _, err := Play(w, NewLocal(func(_ int, ch dispatch.Charter) Decider {
-				return &wrong{Decider: dispatch.New(ch), spoil: c.spoil, seen: map[dispatch.RecordID]dispatch.Taken{}, trips: map[dispatch.RecordID]int{},
-					gone: map[dispatch.EndpointID]dispatch.DestID{}, all: map[dispatch.EndpointID]dispatch.Listing{}, waits: map[dispatch.DestID]dispatch.Micros{}}
+			v, _, err := Play(w, NewLocal(func(_ int, ch dispatch.Config) Decider {
+				return &wrong{Decider: dispatch.New(ch), spoil: c.spoil, seen: map[dispatch.MessageID]dispatch.MessageAccepted{}, trips: map[dispatch.MessageID]int{},
+					gone: map[dispatch.EndpointID]dispatch.DestinationID{}, all: map[dispatch.EndpointID]dispatch.EndpointEntry{}, waits: map[dispatch.DestinationID]dispatch.Micros{}}
 			}), Options{})
 			if err != nil {
 				t.Fatal(err)
@@ -167,31 +167,31 @@
 
 // eager sends all at once, in any order, until it is done: it heeds neither returns nor the order of keys.
 type eager struct {
-	ch    dispatch.Charter
-	list  map[dispatch.DestID][]dispatch.EndpointID
-	dest  map[dispatch.RecordID]dispatch.Taken
+	ch    dispatch.Config
+	list  map[dispatch.DestinationID][]dispatch.EndpointID
+	dest  map[dispatch.MessageID]dispatch.MessageAccepted
 	trips int
 }
 
 func (e *eager) Handle(_ dispatch.Micros, events []dispatch.Event) (out []dispatch.Action) {
-	send := func(taken dispatch.Taken) {
-		if at := e.list[taken.Dest]; len(at) > 0 {
+	send := func(taken dispatch.MessageAccepted) {
+		if at := e.list[taken.Destination]; len(at) > 0 {
 			e.trips++
-			out = append(out, dispatch.Send{Record: taken.Record, Endpoint: at[e.trips%len(at)], Limit: 2 * 1000 * 1000})
+			out = append(out, dispatch.Send{Message: taken.Message, Endpoint: at[e.trips%len(at)], Timeout: 2 * 1000 * 1000})
 		}
 	}
 	for _, event := range events {
 		switch event := event.(type) {
-		case dispatch.ListNews:
+		case dispatch.EndpointUpdate:
 			for _, l := range event.Entries {
-				e.list[l.Dest] = append(e.list[l.Dest], l.Endpoint)
+				e.list[l.Destination] = append(e.list[l.Destination], l.Endpoint)
 			}
-		case dispatch.Taken:
-			e.dest[event.Record] = event
+		case dispatch.MessageAccepted:
+			e.dest[event.Message] = event
 			send(event)
-		case dispatch.Settled:
-			if !event.Over && event.Trip < 20 {
-				send(e.dest[event.Record])
+		case dispatch.AttemptFinished:
+			if !event.MessageDone && event.Attempt < 20 {
+				send(e.dest[event.Message])
 			}
 		}
 	}
@@ -203,8 +203,8 @@
 		d := find(t, name)
 		d.Fleet.SlotsRoom, d.Fleet.MaxTrips = 50, 100
 		d.Rules.Fall = 1.2
-		v, _, err := Play(scenario.Draw(d, 1), NewLocal(func(_ int, ch dispatch.Charter) Decider {
-			return &eager{ch: ch, list: map[dispatch.DestID][]dispatch.EndpointID{}, dest: map[dispatch.RecordID]dispatch.Taken{}}
+		v, _, err := Play(scenario.Draw(d, 1), NewLocal(func(_ int, ch dispatch.Config) Decider {
+			return &eager{ch: ch, list: map[dispatch.DestinationID][]dispatch.EndpointID{}, dest: map[dispatch.MessageID]dispatch.MessageAccepted{}}
 		}), Options{})
 		if err != nil || v.Broken[rule] == 0 {
 			t.Errorf("%s: %v, %s", name, err, v.Short())
--- a/testbed/wirehost/host.go
+++ b/testbed/wirehost/host.go
@@ -60,9 +60,9 @@
 }
 
 // Start implements simulation.Host: a courier begins with its next turn.
-func (h *Host) Start(courier int, ch dispatch.Charter, settings map[string]string) error {
+func (h *Host) Start(courier int, ch dispatch.Config, settings map[string]string) error {
 	var b strings.Builder
-	fmt.Fprintf(&b, "begin %d", ch.Salt)
+	fmt.Fprintf(&b, "begin %d", ch.Seed)
 	for _, key := range slices.Sorted(maps.Keys(settings)) {
 		fmt.Fprintf(&b, " %s=%s", key, strings.ReplaceAll(settings[key], " ", "_"))
 	}
@@ -124,52 +124,52 @@
 	return "0"
 }
 
-var outcomes = map[dispatch.Outcome]string{dispatch.Done: "success", dispatch.Failure: "failure", dispatch.Full: "overloaded",
-	dispatch.TimedOut: "timed_out", dispatch.Unreachable: "unreachable", dispatch.Broken: "broken", dispatch.Withdrawn: "withdrawn",
-	dispatch.Void: "void"}
+var outcomes = map[dispatch.Outcome]string{dispatch.Delivered: "success", dispatch.Failure: "failure", dispatch.Throttled: "overloaded",
+	dispatch.TimedOut: "timed_out", dispatch.Unreachable: "unreachable", dispatch.Broken: "broken", dispatch.Canceled: "withdrawn",
+	dispatch.Unprocessed: "void"}
 
 func (h *Host) event(e dispatch.Event) {
 	switch e := e.(type) {
-	case dispatch.Taken:
+	case dispatch.MessageAccepted:
 		flags := "0"
-		if e.Again {
+		if e.Resubmitted {
 			flags = "2"
 		}
-		h.line("job_in", string(e.Record), "-", strconv.Itoa(int(e.Dest)), strconv.Itoa(int(e.Party)), dash(string(e.Key)),
-			seconds(e.CutOff), strconv.Itoa(int(e.Workload)), flags)
-	case dispatch.Settled:
+		h.line("job_in", string(e.Message), "-", strconv.Itoa(int(e.Destination)), strconv.Itoa(int(e.Tenant)), dash(string(e.OrderingKey)),
+			seconds(e.Deadline), strconv.Itoa(int(e.Class)), flags)
+	case dispatch.AttemptFinished:
 		remark := "-"
-		if e.Outcome == dispatch.Full && e.Wait > 0 {
-			remark = strconv.FormatInt(int64(e.Wait+999)/1000, 10)
+		if e.Outcome == dispatch.Throttled && e.RetryAfter > 0 {
+			remark = strconv.FormatInt(int64(e.RetryAfter+999)/1000, 10)
 		}
 		var row []string
-		for _, v := range e.Pressure {
+		for _, v := range e.LoadReport {
 			row = append(row, strconv.FormatFloat(v, 'g', -1, 64))
 		}
-		h.line("settled", string(e.Record), strconv.Itoa(int(e.Trip)), "-", outcomes[e.Outcome], seconds(e.Took), bit(e.Over),
+		h.line("settled", string(e.Message), strconv.Itoa(int(e.Attempt)), "-", outcomes[e.Outcome], seconds(e.Duration), bit(e.MessageDone),
 			remark, dash(strings.Join(row, ",")))
-	case dispatch.Left:
-		h.line("client_left", string(e.Record))
-	case dispatch.Woken:
+	case dispatch.MessageCanceled:
+		h.line("client_left", string(e.Message))
+	case dispatch.TimerFired:
 		h.line("tick_due", "look")
-	case dispatch.ListNews:
+	case dispatch.EndpointUpdate:
 		h.list(e)
 	} // the wire has no word for a planned end
 }
 
-func (h *Host) list(e dispatch.ListNews) {
+func (h *Host) list(e dispatch.EndpointUpdate) {
 	h.serial++
-	if e.How == dispatch.ListError {
+	if e.Kind == dispatch.ListFailed {
 		h.line("topology", strconv.Itoa(h.serial), "0", "Error")
 		return
 	}
 	h.page = (h.page + 1) % 16
 	h.line("list", strconv.Itoa(h.page), strconv.Itoa(len(e.Entries)))
 	for _, l := range e.Entries {
-		h.line("row", string(l.Endpoint), strconv.Itoa(int(l.Zone)), strconv.Itoa(int(l.Shape)), strconv.Itoa(int(l.Dest)),
+		h.line("row", string(l.Endpoint), strconv.Itoa(int(l.Zone)), strconv.Itoa(int(l.Type)), strconv.Itoa(int(l.Destination)),
 			[]string{"IN", "LAME", "OUT"}[l.Phase], strconv.FormatFloat(l.Rate, 'g', -1, 64), "-")
 	}
-	h.line("topology", strconv.Itoa(h.serial), strconv.Itoa(h.page), []string{"Persisted", "Complete", "Partial"}[e.How])
+	h.line("topology", strconv.Itoa(h.serial), strconv.Itoa(h.page), []string{"Persisted", "Complete", "Partial"}[e.Kind])
 }
 
 // read takes one reply.
@@ -238,23 +238,23 @@
 	}
 	switch f[0] {
 	case "transmit":
-		a = dispatch.Send{Record: dispatch.RecordID(need(1)), Endpoint: dispatch.EndpointID(need(2)), Limit: span(3, "0")}
+		a = dispatch.Send{Message: dispatch.MessageID(need(1)), Endpoint: dispatch.EndpointID(need(2)), Timeout: span(3, "0")}
 	case "cancel":
 		n, fault := strconv.Atoi(need(2))
 		if fault != nil {
 			return nil, fmt.Errorf("cancel: bad number")
 		}
-		a = dispatch.Cancel{Record: dispatch.RecordID(need(1)), Trip: dispatch.TripNo(n)}
+		a = dispatch.Cancel{Message: dispatch.MessageID(need(1)), Attempt: dispatch.AttemptNumber(n)}
 	case "reject":
-		a = dispatch.Bounce{Record: dispatch.RecordID(need(1)), Pause: span(2, "0")}
+		a = dispatch.Reject{Message: dispatch.MessageID(need(1)), RetryAfter: span(2, "0")}
 	case "abort":
-		a = dispatch.Terminate{Record: dispatch.RecordID(need(1))}
+		a = dispatch.Fail{Message: dispatch.MessageID(need(1))}
 	case "wake_me":
-		a = dispatch.Wake{At: span(1, "")}
+		a = dispatch.SetTimer{At: span(1, "")}
 	case "let_go":
 		a = dispatch.CloseIdle{Endpoint: dispatch.EndpointID(need(1))}
 	case "stream_changes", "refresh":
-		a = dispatch.Watch{}
+		a = dispatch.WatchEndpoints{}
 	case "journal_line":
 		a = dispatch.Note{Text: strings.Join(f[1:], " ")}
 	default:
