--- a/admin/admin.go
+++ b/admin/admin.go
@@ -18,8 +18,8 @@
 	"time"
 )
 
-// Figures is what the courier counted, from the start of its process on.
-type Figures struct {
+// Metrics is what the courier counted, from the start of its process on.
+type Metrics struct {
 	Success         map[string]int64 `json:"success"`  // delivered, by workload
 	Overload        map[string]int64 `json:"overload"` // turned away or handed back
 	Error           map[string]int64 `json:"error"`    // failed
@@ -33,30 +33,30 @@
 
 // What is asked for that changes something.
 type (
-	// Maintain takes an endpoint out, or puts it back.
-	Maintain struct {
+	// SetDisabled takes an endpoint out, or puts it back.
+	SetDisabled struct {
 		Endpoint string
-		Out      bool
+		Disabled bool
 	}
-	// Away sends clients away, or ends that.
-	Away struct{ Away bool }
+	// Enabled sends clients away, or ends that.
+	Drain struct{ Enabled bool }
 )
 
-// ErrUnknown is the answer for an endpoint that nobody knows.
-var ErrUnknown = errors.New("no such endpoint")
+// ErrUnknownEndpoint is the answer for an endpoint that nobody knows.
+var ErrUnknownEndpoint = errors.New("no such endpoint")
 
-// Courier is who stands behind the address. Ask may be called from many goroutines; what it answers lasts.
+// Courier is who stands behind the address. Execute may be called from many goroutines; what it answers lasts.
 type Courier interface {
 	Serving() bool
-	Figures() *Figures // nil: none yet
-	Ask(ctx context.Context, what any) error
+	Metrics() *Metrics // nil: none yet
+	Execute(ctx context.Context, what any) error
 }
 
 const (
-	answerWithin = 800 * time.Millisecond // an answer is owed in a second
-	callWithin   = 3 * time.Second        // for a call to come whole
-	maxHead      = 4 << 10
-	maxBody      = 4 << 10 // nothing in it is read
+	answerTimeout  = 800 * time.Millisecond // an answer is owed in a second
+	requestTimeout = 3 * time.Second        // for a call to come whole
+	maxHead        = 4 << 10
+	maxBody        = 4 << 10 // nothing in it is read
 )
 
 // Server is the address.
@@ -74,41 +74,41 @@
 		return nil, err
 	}
 	s := &Server{log: log}
-	crowd := &crowd{Listener: l, most: max(1, most), asks: map[net.Conn]bool{}}
-	s.http = &http.Server{Handler: s.handler(), ReadTimeout: callWithin, WriteTimeout: callWithin + time.Second, MaxHeaderBytes: maxHead,
+	crowd := &limitedListener{Listener: l, limit: max(1, most), active: map[net.Conn]bool{}}
+	s.http = &http.Server{Handler: s.handler(), ReadTimeout: requestTimeout, WriteTimeout: requestTimeout + time.Second, MaxHeaderBytes: maxHead,
 		ConnState: crowd.state, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
 	s.http.SetKeepAlivesEnabled(false)
 	go s.http.Serve(crowd)
 	return s, nil
 }
 
-// Stand puts a courier behind the address.
-func (s *Server) Stand(c Courier) { s.courier.Store(&c) }
+// SetCourier puts a courier behind the address.
+func (s *Server) SetCourier(courier Courier) { s.courier.Store(&courier) }
 
 // Fleet is what a courier knows of the others.
 type Fleet interface {
-	Look() any // for JSON
-	Gone(name string)
-	Shared() any // for JSON; nil where limits are not shared
+	Members() any // for JSON
+	Remove(name string)
+	Quota() any // for JSON; nil where limits are not shared
 }
 
-// Know puts a fleet behind the address; without one there is no such call.
-func (s *Server) Know(f Fleet) { s.fleet.Store(&f) }
+// SetFleet puts a fleet behind the address; without one there is no such call.
+func (s *Server) SetFleet(f Fleet) { s.fleet.Store(&f) }
 
-func (s *Server) peers(w http.ResponseWriter, r *http.Request) {
+func (s *Server) members(w http.ResponseWriter, r *http.Request) {
 	f := s.fleet.Load()
 	if f == nil {
 		http.NotFound(w, r)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode((*f).Look())
+	json.NewEncoder(w).Encode((*f).Members())
 }
 
-func (s *Server) commons(w http.ResponseWriter, r *http.Request) {
+func (s *Server) quota(w http.ResponseWriter, r *http.Request) {
 	var shared any
 	if f := s.fleet.Load(); f != nil {
-		shared = (*f).Shared()
+		shared = (*f).Quota()
 	}
 	if shared == nil {
 		http.NotFound(w, r)
@@ -118,14 +118,14 @@
 	json.NewEncoder(w).Encode(shared)
 }
 
-func (s *Server) gone(w http.ResponseWriter, r *http.Request) {
+func (s *Server) remove(w http.ResponseWriter, r *http.Request) {
 	f := s.fleet.Load()
 	if f == nil {
 		http.NotFound(w, r)
 		return
 	}
 	s.log.Info("call", "what", r.URL.Path, "from", r.RemoteAddr)
-	(*f).Gone(r.PathValue("name"))
+	(*f).Remove(r.PathValue("name"))
 	io.WriteString(w, "done\n")
 }
 
@@ -135,17 +135,17 @@
 func (s *Server) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /status", s.status)
-	mux.HandleFunc("GET /status/metrics", s.figures)
+	mux.HandleFunc("GET /status/metrics", s.metrics)
 	for verb, out := range map[string]bool{"enter": true, "exit": false} {
 		mux.HandleFunc("POST /maintenance/"+verb+"/{id}", func(w http.ResponseWriter, r *http.Request) {
-			s.ask(w, r, Maintain{r.PathValue("id"), out})
+			s.execute(w, r, SetDisabled{r.PathValue("id"), out})
 		})
 	}
-	mux.HandleFunc("GET /peers", s.peers)
-	mux.HandleFunc("GET /commons", s.commons)
-	mux.HandleFunc("POST /peers/gone/{name}", s.gone)
-	mux.HandleFunc("POST /standby", func(w http.ResponseWriter, r *http.Request) { s.ask(w, r, Away{true}) })
-	mux.HandleFunc("POST /active", func(w http.ResponseWriter, r *http.Request) { s.ask(w, r, Away{false}) })
+	mux.HandleFunc("GET /peers", s.members)
+	mux.HandleFunc("GET /commons", s.quota)
+	mux.HandleFunc("POST /peers/gone/{name}", s.remove)
+	mux.HandleFunc("POST /standby", func(w http.ResponseWriter, r *http.Request) { s.execute(w, r, Drain{true}) })
+	mux.HandleFunc("POST /active", func(w http.ResponseWriter, r *http.Request) { s.execute(w, r, Drain{false}) })
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, maxBody)); err != nil {
 			http.Error(w, "a body that cannot be read, or is too long", http.StatusRequestEntityTooLarge)
@@ -160,7 +160,7 @@
 	})
 }
 
-func (s *Server) behind() Courier {
+func (s *Server) current() Courier {
 	if c := s.courier.Load(); c != nil {
 		return *c
 	}
@@ -168,38 +168,38 @@
 }
 
 func (s *Server) status(w http.ResponseWriter, _ *http.Request) {
-	if c := s.behind(); c == nil || !c.Serving() {
+	if courier := s.current(); courier == nil || !courier.Serving() {
 		http.Error(w, "takes no clients", http.StatusServiceUnavailable)
 		return
 	}
 	io.WriteString(w, "takes clients\n")
 }
 
-func (s *Server) figures(w http.ResponseWriter, _ *http.Request) {
-	var f *Figures
-	if c := s.behind(); c != nil {
-		f = c.Figures()
+func (s *Server) metrics(w http.ResponseWriter, _ *http.Request) {
+	var metrics *Metrics
+	if courier := s.current(); courier != nil {
+		metrics = courier.Metrics()
 	}
-	if f == nil {
+	if metrics == nil {
 		http.Error(w, "nothing is counted yet", http.StatusServiceUnavailable)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(f)
+	json.NewEncoder(w).Encode(metrics)
 }
 
-func (s *Server) ask(w http.ResponseWriter, r *http.Request, what any) {
-	c := s.behind()
-	if c == nil {
+func (s *Server) execute(w http.ResponseWriter, r *http.Request, what any) {
+	courier := s.current()
+	if courier == nil {
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), answerWithin)
+	ctx, cancel := context.WithTimeout(r.Context(), answerTimeout)
 	defer cancel()
-	err := c.Ask(ctx, what)
+	err := courier.Execute(ctx, what)
 	s.log.Info("call", "what", r.URL.Path, "from", r.RemoteAddr, "fault", err)
 	switch {
-	case errors.Is(err, ErrUnknown):
+	case errors.Is(err, ErrUnknownEndpoint):
 		http.Error(w, err.Error(), http.StatusNotFound)
 	case err != nil:
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
@@ -209,15 +209,15 @@
 }
 
 // crowd bounds the connections: where one more comes, that which has brought no whole call for longest is closed.
-type crowd struct {
+type limitedListener struct {
 	net.Listener
-	most  int
-	mu    sync.Mutex
-	order []net.Conn        // oldest first
-	asks  map[net.Conn]bool // brought something
+	limit  int
+	mu     sync.Mutex
+	order  []net.Conn        // oldest first
+	active map[net.Conn]bool // brought something
 }
 
-func (c *crowd) Accept() (net.Conn, error) {
+func (c *limitedListener) Accept() (net.Conn, error) {
 	conn, err := c.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -225,10 +225,10 @@
 	c.mu.Lock()
 	c.order = append(c.order, conn)
 	var dumb net.Conn
-	if len(c.order) > c.most {
+	if len(c.order) > c.limit {
 		dumb = c.order[0]
 		for _, o := range c.order[:len(c.order)-1] { // one that brings nothing goes before one that has begun a call
-			if !c.asks[o] {
+			if !c.active[o] {
 				dumb = o
 				break
 			}
@@ -243,8 +243,8 @@
 }
 
 // drop forgets a connection; the caller holds the lock.
-func (c *crowd) drop(conn net.Conn) {
-	delete(c.asks, conn)
+func (c *limitedListener) drop(conn net.Conn) {
+	delete(c.active, conn)
 	for i, o := range c.order {
 		if o == conn {
 			c.order = append(c.order[:i:i], c.order[i+1:]...)
@@ -253,13 +253,13 @@
 	}
 }
 
-func (c *crowd) state(conn net.Conn, state http.ConnState) {
+func (c *limitedListener) state(conn net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch state {
 	case http.StateActive:
 		if slices.Contains(c.order, conn) {
-			c.asks[conn] = true
+			c.active[conn] = true
 		}
 	case http.StateClosed, http.StateHijacked:
 		c.drop(conn)
--- a/admin/admin_test.go
+++ b/admin/admin_test.go
@@ -22,30 +22,30 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // desk stands in for the courier and writes down what it was asked.
-type desk struct {
-	mu      sync.Mutex
-	serving bool
-	asked   []string
-	hangs   bool
+type fakeCourier struct {
+	mu       sync.Mutex
+	serving  bool
+	commands []string
+	hanging  bool
 }
 
-func (d *desk) Serving() bool { return d.serving }
+func (d *fakeCourier) Serving() bool { return d.serving }
 
-func (d *desk) Figures() *Figures {
-	return &Figures{Success: map[string]int64{"update": 3}, Overload: map[string]int64{"update": 0}, Error: map[string]int64{"update": 1},
+func (d *fakeCourier) Metrics() *Metrics {
+	return &Metrics{Success: map[string]int64{"update": 3}, Overload: map[string]int64{"update": 0}, Error: map[string]int64{"update": 1},
 		Dispatches: 5, Concurrent: 2, Targets: 4, TargetsDisabled: 1}
 }
 
-func (d *desk) Ask(ctx context.Context, what any) error {
-	if d.hangs {
+func (d *fakeCourier) Execute(ctx context.Context, what any) error {
+	if d.hanging {
 		<-ctx.Done()
 		return ctx.Err()
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.asked = append(d.asked, fmt.Sprint(what))
-	if m, ok := what.(Maintain); ok && m.Endpoint == "stranger" {
-		return ErrUnknown
+	d.commands = append(d.commands, fmt.Sprint(what))
+	if m, ok := what.(SetDisabled); ok && m.Endpoint == "stranger" {
+		return ErrUnknownEndpoint
 	}
 	return nil
 }
@@ -102,8 +102,8 @@
 			t.Errorf("%s before there is a courier: %d", path, status)
 		}
 	}
-	d := &desk{serving: true}
-	s.Stand(d)
+	d := &fakeCourier{serving: true}
+	s.SetCourier(d)
 	head := strings.Repeat("x", 2*maxHead)
 	for text, want := range map[string]int{
 		call("GET", "/status"):                     200,
@@ -133,7 +133,7 @@
 		}
 	}
 	counts := map[string]int{}
-	for _, a := range d.asked {
+	for _, a := range d.commands {
 		counts[a]++
 	}
 	for what, n := range map[string]int{"{s-1 true}": 2, "{s-1 false}": 2, "{true}": 2, "{false}": 2} {
@@ -142,11 +142,11 @@
 		}
 	}
 	_, body := raw(t, addr, call("GET", "/status/metrics"), 999)
-	var f Figures
+	var f Metrics
 	if err := json.Unmarshal([]byte(body), &f); err != nil || f.Success["update"] != 3 || f.Dispatches != 5 || f.TargetsDisabled != 1 {
 		t.Errorf("%v: %s", err, body)
 	}
-	d.serving, d.hangs = false, true
+	d.serving, d.hanging = false, true
 	if status, _ := raw(t, addr, call("GET", "/status"), 999); status != 503 {
 		t.Errorf("clients are not taken, and status says %d", status)
 	}
@@ -160,7 +160,7 @@
 // found none.
 func TestHeldConnections(t *testing.T) {
 	s, addr := begin(t, 4)
-	s.Stand(&desk{serving: true})
+	s.SetCourier(&fakeCourier{serving: true})
 	var dumb []net.Conn
 	for i := range 40 {
 		conn, err := net.Dial("tcp", addr)
--- a/admin/golden_test.go
+++ b/admin/golden_test.go
@@ -18,22 +18,22 @@
 
 func (recordedCourier) Serving() bool { return true }
 
-func (recordedCourier) Figures() *Figures {
-	var f Figures
+func (recordedCourier) Metrics() *Metrics {
+	var f Metrics
 	golden.Fill(&f)
 	return &f
 }
 
-func (recordedCourier) Ask(_ context.Context, what any) error {
-	if m, ok := what.(Maintain); ok && m.Endpoint == "unknown" {
-		return ErrUnknown
+func (recordedCourier) Execute(_ context.Context, what any) error {
+	if m, ok := what.(SetDisabled); ok && m.Endpoint == "unknown" {
+		return ErrUnknownEndpoint
 	}
 	return nil
 }
 
 // TestPagesAreAsRecorded: status and text of each call, without and with a courier behind the address.
 func TestPagesAreAsRecorded(t *testing.T) {
-	golden.Tagged(t, Figures{})
+	golden.Tagged(t, Metrics{})
 	var pages strings.Builder
 	s := &Server{log: slog.New(slog.DiscardHandler)}
 	handler := s.handler()
@@ -45,7 +45,7 @@
 	}
 	for _, courier := range []Courier{nil, recordedCourier{}} {
 		if courier != nil {
-			s.Stand(courier)
+			s.SetCourier(courier)
 		}
 		fmt.Fprintf(&pages, "with a courier: %v\n", courier != nil)
 		for _, path := range []string{"/status", "/status/metrics", "/peers", "/commons", "/nonsense", "/status/"} {
--- a/atomicfile/atomicfile.go
+++ b/atomicfile/atomicfile.go
@@ -24,8 +24,8 @@
 	ErrTooLarge = errors.New("too large")
 )
 
-// Seal makes a file's content of a text.
-func Seal(magic string, version uint32, text []byte) []byte {
+// Encode makes a file's content of a text.
+func Encode(magic string, version uint32, text []byte) []byte {
 	out := make([]byte, HeadSize, HeadSize+len(text))
 	copy(out[:4], magic)
 	binary.BigEndian.PutUint32(out[4:], version)
@@ -34,8 +34,8 @@
 	return append(out, text...)
 }
 
-// Open takes the text out of a file's content.
-func Open(magic string, content []byte) (version uint32, text []byte, err error) {
+// Decode takes the text out of a file's content.
+func Decode(magic string, content []byte) (version uint32, text []byte, err error) {
 	if len(content) < HeadSize || string(content[:4]) != magic {
 		return 0, nil, fmt.Errorf("%w: no head", ErrTorn)
 	}
@@ -71,8 +71,8 @@
 	return os.ReadFile(path)
 }
 
-// Sweep removes what writes of a file left behind that were cut off, and returns how much there was.
-func Sweep(dir, name string) (removed int) {
+// RemoveLeftovers removes what writes of a file left behind that were cut off, and returns how much there was.
+func RemoveLeftovers(dir, name string) (removed int) {
 	names, err := filepath.Glob(filepath.Join(dir, "."+name+"*"))
 	if err != nil {
 		return 0
--- a/cmd/pineport/config.go
+++ b/cmd/pineport/config.go
@@ -39,11 +39,11 @@
 	if len(args) > 0 {
 		f.config = args[0]
 	}
-	s, err := f.sources()
+	sources, err := f.sources()
 	if err != nil {
 		return nil, err
 	}
-	return config.ReadDocument(s)
+	return config.ReadDocument(sources)
 }
 
 func configCheckCmd() *cobra.Command {
@@ -97,14 +97,14 @@
 	case "json":
 		return printJSON(out, plans)
 	case "table":
-		w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
+		table := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 		if len(plans) == 0 {
-			fmt.Fprintln(w, "nothing would change")
+			fmt.Fprintln(table, "nothing would change")
 		}
 		for _, p := range plans {
-			fmt.Fprintf(w, "%s\t%s -> %s\t%s\n", p.Key, cmp.Or(p.Old, "-"), cmp.Or(p.New, "-"), p.Effect)
+			fmt.Fprintf(table, "%s\t%s -> %s\t%s\n", p.Key, cmp.Or(p.Old, "-"), cmp.Or(p.New, "-"), p.Effect)
 		}
-		return w.Flush()
+		return table.Flush()
 	}
 	return errors.New("--output: table or json was expected")
 }
@@ -131,12 +131,12 @@
 			if output == "json" {
 				return printJSON(cmd.OutOrStdout(), doc.Values)
 			}
-			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 8, 2, ' ', 0)
+			table := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 8, 2, ' ', 0)
 			for _, path := range paths {
 				v := doc.Values[path]
-				fmt.Fprintf(w, "%s\t%s\t%s\n", path, v.Text, source(doc.File, v))
+				fmt.Fprintf(table, "%s\t%s\t%s\n", path, v.Text, source(doc.File, v))
 			}
-			if err := w.Flush(); err != nil {
+			if err := table.Flush(); err != nil {
 				return err
 			}
 			return doc.Err()
--- a/cmd/pineport/crowd_test.go
+++ b/cmd/pineport/crowd_test.go
@@ -98,18 +98,18 @@
 		downFor   = 5 * time.Second
 		backAfter = 6 * time.Second // what is told counts as told by then
 	)
-	w, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
+	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.Close()
+	defer world.Close()
 	discovery, letGo, err := port.Reserve()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer letGo()
-	w.Discovery = discovery
-	c := newCourier(t, w)
+	world.Discovery = discovery
+	c := newCourier(t, world)
 	c.rewrite(`"sockets": 1024`, fmt.Sprintf(`"sockets": %d`, sockets))
 	c.start()
 	limit := unix.Rlimit{Cur: sockets, Max: sockets}
@@ -128,7 +128,7 @@
 	}
 	asked := make(chan time.Time, 1)
 	list := fmt.Sprintf(`{"seq":9,"whole":true,"hosts":[{"host":"s-9","dial":%q,"site":"a","class":"plain","block":2,`+
-		`"health":"in_service","share":50.0,"born_ms":0}]}`, w.Endpoints[0])
+		`"health":"in_service","share":50.0,"born_ms":0}]}`, world.Endpoints[0])
 	var calls atomic.Int64
 	server := &http.Server{Handler: http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		if calls.Add(1) > 1 {
@@ -157,5 +157,5 @@
 		got := c.ask(strings.Replace(enqueue("next", "update", 8000), "dest=1", "dest=2", 1))
 		return got[0] == "+OK"
 	})
-	waitFor(t, "next", 5*time.Second, func() bool { _, done, _ := w.Seen("next"); return done == 1 })
+	waitFor(t, "next", 5*time.Second, func() bool { _, done, _ := world.Seen("next"); return done == 1 })
 }
--- a/cmd/pineport/final_answer_test.go
+++ b/cmd/pineport/final_answer_test.go
@@ -72,17 +72,17 @@
 		lifetime  = 4 * time.Second
 		slack     = 500 * time.Millisecond
 	)
-	w, err := scripted.Open(4, fates())
+	world, err := scripted.Open(4, fates())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.Close()
+	defer world.Close()
 	hung := make(chan struct{})
 	var halfAnswered sync.Map
 	defer close(hung)
-	w.Endpoints[1] = rawEndpoint(t, func(net.Conn, string) { <-hung })
-	w.Endpoints[2] = rawEndpoint(t, func(conn net.Conn, _ string) { io.WriteString(conn, "HTTP/1.1 2x0 \x00\r\nContent-Length: -7\r\n\r\n") })
-	w.Endpoints[3] = rawEndpoint(t, func(conn net.Conn, id string) { // a head without an end; its first line is the delivery
+	world.Endpoints[1] = rawEndpoint(t, func(net.Conn, string) { <-hung })
+	world.Endpoints[2] = rawEndpoint(t, func(conn net.Conn, _ string) { io.WriteString(conn, "HTTP/1.1 2x0 \x00\r\nContent-Length: -7\r\n\r\n") })
+	world.Endpoints[3] = rawEndpoint(t, func(conn net.Conn, id string) { // a head without an end; its first line is the delivery
 		halfAnswered.Store(id, true)
 		for {
 			if _, err := io.WriteString(conn, "HTTP/1.1 200 OK\r\nX: y\r\n"); err != nil {
@@ -91,8 +91,8 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 	})
-	w.Lists = func(int) string { return "{]" } // discovery answers nothing that can be used
-	c := newCourier(t, w)
+	world.Lists = func(int) string { return "{]" } // discovery answers nothing that can be used
+	c := newCourier(t, world)
 	c.start()
 
 	var stopped atomic.Bool
@@ -129,7 +129,7 @@
 	delivered, noticed, refused := 0, 0, 0
 	for _, all := range replies {
 		for id, reply := range all {
-			_, done, notices := w.Seen(id)
+			_, done, notices := world.Seen(id)
 			if _, ok := halfAnswered.Load(id); ok {
 				done++
 			}
--- a/cmd/pineport/fleet.go
+++ b/cmd/pineport/fleet.go
@@ -23,7 +23,7 @@
 
 // enter makes this process a member of its fleet, where it is to be one, and returns what ends that. Records do not wait for
 // it, and a fault of it is told and stops nothing else.
-func (p *process) enter(ctx context.Context, router *server.Router, given *handoff.State) (end func()) {
+func (p *process) enter(ctx context.Context, router *server.Server, given *handoff.State) (end func()) {
 	dep, log := p.dep, p.log.With(logging.Component, "peers")
 	if !dep.Peers.On() {
 		if dep.Peers.Listen != "" {
@@ -32,13 +32,13 @@
 		return func() {}
 	}
 	member := make(chan *gossip.Member, 1)
-	router.Parted(func() *handoff.Peers {
+	router.OnHandoff(func() *handoff.Membership {
 		m := p.member.Swap(nil)
 		if m == nil {
 			return nil
 		}
-		go m.Hand() // at once, as its successor wants the address
-		return &handoff.Peers{Start: m.Start(), Members: m.Members()}
+		go m.HandOff() // at once, as its successor wants the address
+		return &handoff.Membership{Incarnation: m.Incarnation(), Members: m.Members()}
 	})
 	go func() {
 		m, x, err := p.join(ctx, router, given, log)
@@ -49,7 +49,7 @@
 		}
 		p.member.Store(m)
 		if p.desk != nil {
-			p.desk.Know(fleet{m, x})
+			p.desk.SetFleet(fleet{m, x})
 		}
 		member <- m
 		<-ctx.Done() // told to end, or ended: others hear it as early as clients do
@@ -71,11 +71,11 @@
 	}
 }
 
-func (p *process) join(ctx context.Context, router *server.Router, given *handoff.State, log *slog.Logger) (*gossip.Member, *exchange.Exchange, error) {
+func (p *process) join(ctx context.Context, router *server.Server, given *handoff.State, log *slog.Logger) (*gossip.Member, *exchange.Exchange, error) {
 	dep := p.dep
-	o := gossip.Options{Name: dep.Name, Couriers: dep.Charter.Couriers, Fleet: dep.Peers.Fleet, Listen: dep.Peers.Listen,
-		Advertise: dep.Peers.Advertise, Join: dep.Peers.Join, Key: dep.Peers.Key, Pace: dep.Peers.Pace, Salt: dep.Charter.Seed, Log: log, Reckon: router.Reckon,
-		Keep: func(start uint64) error { return incarnation.Keep(dep.Spool, dep.Name, start) }}
+	o := gossip.Options{Name: dep.Name, FleetSize: dep.Charter.Couriers, Fleet: dep.Peers.Fleet, Listen: dep.Peers.Listen,
+		Advertise: dep.Peers.Advertise, Join: dep.Peers.Join, Key: dep.Peers.Key, Interval: dep.Peers.Pace, Seed: dep.Charter.Seed, Log: log, SizeEstimated: router.FleetSizeEstimated,
+		StoreIncarnation: func(start uint64) error { return incarnation.Store(dep.Spool, dep.Name, start) }}
 	if z := int(dep.Charter.Zone); z < len(dep.Zones) {
 		o.Zone = dep.Zones[z]
 	}
@@ -83,11 +83,11 @@
 	if o.Through, err = gossip.Pairs(dep.Peers.Through); err != nil {
 		return nil, nil, err
 	}
-	if given != nil && given.Peers != nil { // the same member, going on
-		o.Start, o.Join = given.Peers.Start, append(given.Peers.Members, o.Join...)
+	if given != nil && given.Membership != nil { // the same member, going on
+		o.Incarnation, o.Join = given.Membership.Incarnation, append(given.Membership.Members, o.Join...)
 	} else {
 		var fault error
-		if o.Start, fault, err = incarnation.Next(dep.Spool, dep.Name); fault != nil {
+		if o.Incarnation, fault, err = incarnation.Next(dep.Spool, dep.Name); fault != nil {
 			log.Warn("the number of the last start is not known", "file", incarnation.Name, "fault", fault)
 		}
 		if err != nil {
@@ -95,18 +95,18 @@
 		}
 	}
 	var shares atomic.Pointer[exchange.Exchange]
-	o.Hear = func(text []byte) {
+	o.Receive = func(text []byte) {
 		if x := shares.Load(); x != nil {
-			x.Hear(text)
+			x.Receive(text)
 		}
 	}
 	for until := time.Now().Add(enterWithin); ; {
-		m, err := gossip.Open(o)
+		member, err := gossip.Open(o)
 		if err == nil && dep.Peers.Sharing() {
-			shares.Store(share(m, router, o))
+			shares.Store(share(member, router, o))
 		}
 		if err == nil || time.Now().After(until) {
-			return m, shares.Load(), err
+			return member, shares.Load(), err
 		}
 		select {
 		case <-ctx.Done():
@@ -117,18 +117,18 @@
 }
 
 // share has this courier lend and borrow parts of limits, at half the pace of membership or faster.
-func share(m *gossip.Member, router *server.Router, o gossip.Options) *exchange.Exchange {
+func share(member *gossip.Member, router *server.Server, o gossip.Options) *exchange.Exchange {
 	heard := func() (couriers int, alive []string) {
-		p := m.Picture()
+		p := member.Snapshot()
 		for _, one := range p.Members {
 			if one.State == membership.Alive {
 				alive = append(alive, string(one.Name))
 			}
 		}
-		return p.Most, alive
+		return p.MaxCouriers, alive
 	}
-	return exchange.Open(exchange.Options{Self: o.Name, Start: m.Start(), Beat: min(o.Pace/2, beatMost), Log: o.Log, Fleet: heard, Say: m.Say,
-		Needs: router.Needs, Share: router.Share})
+	return exchange.Open(exchange.Options{Self: o.Name, Incarnation: member.Incarnation(), Interval: min(o.Interval/2, beatMost), Log: o.Log, Fleet: heard, Send: member.Send,
+		Demands: router.Demands, Apply: router.ApplyShares})
 }
 
 // fleet is what operators see of it.
@@ -139,17 +139,17 @@
 
 // pictured is what GET /peers says.
 type pictured struct {
-	membership.Picture
-	Figures gossip.Figures `json:"figures"`
+	membership.Snapshot
+	Figures gossip.Metrics `json:"figures"`
 }
 
-func (f fleet) Look() any        { return pictured{f.m.Picture(), f.m.Figures()} }
-func (f fleet) Gone(name string) { f.m.Gone(name) }
+func (f fleet) Members() any       { return pictured{f.m.Snapshot(), f.m.Metrics()} }
+func (f fleet) Remove(name string) { f.m.Remove(name) }
 
-// Shared is what GET /commons says; nil where nothing is shared.
-func (f fleet) Shared() any {
+// Quota is what GET /commons says; nil where nothing is shared.
+func (f fleet) Quota() any {
 	if f.x != nil {
-		if s, ok := f.x.Shown(); ok {
+		if s, ok := f.x.Status(); ok {
 			return s
 		}
 	}
--- a/cmd/pineport/golden_test.go
+++ b/cmd/pineport/golden_test.go
@@ -33,7 +33,7 @@
 // TestOutputIsAsRecorded: what the commands print for scripts, over stored data that an earlier program wrote.
 func TestOutputIsAsRecorded(t *testing.T) {
 	golden.Tagged(t, pictured{})
-	golden.Tagged(t, exchange.Shown{})
+	golden.Tagged(t, exchange.Status{})
 	golden.Tagged(t, config.Plan{})
 	golden.Tagged(t, config.Value{})
 	t.Setenv("RELAY_CONFIG", "")
@@ -51,7 +51,7 @@
 	next := write("next.toml", strings.Replace(config.Example(), "slots = 20", "slots = 10", 1))
 
 	var members pictured
-	var shared exchange.Shown
+	var shared exchange.Status
 	golden.Fill(&members)
 	golden.Fill(&shared)
 	desk := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/cmd/pineport/learned_test.go
+++ b/cmd/pineport/learned_test.go
@@ -16,12 +16,12 @@
 // TestLearnedOverRestart: a courier that is killed while a destination is down knows so when it is back, and finds it out
 // by no more than a trial; after a planned end what it learned last is there. A spoilt file stops nothing.
 func TestLearnedOverRestart(t *testing.T) {
-	w, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 0} })
+	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 0} })
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.Close()
-	c := newCourier(t, w)
+	defer world.Close()
+	c := newCourier(t, world)
 	c.start()
 	hand := func(round string) (calls int) {
 		var all []string
@@ -31,8 +31,8 @@
 		c.ask(all...)
 		for i := range 12 {
 			id := fmt.Sprintf("%s-%d", round, i)
-			waitFor(t, id, 6*time.Second, func() bool { _, _, notices := w.Seen(id); return len(notices) > 0 })
-			began, _, _ := w.Seen(id)
+			waitFor(t, id, 6*time.Second, func() bool { _, _, notices := world.Seen(id); return len(notices) > 0 })
+			began, _, _ := world.Seen(id)
 			calls += began
 		}
 		return calls
@@ -51,9 +51,9 @@
 	if err := c.cmd.Wait(); err != nil {
 		t.Fatal(err)
 	}
-	s, err := snapshot.Read(filepath.Join(c.dir, "state"), "n0", 0, 1<<20)
-	if err != nil || len(s.Lore.Groups) != 1 || !s.Lore.Groups[0].Outage {
-		t.Errorf("after a planned end: %+v, %v", s, err)
+	state, err := snapshot.Read(filepath.Join(c.dir, "state"), "n0", 0, 1<<20)
+	if err != nil || len(state.Snapshot.Groups) != 1 || !state.Snapshot.Groups[0].Outage {
+		t.Errorf("after a planned end: %+v, %v", state, err)
 	}
 	if err := os.WriteFile(file, []byte("spoilt"), 0o600); err != nil {
 		t.Fatal(err)
--- a/cmd/pineport/main.go
+++ b/cmd/pineport/main.go
@@ -43,25 +43,25 @@
 }
 
 func (f *flags) sources() (config.Sources, error) {
-	s := config.Sources{Getenv: os.Getenv, File: f.config, State: f.state, Set: map[string]string{}}
+	sources := config.Sources{Getenv: os.Getenv, File: f.config, State: f.state, Set: map[string]string{}}
 	for _, pair := range f.set {
 		key, value, ok := strings.Cut(pair, "=")
 		if _, known := config.Lookup(key); !ok || !known {
-			return s, fmt.Errorf("--set %s: KEY=VALUE with a known key was expected", pair)
+			return sources, fmt.Errorf("--set %s: KEY=VALUE with a known key was expected", pair)
 		}
-		s.Set[key] = value
+		sources.Set[key] = value
 	}
-	return s, nil
+	return sources, nil
 }
 
 func root() *cobra.Command {
 	var f flags
 	start := func(*cobra.Command, []string) error {
-		s, err := f.sources()
+		sources, err := f.sources()
 		if err != nil {
 			return err
 		}
-		return run(s, os.Stderr)
+		return run(sources, os.Stderr)
 	}
 	cmd := &cobra.Command{
 		Use:   "pineport",
--- a/cmd/pineport/main_test.go
+++ b/cmd/pineport/main_test.go
@@ -52,7 +52,7 @@
 	os.Exit(code)
 }
 
-func newCourier(t *testing.T, w *scripted.World) *courier {
+func newCourier(t *testing.T, world *scripted.World) *courier {
 	t.Helper()
 	dir := t.TempDir()
 	c := &courier{t: t, dir: dir, binary: binary()}
@@ -65,7 +65,7 @@
 	if err := os.Mkdir(filepath.Join(dir, "state"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(filepath.Join(dir, "config.json"), w.Configuration("n0", c.listen), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, "config.json"), world.Configuration("n0", c.listen), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
@@ -202,12 +202,12 @@
 // TestKilledAndBack: each record taken on ends once, over a SIGKILL and a SIGTERM in the midst of calls, and no
 // single-use record is begun twice.
 func TestKilledAndBack(t *testing.T) {
-	w, err := scripted.Open(2, fates())
+	world, err := scripted.Open(2, fates())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.Close()
-	c := newCourier(t, w)
+	defer world.Close()
+	c := newCourier(t, world)
 	c.start()
 	var ids []string
 	hand := func(round string) {
@@ -249,7 +249,7 @@
 	c.start()
 	for _, id := range ids {
 		waitFor(t, id, 25*time.Second, func() bool {
-			_, done, notices := w.Seen(id)
+			_, done, notices := world.Seen(id)
 			return done > 0 || len(notices) > 0
 		})
 	}
@@ -257,7 +257,7 @@
 		t.Error("nothing was taken up again after the SIGKILL")
 	}
 	for _, id := range ids {
-		began, done, notices := w.Seen(id)
+		began, done, notices := world.Seen(id)
 		if strings.Contains(id, "order") && began > 1 {
 			t.Errorf("%s is single-use and was begun %d times", id, began)
 		}
@@ -275,12 +275,12 @@
 
 // TestBadInput: an error reply for what can't be used, and the connection goes on or closes as it should.
 func TestBadInput(t *testing.T) {
-	w, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
+	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.Close()
-	c := newCourier(t, w)
+	defer world.Close()
+	c := newCourier(t, world)
 	c.start()
 	got := c.ask(command("NONSENSE"), command("PING", "x"), command("ENQUEUE", "0"), enqueue("x", "nobody", 5), command("ENQUEUE", "0",
 		"x", "c=update,dest=1", ""), command("ENQUEUE", "0", "x", "c=update,d=1", ""), command("ping"), enqueue("y", "update", 8000))
@@ -298,17 +298,17 @@
 		got[1] != "+OK" {
 		t.Errorf("an unknown destination, and an id that is there: %v", got)
 	}
-	if began, _, _ := w.Seen("x"); began > 0 {
+	if began, _, _ := world.Seen("x"); began > 0 {
 		t.Error("what could not be used was sent")
 	}
 	// Handed in again it is another record if the first was done by then, as on a loaded machine.
-	waitFor(t, "y", 5*time.Second, func() bool { _, done, _ := w.Seen("y"); return done >= 1 })
+	waitFor(t, "y", 5*time.Second, func() bool { _, done, _ := world.Seen("y"); return done >= 1 })
 }
 
 // TestReload: on SIGHUP a faulty file changes nothing and its key is logged; a sound one moves watch and notices, those
 // not confirmed too, while what is held stays. Twice in a row, beside records that come in.
 func TestReload(t *testing.T) {
-	w, err := scripted.Open(1, func(id string) scripted.Fate {
+	world, err := scripted.Open(1, func(id string) scripted.Fate {
 		switch id[:4] {
 		case "slow":
 			return scripted.Fate{Status: 200, After: 900 * time.Millisecond}
@@ -320,8 +320,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.Close()
-	c := newCourier(t, w)
+	defer world.Close()
+	c := newCourier(t, world)
 	c.start()
 	file := filepath.Join(c.dir, "config.json")
 	reload := func(text []byte, says string) {
@@ -334,39 +334,39 @@
 		waitFor(t, says, 5*time.Second, func() bool { return strings.Count(c.said(), says) > before })
 	}
 	reload([]byte(`{"name":"n0"}`), "listen: ")
-	reload([]byte(strings.ReplaceAll(string(w.Configuration("n0", c.listen)), w.Discovery, "nowhere")), "discovery: ")
+	reload([]byte(strings.ReplaceAll(string(world.Configuration("n0", c.listen)), world.Discovery, "nowhere")), "discovery: ")
 	for round := range 2 {
-		w.MuteNotices(100) // the old address confirms nothing any more
+		world.MuteNotices(100) // the old address confirms nothing any more
 		var all []string
 		for _, kind := range []string{"slow", "fail"} {
 			all = append(all, enqueue(fmt.Sprintf("%s-%d", kind, round), "order", 8000))
 		}
 		c.ask(all...)
 		time.Sleep(600 * time.Millisecond) // one has failed, and its notice is out
-		leave, err := w.Move()
+		leave, err := world.Move()
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.MuteNotices(0)
-		if err := w.Grow(2 + round); err != nil {
+		world.MuteNotices(0)
+		if err := world.Grow(2 + round); err != nil {
 			t.Fatal(err)
 		}
-		reload(w.Configuration("n0", c.listen), "read anew")
+		reload(world.Configuration("n0", c.listen), "read anew")
 		leave()
 		waitFor(t, "notice", 2*time.Second, func() bool {
-			_, _, notices := w.Seen(fmt.Sprintf("fail-%d", round))
+			_, _, notices := world.Seen(fmt.Sprintf("fail-%d", round))
 			return len(notices) > 0
 		})
 		waitFor(t, "slow", 2*time.Second, func() bool {
-			_, done, _ := w.Seen(fmt.Sprintf("slow-%d", round))
+			_, done, _ := world.Seen(fmt.Sprintf("slow-%d", round))
 			return done == 1
 		})
 		id := fmt.Sprintf("next-%d", round) // to a destination that only the new address knows of
 		c.ask(strings.Replace(enqueue(id, "update", 8000), "dest=1", fmt.Sprint("dest=", 2+round), 1))
-		waitFor(t, id, 2*time.Second, func() bool { _, done, _ := w.Seen(id); return done == 1 })
+		waitFor(t, id, 2*time.Second, func() bool { _, done, _ := world.Seen(id); return done == 1 })
 	}
 	for round := range 2 {
-		if began, _, _ := w.Seen(fmt.Sprintf("slow-%d", round)); began != 1 {
+		if began, _, _ := world.Seen(fmt.Sprintf("slow-%d", round)); began != 1 {
 			t.Errorf("round %d: begun %d times", round, began)
 		}
 	}
@@ -381,12 +381,12 @@
 // TestHostileClients: hundreds of silent connections, half commands, endless lines and huge values at once; each is
 // closed or told of its fault within 3 s, and usual clients are served beside them. Nothing of it is taken on.
 func TestHostileClients(t *testing.T) {
-	w, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
+	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.Close()
-	c := newCourier(t, w)
+	defer world.Close()
+	c := newCourier(t, world)
 	c.start()
 	half := enqueue("half", "update", 8000)
 	bad := []string{"", "*5\r\n$7\r\nENQ", half[:len(half)-3], strings.Repeat("y", 1<<20), "*1\r\n$60000000\r\n" + strings.Repeat("z", 60_000_000),
@@ -417,10 +417,10 @@
 	all.Wait()
 	for i := range 20 {
 		id := fmt.Sprintf("usual-%d", i)
-		waitFor(t, id, 5*time.Second, func() bool { _, done, _ := w.Seen(id); return done == 1 })
+		waitFor(t, id, 5*time.Second, func() bool { _, done, _ := world.Seen(id); return done == 1 })
 	}
 	for _, id := range []string{"half", "none"} {
-		if began, _, notices := w.Seen(id); began > 0 || len(notices) > 0 {
+		if began, _, notices := world.Seen(id); began > 0 || len(notices) > 0 {
 			t.Errorf("%s was taken on", id)
 		}
 	}
@@ -429,15 +429,15 @@
 // TestStoodStill: a process that stood still takes its own delay for nobody's silence. The answers are there when it
 // goes on, so nothing goes twice though every limit has passed.
 func TestStoodStill(t *testing.T) {
-	w, err := scripted.Open(1, fates())
+	world, err := scripted.Open(1, fates())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.Close()
-	c := newCourier(t, w)
+	defer world.Close()
+	c := newCourier(t, world)
 	c.start()
 	seen := func(id string) func() bool {
-		return func() bool { _, done, _ := w.Seen(id); return done > 0 }
+		return func() bool { _, done, _ := world.Seen(id); return done > 0 }
 	}
 	for i := range 40 { // so that it expects quick answers, and waits little longer than 2 s
 		id := fmt.Sprintf("okay-%d", i)
@@ -458,7 +458,7 @@
 	}
 	time.Sleep(time.Second)
 	for i := range 5 {
-		if began, done, notices := w.Seen(fmt.Sprintf("slow-%d", i)); began != 1 || done != 1 || len(notices) > 0 {
+		if began, done, notices := world.Seen(fmt.Sprintf("slow-%d", i)); began != 1 || done != 1 || len(notices) > 0 {
 			t.Errorf("slow-%d: begun %d times, done %d, notices %v", i, began, done, notices)
 		}
 	}
@@ -466,12 +466,12 @@
 
 // TestManyClients: more connections than there is room for, some stuck in a command; one that asks is still served.
 func TestManyClients(t *testing.T) {
-	w, err := scripted.Open(1, fates())
+	world, err := scripted.Open(1, fates())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.Close()
-	c := newCourier(t, w)
+	defer world.Close()
+	c := newCourier(t, world)
 	c.start()
 	for i := range 700 {
 		conn, err := net.Dial("tcp", c.listen)
@@ -486,7 +486,7 @@
 	if got := c.ask(enqueue("okay", "update", 20000)); got[0] != "+OK" {
 		t.Error(got)
 	}
-	waitFor(t, "okay", 5*time.Second, func() bool { _, done, _ := w.Seen("okay"); return done == 1 })
+	waitFor(t, "okay", 5*time.Second, func() bool { _, done, _ := world.Seen("okay"); return done == 1 })
 	fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", c.cmd.Process.Pid))
 	if err != nil {
 		t.Skip("no /proc here")
--- a/cmd/pineport/ops_test.go
+++ b/cmd/pineport/ops_test.go
@@ -18,9 +18,9 @@
 )
 
 // operated is a courier with an address for operators, that serves.
-func operated(t *testing.T, w *scripted.World) *courier {
+func operated(t *testing.T, world *scripted.World) *courier {
 	t.Helper()
-	c := newCourier(t, w)
+	c := newCourier(t, world)
 	c.ops = freePort(t)
 	c.start()
 	return c
@@ -65,7 +65,7 @@
 	}
 }
 
-func (c *courier) figures() (f admin.Figures) {
+func (c *courier) figures() (f admin.Metrics) {
 	c.t.Helper()
 	status, body := c.call("GET", "/status/metrics")
 	if err := json.Unmarshal(body, &f); status != 200 || err != nil {
@@ -76,12 +76,12 @@
 
 // TestFigures holds each figure against what the world around the courier saw. Failure: there were none.
 func TestFigures(t *testing.T) {
-	w, err := scripted.Open(2, fates())
+	world, err := scripted.Open(2, fates())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.Close()
-	c := operated(t, w)
+	defer world.Close()
+	c := operated(t, world)
 	if f := c.figures(); f.Success["order"] != 0 || len(f.Success) != 2 || len(f.Overload) != 2 || len(f.Error) != 2 || f.Targets != 2 {
 		t.Errorf("at the start: %+v", f)
 	}
@@ -94,7 +94,7 @@
 			}
 		}
 	}
-	want := admin.Figures{Success: map[string]int64{}, Overload: map[string]int64{}, Error: map[string]int64{}}
+	want := admin.Metrics{Success: map[string]int64{}, Overload: map[string]int64{}, Error: map[string]int64{}}
 	taken := map[string]bool{}
 	for i, line := range c.ask(all...) {
 		if taken[ids[i]] = line == "+OK"; !taken[ids[i]] {
@@ -107,11 +107,11 @@
 			continue
 		}
 		waitFor(t, id, 10*time.Second, func() bool {
-			_, done, notices := w.Seen(id)
+			_, done, notices := world.Seen(id)
 			return done > 0 || len(notices) > 0
 		})
 		workload := strings.Split(id, "-")[1]
-		switch _, done, notices := w.Seen(id); {
+		switch _, done, notices := world.Seen(id); {
 		case done > 0:
 			want.Success[workload]++
 		case notices[0] == "deferred":
@@ -122,7 +122,7 @@
 	}
 	waitFor(t, "the figures of what has ended", 5*time.Second, func() bool {
 		f := c.figures()
-		same := f.Concurrent == 0 && f.Dispatches == int64(w.Calls(0)+w.Calls(1))
+		same := f.Concurrent == 0 && f.Dispatches == int64(world.Calls(0)+world.Calls(1))
 		for _, workload := range []string{"update", "order"} {
 			same = same && f.Success[workload] == want.Success[workload] && f.Overload[workload] == want.Overload[workload] &&
 				f.Error[workload] == want.Error[workload]
@@ -137,12 +137,12 @@
 // TestMaintenance: an endpoint that people have taken out gets nothing until it is put back, over a reload and a kill.
 // Failure: the ban was forgotten with the process, or an unknown endpoint was said to be out.
 func TestMaintenance(t *testing.T) {
-	w, err := scripted.Open(2, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
+	world, err := scripted.Open(2, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.Close()
-	c := operated(t, w)
+	defer world.Close()
+	c := operated(t, world)
 	n := 0
 	hand := func() {
 		t.Helper()
@@ -153,11 +153,11 @@
 		}
 		c.ask(all...)
 		for i := n - 19; i <= n; i++ {
-			waitFor(t, "a record", 8*time.Second, func() bool { _, done, _ := w.Seen(fmt.Sprint("okay-", i)); return done > 0 })
+			waitFor(t, "a record", 8*time.Second, func() bool { _, done, _ := world.Seen(fmt.Sprint("okay-", i)); return done > 0 })
 		}
 	}
 	hand()
-	if w.Calls(0) == 0 || w.Calls(1) == 0 {
+	if world.Calls(0) == 0 || world.Calls(1) == 0 {
 		t.Fatal("one endpoint gets nothing even so")
 	}
 	for _, verb := range []string{"enter", "exit"} {
@@ -168,7 +168,7 @@
 	c.yes("POST", "/maintenance/exit/s-0") // is not out: nothing changes
 	c.yes("POST", "/maintenance/enter/s-0")
 	c.yes("POST", "/maintenance/enter/s-0")
-	before := w.Calls(0)
+	before := world.Calls(0)
 	hand()
 	if f := c.figures(); f.Targets != 2 || f.TargetsDisabled != 1 {
 		t.Errorf("%+v", f)
@@ -180,12 +180,12 @@
 	c.cmd.Wait()
 	c.start()
 	hand()
-	if got := w.Calls(0); got != before {
+	if got := world.Calls(0); got != before {
 		t.Fatalf("%d calls to the endpoint that is out", got-before)
 	}
 	c.yes("POST", "/maintenance/exit/s-0")
 	for range 20 {
-		if hand(); w.Calls(0) > before {
+		if hand(); world.Calls(0) > before {
 			return
 		}
 	}
@@ -194,12 +194,12 @@
 
 // TestSentAway: a drain, and its undoing. Failure: clients were kept for as long as they stayed.
 func TestSentAway(t *testing.T) {
-	w, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
+	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.Close()
-	c := operated(t, w)
+	defer world.Close()
+	c := operated(t, world)
 	for round := range 2 {
 		kept, err := net.Dial("tcp", c.listen)
 		if err != nil {
@@ -228,7 +228,7 @@
 		if got := line(""); got != "+OK" {
 			t.Errorf("a message over a connection that is up: %s", got)
 		}
-		waitFor(t, id, 5*time.Second, func() bool { _, done, _ := w.Seen(id); return done == 1 })
+		waitFor(t, id, 5*time.Second, func() bool { _, done, _ := world.Seen(id); return done == 1 })
 		if got, err := in.ReadString('\n'); err != io.EOF {
 			t.Errorf("not closed between two requests: %q %v", got, err)
 		}
@@ -242,12 +242,12 @@
 
 // TestOpsUnderAFlood: an operator's call is answered in time beside clients at full speed on one core.
 func TestOpsUnderAFlood(t *testing.T) {
-	w, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
+	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.Close()
-	c := operated(t, w)
+	defer world.Close()
+	c := operated(t, world)
 	stop := make(chan struct{})
 	done := make(chan struct{})
 	for range 5 {
@@ -289,12 +289,12 @@
 
 // TestOpsTaken: faults of the address are told at the start.
 func TestOpsTaken(t *testing.T) {
-	w, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
+	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.Close()
-	c := operated(t, w)
+	defer world.Close()
+	c := operated(t, world)
 	for _, addr := range []string{c.ops, c.listen, "nowhere"} {
 		out, err := c.second(addr)
 		if err == nil || !strings.Contains(out, "ops") {
--- a/cmd/pineport/peers.go
+++ b/cmd/pineport/peers.go
@@ -71,12 +71,12 @@
 				if err != nil {
 					return err
 				}
-				if p.Number != last || last == 0 {
+				if p.Version != last || last == 0 {
 					if err := show(cmd.OutOrStdout(), ""); err != nil {
 						return err
 					}
 				}
-				last = p.Number
+				last = p.Version
 				select {
 				case <-cmd.Context().Done():
 					return nil
@@ -103,11 +103,11 @@
 // askDesk asks a courier at its operators' address: the one given, or ops of its configuration.
 func askDesk(f *flags, addr, method, path string) ([]byte, error) {
 	if addr == "" {
-		s, err := f.sources()
+		sources, err := f.sources()
 		if err != nil {
 			return nil, err
 		}
-		doc, err := config.ReadDocument(s)
+		doc, err := config.ReadDocument(sources)
 		if err != nil {
 			return nil, err
 		}
@@ -134,13 +134,13 @@
 }
 
 func showPeers(out io.Writer, p pictured) error {
-	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
-	fmt.Fprintf(w, "courier %s, start %d: %s; %d to %d couriers; %d taken back, %d words on old starts\n\n", p.Self, p.Start, p.Standing,
-		p.Least, p.Most, p.Revoked, p.Stale)
-	fmt.Fprintln(w, "NAME\tSTATE\tSTART\tSINCE\tZONE\tADDRESS")
+	table := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
+	fmt.Fprintf(table, "courier %s, start %d: %s; %d to %d couriers; %d taken back, %d words on old starts\n\n", p.Self, p.Incarnation, p.LocalStatus,
+		p.MinCouriers, p.MaxCouriers, p.Revoked, p.StaleReports)
+	fmt.Fprintln(table, "NAME\tSTATE\tSTART\tSINCE\tZONE\tADDRESS")
 	for _, m := range p.Members {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\n", m.Name, m.Is, m.Start, (time.Duration(m.Since) * time.Microsecond).Round(time.Millisecond),
-			cmp.Or(m.Zone, "-"), cmp.Or(m.At, "-"))
+		fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%s\t%s\n", m.Name, m.StateName, m.Incarnation, (time.Duration(m.Since) * time.Microsecond).Round(time.Millisecond),
+			cmp.Or(m.Zone, "-"), cmp.Or(m.Address, "-"))
 	}
-	return w.Flush()
+	return table.Flush()
 }
--- a/cmd/pineport/peers_test.go
+++ b/cmd/pineport/peers_test.go
@@ -59,13 +59,13 @@
 // TestNoTalkWhereBarred: where the charter has no peers, as at Dakar, there is no socket and no byte, the key set or not, and
 // nothing is counted or kept of it.
 func TestNoTalkWhereBarred(t *testing.T) {
-	w := upgradeWorld(t)
+	world := upgradeWorld(t)
 	heard, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer heard.Close()
-	c := newCourier(t, w)
+	c := newCourier(t, world)
 	c.ops = freePort(t)
 	listen := talk(t, c.dir, false, heard.LocalAddr().String())
 	c.start()
@@ -98,18 +98,18 @@
 
 // TestUpgradeIsOneMember: over an upgrade the fleet sees one member with one start, never given up; a restart is a new start.
 func TestUpgradeIsOneMember(t *testing.T) {
-	w := upgradeWorld(t)
-	p := newPlatform(t, w)
+	world := upgradeWorld(t)
+	p := newPlatform(t, world)
 	at := talk(t, p.dir, true)
-	other, err := gossip.Open(gossip.Options{Name: "other", Start: 1, Couriers: 2, Fleet: "f", Listen: freePort(t), Join: []string{at}, Pace: 100 * time.Millisecond})
+	other, err := gossip.Open(gossip.Options{Name: "other", Incarnation: 1, FleetSize: 2, Fleet: "f", Listen: freePort(t), Join: []string{at}, Interval: 100 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer other.Hand()
+	defer other.HandOff()
 	seen := func() (state string, start uint64) {
-		for _, m := range other.Picture().Members {
+		for _, m := range other.Snapshot().Members {
 			if m.Name == "n0" {
-				return m.State.String(), uint64(m.Start)
+				return m.State.String(), uint64(m.Incarnation)
 			}
 		}
 		return "", 0
@@ -135,7 +135,7 @@
 		}
 		old = next
 	}
-	load.end(w, 3)
+	load.end(world, 3)
 	out, err := tool("peers", "ls", "--ops", old.ops)
 	if err != nil || !strings.Contains(out, "other") || !strings.Contains(out, "whole") {
 		t.Errorf("peers ls: %v\n%s", err, out)
@@ -155,7 +155,7 @@
 	last := p.begin(p.binary)
 	p.must(last)
 	waitFor(t, "its next start", 10*time.Second, func() bool { s, start := seen(); return s == "alive" && start == first+1 })
-	if other.Picture().Revoked > 0 {
-		t.Errorf("%d deaths were believed that were none", other.Picture().Revoked)
+	if other.Snapshot().Revoked > 0 {
+		t.Errorf("%d deaths were believed that were none", other.Snapshot().Revoked)
 	}
 }
--- a/cmd/pineport/quota.go
+++ b/cmd/pineport/quota.go
@@ -23,7 +23,7 @@
 			if err != nil {
 				return err
 			}
-			var s exchange.Shown
+			var s exchange.Status
 			if err := json.Unmarshal(text, &s); err != nil {
 				return err
 			}
@@ -44,15 +44,15 @@
 	return cmd
 }
 
-func showCommons(out io.Writer, s exchange.Shown) error {
-	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
-	fmt.Fprintf(w, "%d asks, %d lent, %d taken, %d late or unasked; %d packets out (%d bytes), %d in, %d spoilt, %d dropped\n\n", s.Sums.Asked, s.Sums.Lent,
-		s.Sums.Taken, s.Sums.Late, s.Out, s.BytesOut, s.In, s.Spoilt, s.Dropped)
-	fmt.Fprintln(w, "DESTINATION\tENDPOINT\tLIMIT/s\tPART %\tLENT %\tBORROWED %\tOWN USE %\tALL USE %\tHEARD\tCALLS\tDONE\tREFUSED")
+func showCommons(out io.Writer, s exchange.Status) error {
+	table := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
+	fmt.Fprintf(table, "%d asks, %d lent, %d taken, %d late or unasked; %d packets out (%d bytes), %d in, %d spoilt, %d dropped\n\n", s.Counters.Requested, s.Counters.Granted,
+		s.Counters.Leased, s.Counters.Late, s.PacketsOut, s.BytesOut, s.PacketsIn, s.PacketsMalformed, s.PacketsDropped)
+	fmt.Fprintln(table, "DESTINATION\tENDPOINT\tLIMIT/s\tPART %\tLENT %\tBORROWED %\tOWN USE %\tALL USE %\tHEARD\tCALLS\tDONE\tREFUSED")
 	percent := func(ppm int64) string { return fmt.Sprintf("%.1f", float64(ppm)/1e4) }
-	for _, l := range s.Lines {
-		fmt.Fprintf(w, "%d\t%s\t%.1f\t%s\t%s\t%s\t%s\t%.0f\t%d\t%d\t%d\t%d\n", l.Dest, cmp.Or(l.Endpoint, "-"), l.Limit, percent(int64(l.Base)),
-			percent(int64(l.Lent)), percent(int64(l.Borrowed)), percent(int64(l.Usage)), 100*l.Load, l.Heard, l.Calls, l.Done, l.Refused)
+	for _, l := range s.Groups {
+		fmt.Fprintf(table, "%d\t%s\t%.1f\t%s\t%s\t%s\t%s\t%.0f\t%d\t%d\t%d\t%d\n", l.Dest, cmp.Or(l.Endpoint, "-"), l.Limit, percent(int64(l.Base)),
+			percent(int64(l.Granted)), percent(int64(l.Leased)), percent(int64(l.Usage)), 100*l.Load, l.CouriersHeard, l.Calls, l.Delivered, l.Throttled)
 	}
-	return w.Flush()
+	return table.Flush()
 }
--- a/cmd/pineport/ready_test.go
+++ b/cmd/pineport/ready_test.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	room := server.SpoolRoom(dep)
+	room := server.SpoolLimit(dep)
 	kept, _, _, err := spool.Open(dep.Spool, room)
 	if err != nil {
 		c.t.Fatal(err)
@@ -37,13 +37,13 @@
 	defer kept.Close()
 	for ; ; messages++ {
 		id := fmt.Sprintf("kept-%d-%d", round, messages)
-		err := kept.Take(&spool.Record{ID: id, Workload: []string{"update", "order"}[messages%2], Dest: 1,
-			CutOff: time.Now().Add(time.Hour).UnixMicro(), Body: bytes.Repeat([]byte("x"), body)})
+		err := kept.Append(&spool.Message{ID: id, Class: []string{"update", "order"}[messages%2], Destination: 1,
+			Deadline: time.Now().Add(time.Hour).UnixMicro(), Body: bytes.Repeat([]byte("x"), body)})
 		if errors.Is(err, spool.ErrFull) {
 			break
 		}
 		for n := range 3 {
-			err = errors.Join(err, kept.Begin(id, spool.Trip{Endpoint: "s-0", Sent: time.Now().UnixMicro()}), kept.Settle(id, n, "unreachable"))
+			err = errors.Join(err, kept.BeginAttempt(id, spool.Attempt{Endpoint: "s-0", SentAt: time.Now().UnixMicro()}), kept.FinishAttempt(id, n, "unreachable"))
 		}
 		if err != nil {
 			c.t.Fatal(err)
@@ -99,12 +99,12 @@
 		diskMB, body int
 	}{{"many small messages", 3, 20}, {"few large messages", 3, 60000}, {"ten times the folder", 30, 20}} {
 		t.Run(folder.name, func(t *testing.T) {
-			w, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 429, WaitMs: 60000} })
+			world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 429, WaitMs: 60000} })
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer w.Close()
-			c := newCourier(t, w)
+			defer world.Close()
+			c := newCourier(t, world)
 			c.rewrite(`"disk_mb": 3`, fmt.Sprintf(`"disk_mb": %d`, folder.diskMB))
 			var took []time.Duration
 			for round := range restarts {
--- a/cmd/pineport/run.go
+++ b/cmd/pineport/run.go
@@ -54,7 +54,7 @@
 	}
 	var desk *admin.Server
 	if dep.Ops != "" { // answers from the start: with no, until there is a router
-		if desk, err = admin.Open(dep.Ops, server.OperatorSockets(dep)-2, log.With(logging.Component, "ops")); err != nil {
+		if desk, err = admin.Open(dep.Ops, server.AdminSockets(dep)-2, log.With(logging.Component, "ops")); err != nil {
 			return fmt.Errorf("ops: %w", err)
 		}
 		defer desk.Close()
@@ -70,7 +70,7 @@
 	}()
 	go p.hear(hangups)
 	for {
-		if err := p.serve(); !errors.Is(err, server.ErrRegain) {
+		if err := p.serve(); !errors.Is(err, server.ErrReclaim) {
 			return err
 		}
 	}
@@ -84,7 +84,7 @@
 	desk    *admin.Server // nil: none
 	stop    chan struct{}
 	reloads chan *config.Deployment
-	router  atomic.Pointer[server.Router]
+	router  atomic.Pointer[server.Server]
 	member  atomic.Pointer[gossip.Member] // of the fleet; nil: none
 }
 
@@ -97,7 +97,7 @@
 		if err != nil {
 			p.log.Error("new configuration left out", "fault", err)
 			if r := p.router.Load(); r != nil {
-				r.FaultyReload()
+				r.CountFailedReload()
 			}
 			continue
 		}
@@ -127,7 +127,7 @@
 	}
 	defer folder.Close()
 	snapshot.Sweep(dep.Spool) // before the spool fills the room
-	kept, unfinished, faults, err := spool.Open(dep.Spool, server.SpoolRoom(dep))
+	kept, unfinished, faults, err := spool.Open(dep.Spool, server.SpoolLimit(dep))
 	if err != nil {
 		return fmt.Errorf("RELAY_STATE: %w", err)
 	}
@@ -140,24 +140,24 @@
 	}
 	before := p.router.Swap(router)
 	if before != nil {
-		router.After(before)
+		router.CountFrom(before)
 	}
 	if p.desk != nil {
-		p.desk.Stand(router)
+		p.desk.SetCourier(router)
 	}
 	if dep.Learn > 0 {
 		notes := log.With(logging.Component, "learned")
-		_, limit := snapshot.Room(int64(dep.SpoolMB * 1e6))
-		router.KeepLearned(snapshot.Keep(dep.Spool, dep.Name, limit, notes), dep.Learn)
+		_, limit := snapshot.Reserve(int64(dep.SpoolMB * 1e6))
+		router.StoreSnapshots(snapshot.NewWriter(dep.Spool, dep.Name, limit, notes), dep.Learn)
 		if given == nil {
-			router.RestoreLearned(p.known(before, limit, notes))
+			router.RestoreSnapshot(p.known(before, limit, notes))
 		}
 	}
-	router.Reloaded(func(next *config.Deployment) {
+	router.OnReload(func(next *config.Deployment) {
 		p.dep = next
 		limits(next)
-		if m := p.member.Load(); m != nil {
-			m.Sized(next.Charter.Couriers)
+		if member := p.member.Load(); member != nil {
+			member.FleetResized(next.Charter.Couriers)
 		}
 		if err := log.SetLevels(next.Log.Level, next.Log.Levels); err != nil {
 			log.Warn("levels of the log stay as they are", "fault", err)
@@ -168,23 +168,23 @@
 	}
 	defer p.enter(ctx, router, given)()
 	router.Successors(folder.Release)
-	if err := folder.Serve(router.Knocked); err != nil {
+	if err := folder.Serve(router.SuccessorArrived); err != nil {
 		log.Warn("no upgrade can take over while this process runs", "fault", err)
 	}
 	return router.Run(p.stop, p.reloads, grace)
 }
 
 // known is what was learned by an earlier process, or by this one before it handed all over: the younger, with all waits.
-func (p *process) known(before *server.Router, limit int, log *slog.Logger) *dispatch.Snapshot {
+func (p *process) known(before *server.Server, limit int, log *slog.Logger) *dispatch.Snapshot {
 	lore := earlier(p.dep, limit, log)
 	if before == nil {
 		return lore
 	}
-	own := before.LearnedAtHandoff()
+	own := before.SnapshotAtHandoff()
 	if lore == nil || lore.TakenAt < own.TakenAt {
 		return own
 	}
-	return server.Waiting(lore, own)
+	return server.MergeRetryAfter(lore, own)
 }
 
 func logOptions(dep *config.Deployment) logging.Options {
@@ -206,7 +206,7 @@
 
 // earlier is what an earlier process learned; nil, and a line in the log, where it cannot be used.
 func earlier(dep *config.Deployment, limit int, log *slog.Logger) *dispatch.Snapshot {
-	s, err := snapshot.Read(dep.Spool, dep.Name, dispatch.Micros(time.Now().UnixMicro()), limit)
+	state, err := snapshot.Read(dep.Spool, dep.Name, dispatch.Micros(time.Now().UnixMicro()), limit)
 	switch {
 	case errors.Is(err, snapshot.ErrAbsent):
 		return nil
@@ -214,7 +214,7 @@
 		log.Warn("what was learned is not used", "file", snapshot.Name, "fault", err)
 		return nil
 	}
-	age := time.Since(time.UnixMicro(int64(s.Lore.TakenAt)))
-	log.Info("learned before", "routes", len(s.Lore.Groups), "endpoints", len(s.Lore.Endpoints), "age", age.Round(time.Millisecond))
-	return &s.Lore
+	age := time.Since(time.UnixMicro(int64(state.Snapshot.TakenAt)))
+	log.Info("learned before", "routes", len(state.Snapshot.Groups), "endpoints", len(state.Snapshot.Endpoints), "age", age.Round(time.Millisecond))
+	return &state.Snapshot
 }
--- a/cmd/pineport/signals_test.go
+++ b/cmd/pineport/signals_test.go
@@ -21,7 +21,7 @@
 		t.Run(fmt.Sprint(int64(after)), func(t *testing.T) {
 			t.Parallel()
 			var open atomic.Bool
-			w, err := scripted.Open(1, func(string) scripted.Fate {
+			world, err := scripted.Open(1, func(string) scripted.Fate {
 				if open.Load() {
 					return scripted.Fate{Status: 200}
 				}
@@ -30,8 +30,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Cleanup(w.Close)
-			c := newCourier(t, w)
+			t.Cleanup(world.Close)
+			c := newCourier(t, world)
 			c.start()
 			if got := c.ask(enqueue("held", "update", 60000)); got[0] != "+OK" {
 				t.Fatal(got)
@@ -67,7 +67,7 @@
 			open.Store(true)
 			c.start()
 			waitFor(t, "the record is delivered", 20*time.Second, func() bool {
-				_, done, _ := w.Seen("held")
+				_, done, _ := world.Seen("held")
 				return done == 1
 			})
 		})
--- a/cmd/pineport/spool.go
+++ b/cmd/pineport/spool.go
@@ -30,20 +30,20 @@
 			} else if output != "table" {
 				return errors.New("--output: table or json was expected")
 			}
-			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 8, 2, ' ', 0)
-			fmt.Fprintln(w, "ID\tWORKLOAD\tDEST\tCUT-OFF\tTRIPS\tLAST\tSTATE")
-			for _, r := range records {
+			table := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 8, 2, ' ', 0)
+			fmt.Fprintln(table, "ID\tWORKLOAD\tDEST\tCUT-OFF\tTRIPS\tLAST\tSTATE")
+			for _, message := range records {
 				last, state := "-", "held"
-				if n := len(r.Trips); n > 0 {
-					last = cmp.Or(r.Trips[n-1].Outcome, "out")
+				if n := len(message.Attempts); n > 0 {
+					last = cmp.Or(message.Attempts[n-1].Outcome, "out")
 				}
-				if r.Ended != "" {
-					state = r.Ended + ", notice not confirmed"
+				if message.Ended != "" {
+					state = message.Ended + ", notice not confirmed"
 				}
-				fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%d\t%s\t%s\n", r.ID, r.Workload, r.Dest, time.UnixMicro(r.CutOff).Format(time.RFC3339), len(r.Trips),
+				fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%d\t%s\t%s\n", message.ID, message.Class, message.Destination, time.UnixMicro(message.Deadline).Format(time.RFC3339), len(message.Attempts),
 					last, state)
 			}
-			return w.Flush()
+			return table.Flush()
 		},
 	}
 	list.Flags().StringVar(&output, "output", "table", "table or json")
@@ -56,12 +56,12 @@
 			if err != nil {
 				return err
 			}
-			for _, r := range records {
-				if r.ID == args[1] {
+			for _, message := range records {
+				if message.ID == args[1] {
 					return printJSON(cmd.OutOrStdout(), struct {
-						*spool.Record
+						*spool.Message
 						Body []byte `json:"body"`
-					}{r, r.Body})
+					}{message, message.Body})
 				}
 			}
 			return fmt.Errorf("no record %s is held in %s", args[1], args[0])
--- a/cmd/pineport/state.go
+++ b/cmd/pineport/state.go
@@ -24,15 +24,15 @@
 		Example: "  pineport state show /var/lib/pineport\n  pineport state show learned.lore --output json",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			s, size, err := readState(args[0])
+			state, size, err := readState(args[0])
 			if err != nil {
 				return err
 			}
 			switch output {
 			case "json":
-				return printJSON(cmd.OutOrStdout(), s)
+				return printJSON(cmd.OutOrStdout(), state)
 			case "table":
-				return showState(cmd.OutOrStdout(), s, size)
+				return showState(cmd.OutOrStdout(), state, size)
 			}
 			return fmt.Errorf("--output: table or json was expected, not %q", output)
 		},
@@ -43,10 +43,10 @@
 		Short: "Tell whether a file could be used; exit code 1 and the reason where it could not",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			s, size, err := readState(args[0])
+			state, size, err := readState(args[0])
 			if err == nil {
-				fmt.Fprintf(cmd.OutOrStdout(), "sound: courier %s, %d routes, %d endpoints, %d bytes, %s old\n", s.Courier,
-					len(s.Lore.Groups), len(s.Lore.Endpoints), size, age(s.Lore.TakenAt))
+				fmt.Fprintf(cmd.OutOrStdout(), "sound: courier %s, %d routes, %d endpoints, %d bytes, %s old\n", state.Courier,
+					len(state.Snapshot.Groups), len(state.Snapshot.Endpoints), size, age(state.Snapshot.TakenAt))
 			}
 			return err
 		},
@@ -54,38 +54,38 @@
 	return cmd
 }
 
-func readState(path string) (s snapshot.State, size int, err error) {
+func readState(path string) (state snapshot.State, size int, err error) {
 	if info, err := os.Stat(path); err == nil && info.IsDir() {
 		path = filepath.Join(path, snapshot.Name)
 	}
 	content, err := os.ReadFile(path)
 	if err != nil {
-		return s, 0, err
+		return state, 0, err
 	}
-	if s, err = snapshot.Decode(content); err != nil {
+	if state, err = snapshot.Decode(content); err != nil {
 		err = fmt.Errorf("%s: %w", path, err)
 	}
-	return s, len(content), err
+	return state, len(content), err
 }
 
 func age(at dispatch.Micros) time.Duration {
 	return time.Since(time.UnixMicro(int64(at))).Round(time.Millisecond)
 }
 
-func showState(out io.Writer, s snapshot.State, size int) error {
-	l := s.Lore
-	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
-	fmt.Fprintf(w, "courier %s, kept %s (%s ago), %d bytes\n\n", s.Courier, time.UnixMicro(int64(l.TakenAt)).Format(time.RFC3339Nano), age(l.TakenAt), size)
-	fmt.Fprintln(w, "DEST\tENDPOINT\tHEALTH\tBREAKERS\tGAP\tWAIT LEFT\tANSWER TIME\tDONE\tLIMIT/S")
-	for _, r := range l.Groups {
+func showState(out io.Writer, state snapshot.State, size int) error {
+	l := state.Snapshot
+	table := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
+	fmt.Fprintf(table, "courier %s, kept %s (%s ago), %d bytes\n\n", state.Courier, time.UnixMicro(int64(l.TakenAt)).Format(time.RFC3339Nano), age(l.TakenAt), size)
+	fmt.Fprintln(table, "DEST\tENDPOINT\tHEALTH\tBREAKERS\tGAP\tWAIT LEFT\tANSWER TIME\tDONE\tLIMIT/S")
+	for _, group := range l.Groups {
 		health := "well"
-		if r.Outage {
+		if group.Outage {
 			health = "out"
-		} else if r.WarmingUp {
+		} else if group.WarmingUp {
 			health = "returning"
 		}
 		breakers := ""
-		for _, b := range r.Breakers {
+		for _, b := range group.Breakers {
 			switch {
 			case b.OpenUntil > 0:
 				breakers += "open "
@@ -96,20 +96,20 @@
 			}
 		}
 		mean := "-"
-		if r.AnswerTimes.Weight > 0.01 {
-			mean = span(dispatch.Micros(r.AnswerTimes.Total / r.AnswerTimes.Weight))
+		if group.AnswerTimes.Weight > 0.01 {
+			mean = span(dispatch.Micros(group.AnswerTimes.Total / group.AnswerTimes.Weight))
 		}
 		limit := "-"
-		if r.ReportedRate > 0 {
-			limit = fmt.Sprintf("%.2f", r.ReportedRate)
+		if group.ReportedRate > 0 {
+			limit = fmt.Sprintf("%.2f", group.ReportedRate)
 		}
-		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%s\t%s\t%.1f\t%s\n", r.Destination, cmp.Or(string(r.Endpoint), "(all)"), health, breakers, span(r.Interval),
-			span(max(0, r.RetryAfterUntil-l.TakenAt)), mean, r.Deliveries.Weight, limit)
+		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%s\t%s\t%s\t%.1f\t%s\n", group.Destination, cmp.Or(string(group.Endpoint), "(all)"), health, breakers, span(group.Interval),
+			span(max(0, group.RetryAfterUntil-l.TakenAt)), mean, group.Deliveries.Weight, limit)
 	}
-	for _, e := range l.Endpoints {
-		fmt.Fprintf(w, "\nendpoint %s: %d failures in a row\n", e.Endpoint, e.FailureRuns[0].Failures)
+	for _, endpoint := range l.Endpoints {
+		fmt.Fprintf(table, "\nendpoint %s: %d failures in a row\n", endpoint.Endpoint, endpoint.FailureRuns[0].Failures)
 	}
-	return w.Flush()
+	return table.Flush()
 }
 
 func span(t dispatch.Micros) string {
--- a/cmd/pineport/tools_test.go
+++ b/cmd/pineport/tools_test.go
@@ -83,11 +83,11 @@
 		t.Fatal(err)
 	}
 	for _, id := range []string{"a", "b"} {
-		if err := s.Take(&spool.Record{ID: id, Workload: "update", Dest: 1, CutOff: 5, Body: []byte("x")}); err != nil {
+		if err := s.Append(&spool.Message{ID: id, Class: "update", Destination: 1, Deadline: 5, Body: []byte("x")}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := s.Begin("a", spool.Trip{Endpoint: "e", Sent: 1}); err != nil {
+	if err := s.BeginAttempt("a", spool.Attempt{Endpoint: "e", SentAt: 1}); err != nil {
 		t.Fatal(err)
 	}
 	size := func() (n int64) {
--- a/cmd/pineport/upgrade_test.go
+++ b/cmd/pineport/upgrade_test.go
@@ -43,9 +43,9 @@
 	started int
 }
 
-func newPlatform(t *testing.T, w *scripted.World) *platform {
+func newPlatform(t *testing.T, world *scripted.World) *platform {
 	t.Helper()
-	p := &platform{courier: newCourier(t, w)}
+	p := &platform{courier: newCourier(t, world)}
 	l, err := net.Listen("tcp", p.listen)
 	if err != nil {
 		t.Fatal(err)
@@ -93,41 +93,41 @@
 
 func (p *platform) begin(program string, more ...string) *running {
 	p.t.Helper()
-	n := &running{cmd: exec.Command(program), ops: freePort(p.t)}
+	running := &running{cmd: exec.Command(program), ops: freePort(p.t)}
 	p.started++
-	n.cmd.Env = append(append(os.Environ(), "RELAY_CONFIG="+filepath.Join(p.dir, "config.json"), "RELAY_STATE="+filepath.Join(p.dir, "state"),
-		"RELAY_OPS="+n.ops, "RELAY_SOCKET_FD=3"), more...)
-	n.cmd.ExtraFiles = []*os.File{p.socket}
-	n.cmd.Stderr = p.log
-	if err := n.cmd.Start(); err != nil {
+	running.cmd.Env = append(append(os.Environ(), "RELAY_CONFIG="+filepath.Join(p.dir, "config.json"), "RELAY_STATE="+filepath.Join(p.dir, "state"),
+		"RELAY_OPS="+running.ops, "RELAY_SOCKET_FD=3"), more...)
+	running.cmd.ExtraFiles = []*os.File{p.socket}
+	running.cmd.Stderr = p.log
+	if err := running.cmd.Start(); err != nil {
 		p.t.Fatal(err)
 	}
-	p.t.Cleanup(func() { n.cmd.Process.Kill(); n.cmd.Wait() })
-	return n
+	p.t.Cleanup(func() { running.cmd.Process.Kill(); running.cmd.Wait() })
+	return running
 }
 
-func (p *platform) says(n *running, within time.Duration) bool {
+func (p *platform) says(running *running, within time.Duration) bool {
 	for deadline := time.Now().Add(within); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
-		if status, _ := callTo(p.t, n.ops, "GET", "/status"); status == 200 {
+		if status, _ := callTo(p.t, running.ops, "GET", "/status"); status == 200 {
 			return true
 		}
 	}
 	return false
 }
 
-func (p *platform) must(n *running) {
+func (p *platform) must(running *running) {
 	p.t.Helper()
-	if !p.says(n, 10*time.Second) {
+	if !p.says(running, 10*time.Second) {
 		p.t.Fatal("no yes")
 	}
 }
 
 // leave tells an old process to end and sees that it does.
-func (p *platform) leave(n *running) {
-	n.cmd.Process.Signal(syscall.SIGTERM)
+func (p *platform) leave(running *running) {
+	running.cmd.Process.Signal(syscall.SIGTERM)
 	p.ended.Go(func() {
-		kill := time.AfterFunc(6*time.Second, func() { n.cmd.Process.Kill() })
-		if err := n.cmd.Wait(); err != nil {
+		kill := time.AfterFunc(6*time.Second, func() { running.cmd.Process.Kill() })
+		if err := running.cmd.Wait(); err != nil {
 			p.t.Errorf("an old process: %v", err)
 		}
 		kill.Stop()
@@ -224,7 +224,7 @@
 }
 
 // end stops the clients and holds what the world saw against what was taken; upgrades is nought where processes were killed.
-func (s *steady) end(w *scripted.World, upgrades int) {
+func (s *steady) end(world *scripted.World, upgrades int) {
 	t := s.p.t
 	t.Helper()
 	s.finish()
@@ -233,13 +233,13 @@
 	}
 	for _, id := range s.taken {
 		waitFor(t, id, 10*time.Second, func() bool {
-			_, done, notices := w.Seen(id)
+			_, done, notices := world.Seen(id)
 			return done > 0 || len(notices) > 0
 		})
 	}
 	ends := map[string]int{}
 	for _, id := range s.taken {
-		began, done, notices := w.Seen(id)
+		began, done, notices := world.Seen(id)
 		var client, n int
 		kind, rest, _ := strings.Cut(id, "-")
 		fmt.Sscanf(rest, "%d-%d", &client, &n)
@@ -255,7 +255,7 @@
 			ends[notices[0]]++
 		}
 	}
-	if broken := w.Broken(); broken != (scripted.Broken{}) {
+	if broken := world.Broken(); broken != (scripted.Broken{}) {
 		t.Errorf("rules: %+v", broken)
 	}
 	if upgrades > 0 && s.again > 2*upgrades { // where processes are killed, connections break
@@ -268,7 +268,7 @@
 	t.Helper()
 	usual := fates()
 	waits := map[string]bool{}
-	w, err := scripted.Open(2, func(id string) scripted.Fate {
+	world, err := scripted.Open(2, func(id string) scripted.Fate {
 		if strings.HasPrefix(id, "wait") && !waits[id] {
 			waits[id] = true
 			return scripted.Fate{Status: 429, WaitMs: 300}
@@ -278,15 +278,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(w.Close)
-	return w
+	t.Cleanup(world.Close)
+	return world
 }
 
 // TestFiftyUpgrades: one after the other under load, without a fault: nothing lost, doubled, early or out of order. Failure: the
 // second process ended, as its address was taken.
 func TestFiftyUpgrades(t *testing.T) {
-	w := upgradeWorld(t)
-	p := newPlatform(t, w)
+	world := upgradeWorld(t)
+	p := newPlatform(t, world)
 	now := p.begin(p.binary)
 	p.must(now)
 	load := p.steady(6)
@@ -297,7 +297,7 @@
 		p.leave(now)
 		now = next
 	}
-	load.end(w, 50)
+	load.end(world, 50)
 	p.leave(now)
 	p.ended.Wait()
 	if n := strings.Count(p.said(), "handed over\""); n != 50+50 { // once as it is done, once as the old process ends
@@ -308,8 +308,8 @@
 // TestUpgradesThatFail: either side killed at a chance moment, a new version that ends at once and one that takes over and hangs.
 // Failure: the courier was gone with the new process, or what it had taken was lost.
 func TestUpgradesThatFail(t *testing.T) {
-	w := upgradeWorld(t)
-	p := newPlatform(t, w)
+	world := upgradeWorld(t)
+	p := newPlatform(t, world)
 	now := p.begin(p.binary)
 	p.must(now)
 	load := p.steady(4)
@@ -354,20 +354,20 @@
 			now = next
 		}
 	}
-	load.end(w, 0)
+	load.end(world, 0)
 	p.leave(now)
 	p.ended.Wait()
 }
 
 // TestMaintenanceOverAnUpgrade: what is out stays out, and calls to the old process's address act on the courier as a whole.
 func TestMaintenanceOverAnUpgrade(t *testing.T) {
-	w := upgradeWorld(t)
-	p := newPlatform(t, w)
+	world := upgradeWorld(t)
+	p := newPlatform(t, world)
 	old := p.begin(p.binary)
 	p.must(old)
-	yes := func(n *running, path string) {
+	yes := func(running *running, path string) {
 		t.Helper()
-		if status, body := callTo(t, n.ops, "POST", path); status != 200 {
+		if status, body := callTo(t, running.ops, "POST", path); status != 200 {
 			t.Fatalf("%s: %d %s", path, status, body)
 		}
 	}
@@ -382,15 +382,15 @@
 	}
 	load := p.steady(6)
 	time.Sleep(400 * time.Millisecond)
-	if got := w.Calls(0); got > 0 {
+	if got := world.Calls(0); got > 0 {
 		t.Errorf("%d calls to what is out", got)
 	}
 	yes(old, "/maintenance/exit/s-0")
 	yes(old, "/maintenance/enter/s-1")
-	before := w.Calls(1)
-	waitFor(t, "calls to what is back", 5*time.Second, func() bool { return w.Calls(0) > 0 })
+	before := world.Calls(1)
+	waitFor(t, "calls to what is back", 5*time.Second, func() bool { return world.Calls(0) > 0 })
 	time.Sleep(300 * time.Millisecond)
-	if got := w.Calls(1); got > before+3 { // those that were out
+	if got := world.Calls(1); got > before+3 { // those that were out
 		t.Errorf("%d calls to what the old process was told is out", got-before)
 	}
 	yes(old, "/standby")
@@ -401,15 +401,15 @@
 	p.must(next)
 	p.leave(old)
 	p.ended.Wait()
-	load.end(w, 1)
+	load.end(world, 1)
 	p.leave(next)
 	p.ended.Wait()
 }
 
 // TestSuccessorsThatLeave: whoever says hello and leaves at once, or says nothing more, takes nothing along.
 func TestSuccessorsThatLeave(t *testing.T) {
-	w := upgradeWorld(t)
-	p := newPlatform(t, w)
+	world := upgradeWorld(t)
+	p := newPlatform(t, world)
 	now := p.begin(p.binary)
 	p.must(now)
 	hello, err := json.Marshal(handoff.Message{Hello: &handoff.Hello{Version: handoff.Version, Courier: "n0"}})
@@ -438,8 +438,8 @@
 // TestNoSocket: a descriptor that is no listening socket is a fault that names its key. Failure: it was found only after the process
 // that served had handed all over.
 func TestNoSocket(t *testing.T) {
-	w := upgradeWorld(t)
-	c := newPlatform(t, w)
+	world := upgradeWorld(t)
+	c := newPlatform(t, world)
 	now := c.begin(c.binary)
 	c.must(now)
 	for _, fd := range []string{"1", "99", "x"} {
--- a/config/charter.go
+++ b/config/charter.go
@@ -59,9 +59,9 @@
 func Sound(values map[string]string) error {
 	for _, path := range slices.Sorted(maps.Keys(values)) {
 		text := values[path]
-		k, ok := Lookup("settings." + path)
-		if ok && !k.Unread && text != "" && text != "-" && !k.fits(text) {
-			return Fault{Key: path, Expected: fmt.Sprintf("%s was expected, not %q", k.Expects(), text)}
+		key, ok := Lookup("settings." + path)
+		if ok && !key.Unread && text != "" && text != "-" && !key.fits(text) {
+			return Fault{Key: path, Expected: fmt.Sprintf("%s was expected, not %q", key.Expects(), text)}
 		}
 		if cut := strings.TrimSuffix(path, "slo-s") + "deadline-s"; strings.HasSuffix(path, ".slo-s") && later(text, values[cut]) {
 			return Fault{Key: path, Expected: fmt.Sprintf("not after deadline-s of %s s, but %s s", values[cut], text)}
@@ -73,7 +73,7 @@
 // Charter decodes what a courier is handed at its start: values by path, such as classes.0.points.
 func Charter(salt int64, values map[string]string) (dispatch.Config, error) {
 	p := &pairs{values: values, prefix: "settings."}
-	ch := dispatch.Config{
+	config := dispatch.Config{
 		Seed:              salt,
 		Couriers:          p.count("fleet-size"),
 		CourierNumber:     p.count("ordinal"),
@@ -97,25 +97,25 @@
 		ReportRateIndex:   -1,
 	}
 	if p.values["family-info.decay"] == "halves" {
-		ch.Decay = dispatch.HalvingDecay
+		config.Decay = dispatch.HalvingDecay
 	}
 	switch p.values["weight-kind"] {
 	case "rough":
-		ch.RateQuality = dispatch.RoughRates
+		config.RateQuality = dispatch.RoughRates
 	case "nominal":
-		ch.RateQuality = dispatch.NominalRates
+		config.RateQuality = dispatch.NominalRates
 	}
 	for i, name := range p.words("telemetry.fields") {
 		switch name {
 		case "x0":
-			ch.ReportLeftIndex = i
+			config.ReportLeftIndex = i
 		case "x1":
-			ch.ReportRateIndex = i
+			config.ReportRateIndex = i
 		}
 	}
 	for i := range p.count("classes.count") {
 		at := fmt.Sprintf("classes.%d.", i)
-		w := dispatch.Class{
+		class := dispatch.Class{
 			Objective:         p.span(at + "slo-s"),
 			TimeToLive:        p.span(at + "deadline-s"),
 			Priority:          p.number(at + "points"),
@@ -127,11 +127,11 @@
 		}
 		switch p.values[at+"idempotency"] {
 		case "free":
-			w.Idempotency = dispatch.Idempotent
+			class.Idempotency = dispatch.Idempotent
 		case "guarded":
-			w.Idempotency = dispatch.IdempotencyKey
+			class.Idempotency = dispatch.IdempotencyKey
 		}
-		ch.Classes = append(ch.Classes, w)
+		config.Classes = append(config.Classes, class)
 	}
 	apart := p.words("family-info.separate-routes")
 	perCall := p.words("family-info.per-call")
@@ -145,14 +145,14 @@
 				shape.MaxPerCall = n
 			}
 		}
-		ch.EndpointTypes = append(ch.EndpointTypes, shape)
+		config.EndpointTypes = append(config.EndpointTypes, shape)
 	}
 	for i := range p.count("tenants.count") {
-		ch.Tenants = append(ch.Tenants, dispatch.Tenant{RatePerSecond: p.number(fmt.Sprintf("tenants.%d.quota-per-s", i))})
+		config.Tenants = append(config.Tenants, dispatch.Tenant{RatePerSecond: p.number(fmt.Sprintf("tenants.%d.quota-per-s", i))})
 	}
 	for _, word := range p.words("family-info.route-fee") {
 		fee, _ := strconv.ParseFloat(word, 64)
-		ch.GroupCost = append(ch.GroupCost, fee)
+		config.GroupCost = append(config.GroupCost, fee)
 	}
-	return ch, p.err
+	return config, p.err
 }
--- a/config/config.go
+++ b/config/config.go
@@ -79,15 +79,15 @@
 }
 
 // From reads a deployment from its sources; all faults are told at once.
-func From(s Sources) (*Deployment, error) {
-	state := s.State
+func From(sources Sources) (*Deployment, error) {
+	state := sources.State
 	if state == "" {
-		state = s.Getenv("RELAY_STATE")
+		state = sources.Getenv("RELAY_STATE")
 	}
 	if state == "" {
 		return nil, fmt.Errorf("RELAY_STATE: not set, and no --state given")
 	}
-	doc, err := ReadDocument(s)
+	doc, err := ReadDocument(sources)
 	if err != nil {
 		return nil, err
 	}
@@ -97,22 +97,22 @@
 	if err := os.MkdirAll(state, 0o700); err != nil {
 		return nil, fmt.Errorf("RELAY_STATE: a folder was expected: %w", err)
 	}
-	d, err := doc.deployment()
+	deployment, err := doc.deployment()
 	if err != nil {
 		return nil, err
 	}
-	d.Spool = state
+	deployment.Spool = state
 	if path := doc.Values["watch.file"].Text; path != "" {
-		if d.Watch, err = watched(path, s); err != nil {
+		if deployment.Watch, err = watched(path, sources); err != nil {
 			return nil, fmt.Errorf("watch.file: %w", err)
 		}
 	}
-	return d, nil
+	return deployment, nil
 }
 
 // watched reads the configuration to come, from its file and the defaults alone: nothing of it is put to use but settings.
-func watched(path string, s Sources) (*Deployment, error) {
-	doc, err := ReadDocument(Sources{Getenv: func(string) string { return "" }, File: path, Anew: s.Anew})
+func watched(path string, sources Sources) (*Deployment, error) {
+	doc, err := ReadDocument(Sources{Getenv: func(string) string { return "" }, File: path, Anew: sources.Anew})
 	if err != nil {
 		return nil, err
 	}
@@ -136,14 +136,14 @@
 		}
 		return strings.Split(text(path), ",")
 	}
-	d := &Deployment{Name: text("name"), Listen: text("listen"), Ops: text("ops"), Socket: int(number("socket_fd")), Discovery: text("discovery"), Known: doc.Known, Document: doc,
+	deployment := &Deployment{Name: text("name"), Listen: text("listen"), Ops: text("ops"), Socket: int(number("socket_fd")), Discovery: text("discovery"), Known: doc.Known, Document: doc,
 		Cores: number("limits.cores"), MemoryMB: int(number("limits.memory_mb")), Sockets: int(number("limits.sockets")),
 		SpoolMB: number("limits.disk_mb"), Learn: seconds("learned.every_s"), WatchTell: seconds("watch.every_s"), Retired: map[string]bool{},
 		Log: Log{Level: text("log.level"), Levels: map[string]string{}, JSON: text("log.format") == "json",
 			Repeats: seconds("log.repeats_s"), Queue: int(number("log.queue"))}}
 	for _, pair := range words("log.levels") {
 		component, level, _ := strings.Cut(pair, "=")
-		d.Log.Levels[component] = level
+		deployment.Log.Levels[component] = level
 	}
 	seed, _ := strconv.ParseUint(text("seed"), 16, 64)
 	settings := map[string]string{}
@@ -153,20 +153,20 @@
 		}
 	}
 	var err error
-	if d.Charter, err = Charter(int64(seed), settings); err != nil {
+	if deployment.Charter, err = Charter(int64(seed), settings); err != nil {
 		return nil, fmt.Errorf("%s: %w", doc.File, err)
 	}
-	for i := range d.Charter.Classes {
-		d.Workloads = append(d.Workloads, settings[fmt.Sprintf("classes.%d.name", i)])
+	for i := range deployment.Charter.Classes {
+		deployment.Workloads = append(deployment.Workloads, settings[fmt.Sprintf("classes.%d.name", i)])
 	}
-	for i := range d.Charter.Tenants {
-		d.Parties = append(d.Parties, settings[fmt.Sprintf("tenants.%d.name", i)])
+	for i := range deployment.Charter.Tenants {
+		deployment.Parties = append(deployment.Parties, settings[fmt.Sprintf("tenants.%d.name", i)])
 	}
-	d.Peers = Peers{Listen: text("peers.listen"), Advertise: text("peers.advertise"), Fleet: text("peers.fleet"), Key: text("peers.key"),
+	deployment.Peers = Peers{Listen: text("peers.listen"), Advertise: text("peers.advertise"), Fleet: text("peers.fleet"), Key: text("peers.key"),
 		Join: words("peers.join"), Through: words("peers.through"), Pace: seconds("peers.pace_s"), Allowed: text("settings.ceilings.peers") == "true", Share: text("peers.share") == "true"}
-	d.Zones, d.Shapes, d.Report = words("settings.zones"), words("settings.shapes"), words("settings.telemetry.fields")
-	d.ConnectTimeout = seconds("settings.ceilings.connect-timeout-s")
-	return d, d.unique()
+	deployment.Zones, deployment.Shapes, deployment.Report = words("settings.zones"), words("settings.shapes"), words("settings.telemetry.fields")
+	deployment.ConnectTimeout = seconds("settings.ceilings.connect-timeout-s")
+	return deployment, deployment.unique()
 }
 
 // unique tells of names that stand twice.
@@ -191,30 +191,30 @@
 	m := *next
 	m.Name, m.Listen, m.Ops, m.Socket, m.Spool, m.Known, m.Learn = d.Name, d.Listen, d.Ops, d.Socket, d.Spool, d.Known, d.Learn
 	m.Watch, m.WatchTell, m.Peers = d.Watch, d.WatchTell, d.Peers
-	old, ch := d.Charter, next.Charter
+	old, config := d.Charter, next.Charter
 	m.Retired = map[string]bool{}
 	var from []int
 	m.Workloads, from = numbers(d.Workloads, next.Workloads)
-	ch.Classes = pick(from, next.Charter.Classes, old.Classes)
+	config.Classes = pick(from, next.Charter.Classes, old.Classes)
 	for i, name := range m.Workloads {
 		if from[i] < 0 {
 			m.Retired[name] = true
 		}
 	}
 	m.Shapes, from = numbers(d.Shapes, next.Shapes)
-	ch.EndpointTypes = pick(from, next.Charter.EndpointTypes, old.EndpointTypes)
-	for i := range min(len(ch.EndpointTypes), len(old.EndpointTypes)) {
-		ch.EndpointTypes[i].Separate = old.EndpointTypes[i].Separate // settled when the routes were made
+	config.EndpointTypes = pick(from, next.Charter.EndpointTypes, old.EndpointTypes)
+	for i := range min(len(config.EndpointTypes), len(old.EndpointTypes)) {
+		config.EndpointTypes[i].Separate = old.EndpointTypes[i].Separate // settled when the routes were made
 	}
 	m.Parties, from = numbers(d.Parties, next.Parties)
-	ch.Tenants = pick(from, next.Charter.Tenants, old.Tenants)
+	config.Tenants = pick(from, next.Charter.Tenants, old.Tenants)
 	m.Zones, from = numbers(d.Zones, next.Zones)
-	ch.GroupCost = pick(from, next.Charter.GroupCost, old.GroupCost)
+	config.GroupCost = pick(from, next.Charter.GroupCost, old.GroupCost)
 	if z := int(next.Charter.Zone); z < len(next.Zones) {
-		ch.Zone = dispatch.ZoneID(slices.Index(m.Zones, next.Zones[z]))
+		config.Zone = dispatch.ZoneID(slices.Index(m.Zones, next.Zones[z]))
 	}
-	ch.Seed, ch.MustPoll = old.Seed, old.MustPoll
-	m.Charter = ch
+	config.Seed, config.MustPoll = old.Seed, old.MustPoll
+	m.Charter = config
 	return &m
 }
 
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -40,7 +40,7 @@
 }
 
 func TestReadsWhatItIsTold(t *testing.T) {
-	d, err := load(t, Load, func(top, settings map[string]any) {
+	deployment, err := load(t, Load, func(top, settings map[string]any) {
 		top["surprise"] = map[string]any{"x": nil}
 		settings["surprise"] = []any{1}
 		settings["telemetry"] = map[string]any{"fields": []string{"x1", "x0"}}
@@ -48,11 +48,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := d.Charter
-	if d.Name != "n4" || d.Listen != "127.0.0.1:6379" || d.Sockets != 1024 || len(d.Workloads) != 2 || d.Workloads[1] != "order" ||
-		c.Classes[1].Idempotency != dispatch.AtMostOnce || c.Classes[1].Priority != 2 || c.Slots != 20 || c.ReportLeftIndex != 1 || c.ReportRateIndex != 0 ||
-		c.RateQuality != dispatch.NominalRates || len(c.EndpointTypes) != 1 || c.EndpointTypes[0].MaxPerCall != 1 || !c.MustPoll || c.Seed == 0 {
-		t.Errorf("%+v", d)
+	config := deployment.Charter
+	if deployment.Name != "n4" || deployment.Listen != "127.0.0.1:6379" || deployment.Sockets != 1024 || len(deployment.Workloads) != 2 || deployment.Workloads[1] != "order" ||
+		config.Classes[1].Idempotency != dispatch.AtMostOnce || config.Classes[1].Priority != 2 || config.Slots != 20 || config.ReportLeftIndex != 1 || config.ReportRateIndex != 0 ||
+		config.RateQuality != dispatch.NominalRates || len(config.EndpointTypes) != 1 || config.EndpointTypes[0].MaxPerCall != 1 || !config.MustPoll || config.Seed == 0 {
+		t.Errorf("%+v", deployment)
 	}
 }
 
@@ -75,8 +75,8 @@
 		"settings.classes.1.deadline-s":     func(_, s map[string]any) { s["classes"].([]any)[1].(map[string]any)["deadline-s"] = 0 },
 		"settings.ceilings.max-retry-after": func(_, s map[string]any) { inner(s, "ceilings")["max-retry-after-s"] = "x" },
 	} {
-		if d, err := load(t, Load, edit, nil); err == nil || !strings.Contains(err.Error(), ": "+key) {
-			t.Errorf("%s: got %v, %v", key, d, err)
+		if deployment, err := load(t, Load, edit, nil); err == nil || !strings.Contains(err.Error(), ": "+key) {
+			t.Errorf("%s: got %v, %v", key, deployment, err)
 		}
 	}
 	if _, err := load(t, Load, nil, map[string]string{"RELAY_STATE": ""}); err == nil || !strings.Contains(err.Error(), "RELAY_STATE") {
@@ -166,11 +166,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := first.Merged(next)
-	if !slices.Equal(m.Workloads, []string{"update", "order", "fresh"}) || !slices.Equal(m.Zones, []string{"a", "z"}) || !m.Retired["update"] ||
-		m.Retired["order"] || m.Charter.Classes[1].Priority != 7 || m.Charter.Classes[2].Priority != 3 || m.Charter.Classes[0].Priority != 1 ||
-		m.Charter.QueueLimit != 5 || m.Charter.Zone != 1 || m.Charter.Seed != first.Charter.Seed {
-		t.Errorf("%+v %v %v %+v", m.Workloads, m.Zones, m.Retired, m.Charter)
+	deployment := first.Merged(next)
+	if !slices.Equal(deployment.Workloads, []string{"update", "order", "fresh"}) || !slices.Equal(deployment.Zones, []string{"a", "z"}) || !deployment.Retired["update"] ||
+		deployment.Retired["order"] || deployment.Charter.Classes[1].Priority != 7 || deployment.Charter.Classes[2].Priority != 3 || deployment.Charter.Classes[0].Priority != 1 ||
+		deployment.Charter.QueueLimit != 5 || deployment.Charter.Zone != 1 || deployment.Charter.Seed != first.Charter.Seed {
+		t.Errorf("%+v %v %v %+v", deployment.Workloads, deployment.Zones, deployment.Retired, deployment.Charter)
 	}
 }
 
--- a/config/document.go
+++ b/config/document.go
@@ -40,10 +40,10 @@
 }
 
 // ReadDocument reads all layers and holds them against the schema; an error is one that leaves no document.
-func ReadDocument(s Sources) (*Document, error) {
-	path := s.File
+func ReadDocument(sources Sources) (*Document, error) {
+	path := sources.File
 	if path == "" {
-		path = s.Getenv("RELAY_CONFIG")
+		path = sources.Getenv("RELAY_CONFIG")
 	}
 	if path == "" {
 		return nil, errors.New("RELAY_CONFIG: not set, and no --config given")
@@ -52,10 +52,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("RELAY_CONFIG: %w", err)
 	}
-	return parseDocument(filepath.Base(path), text, s)
+	return parseDocument(filepath.Base(path), text, sources)
 }
 
-func parseDocument(file string, text []byte, s Sources) (*Document, error) {
+func parseDocument(file string, text []byte, sources Sources) (*Document, error) {
 	tree, lines, known, err := decode(file, text)
 	if err != nil {
 		var fault Fault
@@ -70,15 +70,15 @@
 	for path, text := range Flatten(tree) {
 		d.Values[path] = Value{Text: text, From: "file", Line: lines[path]}
 	}
-	for _, k := range Schema {
-		if k.Variable == "" || s.Anew && k.Variable == "RELAY_DISCOVERY" {
+	for _, key := range Schema {
+		if key.Variable == "" || sources.Anew && key.Variable == "RELAY_DISCOVERY" {
 			continue
 		}
-		if text := s.Getenv(k.Variable); text != "" {
-			d.Values[k.Path] = Value{Text: text, From: k.Variable}
+		if text := sources.Getenv(key.Variable); text != "" {
+			d.Values[key.Path] = Value{Text: text, From: key.Variable}
 		}
 	}
-	for path, text := range s.Set {
+	for path, text := range sources.Set {
 		d.Values[path] = Value{Text: text, From: "flag"}
 	}
 	d.check(lines)
@@ -129,32 +129,32 @@
 			continue
 		}
 		v := d.Values[path]
-		k, ok := Lookup(path)
+		key, ok := Lookup(path)
 		switch {
 		case !ok:
 			d.unknown(path, v.Line)
-		case !k.Unread && !k.fits(v.Text):
-			d.fault(path, v.Line, "%s was expected, not %q%s", k.Expects(), v.Text, from(v))
+		case !key.Unread && !key.fits(v.Text):
+			d.fault(path, v.Line, "%s was expected, not %q%s", key.Expects(), v.Text, from(v))
 		}
 	}
-	for _, k := range Schema {
-		if k.Unread || k.Kind == Any {
+	for _, key := range Schema {
+		if key.Unread || key.Kind == Any {
 			continue
 		}
-		for _, path := range d.Paths(k.Path) {
+		for _, path := range d.Paths(key.Path) {
 			if v, ok := d.Values[path]; ok && v.Text != "" {
 				continue
 			}
-			if k.Needed {
+			if key.Needed {
 				line := lines[path]
 				if line == 0 {
 					line = lines[path[:max(0, strings.LastIndexByte(path, '.'))]]
 				}
 				if _, ok := d.Values[path]; !ok { // an empty one has been told already
-					d.fault(path, line, "must be given: %s (%s)", k.Doc, k.Expects())
+					d.fault(path, line, "must be given: %s (%s)", key.Doc, key.Expects())
 				}
-			} else if k.Default != "" {
-				d.Values[path] = Value{Text: k.Default, From: "default"}
+			} else if key.Default != "" {
+				d.Values[path] = Value{Text: key.Default, From: "default"}
 			}
 		}
 	}
@@ -251,12 +251,12 @@
 // unknown warns of a key that nobody reads, with the nearest one that is known.
 func (d *Document) unknown(path string, line int) {
 	var known []string
-	for _, k := range Schema {
-		if strings.HasPrefix(k.Path, general(path)+"[]") {
+	for _, key := range Schema {
+		if strings.HasPrefix(key.Path, general(path)+"[]") {
 			return // a list: its items have paths of their own
 		}
-		if !k.Unread {
-			known = append(known, k.Path)
+		if !key.Unread {
+			known = append(known, key.Path)
 		}
 	}
 	text := "no such key"
@@ -308,11 +308,11 @@
 	slices.Sort(paths)
 	for _, path := range paths {
 		a, b := d.Values[path].Text, next.Values[path].Text
-		k, ok := Lookup(path)
-		if a == b || !ok || k.Unread || path == "seed" || strings.HasSuffix(path, ".count") {
+		key, ok := Lookup(path)
+		if a == b || !ok || key.Unread || path == "seed" || strings.HasSuffix(path, ".count") {
 			continue
 		}
-		plans = append(plans, Plan{path, a, b, !k.Restart, effect(k, a, b)})
+		plans = append(plans, Plan{path, a, b, !key.Restart, effect(key, a, b)})
 	}
 	return plans
 }
@@ -321,21 +321,21 @@
 func (k Key) OnReload() string { return effect(k, "old", "new") }
 
 // effect says what a change means for what is held.
-func effect(k Key, old, next string) string {
+func effect(key Key, old, next string) string {
 	switch {
-	case k.Restart:
+	case key.Restart:
 		return "waits for the next start"
-	case strings.HasPrefix(k.Path, "settings.classes[]") && next == "":
+	case strings.HasPrefix(key.Path, "settings.classes[]") && next == "":
 		return "the workload takes no more records; those held keep what they were promised"
-	case strings.HasPrefix(k.Path, "settings.classes[]"):
+	case strings.HasPrefix(key.Path, "settings.classes[]"):
 		return "records held keep what they were promised; new ones get this"
-	case k.Path == "settings.ceilings.open-cap":
+	case key.Path == "settings.ceilings.open-cap":
 		return "with fewer, what is held stays, and new records take their turn as places fall free"
-	case k.Path == "settings.family-info.slots":
+	case key.Path == "settings.family-info.slots":
 		return "with fewer, calls that are out go on, and none begins until places fall free"
-	case k.Path == "discovery":
+	case key.Path == "discovery":
 		return "the watch begins anew there; notices that are not confirmed go there"
-	case k.Path == "limits.disk_mb":
+	case key.Path == "limits.disk_mb":
 		return "with less, no new record is taken until what is held fits"
 	}
 	return "taken over at once"
--- a/config/page.go
+++ b/config/page.go
@@ -16,21 +16,21 @@
 		"On SIGHUP the file is read anew. What the last column calls taken over applies at once, to records that are held as well unless\n" +
 		"it says otherwise; a faulty file changes nothing.\n\n" +
 		"| key | what | unit | allowed | if missing | on reload |\n| --- | --- | --- | --- | --- | --- |\n")
-	for _, k := range Schema {
-		if k.Unread {
+	for _, key := range Schema {
+		if key.Unread {
 			continue
 		}
-		missing := k.Default
-		if k.Needed {
+		missing := key.Default
+		if key.Needed {
 			missing = "a fault"
 		} else if missing == "" {
 			missing = "none"
 		}
-		doc := k.Doc
-		if k.Variable != "" {
-			doc += "; `" + k.Variable + "`"
+		doc := key.Doc
+		if key.Variable != "" {
+			doc += "; `" + key.Variable + "`"
 		}
-		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s | %s |\n", k.Path, doc, k.Unit, k.Expects(), missing, effect(k, "old", "new"))
+		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s | %s |\n", key.Path, doc, key.Unit, key.Expects(), missing, effect(key, "old", "new"))
 	}
 	b.WriteString("\nKeys of the platform that nothing here reads are passed over; any other unknown key is warned of, with the nearest known one,\n" +
 		"and so are settings that come to nothing beside others; with `--strict` both are faults.\n")
--- a/config/schema.go
+++ b/config/schema.go
@@ -141,9 +141,9 @@
 // Lookup finds a key by its path, with or without numbers.
 func Lookup(path string) (Key, bool) {
 	g := general(path)
-	for _, k := range Schema {
-		if k.Path == g {
-			return k, true
+	for _, key := range Schema {
+		if key.Path == g {
+			return key, true
 		}
 	}
 	return Key{}, false
--- a/handoff/folder.go
+++ b/handoff/folder.go
@@ -22,10 +22,10 @@
 
 // Folder is the folder that lasts, owned by this process.
 type Folder struct {
-	dir    string
-	lock   *os.File
-	door   net.Listener
-	opened *os.File // of the folder: a short way to the socket
+	dir      string
+	lock     *os.File
+	listener net.Listener
+	opened   *os.File // of the folder: a short way to the socket
 }
 
 // ErrTakenOver says that another process takes over already.
@@ -34,30 +34,30 @@
 // Acquire returns once this process owns the folder: at once where nobody does, or when its owner has handed it over, or has
 // ended. The state and the link to the old process are nil unless it was handed over.
 func Acquire(ctx context.Context, dir, courier string, log *slog.Logger) (*Folder, *State, *Link, error) {
-	f := &Folder{dir: dir}
+	folder := &Folder{dir: dir}
 	var err error
-	if f.lock, err = os.OpenFile(filepath.Join(dir, lockName), os.O_CREATE|os.O_RDWR, 0o600); err != nil {
+	if folder.lock, err = os.OpenFile(filepath.Join(dir, lockName), os.O_CREATE|os.O_RDWR, 0o600); err != nil {
 		return nil, nil, nil, err
 	}
-	if f.opened, err = os.Open(dir); err != nil {
-		f.lock.Close()
+	if folder.opened, err = os.Open(dir); err != nil {
+		folder.lock.Close()
 		return nil, nil, nil, err
 	}
 	said := ""
 	for {
-		switch free, err := f.tryLock(); {
+		switch free, err := folder.tryLock(); {
 		case err != nil:
 			log.Warn("the folder cannot be locked: a second process would not be kept off", "fault", err)
-			return f, nil, nil, nil
+			return folder, nil, nil, nil
 		case free:
-			return f, nil, nil, nil
+			return folder, nil, nil, nil
 		}
-		state, link, err := f.knock(ctx, courier)
+		state, link, err := folder.requestHandoff(ctx, courier)
 		if err == nil {
-			return f.given(ctx, state, link)
+			return folder.awaitLock(ctx, state, link)
 		}
 		if errors.Is(err, ErrTakenOver) || ctx.Err() != nil {
-			f.Close()
+			folder.Close()
 			return nil, nil, nil, errors.Join(err, ctx.Err())
 		}
 		if err.Error() != said {
@@ -72,7 +72,7 @@
 }
 
 // given waits for the lock of what was handed over: it is free before the state is sent.
-func (f *Folder) given(ctx context.Context, state *State, link *Link) (*Folder, *State, *Link, error) {
+func (f *Folder) awaitLock(ctx context.Context, state *State, link *Link) (*Folder, *State, *Link, error) {
 	for {
 		if free, err := f.tryLock(); free || err != nil {
 			return f, state, link, nil
@@ -101,29 +101,29 @@
 }
 
 // knock asks the owner for the folder.
-func (f *Folder) knock(ctx context.Context, courier string) (*State, *Link, error) {
+func (f *Folder) requestHandoff(ctx context.Context, courier string) (*State, *Link, error) {
 	conn, err := (&net.Dialer{Timeout: talkWithin}).DialContext(ctx, "unix", f.path())
 	if err != nil {
 		return nil, nil, err
 	}
-	l := newLink(conn)
+	link := newLink(conn)
 	conn.SetReadDeadline(time.Now().Add(talkWithin))
-	l.Send(Message{Hello: &Hello{Version: Version, Courier: courier}})
-	m, err := l.next()
+	link.Send(Message{Hello: &Hello{Version: Version, Courier: courier}})
+	message, err := link.next()
 	if err != nil {
-		l.Close()
+		link.Close()
 		return nil, nil, err
 	}
-	t := &Taker{}
-	switch step, why := t.Said(m); step {
-	case Own:
+	successor := &Successor{}
+	switch step, why := successor.MessageReceived(message); step {
+	case TakeOver:
 		conn.SetReadDeadline(time.Time{})
-		return m.State, l, nil
+		return message.State, link, nil
 	case Yield:
-		l.Close()
+		link.Close()
 		return nil, nil, ErrTakenOver
 	default:
-		l.Close()
+		link.Close()
 		return nil, nil, fmt.Errorf("refused: %s", why)
 	}
 }
@@ -136,7 +136,7 @@
 		return err
 	}
 	l.(*net.UnixListener).SetUnlinkOnClose(false) // the next owner has made its own by then
-	f.door = l
+	f.listener = l
 	go func() {
 		for {
 			conn, err := l.Accept()
@@ -146,11 +146,11 @@
 			go func() {
 				link := newLink(conn)
 				conn.SetReadDeadline(time.Now().Add(talkWithin))
-				if m, err := link.next(); err != nil || m.Hello == nil {
+				if message, err := link.next(); err != nil || message.Hello == nil {
 					link.Close()
 				} else {
 					conn.SetReadDeadline(time.Time{})
-					arrived(link, m.Hello)
+					arrived(link, message.Hello)
 				}
 			}()
 		}
@@ -160,8 +160,8 @@
 
 // Release frees the lock: whoever takes it owns the folder.
 func (f *Folder) Release() {
-	if f.door != nil {
-		f.door.Close()
+	if f.listener != nil {
+		f.listener.Close()
 	}
 	f.lock.Close()
 }
--- a/handoff/folder_test.go
+++ b/handoff/folder_test.go
@@ -20,32 +20,32 @@
 
 func acquire(t *testing.T, dir string) (*Folder, *State, *Link) {
 	t.Helper()
-	f, s, l, err := Acquire(t.Context(), dir, "n0", quiet)
+	folder, s, link, err := Acquire(t.Context(), dir, "n0", quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(f.Close)
-	return f, s, l
+	t.Cleanup(folder.Close)
+	return folder, s, link
 }
 
 // serve plays an owner that gives to the first that knocks, and refuses all others.
-func serve(t *testing.T, f *Folder, state *State) (links chan *Link) {
+func serve(t *testing.T, folder *Folder, state *State) (links chan *Link) {
 	t.Helper()
 	links = make(chan *Link, 1)
-	g := NewGiver("n0")
+	g := NewPredecessor("n0")
 	arrivals := make(chan struct{}, 1)
 	arrivals <- struct{}{}
-	if err := f.Serve(func(l *Link, h *Hello) {
+	if err := folder.Serve(func(link *Link, h *Hello) {
 		<-arrivals
 		defer func() { arrivals <- struct{}{} }()
-		if do, why := g.Knocked(h); do == Refuse {
-			l.Refuse(why)
+		if do, why := g.HelloReceived(h); do == Refuse {
+			link.Refuse(why)
 			return
 		}
-		f.Release()
-		l.Send(Message{State: state})
-		g.Given()
-		links <- l
+		folder.Release()
+		link.Send(Message{State: state})
+		g.HandedOver()
+		links <- link
 	}); err != nil {
 		t.Fatal(err)
 	}
@@ -58,30 +58,30 @@
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	old, s, l := acquire(t, dir)
-	if s != nil || l != nil {
+	old, s, link := acquire(t, dir)
+	if s != nil || link != nil {
 		t.Fatal("handed over by nobody")
 	}
-	state := &State{Seq: 7, Gone: []string{"s-1"}, Out: []Out{{"r", 1, 5}}, Lore: dispatch.Snapshot{TakenAt: 3, Groups: make([]dispatch.GroupSnapshot, 5000)}}
+	state := &State{ListVersion: 7, Disabled: []string{"s-1"}, InFlight: []AttemptID{{"r", 1, 5}}, Snapshot: dispatch.Snapshot{TakenAt: 3, Groups: make([]dispatch.GroupSnapshot, 5000)}}
 	links := serve(t, old, state)
-	_, s, l = acquire(t, dir)
-	if s == nil || s.Seq != 7 || len(s.Lore.Groups) != 5000 || s.Out[0] != state.Out[0] || s.Gone[0] != "s-1" {
+	_, s, link = acquire(t, dir)
+	if s == nil || s.ListVersion != 7 || len(s.Snapshot.Groups) != 5000 || s.InFlight[0] != state.InFlight[0] || s.Disabled[0] != "s-1" {
 		t.Fatalf("%+v", s)
 	}
 	predecessor := <-links
 	for i := range 100 {
-		predecessor.Send(Message{Settled: &dispatch.AttemptFinished{Message: dispatch.MessageID(fmt.Sprint(i)), Outcome: dispatch.Throttled, RetryAfter: 9}})
+		predecessor.Send(Message{AttemptFinished: &dispatch.AttemptFinished{Message: dispatch.MessageID(fmt.Sprint(i)), Outcome: dispatch.Throttled, RetryAfter: 9}})
 	}
 	heard := make(chan *Message, 200)
-	go l.Listen(func(m *Message) { heard <- m })
+	go link.Listen(func(message *Message) { heard <- message })
 	for i := range 100 {
-		if m := <-heard; m == nil || m.Settled.Message != dispatch.MessageID(fmt.Sprint(i)) || m.Settled.RetryAfter != 9 {
-			t.Fatalf("%d: %+v", i, m)
+		if message := <-heard; message == nil || message.AttemptFinished.Message != dispatch.MessageID(fmt.Sprint(i)) || message.AttemptFinished.RetryAfter != 9 {
+			t.Fatalf("%d: %+v", i, message)
 		}
 	}
 	predecessor.Close()
-	if m := <-heard; m != nil {
-		t.Errorf("after the end: %+v", m)
+	if message := <-heard; message != nil {
+		t.Errorf("after the end: %+v", message)
 	}
 }
 
@@ -99,13 +99,13 @@
 	if err := brief("n0"); !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("the owner says nothing: %v", err)
 	}
-	g := NewGiver("n0")
+	g := NewPredecessor("n0")
 	var one sync.Mutex // several may knock at once; the courier has a router that takes them in turn
-	if err := old.Serve(func(l *Link, h *Hello) {
+	if err := old.Serve(func(link *Link, h *Hello) {
 		one.Lock()
 		defer one.Unlock()
-		if do, why := g.Knocked(h); do == Refuse {
-			l.Refuse(why)
+		if do, why := g.HelloReceived(h); do == Refuse {
+			link.Refuse(why)
 		} // else it hangs, and the new one waits
 	}); err != nil {
 		t.Fatal(err)
@@ -133,7 +133,7 @@
 		conn.Close()
 	}
 	old.Release()
-	if f, s, _ := acquire(t, dir); f == nil || s != nil {
+	if folder, s, _ := acquire(t, dir); folder == nil || s != nil {
 		t.Error("the owner has ended, and its folder is not to be had")
 	}
 }
--- a/handoff/machine.go
+++ b/handoff/machine.go
@@ -1,111 +1,111 @@
 package handoff
 
-// Giver is the old process's side, without any I/O: it says what is to be done about what happened. It decides, and the
-// folder is its own, as long as it Keeps.
-type Giver struct {
-	courier string
-	phase   phase
-	ending  bool
+// Predecessor is the old process's side, without any I/O: it says what is to be done about what happened. It decides, and the
+// folder is its own, as long as it Owns.
+type Predecessor struct {
+	courier      string
+	phase        phase
+	shuttingDown bool
 }
 
 type phase int
 
 const (
-	keeps  phase = iota
-	asked        // a new process is ready; what has come is still decided here
-	gave         // the new one may decide
-	echoes       // the new one serves; outcomes of what is out are told
+	phaseOwner      phase = iota
+	phaseRequested        // a new process is ready; what has come is still decided here
+	phaseHandedOver       // the new one may decide
+	phaseForwarding       // the new one serves; outcomes of what is out are told
 )
 
-// What a Giver wants done.
-type Do int
+// What a Predecessor wants done.
+type Decision int
 
 const (
-	Nothing Do = iota
-	Refuse     // tell this one no, and close
-	Give       // stop deciding, hand the folder over, send the state, and tell Given
-	Heed       // do what the message says
-	Regain     // the new one has gone: own the folder again, as soon as its lock is free
-	Drop       // close: what it says makes no sense; Lost follows
+	Nothing  Decision = iota
+	Refuse            // tell this one no, and close
+	HandOver          // stop deciding, hand the folder over, send the state, and tell HandedOver
+	Apply             // do what the message says
+	Reclaim           // the new one has gone: own the folder again, as soon as its lock is free
+	Drop              // close: what it says makes no sense; SuccessorLost follows
 )
 
-// NewGiver begins as the owner.
-func NewGiver(courier string) *Giver { return &Giver{courier: courier} }
+// NewPredecessor begins as the owner.
+func NewPredecessor(courier string) *Predecessor { return &Predecessor{courier: courier} }
 
-// Keeps tells whether this process decides.
-func (g *Giver) Keeps() bool { return g.phase == keeps || g.phase == asked }
+// Owns tells whether this process decides.
+func (g *Predecessor) Owns() bool { return g.phase == phaseOwner || g.phase == phaseRequested }
 
-// Ending: this process was told to end. It gives to nobody any more, and does not go on when a new one dies.
-func (g *Giver) Ending() { g.ending = true }
+// ShutDown: this process was told to end. It gives to nobody any more, and does not go on when a new one dies.
+func (g *Predecessor) ShutDown() { g.shuttingDown = true }
 
-// Knocked: a new process has said hello; ours tells whether it is the one that a handover is under way with.
-func (g *Giver) Knocked(h *Hello) (Do, string) {
+// HelloReceived: a new process has said hello; ours tells whether it is the one that a handover is under way with.
+func (g *Predecessor) HelloReceived(h *Hello) (Decision, string) {
 	if err := h.agree(g.courier); err != nil {
 		return Refuse, err.Error()
 	}
 	switch {
-	case g.ending:
+	case g.shuttingDown:
 		return Refuse, "this process is ending"
-	case g.phase != keeps:
+	case g.phase != phaseOwner:
 		return Refuse, "another process is taking over"
 	}
-	g.phase = asked
-	return Give, ""
+	g.phase = phaseRequested
+	return HandOver, ""
 }
 
-// Given: the state was sent, and the folder's lock is free.
-func (g *Giver) Given() {
-	if g.phase == asked {
-		g.phase = gave
+// HandedOver: the state was sent, and the folder's lock is free.
+func (g *Predecessor) HandedOver() {
+	if g.phase == phaseRequested {
+		g.phase = phaseHandedOver
 	}
 }
 
-// Said is a message of the one that takes over.
-func (g *Giver) Said(m *Message) Do {
+// MessageReceived is a message of the one that takes over.
+func (g *Predecessor) MessageReceived(message *Message) Decision {
 	switch {
-	case m.Serving && g.phase == gave:
-		g.phase = echoes
-		return Heed
-	case (m.Cancel != nil || m.Wait != nil || m.Answer != nil) && (g.phase == gave || g.phase == echoes):
-		return Heed
+	case message.Serving && g.phase == phaseHandedOver:
+		g.phase = phaseForwarding
+		return Apply
+	case (message.Cancel != nil || message.RetryAfter != nil || message.Result != nil) && (g.phase == phaseHandedOver || g.phase == phaseForwarding):
+		return Apply
 	}
 	return Drop
 }
 
-// Lost: the one that takes over has gone.
-func (g *Giver) Lost() Do {
+// SuccessorLost: the one that takes over has gone.
+func (g *Predecessor) SuccessorLost() Decision {
 	before := g.phase
-	g.phase = keeps
-	if before == asked || before == keeps {
+	g.phase = phaseOwner
+	if before == phaseRequested || before == phaseOwner {
 		return Nothing
 	}
-	if g.ending {
+	if g.shuttingDown {
 		g.phase = before
 		return Nothing
 	}
-	return Regain
+	return Reclaim
 }
 
-// Taker is the new process's side before it owns the folder.
-type Taker struct{ given bool }
+// Successor is the new process's side before it owns the folder.
+type Successor struct{ received bool }
 
-// What a Taker wants done.
-type Step int
+// What a Successor wants done.
+type SuccessorDecision int
 
 const (
-	Stay  Step = iota // for the lock, and try again to talk
-	Own               // take the lock, which is free or about to be, with the state if there is one
-	Yield             // end: another process is taking over
+	Wait     SuccessorDecision = iota // for the lock, and try again to talk
+	TakeOver                          // take the lock, which is free or about to be, with the state if there is one
+	Yield                             // end: another process is taking over
 )
 
-// Said is the answer of the old process.
-func (t *Taker) Said(m *Message) (Step, string) {
+// MessageReceived is the answer of the old process.
+func (t *Successor) MessageReceived(message *Message) (SuccessorDecision, string) {
 	switch {
-	case m.State != nil && !t.given:
-		t.given = true
-		return Own, ""
-	case m.Refused == "another process is taking over":
-		return Yield, m.Refused
+	case message.State != nil && !t.received:
+		t.received = true
+		return TakeOver, ""
+	case message.Refused == "another process is taking over":
+		return Yield, message.Refused
 	}
-	return Stay, m.Refused
+	return Wait, message.Refused
 }
--- a/handoff/machine_test.go
+++ b/handoff/machine_test.go
@@ -7,7 +7,7 @@
 
 // model is one old and up to two new processes with a lock and the messages between them, and nothing else.
 type model struct {
-	giver             *Giver
+	giver             *Predecessor
 	oldAlive, stopped bool
 	regaining         bool // it is to go on, and has not got the lock yet
 	lock              int  // 0 free, 1 old, 2 and 3 the new ones
@@ -16,7 +16,7 @@
 
 type newcomer struct {
 	born, alive, linked bool
-	taker               Taker
+	taker               Successor
 	toOld, toNew        []Message
 	decides, wanted     bool
 }
@@ -31,7 +31,7 @@
 	return &m
 }
 
-func (m *model) oldDecides() bool { return m.oldAlive && m.giver.Keeps() && !m.regaining }
+func (m *model) oldDecides() bool { return m.oldAlive && m.giver.Owns() && !m.regaining }
 
 // steps are all that can happen next.
 func (m *model) steps() (all []func(*model)) {
@@ -49,7 +49,7 @@
 			m.news[i].linked = false
 		}
 	})
-	add(m.oldAlive && !m.stopped, func(m *model) { m.stopped = true; m.giver.Ending() }) // SIGTERM
+	add(m.oldAlive && !m.stopped, func(m *model) { m.stopped = true; m.giver.ShutDown() }) // SIGTERM
 	for i := range m.news {
 		n := m.news[i]
 		add(!n.born, func(m *model) { m.news[i] = newcomer{born: true, alive: true} })
@@ -68,13 +68,13 @@
 		add(n.alive && !n.decides && !n.linked && m.oldAlive && m.lock == 1, func(m *model) {                  // it knocks
 			n := &m.news[i]
 			n.linked = true
-			switch do, why := m.giver.Knocked(&Hello{Version, "n0"}); do {
+			switch do, why := m.giver.HelloReceived(&Hello{Version, "n0"}); do {
 			case Refuse:
 				n.linked = false
-				if step, _ := n.taker.Said(&Message{Refused: why}); step == Yield {
+				if step, _ := n.taker.MessageReceived(&Message{Refused: why}); step == Yield {
 					n.alive = false
 				}
-			case Give:
+			case HandOver:
 				n.wanted = true
 			}
 		})
@@ -82,22 +82,22 @@
 			n := &m.news[i]
 			n.wanted, m.lock = false, 0
 			n.toNew = append(n.toNew, Message{State: &State{}})
-			m.giver.Given()
+			m.giver.HandedOver()
 		})
 		add(n.alive && len(n.toNew) > 0, func(m *model) { // it hears
 			n := &m.news[i]
 			msg := n.toNew[0]
 			n.toNew = n.toNew[1:]
-			if step, _ := n.taker.Said(&msg); step == Own && m.lock == 0 {
+			if step, _ := n.taker.MessageReceived(&msg); step == TakeOver && m.lock == 0 {
 				m.lock, n.decides = 2+i, true
-				n.toOld = append(n.toOld, Message{Serving: true}, Message{Cancel: &Out{}})
+				n.toOld = append(n.toOld, Message{Serving: true}, Message{Cancel: &AttemptID{}})
 			}
 		})
 		add(m.oldAlive && n.linked && len(n.toOld) > 0, func(m *model) {
 			n := &m.news[i]
 			msg := n.toOld[0]
 			n.toOld = n.toOld[1:]
-			if m.giver.Said(&msg) == Drop {
+			if m.giver.MessageReceived(&msg) == Drop {
 				n.linked = false
 				m.lost()
 			}
@@ -109,7 +109,7 @@
 }
 
 func (m *model) lost() {
-	if m.giver.Lost() == Regain {
+	if m.giver.SuccessorLost() == Reclaim {
 		m.regaining = true
 	}
 }
@@ -118,7 +118,7 @@
 // two that decide at once. What must be: whoever is left alive can own the folder. Failure: an old process that went on while
 // the new one decided broke waits and sent records twice.
 func TestEveryOrder(t *testing.T) {
-	start := &model{giver: NewGiver("n0"), oldAlive: true, lock: 1}
+	start := &model{giver: NewPredecessor("n0"), oldAlive: true, lock: 1}
 	seen := map[string]bool{}
 	played := 0
 	var play func(m *model, depth int)
@@ -164,34 +164,34 @@
 
 func TestGiver(t *testing.T) {
 	hello := &Hello{Version, "n0"}
-	g := NewGiver("n0")
+	g := NewPredecessor("n0")
 	for _, bad := range []*Hello{{Version + 1, "n0"}, {Version, "n1"}} {
-		if do, why := g.Knocked(bad); do != Refuse || why == "" || !g.Keeps() {
+		if do, why := g.HelloReceived(bad); do != Refuse || why == "" || !g.Owns() {
 			t.Errorf("%+v: %v %q", bad, do, why)
 		}
 	}
-	if do, _ := g.Knocked(hello); do != Give || !g.Keeps() {
+	if do, _ := g.HelloReceived(hello); do != HandOver || !g.Owns() {
 		t.Error("a new process that is ready is not given to, or too soon")
 	}
-	if do, _ := g.Knocked(hello); do != Refuse {
+	if do, _ := g.HelloReceived(hello); do != Refuse {
 		t.Error("a second new process is not refused")
 	}
-	if g.Said(&Message{Serving: true}) != Drop {
+	if g.MessageReceived(&Message{Serving: true}) != Drop {
 		t.Error("serves before it was given anything")
 	}
-	if g.Given(); g.Keeps() || g.Said(&Message{State: &State{}}) != Drop || g.Said(&Message{Serving: true}) != Heed ||
-		g.Said(&Message{Serving: true}) != Drop || g.Said(&Message{Cancel: &Out{}}) != Heed {
+	if g.HandedOver(); g.Owns() || g.MessageReceived(&Message{State: &State{}}) != Drop || g.MessageReceived(&Message{Serving: true}) != Apply ||
+		g.MessageReceived(&Message{Serving: true}) != Drop || g.MessageReceived(&Message{Cancel: &AttemptID{}}) != Apply {
 		t.Error("messages after the handover")
 	}
-	if g.Lost() != Regain || !g.Keeps() {
+	if g.SuccessorLost() != Reclaim || !g.Owns() {
 		t.Error("does not go on when the new process dies")
 	}
-	g.Knocked(hello)
-	g.Given()
-	if g.Ending(); g.Lost() != Nothing || g.Keeps() {
+	g.HelloReceived(hello)
+	g.HandedOver()
+	if g.ShutDown(); g.SuccessorLost() != Nothing || g.Owns() {
 		t.Error("goes on though it was told to end")
 	}
-	if do, _ := NewGiver("n0").Knocked(hello); do != Give {
+	if do, _ := NewPredecessor("n0").HelloReceived(hello); do != HandOver {
 		t.Error("a fresh one refuses")
 	}
 }
--- a/handoff/message.go
+++ b/handoff/message.go
@@ -22,15 +22,15 @@
 
 // Message is one thing said; one of its fields is set.
 type Message struct {
-	Hello   *Hello                    `json:"hello,omitempty"`   // new: ready to take over
-	Refused string                    `json:"refused,omitempty"` // old: goes on by itself, and why
-	State   *State                    `json:"state,omitempty"`   // old: decides no more
-	Serving bool                      `json:"serving,omitempty"` // new: takes clients
-	Settled *dispatch.AttemptFinished `json:"settled,omitempty"` // old: a trip that it had out ended
-	Cancel  *Out                      `json:"cancel,omitempty"`  // new: it is waited for no more
-	Wait    *Wait                     `json:"wait,omitempty"`    // new: was told to wait, in case the old one must go on
-	Ask     *Ask                      `json:"ask,omitempty"`     // old: operators want something
-	Answer  *Answer                   `json:"answer,omitempty"`  // new: what became of it
+	Hello           *Hello                    `json:"hello,omitempty"`   // new: ready to take over
+	Refused         string                    `json:"refused,omitempty"` // old: goes on by itself, and why
+	State           *State                    `json:"state,omitempty"`   // old: decides no more
+	Serving         bool                      `json:"serving,omitempty"` // new: takes clients
+	AttemptFinished *dispatch.AttemptFinished `json:"settled,omitempty"` // old: a trip that it had out ended
+	Cancel          *AttemptID                `json:"cancel,omitempty"`  // new: it is waited for no more
+	RetryAfter      *RetryAfter               `json:"wait,omitempty"`    // new: was told to wait, in case the old one must go on
+	Command         *Command                  `json:"ask,omitempty"`     // old: operators want something
+	Result          *Result                   `json:"answer,omitempty"`  // new: what became of it
 }
 
 // Hello says who is there.
@@ -41,47 +41,47 @@
 
 // State is all that the folder that lasts does not hold.
 type State struct {
-	Lore  dispatch.Snapshot          `json:"lore"`
-	Seq   int64                      `json:"seq"` // of the list
-	Hosts []protocol.Host            `json:"hosts"`
-	Out   []Out                      `json:"out"`   // trips whose outcome is still to be told
-	Waits map[string]dispatch.Micros `json:"waits"` // by route, until when
-	Gone  []string                   `json:"gone"`  // endpoints out for maintenance
-	Away  bool                       `json:"away"`  // clients are sent away
-	Peers *Peers                     `json:"peers,omitempty"`
+	Snapshot    dispatch.Snapshot          `json:"lore"`
+	ListVersion int64                      `json:"seq"` // of the list
+	Hosts       []protocol.Host            `json:"hosts"`
+	InFlight    []AttemptID                `json:"out"`   // trips whose outcome is still to be told
+	RetryAfter  map[string]dispatch.Micros `json:"waits"` // by route, until when
+	Disabled    []string                   `json:"gone"`  // endpoints out for maintenance
+	Draining    bool                       `json:"away"`  // clients are sent away
+	Membership  *Membership                `json:"peers,omitempty"`
 }
 
-// Peers is what the fleet knows this courier by, and where its members are: both processes are one member.
-type Peers struct {
-	Start   uint64   `json:"start"`
-	Members []string `json:"members"`
+// Membership is what the fleet knows this courier by, and where its members are: both processes are one member.
+type Membership struct {
+	Incarnation uint64   `json:"start"`
+	Members     []string `json:"members"`
 }
 
-// Out is one trip.
-type Out struct {
-	Record string          `json:"record"`
-	Trip   int             `json:"trip"`
-	Limit  dispatch.Micros `json:"limit,omitempty"`
+// AttemptID is one trip.
+type AttemptID struct {
+	Message   string          `json:"record"`
+	Attempt   int             `json:"trip"`
+	WaitUntil dispatch.Micros `json:"limit,omitempty"`
 }
 
-// Wait is what a route told; Endpoint is empty where the route is the destination.
-type Wait struct {
-	Dest     dispatch.DestinationID `json:"dest"`
-	Endpoint dispatch.EndpointID    `json:"endpoint,omitempty"`
-	Until    dispatch.Micros        `json:"until"`
+// RetryAfter is what a route told; Endpoint is empty where the route is the destination.
+type RetryAfter struct {
+	Destination dispatch.DestinationID `json:"dest"`
+	Endpoint    dispatch.EndpointID    `json:"endpoint,omitempty"`
+	Until       dispatch.Micros        `json:"until"`
 }
 
-// Ask is a call of an operator: an endpoint out or back, or clients away or back.
-type Ask struct {
+// Command is a call of an operator: an endpoint out or back, or clients away or back.
+type Command struct {
 	Number   int64  `json:"number"`
 	Endpoint string `json:"endpoint,omitempty"`
-	Yes      bool   `json:"yes"`
+	Enable   bool   `json:"yes"`
 }
 
-// Answer is empty for yes.
-type Answer struct {
+// Result is empty for yes.
+type Result struct {
 	Number  int64  `json:"number"`
-	Fault   string `json:"fault,omitempty"`
+	Error   string `json:"fault,omitempty"`
 	Unknown bool   `json:"unknown,omitempty"`
 }
 
@@ -100,20 +100,20 @@
 }
 
 func newLink(conn net.Conn) *Link {
-	l := &Link{conn: conn, lines: bufio.NewScanner(conn), queue: make(chan Message, maxQueue), ended: make(chan struct{})}
-	l.lines.Buffer(make([]byte, 0, 4<<10), maxMessage)
-	go l.write()
-	return l
+	link := &Link{conn: conn, lines: bufio.NewScanner(conn), queue: make(chan Message, maxQueue), ended: make(chan struct{})}
+	link.lines.Buffer(make([]byte, 0, 4<<10), maxMessage)
+	go link.write()
+	return link
 }
 
 // Listen hands over what comes in until the link ends, and then nil.
 func (l *Link) Listen(to func(*Message)) {
 	for {
-		m, err := l.next()
+		message, err := l.next()
 		if err != nil {
 			break
 		}
-		to(m)
+		to(message)
 	}
 	l.Close()
 	to(nil)
@@ -123,8 +123,8 @@
 	if !l.lines.Scan() {
 		return nil, errors.Join(io.ErrUnexpectedEOF, l.lines.Err())
 	}
-	m := &Message{}
-	return m, json.Unmarshal(l.lines.Bytes(), m)
+	message := &Message{}
+	return message, json.Unmarshal(l.lines.Bytes(), message)
 }
 
 // Send never waits: a side that does not read ends the link.
--- a/maintenance/golden_test.go
+++ b/maintenance/golden_test.go
@@ -13,7 +13,7 @@
 func TestFileIsAsRecorded(t *testing.T) {
 	golden.Tagged(t, body{})
 	dir := t.TempDir()
-	if err := Keep(dir, "n0").Write(1, map[string]bool{"s-1": true, "s-2": true}); err != nil {
+	if err := NewWriter(dir, "n0").Write(1, map[string]bool{"s-1": true, "s-2": true}); err != nil {
 		t.Fatal(err)
 	}
 	content, err := os.ReadFile(filepath.Join(dir, Name))
--- a/maintenance/maintenance.go
+++ b/maintenance/maintenance.go
@@ -21,14 +21,14 @@
 	version = 1
 	// Limit is the most that the file may hold: some hundred endpoints.
 	Limit = 16 << 10
-	// Room is what the folder must have free for it: the file, and its successor while it is replaced.
-	Room = 2 * Limit
+	// Reserve is what the folder must have free for it: the file, and its successor while it is replaced.
+	Reserve = 2 * Limit
 )
 
 // Why a file is not used, beside what sealed says.
 var (
-	ErrVersion  = errors.New("of another version")
-	ErrStranger = errors.New("of another courier")
+	ErrVersion      = errors.New("of another version")
+	ErrOtherCourier = errors.New("of another courier")
 )
 
 // ErrTooMany says that more endpoints are out than the file may name.
@@ -44,7 +44,7 @@
 	if err == nil && len(text)+atomicfile.HeadSize > Limit {
 		err = ErrTooMany
 	}
-	return atomicfile.Seal(magic, version, text), err
+	return atomicfile.Encode(magic, version, text), err
 }
 
 // Read tells which endpoints are out, by the file in a folder; none where there is no file.
@@ -56,7 +56,7 @@
 	if err != nil {
 		return nil, err
 	}
-	v, text, err := atomicfile.Open(magic, content)
+	v, text, err := atomicfile.Decode(magic, content)
 	switch {
 	case err != nil:
 		return nil, err
@@ -68,41 +68,41 @@
 		return nil, fmt.Errorf("%w: %v", atomicfile.ErrTorn, err)
 	}
 	if b.Courier != courier {
-		return nil, fmt.Errorf("%w: %q", ErrStranger, b.Courier)
+		return nil, fmt.Errorf("%w: %q", ErrOtherCourier, b.Courier)
 	}
 	return b.Out, nil
 }
 
-// Keeper writes the file. Calls may come from several goroutines, and out of order.
-type Keeper struct {
+// Writer writes the file. Calls may come from several goroutines, and out of order.
+type Writer struct {
 	dir, courier string
 	mu           sync.Mutex
 	written      int64
-	shut         bool
+	stopped      bool
 }
 
-// Keep makes a keeper for a folder, and removes what a write left behind that was cut off.
-func Keep(dir, courier string) *Keeper {
-	atomicfile.Sweep(dir, Name)
-	return &Keeper{dir: dir, courier: courier}
+// NewWriter makes a keeper for a folder, and removes what a write left behind that was cut off.
+func NewWriter(dir, courier string) *Writer {
+	atomicfile.RemoveLeftovers(dir, Name)
+	return &Writer{dir: dir, courier: courier}
 }
 
-// Shut ends the writing: what is out has been handed to another process, which has it in the file before it serves.
-func (k *Keeper) Shut() {
+// Stop ends the writing: what is out has been handed to another process, which has it in the file before it serves.
+func (k *Writer) Stop() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.shut = true
+	k.stopped = true
 }
 
 // Write returns once the endpoints that were out at a turn, or a later one, are in the file.
-func (k *Keeper) Write(turn int64, out map[string]bool) error {
+func (k *Writer) Write(turn int64, out map[string]bool) error {
 	content, err := encode(k.courier, slices.Sorted(maps.Keys(out)))
 	if err != nil {
 		return err
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if turn <= k.written || k.shut {
+	if turn <= k.written || k.stopped {
 		return nil
 	}
 	if err := atomicfile.Write(k.dir, Name, content); err != nil {
--- a/maintenance/maintenance_test.go
+++ b/maintenance/maintenance_test.go
@@ -17,7 +17,7 @@
 	if out, err := Read(dir, "n0"); out != nil || err != nil {
 		t.Fatalf("no file: %v, %v", out, err)
 	}
-	k := Keep(dir, "n0")
+	k := NewWriter(dir, "n0")
 	for turn, out := range []map[string]bool{{"a": true}, {"a": true, "b": true}} {
 		if err := k.Write(int64(turn+1), out); err != nil {
 			t.Fatal(err)
@@ -41,9 +41,9 @@
 		"torn":         {sound[:len(sound)-1], "n0", atomicfile.ErrTorn},
 		"damaged":      {append(slices.Clone(sound[:len(sound)-1]), 'x'), "n0", atomicfile.ErrTorn},
 		"empty":        {nil, "n0", atomicfile.ErrTorn},
-		"newer":        {atomicfile.Seal(magic, version+1, []byte("{}")), "n0", ErrVersion},
-		"other things": {atomicfile.Seal(magic, version, []byte("[]")), "n0", atomicfile.ErrTorn},
-		"stranger":     {sound, "n1", ErrStranger},
+		"newer":        {atomicfile.Encode(magic, version+1, []byte("{}")), "n0", ErrVersion},
+		"other things": {atomicfile.Encode(magic, version, []byte("[]")), "n0", atomicfile.ErrTorn},
+		"stranger":     {sound, "n1", ErrOtherCourier},
 		"too large":    {make([]byte, Limit+1), "n0", atomicfile.ErrTooLarge},
 	} {
 		if err := os.WriteFile(filepath.Join(dir, Name), c.content, 0o600); err != nil {
--- a/membership/gossip/golden_test.go
+++ b/membership/gossip/golden_test.go
@@ -14,7 +14,7 @@
 // TestPacketsAreAsRecorded: what members send one another beside the detector's own messages, with every field set, byte by byte.
 func TestPacketsAreAsRecorded(t *testing.T) {
 	var lines strings.Builder
-	for _, packet := range []any{&tag{}, &state{}, &namesake{}, &parcel{}} {
+	for _, packet := range []any{&metadata{}, &pushPullState{}, &nameConflict{}, &userPacket{}} {
 		golden.Tagged(t, packet)
 		golden.Fill(packet)
 		text, err := cbor.Marshal(packet)
--- a/membership/gossip/gossip_test.go
+++ b/membership/gossip/gossip_test.go
@@ -25,12 +25,12 @@
 
 func (f *fleet) begin(i int) {
 	f.starts[i]++
-	m, err := Open(Options{Name: fmt.Sprintf("n%d", i), Start: f.starts[i], Couriers: len(f.members), Join: []string{f.mesh.At(0), f.mesh.At((i + 1) % len(f.members))},
-		Salt: int64(i), Transport: f.mesh.Join(i)})
+	member, err := Open(Options{Name: fmt.Sprintf("n%d", i), Incarnation: f.starts[i], FleetSize: len(f.members), Join: []string{f.mesh.At(0), f.mesh.At((i + 1) % len(f.members))},
+		Seed: int64(i), Transport: f.mesh.Join(i)})
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	f.members[i] = m
+	f.members[i] = member
 }
 
 func begin(t *testing.T, n int, seed int64) *fleet {
@@ -42,24 +42,24 @@
 }
 
 func (f *fleet) end() {
-	for _, m := range f.members {
-		m.Hand()
+	for _, member := range f.members {
+		member.HandOff()
 	}
 	time.Sleep(time.Minute) // what the detector has under way runs out
 }
 
 // settle waits for a state of all but some, and returns how long that took.
-func (f *fleet) settle(within time.Duration, all func(i int, m *Member) bool, but ...int) time.Duration {
+func (f *fleet) settle(within time.Duration, all func(i int, member *Member) bool, but ...int) time.Duration {
 	f.t.Helper()
 	begun := time.Now()
 	for time.Since(begun) < within {
 		ok := true
-		for i, m := range f.members {
+		for i, member := range f.members {
 			skip := false
 			for _, b := range but {
 				skip = skip || b == i
 			}
-			ok = ok && (skip || all(i, m))
+			ok = ok && (skip || all(i, member))
 		}
 		if ok {
 			return time.Since(begun)
@@ -67,13 +67,13 @@
 		time.Sleep(100 * time.Millisecond)
 	}
 	told := 0
-	for i, m := range f.members {
-		if p := m.Picture(); !all(i, m) && told < 8 {
+	for i, member := range f.members {
+		if snapshot := member.Snapshot(); !all(i, member) && told < 8 {
 			told++
-			f.t.Errorf("n%d, start %d: %s, %d to %d couriers, %d words lost", i, m.Start(), p.Standing, p.Least, p.Most, m.Figures().Lost)
-			for _, o := range p.Members {
+			f.t.Errorf("n%d, start %d: %s, %d to %d couriers, %d words lost", i, member.Incarnation(), snapshot.LocalStatus, snapshot.MinCouriers, snapshot.MaxCouriers, member.Metrics().LostEvents)
+			for _, o := range snapshot.Members {
 				if o.State != membership.Alive {
-					f.t.Errorf("  %s is %v, start %d", o.Name, o.State, o.Start)
+					f.t.Errorf("  %s is %v, start %d", o.Name, o.State, o.Incarnation)
 				}
 			}
 		}
@@ -82,10 +82,12 @@
 	return 0
 }
 
-func whole(_ int, m *Member) bool { return m.Picture().Standing == membership.Whole.String() }
+func whole(_ int, member *Member) bool {
+	return member.Snapshot().LocalStatus == membership.Complete.String()
+}
 
-func stateOf(m *Member, name string) membership.State {
-	for _, o := range m.Picture().Members {
+func stateOf(member *Member, name string) membership.State {
+	for _, o := range member.Snapshot().Members {
 		if string(o.Name) == name {
 			return o.State
 		}
@@ -109,9 +111,9 @@
 				end := f.mesh.Begin(fault)
 				for range int(fault.Length * 10) {
 					time.Sleep(100 * time.Millisecond)
-					for i, m := range f.members {
-						if p := m.Picture(); p.Most < n {
-							t.Fatalf("seed %d, %s: n%d counts %d", seed, fault.Kind, i, p.Most)
+					for i, member := range f.members {
+						if snapshot := member.Snapshot(); snapshot.MaxCouriers < n {
+							t.Fatalf("seed %d, %s: n%d counts %d", seed, fault.Kind, i, snapshot.MaxCouriers)
 						}
 					}
 				}
@@ -135,11 +137,11 @@
 		for i := 0; i < n; i += 10 {
 			dead = append(dead, i)
 			f.mesh.Drop(i)
-			f.members[i].Hand()
+			f.members[i].HandOff()
 		}
-		took := f.settle(3*time.Minute, func(_ int, m *Member) bool {
-			p := m.Picture()
-			return p.Least == n-len(dead) && p.Most == n
+		took := f.settle(3*time.Minute, func(_ int, member *Member) bool {
+			snapshot := member.Snapshot()
+			return snapshot.MinCouriers == n-len(dead) && snapshot.MaxCouriers == n
 		}, dead...)
 		t.Logf("thirty deaths known by all after %v", took)
 		for _, i := range dead {
@@ -158,15 +160,15 @@
 		f.settle(time.Minute, whole)
 		for _, side := range [][]int{{0, 1, 2}, {3, 4, 5}} {
 			end := f.mesh.Begin(netfault.Fault{Kind: "cut", From: side})
-			f.settle(time.Minute, func(i int, m *Member) bool {
-				p := m.Picture()
+			f.settle(time.Minute, func(i int, member *Member) bool {
+				snapshot := member.Snapshot()
 				inside := 6
 				for _, s := range side {
 					if s == i {
 						inside = 3
 					}
 				}
-				return p.Least == inside && p.Most == n && p.Standing == membership.Part.String()
+				return snapshot.MinCouriers == inside && snapshot.MaxCouriers == n && snapshot.LocalStatus == membership.Partial.String()
 			})
 			if err := end(); err != nil {
 				t.Error(err)
@@ -187,9 +189,9 @@
 			ends = append(ends, f.mesh.Begin(netfault.Fault{Kind: "one-way", From: p[:1], To: p[1:]}))
 		}
 		time.Sleep(40 * time.Second)
-		for i, m := range f.members {
-			if p := m.Picture(); p.Most != 3 {
-				t.Errorf("n%d counts %d", i, p.Most)
+		for i, member := range f.members {
+			if p := member.Snapshot(); p.MaxCouriers != 3 {
+				t.Errorf("n%d counts %d", i, p.MaxCouriers)
 			}
 		}
 		for _, end := range ends {
@@ -206,20 +208,20 @@
 		defer f.end()
 		f.settle(time.Minute, whole)
 		f.members[2].Leave()
-		f.settle(time.Minute, func(_ int, m *Member) bool { return stateOf(m, "n2") == membership.Left }, 2)
+		f.settle(time.Minute, func(_ int, member *Member) bool { return stateOf(member, "n2") == membership.Left }, 2)
 		f.begin(2)
 		f.settle(time.Minute, whole)
-		for i, m := range f.members {
-			if m.Picture().Revoked != 0 {
+		for i, member := range f.members {
+			if member.Snapshot().Revoked != 0 {
 				t.Errorf("n%d believed in a death", i)
 			}
 		}
 	})
 }
 
-// TestOldNumberAndNamesake: one that comes back from an older copy of its folder goes on under a higher number; of two of one
+// TestStaleIncarnationAndNameConflict: one that comes back from an older copy of its folder goes on under a higher number; of two of one
 // name the older start stands back.
-func TestOldNumberAndNamesake(t *testing.T) {
+func TestStaleIncarnationAndNameConflict(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := begin(t, 5, 9)
 		defer f.end()
@@ -230,31 +232,31 @@
 			f.settle(time.Minute, whole)
 		}
 		f.mesh.Drop(1)
-		f.members[1].Hand()
+		f.members[1].HandOff()
 		f.starts[1] = 0 // the folder is an older copy
 		f.begin(1)
-		f.settle(time.Minute, func(_ int, m *Member) bool { return whole(0, m) && f.members[1].Start() > 4 })
+		f.settle(time.Minute, func(_ int, member *Member) bool { return whole(0, member) && f.members[1].Incarnation() > 4 })
 
-		twin, err := Open(Options{Name: "n1", Start: 5000, Couriers: 5, Join: []string{f.mesh.At(0)}, Transport: f.mesh.Join(5)})
+		twin, err := Open(Options{Name: "n1", Incarnation: 5000, FleetSize: 5, Join: []string{f.mesh.At(0)}, Transport: f.mesh.Join(5)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer twin.Hand()
-		f.settle(2*time.Minute, func(i int, m *Member) bool {
-			return i != 1 || m.Picture().Standing == membership.Aside.String()
+		defer twin.HandOff()
+		f.settle(2*time.Minute, func(i int, member *Member) bool {
+			return i != 1 || member.Snapshot().LocalStatus == membership.SteppedDown.String()
 		})
 	})
 }
 
-// TestHostileWords: what does not make sense changes nothing and stops nothing.
-func TestHostileWords(t *testing.T) {
+// TestHostilePackets: what does not make sense changes nothing and stops nothing.
+func TestHostilePackets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := begin(t, 3, 11)
 		defer f.end()
 		f.settle(time.Minute, whole)
 		rng := rand.New(rand.NewSource(1))
 		from := f.mesh.Join(0)
-		f.members[0].Hand()
+		f.members[0].HandOff()
 		for range 2000 {
 			junk := make([]byte, rng.Intn(1400))
 			rng.Read(junk)
@@ -269,19 +271,19 @@
 	})
 }
 
-// TestLostWords: what the queue had no room for is heard all the same, a little later. Failure: see again.
-func TestLostWords(t *testing.T) {
+// TestLostEvents: what the queue had no room for is heard all the same, a little later. Failure: see again.
+func TestLostEvents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := begin(t, 4, 17)
 		defer f.end()
 		f.settle(time.Minute, whole)
-		m := f.members[0]
-		m.tell(membership.Heard{Name: "n1", Start: 1, State: membership.Failed}) // and the word that it is back is lost
-		for m.lost.Load() == 0 {
-			m.tell(membership.Answered{Name: "nobody"})
+		member := f.members[0]
+		member.enqueue(membership.MemberReported{Name: "n1", Incarnation: 1, State: membership.Failed}) // and the word that it is back is lost
+		for member.lostEvents.Load() == 0 {
+			member.enqueue(membership.ProbeAnswered{Name: "nobody"})
 		}
 		f.settle(5*time.Second, whole)
-		m.tell(membership.Heard{Name: "n2", Start: 1, State: membership.Failed}) // without anybody noticing that a word was lost
+		member.enqueue(membership.MemberReported{Name: "n2", Incarnation: 1, State: membership.Failed}) // without anybody noticing that a word was lost
 		time.Sleep(50 * time.Millisecond)
 		f.settle(15*time.Second, whole)
 	})
@@ -295,16 +297,16 @@
 		f.mesh.Keep = true
 		f.settle(time.Minute, whole)
 		f.members[3].Leave()
-		f.settle(time.Minute, func(_ int, m *Member) bool { return stateOf(m, "n3") == membership.Left }, 3)
+		f.settle(time.Minute, func(_ int, member *Member) bool { return stateOf(member, "n3") == membership.Left }, 3)
 		f.members[2].Leave()
 		f.begin(2)
-		f.settle(time.Minute, func(_ int, m *Member) bool { return stateOf(m, "n2") == membership.Alive }, 2, 3)
+		f.settle(time.Minute, func(_ int, member *Member) bool { return stateOf(member, "n2") == membership.Alive }, 2, 3)
 		n := f.mesh.Replay()
 		time.Sleep(30 * time.Second)
-		for i, m := range f.members[:3] {
-			for _, o := range m.Picture().Members {
-				if o.Name == "n3" && o.State != membership.Left || o.Name == "n2" && (o.State != membership.Alive || o.Start != 2) {
-					t.Errorf("n%d believes %d packets of before: %s is %v, start %d", i, n, o.Name, o.State, o.Start)
+		for i, member := range f.members[:3] {
+			for _, o := range member.Snapshot().Members {
+				if o.Name == "n3" && o.State != membership.Left || o.Name == "n2" && (o.State != membership.Alive || o.Incarnation != 2) {
+					t.Errorf("n%d believes %d packets of before: %s is %v, start %d", i, n, o.Name, o.State, o.Incarnation)
 				}
 			}
 		}
@@ -323,15 +325,15 @@
 			t.Error(err)
 		}
 		among := 0
-		for i, m := range f.members {
+		for i, member := range f.members {
 			if i != 5 {
-				among += m.Picture().Revoked
+				among += member.Snapshot().Revoked
 			}
-			if p := m.Picture(); p.Most != 12 {
-				t.Errorf("n%d counts %d", i, p.Most)
+			if snapshot := member.Snapshot(); snapshot.MaxCouriers != 12 {
+				t.Errorf("n%d counts %d", i, snapshot.MaxCouriers)
 			}
 		}
-		t.Logf("in two minutes eleven sound members gave somebody up and took it back %d times, the slow one %d times", among, f.members[5].Picture().Revoked)
+		t.Logf("in two minutes eleven sound members gave somebody up and took it back %d times, the slow one %d times", among, f.members[5].Snapshot().Revoked)
 		if among > 11*4 {
 			t.Errorf("%d deaths believed that were none among the sound", among)
 		}
@@ -350,18 +352,18 @@
 	return l.tcp.Addr().String()
 }
 
-// TestStrangers: on sockets, members of another fleet, with another key or without, and whoever sends what is torn, too long or
+// TestMembersOfOtherFleetsAreIgnored: on sockets, members of another fleet, with another key or without, and whoever sends what is torn, too long or
 // does not end, are not heard; members are, and go on.
-func TestStrangers(t *testing.T) {
+func TestMembersOfOtherFleetsAreIgnored(t *testing.T) {
 	const key = "00112233445566778899aabbccddeeff"
 	at := loopback(t)
 	open := func(name, fleet, key, listen string) *Member {
-		m, err := Open(Options{Name: name, Start: 1, Couriers: 2, Fleet: fleet, Key: key, Listen: listen, Join: []string{at}, Pace: 50 * time.Millisecond})
+		member, err := Open(Options{Name: name, Incarnation: 1, FleetSize: 2, Fleet: fleet, Key: key, Listen: listen, Join: []string{at}, Interval: 50 * time.Millisecond})
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(m.Hand)
-		return m
+		t.Cleanup(member.HandOff)
+		return member
 	}
 	a := open("a", "f", key, at)
 	for _, s := range [][2]string{{"g", key}, {"f", "ff112233445566778899aabbccddeeff"}, {"f", ""}} {
@@ -378,7 +380,7 @@
 	for i := range 200 {
 		u.Write(junk[:1+(i*977)%len(junk)])
 	}
-	for i := range streamMost + 10 { // more than are taken at once; none says anything whole
+	for i := range maxStreams + 10 { // more than are taken at once; none says anything whole
 		c, err := net.Dial("tcp", at)
 		if err != nil {
 			continue
@@ -386,19 +388,19 @@
 		defer c.Close()
 		c.Write(junk[:i*100])
 	}
-	for end := time.Now().Add(20 * time.Second); a.Figures().Network.Turned == 0 && time.Now().Before(end); {
+	for end := time.Now().Add(20 * time.Second); a.Metrics().Network.Turned == 0 && time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond)
 	}
-	if a.Figures().Network.Turned == 0 {
+	if a.Metrics().Network.Turned == 0 {
 		t.Error("nothing is turned away")
 	}
 	b := open("b", "f", key, loopback(t))
-	for end := time.Now().Add(40 * time.Second); b.Picture().Standing != membership.Whole.String() && time.Now().Before(end); {
+	for end := time.Now().Add(40 * time.Second); b.Snapshot().LocalStatus != membership.Complete.String() && time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond)
 	}
-	for _, m := range []*Member{a, b} {
-		if p := m.Picture(); len(p.Members) != 1 || p.Members[0].State != membership.Alive {
-			t.Errorf("%s knows %+v", p.Self, p.Members)
+	for _, member := range []*Member{a, b} {
+		if snapshot := member.Snapshot(); len(snapshot.Members) != 1 || snapshot.Members[0].State != membership.Alive {
+			t.Errorf("%s knows %+v", snapshot.Self, snapshot.Members)
 		}
 	}
 	if _, err := Open(Options{Name: "c", Listen: at}); err == nil {
@@ -428,9 +430,11 @@
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			f.mesh.Drop(n / 2)
-			f.members[n/2].Hand()
-			first := f.settle(10*time.Minute, func(i int, m *Member) bool { return i != 0 || stateOf(m, fmt.Sprintf("n%d", n/2)) == membership.Failed }, n/2)
-			all := f.settle(10*time.Minute, func(_ int, m *Member) bool { return stateOf(m, fmt.Sprintf("n%d", n/2)) == membership.Failed }, n/2)
+			f.members[n/2].HandOff()
+			first := f.settle(10*time.Minute, func(i int, member *Member) bool {
+				return i != 0 || stateOf(member, fmt.Sprintf("n%d", n/2)) == membership.Failed
+			}, n/2)
+			all := f.settle(10*time.Minute, func(_ int, member *Member) bool { return stateOf(member, fmt.Sprintf("n%d", n/2)) == membership.Failed }, n/2)
 			t.Logf("%4d members: whole after %v; %.1f packets/s and %.0f bytes/s each; %.0f kB of heap each; a death known to one after %v, to the last %v later",
 				n, found, float64(sent2-sent)/60/float64(n), float64(bytes2-bytes)/60/float64(n), float64(after.HeapAlloc)/1024/float64(n), first, all)
 		})
--- a/membership/gossip/transport.go
+++ b/membership/gossip/transport.go
@@ -16,7 +16,7 @@
 const (
 	packetQueue = 256     // packets that wait for the detector; further ones are lost, as on any network
 	packetSize  = 2 << 10 // the detector's own are under 1,400 bytes
-	streamMost  = 16      // streams from others at once
+	maxStreams  = 16      // streams from others at once
 	streamBytes = 4 << 20 // of one stream: the state of many thousand members is under a megabyte
 	streamFor   = 30 * time.Second
 )
@@ -121,7 +121,7 @@
 				continue
 			}
 		}
-		if t.open.Add(1) > streamMost {
+		if t.open.Add(1) > maxStreams {
 			t.open.Add(-1)
 			t.counts.turned.Add(1)
 			conn.Close()
--- a/membership/incarnation/golden_test.go
+++ b/membership/incarnation/golden_test.go
@@ -10,9 +10,9 @@
 
 // TestFileIsAsRecorded: the file is written byte by byte as recorded, and the recorded one is gone on from.
 func TestFileIsAsRecorded(t *testing.T) {
-	golden.Tagged(t, kept{})
+	golden.Tagged(t, body{})
 	dir := t.TempDir()
-	if err := Keep(dir, "n0", 41); err != nil {
+	if err := Store(dir, "n0", 41); err != nil {
 		t.Fatal(err)
 	}
 	content, err := os.ReadFile(filepath.Join(dir, Name))
--- a/membership/incarnation/incarnation.go
+++ b/membership/incarnation/incarnation.go
@@ -20,9 +20,9 @@
 )
 
 // kept is the file's text.
-type kept struct {
-	Courier string `json:"courier"`
-	Start   uint64 `json:"start"`
+type body struct {
+	Courier     string `json:"courier"`
+	Incarnation uint64 `json:"start"`
 }
 
 // Next takes the next number and keeps it. What cannot be read begins anew at 1, and the fault is told beside the number:
@@ -30,16 +30,16 @@
 func Next(dir, courier string) (start uint64, fault error, err error) {
 	last, fault := read(dir, courier)
 	start = last + 1
-	return start, fault, Keep(dir, courier, start)
+	return start, fault, Store(dir, courier, start)
 }
 
-// Keep writes a number down.
-func Keep(dir, courier string, start uint64) error {
-	text, err := json.Marshal(kept{courier, start})
+// Store writes a number down.
+func Store(dir, courier string, start uint64) error {
+	text, err := json.Marshal(body{courier, start})
 	if err != nil {
 		return err
 	}
-	return atomicfile.Write(dir, Name, atomicfile.Seal(magic, version, text))
+	return atomicfile.Write(dir, Name, atomicfile.Encode(magic, version, text))
 }
 
 func read(dir, courier string) (uint64, error) {
@@ -50,11 +50,11 @@
 	if err != nil {
 		return 0, err
 	}
-	v, text, err := atomicfile.Open(magic, content)
+	v, text, err := atomicfile.Decode(magic, content)
 	if err != nil {
 		return 0, err
 	}
-	var k kept
+	var k body
 	switch err := json.Unmarshal(text, &k); {
 	case v != version:
 		return 0, fmt.Errorf("version %d, this program reads %d", v, version)
@@ -63,5 +63,5 @@
 	case k.Courier != courier:
 		return 0, fmt.Errorf("of courier %q, this is %q", k.Courier, courier)
 	}
-	return k.Start, nil
+	return k.Incarnation, nil
 }
--- a/membership/incarnation/incarnation_test.go
+++ b/membership/incarnation/incarnation_test.go
@@ -7,7 +7,7 @@
 )
 
 // Failure: a start went on under a number that had been used; a damaged file stopped the courier.
-func TestNumberGrows(t *testing.T) {
+func TestIncarnationGrows(t *testing.T) {
 	dir := t.TempDir()
 	for want := uint64(1); want < 4; want++ {
 		if got, fault, err := Next(dir, "n0"); got != want || fault != nil || err != nil {
--- a/quota/bench_test.go
+++ b/quota/bench_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// BenchmarkBeat is what a beat costs one courier that hears all others on all routes: time, bytes said, and what is kept.
-func BenchmarkBeat(b *testing.B) {
+// BenchmarkTick is what a beat costs one courier that hears all others on all routes: time, bytes said, and what is kept.
+func BenchmarkTick(b *testing.B) {
 	for _, size := range [][2]int{{10, 10}, {10, 1000}, {100, 100}, {300, 10}, {300, 1000}} {
 		couriers, routes := size[0], size[1]
 		b.Run(fmt.Sprintf("%d couriers, %d routes", couriers, routes), func(b *testing.B) {
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			c := New(1, Terms{Self: "n0", Start: 1, Couriers: couriers, Salt: 1})
+			c := New(1, Config{Self: "n0", Incarnation: 1, Couriers: couriers, Seed: 1})
 			var alive []string
 			for i := 1; i < couriers; i++ {
 				alive = append(alive, fmt.Sprintf("n%d", i))
@@ -22,13 +22,13 @@
 			now, said := 10*second, 0
 			beat := func(n int) {
 				now += second / 2
-				var all []Need
+				var all []Demand
 				for r := range routes {
-					all = append(all, Need{Key: Key{Dest: int32(r)}, Limit: 100, Calls: uint64(n * (1 + r%3))})
+					all = append(all, Demand{Key: Key{Dest: int32(r)}, Limit: 100, Calls: uint64(n * (1 + r%3))})
 				}
-				for _, a := range c.Handle(now, Fleet{couriers, alive}, Needs{all}, Beat{}) {
-					if s, ok := a.(Say); ok {
-						text, err := Encode(s.Words)
+				for _, a := range c.Handle(now, FleetChanged{couriers, alive}, DemandsChanged{all}, Tick{}) {
+					if action, ok := a.(SendPacket); ok {
+						text, err := Encode(action.Packet)
 						if err != nil {
 							b.Fatal(err)
 						}
@@ -39,11 +39,11 @@
 			hear := func(n int) {
 				for i := 1; i < couriers; i++ {
 					for r := 0; r < routes; r += 10 {
-						w := Words{Version: Version, From: alive[i-1]}
+						packet := Packet{Version: Version, From: alive[i-1]}
 						for k := r; k < min(r+10, routes); k++ {
-							w.Counts = append(w.Counts, Count{Key: Key{Dest: int32(k)}, Who: alive[i-1], Start: 1, No: uint64(n), Usage: 100})
+							packet.Counts = append(packet.Counts, Sample{Key: Key{Dest: int32(k)}, Courier: alive[i-1], Incarnation: 1, Sequence: uint64(n), Usage: 100})
 						}
-						c.Handle(now, Heard{w})
+						c.Handle(now, PacketReceived{packet})
 					}
 				}
 			}
--- a/quota/events.go
+++ b/quota/events.go
@@ -6,54 +6,54 @@
 type Event interface{ event() }
 
 type (
-	// Needs is what the decisions say of their routes.
-	Needs struct{ All []Need }
-	// Need is one of them; the counts are since the process started.
-	Need struct {
+	// DemandsChanged is what the decisions say of their routes.
+	DemandsChanged struct{ All []Demand }
+	// Demand is one of them; the counts are since the process started.
+	Demand struct {
 		Key
-		Limit                float64 // calls a second from all couriers; 0 where it is not known
-		Calls, Done, Refused uint64
-		Waiting              int // records held for it
+		Limit                       float64 // calls a second from all couriers; 0 where it is not known
+		Calls, Delivered, Throttled uint64
+		Waiting                     int // records held for it
 	}
-	// Fleet: so many couriers are to be reckoned with, and these others are heard.
-	Fleet struct {
+	// FleetChanged: so many couriers are to be reckoned with, and these others are heard.
+	FleetChanged struct {
 		Couriers int
 		Alive    []string
 	}
-	// Heard are words of another courier.
-	Heard struct{ Words Words }
-	// Beat comes at a steady pace.
-	Beat struct{}
+	// CouriersHeard are words of another courier.
+	PacketReceived struct{ Packet Packet }
+	// Tick comes at a steady pace.
+	Tick struct{}
 )
 
-func (Needs) event() {}
-func (Fleet) event() {}
-func (Heard) event() {}
-func (Beat) event()  {}
+func (DemandsChanged) event() {}
+func (FleetChanged) event()   {}
+func (PacketReceived) event() {}
+func (Tick) event()           {}
 
 // Action is something to be done: one of the types below.
 type Action interface{ action() }
 
 type (
-	// Say has a member hear words. They may be lost.
-	Say struct {
-		To    string
-		Words Words
+	// SendPacket has a member hear words. They may be lost.
+	SendPacket struct {
+		To     string
+		Packet Packet
 	}
-	// Share is what stands for the decisions, for all routes that they named.
-	Share struct{ Parts []Part }
+	// ShareChanged is what stands for the decisions, for all routes that they named.
+	ShareChanged struct{ Shares []Share }
 )
 
-func (Say) action()   {}
-func (Share) action() {}
+func (SendPacket) action()   {}
+func (ShareChanged) action() {}
 
-// Part is what stands for one route.
-type Part struct {
+// Share is what stands for one route.
+type Share struct {
 	Key
-	Lent   float64 // of the base part, taken off until LentTo
-	LentTo Micros
-	Loan   float64 // of the base part, on top until LoanTo
-	LoanTo Micros
-	Load   float64 // what all couriers that were heard use of the limit, until LoadTo
-	LoadTo Micros
+	Granted      float64 // of the base part, taken off until Grants
+	GrantedUntil Micros
+	Leased       float64 // of the base part, on top until LeasedUntil
+	LeasedUntil  Micros
+	Load         float64 // what all couriers that were heard use of the limit, until LoadUntil
+	LoadUntil    Micros
 }
--- a/quota/exchange/exchange.go
+++ b/quota/exchange/exchange.go
@@ -17,52 +17,52 @@
 
 // Options are what an exchange is told.
 type Options struct {
-	Self  string
-	Start uint64
-	Beat  time.Duration
-	Log   *slog.Logger
+	Self        string
+	Incarnation uint64
+	Interval    time.Duration
+	Log         *slog.Logger
 	// Fleet is how many couriers are reckoned with, and who else is heard.
 	Fleet func() (couriers int, alive []string)
-	// Say has a member hear words, which may be lost. It must not wait.
-	Say func(to string, text []byte) error
-	// Needs is what the decisions last told of their routes.
-	Needs func() []dispatch.Demand
-	// Share hands the decisions what stands, by a clock that began at zero. What it returns is closed once it is taken in; nil if it is not.
-	Share func(parts []quota.Part, zero time.Time) (taken <-chan struct{})
+	// Send has a member hear words, which may be lost. It must not wait.
+	Send func(to string, text []byte) error
+	// Demands is what the decisions last told of their routes.
+	Demands func() []dispatch.Demand
+	// Apply hands the decisions what stands, by a clock that began at zero. What it returns is closed once it is taken in; nil if it is not.
+	Apply func(parts []quota.Share, zero time.Time) (taken <-chan struct{})
 }
 
 const (
 	queueSize = 256 // packets that wait; what comes beyond is lost, as any may be
 	// takenWithin is how long the decisions may take before a loan is said: if they have not heard what was taken off by then, it is not.
-	takenWithin = 250 * time.Millisecond
+	applyTimeout = 250 * time.Millisecond
 )
 
 // Exchange runs one courier's commons.
 type Exchange struct {
-	o       Options
-	begun   time.Time
-	commons *quota.Commons
-	packets chan quota.Words
-	counts  Counts
-	looks   chan chan Shown
-	stop    context.CancelFunc
-	done    sync.WaitGroup
+	options   Options
+	startedAt time.Time
+	allocator *quota.Allocator
+	packets   chan quota.Packet
+	counts    Counts
+	looks     chan chan Status
+	stop      context.CancelFunc
+	done      sync.WaitGroup
 }
 
 // Counts count packets since the start.
-type Counts struct{ Out, BytesOut, In, Spoilt, Dropped, Withheld atomic.Int64 }
-
-// Shown is what operators are shown.
-type Shown struct {
-	Start    uint64       `json:"start"`
-	Lines    []quota.Line `json:"routes"`
-	Sums     quota.Sums   `json:"sums"`
-	Out      int64        `json:"packets_out"`
-	BytesOut int64        `json:"bytes_out"`
-	In       int64        `json:"packets_in"`
-	Spoilt   int64        `json:"packets_spoilt"`
-	Dropped  int64        `json:"packets_dropped"`
-	Withheld int64        `json:"loans_withheld"`
+type Counts struct{ PacketsOut, BytesOut, PacketsIn, PacketsMalformed, PacketsDropped, LeasesWithheld atomic.Int64 }
+
+// Status is what operators are shown.
+type Status struct {
+	Incarnation      uint64         `json:"start"`
+	Groups           []quota.Status `json:"routes"`
+	Counters         quota.Counters `json:"sums"`
+	PacketsOut       int64          `json:"packets_out"`
+	BytesOut         int64          `json:"bytes_out"`
+	PacketsIn        int64          `json:"packets_in"`
+	PacketsMalformed int64          `json:"packets_spoilt"`
+	PacketsDropped   int64          `json:"packets_dropped"`
+	LeasesWithheld   int64          `json:"loans_withheld"`
 }
 
 // Open begins to share.
@@ -70,12 +70,12 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	x := &Exchange{o: o, begun: time.Now(), packets: make(chan quota.Words, queueSize), looks: make(chan chan Shown)}
+	x := &Exchange{options: o, startedAt: time.Now(), packets: make(chan quota.Packet, queueSize), looks: make(chan chan Status)}
 	var salt [8]byte
 	rand.Read(salt[:])
 	couriers, _ := o.Fleet()
-	x.commons = quota.New(x.now(), quota.Terms{Self: o.Self, Start: o.Start, Couriers: couriers, Salt: int64(binary.LittleEndian.Uint64(salt[:])),
-		No: uint64(x.begun.UnixMilli())}) // the two processes of an upgrade have one start
+	x.allocator = quota.New(x.now(), quota.Config{Self: o.Self, Incarnation: o.Incarnation, Couriers: couriers, Seed: int64(binary.LittleEndian.Uint64(salt[:])),
+		FirstLeaseID: uint64(x.startedAt.UnixMilli())}) // the two processes of an upgrade have one start
 	ctx, cancel := context.WithCancel(context.Background())
 	x.stop = cancel
 	x.done.Add(1)
@@ -89,61 +89,61 @@
 	x.done.Wait()
 }
 
-// Hear takes in what a member said. It does not wait.
-func (x *Exchange) Hear(text []byte) {
-	x.counts.In.Add(1)
-	w, err := quota.Decode(text)
+// Receive takes in what a member said. It does not wait.
+func (x *Exchange) Receive(text []byte) {
+	x.counts.PacketsIn.Add(1)
+	packet, err := quota.Decode(text)
 	if err != nil {
-		x.counts.Spoilt.Add(1)
+		x.counts.PacketsMalformed.Add(1)
 		return
 	}
 	select {
-	case x.packets <- w:
+	case x.packets <- packet:
 	default:
-		x.counts.Dropped.Add(1)
+		x.counts.PacketsDropped.Add(1)
 	}
 }
 
 // shownWithin is how long somebody waits to be shown what stands.
-const shownWithin = time.Second
+const statusTimeout = time.Second
 
-// Shown is what stands at this instant; false where the exchange has ended or hangs.
-func (x *Exchange) Shown() (Shown, bool) {
-	late := time.After(shownWithin)
-	to := make(chan Shown, 1)
+// Status is what stands at this instant; false where the exchange has ended or hangs.
+func (x *Exchange) Status() (Status, bool) {
+	late := time.After(statusTimeout)
+	to := make(chan Status, 1)
 	select {
 	case x.looks <- to:
 	case <-late:
-		return Shown{}, false
+		return Status{}, false
 	}
 	select {
 	case s := <-to:
 		return s, true
 	case <-late:
-		return Shown{}, false
+		return Status{}, false
 	}
 }
 
 func (x *Exchange) now() dispatch.Micros {
-	return dispatch.Micros(time.Since(x.begun).Microseconds()) + 1
+	return dispatch.Micros(time.Since(x.startedAt).Microseconds()) + 1
 }
 
 func (x *Exchange) run(ctx context.Context) {
 	defer x.done.Done()
-	beat := time.NewTicker(x.o.Beat)
+	beat := time.NewTicker(x.options.Interval)
 	defer beat.Stop()
 	for {
 		var actions []quota.Action
 		select {
 		case <-ctx.Done():
 			return
-		case w := <-x.packets:
-			actions = x.commons.Handle(x.now(), quota.Heard{Words: w})
+		case packet := <-x.packets:
+			actions = x.allocator.Handle(x.now(), quota.PacketReceived{Packet: packet})
 		case <-beat.C:
-			couriers, alive := x.o.Fleet()
-			actions = x.commons.Handle(x.now(), quota.Fleet{Couriers: couriers, Alive: alive}, quota.Told(x.o.Needs()), quota.Beat{})
+			couriers, alive := x.options.Fleet()
+			actions = x.allocator.Handle(x.now(), quota.FleetChanged{Couriers: couriers, Alive: alive}, quota.Told(x.options.Demands()), quota.Tick{})
 		case to := <-x.looks:
-			to <- x.look()
+			to <- x.status()
 		}
 		x.carryOut(ctx, actions)
 	}
@@ -154,36 +154,36 @@
 	known := true
 	for _, action := range actions {
 		switch a := action.(type) {
-		case quota.Share:
-			known = x.share(ctx, a.Parts)
-		case quota.Say:
-			if len(a.Words.Loans) > 0 && !known {
-				x.counts.Withheld.Add(1)
+		case quota.ShareChanged:
+			known = x.share(ctx, a.Shares)
+		case quota.SendPacket:
+			if len(a.Packet.Leases) > 0 && !known {
+				x.counts.LeasesWithheld.Add(1)
 				continue
 			}
-			text, err := quota.Encode(a.Words)
+			text, err := quota.Encode(a.Packet)
 			if err == nil {
-				err = x.o.Say(a.To, text)
+				err = x.options.Send(a.To, text)
 			}
 			if err != nil {
-				x.o.Log.Debug("not said", "to", a.To, "fault", err)
+				x.options.Log.Debug("not said", "to", a.To, "fault", err)
 				continue
 			}
-			x.counts.Out.Add(1)
+			x.counts.PacketsOut.Add(1)
 			x.counts.BytesOut.Add(int64(len(text)))
 		}
 	}
 }
 
-func (x *Exchange) share(ctx context.Context, parts []quota.Part) bool {
+func (x *Exchange) share(ctx context.Context, parts []quota.Share) bool {
 	if len(parts) == 0 {
 		return true
 	}
-	taken := x.o.Share(parts, x.begun)
+	taken := x.options.Apply(parts, x.startedAt)
 	if taken == nil {
 		return false
 	}
-	late := time.NewTimer(takenWithin)
+	late := time.NewTimer(applyTimeout)
 	defer late.Stop()
 	select {
 	case <-taken:
@@ -194,8 +194,8 @@
 	return false
 }
 
-func (x *Exchange) look() Shown {
-	lines, sums := x.commons.Look(x.now())
-	return Shown{Start: x.o.Start, Lines: lines, Sums: sums, Out: x.counts.Out.Load(), BytesOut: x.counts.BytesOut.Load(), In: x.counts.In.Load(),
-		Spoilt: x.counts.Spoilt.Load(), Dropped: x.counts.Dropped.Load(), Withheld: x.counts.Withheld.Load()}
+func (x *Exchange) status() Status {
+	lines, sums := x.allocator.Status(x.now())
+	return Status{Incarnation: x.options.Incarnation, Groups: lines, Counters: sums, PacketsOut: x.counts.PacketsOut.Load(), BytesOut: x.counts.BytesOut.Load(), PacketsIn: x.counts.PacketsIn.Load(),
+		PacketsMalformed: x.counts.PacketsMalformed.Load(), PacketsDropped: x.counts.PacketsDropped.Load(), LeasesWithheld: x.counts.LeasesWithheld.Load()}
 }
--- a/quota/packet.go
+++ b/quota/packet.go
@@ -11,54 +11,54 @@
 
 const (
 	// mostWords bounds what one packet brings, of asks, loans and counts each; a packet holds fewer.
-	mostWords = 64
+	maxItems = 64
 	// mostBytes is what a packet may hold, under what the detector's transport carries in one datagram.
-	mostBytes = 1200
-	nameMost  = 128
-	keyMost   = 256
+	maxPacketBytes = 1200
+	maxNameBytes   = 128
+	maxKeyBytes    = 256
 	// mostUsage is the highest share of a limit that is believed of one courier: refused calls may go far beyond it.
-	mostUsage = 4 * whole
-	oldest    = 60 * second
+	maxUsage = 4 * whole
+	oldest   = 60 * second
 )
 
-// Words is what one courier says to another, in one packet.
-type Words struct {
-	Version int     `cbor:"1,keyasint"`
-	From    string  `cbor:"2,keyasint"`
-	Asks    []Ask   `cbor:"3,keyasint,omitempty"`
-	Loans   []Loan  `cbor:"4,keyasint,omitempty"`
-	Counts  []Count `cbor:"5,keyasint,omitempty"`
+// Packet is what one courier says to another, in one packet.
+type Packet struct {
+	Version  int       `cbor:"1,keyasint"`
+	From     string    `cbor:"2,keyasint"`
+	Requests []Request `cbor:"3,keyasint,omitempty"`
+	Leases   []Lease   `cbor:"4,keyasint,omitempty"`
+	Counts   []Sample  `cbor:"5,keyasint,omitempty"`
 }
 
-// Ask asks a member for a part of a limit; whoever asks reckons the loan's span from the instant at which it asked.
-type Ask struct {
-	Key   Key    `cbor:"1,keyasint"`
-	Units Units  `cbor:"2,keyasint"`
-	No    uint64 `cbor:"3,keyasint"` // drawn; a loan answers it
+// Request asks a member for a part of a limit; whoever asks reckons the loan's span from the instant at which it asked.
+type Request struct {
+	Key     Key    `cbor:"1,keyasint"`
+	Units   Units  `cbor:"2,keyasint"`
+	LeaseID uint64 `cbor:"3,keyasint"` // drawn; a loan answers it
 }
 
-// Loan answers an ask. It may be smaller.
-type Loan struct {
-	Key   Key    `cbor:"1,keyasint"`
-	Units Units  `cbor:"2,keyasint"`
-	No    uint64 `cbor:"3,keyasint"`
+// Leased answers an ask. It may be smaller.
+type Lease struct {
+	Key     Key    `cbor:"1,keyasint"`
+	Units   Units  `cbor:"2,keyasint"`
+	LeaseID uint64 `cbor:"3,keyasint"`
 }
 
-// Count is what one courier has done on a route since its start, and what it uses of the limit just now.
-type Count struct {
-	Key     Key    `cbor:"1,keyasint"`
-	Who     string `cbor:"2,keyasint"`
-	Start   uint64 `cbor:"3,keyasint"`
-	No      uint64 `cbor:"4,keyasint"` // grows
-	Age     Micros `cbor:"5,keyasint"`
-	Calls   uint64 `cbor:"6,keyasint"`
-	Done    uint64 `cbor:"7,keyasint"`
-	Refused uint64 `cbor:"8,keyasint"`
-	Usage   Units  `cbor:"9,keyasint"`
+// Sample is what one courier has done on a route since its start, and what it uses of the limit just now.
+type Sample struct {
+	Key         Key    `cbor:"1,keyasint"`
+	Courier     string `cbor:"2,keyasint"`
+	Incarnation uint64 `cbor:"3,keyasint"`
+	Sequence    uint64 `cbor:"4,keyasint"` // grows
+	Age         Micros `cbor:"5,keyasint"`
+	Calls       uint64 `cbor:"6,keyasint"`
+	Delivered   uint64 `cbor:"7,keyasint"`
+	Throttled   uint64 `cbor:"8,keyasint"`
+	Usage       Units  `cbor:"9,keyasint"`
 }
 
 var decoder = func() cbor.DecMode {
-	mode, err := cbor.DecOptions{MaxArrayElements: mostWords, MaxMapPairs: 64, MaxNestedLevels: 6}.DecMode()
+	mode, err := cbor.DecOptions{MaxArrayElements: maxItems, MaxMapPairs: 64, MaxNestedLevels: 6}.DecMode()
 	if err != nil {
 		panic(err) // the options are constants
 	}
@@ -66,66 +66,66 @@
 }()
 
 // Encode makes a packet of words.
-func Encode(w Words) ([]byte, error) {
-	w.Version = Version
-	return cbor.Marshal(w)
+func Encode(packet Packet) ([]byte, error) {
+	packet.Version = Version
+	return cbor.Marshal(packet)
 }
 
 // Decode reads a packet; what no courier says is refused whole.
-func Decode(text []byte) (w Words, err error) {
-	if len(text) > 2*mostBytes {
-		return Words{}, fmt.Errorf("%d bytes in one packet", len(text))
+func Decode(text []byte) (packet Packet, err error) {
+	if len(text) > 2*maxPacketBytes {
+		return Packet{}, fmt.Errorf("%d bytes in one packet", len(text))
 	}
-	if err := decoder.Unmarshal(text, &w); err != nil {
-		return Words{}, err
+	if err := decoder.Unmarshal(text, &packet); err != nil {
+		return Packet{}, err
 	}
-	return w, w.check()
+	return packet, packet.check()
 }
 
-func (w *Words) check() error {
-	if w.Version != Version || w.From == "" || len(w.From) > nameMost {
+func (w *Packet) check() error {
+	if w.Version != Version || w.From == "" || len(w.From) > maxNameBytes {
 		return fmt.Errorf("version %d, from %.20q", w.Version, w.From)
 	}
-	if len(w.Asks) > mostWords || len(w.Loans) > mostWords || len(w.Counts) > mostWords {
-		return fmt.Errorf("%d asks, %d loans, %d counts", len(w.Asks), len(w.Loans), len(w.Counts))
+	if len(w.Requests) > maxItems || len(w.Leases) > maxItems || len(w.Counts) > maxItems {
+		return fmt.Errorf("%d asks, %d loans, %d counts", len(w.Requests), len(w.Leases), len(w.Counts))
 	}
-	for _, a := range w.Asks {
+	for _, a := range w.Requests {
 		if !a.Key.sound() || a.Units < 1 || a.Units > whole {
 			return fmt.Errorf("asks for %d", a.Units)
 		}
 	}
-	for _, l := range w.Loans {
-		if !l.Key.sound() || l.Units < 1 || l.Units > whole {
-			return fmt.Errorf("lends %d", l.Units)
+	for _, lease := range w.Leases {
+		if !lease.Key.sound() || lease.Units < 1 || lease.Units > whole {
+			return fmt.Errorf("lends %d", lease.Units)
 		}
 	}
-	for _, n := range w.Counts {
-		if !n.Key.sound() || n.Who == "" || len(n.Who) > nameMost || n.Usage < 0 || n.Usage > mostUsage || n.Age < 0 || n.Age > oldest {
-			return fmt.Errorf("counts %d of %.20q, %d old", n.Usage, n.Who, n.Age)
+	for _, sample := range w.Counts {
+		if !sample.Key.sound() || sample.Courier == "" || len(sample.Courier) > maxNameBytes || sample.Usage < 0 || sample.Usage > maxUsage || sample.Age < 0 || sample.Age > oldest {
+			return fmt.Errorf("counts %d of %.20q, %d old", sample.Usage, sample.Courier, sample.Age)
 		}
 	}
 	return nil
 }
 
 // room is how many bytes a packet may still take.
-type room int
+type packetBudget int
 
-func packet(from string) room { return room(mostBytes - 16 - len(from)) }
+func newPacketBudget(from string) packetBudget { return packetBudget(maxPacketBytes - 16 - len(from)) }
 
-func (r *room) take(bytes int) bool {
+func (r *packetBudget) take(bytes int) bool {
 	if int(*r) < bytes {
 		return false
 	}
-	*r -= room(bytes)
+	*r -= packetBudget(bytes)
 	return true
 }
 
 // What an ask or a count takes in a packet, to the byte or a little more.
-func (a Ask) size() int { return 5 + a.Key.size() + number(uint64(a.Units)) + number(a.No) }
+func (a Request) size() int { return 5 + a.Key.size() + number(uint64(a.Units)) + number(a.LeaseID) }
 
-func (n Count) size() int {
-	size := 11 + n.Key.size() + 2 + len(n.Who)
-	for _, v := range []uint64{n.Start, n.No, uint64(n.Age), n.Calls, n.Done, n.Refused, uint64(n.Usage)} {
+func (n Sample) size() int {
+	size := 11 + n.Key.size() + 2 + len(n.Courier)
+	for _, v := range []uint64{n.Incarnation, n.Sequence, uint64(n.Age), n.Calls, n.Delivered, n.Throttled, uint64(n.Usage)} {
 		size += number(v)
 	}
 	return size
@@ -148,4 +148,4 @@
 	return 9
 }
 
-func (k Key) sound() bool { return len(k.Endpoint) <= keyMost }
+func (k Key) sound() bool { return len(k.Endpoint) <= maxKeyBytes }
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -16,22 +16,22 @@
 // fleet is a few couriers' commons under one true clock, each with a clock of its own that runs a hundredth slow or fast, and words
 // that are under way between them. What each uses is held against the limit at every instant.
 type fleet struct {
-	now   Micros // true
-	names []string
-	rates []float64
-	all   []*Commons
-	began []Micros // by the true clock
-	start []uint64
-	calls []uint64
-	need  []float64 // calls a second, of a limit of 100
-	stood []bool
-	dead  []bool
-	told  []map[Key]Part  // what its decisions go by
-	way   []Say           // words under way
-	kept  []Say           // words that may come again
-	n     int             // couriers that each reckons with
-	peak  map[int]float64 // the highest load that each had reason to believe in
-	plant func(f *fleet, i int)
+	now         Micros // true
+	names       []string
+	rates       []float64
+	all         []*Allocator
+	began       []Micros // by the true clock
+	start       []uint64
+	calls       []uint64
+	need        []float64 // calls a second, of a limit of 100
+	paused      []bool
+	dead        []bool
+	packetsSent []map[Key]Share // what its decisions go by
+	way         []SendPacket    // words under way
+	kept        []SendPacket    // words that may come again
+	n           int             // couriers that each reckons with
+	peak        map[int]float64 // the highest load that each had reason to believe in
+	injectFault func(f *fleet, i int)
 }
 
 const limit = 100
@@ -51,7 +51,7 @@
 	i := len(f.all)
 	f.names = append(f.names, string(rune('a'+i)))
 	f.all, f.began, f.start, f.calls = append(f.all, nil), append(f.began, 0), append(f.start, 0), append(f.calls, 0)
-	f.need, f.stood, f.dead, f.told = append(f.need, need), append(f.stood, false), append(f.dead, false), append(f.told, nil)
+	f.need, f.paused, f.dead, f.packetsSent = append(f.need, need), append(f.paused, false), append(f.dead, false), append(f.packetsSent, nil)
 	f.begin(i)
 }
 
@@ -60,29 +60,29 @@
 }
 
 func (f *fleet) begin(i int) {
-	f.began[i], f.calls[i], f.dead[i], f.stood[i] = f.now, 0, false, false
+	f.began[i], f.calls[i], f.dead[i], f.paused[i] = f.now, 0, false, false
 	f.start[i]++
-	f.told[i] = map[Key]Part{}
-	f.all[i] = New(f.clock(i), Terms{Self: f.names[i], Start: f.start[i], Couriers: f.n, Salt: int64(i)})
+	f.packetsSent[i] = map[Key]Share{}
+	f.all[i] = New(f.clock(i), Config{Self: f.names[i], Incarnation: f.start[i], Couriers: f.n, Seed: int64(i)})
 }
 
 // do has a courier decide, and its words leave.
 func (f *fleet) do(i int, events ...Event) {
-	if f.dead[i] || f.stood[i] {
+	if f.dead[i] || f.paused[i] {
 		return
 	}
 	for _, a := range f.all[i].Handle(f.clock(i), events...) {
 		switch a := a.(type) {
-		case Share:
-			for _, p := range a.Parts {
-				f.told[i][p.Key] = p
+		case ShareChanged:
+			for _, share := range a.Shares {
+				f.packetsSent[i][share.Key] = share
 			}
-		case Say:
+		case SendPacket:
 			f.way = append(f.way, a)
 		}
 	}
-	if f.plant != nil {
-		f.plant(f, i)
+	if f.injectFault != nil {
+		f.injectFault(f, i)
 	}
 }
 
@@ -93,12 +93,12 @@
 			others = append(others, n)
 		}
 	}
-	f.do(i, Fleet{f.n, others}, Needs{[]Need{{Key: theKey, Limit: limit, Calls: f.calls[i], Done: f.calls[i]}}}, Beat{})
+	f.do(i, FleetChanged{f.n, others}, DemandsChanged{[]Demand{{Key: theKey, Limit: limit, Calls: f.calls[i], Delivered: f.calls[i]}}}, Tick{})
 }
 
-func (f *fleet) deliver(s Say) {
-	if i := slices.Index(f.names, s.To); i >= 0 {
-		f.do(i, Heard{s.Words})
+func (f *fleet) deliver(action SendPacket) {
+	if i := slices.Index(f.names, action.To); i >= 0 {
+		f.do(i, PacketReceived{action.Packet})
 	}
 }
 
@@ -115,16 +115,16 @@
 		if f.dead[i] {
 			continue
 		}
-		at, p := f.clock(i), f.told[i][theKey]
+		at, share := f.clock(i), f.packetsSent[i][theKey]
 		part := 1.0
-		if at < Held+1 {
-			part = 0.5 // see Held
+		if at < GrantHorizon+1 {
+			part = 0.5 // see GrantHorizon
 		}
-		if at < p.LentTo {
-			part -= p.Lent
+		if at < share.GrantedUntil {
+			part -= share.Granted
 		}
-		if at < p.LoanTo {
-			part += p.Loan
+		if at < share.LeasedUntil {
+			part += share.Leased
 		}
 		sum += max(0, part) / float64(f.n)
 	}
@@ -136,19 +136,19 @@
 		return fmt.Errorf("parts in use sum to %.4f of the limit", use)
 	}
 	for i, c := range f.all {
-		if rt := c.routes[theKey]; rt != nil && !f.dead[i] {
-			for who, s := range rt.slots {
-				if j := slices.Index(f.names, who); s.count.Start == f.start[j] && s.count.Calls > f.calls[j] {
-					return fmt.Errorf("%s counts %d calls of %s, there were %d", c.terms.Self, s.count.Calls, who, f.calls[j])
+		if route := c.routes[theKey]; route != nil && !f.dead[i] {
+			for who, slot := range route.peerSamples {
+				if j := slices.Index(f.names, who); slot.count.Incarnation == f.start[j] && slot.count.Calls > f.calls[j] {
+					return fmt.Errorf("%s counts %d calls of %s, there were %d", c.config.Self, slot.count.Calls, who, f.calls[j])
 				}
 			}
-			p := c.part(rt)
-			sum := rt.usage
-			for _, s := range rt.slots { // of one that spoke, as much may be likely of each
-				sum += s.count.Usage * Units(len(f.names)-1)
+			share := c.share(route)
+			sum := route.usage
+			for _, slot := range route.peerSamples { // of one that spoke, as much may be likely of each
+				sum += slot.count.Usage * Units(len(f.names)-1)
 			}
-			if f.peak[i] = max(f.peak[i], float64(sum)/float64(whole)); p.Load > f.peak[i]+1e-9 {
-				return fmt.Errorf("%s is told of a load of %v, its counts never made more than %v", c.terms.Self, p.Load, f.peak[i])
+			if f.peak[i] = max(f.peak[i], float64(sum)/float64(whole)); share.Load > f.peak[i]+1e-9 {
+				return fmt.Errorf("%s is told of a load of %v, its counts never made more than %v", c.config.Self, share.Load, f.peak[i])
 			}
 		}
 	}
@@ -157,7 +157,7 @@
 
 // steps are what may happen next among three couriers: a needs much, b and c little.
 func steps() []func(*fleet) {
-	word := func(f *fleet, do func(Say)) {
+	word := func(f *fleet, do func(SendPacket)) {
 		if len(f.way) > 0 {
 			w := f.way[0]
 			f.way = f.way[1:]
@@ -167,26 +167,28 @@
 	return []func(*fleet){
 		func(f *fleet) { f.beat(0) },
 		func(f *fleet) { f.beat(1); f.beat(2) },
-		func(f *fleet) { word(f, f.deliver) },                                                // in order
-		func(f *fleet) { word(f, func(s Say) { f.deliver(s); f.kept = append(f.kept, s) }) }, // and again later
-		func(f *fleet) { word(f, func(Say) {}) },                                             // lost
-		func(f *fleet) { slices.Reverse(f.way) },                                             // overtaken
+		func(f *fleet) { word(f, f.deliver) }, // in order
+		func(f *fleet) {
+			word(f, func(action SendPacket) { f.deliver(action); f.kept = append(f.kept, action) })
+		}, // and again later
+		func(f *fleet) { word(f, func(SendPacket) {}) }, // lost
+		func(f *fleet) { slices.Reverse(f.way) },        // overtaken
 		func(f *fleet) {
 			all := f.kept
 			f.kept = nil
-			for _, s := range all {
-				f.deliver(s)
+			for _, action := range all {
+				f.deliver(action)
 			}
 		}, // replayed
 		func(f *fleet) { f.pass(second / 2) },
 		func(f *fleet) { f.pass(span - second/10) },
 		func(f *fleet) { f.pass(second / 10) },
-		func(f *fleet) { f.dead[1] = true },         // the lender is killed
-		func(f *fleet) { f.begin(1) },               // and is back, with nothing kept
-		func(f *fleet) { f.dead[0] = true },         // the borrower
-		func(f *fleet) { f.begin(0) },               //
-		func(f *fleet) { f.stood[0] = !f.stood[0] }, // stands still, or goes on
-		func(f *fleet) { f.stood[1] = !f.stood[1] }, //
+		func(f *fleet) { f.dead[1] = true },           // the lender is killed
+		func(f *fleet) { f.begin(1) },                 // and is back, with nothing kept
+		func(f *fleet) { f.dead[0] = true },           // the borrower
+		func(f *fleet) { f.begin(0) },                 //
+		func(f *fleet) { f.paused[0] = !f.paused[0] }, // stands still, or goes on
+		func(f *fleet) { f.paused[1] = !f.paused[1] }, //
 		func(f *fleet) { f.need[0], f.need[1] = f.need[1], f.need[0] },
 	}
 }
@@ -209,7 +211,7 @@
 
 func run(order []int, all []func(*fleet), plant func(*fleet, int)) error {
 	f := settled()
-	f.plant = plant
+	f.injectFault = plant
 	for _, i := range order {
 		all[i](f)
 		if err := f.check(); err != nil {
@@ -255,25 +257,25 @@
 		f.beat(0)
 	}
 	asks()
-	for _, w := range f.way {
-		f.deliver(w)
+	for _, action := range f.way {
+		f.deliver(action)
 	}
-	var loans []Say
-	for _, w := range f.way {
-		if len(w.Words.Loans) > 0 {
-			loans = append(loans, w)
+	var loans []SendPacket
+	for _, action := range f.way {
+		if len(action.Packet.Leases) > 0 {
+			loans = append(loans, action)
 		}
 	}
 	asks()
-	for _, w := range loans {
-		f.deliver(w)
+	for _, action := range loans {
+		f.deliver(action)
 	}
-	rt := f.all[0].routes[theKey]
-	if len(loans) == 0 || len(rt.asked) == 0 {
-		t.Fatalf("%d loans, %d asked: the case did not come up", len(loans), len(rt.asked))
+	route := f.all[0].routes[theKey]
+	if len(loans) == 0 || len(route.requests) == 0 {
+		t.Fatalf("%d loans, %d asked: the case did not come up", len(loans), len(route.requests))
 	}
-	if len(rt.taken) > 0 {
-		t.Errorf("%v was lent to an earlier start", rt.taken)
+	if len(route.leases) > 0 {
+		t.Errorf("%v was lent to an earlier start", route.leases)
 	}
 }
 
@@ -305,36 +307,36 @@
 	parts := func(f *fleet, i int) *route { return f.all[i].routes[theKey] }
 	for name, plant := range map[string]func(*fleet, int){
 		"a loan that lapses too late": func(f *fleet, i int) {
-			if p, ok := f.told[i][theKey]; ok && p.Loan > 0 {
-				p.LoanTo += span / 2
-				f.told[i][theKey] = p
+			if share, ok := f.packetsSent[i][theKey]; ok && share.Leased > 0 {
+				share.LeasedUntil += span / 2
+				f.packetsSent[i][theKey] = share
 			}
 		},
 		"lent before it is taken off": func(f *fleet, i int) {
-			if p, ok := f.told[i][theKey]; ok {
-				p.Lent = 0
-				f.told[i][theKey] = p
+			if share, ok := f.packetsSent[i][theKey]; ok {
+				share.Granted = 0
+				f.packetsSent[i][theKey] = share
 			}
 		},
 		"back too early": func(f *fleet, i int) {
-			if p, ok := f.told[i][theKey]; ok {
-				p.LentTo -= backAfter / 2
-				f.told[i][theKey] = p
+			if share, ok := f.packetsSent[i][theKey]; ok {
+				share.GrantedUntil -= backAfter / 2
+				f.packetsSent[i][theKey] = share
 			}
 		},
-		"a restart that knows of no loan": func(f *fleet, i int) { f.began[i] = min(f.began[i], f.now-2*Held) },
+		"a restart that knows of no loan": func(f *fleet, i int) { f.began[i] = min(f.began[i], f.now-2*GrantHorizon) },
 		"a count that is merged twice": func(f *fleet, i int) {
-			if rt := parts(f, i); rt != nil {
-				for who, s := range rt.slots {
-					s.count.Calls *= 2
-					rt.slots[who] = s
+			if route := parts(f, i); route != nil {
+				for who, slot := range route.peerSamples {
+					slot.count.Calls *= 2
+					route.peerSamples[who] = slot
 				}
 			}
 		},
 		"a loan that any may take": func(f *fleet, i int) {
-			if rt := parts(f, i); rt != nil { // who hears a word again takes it up again
-				for _, l := range rt.taken {
-					rt.asked[l.no] = ask{l.who, whole, l.until - span}
+			if route := parts(f, i); route != nil { // who hears a word again takes it up again
+				for _, lease := range route.leases {
+					route.requests[lease.id] = request{lease.courier, whole, lease.until - span}
 				}
 			}
 		},
@@ -349,8 +351,8 @@
 	}
 }
 
-// TestLoansReachWhoNeedsThem: a busy courier among idle ones comes to use more than its part, and the idle ones together less.
-func TestLoansReachWhoNeedsThem(t *testing.T) {
+// TestLeasesReachCouriersInNeed: a busy courier among idle ones comes to use more than its part, and the idle ones together less.
+func TestLeasesReachCouriersInNeed(t *testing.T) {
 	f := newFleet(3)
 	f.need = []float64{50, 8, 2}
 	widest := 0.0
@@ -360,22 +362,22 @@
 			f.beat(i)
 		}
 		for len(f.way) > 0 {
-			w := f.way[0]
+			action := f.way[0]
 			f.way = f.way[1:]
-			f.deliver(w)
+			f.deliver(action)
 		}
 		if err := f.check(); err != nil {
 			t.Fatal(err)
 		}
-		if p := f.told[0][theKey]; f.clock(0) < p.LoanTo {
-			widest = max(widest, p.Loan)
+		if share := f.packetsSent[0][theKey]; f.clock(0) < share.LeasedUntil {
+			widest = max(widest, share.Leased)
 		}
 	}
 	if widest < 0.5 {
 		t.Errorf("its part grew by %.2f of itself at most", widest)
 	}
-	if p := f.told[0][theKey]; math.Abs(p.Load-0.6) > 0.1 {
-		t.Errorf("it is told of a load of %.2f, 0.60 is used", p.Load)
+	if share := f.packetsSent[0][theKey]; math.Abs(share.Load-0.6) > 0.1 {
+		t.Errorf("it is told of a load of %.2f, 0.60 is used", share.Load)
 	}
 }
 
@@ -391,17 +393,17 @@
 			f.beat(i)
 		}
 		for len(f.way) > 0 {
-			w := f.way[0]
+			action := f.way[0]
 			f.way = f.way[1:]
-			f.deliver(w)
+			f.deliver(action)
 		}
 		if err := f.check(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for n := 0; f.told[0][theKey].Loan < 0.5; n++ {
+	for n := 0; f.packetsSent[0][theKey].Leased < 0.5; n++ {
 		if round(); n > 50 {
-			t.Fatalf("nothing much is lent: %+v", f.told[0][theKey])
+			t.Fatalf("nothing much is lent: %+v", f.packetsSent[0][theKey])
 		}
 	}
 	f.n = 6 // membership tells all of them before the new ones begin
@@ -432,17 +434,17 @@
 // TestOtherVersions: what a later version says besides is passed over; one that may not be read is refused.
 func TestOtherVersions(t *testing.T) {
 	type later struct {
-		Version int    `cbor:"1,keyasint"`
-		From    string `cbor:"2,keyasint"`
-		Asks    []Ask  `cbor:"3,keyasint"`
-		More    string `cbor:"77,keyasint"`
+		Version int       `cbor:"1,keyasint"`
+		From    string    `cbor:"2,keyasint"`
+		Asks    []Request `cbor:"3,keyasint"`
+		More    string    `cbor:"77,keyasint"`
 	}
-	w := later{Version: Version, From: "b", Asks: []Ask{{theKey, 5, 9}}, More: "said by a later version"}
+	w := later{Version: Version, From: "b", Asks: []Request{{theKey, 5, 9}}, More: "said by a later version"}
 	text, err := cbor.Marshal(w)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := Decode(text); err != nil || len(got.Asks) != 1 {
+	if got, err := Decode(text); err != nil || len(got.Requests) != 1 {
 		t.Errorf("%+v, %v", got, err)
 	}
 	w.Version++
@@ -454,40 +456,40 @@
 	}
 }
 
-// TestLiars: whatever one member says, no courier's room grows by it beyond what it asked that one for, nobody lends more than half,
+// TestImplausiblePacketsAreRejected: whatever one member says, no courier's room grows by it beyond what it asked that one for, nobody lends more than half,
 // and what is kept has an end.
-func TestLiars(t *testing.T) {
+func TestImplausiblePacketsAreRejected(t *testing.T) {
 	f := settled()
 	c, at := f.all[0], f.clock(0)
 	asked := f.way
 	for i := range 5000 {
-		w := Words{Version: Version, From: fmt.Sprintf("liar%d", i%700),
-			Counts: []Count{{Key: Key{Dest: int32(i)}, Who: fmt.Sprintf("x%d", i), Start: math.MaxUint64, No: math.MaxUint64, Usage: mostUsage},
-				{Key: theKey, Who: fmt.Sprintf("x%d", i), Usage: mostUsage}, {Key: theKey, Who: "a", Start: 99, Usage: mostUsage}},
-			Loans: []Loan{{theKey, whole, uint64(i)}}, Asks: []Ask{{theKey, whole, uint64(i)}}}
+		packet := Packet{Version: Version, From: fmt.Sprintf("liar%d", i%700),
+			Counts: []Sample{{Key: Key{Dest: int32(i)}, Courier: fmt.Sprintf("x%d", i), Incarnation: math.MaxUint64, Sequence: math.MaxUint64, Usage: maxUsage},
+				{Key: theKey, Courier: fmt.Sprintf("x%d", i), Usage: maxUsage}, {Key: theKey, Courier: "a", Incarnation: 99, Usage: maxUsage}},
+			Leases: []Lease{{theKey, whole, uint64(i)}}, Requests: []Request{{theKey, whole, uint64(i)}}}
 		if i == 0 && len(asked) > 0 { // one that was asked lends to excess, and another answers in its name
-			a := asked[0].Words.Asks[0]
-			w.Loans = append(w.Loans, Loan{theKey, a.Units, a.No}, Loan{theKey, whole, a.No})
+			a := asked[0].Packet.Requests[0]
+			packet.Leases = append(packet.Leases, Lease{theKey, a.Units, a.LeaseID}, Lease{theKey, whole, a.LeaseID})
 		}
-		c.Handle(at, Heard{w})
+		c.Handle(at, PacketReceived{packet})
 	}
-	rt := c.routes[theKey]
-	if len(rt.taken) != 0 || len(rt.lent) != 0 {
-		t.Errorf("%v was taken and %v lent", rt.taken, rt.lent)
+	route := c.routes[theKey]
+	if len(route.leases) != 0 || len(route.grants) != 0 {
+		t.Errorf("%v was taken and %v lent", route.leases, route.grants)
 	}
-	if len(c.routes) > mostKeys || c.kept > mostSlots {
-		t.Errorf("%d routes and %d counts are kept", len(c.routes), c.kept)
+	if len(c.routes) > maxKeys || c.activeLeases > maxPeerSamples {
+		t.Errorf("%d routes and %d counts are kept", len(c.routes), c.activeLeases)
 	}
 	b := f.all[1]
 	for i := range 50 {
-		b.Handle(f.clock(1), Heard{Words{Version: Version, From: "c", Asks: []Ask{{theKey, whole, uint64(i)}}}})
+		b.Handle(f.clock(1), PacketReceived{Packet{Version: Version, From: "c", Requests: []Request{{theKey, whole, uint64(i)}}}})
 	}
-	if away := b.away(b.routes[theKey]); away == 0 || away > b.base()/2 {
-		t.Errorf("of a part of %d, %d is lent", b.base(), away)
+	if away := b.grantedUnits(b.routes[theKey]); away == 0 || away > b.baseUnits()/2 {
+		t.Errorf("of a part of %d, %d is lent", b.baseUnits(), away)
 	}
-	for _, bad := range []Words{{From: "b"}, {Version: Version}, {Version: Version, From: "b", Asks: []Ask{{theKey, -5, 1}}},
-		{Version: Version, From: "b", Loans: []Loan{{theKey, whole + 1, 1}}}, {Version: Version, From: "b", Counts: []Count{{Key: theKey, Who: "b", Usage: -1}}},
-		{Version: Version, From: "b", Counts: []Count{{Key: theKey, Who: "b", Age: -1}}}} {
+	for _, bad := range []Packet{{From: "b"}, {Version: Version}, {Version: Version, From: "b", Requests: []Request{{theKey, -5, 1}}},
+		{Version: Version, From: "b", Leases: []Lease{{theKey, whole + 1, 1}}}, {Version: Version, From: "b", Counts: []Sample{{Key: theKey, Courier: "b", Usage: -1}}},
+		{Version: Version, From: "b", Counts: []Sample{{Key: theKey, Courier: "b", Age: -1}}}} {
 		if bad.check() == nil {
 			t.Errorf("%+v is taken for words", bad)
 		}
@@ -497,24 +499,24 @@
 // TestPacketsFit: what is said to one member fits into a datagram, also where destinations and couriers are many and names long.
 func TestPacketsFit(t *testing.T) {
 	long := func(i int) string { return fmt.Sprintf("courier-of-some-building-%04d", i) }
-	c := New(1, Terms{Self: long(0), Start: 1, Couriers: 300, Salt: 1})
+	c := New(1, Config{Self: long(0), Incarnation: 1, Couriers: 300, Seed: 1})
 	var alive []string
 	for i := range 299 {
 		alive = append(alive, long(i+1))
 	}
 	said, most := 0, 0
 	for beat := range 20 {
-		var all []Need
+		var all []Demand
 		for d := range 1000 {
-			all = append(all, Need{Key: Key{int32(d), long(d)}, Limit: 10, Calls: uint64(beat * (d % 9)), Waiting: d % 7})
+			all = append(all, Demand{Key: Key{int32(d), long(d)}, Limit: 10, Calls: uint64(beat * (d % 9)), Waiting: d % 7})
 		}
-		for _, a := range c.Handle(Micros(beat+1)*second, Fleet{300, alive}, Needs{all}, Beat{}) {
-			if s, ok := a.(Say); ok {
+		for _, a := range c.Handle(Micros(beat+1)*second, FleetChanged{300, alive}, DemandsChanged{all}, Tick{}) {
+			if action, ok := a.(SendPacket); ok {
 				said++
-				if text, err := Encode(s.Words); err != nil || len(text) > mostBytes {
+				if text, err := Encode(action.Packet); err != nil || len(text) > maxPacketBytes {
 					t.Fatalf("%d bytes (%v)", len(text), err)
 				}
-				most = max(most, len(s.Words.Counts))
+				most = max(most, len(action.Packet.Counts))
 			}
 		}
 	}
@@ -526,7 +528,7 @@
 func TestSameEventsSameActions(t *testing.T) {
 	play := func() (out []Action) {
 		f := settled()
-		f.plant = func(f *fleet, i int) { out = append(out, f.all[i].out...) }
+		f.injectFault = func(f *fleet, i int) { out = append(out, f.all[i].actions...) }
 		for i := range 40 {
 			steps()[i%13](f)
 		}
@@ -539,7 +541,7 @@
 
 // FuzzDecode: any bytes are words that keep the bounds, or none.
 func FuzzDecode(f *testing.F) {
-	text, err := Encode(Words{From: "a", Asks: []Ask{{theKey, 5, 9}}, Loans: []Loan{{theKey, 5, 9}}, Counts: []Count{{Key: theKey, Who: "b", Usage: 7}}})
+	text, err := Encode(Packet{From: "a", Requests: []Request{{theKey, 5, 9}}, Leases: []Lease{{theKey, 5, 9}}, Counts: []Sample{{Key: theKey, Courier: "b", Usage: 7}}})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -547,15 +549,15 @@
 	f.Add(text[:len(text)-3])
 	f.Add([]byte{0xa1, 0x05, 0x9f})
 	f.Fuzz(func(t *testing.T, text []byte) {
-		w, err := Decode(text)
+		packet, err := Decode(text)
 		if err != nil {
 			return
 		}
-		c := New(1, Terms{Self: "z", Start: 1, Couriers: 3})
-		c.Handle(10*second, Fleet{3, []string{w.From}}, Needs{[]Need{{Key: theKey, Limit: 10}}}, Heard{w}, Beat{})
-		for _, rt := range c.routes {
-			if away := c.away(rt); away > c.base()/2 || len(rt.taken) > 0 {
-				t.Errorf("%d lent, %v taken", away, rt.taken)
+		c := New(1, Config{Self: "z", Incarnation: 1, Couriers: 3})
+		c.Handle(10*second, FleetChanged{3, []string{packet.From}}, DemandsChanged{[]Demand{{Key: theKey, Limit: 10}}}, PacketReceived{packet}, Tick{})
+		for _, route := range c.routes {
+			if away := c.grantedUnits(route); away > c.baseUnits()/2 || len(route.leases) > 0 {
+				t.Errorf("%d lent, %v taken", away, route.leases)
 			}
 		}
 	})
--- a/server/actions.go
+++ b/server/actions.go
@@ -3,12 +3,12 @@
 import "pineport/dispatch"
 
 // carryOut does what the decisions want; sends go out last, after clients have heard that theirs was accepted.
-func (r *Router) carryOut(actions []dispatch.Action) {
+func (r *Server) carryOut(actions []dispatch.Action) {
 	var calls []*call
 	for _, action := range actions {
 		switch a := action.(type) {
 		case dispatch.Send:
-			calls = r.load(calls, a)
+			calls = r.addToCall(calls, a)
 		case dispatch.Cancel:
 			r.cancel(a)
 		case dispatch.Reject:
@@ -16,17 +16,17 @@
 		case dispatch.Fail:
 			r.fail(a.Message)
 		case dispatch.SetTimer:
-			r.wakeAt = min(r.wakeAt, a.At)
+			r.timerAt = min(r.timerAt, a.At)
 		case dispatch.CloseIdle:
-			r.links.closeIdle(peerOf(r.hosts[a.Endpoint]))
+			r.endpointConns.closeIdle(peerOf(r.endpoints[a.Endpoint]))
 		case dispatch.WatchEndpoints:
-			r.platform.watch()
+			r.discovery.poll()
 		case dispatch.Note:
 			r.log.Info("note", "text", a.Text)
 		}
 	}
 	r.reply()
-	for _, c := range calls {
-		r.start(c)
+	for _, call := range calls {
+		r.startCall(call)
 	}
 }
--- a/server/answer_test.go
+++ b/server/answer_test.go
@@ -17,12 +17,12 @@
 		"an unknown command": {"*1\r\n$4\r\nNOPE\r\n", "-ERR unknown command"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := byHand(t, open(t, 0))
+			r := steppedServer(t, open(t, 0))
 			v := visit(t, r)
 			io.WriteString(v, c.request)
 			v.CloseWrite()
-			r.dispatch(until(t, r, func(commands) bool { return true }))
-			r.dispatch(until(t, r, func(clientGone) bool { return true }))
+			r.handle(until(t, r, func(clientCommands) bool { return true }))
+			r.handle(until(t, r, func(clientClosed) bool { return true }))
 			r.step()
 			if got := v.reply(); got != c.want {
 				t.Errorf("answered %q", got)
@@ -39,14 +39,14 @@
 
 // TestHalfClosedClientOfAMessageHandedInTwice: the other connection still waits for the message, so both get the reply of its acceptance.
 func TestHalfClosedClientOfAMessageHandedInTwice(t *testing.T) {
-	r := byHand(t, open(t, 0))
+	r := steppedServer(t, open(t, 0))
 	first, second := visit(t, r), visit(t, r)
 	one := first.asks(t, r, "one")
 	two := second.asks(t, r, "one")
 	first.CloseWrite()
-	r.dispatch(one)
-	r.dispatch(two)
-	r.dispatch(<-r.inbox) // clientGone of the first
+	r.handle(one)
+	r.handle(two)
+	r.handle(<-r.queue) // clientGone of the first
 	r.step()
 	for _, v := range []*visitor{first, second} {
 		if got := v.reply(); got != "+OK" {
@@ -57,12 +57,12 @@
 
 // TestRequestReadAtTheLastLookIsAnswered. Failure: the process ended over a request that the poller had read since the loop last looked.
 func TestRequestReadAtTheLastLookIsAnswered(t *testing.T) {
-	r := byHand(t, open(t, 0))
+	r := steppedServer(t, open(t, 0))
 	v := visit(t, r)
 	request := v.asks(t, r, "one")
 	r.now = r.clock()
-	r.leaving, r.endBy, r.lastBy = true, r.now, r.now // the last chance is over
-	r.inbox <- request
+	r.exiting, r.shutdownBy, r.exitBy = true, r.now, r.now // the last chance is over
+	r.queue <- request
 	if r.mayExit() {
 		t.Fatal("it ended over a request that had been read")
 	}
@@ -72,20 +72,20 @@
 	if got := v.reply(); got != "+OK" {
 		t.Errorf("answered %q", got)
 	}
-	if r.now > r.lastBy+2*lastReplies {
-		t.Errorf("it took %d us beyond its last chance", r.now-r.lastBy)
+	if r.now > r.exitBy+2*replyTimeout {
+		t.Errorf("it took %d us beyond its last chance", r.now-r.exitBy)
 	}
 }
 
 // TestCommandsThatFailAreAnswered. Failure: a fault while a request was handled closed its connection with no answer.
 func TestCommandsThatFailAreAnswered(t *testing.T) {
-	r := byHand(t, open(t, 0))
+	r := steppedServer(t, open(t, 0))
 	v := visit(t, r)
 	request := v.asks(t, r, "one")
-	healthy := r.dep
-	r.dep = nil // as if by a fault in this code
-	r.dispatch(request)
-	r.dep = healthy
+	healthy := r.deployment
+	r.deployment = nil // as if by a fault in this code
+	r.handle(request)
+	r.deployment = healthy
 	r.step()
 	if got := v.reply(); got != "-ERR internal error" {
 		t.Errorf("answered %q", got)
