--- a/server/calls.go
+++ b/server/calls.go
@@ -14,10 +14,10 @@
 // call is what goes to an endpoint at once: one attempt, or several where the charter allows.
 type call struct {
 	endpoint    dispatch.EndpointID
-	host        protocol.Host
+	entry       protocol.Host
 	attempts    []*attempt
 	exchange    *exchange
-	limit       dispatch.Micros // until when it is waited for
+	waitUntil   dispatch.Micros // until when it is waited for
 	predecessor bool            // the other process of an upgrade has it out; one attempt
 }
 
@@ -26,9 +26,9 @@
 	"unreachable": dispatch.Unreachable, "broken": dispatch.Broken, "withdrawn": dispatch.Canceled, "void": dispatch.Unprocessed,
 }
 
-func outcomeName(o dispatch.Outcome) string {
+func outcomeName(outcome dispatch.Outcome) string {
 	for name, other := range outcomes {
-		if other == o {
+		if other == outcome {
 			return name
 		}
 	}
@@ -36,14 +36,14 @@
 }
 
 // load puts an attempt on a call: sends of one step to one endpoint go together, up to what its shape takes.
-func (r *Router) load(calls []*call, a dispatch.Send) []*call {
+func (r *Server) addToCall(calls []*call, a dispatch.Send) []*call {
 	message := r.messages[a.Message]
 	if message == nil || message.ended {
 		return calls
 	}
-	host := r.hosts[a.Endpoint]
+	host := r.endpoints[a.Endpoint]
 	perCall := 1
-	if kind, ok := r.kindOf(host); ok {
+	if kind, ok := r.endpointTypeOf(host); ok {
 		perCall = kind.MaxPerCall
 	}
 	var c *call
@@ -53,12 +53,12 @@
 		}
 	}
 	if c == nil {
-		c = &call{endpoint: a.Endpoint, host: host}
+		c = &call{endpoint: a.Endpoint, entry: host}
 		calls = append(calls, c)
 	}
-	attempt := &attempt{message: message, number: len(message.attempts), call: c, sent: r.now, limit: r.now + a.Timeout}
+	attempt := &attempt{message: message, number: len(message.attempts), call: c, sentAt: r.now, waitUntil: r.now + a.Timeout}
 	message.attempts = append(message.attempts, attempt)
-	message.out++
+	message.inFlight++
 	r.inFlight = append(r.inFlight, attempt)
 	c.attempts = append(c.attempts, attempt)
 	return calls
@@ -66,101 +66,103 @@
 
 // waitAlike has all attempts of a call waited for as long as the least of them allows, and returns until when. Failure: with a time
 // of its own for each, one attempt was given up while its call went on for the others, and messages were counted as lost.
-func (c *call) waitAlike() dispatch.Micros {
+func (c *call) alignTimeouts() dispatch.Micros {
 	limit := never
 	for _, attempt := range c.attempts {
-		limit = min(limit, attempt.limit)
+		limit = min(limit, attempt.waitUntil)
 	}
 	for _, attempt := range c.attempts {
-		attempt.limit = limit
+		attempt.waitUntil = limit
 	}
-	c.limit = limit
+	c.waitUntil = limit
 	return limit
 }
 
 // start sends a call on its way.
-func (r *Router) start(c *call) {
-	if len(c.attempts) == 0 {
+func (r *Server) startCall(call *call) {
+	if len(call.attempts) == 0 {
 		return
 	}
-	c.waitAlike()
-	c.exchange = &exchange{peer: peerOf(c.host),
-		begun:  func(begun bool) { r.begun(c, begun) },
-		leaves: func() error { return r.leaves(c) },
-		still: func() bool {
-			return r.hosts[c.endpoint].Health == protocol.InService && !r.operators.out[string(c.endpoint)] && r.waits[r.route(c.host)] <= r.now
+	call.alignTimeouts()
+	call.exchange = &exchange{peer: peerOf(call.entry),
+		onBegin:     func(begun bool) { r.answerBegun(call, begun) },
+		beforeWrite: func() error { return r.callLeaves(call) },
+		isWanted: func() bool {
+			return r.endpoints[call.endpoint].Health == protocol.InService && !r.operators.disabled[string(call.endpoint)] && r.retryAfter[r.groupKey(call.entry)] <= r.now
 		},
-		written: func() { r.counters.dispatches += int64(len(c.attempts)) },
-		end:     func(a protocol.Answer, err error) { r.answered(c, a, err) }}
-	r.links.start(c.exchange)
+		onWritten: func() { r.counters.calls += int64(len(call.attempts)) },
+		onEnd:     func(a protocol.Answer, err error) { r.callAnswered(call, a, err) }}
+	r.endpointConns.start(call.exchange)
 }
 
 // leaves writes down a call's attempts as its first byte is about to leave, and no sooner, and puts the bytes together. Failures: noted when
 // they were decided, attempts whose connection was still coming up as the process was killed passed for calls that may have run, and what may
 // not be repeated was given up after the restart with no call. Put together then, a call went out with messages called off meanwhile.
-func (r *Router) leaves(c *call) error {
-	for _, attempt := range slices.Clone(c.attempts) {
-		if attempt.message.ended || attempt.message.windowOver(r.now) {
+func (r *Server) callLeaves(call *call) error {
+	for _, attempt := range slices.Clone(call.attempts) {
+		if attempt.message.ended || attempt.message.pastIdempotencyWindow(r.now) {
 			r.complete(attempt, dispatch.AttemptFinished{Outcome: dispatch.Unprocessed})
 		}
 	}
-	c.attempts = slices.DeleteFunc(c.attempts, func(attempt *attempt) bool { return attempt.over })
+	call.attempts = slices.DeleteFunc(call.attempts, func(attempt *attempt) bool { return attempt.finished })
 	var items []protocol.Item
-	for _, attempt := range c.attempts {
-		if err := r.note(attempt, ""); err != nil {
-			r.check(err)
+	for _, attempt := range call.attempts {
+		if err := r.noteAttempt(attempt, ""); err != nil {
+			r.logSpoolError(err)
 			return err // so not sent: a restart would not know of it
 		}
-		items = append(items, protocol.Item{ID: attempt.message.kept.ID, Mark: attempt.message.kept.Mark, Body: attempt.message.kept.Body})
+		items = append(items, protocol.Item{ID: attempt.message.stored.ID, Mark: attempt.message.stored.IdempotencyKey, Body: attempt.message.stored.Body})
 	}
 	if len(items) == 0 {
-		return errNobody
+		return errNothingToSend
 	}
-	c.exchange.bytes, c.exchange.whole = protocol.Call(c.host.Dial, int64((c.limit-r.now)/1000), items), len(items) > 1
+	call.exchange.bytes, call.exchange.needsBody = protocol.Call(call.entry.Dial, int64((call.waitUntil-r.now)/1000), items), len(items) > 1
 	return nil
 }
 
-var errNobody = errors.New("nothing of it is wanted any more")
+var errNothingToSend = errors.New("nothing of it is wanted any more")
 
 // note writes an attempt into the spool, once; with its outcome where it ended before it was sent.
-func (r *Router) note(attempt *attempt, outcome string) error {
-	if attempt.noted {
+func (r *Server) noteAttempt(attempt *attempt, outcome string) error {
+	if attempt.stored {
 		return nil
 	}
-	attempt.noted = true
-	return r.spool.Begin(attempt.message.kept.ID, spool.Trip{Endpoint: string(attempt.call.endpoint), Zone: max(0, slices.Index(r.dep.Zones, attempt.call.host.Zone)),
-		Sent: int64(attempt.sent), Outcome: outcome})
+	attempt.stored = true
+	return r.spool.BeginAttempt(attempt.message.stored.ID, spool.Attempt{Endpoint: string(attempt.call.endpoint), Zone: max(0, slices.Index(r.deployment.Zones, attempt.call.entry.Zone)),
+		SentAt: int64(attempt.sentAt), Outcome: outcome})
 }
 
 // outcome writes down how an attempt ended.
-func (r *Router) outcome(attempt *attempt, o dispatch.Outcome) {
-	if attempt.noted {
-		r.check(r.spool.Settle(attempt.message.kept.ID, attempt.number, outcomeName(o)))
+func (r *Server) noteOutcome(attempt *attempt, outcome dispatch.Outcome) {
+	if attempt.stored {
+		r.logSpoolError(r.spool.FinishAttempt(attempt.message.stored.ID, attempt.number, outcomeName(outcome)))
 	} else {
-		r.check(r.note(attempt, outcomeName(o)))
+		r.logSpoolError(r.noteAttempt(attempt, outcomeName(outcome)))
 	}
 }
 
-func peerOf(h protocol.Host) peer { return peer{host: h.Host, addr: h.Dial, born: h.Born} }
+func peerOf(entry protocol.Host) peerID {
+	return peerID{host: entry.Host, addr: entry.Dial, startedAt: entry.Born}
+}
 
 // restSlack is how long the rest of an answer may take once its first bytes are here: it is written at once, and the
 // longest way that a deployment tells of is a fifth of a second. A head or body without an end would else hold its slot,
 // and what it answered for, until nobody waits any more.
-const restSlack = 500 * 1000
+const answerTimeout = 500 * 1000
 
 // begun shortens the waiting for an answer of which a part has come, and takes that back where it was an interim one.
-func (r *Router) begun(c *call, begun bool) {
-	for _, attempt := range c.attempts {
-		if attempt.limit = c.limit; begun {
-			attempt.limit = min(attempt.limit, r.now+restSlack)
+func (r *Server) answerBegun(call *call, begun bool) {
+	for _, attempt := range call.attempts {
+		if attempt.waitUntil = call.waitUntil; begun {
+			attempt.waitUntil = min(attempt.waitUntil, r.now+answerTimeout)
 		}
 	}
 }
 
 // answered turns the end of a call into the outcomes of its attempts.
-func (r *Router) answered(c *call, a protocol.Answer, err error) {
+func (r *Server) callAnswered(call *call, a protocol.Answer, err error) {
 	if errors.Is(err, errOvertaken) {
-		for _, attempt := range c.attempts {
+		for _, attempt := range call.attempts {
 			r.complete(attempt, dispatch.AttemptFinished{Outcome: dispatch.Unprocessed})
 		}
 		return
@@ -169,57 +171,57 @@
 	if errors.As(err, &failure) {
 		outcome := map[protocol.Progress]dispatch.Outcome{protocol.BeforeLastByte: dispatch.Unreachable,
 			protocol.AfterLastByte: dispatch.Broken, protocol.InAnswer: dispatch.Failure}[failure.Progress]
-		for _, attempt := range c.attempts {
+		for _, attempt := range call.attempts {
 			r.complete(attempt, dispatch.AttemptFinished{Outcome: outcome})
 		}
 		return
 	}
 	var ends map[string]string
-	if a.Status == 200 && len(c.attempts) > 1 {
+	if a.Status == 200 && len(call.attempts) > 1 {
 		ends = protocol.ReadEnds(a.Body)
 	}
 	if a.WaitMs > 0 {
-		r.keepWait(c.host, r.now+dispatch.Micros(a.WaitMs)*1000)
+		r.keepRetryAfter(call.entry, r.now+dispatch.Micros(a.WaitMs)*1000)
 	}
-	pressure := protocol.Pressure(a.Report, r.dep.Report)
-	for _, attempt := range c.attempts {
-		s := outcomeOf(a)
+	pressure := protocol.Pressure(a.Report, r.deployment.Report)
+	for _, attempt := range call.attempts {
+		event := outcomeOf(a)
 		if ends != nil {
-			s = endOf(ends[attempt.message.kept.ID])
+			event = outcomeInBatch(ends[attempt.message.stored.ID])
 		}
-		s.LoadReport, s.RetryAfter = pressure, dispatch.Micros(a.WaitMs)*1000
-		r.complete(attempt, s)
+		event.LoadReport, event.RetryAfter = pressure, dispatch.Micros(a.WaitMs)*1000
+		r.complete(attempt, event)
 	}
 }
 
 // keepWait keeps a wait that an endpoint told.
-func (r *Router) keepWait(h protocol.Host, until dispatch.Micros) {
-	maps.DeleteFunc(r.waits, func(_ string, until dispatch.Micros) bool { return until <= r.now })
-	r.waits[r.route(h)] = max(until, r.waits[r.route(h)])
-	r.upgrade.waits(h, until)
+func (r *Server) keepRetryAfter(entry protocol.Host, until dispatch.Micros) {
+	maps.DeleteFunc(r.retryAfter, func(_ string, until dispatch.Micros) bool { return until <= r.now })
+	r.retryAfter[r.groupKey(entry)] = max(until, r.retryAfter[r.groupKey(entry)])
+	r.handoff.forwardRetryAfter(entry, until)
 }
 
 // route is what a wait holds for: an endpoint where its kind's are apart, else the destination.
-func (r *Router) route(h protocol.Host) string {
-	if r.apart(h) {
-		return h.Host
+func (r *Server) groupKey(entry protocol.Host) string {
+	if r.hasSeparateGroups(entry) {
+		return entry.Host
 	}
-	return strconv.Itoa(h.Dest)
+	return strconv.Itoa(entry.Dest)
 }
 
 // apart tells whether a wait that an endpoint told holds for it alone.
-func (r *Router) apart(h protocol.Host) bool {
-	kind, ok := r.kindOf(h)
+func (r *Server) hasSeparateGroups(entry protocol.Host) bool {
+	kind, ok := r.endpointTypeOf(entry)
 	return ok && kind.Separate
 }
 
 // kindOf is what the settings say of the kind that an endpoint is of; false where they know none of that name.
-func (r *Router) kindOf(h protocol.Host) (dispatch.EndpointType, bool) {
-	i := slices.Index(r.dep.Shapes, h.Kind)
-	if i < 0 || i >= len(r.dep.Charter.EndpointTypes) {
+func (r *Server) endpointTypeOf(entry protocol.Host) (dispatch.EndpointType, bool) {
+	i := slices.Index(r.deployment.Shapes, entry.Kind)
+	if i < 0 || i >= len(r.deployment.Charter.EndpointTypes) {
 		return dispatch.EndpointType{}, false
 	}
-	return r.dep.Charter.EndpointTypes[i], true
+	return r.deployment.Charter.EndpointTypes[i], true
 }
 
 // outcomeOf reads an answer for all that a call carried.
@@ -240,7 +242,7 @@
 }
 
 // endOf reads one message's end from an answer for several; one that is not named may have run.
-func endOf(word string) dispatch.AttemptFinished {
+func outcomeInBatch(word string) dispatch.AttemptFinished {
 	switch word {
 	case protocol.Accepted:
 		return dispatch.AttemptFinished{Outcome: dispatch.Delivered, MessageDone: true}
@@ -255,111 +257,111 @@
 }
 
 // complete ends an attempt with its outcome and tells the decisions.
-func (r *Router) complete(attempt *attempt, s dispatch.AttemptFinished) {
-	if r.upgrade.handed {
-		r.upgrade.echo(attempt, s)
+func (r *Server) complete(attempt *attempt, event dispatch.AttemptFinished) {
+	if r.handoff.handedOver {
+		r.handoff.forwardOutcome(attempt, event)
 		return
 	}
-	if attempt.over {
-		if s.MessageDone && !attempt.message.ended { // called off, and delivered all the same
-			if s.Outcome == dispatch.Delivered {
-				r.count(attempt.message.kept.Workload, delivered)
+	if attempt.finished {
+		if event.MessageDone && !attempt.message.ended { // called off, and delivered all the same
+			if event.Outcome == dispatch.Delivered {
+				r.count(attempt.message.stored.Class, delivered)
 			}
-			r.clients.over.add(attempt.message, r.now)
+			r.clients.finished.add(attempt.message, r.now)
 			r.finish(attempt.message)
-			r.events = append(r.events, dispatch.MessageCanceled{Message: dispatch.MessageID(attempt.message.kept.ID)})
+			r.events = append(r.events, dispatch.MessageCanceled{Message: dispatch.MessageID(attempt.message.stored.ID)})
 			r.forget(attempt.message)
 		}
 		return
 	}
-	attempt.over = true
-	attempt.message.out--
+	attempt.finished = true
+	attempt.message.inFlight--
 	for i, o := range r.inFlight {
 		if o == attempt {
 			r.inFlight = append(r.inFlight[:i], r.inFlight[i+1:]...)
 			break
 		}
 	}
-	if s.MessageDone {
-		if !attempt.message.ended && s.Outcome == dispatch.Delivered {
-			r.count(attempt.message.kept.Workload, delivered)
+	if event.MessageDone {
+		if !attempt.message.ended && event.Outcome == dispatch.Delivered {
+			r.count(attempt.message.stored.Class, delivered)
 		}
-		r.clients.over.add(attempt.message, r.now)
+		r.clients.finished.add(attempt.message, r.now)
 		r.finish(attempt.message)
 	} else if !attempt.message.ended {
-		r.outcome(attempt, s.Outcome)
+		r.noteOutcome(attempt, event.Outcome)
 	}
-	s.Message, s.Attempt, s.Duration = dispatch.MessageID(attempt.message.kept.ID), dispatch.AttemptNumber(attempt.number), r.now-attempt.sent
-	s.MessageDone = s.MessageDone || attempt.message.ended
-	r.events = append(r.events, s)
-	r.learned.observe(s.Outcome)
+	event.Message, event.Attempt, event.Duration = dispatch.MessageID(attempt.message.stored.ID), dispatch.AttemptNumber(attempt.number), r.now-attempt.sentAt
+	event.MessageDone = event.MessageDone || attempt.message.ended
+	r.events = append(r.events, event)
+	r.snapshots.observe(event.Outcome)
 	r.forget(attempt.message)
 }
 
 // overdue ends an attempt that was waited for long enough, unless its answer is here and only not dispatched yet. Failure: a delivered message
 // passed for one without an answer.
-func (r *Router) overdue(attempt *attempt) {
-	if r.arrives(attempt) {
+func (r *Server) attemptOverdue(attempt *attempt) {
+	if r.answerArriving(attempt) {
 		return
 	}
-	s := dispatch.AttemptFinished{Outcome: dispatch.TimedOut}
-	switch x := attempt.call.exchange; {
+	event := dispatch.AttemptFinished{Outcome: dispatch.TimedOut}
+	switch exchange := attempt.call.exchange; {
 	case attempt.call.predecessor: // the other process has said nothing of it for longer than it should wait
-	case !r.links.out(x):
-		s.Outcome = dispatch.Unreachable
-	case !x.whole && x.link.first.Load() == 200:
-		s.Outcome, s.MessageDone = dispatch.Delivered, true // the rest of the answer is slow, but this was its first line
-	case x.cut:
-		s.Outcome = dispatch.Failure // it answers, but nothing that can be read
-	}
-	r.complete(attempt, s)
-	r.drop(attempt.call)
+	case !r.endpointConns.isWritten(exchange):
+		event.Outcome = dispatch.Unreachable
+	case !exchange.needsBody && exchange.conn.partialStatus.Load() == 200:
+		event.Outcome, event.MessageDone = dispatch.Delivered, true // the rest of the answer is slow, but this was its first line
+	case exchange.begun:
+		event.Outcome = dispatch.Failure // it answers, but nothing that can be read
+	}
+	r.complete(attempt, event)
+	r.abandonCall(attempt.call)
 }
 
 // recheckAfter is how long an attempt that is to be given up is waited for where something that came over its connection lies unread. The poller
 // reads that at once unless the machine is busy; a peer that sends on and on gains no more than this.
-const recheckAfter = 5 * 1000
+const recheckDelay = 5 * 1000
 
 // arrives tells whether the answer to an attempt is here, or may be: whole but not dispatched yet, or unread in the socket. For the latter it
 // gives the attempt a moment, once.
-func (r *Router) arrives(attempt *attempt) bool {
-	x := attempt.call.exchange
-	if r.links.heard(x) {
+func (r *Server) answerArriving(attempt *attempt) bool {
+	exchange := attempt.call.exchange
+	if r.endpointConns.hasAnswer(exchange) {
 		return true
 	}
-	if attempt.rechecked || !r.links.stirs(x) {
+	if attempt.rechecked || !r.endpointConns.hasUnread(exchange) {
 		return false
 	}
-	attempt.rechecked, attempt.limit = true, r.now+recheckAfter
+	attempt.rechecked, attempt.waitUntil = true, r.now+recheckDelay
 	return true
 }
 
-func (r *Router) cancel(a dispatch.Cancel) {
+func (r *Server) cancel(a dispatch.Cancel) {
 	message := r.messages[a.Message]
-	if message == nil || int(a.Attempt) >= len(message.attempts) || message.attempts[a.Attempt].over {
+	if message == nil || int(a.Attempt) >= len(message.attempts) || message.attempts[a.Attempt].finished {
 		return
 	}
-	attempt, o := message.attempts[a.Attempt], dispatch.Canceled
-	if r.arrives(attempt) {
+	attempt, outcome := message.attempts[a.Attempt], dispatch.Canceled
+	if r.answerArriving(attempt) {
 		return // its answer says more
 	}
-	if x := attempt.call.exchange; x != nil && !x.sent {
-		o = dispatch.Unprocessed // its connection is still coming up: it never ran
+	if exchange := attempt.call.exchange; exchange != nil && !exchange.sent {
+		outcome = dispatch.Unprocessed // its connection is still coming up: it never ran
 	}
-	r.complete(attempt, dispatch.AttemptFinished{Outcome: o})
-	r.drop(attempt.call)
+	r.complete(attempt, dispatch.AttemptFinished{Outcome: outcome})
+	r.abandonCall(attempt.call)
 }
 
 // drop gives up a call once nobody waits for any of it.
-func (r *Router) drop(c *call) {
-	for _, attempt := range c.attempts {
-		if !attempt.over {
+func (r *Server) abandonCall(call *call) {
+	for _, attempt := range call.attempts {
+		if !attempt.finished {
 			return
 		}
 	}
-	if c.predecessor {
-		r.upgrade.cancel(c.attempts[0])
+	if call.predecessor {
+		r.handoff.cancelAttempt(call.attempts[0])
 		return
 	}
-	r.links.abort(c.exchange)
+	r.endpointConns.abort(call.exchange)
 }
--- a/server/counters.go
+++ b/server/counters.go
@@ -9,49 +9,49 @@
 )
 
 // ending is what a message is counted under.
-type ending int
+type endingKind int
 
 const (
-	delivered ending = iota
+	delivered endingKind = iota
 	rejected
 	failed
-	endings
+	numEndings
 )
 
 // counters are the figures for the operators, each counted where it happens.
 type counters struct {
-	ends       [][endings]int64 // by workload
-	dispatches int64
-	held       int64 // accepted and not ended
+	endings    [][numEndings]int64 // by workload
+	calls      int64
+	unfinished int64 // accepted and not ended
 }
 
 // grow makes room for further workloads.
 func (c *counters) grow(workloads int) {
-	c.ends = append(c.ends, make([][endings]int64, max(0, workloads-len(c.ends)))...)
+	c.endings = append(c.endings, make([][numEndings]int64, max(0, workloads-len(c.endings)))...)
 }
 
-func (c *counters) accepted() { c.held++ }
-func (c *counters) ended()    { c.held-- }
+func (c *counters) accepted() { c.unfinished++ }
+func (c *counters) ended()    { c.unfinished-- }
 
 // count takes down how a message of a workload ended; of an unknown one nobody asks.
-func (r *Router) count(workload string, how ending) {
-	if w := slices.Index(r.dep.Workloads, workload); w >= 0 {
-		r.counters.ends[w][how]++
+func (r *Server) count(workload string, how endingKind) {
+	if w := slices.Index(r.deployment.Workloads, workload); w >= 0 {
+		r.counters.endings[w][how]++
 	}
 }
 
 // figures is a copy of the counters that belongs to nobody else.
-func (r *Router) figures() *admin.Figures {
-	f := &admin.Figures{Success: map[string]int64{}, Overload: map[string]int64{}, Error: map[string]int64{},
-		Dispatches: r.counters.dispatches, Concurrent: r.counters.held, Targets: int64(len(r.hosts)),
-		ReloadSuccess: r.operators.reloads, ReloadFailure: r.operators.faulty.Load()}
-	for w, name := range r.dep.Workloads {
-		f.Success[name], f.Overload[name], f.Error[name] = r.counters.ends[w][delivered], r.counters.ends[w][rejected], r.counters.ends[w][failed]
+func (r *Server) collectMetrics() *admin.Metrics {
+	f := &admin.Metrics{Success: map[string]int64{}, Overload: map[string]int64{}, Error: map[string]int64{},
+		Dispatches: r.counters.calls, Concurrent: r.counters.unfinished, Targets: int64(len(r.endpoints)),
+		ReloadSuccess: r.operators.reloads, ReloadFailure: r.operators.failedReloads.Load()}
+	for w, name := range r.deployment.Workloads {
+		f.Success[name], f.Overload[name], f.Error[name] = r.counters.endings[w][delivered], r.counters.endings[w][rejected], r.counters.endings[w][failed]
 	}
-	if c, ok := r.courier.(interface {
+	if c, ok := r.dispatcher.(interface {
 		Avoided(dispatch.Micros, dispatch.EndpointID) bool
 	}); ok {
-		for id := range maps.Keys(r.hosts) {
+		for id := range maps.Keys(r.endpoints) {
 			if c.Avoided(r.now, id) {
 				f.TargetsDisabled++
 			}
--- a/server/crossings_test.go
+++ b/server/crossings_test.go
@@ -23,10 +23,10 @@
 // its own peer can write, close or reset between two lines.
 
 // byHand makes a router with sockets, whose turns and events are the test's.
-func byHand(t *testing.T, w *scripted.World, held ...*spool.Record) *Router {
+func steppedServer(t *testing.T, world *scripted.World, held ...*spool.Message) *Server {
 	t.Helper()
-	r := prepare(t, w, held...)
-	driver, err := transport.Open(r.dep.Listen, nil, 1024, r.log, r.clients.admit, r.clients.accept)
+	r := prepare(t, world, held...)
+	driver, err := transport.Open(r.deployment.Listen, nil, 1024, r.log, r.clients.admit, r.clients.accept)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,7 +35,7 @@
 		go func() { // handlers must not wait for a router that steps no more
 			for {
 				select {
-				case <-r.inbox:
+				case <-r.queue:
 				case <-ended:
 					return
 				}
@@ -49,16 +49,16 @@
 }
 
 // until takes what comes, a step after each, up to the first event that is wanted; that one is not taken.
-func until[E any](t *testing.T, r *Router, wanted func(E) bool) (e E) {
+func until[E any](t *testing.T, r *Server, wanted func(E) bool) (e E) {
 	t.Helper()
 	waits := time.After(10 * time.Second)
 	for {
 		select {
-		case what := <-r.inbox:
+		case what := <-r.queue:
 			if e, ok := what.(E); ok && wanted(e) {
 				return e
 			}
-			r.dispatch(what)
+			r.handle(what)
 			r.step()
 		case <-waits:
 			t.Fatalf("no %T came", e)
@@ -67,16 +67,16 @@
 }
 
 // toEndpoint tells whether a link leads to an endpoint of the world.
-func toEndpoint(l *link) bool { return l.peer.host != "" }
+func toEndpoint(conn *endpointConn) bool { return conn.peer.host != "" }
 
-func single(id string) *spool.Record {
-	return &spool.Record{ID: id, Workload: "order", Dest: 1, CutOff: time.Now().Add(time.Minute).UnixMicro()}
+func single(id string) *spool.Message {
+	return &spool.Message{ID: id, Class: "order", Destination: 1, Deadline: time.Now().Add(time.Minute).UnixMicro()}
 }
 
 // onDisk is what a process that started now would find of a message.
-func onDisk(t *testing.T, r *Router, id string) *spool.Record {
+func onDisk(t *testing.T, r *Server, id string) *spool.Message {
 	t.Helper()
-	all, _, err := spool.Inspect(r.dep.Spool)
+	all, _, err := spool.Inspect(r.deployment.Spool)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,61 +91,61 @@
 // TestUntriedUntilItLeaves. Failure: killed while the connection came up, a message that was never sent came back as one that may have
 // run, and was given up with no call if it may not be repeated.
 func TestUntriedUntilItLeaves(t *testing.T) {
-	r := byHand(t, open(t, 0), single("one"))
+	r := steppedServer(t, open(t, 0), single("one"))
 	r.step()
-	up := until(t, r, func(e linkUp) bool { return toEndpoint(e.on) })
-	if rec := onDisk(t, r, "one"); len(rec.Trips) > 0 {
-		t.Errorf("before anything was sent a restart would find %+v", rec.Trips)
+	up := until(t, r, func(event connUp) bool { return toEndpoint(event.conn) })
+	if rec := onDisk(t, r, "one"); len(rec.Attempts) > 0 {
+		t.Errorf("before anything was sent a restart would find %+v", rec.Attempts)
 	}
-	r.dispatch(up)
-	if rec := onDisk(t, r, "one"); len(rec.Trips) != 1 || rec.Trips[0].Outcome != "" || rec.Trips[0].Endpoint != "s-0" {
-		t.Errorf("once it was sent a restart would find %+v", rec.Trips)
+	r.handle(up)
+	if rec := onDisk(t, r, "one"); len(rec.Attempts) != 1 || rec.Attempts[0].Outcome != "" || rec.Attempts[0].Endpoint != "s-0" {
+		t.Errorf("once it was sent a restart would find %+v", rec.Attempts)
 	}
 }
 
 // TestNeverUpIsNoted: an attempt that failed before anything was sent stands in the spool with its outcome, so that those after it keep
 // their numbers.
 func TestNeverUpIsNoted(t *testing.T) {
-	w := open(t, 0)
-	r := byHand(t, w, single("one"))
+	world := open(t, 0)
+	r := steppedServer(t, world, single("one"))
 	r.step()
-	up := until(t, r, func(e linkUp) bool { return toEndpoint(e.on) })
-	r.dispatch(linkDown{on: up.on, err: errLate})
-	if rec := onDisk(t, r, "one"); len(rec.Trips) != 1 || rec.Trips[0].Outcome != "unreachable" {
-		t.Errorf("a restart would find %+v", rec.Trips)
+	up := until(t, r, func(event connUp) bool { return toEndpoint(event.conn) })
+	r.handle(connDown{conn: up.conn, err: errNoAnswer})
+	if rec := onDisk(t, r, "one"); len(rec.Attempts) != 1 || rec.Attempts[0].Outcome != "unreachable" {
+		t.Errorf("a restart would find %+v", rec.Attempts)
 	}
 }
 
 // TestCalledOffBeforeItLeft. Failure: an attempt that was called off while its connection came up passed for one that may have run, and
 // its message could not go again; put together when it was decided, a call for several went out with it all the same.
 func TestCalledOffBeforeItLeft(t *testing.T) {
-	r := byHand(t, open(t, 0), single("one"), single("two"))
+	r := steppedServer(t, open(t, 0), single("one"), single("two"))
 	var calls []*call
-	r.dep.Charter.EndpointTypes[0].MaxPerCall = 5
+	r.deployment.Charter.EndpointTypes[0].MaxPerCall = 5
 	for _, id := range []dispatch.MessageID{"one", "two"} {
-		calls = r.load(calls, dispatch.Send{Message: id, Endpoint: "s-0", Timeout: 5 * 1000 * 1000})
+		calls = r.addToCall(calls, dispatch.Send{Message: id, Endpoint: "s-0", Timeout: 5 * 1000 * 1000})
 	}
 	if len(calls) != 1 || len(calls[0].attempts) != 2 {
 		t.Fatalf("%d calls", len(calls))
 	}
 	r.events = nil
-	r.start(calls[0])
-	up := until(t, r, func(e linkUp) bool { return toEndpoint(e.on) })
+	r.startCall(calls[0])
+	up := until(t, r, func(event connUp) bool { return toEndpoint(event.conn) })
 	r.cancel(dispatch.Cancel{Message: "one", Attempt: 0})
 	if s := r.events[len(r.events)-1].(dispatch.AttemptFinished); s.Outcome != dispatch.Unprocessed {
 		t.Errorf("never sent, and called off as %v", s.Outcome)
 	}
-	r.dispatch(up)
-	if c := calls[0]; len(c.attempts) != 1 || c.attempts[0].message.kept.ID != "two" || c.exchange.whole {
-		t.Errorf("it went out with %d trips, whole %v", len(c.attempts), c.exchange.whole)
+	r.handle(up)
+	if call := calls[0]; len(call.attempts) != 1 || call.attempts[0].message.stored.ID != "two" || call.exchange.needsBody {
+		t.Errorf("it went out with %d trips, whole %v", len(call.attempts), call.exchange.needsBody)
 	}
-	if rec := onDisk(t, r, "one"); len(rec.Trips) != 1 || rec.Trips[0].Outcome != "void" {
-		t.Errorf("of the one called off a restart would find %+v", rec.Trips)
+	if rec := onDisk(t, r, "one"); len(rec.Attempts) != 1 || rec.Attempts[0].Outcome != "void" {
+		t.Errorf("of the one called off a restart would find %+v", rec.Attempts)
 	}
 }
 
 // stop has the poller stand still until goOn is called: what comes lies in the sockets.
-func stop(t *testing.T, r *Router) (goOn func()) {
+func stop(t *testing.T, r *Server) (goOn func()) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -187,15 +187,15 @@
 	in *bufio.Reader
 }
 
-func visit(t *testing.T, r *Router) *visitor {
+func visit(t *testing.T, r *Server) *visitor {
 	t.Helper()
-	conn, err := net.Dial("tcp", r.dep.Listen)
+	conn, err := net.Dial("tcp", r.deployment.Listen)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
 	conn.SetDeadline(time.Now().Add(10 * time.Second))
-	r.dispatch(until(t, r, func(*client) bool { return true }))
+	r.handle(until(t, r, func(*clientConn) bool { return true }))
 	return &visitor{conn.(*net.TCPConn), bufio.NewReader(conn)}
 }
 
@@ -204,10 +204,10 @@
 }
 
 // asks writes a request and waits until it lies at the router, untaken.
-func (v *visitor) asks(t *testing.T, r *Router, id string) commands {
+func (v *visitor) asks(t *testing.T, r *Server, id string) clientCommands {
 	t.Helper()
 	io.WriteString(v, enqueue(id))
-	return until(t, r, func(commands) bool { return true })
+	return until(t, r, func(clientCommands) bool { return true })
 }
 
 // reply is the next line, or why there is none.
@@ -220,14 +220,14 @@
 }
 
 // raw is an endpoint whose connections are the test's own.
-func raw(t *testing.T, w *scripted.World) *net.TCPListener {
+func raw(t *testing.T, world *scripted.World) *net.TCPListener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	w.Endpoints = []string{l.Addr().String()}
+	world.Endpoints = []string{l.Addr().String()}
 	return l.(*net.TCPListener)
 }
 
@@ -256,40 +256,40 @@
 }
 
 // sent has a router send what it holds to the test's endpoint, and reads it there.
-func sent(t *testing.T, r *Router, l *net.TCPListener) *net.TCPConn {
+func sent(t *testing.T, r *Server, l *net.TCPListener) *net.TCPConn {
 	t.Helper()
 	r.step()
-	r.dispatch(until(t, r, func(e linkUp) bool { return toEndpoint(e.on) }))
+	r.handle(until(t, r, func(event connUp) bool { return toEndpoint(event.conn) }))
 	return called(t, l)
 }
 
 // TestAnEndThatCrossesACall. Failure: an endpoint ended a connection at rest just as the next call was written to it; the call may have
 // run for all one knew, and what may not be repeated was given up. Now it goes over a new connection.
 func TestAnEndThatCrossesACall(t *testing.T) {
-	w := open(t, 0)
-	l := raw(t, w)
-	r := byHand(t, w, single("one"))
+	world := open(t, 0)
+	l := raw(t, world)
+	r := steppedServer(t, world, single("one"))
 	conn := sent(t, r, l)
 	io.WriteString(conn, okAnswer)
-	r.dispatch(until(t, r, func(e linkAnswer) bool { return toEndpoint(e.on) }))
+	r.handle(until(t, r, func(event answerReceived) bool { return toEndpoint(event.conn) }))
 	r.step()
 	goOn := stop(t, r)
 	conn.CloseWrite()
 	if !port.Arrived(conn) {
 		t.Fatal("its end never arrived")
 	}
-	if err := r.spool.Take(single("two")); err != nil {
+	if err := r.spool.Append(single("two")); err != nil {
 		t.Fatal(err)
 	}
-	r.recover([]*spool.Record{single("two")}, nil)
+	r.recover([]*spool.Message{single("two")}, nil)
 	r.step()
 	if out := r.messages["two"].attempts; len(out) != 1 || out[0].call.exchange.sent {
 		t.Fatalf("%d trips; written to what had ended", len(out))
 	}
 	goOn()
-	r.dispatch(until(t, r, func(e linkUp) bool { return toEndpoint(e.on) }))
+	r.handle(until(t, r, func(event connUp) bool { return toEndpoint(event.conn) }))
 	io.WriteString(called(t, l), okAnswer)
-	r.dispatch(until(t, r, func(e linkAnswer) bool { return toEndpoint(e.on) }))
+	r.handle(until(t, r, func(event answerReceived) bool { return toEndpoint(event.conn) }))
 	if r.step(); r.messages["two"] != nil {
 		t.Error("not delivered")
 	}
@@ -298,22 +298,22 @@
 // TestAnAnswerThatCrossesItsTime. Failure: an answer that lay at the router, untaken, as the time for it ran out, or as its attempt was called
 // off, passed for none; a delivered message was sent again, or given up.
 func TestAnAnswerThatCrossesItsTime(t *testing.T) {
-	for name, cross := range map[string]func(r *Router, attempt *attempt){
-		"overdue":    func(r *Router, attempt *attempt) { r.overdue(attempt) },
-		"called off": func(r *Router, attempt *attempt) { r.cancel(dispatch.Cancel{Message: "one"}) },
+	for name, cross := range map[string]func(r *Server, attempt *attempt){
+		"overdue":    func(r *Server, attempt *attempt) { r.attemptOverdue(attempt) },
+		"called off": func(r *Server, attempt *attempt) { r.cancel(dispatch.Cancel{Message: "one"}) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := open(t, 0)
-			l := raw(t, w)
-			r := byHand(t, w, single("one"))
+			world := open(t, 0)
+			l := raw(t, world)
+			r := steppedServer(t, world, single("one"))
 			io.WriteString(sent(t, r, l), okAnswer)
-			answer := until(t, r, func(e linkAnswer) bool { return toEndpoint(e.on) })
+			answer := until(t, r, func(event answerReceived) bool { return toEndpoint(event.conn) })
 			attempt := r.messages["one"].attempts[0]
 			cross(r, attempt)
-			if attempt.over {
+			if attempt.finished {
 				t.Error("ended although its answer is here")
 			}
-			r.dispatch(answer)
+			r.handle(answer)
 			if s, ok := r.events[len(r.events)-1].(dispatch.AttemptFinished); !ok || s.Outcome != dispatch.Delivered {
 				t.Errorf("ended as %+v", r.events)
 			}
@@ -331,17 +331,17 @@
 		"whole": {okAnswer, dispatch.Delivered}, "its first line": {okAnswer[:17], dispatch.Delivered}, "half a line": {"HTTP/1.1 2", dispatch.Failure},
 		"nothing": {"", dispatch.TimedOut},
 	} {
-		for how, cross := range map[string]func(r *Router, attempt *attempt){
-			"overdue":    func(r *Router, attempt *attempt) { r.overdue(attempt) },
-			"called off": func(r *Router, attempt *attempt) { r.cancel(dispatch.Cancel{Message: "one"}) },
+		for how, cross := range map[string]func(r *Server, attempt *attempt){
+			"overdue":    func(r *Server, attempt *attempt) { r.attemptOverdue(attempt) },
+			"called off": func(r *Server, attempt *attempt) { r.cancel(dispatch.Cancel{Message: "one"}) },
 		} {
 			t.Run(name+" "+how, func(t *testing.T) {
-				w := open(t, 0)
-				l := raw(t, w)
-				r := byHand(t, w, single("one"))
+				world := open(t, 0)
+				l := raw(t, world)
+				r := steppedServer(t, world, single("one"))
 				conn := sent(t, r, l)
 				attempt := r.messages["one"].attempts[0]
-				for attempt.call.exchange.link.conn.Stirs() { // its handler may still be telling that it is up
+				for attempt.call.exchange.conn.conn.Stirs() { // its handler may still be telling that it is up
 					time.Sleep(100 * time.Microsecond)
 				}
 				goOn := stop(t, r)
@@ -350,8 +350,8 @@
 					t.Fatal("it never arrived")
 				}
 				r.events, r.now = nil, r.clock()
-				if cross(r, attempt); attempt.over != (c.bytes == "") {
-					t.Fatalf("over %v at its time", attempt.over)
+				if cross(r, attempt); attempt.finished != (c.bytes == "") {
+					t.Fatalf("over %v at its time", attempt.finished)
 				}
 				goOn()
 				want := c.want
@@ -361,25 +361,25 @@
 				for read := c.bytes == ""; !read; {
 					var what any
 					select {
-					case what = <-r.inbox:
+					case what = <-r.queue:
 					case <-time.After(10 * time.Second):
 						t.Fatal("it is never read")
 					}
 					switch e := what.(type) {
-					case linkAnswer:
-						read = toEndpoint(e.on)
-					case linkBegun:
-						read = toEndpoint(e.on)
+					case answerReceived:
+						read = toEndpoint(e.conn)
+					case answerBegun:
+						read = toEndpoint(e.conn)
 					}
-					r.dispatch(what)
+					r.handle(what)
 				}
 				for range 3 { // as what has begun may take a moment too
-					if r.now = max(r.clock(), attempt.limit); !attempt.over {
-						r.overdue(attempt)
+					if r.now = max(r.clock(), attempt.waitUntil); !attempt.finished {
+						r.attemptOverdue(attempt)
 					}
 				}
 				for _, e := range r.events {
-					if s, ok := e.(dispatch.AttemptFinished); ok && s.Outcome == want {
+					if event, ok := e.(dispatch.AttemptFinished); ok && event.Outcome == want {
 						return
 					}
 				}
@@ -391,9 +391,9 @@
 
 // TestWhatStaysUnreadGainsAMoment: and no more, or a peer that sends on and on would never be given up.
 func TestWhatStaysUnreadGainsAMoment(t *testing.T) {
-	w := open(t, 0)
-	l := raw(t, w)
-	r := byHand(t, w, single("one"))
+	world := open(t, 0)
+	l := raw(t, world)
+	r := steppedServer(t, world, single("one"))
 	conn := sent(t, r, l)
 	stop(t, r)
 	io.WriteString(conn, okAnswer)
@@ -401,37 +401,37 @@
 		t.Fatal("it never arrived")
 	}
 	attempt := r.messages["one"].attempts[0]
-	r.now = attempt.limit
-	if r.overdue(attempt); attempt.over || attempt.limit != r.now+recheckAfter {
-		t.Fatalf("over %v, waited for %d us longer", attempt.over, attempt.limit-r.now)
+	r.now = attempt.waitUntil
+	if r.attemptOverdue(attempt); attempt.finished || attempt.waitUntil != r.now+recheckDelay {
+		t.Fatalf("over %v, waited for %d us longer", attempt.finished, attempt.waitUntil-r.now)
 	}
-	r.now = attempt.limit
-	if r.overdue(attempt); !attempt.over {
+	r.now = attempt.waitUntil
+	if r.attemptOverdue(attempt); !attempt.finished {
 		t.Error("waited for on and on")
 	}
 }
 
 // TestAWordBeforeTheCall: an endpoint that speaks first is told of once and gets nothing; nothing of the call has run.
 func TestAWordBeforeTheCall(t *testing.T) {
-	w := open(t, 0)
-	l := raw(t, w)
-	r := byHand(t, w, single("one"))
+	world := open(t, 0)
+	l := raw(t, world)
+	r := steppedServer(t, world, single("one"))
 	r.step()
-	up := until(t, r, func(e linkUp) bool { return toEndpoint(e.on) })
+	event := until(t, r, func(e connUp) bool { return toEndpoint(e.conn) })
 	conn, err := l.AcceptTCP()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	io.WriteString(conn, okAnswer)
-	down := until(t, r, func(e linkDown) bool { return toEndpoint(e.on) })
-	r.dispatch(up)
-	if !errors.Is(down.err, errUnasked) {
+	down := until(t, r, func(e connDown) bool { return toEndpoint(e.conn) })
+	r.handle(event)
+	if !errors.Is(down.err, errUnexpectedAnswer) {
 		t.Errorf("ended by %v", down.err)
 	}
-	r.dispatch(down)
-	if rec := onDisk(t, r, "one"); len(rec.Trips) != 1 || rec.Trips[0].Outcome != "unreachable" {
-		t.Errorf("a restart would find %+v", rec.Trips)
+	r.handle(down)
+	if rec := onDisk(t, r, "one"); len(rec.Attempts) != 1 || rec.Attempts[0].Outcome != "unreachable" {
+		t.Errorf("a restart would find %+v", rec.Attempts)
 	}
 	conn.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if n, _ := conn.Read(make([]byte, 1)); n > 0 {
@@ -444,23 +444,23 @@
 
 // TestNotSentUnlessNoted: what the disk does not take is not sent, as a restart would not know of it.
 func TestNotSentUnlessNoted(t *testing.T) {
-	w := open(t, 0)
-	l := raw(t, w)
-	r := byHand(t, w, single("one"))
+	world := open(t, 0)
+	l := raw(t, world)
+	r := steppedServer(t, world, single("one"))
 	r.step()
-	up := until(t, r, func(e linkUp) bool { return toEndpoint(e.on) })
+	up := until(t, r, func(event connUp) bool { return toEndpoint(event.conn) })
 	r.spool.Close()
-	r.dispatch(up)
+	r.handle(up)
 	attempt := r.messages["one"].attempts[0]
-	if !attempt.over || attempt.call.exchange.sent {
-		t.Errorf("over %v, sent %v", attempt.over, attempt.call.exchange.sent)
+	if !attempt.finished || attempt.call.exchange.sent {
+		t.Errorf("over %v, sent %v", attempt.finished, attempt.call.exchange.sent)
 	}
 	conn, err := l.AcceptTCP()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	r.links.closeResting()
+	r.endpointConns.closeAllIdle()
 	conn.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if n, err := conn.Read(make([]byte, 1)); n > 0 || err != io.EOF {
 		t.Errorf("%d bytes came, then %v", n, err)
@@ -480,25 +480,25 @@
 		"refused": {0, true, "-BUSY 7", false}, "first gone, refused": {1, true, "-BUSY 7", false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := byHand(t, open(t, 0))
+			r := steppedServer(t, open(t, 0))
 			if c.busy {
-				r.courier = refusing{}
+				r.dispatcher = refusing{}
 			}
 			first, second := visit(t, r), visit(t, r)
 			one := first.asks(t, r, "one")
 			two := second.asks(t, r, "one")
-			r.dispatch(one)
-			r.dispatch(two)
+			r.handle(one)
+			r.handle(two)
 			stay := []*visitor{first, second}
 			if c.gone > 0 {
 				stay[c.gone-1].SetLinger(0)
 				stay[c.gone-1].Close()
-				from := []commands{one, two}[c.gone-1].from
+				from := []clientCommands{one, two}[c.gone-1].from
 				for gone := false; !gone; { // no step in between
-					what := <-r.inbox
-					e, ok := what.(clientGone)
-					gone = ok && e.from == from
-					r.dispatch(what)
+					what := <-r.queue
+					event, ok := what.(clientClosed)
+					gone = ok && event.from == from
+					r.handle(what)
 				}
 				stay = []*visitor{stay[2-c.gone]}
 			}
@@ -529,11 +529,11 @@
 
 // TestBothGoneBeforeTheTurn: what nobody waits for any more, and nobody was told of, is nobody's.
 func TestBothGoneBeforeTheTurn(t *testing.T) {
-	r := byHand(t, open(t, 0))
+	r := steppedServer(t, open(t, 0))
 	first, second := visit(t, r), visit(t, r)
 	one, two := first.asks(t, r, "one"), second.asks(t, r, "one")
-	for _, e := range []any{one, two, clientGone{one.from}, clientGone{two.from}} {
-		r.dispatch(e)
+	for _, e := range []any{one, two, clientClosed{one.from}, clientClosed{two.from}} {
+		r.handle(e)
 	}
 	if r.step(); onDisk(t, r, "one") != nil || r.messages["one"] != nil {
 		t.Error("still held")
@@ -543,51 +543,51 @@
 // TestHandedInOnceMoreAfterItsEnd. Failure: a reset took away a reply that the socket had; the request came once more, was over by then, and
 // was accepted anew: a second effect.
 func TestHandedInOnceMoreAfterItsEnd(t *testing.T) {
-	w := open(t, 0)
-	r := byHand(t, w)
+	world := open(t, 0)
+	r := steppedServer(t, world)
 	first := visit(t, r)
-	r.dispatch(first.asks(t, r, "one"))
+	r.handle(first.asks(t, r, "one"))
 	r.step()
 	first.SetLinger(0) // whatever reply it had is gone
 	first.Close()
 	for r.messages["one"] != nil {
-		r.dispatch(until(t, r, func(e linkAnswer) bool { return toEndpoint(e.on) }))
+		r.handle(until(t, r, func(event answerReceived) bool { return toEndpoint(event.conn) }))
 		r.step()
 	}
 	second := visit(t, r)
-	r.dispatch(second.asks(t, r, "one"))
+	r.handle(second.asks(t, r, "one"))
 	r.step()
 	if got := second.reply(); got != "+OK" || r.messages["one"] != nil {
 		t.Errorf("told %q, held again %v", got, r.messages["one"] != nil)
 	}
-	if began, _, _ := w.Seen("one"); began != 1 {
+	if began, _, _ := world.Seen("one"); began != 1 {
 		t.Errorf("%d calls", began)
 	}
 }
 
 // TestEndsAreForgotten: ids of what is over are known for as long as a client may come with them once more, and never too many.
 func TestEndsAreForgotten(t *testing.T) {
-	var o over
-	for i := range 3 * overMost {
-		o.add(&message{kept: &spool.Record{ID: fmt.Sprint(i)}, acceptedAt: 5}, 5)
+	var o finishedMessages
+	for i := range 3 * maxFinished {
+		o.add(&message{stored: &spool.Message{ID: fmt.Sprint(i)}, acceptedAt: 5}, 5)
 	}
-	if len(o.until) > overMost || len(o.order) > overMost || !o.has(dispatch.MessageID(fmt.Sprint(3*overMost-1)), 5) {
+	if len(o.until) > maxFinished || len(o.order) > maxFinished || !o.contains(dispatch.MessageID(fmt.Sprint(3*maxFinished-1)), 5) {
 		t.Errorf("%d ids, %d in order", len(o.until), len(o.order))
 	}
-	if o.has(dispatch.MessageID(fmt.Sprint(3*overMost-1)), 5+onceMore) {
+	if o.contains(dispatch.MessageID(fmt.Sprint(3*maxFinished-1)), 5+resendWindow) {
 		t.Error("known for ever")
 	}
-	o.add(&message{kept: &spool.Record{ID: "late"}, acceptedAt: 5}, 5+onceMore)
+	o.add(&message{stored: &spool.Message{ID: "late"}, acceptedAt: 5}, 5+resendWindow)
 	if len(o.until) > 0 || len(o.order) > 0 {
 		t.Errorf("%d ids are left", len(o.until))
 	}
 }
 
 // leave steps a router to its end, or until cross says that it has seen enough, and tells whether it ended.
-func leave(t *testing.T, r *Router, cross func() bool) bool {
+func leave(t *testing.T, r *Server, cross func() bool) bool {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(100 * time.Microsecond) {
-		r.gather()
+		r.drainQueues()
 		r.step()
 		if r.mayExit() {
 			return true
@@ -603,12 +603,12 @@
 func neverMind() bool { return false }
 
 // tell has a router end now.
-func tell(r *Router) { r.now, r.endBy = r.clock(), r.clock() }
+func tell(r *Server) { r.now, r.shutdownBy = r.clock(), r.clock() }
 
 // TestARequestThatCrossesTheEnd. Failure: what lay in a socket at the last look was reset as the process ended; the client had no answer.
 func TestARequestThatCrossesTheEnd(t *testing.T) {
-	w := open(t, 0)
-	r := byHand(t, w)
+	world := open(t, 0)
+	r := steppedServer(t, world)
 	v := visit(t, r)
 	goOn := stop(t, r)
 	tell(r)
@@ -618,7 +618,7 @@
 	}
 	looked := false
 	if leave(t, r, func() bool { // up to the first look after the last connection may have come in
-		looked = r.leaving && r.endBy == r.now+shutEvery
+		looked = r.exiting && r.shutdownBy == r.now+closeInterval
 		return looked
 	}) {
 		t.Fatal("it ended over an unread request")
@@ -630,7 +630,7 @@
 	if got := v.reply(); got != "+OK" {
 		t.Errorf("told %q", got)
 	}
-	if began, _, _ := w.Seen("one"); began == 0 && onDisk(t, r, "one") == nil {
+	if began, _, _ := world.Seen("one"); began == 0 && onDisk(t, r, "one") == nil {
 		t.Error("promised, and not kept")
 	}
 }
@@ -638,10 +638,10 @@
 // TestAFirstRequestThatCrossesTheEnd. Failure: a connection that had come just before the end was closed while its first request was on
 // its way.
 func TestAFirstRequestThatCrossesTheEnd(t *testing.T) {
-	r := byHand(t, open(t, 0))
+	r := steppedServer(t, open(t, 0))
 	v := visit(t, r)
 	tell(r)
-	if leave(t, r, func() bool { return r.leaving }) {
+	if leave(t, r, func() bool { return r.exiting }) {
 		t.Fatal("it ended at once")
 	}
 	io.WriteString(v, enqueue("one"))
@@ -656,27 +656,27 @@
 // TestANewcomerIsSentAwayLater: half a second after it was told to end, a process sends clients away; who has just come is answered first, and
 // sent away too.
 func TestANewcomerIsSentAwayLater(t *testing.T) {
-	r := byHand(t, open(t, 0))
+	r := steppedServer(t, open(t, 0))
 	rests := visit(t, r)
-	for r.clock()-r.now <= newcomer {
+	for r.clock()-r.now <= newConnGrace {
 		time.Sleep(time.Millisecond)
 	}
 	r.now = r.clock()
 	v := visit(t, r)
 	r.now = r.clock()
-	r.partAt, r.endBy = r.now, r.now+hour
+	r.drainAt, r.shutdownBy = r.now, r.now+hour
 	if r.mayExit() {
 		t.Fatal("it ended")
 	}
 	if got := rests.reply(); got != io.EOF.Error() {
 		t.Errorf("the one at rest: %s", got)
 	}
-	r.dispatch(v.asks(t, r, "one"))
+	r.handle(v.asks(t, r, "one"))
 	r.step()
 	if got := v.reply(); got != "+OK" {
 		t.Errorf("told %q", got)
 	}
-	for r.partAt < never {
+	for r.drainAt < never {
 		if r.now = r.clock(); r.mayExit() {
 			t.Fatal("it ended")
 		}
@@ -690,7 +690,7 @@
 // TestNobodyHoldsUpTheEnd: a client with half a command, one that reads nothing and one that asks on and on do not keep a process that
 // ends; whoever rests is closed without a reset.
 func TestNobodyHoldsUpTheEnd(t *testing.T) {
-	r := byHand(t, open(t, 0))
+	r := steppedServer(t, open(t, 0))
 	half, rests, floods := visit(t, r), visit(t, r), visit(t, r)
 	io.WriteString(half, enqueue("half")[:40])
 	if !port.Arrived(half) {
@@ -710,7 +710,7 @@
 	if !leave(t, r, neverMind) {
 		t.Fatal("it never ended")
 	}
-	if took := r.clock() - began; took > 20*(lastWords+lastChance) {
+	if took := r.clock() - began; took > 20*(acceptTimeout+exitTimeout) {
 		t.Errorf("it took %d us", took)
 	}
 	if got := rests.reply(); got != io.EOF.Error() {
@@ -727,66 +727,66 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	w := open(t, 0)
-	w.Discovery = l.Addr().String()
-	r := byHand(t, w)
-	p := &r.platform
+	world := open(t, 0)
+	world.Discovery = l.Addr().String()
+	r := steppedServer(t, world)
+	p := &r.discovery
 	ask := func(answer string) {
 		t.Helper()
-		r.now = max(r.clock(), p.askAt)
-		p.watch()
-		x := p.watching
-		for !x.sent {
-			r.dispatch(<-r.inbox)
+		r.now = max(r.clock(), p.pollAt)
+		p.poll()
+		exchange := p.pollInFlight
+		for !exchange.sent {
+			r.handle(<-r.queue)
 		}
 		conn := called(t, l.(*net.TCPListener))
 		io.WriteString(conn, answer)
 		conn.Close()
-		for p.watching == x {
-			r.dispatch(<-r.inbox)
+		for p.pollInFlight == exchange {
+			r.handle(<-r.queue)
 		}
 	}
 	const cut = "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"seq\":9,\"whole\":false,\"hosts\":["
 	last := dispatch.Micros(0)
 	for n := range 8 {
 		ask(cut)
-		pause := p.askAt - r.now
-		if pause < last || pause > askAgain || n == 0 && pause != cutAgain || n == 7 && pause != askAgain {
+		pause := p.pollAt - r.now
+		if pause < last || pause > maxPollBackoff || n == 0 && pause != minPollBackoff || n == 7 && pause != maxPollBackoff {
 			t.Errorf("cut off %d times, asked again after %d us", n+1, pause)
 		}
 		last = pause
 	}
 	list := `{"seq":10,"whole":false,"hosts":[]}`
 	ask(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s", len(list), list))
-	if p.cuts != 0 {
-		t.Errorf("after a whole list %d cuts still count", p.cuts)
+	if p.truncations != 0 {
+		t.Errorf("after a whole list %d cuts still count", p.truncations)
 	}
 }
 
 // TestAListThatCrossesAMove: a reload moves discovery while the old one's answer lies at the router, untaken; it is not taken for the new
 // one's, and the new one is asked.
 func TestAListThatCrossesAMove(t *testing.T) {
-	w := open(t, 0)
-	r := byHand(t, w)
-	ofDiscovery := func(l *link) bool { return !toEndpoint(l) }
-	r.platform.seq = 0
-	r.platform.watch()
-	r.dispatch(until(t, r, func(e linkUp) bool { return ofDiscovery(e.on) }))
-	answer := until(t, r, func(e linkAnswer) bool { return ofDiscovery(e.on) })
-	if _, err := w.Move(); err != nil {
+	world := open(t, 0)
+	r := steppedServer(t, world)
+	ofDiscovery := func(conn *endpointConn) bool { return !toEndpoint(conn) }
+	r.discovery.version = 0
+	r.discovery.poll()
+	r.handle(until(t, r, func(e connUp) bool { return ofDiscovery(e.conn) }))
+	answer := until(t, r, func(e answerReceived) bool { return ofDiscovery(e.conn) })
+	if _, err := world.Move(); err != nil {
 		t.Fatal(err)
 	}
-	next := *r.dep
-	next.Discovery = w.Discovery
-	r.dispatch(&next)
-	watching := r.platform.watching
-	r.dispatch(answer)
-	if r.platform.watching != watching || watching == nil || watching.peer.addr != w.Discovery || r.platform.seq != 0 {
-		t.Errorf("watching %+v, version %d", r.platform.watching, r.platform.seq)
-	}
-	r.dispatch(until(t, r, func(e linkUp) bool { return ofDiscovery(e.on) }))
-	r.dispatch(until(t, r, func(e linkAnswer) bool { return ofDiscovery(e.on) }))
-	if r.platform.seq == 0 {
+	next := *r.deployment
+	next.Discovery = world.Discovery
+	r.handle(&next)
+	watching := r.discovery.pollInFlight
+	r.handle(answer)
+	if r.discovery.pollInFlight != watching || watching == nil || watching.peer.addr != world.Discovery || r.discovery.version != 0 {
+		t.Errorf("watching %+v, version %d", r.discovery.pollInFlight, r.discovery.version)
+	}
+	r.handle(until(t, r, func(e connUp) bool { return ofDiscovery(e.conn) }))
+	r.handle(until(t, r, func(e answerReceived) bool { return ofDiscovery(e.conn) }))
+	if r.discovery.version == 0 {
 		t.Error("the new one was not heard")
 	}
 }
@@ -794,44 +794,44 @@
 // TestAReloadThatCrossesAnUpgrade. Failure: settings read anew while another process had taken over were gone once that died, and this one
 // went on by the old ones.
 func TestAReloadThatCrossesAnUpgrade(t *testing.T) {
-	r := byHand(t, open(t, 0))
-	r.upgrade.handed = true
+	r := steppedServer(t, open(t, 0))
+	r.handoff.handedOver = true
 	var told *config.Deployment
-	r.Reloaded(func(dep *config.Deployment) { told = dep })
-	next := *r.dep
+	r.OnReload(func(dep *config.Deployment) { told = dep })
+	next := *r.deployment
 	next.Discovery = "127.0.0.1:9"
-	r.dispatch(&next)
+	r.handle(&next)
 	if told == nil || told.Discovery != next.Discovery {
 		t.Errorf("the next router here begins with %+v", told)
 	}
-	if r.platform.watching != nil {
+	if r.discovery.pollInFlight != nil {
 		t.Error("it asks discovery, which the other process does")
 	}
 }
 
 // TestLookedAtWhileItReads. Failure: as all was made ready for another process, it was read from a parser which the poller was feeding.
 func TestLookedAtWhileItReads(t *testing.T) {
-	r := byHand(t, open(t, 0))
+	r := steppedServer(t, open(t, 0))
 	v := visit(t, r)
 	text := enqueue("one")
-	if !r.clients.resting() {
+	if !r.clients.allIdle() {
 		t.Error("not at rest before its request")
 	}
 	for at := range len(text) - 1 {
 		io.WriteString(v, text[at:at+1])
-		for deadline := time.Now().Add(5 * time.Second); r.clients.resting(); {
+		for deadline := time.Now().Add(5 * time.Second); r.clients.allIdle(); {
 			if time.Now().After(deadline) {
 				t.Fatalf("at rest with %d bytes of a command", at+1)
 			}
 		}
 	}
 	io.WriteString(v, text[len(text)-1:])
-	r.dispatch(until(t, r, func(commands) bool { return true }))
-	if r.clients.resting() {
+	r.handle(until(t, r, func(clientCommands) bool { return true }))
+	if r.clients.allIdle() {
 		t.Error("at rest before its reply")
 	}
 	r.step()
-	if got := v.reply(); got != "+OK" || !r.clients.resting() {
-		t.Errorf("told %q; at rest %v", got, r.clients.resting())
+	if got := v.reply(); got != "+OK" || !r.clients.allIdle() {
+		t.Errorf("told %q; at rest %v", got, r.clients.allIdle())
 	}
 }
--- a/server/fleet.go
+++ b/server/fleet.go
@@ -5,26 +5,26 @@
 	"pineport/handoff"
 )
 
-// Reckon has the decisions reckon with so many couriers from the next step on. It never waits, and no step waits for it:
+// FleetSizeEstimated has the decisions reckon with so many couriers from the next step on. It never waits, and no step waits for it:
 // whatever becomes of the fleet's membership, messages flow.
-func (r *Router) Reckon(couriers int) { r.couriers.Store(int64(couriers)) }
+func (r *Server) FleetSizeEstimated(couriers int) { r.estimatedSize.Store(int64(couriers)) }
 
-// Parted has f give up this process's place in the fleet, at the instant at which another one takes over.
-func (r *Router) Parted(f func() *handoff.Peers) { r.parted = f }
+// OnHandoff has f give up this process's place in the fleet, at the instant at which another one takes over.
+func (r *Server) OnHandoff(f func() *handoff.Membership) { r.onHandoff = f }
 
 // charter is the settings' own, with as many couriers as the fleet counts where that is more: a part of a limit can only
 // become smaller by what others say.
-func (r *Router) charter() dispatch.Config {
-	ch := r.dep.Charter
-	ch.Couriers = max(ch.Couriers, int(r.reckoned))
-	ch.GrantedUntil = r.lentTo
+func (r *Server) dispatchConfig() dispatch.Config {
+	ch := r.deployment.Charter
+	ch.Couriers = max(ch.Couriers, int(r.appliedSize))
+	ch.GrantedUntil = r.grantedUntil
 	return ch
 }
 
-func (r *Router) reckon() {
-	r.reckoned = r.couriers.Load()
-	if ch := r.charter(); ch.Couriers != r.counted {
-		r.counted = ch.Couriers
+func (r *Server) updateFleetSize() {
+	r.appliedSize = r.estimatedSize.Load()
+	if ch := r.dispatchConfig(); ch.Couriers != r.configuredCouriers {
+		r.configuredCouriers = ch.Couriers
 		r.events = append(r.events, dispatch.Reconfigured{Config: ch})
 	}
 }
--- a/server/links.go
+++ b/server/links.go
@@ -13,98 +13,98 @@
 
 // exchange is one request and its answer. end is called once, unless it is given up.
 type exchange struct {
-	peer   peer
-	bytes  []byte
-	whole  bool // the body is needed, not just the first line
-	link   *link
-	sent   bool
-	over   bool
-	cut    bool         // part of an answer is here
-	part   []byte       // of its body
-	still  func() bool  // asked once more when a new connection is up; nil for always
-	leaves func() error // told just before the first byte is written, which an error stops; nil for nobody
-	begun  func(bool)   // told when an answer has begun and the rest of it has not come yet; false where it was an interim one
+	peer        peerID
+	bytes       []byte
+	needsBody   bool // the body is needed, not just the first line
+	conn        *endpointConn
+	sent        bool
+	finished    bool
+	begun       bool         // part of an answer is here
+	partialBody []byte       // of its body
+	isWanted    func() bool  // asked once more when a new connection is up; nil for always
+	beforeWrite func() error // told just before the first byte is written, which an error stops; nil for nobody
+	onBegin     func(bool)   // told when an answer has begun and the rest of it has not come yet; false where it was an interim one
 	// written is told once, when the socket has the last byte or an answer shows that it had; nil for nobody. It may lag
 	// for as long as unwritten lets it.
-	written func()
-	end     func(protocol.Answer, error)
+	onWritten func()
+	onEnd     func(protocol.Answer, error)
 }
 
 // noted tells, once, that an exchange was written whole.
-func (x *exchange) noted(whole bool) {
-	if whole && x.sent && x.written != nil {
-		x.written()
-		x.written = nil
+func (x *exchange) notifyWritten(whole bool) {
+	if whole && x.sent && x.onWritten != nil {
+		x.onWritten()
+		x.onWritten = nil
 	}
 }
 
 // peer is who a connection leads to. An address alone is nobody: another endpoint may have taken it over, or the same
 // one may have started again.
-type peer struct {
-	host string // empty for the platform
-	addr string
-	born int64
+type peerID struct {
+	host      string // empty for the platform
+	addr      string
+	startedAt int64
 }
 
 // link is one connection to an endpoint or the platform; one exchange at a time goes over it.
-type link struct {
-	router    *Router
-	peer      peer
-	conn      *transport.Conn
-	parser    *protocol.Answers
-	requests  atomic.Int64 // how many were written: the number of the last
-	answered  atomic.Int64 // the request whose answer was complete; written by the poller, whose own the parser is
-	toldBegun int64        // the request of which the router knows that its answer has begun, else 0
-	x         *exchange
-	idle      dispatch.Micros // since when
-	first     atomic.Int64    // status of an answer that has begun and is not complete
+type endpointConn struct {
+	server        *Server
+	peer          peerID
+	conn          *transport.Conn
+	parser        *protocol.Answers
+	requests      atomic.Int64 // how many were written: the number of the last
+	answered      atomic.Int64 // the request whose answer was complete; written by the poller, whose own the parser is
+	reportedBegun int64        // the request of which the router knows that its answer has begun, else 0
+	exchange      *exchange
+	idleSince     dispatch.Micros // since when
+	partialStatus atomic.Int64    // status of an answer that has begun and is not complete
 }
 
 type (
-	linkUp     struct{ on *link }
-	linkAnswer struct {
-		on      *link
+	connUp         struct{ conn *endpointConn }
+	answerReceived struct {
+		conn    *endpointConn
 		request int64 // its number on the connection
-		a       protocol.Answer
-	}
-	linkBegun struct {
-		on      *link
-		request int64
-		begun   bool // false: what had begun was an interim answer
-		part    []byte
-	}
-	linkDown struct {
-		on      *link
-		request int64
-		status  int // of an answer that was cut short
-		part    []byte
-		flushed bool
-		err     error
+		answer  protocol.Answer
+	}
+	answerBegun struct {
+		conn        *endpointConn
+		request     int64
+		begun       bool // false: what had begun was an interim answer
+		partialBody []byte
+	}
+	connDown struct {
+		conn        *endpointConn
+		request     int64
+		status      int // of an answer that was cut short
+		partialBody []byte
+		flushed     bool
+		err         error
 	}
 )
 
-func (l *link) Opened(*transport.Conn) { l.router.inbox <- linkUp{l} }
+func (l *endpointConn) Opened(*transport.Conn) { l.server.queue <- connUp{l} }
 
-func (l *link) Data(conn *transport.Conn, b []byte) {
+func (l *endpointConn) Data(conn *transport.Conn, b []byte) {
 	last := l.requests.Load()
 	if l.answered.Load() == last {
-		conn.Fail(errUnasked)
+		conn.Fail(errUnexpectedAnswer)
 		return
 	}
 	a, done, err := l.parser.Feed(b)
 	status, begun := l.parser.Begun()
-	l.first.Store(int64(status))
+	l.partialStatus.Store(int64(status))
 	begun = begun && (status == 0 || status >= 200) // the first bytes of its first line are enough: a peer may fall silent there
 	switch {
 	case done:
 		l.answered.Store(last)
 		a.Close = a.Close || err != nil
-		l.router.inbox <- linkAnswer{l, last, a}
-	case err == nil && begun != (l.toldBegun == last):
-		if l.toldBegun = 0; begun {
-			l.toldBegun = last
+		l.server.queue <- answerReceived{l, last, a}
+	case err == nil && begun != (l.reportedBegun == last):
+		if l.reportedBegun = 0; begun {
+			l.reportedBegun = last
 		}
-		l.router.inbox <- linkBegun{l, last, begun, slices.Clone(l.parser.Part())}
+		l.server.queue <- answerBegun{l, last, begun, slices.Clone(l.parser.Part())}
 	}
 	if err != nil {
 		conn.Fail(err)
@@ -113,230 +113,232 @@
 
 // errUnasked: what comes over a connection where nothing is waited for belongs to nothing, and what comes next
 // could not be told from it.
-var errUnasked = errors.New("an answer nobody asked for")
+var errUnexpectedAnswer = errors.New("an answer nobody asked for")
 
-func (l *link) Closed(conn *transport.Conn, err error) {
+func (l *endpointConn) Closed(conn *transport.Conn, err error) {
 	if a, ok := l.parser.End(); ok {
-		l.router.inbox <- linkAnswer{l, l.requests.Load(), a}
+		l.server.queue <- answerReceived{l, l.requests.Load(), a}
 	}
 	if err == nil {
 		err = errors.New("closed by the other side")
 	}
 	status, _ := l.parser.Begun()
-	l.router.inbox <- linkDown{l, l.requests.Load(), status, slices.Clone(l.parser.Part()), conn.Flushed(), err}
+	l.server.queue <- connDown{l, l.requests.Load(), status, slices.Clone(l.parser.Part()), conn.Flushed(), err}
 }
 
 // links are the connections this courier opened.
-type links struct {
-	r    *Router
-	idle map[peer][]*link // the longest idle first
-	slow []*exchange      // with bytes that the socket has not taken
-	all  map[*link]bool
-	most int
-	rest dispatch.Micros // how long an idle connection is kept
+type endpointConns struct {
+	server      *Server
+	idle        map[peerID][]*endpointConn // the longest idle first
+	unflushed   []*exchange                // with bytes that the socket has not taken
+	all         map[*endpointConn]bool
+	maxConns    int
+	idleTimeout dispatch.Micros // how long an idle connection is kept
 }
 
-func (ls *links) init(r *Router) {
-	ls.r, ls.idle, ls.all = r, map[peer][]*link{}, map[*link]bool{}
-	ls.limit()
+func (ls *endpointConns) init(r *Server) {
+	ls.server, ls.idle, ls.all = r, map[peerID][]*endpointConn{}, map[*endpointConn]bool{}
+	ls.updateLimits()
 }
 
 // limit takes the limits of the deployment.
-func (ls *links) limit() {
-	r := ls.r
-	ls.most = (r.dep.Sockets - OperatorSockets(r.dep)) * 4 / 10
+func (ls *endpointConns) updateLimits() {
+	r := ls.server
+	ls.maxConns = (r.deployment.Sockets - AdminSockets(r.deployment)) * 4 / 10
 	// The other side closes at the latest after the whole of it, counted from when it wrote its answer, and a
 	// request that comes later is lost: the longest way there and back that is told of is under 300 ms.
-	idle := r.dep.Charter.IdleTimeout
-	ls.rest = idle - min(idle/4, 300*1000)
+	idle := r.deployment.Charter.IdleTimeout
+	ls.idleTimeout = idle - min(idle/4, 300*1000)
 }
 
 // start sends an exchange over an idle connection, or a new one.
-func (ls *links) start(x *exchange) {
-	for pool := ls.idle[x.peer]; len(pool) > 0; pool = ls.idle[x.peer] {
-		l := pool[len(pool)-1]
-		ls.idle[x.peer] = pool[:len(pool)-1]
-		if ls.all[l] && ls.r.now-l.idle < ls.rest && l.conn.Quietly(func() { ls.write(l, x) }) {
+func (ls *endpointConns) start(exchange *exchange) {
+	for pool := ls.idle[exchange.peer]; len(pool) > 0; pool = ls.idle[exchange.peer] {
+		conn := pool[len(pool)-1]
+		ls.idle[exchange.peer] = pool[:len(pool)-1]
+		if ls.all[conn] && ls.server.now-conn.idleSince < ls.idleTimeout && conn.conn.Quietly(func() { ls.write(conn, exchange) }) {
 			return
 		}
-		ls.close(l)
+		ls.close(conn)
 	}
-	if !ls.makeRoom() && x.peer.host != "" {
-		x.over = true
-		x.end(protocol.Answer{}, &protocol.Failure{Progress: protocol.BeforeLastByte, Err: errors.New("no descriptor left")})
+	if !ls.evictIdle() && exchange.peer.host != "" {
+		exchange.finished = true
+		exchange.onEnd(protocol.Answer{}, &protocol.Failure{Progress: protocol.BeforeLastByte, Err: errors.New("no descriptor left")})
 		return
 	}
 	limit := protocol.MaxBody
-	if x.peer.host == "" {
+	if exchange.peer.host == "" {
 		limit = maxList
 	}
-	l := &link{router: ls.r, peer: x.peer, parser: protocol.NewAnswers(limit), x: x}
-	ls.all[l] = true
-	x.link = l
-	l.conn = ls.r.driver.Dial(x.peer.addr, ls.r.dep.ConnectTimeout, l)
+	conn := &endpointConn{server: ls.server, peer: exchange.peer, parser: protocol.NewAnswers(limit), exchange: exchange}
+	ls.all[conn] = true
+	exchange.conn = conn
+	conn.conn = ls.server.driver.Dial(exchange.peer.addr, ls.server.deployment.ConnectTimeout, conn)
 }
 
 // maxList bounds what is read of discovery's list, the longest answer there is.
 const maxList = 1 << 20
 
-func (ls *links) write(l *link, x *exchange) {
-	if x.leaves != nil {
-		if err := x.leaves(); err != nil {
-			l.x, x.over = nil, true
-			ls.rests(l)
-			x.end(protocol.Answer{}, &protocol.Failure{Progress: protocol.BeforeLastByte, Err: err})
+func (ls *endpointConns) write(conn *endpointConn, exchange *exchange) {
+	if exchange.beforeWrite != nil {
+		if err := exchange.beforeWrite(); err != nil {
+			conn.exchange, exchange.finished = nil, true
+			ls.keepIdle(conn)
+			exchange.onEnd(protocol.Answer{}, &protocol.Failure{Progress: protocol.BeforeLastByte, Err: err})
 			return
 		}
 	}
-	l.x, x.link, x.sent = x, l, true
-	l.requests.Add(1)
-	if err := l.conn.Write(x.bytes); err != nil {
-		ls.down(linkDown{on: l, request: l.requests.Load(), flushed: false, err: err})
+	conn.exchange, exchange.conn, exchange.sent = exchange, conn, true
+	conn.requests.Add(1)
+	if err := conn.conn.Write(exchange.bytes); err != nil {
+		ls.down(connDown{conn: conn, request: conn.requests.Load(), flushed: false, err: err})
 		return
 	}
-	if x.noted(l.conn.Flushed()); x.written != nil {
-		ls.slow = append(ls.slow, x)
+	if exchange.notifyWritten(conn.conn.Flushed()); exchange.onWritten != nil {
+		ls.unflushed = append(ls.unflushed, exchange)
 	}
 }
 
-const slowEvery = 50 * 1000
+const flushInterval = 50 * 1000
 
 // unwritten is when to look again at what the sockets have not taken yet.
-func (ls *links) unwritten() dispatch.Micros {
-	if len(ls.slow) == 0 {
+func (ls *endpointConns) nextFlushCheck() dispatch.Micros {
+	if len(ls.unflushed) == 0 {
 		return never
 	}
-	return ls.r.now + slowEvery
+	return ls.server.now + flushInterval
 }
 
 // flushed looks at that.
-func (ls *links) flushed() {
-	ls.slow = slices.DeleteFunc(ls.slow, func(x *exchange) bool {
-		x.noted(ls.out(x))
-		return x.written == nil || x.over
+func (ls *endpointConns) checkWritten() {
+	ls.unflushed = slices.DeleteFunc(ls.unflushed, func(exchange *exchange) bool {
+		exchange.notifyWritten(ls.isWritten(exchange))
+		return exchange.onWritten == nil || exchange.finished
 	})
 }
 
 // out tells whether the last byte of an exchange has been handed to the socket.
-func (ls *links) out(x *exchange) bool { return x.sent && x.link.conn.Flushed() }
+func (ls *endpointConns) isWritten(exchange *exchange) bool {
+	return exchange.sent && exchange.conn.conn.Flushed()
+}
 
 // heard tells whether the whole answer to an exchange has come; it may not be taken in yet.
-func (ls *links) heard(x *exchange) bool {
-	return x != nil && x.sent && !x.over && ls.all[x.link] && x.link.answered.Load() == x.link.requests.Load()
+func (ls *endpointConns) hasAnswer(exchange *exchange) bool {
+	return exchange != nil && exchange.sent && !exchange.finished && ls.all[exchange.conn] && exchange.conn.answered.Load() == exchange.conn.requests.Load()
 }
 
 // stirs tells whether something that came since an exchange was written lies unread.
-func (ls *links) stirs(x *exchange) bool {
-	return x != nil && x.sent && !x.over && ls.all[x.link] && x.link.conn.Stirs()
+func (ls *endpointConns) hasUnread(exchange *exchange) bool {
+	return exchange != nil && exchange.sent && !exchange.finished && ls.all[exchange.conn] && exchange.conn.conn.Stirs()
 }
 
 // abort gives up an exchange; its connection goes with it.
-func (ls *links) abort(x *exchange) {
-	if x == nil || x.over {
+func (ls *endpointConns) abort(exchange *exchange) {
+	if exchange == nil || exchange.finished {
 		return
 	}
-	x.over = true
-	if x.link != nil {
-		x.noted(x.link.conn.Flushed())
-		x.link.x = nil
-		ls.close(x.link)
+	exchange.finished = true
+	if exchange.conn != nil {
+		exchange.notifyWritten(exchange.conn.conn.Flushed())
+		exchange.conn.exchange = nil
+		ls.close(exchange.conn)
 	}
 }
 
-func (ls *links) close(l *link) {
-	delete(ls.all, l)
-	l.conn.Close()
+func (ls *endpointConns) close(conn *endpointConn) {
+	delete(ls.all, conn)
+	conn.conn.Close()
 }
 
-func (ls *links) up(e linkUp) {
-	l := e.on
-	x := l.x
-	if x == nil || !ls.all[l] {
-		ls.close(l)
+func (ls *endpointConns) up(event connUp) {
+	conn := event.conn
+	exchange := conn.exchange
+	if exchange == nil || !ls.all[conn] {
+		ls.close(conn)
 		return
 	}
-	if x.still == nil || x.still() {
-		ls.write(l, x)
+	if exchange.isWanted == nil || exchange.isWanted() {
+		ls.write(conn, exchange)
 		return
 	}
-	l.x, x.over = nil, true
-	ls.rests(l)
-	x.end(protocol.Answer{}, errOvertaken)
+	conn.exchange, exchange.finished = nil, true
+	ls.keepIdle(conn)
+	exchange.onEnd(protocol.Answer{}, errOvertaken)
 }
 
 // errOvertaken: while the connection came up it was told that nothing may be sent there.
 var errOvertaken = errors.New("overtaken by a drain or a wait")
 
-func (ls *links) rests(l *link) {
-	l.idle = ls.r.now
-	ls.idle[l.peer] = append(ls.idle[l.peer], l)
+func (ls *endpointConns) keepIdle(conn *endpointConn) {
+	conn.idleSince = ls.server.now
+	ls.idle[conn.peer] = append(ls.idle[conn.peer], conn)
 }
 
-func (ls *links) answered(e linkAnswer) {
-	l, x := e.on, e.on.x
-	if x == nil || x.over || e.request != l.requests.Load() || !x.sent {
+func (ls *endpointConns) answered(event answerReceived) {
+	conn, exchange := event.conn, event.conn.exchange
+	if exchange == nil || exchange.finished || event.request != conn.requests.Load() || !exchange.sent {
 		return // given up meanwhile, and its connection with it
 	}
-	l.x, x.over = nil, true
-	x.noted(true)
-	if e.a.Close || !l.conn.Flushed() || !ls.all[l] {
-		ls.close(l)
+	conn.exchange, exchange.finished = nil, true
+	exchange.notifyWritten(true)
+	if event.answer.Close || !conn.conn.Flushed() || !ls.all[conn] {
+		ls.close(conn)
 	} else {
-		ls.rests(l)
+		ls.keepIdle(conn)
 	}
-	x.end(e.a, nil)
+	exchange.onEnd(event.answer, nil)
 }
 
 // begun: the rest of an answer follows at once, or never. What follows an interim one may take its time.
-func (ls *links) begun(e linkBegun) {
-	if x := e.on.x; x != nil && !x.over && e.request == e.on.requests.Load() {
-		x.cut, x.part = e.begun, e.part
-		x.begun(e.begun)
+func (ls *endpointConns) answerBegun(event answerBegun) {
+	if exchange := event.conn.exchange; exchange != nil && !exchange.finished && event.request == event.conn.requests.Load() {
+		exchange.begun, exchange.partialBody = event.begun, event.partialBody
+		exchange.onBegin(event.begun)
 	}
 }
 
-func (ls *links) down(e linkDown) {
-	l, x := e.on, e.on.x
-	if errors.Is(e.err, protocol.ErrAnswer) || errors.Is(e.err, errUnasked) {
-		ls.r.malformed.answers, ls.r.malformed.answer = ls.r.malformed.answers+1, fmt.Errorf("%s %s: %w", l.peer.host, l.peer.addr, e.err)
+func (ls *endpointConns) down(event connDown) {
+	conn, exchange := event.conn, event.conn.exchange
+	if errors.Is(event.err, protocol.ErrAnswer) || errors.Is(event.err, errUnexpectedAnswer) {
+		ls.server.malformed.answers, ls.server.malformed.lastAnswer = ls.server.malformed.answers+1, fmt.Errorf("%s %s: %w", conn.peer.host, conn.peer.addr, event.err)
 	}
-	if !ls.all[l] {
+	if !ls.all[conn] {
 		return
 	}
-	delete(ls.all, l)
-	if x == nil || x.over {
+	delete(ls.all, conn)
+	if exchange == nil || exchange.finished {
 		return
 	}
-	l.x, x.over = nil, true
-	x.noted(e.flushed)
-	if len(e.part) > len(x.part) {
-		x.part = e.part
+	conn.exchange, exchange.finished = nil, true
+	exchange.notifyWritten(event.flushed)
+	if len(event.partialBody) > len(exchange.partialBody) {
+		exchange.partialBody = event.partialBody
 	}
-	if e.status == 200 && !x.whole && e.request == l.requests.Load() {
-		x.end(protocol.Answer{Status: 200}, nil) // its first line is all that counts
+	if event.status == 200 && !exchange.needsBody && event.request == conn.requests.Load() {
+		exchange.onEnd(protocol.Answer{Status: 200}, nil) // its first line is all that counts
 		return
 	}
 	progress := protocol.BeforeLastByte
 	switch {
-	case !x.sent || !e.flushed:
-	case errors.Is(e.err, protocol.ErrAnswer):
+	case !exchange.sent || !event.flushed:
+	case errors.Is(event.err, protocol.ErrAnswer):
 		progress = protocol.InAnswer
 	default:
 		progress = protocol.AfterLastByte
 	}
-	x.end(protocol.Answer{}, &protocol.Failure{Progress: progress, Err: e.err})
+	exchange.onEnd(protocol.Answer{}, &protocol.Failure{Progress: progress, Err: event.err})
 }
 
 // makeRoom closes the connection that has been idle longest when there are many, and tells whether there is room.
-func (ls *links) makeRoom() bool {
-	if len(ls.all) < ls.most {
+func (ls *endpointConns) evictIdle() bool {
+	if len(ls.all) < ls.maxConns {
 		return true
 	}
-	var oldest *link
+	var oldest *endpointConn
 	for _, pool := range ls.idle {
-		for _, l := range pool {
-			if ls.all[l] && (oldest == nil || l.idle < oldest.idle) {
-				oldest = l
+		for _, conn := range pool {
+			if ls.all[conn] && (oldest == nil || conn.idleSince < oldest.idleSince) {
+				oldest = conn
 			}
 		}
 	}
@@ -346,36 +348,36 @@
 	return oldest != nil
 }
 
-func (ls *links) closeIdle(to peer) {
-	for _, l := range ls.idle[to] {
-		ls.close(l)
+func (ls *endpointConns) closeIdle(to peerID) {
+	for _, conn := range ls.idle[to] {
+		ls.close(conn)
 	}
 	delete(ls.idle, to)
 }
 
 // closeResting closes every connection on which nothing is out.
-func (ls *links) closeResting() {
+func (ls *endpointConns) closeAllIdle() {
 	for to := range ls.idle {
 		ls.closeIdle(to)
 	}
 }
 
 // due is when the next idle connection has been kept long enough.
-func (ls *links) due() dispatch.Micros {
+func (ls *endpointConns) due() dispatch.Micros {
 	at := never
 	for _, pool := range ls.idle {
 		if len(pool) > 0 {
-			at = min(at, pool[0].idle+ls.rest)
+			at = min(at, pool[0].idleSince+ls.idleTimeout)
 		}
 	}
 	return at
 }
 
 // expire closes what has been idle for long enough, well before the other side does.
-func (ls *links) expire() {
+func (ls *endpointConns) expire() {
 	for to, pool := range ls.idle {
 		n := 0
-		for n < len(pool) && (!ls.all[pool[n]] || ls.r.now-pool[n].idle >= ls.rest) {
+		for n < len(pool) && (!ls.all[pool[n]] || ls.server.now-pool[n].idleSince >= ls.idleTimeout) {
 			ls.close(pool[n])
 			n++
 		}
--- a/server/listing.go
+++ b/server/listing.go
@@ -9,59 +9,59 @@
 )
 
 // applyListing hands a list, or changes of it, to the decisions, and keeps the addresses.
-func (r *Router) applyListing(l protocol.List, how dispatch.UpdateKind) {
+func (r *Server) applyEndpoints(l protocol.List, how dispatch.UpdateKind) {
 	for _, fault := range l.Faults {
 		r.log.Warn("entry of the list left out", "fault", fault)
 	}
-	news, before := dispatch.EndpointUpdate{Kind: how}, maps.Clone(r.hosts)
+	news, before := dispatch.EndpointUpdate{Kind: how}, maps.Clone(r.endpoints)
 	if how != dispatch.PartialList {
-		clear(r.hosts)
+		clear(r.endpoints)
 	}
-	for _, h := range l.Hosts {
-		listing, ok := r.listing(h)
+	for _, entry := range l.Hosts {
+		listing, ok := r.endpointEntry(entry)
 		if !ok {
-			r.log.Warn("entry of the list left out", "host", h.Host, "site", h.Zone, "class", h.Kind)
+			r.log.Warn("entry of the list left out", "host", entry.Host, "site", entry.Zone, "class", entry.Kind)
 			continue
 		}
-		if h.Health == protocol.Terminated {
-			delete(r.hosts, listing.Endpoint)
+		if entry.Health == protocol.Terminated {
+			delete(r.endpoints, listing.Endpoint)
 		} else {
-			r.hosts[listing.Endpoint] = h
+			r.endpoints[listing.Endpoint] = entry
 		}
 		news.Entries = append(news.Entries, listing)
 	}
 	r.events = append(r.events, news)
-	for id, h := range before {
-		if now := r.hosts[id]; now.Health != protocol.InService || peerOf(now) != peerOf(h) {
-			r.links.closeIdle(peerOf(h)) // nothing new goes there, or what they lead to is not there any more
+	for id, entry := range before {
+		if now := r.endpoints[id]; now.Health != protocol.InService || peerOf(now) != peerOf(entry) {
+			r.endpointConns.closeIdle(peerOf(entry)) // nothing new goes there, or what they lead to is not there any more
 		}
 	}
-	for dest, until := range r.dests {
+	for dest, until := range r.destinations {
 		if until == never {
-			r.dests[dest] = r.now + unlisted
+			r.destinations[dest] = r.now + unlistedLifetime
 		} else if until <= r.now {
-			delete(r.dests, dest)
+			delete(r.destinations, dest)
 		}
 	}
-	for _, h := range r.hosts {
-		r.dests[h.Dest] = never
+	for _, entry := range r.endpoints {
+		r.destinations[entry.Dest] = never
 	}
 }
 
 // unlisted is how long a destination without any endpoint on the list is still known: many times what replacing its
 // endpoints takes.
-const unlisted = 600 * 1000 * 1000
+const unlistedLifetime = 600 * 1000 * 1000
 
 // knows tells whether there is such a destination; without any list nobody can say.
-func (r *Router) knows(dest int) bool {
-	until, ok := r.dests[dest]
-	return ok && until > r.now || len(r.dests) == 0
+func (r *Server) knowsDestination(dest int) bool {
+	until, ok := r.destinations[dest]
+	return ok && until > r.now || len(r.destinations) == 0
 }
 
-func (r *Router) listing(h protocol.Host) (dispatch.EndpointEntry, bool) {
+func (r *Server) endpointEntry(entry protocol.Host) (dispatch.EndpointEntry, bool) {
 	phases := map[protocol.Health]dispatch.Phase{protocol.InService: dispatch.InService, protocol.Terminating: dispatch.Draining,
 		protocol.Terminated: dispatch.Removed}
-	zone, shape := slices.Index(r.dep.Zones, h.Zone), slices.Index(r.dep.Shapes, h.Kind)
-	return dispatch.EndpointEntry{Endpoint: dispatch.EndpointID(h.Host), Zone: dispatch.ZoneID(zone), Type: dispatch.EndpointTypeID(shape),
-		Destination: dispatch.DestinationID(h.Dest), Phase: phases[h.Health], Rate: h.Rate}, zone >= 0 && shape >= 0
+	zone, shape := slices.Index(r.deployment.Zones, entry.Zone), slices.Index(r.deployment.Shapes, entry.Kind)
+	return dispatch.EndpointEntry{Endpoint: dispatch.EndpointID(entry.Host), Zone: dispatch.ZoneID(zone), Type: dispatch.EndpointTypeID(shape),
+		Destination: dispatch.DestinationID(entry.Dest), Phase: phases[entry.Health], Rate: entry.Rate}, zone >= 0 && shape >= 0
 }
--- a/server/message.go
+++ b/server/message.go
@@ -9,19 +9,19 @@
 
 // message is a message that the courier has accepted, for as long as it is not ended or a call with it is still out.
 type message struct {
-	kept       *spool.Record   // as the spool has it
+	stored     *spool.Message  // as the spool has it
 	waiting    []*reply        // until they are written; more than one where it was handed in again in the same step
 	acceptedAt dispatch.Micros // or taken up again after a restart
 	attempts   []*attempt
-	out        int // attempts that are not over
+	inFlight   int // attempts that are not over
 	ended      bool
 	// repeatWindow is how long a repeat is known by its idempotency key, as the class had it when the message was accepted; 0: no matter.
-	repeatWindow dispatch.Micros
+	idempotencyWindow dispatch.Micros
 }
 
 // repeatWindow is the window of a class whose repeats are known by an idempotency key; 0 for all others.
-func (r *Router) repeatWindow(workload string) dispatch.Micros {
-	class := r.dep.Charter.Classes[slices.Index(r.dep.Workloads, workload)]
+func (r *Server) repeatWindow(workload string) dispatch.Micros {
+	class := r.deployment.Charter.Classes[slices.Index(r.deployment.Workloads, workload)]
 	if class.Idempotency != dispatch.IdempotencyKey {
 		return 0
 	}
@@ -30,13 +30,13 @@
 
 // windowOver tells whether an earlier attempt may have run, so long ago that a repeat is not known by its idempotency key any more.
 // Failure: a repeat that was decided within the window went out after it, as its connection took a second to come up.
-func (m *message) windowOver(now dispatch.Micros) bool {
-	if m.repeatWindow == 0 {
+func (m *message) pastIdempotencyWindow(now dispatch.Micros) bool {
+	if m.idempotencyWindow == 0 {
 		return false
 	}
-	for _, trip := range m.kept.Trips {
+	for _, trip := range m.stored.Attempts {
 		if outcome, heard := outcomes[trip.Outcome]; !heard || mayHaveRun(outcome) {
-			return now >= dispatch.Micros(trip.Sent)+m.repeatWindow
+			return now >= dispatch.Micros(trip.SentAt)+m.idempotencyWindow
 		}
 	}
 	return false
@@ -52,27 +52,27 @@
 	message   *message
 	number    int // among the message's attempts, from 0
 	call      *call
-	sent      dispatch.Micros // when it was decided
-	limit     dispatch.Micros // when this side stops waiting
-	noted     bool            // in the spool
+	sentAt    dispatch.Micros // when it was decided
+	waitUntil dispatch.Micros // when this side stops waiting
+	stored    bool            // in the spool
 	rechecked bool            // as it was to be given up, something had come
-	over      bool
+	finished  bool
 }
 
 // reply is the answer to one command, written in the order of the commands.
 type reply struct {
-	client  *client
+	client  *clientConn
 	message *message // accepted with it
 	text    string
 	close   bool
 }
 
 // accepted is what the decisions are told of a message that was accepted.
-func (r *Router) accepted(k *spool.Record) dispatch.MessageAccepted {
-	return dispatch.MessageAccepted{Message: dispatch.MessageID(k.ID), Destination: dispatch.DestinationID(k.Dest),
-		Class:  dispatch.ClassID(slices.Index(r.dep.Workloads, k.Workload)),
-		Tenant: dispatch.TenantID(max(0, slices.Index(r.dep.Parties, k.Party))), OrderingKey: dispatch.OrderingKey(k.Key),
-		Deadline: dispatch.Micros(k.CutOff), Resubmitted: k.Again}
+func (r *Server) acceptedEvent(stored *spool.Message) dispatch.MessageAccepted {
+	return dispatch.MessageAccepted{Message: dispatch.MessageID(stored.ID), Destination: dispatch.DestinationID(stored.Destination),
+		Class:  dispatch.ClassID(slices.Index(r.deployment.Workloads, stored.Class)),
+		Tenant: dispatch.TenantID(max(0, slices.Index(r.deployment.Parties, stored.Tenant))), OrderingKey: dispatch.OrderingKey(stored.OrderingKey),
+		Deadline: dispatch.Micros(stored.Deadline), Resubmitted: stored.Resubmitted}
 }
 
 // How a message ended that was not delivered, as the spool has it.
@@ -83,57 +83,57 @@
 
 // undelivered is how a message ends that is not delivered.
 type undelivered struct {
-	reply   string // to a client that still waits for one
-	stored  string
-	againMs int64 // after so long its client may try again; 0 where that is left to the client
-	counted ending
+	reply        string // to a client that still waits for one
+	stored       string
+	retryAfterMs int64 // after so long its client may try again; 0 where that is left to the client
+	kind         endingKind
 }
 
 // reject ends a message undelivered in a way that may be tried again, after the pause.
-func (r *Router) reject(id dispatch.MessageID, pause dispatch.Micros) {
+func (r *Server) reject(id dispatch.MessageID, pause dispatch.Micros) {
 	againMs := int64((pause + 999) / 1000)
-	r.endUndelivered(id, undelivered{reply: protocol.ReplyBusy(againMs), stored: storedRejected, againMs: againMs, counted: rejected})
+	r.endUndelivered(id, undelivered{reply: protocol.ReplyBusy(againMs), stored: storedRejected, retryAfterMs: againMs, kind: rejected})
 }
 
 // fail ends a message undelivered for good: trying again might do harm.
-func (r *Router) fail(id dispatch.MessageID) {
-	r.endUndelivered(id, undelivered{reply: protocol.ReplyError("ERR terminated"), stored: storedFailed, counted: failed})
+func (r *Server) fail(id dispatch.MessageID) {
+	r.endUndelivered(id, undelivered{reply: protocol.ReplyError("ERR terminated"), stored: storedFailed, kind: failed})
 }
 
 // endUndelivered tells the client how a message ended if it still waits for its reply, and else the platform.
-func (r *Router) endUndelivered(id dispatch.MessageID, how undelivered) {
+func (r *Server) endUndelivered(id dispatch.MessageID, how undelivered) {
 	message := r.messages[id]
 	if message == nil || message.ended {
 		return
 	}
 	message.ended = true
 	r.counters.ended()
-	r.count(message.kept.Workload, how.counted)
+	r.count(message.stored.Class, how.kind)
 	if len(message.waiting) > 0 {
 		for _, rep := range message.waiting {
 			rep.text = how.reply
 		}
-		r.check(r.spool.Forget(message.kept.ID))
+		r.logSpoolError(r.spool.Forget(message.stored.ID))
 	} else {
-		r.clients.over.add(message, r.now)
-		r.check(r.spool.End(message.kept.ID, how.stored, how.againMs))
-		r.platform.tell(message.kept)
+		r.clients.finished.add(message, r.now)
+		r.logSpoolError(r.spool.Finish(message.stored.ID, how.stored, how.retryAfterMs))
+		r.discovery.addNotice(message.stored)
 	}
 	r.forget(message)
 }
 
 // finish ends a message for which nothing more is owed.
-func (r *Router) finish(message *message) {
+func (r *Server) finish(message *message) {
 	if !message.ended {
 		message.ended = true
 		r.counters.ended()
-		r.check(r.spool.Forget(message.kept.ID))
+		r.logSpoolError(r.spool.Forget(message.stored.ID))
 	}
 }
 
 // forget gives up what is held of a message that is ended, once no call with it is out.
-func (r *Router) forget(message *message) {
-	if message.ended && message.out == 0 {
-		delete(r.messages, dispatch.MessageID(message.kept.ID))
+func (r *Server) forget(message *message) {
+	if message.ended && message.inFlight == 0 {
+		delete(r.messages, dispatch.MessageID(message.stored.ID))
 	}
 }
--- a/server/operators.go
+++ b/server/operators.go
@@ -15,10 +15,10 @@
 )
 
 // doorSize bounds what operators may have waiting; each of them waits for the answer.
-const doorSize = 16
+const controlQueueSize = 16
 
-// OperatorSockets is how many of the courier's descriptors are set aside for the operators' address.
-func OperatorSockets(dep *config.Deployment) int {
+// AdminSockets is how many of the courier's descriptors are set aside for the operators' address.
+func AdminSockets(dep *config.Deployment) int {
 	if dep.Ops == "" {
 		return 0
 	}
@@ -26,170 +26,170 @@
 }
 
 // request is one thing that operators ask for; done is told once, after the step that did it.
-type request struct {
-	what any
-	done chan answer
+type command struct {
+	command any
+	done    chan commandResult
 }
 
 // answer says what stands after the step.
-type answer struct {
+type commandResult struct {
 	err        error
 	generation int64
-	out        map[string]bool // endpoints out then
+	disabled   map[string]bool // endpoints out then
 }
 
 // operators is what operators have told the courier, and what they are told.
-type operators struct {
-	r          *Router
-	out        map[string]bool // endpoints that are out for maintenance
-	generation int64           // of changes of that
-	keeper     *maintenance.Keeper
-	open       atomic.Bool // clients are taken
-	partAt     dispatch.Micros
-	answers    []func()
-	shown      atomic.Pointer[admin.Figures]
-	showAt     dispatch.Micros
-	reloads    int64
-	faulty     atomic.Int64
+type adminState struct {
+	server        *Server
+	disabled      map[string]bool // endpoints that are out for maintenance
+	generation    int64           // of changes of that
+	writer        *maintenance.Writer
+	serving       atomic.Bool // clients are taken
+	drainAt       dispatch.Micros
+	replies       []func()
+	figures       atomic.Pointer[admin.Metrics]
+	figuresAt     dispatch.Micros
+	reloads       int64
+	failedReloads atomic.Int64
 }
 
-func (o *operators) init(r *Router) {
-	o.r, o.out, o.partAt, o.showAt = r, map[string]bool{}, never, never
-	o.keeper = maintenance.Keep(r.dep.Spool, r.dep.Name)
-	if r.dep.Ops != "" {
-		o.showAt = 0
+func (o *adminState) init(r *Server) {
+	o.server, o.disabled, o.drainAt, o.figuresAt = r, map[string]bool{}, never, never
+	o.writer = maintenance.NewWriter(r.deployment.Spool, r.deployment.Name)
+	if r.deployment.Ops != "" {
+		o.figuresAt = 0
 	}
-	out, err := maintenance.Read(r.dep.Spool, r.dep.Name)
+	out, err := maintenance.Read(r.deployment.Spool, r.deployment.Name)
 	if err != nil {
 		r.log.Error("who was out for maintenance cannot be read: all are taken for in", "file", maintenance.Name, "fault", err)
 	}
 	for _, id := range out {
-		o.out[id] = true
+		o.disabled[id] = true
 	}
 }
 
 // remind tells decisions that begin who is out.
-func (o *operators) remind() {
-	for _, id := range slices.Sorted(maps.Keys(o.out)) {
-		o.r.events = append(o.r.events, dispatch.MaintenanceChanged{Endpoint: dispatch.EndpointID(id), Disabled: true})
+func (o *adminState) replayDisabled() {
+	for _, id := range slices.Sorted(maps.Keys(o.disabled)) {
+		o.server.events = append(o.server.events, dispatch.MaintenanceChanged{Endpoint: dispatch.EndpointID(id), Disabled: true})
 	}
 }
 
 // Serving tells whether this process takes clients.
-func (r *Router) Serving() bool { return r.operators.open.Load() }
+func (r *Server) Serving() bool { return r.operators.serving.Load() }
 
-// Figures are the last that were made up.
-func (r *Router) Figures() *admin.Figures { return r.operators.shown.Load() }
+// Metrics are the last that were made up.
+func (r *Server) Metrics() *admin.Metrics { return r.operators.figures.Load() }
 
-// FaultyReload counts a configuration that was left out.
-func (r *Router) FaultyReload() { r.operators.faulty.Add(1) }
+// CountFailedReload counts a configuration that was left out.
+func (r *Server) CountFailedReload() { r.operators.failedReloads.Add(1) }
 
-// Ask has the router do what operators want, and returns once it is done and lasts.
-func (r *Router) Ask(ctx context.Context, what any) error {
-	q := request{what, make(chan answer, 1)}
+// Execute has the router do what operators want, and returns once it is done and lasts.
+func (r *Server) Execute(ctx context.Context, what any) error {
+	command := command{what, make(chan commandResult, 1)}
 	select {
-	case r.door <- q:
+	case r.control <- command:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	var a answer
+	var a commandResult
 	select {
-	case a = <-q.done:
+	case a = <-command.done:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	return r.lasting(a)
+	return r.persist(a)
 }
 
 // lasting writes down what an answer says, and returns what is to be told.
-func (r *Router) lasting(a answer) error {
-	if a.err != nil || a.out == nil {
+func (r *Server) persist(a commandResult) error {
+	if a.err != nil || a.disabled == nil {
 		return a.err
 	}
-	return r.operators.keeper.Write(a.generation, a.out)
+	return r.operators.writer.Write(a.generation, a.disabled)
 }
 
-var errNoOps = errors.New("no such call here")
+var errUnknownCommand = errors.New("no such call here")
 
 // asked does what operators want; they are told after the step.
-func (o *operators) asked(q request) {
-	if o.r.upgrade.handed {
-		o.r.upgrade.ask(q)
+func (o *adminState) execute(command command) {
+	if o.server.handoff.handedOver {
+		o.server.handoff.forwardCommand(command)
 		return
 	}
-	a := answer{}
-	switch w := q.what.(type) {
-	case admin.Maintain:
-		a = o.maintain(w)
-	case admin.Away:
-		o.send(w.Away)
+	a := commandResult{}
+	switch w := command.command.(type) {
+	case admin.SetDisabled:
+		a = o.setDisabled(w)
+	case admin.Drain:
+		o.setDraining(w.Enabled)
 	default:
-		a.err = fmt.Errorf("%w: %T", errNoOps, q.what)
+		a.err = fmt.Errorf("%w: %T", errUnknownCommand, command.command)
 	}
-	o.answers = append(o.answers, func() { q.done <- a })
+	o.replies = append(o.replies, func() { command.done <- a })
 }
 
 // maintain takes an endpoint out or puts it back; it must be on the list, or out.
-func (o *operators) maintain(w admin.Maintain) answer {
-	host, listed := o.r.hosts[dispatch.EndpointID(w.Endpoint)]
-	if !listed && !o.out[w.Endpoint] {
-		return answer{err: admin.ErrUnknown}
-	}
-	if o.out[w.Endpoint] != w.Out {
-		if o.generation++; w.Out {
-			o.out[w.Endpoint] = true
-			o.r.links.closeIdle(peerOf(host))
+func (o *adminState) setDisabled(w admin.SetDisabled) commandResult {
+	host, listed := o.server.endpoints[dispatch.EndpointID(w.Endpoint)]
+	if !listed && !o.disabled[w.Endpoint] {
+		return commandResult{err: admin.ErrUnknownEndpoint}
+	}
+	if o.disabled[w.Endpoint] != w.Disabled {
+		if o.generation++; w.Disabled {
+			o.disabled[w.Endpoint] = true
+			o.server.endpointConns.closeIdle(peerOf(host))
 		} else {
-			delete(o.out, w.Endpoint)
+			delete(o.disabled, w.Endpoint)
 		}
-		o.r.log.Info("maintenance", "endpoint", w.Endpoint, "out", w.Out)
-		o.r.events = append(o.r.events, dispatch.MaintenanceChanged{Endpoint: dispatch.EndpointID(w.Endpoint), Disabled: w.Out})
+		o.server.log.Info("maintenance", "endpoint", w.Endpoint, "out", w.Disabled)
+		o.server.events = append(o.server.events, dispatch.MaintenanceChanged{Endpoint: dispatch.EndpointID(w.Endpoint), Disabled: w.Disabled})
 	}
-	return answer{generation: o.generation, out: maps.Clone(o.out)} // written again if it is there already: the first try may have failed
+	return commandResult{generation: o.generation, disabled: maps.Clone(o.disabled)} // written again if it is there already: the first try may have failed
 }
 
 const (
 	// Whoever hands out new connections stops within two tenths of a second of the first no, and asks each tenth.
-	partAfter = 350 * 1000
-	partEvery = 50 * 1000
+	drainStart    = 350 * 1000
+	drainInterval = 50 * 1000
 )
 
 // send sends clients away, or ends that. Connections that are up are served, and closed between two requests.
-func (o *operators) send(away bool) {
-	if away == o.away() {
+func (o *adminState) setDraining(away bool) {
+	if away == o.isDraining() {
 		return
 	}
-	o.r.log.Info("clients are sent away", "away", away, "clients", len(o.r.clients.all))
-	o.partAt = never
+	o.server.log.Info("clients are sent away", "away", away, "clients", len(o.server.clients.all))
+	o.drainAt = never
 	if away {
-		o.partAt = o.r.now + partAfter
+		o.drainAt = o.server.now + drainStart
 	}
-	o.open.Store(!away && o.r.endBy == never)
+	o.serving.Store(!away && o.server.shutdownBy == never)
 }
 
-func (o *operators) away() bool { return o.partAt < never }
+func (o *adminState) isDraining() bool { return o.drainAt < never }
 
-func (o *operators) due() dispatch.Micros { return min(o.partAt, o.showAt) }
+func (o *adminState) due() dispatch.Micros { return min(o.drainAt, o.figuresAt) }
 
 // tick closes what rests while clients are sent away.
-func (o *operators) tick() {
-	if o.partAt <= o.r.now {
-		o.partAt = o.r.now + partEvery
-		o.r.clients.sendAway()
+func (o *adminState) tick() {
+	if o.drainAt <= o.server.now {
+		o.drainAt = o.server.now + drainInterval
+		o.server.clients.closeIdle()
 	}
 }
 
 // showEvery is how old the figures may be.
-const showEvery = 200 * 1000
+const figuresInterval = 200 * 1000
 
 // publish makes the figures up anew, and tells operators what was done.
-func (o *operators) publish() {
-	if o.r.dep.Ops != "" && o.r.now >= o.showAt || len(o.answers) > 0 {
-		o.showAt = o.r.now + showEvery
-		o.shown.Store(o.r.figures())
+func (o *adminState) publish() {
+	if o.server.deployment.Ops != "" && o.server.now >= o.figuresAt || len(o.replies) > 0 {
+		o.figuresAt = o.server.now + figuresInterval
+		o.figures.Store(o.server.collectMetrics())
 	}
-	for _, tell := range o.answers {
+	for _, tell := range o.replies {
 		tell()
 	}
-	o.answers = nil
+	o.replies = nil
 }
--- a/server/platform.go
+++ b/server/platform.go
@@ -14,81 +14,81 @@
 	// How long discovery may hold a watch, and its answer may take after that; a dead connection shows so much later. Both
 	// together leave a call that hangs half a second to be asked anew: what it misses counts as told 6 s after discovery had
 	// it. Failure: given up after 6.5 s, a change from just after the call was told 6.35 s after it was made.
-	watchWait  = 4500 * 1000
-	watchSlack = 1000 * 1000
-	listSlack  = 150 * 1000  // the rest of a list that has begun may take; a drain that it tells has a grace of less
-	cutAgain   = 30 * 1000   // after one that broke off; twice as long after each further one, askAgain at most
-	askAgain   = 1000 * 1000 // where nobody else says when to ask again
-	nothingNew = 100 * 1000  // an answer that comes sooner and is no newer would have us ask in a circle
+	watchWait       = 4500 * 1000
+	watchTimeout    = 1000 * 1000
+	listTimeout     = 150 * 1000  // the rest of a list that has begun may take; a drain that it tells has a grace of less
+	minPollBackoff  = 30 * 1000   // after one that broke off; twice as long after each further one, askAgain at most
+	maxPollBackoff  = 1000 * 1000 // where nobody else says when to ask again
+	minPollInterval = 100 * 1000  // an answer that comes sooner and is no newer would have us ask in a circle
 
 	// A notice that is not confirmed goes again beside the first, as that may hang and its time be short; ever
 	// more slowly. The longest way there and back that a deployment tells of is a fifth of a second.
-	noticeAgain = 250 * 1000
-	noticeSoon  = 50 * 1000
-	noticeSlack = 2 * 1000 * 1000
-	noticeCalls = 4                // out at once
-	noticeMost  = 64               // in one call
-	noticeLong  = 10 * 1000 * 1000 // after a message's time nobody asks for its end any more
+	noticeBackoff     = 250 * 1000
+	noticeRetryDelay  = 50 * 1000
+	noticeTimeout     = 2 * 1000 * 1000
+	maxNoticeCalls    = 4                // out at once
+	maxNoticesPerCall = 64               // in one call
+	noticeLifetime    = 10 * 1000 * 1000 // after a message's time nobody asks for its end any more
 )
 
 // owed is a notice that the platform has not confirmed.
-type owed struct {
-	notice protocol.Notice
-	until  dispatch.Micros
-	next   dispatch.Micros // when it goes, or goes again
-	tries  int
-	over   bool
+type notice struct {
+	notice    protocol.Notice
+	until     dispatch.Micros
+	next      dispatch.Micros // when it goes, or goes again
+	attempts  int
+	confirmed bool
 }
 
 // telling is one call with notices.
-type telling struct {
-	x    *exchange
-	by   dispatch.Micros
-	with []*owed
+type noticeCall struct {
+	exchange  *exchange
+	timeoutAt dispatch.Micros
+	notices   []*notice
 }
 
 // platform speaks with discovery: one watch, and some calls with notices.
-type platform struct {
-	r        *Router
-	seq      int64
-	watching *exchange
-	watchBy  dispatch.Micros
-	askAt    dispatch.Micros
-	askedAt  dispatch.Micros
-	cuts     int // lists in a row that broke off
-	owed     []*owed
-	calls    []*telling
+type discovery struct {
+	server        *Server
+	version       int64
+	pollInFlight  *exchange
+	pollTimeoutAt dispatch.Micros
+	pollAt        dispatch.Micros
+	polledAt      dispatch.Micros
+	truncations   int // lists in a row that broke off
+	notices       []*notice
+	calls         []*noticeCall
 }
 
-func (p *platform) init(r *Router) { p.r, p.watchBy, p.askAt = r, never, never }
+func (p *discovery) init(r *Server) { p.server, p.pollTimeoutAt, p.pollAt = r, never, never }
 
-func (p *platform) start() {
-	if !p.r.dep.Charter.MustPoll {
-		p.watch()
+func (p *discovery) start() {
+	if !p.server.deployment.Charter.MustPoll {
+		p.poll()
 	}
 }
 
 // watch asks for what is newer than the list held; it goes on by itself until it fails.
-func (p *platform) watch() {
-	p.askAt = never
-	if p.watching != nil {
+func (p *discovery) poll() {
+	p.pollAt = never
+	if p.pollInFlight != nil {
 		return
 	}
-	x := &exchange{peer: peer{addr: p.r.dep.Discovery}, whole: true,
-		bytes: protocol.Watch(p.r.dep.Discovery, p.seq, watchWait/1000), end: p.watched,
-		begun: func(begun bool) {
-			if p.watchBy = p.askedAt + watchWait + watchSlack; begun {
-				p.watchBy = min(p.watchBy, p.r.now+listSlack)
+	exchange := &exchange{peer: peerID{addr: p.server.deployment.Discovery}, needsBody: true,
+		bytes: protocol.Watch(p.server.deployment.Discovery, p.version, watchWait/1000), onEnd: p.pollAnswered,
+		onBegin: func(begun bool) {
+			if p.pollTimeoutAt = p.polledAt + watchWait + watchTimeout; begun {
+				p.pollTimeoutAt = min(p.pollTimeoutAt, p.server.now+listTimeout)
 			}
 		}}
-	p.askedAt = p.r.now
-	p.watching, p.watchBy = x, p.r.now+watchWait+watchSlack
-	p.r.links.start(x)
+	p.polledAt = p.server.now
+	p.pollInFlight, p.pollTimeoutAt = exchange, p.server.now+watchWait+watchTimeout
+	p.server.endpointConns.start(exchange)
 }
 
-func (p *platform) watched(a protocol.Answer, err error) {
-	cut, part := p.watching.cut, p.watching.part
-	p.watching, p.watchBy = nil, never
+func (p *discovery) pollAnswered(a protocol.Answer, err error) {
+	cut, part := p.pollInFlight.begun, p.pollInFlight.partialBody
+	p.pollInFlight, p.pollTimeoutAt = nil, never
 	if err == nil && a.Status != 200 {
 		err = fmt.Errorf("status %d", a.Status)
 	}
@@ -97,148 +97,148 @@
 		list, err = protocol.ReadList(a.Body)
 	}
 	if err != nil {
-		p.r.log.Warn("watch failed", "fault", err, "cut", cut)
+		p.server.log.Warn("watch failed", "fault", err, "cut", cut)
 		if cut { // it has begun to tell, and what it told counts
-			if list := protocol.ReadPart(part); list.Seq > p.seq {
-				p.r.applyListing(list, dispatch.PartialList)
+			if list := protocol.ReadPart(part); list.Seq > p.version {
+				p.server.applyEndpoints(list, dispatch.PartialList)
 			}
 			// Failure: a list that broke off each time was asked for thirty times a second.
-			p.askAt = p.r.now + min(dispatch.Micros(cutAgain)<<min(p.cuts, 8), askAgain)
-			p.cuts++
+			p.pollAt = p.server.now + min(dispatch.Micros(minPollBackoff)<<min(p.truncations, 8), maxPollBackoff)
+			p.truncations++
 			return
 		}
-		p.r.events = append(p.r.events, dispatch.EndpointUpdate{Kind: dispatch.ListFailed})
-		if !p.r.dep.Charter.MustPoll {
-			p.askAt = p.r.now + askAgain
+		p.server.events = append(p.server.events, dispatch.EndpointUpdate{Kind: dispatch.ListFailed})
+		if !p.server.deployment.Charter.MustPoll {
+			p.pollAt = p.server.now + maxPollBackoff
 		}
 		return
 	}
-	p.cuts = 0
+	p.truncations = 0
 	switch {
-	case list.Seq < p.seq:
-		p.r.log.Warn("an older list left out", "seq", list.Seq, "held", p.seq)
+	case list.Seq < p.version:
+		p.server.log.Warn("an older list left out", "seq", list.Seq, "held", p.version)
 	case list.Whole:
-		p.r.applyListing(list, dispatch.CompleteList)
+		p.server.applyEndpoints(list, dispatch.CompleteList)
 	default:
-		p.r.applyListing(list, dispatch.PartialList)
+		p.server.applyEndpoints(list, dispatch.PartialList)
 	}
-	if list.Seq <= p.seq && p.r.now-p.askedAt < nothingNew {
-		p.askAt = p.r.now + nothingNew
+	if list.Seq <= p.version && p.server.now-p.polledAt < minPollInterval {
+		p.pollAt = p.server.now + minPollInterval
 		return
 	}
-	p.seq = max(p.seq, list.Seq)
-	p.watch()
+	p.version = max(p.version, list.Seq)
+	p.poll()
 }
 
 // moved leaves the address that was used so far. The new one is asked for news at once and told all that the old one
 // has not confirmed; a notice that both hear of does no harm.
-func (p *platform) moved(old string) {
-	p.r.links.abort(p.watching)
-	p.watching = nil
-	for _, t := range p.calls {
-		p.r.links.abort(t.x)
+func (p *discovery) addressChanged(old string) {
+	p.server.endpointConns.abort(p.pollInFlight)
+	p.pollInFlight = nil
+	for _, call := range p.calls {
+		p.server.endpointConns.abort(call.exchange)
 	}
 	p.calls = nil
-	for _, o := range p.owed {
-		o.next, o.tries = p.r.now, 0
+	for _, other := range p.notices {
+		other.next, other.attempts = p.server.now, 0
 	}
-	p.r.links.closeIdle(peer{addr: old})
-	p.watch()
+	p.server.endpointConns.closeIdle(peerID{addr: old})
+	p.poll()
 }
 
 // stop asks and tells nothing more; what is owed stands in the spool.
-func (p *platform) stop() {
-	p.r.links.abort(p.watching)
-	p.watching, p.watchBy, p.askAt = nil, never, never
-	for _, t := range p.calls {
-		p.r.links.abort(t.x)
+func (p *discovery) stop() {
+	p.server.endpointConns.abort(p.pollInFlight)
+	p.pollInFlight, p.pollTimeoutAt, p.pollAt = nil, never, never
+	for _, call := range p.calls {
+		p.server.endpointConns.abort(call.exchange)
 	}
-	p.calls, p.owed = nil, nil
+	p.calls, p.notices = nil, nil
 }
 
 // tell owes the platform the end of a message.
-func (p *platform) tell(k *spool.Record) {
-	p.owed = append(p.owed, &owed{until: dispatch.Micros(k.CutOff) + noticeLong,
-		notice: protocol.Notice{ID: k.ID, Bounced: k.Ended == storedRejected, AgainMs: k.AgainMs}})
+func (p *discovery) addNotice(stored *spool.Message) {
+	p.notices = append(p.notices, &notice{until: dispatch.Micros(stored.Deadline) + noticeLifetime,
+		notice: protocol.Notice{ID: stored.ID, Bounced: stored.Ended == storedRejected, AgainMs: stored.RetryAfterMs}})
 }
 
-func (p *platform) due() dispatch.Micros {
-	at := min(p.watchBy, p.askAt)
-	for _, t := range p.calls {
-		at = min(at, t.by)
+func (p *discovery) due() dispatch.Micros {
+	at := min(p.pollTimeoutAt, p.pollAt)
+	for _, call := range p.calls {
+		at = min(at, call.timeoutAt)
 	}
-	if len(p.calls) < noticeCalls {
-		for _, o := range p.owed {
-			at = min(at, o.next)
+	if len(p.calls) < maxNoticeCalls {
+		for _, other := range p.notices {
+			at = min(at, other.next)
 		}
 	}
 	return at
 }
 
 // tick does what has fallen due.
-func (p *platform) tick() {
-	now := p.r.now
-	if p.r.driver == nil {
+func (p *discovery) tick() {
+	now := p.server.now
+	if p.server.driver == nil {
 		return
 	}
-	if p.watchBy <= now {
-		p.r.links.abort(p.watching)
-		p.watched(protocol.Answer{}, errLate)
+	if p.pollTimeoutAt <= now {
+		p.server.endpointConns.abort(p.pollInFlight)
+		p.pollAnswered(protocol.Answer{}, errNoAnswer)
 	}
-	if p.askAt <= now {
-		p.watch()
+	if p.pollAt <= now {
+		p.poll()
 	}
-	for _, t := range slices.Clone(p.calls) {
-		if t.by <= now {
-			p.r.links.abort(t.x)
-			p.told(t, protocol.Answer{}, errLate)
+	for _, call := range slices.Clone(p.calls) {
+		if call.timeoutAt <= now {
+			p.server.endpointConns.abort(call.exchange)
+			p.noticesAnswered(call, protocol.Answer{}, errNoAnswer)
 		}
 	}
-	for len(p.calls) < noticeCalls && p.notify() {
+	for len(p.calls) < maxNoticeCalls && p.notify() {
 	}
 }
 
-var errLate = errors.New("no answer in time")
+var errNoAnswer = errors.New("no answer in time")
 
 // notify sends the notices that are due, as many as a call takes, and tells whether there were any.
-func (p *platform) notify() bool {
-	t := &telling{by: p.r.now + noticeSlack}
+func (p *discovery) notify() bool {
+	call := &noticeCall{timeoutAt: p.server.now + noticeTimeout}
 	var notices []protocol.Notice
-	for _, o := range p.owed {
-		if o.next <= p.r.now && len(notices) < noticeMost {
-			o.next = p.r.now + noticeAgain<<min(o.tries, 3)
-			o.tries++
-			t.with, notices = append(t.with, o), append(notices, o.notice)
+	for _, other := range p.notices {
+		if other.next <= p.server.now && len(notices) < maxNoticesPerCall {
+			other.next = p.server.now + noticeBackoff<<min(other.attempts, 3)
+			other.attempts++
+			call.notices, notices = append(call.notices, other), append(notices, other.notice)
 		}
 	}
 	if len(notices) == 0 {
 		return false
 	}
-	t.x = &exchange{peer: peer{addr: p.r.dep.Discovery}, bytes: protocol.Notices(p.r.dep.Discovery, notices),
-		begun: func(bool) {}, end: func(a protocol.Answer, err error) { p.told(t, a, err) }}
-	p.calls = append(p.calls, t)
-	p.r.links.start(t.x)
+	call.exchange = &exchange{peer: peerID{addr: p.server.deployment.Discovery}, bytes: protocol.Notices(p.server.deployment.Discovery, notices),
+		onBegin: func(bool) {}, onEnd: func(a protocol.Answer, err error) { p.noticesAnswered(call, a, err) }}
+	p.calls = append(p.calls, call)
+	p.server.endpointConns.start(call.exchange)
 	return true
 }
 
-func (p *platform) told(t *telling, a protocol.Answer, err error) {
-	p.calls = slices.DeleteFunc(p.calls, func(o *telling) bool { return o == t })
+func (p *discovery) noticesAnswered(call *noticeCall, a protocol.Answer, err error) {
+	p.calls = slices.DeleteFunc(p.calls, func(other *noticeCall) bool { return other == call })
 	switch {
 	case err != nil:
 	case a.Status == 400:
-		p.r.log.Error("notices were not understood", "first", t.with[0].notice.ID)
+		p.server.log.Error("notices were not understood", "first", call.notices[0].notice.ID)
 	case a.Status != 204 && a.Status != 200:
 		err = fmt.Errorf("status %d", a.Status)
 	}
 	if err != nil {
-		p.r.log.Warn("notices will be sent again", "count", len(t.with), "fault", err)
+		p.server.log.Warn("notices will be sent again", "count", len(call.notices), "fault", err)
 	}
-	for _, o := range t.with {
-		if o.over = o.over || err == nil || p.r.now > o.until; o.over {
-			p.r.check(p.r.spool.Forget(o.notice.ID))
+	for _, other := range call.notices {
+		if other.confirmed = other.confirmed || err == nil || p.server.now > other.until; other.confirmed {
+			p.server.logSpoolError(p.server.spool.Forget(other.notice.ID))
 		} else {
-			o.next = min(o.next, p.r.now+noticeSoon) // it failed at once
+			other.next = min(other.next, p.server.now+noticeRetryDelay) // it failed at once
 		}
 	}
-	p.owed = slices.DeleteFunc(p.owed, func(o *owed) bool { return o.over })
+	p.notices = slices.DeleteFunc(p.notices, func(other *notice) bool { return other.confirmed })
 }
--- a/server/recovery.go
+++ b/server/recovery.go
@@ -12,72 +12,72 @@
 
 // renew hands all that is held to decisions that know nothing yet, and nothing of what the failed ones had learned. Where they fail again over that, it is ended,
 // so that one message cannot stop all others for ever.
-func (r *Router) renew() {
-	if r.upgrade.handed {
+func (r *Server) restartDispatcher() {
+	if r.handoff.handedOver {
 		return
 	}
 	for _, attempt := range append([]*attempt(nil), r.inFlight...) {
 		r.complete(attempt, dispatch.AttemptFinished{Outcome: dispatch.Broken})
-		r.drop(attempt.call)
+		r.abandonCall(attempt.call)
 	}
-	r.events, r.courier, r.wakeAt = nil, r.begin(), never
-	r.watch.start(r)
+	r.events, r.dispatcher, r.timerAt = nil, r.newDispatcher(), never
+	r.shadow.start(r)
 	held := make([]*message, 0, len(r.messages))
 	for _, message := range r.messages {
 		held = append(held, message)
 	}
-	slices.SortFunc(held, func(a, b *message) int { return cmp.Compare(a.kept.Number, b.kept.Number) })
+	slices.SortFunc(held, func(a, b *message) int { return cmp.Compare(a.stored.Number, b.stored.Number) })
 	news := dispatch.EndpointUpdate{Kind: dispatch.CachedList}
-	for _, id := range slices.Sorted(maps.Keys(r.hosts)) {
-		if l, ok := r.listing(r.hosts[id]); ok {
+	for _, id := range slices.Sorted(maps.Keys(r.endpoints)) {
+		if l, ok := r.endpointEntry(r.endpoints[id]); ok {
 			news.Entries = append(news.Entries, l)
 		}
 	}
 	r.events = append(r.events, news)
-	r.operators.remind()
-	if r.endBy < never {
-		r.events = append(r.events, dispatch.ShutdownScheduled{At: r.endBy})
+	r.operators.replayDisabled()
+	if r.shutdownBy < never {
+		r.events = append(r.events, dispatch.ShutdownScheduled{At: r.shutdownBy})
 	}
-	r.failed++
+	r.dispatcherFailures++
 	for _, message := range held {
-		if r.failed > 1 {
-			r.fail(dispatch.MessageID(message.kept.ID))
+		if r.dispatcherFailures > 1 {
+			r.fail(dispatch.MessageID(message.stored.ID))
 		} else if !message.ended {
-			r.events = append(r.events, r.recall(message))
+			r.events = append(r.events, r.recoveredEvent(message))
 		}
 	}
 }
 
 // recover hands what the spool held to the decisions.
-func (r *Router) recover(unfinished []*spool.Record, given *handoff.State) {
-	out := map[handoff.Out]dispatch.Micros{}
+func (r *Server) recover(unfinished []*spool.Message, given *handoff.State) {
+	out := map[handoff.AttemptID]dispatch.Micros{}
 	if given != nil {
-		for _, o := range given.Out {
-			out[handoff.Out{Record: o.Record, Trip: o.Trip}] = o.Limit
+		for _, o := range given.InFlight {
+			out[handoff.AttemptID{Message: o.Message, Attempt: o.Attempt}] = o.WaitUntil
 		}
 	}
 	for _, kept := range unfinished {
 		if kept.Ended != "" {
-			r.platform.tell(kept)
+			r.discovery.addNotice(kept)
 			continue
 		}
-		if slices.Index(r.dep.Workloads, kept.Workload) < 0 {
-			r.log.Warn("record of an unknown workload", "id", kept.ID, "workload", kept.Workload)
-			r.check(r.spool.End(kept.ID, storedFailed, 0))
-			r.platform.tell(kept)
+		if slices.Index(r.deployment.Workloads, kept.Class) < 0 {
+			r.log.Warn("record of an unknown workload", "id", kept.ID, "workload", kept.Class)
+			r.logSpoolError(r.spool.Finish(kept.ID, storedFailed, 0))
+			r.discovery.addNotice(kept)
 			continue
 		}
-		message := &message{kept: kept, acceptedAt: r.now, repeatWindow: r.repeatWindow(kept.Workload)}
-		for i := range kept.Trips {
-			attempt := &attempt{message: message, number: i, sent: dispatch.Micros(kept.Trips[i].Sent), noted: true, over: true}
+		message := &message{stored: kept, acceptedAt: r.now, idempotencyWindow: r.repeatWindow(kept.Class)}
+		for i := range kept.Attempts {
+			attempt := &attempt{message: message, number: i, sentAt: dispatch.Micros(kept.Attempts[i].SentAt), stored: true, finished: true}
 			message.attempts = append(message.attempts, attempt)
-			if limit, ok := out[handoff.Out{Record: kept.ID, Trip: i}]; ok {
-				r.upgrade.adopt(attempt, limit)
+			if limit, ok := out[handoff.AttemptID{Message: kept.ID, Attempt: i}]; ok {
+				r.handoff.adoptAttempt(attempt, limit)
 			}
 		}
 		r.messages[dispatch.MessageID(kept.ID)] = message
 		r.counters.accepted()
-		r.events = append(r.events, r.recall(message))
+		r.events = append(r.events, r.recoveredEvent(message))
 	}
 	if len(unfinished) > 0 {
 		r.log.Info("taken up again", "records", len(r.messages), "notices", len(unfinished)-len(r.messages))
@@ -85,15 +85,15 @@
 }
 
 // recall is what the decisions are told of a message from before them.
-func (r *Router) recall(message *message) dispatch.MessageRecovered {
-	e := dispatch.MessageRecovered{MessageAccepted: r.accepted(message.kept)}
-	for i, t := range message.kept.Trips {
+func (r *Server) recoveredEvent(message *message) dispatch.MessageRecovered {
+	e := dispatch.MessageRecovered{MessageAccepted: r.acceptedEvent(message.stored)}
+	for i, t := range message.stored.Attempts {
 		outcome, known := outcomes[t.Outcome]
 		if !known {
 			outcome = dispatch.Broken // nothing was heard: it may have run
 		}
 		e.Attempts = append(e.Attempts, dispatch.PastAttempt{Endpoint: dispatch.EndpointID(t.Endpoint), Zone: dispatch.ZoneID(t.Zone),
-			SentAt: dispatch.Micros(t.Sent), Outcome: outcome, InFlight: !message.attempts[i].over})
+			SentAt: dispatch.Micros(t.SentAt), Outcome: outcome, InFlight: !message.attempts[i].finished})
 	}
 	return e
 }
--- a/server/reload.go
+++ b/server/reload.go
@@ -7,18 +7,18 @@
 	"pineport/snapshot"
 )
 
-// Reloaded has f told of each configuration that was taken over, for what the process itself must set.
-func (r *Router) Reloaded(f func(*config.Deployment)) { r.reloaded = f }
+// OnReload has f told of each configuration that was taken over, for what the process itself must set.
+func (r *Server) OnReload(f func(*config.Deployment)) { r.onReload = f }
 
 // reload takes over what a configuration read anew changes, while messages are held: all that is held, out or told to wait
 // stays as it is, and messages keep what they were promised when they were accepted. What must wait for a start is named.
-func (r *Router) reload(next *config.Deployment) {
-	waiting := r.dep.Waiting(next)
-	merged := r.dep.Merged(next)
-	if r.upgrade.handed { // another process decides, by what it has read itself; should it go, the next router here begins with this
-		r.dep = merged
-		if r.reloaded != nil {
-			r.reloaded(merged)
+func (r *Server) reload(next *config.Deployment) {
+	waiting := r.deployment.Waiting(next)
+	merged := r.deployment.Merged(next)
+	if r.handoff.handedOver { // another process decides, by what it has read itself; should it go, the next router here begins with this
+		r.deployment = merged
+		if r.onReload != nil {
+			r.onReload(merged)
 		}
 		return
 	}
@@ -26,52 +26,52 @@
 	if len(waiting) > 0 {
 		r.log.Warn("changes that wait for the next start", "keys", waiting)
 	}
-	old := r.dep
-	r.dep = merged
+	old := r.deployment
+	r.deployment = merged
 	r.operators.reloads++
 	if old.Discovery != merged.Discovery {
-		r.platform.moved(old.Discovery)
+		r.discovery.addressChanged(old.Discovery)
 	}
 	r.counters.grow(len(merged.Workloads))
-	r.clients.limit()
-	r.links.limit()
+	r.clients.updateLimits()
+	r.endpointConns.updateLimits()
 	if old.SpoolMB != merged.SpoolMB {
-		r.spool.Resize(SpoolRoom(merged))
+		r.spool.Resize(SpoolLimit(merged))
 	}
 	if !old.SameDecisions(merged) {
-		r.events = append(r.events, dispatch.Reconfigured{Config: r.charter()})
-		r.watch.recharter(r)
+		r.events = append(r.events, dispatch.Reconfigured{Config: r.dispatchConfig()})
+		r.shadow.reconfigure(r)
 	}
 	for name := range merged.Retired { // the decisions need not hear of it: they end what is held, and get no more
 		if !old.Retired[name] {
-			r.log.Warn("workload taken away", "workload", name, "held", r.heldOf(name))
+			r.log.Warn("workload taken away", "workload", name, "held", r.countHeld(name))
 		}
 	}
-	if r.reloaded != nil {
-		r.reloaded(merged)
+	if r.onReload != nil {
+		r.onReload(merged)
 	}
 }
 
 // heldOf is how many messages of a workload are held.
-func (r *Router) heldOf(workload string) (n int) {
+func (r *Server) countHeld(workload string) (n int) {
 	for _, message := range r.messages {
-		if !message.ended && message.kept.Workload == workload {
+		if !message.ended && message.stored.Class == workload {
 			n++
 		}
 	}
 	return n
 }
 
-// SpoolRoom is how much of the folder that lasts is the spool's.
-func SpoolRoom(dep *config.Deployment) int64 {
+// SpoolLimit is how much of the folder that lasts is the spool's.
+func SpoolLimit(dep *config.Deployment) int64 {
 	folder := int64(dep.SpoolMB * 1e6)
 	left := folder
 	if dep.Learn > 0 {
-		room, _ := snapshot.Room(folder)
+		room, _ := snapshot.Reserve(folder)
 		left -= room
 	}
 	if dep.Ops != "" {
-		left -= maintenance.Room
+		left -= maintenance.Reserve
 	}
 	return left
 }
--- a/server/repeat_window_test.go
+++ b/server/repeat_window_test.go
@@ -64,13 +64,13 @@
 	endpoint := &lateEndpoint{TCPListener: l.(*net.TCPListener)}
 	defer endpoint.Close()
 	endpoint.SetDeadline(time.Now().Add(20 * time.Second))
-	w, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
+	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.Close()
-	w.Endpoints[0] = l.Addr().String()
-	listen := server.StartCourier(t, w, func(text []byte) []byte {
+	defer world.Close()
+	world.Endpoints[0] = l.Addr().String()
+	listen := server.StartCourier(t, world, func(text []byte) []byte {
 		for from, to := range map[string]string{`"single_shot"`: `"guarded"`, `"dedup-window-s": 5`: `"dedup-window-s": 1`,
 			`"connect-timeout-s": 1`: `"connect-timeout-s": 3`} {
 			if !bytes.Contains(text, []byte(from)) {
@@ -111,7 +111,7 @@
 		t.Fatalf("the connection was up after %v, within the window: nothing was shown", up)
 	}
 	for deadline := time.Now().Add(5 * time.Second); ; time.Sleep(10 * time.Millisecond) {
-		if _, _, notices := w.Seen("keyed"); len(notices) > 0 {
+		if _, _, notices := world.Seen("keyed"); len(notices) > 0 {
 			t.Logf("the connection was up %v after the first call; the message ended as %v", up.Round(time.Millisecond), notices)
 			return
 		}
--- a/server/router_test.go
+++ b/server/router_test.go
@@ -24,7 +24,7 @@
 
 // failing panics at the first message whose id begins so, each time or once.
 type failing struct {
-	decider
+	dispatcher
 	at    string
 	times *int
 }
@@ -43,17 +43,17 @@
 			panic("as if by a fault in the decisions")
 		}
 	}
-	return f.decider.Handle(now, events)
+	return f.dispatcher.Handle(now, events)
 }
 
 // prepare makes a router with what a spool may already hold.
-func prepare(t *testing.T, w *scripted.World, held ...*spool.Record) *Router {
+func prepare(t *testing.T, world *scripted.World, held ...*spool.Message) *Server {
 	t.Helper()
-	return prepareEdited(t, w, func(text []byte) []byte { return text }, held...)
+	return prepareEdited(t, world, func(text []byte) []byte { return text }, held...)
 }
 
 // prepareEdited is prepare by a configuration that edit may change.
-func prepareEdited(t *testing.T, w *scripted.World, edit func(text []byte) []byte, held ...*spool.Record) *Router {
+func prepareEdited(t *testing.T, world *scripted.World, edit func(text []byte) []byte, held ...*spool.Message) *Server {
 	t.Helper()
 	dir := t.TempDir()
 	listen, letGo, err := port.Reserve()
@@ -62,7 +62,7 @@
 	}
 	t.Cleanup(letGo)
 	path := filepath.Join(dir, "config.json")
-	if err := os.WriteFile(path, edit(w.Configuration("n0", listen)), 0o600); err != nil {
+	if err := os.WriteFile(path, edit(world.Configuration("n0", listen)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	dep, err := config.Load(func(key string) string { return map[string]string{"RELAY_CONFIG": path, "RELAY_STATE": dir}[key] })
@@ -74,7 +74,7 @@
 		t.Fatal(err)
 	}
 	for _, r := range held {
-		if err := kept.Take(r); err != nil {
+		if err := kept.Append(r); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -86,17 +86,17 @@
 }
 
 // serve runs a router in this process; its decisions fail so many times at messages whose ids begin with "bad".
-func serve(t *testing.T, w *scripted.World, times int) (listen string) {
+func serve(t *testing.T, world *scripted.World, times int) (listen string) {
 	t.Helper()
-	r := prepare(t, w)
-	begin := r.begin
-	r.begin = func() decider { return failing{begin(), "bad", &times} }
-	r.courier = failing{r.courier, "bad", &times}
+	r := prepare(t, world)
+	begin := r.newDispatcher
+	r.newDispatcher = func() dispatcher { return failing{begin(), "bad", &times} }
+	r.dispatcher = failing{r.dispatcher, "bad", &times}
 	return run(t, r)
 }
 
 // run runs a router until the test ends, and returns its address.
-func run(t *testing.T, r *Router) (listen string) {
+func run(t *testing.T, r *Server) (listen string) {
 	t.Helper()
 	stop, ended := make(chan struct{}), make(chan error)
 	go func() { ended <- r.Run(stop, nil, 50*time.Millisecond) }()
@@ -106,13 +106,13 @@
 			t.Error(err)
 		}
 	})
-	return r.dep.Listen
+	return r.deployment.Listen
 }
 
 // StartCourier runs a courier in this process by a configuration that edit may change, and returns its address.
-func StartCourier(t *testing.T, w *scripted.World, edit func(text []byte) []byte) (listen string) {
+func StartCourier(t *testing.T, world *scripted.World, edit func(text []byte) []byte) (listen string) {
 	t.Helper()
-	return run(t, prepareEdited(t, w, edit))
+	return run(t, prepareEdited(t, world, edit))
 }
 
 // handTo hands in one message for a destination.
@@ -161,19 +161,19 @@
 
 func open(t *testing.T, after time.Duration) *scripted.World {
 	t.Helper()
-	w, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200, After: after} })
+	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200, After: after} })
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(w.Close)
-	return w
+	t.Cleanup(world.Close)
+	return world
 }
 
 // waitForEnd returns how a message ended.
-func waitForEnd(t *testing.T, w *scripted.World, id string) string {
+func waitForEnd(t *testing.T, world *scripted.World, id string) string {
 	t.Helper()
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
-		_, done, notices := w.Seen(id)
+		_, done, notices := world.Seen(id)
 		if len(notices) > 0 {
 			return strings.Join(notices, ",")
 		}
@@ -186,11 +186,11 @@
 
 // TestDecisionsThatFailBeginAnew: what is out when they fail may have run, and is not sent again.
 func TestDecisionsThatFailBeginAnew(t *testing.T) {
-	w := open(t, 300*time.Millisecond)
-	listen := serve(t, w, 1)
+	world := open(t, 300*time.Millisecond)
+	listen := serve(t, world, 1)
 	hand(t, listen, "out")
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
-		if began, _, _ := w.Seen("out"); began > 0 {
+		if began, _, _ := world.Seen("out"); began > 0 {
 			break
 		}
 	}
@@ -198,45 +198,45 @@
 		t.Fatal(got)
 	}
 	for id, want := range map[string]string{"out": "undeliverable", "bad": "done", "next": "done"} {
-		if got := waitForEnd(t, w, id); got != want {
+		if got := waitForEnd(t, world, id); got != want {
 			t.Errorf("%s: %s, want %s", id, got, want)
 		}
 	}
-	if began, _, _ := w.Seen("out"); began != 1 {
+	if began, _, _ := world.Seen("out"); began != 1 {
 		t.Errorf("begun %d times", began)
 	}
 }
 
 // TestNoticeWithoutAnswerGoesAgain: a call that hangs holds up neither its own notice nor the next.
 func TestNoticeWithoutAnswerGoesAgain(t *testing.T) {
-	w, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 500} })
+	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 500} })
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(w.Close)
-	w.MuteNotices(1)
-	listen := serve(t, w, 0)
+	t.Cleanup(world.Close)
+	world.MuteNotices(1)
+	listen := serve(t, world, 0)
 	hand(t, listen, "first")
 	began := time.Now()
-	if got := waitForEnd(t, w, "first"); got != "undeliverable" || time.Since(began) > noticeSlack*time.Microsecond {
+	if got := waitForEnd(t, world, "first"); got != "undeliverable" || time.Since(began) > noticeTimeout*time.Microsecond {
 		t.Errorf("first: %s after %v", got, time.Since(began))
 	}
 	hand(t, listen, "second")
-	if got := waitForEnd(t, w, "second"); got != "undeliverable" {
+	if got := waitForEnd(t, world, "second"); got != "undeliverable" {
 		t.Errorf("second: %s", got)
 	}
 }
 
 // misbehaving is an endpoint that answers its first call with raw bytes, and the next ones well. It tells the number of
 // each call and the connection on which it came.
-func misbehaving(t *testing.T, w *scripted.World, raw string, stays bool) (calls chan [2]int) {
+func misbehaving(t *testing.T, world *scripted.World, raw string, stays bool) (calls chan [2]int) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	w.Endpoints = []string{l.Addr().String()}
+	world.Endpoints = []string{l.Addr().String()}
 	calls = make(chan [2]int, 100)
 	var n atomic.Int64
 	go func() {
@@ -315,14 +315,14 @@
 // answered has an endpoint answer the first call for such a message with raw bytes, and holds what becomes of it against want.
 func answered(t *testing.T, raw string, stays bool, want string) {
 	t.Helper()
-	w := open(t, 0)
-	calls := misbehaving(t, w, raw, stays)
-	listen := serve(t, w, 0)
+	world := open(t, 0)
+	calls := misbehaving(t, world, raw, stays)
+	listen := serve(t, world, 0)
 	hand(t, listen, "one")
 	<-calls
 	got := done
 	for deadline := time.Now().Add(1500 * time.Millisecond); time.Now().Before(deadline) && got == done; time.Sleep(10 * time.Millisecond) {
-		if _, _, notices := w.Seen("one"); len(notices) > 0 {
+		if _, _, notices := world.Seen("one"); len(notices) > 0 {
 			got = notices[0]
 		} else if len(calls) > 0 {
 			got = again
@@ -369,12 +369,12 @@
 		for _, stays := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%d %v", part, stays), func(t *testing.T) {
 				t.Parallel()
-				w := open(t, 0)
+				world := open(t, 0)
 				list := fmt.Sprintf(`{"seq":9,"whole":true,"hosts":[{"host":"s-9","dial":%q,"site":"a","class":"plain","block":2,`+
-					`"health":"in_service","share":50.0,"born_ms":0}]}`, w.Endpoints[0])
+					`"health":"in_service","share":50.0,"born_ms":0}]}`, world.Endpoints[0])
 				answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
-				w.Discovery = breakingOff(t, answer, len(answer)*part/100, stays)
-				listen := serve(t, w, 0)
+				world.Discovery = breakingOff(t, answer, len(answer)*part/100, stays)
+				listen := serve(t, world, 0)
 				waits := time.Now().Add(20 * time.Second)
 				for n := 0; ; n++ {
 					if time.Now().After(waits) {
@@ -431,9 +431,9 @@
 // connection. It may come with the answer or later.
 func TestMoreThanAnAnswer(t *testing.T) {
 	for _, more := range []string{okAnswer, "noise", "\x00"} {
-		w := open(t, 0)
-		calls := misbehaving(t, w, okAnswer+more, true)
-		listen := serve(t, w, 0)
+		world := open(t, 0)
+		calls := misbehaving(t, world, okAnswer+more, true)
+		listen := serve(t, world, 0)
 		hand(t, listen, "one")
 		first := <-calls
 		time.Sleep(100 * time.Millisecond)
@@ -442,7 +442,7 @@
 			t.Errorf("%q: the next call went over the same connection", more)
 		}
 		time.Sleep(200 * time.Millisecond)
-		if _, _, notices := w.Seen("two"); len(notices) > 0 {
+		if _, _, notices := world.Seen("two"); len(notices) > 0 {
 			t.Errorf("%q: the next record ended by %v", more, notices)
 		}
 	}
@@ -451,24 +451,24 @@
 // TestAnAddressIsNobody: connections that rest lead to who was there. Once another endpoint has the address, or the same
 // one has started again, calls go over new ones.
 func TestAnAddressIsNobody(t *testing.T) {
-	for name, change := range map[string]func(h *protocol.Host){
-		"another": func(h *protocol.Host) { h.Host = "s-new" }, "started again": func(h *protocol.Host) { h.Born = 7 },
+	for name, change := range map[string]func(entry *protocol.Host){
+		"another": func(entry *protocol.Host) { entry.Host = "s-new" }, "started again": func(entry *protocol.Host) { entry.Born = 7 },
 		"same": func(*protocol.Host) {},
 	} {
-		w := open(t, 0)
-		r := prepare(t, w)
+		world := open(t, 0)
+		r := prepare(t, world)
 		var before protocol.Host
-		for _, h := range r.hosts {
-			before = h
+		for _, entry := range r.endpoints {
+			before = entry
 		}
-		x := &exchange{peer: peerOf(before)}
-		l := &link{router: r, peer: x.peer, conn: &transport.Conn{}}
-		r.links.all[l] = true
-		r.links.rests(l)
+		exchange := &exchange{peer: peerOf(before)}
+		conn := &endpointConn{server: r, peer: exchange.peer, conn: &transport.Conn{}}
+		r.endpointConns.all[conn] = true
+		r.endpointConns.keepIdle(conn)
 		after := before
 		change(&after)
-		r.applyListing(protocol.List{Whole: true, Hosts: []protocol.Host{after}}, dispatch.CompleteList)
-		if kept := r.links.all[l] && len(r.links.idle[peerOf(after)]) == 1; kept != (name == "same") {
+		r.applyEndpoints(protocol.List{Whole: true, Hosts: []protocol.Host{after}}, dispatch.CompleteList)
+		if kept := r.endpointConns.all[conn] && len(r.endpointConns.idle[peerOf(after)]) == 1; kept != (name == "same") {
 			t.Errorf("%s: kept %v", name, kept)
 		}
 	}
@@ -481,21 +481,21 @@
 			{"host":"s-0","dial":"127.0.0.1:1","site":"a","class":"plain","block":1,"health":"dancing","share":1}]}`} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := open(t, 0)
+			world := open(t, 0)
 			var asked atomic.Int64
-			w.Lists = func(index int) string {
+			world.Lists = func(index int) string {
 				if asked.Add(1) > 1 && name == "unknown state" {
 					return "" // it is told once
 				}
 				return answer
 			}
-			listen := serve(t, w, 0)
+			listen := serve(t, world, 0)
 			time.Sleep(500 * time.Millisecond)
 			if n := asked.Load(); n < 1 || n > 10 {
 				t.Errorf("asked %d times in half a second", n)
 			}
 			hand(t, listen, "one")
-			if got := waitForEnd(t, w, "one"); got != "done" {
+			if got := waitForEnd(t, world, "one"); got != "done" {
 				t.Errorf("ended by %s", got)
 			}
 		})
@@ -532,16 +532,16 @@
 					}
 				}
 			}()
-			w := open(t, 0)
-			w.Discovery = l.Addr().String()
-			listen := serve(t, w, 0)
+			world := open(t, 0)
+			world.Discovery = l.Addr().String()
+			listen := serve(t, world, 0)
 			first, second := <-asked, <-asked
 			if second.Sub(first) > 400*time.Millisecond {
 				t.Errorf("asked again after %v", second.Sub(first))
 			}
 			hand(t, listen, "one")
 			time.Sleep(200 * time.Millisecond)
-			if began, _, _ := w.Seen("one"); began > 0 {
+			if began, _, _ := world.Seen("one"); began > 0 {
 				t.Error("sent to an endpoint that drains, as the part of the list that is there tells")
 			}
 		})
@@ -550,21 +550,21 @@
 
 // TestOvertakenWhileDialling: what a drain or a wait overtakes before its first byte is not sent there any more.
 func TestOvertakenWhileDialling(t *testing.T) {
-	for name, overtake := range map[string]func(r *Router){
-		"wait":    func(r *Router) { r.waits["1"] = r.now + 1000*1000 },
-		"gone":    func(r *Router) { r.applyListing(protocol.List{Whole: true}, dispatch.CompleteList) },
-		"nothing": func(*Router) {},
-		"drain": func(r *Router) {
-			for _, h := range r.hosts {
-				h.Health = protocol.Terminating
-				r.applyListing(protocol.List{Hosts: []protocol.Host{h}}, dispatch.PartialList)
+	for name, overtake := range map[string]func(r *Server){
+		"wait":    func(r *Server) { r.retryAfter["1"] = r.now + 1000*1000 },
+		"gone":    func(r *Server) { r.applyEndpoints(protocol.List{Whole: true}, dispatch.CompleteList) },
+		"nothing": func(*Server) {},
+		"drain": func(r *Server) {
+			for _, entry := range r.endpoints {
+				entry.Health = protocol.Terminating
+				r.applyEndpoints(protocol.List{Hosts: []protocol.Host{entry}}, dispatch.PartialList)
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := open(t, 0)
-			r := prepare(t, w, &spool.Record{ID: "one", Workload: "order", Dest: 1, CutOff: time.Now().Add(time.Minute).UnixMicro()})
-			driver, err := transport.Open(r.dep.Listen, nil, 1024, r.log, r.clients.admit, r.clients.accept)
+			world := open(t, 0)
+			r := prepare(t, world, &spool.Message{ID: "one", Class: "order", Destination: 1, Deadline: time.Now().Add(time.Minute).UnixMicro()})
+			driver, err := transport.Open(r.deployment.Listen, nil, 1024, r.log, r.clients.admit, r.clients.accept)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -574,17 +574,17 @@
 			for up := false; !up; {
 				var what any
 				select {
-				case what = <-r.inbox:
+				case what = <-r.queue:
 				case <-time.After(5 * time.Second):
 					t.Fatal("no connection")
 				}
-				if e, ok := what.(linkUp); ok && e.on.peer.addr == w.Endpoints[0] {
+				if event, ok := what.(connUp); ok && event.conn.peer.addr == world.Endpoints[0] {
 					up = true
 					overtake(r)
 				}
-				r.dispatch(what)
+				r.handle(what)
 			}
-			trips := r.messages["one"].kept.Trips
+			trips := r.messages["one"].stored.Attempts
 			if sent := trips[0].Outcome != "void"; sent != (name == "nothing") {
 				t.Errorf("trips %+v", trips)
 			}
@@ -594,13 +594,13 @@
 
 // TestOneMessageStopsNoOthers: where the decisions fail over a message each time, it is ended and others go on.
 func TestOneMessageStopsNoOthers(t *testing.T) {
-	w := open(t, 0)
-	listen := serve(t, w, 1000)
+	world := open(t, 0)
+	listen := serve(t, world, 1000)
 	if got := hand(t, listen, "bad", "next"); got[0] != "+OK" || got[1] != "+OK" {
 		t.Fatal(got)
 	}
 	for id, want := range map[string]string{"bad": "undeliverable", "next": "done"} {
-		if got := waitForEnd(t, w, id); got != want {
+		if got := waitForEnd(t, world, id); got != want {
 			t.Errorf("%s: %s, want %s", id, got, want)
 		}
 	}
@@ -608,13 +608,13 @@
 
 // TestOneCallOneWait. Failure: one message of a call was given up while the call went on for the others.
 func TestOneCallOneWait(t *testing.T) {
-	c := &call{attempts: []*attempt{{limit: 900}, {limit: 300}, {limit: 700}}}
-	if got := c.waitAlike(); got != 300 {
+	call := &call{attempts: []*attempt{{waitUntil: 900}, {waitUntil: 300}, {waitUntil: 700}}}
+	if got := call.alignTimeouts(); got != 300 {
 		t.Errorf("waited for until %d, not 300", got)
 	}
-	for i, attempt := range c.attempts {
-		if attempt.limit != 300 {
-			t.Errorf("trip %d is waited for until %d", i, attempt.limit)
+	for i, attempt := range call.attempts {
+		if attempt.waitUntil != 300 {
+			t.Errorf("trip %d is waited for until %d", i, attempt.waitUntil)
 		}
 	}
 }
@@ -622,24 +622,24 @@
 // TestSuccessorLostWhileGiving. Failure: a successor that left while all was made ready for it was given it, and nobody decided any more.
 func TestSuccessorLostWhileGiving(t *testing.T) {
 	r := prepare(t, open(t, 0))
-	if do, why := r.upgrade.giver.Knocked(&handoff.Hello{Version: handoff.Version, Courier: "n0"}); do != handoff.Give {
+	if do, why := r.handoff.machine.HelloReceived(&handoff.Hello{Version: handoff.Version, Courier: "n0"}); do != handoff.HandOver {
 		t.Fatal(why)
 	}
-	r.upgrade.giving = true
-	if r.upgrade.bereft(); !r.upgrade.regain {
+	r.handoff.handingOver = true
+	if r.handoff.successorLost(); !r.handoff.reclaim {
 		t.Error("all is given to one that has left")
 	}
 }
 
 // TestInterimInPieces: an interim answer that comes in two pieces does not shorten the wait for the answer itself.
 func TestInterimInPieces(t *testing.T) {
-	w := open(t, 0)
+	world := open(t, 0)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	w.Endpoints = []string{l.Addr().String()}
+	world.Endpoints = []string{l.Addr().String()}
 	ended := make(chan error, 1)
 	go func() {
 		conn, err := l.Accept()
@@ -652,7 +652,7 @@
 		for _, p := range []struct {
 			piece string
 			pause time.Duration
-		}{{"HTTP/1.1 1", 100 * time.Millisecond}, {"00 Go\r\n\r\n", 2 * restSlack * time.Microsecond}, {okAnswer, 0}} {
+		}{{"HTTP/1.1 1", 100 * time.Millisecond}, {"00 Go\r\n\r\n", 2 * answerTimeout * time.Microsecond}, {okAnswer, 0}} {
 			if _, err := conn.Write([]byte(p.piece)); err != nil {
 				ended <- err
 				return
@@ -663,12 +663,12 @@
 		_, err = conn.Read(make([]byte, 1)) // closed by the courier if it had given up
 		ended <- err
 	}()
-	listen := serve(t, w, 0)
+	listen := serve(t, world, 0)
 	hand(t, listen, "one")
 	if err := <-ended; err == nil || !strings.Contains(err.Error(), "timeout") {
 		t.Errorf("the call was given up: %v", err)
 	}
-	if _, _, notices := w.Seen("one"); len(notices) > 0 {
+	if _, _, notices := world.Seen("one"); len(notices) > 0 {
 		t.Errorf("ended by %v", notices)
 	}
 }
--- a/server/share.go
+++ b/server/share.go
@@ -8,65 +8,65 @@
 )
 
 // sharing is what couriers have settled among themselves, on its way to the decisions.
-type sharing struct {
-	parts   []quota.Part
-	zero    time.Time // their clock's
+type sharesAgreed struct {
+	parts   []quota.Share
+	epoch   time.Time // their clock's
 	applied chan struct{}
 }
 
 // needsEvery is how old what the decisions tell of their routes may be.
-const needsEvery = 100 * 1000
+const demandsInterval = 100 * 1000
 
-// Share hands the decisions what stands on limits, at their next step; what it returns is closed after that. It never waits: nil where
+// ApplyShares hands the decisions what stands on limits, at their next step; what it returns is closed after that. It never waits: nil where
 // this process cannot take it just now.
-func (r *Router) Share(parts []quota.Part, zero time.Time) (applied <-chan struct{}) {
-	s := sharing{parts, zero, make(chan struct{})}
+func (r *Server) ApplyShares(parts []quota.Share, zero time.Time) (applied <-chan struct{}) {
+	agreed := sharesAgreed{parts, zero, make(chan struct{})}
 	select {
-	case r.door <- s:
-		return s.applied
+	case r.control <- agreed:
+		return agreed.applied
 	default:
 		return nil
 	}
 }
 
-// Needs is what the decisions last told of their routes.
-func (r *Router) Needs() []dispatch.Demand {
-	if all := r.needs.Load(); all != nil {
+// Demands is what the decisions last told of their routes.
+func (r *Server) Demands() []dispatch.Demand {
+	if all := r.demands.Load(); all != nil {
 		return *all
 	}
 	return nil
 }
 
 // shares tells whether parts of limits are shared among couriers at all.
-func (r *Router) shares() bool { return r.dep.Peers.Sharing() }
+func (r *Server) sharesQuota() bool { return r.deployment.Peers.Sharing() }
 
 // holdBack is told at each beginning of the decisions: an earlier start, or the decisions that failed, may have lent half of each part.
-func (r *Router) holdBack() {
-	if r.shares() {
-		r.lentTo = r.clock() + quota.Held
+func (r *Server) reserveGranted() {
+	if r.sharesQuota() {
+		r.grantedUntil = r.clock() + quota.GrantHorizon
 	}
 }
 
 // applySharing hands the decisions what couriers have settled.
-func (r *Router) applySharing(s sharing) {
-	if r.upgrade.handed {
+func (r *Server) applyShares(agreed sharesAgreed) {
+	if r.handoff.handedOver {
 		return // another process decides, and has been told nothing
 	}
 	at := func(t dispatch.Micros) dispatch.Micros {
-		return r.baseUnix + dispatch.Micros(s.zero.Add(time.Duration(t)*time.Microsecond).Sub(r.base).Microseconds())
+		return r.startedAtUnix + dispatch.Micros(agreed.epoch.Add(time.Duration(t)*time.Microsecond).Sub(r.startedAt).Microseconds())
 	}
-	r.events = append(r.events, quota.Settled(s.parts, at))
-	r.operators.answers = append(r.operators.answers, func() { close(s.applied) })
+	r.events = append(r.events, quota.ToDispatch(agreed.parts, at))
+	r.operators.replies = append(r.operators.replies, func() { close(agreed.applied) })
 }
 
 // tellNeeds has the decisions tell of their routes, now and then.
-func (r *Router) tellNeeds() {
-	if !r.shares() || r.now < r.needsAt {
+func (r *Server) publishDemands() {
+	if !r.sharesQuota() || r.now < r.demandsAt {
 		return
 	}
-	r.needsAt = r.now + needsEvery
-	if d, ok := r.courier.(dispatch.Demander); ok {
+	r.demandsAt = r.now + demandsInterval
+	if d, ok := r.dispatcher.(dispatch.Demander); ok {
 		all := d.Demands()
-		r.needs.Store(&all)
+		r.demands.Store(&all)
 	}
 }
--- a/server/standing_terms_test.go
+++ b/server/standing_terms_test.go
@@ -254,11 +254,11 @@
 func TestAChangeIsToldInTime(t *testing.T) {
 	// Instants of recovery, from when the courier serves: within its first call, between two, and after several.
 	recoveries := []time.Duration{200 * time.Millisecond, 2500 * time.Millisecond, 7100 * time.Millisecond}
-	w, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
+	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.Close()
+	defer world.Close()
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	seed := 0
@@ -267,10 +267,10 @@
 	for _, mode := range []string{"subscribe", "automatic"} {
 		for name, fails := range failures {
 			for _, recovery := range recoveries {
-				d := newMoodyDiscovery(t, w.Endpoints[0], fails)
-				w.Discovery = d.addr
+				d := newMoodyDiscovery(t, world.Endpoints[0], fails)
+				world.Discovery = d.addr
 				seed++ // so that each draws its pauses anew
-				listen := server.StartCourier(t, w, func(text []byte) []byte {
+				listen := server.StartCourier(t, world, func(text []byte) []byte {
 					text = bytes.ReplaceAll(text, []byte(`"seed": "8c1f30d27a5be964"`), fmt.Appendf(nil, `"seed": "%016x"`, seed))
 					text = bytes.ReplaceAll(text, []byte(`"sockets": 1024`), []byte(`"sockets": 8192`)) // of all in this process
 					return bytes.ReplaceAll(text, []byte(`"subscribe"`), []byte(`"`+mode+`"`))
--- a/server/step.go
+++ b/server/step.go
@@ -8,65 +8,65 @@
 )
 
 // due is when something is to be done next, unasked.
-func (r *Router) due() dispatch.Micros {
-	at := min(r.wakeAt, r.links.due(), r.clients.due(), r.platform.due(), r.learned.due(), r.operators.due(), r.links.unwritten(), r.endBy, r.partAt)
+func (r *Server) due() dispatch.Micros {
+	at := min(r.timerAt, r.endpointConns.due(), r.clients.due(), r.discovery.due(), r.snapshots.due(), r.operators.due(), r.endpointConns.nextFlushCheck(), r.shutdownBy, r.drainAt)
 	for _, attempt := range r.inFlight {
-		at = min(at, attempt.limit)
+		at = min(at, attempt.waitUntil)
 	}
 	return at
 }
 
 // guardedStep is a step after which the process goes on whatever went wrong in it.
-func (r *Router) guardedStep() {
+func (r *Server) guardedStep() {
 	defer func() {
 		if fault := recover(); fault != nil {
 			r.log.Error("panic in a turn", "fault", fmt.Sprint(fault), "stack", string(debug.Stack()))
-			r.renew()
+			r.restartDispatcher()
 		}
 	}()
 	r.step()
 }
 
 // step hands the decisions what happened since the last one, and carries out their actions.
-func (r *Router) step() {
+func (r *Server) step() {
 	r.now = r.clock()
-	r.links.expire()
-	r.links.flushed()
+	r.endpointConns.expire()
+	r.endpointConns.checkWritten()
 	r.clients.sweep()
 	r.operators.tick()
-	r.malformed.tell(r.log, r.now)
-	if !r.upgrade.handed {
-		r.platform.tick()
+	r.malformed.log(r.log, r.now)
+	if !r.handoff.handedOver {
+		r.discovery.tick()
 	}
 	for _, attempt := range append([]*attempt(nil), r.inFlight...) {
-		if !attempt.over && attempt.limit <= r.now {
-			r.overdue(attempt)
+		if !attempt.finished && attempt.waitUntil <= r.now {
+			r.attemptOverdue(attempt)
 		}
 	}
-	if r.upgrade.handed { // another process decides
+	if r.handoff.handedOver { // another process decides
 		r.reply()
 		r.operators.publish()
 		return
 	}
-	if r.wakeAt <= r.now {
-		r.wakeAt = never
+	if r.timerAt <= r.now {
+		r.timerAt = never
 		r.events = append(r.events, dispatch.TimerFired{})
 	}
-	r.reckon()
+	r.updateFleetSize()
 	for len(r.events) > 0 {
 		events := r.events
 		r.events = nil
 		r.carryOut(r.decide(events))
 	}
 	r.reply()
-	r.platform.tick()
-	r.saveLearned(false)
-	r.tellNeeds()
+	r.discovery.tick()
+	r.saveSnapshot(false)
+	r.publishDemands()
 	r.operators.publish()
 }
 
 // reply writes what clients wait for; from then on the platform is told how a message ends.
-func (r *Router) reply() {
+func (r *Server) reply() {
 	for _, reply := range r.replies {
 		reply.client.write(reply)
 		if reply.message != nil {
@@ -77,16 +77,16 @@
 }
 
 // decide asks the decisions. Should they fail, they begin anew, as after a restart of the process.
-func (r *Router) decide(events []dispatch.Event) (actions []dispatch.Action) {
+func (r *Server) decide(events []dispatch.Event) (actions []dispatch.Action) {
 	defer func() {
 		if fault := recover(); fault != nil {
 			r.log.Error("the decisions failed", "fault", fmt.Sprint(fault), "stack", string(debug.Stack()))
-			r.renew()
+			r.restartDispatcher()
 		}
 	}()
-	actions = r.courier.Handle(r.now, events)
+	actions = r.dispatcher.Handle(r.now, events)
 	r.trace(events, actions)
-	r.failed = 0
-	r.watch.see(r, events, actions)
+	r.dispatcherFailures = 0
+	r.shadow.observe(r, events, actions)
 	return actions
 }
--- a/server/trace_test.go
+++ b/server/trace_test.go
@@ -15,7 +15,7 @@
 	actions := []dispatch.Action{dispatch.Send{Message: "r7", Endpoint: "s-1", Timeout: 900}, dispatch.Reject{Message: "r7", RetryAfter: 40}}
 	for _, level := range []slog.Level{slog.LevelDebug, slog.LevelInfo} {
 		var b bytes.Buffer
-		r := &Router{tracer: slog.New(slog.NewTextHandler(&b, &slog.HandlerOptions{Level: level}))}
+		r := &Server{tracer: slog.New(slog.NewTextHandler(&b, &slog.HandlerOptions{Level: level}))}
 		r.trace(events, actions)
 		lines := strings.Split(strings.TrimSpace(b.String()), "\n")
 		if level == slog.LevelInfo {
--- a/server/watch.go
+++ b/server/watch.go
@@ -10,61 +10,61 @@
 )
 
 // watch runs decisions under settings to come beside those that are carried out, and counts where they differ.
-type watch struct {
-	settings *config.Deployment // to come
-	watcher  *dispatch.Shadow
-	every    dispatch.Micros
-	next     dispatch.Micros // when the counts are logged
-	told     int             // decisions compared by then
+type shadowState struct {
+	deployment  *config.Deployment // to come
+	shadow      *dispatch.Shadow
+	interval    dispatch.Micros
+	nextLogAt   dispatch.Micros // when the counts are logged
+	loggedCount int             // decisions compared by then
 }
 
 var differences = [dispatch.Differences]string{dispatch.OtherEndpoint: "elsewhere", dispatch.SentEarlier: "sooner", dispatch.SentLater: "later",
 	dispatch.RejectedOnly: "bounced", dispatch.FailedOnly: "terminated", dispatch.StillQueued: "kept", dispatch.CanceledOnly: "called_off",
 	dispatch.StillAwaited: "waited_for", dispatch.OtherRetryAfter: "advised"}
 
-func (w *watch) start(r *Router) {
-	w.settings, w.watcher = r.dep.Watch, nil
-	w.every = dispatch.Micros(r.dep.WatchTell.Microseconds())
-	if w.settings != nil {
-		w.watcher, w.next = dispatch.NewShadow(r.dep.Merged(w.settings).Charter), r.now+w.every
+func (w *shadowState) start(r *Server) {
+	w.deployment, w.shadow = r.deployment.Watch, nil
+	w.interval = dispatch.Micros(r.deployment.WatchTell.Microseconds())
+	if w.deployment != nil {
+		w.shadow, w.nextLogAt = dispatch.NewShadow(r.deployment.Merged(w.deployment).Charter), r.now+w.interval
 	}
 }
 
 // recharter keeps the numbers of workloads and parties those of a configuration that was read anew.
-func (w *watch) recharter(r *Router) {
-	if w.watcher != nil {
-		w.watcher.Reconfigure(r.dep.Merged(w.settings).Charter)
+func (w *shadowState) reconfigure(r *Server) {
+	if w.shadow != nil {
+		w.shadow.Reconfigure(r.deployment.Merged(w.deployment).Charter)
 	}
 }
 
 // see shows the watched decisions what happened and what is done about it. Should they fail, watching ends; nothing else.
-func (w *watch) see(r *Router, events []dispatch.Event, did []dispatch.Action) {
-	if w.watcher == nil {
+func (w *shadowState) observe(r *Server, events []dispatch.Event, did []dispatch.Action) {
+	if w.shadow == nil {
 		return
 	}
 	defer func() {
 		if fault := recover(); fault != nil {
 			r.log.Error("watching ended", "fault", fmt.Sprint(fault), "stack", string(debug.Stack()))
-			w.watcher = nil
+			w.shadow = nil
 		}
 	}()
-	w.watcher.Observe(r.now, events, did)
-	if r.now >= w.next {
-		w.tell(r.log)
-		w.next = r.now + w.every
+	w.shadow.Observe(r.now, events, did)
+	if r.now >= w.nextLogAt {
+		w.log(r.log)
+		w.nextLogAt = r.now + w.interval
 	}
 }
 
 // tell logs the counts, if anything was decided since.
-func (w *watch) tell(log *slog.Logger) {
-	if w.watcher == nil {
+func (w *shadowState) log(log *slog.Logger) {
+	if w.shadow == nil {
 		return
 	}
-	counts, compared := w.watcher.Counts()
-	if compared == w.told {
+	counts, compared := w.shadow.Counts()
+	if compared == w.loggedCount {
 		return
 	}
-	w.told = compared
+	w.loggedCount = compared
 	pairs := []any{"compared", compared}
 	for d, n := range counts {
 		pairs = append(pairs, differences[d], n)
--- a/snapshot/file.go
+++ b/snapshot/file.go
@@ -27,34 +27,34 @@
 
 // Why a file is not used; each is told with the file's name and what stood there.
 var (
-	ErrAbsent   = atomicfile.ErrAbsent
-	ErrTorn     = atomicfile.ErrTorn
-	ErrTooLarge = atomicfile.ErrTooLarge
-	ErrOlder    = errors.New("of a version that is too old")
-	ErrNewer    = errors.New("of a newer version")
-	ErrStranger = errors.New("of another courier")
-	ErrFuture   = errors.New("from the future: the clock went backwards")
-	ErrSense    = errors.New("holds what cannot be")
+	ErrAbsent       = atomicfile.ErrAbsent
+	ErrTorn         = atomicfile.ErrTorn
+	ErrTooLarge     = atomicfile.ErrTooLarge
+	ErrOlder        = errors.New("of a version that is too old")
+	ErrNewer        = errors.New("of a newer version")
+	ErrOtherCourier = errors.New("of another courier")
+	ErrFuture       = errors.New("from the future: the clock went backwards")
+	ErrImplausible  = errors.New("holds what cannot be")
 )
 
 // State is what a file holds.
 type State struct {
-	Courier string            `json:"Courier"`
-	Lore    dispatch.Snapshot `json:"Lore"`
+	Courier  string            `json:"Courier"`
+	Snapshot dispatch.Snapshot `json:"Lore"`
 }
 
 // body of version 2.
 type body struct {
-	Courier string            `cbor:"1,keyasint"`
-	Lore    dispatch.Snapshot `cbor:"2,keyasint"`
+	Courier  string            `cbor:"1,keyasint"`
+	Snapshot dispatch.Snapshot `cbor:"2,keyasint"`
 }
 
 // bodyV1 had no lore of connections and endpoints; what it has means the same.
 type bodyV1 struct {
-	Courier string                   `cbor:"1,keyasint"`
-	At      dispatch.Micros          `cbor:"2,keyasint"`
-	Routes  []dispatch.GroupSnapshot `cbor:"3,keyasint"`
-	Took    dispatch.SumSnapshot     `cbor:"4,keyasint"`
+	Courier     string                   `cbor:"1,keyasint"`
+	TakenAt     dispatch.Micros          `cbor:"2,keyasint"`
+	Groups      []dispatch.GroupSnapshot `cbor:"3,keyasint"`
+	AnswerTimes dispatch.SumSnapshot     `cbor:"4,keyasint"`
 }
 
 var (
@@ -72,57 +72,57 @@
 
 // Encode makes a file's content of at most so many bytes. Where all does not fit, the routes that were called last are
 // kept, and the endpoints that failed last.
-func Encode(s State, limit int) ([]byte, error) {
-	l := s.Lore
-	l.Groups, l.RestingKeys = slices.Clone(l.Groups), nil
-	slices.SortStableFunc(l.Groups, func(a, b dispatch.GroupSnapshot) int { return int(min(1, max(-1, b.LastCall-a.LastCall))) })
+func Encode(state State, limit int) ([]byte, error) {
+	snapshot := state.Snapshot
+	snapshot.Groups, snapshot.RestingKeys = slices.Clone(snapshot.Groups), nil
+	slices.SortStableFunc(snapshot.Groups, func(a, b dispatch.GroupSnapshot) int { return int(min(1, max(-1, b.LastCall-a.LastCall))) })
 	for {
-		text, err := encoder.Marshal(body{s.Courier, l})
+		text, err := encoder.Marshal(body{state.Courier, snapshot})
 		if err != nil {
 			return nil, err
 		}
 		if len(text)+headSize <= limit {
-			return atomicfile.Seal(magic, version, text), nil
+			return atomicfile.Encode(magic, version, text), nil
 		}
-		if len(l.Groups) == 0 && len(l.Endpoints) == 0 {
+		if len(snapshot.Groups) == 0 && len(snapshot.Endpoints) == 0 {
 			return nil, fmt.Errorf("%w: %d bytes, %d allowed", ErrTooLarge, len(text)+headSize, limit)
 		}
 		// A little less than what seems to fit, so that it does at the second try.
 		part := 0.95 * float64(limit) / float64(len(text)+headSize)
-		l.Groups = l.Groups[:int(part*float64(len(l.Groups)))]
-		l.Endpoints = l.Endpoints[len(l.Endpoints)-int(part*float64(len(l.Endpoints))):]
+		snapshot.Groups = snapshot.Groups[:int(part*float64(len(snapshot.Groups)))]
+		snapshot.Endpoints = snapshot.Endpoints[len(snapshot.Endpoints)-int(part*float64(len(snapshot.Endpoints))):]
 	}
 }
 
 // Decode reads a file's content.
 func Decode(content []byte) (State, error) {
-	v, text, err := atomicfile.Open(magic, content)
+	v, text, err := atomicfile.Decode(magic, content)
 	if err != nil {
 		return State{}, err
 	}
-	var s State
+	var state State
 	switch {
 	case v > version:
-		return s, fmt.Errorf("%w: %d, this program knows %d", ErrNewer, v, version)
+		return state, fmt.Errorf("%w: %d, this program knows %d", ErrNewer, v, version)
 	case v == 1:
 		var b bodyV1
 		if err := decoder.Unmarshal(text, &b); err != nil {
-			return s, fmt.Errorf("%w: %v", ErrTorn, err)
+			return state, fmt.Errorf("%w: %v", ErrTorn, err)
 		}
-		s = State{b.Courier, dispatch.Snapshot{TakenAt: b.At, Groups: b.Routes, AnswerTimes: b.Took}}
+		state = State{b.Courier, dispatch.Snapshot{TakenAt: b.TakenAt, Groups: b.Groups, AnswerTimes: b.AnswerTimes}}
 	case v < 1:
-		return s, fmt.Errorf("%w: %d", ErrOlder, v)
+		return state, fmt.Errorf("%w: %d", ErrOlder, v)
 	default:
 		var b body
 		if err := decoder.Unmarshal(text, &b); err != nil {
-			return s, fmt.Errorf("%w: %v", ErrTorn, err)
+			return state, fmt.Errorf("%w: %v", ErrTorn, err)
 		}
-		s = State(b)
+		state = State(b)
 	}
-	if err := sane(s.Lore); err != nil {
+	if err := validate(state.Snapshot); err != nil {
 		return State{}, err
 	}
-	return s, nil
+	return state, nil
 }
 
 // Bounds of what can be: wide, so that they only catch what would harm the decisions.
@@ -132,7 +132,7 @@
 )
 
 // sane holds numbers against what can be. A checksum proves that a file is what was written, not that it made sense.
-func sane(l dispatch.Snapshot) error {
+func validate(snapshot dispatch.Snapshot) error {
 	number := func(values ...float64) bool {
 		for _, v := range values {
 			if math.IsNaN(v) || v < 0 || v > largest {
@@ -149,28 +149,28 @@
 		}
 		return true
 	}
-	if !sums(l.AnswerTimes) || !sums(l.LostCalls...) {
-		return fmt.Errorf("%w: sums", ErrSense)
+	if !sums(snapshot.AnswerTimes) || !sums(snapshot.LostCalls...) {
+		return fmt.Errorf("%w: sums", ErrImplausible)
 	}
-	for _, r := range l.Groups {
-		past := func(at dispatch.Micros) bool { return at <= l.TakenAt }
-		ok := sums(r.AnswerTimes, r.Deliveries) && number(r.UsualRate, r.ReportedRate) && past(r.CountedSince) && past(r.LastCall) && past(r.LastDelivery) &&
-			past(r.OutageAt) && r.RetryAfterUntil <= l.TakenAt+longest && r.Interval >= 0 && r.Interval <= longest && r.ThrottledInterval >= 0 && r.ThrottledInterval <= longest &&
-			r.WarmedFor >= 0 && r.WarmedFor <= longest && r.FailureSigns >= 0 && r.ThrottleSigns >= 0
-		for _, b := range r.Breakers {
-			ok = ok && b.Failures >= 0 && b.OpenUntil <= l.TakenAt+longest
+	for _, group := range snapshot.Groups {
+		past := func(at dispatch.Micros) bool { return at <= snapshot.TakenAt }
+		ok := sums(group.AnswerTimes, group.Deliveries) && number(group.UsualRate, group.ReportedRate) && past(group.CountedSince) && past(group.LastCall) && past(group.LastDelivery) &&
+			past(group.OutageAt) && group.RetryAfterUntil <= snapshot.TakenAt+longest && group.Interval >= 0 && group.Interval <= longest && group.ThrottledInterval >= 0 && group.ThrottledInterval <= longest &&
+			group.WarmedFor >= 0 && group.WarmedFor <= longest && group.FailureSigns >= 0 && group.ThrottleSigns >= 0
+		for _, b := range group.Breakers {
+			ok = ok && b.Failures >= 0 && b.OpenUntil <= snapshot.TakenAt+longest
 		}
 		if !ok {
-			return fmt.Errorf("%w: destination %d", ErrSense, r.Destination)
+			return fmt.Errorf("%w: destination %d", ErrImplausible, group.Destination)
 		}
 	}
-	for _, e := range l.Endpoints {
-		if len(e.FailureRuns) == 0 {
-			return fmt.Errorf("%w: endpoint %s", ErrSense, e.Endpoint)
+	for _, endpoint := range snapshot.Endpoints {
+		if len(endpoint.FailureRuns) == 0 {
+			return fmt.Errorf("%w: endpoint %s", ErrImplausible, endpoint.Endpoint)
 		}
-		for _, n := range e.FailureRuns {
-			if n.Failures < 0 || n.EjectedUntil > l.TakenAt+longest {
-				return fmt.Errorf("%w: endpoint %s", ErrSense, e.Endpoint)
+		for _, n := range endpoint.FailureRuns {
+			if n.Failures < 0 || n.EjectedUntil > snapshot.TakenAt+longest {
+				return fmt.Errorf("%w: endpoint %s", ErrImplausible, endpoint.Endpoint)
 			}
 		}
 	}
@@ -186,24 +186,24 @@
 	if err != nil {
 		return State{}, err
 	}
-	s, err := Decode(content)
+	state, err := Decode(content)
 	switch {
 	case err != nil:
 		return State{}, err
-	case courier != "" && s.Courier != courier:
-		return State{}, fmt.Errorf("%w: %q", ErrStranger, s.Courier)
-	case now > 0 && s.Lore.TakenAt > now:
-		return State{}, fmt.Errorf("%w by %.3f s", ErrFuture, float64(s.Lore.TakenAt-now)/1e6)
+	case courier != "" && state.Courier != courier:
+		return State{}, fmt.Errorf("%w: %q", ErrOtherCourier, state.Courier)
+	case now > 0 && state.Snapshot.TakenAt > now:
+		return State{}, fmt.Errorf("%w by %.3f s", ErrFuture, float64(state.Snapshot.TakenAt-now)/1e6)
 	}
-	return s, nil
+	return state, nil
 }
 
 // Sweep removes what a write left behind that was cut off, and returns how much there was.
-func Sweep(dir string) (removed int) { return atomicfile.Sweep(dir, Name) }
+func Sweep(dir string) (removed int) { return atomicfile.RemoveLeftovers(dir, Name) }
 
-// Room is how much of a folder's limit is set apart: for the file and, while it is replaced, its successor, in whole
+// Reserve is how much of a folder's limit is set apart: for the file and, while it is replaced, its successor, in whole
 // blocks. Limit is the most that one of them may hold. A sixteenth goes to it, a quarter of a megabyte at most.
-func Room(folder int64) (room int64, limit int) {
+func Reserve(folder int64) (room int64, limit int) {
 	each := min(folder/16, 256<<10) / 2 / block * block
 	return 2 * each, int(each)
 }
--- a/snapshot/golden_test.go
+++ b/snapshot/golden_test.go
@@ -14,11 +14,11 @@
 const millionYears = 1 << 60 // microseconds: later than any instant that golden.Fill sets
 
 // recordedState is a state with every field set, as the files of testdata hold it.
-func recordedState() (s State) {
-	golden.Fill(&s)
-	s.Lore.TakenAt = millionYears
-	s.Lore.RestingKeys = nil // no file keeps them
-	return s
+func recordedState() (state State) {
+	golden.Fill(&state)
+	state.Snapshot.TakenAt = millionYears
+	state.Snapshot.RestingKeys = nil // no file keeps them
+	return state
 }
 
 // TestFileIsAsRecorded: the file of today's version is written byte by byte as recorded, and reads as what was written.
@@ -40,7 +40,7 @@
 func TestRecordedFilesAreRead(t *testing.T) {
 	for name, want := range map[string]func(*State){
 		"version-2.golden": func(*State) {},
-		"version-1.golden": func(s *State) { s.Lore.LostCalls, s.Lore.Endpoints = nil, nil },
+		"version-1.golden": func(s *State) { s.Snapshot.LostCalls, s.Snapshot.Endpoints = nil, nil },
 	} {
 		content, err := os.ReadFile("testdata/" + name)
 		if err != nil {
@@ -57,12 +57,12 @@
 // TestFirstVersionIsAsRecorded holds the recorded file of the first version, which nothing writes any more, against what a writer of
 // it would write.
 func TestFirstVersionIsAsRecorded(t *testing.T) {
-	s := recordedState()
-	text, err := encoder.Marshal(bodyV1{s.Courier, s.Lore.TakenAt, s.Lore.Groups, s.Lore.AnswerTimes})
+	state := recordedState()
+	text, err := encoder.Marshal(bodyV1{state.Courier, state.Snapshot.TakenAt, state.Snapshot.Groups, state.Snapshot.AnswerTimes})
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Check(t, "version-1.golden", atomicfile.Seal(magic, 1, text))
+	golden.Check(t, "version-1.golden", atomicfile.Encode(magic, 1, text))
 }
 
 // TestStateInJSONIsAsRecorded: what "state show --output json" prints, and a script reads.
@@ -70,14 +70,14 @@
 	var text bytes.Buffer
 	encoder := json.NewEncoder(&text)
 	encoder.SetIndent("", "  ")
-	var s State
-	golden.Fill(&s)
-	if err := encoder.Encode(s); err != nil {
+	var state State
+	golden.Fill(&state)
+	if err := encoder.Encode(state); err != nil {
 		t.Fatal(err)
 	}
 	golden.Check(t, "state.json.golden", text.Bytes())
 	var again State
-	if err := json.Unmarshal(text.Bytes(), &again); err != nil || !reflect.DeepEqual(again, s) {
+	if err := json.Unmarshal(text.Bytes(), &again); err != nil || !reflect.DeepEqual(again, state) {
 		t.Errorf("%v: read as %+v", err, again)
 	}
 }
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -48,24 +48,24 @@
 }
 
 func state(t *rapid.T) State {
-	l := dispatch.Snapshot{TakenAt: at, AnswerTimes: sums(t, 1)[0], LostCalls: sums(t, 10)}
+	snapshot := dispatch.Snapshot{TakenAt: at, AnswerTimes: sums(t, 1)[0], LostCalls: sums(t, 10)}
 	for i := range rapid.IntRange(0, 30).Draw(t, "routes") {
-		l.Groups = append(l.Groups, dispatch.GroupSnapshot{Destination: dispatch.DestinationID(i), Endpoint: dispatch.EndpointID(rapid.StringN(0, 20, -1).Draw(t, "endpoint")),
+		snapshot.Groups = append(snapshot.Groups, dispatch.GroupSnapshot{Destination: dispatch.DestinationID(i), Endpoint: dispatch.EndpointID(rapid.StringN(0, 20, -1).Draw(t, "endpoint")),
 			AnswerTimes: sums(t, 1)[0], Deliveries: sums(t, 1)[0], CountedSince: ago(t, "since"), LastCall: ago(t, "call"), LastDelivery: ago(t, "done"),
 			RetryAfterUntil: at + span(t, "wait"), Interval: span(t, "gap"), ThrottledInterval: span(t, "knee"), FailureSigns: rapid.IntRange(0, 99).Draw(t, "strikes"),
 			Outage: rapid.Bool().Draw(t, "sick"), OutageAt: ago(t, "sick at"), WarmingUp: rapid.Bool().Draw(t, "cold"), WarmedFor: span(t, "ramped"),
 			UsualRate: rapid.Float64Range(0, 1e6).Draw(t, "usual"), ReportedRate: rapid.Float64Range(0, 1e6).Draw(t, "rate"),
 			Breakers: []dispatch.BreakerSnapshot{{Failures: rapid.IntRange(0, 6).Draw(t, "fails"), OpenUntil: at + span(t, "until")}}})
 	}
-	l.Endpoints = append(l.Endpoints, dispatch.EndpointSnapshot{Endpoint: "x", FailureRuns: []dispatch.RunSnapshot{{Failures: 2, EjectedUntil: at + 5}}})
-	return State{Courier: rapid.StringN(1, 30, -1).Draw(t, "courier"), Lore: l}
+	snapshot.Endpoints = append(snapshot.Endpoints, dispatch.EndpointSnapshot{Endpoint: "x", FailureRuns: []dispatch.RunSnapshot{{Failures: 2, EjectedUntil: at + 5}}})
+	return State{Courier: rapid.StringN(1, 30, -1).Draw(t, "courier"), Snapshot: snapshot}
 }
 
 // TestRoundTrip: what is written is what is read, to the bit; a limit only takes whole routes away, the last called last.
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := state(t)
-		content, err := Encode(s, 1<<20)
+		state := state(t)
+		content, err := Encode(state, 1<<20)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -73,11 +73,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(back.Lore.Groups) != len(s.Lore.Groups) || back.Courier != s.Courier || !reflect.DeepEqual(back.Lore.LostCalls, s.Lore.LostCalls) {
-			t.Fatalf("%+v\nbecame %+v", s, back)
+		if len(back.Snapshot.Groups) != len(state.Snapshot.Groups) || back.Courier != state.Courier || !reflect.DeepEqual(back.Snapshot.LostCalls, state.Snapshot.LostCalls) {
+			t.Fatalf("%+v\nbecame %+v", state, back)
 		}
 		limit := rapid.IntRange(600, 4000).Draw(t, "limit")
-		small, err := Encode(s, limit)
+		small, err := Encode(state, limit)
 		if errors.Is(err, ErrTooLarge) {
 			return
 		}
@@ -86,12 +86,12 @@
 		}
 		kept := map[dispatch.DestinationID]bool{}
 		oldest := at
-		for _, r := range back.Lore.Groups {
-			kept[r.Destination], oldest = true, min(oldest, r.LastCall)
+		for _, group := range back.Snapshot.Groups {
+			kept[group.Destination], oldest = true, min(oldest, group.LastCall)
 		}
-		for _, r := range s.Lore.Groups {
-			if !kept[r.Destination] && r.LastCall > oldest {
-				t.Fatalf("a route called at %d was left out for one called at %d", r.LastCall, oldest)
+		for _, group := range state.Snapshot.Groups {
+			if !kept[group.Destination] && group.LastCall > oldest {
+				t.Fatalf("a route called at %d was left out for one called at %d", group.LastCall, oldest)
 			}
 		}
 	})
@@ -99,7 +99,7 @@
 
 // TestSpoilt: a flipped bit anywhere, a cut anywhere, nonsense and an empty file are each told and never used.
 func TestSpoilt(t *testing.T) {
-	content, err := Encode(State{Courier: "n1", Lore: dispatch.Snapshot{TakenAt: at, Groups: []dispatch.GroupSnapshot{{Destination: 1}, {Destination: 2}}}}, 1<<16)
+	content, err := Encode(State{Courier: "n1", Snapshot: dispatch.Snapshot{TakenAt: at, Groups: []dispatch.GroupSnapshot{{Destination: 1}, {Destination: 2}}}}, 1<<16)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,15 +107,15 @@
 		for bit := range 8 {
 			bad := append([]byte(nil), content...)
 			bad[i] ^= 1 << bit
-			if s, err := Decode(bad); err == nil {
-				t.Fatalf("bit %d of byte %d flipped: %+v", bit, i, s)
+			if state, err := Decode(bad); err == nil {
+				t.Fatalf("bit %d of byte %d flipped: %+v", bit, i, state)
 			}
 		}
 		if _, err := Decode(content[:i]); err == nil {
 			t.Fatalf("cut at byte %d", i)
 		}
 	}
-	for _, l := range []dispatch.Snapshot{
+	for _, snapshot := range []dispatch.Snapshot{
 		{TakenAt: at, AnswerTimes: dispatch.SumSnapshot{Weight: math.NaN()}},
 		{TakenAt: at, Groups: []dispatch.GroupSnapshot{{UsualRate: math.Inf(1)}}},
 		{TakenAt: at, Groups: []dispatch.GroupSnapshot{{Interval: -1}}},
@@ -125,22 +125,22 @@
 		{TakenAt: at, Endpoints: []dispatch.EndpointSnapshot{{Endpoint: "x", FailureRuns: []dispatch.RunSnapshot{{EjectedUntil: math.MaxInt64}}}}},
 		{TakenAt: at, Endpoints: []dispatch.EndpointSnapshot{{Endpoint: "x"}}},
 	} {
-		content, err := Encode(State{"n1", l}, 1<<16)
+		content, err := Encode(State{"n1", snapshot}, 1<<16)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Decode(content); !errors.Is(err, ErrSense) {
-			t.Errorf("%+v: %v", l, err)
+		if _, err := Decode(content); !errors.Is(err, ErrImplausible) {
+			t.Errorf("%+v: %v", snapshot, err)
 		}
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	content, _ := Encode(State{Courier: "n1", Lore: dispatch.Snapshot{TakenAt: at, Groups: []dispatch.GroupSnapshot{{Destination: 1}}}}, 1<<16)
+	content, _ := Encode(State{Courier: "n1", Snapshot: dispatch.Snapshot{TakenAt: at, Groups: []dispatch.GroupSnapshot{{Destination: 1}}}}, 1<<16)
 	f.Add(content[headSize:])
 	f.Fuzz(func(t *testing.T, text []byte) {
 		for v := range uint32(3) {
-			if s, err := Decode(atomicfile.Seal(magic, v, text)); err == nil && sane(s.Lore) != nil {
+			if state, err := Decode(atomicfile.Encode(magic, v, text)); err == nil && validate(state.Snapshot) != nil {
 				t.Fatal("taken, and holds what cannot be")
 			}
 		}
@@ -149,12 +149,12 @@
 
 // TestFoldersAndVersions: whose file it is, how old, of which version and what else may stand in its place.
 func TestFoldersAndVersions(t *testing.T) {
-	good := State{Courier: "n1", Lore: dispatch.Snapshot{TakenAt: at, Groups: []dispatch.GroupSnapshot{{Destination: 7, Outage: true}}}}
+	good := State{Courier: "n1", Snapshot: dispatch.Snapshot{TakenAt: at, Groups: []dispatch.GroupSnapshot{{Destination: 7, Outage: true}}}}
 	content, err := Encode(good, 1<<16)
 	if err != nil {
 		t.Fatal(err)
 	}
-	old, err := encoder.Marshal(bodyV1{Courier: "n1", At: at, Routes: good.Lore.Groups})
+	old, err := encoder.Marshal(bodyV1{Courier: "n1", TakenAt: at, Groups: good.Snapshot.Groups})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -162,16 +162,16 @@
 		content []byte
 		want    error
 	}{
-		"sound": {content, nil}, "older": {atomicfile.Seal(magic, 1, old), nil}, "oldest": {atomicfile.Seal(magic, 0, old), ErrOlder}, "newer": {atomicfile.Seal(magic, version+1, content[headSize:]), ErrNewer},
+		"sound": {content, nil}, "older": {atomicfile.Encode(magic, 1, old), nil}, "oldest": {atomicfile.Encode(magic, 0, old), ErrOlder}, "newer": {atomicfile.Encode(magic, version+1, content[headSize:]), ErrNewer},
 		"empty": {nil, ErrTorn}, "huge": {make([]byte, 1<<17), ErrTooLarge}, "nonsense": {[]byte(strings.Repeat("x", 99)), ErrTorn},
 	} {
 		dir := t.TempDir()
 		if err := os.WriteFile(filepath.Join(dir, Name), c.content, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		s, err := Read(dir, "n1", at+5, 1<<16)
-		if !errors.Is(err, c.want) || err == nil && (len(s.Lore.Groups) != 1 || !s.Lore.Groups[0].Outage) {
-			t.Errorf("%s: %+v, %v", name, s, err)
+		state, err := Read(dir, "n1", at+5, 1<<16)
+		if !errors.Is(err, c.want) || err == nil && (len(state.Snapshot.Groups) != 1 || !state.Snapshot.Groups[0].Outage) {
+			t.Errorf("%s: %+v, %v", name, state, err)
 		}
 	}
 	dir := t.TempDir()
@@ -181,7 +181,7 @@
 	if err := Write(dir, content); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Read(dir, "n2", at, 1<<16); !errors.Is(err, ErrStranger) {
+	if _, err := Read(dir, "n2", at, 1<<16); !errors.Is(err, ErrOtherCourier) {
 		t.Error(err)
 	}
 	if _, err := Read(dir, "n1", at-1, 1<<16); !errors.Is(err, ErrFuture) {
@@ -200,7 +200,7 @@
 	if _, err := Read(dir, "n1", at, 1<<16); !errors.Is(err, ErrTorn) {
 		t.Error(err)
 	}
-	if room, limit := Room(3e6); room != int64(2*limit) || limit%block != 0 || limit < 64<<10 {
+	if room, limit := Reserve(3e6); room != int64(2*limit) || limit%block != 0 || limit < 64<<10 {
 		t.Errorf("room %d, limit %d", room, limit)
 	}
 }
@@ -209,7 +209,7 @@
 func writeForEver(dir string) {
 	routes := make([]dispatch.GroupSnapshot, 300)
 	for i := 1; ; i++ {
-		content, err := Encode(State{Courier: "n1", Lore: dispatch.Snapshot{TakenAt: at + dispatch.Micros(i), Groups: routes}}, 1<<18)
+		content, err := Encode(State{Courier: "n1", Snapshot: dispatch.Snapshot{TakenAt: at + dispatch.Micros(i), Groups: routes}}, 1<<18)
 		if err == nil {
 			err = Write(dir, content)
 		}
@@ -240,12 +240,12 @@
 		for _, line := range strings.Fields(out.String()) {
 			fmt.Sscan(line, &finished)
 		}
-		s, err := Read(dir, "n1", at+1e9, 1<<18)
+		state, err := Read(dir, "n1", at+1e9, 1<<18)
 		if errors.Is(err, ErrAbsent) && finished == 0 {
 			continue
 		}
-		if err != nil || finished > 0 && int(s.Lore.TakenAt-at) < finished || len(s.Lore.Groups) != 300 {
-			t.Fatalf("kill %d: %v; %d finished, read %d", n, err, finished, s.Lore.TakenAt-at)
+		if err != nil || finished > 0 && int(state.Snapshot.TakenAt-at) < finished || len(state.Snapshot.Groups) != 300 {
+			t.Fatalf("kill %d: %v; %d finished, read %d", n, err, finished, state.Snapshot.TakenAt-at)
 		}
 		swept += Sweep(dir)
 	}
@@ -258,22 +258,22 @@
 	var log strings.Builder
 	logger := slog.New(slog.NewTextHandler(&locked{&mu, &log}, nil))
 	stuck := make(chan struct{})
-	k := keep(t.TempDir(), "n1", 1<<16, logger, func(string, []byte) error { <-stuck; return nil })
+	writer := newWriter(t.TempDir(), "n1", 1<<16, logger, func(string, []byte) error { <-stuck; return nil })
 	began := time.Now()
 	for range 1000 {
-		k.Offer(dispatch.Snapshot{TakenAt: at})
+		writer.Offer(dispatch.Snapshot{TakenAt: at})
 	}
 	if took := time.Since(began); took > time.Second {
 		t.Errorf("a thousand offers took %v", took)
 	}
-	k.Close(20 * time.Millisecond)
+	writer.Close(20 * time.Millisecond)
 	close(stuck)
-	<-k.done
-	if k.written > 3 {
-		t.Errorf("%d written", k.written)
+	<-writer.done
+	if writer.written > 3 {
+		t.Errorf("%d written", writer.written)
 	}
 	n := 0
-	full := keep(t.TempDir(), "n1", 1<<16, logger, func(string, []byte) error {
+	full := newWriter(t.TempDir(), "n1", 1<<16, logger, func(string, []byte) error {
 		if n++; n < 5 {
 			return errors.New("no space left")
 		}
--- a/snapshot/writer.go
+++ b/snapshot/writer.go
@@ -8,46 +8,46 @@
 	"pineport/dispatch"
 )
 
-// Keeper writes what it is offered on a goroutine of its own, so that decisions never wait for a disk. Of what comes in
+// Writer writes what it is offered on a goroutine of its own, so that decisions never wait for a disk. Of what comes in
 // while it writes, the last is written next.
-type Keeper struct {
+type Writer struct {
 	dir, courier string
 	limit        int
 	log          *slog.Logger
 	mu           sync.Mutex
 	next         *dispatch.Snapshot
-	wake         chan struct{}
+	pending      chan struct{}
 	done         chan struct{}
 	write        func(dir string, content []byte) error
-	faults       int // in a row
+	failures     int // in a row
 	written      int
 }
 
-// Keep starts a keeper for a folder; each file holds limit bytes at most.
-func Keep(dir, courier string, limit int, log *slog.Logger) *Keeper {
-	return keep(dir, courier, limit, log, Write)
+// NewWriter starts a keeper for a folder; each file holds limit bytes at most.
+func NewWriter(dir, courier string, limit int, log *slog.Logger) *Writer {
+	return newWriter(dir, courier, limit, log, Write)
 }
 
-func keep(dir, courier string, limit int, log *slog.Logger, write func(string, []byte) error) *Keeper {
-	k := &Keeper{dir: dir, courier: courier, limit: limit, log: log, wake: make(chan struct{}, 1), done: make(chan struct{}), write: write}
-	go k.run()
-	return k
+func newWriter(dir, courier string, limit int, log *slog.Logger, write func(string, []byte) error) *Writer {
+	writer := &Writer{dir: dir, courier: courier, limit: limit, log: log, pending: make(chan struct{}, 1), done: make(chan struct{}), write: write}
+	go writer.run()
+	return writer
 }
 
 // Offer hands over what was learned; it never waits. The lore belongs to the keeper from now on.
-func (k *Keeper) Offer(l dispatch.Snapshot) {
+func (k *Writer) Offer(snapshot dispatch.Snapshot) {
 	k.mu.Lock()
-	k.next = &l
+	k.next = &snapshot
 	k.mu.Unlock()
 	select {
-	case k.wake <- struct{}{}:
+	case k.pending <- struct{}{}:
 	default: // it has been woken already
 	}
 }
 
 // Close writes what was offered last, and waits for that for a while at most.
-func (k *Keeper) Close(within time.Duration) {
-	close(k.wake)
+func (k *Writer) Close(within time.Duration) {
+	close(k.pending)
 	select {
 	case <-k.done:
 	case <-time.After(within):
@@ -55,15 +55,15 @@
 	}
 }
 
-func (k *Keeper) run() {
+func (k *Writer) run() {
 	defer close(k.done)
-	for range k.wake {
+	for range k.pending {
 		k.flush()
 	}
 	k.flush()
 }
 
-func (k *Keeper) flush() {
+func (k *Writer) flush() {
 	k.mu.Lock()
 	l := k.next
 	k.next = nil
@@ -76,14 +76,14 @@
 		err = k.write(k.dir, content)
 	}
 	if err == nil {
-		if k.faults > 0 {
-			k.log.Info("what was learned is written again", "faults", k.faults)
+		if k.failures > 0 {
+			k.log.Info("what was learned is written again", "faults", k.failures)
 		}
-		k.faults = 0
+		k.failures = 0
 		k.written++
 		return
 	}
-	if k.faults++; k.faults == 1 { // one line for a disk that stays full
+	if k.failures++; k.failures == 1 { // one line for a disk that stays full
 		k.log.Warn("what was learned was not written", "fault", err)
 	}
 }
--- a/spool/golden_test.go
+++ b/spool/golden_test.go
@@ -22,22 +22,22 @@
 	}
 	take := func(id string) {
 		t.Helper()
-		check(s.Take(&Record{ID: id, Workload: "order", Dest: 7, Party: "shop", Key: "key-1", Mark: "mark-1", Again: true, CutOff: 1_800_000_000_000_000,
+		check(s.Append(&Message{ID: id, Class: "order", Destination: 7, Tenant: "shop", OrderingKey: "key-1", IdempotencyKey: "mark-1", Resubmitted: true, Deadline: 1_800_000_000_000_000,
 			Body: []byte("body of\r\n" + id)}))
 	}
 	take("untried")
 	take("in-flight")
-	check(s.Begin("in-flight", Trip{Endpoint: "s-1", Zone: 2, Sent: 1_700_000_000_000_000}))
+	check(s.BeginAttempt("in-flight", Attempt{Endpoint: "s-1", Zone: 2, SentAt: 1_700_000_000_000_000}))
 	for _, outcome := range []string{"failure", "full", "timed_out", "unreachable", "broken", "withdrawn", "void"} {
 		take(outcome)
-		check(s.Begin(outcome, Trip{Endpoint: "s-1", Zone: 2, Sent: 1_700_000_000_000_001}))
-		check(s.Settle(outcome, 0, outcome))
-		check(s.Begin(outcome, Trip{Endpoint: "s-2", Sent: 1_700_000_000_000_002}))
+		check(s.BeginAttempt(outcome, Attempt{Endpoint: "s-1", Zone: 2, SentAt: 1_700_000_000_000_001}))
+		check(s.FinishAttempt(outcome, 0, outcome))
+		check(s.BeginAttempt(outcome, Attempt{Endpoint: "s-2", SentAt: 1_700_000_000_000_002}))
 	}
 	take("rejected")
-	check(s.End("rejected", "bounced", 250))
+	check(s.Finish("rejected", "bounced", 250))
 	take("failed")
-	check(s.End("failed", "terminated", 0))
+	check(s.Finish("failed", "terminated", 0))
 	take("over")
 	check(s.Forget("over"))
 }
@@ -45,8 +45,8 @@
 // TestSegmentIsAsRecorded: messages of every state are written byte by byte as recorded; the recorded segment, which an earlier
 // program wrote, reads as the same messages.
 func TestSegmentIsAsRecorded(t *testing.T) {
-	golden.Tagged(t, Record{})
-	golden.Tagged(t, note{})
+	golden.Tagged(t, Message{})
+	golden.Tagged(t, update{})
 	dir := t.TempDir()
 	s, _, _, err := Open(dir, 1<<20)
 	if err != nil {
--- a/spool/spool.go
+++ b/spool/spool.go
@@ -19,29 +19,29 @@
 // ErrFull says that there is no room for another record.
 var ErrFull = errors.New("spool: full")
 
-// Trip is one trip of a record; Outcome is empty while it is out, or was when the process ended.
-type Trip struct {
+// Attempt is one trip of a record; Outcome is empty while it is out, or was when the process ended.
+type Attempt struct {
 	Endpoint string `json:"e"`
 	Zone     int    `json:"z"`
-	Sent     int64  `json:"s"` // microseconds of Unix time, as all times here
+	SentAt   int64  `json:"s"` // microseconds of Unix time, as all times here
 	Outcome  string `json:"o,omitempty"`
 }
 
-// Record is all that is kept of a record.
-type Record struct {
-	ID       string `json:"id"`
-	Number   int64  `json:"n"` // in the order in which they were taken; set by Take
-	Workload string `json:"w"`
-	Dest     int    `json:"d"`
-	Party    string `json:"p,omitempty"`
-	Key      string `json:"k,omitempty"`
-	Mark     string `json:"r,omitempty"`
-	Again    bool   `json:"a,omitempty"`
-	CutOff   int64  `json:"c"`
-	Trips    []Trip `json:"t,omitempty"`
-	Ended    string `json:"x,omitempty"` // how, where the platform is still to be told
-	AgainMs  int64  `json:"m,omitempty"`
-	Body     []byte `json:"-"`
+// Message is all that is kept of a record.
+type Message struct {
+	ID             string    `json:"id"`
+	Number         int64     `json:"n"` // in the order in which they were taken; set by Append
+	Class          string    `json:"w"`
+	Destination    int       `json:"d"`
+	Tenant         string    `json:"p,omitempty"`
+	OrderingKey    string    `json:"k,omitempty"`
+	IdempotencyKey string    `json:"r,omitempty"`
+	Resubmitted    bool      `json:"a,omitempty"`
+	Deadline       int64     `json:"c"`
+	Attempts       []Attempt `json:"t,omitempty"`
+	Ended          string    `json:"x,omitempty"` // how, where the platform is still to be told
+	RetryAfterMs   int64     `json:"m,omitempty"`
+	Body           []byte    `json:"-"`
 }
 
 const (
@@ -50,16 +50,16 @@
 	overhead = 8   // length and checksum of an entry
 	// As many segments as this fit the folder: small enough that compaction, which needs room for one more,
 	// costs little of it.
-	segments = 16
-	maxEntry = 1 << 20
+	segmentsPerFolder = 16
+	maxEntry          = 1 << 20
 )
 
 const (
-	kindRecord = 'R' // a record with all that is known; replaces what was known
-	kindTrip   = 'T'
-	kindTripOf = 'O' // outcome of a trip
-	kindEnd    = 'E' // over, the platform is still to be told
-	kindGone   = 'G' // over, nothing more is owed
+	kindMessage   = 'R' // a record with all that is known; replaces what was known
+	kindAttempt   = 'T'
+	kindOutcome   = 'O' // outcome of a trip
+	kindEnd       = 'E' // over, the platform is still to be told
+	kindForgotten = 'G' // over, nothing more is owed
 )
 
 type segment struct {
@@ -69,52 +69,52 @@
 }
 
 type entry struct {
-	rec   *Record
-	size  int64 // of its last whole entry
-	home  *segment
-	extra int64 // room that its trips and its end will take, at the most
+	message *Message
+	size    int64 // of its last whole entry
+	segment *segment
+	reserve int64 // room that its trips and its end will take, at the most
 }
 
 // Spool is one folder. It belongs to one goroutine.
 type Spool struct {
-	dir     string
-	limit   int64
-	segSize int64
-	file    *os.File
-	segs    []*segment // oldest first; the last is written to
-	records map[string]*entry
-	live    int64 // what compaction would leave
-	taken   int64 // the last number given
-	scratch []byte
-	looking bool // only: nothing is written
+	dir         string
+	limit       int64
+	segmentSize int64
+	file        *os.File
+	segments    []*segment // oldest first; the last is written to
+	entries     map[string]*entry
+	live        int64 // what compaction would leave
+	lastNumber  int64 // the last number given
+	scratch     []byte
+	readOnly    bool // only: nothing is written
 }
 
 // Inspect reads a folder as Open does, and leaves it as it is; its courier may be running.
-func Inspect(dir string) (records []*Record, faults []error, err error) {
+func Inspect(dir string) (records []*Message, faults []error, err error) {
 	if info, err := os.Stat(dir); err != nil || !info.IsDir() {
 		return nil, nil, fmt.Errorf("%s: a folder was expected", dir)
 	}
-	s := &Spool{dir: dir, records: map[string]*entry{}, looking: true}
+	s := &Spool{dir: dir, entries: map[string]*entry{}, readOnly: true}
 	records, faults, _, err = s.load()
 	return records, faults, err
 }
 
 // Open reads a folder and returns what is unfinished in it, in the order in which it was taken on; faults are
 // what was dropped on the way. limit is the most that the folder may ever hold, in bytes.
-func Open(dir string, limit int64) (s *Spool, unfinished []*Record, faults []error, err error) {
-	s = &Spool{dir: dir, limit: limit, segSize: max(limit/segments/block*block, 4*block), records: map[string]*entry{}}
+func Open(dir string, limit int64) (s *Spool, unfinished []*Message, faults []error, err error) {
+	s = &Spool{dir: dir, limit: limit, segmentSize: max(limit/segmentsPerFolder/block*block, 4*block), entries: map[string]*entry{}}
 	unfinished, faults, next, err := s.load()
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	if err := s.begin(next); err != nil {
+	if err := s.startSegment(next); err != nil {
 		return nil, nil, faults, err
 	}
 	return s, unfinished, faults, s.compact()
 }
 
 // load reads all segments; next is the number of the one to begin.
-func (s *Spool) load() (unfinished []*Record, faults []error, next int, err error) {
+func (s *Spool) load() (unfinished []*Message, faults []error, next int, err error) {
 	names, err := filepath.Glob(filepath.Join(s.dir, "*.seg"))
 	if err != nil {
 		return nil, nil, 0, err
@@ -132,12 +132,12 @@
 		if err := s.read(name, seg, i == len(names)-1); err != nil {
 			faults = append(faults, fmt.Errorf("%s: %w", filepath.Base(name), err))
 		}
-		s.segs = append(s.segs, seg)
+		s.segments = append(s.segments, seg)
 	}
-	for _, e := range s.records {
-		unfinished = append(unfinished, e.rec)
+	for _, entry := range s.entries {
+		unfinished = append(unfinished, entry.message)
 	}
-	slices.SortFunc(unfinished, func(a, b *Record) int { return cmp.Compare(a.Number, b.Number) })
+	slices.SortFunc(unfinished, func(a, b *Message) int { return cmp.Compare(a.Number, b.Number) })
 	return unfinished, faults, next, nil
 }
 
@@ -146,7 +146,7 @@
 }
 
 // begin starts a new segment.
-func (s *Spool) begin(number int) error {
+func (s *Spool) startSegment(number int) error {
 	if s.file != nil {
 		s.file.Close()
 	}
@@ -159,14 +159,14 @@
 		return err
 	}
 	s.file = f
-	s.segs = append(s.segs, &segment{number: number, size: int64(len(magic)), live: map[string]int64{}})
+	s.segments = append(s.segments, &segment{number: number, size: int64(len(magic)), live: map[string]int64{}})
 	return nil
 }
 
 // read takes in one segment up to the first entry that does not hold; the rest of the file is cut off.
 func (s *Spool) read(name string, seg *segment, last bool) error {
 	mode := os.O_RDWR
-	if s.looking {
+	if s.readOnly {
 		mode = os.O_RDONLY
 	}
 	f, err := os.OpenFile(name, mode, 0)
@@ -204,12 +204,12 @@
 	if at < len(data) {
 		seg.size = int64(at)
 		if !torn || !last {
-			s.distrust()
+			s.markUncertain()
 		}
-		if s.looking && torn && last {
+		if s.readOnly && torn && last {
 			return nil // being written just now
 		}
-		if s.looking {
+		if s.readOnly {
 			return fmt.Errorf("torn or damaged at byte %d: the last %d bytes cannot be read", at, len(data)-at)
 		}
 		if err := f.Truncate(int64(at)); err != nil {
@@ -221,61 +221,61 @@
 }
 
 // distrust: entries that had held are gone, so that any record known here may have ended or been sent since.
-func (s *Spool) distrust() {
-	for _, e := range s.records {
-		e.rec.Trips = append(e.rec.Trips, Trip{})
+func (s *Spool) markUncertain() {
+	for _, entry := range s.entries {
+		entry.message.Attempts = append(entry.message.Attempts, Attempt{})
 	}
 }
 
-type note struct {
-	ID      string `json:"id"`
-	Trip    int    `json:"n,omitempty"`
-	Of      *Trip  `json:"t,omitempty"`
-	Outcome string `json:"o,omitempty"`
-	AgainMs int64  `json:"m,omitempty"`
+type update struct {
+	ID           string   `json:"id"`
+	Attempt      int      `json:"n,omitempty"`
+	Begun        *Attempt `json:"t,omitempty"`
+	Outcome      string   `json:"o,omitempty"`
+	RetryAfterMs int64    `json:"m,omitempty"`
 }
 
 // apply takes in one entry: a kind, a JSON head and, for a record, its body after the head.
 func (s *Spool) apply(seg *segment, body []byte) bool {
-	if body[0] == kindRecord {
+	if body[0] == kindMessage {
 		if len(body) < 5 {
 			return false
 		}
 		n := int(binary.LittleEndian.Uint32(body[1:]))
-		r := &Record{}
-		if n > len(body)-5 || json.Unmarshal(body[5:5+n], r) != nil {
+		message := &Message{}
+		if n > len(body)-5 || json.Unmarshal(body[5:5+n], message) != nil {
 			return false
 		}
-		r.Body = append([]byte{}, body[5+n:]...)
-		if old := s.records[r.ID]; old != nil {
-			*old.rec = *r
-			r = old.rec
+		message.Body = append([]byte{}, body[5+n:]...)
+		if old := s.entries[message.ID]; old != nil {
+			*old.message = *message
+			message = old.message
 		}
-		s.taken = max(s.taken, r.Number)
-		s.place(r, seg, int64(len(body)+overhead))
+		s.lastNumber = max(s.lastNumber, message.Number)
+		s.index(message, seg, int64(len(body)+overhead))
 		return true
 	}
-	var m note
-	if json.Unmarshal(body[1:], &m) != nil {
+	var update update
+	if json.Unmarshal(body[1:], &update) != nil {
 		return false
 	}
-	e := s.records[m.ID]
-	if e == nil {
+	entry := s.entries[update.ID]
+	if entry == nil {
 		return true // it ended before, and what it began with is gone
 	}
 	switch body[0] {
-	case kindTrip:
-		if m.Of != nil {
-			e.rec.Trips = append(e.rec.Trips, *m.Of)
+	case kindAttempt:
+		if update.Begun != nil {
+			entry.message.Attempts = append(entry.message.Attempts, *update.Begun)
 		}
-	case kindTripOf:
-		if m.Trip < len(e.rec.Trips) && m.Trip >= 0 {
-			e.rec.Trips[m.Trip].Outcome = m.Outcome
+	case kindOutcome:
+		if update.Attempt < len(entry.message.Attempts) && update.Attempt >= 0 {
+			entry.message.Attempts[update.Attempt].Outcome = update.Outcome
 		}
 	case kindEnd:
-		e.rec.Ended, e.rec.AgainMs = m.Outcome, m.AgainMs
-	case kindGone:
-		s.forget(m.ID)
+		entry.message.Ended, entry.message.RetryAfterMs = update.Outcome, update.RetryAfterMs
+	case kindForgotten:
+		s.forget(update.ID)
 	default:
 		return false
 	}
@@ -283,27 +283,27 @@
 }
 
 // place notes where a record's last whole entry stands.
-func (s *Spool) place(r *Record, seg *segment, size int64) {
-	s.forget(r.ID)
+func (s *Spool) index(message *Message, seg *segment, size int64) {
+	s.forget(message.ID)
 	// What its trips add to a whole entry is kept free, or compaction could need more than there is.
-	e := &entry{rec: r, size: size, home: seg, extra: 1024}
-	s.records[r.ID] = e
-	seg.live[r.ID] = size
-	s.live += size + e.extra
+	entry := &entry{message: message, size: size, segment: seg, reserve: 1024}
+	s.entries[message.ID] = entry
+	seg.live[message.ID] = size
+	s.live += size + entry.reserve
 }
 
 func (s *Spool) forget(id string) {
-	if e := s.records[id]; e != nil {
-		delete(e.home.live, id)
-		s.live -= e.size + e.extra
-		delete(s.records, id)
+	if entry := s.entries[id]; entry != nil {
+		delete(entry.segment.live, id)
+		s.live -= entry.size + entry.reserve
+		delete(s.entries, id)
 	}
 }
 
-func (s *Spool) encode(r *Record) []byte {
-	head, _ := json.Marshal(r) // strings and numbers: it cannot fail
-	b := append([]byte{kindRecord}, binary.LittleEndian.AppendUint32(nil, uint32(len(head)))...)
-	return append(append(b, head...), r.Body...)
+func (s *Spool) encode(message *Message) []byte {
+	head, _ := json.Marshal(message) // strings and numbers: it cannot fail
+	b := append([]byte{kindMessage}, binary.LittleEndian.AppendUint32(nil, uint32(len(head)))...)
+	return append(append(b, head...), message.Body...)
 }
 
 func frame(dst, body []byte) []byte {
@@ -312,63 +312,63 @@
 	return append(dst, body...)
 }
 
-// Take puts a record into the spool; after ErrFull nothing of it is there.
-func (s *Spool) Take(r *Record) error {
-	if s.records[r.ID] != nil {
-		return fmt.Errorf("spool: %s is there already", r.ID)
+// Append puts a record into the spool; after ErrFull nothing of it is there.
+func (s *Spool) Append(message *Message) error {
+	if s.entries[message.ID] != nil {
+		return fmt.Errorf("spool: %s is there already", message.ID)
 	}
-	r.Number = s.taken + 1
-	body := s.encode(r)
+	message.Number = s.lastNumber + 1
+	body := s.encode(message)
 	// Half of the folder is for what is live: the rest is garbage not yet dropped, and room to compact.
-	if size := int64(len(body) + overhead); s.live+size+1024 > s.limit/2 || size > 2*s.segSize {
+	if size := int64(len(body) + overhead); s.live+size+1024 > s.limit/2 || size > 2*s.segmentSize {
 		return ErrFull
 	}
 	if err := s.write(body); err != nil {
 		return err
 	}
-	s.taken = r.Number
-	s.place(r, s.segs[len(s.segs)-1], int64(len(body)+overhead))
+	s.lastNumber = message.Number
+	s.index(message, s.segments[len(s.segments)-1], int64(len(body)+overhead))
 	return s.compact()
 }
 
-// Begin notes a trip before it goes out.
-func (s *Spool) Begin(id string, t Trip) error {
-	if e := s.records[id]; e != nil {
-		e.rec.Trips = append(e.rec.Trips, t)
-		return s.note(kindTrip, note{ID: id, Of: &t})
+// BeginAttempt notes a trip before it goes out.
+func (s *Spool) BeginAttempt(id string, t Attempt) error {
+	if entry := s.entries[id]; entry != nil {
+		entry.message.Attempts = append(entry.message.Attempts, t)
+		return s.writeUpdate(kindAttempt, update{ID: id, Begun: &t})
 	}
 	return nil
 }
 
-// Settle notes how a trip ended.
-func (s *Spool) Settle(id string, trip int, outcome string) error {
-	if e := s.records[id]; e != nil && trip < len(e.rec.Trips) {
-		e.rec.Trips[trip].Outcome = outcome
-		return s.note(kindTripOf, note{ID: id, Trip: trip, Outcome: outcome})
+// FinishAttempt notes how a trip ended.
+func (s *Spool) FinishAttempt(id string, trip int, outcome string) error {
+	if entry := s.entries[id]; entry != nil && trip < len(entry.message.Attempts) {
+		entry.message.Attempts[trip].Outcome = outcome
+		return s.writeUpdate(kindOutcome, update{ID: id, Attempt: trip, Outcome: outcome})
 	}
 	return nil
 }
 
-// End notes that a record is over and the platform is still to be told how.
-func (s *Spool) End(id, how string, againMs int64) error {
-	if e := s.records[id]; e != nil {
-		e.rec.Ended, e.rec.AgainMs = how, againMs
-		return s.note(kindEnd, note{ID: id, Outcome: how, AgainMs: againMs})
+// Finish notes that a record is over and the platform is still to be told how.
+func (s *Spool) Finish(id, how string, againMs int64) error {
+	if entry := s.entries[id]; entry != nil {
+		entry.message.Ended, entry.message.RetryAfterMs = how, againMs
+		return s.writeUpdate(kindEnd, update{ID: id, Outcome: how, RetryAfterMs: againMs})
 	}
 	return nil
 }
 
 // Forget notes that nothing more is owed for a record.
 func (s *Spool) Forget(id string) error {
-	if s.records[id] == nil {
+	if s.entries[id] == nil {
 		return nil
 	}
 	s.forget(id)
-	return s.note(kindGone, note{ID: id})
+	return s.writeUpdate(kindForgotten, update{ID: id})
 }
 
-func (s *Spool) note(kind byte, m note) error {
-	head, _ := json.Marshal(m) // strings and numbers: it cannot fail
+func (s *Spool) writeUpdate(kind byte, update update) error {
+	head, _ := json.Marshal(update) // strings and numbers: it cannot fail
 	if err := s.write(append([]byte{kind}, head...)); err != nil {
 		return err
 	}
@@ -377,12 +377,12 @@
 
 // write appends one entry, in a new segment if this one is full.
 func (s *Spool) write(body []byte) error {
-	last := s.segs[len(s.segs)-1]
-	if last.size > int64(len(magic)) && last.size+int64(len(body)+overhead) > s.segSize {
-		if err := s.begin(last.number + 1); err != nil {
+	last := s.segments[len(s.segments)-1]
+	if last.size > int64(len(magic)) && last.size+int64(len(body)+overhead) > s.segmentSize {
+		if err := s.startSegment(last.number + 1); err != nil {
 			return err
 		}
-		last = s.segs[len(s.segs)-1]
+		last = s.segments[len(s.segments)-1]
 	}
 	s.scratch = frame(s.scratch[:0], body)
 	n, err := s.file.Write(s.scratch)
@@ -399,7 +399,7 @@
 // Size is what the folder holds, each file counted in whole blocks.
 func (s *Spool) Size() int64 {
 	total := int64(0)
-	for _, seg := range s.segs {
+	for _, seg := range s.segments {
 		total += (seg.size + block - 1) / block * block
 	}
 	return total
@@ -407,29 +407,29 @@
 
 // compact drops the oldest segments while more is garbage than live, or little room is left.
 func (s *Spool) compact() error {
-	for len(s.segs) > 1 {
+	for len(s.segments) > 1 {
 		size := s.Size()
-		if size <= s.limit*3/4 && (len(s.segs) < 4 || size < 3*s.live) {
+		if size <= s.limit*3/4 && (len(s.segments) < 4 || size < 3*s.live) {
 			return nil
 		}
-		oldest := s.segs[0]
+		oldest := s.segments[0]
 		ids := make([]string, 0, len(oldest.live))
 		for id := range oldest.live {
 			ids = append(ids, id)
 		}
 		slices.Sort(ids)
 		for _, id := range ids {
-			e := s.records[id]
-			body := s.encode(e.rec)
+			entry := s.entries[id]
+			body := s.encode(entry.message)
 			if err := s.write(body); err != nil {
 				return err
 			}
-			s.place(e.rec, s.segs[len(s.segs)-1], int64(len(body)+overhead))
+			s.index(entry.message, s.segments[len(s.segments)-1], int64(len(body)+overhead))
 		}
 		if err := os.Remove(s.path(oldest.number)); err != nil {
 			return err
 		}
-		s.segs = s.segs[1:]
+		s.segments = s.segments[1:]
 	}
 	return nil
 }
@@ -440,5 +440,5 @@
 // Resize sets what the folder may hold from now on. With less than is held nothing is dropped: no new record is taken
 // until what is live fits again.
 func (s *Spool) Resize(limit int64) {
-	s.limit, s.segSize = limit, max(limit/segments/block*block, 4*block)
+	s.limit, s.segmentSize = limit, max(limit/segmentsPerFolder/block*block, 4*block)
 }
