--- a/spool/spool_test.go
+++ b/spool/spool_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-func open(t *testing.T, dir string, limit int64) (*Spool, []*Record, []error) {
+func open(t *testing.T, dir string, limit int64) (*Spool, []*Message, []error) {
 	t.Helper()
 	s, unfinished, faults, err := Open(dir, limit)
 	if err != nil {
@@ -30,16 +30,16 @@
 func TestComesBackAsItWas(t *testing.T) {
 	dir := t.TempDir()
 	s, _, _ := open(t, dir, 1e6)
-	a := &Record{ID: "a", Workload: "w", Dest: 3, Party: "p", Key: "k", Mark: "m", Again: true, CutOff: 99, Body: []byte("\x00\r\n")}
-	must(t, s.Take(a), s.Take(&Record{ID: "b"}), s.Take(&Record{ID: "c"}), s.Take(&Record{ID: "d"}),
-		s.Begin("a", Trip{Endpoint: "e", Zone: 1, Sent: 5}), s.Settle("a", 0, "full"), s.Begin("a", Trip{Endpoint: "f", Sent: 6}),
-		s.Forget("b"), s.End("c", "bounced", 70))
-	if err := s.Take(&Record{ID: "a"}); err == nil {
+	a := &Message{ID: "a", Class: "w", Destination: 3, Tenant: "p", OrderingKey: "k", IdempotencyKey: "m", Resubmitted: true, Deadline: 99, Body: []byte("\x00\r\n")}
+	must(t, s.Append(a), s.Append(&Message{ID: "b"}), s.Append(&Message{ID: "c"}), s.Append(&Message{ID: "d"}),
+		s.BeginAttempt("a", Attempt{Endpoint: "e", Zone: 1, SentAt: 5}), s.FinishAttempt("a", 0, "full"), s.BeginAttempt("a", Attempt{Endpoint: "f", SentAt: 6}),
+		s.Forget("b"), s.Finish("c", "bounced", 70))
+	if err := s.Append(&Message{ID: "a"}); err == nil {
 		t.Error("taken twice")
 	}
 	_, got, faults := open(t, dir, 1e6)
-	want := []*Record{{ID: "a", Number: 1, Workload: "w", Dest: 3, Party: "p", Key: "k", Mark: "m", Again: true, CutOff: 99, Body: []byte("\x00\r\n"),
-		Trips: []Trip{{"e", 1, 5, "full"}, {"f", 0, 6, ""}}}, {ID: "c", Number: 3, Ended: "bounced", AgainMs: 70, Body: []byte{}}, {ID: "d", Number: 4, Body: []byte{}}}
+	want := []*Message{{ID: "a", Number: 1, Class: "w", Destination: 3, Tenant: "p", OrderingKey: "k", IdempotencyKey: "m", Resubmitted: true, Deadline: 99, Body: []byte("\x00\r\n"),
+		Attempts: []Attempt{{"e", 1, 5, "full"}, {"f", 0, 6, ""}}}, {ID: "c", Number: 3, Ended: "bounced", RetryAfterMs: 70, Body: []byte{}}, {ID: "d", Number: 4, Body: []byte{}}}
 	if len(faults) > 0 || !reflect.DeepEqual(got, want) {
 		t.Errorf("%v, %+v", faults, got)
 	}
@@ -54,17 +54,17 @@
 		held int
 	}
 	var marks []mark
-	note := func(held int) { marks = append(marks, mark{s.segs[len(s.segs)-1].size, held}) }
+	note := func(held int) { marks = append(marks, mark{s.segments[len(s.segments)-1].size, held}) }
 	note(0)
-	must(t, s.Take(&Record{ID: "a", Body: []byte("body")}))
+	must(t, s.Append(&Message{ID: "a", Body: []byte("body")}))
 	note(1)
-	must(t, s.Begin("a", Trip{Endpoint: "e"}))
+	must(t, s.BeginAttempt("a", Attempt{Endpoint: "e"}))
 	note(1)
-	must(t, s.Take(&Record{ID: "b"}))
+	must(t, s.Append(&Message{ID: "b"}))
 	note(2)
 	must(t, s.Forget("a"))
 	note(1)
-	name := s.path(s.segs[len(s.segs)-1].number)
+	name := s.path(s.segments[len(s.segments)-1].number)
 	whole, err := os.ReadFile(name)
 	must(t, err)
 	for cut := range whole {
@@ -80,7 +80,7 @@
 		if len(got) != held || (len(faults) == 0) != clean {
 			t.Fatalf("cut at %d: %d records and %v, want %d", cut, len(got), faults, held)
 		}
-		must(t, s.Take(&Record{ID: "later"}), s.Close())
+		must(t, s.Append(&Message{ID: "later"}), s.Close())
 		if _, got, faults := open(t, dir, 1e6); len(got) != held+1 || len(faults) > 0 && cut >= len(magic) {
 			t.Fatalf("cut at %d: after another start %d records, %v", cut, len(got), faults)
 		}
@@ -90,8 +90,8 @@
 func TestDamageIsNamedAndSurvived(t *testing.T) {
 	dir := t.TempDir()
 	s, _, _ := open(t, dir, 1e6)
-	must(t, s.Take(&Record{ID: "a"}), s.Take(&Record{ID: "b"}))
-	name := s.path(s.segs[len(s.segs)-1].number)
+	must(t, s.Append(&Message{ID: "a"}), s.Append(&Message{ID: "b"}))
+	name := s.path(s.segments[len(s.segments)-1].number)
 	data, err := os.ReadFile(name)
 	must(t, err)
 	data[len(data)-1] ^= 1
@@ -101,7 +101,7 @@
 	if len(got) != 1 || len(faults) != 3 {
 		t.Fatalf("%d records, %v", len(got), faults)
 	}
-	if len(got[0].Trips) != 1 || got[0].Trips[0].Outcome != "" {
+	if len(got[0].Attempts) != 1 || got[0].Attempts[0].Outcome != "" {
 		t.Errorf("what was noted of it may be gone, yet it counts as never sent: %+v", got[0])
 	}
 }
@@ -120,7 +120,7 @@
 		switch n := rng.Intn(10); {
 		case n < 4 || len(ids) == 0:
 			id := fmt.Sprint("r", i)
-			err := s.Take(&Record{ID: id, Body: make([]byte, rng.Intn(6000))})
+			err := s.Append(&Message{ID: id, Body: make([]byte, rng.Intn(6000))})
 			if errors.Is(err, ErrFull) {
 				full++
 				continue
@@ -130,12 +130,12 @@
 			ids = append(ids, id)
 		case n < 6:
 			if id := ids[rng.Intn(len(ids))]; live[id] < 8 {
-				must(t, s.Begin(id, Trip{Endpoint: "endpoint"}), s.Settle(id, live[id], "unreachable"))
+				must(t, s.BeginAttempt(id, Attempt{Endpoint: "endpoint"}), s.FinishAttempt(id, live[id], "unreachable"))
 				live[id]++
 			}
 		default:
 			k := rng.Intn(len(ids))
-			must(t, s.End(ids[k], "bounced", 5), s.Forget(ids[k]))
+			must(t, s.Finish(ids[k], "bounced", 5), s.Forget(ids[k]))
 			delete(live, ids[k])
 			ids = append(ids[:k], ids[k+1:]...)
 		}
@@ -153,18 +153,18 @@
 		}
 		if i%2500 == 0 {
 			must(t, s.Close())
-			var got []*Record
+			var got []*Message
 			var faults []error
 			s, got, faults = open(t, dir, limit)
 			if len(got) != len(live) || len(faults) > 0 {
 				t.Fatalf("after %d events %d records came back of %d, %v", i, len(got), len(live), faults)
 			}
-			for i, r := range got {
-				if i > 0 && got[i-1].Number >= r.Number {
+			for i, message := range got {
+				if i > 0 && got[i-1].Number >= message.Number {
 					t.Fatal("not in the order in which they were taken")
 				}
-				if trips, ok := live[r.ID]; !ok || len(r.Trips) != trips {
-					t.Fatalf("%s came back with %d trips, want %d, %v", r.ID, len(r.Trips), trips, ok)
+				if trips, ok := live[message.ID]; !ok || len(message.Attempts) != trips {
+					t.Fatalf("%s came back with %d trips, want %d, %v", message.ID, len(message.Attempts), trips, ok)
 				}
 			}
 		}
--- a/testbed/capacity/rows_courier.go
+++ b/testbed/capacity/rows_courier.go
@@ -125,7 +125,7 @@
 	look.Told = lookedAtRarely
 	return []Row{
 		{Role: RoleCourier, Resource: Bound, What: "members that a view keeps by name; the failed beyond are counted on", Unit: "couriers",
-			Worked: fleetMembers.At, CodeBound: &CodeBound{"mostNames", "membership/membership.go", mostNames}, Mechanism: Membership, Package: "membership", Standing: RunsToday},
+			Worked: fleetMembers.At, CodeBound: &CodeBound{"maxNames", "membership/membership.go", mostNames}, Mechanism: Membership, Package: "membership", Standing: RunsToday},
 		{Role: RoleCourier, Resource: Bound, What: "starts that a full exchange tells; a larger one is refused whole", Unit: "couriers",
 			Worked: fleetMembers.At, CodeBound: &CodeBound{"MaxMapPairs", "membership/gossip/gossip.go", 8192}, Mechanism: Membership, Package: "membership/gossip", Standing: RunsToday},
 		member(Messages, "packets of membership sent", "couriers.packets", "packets/s", nil),
@@ -158,7 +158,7 @@
 	fleet.Told = hearsFew
 	return []Row{
 		{Role: RoleCourier, Resource: Bound, What: "routes whose limits are shared, of those called within two minutes; others are left out", Unit: "routes",
-			Worked: sharedRoutes.At, CodeBound: &CodeBound{"mostKeys", "quota/quota.go", 1024}, Mechanism: Sharing, Package: "commons", Standing: RunsToday},
+			Worked: sharedRoutes.At, CodeBound: &CodeBound{"maxKeys", "quota/quota.go", 1024}, Mechanism: Sharing, Package: "quota", Standing: RunsToday},
 		beats, heard,
 		fleet,
 		share(Memory, "sharing, over the routes in use", "sharing.kept_bytes.routes_over_room", "bytes", sharedRoutes, controlMemory),
--- a/testbed/capacity/sizes.go
+++ b/testbed/capacity/sizes.go
@@ -18,7 +18,7 @@
 	sharedRoutes = Size{"routes", func(_ *Plan, d *Derived) float64 { return d.RoutesLately }}
 )
 
-// mostNames is what a view keeps by name: mostNames of membership/membership.go.
+// mostNames is what a view keeps by name: maxNames of membership/membership.go.
 const mostNames = 4096
 
 // Factors of a part.
--- a/testbed/fleet/fleet.go
+++ b/testbed/fleet/fleet.go
@@ -146,9 +146,9 @@
 	bin := int(now.Microseconds() / int64(invariants.Bin))
 	sums := map[int32][2]float64{}
 	for _, s := range r.shared {
-		for _, l := range s.Lines {
+		for _, l := range s.Groups {
 			sum := sums[l.Dest]
-			sums[l.Dest] = [2]float64{sum[0] + float64(l.Lent)/1e6, sum[1] + float64(l.Borrowed)/1e6}
+			sums[l.Dest] = [2]float64{sum[0] + float64(l.Granted)/1e6, sum[1] + float64(l.Leased)/1e6}
 		}
 	}
 	for dest, sum := range sums {
@@ -199,7 +199,7 @@
 	res    *Result
 	looks  []look
 	loans  invariants.Loans
-	shared []exchange.Shown
+	shared []exchange.Status
 	idle   []string
 }
 
@@ -228,7 +228,7 @@
 		o.Dir = dir
 	}
 	r := &rig{plan: p, o: o, n: d.Fleet.Couriers, down: map[int]time.Time{}, back: map[int]time.Time{}, starts: map[int]int{}, on: map[string]int{},
-		saw: map[[2]int]string{}, looks: make([]look, d.Fleet.Couriers), shared: make([]exchange.Shown, d.Fleet.Couriers), res: &Result{Couriers: d.Fleet.Couriers, False: map[string]int{}, Parts: Parts{}}}
+		saw: map[[2]int]string{}, looks: make([]look, d.Fleet.Couriers), shared: make([]exchange.Status, d.Fleet.Couriers), res: &Result{Couriers: d.Fleet.Couriers, False: map[string]int{}, Parts: Parts{}}}
 	if err := r.addresses(); err != nil {
 		return nil, err
 	}
@@ -442,7 +442,7 @@
 // see asks a courier what it believes, and what it has lent and borrowed.
 func (r *rig) see(client *http.Client, no int) (l look, ok bool) {
 	if ok = get(client, r.ops[no], "/peers", &l); ok && r.o.Share {
-		var s exchange.Shown
+		var s exchange.Status
 		from := r.field.Since()
 		if get(client, r.ops[no], "/commons", &s) {
 			r.borrow(no, from, r.field.Since(), s)
@@ -461,12 +461,12 @@
 }
 
 // borrow holds what a courier shows of its loans against what the others show.
-func (r *rig) borrow(no int, from, to time.Duration, s exchange.Shown) {
-	lots := func(of func(quota.Line) []quota.Lot) (all [][]invariants.Lot) {
-		for _, line := range s.Lines {
+func (r *rig) borrow(no int, from, to time.Duration, s exchange.Status) {
+	lots := func(of func(quota.Status) []quota.LeaseStatus) (all [][]invariants.Lot) {
+		for _, line := range s.Groups {
 			var route []invariants.Lot
 			for _, lot := range of(line) {
-				route = append(route, invariants.Lot{Who: lot.Who, No: lot.No, Units: int64(lot.Units), Base: int64(line.Base)})
+				route = append(route, invariants.Lot{Who: lot.Courier, No: lot.LeaseID, Units: int64(lot.Units), Base: int64(line.Base)})
 			}
 			all = append(all, route)
 		}
@@ -475,8 +475,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.shared[no] = s
-	r.loans.Saw(invariants.Look{Name: fmt.Sprintf("n%d", no), Start: s.Start, From: dispatch.Micros(from.Microseconds()), To: dispatch.Micros(to.Microseconds()),
-		Lent: lots(func(l quota.Line) []quota.Lot { return l.LentTo }), Used: lots(func(l quota.Line) []quota.Lot { return l.From })})
+	r.loans.Saw(invariants.Look{Name: fmt.Sprintf("n%d", no), Start: s.Incarnation, From: dispatch.Micros(from.Microseconds()), To: dispatch.Micros(to.Microseconds()),
+		Lent: lots(func(l quota.Status) []quota.LeaseStatus { return l.Grants }), Used: lots(func(l quota.Status) []quota.LeaseStatus { return l.Leases })})
 }
 
 // watch looks at every courier again and again, and books what changed.
@@ -589,7 +589,7 @@
 	}
 	r.res.Loans, r.res.Widest, r.res.Overspent = r.loans.Seen, r.loans.Widest, r.loans.Breaches
 	for _, s := range r.shared {
-		r.res.Packets += float64(s.Out) / seconds
+		r.res.Packets += float64(s.PacketsOut) / seconds
 		r.res.ShareBytes += float64(s.BytesOut) / seconds
 	}
 }
--- a/testbed/scale/held.go
+++ b/testbed/scale/held.go
@@ -52,11 +52,11 @@
 // held measures what a backlog costs: messages held for destinations that are down.
 type held struct {
 	decide   decide
-	recovers func(unfinished []*spool.Record) []*spool.Record // what a restart finds of a spool
+	recovers func(unfinished []*spool.Message) []*spool.Message // what a restart finds of a spool
 }
 
 func heldExperiment() Experiment {
-	return held{realDecisions, func(unfinished []*spool.Record) []*spool.Record { return unfinished }}.experiment()
+	return held{realDecisions, func(unfinished []*spool.Message) []*spool.Message { return unfinished }}.experiment()
 }
 
 func (h held) experiment() Experiment {
@@ -224,8 +224,8 @@
 	defer kept.Close()
 	body := make([]byte, heldBody)
 	for number, id := range messageIDs(count) {
-		message := &spool.Record{ID: string(id), Workload: className, Dest: number % down, CutOff: int64(realNow() + messageDeadline), Body: body}
-		if err := kept.Take(message); err != nil {
+		message := &spool.Message{ID: string(id), Class: className, Destination: number % down, Deadline: int64(realNow() + messageDeadline), Body: body}
+		if err := kept.Append(message); err != nil {
 			return 0, err
 		}
 	}
@@ -284,11 +284,11 @@
 }
 
 // recovered is what the router tells the decisions of each message at its start, kept in the same way until the first step.
-func recovered(unfinished []*spool.Record) []dispatch.Event {
+func recovered(unfinished []*spool.Message) []dispatch.Event {
 	var events []dispatch.Event
 	for _, kept := range unfinished {
-		events = append(events, dispatch.MessageRecovered{MessageAccepted: dispatch.MessageAccepted{Message: dispatch.MessageID(kept.ID), Destination: dispatch.DestinationID(kept.Dest),
-			Deadline: dispatch.Micros(kept.CutOff)}})
+		events = append(events, dispatch.MessageRecovered{MessageAccepted: dispatch.MessageAccepted{Message: dispatch.MessageID(kept.ID), Destination: dispatch.DestinationID(kept.Destination),
+			Deadline: dispatch.Micros(kept.Deadline)}})
 	}
 	return events
 }
--- a/testbed/scale/held_test.go
+++ b/testbed/scale/held_test.go
@@ -25,7 +25,7 @@
 	return func(settings dispatch.Config) simulation.Decider { return spoilt{dispatch.New(settings), spoil} }
 }
 
-func allRecovered(unfinished []*spool.Record) []*spool.Record { return unfinished }
+func allRecovered(unfinished []*spool.Message) []*spool.Message { return unfinished }
 
 // expectFailure plays an experiment quickly and holds it against what its check is expected to say; empty: that it passes.
 func expectFailure(t *testing.T, experiment Experiment, say string) {
@@ -84,7 +84,7 @@
 		})
 	}
 	t.Run("a restart loses one", func(t *testing.T) {
-		lossy := func(unfinished []*spool.Record) []*spool.Record { return unfinished[1:] }
+		lossy := func(unfinished []*spool.Message) []*spool.Message { return unfinished[1:] }
 		expectFailure(t, held{realDecisions, lossy}.experiment(), "a restart found")
 	})
 	t.Run("a restart gives one up", func(t *testing.T) {
--- a/testbed/scale/members.go
+++ b/testbed/scale/members.go
@@ -121,15 +121,15 @@
 	f.starts[i]++
 	size := len(f.members)
 	member, err := gossip.Open(gossip.Options{
-		Name:      memberName(i),
-		Start:     f.starts[i],
-		Couriers:  size,
-		Fleet:     fleetLabel,
-		Key:       fleetKey,
-		Join:      []string{f.mesh.At(0), f.mesh.At((i + 1) % size), f.mesh.At((i + size/2) % size)},
-		Pace:      f.pace,
-		Salt:      f.seed*int64(size) + int64(i),
-		Transport: countingTransport{f.mesh.Join(i), &f.traffic},
+		Name:        memberName(i),
+		Incarnation: f.starts[i],
+		FleetSize:   size,
+		Fleet:       fleetLabel,
+		Key:         fleetKey,
+		Join:        []string{f.mesh.At(0), f.mesh.At((i + 1) % size), f.mesh.At((i + size/2) % size)},
+		Interval:    f.pace,
+		Seed:        f.seed*int64(size) + int64(i),
+		Transport:   countingTransport{f.mesh.Join(i), &f.traffic},
 	})
 	if err != nil {
 		return err
@@ -144,7 +144,7 @@
 		f.mesh.Drop(i)
 	}
 	for _, i := range dead {
-		f.members[i].Hand()
+		f.members[i].HandOff()
 		f.members[i] = nil
 	}
 }
@@ -156,7 +156,7 @@
 	}
 	for _, member := range f.members {
 		if member != nil {
-			member.Hand()
+			member.HandOff()
 		}
 	}
 }
@@ -174,14 +174,14 @@
 type spread struct{ half, all time.Duration }
 
 // await waits until every member that is up knows of something.
-func (f *hollowFleet) await(ctx context.Context, what string, knows func(picture membership.Picture) bool) (spread, error) {
+func (f *hollowFleet) await(ctx context.Context, what string, knows func(picture membership.Snapshot) bool) (spread, error) {
 	begun := time.Now()
 	pending := f.up()
 	half, known := len(pending)/2, spread{}
 	for {
 		pending = slices.DeleteFunc(pending, func(member *gossip.Member) bool {
-			picture := member.Picture()
-			if picture.Most < len(f.members) {
+			picture := member.Snapshot()
+			if picture.MaxCouriers < len(f.members) {
 				f.fewer++
 			}
 			return knows(picture)
@@ -196,7 +196,7 @@
 		}
 		if since > f.patience {
 			return spread{}, fmt.Errorf("%d of %d members did not know of %s within %v; one of them: %s", len(pending), len(f.up()), what, f.patience,
-				summary(pending[0].Picture()))
+				summary(pending[0].Snapshot()))
 		}
 		if err := sleep(ctx, f.pace/looksPerPace); err != nil {
 			return spread{}, err
@@ -205,12 +205,12 @@
 }
 
 // summary tells how many members a picture has in which state.
-func summary(picture membership.Picture) string {
+func summary(picture membership.Snapshot) string {
 	states := map[string]int{}
 	for _, member := range picture.Members {
-		states[member.Is]++
+		states[member.StateName]++
 	}
-	return fmt.Sprintf("%s, %d to %d couriers, %v", picture.Standing, picture.Least, picture.Most, states)
+	return fmt.Sprintf("%s, %d to %d couriers, %v", picture.LocalStatus, picture.MinCouriers, picture.MaxCouriers, states)
 }
 
 func (f *hollowFleet) up() (all []*gossip.Member) {
@@ -225,20 +225,20 @@
 // awaitWhole waits until every member hears all others.
 func (f *hollowFleet) awaitWhole(ctx context.Context) (spread, error) {
 	size := len(f.members)
-	return f.await(ctx, "the whole fleet", func(picture membership.Picture) bool {
-		return picture.Standing == membership.Whole.String() && picture.Least == size
+	return f.await(ctx, "the whole fleet", func(picture membership.Snapshot) bool {
+		return picture.LocalStatus == membership.Complete.String() && picture.MinCouriers == size
 	})
 }
 
 // awaitDeaths waits until every member that is up believes that all the dead have failed.
 func (f *hollowFleet) awaitDeaths(ctx context.Context, dead []int) (spread, error) {
-	return f.await(ctx, fmt.Sprintf("%d deaths", len(dead)), func(picture membership.Picture) bool {
+	return f.await(ctx, fmt.Sprintf("%d deaths", len(dead)), func(picture membership.Snapshot) bool {
 		return !slices.ContainsFunc(dead, func(i int) bool { return stateIn(picture, memberName(i)) != membership.Failed })
 	})
 }
 
 // stateIn is what a picture, whose members are sorted by name, says of one of them.
-func stateIn(picture membership.Picture, name string) membership.State {
+func stateIn(picture membership.Snapshot, name string) membership.State {
 	i, found := slices.BinarySearchFunc(picture.Members, name, func(m membership.Member, name string) int { return strings.Compare(string(m.Name), name) })
 	if !found {
 		return membership.Unknown
--- a/testbed/scale/realfleet.go
+++ b/testbed/scale/realfleet.go
@@ -160,8 +160,8 @@
 		if err != nil {
 			return realLoad{}, fmt.Errorf("courier %d: %w", courier.No, err)
 		}
-		if told.Standing != membership.Whole.String() {
-			return realLoad{}, fmt.Errorf("courier %d is %s, not %s", courier.No, told.Standing, membership.Whole)
+		if told.Standing != membership.Complete.String() {
+			return realLoad{}, fmt.Errorf("courier %d is %s, not %s", courier.No, told.Standing, membership.Complete)
 		}
 		total.packets += told.Figures.Network.PacketsOut
 		total.bytes += told.Figures.Network.BytesOut
@@ -172,7 +172,7 @@
 // toldMembers is what a courier's operators' interface tells of its membership.
 type toldMembers struct {
 	Standing string         `json:"standing"`
-	Figures  gossip.Figures `json:"figures"`
+	Figures  gossip.Metrics `json:"figures"`
 }
 
 func askMembers(ctx context.Context, address string) (told toldMembers, err error) {
--- a/testbed/scale/sharing.go
+++ b/testbed/scale/sharing.go
@@ -144,7 +144,7 @@
 	names := courierNames(l.heard + 1)
 	words := l.words(names)
 	before := heapInUse()
-	c := quota.New(1, quota.Terms{Self: names[0], Start: 1, Couriers: len(names), Salt: play.Seed})
+	c := quota.New(1, quota.Config{Self: names[0], Incarnation: 1, Couriers: len(names), Seed: play.Seed})
 	now := 10 * microsPerSecond
 	var beating, hearing time.Duration
 	var said, largest, packets int
@@ -160,7 +160,7 @@
 		}
 		needs := l.needs(beat + 1)
 		begun := time.Now()
-		actions := c.Handle(now, quota.Fleet{Couriers: len(names), Alive: names[1:]}, needs, quota.Beat{})
+		actions := c.Handle(now, quota.FleetChanged{Couriers: len(names), Alive: names[1:]}, needs, quota.Tick{})
 		beating += time.Since(begun)
 		bytes, most, err := packetBytes(actions)
 		if err != nil {
@@ -169,12 +169,12 @@
 		said, largest = said+bytes, max(largest, most)
 	}
 	kept := float64(heapInUse()) - float64(before)
-	lines, sums := c.Look(now)
+	lines, sums := c.Status(now)
 	runtime.KeepAlive(c)
 	runtime.KeepAlive(words)
 	counts := 0
 	for _, line := range lines {
-		counts += line.Heard
+		counts += line.CouriersHeard
 	}
 	sizes := l.sizes()
 	for figure, value := range map[string]float64{
@@ -195,22 +195,22 @@
 }
 
 // needs are those of the courier after so many beats: some routes are used twice and three times as much as others.
-func (l listener) needs(beats int) quota.Needs {
-	needs := quota.Needs{All: make([]quota.Need, 0, l.routes)}
+func (l listener) needs(beats int) quota.DemandsChanged {
+	needs := quota.DemandsChanged{All: make([]quota.Demand, 0, l.routes)}
 	for route := range l.routes {
-		needs.All = append(needs.All, quota.Need{Key: quota.Key{Dest: int32(route)}, Limit: routeLimit, Calls: uint64(beats * (1 + route%3))})
+		needs.All = append(needs.All, quota.Demand{Key: quota.Key{Dest: int32(route)}, Limit: routeLimit, Calls: uint64(beats * (1 + route%3))})
 	}
 	return needs
 }
 
 // words are what all others say of all routes.
-func (l listener) words(names []string) (all []quota.Words) {
+func (l listener) words(names []string) (all []quota.Packet) {
 	const usage = 100 // millionths of the limit
 	for _, name := range names[1:] {
 		for from := 0; from < l.routes; from += countsPerWord {
-			w := quota.Words{Version: quota.Version, From: name}
+			w := quota.Packet{Version: quota.Version, From: name}
 			for route := from; route < min(from+countsPerWord, l.routes); route++ {
-				w.Counts = append(w.Counts, quota.Count{Key: quota.Key{Dest: int32(route)}, Who: name, Start: 1, Usage: usage})
+				w.Counts = append(w.Counts, quota.Sample{Key: quota.Key{Dest: int32(route)}, Courier: name, Incarnation: 1, Usage: usage})
 			}
 			all = append(all, w)
 		}
@@ -219,10 +219,10 @@
 }
 
 // hearAll has the courier read and take in one packet of each of the words, and tells how long that took.
-func hearAll(c *quota.Commons, now quota.Micros, words []quota.Words, no uint64) (spent time.Duration, err error) {
+func hearAll(c *quota.Allocator, now quota.Micros, words []quota.Packet, no uint64) (spent time.Duration, err error) {
 	for _, w := range words {
 		for i := range w.Counts {
-			w.Counts[i].No = no
+			w.Counts[i].Sequence = no
 		}
 		text, err := quota.Encode(w)
 		if err != nil {
@@ -233,7 +233,7 @@
 		if err != nil {
 			return 0, fmt.Errorf("a packet that was just written is refused: %w", err)
 		}
-		c.Handle(now, quota.Heard{Words: heard})
+		c.Handle(now, quota.PacketReceived{Packet: heard})
 		spent += time.Since(begun)
 	}
 	return spent, nil
@@ -242,11 +242,11 @@
 // packetBytes is what the packets among actions hold together, and the largest of them.
 func packetBytes(actions []quota.Action) (sum, largest int, err error) {
 	for _, action := range actions {
-		say, ok := action.(quota.Say)
+		say, ok := action.(quota.SendPacket)
 		if !ok {
 			continue
 		}
-		text, err := quota.Encode(say.Words)
+		text, err := quota.Encode(say.Packet)
 		if err != nil {
 			return 0, 0, err
 		}
--- a/testbed/scale/sharing_test.go
+++ b/testbed/scale/sharing_test.go
@@ -101,7 +101,7 @@
 
 func TestSharingCountsSpoiltPackets(t *testing.T) {
 	f := newSharingFleet(2, 1)
-	text, err := quota.Encode(quota.Words{From: f.names[1]})
+	text, err := quota.Encode(quota.Packet{From: f.names[1]})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/testbed/scale/sharingfleet.go
+++ b/testbed/scale/sharingfleet.go
@@ -33,7 +33,7 @@
 // sharer is one hollow courier of the fleet.
 type sharer struct {
 	name    string
-	commons *quota.Commons
+	commons *quota.Allocator
 	rates   []float64 // calls a second, by route
 	calls   []uint64
 	heard   map[quota.Key]map[string]heardUse // nil: not gone through
@@ -80,8 +80,8 @@
 	}
 	loans := uint64(0)
 	for _, s := range f.sharers {
-		_, sums := s.commons.Look(f.now)
-		loans += sums.Taken
+		_, sums := s.commons.Status(f.now)
+		loans += sums.Leased
 	}
 	span := float64(sharingLasts-sharingWarmUp) / float64(microsPerSecond) * float64(couriers)
 	sizes := map[string]float64{sizeCouriers: float64(couriers), sizeRoutes: fleetRoutes}
@@ -101,7 +101,7 @@
 	light := fleetLoad * routeLimit / (float64(couriers-heavy) + heavyUse*float64(heavy))
 	for i, name := range f.names {
 		s := &sharer{name: name, rates: make([]float64, fleetRoutes), calls: make([]uint64, fleetRoutes),
-			commons: quota.New(f.now, quota.Terms{Self: name, Start: 1, Couriers: couriers, Salt: int64(f.rng.Uint64() >> 1)})}
+			commons: quota.New(f.now, quota.Config{Self: name, Incarnation: 1, Couriers: couriers, Seed: int64(f.rng.Uint64() >> 1)})}
 		for route := range s.rates {
 			s.rates[route] = light
 			if (i+route)%heavyEvery == 0 {
@@ -142,12 +142,12 @@
 // beat has one courier tell what it used since its last beat, and say what it says.
 func (f *sharingFleet) beat(s *sharer, alive []string) {
 	f.after(f.now+beatSpan, func() { f.beat(s, alive) })
-	needs := quota.Needs{All: make([]quota.Need, 0, fleetRoutes)}
+	needs := quota.DemandsChanged{All: make([]quota.Demand, 0, fleetRoutes)}
 	for route, rate := range s.rates {
 		s.calls[route] += f.calls(rate * float64(beatSpan) / float64(microsPerSecond))
-		needs.All = append(needs.All, quota.Need{Key: quota.Key{Dest: int32(route)}, Limit: routeLimit, Calls: s.calls[route], Done: s.calls[route]})
+		needs.All = append(needs.All, quota.Demand{Key: quota.Key{Dest: int32(route)}, Limit: routeLimit, Calls: s.calls[route], Delivered: s.calls[route]})
 	}
-	f.carry(s, quota.Fleet{Couriers: f.expected, Alive: alive}, needs, quota.Beat{})
+	f.carry(s, quota.FleetChanged{Couriers: f.expected, Alive: alive}, needs, quota.Tick{})
 }
 
 // calls draws how many calls are made where so many are usual, evenly spread in time: the whole part, and one more by chance.
@@ -162,11 +162,11 @@
 // carry hands events to a courier's commons and carries what it says, as package exchange does: encoded.
 func (f *sharingFleet) carry(s *sharer, events ...quota.Event) {
 	for _, action := range s.commons.Handle(f.now, events...) {
-		say, ok := action.(quota.Say)
+		say, ok := action.(quota.SendPacket)
 		if !ok {
 			continue
 		}
-		text, err := quota.Encode(say.Words)
+		text, err := quota.Encode(say.Packet)
 		if err != nil {
 			f.fault = fmt.Errorf("%s: words that cannot be written: %w", s.name, err)
 			return
@@ -187,11 +187,11 @@
 		return
 	}
 	s.note(f.now, words)
-	f.carry(s, quota.Heard{Words: words})
+	f.carry(s, quota.PacketReceived{Packet: words})
 }
 
 // note keeps what a sampled courier was told of others' use.
-func (s *sharer) note(now quota.Micros, words quota.Words) {
+func (s *sharer) note(now quota.Micros, words quota.Packet) {
 	if s.heard == nil {
 		return
 	}
@@ -201,8 +201,8 @@
 			of = map[string]heardUse{}
 			s.heard[count.Key] = of
 		}
-		if at := now - count.Age; count.Who != s.name && at > of[count.Who].at {
-			of[count.Who] = heardUse{count.Usage, at}
+		if at := now - count.Age; count.Courier != s.name && at > of[count.Courier].at {
+			of[count.Courier] = heardUse{count.Usage, at}
 		}
 	}
 }
@@ -227,15 +227,15 @@
 // sample holds the parts of each limit against the whole, and what couriers know of the others' use against what they use.
 func (f *sharingFleet) sample() {
 	const whole = quota.Units(1000 * 1000)
-	all := make([][]quota.Line, len(f.sharers))
+	all := make([][]quota.Status, len(f.sharers))
 	for i, s := range f.sharers {
-		all[i], _ = s.commons.Look(f.now)
+		all[i], _ = s.commons.Status(f.now)
 	}
 	for route := range fleetRoutes {
 		var parts, use quota.Units
 		for _, lines := range all {
 			line := &lines[route]
-			parts += line.Base - line.Lent + line.Borrowed
+			parts += line.Base - line.Granted + line.Leased
 			use += line.Usage
 		}
 		if parts > whole {
@@ -245,7 +245,7 @@
 	}
 }
 
-func (f *sharingFleet) sampleRoute(all [][]quota.Line, route int, use quota.Units) {
+func (f *sharingFleet) sampleRoute(all [][]quota.Status, route int, use quota.Units) {
 	const whole = 1e6
 	if use == 0 {
 		return
@@ -253,7 +253,7 @@
 	var heard, told, known, others float64
 	for i, lines := range all {
 		line := &lines[route]
-		heard += float64(line.Heard) / float64(len(all)-1)
+		heard += float64(line.CouriersHeard) / float64(len(all)-1)
 		told += line.Load / (float64(use) / whole)
 		if s := f.sharers[i]; s.heard != nil {
 			known += float64(s.known(f.now, line.Key))
--- a/testbed/scale/starts.go
+++ b/testbed/scale/starts.go
@@ -71,8 +71,8 @@
 func newStartsTeller(seed int64) (*startsTeller, error) {
 	mesh := netfault.NewMesh(2, seed)
 	teller := &startsTeller{address: mesh.At(0), reckoned: make(chan int, 1), couriers: 2, start: 1}
-	member, err := gossip.Open(gossip.Options{Name: startsMember, Start: teller.start, Couriers: teller.couriers, Salt: seed,
-		Transport: mesh.Join(0), Reckon: func(couriers int) { teller.reckoned <- couriers }})
+	member, err := gossip.Open(gossip.Options{Name: startsMember, Incarnation: teller.start, FleetSize: teller.couriers, Seed: seed,
+		Transport: mesh.Join(0), SizeEstimated: func(couriers int) { teller.reckoned <- couriers }})
 	if err != nil {
 		return nil, err
 	}
@@ -81,7 +81,7 @@
 	config.Name, config.Transport, config.LogOutput = "teller", lastingTransport{mesh.Join(1)}, io.Discard
 	config.PushPullInterval, config.Delegate = 0, teller
 	if teller.list, err = memberlist.Create(config); err != nil {
-		member.Hand()
+		member.HandOff()
 		return nil, err
 	}
 	return teller, nil
@@ -89,7 +89,7 @@
 
 func (t *startsTeller) close() {
 	t.list.Shutdown()
-	t.member.Hand()
+	t.member.HandOff()
 }
 
 // reckonWithin bounds the wait for a member to take in what was told.
@@ -97,7 +97,7 @@
 
 // takes tells the member so many starts, among them a higher one of its own, and says whether it went on under a higher number.
 func (t *startsTeller) takes(starts int) (bool, error) {
-	before := t.member.Start()
+	before := t.member.Incarnation()
 	text, err := startsState(starts, before+1)
 	if err != nil {
 		return false, err
@@ -108,13 +108,13 @@
 	}
 	// The stream has ended, so what it carried waits before the view; what is said now comes after it.
 	t.couriers++
-	t.member.Sized(t.couriers)
+	t.member.FleetResized(t.couriers)
 	select {
 	case <-t.reckoned:
 	case <-time.After(reckonWithin):
 		return false, fmt.Errorf("the member took nothing in within %v", reckonWithin)
 	}
-	return t.member.Start() > before, nil
+	return t.member.Incarnation() > before, nil
 }
 
 // startsState is the text of a full exchange, as membership/gossip writes it: version, sender, starts by name.
--- a/testbed/scale/views.go
+++ b/testbed/scale/views.go
@@ -72,12 +72,12 @@
 	}
 	record(figureViewHeap, (float64(heapInUse())-float64(heapBefore))/float64(len(views)))
 	hearing := views[0]
-	record(figureReckoned, float64(hearing.view.Couriers()))
-	record(figureKept, float64(len(hearing.view.Look().Members)))
+	record(figureReckoned, float64(hearing.view.EstimatedSize()))
+	record(figureKept, float64(len(hearing.view.Snapshot().Members)))
 	for range wordsAgain {
 		hearing.hearAny()
 	}
-	record(figureAgain, float64(hearing.view.Couriers()))
+	record(figureAgain, float64(hearing.view.EstimatedSize()))
 
 	span := viewSpan
 	if play.Quick {
@@ -85,7 +85,7 @@
 	}
 	record(figureWord, timeOf(span, hearing.hearAny))
 	record(figureTick, timeOf(span, hearing.tick))
-	record(figureLook, timeOf(span, func() { hearing.view.Look() }))
+	record(figureLook, timeOf(span, func() { hearing.view.Snapshot() }))
 	runtime.KeepAlive(views)
 }
 
@@ -101,14 +101,14 @@
 
 // hearing is a view that a detector talks to.
 type hearing struct {
-	view  *membership.View
+	view  *membership.Membership
 	rng   *rand.Rand
 	now   membership.Micros
 	names int
 }
 
 func newHearing(names int, seed int64) *hearing {
-	terms := membership.Terms{Self: courierName(0), Start: 1, Fleet: names, Tick: viewTick, Salt: seed}
+	terms := membership.Config{Self: courierName(0), Incarnation: 1, FleetSize: names, Tick: viewTick, Seed: seed}
 	return &hearing{view: membership.New(terms), rng: rand.New(rand.NewSource(seed)), names: names}
 }
 
@@ -117,7 +117,7 @@
 // hear has the view hear that a courier is alive.
 func (h *hearing) hear(i int) {
 	h.now++
-	h.view.Handle(h.now, membership.Heard{Name: courierName(i), Start: 1, State: membership.Alive, Zone: "a", At: "10.0.0.1:7000"})
+	h.view.Handle(h.now, membership.MemberReported{Name: courierName(i), Incarnation: 1, State: membership.Alive, Zone: "a", Address: "10.0.0.1:7000"})
 }
 
 // hearAll has it hear of all others, one after the other.
@@ -132,7 +132,7 @@
 
 func (h *hearing) tick() {
 	h.now += viewTick
-	h.view.Handle(h.now, membership.Passed{})
+	h.view.Handle(h.now, membership.Tick{})
 }
 
 // checkViews: a view never reckons with fewer than there are, and with just as many where it keeps every name.
--- a/testbed/simulation/courier.go
+++ b/testbed/simulation/courier.go
@@ -33,7 +33,7 @@
 	told     map[dispatch.EndpointID]dispatch.EndpointEntry // the list as it had it last
 	newsAt   dispatch.Micros
 	watching bool
-	commons  *quota.Commons // nil: limits are not shared
+	commons  *quota.Allocator // nil: limits are not shared
 }
 
 // record is a record at one courier.
--- a/testbed/simulation/quota.go
+++ b/testbed/simulation/quota.go
@@ -25,10 +25,10 @@
 	if s.Share.Beat <= 0 {
 		return ch
 	}
-	c.commons = quota.New(s.now, quota.Terms{Self: nameOf(c.no), Start: uint64(c.life), Couriers: ch.Couriers, Salt: int64(s.rng.Uint64() >> 1)})
+	c.commons = quota.New(s.now, quota.Config{Self: nameOf(c.no), Incarnation: uint64(c.life), Couriers: ch.Couriers, Seed: int64(s.rng.Uint64() >> 1)})
 	life := c.life
 	s.after(s.now+dispatch.Micros(s.rng.Int64N(int64(s.Share.Beat))), func() { s.beat(c, life) })
-	ch.GrantedUntil = s.now + quota.Held
+	ch.GrantedUntil = s.now + quota.GrantHorizon
 	return ch
 }
 
@@ -47,30 +47,30 @@
 	if !ok {
 		return
 	}
-	fleet := quota.Fleet{Couriers: len(s.couriers)}
+	fleet := quota.FleetChanged{Couriers: len(s.couriers)}
 	for _, o := range s.couriers {
 		if o != c && o.alive {
 			fleet.Alive = append(fleet.Alive, nameOf(o.no))
 		}
 	}
-	s.commons(c, fleet, quota.Told(d.Demands()), quota.Beat{})
+	s.commons(c, fleet, quota.Told(d.Demands()), quota.Tick{})
 }
 
 func (s *Sim) commons(c *courier, events ...quota.Event) {
 	for _, action := range c.commons.Handle(s.now, events...) {
 		switch a := action.(type) {
-		case quota.Share:
-			e := quota.Settled(a.Parts, func(t dispatch.Micros) dispatch.Micros { return t }) // one clock
+		case quota.ShareChanged:
+			e := quota.ToDispatch(a.Shares, func(t dispatch.Micros) dispatch.Micros { return t }) // one clock
 			if len(e.Shares) > 0 {
 				s.tell(c, e)
 			}
-		case quota.Say:
+		case quota.SendPacket:
 			s.say(a)
 		}
 	}
 }
 
-func (s *Sim) say(a quota.Say) {
+func (s *Sim) say(a quota.SendPacket) {
 	var no int
 	if _, err := fmt.Sscanf(a.To, "n%d", &no); err != nil || no >= len(s.couriers) {
 		return
@@ -83,7 +83,7 @@
 	life := to.life
 	s.after(s.now+packetLeast+dispatch.Micros(s.rng.Int64N(packetMost-packetLeast)), func() {
 		if to.alive && to.life == life && s.now >= to.standsTo {
-			s.commons(to, quota.Heard{Words: a.Words})
+			s.commons(to, quota.PacketReceived{Packet: a.Packet})
 		}
 	})
 }
--- a/transport/crossings_test.go
+++ b/transport/crossings_test.go
@@ -20,9 +20,9 @@
 // that what other connections bring lies unread for as long as it wants.
 
 // stopped is a driver whose poller stands still until goOn is called, and its address.
-func stopped(t *testing.T, accept func() Handler) (d *Driver, addr string, goOn func()) {
+func stopped(t *testing.T, accept func() Handler) (driver *Driver, addr string, goOn func()) {
 	t.Helper()
-	d, addr = open(t, accept)
+	driver, addr = open(t, accept)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -40,7 +40,7 @@
 			io.WriteString(conn, "x")
 		}
 	}()
-	d.Dial(l.Addr().String(), 5*time.Second, newTold(func(*Conn, []byte) {
+	driver.Dial(l.Addr().String(), 5*time.Second, newTold(func(*Conn, []byte) {
 		close(stands)
 		<-release
 	}))
@@ -51,7 +51,7 @@
 			t.Fatal("the poller does not stand still")
 		}
 	}
-	return d, addr, goOn
+	return driver, addr, goOn
 }
 
 // taking keeps the handlers of connections that are taken in, in their order.
@@ -69,8 +69,8 @@
 	to taking
 }
 
-func (a *announced) Opened(c *Conn) {
-	a.told.Opened(c)
+func (a *announced) Opened(conn *Conn) {
+	a.told.Opened(conn)
 	a.to <- a.told
 }
 
@@ -133,16 +133,16 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	d, _, _ := stopped(t, nil)
+	driver, _, _ := stopped(t, nil)
 	came := make(taking, 1)
-	c := d.Dial(l.Addr().String(), 5*time.Second, came.accept())
+	conn := driver.Dial(l.Addr().String(), 5*time.Second, came.accept())
 	came.next(t)
 	peer, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer peer.Close()
-	for deadline := time.Now().Add(5 * time.Second); !c.Quietly(func() {}); { // its handler may still be telling that it is up
+	for deadline := time.Now().Add(5 * time.Second); !conn.Quietly(func() {}); { // its handler may still be telling that it is up
 		if time.Now().After(deadline) {
 			t.Fatal("an open connection at rest passes for ended")
 		}
@@ -151,7 +151,7 @@
 	if !port.Arrived(peer.(*net.TCPConn)) {
 		t.Fatal("its end never arrived")
 	}
-	if c.Quietly(func() {}) {
+	if conn.Quietly(func() {}) {
 		t.Error("written to one that has ended")
 	}
 }
@@ -182,7 +182,7 @@
 func TestAReasonIsToldOnce(t *testing.T) {
 	why := errors.New("as if spoilt")
 	ended := make(chan error, 2)
-	d, addr := open(t, func() Handler { return &failingHandler{why, ended} })
+	driver, addr := open(t, func() Handler { return &failingHandler{why, ended} })
 	peer := dial(t, addr)
 	io.WriteString(peer, "x")
 	if err := <-ended; err != why {
@@ -191,7 +191,7 @@
 	if _, err := peer.Read(make([]byte, 1)); err == nil {
 		t.Error("still open")
 	}
-	d.Close() // whatever is told is told by now
+	driver.Close() // whatever is told is told by now
 	if len(ended) > 0 {
 		t.Errorf("told once more: %v", <-ended)
 	}
@@ -203,17 +203,17 @@
 }
 
 func (*failingHandler) Opened(*Conn)                {}
-func (h *failingHandler) Data(c *Conn, _ []byte)    { c.Fail(h.why) }
+func (h *failingHandler) Data(conn *Conn, _ []byte) { conn.Fail(h.why) }
 func (h *failingHandler) Closed(_ *Conn, err error) { h.ended <- err }
 
 // TestADialGivenUpEndsAtOnce. Failure: it held a descriptor that nobody counted any more until its time was over; with a third of the
 // dials coming up late, the limit was passed.
 func TestADialGivenUpEndsAtOnce(t *testing.T) {
-	d, _ := open(t, nil)
+	driver, _ := open(t, nil)
 	addr := full(t)
 	why, ended := errors.New("as if overtaken"), make(chan error, 2)
-	c := d.Dial(addr, time.Hour, &failingHandler{why, ended})
-	c.Fail(why)
+	conn := driver.Dial(addr, time.Hour, &failingHandler{why, ended})
+	conn.Fail(why)
 	select {
 	case err := <-ended:
 		if err != why {
@@ -258,31 +258,31 @@
 	const many = 16
 	admitted := make(chan struct{})
 	came := make(taking, many+1)
-	d, err := Open("127.0.0.1:0", nil, 1024, slog.New(slog.DiscardHandler), func() bool {
+	driver, err := Open("127.0.0.1:0", nil, 1024, slog.New(slog.DiscardHandler), func() bool {
 		<-admitted
 		return true
 	}, came.accept)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(d.Close)
+	t.Cleanup(driver.Close)
 	peers := make([]*net.TCPConn, many) // the first is held up on its way in, the others wait behind it
 	for i := range peers {
-		peers[i] = dial(t, d.engine.Addrs[0])
+		peers[i] = dial(t, driver.engine.Addrs[0])
 		io.WriteString(peers[i], "hello")
 		if !port.Arrived(peers[i]) {
 			t.Fatal("it never arrived")
 		}
 	}
 	close(admitted)
-	d.Deafen()
+	driver.Deafen()
 	for i, peer := range peers {
 		got := make([]byte, 5)
 		if _, err := io.ReadFull(peer, got); err != nil {
 			t.Errorf("%d was turned away: %v", i, err)
 		}
 	}
-	if conn, err := net.Dial("tcp", d.engine.Addrs[0]); err == nil {
+	if conn, err := net.Dial("tcp", driver.engine.Addrs[0]); err == nil {
 		conn.Close()
 		t.Error("it still listens")
 	}
@@ -297,7 +297,7 @@
 	defer l.Close()
 	for range 10 {
 		came := make(taking, 1)
-		d, addr := open(t, came.accept)
+		driver, addr := open(t, came.accept)
 		peer := dial(t, addr) // nbio forgets an end that comes before its loops have begun
 		io.WriteString(peer, "x")
 		if _, err := io.ReadFull(peer, make([]byte, 1)); err != nil {
@@ -307,9 +307,9 @@
 		for range 20 {
 			h := newTold(nil)
 			all = append(all, h)
-			d.Dial(l.Addr().String(), 5*time.Second, h)
+			driver.Dial(l.Addr().String(), 5*time.Second, h)
 		}
-		d.Close()
+		driver.Close()
 		for _, h := range all {
 			h.wait(t)
 		}
@@ -319,15 +319,15 @@
 // TestSmallWritesAreNotHeldBack: what the system held back would go with a connection that is closed over unread bytes.
 func TestSmallWritesAreNotHeldBack(t *testing.T) {
 	came := make(taking, 2)
-	d, addr := open(t, came.accept)
-	dialled := d.Dial(addr, 5*time.Second, came.accept())
+	driver, addr := open(t, came.accept)
+	dialled := driver.Dial(addr, 5*time.Second, came.accept())
 	for range 2 {
-		c := came.next(t).conn
-		for c.up() == nil {
+		conn := came.next(t).conn
+		for conn.up() == nil {
 			time.Sleep(time.Millisecond)
 		}
-		if on, err := unix.GetsockoptInt(c.up().Hash(), syscall.IPPROTO_TCP, syscall.TCP_NODELAY); err != nil || on == 0 {
-			t.Errorf("dialled %v: TCP_NODELAY %d, %v", c == dialled, on, err)
+		if on, err := unix.GetsockoptInt(conn.up().Hash(), syscall.IPPROTO_TCP, syscall.TCP_NODELAY); err != nil || on == 0 {
+			t.Errorf("dialled %v: TCP_NODELAY %d, %v", conn == dialled, on, err)
 		}
 	}
 }
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -55,8 +55,8 @@
 // of finds the connection that nbio speaks of.
 func (d *Driver) of(raw *nbio.Conn) (*Conn, bool) {
 	d.joined.Load()
-	c, ok := raw.Session().(*Conn)
-	return c, ok
+	conn, ok := raw.Session().(*Conn)
+	return conn, ok
 }
 
 // Listener makes a listener of a descriptor that this process inherited; the socket stays its holder's.
@@ -80,48 +80,48 @@
 	opening.Lock()
 	defer opening.Unlock()
 	nbio.MaxOpenFiles = sockets + 64 // nbio keeps a table of that length
-	d := &Driver{log: log}
-	latest.Store(d)
+	driver := &Driver{log: log}
+	latest.Store(driver)
 	listen := func(network, addr string) (l net.Listener, err error) {
 		if l = inherited; l == nil {
 			l, err = net.Listen(network, addr)
 		}
-		d.listener = gate{l, admit}
-		return d.listener, err
+		driver.listener = gate{l, admit}
+		return driver.listener, err
 	}
-	d.engine = nbio.NewEngine(nbio.Config{Network: "tcp", Addrs: []string{addr}, NPoller: 1, Listen: listen,
+	driver.engine = nbio.NewEngine(nbio.Config{Network: "tcp", Addrs: []string{addr}, NPoller: 1, Listen: listen,
 		ReadBufferSize: readBuffer, MaxWriteBufferSize: writeBuffer})
-	d.engine.OnOpen(func(raw *nbio.Conn) {
+	driver.engine.OnOpen(func(raw *nbio.Conn) {
 		if raw.Session() == nil { // taken in, not dialled
-			c := &Conn{raw: raw, driver: d, handler: accept()}
-			raw.SetSession(c)
-			c.guarded(func() { c.handler.Opened(c) })
-			d.joined.Add(1)
+			conn := &Conn{raw: raw, driver: driver, handler: accept()}
+			raw.SetSession(conn)
+			conn.guarded(func() { conn.handler.Opened(conn) })
+			driver.joined.Add(1)
 		}
 	})
 	buffer := make([]byte, readBuffer) // one for all, as a single poller reads them in turn
-	d.engine.OnRead(func(raw *nbio.Conn) {
-		if c, ok := d.of(raw); ok {
-			c.read(raw, buffer)
+	driver.engine.OnRead(func(raw *nbio.Conn) {
+		if conn, ok := driver.of(raw); ok {
+			conn.read(raw, buffer)
 		}
 	})
-	d.engine.OnWrittenSize(func(raw *nbio.Conn, _ []byte, n int) {
-		if c, ok := d.of(raw); ok {
-			c.written.Add(int64(n))
+	driver.engine.OnWrittenSize(func(raw *nbio.Conn, _ []byte, n int) {
+		if conn, ok := driver.of(raw); ok {
+			conn.written.Add(int64(n))
 		}
 	})
-	d.engine.OnClose(func(raw *nbio.Conn, err error) {
-		if c, ok := d.of(raw); ok {
-			c.ended(err)
+	driver.engine.OnClose(func(raw *nbio.Conn, err error) {
+		if conn, ok := driver.of(raw); ok {
+			conn.ended(err)
 		}
 	})
 	// Out of descriptors, nbio would accept again at once, for ever.
-	d.engine.OnAcceptError(func(error) {
-		if time.Sleep(20 * time.Millisecond); d.deaf.Load() {
+	driver.engine.OnAcceptError(func(error) {
+		if time.Sleep(20 * time.Millisecond); driver.deaf.Load() {
 			select {} // it would complain of the closed listener for ever
 		}
 	})
-	return d, d.engine.Start()
+	return driver, driver.engine.Start()
 }
 
 // gate closes connections that are not admitted before they cost a place among those that are.
@@ -461,7 +461,7 @@
 func (quiet) Warn(f string, v ...any) { latest.Load().log.Warn(fmt.Sprintf(f, v...)) }
 
 func (quiet) Error(f string, v ...any) {
-	if d := latest.Load(); !d.deaf.Load() {
-		d.log.Error(fmt.Sprintf(f, v...))
+	if driver := latest.Load(); !driver.deaf.Load() {
+		driver.log.Error(fmt.Sprintf(f, v...))
 	}
 }
--- a/transport/transport_test.go
+++ b/transport/transport_test.go
@@ -23,7 +23,7 @@
 	closed chan struct{}
 }
 
-func newTold(on func(c *Conn, b []byte)) *told { return &told{on: on, closed: make(chan struct{})} }
+func newTold(on func(conn *Conn, b []byte)) *told { return &told{on: on, closed: make(chan struct{})} }
 
 func (h *told) note(event string) {
 	h.mu.Lock()
@@ -31,17 +31,17 @@
 	h.events = append(h.events, event)
 }
 
-func (h *told) Opened(c *Conn) {
-	h.conn = c
+func (h *told) Opened(conn *Conn) {
+	h.conn = conn
 	h.note("opened")
 }
 
-func (h *told) Data(c *Conn, b []byte) {
+func (h *told) Data(conn *Conn, b []byte) {
 	h.mu.Lock()
 	h.data.Write(b)
 	h.mu.Unlock()
 	if h.on != nil {
-		h.on(c, b)
+		h.on(conn, b)
 	}
 }
 
@@ -64,27 +64,27 @@
 
 func open(t *testing.T, accept func() Handler) (*Driver, string) {
 	t.Helper()
-	d, err := Open("127.0.0.1:0", nil, 1024, slog.New(slog.DiscardHandler), func() bool { return true }, accept)
+	driver, err := Open("127.0.0.1:0", nil, 1024, slog.New(slog.DiscardHandler), func() bool { return true }, accept)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(d.Close)
-	return d, d.engine.Addrs[0]
+	t.Cleanup(driver.Close)
+	return driver, driver.engine.Addrs[0]
 }
 
 func TestARefusedDialIsNeverUp(t *testing.T) {
-	d, _ := open(t, nil)
+	driver, _ := open(t, nil)
 	nobody, letGo, err := port.Reserve()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer letGo()
 	h := newTold(nil)
-	c := d.Dial(nobody, time.Second, h)
+	conn := driver.Dial(nobody, time.Second, h)
 	if got := h.wait(t); got != "closed" {
 		t.Errorf("told %q", got)
 	}
-	if c.Write([]byte("x")) == nil {
+	if conn.Write([]byte("x")) == nil {
 		t.Error("wrote to it all the same")
 	}
 }
@@ -93,7 +93,7 @@
 func TestADialGivenUpIsClosed(t *testing.T) {
 	var mu sync.Mutex
 	var came []*told
-	d, addr := open(t, func() Handler {
+	driver, addr := open(t, func() Handler {
 		mu.Lock()
 		defer mu.Unlock()
 		came = append(came, newTold(nil))
@@ -101,19 +101,19 @@
 	})
 	for i := range 40 {
 		h := newTold(nil)
-		c := d.Dial(addr, time.Second, h)
+		conn := driver.Dial(addr, time.Second, h)
 		time.Sleep(time.Duration(i) * 10 * time.Microsecond)
-		c.Close()
+		conn.Close()
 		if got := h.wait(t); got != "closed" && got != "opened closed" {
 			t.Errorf("told %q", got)
 		}
 	}
 	last := newTold(nil) // by the time it is up, all before it were let in
-	c := d.Dial(addr, time.Second, last)
-	for c.up() == nil {
+	conn := driver.Dial(addr, time.Second, last)
+	for conn.up() == nil {
 		time.Sleep(time.Millisecond)
 	}
-	c.Close()
+	conn.Close()
 	last.wait(t)
 	mu.Lock()
 	defer mu.Unlock()
@@ -126,8 +126,8 @@
 func TestLargeBodiesBothWays(t *testing.T) {
 	body := bytes.Repeat([]byte("0123456789abcdef"), 20000)
 	_, addr := open(t, func() Handler {
-		return newTold(func(c *Conn, b []byte) {
-			if err := c.Write(b); err != nil {
+		return newTold(func(conn *Conn, b []byte) {
+			if err := conn.Write(b); err != nil {
 				t.Error(err)
 			}
 		})
@@ -163,11 +163,11 @@
 
 func TestAPanicStopsAtItsConnection(t *testing.T) {
 	_, addr := open(t, func() Handler {
-		return newTold(func(c *Conn, b []byte) {
+		return newTold(func(conn *Conn, b []byte) {
 			if b[0] == '!' {
 				panic("as if by a fault in a parser")
 			}
-			c.Write(b)
+			conn.Write(b)
 		})
 	})
 	ask := func(text string) string {
@@ -192,9 +192,9 @@
 
 func TestCloseIfAsksFirst(t *testing.T) {
 	h := newTold(nil)
-	d, addr := open(t, func() Handler { return newTold(nil) })
-	c := d.Dial(addr, time.Second, h)
-	if c.CloseIf(func() bool { return false }) || !c.CloseIf(func() bool { return true }) {
+	driver, addr := open(t, func() Handler { return newTold(nil) })
+	conn := driver.Dial(addr, time.Second, h)
+	if conn.CloseIf(func() bool { return false }) || !conn.CloseIf(func() bool { return true }) {
 		t.Error("not as it was told")
 	}
 	h.wait(t)
