--- a/cmd/pineport-testbed/check.go
+++ b/cmd/pineport-testbed/check.go
@@ -68,7 +68,7 @@
 			fmt.Fprintln(w, "day\tseed\tfigure\tjudgement")
 			for _, c := range cells {
 				fmt.Fprintf(w, "%s\t%d\t%.3f\t%s\n", c.Day+where(c), c.Seed, c.Verdict.Figure, c.Verdict.Short())
-				broken = broken || !c.Verdict.OK() || c.Verdict.Void != ""
+				broken = broken || !c.Verdict.OK() || c.Verdict.Invalid != ""
 			}
 			w.Flush()
 			for _, c := range cells {
--- a/cmd/pineport-testbed/compare.go
+++ b/cmd/pineport-testbed/compare.go
@@ -34,7 +34,7 @@
 // stretch is a figure of a part of the day.
 func stretch(figure string, from, to float64) (func(*invariants.Verdict) float64, bool) {
 	pick := map[string]func(invariants.Within) float64{
-		"whole":   func(w invariants.Within) float64 { return w.Payoff },
+		"whole":   func(w invariants.Within) float64 { return w.Priority },
 		"failed":  func(w invariants.Within) float64 { return w.Fails },
 		"refused": func(w invariants.Within) float64 { return w.Refused },
 	}[figure]
--- a/cmd/pineport-testbed/demo.go
+++ b/cmd/pineport-testbed/demo.go
@@ -62,7 +62,7 @@
 				}
 				say("Charts in %s: %v\n", out, files)
 			}
-			if !v.OK() || v.Void != "" {
+			if !v.OK() || v.Invalid != "" {
 				return errBroken
 			}
 			return nil
--- a/cmd/pineport-testbed/play.go
+++ b/cmd/pineport-testbed/play.go
@@ -117,7 +117,7 @@
 	} else {
 		printCell(cmd.OutOrStdout(), cell)
 	}
-	if !cell.Verdict.OK() || cell.Verdict.Void != "" {
+	if !cell.Verdict.OK() || cell.Verdict.Invalid != "" {
 		return errBroken
 	}
 	return nil
@@ -180,12 +180,12 @@
 	fmt.Fprintf(w, "payoff\twhole day %.3f, worst 10 s %.3f (from %.0f s)\n", v.Whole, v.Window, v.WindowAt)
 	for _, l := range v.Latency {
 		fmt.Fprintf(w, "workload %s\tpayoff %.3f; done %d; 50 %% within %.2f s, 90 %% %.2f s, 99 %% %.2f s, longest %.2f s\n",
-			l.Workload, v.Workload[l.Workload], l.Count, l.P50, l.P90, l.P99, l.Max)
+			l.Class, v.Class[l.Class], l.Count, l.P50, l.P90, l.P99, l.Max)
 	}
 	fmt.Fprintf(w, "records\toffered %d, taken %d, done %d, bounced %d, terminated %d, lost %d\n", n.Offered, n.Taken, n.Done,
-		n.Bounced, n.Terminated, n.Lost)
-	fmt.Fprintf(w, "trips\t%d: full %d, failures %d, timed out %d, unreachable %d, broken %d, withdrawn %d, void %d\n", n.Trips,
-		n.Full, n.Failures, n.TimedOut, n.Unreachable, n.Broken, n.Withdrawn, n.Void)
+		n.Rejected, n.Failed, n.Lost)
+	fmt.Fprintf(w, "trips\t%d: full %d, failures %d, timed out %d, unreachable %d, broken %d, withdrawn %d, void %d\n", n.Attempts,
+		n.Full, n.Failures, n.TimedOut, n.Unreachable, n.Broken, n.Withdrawn, n.Unprocessed)
 	fmt.Fprintf(w, "connections\t%d opened\n", n.Handshakes)
 	if n.Falls > 0 {
 		fmt.Fprintf(w, "returns\t%d pushed over, by couriers that knew of the outage or did not\n", n.Falls)
--- a/cmd/pineport-testbed/send.go
+++ b/cmd/pineport-testbed/send.go
@@ -11,7 +11,7 @@
 )
 
 func sendCmd() *cobra.Command {
-	var to, workload string
+	var to, class string
 	var count, dest int
 	var left time.Duration
 	cmd := &cobra.Command{
@@ -25,7 +25,7 @@
 			base := strconv.FormatInt(time.Now().UnixNano(), 36)
 			for i := range count {
 				id := fmt.Sprintf("%s-%d", base, i)
-				r := pool.Do(load.Enqueue(load.Record{ID: id, Workload: workload, Left: left, Dest: dest, Body: []byte("sent by hand")}))
+				r := pool.Do(load.Enqueue(load.Message{ID: id, Class: class, Left: left, Dest: dest, Body: []byte("sent by hand")}))
 				if r.Kind == load.Down {
 					return fmt.Errorf("no courier at %s: %s", to, r.Text)
 				}
@@ -39,7 +39,7 @@
 		},
 	}
 	cmd.Flags().StringVar(&to, "to", "127.0.0.1:7379", "the courier's address")
-	cmd.Flags().StringVar(&workload, "workload", "update", "workload of the records")
+	cmd.Flags().StringVar(&class, "workload", "update", "workload of the records")
 	cmd.Flags().IntVar(&dest, "dest", 0, "their destination")
 	cmd.Flags().IntVar(&count, "count", 5, "how many")
 	cmd.Flags().DurationVar(&left, "left", 8*time.Second, "how long they may still be delivered")
--- a/cmd/pineport/fleet.go
+++ b/cmd/pineport/fleet.go
@@ -19,7 +19,7 @@
 const enterWithin = 2 * time.Second
 
 // beatMost: a loan lasts for eight beats of the exchange at least, however slowly members are asked whether they are there.
-const beatMost = 500 * time.Millisecond
+const maxExchangeInterval = 500 * time.Millisecond
 
 // enter makes this process a member of its fleet, where it is to be one, and returns what ends that. Records do not wait for
 // it, and a fault of it is told and stops nothing else.
@@ -73,10 +73,10 @@
 
 func (p *process) join(ctx context.Context, router *server.Server, given *handoff.State, log *slog.Logger) (*gossip.Member, *exchange.Exchange, error) {
 	dep := p.dep
-	o := gossip.Options{Name: dep.Name, FleetSize: dep.Charter.Couriers, Fleet: dep.Peers.Fleet, Listen: dep.Peers.Listen,
-		Advertise: dep.Peers.Advertise, Join: dep.Peers.Join, Key: dep.Peers.Key, Interval: dep.Peers.Pace, Seed: dep.Charter.Seed, Log: log, SizeEstimated: router.FleetSizeEstimated,
+	o := gossip.Options{Name: dep.Name, FleetSize: dep.Dispatch.Couriers, Fleet: dep.Peers.Fleet, Listen: dep.Peers.Listen,
+		Advertise: dep.Peers.Advertise, Join: dep.Peers.Join, Key: dep.Peers.Key, Interval: dep.Peers.Pace, Seed: dep.Dispatch.Seed, Log: log, SizeEstimated: router.FleetSizeEstimated,
 		StoreIncarnation: func(start uint64) error { return incarnation.Store(dep.Spool, dep.Name, start) }}
-	if z := int(dep.Charter.Zone); z < len(dep.Zones) {
+	if z := int(dep.Dispatch.Zone); z < len(dep.Zones) {
 		o.Zone = dep.Zones[z]
 	}
 	var err error
@@ -127,7 +127,7 @@
 		}
 		return p.MaxCouriers, alive
 	}
-	return exchange.Open(exchange.Options{Self: o.Name, Incarnation: member.Incarnation(), Interval: min(o.Interval/2, beatMost), Log: o.Log, Fleet: heard, Send: member.Send,
+	return exchange.Open(exchange.Options{Self: o.Name, Incarnation: member.Incarnation(), Interval: min(o.Interval/2, maxExchangeInterval), Log: o.Log, Fleet: heard, Send: member.Send,
 		Demands: router.Demands, Apply: router.ApplyShares})
 }
 
--- a/cmd/pineport/main.go
+++ b/cmd/pineport/main.go
@@ -85,7 +85,7 @@
 		RunE:    start,
 	}
 	f.add(runCmd)
-	cmd.AddCommand(runCmd, configCmd(), spoolCmd(), stateCmd(), peersCmd(), commonsCmd(), &cobra.Command{
+	cmd.AddCommand(runCmd, configCmd(), spoolCmd(), stateCmd(), peersCmd(), quotaCmd(), &cobra.Command{
 		Use:   "version",
 		Short: "Print the version",
 		Args:  cobra.NoArgs,
--- a/cmd/pineport/main_test.go
+++ b/cmd/pineport/main_test.go
@@ -119,8 +119,8 @@
 	return s
 }
 
-func enqueue(id, workload string, leftMs int) string {
-	return command("ENQUEUE", "0", id, fmt.Sprintf("c=%s,d=%d,dest=1", workload, leftMs), "body of\r\n"+id)
+func enqueue(id, class string, leftMs int) string {
+	return command("ENQUEUE", "0", id, fmt.Sprintf("c=%s,d=%d,dest=1", class, leftMs), "body of\r\n"+id)
 }
 
 // ask sends all at once and returns as many lines.
@@ -214,10 +214,10 @@
 		var all []string
 		for i := range 5 {
 			for _, kind := range []string{"okay", "slow", "full", "fail", "brok"} {
-				for _, workload := range []string{"update", "order"} {
-					id := fmt.Sprintf("%s-%s-%s-%d", kind, workload, round, i)
+				for _, class := range []string{"update", "order"} {
+					id := fmt.Sprintf("%s-%s-%s-%d", kind, class, round, i)
 					ids = append(ids, id)
-					all = append(all, enqueue(id, workload, 20000))
+					all = append(all, enqueue(id, class, 20000))
 				}
 			}
 		}
--- a/cmd/pineport/ops_test.go
+++ b/cmd/pineport/ops_test.go
@@ -88,9 +88,9 @@
 	var ids, all []string
 	for i := range 8 {
 		for _, kind := range []string{"okay", "slow", "full", "fail", "brok"} {
-			for _, workload := range []string{"update", "order"} {
-				ids = append(ids, fmt.Sprintf("%s-%s-%d", kind, workload, i))
-				all = append(all, enqueue(ids[len(ids)-1], workload, 6000))
+			for _, class := range []string{"update", "order"} {
+				ids = append(ids, fmt.Sprintf("%s-%s-%d", kind, class, i))
+				all = append(all, enqueue(ids[len(ids)-1], class, 6000))
 			}
 		}
 	}
@@ -110,22 +110,22 @@
 			_, done, notices := world.Seen(id)
 			return done > 0 || len(notices) > 0
 		})
-		workload := strings.Split(id, "-")[1]
+		class := strings.Split(id, "-")[1]
 		switch _, done, notices := world.Seen(id); {
 		case done > 0:
-			want.Success[workload]++
+			want.Success[class]++
 		case notices[0] == "deferred":
-			want.Overload[workload]++
+			want.Overload[class]++
 		default:
-			want.Error[workload]++
+			want.Error[class]++
 		}
 	}
 	waitFor(t, "the figures of what has ended", 5*time.Second, func() bool {
 		f := c.figures()
 		same := f.Concurrent == 0 && f.Dispatches == int64(world.Calls(0)+world.Calls(1))
-		for _, workload := range []string{"update", "order"} {
-			same = same && f.Success[workload] == want.Success[workload] && f.Overload[workload] == want.Overload[workload] &&
-				f.Error[workload] == want.Error[workload]
+		for _, class := range []string{"update", "order"} {
+			same = same && f.Success[class] == want.Success[class] && f.Overload[class] == want.Overload[class] &&
+				f.Error[class] == want.Error[class]
 		}
 		return same
 	})
--- a/cmd/pineport/peers_test.go
+++ b/cmd/pineport/peers_test.go
@@ -56,9 +56,9 @@
 	return udp, len(tasks)
 }
 
-// TestNoTalkWhereBarred: where the charter has no peers, as at Dakar, there is no socket and no byte, the key set or not, and
+// TestNoMembershipWhereForbidden: where the charter has no peers, as at Dakar, there is no socket and no byte, the key set or not, and
 // nothing is counted or kept of it.
-func TestNoTalkWhereBarred(t *testing.T) {
+func TestNoMembershipWhereForbidden(t *testing.T) {
 	world := upgradeWorld(t)
 	heard, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
--- a/cmd/pineport/quota.go
+++ b/cmd/pineport/quota.go
@@ -13,7 +13,7 @@
 	"pineport/quota/exchange"
 )
 
-func commonsCmd() *cobra.Command {
+func quotaCmd() *cobra.Command {
 	var f flags
 	var at, output string
 	show := &cobra.Command{Use: "show", Short: "Show the parts of limits that one courier has lent and borrowed, and what it has heard is used", Args: cobra.NoArgs,
@@ -31,7 +31,7 @@
 			case "json":
 				return printJSON(cmd.OutOrStdout(), s)
 			case "table":
-				return showCommons(cmd.OutOrStdout(), s)
+				return showQuota(cmd.OutOrStdout(), s)
 			}
 			return fmt.Errorf("--output: table or json was expected, not %q", output)
 		}}
@@ -44,7 +44,7 @@
 	return cmd
 }
 
-func showCommons(out io.Writer, s exchange.Status) error {
+func showQuota(out io.Writer, s exchange.Status) error {
 	table := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintf(table, "%d asks, %d lent, %d taken, %d late or unasked; %d packets out (%d bytes), %d in, %d spoilt, %d dropped\n\n", s.Counters.Requested, s.Counters.Granted,
 		s.Counters.Leased, s.Counters.Late, s.PacketsOut, s.BytesOut, s.PacketsIn, s.PacketsMalformed, s.PacketsDropped)
--- a/cmd/pineport/reload_test.go
+++ b/cmd/pineport/reload_test.go
@@ -50,11 +50,11 @@
 		}
 	}
 	var ids []string
-	hand := func(kind, workload string, n int) (taken int) {
+	hand := func(kind, class string, n int) (taken int) {
 		var all []string
 		for i := range n {
-			id := fmt.Sprintf("%s-%s-%d-%d", kind, workload, len(ids), i)
-			all = append(all, enqueue(id, workload, 6000))
+			id := fmt.Sprintf("%s-%s-%d-%d", kind, class, len(ids), i)
+			all = append(all, enqueue(id, class, 6000))
 		}
 		for i, line := range c.ask(all...) {
 			if line == "+OK" {
--- a/cmd/pineport/run.go
+++ b/cmd/pineport/run.go
@@ -157,7 +157,7 @@
 		p.dep = next
 		limits(next)
 		if member := p.member.Load(); member != nil {
-			member.FleetResized(next.Charter.Couriers)
+			member.FleetResized(next.Dispatch.Couriers)
 		}
 		if err := log.SetLevels(next.Log.Level, next.Log.Levels); err != nil {
 			log.Warn("levels of the log stay as they are", "fault", err)
@@ -176,15 +176,15 @@
 
 // known is what was learned by an earlier process, or by this one before it handed all over: the younger, with all waits.
 func (p *process) known(before *server.Server, limit int, log *slog.Logger) *dispatch.Snapshot {
-	lore := earlier(p.dep, limit, log)
+	snapshot := earlier(p.dep, limit, log)
 	if before == nil {
-		return lore
+		return snapshot
 	}
 	own := before.SnapshotAtHandoff()
-	if lore == nil || lore.TakenAt < own.TakenAt {
+	if snapshot == nil || snapshot.TakenAt < own.TakenAt {
 		return own
 	}
-	return server.MergeRetryAfter(lore, own)
+	return server.MergeRetryAfter(snapshot, own)
 }
 
 func logOptions(dep *config.Deployment) logging.Options {
--- a/cmd/pineport/spool.go
+++ b/cmd/pineport/spool.go
@@ -21,18 +21,18 @@
 		Example: "  pineport spool ls /var/lib/pineport --output json",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			records, _, err := spool.Inspect(args[0])
+			messages, _, err := spool.Inspect(args[0])
 			if err != nil {
 				return err
 			}
 			if output == "json" {
-				return printJSON(cmd.OutOrStdout(), records)
+				return printJSON(cmd.OutOrStdout(), messages)
 			} else if output != "table" {
 				return errors.New("--output: table or json was expected")
 			}
 			table := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 8, 2, ' ', 0)
 			fmt.Fprintln(table, "ID\tWORKLOAD\tDEST\tCUT-OFF\tTRIPS\tLAST\tSTATE")
-			for _, message := range records {
+			for _, message := range messages {
 				last, state := "-", "held"
 				if n := len(message.Attempts); n > 0 {
 					last = cmp.Or(message.Attempts[n-1].Outcome, "out")
@@ -52,11 +52,11 @@
 		Short: "Print one record with its trips and body, as JSON",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			records, _, err := spool.Inspect(args[0])
+			messages, _, err := spool.Inspect(args[0])
 			if err != nil {
 				return err
 			}
-			for _, message := range records {
+			for _, message := range messages {
 				if message.ID == args[1] {
 					return printJSON(cmd.OutOrStdout(), struct {
 						*spool.Message
@@ -72,14 +72,14 @@
 		Short: "Read a spool and tell what is damaged; exit code 1 where something is",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			records, faults, err := spool.Inspect(args[0])
+			messages, faults, err := spool.Inspect(args[0])
 			if err != nil {
 				return err
 			}
 			if len(faults) > 0 {
 				return errors.Join(faults...)
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "sound: %d records\n", len(records))
+			fmt.Fprintf(cmd.OutOrStdout(), "sound: %d records\n", len(messages))
 			return nil
 		},
 	}
--- a/cmd/pineport/upgrade_test.go
+++ b/cmd/pineport/upgrade_test.go
@@ -166,12 +166,12 @@
 			return
 		case <-time.After(time.Duration(20+chance.Intn(40)) * time.Millisecond):
 		}
-		workload, id := []string{"update", "order"}[n%2], fmt.Sprintf("%s-%d-%d", kinds[chance.Intn(len(kinds))], number, n)
+		class, id := []string{"update", "order"}[n%2], fmt.Sprintf("%s-%d-%d", kinds[chance.Intn(len(kinds))], number, n)
 		opts := ""
 		if n%4 == 0 {
-			workload, id, opts = "line", fmt.Sprintf("line-c%d-%d", number, n), fmt.Sprintf(",about=c%d", number)
+			class, id, opts = "line", fmt.Sprintf("line-c%d-%d", number, n), fmt.Sprintf(",about=c%d", number)
 		}
-		text := command("ENQUEUE", "0", id, fmt.Sprintf("c=%s,d=8000,dest=1%s", workload, opts), "x")
+		text := command("ENQUEUE", "0", id, fmt.Sprintf("c=%s,d=8000,dest=1%s", class, opts), "x")
 		answer := ""
 		for try := 0; try < 2 && answer == ""; try++ {
 			if conn != nil { // closed between two requests: no message is turned back by that
@@ -200,7 +200,7 @@
 					s.again++
 				}
 				s.mu.Unlock()
-				if workload == "order" {
+				if class == "order" {
 					break // it may have been taken by a process that was killed
 				}
 				continue
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -43,7 +43,7 @@
 			}
 			switch what := item.What.(type) {
 			case simprotocol.Started:
-				couriers[item.Courier] = dispatch.New(what.Charter)
+				couriers[item.Courier] = dispatch.New(what.Config)
 				events[item.Courier] = nil
 			case simprotocol.Killed:
 				delete(couriers, item.Courier)
--- a/config/config.go
+++ b/config/config.go
@@ -33,12 +33,12 @@
 	Watch     *Deployment // whose settings are watched; nil for none
 	WatchTell time.Duration
 
-	Charter        dispatch.Config
-	Workloads      []string        // names, by the charter's numbers
+	Dispatch       dispatch.Config
+	Classes        []string        // names, by the charter's numbers
 	Retired        map[string]bool // workloads that a reload removed: they take no more records
 	Zones          []string
 	Shapes         []string
-	Parties        []string
+	Tenants        []string
 	Report         []string // names of the values in a report
 	ConnectTimeout time.Duration
 
@@ -153,14 +153,14 @@
 		}
 	}
 	var err error
-	if deployment.Charter, err = Charter(int64(seed), settings); err != nil {
+	if deployment.Dispatch, err = Dispatch(int64(seed), settings); err != nil {
 		return nil, fmt.Errorf("%s: %w", doc.File, err)
 	}
-	for i := range deployment.Charter.Classes {
-		deployment.Workloads = append(deployment.Workloads, settings[fmt.Sprintf("classes.%d.name", i)])
+	for i := range deployment.Dispatch.Classes {
+		deployment.Classes = append(deployment.Classes, settings[fmt.Sprintf("classes.%d.name", i)])
 	}
-	for i := range deployment.Charter.Tenants {
-		deployment.Parties = append(deployment.Parties, settings[fmt.Sprintf("tenants.%d.name", i)])
+	for i := range deployment.Dispatch.Tenants {
+		deployment.Tenants = append(deployment.Tenants, settings[fmt.Sprintf("tenants.%d.name", i)])
 	}
 	deployment.Peers = Peers{Listen: text("peers.listen"), Advertise: text("peers.advertise"), Fleet: text("peers.fleet"), Key: text("peers.key"),
 		Join: words("peers.join"), Through: words("peers.through"), Pace: seconds("peers.pace_s"), Allowed: text("settings.ceilings.peers") == "true", Share: text("peers.share") == "true"}
@@ -171,7 +171,7 @@
 
 // unique tells of names that stand twice.
 func (d *Deployment) unique() error {
-	for key, names := range map[string][]string{"settings.classes": d.Workloads, "settings.tenants": d.Parties,
+	for key, names := range map[string][]string{"settings.classes": d.Classes, "settings.tenants": d.Tenants,
 		"settings.zones": d.Zones, "settings.shapes": d.Shapes} {
 		seen := map[string]bool{}
 		for _, name := range names {
@@ -191,30 +191,30 @@
 	m := *next
 	m.Name, m.Listen, m.Ops, m.Socket, m.Spool, m.Known, m.Learn = d.Name, d.Listen, d.Ops, d.Socket, d.Spool, d.Known, d.Learn
 	m.Watch, m.WatchTell, m.Peers = d.Watch, d.WatchTell, d.Peers
-	old, config := d.Charter, next.Charter
+	old, config := d.Dispatch, next.Dispatch
 	m.Retired = map[string]bool{}
 	var from []int
-	m.Workloads, from = numbers(d.Workloads, next.Workloads)
-	config.Classes = pick(from, next.Charter.Classes, old.Classes)
-	for i, name := range m.Workloads {
+	m.Classes, from = numbers(d.Classes, next.Classes)
+	config.Classes = pick(from, next.Dispatch.Classes, old.Classes)
+	for i, name := range m.Classes {
 		if from[i] < 0 {
 			m.Retired[name] = true
 		}
 	}
 	m.Shapes, from = numbers(d.Shapes, next.Shapes)
-	config.EndpointTypes = pick(from, next.Charter.EndpointTypes, old.EndpointTypes)
+	config.EndpointTypes = pick(from, next.Dispatch.EndpointTypes, old.EndpointTypes)
 	for i := range min(len(config.EndpointTypes), len(old.EndpointTypes)) {
 		config.EndpointTypes[i].Separate = old.EndpointTypes[i].Separate // settled when the routes were made
 	}
-	m.Parties, from = numbers(d.Parties, next.Parties)
-	config.Tenants = pick(from, next.Charter.Tenants, old.Tenants)
+	m.Tenants, from = numbers(d.Tenants, next.Tenants)
+	config.Tenants = pick(from, next.Dispatch.Tenants, old.Tenants)
 	m.Zones, from = numbers(d.Zones, next.Zones)
-	config.GroupCost = pick(from, next.Charter.GroupCost, old.GroupCost)
-	if z := int(next.Charter.Zone); z < len(next.Zones) {
+	config.GroupCost = pick(from, next.Dispatch.GroupCost, old.GroupCost)
+	if z := int(next.Dispatch.Zone); z < len(next.Zones) {
 		config.Zone = dispatch.ZoneID(slices.Index(m.Zones, next.Zones[z]))
 	}
 	config.Seed, config.MustPoll = old.Seed, old.MustPoll
-	m.Charter = config
+	m.Dispatch = config
 	return &m
 }
 
@@ -260,10 +260,10 @@
 
 // SameDecisions tells whether two deployments hand the decisions the same.
 func (d *Deployment) SameDecisions(next *Deployment) bool {
-	return reflect.DeepEqual(d.Charter, next.Charter)
+	return reflect.DeepEqual(d.Dispatch, next.Dispatch)
 }
 
-// Flatten turns settings as nested JSON has them into the pairs that Charter reads.
+// Flatten turns settings as nested JSON has them into the pairs that Dispatch reads.
 func Flatten(settings any) map[string]string {
 	values := map[string]string{}
 	flatten(values, "", settings)
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -39,7 +39,7 @@
 	return read(func(key string) string { return all[key] })
 }
 
-func TestReadsWhatItIsTold(t *testing.T) {
+func TestReadsAllSettings(t *testing.T) {
 	deployment, err := load(t, Load, func(top, settings map[string]any) {
 		top["surprise"] = map[string]any{"x": nil}
 		settings["surprise"] = []any{1}
@@ -48,8 +48,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	config := deployment.Charter
-	if deployment.Name != "n4" || deployment.Listen != "127.0.0.1:6379" || deployment.Sockets != 1024 || len(deployment.Workloads) != 2 || deployment.Workloads[1] != "order" ||
+	config := deployment.Dispatch
+	if deployment.Name != "n4" || deployment.Listen != "127.0.0.1:6379" || deployment.Sockets != 1024 || len(deployment.Classes) != 2 || deployment.Classes[1] != "order" ||
 		config.Classes[1].Idempotency != dispatch.AtMostOnce || config.Classes[1].Priority != 2 || config.Slots != 20 || config.ReportLeftIndex != 1 || config.ReportRateIndex != 0 ||
 		config.RateQuality != dispatch.NominalRates || len(config.EndpointTypes) != 1 || config.EndpointTypes[0].MaxPerCall != 1 || !config.MustPoll || config.Seed == 0 {
 		t.Errorf("%+v", deployment)
@@ -167,10 +167,10 @@
 		t.Fatal(err)
 	}
 	deployment := first.Merged(next)
-	if !slices.Equal(deployment.Workloads, []string{"update", "order", "fresh"}) || !slices.Equal(deployment.Zones, []string{"a", "z"}) || !deployment.Retired["update"] ||
-		deployment.Retired["order"] || deployment.Charter.Classes[1].Priority != 7 || deployment.Charter.Classes[2].Priority != 3 || deployment.Charter.Classes[0].Priority != 1 ||
-		deployment.Charter.QueueLimit != 5 || deployment.Charter.Zone != 1 || deployment.Charter.Seed != first.Charter.Seed {
-		t.Errorf("%+v %v %v %+v", deployment.Workloads, deployment.Zones, deployment.Retired, deployment.Charter)
+	if !slices.Equal(deployment.Classes, []string{"update", "order", "fresh"}) || !slices.Equal(deployment.Zones, []string{"a", "z"}) || !deployment.Retired["update"] ||
+		deployment.Retired["order"] || deployment.Dispatch.Classes[1].Priority != 7 || deployment.Dispatch.Classes[2].Priority != 3 || deployment.Dispatch.Classes[0].Priority != 1 ||
+		deployment.Dispatch.QueueLimit != 5 || deployment.Dispatch.Zone != 1 || deployment.Dispatch.Seed != first.Dispatch.Seed {
+		t.Errorf("%+v %v %v %+v", deployment.Classes, deployment.Zones, deployment.Retired, deployment.Dispatch)
 	}
 }
 
@@ -205,7 +205,7 @@
 	if err != nil || d.Err() != nil || len(d.Warnings) > 0 {
 		t.Fatal(err, d.Err(), d.Warnings)
 	}
-	if dep, err := d.deployment(); err != nil || len(dep.Workloads) != 1 || dep.Charter.Slots != 20 {
+	if dep, err := d.deployment(); err != nil || len(dep.Classes) != 1 || dep.Dispatch.Slots != 20 {
 		t.Fatal(err)
 	}
 	var page strings.Builder
@@ -217,8 +217,8 @@
 	}
 }
 
-// TestContradictionsAreTold: settings that come to nothing beside others are warned of, each with its line.
-func TestContradictionsAreTold(t *testing.T) {
+// TestContradictionsAreReported: settings that come to nothing beside others are warned of, each with its line.
+func TestContradictionsAreReported(t *testing.T) {
 	text := "name = \"n\"\nlisten = \"127.0.0.1:1\"\ndiscovery = \"127.0.0.1:2\"\nseed = \"a\"\n[settings]\ntick-s = 0.01\n" +
 		"[settings.family-info]\nslots = 3\n[settings.ceilings]\nopen-cap = 9\ntry-limit = 6\nconn-idle-s = 5\nretry-after = true\n" +
 		"[settings.rules]\nkey-rest-s = 0.1\n[[settings.classes]]\nname = \"a\"\nslo-s = 1\ndeadline-s = 9\nidempotency = \"guarded\"\n"
--- a/config/charter.go
+++ b/config/dispatch.go
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// Charter decodes what a courier is handed at its start: values by path, such as classes.0.points.
-func Charter(salt int64, values map[string]string) (dispatch.Config, error) {
+// Dispatch decodes what a courier is handed at its start: values by path, such as classes.0.points.
+func Dispatch(salt int64, values map[string]string) (dispatch.Config, error) {
 	p := &pairs{values: values, prefix: "settings."}
 	config := dispatch.Config{
 		Seed:              salt,
--- a/dispatch/quota_test.go
+++ b/dispatch/quota_test.go
@@ -105,9 +105,9 @@
 	dispatcher := New(config)
 	dispatcher.Handle(now, []Event{list})
 	group := dispatcher.destinations[1].groups[0]
-	for _, told := range [][]Event{nil, {QuotaChanged{[]QuotaShare{{Destination: 1}}}}, {QuotaChanged{[]QuotaShare{{Destination: 1, Granted: 0.1, GrantedUntil: now + second}}}}} {
-		if dispatcher.Handle(now, told); dispatcher.fairInterval(group) < 2*part-1 {
-			t.Errorf("told %v, a call goes every %d us, the whole part is %d", told, dispatcher.fairInterval(group), part)
+	for _, events := range [][]Event{nil, {QuotaChanged{[]QuotaShare{{Destination: 1}}}}, {QuotaChanged{[]QuotaShare{{Destination: 1, Granted: 0.1, GrantedUntil: now + second}}}}} {
+		if dispatcher.Handle(now, events); dispatcher.fairInterval(group) < 2*part-1 {
+			t.Errorf("told %v, a call goes every %d us, the whole part is %d", events, dispatcher.fairInterval(group), part)
 		}
 	}
 	if dispatcher.Handle(config.GrantedUntil, nil); dispatcher.fairInterval(group) != part {
--- a/dispatch/scenario_test.go
+++ b/dispatch/scenario_test.go
@@ -272,8 +272,8 @@
 		p.messages[w[1]] = book
 		p.batch = append(p.batch, event)
 	case "restart": // all that was held is dropped; what was learned is kept for the line learned
-		lore := p.dispatcher.Snapshot()
-		p.snapshot, p.dispatcher, p.later, p.wakes, p.shadows = &lore, New(p.config), nil, nil, nil
+		snapshot := p.dispatcher.Snapshot()
+		p.snapshot, p.dispatcher, p.later, p.wakes, p.shadows = &snapshot, New(p.config), nil, nil, nil
 		for _, book := range p.messages {
 			book.ended = true
 		}
@@ -401,7 +401,7 @@
 // rules holds every action against the six rules, in every scenario.
 func (p *player) rules(action Action) {
 	p.t.Helper()
-	end := func(id MessageID, bounce bool) {
+	end := func(id MessageID, reject bool) {
 		book := p.messages[string(id)]
 		if book == nil || book.ended {
 			p.fatal("a second answer, or one for a stranger: %s", id)
@@ -409,7 +409,7 @@
 		if p.now > book.deadline {
 			p.fatal("%s answered after its cut-off", id)
 		}
-		if bounce && (book.mayHaveRun || book.inFlight > 0) && (book.class.Idempotency == AtMostOnce || book.class.SameZone) {
+		if reject && (book.mayHaveRun || book.inFlight > 0) && (book.class.Idempotency == AtMostOnce || book.class.SameZone) {
 			p.fatal("%s bounced though it may have run", id)
 		}
 		book.ended = true
--- a/dispatch/snapshot_test.go
+++ b/dispatch/snapshot_test.go
@@ -42,33 +42,36 @@
 		Classes: []Class{{Objective: second, TimeToLive: 20 * second, Priority: 1, LateFactor: 0.5}}}
 }
 
-// TestOlderSnapshotIsMoreCautious: of two couriers that are handed the same lore, the one for which it is older never has a shorter
-// gap between calls, and never a route open that the other keeps shut for a wait or a breaker.
+// TestOlderSnapshotIsMoreCautious: of two dispatchers that restore the same snapshot, the one for which it is older never has a shorter
+// interval between calls, and never a group open that the other keeps closed for a Retry-After or a breaker.
 func TestOlderSnapshotIsMoreCautious(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dispatcher, at := experienced(t, testConfig())
-		lore := dispatcher.Snapshot()
+		snapshot := dispatcher.Snapshot()
 		now := at + snapshotMaxAge
-		heir := func(age Micros) *Dispatcher { // at the same instant, with lore of another age
-			h := New(testConfig())
-			h.Handle(now, []Event{threeEndpoints()})
-			snapshot := lore
-			snapshot.TakenAt = now - age
-			for i := range snapshot.Groups { // the same shape, moved in time
-				r := &snapshot.Groups[i]
-				shift := snapshot.TakenAt - lore.TakenAt
-				r.CountedSince, r.LastCall, r.LastDelivery, r.OutageAt = r.CountedSince+shift, r.LastCall+shift, r.LastDelivery+shift, r.OutageAt+shift
+		successor := func(age Micros) *Dispatcher { // at the same instant, with a snapshot of another age
+			next := New(testConfig())
+			next.Handle(now, []Event{threeEndpoints()})
+			aged := snapshot
+			aged.TakenAt = now - age
+			shift := aged.TakenAt - snapshot.TakenAt
+			for i := range aged.Groups { // the same state, moved in time
+				group := &aged.Groups[i]
+				group.CountedSince += shift
+				group.LastCall += shift
+				group.LastDelivery += shift
+				group.OutageAt += shift
 			}
-			h.restore(snapshot)
-			return h
+			next.restore(aged)
+			return next
 		}
-		lore.Groups = append([]GroupSnapshot(nil), lore.Groups...)
+		snapshot.Groups = append([]GroupSnapshot(nil), snapshot.Groups...)
 		younger := Micros(rapid.IntRange(0, int(snapshotMaxAge/millisecond)).Draw(t, "younger")) * millisecond
 		older := Micros(rapid.IntRange(int(younger/millisecond), int(snapshotMaxAge/millisecond)).Draw(t, "older")) * millisecond
-		saved := append([]GroupSnapshot(nil), lore.Groups...)
-		a := heir(younger)
-		copy(lore.Groups, saved)
-		b := heir(older)
+		saved := append([]GroupSnapshot(nil), snapshot.Groups...)
+		a := successor(younger)
+		copy(snapshot.Groups, saved)
+		b := successor(older)
 		for id, destination := range a.destinations {
 			for i, group := range destination.groups {
 				other := b.destinations[id].groups[i]
@@ -88,20 +91,20 @@
 func TestSnapshotIsIndependentCopy(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dispatcher, at := experienced(t, testConfig())
-		lore := dispatcher.Snapshot()
-		before := fmt.Sprintf("%+v", lore)
+		snapshot := dispatcher.Snapshot()
+		before := fmt.Sprintf("%+v", snapshot)
 		for i := range 20 {
 			dispatcher.Handle(at+Micros(i)*second, []Event{MessageAccepted{Message: MessageID(fmt.Sprint("later", i)), Destination: 1, Deadline: at + 100*second}})
 		}
-		if after := fmt.Sprintf("%+v", lore); after != before {
+		if after := fmt.Sprintf("%+v", snapshot); after != before {
 			t.Fatalf("%s\nbecame %s", before, after)
 		}
-		heir := New(testConfig())
-		heir.Handle(at, []Event{threeEndpoints(), SnapshotRestored{lore}})
-		again := heir.Snapshot()
-		for i := range lore.Groups { // what is half-open has no trial out at the heir
-			if !reflect.DeepEqual(lore.Groups[i], again.Groups[i]) && lore.Groups[i].Breakers[0].OpenUntil == 0 {
-				t.Fatalf("%+v\nbecame %+v", lore.Groups[i], again.Groups[i])
+		successor := New(testConfig())
+		successor.Handle(at, []Event{threeEndpoints(), SnapshotRestored{snapshot}})
+		again := successor.Snapshot()
+		for i := range snapshot.Groups { // what is half-open has no trial out at the heir
+			if !reflect.DeepEqual(snapshot.Groups[i], again.Groups[i]) && snapshot.Groups[i].Breakers[0].OpenUntil == 0 {
+				t.Fatalf("%+v\nbecame %+v", snapshot.Groups[i], again.Groups[i])
 			}
 		}
 	})
--- a/handoff/machine_test.go
+++ b/handoff/machine_test.go
@@ -7,7 +7,7 @@
 
 // model is one old and up to two new processes with a lock and the messages between them, and nothing else.
 type model struct {
-	giver             *Predecessor
+	predecessor       *Predecessor
 	oldAlive, stopped bool
 	regaining         bool // it is to go on, and has not got the lock yet
 	lock              int  // 0 free, 1 old, 2 and 3 the new ones
@@ -16,14 +16,14 @@
 
 type newcomer struct {
 	born, alive, linked bool
-	taker               Successor
+	successor           Successor
 	toOld, toNew        []Message
 	decides, wanted     bool
 }
 
 func (m model) clone() *model {
-	g := *m.giver
-	m.giver = &g
+	g := *m.predecessor
+	m.predecessor = &g
 	for i := range m.news {
 		m.news[i].toOld = append([]Message(nil), m.news[i].toOld...)
 		m.news[i].toNew = append([]Message(nil), m.news[i].toNew...)
@@ -31,7 +31,7 @@
 	return &m
 }
 
-func (m *model) oldDecides() bool { return m.oldAlive && m.giver.Owns() && !m.regaining }
+func (m *model) oldDecides() bool { return m.oldAlive && m.predecessor.Owns() && !m.regaining }
 
 // steps are all that can happen next.
 func (m *model) steps() (all []func(*model)) {
@@ -49,7 +49,7 @@
 			m.news[i].linked = false
 		}
 	})
-	add(m.oldAlive && !m.stopped, func(m *model) { m.stopped = true; m.giver.ShutDown() }) // SIGTERM
+	add(m.oldAlive && !m.stopped, func(m *model) { m.stopped = true; m.predecessor.ShutDown() }) // SIGTERM
 	for i := range m.news {
 		n := m.news[i]
 		add(!n.born, func(m *model) { m.news[i] = newcomer{born: true, alive: true} })
@@ -68,10 +68,10 @@
 		add(n.alive && !n.decides && !n.linked && m.oldAlive && m.lock == 1, func(m *model) {                  // it knocks
 			n := &m.news[i]
 			n.linked = true
-			switch do, why := m.giver.HelloReceived(&Hello{Version, "n0"}); do {
+			switch do, why := m.predecessor.HelloReceived(&Hello{Version, "n0"}); do {
 			case Refuse:
 				n.linked = false
-				if step, _ := n.taker.MessageReceived(&Message{Refused: why}); step == Yield {
+				if step, _ := n.successor.MessageReceived(&Message{Refused: why}); step == Yield {
 					n.alive = false
 				}
 			case HandOver:
@@ -82,13 +82,13 @@
 			n := &m.news[i]
 			n.wanted, m.lock = false, 0
 			n.toNew = append(n.toNew, Message{State: &State{}})
-			m.giver.HandedOver()
+			m.predecessor.HandedOver()
 		})
 		add(n.alive && len(n.toNew) > 0, func(m *model) { // it hears
 			n := &m.news[i]
 			msg := n.toNew[0]
 			n.toNew = n.toNew[1:]
-			if step, _ := n.taker.MessageReceived(&msg); step == TakeOver && m.lock == 0 {
+			if step, _ := n.successor.MessageReceived(&msg); step == TakeOver && m.lock == 0 {
 				m.lock, n.decides = 2+i, true
 				n.toOld = append(n.toOld, Message{Serving: true}, Message{Cancel: &AttemptID{}})
 			}
@@ -97,7 +97,7 @@
 			n := &m.news[i]
 			msg := n.toOld[0]
 			n.toOld = n.toOld[1:]
-			if m.giver.MessageReceived(&msg) == Drop {
+			if m.predecessor.MessageReceived(&msg) == Drop {
 				n.linked = false
 				m.lost()
 			}
@@ -109,7 +109,7 @@
 }
 
 func (m *model) lost() {
-	if m.giver.SuccessorLost() == Reclaim {
+	if m.predecessor.SuccessorLost() == Reclaim {
 		m.regaining = true
 	}
 }
@@ -118,14 +118,14 @@
 // two that decide at once. What must be: whoever is left alive can own the folder. Failure: an old process that went on while
 // the new one decided broke waits and sent records twice.
 func TestEveryOrder(t *testing.T) {
-	start := &model{giver: NewPredecessor("n0"), oldAlive: true, lock: 1}
+	start := &model{predecessor: NewPredecessor("n0"), oldAlive: true, lock: 1}
 	seen := map[string]bool{}
 	played := 0
 	var play func(m *model, depth int)
 	play = func(m *model, depth int) {
-		key := fmt.Sprint(depth, *m.giver, m.oldAlive, m.stopped, m.regaining, m.lock, m.news[0].born, m.news[0].alive, m.news[0].linked, m.news[0].taker,
+		key := fmt.Sprint(depth, *m.predecessor, m.oldAlive, m.stopped, m.regaining, m.lock, m.news[0].born, m.news[0].alive, m.news[0].linked, m.news[0].successor,
 			len(m.news[0].toOld), len(m.news[0].toNew), m.news[0].decides, m.news[0].wanted, m.news[1].born, m.news[1].alive, m.news[1].linked,
-			m.news[1].taker, len(m.news[1].toOld), len(m.news[1].toNew), m.news[1].decides, m.news[1].wanted)
+			m.news[1].successor, len(m.news[1].toOld), len(m.news[1].toNew), m.news[1].decides, m.news[1].wanted)
 		if seen[key] {
 			return
 		}
@@ -141,10 +141,10 @@
 			}
 		}
 		if deciders > 1 {
-			t.Fatalf("%d decide: %+v, giver %+v", deciders, m, *m.giver)
+			t.Fatalf("%d decide: %+v, giver %+v", deciders, m, *m.predecessor)
 		}
 		if m.oldDecides() && m.lock != 1 || m.oldAlive && m.lock == 1 && !m.oldDecides() {
-			t.Fatalf("who decides does not own the folder: %+v, giver %+v", m, *m.giver)
+			t.Fatalf("who decides does not own the folder: %+v, giver %+v", m, *m.predecessor)
 		}
 		if depth == 0 {
 			return
@@ -162,7 +162,7 @@
 	t.Logf("%d states", played)
 }
 
-func TestGiver(t *testing.T) {
+func TestPredecessor(t *testing.T) {
 	hello := &Hello{Version, "n0"}
 	g := NewPredecessor("n0")
 	for _, bad := range []*Hello{{Version + 1, "n0"}, {Version, "n1"}} {
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -102,15 +102,15 @@
 // write is the one goroutine that waits for the reader.
 func (l *Log) write(out io.Writer) {
 	defer close(l.done)
-	told := int64(0)
+	logged := int64(0)
 	put := func(line []byte) {
 		if _, err := out.Write(line); err == nil {
 			l.written.Add(1)
 		}
-		if n := l.dropped.Load(); n > told && len(l.queue) < cap(l.queue)/2 {
+		if n := l.dropped.Load(); n > logged && len(l.queue) < cap(l.queue)/2 {
 			record := slog.NewRecord(time.Now(), slog.LevelWarn, "log lines dropped", 0)
-			record.AddAttrs(slog.Int64("count", n-told), slog.String(Component, "logs"))
-			told = n
+			record.AddAttrs(slog.Int64("count", n-logged), slog.String(Component, "logs"))
+			logged = n
 			_ = l.Logger.Handler().(*handler).form.Handle(context.Background(), record) // into the queue, which has room
 		}
 	}
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -118,11 +118,11 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	l.Close(time.Second)
-	told := int64(0)
+	logged := int64(0)
 	if _, text, ok := strings.Cut(out.String(), "count="); ok {
-		fmt.Sscan(text, &told)
+		fmt.Sscan(text, &logged)
 	}
-	if told < dropped || told > l.Dropped() { // a few more may have been dropped since it was stuck
-		t.Errorf("%d told, %d dropped", told, dropped)
+	if logged < dropped || logged > l.Dropped() { // a few more may have been dropped since it was stuck
+		t.Errorf("%d told, %d dropped", logged, dropped)
 	}
 }
--- a/membership/gossip/gossip_test.go
+++ b/membership/gossip/gossip_test.go
@@ -66,10 +66,10 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	told := 0
+	notified := 0
 	for i, member := range f.members {
-		if snapshot := member.Snapshot(); !all(i, member) && told < 8 {
-			told++
+		if snapshot := member.Snapshot(); !all(i, member) && notified < 8 {
+			notified++
 			f.t.Errorf("n%d, start %d: %s, %d to %d couriers, %d words lost", i, member.Incarnation(), snapshot.LocalStatus, snapshot.MinCouriers, snapshot.MaxCouriers, member.Metrics().LostEvents)
 			for _, o := range snapshot.Members {
 				if o.State != membership.Alive {
--- a/membership/gossip/transport.go
+++ b/membership/gossip/transport.go
@@ -57,11 +57,11 @@
 	if advertise == "" {
 		advertise = addr
 	}
-	told, err := net.ResolveTCPAddr("tcp", advertise)
+	notified, err := net.ResolveTCPAddr("tcp", advertise)
 	if err != nil {
 		return nil, err
 	}
-	if told.IP == nil || told.IP.IsUnspecified() || told.Port == 0 {
+	if notified.IP == nil || notified.IP.IsUnspecified() || notified.Port == 0 {
 		return nil, fmt.Errorf("%s: an address that others can reach was expected", advertise)
 	}
 	l, err := net.Listen("tcp", addr)
@@ -74,7 +74,7 @@
 		l.Close()
 		return nil, err
 	}
-	t := &sockets{udp: udp, tcp: l, advertise: told, through: through, packets: make(chan *memberlist.Packet, packetQueue),
+	t := &sockets{udp: udp, tcp: l, advertise: notified, through: through, packets: make(chan *memberlist.Packet, packetQueue),
 		streams: make(chan net.Conn), done: make(chan struct{})}
 	t.group.Add(2)
 	go t.receive()
--- a/protocol/calls.go
+++ b/protocol/calls.go
@@ -58,9 +58,9 @@
 
 // Notice tells the platform of a record that was taken on and not delivered.
 type Notice struct {
-	ID      string
-	Bounced bool
-	AgainMs int64 // with a bounce, 0 if nothing is advised
+	ID       string
+	Rejected bool
+	AgainMs  int64 // with a bounce, 0 if nothing is advised
 }
 
 // Notices writes one call with several notices.
@@ -72,7 +72,7 @@
 			Status string `json:"status"`
 			Again  int64  `json:"again_ms,omitempty"`
 		}{n.ID, "undeliverable", 0}
-		if n.Bounced {
+		if n.Rejected {
 			line.Status, line.Again = "deferred", n.AgainMs
 		}
 		text, _ := json.Marshal(line) // strings and a number: it cannot fail
@@ -85,9 +85,9 @@
 type Health string
 
 const (
-	InService   Health = "in_service"
-	Terminating Health = "terminating"
-	Terminated  Health = "terminated"
+	InService Health = "in_service"
+	Draining  Health = "terminating"
+	Removed   Health = "terminated"
 )
 
 // Host is one endpoint on discovery's list.
@@ -139,9 +139,9 @@
 		err = fmt.Errorf("host: a name was expected")
 	case h.Dest < 0:
 		err = fmt.Errorf("host %s: block: a number was expected", h.Host)
-	case h.Health != InService && h.Health != Terminating && h.Health != Terminated:
+	case h.Health != InService && h.Health != Draining && h.Health != Removed:
 		err = fmt.Errorf("host %s: health: unknown state %.20q", h.Host, h.Health)
-	case h.Health != Terminated && !isAddress(h.Dial):
+	case h.Health != Removed && !isAddress(h.Dial):
 		err = fmt.Errorf("host %s: dial: address:port was expected, not %.40q", h.Host, h.Dial)
 	}
 	if err != nil {
--- a/protocol/protocol_test.go
+++ b/protocol/protocol_test.go
@@ -94,7 +94,7 @@
 		return ReadEnqueue([][]byte{[]byte("ENQUEUE"), []byte("0"), []byte(id), []byte(fields), []byte("b\r\n")})
 	}
 	got, err := read("i-1", "c=notice,d=8000,zz=1,dest=7,again=1,k=m,t=p")
-	want := Enqueue{ID: "i-1", Workload: "notice", Dest: 7, LeftMs: 8000, Party: "p", Mark: "m", Again: true, Body: []byte("b\r\n")}
+	want := Enqueue{ID: "i-1", Class: "notice", Dest: 7, LeftMs: 8000, Tenant: "p", Mark: "m", Again: true, Body: []byte("b\r\n")}
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v %v", got, err)
 	}
@@ -203,7 +203,7 @@
 	if ends := ReadEnds([]byte("a accepted\r\nb deferred\r\nrubbish\r\n")); !reflect.DeepEqual(ends, map[string]string{"a": Accepted, "b": Deferred}) {
 		t.Errorf("%v", ends)
 	}
-	notices := string(Notices("h:1", []Notice{{ID: "a\""}, {ID: "b", Bounced: true, AgainMs: 5}, {ID: "c", Bounced: true}}))
+	notices := string(Notices("h:1", []Notice{{ID: "a\""}, {ID: "b", Rejected: true, AgainMs: 5}, {ID: "c", Rejected: true}}))
 	if want := "{\"id\":\"a\\\"\",\"status\":\"undeliverable\"}\n{\"id\":\"b\",\"status\":\"deferred\",\"again_ms\":5}\n" +
 		"{\"id\":\"c\",\"status\":\"deferred\"}\n"; !strings.HasSuffix(notices, "\r\n\r\n"+want) {
 		t.Errorf("%q", notices)
--- a/protocol/resp.go
+++ b/protocol/resp.go
@@ -149,15 +149,15 @@
 
 // Enqueue is a record as a client hands it in.
 type Enqueue struct {
-	ID       string
-	Workload string
-	Dest     int
-	LeftMs   int // how long it may still be delivered
-	Party    string
-	Key      string // of its order
-	Mark     string // by which a repeat is known
-	Again    bool   // handed in before
-	Body     []byte
+	ID     string
+	Class  string
+	Dest   int
+	LeftMs int // how long it may still be delivered
+	Tenant string
+	Key    string // of its order
+	Mark   string // by which a repeat is known
+	Again  bool   // handed in before
+	Body   []byte
 }
 
 // ReadEnqueue reads the arguments of ENQUEUE: key, id, names with values, body.
@@ -174,7 +174,7 @@
 		n, ok := digits(value)
 		switch string(name) {
 		case "c":
-			e.Workload = string(value)
+			e.Class = string(value)
 		case "d":
 			if ok {
 				e.LeftMs = n
@@ -184,7 +184,7 @@
 				e.Dest = n
 			}
 		case "t":
-			e.Party = string(value)
+			e.Tenant = string(value)
 		case "k":
 			if !isToken(value) {
 				return e, errors.New("ERR bad k")
--- a/quota/bench_test.go
+++ b/quota/bench_test.go
@@ -20,7 +20,7 @@
 				alive = append(alive, fmt.Sprintf("n%d", i))
 			}
 			now, said := 10*second, 0
-			beat := func(n int) {
+			tick := func(n int) {
 				now += second / 2
 				var all []Demand
 				for r := range routes {
@@ -47,9 +47,9 @@
 					}
 				}
 			}
-			beat(1)
+			tick(1)
 			hear(1)
-			beat(2)
+			tick(2)
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			kept := float64(after.HeapAlloc) - float64(before.HeapAlloc)
@@ -61,7 +61,7 @@
 					hear(n)
 					b.StartTimer()
 				}
-				beat(n + 3)
+				tick(n + 3)
 			}
 			b.ReportMetric(float64(said)/float64(b.N), "bytes/beat")
 			b.ReportMetric(kept/1024, "KiB-kept")
--- a/quota/decisions.go
+++ b/quota/decisions.go
@@ -2,8 +2,8 @@
 
 import "pineport/dispatch"
 
-// Told is what the decisions tell of their routes, as an event.
-func Told(all []dispatch.Demand) (needs DemandsChanged) {
+// DemandsOf is what the decisions tell of their routes, as an event.
+func DemandsOf(all []dispatch.Demand) (needs DemandsChanged) {
 	for _, n := range all {
 		needs.All = append(needs.All, Demand{Key: Key{Dest: int32(n.Destination), Endpoint: string(n.Endpoint)}, Limit: n.Limit,
 			Calls: uint64(n.Calls), Delivered: uint64(n.Delivered), Throttled: uint64(n.Throttled), Waiting: n.Waiting})
--- a/quota/exchange/exchange.go
+++ b/quota/exchange/exchange.go
@@ -130,8 +130,8 @@
 
 func (x *Exchange) run(ctx context.Context) {
 	defer x.done.Done()
-	beat := time.NewTicker(x.options.Interval)
-	defer beat.Stop()
+	interval := time.NewTicker(x.options.Interval)
+	defer interval.Stop()
 	for {
 		var actions []quota.Action
 		select {
@@ -139,9 +139,9 @@
 			return
 		case packet := <-x.packets:
 			actions = x.allocator.Handle(x.now(), quota.PacketReceived{Packet: packet})
-		case <-beat.C:
+		case <-interval.C:
 			couriers, alive := x.options.Fleet()
-			actions = x.allocator.Handle(x.now(), quota.FleetChanged{Couriers: couriers, Alive: alive}, quota.Told(x.options.Demands()), quota.Tick{})
+			actions = x.allocator.Handle(x.now(), quota.FleetChanged{Couriers: couriers, Alive: alive}, quota.DemandsOf(x.options.Demands()), quota.Tick{})
 		case to := <-x.looks:
 			to <- x.status()
 		}
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -187,17 +187,17 @@
 	for _, sample := range packet.Counts {
 		c.merge(sample)
 	}
-	var loans []Lease
+	var leases []Lease
 	var share ShareChanged
 	for _, a := range packet.Requests {
 		if lease, ok := c.grantLeases(packet.From, a); ok {
-			loans = append(loans, lease)
+			leases = append(leases, lease)
 			share.Shares = append(share.Shares, c.share(c.routes[a.Key]))
 		}
 	}
-	if len(loans) > 0 {
+	if len(leases) > 0 {
 		c.actions = append(c.actions, share) // before it is said
-		c.send(packet.From, Packet{Leases: loans})
+		c.send(packet.From, Packet{Leases: leases})
 	}
 }
 
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -86,7 +86,7 @@
 	}
 }
 
-func (f *fleet) beat(i int) {
+func (f *fleet) tick(i int) {
 	var others []string
 	for _, n := range f.names {
 		if n != f.names[i] {
@@ -165,8 +165,8 @@
 		}
 	}
 	return []func(*fleet){
-		func(f *fleet) { f.beat(0) },
-		func(f *fleet) { f.beat(1); f.beat(2) },
+		func(f *fleet) { f.tick(0) },
+		func(f *fleet) { f.tick(1); f.tick(2) },
 		func(f *fleet) { word(f, f.deliver) }, // in order
 		func(f *fleet) {
 			word(f, func(action SendPacket) { f.deliver(action); f.kept = append(f.kept, action) })
@@ -200,12 +200,12 @@
 	for range 5 {
 		f.pass(second)
 		for i := range f.all {
-			f.beat(i)
+			f.tick(i)
 		}
 		f.way = nil
 	}
 	f.pass(span / 2) // what was asked is given up
-	f.beat(0)
+	f.tick(0)
 	return f
 }
 
@@ -246,33 +246,33 @@
 	f.need[0] = 60
 	for range 5 {
 		f.pass(second)
-		f.beat(1)
-		f.beat(2)
+		f.tick(1)
+		f.tick(2)
 	}
 	f.way = nil
 	asks := func() {
 		f.begin(0)
-		f.beat(0)
+		f.tick(0)
 		f.pass(second / 2)
-		f.beat(0)
+		f.tick(0)
 	}
 	asks()
 	for _, action := range f.way {
 		f.deliver(action)
 	}
-	var loans []SendPacket
+	var leases []SendPacket
 	for _, action := range f.way {
 		if len(action.Packet.Leases) > 0 {
-			loans = append(loans, action)
+			leases = append(leases, action)
 		}
 	}
 	asks()
-	for _, action := range loans {
+	for _, action := range leases {
 		f.deliver(action)
 	}
 	route := f.all[0].routes[theKey]
-	if len(loans) == 0 || len(route.requests) == 0 {
-		t.Fatalf("%d loans, %d asked: the case did not come up", len(loans), len(route.requests))
+	if len(leases) == 0 || len(route.requests) == 0 {
+		t.Fatalf("%d loans, %d asked: the case did not come up", len(leases), len(route.requests))
 	}
 	if len(route.leases) > 0 {
 		t.Errorf("%v was lent to an earlier start", route.leases)
@@ -359,7 +359,7 @@
 	for range 60 {
 		f.pass(second / 2)
 		for i := range f.all {
-			f.beat(i)
+			f.tick(i)
 		}
 		for len(f.way) > 0 {
 			action := f.way[0]
@@ -390,7 +390,7 @@
 	round := func() {
 		f.pass(second / 2)
 		for i := range f.all {
-			f.beat(i)
+			f.tick(i)
 		}
 		for len(f.way) > 0 {
 			action := f.way[0]
@@ -408,7 +408,7 @@
 	}
 	f.n = 6 // membership tells all of them before the new ones begin
 	for i := range f.all {
-		f.beat(i)
+		f.tick(i)
 	}
 	for range 3 {
 		f.add(10)
@@ -505,12 +505,12 @@
 		alive = append(alive, long(i+1))
 	}
 	said, most := 0, 0
-	for beat := range 20 {
+	for tick := range 20 {
 		var all []Demand
 		for d := range 1000 {
-			all = append(all, Demand{Key: Key{int32(d), long(d)}, Limit: 10, Calls: uint64(beat * (d % 9)), Waiting: d % 7})
+			all = append(all, Demand{Key: Key{int32(d), long(d)}, Limit: 10, Calls: uint64(tick * (d % 9)), Waiting: d % 7})
 		}
-		for _, a := range c.Handle(Micros(beat+1)*second, FleetChanged{300, alive}, DemandsChanged{all}, Tick{}) {
+		for _, a := range c.Handle(Micros(tick+1)*second, FleetChanged{300, alive}, DemandsChanged{all}, Tick{}) {
 			if action, ok := a.(SendPacket); ok {
 				said++
 				if text, err := Encode(action.Packet); err != nil || len(text) > maxPacketBytes {
--- a/quota/show.go
+++ b/quota/show.go
@@ -41,13 +41,13 @@
 	Remaining Micros `json:"for_us"`
 }
 
-func (c *Allocator) leaseStatuses(all []lease) (lots []LeaseStatus) {
+func (c *Allocator) leaseStatuses(all []lease) (leases []LeaseStatus) {
 	for _, lease := range all {
 		if c.now < lease.until {
-			lots = append(lots, LeaseStatus{lease.courier, lease.id, lease.units, lease.until - c.now})
+			leases = append(leases, LeaseStatus{lease.courier, lease.id, lease.units, lease.until - c.now})
 		}
 	}
-	return lots
+	return leases
 }
 
 // Status is what stands at an instant, by route, and what happened.
--- a/server/calls.go
+++ b/server/calls.go
@@ -218,10 +218,10 @@
 // kindOf is what the settings say of the kind that an endpoint is of; false where they know none of that name.
 func (r *Server) endpointTypeOf(entry protocol.Host) (dispatch.EndpointType, bool) {
 	i := slices.Index(r.deployment.Shapes, entry.Kind)
-	if i < 0 || i >= len(r.deployment.Charter.EndpointTypes) {
+	if i < 0 || i >= len(r.deployment.Dispatch.EndpointTypes) {
 		return dispatch.EndpointType{}, false
 	}
-	return r.deployment.Charter.EndpointTypes[i], true
+	return r.deployment.Dispatch.EndpointTypes[i], true
 }
 
 // outcomeOf reads an answer for all that a call carried.
--- a/server/clients.go
+++ b/server/clientconns.go
@@ -401,11 +401,11 @@
 // checkEnqueue tells what a message names that the courier does not know.
 func (cs *clientConns) checkEnqueue(request protocol.Enqueue) error {
 	r := cs.server
-	if !slices.Contains(r.deployment.Workloads, request.Workload) || r.deployment.Retired[request.Workload] {
+	if !slices.Contains(r.deployment.Classes, request.Class) || r.deployment.Retired[request.Class] {
 		return errors.New("ERR unknown workload")
 	}
 	if !r.knowsDestination(request.Dest) {
-		r.count(request.Workload, failed)
+		r.count(request.Class, failed)
 		return errors.New("ERR unknown destination")
 	}
 	return nil
@@ -429,7 +429,7 @@
 // acceptMessage puts a message into the spool and hands it to the decisions.
 func (cs *clientConns) acceptMessage(request protocol.Enqueue, rep *reply) {
 	r := cs.server
-	kept := &spool.Message{ID: request.ID, Class: request.Workload, Destination: request.Dest, Tenant: request.Party, OrderingKey: request.Key,
+	kept := &spool.Message{ID: request.ID, Class: request.Class, Destination: request.Dest, Tenant: request.Tenant, OrderingKey: request.Key,
 		IdempotencyKey: request.Mark, Resubmitted: request.Again, Deadline: int64(r.now) + int64(request.LeftMs)*1000, Body: request.Body}
 	if err := r.spool.Append(kept); err != nil {
 		if !errors.Is(err, spool.ErrFull) {
@@ -440,7 +440,7 @@
 		return
 	}
 	rep.text = protocol.ReplyOK
-	rep.message = &message{stored: kept, waiting: []*reply{rep}, acceptedAt: r.now, idempotencyWindow: r.repeatWindow(kept.Class)}
+	rep.message = &message{stored: kept, waiting: []*reply{rep}, acceptedAt: r.now, idempotencyWindow: r.idempotencyWindow(kept.Class)}
 	r.messages[dispatch.MessageID(request.ID)] = rep.message
 	r.counters.accepted()
 	r.events = append(r.events, r.acceptedEvent(kept))
--- a/server/counters.go
+++ b/server/counters.go
@@ -26,16 +26,16 @@
 }
 
 // grow makes room for further workloads.
-func (c *counters) grow(workloads int) {
-	c.endings = append(c.endings, make([][numEndings]int64, max(0, workloads-len(c.endings)))...)
+func (c *counters) grow(classes int) {
+	c.endings = append(c.endings, make([][numEndings]int64, max(0, classes-len(c.endings)))...)
 }
 
 func (c *counters) accepted() { c.unfinished++ }
 func (c *counters) ended()    { c.unfinished-- }
 
 // count takes down how a message of a workload ended; of an unknown one nobody asks.
-func (r *Server) count(workload string, how endingKind) {
-	if w := slices.Index(r.deployment.Workloads, workload); w >= 0 {
+func (r *Server) count(class string, how endingKind) {
+	if w := slices.Index(r.deployment.Classes, class); w >= 0 {
 		r.counters.endings[w][how]++
 	}
 }
@@ -45,7 +45,7 @@
 	f := &admin.Metrics{Success: map[string]int64{}, Overload: map[string]int64{}, Error: map[string]int64{},
 		Dispatches: r.counters.calls, Concurrent: r.counters.unfinished, Targets: int64(len(r.endpoints)),
 		ReloadSuccess: r.operators.reloads, ReloadFailure: r.operators.failedReloads.Load()}
-	for w, name := range r.deployment.Workloads {
+	for w, name := range r.deployment.Classes {
 		f.Success[name], f.Overload[name], f.Error[name] = r.counters.endings[w][delivered], r.counters.endings[w][rejected], r.counters.endings[w][failed]
 	}
 	if c, ok := r.dispatcher.(interface {
--- a/server/crossings_test.go
+++ b/server/crossings_test.go
@@ -121,7 +121,7 @@
 func TestCalledOffBeforeItLeft(t *testing.T) {
 	r := steppedServer(t, open(t, 0), single("one"), single("two"))
 	var calls []*call
-	r.deployment.Charter.EndpointTypes[0].MaxPerCall = 5
+	r.deployment.Dispatch.EndpointTypes[0].MaxPerCall = 5
 	for _, id := range []dispatch.MessageID{"one", "two"} {
 		calls = r.addToCall(calls, dispatch.Send{Message: id, Endpoint: "s-0", Timeout: 5 * 1000 * 1000})
 	}
@@ -152,7 +152,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	h := &standing{make(chan struct{}), make(chan struct{})}
+	h := &blockingHandler{make(chan struct{}), make(chan struct{})}
 	goOn = sync.OnceFunc(func() { close(h.goOn) })
 	t.Cleanup(goOn)
 	r.driver.Dial(l.Addr().String(), 5*time.Second, h)
@@ -171,12 +171,12 @@
 }
 
 // standing is a connection whose handler stands still.
-type standing struct{ stands, goOn chan struct{} }
+type blockingHandler struct{ stands, goOn chan struct{} }
 
-func (*standing) Opened(*transport.Conn)        {}
-func (*standing) Closed(*transport.Conn, error) {}
+func (*blockingHandler) Opened(*transport.Conn)        {}
+func (*blockingHandler) Closed(*transport.Conn, error) {}
 
-func (h *standing) Data(*transport.Conn, []byte) {
+func (h *blockingHandler) Data(*transport.Conn, []byte) {
 	close(h.stands)
 	<-h.goOn
 }
@@ -796,13 +796,13 @@
 func TestAReloadThatCrossesAnUpgrade(t *testing.T) {
 	r := steppedServer(t, open(t, 0))
 	r.handoff.handedOver = true
-	var told *config.Deployment
-	r.OnReload(func(dep *config.Deployment) { told = dep })
+	var reloaded *config.Deployment
+	r.OnReload(func(dep *config.Deployment) { reloaded = dep })
 	next := *r.deployment
 	next.Discovery = "127.0.0.1:9"
 	r.handle(&next)
-	if told == nil || told.Discovery != next.Discovery {
-		t.Errorf("the next router here begins with %+v", told)
+	if reloaded == nil || reloaded.Discovery != next.Discovery {
+		t.Errorf("the next router here begins with %+v", reloaded)
 	}
 	if r.discovery.pollInFlight != nil {
 		t.Error("it asks discovery, which the other process does")
--- a/server/platform.go
+++ b/server/discovery.go
@@ -63,7 +63,7 @@
 func (p *discovery) init(r *Server) { p.server, p.pollTimeoutAt, p.pollAt = r, never, never }
 
 func (p *discovery) start() {
-	if !p.server.deployment.Charter.MustPoll {
+	if !p.server.deployment.Dispatch.MustPoll {
 		p.poll()
 	}
 }
@@ -108,7 +108,7 @@
 			return
 		}
 		p.server.events = append(p.server.events, dispatch.EndpointUpdate{Kind: dispatch.ListFailed})
-		if !p.server.deployment.Charter.MustPoll {
+		if !p.server.deployment.Dispatch.MustPoll {
 			p.pollAt = p.server.now + maxPollBackoff
 		}
 		return
@@ -159,7 +159,7 @@
 // tell owes the platform the end of a message.
 func (p *discovery) addNotice(stored *spool.Message) {
 	p.notices = append(p.notices, &notice{until: dispatch.Micros(stored.Deadline) + noticeLifetime,
-		notice: protocol.Notice{ID: stored.ID, Bounced: stored.Ended == storedRejected, AgainMs: stored.RetryAfterMs}})
+		notice: protocol.Notice{ID: stored.ID, Rejected: stored.Ended == storedRejected, AgainMs: stored.RetryAfterMs}})
 }
 
 func (p *discovery) due() dispatch.Micros {
--- a/server/links.go
+++ b/server/endpointconns.go
@@ -147,7 +147,7 @@
 	ls.maxConns = (r.deployment.Sockets - AdminSockets(r.deployment)) * 4 / 10
 	// The other side closes at the latest after the whole of it, counted from when it wrote its answer, and a
 	// request that comes later is lost: the longest way there and back that is told of is under 300 ms.
-	idle := r.deployment.Charter.IdleTimeout
+	idle := r.deployment.Dispatch.IdleTimeout
 	ls.idleTimeout = idle - min(idle/4, 300*1000)
 }
 
--- a/server/listing.go
+++ b/server/endpoints.go
@@ -23,7 +23,7 @@
 			r.log.Warn("entry of the list left out", "host", entry.Host, "site", entry.Zone, "class", entry.Kind)
 			continue
 		}
-		if entry.Health == protocol.Terminated {
+		if entry.Health == protocol.Removed {
 			delete(r.endpoints, listing.Endpoint)
 		} else {
 			r.endpoints[listing.Endpoint] = entry
@@ -59,8 +59,8 @@
 }
 
 func (r *Server) endpointEntry(entry protocol.Host) (dispatch.EndpointEntry, bool) {
-	phases := map[protocol.Health]dispatch.Phase{protocol.InService: dispatch.InService, protocol.Terminating: dispatch.Draining,
-		protocol.Terminated: dispatch.Removed}
+	phases := map[protocol.Health]dispatch.Phase{protocol.InService: dispatch.InService, protocol.Draining: dispatch.Draining,
+		protocol.Removed: dispatch.Removed}
 	zone, shape := slices.Index(r.deployment.Zones, entry.Zone), slices.Index(r.deployment.Shapes, entry.Kind)
 	return dispatch.EndpointEntry{Endpoint: dispatch.EndpointID(entry.Host), Zone: dispatch.ZoneID(zone), Type: dispatch.EndpointTypeID(shape),
 		Destination: dispatch.DestinationID(entry.Dest), Phase: phases[entry.Health], Rate: entry.Rate}, zone >= 0 && shape >= 0
--- a/server/fleet.go
+++ b/server/fleet.go
@@ -15,7 +15,7 @@
 // charter is the settings' own, with as many couriers as the fleet counts where that is more: a part of a limit can only
 // become smaller by what others say.
 func (r *Server) dispatchConfig() dispatch.Config {
-	ch := r.deployment.Charter
+	ch := r.deployment.Dispatch
 	ch.Couriers = max(ch.Couriers, int(r.appliedSize))
 	ch.GrantedUntil = r.grantedUntil
 	return ch
--- a/server/upgrade.go
+++ b/server/handoff.go
@@ -386,7 +386,7 @@
 // CountFrom goes on counting where another router of this process left off.
 func (r *Server) CountFrom(before *Server) {
 	r.counters.endings, r.counters.calls = before.counters.endings, before.counters.calls
-	r.counters.grow(len(r.deployment.Workloads))
+	r.counters.grow(len(r.deployment.Classes))
 	r.operators.reloads = before.operators.reloads
 	r.operators.failedReloads.Store(before.operators.failedReloads.Load())
 }
--- a/server/message.go
+++ b/server/message.go
@@ -20,8 +20,8 @@
 }
 
 // repeatWindow is the window of a class whose repeats are known by an idempotency key; 0 for all others.
-func (r *Server) repeatWindow(workload string) dispatch.Micros {
-	class := r.deployment.Charter.Classes[slices.Index(r.deployment.Workloads, workload)]
+func (r *Server) idempotencyWindow(name string) dispatch.Micros {
+	class := r.deployment.Dispatch.Classes[slices.Index(r.deployment.Classes, name)]
 	if class.Idempotency != dispatch.IdempotencyKey {
 		return 0
 	}
@@ -34,9 +34,9 @@
 	if m.idempotencyWindow == 0 {
 		return false
 	}
-	for _, trip := range m.stored.Attempts {
-		if outcome, heard := outcomes[trip.Outcome]; !heard || mayHaveRun(outcome) {
-			return now >= dispatch.Micros(trip.SentAt)+m.idempotencyWindow
+	for _, attempt := range m.stored.Attempts {
+		if outcome, heard := outcomes[attempt.Outcome]; !heard || mayHaveRun(outcome) {
+			return now >= dispatch.Micros(attempt.SentAt)+m.idempotencyWindow
 		}
 	}
 	return false
@@ -70,8 +70,8 @@
 // accepted is what the decisions are told of a message that was accepted.
 func (r *Server) acceptedEvent(stored *spool.Message) dispatch.MessageAccepted {
 	return dispatch.MessageAccepted{Message: dispatch.MessageID(stored.ID), Destination: dispatch.DestinationID(stored.Destination),
-		Class:  dispatch.ClassID(slices.Index(r.deployment.Workloads, stored.Class)),
-		Tenant: dispatch.TenantID(max(0, slices.Index(r.deployment.Parties, stored.Tenant))), OrderingKey: dispatch.OrderingKey(stored.OrderingKey),
+		Class:  dispatch.ClassID(slices.Index(r.deployment.Classes, stored.Class)),
+		Tenant: dispatch.TenantID(max(0, slices.Index(r.deployment.Tenants, stored.Tenant))), OrderingKey: dispatch.OrderingKey(stored.OrderingKey),
 		Deadline: dispatch.Micros(stored.Deadline), Resubmitted: stored.Resubmitted}
 }
 
--- a/server/recovery.go
+++ b/server/recovery.go
@@ -61,13 +61,13 @@
 			r.discovery.addNotice(kept)
 			continue
 		}
-		if slices.Index(r.deployment.Workloads, kept.Class) < 0 {
+		if slices.Index(r.deployment.Classes, kept.Class) < 0 {
 			r.log.Warn("record of an unknown workload", "id", kept.ID, "workload", kept.Class)
 			r.logSpoolError(r.spool.Finish(kept.ID, storedFailed, 0))
 			r.discovery.addNotice(kept)
 			continue
 		}
-		message := &message{stored: kept, acceptedAt: r.now, idempotencyWindow: r.repeatWindow(kept.Class)}
+		message := &message{stored: kept, acceptedAt: r.now, idempotencyWindow: r.idempotencyWindow(kept.Class)}
 		for i := range kept.Attempts {
 			attempt := &attempt{message: message, number: i, sentAt: dispatch.Micros(kept.Attempts[i].SentAt), stored: true, finished: true}
 			message.attempts = append(message.attempts, attempt)
--- a/server/reload.go
+++ b/server/reload.go
@@ -32,7 +32,7 @@
 	if old.Discovery != merged.Discovery {
 		r.discovery.addressChanged(old.Discovery)
 	}
-	r.counters.grow(len(merged.Workloads))
+	r.counters.grow(len(merged.Classes))
 	r.clients.updateLimits()
 	r.endpointConns.updateLimits()
 	if old.SpoolMB != merged.SpoolMB {
@@ -53,9 +53,9 @@
 }
 
 // heldOf is how many messages of a workload are held.
-func (r *Server) countHeld(workload string) (n int) {
+func (r *Server) countHeld(class string) (n int) {
 	for _, message := range r.messages {
-		if !message.ended && message.stored.Class == workload {
+		if !message.ended && message.stored.Class == class {
 			n++
 		}
 	}
--- a/server/router.go
+++ b/server/server.go
@@ -97,7 +97,7 @@
 	r.endpointConns.init(r)
 	r.clients.init(r)
 	r.discovery.init(r)
-	r.counters.grow(len(dep.Workloads))
+	r.counters.grow(len(dep.Classes))
 	r.operators.init(r)
 	list, err := protocol.ReadList(dep.Known)
 	if err != nil {
--- a/server/router_test.go
+++ b/server/server_test.go
@@ -556,7 +556,7 @@
 		"nothing": func(*Server) {},
 		"drain": func(r *Server) {
 			for _, entry := range r.endpoints {
-				entry.Health = protocol.Terminating
+				entry.Health = protocol.Draining
 				r.applyEndpoints(protocol.List{Hosts: []protocol.Host{entry}}, dispatch.PartialList)
 			}
 		},
@@ -584,9 +584,9 @@
 				}
 				r.handle(what)
 			}
-			trips := r.messages["one"].stored.Attempts
-			if sent := trips[0].Outcome != "void"; sent != (name == "nothing") {
-				t.Errorf("trips %+v", trips)
+			attempts := r.messages["one"].stored.Attempts
+			if sent := attempts[0].Outcome != "void"; sent != (name == "nothing") {
+				t.Errorf("trips %+v", attempts)
 			}
 		})
 	}
--- a/server/watch.go
+++ b/server/shadow.go
@@ -26,14 +26,14 @@
 	w.deployment, w.shadow = r.deployment.Watch, nil
 	w.interval = dispatch.Micros(r.deployment.WatchTell.Microseconds())
 	if w.deployment != nil {
-		w.shadow, w.nextLogAt = dispatch.NewShadow(r.deployment.Merged(w.deployment).Charter), r.now+w.interval
+		w.shadow, w.nextLogAt = dispatch.NewShadow(r.deployment.Merged(w.deployment).Dispatch), r.now+w.interval
 	}
 }
 
 // recharter keeps the numbers of workloads and parties those of a configuration that was read anew.
 func (w *shadowState) reconfigure(r *Server) {
 	if w.shadow != nil {
-		w.shadow.Reconfigure(r.deployment.Merged(w.deployment).Charter)
+		w.shadow.Reconfigure(r.deployment.Merged(w.deployment).Dispatch)
 	}
 }
 
--- a/server/standing_terms_test.go
+++ b/server/standing_terms_test.go
@@ -21,7 +21,7 @@
 // from outside: its address, its configuration and what its peers are asked.
 
 // toldWithin is when a change counts as told at the latest, after discovery had it and could be reached.
-const toldWithin = 6 * time.Second
+const changeDeadline = 6 * time.Second
 
 // failure is one way in which a call to discovery fails. It is handed the call's connection, and tells whether that is kept
 // open and silent.
@@ -130,8 +130,8 @@
 		}
 	}
 	defer conn.Close()
-	for told := false; readRequest(in) == nil; told = true {
-		if !told {
+	for answered := false; readRequest(in) == nil; answered = true {
+		if !answered {
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(d.list), d.list)
 		}
 	}
@@ -248,10 +248,10 @@
 	return func() time.Duration { close(stopped); return <-worst }
 }
 
-// TestAChangeIsToldInTime: whatever calls to discovery came to while it was unwell, and whenever it recovers, the courier has a
+// TestChangeIsAppliedInTime: whatever calls to discovery came to while it was unwell, and whenever it recovers, the courier has a
 // change 6 s after discovery had it and could be reached, where lists are asked for and where they are pushed. By how much the
 // machine itself stood still is added.
-func TestAChangeIsToldInTime(t *testing.T) {
+func TestChangeIsAppliedInTime(t *testing.T) {
 	// Instants of recovery, from when the courier serves: within its first call, between two, and after several.
 	recoveries := []time.Duration{200 * time.Millisecond, 2500 * time.Millisecond, 7100 * time.Millisecond}
 	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
@@ -292,7 +292,7 @@
 						t.Error(err)
 						return
 					}
-					took, _ := client.waitsFor(changedDest, 2*toldWithin)
+					took, _ := client.waitsFor(changedDest, 2*changeDeadline)
 					mu.Lock()
 					defer mu.Unlock()
 					worst[mode+", "+name] = max(worst[mode+", "+name], took)
@@ -305,7 +305,7 @@
 	stood := stop()
 	t.Logf("the machine stood still for %v at worst", stood.Round(time.Millisecond))
 	for what, took := range cases {
-		if took > toldWithin+stood {
+		if took > changeDeadline+stood {
 			t.Errorf("%s: the change was told after %v", what, took.Round(time.Millisecond))
 		}
 	}
--- a/simprotocol/read.go
+++ b/simprotocol/read.go
@@ -17,7 +17,7 @@
 // Started says that a courier begins anew, and Killed that it was killed; both come before the
 // decisions, so they are the host's.
 type (
-	Started struct{ Charter dispatch.Config }
+	Started struct{ Config dispatch.Config }
 	Killed  struct{}
 )
 
@@ -118,12 +118,12 @@
 			f.err = err
 			return nil
 		}
-		charter, err := config.Charter(salt, values)
+		config, err := config.Dispatch(salt, values)
 		if err != nil {
 			f.err = err
 			return nil
 		}
-		return Started{charter}
+		return Started{config}
 	case "crash_now":
 		return Killed{}
 	case "topology":
--- a/simprotocol/wire_test.go
+++ b/simprotocol/wire_test.go
@@ -55,19 +55,19 @@
 	for _, bad := range []string{"family-info.slots=0", "ceilings.open-cap=-3", "weight-kind=heavy", "classes.0.deadline-s=0.5", "tick-s=NaN"} {
 		in += "on 4\nbegin 7 " + sound + " " + bad + "\n"
 	}
-	var told []string
-	r := NewReader(strings.NewReader(in+"go\n"), func(line int, fault error) { told = append(told, fmt.Sprintf("%d %v", line, fault)) })
+	var reported []string
+	r := NewReader(strings.NewReader(in+"go\n"), func(line int, fault error) { reported = append(reported, fmt.Sprintf("%d %v", line, fault)) })
 	batch, err := r.Next()
 	if err != nil || len(batch.Items) != 1 || batch.Items[0].Courier != 3 {
 		t.Fatalf("%v, %+v", err, batch.Items)
 	}
 	want := []string{"5 family-info.slots: ", "7 ceilings.open-cap: ", "9 weight-kind: ", "11 classes.0.slo-s: not after", "13 tick-s: "}
-	if len(told) != len(want) {
-		t.Fatalf("told %q", told)
+	if len(reported) != len(want) {
+		t.Fatalf("told %q", reported)
 	}
 	for i := range want {
-		if !strings.HasPrefix(told[i], want[i]) {
-			t.Errorf("told %q, want %q", told[i], want[i])
+		if !strings.HasPrefix(reported[i], want[i]) {
+			t.Errorf("told %q, want %q", reported[i], want[i])
 		}
 	}
 }
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -61,8 +61,8 @@
 	return State{Courier: rapid.StringN(1, 30, -1).Draw(t, "courier"), Snapshot: snapshot}
 }
 
-// TestRoundTrip: what is written is what is read, to the bit; a limit only takes whole routes away, the last called last.
-func TestRoundTrip(t *testing.T) {
+// TestEncodeDecode: what is written is what is read, to the bit; a limit only takes whole routes away, the last called last.
+func TestEncodeDecode(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := state(t)
 		content, err := Encode(state, 1<<20)
--- a/spool/spool.go
+++ b/spool/spool.go
@@ -90,13 +90,13 @@
 }
 
 // Inspect reads a folder as Open does, and leaves it as it is; its courier may be running.
-func Inspect(dir string) (records []*Message, faults []error, err error) {
+func Inspect(dir string) (messages []*Message, faults []error, err error) {
 	if info, err := os.Stat(dir); err != nil || !info.IsDir() {
 		return nil, nil, fmt.Errorf("%s: a folder was expected", dir)
 	}
 	s := &Spool{dir: dir, entries: map[string]*entry{}, readOnly: true}
-	records, faults, _, err = s.load()
-	return records, faults, err
+	messages, faults, _, err = s.load()
+	return messages, faults, err
 }
 
 // Open reads a folder and returns what is unfinished in it, in the order in which it was taken on; faults are
@@ -341,10 +341,10 @@
 }
 
 // FinishAttempt notes how a trip ended.
-func (s *Spool) FinishAttempt(id string, trip int, outcome string) error {
-	if entry := s.entries[id]; entry != nil && trip < len(entry.message.Attempts) {
-		entry.message.Attempts[trip].Outcome = outcome
-		return s.writeUpdate(kindOutcome, update{ID: id, Attempt: trip, Outcome: outcome})
+func (s *Spool) FinishAttempt(id string, attempt int, outcome string) error {
+	if entry := s.entries[id]; entry != nil && attempt < len(entry.message.Attempts) {
+		entry.message.Attempts[attempt].Outcome = outcome
+		return s.writeUpdate(kindOutcome, update{ID: id, Attempt: attempt, Outcome: outcome})
 	}
 	return nil
 }
--- a/spool/spool_test.go
+++ b/spool/spool_test.go
@@ -163,8 +163,8 @@
 				if i > 0 && got[i-1].Number >= message.Number {
 					t.Fatal("not in the order in which they were taken")
 				}
-				if trips, ok := live[message.ID]; !ok || len(message.Attempts) != trips {
-					t.Fatalf("%s came back with %d trips, want %d, %v", message.ID, len(message.Attempts), trips, ok)
+				if attempts, ok := live[message.ID]; !ok || len(message.Attempts) != attempts {
+					t.Fatalf("%s came back with %d trips, want %d, %v", message.ID, len(message.Attempts), attempts, ok)
 				}
 			}
 		}
--- a/testbed/baseline/baseline.go
+++ b/testbed/baseline/baseline.go
@@ -30,7 +30,7 @@
 		return nil
 	}
 	return &Policy{ch: ch, again: name != "once", wait: name == "backoff" || name == "textbook", breaker: name == "textbook",
-		endpoints: map[dispatch.EndpointID]*endpoint{}, dests: map[dispatch.DestinationID]*dest{}, records: map[dispatch.MessageID]*record{}}
+		endpoints: map[dispatch.EndpointID]*endpoint{}, dests: map[dispatch.DestinationID]*dest{}, messages: map[dispatch.MessageID]*message{}}
 }
 
 // Policy is one courier.
@@ -40,8 +40,8 @@
 	now                  dispatch.Micros
 	endpoints            map[dispatch.EndpointID]*endpoint
 	dests                map[dispatch.DestinationID]*dest
-	records              map[dispatch.MessageID]*record
-	queue                []*record
+	messages             map[dispatch.MessageID]*message
+	queue                []*message
 	out                  []dispatch.Action
 	slots                int
 	wakeAt               dispatch.Micros
@@ -59,15 +59,15 @@
 	fails     int
 }
 
-type record struct {
+type message struct {
 	dispatch.MessageAccepted
-	dest  *dest
-	work  *dispatch.Class
-	trips []*endpoint
-	out   int
-	ran   bool
-	ready dispatch.Micros
-	over  bool
+	dest     *dest
+	work     *dispatch.Class
+	attempts []*endpoint
+	out      int
+	ran      bool
+	ready    dispatch.Micros
+	over     bool
 }
 
 // Handle implements the decisions' one entry.
@@ -76,13 +76,13 @@
 	for _, e := range events {
 		switch e := e.(type) {
 		case dispatch.MessageAccepted:
-			r := &record{MessageAccepted: e, dest: p.dest(e.Destination), work: &p.ch.Classes[e.Class], ready: now}
-			p.records[e.Message] = r
+			r := &message{MessageAccepted: e, dest: p.dest(e.Destination), work: &p.ch.Classes[e.Class], ready: now}
+			p.messages[e.Message] = r
 			p.queue = append(p.queue, r)
 		case dispatch.AttemptFinished:
 			p.settle(e)
 		case dispatch.MessageCanceled:
-			if r := p.records[e.Message]; r != nil {
+			if r := p.messages[e.Message]; r != nil {
 				r.over = true
 			}
 		case dispatch.EndpointUpdate:
@@ -126,13 +126,13 @@
 }
 
 func (p *Policy) settle(e dispatch.AttemptFinished) {
-	r := p.records[e.Message]
+	r := p.messages[e.Message]
 	if r == nil {
 		return
 	}
 	p.slots--
 	r.out--
-	r.trips[e.Attempt].calls--
+	r.attempts[e.Attempt].calls--
 	d := r.dest
 	switch e.Outcome {
 	case dispatch.Throttled:
@@ -151,21 +151,21 @@
 		d.fails, d.waitTo = 0, max(d.waitTo, p.now+5*second)
 	}
 	if r.over = r.over || e.MessageDone; r.over {
-		delete(p.records, e.Message)
+		delete(p.messages, e.Message)
 		return
 	}
-	if !p.again || len(r.trips) >= p.ch.MaxAttempts || r.ran && r.work.Idempotency != dispatch.Idempotent {
+	if !p.again || len(r.attempts) >= p.ch.MaxAttempts || r.ran && r.work.Idempotency != dispatch.Idempotent {
 		p.giveUp(r)
 		return
 	}
 	r.ready = p.now
 	if p.wait {
-		r.ready += 100 * millisecond << min(len(r.trips)-1, 6)
+		r.ready += 100 * millisecond << min(len(r.attempts)-1, 6)
 	}
 	p.queue = append(p.queue, r)
 }
 
-func (p *Policy) giveUp(r *record) {
+func (p *Policy) giveUp(r *message) {
 	r.over = true
 	if r.ran && r.work.Idempotency != dispatch.Idempotent {
 		p.out = append(p.out, dispatch.Fail{Message: r.Message})
@@ -173,13 +173,13 @@
 		p.out = append(p.out, dispatch.Reject{Message: r.Message})
 	}
 	if r.out == 0 {
-		delete(p.records, r.Message)
+		delete(p.messages, r.Message)
 	}
 }
 
 func (p *Policy) dispatch() {
 	next := p.now + second
-	p.queue = slices.DeleteFunc(p.queue, func(r *record) bool {
+	p.queue = slices.DeleteFunc(p.queue, func(r *message) bool {
 		if r.over {
 			return true
 		}
@@ -202,7 +202,7 @@
 		p.slots++
 		ep.calls++
 		r.out++
-		r.trips = append(r.trips, ep)
+		r.attempts = append(r.attempts, ep)
 		p.out = append(p.out, dispatch.Send{Message: r.Message, Endpoint: ep.Endpoint, Timeout: min(3*second, r.Deadline-p.now-2*p.ch.Tick)})
 		return true
 	})
--- a/testbed/capacity/arithmetic_test.go
+++ b/testbed/capacity/arithmetic_test.go
@@ -88,10 +88,10 @@
 	all := []constant{
 		{"dispatch/breaker.go", `forgetAfter\s+= (\d+) \* second`, forgetAfter},
 		{"membership/gossip/gossip.go", `ticks\s+= (\d+)\s`, gossipTicks},
-		{"server/platform.go", `watchWait\s+= (\d+) \* 1000\n`, 1000 * watchSeconds},
-		{"cmd/pineport/fleet.go", `Interval: min\(o\.Interval/(\d+), beatMost\)`, sharingBeats},
+		{"server/discovery.go", `watchWait\s+= (\d+) \* 1000\n`, 1000 * watchSeconds},
+		{"cmd/pineport/fleet.go", `Interval: min\(o\.Interval/(\d+), maxExchangeInterval\)`, sharingTicks},
 		{"spool/spool.go", `reserve: (\d+)}`, keptFreeEach},
-		{"server/inbox.go", `const pausedAfter = (\d+) \* 1000`, 1000 * planned(t).Budget.Courier.StepSeconds},
+		{"server/queue.go", `const pausedAfter = (\d+) \* 1000`, 1000 * planned(t).Budget.Courier.StepSeconds},
 	}
 	bounds := 0
 	for _, row := range Rows() {
--- a/testbed/capacity/cells.go
+++ b/testbed/capacity/cells.go
@@ -168,7 +168,7 @@
 	if a.Seen {
 		text += " (seen there)"
 	}
-	if a.Told != "" {
+	if a.Reported != "" {
 		text += " (told only)"
 	}
 	return text
--- a/testbed/capacity/choice.go
+++ b/testbed/capacity/choice.go
@@ -53,7 +53,7 @@
 			continue
 		}
 		candidate.Rests++
-		if answer.Share == nil || answer.Told != "" {
+		if answer.Share == nil || answer.Reported != "" {
 			continue
 		}
 		if candidate.Share == nil || *answer.Share < *candidate.Share {
--- a/testbed/capacity/choice_test.go
+++ b/testbed/capacity/choice_test.go
@@ -27,8 +27,8 @@
 		t.Fatal("the cases below take these for on a message's way, and not")
 	}
 	another := Answer{What: "without a budget", Mechanism: OutageAlone}
-	told := broken(FullList, 0.0001)
-	told.Told = "for information"
+	notified := broken(FullList, 0.0001)
+	notified.Reported = "for information"
 	for what, try := range map[string]struct {
 		answers []Answer
 		want    []MechanismID
@@ -39,7 +39,7 @@
 		"close, both on the way, more rows":            {[]Answer{broken(HeldWork, 0.01), broken(OutageAlone, 0.015), another}, []MechanismID{OutageAlone, HeldWork}},
 		"close, both on the way, as many rows":         {[]Answer{broken(HeldWork, 0.01), broken(OutageAlone, 0.015)}, []MechanismID{HeldWork, OutageAlone}},
 		"the first of a mechanism's rows":              {[]Answer{broken(HeldWork, 0.5), broken(HeldWork, 0.01), broken(Sharing, 0.1)}, []MechanismID{HeldWork, Sharing}},
-		"rows for information don't choose":            {[]Answer{told, broken(Sharing, 0.1)}, []MechanismID{Sharing}},
+		"rows for information don't choose":            {[]Answer{notified, broken(Sharing, 0.1)}, []MechanismID{Sharing}},
 		"close to the smallest left, not to the first": {[]Answer{broken(HeldWork, 0.01), broken(Membership, 0.018), broken(OutageAlone, 0.03)}, []MechanismID{HeldWork, OutageAlone, Membership}},
 	} {
 		if got := order(try.answers...); !slices.Equal(got, try.want) {
@@ -77,7 +77,7 @@
 	}
 	for _, row := range rows {
 		_, found := MechanismOf(row.Mechanism)
-		if hasBudget := row.Budget != nil || row.CodeBound != nil; hasBudget && row.Told == "" && !found {
+		if hasBudget := row.Budget != nil || row.CodeBound != nil; hasBudget && row.Reported == "" && !found {
 			t.Errorf("%s: no mechanism is called %q", row.What, row.Mechanism)
 		}
 		rests[row.Mechanism]++
--- a/testbed/capacity/events.go
+++ b/testbed/capacity/events.go
@@ -198,22 +198,22 @@
 
 // toldWithin is by when, in seconds, the run changes has told every courier that discovery reaches, in calm: discovery tells 20 to 200 ms
 // after a change (testbed/scale/directorychanges.go), and a courier steps every 5 ms.
-const toldWithin = 0.205
+const notifiedWithin = 0.205
 
 func changesOfADay() Event {
-	told := func(what, slope string) EventLine {
+	notified := func(what, slope string) EventLine {
 		return withBudget(carried(AspectKnown, what, "s", slope, "s", fleetCouriers, nil), inForce, FullList, "protocol, server")
 	}
-	calm := func(what, slope string) EventLine { return atMost(told(what, slope), toldWithin) }
+	calm := func(what, slope string) EventLine { return atMost(notified(what, slope), notifiedWithin) }
 	return Event{Name: "a change of configuration",
 		Often: func(p *Plan, _ *Derived) (float64, string) { return p.Changes.PerDay, "a day" },
 		Lines: []EventLine{
 			worked(AspectMessages, "messages, one a courier and change", "messages/s", eachChangeToAll),
 			calm("of the list, until the last courier is told, median", "changes.everywhere_seconds.median"),
 			calm("of the list, until the last courier is told, 99.9 in 100", "changes.everywhere_seconds.worst"),
-			told("of the list, until the last courier is told, with restarts and 5 s without discovery, median", "changes.everywhere_seconds.troubled_median"),
-			told("of the list, until the last courier is told, with restarts and 5 s without discovery, 99.9 in 100", "changes.everywhere_seconds.troubled_worst"),
-			told("of the list, until a courier that discovery can reach is told, 99.9 in 100", "changes.told_seconds.reachable_worst"),
+			notified("of the list, until the last courier is told, with restarts and 5 s without discovery, median", "changes.everywhere_seconds.troubled_median"),
+			notified("of the list, until the last courier is told, with restarts and 5 s without discovery, 99.9 in 100", "changes.everywhere_seconds.troubled_worst"),
+			notified("of the list, until a courier that discovery can reach is told, 99.9 in 100", "changes.told_seconds.reachable_worst"),
 			withBudget(unmeasured(AspectKnown, "of settings, until in force everywhere", "s", "nothing carries settings from machine to machine: a file at each "+
 				"courier is written by somebody and read on a signal"), inForce, HandOut, "config, server"),
 			words(AspectMeanwhile, "each courier goes on with what it has; a faulty file changes nothing"),
--- a/testbed/capacity/markdown.go
+++ b/testbed/capacity/markdown.go
@@ -145,21 +145,21 @@
 		for i := range page.Rows {
 			if answer := &page.Rows[i]; answer.Role == role {
 				m.row(string(answer.Resource), answer.What, figureCell(answer), restsCell(answer), carriedCell(answer), budgetCell(answer),
-					shareCell(answer), answer.Package, string(answer.Standing))
+					shareCell(answer), answer.Package, string(answer.Status))
 			}
 		}
 		m.say("\n")
-		page.toldOnly(m, role)
+		page.reportedOnly(m, role)
 	}
 }
 
 // toldOnly gives the reasons why rows of a role take no part in the choice.
-func (page *Page) toldOnly(m *markdown, role Role) {
+func (page *Page) reportedOnly(m *markdown, role Role) {
 	said := map[string]bool{}
 	for _, answer := range page.Rows {
-		if answer.Role == role && answer.Told != "" && answer.Budget != nil && !said[answer.Told] {
-			said[answer.Told] = true
-			m.say("Told only (%s): %s.\n\n", answer.What, answer.Told)
+		if answer.Role == role && answer.Reported != "" && answer.Budget != nil && !said[answer.Reported] {
+			said[answer.Reported] = true
+			m.say("Told only (%s): %s.\n\n", answer.What, answer.Reported)
 		}
 	}
 }
--- a/testbed/capacity/page_test.go
+++ b/testbed/capacity/page_test.go
@@ -36,7 +36,7 @@
 func rowOf(t *testing.T, page *Page, slope string) *Answer {
 	t.Helper()
 	for i := range page.Rows {
-		if answer := &page.Rows[i]; answer.Slopes() == slope && answer.Told == "" {
+		if answer := &page.Rows[i]; answer.Slopes() == slope && answer.Reported == "" {
 			return answer
 		}
 	}
@@ -125,20 +125,20 @@
 		if fit.Model != slopes.Power {
 			fit.Rate *= fit.Base // so that a share of it can be written as a number
 		}
-		steeper := fit
-		steeper.Rate *= rapid.Float64Range(1.01, 10).Draw(t, "steeper by")
+		larger := fit
+		larger.Rate *= rapid.Float64Range(1.01, 10).Draw(t, "steeper by")
 		size := rapid.Float64Range(10, 1e6).Draw(t, "size")
 		budgetFigure := fit.Base * rapid.Float64Range(1.5, 10).Draw(t, "budget over base")
 		flat, err := rowOver(fit, size, budgetFigure)
 		if err != nil {
 			t.Fatal(err)
 		}
-		steep, err := rowOver(steeper, size, budgetFigure)
+		large, err := rowOver(larger, size, budgetFigure)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if shareOf(steep) >= shareOf(flat) {
-			t.Fatalf("%+v breaks at %v, and the steeper at %v", fit, shareOf(flat), shareOf(steep))
+		if shareOf(large) >= shareOf(flat) {
+			t.Fatalf("%+v breaks at %v, and the steeper at %v", fit, shareOf(flat), shareOf(large))
 		}
 		if at := flat.sum(shareOf(flat)); math.Abs(at/budgetFigure-1) > 1e-6 {
 			t.Fatalf("%+v is %v at its share, the budget is %v", fit, at, budgetFigure)
@@ -415,8 +415,8 @@
 	}
 }
 
-// TestCountsAreToldAndNotCarried: what a run counted stands at its sizes, and has neither a figure at the planned size nor a share.
-func TestCountsAreToldAndNotCarried(t *testing.T) {
+// TestCountsAreReportedAndNotExtrapolated: what a run counted stands at its sizes, and has neither a figure at the planned size nor a share.
+func TestCountsAreReportedAndNotExtrapolated(t *testing.T) {
 	row := Row{What: "made up", Unit: "ratio", Counted: &Counted{Run: "run", Figure: "figure", Over: "things", Where: map[string]float64{"kind": 2}}}
 	point := func(size, kind float64, values ...float64) slopes.Point {
 		return slopes.Point{Sizes: map[string]float64{"things": size, "kind": kind}, Values: map[string][]float64{"figure": values}}
@@ -472,7 +472,7 @@
 
 // TestLastPointOffTheCurve: a fit that its largest size lies far off, and a wide spread, are pointed at.
 func TestLastPointOffTheCurve(t *testing.T) {
-	for last, told := range map[float64]bool{100: false, 120: false, 150: true, 70: true} {
+	for last, notified := range map[float64]bool{100: false, 120: false, 150: true, 70: true} {
 		slope := slopes.Slope{Name: "run.figure", Unit: "s", Over: "things", From: 1, To: 100, Figure: "figure",
 			Fit: slopes.Fit{Model: slopes.Power, Base: 1, Rate: 1, Spread: 0.4}}
 		run := slopes.Run{Name: "run", Slopes: []slopes.Slope{slope}, Points: []slopes.Point{
@@ -481,7 +481,7 @@
 		row := Row{What: "made up", Unit: "s", Parts: one("run.figure", "s", Size{"things", func(*Plan, *Derived) float64 { return 100 }}, nil)}
 		answer, err := row.Work(&Plan{}, &Derived{}, &slopes.Measured{Version: slopes.Version, Runs: []slopes.Run{run}})
 		cell := restsCell(&answer)
-		if err != nil || strings.Contains(cell, "last point") != told || !strings.Contains(cell, "power 1, **spread 40 %**") {
+		if err != nil || strings.Contains(cell, "last point") != notified || !strings.Contains(cell, "power 1, **spread 40 %**") {
 			t.Errorf("last point %v: %q, %v", last, cell, err)
 		}
 	}
--- a/testbed/capacity/plan_test.go
+++ b/testbed/capacity/plan_test.go
@@ -152,7 +152,7 @@
 	}
 }
 
-func TestSyntaxIsTold(t *testing.T) {
+func TestSyntaxErrorsAreReported(t *testing.T) {
 	_, err := ReadPlan("plan.toml", []byte("name = \"x\"\n[fleet\n"))
 	if err == nil || !strings.Contains(err.Error(), "plan.toml:2") {
 		t.Errorf("%v", err)
--- a/testbed/capacity/row.go
+++ b/testbed/capacity/row.go
@@ -40,14 +40,14 @@
 	Calls       Resource = "calls"
 )
 
-// Standing is how far a mechanism has come.
-type Standing string
+// Status is how far a mechanism has come.
+type Status string
 
 // Standings.
 const (
-	RunsToday Standing = "runs today"
-	Hollow    Standing = "shown with hollow couriers"
-	Paper     Standing = "on paper only"
+	RunsToday Status = "runs today"
+	Hollow    Status = "shown with hollow couriers"
+	Paper     Status = "on paper only"
 )
 
 // Size is a size of a plan that a slope is carried to.
@@ -96,9 +96,9 @@
 	Budget    func(*Plan) Budget
 	Mechanism MechanismID
 	Package   string // that carries it
-	Standing  Standing
-	// Told rows are for information: their budget doesn't take part in the choice, and Told says why.
-	Told string
+	Status    Status
+	// Reported rows are for information: their budget doesn't take part in the choice, and Reported says why.
+	Reported string
 }
 
 // CodeBound is a constant of the code that bounds a size.
@@ -130,8 +130,8 @@
 	Seen      bool        `json:"seen_to_break,omitempty"` // the share is that of a size measured, which the curve would have passed
 	Mechanism MechanismID `json:"mechanism,omitempty"`
 	Package   string      `json:"package"`
-	Standing  Standing    `json:"standing,omitempty"` // empty for lines of events: that of the rows of their mechanism
-	Told      string      `json:"told,omitempty"`
+	Status    Status      `json:"standing,omitempty"` // empty for lines of events: that of the rows of their mechanism
+	Reported  string      `json:"told,omitempty"`
 	Assumes   []string    `json:"assumes,omitempty"` // keys whose figures nobody stated, on which the figure rests
 }
 
@@ -199,7 +199,7 @@
 // Work carries a row to the plan's size. Its error tells of a slope that is not what the row takes it for.
 func (row *Row) Work(plan *Plan, d *Derived, measured *slopes.Measured) (Answer, error) {
 	answer := Answer{Role: row.Role, Resource: row.Resource, What: row.What, Unit: row.Unit, Mechanism: row.Mechanism, Package: row.Package,
-		Standing: row.Standing, Told: row.Told}
+		Status: row.Status, Reported: row.Reported}
 	if row.Budget != nil {
 		budget := row.Budget(plan)
 		answer.Budget = &budget
--- a/testbed/capacity/rows_courier.go
+++ b/testbed/capacity/rows_courier.go
@@ -37,32 +37,32 @@
 	memory := func(slope string) Part { return Part{Slope: slope, Unit: "bytes", Over: heldMessages} }
 	return []Row{
 		{Role: RoleCourier, Resource: State, What: "messages held", Unit: "events", Worked: heldMessages.At,
-			Mechanism: HeldMemory, Package: "dispatch, server, spool", Standing: RunsToday},
+			Mechanism: HeldMemory, Package: "dispatch, server, spool", Status: RunsToday},
 		{Role: RoleCourier, Resource: Latency, What: "one step of the decisions, nothing due", Unit: "s", Parts: step, Budget: stepSeconds,
-			Mechanism: HeldWork, Package: decisions, Standing: RunsToday},
+			Mechanism: HeldWork, Package: decisions, Status: RunsToday},
 		{Role: RoleCourier, Resource: Latency, What: "one step in which a message comes and goes", Unit: "s",
-			Parts: one("held.step_arrival.many", "s", heldMessages, nil), Budget: stepSeconds, Mechanism: HeldWork, Package: decisions, Standing: RunsToday},
+			Parts: one("held.step_arrival.many", "s", heldMessages, nil), Budget: stepSeconds, Mechanism: HeldWork, Package: decisions, Status: RunsToday},
 		{Role: RoleCourier, Resource: Latency, What: "one step in which a message comes and goes, few destinations down", Unit: "s",
-			Parts: one("held.step_arrival.few", "s", heldMessages, nil), Budget: stepSeconds, Mechanism: HeldWork, Package: decisions, Standing: RunsToday},
+			Parts: one("held.step_arrival.few", "s", heldMessages, nil), Budget: stepSeconds, Mechanism: HeldWork, Package: decisions, Status: RunsToday},
 		{Role: RoleCourier, Resource: Processor, What: "decisions, were there a step for each message", Unit: "cores",
 			Parts: one("held.step_arrival.many", "s", heldMessages, eachEvent), Budget: courierCores, Mechanism: HeldWork, Package: decisions,
-			Standing: RunsToday, Told: batched},
+			Status: RunsToday, Reported: batched},
 		{Role: RoleCourier, Resource: Memory, What: "messages held, in the decisions", Unit: "bytes", Parts: []Part{memory("held.module.many")},
-			Budget: courierMemory, Mechanism: HeldMemory, Package: decisions, Standing: RunsToday},
+			Budget: courierMemory, Mechanism: HeldMemory, Package: decisions, Status: RunsToday},
 		{Role: RoleCourier, Resource: Memory, What: "messages held, in the router", Unit: "bytes", Parts: []Part{memory("held.router.many")},
-			Budget: courierMemory, Mechanism: HeldMemory, Package: "server", Standing: RunsToday},
+			Budget: courierMemory, Mechanism: HeldMemory, Package: "server", Status: RunsToday},
 		{Role: RoleCourier, Resource: Memory, What: "messages held, in the spool", Unit: "bytes", Parts: []Part{memory("held.spool_memory.many")},
-			Budget: courierMemory, Mechanism: HeldMemory, Package: spoolPackage, Standing: RunsToday},
+			Budget: courierMemory, Mechanism: HeldMemory, Package: spoolPackage, Status: RunsToday},
 		{Role: RoleCourier, Resource: Memory, What: "messages held, all together", Unit: "bytes",
 			Parts:  []Part{memory("held.module.many"), memory("held.router.many"), memory("held.spool_memory.many")},
-			Budget: courierMemory, Mechanism: HeldMemory, Package: "dispatch, server, spool", Standing: RunsToday},
+			Budget: courierMemory, Mechanism: HeldMemory, Package: "dispatch, server, spool", Status: RunsToday},
 		{Role: RoleCourier, Resource: Disk, What: "messages held, in the folder", Unit: "bytes", Parts: one("held.spool_disk.many", "bytes", heldMessages, nil),
-			Budget: courierDisk, Mechanism: HeldMemory, Package: spoolPackage, Standing: RunsToday},
+			Budget: courierDisk, Mechanism: HeldMemory, Package: spoolPackage, Status: RunsToday},
 		{Role: RoleCourier, Resource: Disk, What: "messages held, in the folder, with the 1,024 bytes of each that the spool keeps free for what attempts add", Unit: "bytes",
 			Parts: one("held.spool_disk.many", "bytes", heldMessages, nil), Added: keptFree, Budget: courierDisk, Mechanism: HeldMemory, Package: spoolPackage,
-			Standing: RunsToday},
+			Status: RunsToday},
 		{Role: RoleCourier, Resource: Latency, What: "a restart until the first step is over", Unit: "s",
-			Parts: one("held.restart.many", "s", heldMessages, nil), Budget: readySeconds, Mechanism: HeldRestart, Package: "spool, server, dispatch", Standing: RunsToday},
+			Parts: one("held.restart.many", "s", heldMessages, nil), Budget: readySeconds, Mechanism: HeldRestart, Package: "spool, server, dispatch", Status: RunsToday},
 	}
 }
 
@@ -70,20 +70,20 @@
 func outageRows() []Row {
 	calls := func(what, slope string) Row {
 		return Row{Role: RoleCourier, Resource: Calls, What: what, Unit: "calls", Parts: one(slope, "calls", rareCouriers, eachOutageMessage), Budget: callsEach,
-			Mechanism: OutageAlone, Package: decisions, Standing: RunsToday}
+			Mechanism: OutageAlone, Package: decisions, Status: RunsToday}
 	}
 	return []Row{
 		calls("calls into an outage for each message that it holds up, all couriers, connections refused", "outage.failed_calls.refusing"),
 		calls("calls into an outage for each message that it holds up, all couriers, every call throttled", "outage.failed_calls.throttling"),
 		{Role: RoleCourier, Resource: State, What: "couriers that call a destination which is down and park it before it is back, after 30 s", Unit: "ratio",
-			Parts: one("outage.parked_share.refusing", "ratio", rareCouriers, nil), Mechanism: OutageAlone, Package: decisions, Standing: RunsToday},
+			Parts: one("outage.parked_share.refusing", "ratio", rareCouriers, nil), Mechanism: OutageAlone, Package: decisions, Status: RunsToday},
 	}
 }
 
 func listRows() []Row {
 	list := func(what string, resource Resource, slope, unit string) Row {
 		return Row{Role: RoleCourier, Resource: resource, What: what, Unit: unit, Parts: one(slope, unit, knownDestinations, nil),
-			Mechanism: FullList, Package: decisionsList, Standing: RunsToday}
+			Mechanism: FullList, Package: decisionsList, Status: RunsToday}
 	}
 	memory := list("destinations known", Memory, "destinations.bytes", "bytes")
 	memory.Budget = controlMemory
@@ -95,15 +95,15 @@
 	change.Budget = stepSeconds
 	busy := Row{Role: RoleCourier, Resource: Processor, What: "changes of the list, as often as they are planned", Unit: "cores",
 		Parts: one("destinations.change", "s", knownDestinations, eachChange), Budget: controlCores, Mechanism: FullList, Package: decisionsList,
-		Standing: RunsToday}
-	told := Row{Role: RoleCourier, Resource: Bytes, What: "changes of the list, as discovery tells them", Unit: "bytes/s",
+		Status: RunsToday}
+	notified := Row{Role: RoleCourier, Resource: Bytes, What: "changes of the list, as discovery tells them", Unit: "bytes/s",
 		Parts: one("changes.change_bytes", "bytes", listedEndpoints, eachChange), Budget: controlBytes, Mechanism: FullList, Package: "protocol, server",
-		Standing: RunsToday}
+		Status: RunsToday}
 	idle := list("a step of an idle courier", Latency, "destinations.step", "s")
 	idle.Budget = stepSeconds
 	known := Row{Role: RoleCourier, Resource: State, What: "destinations known", Unit: "destinations", Worked: knownDestinations.At,
-		Mechanism: FullList, Package: decisionsList, Standing: RunsToday}
-	return []Row{known, memory, first, again, change, busy, told, idle}
+		Mechanism: FullList, Package: decisionsList, Status: RunsToday}
+	return []Row{known, memory, first, again, change, busy, notified, idle}
 }
 
 // lookedAtRarely says why the view's picture has no budget of its own.
@@ -112,7 +112,7 @@
 func membershipRows() []Row {
 	member := func(resource Resource, what, slope, unit string, budget func(*Plan) Budget) Row {
 		return Row{Role: RoleCourier, Resource: resource, What: what, Unit: unit, Parts: one(slope, unit, fleetMembers, nil), Budget: budget,
-			Mechanism: Membership, Package: membershipPkg, Standing: Hollow}
+			Mechanism: Membership, Package: membershipPkg, Status: Hollow}
 	}
 	view := func(resource Resource, what, slope, unit string, over Size, budget func(*Plan) Budget) Row {
 		row := member(resource, what, slope, unit, budget)
@@ -122,12 +122,12 @@
 	tick := view(Processor, "ticks of the view, with all names that it keeps", "couriers.view.tick", "s", namesKept, controlCores)
 	tick.Unit, tick.Parts[0].Times = "cores", ticksPerSecond
 	look := view(Latency, "one picture of the view, with all names that it keeps", "couriers.view.look", "s", namesKept, nil)
-	look.Told = lookedAtRarely
+	look.Reported = lookedAtRarely
 	return []Row{
 		{Role: RoleCourier, Resource: Bound, What: "members that a view keeps by name; the failed beyond are counted on", Unit: "couriers",
-			Worked: fleetMembers.At, CodeBound: &CodeBound{"maxNames", "membership/membership.go", mostNames}, Mechanism: Membership, Package: "membership", Standing: RunsToday},
+			Worked: fleetMembers.At, CodeBound: &CodeBound{"maxNames", "membership/membership.go", mostNames}, Mechanism: Membership, Package: "membership", Status: RunsToday},
 		{Role: RoleCourier, Resource: Bound, What: "starts that a full exchange tells; a larger one is refused whole", Unit: "couriers",
-			Worked: fleetMembers.At, CodeBound: &CodeBound{"MaxMapPairs", "membership/gossip/gossip.go", 8192}, Mechanism: Membership, Package: "membership/gossip", Standing: RunsToday},
+			Worked: fleetMembers.At, CodeBound: &CodeBound{"MaxMapPairs", "membership/gossip/gossip.go", 8192}, Mechanism: Membership, Package: "membership/gossip", Status: RunsToday},
 		member(Messages, "packets of membership sent", "couriers.packets", "packets/s", nil),
 		member(Bytes, "packets of membership", "couriers.packet_bytes", "bytes/s", controlBytes),
 		member(Bytes, "full exchanges of membership", "couriers.exchange_bytes", "bytes/s", controlBytes),
@@ -148,18 +148,18 @@
 func sharingRows() []Row {
 	share := func(resource Resource, what, slope, unit string, over Size, budget func(*Plan) Budget) Row {
 		return Row{Role: RoleCourier, Resource: resource, What: what, Unit: unit, Parts: one(slope, unit, over, nil), Budget: budget,
-			Mechanism: Sharing, Package: sharingPkg, Standing: Hollow}
+			Mechanism: Sharing, Package: sharingPkg, Status: Hollow}
 	}
-	beats := share(Processor, "beats of sharing, over the routes in use", "sharing.beat_seconds.routes_over_room", "s", sharedRoutes, controlCores)
-	beats.Unit, beats.Parts[0].Times = "cores", beatsPerSecond
+	ticks := share(Processor, "beats of sharing, over the routes in use", "sharing.beat_seconds.routes_over_room", "s", sharedRoutes, controlCores)
+	ticks.Unit, ticks.Parts[0].Times = "cores", sharingTicksPerSecond
 	heard := share(Processor, "beats of sharing, over the others that are heard", "sharing.beat_seconds.heard_over_room", "s", othersHeard, controlCores)
-	heard.Unit, heard.Parts[0].Times = "cores", beatsPerSecond
+	heard.Unit, heard.Parts[0].Times = "cores", sharingTicksPerSecond
 	fleet := share(Processor, "sharing of ten limits in a whole fleet", "sharing.cores", "cores", fleetCouriers, controlCores)
-	fleet.Told = hearsFew
+	fleet.Reported = hearsFew
 	return []Row{
 		{Role: RoleCourier, Resource: Bound, What: "routes whose limits are shared, of those called within two minutes; others are left out", Unit: "routes",
-			Worked: sharedRoutes.At, CodeBound: &CodeBound{"maxKeys", "quota/quota.go", 1024}, Mechanism: Sharing, Package: "quota", Standing: RunsToday},
-		beats, heard,
+			Worked: sharedRoutes.At, CodeBound: &CodeBound{"maxKeys", "quota/quota.go", 1024}, Mechanism: Sharing, Package: "quota", Status: RunsToday},
+		ticks, heard,
 		fleet,
 		share(Memory, "sharing, over the routes in use", "sharing.kept_bytes.routes_over_room", "bytes", sharedRoutes, controlMemory),
 		share(Memory, "sharing, over the others that are heard", "sharing.kept_bytes.heard_over_room", "bytes", othersHeard, controlMemory),
@@ -176,10 +176,10 @@
 func settingsRows() []Row {
 	reload := Row{Role: RoleCourier, Resource: Processor, What: "settings read anew, were every change one of them", Unit: "cores",
 		Parts: one("changes.reload_seconds.tenants", "s", settingsTenants, eachChange), Budget: controlCores, Mechanism: HandOut, Package: "config, server",
-		Standing: RunsToday}
+		Status: RunsToday}
 	memory := Row{Role: RoleCourier, Resource: Memory, What: "settings in force", Unit: "bytes",
 		Parts: one("changes.reload_kept_bytes.tenants", "bytes", settingsTenants, nil), Budget: controlMemory, Mechanism: HandOut, Package: "config",
-		Standing: RunsToday}
+		Status: RunsToday}
 	return []Row{reload, memory}
 }
 
@@ -190,31 +190,31 @@
 	return []Row{
 		{Role: RoleCourier, Resource: Processor, What: "control, all together: membership, sharing, changes of the list", Unit: "cores", Parts: []Part{
 			{Slope: "couriers.processor", Unit: "cores", Over: fleetMembers},
-			{Slope: "sharing.beat_seconds.heard_over_room", Unit: "s", Over: othersHeard, Times: beatsPerSecond},
+			{Slope: "sharing.beat_seconds.heard_over_room", Unit: "s", Over: othersHeard, Times: sharingTicksPerSecond},
 			{Slope: "destinations.change", Unit: "s", Over: knownDestinations, Times: eachChange},
-		}, Budget: controlCores, Package: "membership, quota, dispatch", Standing: Hollow, Told: summed},
+		}, Budget: controlCores, Package: "membership, quota, dispatch", Status: Hollow, Reported: summed},
 		{Role: RoleCourier, Resource: Memory, What: "control, all together: membership, sharing, the list", Unit: "bytes", Parts: []Part{
 			{Slope: "couriers.heap", Unit: "bytes", Over: fleetMembers},
 			{Slope: "sharing.kept_bytes.routes_over_room", Unit: "bytes", Over: sharedRoutes},
 			{Slope: "destinations.bytes", Unit: "bytes", Over: knownDestinations},
-		}, Budget: controlMemory, Package: "membership, quota, dispatch", Standing: Hollow, Told: summed},
+		}, Budget: controlMemory, Package: "membership, quota, dispatch", Status: Hollow, Reported: summed},
 		{Role: RoleCourier, Resource: Bytes, What: "control, all together: membership, sharing, changes of the list", Unit: "bytes/s", Parts: []Part{
 			{Slope: "couriers.packet_bytes", Unit: "bytes/s", Over: fleetMembers},
 			{Slope: "couriers.exchange_bytes", Unit: "bytes/s", Over: fleetMembers},
 			{Slope: "sharing.bytes_per_second", Unit: "bytes/s", Over: fleetCouriers},
 			{Slope: "changes.change_bytes", Unit: "bytes", Over: listedEndpoints, Times: eachChange},
-		}, Budget: controlBytes, Package: "peers, commons", Standing: Hollow, Told: summed},
+		}, Budget: controlBytes, Package: "peers, commons", Status: Hollow, Reported: summed},
 	}
 }
 
 func connectionRows() []Row {
 	return []Row{
 		{Role: RoleCourier, Resource: Messages, What: "messages taken", Unit: "events/s", Worked: eachEvent,
-			Mechanism: Connections, Package: routerPkg, Standing: RunsToday},
+			Mechanism: Connections, Package: routerPkg, Status: RunsToday},
 		{Role: RoleCourier, Resource: Descriptors, What: "calls under way and connections that rest", Unit: "descriptors",
 			Worked: func(_ *Plan, d *Derived) float64 { return d.CallsOut + d.IdleConnections }, Budget: descriptors,
-			Mechanism: Connections, Package: routerPkg, Standing: RunsToday},
+			Mechanism: Connections, Package: routerPkg, Status: RunsToday},
 		{Role: RoleCourier, Resource: Processor, What: "taking, parsing, writing and calling, sockets included", Unit: "cores",
-			None: "no scale run has sockets; the standing test times them at a few couriers", Mechanism: Connections, Package: routerPkg, Standing: RunsToday},
+			None: "no scale run has sockets; the standing test times them at a few couriers", Mechanism: Connections, Package: routerPkg, Status: RunsToday},
 	}
 }
--- a/testbed/capacity/sizes.go
+++ b/testbed/capacity/sizes.go
@@ -22,11 +22,11 @@
 const mostNames = 4096
 
 // Factors of a part.
-func eachEvent(_ *Plan, d *Derived) float64      { return d.EventsPerCourier }
-func eachChange(_ *Plan, d *Derived) float64     { return d.ChangesPerSecond }
-func eachWaiting(_ *Plan, d *Derived) float64    { return d.ChangesWaitingAfterCut }
-func ticksPerSecond(_ *Plan, _ *Derived) float64 { return gossipTicks }
-func beatsPerSecond(_ *Plan, _ *Derived) float64 { return sharingBeats }
+func eachEvent(_ *Plan, d *Derived) float64             { return d.EventsPerCourier }
+func eachChange(_ *Plan, d *Derived) float64            { return d.ChangesPerSecond }
+func eachWaiting(_ *Plan, d *Derived) float64           { return d.ChangesWaitingAfterCut }
+func ticksPerSecond(_ *Plan, _ *Derived) float64        { return gossipTicks }
+func sharingTicksPerSecond(_ *Plan, _ *Derived) float64 { return sharingTicks }
 
 // The run outage, as testbed/scale/outage.go plays it: messages a second for one destination, destinations that are down, and for how long.
 const (
@@ -50,7 +50,7 @@
 	// gossipTicks of the view a second at the default interval of heartbeats, 1 s: ticks of membership/gossip.
 	gossipTicks = 5
 	// sharingBeats a second at that interval: half an interval each, see cmd/pineport/fleet.go.
-	sharingBeats = 2
+	sharingTicks = 2
 	// liveDisk is the part of a courier's folder that live messages may take; beyond it clients hear -BUSY (docs/design.md, "The spool").
 	liveDisk = 0.5
 )
--- a/testbed/capacity/table.go
+++ b/testbed/capacity/table.go
@@ -23,7 +23,7 @@
 	for i := range page.Rows {
 		answer := &page.Rows[i]
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", answer.Role, answer.Resource, answer.What, figureCell(answer), carriedText(answer), budgetCell(answer),
-			shareCell(answer), answer.Standing)
+			shareCell(answer), answer.Status)
 	}
 }
 
--- a/testbed/endpointmodel/endpoint.go
+++ b/testbed/endpointmodel/endpoint.go
@@ -17,7 +17,7 @@
 	gone   bool
 	outage bool
 	ill
-	strikes []Strike
+	faults []Fault
 }
 
 // ill is what all strikes at an endpoint come to.
@@ -34,7 +34,7 @@
 func (ep *endpoint) diagnose(fallen bool) {
 	ep.ill = ill{slow: 1, table: 1, refuses: fallen}
 	ep.outage = fallen
-	for _, s := range ep.strikes {
+	for _, s := range ep.faults {
 		ep.outage = ep.outage || s.outage()
 		switch s.Kind {
 		case Refuse:
--- a/testbed/endpointmodel/endpointmodel_test.go
+++ b/testbed/endpointmodel/endpointmodel_test.go
@@ -25,7 +25,7 @@
 
 func take(p *Partner, at dispatch.Micros, id uint64, ep dispatch.EndpointID, items ...Item) []Output {
 	if len(items) == 0 {
-		items = []Item{{Record: "r", Origin: "r"}}
+		items = []Item{{Message: "r", Origin: "r"}}
 	}
 	return p.Take(at, &Call{ID: id, Endpoint: ep, Items: items})
 }
@@ -66,7 +66,7 @@
 // TestActsAndHangs: an effect without an answer must be told from an answer.
 func TestActsAndHangs(t *testing.T) {
 	p := New(plan())
-	p.Strike(0, "a", Strike{ID: 1, Kind: Hang, Acts: 1})
+	p.Inject(0, "a", Fault{ID: 1, Kind: Hang, Acts: 1})
 	all := append(take(p, 0, 1, "a"), until(p, 5000*ms)...)
 	if done, full, broken, ran := outcomes(all); done+full+broken != 0 || ran != 1 {
 		t.Errorf("answered %d %d %d, ran %d", done, full, broken, ran)
@@ -75,7 +75,7 @@
 
 func TestKnowsRepeatsInWindowAndZone(t *testing.T) {
 	p := New(plan())
-	item := Item{Record: "x", Origin: "x", Repeat: dispatch.IdempotencyKey, Window: 1000 * ms, OneZone: true}
+	item := Item{Message: "x", Origin: "x", Repeat: dispatch.IdempotencyKey, Window: 1000 * ms, OneZone: true}
 	var all []Output
 	for _, c := range []struct {
 		at dispatch.Micros
@@ -97,8 +97,8 @@
 		falls int
 	}{{20 * ms, 1}, {400 * ms, 0}} {
 		p := New(plan())
-		p.Strike(0, "a", Strike{ID: 1, Kind: Shut})
-		p.Strike(0, "b", Strike{ID: 1, Kind: Shut})
+		p.Inject(0, "a", Fault{ID: 1, Kind: Shut})
+		p.Inject(0, "b", Fault{ID: 1, Kind: Shut})
 		p.Heal(1000*ms, "a", 1)
 		p.Heal(1000*ms, "b", 1)
 		falls := 0
@@ -153,7 +153,7 @@
 			ep := []dispatch.EndpointID{"a", "b"}[rapid.IntRange(0, 1).Draw(t, "endpoint")]
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
-				see(p.Strike(at, ep, Strike{ID: i, Kind: rapid.SampledFrom(kinds).Draw(t, "kind"), Size: 0.5, Acts: 0.5, Until: at + 1000*ms}))
+				see(p.Inject(at, ep, Fault{ID: i, Kind: rapid.SampledFrom(kinds).Draw(t, "kind"), Size: 0.5, Acts: 0.5, Until: at + 1000*ms}))
 			case 1:
 				see(p.Heal(at, ep, rapid.IntRange(0, i).Draw(t, "strike")))
 			case 2:
@@ -163,7 +163,7 @@
 				}
 			default:
 				if p.Connect(at, ep) == Up {
-					c := &Call{ID: uint64(i), Endpoint: ep, Items: []Item{{Record: "r", Origin: "r"}}}
+					c := &Call{ID: uint64(i), Endpoint: ep, Items: []Item{{Message: "r", Origin: "r"}}}
 					calls[c.ID] = c
 					see(p.Take(at, c))
 				}
--- a/testbed/endpointmodel/health.go
+++ b/testbed/endpointmodel/health.go
@@ -7,28 +7,28 @@
 	"pineport/dispatch"
 )
 
-// Strike lets a trouble begin at an endpoint.
-func (p *Partner) Strike(now dispatch.Micros, id dispatch.EndpointID, s Strike) []Output {
+// Fault lets a trouble begin at an endpoint.
+func (p *Partner) Inject(now dispatch.Micros, id dispatch.EndpointID, s Fault) []Output {
 	p.out = nil
 	ep := p.endpoints[id]
 	if ep == nil || ep.gone {
 		return nil
 	}
 	before := ep.ill
-	ep.strikes = append(ep.strikes, s)
+	ep.faults = append(ep.faults, s)
 	p.changed(now, ep, before)
 	return p.out
 }
 
 // Heal ends a trouble at an endpoint.
-func (p *Partner) Heal(now dispatch.Micros, id dispatch.EndpointID, strike int) []Output {
+func (p *Partner) Heal(now dispatch.Micros, id dispatch.EndpointID, fault int) []Output {
 	p.out = nil
 	ep := p.endpoints[id]
 	if ep == nil {
 		return nil
 	}
 	before := ep.ill
-	ep.strikes = slices.DeleteFunc(ep.strikes, func(s Strike) bool { return s.ID == strike })
+	ep.faults = slices.DeleteFunc(ep.faults, func(s Fault) bool { return s.ID == fault })
 	p.changed(now, ep, before)
 	return p.out
 }
@@ -38,7 +38,7 @@
 	ep.diagnose(ep.route.fellTo > now)
 	shrunk := 1.0
 	for _, other := range ep.route.endpoints {
-		for _, s := range other.strikes {
+		for _, s := range other.faults {
 			if s.Kind == Shrink {
 				shrunk = min(shrunk, s.Size)
 			}
--- a/testbed/endpointmodel/plan.go
+++ b/testbed/endpointmodel/plan.go
@@ -63,10 +63,10 @@
 
 // Item is one record within a call. Origin stays the same when a client hands a record in again.
 type Item struct {
-	Record, Origin dispatch.MessageID
-	Repeat         dispatch.Idempotency
-	OneZone        bool            // referenced: only this zone's endpoints know a repeat
-	Window         dispatch.Micros // referenced: for so long
+	Message, Origin dispatch.MessageID
+	Repeat          dispatch.Idempotency
+	OneZone         bool            // referenced: only this zone's endpoints know a repeat
+	Window          dispatch.Micros // referenced: for so long
 }
 
 // Call is one call whose last byte has come.
@@ -139,7 +139,7 @@
 // Trouble is a way in which an endpoint goes wrong.
 type Trouble string
 
-// The troubles that an endpoint knows; Size and Acts of a Strike mean what stands beside them.
+// The troubles that an endpoint knows; Size and Acts of a Fault mean what stands beside them.
 const (
 	Refuse  Trouble = "refuse"  // its process is dead: connections are refused, what was in hand is cut off
 	Silent  Trouble = "silent"  // its machine is gone: nothing comes back, connections never come up
@@ -154,8 +154,8 @@
 	Crowd   Trouble = "crowd"   // Size: what is left of its connection table
 )
 
-// Strike is one trouble at one endpoint. ID tells strikes apart, so that overlapping ones end singly.
-type Strike struct {
+// Fault is one trouble at one endpoint. ID tells strikes apart, so that overlapping ones end singly.
+type Fault struct {
 	ID    int
 	Kind  Trouble
 	Size  float64
@@ -164,7 +164,7 @@
 }
 
 // outage tells whether a strike is one from which a route comes back cold.
-func (s Strike) outage() bool {
+func (s Fault) outage() bool {
 	switch s.Kind {
 	case Refuse, Silent, Hang, Shut:
 		return true
--- a/testbed/environment/directory.go
+++ b/testbed/environment/directory.go
@@ -227,7 +227,7 @@
 	for _, en := range l.Hosts {
 		for phase, word := range health {
 			if word == en.Health {
-				d.world.Books.Told(now, d.courier, en.Host, phase)
+				d.world.Books.Notified(now, d.courier, en.Host, phase)
 			}
 		}
 	}
@@ -246,9 +246,9 @@
 	}
 	w := d.world
 	for _, n := range all {
-		how := invariants.Terminated
+		how := invariants.Failed
 		if n.Status == "deferred" {
-			how = invariants.Bounced
+			how = invariants.Rejected
 		}
 		if w.Books == nil || !w.Books.Noticed(w.Clock.Now(), n.ID, how) {
 			continue
--- a/testbed/environment/endpoint.go
+++ b/testbed/environment/endpoint.go
@@ -303,12 +303,12 @@
 
 // admitted is what a call's records come to before the partner sees it.
 type admitted struct {
-	courier int
-	items   []endpointmodel.Item
-	ids     []dispatch.MessageID
-	trips   []int
-	ends    map[dispatch.MessageID]string // what is not sent on
-	full    bool
+	courier  int
+	items    []endpointmodel.Item
+	ids      []dispatch.MessageID
+	attempts []int
+	ends     map[dispatch.MessageID]string // what is not sent on
+	full     bool
 }
 
 // admit looks the records of a call up, counts trips and takes a slot.
@@ -318,12 +318,12 @@
 	defer w.mu.Unlock()
 	a.ends, a.courier = map[dispatch.MessageID]string{}, -1
 	for _, id := range ids {
-		r := w.records[id]
+		r := w.messages[id]
 		if r == nil && w.Guests {
-			r = &Record{Origin: id, Dest: e.site.no}
-			w.records[id] = r
+			r = &Message{Origin: id, Dest: e.site.no}
+			w.messages[id] = r
 			w.Books.Offered(in.first, id, 0, 0, dispatch.DestinationID(r.Dest))
-			w.Books.Taken(in.first, id, id, 0, "", in.first+dispatch.Micros(w.Day.Day.Workloads[0].CutOff*1e6))
+			w.Books.Taken(in.first, id, id, 0, "", in.first+dispatch.Micros(w.Day.Day.Classes[0].CutOff*1e6))
 		}
 		switch {
 		case r == nil:
@@ -332,15 +332,15 @@
 			return a, fmt.Sprintf("%s is for destination %d and came to %s, which is of %d", id, r.Dest, e.ID, e.site.no)
 		}
 		a.courier = r.Courier
-		wl := &w.Day.Day.Workloads[r.Work]
-		switch r.Trips++; {
+		wl := &w.Day.Day.Classes[r.Work]
+		switch r.Attempts++; {
 		case r.Over:
 			a.ends[id] = "expired"
-		case r.Trips > w.Day.Day.Fleet.MaxTrips:
+		case r.Attempts > w.Day.Day.Fleet.MaxAttempts:
 			a.ends[id] = "no_more"
 		default:
 			a.ids = append(a.ids, id)
-			a.items = append(a.items, endpointmodel.Item{Record: id, Origin: r.Origin, Repeat: invariants.RepeatOf(wl.Repeat),
+			a.items = append(a.items, endpointmodel.Item{Message: id, Origin: r.Origin, Repeat: invariants.RepeatOf(wl.Repeat),
 				OneZone: wl.OneZone, Window: dispatch.Micros(wl.Window * 1e6)})
 		}
 	}
@@ -348,7 +348,7 @@
 		w.out[a.courier]++
 	}
 	for _, id := range a.ids {
-		a.trips = append(a.trips, w.Books.Sent(in.first, id, invariants.Place{Dest: dispatch.DestinationID(e.site.no),
+		a.attempts = append(a.attempts, w.Books.Sent(in.first, id, invariants.Place{Dest: dispatch.DestinationID(e.site.no),
 			Route: e.site.route(e.ID), Endpoint: e.ID, Zone: e.Zone}))
 	}
 	return a, ""
@@ -370,7 +370,7 @@
 	}
 	settle := func(o dispatch.Outcome, wait dispatch.Micros) {
 		for i, id := range a.ids {
-			w.Books.Settled(w.Clock.Now(), id, a.trips[i], o, wait)
+			w.Books.Settled(w.Clock.Now(), id, a.attempts[i], o, wait)
 		}
 	}
 	if a.full {
--- a/testbed/environment/environment.go
+++ b/testbed/environment/environment.go
@@ -29,14 +29,14 @@
 	return time.AfterFunc(time.Duration(at-c.Now())*time.Microsecond, do)
 }
 
-// Record is what a client handed in, as far as endpoints must know.
-type Record struct {
-	Origin  dispatch.MessageID
-	Courier int
-	Work    int
-	Dest    int
-	Over    bool
-	Trips   int
+// Message is what a client handed in, as far as endpoints must know.
+type Message struct {
+	Origin   dispatch.MessageID
+	Courier  int
+	Work     int
+	Dest     int
+	Over     bool
+	Attempts int
 }
 
 // World is the outside of one day.
@@ -55,7 +55,7 @@
 	rng       *rand.Rand
 	sites     []*site
 	endpoints map[dispatch.EndpointID]*endpoint
-	records   map[dispatch.MessageID]*Record
+	messages  map[dispatch.MessageID]*Message
 	out       []int // calls out, by courier
 	directory []*directory
 	closed    bool
@@ -80,7 +80,7 @@
 // Open puts up the world of a day; nothing goes wrong in it before Begin.
 func Open(w *scenario.Drawn, log *slog.Logger) (*World, error) {
 	o := &World{Day: w, log: log, rng: rand.New(rand.NewPCG(uint64(w.Seed), 99)), endpoints: map[dispatch.EndpointID]*endpoint{},
-		records: map[dispatch.MessageID]*Record{}, out: make([]int, w.Day.Fleet.Couriers), Clock: Clock{time.Now()}}
+		messages: map[dispatch.MessageID]*Message{}, out: make([]int, w.Day.Fleet.Couriers), Clock: Clock{time.Now()}}
 	for i := range w.Destinations {
 		s := &site{world: o, no: i, partner: endpointmodel.New(w.Destinations[i].Plan), dueAt: endpointmodel.Never,
 			waiting: map[uint64]chan endpointmodel.Answer{}}
@@ -123,11 +123,11 @@
 	switch a.Kind {
 	case scenario.Begins:
 		s.do(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
-			return p.Strike(now, a.Endpoint.ID, a.Strike)
+			return p.Inject(now, a.Endpoint.ID, a.Fault)
 		})
 	case scenario.Ends:
 		s.do(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
-			return p.Heal(now, a.Endpoint.ID, a.Strike.ID)
+			return p.Heal(now, a.Endpoint.ID, a.Fault.ID)
 		})
 	case scenario.Adds:
 		address := ""
@@ -176,17 +176,17 @@
 }
 
 // Expect tells of a record before it is handed in: calls with other records are strange.
-func (w *World) Expect(id dispatch.MessageID, r Record) {
+func (w *World) Expect(id dispatch.MessageID, r Message) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.records[id] = &r
+	w.messages[id] = &r
 }
 
 // Drop tells that what is still sent for a record counts for nothing.
 func (w *World) Drop(id dispatch.MessageID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if r := w.records[id]; r != nil {
+	if r := w.messages[id]; r != nil {
 		r.Over = true
 	}
 }
@@ -288,7 +288,7 @@
 	}
 	switch o := o.(type) {
 	case endpointmodel.Ran:
-		books.Ran(now, o.Item.Record, o.Endpoint, o.Before, o.Known)
+		books.Ran(now, o.Item.Message, o.Endpoint, o.Before, o.Known)
 	case endpointmodel.Fell:
 		books.Fell(now, dispatch.DestinationID(s.no), o.Route, o.Sent)
 	case endpointmodel.Turned:
--- a/testbed/experiment/experiment.go
+++ b/testbed/experiment/experiment.go
@@ -62,13 +62,13 @@
 	switch text {
 	case "":
 	case "lore":
-		o.Lore = 1000 * 1000
+		o.SnapshotInterval = 1000 * 1000
 	case "share":
-		o.Share = simulation.Share{Beat: 500 * 1000}
+		o.Share = simulation.Share{Interval: 500 * 1000}
 	case "share-deaf":
-		o.Share = simulation.Share{Beat: 500 * 1000, Deaf: 0.5}
+		o.Share = simulation.Share{Interval: 500 * 1000, Deaf: 0.5}
 	case "share-lossy":
-		o.Share = simulation.Share{Beat: 500 * 1000, Loss: 0.3}
+		o.Share = simulation.Share{Interval: 500 * 1000, Loss: 0.3}
 	default:
 		err = fmt.Errorf("module:%s: module, or module: with lore, share, share-deaf or share-lossy was expected", text)
 	}
--- a/testbed/experiment/write.go
+++ b/testbed/experiment/write.go
@@ -26,7 +26,7 @@
 	for _, c := range cells {
 		v, n := c.Verdict, c.Verdict.Counts
 		row := []string{c.Day, strconv.FormatInt(c.Seed, 10), c.Variant, f(v.Figure), f(v.Service), f(v.Whole), f(v.Window), f(v.Costs)}
-		for _, count := range []int{len(v.Broken), n.Offered, n.Done, n.Bounced, n.Terminated, n.Lost, n.Trips, n.Full, n.TimedOut, n.Handshakes} {
+		for _, count := range []int{len(v.Broken), n.Offered, n.Done, n.Rejected, n.Failed, n.Lost, n.Attempts, n.Full, n.TimedOut, n.Handshakes} {
 			row = append(row, strconv.Itoa(count))
 		}
 		table = append(table, row)
--- a/testbed/fleet/fleet.go
+++ b/testbed/fleet/fleet.go
@@ -122,7 +122,7 @@
 	Hours    float64         `json:"process_hours"`
 	Drawn    *scenario.Drawn `json:"-"`
 	// Of what couriers share: loans that were seen, what was wrong with them, and what was heard.
-	Loans      int      `json:"loans_seen"`
+	Leases     int      `json:"loans_seen"`
 	Widest     float64  `json:"widest_loan"` // of a base part
 	Overspent  []string `json:"overspent,omitempty"`
 	Parts      Parts    `json:"parts,omitempty"`
@@ -131,12 +131,12 @@
 }
 
 // Parts is what of each limit was lent and borrowed over time, as shares of it summed over couriers, by destination and invariants.Bin.
-type Parts map[int32]*Lots
+type Parts map[int32]*LeaseTotals
 
-// Lots is one destination's.
-type Lots struct {
-	Lent     []float64 `json:"lent"`
-	Borrowed []float64 `json:"borrowed"`
+// LeaseTotals is one destination's.
+type LeaseTotals struct {
+	Granted []float64 `json:"lent"`
+	Leased  []float64 `json:"borrowed"`
 }
 
 // total books what stands at an instant.
@@ -152,25 +152,25 @@
 		}
 	}
 	for dest, sum := range sums {
-		lots := r.res.Parts[dest]
-		if lots == nil {
-			lots = &Lots{}
-			r.res.Parts[dest] = lots
+		leases := r.res.Parts[dest]
+		if leases == nil {
+			leases = &LeaseTotals{}
+			r.res.Parts[dest] = leases
 		}
-		for len(lots.Lent) <= bin {
-			lots.Lent, lots.Borrowed = append(lots.Lent, 0), append(lots.Borrowed, 0)
+		for len(leases.Granted) <= bin {
+			leases.Granted, leases.Leased = append(leases.Granted, 0), append(leases.Leased, 0)
 		}
-		lots.Lent[bin], lots.Borrowed[bin] = sum[0], sum[1]
+		leases.Granted[bin], leases.Leased[bin] = sum[0], sum[1]
 	}
 }
 
 // look is what a courier says of its fleet.
 type look struct {
-	Standing string `json:"standing"`
-	Least    int    `json:"least"`
-	Most     int    `json:"most"`
-	Start    uint64 `json:"start"`
-	Members  []struct {
+	Status  string `json:"standing"`
+	Least   int    `json:"least"`
+	Most    int    `json:"most"`
+	Start   uint64 `json:"start"`
+	Members []struct {
 		Name  string `json:"name"`
 		Start uint64 `json:"start"`
 		State string `json:"state"`
@@ -198,7 +198,7 @@
 	saw    map[[2]int]string
 	res    *Result
 	looks  []look
-	loans  invariants.Loans
+	leases invariants.Leases
 	shared []exchange.Status
 	idle   []string
 }
@@ -462,11 +462,11 @@
 
 // borrow holds what a courier shows of its loans against what the others show.
 func (r *rig) borrow(no int, from, to time.Duration, s exchange.Status) {
-	lots := func(of func(quota.Status) []quota.LeaseStatus) (all [][]invariants.Lot) {
+	leases := func(of func(quota.Status) []quota.LeaseStatus) (all [][]invariants.Lease) {
 		for _, line := range s.Groups {
-			var route []invariants.Lot
-			for _, lot := range of(line) {
-				route = append(route, invariants.Lot{Who: lot.Courier, No: lot.LeaseID, Units: int64(lot.Units), Base: int64(line.Base)})
+			var route []invariants.Lease
+			for _, lease := range of(line) {
+				route = append(route, invariants.Lease{Who: lease.Courier, No: lease.LeaseID, Units: int64(lease.Units), Base: int64(line.Base)})
 			}
 			all = append(all, route)
 		}
@@ -475,8 +475,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.shared[no] = s
-	r.loans.Saw(invariants.Look{Name: fmt.Sprintf("n%d", no), Start: s.Incarnation, From: dispatch.Micros(from.Microseconds()), To: dispatch.Micros(to.Microseconds()),
-		Lent: lots(func(l quota.Status) []quota.LeaseStatus { return l.Grants }), Used: lots(func(l quota.Status) []quota.LeaseStatus { return l.Leases })})
+	r.leases.Saw(invariants.Look{Name: fmt.Sprintf("n%d", no), Start: s.Incarnation, From: dispatch.Micros(from.Microseconds()), To: dispatch.Micros(to.Microseconds()),
+		Granted: leases(func(l quota.Status) []quota.LeaseStatus { return l.Grants }), Used: leases(func(l quota.Status) []quota.LeaseStatus { return l.Leases })})
 }
 
 // watch looks at every courier again and again, and books what changed.
@@ -566,7 +566,7 @@
 		r.mu.Lock()
 		whole := 0
 		for _, l := range r.looks {
-			if l.Standing == "whole" && l.Least >= r.n {
+			if l.Status == "whole" && l.Least >= r.n {
 				whole++
 			}
 		}
@@ -587,7 +587,7 @@
 		r.res.Messages += float64(l.Figures.Network.PacketsOut) / seconds
 		r.res.Bytes += float64(l.Figures.Network.BytesOut) / seconds
 	}
-	r.res.Loans, r.res.Widest, r.res.Overspent = r.loans.Seen, r.loans.Widest, r.loans.Breaches
+	r.res.Leases, r.res.Widest, r.res.Overspent = r.leases.Seen, r.leases.Widest, r.leases.Breaches
 	for _, s := range r.shared {
 		r.res.Packets += float64(s.PacketsOut) / seconds
 		r.res.ShareBytes += float64(s.BytesOut) / seconds
--- a/testbed/fleet/fleet_test.go
+++ b/testbed/fleet/fleet_test.go
@@ -88,10 +88,10 @@
 	for _, what := range append(res.Overspent, res.Idle...) {
 		t.Error(what)
 	}
-	if res.Loans < 20 {
-		t.Errorf("only %d loans were seen", res.Loans)
+	if res.Leases < 20 {
+		t.Errorf("only %d loans were seen", res.Leases)
 	}
-	t.Logf("%v; %d loans, at most %.2f of a part; %d refused, %d done", res.Struck, res.Loans, res.Widest, res.Verdict.Counts.Full, res.Verdict.Counts.Done)
+	t.Logf("%v; %d loans, at most %.2f of a part; %d refused, %d done", res.Struck, res.Leases, res.Widest, res.Verdict.Counts.Full, res.Verdict.Counts.Done)
 }
 
 func longest(all []float64) (most float64) {
@@ -101,8 +101,8 @@
 	return most
 }
 
-// TestIdleFaultsAreTold: a fault that never struck fails a run.
-func TestIdleFaultsAreTold(t *testing.T) {
+// TestIdleFaultsAreReported: a fault that never struck fails a run.
+func TestIdleFaultsAreReported(t *testing.T) {
 	n, err := netfault.Open(1, []string{"127.0.0.1:9", "127.0.0.1:9"}, nil)
 	if err != nil {
 		t.Fatal(err)
--- a/testbed/invariants/invariants.go
+++ b/testbed/invariants/invariants.go
@@ -11,22 +11,22 @@
 	"pineport/dispatch"
 )
 
-// Workload is what a kind of record promises.
-type Workload struct {
-	Name         string
-	Quoted, Life dispatch.Micros
-	Payoff       float64
-	LatePart     float64
-	Repeat       dispatch.Idempotency
-	Window       dispatch.Micros
-	OneZone      bool
-	InOrder      bool
+// Class is what a kind of record promises.
+type Class struct {
+	Name            string
+	Objective, Life dispatch.Micros
+	Priority        float64
+	LatePart        float64
+	Repeat          dispatch.Idempotency
+	Window          dispatch.Micros
+	OneZone         bool
+	InOrder         bool
 }
 
 // Setup is what the ledger is told of a day.
 type Setup struct {
-	Workloads   []Workload
-	Parties     []string
+	Classes     []Class
+	Tenants     []string
 	Quotas      []float64 // records a second within a party's share; 0: no share
 	OverShare   float64
 	Halves      bool // payoff halves with each further quoted time, else falls evenly
@@ -45,7 +45,7 @@
 }
 
 // Weights of a day's figure.
-type Weights struct{ Whole, Window, Workload, Party float64 }
+type Weights struct{ Whole, Window, Class, Tenant float64 }
 
 // Prices come off it, each times its count over the records offered.
 type Prices struct{ Waste, Handshake, Refused float64 }
@@ -69,8 +69,8 @@
 const (
 	Open End = iota
 	Delivered
-	Bounced
-	Terminated
+	Rejected
+	Failed
 	Dropped   // its courier was killed and held it in memory only, or its client gave it up before it was taken on
 	Withdrawn // by its client
 )
@@ -82,34 +82,34 @@
 // origin is a record through all its hand-ins.
 type origin struct {
 	work   int
-	party  int
+	tenant int
 	dest   dispatch.DestinationID
 	at     dispatch.Micros // when it was due to be handed in first
-	worth  float64         // within its quoted time
+	value  float64         // within its quoted time
 	won    float64
 	doneAt dispatch.Micros
 	end    End
 }
 
-type record struct {
-	id      dispatch.MessageID
-	origin  *origin
-	work    *Workload
-	courier int
-	key     dispatch.OrderingKey
-	cutOff  dispatch.Micros
-	taken   dispatch.Micros
-	trips   []*trip
-	end     End
-	endAt   dispatch.Micros
-	mayRan  bool
-	ranAt   dispatch.Micros
-	ranZone dispatch.ZoneID
-	out     int
-	unheard bool // its answer went to a courier that was killed then, and may not have been read
-}
-
-type trip struct {
+type message struct {
+	id       dispatch.MessageID
+	origin   *origin
+	work     *Class
+	courier  int
+	key      dispatch.OrderingKey
+	cutOff   dispatch.Micros
+	taken    dispatch.Micros
+	attempts []*attempt
+	end      End
+	endAt    dispatch.Micros
+	mayRan   bool
+	ranAt    dispatch.Micros
+	ranZone  dispatch.ZoneID
+	out      int
+	unheard  bool // its answer went to a courier that was killed then, and may not have been read
+}
+
+type attempt struct {
 	place   Place
 	sent    dispatch.Micros
 	over    bool
@@ -122,11 +122,11 @@
 }
 
 type line struct {
-	records []*record
-	restTo  dispatch.Micros
+	messages []*message
+	restTo   dispatch.Micros
 }
 
-type toldKey struct {
+type notifiedKey struct {
 	courier  int
 	endpoint dispatch.EndpointID
 }
@@ -154,10 +154,10 @@
 	setup    Setup
 	origins  map[dispatch.MessageID]*origin
 	order    []*origin
-	records  map[dispatch.MessageID]*record
-	all      []*record
+	messages map[dispatch.MessageID]*message
+	all      []*message
 	lines    map[keyOf]*line
-	told     map[toldKey]dispatch.Micros
+	notified map[notifiedKey]dispatch.Micros
 	waits    map[waitKey]wait
 	downs    map[int][]down
 	killed   map[int]dispatch.Micros
@@ -176,20 +176,20 @@
 
 // New begins the books of a day.
 func New(setup Setup) *Ledger {
-	return &Ledger{setup: setup, origins: map[dispatch.MessageID]*origin{}, records: map[dispatch.MessageID]*record{},
-		lines: map[keyOf]*line{}, told: map[toldKey]dispatch.Micros{}, waits: map[waitKey]wait{}, downs: map[int][]down{}, killed: map[int]dispatch.Micros{},
+	return &Ledger{setup: setup, origins: map[dispatch.MessageID]*origin{}, messages: map[dispatch.MessageID]*message{},
+		lines: map[keyOf]*line{}, notified: map[notifiedKey]dispatch.Micros{}, waits: map[waitKey]wait{}, downs: map[int][]down{}, killed: map[int]dispatch.Micros{},
 		outages: map[routeKey]*outage{}, shares: make([]share, len(setup.Quotas)), breaches: map[Rule]*breach{},
-		series: series{dests: map[dispatch.DestinationID]*DestSeries{}}, latency: newLatencies(setup.Workloads)}
+		series: series{dests: map[dispatch.DestinationID]*DestSeries{}}, latency: newLatencies(setup.Classes)}
 }
 
 // Offered: a client has a record for the first time.
-func (l *Ledger) Offered(at dispatch.Micros, id dispatch.MessageID, work, party int, dest dispatch.DestinationID) {
+func (l *Ledger) Offered(at dispatch.Micros, id dispatch.MessageID, work, tenant int, dest dispatch.DestinationID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	w := &l.setup.Workloads[work]
-	o := &origin{work: work, party: party, dest: dest, at: at, worth: w.Payoff}
-	if !l.withinShare(at, party) {
-		o.worth *= l.setup.OverShare
+	w := &l.setup.Classes[work]
+	o := &origin{work: work, tenant: tenant, dest: dest, at: at, value: w.Priority}
+	if !l.withinShare(at, tenant) {
+		o.value *= l.setup.OverShare
 	}
 	l.origins[id] = o
 	l.order = append(l.order, o)
@@ -197,11 +197,11 @@
 }
 
 // withinShare spends a party's share; two seconds of it may be saved up.
-func (l *Ledger) withinShare(at dispatch.Micros, party int) bool {
-	if party >= len(l.shares) || l.setup.Quotas[party] <= 0 {
+func (l *Ledger) withinShare(at dispatch.Micros, tenant int) bool {
+	if tenant >= len(l.shares) || l.setup.Quotas[tenant] <= 0 {
 		return true
 	}
-	s, perSec := &l.shares[party], l.setup.Quotas[party]
+	s, perSec := &l.shares[tenant], l.setup.Quotas[tenant]
 	s.saved = min(2*perSec+1, s.saved+perSec*float64(max(0, at-s.at))/1e6)
 	s.at = max(s.at, at)
 	if s.saved < 1 {
@@ -220,8 +220,8 @@
 		l.breach(Final, at, "courier %d was handed %s, which nobody offered", courier, originID)
 		return
 	}
-	r := &record{id: id, origin: o, work: &l.setup.Workloads[o.work], courier: courier, key: key, cutOff: cutOff, taken: at}
-	l.records[id] = r
+	r := &message{id: id, origin: o, work: &l.setup.Classes[o.work], courier: courier, key: key, cutOff: cutOff, taken: at}
+	l.messages[id] = r
 	l.all = append(l.all, r)
 	l.counts.Taken++
 	l.series.held(at, 1)
@@ -230,36 +230,36 @@
 		if l.lines[k] == nil {
 			l.lines[k] = &line{}
 		}
-		l.lines[k].records = append(l.lines[k].records, r)
+		l.lines[k].messages = append(l.lines[k].messages, r)
 	}
 }
 
-// Sent: a courier began a trip of a record. Trips are numbered as they are sent.
+// Sent: a courier began a trip of a record. Attempts are numbered as they are sent.
 func (l *Ledger) Sent(at dispatch.Micros, id dispatch.MessageID, p Place) (no int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := l.records[id]
+	r := l.messages[id]
 	if r == nil {
 		l.breach(Final, at, "a call for %s, which no courier had taken", id)
 		return -1
 	}
-	l.counts.Trips++
+	l.counts.Attempts++
 	l.series.call(at, p.Dest)
 	l.judgeSend(at, r, p)
-	r.trips = append(r.trips, &trip{place: p, sent: at})
+	r.attempts = append(r.attempts, &attempt{place: p, sent: at})
 	r.out++
-	return len(r.trips) - 1
+	return len(r.attempts) - 1
 }
 
 // Settled: the courier has the outcome of a trip, or has stopped waiting for it.
-func (l *Ledger) Settled(at dispatch.Micros, id dispatch.MessageID, no int, o dispatch.Outcome, told dispatch.Micros) {
+func (l *Ledger) Settled(at dispatch.Micros, id dispatch.MessageID, no int, o dispatch.Outcome, notified dispatch.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := l.records[id]
-	if r == nil || no < 0 || no >= len(r.trips) || r.trips[no].over {
+	r := l.messages[id]
+	if r == nil || no < 0 || no >= len(r.attempts) || r.attempts[no].over {
 		return
 	}
-	t := r.trips[no]
+	t := r.attempts[no]
 	t.over, t.outcome = true, o
 	r.out--
 	rk := routeKey{t.place.Dest, t.place.Route}
@@ -269,10 +269,10 @@
 	if mayRun && !r.mayRan {
 		r.mayRan, r.ranAt, r.ranZone = true, t.sent, t.place.Zone
 	}
-	if told > 0 {
+	if notified > 0 {
 		k := waitKey{r.courier, rk}
 		w := l.waits[k]
-		if to := at + told; to > w.to {
+		if to := at + notified; to > w.to {
 			from := at
 			if w.to > at { // one wait runs into the next
 				from = w.from
@@ -295,8 +295,8 @@
 }
 
 // delivered counts a record's payoff.
-func (l *Ledger) delivered(at dispatch.Micros, r *record) {
-	if r.end == Bounced || r.end == Terminated {
+func (l *Ledger) delivered(at dispatch.Micros, r *message) {
+	if r.end == Rejected || r.end == Failed {
 		return // its client was told otherwise
 	}
 	if r.end == Open {
@@ -309,23 +309,23 @@
 		return
 	}
 	o.end, o.doneAt = Delivered, at
-	o.won = o.worth * l.part(o, at)
+	o.won = o.value * l.part(o, at)
 	l.latency.note(o.work, at-o.at)
 }
 
 // part is what is left of a record's payoff at an instant.
 func (l *Ledger) part(o *origin, at dispatch.Micros) float64 {
-	w := &l.setup.Workloads[o.work]
-	late := float64(at - o.at - w.Quoted)
+	w := &l.setup.Classes[o.work]
+	late := float64(at - o.at - w.Objective)
 	switch {
 	case at > o.at+w.Life+l.setup.AnswerSlack+l.setup.Leeway:
 		return 0
 	case late <= 0:
 		return 1
 	case l.setup.Halves:
-		return max(w.LatePart, math.Exp2(-late/float64(w.Quoted)))
+		return max(w.LatePart, math.Exp2(-late/float64(w.Objective)))
 	}
-	return 1 - (1-w.LatePart)*min(1, late/float64(w.Life-w.Quoted))
+	return 1 - (1-w.LatePart)*min(1, late/float64(w.Life-w.Objective))
 }
 
 // Ended: a record has its final answer without having been delivered.
@@ -336,29 +336,29 @@
 }
 
 func (l *Ledger) ended(at dispatch.Micros, id dispatch.MessageID, how End) {
-	r := l.records[id]
+	r := l.messages[id]
 	if r == nil {
-		if how == Bounced || how == Terminated {
+		if how == Rejected || how == Failed {
 			l.breach(Final, at, "%s was %s and had never been taken", id, how)
 		}
 		return
 	}
 	if r.end != Open {
-		if how == Bounced || how == Terminated {
+		if how == Rejected || how == Failed {
 			l.breach(Final, at, "%s was %s after it was %s", id, how, r.end)
 		}
 		return
 	}
-	if how == Bounced {
-		l.judgeBounce(at, r)
+	if how == Rejected {
+		l.judgeReject(at, r)
 	}
 	r.end, r.endAt = how, at
 	l.series.held(at, -1)
 	switch how {
-	case Bounced:
-		l.counts.Bounced++
-	case Terminated:
-		l.counts.Terminated++
+	case Rejected:
+		l.counts.Rejected++
+	case Failed:
+		l.counts.Failed++
 	}
 	if r.origin.end != Delivered {
 		r.origin.end = how
@@ -370,7 +370,7 @@
 func (l *Ledger) Noticed(at dispatch.Micros, id dispatch.MessageID, how End) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if r := l.records[id]; r != nil && r.end != Open {
+	if r := l.messages[id]; r != nil && r.end != Open {
 		return false
 	}
 	l.ended(at, id, how)
@@ -381,7 +381,7 @@
 func (l *Ledger) MayHaveRun(id dispatch.MessageID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := l.records[id]
+	r := l.messages[id]
 	return r != nil && (r.mayRan || r.out > 0)
 }
 
@@ -390,7 +390,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts.Effects++
-	r := l.records[id]
+	r := l.messages[id]
 	if r == nil || before == 0 || known {
 		return
 	}
@@ -401,15 +401,15 @@
 	}
 }
 
-// Told: a courier has word that an endpoint drains or is gone; or that it is in again.
-func (l *Ledger) Told(at dispatch.Micros, courier int, endpoint dispatch.EndpointID, phase dispatch.Phase) {
+// Notified: a courier has word that an endpoint drains or is gone; or that it is in again.
+func (l *Ledger) Notified(at dispatch.Micros, courier int, endpoint dispatch.EndpointID, phase dispatch.Phase) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := toldKey{courier, endpoint}
+	k := notifiedKey{courier, endpoint}
 	if phase == dispatch.InService {
-		delete(l.told, k)
-	} else if _, ok := l.told[k]; !ok {
-		l.told[k] = at
+		delete(l.notified, k)
+	} else if _, ok := l.notified[k]; !ok {
+		l.notified[k] = at
 	}
 }
 
@@ -424,9 +424,9 @@
 			delete(l.waits, k) // a restart ends a wait
 		}
 	}
-	for k := range l.told {
+	for k := range l.notified {
 		if lost && k.courier == courier {
-			delete(l.told, k)
+			delete(l.notified, k)
 		}
 	}
 	if forgets {
--- a/testbed/invariants/rules.go
+++ b/testbed/invariants/rules.go
@@ -51,13 +51,13 @@
 }
 
 // judgeSend holds a trip against the rules on ends, effects, drains, waits and order.
-func (l *Ledger) judgeSend(at dispatch.Micros, r *record, p Place) {
+func (l *Ledger) judgeSend(at dispatch.Micros, r *message, p Place) {
 	if r.end != Open && r.end != Dropped && !r.unheard && at > r.endAt+l.setup.Leeway {
 		l.breach(Final, at, "%s was sent to %s after it was %s at %s", r.id, p.Endpoint, r.end, seconds(r.endAt))
 	}
 	l.judgeRepeat(at, r, p)
-	if told, ok := l.told[toldKey{r.courier, p.Endpoint}]; ok && at > told+l.setup.DrainGrace+l.setup.Leeway {
-		l.breach(Drain, at, "%s went to %s, which drains or is gone, as courier %d was told at %s", r.id, p.Endpoint, r.courier, seconds(told))
+	if notified, ok := l.notified[notifiedKey{r.courier, p.Endpoint}]; ok && at > notified+l.setup.DrainGrace+l.setup.Leeway {
+		l.breach(Drain, at, "%s went to %s, which drains or is gone, as courier %d was told at %s", r.id, p.Endpoint, r.courier, seconds(notified))
 	}
 	if w, ok := l.waits[waitKey{r.courier, routeKey{p.Dest, p.Route}}]; ok && at > w.from+l.setup.WaitFrom && at < w.to-l.setup.Leeway {
 		l.breach(Waits, at, "%s went to %s, while courier %d was told to wait until %s", r.id, p.Endpoint, r.courier, seconds(w.to))
@@ -69,12 +69,12 @@
 
 // judgeRepeat: a single-use record goes again only if every earlier trip provably never ran; a referenced one that may
 // have run only in its window and group.
-func (l *Ledger) judgeRepeat(at dispatch.Micros, r *record, p Place) {
-	if r.work.Repeat == dispatch.Idempotent || len(r.trips) == 0 {
+func (l *Ledger) judgeRepeat(at dispatch.Micros, r *message, p Place) {
+	if r.work.Repeat == dispatch.Idempotent || len(r.attempts) == 0 {
 		return
 	}
 	may, ranAt, zone := r.mayRan, r.ranAt, r.ranZone
-	for _, t := range r.trips {
+	for _, t := range r.attempts {
 		if !t.over && (!may || t.sent < ranAt) {
 			may, ranAt, zone = true, t.sent, t.place.Zone
 		}
@@ -91,7 +91,7 @@
 }
 
 // judgeBounce: a bounce says that trying again is harmless.
-func (l *Ledger) judgeBounce(at dispatch.Micros, r *record) {
+func (l *Ledger) judgeReject(at dispatch.Micros, r *message) {
 	may := r.mayRan || r.out > 0
 	if may && (r.work.Repeat == dispatch.AtMostOnce || r.work.Repeat == dispatch.IdempotencyKey && r.work.OneZone) {
 		l.breach(Twice, at, "%s was bounced though a trip may have run", r.id)
@@ -99,14 +99,14 @@
 }
 
 // judgeOrder: nothing is sent for a record while an earlier one of its key is not over.
-func (l *Ledger) judgeOrder(at dispatch.Micros, r *record) {
+func (l *Ledger) judgeOrder(at dispatch.Micros, r *message) {
 	line := l.lines[keyOf{r.courier, r.key}]
-	line.records = slices.DeleteFunc(line.records, func(o *record) bool { return o.end != Open && o.out == 0 })
-	if len(line.records) > 0 && line.records[0] != r {
-		l.breach(Order, at, "%s went out of turn: %s of the same key is not over", r.id, line.records[0].id)
+	line.messages = slices.DeleteFunc(line.messages, func(o *message) bool { return o.end != Open && o.out == 0 })
+	if len(line.messages) > 0 && line.messages[0] != r {
+		l.breach(Order, at, "%s went out of turn: %s of the same key is not over", r.id, line.messages[0].id)
 		return
 	}
-	if at < line.restTo-l.setup.Leeway && len(r.trips) == 0 {
+	if at < line.restTo-l.setup.Leeway && len(r.attempts) == 0 {
 		l.breach(Order, at, "%s went while its key had to rest until %s", r.id, seconds(line.restTo))
 	}
 }
@@ -119,7 +119,7 @@
 		case r.end == Open && end > by:
 			l.breach(Final, by, "%s was never answered", r.id)
 			l.counts.Lost++
-		case (r.end == Bounced || r.end == Terminated || r.end == Delivered) && r.endAt > by:
+		case (r.end == Rejected || r.end == Failed || r.end == Delivered) && r.endAt > by:
 			l.breach(Final, r.endAt, "%s was %s %s after its cut-off", r.id, r.end, seconds(r.endAt-r.cutOff))
 		}
 	}
--- a/testbed/invariants/series.go
+++ b/testbed/invariants/series.go
@@ -94,7 +94,7 @@
 func (s *series) finish(l *Ledger, end dispatch.Micros) *Series {
 	out, bins := &Series{}, int(end/Bin)+1
 	for _, o := range l.order {
-		out.Asked = put(out.Asked, o.at, o.worth)
+		out.Asked = put(out.Asked, o.at, o.value)
 		out.Won = put(out.Won, o.at, o.won)
 		d := s.dest(o.dest)
 		d.Offered = put(d.Offered, o.at, 1)
--- a/testbed/invariants/verdict.go
+++ b/testbed/invariants/verdict.go
@@ -15,17 +15,17 @@
 	Offered     int `json:"offered"` // records, first tries
 	Taken       int `json:"taken"`
 	Done        int `json:"done"`
-	Bounced     int `json:"bounced"`
-	Terminated  int `json:"terminated"`
+	Rejected    int `json:"bounced"`
+	Failed      int `json:"terminated"`
 	Lost        int `json:"lost"`
-	Trips       int `json:"trips"`
+	Attempts    int `json:"trips"`
 	Full        int `json:"full"`
 	Failures    int `json:"failures"`
 	TimedOut    int `json:"timed_out"`
 	Unreachable int `json:"unreachable"`
 	Broken      int `json:"broken"`
 	Withdrawn   int `json:"withdrawn"`
-	Void        int `json:"void"`
+	Unprocessed int `json:"void"`
 	Handshakes  int `json:"handshakes"`
 	Effects     int `json:"effects"`
 	Repeats     int `json:"repeats"` // effects that were not the first and not dropped
@@ -47,7 +47,7 @@
 	case dispatch.Canceled:
 		c.Withdrawn++
 	case dispatch.Unprocessed:
-		c.Void++
+		c.Unprocessed++
 	}
 }
 
@@ -58,14 +58,14 @@
 	Whole    float64            `json:"whole"`
 	Window   float64            `json:"worst_window"`
 	WindowAt float64            `json:"worst_window_at_s"`
-	Workload map[string]float64 `json:"workloads"`
-	Party    map[string]float64 `json:"parties,omitempty"`
+	Class    map[string]float64 `json:"workloads"`
+	Tenant   map[string]float64 `json:"parties,omitempty"`
 	Costs    float64            `json:"costs"`
 	Counts   Counts             `json:"counts"`
 	Broken   map[Rule]int       `json:"broken,omitempty"`
 	Breaches []Breach           `json:"breaches,omitempty"`
 	Latency  []Latency          `json:"latency"`
-	Void     string             `json:"void,omitempty"` // why the run does not count
+	Invalid  string             `json:"void,omitempty"` // why the run does not count
 	Series   *Series            `json:"-"`
 }
 
@@ -74,8 +74,8 @@
 
 // Short is the verdict in a few words.
 func (v *Verdict) Short() string {
-	if v.Void != "" {
-		return "does not count: " + v.Void
+	if v.Invalid != "" {
+		return "does not count: " + v.Invalid
 	}
 	if v.OK() {
 		return "rules kept"
@@ -96,18 +96,18 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.overdue(end)
-	v := &Verdict{Counts: l.counts, Workload: map[string]float64{}, Party: map[string]float64{}, Broken: map[Rule]int{},
+	v := &Verdict{Counts: l.counts, Class: map[string]float64{}, Tenant: map[string]float64{}, Broken: map[Rule]int{},
 		Latency: l.latency.table(), Series: l.series.finish(l, end)}
 	var whole sum
-	works, parties := make([]sum, len(l.setup.Workloads)), make([]sum, len(l.setup.Parties))
+	works, tenants := make([]sum, len(l.setup.Classes)), make([]sum, len(l.setup.Tenants))
 	const half = windowSpan / 2
 	halves := make([]sum, int(l.setup.Length/half)+2)
 	for _, o := range l.order {
 		for _, s := range []*sum{&whole, &works[o.work], &halves[min(int(o.at/half), len(halves)-1)]} {
 			s.add(o)
 		}
-		if o.party < len(parties) && o.worth > 0 && o.worth >= l.setup.Workloads[o.work].Payoff {
-			parties[o.party].add(o) // within its share
+		if o.tenant < len(tenants) && o.value > 0 && o.value >= l.setup.Classes[o.work].Priority {
+			tenants[o.tenant].add(o) // within its share
 		}
 	}
 	v.Whole, v.Window = whole.share(), whole.share()
@@ -130,12 +130,12 @@
 		}
 		return low
 	}
-	worstWork := least(func(i int) string { return l.setup.Workloads[i].Name }, works, v.Workload)
-	worstParty := least(func(i int) string { return l.setup.Parties[i] }, parties, v.Party)
+	worstWork := least(func(i int) string { return l.setup.Classes[i].Name }, works, v.Class)
+	worstTenant := least(func(i int) string { return l.setup.Tenants[i] }, tenants, v.Tenant)
 	g := l.setup.Goal
-	v.Service = (g.Whole*v.Whole + g.Window*v.Window + g.Workload*worstWork + g.Party*worstParty) / (g.Whole + g.Window + g.Workload + g.Party)
+	v.Service = (g.Whole*v.Whole + g.Window*v.Window + g.Class*worstWork + g.Tenant*worstTenant) / (g.Whole + g.Window + g.Class + g.Tenant)
 	offered, p := float64(max(1, l.counts.Offered)), l.setup.Prices
-	wasted := float64(max(0, l.counts.Trips-l.counts.Void-l.counts.Done))
+	wasted := float64(max(0, l.counts.Attempts-l.counts.Unprocessed-l.counts.Done))
 	v.Costs = (p.Waste*wasted + p.Handshake*float64(l.counts.Handshakes) + p.Refused*float64(l.counts.Full)) / offered
 	v.Figure = v.Service - v.Costs
 	for _, r := range Rules() {
@@ -150,7 +150,7 @@
 
 type sum struct{ asked, won float64 }
 
-func (s *sum) add(o *origin) { s.asked, s.won = s.asked+o.worth, s.won+o.won }
+func (s *sum) add(o *origin) { s.asked, s.won = s.asked+o.value, s.won+o.won }
 func (s sum) share() float64 {
 	if s.asked <= 0 {
 		return 1
@@ -160,13 +160,13 @@
 
 // Latency is how long delivery took, from the instant a record was due to be handed in.
 type Latency struct {
-	Workload string  `json:"workload"`
-	Count    int64   `json:"count"`
-	P50      float64 `json:"p50_s"`
-	P90      float64 `json:"p90_s"`
-	P99      float64 `json:"p99_s"`
-	P999     float64 `json:"p999_s"`
-	Max      float64 `json:"max_s"`
+	Class string  `json:"workload"`
+	Count int64   `json:"count"`
+	P50   float64 `json:"p50_s"`
+	P90   float64 `json:"p90_s"`
+	P99   float64 `json:"p99_s"`
+	P999  float64 `json:"p999_s"`
+	Max   float64 `json:"max_s"`
 }
 
 type latencies struct {
@@ -175,7 +175,7 @@
 }
 
 // newLatencies keeps from a tenth of a millisecond to an hour, to three digits.
-func newLatencies(works []Workload) latencies {
+func newLatencies(works []Class) latencies {
 	var l latencies
 	for _, w := range works {
 		l.names = append(l.names, w.Name)
--- a/testbed/invariants/window.go
+++ b/testbed/invariants/window.go
@@ -2,7 +2,7 @@
 
 // Within is what happened in a stretch of a day, by the bins of its series.
 type Within struct {
-	Payoff         float64 // share of what was asked by records due in it
+	Priority       float64 // share of what was asked by records due in it
 	Calls, Done    float64
 	Refused, Fails float64
 }
@@ -18,7 +18,7 @@
 		return n
 	}
 	if asked := sum(s.Asked); asked > 0 {
-		w.Payoff = sum(s.Won) / asked
+		w.Priority = sum(s.Won) / asked
 	}
 	for _, d := range s.Dests {
 		w.Calls += sum(d.Calls)
--- a/testbed/load/load.go
+++ b/testbed/load/load.go
@@ -40,23 +40,23 @@
 	Text  string
 }
 
-// Record is what is handed in.
-type Record struct {
-	ID, Workload string
-	Left         time.Duration // how long it may still be delivered
-	Dest         int
-	Party        string // empty: none
-	Key          string // of its order; empty: none
-	Again        bool   // after a bounce
-	AfterDeath   bool   // held by a courier that died or did not answer
-	Body         []byte
+// Message is what is handed in.
+type Message struct {
+	ID, Class  string
+	Left       time.Duration // how long it may still be delivered
+	Dest       int
+	Tenant     string // empty: none
+	Key        string // of its order; empty: none
+	Again      bool   // after a bounce
+	AfterDeath bool   // held by a courier that died or did not answer
+	Body       []byte
 }
 
 // Enqueue is the command that hands in one record.
-func Enqueue(r Record) []byte {
-	pairs := fmt.Sprintf("c=%s,d=%d,dest=%d", r.Workload, max(1, r.Left.Milliseconds()), r.Dest)
-	if r.Party != "" {
-		pairs += ",t=" + r.Party
+func Enqueue(r Message) []byte {
+	pairs := fmt.Sprintf("c=%s,d=%d,dest=%d", r.Class, max(1, r.Left.Milliseconds()), r.Dest)
+	if r.Tenant != "" {
+		pairs += ",t=" + r.Tenant
 	}
 	if r.Key != "" {
 		pairs += ",about=" + r.Key
--- a/testbed/load/load_test.go
+++ b/testbed/load/load_test.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// TestLateIsTold: a run whose schedule was not kept says so.
-func TestLateIsTold(t *testing.T) {
+// TestLatenessIsReported: a run whose schedule was not kept says so.
+func TestLatenessIsReported(t *testing.T) {
 	l := NewLateness()
 	for range 1000 {
 		l.Note(time.Millisecond)
--- a/testbed/netfault/conditions.go
+++ b/testbed/netfault/conditions.go
@@ -107,7 +107,7 @@
 }
 
 // strike counts a fault; the caller holds the lock.
-func (b *board) strike(from, to int, kind string, size int) {
+func (b *board) fault(from, to int, kind string, size int) {
 	b.struck[kind]++
 	b.tell(line{From: from, To: to, What: kind, Size: size})
 }
@@ -115,7 +115,7 @@
 func (b *board) hit(from, to int, kind string, size int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.strike(from, to, kind, size)
+	b.fault(from, to, kind, size)
 }
 
 // packet decides what becomes of one: after which spans copies of it arrive; none where it is lost.
@@ -125,18 +125,18 @@
 	c := b.now[from][to]
 	switch {
 	case c.Cut:
-		b.strike(from, to, Severed, size)
+		b.fault(from, to, Severed, size)
 		return nil
 	case c.Silent:
-		b.strike(from, to, Silenced, size)
+		b.fault(from, to, Silenced, size)
 		return nil
 	case c.Loss > 0 && b.rng.Float64() < c.Loss:
-		b.strike(from, to, Lost, size)
+		b.fault(from, to, Lost, size)
 		return nil
 	}
 	copies := 1
 	if c.Duplicate > 0 && b.rng.Float64() < c.Duplicate {
-		b.strike(from, to, Doubled, size)
+		b.fault(from, to, Doubled, size)
 		copies = 2
 	}
 	for range copies {
@@ -145,11 +145,11 @@
 			wait += time.Duration(b.rng.Int63n(int64(c.Jitter)))
 		}
 		if c.Reorder > 0 && b.rng.Float64() < c.Reorder {
-			b.strike(from, to, Reordered, size)
+			b.fault(from, to, Reordered, size)
 			wait += time.Duration(1+b.rng.Intn(50)) * time.Millisecond
 		}
 		if c.Delay > 0 || c.Jitter > 0 {
-			b.strike(from, to, Delayed, size)
+			b.fault(from, to, Delayed, size)
 		}
 		after = append(after, wait)
 	}
--- a/testbed/realtime/client.go
+++ b/testbed/realtime/client.go
@@ -18,15 +18,15 @@
 	due     dispatch.Micros
 	cutOff  dispatch.Micros
 	tries   int
-	bounces int
+	rejects int
 	dropped int // hand-ins that nobody answered: what comes of them counts for nothing
 }
 
 func (r *run) offer(i int) {
 	a := r.day.Arrivals[i]
-	wl := r.day.Day.Workloads[a.Workload]
+	wl := r.day.Day.Classes[a.Class]
 	cl := &client{id: dispatch.MessageID("r" + strconv.Itoa(i)), arrival: a, due: a.At, cutOff: a.At + dispatch.Micros(wl.CutOff*1e6)}
-	r.books.Offered(a.At, cl.id, int(a.Workload), int(a.Party), dispatch.DestinationID(a.Dest))
+	r.books.Offered(a.At, cl.id, int(a.Class), int(a.Tenant), dispatch.DestinationID(a.Dest))
 	r.pend(1)
 	r.handIn(cl, int(a.Courier), false, false)
 }
@@ -85,17 +85,17 @@
 	r.clients[id] = cl
 	r.mu.Unlock()
 	a := cl.arrival
-	wl := r.day.Day.Workloads[a.Workload]
+	wl := r.day.Day.Classes[a.Class]
 	key := dispatch.OrderingKey("")
 	if a.Key >= 0 {
 		key = dispatch.OrderingKey("k" + strconv.Itoa(int(a.Key)))
 	}
-	r.world.Expect(id, environment.Record{Origin: origin, Courier: courier, Work: int(a.Workload), Dest: int(a.Dest)})
+	r.world.Expect(id, environment.Message{Origin: origin, Courier: courier, Work: int(a.Class), Dest: int(a.Dest)})
 	r.books.Taken(now, id, cl.id, courier, key, cl.cutOff)
-	rec := load.Record{ID: string(id), Workload: wl.Name, Left: time.Duration(cl.cutOff-now) * time.Microsecond, Dest: int(a.Dest),
+	rec := load.Message{ID: string(id), Class: wl.Name, Left: time.Duration(cl.cutOff-now) * time.Microsecond, Dest: int(a.Dest),
 		Key: string(key), Again: again, AfterDeath: afterDeath, Body: r.body}
-	if parties := r.day.Day.Parties; len(parties) > 0 {
-		rec.Party = parties[a.Party].Name
+	if tenants := r.day.Day.Tenants; len(tenants) > 0 {
+		rec.Tenant = tenants[a.Tenant].Name
 	}
 	reply := r.pools[courier].Do(load.Enqueue(rec))
 	now = r.world.Clock.Now()
@@ -104,11 +104,11 @@
 		// From now on its end is owed: a call answered with 200, or a notice.
 	case load.Busy:
 		r.world.Drop(id)
-		r.books.Ended(now, id, invariants.Bounced)
+		r.books.Ended(now, id, invariants.Rejected)
 		r.comeAgain(cl, courier, reply.Again)
 	case load.Failed:
 		r.world.Drop(id)
-		r.books.Ended(now, id, invariants.Terminated)
+		r.books.Ended(now, id, invariants.Failed)
 	default:
 		r.unanswered(cl, id, courier, reply)
 	}
@@ -136,13 +136,13 @@
 func (r *run) comeAgain(cl *client, courier int, advice time.Duration) {
 	d := r.day.Day.Clients
 	r.mu.Lock()
-	if cl.bounces >= d.Retries {
+	if cl.rejects >= d.Retries {
 		r.mu.Unlock()
 		return
 	}
 	heeds := r.rng.Float64() < d.Heed
-	n := cl.bounces
-	cl.bounces++
+	n := cl.rejects
+	cl.rejects++
 	r.mu.Unlock()
 	wait := r.between(scenario.Range{d.Backoff[0] / 1000, d.Backoff[1] / 1000}) << n
 	if advice > 0 && heeds {
@@ -159,7 +159,7 @@
 	if cl == nil {
 		return
 	}
-	if how == invariants.Bounced {
+	if how == invariants.Rejected {
 		r.comeAgain(cl, int(cl.arrival.Courier), again)
 	}
 }
--- a/testbed/realtime/realtime.go
+++ b/testbed/realtime/realtime.go
@@ -135,12 +135,12 @@
 		cost.CourierCPU += used.Seconds()
 		cost.MaxRSS = max(cost.MaxRSS, rss)
 	}
-	v.Void = r.late.Behind()
+	v.Invalid = r.late.Behind()
 	switch {
 	case ctx.Err() != nil:
-		v.Void = "it was broken off"
+		v.Invalid = "it was broken off"
 	case r.fault != "":
-		v.Void = r.fault
+		v.Invalid = r.fault
 	}
 	return v, cost, nil
 }
@@ -232,7 +232,7 @@
 	ceilings, family := s["ceilings"].(map[string]any), s["family-info"].(map[string]any)
 	ceilings["open-cap"] = r.day.Hold * (8 + round%5) / 10
 	family["slots"] = max(2, r.day.Slots*(8+round%4)/10)
-	ceilings["try-limit"] = r.day.Day.Fleet.MaxTrips - round%2
+	ceilings["try-limit"] = r.day.Day.Fleet.MaxAttempts - round%2
 	if round%2 == 1 {
 		s["classes"] = append(s["classes"].([]any), map[string]any{"name": "passing", "slo-s": 1, "deadline-s": 2, "points": 1})
 	}
--- a/testbed/realtime/realtime_test.go
+++ b/testbed/realtime/realtime_test.go
@@ -88,7 +88,7 @@
 	defer stop()
 	began := time.Now()
 	v, _, err := Play(ctx, scenario.Draw(short(t), 1), Options{Binary: build(t)})
-	if err != nil || v.Void == "" || time.Since(began) > 8*time.Second {
+	if err != nil || v.Invalid == "" || time.Since(began) > 8*time.Second {
 		t.Errorf("%v, %+v after %v", err, v, time.Since(began))
 	}
 }
--- a/testbed/report/account.go
+++ b/testbed/report/account.go
@@ -19,9 +19,9 @@
 	}
 	switch a.Kind {
 	case scenario.Begins:
-		return at() + " " + begun[string(a.Strike.Kind)]
+		return at() + " " + begun[string(a.Fault.Kind)]
 	case scenario.Ends:
-		return at() + " is over its trouble (" + string(a.Strike.Kind) + ")"
+		return at() + " is over its trouble (" + string(a.Fault.Kind) + ")"
 	case scenario.Adds:
 		return at() + " goes up"
 	case scenario.Drains:
@@ -127,7 +127,7 @@
 func Answers(out io.Writer, v *invariants.Verdict) {
 	n := v.Counts
 	fmt.Fprintf(out, "%d records were handed in %d times: %d delivered, %d bounced (trying again is harmless), %d terminated, %d without an answer.\n",
-		n.Offered, n.Taken, n.Done, n.Bounced, n.Terminated, n.Lost)
+		n.Offered, n.Taken, n.Done, n.Rejected, n.Failed, n.Lost)
 	if n.Repeats > 0 {
 		fmt.Fprintf(out, "%d effects were repeats of replayable records.\n", n.Repeats)
 	}
--- a/testbed/report/parts.go
+++ b/testbed/report/parts.go
@@ -12,9 +12,9 @@
 
 // Parts draws what of the limits couriers lent and borrowed over time: summed, and for the destinations with most of it.
 func Parts(dir string, parts fleet.Parts) (file string, err error) {
-	sums := func(of func(*fleet.Lots) []float64) (all []float64) {
-		for _, lots := range parts {
-			for i, v := range of(lots) {
+	sums := func(of func(*fleet.LeaseTotals) []float64) (all []float64) {
+		for _, leases := range parts {
+			for i, v := range of(leases) {
 				if i == len(all) {
 					all = append(all, 0)
 				}
@@ -23,13 +23,13 @@
 		}
 		return all
 	}
-	lines := map[string][]float64{"lent, all": sums(func(l *fleet.Lots) []float64 { return l.Lent }),
-		"borrowed, all": sums(func(l *fleet.Lots) []float64 { return l.Borrowed })}
+	lines := map[string][]float64{"lent, all": sums(func(l *fleet.LeaseTotals) []float64 { return l.Granted }),
+		"borrowed, all": sums(func(l *fleet.LeaseTotals) []float64 { return l.Leased })}
 	dests := slices.SortedFunc(maps.Keys(parts), func(a, b int32) int {
-		return cmp.Or(-cmp.Compare(total(parts[a].Borrowed), total(parts[b].Borrowed)), cmp.Compare(a, b))
+		return cmp.Or(-cmp.Compare(total(parts[a].Leased), total(parts[b].Leased)), cmp.Compare(a, b))
 	})
 	for _, d := range dests[:min(4, len(dests))] {
-		lines[fmt.Sprintf("borrowed, destination %d", d)] = parts[d].Borrowed
+		lines[fmt.Sprintf("borrowed, destination %d", d)] = parts[d].Leased
 	}
 	p := newPlot("Parts of limits lent and borrowed", "limits")
 	if err := addAll(p, 1, lines); err != nil {
--- a/testbed/report/slope_test.go
+++ b/testbed/report/slope_test.go
@@ -10,7 +10,7 @@
 	"pineport/testbed/slopes"
 )
 
-func TestSlopeChartShowsWhatItIsToldOf(t *testing.T) {
+func TestSlopeChartShowsItsSeries(t *testing.T) {
 	chart := capacity.Chart{Slope: "run.figure", File: "run.figure.svg", Unit: "s", Over: "things", Sizes: []float64{1, 10, 100}, Figures: []float64{3, 21, 199},
 		Fit: slopes.Fit{Model: slopes.Linear, Base: -1, Rate: 2}, From: 0.1, Planned: 10000, Budget: 50}
 	drawn := func(chart capacity.Chart) string {
--- a/testbed/scale/changes_test.go
+++ b/testbed/scale/changes_test.go
@@ -53,7 +53,7 @@
 // TestChangesCountTheSame: virtual times and counts go by the seed alone, and nothing is left in the folder for passing files.
 func TestChangesCountTheSame(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
-	virtual := []string{figureInForce, figureUnread, figureMissed, figureStaleAgain, figureStale, figureUntold, figureChanges, figureTold, figureToldWorst,
+	virtual := []string{figureInForce, figureUnread, figureMissed, figureStaleAgain, figureStale, figureUntold, figureChanges, figureNotified, figureNotifiedWorst,
 		figureEverywhere, figureEverywhereWorst, figureListBytes, figureChangeBytes, figureCatchUpBytes, figureFile}
 	counted := func() (all []float64) {
 		run, err := Run(context.Background(), changesExperiment(), Options{Quick: true, Seed: 3})
@@ -121,8 +121,8 @@
 	}
 }
 
-// TestToldTimes: what a courier is told, by a change or a whole list, counts from the change on, or from its start if it was down.
-func TestToldTimes(t *testing.T) {
+// TestNotifiedTimes: what a courier is told, by a change or a whole list, counts from the change on, or from its start if it was down.
+func TestNotifiedTimes(t *testing.T) {
 	const s = dispatch.Micros(microsPerSecond)
 	entry := func(id dispatch.EndpointID, phase dispatch.Phase) dispatch.EndpointEntry {
 		return dispatch.EndpointEntry{Endpoint: id, Phase: phase}
@@ -130,7 +130,7 @@
 	news := func(how dispatch.UpdateKind, entries ...dispatch.EndpointEntry) dispatch.EndpointUpdate {
 		return dispatch.EndpointUpdate{Kind: how, Entries: entries}
 	}
-	h := newToldHost(3)
+	h := newNotifiedHost(3)
 	for courier := range 3 {
 		h.note(1, courier, news(dispatch.CachedList, entry("a", dispatch.InService)))
 	}
@@ -146,14 +146,14 @@
 		{At: 15 * s, Kind: scenario.ListUp},
 	}}
 	got := h.against(drawn)
-	if got.changes != 1 || got.untold != 1 || !slices.Equal(got.told, []float64{1, 2}) || !slices.Equal(got.everywhere, []float64{2}) ||
+	if got.changes != 1 || got.untold != 1 || !slices.Equal(got.notified, []float64{1, 2}) || !slices.Equal(got.everywhere, []float64{2}) ||
 		!slices.Equal(got.reachable, []float64{1, 1}) {
 		t.Errorf("%+v", got)
 	}
 }
 
 // deafHost keeps the news of the list from its first courier.
-type deafHost struct{ *toldHost }
+type deafHost struct{ *notifiedHost }
 
 func (h deafHost) Turn(now dispatch.Micros, batches []simulation.Batch) ([][]dispatch.Action, error) {
 	for i, b := range batches {
@@ -164,7 +164,7 @@
 			})
 		}
 	}
-	return h.toldHost.Turn(now, batches)
+	return h.notifiedHost.Turn(now, batches)
 }
 
 func TestDeafCourierIsUntold(t *testing.T) {
@@ -173,7 +173,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		deaf := deafHost{newToldHost(10)}
+		deaf := deafHost{newNotifiedHost(10)}
 		if _, _, err := simulation.Play(drawn, deaf, simulation.Options{}); err != nil {
 			t.Fatal(err)
 		}
@@ -189,7 +189,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		host := newToldHost(20)
+		host := newNotifiedHost(20)
 		if _, _, err := simulation.Play(drawn, host, simulation.Options{}); err != nil {
 			t.Fatal(err)
 		}
--- a/testbed/scale/couriers.go
+++ b/testbed/scale/couriers.go
@@ -142,15 +142,15 @@
 		return err
 	}
 	heap := float64(heapInUse()) - float64(heapBefore)
-	record := recorderOf(play, size)
-	record(figurePace, size.pace.Seconds())
-	record(figureWhole, inPaces(whole.all, size.pace))
-	record(figureHeap, heap/float64(size.members))
-	recordLoad(record, load, size)
-	if err := measureDeaths(ctx, fleet, record); err != nil {
+	report := recorderOf(play, size)
+	report(figurePace, size.pace.Seconds())
+	report(figureWhole, inPaces(whole.all, size.pace))
+	report(figureHeap, heap/float64(size.members))
+	reportLoad(report, load, size)
+	if err := measureDeaths(ctx, fleet, report); err != nil {
 		return err
 	}
-	record(figureFewer, float64(fleet.fewer))
+	report(figureFewer, float64(fleet.fewer))
 	return nil
 }
 
@@ -162,35 +162,35 @@
 		name = sizeCompared
 	}
 	sizes := map[string]float64{name: float64(size.members)}
-	return func(figure string, value float64) { play.Record(sizes, figure, value) }
+	return func(figure string, value float64) { play.Report(sizes, figure, value) }
 }
 
 // inPaces is a span in paces, which are seconds at the usual pace.
 func inPaces(span, pace time.Duration) float64 { return span.Seconds() / pace.Seconds() }
 
 // recordLoad records what one member took in a pace.
-func recordLoad(record recorder, load load, size fleetSize) {
+func reportLoad(report recorder, load load, size fleetSize) {
 	memberPaces := float64(size.members) * inPaces(load.span, size.pace)
-	record(figurePackets, float64(load.sent.packets)/memberPaces)
-	record(figurePacketBytes, float64(load.sent.packetBytes)/memberPaces)
-	record(figureExchangeBytes, float64(load.sent.streamBytes)/memberPaces)
-	record(figureExchanges, float64(load.sent.streams)/memberPaces)
+	report(figurePackets, float64(load.sent.packets)/memberPaces)
+	report(figurePacketBytes, float64(load.sent.packetBytes)/memberPaces)
+	report(figureExchangeBytes, float64(load.sent.streamBytes)/memberPaces)
+	report(figureExchanges, float64(load.sent.streams)/memberPaces)
 	if load.sent.streams > 0 {
-		record(figureExchangeSize, float64(load.sent.streamBytes)/float64(load.sent.streams))
+		report(figureExchangeSize, float64(load.sent.streamBytes)/float64(load.sent.streams))
 	}
-	record(figureProcessor, load.processor.Seconds()/memberPaces)
-	record(figureBusy, load.processor.Seconds()/load.span.Seconds()/float64(runtime.NumCPU()))
+	report(figureProcessor, load.processor.Seconds()/memberPaces)
+	report(figureBusy, load.processor.Seconds()/load.span.Seconds()/float64(runtime.NumCPU()))
 }
 
 // measureDeaths has one member die and come back, and then a zone.
-func measureDeaths(ctx context.Context, fleet *hollowFleet, record recorder) error {
+func measureDeaths(ctx context.Context, fleet *hollowFleet, report recorder) error {
 	size := len(fleet.members)
 	one, err := dieAndReturn(ctx, fleet, []int{size / 2})
 	if err != nil {
 		return err
 	}
-	record(figureDeathHalf, inPaces(one.died.half, fleet.pace))
-	record(figureDeathAll, inPaces(one.died.all, fleet.pace))
+	report(figureDeathHalf, inPaces(one.died.half, fleet.pace))
+	report(figureDeathAll, inPaces(one.died.all, fleet.pace))
 	var zone []int
 	for i := range max(zoneAtLeast, size/zones) {
 		zone = append(zone, size-1-i)
@@ -199,8 +199,8 @@
 	if err != nil {
 		return err
 	}
-	record(figureZoneDeath, inPaces(many.died.all, fleet.pace))
-	record(figureZoneReturn, inPaces(many.returned.all, fleet.pace))
+	report(figureZoneDeath, inPaces(many.died.all, fleet.pace))
+	report(figureZoneReturn, inPaces(many.returned.all, fleet.pace))
 	return nil
 }
 
--- a/testbed/scale/couriers_test.go
+++ b/testbed/scale/couriers_test.go
@@ -14,11 +14,11 @@
 
 // soundFleet records what a sound fleet of ten might have been counted.
 func soundFleet(play *Play) recorder {
-	record := recorderOf(play, fleetSize{members: 10, pace: quickPace})
-	record(figurePackets, 2)
-	record(figureExchanges, 1.0/exchangePaces)
-	record(figureFewer, 0)
-	return record
+	report := recorderOf(play, fleetSize{members: 10, pace: quickPace})
+	report(figurePackets, 2)
+	report(figureExchanges, 1.0/exchangePaces)
+	report(figureFewer, 0)
+	return report
 }
 
 // played returns the results of what a play recorded.
@@ -40,11 +40,11 @@
 	if err := checkFleets(played(t, func(play *Play) { soundFleet(play) })); err != nil {
 		t.Errorf("a sound fleet: %v", err)
 	}
-	for want, wrong := range map[string]func(record recorder){
-		"0.20 packets":           func(record recorder) { record(figurePackets, 0.2) },
-		"60.00 packets":          func(record recorder) { record(figurePackets, 60) },
-		"no full exchange":       func(record recorder) { record(figureExchanges, 0) },
-		"reckoned with fewer":    func(record recorder) { record(figureFewer, 3) },
+	for want, wrong := range map[string]func(report recorder){
+		"0.20 packets":           func(report recorder) { report(figurePackets, 0.2) },
+		"60.00 packets":          func(report recorder) { report(figurePackets, 60) },
+		"no full exchange":       func(report recorder) { report(figureExchanges, 0) },
+		"reckoned with fewer":    func(report recorder) { report(figureFewer, 3) },
 		"no fleet was observed?": nil,
 	} {
 		results := played(t, func(play *Play) {
@@ -59,25 +59,25 @@
 }
 
 func TestChecksOfViewsAndStartsFail(t *testing.T) {
-	record := func(kept, reckoned, again float64) *Results {
+	report := func(kept, estimated, again float64) *Results {
 		return played(t, func(play *Play) {
 			sizes := map[string]float64{sizeNames: 100}
-			play.Record(sizes, figureKept, kept)
-			play.Record(sizes, figureReckoned, reckoned)
-			play.Record(sizes, figureAgain, again)
+			play.Report(sizes, figureKept, kept)
+			play.Report(sizes, figureEstimated, estimated)
+			play.Report(sizes, figureAgain, again)
 		})
 	}
-	if err := checkViews(record(99, 100, 100)); err != nil {
+	if err := checkViews(report(99, 100, 100)); err != nil {
 		t.Errorf("a sound view: %v", err)
 	}
-	if err := checkViews(record(50, 100, 180)); err != nil {
+	if err := checkViews(report(50, 100, 180)); err != nil {
 		t.Errorf("a view that forgot, and reckons with more: %v", err)
 	}
 	for what, results := range map[string]*Results{
 		"nothing":             played(t, func(*Play) {}),
-		"fewer":               record(50, 99, 100),
-		"fewer later":         record(50, 100, 99),
-		"more without reason": record(99, 100, 101),
+		"fewer":               report(50, 99, 100),
+		"fewer later":         report(50, 100, 99),
+		"more without reason": report(99, 100, 101),
 	} {
 		if checkViews(results) == nil {
 			t.Errorf("views, %s: passed", what)
@@ -87,7 +87,7 @@
 		t.Error("no exchange tried: passed")
 	}
 	short := played(t, func(play *Play) {
-		play.Record(map[string]float64{sizeTried: mostStartsTried}, figureStartsTaken, keptStarts-1)
+		play.Report(map[string]float64{sizeTried: mostStartsTried}, figureStartsTaken, keptStarts-1)
 	})
 	if checkExchangeLimit(short) == nil {
 		t.Error("a map shorter than what is told: passed")
@@ -173,16 +173,16 @@
 func TestFitNamesAllSlopes(t *testing.T) {
 	results := played(t, func(play *Play) {
 		for _, size := range fleetSizes(false) {
-			record := recorderOf(play, size)
+			report := recorderOf(play, size)
 			for _, figure := range []string{figurePackets, figurePacketBytes, figureExchangeBytes, figureExchangeSize, figureProcessor, figureHeap,
 				figureDeathHalf, figureDeathAll, figureZoneDeath, figureZoneReturn} {
-				record(figure, 3*float64(size.members))
+				report(figure, 3*float64(size.members))
 			}
 		}
 		recorderOf(play, comparedFleet)(figurePackets, 180)
 		for _, names := range viewSizes(false) {
 			for _, figure := range []string{figureWord, figureTick, figureLook, figureViewHeap} {
-				play.Record(viewPoint(names), figure, 2*float64(names))
+				play.Report(viewPoint(names), figure, 2*float64(names))
 			}
 		}
 	})
--- a/testbed/scale/destinations.go
+++ b/testbed/scale/destinations.go
@@ -62,7 +62,7 @@
 			if k.play(play, count, false) != trace {
 				differs = 1
 			}
-			play.Record(map[string]float64{knownDestinations: float64(count)}, knownDifferent, differs)
+			play.Report(map[string]float64{knownDestinations: float64(count)}, knownDifferent, differs)
 		}
 	}
 	return nil
@@ -71,9 +71,9 @@
 // play has a courier know so many destinations, records what that costs if asked to, and returns a hash of all that it did.
 func (k destinations) play(play *Play, count int, keep bool) (trace uint64) {
 	sizes := map[string]float64{knownDestinations: float64(count)}
-	record := func(figure string, value float64) {
+	report := func(figure string, value float64) {
 		if keep {
-			play.Record(sizes, figure, value)
+			play.Report(sizes, figure, value)
 		}
 	}
 	list := listings(count)
@@ -82,30 +82,30 @@
 
 	before := heapInUse()
 	driver.step(0, dispatch.EndpointUpdate{Kind: dispatch.CompleteList, Entries: list})
-	record(knownFirst, driver.took.Seconds())
-	record(knownBytes, float64(heapInUse())-float64(before))
-	record(knownUsed, float64(driver.inUse(list)))
+	report(knownFirst, driver.took.Seconds())
+	report(knownBytes, float64(heapInUse())-float64(before))
+	report(knownUsed, float64(driver.inUse(list)))
 
-	record(knownAgain, median(driver.listAgain(list)))
-	record(knownUsedAgain, float64(driver.inUse(list)))
+	report(knownAgain, median(driver.listAgain(list)))
+	report(knownUsedAgain, float64(driver.inUse(list)))
 
 	took, seen := driver.changes(list)
-	record(knownChange, median(took))
-	record(knownMoved, float64(seen))
+	report(knownChange, median(took))
+	report(knownMoved, float64(seen))
 
 	batches := knownBatches
 	if play.Quick {
 		batches = knownBatchesQuick
 	}
 	took, sent := driver.idleSteps(batches)
-	record(knownStep, median(took))
-	record(knownUnasked, float64(sent+driver.counts.ended+driver.counts.invalid))
+	report(knownStep, median(took))
+	report(knownUnasked, float64(sent+driver.counts.ended+driver.counts.invalid))
 
 	for number, id := range ids {
 		driver.step(millisecond, driver.message(id, number*(count/knownMessages)))
 	}
 	driver.step(millisecond)
-	record(knownDelivered, float64(driver.counts.delivered))
+	report(knownDelivered, float64(driver.counts.delivered))
 	keepAlive(list)
 	return driver.trace
 }
--- a/testbed/scale/directorychanges.go
+++ b/testbed/scale/directorychanges.go
@@ -14,8 +14,8 @@
 
 // Figures of changes of the list, in virtual time.
 const (
-	figureTold            = "told_median_seconds"
-	figureToldWorst       = "told_worst_seconds"
+	figureNotified        = "told_median_seconds"
+	figureNotifiedWorst   = "told_worst_seconds"
 	figureEverywhere      = "everywhere_median_seconds"
 	figureEverywhereWorst = "everywhere_worst_seconds"
 	figureReachableWorst  = "reachable_worst_seconds" // the same, from when discovery could be reached again
@@ -84,12 +84,12 @@
 			if err != nil {
 				return err
 			}
-			host := newToldHost(couriers)
+			host := newNotifiedHost(couriers)
 			if _, _, err := simulation.Play(drawn, host, simulation.Options{}); err != nil {
 				return err
 			}
-			told := host.against(drawn)
-			told.record(play, map[string]float64{sizeCouriers: float64(couriers), sizeTrouble: float64(trouble)})
+			notified := host.against(drawn)
+			notified.report(play, map[string]float64{sizeCouriers: float64(couriers), sizeTrouble: float64(trouble)})
 		}
 	}
 	return nil
@@ -104,29 +104,29 @@
 }
 
 // toldHost runs the decisions in this process, and notes what each courier is told of the list, and when.
-type toldHost struct {
+type notifiedHost struct {
 	*simulation.Local
-	news []map[dispatch.EndpointID][]toldPhase // by courier
+	news []map[dispatch.EndpointID][]notifiedPhase // by courier
 }
 
 // downTime is when a courier does not run; to is 0 where it never starts again.
 type downTime struct{ from, to dispatch.Micros }
 
-type toldPhase struct {
+type notifiedPhase struct {
 	at    dispatch.Micros
 	phase dispatch.Phase
 }
 
-func newToldHost(couriers int) *toldHost {
-	h := &toldHost{Local: simulation.NewLocal(nil)}
+func newNotifiedHost(couriers int) *notifiedHost {
+	h := &notifiedHost{Local: simulation.NewLocal(nil)}
 	for range couriers {
-		h.news = append(h.news, map[dispatch.EndpointID][]toldPhase{})
+		h.news = append(h.news, map[dispatch.EndpointID][]notifiedPhase{})
 	}
 	return h
 }
 
 // Turn implements simulation.Host.
-func (h *toldHost) Turn(now dispatch.Micros, batches []simulation.Batch) ([][]dispatch.Action, error) {
+func (h *notifiedHost) Turn(now dispatch.Micros, batches []simulation.Batch) ([][]dispatch.Action, error) {
 	for _, b := range batches {
 		for _, event := range b.Events {
 			if news, ok := event.(dispatch.EndpointUpdate); ok {
@@ -138,11 +138,11 @@
 }
 
 // note keeps news of the list. What a start hands over is as old as the process before it, and tells nothing new.
-func (h *toldHost) note(now dispatch.Micros, courier int, news dispatch.EndpointUpdate) {
+func (h *notifiedHost) note(now dispatch.Micros, courier int, news dispatch.EndpointUpdate) {
 	known := h.news[courier]
 	tell := func(id dispatch.EndpointID, phase dispatch.Phase) {
 		if all := known[id]; len(all) == 0 || all[len(all)-1].phase != phase {
-			known[id] = append(all, toldPhase{now, phase})
+			known[id] = append(all, notifiedPhase{now, phase})
 		}
 	}
 	if news.Kind == dispatch.ListFailed || news.Kind == dispatch.CachedList && len(known) > 0 {
@@ -164,10 +164,10 @@
 }
 
 // toldAt is when a courier was first told of a phase of an endpoint, or of a later one.
-func (h *toldHost) toldAt(courier int, id dispatch.EndpointID, phase dispatch.Phase) (dispatch.Micros, bool) {
-	for _, told := range h.news[courier][id] {
-		if told.phase >= phase {
-			return told.at, true
+func (h *notifiedHost) notifiedAt(courier int, id dispatch.EndpointID, phase dispatch.Phase) (dispatch.Micros, bool) {
+	for _, notified := range h.news[courier][id] {
+		if notified.phase >= phase {
+			return notified.at, true
 		}
 	}
 	return 0, false
@@ -175,13 +175,13 @@
 
 // listTimes are how long changes took, in seconds.
 type listTimes struct {
-	changes, untold             int
-	told, everywhere, reachable []float64
+	changes, untold                 int
+	notified, everywhere, reachable []float64
 }
 
 // against holds what was told against the changes of the day. A courier that does not run at a change is to know it from its start on;
 // one that is never told although it was listed and gone between two lists has nothing to know.
-func (h *toldHost) against(drawn *scenario.Drawn) (t listTimes) {
+func (h *notifiedHost) against(drawn *scenario.Drawn) (t listTimes) {
 	phases := map[scenario.ActKind]dispatch.Phase{scenario.Adds: dispatch.InService, scenario.Drains: dispatch.Draining, scenario.Removes: dispatch.Removed}
 	downs, away := downTimes(drawn), awayTimes(drawn)
 	for _, act := range drawn.Acts {
@@ -193,18 +193,18 @@
 		slowest := 0.0
 		for courier := range h.news {
 			from := runsFrom(downs[courier], act.At)
-			at, told := h.toldAt(courier, act.Endpoint.ID, phase)
-			if !told {
+			at, notified := h.notifiedAt(courier, act.Endpoint.ID, phase)
+			if !notified {
 				t.untold++
 				continue
 			}
-			t.told = append(t.told, seconds(at-from))
+			t.notified = append(t.notified, seconds(at-from))
 			t.reachable = append(t.reachable, seconds(at-reachableFrom(away, from, at)))
 			slowest = max(slowest, seconds(at-from))
 		}
 		t.everywhere = append(t.everywhere, slowest)
 	}
-	slices.Sort(t.told)
+	slices.Sort(t.notified)
 	slices.Sort(t.everywhere)
 	slices.Sort(t.reachable)
 	return t
@@ -228,9 +228,9 @@
 }
 
 // reachableFrom is when discovery came back, where it did so between a change and a courier being told of it; else the change.
-func reachableFrom(away []downTime, from, told dispatch.Micros) dispatch.Micros {
+func reachableFrom(away []downTime, from, notified dispatch.Micros) dispatch.Micros {
 	for _, a := range away {
-		if from < a.to && told >= a.to {
+		if from < a.to && notified >= a.to {
 			from = a.to
 		}
 	}
@@ -262,15 +262,15 @@
 	return at
 }
 
-func (t listTimes) record(play *Play, sizes map[string]float64) {
-	play.Record(sizes, figureChanges, float64(t.changes))
-	play.Record(sizes, figureUntold, float64(t.untold))
-	if len(t.told) == 0 {
+func (t listTimes) report(play *Play, sizes map[string]float64) {
+	play.Report(sizes, figureChanges, float64(t.changes))
+	play.Report(sizes, figureUntold, float64(t.untold))
+	if len(t.notified) == 0 {
 		return
 	}
-	play.Record(sizes, figureTold, stat.Quantile(0.5, stat.Empirical, t.told, nil))
-	play.Record(sizes, figureToldWorst, stat.Quantile(worstOf, stat.Empirical, t.told, nil))
-	play.Record(sizes, figureReachableWorst, stat.Quantile(worstOf, stat.Empirical, t.reachable, nil))
-	play.Record(sizes, figureEverywhere, stat.Quantile(0.5, stat.Empirical, t.everywhere, nil))
-	play.Record(sizes, figureEverywhereWorst, stat.Quantile(worstOf, stat.Empirical, t.everywhere, nil))
+	play.Report(sizes, figureNotified, stat.Quantile(0.5, stat.Empirical, t.notified, nil))
+	play.Report(sizes, figureNotifiedWorst, stat.Quantile(worstOf, stat.Empirical, t.notified, nil))
+	play.Report(sizes, figureReachableWorst, stat.Quantile(worstOf, stat.Empirical, t.reachable, nil))
+	play.Report(sizes, figureEverywhere, stat.Quantile(0.5, stat.Empirical, t.everywhere, nil))
+	play.Report(sizes, figureEverywhereWorst, stat.Quantile(worstOf, stat.Empirical, t.everywhere, nil))
 }
--- a/testbed/scale/hangups.go
+++ b/testbed/scale/hangups.go
@@ -72,9 +72,9 @@
 	slices.Sort(each)
 	slices.Sort(last)
 	sizes := map[string]float64{sizeReal: realCouriers}
-	play.Record(sizes, figureHangup, stat.Quantile(0.5, stat.Empirical, each, nil))
-	play.Record(sizes, figureHangupWorst, stat.Quantile(worstOf, stat.Empirical, each, nil))
-	play.Record(sizes, figureHangupEverywhere, stat.Quantile(0.5, stat.Empirical, last, nil))
+	play.Report(sizes, figureHangup, stat.Quantile(0.5, stat.Empirical, each, nil))
+	play.Report(sizes, figureHangupWorst, stat.Quantile(worstOf, stat.Empirical, each, nil))
+	play.Report(sizes, figureHangupEverywhere, stat.Quantile(0.5, stat.Empirical, last, nil))
 	return nil
 }
 
--- a/testbed/scale/held.go
+++ b/testbed/scale/held.go
@@ -109,7 +109,7 @@
 	driver.step(0, dispatch.EndpointUpdate{Kind: dispatch.CompleteList, Entries: listings(down + 1)})
 	before := heapInUse()
 	h.park(driver, ids[:count])
-	play.Record(sizes, heldModule, float64(heapInUse())-float64(before))
+	play.Report(sizes, heldModule, float64(heapInUse())-float64(before))
 	parked := driver.counts
 
 	var idle, arrival []float64
@@ -120,20 +120,20 @@
 		arrival = append(arrival, driver.took.Seconds())
 		driver.step(millisecond) // hears of the delivery
 	}
-	play.Record(sizes, heldStep, median(idle))
-	play.Record(sizes, heldArrival, median(arrival))
-	play.Record(sizes, heldGrowth, median(arrival)/median(idle))
-
-	play.Record(sizes, heldGiven, float64(driver.counts.given))
-	play.Record(sizes, heldArrivals, float64(rounds))
-	play.Record(sizes, heldDelivered, float64(driver.counts.delivered))
-	play.Record(sizes, heldEnded, float64(driver.counts.ended))
-	play.Record(sizes, heldStillHeld, float64(driver.counts.given-driver.counts.delivered-driver.counts.ended))
-	play.Record(sizes, heldSentDown, float64(driver.counts.sentDown-parked.sentDown))
-	play.Record(sizes, heldInvalid, float64(driver.counts.invalid))
+	play.Report(sizes, heldStep, median(idle))
+	play.Report(sizes, heldArrival, median(arrival))
+	play.Report(sizes, heldGrowth, median(arrival)/median(idle))
+
+	play.Report(sizes, heldGiven, float64(driver.counts.given))
+	play.Report(sizes, heldArrivals, float64(rounds))
+	play.Report(sizes, heldDelivered, float64(driver.counts.delivered))
+	play.Report(sizes, heldEnded, float64(driver.counts.ended))
+	play.Report(sizes, heldStillHeld, float64(driver.counts.given-driver.counts.delivered-driver.counts.ended))
+	play.Report(sizes, heldSentDown, float64(driver.counts.sentDown-parked.sentDown))
+	play.Report(sizes, heldInvalid, float64(driver.counts.invalid))
 	if count == replayed {
-		play.Record(sizes, heldDifferent, h.replay(play.Seed, down, ids, count, rounds, driver.trace))
-		play.Record(sizes, heldDrained, float64(driver.drain()))
+		play.Report(sizes, heldDifferent, h.replay(play.Seed, down, ids, count, rounds, driver.trace))
+		play.Report(sizes, heldDrained, float64(driver.drain()))
 	}
 }
 
@@ -205,7 +205,7 @@
 	if err != nil {
 		return err
 	}
-	play.Record(sizes, heldDisk, float64(disk))
+	play.Report(sizes, heldDisk, float64(disk))
 	return h.startAgain(play, sizes, folder, count, down)
 }
 
@@ -273,12 +273,12 @@
 
 	pointers := 8 * float64(cap(unfinished)) // of the slice that is dropped after the start
 	pending := float64(heapEvents) - float64(heapRouter)
-	play.Record(sizes, heldRestart, took.Seconds())
-	play.Record(sizes, heldMemory, float64(heapSpool)-float64(heapBefore)-pointers)
-	play.Record(sizes, heldRouter, float64(heapRouter)-float64(heapSpool)-pending)
-	play.Record(sizes, heldSpooled, float64(count))
-	play.Record(sizes, heldRecovered, float64(len(unfinished)))
-	play.Record(sizes, heldFirstEnded, float64(driver.counts.ended))
+	play.Report(sizes, heldRestart, took.Seconds())
+	play.Report(sizes, heldMemory, float64(heapSpool)-float64(heapBefore)-pointers)
+	play.Report(sizes, heldRouter, float64(heapRouter)-float64(heapSpool)-pending)
+	play.Report(sizes, heldSpooled, float64(count))
+	play.Report(sizes, heldRecovered, float64(len(unfinished)))
+	play.Report(sizes, heldFirstEnded, float64(driver.counts.ended))
 	keepAlive(router, unfinished, events)
 	return nil
 }
@@ -305,8 +305,8 @@
 	if err != nil {
 		return nil, err
 	}
-	return &config.Deployment{Name: "hollow", Spool: folder, MemoryMB: 1024, Sockets: 1024, SpoolMB: 1024, Known: known, Charter: settings,
-		Workloads: []string{className}, Zones: []string{"a"}, Shapes: []string{"plain"}, Retired: map[string]bool{}}, nil
+	return &config.Deployment{Name: "hollow", Spool: folder, MemoryMB: 1024, Sockets: 1024, SpoolMB: 1024, Known: known, Dispatch: settings,
+		Classes: []string{className}, Zones: []string{"a"}, Shapes: []string{"plain"}, Retired: map[string]bool{}}, nil
 }
 
 func fitHeld(results *Results) error {
--- a/testbed/scale/lists.go
+++ b/testbed/scale/lists.go
@@ -40,11 +40,11 @@
 	if err := json.Unmarshal(text, &file); err != nil {
 		return nil, err
 	}
-	charter, err := config.Charter(1, config.Flatten(file.Settings))
+	config, err := config.Dispatch(1, config.Flatten(file.Settings))
 	if err != nil {
 		return nil, err
 	}
-	return &lister{courier: dispatch.New(charter)}, nil
+	return &lister{courier: dispatch.New(config)}, nil
 }
 
 // listCost is what one answer of discovery costs a courier.
@@ -79,7 +79,7 @@
 
 // listingOf is what the router makes of an entry.
 func listingOf(host protocol.Host) dispatch.EndpointEntry {
-	phases := map[protocol.Health]dispatch.Phase{protocol.InService: dispatch.InService, protocol.Terminating: dispatch.Draining, protocol.Terminated: dispatch.Removed}
+	phases := map[protocol.Health]dispatch.Phase{protocol.InService: dispatch.InService, protocol.Draining: dispatch.Draining, protocol.Removed: dispatch.Removed}
 	return dispatch.EndpointEntry{Endpoint: dispatch.EndpointID(host.Host), Destination: dispatch.DestinationID(host.Dest), Phase: phases[host.Health], Rate: host.Rate}
 }
 
@@ -108,7 +108,7 @@
 
 // measureList tells a courier a list, the same list again, and some changes of it one by one.
 func measureList(play *Play, listed int) error {
-	const changesTold = 5
+	const changesNotified = 5
 	l, err := newLister()
 	if err != nil {
 		return err
@@ -123,9 +123,9 @@
 		return err
 	}
 	var all listCost
-	for i := range changesTold {
-		host := hosts[i*listed/changesTold]
-		host.Health = protocol.Terminating
+	for i := range changesNotified {
+		host := hosts[i*listed/changesNotified]
+		host.Health = protocol.Draining
 		cost, err := l.tell(false, []protocol.Host{host})
 		if err != nil {
 			return err
@@ -134,10 +134,10 @@
 	}
 	sizes := map[string]float64{sizeListed: float64(listed)}
 	for figure, value := range map[string]float64{
-		figureListBytes: float64(again.bytes), figureListSeconds: again.spent.Seconds(), figureChangeBytes: float64(all.bytes) / changesTold,
-		figureChangeSeconds: all.spent.Seconds() / changesTold, figureUnread: float64(first.unread + again.unread + all.unread),
+		figureListBytes: float64(again.bytes), figureListSeconds: again.spent.Seconds(), figureChangeBytes: float64(all.bytes) / changesNotified,
+		figureChangeSeconds: all.spent.Seconds() / changesNotified, figureUnread: float64(first.unread + again.unread + all.unread),
 	} {
-		play.Record(sizes, figure, value)
+		play.Report(sizes, figure, value)
 	}
 	return nil
 }
@@ -155,7 +155,7 @@
 	changed := make([]protocol.Host, 0, waiting)
 	for i := range waiting {
 		host := hosts[i*listed/waiting]
-		host.Health = protocol.Terminating
+		host.Health = protocol.Draining
 		changed = append(changed, host)
 	}
 	cost, err := l.tell(false, changed)
@@ -166,7 +166,7 @@
 		return fmt.Errorf("%d of %d changes did not come through", cost.unread, waiting)
 	}
 	sizes := map[string]float64{sizeWaiting: float64(waiting), sizeListed: float64(listed)}
-	play.Record(sizes, figureCatchUpBytes, float64(cost.bytes))
-	play.Record(sizes, figureCatchUpSeconds, cost.spent.Seconds())
+	play.Report(sizes, figureCatchUpBytes, float64(cost.bytes))
+	play.Report(sizes, figureCatchUpSeconds, cost.spent.Seconds())
 	return nil
 }
--- a/testbed/scale/outage.go
+++ b/testbed/scale/outage.go
@@ -106,19 +106,19 @@
 		if second != sums {
 			differs = 1
 		}
-		play.Record(sizes, outageDifferent, differs)
+		play.Report(sizes, outageDifferent, differs)
 	}
 	each := 1 / float64(days)
-	play.Record(sizes, outageFailed, float64(all.failed)*each)
-	play.Record(sizes, outageShare, float64(all.parked)/float64(max(1, all.callers)))
-	play.Record(sizes, outageParked, all.parkedAfter/float64(max(1, all.callers)))
-	play.Record(sizes, outageReturn, float64(all.returned)*each)
-	play.Record(sizes, outageFigure, all.figure*each)
-	play.Record(sizes, outagePushed, float64(all.pushed)/float64(max(1, all.struck)))
-	play.Record(sizes, outageStruck, float64(all.struck)*each)
-	play.Record(sizes, outageBroken, float64(all.broken))
-	play.Record(sizes, outageUnended, float64(all.unended))
-	play.Record(sizes, outageUnseen, float64(all.unseen))
+	play.Report(sizes, outageFailed, float64(all.failed)*each)
+	play.Report(sizes, outageShare, float64(all.parked)/float64(max(1, all.callers)))
+	play.Report(sizes, outageParked, all.parkedAfter/float64(max(1, all.callers)))
+	play.Report(sizes, outageReturn, float64(all.returned)*each)
+	play.Report(sizes, outageFigure, all.figure*each)
+	play.Report(sizes, outagePushed, float64(all.pushed)/float64(max(1, all.struck)))
+	play.Report(sizes, outageStruck, float64(all.struck)*each)
+	play.Report(sizes, outageBroken, float64(all.broken))
+	play.Report(sizes, outageUnended, float64(all.unended))
+	play.Report(sizes, outageUnseen, float64(all.unseen))
 	return nil
 }
 
@@ -156,7 +156,7 @@
 	firms := d.Kinds[slices.IndexFunc(d.Kinds, func(k scenario.Kind) bool { return k.Name == "firms" })]
 	firms.Connections, firms.Endpoints = scenario.Range{}, scenario.Range{1, 1}
 	d.Kinds = []scenario.Kind{firms}
-	d.Workloads = slices.DeleteFunc(d.Workloads, func(w scenario.Workload) bool { return w.Name != "update" })
+	d.Classes = slices.DeleteFunc(d.Classes, func(w scenario.Class) bool { return w.Name != "update" })
 	d.Troubles = []scenario.Trouble{{Kind: kind, At: scenario.Range{outageBegins, outageBegins}, Length: scenario.Range{outageLasts, outageLasts},
 		Part: float64(outageDown) / outageDestinations, By: "any", Whole: 1}}
 	return d, nil
@@ -246,8 +246,8 @@
 		}
 	}
 	counts := verdict.Counts
-	sums.unended = counts.Lost + max(counts.Taken-counts.Done-counts.Bounced-counts.Terminated, 0)
-	sums.unseen = max(counts.Trips-w.attempts, w.attempts-counts.Trips)
+	sums.unended = counts.Lost + max(counts.Taken-counts.Done-counts.Rejected-counts.Failed, 0)
+	sums.unseen = max(counts.Attempts-w.attempts, w.attempts-counts.Attempts)
 	return sums
 }
 
--- a/testbed/scale/outage_test.go
+++ b/testbed/scale/outage_test.go
@@ -13,8 +13,8 @@
 	expectFailure(t, outageExperiment(), "")
 }
 
-// TestOutageDayStrikesAsPlanned: ten of forty destinations are down for thirty seconds, whatever the seed.
-func TestOutageDayStrikesAsPlanned(t *testing.T) {
+// TestOutageDayFaultsAsPlanned: ten of forty destinations are down for thirty seconds, whatever the seed.
+func TestOutageDayFaultsAsPlanned(t *testing.T) {
 	for _, kind := range outageKinds {
 		for seed := range int64(20) {
 			d, err := outageDay(kind.kind, 10)
@@ -82,7 +82,7 @@
 	}
 	handle(9*second, nil, dispatch.Send{Message: "before", Endpoint: "e"})
 	handle(11*second, nil, dispatch.Send{Message: "a", Endpoint: "e"}, dispatch.Send{Message: "b", Endpoint: "f"})
-	decisions.lore.Groups = []dispatch.GroupSnapshot{{Destination: 7, Outage: true}, {Destination: 8}}
+	decisions.snapshot.Groups = []dispatch.GroupSnapshot{{Destination: 7, Outage: true}, {Destination: 8}}
 	handle(12*second, []dispatch.Event{dispatch.AttemptFinished{Message: "a", Outcome: dispatch.Unreachable}, dispatch.AttemptFinished{Message: "b", Outcome: dispatch.Throttled},
 		dispatch.AttemptFinished{Message: "before", Outcome: dispatch.Unreachable}}, dispatch.Send{Message: "a", Endpoint: "e"})
 	handle(13*second, []dispatch.Event{dispatch.AttemptFinished{Message: "a", Attempt: 1, Outcome: dispatch.Delivered}})
@@ -101,14 +101,14 @@
 
 // scriptedDecisions does and knows what a test says.
 type scriptedDecisions struct {
-	next []dispatch.Action
-	lore dispatch.Snapshot
+	next     []dispatch.Action
+	snapshot dispatch.Snapshot
 }
 
 func (s *scriptedDecisions) Handle(dispatch.Micros, []dispatch.Event) []dispatch.Action {
 	return s.next
 }
-func (s *scriptedDecisions) Snapshot() dispatch.Snapshot { return s.lore }
+func (s *scriptedDecisions) Snapshot() dispatch.Snapshot { return s.snapshot }
 
 // TestOutageCheckHoldsEachCount: a count that is off fails the check, whichever it is.
 func TestOutageCheckHoldsEachCount(t *testing.T) {
--- a/testbed/scale/realfleet.go
+++ b/testbed/scale/realfleet.go
@@ -66,8 +66,8 @@
 		return realLoad{}, ctx.Err()
 	case observer.fault != nil:
 		return realLoad{}, observer.fault
-	case verdict.Void != "":
-		return realLoad{}, errors.New(verdict.Void)
+	case verdict.Invalid != "":
+		return realLoad{}, errors.New(verdict.Invalid)
 	case verdict.Counts.Done == 0:
 		return realLoad{}, errors.New("the real couriers delivered nothing")
 	}
@@ -156,40 +156,40 @@
 		if !o.fleet.membership {
 			continue
 		}
-		told, err := askMembers(ctx, o.operators[courier.No])
+		notified, err := askMembers(ctx, o.operators[courier.No])
 		if err != nil {
 			return realLoad{}, fmt.Errorf("courier %d: %w", courier.No, err)
 		}
-		if told.Standing != membership.Complete.String() {
-			return realLoad{}, fmt.Errorf("courier %d is %s, not %s", courier.No, told.Standing, membership.Complete)
+		if notified.Status != membership.Complete.String() {
+			return realLoad{}, fmt.Errorf("courier %d is %s, not %s", courier.No, notified.Status, membership.Complete)
 		}
-		total.packets += told.Figures.Network.PacketsOut
-		total.bytes += told.Figures.Network.BytesOut
+		total.packets += notified.Figures.Network.PacketsOut
+		total.bytes += notified.Figures.Network.BytesOut
 	}
 	return total, nil
 }
 
 // toldMembers is what a courier's operators' interface tells of its membership.
-type toldMembers struct {
-	Standing string         `json:"standing"`
-	Figures  gossip.Metrics `json:"figures"`
+type notifiedMembers struct {
+	Status  string         `json:"standing"`
+	Figures gossip.Metrics `json:"figures"`
 }
 
-func askMembers(ctx context.Context, address string) (told toldMembers, err error) {
+func askMembers(ctx context.Context, address string) (notified notifiedMembers, err error) {
 	ctx, cancel := context.WithTimeout(ctx, askWithin)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/peers", nil)
 	if err != nil {
-		return told, err
+		return notified, err
 	}
 	request.Close = true
 	reply, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return told, err
+		return notified, err
 	}
 	defer reply.Body.Close()
 	if reply.StatusCode != http.StatusOK {
-		return told, fmt.Errorf("GET /peers: %s", reply.Status)
+		return notified, fmt.Errorf("GET /peers: %s", reply.Status)
 	}
-	return told, json.NewDecoder(reply.Body).Decode(&told)
+	return notified, json.NewDecoder(reply.Body).Decode(&notified)
 }
--- a/testbed/scale/reloads.go
+++ b/testbed/scale/reloads.go
@@ -47,13 +47,13 @@
 
 // settingsFile is a courier's file in the platform's form.
 func settingsFile(tenants, known, generation int) ([]byte, error) {
-	var parties []any
+	var entries []any
 	for i := range tenants {
 		quota := generationQuota
 		if i == 0 {
 			quota += generation
 		}
-		parties = append(parties, map[string]any{"name": fmt.Sprintf("tenant-%d", i), "quota-per-s": quota})
+		entries = append(entries, map[string]any{"name": fmt.Sprintf("tenant-%d", i), "quota-per-s": quota})
 	}
 	class := func(name, idempotency string) map[string]any {
 		return map[string]any{"name": name, "idempotency": idempotency, "points": 1, "slo-s": 1.0, "deadline-s": 8.0, "late-worth": 0.5,
@@ -64,7 +64,7 @@
 		"known":  listText{Seq: 1, Whole: true, Hosts: listedHosts(known)},
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024, "disk_mb": 3},
 		"settings": map[string]any{
-			"classes": []any{class("update", "free"), class("order", "single_shot")}, "tenants": parties,
+			"classes": []any{class("update", "free"), class("order", "single_shot")}, "tenants": entries,
 			"zones": []string{listedZone}, "shapes": []string{listedKind}, "fleet-size": 1, "ordinal": 0, "locality": 0,
 			"tick-s": 0.005, "discovery": "subscribe", "weight-kind": "nominal",
 			"family-info": map[string]any{"slots": 20, "decay": "halves", "per-call": []int{1}, "separate-routes": []bool{false}},
@@ -104,7 +104,7 @@
 	if h.deployment, err = h.read(false); err != nil {
 		return err
 	}
-	h.courier = dispatch.New(h.deployment.Charter)
+	h.courier = dispatch.New(h.deployment.Dispatch)
 	return nil
 }
 
@@ -119,7 +119,7 @@
 	}
 	merged := h.deployment.Merged(next)
 	if !h.deployment.SameDecisions(merged) {
-		h.courier.Handle(now, []dispatch.Event{dispatch.Reconfigured{Config: merged.Charter}})
+		h.courier.Handle(now, []dispatch.Event{dispatch.Reconfigured{Config: merged.Dispatch}})
 	}
 	h.deployment = merged
 	return nil
@@ -127,7 +127,7 @@
 
 // generation is that of the settings in force.
 func (h *hollowConfig) generation() int {
-	return int(h.deployment.Charter.Tenants[0].RatePerSecond) - generationQuota
+	return int(h.deployment.Dispatch.Tenants[0].RatePerSecond) - generationQuota
 }
 
 // fileSize is one size of a settings file.
@@ -207,7 +207,7 @@
 	}
 	for figure, value := range map[string]float64{figureReload: seconds, figureReloadCores: seconds * changesPerSecond, figureReloadKept: kept,
 		figureReloadUsed: float64(used) / float64(reloads), figureFile: float64(info.Size()), figureInForce: inForce} {
-		play.Record(sizes, figure, value)
+		play.Report(sizes, figure, value)
 	}
 	runtime.KeepAlive(h)
 	return nil
@@ -294,7 +294,7 @@
 	}
 	sizes := map[string]float64{sizeCouriers: float64(couriers)}
 	for figure, value := range map[string]float64{figureHandout: spent.Seconds(), figureStale: float64(stale) / float64(couriers), figureMissed: float64(missed), figureStaleAgain: float64(again)} {
-		play.Record(sizes, figure, value)
+		play.Report(sizes, figure, value)
 	}
 	return nil
 }
--- a/testbed/scale/scale.go
+++ b/testbed/scale/scale.go
@@ -54,8 +54,8 @@
 	tell    func(text string)
 }
 
-// Record keeps a figure measured at a size.
-func (p *Play) Record(sizes map[string]float64, figure string, value float64) {
+// Report keeps a figure measured at a size.
+func (p *Play) Report(sizes map[string]float64, figure string, value float64) {
 	p.results.add(sizes, figure, value)
 }
 
