--- a/testbed/scale/scale_test.go
+++ b/testbed/scale/scale_test.go
@@ -13,10 +13,10 @@
 	return Experiment{Name: "doubling", Plays: 3,
 		Measure: func(_ context.Context, play *Play) error {
 			for _, size := range []float64{1, 10, 100} {
-				play.Record(map[string]float64{"size": size, "kind": 1}, "twice", 2*size)
-				play.Record(map[string]float64{"size": size, "kind": 2}, "twice", 20*size)
+				play.Report(map[string]float64{"size": size, "kind": 1}, "twice", 2*size)
+				play.Report(map[string]float64{"size": size, "kind": 2}, "twice", 20*size)
 			}
-			play.Record(map[string]float64{"length": 7, "kind": 1}, "twice", 14) // grows with something else
+			play.Report(map[string]float64{"length": 7, "kind": 1}, "twice", 14) // grows with something else
 			play.Miss("thrice", "nobody asked")
 			return nil
 		},
--- a/testbed/scale/sharing.go
+++ b/testbed/scale/sharing.go
@@ -21,24 +21,24 @@
 
 // Figures of one courier that hears all others.
 const (
-	figureBeat        = "beat_seconds"       // one beat, with the needs of all routes
-	figureHear        = "hear_seconds"       // one packet taken in: read and merged
-	figureKeptBytes   = "kept_bytes"         // memory, all that it has heard included
-	figureSaid        = "said_bytes"         // in the packets of one beat
-	figureRoutes      = "kept_routes"        // routes that are kept
-	figureCounts      = "kept_counts"        // counts of others that are kept
-	figureForgotten   = "left_out"           // routes and counts left out for want of room
-	figureLargest     = "largest_packet"     // bytes
-	figureOverLent    = "over_lent"          // instants at which the parts of a limit made more than the whole
-	figureSpoilt      = "spoilt_packets"     // that their receiver refused
-	figureLoans       = "loans"              // taken up by their borrowers
-	figureSaidPackets = "packets_per_second" // that one courier says
-	figureBytes       = "bytes_per_second"   // that one courier says
-	figureCores       = "cores"              // of processor time, one courier
-	figureHeardOf     = "heard_ratio"        // couriers whose use is known at an instant, of all others
-	figureHeard       = "heard_couriers"     // the same as a number
-	figureUseKnown    = "use_ratio"          // their use as it was last heard, of what all others use
-	figureToldLoad    = "told_ratio"         // the load that the decisions are told, over the true one
+	figureSharingTick  = "beat_seconds"       // one beat, with the needs of all routes
+	figureHear         = "hear_seconds"       // one packet taken in: read and merged
+	figureKeptBytes    = "kept_bytes"         // memory, all that it has heard included
+	figureSaid         = "said_bytes"         // in the packets of one beat
+	figureRoutes       = "kept_routes"        // routes that are kept
+	figureCounts       = "kept_counts"        // counts of others that are kept
+	figureForgotten    = "left_out"           // routes and counts left out for want of room
+	figureLargest      = "largest_packet"     // bytes
+	figureOverGranted  = "over_lent"          // instants at which the parts of a limit made more than the whole
+	figureSpoilt       = "spoilt_packets"     // that their receiver refused
+	figureLeases       = "loans"              // taken up by their borrowers
+	figureSaidPackets  = "packets_per_second" // that one courier says
+	figureBytes        = "bytes_per_second"   // that one courier says
+	figureCores        = "cores"              // of processor time, one courier
+	figureHeardOf      = "heard_ratio"        // couriers whose use is known at an instant, of all others
+	figureHeard        = "heard_couriers"     // the same as a number
+	figureUseKnown     = "use_ratio"          // their use as it was last heard, of what all others use
+	figureNotifiedLoad = "told_ratio"         // the load that the decisions are told, over the true one
 )
 
 // Bounds that commons promise: see docs/quota.md.
@@ -51,12 +51,12 @@
 const (
 	microsPerSecond = quota.Micros(time.Second / time.Microsecond)
 	// beatSpan is how often a courier beats at the default interval of its heartbeats, 1 s: peers.pace_s / 2.
-	beatSpan = microsPerSecond / 2
+	tickSpan = microsPerSecond / 2
 	// countsPerWord is how many counts a packet of one courier holds in the first form of the run.
 	countsPerWord = 10
 	// beatsPerHearing: the others are heard anew before what they said last is too old to count, 3 s.
-	beatsPerHearing = 4
-	routeLimit      = 100.0 // calls a second from all couriers
+	ticksPerPacket = 4
+	routeLimit     = 100.0 // calls a second from all couriers
 )
 
 // sharing measures the sharing of limits as package commons does it.
@@ -100,15 +100,15 @@
 }
 
 // beats are how many are played: fewer where hearing all others takes long.
-func (l listener) beats(quick bool) int {
+func (l listener) intervals(quick bool) int {
 	const long = 100 * 1000
 	switch {
 	case quick:
-		return 2 * beatsPerHearing
+		return 2 * ticksPerPacket
 	case l.routes*l.heard >= long:
-		return 3 * beatsPerHearing
+		return 3 * ticksPerPacket
 	}
-	return 6 * beatsPerHearing
+	return 6 * ticksPerPacket
 }
 
 func sharingFleets(quick bool) []int {
@@ -140,7 +140,7 @@
 
 // measure has one courier beat while it hears all others on all routes.
 func (l listener) measure(play *Play) error {
-	beats := l.beats(play.Quick)
+	intervals := l.intervals(play.Quick)
 	names := courierNames(l.heard + 1)
 	words := l.words(names)
 	before := heapInUse()
@@ -148,17 +148,17 @@
 	now := 10 * microsPerSecond
 	var beating, hearing time.Duration
 	var said, largest, packets int
-	for beat := range beats {
-		now += beatSpan
-		if beat%beatsPerHearing == 0 {
-			spent, err := hearAll(c, now, words, uint64(beat+1))
+	for interval := range intervals {
+		now += tickSpan
+		if interval%ticksPerPacket == 0 {
+			spent, err := hearAll(c, now, words, uint64(interval+1))
 			if err != nil {
 				return err
 			}
 			hearing += spent
 			packets += len(words)
 		}
-		needs := l.needs(beat + 1)
+		needs := l.needs(interval + 1)
 		begun := time.Now()
 		actions := c.Handle(now, quota.FleetChanged{Couriers: len(names), Alive: names[1:]}, needs, quota.Tick{})
 		beating += time.Since(begun)
@@ -178,11 +178,11 @@
 	}
 	sizes := l.sizes()
 	for figure, value := range map[string]float64{
-		figureBeat: beating.Seconds() / float64(beats), figureHear: hearing.Seconds() / float64(packets), figureKeptBytes: kept,
-		figureSaid: float64(said) / float64(beats), figureLargest: float64(largest), figureRoutes: float64(len(lines)),
+		figureSharingTick: beating.Seconds() / float64(intervals), figureHear: hearing.Seconds() / float64(packets), figureKeptBytes: kept,
+		figureSaid: float64(said) / float64(intervals), figureLargest: float64(largest), figureRoutes: float64(len(lines)),
 		figureCounts: float64(counts), figureForgotten: float64(sums.Forgotten),
 	} {
-		play.Record(sizes, figure, value)
+		play.Report(sizes, figure, value)
 	}
 	return nil
 }
@@ -195,10 +195,10 @@
 }
 
 // needs are those of the courier after so many beats: some routes are used twice and three times as much as others.
-func (l listener) needs(beats int) quota.DemandsChanged {
+func (l listener) needs(intervals int) quota.DemandsChanged {
 	needs := quota.DemandsChanged{All: make([]quota.Demand, 0, l.routes)}
 	for route := range l.routes {
-		needs.All = append(needs.All, quota.Demand{Key: quota.Key{Dest: int32(route)}, Limit: routeLimit, Calls: uint64(beats * (1 + route%3))})
+		needs.All = append(needs.All, quota.Demand{Key: quota.Key{Dest: int32(route)}, Limit: routeLimit, Calls: uint64(intervals * (1 + route%3))})
 	}
 	return needs
 }
@@ -264,10 +264,10 @@
 	bounded := []slopes.Model{slopes.Constant, slopes.Logarithm, slopes.Power}
 	falls := []slopes.Model{slopes.Power}
 	return results.FitAll([]Curve{
-		{Name: "beat_seconds.routes", Figure: figureBeat, About: "a beat of one courier, 100 others heard, all of it kept", Unit: "s", Over: sizeRoutes, Where: byRoutes, Models: grows},
-		{Name: "beat_seconds.routes_over_room", Figure: figureBeat, About: "a beat of one courier, 100 others heard, more than is kept", Unit: "s", Over: sizeRoutes, Where: byRoutesOver, Models: grows},
-		{Name: "beat_seconds.heard", Figure: figureBeat, About: "a beat of one courier with 100 routes, all that is heard kept", Unit: "s", Over: sizeHeard, Where: byHeard, Models: grows},
-		{Name: "beat_seconds.heard_over_room", Figure: figureBeat, About: "a beat of one courier with 100 routes, more heard than is kept", Unit: "s", Over: sizeHeard, Where: byHeardOver, Models: grows},
+		{Name: "beat_seconds.routes", Figure: figureSharingTick, About: "a beat of one courier, 100 others heard, all of it kept", Unit: "s", Over: sizeRoutes, Where: byRoutes, Models: grows},
+		{Name: "beat_seconds.routes_over_room", Figure: figureSharingTick, About: "a beat of one courier, 100 others heard, more than is kept", Unit: "s", Over: sizeRoutes, Where: byRoutesOver, Models: grows},
+		{Name: "beat_seconds.heard", Figure: figureSharingTick, About: "a beat of one courier with 100 routes, all that is heard kept", Unit: "s", Over: sizeHeard, Where: byHeard, Models: grows},
+		{Name: "beat_seconds.heard_over_room", Figure: figureSharingTick, About: "a beat of one courier with 100 routes, more heard than is kept", Unit: "s", Over: sizeHeard, Where: byHeardOver, Models: grows},
 		{Name: "hear_seconds.heard_over_room", Figure: figureHear, About: "a packet of 10 counts read and taken in, 100 routes", Unit: "s", Over: sizeHeard, Where: byHeardOver, Models: grows},
 		{Name: "kept_bytes.routes", Figure: figureKeptBytes, About: "memory of one courier's sharing, 100 others heard, all of it kept", Unit: "bytes", Over: sizeRoutes, Where: byRoutes, Models: grows},
 		{Name: "kept_bytes.routes_over_room", Figure: figureKeptBytes, About: "memory of one courier's sharing, 100 others heard, more than is kept", Unit: "bytes", Over: sizeRoutes, Where: byRoutesOver, Models: bounded},
@@ -281,7 +281,7 @@
 		{Name: "heard_couriers", Figure: figureHeard, About: "couriers whose use of a limit one knows at an instant", Unit: "couriers", Over: sizeCouriers, Models: bounded},
 		{Name: "heard_ratio", Figure: figureHeardOf, About: "the same, of all others", Unit: "ratio", Over: sizeCouriers, Models: falls},
 		{Name: "use_ratio", Figure: figureUseKnown, About: "of the others' use of a limit, what a courier has heard of", Unit: "ratio", Over: sizeCouriers, Models: falls},
-		{Name: "told_ratio", Figure: figureToldLoad, About: "the load of a limit that the decisions are told, over the true one", Unit: "ratio", Over: sizeCouriers, Models: falls},
+		{Name: "told_ratio", Figure: figureNotifiedLoad, About: "the load of a limit that the decisions are told, over the true one", Unit: "ratio", Over: sizeCouriers, Models: falls},
 	})
 }
 
@@ -291,9 +291,9 @@
 		within(results, figureRoutes, sizeRoutes, 1, mostSharedRoutes),
 		within(results, figureCounts, sizeRoutes, 1, mostSharedCounts),
 		within(results, figureLargest, sizeRoutes, 1, mostPacketBytes),
-		within(results, figureOverLent, sizeCouriers, 0, 0),
+		within(results, figureOverGranted, sizeCouriers, 0, 0),
 		within(results, figureSpoilt, sizeCouriers, 0, 0),
-		within(results, figureLoans, sizeCouriers, 1, math.Inf(1)),
+		within(results, figureLeases, sizeCouriers, 1, math.Inf(1)),
 		within(results, figureHeard, sizeCouriers, 1, math.Inf(1)),
 	)
 }
--- a/testbed/scale/sharing_test.go
+++ b/testbed/scale/sharing_test.go
@@ -18,7 +18,7 @@
 		r.add(listening, figure, value)
 	}
 	fleet := map[string]float64{sizeCouriers: 10, sizeRoutes: fleetRoutes}
-	for figure, value := range map[string]float64{figureLargest: 1000, figureOverLent: 0, figureSpoilt: 0, figureLoans: 500, figureHeard: 8} {
+	for figure, value := range map[string]float64{figureLargest: 1000, figureOverGranted: 0, figureSpoilt: 0, figureLeases: 500, figureHeard: 8} {
 		r.add(fleet, figure, value)
 	}
 	return r
@@ -30,7 +30,7 @@
 	}
 	for figure, wrong := range map[string]float64{
 		figureRoutes: mostSharedRoutes + 1, figureCounts: mostSharedCounts + 1, figureLargest: mostPacketBytes + 1,
-		figureOverLent: 1, figureSpoilt: 1, figureLoans: 0, figureHeard: 0,
+		figureOverGranted: 1, figureSpoilt: 1, figureLeases: 0, figureHeard: 0,
 	} {
 		r := soundSharing()
 		for _, point := range r.point {
@@ -60,7 +60,7 @@
 		}
 		all := map[string][]float64{}
 		for _, point := range run.Points {
-			for _, figure := range []string{figureRoutes, figureCounts, figureLargest, figureOverLent, figureSpoilt, figureLoans, figureHeard, figureBytes, figureUseKnown} {
+			for _, figure := range []string{figureRoutes, figureCounts, figureLargest, figureOverGranted, figureSpoilt, figureLeases, figureHeard, figureBytes, figureUseKnown} {
 				all[figure] = append(all[figure], point.Values[figure]...)
 			}
 		}
@@ -84,8 +84,8 @@
 	}
 }
 
-// TestSharingSeesTooMuchLent: couriers that expect half of the fleet each take twice their part, and the samples show it.
-func TestSharingSeesTooMuchLent(t *testing.T) {
+// TestSharingSeesTooMuchGranted: couriers that expect half of the fleet each take twice their part, and the samples show it.
+func TestSharingSeesTooMuchGranted(t *testing.T) {
 	for expected, want := range map[int]bool{10: false, 5: true} {
 		f := newSharingFleet(10, 1)
 		f.expected = expected
@@ -93,8 +93,8 @@
 		if f.fault != nil || f.samples == 0 {
 			t.Fatalf("%v, %d samples", f.fault, f.samples)
 		}
-		if over := f.overLent > 0; over != want {
-			t.Errorf("%d of 10 couriers expected: %d instants with more lent than there is", expected, f.overLent)
+		if over := f.overGranted > 0; over != want {
+			t.Errorf("%d of 10 couriers expected: %d instants with more lent than there is", expected, f.overGranted)
 		}
 	}
 }
--- a/testbed/scale/sharingfleet.go
+++ b/testbed/scale/sharingfleet.go
@@ -32,11 +32,11 @@
 
 // sharer is one hollow courier of the fleet.
 type sharer struct {
-	name    string
-	commons *quota.Allocator
-	rates   []float64 // calls a second, by route
-	calls   []uint64
-	heard   map[quota.Key]map[string]heardUse // nil: not gone through
+	name  string
+	quota *quota.Allocator
+	rates []float64 // calls a second, by route
+	calls []uint64
+	heard map[quota.Key]map[string]heardUse // nil: not gone through
 }
 
 // heardUse is what was said last of one courier's use.
@@ -56,13 +56,13 @@
 	// expected is how many couriers each of them expects in the fleet.
 	expected int
 
-	counting                  bool
-	packets, bytes            int
-	largest, spoilt, overLent int
-	samples                   int
-	heardOf, useKnown, told   float64 // sums over the samples
-	aside                     time.Duration
-	fault                     error
+	counting                     bool
+	packets, bytes               int
+	largest, spoilt, overGranted int
+	samples                      int
+	heardOf, useKnown, notified  float64 // sums over the samples
+	steppedDown                  time.Duration
+	fault                        error
 }
 
 func measureSharingFleet(ctx context.Context, play *Play, couriers int) error {
@@ -71,26 +71,26 @@
 	f.counting = true
 	f.sample()
 	runtime.GC()
-	f.aside = 0
+	f.steppedDown = 0
 	begun := processorTime()
 	f.run(ctx, sharingLasts)
-	used := processorTime() - begun - f.aside
+	used := processorTime() - begun - f.steppedDown
 	if f.fault != nil {
 		return f.fault
 	}
-	loans := uint64(0)
+	leases := uint64(0)
 	for _, s := range f.sharers {
-		_, sums := s.commons.Status(f.now)
-		loans += sums.Leased
+		_, sums := s.quota.Status(f.now)
+		leases += sums.Leased
 	}
 	span := float64(sharingLasts-sharingWarmUp) / float64(microsPerSecond) * float64(couriers)
 	sizes := map[string]float64{sizeCouriers: float64(couriers), sizeRoutes: fleetRoutes}
 	for figure, value := range map[string]float64{
 		figureSaidPackets: float64(f.packets) / span, figureBytes: float64(f.bytes) / span, figureCores: used.Seconds() / span,
-		figureHeardOf: f.heardOf / float64(f.samples), figureHeard: f.heardOf / float64(f.samples) * float64(couriers-1), figureUseKnown: f.useKnown / float64(f.samples), figureToldLoad: f.told / float64(f.samples),
-		figureLoans: float64(loans), figureLargest: float64(f.largest), figureSpoilt: float64(f.spoilt), figureOverLent: float64(f.overLent),
+		figureHeardOf: f.heardOf / float64(f.samples), figureHeard: f.heardOf / float64(f.samples) * float64(couriers-1), figureUseKnown: f.useKnown / float64(f.samples), figureNotifiedLoad: f.notified / float64(f.samples),
+		figureLeases: float64(leases), figureLargest: float64(f.largest), figureSpoilt: float64(f.spoilt), figureOverGranted: float64(f.overGranted),
 	} {
-		play.Record(sizes, figure, value)
+		play.Report(sizes, figure, value)
 	}
 	return nil
 }
@@ -101,7 +101,7 @@
 	light := fleetLoad * routeLimit / (float64(couriers-heavy) + heavyUse*float64(heavy))
 	for i, name := range f.names {
 		s := &sharer{name: name, rates: make([]float64, fleetRoutes), calls: make([]uint64, fleetRoutes),
-			commons: quota.New(f.now, quota.Config{Self: name, Incarnation: 1, Couriers: couriers, Seed: int64(f.rng.Uint64() >> 1)})}
+			quota: quota.New(f.now, quota.Config{Self: name, Incarnation: 1, Couriers: couriers, Seed: int64(f.rng.Uint64() >> 1)})}
 		for route := range s.rates {
 			s.rates[route] = light
 			if (i+route)%heavyEvery == 0 {
@@ -116,7 +116,7 @@
 	for i, s := range f.sharers {
 		alive := make([]string, 0, couriers-1)
 		alive = append(append(alive, f.names[:i]...), f.names[i+1:]...)
-		f.after(f.now+quota.Micros(f.rng.Int64N(int64(beatSpan))), func() { f.beat(s, alive) })
+		f.after(f.now+quota.Micros(f.rng.Int64N(int64(tickSpan))), func() { f.interval(s, alive) })
 	}
 	f.after(sharingWarmUp+sharingSampled, f.sampleAgain)
 	return f
@@ -140,11 +140,11 @@
 }
 
 // beat has one courier tell what it used since its last beat, and say what it says.
-func (f *sharingFleet) beat(s *sharer, alive []string) {
-	f.after(f.now+beatSpan, func() { f.beat(s, alive) })
+func (f *sharingFleet) interval(s *sharer, alive []string) {
+	f.after(f.now+tickSpan, func() { f.interval(s, alive) })
 	needs := quota.DemandsChanged{All: make([]quota.Demand, 0, fleetRoutes)}
 	for route, rate := range s.rates {
-		s.calls[route] += f.calls(rate * float64(beatSpan) / float64(microsPerSecond))
+		s.calls[route] += f.calls(rate * float64(tickSpan) / float64(microsPerSecond))
 		needs.All = append(needs.All, quota.Demand{Key: quota.Key{Dest: int32(route)}, Limit: routeLimit, Calls: s.calls[route], Delivered: s.calls[route]})
 	}
 	f.carry(s, quota.FleetChanged{Couriers: f.expected, Alive: alive}, needs, quota.Tick{})
@@ -161,7 +161,7 @@
 
 // carry hands events to a courier's commons and carries what it says, as package exchange does: encoded.
 func (f *sharingFleet) carry(s *sharer, events ...quota.Event) {
-	for _, action := range s.commons.Handle(f.now, events...) {
+	for _, action := range s.quota.Handle(f.now, events...) {
 		say, ok := action.(quota.SendPacket)
 		if !ok {
 			continue
@@ -221,7 +221,7 @@
 	f.after(f.now+sharingSampled, f.sampleAgain)
 	begun := processorTime()
 	f.sample()
-	f.aside += processorTime() - begun
+	f.steppedDown += processorTime() - begun
 }
 
 // sample holds the parts of each limit against the whole, and what couriers know of the others' use against what they use.
@@ -229,7 +229,7 @@
 	const whole = quota.Units(1000 * 1000)
 	all := make([][]quota.Status, len(f.sharers))
 	for i, s := range f.sharers {
-		all[i], _ = s.commons.Status(f.now)
+		all[i], _ = s.quota.Status(f.now)
 	}
 	for route := range fleetRoutes {
 		var parts, use quota.Units
@@ -239,7 +239,7 @@
 			use += line.Usage
 		}
 		if parts > whole {
-			f.overLent++
+			f.overGranted++
 		}
 		f.sampleRoute(all, route, use)
 	}
@@ -250,11 +250,11 @@
 	if use == 0 {
 		return
 	}
-	var heard, told, known, others float64
+	var heard, notified, known, others float64
 	for i, lines := range all {
 		line := &lines[route]
 		heard += float64(line.CouriersHeard) / float64(len(all)-1)
-		told += line.Load / (float64(use) / whole)
+		notified += line.Load / (float64(use) / whole)
 		if s := f.sharers[i]; s.heard != nil {
 			known += float64(s.known(f.now, line.Key))
 			others += float64(use - line.Usage)
@@ -262,7 +262,7 @@
 	}
 	f.samples++
 	f.heardOf += heard / float64(len(all))
-	f.told += told / float64(len(all))
+	f.notified += notified / float64(len(all))
 	f.useKnown += known / max(others, 1)
 }
 
--- a/testbed/scale/sidebyside.go
+++ b/testbed/scale/sidebyside.go
@@ -63,15 +63,15 @@
 		play.Miss("real couriers", "a quick run plays the hollow side only, as its verdict is to be the same on any machine")
 	}
 	for _, size := range comparedSizes(play.Quick) {
-		record := func(figure string, value float64) {
-			play.Record(map[string]float64{sizeCouriers: float64(size)}, figure, value)
+		report := func(figure string, value float64) {
+			play.Report(map[string]float64{sizeCouriers: float64(size)}, figure, value)
 		}
 		play.Progress("%d hollow members", size)
 		hollow, err := measureHollow(ctx, play, size)
 		if err != nil {
 			return fmt.Errorf("%d hollow members: %w", size, err)
 		}
-		hollow.record(record, figureHollowPackets, figureHollowBytes, figureHollowProcessor, figureHollowMemory)
+		hollow.report(report, figureHollowPackets, figureHollowBytes, figureHollowProcessor, figureHollowMemory)
 		if play.Quick {
 			continue
 		}
@@ -80,8 +80,8 @@
 		if err != nil {
 			return fmt.Errorf("%d real couriers: %w", size, err)
 		}
-		actual.record(record, figureRealPackets, figureRealBytes, figureRealProcessor, figureRealMemory)
-		recordRatios(play, record, hollow, actual)
+		actual.report(report, figureRealPackets, figureRealBytes, figureRealProcessor, figureRealMemory)
+		reportRatios(play, report, hollow, actual)
 	}
 	return nil
 }
@@ -93,11 +93,11 @@
 	memory         float64 // bytes
 }
 
-func (c memberCost) record(record recorder, packets, bytes, processor, memory string) {
-	record(packets, c.packets)
-	record(bytes, c.bytes)
-	record(processor, c.processor)
-	record(memory, c.memory)
+func (c memberCost) report(report recorder, packets, bytes, processor, memory string) {
+	report(packets, c.packets)
+	report(bytes, c.bytes)
+	report(processor, c.processor)
+	report(memory, c.memory)
 }
 
 func measureHollow(ctx context.Context, play *Play, size int) (memberCost, error) {
@@ -152,7 +152,7 @@
 	}, nil
 }
 
-func recordRatios(play *Play, record recorder, hollow, actual memberCost) {
+func reportRatios(play *Play, report recorder, hollow, actual memberCost) {
 	for _, ratio := range []struct {
 		name           string
 		hollow, actual float64
@@ -166,7 +166,7 @@
 			play.Miss(ratio.name, "in a play real couriers took no more with membership than without")
 			continue
 		}
-		record(ratio.name, ratio.hollow/ratio.actual)
+		report(ratio.name, ratio.hollow/ratio.actual)
 	}
 }
 
--- a/testbed/scale/sidebyside_test.go
+++ b/testbed/scale/sidebyside_test.go
@@ -16,15 +16,15 @@
 	t.Helper()
 	return played(t, func(play *Play) {
 		for _, size := range []float64{10, 30} {
-			record := func(figure string, value float64) { play.Record(map[string]float64{sizeCouriers: size}, figure, value) }
-			record(figureHollowPackets, 10)
-			record(figureHollowBytes, 1400)
-			record(figureRealPackets, 10)
+			report := func(figure string, value float64) { play.Report(map[string]float64{sizeCouriers: size}, figure, value) }
+			report(figureHollowPackets, 10)
+			report(figureHollowBytes, 1400)
+			report(figureRealPackets, 10)
 			if packets != 0 {
-				record(ratioPackets, packets)
+				report(ratioPackets, packets)
 			}
 			if bytes != 0 {
-				record(ratioBytes, bytes)
+				report(ratioBytes, bytes)
 			}
 		}
 	})
@@ -50,19 +50,19 @@
 // silent records a hollow fleet that sent nothing.
 func silent(play *Play) {
 	sizes := map[string]float64{sizeCouriers: 10}
-	play.Record(sizes, figureHollowPackets, 0)
-	play.Record(sizes, figureHollowBytes, 0)
+	play.Report(sizes, figureHollowPackets, 0)
+	play.Report(sizes, figureHollowBytes, 0)
 }
 
 // TestRatiosOfUnlikeSides: a stand-in that sends twice as much as it should is seen from the two sides' figures.
 func TestRatiosOfUnlikeSides(t *testing.T) {
 	results := played(t, func(play *Play) {
-		record := func(figure string, value float64) { play.Record(map[string]float64{sizeCouriers: 10}, figure, value) }
+		report := func(figure string, value float64) { play.Report(map[string]float64{sizeCouriers: 10}, figure, value) }
 		hollow := memberCost{packets: 20, bytes: 2800, processor: 1, memory: 1}
 		actual := memberCost{packets: 10, bytes: 1400, processor: 0, memory: 4}
-		hollow.record(record, figureHollowPackets, figureHollowBytes, figureHollowProcessor, figureHollowMemory)
-		actual.record(record, figureRealPackets, figureRealBytes, figureRealProcessor, figureRealMemory)
-		recordRatios(play, record, hollow, actual)
+		hollow.report(report, figureHollowPackets, figureHollowBytes, figureHollowProcessor, figureHollowMemory)
+		actual.report(report, figureRealPackets, figureRealBytes, figureRealProcessor, figureRealMemory)
+		reportRatios(play, report, hollow, actual)
 	})
 	if err := checkSideBySide(results); err == nil || !strings.Contains(err.Error(), "hollow over real is 2.00") {
 		t.Errorf("%v", err)
--- a/testbed/scale/starts.go
+++ b/testbed/scale/starts.go
@@ -47,7 +47,7 @@
 	if fault != nil {
 		return fault
 	}
-	play.Record(map[string]float64{sizeTried: mostStartsTried}, figureStartsTaken, float64(refused-1))
+	play.Report(map[string]float64{sizeTried: mostStartsTried}, figureStartsTaken, float64(refused-1))
 	if refused <= mostStartsTried {
 		play.Miss("the error of a full exchange refused", fmt.Sprintf(
 			"a map of %d starts is dropped by the member without a log line, a count or an answer; none of %d starts gets through", refused, mostStartsTried))
@@ -57,22 +57,22 @@
 
 // startsTeller is a member of the detector's, not of the view's, that tells a real member as many starts as it is asked to.
 type startsTeller struct {
-	member   *gossip.Member
-	list     *memberlist.Memberlist
-	address  string
-	told     atomic.Pointer[[]byte]
-	reckoned chan int
-	couriers int
-	start    uint64
+	member    *gossip.Member
+	list      *memberlist.Memberlist
+	address   string
+	notified  atomic.Pointer[[]byte]
+	estimated chan int
+	couriers  int
+	start     uint64
 }
 
 const startsMember = "n0"
 
 func newStartsTeller(seed int64) (*startsTeller, error) {
 	mesh := netfault.NewMesh(2, seed)
-	teller := &startsTeller{address: mesh.At(0), reckoned: make(chan int, 1), couriers: 2, start: 1}
+	teller := &startsTeller{address: mesh.At(0), estimated: make(chan int, 1), couriers: 2, start: 1}
 	member, err := gossip.Open(gossip.Options{Name: startsMember, Incarnation: teller.start, FleetSize: teller.couriers, Seed: seed,
-		Transport: mesh.Join(0), SizeEstimated: func(couriers int) { teller.reckoned <- couriers }})
+		Transport: mesh.Join(0), SizeEstimated: func(couriers int) { teller.estimated <- couriers }})
 	if err != nil {
 		return nil, err
 	}
@@ -93,7 +93,7 @@
 }
 
 // reckonWithin bounds the wait for a member to take in what was told.
-const reckonWithin = 30 * time.Second
+const estimateWithin = 30 * time.Second
 
 // takes tells the member so many starts, among them a higher one of its own, and says whether it went on under a higher number.
 func (t *startsTeller) takes(starts int) (bool, error) {
@@ -102,7 +102,7 @@
 	if err != nil {
 		return false, err
 	}
-	t.told.Store(&text)
+	t.notified.Store(&text)
 	if _, err := t.list.Join([]string{t.address}); err != nil {
 		return false, err
 	}
@@ -110,9 +110,9 @@
 	t.couriers++
 	t.member.FleetResized(t.couriers)
 	select {
-	case <-t.reckoned:
-	case <-time.After(reckonWithin):
-		return false, fmt.Errorf("the member took nothing in within %v", reckonWithin)
+	case <-t.estimated:
+	case <-time.After(estimateWithin):
+		return false, fmt.Errorf("the member took nothing in within %v", estimateWithin)
 	}
 	return t.member.Incarnation() > before, nil
 }
@@ -128,7 +128,7 @@
 
 // LocalState is what the member is told.
 func (t *startsTeller) LocalState(bool) []byte {
-	if text := t.told.Load(); text != nil {
+	if text := t.notified.Load(); text != nil {
 		return *text
 	}
 	return nil
@@ -163,7 +163,7 @@
 
 // Close waits for the other side's end.
 func (s lastingStream) Close() error {
-	s.Conn.SetReadDeadline(time.Now().Add(reckonWithin))
+	s.Conn.SetReadDeadline(time.Now().Add(estimateWithin))
 	io.Copy(io.Discard, s.Conn)
 	return s.Conn.Close()
 }
--- a/testbed/scale/views.go
+++ b/testbed/scale/views.go
@@ -13,18 +13,18 @@
 
 // Figures of the view by itself.
 const (
-	figureWord     = "word_s"
-	figureTick     = "tick_s"
-	figureLook     = "look_s"
-	figureViewHeap = "view_heap_bytes"
-	figureKept     = "names_kept"
-	figureReckoned = "reckoned"        // couriers that it reckons with after it heard of each other one once
-	figureAgain    = "reckoned_again"  // after it heard of wordsAgain that are drawn once more
-	viewTick       = 200 * 1000        // microseconds between ticks, as at a pace of 1 s
-	viewSpan       = time.Second / 5   // for which each step is repeated
-	viewSpanQuick  = time.Second / 100 // in a quick run
-	viewAtLeast    = 20                // repetitions
-	wordsAgain     = 1000
+	figureWord      = "word_s"
+	figureTick      = "tick_s"
+	figureLook      = "look_s"
+	figureViewHeap  = "view_heap_bytes"
+	figureKept      = "names_kept"
+	figureEstimated = "reckoned"        // couriers that it reckons with after it heard of each other one once
+	figureAgain     = "reckoned_again"  // after it heard of wordsAgain that are drawn once more
+	viewTick        = 200 * 1000        // microseconds between ticks, as at a pace of 1 s
+	viewSpan        = time.Second / 5   // for which each step is repeated
+	viewSpanQuick   = time.Second / 100 // in a quick run
+	viewAtLeast     = 20                // repetitions
+	wordsAgain      = 1000
 )
 
 // namesKept is what a view keeps at most, as membership bounds it. Beyond, each word on a forgotten name costs a search for another
@@ -63,29 +63,29 @@
 // measureView measures a view of a fleet of so many couriers, this one included.
 func measureView(play *Play, names int) {
 	sizes := viewPoint(names)
-	record := func(figure string, value float64) { play.Record(sizes, figure, value) }
+	report := func(figure string, value float64) { play.Report(sizes, figure, value) }
 	heapBefore := heapInUse()
 	views := make([]*hearing, max(1, viewsAtOnce/names))
 	for i := range views {
 		views[i] = newHearing(names, play.Seed)
 		views[i].hearAll()
 	}
-	record(figureViewHeap, (float64(heapInUse())-float64(heapBefore))/float64(len(views)))
+	report(figureViewHeap, (float64(heapInUse())-float64(heapBefore))/float64(len(views)))
 	hearing := views[0]
-	record(figureReckoned, float64(hearing.view.EstimatedSize()))
-	record(figureKept, float64(len(hearing.view.Snapshot().Members)))
+	report(figureEstimated, float64(hearing.view.EstimatedSize()))
+	report(figureKept, float64(len(hearing.view.Snapshot().Members)))
 	for range wordsAgain {
 		hearing.hearAny()
 	}
-	record(figureAgain, float64(hearing.view.EstimatedSize()))
+	report(figureAgain, float64(hearing.view.EstimatedSize()))
 
 	span := viewSpan
 	if play.Quick {
 		span = viewSpanQuick
 	}
-	record(figureWord, timeOf(span, hearing.hearAny))
-	record(figureTick, timeOf(span, hearing.tick))
-	record(figureLook, timeOf(span, func() { hearing.view.Snapshot() }))
+	report(figureWord, timeOf(span, hearing.hearAny))
+	report(figureTick, timeOf(span, hearing.tick))
+	report(figureLook, timeOf(span, func() { hearing.view.Snapshot() }))
 	runtime.KeepAlive(views)
 }
 
@@ -137,7 +137,7 @@
 
 // checkViews: a view never reckons with fewer than there are, and with just as many where it keeps every name.
 func checkViews(results *Results) error {
-	sizes, reckoned := results.Values(figureReckoned, sizeNames, nil)
+	sizes, estimated := results.Values(figureEstimated, sizeNames, nil)
 	_, again := results.Values(figureAgain, sizeNames, nil)
 	_, kept := results.Values(figureKept, sizeNames, nil)
 	if len(sizes) == 0 {
@@ -145,11 +145,11 @@
 	}
 	var faults []error
 	for i, size := range sizes {
-		if reckoned[i] < size || again[i] < size {
-			faults = append(faults, fmt.Errorf("a view of %v couriers reckons with %v, then %v", size, reckoned[i], again[i]))
+		if estimated[i] < size || again[i] < size {
+			faults = append(faults, fmt.Errorf("a view of %v couriers reckons with %v, then %v", size, estimated[i], again[i]))
 		}
-		if kept[i] == size-1 && (reckoned[i] != size || again[i] != size) {
-			faults = append(faults, fmt.Errorf("a view that keeps all %v other names reckons with %v, then %v", kept[i], reckoned[i], again[i]))
+		if kept[i] == size-1 && (estimated[i] != size || again[i] != size) {
+			faults = append(faults, fmt.Errorf("a view that keeps all %v other names reckons with %v, then %v", kept[i], estimated[i], again[i]))
 		}
 	}
 	return errors.Join(faults...)
--- a/testbed/scenario/draw.go
+++ b/testbed/scenario/draw.go
@@ -31,17 +31,17 @@
 	KindName string
 	Usual    float64 // records a second at full load
 	Listed   float64 // the rate on the list, for a route
-	Party    int     // whose records it gets; -1: nobody's
+	Tenant   int     // whose records it gets; -1: nobody's
 }
 
 // Arrival is a record handed in for the first time.
 type Arrival struct {
-	At       dispatch.Micros
-	Dest     int32
-	Workload int32
-	Party    int32
-	Courier  int32
-	Key      int32 // -1: none
+	At      dispatch.Micros
+	Dest    int32
+	Class   int32
+	Tenant  int32
+	Courier int32
+	Key     int32 // -1: none
 }
 
 // ActKind is what happens in an Act.
@@ -71,7 +71,7 @@
 	Dest     int
 	Endpoint endpointmodel.Endpoint
 	Address  dispatch.EndpointID // Adds: the endpoint whose address it takes over; empty: a new address
-	Strike   endpointmodel.Strike
+	Fault    endpointmodel.Fault
 	Courier  int
 	Span     dispatch.Micros
 	Text     string
@@ -96,7 +96,7 @@
 func Draw(d *Day, seed int64) *Drawn {
 	w := &Drawn{Day: d, Seed: seed, Length: micros(d.Length), Load: d.Load.draw(stream(seed, 1))}
 	last := 0.0
-	for _, wl := range d.Workloads {
+	for _, wl := range d.Classes {
 		last = max(last, wl.CutOff)
 	}
 	w.End = w.Length + micros(last+d.Rules.AnswerSlack+0.5)
@@ -126,17 +126,17 @@
 	d, rng := w.Day, stream(w.Seed, 2)
 	share := weights(d.Traffic.Destinations, d.Traffic.Zipf, rng)
 	kinds := w.kindOf(share, rng)
-	order := make([]int, len(d.Parties))
+	order := make([]int, len(d.Tenants))
 	for i := range order {
 		order[i] = i
 	}
-	owed := make([]float64, len(d.Parties))
+	owed := make([]float64, len(d.Tenants))
 	for i, usual := range share {
 		kind := d.Kinds[kinds[i]]
-		dst := Destination{KindName: kind.Name, Usual: usual * d.Traffic.FullPerSec, Party: -1}
+		dst := Destination{KindName: kind.Name, Usual: usual * d.Traffic.FullPerSec, Tenant: -1}
 		if len(order) > 0 { // to the party that is furthest behind its share
-			dst.Party = slices.MinFunc(order, func(a, b int) int { return cmp.Compare(owed[a], owed[b]) })
-			owed[dst.Party] += usual / max(1e-9, d.Parties[dst.Party].Share)
+			dst.Tenant = slices.MinFunc(order, func(a, b int) int { return cmp.Compare(owed[a], owed[b]) })
+			owed[dst.Tenant] += usual / max(1e-9, d.Tenants[dst.Tenant].Share)
 		}
 		w.plan(&dst, kind, i, kinds[i], rng)
 		w.Destinations = append(w.Destinations, dst)
@@ -247,7 +247,7 @@
 // flood is a stretch in which a party sends more.
 type flood struct {
 	from, to dispatch.Micros
-	party    int // -1: all
+	tenant   int // -1: all
 	times    float64
 }
 
@@ -256,14 +256,14 @@
 	share, total := make([]float64, len(w.Destinations)), 0.0
 	for i, dst := range w.Destinations {
 		usage := 1.0
-		if dst.Party >= 0 {
-			usage = d.Parties[dst.Party].Usage
+		if dst.Tenant >= 0 {
+			usage = d.Tenants[dst.Tenant].Usage
 		}
 		share[i] = dst.Usual * usage
 		total += share[i]
 	}
 	pick := newPicker(share)
-	works := w.workloadsByKind()
+	works := w.classesByKind()
 	clumps := d.Traffic.Clumps.draw(rng)
 	phase := rng.Float64() * 2 * math.Pi
 	most := 1.0
@@ -276,12 +276,12 @@
 	}
 	add := func(at dispatch.Micros, dest int) {
 		dst := &w.Destinations[dest]
-		a := Arrival{At: at, Dest: int32(dest), Party: int32(max(0, dst.Party)), Courier: int32(rng.IntN(d.Fleet.Couriers)), Key: -1}
-		a.Workload = int32(works[dst.Plan.Kind].draw(rng))
+		a := Arrival{At: at, Dest: int32(dest), Tenant: int32(max(0, dst.Tenant)), Courier: int32(rng.IntN(d.Fleet.Couriers)), Key: -1}
+		a.Class = int32(works[dst.Plan.Kind].draw(rng))
 		if busy != nil {
 			a.Courier = int32(busy.draw(rng))
 		}
-		if d.Workloads[a.Workload].InOrder {
+		if d.Classes[a.Class].InOrder {
 			a.Key = int32(rng.IntN(d.Traffic.Keys))
 			a.Courier = a.Key % int32(d.Fleet.Couriers) // those of one key come to one courier
 		}
@@ -297,7 +297,7 @@
 		dest, now := pick.draw(rng), micros(at)
 		rate := (1 + d.Traffic.Swing*math.Sin(phase+2*math.Pi*at/d.Length)) / (1 + d.Traffic.Swing) / most
 		for _, f := range floods {
-			if now >= f.from && now < f.to && (f.party < 0 || f.party == w.Destinations[dest].Party) {
+			if now >= f.from && now < f.to && (f.tenant < 0 || f.tenant == w.Destinations[dest].Tenant) {
 				rate *= f.times
 			}
 		}
@@ -319,11 +319,11 @@
 }
 
 // workloadsByKind has, for each kind of destination, which workloads it gets.
-func (w *Drawn) workloadsByKind() []picker {
+func (w *Drawn) classesByKind() []picker {
 	var all []picker
 	for _, k := range w.Day.Kinds {
-		share := make([]float64, len(w.Day.Workloads))
-		for i, wl := range w.Day.Workloads {
+		share := make([]float64, len(w.Day.Classes))
+		for i, wl := range w.Day.Classes {
 			if len(wl.Kinds) == 0 || slices.Contains(wl.Kinds, k.Name) {
 				share[i] = wl.Share
 			}
--- a/testbed/scenario/strike.go
+++ b/testbed/scenario/fault.go
@@ -24,8 +24,8 @@
 		u := usual[kind]
 		t := Trouble{Kind: kind, At: Range{0.1 * d.Length, 0.6 * d.Length}, Length: u.length, Size: u.size, Part: u.part.draw(rng),
 			By: "any", Whole: 0.8, Acts: 0.5}
-		if kind == "flood" && len(d.Parties) > 0 {
-			t.Of = d.Parties[rng.IntN(len(d.Parties))].Name
+		if kind == "flood" && len(d.Tenants) > 0 {
+			t.Of = d.Tenants[rng.IntN(len(d.Tenants))].Name
 		}
 		if rng.Float64() < 0.2 {
 			t.By = "zone"
@@ -35,7 +35,7 @@
 	s := &striker{Drawn: w, rng: rng}
 	for i, t := range all {
 		s.number = i + 1
-		s.strike(t)
+		s.fault(t)
 	}
 	return s.floods
 }
@@ -55,7 +55,7 @@
 	s.Acts = append(s.Acts, a)
 }
 
-func (s *striker) strike(t Trouble) {
+func (s *striker) fault(t Trouble) {
 	from := micros(t.At.draw(s.rng))
 	to := from + micros(t.Length.draw(s.rng))
 	size := t.Size
@@ -65,8 +65,8 @@
 	n := size.draw(s.rng)
 	switch t.Kind {
 	case "flood":
-		party := slices.IndexFunc(s.Day.Parties, func(p Party) bool { return p.Name == t.Of })
-		s.floods = append(s.floods, flood{from, to, party, n})
+		tenant := slices.IndexFunc(s.Day.Tenants, func(p Tenant) bool { return p.Name == t.Of })
+		s.floods = append(s.floods, flood{from, to, tenant, n})
 		s.act(Act{At: from, Kind: Tells, Text: fmt.Sprintf("%s sends %.1f times its usual traffic", cmp.Or(t.Of, "everybody"), n)})
 		s.act(Act{At: to, Kind: Tells, Text: "the flood is over"})
 	case "directory-down":
@@ -79,12 +79,12 @@
 	case "pauses":
 		for _, e := range s.struck(t) {
 			for at := from + micros(2*s.rng.Float64()); at < to; at += micros(2) {
-				s.begin(e, endpointmodel.Strike{Kind: endpointmodel.Stand}, at, at+micros(n/1000))
+				s.begin(e, endpointmodel.Fault{Kind: endpointmodel.Stand}, at, at+micros(n/1000))
 			}
 		}
 	default:
 		for _, e := range s.struck(t) {
-			s.begin(e, endpointmodel.Strike{Kind: endpointmodel.Trouble(t.Kind), Size: n, Acts: t.Acts, Until: to}, from, to)
+			s.begin(e, endpointmodel.Fault{Kind: endpointmodel.Trouble(t.Kind), Size: n, Acts: t.Acts, Until: to}, from, to)
 		}
 	}
 }
@@ -95,11 +95,11 @@
 	endpointmodel.Endpoint
 }
 
-func (s *striker) begin(e place, strike endpointmodel.Strike, from, to dispatch.Micros) {
+func (s *striker) begin(e place, fault endpointmodel.Fault, from, to dispatch.Micros) {
 	s.ids++
-	strike.ID = s.ids
-	s.act(Act{At: from, Kind: Begins, Dest: e.dest, Endpoint: e.Endpoint, Strike: strike})
-	s.act(Act{At: to, Kind: Ends, Dest: e.dest, Endpoint: e.Endpoint, Strike: strike})
+	fault.ID = s.ids
+	s.act(Act{At: from, Kind: Begins, Dest: e.dest, Endpoint: e.Endpoint, Fault: fault})
+	s.act(Act{At: to, Kind: Ends, Dest: e.dest, Endpoint: e.Endpoint, Fault: fault})
 }
 
 // struck picks endpoints until the part of the traffic is reached; a destination is struck whole or at one endpoint.
--- a/testbed/scenario/read.go
+++ b/testbed/scenario/read.go
@@ -180,7 +180,7 @@
 	if len(d.Kinds) == 0 {
 		c.fault("kind", "at least one kind of destination was expected")
 	}
-	if len(d.Workloads) == 0 {
+	if len(d.Classes) == 0 {
 		c.fault("workload", "at least one workload was expected")
 	}
 	kinds := map[string]bool{}
@@ -190,32 +190,32 @@
 		}
 		kinds[k.Name] = true
 	}
-	for i, w := range d.Workloads {
+	for i, w := range d.Classes {
 		for _, k := range w.Kinds {
 			if !kinds[k] {
 				c.fault(fmt.Sprintf("workload.%d.kinds", i), "no kind has the name %q", k)
 			}
 		}
-		if w.CutOff < w.Quoted {
-			c.fault(fmt.Sprintf("workload.%d.cut_off_s", i), "not before the quoted time of %v s", w.Quoted)
+		if w.CutOff < w.Objective {
+			c.fault(fmt.Sprintf("workload.%d.cut_off_s", i), "not before the quoted time of %v s", w.Objective)
 		}
 	}
 	for _, k := range d.Kinds {
-		if !slices.ContainsFunc(d.Workloads, func(w Workload) bool { return len(w.Kinds) == 0 || slices.Contains(w.Kinds, k.Name) }) {
+		if !slices.ContainsFunc(d.Classes, func(w Class) bool { return len(w.Kinds) == 0 || slices.Contains(w.Kinds, k.Name) }) {
 			c.fault("workload", "none goes to the kind %q", k.Name)
 		}
 	}
 	share := 0.0
-	for _, p := range d.Parties {
+	for _, p := range d.Tenants {
 		share += p.Share
 	}
 	if share > 1.0001 {
 		c.fault("party", "shares of 1 at most together were expected, not %v", share)
 	}
 	for i, t := range d.Troubles {
-		party := func(p Party) bool { return p.Name == t.Of }
+		tenant := func(p Tenant) bool { return p.Name == t.Of }
 		switch {
-		case t.Kind == "flood" && (len(d.Parties) > 0 || t.Of != "") && !slices.ContainsFunc(d.Parties, party):
+		case t.Kind == "flood" && (len(d.Tenants) > 0 || t.Of != "") && !slices.ContainsFunc(d.Tenants, tenant):
 			c.fault(fmt.Sprintf("trouble.%d.of", i), "the name of a party was expected, not %q", t.Of)
 		case t.Kind != "flood" && t.Of != "" && !kinds[t.Of]:
 			c.fault(fmt.Sprintf("trouble.%d.of", i), "the name of a kind was expected, not %q", t.Of)
@@ -226,7 +226,7 @@
 			c.fault("chance.kinds", "no trouble has the name %q", k)
 		}
 	}
-	if g := d.Goal; g.Whole+g.Window+g.Workload+g.Party <= 0 {
+	if g := d.Goal; g.Whole+g.Window+g.Class+g.Tenant <= 0 {
 		c.fault("goal", "a weight above 0 was expected")
 	}
 }
--- a/testbed/scenario/scenario.go
+++ b/testbed/scenario/scenario.go
@@ -9,24 +9,24 @@
 // Day is a day's file. The tags are the one place that says what each key means: doc and unit, the default (def, none:
 // must be given), the bounds (in), the words allowed (one). Read, the checks and the page on the format all come of them.
 type Day struct {
-	Name      string     `toml:"name" doc:"name of the day, for reports"`
-	About     string     `toml:"about" def:"" doc:"what the day is meant to show"`
-	Seed      int64      `toml:"seed" def:"1" in:"0..9e15" doc:"seed, where the command names none"`
-	Length    float64    `toml:"length_s" in:"1..86400" unit:"s" doc:"how long records arrive; the day ends when the last cut-off has passed"`
-	Load      Range      `toml:"load" def:"[0.8,0.8]" in:"0.001..10" unit:"of the full load" doc:"traffic, as a part of the full load"`
-	Fleet     Fleet      `toml:"fleet" doc:"the couriers"`
-	Traffic   Traffic    `toml:"traffic" doc:"what is handed in"`
-	Kinds     []Kind     `toml:"kind" doc:"kinds of destination, at least one"`
-	Workloads []Workload `toml:"workload" doc:"kinds of record, at least one"`
-	Parties   []Party    `toml:"party" doc:"senders with a share; none: no shares"`
-	Clients   Clients    `toml:"clients" doc:"how clients behave"`
-	Network   Network    `toml:"network" doc:"one way through the network"`
-	Directory Directory  `toml:"directory" doc:"the list of endpoints"`
-	Rules     Rules      `toml:"rules" doc:"figures of the rules"`
-	Goal      Goal       `toml:"goal" doc:"weights of the day's figure; they are scaled to the sum of 1"`
-	Prices    Prices     `toml:"prices" doc:"what comes off the day's figure"`
-	Troubles  []Trouble  `toml:"trouble" doc:"troubles that happen for certain"`
-	Chance    Chance     `toml:"chance" doc:"troubles drawn from the seed, on top"`
+	Name      string    `toml:"name" doc:"name of the day, for reports"`
+	About     string    `toml:"about" def:"" doc:"what the day is meant to show"`
+	Seed      int64     `toml:"seed" def:"1" in:"0..9e15" doc:"seed, where the command names none"`
+	Length    float64   `toml:"length_s" in:"1..86400" unit:"s" doc:"how long records arrive; the day ends when the last cut-off has passed"`
+	Load      Range     `toml:"load" def:"[0.8,0.8]" in:"0.001..10" unit:"of the full load" doc:"traffic, as a part of the full load"`
+	Fleet     Fleet     `toml:"fleet" doc:"the couriers"`
+	Traffic   Traffic   `toml:"traffic" doc:"what is handed in"`
+	Kinds     []Kind    `toml:"kind" doc:"kinds of destination, at least one"`
+	Classes   []Class   `toml:"workload" doc:"kinds of record, at least one"`
+	Tenants   []Tenant  `toml:"party" doc:"senders with a share; none: no shares"`
+	Clients   Clients   `toml:"clients" doc:"how clients behave"`
+	Network   Network   `toml:"network" doc:"one way through the network"`
+	Directory Directory `toml:"directory" doc:"the list of endpoints"`
+	Rules     Rules     `toml:"rules" doc:"figures of the rules"`
+	Goal      Goal      `toml:"goal" doc:"weights of the day's figure; they are scaled to the sum of 1"`
+	Prices    Prices    `toml:"prices" doc:"what comes off the day's figure"`
+	Troubles  []Trouble `toml:"trouble" doc:"troubles that happen for certain"`
+	Chance    Chance    `toml:"chance" doc:"troubles drawn from the seed, on top"`
 }
 
 // Fleet is the couriers.
@@ -39,7 +39,7 @@
 	HoldFor     float64  `toml:"hold_s" def:"6" in:"0.1..3600" unit:"s of the full load" doc:"how much a courier holds"`
 	LeastHold   int      `toml:"least_hold" def:"10" in:"1..1000000" doc:"records that a courier holds at least"`
 	Tick        float64  `toml:"tick_ms" def:"5" in:"0.1..1000" unit:"ms" doc:"virtual time only: a courier handles what has come once a tick"`
-	MaxTrips    int      `toml:"max_trips" def:"8" in:"1..100" doc:"trips of a record at most"`
+	MaxAttempts int      `toml:"max_trips" def:"8" in:"1..100" doc:"trips of a record at most"`
 	MayCancel   bool     `toml:"may_cancel" def:"true" doc:"couriers may call trips off"`
 	MayAdvise   bool     `toml:"may_advise" def:"true" doc:"a bounce may say when to come again"`
 	Idle        float64  `toml:"idle_s" def:"5" in:"0.1..3600" unit:"s" doc:"idle connections are closed after this"`
@@ -87,23 +87,23 @@
 	ErrorRate    Range    `toml:"error_rate" def:"[0,0.003]" in:"0..1" doc:"share of calls that fail in good health"`
 }
 
-// Workload is one kind of record.
-type Workload struct {
-	Name     string   `toml:"name" doc:"its name"`
-	Share    float64  `toml:"share" def:"1" in:"0..1000" doc:"part of the records, among the workloads"`
-	Kinds    []string `toml:"kinds" def:"" doc:"kinds of destination that it goes to; none: all"`
-	Quoted   float64  `toml:"quoted_s" in:"0.01..86400" unit:"s" doc:"quoted time"`
-	CutOff   float64  `toml:"cut_off_s" in:"0.1..86400" unit:"s" doc:"cut-off"`
-	Payoff   float64  `toml:"payoff" def:"1" in:"0..1e6" doc:"payoff"`
-	LatePart float64  `toml:"late_part" def:"0" in:"0..1" doc:"part of the payoff that is left at the cut-off"`
-	Repeat   string   `toml:"repeat" def:"replayable" one:"replayable|referenced|single-use" doc:"what may be done about one that may have run"`
-	Window   float64  `toml:"window_s" def:"10" in:"0..86400" unit:"s" doc:"referenced: how long a repeat is known"`
-	OneZone  bool     `toml:"one_zone" def:"false" doc:"referenced: only endpoints of one zone know a repeat"`
-	InOrder  bool     `toml:"in_order" def:"false" doc:"records of one key go in the order taken"`
+// Class is one kind of record.
+type Class struct {
+	Name      string   `toml:"name" doc:"its name"`
+	Share     float64  `toml:"share" def:"1" in:"0..1000" doc:"part of the records, among the workloads"`
+	Kinds     []string `toml:"kinds" def:"" doc:"kinds of destination that it goes to; none: all"`
+	Objective float64  `toml:"quoted_s" in:"0.01..86400" unit:"s" doc:"quoted time"`
+	CutOff    float64  `toml:"cut_off_s" in:"0.1..86400" unit:"s" doc:"cut-off"`
+	Priority  float64  `toml:"payoff" def:"1" in:"0..1e6" doc:"payoff"`
+	LatePart  float64  `toml:"late_part" def:"0" in:"0..1" doc:"part of the payoff that is left at the cut-off"`
+	Repeat    string   `toml:"repeat" def:"replayable" one:"replayable|referenced|single-use" doc:"what may be done about one that may have run"`
+	Window    float64  `toml:"window_s" def:"10" in:"0..86400" unit:"s" doc:"referenced: how long a repeat is known"`
+	OneZone   bool     `toml:"one_zone" def:"false" doc:"referenced: only endpoints of one zone know a repeat"`
+	InOrder   bool     `toml:"in_order" def:"false" doc:"records of one key go in the order taken"`
 }
 
-// Party is a sender with a share.
-type Party struct {
+// Tenant is a sender with a share.
+type Tenant struct {
 	Name  string  `toml:"name" doc:"its name"`
 	Share float64 `toml:"share" in:"0..1" doc:"its share of the full load"`
 	Usage float64 `toml:"usage" def:"1" in:"0..100" doc:"what it sends, as a part of its share"`
@@ -151,10 +151,10 @@
 
 // Goal weighs the day's figure.
 type Goal struct {
-	Whole    float64 `toml:"whole" def:"0.5" in:"0..1" doc:"the whole day"`
-	Window   float64 `toml:"worst_window" def:"0.3" in:"0..1" doc:"the worst 10 s"`
-	Workload float64 `toml:"worst_workload" def:"0.2" in:"0..1" doc:"the worst workload"`
-	Party    float64 `toml:"worst_party" def:"0" in:"0..1" doc:"the worst party"`
+	Whole  float64 `toml:"whole" def:"0.5" in:"0..1" doc:"the whole day"`
+	Window float64 `toml:"worst_window" def:"0.3" in:"0..1" doc:"the worst 10 s"`
+	Class  float64 `toml:"worst_workload" def:"0.2" in:"0..1" doc:"the worst workload"`
+	Tenant float64 `toml:"worst_party" def:"0" in:"0..1" doc:"the worst party"`
 }
 
 // Prices come off the day's figure.
--- a/testbed/scenario/settings.go
+++ b/testbed/scenario/settings.go
@@ -10,8 +10,8 @@
 // Settings is what a courier of this day is handed at its start, in the form of its configuration's "settings".
 func (w *Drawn) Settings(courier int) map[string]any {
 	d := w.Day
-	var classes, parties []any
-	for _, wl := range d.Workloads {
+	var classes, tenants []any
+	for _, wl := range d.Classes {
 		group, repeat := "all", "single_shot"
 		if wl.OneZone {
 			group = "zone"
@@ -22,12 +22,12 @@
 		case "referenced":
 			repeat = "guarded"
 		}
-		classes = append(classes, map[string]any{"name": wl.Name, "slo-s": wl.Quoted, "deadline-s": wl.CutOff,
-			"points": wl.Payoff, "late-worth": wl.LatePart, "idempotency": repeat, "dedup-window-s": wl.Window,
+		classes = append(classes, map[string]any{"name": wl.Name, "slo-s": wl.Objective, "deadline-s": wl.CutOff,
+			"points": wl.Priority, "late-worth": wl.LatePart, "idempotency": repeat, "dedup-window-s": wl.Window,
 			"group": group, "in-order": wl.InOrder})
 	}
-	for _, p := range d.Parties {
-		parties = append(parties, map[string]any{"name": p.Name, "share": p.Share, "quota-per-s": w.Quota(p)})
+	for _, p := range d.Tenants {
+		tenants = append(tenants, map[string]any{"name": p.Name, "share": p.Share, "quota-per-s": w.Quota(p)})
 	}
 	var shapes []string
 	var apart []bool
@@ -49,11 +49,11 @@
 	r := d.Rules
 	return map[string]any{
 		"fleet-size": d.Fleet.Couriers, "ordinal": courier, "locality": int(w.CourierZone[courier]), "zones": d.Fleet.Zones,
-		"classes": classes, "tenants": parties, "shapes": shapes, "discovery": discovery, "weight-kind": rates,
+		"classes": classes, "tenants": tenants, "shapes": shapes, "discovery": discovery, "weight-kind": rates,
 		"tick-s": d.Fleet.Tick / 1000, "over-share-worth": r.OverShare, "telemetry": map[string]any{"fields": fields},
 		"family-info": map[string]any{"slots": w.Slots, "decay": map[string]string{"halves": "halves", "evenly": "line"}[r.Decay],
 			"per-call": perCall, "separate-routes": apart},
-		"ceilings": map[string]any{"open-cap": w.Hold, "try-limit": d.Fleet.MaxTrips, "may-cancel": d.Fleet.MayCancel,
+		"ceilings": map[string]any{"open-cap": w.Hold, "try-limit": d.Fleet.MaxAttempts, "may-cancel": d.Fleet.MayCancel,
 			"retry-after": d.Fleet.MayAdvise, "max-retry-after-s": d.Fleet.LongestWait, "conn-idle-s": d.Fleet.Idle,
 			"connect-timeout-s": d.Fleet.Connect / 1000},
 		"rules": map[string]any{"cold-from": r.ColdFrom, "ramp-time-s": r.Ramp, "fall-multiple": r.Fall, "key-rest-s": r.KeyRest,
@@ -62,11 +62,11 @@
 }
 
 // Quota is what a party may send within its share, in records a second.
-func (w *Drawn) Quota(p Party) float64 { return p.Share * w.Day.Traffic.FullPerSec }
+func (w *Drawn) Quota(p Tenant) float64 { return p.Share * w.Day.Traffic.FullPerSec }
 
-// Charter is the same, as the decisions read it: through the same code that a real courier's configuration passes.
-func (w *Drawn) Charter(courier int, salt int64) (dispatch.Config, error) {
-	ch, err := config.Charter(salt, config.Flatten(w.Settings(courier)))
+// Config is the same, as the decisions read it: through the same code that a real courier's configuration passes.
+func (w *Drawn) Config(courier int, salt int64) (dispatch.Config, error) {
+	ch, err := config.Dispatch(salt, config.Flatten(w.Settings(courier)))
 	if err != nil {
 		return ch, fmt.Errorf("day %s: %w", w.Day.Name, err)
 	}
--- a/testbed/scripted/scripted.go
+++ b/testbed/scripted/scripted.go
@@ -43,21 +43,21 @@
 	Endpoints []string
 	Lists     func(index int) string // what discovery answers, in place of the list; empty for the list
 
-	mu      sync.Mutex
-	fate    func(id string) Fate
-	seq     int
-	dests   []int // of the endpoints
-	calls   []*atomic.Int64
-	began   map[string]int // calls that were begun, by record
-	done    map[string]int
-	notices map[string][]string
-	broken  Broken
-	told    time.Time // when the last wait was told, and until when it holds
-	waitTo  time.Time
-	lines   map[string]*line
-	mute    int // calls with notices that will get no answer
-	servers []*http.Server
-	home    *http.Server // discovery's
+	mu       sync.Mutex
+	fate     func(id string) Fate
+	seq      int
+	dests    []int // of the endpoints
+	calls    []*atomic.Int64
+	began    map[string]int // calls that were begun, by record
+	done     map[string]int
+	notices  map[string][]string
+	broken   Broken
+	notified time.Time // when the last wait was told, and until when it holds
+	waitTo   time.Time
+	lines    map[string]*line
+	mute     int // calls with notices that will get no answer
+	servers  []*http.Server
+	home     *http.Server // discovery's
 }
 
 // Open starts a world with so many endpoints; fate decides for each call.
@@ -211,7 +211,7 @@
 // call plays one call for some records and tells whether it is answered.
 func (w *World) call(rw http.ResponseWriter, ids ...string) bool {
 	w.mu.Lock()
-	if now := time.Now(); now.Before(w.waitTo) && now.After(w.told.Add(100*time.Millisecond)) {
+	if now := time.Now(); now.Before(w.waitTo) && now.After(w.notified.Add(100*time.Millisecond)) {
 		w.broken.Early++
 	}
 	fate := w.fate(ids[0])
@@ -239,7 +239,7 @@
 	}
 	if fate.WaitMs > 0 {
 		w.mu.Lock()
-		w.told, w.waitTo = time.Now(), time.Now().Add(time.Duration(fate.WaitMs)*time.Millisecond)
+		w.notified, w.waitTo = time.Now(), time.Now().Add(time.Duration(fate.WaitMs)*time.Millisecond)
 		w.mu.Unlock()
 		rw.Header().Set("X-Backoff-Ms", strconv.Itoa(fate.WaitMs))
 	}
@@ -325,7 +325,7 @@
 
 // Configuration is what a courier beside this world is told.
 func (w *World) Configuration(name, listen string) []byte {
-	workload := func(name, repeat string, points float64) map[string]any {
+	class := func(name, repeat string, points float64) map[string]any {
 		return map[string]any{"name": name, "idempotency": repeat, "points": points, "slo-s": 1.0, "deadline-s": 8.0,
 			"late-worth": 0.5, "dedup-window-s": 5.0, "group": "all"}
 	}
@@ -333,7 +333,7 @@
 		"name": name, "listen": listen, "discovery": w.Discovery, "seed": "8c1f30d27a5be964", "known": w.Known(),
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024, "disk_mb": 3},
 		"settings": map[string]any{
-			"classes": []any{workload("update", "free", 1), workload("order", "single_shot", 2)},
+			"classes": []any{class("update", "free", 1), class("order", "single_shot", 2)},
 			"zones":   []string{"a"}, "shapes": []string{"plain"}, "fleet-size": 1, "ordinal": 0, "locality": 0,
 			"tick-s": 0.005, "discovery": "subscribe", "weight-kind": "nominal",
 			"family-info": map[string]any{"slots": 20, "decay": "halves", "per-call": []int{1}, "separate-routes": []bool{false}},
--- a/testbed/simulation/bench_test.go
+++ b/testbed/simulation/bench_test.go
@@ -23,16 +23,16 @@
 			d.Traffic.Destinations, d.Traffic.FullPerSec = size.destinations, float64(size.perSec)
 			w := scenario.Draw(d, 1)
 			b.ResetTimer()
-			var turns, records int
+			var turns, messages int
 			for range b.N {
 				v, st, err := Play(w, NewLocal(nil), Options{})
 				if err != nil {
 					b.Fatal(err)
 				}
-				turns, records = turns+st.Turns, records+v.Counts.Taken
+				turns, messages = turns+st.Turns, messages+v.Counts.Taken
 			}
 			span := b.Elapsed().Seconds()
-			b.ReportMetric(float64(records)/span, "records/s")
+			b.ReportMetric(float64(messages)/span, "records/s")
 			b.ReportMetric(float64(turns)/span, "turns/s")
 			b.ReportMetric(float64(b.N)*float64(w.End)/1e6/span, "x-real-time")
 		})
--- a/testbed/simulation/call.go
+++ b/testbed/simulation/call.go
@@ -9,7 +9,7 @@
 
 // load puts a record on a call; it returns the call if that is new.
 func (s *Sim) load(c *courier, a dispatch.Send, open map[dispatch.EndpointID]*call) *call {
-	at, r := s.at[a.Endpoint], c.records[a.Message]
+	at, r := s.at[a.Endpoint], c.messages[a.Message]
 	if at == nil || r != nil && at.dest != int(r.client.arrival.Dest) {
 		s.books.Crashed(s.now, c.no, "sent "+string(a.Message)+" to "+string(a.Endpoint)+", which is not of its destination")
 		return nil
@@ -18,18 +18,18 @@
 	if r == nil {
 		return nil
 	}
-	t := &trip{rec: r, no: dispatch.AttemptNumber(len(r.trips)), book: book,
+	t := &attempt{rec: r, no: dispatch.AttemptNumber(len(r.attempts)), book: book,
 		past: dispatch.PastAttempt{Endpoint: a.Endpoint, Zone: at.endpoint.Zone, SentAt: s.now}}
-	r.trips = append(r.trips, t)
+	r.attempts = append(r.attempts, t)
 	r.out++
-	if r.over || len(r.trips) > s.w.Day.Fleet.MaxTrips {
+	if r.over || len(r.attempts) > s.w.Day.Fleet.MaxAttempts {
 		s.settle(t, dispatch.AttemptFinished{Outcome: dispatch.Unprocessed})
 		return nil
 	}
 	plan := s.partners[at.dest].Plan()
 	item := s.item(r)
 	if cl := open[a.Endpoint]; cl != nil && len(cl.Items) < plan.PerCall {
-		cl.Items, cl.trips, t.call = append(cl.Items, item), append(cl.trips, t), cl
+		cl.Items, cl.attempts, t.call = append(cl.Items, item), append(cl.attempts, t), cl
 		s.limit(t, a.Timeout)
 		return nil
 	}
@@ -40,15 +40,15 @@
 	c.slots++
 	s.calls++
 	cl := &call{Call: endpointmodel.Call{ID: s.calls, Courier: c.no, Endpoint: a.Endpoint, Items: []endpointmodel.Item{item}}, courier: c,
-		life: c.life, at: at, trips: []*trip{t}, sent: s.now}
+		life: c.life, at: at, attempts: []*attempt{t}, sent: s.now}
 	t.call, open[a.Endpoint] = cl, cl
 	s.limit(t, a.Timeout)
 	return cl
 }
 
-func (s *Sim) item(r *record) endpointmodel.Item {
-	w := &s.w.Day.Workloads[r.client.arrival.Workload]
-	return endpointmodel.Item{Record: r.id, Origin: r.client.id, Repeat: invariants.RepeatOf(w.Repeat), OneZone: w.OneZone,
+func (s *Sim) item(r *message) endpointmodel.Item {
+	w := &s.w.Day.Classes[r.client.arrival.Class]
+	return endpointmodel.Item{Message: r.id, Origin: r.client.id, Repeat: invariants.RepeatOf(w.Repeat), OneZone: w.OneZone,
 		Window: config.Micros(w.Window)}
 }
 
@@ -88,23 +88,23 @@
 // reach lets a call's last byte come to its endpoint.
 func (s *Sim) reach(cl *call) {
 	if !cl.over {
-		s.flying[cl.ID] = cl
+		s.inFlight[cl.ID] = cl
 		s.came(cl.at.dest, s.partners[cl.at.dest].Take(s.now, &cl.Call))
 	}
 }
 
 // answered carries an endpoint's answer back.
 func (s *Sim) answered(a endpointmodel.Answer) {
-	cl := s.flying[a.Call.ID]
+	cl := s.inFlight[a.Call.ID]
 	if cl == nil {
 		return // nobody waits for it any more
 	}
-	delete(s.flying, cl.ID)
+	delete(s.inFlight, cl.ID)
 	s.after(s.now+s.way(cl.courier.zone, cl.at.endpoint.Zone), func() { s.outcome(cl, a.Outcome, a.Wait, a.Pressure) })
 }
 
 // limit ends a trip's time: the trips of one call have each their own.
-func (s *Sim) limit(t *trip, limit dispatch.Micros) {
+func (s *Sim) limit(t *attempt, limit dispatch.Micros) {
 	if limit <= 0 {
 		return
 	}
@@ -121,9 +121,9 @@
 }
 
 // giveUp ends one trip; where no other is left on its call, that is called off.
-func (s *Sim) giveUp(t *trip, o dispatch.Outcome) {
+func (s *Sim) giveUp(t *attempt, o dispatch.Outcome) {
 	s.settle(t, dispatch.AttemptFinished{Outcome: o, Duration: s.now - t.call.sent})
-	for _, other := range t.call.trips {
+	for _, other := range t.call.attempts {
 		if !other.over {
 			return
 		}
@@ -149,14 +149,14 @@
 	default:
 		s.hangUp(cl)
 	}
-	for _, t := range cl.trips {
+	for _, t := range cl.attempts {
 		s.settle(t, dispatch.AttemptFinished{Outcome: o, Duration: s.now - cl.sent, RetryAfter: wait, LoadReport: pressure})
 	}
 }
 
 // hangUp closes a call's connection.
 func (s *Sim) hangUp(cl *call) {
-	delete(s.flying, cl.ID)
+	delete(s.inFlight, cl.ID)
 	if !cl.linked {
 		return
 	}
@@ -168,7 +168,7 @@
 }
 
 // settle tells a courier how a trip ended.
-func (s *Sim) settle(t *trip, e dispatch.AttemptFinished) {
+func (s *Sim) settle(t *attempt, e dispatch.AttemptFinished) {
 	if t.over {
 		return
 	}
@@ -189,9 +189,9 @@
 
 // cancel calls a trip off.
 func (s *Sim) cancel(c *courier, a dispatch.Cancel) {
-	r := c.records[a.Message]
-	if r == nil || int(a.Attempt) >= len(r.trips) || r.trips[a.Attempt].over {
+	r := c.messages[a.Message]
+	if r == nil || int(a.Attempt) >= len(r.attempts) || r.attempts[a.Attempt].over {
 		return
 	}
-	s.giveUp(r.trips[a.Attempt], dispatch.Canceled)
+	s.giveUp(r.attempts[a.Attempt], dispatch.Canceled)
 }
--- a/testbed/simulation/client.go
+++ b/testbed/simulation/client.go
@@ -15,9 +15,9 @@
 	arrival scenario.Arrival
 	cutOff  dispatch.Micros
 	tries   int // hand-ins that a courier took
-	bounces int
+	rejects int
 	over    bool
-	held    *record // by the courier that has it now
+	held    *message // by the courier that has it now
 }
 
 // arrive hands in one record, and sees to the next.
@@ -34,8 +34,8 @@
 
 func (s *Sim) offer(i int, a scenario.Arrival) {
 	id := dispatch.MessageID("r" + strconv.Itoa(i))
-	cl := &client{id: id, arrival: a, cutOff: s.now + config.Micros(s.w.Day.Workloads[a.Workload].CutOff)}
-	s.books.Offered(s.now, id, int(a.Workload), int(a.Party), dispatch.DestinationID(a.Dest))
+	cl := &client{id: id, arrival: a, cutOff: s.now + config.Micros(s.w.Day.Classes[a.Class].CutOff)}
+	s.books.Offered(s.now, id, int(a.Class), int(a.Tenant), dispatch.DestinationID(a.Dest))
 	if s.rng.Float64() < s.w.Day.Clients.Leave {
 		s.after(s.now+dispatch.Micros(s.rng.Int64N(int64(cl.cutOff-s.now))), func() { s.leave(cl) })
 	}
@@ -60,17 +60,17 @@
 	}
 	cl.tries++
 	s.taken++
-	r := &record{id: id, number: s.taken, client: cl, courier: c}
+	r := &message{id: id, number: s.taken, client: cl, courier: c}
 	cl.held = r
-	c.records[id] = r
+	c.messages[id] = r
 	c.held++
 	key := dispatch.OrderingKey("")
 	if cl.arrival.Key >= 0 {
 		key = dispatch.OrderingKey("k" + strconv.Itoa(int(cl.arrival.Key)))
 	}
 	s.books.Taken(s.now, id, cl.id, c.no, key, cl.cutOff)
-	r.taken = dispatch.MessageAccepted{Message: id, Destination: dispatch.DestinationID(cl.arrival.Dest), Class: dispatch.ClassID(cl.arrival.Workload),
-		Tenant: dispatch.TenantID(cl.arrival.Party), OrderingKey: key, Deadline: cl.cutOff, Resubmitted: again}
+	r.taken = dispatch.MessageAccepted{Message: id, Destination: dispatch.DestinationID(cl.arrival.Dest), Class: dispatch.ClassID(cl.arrival.Class),
+		Tenant: dispatch.TenantID(cl.arrival.Tenant), OrderingKey: key, Deadline: cl.cutOff, Resubmitted: again}
 	s.tell(c, r.taken)
 }
 
@@ -85,14 +85,14 @@
 // comeAgain hands in anew what was bounced, after a while.
 func (s *Sim) comeAgain(cl *client, c *courier, advice dispatch.Micros) {
 	d := s.w.Day.Clients
-	if cl.over || cl.bounces >= d.Retries {
+	if cl.over || cl.rejects >= d.Retries {
 		return
 	}
-	wait := s.between(scenario.Range{d.Backoff[0] / 1000, d.Backoff[1] / 1000}) << cl.bounces
+	wait := s.between(scenario.Range{d.Backoff[0] / 1000, d.Backoff[1] / 1000}) << cl.rejects
 	if advice > 0 && s.rng.Float64() < d.Heed {
 		wait = advice
 	}
-	cl.bounces++
+	cl.rejects++
 	s.after(s.now+wait, func() { s.handIn(cl, s.other(c), true) })
 }
 
--- a/testbed/simulation/courier.go
+++ b/testbed/simulation/courier.go
@@ -21,35 +21,35 @@
 	zone     dispatch.ZoneID
 	alive    bool
 	closing  bool
-	life     int       // counts its starts, so that what belongs to an earlier one is known
-	spooled  []*record // what its folder holds while it is down, in the order taken
+	life     int        // counts its starts, so that what belongs to an earlier one is known
+	spooled  []*message // what its folder holds while it is down, in the order taken
 	standsTo dispatch.Micros
 	events   []dispatch.Event
 	due      dispatch.Micros // the tick at which it is told them; 0: none
-	records  map[dispatch.MessageID]*record
+	messages map[dispatch.MessageID]*message
 	held     int
 	slots    int                                            // taken
 	pools    map[dispatch.EndpointID][]dispatch.Micros      // idle connections, by when they began to rest
-	told     map[dispatch.EndpointID]dispatch.EndpointEntry // the list as it had it last
+	notified map[dispatch.EndpointID]dispatch.EndpointEntry // the list as it had it last
 	newsAt   dispatch.Micros
 	watching bool
-	commons  *quota.Allocator // nil: limits are not shared
+	quota    *quota.Allocator // nil: limits are not shared
 }
 
 // record is a record at one courier.
-type record struct {
-	id      dispatch.MessageID
-	client  *client
-	courier *courier
-	number  int // in the order taken by all couriers
-	taken   dispatch.MessageAccepted
-	trips   []*trip
-	out     int
-	over    bool
+type message struct {
+	id       dispatch.MessageID
+	client   *client
+	courier  *courier
+	number   int // in the order taken by all couriers
+	taken    dispatch.MessageAccepted
+	attempts []*attempt
+	out      int
+	over     bool
 }
 
-type trip struct {
-	rec  *record
+type attempt struct {
+	rec  *message
 	no   dispatch.AttemptNumber
 	book int // its number in the books
 	call *call
@@ -60,13 +60,13 @@
 // call is one call on its way.
 type call struct {
 	endpointmodel.Call
-	courier *courier
-	life    int
-	at      *spot
-	trips   []*trip
-	sent    dispatch.Micros
-	linked  bool // its connection is up
-	over    bool // the courier knows its end, or waits no more
+	courier  *courier
+	life     int
+	at       *spot
+	attempts []*attempt
+	sent     dispatch.Micros
+	linked   bool // its connection is up
+	over     bool // the courier knows its end, or waits no more
 }
 
 func (s *Sim) start(c *courier) {
@@ -76,9 +76,9 @@
 	c.alive, c.closing, c.watching = true, false, false
 	c.life++
 	c.events, c.due, c.held, c.slots = nil, 0, 0, 0
-	c.records, c.pools = map[dispatch.MessageID]*record{}, map[dispatch.EndpointID][]dispatch.Micros{}
+	c.messages, c.pools = map[dispatch.MessageID]*message{}, map[dispatch.EndpointID][]dispatch.Micros{}
 	salt := int64(s.rng.Uint64() >> 1)
-	ch, err := s.w.Charter(c.no, salt)
+	ch, err := s.w.Config(c.no, salt)
 	if err == nil {
 		err = s.host.Start(c.no, s.commune(c, ch), config.Flatten(s.w.Settings(c.no)))
 	}
@@ -89,9 +89,9 @@
 	if c.life > 1 {
 		s.books.Back(s.now, c.no)
 	}
-	s.tell(c, dispatch.EndpointUpdate{Kind: dispatch.CachedList, Entries: inOrder(c.told)})
-	if lore, ok := s.lores[c.no]; ok {
-		s.tell(c, dispatch.SnapshotRestored{Snapshot: lore})
+	s.tell(c, dispatch.EndpointUpdate{Kind: dispatch.CachedList, Entries: inOrder(c.notified)})
+	if snapshot, ok := s.lores[c.no]; ok {
+		s.tell(c, dispatch.SnapshotRestored{Snapshot: snapshot})
 	}
 	s.takeUpAgain(c)
 	if s.w.Day.Directory.Mode == "push" {
@@ -121,8 +121,8 @@
 	if !c.alive {
 		return
 	}
-	if c.closing && s.Lore > 0 {
-		s.takeLore(c)
+	if c.closing && s.SnapshotInterval > 0 {
+		s.takeSnapshot(c)
 	}
 	c.alive = false
 	s.host.Kill(c.no)
@@ -131,9 +131,9 @@
 			s.partners[s.at[id].dest].Disconnect(id)
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(c.records)) {
-		r := c.records[id]
-		for _, t := range r.trips {
+	for _, id := range slices.Sorted(maps.Keys(c.messages)) {
+		r := c.messages[id]
+		for _, t := range r.attempts {
 			if !t.over && !t.call.over {
 				t.call.over = true
 				s.hangUp(t.call)
@@ -148,12 +148,12 @@
 			continue
 		}
 		r.over = true
-		if work := &s.w.Day.Workloads[r.client.arrival.Workload]; work.Repeat != "single-use" || !s.books.MayHaveRun(id) {
+		if work := &s.w.Day.Classes[r.client.arrival.Class]; work.Repeat != "single-use" || !s.books.MayHaveRun(id) {
 			s.after(s.now+s.between(s.w.Day.Clients.Again), func() { s.handIn(r.client, s.other(c), true) })
 		}
 	}
-	slices.SortStableFunc(c.spooled, func(a, b *record) int { return cmp.Compare(a.number, b.number) })
-	s.books.Down(s.now, c.no, !s.Spool, s.Lore == 0)
+	slices.SortStableFunc(c.spooled, func(a, b *message) int { return cmp.Compare(a.number, b.number) })
+	s.books.Down(s.now, c.no, !s.Spool, s.SnapshotInterval == 0)
 }
 
 // takeUpAgain hands a courier what its folder held.
@@ -163,10 +163,10 @@
 			continue // withdrawn meanwhile
 		}
 		e := dispatch.MessageRecovered{MessageAccepted: r.taken}
-		for _, t := range r.trips {
+		for _, t := range r.attempts {
 			e.Attempts = append(e.Attempts, t.past)
 		}
-		c.records[r.id] = r
+		c.messages[r.id] = r
 		c.held++
 		s.tell(c, e)
 	}
@@ -175,9 +175,9 @@
 
 // cutOff ends what a killed courier had out. A folder knows of an attempt from its first byte on: before, it never was;
 // after, it may have run.
-func (s *Sim) cutOff(r *record) {
+func (s *Sim) cutOff(r *message) {
 	r.out = 0
-	r.trips = slices.DeleteFunc(r.trips, func(t *trip) bool {
+	r.attempts = slices.DeleteFunc(r.attempts, func(t *attempt) bool {
 		if t.over {
 			return false
 		}
@@ -258,11 +258,11 @@
 		case dispatch.Cancel:
 			s.cancel(c, a)
 		case dispatch.Reject:
-			if r := s.ended(c, a.Message, invariants.Bounced); r != nil {
+			if r := s.ended(c, a.Message, invariants.Rejected); r != nil {
 				s.comeAgain(r.client, c, min(a.RetryAfter, config.Micros(s.w.Day.Fleet.LongestWait)))
 			}
 		case dispatch.Fail:
-			if r := s.ended(c, a.Message, invariants.Terminated); r != nil {
+			if r := s.ended(c, a.Message, invariants.Failed); r != nil {
 				r.client.over = true
 			}
 		case dispatch.SetTimer:
@@ -287,8 +287,8 @@
 }
 
 // ended takes a courier's final answer for a record; nil where it had one already.
-func (s *Sim) ended(c *courier, id dispatch.MessageID, how invariants.End) *record {
-	r := c.records[id]
+func (s *Sim) ended(c *courier, id dispatch.MessageID, how invariants.End) *message {
+	r := c.messages[id]
 	if r == nil || r.over {
 		s.books.Ended(s.now, id, how) // they know what to think of it
 		return nil
@@ -297,18 +297,18 @@
 	return r
 }
 
-func (s *Sim) end(r *record, how invariants.End) {
+func (s *Sim) end(r *message, how invariants.End) {
 	s.books.Ended(s.now, r.id, how)
 	s.close(r)
 }
 
 // close forgets a record that is over, once nothing of it is out.
-func (s *Sim) close(r *record) {
+func (s *Sim) close(r *message) {
 	if !r.over {
 		r.over = true
 		r.courier.held--
 	}
 	if r.out == 0 {
-		delete(r.courier.records, r.id)
+		delete(r.courier.messages, r.id)
 	}
 }
--- a/testbed/simulation/directory.go
+++ b/testbed/simulation/directory.go
@@ -63,21 +63,21 @@
 // hear hands news to a courier.
 func (d *directory) hear(c *courier, how dispatch.UpdateKind, entries []dispatch.EndpointEntry) {
 	s := d.sim
-	before := c.told
+	before := c.notified
 	if how == dispatch.CompleteList {
-		c.told = map[dispatch.EndpointID]dispatch.EndpointEntry{}
+		c.notified = map[dispatch.EndpointID]dispatch.EndpointEntry{}
 	}
 	for _, l := range entries {
 		if l.Phase == dispatch.Removed {
-			delete(c.told, l.Endpoint)
+			delete(c.notified, l.Endpoint)
 		} else {
-			c.told[l.Endpoint] = l
+			c.notified[l.Endpoint] = l
 		}
-		s.books.Told(s.now, c.no, l.Endpoint, l.Phase)
+		s.books.Notified(s.now, c.no, l.Endpoint, l.Phase)
 	}
 	for id := range before { // what is missing in a whole list is gone
-		if _, listed := c.told[id]; !listed {
-			s.books.Told(s.now, c.no, id, dispatch.Removed)
+		if _, listed := c.notified[id]; !listed {
+			s.books.Notified(s.now, c.no, id, dispatch.Removed)
 		}
 	}
 	s.tell(c, dispatch.EndpointUpdate{Kind: how, Entries: entries})
--- a/testbed/simulation/golden_test.go
+++ b/testbed/simulation/golden_test.go
@@ -89,9 +89,9 @@
 	if err != nil {
 		return "", err
 	}
-	options := Options{Lore: 500 * 1000, Spool: true}
+	options := Options{SnapshotInterval: 500 * 1000, Spool: true}
 	if p.day == "shared-limits" {
-		options.Share = Share{Beat: 500 * 1000, Loss: 0.1}
+		options.Share = Share{Interval: 500 * 1000, Loss: 0.1}
 	}
 	digest, actions := sha256.New(), 0
 	_, _, err = Play(scenario.Draw(d, p.seed), NewLocal(func(number int, ch dispatch.Config) Decider {
--- a/testbed/simulation/quota.go
+++ b/testbed/simulation/quota.go
@@ -7,11 +7,11 @@
 	"pineport/quota"
 )
 
-// Share is how couriers share limits, in virtual time; a Beat of 0: they do not. Membership is as if every courier knew at once who runs.
+// Share is how couriers share limits, in virtual time; a Interval of 0: they do not. Membership is as if every courier knew at once who runs.
 type Share struct {
-	Beat dispatch.Micros
-	Deaf float64 // share of the couriers that hear nothing, and are heard
-	Loss float64 // share of the packets that are lost
+	Interval dispatch.Micros
+	Deaf     float64 // share of the couriers that hear nothing, and are heard
+	Loss     float64 // share of the packets that are lost
 }
 
 const (
@@ -22,23 +22,23 @@
 
 // commune has a courier that begins share limits; an earlier start may have lent half of each of its parts.
 func (s *Sim) commune(c *courier, ch dispatch.Config) dispatch.Config {
-	if s.Share.Beat <= 0 {
+	if s.Share.Interval <= 0 {
 		return ch
 	}
-	c.commons = quota.New(s.now, quota.Config{Self: nameOf(c.no), Incarnation: uint64(c.life), Couriers: ch.Couriers, Seed: int64(s.rng.Uint64() >> 1)})
+	c.quota = quota.New(s.now, quota.Config{Self: nameOf(c.no), Incarnation: uint64(c.life), Couriers: ch.Couriers, Seed: int64(s.rng.Uint64() >> 1)})
 	life := c.life
-	s.after(s.now+dispatch.Micros(s.rng.Int64N(int64(s.Share.Beat))), func() { s.beat(c, life) })
+	s.after(s.now+dispatch.Micros(s.rng.Int64N(int64(s.Share.Interval))), func() { s.tickQuota(c, life) })
 	ch.GrantedUntil = s.now + quota.GrantHorizon
 	return ch
 }
 
 func nameOf(no int) string { return fmt.Sprintf("n%d", no) }
 
-func (s *Sim) beat(c *courier, life int) {
+func (s *Sim) tickQuota(c *courier, life int) {
 	if !c.alive || c.life != life {
 		return
 	}
-	s.after(s.now+s.Share.Beat, func() { s.beat(c, life) })
+	s.after(s.now+s.Share.Interval, func() { s.tickQuota(c, life) })
 	local, ok := s.host.(*Local)
 	if !ok || s.now < c.standsTo {
 		return
@@ -53,11 +53,11 @@
 			fleet.Alive = append(fleet.Alive, nameOf(o.no))
 		}
 	}
-	s.commons(c, fleet, quota.Told(d.Demands()), quota.Tick{})
+	s.quota(c, fleet, quota.DemandsOf(d.Demands()), quota.Tick{})
 }
 
-func (s *Sim) commons(c *courier, events ...quota.Event) {
-	for _, action := range c.commons.Handle(s.now, events...) {
+func (s *Sim) quota(c *courier, events ...quota.Event) {
+	for _, action := range c.quota.Handle(s.now, events...) {
 		switch a := action.(type) {
 		case quota.ShareChanged:
 			e := quota.ToDispatch(a.Shares, func(t dispatch.Micros) dispatch.Micros { return t }) // one clock
@@ -83,7 +83,7 @@
 	life := to.life
 	s.after(s.now+packetLeast+dispatch.Micros(s.rng.Int64N(packetMost-packetLeast)), func() {
 		if to.alive && to.life == life && s.now >= to.standsTo {
-			s.commons(to, quota.PacketReceived{Packet: a.Packet})
+			s.quota(to, quota.PacketReceived{Packet: a.Packet})
 		}
 	})
 }
--- a/testbed/simulation/restarts_test.go
+++ b/testbed/simulation/restarts_test.go
@@ -32,16 +32,16 @@
 // foundAtRestarts are messages with an idempotency key that restarts found, and how often such a one was sent afterwards.
 type foundAtRestarts struct {
 	window                            dispatch.Micros
-	workloads                         map[dispatch.ClassID]bool // those with an idempotency key
+	classes                           map[dispatch.ClassID]bool // those with an idempotency key
 	untried, within, over             map[dispatch.MessageID]bool
 	sentUntried, sentWithin, sentOver int
 }
 
 func newFoundAtRestarts(window dispatch.Micros, keyed ...dispatch.ClassID) *foundAtRestarts {
-	f := &foundAtRestarts{window: window, workloads: map[dispatch.ClassID]bool{}, untried: map[dispatch.MessageID]bool{},
+	f := &foundAtRestarts{window: window, classes: map[dispatch.ClassID]bool{}, untried: map[dispatch.MessageID]bool{},
 		within: map[dispatch.MessageID]bool{}, over: map[dispatch.MessageID]bool{}}
 	for _, w := range keyed {
-		f.workloads[w] = true
+		f.classes[w] = true
 	}
 	return f
 }
@@ -50,7 +50,7 @@
 func (f *foundAtRestarts) found(now dispatch.Micros, e dispatch.MessageRecovered) {
 	delete(f.untried, e.Message)
 	delete(f.within, e.Message)
-	if !f.workloads[e.Class] {
+	if !f.classes[e.Class] {
 		return
 	}
 	for _, p := range e.Attempts {
--- a/testbed/simulation/simulation.go
+++ b/testbed/simulation/simulation.go
@@ -41,7 +41,7 @@
 	listed   *directory
 	calls    uint64
 	taken    int              // messages, by all couriers
-	flying   map[uint64]*call // those whose endpoint may still answer
+	inFlight map[uint64]*call // those whose endpoint may still answer
 	stats    Stats
 	err      error
 	lores    map[int]dispatch.Snapshot
@@ -65,9 +65,9 @@
 type Options struct {
 	// Watch is called every half second of virtual time.
 	Watch func(now dispatch.Micros)
-	// Lore is how often each courier's lore is kept for its next start, as a file would; 0: never. At a planned end it is
+	// SnapshotInterval is how often each courier's lore is kept for its next start, as a file would; 0: never. At a planned end it is
 	// kept last.
-	Lore dispatch.Micros
+	SnapshotInterval dispatch.Micros
 	// Spool has what a killed courier held come back to it at its next start, as its folder would; else its clients hand it
 	// in anew.
 	Spool bool
@@ -83,7 +83,7 @@
 	}
 	s := &Sim{w: w, books: invariants.New(setup), host: host, rng: rand.New(rand.NewPCG(uint64(w.Seed), 77)),
 		tick: config.Micros(w.Day.Fleet.Tick / 1000), at: map[dispatch.EndpointID]*spot{}, turns: map[dispatch.Micros][]*courier{},
-		flying: map[uint64]*call{}, lores: map[int]dispatch.Snapshot{}, Options: o}
+		inFlight: map[uint64]*call{}, lores: map[int]dispatch.Snapshot{}, Options: o}
 	s.listed = newDirectory(s)
 	for i := range w.Destinations {
 		p := endpointmodel.New(w.Destinations[i].Plan)
@@ -93,7 +93,7 @@
 		}
 	}
 	for i := range w.Day.Fleet.Couriers {
-		c := &courier{sim: s, no: i, zone: w.CourierZone[i], told: s.listed.all()}
+		c := &courier{sim: s, no: i, zone: w.CourierZone[i], notified: s.listed.all()}
 		s.couriers = append(s.couriers, c)
 		s.start(c)
 	}
@@ -104,9 +104,9 @@
 	if o.Watch != nil {
 		s.look()
 	}
-	if o.Lore > 0 {
+	if o.SnapshotInterval > 0 {
 		for i, c := range s.couriers {
-			s.after(o.Lore*dispatch.Micros(i)/dispatch.Micros(len(s.couriers)), func() { s.keepLore(c) })
+			s.after(o.SnapshotInterval*dispatch.Micros(i)/dispatch.Micros(len(s.couriers)), func() { s.keepSnapshots(c) })
 		}
 	}
 	for s.err == nil && len(s.queue) > 0 && s.queue[0].at <= w.End {
@@ -124,12 +124,12 @@
 }
 
 // keepLore keeps what a courier has learned, now and again after a while.
-func (s *Sim) keepLore(c *courier) {
-	s.takeLore(c)
-	s.after(s.now+s.Lore, func() { s.keepLore(c) })
+func (s *Sim) keepSnapshots(c *courier) {
+	s.takeSnapshot(c)
+	s.after(s.now+s.SnapshotInterval, func() { s.keepSnapshots(c) })
 }
 
-func (s *Sim) takeLore(c *courier) {
+func (s *Sim) takeSnapshot(c *courier) {
 	if local, ok := s.host.(*Local); ok && c.alive {
 		if d, ok := local.Courier(c.no).(dispatch.Snapshotter); ok {
 			s.lores[c.no] = d.Snapshot()
@@ -152,9 +152,9 @@
 func (s *Sim) act(a scenario.Act) {
 	switch a.Kind {
 	case scenario.Begins:
-		s.came(a.Dest, s.partners[a.Dest].Strike(s.now, a.Endpoint.ID, a.Strike))
+		s.came(a.Dest, s.partners[a.Dest].Inject(s.now, a.Endpoint.ID, a.Fault))
 	case scenario.Ends:
-		s.came(a.Dest, s.partners[a.Dest].Heal(s.now, a.Endpoint.ID, a.Strike.ID))
+		s.came(a.Dest, s.partners[a.Dest].Heal(s.now, a.Endpoint.ID, a.Fault.ID))
 	case scenario.Adds:
 		s.partners[a.Dest].Add(a.Endpoint)
 		s.at[a.Endpoint.ID] = &spot{a.Dest, a.Endpoint, s.partners[a.Dest].Route(a.Endpoint.ID)}
@@ -188,7 +188,7 @@
 		case endpointmodel.Answer:
 			s.answered(o)
 		case endpointmodel.Ran:
-			s.books.Ran(s.now, o.Item.Record, o.Endpoint, o.Before, o.Known)
+			s.books.Ran(s.now, o.Item.Message, o.Endpoint, o.Before, o.Known)
 		case endpointmodel.Fell:
 			s.books.Fell(s.now, dispatch.DestinationID(dest), o.Route, o.Sent)
 		case endpointmodel.Turned:
--- a/testbed/simulation/wrong_test.go
+++ b/testbed/simulation/wrong_test.go
@@ -11,13 +11,13 @@
 // wrong is a courier that breaks one rule: it passes events and actions through and spoils what it is told to.
 type wrong struct {
 	Decider
-	spoil func(w *wrong, now dispatch.Micros, events []dispatch.Event, actions []dispatch.Action) []dispatch.Action
-	seen  map[dispatch.MessageID]dispatch.MessageAccepted
-	trips map[dispatch.MessageID]int
-	ended []dispatch.MessageID
-	gone  map[dispatch.EndpointID]dispatch.DestinationID
-	all   map[dispatch.EndpointID]dispatch.EndpointEntry
-	waits map[dispatch.DestinationID]dispatch.Micros
+	spoil    func(w *wrong, now dispatch.Micros, events []dispatch.Event, actions []dispatch.Action) []dispatch.Action
+	seen     map[dispatch.MessageID]dispatch.MessageAccepted
+	attempts map[dispatch.MessageID]int
+	ended    []dispatch.MessageID
+	gone     map[dispatch.EndpointID]dispatch.DestinationID
+	all      map[dispatch.EndpointID]dispatch.EndpointEntry
+	waits    map[dispatch.DestinationID]dispatch.Micros
 }
 
 func (w *wrong) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
@@ -45,7 +45,7 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case dispatch.Send:
-			w.trips[a.Message]++
+			w.attempts[a.Message]++
 		case dispatch.Reject:
 			w.ended = append(w.ended, a.Message)
 		}
@@ -152,7 +152,7 @@
 				t.Fatalf("the right courier: %v, %s %v", err, right.Short(), right.Breaches)
 			}
 			v, _, err := Play(w, NewLocal(func(_ int, ch dispatch.Config) Decider {
-				return &wrong{Decider: dispatch.New(ch), spoil: c.spoil, seen: map[dispatch.MessageID]dispatch.MessageAccepted{}, trips: map[dispatch.MessageID]int{},
+				return &wrong{Decider: dispatch.New(ch), spoil: c.spoil, seen: map[dispatch.MessageID]dispatch.MessageAccepted{}, attempts: map[dispatch.MessageID]int{},
 					gone: map[dispatch.EndpointID]dispatch.DestinationID{}, all: map[dispatch.EndpointID]dispatch.EndpointEntry{}, waits: map[dispatch.DestinationID]dispatch.Micros{}}
 			}), Options{})
 			if err != nil {
@@ -167,17 +167,17 @@
 
 // eager sends all at once, in any order, until it is done: it heeds neither returns nor the order of keys.
 type eager struct {
-	ch    dispatch.Config
-	list  map[dispatch.DestinationID][]dispatch.EndpointID
-	dest  map[dispatch.MessageID]dispatch.MessageAccepted
-	trips int
+	ch       dispatch.Config
+	list     map[dispatch.DestinationID][]dispatch.EndpointID
+	dest     map[dispatch.MessageID]dispatch.MessageAccepted
+	attempts int
 }
 
 func (e *eager) Handle(_ dispatch.Micros, events []dispatch.Event) (out []dispatch.Action) {
 	send := func(taken dispatch.MessageAccepted) {
 		if at := e.list[taken.Destination]; len(at) > 0 {
-			e.trips++
-			out = append(out, dispatch.Send{Message: taken.Message, Endpoint: at[e.trips%len(at)], Timeout: 2 * 1000 * 1000})
+			e.attempts++
+			out = append(out, dispatch.Send{Message: taken.Message, Endpoint: at[e.attempts%len(at)], Timeout: 2 * 1000 * 1000})
 		}
 	}
 	for _, event := range events {
@@ -201,7 +201,7 @@
 func TestEagerCourierBreaksReturnsAndOrder(t *testing.T) {
 	for name, rule := range map[string]invariants.Rule{"silent-and-cold": invariants.Pushed, "in-order": invariants.Order} {
 		d := find(t, name)
-		d.Fleet.SlotsRoom, d.Fleet.MaxTrips = 50, 100
+		d.Fleet.SlotsRoom, d.Fleet.MaxAttempts = 50, 100
 		d.Rules.Fall = 1.2
 		v, _, err := Play(scenario.Draw(d, 1), NewLocal(func(_ int, ch dispatch.Config) Decider {
 			return &eager{ch: ch, list: map[dispatch.DestinationID][]dispatch.EndpointID{}, dest: map[dispatch.MessageID]dispatch.MessageAccepted{}}
--- a/transport/crossings_test.go
+++ b/transport/crossings_test.go
@@ -40,7 +40,7 @@
 			io.WriteString(conn, "x")
 		}
 	}()
-	driver.Dial(l.Addr().String(), 5*time.Second, newTold(func(*Conn, []byte) {
+	driver.Dial(l.Addr().String(), 5*time.Second, newRecordingHandler(func(*Conn, []byte) {
 		close(stands)
 		<-release
 	}))
@@ -55,26 +55,26 @@
 }
 
 // taking keeps the handlers of connections that are taken in, in their order.
-type taking chan *told
+type taking chan *recordingHandler
 
 func (c taking) accept() Handler {
-	h := &told{closed: make(chan struct{})}
+	h := &recordingHandler{closed: make(chan struct{})}
 	h.on = func(conn *Conn, b []byte) { conn.Write(b) }
 	return &announced{h, c}
 }
 
 // announced tells of its connection once that is up.
 type announced struct {
-	*told
+	*recordingHandler
 	to taking
 }
 
 func (a *announced) Opened(conn *Conn) {
-	a.told.Opened(conn)
-	a.to <- a.told
+	a.recordingHandler.Opened(conn)
+	a.to <- a.recordingHandler
 }
 
-func (c taking) next(t *testing.T) *told {
+func (c taking) next(t *testing.T) *recordingHandler {
 	t.Helper()
 	select {
 	case h := <-c:
@@ -178,8 +178,8 @@
 	close(goOn)
 }
 
-// TestAReasonIsToldOnce: a handler that fails its connection is told so by Closed, and of nothing after it.
-func TestAReasonIsToldOnce(t *testing.T) {
+// TestCloseReasonIsReportedOnce: a handler that fails its connection is told so by Closed, and of nothing after it.
+func TestCloseReasonIsReportedOnce(t *testing.T) {
 	why := errors.New("as if spoilt")
 	ended := make(chan error, 2)
 	driver, addr := open(t, func() Handler { return &failingHandler{why, ended} })
@@ -303,9 +303,9 @@
 		if _, err := io.ReadFull(peer, make([]byte, 1)); err != nil {
 			t.Fatal(err)
 		}
-		var all []*told
+		var all []*recordingHandler
 		for range 20 {
-			h := newTold(nil)
+			h := newRecordingHandler(nil)
 			all = append(all, h)
 			driver.Dial(l.Addr().String(), 5*time.Second, h)
 		}
--- a/transport/halfclose_test.go
+++ b/transport/halfclose_test.go
@@ -8,7 +8,7 @@
 
 // owing is a handler that writes its reply when the test says so.
 type owing struct {
-	*told
+	*recordingHandler
 	due chan struct{} // closed when the reply has been written
 }
 
@@ -27,7 +27,7 @@
 	for name, endFirst := range map[string]bool{"ends with the request": true, "ends while it is handled": false} {
 		t.Run(name, func(t *testing.T) {
 			read := make(chan struct{}, 1)
-			o := &owing{newTold(func(*Conn, []byte) { read <- struct{}{} }), make(chan struct{})}
+			o := &owing{newRecordingHandler(func(*Conn, []byte) { read <- struct{}{} }), make(chan struct{})}
 			_, addr := open(t, func() Handler { return o })
 			peer := dial(t, addr)
 			io.WriteString(peer, "request")
@@ -58,7 +58,7 @@
 // TestResetPeerIsNotHalfClosed: a peer that resets its connection reads nothing more, and no descriptor is kept for it.
 func TestResetPeerIsNotHalfClosed(t *testing.T) {
 	read := make(chan struct{}, 1)
-	o := &owing{newTold(func(*Conn, []byte) { read <- struct{}{} }), make(chan struct{})}
+	o := &owing{newRecordingHandler(func(*Conn, []byte) { read <- struct{}{} }), make(chan struct{})}
 	_, addr := open(t, func() Handler { return o })
 	peer := dial(t, addr)
 	io.WriteString(peer, "request")
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -386,10 +386,10 @@
 	}
 	c.state.Unlock()
 	c.turn.Lock()
-	told := c.last
+	reported := c.last
 	c.last = true
 	c.turn.Unlock()
-	if !told {
+	if !reported {
 		c.run(func() { c.handler.Closed(c, err) })
 	}
 }
--- a/transport/transport_test.go
+++ b/transport/transport_test.go
@@ -14,7 +14,7 @@
 )
 
 // told writes down what a handler is told.
-type told struct {
+type recordingHandler struct {
 	mu     sync.Mutex
 	events []string
 	data   bytes.Buffer
@@ -23,20 +23,22 @@
 	closed chan struct{}
 }
 
-func newTold(on func(conn *Conn, b []byte)) *told { return &told{on: on, closed: make(chan struct{})} }
+func newRecordingHandler(on func(conn *Conn, b []byte)) *recordingHandler {
+	return &recordingHandler{on: on, closed: make(chan struct{})}
+}
 
-func (h *told) note(event string) {
+func (h *recordingHandler) note(event string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.events = append(h.events, event)
 }
 
-func (h *told) Opened(conn *Conn) {
+func (h *recordingHandler) Opened(conn *Conn) {
 	h.conn = conn
 	h.note("opened")
 }
 
-func (h *told) Data(conn *Conn, b []byte) {
+func (h *recordingHandler) Data(conn *Conn, b []byte) {
 	h.mu.Lock()
 	h.data.Write(b)
 	h.mu.Unlock()
@@ -45,12 +47,12 @@
 	}
 }
 
-func (h *told) Closed(_ *Conn, err error) {
+func (h *recordingHandler) Closed(_ *Conn, err error) {
 	h.note("closed")
 	close(h.closed)
 }
 
-func (h *told) wait(t *testing.T) string {
+func (h *recordingHandler) wait(t *testing.T) string {
 	t.Helper()
 	select {
 	case <-h.closed:
@@ -79,7 +81,7 @@
 		t.Fatal(err)
 	}
 	defer letGo()
-	h := newTold(nil)
+	h := newRecordingHandler(nil)
 	conn := driver.Dial(nobody, time.Second, h)
 	if got := h.wait(t); got != "closed" {
 		t.Errorf("told %q", got)
@@ -92,15 +94,15 @@
 // TestADialGivenUpIsClosed: given up at any moment of its coming up, a connection ends here, and at the other side if it came that far.
 func TestADialGivenUpIsClosed(t *testing.T) {
 	var mu sync.Mutex
-	var came []*told
+	var came []*recordingHandler
 	driver, addr := open(t, func() Handler {
 		mu.Lock()
 		defer mu.Unlock()
-		came = append(came, newTold(nil))
+		came = append(came, newRecordingHandler(nil))
 		return came[len(came)-1]
 	})
 	for i := range 40 {
-		h := newTold(nil)
+		h := newRecordingHandler(nil)
 		conn := driver.Dial(addr, time.Second, h)
 		time.Sleep(time.Duration(i) * 10 * time.Microsecond)
 		conn.Close()
@@ -108,7 +110,7 @@
 			t.Errorf("told %q", got)
 		}
 	}
-	last := newTold(nil) // by the time it is up, all before it were let in
+	last := newRecordingHandler(nil) // by the time it is up, all before it were let in
 	conn := driver.Dial(addr, time.Second, last)
 	for conn.up() == nil {
 		time.Sleep(time.Millisecond)
@@ -126,7 +128,7 @@
 func TestLargeBodiesBothWays(t *testing.T) {
 	body := bytes.Repeat([]byte("0123456789abcdef"), 20000)
 	_, addr := open(t, func() Handler {
-		return newTold(func(conn *Conn, b []byte) {
+		return newRecordingHandler(func(conn *Conn, b []byte) {
 			if err := conn.Write(b); err != nil {
 				t.Error(err)
 			}
@@ -147,7 +149,7 @@
 
 func TestTheLastBytesBeforeAnEnd(t *testing.T) {
 	body := bytes.Repeat([]byte("x"), 200_000)
-	h := newTold(nil)
+	h := newRecordingHandler(nil)
 	_, addr := open(t, func() Handler { return h })
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -163,7 +165,7 @@
 
 func TestAPanicStopsAtItsConnection(t *testing.T) {
 	_, addr := open(t, func() Handler {
-		return newTold(func(conn *Conn, b []byte) {
+		return newRecordingHandler(func(conn *Conn, b []byte) {
 			if b[0] == '!' {
 				panic("as if by a fault in a parser")
 			}
@@ -191,8 +193,8 @@
 }
 
 func TestCloseIfAsksFirst(t *testing.T) {
-	h := newTold(nil)
-	driver, addr := open(t, func() Handler { return newTold(nil) })
+	h := newRecordingHandler(nil)
+	driver, addr := open(t, func() Handler { return newRecordingHandler(nil) })
 	conn := driver.Dial(addr, time.Second, h)
 	if conn.CloseIf(func() bool { return false }) || !conn.CloseIf(func() bool { return true }) {
 		t.Error("not as it was told")
