--- a/admin/admin.go
+++ b/admin/admin.go
@@ -124,7 +124,7 @@
 		http.NotFound(w, r)
 		return
 	}
-	s.log.Info("call", "what", r.URL.Path, "from", r.RemoteAddr)
+	s.log.Info("admin request", "path", r.URL.Path, "remote", r.RemoteAddr)
 	(*f).Remove(r.PathValue("name"))
 	io.WriteString(w, "done\n")
 }
@@ -197,7 +197,7 @@
 	ctx, cancel := context.WithTimeout(r.Context(), answerTimeout)
 	defer cancel()
 	err := courier.Execute(ctx, what)
-	s.log.Info("call", "what", r.URL.Path, "from", r.RemoteAddr, "fault", err)
+	s.log.Info("admin request", "path", r.URL.Path, "remote", r.RemoteAddr, "error", err)
 	switch {
 	case errors.Is(err, ErrUnknownEndpoint):
 		http.Error(w, err.Error(), http.StatusNotFound)
--- a/cmd/pineport/fleet.go
+++ b/cmd/pineport/fleet.go
@@ -27,7 +27,7 @@
 	dep, log := p.dep, p.log.With(logging.Component, "peers")
 	if !dep.Peers.On() {
 		if dep.Peers.Listen != "" {
-			log.Warn("no membership: the settings let couriers not talk", "key", "settings.ceilings.peers")
+			log.Warn("membership is off: not allowed by the settings", "key", "settings.ceilings.peers")
 		}
 		return func() {}
 	}
@@ -43,7 +43,7 @@
 	go func() {
 		m, x, err := p.join(ctx, router, given, log)
 		if err != nil {
-			log.Error("not in the fleet", "fault", err)
+			log.Error("membership failed to start", "error", err)
 			close(member)
 			return
 		}
@@ -88,7 +88,7 @@
 	} else {
 		var fault error
 		if o.Incarnation, fault, err = incarnation.Next(dep.Spool, dep.Name); fault != nil {
-			log.Warn("the number of the last start is not known", "file", incarnation.Name, "fault", fault)
+			log.Warn("last incarnation unknown", "file", incarnation.Name, "error", fault)
 		}
 		if err != nil {
 			return nil, nil, err // a number that is not kept might be used twice
--- a/cmd/pineport/learned_test.go
+++ b/cmd/pineport/learned_test.go
@@ -59,7 +59,7 @@
 		t.Fatal(err)
 	}
 	c.start()
-	if n := strings.Count(c.said(), "what was learned is not used"); n != 1 {
+	if n := strings.Count(c.said(), "snapshot not used"); n != 1 {
 		t.Errorf("a spoilt file is told %d times:\n%s", n, c.said())
 	}
 }
--- a/cmd/pineport/main_test.go
+++ b/cmd/pineport/main_test.go
@@ -253,7 +253,7 @@
 			return done > 0 || len(notices) > 0
 		})
 	}
-	if !strings.Contains(c.said(), "taken up again") {
+	if !strings.Contains(c.said(), "recovered after restart") {
 		t.Error("nothing was taken up again after the SIGKILL")
 	}
 	for _, id := range ids {
@@ -351,7 +351,7 @@
 		if err := world.Grow(2 + round); err != nil {
 			t.Fatal(err)
 		}
-		reload(world.Configuration("n0", c.listen), "read anew")
+		reload(world.Configuration("n0", c.listen), "configuration reloaded")
 		leave()
 		waitFor(t, "notice", 2*time.Second, func() bool {
 			_, _, notices := world.Seen(fmt.Sprintf("fail-%d", round))
--- a/cmd/pineport/ops_test.go
+++ b/cmd/pineport/ops_test.go
@@ -174,7 +174,7 @@
 		t.Errorf("%+v", f)
 	}
 	c.cmd.Process.Signal(syscall.SIGHUP)
-	waitFor(t, "the reload", 5*time.Second, func() bool { return strings.Contains(c.said(), "configuration read anew") })
+	waitFor(t, "the reload", 5*time.Second, func() bool { return strings.Contains(c.said(), "configuration reloaded") })
 	hand()
 	c.cmd.Process.Signal(syscall.SIGKILL)
 	c.cmd.Wait()
--- a/cmd/pineport/reload_test.go
+++ b/cmd/pineport/reload_test.go
@@ -101,8 +101,8 @@
 	}
 	write(func(settings, _, _ map[string]any) { settings["classes"] = settings["classes"].([]any)[1:] })
 	c.cmd.Process.Signal(syscall.SIGHUP)
-	waitFor(t, "the workload is taken away", 3*time.Second, func() bool { return strings.Contains(c.said(), "workload taken away") })
-	if strings.Contains(c.said(), "held=0\n") {
+	waitFor(t, "the workload is taken away", 3*time.Second, func() bool { return strings.Contains(c.said(), "class removed") })
+	if strings.Contains(c.said(), "unfinished=0\n") {
 		t.Error("nothing was held of the workload that was taken away")
 	}
 	if got := c.ask(enqueue("late", "update", 5000))[0]; !strings.HasPrefix(got, "-ERR unknown workload") {
@@ -121,7 +121,7 @@
 			t.Errorf("%s: begun %d times, done %d, notices %v", id, began, done, notices)
 		}
 	}
-	if !strings.Contains(c.said(), "new configuration left out") || strings.Contains(c.said(), "panic") {
+	if !strings.Contains(c.said(), "new configuration rejected") || strings.Contains(c.said(), "panic") {
 		t.Error(c.said())
 	}
 }
--- a/cmd/pineport/run.go
+++ b/cmd/pineport/run.go
@@ -95,7 +95,7 @@
 	for range hangups {
 		next, err := config.From(sources)
 		if err != nil {
-			p.log.Error("new configuration left out", "fault", err)
+			p.log.Error("new configuration rejected", "error", err)
 			if r := p.router.Load(); r != nil {
 				r.CountFailedReload()
 			}
@@ -132,7 +132,7 @@
 		return fmt.Errorf("RELAY_STATE: %w", err)
 	}
 	for _, fault := range faults {
-		log.With(logging.Component, "spool").Warn("spool", "fault", fault)
+		log.With(logging.Component, "spool").Warn("spool error", "error", fault)
 	}
 	router, err := server.New(dep, kept, unfinished, given, log.With(logging.Component, "routing"))
 	if err != nil {
@@ -160,7 +160,7 @@
 			member.FleetResized(next.Dispatch.Couriers)
 		}
 		if err := log.SetLevels(next.Log.Level, next.Log.Levels); err != nil {
-			log.Warn("levels of the log stay as they are", "fault", err)
+			log.Warn("log levels unchanged", "error", err)
 		}
 	})
 	if predecessor != nil {
@@ -169,7 +169,7 @@
 	defer p.enter(ctx, router, given)()
 	router.Successors(folder.Release)
 	if err := folder.Serve(router.SuccessorArrived); err != nil {
-		log.Warn("no upgrade can take over while this process runs", "fault", err)
+		log.Warn("handoff unavailable while this process runs", "error", err)
 	}
 	return router.Run(p.stop, p.reloads, grace)
 }
@@ -200,7 +200,7 @@
 // warn names the keys that nobody reads.
 func warn(log *slog.Logger, dep *config.Deployment) {
 	for _, w := range dep.Document.Warnings {
-		log.Warn("doubtful key", "key", w.Key, "line", w.Line, "hint", w.Expected)
+		log.Warn("questionable key", "key", w.Key, "line", w.Line, "hint", w.Expected)
 	}
 }
 
@@ -211,10 +211,10 @@
 	case errors.Is(err, snapshot.ErrAbsent):
 		return nil
 	case err != nil:
-		log.Warn("what was learned is not used", "file", snapshot.Name, "fault", err)
+		log.Warn("snapshot not used", "file", snapshot.Name, "error", err)
 		return nil
 	}
 	age := time.Since(time.UnixMicro(int64(state.Snapshot.TakenAt)))
-	log.Info("learned before", "routes", len(state.Snapshot.Groups), "endpoints", len(state.Snapshot.Endpoints), "age", age.Round(time.Millisecond))
+	log.Info("snapshot restored", "groups", len(state.Snapshot.Groups), "endpoints", len(state.Snapshot.Endpoints), "age", age.Round(time.Millisecond))
 	return &state.Snapshot
 }
--- a/cmd/pineport/upgrade_test.go
+++ b/cmd/pineport/upgrade_test.go
@@ -300,8 +300,10 @@
 	load.end(world, 50)
 	p.leave(now)
 	p.ended.Wait()
-	if n := strings.Count(p.said(), "handed over\""); n != 50+50 { // once as it is done, once as the old process ends
-		t.Errorf("handed over %d times", n)
+	for _, line := range []string{"handed over to the successor", "exited after the handoff"} {
+		if n := strings.Count(p.said(), line+`"`); n != 50 {
+			t.Errorf("%q stands %d times in the log", line, n)
+		}
 	}
 }
 
@@ -450,7 +452,7 @@
 			t.Errorf("%s: %v %s", fd, err, out)
 		}
 	}
-	if strings.Contains(c.said(), "handed over") {
+	if strings.Contains(c.said(), "handed over to the successor") {
 		t.Error("the courier handed all over to a process that cannot listen")
 	}
 }
--- a/cmd/pineport/watch_test.go
+++ b/cmd/pineport/watch_test.go
@@ -70,7 +70,7 @@
 		c.cmd.Process.Signal(os.Interrupt)
 		c.cmd.Wait()
 		said := c.said()
-		line := said[strings.LastIndex(said, "watched settings"):]
+		line := said[strings.LastIndex(said, "shadow configuration compared"):]
 		held := !strings.Contains(line, " later=0 ")
 		if held != (slots == 1) {
 			t.Errorf("with %v slots to come: %s", slots, line)
--- a/handoff/folder.go
+++ b/handoff/folder.go
@@ -47,7 +47,7 @@
 	for {
 		switch free, err := folder.tryLock(); {
 		case err != nil:
-			log.Warn("the folder cannot be locked: a second process would not be kept off", "fault", err)
+			log.Warn("state folder cannot be locked: another process could use it", "error", err)
 			return folder, nil, nil, nil
 		case free:
 			return folder, nil, nil, nil
@@ -62,7 +62,7 @@
 		}
 		if err.Error() != said {
 			said = err.Error()
-			log.Warn("the process that owns the folder does not hand it over: waiting for its end", "fault", err)
+			log.Warn("owner of the state folder refuses the handoff: waiting for its exit", "error", err)
 		}
 		select {
 		case <-ctx.Done():
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -70,9 +70,9 @@
 		t.Fatal(err)
 	}
 	for range 50 {
-		l.Warn("watch failed", "fault", "refused")
+		l.Warn("endpoint list poll failed", "fault", "refused")
 	}
-	l.Warn("watch failed", "fault", "cut off")
+	l.Warn("endpoint list poll failed", "fault", "cut off")
 	l.Close(time.Second)
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	if len(lines) != 3 {
--- a/membership/gossip/gossip.go
+++ b/membership/gossip/gossip.go
@@ -177,7 +177,7 @@
 	for {
 		if snapshot := m.Snapshot(); snapshot.LocalStatus != membership.Complete.String() && len(m.options.Join) > 0 && !m.steppedDown.Load() {
 			if n, err := m.list.Join(m.options.Join); n == 0 {
-				m.log.Debug("nobody reached", "fault", err)
+				m.log.Debug("no member reached", "error", err)
 				wait = min(2*wait, 16*m.options.Interval)
 			} else {
 				wait = 8 * m.options.Interval
@@ -279,18 +279,18 @@
 		switch a := action.(type) {
 		case membership.MemberChanged:
 			m.changes[a.To.String()]++
-			m.log.Info("member", "name", a.Name, "was", a.From.String(), "is", a.To.String(), "start", uint64(a.Incarnation), "taken_back", a.Revoked)
+			m.log.Info("member state changed", "name", a.Name, "from", a.From.String(), "to", a.To.String(), "incarnation", uint64(a.Incarnation), "revoked", a.Revoked)
 		case membership.LocalStatusChanged:
-			m.log.Info("standing", "was", a.From.String(), "is", a.To.String())
+			m.log.Info("local status changed", "from", a.From.String(), "to", a.To.String())
 		case membership.FleetSizeEstimated:
-			m.log.Info("fleet", "couriers", a.Couriers)
+			m.log.Info("fleet size changed", "couriers", a.Couriers)
 			if m.options.SizeEstimated != nil {
 				m.options.SizeEstimated(a.Couriers)
 			}
 		case membership.IncarnationAdvanced:
 			m.renumber(uint64(a.Incarnation))
 		case membership.StepDown:
-			m.log.Error("a younger courier of this name is in the fleet: this one stands back, and delivers on by itself", "its_start", uint64(a.Incarnation), "at", a.Address)
+			m.log.Error("name conflict: a newer courier of this name is in the fleet, this one steps down and delivers alone", "incarnation", uint64(a.Incarnation), "address", a.Address)
 			m.steppedDown.Store(true)
 			go m.stepDown()
 		}
@@ -301,10 +301,10 @@
 func (m *Member) renumber(start uint64) {
 	if m.options.StoreIncarnation != nil {
 		if err := m.options.StoreIncarnation(start); err != nil {
-			m.log.Error("the number of this start cannot be kept", "start", start, "fault", err)
+			m.log.Error("incarnation cannot be stored", "incarnation", start, "error", err)
 		}
 	}
-	m.log.Warn("this start goes on under a higher number", "start", start)
+	m.log.Warn("incarnation advanced", "incarnation", start)
 	m.incarnation.Store(start)
 	go m.list.UpdateNode(m.options.Interval)
 }
--- a/quota/exchange/exchange.go
+++ b/quota/exchange/exchange.go
@@ -166,7 +166,7 @@
 				err = x.options.Send(a.To, text)
 			}
 			if err != nil {
-				x.options.Log.Debug("not said", "to", a.To, "fault", err)
+				x.options.Log.Debug("packet not sent", "to", a.To, "error", err)
 				continue
 			}
 			x.counts.PacketsOut.Add(1)
--- a/server/admin.go
+++ b/server/admin.go
@@ -61,7 +61,7 @@
 	}
 	out, err := maintenance.Read(r.deployment.Spool, r.deployment.Name)
 	if err != nil {
-		r.log.Error("who was out for maintenance cannot be read: all are taken for in", "file", maintenance.Name, "fault", err)
+		r.log.Error("disabled endpoints cannot be read: all are enabled", "file", maintenance.Name, "error", err)
 	}
 	for _, id := range out {
 		o.disabled[id] = true
@@ -142,7 +142,7 @@
 		} else {
 			delete(o.disabled, w.Endpoint)
 		}
-		o.server.log.Info("maintenance", "endpoint", w.Endpoint, "out", w.Disabled)
+		o.server.log.Info("maintenance changed", "endpoint", w.Endpoint, "disabled", w.Disabled)
 		o.server.events = append(o.server.events, dispatch.MaintenanceChanged{Endpoint: dispatch.EndpointID(w.Endpoint), Disabled: w.Disabled})
 	}
 	return commandResult{generation: o.generation, disabled: maps.Clone(o.disabled)} // written again if it is there already: the first try may have failed
@@ -159,7 +159,7 @@
 	if away == o.isDraining() {
 		return
 	}
-	o.server.log.Info("clients are sent away", "away", away, "clients", len(o.server.clients.all))
+	o.server.log.Info("draining clients", "draining", away, "clients", len(o.server.clients.all))
 	o.drainAt = never
 	if away {
 		o.drainAt = o.server.now + drainStart
--- a/server/discovery.go
+++ b/server/discovery.go
@@ -97,7 +97,7 @@
 		list, err = protocol.ReadList(a.Body)
 	}
 	if err != nil {
-		p.server.log.Warn("watch failed", "fault", err, "cut", cut)
+		p.server.log.Warn("endpoint list poll failed", "error", err, "truncated", cut)
 		if cut { // it has begun to tell, and what it told counts
 			if list := protocol.ReadPart(part); list.Seq > p.version {
 				p.server.applyEndpoints(list, dispatch.PartialList)
@@ -116,7 +116,7 @@
 	p.truncations = 0
 	switch {
 	case list.Seq < p.version:
-		p.server.log.Warn("an older list left out", "seq", list.Seq, "held", p.version)
+		p.server.log.Warn("older endpoint list ignored", "version", list.Seq, "current", p.version)
 	case list.Whole:
 		p.server.applyEndpoints(list, dispatch.CompleteList)
 	default:
@@ -226,12 +226,12 @@
 	switch {
 	case err != nil:
 	case a.Status == 400:
-		p.server.log.Error("notices were not understood", "first", call.notices[0].notice.ID)
+		p.server.log.Error("notices rejected as malformed", "first", call.notices[0].notice.ID)
 	case a.Status != 204 && a.Status != 200:
 		err = fmt.Errorf("status %d", a.Status)
 	}
 	if err != nil {
-		p.server.log.Warn("notices will be sent again", "count", len(call.notices), "fault", err)
+		p.server.log.Warn("notices will be retried", "count", len(call.notices), "error", err)
 	}
 	for _, other := range call.notices {
 		if other.confirmed = other.confirmed || err == nil || p.server.now > other.until; other.confirmed {
--- a/server/endpoints.go
+++ b/server/endpoints.go
@@ -11,7 +11,7 @@
 // applyListing hands a list, or changes of it, to the decisions, and keeps the addresses.
 func (r *Server) applyEndpoints(l protocol.List, how dispatch.UpdateKind) {
 	for _, fault := range l.Faults {
-		r.log.Warn("entry of the list left out", "fault", fault)
+		r.log.Warn("endpoint list entry ignored", "error", fault)
 	}
 	news, before := dispatch.EndpointUpdate{Kind: how}, maps.Clone(r.endpoints)
 	if how != dispatch.PartialList {
@@ -20,7 +20,7 @@
 	for _, entry := range l.Hosts {
 		listing, ok := r.endpointEntry(entry)
 		if !ok {
-			r.log.Warn("entry of the list left out", "host", entry.Host, "site", entry.Zone, "class", entry.Kind)
+			r.log.Warn("endpoint list entry ignored", "endpoint", entry.Host, "zone", entry.Zone, "type", entry.Kind)
 			continue
 		}
 		if entry.Health == protocol.Removed {
--- a/server/handoff.go
+++ b/server/handoff.go
@@ -73,7 +73,7 @@
 func (u *handoffState) successorArrived(event successorArrived) {
 	verdict, why := u.machine.HelloReceived(event.hello)
 	if verdict == handoff.Refuse {
-		u.server.log.Warn("a new process is refused", "why", why)
+		u.server.log.Warn("successor refused", "reason", why)
 		event.link.Refuse(why)
 		return
 	}
@@ -125,7 +125,7 @@
 	u.machine.HandedOver()
 	u.handingOver = false
 	r.counters.unfinished = 0
-	r.log.Info("handed over", "held", len(r.messages), "out", len(r.inFlight), "clients", len(r.clients.all), "took", time.Duration(r.clock()-began)*time.Microsecond)
+	r.log.Info("handed over to the successor", "unfinished", len(r.messages), "in_flight", len(r.inFlight), "clients", len(r.clients.all), "duration", time.Duration(r.clock()-began)*time.Microsecond)
 	debug.FreeOSMemory() // both processes have one limit
 }
 
@@ -170,7 +170,7 @@
 		}
 		r.operators.generation++
 		if err := r.operators.writer.Write(r.operators.generation, r.operators.disabled); err != nil {
-			r.log.Error("who is out for maintenance cannot be written", "file", maintenance.Name, "fault", err)
+			r.log.Error("disabled endpoints cannot be stored", "file", maintenance.Name, "error", err)
 		}
 	}
 	if state.Draining {
@@ -269,7 +269,7 @@
 	case event.message == nil:
 		u.successorLost()
 	case u.machine.MessageReceived(event.message) == handoff.Drop:
-		u.server.log.Error("the process that takes over said what makes no sense")
+		u.server.log.Error("unexpected message from the successor")
 		event.link.Close()
 	default:
 		u.fromSuccessor(event.message)
@@ -319,14 +319,14 @@
 			u.server.complete(attempt, dispatch.AttemptFinished{Outcome: dispatch.Broken})
 		}
 	}
-	u.server.log.Info("the process before this one has ended", "unheard", lost)
+	u.server.log.Info("predecessor exited", "unknown_outcomes", lost)
 }
 
 func (u *handoffState) fromSuccessor(message *handoff.Message) {
 	r := u.server
 	switch {
 	case message.Serving:
-		r.log.Info("another process serves", "out", len(r.inFlight))
+		r.log.Info("successor is serving", "in_flight", len(r.inFlight))
 	case message.Cancel != nil:
 		for _, attempt := range slices.Clone(r.inFlight) {
 			if attempt.message.stored.ID == message.Cancel.Message && attempt.number == message.Cancel.Attempt {
@@ -378,7 +378,7 @@
 	u.requested = false
 	// Failure: a successor that left while all was made ready for it was given it even so, and nobody decided any more.
 	if u.machine.SuccessorLost() == handoff.Reclaim || u.handingOver {
-		u.server.log.Error("the process that took over has gone: this one goes on", "out", len(u.server.inFlight))
+		u.server.log.Error("successor is gone: this process continues", "in_flight", len(u.server.inFlight))
 		u.reclaim = true
 	}
 }
--- a/server/malformed.go
+++ b/server/malformed.go
@@ -21,10 +21,10 @@
 		return
 	}
 	if m.clients > 0 {
-		log.Warn("clients turned away", "count", m.clients, "last", m.lastClient)
+		log.Warn("client input rejected", "count", m.clients, "last", m.lastClient)
 	}
 	if m.answers > 0 {
-		log.Warn("answers spoilt", "count", m.answers, "last", m.lastAnswer)
+		log.Warn("malformed answers", "count", m.answers, "last", m.lastAnswer)
 	}
 	*m = malformedInput{nextLogAt: now + malformedInterval}
 }
--- a/server/queue.go
+++ b/server/queue.go
@@ -47,7 +47,7 @@
 	repliesBefore := len(r.replies)
 	defer func() {
 		if fault := recover(); fault != nil {
-			r.log.Error("panic over what came in", "fault", fmt.Sprint(fault), "stack", string(debug.Stack()))
+			r.log.Error("panic while handling an event", "error", fmt.Sprint(fault), "stack", string(debug.Stack()))
 			if event, ok := what.(clientCommands); ok {
 				r.clients.commandsFailed(event, repliesBefore)
 			}
--- a/server/recovery.go
+++ b/server/recovery.go
@@ -62,7 +62,7 @@
 			continue
 		}
 		if slices.Index(r.deployment.Classes, kept.Class) < 0 {
-			r.log.Warn("record of an unknown workload", "id", kept.ID, "workload", kept.Class)
+			r.log.Warn("message of an unknown class", "message", kept.ID, "class", kept.Class)
 			r.logSpoolError(r.spool.Finish(kept.ID, storedFailed, 0))
 			r.discovery.addNotice(kept)
 			continue
@@ -80,7 +80,7 @@
 		r.events = append(r.events, r.recoveredEvent(message))
 	}
 	if len(unfinished) > 0 {
-		r.log.Info("taken up again", "records", len(r.messages), "notices", len(unfinished)-len(r.messages))
+		r.log.Info("recovered after restart", "messages", len(r.messages), "notices", len(unfinished)-len(r.messages))
 	}
 }
 
--- a/server/reload.go
+++ b/server/reload.go
@@ -22,9 +22,9 @@
 		}
 		return
 	}
-	r.log.Info("configuration read anew", "discovery", merged.Discovery)
+	r.log.Info("configuration reloaded", "discovery", merged.Discovery)
 	if len(waiting) > 0 {
-		r.log.Warn("changes that wait for the next start", "keys", waiting)
+		r.log.Warn("changes apply at the next start", "keys", waiting)
 	}
 	old := r.deployment
 	r.deployment = merged
@@ -44,7 +44,7 @@
 	}
 	for name := range merged.Retired { // the decisions need not hear of it: they end what is held, and get no more
 		if !old.Retired[name] {
-			r.log.Warn("workload taken away", "workload", name, "held", r.countHeld(name))
+			r.log.Warn("class removed", "class", name, "unfinished", r.countHeld(name))
 		}
 	}
 	if r.onReload != nil {
--- a/server/server.go
+++ b/server/server.go
@@ -101,7 +101,7 @@
 	r.operators.init(r)
 	list, err := protocol.ReadList(dep.Known)
 	if err != nil {
-		log.Warn("known list not used", "key", "known", "fault", err)
+		log.Warn("known endpoint list ignored", "key", "known", "error", err)
 	}
 	r.handoff.init(r)
 	if given != nil && given.ListVersion >= list.Seq {
@@ -187,6 +187,6 @@
 // check logs what the spool could not write; decisions go on with what is in memory.
 func (r *Server) logSpoolError(err error) {
 	if err != nil {
-		r.log.Error("spool", "fault", err)
+		r.log.Error("spool error", "error", err)
 	}
 }
--- a/server/shadow.go
+++ b/server/shadow.go
@@ -44,7 +44,7 @@
 	}
 	defer func() {
 		if fault := recover(); fault != nil {
-			r.log.Error("watching ended", "fault", fmt.Sprint(fault), "stack", string(debug.Stack()))
+			r.log.Error("shadow configuration stopped", "error", fmt.Sprint(fault), "stack", string(debug.Stack()))
 			w.shadow = nil
 		}
 	}()
@@ -69,5 +69,5 @@
 	for d, n := range counts {
 		pairs = append(pairs, differences[d], n)
 	}
-	log.Info("watched settings", pairs...)
+	log.Info("shadow configuration compared", pairs...)
 }
--- a/server/shutdown.go
+++ b/server/shutdown.go
@@ -13,16 +13,16 @@
 	r.drainAt = r.clock() + drainDelay
 	r.operators.serving.Store(false)
 	r.events = append(r.events, dispatch.ShutdownScheduled{At: r.shutdownBy})
-	r.log.Info("told to end", "held", len(r.messages), "out", len(r.inFlight))
+	r.log.Info("graceful shutdown started", "unfinished", len(r.messages), "in_flight", len(r.inFlight))
 }
 
 // finishShutdown stores what outlasts the process, unless a successor has the folder.
 func (r *Server) finishShutdown() error {
 	if !r.handoff.machine.Owns() {
-		r.log.Info("ended, handed over", "out", len(r.inFlight))
+		r.log.Info("exited after the handoff", "in_flight", len(r.inFlight))
 		return nil
 	}
-	r.log.Info("ended", "held", len(r.messages))
+	r.log.Info("exited", "unfinished", len(r.messages))
 	r.saveLastSnapshot()
 	r.shadow.log(r.log)
 	return r.spool.Close()
--- a/server/step.go
+++ b/server/step.go
@@ -20,7 +20,7 @@
 func (r *Server) guardedStep() {
 	defer func() {
 		if fault := recover(); fault != nil {
-			r.log.Error("panic in a turn", "fault", fmt.Sprint(fault), "stack", string(debug.Stack()))
+			r.log.Error("panic in a step", "error", fmt.Sprint(fault), "stack", string(debug.Stack()))
 			r.restartDispatcher()
 		}
 	}()
@@ -80,7 +80,7 @@
 func (r *Server) decide(events []dispatch.Event) (actions []dispatch.Action) {
 	defer func() {
 		if fault := recover(); fault != nil {
-			r.log.Error("the decisions failed", "fault", fmt.Sprint(fault), "stack", string(debug.Stack()))
+			r.log.Error("panic in the dispatcher", "error", fmt.Sprint(fault), "stack", string(debug.Stack()))
 			r.restartDispatcher()
 		}
 	}()
--- a/server/trace.go
+++ b/server/trace.go
@@ -16,24 +16,24 @@
 	for _, event := range events {
 		switch e := event.(type) {
 		case dispatch.MessageAccepted:
-			r.tracer.Debug("taken", "record", e.Message, "dest", e.Destination, "workload", e.Class)
+			r.tracer.Debug("accepted", "message", e.Message, "destination", e.Destination, "class", e.Class)
 		case dispatch.AttemptFinished:
-			r.tracer.Debug("settled", "record", e.Message, "trip", e.Attempt, "outcome", int(e.Outcome), "took", e.Duration,
-				"wait", e.RetryAfter, "pressure", e.LoadReport)
+			r.tracer.Debug("finished", "message", e.Message, "attempt", e.Attempt, "outcome", e.Outcome.String(), "duration", e.Duration,
+				"retry_after", e.RetryAfter, "load_report", e.LoadReport)
 		case dispatch.EndpointUpdate:
-			r.tracer.Debug("list", "how", e.Kind, "entries", len(e.Entries))
+			r.tracer.Debug("endpoints", "kind", e.Kind, "entries", len(e.Entries))
 		}
 	}
 	for _, action := range actions {
 		switch a := action.(type) {
 		case dispatch.Send:
-			r.tracer.Debug("send", "record", a.Message, "endpoint", a.Endpoint, "limit", a.Timeout)
+			r.tracer.Debug("send", "message", a.Message, "endpoint", a.Endpoint, "timeout", a.Timeout)
 		case dispatch.Cancel:
-			r.tracer.Debug("cancel", "record", a.Message, "trip", a.Attempt)
+			r.tracer.Debug("cancel", "message", a.Message, "attempt", a.Attempt)
 		case dispatch.Reject:
-			r.tracer.Debug("bounce", "record", a.Message, "pause", a.RetryAfter)
+			r.tracer.Debug("reject", "message", a.Message, "retry_after", a.RetryAfter)
 		case dispatch.Fail:
-			r.tracer.Debug("terminate", "record", a.Message)
+			r.tracer.Debug("fail", "message", a.Message)
 		case dispatch.WatchEndpoints:
 			r.tracer.Debug("watch")
 		}
--- a/server/trace_test.go
+++ b/server/trace_test.go
@@ -24,8 +24,8 @@
 			}
 			continue
 		}
-		want := []string{"msg=taken record=r7 dest=2", "msg=settled record=r7 trip=0 outcome=2 took=0 wait=500",
-			"msg=send record=r7 endpoint=s-1 limit=900", "msg=bounce record=r7 pause=40"}
+		want := []string{"msg=accepted message=r7 destination=2", "msg=finished message=r7 attempt=0 outcome=throttled duration=0 retry_after=500",
+			"msg=send message=r7 endpoint=s-1 timeout=900", "msg=reject message=r7 retry_after=40"}
 		if len(lines) != len(want) {
 			t.Fatalf("%d lines, not %d: %q", len(lines), len(want), lines)
 		}
--- a/snapshot/writer.go
+++ b/snapshot/writer.go
@@ -51,7 +51,7 @@
 	select {
 	case <-k.done:
 	case <-time.After(within):
-		k.log.Warn("what was learned could not be written in time", "within", within)
+		k.log.Warn("snapshot not written in time", "timeout", within)
 	}
 }
 
@@ -77,13 +77,13 @@
 	}
 	if err == nil {
 		if k.failures > 0 {
-			k.log.Info("what was learned is written again", "faults", k.failures)
+			k.log.Info("snapshots are written again", "failures", k.failures)
 		}
 		k.failures = 0
 		k.written++
 		return
 	}
 	if k.failures++; k.failures == 1 { // one line for a disk that stays full
-		k.log.Warn("what was learned was not written", "fault", err)
+		k.log.Warn("snapshot not written", "error", err)
 	}
 }
--- a/testbed/environment/endpoint.go
+++ b/testbed/environment/endpoint.go
@@ -137,7 +137,7 @@
 
 func (e *endpoint) reopen() {
 	if err := e.listen(); err != nil {
-		e.world.log.Warn("endpoint not opened again", "endpoint", e.ID, "fault", err)
+		e.world.log.Warn("endpoint not opened again", "endpoint", e.ID, "error", err)
 		e.door = endpointmodel.Refused
 	}
 }
--- a/testbed/environment/environment.go
+++ b/testbed/environment/environment.go
@@ -139,7 +139,7 @@
 			return nil
 		})
 		if _, err := w.put(s, a.Endpoint, address); err != nil {
-			w.log.Warn("endpoint not put up", "endpoint", a.Endpoint.ID, "fault", err)
+			w.log.Warn("endpoint not put up", "endpoint", a.Endpoint.ID, "error", err)
 		}
 		w.listed(a.Dest, a.Endpoint, dispatch.InService)
 	case scenario.Drains:
--- a/testbed/realtime/realtime.go
+++ b/testbed/realtime/realtime.go
@@ -254,7 +254,7 @@
 		r.mu.Unlock()
 		for _, c := range r.couriers {
 			if err := r.configure(c); err != nil {
-				r.Log.Warn("configuration not written", "fault", err)
+				r.Log.Warn("configuration not written", "error", err)
 			}
 			if c.Up() {
 				c.Signal(syscall.SIGHUP)
--- a/testbed/scale/hangups.go
+++ b/testbed/scale/hangups.go
@@ -33,7 +33,7 @@
 	inForceWithin = 10 * time.Second
 	logPolled     = 2 * time.Millisecond
 	// reloadedLine is what a courier logs once it goes by settings read anew.
-	reloadedLine = "configuration read anew"
+	reloadedLine = "configuration reloaded"
 )
 
 // measureHangups has real couriers take over settings at SIGHUP, in full runs.
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -437,7 +437,7 @@
 func (c *Conn) run(f func()) {
 	defer func() {
 		if fault := recover(); fault != nil {
-			c.driver.log.Error("panic on a connection", "fault", fmt.Sprint(fault), "stack", string(debug.Stack()))
+			c.driver.log.Error("panic on a connection", "error", fmt.Sprint(fault), "stack", string(debug.Stack()))
 			c.Close()
 		}
 	}()
