--- a/admin/admin.go
+++ b/admin/admin.go
@@ -20,8 +20,8 @@
 
 // Metrics is what the courier counted, from the start of its process on.
 type Metrics struct {
-	Success         map[string]int64 `json:"success"`  // delivered, by workload
-	Overload        map[string]int64 `json:"overload"` // turned away or handed back
+	Success         map[string]int64 `json:"success"`  // delivered, by class
+	Overload        map[string]int64 `json:"overload"` // rejected or handed back
 	Error           map[string]int64 `json:"error"`    // failed
 	Dispatches      int64            `json:"dispatches"`
 	Concurrent      int64            `json:"concurrent"`
--- a/cmd/pineport-testbed/main.go
+++ b/cmd/pineport-testbed/main.go
@@ -1,5 +1,5 @@
-// Command pineport-testbed is the project's laboratory: days with troubles, played in virtual time or on loopback sockets against
-// the couriers' decisions, judged by the six rules and by payoff. docs/testbed.md says how to work with it.
+// Command pineport-testbed is the project's testbed: days with troubles, played in virtual time or on loopback sockets against
+// the couriers' decisions, judged by the six rules and by value. docs/testbed.md says how to work with it.
 package main
 
 import (
--- a/cmd/pineport/crowd_test.go
+++ b/cmd/pineport/crowd_test.go
@@ -28,7 +28,7 @@
 	return len(all)
 }
 
-// crowd is clients that come, say nothing or half a command, and come again at once when they are sent away.
+// crowd is clients that come, say nothing or half a command, and come again at once when they are drained.
 type crowd struct {
 	stopped chan struct{}
 	all     sync.WaitGroup
@@ -96,7 +96,7 @@
 		sockets   = 128
 		clients   = 4 * sockets
 		downFor   = 5 * time.Second
-		backAfter = 6 * time.Second // what is told counts as told by then
+		backAfter = 6 * time.Second // what is notified counts as reported by then
 	)
 	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
 	if err != nil {
--- a/cmd/pineport/final_answer_test.go
+++ b/cmd/pineport/final_answer_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// TestFinalAnswerAmongAllFaults: with hostile clients, spoilt answers, endpoints that hang and discovery down, all at once, each request
+// TestFinalAnswerAmongAllFaults: with hostile clients, malformed answers, endpoints that hang and discovery down, all at once, each request
 // of a usual client gets its reply, and each message that was accepted ends once, in time: delivered or with one notice.
 func TestFinalAnswerAmongAllFaults(t *testing.T) {
 	const (
--- a/cmd/pineport/fleet.go
+++ b/cmd/pineport/fleet.go
@@ -18,11 +18,11 @@
 // enterWithin is how long a process that took over tries for the address that the one before it gives up.
 const enterWithin = 2 * time.Second
 
-// beatMost: a loan lasts for eight beats of the exchange at least, however slowly members are asked whether they are there.
+// beatMost: a lease lasts for eight ticks of the exchange at least, however slowly members are asked whether they are there.
 const maxExchangeInterval = 500 * time.Millisecond
 
-// enter makes this process a member of its fleet, where it is to be one, and returns what ends that. Records do not wait for
-// it, and a fault of it is told and stops nothing else.
+// enter makes this process a member of its fleet, where it is to be one, and returns what ends that. Messages do not wait for
+// it, and a fault of it is notified and stops nothing else.
 func (p *process) enter(ctx context.Context, router *server.Server, given *handoff.State) (end func()) {
 	dep, log := p.dep, p.log.With(logging.Component, "peers")
 	if !dep.Peers.On() {
@@ -52,7 +52,7 @@
 			p.desk.SetFleet(fleet{m, x})
 		}
 		member <- m
-		<-ctx.Done() // told to end, or ended: others hear it as early as clients do
+		<-ctx.Done() // reported to end, or ended: others hear it as early as clients do
 		if x != nil {
 			x.Close()
 		}
@@ -116,7 +116,7 @@
 	}
 }
 
-// share has this courier lend and borrow parts of limits, at half the pace of membership or faster.
+// share has this courier grant and borrow parts of limits, at half the pace of membership or faster.
 func share(member *gossip.Member, router *server.Server, o gossip.Options) *exchange.Exchange {
 	heard := func() (couriers int, alive []string) {
 		p := member.Snapshot()
@@ -146,7 +146,7 @@
 func (f fleet) Members() any       { return pictured{f.m.Snapshot(), f.m.Metrics()} }
 func (f fleet) Remove(name string) { f.m.Remove(name) }
 
-// Quota is what GET /commons says; nil where nothing is shared.
+// Quota is what GET /quota says; nil where nothing is shared.
 func (f fleet) Quota() any {
 	if f.x != nil {
 		if s, ok := f.x.Status(); ok {
--- a/cmd/pineport/golden_test.go
+++ b/cmd/pineport/golden_test.go
@@ -72,8 +72,8 @@
 		"config-check": "config check --output json --against " + good + " " + next,
 		"config-show":  "config show --output json " + good,
 		"config-init":  "config init",
-		"peers-ls":     "peers ls --output json --ops " + ops,
-		"commons-show": "commons show --output json --ops " + ops,
+		"peers-ls":     "members ls --output json --ops " + ops,
+		"commons-show": "quota show --output json --ops " + ops,
 	} {
 		out, err := tool(strings.Fields(args)...)
 		if err != nil {
@@ -82,6 +82,15 @@
 		}
 		golden.Check(t, name+".golden", []byte(out))
 	}
+	for alias, name := range map[string]string{"peers ls": "members ls", "commons show": "quota show"} {
+		asked := strings.Fields(alias + " --output json --ops " + ops)
+		out, err := tool(asked...)
+		want, wantErr := tool(strings.Fields(name + " --output json --ops " + ops)...)
+		warning, rest, _ := strings.Cut(out, "\n")
+		if err != nil || wantErr != nil || rest != want || !strings.Contains(warning, "deprecated: use pineport "+strings.Fields(name)[0]) {
+			t.Errorf("%s: %v, %v: %s", alias, err, wantErr, out)
+		}
+	}
 }
 
 // TestSettingsAreAsRecorded: every key of the settings with its form, unit, default, variable and what a reload does with it.
--- a/cmd/pineport/learned_test.go
+++ b/cmd/pineport/learned_test.go
@@ -14,7 +14,7 @@
 )
 
 // TestLearnedOverRestart: a courier that is killed while a destination is down knows so when it is back, and finds it out
-// by no more than a trial; after a planned end what it learned last is there. A spoilt file stops nothing.
+// by no more than a trial; after a planned end what it learned last is there. A malformed file stops nothing.
 func TestLearnedOverRestart(t *testing.T) {
 	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 0} })
 	if err != nil {
@@ -60,6 +60,6 @@
 	}
 	c.start()
 	if n := strings.Count(c.said(), "snapshot not used"); n != 1 {
-		t.Errorf("a spoilt file is told %d times:\n%s", n, c.said())
+		t.Errorf("a malformed file is notified %d times:\n%s", n, c.said())
 	}
 }
--- a/cmd/pineport/main.go
+++ b/cmd/pineport/main.go
@@ -1,4 +1,4 @@
-// Command pineport runs one courier on sockets, and has tools beside it; docs/ and README.md say how it is told what it
+// Command pineport runs one courier on sockets, and has tools beside it; docs/ and README.md say how it is notified what it
 // needs.
 package main
 
@@ -65,8 +65,8 @@
 	}
 	cmd := &cobra.Command{
 		Use:   "pineport",
-		Short: "Deliver records to outside receivers",
-		Long: `pineport runs a courier: it takes records from clients and delivers them to outside receivers. Without a sub-command it
+		Short: "Deliver messages to outside receivers",
+		Long: `pineport runs a courier: it accepts messages from clients and delivers them to outside receivers. Without a sub-command it
 does the same as run.
 
 Exit codes: 0 all well; 1 a fault, named on standard error.`,
@@ -85,15 +85,26 @@
 		RunE:    start,
 	}
 	f.add(runCmd)
-	cmd.AddCommand(runCmd, configCmd(), spoolCmd(), stateCmd(), peersCmd(), quotaCmd(), &cobra.Command{
-		Use:   "version",
-		Short: "Print the version",
-		Args:  cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			_, err := fmt.Fprintln(cmd.OutOrStdout(), "pineport", version)
-			return err
-		},
-	})
+	cmd.AddCommand(runCmd, configCmd(), spoolCmd(), stateCmd(), membersCmd(), quotaCmd(),
+		deprecatedAlias(membersCmd(), "peers"), deprecatedAlias(quotaCmd(), "commons"), &cobra.Command{
+			Use:   "version",
+			Short: "Print the version",
+			Args:  cobra.NoArgs,
+			RunE: func(cmd *cobra.Command, _ []string) error {
+				_, err := fmt.Fprintln(cmd.OutOrStdout(), "pineport", version)
+				return err
+			},
+		})
+	return cmd
+}
+
+// deprecatedAlias returns a command under its older name: it works as before, is not listed, and says what it is called now.
+func deprecatedAlias(cmd *cobra.Command, alias string) *cobra.Command {
+	name := cmd.Name()
+	cmd.Use, cmd.Hidden = alias, true
+	cmd.PersistentPreRun = func(called *cobra.Command, _ []string) {
+		fmt.Fprintf(called.ErrOrStderr(), "pineport %s is deprecated: use pineport %s\n", alias, name)
+	}
 	return cmd
 }
 
--- a/cmd/pineport/main_test.go
+++ b/cmd/pineport/main_test.go
@@ -199,8 +199,8 @@
 	}
 }
 
-// TestKilledAndBack: each record taken on ends once, over a SIGKILL and a SIGTERM in the midst of calls, and no
-// single-use record is begun twice.
+// TestKilledAndBack: each message taken on ends once, over a SIGKILL and a SIGTERM in the midst of calls, and no
+// at-most-once message is begun twice.
 func TestKilledAndBack(t *testing.T) {
 	world, err := scripted.Open(2, fates())
 	if err != nil {
@@ -259,7 +259,7 @@
 	for _, id := range ids {
 		began, done, notices := world.Seen(id)
 		if strings.Contains(id, "order") && began > 1 {
-			t.Errorf("%s is single-use and was begun %d times", id, began)
+			t.Errorf("%s is at-most-once and was begun %d times", id, began)
 		}
 		if len(notices) > 1 || strings.Contains(id, "update") && len(notices) > 0 && done > 0 {
 			t.Errorf("%s: done %d times, notices %v", id, done, notices)
@@ -301,12 +301,12 @@
 	if began, _, _ := world.Seen("x"); began > 0 {
 		t.Error("what could not be used was sent")
 	}
-	// Handed in again it is another record if the first was done by then, as on a loaded machine.
+	// Handed in again it is another message if the first was done by then, as on a loaded machine.
 	waitFor(t, "y", 5*time.Second, func() bool { _, done, _ := world.Seen("y"); return done >= 1 })
 }
 
 // TestReload: on SIGHUP a faulty file changes nothing and its key is logged; a sound one moves watch and notices, those
-// not confirmed too, while what is held stays. Twice in a row, beside records that come in.
+// not confirmed too, while what is held stays. Twice in a row, beside messages that come in.
 func TestReload(t *testing.T) {
 	world, err := scripted.Open(1, func(id string) scripted.Fate {
 		switch id[:4] {
@@ -379,7 +379,7 @@
 }
 
 // TestHostileClients: hundreds of silent connections, half commands, endless lines and huge values at once; each is
-// closed or told of its fault within 3 s, and usual clients are served beside them. Nothing of it is taken on.
+// closed or reported of its fault within 3 s, and usual clients are served beside them. Nothing of it is taken on.
 func TestHostileClients(t *testing.T) {
 	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
 	if err != nil {
--- a/cmd/pineport/peers.go
+++ b/cmd/pineport/members.go
@@ -15,19 +15,19 @@
 	"pineport/config"
 )
 
-// shownWithin is how long a courier may take to show its fleet.
-const shownWithin = 3 * time.Second
+// answerTimeout is how long a courier may take to show its fleet.
+const answerTimeout = 3 * time.Second
 
-// peersMost bounds what is read of an answer: some thousand members.
-const peersMost = 4 << 20
+// maxAnswer bounds what is read of an answer: some thousand members.
+const maxAnswer = 4 << 20
 
-func peersCmd() *cobra.Command {
-	cmd := &cobra.Command{Use: "peers", Short: "Look at the fleet as one courier knows it",
-		Long: "Look at the fleet as one courier knows it. The courier is asked at its operators' address: --ops, or ops of its configuration."}
+func membersCmd() *cobra.Command {
+	cmd := &cobra.Command{Use: "members", Short: "Show the fleet as one courier knows it",
+		Long: "Show the fleet as one courier knows it, from its admin address: --ops, or ops of its configuration."}
 	var f flags
 	var at, output string
 	var every time.Duration
-	ask := func(method, path string) ([]byte, error) { return askDesk(&f, at, method, path) }
+	ask := func(method, path string) ([]byte, error) { return askAdmin(&f, at, method, path) }
 	look := func() (p pictured, err error) {
 		text, err := ask(http.MethodGet, "/peers")
 		if err == nil {
@@ -55,12 +55,12 @@
 		case "json":
 			return printJSON(out, p)
 		case "table":
-			return showPeers(out, p)
+			return showMembers(out, p)
 		}
 		return fmt.Errorf("--output: table or json was expected, not %q", output)
 	}
-	ls := &cobra.Command{Use: "ls", Short: "List the members, their states and this courier's standing", Args: cobra.NoArgs,
-		Example: "  pineport peers ls --ops 127.0.0.1:8081\n  pineport peers ls --config courier.toml --output json",
+	ls := &cobra.Command{Use: "ls", Short: "List the members, their states and this courier's own status", Args: cobra.NoArgs,
+		Example: "  pineport members ls --ops 127.0.0.1:8081\n  pineport members ls --config courier.toml --output json",
 		RunE:    func(cmd *cobra.Command, _ []string) error { return show(cmd.OutOrStdout(), "") }}
 	one := &cobra.Command{Use: "show NAME", Short: "Show one member", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error { return show(cmd.OutOrStdout(), args[0]) }}
@@ -93,15 +93,15 @@
 		}}
 	for _, c := range []*cobra.Command{ls, one, watch, gone} {
 		f.add(c)
-		c.Flags().StringVar(&at, "ops", "", "the courier's operators' address (empty: from its configuration)")
+		c.Flags().StringVar(&at, "ops", "", "the courier's admin address (empty: from its configuration)")
 		c.Flags().StringVar(&output, "output", "table", "table or json")
 		cmd.AddCommand(c)
 	}
 	return cmd
 }
 
-// askDesk asks a courier at its operators' address: the one given, or ops of its configuration.
-func askDesk(f *flags, addr, method, path string) ([]byte, error) {
+// askAdmin asks a courier at its operators' address: the one given, or ops of its configuration.
+func askAdmin(f *flags, addr, method, path string) ([]byte, error) {
 	if addr == "" {
 		sources, err := f.sources()
 		if err != nil {
@@ -119,12 +119,12 @@
 	if err != nil {
 		return nil, err
 	}
-	reply, err := (&http.Client{Timeout: shownWithin}).Do(req)
+	reply, err := (&http.Client{Timeout: answerTimeout}).Do(req)
 	if err != nil {
 		return nil, err
 	}
 	defer reply.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(reply.Body, peersMost))
+	text, err := io.ReadAll(io.LimitReader(reply.Body, maxAnswer))
 	if err == nil && reply.StatusCode == http.StatusNotFound {
 		err = fmt.Errorf("the courier at %s is in no fleet, or shares nothing", addr)
 	} else if err == nil && reply.StatusCode != http.StatusOK {
@@ -133,11 +133,11 @@
 	return text, err
 }
 
-func showPeers(out io.Writer, p pictured) error {
+func showMembers(out io.Writer, p pictured) error {
 	table := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
-	fmt.Fprintf(table, "courier %s, start %d: %s; %d to %d couriers; %d taken back, %d words on old starts\n\n", p.Self, p.Incarnation, p.LocalStatus,
+	fmt.Fprintf(table, "courier %s, incarnation %d: %s; %d to %d couriers; %d revoked, %d stale reports\n\n", p.Self, p.Incarnation, p.LocalStatus,
 		p.MinCouriers, p.MaxCouriers, p.Revoked, p.StaleReports)
-	fmt.Fprintln(table, "NAME\tSTATE\tSTART\tSINCE\tZONE\tADDRESS")
+	fmt.Fprintln(table, "NAME\tSTATE\tINCARNATION\tSINCE\tZONE\tADDRESS")
 	for _, m := range p.Members {
 		fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%s\t%s\n", m.Name, m.StateName, m.Incarnation, (time.Duration(m.Since) * time.Microsecond).Round(time.Millisecond),
 			cmp.Or(m.Zone, "-"), cmp.Or(m.Address, "-"))
--- a/cmd/pineport/peers_test.go
+++ b/cmd/pineport/members_test.go
@@ -56,7 +56,7 @@
 	return udp, len(tasks)
 }
 
-// TestNoMembershipWhereForbidden: where the charter has no peers, as at Dakar, there is no socket and no byte, the key set or not, and
+// TestNoMembershipWhereForbidden: where the configuration has no peers, as at Dakar, there is no socket and no byte, the key set or not, and
 // nothing is counted or kept of it.
 func TestNoMembershipWhereForbidden(t *testing.T) {
 	world := upgradeWorld(t)
@@ -143,8 +143,8 @@
 	if out, err := tool("peers", "show", "other", "--ops", old.ops, "--output", "json"); err != nil || !strings.Contains(out, `"state": "alive"`) {
 		t.Errorf("peers show: %v\n%s", err, out)
 	}
-	if out, err := tool("commons", "show", "--ops", old.ops); err != nil || !strings.Contains(out, "BORROWED") {
-		t.Errorf("commons show: %v\n%s", err, out)
+	if out, err := tool("quota", "show", "--ops", old.ops); err != nil || !strings.Contains(out, "LEASED") {
+		t.Errorf("quota show: %v\n%s", err, out)
 	}
 	if _, err := tool("peers", "show", "nobody", "--ops", old.ops); err == nil {
 		t.Error("a member that is not there is shown")
--- a/cmd/pineport/ops_test.go
+++ b/cmd/pineport/ops_test.go
@@ -219,11 +219,11 @@
 		c.yes("POST", "/standby")
 		c.yes("POST", "/standby")
 		if status, _ := c.call("GET", "/status"); status != 503 {
-			t.Errorf("sent away, and status says %d", status)
+			t.Errorf("drained, and status says %d", status)
 		}
 		id := fmt.Sprint("late-", round)
 		if got := line(command("PING") + enqueue(id, "update", 8000)); !strings.HasPrefix(got, "-ERR") {
-			t.Errorf("PING while clients are sent away: %s", got)
+			t.Errorf("PING while clients are drained: %s", got)
 		}
 		if got := line(""); got != "+OK" {
 			t.Errorf("a message over a connection that is up: %s", got)
@@ -278,7 +278,7 @@
 	for range 20 {
 		c.yes("GET", "/status")
 		c.yes("GET", "/status/metrics")
-		c.yes("POST", "/maintenance/enter/s-0") // through the router
+		c.yes("POST", "/maintenance/enter/s-0") // through the event loop
 		c.yes("POST", "/maintenance/exit/s-0")
 	}
 	close(stop)
@@ -287,7 +287,7 @@
 	}
 }
 
-// TestOpsTaken: faults of the address are told at the start.
+// TestOpsTaken: faults of the address are notified at the start.
 func TestOpsTaken(t *testing.T) {
 	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
 	if err != nil {
--- a/cmd/pineport/quota.go
+++ b/cmd/pineport/quota.go
@@ -16,10 +16,10 @@
 func quotaCmd() *cobra.Command {
 	var f flags
 	var at, output string
-	show := &cobra.Command{Use: "show", Short: "Show the parts of limits that one courier has lent and borrowed, and what it has heard is used", Args: cobra.NoArgs,
-		Example: "  pineport commons show --ops 127.0.0.1:8081\n  pineport commons show --config courier.toml --output json",
+	show := &cobra.Command{Use: "show", Short: "Show the shares of limits that one courier has granted and leased, and what is known to be in use", Args: cobra.NoArgs,
+		Example: "  pineport quota show --ops 127.0.0.1:8081\n  pineport quota show --config courier.toml --output json",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			text, err := askDesk(&f, at, http.MethodGet, "/commons")
+			text, err := askAdmin(&f, at, http.MethodGet, "/commons")
 			if err != nil {
 				return err
 			}
@@ -38,17 +38,17 @@
 	f.add(show)
 	show.Flags().StringVar(&at, "ops", "", "the courier's operators' address (empty: from its configuration)")
 	show.Flags().StringVar(&output, "output", "table", "table or json")
-	cmd := &cobra.Command{Use: "commons", Short: "Look at the limits that couriers share, as one courier knows them",
-		Long: "Look at the limits that couriers share, as one courier knows them. It is asked at its operators' address: --ops, or ops of its configuration."}
+	cmd := &cobra.Command{Use: "quota", Short: "Show the limits that couriers share, as one courier knows them",
+		Long: "Show the limits that couriers share, as one courier knows them, from its admin address: --ops, or ops of its configuration."}
 	cmd.AddCommand(show)
 	return cmd
 }
 
 func showQuota(out io.Writer, s exchange.Status) error {
 	table := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
-	fmt.Fprintf(table, "%d asks, %d lent, %d taken, %d late or unasked; %d packets out (%d bytes), %d in, %d spoilt, %d dropped\n\n", s.Counters.Requested, s.Counters.Granted,
+	fmt.Fprintf(table, "%d requests, %d granted, %d leased, %d late or unknown; %d packets out (%d bytes), %d in, %d malformed, %d dropped\n\n", s.Counters.Requested, s.Counters.Granted,
 		s.Counters.Leased, s.Counters.Late, s.PacketsOut, s.BytesOut, s.PacketsIn, s.PacketsMalformed, s.PacketsDropped)
-	fmt.Fprintln(table, "DESTINATION\tENDPOINT\tLIMIT/s\tPART %\tLENT %\tBORROWED %\tOWN USE %\tALL USE %\tHEARD\tCALLS\tDONE\tREFUSED")
+	fmt.Fprintln(table, "DESTINATION\tENDPOINT\tLIMIT/s\tSHARE %\tGRANTED %\tLEASED %\tOWN USE %\tALL USE %\tCOURIERS\tCALLS\tDELIVERED\tTHROTTLED")
 	percent := func(ppm int64) string { return fmt.Sprintf("%.1f", float64(ppm)/1e4) }
 	for _, l := range s.Groups {
 		fmt.Fprintf(table, "%d\t%s\t%.1f\t%s\t%s\t%s\t%s\t%.0f\t%d\t%d\t%d\t%d\n", l.Dest, cmp.Or(l.Endpoint, "-"), l.Limit, percent(int64(l.Base)),
--- a/cmd/pineport/reload_test.go
+++ b/cmd/pineport/reload_test.go
@@ -17,9 +17,9 @@
 	"pineport/testbed/scripted"
 )
 
-// TestSettingsUnderFire: ten reloads in a second while records are held and come in, each with other limits below what is
+// TestSettingsUnderFire: ten reloads in a second while messages are held and come in, each with other limits below what is
 // held, some of a file that is only half written, one that moves the directory, one in a standstill, and one that takes a
-// workload away that holds records. Every record ends once, single-use ones run once, and the courier goes on.
+// class away that holds messages. Every message ends once, at-most-once ones run once, and the courier goes on.
 func TestSettingsUnderFire(t *testing.T) {
 	world, err := scripted.Open(1, func(id string) scripted.Fate {
 		if strings.HasPrefix(id, "full") {
@@ -97,19 +97,19 @@
 	c.cmd.Process.Signal(syscall.SIGHUP)
 	time.Sleep(200 * time.Millisecond)
 	if hand("full", "update", 3) != 3 {
-		t.Error("with the usual room again, records were not taken")
+		t.Error("with the usual room again, messages were not taken")
 	}
 	write(func(settings, _, _ map[string]any) { settings["classes"] = settings["classes"].([]any)[1:] })
 	c.cmd.Process.Signal(syscall.SIGHUP)
 	waitFor(t, "the workload is taken away", 3*time.Second, func() bool { return strings.Contains(c.said(), "class removed") })
 	if strings.Contains(c.said(), "unfinished=0\n") {
-		t.Error("nothing was held of the workload that was taken away")
+		t.Error("nothing was held of the class that was taken away")
 	}
 	if got := c.ask(enqueue("late", "update", 5000))[0]; !strings.HasPrefix(got, "-ERR unknown workload") {
-		t.Errorf("a record of a workload that is gone: %s", got)
+		t.Errorf("a message of a class that is gone: %s", got)
 	}
 	if hand("okay", "order", 2) != 2 {
-		t.Error("a record of the workload that stayed was not taken")
+		t.Error("a message of the class that stayed was not taken")
 	}
 	for _, id := range ids {
 		waitFor(t, id, 9*time.Second, func() bool { _, done, notices := world.Seen(id); return done+len(notices) > 0 })
@@ -126,7 +126,7 @@
 	}
 }
 
-// TestHangupsBetweenTwoRouters: hangups that come while no router takes configurations are not lost: the next router takes, last, what the
+// TestHangupsBetweenTwoRouters: hangups that come while no event loop takes configurations are not lost: the next event loop takes, last, what the
 // file says by then.
 func TestHangupsBetweenTwoRouters(t *testing.T) {
 	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
@@ -169,7 +169,7 @@
 		}
 	}
 	if dep.Name != "last" {
-		t.Errorf("the next router goes on by %q", dep.Name)
+		t.Errorf("the next event loop goes on by %q", dep.Name)
 	}
 	close(hangups)
 	<-heard
--- a/cmd/pineport/run.go
+++ b/cmd/pineport/run.go
@@ -32,7 +32,7 @@
 // lastLines is how long the end of the process waits for a reader of its log.
 const lastLines = 50 * time.Millisecond
 
-// run is the courier, until it is told to end.
+// run is the courier, until it is notified to end.
 func run(sources config.Sources, out io.Writer) error {
 	hangups := make(chan os.Signal, 1) // first of all, or a hangup would end the process; one more stands for many
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -53,7 +53,7 @@
 		l.Close()
 	}
 	var desk *admin.Server
-	if dep.Ops != "" { // answers from the start: with no, until there is a router
+	if dep.Ops != "" { // answers from the start: with no, until there is a event loop
 		if desk, err = admin.Open(dep.Ops, server.AdminSockets(dep)-2, log.With(logging.Component, "ops")); err != nil {
 			return fmt.Errorf("ops: %w", err)
 		}
@@ -76,7 +76,7 @@
 	}
 }
 
-// process is what lasts while one router follows another.
+// process is what lasts while one event loop follows another.
 type process struct {
 	sources config.Sources
 	dep     *config.Deployment
@@ -106,7 +106,7 @@
 	}
 }
 
-// serve owns the folder that lasts, once nobody else does, and runs a router on it.
+// serve owns the folder that lasts, once nobody else does, and runs a event loop on it.
 func (p *process) serve() error {
 	dep, log := p.dep, p.log
 	ctx, cancel := context.WithCancel(context.Background())
@@ -120,7 +120,7 @@
 	}()
 	folder, given, predecessor, err := handoff.Acquire(ctx, dep.Spool, dep.Name, log.With(logging.Component, "handover"))
 	if ctx.Err() != nil {
-		return nil // told to end before there was anything to do
+		return nil // reported to end before there was anything to do
 	}
 	if err != nil {
 		return fmt.Errorf("RELAY_STATE: %w", err)
--- a/cmd/pineport/signals_test.go
+++ b/cmd/pineport/signals_test.go
@@ -13,9 +13,9 @@
 	"pineport/testbed/scripted"
 )
 
-// TestSignalsAtAnyMoment: a hangup, an end and an end once more at any moment of a start, whose spool holds a record. The process ends by
+// TestSignalsAtAnyMoment: a hangup, an end and an end once more at any moment of a start, whose spool holds a message. The process ends by
 // itself, in time and without a fault, or is ended by the first signal where that comes before it listens for any; the next start
-// still brings the record to its endpoint.
+// still brings the message to its endpoint.
 func TestSignalsAtAnyMoment(t *testing.T) {
 	for _, after := range []time.Duration{0, 2, 4, 8, 16, 32, 64, 128, 512} {
 		t.Run(fmt.Sprint(int64(after)), func(t *testing.T) {
--- a/cmd/pineport/spool.go
+++ b/cmd/pineport/spool.go
@@ -14,10 +14,10 @@
 
 func spoolCmd() *cobra.Command {
 	var output string
-	cmd := &cobra.Command{Use: "spool", Short: "Look into what a courier has taken on; the courier need not be stopped"}
+	cmd := &cobra.Command{Use: "spool", Short: "Show the messages that a courier has accepted; it need not be stopped"}
 	list := &cobra.Command{
 		Use:     "ls DIR",
-		Short:   "List the records that are not over, and those whose notice is not confirmed",
+		Short:   "List the messages without a final answer, and those whose notice is not confirmed",
 		Example: "  pineport spool ls /var/lib/pineport --output json",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -31,7 +31,7 @@
 				return errors.New("--output: table or json was expected")
 			}
 			table := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 8, 2, ' ', 0)
-			fmt.Fprintln(table, "ID\tWORKLOAD\tDEST\tCUT-OFF\tTRIPS\tLAST\tSTATE")
+			fmt.Fprintln(table, "ID\tCLASS\tDESTINATION\tDEADLINE\tATTEMPTS\tLAST\tSTATE")
 			for _, message := range messages {
 				last, state := "-", "held"
 				if n := len(message.Attempts); n > 0 {
@@ -49,7 +49,7 @@
 	list.Flags().StringVar(&output, "output", "table", "table or json")
 	show := &cobra.Command{
 		Use:   "show DIR ID",
-		Short: "Print one record with its trips and body, as JSON",
+		Short: "Print one message with its attempts and body, as JSON",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			messages, _, err := spool.Inspect(args[0])
@@ -64,7 +64,7 @@
 					}{message, message.Body})
 				}
 			}
-			return fmt.Errorf("no record %s is held in %s", args[1], args[0])
+			return fmt.Errorf("no message %s is held in %s", args[1], args[0])
 		},
 	}
 	verify := &cobra.Command{
@@ -79,7 +79,7 @@
 			if len(faults) > 0 {
 				return errors.Join(faults...)
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "sound: %d records\n", len(messages))
+			fmt.Fprintf(cmd.OutOrStdout(), "sound: %d messages\n", len(messages))
 			return nil
 		},
 	}
--- a/cmd/pineport/state.go
+++ b/cmd/pineport/state.go
@@ -16,7 +16,7 @@
 )
 
 func stateCmd() *cobra.Command {
-	cmd := &cobra.Command{Use: "state", Short: "Look into what a courier has learned and kept for its next start"}
+	cmd := &cobra.Command{Use: "state", Short: "Show what a courier has learned and stored for its next start"}
 	var output string
 	show := &cobra.Command{
 		Use:     "show FILE",
@@ -45,7 +45,7 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			state, size, err := readState(args[0])
 			if err == nil {
-				fmt.Fprintf(cmd.OutOrStdout(), "sound: courier %s, %d routes, %d endpoints, %d bytes, %s old\n", state.Courier,
+				fmt.Fprintf(cmd.OutOrStdout(), "sound: courier %s, %d groups, %d endpoints, %d bytes, %s old\n", state.Courier,
 					len(state.Snapshot.Groups), len(state.Snapshot.Endpoints), size, age(state.Snapshot.TakenAt))
 			}
 			return err
@@ -76,13 +76,13 @@
 	l := state.Snapshot
 	table := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintf(table, "courier %s, kept %s (%s ago), %d bytes\n\n", state.Courier, time.UnixMicro(int64(l.TakenAt)).Format(time.RFC3339Nano), age(l.TakenAt), size)
-	fmt.Fprintln(table, "DEST\tENDPOINT\tHEALTH\tBREAKERS\tGAP\tWAIT LEFT\tANSWER TIME\tDONE\tLIMIT/S")
+	fmt.Fprintln(table, "DESTINATION\tENDPOINT\tHEALTH\tBREAKERS\tINTERVAL\tRETRY AFTER\tANSWER TIME\tDELIVERED\tLIMIT/S")
 	for _, group := range l.Groups {
-		health := "well"
+		health := "healthy"
 		if group.Outage {
-			health = "out"
+			health = "outage"
 		} else if group.WarmingUp {
-			health = "returning"
+			health = "warming up"
 		}
 		breakers := ""
 		for _, b := range group.Breakers {
--- a/cmd/pineport/upgrade_test.go
+++ b/cmd/pineport/upgrade_test.go
@@ -134,7 +134,7 @@
 	})
 }
 
-// steady hands in messages over some connections until it is stopped, and keeps what became of each.
+// steady submits messages over some connections until it is stopped, and keeps what became of each.
 type steady struct {
 	p     *platform
 	stop  chan struct{}
@@ -244,7 +244,7 @@
 		kind, rest, _ := strings.Cut(id, "-")
 		fmt.Sscanf(rest, "%d-%d", &client, &n)
 		if single := kind != "line" && n%2 == 1; single && began > 1 {
-			t.Errorf("%s is single-use and was begun %d times", id, began)
+			t.Errorf("%s is at-most-once and was begun %d times", id, began)
 		} else if !single && upgrades > 0 && done > 0 && len(notices) > 0 {
 			t.Errorf("%s was done %d times, and yet %v", id, done, notices)
 		}
@@ -393,11 +393,11 @@
 	waitFor(t, "calls to what is back", 5*time.Second, func() bool { return world.Calls(0) > 0 })
 	time.Sleep(300 * time.Millisecond)
 	if got := world.Calls(1); got > before+3 { // those that were out
-		t.Errorf("%d calls to what the old process was told is out", got-before)
+		t.Errorf("%d calls to what the old process was notified is out", got-before)
 	}
 	yes(old, "/standby")
 	if p.says(next, 50*time.Millisecond) {
-		t.Error("sent away by a call to the old process, and clients are taken")
+		t.Error("drained by a call to the old process, and clients are taken")
 	}
 	yes(next, "/active")
 	p.must(next)
--- a/cmd/pineport/watch_test.go
+++ b/cmd/pineport/watch_test.go
@@ -14,7 +14,7 @@
 
 // TestWatchedSettings: beside a courier that serves as before, settings to come are decided by; where they would have held
 // back, as one slot is too few, it is counted and nothing else happens. The same settings differ nowhere. A faulty file
-// is told before anything listens.
+// is notified before anything listens.
 func TestWatchedSettings(t *testing.T) {
 	world, err := scripted.Open(1, func(string) scripted.Fate {
 		return scripted.Fate{Status: 200, After: 150 * time.Millisecond}
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// decide turns a panic in the decisions into a report that the wire can carry.
+// decide steps a panic in the decisions into a report that the wire can carry.
 func decide(c *dispatch.Dispatcher, now dispatch.Micros, events []dispatch.Event) (actions []dispatch.Action, fault string) {
 	defer func() {
 		if r := recover(); r != nil {
--- a/config/config.go
+++ b/config/config.go
@@ -14,7 +14,7 @@
 	"pineport/dispatch"
 )
 
-// Deployment is what one real courier is told.
+// Deployment is what one real courier is notified.
 type Deployment struct {
 	Name      string
 	Listen    string
@@ -34,8 +34,8 @@
 	WatchTell time.Duration
 
 	Dispatch       dispatch.Config
-	Classes        []string        // names, by the charter's numbers
-	Retired        map[string]bool // workloads that a reload removed: they take no more records
+	Classes        []string        // names, by the configuration's numbers
+	Retired        map[string]bool // classes that a reload removed: they take no more messages
 	Zones          []string
 	Shapes         []string
 	Tenants        []string
@@ -51,7 +51,7 @@
 	Fleet, Key        string
 	Join, Through     []string
 	Pace              time.Duration
-	Allowed           bool // by the charter
+	Allowed           bool // by the configuration
 	Share             bool // parts of limits
 }
 
@@ -78,7 +78,7 @@
 	return From(Sources{Getenv: getenv, Anew: true})
 }
 
-// From reads a deployment from its sources; all faults are told at once.
+// From reads a deployment from its sources; all faults are notified at once.
 func From(sources Sources) (*Deployment, error) {
 	state := sources.State
 	if state == "" {
@@ -184,9 +184,9 @@
 	return nil
 }
 
-// Merged is what a running process goes on with when its configuration is read anew: next, with the numbers of workloads,
-// zones, kinds and parties as they were, as records, routes and the spool's entries go by them. What is gone from next
-// keeps its number; a workload that is gone takes no more records. What must wait for a start stays as it is.
+// Merged is what a running process goes on with when its configuration is read anew: next, with the numbers of classes,
+// zones, kinds and tenants as they were, as messages, routes and the spool's entries go by them. What is gone from next
+// keeps its number; a class that is gone takes no more messages. What must wait for a start stays as it is.
 func (d *Deployment) Merged(next *Deployment) *Deployment {
 	m := *next
 	m.Name, m.Listen, m.Ops, m.Socket, m.Spool, m.Known, m.Learn = d.Name, d.Listen, d.Ops, d.Socket, d.Spool, d.Known, d.Learn
@@ -263,14 +263,14 @@
 	return reflect.DeepEqual(d.Dispatch, next.Dispatch)
 }
 
-// Flatten turns settings as nested JSON has them into the pairs that Dispatch reads.
+// Flatten steps settings as nested JSON has them into the pairs that Dispatch reads.
 func Flatten(settings any) map[string]string {
 	values := map[string]string{}
 	flatten(values, "", settings)
 	return values
 }
 
-// flatten turns nested JSON into the paths of the simulator's wire: plain lists are joined with commas, lists
+// flatten steps nested JSON into the paths of the simulator's wire: plain lists are joined with commas, lists
 // of objects put their length under .count and their items under .0, .1 and onward.
 func flatten(into map[string]string, path string, v any) {
 	join := func(key string) string {
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -149,7 +149,7 @@
 	}
 }
 
-// TestMergedKeepsNumbers: records that are held go by the numbers of workloads, zones and parties.
+// TestMergedKeepsNumbers: messages that are held go by the numbers of classes, zones and tenants.
 func TestMergedKeepsNumbers(t *testing.T) {
 	first, err := load(t, Load, nil, nil)
 	if err != nil {
--- a/config/dispatch.go
+++ b/config/dispatch.go
@@ -51,11 +51,11 @@
 	return strings.Split(p.values[key], ",")
 }
 
-// Micros turns seconds into the decisions' unit.
+// Micros steps seconds into the decisions' unit.
 func Micros(seconds float64) dispatch.Micros { return dispatch.Micros(math.Round(seconds * 1e6)) }
 
 // Sound holds settings that come without a file, by their paths, against the schema: the first key whose value doesn't fit, or
-// can't hold beside another, is told. Keys that nobody knows are passed over.
+// can't hold beside another, is notified. Keys that nobody knows are passed over.
 func Sound(values map[string]string) error {
 	for _, path := range slices.Sorted(maps.Keys(values)) {
 		text := values[path]
--- a/config/document.go
+++ b/config/document.go
@@ -150,7 +150,7 @@
 				if line == 0 {
 					line = lines[path[:max(0, strings.LastIndexByte(path, '.'))]]
 				}
-				if _, ok := d.Values[path]; !ok { // an empty one has been told already
+				if _, ok := d.Values[path]; !ok { // an empty one has been reported already
 					d.fault(path, line, "must be given: %s (%s)", key.Doc, key.Expects())
 				}
 			} else if key.Default != "" {
@@ -188,10 +188,10 @@
 	d.peers(text)
 	const rest, advice = "settings.rules.key-rest-s", "settings.ceilings.retry-after"
 	if over(rest) && !slices.ContainsFunc(d.Paths("settings.classes[].in-order"), on) {
-		doubt(rest, "a workload in order was expected, as keys rest for no other")
+		doubt(rest, "an ordered class was expected, as only its keys are held")
 	}
 	if on(advice) && !over("settings.ceilings.max-retry-after-s") {
-		doubt(advice, "max-retry-after-s over 0 was expected, or no advice is heeded")
+		doubt(advice, "max-retry-after-s over 0 was expected, or Retry-After is never sent")
 	}
 	for _, path := range d.Paths("settings.classes[].idempotency") {
 		if text(path) == "guarded" && !over(strings.TrimSuffix(path, "idempotency")+"dedup-window-s") {
@@ -222,7 +222,7 @@
 	each("peers.through", 2)
 }
 
-// later tells whether one number is larger than another; what is no number has been told of elsewhere.
+// later tells whether one number is larger than another; what is no number has been reported of elsewhere.
 func later(a, b string) bool {
 	x, errX := strconv.ParseFloat(a, 64)
 	y, errY := strconv.ParseFloat(b, 64)
--- a/config/page.go
+++ b/config/page.go
@@ -13,7 +13,7 @@
 		"A file in JSON, TOML or YAML, by its name's ending (JSON for any other), named by `RELAY_CONFIG` or `--config`. Layers, each\n" +
 		"over the one before: defaults, the file, variables, flags (`--set KEY=VALUE`). The platform's file, in JSON, is read as it is.\n" +
 		"Lists of plain values may be written as lists. In YAML and TOML put the seed in quotes.\n\n" +
-		"On SIGHUP the file is read anew. What the last column calls taken over applies at once, to records that are held as well unless\n" +
+		"On SIGHUP the file is read anew. What the last column calls taken over applies at once, to messages that are held as well unless\n" +
 		"it says otherwise; a faulty file changes nothing.\n\n" +
 		"| key | what | unit | allowed | if missing | on reload |\n| --- | --- | --- | --- | --- | --- |\n")
 	for _, key := range Schema {
--- a/dispatch/quota_test.go
+++ b/dispatch/quota_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// limited is a charter under which three couriers share a listed limit.
+// limited is a configuration under which three couriers share a listed limit.
 func limited() (Config, EndpointUpdate) {
 	config := testConfig()
 	config.RateQuality = NominalRates
@@ -18,8 +18,8 @@
 	return config, list
 }
 
-// TestExpiredLeasesHaveNoEffect: a courier that was told of loans, of what it lent and of a load, all of it over, decides record by
-// record as one that was told nothing. Failure: what couriers had settled lasted beyond its time.
+// TestExpiredLeasesHaveNoEffect: a courier that was notified of leases, of what it granted and of a load, all of it over, decides message by
+// message as one that was notified nothing. Failure: what couriers had settled lasted beyond its time.
 func TestExpiredLeasesHaveNoEffect(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config, list := limited()
@@ -45,9 +45,9 @@
 	})
 }
 
-// TestSharedLoadOnlySlowsDown: whatever load is heard of and whatever was lent, no gap gets shorter; a loan shortens this courier's part of
-// it, until it lapses by its own clock. Failures meant: a fleet that goes on over a limit while reports, told late, say that plenty is
-// left; a borrower that stood still past the lapse and uses on.
+// TestSharedLoadOnlySlowsDown: whatever load is heard of and whatever was granted, no gap gets shorter; a lease shortens this courier's part of
+// it, until it lapses by its own clock. Failures meant: a fleet that goes on over a limit while reports, reported late, say that plenty is
+// left; a lessee that stood still past the lapse and uses on.
 func TestSharedLoadOnlySlowsDown(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config, list := limited()
@@ -70,15 +70,15 @@
 		share = QuotaShare{Destination: 1, Leased: rapid.Float64Range(0.1, 2).Draw(t, "loan"), LeasedUntil: now + second}
 		dispatcher.Handle(now, []Event{QuotaChanged{[]QuotaShare{share}}})
 		if dispatcher.fairInterval(group) >= part {
-			t.Fatalf("a loan of %v leaves the part at %d", share.Leased, dispatcher.fairInterval(group))
+			t.Fatalf("a lease of %v leaves the part at %d", share.Leased, dispatcher.fairInterval(group))
 		}
 		if dispatcher.Handle(now+second, nil); dispatcher.fairInterval(group) != part {
-			t.Fatalf("a loan that lapsed leaves the part at %d of %d", dispatcher.fairInterval(group), part)
+			t.Fatalf("a lease that lapsed leaves the part at %d of %d", dispatcher.fairInterval(group), part)
 		}
 	})
 }
 
-// TestDemandsCountCalls: what is told of a route is what was called, served and refused there, and what waits.
+// TestDemandsCountCalls: what is notified of a route is what was called, served and refused there, and what waits.
 func TestDemandsCountCalls(t *testing.T) {
 	config, list := limited()
 	config.Slots = 1
@@ -93,8 +93,8 @@
 	}
 }
 
-// TestStartReservesGrantedShare: as long as an earlier start may have lent half of each part, half is used at most, whatever is told meanwhile;
-// then all of it. Failure meant: a lender that is killed and back uses what its borrowers still use.
+// TestStartReservesGrantedShare: as long as an earlier start may have granted half of each part, half is used at most, whatever is notified meanwhile;
+// then all of it. Failure meant: a grantor that is killed and back uses what its lessees still use.
 func TestStartReservesGrantedShare(t *testing.T) {
 	config, list := limited()
 	now := 100 * second
@@ -107,7 +107,7 @@
 	group := dispatcher.destinations[1].groups[0]
 	for _, events := range [][]Event{nil, {QuotaChanged{[]QuotaShare{{Destination: 1}}}}, {QuotaChanged{[]QuotaShare{{Destination: 1, Granted: 0.1, GrantedUntil: now + second}}}}} {
 		if dispatcher.Handle(now, events); dispatcher.fairInterval(group) < 2*part-1 {
-			t.Errorf("told %v, a call goes every %d us, the whole part is %d", events, dispatcher.fairInterval(group), part)
+			t.Errorf("reported %v, a call goes every %d us, the whole part is %d", events, dispatcher.fairInterval(group), part)
 		}
 	}
 	if dispatcher.Handle(config.GrantedUntil, nil); dispatcher.fairInterval(group) != part {
--- a/dispatch/scenario_test.go
+++ b/dispatch/scenario_test.go
@@ -18,12 +18,12 @@
 )
 
 // TestScenarios plays testdata/*.txt; parts are set apart by lines or semicolons, # begins a comment. First what
-// the courier is handed, if not the usual: charter, workload, shape, party, with names and values. Then "at
+// the courier is handed, if not the usual: configuration, class, shape, tenant, with names and values. Then "at
 // SECONDS", the events of that instant (list, take, end, left), and what must have been done since the instant
-// before: want, none, most N, least N, with the beginning of an action, or what it holds now: records, keys, endpoints,
+// before: want, none, most N, least N, with the beginning of an action, or what it holds now: messages, keys, endpoints,
 // dests and their number. "answer ENDPOINT OUTCOME SPAN" lets an
 // endpoint answer by itself, "never" ends that. "stands" after an instant: no event is handled until the next one. List entries are endpoint:dest:zone:shape:phase:rate; r1..r9
-// stands for nine records. Every action is held against the rules, asked or not.
+// stands for nine messages. Every action is held against the rules, asked or not.
 func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
@@ -96,7 +96,7 @@
 	event AttemptFinished
 }
 
-// fate is what the rules need to know of a record.
+// fate is what the rules need to know of a message.
 type messageBook struct {
 	class             Class
 	attempts          []bool // over
@@ -249,7 +249,7 @@
 			p.batch = append(p.batch, MessageAccepted{Message: MessageID(id), Destination: DestinationID(p.number(opt("dest", "1"))),
 				Class: work, Tenant: TenantID(p.number(opt("p", "0"))), OrderingKey: OrderingKey(opt("key", "")), Deadline: cutOff})
 		}
-	case "recover": // ID, w, key, left, trips OUTCOME@AGO[/ZONE],...; the outcome "out" is one that is still awaited
+	case "recover": // ID, w, key, left, attempts OUTCOME@AGO[/ZONE],...; the outcome "out" is one that is still awaited
 		work := ClassID(p.number(opt("w", "0")))
 		book := &messageBook{class: p.config.Classes[work]}
 		book.deadline = p.now + p.span(opt("left", "5s"))
@@ -279,7 +279,7 @@
 		}
 	case "learned":
 		p.batch = append(p.batch, SnapshotRestored{*p.snapshot})
-	case "recharter": // slots, hold, and "single-use" for a first workload that may run twice no more
+	case "recharter": // slots, hold, and "at-most-once" for a first class that may run twice no more
 		config := p.config
 		config.Classes = append([]Class(nil), config.Classes...)
 		config.Slots, config.QueueLimit = int(p.number(opt("slots", strconv.Itoa(config.Slots)))), int(p.number(opt("hold", strconv.Itoa(config.QueueLimit))))
@@ -326,7 +326,7 @@
 	}
 }
 
-// note keeps the books of an outcome that is about to be told.
+// note keeps the books of an outcome that is about to be notified.
 func (p *player) note(event AttemptFinished) AttemptFinished {
 	book := p.messages[string(event.Message)]
 	if book == nil || int(event.Attempt) >= len(book.attempts) {
@@ -407,10 +407,10 @@
 			p.fatal("a second answer, or one for a stranger: %s", id)
 		}
 		if p.now > book.deadline {
-			p.fatal("%s answered after its cut-off", id)
+			p.fatal("%s answered after its deadline", id)
 		}
 		if reject && (book.mayHaveRun || book.inFlight > 0) && (book.class.Idempotency == AtMostOnce || book.class.SameZone) {
-			p.fatal("%s bounced though it may have run", id)
+			p.fatal("%s rejected though it may have run", id)
 		}
 		book.ended = true
 	}
@@ -431,11 +431,11 @@
 		case p.disabled[string(a.Endpoint)]:
 			p.fatal("%s sent to %s, which people have taken out", a.Message, a.Endpoint)
 		case book.class.Idempotency == AtMostOnce && (book.mayHaveRun || book.inFlight > 0):
-			p.fatal("%s is single-use and sent again", a.Message)
+			p.fatal("%s is at-most-once and sent again", a.Message)
 		case book.class.Idempotency == IdempotencyKey && book.mayHaveRun && p.now > book.ranAt+book.class.IdempotencyWindow:
 			p.fatal("%s sent again after its window", a.Message)
 		case a.Timeout <= 0 || p.now+a.Timeout > book.deadline:
-			p.fatal("%s may run past its cut-off", a.Message)
+			p.fatal("%s may run past its deadline", a.Message)
 		}
 		if len(book.attempts) == 0 {
 			book.ranAt = p.now
--- a/dispatch/shadow_test.go
+++ b/dispatch/shadow_test.go
@@ -4,11 +4,11 @@
 	"testing"
 )
 
-// watchers look on in every scenario: first one under the courier's own charter, which must never differ, then others,
+// watchers look on in every scenario: first one under the courier's own configuration, which must never differ, then others,
 // which must differ and be in step all the same.
 type watchers []*Shadow
 
-// others are charters that decide otherwise.
+// others are configurations that decide otherwise.
 var others = []func(*Config){
 	func(ch *Config) {},
 	func(ch *Config) { ch.Slots, ch.MaxAttempts = 1, 2 },
@@ -43,7 +43,7 @@
 		shadow.Observe(p.now, events, did)
 		counts, _ := shadow.Counts()
 		if i == 0 && counts != [Differences]int{} {
-			p.fatal("under the same charter it differs: %v", counts)
+			p.fatal("under the same configuration it differs: %v", counts)
 		}
 		ws.inStep(p, i, shadow.dispatcher)
 	}
@@ -53,7 +53,7 @@
 func (ws *watchers) inStep(p *player, i int, dispatcher *Dispatcher) {
 	p.t.Helper()
 	if dispatcher.unfinished != p.dispatcher.unfinished || dispatcher.callsInFlight != p.dispatcher.callsInFlight || len(dispatcher.inFlight) != len(p.dispatcher.inFlight) {
-		p.fatal("watcher %d holds %d with %d calls and %d trips out, the courier %d with %d and %d", i, dispatcher.unfinished, dispatcher.callsInFlight,
+		p.fatal("watcher %d holds %d with %d calls and %d attempts out, the courier %d with %d and %d", i, dispatcher.unfinished, dispatcher.callsInFlight,
 			len(dispatcher.inFlight), p.dispatcher.unfinished, p.dispatcher.callsInFlight, len(p.dispatcher.inFlight))
 	}
 	for id, message := range p.dispatcher.messages {
@@ -62,11 +62,11 @@
 		}
 	}
 	if len(dispatcher.messages) != len(p.dispatcher.messages) {
-		p.fatal("watcher %d knows %d records, the courier %d", i, len(dispatcher.messages), len(p.dispatcher.messages))
+		p.fatal("watcher %d knows %d messages, the courier %d", i, len(dispatcher.messages), len(p.dispatcher.messages))
 	}
 }
 
-// TestShadowCountsDifferencesByKind: each kind of difference is brought about, and counted once for its record.
+// TestShadowCountsDifferencesByKind: each kind of difference is brought about, and counted once for its message.
 func TestShadowCountsDifferencesByKind(t *testing.T) {
 	base := Config{Seed: 7, Couriers: 1, Slots: 50, QueueLimit: 100, MaxAttempts: 8, MayTellRetryAfter: true, MayCancel: true,
 		MaxRetryAfter: 2 * second, Tick: 5 * millisecond, ReportLeftIndex: -1, ReportRateIndex: -1, SlowStartFrom: 0.2, SlowStart: 10 * second,
--- a/dispatch/snapshot_test.go
+++ b/dispatch/snapshot_test.go
@@ -102,7 +102,7 @@
 		successor := New(testConfig())
 		successor.Handle(at, []Event{threeEndpoints(), SnapshotRestored{snapshot}})
 		again := successor.Snapshot()
-		for i := range snapshot.Groups { // what is half-open has no trial out at the heir
+		for i := range snapshot.Groups { // what is half-open has no trial out at the successor
 			if !reflect.DeepEqual(snapshot.Groups[i], again.Groups[i]) && snapshot.Groups[i].Breakers[0].OpenUntil == 0 {
 				t.Fatalf("%+v\nbecame %+v", snapshot.Groups[i], again.Groups[i])
 			}
@@ -110,7 +110,7 @@
 	})
 }
 
-// TestSnapshotOfUnknownEndpointsIsIgnored: lore about what the list does not have, or has otherwise, or of other workloads, changes nothing.
+// TestSnapshotOfUnknownEndpointsIsIgnored: learned state about what the list does not have, or has otherwise, or of other classes, changes nothing.
 func TestSnapshotOfUnknownEndpointsIsIgnored(t *testing.T) {
 	dispatcher := New(testConfig())
 	dispatcher.Handle(100*second, []Event{threeEndpoints(), SnapshotRestored{Snapshot{TakenAt: 99 * second, LostCalls: make([]SumSnapshot, 99),
--- a/handoff/folder.go
+++ b/handoff/folder.go
@@ -128,7 +128,7 @@
 	}
 }
 
-// Serve lets new processes knock from now on: arrived is told of each that has said hello, and of the link to it.
+// Serve lets new processes knock from now on: arrived is notified of each that has said hello, and of the link to it.
 func (f *Folder) Serve(arrived func(*Link, *Hello)) error {
 	os.Remove(filepath.Join(f.dir, socketName)) // of an owner that has ended
 	l, err := net.Listen("unix", f.path())
--- a/handoff/machine.go
+++ b/handoff/machine.go
@@ -14,7 +14,7 @@
 	phaseOwner      phase = iota
 	phaseRequested        // a new process is ready; what has come is still decided here
 	phaseHandedOver       // the new one may decide
-	phaseForwarding       // the new one serves; outcomes of what is out are told
+	phaseForwarding       // the new one serves; outcomes of what is out are notified
 )
 
 // What a Predecessor wants done.
@@ -35,10 +35,10 @@
 // Owns tells whether this process decides.
 func (g *Predecessor) Owns() bool { return g.phase == phaseOwner || g.phase == phaseRequested }
 
-// ShutDown: this process was told to end. It gives to nobody any more, and does not go on when a new one dies.
+// ShutDown: this process was notified to end. It gives to nobody any more, and does not go on when a new one dies.
 func (g *Predecessor) ShutDown() { g.shuttingDown = true }
 
-// HelloReceived: a new process has said hello; ours tells whether it is the one that a handover is under way with.
+// HelloReceived: a new process has said hello; ours tells whether it is the one that a handoff is under way with.
 func (g *Predecessor) HelloReceived(h *Hello) (Decision, string) {
 	if err := h.agree(g.courier); err != nil {
 		return Refuse, err.Error()
--- a/handoff/machine_test.go
+++ b/handoff/machine_test.go
@@ -116,7 +116,7 @@
 
 // TestEveryOrder plays every order of messages, kills and SIGTERM up to a length, and holds it against what must not be:
 // two that decide at once. What must be: whoever is left alive can own the folder. Failure: an old process that went on while
-// the new one decided broke waits and sent records twice.
+// the new one decided broke waits and sent messages twice.
 func TestEveryOrder(t *testing.T) {
 	start := &model{predecessor: NewPredecessor("n0"), oldAlive: true, lock: 1}
 	seen := map[string]bool{}
@@ -141,10 +141,10 @@
 			}
 		}
 		if deciders > 1 {
-			t.Fatalf("%d decide: %+v, giver %+v", deciders, m, *m.predecessor)
+			t.Fatalf("%d decide: %+v, predecessor %+v", deciders, m, *m.predecessor)
 		}
 		if m.oldDecides() && m.lock != 1 || m.oldAlive && m.lock == 1 && !m.oldDecides() {
-			t.Fatalf("who decides does not own the folder: %+v, giver %+v", m, *m.predecessor)
+			t.Fatalf("who decides does not own the folder: %+v, predecessor %+v", m, *m.predecessor)
 		}
 		if depth == 0 {
 			return
@@ -181,7 +181,7 @@
 	}
 	if g.HandedOver(); g.Owns() || g.MessageReceived(&Message{State: &State{}}) != Drop || g.MessageReceived(&Message{Serving: true}) != Apply ||
 		g.MessageReceived(&Message{Serving: true}) != Drop || g.MessageReceived(&Message{Cancel: &AttemptID{}}) != Apply {
-		t.Error("messages after the handover")
+		t.Error("messages after the handoff")
 	}
 	if g.SuccessorLost() != Reclaim || !g.Owns() {
 		t.Error("does not go on when the new process dies")
@@ -189,7 +189,7 @@
 	g.HelloReceived(hello)
 	g.HandedOver()
 	if g.ShutDown(); g.SuccessorLost() != Nothing || g.Owns() {
-		t.Error("goes on though it was told to end")
+		t.Error("goes on though it was notified to end")
 	}
 	if do, _ := NewPredecessor("n0").HelloReceived(hello); do != HandOver {
 		t.Error("a fresh one refuses")
--- a/handoff/message.go
+++ b/handoff/message.go
@@ -26,9 +26,9 @@
 	Refused         string                    `json:"refused,omitempty"` // old: goes on by itself, and why
 	State           *State                    `json:"state,omitempty"`   // old: decides no more
 	Serving         bool                      `json:"serving,omitempty"` // new: takes clients
-	AttemptFinished *dispatch.AttemptFinished `json:"settled,omitempty"` // old: a trip that it had out ended
+	AttemptFinished *dispatch.AttemptFinished `json:"settled,omitempty"` // old: an attempt that it had out ended
 	Cancel          *AttemptID                `json:"cancel,omitempty"`  // new: it is waited for no more
-	RetryAfter      *RetryAfter               `json:"wait,omitempty"`    // new: was told to wait, in case the old one must go on
+	RetryAfter      *RetryAfter               `json:"wait,omitempty"`    // new: was notified to wait, in case the old one must go on
 	Command         *Command                  `json:"ask,omitempty"`     // old: operators want something
 	Result          *Result                   `json:"answer,omitempty"`  // new: what became of it
 }
@@ -44,10 +44,10 @@
 	Snapshot    dispatch.Snapshot          `json:"lore"`
 	ListVersion int64                      `json:"seq"` // of the list
 	Hosts       []protocol.Host            `json:"hosts"`
-	InFlight    []AttemptID                `json:"out"`   // trips whose outcome is still to be told
+	InFlight    []AttemptID                `json:"out"`   // attempts whose outcome is still to be notified
 	RetryAfter  map[string]dispatch.Micros `json:"waits"` // by route, until when
 	Disabled    []string                   `json:"gone"`  // endpoints out for maintenance
-	Draining    bool                       `json:"away"`  // clients are sent away
+	Draining    bool                       `json:"away"`  // clients are drained
 	Membership  *Membership                `json:"peers,omitempty"`
 }
 
@@ -57,14 +57,14 @@
 	Members     []string `json:"members"`
 }
 
-// AttemptID is one trip.
+// AttemptID is one attempt.
 type AttemptID struct {
 	Message   string          `json:"record"`
 	Attempt   int             `json:"trip"`
 	WaitUntil dispatch.Micros `json:"limit,omitempty"`
 }
 
-// RetryAfter is what a route told; Endpoint is empty where the route is the destination.
+// RetryAfter is what a route reported; Endpoint is empty where the route is the destination.
 type RetryAfter struct {
 	Destination dispatch.DestinationID `json:"dest"`
 	Endpoint    dispatch.EndpointID    `json:"endpoint,omitempty"`
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -112,7 +112,7 @@
 	close(out.stuck)
 	for deadline := time.Now().Add(5 * time.Second); !strings.Contains(out.String(), "log lines dropped"); {
 		if time.Now().After(deadline) {
-			t.Fatalf("not told:\n%.500s", out.String())
+			t.Fatalf("not reported:\n%.500s", out.String())
 		}
 		l.Info("still here", "at", time.Now())
 		time.Sleep(10 * time.Millisecond)
@@ -123,6 +123,6 @@
 		fmt.Sscan(text, &logged)
 	}
 	if logged < dropped || logged > l.Dropped() { // a few more may have been dropped since it was stuck
-		t.Errorf("%d told, %d dropped", logged, dropped)
+		t.Errorf("%d reported, %d dropped", logged, dropped)
 	}
 }
--- a/maintenance/maintenance.go
+++ b/maintenance/maintenance.go
@@ -25,7 +25,7 @@
 	Reserve = 2 * Limit
 )
 
-// Why a file is not used, beside what sealed says.
+// Why a file is not used, beside what encoded says.
 var (
 	ErrVersion      = errors.New("of another version")
 	ErrOtherCourier = errors.New("of another courier")
@@ -94,7 +94,7 @@
 	k.stopped = true
 }
 
-// Write returns once the endpoints that were out at a turn, or a later one, are in the file.
+// Write returns once the endpoints that were out at a step, or a later one, are in the file.
 func (k *Writer) Write(turn int64, out map[string]bool) error {
 	content, err := encode(k.courier, slices.Sorted(maps.Keys(out)))
 	if err != nil {
--- a/membership/gossip/gossip.go
+++ b/membership/gossip/gossip.go
@@ -1,5 +1,5 @@
 // Package gossip carries what a fleet's couriers say of one another: hashicorp/memberlist detects, membership decides, and
-// this joins the two with a clock, a network and a log. Nothing here is on a record's way, and nothing waits for it.
+// this joins the two with a clock, a network and a log. Nothing here is on a message's way, and nothing waits for it.
 package gossip
 
 import (
@@ -21,7 +21,7 @@
 	"pineport/membership"
 )
 
-// Options are what a member is told.
+// Options are what a member is notified.
 type Options struct {
 	Name        string
 	Incarnation uint64
@@ -38,9 +38,9 @@
 	Log         *slog.Logger
 	// StoreIncarnation writes a start's number down, before it is used.
 	StoreIncarnation func(start uint64) error
-	// SizeEstimated is told how many couriers the decisions are to reckon with. It must not wait.
+	// SizeEstimated is notified how many couriers the decisions are to count on. It must not wait.
 	SizeEstimated func(couriers int)
-	// Receive is told what others said with Send. It must not wait.
+	// Receive is notified what others said with Send. It must not wait.
 	Receive func(text []byte)
 	// Transport stands in for sockets, in tests.
 	Transport memberlist.Transport
@@ -65,7 +65,7 @@
 	Incarnations map[string]uint64 `cbor:"3,keyasint,omitempty"`
 }
 
-// namesake tells a courier that another one of its name is there: who hears of both tells the older start.
+// name conflict tells a courier that another one of its name is there: who hears of both tells the older start.
 type nameConflict struct {
 	Version     int    `cbor:"1,keyasint"`
 	Name        string `cbor:"2,keyasint"`
@@ -170,7 +170,7 @@
 	return c
 }
 
-// join seeks the members that it was told of, until one is found, and then now and then while somebody is missing.
+// join seeks the members that it was notified of, until one is found, and then now and then while somebody is missing.
 func (m *Member) join(ctx context.Context) {
 	defer m.done.Done()
 	wait := m.options.Interval
@@ -205,7 +205,7 @@
 		case e := <-m.events:
 			events = append(events, e)
 		case <-tick.C:
-			// Behind what the detector has told already, or what came in while this process stood still would count as old.
+			// Behind what the detector has reported already, or what came in while this process stood still would count as old.
 			events = append(events, membership.Tick{})
 			passed++
 			if since++; since >= resyncTicks || m.lostEvents.Load() != lost {
@@ -242,7 +242,7 @@
 	}
 	asked := 0
 	for _, member := range m.Snapshot().Members {
-		if member.State == membership.Suspected && asked < maxProbes { // that a suspicion is over is told to nobody: ask
+		if member.State == membership.Suspected && asked < maxProbes { // that a suspicion is over is notified to nobody: ask
 			asked++
 			go m.probe(member)
 		}
@@ -297,7 +297,7 @@
 	}
 }
 
-// renumber keeps the number and then tells it; one that cannot be kept is told all the same, as it is higher than any seen.
+// renumber keeps the number and then tells it; one that cannot be kept is notified all the same, as it is higher than any seen.
 func (m *Member) renumber(start uint64) {
 	if m.options.StoreIncarnation != nil {
 		if err := m.options.StoreIncarnation(start); err != nil {
@@ -409,7 +409,7 @@
 	return text
 }
 
-// NotifyMsg takes word of a namesake, and what is carried for others.
+// NotifyMsg takes word of a name conflict, and what is carried for others.
 func (d delegate) NotifyMsg(text []byte) {
 	var p userPacket
 	if decoder.Unmarshal(text, &p) == nil && p.Version == Version && len(p.Quota) > 0 {
--- a/membership/gossip/gossip_test.go
+++ b/membership/gossip/gossip_test.go
@@ -95,7 +95,7 @@
 	return membership.Unknown
 }
 
-// TestFaultsFromSeeds: whatever strikes the network, once it is over all know of all again, nobody counted fewer meanwhile,
+// TestFaultsFromSeeds: whatever faults the network, once it is over all know of all again, nobody counted fewer meanwhile,
 // and no part of the fleet took the rest for gone.
 func TestFaultsFromSeeds(t *testing.T) {
 	seeds, n := 12, 24
@@ -220,7 +220,7 @@
 }
 
 // TestStaleIncarnationAndNameConflict: one that comes back from an older copy of its folder goes on under a higher number; of two of one
-// name the older start stands back.
+// name the older start steps down.
 func TestStaleIncarnationAndNameConflict(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := begin(t, 5, 9)
@@ -313,7 +313,7 @@
 	})
 }
 
-// TestSlowMember: one whose words take longer than a probe waits does not have the fleet believe in deaths, by its own doubt.
+// TestSlowMember: one whose words take longer than a probe waits does not have the fleet assume in deaths, by its own doubt.
 func TestSlowMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := begin(t, 12, 15)
@@ -392,7 +392,7 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	if a.Metrics().Network.Turned == 0 {
-		t.Error("nothing is turned away")
+		t.Error("nothing is rejected")
 	}
 	b := open("b", "f", key, loopback(t))
 	for end := time.Now().Add(40 * time.Second); b.Snapshot().LocalStatus != membership.Complete.String() && time.Now().Before(end); {
--- a/membership/gossip/transport.go
+++ b/membership/gossip/transport.go
@@ -38,7 +38,7 @@
 	return Counts{c.packetsIn.Load(), c.packetsOut.Load(), c.bytesIn.Load(), c.bytesOut.Load(), c.streams.Load(), c.turned.Load()}
 }
 
-// sockets is the detector's way over UDP and TCP. Through leads addresses elsewhere, as past a translating router.
+// sockets is the detector's way over UDP and TCP. Through leads addresses elsewhere, as past a translating event loop.
 type sockets struct {
 	udp       *net.UDPConn
 	tcp       net.Listener
--- a/membership/incarnation/incarnation.go
+++ b/membership/incarnation/incarnation.go
@@ -25,7 +25,7 @@
 	Incarnation uint64 `json:"start"`
 }
 
-// Next takes the next number and keeps it. What cannot be read begins anew at 1, and the fault is told beside the number:
+// Next takes the next number and keeps it. What cannot be read begins anew at 1, and the fault is notified beside the number:
 // the others remember higher ones, and tell them.
 func Next(dir, courier string) (start uint64, fault error, err error) {
 	last, fault := read(dir, courier)
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -1,6 +1,6 @@
 // Package membership decides who is in a fleet of couriers, and where this one stands in it: from what a detector and the other
 // members say, without any I/O or clock. New reads the Config once; Handle takes the instant and what happened, and returns
-// what is to be done and told, in order. docs/membership.md says what is promised.
+// what is to be done and reported, in order. docs/membership.md says what is promised.
 package membership
 
 import (
@@ -28,7 +28,7 @@
 
 // States of a member.
 const (
-	Unknown   State = iota // nothing fresh is known, as this courier has just woken
+	Unknown   State = iota // nothing fresh is known, as this courier has just resumed
 	Alive                  // heard of, and not doubted
 	Suspected              // the detector doubts it
 	Failed                 // the detector has given it up; it is counted all the same
@@ -48,7 +48,7 @@
 	Partial                        // some are heard
 	Complete                       // all that there should be are heard
 	Recovering                     // this process stood still or its clock ran oddly: nothing held from before is trusted
-	SteppedDown                    // a younger courier of this name is there: this one stands back
+	SteppedDown                    // a younger courier of this name is there: this one steps down
 )
 
 var localStatusNames = [...]string{"alone", "part", "whole", "just woken", "stood back"}
@@ -101,7 +101,7 @@
 func (FleetResized) event()        {}
 func (Tick) event()                {}
 
-// Action is something to be done or told: one of the types below.
+// Action is something to be done or reported: one of the types below.
 type Action interface{ action() }
 
 type (
@@ -152,7 +152,7 @@
 	LocalStatus  string      `json:"standing"`
 	Since        Micros      `json:"since_us"`
 	MinCouriers  int         `json:"least"` // couriers that are there for all that is known, this one included
-	MaxCouriers  int         `json:"most"`  // couriers that may be there: the decisions reckon with so many
+	MaxCouriers  int         `json:"most"`  // couriers that may be there: the decisions count on so many
 	Revoked      int         `json:"revoked"`
 	StaleReports int         `json:"stale"` // words about starts that are over
 	Members      []Member    `json:"members"`
@@ -171,7 +171,7 @@
 	tick         Micros         // the last Tick
 	fresh        map[Name]bool  // who answered since this process stood still
 	reports      map[Name]State // bad words of the detector since then, heeded later
-	probed       int            // couriers that the decisions reckon with
+	probed       int            // couriers that the decisions count on
 	shrinkAt     Micros
 	version      uint64
 	revoked      int
@@ -248,7 +248,7 @@
 func (v *Membership) names() []Name { return slices.Sorted(maps.Keys(v.members)) }
 
 // heard takes a word of the detector. Words about a start that is over say nothing, and one that left is back only with a
-// start of its own. Just woken, only its good words count: the bad ones may be of this process's own silence.
+// start of its own. Just resumed, only its good words count: the bad ones may be of this process's own silence.
 func (v *Membership) memberReported(e MemberReported) {
 	if e.Name == v.config.Self {
 		v.incarnationReported(e.Incarnation)
@@ -310,7 +310,7 @@
 	}
 }
 
-// namesake: of two couriers of one name the older start stands back; of two that took the same one, who hears it first
+// name conflict: of two couriers of one name the older start steps down; of two that took the same one, who hears it first
 // takes a further number, drawn.
 func (v *Membership) nameConflict(e NameConflict) {
 	switch {
@@ -419,7 +419,7 @@
 	}
 }
 
-// EstimatedSize is how many the decisions reckon with.
+// EstimatedSize is how many the decisions count on.
 func (v *Membership) EstimatedSize() int { return v.probed }
 
 // Incarnations is the highest start known of each name, this courier's included, of the names that are kept.
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -95,7 +95,7 @@
 		t.Errorf("an older copy of the folder goes on with %v", r)
 	}
 	if out := v.Handle(3*tick, NameConflict{Incarnation: 8, Address: "x:1"}); len(out) != 0 {
-		t.Errorf("the younger one stands back: %v", out)
+		t.Errorf("the younger one steps down: %v", out)
 	}
 	if r, ok := find[IncarnationAdvanced](v.Handle(4*tick, NameConflict{Incarnation: 10, Address: "x:1"})); !ok || r.Incarnation <= 10 {
 		t.Errorf("of two of one number this one keeps it: %v", r)
@@ -198,7 +198,7 @@
 		}
 	}
 	if v.EstimatedSize() < most || v.EstimatedSize() < v.config.FleetSize && !less {
-		return fmt.Errorf("reckons with %d, %d may be there, %d by the settings", v.EstimatedSize(), most, v.config.FleetSize)
+		return fmt.Errorf("counts on %d, %d may be there, %d by the settings", v.EstimatedSize(), most, v.config.FleetSize)
 	}
 	if less && v.localStatus != Complete {
 		return fmt.Errorf("counts fewer while %v", v.localStatus)
@@ -212,7 +212,7 @@
 		}
 	}
 	if v.probed != w.asked {
-		return fmt.Errorf("reckons with %d, told %d", v.probed, w.asked)
+		return fmt.Errorf("counts on %d, reported %d", v.probed, w.asked)
 	}
 	return nil
 }
--- a/protocol/calls.go
+++ b/protocol/calls.go
@@ -8,7 +8,7 @@
 	"strconv"
 )
 
-// Item is a record on its way to an endpoint.
+// Item is a message on its way to an endpoint.
 type Item struct {
 	ID   string
 	Mark string // by which a repeat is known, if it has one
@@ -19,7 +19,7 @@
 	return fmt.Appendf(dst, "POST %s HTTP/1.1\r\nHost: %s\r\n%sContent-Length: %d\r\n\r\n", path, host, headers, size)
 }
 
-// Call writes a call with the records it carries; budget is how long this side will wait, in milliseconds.
+// Call writes a call with the messages it carries; budget is how long this side will wait, in milliseconds.
 func Call(host string, budget int64, items []Item) []byte {
 	if len(items) == 1 {
 		head := fmt.Sprintf("X-Call-Id: %s\r\nX-Budget-Ms: %d\r\n", items[0].ID, budget)
@@ -36,7 +36,7 @@
 	return append(post(nil, "/hook/batch", host, fmt.Sprintf("X-Budget-Ms: %d\r\n", budget), len(body)), body...)
 }
 
-// Ends of a record in an answer for several.
+// Ends of a message in an answer for several.
 const (
 	Accepted = "accepted"
 	Fault    = "fault"
@@ -45,7 +45,7 @@
 	NoMore   = "no_more"
 )
 
-// ReadEnds reads how each record of a call fared.
+// ReadEnds reads how each message of a call fared.
 func ReadEnds(body []byte) map[string]string {
 	ends := map[string]string{}
 	for _, line := range bytes.Split(body, []byte{'\n'}) {
@@ -56,11 +56,11 @@
 	return ends
 }
 
-// Notice tells the platform of a record that was taken on and not delivered.
+// Notice tells the platform of a message that was taken on and not delivered.
 type Notice struct {
 	ID       string
 	Rejected bool
-	AgainMs  int64 // with a bounce, 0 if nothing is advised
+	AgainMs  int64 // with a reject, 0 if nothing is advised
 }
 
 // Notices writes one call with several notices.
--- a/protocol/http.go
+++ b/protocol/http.go
@@ -37,7 +37,7 @@
 // Answer holds what is needed of an HTTP answer.
 type Answer struct {
 	Status int
-	WaitMs int64  // told with it, 0 if none
+	WaitMs int64  // reported with it, 0 if none
 	NoSlot bool   // all slots of this courier were taken
 	Report string // of the load, as it came
 	Close  bool   // the connection ends with it
@@ -65,7 +65,7 @@
 	now     Answer
 	head    int // bytes of the head so far
 	left    int // of the body or chunk
-	length  int // -1 where none was told
+	length  int // -1 where none was notified
 	chunked bool
 	limit   int
 	err     error
@@ -105,7 +105,7 @@
 	return answer, done, a.err
 }
 
-// End tells that the stream has ended; an answer without a told length ends with it.
+// End tells that the stream has ended; an answer without a reported length ends with it.
 func (a *Answers) End() (Answer, bool) {
 	if a.err == nil && a.state == untilEnd {
 		a.now.Close = true
--- a/protocol/protocol_test.go
+++ b/protocol/protocol_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// TestLongBodyOnlyForWhatCanBeUsed: a body is kept for a record that names all it needs, and for nothing else.
+// TestLongBodyOnlyForWhatCanBeUsed: a body is kept for a message that names all it needs, and for nothing else.
 func TestLongBodyOnlyForWhatCanBeUsed(t *testing.T) {
 	head := func(name, options string) []byte {
 		return fmt.Appendf(nil, "*5\r\n$7\r\n%s\r\n$1\r\n0\r\n$1\r\na\r\n$%d\r\n%s\r\n$60000\r\n", name, len(options), options)
--- a/protocol/resp.go
+++ b/protocol/resp.go
@@ -9,7 +9,7 @@
 	"strconv"
 )
 
-// MaxBody is the largest body of a record or an answer.
+// MaxBody is the largest body of a message or an answer.
 const MaxBody = 64 << 10
 
 const (
@@ -114,7 +114,7 @@
 	return end + 1, false
 }
 
-// check judges a bulk string by its length before any of it is kept. Only a record's body may be long, and only where
+// check judges a bulk string by its length before any of it is kept. Only a message's body may be long, and only where
 // all that comes before it can be used.
 func (c *Commands) check(n int) error {
 	switch {
@@ -147,7 +147,7 @@
 	return n, true
 }
 
-// Enqueue is a record as a client hands it in.
+// Enqueue is a message as a client hands it in.
 type Enqueue struct {
 	ID     string
 	Class  string
@@ -156,7 +156,7 @@
 	Tenant string
 	Key    string // of its order
 	Mark   string // by which a repeat is known
-	Again  bool   // handed in before
+	Again  bool   // submitted before
 	Body   []byte
 }
 
@@ -221,7 +221,7 @@
 	ReplyPong = "+PONG\r\n"
 )
 
-// ReplyBusy refuses; trying again is harmless, after a while if one is told.
+// ReplyBusy refuses; trying again is harmless, after a while if one is notified.
 func ReplyBusy(ms int64) string {
 	if ms <= 0 {
 		return "-BUSY\r\n"
--- a/quota/bench_test.go
+++ b/quota/bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// BenchmarkTick is what a beat costs one courier that hears all others on all routes: time, bytes said, and what is kept.
+// BenchmarkTick is what a tick costs one courier that hears all others on all routes: time, bytes said, and what is kept.
 func BenchmarkTick(b *testing.B) {
 	for _, size := range [][2]int{{10, 10}, {10, 1000}, {100, 100}, {300, 10}, {300, 1000}} {
 		couriers, routes := size[0], size[1]
--- a/quota/counting.go
+++ b/quota/counting.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// What couriers use of limits: counts, the load known from them, and to whom they are told.
+// What couriers use of limits: counts, the load known from them, and to whom they are notified.
 
 type sampleSlot struct {
 	count Sample
@@ -42,7 +42,7 @@
 	route.peerSamples[sample.Courier] = sampleSlot{sample, c.now - sample.Age}
 }
 
-// follow has the load that is told follow the one that is known, as slowly as use is measured. Failure: couriers that all knew the same
+// follow has the load that is notified follow the one that is known, as slowly as use is measured. Failure: couriers that all knew the same
 // fresh load held back and let go in step, and the more they knew the worse.
 func (c *Allocator) fleetChanged(route *route) {
 	sum, heard := c.load(route)
@@ -73,7 +73,7 @@
 	return route.usage + max(known, Units(likely)), heard
 }
 
-// spread says asks to whom they are for, and counts to some members: this courier's own first, then others' in turn.
+// spread says asks to whom they are for, and counts to some members: this courier's own first, then others' in step.
 func (c *Allocator) spread(keys []Key, asks map[string][]Request) {
 	var own, others []Sample
 	from := 0
@@ -126,7 +126,7 @@
 				packet.Counts, said = append(packet.Counts, sample), max(said, i+1)
 			}
 		}
-		c.send(name, packet) // also where nothing is used: that is worth knowing, too
+		c.send(name, packet) // also where nothing is used: that is value knowing, too
 	}
 	c.rotation += said
 }
--- a/quota/decisions.go
+++ b/quota/decisions.go
@@ -11,7 +11,7 @@
 	return needs
 }
 
-// ToDispatch is what the decisions are told of parts; at reads an instant of this clock by theirs.
+// ToDispatch is what the decisions are notified of parts; at reads an instant of this clock by theirs.
 func ToDispatch(parts []Share, at func(Micros) Micros) (e dispatch.QuotaChanged) {
 	for _, share := range parts {
 		e.Shares = append(e.Shares, dispatch.QuotaShare{Destination: dispatch.DestinationID(share.Dest), Endpoint: dispatch.EndpointID(share.Endpoint), Granted: share.Granted, GrantedUntil: at(share.GrantedUntil),
--- a/quota/events.go
+++ b/quota/events.go
@@ -1,6 +1,6 @@
 package quota
 
-// What commons are told, and what they say and hand out.
+// What the quota allocator is notified, and what they say and hand out.
 
 // Event is something that happened: one of the types below.
 type Event interface{ event() }
@@ -13,9 +13,9 @@
 		Key
 		Limit                       float64 // calls a second from all couriers; 0 where it is not known
 		Calls, Delivered, Throttled uint64
-		Waiting                     int // records held for it
+		Waiting                     int // messages held for it
 	}
-	// FleetChanged: so many couriers are to be reckoned with, and these others are heard.
+	// FleetChanged: so many couriers are to be counted on, and these others are heard.
 	FleetChanged struct {
 		Couriers int
 		Alive    []string
--- a/quota/exchange/exchange.go
+++ b/quota/exchange/exchange.go
@@ -1,5 +1,5 @@
-// Package exchange joins commons with a clock, the words of the fleet and the decisions. Nothing here is on a record's way: it reads what
-// the decisions last told of their routes, and hands them what stands.
+// Package exchange joins quota with a clock, the words of the fleet and the decisions. Nothing here is on a message's way: it reads what
+// the decisions last reported of their routes, and hands them what stands.
 package exchange
 
 import (
@@ -15,17 +15,17 @@
 	"pineport/quota"
 )
 
-// Options are what an exchange is told.
+// Options are what an exchange is notified.
 type Options struct {
 	Self        string
 	Incarnation uint64
 	Interval    time.Duration
 	Log         *slog.Logger
-	// Fleet is how many couriers are reckoned with, and who else is heard.
+	// Fleet is how many couriers are counted on, and who else is heard.
 	Fleet func() (couriers int, alive []string)
 	// Send has a member hear words, which may be lost. It must not wait.
 	Send func(to string, text []byte) error
-	// Demands is what the decisions last told of their routes.
+	// Demands is what the decisions last reported of their routes.
 	Demands func() []dispatch.Demand
 	// Apply hands the decisions what stands, by a clock that began at zero. What it returns is closed once it is taken in; nil if it is not.
 	Apply func(parts []quota.Share, zero time.Time) (taken <-chan struct{})
@@ -33,11 +33,11 @@
 
 const (
 	queueSize = 256 // packets that wait; what comes beyond is lost, as any may be
-	// takenWithin is how long the decisions may take before a loan is said: if they have not heard what was taken off by then, it is not.
+	// takenWithin is how long the decisions may take before a lease is said: if they have not heard what was taken off by then, it is not.
 	applyTimeout = 250 * time.Millisecond
 )
 
-// Exchange runs one courier's commons.
+// Exchange runs one courier's quota.
 type Exchange struct {
 	options   Options
 	startedAt time.Time
@@ -83,7 +83,7 @@
 	return x
 }
 
-// Close ends it; what was lent stays with the borrowers, and what was borrowed lapses.
+// Close ends it; what was granted stays with the lessees, and what was leased lapses.
 func (x *Exchange) Close() {
 	x.stop()
 	x.done.Wait()
@@ -149,7 +149,7 @@
 	}
 }
 
-// carryOut does what was decided, in order: a loan is said only once the decisions go without it.
+// carryOut does what was decided, in order: a lease is said only once the decisions go without it.
 func (x *Exchange) carryOut(ctx context.Context, actions []quota.Action) {
 	known := true
 	for _, action := range actions {
--- a/quota/exchange/exchange_test.go
+++ b/quota/exchange/exchange_test.go
@@ -63,27 +63,27 @@
 	return m.leases
 }
 
-// TestLeaseIsSentAfterItIsApplied: a loan is said only once the decisions go without it, and not while an earlier start may have lent it.
-// Failure meant: both sides use the same part, as the lender's decisions hang or are another process's.
+// TestLeaseIsSentAfterItIsApplied: a lease is said only once the decisions go without it, and not while an earlier start may have granted it.
+// Failure meant: both sides use the same part, as the grantor's decisions hang or are another process's.
 func TestLeaseIsSentAfterItIsApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &peer{takes: true, demands: []dispatch.Demand{{Destination: 1, Limit: 10}}}
 		x := m.open()
 		defer x.Close()
 		if n := m.requests(x, 1); n != 0 {
-			t.Errorf("%d loans were said just after the start", n)
+			t.Errorf("%d leases were said just after the start", n)
 		}
 		time.Sleep(5 * time.Second)
 		for i, held := range []struct{ takes, hangs bool }{{false, false}, {true, true}} {
 			m.holds(held.takes, held.hangs)
 			if n := m.requests(x, uint64(2+i)); n != 0 {
-				t.Errorf("%d loans were said that the decisions did not know of", n)
+				t.Errorf("%d leases were said that the decisions did not know of", n)
 			}
 			time.Sleep(5 * time.Second)
 		}
 		m.holds(true, false)
 		if n := m.requests(x, 9); n != 1 {
-			t.Errorf("%d loans were said", n)
+			t.Errorf("%d leases were said", n)
 		}
 		if s, ok := x.Status(); !ok || s.LeasesWithheld != 2 || len(s.Groups) != 1 || len(s.Groups[0].Grants) != 1 {
 			t.Errorf("shown %+v", s)
@@ -97,7 +97,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		m := &peer{takes: true, hangs: true, demands: []dispatch.Demand{{Destination: 1, Limit: 10}}}
 		x := m.open()
-		time.Sleep(600 * time.Millisecond) // since the first beat it waits for the decisions, and hears nothing
+		time.Sleep(600 * time.Millisecond) // since the first tick it waits for the decisions, and hears nothing
 		x.Receive([]byte("noise"))
 		text, err := quota.Encode(quota.Packet{From: "b"})
 		if err != nil {
--- a/quota/leasing.go
+++ b/quota/leasing.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Shares of limits that couriers lend one another: leases by the borrower's clock.
+// Shares of limits that couriers grant one another: leases by the lessee's clock.
 
 type lease struct {
 	courier string
@@ -24,7 +24,7 @@
 // away is what of the base part is not this courier's to use now.
 func (c *Allocator) grantedUnits(route *route) (sum Units) {
 	if c.now < c.leaseUntil {
-		sum = c.baseUnits() / 2 // as much as an earlier start may have lent
+		sum = c.baseUnits() / 2 // as much as an earlier start may have granted
 	}
 	for _, lease := range route.grants {
 		if c.now < lease.until {
@@ -34,7 +34,7 @@
 	return sum
 }
 
-// borrowed is what others' loans add, of those that hold for a while longer.
+// leased is what others' leases add, of those that hold for a while longer.
 func (c *Allocator) leasedUnits(route *route, longer Micros) (sum Units, until Micros) {
 	for _, lease := range route.leases {
 		if c.now+longer < lease.until {
@@ -46,7 +46,7 @@
 	return sum, until
 }
 
-// take adds a loan, until a span after it was asked for, once.
+// take adds a lease, until a span after it was asked for, once.
 func (c *Allocator) acceptLeases(from string, l Lease) {
 	rt := c.routes[l.Key]
 	if rt == nil {
@@ -62,8 +62,8 @@
 	rt.leases = append(rt.leases, lease{from, l.LeaseID, l.Units, a.at + span})
 }
 
-// lend gives of what this courier does not need, half of its base part at most, and takes it off first. A tenth is kept for what comes
-// unforeseen; less than a fiftieth is not worth a word.
+// grant gives of what this courier does not need, half of its base part at most, and takes it off first. A tenth is kept for what comes
+// unforeseen; less than a fiftieth is not value a word.
 func (c *Allocator) grantLeases(to string, a Request) (Lease, bool) {
 	route := c.routes[a.Key]
 	if route == nil {
--- a/quota/packet.go
+++ b/quota/packet.go
@@ -10,7 +10,7 @@
 const Version = 1
 
 const (
-	// mostWords bounds what one packet brings, of asks, loans and counts each; a packet holds fewer.
+	// mostWords bounds what one packet brings, of asks, leases and counts each; a packet holds fewer.
 	maxItems = 64
 	// mostBytes is what a packet may hold, under what the detector's transport carries in one datagram.
 	maxPacketBytes = 1200
@@ -30,11 +30,11 @@
 	Counts   []Sample  `cbor:"5,keyasint,omitempty"`
 }
 
-// Request asks a member for a part of a limit; whoever asks reckons the loan's span from the instant at which it asked.
+// Request asks a member for a part of a limit; whoever asks reckons the lease's span from the instant at which it asked.
 type Request struct {
 	Key     Key    `cbor:"1,keyasint"`
 	Units   Units  `cbor:"2,keyasint"`
-	LeaseID uint64 `cbor:"3,keyasint"` // drawn; a loan answers it
+	LeaseID uint64 `cbor:"3,keyasint"` // drawn; a lease answers it
 }
 
 // Leased answers an ask. It may be smaller.
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -1,12 +1,12 @@
 // Package quota decides what couriers of one fleet share of the limits that hold over all of them, without I/O or clock: parts of
-// limits are lent, and what each uses is counted. New reads the Config once; Handle takes the instant and what happened, and returns
+// limits are granted, and what each uses is counted. New reads the Config once; Handle takes the instant and what happened, and returns
 // what is to be said and what stands. docs/quota.md says what is promised.
 //
-// A part is a share of a limit, in millionths. Each courier has a base part that needs nobody: one of as many as it reckons with. What
-// it does not need it may lend, up to half of it. A loan is taken off at the lender before it is said, ends at the borrower a span
-// after it *asked*, and is back at the lender strictly later than that, for clocks that run by a hundredth apart. So a word that is
+// A part is a share of a limit, in millionths. Each courier has a base part that needs nobody: one of as many as it counts on. What
+// it does not need it may grant, up to half of it. A lease is taken off at the grantor before it is said, ends at the lessee a span
+// after it *asked*, and is back at the grantor strictly later than that, for clocks that run by a hundredth apart. So a word that is
 // lost, late or doubled can only make room smaller, and no clock is compared with another one. A start holds back what an earlier
-// start of the same courier may have lent: nothing has to be kept in a file, and an older copy of the folder does no harm.
+// start of the same courier may have granted: nothing has to be kept in a file, and an older copy of the folder does no harm.
 package quota
 
 import (
@@ -41,36 +41,36 @@
 }
 
 const (
-	// span is how long a loan holds, from when it was asked for: some paces of the exchange, and short beside an outage, so that what is
+	// span is how long a lease holds, from when it was asked for: some paces of the exchange, and short beside an outage, so that what is
 	// lost with a word or a process is soon back.
 	span = 4 * second
-	// backAfter is when a loan is back at its lender: clocks that run a hundredth fast and slow make 4 s at one 4.08 s at the other.
+	// backAfter is when a lease is back at its grantor: clocks that run a hundredth fast and slow make 4 s at one 4.08 s at the other.
 	backAfter = span + span/40
 	// freshFor is how old a count may be to say something of now.
 	sampleLifetime = 3 * second
-	// rateOver is what usage is measured over: long beside a beat, short beside an outage.
+	// rateOver is what usage is measured over: long beside a tick, short beside an outage.
 	rateOver = 2 * second
 	// mostKeys and mostSlots bound what is kept: routes, and counts of other couriers over all of them, some 2 MB. What is beyond is not
 	// counted into a load, which is then taken for less than it is.
 	maxKeys        = 1024
 	maxPeerSamples = 8192
-	// mostAsked members are asked at a beat, whatever the number of routes: asks wait for the next one.
+	// mostAsked members are asked at a tick, whatever the number of routes: asks wait for the next one.
 	maxRequests = 12
-	// mostOthers counts of others are gathered for a beat, more than its packets hold.
+	// mostOthers counts of others are gathered for a tick, more than its packets hold.
 	maxPeers = 512
-	// mostLent of a base part is away at once. Only where the fleet has more than doubled since a loan is that less than was lent.
+	// mostLent of a base part is away at once. Only where the fleet has more than doubled since a lease is that less than was granted.
 	maxGranted = 0.9
 	// askOf members are asked at once: one that answers late or never costs a part of what is wanted.
 	requestOf = 3
-	// sayTo members hear counts at each beat; said on, they reach a fleet of hundreds within freshFor.
+	// sayTo members hear counts at each tick; said on, they reach a fleet of hundreds within freshFor.
 	sayTo = 3
 )
 
-// Config is what commons are handed at their start.
+// Config is what the quota allocator is handed at their start.
 type Config struct {
 	Self         string
 	Incarnation  uint64
-	Couriers     int    // that are reckoned with
+	Couriers     int    // that are counted on
 	Seed         int64  // another one for each process: see New
 	FirstLeaseID uint64 // beyond all that an earlier process of this start has counted by
 }
@@ -81,7 +81,7 @@
 	samples     []sample
 	usage       Units
 	usedAt      Micros
-	load        float64 // of the limit, by all, as it is told
+	load        float64 // of the limit, by all, as it is notified
 	loadAt      Micros  // when somebody was last heard; 0: never
 	grants      []lease
 	leases      []lease
@@ -98,20 +98,20 @@
 	isAlive      []string
 	routes       map[Key]*route
 	direct       map[string]Micros // who said what it uses, and when
-	leaseUntil   Micros            // an earlier start's loans may hold until then, see GrantHorizon
-	nextLeaseID  uint64            // of the last beat
+	leaseUntil   Micros            // an earlier start's leases may hold until then, see GrantHorizon
+	nextLeaseID  uint64            // of the last tick
 	rotation     int               // where the next packets' counts of others begin
 	activeLeases int               // counts of others
 	counters     Counters
 }
 
-// New makes commons that know only their terms. Requests are numbered by a source that no earlier process of this courier had. Failure: a
-// start with the same salt asked under the same numbers, and took a loan that had been given to the one before it for its own.
+// New makes quota that know only their terms. Requests are numbered by a source that no earlier process of this courier had. Failure: a
+// start with the same salt asked under the same numbers, and took a lease that had been given to the one before it for its own.
 func New(now Micros, t Config) *Allocator {
 	return &Allocator{config: t, rng: rand.New(rand.NewSource(t.Seed ^ int64(t.Incarnation*0x9e3779b97f4a7c15) ^ int64(t.FirstLeaseID))), now: now, routes: map[Key]*route{}, direct: map[string]Micros{}, leaseUntil: now + backAfter, nextLeaseID: t.FirstLeaseID}
 }
 
-// GrantHorizon is how long after a start, or after the decisions began anew, half of each base part is not to be used: as much may be lent.
+// GrantHorizon is how long after a start, or after the decisions began anew, half of each base part is not to be used: as much may be granted.
 // Whoever runs the decisions sees to that, as they begin before anything is said here.
 const GrantHorizon = backAfter
 
@@ -173,7 +173,7 @@
 	}
 }
 
-// heard takes words in. Nothing in them can make this courier's room larger but the loan that it asked for, of the one it asked.
+// heard takes words in. Nothing in them can make this courier's room larger but the lease that it asked for, of the one it asked.
 func (c *Allocator) packetReceived(packet Packet) {
 	if packet.From == c.config.Self || packet.check() != nil {
 		return
@@ -212,7 +212,7 @@
 	keys := slices.SortedFunc(maps.Keys(c.routes), compare)
 	asks := map[string][]Request{}
 	var share ShareChanged
-	for i := range keys { // each beat another route comes first
+	for i := range keys { // each tick another route comes first
 		if route := c.routes[keys[(int(c.nextLeaseID%uint64(len(keys)))+i)%len(keys)]]; route.demand.Limit > 0 {
 			if len(asks) < maxRequests {
 				c.requestLeases(route, asks)
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -13,7 +13,7 @@
 	"pineport/modelcheck"
 )
 
-// fleet is a few couriers' commons under one true clock, each with a clock of its own that runs a hundredth slow or fast, and words
+// fleet is a few couriers' quota under one true clock, each with a clock of its own that runs a hundredth slow or fast, and words
 // that are under way between them. What each uses is held against the limit at every instant.
 type fleet struct {
 	now         Micros // true
@@ -29,8 +29,8 @@
 	packetsSent []map[Key]Share // what its decisions go by
 	way         []SendPacket    // words under way
 	kept        []SendPacket    // words that may come again
-	n           int             // couriers that each reckons with
-	peak        map[int]float64 // the highest load that each had reason to believe in
+	n           int             // couriers that each counts on
+	peak        map[int]float64 // the highest load that each had reason to assume in
 	injectFault func(f *fleet, i int)
 }
 
@@ -109,7 +109,7 @@
 	}
 }
 
-// inUse is the share of the limit that all may use at this instant, by what their decisions were told.
+// inUse is the share of the limit that all may use at this instant, by what their decisions were notified.
 func (f *fleet) inUse() (sum float64) {
 	for i := range f.all {
 		if f.dead[i] {
@@ -148,7 +148,7 @@
 				sum += slot.count.Usage * Units(len(f.names)-1)
 			}
 			if f.peak[i] = max(f.peak[i], float64(sum)/float64(whole)); share.Load > f.peak[i]+1e-9 {
-				return fmt.Errorf("%s is told of a load of %v, its counts never made more than %v", c.config.Self, share.Load, f.peak[i])
+				return fmt.Errorf("%s is notified of a load of %v, its counts never made more than %v", c.config.Self, share.Load, f.peak[i])
 			}
 		}
 	}
@@ -183,9 +183,9 @@
 		func(f *fleet) { f.pass(second / 2) },
 		func(f *fleet) { f.pass(span - second/10) },
 		func(f *fleet) { f.pass(second / 10) },
-		func(f *fleet) { f.dead[1] = true },           // the lender is killed
+		func(f *fleet) { f.dead[1] = true },           // the grantor is killed
 		func(f *fleet) { f.begin(1) },                 // and is back, with nothing kept
-		func(f *fleet) { f.dead[0] = true },           // the borrower
+		func(f *fleet) { f.dead[0] = true },           // the lessee
 		func(f *fleet) { f.begin(0) },                 //
 		func(f *fleet) { f.paused[0] = !f.paused[0] }, // stands still, or goes on
 		func(f *fleet) { f.paused[1] = !f.paused[1] }, //
@@ -239,7 +239,7 @@
 	t.Logf("%d worlds", n)
 }
 
-// TestAnswersToAnEarlierStart: a courier that begins anew takes no loan that its earlier start asked for, though it asks again, of the
+// TestAnswersToAnEarlierStart: a courier that begins anew takes no lease that its earlier start asked for, though it asks again, of the
 // same member and with the same salt. Failure: walk 6,786 of 10,000, parts in use summed to 1.17 of the limit.
 func TestAnswersToAnEarlierStart(t *testing.T) {
 	f := newFleet(3)
@@ -272,10 +272,10 @@
 	}
 	route := f.all[0].routes[theKey]
 	if len(leases) == 0 || len(route.requests) == 0 {
-		t.Fatalf("%d loans, %d asked: the case did not come up", len(leases), len(route.requests))
+		t.Fatalf("%d leases, %d asked: the case did not come up", len(leases), len(route.requests))
 	}
 	if len(route.leases) > 0 {
-		t.Errorf("%v was lent to an earlier start", route.leases)
+		t.Errorf("%v was granted to an earlier start", route.leases)
 	}
 }
 
@@ -287,7 +287,7 @@
 // TestRandomWalks goes beyond every order; PINEPORT_DEEP plays 10,000 seeds.
 func TestRandomWalks(t *testing.T) {
 	all, seeds := steps(), int64(500)
-	calm := []func(*fleet){all[0], all[1], all[2], all[2], all[2], all[2], all[7], all[11]} // loans build up before a lender begins anew
+	calm := []func(*fleet){all[0], all[1], all[2], all[2], all[2], all[2], all[7], all[11]} // leases build up before a grantor begins anew
 	if os.Getenv("PINEPORT_DEEP") != "" {
 		seeds = 10000
 	}
@@ -377,12 +377,12 @@
 		t.Errorf("its part grew by %.2f of itself at most", widest)
 	}
 	if share := f.packetsSent[0][theKey]; math.Abs(share.Load-0.6) > 0.1 {
-		t.Errorf("it is told of a load of %.2f, 0.60 is used", share.Load)
+		t.Errorf("it is notified of a load of %.2f, 0.60 is used", share.Load)
 	}
 }
 
-// TestFleetChanges: parts keep within the limit while the fleet doubles under loans that stand, and while it falls to one in three, each
-// courier hearing of it at another time. Failures meant: base parts shrink under what was lent from them; one that counts fewer early
+// TestFleetChanges: parts keep within the limit while the fleet doubles under leases that stand, and while it falls to one in three, each
+// courier hearing of it at another time. Failures meant: base parts shrink under what was granted from them; one that counts fewer early
 // takes what others still use.
 func TestFleetChanges(t *testing.T) {
 	f := newFleet(3)
@@ -403,7 +403,7 @@
 	}
 	for n := 0; f.packetsSent[0][theKey].Leased < 0.5; n++ {
 		if round(); n > 50 {
-			t.Fatalf("nothing much is lent: %+v", f.packetsSent[0][theKey])
+			t.Fatalf("nothing much is granted: %+v", f.packetsSent[0][theKey])
 		}
 	}
 	f.n = 6 // membership tells all of them before the new ones begin
@@ -456,7 +456,7 @@
 	}
 }
 
-// TestImplausiblePacketsAreRejected: whatever one member says, no courier's room grows by it beyond what it asked that one for, nobody lends more than half,
+// TestImplausiblePacketsAreRejected: whatever one member says, no courier's room grows by it beyond what it asked that one for, nobody grants more than half,
 // and what is kept has an end.
 func TestImplausiblePacketsAreRejected(t *testing.T) {
 	f := settled()
@@ -467,7 +467,7 @@
 			Counts: []Sample{{Key: Key{Dest: int32(i)}, Courier: fmt.Sprintf("x%d", i), Incarnation: math.MaxUint64, Sequence: math.MaxUint64, Usage: maxUsage},
 				{Key: theKey, Courier: fmt.Sprintf("x%d", i), Usage: maxUsage}, {Key: theKey, Courier: "a", Incarnation: 99, Usage: maxUsage}},
 			Leases: []Lease{{theKey, whole, uint64(i)}}, Requests: []Request{{theKey, whole, uint64(i)}}}
-		if i == 0 && len(asked) > 0 { // one that was asked lends to excess, and another answers in its name
+		if i == 0 && len(asked) > 0 { // one that was asked grants to excess, and another answers in its name
 			a := asked[0].Packet.Requests[0]
 			packet.Leases = append(packet.Leases, Lease{theKey, a.Units, a.LeaseID}, Lease{theKey, whole, a.LeaseID})
 		}
@@ -475,7 +475,7 @@
 	}
 	route := c.routes[theKey]
 	if len(route.leases) != 0 || len(route.grants) != 0 {
-		t.Errorf("%v was taken and %v lent", route.leases, route.grants)
+		t.Errorf("%v was taken and %v granted", route.leases, route.grants)
 	}
 	if len(c.routes) > maxKeys || c.activeLeases > maxPeerSamples {
 		t.Errorf("%d routes and %d counts are kept", len(c.routes), c.activeLeases)
@@ -485,7 +485,7 @@
 		b.Handle(f.clock(1), PacketReceived{Packet{Version: Version, From: "c", Requests: []Request{{theKey, whole, uint64(i)}}}})
 	}
 	if away := b.grantedUnits(b.routes[theKey]); away == 0 || away > b.baseUnits()/2 {
-		t.Errorf("of a part of %d, %d is lent", b.baseUnits(), away)
+		t.Errorf("of a part of %d, %d is granted", b.baseUnits(), away)
 	}
 	for _, bad := range []Packet{{From: "b"}, {Version: Version}, {Version: Version, From: "b", Requests: []Request{{theKey, -5, 1}}},
 		{Version: Version, From: "b", Leases: []Lease{{theKey, whole + 1, 1}}}, {Version: Version, From: "b", Counts: []Sample{{Key: theKey, Courier: "b", Usage: -1}}},
@@ -557,7 +557,7 @@
 		c.Handle(10*second, FleetChanged{3, []string{packet.From}}, DemandsChanged{[]Demand{{Key: theKey, Limit: 10}}}, PacketReceived{packet}, Tick{})
 		for _, route := range c.routes {
 			if away := c.grantedUnits(route); away > c.baseUnits()/2 || len(route.leases) > 0 {
-				t.Errorf("%d lent, %v taken", away, route.leases)
+				t.Errorf("%d granted, %v taken", away, route.leases)
 			}
 		}
 	})
--- a/quota/show.go
+++ b/quota/show.go
@@ -10,9 +10,9 @@
 // Counters count what happened since the start.
 type Counters struct {
 	Requested uint64 `json:"Asked"`     // asks made
-	Granted   uint64 `json:"Lent"`      // loans given
-	Leased    uint64 `json:"Taken"`     // loans taken up
-	Late      uint64 `json:"Late"`      // loans that came too late or unasked
+	Granted   uint64 `json:"Lent"`      // leases given
+	Leased    uint64 `json:"Taken"`     // leases taken up
+	Late      uint64 `json:"Late"`      // leases that came too late or unasked
 	Forgotten uint64 `json:"Forgotten"` // counts left out for want of room
 }
 
@@ -33,7 +33,7 @@
 	Leases        []LeaseStatus `json:"borrowed_from,omitempty"`
 }
 
-// LeaseStatus is one loan: with whom, its number, and how long it still holds here.
+// LeaseStatus is one lease: with whom, its number, and how long it still holds here.
 type LeaseStatus struct {
 	Courier   string `json:"who"`
 	LeaseID   uint64 `json:"no"`
--- a/server/admin.go
+++ b/server/admin.go
@@ -17,7 +17,7 @@
 // doorSize bounds what operators may have waiting; each of them waits for the answer.
 const controlQueueSize = 16
 
-// AdminSockets is how many of the courier's descriptors are set aside for the operators' address.
+// AdminSockets is how many of the courier's descriptors are set apart for the operators' address.
 func AdminSockets(dep *config.Deployment) int {
 	if dep.Ops == "" {
 		return 0
@@ -25,7 +25,7 @@
 	return min(16, dep.Sockets/24)
 }
 
-// request is one thing that operators ask for; done is told once, after the step that did it.
+// request is one thing that operators ask for; done is notified once, after the step that did it.
 type command struct {
 	command any
 	done    chan commandResult
@@ -38,7 +38,7 @@
 	disabled   map[string]bool // endpoints out then
 }
 
-// operators is what operators have told the courier, and what they are told.
+// operators is what operators have reported the courier, and what they are notified.
 type adminState struct {
 	server        *Server
 	disabled      map[string]bool // endpoints that are out for maintenance
@@ -84,7 +84,7 @@
 // CountFailedReload counts a configuration that was left out.
 func (r *Server) CountFailedReload() { r.operators.failedReloads.Add(1) }
 
-// Execute has the router do what operators want, and returns once it is done and lasts.
+// Execute has the event loop do what operators want, and returns once it is done and lasts.
 func (r *Server) Execute(ctx context.Context, what any) error {
 	command := command{what, make(chan commandResult, 1)}
 	select {
@@ -101,7 +101,7 @@
 	return r.persist(a)
 }
 
-// lasting writes down what an answer says, and returns what is to be told.
+// lasting writes down what an answer says, and returns what is to be notified.
 func (r *Server) persist(a commandResult) error {
 	if a.err != nil || a.disabled == nil {
 		return a.err
@@ -111,7 +111,7 @@
 
 var errUnknownCommand = errors.New("no such call here")
 
-// asked does what operators want; they are told after the step.
+// asked does what operators want; they are notified after the step.
 func (o *adminState) execute(command command) {
 	if o.server.handoff.handedOver {
 		o.server.handoff.forwardCommand(command)
@@ -171,7 +171,7 @@
 
 func (o *adminState) due() dispatch.Micros { return min(o.drainAt, o.figuresAt) }
 
-// tick closes what rests while clients are sent away.
+// tick closes what rests while clients are drained.
 func (o *adminState) tick() {
 	if o.drainAt <= o.server.now {
 		o.drainAt = o.server.now + drainInterval
--- a/server/answer_test.go
+++ b/server/answer_test.go
@@ -9,7 +9,7 @@
 // is closed. These tests force the ways in which a request had been read.
 
 // TestHalfClosedClientGetsAnAnswer. Failure: a client that ended its sending and waited for its reply was closed with no answer. Its
-// message is rejected, which it may hand in again; other requests get their usual reply.
+// message is rejected, which it may submit again; other requests get their usual reply.
 func TestHalfClosedClientGetsAnAnswer(t *testing.T) {
 	for name, c := range map[string]struct{ request, want string }{
 		"a message":          {enqueue("one"), "-BUSY"},
--- a/server/calls.go
+++ b/server/calls.go
@@ -11,7 +11,7 @@
 	"pineport/spool"
 )
 
-// call is what goes to an endpoint at once: one attempt, or several where the charter allows.
+// call is what goes to an endpoint at once: one attempt, or several where the configuration allows.
 type call struct {
 	endpoint    dispatch.EndpointID
 	entry       protocol.Host
@@ -159,7 +159,7 @@
 	}
 }
 
-// answered turns the end of a call into the outcomes of its attempts.
+// answered steps the end of a call into the outcomes of its attempts.
 func (r *Server) callAnswered(call *call, a protocol.Answer, err error) {
 	if errors.Is(err, errOvertaken) {
 		for _, attempt := range call.attempts {
@@ -194,7 +194,7 @@
 	}
 }
 
-// keepWait keeps a wait that an endpoint told.
+// keepWait keeps a wait that an endpoint reported.
 func (r *Server) keepRetryAfter(entry protocol.Host, until dispatch.Micros) {
 	maps.DeleteFunc(r.retryAfter, func(_ string, until dispatch.Micros) bool { return until <= r.now })
 	r.retryAfter[r.groupKey(entry)] = max(until, r.retryAfter[r.groupKey(entry)])
@@ -209,7 +209,7 @@
 	return strconv.Itoa(entry.Dest)
 }
 
-// apart tells whether a wait that an endpoint told holds for it alone.
+// apart tells whether a wait that an endpoint reported holds for it alone.
 func (r *Server) hasSeparateGroups(entry protocol.Host) bool {
 	kind, ok := r.endpointTypeOf(entry)
 	return ok && kind.Separate
--- a/server/clientconns.go
+++ b/server/clientconns.go
@@ -13,7 +13,7 @@
 	"pineport/transport"
 )
 
-// client is one client's connection. The parser belongs to the poller, the rest to the router.
+// client is one client's connection. The parser belongs to the poller, the rest to the event loop.
 type clientConn struct {
 	server        *Server
 	parser        protocol.Commands
@@ -106,7 +106,7 @@
 
 func (c *clientConn) write(r *reply) {
 	c.pending.Add(-1)
-	_ = c.conn.Write([]byte(r.text)) // a client that has gone is told of by Closed
+	_ = c.conn.Write([]byte(r.text)) // a client that has gone is notified of by Closed
 	if c.halfClosed {
 		if !c.RepliesDue() {
 			c.conn.CloseReplies()
@@ -127,7 +127,7 @@
 	all          map[*clientConn]bool
 	maxConns     int
 	admitLimit   atomic.Int64
-	count        atomic.Int64 // connections, those that the router has not heard of yet too
+	count        atomic.Int64 // connections, those that the event loop has not heard of yet too
 	partialBytes atomic.Int64 // held of commands that are not whole, by all together
 	partialLimit atomic.Int64 // for those
 	sweepAt      dispatch.Micros
@@ -142,7 +142,7 @@
 }
 
 const (
-	// A client waits 400 ms for its reply, and whatever it hands in later has a new id (PROTOCOL); the longest way is a fifth of a second.
+	// A client waits 400 ms for its reply, and whatever it submits later has a new id (PROTOCOL); the longest way is a fifth of a second.
 	resendWindow = 1000 * 1000
 	maxFinished  = 4096 // a hundred times what ends in that time at a busy courier
 )
@@ -256,7 +256,7 @@
 	}
 }
 
-// gone: what such a client handed in and was not told of is nobody's, unless it has handed it in over another connection too; else it
+// gone: what such a client submitted and was not reported of is nobody's, unless it has handed it in over another connection too; else it
 // hands it in anew. Failure: the other connection was promised what had gone with the first. A client that has only ended its sending and
 // still reads is answered that its message is rejected. Failure: it was closed with no answer to what had been read.
 func (cs *clientConns) closed(event clientClosed) {
--- a/server/counters.go
+++ b/server/counters.go
@@ -20,12 +20,12 @@
 
 // counters are the figures for the operators, each counted where it happens.
 type counters struct {
-	endings    [][numEndings]int64 // by workload
+	endings    [][numEndings]int64 // by class
 	calls      int64
 	unfinished int64 // accepted and not ended
 }
 
-// grow makes room for further workloads.
+// grow makes room for further classes.
 func (c *counters) grow(classes int) {
 	c.endings = append(c.endings, make([][numEndings]int64, max(0, classes-len(c.endings)))...)
 }
@@ -33,7 +33,7 @@
 func (c *counters) accepted() { c.unfinished++ }
 func (c *counters) ended()    { c.unfinished-- }
 
-// count takes down how a message of a workload ended; of an unknown one nobody asks.
+// count takes down how a message of a class ended; of an unknown one nobody asks.
 func (r *Server) count(class string, how endingKind) {
 	if w := slices.Index(r.deployment.Classes, class); w >= 0 {
 		r.counters.endings[w][how]++
--- a/server/crossings_test.go
+++ b/server/crossings_test.go
@@ -19,10 +19,10 @@
 	"pineport/transport"
 )
 
-// The crossings of docs/crossings.md, each forced: a test steps the router by hand and takes what came off its inbox itself, so that
+// The crossings of docs/crossings.md, each forced: a test steps the event loop by hand and takes what came off its inbox itself, so that
 // its own peer can write, close or reset between two lines.
 
-// byHand makes a router with sockets, whose turns and events are the test's.
+// byHand makes a event loop with sockets, whose steps and events are the test's.
 func steppedServer(t *testing.T, world *scripted.World, held ...*spool.Message) *Server {
 	t.Helper()
 	r := prepare(t, world, held...)
@@ -32,7 +32,7 @@
 	}
 	t.Cleanup(func() {
 		ended := make(chan struct{})
-		go func() { // handlers must not wait for a router that steps no more
+		go func() { // handlers must not wait for a event loop that steps no more
 			for {
 				select {
 				case <-r.queue:
@@ -88,9 +88,9 @@
 	return nil
 }
 
-// TestUntriedUntilItLeaves. Failure: killed while the connection came up, a message that was never sent came back as one that may have
+// TestMessageIsUntriedUntilSent. Failure: killed while the connection came up, a message that was never sent came back as one that may have
 // run, and was given up with no call if it may not be repeated.
-func TestUntriedUntilItLeaves(t *testing.T) {
+func TestMessageIsUntriedUntilSent(t *testing.T) {
 	r := steppedServer(t, open(t, 0), single("one"))
 	r.step()
 	up := until(t, r, func(event connUp) bool { return toEndpoint(event.conn) })
@@ -103,9 +103,9 @@
 	}
 }
 
-// TestNeverUpIsNoted: an attempt that failed before anything was sent stands in the spool with its outcome, so that those after it keep
+// TestUnreachableAttemptIsStored: an attempt that failed before anything was sent stands in the spool with its outcome, so that those after it keep
 // their numbers.
-func TestNeverUpIsNoted(t *testing.T) {
+func TestUnreachableAttemptIsStored(t *testing.T) {
 	world := open(t, 0)
 	r := steppedServer(t, world, single("one"))
 	r.step()
@@ -116,9 +116,9 @@
 	}
 }
 
-// TestCalledOffBeforeItLeft. Failure: an attempt that was called off while its connection came up passed for one that may have run, and
+// TestAttemptCanceledBeforeSendingNeverRan. Failure: an attempt that was called off while its connection came up passed for one that may have run, and
 // its message could not go again; put together when it was decided, a call for several went out with it all the same.
-func TestCalledOffBeforeItLeft(t *testing.T) {
+func TestAttemptCanceledBeforeSendingNeverRan(t *testing.T) {
 	r := steppedServer(t, open(t, 0), single("one"), single("two"))
 	var calls []*call
 	r.deployment.Dispatch.EndpointTypes[0].MaxPerCall = 5
@@ -137,7 +137,7 @@
 	}
 	r.handle(up)
 	if call := calls[0]; len(call.attempts) != 1 || call.attempts[0].message.stored.ID != "two" || call.exchange.needsBody {
-		t.Errorf("it went out with %d trips, whole %v", len(call.attempts), call.exchange.needsBody)
+		t.Errorf("it went out with %d attempts, whole %v", len(call.attempts), call.exchange.needsBody)
 	}
 	if rec := onDisk(t, r, "one"); len(rec.Attempts) != 1 || rec.Attempts[0].Outcome != "void" {
 		t.Errorf("of the one called off a restart would find %+v", rec.Attempts)
@@ -170,7 +170,7 @@
 	return goOn
 }
 
-// standing is a connection whose handler stands still.
+// status is a connection whose handler stands still.
 type blockingHandler struct{ stands, goOn chan struct{} }
 
 func (*blockingHandler) Opened(*transport.Conn)        {}
@@ -203,7 +203,7 @@
 	return fmt.Sprintf("*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$%d\r\n%s\r\n$21\r\nc=order,d=8000,dest=1\r\n$1\r\nx\r\n", len(id), id)
 }
 
-// asks writes a request and waits until it lies at the router, untaken.
+// asks writes a request and waits until it lies at the event loop, untaken.
 func (v *visitor) asks(t *testing.T, r *Server, id string) clientCommands {
 	t.Helper()
 	io.WriteString(v, enqueue(id))
@@ -255,7 +255,7 @@
 	return string(b[:n])
 }
 
-// sent has a router send what it holds to the test's endpoint, and reads it there.
+// sent has a event loop send what it holds to the test's endpoint, and reads it there.
 func sent(t *testing.T, r *Server, l *net.TCPListener) *net.TCPConn {
 	t.Helper()
 	r.step()
@@ -263,9 +263,9 @@
 	return called(t, l)
 }
 
-// TestAnEndThatCrossesACall. Failure: an endpoint ended a connection at rest just as the next call was written to it; the call may have
+// TestCallIsNotWrittenToEndedConnection. Failure: an endpoint ended a connection at rest just as the next call was written to it; the call may have
 // run for all one knew, and what may not be repeated was given up. Now it goes over a new connection.
-func TestAnEndThatCrossesACall(t *testing.T) {
+func TestCallIsNotWrittenToEndedConnection(t *testing.T) {
 	world := open(t, 0)
 	l := raw(t, world)
 	r := steppedServer(t, world, single("one"))
@@ -284,7 +284,7 @@
 	r.recover([]*spool.Message{single("two")}, nil)
 	r.step()
 	if out := r.messages["two"].attempts; len(out) != 1 || out[0].call.exchange.sent {
-		t.Fatalf("%d trips; written to what had ended", len(out))
+		t.Fatalf("%d attempts; written to what had ended", len(out))
 	}
 	goOn()
 	r.handle(until(t, r, func(event connUp) bool { return toEndpoint(event.conn) }))
@@ -295,9 +295,9 @@
 	}
 }
 
-// TestAnAnswerThatCrossesItsTime. Failure: an answer that lay at the router, untaken, as the time for it ran out, or as its attempt was called
+// TestAnswerReceivedAtTimeoutCounts. Failure: an answer that lay at the event loop, untaken, as the time for it ran out, or as its attempt was called
 // off, passed for none; a delivered message was sent again, or given up.
-func TestAnAnswerThatCrossesItsTime(t *testing.T) {
+func TestAnswerReceivedAtTimeoutCounts(t *testing.T) {
 	for name, cross := range map[string]func(r *Server, attempt *attempt){
 		"overdue":    func(r *Server, attempt *attempt) { r.attemptOverdue(attempt) },
 		"called off": func(r *Server, attempt *attempt) { r.cancel(dispatch.Cancel{Message: "one"}) },
@@ -321,9 +321,9 @@
 	}
 }
 
-// TestAnAnswerUnreadAtItsTime. Failure: an answer that lay in the socket as the time for it ran out passed for none. Where it is none, or
+// TestAnswerUnreadAtTimeoutCounts. Failure: an answer that lay in the socket as the time for it ran out passed for none. Where it is none, or
 // not whole, the attempt ends a moment later, whatever comes on and on.
-func TestAnAnswerUnreadAtItsTime(t *testing.T) {
+func TestAnswerUnreadAtTimeoutCounts(t *testing.T) {
 	for name, c := range map[string]struct {
 		bytes string
 		want  dispatch.Outcome
@@ -341,7 +341,7 @@
 				r := steppedServer(t, world, single("one"))
 				conn := sent(t, r, l)
 				attempt := r.messages["one"].attempts[0]
-				for attempt.call.exchange.conn.conn.Stirs() { // its handler may still be telling that it is up
+				for attempt.call.exchange.conn.conn.HasUnread() { // its handler may still be telling that it is up
 					time.Sleep(100 * time.Microsecond)
 				}
 				goOn := stop(t, r)
@@ -389,8 +389,8 @@
 	}
 }
 
-// TestWhatStaysUnreadGainsAMoment: and no more, or a peer that sends on and on would never be given up.
-func TestWhatStaysUnreadGainsAMoment(t *testing.T) {
+// TestUnreadBytesExtendTimeoutOnce: and no more, or a peer that sends on and on would never be given up.
+func TestUnreadBytesExtendTimeoutOnce(t *testing.T) {
 	world := open(t, 0)
 	l := raw(t, world)
 	r := steppedServer(t, world, single("one"))
@@ -411,8 +411,8 @@
 	}
 }
 
-// TestAWordBeforeTheCall: an endpoint that speaks first is told of once and gets nothing; nothing of the call has run.
-func TestAWordBeforeTheCall(t *testing.T) {
+// TestUnexpectedBytesCloseConnection: an endpoint that speaks first is notified of once and gets nothing; nothing of the call has run.
+func TestUnexpectedBytesCloseConnection(t *testing.T) {
 	world := open(t, 0)
 	l := raw(t, world)
 	r := steppedServer(t, world, single("one"))
@@ -442,8 +442,8 @@
 	}
 }
 
-// TestNotSentUnlessNoted: what the disk does not take is not sent, as a restart would not know of it.
-func TestNotSentUnlessNoted(t *testing.T) {
+// TestNoSendUnlessStored: what the disk does not take is not sent, as a restart would not know of it.
+func TestNoSendUnlessStored(t *testing.T) {
 	world := open(t, 0)
 	l := raw(t, world)
 	r := steppedServer(t, world, single("one"))
@@ -467,9 +467,9 @@
 	}
 }
 
-// TestHandedInTwiceAtOnce. Failure: a request sent again over a new connection in the step that accepted it was promised what went with
+// TestMessageSubmittedOnTwoConnections. Failure: a request sent again over a new connection in the step that accepted it was promised what went with
 // the first connection as that ended, or what was refused in that step.
-func TestHandedInTwiceAtOnce(t *testing.T) {
+func TestMessageSubmittedOnTwoConnections(t *testing.T) {
 	for name, c := range map[string]struct {
 		gone  int // whose connection ends before the step, 0 for nobody's
 		busy  bool
@@ -505,7 +505,7 @@
 			r.step()
 			for _, v := range stay {
 				if got := v.reply(); got != c.want {
-					t.Errorf("told %q", got)
+					t.Errorf("reported %q", got)
 				}
 			}
 			if keeps := onDisk(t, r, "one") != nil; keeps != c.keeps {
@@ -527,8 +527,8 @@
 	return actions
 }
 
-// TestBothGoneBeforeTheTurn: what nobody waits for any more, and nobody was told of, is nobody's.
-func TestBothGoneBeforeTheTurn(t *testing.T) {
+// TestMessageIsDroppedWhenAllClientsClose: what nobody waits for any more, and nobody was notified of, is nobody's.
+func TestMessageIsDroppedWhenAllClientsClose(t *testing.T) {
 	r := steppedServer(t, open(t, 0))
 	first, second := visit(t, r), visit(t, r)
 	one, two := first.asks(t, r, "one"), second.asks(t, r, "one")
@@ -540,9 +540,9 @@
 	}
 }
 
-// TestHandedInOnceMoreAfterItsEnd. Failure: a reset took away a reply that the socket had; the request came once more, was over by then, and
+// TestFinishedMessageIsNotAcceptedTwice. Failure: a reset took away a reply that the socket had; the request came once more, was over by then, and
 // was accepted anew: a second effect.
-func TestHandedInOnceMoreAfterItsEnd(t *testing.T) {
+func TestFinishedMessageIsNotAcceptedTwice(t *testing.T) {
 	world := open(t, 0)
 	r := steppedServer(t, world)
 	first := visit(t, r)
@@ -558,15 +558,15 @@
 	r.handle(second.asks(t, r, "one"))
 	r.step()
 	if got := second.reply(); got != "+OK" || r.messages["one"] != nil {
-		t.Errorf("told %q, held again %v", got, r.messages["one"] != nil)
+		t.Errorf("reported %q, held again %v", got, r.messages["one"] != nil)
 	}
 	if began, _, _ := world.Seen("one"); began != 1 {
 		t.Errorf("%d calls", began)
 	}
 }
 
-// TestEndsAreForgotten: ids of what is over are known for as long as a client may come with them once more, and never too many.
-func TestEndsAreForgotten(t *testing.T) {
+// TestFinishedMessagesAreForgotten: ids of what is over are known for as long as a client may come with them once more, and never too many.
+func TestFinishedMessagesAreForgotten(t *testing.T) {
 	var o finishedMessages
 	for i := range 3 * maxFinished {
 		o.add(&message{stored: &spool.Message{ID: fmt.Sprint(i)}, acceptedAt: 5}, 5)
@@ -583,7 +583,7 @@
 	}
 }
 
-// leave steps a router to its end, or until cross says that it has seen enough, and tells whether it ended.
+// leave steps a event loop to its end, or until cross says that it has seen enough, and tells whether it ended.
 func leave(t *testing.T, r *Server, cross func() bool) bool {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(100 * time.Microsecond) {
@@ -602,11 +602,11 @@
 
 func neverMind() bool { return false }
 
-// tell has a router end now.
+// tell has a event loop end now.
 func tell(r *Server) { r.now, r.shutdownBy = r.clock(), r.clock() }
 
-// TestARequestThatCrossesTheEnd. Failure: what lay in a socket at the last look was reset as the process ended; the client had no answer.
-func TestARequestThatCrossesTheEnd(t *testing.T) {
+// TestRequestDuringShutdownIsAnswered. Failure: what lay in a socket at the last look was reset as the process ended; the client had no answer.
+func TestRequestDuringShutdownIsAnswered(t *testing.T) {
 	world := open(t, 0)
 	r := steppedServer(t, world)
 	v := visit(t, r)
@@ -628,16 +628,16 @@
 		t.Fatal("it never ended")
 	}
 	if got := v.reply(); got != "+OK" {
-		t.Errorf("told %q", got)
+		t.Errorf("reported %q", got)
 	}
 	if began, _, _ := world.Seen("one"); began == 0 && onDisk(t, r, "one") == nil {
 		t.Error("promised, and not kept")
 	}
 }
 
-// TestAFirstRequestThatCrossesTheEnd. Failure: a connection that had come just before the end was closed while its first request was on
+// TestFirstRequestDuringShutdownIsAnswered. Failure: a connection that had come just before the end was closed while its first request was on
 // its way.
-func TestAFirstRequestThatCrossesTheEnd(t *testing.T) {
+func TestFirstRequestDuringShutdownIsAnswered(t *testing.T) {
 	r := steppedServer(t, open(t, 0))
 	v := visit(t, r)
 	tell(r)
@@ -649,13 +649,13 @@
 		t.Fatal("it never ended")
 	}
 	if got := v.reply(); got != "+OK" {
-		t.Errorf("told %q", got)
+		t.Errorf("reported %q", got)
 	}
 }
 
-// TestANewcomerIsSentAwayLater: half a second after it was told to end, a process sends clients away; who has just come is answered first, and
-// sent away too.
-func TestANewcomerIsSentAwayLater(t *testing.T) {
+// TestNewConnectionIsDrainedLater: half a second after it was notified to end, a process sends clients away; who has just come is answered first, and
+// drained too.
+func TestNewConnectionIsDrainedLater(t *testing.T) {
 	r := steppedServer(t, open(t, 0))
 	rests := visit(t, r)
 	for r.clock()-r.now <= newConnGrace {
@@ -674,7 +674,7 @@
 	r.handle(v.asks(t, r, "one"))
 	r.step()
 	if got := v.reply(); got != "+OK" {
-		t.Errorf("told %q", got)
+		t.Errorf("reported %q", got)
 	}
 	for r.drainAt < never {
 		if r.now = r.clock(); r.mayExit() {
@@ -687,9 +687,9 @@
 	}
 }
 
-// TestNobodyHoldsUpTheEnd: a client with half a command, one that reads nothing and one that asks on and on do not keep a process that
+// TestClientsDoNotDelayShutdown: a client with half a command, one that reads nothing and one that asks on and on do not keep a process that
 // ends; whoever rests is closed without a reset.
-func TestNobodyHoldsUpTheEnd(t *testing.T) {
+func TestClientsDoNotDelayShutdown(t *testing.T) {
 	r := steppedServer(t, open(t, 0))
 	half, rests, floods := visit(t, r), visit(t, r), visit(t, r)
 	io.WriteString(half, enqueue("half")[:40])
@@ -720,8 +720,8 @@
 	<-flooding
 }
 
-// TestCutAgainAndAgain. Failure: a list that broke off each time was asked for thirty times a second by each courier.
-func TestCutAgainAndAgain(t *testing.T) {
+// TestPollBackoffAfterTruncatedLists. Failure: a list that broke off each time was asked for thirty times a second by each courier.
+func TestPollBackoffAfterTruncatedLists(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -763,9 +763,9 @@
 	}
 }
 
-// TestAListThatCrossesAMove: a reload moves discovery while the old one's answer lies at the router, untaken; it is not taken for the new
+// TestListFromOldDiscoveryAddressIsIgnored: a reload moves discovery while the old one's answer lies at the event loop, untaken; it is not taken for the new
 // one's, and the new one is asked.
-func TestAListThatCrossesAMove(t *testing.T) {
+func TestListFromOldDiscoveryAddressIsIgnored(t *testing.T) {
 	world := open(t, 0)
 	r := steppedServer(t, world)
 	ofDiscovery := func(conn *endpointConn) bool { return !toEndpoint(conn) }
@@ -791,9 +791,9 @@
 	}
 }
 
-// TestAReloadThatCrossesAnUpgrade. Failure: settings read anew while another process had taken over were gone once that died, and this one
+// TestReloadAfterHandoffIsKept. Failure: settings read anew while another process had taken over were gone once that died, and this one
 // went on by the old ones.
-func TestAReloadThatCrossesAnUpgrade(t *testing.T) {
+func TestReloadAfterHandoffIsKept(t *testing.T) {
 	r := steppedServer(t, open(t, 0))
 	r.handoff.handedOver = true
 	var reloaded *config.Deployment
@@ -802,15 +802,15 @@
 	next.Discovery = "127.0.0.1:9"
 	r.handle(&next)
 	if reloaded == nil || reloaded.Discovery != next.Discovery {
-		t.Errorf("the next router here begins with %+v", reloaded)
+		t.Errorf("the next event loop here begins with %+v", reloaded)
 	}
 	if r.discovery.pollInFlight != nil {
 		t.Error("it asks discovery, which the other process does")
 	}
 }
 
-// TestLookedAtWhileItReads. Failure: as all was made ready for another process, it was read from a parser which the poller was feeding.
-func TestLookedAtWhileItReads(t *testing.T) {
+// TestIdleCheckDuringRead. Failure: as all was made ready for another process, it was read from a parser which the poller was feeding.
+func TestIdleCheckDuringRead(t *testing.T) {
 	r := steppedServer(t, open(t, 0))
 	v := visit(t, r)
 	text := enqueue("one")
@@ -832,6 +832,6 @@
 	}
 	r.step()
 	if got := v.reply(); got != "+OK" || !r.clients.allIdle() {
-		t.Errorf("told %q; at rest %v", got, r.clients.allIdle())
+		t.Errorf("reported %q; at rest %v", got, r.clients.allIdle())
 	}
 }
--- a/server/discovery.go
+++ b/server/discovery.go
@@ -12,8 +12,8 @@
 
 const (
 	// How long discovery may hold a watch, and its answer may take after that; a dead connection shows so much later. Both
-	// together leave a call that hangs half a second to be asked anew: what it misses counts as told 6 s after discovery had
-	// it. Failure: given up after 6.5 s, a change from just after the call was told 6.35 s after it was made.
+	// together leave a call that hangs half a second to be asked anew: what it misses counts as reported 6 s after discovery had
+	// it. Failure: given up after 6.5 s, a change from just after the call was notified 6.35 s after it was made.
 	watchWait       = 4500 * 1000
 	watchTimeout    = 1000 * 1000
 	listTimeout     = 150 * 1000  // the rest of a list that has begun may take; a drain that it tells has a grace of less
@@ -98,7 +98,7 @@
 	}
 	if err != nil {
 		p.server.log.Warn("endpoint list poll failed", "error", err, "truncated", cut)
-		if cut { // it has begun to tell, and what it told counts
+		if cut { // it has begun to tell, and what it reported counts
 			if list := protocol.ReadPart(part); list.Seq > p.version {
 				p.server.applyEndpoints(list, dispatch.PartialList)
 			}
@@ -130,7 +130,7 @@
 	p.poll()
 }
 
-// moved leaves the address that was used so far. The new one is asked for news at once and told all that the old one
+// moved leaves the address that was used so far. The new one is asked for news at once and reported all that the old one
 // has not confirmed; a notice that both hear of does no harm.
 func (p *discovery) addressChanged(old string) {
 	p.server.endpointConns.abort(p.pollInFlight)
--- a/server/endpointconns.go
+++ b/server/endpointconns.go
@@ -22,9 +22,9 @@
 	begun       bool         // part of an answer is here
 	partialBody []byte       // of its body
 	isWanted    func() bool  // asked once more when a new connection is up; nil for always
-	beforeWrite func() error // told just before the first byte is written, which an error stops; nil for nobody
-	onBegin     func(bool)   // told when an answer has begun and the rest of it has not come yet; false where it was an interim one
-	// written is told once, when the socket has the last byte or an answer shows that it had; nil for nobody. It may lag
+	beforeWrite func() error // reported just before the first byte is written, which an error stops; nil for nobody
+	onBegin     func(bool)   // reported when an answer has begun and the rest of it has not come yet; false where it was an interim one
+	// written is notified once, when the socket has the last byte or an answer shows that it had; nil for nobody. It may lag
 	// for as long as unwritten lets it.
 	onWritten func()
 	onEnd     func(protocol.Answer, error)
@@ -54,7 +54,7 @@
 	parser        *protocol.Answers
 	requests      atomic.Int64 // how many were written: the number of the last
 	answered      atomic.Int64 // the request whose answer was complete; written by the poller, whose own the parser is
-	reportedBegun int64        // the request of which the router knows that its answer has begun, else 0
+	reportedBegun int64        // the request of which the event loop knows that its answer has begun, else 0
 	exchange      *exchange
 	idleSince     dispatch.Micros // since when
 	partialStatus atomic.Int64    // status of an answer that has begun and is not complete
@@ -112,7 +112,7 @@
 }
 
 // errUnasked: what comes over a connection where nothing is waited for belongs to nothing, and what comes next
-// could not be told from it.
+// could not be notified from it.
 var errUnexpectedAnswer = errors.New("an answer nobody asked for")
 
 func (l *endpointConn) Closed(conn *transport.Conn, err error) {
@@ -146,7 +146,7 @@
 	r := ls.server
 	ls.maxConns = (r.deployment.Sockets - AdminSockets(r.deployment)) * 4 / 10
 	// The other side closes at the latest after the whole of it, counted from when it wrote its answer, and a
-	// request that comes later is lost: the longest way there and back that is told of is under 300 ms.
+	// request that comes later is lost: the longest way there and back that is notified of is under 300 ms.
 	idle := r.deployment.Dispatch.IdleTimeout
 	ls.idleTimeout = idle - min(idle/4, 300*1000)
 }
@@ -156,7 +156,7 @@
 	for pool := ls.idle[exchange.peer]; len(pool) > 0; pool = ls.idle[exchange.peer] {
 		conn := pool[len(pool)-1]
 		ls.idle[exchange.peer] = pool[:len(pool)-1]
-		if ls.all[conn] && ls.server.now-conn.idleSince < ls.idleTimeout && conn.conn.Quietly(func() { ls.write(conn, exchange) }) {
+		if ls.all[conn] && ls.server.now-conn.idleSince < ls.idleTimeout && conn.conn.WhileIdle(func() { ls.write(conn, exchange) }) {
 			return
 		}
 		ls.close(conn)
@@ -229,7 +229,7 @@
 
 // stirs tells whether something that came since an exchange was written lies unread.
 func (ls *endpointConns) hasUnread(exchange *exchange) bool {
-	return exchange != nil && exchange.sent && !exchange.finished && ls.all[exchange.conn] && exchange.conn.conn.Stirs()
+	return exchange != nil && exchange.sent && !exchange.finished && ls.all[exchange.conn] && exchange.conn.conn.HasUnread()
 }
 
 // abort gives up an exchange; its connection goes with it.
@@ -266,7 +266,7 @@
 	exchange.onEnd(protocol.Answer{}, errOvertaken)
 }
 
-// errOvertaken: while the connection came up it was told that nothing may be sent there.
+// errOvertaken: while the connection came up it was notified that nothing may be sent there.
 var errOvertaken = errors.New("overtaken by a drain or a wait")
 
 func (ls *endpointConns) keepIdle(conn *endpointConn) {
--- a/server/fleet.go
+++ b/server/fleet.go
@@ -5,14 +5,14 @@
 	"pineport/handoff"
 )
 
-// FleetSizeEstimated has the decisions reckon with so many couriers from the next step on. It never waits, and no step waits for it:
+// FleetSizeEstimated has the decisions count on so many couriers from the next step on. It never waits, and no step waits for it:
 // whatever becomes of the fleet's membership, messages flow.
 func (r *Server) FleetSizeEstimated(couriers int) { r.estimatedSize.Store(int64(couriers)) }
 
 // OnHandoff has f give up this process's place in the fleet, at the instant at which another one takes over.
 func (r *Server) OnHandoff(f func() *handoff.Membership) { r.onHandoff = f }
 
-// charter is the settings' own, with as many couriers as the fleet counts where that is more: a part of a limit can only
+// configuration is the settings' own, with as many couriers as the fleet counts where that is more: a part of a limit can only
 // become smaller by what others say.
 func (r *Server) dispatchConfig() dispatch.Config {
 	ch := r.deployment.Dispatch
--- a/server/handoff.go
+++ b/server/handoff.go
@@ -43,7 +43,7 @@
 	reclaim           bool
 	predecessor       *handoff.Link
 	unlisted          []*attempt        // of the predecessor, to endpoints that are not listed any more
-	snapshotAtHandoff dispatch.Snapshot // as it was handed over, and the waits told since
+	snapshotAtHandoff dispatch.Snapshot // as it was handed over, and the waits reported since
 	commands          map[int64]chan commandResult
 	nextCommand       int64
 }
@@ -55,12 +55,12 @@
 // Successors lets new processes take over: release frees the folder at that instant.
 func (r *Server) Successors(release func()) { r.handoff.release = release }
 
-// SuccessorArrived is told of a new process that is ready to take over.
+// SuccessorArrived is notified of a new process that is ready to take over.
 func (r *Server) SuccessorArrived(link *handoff.Link, hello *handoff.Hello) {
 	r.control <- successorArrived{link, hello}
 }
 
-// Predecessor joins the router with the process that handed all over.
+// Predecessor joins the event loop with the process that handed all over.
 func (r *Server) Predecessor(link *handoff.Link) {
 	r.handoff.predecessor = link
 	go r.listenTo(link)
@@ -98,7 +98,7 @@
 	r := u.server
 	began := r.clock()
 	r.operators.serving.Store(false)
-	r.driver.Deafen()
+	r.driver.StopAccepting()
 	for { // new connections wait for the successor now; those that rest close, and their clients come there
 		r.drainQueues()
 		r.guardedStep()
@@ -383,7 +383,7 @@
 	}
 }
 
-// CountFrom goes on counting where another router of this process left off.
+// CountFrom goes on counting where another event loop of this process left off.
 func (r *Server) CountFrom(before *Server) {
 	r.counters.endings, r.counters.calls = before.counters.endings, before.counters.calls
 	r.counters.grow(len(r.deployment.Classes))
@@ -391,5 +391,5 @@
 	r.operators.failedReloads.Store(before.operators.failedReloads.Load())
 }
 
-// SnapshotAtHandoff is what this process had learned as it handed all over, for a router that goes on after its successor has gone.
+// SnapshotAtHandoff is what this process had learned as it handed all over, for a event loop that goes on after its successor has gone.
 func (r *Server) SnapshotAtHandoff() *dispatch.Snapshot { return &r.handoff.snapshotAtHandoff }
--- a/server/message.go
+++ b/server/message.go
@@ -10,7 +10,7 @@
 // message is a message that the courier has accepted, for as long as it is not ended or a call with it is still out.
 type message struct {
 	stored     *spool.Message  // as the spool has it
-	waiting    []*reply        // until they are written; more than one where it was handed in again in the same step
+	waiting    []*reply        // until they are written; more than one where it was submitted again in the same step
 	acceptedAt dispatch.Micros // or taken up again after a restart
 	attempts   []*attempt
 	inFlight   int // attempts that are not over
@@ -67,7 +67,7 @@
 	close   bool
 }
 
-// accepted is what the decisions are told of a message that was accepted.
+// accepted is what the decisions are notified of a message that was accepted.
 func (r *Server) acceptedEvent(stored *spool.Message) dispatch.MessageAccepted {
 	return dispatch.MessageAccepted{Message: dispatch.MessageID(stored.ID), Destination: dispatch.DestinationID(stored.Destination),
 		Class:  dispatch.ClassID(slices.Index(r.deployment.Classes, stored.Class)),
--- a/server/quota.go
+++ b/server/quota.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// Demands is what the decisions last told of their routes.
+// Demands is what the decisions last reported of their routes.
 func (r *Server) Demands() []dispatch.Demand {
 	if all := r.demands.Load(); all != nil {
 		return *all
@@ -40,7 +40,7 @@
 // shares tells whether parts of limits are shared among couriers at all.
 func (r *Server) sharesQuota() bool { return r.deployment.Peers.Sharing() }
 
-// holdBack is told at each beginning of the decisions: an earlier start, or the decisions that failed, may have lent half of each part.
+// holdBack is notified at each beginning of the decisions: an earlier start, or the decisions that failed, may have granted half of each part.
 func (r *Server) reserveGranted() {
 	if r.sharesQuota() {
 		r.grantedUntil = r.clock() + quota.GrantHorizon
@@ -50,7 +50,7 @@
 // applySharing hands the decisions what couriers have settled.
 func (r *Server) applyShares(agreed sharesAgreed) {
 	if r.handoff.handedOver {
-		return // another process decides, and has been told nothing
+		return // another process decides, and has been reported nothing
 	}
 	at := func(t dispatch.Micros) dispatch.Micros {
 		return r.startedAtUnix + dispatch.Micros(agreed.epoch.Add(time.Duration(t)*time.Microsecond).Sub(r.startedAt).Microseconds())
--- a/server/recovery.go
+++ b/server/recovery.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// recall is what the decisions are told of a message from before them.
+// recall is what the decisions are notified of a message from before them.
 func (r *Server) recoveredEvent(message *message) dispatch.MessageRecovered {
 	e := dispatch.MessageRecovered{MessageAccepted: r.acceptedEvent(message.stored)}
 	for i, t := range message.stored.Attempts {
--- a/server/reload.go
+++ b/server/reload.go
@@ -7,15 +7,15 @@
 	"pineport/snapshot"
 )
 
-// OnReload has f told of each configuration that was taken over, for what the process itself must set.
+// OnReload has f reported of each configuration that was taken over, for what the process itself must set.
 func (r *Server) OnReload(f func(*config.Deployment)) { r.onReload = f }
 
-// reload takes over what a configuration read anew changes, while messages are held: all that is held, out or told to wait
+// reload takes over what a configuration read anew changes, while messages are held: all that is held, out or reported to wait
 // stays as it is, and messages keep what they were promised when they were accepted. What must wait for a start is named.
 func (r *Server) reload(next *config.Deployment) {
 	waiting := r.deployment.Waiting(next)
 	merged := r.deployment.Merged(next)
-	if r.handoff.handedOver { // another process decides, by what it has read itself; should it go, the next router here begins with this
+	if r.handoff.handedOver { // another process decides, by what it has read itself; should it go, the next event loop here begins with this
 		r.deployment = merged
 		if r.onReload != nil {
 			r.onReload(merged)
@@ -52,7 +52,7 @@
 	}
 }
 
-// heldOf is how many messages of a workload are held.
+// heldOf is how many messages of a class are held.
 func (r *Server) countHeld(class string) (n int) {
 	for _, message := range r.messages {
 		if !message.ended && message.stored.Class == class {
--- a/server/repeat_window_test.go
+++ b/server/repeat_window_test.go
@@ -53,9 +53,9 @@
 	}
 }
 
-// TestNoRepeatAfterItsWindow. Failure: a repeat was decided within the window in which its idempotency key is known, its connection
+// TestRetryStopsAtIdempotencyWindow. Failure: a repeat was decided within the window in which its idempotency key is known, its connection
 // took a second to come up, and the call went out after the window was over.
-func TestNoRepeatAfterItsWindow(t *testing.T) {
+func TestRetryStopsAtIdempotencyWindow(t *testing.T) {
 	const window = time.Second
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/server/server.go
+++ b/server/server.go
@@ -21,7 +21,7 @@
 
 const never = dispatch.Micros(math.MaxInt64)
 
-// inboxSize bounds what waits for the router; when it is full the poller reads on later. 256 took 70 MB of small
+// inboxSize bounds what waits for the event loop; when it is full the poller reads on later. 256 took 70 MB of small
 // commands from five clients that read no replies.
 const queueSize = 64
 
@@ -53,7 +53,7 @@
 	inFlight           []*attempt // oldest first
 	endpoints          map[dispatch.EndpointID]protocol.Host
 	destinations       map[int]dispatch.Micros    // those that lists name, and until when
-	retryAfter         map[string]dispatch.Micros // told by a route, until when; the decisions keep their own
+	retryAfter         map[string]dispatch.Micros // reported by a route, until when; the decisions keep their own
 	endpointConns      endpointConns
 	clients            clientConns
 	discovery          discovery
@@ -63,21 +63,21 @@
 	counters           counters
 	operators          adminState
 	handoff            handoffState
-	onReload           func(*config.Deployment)   // told of each configuration taken over
+	onReload           func(*config.Deployment)   // reported of each configuration taken over
 	onHandoff          func() *handoff.Membership // gives up this process's place in the fleet
 	estimatedSize      atomic.Int64               // that the fleet counts, 0 where nobody does
 	appliedSize        int64
-	configuredCouriers int // couriers, as the decisions were told
+	configuredCouriers int // couriers, as the decisions were notified
 	demands            atomic.Pointer[[]dispatch.Demand]
 	demandsAt          dispatch.Micros
-	grantedUntil       dispatch.Micros // until then an earlier start may have lent half of each part
+	grantedUntil       dispatch.Micros // until then an earlier start may have granted half of each part
 	shutdownBy         dispatch.Micros
 	exiting            bool
 	exitBy             dispatch.Micros // while leaving: until then at the latest
 	drainAt            dispatch.Micros // from here on clients' connections are closed between requests
 }
 
-// New makes a router over an open spool; unfinished is what the spool still held. given is what the process before this one
+// New makes a event loop over an open spool; unfinished is what the spool still held. given is what the process before this one
 // handed over while it ran, nil where none did.
 func New(dep *config.Deployment, sp *spool.Spool, unfinished []*spool.Message, given *handoff.State, log *slog.Logger) (*Server, error) {
 	r := &Server{deployment: dep, log: log, spool: sp, queue: make(chan any, queueSize), control: make(chan any, controlQueueSize),
@@ -153,7 +153,7 @@
 	}
 }
 
-// startServing listens, and takes the first step: over what the router began with.
+// startServing listens, and takes the first step: over what the event loop began with.
 func (r *Server) startServing() error {
 	driver, err := r.openDriver()
 	if err != nil {
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -46,7 +46,7 @@
 	return f.dispatcher.Handle(now, events)
 }
 
-// prepare makes a router with what a spool may already hold.
+// prepare makes a event loop with what a spool may already hold.
 func prepare(t *testing.T, world *scripted.World, held ...*spool.Message) *Server {
 	t.Helper()
 	return prepareEdited(t, world, func(text []byte) []byte { return text }, held...)
@@ -85,7 +85,7 @@
 	return r
 }
 
-// serve runs a router in this process; its decisions fail so many times at messages whose ids begin with "bad".
+// serve runs a event loop in this process; its decisions fail so many times at messages whose ids begin with "bad".
 func serve(t *testing.T, world *scripted.World, times int) (listen string) {
 	t.Helper()
 	r := prepare(t, world)
@@ -95,7 +95,7 @@
 	return run(t, r)
 }
 
-// run runs a router until the test ends, and returns its address.
+// run runs a event loop until the test ends, and returns its address.
 func run(t *testing.T, r *Server) (listen string) {
 	t.Helper()
 	stop, ended := make(chan struct{}), make(chan error)
@@ -115,7 +115,7 @@
 	return run(t, prepareEdited(t, world, edit))
 }
 
-// handTo hands in one message for a destination.
+// handTo submits one message for a destination.
 func handTo(t *testing.T, listen, id string, dest int) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", listen)
@@ -184,8 +184,8 @@
 	return "never"
 }
 
-// TestDecisionsThatFailBeginAnew: what is out when they fail may have run, and is not sent again.
-func TestDecisionsThatFailBeginAnew(t *testing.T) {
+// TestDispatcherRestartsAfterPanic: what is out when they fail may have run, and is not sent again.
+func TestDispatcherRestartsAfterPanic(t *testing.T) {
 	world := open(t, 300*time.Millisecond)
 	listen := serve(t, world, 1)
 	hand(t, listen, "out")
@@ -207,8 +207,8 @@
 	}
 }
 
-// TestNoticeWithoutAnswerGoesAgain: a call that hangs holds up neither its own notice nor the next.
-func TestNoticeWithoutAnswerGoesAgain(t *testing.T) {
+// TestUnconfirmedNoticeIsRetried: a call that hangs holds up neither its own notice nor the next.
+func TestUnconfirmedNoticeIsRetried(t *testing.T) {
 	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 500} })
 	if err != nil {
 		t.Fatal(err)
@@ -268,7 +268,7 @@
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
 // TestEndpointsThatMisbehave: what a raw answer means for a message that must not run twice, where the connection ends
-// after it and where it stays: a spoilt one has run, and nobody waits for the rest of it until no time is left. An end after a
+// after it and where it stays: a malformed one has run, and nobody waits for the rest of it until no time is left. An end after a
 // refusal that did not announce it is left out: the second call may have gone out on the connection by then, and may have run.
 func TestEndpointsThatMisbehave(t *testing.T) {
 	const ended, stays = 1, 2
@@ -336,7 +336,7 @@
 		select {
 		case <-calls:
 		case <-time.After(2 * time.Second):
-			t.Error("the record is still held")
+			t.Error("the message is still held")
 		}
 	}
 }
@@ -427,9 +427,9 @@
 	return l.Addr().String()
 }
 
-// TestMoreThanAnAnswer: what comes after an answer is not taken for the answer to the next call, which goes over another
+// TestBytesAfterAnswerCloseConnection: what comes after an answer is not taken for the answer to the next call, which goes over another
 // connection. It may come with the answer or later.
-func TestMoreThanAnAnswer(t *testing.T) {
+func TestBytesAfterAnswerCloseConnection(t *testing.T) {
 	for _, more := range []string{okAnswer, "noise", "\x00"} {
 		world := open(t, 0)
 		calls := misbehaving(t, world, okAnswer+more, true)
@@ -443,14 +443,14 @@
 		}
 		time.Sleep(200 * time.Millisecond)
 		if _, _, notices := world.Seen("two"); len(notices) > 0 {
-			t.Errorf("%q: the next record ended by %v", more, notices)
+			t.Errorf("%q: the next message ended by %v", more, notices)
 		}
 	}
 }
 
-// TestAnAddressIsNobody: connections that rest lead to who was there. Once another endpoint has the address, or the same
+// TestEndpointIsIdentifiedByMoreThanAddress: connections that rest lead to who was there. Once another endpoint has the address, or the same
 // one has started again, calls go over new ones.
-func TestAnAddressIsNobody(t *testing.T) {
+func TestEndpointIsIdentifiedByMoreThanAddress(t *testing.T) {
 	for name, change := range map[string]func(entry *protocol.Host){
 		"another": func(entry *protocol.Host) { entry.Host = "s-new" }, "started again": func(entry *protocol.Host) { entry.Born = 7 },
 		"same": func(*protocol.Host) {},
@@ -485,7 +485,7 @@
 			var asked atomic.Int64
 			world.Lists = func(index int) string {
 				if asked.Add(1) > 1 && name == "unknown state" {
-					return "" // it is told once
+					return "" // it is notified once
 				}
 				return answer
 			}
@@ -502,9 +502,9 @@
 	}
 }
 
-// TestListThatBreaksOff: what a list that broke off or got stuck had begun to tell counts as told, so what is there of it
+// TestTruncatedListIsPolledAgain: what a list that broke off or got stuck had begun to tell counts as reported, so what is there of it
 // is heeded, and it is asked for again at once, within the grace of a drain.
-func TestListThatBreaksOff(t *testing.T) {
+func TestTruncatedListIsPolledAgain(t *testing.T) {
 	for name, stuck := range map[string]bool{"breaks off": false, "gets stuck": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -548,8 +548,8 @@
 	}
 }
 
-// TestOvertakenWhileDialling: what a drain or a wait overtakes before its first byte is not sent there any more.
-func TestOvertakenWhileDialling(t *testing.T) {
+// TestDrainWhileDialingStopsSend: what a drain or a wait overtakes before its first byte is not sent there any more.
+func TestDrainWhileDialingStopsSend(t *testing.T) {
 	for name, overtake := range map[string]func(r *Server){
 		"wait":    func(r *Server) { r.retryAfter["1"] = r.now + 1000*1000 },
 		"gone":    func(r *Server) { r.applyEndpoints(protocol.List{Whole: true}, dispatch.CompleteList) },
@@ -586,14 +586,14 @@
 			}
 			attempts := r.messages["one"].stored.Attempts
 			if sent := attempts[0].Outcome != "void"; sent != (name == "nothing") {
-				t.Errorf("trips %+v", attempts)
+				t.Errorf("attempts %+v", attempts)
 			}
 		})
 	}
 }
 
-// TestOneMessageStopsNoOthers: where the decisions fail over a message each time, it is ended and others go on.
-func TestOneMessageStopsNoOthers(t *testing.T) {
+// TestPoisonMessageDoesNotStopOthers: where the decisions fail over a message each time, it is ended and others go on.
+func TestPoisonMessageDoesNotStopOthers(t *testing.T) {
 	world := open(t, 0)
 	listen := serve(t, world, 1000)
 	if got := hand(t, listen, "bad", "next"); got[0] != "+OK" || got[1] != "+OK" {
@@ -606,21 +606,21 @@
 	}
 }
 
-// TestOneCallOneWait. Failure: one message of a call was given up while the call went on for the others.
-func TestOneCallOneWait(t *testing.T) {
+// TestAttemptsOfOneCallShareTimeout. Failure: one message of a call was given up while the call went on for the others.
+func TestAttemptsOfOneCallShareTimeout(t *testing.T) {
 	call := &call{attempts: []*attempt{{waitUntil: 900}, {waitUntil: 300}, {waitUntil: 700}}}
 	if got := call.alignTimeouts(); got != 300 {
 		t.Errorf("waited for until %d, not 300", got)
 	}
 	for i, attempt := range call.attempts {
 		if attempt.waitUntil != 300 {
-			t.Errorf("trip %d is waited for until %d", i, attempt.waitUntil)
+			t.Errorf("attempt %d is waited for until %d", i, attempt.waitUntil)
 		}
 	}
 }
 
-// TestSuccessorLostWhileGiving. Failure: a successor that left while all was made ready for it was given it, and nobody decided any more.
-func TestSuccessorLostWhileGiving(t *testing.T) {
+// TestSuccessorLostDuringHandoff. Failure: a successor that left while all was made ready for it was given it, and nobody decided any more.
+func TestSuccessorLostDuringHandoff(t *testing.T) {
 	r := prepare(t, open(t, 0))
 	if do, why := r.handoff.machine.HelloReceived(&handoff.Hello{Version: handoff.Version, Courier: "n0"}); do != handoff.HandOver {
 		t.Fatal(why)
--- a/server/shadow.go
+++ b/server/shadow.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// recharter keeps the numbers of workloads and parties those of a configuration that was read anew.
+// recharter keeps the numbers of classes and tenants those of a configuration that was read anew.
 func (w *shadowState) reconfigure(r *Server) {
 	if w.shadow != nil {
 		w.shadow.Reconfigure(r.deployment.Merged(w.deployment).Dispatch)
--- a/server/shutdown.go
+++ b/server/shutdown.go
@@ -28,7 +28,7 @@
 	return r.spool.Close()
 }
 
-// parting is when, after being told to end, nobody is sent here any more who could go elsewhere. Who can not, as it
+// parting is when, after being reported to end, nobody is sent here any more who could go elsewhere. Who can not, as it
 // has a courier of its own, is served to the end.
 const drainDelay = 500 * 1000
 
@@ -48,7 +48,7 @@
 	handed := r.handoff.handedOver && r.shutdownBy < never && len(r.inFlight) == 0
 	if !r.exiting && (r.now >= r.shutdownBy || handed) {
 		r.exiting, r.shutdownBy, r.exitBy, r.drainAt = true, r.now+acceptTimeout, r.now+acceptTimeout+exitTimeout, never
-		r.driver.Deafen()
+		r.driver.StopAccepting()
 		r.clients.closeIdle()
 	}
 	if r.now >= r.drainAt {
--- a/server/standing_terms_test.go
+++ b/server/standing_terms_test.go
@@ -20,7 +20,7 @@
 // Terms of the acceptance that hold whatever else is allowed; docs/crossings.md has a row for each. These tests see the courier
 // from outside: its address, its configuration and what its peers are asked.
 
-// toldWithin is when a change counts as told at the latest, after discovery had it and could be reached.
+// toldWithin is when a change counts as reported at the latest, after discovery had it and could be reached.
 const changeDeadline = 6 * time.Second
 
 // failure is one way in which a call to discovery fails. It is handed the call's connection, and tells whether that is kept
@@ -196,7 +196,7 @@
 	}
 }
 
-// asks hands in a message and returns the reply.
+// asks submits a message and returns the reply.
 func (v *visitor) asks(id string, dest int) (reply string, err error) {
 	if v.conn == nil {
 		if v.conn, err = net.Dial("tcp", v.listen); err != nil {
@@ -214,7 +214,7 @@
 	return strings.TrimSpace(line), err
 }
 
-// waitsFor hands in messages for a destination until one is taken, and tells how long that took.
+// waitsFor submits messages for a destination until one is taken, and tells how long that took.
 func (v *visitor) waitsFor(dest int, giveUp time.Duration) (took time.Duration, taken bool) {
 	const poll = 20 * time.Millisecond
 	began := time.Now()
@@ -306,7 +306,7 @@
 	t.Logf("the machine stood still for %v at worst", stood.Round(time.Millisecond))
 	for what, took := range cases {
 		if took > changeDeadline+stood {
-			t.Errorf("%s: the change was told after %v", what, took.Round(time.Millisecond))
+			t.Errorf("%s: the change was notified after %v", what, took.Round(time.Millisecond))
 		}
 	}
 	for name, took := range worst {
--- a/server/step.go
+++ b/server/step.go
@@ -65,7 +65,7 @@
 	r.operators.publish()
 }
 
-// reply writes what clients wait for; from then on the platform is told how a message ends.
+// reply writes what clients wait for; from then on the platform is notified how a message ends.
 func (r *Server) reply() {
 	for _, reply := range r.replies {
 		reply.client.write(reply)
--- a/server/trace.go
+++ b/server/trace.go
@@ -7,7 +7,7 @@
 	"pineport/dispatch"
 )
 
-// trace writes what the decisions were told and what they did, at debug level of the component decisions: a
+// trace writes what the decisions were notified and what they did, at debug level of the component decisions: a
 // replay of a day counts them across the fleet. Off, it costs one check a step.
 func (r *Server) trace(events []dispatch.Event, actions []dispatch.Action) {
 	if !r.tracer.Enabled(context.Background(), slog.LevelDebug) {
--- a/server/trace_test.go
+++ b/server/trace_test.go
@@ -9,8 +9,8 @@
 	"pineport/dispatch"
 )
 
-// The trace of the decisions tells what they were told and did, a line each, at debug level; above it, nothing.
-func TestTraceOfDecisions(t *testing.T) {
+// The trace of the decisions tells what they were notified and did, a line each, at debug level; above it, nothing.
+func TestTraceOfDispatcher(t *testing.T) {
 	events := []dispatch.Event{dispatch.MessageAccepted{Message: "r7", Destination: 2}, dispatch.AttemptFinished{Message: "r7", Outcome: dispatch.Throttled, RetryAfter: 500}}
 	actions := []dispatch.Action{dispatch.Send{Message: "r7", Endpoint: "s-1", Timeout: 900}, dispatch.Reject{Message: "r7", RetryAfter: 40}}
 	for _, level := range []slog.Level{slog.LevelDebug, slog.LevelInfo} {
--- a/simprotocol/read.go
+++ b/simprotocol/read.go
@@ -42,7 +42,7 @@
 	pages    map[int][]dispatch.EndpointEntry
 }
 
-// NewReader reads from in; complain is told of each line that is left out.
+// NewReader reads from in; complain is notified of each line that is left out.
 func NewReader(in io.Reader, complain func(line int, fault error)) *Reader {
 	return &Reader{in: bufio.NewReaderSize(in, 1<<16), complain: complain, pages: map[int][]dispatch.EndpointEntry{}}
 }
--- a/simprotocol/wire_test.go
+++ b/simprotocol/wire_test.go
@@ -63,11 +63,11 @@
 	}
 	want := []string{"5 family-info.slots: ", "7 ceilings.open-cap: ", "9 weight-kind: ", "11 classes.0.slo-s: not after", "13 tick-s: "}
 	if len(reported) != len(want) {
-		t.Fatalf("told %q", reported)
+		t.Fatalf("reported %q", reported)
 	}
 	for i := range want {
 		if !strings.HasPrefix(reported[i], want[i]) {
-			t.Errorf("told %q, want %q", reported[i], want[i])
+			t.Errorf("reported %q, want %q", reported[i], want[i])
 		}
 	}
 }
--- a/snapshot/file.go
+++ b/snapshot/file.go
@@ -1,5 +1,5 @@
 // Package snapshot keeps what a courier's decisions have learned in one file that outlasts its process: versioned,
-// checksummed, replaced whole, never half written. What of it to believe after a while is not decided here.
+// checksummed, replaced whole, never half written. What of it to assume after a while is not decided here.
 package snapshot
 
 import (
@@ -17,7 +17,7 @@
 // Name of the file, in the folder that lasts.
 const Name = "learned.lore"
 
-// A file is sealed; its body is CBOR.
+// A file is encoded; its body is CBOR.
 const (
 	magic    = "PPLL"
 	version  = 2
@@ -25,7 +25,7 @@
 	block    = 512 // files count in whole blocks
 )
 
-// Why a file is not used; each is told with the file's name and what stood there.
+// Why a file is not used; each is notified with the file's name and what stood there.
 var (
 	ErrAbsent       = atomicfile.ErrAbsent
 	ErrTorn         = atomicfile.ErrTorn
@@ -49,7 +49,7 @@
 	Snapshot dispatch.Snapshot `cbor:"2,keyasint"`
 }
 
-// bodyV1 had no lore of connections and endpoints; what it has means the same.
+// bodyV1 had no learned state of connections and endpoints; what it has means the same.
 type bodyV1 struct {
 	Courier     string                   `cbor:"1,keyasint"`
 	TakenAt     dispatch.Micros          `cbor:"2,keyasint"`
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -97,7 +97,7 @@
 	})
 }
 
-// TestSpoilt: a flipped bit anywhere, a cut anywhere, nonsense and an empty file are each told and never used.
+// TestSpoilt: a flipped bit anywhere, a cut anywhere, nonsense and an empty file are each reported and never used.
 func TestSpoilt(t *testing.T) {
 	content, err := Encode(State{Courier: "n1", Snapshot: dispatch.Snapshot{TakenAt: at, Groups: []dispatch.GroupSnapshot{{Destination: 1}, {Destination: 2}}}}, 1<<16)
 	if err != nil {
@@ -252,7 +252,7 @@
 	t.Logf("%d kills, %d in the middle of a write", *kills, swept)
 }
 
-// TestKeeperNeverWaits: a disk that does not answer holds up nobody; a full one is told once, and once when it is over.
+// TestKeeperNeverWaits: a disk that does not answer holds up nobody; a full one is notified once, and once when it is over.
 func TestKeeperNeverWaits(t *testing.T) {
 	var mu sync.Mutex
 	var log strings.Builder
@@ -291,7 +291,7 @@
 		times int
 	}{{"could not be written in time", 1}, {"no space left", 1}, {"written again", 1}} {
 		if got := strings.Count(log.String(), c.text); got != c.times {
-			t.Errorf("%q is told %d times:\n%s", c.text, got, log.String())
+			t.Errorf("%q is notified %d times:\n%s", c.text, got, log.String())
 		}
 	}
 }
--- a/snapshot/writer.go
+++ b/snapshot/writer.go
@@ -34,14 +34,14 @@
 	return writer
 }
 
-// Offer hands over what was learned; it never waits. The lore belongs to the keeper from now on.
+// Offer hands over what was learned; it never waits. The learned state belongs to the keeper from now on.
 func (k *Writer) Offer(snapshot dispatch.Snapshot) {
 	k.mu.Lock()
 	k.next = &snapshot
 	k.mu.Unlock()
 	select {
 	case k.pending <- struct{}{}:
-	default: // it has been woken already
+	default: // it has been resumed already
 	}
 }
 
--- a/spool/spool.go
+++ b/spool/spool.go
@@ -16,10 +16,10 @@
 	"slices"
 )
 
-// ErrFull says that there is no room for another record.
+// ErrFull says that there is no room for another message.
 var ErrFull = errors.New("spool: full")
 
-// Attempt is one trip of a record; Outcome is empty while it is out, or was when the process ended.
+// Attempt is one attempt of a message; Outcome is empty while it is out, or was when the process ended.
 type Attempt struct {
 	Endpoint string `json:"e"`
 	Zone     int    `json:"z"`
@@ -27,7 +27,7 @@
 	Outcome  string `json:"o,omitempty"`
 }
 
-// Message is all that is kept of a record.
+// Message is all that is kept of a message.
 type Message struct {
 	ID             string    `json:"id"`
 	Number         int64     `json:"n"` // in the order in which they were taken; set by Append
@@ -39,7 +39,7 @@
 	Resubmitted    bool      `json:"a,omitempty"`
 	Deadline       int64     `json:"c"`
 	Attempts       []Attempt `json:"t,omitempty"`
-	Ended          string    `json:"x,omitempty"` // how, where the platform is still to be told
+	Ended          string    `json:"x,omitempty"` // how, where the platform is still to be notified
 	RetryAfterMs   int64     `json:"m,omitempty"`
 	Body           []byte    `json:"-"`
 }
@@ -55,24 +55,24 @@
 )
 
 const (
-	kindMessage   = 'R' // a record with all that is known; replaces what was known
+	kindMessage   = 'R' // a message with all that is known; replaces what was known
 	kindAttempt   = 'T'
-	kindOutcome   = 'O' // outcome of a trip
-	kindEnd       = 'E' // over, the platform is still to be told
+	kindOutcome   = 'O' // outcome of an attempt
+	kindEnd       = 'E' // over, the platform is still to be notified
 	kindForgotten = 'G' // over, nothing more is owed
 )
 
 type segment struct {
 	number int
 	size   int64
-	live   map[string]int64 // records whose last whole entry stands here, with its size
+	live   map[string]int64 // messages whose last whole entry stands here, with its size
 }
 
 type entry struct {
 	message *Message
 	size    int64 // of its last whole entry
 	segment *segment
-	reserve int64 // room that its trips and its end will take, at the most
+	reserve int64 // room that its attempts and its end will take, at the most
 }
 
 // Spool is one folder. It belongs to one goroutine.
@@ -220,7 +220,7 @@
 	return nil
 }
 
-// distrust: entries that had held are gone, so that any record known here may have ended or been sent since.
+// distrust: entries that had held are gone, so that any message known here may have ended or been sent since.
 func (s *Spool) markUncertain() {
 	for _, entry := range s.entries {
 		entry.message.Attempts = append(entry.message.Attempts, Attempt{})
@@ -235,7 +235,7 @@
 	RetryAfterMs int64    `json:"m,omitempty"`
 }
 
-// apply takes in one entry: a kind, a JSON head and, for a record, its body after the head.
+// apply takes in one entry: a kind, a JSON head and, for a message, its body after the head.
 func (s *Spool) apply(seg *segment, body []byte) bool {
 	if body[0] == kindMessage {
 		if len(body) < 5 {
@@ -282,10 +282,10 @@
 	return true
 }
 
-// place notes where a record's last whole entry stands.
+// place notes where a message's last whole entry stands.
 func (s *Spool) index(message *Message, seg *segment, size int64) {
 	s.forget(message.ID)
-	// What its trips add to a whole entry is kept free, or compaction could need more than there is.
+	// What its attempts add to a whole entry is kept free, or compaction could need more than there is.
 	entry := &entry{message: message, size: size, segment: seg, reserve: 1024}
 	s.entries[message.ID] = entry
 	seg.live[message.ID] = size
@@ -312,7 +312,7 @@
 	return append(dst, body...)
 }
 
-// Append puts a record into the spool; after ErrFull nothing of it is there.
+// Append puts a message into the spool; after ErrFull nothing of it is there.
 func (s *Spool) Append(message *Message) error {
 	if s.entries[message.ID] != nil {
 		return fmt.Errorf("spool: %s is there already", message.ID)
@@ -331,7 +331,7 @@
 	return s.compact()
 }
 
-// BeginAttempt notes a trip before it goes out.
+// BeginAttempt notes an attempt before it goes out.
 func (s *Spool) BeginAttempt(id string, t Attempt) error {
 	if entry := s.entries[id]; entry != nil {
 		entry.message.Attempts = append(entry.message.Attempts, t)
@@ -340,7 +340,7 @@
 	return nil
 }
 
-// FinishAttempt notes how a trip ended.
+// FinishAttempt notes how an attempt ended.
 func (s *Spool) FinishAttempt(id string, attempt int, outcome string) error {
 	if entry := s.entries[id]; entry != nil && attempt < len(entry.message.Attempts) {
 		entry.message.Attempts[attempt].Outcome = outcome
@@ -349,7 +349,7 @@
 	return nil
 }
 
-// Finish notes that a record is over and the platform is still to be told how.
+// Finish notes that a message is over and the platform is still to be notified how.
 func (s *Spool) Finish(id, how string, againMs int64) error {
 	if entry := s.entries[id]; entry != nil {
 		entry.message.Ended, entry.message.RetryAfterMs = how, againMs
@@ -358,7 +358,7 @@
 	return nil
 }
 
-// Forget notes that nothing more is owed for a record.
+// Forget notes that nothing more is owed for a message.
 func (s *Spool) Forget(id string) error {
 	if s.entries[id] == nil {
 		return nil
@@ -437,7 +437,7 @@
 // Close ends the writing; all is in the files already.
 func (s *Spool) Close() error { return s.file.Close() }
 
-// Resize sets what the folder may hold from now on. With less than is held nothing is dropped: no new record is taken
+// Resize sets what the folder may hold from now on. With less than is held nothing is dropped: no new message is taken
 // until what is live fits again.
 func (s *Spool) Resize(limit int64) {
 	s.limit, s.segmentSize = limit, max(limit/segmentsPerFolder/block*block, 4*block)
--- a/spool/spool_test.go
+++ b/spool/spool_test.go
@@ -78,11 +78,11 @@
 		}
 		s, got, faults := open(t, dir, 1e6)
 		if len(got) != held || (len(faults) == 0) != clean {
-			t.Fatalf("cut at %d: %d records and %v, want %d", cut, len(got), faults, held)
+			t.Fatalf("cut at %d: %d messages and %v, want %d", cut, len(got), faults, held)
 		}
 		must(t, s.Append(&Message{ID: "later"}), s.Close())
 		if _, got, faults := open(t, dir, 1e6); len(got) != held+1 || len(faults) > 0 && cut >= len(magic) {
-			t.Fatalf("cut at %d: after another start %d records, %v", cut, len(got), faults)
+			t.Fatalf("cut at %d: after another start %d messages, %v", cut, len(got), faults)
 		}
 	}
 }
@@ -99,7 +99,7 @@
 		os.WriteFile(filepath.Join(dir, "x.seg"), nil, 0o600))
 	_, got, faults := open(t, dir, 1e6)
 	if len(got) != 1 || len(faults) != 3 {
-		t.Fatalf("%d records, %v", len(got), faults)
+		t.Fatalf("%d messages, %v", len(got), faults)
 	}
 	if len(got[0].Attempts) != 1 || got[0].Attempts[0].Outcome != "" {
 		t.Errorf("what was noted of it may be gone, yet it counts as never sent: %+v", got[0])
@@ -113,7 +113,7 @@
 	dir := t.TempDir()
 	s, _, _ := open(t, dir, limit)
 	rng := rand.New(rand.NewSource(1))
-	live := map[string]int{} // trips
+	live := map[string]int{} // attempts
 	var ids []string
 	full := 0
 	for i := range 20000 {
@@ -157,14 +157,14 @@
 			var faults []error
 			s, got, faults = open(t, dir, limit)
 			if len(got) != len(live) || len(faults) > 0 {
-				t.Fatalf("after %d events %d records came back of %d, %v", i, len(got), len(live), faults)
+				t.Fatalf("after %d events %d messages came back of %d, %v", i, len(got), len(live), faults)
 			}
 			for i, message := range got {
 				if i > 0 && got[i-1].Number >= message.Number {
 					t.Fatal("not in the order in which they were taken")
 				}
 				if attempts, ok := live[message.ID]; !ok || len(message.Attempts) != attempts {
-					t.Fatalf("%s came back with %d trips, want %d, %v", message.ID, len(message.Attempts), attempts, ok)
+					t.Fatalf("%s came back with %d attempts, want %d, %v", message.ID, len(message.Attempts), attempts, ok)
 				}
 			}
 		}
--- a/testbed/capacity/cells.go
+++ b/testbed/capacity/cells.go
@@ -87,7 +87,7 @@
 	return spread
 }
 
-// countsText tells counts by their sizes; sizes that follow each other with the same count are told together.
+// countsText tells counts by their sizes; sizes that follow each other with the same count are notified together.
 func countsText(counts []Count, unit string) string {
 	var parts []string
 	for from := 0; from < len(counts); {
--- a/testbed/capacity/check.go
+++ b/testbed/capacity/check.go
@@ -59,7 +59,7 @@
 // IsAssumed tells whether nobody stated the figure of a key.
 func (p *Plan) IsAssumed(path string) bool { return slices.Contains(p.Assumed, path) }
 
-// ReadPlan reads a plan; all faults of it are told at once, each with file, line, key and what was expected.
+// ReadPlan reads a plan; all faults of it are notified at once, each with file, line, key and what was expected.
 func ReadPlan(file string, text []byte) (*Plan, error) {
 	var tree map[string]any
 	if err := toml.Unmarshal(text, &tree); err != nil {
--- a/testbed/capacity/choice_test.go
+++ b/testbed/capacity/choice_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// TestChoiceShowsAll: each mechanism is told with its figures and a reason, also those without a share.
+// TestChoiceShowsAll: each mechanism is notified with its figures and a reason, also those without a share.
 func TestChoiceShowsAll(t *testing.T) {
 	candidates := Candidates([]Answer{broken(Membership, 0.01), broken(HeldWork, 0.019)})
 	if len(candidates) != len(Mechanisms()) {
--- a/testbed/capacity/events.go
+++ b/testbed/capacity/events.go
@@ -196,7 +196,7 @@
 		}}
 }
 
-// toldWithin is by when, in seconds, the run changes has told every courier that discovery reaches, in calm: discovery tells 20 to 200 ms
+// toldWithin is by when, in seconds, the run changes has reported every courier that discovery reaches, in calm: discovery tells 20 to 200 ms
 // after a change (testbed/scale/directorychanges.go), and a courier steps every 5 ms.
 const notifiedWithin = 0.205
 
--- a/testbed/capacity/page.go
+++ b/testbed/capacity/page.go
@@ -48,7 +48,7 @@
 }
 
 // Load reads the two files; it is all the I/O of this package. A file of measured slopes that is not there is an error: what is not
-// measured is told from what was not found.
+// measured is notified from what was not found.
 func Load(planFile, measuredFile string) (*Plan, *slopes.Measured, error) {
 	text, err := os.ReadFile(planFile)
 	if err != nil {
--- a/testbed/capacity/page_test.go
+++ b/testbed/capacity/page_test.go
@@ -138,7 +138,7 @@
 			t.Fatal(err)
 		}
 		if shareOf(large) >= shareOf(flat) {
-			t.Fatalf("%+v breaks at %v, and the steeper at %v", fit, shareOf(flat), shareOf(large))
+			t.Fatalf("%+v breaks at %v, and the larger at %v", fit, shareOf(flat), shareOf(large))
 		}
 		if at := flat.sum(shareOf(flat)); math.Abs(at/budgetFigure-1) > 1e-6 {
 			t.Fatalf("%+v is %v at its share, the budget is %v", fit, at, budgetFigure)
@@ -388,7 +388,7 @@
 	}
 }
 
-// TestMarkdownIsWhole: each row is one line of its table with as many cells as the head, and the made-up figures are told as such.
+// TestMarkdownIsWhole: each row is one line of its table with as many cells as the head, and the made-up figures are notified as such.
 func TestMarkdownIsWhole(t *testing.T) {
 	text := workedOut(t).Markdown()
 	columns := 0
--- a/testbed/capacity/plan_test.go
+++ b/testbed/capacity/plan_test.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// TestFaultyKeys: each key missing, of the wrong kind and out of its bounds is told by file, line, key and what was expected.
+// TestFaultyKeys: each key missing, of the wrong kind and out of its bounds is notified by file, line, key and what was expected.
 func TestFaultyKeys(t *testing.T) {
 	text := plannedText(t)
 	for _, key := range Keys() {
@@ -118,7 +118,7 @@
 	text = strings.Replace(text, `"traffic.call_s"`, `"traffic.nothing"`, 1)
 	_, err := ReadPlan("plan.toml", []byte(text))
 	if err == nil {
-		t.Fatal("no fault was told")
+		t.Fatal("no fault was notified")
 	}
 	for _, want := range []string{
 		"fleet.couriers: a number from 1 to 1e+07 was expected, not 0",
--- a/testbed/capacity/promises.go
+++ b/testbed/capacity/promises.go
@@ -34,7 +34,7 @@
 		{"what was learned", "an older file makes no bolder than a younger one; nothing older than 30 s is believed",
 			"that more than the routes called last are kept", "docs/learned-state.md", "dispatch", []string{"TestOlderSnapshotIsMoreCautious"}},
 		{"the list of endpoints", "a courier goes on with the list that it has; one that broke off is heeded as far as it came, and asked for again",
-			"that two couriers have the same list at the same time", "docs/design.md", "server", []string{"TestListThatBreaksOff", "TestDiscoverySilentAfterAnyByte"}},
+			"that two couriers have the same list at the same time", "docs/design.md", "server", []string{"TestTruncatedListIsPolledAgain", "TestDiscoverySilentAfterAnyByte"}},
 		{"settings", "a courier goes on with the settings that it has; a faulty file changes nothing",
 			"that a change reaches a courier that cannot be reached, or all at the same time: nothing hands changes out", "docs/settings-design.md", "cmd/pineport",
 			[]string{"TestSettingsUnderFire"}},
--- a/testbed/capacity/row.go
+++ b/testbed/capacity/row.go
@@ -66,7 +66,7 @@
 	AtMost float64
 }
 
-// Counted is a figure of a run that is told at the sizes where it was counted, and carried nowhere.
+// Counted is a figure of a run that is notified at the sizes where it was counted, and carried nowhere.
 type Counted struct {
 	Run, Figure, Over string
 	Where             map[string]float64
--- a/testbed/capacity/rows_courier.go
+++ b/testbed/capacity/rows_courier.go
@@ -141,7 +141,7 @@
 	}
 }
 
-// hearsFew says why processor time of the fleets that share is told only.
+// hearsFew says why processor time of the fleets that share is notified only.
 const hearsFew = "up to 300 couriers it shows next to nothing of what goes by each member that is heard; the row over the others that are heard has that, and takes " +
 	"part in its place"
 
--- a/testbed/capacity/rows_others.go
+++ b/testbed/capacity/rows_others.go
@@ -12,7 +12,7 @@
 	return append(all, partnerRows()...)
 }
 
-// noControl says why nothing is measured on the machines set aside.
+// noControl says why nothing is measured on the machines set apart.
 const noControl = "no program of this repository runs on them: there is nothing to measure"
 
 func controlRows() []Row {
--- a/testbed/capacity/sizes.go
+++ b/testbed/capacity/sizes.go
@@ -43,7 +43,7 @@
 // eachRestart is how often a courier of the fleet is restarted, in a second.
 func eachRestart(p *Plan, _ *Derived) float64 { return p.Failures.RestartsPerDay / secondsPerDay }
 
-// eachChangeToAll is how often a courier of the fleet is told of a change, in a second.
+// eachChangeToAll is how often a courier of the fleet is notified of a change, in a second.
 func eachChangeToAll(p *Plan, d *Derived) float64 { return p.Fleet.Couriers * d.ChangesPerSecond }
 
 const (
--- a/testbed/endpointmodel/endpoint.go
+++ b/testbed/endpointmodel/endpoint.go
@@ -20,7 +20,7 @@
 	faults []Fault
 }
 
-// ill is what all strikes at an endpoint come to.
+// ill is what all faults at an endpoint come to.
 type ill struct {
 	refuses, silent, hangs, shut, stands bool
 	until                                dispatch.Micros // when a shut endpoint opens
@@ -30,7 +30,7 @@
 	slow, table                          float64
 }
 
-// diagnose sums up the strikes.
+// diagnose sums up the faults.
 func (ep *endpoint) diagnose(fallen bool) {
 	ep.ill = ill{slow: 1, table: 1, refuses: fallen}
 	ep.outage = fallen
--- a/testbed/endpointmodel/endpointmodel.go
+++ b/testbed/endpointmodel/endpointmodel.go
@@ -28,7 +28,7 @@
 	out       []Output
 }
 
-// effect is one time that a record took effect.
+// effect is one time that a message took effect.
 type effect struct {
 	at   dispatch.Micros
 	zone dispatch.ZoneID
@@ -129,7 +129,7 @@
 func (p *Partner) judge(now dispatch.Micros, j *job) {
 	ep := j.ep
 	full := func(wait dispatch.Micros) {
-		j.fate = fate{outcome: dispatch.Throttled, wait: (wait + quick - 1) / quick * quick} // told in whole milliseconds
+		j.fate = fate{outcome: dispatch.Throttled, wait: (wait + quick - 1) / quick * quick} // reported in whole milliseconds
 		ep.hand = append(ep.hand, j)
 		p.after(now+quick, j)
 	}
@@ -271,7 +271,7 @@
 	}
 }
 
-// act lets the records of a call take effect, but for repeats that are known by their mark.
+// act lets the messages of a call take effect, but for repeats that are known by their mark.
 func (p *Partner) act(now dispatch.Micros, j *job) {
 	for _, item := range j.call.Items {
 		before := p.ran[item.Origin]
--- a/testbed/endpointmodel/endpointmodel_test.go
+++ b/testbed/endpointmodel/endpointmodel_test.go
@@ -54,7 +54,7 @@
 func TestServesWithinWorkersAndQueue(t *testing.T) {
 	p := New(plan())
 	var all []Output
-	for i := range 4 { // two workers, one waits, one is turned away
+	for i := range 4 { // two workers, one waits, one is rejected
 		all = append(all, take(p, 0, uint64(i), "a")...)
 	}
 	all = append(all, until(p, 1000*ms)...)
@@ -63,7 +63,7 @@
 	}
 }
 
-// TestActsAndHangs: an effect without an answer must be told from an answer.
+// TestActsAndHangs: an effect without an answer must be notified from an answer.
 func TestActsAndHangs(t *testing.T) {
 	p := New(plan())
 	p.Inject(0, "a", Fault{ID: 1, Kind: Hang, Acts: 1})
@@ -124,7 +124,7 @@
 	}
 }
 
-// TestEveryCallEndsOnce: whatever strikes when, a call gets one answer at most, and none after its courier hung up.
+// TestEveryCallEndsOnce: whatever faults when, a call gets one answer at most, and none after its courier hung up.
 func TestEveryCallEndsOnce(t *testing.T) {
 	kinds := []Trouble{Refuse, Silent, Hang, Shut, Errors, Swallow, Resets, Slow, Stand, Shrink, Crowd}
 	rapid.Check(t, func(t *rapid.T) {
--- a/testbed/endpointmodel/health.go
+++ b/testbed/endpointmodel/health.go
@@ -33,7 +33,7 @@
 	return p.out
 }
 
-// changed carries out what new or ended strikes mean for what is in hand.
+// changed carries out what new or ended faults mean for what is in hand.
 func (p *Partner) changed(now dispatch.Micros, ep *endpoint, before ill) {
 	ep.diagnose(ep.route.fellTo > now)
 	shrunk := 1.0
--- a/testbed/endpointmodel/limit.go
+++ b/testbed/endpointmodel/limit.go
@@ -10,7 +10,7 @@
 type meter struct {
 	limit  Limit
 	rng    *rand.Rand
-	shrunk float64 // what is left of the limit, by strikes
+	shrunk float64 // what is left of the limit, by faults
 	tokens float64
 	at     dispatch.Micros
 	span   int64 // the window that is counted
@@ -24,7 +24,7 @@
 
 func (m *meter) rate() float64 { return m.limit.PerSec * m.shrunk }
 
-// saved is how many calls may be saved up: half a second's worth.
+// saved is how many calls may be saved up: half a second's value.
 func (m *meter) saved() float64 { return max(1, m.rate()/2) }
 
 func (m *meter) fill(now dispatch.Micros) {
@@ -41,7 +41,7 @@
 
 func (m *meter) windowful() int { return max(1, int(m.rate()*float64(m.limit.Span)/1e6)) }
 
-// take tells whether a call is within the limit; where it is not, how long to wait, if that is told.
+// take tells whether a call is within the limit; where it is not, how long to wait, if that is notified.
 func (m *meter) take(now dispatch.Micros) (ok bool, wait dispatch.Micros) {
 	m.fill(now)
 	switch m.limit.Kind {
--- a/testbed/endpointmodel/plan.go
+++ b/testbed/endpointmodel/plan.go
@@ -1,5 +1,5 @@
 // Package endpointmodel is a destination as its couriers meet it: endpoints with workers, a queue and a connection table, a
-// limit, troubles, and a cold return. It is a state machine: it has no socket and no clock, is told the instant with
+// limit, troubles, and a cold return. It is a state machine: it has no socket and no clock, is notified the instant with
 // each call of a method, and returns what comes of it. Chance comes from the seed that it is made with.
 //
 // It is written from the public pages and this project's own docs. It is a model, and no measurement of anybody's system.
@@ -12,7 +12,7 @@
 
 const (
 	NoLimit LimitKind = iota
-	Rate              // so many calls a second, with half a second's worth saved up
+	Rate              // so many calls a second, with half a second's value saved up
 	Window            // so many calls in each span of fixed bounds
 )
 
@@ -23,7 +23,7 @@
 	Span         dispatch.Micros // of a Window
 	RefusedCount bool            // refused calls use it up as well
 	Tells        float64         // share of refusals that tell how long to wait
-	LeastWait    dispatch.Micros // the shortest wait that is told
+	LeastWait    dispatch.Micros // the shortest wait that is notified
 }
 
 // Endpoint is one address of a destination.
@@ -37,7 +37,7 @@
 	Dest        dispatch.DestinationID
 	Kind        dispatch.EndpointTypeID
 	Apart       bool // each endpoint is a route of its own, with its own limit, outages and return
-	PerCall     int  // records in a call at most
+	PerCall     int  // messages in a call at most
 	ItemCost    float64
 	Endpoints   []Endpoint
 	Workers     int             // calls that an endpoint serves at once
@@ -61,12 +61,12 @@
 // Capacity is how many calls a second an endpoint in good health serves.
 func (p *Plan) Capacity() float64 { return float64(p.Workers) / float64(p.Answer) * 1e6 }
 
-// Item is one record within a call. Origin stays the same when a client hands a record in again.
+// Item is one message within a call. Origin stays the same when a client hands a message in again.
 type Item struct {
 	Message, Origin dispatch.MessageID
 	Repeat          dispatch.Idempotency
-	OneZone         bool            // referenced: only this zone's endpoints know a repeat
-	Window          dispatch.Micros // referenced: for so long
+	OneZone         bool            // with an idempotency key: only this zone's endpoints know a repeat
+	Window          dispatch.Micros // with an idempotency key: for so long
 }
 
 // Call is one call whose last byte has come.
@@ -89,7 +89,7 @@
 		Wait     dispatch.Micros
 		Pressure []float64 // share of the limit left, and the limit in calls a second
 	}
-	// Ran is an effect: Before is how often this record had taken effect before. Where the destination knew the repeat
+	// Ran is an effect: Before is how often this message had taken effect before. Where the destination knew the repeat
 	// by its mark, nothing ran and Known is set.
 	Ran struct {
 		Item     Item
@@ -149,12 +149,12 @@
 	Swallow Trouble = "swallow" // Size: share of answers that never come, though the call took effect
 	Resets  Trouble = "resets"  // Size: share of calls whose connection breaks; Acts: share of those that took effect
 	Slow    Trouble = "slow"    // Size: times as long
-	Stand   Trouble = "stand"   // stands still until the strike ends
+	Stand   Trouble = "stand"   // stands still until the fault ends
 	Shrink  Trouble = "shrink"  // Size: what is left of its limit
 	Crowd   Trouble = "crowd"   // Size: what is left of its connection table
 )
 
-// Fault is one trouble at one endpoint. ID tells strikes apart, so that overlapping ones end singly.
+// Fault is one trouble at one endpoint. ID tells faults apart, so that overlapping ones end singly.
 type Fault struct {
 	ID    int
 	Kind  Trouble
@@ -163,7 +163,7 @@
 	Until dispatch.Micros // when it ends, as far as a destination itself may tell: when a shut one opens
 }
 
-// outage tells whether a strike is one from which a route comes back cold.
+// outage tells whether a fault is one from which a route comes back cold.
 func (s Fault) outage() bool {
 	switch s.Kind {
 	case Refuse, Silent, Hang, Shut:
--- a/testbed/environment/directory.go
+++ b/testbed/environment/directory.go
@@ -213,7 +213,7 @@
 	return time.Duration((r[0] + (r[1]-r[0])*d.world.rng.Float64()) * float64(time.Millisecond))
 }
 
-// write answers; from then on the courier is told.
+// write answers; from then on the courier is notified.
 func (d *directory) write(rw http.ResponseWriter, l list) {
 	text, err := json.Marshal(l)
 	if err != nil {
--- a/testbed/environment/endpoint.go
+++ b/testbed/environment/endpoint.go
@@ -276,7 +276,7 @@
 	return e.write(conn, 404, "", "")
 }
 
-// batch reads the ids of a call with several records.
+// batch reads the ids of a call with several messages.
 func batch(body []byte) (ids []dispatch.MessageID, err error) {
 	for len(body) > 0 {
 		line, rest, ok := bytes.Cut(body, []byte("\r\n"))
@@ -301,7 +301,7 @@
 	return ids, nil
 }
 
-// admitted is what a call's records come to before the partner sees it.
+// admitted is what a call's messages come to before the partner sees it.
 type admitted struct {
 	courier  int
 	items    []endpointmodel.Item
@@ -311,7 +311,7 @@
 	full     bool
 }
 
-// admit looks the records of a call up, counts trips and takes a slot.
+// admit looks the messages of a call up, counts attempts and takes a slot.
 func (e *endpoint) admit(in inbound, ids []dispatch.MessageID) (a admitted, fault string) {
 	w := e.world
 	w.mu.Lock()
@@ -360,7 +360,7 @@
 	return s.partner.Route(id)
 }
 
-// carry plays one call with records.
+// carry plays one call with messages.
 func (e *endpoint) carry(conn *net.TCPConn, in inbound, ids []dispatch.MessageID, several bool, closed <-chan inbound) bool {
 	w := e.world
 	a, fault := e.admit(in, ids)
--- a/testbed/environment/environment.go
+++ b/testbed/environment/environment.go
@@ -1,6 +1,6 @@
 // Package environment plays the outside of a day on loopback sockets: endpoints behind the same partners as in virtual time,
 // the directory, and the platform's notices. Each courier has a directory of its own to talk to, so that the books know
-// what it was told; what calls it makes is known by the records that it was handed.
+// what it was notified; what calls it makes is known by the messages that it was handed.
 package environment
 
 import (
@@ -29,7 +29,7 @@
 	return time.AfterFunc(time.Duration(at-c.Now())*time.Microsecond, do)
 }
 
-// Message is what a client handed in, as far as endpoints must know.
+// Message is what a client submitted, as far as endpoints must know.
 type Message struct {
 	Origin   dispatch.MessageID
 	Courier  int
@@ -44,10 +44,10 @@
 	Day   *scenario.Drawn
 	Books *invariants.Ledger
 	Clock Clock
-	// Noticed is told of each notice that ends a record: how, and for a bounce when to come again.
+	// Noticed is notified of each notice that ends a message: how, and for a reject when to come again.
 	Noticed func(id dispatch.MessageID, how invariants.End, again time.Duration)
 
-	// Guests lets in records that nobody announced, for clients that are not ours: of the first workload, from courier 0.
+	// Guests lets in messages that nobody announced, for clients that are not ours: of the first class, from courier 0.
 	Guests bool
 
 	log       *slog.Logger
@@ -103,7 +103,7 @@
 	return o, nil
 }
 
-// Begin starts the day: from now on its clock runs and its troubles come. Each act is told to courier first; those of couriers are its to
+// Begin starts the day: from now on its clock runs and its troubles come. Each act is notified to courier first; those of couriers are its to
 // carry out.
 func (w *World) Begin(books *invariants.Ledger, courier func(scenario.Act)) {
 	w.mu.Lock()
@@ -175,14 +175,14 @@
 	return w.endpoints[id]
 }
 
-// Expect tells of a record before it is handed in: calls with other records are strange.
+// Expect tells of a message before it is submitted: calls with other messages are strange.
 func (w *World) Expect(id dispatch.MessageID, r Message) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.messages[id] = &r
 }
 
-// Drop tells that what is still sent for a record counts for nothing.
+// Drop tells that what is still sent for a message counts for nothing.
 func (w *World) Drop(id dispatch.MessageID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/testbed/experiment/experiment.go
+++ b/testbed/experiment/experiment.go
@@ -31,7 +31,7 @@
 	simulation.Options
 }
 
-// Parse reads a variant: "module", "module:lore", "module:share", "baseline:NAME", or "wire:COMMAND" for another build, each with NAME= before it if it
+// Parse reads a variant: "module", "module:learned state", "module:share", "baseline:NAME", or "wire:COMMAND" for another build, each with NAME= before it if it
 // is to be called otherwise.
 func Parse(text string) (Variant, error) {
 	name, what, named := strings.Cut(text, "=")
@@ -56,7 +56,7 @@
 	return Variant{}, fmt.Errorf("%q: module, baseline:NAME or wire:COMMAND was expected", text)
 }
 
-// options of the module as a variant: "lore" keeps what couriers learned over their restarts, once a second; "share" has them share
+// options of the module as a variant: "learned state" keeps what couriers learned over their restarts, once a second; "share" has them share
 // limits, "share-deaf" while half of them hear nothing, "share-lossy" while 30 in 100 packets are lost.
 func options(text string) (o simulation.Options, err error) {
 	switch text {
--- a/testbed/fleet/fleet.go
+++ b/testbed/fleet/fleet.go
@@ -35,13 +35,13 @@
 //go:embed days/*.toml
 var builtIn embed.FS
 
-// Plan is a fleet's day: a day of the laboratory, and what goes wrong between the couriers besides.
+// Plan is a fleet's day: a day of the testbed, and what goes wrong between the couriers besides.
 type Plan struct {
 	About    string           `toml:"about"`
-	Day      string           `toml:"day"`      // whose destinations, workloads and traffic it takes
+	Day      string           `toml:"day"`      // whose destinations, classes and traffic it takes
 	Couriers int              `toml:"couriers"` // 0: the day's own
 	Length   float64          `toml:"length_s"`
-	Load     float64          `toml:"full_per_s"` // records a second at full load, for each courier
+	Load     float64          `toml:"full_per_s"` // messages a second at full load, for each courier
 	Faults   []netfault.Fault `toml:"fault"`
 }
 
@@ -57,10 +57,10 @@
 
 var processFaults = []string{Kill, Stop, Roll, Empty, Older, Address}
 
-// Days lists the plans that come with the laboratory.
+// Days lists the plans that come with the testbed.
 func Days() []string { return scenario.Names(builtIn) }
 
-// Find reads a plan that comes with the laboratory, or else a file.
+// Find reads a plan that comes with the testbed, or else a file.
 func Find(name string) (*Plan, error) {
 	text, err := builtIn.ReadFile(path.Join("days", name+".toml"))
 	if err != nil {
@@ -114,14 +114,14 @@
 	Returns []float64 `json:"returns_known_s"`
 	// False counts deaths believed while the courier was up, by kind of fault that was on (none: no fault).
 	False    map[string]int  `json:"deaths_believed_that_were_none"`
-	Fewer    int             `json:"counted_fewer"` // looks at which a courier reckoned with fewer than there are
+	Fewer    int             `json:"counted_fewer"` // looks at which a courier counted on fewer than there are
 	Whole    bool            `json:"whole_at_the_end"`
 	Healed   float64         `json:"whole_after_the_last_fault_s"`
 	Messages float64         `json:"packets_a_second_each"`
 	Bytes    float64         `json:"bytes_a_second_each"`
 	Hours    float64         `json:"process_hours"`
 	Drawn    *scenario.Drawn `json:"-"`
-	// Of what couriers share: loans that were seen, what was wrong with them, and what was heard.
+	// Of what couriers share: leases that were seen, what was wrong with them, and what was heard.
 	Leases     int      `json:"loans_seen"`
 	Widest     float64  `json:"widest_loan"` // of a base part
 	Overspent  []string `json:"overspent,omitempty"`
@@ -130,7 +130,7 @@
 	ShareBytes float64  `json:"commons_bytes_a_second_each"`
 }
 
-// Parts is what of each limit was lent and borrowed over time, as shares of it summed over couriers, by destination and invariants.Bin.
+// Parts is what of each limit was granted and leased over time, as shares of it summed over couriers, by destination and invariants.Bin.
 type Parts map[int32]*LeaseTotals
 
 // LeaseTotals is one destination's.
@@ -439,7 +439,7 @@
 	r.on[kind] += by
 }
 
-// see asks a courier what it believes, and what it has lent and borrowed.
+// see asks a courier what it believes, and what it has granted and leased.
 func (r *rig) see(client *http.Client, no int) (l look, ok bool) {
 	if ok = get(client, r.ops[no], "/peers", &l); ok && r.o.Share {
 		var s exchange.Status
@@ -460,7 +460,7 @@
 	return reply.StatusCode == http.StatusOK && json.NewDecoder(reply.Body).Decode(to) == nil
 }
 
-// borrow holds what a courier shows of its loans against what the others show.
+// borrow holds what a courier shows of its leases against what the others show.
 func (r *rig) borrow(no int, from, to time.Duration, s exchange.Status) {
 	leases := func(of func(quota.Status) []quota.LeaseStatus) (all [][]invariants.Lease) {
 		for _, line := range s.Groups {
--- a/testbed/fleet/fleet_test.go
+++ b/testbed/fleet/fleet_test.go
@@ -45,7 +45,7 @@
 		t.Errorf("rules: %s %+v", res.Verdict.Short(), res.Verdict.Breaches)
 	}
 	if res.Fewer > 0 {
-		t.Errorf("at %d looks a courier reckoned with fewer than there are", res.Fewer)
+		t.Errorf("at %d looks a courier counted on fewer than there are", res.Fewer)
 	}
 	if !res.Whole {
 		t.Error("the fleet was not whole again within 40 s of the last fault")
@@ -60,12 +60,12 @@
 	if !strings.Contains(trace.String(), `"what":"cut"`) {
 		t.Error("the trace does not show the cut")
 	}
-	t.Logf("%v; %d records done, longest until a death was known %.1f s", res.Struck, res.Verdict.Counts.Done, longest(res.Deaths))
+	t.Logf("%v; %d messages done, longest until a death was known %.1f s", res.Struck, res.Verdict.Counts.Done, longest(res.Deaths))
 }
 
-// TestSharedLimits: twelve real couriers lend one another parts of few limits, on a day with too much for them, while half of them are
-// deaf one way, one stands still, two are killed and three are cut off. Judged from outside: nobody uses a loan that its lender has back
-// or never gave, nobody lends more than half, and the rules are kept.
+// TestSharedLimits: twelve real couriers grant one another parts of few limits, on a day with too much for them, while half of them are
+// deaf one way, one stands still, two are killed and three are cut off. Judged from outside: nobody uses a lease that its grantor has back
+// or never gave, nobody grants more than half, and the rules are kept.
 func TestSharedLimits(t *testing.T) {
 	p := &Plan{Day: "shared-limits", Couriers: 12, Length: 26, Load: 4, Faults: []netfault.Fault{
 		{Kind: "one-way", At: 6, Length: 5, From: []int{0, 1, 2, 3, 4, 5}, To: []int{6, 7, 8, 9, 10, 11}},
@@ -89,9 +89,9 @@
 		t.Error(what)
 	}
 	if res.Leases < 20 {
-		t.Errorf("only %d loans were seen", res.Leases)
+		t.Errorf("only %d leases were seen", res.Leases)
 	}
-	t.Logf("%v; %d loans, at most %.2f of a part; %d refused, %d done", res.Struck, res.Leases, res.Widest, res.Verdict.Counts.Full, res.Verdict.Counts.Done)
+	t.Logf("%v; %d leases, at most %.2f of a part; %d refused, %d done", res.Struck, res.Leases, res.Widest, res.Verdict.Counts.Full, res.Verdict.Counts.Done)
 }
 
 func longest(all []float64) (most float64) {
