--- a/testbed/invariants/invariants.go
+++ b/testbed/invariants/invariants.go
@@ -1,6 +1,6 @@
-// Package invariants judges a day by what was seen of it from outside: what was handed in, sent, answered, told and what
-// took effect. It keeps the books of payoff and holds every courier against the six rules. No other part of the
-// laboratory says whether a day was good, and it knows neither whether the day was virtual nor which decisions were made.
+// Package invariants judges a day by what was seen of it from outside: what was submitted, sent, answered, reported and what
+// took effect. It keeps the books of value and holds every courier against the six rules. No other part of the
+// testbed says whether a day was good, and it knows neither whether the day was virtual nor which decisions were made.
 package invariants
 
 import (
@@ -11,7 +11,7 @@
 	"pineport/dispatch"
 )
 
-// Class is what a kind of record promises.
+// Class is what a kind of message promises.
 type Class struct {
 	Name            string
 	Objective, Life dispatch.Micros
@@ -23,22 +23,22 @@
 	InOrder         bool
 }
 
-// Setup is what the ledger is told of a day.
+// Setup is what the ledger is notified of a day.
 type Setup struct {
 	Classes     []Class
 	Tenants     []string
-	Quotas      []float64 // records a second within a party's share; 0: no share
+	Quotas      []float64 // messages a second within a tenant's share; 0: no share
 	OverShare   float64
-	Halves      bool // payoff halves with each further quoted time, else falls evenly
+	Halves      bool // value halves with each further latency objective, else falls evenly
 	Length      dispatch.Micros
 	AnswerSlack dispatch.Micros
 	DrainGrace  dispatch.Micros
 	KeyRest     dispatch.Micros
 	Goal        Weights
 	Prices      Prices
-	// Leeway is what is granted for clocks of two parties that do not see the same instant; 0 in virtual time.
+	// Leeway is what is granted for clocks of two tenants that do not see the same instant; 0 in virtual time.
 	Leeway dispatch.Micros
-	// WaitFrom: calls that come so soon after a wait was told crossed it; 0 in virtual time.
+	// WaitFrom: calls that come so soon after a wait was notified crossed it; 0 in virtual time.
 	WaitFrom dispatch.Micros
 	// Excused is how long after a courier is up again no answer is overdue.
 	Excused dispatch.Micros
@@ -47,7 +47,7 @@
 // Weights of a day's figure.
 type Weights struct{ Whole, Window, Class, Tenant float64 }
 
-// Prices come off it, each times its count over the records offered.
+// Prices come off it, each times its count over the messages offered.
 type Prices struct{ Waste, Handshake, Refused float64 }
 
 // Place is where a call goes.
@@ -63,7 +63,7 @@
 	route int
 }
 
-// End is how a record ended.
+// End is how a message ended.
 type End int
 
 const (
@@ -79,13 +79,13 @@
 	return [...]string{"open", "done", "bounced", "terminated", "dropped", "withdrawn"}[e]
 }
 
-// origin is a record through all its hand-ins.
+// origin is a message through all its submissions.
 type origin struct {
 	work   int
 	tenant int
 	dest   dispatch.DestinationID
-	at     dispatch.Micros // when it was due to be handed in first
-	value  float64         // within its quoted time
+	at     dispatch.Micros // when it was due to be submitted first
+	value  float64         // within its latency objective
 	won    float64
 	doneAt dispatch.Micros
 	end    End
@@ -182,7 +182,7 @@
 		series: series{dests: map[dispatch.DestinationID]*DestSeries{}}, latency: newLatencies(setup.Classes)}
 }
 
-// Offered: a client has a record for the first time.
+// Offered: a client has a message for the first time.
 func (l *Ledger) Offered(at dispatch.Micros, id dispatch.MessageID, work, tenant int, dest dispatch.DestinationID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -196,7 +196,7 @@
 	l.counts.Offered++
 }
 
-// withinShare spends a party's share; two seconds of it may be saved up.
+// withinShare spends a tenant's share; two seconds of it may be saved up.
 func (l *Ledger) withinShare(at dispatch.Micros, tenant int) bool {
 	if tenant >= len(l.shares) || l.setup.Quotas[tenant] <= 0 {
 		return true
@@ -211,7 +211,7 @@
 	return true
 }
 
-// Taken: a courier owes a record's end from now on.
+// Taken: a courier owes a message's end from now on.
 func (l *Ledger) Taken(at dispatch.Micros, id, originID dispatch.MessageID, courier int, key dispatch.OrderingKey, cutOff dispatch.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -234,7 +234,7 @@
 	}
 }
 
-// Sent: a courier began a trip of a record. Attempts are numbered as they are sent.
+// Sent: a courier began an attempt of a message. Attempts are numbered as they are sent.
 func (l *Ledger) Sent(at dispatch.Micros, id dispatch.MessageID, p Place) (no int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -251,7 +251,7 @@
 	return len(r.attempts) - 1
 }
 
-// Settled: the courier has the outcome of a trip, or has stopped waiting for it.
+// Settled: the courier has the outcome of an attempt, or has stopped waiting for it.
 func (l *Ledger) Settled(at dispatch.Micros, id dispatch.MessageID, no int, o dispatch.Outcome, notified dispatch.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -294,10 +294,10 @@
 	}
 }
 
-// delivered counts a record's payoff.
+// delivered counts a message's value.
 func (l *Ledger) delivered(at dispatch.Micros, r *message) {
 	if r.end == Rejected || r.end == Failed {
-		return // its client was told otherwise
+		return // its client was notified otherwise
 	}
 	if r.end == Open {
 		r.end, r.endAt = Delivered, at
@@ -313,7 +313,7 @@
 	l.latency.note(o.work, at-o.at)
 }
 
-// part is what is left of a record's payoff at an instant.
+// part is what is left of a message's value at an instant.
 func (l *Ledger) part(o *origin, at dispatch.Micros) float64 {
 	w := &l.setup.Classes[o.work]
 	late := float64(at - o.at - w.Objective)
@@ -328,7 +328,7 @@
 	return 1 - (1-w.LatePart)*min(1, late/float64(w.Life-w.Objective))
 }
 
-// Ended: a record has its final answer without having been delivered.
+// Ended: a message has its final answer without having been delivered.
 func (l *Ledger) Ended(at dispatch.Micros, id dispatch.MessageID, how End) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -365,8 +365,8 @@
 	}
 }
 
-// Noticed takes a notice for a record; it tells whether that ended it. Notices are sent until they are confirmed, and one
-// for a record that is over does no harm.
+// Noticed takes a notice for a message; it tells whether that ended it. Notices are sent until they are confirmed, and one
+// for a message that is over does no harm.
 func (l *Ledger) Noticed(at dispatch.Micros, id dispatch.MessageID, how End) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -377,7 +377,7 @@
 	return true
 }
 
-// MayHaveRun tells whether any trip of a record may have taken effect, as far as its client can know.
+// MayHaveRun tells whether any attempt of a message may have taken effect, as far as its client can know.
 func (l *Ledger) MayHaveRun(id dispatch.MessageID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -385,7 +385,7 @@
 	return r != nil && (r.mayRan || r.out > 0)
 }
 
-// Ran: a record took effect; before is how often it had done so already, known whether the repeat was dropped.
+// Ran: a message took effect; before is how often it had done so already, known whether the repeat was dropped.
 func (l *Ledger) Ran(at dispatch.Micros, id dispatch.MessageID, where dispatch.EndpointID, before int, known bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -395,7 +395,7 @@
 		return
 	}
 	l.counts.Repeats++
-	// A referenced record's repeats are judged when they are sent: a hand-in after a courier died is its client's.
+	// A with an idempotency key message's repeats are judged when they are sent: a submission after a courier died is its client's.
 	if r.work.Repeat == dispatch.AtMostOnce && r.end != Dropped {
 		l.breach(Twice, at, "%s took effect for the %d. time, at %s", id, before+1, where)
 	}
@@ -451,7 +451,7 @@
 }
 
 // Killed: a courier was ended outright. An answer that was on its way to it then may not have been read: what it was for may
-// go again, as far as its workload allows.
+// go again, as far as its class allows.
 func (l *Ledger) Killed(at dispatch.Micros, courier int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -530,7 +530,7 @@
 
 func seconds(t dispatch.Micros) string { return fmt.Sprintf("%.3f s", float64(t)/1e6) }
 
-// Open is how many records are taken and have no final answer.
+// Open is how many messages are taken and have no final answer.
 func (l *Ledger) Open() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/testbed/invariants/leases.go
+++ b/testbed/invariants/leases.go
@@ -6,25 +6,25 @@
 	"pineport/dispatch"
 )
 
-// Leases holds what couriers show of the parts of limits that they lent and borrowed against one another, from outside: whoever uses a
-// loan must have been lent it, and must end with it before its lender has it back. Looks take time, so only what was seen strictly
+// Leases holds what couriers show of the parts of limits that they granted and leased against one another, from outside: whoever uses a
+// lease must have been granted it, and must end with it before its grantor has it back. Looks take time, so only what was seen strictly
 // one after the other counts.
 type Leases struct {
 	all      map[uint64]*seenLease
 	starts   map[string]uint64
 	Breaches []string
-	Seen     int     // loans seen at a borrower
-	Widest   float64 // of a base part, that one borrower had in all for one route
+	Seen     int     // leases seen at a lessee
+	Widest   float64 // of a base part, that one lessee had in all for one route
 }
 
 type seenLease struct {
 	lender  string
-	start   uint64          // of the lender, when the loan was first seen; 0 not known
-	used    dispatch.Micros // a look at the borrower that showed it had ended by then
-	missing dispatch.Micros // a look at the lender since then that did not show it had ended by then
+	start   uint64          // of the grantor, when the lease was first seen; 0 not known
+	used    dispatch.Micros // a look at the lessee that showed it had ended by then
+	missing dispatch.Micros // a look at the grantor since then that did not show it had ended by then
 }
 
-// Lease is a loan as one side shows it.
+// Lease is a lease as one side shows it.
 type Lease struct {
 	Who   string
 	No    uint64
--- a/testbed/invariants/leases_test.go
+++ b/testbed/invariants/leases_test.go
@@ -6,8 +6,8 @@
 	"pineport/dispatch"
 )
 
-// TestLeasesAreHeldAgainstEachOther: what is used after it was back, what was never lent and what is more than half is seen; what
-// overlaps in time, or belongs to a lender that began anew, is not held against anybody.
+// TestLeasesAreHeldAgainstEachOther: what is used after it was back, what was never granted and what is more than half is seen; what
+// overlaps in time, or belongs to a grantor that began anew, is not held against anybody.
 func TestLeasesAreHeldAgainstEachOther(t *testing.T) {
 	lease := []Lease{{"b", 7, 100, 1000}}
 	back := []Lease{{"a", 7, 100, 1000}}
--- a/testbed/invariants/rules.go
+++ b/testbed/invariants/rules.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// judgeSend holds a trip against the rules on ends, effects, drains, waits and order.
+// judgeSend holds an attempt against the rules on ends, effects, drains, waits and order.
 func (l *Ledger) judgeSend(at dispatch.Micros, r *message, p Place) {
 	if r.end != Open && r.end != Dropped && !r.unheard && at > r.endAt+l.setup.Leeway {
 		l.breach(Final, at, "%s was sent to %s after it was %s at %s", r.id, p.Endpoint, r.end, seconds(r.endAt))
@@ -67,7 +67,7 @@
 	}
 }
 
-// judgeRepeat: a single-use record goes again only if every earlier trip provably never ran; a referenced one that may
+// judgeRepeat: a at-most-once message goes again only if every earlier attempt provably never ran; a with an idempotency key one that may
 // have run only in its window and group.
 func (l *Ledger) judgeRepeat(at dispatch.Micros, r *message, p Place) {
 	if r.work.Repeat == dispatch.Idempotent || len(r.attempts) == 0 {
@@ -90,7 +90,7 @@
 	}
 }
 
-// judgeBounce: a bounce says that trying again is harmless.
+// judgeBounce: a reject says that trying again is harmless.
 func (l *Ledger) judgeReject(at dispatch.Micros, r *message) {
 	may := r.mayRan || r.out > 0
 	if may && (r.work.Repeat == dispatch.AtMostOnce || r.work.Repeat == dispatch.IdempotencyKey && r.work.OneZone) {
@@ -98,7 +98,7 @@
 	}
 }
 
-// judgeOrder: nothing is sent for a record while an earlier one of its key is not over.
+// judgeOrder: nothing is sent for a message while an earlier one of its key is not over.
 func (l *Ledger) judgeOrder(at dispatch.Micros, r *message) {
 	line := l.lines[keyOf{r.courier, r.key}]
 	line.messages = slices.DeleteFunc(line.messages, func(o *message) bool { return o.end != Open && o.out == 0 })
@@ -111,7 +111,7 @@
 	}
 }
 
-// overdue holds what was taken against its cut-off, at the end of the day.
+// overdue holds what was taken against its deadline, at the end of the day.
 func (l *Ledger) overdue(end dispatch.Micros) {
 	for _, r := range l.all {
 		by := l.excused(r.courier, r.cutOff+l.setup.AnswerSlack+l.setup.Leeway)
--- a/testbed/invariants/series.go
+++ b/testbed/invariants/series.go
@@ -11,8 +11,8 @@
 
 // Series is a day over time, in bins of half a second.
 type Series struct {
-	Asked, Won []float64 // payoff, by when the record was due
-	Held       []float64 // records taken and not ended, at the end of the bin
+	Asked, Won []float64 // value, by when the message was due
+	Held       []float64 // messages taken and not ended, at the end of the bin
 	Dests      []*DestSeries
 }
 
--- a/testbed/invariants/verdict.go
+++ b/testbed/invariants/verdict.go
@@ -12,7 +12,7 @@
 
 // Counts are sums over a day.
 type Counts struct {
-	Offered     int `json:"offered"` // records, first tries
+	Offered     int `json:"offered"` // messages, first tries
 	Taken       int `json:"taken"`
 	Done        int `json:"done"`
 	Rejected    int `json:"bounced"`
@@ -158,7 +158,7 @@
 	return s.won / s.asked
 }
 
-// Latency is how long delivery took, from the instant a record was due to be handed in.
+// Latency is how long delivery took, from the instant a message was due to be submitted.
 type Latency struct {
 	Class string  `json:"workload"`
 	Count int64   `json:"count"`
--- a/testbed/invariants/window.go
+++ b/testbed/invariants/window.go
@@ -2,7 +2,7 @@
 
 // Within is what happened in a stretch of a day, by the bins of its series.
 type Within struct {
-	Priority       float64 // share of what was asked by records due in it
+	Priority       float64 // share of what was asked by messages due in it
 	Calls, Done    float64
 	Refused, Fails float64
 }
--- a/testbed/load/load.go
+++ b/testbed/load/load.go
@@ -1,4 +1,4 @@
-// Package load is an open-loop load tool for couriers: it hands in records at given instants, whatever became of the
+// Package load is an open-loop load tool for couriers: it submits messages at given instants, whatever became of the
 // earlier ones, over kept connections, in the platform's protocol. How late it was is measured, and a run in which it
 // fell behind says so.
 package load
@@ -19,7 +19,7 @@
 // Patience is how long a client waits for a courier's answer.
 const Patience = 400 * time.Millisecond
 
-// Kind is what became of a hand-in.
+// Kind is what became of a submission.
 type Kind int
 
 // What a courier may answer, or not.
@@ -36,23 +36,23 @@
 // Reply is a courier's answer.
 type Reply struct {
 	Kind  Kind
-	Again time.Duration // Busy: come again after this; 0: not told
+	Again time.Duration // Busy: come again after this; 0: not reported
 	Text  string
 }
 
-// Message is what is handed in.
+// Message is what is submitted.
 type Message struct {
 	ID, Class  string
 	Left       time.Duration // how long it may still be delivered
 	Dest       int
 	Tenant     string // empty: none
 	Key        string // of its order; empty: none
-	Again      bool   // after a bounce
+	Again      bool   // after a reject
 	AfterDeath bool   // held by a courier that died or did not answer
 	Body       []byte
 }
 
-// Enqueue is the command that hands in one record.
+// Enqueue is the command that submits one message.
 func Enqueue(r Message) []byte {
 	pairs := fmt.Sprintf("c=%s,d=%d,dest=%d", r.Class, max(1, r.Left.Milliseconds()), r.Dest)
 	if r.Tenant != "" {
@@ -206,7 +206,7 @@
 // NewLateness counts from a tenth of a millisecond to a minute.
 func NewLateness() *Lateness { return &Lateness{hist: hdrhistogram.New(100, 60*1000*1000, 3)} }
 
-// Note takes down how late one record was sent.
+// Note takes down how late one message was sent.
 func (l *Lateness) Note(late time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -236,7 +236,7 @@
 	return us(l.hist.ValueAtQuantile(99)), us(l.hist.Max())
 }
 
-// Run calls send for each of n records at its instant, counted from start; it returns when the last was begun, or stop
+// Run calls send for each of n messages at its instant, counted from start; it returns when the last was begun, or stop
 // is closed.
 func Run(start time.Time, n int, at func(i int) time.Duration, send func(i int), late *Lateness, stop <-chan struct{}) {
 	timer := time.NewTimer(0)
--- a/testbed/load/load_test.go
+++ b/testbed/load/load_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// TestReplies: each way in which a courier may answer, or not, is told apart; a request that crosses the close of a kept
+// TestReplies: each way in which a courier may answer, or not, is notified apart; a request that crosses the close of a kept
 // connection goes once more over a new one.
 func TestReplies(t *testing.T) {
 	var conns atomic.Int32
--- a/testbed/netfault/conditions.go
+++ b/testbed/netfault/conditions.go
@@ -23,7 +23,7 @@
 	Tear                     int           // streams break after so many bytes more, in the midst of what they carry; 0: never
 }
 
-// Kinds of fault, as they are counted when they strike.
+// Kinds of fault, as they are counted when they fault.
 const (
 	Lost      = "lost"
 	Doubled   = "doubled"
@@ -106,7 +106,7 @@
 	return all
 }
 
-// strike counts a fault; the caller holds the lock.
+// fault counts a fault; the caller holds the lock.
 func (b *board) fault(from, to int, kind string, size int) {
 	b.struck[kind]++
 	b.tell(line{From: from, To: to, What: kind, Size: size})
@@ -190,7 +190,7 @@
 // OnNetwork tells whether a kind of fault is one of the network.
 func OnNetwork(kind string) bool { _, ok := network[kind]; return ok }
 
-// pairs are the directed pairs that a fault strikes.
+// pairs are the directed pairs that a fault faults.
 func (f Fault) pairs(n int) (all [][2]int) {
 	side := func(named, others []int) []int {
 		if len(named) > 0 {
--- a/testbed/netfault/netfault.go
+++ b/testbed/netfault/netfault.go
@@ -28,7 +28,7 @@
 }
 
 // Open makes the ways between processes that listen at the addresses given. The trace has a line for each change and each
-// fault that strikes; nil for none.
+// fault that faults; nil for none.
 func Open(seed int64, real []string, trace io.Writer) (*Net, error) {
 	n := &Net{board: newBoard(len(real), seed, trace), real: append([]string(nil), real...), done: make(chan struct{})}
 	for from := range real {
--- a/testbed/port/port.go
+++ b/testbed/port/port.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Reserve takes a port of 127.0.0.1 that is free, and keeps it until let go. It stays bound without listening: whoever is told of it
+// Reserve takes a port of 127.0.0.1 that is free, and keeps it until let go. It stays bound without listening: whoever is notified of it
 // may listen there, any number of times, and the kernel hands it to nobody else. Failure: a port that was closed to be listened on a
 // moment later was by then another test's endpoint or somebody's outgoing connection.
 func Reserve() (addr string, letGo func(), err error) {
--- a/testbed/process/process.go
+++ b/testbed/process/process.go
@@ -51,7 +51,7 @@
 	return &Courier{No: no, Listen: l.Addr().String(), Dir: dir, binary: binary, crashed: crashed}, nil
 }
 
-// Configure writes what the courier is told.
+// Configure writes what the courier is notified.
 func (c *Courier) Configure(what map[string]any) error {
 	text, err := json.MarshalIndent(what, "", " ")
 	if err != nil {
@@ -160,7 +160,7 @@
 }
 
 // peak is the most that a process had resident, in KiB. What the system counts for a child that has ended takes in the
-// laboratory's own memory, of which it was a copy for a moment.
+// testbed's own memory, of which it was a copy for a moment.
 func peak(pid int) (kib int64) {
 	text, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), "status"))
 	if err != nil {
--- a/testbed/realtime/client.go
+++ b/testbed/realtime/client.go
@@ -11,7 +11,7 @@
 	"pineport/testbed/scenario"
 )
 
-// client is who handed in a record first, and hands it in again where it may. The run's lock guards it.
+// client is who submitted a message first, and hands it in again where it may. The run's lock guards it.
 type client struct {
 	id      dispatch.MessageID
 	arrival scenario.Arrival
@@ -19,7 +19,7 @@
 	cutOff  dispatch.Micros
 	tries   int
 	rejects int
-	dropped int // hand-ins that nobody answered: what comes of them counts for nothing
+	dropped int // submissions that nobody answered: what comes of them counts for nothing
 }
 
 func (r *run) offer(i int) {
@@ -43,7 +43,7 @@
 	return time.Duration((b[0] + (b[1]-b[0])*r.rng.Float64()) * float64(time.Second))
 }
 
-// later hands in again after a while, if there is time left then.
+// later submits again after a while, if there is time left then.
 func (r *run) later(cl *client, after time.Duration, courier int, again, afterDeath bool) {
 	if r.world.Clock.Now()+dispatch.Micros(after.Microseconds()) < cl.cutOff {
 		r.pend(1)
@@ -61,7 +61,7 @@
 	return r.rng.IntN(len(r.couriers))
 }
 
-// handIn hands a record to a courier, and sees to what it answers.
+// handIn hands a message to a courier, and sees to what it answers.
 func (r *run) handIn(cl *client, courier int, again, afterDeath bool) {
 	defer r.pend(-1)
 	select {
@@ -114,7 +114,7 @@
 	}
 }
 
-// unanswered is a hand-in that a courier did not answer: it was down, cut the connection or kept silent.
+// unanswered is a submission that a courier did not answer: it was down, cut the connection or kept silent.
 func (r *run) unanswered(cl *client, id dispatch.MessageID, courier int, reply load.Reply) {
 	now := r.world.Clock.Now()
 	if reply.Kind == load.Cut && r.couriers[courier].Up() && !r.books.Excused(now, courier) {
@@ -132,7 +132,7 @@
 	r.later(cl, again, r.other(courier), true, reply.Kind != load.Down)
 }
 
-// comeAgain hands in anew what was bounced, after a while.
+// comeAgain submits anew what was rejected, after a while.
 func (r *run) comeAgain(cl *client, courier int, advice time.Duration) {
 	d := r.day.Day.Clients
 	r.mu.Lock()
@@ -151,7 +151,7 @@
 	r.later(cl, wait, r.other(courier), true, false)
 }
 
-// noticed takes a notice for a record that a courier had taken on.
+// noticed takes a notice for a message that a courier had taken on.
 func (r *run) noticed(id dispatch.MessageID, how invariants.End, again time.Duration) {
 	r.mu.Lock()
 	cl := r.clients[id]
--- a/testbed/realtime/realtime.go
+++ b/testbed/realtime/realtime.go
@@ -28,13 +28,13 @@
 	Dir    string // for the couriers' folders; empty: one that is removed afterwards
 	Log    *slog.Logger
 	Ready  time.Duration // for a courier to answer PING
-	// Watch is told of what happens by itself, as it happens.
+	// Watch is notified of what happens by itself, as it happens.
 	Watch func(at dispatch.Micros, a scenario.Act)
 	// Reload is how often each courier's configuration is written anew, with other settings, and read on SIGHUP; 0: never.
 	Reload time.Duration
 	// Extra is what a courier is configured with besides; it goes over the rest, key by key.
 	Extra func(c *process.Courier) (map[string]any, error)
-	// Begun is told, once, when the day begins; what it returns is called when the last record has its answer.
+	// Begun is notified, once, when the day begins; what it returns is called when the last message has its answer.
 	Begun func(f *Field) (end func())
 	// Limits of a courier, in the platform's form; nil: 1 core, 192 MB, 1,024 descriptors, 3 MB of disk.
 	Limits map[string]any
@@ -78,15 +78,15 @@
 
 	mu       sync.Mutex
 	rng      *rand.Rand
-	clients  map[dispatch.MessageID]*client // by each id that it handed in
-	pending  int                            // hand-ins under way or to come
+	clients  map[dispatch.MessageID]*client // by each id that it submitted
+	pending  int                            // submissions under way or to come
 	restarts int
 	reloads  int
 	fault    string
 	body     []byte
 }
 
-// Play plays a day, and returns its judgement. The run ends when all records have their answer, at the day's end at the
+// Play plays a day, and returns its judgement. The run ends when all messages have their answer, at the day's end at the
 // latest, or when ctx is done.
 func Play(ctx context.Context, w *scenario.Drawn, o Options) (*invariants.Verdict, Cost, error) {
 	if o.Log == nil {
@@ -219,8 +219,8 @@
 	}
 }
 
-// settings of a courier: those of the day, and with each reload some that differ from the last ones, so that records are
-// held while slots, hold, trips and workloads change under them. A workload that no client uses comes and goes.
+// settings of a courier: those of the day, and with each reload some that differ from the last ones, so that messages are
+// held while slots, hold, attempts and classes change under them. A class that no client uses comes and goes.
 func (r *run) settings(no int) map[string]any {
 	s := r.day.Settings(no)
 	r.mu.Lock()
@@ -319,7 +319,7 @@
 // standsLonger is what a process needs to come to itself after it stood still.
 const standsLonger = dispatch.Micros(200 * 1000)
 
-// play hands in the day's records and waits for their ends.
+// play submits the day's messages and waits for their ends.
 func (r *run) play(ctx context.Context) {
 	watched := make(chan struct{})
 	go func() {
@@ -336,7 +336,7 @@
 	all := r.day.Arrivals
 	load.Run(r.world.Clock.Start, len(all), func(i int) time.Duration { return time.Duration(all[i].At) * time.Microsecond },
 		func(i int) { r.offer(i) }, r.late, r.stop)
-	// Between a notice and the hand-in that it leads to nothing is open for a moment: only a lasting calm is the end.
+	// Between a notice and the submission that it leads to nothing is open for a moment: only a lasting calm is the end.
 	for calm := 0; r.world.Clock.Now() < r.day.End+300*1000 && calm < 3; {
 		r.mu.Lock()
 		pending := r.pending
--- a/testbed/report/account.go
+++ b/testbed/report/account.go
@@ -123,7 +123,7 @@
 		first-to, early, later)
 }
 
-// Answers says what became of the records.
+// Answers says what became of the messages.
 func Answers(out io.Writer, v *invariants.Verdict) {
 	n := v.Counts
 	fmt.Fprintf(out, "%d records were handed in %d times: %d delivered, %d bounced (trying again is harmless), %d terminated, %d without an answer.\n",
--- a/testbed/report/chart.go
+++ b/testbed/report/chart.go
@@ -1,4 +1,4 @@
-// Package report draws what the laboratory found: charts as SVG by gonum/plot, and accounts in words.
+// Package report draws what the testbed found: charts as SVG by gonum/plot, and accounts in words.
 package report
 
 import (
@@ -84,10 +84,10 @@
 	return top
 }
 
-// perSecond turns counts of a bin into a rate.
+// perSecond steps counts of a bin into a rate.
 const perSecond = 1e6 / float64(invariants.Bin)
 
-// Day draws a day's charts into a folder: payoff, held records, and calls of the destinations that had trouble or most
+// Day draws a day's charts into a folder: value, held messages, and calls of the destinations that had trouble or most
 // traffic. It returns the files.
 func Day(dir string, w *scenario.Drawn, v *invariants.Verdict) (files []string, err error) {
 	s := v.Series
@@ -160,7 +160,7 @@
 	return p, line(p, "limit", flat, 9, 1)
 }
 
-// Troubled picks destinations worth a look: those that were out or failed most, then the busiest.
+// Troubled picks destinations value a look: those that were out or failed most, then the busiest.
 func Troubled(s *invariants.Series, n int) []*invariants.DestSeries {
 	sum := func(v []float64) (t float64) {
 		for _, x := range v {
--- a/testbed/report/parts.go
+++ b/testbed/report/parts.go
@@ -10,7 +10,7 @@
 	"pineport/testbed/fleet"
 )
 
-// Parts draws what of the limits couriers lent and borrowed over time: summed, and for the destinations with most of it.
+// Parts draws what of the limits couriers granted and leased over time: summed, and for the destinations with most of it.
 func Parts(dir string, parts fleet.Parts) (file string, err error) {
 	sums := func(of func(*fleet.LeaseTotals) []float64) (all []float64) {
 		for _, leases := range parts {
--- a/testbed/scale/changes.go
+++ b/testbed/scale/changes.go
@@ -77,7 +77,7 @@
 	})
 }
 
-// checkChanges holds what was counted: each reload is in force, a list is read whole, and every courier that runs is told of every change
+// checkChanges holds what was counted: each reload is in force, a list is read whole, and every courier that runs is notified of every change
 // of the list; settings reach all but those who were cut off, and these once the settings are handed out again.
 func checkChanges(results *Results) error {
 	return errors.Join(
--- a/testbed/scale/changes_test.go
+++ b/testbed/scale/changes_test.go
@@ -121,7 +121,7 @@
 	}
 }
 
-// TestNotifiedTimes: what a courier is told, by a change or a whole list, counts from the change on, or from its start if it was down.
+// TestNotifiedTimes: what a courier is notified, by a change or a whole list, counts from the change on, or from its start if it was down.
 func TestNotifiedTimes(t *testing.T) {
 	const s = dispatch.Micros(microsPerSecond)
 	entry := func(id dispatch.EndpointID, phase dispatch.Phase) dispatch.EndpointEntry {
--- a/testbed/scale/couriers.go
+++ b/testbed/scale/couriers.go
@@ -168,7 +168,7 @@
 // inPaces is a span in paces, which are seconds at the usual pace.
 func inPaces(span, pace time.Duration) float64 { return span.Seconds() / pace.Seconds() }
 
-// recordLoad records what one member took in a pace.
+// recordLoad messages what one member took in a pace.
 func reportLoad(report recorder, load load, size fleetSize) {
 	memberPaces := float64(size.members) * inPaces(load.span, size.pace)
 	report(figurePackets, float64(load.sent.packets)/memberPaces)
--- a/testbed/scale/couriers_test.go
+++ b/testbed/scale/couriers_test.go
@@ -12,7 +12,7 @@
 	"pineport/testbed/netfault"
 )
 
-// soundFleet records what a sound fleet of ten might have been counted.
+// soundFleet messages what a sound fleet of ten might have been counted.
 func soundFleet(play *Play) recorder {
 	report := recorderOf(play, fleetSize{members: 10, pace: quickPace})
 	report(figurePackets, 2)
@@ -71,7 +71,7 @@
 		t.Errorf("a sound view: %v", err)
 	}
 	if err := checkViews(report(50, 100, 180)); err != nil {
-		t.Errorf("a view that forgot, and reckons with more: %v", err)
+		t.Errorf("a view that forgot, and counts on more: %v", err)
 	}
 	for what, results := range map[string]*Results{
 		"nothing":             played(t, func(*Play) {}),
@@ -90,7 +90,7 @@
 		play.Report(map[string]float64{sizeTried: mostStartsTried}, figureStartsTaken, keptStarts-1)
 	})
 	if checkExchangeLimit(short) == nil {
-		t.Error("a map shorter than what is told: passed")
+		t.Error("a map shorter than what is notified: passed")
 	}
 }
 
--- a/testbed/scale/destinations.go
+++ b/testbed/scale/destinations.go
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// play has a courier know so many destinations, records what that costs if asked to, and returns a hash of all that it did.
+// play has a courier know so many destinations, messages what that costs if asked to, and returns a hash of all that it did.
 func (k destinations) play(play *Play, count int, keep bool) (trace uint64) {
 	sizes := map[string]float64{knownDestinations: float64(count)}
 	report := func(figure string, value float64) {
@@ -123,7 +123,7 @@
 	return count
 }
 
-// listAgain hands in the whole list some times with nothing changed, and returns what each took, in seconds.
+// listAgain submits the whole list some times with nothing changed, and returns what each took, in seconds.
 func (d *memoryDriver) listAgain(list []dispatch.EndpointEntry) (took []float64) {
 	for range knownLists {
 		d.step(millisecond, dispatch.EndpointUpdate{Kind: dispatch.CompleteList, Entries: list})
@@ -132,7 +132,7 @@
 	return took
 }
 
-// changes has one endpoint drain and return by turns; it returns what each change took, in seconds, and how many took effect.
+// changes has one endpoint drain and return by steps; it returns what each change took, in seconds, and how many took effect.
 func (d *memoryDriver) changes(list []dispatch.EndpointEntry) (took []float64, seen int) {
 	for number := range knownChanges {
 		changed := list[len(list)/2]
--- a/testbed/scale/destinations_test.go
+++ b/testbed/scale/destinations_test.go
@@ -7,7 +7,7 @@
 	"pineport/testbed/simulation"
 )
 
-// spoiltHearing is a courier whose events are spoilt before it hears of them.
+// spoiltHearing is a courier whose events are malformed before it hears of them.
 type spoiltHearing struct {
 	*dispatch.Dispatcher
 	hear func(event dispatch.Event) (dispatch.Event, bool)
--- a/testbed/scale/directorychanges.go
+++ b/testbed/scale/directorychanges.go
@@ -19,7 +19,7 @@
 	figureEverywhere      = "everywhere_median_seconds"
 	figureEverywhereWorst = "everywhere_worst_seconds"
 	figureReachableWorst  = "reachable_worst_seconds" // the same, from when discovery could be reached again
-	figureUntold          = "untold"                  // couriers that run to the end and were never told of a change
+	figureUntold          = "untold"                  // couriers that run to the end and were never reported of a change
 	figureChanges         = "list_changes"
 	// worstOf is the quantile that is called the worst.
 	worstOf = 0.999
@@ -54,7 +54,7 @@
 size = [2, 5]
 `
 
-// directoryTroubles are restarts in turn, kills, and some seconds without discovery.
+// directoryTroubles are restarts in step, kills, and some seconds without discovery.
 const directoryTroubles = `
 [[trouble]]
 kind = "courier-roll"
@@ -103,7 +103,7 @@
 	return scenario.Draw(d, seed), nil
 }
 
-// toldHost runs the decisions in this process, and notes what each courier is told of the list, and when.
+// toldHost runs the decisions in this process, and notes what each courier is notified of the list, and when.
 type notifiedHost struct {
 	*simulation.Local
 	news []map[dispatch.EndpointID][]notifiedPhase // by courier
@@ -163,7 +163,7 @@
 	}
 }
 
-// toldAt is when a courier was first told of a phase of an endpoint, or of a later one.
+// toldAt is when a courier was first reported of a phase of an endpoint, or of a later one.
 func (h *notifiedHost) notifiedAt(courier int, id dispatch.EndpointID, phase dispatch.Phase) (dispatch.Micros, bool) {
 	for _, notified := range h.news[courier][id] {
 		if notified.phase >= phase {
@@ -179,8 +179,8 @@
 	notified, everywhere, reachable []float64
 }
 
-// against holds what was told against the changes of the day. A courier that does not run at a change is to know it from its start on;
-// one that is never told although it was listed and gone between two lists has nothing to know.
+// against holds what was notified against the changes of the day. A courier that does not run at a change is to know it from its start on;
+// one that is never reported although it was listed and gone between two lists has nothing to know.
 func (h *notifiedHost) against(drawn *scenario.Drawn) (t listTimes) {
 	phases := map[scenario.ActKind]dispatch.Phase{scenario.Adds: dispatch.InService, scenario.Drains: dispatch.Draining, scenario.Removes: dispatch.Removed}
 	downs, away := downTimes(drawn), awayTimes(drawn)
@@ -227,7 +227,7 @@
 	return away
 }
 
-// reachableFrom is when discovery came back, where it did so between a change and a courier being told of it; else the change.
+// reachableFrom is when discovery came back, where it did so between a change and a courier being reported of it; else the change.
 func reachableFrom(away []downTime, from, notified dispatch.Micros) dispatch.Micros {
 	for _, a := range away {
 		if from < a.to && notified >= a.to {
--- a/testbed/scale/driver.go
+++ b/testbed/scale/driver.go
@@ -16,7 +16,7 @@
 // realDecisions is the decision module as it is.
 func realDecisions(settings dispatch.Config) simulation.Decider { return dispatch.New(settings) }
 
-// What every courier here is told: one class of messages that may run again and live for a day, and destinations with a limit
+// What every courier here is notified: one class of messages that may run again and live for a day, and destinations with a limit
 // far above what is sent, so that failures are judged on the ordinary path, by breakers.
 const (
 	second          dispatch.Micros = 1_000_000
@@ -90,7 +90,7 @@
 	return &memoryDriver{courier: courier, now: firstInstant, down: down, attempts: make([]uint8, messages)}
 }
 
-// message hands in a message; its number says which.
+// message submits a message; its number says which.
 func (d *memoryDriver) message(id dispatch.MessageID, destination int) dispatch.MessageAccepted {
 	d.counts.given++
 	return dispatch.MessageAccepted{Message: id, Destination: dispatch.DestinationID(destination), Deadline: d.now + messageDeadline}
--- a/testbed/scale/hangups.go
+++ b/testbed/scale/hangups.go
@@ -99,7 +99,7 @@
 	return fleet, nil
 }
 
-// configureReal writes a courier's file: of each generation, another number of records that it may hold.
+// configureReal writes a courier's file: of each generation, another number of messages that it may hold.
 func configureReal(c *process.Courier, world *scripted.World, generation int) error {
 	var file map[string]any
 	if err := json.Unmarshal(world.Configuration(fmt.Sprintf("n%d", c.No), c.Listen), &file); err != nil {
--- a/testbed/scale/held.go
+++ b/testbed/scale/held.go
@@ -168,7 +168,7 @@
 	driver.step(parkStep)
 }
 
-// messages hands in those numbered from one up to another, spread over the destinations that are down.
+// messages submits those numbered from one up to another, spread over the destinations that are down.
 func (d *memoryDriver) messages(ids []dispatch.MessageID, from, to int) []dispatch.Event {
 	var events []dispatch.Event
 	for number := from; number < to; number++ {
@@ -237,7 +237,7 @@
 func realNow() dispatch.Micros { return dispatch.Micros(time.Now().UnixMicro()) }
 
 // startAgain does what a process does from its start until it takes clients, but for sockets: it reads the spool, makes the
-// router and has the decision module handle what was recovered. Times are of these parts alone, bytes are of what stays.
+// event loop and has the decision module handle what was recovered. Times are of these parts alone, bytes are of what stays.
 func (h held) startAgain(play *Play, sizes map[string]float64, folder string, count, down int) error {
 	settings := courierSettings(play.Seed, 2*count)
 	deployment, err := deploymentOf(settings, folder, down)
@@ -283,7 +283,7 @@
 	return nil
 }
 
-// recovered is what the router tells the decisions of each message at its start, kept in the same way until the first step.
+// recovered is what the event loop tells the decisions of each message at its start, kept in the same way until the first step.
 func recovered(unfinished []*spool.Message) []dispatch.Event {
 	var events []dispatch.Event
 	for _, kept := range unfinished {
--- a/testbed/scale/held_test.go
+++ b/testbed/scale/held_test.go
@@ -10,7 +10,7 @@
 	"pineport/testbed/simulation"
 )
 
-// spoilt passes events and actions through and spoils the actions.
+// malformed passes events and actions through and spoils the actions.
 type spoilt struct {
 	simulation.Decider
 	spoil func(events []dispatch.Event, actions []dispatch.Action) []dispatch.Action
@@ -20,7 +20,7 @@
 	return s.spoil(events, s.Decider.Handle(now, events))
 }
 
-// spoiling makes deciders whose actions are spoilt.
+// spoiling makes deciders whose actions are malformed.
 func spoiling(spoil func(events []dispatch.Event, actions []dispatch.Action) []dispatch.Action) decide {
 	return func(settings dispatch.Config) simulation.Decider { return spoilt{dispatch.New(settings), spoil} }
 }
--- a/testbed/scale/lists.go
+++ b/testbed/scale/lists.go
@@ -22,7 +22,7 @@
 	figureUnread         = "unread_entries" // entries that did not come through
 )
 
-// lister is a courier that is told lists: protocol's parser and the decisions, the router's books left out.
+// lister is a courier that is notified lists: protocol's parser and the decisions, the event loop's books left out.
 type lister struct {
 	courier *dispatch.Dispatcher
 	now     dispatch.Micros
@@ -77,7 +77,7 @@
 	return listCost{bytes: len(text), unread: len(hosts) - len(list.Hosts), spent: time.Since(begun)}, nil
 }
 
-// listingOf is what the router makes of an entry.
+// listingOf is what the event loop makes of an entry.
 func listingOf(host protocol.Host) dispatch.EndpointEntry {
 	phases := map[protocol.Health]dispatch.Phase{protocol.InService: dispatch.InService, protocol.Draining: dispatch.Draining, protocol.Removed: dispatch.Removed}
 	return dispatch.EndpointEntry{Endpoint: dispatch.EndpointID(host.Host), Destination: dispatch.DestinationID(host.Dest), Phase: phases[host.Health], Rate: host.Rate}
--- a/testbed/scale/members.go
+++ b/testbed/scale/members.go
@@ -86,10 +86,10 @@
 	members  []*gossip.Member // nil: down
 	starts   []uint64
 	patience time.Duration // with which await waits
-	fewer    int           // looks at which a member reckoned with fewer than the fleet's size
+	fewer    int           // looks at which a member counted on fewer than the fleet's size
 }
 
-// memberName is the name of a member; real couriers of the laboratory have the same names.
+// memberName is the name of a member; real couriers of the testbed have the same names.
 func memberName(i int) string { return fmt.Sprintf("n%d", i) }
 
 func newHollowFleet(size int, pace time.Duration, seed int64) *hollowFleet {
--- a/testbed/scale/outage.go
+++ b/testbed/scale/outage.go
@@ -47,10 +47,10 @@
 var outageKinds = []struct {
 	name   string
 	number float64
-	kind   string // of the laboratory's troubles
+	kind   string // of the testbed's troubles
 }{
 	{"refusing", 1, "refuse"}, // connections are refused
-	{"throttling", 2, "shut"}, // every call is throttled, and some are told when to come again
+	{"throttling", 2, "shut"}, // every call is throttled, and some are notified when to come again
 }
 
 // outage measures how a fleet meets destinations that go down and return, each courier on its own.
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// days plays some days and records their mean; the first of them twice, if asked to.
+// days plays some days and messages their mean; the first of them twice, if asked to.
 func (o outage) days(play *Play, sizes map[string]float64, kind string, count, days int, again bool) error {
 	var all outageSums
 	for number := range days {
@@ -143,7 +143,7 @@
 	s.pushed, s.broken, s.unended, s.unseen = s.pushed+t.pushed, s.broken+t.broken, s.unended+t.unended, s.unseen+t.unseen
 }
 
-// outageDay is the laboratory's calm day with the traffic, fleet and trouble of this experiment.
+// outageDay is the testbed's calm day with the traffic, fleet and trouble of this experiment.
 func outageDay(kind string, count int) (*scenario.Day, error) {
 	d, err := scenario.Find("calm")
 	if err != nil {
@@ -311,7 +311,7 @@
 	}
 }
 
-// lookForParked notes the destinations that this courier has come to hold back from: sick or waited for, or with an open breaker.
+// lookForParked notes the destinations that this courier has come to hold back from: failing or waited for, or with an open breaker.
 func (w *outageWatcher) lookForParked(now dispatch.Micros) {
 	learned, ok := w.decisions.(dispatch.Snapshotter)
 	if !ok {
--- a/testbed/scale/realfleet.go
+++ b/testbed/scale/realfleet.go
@@ -98,7 +98,7 @@
 	return o, nil
 }
 
-// configure is what a courier is told besides what its day says; membership as hollowFleet has it.
+// configure is what a courier is notified besides what its day says; membership as hollowFleet has it.
 func (o *realObserver) configure(courier *process.Courier) (map[string]any, error) {
 	settings := map[string]any{"ops": o.operators[courier.No]}
 	if !o.fleet.membership {
--- a/testbed/scale/scale.go
+++ b/testbed/scale/scale.go
@@ -1,6 +1,6 @@
 // Package scale measures how the courier's cost and knowledge grow with the size of its fleet: hollow couriers that run the
 // real decisions, membership, sharing and configuration code in one process, with stand-ins in memory for clients, endpoints,
-// disk and sockets. Each experiment is a file of its own; this one plays them and keeps what they record.
+// disk and sockets. Each experiment is a file of its own; this one plays them and keeps what they message.
 package scale
 
 import (
@@ -23,7 +23,7 @@
 	Timed bool
 	// Real experiments play real couriers beside hollow ones, in full runs.
 	Real bool
-	// Measure plays every size once and records what it found.
+	// Measure plays every size once and messages what it found.
 	Measure func(ctx context.Context, play *Play) error
 	// Fit says which slopes the recorded points make.
 	Fit func(results *Results) error
--- a/testbed/scale/sharing.go
+++ b/testbed/scale/sharing.go
@@ -21,27 +21,27 @@
 
 // Figures of one courier that hears all others.
 const (
-	figureSharingTick  = "beat_seconds"       // one beat, with the needs of all routes
+	figureSharingTick  = "beat_seconds"       // one tick, with the needs of all routes
 	figureHear         = "hear_seconds"       // one packet taken in: read and merged
 	figureKeptBytes    = "kept_bytes"         // memory, all that it has heard included
-	figureSaid         = "said_bytes"         // in the packets of one beat
+	figureSaid         = "said_bytes"         // in the packets of one tick
 	figureRoutes       = "kept_routes"        // routes that are kept
 	figureCounts       = "kept_counts"        // counts of others that are kept
 	figureForgotten    = "left_out"           // routes and counts left out for want of room
 	figureLargest      = "largest_packet"     // bytes
 	figureOverGranted  = "over_lent"          // instants at which the parts of a limit made more than the whole
 	figureSpoilt       = "spoilt_packets"     // that their receiver refused
-	figureLeases       = "loans"              // taken up by their borrowers
+	figureLeases       = "loans"              // taken up by their lessees
 	figureSaidPackets  = "packets_per_second" // that one courier says
 	figureBytes        = "bytes_per_second"   // that one courier says
 	figureCores        = "cores"              // of processor time, one courier
 	figureHeardOf      = "heard_ratio"        // couriers whose use is known at an instant, of all others
 	figureHeard        = "heard_couriers"     // the same as a number
 	figureUseKnown     = "use_ratio"          // their use as it was last heard, of what all others use
-	figureNotifiedLoad = "told_ratio"         // the load that the decisions are told, over the true one
+	figureNotifiedLoad = "told_ratio"         // the load that the decisions are notified, over the true one
 )
 
-// Bounds that commons promise: see docs/quota.md.
+// Bounds that quota promise: see docs/quota.md.
 const (
 	mostSharedRoutes = 1024
 	mostSharedCounts = 8192
@@ -50,7 +50,7 @@
 
 const (
 	microsPerSecond = quota.Micros(time.Second / time.Microsecond)
-	// beatSpan is how often a courier beats at the default interval of its heartbeats, 1 s: peers.pace_s / 2.
+	// beatSpan is how often a courier ticks at the default interval of its heartbeats, 1 s: peers.pace_s / 2.
 	tickSpan = microsPerSecond / 2
 	// countsPerWord is how many counts a packet of one courier holds in the first form of the run.
 	countsPerWord = 10
@@ -59,7 +59,7 @@
 	routeLimit     = 100.0 // calls a second from all couriers
 )
 
-// sharing measures the sharing of limits as package commons does it.
+// sharing measures the sharing of limits as package quota does it.
 func sharingExperiment() Experiment {
 	return Experiment{
 		Name: "sharing",
@@ -99,7 +99,7 @@
 	return sizes
 }
 
-// beats are how many are played: fewer where hearing all others takes long.
+// ticks are how many are played: fewer where hearing all others takes long.
 func (l listener) intervals(quick bool) int {
 	const long = 100 * 1000
 	switch {
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// measure has one courier beat while it hears all others on all routes.
+// measure has one courier tick while it hears all others on all routes.
 func (l listener) measure(play *Play) error {
 	intervals := l.intervals(play.Quick)
 	names := courierNames(l.heard + 1)
@@ -194,7 +194,7 @@
 	return names
 }
 
-// needs are those of the courier after so many beats: some routes are used twice and three times as much as others.
+// needs are those of the courier after so many ticks: some routes are used twice and three times as much as others.
 func (l listener) needs(intervals int) quota.DemandsChanged {
 	needs := quota.DemandsChanged{All: make([]quota.Demand, 0, l.routes)}
 	for route := range l.routes {
@@ -285,7 +285,7 @@
 	})
 }
 
-// checkSharing holds commons to what docs/quota.md promises: bounds on what is kept and said, and never more lent than there is.
+// checkSharing holds quota to what docs/quota.md promises: bounds on what is kept and said, and never more granted than there is.
 func checkSharing(results *Results) error {
 	return errors.Join(
 		within(results, figureRoutes, sizeRoutes, 1, mostSharedRoutes),
--- a/testbed/scale/sharing_test.go
+++ b/testbed/scale/sharing_test.go
@@ -94,7 +94,7 @@
 			t.Fatalf("%v, %d samples", f.fault, f.samples)
 		}
 		if over := f.overGranted > 0; over != want {
-			t.Errorf("%d of 10 couriers expected: %d instants with more lent than there is", expected, f.overGranted)
+			t.Errorf("%d of 10 couriers expected: %d instants with more granted than there is", expected, f.overGranted)
 		}
 	}
 }
@@ -107,11 +107,11 @@
 	}
 	f.hear(f.sharers[0], text)
 	if f.spoilt != 0 {
-		t.Error("a sound packet counts as spoilt")
+		t.Error("a sound packet counts as malformed")
 	}
 	f.hear(f.sharers[0], text[:len(text)-1])
 	if f.spoilt != 1 {
-		t.Errorf("%d spoilt packets", f.spoilt)
+		t.Errorf("%d malformed packets", f.spoilt)
 	}
 }
 
--- a/testbed/scale/sharingfleet.go
+++ b/testbed/scale/sharingfleet.go
@@ -20,11 +20,11 @@
 	// A packet takes so long, as in testbed/simulation: a network of one country.
 	packetLeast = 10 * microsPerSecond / 1000
 	packetMost  = 60 * microsPerSecond / 1000
-	// sharingWarmUp is longer than a start holds back what an earlier one may have lent, and than usage is measured over.
+	// sharingWarmUp is longer than a start holds back what an earlier one may have granted, and than usage is measured over.
 	sharingWarmUp  = 8 * microsPerSecond
 	sharingLasts   = 20 * microsPerSecond
 	sharingSampled = microsPerSecond
-	// heardFresh is how old a count may be to say something of now, as in package commons.
+	// heardFresh is how old a count may be to say something of now, as in package quota.
 	heardFresh = 3 * microsPerSecond
 	// listenersSampled couriers have the packets that they hear gone through.
 	listenersSampled = 5
@@ -139,7 +139,7 @@
 	heap.Push(&f.queue, later{at, f.queue.number, do})
 }
 
-// beat has one courier tell what it used since its last beat, and say what it says.
+// tick has one courier tell what it used since its last tick, and say what it says.
 func (f *sharingFleet) interval(s *sharer, alive []string) {
 	f.after(f.now+tickSpan, func() { f.interval(s, alive) })
 	needs := quota.DemandsChanged{All: make([]quota.Demand, 0, fleetRoutes)}
@@ -159,7 +159,7 @@
 	return whole
 }
 
-// carry hands events to a courier's commons and carries what it says, as package exchange does: encoded.
+// carry hands events to a courier's quota and carries what it says, as package exchange does: encoded.
 func (f *sharingFleet) carry(s *sharer, events ...quota.Event) {
 	for _, action := range s.quota.Handle(f.now, events...) {
 		say, ok := action.(quota.SendPacket)
@@ -190,7 +190,7 @@
 	f.carry(s, quota.PacketReceived{Packet: words})
 }
 
-// note keeps what a sampled courier was told of others' use.
+// note keeps what a sampled courier was notified of others' use.
 func (s *sharer) note(now quota.Micros, words quota.Packet) {
 	if s.heard == nil {
 		return
--- a/testbed/scale/sidebyside_test.go
+++ b/testbed/scale/sidebyside_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// silent records a hollow fleet that sent nothing.
+// silent messages a hollow fleet that sent nothing.
 func silent(play *Play) {
 	sizes := map[string]float64{sizeCouriers: 10}
 	play.Report(sizes, figureHollowPackets, 0)
--- a/testbed/scale/starts.go
+++ b/testbed/scale/starts.go
@@ -92,7 +92,7 @@
 	t.member.HandOff()
 }
 
-// reckonWithin bounds the wait for a member to take in what was told.
+// reckonWithin bounds the wait for a member to take in what was notified.
 const estimateWithin = 30 * time.Second
 
 // takes tells the member so many starts, among them a higher one of its own, and says whether it went on under a higher number.
@@ -126,7 +126,7 @@
 	return cbor.Marshal(map[int]any{1: gossip.Version, 2: "teller", 3: all})
 }
 
-// LocalState is what the member is told.
+// LocalState is what the member is notified.
 func (t *startsTeller) LocalState(bool) []byte {
 	if text := t.notified.Load(); text != nil {
 		return *text
@@ -168,7 +168,7 @@
 	return s.Conn.Close()
 }
 
-// checkExchangeLimit: what the view keeps at most can be told in full.
+// checkExchangeLimit: what the view keeps at most can be notified in full.
 func checkExchangeLimit(results *Results) error {
 	_, taken := results.Values(figureStartsTaken, sizeTried, nil)
 	if len(taken) == 0 {
--- a/testbed/scale/views.go
+++ b/testbed/scale/views.go
@@ -18,7 +18,7 @@
 	figureLook      = "look_s"
 	figureViewHeap  = "view_heap_bytes"
 	figureKept      = "names_kept"
-	figureEstimated = "reckoned"        // couriers that it reckons with after it heard of each other one once
+	figureEstimated = "reckoned"        // couriers that it counts on after it heard of each other one once
 	figureAgain     = "reckoned_again"  // after it heard of wordsAgain that are drawn once more
 	viewTick        = 200 * 1000        // microseconds between ticks, as at a pace of 1 s
 	viewSpan        = time.Second / 5   // for which each step is repeated
@@ -135,7 +135,7 @@
 	h.view.Handle(h.now, membership.Tick{})
 }
 
-// checkViews: a view never reckons with fewer than there are, and with just as many where it keeps every name.
+// checkViews: a view never counts on fewer than there are, and with just as many where it keeps every name.
 func checkViews(results *Results) error {
 	sizes, estimated := results.Values(figureEstimated, sizeNames, nil)
 	_, again := results.Values(figureAgain, sizeNames, nil)
--- a/testbed/scenario/days.go
+++ b/testbed/scenario/days.go
@@ -10,7 +10,7 @@
 //go:embed days/*.toml
 var builtIn embed.FS
 
-// BuiltIn lists the names of the days that come with the laboratory.
+// BuiltIn lists the names of the days that come with the testbed.
 func BuiltIn() []string { return Names(builtIn) }
 
 // Names lists the days in the folder of that name of an embedded file system.
@@ -25,7 +25,7 @@
 	return names
 }
 
-// Find reads a day that comes with the laboratory, or else a file.
+// Find reads a day that comes with the testbed, or else a file.
 func Find(name string) (*Day, error) {
 	file := path.Join("days", name+".toml")
 	if text, err := builtIn.ReadFile(file); err == nil {
--- a/testbed/scenario/draw.go
+++ b/testbed/scenario/draw.go
@@ -16,7 +16,7 @@
 	Day          *Day
 	Seed         int64
 	Load         float64
-	Length       dispatch.Micros // records arrive until then
+	Length       dispatch.Micros // messages arrive until then
 	End          dispatch.Micros // all is over
 	Destinations []Destination
 	Arrivals     []Arrival // by instant
@@ -29,12 +29,12 @@
 type Destination struct {
 	endpointmodel.Plan
 	KindName string
-	Usual    float64 // records a second at full load
+	Usual    float64 // messages a second at full load
 	Listed   float64 // the rate on the list, for a route
-	Tenant   int     // whose records it gets; -1: nobody's
+	Tenant   int     // whose messages it gets; -1: nobody's
 }
 
-// Arrival is a record handed in for the first time.
+// Arrival is a message submitted for the first time.
 type Arrival struct {
 	At      dispatch.Micros
 	Dest    int32
@@ -49,7 +49,7 @@
 
 // What happens by itself on a day.
 const (
-	Begins   ActKind = iota // a strike begins
+	Begins   ActKind = iota // a fault begins
 	Ends                    // and ends
 	Adds                    // an endpoint goes up and is listed
 	Drains                  // an endpoint is listed as draining
@@ -134,7 +134,7 @@
 	for i, usual := range share {
 		kind := d.Kinds[kinds[i]]
 		dst := Destination{KindName: kind.Name, Usual: usual * d.Traffic.FullPerSec, Tenant: -1}
-		if len(order) > 0 { // to the party that is furthest behind its share
+		if len(order) > 0 { // to the tenant that is furthest behind its share
 			dst.Tenant = slices.MinFunc(order, func(a, b int) int { return cmp.Compare(owed[a], owed[b]) })
 			owed[dst.Tenant] += usual / max(1e-9, d.Tenants[dst.Tenant].Share)
 		}
@@ -244,7 +244,7 @@
 	}
 }
 
-// flood is a stretch in which a party sends more.
+// flood is a stretch in which a tenant sends more.
 type flood struct {
 	from, to dispatch.Micros
 	tenant   int // -1: all
@@ -287,7 +287,7 @@
 		}
 		w.Arrivals = append(w.Arrivals, a)
 	}
-	// Single records by thinning: drawn at the highest rate, kept as often as the rate of the instant asks.
+	// Single messages by thinning: drawn at the highest rate, kept as often as the rate of the instant asks.
 	peak := total * w.Load * (1 - clumps) * (1 + d.Traffic.Swing) * most
 	for at := 0.0; ; {
 		at += rng.ExpFloat64() / max(peak, 1e-9)
@@ -305,7 +305,7 @@
 			add(now, dest)
 		}
 	}
-	// Clumps: as many records for one destination as its limit takes in some time, within a fifth of a second.
+	// Clumps: as many messages for one destination as its limit takes in some time, within a fifth of a second.
 	for left := total * w.Load * clumps * d.Length; left >= 1; {
 		dest, at := pick.draw(rng), rng.Float64()*d.Length
 		size := max(1, math.Round(w.Destinations[dest].Limit.PerSec*d.Traffic.ClumpFor.draw(rng)))
@@ -318,7 +318,7 @@
 	slices.SortStableFunc(w.Arrivals, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
 }
 
-// workloadsByKind has, for each kind of destination, which workloads it gets.
+// workloadsByKind has, for each kind of destination, which classes it gets.
 func (w *Drawn) classesByKind() []picker {
 	var all []picker
 	for _, k := range w.Day.Kinds {
--- a/testbed/scenario/fault.go
+++ b/testbed/scenario/fault.go
@@ -40,12 +40,12 @@
 	return s.floods
 }
 
-// striker turns troubles into acts.
+// striker steps troubles into acts.
 type striker struct {
 	*Drawn
 	rng    *rand.Rand
 	number int // of the trouble
-	ids    int // of strikes
+	ids    int // of faults
 	fresh  int // of new endpoints
 	floods []flood
 }
--- a/testbed/scenario/read.go
+++ b/testbed/scenario/read.go
@@ -27,7 +27,7 @@
 	return Read(path, text)
 }
 
-// Read reads a day; all faults of it are told at once, each with file, line, key and what was expected.
+// Read reads a day; all faults of it are notified at once, each with file, line, key and what was expected.
 func Read(file string, text []byte) (*Day, error) {
 	var d Day
 	dec := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
--- a/testbed/scenario/scenario.go
+++ b/testbed/scenario/scenario.go
@@ -1,4 +1,4 @@
-// Package scenario is a day as a file: a fleet, its destinations, workloads and traffic, and what goes wrong. Read checks a
+// Package scenario is a day as a file: a fleet, its destinations, classes and traffic, and what goes wrong. Read checks a
 // file; Draw makes of it, with a seed, every arrival and every trouble of the day. The same seed gives the same day, to
 // the byte.
 package scenario
@@ -47,7 +47,7 @@
 	LongestWait float64  `toml:"longest_advice_s" def:"2" in:"0..3600" unit:"s" doc:"longest advice that clients heed"`
 }
 
-// Traffic is what is handed in.
+// Traffic is what is submitted.
 type Traffic struct {
 	FullPerSec   float64 `toml:"full_per_s" in:"0.01..1000000" unit:"records/s" doc:"the full load"`
 	Destinations int     `toml:"destinations" in:"1..1000000" doc:"how many destinations"`
@@ -87,7 +87,7 @@
 	ErrorRate    Range    `toml:"error_rate" def:"[0,0.003]" in:"0..1" doc:"share of calls that fail in good health"`
 }
 
-// Class is one kind of record.
+// Class is one kind of message.
 type Class struct {
 	Name      string   `toml:"name" doc:"its name"`
 	Share     float64  `toml:"share" def:"1" in:"0..1000" doc:"part of the records, among the workloads"`
--- a/testbed/scenario/scenario_test.go
+++ b/testbed/scenario/scenario_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// TestSameSeedSameDay: to the byte, for every day that comes with the laboratory; another seed gives another one.
+// TestSameSeedSameDay: to the byte, for every day that comes with the testbed; another seed gives another one.
 func TestSameSeedSameDay(t *testing.T) {
 	for _, name := range BuiltIn() {
 		d, err := Find(name)
@@ -86,11 +86,11 @@
 			}
 		}
 		if begun != over {
-			t.Errorf("seed %d: %d strikes begin, %d end", seed, begun, over)
+			t.Errorf("seed %d: %d faults begin, %d end", seed, begun, over)
 		}
 		want := w.Load * d.Traffic.FullPerSec * d.Length
 		if n := float64(len(w.Arrivals)); n < 0.75*want || n > 1.25*want && !flooded(w) {
-			t.Errorf("seed %d: %v records, %v were to be expected", seed, n, want)
+			t.Errorf("seed %d: %v messages, %v were to be expected", seed, n, want)
 		}
 		for _, dst := range w.Destinations {
 			k := d.Kinds[dst.Plan.Kind]
--- a/testbed/scenario/settings.go
+++ b/testbed/scenario/settings.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// Quota is what a party may send within its share, in records a second.
+// Quota is what a tenant may send within its share, in messages a second.
 func (w *Drawn) Quota(p Tenant) float64 { return p.Share * w.Day.Traffic.FullPerSec }
 
 // Config is the same, as the decisions read it: through the same code that a real courier's configuration passes.
--- a/testbed/scripted/scripted.go
+++ b/testbed/scripted/scripted.go
@@ -26,14 +26,14 @@
 
 // Broken counts what an endpoint must never see.
 type Broken struct {
-	Early    int // calls within a wait that was told over a tenth of a second before
-	Overlaps int // calls for a key while another record of it is out
+	Early    int // calls within a wait that was notified over a tenth of a second before
+	Overlaps int // calls for a key while another message of it is out
 	Disorder int // calls for a key behind a later one
 }
 
-// line is a key whose records go one at a time.
+// line is a key whose messages go one at a time.
 type line struct {
-	out  map[string]int // calls, by record; one that a killed courier had out runs on beside its next
+	out  map[string]int // calls, by message; one that a killed courier had out runs on beside its next
 	last int
 }
 
@@ -48,11 +48,11 @@
 	seq      int
 	dests    []int // of the endpoints
 	calls    []*atomic.Int64
-	began    map[string]int // calls that were begun, by record
+	began    map[string]int // calls that were begun, by message
 	done     map[string]int
 	notices  map[string][]string
 	broken   Broken
-	notified time.Time // when the last wait was told, and until when it holds
+	notified time.Time // when the last wait was notified, and until when it holds
 	waitTo   time.Time
 	lines    map[string]*line
 	mute     int // calls with notices that will get no answer
@@ -101,7 +101,7 @@
 	return func() { old.Close() }, w.settle()
 }
 
-// Grow adds an endpoint; whoever watches is not told before the next list.
+// Grow adds an endpoint; whoever watches is not reported before the next list.
 func (w *World) Grow(dest int) error {
 	mux := http.NewServeMux()
 	w.mu.Lock()
@@ -208,7 +208,7 @@
 	rw.WriteHeader(http.StatusNoContent)
 }
 
-// call plays one call for some records and tells whether it is answered.
+// call plays one call for some messages and tells whether it is answered.
 func (w *World) call(rw http.ResponseWriter, ids ...string) bool {
 	w.mu.Lock()
 	if now := time.Now(); now.Before(w.waitTo) && now.After(w.notified.Add(100*time.Millisecond)) {
@@ -316,14 +316,14 @@
 	}
 }
 
-// Seen tells how often a record's call was begun and answered as done, and the notices for it.
+// Seen tells how often a message's call was begun and answered as done, and the notices for it.
 func (w *World) Seen(id string) (began, done int, notices []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.began[id], w.done[id], append([]string(nil), w.notices[id]...)
 }
 
-// Configuration is what a courier beside this world is told.
+// Configuration is what a courier beside this world is notified.
 func (w *World) Configuration(name, listen string) []byte {
 	class := func(name, repeat string, points float64) map[string]any {
 		return map[string]any{"name": name, "idempotency": repeat, "points": points, "slo-s": 1.0, "deadline-s": 8.0,
--- a/testbed/simulation/bench_test.go
+++ b/testbed/simulation/bench_test.go
@@ -7,8 +7,8 @@
 	"pineport/testbed/scenario"
 )
 
-// BenchmarkDay plays days at growing size, with as many records for each endpoint: how cost grows is the question. It
-// reports records and turns of couriers a second of real time, and how much faster than real time that is.
+// BenchmarkDay plays days at growing size, with as many messages for each endpoint: how cost grows is the question. It
+// reports messages and steps of couriers a second of real time, and how much faster than real time that is.
 func BenchmarkDay(b *testing.B) {
 	for _, size := range []struct{ couriers, destinations, perSec int }{{3, 10, 24}, {40, 125, 300}, {220, 500, 1200}, {220, 5000, 12000}} {
 		b.Run(fmt.Sprintf("endpoints=%d", 2*size.destinations), func(b *testing.B) {
--- a/testbed/simulation/call.go
+++ b/testbed/simulation/call.go
@@ -7,7 +7,7 @@
 	"pineport/testbed/invariants"
 )
 
-// load puts a record on a call; it returns the call if that is new.
+// load puts a message on a call; it returns the call if that is new.
 func (s *Sim) load(c *courier, a dispatch.Send, open map[dispatch.EndpointID]*call) *call {
 	at, r := s.at[a.Endpoint], c.messages[a.Message]
 	if at == nil || r != nil && at.dest != int(r.client.arrival.Dest) {
@@ -103,7 +103,7 @@
 	s.after(s.now+s.way(cl.courier.zone, cl.at.endpoint.Zone), func() { s.outcome(cl, a.Outcome, a.Wait, a.Pressure) })
 }
 
-// limit ends a trip's time: the trips of one call have each their own.
+// limit ends an attempt's time: the attempts of one call have each their own.
 func (s *Sim) limit(t *attempt, limit dispatch.Micros) {
 	if limit <= 0 {
 		return
@@ -120,7 +120,7 @@
 	})
 }
 
-// giveUp ends one trip; where no other is left on its call, that is called off.
+// giveUp ends one attempt; where no other is left on its call, that is called off.
 func (s *Sim) giveUp(t *attempt, o dispatch.Outcome) {
 	s.settle(t, dispatch.AttemptFinished{Outcome: o, Duration: s.now - t.call.sent})
 	for _, other := range t.call.attempts {
@@ -167,7 +167,7 @@
 	})
 }
 
-// settle tells a courier how a trip ended.
+// settle tells a courier how an attempt ended.
 func (s *Sim) settle(t *attempt, e dispatch.AttemptFinished) {
 	if t.over {
 		return
@@ -187,7 +187,7 @@
 	}
 }
 
-// cancel calls a trip off.
+// cancel calls an attempt off.
 func (s *Sim) cancel(c *courier, a dispatch.Cancel) {
 	r := c.messages[a.Message]
 	if r == nil || int(a.Attempt) >= len(r.attempts) || r.attempts[a.Attempt].over {
--- a/testbed/simulation/client.go
+++ b/testbed/simulation/client.go
@@ -9,18 +9,18 @@
 	"pineport/testbed/scenario"
 )
 
-// client is who handed in a record first, and hands it in again where it may.
+// client is who submitted a message first, and hands it in again where it may.
 type client struct {
 	id      dispatch.MessageID
 	arrival scenario.Arrival
 	cutOff  dispatch.Micros
-	tries   int // hand-ins that a courier took
+	tries   int // submissions that a courier took
 	rejects int
 	over    bool
 	held    *message // by the courier that has it now
 }
 
-// arrive hands in one record, and sees to the next.
+// arrive submits one message, and sees to the next.
 func (s *Sim) arrive(i int) {
 	if i >= len(s.w.Arrivals) {
 		return
@@ -42,7 +42,7 @@
 	s.after(s.now+config.Micros(s.w.Day.Network.Client/1000), func() { s.handIn(cl, s.couriers[a.Courier], false) })
 }
 
-// handIn gives a record to a courier. One that is dead takes nothing: the client tries elsewhere, or later.
+// handIn gives a message to a courier. One that is dead takes nothing: the client tries elsewhere, or later.
 func (s *Sim) handIn(cl *client, c *courier, again bool) {
 	switch {
 	case cl.over || s.now >= cl.cutOff:
@@ -50,7 +50,7 @@
 	case !c.alive || c.closing && s.w.Day.Fleet.Entry == "front":
 		s.after(s.now+s.between(s.w.Day.Clients.Again)/4, func() { s.handIn(cl, s.other(c), again) })
 		return
-	case c.held >= s.w.Hold: // turned away before the decisions hear of it
+	case c.held >= s.w.Hold: // rejected before the decisions hear of it
 		s.comeAgain(cl, c, 0)
 		return
 	}
@@ -82,7 +82,7 @@
 	return s.couriers[s.rng.IntN(len(s.couriers))]
 }
 
-// comeAgain hands in anew what was bounced, after a while.
+// comeAgain submits anew what was rejected, after a while.
 func (s *Sim) comeAgain(cl *client, c *courier, advice dispatch.Micros) {
 	d := s.w.Day.Clients
 	if cl.over || cl.rejects >= d.Retries {
@@ -96,7 +96,7 @@
 	s.after(s.now+wait, func() { s.handIn(cl, s.other(c), true) })
 }
 
-// leave withdraws a record.
+// leave withdraws a message.
 func (s *Sim) leave(cl *client) {
 	if cl.over {
 		return
--- a/testbed/simulation/courier.go
+++ b/testbed/simulation/courier.go
@@ -25,7 +25,7 @@
 	spooled  []*message // what its folder holds while it is down, in the order taken
 	standsTo dispatch.Micros
 	events   []dispatch.Event
-	due      dispatch.Micros // the tick at which it is told them; 0: none
+	due      dispatch.Micros // the tick at which it is notified them; 0: none
 	messages map[dispatch.MessageID]*message
 	held     int
 	slots    int                                            // taken
@@ -36,7 +36,7 @@
 	quota    *quota.Allocator // nil: limits are not shared
 }
 
-// record is a record at one courier.
+// message is a message at one courier.
 type message struct {
 	id       dispatch.MessageID
 	client   *client
@@ -189,7 +189,7 @@
 	})
 }
 
-// tell puts something before a courier's next turn.
+// tell puts something before a courier's next step.
 func (s *Sim) tell(c *courier, e dispatch.Event) {
 	if !c.alive {
 		return
@@ -205,7 +205,7 @@
 	}
 }
 
-// turn lets all couriers decide that have something to be told by now.
+// step lets all couriers decide that have something to be notified by now.
 func (s *Sim) turn(at dispatch.Micros) {
 	due := s.turns[at]
 	delete(s.turns, at)
@@ -215,7 +215,7 @@
 			continue // killed since
 		}
 		c.due = 0
-		if c.standsTo > s.now { // stands still since it was told
+		if c.standsTo > s.now { // stands still since it was notified
 			events := c.events
 			c.events = nil
 			for _, e := range events {
@@ -247,7 +247,7 @@
 // carryOut does what a courier wants done.
 func (s *Sim) carryOut(c *courier, actions []dispatch.Action) {
 	s.stats.Actions += len(actions)
-	open := map[dispatch.EndpointID]*call{} // calls of this turn that may carry more
+	open := map[dispatch.EndpointID]*call{} // calls of this step that may carry more
 	var calls []*call
 	for _, action := range actions {
 		switch a := action.(type) {
@@ -286,7 +286,7 @@
 	}
 }
 
-// ended takes a courier's final answer for a record; nil where it had one already.
+// ended takes a courier's final answer for a message; nil where it had one already.
 func (s *Sim) ended(c *courier, id dispatch.MessageID, how invariants.End) *message {
 	r := c.messages[id]
 	if r == nil || r.over {
@@ -302,7 +302,7 @@
 	s.close(r)
 }
 
-// close forgets a record that is over, once nothing of it is out.
+// close forgets a message that is over, once nothing of it is out.
 func (s *Sim) close(r *message) {
 	if !r.over {
 		r.over = true
--- a/testbed/simulation/directory.go
+++ b/testbed/simulation/directory.go
@@ -13,7 +13,7 @@
 	sim     *Sim
 	entries map[dispatch.EndpointID]dispatch.EndpointEntry
 	down    bool
-	pending []func() // what could not be told while it was down
+	pending []func() // what could not be notified while it was down
 }
 
 func newDirectory(s *Sim) *directory {
@@ -28,7 +28,7 @@
 	return maps.Clone(d.entries)
 }
 
-// change notes that an entry changed, and tells whoever is told by itself or watches.
+// change notes that an entry changed, and tells whoever is notified by itself or watches.
 func (d *directory) change(dest int, e endpointmodel.Endpoint, phase dispatch.Phase) {
 	l := d.sim.w.Listing(dest, e.ID, e.Zone, phase)
 	if phase == dispatch.Removed {
@@ -83,7 +83,7 @@
 	s.tell(c, dispatch.EndpointUpdate{Kind: how, Entries: entries})
 }
 
-// fetch answers a courier that asks for the list, or that is told by itself from its start on.
+// fetch answers a courier that asks for the list, or that is notified by itself from its start on.
 func (d *directory) fetch(c *courier) {
 	s, life := d.sim, c.life
 	r := s.w.Day.Directory.Call
@@ -115,7 +115,7 @@
 	}
 }
 
-// comeUp goes on, and tells what was to be told.
+// comeUp goes on, and tells what was to be notified.
 func (d *directory) comeUp() {
 	d.down = false
 	pending := d.pending
--- a/testbed/simulation/host.go
+++ b/testbed/simulation/host.go
@@ -7,7 +7,7 @@
 	"pineport/dispatch"
 )
 
-// Batch is what happened to one courier since its last turn.
+// Batch is what happened to one courier since its last step.
 type Batch struct {
 	Courier int
 	Events  []dispatch.Event
--- a/testbed/simulation/quota.go
+++ b/testbed/simulation/quota.go
@@ -20,7 +20,7 @@
 	packetMost  = 60 * 1000
 )
 
-// commune has a courier that begins share limits; an earlier start may have lent half of each of its parts.
+// commune has a courier that begins share limits; an earlier start may have granted half of each of its parts.
 func (s *Sim) commune(c *courier, ch dispatch.Config) dispatch.Config {
 	if s.Share.Interval <= 0 {
 		return ch
--- a/testbed/simulation/restarts_test.go
+++ b/testbed/simulation/restarts_test.go
@@ -99,7 +99,7 @@
 func TestShortWindowOverRestarts(t *testing.T) {
 	const (
 		seeds  = 12
-		window = 1000 * 1000 // as the day has it for the first two workloads
+		window = 1000 * 1000 // as the day has it for the first two classes
 	)
 	var untried, within, over, sentUntried, sentWithin, sentOver int
 	for seed := int64(1); seed <= seeds; seed++ {
--- a/testbed/simulation/returns_test.go
+++ b/testbed/simulation/returns_test.go
@@ -10,7 +10,7 @@
 	"pineport/testbed/scenario"
 )
 
-// outageKinds are the ways in which a destination may fail as a whole; the seeds of a fleet take them by turns.
+// outageKinds are the ways in which a destination may fail as a whole; the seeds of a fleet take them by steps.
 var outageKinds = []string{"refuse", "silent", "hang", "shut", "errors"}
 
 // knowingShare of the calls that push a destination over must come from couriers that had seen the outage, or it is a fall
@@ -98,7 +98,7 @@
 }
 
 // returnCounter hosts the decisions as Local does, and counts what the whole fleet sends to destinations that come back.
-// It sees what the couriers are told and what they do, and nothing of the model of the destinations.
+// It sees what the couriers are notified and what they do, and nothing of the model of the destinations.
 type returnCounter struct {
 	Host
 	routes   map[dispatch.EndpointID]*watchedRoute
@@ -171,7 +171,7 @@
 	}
 }
 
-// sent counts the calls of one turn: messages for one endpoint go together, as many as its kind takes.
+// sent counts the calls of one step: messages for one endpoint go together, as many as its kind takes.
 func (c *returnCounter) sent(now dispatch.Micros, courier int, actions []dispatch.Action) {
 	messages := map[dispatch.EndpointID]int{}
 	for _, action := range actions {
--- a/testbed/simulation/simulation.go
+++ b/testbed/simulation/simulation.go
@@ -1,6 +1,6 @@
 // Package simulation plays a day in virtual time: clients, network, directory and partners are models, the couriers' decisions
 // are the real ones. One goroutine, no clock: an event's instant is the only time there is, and the same day against the
-// same decisions gives the same outcome to the last record.
+// same decisions gives the same outcome to the last message.
 package simulation
 
 import (
@@ -37,7 +37,7 @@
 	partners []*site
 	at       map[dispatch.EndpointID]*spot
 	couriers []*courier
-	turns    map[dispatch.Micros][]*courier // who has something to be told, by tick
+	turns    map[dispatch.Micros][]*courier // who has something to be notified, by tick
 	listed   *directory
 	calls    uint64
 	taken    int              // messages, by all couriers
@@ -65,7 +65,7 @@
 type Options struct {
 	// Watch is called every half second of virtual time.
 	Watch func(now dispatch.Micros)
-	// SnapshotInterval is how often each courier's lore is kept for its next start, as a file would; 0: never. At a planned end it is
+	// SnapshotInterval is how often each courier's learned state is kept for its next start, as a file would; 0: never. At a planned end it is
 	// kept last.
 	SnapshotInterval dispatch.Micros
 	// Spool has what a killed courier held come back to it at its next start, as its folder would; else its clients hand it
@@ -78,7 +78,7 @@
 // Play plays a day.
 func Play(w *scenario.Drawn, host Host, o Options) (*invariants.Verdict, Stats, error) {
 	setup := invariants.ForDay(w)
-	if o.Spool { // what fell due while a courier was down is answered in its first turn
+	if o.Spool { // what fell due while a courier was down is answered in its first step
 		setup.Excused = config.Micros(w.Day.Fleet.Tick/1000) + setup.AnswerSlack
 	}
 	s := &Sim{w: w, books: invariants.New(setup), host: host, rng: rand.New(rand.NewPCG(uint64(w.Seed), 77)),
--- a/testbed/simulation/wrong_test.go
+++ b/testbed/simulation/wrong_test.go
@@ -8,7 +8,7 @@
 	"pineport/testbed/scenario"
 )
 
-// wrong is a courier that breaks one rule: it passes events and actions through and spoils what it is told to.
+// wrong is a courier that breaks one rule: it passes events and actions through and spoils what it is notified to.
 type wrong struct {
 	Decider
 	spoil    func(w *wrong, now dispatch.Micros, events []dispatch.Event, actions []dispatch.Action) []dispatch.Action
--- a/testbed/wirehost/host.go
+++ b/testbed/wirehost/host.go
@@ -26,7 +26,7 @@
 	in     io.WriteCloser
 	out    *bufio.Reader
 	w      *bufio.Writer
-	begins map[int]string // begin lines that go with the next turn of their courier
+	begins map[int]string // begin lines that go with the next step of their courier
 	killed map[int]bool
 	page   int
 	serial int
@@ -59,7 +59,7 @@
 	return h.cmd.Wait()
 }
 
-// Start implements simulation.Host: a courier begins with its next turn.
+// Start implements simulation.Host: a courier begins with its next step.
 func (h *Host) Start(courier int, ch dispatch.Config, settings map[string]string) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "begin %d", ch.Seed)
@@ -214,7 +214,7 @@
 	}
 }
 
-// action reads one line of a reply; nil where the laboratory has no use for it.
+// action reads one line of a reply; nil where the testbed has no use for it.
 func action(f []string) (a dispatch.Action, err error) {
 	need := func(i int) string {
 		if i < len(f) {
--- a/transport/crossings_test.go
+++ b/transport/crossings_test.go
@@ -20,7 +20,7 @@
 // that what other connections bring lies unread for as long as it wants.
 
 // stopped is a driver whose poller stands still until goOn is called, and its address.
-func stopped(t *testing.T, accept func() Handler) (driver *Driver, addr string, goOn func()) {
+func stoppedDriver(t *testing.T, accept func() Handler) (driver *Driver, addr string, goOn func()) {
 	t.Helper()
 	driver, addr = open(t, accept)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -55,26 +55,26 @@
 }
 
 // taking keeps the handlers of connections that are taken in, in their order.
-type taking chan *recordingHandler
+type acceptedHandlers chan *recordingHandler
 
-func (c taking) accept() Handler {
+func (c acceptedHandlers) accept() Handler {
 	h := &recordingHandler{closed: make(chan struct{})}
 	h.on = func(conn *Conn, b []byte) { conn.Write(b) }
-	return &announced{h, c}
+	return &announcingHandler{h, c}
 }
 
 // announced tells of its connection once that is up.
-type announced struct {
+type announcingHandler struct {
 	*recordingHandler
-	to taking
+	to acceptedHandlers
 }
 
-func (a *announced) Opened(conn *Conn) {
+func (a *announcingHandler) Opened(conn *Conn) {
 	a.recordingHandler.Opened(conn)
 	a.to <- a.recordingHandler
 }
 
-func (c taking) next(t *testing.T) *recordingHandler {
+func (c acceptedHandlers) next(t *testing.T) *recordingHandler {
 	t.Helper()
 	select {
 	case h := <-c:
@@ -98,11 +98,11 @@
 
 func always() bool { return true }
 
-// TestNoCloseOverUnreadBytes. Failure: a connection that rested as far as was known was closed over a request that lay in its socket;
+// TestNoCloseWithUnreadBytes. Failure: a connection that rested as far as was known was closed over a request that lay in its socket;
 // the system reset it, and a reply on its way went with it.
-func TestNoCloseOverUnreadBytes(t *testing.T) {
-	came := make(taking, 1)
-	_, addr, goOn := stopped(t, came.accept)
+func TestNoCloseWithUnreadBytes(t *testing.T) {
+	came := make(acceptedHandlers, 1)
+	_, addr, goOn := stoppedDriver(t, came.accept)
 	peer := dial(t, addr)
 	h := came.next(t)
 	io.WriteString(peer, "request")
@@ -125,16 +125,16 @@
 	}
 }
 
-// TestNothingIsWrittenToAnEndedConnection. Failure: a call was written to a connection whose other side had closed it, and nobody could
+// TestNoWriteToEndedConnection. Failure: a call was written to a connection whose other side had closed it, and nobody could
 // say whether it had run.
-func TestNothingIsWrittenToAnEndedConnection(t *testing.T) {
+func TestNoWriteToEndedConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	driver, _, _ := stopped(t, nil)
-	came := make(taking, 1)
+	driver, _, _ := stoppedDriver(t, nil)
+	came := make(acceptedHandlers, 1)
 	conn := driver.Dial(l.Addr().String(), 5*time.Second, came.accept())
 	came.next(t)
 	peer, err := l.Accept()
@@ -142,7 +142,7 @@
 		t.Fatal(err)
 	}
 	defer peer.Close()
-	for deadline := time.Now().Add(5 * time.Second); !conn.Quietly(func() {}); { // its handler may still be telling that it is up
+	for deadline := time.Now().Add(5 * time.Second); !conn.WhileIdle(func() {}); { // its handler may still be telling that it is up
 		if time.Now().After(deadline) {
 			t.Fatal("an open connection at rest passes for ended")
 		}
@@ -151,17 +151,17 @@
 	if !port.Arrived(peer.(*net.TCPConn)) {
 		t.Fatal("its end never arrived")
 	}
-	if conn.Quietly(func() {}) {
+	if conn.WhileIdle(func() {}) {
 		t.Error("written to one that has ended")
 	}
 }
 
-// TestNothingCrossesAHandler: whoever acts on a connection at rest does so before its bytes are read or after they were handled.
-func TestNothingCrossesAHandler(t *testing.T) {
+// TestNoCloseWhileHandlerRuns: whoever acts on a connection at rest does so before its bytes are read or after they were handled.
+func TestNoCloseWhileHandlerRuns(t *testing.T) {
 	handles, goOn := make(chan struct{}), make(chan struct{})
-	came := make(taking, 1)
+	came := make(acceptedHandlers, 1)
 	_, addr := open(t, func() Handler {
-		a := came.accept().(*announced)
+		a := came.accept().(*announcingHandler)
 		a.on = func(*Conn, []byte) {
 			close(handles)
 			<-goOn
@@ -178,7 +178,7 @@
 	close(goOn)
 }
 
-// TestCloseReasonIsReportedOnce: a handler that fails its connection is told so by Closed, and of nothing after it.
+// TestCloseReasonIsReportedOnce: a handler that fails its connection is notified so by Closed, and of nothing after it.
 func TestCloseReasonIsReportedOnce(t *testing.T) {
 	why := errors.New("as if spoilt")
 	ended := make(chan error, 2)
@@ -186,14 +186,14 @@
 	peer := dial(t, addr)
 	io.WriteString(peer, "x")
 	if err := <-ended; err != why {
-		t.Errorf("told %v", err)
+		t.Errorf("reported %v", err)
 	}
 	if _, err := peer.Read(make([]byte, 1)); err == nil {
 		t.Error("still open")
 	}
-	driver.Close() // whatever is told is told by now
+	driver.Close() // whatever is notified is notified by now
 	if len(ended) > 0 {
-		t.Errorf("told once more: %v", <-ended)
+		t.Errorf("reported once more: %v", <-ended)
 	}
 }
 
@@ -206,9 +206,9 @@
 func (h *failingHandler) Data(conn *Conn, _ []byte) { conn.Fail(h.why) }
 func (h *failingHandler) Closed(_ *Conn, err error) { h.ended <- err }
 
-// TestADialGivenUpEndsAtOnce. Failure: it held a descriptor that nobody counted any more until its time was over; with a third of the
+// TestCanceledDialEndsAtOnce. Failure: it held a descriptor that nobody counted any more until its time was over; with a third of the
 // dials coming up late, the limit was passed.
-func TestADialGivenUpEndsAtOnce(t *testing.T) {
+func TestCanceledDialEndsAtOnce(t *testing.T) {
 	driver, _ := open(t, nil)
 	addr := full(t)
 	why, ended := errors.New("as if overtaken"), make(chan error, 2)
@@ -217,7 +217,7 @@
 	select {
 	case err := <-ended:
 		if err != why {
-			t.Errorf("told %v", err)
+			t.Errorf("reported %v", err)
 		}
 	case <-time.After(5 * time.Second):
 		t.Error("it goes on")
@@ -252,12 +252,12 @@
 	}
 }
 
-// TestWhoKnockedIsLetIn. Failure: the system reset who still waited at the door as it was closed, and requests that came with the first
+// TestPendingConnectionsAreAccepted. Failure: the system reset who still waited at the door as it was closed, and requests that came with the first
 // breath of a connection had no answer.
-func TestWhoKnockedIsLetIn(t *testing.T) {
+func TestPendingConnectionsAreAccepted(t *testing.T) {
 	const many = 16
 	admitted := make(chan struct{})
-	came := make(taking, many+1)
+	came := make(acceptedHandlers, many+1)
 	driver, err := Open("127.0.0.1:0", nil, 1024, slog.New(slog.DiscardHandler), func() bool {
 		<-admitted
 		return true
@@ -275,11 +275,11 @@
 		}
 	}
 	close(admitted)
-	driver.Deafen()
+	driver.StopAccepting()
 	for i, peer := range peers {
 		got := make([]byte, 5)
 		if _, err := io.ReadFull(peer, got); err != nil {
-			t.Errorf("%d was turned away: %v", i, err)
+			t.Errorf("%d was rejected: %v", i, err)
 		}
 	}
 	if conn, err := net.Dial("tcp", driver.engine.Addrs[0]); err == nil {
@@ -288,15 +288,15 @@
 	}
 }
 
-// TestDialsThatCrossTheEnd: whatever comes up as the driver closes is closed with it.
-func TestDialsThatCrossTheEnd(t *testing.T) {
+// TestDialsDuringCloseLeakNothing: whatever comes up as the driver closes is closed with it.
+func TestDialsDuringCloseLeakNothing(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
 	for range 10 {
-		came := make(taking, 1)
+		came := make(acceptedHandlers, 1)
 		driver, addr := open(t, came.accept)
 		peer := dial(t, addr) // nbio forgets an end that comes before its loops have begun
 		io.WriteString(peer, "x")
@@ -316,17 +316,17 @@
 	}
 }
 
-// TestSmallWritesAreNotHeldBack: what the system held back would go with a connection that is closed over unread bytes.
-func TestSmallWritesAreNotHeldBack(t *testing.T) {
-	came := make(taking, 2)
+// TestSmallWritesAreSentAtOnce: what the system held back would go with a connection that is closed over unread bytes.
+func TestSmallWritesAreSentAtOnce(t *testing.T) {
+	came := make(acceptedHandlers, 2)
 	driver, addr := open(t, came.accept)
 	dialled := driver.Dial(addr, 5*time.Second, came.accept())
 	for range 2 {
 		conn := came.next(t).conn
-		for conn.up() == nil {
+		for conn.open() == nil {
 			time.Sleep(time.Millisecond)
 		}
-		if on, err := unix.GetsockoptInt(conn.up().Hash(), syscall.IPPROTO_TCP, syscall.TCP_NODELAY); err != nil || on == 0 {
+		if on, err := unix.GetsockoptInt(conn.open().Hash(), syscall.IPPROTO_TCP, syscall.TCP_NODELAY); err != nil || on == 0 {
 			t.Errorf("dialled %v: TCP_NODELAY %d, %v", conn == dialled, on, err)
 		}
 	}
--- a/transport/halfclose.go
+++ b/transport/halfclose.go
@@ -21,7 +21,7 @@
 
 // keepForReplies duplicates the descriptor of a connection whose peer has ended its sending, if replies are due. Bytes that
 // nbio still holds back would go with its own descriptor, and what came after them could not be understood: then nothing is kept.
-// The caller holds the turn.
+// The caller holds the handler lock.
 func (c *Conn) keepForReplies(raw *nbio.Conn) {
 	replier, ok := c.handler.(Replier)
 	if !ok || !replier.RepliesDue() || !c.Flushed() || !peerEnded(raw.Hash()) {
--- a/transport/halfclose_test.go
+++ b/transport/halfclose_test.go
@@ -38,7 +38,7 @@
 				<-read
 				peer.CloseWrite()
 			}
-			o.wait(t) // Closed was told: nothing more comes
+			o.wait(t) // Closed was notified: nothing more comes
 			if !o.conn.HalfClosed() {
 				t.Fatal("nothing can be written any more")
 			}
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -20,7 +20,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Handler is told what happens on one connection; the calls never overlap, and Closed is the last.
+// Handler is notified what happens on one connection; the calls never overlap, and Closed is the last.
 // A panic in it closes that connection alone.
 type Handler interface {
 	Opened(*Conn)
@@ -34,27 +34,27 @@
 const (
 	readBuffer = 16 << 10
 	// nbio closes on the peer's end after this many reads of one connection, whatever is still unread: more than any body.
-	readsInRow  = 64
-	writeBuffer = 1 << 20 // over the largest call, five full bodies
+	maxReadsInRow = 64
+	writeBuffer   = 1 << 20 // over the largest call, five full bodies
 )
 
 // Driver owns the poller and all its connections.
 type Driver struct {
-	engine   *nbio.Engine
-	listener net.Listener
-	deaf     atomic.Bool // after Deafen
-	stopped  atomic.Bool // after StopReading
-	log      *slog.Logger
+	engine           *nbio.Engine
+	listener         net.Listener
+	stoppedAccepting atomic.Bool // after StopAccepting
+	stoppedReading   atomic.Bool // after StopReading
+	log              *slog.Logger
 	// joined counts connections as they are given to nbio. Its tables are its own and say nothing of order: whoever finds a connection
 	// there reads this first, and sees all that stood before it was given.
-	joined atomic.Int64
-	ending sync.RWMutex // held by who gives nbio a connection
-	closed bool         // no more of those
+	handedOver atomic.Int64
+	closeLock  sync.RWMutex // held by who gives nbio a connection
+	closed     bool         // no more of those
 }
 
 // of finds the connection that nbio speaks of.
-func (d *Driver) of(raw *nbio.Conn) (*Conn, bool) {
-	d.joined.Load()
+func (d *Driver) connOf(raw *nbio.Conn) (*Conn, bool) {
+	d.handedOver.Load()
 	conn, ok := raw.Session().(*Conn)
 	return conn, ok
 }
@@ -77,16 +77,16 @@
 // Open starts a driver that takes clients on a listener, or where that is nil listens on addr, and makes a Handler for each connection that comes in
 // and is admitted.
 func Open(addr string, inherited net.Listener, sockets int, log *slog.Logger, admit func() bool, accept func() Handler) (*Driver, error) {
-	opening.Lock()
-	defer opening.Unlock()
+	openLock.Lock()
+	defer openLock.Unlock()
 	nbio.MaxOpenFiles = sockets + 64 // nbio keeps a table of that length
 	driver := &Driver{log: log}
-	latest.Store(driver)
+	latestDriver.Store(driver)
 	listen := func(network, addr string) (l net.Listener, err error) {
 		if l = inherited; l == nil {
 			l, err = net.Listen(network, addr)
 		}
-		driver.listener = gate{l, admit}
+		driver.listener = admissionListener{l, admit}
 		return driver.listener, err
 	}
 	driver.engine = nbio.NewEngine(nbio.Config{Network: "tcp", Addrs: []string{addr}, NPoller: 1, Listen: listen,
@@ -95,29 +95,29 @@
 		if raw.Session() == nil { // taken in, not dialled
 			conn := &Conn{raw: raw, driver: driver, handler: accept()}
 			raw.SetSession(conn)
-			conn.guarded(func() { conn.handler.Opened(conn) })
-			driver.joined.Add(1)
+			conn.runUnlessClosed(func() { conn.handler.Opened(conn) })
+			driver.handedOver.Add(1)
 		}
 	})
-	buffer := make([]byte, readBuffer) // one for all, as a single poller reads them in turn
+	buffer := make([]byte, readBuffer) // one for all, as a single poller reads them in step
 	driver.engine.OnRead(func(raw *nbio.Conn) {
-		if conn, ok := driver.of(raw); ok {
+		if conn, ok := driver.connOf(raw); ok {
 			conn.read(raw, buffer)
 		}
 	})
 	driver.engine.OnWrittenSize(func(raw *nbio.Conn, _ []byte, n int) {
-		if conn, ok := driver.of(raw); ok {
+		if conn, ok := driver.connOf(raw); ok {
 			conn.written.Add(int64(n))
 		}
 	})
 	driver.engine.OnClose(func(raw *nbio.Conn, err error) {
-		if conn, ok := driver.of(raw); ok {
-			conn.ended(err)
+		if conn, ok := driver.connOf(raw); ok {
+			conn.reportClosed(err)
 		}
 	})
 	// Out of descriptors, nbio would accept again at once, for ever.
 	driver.engine.OnAcceptError(func(error) {
-		if time.Sleep(20 * time.Millisecond); driver.deaf.Load() {
+		if time.Sleep(20 * time.Millisecond); driver.stoppedAccepting.Load() {
 			select {} // it would complain of the closed listener for ever
 		}
 	})
@@ -125,16 +125,16 @@
 }
 
 // gate closes connections that are not admitted before they cost a place among those that are.
-type gate struct {
+type admissionListener struct {
 	net.Listener
 	admit func() bool
 }
 
-func (g gate) Accept() (net.Conn, error) {
+func (g admissionListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := g.Listener.Accept()
-		for waited := time.Duration(0); err == nil && !g.admit() && waited < admitWait; waited += admitWait / 50 {
-			time.Sleep(admitWait / 50)
+		for waited := time.Duration(0); err == nil && !g.admit() && waited < admitTimeout; waited += admitTimeout / 50 {
+			time.Sleep(admitTimeout / 50)
 		}
 		if err != nil || g.admit() {
 			return conn, err
@@ -144,24 +144,24 @@
 }
 
 // admitWait is how long a connection waits for a place, which others are about to leave; the rest waits behind it.
-const admitWait = 50 * time.Millisecond
+const admitTimeout = 50 * time.Millisecond
 
-// Deafen takes no more connections in; those that are up stay. Who had come before it is let in, within a bound. Failure: the
+// StopAccepting takes no more connections in; those that are up stay. Who had come before it is let in, within a bound. Failure: the
 // system reset who still waited there, and a request sent with the first breath of a connection had no answer.
-func (d *Driver) Deafen() {
-	for waited := time.Duration(0); waited < admitWait && d.knocked(); waited += admitWait / 50 {
-		time.Sleep(admitWait / 50)
+func (d *Driver) StopAccepting() {
+	for waited := time.Duration(0); waited < admitTimeout && d.hasPending(); waited += admitTimeout / 50 {
+		time.Sleep(admitTimeout / 50)
 	}
-	d.deaf.Store(true)
+	d.stoppedAccepting.Store(true)
 	d.listener.Close()
 }
 
 // StopReading leaves all that comes from now on unread. Once a connection is Idle, nothing more is read from it.
-func (d *Driver) StopReading() { d.stopped.Store(true) }
+func (d *Driver) StopReading() { d.stoppedReading.Store(true) }
 
 // knocked tells whether a connection waits to be accepted.
-func (d *Driver) knocked() (waits bool) {
-	l, ok := d.listener.(gate).Listener.(syscall.Conn)
+func (d *Driver) hasPending() (waits bool) {
+	l, ok := d.listener.(admissionListener).Listener.(syscall.Conn)
 	if !ok {
 		return false
 	}
@@ -180,10 +180,10 @@
 
 // Close ends the listener and every connection; a dial under way ends by itself, and nbio would wait for it. Once more does nothing.
 func (d *Driver) Close() {
-	d.ending.Lock()
+	d.closeLock.Lock()
 	again := d.closed
 	d.closed = true
-	d.ending.Unlock()
+	d.closeLock.Unlock()
 	if again {
 		return
 	}
@@ -194,17 +194,17 @@
 
 // Conn is a connection, perhaps not up yet.
 type Conn struct {
-	driver  *Driver
-	handler Handler
-	state   sync.Mutex // guards raw and over
-	raw     *nbio.Conn
-	over    bool
-	why     error      // it was closed by this side, if that had a reason of its own
-	giveUp  func()     // ends a dial that is under way
-	turn    sync.Mutex // held while bytes are read and the handler runs
-	last    bool       // Closed was told
-	queued  atomic.Int64
-	written atomic.Int64
+	driver        *Driver
+	handler       Handler
+	state         sync.Mutex // guards raw and over
+	raw           *nbio.Conn
+	closing       bool
+	closeReason   error      // it was closed by this side, if that had a reason of its own
+	cancelDial    func()     // ends a dial that is under way
+	handlerLock   sync.Mutex // held while bytes are read and the handler runs
+	closeReported bool       // Closed was notified
+	queued        atomic.Int64
+	written       atomic.Int64
 
 	halfClosed      bool // the peer has ended its sending and is still owed replies; guarded by state
 	replyDescriptor int  // of those replies, while halfClosed
@@ -214,54 +214,54 @@
 // way and reports a refused one as up, so a goroutine waits here.
 func (d *Driver) Dial(addr string, within time.Duration, handler Handler) *Conn {
 	ctx, giveUp := context.WithTimeout(context.Background(), within)
-	c := &Conn{driver: d, handler: handler, giveUp: giveUp}
+	c := &Conn{driver: d, handler: handler, cancelDial: giveUp}
 	go func() {
 		defer giveUp()
 		conn, err := new(net.Dialer).DialContext(ctx, "tcp", addr)
 		if err != nil {
-			c.ended(err)
+			c.reportClosed(err)
 			return
 		}
 		raw, err := nbio.NBConn(conn)
 		if err != nil {
 			conn.Close()
-			c.ended(err)
+			c.reportClosed(err)
 			return
 		}
 		raw.SetSession(c)
-		if err := d.join(raw); err != nil {
+		if err := d.addConn(raw); err != nil {
 			raw.Close()
-			c.ended(err)
+			c.reportClosed(err)
 			return
 		}
 		c.state.Lock()
 		c.raw = raw
-		given := c.over
+		given := c.closing
 		c.state.Unlock()
 		if given {
 			raw.CloseWithError(ErrGivenUp)
 			return
 		}
-		c.guarded(func() { c.handler.Opened(c) })
+		c.runUnlessClosed(func() { c.handler.Opened(c) })
 	}()
 	return c
 }
 
 // join gives nbio a connection, unless the driver is closed.
-func (d *Driver) join(raw *nbio.Conn) error {
-	d.ending.RLock()
-	defer d.ending.RUnlock()
+func (d *Driver) addConn(raw *nbio.Conn) error {
+	d.closeLock.RLock()
+	defer d.closeLock.RUnlock()
 	if d.closed {
 		return net.ErrClosed
 	}
-	d.joined.Add(1)
+	d.handedOver.Add(1)
 	_, err := d.engine.AddConn(raw)
 	return err
 }
 
 // Write hands bytes to the socket; what does not fit goes later.
 func (c *Conn) Write(b []byte) error {
-	raw := c.up()
+	raw := c.open()
 	if raw == nil {
 		return c.writeReply(b)
 	}
@@ -281,7 +281,7 @@
 
 // Expire closes the connection if it is still there after a while; nought takes that back.
 func (c *Conn) Expire(after time.Duration) {
-	if raw := c.up(); raw != nil {
+	if raw := c.open(); raw != nil {
 		at := time.Time{}
 		if after > 0 {
 			at = time.Now().Add(after)
@@ -294,21 +294,21 @@
 // nobody counted any more.
 func (c *Conn) Close() { c.Fail(ErrGivenUp) }
 
-// Fail closes the connection for a reason, which Closed is told. What was written by then was written, and nothing is later: only in
+// Fail closes the connection for a reason, which Closed is notified. What was written by then was written, and nothing is later: only in
 // Closed is Flushed the last word.
 func (c *Conn) Fail(why error) {
 	c.state.Lock()
-	c.over = true
+	c.closing = true
 	raw := c.raw
-	if c.why == nil {
-		c.why = why
+	if c.closeReason == nil {
+		c.closeReason = why
 	}
 	c.state.Unlock()
 	c.CloseReplies()
 	if raw != nil {
 		raw.CloseWithError(why)
-	} else if c.giveUp != nil {
-		c.giveUp()
+	} else if c.cancelDial != nil {
+		c.cancelDial()
 	}
 }
 
@@ -316,7 +316,7 @@
 // does not wait for a handler that runs, which may itself be waiting for the caller.
 func (c *Conn) CloseIf(rests func() bool) bool {
 	closed := false
-	c.Quietly(func() {
+	c.WhileIdle(func() {
 		if closed = rests(); closed {
 			c.Close()
 		}
@@ -324,83 +324,83 @@
 	return closed
 }
 
-// Quietly runs f while the handler stands still, if nothing that came lies unread and the other side has not ended, and tells whether it
+// WhileIdle runs f while the handler stands still, if nothing that came lies unread and the other side has not ended, and tells whether it
 // did. Failures: a connection was closed over a request just read, or over one that lay unread, which resets it and takes with it what
 // the other side has not received yet; a call was written to a connection that the other side had closed, and may have run for all one knew.
-func (c *Conn) Quietly(f func()) bool {
-	if !c.turn.TryLock() {
+func (c *Conn) WhileIdle(f func()) bool {
+	if !c.handlerLock.TryLock() {
 		return false
 	}
-	defer c.turn.Unlock()
-	if c.last || c.isOver() || c.unread() {
+	defer c.handlerLock.Unlock()
+	if c.closeReported || c.isClosing() || c.unread() {
 		return false
 	}
 	f()
 	return true
 }
 
-// Stirs tells whether something that came lies unread, or is being handled just now.
-func (c *Conn) Stirs() bool {
-	if !c.turn.TryLock() {
+// HasUnread tells whether something that came lies unread, or is being handled just now.
+func (c *Conn) HasUnread() bool {
+	if !c.handlerLock.TryLock() {
 		return true
 	}
-	defer c.turn.Unlock()
+	defer c.handlerLock.Unlock()
 	return c.unread()
 }
 
 // Idle reports whether neither bytes are being read nor the handler runs.
 func (c *Conn) Idle() bool {
-	if !c.turn.TryLock() {
+	if !c.handlerLock.TryLock() {
 		return false
 	}
-	c.turn.Unlock()
+	c.handlerLock.Unlock()
 	return true
 }
 
-// unread tells whether something that came lies unread, an end too. The caller holds the turn.
+// unread tells whether something that came lies unread, an end too. The caller holds the handler lock.
 func (c *Conn) unread() bool {
-	raw := c.up()
+	raw := c.open()
 	return raw != nil && readable(raw.Hash()) // its hash is the descriptor
 }
 
-func (c *Conn) isOver() bool {
+func (c *Conn) isClosing() bool {
 	c.state.Lock()
 	defer c.state.Unlock()
-	return c.over
+	return c.closing
 }
 
-func (c *Conn) up() *nbio.Conn {
+func (c *Conn) open() *nbio.Conn {
 	c.state.Lock()
 	defer c.state.Unlock()
-	if c.over {
+	if c.closing {
 		return nil
 	}
 	return c.raw
 }
 
-func (c *Conn) ended(err error) {
+func (c *Conn) reportClosed(err error) {
 	c.state.Lock()
-	c.over = true
-	if c.why != nil {
-		err = c.why
+	c.closing = true
+	if c.closeReason != nil {
+		err = c.closeReason
 	}
 	c.state.Unlock()
-	c.turn.Lock()
-	reported := c.last
-	c.last = true
-	c.turn.Unlock()
+	c.handlerLock.Lock()
+	reported := c.closeReported
+	c.closeReported = true
+	c.handlerLock.Unlock()
 	if !reported {
 		c.run(func() { c.handler.Closed(c, err) })
 	}
 }
 
-// read hands over what has come, as the poller's turn is. Reading and handling are one: whoever holds the turn knows that all that was read
+// read hands over what has come, as the poller's step is. Reading and handling are one: whoever holds the handler lock knows that all that was read
 // was handled.
 func (c *Conn) read(raw *nbio.Conn, buffer []byte) {
-	for range readsInRow {
-		c.turn.Lock()
-		if c.last || c.isOver() || c.driver.stopped.Load() {
-			c.turn.Unlock()
+	for range maxReadsInRow {
+		c.handlerLock.Lock()
+		if c.closeReported || c.isClosing() || c.driver.stoppedReading.Load() {
+			c.handlerLock.Unlock()
 			return
 		}
 		n, err := raw.Read(buffer)
@@ -410,7 +410,7 @@
 		if isEnd(err) || err == nil && n < len(buffer) {
 			c.keepForReplies(raw)
 		}
-		c.turn.Unlock()
+		c.handlerLock.Unlock()
 		switch {
 		case errors.Is(err, syscall.EINTR):
 		case errors.Is(err, syscall.EAGAIN):
@@ -425,10 +425,10 @@
 }
 
 // guarded runs the handler unless the connection has ended.
-func (c *Conn) guarded(f func()) {
-	c.turn.Lock()
-	defer c.turn.Unlock()
-	if !c.last && !c.isOver() {
+func (c *Conn) runUnlessClosed(f func()) {
+	c.handlerLock.Lock()
+	defer c.handlerLock.Unlock()
+	if !c.closeReported && !c.isClosing() {
 		c.run(f)
 	}
 }
@@ -446,22 +446,22 @@
 
 // What nbio has one of for the whole process: its limit is set, and read, as a driver opens; its words go to the latest driver's log.
 var (
-	opening sync.Mutex
-	latest  atomic.Pointer[Driver]
+	openLock     sync.Mutex
+	latestDriver atomic.Pointer[Driver]
 )
 
-func init() { logging.DefaultLogger = quiet{} }
+func init() { logging.DefaultLogger = nbioLogger{} }
 
 // quiet sends nbio's own words to the log; what it says of its start and its end is left out.
-type quiet struct{}
+type nbioLogger struct{}
 
-func (quiet) SetLevel(int)            {}
-func (quiet) Debug(string, ...any)    {}
-func (quiet) Info(string, ...any)     {}
-func (quiet) Warn(f string, v ...any) { latest.Load().log.Warn(fmt.Sprintf(f, v...)) }
+func (nbioLogger) SetLevel(int)            {}
+func (nbioLogger) Debug(string, ...any)    {}
+func (nbioLogger) Info(string, ...any)     {}
+func (nbioLogger) Warn(f string, v ...any) { latestDriver.Load().log.Warn(fmt.Sprintf(f, v...)) }
 
-func (quiet) Error(f string, v ...any) {
-	if driver := latest.Load(); !driver.deaf.Load() {
+func (nbioLogger) Error(f string, v ...any) {
+	if driver := latestDriver.Load(); !driver.stoppedAccepting.Load() {
 		driver.log.Error(fmt.Sprintf(f, v...))
 	}
 }
--- a/transport/transport_test.go
+++ b/transport/transport_test.go
@@ -13,7 +13,7 @@
 	"pineport/testbed/port"
 )
 
-// told writes down what a handler is told.
+// reported writes down what a handler is notified.
 type recordingHandler struct {
 	mu     sync.Mutex
 	events []string
@@ -74,7 +74,7 @@
 	return driver, driver.engine.Addrs[0]
 }
 
-func TestARefusedDialIsNeverUp(t *testing.T) {
+func TestRefusedDialNeverOpens(t *testing.T) {
 	driver, _ := open(t, nil)
 	nobody, letGo, err := port.Reserve()
 	if err != nil {
@@ -84,15 +84,15 @@
 	h := newRecordingHandler(nil)
 	conn := driver.Dial(nobody, time.Second, h)
 	if got := h.wait(t); got != "closed" {
-		t.Errorf("told %q", got)
+		t.Errorf("reported %q", got)
 	}
 	if conn.Write([]byte("x")) == nil {
 		t.Error("wrote to it all the same")
 	}
 }
 
-// TestADialGivenUpIsClosed: given up at any moment of its coming up, a connection ends here, and at the other side if it came that far.
-func TestADialGivenUpIsClosed(t *testing.T) {
+// TestCanceledDialIsClosed: given up at any moment of its coming up, a connection ends here, and at the other side if it came that far.
+func TestCanceledDialIsClosed(t *testing.T) {
 	var mu sync.Mutex
 	var came []*recordingHandler
 	driver, addr := open(t, func() Handler {
@@ -107,12 +107,12 @@
 		time.Sleep(time.Duration(i) * 10 * time.Microsecond)
 		conn.Close()
 		if got := h.wait(t); got != "closed" && got != "opened closed" {
-			t.Errorf("told %q", got)
+			t.Errorf("reported %q", got)
 		}
 	}
 	last := newRecordingHandler(nil) // by the time it is up, all before it were let in
 	conn := driver.Dial(addr, time.Second, last)
-	for conn.up() == nil {
+	for conn.open() == nil {
 		time.Sleep(time.Millisecond)
 	}
 	conn.Close()
@@ -147,7 +147,7 @@
 	}
 }
 
-func TestTheLastBytesBeforeAnEnd(t *testing.T) {
+func TestLastBytesBeforeCloseAreRead(t *testing.T) {
 	body := bytes.Repeat([]byte("x"), 200_000)
 	h := newRecordingHandler(nil)
 	_, addr := open(t, func() Handler { return h })
@@ -163,7 +163,7 @@
 	}
 }
 
-func TestAPanicStopsAtItsConnection(t *testing.T) {
+func TestPanicClosesOnlyItsConnection(t *testing.T) {
 	_, addr := open(t, func() Handler {
 		return newRecordingHandler(func(conn *Conn, b []byte) {
 			if b[0] == '!' {
@@ -192,12 +192,12 @@
 	}
 }
 
-func TestCloseIfAsksFirst(t *testing.T) {
+func TestCloseIfChecksCondition(t *testing.T) {
 	h := newRecordingHandler(nil)
 	driver, addr := open(t, func() Handler { return newRecordingHandler(nil) })
 	conn := driver.Dial(addr, time.Second, h)
 	if conn.CloseIf(func() bool { return false }) || !conn.CloseIf(func() bool { return true }) {
-		t.Error("not as it was told")
+		t.Error("not as it was notified")
 	}
 	h.wait(t)
 }
