--- a/atomicfile/atomicfile.go
+++ b/atomicfile/atomicfile.go
@@ -1,4 +1,4 @@
-// Package atomicfile writes and reads small files that outlast a process: versioned, checksummed, replaced whole, never half
+// Package atomicfile writes and reads small files that outlast a process: versioned, checksummed, replaced as a whole, never half
 // written.
 package atomicfile
 
@@ -13,8 +13,8 @@
 	"github.com/google/renameio/v2"
 )
 
-// HeadSize is what a file holds beside its text: four bytes of magic, the version, the length of the text and its hash,
-// the numbers in the machine-independent order of the network.
+// HeadSize is the size of a file's head, in bytes: four bytes of magic, the version, the length of the text and its hash, in
+// network byte order.
 const HeadSize = 24
 
 // Why a file is not used.
@@ -24,7 +24,7 @@
 	ErrTooLarge = errors.New("too large")
 )
 
-// Encode makes a file's content of a text.
+// Encode returns the content of a file with a text.
 func Encode(magic string, version uint32, text []byte) []byte {
 	out := make([]byte, HeadSize, HeadSize+len(text))
 	copy(out[:4], magic)
@@ -34,7 +34,7 @@
 	return append(out, text...)
 }
 
-// Decode takes the text out of a file's content.
+// Decode returns the version and the text in the content of a file.
 func Decode(magic string, content []byte) (version uint32, text []byte, err error) {
 	if len(content) < HeadSize || string(content[:4]) != magic {
 		return 0, nil, fmt.Errorf("%w: no head", ErrTorn)
--- a/handoff/folder.go
+++ b/handoff/folder.go
@@ -13,26 +13,26 @@
 )
 
 const (
-	lockName   = "owner.lock"
-	socketName = "upgrade.sock"
-	retry      = 20 * time.Millisecond
-	// talkWithin is longer than an old process needs to give all up, and the wait for the lock goes on after it.
-	talkWithin = 3 * time.Second
+	lockName      = "owner.lock"
+	socketName    = "upgrade.sock"
+	retryInterval = 20 * time.Millisecond
+	// talkTimeout is longer than a predecessor needs to hand over; the wait for the lock goes on after it.
+	talkTimeout = 3 * time.Second
 )
 
-// Folder is the folder that lasts, owned by this process.
+// Folder is the state folder, owned by this process.
 type Folder struct {
 	dir      string
 	lock     *os.File
 	listener net.Listener
-	opened   *os.File // of the folder: a short way to the socket
+	opened   *os.File // the folder itself: a short path to the socket
 }
 
-// ErrTakenOver says that another process takes over already.
+// ErrTakenOver is returned where another process is taking over already.
 var ErrTakenOver = errors.New("another process is taking over")
 
-// Acquire returns once this process owns the folder: at once where nobody does, or when its owner has handed it over, or has
-// ended. The state and the link to the old process are nil unless it was handed over.
+// Acquire returns once this process owns the folder: at once where nobody does, or when its owner has handed it over or has
+// exited. The state and the link to the predecessor are nil unless it was handed over.
 func Acquire(ctx context.Context, dir, courier string, log *slog.Logger) (*Folder, *State, *Link, error) {
 	folder := &Folder{dir: dir}
 	var err error
@@ -66,12 +66,12 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(retry):
+		case <-time.After(retryInterval):
 		}
 	}
 }
 
-// given waits for the lock of what was handed over: it is free before the state is sent.
+// awaitLock waits for the lock of a folder that was handed over: it is free before the state is sent.
 func (f *Folder) awaitLock(ctx context.Context, state *State, link *Link) (*Folder, *State, *Link, error) {
 	for {
 		if free, err := f.tryLock(); free || err != nil {
@@ -82,7 +82,7 @@
 			link.Close()
 			f.Close()
 			return nil, nil, nil, ctx.Err()
-		case <-time.After(retry / 10):
+		case <-time.After(retryInterval / 10):
 		}
 	}
 }
@@ -95,19 +95,19 @@
 	return err == nil, err
 }
 
-// path is that of the socket; the folder's own path may be too long for one.
+// path is the path of the socket; the folder's own path may be too long for one.
 func (f *Folder) path() string {
 	return fmt.Sprintf("/proc/self/fd/%d/%s", f.opened.Fd(), socketName)
 }
 
-// knock asks the owner for the folder.
+// requestHandoff asks the owner to hand the folder over.
 func (f *Folder) requestHandoff(ctx context.Context, courier string) (*State, *Link, error) {
-	conn, err := (&net.Dialer{Timeout: talkWithin}).DialContext(ctx, "unix", f.path())
+	conn, err := (&net.Dialer{Timeout: talkTimeout}).DialContext(ctx, "unix", f.path())
 	if err != nil {
 		return nil, nil, err
 	}
 	link := newLink(conn)
-	conn.SetReadDeadline(time.Now().Add(talkWithin))
+	conn.SetReadDeadline(time.Now().Add(talkTimeout))
 	link.Send(Message{Hello: &Hello{Version: Version, Courier: courier}})
 	message, err := link.next()
 	if err != nil {
@@ -128,9 +128,9 @@
 	}
 }
 
-// Serve lets new processes knock from now on: arrived is notified of each that has said hello, and of the link to it.
+// Serve lets successors connect from now on; arrived is called for each, with its link and its hello.
 func (f *Folder) Serve(arrived func(*Link, *Hello)) error {
-	os.Remove(filepath.Join(f.dir, socketName)) // of an owner that has ended
+	os.Remove(filepath.Join(f.dir, socketName)) // of an owner that has exited
 	l, err := net.Listen("unix", f.path())
 	if err != nil {
 		return err
@@ -145,7 +145,7 @@
 			}
 			go func() {
 				link := newLink(conn)
-				conn.SetReadDeadline(time.Now().Add(talkWithin))
+				conn.SetReadDeadline(time.Now().Add(talkTimeout))
 				if message, err := link.next(); err != nil || message.Hello == nil {
 					link.Close()
 				} else {
@@ -158,7 +158,7 @@
 	return nil
 }
 
-// Release frees the lock: whoever takes it owns the folder.
+// Release frees the lock; whoever takes it owns the folder.
 func (f *Folder) Release() {
 	if f.listener != nil {
 		f.listener.Close()
@@ -166,7 +166,7 @@
 	f.lock.Close()
 }
 
-// Close frees everything.
+// Close frees the lock and the folder.
 func (f *Folder) Close() {
 	f.Release()
 	f.opened.Close()
--- a/handoff/machine.go
+++ b/handoff/machine.go
@@ -1,7 +1,8 @@
 package handoff
 
-// Predecessor is the old process's side, without any I/O: it says what is to be done about what happened. It decides, and the
-// folder is its own, as long as it Owns.
+// The state machines of a handoff, without I/O: they are given what happened and decide what is to be done.
+
+// Predecessor is the machine of the process that owns the state folder. It decides on messages as long as it Owns.
 type Predecessor struct {
 	courier      string
 	phase        phase
@@ -11,100 +12,105 @@
 type phase int
 
 const (
-	phaseOwner      phase = iota
-	phaseRequested        // a new process is ready; what has come is still decided here
-	phaseHandedOver       // the new one may decide
-	phaseForwarding       // the new one serves; outcomes of what is out are notified
+	phaseOwner      phase = iota // no handoff is under way
+	phaseRequested               // a successor is ready; what has come by now is still decided here
+	phaseHandedOver              // the successor may decide
+	phaseForwarding              // the successor serves; outcomes of attempts in flight are forwarded to it
 )
 
-// What a Predecessor wants done.
+// Decision is what a Predecessor wants done.
 type Decision int
 
+// The decisions of a Predecessor.
 const (
 	Nothing  Decision = iota
-	Refuse            // tell this one no, and close
-	HandOver          // stop deciding, hand the folder over, send the state, and tell HandedOver
-	Apply             // do what the message says
-	Reclaim           // the new one has gone: own the folder again, as soon as its lock is free
-	Drop              // close: what it says makes no sense; SuccessorLost follows
+	Refuse            // send this successor a refusal, and close its link
+	HandOver          // stop deciding, free the folder, send the state, and report HandedOver
+	Apply             // carry out the message
+	Reclaim           // the successor is gone: own the folder again as soon as its lock is free
+	Drop              // close the link: the message makes no sense. SuccessorLost follows
 )
 
-// NewPredecessor begins as the owner.
+// NewPredecessor returns the machine of a process that owns the folder of a courier.
 func NewPredecessor(courier string) *Predecessor { return &Predecessor{courier: courier} }
 
-// Owns tells whether this process decides.
-func (g *Predecessor) Owns() bool { return g.phase == phaseOwner || g.phase == phaseRequested }
+// Owns reports whether this process decides on messages.
+func (p *Predecessor) Owns() bool { return p.phase == phaseOwner || p.phase == phaseRequested }
 
-// ShutDown: this process was notified to end. It gives to nobody any more, and does not go on when a new one dies.
-func (g *Predecessor) ShutDown() { g.shuttingDown = true }
+// ShutDown notes that this process shuts down: it hands over to nobody, and does not go on when a successor dies.
+func (p *Predecessor) ShutDown() { p.shuttingDown = true }
 
-// HelloReceived: a new process has said hello; ours tells whether it is the one that a handoff is under way with.
-func (g *Predecessor) HelloReceived(h *Hello) (Decision, string) {
-	if err := h.agree(g.courier); err != nil {
+// HelloReceived decides on a new process that is ready to take over; the text is the reason of a refusal.
+func (p *Predecessor) HelloReceived(h *Hello) (Decision, string) {
+	if err := h.agree(p.courier); err != nil {
 		return Refuse, err.Error()
 	}
 	switch {
-	case g.shuttingDown:
+	case p.shuttingDown:
 		return Refuse, "this process is ending"
-	case g.phase != phaseOwner:
-		return Refuse, "another process is taking over"
+	case p.phase != phaseOwner:
+		return Refuse, takenOver
 	}
-	g.phase = phaseRequested
+	p.phase = phaseRequested
 	return HandOver, ""
 }
 
-// HandedOver: the state was sent, and the folder's lock is free.
-func (g *Predecessor) HandedOver() {
-	if g.phase == phaseRequested {
-		g.phase = phaseHandedOver
+// HandedOver notes that the state was sent and the lock of the folder is free.
+func (p *Predecessor) HandedOver() {
+	if p.phase == phaseRequested {
+		p.phase = phaseHandedOver
 	}
 }
 
-// MessageReceived is a message of the one that takes over.
-func (g *Predecessor) MessageReceived(message *Message) Decision {
+// MessageReceived decides on a message of the successor.
+func (p *Predecessor) MessageReceived(message *Message) Decision {
 	switch {
-	case message.Serving && g.phase == phaseHandedOver:
-		g.phase = phaseForwarding
+	case message.Serving && p.phase == phaseHandedOver:
+		p.phase = phaseForwarding
 		return Apply
-	case (message.Cancel != nil || message.RetryAfter != nil || message.Result != nil) && (g.phase == phaseHandedOver || g.phase == phaseForwarding):
+	case (message.Cancel != nil || message.RetryAfter != nil || message.Result != nil) && (p.phase == phaseHandedOver || p.phase == phaseForwarding):
 		return Apply
 	}
 	return Drop
 }
 
-// SuccessorLost: the one that takes over has gone.
-func (g *Predecessor) SuccessorLost() Decision {
-	before := g.phase
-	g.phase = phaseOwner
+// SuccessorLost decides what to do when the link to the successor has ended.
+func (p *Predecessor) SuccessorLost() Decision {
+	before := p.phase
+	p.phase = phaseOwner
 	if before == phaseRequested || before == phaseOwner {
 		return Nothing
 	}
-	if g.shuttingDown {
-		g.phase = before
+	if p.shuttingDown {
+		p.phase = before
 		return Nothing
 	}
 	return Reclaim
 }
 
-// Successor is the new process's side before it owns the folder.
+// Successor is the machine of a new process, before it owns the state folder.
 type Successor struct{ received bool }
 
-// What a Successor wants done.
+// SuccessorDecision is what a Successor wants done.
 type SuccessorDecision int
 
+// The decisions of a Successor.
 const (
-	Wait     SuccessorDecision = iota // for the lock, and try again to talk
+	Wait     SuccessorDecision = iota // wait for the lock, and ask again
 	TakeOver                          // take the lock, which is free or about to be, with the state if there is one
-	Yield                             // end: another process is taking over
+	Yield                             // exit: another process takes over
 )
 
-// MessageReceived is the answer of the old process.
-func (t *Successor) MessageReceived(message *Message) (SuccessorDecision, string) {
+// takenOver is the reason of a refusal by which a successor knows that another one is taking over. It is part of the protocol.
+const takenOver = "another process is taking over"
+
+// MessageReceived decides on the answer of the predecessor; the text is its reason.
+func (s *Successor) MessageReceived(message *Message) (SuccessorDecision, string) {
 	switch {
-	case message.State != nil && !t.received:
-		t.received = true
+	case message.State != nil && !s.received:
+		s.received = true
 		return TakeOver, ""
-	case message.Refused == "another process is taking over":
+	case message.Refused == takenOver:
 		return Yield, message.Refused
 	}
 	return Wait, message.Refused
--- a/handoff/message.go
+++ b/handoff/message.go
@@ -1,6 +1,6 @@
-// Package handoff lets the two processes of an upgrade talk: the old one, which owns the folder that lasts and decides,
-// hands both to the new one, and tells it afterwards how the calls ended that it still had out. A lock on the folder says
-// who owns it, whatever is said.
+// Package handoff moves a courier from one process to its successor in an upgrade: the predecessor, which owns the state folder and
+// decides, hands both over, and forwards the outcomes of its attempts in flight afterwards. A lock on the folder says who owns it,
+// whatever the messages say. machine.go decides, without I/O; folder.go has the lock and the socket; message.go the messages.
 package handoff
 
 import (
@@ -17,68 +17,68 @@
 	"pineport/protocol"
 )
 
-// Version of what is said here; processes of different versions leave each other alone.
+// Version of the messages; processes of different versions do not hand over to one another.
 const Version = 1
 
-// Message is one thing said; one of its fields is set.
+// Message is one message, of which one field is set. The tags are the names between processes.
 type Message struct {
-	Hello           *Hello                    `json:"hello,omitempty"`   // new: ready to take over
-	Refused         string                    `json:"refused,omitempty"` // old: goes on by itself, and why
-	State           *State                    `json:"state,omitempty"`   // old: decides no more
-	Serving         bool                      `json:"serving,omitempty"` // new: takes clients
-	AttemptFinished *dispatch.AttemptFinished `json:"settled,omitempty"` // old: an attempt that it had out ended
-	Cancel          *AttemptID                `json:"cancel,omitempty"`  // new: it is waited for no more
-	RetryAfter      *RetryAfter               `json:"wait,omitempty"`    // new: was notified to wait, in case the old one must go on
-	Command         *Command                  `json:"ask,omitempty"`     // old: operators want something
-	Result          *Result                   `json:"answer,omitempty"`  // new: what became of it
-}
-
-// Hello says who is there.
+	Hello           *Hello                    `json:"hello,omitempty"`   // successor: ready to take over
+	Refused         string                    `json:"refused,omitempty"` // predecessor: goes on by itself, and why
+	State           *State                    `json:"state,omitempty"`   // predecessor: hands over, and decides no more
+	Serving         bool                      `json:"serving,omitempty"` // successor: accepts clients
+	AttemptFinished *dispatch.AttemptFinished `json:"settled,omitempty"` // predecessor: an attempt in flight finished
+	Cancel          *AttemptID                `json:"cancel,omitempty"`  // successor: the attempt is given up
+	RetryAfter      *RetryAfter               `json:"wait,omitempty"`    // successor: got a Retry-After, in case the predecessor must go on
+	Command         *Command                  `json:"ask,omitempty"`     // predecessor: a command of an operator
+	Result          *Result                   `json:"answer,omitempty"`  // successor: the result of a command
+}
+
+// Hello introduces a successor.
 type Hello struct {
 	Version int    `json:"version"`
 	Courier string `json:"courier"`
 }
 
-// State is all that the folder that lasts does not hold.
+// State is all that the state folder does not hold.
 type State struct {
 	Snapshot    dispatch.Snapshot          `json:"lore"`
-	ListVersion int64                      `json:"seq"` // of the list
-	Hosts       []protocol.Host            `json:"hosts"`
-	InFlight    []AttemptID                `json:"out"`   // attempts whose outcome is still to be notified
-	RetryAfter  map[string]dispatch.Micros `json:"waits"` // by route, until when
-	Disabled    []string                   `json:"gone"`  // endpoints out for maintenance
-	Draining    bool                       `json:"away"`  // clients are drained
+	ListVersion int64                      `json:"seq"` // of the endpoint list
+	Endpoints   []protocol.Host            `json:"hosts"`
+	InFlight    []AttemptID                `json:"out"`   // attempts whose outcome is still to come
+	RetryAfter  map[string]dispatch.Micros `json:"waits"` // by endpoint group, until when
+	Disabled    []string                   `json:"gone"`  // endpoints that operators disabled
+	Draining    bool                       `json:"away"`  // clients are being drained
 	Membership  *Membership                `json:"peers,omitempty"`
 }
 
-// Membership is what the fleet knows this courier by, and where its members are: both processes are one member.
+// Membership is what the fleet knows this courier by, and the addresses of its members: both processes are one member.
 type Membership struct {
 	Incarnation uint64   `json:"start"`
 	Members     []string `json:"members"`
 }
 
-// AttemptID is one attempt.
+// AttemptID names one attempt.
 type AttemptID struct {
 	Message   string          `json:"record"`
 	Attempt   int             `json:"trip"`
 	WaitUntil dispatch.Micros `json:"limit,omitempty"`
 }
 
-// RetryAfter is what a route reported; Endpoint is empty where the route is the destination.
+// RetryAfter is the Retry-After of an endpoint group; Endpoint is empty where the group is the whole destination.
 type RetryAfter struct {
 	Destination dispatch.DestinationID `json:"dest"`
 	Endpoint    dispatch.EndpointID    `json:"endpoint,omitempty"`
 	Until       dispatch.Micros        `json:"until"`
 }
 
-// Command is a call of an operator: an endpoint out or back, or clients away or back.
+// Command is a command of an operator: an endpoint disabled (On) or enabled, or clients drained (On) or not.
 type Command struct {
 	Number   int64  `json:"number"`
 	Endpoint string `json:"endpoint,omitempty"`
-	Enable   bool   `json:"yes"`
+	On       bool   `json:"yes"`
 }
 
-// Result is empty for yes.
+// Result is the result of a command; Error is empty where it succeeded.
 type Result struct {
 	Number  int64  `json:"number"`
 	Error   string `json:"fault,omitempty"`
@@ -86,11 +86,11 @@
 }
 
 const (
-	maxMessage = 16 << 20 // the state, with a kilobyte for each of many thousand routes
-	maxQueue   = 4096     // messages that the other side has not read
+	maxMessage = 16 << 20 // the state, with a kilobyte for each of many thousand groups
+	maxQueue   = 4096     // messages that the peer has not read
 )
 
-// Link is a connection to the other process. What comes is handed over one by one; the last is nil, when it has ended.
+// Link is a connection to the other process.
 type Link struct {
 	conn  net.Conn
 	lines *bufio.Scanner
@@ -106,7 +106,7 @@
 	return link
 }
 
-// Listen hands over what comes in until the link ends, and then nil.
+// Listen calls to for each message until the link ends, and then with nil.
 func (l *Link) Listen(to func(*Message)) {
 	for {
 		message, err := l.next()
@@ -127,7 +127,7 @@
 	return message, json.Unmarshal(l.lines.Bytes(), message)
 }
 
-// Send never waits: a side that does not read ends the link.
+// Send queues a message and never waits; a peer that does not read ends the link.
 func (l *Link) Send(m Message) {
 	select {
 	case l.queue <- m:
@@ -136,16 +136,16 @@
 	}
 }
 
-// Refuse tells the other side no, and why, and ends the link.
+// Refuse sends a refusal with its reason, and ends the link.
 func (l *Link) Refuse(why string) {
 	if text, err := json.Marshal(Message{Refused: why}); err == nil {
-		l.conn.SetWriteDeadline(time.Now().Add(refuseWithin))
+		l.conn.SetWriteDeadline(time.Now().Add(refuseTimeout))
 		l.conn.Write(append(text, '\n'))
 	}
 	l.Close()
 }
 
-const refuseWithin = 50 * time.Millisecond // a line fits the socket
+const refuseTimeout = 50 * time.Millisecond // one line fits the socket's buffer
 
 // Close ends the link.
 func (l *Link) Close() {
@@ -173,7 +173,7 @@
 	}
 }
 
-// agree says why two processes do not go together, if they do not.
+// agree returns why two processes do not go together; nil if they do.
 func (h *Hello) agree(courier string) error {
 	switch {
 	case h.Version != Version:
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -1,6 +1,6 @@
-// Package membership decides who is in a fleet of couriers, and where this one stands in it: from what a detector and the other
-// members say, without any I/O or clock. New reads the Config once; Handle takes the instant and what happened, and returns
-// what is to be done and reported, in order. docs/membership.md says what is promised.
+// Package membership decides who is in a fleet of couriers, and what this courier's own status in it is, from what a failure detector and
+// the other members report, without I/O or a clock. New reads the Config once; Handle takes an instant and events, and returns the
+// actions to carry out, in order. docs/membership.md says what is promised.
 package membership
 
 import (
@@ -23,73 +23,76 @@
 
 const second Micros = 1000 * 1000
 
-// State is what is believed of a member.
+// State is the state of a member, as far as is known.
 type State int
 
 // States of a member.
 const (
-	Unknown   State = iota // nothing fresh is known, as this courier has just resumed
-	Alive                  // heard of, and not doubted
-	Suspected              // the detector doubts it
-	Failed                 // the detector has given it up; it is counted all the same
-	Left                   // it said that it goes, or an operator said that it is gone
+	Unknown   State = iota // nothing recent is known, as this process has just resumed
+	Alive                  // reported, and not suspected
+	Suspected              // the detector suspects it
+	Failed                 // the detector has given it up; it counts for the size of the fleet all the same
+	Left                   // it left by itself, or an operator removed it
 )
 
 var stateNames = [...]string{"unknown", "alive", "suspected", "failed", "left"}
 
+// String returns the name of the state in output.
 func (s State) String() string { return stateNames[s] }
 
-// LocalStatus is where this courier finds itself.
+// LocalStatus is the status of this courier in its fleet.
 type LocalStatus int
 
-// Standings.
+// The statuses of this courier.
 const (
-	Isolated    LocalStatus = iota // nobody else is heard, though there should be
-	Partial                        // some are heard
-	Complete                       // all that there should be are heard
-	Recovering                     // this process stood still or its clock ran oddly: nothing held from before is trusted
-	SteppedDown                    // a younger courier of this name is there: this one steps down
+	Isolated    LocalStatus = iota // no other member is alive, though there should be
+	Partial                        // some members are alive
+	Complete                       // all members are alive
+	Recovering                     // this process was paused or its clock jumped: nothing known from before is trusted
+	SteppedDown                    // a newer courier of this name is in the fleet
 )
 
+// localStatusNames are the names in output; scripts read them.
 var localStatusNames = [...]string{"alone", "part", "whole", "just woken", "stood back"}
 
+// String returns the name of the status in output.
 func (s LocalStatus) String() string { return localStatusNames[s] }
 
-// Config is what a view is handed at its start.
+// Config is the configuration of a Membership.
 type Config struct {
 	Self        Name
 	Incarnation Incarnation
-	FleetSize   int    // couriers in all, as the settings say
+	FleetSize   int    // as configured
 	Tick        Micros // how often Tick comes
 	Seed        int64
 }
 
-// Event is something that happened: one of the types below.
+// Event is something that happened: one of the types of this package with that method.
 type Event interface{ event() }
 
 type (
-	// MemberReported is what the detector says of a member.
+	// MemberReported is what the failure detector reports of a member.
 	MemberReported struct {
 		Name        Name
 		Incarnation Incarnation
 		State       State // Alive, Suspected, Failed or Left
 		Zone        string
-		Address     string // its address
+		Address     string
 	}
-	// AnsweredAt is proof that a member is there: an answer of its own, asked for by this process.
+	// ProbeAnswered reports that a member answered a probe of this process itself.
 	ProbeAnswered struct{ Name Name }
-	// IncarnationReported: some member remembers a start of this courier's name.
+	// IncarnationReported reports that some member knows an incarnation of this courier.
 	IncarnationReported struct{ Incarnation Incarnation }
-	// NameConflict: a courier of this name is heard at another address.
+	// NameConflict reports a courier of this name at another address.
 	NameConflict struct {
 		Incarnation Incarnation
 		Address     string
 	}
-	// MemberRemoved: an operator says that a member will not come back.
+	// MemberRemoved reports that, by an operator, a member will not come back.
 	MemberRemoved struct{ Name Name }
-	// FleetResized: the settings say another number of couriers.
+	// FleetResized reports another configured size of the fleet.
 	FleetResized struct{ FleetSize int }
-	// Tick comes every Tick.
+	// Tick comes every Config.Tick.
 	Tick struct{}
 )
 
@@ -101,24 +104,24 @@
 func (FleetResized) event()        {}
 func (Tick) event()                {}
 
-// Action is something to be done or reported: one of the types below.
+// Action is something to be carried out: one of the types of this package with that method.
 type Action interface{ action() }
 
 type (
-	// MemberChanged: a member is believed to be in another state.
+	// MemberChanged reports a new state of a member.
 	MemberChanged struct {
 		Name        Name
 		From, To    State
 		Incarnation Incarnation
-		Revoked     bool // it had been given up, and the same start of it is there after all
+		Revoked     bool // it had failed, and the same incarnation is alive after all
 	}
-	// LocalStatusChanged: this courier finds itself elsewhere.
+	// LocalStatusChanged reports a new status of this courier.
 	LocalStatusChanged struct{ From, To LocalStatus }
-	// FleetSizeEstimated with so many couriers from now on.
+	// FleetSizeEstimated reports a new size for the dispatcher to use.
 	FleetSizeEstimated struct{ Couriers int }
-	// IncarnationAdvanced: keep this number of the start, before it is used, and tell it.
+	// IncarnationAdvanced has a new incarnation of this courier stored, and used from then on.
 	IncarnationAdvanced struct{ Incarnation Incarnation }
-	// StepDown: leave the fleet to the younger courier of this name.
+	// StepDown has this courier leave the fleet to the newer one of its name.
 	StepDown struct {
 		Incarnation Incarnation
 		Address     string
@@ -131,7 +134,7 @@
 func (IncarnationAdvanced) action() {}
 func (StepDown) action()            {}
 
-// Member is one line of a view.
+// Member is what is known of one member.
 type Member struct {
 	Name        Name        `json:"name"`
 	Incarnation Incarnation `json:"start"`
@@ -140,217 +143,217 @@
 	Since       Micros      `json:"since_us"`
 	Zone        string      `json:"zone,omitempty"`
 	Address     string      `json:"address,omitempty"`
-	// AnsweredAt is when it last answered this courier, 0 if never.
+	// AnsweredAt is when it last answered a probe of this courier, 0 if never.
 	AnsweredAt Micros `json:"answered_us"`
 }
 
-// Snapshot is a view at an instant.
+// Snapshot is what is known of the fleet at an instant; the tags are the names in output.
 type Snapshot struct {
 	Version      uint64      `json:"number"` // grows with each change
 	Self         Name        `json:"self"`
 	Incarnation  Incarnation `json:"start"`
 	LocalStatus  string      `json:"standing"`
 	Since        Micros      `json:"since_us"`
-	MinCouriers  int         `json:"least"` // couriers that are there for all that is known, this one included
-	MaxCouriers  int         `json:"most"`  // couriers that may be there: the decisions count on so many
+	MinCouriers  int         `json:"least"` // that are known to be alive, this one included
+	MaxCouriers  int         `json:"most"`  // that may be alive, and are counted on
 	Revoked      int         `json:"revoked"`
-	StaleReports int         `json:"stale"` // words about starts that are over
+	StaleReports int         `json:"stale"` // reports about old incarnations
 	Members      []Member    `json:"members"`
 }
 
-// Membership is what one courier believes of its fleet.
+// Membership is the membership of a fleet as one courier knows it. One goroutine owns it.
 type Membership struct {
-	config       Config
-	rng          *rand.Rand
-	now          Micros
-	actions      []Action
-	members      map[Name]*Member
-	forgotten    int // names that were forgotten for room and are counted on
-	localStatus  LocalStatus
-	since        Micros
-	tick         Micros         // the last Tick
-	fresh        map[Name]bool  // who answered since this process stood still
-	reports      map[Name]State // bad words of the detector since then, heeded later
-	probed       int            // couriers that the decisions count on
-	shrinkAt     Micros
-	version      uint64
-	revoked      int
-	staleReports int
+	config          Config
+	rng             *rand.Rand
+	now             Micros
+	actions         []Action
+	members         map[Name]*Member
+	forgotten       int // members dropped for room, which are counted on
+	localStatus     LocalStatus
+	since           Micros
+	lastTick        Micros
+	fresh           map[Name]bool  // members that answered since this process resumed
+	deferredReports map[Name]State // reports of suspicions and failures since then, applied later
+	estimatedSize   int            // what the dispatcher uses
+	shrinkAt        Micros
+	version         uint64
+	revoked         int
+	staleReports    int
 }
 
-// New makes a view that knows only its terms.
+// New returns a membership that knows no other member.
 func New(t Config) *Membership {
-	return &Membership{config: t, rng: rand.New(rand.NewSource(t.Seed)), members: map[Name]*Member{}, fresh: map[Name]bool{}, reports: map[Name]State{},
-		probed: max(1, t.FleetSize), shrinkAt: never}
+	return &Membership{config: t, rng: rand.New(rand.NewSource(t.Seed)), members: map[Name]*Member{}, fresh: map[Name]bool{}, deferredReports: map[Name]State{},
+		estimatedSize: max(1, t.FleetSize), shrinkAt: never}
 }
 
 const (
 	never Micros = 1<<63 - 1
-	// mostNames bounds what is kept by name: many times the fleets of some hundreds that this is meant for. What is
-	// dropped beyond it is counted on, as it may be there.
+	// maxNames bounds the members that are kept: many times the fleets of some hundreds that this is meant for. Members
+	// dropped beyond it are counted on, as they may be alive.
 	maxNames = 4096
-	// lateBy is how late a Tick comes at least where the process stood still: the detector gives a member up after some
-	// seconds, and a loaded machine delays a timer by far less.
+	// maxTickDelay is how late a Tick may come before the process counts as paused: the detector gives a member up after
+	// some seconds, and a loaded machine delays a timer by far less.
 	maxTickDelay = 2 * second
-	// freshFrom answers of different members end a waking: one may be stopped at the same time.
+	// freshAfter answers of different members end the recovery: one alone may have been paused at the same time.
 	freshAfter = 3
-	// wokenFor is how long after a waking bad words are held back: the detector has asked afresh by then.
+	// recoveryTime is how long suspicions and failures are deferred after a pause: the detector has probed again by then.
 	recoveryTime = 10 * second
-	// lowerWithin: a smaller number of couriers is taken up after a part of this, drawn, so that no two do it in step.
+	// shrinkDelay bounds the random delay after which a smaller fleet is used, so that no two couriers do so in step.
 	shrinkDelay = 10 * second
 )
 
-// Handle takes what happened at one instant and returns what is to be done.
-func (v *Membership) Handle(now Micros, events ...Event) []Action {
-	v.actions = nil
-	v.checkClock(now)
+// Handle takes the events of one instant and returns the actions to carry out, in order.
+func (m *Membership) Handle(now Micros, events ...Event) []Action {
+	m.actions = nil
+	m.checkClock(now)
 	for _, event := range events {
 		switch e := event.(type) {
 		case MemberReported:
-			v.memberReported(e)
+			m.memberReported(e)
 		case ProbeAnswered:
-			v.probeAnswered(e.Name)
+			m.probeAnswered(e.Name)
 		case IncarnationReported:
-			v.incarnationReported(e.Incarnation)
+			m.incarnationReported(e.Incarnation)
 		case NameConflict:
-			v.nameConflict(e)
+			m.nameConflict(e)
 		case MemberRemoved:
-			if member := v.members[e.Name]; member != nil && member.State != Alive {
-				v.setState(member, Left)
+			if member := m.members[e.Name]; member != nil && member.State != Alive {
+				m.setState(member, Left)
 			}
 		case FleetResized:
-			v.config.FleetSize = e.FleetSize
+			m.config.FleetSize = e.FleetSize
 		case Tick:
-			v.tick = v.now
+			m.lastTick = m.now
 		}
 	}
-	v.updateLocalStatus()
-	v.estimateSize()
-	return v.actions
+	m.updateLocalStatus()
+	m.estimateSize()
+	return m.actions
 }
 
-// clock notices that this process stood still: its own silence would pass for everybody's failure.
-func (v *Membership) checkClock(now Micros) {
-	odd := now < v.now || v.tick > 0 && now-v.tick > v.config.Tick+maxTickDelay
-	if v.now = now; !odd || v.localStatus == SteppedDown {
+// checkClock notices that this process was paused: its own silence would pass for the failure of all others.
+func (m *Membership) checkClock(now Micros) {
+	odd := now < m.now || m.lastTick > 0 && now-m.lastTick > m.config.Tick+maxTickDelay
+	if m.now = now; !odd || m.localStatus == SteppedDown {
 		return
 	}
-	v.tick, v.fresh, v.reports = now, map[Name]bool{}, map[Name]State{}
-	for _, name := range v.names() {
-		if member := v.members[name]; member.State == Alive || member.State == Suspected {
-			v.setState(member, Unknown)
+	m.lastTick, m.fresh, m.deferredReports = now, map[Name]bool{}, map[Name]State{}
+	for _, name := range m.names() {
+		if member := m.members[name]; member.State == Alive || member.State == Suspected {
+			m.setState(member, Unknown)
 		}
 	}
-	v.estimate(Recovering)
-	v.since = now
+	m.setLocalStatus(Recovering)
+	m.since = now
 }
 
-func (v *Membership) names() []Name { return slices.Sorted(maps.Keys(v.members)) }
+func (m *Membership) names() []Name { return slices.Sorted(maps.Keys(m.members)) }
 
-// heard takes a word of the detector. Words about a start that is over say nothing, and one that left is back only with a
-// start of its own. Just resumed, only its good words count: the bad ones may be of this process's own silence.
-func (v *Membership) memberReported(e MemberReported) {
-	if e.Name == v.config.Self {
-		v.incarnationReported(e.Incarnation)
+// memberReported takes in a report of the detector. Reports about old incarnations say nothing, and a member that left is back
+// only with a new incarnation. During recovery only good reports count: the others may be due to this process's own pause.
+func (m *Membership) memberReported(event MemberReported) {
+	if event.Name == m.config.Self {
+		m.incarnationReported(event.Incarnation)
 		return
 	}
-	member := v.members[e.Name]
+	member := m.members[event.Name]
 	switch {
 	case member == nil:
-		member = &Member{Name: e.Name, Incarnation: e.Incarnation, State: Unknown, Since: v.now}
-		v.members[e.Name] = member
-		v.evict(e.Name)
-	case e.Incarnation < member.Incarnation || e.Incarnation == member.Incarnation && member.State == Left:
-		v.staleReports++
+		member = &Member{Name: event.Name, Incarnation: event.Incarnation, State: Unknown, Since: m.now}
+		m.members[event.Name] = member
+		m.evict(event.Name)
+	case event.Incarnation < member.Incarnation || event.Incarnation == member.Incarnation && member.State == Left:
+		m.staleReports++
 		return
 	}
-	newer := e.Incarnation > member.Incarnation
-	member.Incarnation, member.Zone, member.Address = e.Incarnation, e.Zone, e.Address
-	if delete(v.reports, e.Name); v.localStatus == Recovering && (e.State == Suspected || e.State == Failed) {
-		v.reports[e.Name] = e.State
+	newer := event.Incarnation > member.Incarnation
+	member.Incarnation, member.Zone, member.Address = event.Incarnation, event.Zone, event.Address
+	if delete(m.deferredReports, event.Name); m.localStatus == Recovering && (event.State == Suspected || event.State == Failed) {
+		m.deferredReports[event.Name] = event.State
 		return
 	}
 	before := member.State
-	if v.setState(member, e.State); before == Failed && e.State == Alive && !newer {
-		v.revoked++
-		if c, ok := v.actions[len(v.actions)-1].(MemberChanged); ok {
+	if m.setState(member, event.State); before == Failed && event.State == Alive && !newer {
+		m.revoked++
+		if c, ok := m.actions[len(m.actions)-1].(MemberChanged); ok {
 			c.Revoked = true
-			v.actions[len(v.actions)-1] = c
+			m.actions[len(m.actions)-1] = c
 		}
 	}
 }
 
-func (v *Membership) setState(member *Member, to State) {
+func (m *Membership) setState(member *Member, to State) {
 	if member.State == to {
 		return
 	}
-	v.version++
-	v.actions = append(v.actions, MemberChanged{Name: member.Name, From: member.State, To: to, Incarnation: member.Incarnation})
-	member.State, member.Since = to, v.now
+	m.version++
+	m.actions = append(m.actions, MemberChanged{Name: member.Name, From: member.State, To: to, Incarnation: member.Incarnation})
+	member.State, member.Since = to, m.now
 }
 
-// answered: a member proved that it is there, and what it was doubted for is over.
-func (v *Membership) probeAnswered(name Name) {
-	member := v.members[name]
+// probeAnswered notes that a member is alive, which ends any suspicion.
+func (m *Membership) probeAnswered(name Name) {
+	member := m.members[name]
 	if member == nil || member.State == Left {
 		return
 	}
-	delete(v.reports, name)
-	if member.AnsweredAt, v.fresh[name] = v.now, true; member.State != Failed { // that one the detector takes back
-		v.setState(member, Alive)
+	delete(m.deferredReports, name)
+	if member.AnsweredAt, m.fresh[name] = m.now, true; member.State != Failed { // a failure is revoked by the detector
+		m.setState(member, Alive)
 	}
 }
 
-// claimed: this name was started with a higher number than this process knows of, as its folder is an older copy or lost.
-func (v *Membership) incarnationReported(s Incarnation) {
-	if s > v.config.Incarnation {
-		v.config.Incarnation = s + 1
-		v.version++
-		v.actions = append(v.actions, IncarnationAdvanced{v.config.Incarnation})
+// incarnationReported advances the incarnation where a higher one is known, as the state folder is an older copy or lost.
+func (m *Membership) incarnationReported(incarnation Incarnation) {
+	if incarnation > m.config.Incarnation {
+		m.config.Incarnation = incarnation + 1
+		m.version++
+		m.actions = append(m.actions, IncarnationAdvanced{m.config.Incarnation})
 	}
 }
 
-// name conflict: of two couriers of one name the older start steps down; of two that took the same one, who hears it first
-// takes a further number, drawn.
-func (v *Membership) nameConflict(e NameConflict) {
+// nameConflict decides between two couriers of one name: the older incarnation steps down; of two with the same one, the first
+// to notice advances its own by a random number.
+func (m *Membership) nameConflict(event NameConflict) {
 	switch {
-	case v.localStatus == SteppedDown || e.Incarnation < v.config.Incarnation:
-	case e.Incarnation == v.config.Incarnation:
-		v.config.Incarnation += 1 + Incarnation(v.rng.Int63n(1000))
-		v.version++
-		v.actions = append(v.actions, IncarnationAdvanced{v.config.Incarnation})
+	case m.localStatus == SteppedDown || event.Incarnation < m.config.Incarnation:
+	case event.Incarnation == m.config.Incarnation:
+		m.config.Incarnation += 1 + Incarnation(m.rng.Int63n(1000))
+		m.version++
+		m.actions = append(m.actions, IncarnationAdvanced{m.config.Incarnation})
 	default:
-		v.actions = append(v.actions, StepDown(e))
-		v.estimate(SteppedDown)
+		m.actions = append(m.actions, StepDown(event))
+		m.setLocalStatus(SteppedDown)
 	}
 }
 
-// makeRoom forgets, for a new name, who left longest ago, or else who failed; the failed are counted on.
-func (v *Membership) evict(but Name) {
-	if len(v.members) <= maxNames {
+// evict drops a member for a new one: the one that left longest ago, or else failed. Those that did not leave are counted on.
+func (m *Membership) evict(but Name) {
+	if len(m.members) <= maxNames {
 		return
 	}
 	rank := func(member *Member) int {
 		return map[State]int{Left: 0, Failed: 1, Unknown: 2, Suspected: 3, Alive: 4}[member.State]
 	}
 	var worst *Member
-	for _, name := range v.names() {
-		member := v.members[name]
+	for _, name := range m.names() {
+		member := m.members[name]
 		if name != but && (worst == nil || cmp.Or(cmp.Compare(rank(member), rank(worst)), cmp.Compare(member.Since, worst.Since)) < 0) {
 			worst = member
 		}
 	}
 	if worst.State != Left {
-		v.forgotten++
+		m.forgotten++
 	}
-	delete(v.members, worst.Name)
-	delete(v.reports, worst.Name)
+	delete(m.members, worst.Name)
+	delete(m.deferredReports, worst.Name)
 }
 
-// bounds are how many couriers there are at least and at most, this one included. Who failed may be cut off and at work.
-func (v *Membership) bounds() (least, most int) {
-	least, most = 1, 1+v.forgotten
-	for _, member := range v.members {
+// bounds returns how many couriers there are at least and at most, this one included. Failed members may be cut off and at work.
+func (m *Membership) bounds() (least, most int) {
+	least, most = 1, 1+m.forgotten
+	for _, member := range m.members {
 		switch member.State {
 		case Alive:
 			least, most = least+1, most+1
@@ -358,88 +361,88 @@
 			most++
 		}
 	}
-	return least, max(most, v.config.FleetSize)
+	return least, max(most, m.config.FleetSize)
 }
 
-func (v *Membership) updateLocalStatus() {
-	if v.localStatus == Recovering && v.now-v.since >= recoveryTime {
-		for _, name := range slices.Sorted(maps.Keys(v.reports)) {
-			v.setState(v.members[name], v.reports[name])
+func (m *Membership) updateLocalStatus() {
+	if m.localStatus == Recovering && m.now-m.since >= recoveryTime {
+		for _, name := range slices.Sorted(maps.Keys(m.deferredReports)) {
+			m.setState(m.members[name], m.deferredReports[name])
 		}
-		v.reports = map[Name]State{}
+		m.deferredReports = map[Name]State{}
 	}
-	least, most := v.bounds()
+	least, most := m.bounds()
 	switch {
-	case v.localStatus == SteppedDown:
-	case v.localStatus == Recovering && len(v.fresh) < min(freshAfter, v.others()):
+	case m.localStatus == SteppedDown:
+	case m.localStatus == Recovering && len(m.fresh) < min(freshAfter, m.others()):
 	case least >= most:
-		v.estimate(Complete)
+		m.setLocalStatus(Complete)
 	case least > 1:
-		v.estimate(Partial)
+		m.setLocalStatus(Partial)
 	default:
-		v.estimate(Isolated)
+		m.setLocalStatus(Isolated)
 	}
 }
 
-// others is how many might answer after a waking.
-func (v *Membership) others() (n int) {
-	for _, member := range v.members {
-		if member.State == Unknown || v.fresh[member.Name] {
+// others is how many members might answer during recovery.
+func (m *Membership) others() (n int) {
+	for _, member := range m.members {
+		if member.State == Unknown || m.fresh[member.Name] {
 			n++
 		}
 	}
 	return n
 }
 
-func (v *Membership) estimate(s LocalStatus) {
-	if v.localStatus != s {
-		v.version++
-		v.actions = append(v.actions, LocalStatusChanged{v.localStatus, s})
-		v.localStatus, v.since = s, v.now
+func (m *Membership) setLocalStatus(s LocalStatus) {
+	if m.localStatus != s {
+		m.version++
+		m.actions = append(m.actions, LocalStatusChanged{m.localStatus, s})
+		m.localStatus, m.since = s, m.now
 	}
 }
 
-// reckon: more couriers are taken up at once, as that makes parts of limits smaller; fewer only by one that hears all, and
-// later.
-func (v *Membership) estimateSize() {
-	_, most := v.bounds()
+// estimateSize updates the size that is used: a larger one at once, as that makes shares of limits smaller; a smaller one only if
+// the membership is complete, and later.
+func (m *Membership) estimateSize() {
+	_, most := m.bounds()
 	switch {
-	case v.localStatus == SteppedDown || v.localStatus == Recovering:
-		most = max(most, v.probed)
-	case most < v.probed && v.localStatus == Complete && v.shrinkAt == never:
-		v.shrinkAt = v.now + Micros(v.rng.Int63n(int64(shrinkDelay)))
+	case m.localStatus == SteppedDown || m.localStatus == Recovering:
+		most = max(most, m.estimatedSize)
+	case most < m.estimatedSize && m.localStatus == Complete && m.shrinkAt == never:
+		m.shrinkAt = m.now + Micros(m.rng.Int63n(int64(shrinkDelay)))
 	}
-	if most >= v.probed || v.localStatus != Complete {
-		v.shrinkAt = never
+	if most >= m.estimatedSize || m.localStatus != Complete {
+		m.shrinkAt = never
 	}
-	if most > v.probed || v.now >= v.shrinkAt {
-		v.probed, v.shrinkAt = most, never
-		v.version++
-		v.actions = append(v.actions, FleetSizeEstimated{most})
+	if most > m.estimatedSize || m.now >= m.shrinkAt {
+		m.estimatedSize, m.shrinkAt = most, never
+		m.version++
+		m.actions = append(m.actions, FleetSizeEstimated{most})
 	}
 }
 
-// EstimatedSize is how many the decisions count on.
-func (v *Membership) EstimatedSize() int { return v.probed }
+// EstimatedSize returns the size of the fleet that is used.
+func (m *Membership) EstimatedSize() int { return m.estimatedSize }
 
-// Incarnations is the highest start known of each name, this courier's included, of the names that are kept.
-func (v *Membership) Incarnations() map[Name]Incarnation {
-	starts := map[Name]Incarnation{v.config.Self: v.config.Incarnation}
-	for name, member := range v.members {
+// Incarnations returns the highest incarnation known of each member that is kept, and of this courier.
+func (m *Membership) Incarnations() map[Name]Incarnation {
+	starts := map[Name]Incarnation{m.config.Self: m.config.Incarnation}
+	for name, member := range m.members {
 		starts[name] = member.Incarnation
 	}
 	return starts
 }
 
-// Snapshot is the view as it stands.
-func (v *Membership) Snapshot() Snapshot {
-	least, most := v.bounds()
-	p := Snapshot{Version: v.version, Self: v.config.Self, Incarnation: v.config.Incarnation, LocalStatus: v.localStatus.String(), Since: v.since,
-		MinCouriers: least, MaxCouriers: max(most, v.probed), Revoked: v.revoked, StaleReports: v.staleReports}
-	for _, name := range v.names() {
-		member := *v.members[name]
+// Snapshot returns what is known now.
+func (m *Membership) Snapshot() Snapshot {
+	minimum, maximum := m.bounds()
+	snapshot := Snapshot{Version: m.version, Self: m.config.Self, Incarnation: m.config.Incarnation, LocalStatus: m.localStatus.String(), Since: m.since,
+		MinCouriers: minimum, MaxCouriers: max(maximum, m.estimatedSize), Revoked: m.revoked, StaleReports: m.staleReports}
+	for _, name := range m.names() {
+		member := *m.members[name]
 		member.StateName = member.State.String()
-		p.Members = append(p.Members, member)
+		snapshot.Members = append(snapshot.Members, member)
 	}
-	return p
+	return snapshot
 }
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -211,8 +211,8 @@
 			return fmt.Errorf("%s is %v, and had left", n, member.State)
 		}
 	}
-	if v.probed != w.asked {
-		return fmt.Errorf("counts on %d, reported %d", v.probed, w.asked)
+	if v.estimatedSize != w.asked {
+		return fmt.Errorf("counts on %d, reported %d", v.estimatedSize, w.asked)
 	}
 	return nil
 }
@@ -242,7 +242,7 @@
 		if err := w.check(events, out); err != nil {
 			return err
 		}
-		w.membership.tick = now
+		w.membership.lastTick = now
 	}
 	return nil
 }
@@ -273,7 +273,7 @@
 			for n, member := range v.members {
 				if member.State == Failed {
 					delete(v.members, n)
-					v.probed = len(v.members) + 1
+					v.estimatedSize = len(v.members) + 1
 				}
 			}
 		},
@@ -289,7 +289,7 @@
 				}
 			}
 		},
-		"counts without telling": func(v *Membership) { v.probed = 9 },
+		"counts without telling": func(v *Membership) { v.estimatedSize = 9 },
 	} {
 		caught := false
 		modelcheck.Orders(3, len(all), func(order []int) bool {
--- a/quota/bench_test.go
+++ b/quota/bench_test.go
@@ -41,7 +41,7 @@
 					for r := 0; r < routes; r += 10 {
 						packet := Packet{Version: Version, From: alive[i-1]}
 						for k := r; k < min(r+10, routes); k++ {
-							packet.Counts = append(packet.Counts, Sample{Key: Key{Dest: int32(k)}, Courier: alive[i-1], Incarnation: 1, Sequence: uint64(n), Usage: 100})
+							packet.Samples = append(packet.Samples, Sample{Key: Key{Dest: int32(k)}, Courier: alive[i-1], Incarnation: 1, Sequence: uint64(n), Usage: 100})
 						}
 						c.Handle(now, PacketReceived{packet})
 					}
--- a/quota/decisions.go
+++ b/quota/decisions.go
@@ -2,20 +2,20 @@
 
 import "pineport/dispatch"
 
-// DemandsOf is what the decisions tell of their routes, as an event.
-func DemandsOf(all []dispatch.Demand) (needs DemandsChanged) {
-	for _, n := range all {
-		needs.All = append(needs.All, Demand{Key: Key{Dest: int32(n.Destination), Endpoint: string(n.Endpoint)}, Limit: n.Limit,
-			Calls: uint64(n.Calls), Delivered: uint64(n.Delivered), Throttled: uint64(n.Throttled), Waiting: n.Waiting})
+// DemandsOf returns the demands of a dispatcher as an event.
+func DemandsOf(all []dispatch.Demand) (changed DemandsChanged) {
+	for _, demand := range all {
+		changed.All = append(changed.All, Demand{Key: Key{Dest: int32(demand.Destination), Endpoint: string(demand.Endpoint)}, Limit: demand.Limit,
+			Calls: uint64(demand.Calls), Delivered: uint64(demand.Delivered), Throttled: uint64(demand.Throttled), Waiting: demand.Waiting})
 	}
-	return needs
+	return changed
 }
 
-// ToDispatch is what the decisions are notified of parts; at reads an instant of this clock by theirs.
-func ToDispatch(parts []Share, at func(Micros) Micros) (e dispatch.QuotaChanged) {
-	for _, share := range parts {
-		e.Shares = append(e.Shares, dispatch.QuotaShare{Destination: dispatch.DestinationID(share.Dest), Endpoint: dispatch.EndpointID(share.Endpoint), Granted: share.Granted, GrantedUntil: at(share.GrantedUntil),
+// ToDispatch returns shares as an event for the dispatcher; at converts an instant of the allocator's clock to one of the dispatcher's.
+func ToDispatch(shares []Share, at func(Micros) Micros) (event dispatch.QuotaChanged) {
+	for _, share := range shares {
+		event.Shares = append(event.Shares, dispatch.QuotaShare{Destination: dispatch.DestinationID(share.Dest), Endpoint: dispatch.EndpointID(share.Endpoint), Granted: share.Granted, GrantedUntil: at(share.GrantedUntil),
 			Leased: share.Leased, LeasedUntil: at(share.LeasedUntil), Load: share.Load, LoadUntil: at(share.LoadUntil)})
 	}
-	return e
+	return event
 }
--- a/quota/events.go
+++ b/quota/events.go
@@ -1,28 +1,26 @@
 package quota
 
-// What the quota allocator is notified, and what they say and hand out.
-
-// Event is something that happened: one of the types below.
+// Event is something that happened: one of the types of this file with that method.
 type Event interface{ event() }
 
 type (
-	// DemandsChanged is what the decisions say of their routes.
+	// DemandsChanged brings what the dispatcher does at its groups.
 	DemandsChanged struct{ All []Demand }
-	// Demand is one of them; the counts are since the process started.
+	// Demand is what the dispatcher does at one group; the counts are since the process started.
 	Demand struct {
 		Key
-		Limit                       float64 // calls a second from all couriers; 0 where it is not known
+		Limit                       float64 // calls a second from all couriers; 0 if unknown
 		Calls, Delivered, Throttled uint64
-		Waiting                     int // messages held for it
+		Waiting                     int // messages queued
 	}
-	// FleetChanged: so many couriers are to be counted on, and these others are heard.
+	// FleetChanged brings the size of the fleet, and the names of the other members that are alive.
 	FleetChanged struct {
 		Couriers int
 		Alive    []string
 	}
-	// CouriersHeard are words of another courier.
+	// PacketReceived brings a packet of another courier.
 	PacketReceived struct{ Packet Packet }
-	// Tick comes at a steady pace.
+	// Tick comes at a steady interval.
 	Tick struct{}
 )
 
@@ -31,29 +29,29 @@
 func (PacketReceived) event() {}
 func (Tick) event()           {}
 
-// Action is something to be done: one of the types below.
+// Action is something to be carried out: one of the types of this file with that method.
 type Action interface{ action() }
 
 type (
-	// SendPacket has a member hear words. They may be lost.
+	// SendPacket sends a packet to a member. It may be lost.
 	SendPacket struct {
 		To     string
 		Packet Packet
 	}
-	// ShareChanged is what stands for the decisions, for all routes that they named.
+	// ShareChanged hands the dispatcher the shares that hold, of all groups that it named.
 	ShareChanged struct{ Shares []Share }
 )
 
 func (SendPacket) action()   {}
 func (ShareChanged) action() {}
 
-// Share is what stands for one route.
+// Share is what holds for one group. Granted and Leased are shares of the base share.
 type Share struct {
 	Key
-	Granted      float64 // of the base part, taken off until Grants
+	Granted      float64 // subtracted, until GrantedUntil
 	GrantedUntil Micros
-	Leased       float64 // of the base part, on top until LeasedUntil
+	Leased       float64 // on top, until LeasedUntil
 	LeasedUntil  Micros
-	Load         float64 // what all couriers that were heard use of the limit, until LoadUntil
+	Load         float64 // share of the limit that all known couriers use, until LoadUntil
 	LoadUntil    Micros
 }
--- a/quota/exchange/exchange.go
+++ b/quota/exchange/exchange.go
@@ -75,7 +75,7 @@
 	rand.Read(salt[:])
 	couriers, _ := o.Fleet()
 	x.allocator = quota.New(x.now(), quota.Config{Self: o.Self, Incarnation: o.Incarnation, Couriers: couriers, Seed: int64(binary.LittleEndian.Uint64(salt[:])),
-		FirstLeaseID: uint64(x.startedAt.UnixMilli())}) // the two processes of an upgrade have one start
+		FirstSequence: uint64(x.startedAt.UnixMilli())}) // the two processes of an upgrade have one start
 	ctx, cancel := context.WithCancel(context.Background())
 	x.stop = cancel
 	x.done.Add(1)
--- a/quota/leasing.go
+++ b/quota/leasing.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Shares of limits that couriers grant one another: leases by the lessee's clock.
+// Leases of shares among couriers, as both sides of a lease keep them.
 
 type lease struct {
 	courier string
@@ -21,9 +21,9 @@
 	at      Micros
 }
 
-// away is what of the base part is not this courier's to use now.
-func (c *Allocator) grantedUnits(route *route) (sum Units) {
-	if c.now < c.leaseUntil {
+// grantedUnits is how much of the base share is granted now.
+func (c *Allocator) grantedUnits(route *groupState) (sum Units) {
+	if c.now < c.ownGrantsUntil {
 		sum = c.baseUnits() / 2 // as much as an earlier start may have granted
 	}
 	for _, lease := range route.grants {
@@ -34,8 +34,8 @@
 	return sum
 }
 
-// leased is what others' leases add, of those that hold for a while longer.
-func (c *Allocator) leasedUnits(route *route, longer Micros) (sum Units, until Micros) {
+// leasedUnits is what leases add that hold for a while longer, and when the first of them ends.
+func (c *Allocator) leasedUnits(route *groupState, longer Micros) (sum Units, until Micros) {
 	for _, lease := range route.leases {
 		if c.now+longer < lease.until {
 			if sum += lease.units; until == 0 || lease.until < until {
@@ -46,54 +46,54 @@
 	return sum, until
 }
 
-// take adds a lease, until a span after it was asked for, once.
+// acceptLeases adds a lease that was requested, until a span after its request, once.
 func (c *Allocator) acceptLeases(from string, l Lease) {
-	rt := c.routes[l.Key]
+	rt := c.groups[l.Key]
 	if rt == nil {
 		return
 	}
 	a, ok := rt.requests[l.LeaseID]
-	if !ok || a.courier != from || l.Units > a.units || c.now >= a.at+span {
+	if !ok || a.courier != from || l.Units > a.units || c.now >= a.at+leaseSpan {
 		c.counters.Late++
 		return
 	}
 	delete(rt.requests, l.LeaseID)
 	c.counters.Leased++
-	rt.leases = append(rt.leases, lease{from, l.LeaseID, l.Units, a.at + span})
+	rt.leases = append(rt.leases, lease{from, l.LeaseID, l.Units, a.at + leaseSpan})
 }
 
-// grant gives of what this courier does not need, half of its base part at most, and takes it off first. A tenth is kept for what comes
-// unforeseen; less than a fiftieth is not value a word.
-func (c *Allocator) grantLeases(to string, a Request) (Lease, bool) {
-	route := c.routes[a.Key]
+// grantLeases grants what this courier does not need, half of its base share at most, and subtracts it first. A tenth is kept for
+// unforeseen use; less than a fiftieth is not worth a packet.
+func (c *Allocator) grantLeases(to string, request Request) (Lease, bool) {
+	route := c.groups[request.Key]
 	if route == nil {
-		route = c.route(a.Key) // nobody needs it here
+		route = c.group(request.Key) // no demand here
 	}
-	if route == nil || !slices.Contains(c.isAlive, to) {
+	if route == nil || !slices.Contains(c.alive, to) {
 		return Lease{}, false
 	}
 	for _, lease := range route.grants {
-		if lease.courier == to && lease.id == a.LeaseID {
-			return Lease{}, false // a doubled ask
+		if lease.courier == to && lease.id == request.LeaseID {
+			return Lease{}, false // a duplicate request
 		}
 	}
 	base, away := c.baseUnits(), c.grantedUnits(route)
-	units := min(a.Units, base-away-route.usage*5/4-base/10, base/2-away)
+	units := min(request.Units, base-away-route.usage*5/4-base/10, base/2-away)
 	if units < max(1, base/50) {
 		return Lease{}, false
 	}
-	route.grants = append(route.grants, lease{to, a.LeaseID, units, c.now + backAfter})
+	route.grants = append(route.grants, lease{to, request.LeaseID, units, c.now + grantSpan})
 	c.counters.Granted++
-	return Lease{a.Key, units, a.LeaseID}, true
+	return Lease{request.Key, units, request.LeaseID}, true
 }
 
-// ask seeks what is wanted beyond this courier's part: a quarter over what it uses, and what waits, within a second. Courier uses least of
-// the limit is asked first, and of those alike each courier asks others, drawn by the names.
-func (c *Allocator) requestLeases(route *route, asks map[string][]Request) {
+// requestLeases requests what is wanted beyond this courier's share: a quarter more than it uses, and what waits, within a second. Members
+// that use least of the limit come first; among equals each courier prefers others, by rendezvous hashing.
+func (c *Allocator) requestLeases(route *groupState, requests map[string][]Request) {
 	base := c.baseUnits()
-	lasting, _ := c.leasedUnits(route, span/2)
+	lasting, _ := c.leasedUnits(route, leaseSpan/2)
 	for _, a := range route.requests {
-		if c.now-a.at < span/4 {
+		if c.now-a.at < leaseSpan/4 {
 			lasting += a.units
 		}
 	}
@@ -108,7 +108,7 @@
 		rank  uint64
 	}
 	var all []member
-	for _, name := range c.isAlive {
+	for _, name := range c.alive {
 		m := member{name: name, rank: rank(c.config.Self, name, route.demand.Key)}
 		if slot, ok := route.peerSamples[name]; ok && c.now-slot.at <= sampleLifetime {
 			m.usage = slot.count.Usage
@@ -118,15 +118,15 @@
 		}
 	}
 	slices.SortFunc(all, func(a, b member) int { return cmp.Or(cmp.Compare(a.usage, b.usage), cmp.Compare(a.rank, b.rank)) })
-	for _, m := range all[:min(requestOf, len(all))] {
-		a := Request{route.demand.Key, want/Units(min(requestOf, len(all))) + 1, c.rng.Uint64()}
+	for _, m := range all[:min(requestFanout, len(all))] {
+		a := Request{route.demand.Key, want/Units(min(requestFanout, len(all))) + 1, c.rng.Uint64()}
 		route.requests[a.LeaseID] = request{m.name, a.Units, c.now}
-		asks[m.name] = append(asks[m.name], a)
+		requests[m.name] = append(requests[m.name], a)
 		c.counters.Requested++
 	}
 }
 
-// rank orders members for one courier and route, by rendezvous hashing.
+// rank orders members for one courier and group, by rendezvous hashing.
 func rank(self, other string, key Key) uint64 {
 	h := fnv.New64a()
 	for _, s := range []string{self, other, key.Endpoint} {
--- a/quota/packet.go
+++ b/quota/packet.go
@@ -6,45 +6,45 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Version of what couriers say to one another here. Unknown fields are passed over.
+// Version of the packets. Unknown fields are ignored.
 const Version = 1
 
 const (
-	// mostWords bounds what one packet brings, of asks, leases and counts each; a packet holds fewer.
+	// maxItems bounds the requests, leases and samples of one packet each; a packet holds fewer.
 	maxItems = 64
-	// mostBytes is what a packet may hold, under what the detector's transport carries in one datagram.
+	// maxPacketBytes is below what the transport carries in one datagram.
 	maxPacketBytes = 1200
 	maxNameBytes   = 128
 	maxKeyBytes    = 256
-	// mostUsage is the highest share of a limit that is believed of one courier: refused calls may go far beyond it.
-	maxUsage = 4 * whole
-	oldest   = 60 * second
+	// maxUsage is the highest plausible use of a limit by one courier: throttled calls may go far beyond the limit.
+	maxUsage     = 4 * whole
+	maxSampleAge = 60 * second
 )
 
-// Packet is what one courier says to another, in one packet.
+// Packet is what one courier sends to another in one datagram.
 type Packet struct {
 	Version  int       `cbor:"1,keyasint"`
 	From     string    `cbor:"2,keyasint"`
 	Requests []Request `cbor:"3,keyasint,omitempty"`
 	Leases   []Lease   `cbor:"4,keyasint,omitempty"`
-	Counts   []Sample  `cbor:"5,keyasint,omitempty"`
+	Samples  []Sample  `cbor:"5,keyasint,omitempty"`
 }
 
-// Request asks a member for a part of a limit; whoever asks reckons the lease's span from the instant at which it asked.
+// Request asks a member for a share of a limit. The span of the lease counts from the request, at the requesting courier.
 type Request struct {
 	Key     Key    `cbor:"1,keyasint"`
 	Units   Units  `cbor:"2,keyasint"`
 	LeaseID uint64 `cbor:"3,keyasint"` // drawn; a lease answers it
 }
 
-// Leased answers an ask. It may be smaller.
+// Lease answers a Request. It may be smaller.
 type Lease struct {
 	Key     Key    `cbor:"1,keyasint"`
 	Units   Units  `cbor:"2,keyasint"`
 	LeaseID uint64 `cbor:"3,keyasint"`
 }
 
-// Sample is what one courier has done on a route since its start, and what it uses of the limit just now.
+// Sample is what one courier has done at a group since its start, and what it uses of the limit now.
 type Sample struct {
 	Key         Key    `cbor:"1,keyasint"`
 	Courier     string `cbor:"2,keyasint"`
@@ -86,8 +86,8 @@
 	if w.Version != Version || w.From == "" || len(w.From) > maxNameBytes {
 		return fmt.Errorf("version %d, from %.20q", w.Version, w.From)
 	}
-	if len(w.Requests) > maxItems || len(w.Leases) > maxItems || len(w.Counts) > maxItems {
-		return fmt.Errorf("%d asks, %d loans, %d counts", len(w.Requests), len(w.Leases), len(w.Counts))
+	if len(w.Requests) > maxItems || len(w.Leases) > maxItems || len(w.Samples) > maxItems {
+		return fmt.Errorf("%d asks, %d loans, %d counts", len(w.Requests), len(w.Leases), len(w.Samples))
 	}
 	for _, a := range w.Requests {
 		if !a.Key.sound() || a.Units < 1 || a.Units > whole {
@@ -99,8 +99,8 @@
 			return fmt.Errorf("lends %d", lease.Units)
 		}
 	}
-	for _, sample := range w.Counts {
-		if !sample.Key.sound() || sample.Courier == "" || len(sample.Courier) > maxNameBytes || sample.Usage < 0 || sample.Usage > maxUsage || sample.Age < 0 || sample.Age > oldest {
+	for _, sample := range w.Samples {
+		if !sample.Key.sound() || sample.Courier == "" || len(sample.Courier) > maxNameBytes || sample.Usage < 0 || sample.Usage > maxUsage || sample.Age < 0 || sample.Age > maxSampleAge {
 			return fmt.Errorf("counts %d of %.20q, %d old", sample.Usage, sample.Courier, sample.Age)
 		}
 	}
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -1,12 +1,13 @@
-// Package quota decides what couriers of one fleet share of the limits that hold over all of them, without I/O or clock: parts of
-// limits are granted, and what each uses is counted. New reads the Config once; Handle takes the instant and what happened, and returns
-// what is to be said and what stands. docs/quota.md says what is promised.
+// Package quota shares limits that hold for all couriers of a fleet, without I/O or a clock: shares of limits are leased, and the use
+// of limits is sampled. New reads the Config once; Handle takes an instant and events, and returns the packets to send and the shares
+// that hold. docs/quota.md says what is promised.
 //
-// A part is a share of a limit, in millionths. Each courier has a base part that needs nobody: one of as many as it counts on. What
-// it does not need it may grant, up to half of it. A lease is taken off at the grantor before it is said, ends at the lessee a span
-// after it *asked*, and is back at the grantor strictly later than that, for clocks that run by a hundredth apart. So a word that is
-// lost, late or doubled can only make room smaller, and no clock is compared with another one. A start holds back what an earlier
-// start of the same courier may have granted: nothing has to be kept in a file, and an older copy of the folder does no harm.
+// Shares are counted in millionths of a limit. Each courier has a base share that it needs nobody for: one of as many as the fleet has
+// couriers. What it does not need it may grant to others, up to half of it. A grant is subtracted at the grantor before the lease is
+// sent, ends at the lessee a span after it *requested* it, and returns to the grantor strictly later, for clocks that run apart by one
+// part in a hundred. So a packet that is lost, late or doubled only ever makes capacity smaller, and no clock is compared with another
+// one. A courier that starts reserves what an earlier start of it may have granted: nothing has to be stored, and an older copy of the
+// state folder does no harm.
 package quota
 
 import (
@@ -30,7 +31,7 @@
 	whole  = Units(1000 * 1000)
 )
 
-// Key names a route whose limit is shared: a destination, or one endpoint of it where they are apart.
+// Key names an endpoint group whose limit is shared: a destination, or one endpoint of it where these are separate.
 type Key struct {
 	Dest     int32  `cbor:"1,keyasint" json:"destination"`
 	Endpoint string `cbor:"2,keyasint,omitempty" json:"endpoint,omitempty"`
@@ -41,81 +42,91 @@
 }
 
 const (
-	// span is how long a lease holds, from when it was asked for: some paces of the exchange, and short beside an outage, so that what is
-	// lost with a word or a process is soon back.
-	span = 4 * second
-	// backAfter is when a lease is back at its grantor: clocks that run a hundredth fast and slow make 4 s at one 4.08 s at the other.
-	backAfter = span + span/40
-	// freshFor is how old a count may be to say something of now.
+	// leaseSpan is how long a lease holds, from its request: some ticks, and short beside an outage, so that what is lost with a packet or
+	// a process is soon back.
+	leaseSpan = 4 * second
+	// grantSpan is when a grant returns to the grantor: with clocks a hundredth fast and slow, 4 s at one are 4.08 s at the other.
+	grantSpan = leaseSpan + leaseSpan/40
+	// sampleLifetime is how old a sample may be to count.
 	sampleLifetime = 3 * second
-	// rateOver is what usage is measured over: long beside a tick, short beside an outage.
-	rateOver = 2 * second
-	// mostKeys and mostSlots bound what is kept: routes, and counts of other couriers over all of them, some 2 MB. What is beyond is not
-	// counted into a load, which is then taken for less than it is.
+	// usageSpan is what use is averaged over: long beside a tick, short beside an outage.
+	usageSpan = 2 * second
+	// maxKeys and maxPeerSamples bound what is kept: groups, and samples of other couriers over all of them, some 2 MB. What is beyond does
+	// not count for a load, which is then underestimated.
 	maxKeys        = 1024
 	maxPeerSamples = 8192
-	// mostAsked members are asked at a tick, whatever the number of routes: asks wait for the next one.
-	maxRequests = 12
-	// mostOthers counts of others are gathered for a tick, more than its packets hold.
+	// maxMembersAsked get requests at one tick, whatever the number of groups; the others wait for the next one.
+	maxMembersAsked = 12
+	// maxPeers samples of others are gathered for a tick, more than its packets hold.
 	maxPeers = 512
-	// mostLent of a base part is away at once. Only where the fleet has more than doubled since a lease is that less than was granted.
+	// maxGranted of a base share counts as granted. Less than was granted only where the fleet has more than doubled since.
 	maxGranted = 0.9
-	// askOf members are asked at once: one that answers late or never costs a part of what is wanted.
-	requestOf = 3
-	// sayTo members hear counts at each tick; said on, they reach a fleet of hundreds within freshFor.
-	sayTo = 3
+	// requestFanout members share a request: one that answers late or never costs a part of it.
+	requestFanout = 3
+	// fanout members get samples at each tick; passed on, they reach a fleet of hundreds within sampleLifetime.
+	fanout = 3
 )
 
 // Config is what the quota allocator is handed at their start.
 type Config struct {
-	Self         string
-	Incarnation  uint64
-	Couriers     int    // that are counted on
-	Seed         int64  // another one for each process: see New
-	FirstLeaseID uint64 // beyond all that an earlier process of this start has counted by
+	Self          string
+	Incarnation   uint64
+	Couriers      int    // size of the fleet
+	Seed          int64  // another one for each process
+	FirstSequence uint64 // beyond all sequence numbers of an earlier process of this incarnation
 }
 
-// route is what is known of one key.
-type route struct {
+// groupState is what is known of one group.
+type groupState struct {
 	demand      Demand
 	samples     []sample
 	usage       Units
 	usedAt      Micros
 	load        float64 // of the limit, by all, as it is notified
-	loadAt      Micros  // when somebody was last heard; 0: never
+	loadAt      Micros  // when a sample was last known; 0: never
 	grants      []lease
 	leases      []lease
 	requests    map[uint64]request
 	peerSamples map[string]sampleSlot
 }
 
-// Allocator are one courier's.
+// Allocator shares limits for one courier. One goroutine owns it.
 type Allocator struct {
-	config       Config
-	rng          *rand.Rand
-	now          Micros
-	actions      []Action
-	isAlive      []string
-	routes       map[Key]*route
-	direct       map[string]Micros // who said what it uses, and when
-	leaseUntil   Micros            // an earlier start's leases may hold until then, see GrantHorizon
-	nextLeaseID  uint64            // of the last tick
-	rotation     int               // where the next packets' counts of others begin
-	activeLeases int               // counts of others
-	counters     Counters
+	config          Config
+	rng             *rand.Rand
+	now             Micros
+	actions         []Action
+	alive           []string
+	groups          map[Key]*groupState
+	heardDirectly   map[string]Micros // when members last sent samples themselves
+	ownGrantsUntil  Micros            // grants of an earlier start may hold until then, see GrantHorizon
+	sequence        uint64            // of the last tick
+	rotation        int               // where the next packets' samples of others begin
+	peerSampleCount int               // counts of others
+	counters        Counters
 }
 
-// New makes quota that know only their terms. Requests are numbered by a source that no earlier process of this courier had. Failure: a
-// start with the same salt asked under the same numbers, and took a lease that had been given to the one before it for its own.
-func New(now Micros, t Config) *Allocator {
-	return &Allocator{config: t, rng: rand.New(rand.NewSource(t.Seed ^ int64(t.Incarnation*0x9e3779b97f4a7c15) ^ int64(t.FirstLeaseID))), now: now, routes: map[Key]*route{}, direct: map[string]Micros{}, leaseUntil: now + backAfter, nextLeaseID: t.FirstLeaseID}
+// New returns an allocator that knows nothing but its configuration. Lease ids are drawn by a source that no earlier process of this
+// courier had. Failure: a start with the same seed made requests under the same ids, and took a lease of the start before it for its own.
+func New(now Micros, config Config) *Allocator {
+	const golden = 0x9e3779b97f4a7c15 // spreads neighbouring incarnations over all bits
+	seed := config.Seed ^ int64(config.Incarnation*golden) ^ int64(config.FirstSequence)
+	return &Allocator{
+		config:         config,
+		rng:            rand.New(rand.NewSource(seed)),
+		now:            now,
+		groups:         map[Key]*groupState{},
+		heardDirectly:  map[string]Micros{},
+		ownGrantsUntil: now + grantSpan,
+		sequence:       config.FirstSequence,
+	}
 }
 
-// GrantHorizon is how long after a start, or after the decisions began anew, half of each base part is not to be used: as much may be granted.
-// Whoever runs the decisions sees to that, as they begin before anything is said here.
-const GrantHorizon = backAfter
+// GrantHorizon is how long after a start, or after the dispatcher was started anew, half of each base share is not to be used: as much
+// may have been granted. The owner of the dispatcher sees to that, as it starts before the allocator has handed out anything.
+const GrantHorizon = grantSpan
 
-// Handle takes what happened at one instant and returns what is to be done.
+// Handle takes the events of one instant and returns the actions to carry out, in order.
 func (c *Allocator) Handle(now Micros, events ...Event) []Action {
 	c.now, c.actions = max(c.now, now), nil
 	for _, event := range events {
@@ -123,7 +134,7 @@
 		case DemandsChanged:
 			c.demandsChanged(e.All)
 		case FleetChanged:
-			c.config.Couriers, c.isAlive = e.Couriers, slices.Clone(e.Alive)
+			c.config.Couriers, c.alive = e.Couriers, slices.Clone(e.Alive)
 		case PacketReceived:
 			c.packetReceived(e.Packet)
 		case Tick:
@@ -133,47 +144,47 @@
 	return c.actions
 }
 
-// base is the part that needs nobody.
+// baseUnits is the share that needs nobody.
 func (c *Allocator) baseUnits() Units { return whole / Units(max(1, c.config.Couriers)) }
 
-// route finds what is kept of a key, or makes room for it; nil where there is none.
-func (c *Allocator) route(k Key) *route {
-	rt := c.routes[k]
+// group returns what is known of a group, which it adds; nil where there is no room.
+func (c *Allocator) group(k Key) *groupState {
+	rt := c.groups[k]
 	if rt == nil {
-		if len(c.routes) >= maxKeys {
-			c.counters.Forgotten++
+		if len(c.groups) >= maxKeys {
+			c.counters.Dropped++
 			return nil
 		}
-		rt = &route{demand: Demand{Key: k}, requests: map[uint64]request{}, peerSamples: map[string]sampleSlot{}}
-		c.routes[k] = rt
+		rt = &groupState{demand: Demand{Key: k}, requests: map[uint64]request{}, peerSamples: map[string]sampleSlot{}}
+		c.groups[k] = rt
 	}
 	rt.usedAt = c.now
 	return rt
 }
 
-// needs takes in what the decisions say, and works out what this courier uses of each limit.
+// demandsChanged takes in the demands, and measures what this courier uses of each limit.
 func (c *Allocator) demandsChanged(all []Demand) {
 	for _, demand := range all {
-		route := c.route(demand.Key)
+		route := c.group(demand.Key)
 		if route == nil {
 			continue
 		}
 		if route.demand = demand; len(route.samples) > 0 && route.samples[len(route.samples)-1].calls > demand.Calls {
-			route.samples = nil // the decisions began anew
+			route.samples = nil // the dispatcher was started anew
 		}
 		route.samples = append(route.samples, sample{c.now, demand.Calls})
-		for len(route.samples) > 2 && c.now-route.samples[1].at >= rateOver {
+		for len(route.samples) > 2 && c.now-route.samples[1].at >= usageSpan {
 			route.samples = route.samples[1:]
 		}
 		route.usage = 0
 		if first := route.samples[0]; demand.Limit > 0 && c.now > first.at {
-			perSec := float64(demand.Calls-first.calls) / float64(max(c.now-first.at, rateOver/2)) * float64(second)
+			perSec := float64(demand.Calls-first.calls) / float64(max(c.now-first.at, usageSpan/2)) * float64(second)
 			route.usage = Units(min(float64(maxUsage), perSec/demand.Limit*float64(whole)))
 		}
 	}
 }
 
-// heard takes words in. Nothing in them can make this courier's room larger but the lease that it asked for, of the one it asked.
+// packetReceived takes in a packet. Nothing in it can raise this courier's share but a lease that it requested from that member.
 func (c *Allocator) packetReceived(packet Packet) {
 	if packet.From == c.config.Self || packet.check() != nil {
 		return
@@ -181,22 +192,22 @@
 	for _, lease := range packet.Leases {
 		c.acceptLeases(packet.From, lease)
 	}
-	if slices.Contains(c.isAlive, packet.From) {
-		c.direct[packet.From] = c.now
+	if slices.Contains(c.alive, packet.From) {
+		c.heardDirectly[packet.From] = c.now
 	}
-	for _, sample := range packet.Counts {
+	for _, sample := range packet.Samples {
 		c.merge(sample)
 	}
 	var leases []Lease
 	var share ShareChanged
-	for _, a := range packet.Requests {
-		if lease, ok := c.grantLeases(packet.From, a); ok {
+	for _, request := range packet.Requests {
+		if lease, ok := c.grantLeases(packet.From, request); ok {
 			leases = append(leases, lease)
-			share.Shares = append(share.Shares, c.share(c.routes[a.Key]))
+			share.Shares = append(share.Shares, c.share(c.groups[request.Key]))
 		}
 	}
 	if len(leases) > 0 {
-		c.actions = append(c.actions, share) // before it is said
+		c.actions = append(c.actions, share) // before the leases are sent
 		c.send(packet.From, Packet{Leases: leases})
 	}
 }
@@ -207,42 +218,42 @@
 }
 
 func (c *Allocator) tick() {
-	c.nextLeaseID++
+	c.sequence++
 	c.forget()
-	keys := slices.SortedFunc(maps.Keys(c.routes), compare)
-	asks := map[string][]Request{}
+	keys := slices.SortedFunc(maps.Keys(c.groups), compare)
+	requests := map[string][]Request{}
 	var share ShareChanged
-	for i := range keys { // each tick another route comes first
-		if route := c.routes[keys[(int(c.nextLeaseID%uint64(len(keys)))+i)%len(keys)]]; route.demand.Limit > 0 {
-			if len(asks) < maxRequests {
-				c.requestLeases(route, asks)
+	for i := range keys { // each tick another group comes first
+		if route := c.groups[keys[(int(c.sequence%uint64(len(keys)))+i)%len(keys)]]; route.demand.Limit > 0 {
+			if len(requests) < maxMembersAsked {
+				c.requestLeases(route, requests)
 			}
-			c.fleetChanged(route)
+			c.followLoad(route)
 			share.Shares = append(share.Shares, c.share(route))
 		}
 	}
-	c.spread(keys, asks)
+	c.spread(keys, requests)
 	c.actions = append(c.actions, share)
 }
 
-// forget drops what is over.
+// forget drops what has expired.
 func (c *Allocator) forget() {
-	maps.DeleteFunc(c.direct, func(_ string, at Micros) bool { return c.now-at > sampleLifetime })
+	maps.DeleteFunc(c.heardDirectly, func(_ string, at Micros) bool { return c.now-at > sampleLifetime })
 	over := func(lease lease) bool { return c.now >= lease.until }
-	c.activeLeases = 0
-	for key, route := range c.routes {
+	c.peerSampleCount = 0
+	for key, route := range c.groups {
 		route.grants, route.leases = slices.DeleteFunc(route.grants, over), slices.DeleteFunc(route.leases, over)
-		maps.DeleteFunc(route.requests, func(_ uint64, a request) bool { return c.now >= a.at+span })
+		maps.DeleteFunc(route.requests, func(_ uint64, a request) bool { return c.now >= a.at+leaseSpan })
 		maps.DeleteFunc(route.peerSamples, func(_ string, slot sampleSlot) bool { return c.now-slot.at > 10*sampleLifetime })
-		if c.now-route.usedAt > oldest && len(route.grants) == 0 {
-			delete(c.routes, key)
+		if c.now-route.usedAt > maxSampleAge && len(route.grants) == 0 {
+			delete(c.groups, key)
 			continue
 		}
-		c.activeLeases += len(route.peerSamples)
+		c.peerSampleCount += len(route.peerSamples)
 	}
 }
 
-func (c *Allocator) share(route *route) Share {
+func (c *Allocator) share(route *groupState) Share {
 	base := c.baseUnits()
 	units, until := c.leasedUnits(route, 0)
 	share := Share{Key: route.demand.Key, Leased: float64(units) / float64(base), LeasedUntil: until}
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -136,7 +136,7 @@
 		return fmt.Errorf("parts in use sum to %.4f of the limit", use)
 	}
 	for i, c := range f.all {
-		if route := c.routes[theKey]; route != nil && !f.dead[i] {
+		if route := c.groups[theKey]; route != nil && !f.dead[i] {
 			for who, slot := range route.peerSamples {
 				if j := slices.Index(f.names, who); slot.count.Incarnation == f.start[j] && slot.count.Calls > f.calls[j] {
 					return fmt.Errorf("%s counts %d calls of %s, there were %d", c.config.Self, slot.count.Calls, who, f.calls[j])
@@ -181,7 +181,7 @@
 			}
 		}, // replayed
 		func(f *fleet) { f.pass(second / 2) },
-		func(f *fleet) { f.pass(span - second/10) },
+		func(f *fleet) { f.pass(leaseSpan - second/10) },
 		func(f *fleet) { f.pass(second / 10) },
 		func(f *fleet) { f.dead[1] = true },           // the grantor is killed
 		func(f *fleet) { f.begin(1) },                 // and is back, with nothing kept
@@ -204,7 +204,7 @@
 		}
 		f.way = nil
 	}
-	f.pass(span / 2) // what was asked is given up
+	f.pass(leaseSpan / 2) // what was asked is given up
 	f.tick(0)
 	return f
 }
@@ -270,7 +270,7 @@
 	for _, action := range leases {
 		f.deliver(action)
 	}
-	route := f.all[0].routes[theKey]
+	route := f.all[0].groups[theKey]
 	if len(leases) == 0 || len(route.requests) == 0 {
 		t.Fatalf("%d leases, %d asked: the case did not come up", len(leases), len(route.requests))
 	}
@@ -304,11 +304,11 @@
 // TestPlantedFaults shows that the checks see what they are there for.
 func TestPlantedFaults(t *testing.T) {
 	all := steps()
-	parts := func(f *fleet, i int) *route { return f.all[i].routes[theKey] }
+	parts := func(f *fleet, i int) *groupState { return f.all[i].groups[theKey] }
 	for name, plant := range map[string]func(*fleet, int){
 		"a loan that lapses too late": func(f *fleet, i int) {
 			if share, ok := f.packetsSent[i][theKey]; ok && share.Leased > 0 {
-				share.LeasedUntil += span / 2
+				share.LeasedUntil += leaseSpan / 2
 				f.packetsSent[i][theKey] = share
 			}
 		},
@@ -320,7 +320,7 @@
 		},
 		"back too early": func(f *fleet, i int) {
 			if share, ok := f.packetsSent[i][theKey]; ok {
-				share.GrantedUntil -= backAfter / 2
+				share.GrantedUntil -= grantSpan / 2
 				f.packetsSent[i][theKey] = share
 			}
 		},
@@ -336,7 +336,7 @@
 		"a loan that any may take": func(f *fleet, i int) {
 			if route := parts(f, i); route != nil { // who hears a word again takes it up again
 				for _, lease := range route.leases {
-					route.requests[lease.id] = request{lease.courier, whole, lease.until - span}
+					route.requests[lease.id] = request{lease.courier, whole, lease.until - leaseSpan}
 				}
 			}
 		},
@@ -464,7 +464,7 @@
 	asked := f.way
 	for i := range 5000 {
 		packet := Packet{Version: Version, From: fmt.Sprintf("liar%d", i%700),
-			Counts: []Sample{{Key: Key{Dest: int32(i)}, Courier: fmt.Sprintf("x%d", i), Incarnation: math.MaxUint64, Sequence: math.MaxUint64, Usage: maxUsage},
+			Samples: []Sample{{Key: Key{Dest: int32(i)}, Courier: fmt.Sprintf("x%d", i), Incarnation: math.MaxUint64, Sequence: math.MaxUint64, Usage: maxUsage},
 				{Key: theKey, Courier: fmt.Sprintf("x%d", i), Usage: maxUsage}, {Key: theKey, Courier: "a", Incarnation: 99, Usage: maxUsage}},
 			Leases: []Lease{{theKey, whole, uint64(i)}}, Requests: []Request{{theKey, whole, uint64(i)}}}
 		if i == 0 && len(asked) > 0 { // one that was asked grants to excess, and another answers in its name
@@ -473,23 +473,23 @@
 		}
 		c.Handle(at, PacketReceived{packet})
 	}
-	route := c.routes[theKey]
+	route := c.groups[theKey]
 	if len(route.leases) != 0 || len(route.grants) != 0 {
 		t.Errorf("%v was taken and %v granted", route.leases, route.grants)
 	}
-	if len(c.routes) > maxKeys || c.activeLeases > maxPeerSamples {
-		t.Errorf("%d routes and %d counts are kept", len(c.routes), c.activeLeases)
+	if len(c.groups) > maxKeys || c.peerSampleCount > maxPeerSamples {
+		t.Errorf("%d routes and %d counts are kept", len(c.groups), c.peerSampleCount)
 	}
 	b := f.all[1]
 	for i := range 50 {
 		b.Handle(f.clock(1), PacketReceived{Packet{Version: Version, From: "c", Requests: []Request{{theKey, whole, uint64(i)}}}})
 	}
-	if away := b.grantedUnits(b.routes[theKey]); away == 0 || away > b.baseUnits()/2 {
+	if away := b.grantedUnits(b.groups[theKey]); away == 0 || away > b.baseUnits()/2 {
 		t.Errorf("of a part of %d, %d is granted", b.baseUnits(), away)
 	}
 	for _, bad := range []Packet{{From: "b"}, {Version: Version}, {Version: Version, From: "b", Requests: []Request{{theKey, -5, 1}}},
-		{Version: Version, From: "b", Leases: []Lease{{theKey, whole + 1, 1}}}, {Version: Version, From: "b", Counts: []Sample{{Key: theKey, Courier: "b", Usage: -1}}},
-		{Version: Version, From: "b", Counts: []Sample{{Key: theKey, Courier: "b", Age: -1}}}} {
+		{Version: Version, From: "b", Leases: []Lease{{theKey, whole + 1, 1}}}, {Version: Version, From: "b", Samples: []Sample{{Key: theKey, Courier: "b", Usage: -1}}},
+		{Version: Version, From: "b", Samples: []Sample{{Key: theKey, Courier: "b", Age: -1}}}} {
 		if bad.check() == nil {
 			t.Errorf("%+v is taken for words", bad)
 		}
@@ -516,7 +516,7 @@
 				if text, err := Encode(action.Packet); err != nil || len(text) > maxPacketBytes {
 					t.Fatalf("%d bytes (%v)", len(text), err)
 				}
-				most = max(most, len(action.Packet.Counts))
+				most = max(most, len(action.Packet.Samples))
 			}
 		}
 	}
@@ -541,7 +541,7 @@
 
 // FuzzDecode: any bytes are words that keep the bounds, or none.
 func FuzzDecode(f *testing.F) {
-	text, err := Encode(Packet{From: "a", Requests: []Request{{theKey, 5, 9}}, Leases: []Lease{{theKey, 5, 9}}, Counts: []Sample{{Key: theKey, Courier: "b", Usage: 7}}})
+	text, err := Encode(Packet{From: "a", Requests: []Request{{theKey, 5, 9}}, Leases: []Lease{{theKey, 5, 9}}, Samples: []Sample{{Key: theKey, Courier: "b", Usage: 7}}})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -555,7 +555,7 @@
 		}
 		c := New(1, Config{Self: "z", Incarnation: 1, Couriers: 3})
 		c.Handle(10*second, FleetChanged{3, []string{packet.From}}, DemandsChanged{[]Demand{{Key: theKey, Limit: 10}}}, PacketReceived{packet}, Tick{})
-		for _, route := range c.routes {
+		for _, route := range c.groups {
 			if away := c.grantedUnits(route); away > c.baseUnits()/2 || len(route.leases) > 0 {
 				t.Errorf("%d granted, %v taken", away, route.leases)
 			}
--- a/quota/show.go
+++ b/quota/show.go
@@ -5,18 +5,16 @@
 	"slices"
 )
 
-// What stands, to be shown.
-
-// Counters count what happened since the start.
+// Counters count what happened since the start; the tags are their names in the output of commands.
 type Counters struct {
-	Requested uint64 `json:"Asked"`     // asks made
-	Granted   uint64 `json:"Lent"`      // leases given
-	Leased    uint64 `json:"Taken"`     // leases taken up
-	Late      uint64 `json:"Late"`      // leases that came too late or unasked
-	Forgotten uint64 `json:"Forgotten"` // counts left out for want of room
+	Requested uint64 `json:"Asked"`     // requests sent
+	Granted   uint64 `json:"Lent"`      // leases granted
+	Leased    uint64 `json:"Taken"`     // leases accepted
+	Late      uint64 `json:"Late"`      // leases that came too late or were not requested
+	Dropped   uint64 `json:"Forgotten"` // groups and samples dropped for want of room
 }
 
-// Status is what stands for one route, to be shown.
+// Status is what holds for one group.
 type Status struct {
 	Key
 	Limit         float64       `json:"limit_per_s"`
@@ -33,7 +31,7 @@
 	Leases        []LeaseStatus `json:"borrowed_from,omitempty"`
 }
 
-// LeaseStatus is one lease: with whom, its number, and how long it still holds here.
+// LeaseStatus is one lease: the other courier, its id, and how long it still holds.
 type LeaseStatus struct {
 	Courier   string `json:"who"`
 	LeaseID   uint64 `json:"no"`
@@ -50,22 +48,22 @@
 	return leases
 }
 
-// Status is what stands at an instant, by route, and what happened.
-func (c *Allocator) Status(now Micros) (lines []Status, sums Counters) {
+// Status returns what holds at an instant, by group, and the counters.
+func (c *Allocator) Status(now Micros) (statuses []Status, counters Counters) {
 	c.now = max(c.now, now)
-	for _, key := range slices.SortedFunc(maps.Keys(c.routes), compare) {
-		route := c.routes[key]
+	for _, key := range slices.SortedFunc(maps.Keys(c.groups), compare) {
+		route := c.groups[key]
 		share := c.share(route)
 		units, _ := c.leasedUnits(route, 0)
-		l := Status{Key: key, Limit: route.demand.Limit, Base: c.baseUnits(), Granted: min(c.baseUnits(), c.grantedUnits(route)), Leased: units, Usage: route.usage, Load: share.Load,
+		status := Status{Key: key, Limit: route.demand.Limit, Base: c.baseUnits(), Granted: min(c.baseUnits(), c.grantedUnits(route)), Leased: units, Usage: route.usage, Load: share.Load,
 			Calls: route.demand.Calls, Delivered: route.demand.Delivered, Throttled: route.demand.Throttled, Grants: c.leaseStatuses(route.grants), Leases: c.leaseStatuses(route.leases)}
 		for _, slot := range route.peerSamples {
 			if c.now-slot.at <= sampleLifetime {
-				l.CouriersHeard++
-				l.Calls, l.Delivered, l.Throttled = l.Calls+slot.count.Calls, l.Delivered+slot.count.Delivered, l.Throttled+slot.count.Throttled
+				status.CouriersHeard++
+				status.Calls, status.Delivered, status.Throttled = status.Calls+slot.count.Calls, status.Delivered+slot.count.Delivered, status.Throttled+slot.count.Throttled
 			}
 		}
-		lines = append(lines, l)
+		statuses = append(statuses, status)
 	}
-	return lines, c.counters
+	return statuses, c.counters
 }
--- a/server/handoff.go
+++ b/server/handoff.go
@@ -149,7 +149,7 @@
 		state.Membership = r.onHandoff()
 	}
 	for _, id := range slices.Sorted(maps.Keys(r.endpoints)) {
-		state.Hosts = append(state.Hosts, r.endpoints[id])
+		state.Endpoints = append(state.Endpoints, r.endpoints[id])
 	}
 	for _, attempt := range r.inFlight {
 		state.InFlight = append(state.InFlight, handoff.AttemptID{Message: attempt.message.stored.ID, Attempt: attempt.number, WaitUntil: attempt.waitUntil})
@@ -247,9 +247,9 @@
 	a := &handoff.Command{Number: u.nextCommand}
 	switch w := command.command.(type) {
 	case admin.SetDisabled:
-		a.Endpoint, a.Enable = w.Endpoint, w.Disabled
+		a.Endpoint, a.On = w.Endpoint, w.Disabled
 	case admin.Drain:
-		a.Enable = w.Enabled
+		a.On = w.Enabled
 	}
 	u.commands[u.nextCommand] = command.done
 	u.nextCommand++
@@ -294,9 +294,9 @@
 		}
 		r.complete(attempt, dispatch.AttemptFinished{Outcome: s.Outcome, MessageDone: s.MessageDone, RetryAfter: s.RetryAfter, LoadReport: s.LoadReport})
 	case m.Command != nil:
-		q, link := command{admin.Drain{Enabled: m.Command.Enable}, make(chan commandResult, 1)}, u.predecessor
+		q, link := command{admin.Drain{Enabled: m.Command.On}, make(chan commandResult, 1)}, u.predecessor
 		if m.Command.Endpoint != "" {
-			q.command = admin.SetDisabled{Endpoint: m.Command.Endpoint, Disabled: m.Command.Enable}
+			q.command = admin.SetDisabled{Endpoint: m.Command.Endpoint, Disabled: m.Command.On}
 		}
 		r.operators.execute(q)
 		go func() { // the answer waits for the disk
--- a/server/server.go
+++ b/server/server.go
@@ -105,7 +105,7 @@
 	}
 	r.handoff.init(r)
 	if given != nil && given.ListVersion >= list.Seq {
-		list = protocol.List{Seq: given.ListVersion, Whole: true, Hosts: given.Hosts}
+		list = protocol.List{Seq: given.ListVersion, Whole: true, Hosts: given.Endpoints}
 	}
 	r.discovery.version = list.Seq
 	r.applyEndpoints(list, dispatch.CachedList)
--- a/snapshot/file.go
+++ b/snapshot/file.go
@@ -1,5 +1,5 @@
-// Package snapshot keeps what a courier's decisions have learned in one file that outlasts its process: versioned,
-// checksummed, replaced whole, never half written. What of it to assume after a while is not decided here.
+// Package snapshot stores snapshots of the learned state in one file that outlasts the process: versioned, checksummed, replaced
+// as a whole, never half written. Whether a snapshot is still used after a while is decided in package dispatch.
 package snapshot
 
 import (
@@ -14,10 +14,10 @@
 	"pineport/dispatch"
 )
 
-// Name of the file, in the folder that lasts.
+// Name of the file, in the state folder.
 const Name = "learned.lore"
 
-// A file is encoded; its body is CBOR.
+// A file is that of package atomicfile, with CBOR in it.
 const (
 	magic    = "PPLL"
 	version  = 2
@@ -25,7 +25,7 @@
 	block    = 512 // files count in whole blocks
 )
 
-// Why a file is not used; each is notified with the file's name and what stood there.
+// Why a file is not used. Each is wrapped with what the file has in its place.
 var (
 	ErrAbsent       = atomicfile.ErrAbsent
 	ErrTorn         = atomicfile.ErrTorn
@@ -37,19 +37,19 @@
 	ErrImplausible  = errors.New("holds what cannot be")
 )
 
-// State is what a file holds.
+// State is the content of a file; the tags are the names in the output of commands.
 type State struct {
 	Courier  string            `json:"Courier"`
 	Snapshot dispatch.Snapshot `json:"Lore"`
 }
 
-// body of version 2.
+// body is the body of version 2.
 type body struct {
 	Courier  string            `cbor:"1,keyasint"`
 	Snapshot dispatch.Snapshot `cbor:"2,keyasint"`
 }
 
-// bodyV1 had no learned state of connections and endpoints; what it has means the same.
+// bodyV1 is the body of version 1, which had no state of connections and endpoints; the rest means the same.
 type bodyV1 struct {
 	Courier     string                   `cbor:"1,keyasint"`
 	TakenAt     dispatch.Micros          `cbor:"2,keyasint"`
@@ -70,7 +70,7 @@
 	return mode
 }
 
-// Encode makes a file's content of at most so many bytes. Where all does not fit, the routes that were called last are
+// Encode returns the content of a file, of at most limit bytes. Where all does not fit, the groups that were called last are
 // kept, and the endpoints that failed last.
 func Encode(state State, limit int) ([]byte, error) {
 	snapshot := state.Snapshot
@@ -87,14 +87,14 @@
 		if len(snapshot.Groups) == 0 && len(snapshot.Endpoints) == 0 {
 			return nil, fmt.Errorf("%w: %d bytes, %d allowed", ErrTooLarge, len(text)+headSize, limit)
 		}
-		// A little less than what seems to fit, so that it does at the second try.
+		// A little less than what seems to fit, so that it does the second time.
 		part := 0.95 * float64(limit) / float64(len(text)+headSize)
 		snapshot.Groups = snapshot.Groups[:int(part*float64(len(snapshot.Groups)))]
 		snapshot.Endpoints = snapshot.Endpoints[len(snapshot.Endpoints)-int(part*float64(len(snapshot.Endpoints))):]
 	}
 }
 
-// Decode reads a file's content.
+// Decode reads the content of a file of either version.
 func Decode(content []byte) (State, error) {
 	v, text, err := atomicfile.Decode(magic, content)
 	if err != nil {
@@ -125,13 +125,13 @@
 	return state, nil
 }
 
-// Bounds of what can be: wide, so that they only catch what would harm the decisions.
+// Bounds of plausible values: wide, so that they only catch what would harm the dispatcher.
 const (
-	longest = dispatch.Micros(3600 * 1000 * 1000) // of a gap, or of a wait that is still to come
+	longest = dispatch.Micros(3600 * 1000 * 1000) // of an interval, or of a Retry-After that is still to come
 	largest = 1e9
 )
 
-// sane holds numbers against what can be. A checksum proves that a file is what was written, not that it made sense.
+// validate checks that values are plausible. A checksum proves that a file is what was written, not that it made sense.
 func validate(snapshot dispatch.Snapshot) error {
 	number := func(values ...float64) bool {
 		for _, v := range values {
@@ -177,10 +177,10 @@
 	return nil
 }
 
-// Write replaces the file in a folder, whole.
+// Write replaces the file in a folder as a whole.
 func Write(dir string, content []byte) error { return atomicfile.Write(dir, Name, content) }
 
-// Read reads the file in a folder for a courier, at an instant. The fault says why nothing is to be had.
+// Read reads the file in a folder for a courier, at an instant; an empty courier and an instant of 0 are not checked.
 func Read(dir, courier string, now dispatch.Micros, limit int) (State, error) {
 	content, err := atomicfile.Read(dir, Name, limit)
 	if err != nil {
@@ -198,11 +198,11 @@
 	return state, nil
 }
 
-// Sweep removes what a write left behind that was cut off, and returns how much there was.
+// Sweep removes what an interrupted write left behind, and returns how many files that were.
 func Sweep(dir string) (removed int) { return atomicfile.RemoveLeftovers(dir, Name) }
 
-// Reserve is how much of a folder's limit is set apart: for the file and, while it is replaced, its successor, in whole
-// blocks. Limit is the most that one of them may hold. A sixteenth goes to it, a quarter of a megabyte at most.
+// Reserve returns how many bytes of a folder's limit are reserved for the file and, while it is replaced, its successor, in whole
+// blocks, and the limit of one of them: a sixteenth of the folder together, a quarter of a megabyte at most.
 func Reserve(folder int64) (room int64, limit int) {
 	each := min(folder/16, 256<<10) / 2 / block * block
 	return 2 * each, int(each)
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -289,7 +289,7 @@
 	for _, c := range []struct {
 		text  string
 		times int
-	}{{"could not be written in time", 1}, {"no space left", 1}, {"written again", 1}} {
+	}{{"snapshot not written in time", 1}, {"no space left", 1}, {"written again", 1}} {
 		if got := strings.Count(log.String(), c.text); got != c.times {
 			t.Errorf("%q is notified %d times:\n%s", c.text, got, log.String())
 		}
--- a/snapshot/writer.go
+++ b/snapshot/writer.go
@@ -8,7 +8,7 @@
 	"pineport/dispatch"
 )
 
-// Writer writes what it is offered on a goroutine of its own, so that decisions never wait for a disk. Of what comes in
+// Writer writes snapshots on a goroutine of its own, so that the event loop never waits for a disk. Of the snapshots that come
 // while it writes, the last is written next.
 type Writer struct {
 	dir, courier string
@@ -19,7 +19,7 @@
 	pending      chan struct{}
 	done         chan struct{}
 	write        func(dir string, content []byte) error
-	failures     int // in a row
+	failures     int // consecutive ones
 	written      int
 }
 
@@ -34,18 +34,18 @@
 	return writer
 }
 
-// Offer hands over what was learned; it never waits. The learned state belongs to the keeper from now on.
+// Offer hands over a snapshot, which belongs to the writer from then on. It never waits.
 func (k *Writer) Offer(snapshot dispatch.Snapshot) {
 	k.mu.Lock()
 	k.next = &snapshot
 	k.mu.Unlock()
 	select {
 	case k.pending <- struct{}{}:
-	default: // it has been resumed already
+	default: // it is notified already
 	}
 }
 
-// Close writes what was offered last, and waits for that for a while at most.
+// Close writes the last snapshot that was offered, and waits for that for a while at most.
 func (k *Writer) Close(within time.Duration) {
 	close(k.pending)
 	select {
--- a/spool/spool.go
+++ b/spool/spool.go
@@ -1,36 +1,31 @@
-// Package spool keeps what a courier has taken on in a folder that outlasts its process: append-only segments
-// of checksummed entries, written without a sync. The oldest segment is dropped once what still matters in it
-// stands again at the end, so the folder stays small and an end never goes before what it ends.
+// Package spool stores the messages that a courier has accepted, with their attempts, in a folder that outlasts the process:
+// append-only segments of checksummed entries, written without a sync. The oldest segment is removed once all that still
+// matters of it has been written again at the end, so the folder stays small and an end is never removed before what it ends.
 package spool
 
 import (
-	"cmp"
-	"encoding/binary"
 	"encoding/json"
 	"errors"
 	"fmt"
-	"hash/crc32"
-	"io"
 	"os"
-	"path/filepath"
-	"slices"
 )
 
-// ErrFull says that there is no room for another message.
+// ErrFull is returned where there is no room for another message.
 var ErrFull = errors.New("spool: full")
 
-// Attempt is one attempt of a message; Outcome is empty while it is out, or was when the process ended.
+// Attempt is one attempt of a message; Outcome is empty while it is in flight, or was when the process ended. The tags are the
+// names in the files.
 type Attempt struct {
 	Endpoint string `json:"e"`
 	Zone     int    `json:"z"`
-	SentAt   int64  `json:"s"` // microseconds of Unix time, as all times here
+	SentAt   int64  `json:"s"` // in microseconds of Unix time, as all times here
 	Outcome  string `json:"o,omitempty"`
 }
 
-// Message is all that is kept of a message.
+// Message is all that is stored of a message. The tags are the names in the files.
 type Message struct {
 	ID             string    `json:"id"`
-	Number         int64     `json:"n"` // in the order in which they were taken; set by Append
+	Number         int64     `json:"n"` // in the order of acceptance; set by Append
 	Class          string    `json:"w"`
 	Destination    int       `json:"d"`
 	Tenant         string    `json:"p,omitempty"`
@@ -39,7 +34,7 @@
 	Resubmitted    bool      `json:"a,omitempty"`
 	Deadline       int64     `json:"c"`
 	Attempts       []Attempt `json:"t,omitempty"`
-	Ended          string    `json:"x,omitempty"` // how, where the platform is still to be notified
+	Ended          string    `json:"x,omitempty"` // how it ended, while its notice is not confirmed
 	RetryAfterMs   int64     `json:"m,omitempty"`
 	Body           []byte    `json:"-"`
 }
@@ -48,34 +43,27 @@
 	magic    = "PPS1"
 	block    = 512 // files count in whole blocks
 	overhead = 8   // length and checksum of an entry
-	// As many segments as this fit the folder: small enough that compaction, which needs room for one more,
-	// costs little of it.
+	// segmentsPerFolder is high enough that compaction, which needs room for one more segment, takes little of the folder.
 	segmentsPerFolder = 16
 	maxEntry          = 1 << 20
 )
 
 const (
-	kindMessage   = 'R' // a message with all that is known; replaces what was known
-	kindAttempt   = 'T'
-	kindOutcome   = 'O' // outcome of an attempt
-	kindEnd       = 'E' // over, the platform is still to be notified
-	kindForgotten = 'G' // over, nothing more is owed
+	kindMessage   = 'R' // a message with all that is known, which replaces what was known
+	kindAttempt   = 'T' // an attempt that begins
+	kindOutcome   = 'O' // the outcome of an attempt
+	kindEnd       = 'E' // ended, with a notice to be confirmed
+	kindForgotten = 'G' // ended, nothing more is owed
 )
 
-type segment struct {
-	number int
-	size   int64
-	live   map[string]int64 // messages whose last whole entry stands here, with its size
-}
-
 type entry struct {
 	message *Message
 	size    int64 // of its last whole entry
 	segment *segment
-	reserve int64 // room that its attempts and its end will take, at the most
+	reserve int64 // for its attempts and its end, at the most
 }
 
-// Spool is one folder. It belongs to one goroutine.
+// Spool is one open folder. One goroutine owns it.
 type Spool struct {
 	dir         string
 	limit       int64
@@ -83,13 +71,13 @@
 	file        *os.File
 	segments    []*segment // oldest first; the last is written to
 	entries     map[string]*entry
-	live        int64 // what compaction would leave
-	lastNumber  int64 // the last number given
+	live        int64 // bytes that compaction would leave
+	lastNumber  int64 // of the message accepted last
 	scratch     []byte
-	readOnly    bool // only: nothing is written
+	readOnly    bool // for Inspect: nothing is written
 }
 
-// Inspect reads a folder as Open does, and leaves it as it is; its courier may be running.
+// Inspect reads a folder as Open does and changes nothing; its courier may be running. faults are entries that cannot be read.
 func Inspect(dir string) (messages []*Message, faults []error, err error) {
 	if info, err := os.Stat(dir); err != nil || !info.IsDir() {
 		return nil, nil, fmt.Errorf("%s: a folder was expected", dir)
@@ -99,8 +87,8 @@
 	return messages, faults, err
 }
 
-// Open reads a folder and returns what is unfinished in it, in the order in which it was taken on; faults are
-// what was dropped on the way. limit is the most that the folder may ever hold, in bytes.
+// Open reads a folder and returns the unfinished messages in it, in the order of acceptance; faults are entries that were
+// dropped. limit is the most that the folder may ever hold, in bytes.
 func Open(dir string, limit int64) (s *Spool, unfinished []*Message, faults []error, err error) {
 	s = &Spool{dir: dir, limit: limit, segmentSize: max(limit/segmentsPerFolder/block*block, 4*block), entries: map[string]*entry{}}
 	unfinished, faults, next, err := s.load()
@@ -113,179 +101,10 @@
 	return s, unfinished, faults, s.compact()
 }
 
-// load reads all segments; next is the number of the one to begin.
-func (s *Spool) load() (unfinished []*Message, faults []error, next int, err error) {
-	names, err := filepath.Glob(filepath.Join(s.dir, "*.seg"))
-	if err != nil {
-		return nil, nil, 0, err
-	}
-	slices.Sort(names)
-	next = 1
-	for i, name := range names {
-		number := 0
-		if _, err := fmt.Sscanf(filepath.Base(name), "%d.seg", &number); err != nil {
-			faults = append(faults, fmt.Errorf("%s: not a segment's name", filepath.Base(name)))
-			continue
-		}
-		next = max(next, number+1)
-		seg := &segment{number: number, live: map[string]int64{}}
-		if err := s.read(name, seg, i == len(names)-1); err != nil {
-			faults = append(faults, fmt.Errorf("%s: %w", filepath.Base(name), err))
-		}
-		s.segments = append(s.segments, seg)
-	}
-	for _, entry := range s.entries {
-		unfinished = append(unfinished, entry.message)
-	}
-	slices.SortFunc(unfinished, func(a, b *Message) int { return cmp.Compare(a.Number, b.Number) })
-	return unfinished, faults, next, nil
-}
-
-func (s *Spool) path(number int) string {
-	return filepath.Join(s.dir, fmt.Sprintf("%010d.seg", number))
-}
-
-// begin starts a new segment.
-func (s *Spool) startSegment(number int) error {
-	if s.file != nil {
-		s.file.Close()
-	}
-	f, err := os.OpenFile(s.path(number), os.O_CREATE|os.O_WRONLY|os.O_APPEND|os.O_TRUNC, 0o600)
-	if err != nil {
-		return err
-	}
-	if _, err := f.WriteString(magic); err != nil {
-		f.Close()
-		return err
-	}
-	s.file = f
-	s.segments = append(s.segments, &segment{number: number, size: int64(len(magic)), live: map[string]int64{}})
-	return nil
-}
-
-// read takes in one segment up to the first entry that does not hold; the rest of the file is cut off.
-func (s *Spool) read(name string, seg *segment, last bool) error {
-	mode := os.O_RDWR
-	if s.readOnly {
-		mode = os.O_RDONLY
-	}
-	f, err := os.OpenFile(name, mode, 0)
-	if err != nil {
-		return err
-	}
-	defer f.Close()
-	data, err := io.ReadAll(f)
-	if err != nil {
-		return err
-	}
-	seg.size = int64(len(data))
-	if len(data) < len(magic) {
-		return errors.New("empty: nothing was written to it")
-	}
-	if string(data[:len(magic)]) != magic {
-		return fmt.Errorf("unknown version %q: left out", data[:len(magic)])
-	}
-	at, torn := len(magic), false
-	for at < len(data) {
-		n := 0
-		if torn = len(data)-at < overhead; !torn {
-			n = int(binary.LittleEndian.Uint32(data[at:]))
-			torn = n <= maxEntry && at+overhead+n > len(data)
-		}
-		if torn || n < 2 || n > maxEntry {
-			break
-		}
-		body := data[at+overhead : at+overhead+n]
-		if crc32.ChecksumIEEE(body) != binary.LittleEndian.Uint32(data[at+4:]) || !s.apply(seg, body) {
-			break
-		}
-		at += overhead + n
-	}
-	if at < len(data) {
-		seg.size = int64(at)
-		if !torn || !last {
-			s.markUncertain()
-		}
-		if s.readOnly && torn && last {
-			return nil // being written just now
-		}
-		if s.readOnly {
-			return fmt.Errorf("torn or damaged at byte %d: the last %d bytes cannot be read", at, len(data)-at)
-		}
-		if err := f.Truncate(int64(at)); err != nil {
-			return err
-		}
-		return fmt.Errorf("torn or damaged at byte %d: the last %d bytes were dropped", at, len(data)-at)
-	}
-	return nil
-}
-
-// distrust: entries that had held are gone, so that any message known here may have ended or been sent since.
-func (s *Spool) markUncertain() {
-	for _, entry := range s.entries {
-		entry.message.Attempts = append(entry.message.Attempts, Attempt{})
-	}
-}
-
-type update struct {
-	ID           string   `json:"id"`
-	Attempt      int      `json:"n,omitempty"`
-	Begun        *Attempt `json:"t,omitempty"`
-	Outcome      string   `json:"o,omitempty"`
-	RetryAfterMs int64    `json:"m,omitempty"`
-}
-
-// apply takes in one entry: a kind, a JSON head and, for a message, its body after the head.
-func (s *Spool) apply(seg *segment, body []byte) bool {
-	if body[0] == kindMessage {
-		if len(body) < 5 {
-			return false
-		}
-		n := int(binary.LittleEndian.Uint32(body[1:]))
-		message := &Message{}
-		if n > len(body)-5 || json.Unmarshal(body[5:5+n], message) != nil {
-			return false
-		}
-		message.Body = append([]byte{}, body[5+n:]...)
-		if old := s.entries[message.ID]; old != nil {
-			*old.message = *message
-			message = old.message
-		}
-		s.lastNumber = max(s.lastNumber, message.Number)
-		s.index(message, seg, int64(len(body)+overhead))
-		return true
-	}
-	var update update
-	if json.Unmarshal(body[1:], &update) != nil {
-		return false
-	}
-	entry := s.entries[update.ID]
-	if entry == nil {
-		return true // it ended before, and what it began with is gone
-	}
-	switch body[0] {
-	case kindAttempt:
-		if update.Begun != nil {
-			entry.message.Attempts = append(entry.message.Attempts, *update.Begun)
-		}
-	case kindOutcome:
-		if update.Attempt < len(entry.message.Attempts) && update.Attempt >= 0 {
-			entry.message.Attempts[update.Attempt].Outcome = update.Outcome
-		}
-	case kindEnd:
-		entry.message.Ended, entry.message.RetryAfterMs = update.Outcome, update.RetryAfterMs
-	case kindForgotten:
-		s.forget(update.ID)
-	default:
-		return false
-	}
-	return true
-}
-
-// place notes where a message's last whole entry stands.
+// index notes where the last whole entry of a message is.
 func (s *Spool) index(message *Message, seg *segment, size int64) {
 	s.forget(message.ID)
-	// What its attempts add to a whole entry is kept free, or compaction could need more than there is.
+	// What its attempts add to a whole entry is reserved, or compaction could need more than there is.
 	entry := &entry{message: message, size: size, segment: seg, reserve: 1024}
 	s.entries[message.ID] = entry
 	seg.live[message.ID] = size
@@ -300,26 +119,14 @@
 	}
 }
 
-func (s *Spool) encode(message *Message) []byte {
-	head, _ := json.Marshal(message) // strings and numbers: it cannot fail
-	b := append([]byte{kindMessage}, binary.LittleEndian.AppendUint32(nil, uint32(len(head)))...)
-	return append(append(b, head...), message.Body...)
-}
-
-func frame(dst, body []byte) []byte {
-	dst = binary.LittleEndian.AppendUint32(dst, uint32(len(body)))
-	dst = binary.LittleEndian.AppendUint32(dst, crc32.ChecksumIEEE(body))
-	return append(dst, body...)
-}
-
-// Append puts a message into the spool; after ErrFull nothing of it is there.
+// Append stores a message and sets its number. After ErrFull nothing of it is stored.
 func (s *Spool) Append(message *Message) error {
 	if s.entries[message.ID] != nil {
 		return fmt.Errorf("spool: %s is there already", message.ID)
 	}
 	message.Number = s.lastNumber + 1
 	body := s.encode(message)
-	// Half of the folder is for what is live: the rest is garbage not yet dropped, and room to compact.
+	// Half of the folder is for what is live: the rest is for garbage that is not removed yet, and for compaction.
 	if size := int64(len(body) + overhead); s.live+size+1024 > s.limit/2 || size > 2*s.segmentSize {
 		return ErrFull
 	}
@@ -331,7 +138,7 @@
 	return s.compact()
 }
 
-// BeginAttempt notes an attempt before it goes out.
+// BeginAttempt stores an attempt before it is sent; a message that is not held is ignored.
 func (s *Spool) BeginAttempt(id string, t Attempt) error {
 	if entry := s.entries[id]; entry != nil {
 		entry.message.Attempts = append(entry.message.Attempts, t)
@@ -340,7 +147,7 @@
 	return nil
 }
 
-// FinishAttempt notes how an attempt ended.
+// FinishAttempt stores the outcome of an attempt.
 func (s *Spool) FinishAttempt(id string, attempt int, outcome string) error {
 	if entry := s.entries[id]; entry != nil && attempt < len(entry.message.Attempts) {
 		entry.message.Attempts[attempt].Outcome = outcome
@@ -349,7 +156,7 @@
 	return nil
 }
 
-// Finish notes that a message is over and the platform is still to be notified how.
+// Finish stores how a message ended, while its notice is to be confirmed.
 func (s *Spool) Finish(id, how string, againMs int64) error {
 	if entry := s.entries[id]; entry != nil {
 		entry.message.Ended, entry.message.RetryAfterMs = how, againMs
@@ -358,7 +165,7 @@
 	return nil
 }
 
-// Forget notes that nothing more is owed for a message.
+// Forget stores that nothing more is owed for a message.
 func (s *Spool) Forget(id string) error {
 	if s.entries[id] == nil {
 		return nil
@@ -375,70 +182,11 @@
 	return s.compact()
 }
 
-// write appends one entry, in a new segment if this one is full.
-func (s *Spool) write(body []byte) error {
-	last := s.segments[len(s.segments)-1]
-	if last.size > int64(len(magic)) && last.size+int64(len(body)+overhead) > s.segmentSize {
-		if err := s.startSegment(last.number + 1); err != nil {
-			return err
-		}
-		last = s.segments[len(s.segments)-1]
-	}
-	s.scratch = frame(s.scratch[:0], body)
-	n, err := s.file.Write(s.scratch)
-	last.size += int64(n)
-	if err != nil && n > 0 { // half an entry would hide all that comes after it
-		last.size -= int64(n)
-		if cut := s.file.Truncate(last.size); cut != nil {
-			err = errors.Join(err, cut)
-		}
-	}
-	return err
-}
-
-// Size is what the folder holds, each file counted in whole blocks.
-func (s *Spool) Size() int64 {
-	total := int64(0)
-	for _, seg := range s.segments {
-		total += (seg.size + block - 1) / block * block
-	}
-	return total
-}
-
-// compact drops the oldest segments while more is garbage than live, or little room is left.
-func (s *Spool) compact() error {
-	for len(s.segments) > 1 {
-		size := s.Size()
-		if size <= s.limit*3/4 && (len(s.segments) < 4 || size < 3*s.live) {
-			return nil
-		}
-		oldest := s.segments[0]
-		ids := make([]string, 0, len(oldest.live))
-		for id := range oldest.live {
-			ids = append(ids, id)
-		}
-		slices.Sort(ids)
-		for _, id := range ids {
-			entry := s.entries[id]
-			body := s.encode(entry.message)
-			if err := s.write(body); err != nil {
-				return err
-			}
-			s.index(entry.message, s.segments[len(s.segments)-1], int64(len(body)+overhead))
-		}
-		if err := os.Remove(s.path(oldest.number)); err != nil {
-			return err
-		}
-		s.segments = s.segments[1:]
-	}
-	return nil
-}
-
-// Close ends the writing; all is in the files already.
+// Close closes the segment that is written to; all entries are in the files already.
 func (s *Spool) Close() error { return s.file.Close() }
 
-// Resize sets what the folder may hold from now on. With less than is held nothing is dropped: no new message is taken
-// until what is live fits again.
+// Resize sets the most that the folder may hold, in bytes. Nothing that is held is dropped for a lower limit: no message is
+// accepted until what is live fits again.
 func (s *Spool) Resize(limit int64) {
 	s.limit, s.segmentSize = limit, max(limit/segmentsPerFolder/block*block, 4*block)
 }
--- a/testbed/scale/sharing.go
+++ b/testbed/scale/sharing.go
@@ -180,7 +180,7 @@
 	for figure, value := range map[string]float64{
 		figureSharingTick: beating.Seconds() / float64(intervals), figureHear: hearing.Seconds() / float64(packets), figureKeptBytes: kept,
 		figureSaid: float64(said) / float64(intervals), figureLargest: float64(largest), figureRoutes: float64(len(lines)),
-		figureCounts: float64(counts), figureForgotten: float64(sums.Forgotten),
+		figureCounts: float64(counts), figureForgotten: float64(sums.Dropped),
 	} {
 		play.Report(sizes, figure, value)
 	}
@@ -210,7 +210,7 @@
 		for from := 0; from < l.routes; from += countsPerWord {
 			w := quota.Packet{Version: quota.Version, From: name}
 			for route := from; route < min(from+countsPerWord, l.routes); route++ {
-				w.Counts = append(w.Counts, quota.Sample{Key: quota.Key{Dest: int32(route)}, Courier: name, Incarnation: 1, Usage: usage})
+				w.Samples = append(w.Samples, quota.Sample{Key: quota.Key{Dest: int32(route)}, Courier: name, Incarnation: 1, Usage: usage})
 			}
 			all = append(all, w)
 		}
@@ -221,8 +221,8 @@
 // hearAll has the courier read and take in one packet of each of the words, and tells how long that took.
 func hearAll(c *quota.Allocator, now quota.Micros, words []quota.Packet, no uint64) (spent time.Duration, err error) {
 	for _, w := range words {
-		for i := range w.Counts {
-			w.Counts[i].Sequence = no
+		for i := range w.Samples {
+			w.Samples[i].Sequence = no
 		}
 		text, err := quota.Encode(w)
 		if err != nil {
--- a/testbed/scale/sharingfleet.go
+++ b/testbed/scale/sharingfleet.go
@@ -195,7 +195,7 @@
 	if s.heard == nil {
 		return
 	}
-	for _, count := range words.Counts {
+	for _, count := range words.Samples {
 		of := s.heard[count.Key]
 		if of == nil {
 			of = map[string]heardUse{}
