--- a/server/admin.go
+++ b/server/admin.go
@@ -76,19 +76,19 @@
 }
 
 // Serving tells whether this process takes clients.
-func (r *Server) Serving() bool { return r.operators.serving.Load() }
+func (s *Server) Serving() bool { return s.operators.serving.Load() }
 
 // Metrics are the last that were made up.
-func (r *Server) Metrics() *admin.Metrics { return r.operators.figures.Load() }
+func (s *Server) Metrics() *admin.Metrics { return s.operators.figures.Load() }
 
 // CountFailedReload counts a configuration that was left out.
-func (r *Server) CountFailedReload() { r.operators.failedReloads.Add(1) }
+func (s *Server) CountFailedReload() { s.operators.failedReloads.Add(1) }
 
 // Execute has the event loop do what operators want, and returns once it is done and lasts.
-func (r *Server) Execute(ctx context.Context, what any) error {
+func (s *Server) Execute(ctx context.Context, what any) error {
 	command := command{what, make(chan commandResult, 1)}
 	select {
-	case r.control <- command:
+	case s.control <- command:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -98,15 +98,15 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	return r.persist(a)
+	return s.persist(a)
 }
 
 // lasting writes down what an answer says, and returns what is to be notified.
-func (r *Server) persist(a commandResult) error {
+func (s *Server) persist(a commandResult) error {
 	if a.err != nil || a.disabled == nil {
 		return a.err
 	}
-	return r.operators.writer.Write(a.generation, a.disabled)
+	return s.operators.writer.Write(a.generation, a.disabled)
 }
 
 var errUnknownCommand = errors.New("no such call here")
@@ -159,7 +159,7 @@
 	if away == o.isDraining() {
 		return
 	}
-	o.server.log.Info("draining clients", "draining", away, "clients", len(o.server.clients.all))
+	o.server.log.Info("draining clients", "draining", away, "clients", o.server.clients.Len())
 	o.drainAt = never
 	if away {
 		o.drainAt = o.server.now + drainStart
@@ -175,7 +175,7 @@
 func (o *adminState) tick() {
 	if o.drainAt <= o.server.now {
 		o.drainAt = o.server.now + drainInterval
-		o.server.clients.closeIdle()
+		o.server.clients.CloseIdle(o.server.now)
 	}
 }
 
--- a/server/answer_test.go
+++ b/server/answer_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"io"
+	"pineport/server/clientconn"
 	"testing"
 )
 
@@ -21,8 +22,8 @@
 			v := visit(t, r)
 			io.WriteString(v, c.request)
 			v.CloseWrite()
-			r.handle(until(t, r, func(clientCommands) bool { return true }))
-			r.handle(until(t, r, func(clientClosed) bool { return true }))
+			r.handle(until(t, r, func(clientconn.Commands) bool { return true }))
+			r.handle(until(t, r, func(clientconn.Closed) bool { return true }))
 			r.step()
 			if got := v.reply(); got != c.want {
 				t.Errorf("answered %q", got)
--- a/server/counters.go
+++ b/server/counters.go
@@ -34,25 +34,25 @@
 func (c *counters) ended()    { c.unfinished-- }
 
 // count takes down how a message of a class ended; of an unknown one nobody asks.
-func (r *Server) count(class string, how endingKind) {
-	if w := slices.Index(r.deployment.Classes, class); w >= 0 {
-		r.counters.endings[w][how]++
+func (s *Server) count(class string, how endingKind) {
+	if w := slices.Index(s.deployment.Classes, class); w >= 0 {
+		s.counters.endings[w][how]++
 	}
 }
 
 // figures is a copy of the counters that belongs to nobody else.
-func (r *Server) collectMetrics() *admin.Metrics {
+func (s *Server) collectMetrics() *admin.Metrics {
 	f := &admin.Metrics{Success: map[string]int64{}, Overload: map[string]int64{}, Error: map[string]int64{},
-		Dispatches: r.counters.calls, Concurrent: r.counters.unfinished, Targets: int64(len(r.endpoints)),
-		ReloadSuccess: r.operators.reloads, ReloadFailure: r.operators.failedReloads.Load()}
-	for w, name := range r.deployment.Classes {
-		f.Success[name], f.Overload[name], f.Error[name] = r.counters.endings[w][delivered], r.counters.endings[w][rejected], r.counters.endings[w][failed]
+		Dispatches: s.counters.calls, Concurrent: s.counters.unfinished, Targets: int64(len(s.endpoints)),
+		ReloadSuccess: s.operators.reloads, ReloadFailure: s.operators.failedReloads.Load()}
+	for w, name := range s.deployment.Classes {
+		f.Success[name], f.Overload[name], f.Error[name] = s.counters.endings[w][delivered], s.counters.endings[w][rejected], s.counters.endings[w][failed]
 	}
-	if c, ok := r.dispatcher.(interface {
+	if c, ok := s.dispatcher.(interface {
 		Avoided(dispatch.Micros, dispatch.EndpointID) bool
 	}); ok {
-		for id := range maps.Keys(r.endpoints) {
-			if c.Avoided(r.now, id) {
+		for id := range maps.Keys(s.endpoints) {
+			if c.Avoided(s.now, id) {
 				f.TargetsDisabled++
 			}
 		}
--- a/server/crossings_test.go
+++ b/server/crossings_test.go
@@ -13,6 +13,7 @@
 
 	"pineport/config"
 	"pineport/dispatch"
+	"pineport/server/clientconn"
 	"pineport/spool"
 	"pineport/testbed/port"
 	"pineport/testbed/scripted"
@@ -26,7 +27,7 @@
 func steppedServer(t *testing.T, world *scripted.World, held ...*spool.Message) *Server {
 	t.Helper()
 	r := prepare(t, world, held...)
-	driver, err := transport.Open(r.deployment.Listen, nil, 1024, r.log, r.clients.admit, r.clients.accept)
+	driver, err := transport.Open(r.deployment.Listen, nil, 1024, r.log, r.clients.Admit, r.clients.Accept)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -195,7 +196,7 @@
 	}
 	t.Cleanup(func() { conn.Close() })
 	conn.SetDeadline(time.Now().Add(10 * time.Second))
-	r.handle(until(t, r, func(*clientConn) bool { return true }))
+	r.handle(until(t, r, func(clientconn.Opened) bool { return true }))
 	return &visitor{conn.(*net.TCPConn), bufio.NewReader(conn)}
 }
 
@@ -204,10 +205,10 @@
 }
 
 // asks writes a request and waits until it lies at the event loop, untaken.
-func (v *visitor) asks(t *testing.T, r *Server, id string) clientCommands {
+func (v *visitor) asks(t *testing.T, r *Server, id string) clientconn.Commands {
 	t.Helper()
 	io.WriteString(v, enqueue(id))
-	return until(t, r, func(clientCommands) bool { return true })
+	return until(t, r, func(clientconn.Commands) bool { return true })
 }
 
 // reply is the next line, or why there is none.
@@ -493,11 +494,11 @@
 			if c.gone > 0 {
 				stay[c.gone-1].SetLinger(0)
 				stay[c.gone-1].Close()
-				from := []clientCommands{one, two}[c.gone-1].from
+				from := []clientconn.Commands{one, two}[c.gone-1].Conn
 				for gone := false; !gone; { // no step in between
 					what := <-r.queue
-					event, ok := what.(clientClosed)
-					gone = ok && event.from == from
+					event, ok := what.(clientconn.Closed)
+					gone = ok && event.Conn == from
 					r.handle(what)
 				}
 				stay = []*visitor{stay[2-c.gone]}
@@ -532,7 +533,7 @@
 	r := steppedServer(t, open(t, 0))
 	first, second := visit(t, r), visit(t, r)
 	one, two := first.asks(t, r, "one"), second.asks(t, r, "one")
-	for _, e := range []any{one, two, clientClosed{one.from}, clientClosed{two.from}} {
+	for _, e := range []any{one, two, clientconn.Closed{Conn: one.Conn}, clientconn.Closed{Conn: two.Conn}} {
 		r.handle(e)
 	}
 	if r.step(); onDisk(t, r, "one") != nil || r.messages["one"] != nil {
@@ -658,7 +659,7 @@
 func TestNewConnectionIsDrainedLater(t *testing.T) {
 	r := steppedServer(t, open(t, 0))
 	rests := visit(t, r)
-	for r.clock()-r.now <= newConnGrace {
+	for r.clock()-r.now <= clientconn.NewConnGrace {
 		time.Sleep(time.Millisecond)
 	}
 	r.now = r.clock()
@@ -814,24 +815,24 @@
 	r := steppedServer(t, open(t, 0))
 	v := visit(t, r)
 	text := enqueue("one")
-	if !r.clients.allIdle() {
+	if !r.clients.AllIdle() {
 		t.Error("not at rest before its request")
 	}
 	for at := range len(text) - 1 {
 		io.WriteString(v, text[at:at+1])
-		for deadline := time.Now().Add(5 * time.Second); r.clients.allIdle(); {
+		for deadline := time.Now().Add(5 * time.Second); r.clients.AllIdle(); {
 			if time.Now().After(deadline) {
 				t.Fatalf("at rest with %d bytes of a command", at+1)
 			}
 		}
 	}
 	io.WriteString(v, text[len(text)-1:])
-	r.handle(until(t, r, func(clientCommands) bool { return true }))
-	if r.clients.allIdle() {
+	r.handle(until(t, r, func(clientconn.Commands) bool { return true }))
+	if r.clients.AllIdle() {
 		t.Error("at rest before its reply")
 	}
 	r.step()
-	if got := v.reply(); got != "+OK" || !r.clients.allIdle() {
-		t.Errorf("reported %q; at rest %v", got, r.clients.allIdle())
+	if got := v.reply(); got != "+OK" || !r.clients.AllIdle() {
+		t.Errorf("reported %q; at rest %v", got, r.clients.AllIdle())
 	}
 }
--- a/server/endpoints.go
+++ b/server/endpoints.go
@@ -9,42 +9,42 @@
 )
 
 // applyListing hands a list, or changes of it, to the decisions, and keeps the addresses.
-func (r *Server) applyEndpoints(l protocol.List, how dispatch.UpdateKind) {
+func (s *Server) applyEndpoints(l protocol.List, how dispatch.UpdateKind) {
 	for _, fault := range l.Faults {
-		r.log.Warn("endpoint list entry ignored", "error", fault)
+		s.log.Warn("endpoint list entry ignored", "error", fault)
 	}
-	news, before := dispatch.EndpointUpdate{Kind: how}, maps.Clone(r.endpoints)
+	news, before := dispatch.EndpointUpdate{Kind: how}, maps.Clone(s.endpoints)
 	if how != dispatch.PartialList {
-		clear(r.endpoints)
+		clear(s.endpoints)
 	}
 	for _, entry := range l.Hosts {
-		listing, ok := r.endpointEntry(entry)
+		listing, ok := s.endpointEntry(entry)
 		if !ok {
-			r.log.Warn("endpoint list entry ignored", "endpoint", entry.Host, "zone", entry.Zone, "type", entry.Kind)
+			s.log.Warn("endpoint list entry ignored", "endpoint", entry.Host, "zone", entry.Zone, "type", entry.Kind)
 			continue
 		}
 		if entry.Health == protocol.Removed {
-			delete(r.endpoints, listing.Endpoint)
+			delete(s.endpoints, listing.Endpoint)
 		} else {
-			r.endpoints[listing.Endpoint] = entry
+			s.endpoints[listing.Endpoint] = entry
 		}
 		news.Entries = append(news.Entries, listing)
 	}
-	r.events = append(r.events, news)
+	s.events = append(s.events, news)
 	for id, entry := range before {
-		if now := r.endpoints[id]; now.Health != protocol.InService || peerOf(now) != peerOf(entry) {
-			r.endpointConns.closeIdle(peerOf(entry)) // nothing new goes there, or what they lead to is not there any more
+		if now := s.endpoints[id]; now.Health != protocol.InService || peerOf(now) != peerOf(entry) {
+			s.endpointConns.closeIdle(peerOf(entry)) // nothing new goes there, or what they lead to is not there any more
 		}
 	}
-	for dest, until := range r.destinations {
+	for dest, until := range s.destinations {
 		if until == never {
-			r.destinations[dest] = r.now + unlistedLifetime
-		} else if until <= r.now {
-			delete(r.destinations, dest)
+			s.destinations[dest] = s.now + unlistedLifetime
+		} else if until <= s.now {
+			delete(s.destinations, dest)
 		}
 	}
-	for _, entry := range r.endpoints {
-		r.destinations[entry.Dest] = never
+	for _, entry := range s.endpoints {
+		s.destinations[entry.Dest] = never
 	}
 }
 
@@ -53,15 +53,15 @@
 const unlistedLifetime = 600 * 1000 * 1000
 
 // knows tells whether there is such a destination; without any list nobody can say.
-func (r *Server) knowsDestination(dest int) bool {
-	until, ok := r.destinations[dest]
-	return ok && until > r.now || len(r.destinations) == 0
+func (s *Server) knowsDestination(dest int) bool {
+	until, ok := s.destinations[dest]
+	return ok && until > s.now || len(s.destinations) == 0
 }
 
-func (r *Server) endpointEntry(entry protocol.Host) (dispatch.EndpointEntry, bool) {
+func (s *Server) endpointEntry(entry protocol.Host) (dispatch.EndpointEntry, bool) {
 	phases := map[protocol.Health]dispatch.Phase{protocol.InService: dispatch.InService, protocol.Draining: dispatch.Draining,
 		protocol.Removed: dispatch.Removed}
-	zone, shape := slices.Index(r.deployment.Zones, entry.Zone), slices.Index(r.deployment.Shapes, entry.Kind)
+	zone, shape := slices.Index(s.deployment.Zones, entry.Zone), slices.Index(s.deployment.Shapes, entry.Kind)
 	return dispatch.EndpointEntry{Endpoint: dispatch.EndpointID(entry.Host), Zone: dispatch.ZoneID(zone), Type: dispatch.EndpointTypeID(shape),
 		Destination: dispatch.DestinationID(entry.Dest), Phase: phases[entry.Health], Rate: entry.Rate}, zone >= 0 && shape >= 0
 }
--- a/server/handoff.go
+++ b/server/handoff.go
@@ -53,21 +53,21 @@
 }
 
 // Successors lets new processes take over: release frees the folder at that instant.
-func (r *Server) Successors(release func()) { r.handoff.release = release }
+func (s *Server) Successors(release func()) { s.handoff.release = release }
 
 // SuccessorArrived is notified of a new process that is ready to take over.
-func (r *Server) SuccessorArrived(link *handoff.Link, hello *handoff.Hello) {
-	r.control <- successorArrived{link, hello}
+func (s *Server) SuccessorArrived(link *handoff.Link, hello *handoff.Hello) {
+	s.control <- successorArrived{link, hello}
 }
 
 // Predecessor joins the event loop with the process that handed all over.
-func (r *Server) Predecessor(link *handoff.Link) {
-	r.handoff.predecessor = link
-	go r.listenTo(link)
+func (s *Server) Predecessor(link *handoff.Link) {
+	s.handoff.predecessor = link
+	go s.listenTo(link)
 }
 
-func (r *Server) listenTo(link *handoff.Link) {
-	link.Listen(func(message *handoff.Message) { r.control <- peerMessage{link, message} })
+func (s *Server) listenTo(link *handoff.Link) {
+	link.Listen(func(message *handoff.Message) { s.control <- peerMessage{link, message} })
 }
 
 func (u *handoffState) successorArrived(event successorArrived) {
@@ -102,8 +102,8 @@
 	for { // new connections wait for the successor now; those that rest close, and their clients come there
 		r.drainQueues()
 		r.guardedStep()
-		r.clients.closeIdle()
-		if r.clients.allIdle() && len(r.queue) == 0 || r.clock()-began > handoffSettleTimeout {
+		r.clients.CloseIdle(r.now)
+		if r.clients.AllIdle() && len(r.queue) == 0 || r.clock()-began > handoffSettleTimeout {
 			break
 		}
 		time.Sleep(handoffSettleStep)
@@ -125,7 +125,7 @@
 	u.machine.HandedOver()
 	u.handingOver = false
 	r.counters.unfinished = 0
-	r.log.Info("handed over to the successor", "unfinished", len(r.messages), "in_flight", len(r.inFlight), "clients", len(r.clients.all), "duration", time.Duration(r.clock()-began)*time.Microsecond)
+	r.log.Info("handed over to the successor", "unfinished", len(r.messages), "in_flight", len(r.inFlight), "clients", r.clients.Len(), "duration", time.Duration(r.clock()-began)*time.Microsecond)
 	debug.FreeOSMemory() // both processes have one limit
 }
 
@@ -384,12 +384,12 @@
 }
 
 // CountFrom goes on counting where another event loop of this process left off.
-func (r *Server) CountFrom(before *Server) {
-	r.counters.endings, r.counters.calls = before.counters.endings, before.counters.calls
-	r.counters.grow(len(r.deployment.Classes))
-	r.operators.reloads = before.operators.reloads
-	r.operators.failedReloads.Store(before.operators.failedReloads.Load())
+func (s *Server) CountFrom(before *Server) {
+	s.counters.endings, s.counters.calls = before.counters.endings, before.counters.calls
+	s.counters.grow(len(s.deployment.Classes))
+	s.operators.reloads = before.operators.reloads
+	s.operators.failedReloads.Store(before.operators.failedReloads.Load())
 }
 
 // SnapshotAtHandoff is what this process had learned as it handed all over, for a event loop that goes on after its successor has gone.
-func (r *Server) SnapshotAtHandoff() *dispatch.Snapshot { return &r.handoff.snapshotAtHandoff }
+func (s *Server) SnapshotAtHandoff() *dispatch.Snapshot { return &s.handoff.snapshotAtHandoff }
--- a/server/message.go
+++ b/server/message.go
@@ -20,8 +20,8 @@
 }
 
 // repeatWindow is the window of a class whose repeats are known by an idempotency key; 0 for all others.
-func (r *Server) idempotencyWindow(name string) dispatch.Micros {
-	class := r.deployment.Dispatch.Classes[slices.Index(r.deployment.Classes, name)]
+func (s *Server) idempotencyWindow(name string) dispatch.Micros {
+	class := s.deployment.Dispatch.Classes[slices.Index(s.deployment.Classes, name)]
 	if class.Idempotency != dispatch.IdempotencyKey {
 		return 0
 	}
@@ -59,19 +59,11 @@
 	finished  bool
 }
 
-// reply is the answer to one command, written in the order of the commands.
-type reply struct {
-	client  *clientConn
-	message *message // accepted with it
-	text    string
-	close   bool
-}
-
 // accepted is what the decisions are notified of a message that was accepted.
-func (r *Server) acceptedEvent(stored *spool.Message) dispatch.MessageAccepted {
+func (s *Server) acceptedEvent(stored *spool.Message) dispatch.MessageAccepted {
 	return dispatch.MessageAccepted{Message: dispatch.MessageID(stored.ID), Destination: dispatch.DestinationID(stored.Destination),
-		Class:  dispatch.ClassID(slices.Index(r.deployment.Classes, stored.Class)),
-		Tenant: dispatch.TenantID(max(0, slices.Index(r.deployment.Tenants, stored.Tenant))), OrderingKey: dispatch.OrderingKey(stored.OrderingKey),
+		Class:  dispatch.ClassID(slices.Index(s.deployment.Classes, stored.Class)),
+		Tenant: dispatch.TenantID(max(0, slices.Index(s.deployment.Tenants, stored.Tenant))), OrderingKey: dispatch.OrderingKey(stored.OrderingKey),
 		Deadline: dispatch.Micros(stored.Deadline), Resubmitted: stored.Resubmitted}
 }
 
@@ -90,50 +82,50 @@
 }
 
 // reject ends a message undelivered in a way that may be tried again, after the pause.
-func (r *Server) reject(id dispatch.MessageID, pause dispatch.Micros) {
+func (s *Server) reject(id dispatch.MessageID, pause dispatch.Micros) {
 	againMs := int64((pause + 999) / 1000)
-	r.endUndelivered(id, undelivered{reply: protocol.ReplyBusy(againMs), stored: storedRejected, retryAfterMs: againMs, kind: rejected})
+	s.endUndelivered(id, undelivered{reply: protocol.ReplyBusy(againMs), stored: storedRejected, retryAfterMs: againMs, kind: rejected})
 }
 
 // fail ends a message undelivered for good: trying again might do harm.
-func (r *Server) fail(id dispatch.MessageID) {
-	r.endUndelivered(id, undelivered{reply: protocol.ReplyError("ERR terminated"), stored: storedFailed, kind: failed})
+func (s *Server) fail(id dispatch.MessageID) {
+	s.endUndelivered(id, undelivered{reply: protocol.ReplyError("ERR terminated"), stored: storedFailed, kind: failed})
 }
 
 // endUndelivered tells the client how a message ended if it still waits for its reply, and else the platform.
-func (r *Server) endUndelivered(id dispatch.MessageID, how undelivered) {
-	message := r.messages[id]
+func (s *Server) endUndelivered(id dispatch.MessageID, how undelivered) {
+	message := s.messages[id]
 	if message == nil || message.ended {
 		return
 	}
 	message.ended = true
-	r.counters.ended()
-	r.count(message.stored.Class, how.kind)
+	s.counters.ended()
+	s.count(message.stored.Class, how.kind)
 	if len(message.waiting) > 0 {
 		for _, rep := range message.waiting {
 			rep.text = how.reply
 		}
-		r.logSpoolError(r.spool.Forget(message.stored.ID))
+		s.logSpoolError(s.spool.Forget(message.stored.ID))
 	} else {
-		r.clients.finished.add(message, r.now)
-		r.logSpoolError(r.spool.Finish(message.stored.ID, how.stored, how.retryAfterMs))
-		r.discovery.addNotice(message.stored)
+		s.finished.add(message, s.now)
+		s.logSpoolError(s.spool.Finish(message.stored.ID, how.stored, how.retryAfterMs))
+		s.discovery.addNotice(message.stored)
 	}
-	r.forget(message)
+	s.forget(message)
 }
 
 // finish ends a message for which nothing more is owed.
-func (r *Server) finish(message *message) {
+func (s *Server) finish(message *message) {
 	if !message.ended {
 		message.ended = true
-		r.counters.ended()
-		r.logSpoolError(r.spool.Forget(message.stored.ID))
+		s.counters.ended()
+		s.logSpoolError(s.spool.Forget(message.stored.ID))
 	}
 }
 
 // forget gives up what is held of a message that is ended, once no call with it is out.
-func (r *Server) forget(message *message) {
+func (s *Server) forget(message *message) {
 	if message.ended && message.inFlight == 0 {
-		delete(r.messages, dispatch.MessageID(message.stored.ID))
+		delete(s.messages, dispatch.MessageID(message.stored.ID))
 	}
 }
--- a/server/queue.go
+++ b/server/queue.go
@@ -7,6 +7,7 @@
 
 	"pineport/config"
 	"pineport/dispatch"
+	"pineport/server/clientconn"
 )
 
 // late is more than a loaded machine delays a timer by, and less than an answer takes.
@@ -16,25 +17,25 @@
 
 // standstill lets in what came while this process stood still, before anything is judged overdue: its own
 // delay would pass for the endpoints' silence.
-func (r *Server) catchUpAfterPause(due dispatch.Micros) {
-	for waited := 0; r.clock()-due > pausedAfter && waited < 4; waited++ {
+func (s *Server) catchUpAfterPause(due dispatch.Micros) {
+	for waited := 0; s.clock()-due > pausedAfter && waited < 4; waited++ {
 		time.Sleep(pausedAfter / 2 * time.Microsecond)
-		if len(r.queue) == 0 {
+		if len(s.queue) == 0 {
 			return
 		}
-		r.drainQueues()
+		s.drainQueues()
 	}
 }
 
 // gather dispatches all that has come by now.
-func (r *Server) drainQueues() {
-	for range len(r.control) {
-		r.handle(<-r.control)
+func (s *Server) drainQueues() {
+	for range len(s.control) {
+		s.handle(<-s.control)
 	}
-	for range cap(r.queue) {
+	for range cap(s.queue) {
 		select {
-		case what := <-r.queue:
-			r.handle(what)
+		case what := <-s.queue:
+			s.handle(what)
 		default:
 			return
 		}
@@ -42,41 +43,37 @@
 }
 
 // dispatch hands what came in to the part that it is for. A panic over it costs the client that sent it its connection, and nothing else.
-func (r *Server) handle(what any) {
-	r.now = r.clock()
-	repliesBefore := len(r.replies)
+func (s *Server) handle(what any) {
+	s.now = s.clock()
+	repliesBefore := len(s.replies)
 	defer func() {
 		if fault := recover(); fault != nil {
-			r.log.Error("panic while handling an event", "error", fmt.Sprint(fault), "stack", string(debug.Stack()))
-			if event, ok := what.(clientCommands); ok {
-				r.clients.commandsFailed(event, repliesBefore)
+			s.log.Error("panic while handling an event", "error", fmt.Sprint(fault), "stack", string(debug.Stack()))
+			if event, ok := what.(clientconn.Commands); ok {
+				s.commandsFailed(event, repliesBefore)
 			}
 		}
 	}()
 	switch e := what.(type) {
-	case clientCommands:
-		r.clients.handleCommands(e)
-	case clientClosed:
-		r.clients.closed(e)
-	case *clientConn:
-		r.clients.add(e)
+	case clientconn.Event:
+		s.handleClient(e)
 	case *config.Deployment:
-		r.reload(e)
+		s.reload(e)
 	case command:
-		r.operators.execute(e)
+		s.operators.execute(e)
 	case successorArrived:
-		r.handoff.successorArrived(e)
+		s.handoff.successorArrived(e)
 	case peerMessage:
-		r.handoff.messageReceived(e)
+		s.handoff.messageReceived(e)
 	case sharesAgreed:
-		r.applyShares(e)
+		s.applyShares(e)
 	case connUp:
-		r.endpointConns.up(e)
+		s.endpointConns.up(e)
 	case answerBegun:
-		r.endpointConns.answerBegun(e)
+		s.endpointConns.answerBegun(e)
 	case answerReceived:
-		r.endpointConns.answered(e)
+		s.endpointConns.answered(e)
 	case connDown:
-		r.endpointConns.down(e)
+		s.endpointConns.down(e)
 	}
 }
--- a/server/recovery.go
+++ b/server/recovery.go
@@ -12,44 +12,44 @@
 
 // renew hands all that is held to decisions that know nothing yet, and nothing of what the failed ones had learned. Where they fail again over that, it is ended,
 // so that one message cannot stop all others for ever.
-func (r *Server) restartDispatcher() {
-	if r.handoff.handedOver {
+func (s *Server) restartDispatcher() {
+	if s.handoff.handedOver {
 		return
 	}
-	for _, attempt := range append([]*attempt(nil), r.inFlight...) {
-		r.complete(attempt, dispatch.AttemptFinished{Outcome: dispatch.Broken})
-		r.abandonCall(attempt.call)
+	for _, attempt := range append([]*attempt(nil), s.inFlight...) {
+		s.complete(attempt, dispatch.AttemptFinished{Outcome: dispatch.Broken})
+		s.abandonCall(attempt.call)
 	}
-	r.events, r.dispatcher, r.timerAt = nil, r.newDispatcher(), never
-	r.shadow.start(r)
-	held := make([]*message, 0, len(r.messages))
-	for _, message := range r.messages {
+	s.events, s.dispatcher, s.timerAt = nil, s.newDispatcher(), never
+	s.shadow.start(s)
+	held := make([]*message, 0, len(s.messages))
+	for _, message := range s.messages {
 		held = append(held, message)
 	}
 	slices.SortFunc(held, func(a, b *message) int { return cmp.Compare(a.stored.Number, b.stored.Number) })
 	news := dispatch.EndpointUpdate{Kind: dispatch.CachedList}
-	for _, id := range slices.Sorted(maps.Keys(r.endpoints)) {
-		if l, ok := r.endpointEntry(r.endpoints[id]); ok {
+	for _, id := range slices.Sorted(maps.Keys(s.endpoints)) {
+		if l, ok := s.endpointEntry(s.endpoints[id]); ok {
 			news.Entries = append(news.Entries, l)
 		}
 	}
-	r.events = append(r.events, news)
-	r.operators.replayDisabled()
-	if r.shutdownBy < never {
-		r.events = append(r.events, dispatch.ShutdownScheduled{At: r.shutdownBy})
+	s.events = append(s.events, news)
+	s.operators.replayDisabled()
+	if s.shutdownBy < never {
+		s.events = append(s.events, dispatch.ShutdownScheduled{At: s.shutdownBy})
 	}
-	r.dispatcherFailures++
+	s.dispatcherFailures++
 	for _, message := range held {
-		if r.dispatcherFailures > 1 {
-			r.fail(dispatch.MessageID(message.stored.ID))
+		if s.dispatcherFailures > 1 {
+			s.fail(dispatch.MessageID(message.stored.ID))
 		} else if !message.ended {
-			r.events = append(r.events, r.recoveredEvent(message))
+			s.events = append(s.events, s.recoveredEvent(message))
 		}
 	}
 }
 
 // recover hands what the spool held to the decisions.
-func (r *Server) recover(unfinished []*spool.Message, given *handoff.State) {
+func (s *Server) recover(unfinished []*spool.Message, given *handoff.State) {
 	out := map[handoff.AttemptID]dispatch.Micros{}
 	if given != nil {
 		for _, o := range given.InFlight {
@@ -58,35 +58,35 @@
 	}
 	for _, kept := range unfinished {
 		if kept.Ended != "" {
-			r.discovery.addNotice(kept)
+			s.discovery.addNotice(kept)
 			continue
 		}
-		if slices.Index(r.deployment.Classes, kept.Class) < 0 {
-			r.log.Warn("message of an unknown class", "message", kept.ID, "class", kept.Class)
-			r.logSpoolError(r.spool.Finish(kept.ID, storedFailed, 0))
-			r.discovery.addNotice(kept)
+		if slices.Index(s.deployment.Classes, kept.Class) < 0 {
+			s.log.Warn("message of an unknown class", "message", kept.ID, "class", kept.Class)
+			s.logSpoolError(s.spool.Finish(kept.ID, storedFailed, 0))
+			s.discovery.addNotice(kept)
 			continue
 		}
-		message := &message{stored: kept, acceptedAt: r.now, idempotencyWindow: r.idempotencyWindow(kept.Class)}
+		message := &message{stored: kept, acceptedAt: s.now, idempotencyWindow: s.idempotencyWindow(kept.Class)}
 		for i := range kept.Attempts {
 			attempt := &attempt{message: message, number: i, sentAt: dispatch.Micros(kept.Attempts[i].SentAt), stored: true, finished: true}
 			message.attempts = append(message.attempts, attempt)
 			if limit, ok := out[handoff.AttemptID{Message: kept.ID, Attempt: i}]; ok {
-				r.handoff.adoptAttempt(attempt, limit)
+				s.handoff.adoptAttempt(attempt, limit)
 			}
 		}
-		r.messages[dispatch.MessageID(kept.ID)] = message
-		r.counters.accepted()
-		r.events = append(r.events, r.recoveredEvent(message))
+		s.messages[dispatch.MessageID(kept.ID)] = message
+		s.counters.accepted()
+		s.events = append(s.events, s.recoveredEvent(message))
 	}
 	if len(unfinished) > 0 {
-		r.log.Info("recovered after restart", "messages", len(r.messages), "notices", len(unfinished)-len(r.messages))
+		s.log.Info("recovered after restart", "messages", len(s.messages), "notices", len(unfinished)-len(s.messages))
 	}
 }
 
 // recall is what the decisions are notified of a message from before them.
-func (r *Server) recoveredEvent(message *message) dispatch.MessageRecovered {
-	e := dispatch.MessageRecovered{MessageAccepted: r.acceptedEvent(message.stored)}
+func (s *Server) recoveredEvent(message *message) dispatch.MessageRecovered {
+	e := dispatch.MessageRecovered{MessageAccepted: s.acceptedEvent(message.stored)}
 	for i, t := range message.stored.Attempts {
 		outcome, known := outcomes[t.Outcome]
 		if !known {
--- a/server/reload.go
+++ b/server/reload.go
@@ -8,53 +8,53 @@
 )
 
 // OnReload has f reported of each configuration that was taken over, for what the process itself must set.
-func (r *Server) OnReload(f func(*config.Deployment)) { r.onReload = f }
+func (s *Server) OnReload(f func(*config.Deployment)) { s.onReload = f }
 
 // reload takes over what a configuration read anew changes, while messages are held: all that is held, out or reported to wait
 // stays as it is, and messages keep what they were promised when they were accepted. What must wait for a start is named.
-func (r *Server) reload(next *config.Deployment) {
-	waiting := r.deployment.Waiting(next)
-	merged := r.deployment.Merged(next)
-	if r.handoff.handedOver { // another process decides, by what it has read itself; should it go, the next event loop here begins with this
-		r.deployment = merged
-		if r.onReload != nil {
-			r.onReload(merged)
+func (s *Server) reload(next *config.Deployment) {
+	waiting := s.deployment.Waiting(next)
+	merged := s.deployment.Merged(next)
+	if s.handoff.handedOver { // another process decides, by what it has read itself; should it go, the next event loop here begins with this
+		s.deployment = merged
+		if s.onReload != nil {
+			s.onReload(merged)
 		}
 		return
 	}
-	r.log.Info("configuration reloaded", "discovery", merged.Discovery)
+	s.log.Info("configuration reloaded", "discovery", merged.Discovery)
 	if len(waiting) > 0 {
-		r.log.Warn("changes apply at the next start", "keys", waiting)
+		s.log.Warn("changes apply at the next start", "keys", waiting)
 	}
-	old := r.deployment
-	r.deployment = merged
-	r.operators.reloads++
+	old := s.deployment
+	s.deployment = merged
+	s.operators.reloads++
 	if old.Discovery != merged.Discovery {
-		r.discovery.addressChanged(old.Discovery)
+		s.discovery.addressChanged(old.Discovery)
 	}
-	r.counters.grow(len(merged.Classes))
-	r.clients.updateLimits()
-	r.endpointConns.updateLimits()
+	s.counters.grow(len(merged.Classes))
+	s.clients.SetLimits(s.clientLimits())
+	s.endpointConns.updateLimits()
 	if old.SpoolMB != merged.SpoolMB {
-		r.spool.Resize(SpoolLimit(merged))
+		s.spool.Resize(SpoolLimit(merged))
 	}
 	if !old.SameDecisions(merged) {
-		r.events = append(r.events, dispatch.Reconfigured{Config: r.dispatchConfig()})
-		r.shadow.reconfigure(r)
+		s.events = append(s.events, dispatch.Reconfigured{Config: s.dispatchConfig()})
+		s.shadow.reconfigure(s)
 	}
 	for name := range merged.Retired { // the decisions need not hear of it: they end what is held, and get no more
 		if !old.Retired[name] {
-			r.log.Warn("class removed", "class", name, "unfinished", r.countHeld(name))
+			s.log.Warn("class removed", "class", name, "unfinished", s.countHeld(name))
 		}
 	}
-	if r.onReload != nil {
-		r.onReload(merged)
+	if s.onReload != nil {
+		s.onReload(merged)
 	}
 }
 
 // heldOf is how many messages of a class are held.
-func (r *Server) countHeld(class string) (n int) {
-	for _, message := range r.messages {
+func (s *Server) countHeld(class string) (n int) {
+	for _, message := range s.messages {
 		if !message.ended && message.stored.Class == class {
 			n++
 		}
--- a/server/server.go
+++ b/server/server.go
@@ -15,6 +15,7 @@
 	"pineport/handoff"
 	"pineport/logging"
 	"pineport/protocol"
+	"pineport/server/clientconn"
 	"pineport/spool"
 	"pineport/transport"
 )
@@ -55,7 +56,8 @@
 	destinations       map[int]dispatch.Micros    // those that lists name, and until when
 	retryAfter         map[string]dispatch.Micros // reported by a route, until when; the decisions keep their own
 	endpointConns      endpointConns
-	clients            clientConns
+	clients            *clientconn.Set
+	finished           finishedMessages
 	discovery          discovery
 	malformed          malformedInput
 	snapshots          snapshotSchedule
@@ -95,7 +97,7 @@
 	r.dispatcher = r.newDispatcher()
 	r.shadow.start(r)
 	r.endpointConns.init(r)
-	r.clients.init(r)
+	r.clients = clientconn.New(r.clientLimits(), r.clock, func(event clientconn.Event) { r.queue <- event })
 	r.discovery.init(r)
 	r.counters.grow(len(dep.Classes))
 	r.operators.init(r)
@@ -119,74 +121,74 @@
 
 // Run listens and works until stop is closed; then it goes on for as long as grace allows. What comes in over reloads
 // is taken over as far as a process that runs can.
-func (r *Server) Run(stop <-chan struct{}, reloads <-chan *config.Deployment, grace time.Duration) error {
-	if err := r.startServing(); err != nil {
+func (s *Server) Run(stop <-chan struct{}, reloads <-chan *config.Deployment, grace time.Duration) error {
+	if err := s.startServing(); err != nil {
 		return err
 	}
 	timer := time.NewTimer(0)
 	for {
-		began := r.clock()
-		due := min(max(r.due(), began), began+hour)
+		began := s.clock()
+		due := min(max(s.due(), began), began+hour)
 		timer.Reset(time.Duration(due-began) * time.Microsecond)
 		var what any
 		select {
-		case what = <-r.queue:
+		case what = <-s.queue:
 		case <-timer.C:
 		case what = <-reloads:
-		case what = <-r.control:
+		case what = <-s.control:
 		case <-stop:
 			stop = nil
-			r.beginShutdown(grace)
+			s.beginShutdown(grace)
 		}
-		r.handle(what)
-		r.catchUpAfterPause(due)
-		r.drainQueues()
-		r.guardedStep()
-		r.handoff.handOver()
-		if r.handoff.reclaim {
-			r.driver.Close()
+		s.handle(what)
+		s.catchUpAfterPause(due)
+		s.drainQueues()
+		s.guardedStep()
+		s.handoff.handOver()
+		if s.handoff.reclaim {
+			s.driver.Close()
 			return ErrReclaim
 		}
-		if r.mayExit() {
-			return r.finishShutdown()
+		if s.mayExit() {
+			return s.finishShutdown()
 		}
 	}
 }
 
 // startServing listens, and takes the first step: over what the event loop began with.
-func (r *Server) startServing() error {
-	driver, err := r.openDriver()
+func (s *Server) startServing() error {
+	driver, err := s.openDriver()
 	if err != nil {
 		return err
 	}
-	r.driver = driver
-	r.discovery.start()
-	r.step()
-	r.operators.serving.Store(!r.operators.isDraining())
-	r.handoff.announceServing()
-	r.log.Info("serving", "name", r.deployment.Name, "listen", r.deployment.Listen)
+	s.driver = driver
+	s.discovery.start()
+	s.step()
+	s.operators.serving.Store(!s.operators.isDraining())
+	s.handoff.announceServing()
+	s.log.Info("serving", "name", s.deployment.Name, "listen", s.deployment.Listen)
 	return nil
 }
 
-func (r *Server) openDriver() (*transport.Driver, error) {
+func (s *Server) openDriver() (*transport.Driver, error) {
 	var inherited net.Listener
-	if r.deployment.Socket > 0 {
-		l, err := transport.Listener(r.deployment.Socket)
+	if s.deployment.Socket > 0 {
+		l, err := transport.Listener(s.deployment.Socket)
 		if err != nil {
 			return nil, fmt.Errorf("socket_fd: %w", err)
 		}
 		inherited = l
 	}
-	return transport.Open(r.deployment.Listen, inherited, r.deployment.Sockets, r.log, r.clients.admit, r.clients.accept)
+	return transport.Open(s.deployment.Listen, inherited, s.deployment.Sockets, s.log, s.clients.Admit, s.clients.Accept)
 }
 
-func (r *Server) clock() dispatch.Micros {
-	return r.startedAtUnix + dispatch.Micros(time.Since(r.startedAt).Microseconds())
+func (s *Server) clock() dispatch.Micros {
+	return s.startedAtUnix + dispatch.Micros(time.Since(s.startedAt).Microseconds())
 }
 
 // check logs what the spool could not write; decisions go on with what is in memory.
-func (r *Server) logSpoolError(err error) {
+func (s *Server) logSpoolError(err error) {
 	if err != nil {
-		r.log.Error("spool error", "error", err)
+		s.log.Error("spool error", "error", err)
 	}
 }
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -564,7 +564,7 @@
 		t.Run(name, func(t *testing.T) {
 			world := open(t, 0)
 			r := prepare(t, world, &spool.Message{ID: "one", Class: "order", Destination: 1, Deadline: time.Now().Add(time.Minute).UnixMicro()})
-			driver, err := transport.Open(r.deployment.Listen, nil, 1024, r.log, r.clients.admit, r.clients.accept)
+			driver, err := transport.Open(r.deployment.Listen, nil, 1024, r.log, r.clients.Admit, r.clients.Accept)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/server/shutdown.go
+++ b/server/shutdown.go
@@ -4,28 +4,29 @@
 	"time"
 
 	"pineport/dispatch"
+	"pineport/server/clientconn"
 )
 
 // beginShutdown has the process end after a grace; until then it goes on as before, and clients with somewhere else to go are sent there.
-func (r *Server) beginShutdown(grace time.Duration) {
-	r.handoff.machine.ShutDown()
-	r.shutdownBy = r.clock() + dispatch.Micros(grace.Microseconds())
-	r.drainAt = r.clock() + drainDelay
-	r.operators.serving.Store(false)
-	r.events = append(r.events, dispatch.ShutdownScheduled{At: r.shutdownBy})
-	r.log.Info("graceful shutdown started", "unfinished", len(r.messages), "in_flight", len(r.inFlight))
+func (s *Server) beginShutdown(grace time.Duration) {
+	s.handoff.machine.ShutDown()
+	s.shutdownBy = s.clock() + dispatch.Micros(grace.Microseconds())
+	s.drainAt = s.clock() + drainDelay
+	s.operators.serving.Store(false)
+	s.events = append(s.events, dispatch.ShutdownScheduled{At: s.shutdownBy})
+	s.log.Info("graceful shutdown started", "unfinished", len(s.messages), "in_flight", len(s.inFlight))
 }
 
 // finishShutdown stores what outlasts the process, unless a successor has the folder.
-func (r *Server) finishShutdown() error {
-	if !r.handoff.machine.Owns() {
-		r.log.Info("exited after the handoff", "in_flight", len(r.inFlight))
+func (s *Server) finishShutdown() error {
+	if !s.handoff.machine.Owns() {
+		s.log.Info("exited after the handoff", "in_flight", len(s.inFlight))
 		return nil
 	}
-	r.log.Info("exited", "unfinished", len(r.messages))
-	r.saveLastSnapshot()
-	r.shadow.log(r.log)
-	return r.spool.Close()
+	s.log.Info("exited", "unfinished", len(s.messages))
+	s.saveLastSnapshot()
+	s.shadow.log(s.log)
+	return s.spool.Close()
 }
 
 // parting is when, after being reported to end, nobody is sent here any more who could go elsewhere. Who can not, as it
@@ -44,26 +45,37 @@
 
 // mayExit tells whether the process may end. Nothing is read any more by then, or it would have had an answer. Failures: what was read
 // between the last read and the end had none; connections whose first request was on its way were closed.
-func (r *Server) mayExit() bool {
-	handed := r.handoff.handedOver && r.shutdownBy < never && len(r.inFlight) == 0
-	if !r.exiting && (r.now >= r.shutdownBy || handed) {
-		r.exiting, r.shutdownBy, r.exitBy, r.drainAt = true, r.now+acceptTimeout, r.now+acceptTimeout+exitTimeout, never
-		r.driver.StopAccepting()
-		r.clients.closeIdle()
+func (s *Server) mayExit() bool {
+	handed := s.handoff.handedOver && s.shutdownBy < never && len(s.inFlight) == 0
+	if !s.exiting && (s.now >= s.shutdownBy || handed) {
+		s.exiting, s.shutdownBy, s.exitBy, s.drainAt = true, s.now+acceptTimeout, s.now+acceptTimeout+exitTimeout, never
+		s.driver.StopAccepting()
+		s.clients.CloseIdle(s.now)
 	}
-	if r.now >= r.drainAt {
-		if r.drainAt = never; r.clients.closeIdle() {
-			r.drainAt = r.now + newConnGrace
+	if s.now >= s.drainAt {
+		if s.drainAt = never; s.clients.CloseIdle(s.now) {
+			s.drainAt = s.now + clientconn.NewConnGrace
 		}
 	}
-	if !r.exiting || r.now < r.shutdownBy {
+	if !s.exiting || s.now < s.shutdownBy {
 		return false
 	}
-	r.shutdownBy = r.now + closeInterval
-	if r.now < r.exitBy {
-		return r.clients.closeAnswered()
+	s.shutdownBy = s.now + closeInterval
+	if s.now < s.exitBy {
+		return s.allClientsClosed()
 	}
 	// Failure: what the poller had read at the last look was closed with no answer.
-	r.driver.StopReading()
-	return r.clients.closeAnswered() || r.clients.allAnswered() || r.now >= r.exitBy+replyTimeout
+	s.driver.StopReading()
+	return s.allClientsClosed() || s.allClientsAnswered() || s.now >= s.exitBy+replyTimeout
+}
+
+// allClientsClosed closes the connections that have all their replies, and reports whether none is left and nothing waits in the queue.
+func (s *Server) allClientsClosed() bool {
+	closed := s.clients.CloseAnswered()
+	return closed && len(s.queue) == 0
+}
+
+// allClientsAnswered reports whether all that was read has its reply, once nothing more is read.
+func (s *Server) allClientsAnswered() bool {
+	return s.clients.AllAnswered() && len(s.queue) == 0
 }
--- a/server/snapshots.go
+++ b/server/snapshots.go
@@ -25,18 +25,18 @@
 const quietFactor = 5
 
 // StoreSnapshots has snapshots of the learned state stored from now on, one in every so long at most.
-func (r *Server) StoreSnapshots(k snapshotWriter, every time.Duration) {
-	r.snapshots = snapshotSchedule{writer: k, every: dispatch.Micros(every.Microseconds())}
+func (s *Server) StoreSnapshots(k snapshotWriter, every time.Duration) {
+	s.snapshots = snapshotSchedule{writer: k, every: dispatch.Micros(every.Microseconds())}
 }
 
 // RestoreSnapshot hands the learned state of an earlier run to the decisions, beside the list that it is about; nil where there is none
 // that can be used.
-func (r *Server) RestoreSnapshot(before *dispatch.Snapshot) {
-	if before == nil || len(r.events) == 0 {
+func (s *Server) RestoreSnapshot(before *dispatch.Snapshot) {
+	if before == nil || len(s.events) == 0 {
 		return
 	}
 	// CountFrom the list, which is the first event, and before the messages that were held.
-	r.events = append(r.events[:1:1], append([]dispatch.Event{dispatch.SnapshotRestored{Snapshot: *before}}, r.events[1:]...)...)
+	s.events = append(s.events[:1:1], append([]dispatch.Event{dispatch.SnapshotRestored{Snapshot: *before}}, s.events[1:]...)...)
 }
 
 // observe takes down that an attempt had an outcome.
@@ -62,17 +62,17 @@
 }
 
 // saveLearned hands a snapshot to the keeper, if it is time or is to be done at once.
-func (r *Server) saveSnapshot(atOnce bool) {
-	if r.snapshots.writer == nil || !atOnce && r.snapshots.due() > r.now {
+func (s *Server) saveSnapshot(atOnce bool) {
+	if s.snapshots.writer == nil || !atOnce && s.snapshots.due() > s.now {
 		return
 	}
-	r.snapshots.last, r.snapshots.delivered, r.snapshots.failed = r.now, false, false
-	r.snapshots.writer.Offer(r.takeSnapshot())
+	s.snapshots.last, s.snapshots.delivered, s.snapshots.failed = s.now, false, false
+	s.snapshots.writer.Offer(s.takeSnapshot())
 }
 
 // snapshotLearned is what the decisions have learned by now.
-func (r *Server) takeSnapshot() (snapshot dispatch.Snapshot) {
-	if d, ok := r.dispatcher.(dispatch.Snapshotter); ok {
+func (s *Server) takeSnapshot() (snapshot dispatch.Snapshot) {
+	if d, ok := s.dispatcher.(dispatch.Snapshotter); ok {
 		snapshot = d.Snapshot()
 	}
 	return snapshot
@@ -82,9 +82,9 @@
 const lastSnapshotTimeout = 200 * time.Millisecond
 
 // saveLearnedAtEnd stores the last snapshot of this process.
-func (r *Server) saveLastSnapshot() {
-	if r.snapshots.writer != nil {
-		r.saveSnapshot(true)
-		r.snapshots.writer.Close(lastSnapshotTimeout)
+func (s *Server) saveLastSnapshot() {
+	if s.snapshots.writer != nil {
+		s.saveSnapshot(true)
+		s.snapshots.writer.Close(lastSnapshotTimeout)
 	}
 }
--- a/server/step.go
+++ b/server/step.go
@@ -8,85 +8,85 @@
 )
 
 // due is when something is to be done next, unasked.
-func (r *Server) due() dispatch.Micros {
-	at := min(r.timerAt, r.endpointConns.due(), r.clients.due(), r.discovery.due(), r.snapshots.due(), r.operators.due(), r.endpointConns.nextFlushCheck(), r.shutdownBy, r.drainAt)
-	for _, attempt := range r.inFlight {
+func (s *Server) due() dispatch.Micros {
+	at := min(s.timerAt, s.endpointConns.due(), s.clients.Due(), s.discovery.due(), s.snapshots.due(), s.operators.due(), s.endpointConns.nextFlushCheck(), s.shutdownBy, s.drainAt)
+	for _, attempt := range s.inFlight {
 		at = min(at, attempt.waitUntil)
 	}
 	return at
 }
 
 // guardedStep is a step after which the process goes on whatever went wrong in it.
-func (r *Server) guardedStep() {
+func (s *Server) guardedStep() {
 	defer func() {
 		if fault := recover(); fault != nil {
-			r.log.Error("panic in a step", "error", fmt.Sprint(fault), "stack", string(debug.Stack()))
-			r.restartDispatcher()
+			s.log.Error("panic in a step", "error", fmt.Sprint(fault), "stack", string(debug.Stack()))
+			s.restartDispatcher()
 		}
 	}()
-	r.step()
+	s.step()
 }
 
 // step hands the decisions what happened since the last one, and carries out their actions.
-func (r *Server) step() {
-	r.now = r.clock()
-	r.endpointConns.expire()
-	r.endpointConns.checkWritten()
-	r.clients.sweep()
-	r.operators.tick()
-	r.malformed.log(r.log, r.now)
-	if !r.handoff.handedOver {
-		r.discovery.tick()
+func (s *Server) step() {
+	s.now = s.clock()
+	s.endpointConns.expire()
+	s.endpointConns.checkWritten()
+	s.clients.Sweep(s.now)
+	s.operators.tick()
+	s.malformed.log(s.log, s.now)
+	if !s.handoff.handedOver {
+		s.discovery.tick()
 	}
-	for _, attempt := range append([]*attempt(nil), r.inFlight...) {
-		if !attempt.finished && attempt.waitUntil <= r.now {
-			r.attemptOverdue(attempt)
+	for _, attempt := range append([]*attempt(nil), s.inFlight...) {
+		if !attempt.finished && attempt.waitUntil <= s.now {
+			s.attemptOverdue(attempt)
 		}
 	}
-	if r.handoff.handedOver { // another process decides
-		r.reply()
-		r.operators.publish()
+	if s.handoff.handedOver { // another process decides
+		s.reply()
+		s.operators.publish()
 		return
 	}
-	if r.timerAt <= r.now {
-		r.timerAt = never
-		r.events = append(r.events, dispatch.TimerFired{})
+	if s.timerAt <= s.now {
+		s.timerAt = never
+		s.events = append(s.events, dispatch.TimerFired{})
 	}
-	r.updateFleetSize()
-	for len(r.events) > 0 {
-		events := r.events
-		r.events = nil
-		r.carryOut(r.decide(events))
+	s.updateFleetSize()
+	for len(s.events) > 0 {
+		events := s.events
+		s.events = nil
+		s.carryOut(s.decide(events))
 	}
-	r.reply()
-	r.discovery.tick()
-	r.saveSnapshot(false)
-	r.publishDemands()
-	r.operators.publish()
+	s.reply()
+	s.discovery.tick()
+	s.saveSnapshot(false)
+	s.publishDemands()
+	s.operators.publish()
 }
 
 // reply writes what clients wait for; from then on the platform is notified how a message ends.
-func (r *Server) reply() {
-	for _, reply := range r.replies {
-		reply.client.write(reply)
+func (s *Server) reply() {
+	for _, reply := range s.replies {
+		reply.client.Write(reply.text, reply.close)
 		if reply.message != nil {
 			reply.message.waiting = nil
 		}
 	}
-	r.replies = r.replies[:0]
+	s.replies = s.replies[:0]
 }
 
 // decide asks the decisions. Should they fail, they begin anew, as after a restart of the process.
-func (r *Server) decide(events []dispatch.Event) (actions []dispatch.Action) {
+func (s *Server) decide(events []dispatch.Event) (actions []dispatch.Action) {
 	defer func() {
 		if fault := recover(); fault != nil {
-			r.log.Error("panic in the dispatcher", "error", fmt.Sprint(fault), "stack", string(debug.Stack()))
-			r.restartDispatcher()
+			s.log.Error("panic in the dispatcher", "error", fmt.Sprint(fault), "stack", string(debug.Stack()))
+			s.restartDispatcher()
 		}
 	}()
-	actions = r.dispatcher.Handle(r.now, events)
-	r.trace(events, actions)
-	r.dispatcherFailures = 0
-	r.shadow.observe(r, events, actions)
+	actions = s.dispatcher.Handle(s.now, events)
+	s.trace(events, actions)
+	s.dispatcherFailures = 0
+	s.shadow.observe(s, events, actions)
 	return actions
 }
--- a/server/trace.go
+++ b/server/trace.go
@@ -9,33 +9,33 @@
 
 // trace writes what the decisions were notified and what they did, at debug level of the component decisions: a
 // replay of a day counts them across the fleet. Off, it costs one check a step.
-func (r *Server) trace(events []dispatch.Event, actions []dispatch.Action) {
-	if !r.tracer.Enabled(context.Background(), slog.LevelDebug) {
+func (s *Server) trace(events []dispatch.Event, actions []dispatch.Action) {
+	if !s.tracer.Enabled(context.Background(), slog.LevelDebug) {
 		return
 	}
 	for _, event := range events {
 		switch e := event.(type) {
 		case dispatch.MessageAccepted:
-			r.tracer.Debug("accepted", "message", e.Message, "destination", e.Destination, "class", e.Class)
+			s.tracer.Debug("accepted", "message", e.Message, "destination", e.Destination, "class", e.Class)
 		case dispatch.AttemptFinished:
-			r.tracer.Debug("finished", "message", e.Message, "attempt", e.Attempt, "outcome", e.Outcome.String(), "duration", e.Duration,
+			s.tracer.Debug("finished", "message", e.Message, "attempt", e.Attempt, "outcome", e.Outcome.String(), "duration", e.Duration,
 				"retry_after", e.RetryAfter, "load_report", e.LoadReport)
 		case dispatch.EndpointUpdate:
-			r.tracer.Debug("endpoints", "kind", e.Kind, "entries", len(e.Entries))
+			s.tracer.Debug("endpoints", "kind", e.Kind, "entries", len(e.Entries))
 		}
 	}
 	for _, action := range actions {
 		switch a := action.(type) {
 		case dispatch.Send:
-			r.tracer.Debug("send", "message", a.Message, "endpoint", a.Endpoint, "timeout", a.Timeout)
+			s.tracer.Debug("send", "message", a.Message, "endpoint", a.Endpoint, "timeout", a.Timeout)
 		case dispatch.Cancel:
-			r.tracer.Debug("cancel", "message", a.Message, "attempt", a.Attempt)
+			s.tracer.Debug("cancel", "message", a.Message, "attempt", a.Attempt)
 		case dispatch.Reject:
-			r.tracer.Debug("reject", "message", a.Message, "retry_after", a.RetryAfter)
+			s.tracer.Debug("reject", "message", a.Message, "retry_after", a.RetryAfter)
 		case dispatch.Fail:
-			r.tracer.Debug("fail", "message", a.Message)
+			s.tracer.Debug("fail", "message", a.Message)
 		case dispatch.WatchEndpoints:
-			r.tracer.Debug("watch")
+			s.tracer.Debug("watch")
 		}
 	}
 }
