--- a/cmd/pineport/run.go
+++ b/cmd/pineport/run.go
@@ -106,7 +106,7 @@
 	}
 }
 
-// serve owns the folder that lasts, once nobody else does, and runs a event loop on it.
+// serve owns the state folder, once nobody else does, and runs an event loop on it.
 func (p *process) serve() error {
 	dep, log := p.dep, p.log
 	ctx, cancel := context.WithCancel(context.Background())
@@ -120,13 +120,13 @@
 	}()
 	folder, given, predecessor, err := handoff.Acquire(ctx, dep.Spool, dep.Name, log.With(logging.Component, "handover"))
 	if ctx.Err() != nil {
-		return nil // reported to end before there was anything to do
+		return nil // asked to exit before there was anything to do
 	}
 	if err != nil {
 		return fmt.Errorf("RELAY_STATE: %w", err)
 	}
 	defer folder.Close()
-	snapshot.Sweep(dep.Spool) // before the spool fills the room
+	snapshot.Sweep(dep.Spool) // before the spool takes that room
 	kept, unfinished, faults, err := spool.Open(dep.Spool, server.SpoolLimit(dep))
 	if err != nil {
 		return fmt.Errorf("RELAY_STATE: %w", err)
@@ -138,6 +138,21 @@
 	if err != nil {
 		return err
 	}
+	p.attach(router, given)
+	if predecessor != nil {
+		router.Predecessor(predecessor)
+	}
+	defer p.enter(ctx, router, given)()
+	router.Successors(folder.Release)
+	if err := folder.Serve(router.SuccessorArrived); err != nil {
+		log.Warn("handoff unavailable while this process runs", "error", err)
+	}
+	return router.Run(p.stop, p.reloads, grace)
+}
+
+// attach joins a new event loop with the parts of the process that outlast it; given is what a predecessor handed over, or nil.
+func (p *process) attach(router *server.Server, given *handoff.State) {
+	dep, log := p.dep, p.log
 	before := p.router.Swap(router)
 	if before != nil {
 		router.CountFrom(before)
@@ -163,15 +178,6 @@
 			log.Warn("log levels unchanged", "error", err)
 		}
 	})
-	if predecessor != nil {
-		router.Predecessor(predecessor)
-	}
-	defer p.enter(ctx, router, given)()
-	router.Successors(folder.Release)
-	if err := folder.Serve(router.SuccessorArrived); err != nil {
-		log.Warn("handoff unavailable while this process runs", "error", err)
-	}
-	return router.Run(p.stop, p.reloads, grace)
 }
 
 // known is what was learned by an earlier process, or by this one before it handed all over: the younger, with all waits.
--- a/cmd/pineport/spool.go
+++ b/cmd/pineport/spool.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"errors"
 	"fmt"
+	"io"
 	"text/tabwriter"
 	"time"
 
@@ -30,20 +31,7 @@
 			} else if output != "table" {
 				return errors.New("--output: table or json was expected")
 			}
-			table := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 8, 2, ' ', 0)
-			fmt.Fprintln(table, "ID\tCLASS\tDESTINATION\tDEADLINE\tATTEMPTS\tLAST\tSTATE")
-			for _, message := range messages {
-				last, state := "-", "held"
-				if n := len(message.Attempts); n > 0 {
-					last = cmp.Or(message.Attempts[n-1].Outcome, "out")
-				}
-				if message.Ended != "" {
-					state = message.Ended + ", notice not confirmed"
-				}
-				fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%d\t%s\t%s\n", message.ID, message.Class, message.Destination, time.UnixMicro(message.Deadline).Format(time.RFC3339), len(message.Attempts),
-					last, state)
-			}
-			return table.Flush()
+			return showMessages(cmd.OutOrStdout(), messages)
 		},
 	}
 	list.Flags().StringVar(&output, "output", "table", "table or json")
@@ -86,3 +74,21 @@
 	cmd.AddCommand(list, show, verify)
 	return cmd
 }
+
+// showMessages lists messages as a table.
+func showMessages(out io.Writer, messages []*spool.Message) error {
+	table := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
+	fmt.Fprintln(table, "ID\tCLASS\tDESTINATION\tDEADLINE\tATTEMPTS\tLAST\tSTATE")
+	for _, message := range messages {
+		last, state := "-", "held"
+		if n := len(message.Attempts); n > 0 {
+			last = cmp.Or(message.Attempts[n-1].Outcome, "out")
+		}
+		if message.Ended != "" {
+			state = message.Ended + ", notice not confirmed"
+		}
+		fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%d\t%s\t%s\n", message.ID, message.Class, message.Destination, time.UnixMicro(message.Deadline).Format(time.RFC3339), len(message.Attempts),
+			last, state)
+	}
+	return table.Flush()
+}
--- a/config/dispatch.go
+++ b/config/dispatch.go
@@ -54,8 +54,8 @@
 // Micros steps seconds into the decisions' unit.
 func Micros(seconds float64) dispatch.Micros { return dispatch.Micros(math.Round(seconds * 1e6)) }
 
-// Sound holds settings that come without a file, by their paths, against the schema: the first key whose value doesn't fit, or
-// can't hold beside another, is notified. Keys that nobody knows are passed over.
+// Sound checks settings that come without a file, by their paths, against the schema. It returns a Fault for the first key whose value
+// does not fit, or contradicts another one. Unknown keys are ignored.
 func Sound(values map[string]string) error {
 	for _, path := range slices.Sorted(maps.Keys(values)) {
 		text := values[path]
@@ -70,11 +70,11 @@
 	return nil
 }
 
-// Dispatch decodes what a courier is handed at its start: values by path, such as classes.0.points.
-func Dispatch(salt int64, values map[string]string) (dispatch.Config, error) {
+// Dispatch decodes the configuration of a dispatcher from the settings, by paths such as classes.0.points; seed is that of its draws.
+func Dispatch(seed int64, values map[string]string) (dispatch.Config, error) {
 	p := &pairs{values: values, prefix: "settings."}
 	config := dispatch.Config{
-		Seed:              salt,
+		Seed:              seed,
 		Couriers:          p.count("fleet-size"),
 		CourierNumber:     p.count("ordinal"),
 		OverQuotaFactor:   p.number("over-share-worth"),
@@ -93,8 +93,6 @@
 		KeyCooldown:       p.span("rules.key-rest-s"),
 		Zone:              dispatch.ZoneID(p.count("locality")),
 		CrossZoneCost:     p.number("prices.cross-zone"),
-		ReportLeftIndex:   -1,
-		ReportRateIndex:   -1,
 	}
 	if p.values["family-info.decay"] == "halves" {
 		config.Decay = dispatch.HalvingDecay
@@ -105,14 +103,31 @@
 	case "nominal":
 		config.RateQuality = dispatch.NominalRates
 	}
-	for i, name := range p.words("telemetry.fields") {
-		switch name {
-		case "x0":
-			config.ReportLeftIndex = i
-		case "x1":
-			config.ReportRateIndex = i
+	config.ReportLeftIndex, config.ReportRateIndex = p.reportIndex("x0"), p.reportIndex("x1")
+	config.Classes = p.classes()
+	config.EndpointTypes = p.endpointTypes()
+	for i := range p.count("tenants.count") {
+		config.Tenants = append(config.Tenants, dispatch.Tenant{RatePerSecond: p.number(fmt.Sprintf("tenants.%d.quota-per-s", i))})
+	}
+	for _, word := range p.words("family-info.route-fee") {
+		cost, _ := strconv.ParseFloat(word, 64) // held against the schema before
+		config.GroupCost = append(config.GroupCost, cost)
+	}
+	return config, p.err
+}
+
+// reportIndex is where a value stands in a load report; -1 if it is not in it.
+func (p *pairs) reportIndex(name string) int {
+	index := -1
+	for i, field := range p.words("telemetry.fields") {
+		if field == name {
+			index = i
 		}
 	}
+	return index
+}
+
+func (p *pairs) classes() (classes []dispatch.Class) {
 	for i := range p.count("classes.count") {
 		at := fmt.Sprintf("classes.%d.", i)
 		class := dispatch.Class{
@@ -131,28 +146,24 @@
 		case "guarded":
 			class.Idempotency = dispatch.IdempotencyKey
 		}
-		config.Classes = append(config.Classes, class)
+		classes = append(classes, class)
 	}
-	apart := p.words("family-info.separate-routes")
-	perCall := p.words("family-info.per-call")
+	return classes
+}
+
+func (p *pairs) endpointTypes() (types []dispatch.EndpointType) {
+	separate, perCall := p.words("family-info.separate-routes"), p.words("family-info.per-call")
 	for i := range p.words("shapes") {
-		shape := dispatch.EndpointType{MaxPerCall: 1}
-		if i < len(apart) {
-			shape.Separate = apart[i] == "true"
+		endpointType := dispatch.EndpointType{MaxPerCall: 1}
+		if i < len(separate) {
+			endpointType.Separate = separate[i] == "true"
 		}
 		if i < len(perCall) {
 			if n, err := strconv.Atoi(perCall[i]); err == nil && n > 1 {
-				shape.MaxPerCall = n
+				endpointType.MaxPerCall = n
 			}
 		}
-		config.EndpointTypes = append(config.EndpointTypes, shape)
+		types = append(types, endpointType)
 	}
-	for i := range p.count("tenants.count") {
-		config.Tenants = append(config.Tenants, dispatch.Tenant{RatePerSecond: p.number(fmt.Sprintf("tenants.%d.quota-per-s", i))})
-	}
-	for _, word := range p.words("family-info.route-fee") {
-		fee, _ := strconv.ParseFloat(word, 64)
-		config.GroupCost = append(config.GroupCost, fee)
-	}
-	return config, p.err
+	return types
 }
--- a/protocol/http.go
+++ b/protocol/http.go
@@ -119,31 +119,42 @@
 	return 0, false
 }
 
+// step takes in one line or a piece of a body, and reports how much it used and whether the answer is complete.
 func (a *Answers) step(b []byte) (used int, done bool) {
 	switch a.state {
 	case inBody, inChunk:
-		n := min(a.left, len(b))
-		a.now.Body = append(a.now.Body, b[:n]...)
-		if a.left -= n; a.left > 0 {
-			return n, false
-		}
-		if a.state == inBody {
-			return n, true
-		}
-		if len(b) < n+2 {
-			return n, false
-		}
-		if b[n] != '\r' || b[n+1] != '\n' {
-			return a.fail("a chunk does not end where it should")
-		}
-		a.state = inChunkSize
-		return n + 2, false
+		return a.stepBody(b)
 	case untilEnd:
 		if a.now.Body = append(a.now.Body, b...); len(a.now.Body) > a.limit {
 			return a.fail("body over %d bytes", a.limit)
 		}
 		return len(b), false
 	}
+	return a.stepLine(b)
+}
+
+// stepBody takes in a piece of a body of known length, or of a chunk of one.
+func (a *Answers) stepBody(b []byte) (used int, done bool) {
+	n := min(a.left, len(b))
+	a.now.Body = append(a.now.Body, b[:n]...)
+	if a.left -= n; a.left > 0 {
+		return n, false
+	}
+	if a.state == inBody {
+		return n, true
+	}
+	if len(b) < n+2 {
+		return n, false
+	}
+	if b[n] != '\r' || b[n+1] != '\n' {
+		return a.fail("a chunk does not end where it should")
+	}
+	a.state = inChunkSize
+	return n + 2, false
+}
+
+// stepLine takes in one line of the head, of a chunk's size or of the trailer.
+func (a *Answers) stepLine(b []byte) (used int, done bool) {
 	if a.state == inStatus && !begins(b, "HTTP/1.") {
 		return a.fail("no status line begins with %.20q", b)
 	}
