--- a/cmd/pineport/docs_test.go
+++ b/cmd/pineport/docs_test.go
@@ -91,3 +91,79 @@
 		}
 	}
 }
+
+// declarations are the names of functions, methods, types, fields and constants in the source of the courier.
+func declarations(t *testing.T) map[string]bool {
+	t.Helper()
+	declared := regexp.MustCompile(`(?m)^(?:func (?:\([^)]*\) )?|type |\t)([A-Za-z]\w*)`)
+	names := map[string]bool{}
+	err := filepath.WalkDir(repository, func(path string, entry fs.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		if name := entry.Name(); entry.IsDir() && (name == "testbed" || name == "journal" || name == ".git") {
+			return filepath.SkipDir
+		}
+		if !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+			return nil
+		}
+		text, err := os.ReadFile(path)
+		for _, found := range declared.FindAllStringSubmatch(string(text), -1) {
+			names[found[1]] = true
+		}
+		return err
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return names
+}
+
+// TestArchitectureNamesWhatExists: each package, program, file, function and type that the page on the architecture names exists.
+func TestArchitectureNamesWhatExists(t *testing.T) {
+	page := readPage(t, "ARCHITECTURE.md")
+	names := declarations(t)
+	quoted := regexp.MustCompile("`([^`\n]+)`")
+	// Files of the state folder, and a key and commands of other pages.
+	others := map[string]bool{"learned.lore": true, "peers.start": true, "maintenance.out": true, "owner.lock": true, "known": true, "policy": true,
+		"pineport config page": true, "state": true, "members": true}
+	paths, identifiers := 0, 0
+	for _, found := range quoted.FindAllStringSubmatch(page, -1) {
+		quote := found[1]
+		if _, err := os.Stat(filepath.Join(repository, quote)); err == nil {
+			paths++
+			continue
+		}
+		parts := strings.Split(quote, ".")
+		if last := parts[len(parts)-1]; names[last] {
+			identifiers++
+		} else if !others[quote] {
+			t.Errorf("%q is no path, and %q is declared nowhere", quote, last)
+		}
+	}
+	if paths < 30 || identifiers < 30 {
+		t.Errorf("%d paths and %d identifiers: the page is not read", paths, identifiers)
+	}
+}
+
+// TestReadmeNamesPathsThatExist: each path in the README's table of parts exists.
+func TestReadmeNamesPathsThatExist(t *testing.T) {
+	text, err := os.ReadFile(filepath.Join(repository, "README.md"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !strings.Contains(string(text), "docs/ARCHITECTURE.md") {
+		t.Error("README.md does not point to docs/ARCHITECTURE.md")
+	}
+	_, parts, _ := strings.Cut(string(text), "## How the parts fit")
+	parts, _, _ = strings.Cut(parts, "## Under the bench")
+	paths := column(parts, 1)
+	if len(paths) < 20 {
+		t.Errorf("%d paths: the table is not read", len(paths))
+	}
+	for _, path := range paths {
+		if _, err := os.Stat(filepath.Join(repository, path)); err != nil {
+			t.Errorf("README.md: %v", err)
+		}
+	}
+}
--- a/server/crossings_test.go
+++ b/server/crossings_test.go
@@ -282,7 +282,7 @@
 	if err := r.spool.Append(single("two")); err != nil {
 		t.Fatal(err)
 	}
-	r.recover([]*spool.Message{single("two")}, nil)
+	r.recoverMessages([]*spool.Message{single("two")}, nil)
 	r.step()
 	if out := r.messages["two"].attempts; len(out) != 1 || out[0].call.exchange.sent {
 		t.Fatalf("%d attempts; written to what had ended", len(out))
--- a/server/recovery.go
+++ b/server/recovery.go
@@ -49,7 +49,7 @@
 }
 
 // recover hands what the spool held to the decisions.
-func (s *Server) recover(unfinished []*spool.Message, given *handoff.State) {
+func (s *Server) recoverMessages(unfinished []*spool.Message, given *handoff.State) {
 	out := map[handoff.AttemptID]dispatch.Micros{}
 	if given != nil {
 		for _, o := range given.InFlight {
--- a/server/server.go
+++ b/server/server.go
@@ -115,7 +115,7 @@
 		r.handoff.takeOver(given)
 	}
 	r.operators.replayDisabled()
-	r.recover(unfinished, given)
+	r.recoverMessages(unfinished, given)
 	return r, nil
 }
 
