--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# build, test, lint; demo shows the main job; check plays all the laboratory's days.
+# build, test, lint; demo shows the main job; check plays all the testbed's days.
 .PHONY: build test lint demo check
 
 build:
@@ -12,6 +12,7 @@
 	test -z "$$(gofmt -l .)"
 	go vet ./...
 	go tool staticcheck ./...
+	go tool revive -config revive.toml ./...
 
 demo: build
 	bin/pineport-testbed demo
--- a/admin/admin.go
+++ b/admin/admin.go
@@ -31,14 +31,14 @@
 	ReloadFailure   int64            `json:"reload_failure"`
 }
 
-// What is asked for that changes something.
+// Commands that change something.
 type (
-	// SetDisabled takes an endpoint out, or puts it back.
+	// SetDisabled disables an endpoint, or enables it again.
 	SetDisabled struct {
 		Endpoint string
 		Disabled bool
 	}
-	// Enabled sends clients away, or ends that.
+	// Drain drains clients, or ends that.
 	Drain struct{ Enabled bool }
 )
 
--- a/cmd/pineport-testbed/check.go
+++ b/cmd/pineport-testbed/check.go
@@ -35,20 +35,12 @@
 			if err != nil {
 				return err
 			}
-			plan := experiment.Plan{Variants: []experiment.Variant{module}, Jobs: jobs()}
-			for seed := range seeds {
-				plan.Seeds = append(plan.Seeds, seed+1)
-			}
-			for _, name := range scenario.BuiltIn() {
-				if slices.Contains(unchecked, name) {
-					continue
-				}
-				d, err := scenario.Find(name)
-				if err != nil {
-					return err
-				}
-				plan.Days = append(plan.Days, d)
+			days := slices.DeleteFunc(scenario.BuiltIn(), func(name string) bool { return slices.Contains(unchecked, name) })
+			plan, err := comparison(days, int(seeds), nil)
+			if err != nil {
+				return err
 			}
+			plan.Variants, plan.Jobs = []experiment.Variant{module}, jobs()
 			cells, err := experiment.Run(cmd.Context(), plan)
 			if err != nil {
 				return err
--- a/cmd/pineport-testbed/compare.go
+++ b/cmd/pineport-testbed/compare.go
@@ -41,6 +41,42 @@
 	return func(v *invariants.Verdict) float64 { return pick(v.Series.Between(from, to)) }, pick != nil
 }
 
+// figurePicker returns what reads a figure of a verdict: of the whole day, or of a stretch of it, in seconds.
+func figurePicker(figure string, from, to float64) (func(v *invariants.Verdict) float64, error) {
+	pick, ok := figures[figure]
+	if !ok {
+		return nil, fmt.Errorf("--figure: figure, net, service, whole, window, costs, falls, refused or failed was expected, not %q", figure)
+	}
+	if to > from {
+		if pick, ok = stretch(figure, from, to); !ok {
+			return nil, fmt.Errorf("--figure: whole, failed or refused was expected for a stretch, not %q", figure)
+		}
+	}
+	return pick, nil
+}
+
+// comparison plans the plays of variants on days with seeds from 1.
+func comparison(days []string, seeds int, variants []string) (plan experiment.Plan, err error) {
+	for _, name := range days {
+		found, err := scenario.Find(name)
+		if err != nil {
+			return plan, err
+		}
+		plan.Days = append(plan.Days, found)
+	}
+	for seed := range seeds {
+		plan.Seeds = append(plan.Seeds, int64(seed+1))
+	}
+	for _, text := range variants {
+		variant, err := experiment.Parse(text)
+		if err != nil {
+			return plan, err
+		}
+		plan.Variants = append(plan.Variants, variant)
+	}
+	return plan, nil
+}
+
 func compareCmd() *cobra.Command {
 	var names []string
 	var seeds, workers int
@@ -53,33 +89,15 @@
   pineport-testbed compare module "old=wire:/tmp/old/simadapter" --figure whole`,
 		Args: cobra.MinimumNArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			pick, ok := figures[figure]
-			if !ok {
-				return fmt.Errorf("--figure: figure, net, service, whole, window, costs, falls, refused or failed was expected, not %q", figure)
-			}
-			if to > from {
-				if pick, ok = stretch(figure, from, to); !ok {
-					return fmt.Errorf("--figure: whole, failed or refused was expected for a stretch, not %q", figure)
-				}
-			}
-			plan := experiment.Plan{Jobs: workers}
-			for _, name := range names {
-				d, err := scenario.Find(name)
-				if err != nil {
-					return err
-				}
-				plan.Days = append(plan.Days, d)
-			}
-			for seed := range seeds {
-				plan.Seeds = append(plan.Seeds, int64(seed+1))
+			pick, err := figurePicker(figure, from, to)
+			if err != nil {
+				return err
 			}
-			for _, text := range args {
-				v, err := experiment.Parse(text)
-				if err != nil {
-					return err
-				}
-				plan.Variants = append(plan.Variants, v)
+			plan, err := comparison(names, seeds, args)
+			if err != nil {
+				return err
 			}
+			plan.Jobs = workers
 			plan.Progress = progress(cmd.Name(), len(plan.Days)*len(plan.Seeds)*len(plan.Variants))
 			cells, err := experiment.Run(cmd.Context(), plan)
 			if err != nil {
@@ -95,14 +113,14 @@
 				text, err := json.MarshalIndent(rows, "", "  ")
 				fmt.Fprintln(cmd.OutOrStdout(), string(text))
 				return err
-			} else if output != "table" {
+			}
+			if output != "table" {
 				return errors.New("--output: table or json was expected")
 			}
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 8, 2, ' ', 0)
 			fmt.Fprintf(w, "day\tvariant\tpairs\t%s of %s\tof it\tdifference\t95 %% interval\truns with a broken rule\n", figure, plan.Variants[0].Name)
 			for _, r := range rows {
-				fmt.Fprintf(w, "%s\t%s\t%d\t%.3f\t%.3f\t%+.3f\t%+.3f to %+.3f\t%d\n", r.Day, r.Variant, r.Pairs, r.Base, r.Mean,
-					r.Diff, r.Low, r.High, r.Broken)
+				fmt.Fprintf(w, "%s\t%s\t%d\t%.3f\t%.3f\t%+.3f\t%+.3f to %+.3f\t%d\n", r.Day, r.Variant, r.Pairs, r.Base, r.Mean, r.Diff, r.Low, r.High, r.Broken)
 			}
 			return w.Flush()
 		},
--- a/cmd/pineport/members.go
+++ b/cmd/pineport/members.go
@@ -2,17 +2,20 @@
 
 import (
 	"cmp"
+	"context"
 	"encoding/json"
 	"fmt"
 	"io"
 	"net/http"
 	"net/url"
+	"slices"
 	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
 
 	"pineport/config"
+	"pineport/membership"
 )
 
 // answerTimeout is how long a courier may take to show its fleet.
@@ -21,86 +24,98 @@
 // maxAnswer bounds what is read of an answer: some thousand members.
 const maxAnswer = 4 << 20
 
-func membersCmd() *cobra.Command {
-	cmd := &cobra.Command{Use: "members", Short: "Show the fleet as one courier knows it",
-		Long: "Show the fleet as one courier knows it, from its admin address: --ops, or ops of its configuration."}
-	var f flags
-	var at, output string
-	var every time.Duration
-	ask := func(method, path string) ([]byte, error) { return askAdmin(&f, at, method, path) }
-	look := func() (p pictured, err error) {
-		text, err := ask(http.MethodGet, "/peers")
-		if err == nil {
-			err = json.Unmarshal(text, &p)
+// membersQuery asks a courier about its fleet.
+type membersQuery struct {
+	flags  flags
+	admin  string // address; empty: from the configuration
+	output string
+}
+
+func (q *membersQuery) ask(method, path string) ([]byte, error) {
+	return askAdmin(&q.flags, q.admin, method, path)
+}
+
+func (q *membersQuery) fetch() (fleet pictured, err error) {
+	text, err := q.ask(http.MethodGet, "/peers")
+	if err == nil {
+		err = json.Unmarshal(text, &fleet)
+	}
+	return fleet, err
+}
+
+// show prints the fleet, or one member of it.
+func (q *membersQuery) show(out io.Writer, name string) error {
+	fleet, err := q.fetch()
+	if err != nil {
+		return err
+	}
+	if name != "" {
+		others := func(member membership.Member) bool { return string(member.Name) != name }
+		if fleet.Members = slices.DeleteFunc(fleet.Members, others); len(fleet.Members) == 0 {
+			return fmt.Errorf("no member has the name %q", name)
 		}
-		return p, err
 	}
-	show := func(out io.Writer, name string) error {
-		p, err := look()
+	switch q.output {
+	case "json":
+		return printJSON(out, fleet)
+	case "table":
+		return showMembers(out, fleet)
+	}
+	return fmt.Errorf("--output: table or json was expected, not %q", q.output)
+}
+
+// watch prints the fleet each time that it has changed, until the context ends.
+func (q *membersQuery) watch(ctx context.Context, out io.Writer, every time.Duration) error {
+	for last := uint64(0); ; {
+		fleet, err := q.fetch()
 		if err != nil {
 			return err
 		}
-		if name != "" {
-			found := p.Members[:0]
-			for _, m := range p.Members {
-				if string(m.Name) == name {
-					found = append(found, m)
-				}
-			}
-			if p.Members = found; len(found) == 0 {
-				return fmt.Errorf("no member has the name %q", name)
+		if fleet.Version != last || last == 0 {
+			if err := q.show(out, ""); err != nil {
+				return err
 			}
 		}
-		switch output {
-		case "json":
-			return printJSON(out, p)
-		case "table":
-			return showMembers(out, p)
+		last = fleet.Version
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-time.After(every):
 		}
-		return fmt.Errorf("--output: table or json was expected, not %q", output)
 	}
-	ls := &cobra.Command{Use: "ls", Short: "List the members, their states and this courier's own status", Args: cobra.NoArgs,
+}
+
+func membersCmd() *cobra.Command {
+	cmd := &cobra.Command{Use: "members", Short: "Show the fleet as one courier knows it",
+		Long: "Show the fleet as one courier knows it, from its admin address: --ops, or ops of its configuration."}
+	var query membersQuery
+	var every time.Duration
+	list := &cobra.Command{Use: "ls", Short: "List the members, their states and this courier's own status", Args: cobra.NoArgs,
 		Example: "  pineport members ls --ops 127.0.0.1:8081\n  pineport members ls --config courier.toml --output json",
-		RunE:    func(cmd *cobra.Command, _ []string) error { return show(cmd.OutOrStdout(), "") }}
-	one := &cobra.Command{Use: "show NAME", Short: "Show one member", Args: cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error { return show(cmd.OutOrStdout(), args[0]) }}
-	watch := &cobra.Command{Use: "watch", Short: "List the members each time the view changes, until interrupted", Args: cobra.NoArgs,
+		RunE:    func(cmd *cobra.Command, _ []string) error { return query.show(cmd.OutOrStdout(), "") }}
+	show := &cobra.Command{Use: "show NAME", Short: "Show one member", Args: cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error { return query.show(cmd.OutOrStdout(), args[0]) }}
+	watch := &cobra.Command{Use: "watch", Short: "List the members each time they change, until interrupted", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			for last := uint64(0); ; {
-				p, err := look()
-				if err != nil {
-					return err
-				}
-				if p.Version != last || last == 0 {
-					if err := show(cmd.OutOrStdout(), ""); err != nil {
-						return err
-					}
-				}
-				last = p.Version
-				select {
-				case <-cmd.Context().Done():
-					return nil
-				case <-time.After(every):
-				}
-			}
+			return query.watch(cmd.Context(), cmd.OutOrStdout(), every)
 		}}
 	watch.Flags().DurationVar(&every, "every", time.Second, "how often to look")
-	gone := &cobra.Command{Use: "gone NAME", Short: "Say that a member that failed will not come back, so that it is counted no more", Args: cobra.ExactArgs(1),
-		Long: "Say that a member that failed will not come back. Only the courier that is asked counts it no more: say it to each.",
-		RunE: func(cmd *cobra.Command, args []string) error {
-			_, err := ask(http.MethodPost, "/peers/gone/"+url.PathEscape(args[0]))
+	gone := &cobra.Command{Use: "gone NAME", Short: "Report that a failed member will not come back, so that it is not counted any more", Args: cobra.ExactArgs(1),
+		Long: "Report that a failed member will not come back. Only the courier that is asked stops counting it: report it to each.",
+		RunE: func(_ *cobra.Command, args []string) error {
+			_, err := query.ask(http.MethodPost, "/peers/gone/"+url.PathEscape(args[0]))
 			return err
 		}}
-	for _, c := range []*cobra.Command{ls, one, watch, gone} {
-		f.add(c)
-		c.Flags().StringVar(&at, "ops", "", "the courier's admin address (empty: from its configuration)")
-		c.Flags().StringVar(&output, "output", "table", "table or json")
-		cmd.AddCommand(c)
+	for _, command := range []*cobra.Command{list, show, watch, gone} {
+		query.flags.add(command)
+		command.Flags().StringVar(&query.admin, "ops", "", "the courier's admin address (empty: from its configuration)")
+		command.Flags().StringVar(&query.output, "output", "table", "table or json")
+		cmd.AddCommand(command)
 	}
 	return cmd
 }
 
-// askAdmin asks a courier at its operators' address: the one given, or ops of its configuration.
+// askAdmin calls a courier at its admin address: the one given, or ops of its configuration.
 func askAdmin(f *flags, addr, method, path string) ([]byte, error) {
 	if addr == "" {
 		sources, err := f.sources()
--- a/config/config.go
+++ b/config/config.go
@@ -123,8 +123,8 @@
 }
 
 // deployment takes the values of a sound document.
-func (doc *Document) deployment() (*Deployment, error) {
-	text := func(path string) string { return doc.Values[path].Text }
+func (d *Document) deployment() (*Deployment, error) {
+	text := func(path string) string { return d.Values[path].Text }
 	number := func(path string) float64 {
 		n, _ := strconv.ParseFloat(text(path), 64) // held against the schema before
 		return n
@@ -136,7 +136,7 @@
 		}
 		return strings.Split(text(path), ",")
 	}
-	deployment := &Deployment{Name: text("name"), Listen: text("listen"), Ops: text("ops"), Socket: int(number("socket_fd")), Discovery: text("discovery"), Known: doc.Known, Document: doc,
+	deployment := &Deployment{Name: text("name"), Listen: text("listen"), Ops: text("ops"), Socket: int(number("socket_fd")), Discovery: text("discovery"), Known: d.Known, Document: d,
 		Cores: number("limits.cores"), MemoryMB: int(number("limits.memory_mb")), Sockets: int(number("limits.sockets")),
 		SpoolMB: number("limits.disk_mb"), Learn: seconds("learned.every_s"), WatchTell: seconds("watch.every_s"), Retired: map[string]bool{},
 		Log: Log{Level: text("log.level"), Levels: map[string]string{}, JSON: text("log.format") == "json",
@@ -147,14 +147,14 @@
 	}
 	seed, _ := strconv.ParseUint(text("seed"), 16, 64)
 	settings := map[string]string{}
-	for path, v := range doc.Values {
+	for path, v := range d.Values {
 		if inner, ok := strings.CutPrefix(path, "settings."); ok {
 			settings[inner] = v.Text
 		}
 	}
 	var err error
 	if deployment.Dispatch, err = Dispatch(int64(seed), settings); err != nil {
-		return nil, fmt.Errorf("%s: %w", doc.File, err)
+		return nil, fmt.Errorf("%s: %w", d.File, err)
 	}
 	for i := range deployment.Dispatch.Classes {
 		deployment.Classes = append(deployment.Classes, settings[fmt.Sprintf("classes.%d.name", i)])
--- a/config/document.go
+++ b/config/document.go
@@ -312,16 +312,16 @@
 		if a == b || !ok || key.Unread || path == "seed" || strings.HasSuffix(path, ".count") {
 			continue
 		}
-		plans = append(plans, Plan{path, a, b, !key.Restart, effect(key, a, b)})
+		plans = append(plans, Plan{path, a, b, !key.Restart, effect(key, b)})
 	}
 	return plans
 }
 
 // OnReload says what a reload does with a change of the key.
-func (k Key) OnReload() string { return effect(k, "old", "new") }
+func (k Key) OnReload() string { return effect(k, "new") }
 
 // effect says what a change means for what is held.
-func effect(key Key, old, next string) string {
+func effect(key Key, next string) string {
 	switch {
 	case key.Restart:
 		return "waits for the next start"
--- a/config/page.go
+++ b/config/page.go
@@ -30,7 +30,7 @@
 		if key.Variable != "" {
 			doc += "; `" + key.Variable + "`"
 		}
-		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s | %s |\n", key.Path, doc, key.Unit, key.Expects(), missing, effect(key, "old", "new"))
+		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s | %s |\n", key.Path, doc, key.Unit, key.Expects(), missing, key.OnReload())
 	}
 	b.WriteString("\nKeys of the platform that nothing here reads are passed over; any other unknown key is warned of, with the nearest known one,\n" +
 		"and so are settings that come to nothing beside others; with `--strict` both are faults.\n")
--- a/dispatch/shadow_test.go
+++ b/dispatch/shadow_test.go
@@ -10,7 +10,7 @@
 
 // others are configurations that decide otherwise.
 var others = []func(*Config){
-	func(ch *Config) {},
+	func(*Config) {},
 	func(ch *Config) { ch.Slots, ch.MaxAttempts = 1, 2 },
 	func(ch *Config) { ch.QueueLimit, ch.MayTellRetryAfter = 2, !ch.MayTellRetryAfter },
 	func(ch *Config) { ch.Couriers, ch.OverloadFactor, ch.Seed = 400, 1.1, ch.Seed+1 },
@@ -89,7 +89,7 @@
 		StillQueued:  {func(config *Config) { config.QueueLimit = 9 }, []Micros{0}, [][]Event{{taken("r")}}, [][]Action{{Reject{"r", 0}}}},
 		OtherRetryAfter: {func(config *Config) { config.QueueLimit, config.MayTellRetryAfter = 1, false }, []Micros{0}, [][]Event{{taken("r")}},
 			[][]Action{{Reject{"r", second}}}},
-		StillAwaited: {func(config *Config) {}, []Micros{0, second}, [][]Event{{list, taken("r")}, {TimerFired{}}},
+		StillAwaited: {func(*Config) {}, []Micros{0, second}, [][]Event{{list, taken("r")}, {TimerFired{}}},
 			[][]Action{nil, {Cancel{"r", 0}}}},
 		FailedOnly: {func(config *Config) { config.Classes[0].Idempotency = AtMostOnce }, []Micros{0, second},
 			[][]Event{{list, taken("r")}, {AttemptFinished{Message: "r", Outcome: TimedOut}}}, nil},
--- a/protocol/calls.go
+++ b/protocol/calls.go
@@ -84,6 +84,7 @@
 // Health is where an endpoint stands on discovery's list.
 type Health string
 
+// The states of an endpoint, as discovery writes them.
 const (
 	InService Health = "in_service"
 	Draining  Health = "terminating"
--- a/protocol/http.go
+++ b/protocol/http.go
@@ -12,6 +12,7 @@
 // Progress is how far an attempt had come when it failed.
 type Progress int
 
+// How far an attempt may have come.
 const (
 	BeforeLastByte Progress = iota // the other side cannot have begun it
 	AfterLastByte                  // it may have
--- a/server/crossings_test.go
+++ b/server/crossings_test.go
@@ -301,7 +301,7 @@
 func TestAnswerReceivedAtTimeoutCounts(t *testing.T) {
 	for name, cross := range map[string]func(r *Server, attempt *attempt){
 		"overdue":    func(r *Server, attempt *attempt) { r.attemptOverdue(attempt) },
-		"called off": func(r *Server, attempt *attempt) { r.cancel(dispatch.Cancel{Message: "one"}) },
+		"called off": func(r *Server, _ *attempt) { r.cancel(dispatch.Cancel{Message: "one"}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			world := open(t, 0)
@@ -334,7 +334,7 @@
 	} {
 		for how, cross := range map[string]func(r *Server, attempt *attempt){
 			"overdue":    func(r *Server, attempt *attempt) { r.attemptOverdue(attempt) },
-			"called off": func(r *Server, attempt *attempt) { r.cancel(dispatch.Cancel{Message: "one"}) },
+			"called off": func(r *Server, _ *attempt) { r.cancel(dispatch.Cancel{Message: "one"}) },
 		} {
 			t.Run(name+" "+how, func(t *testing.T) {
 				world := open(t, 0)
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -483,7 +483,7 @@
 			t.Parallel()
 			world := open(t, 0)
 			var asked atomic.Int64
-			world.Lists = func(index int) string {
+			world.Lists = func(int) string {
 				if asked.Add(1) > 1 && name == "unknown state" {
 					return "" // it is notified once
 				}
--- a/simprotocol/read.go
+++ b/simprotocol/read.go
@@ -14,11 +14,11 @@
 	"pineport/dispatch"
 )
 
-// Started says that a courier begins anew, and Killed that it was killed; both come before the
-// decisions, so they are the host's.
 type (
+	// Started says that a courier starts anew. Like Killed it is handled by the host, before the decisions.
 	Started struct{ Config dispatch.Config }
-	Killed  struct{}
+	// Killed says that a courier was killed.
+	Killed struct{}
 )
 
 // Item is one event of a batch: a dispatch.Event, Started, or Killed.
@@ -84,7 +84,7 @@
 				f.err = err
 			}
 		default:
-			what := r.event(name, text, &f)
+			what := r.event(name, &f)
 			switch {
 			case f.err != nil || what == nil:
 			case courier < 0:
@@ -101,86 +101,19 @@
 	}
 }
 
-func (r *Reader) event(name, text string, f *fields) any {
+// event reads one event; nil where there is a fault, or nothing is known by that name.
+func (r *Reader) event(name string, f *fields) any {
 	switch name {
 	case "begin":
-		salt := f.integer()
-		if f.err != nil {
-			return nil
-		}
-		values := map[string]string{}
-		for _, part := range f.parts[f.at:] {
-			if key, value, ok := strings.Cut(part, "="); ok {
-				values[key] = value
-			}
-		}
-		if err := config.Sound(values); err != nil {
-			f.err = err
-			return nil
-		}
-		config, err := config.Dispatch(salt, values)
-		if err != nil {
-			f.err = err
-			return nil
-		}
-		return Started{config}
+		return f.started()
 	case "crash_now":
 		return Killed{}
 	case "topology":
-		f.integer()
-		page, how := f.optionalCount(), f.word()
-		news := dispatch.EndpointUpdate{}
-		switch how {
-		case "Persisted":
-			news.Kind = dispatch.CachedList
-		case "Complete":
-			news.Kind = dispatch.CompleteList
-		case "Partial":
-			news.Kind = dispatch.PartialList
-		case "Error":
-			news.Kind = dispatch.ListFailed
-			return news
-		default:
-			f.fail("unknown kind of list %q", how)
-			return nil
-		}
-		entries, ok := r.pages[page]
-		if !ok {
-			f.fail("no list has number %d", page)
-		}
-		news.Entries = entries
-		return news
+		return r.endpointUpdate(f)
 	case "job_in":
-		t := dispatch.MessageAccepted{Message: dispatch.MessageID(f.need())}
-		f.word()
-		t.Destination = dispatch.DestinationID(f.count())
-		t.Tenant = dispatch.TenantID(f.optionalCount())
-		if key := f.word(); key != "-" {
-			t.OrderingKey = dispatch.OrderingKey(key)
-		}
-		t.Deadline = f.span()
-		t.Class = dispatch.ClassID(f.count())
-		t.Resubmitted = f.optionalCount()&(2|16) != 0
-		return t
+		return f.accepted()
 	case "settled":
-		s := dispatch.AttemptFinished{Message: dispatch.MessageID(f.need()), Attempt: dispatch.AttemptNumber(f.count())}
-		f.word()
-		s.Outcome = f.outcome()
-		s.Duration = f.optionalSpan()
-		s.MessageDone = f.word() == "1"
-		if remark := f.optionalCount(); s.Outcome == dispatch.Throttled { // with others it means something else
-			s.RetryAfter = dispatch.Micros(remark) * 1000
-		}
-		if row := f.word(); row != "-" && row != "" {
-			for _, part := range strings.Split(row, ",") {
-				value, err := strconv.ParseFloat(part, 64)
-				if err != nil {
-					f.fail("bad number %q", part)
-				}
-				s.LoadReport = append(s.LoadReport, value)
-			}
-		}
-		return s
+		return f.finished()
 	case "client_left":
 		return dispatch.MessageCanceled{Message: dispatch.MessageID(f.need())}
 	case "tick_due":
@@ -192,6 +125,90 @@
 	return nil
 }
 
+func (f *fields) started() any {
+	salt := f.integer()
+	if f.err != nil {
+		return nil
+	}
+	values := map[string]string{}
+	for _, part := range f.parts[f.at:] {
+		if key, value, ok := strings.Cut(part, "="); ok {
+			values[key] = value
+		}
+	}
+	if err := config.Sound(values); err != nil {
+		f.err = err
+		return nil
+	}
+	config, err := config.Dispatch(salt, values)
+	if err != nil {
+		f.err = err
+		return nil
+	}
+	return Started{config}
+}
+
+func (r *Reader) endpointUpdate(f *fields) any {
+	f.integer()
+	page, how := f.optionalCount(), f.word()
+	news := dispatch.EndpointUpdate{}
+	switch how {
+	case "Persisted":
+		news.Kind = dispatch.CachedList
+	case "Complete":
+		news.Kind = dispatch.CompleteList
+	case "Partial":
+		news.Kind = dispatch.PartialList
+	case "Error":
+		news.Kind = dispatch.ListFailed
+		return news
+	default:
+		f.fail("unknown kind of list %q", how)
+		return nil
+	}
+	entries, ok := r.pages[page]
+	if !ok {
+		f.fail("no list has number %d", page)
+	}
+	news.Entries = entries
+	return news
+}
+
+func (f *fields) accepted() any {
+	t := dispatch.MessageAccepted{Message: dispatch.MessageID(f.need())}
+	f.word()
+	t.Destination = dispatch.DestinationID(f.count())
+	t.Tenant = dispatch.TenantID(f.optionalCount())
+	if key := f.word(); key != "-" {
+		t.OrderingKey = dispatch.OrderingKey(key)
+	}
+	t.Deadline = f.span()
+	t.Class = dispatch.ClassID(f.count())
+	t.Resubmitted = f.optionalCount()&(2|16) != 0
+	return t
+}
+
+func (f *fields) finished() any {
+	s := dispatch.AttemptFinished{Message: dispatch.MessageID(f.need()), Attempt: dispatch.AttemptNumber(f.count())}
+	f.word()
+	s.Outcome = f.outcome()
+	s.Duration = f.optionalSpan()
+	s.MessageDone = f.word() == "1"
+	if remark := f.optionalCount(); s.Outcome == dispatch.Throttled { // with others it means something else
+		s.RetryAfter = dispatch.Micros(remark) * 1000
+	}
+	if row := f.word(); row != "-" && row != "" {
+		for _, part := range strings.Split(row, ",") {
+			value, err := strconv.ParseFloat(part, 64)
+			if err != nil {
+				f.fail("bad number %q", part)
+			}
+			s.LoadReport = append(s.LoadReport, value)
+		}
+	}
+	return s
+}
+
 // list keeps a numbered list; all its rows are read even if one is bad.
 func (r *Reader) list(f *fields) error {
 	page, n := f.count(), f.count()
--- a/testbed/endpointmodel/endpointmodel.go
+++ b/testbed/endpointmodel/endpointmodel.go
@@ -71,17 +71,17 @@
 }
 
 // Remove takes an endpoint away: what it had in hand is cut off, connections are refused from now on.
-func (p *Partner) Remove(now dispatch.Micros, id dispatch.EndpointID) []Output {
+func (p *Partner) Remove(_ dispatch.Micros, id dispatch.EndpointID) []Output {
 	p.out = nil
 	if ep := p.endpoints[id]; ep != nil && !ep.gone {
 		ep.gone = true
-		p.cutOff(now, ep)
+		p.cutOff(ep)
 	}
 	return p.out
 }
 
 // Connect asks an endpoint for a connection.
-func (p *Partner) Connect(now dispatch.Micros, id dispatch.EndpointID) Link {
+func (p *Partner) Connect(_ dispatch.Micros, id dispatch.EndpointID) Link {
 	link := p.Door(id)
 	if link == Up {
 		p.endpoints[id].open++
@@ -191,7 +191,7 @@
 }
 
 // CallOff tells that nobody waits for a call any more: what has not begun is dropped, what has runs on.
-func (p *Partner) CallOff(now dispatch.Micros, c *Call) []Output {
+func (p *Partner) CallOff(_ dispatch.Micros, c *Call) []Output {
 	p.out = nil
 	j := c.job
 	if j == nil {
@@ -289,7 +289,7 @@
 }
 
 // cutOff breaks what an endpoint has in hand; it comes to nothing.
-func (p *Partner) cutOff(now dispatch.Micros, ep *endpoint) {
+func (p *Partner) cutOff(ep *endpoint) {
 	for _, j := range append(slices.Clone(ep.hand), ep.lost...) {
 		if j.call != nil && !j.called {
 			p.say(Answer{Call: j.call, Outcome: dispatch.Broken})
--- a/testbed/endpointmodel/health.go
+++ b/testbed/endpointmodel/health.go
@@ -7,7 +7,7 @@
 	"pineport/dispatch"
 )
 
-// Fault lets a trouble begin at an endpoint.
+// Inject lets a fault begin at an endpoint.
 func (p *Partner) Inject(now dispatch.Micros, id dispatch.EndpointID, s Fault) []Output {
 	p.out = nil
 	ep := p.endpoints[id]
@@ -48,7 +48,7 @@
 	ep.route.meter.shrunk = shrunk
 	switch {
 	case ep.refuses && !before.refuses:
-		p.cutOff(now, ep)
+		p.cutOff(ep)
 		ep.open = 0
 	case ep.silent && !before.silent:
 		ep.lost = append(ep.lost, ep.hand...)
@@ -57,7 +57,7 @@
 		}
 		ep.hand, ep.queue, ep.busy = nil, nil, 0
 	case !ep.silent && before.silent: // it is back: what was open there is reset
-		p.cutOff(now, ep)
+		p.cutOff(ep)
 		ep.open = 0
 	}
 	if before.stands && !ep.stands {
@@ -104,7 +104,7 @@
 	rt.fellTo = now + p.plan.FallDown
 	for _, ep := range rt.endpoints {
 		ep.diagnose(true)
-		p.cutOff(now, ep)
+		p.cutOff(ep)
 		ep.open = 0
 	}
 	p.lookAt(rt.fellTo, rt)
--- a/testbed/endpointmodel/plan.go
+++ b/testbed/endpointmodel/plan.go
@@ -10,6 +10,7 @@
 // LimitKind is how a destination counts what it takes.
 type LimitKind int
 
+// The kinds of limits.
 const (
 	NoLimit LimitKind = iota
 	Rate              // so many calls a second, with half a second's value saved up
@@ -98,7 +99,7 @@
 		Before   int
 		Known    bool
 	}
-	// Fell: a returning route was sent more than it could take, and is down again. Sent has what each courier sent.
+	// Fell reports that a recovering route was sent more than it could take, and is down again. Sent has what each courier sent.
 	Fell struct {
 		Route int
 		Since dispatch.Micros
@@ -119,6 +120,7 @@
 // Phase is where a route stands.
 type Phase int
 
+// The phases of a route.
 const (
 	Well Phase = iota
 	Out
@@ -130,6 +132,7 @@
 // Link is what comes of asking for a connection.
 type Link int
 
+// What may come of asking for a connection.
 const (
 	Up Link = iota
 	Refused
--- a/testbed/invariants/invariants.go
+++ b/testbed/invariants/invariants.go
@@ -66,6 +66,7 @@
 // End is how a message ended.
 type End int
 
+// The ends of a message.
 const (
 	Open End = iota
 	Delivered
@@ -182,7 +183,7 @@
 		series: series{dests: map[dispatch.DestinationID]*DestSeries{}}, latency: newLatencies(setup.Classes)}
 }
 
-// Offered: a client has a message for the first time.
+// Offered notes that a client has a message for the first time.
 func (l *Ledger) Offered(at dispatch.Micros, id dispatch.MessageID, work, tenant int, dest dispatch.DestinationID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -211,7 +212,7 @@
 	return true
 }
 
-// Taken: a courier owes a message's end from now on.
+// Taken notes that a courier accepted a message, and owes its final answer from now on.
 func (l *Ledger) Taken(at dispatch.Micros, id, originID dispatch.MessageID, courier int, key dispatch.OrderingKey, cutOff dispatch.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -234,7 +235,7 @@
 	}
 }
 
-// Sent: a courier began an attempt of a message. Attempts are numbered as they are sent.
+// Sent notes that a courier began an attempt of a message, and returns its number.
 func (l *Ledger) Sent(at dispatch.Micros, id dispatch.MessageID, p Place) (no int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -251,7 +252,7 @@
 	return len(r.attempts) - 1
 }
 
-// Settled: the courier has the outcome of an attempt, or has stopped waiting for it.
+// Settled notes that a courier has the outcome of an attempt, or has stopped waiting for it.
 func (l *Ledger) Settled(at dispatch.Micros, id dispatch.MessageID, no int, o dispatch.Outcome, notified dispatch.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -328,7 +329,7 @@
 	return 1 - (1-w.LatePart)*min(1, late/float64(w.Life-w.Objective))
 }
 
-// Ended: a message has its final answer without having been delivered.
+// Ended notes that a message has its final answer without having been delivered.
 func (l *Ledger) Ended(at dispatch.Micros, id dispatch.MessageID, how End) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -385,7 +386,7 @@
 	return r != nil && (r.mayRan || r.out > 0)
 }
 
-// Ran: a message took effect; before is how often it had done so already, known whether the repeat was dropped.
+// Ran notes that a message took effect; before is how often it had done so already, known whether the repeat was recognized.
 func (l *Ledger) Ran(at dispatch.Micros, id dispatch.MessageID, where dispatch.EndpointID, before int, known bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -401,7 +402,7 @@
 	}
 }
 
-// Notified: a courier has word that an endpoint drains or is gone; or that it is in again.
+// Notified notes that a courier was notified that an endpoint drains or is gone, or is in service again.
 func (l *Ledger) Notified(at dispatch.Micros, courier int, endpoint dispatch.EndpointID, phase dispatch.Phase) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -413,7 +414,7 @@
 	}
 }
 
-// Down and Back: a courier is away. Where lost is set, what it held went with it; where it forgets, nothing that it had
+// Down notes that a courier is away, until Back. Where lost is set, what it held went with it; where it forgets, nothing that it had
 // learned survives, and nobody can ask it to know.
 func (l *Ledger) Down(at dispatch.Micros, courier int, lost, forgets bool) {
 	l.mu.Lock()
@@ -450,7 +451,7 @@
 	}
 }
 
-// Killed: a courier was ended outright. An answer that was on its way to it then may not have been read: what it was for may
+// Killed notes that a courier was killed. An answer that was on its way to it then may not have been read: what it was for may
 // go again, as far as its class allows.
 func (l *Ledger) Killed(at dispatch.Micros, courier int) {
 	l.mu.Lock()
@@ -461,7 +462,7 @@
 	}
 }
 
-// Back: a courier serves again.
+// Back notes that a courier serves again.
 func (l *Ledger) Back(at dispatch.Micros, courier int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -473,14 +474,14 @@
 	}
 }
 
-// Stood: a courier stood still, and could answer nothing until then.
+// Stood notes that a courier was paused, and could answer nothing until then.
 func (l *Ledger) Stood(at dispatch.Micros, courier int, to dispatch.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.downs[courier] = append(l.downs[courier], down{at, to})
 }
 
-// Turned: the health of a route changed.
+// Turned notes that the health of a route changed.
 func (l *Ledger) Turned(at dispatch.Micros, dest dispatch.DestinationID, route int, out bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -496,7 +497,7 @@
 	}
 }
 
-// Fell: a returning route was sent more than it could take; sent has what each courier sent of that.
+// Fell notes that a recovering route was sent more than it could take; sent has what each courier sent of that.
 func (l *Ledger) Fell(at dispatch.Micros, dest dispatch.DestinationID, route int, sent map[int]float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -514,14 +515,14 @@
 	}
 }
 
-// Shook: a courier opened a new connection.
+// Shook notes that a courier opened a new connection.
 func (l *Ledger) Shook() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts.Handshakes++
 }
 
-// Crashed: a courier ended by itself, or its decisions failed.
+// Crashed notes that a courier exited by itself, or its decisions failed.
 func (l *Ledger) Crashed(at dispatch.Micros, courier int, why string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -544,7 +545,7 @@
 	return l.excused(courier, at) != at
 }
 
-// Unanswered: a courier that runs ended a connection without an answer to what it had read.
+// Unanswered notes that a courier that runs ended a connection without an answer to what it had read.
 func (l *Ledger) Unanswered(at dispatch.Micros, id dispatch.MessageID, courier int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/testbed/netfault/netfault.go
+++ b/testbed/netfault/netfault.go
@@ -182,7 +182,7 @@
 	sides.Add(2)
 	carry := func(from, to int, in, out net.Conn) {
 		defer sides.Done()
-		n.carry(from, to, in, out, ended)
+		n.carry(from, to, in, out)
 	}
 	go carry(w.from, w.to, near, far)
 	go carry(w.to, w.from, far, near)
@@ -199,50 +199,20 @@
 }
 
 // carry takes bytes one way until they end. What is cut one way is silent, as its sender hears nothing of it.
-func (n *Net) carry(from, to int, in, out net.Conn, ended <-chan struct{}) {
+func (n *Net) carry(from, to int, in, out net.Conn) {
 	buf := make([]byte, 16<<10)
 	passed := 0
 	for {
 		size, err := in.Read(buf)
-		for size > 0 {
-			c, change := n.get(from, to)
-			back, _ := n.get(to, from)
-			if c.Cut && back.Cut {
-				n.hit(from, to, Severed, size)
-				in.Close()
-				out.Close()
-				return
-			}
-			if !c.Cut && !c.Silent {
-				break
-			}
-			n.hit(from, to, map[bool]string{true: Severed, false: Silenced}[c.Cut], size)
-			select {
-			case <-change:
-			case <-n.done:
-				return
-			case <-time.After(30 * time.Second): // whoever waits so long has gone
+		if size > 0 {
+			if !n.awaitOpen(from, to, size) || !n.delay(from, to, size) {
 				in.Close()
 				out.Close()
 				return
 			}
-		}
-		if size > 0 {
-			c, _ := n.get(from, to)
-			if wait := c.Delay + time.Duration(float64(size)/max(c.Rate, 1e-9)*float64(time.Second)); c.Delay > 0 || c.Rate > 0 {
-				if c.Rate == 0 {
-					wait = c.Delay
-				}
-				n.hit(from, to, map[bool]string{true: Throttled, false: Delayed}[c.Rate > 0], size)
-				select {
-				case <-time.After(wait):
-				case <-n.done:
-					return
-				}
-			}
-			if c.Tear > 0 && passed+size > c.Tear {
+			if link, _ := n.get(from, to); link.Tear > 0 && passed+size > link.Tear {
 				n.hit(from, to, Torn, size)
-				out.Write(buf[:max(0, min(size-1, c.Tear-passed))])
+				out.Write(buf[:max(0, min(size-1, link.Tear-passed))])
 				in.Close()
 				out.Close()
 				return
@@ -261,3 +231,46 @@
 		}
 	}
 }
+
+// awaitOpen waits until a link that is cut one way, or silent, carries bytes again. It is false where both ways are cut, after 30 s, as
+// whoever waits so long has gone, and at the end of the net.
+func (n *Net) awaitOpen(from, to, size int) bool {
+	for {
+		link, change := n.get(from, to)
+		back, _ := n.get(to, from)
+		if link.Cut && back.Cut {
+			n.hit(from, to, Severed, size)
+			return false
+		}
+		if !link.Cut && !link.Silent {
+			return true
+		}
+		n.hit(from, to, map[bool]string{true: Severed, false: Silenced}[link.Cut], size)
+		select {
+		case <-change:
+		case <-n.done:
+			return false
+		case <-time.After(30 * time.Second):
+			return false
+		}
+	}
+}
+
+// delay waits as long as a link takes for so many bytes. It is false at the end of the net.
+func (n *Net) delay(from, to, size int) bool {
+	link, _ := n.get(from, to)
+	if link.Delay <= 0 && link.Rate <= 0 {
+		return true
+	}
+	wait := link.Delay
+	if link.Rate != 0 {
+		wait += time.Duration(float64(size) / max(link.Rate, 1e-9) * float64(time.Second))
+	}
+	n.hit(from, to, map[bool]string{true: Throttled, false: Delayed}[link.Rate > 0], size)
+	select {
+	case <-time.After(wait):
+		return true
+	case <-n.done:
+		return false
+	}
+}
--- a/testbed/scale/held_test.go
+++ b/testbed/scale/held_test.go
@@ -75,7 +75,7 @@
 				return append(actions, dispatch.SetTimer{At: dispatch.Micros(plays)})
 			}}
 		}},
-		{"sends what nobody gave it", heldInvalid, spoiling(func(events []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
+		{"sends what nobody gave it", heldInvalid, spoiling(func(_ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 			return append(actions, dispatch.Send{Message: "nobody's", Endpoint: endpointOf(0)})
 		})},
 	} {
--- a/testbed/scenario/draw.go
+++ b/testbed/scenario/draw.go
@@ -251,17 +251,23 @@
 	times    float64
 }
 
-func (w *Drawn) arrivals(floods []flood) {
-	d, rng := w.Day, stream(w.Seed, 4)
-	share, total := make([]float64, len(w.Destinations)), 0.0
-	for i, dst := range w.Destinations {
+// trafficShares is the usual traffic of each destination, and its sum.
+func (w *Drawn) trafficShares() (share []float64, total float64) {
+	share = make([]float64, len(w.Destinations))
+	for i, destination := range w.Destinations {
 		usage := 1.0
-		if dst.Tenant >= 0 {
-			usage = d.Tenants[dst.Tenant].Usage
+		if destination.Tenant >= 0 {
+			usage = w.Day.Tenants[destination.Tenant].Usage
 		}
-		share[i] = dst.Usual * usage
+		share[i] = destination.Usual * usage
 		total += share[i]
 	}
+	return share, total
+}
+
+func (w *Drawn) arrivals(floods []flood) {
+	d, rng := w.Day, stream(w.Seed, 4)
+	share, total := w.trafficShares()
 	pick := newPicker(share)
 	works := w.classesByKind()
 	clumps := d.Traffic.Clumps.draw(rng)
--- a/testbed/scenario/scenario_test.go
+++ b/testbed/scenario/scenario_test.go
@@ -131,7 +131,7 @@
 		text, _ := builtIn.ReadFile("days/" + name + ".toml")
 		f.Add(text)
 	}
-	f.Fuzz(func(t *testing.T, text []byte) {
+	f.Fuzz(func(_ *testing.T, text []byte) {
 		d, err := Read("fuzz.toml", text)
 		if err != nil || d.Traffic.FullPerSec*d.Length*max(1, d.Load[1]) > 1e4 || d.Traffic.Destinations > 20 || d.Fleet.Couriers > 100 {
 			return
--- a/transport/transport_test.go
+++ b/transport/transport_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-func (h *recordingHandler) Closed(_ *Conn, err error) {
+func (h *recordingHandler) Closed(*Conn, error) {
 	h.note("closed")
 	close(h.closed)
 }
