--- a/server/actions.go
+++ b/server/actions.go
@@ -2,7 +2,7 @@
 
 import "pineport/dispatch"
 
-// carryOut does what the decisions want; sends go out last, after clients have heard that theirs was accepted.
+// carryOut carries out the actions of the dispatcher. Calls start last, after clients have their replies.
 func (s *Server) carryOut(actions []dispatch.Action) {
 	var calls []*call
 	for _, action := range actions {
--- a/server/admin.go
+++ b/server/admin.go
@@ -14,10 +14,10 @@
 	"pineport/maintenance"
 )
 
-// doorSize bounds what operators may have waiting; each of them waits for the answer.
+// controlQueueSize bounds the commands that may wait; each of them waits for its result.
 const controlQueueSize = 16
 
-// AdminSockets is how many of the courier's descriptors are set apart for the operators' address.
+// AdminSockets is how many of the courier's descriptors are reserved for the admin address.
 func AdminSockets(dep *config.Deployment) int {
 	if dep.Ops == "" {
 		return 0
@@ -25,20 +25,20 @@
 	return min(16, dep.Sockets/24)
 }
 
-// request is one thing that operators ask for; done is notified once, after the step that did it.
+// command is one command of an operator; done gets its result once, after the step that carried it out.
 type command struct {
 	command any
 	done    chan commandResult
 }
 
-// answer says what stands after the step.
+// commandResult is the result of a command, with what is to be stored.
 type commandResult struct {
 	err        error
 	generation int64
 	disabled   map[string]bool // endpoints out then
 }
 
-// operators is what operators have reported the courier, and what they are notified.
+// adminState is what operators have commanded, and the metrics that they read.
 type adminState struct {
 	server        *Server
 	disabled      map[string]bool // endpoints that are out for maintenance
@@ -68,23 +68,23 @@
 	}
 }
 
-// remind tells decisions that begin who is out.
+// replayDisabled tells a new dispatcher which endpoints are disabled.
 func (o *adminState) replayDisabled() {
 	for _, id := range slices.Sorted(maps.Keys(o.disabled)) {
 		o.server.events = append(o.server.events, dispatch.MaintenanceChanged{Endpoint: dispatch.EndpointID(id), Disabled: true})
 	}
 }
 
-// Serving tells whether this process takes clients.
+// Serving reports whether this process accepts clients. Any goroutine may call it.
 func (s *Server) Serving() bool { return s.operators.serving.Load() }
 
-// Metrics are the last that were made up.
+// Metrics returns the metrics that were collected last. Any goroutine may call it.
 func (s *Server) Metrics() *admin.Metrics { return s.operators.figures.Load() }
 
-// CountFailedReload counts a configuration that was left out.
+// CountFailedReload counts a configuration that was rejected. Any goroutine may call it.
 func (s *Server) CountFailedReload() { s.operators.failedReloads.Add(1) }
 
-// Execute has the event loop do what operators want, and returns once it is done and lasts.
+// Execute has the loop carry out a command, and returns once it is done and stored. Any goroutine may call it.
 func (s *Server) Execute(ctx context.Context, what any) error {
 	command := command{what, make(chan commandResult, 1)}
 	select {
@@ -101,7 +101,7 @@
 	return s.persist(a)
 }
 
-// lasting writes down what an answer says, and returns what is to be notified.
+// persist stores what a result says, and returns its error.
 func (s *Server) persist(a commandResult) error {
 	if a.err != nil || a.disabled == nil {
 		return a.err
@@ -111,7 +111,7 @@
 
 var errUnknownCommand = errors.New("no such call here")
 
-// asked does what operators want; they are notified after the step.
+// execute carries out a command; its result is sent after the step.
 func (o *adminState) execute(command command) {
 	if o.server.handoff.handedOver {
 		o.server.handoff.forwardCommand(command)
@@ -129,7 +129,7 @@
 	o.replies = append(o.replies, func() { command.done <- a })
 }
 
-// maintain takes an endpoint out or puts it back; it must be on the list, or out.
+// setDisabled disables an endpoint or enables it again; it must be on the list, or disabled.
 func (o *adminState) setDisabled(w admin.SetDisabled) commandResult {
 	host, listed := o.server.endpoints[dispatch.EndpointID(w.Endpoint)]
 	if !listed && !o.disabled[w.Endpoint] {
@@ -149,12 +149,12 @@
 }
 
 const (
-	// Whoever hands out new connections stops within two tenths of a second of the first no, and asks each tenth.
+	// drainStart: a front that hands out connections stops within two tenths of a second of the first refusal, and probes every tenth.
 	drainStart    = 350 * 1000
 	drainInterval = 50 * 1000
 )
 
-// send sends clients away, or ends that. Connections that are up are served, and closed between two requests.
+// setDraining begins or ends draining. Open connections are served, and closed between two requests.
 func (o *adminState) setDraining(away bool) {
 	if away == o.isDraining() {
 		return
@@ -171,7 +171,7 @@
 
 func (o *adminState) due() dispatch.Micros { return min(o.drainAt, o.figuresAt) }
 
-// tick closes what rests while clients are drained.
+// tick closes idle connections while clients are drained.
 func (o *adminState) tick() {
 	if o.drainAt <= o.server.now {
 		o.drainAt = o.server.now + drainInterval
@@ -179,10 +179,10 @@
 	}
 }
 
-// showEvery is how old the figures may be.
+// figuresInterval is how old the metrics may be.
 const figuresInterval = 200 * 1000
 
-// publish makes the figures up anew, and tells operators what was done.
+// publish collects the metrics, and sends the results of commands.
 func (o *adminState) publish() {
 	if o.server.deployment.Ops != "" && o.server.now >= o.figuresAt || len(o.replies) > 0 {
 		o.figuresAt = o.server.now + figuresInterval
--- a/server/calls.go
+++ b/server/calls.go
@@ -35,7 +35,7 @@
 	return ""
 }
 
-// load puts an attempt on a call: sends of one step to one endpoint go together, up to what its shape takes.
+// addToCall puts an attempt on a call: attempts of one step to one endpoint go together, up to what its type takes.
 func (s *Server) addToCall(calls []*call, a dispatch.Send) []*call {
 	message := s.messages[a.Message]
 	if message == nil || message.ended {
@@ -64,8 +64,8 @@
 	return calls
 }
 
-// waitAlike has all attempts of a call waited for as long as the least of them allows, and returns until when. Failure: with a time
-// of its own for each, one attempt was given up while its call went on for the others, and messages were counted as lost.
+// alignTimeouts has all attempts of a call time out together, with the first, and returns when. Failure: with a timeout of its own for
+// each, one attempt was given up while its call went on for the others, and messages were counted as lost.
 func (c *call) alignTimeouts() dispatch.Micros {
 	limit := never
 	for _, attempt := range c.attempts {
@@ -78,7 +78,7 @@
 	return limit
 }
 
-// start sends a call on its way.
+// startCall sends a call on its way.
 func (s *Server) startCall(call *call) {
 	if len(call.attempts) == 0 {
 		return
@@ -95,9 +95,9 @@
 	s.endpointConns.start(call.exchange)
 }
 
-// leaves writes down a call's attempts as its first byte is about to leave, and no sooner, and puts the bytes together. Failures: noted when
-// they were decided, attempts whose connection was still coming up as the process was killed passed for calls that may have run, and what may
-// not be repeated was given up after the restart with no call. Put together then, a call went out with messages called off meanwhile.
+// callLeaves stores a call's attempts as its first byte is about to leave, and no sooner, and puts the bytes together. Failures: stored
+// when they were decided, attempts whose connection was still being opened as the process was killed passed for calls that may have run,
+// and at-most-once messages failed after the restart with no call. Put together then, a call went out with messages canceled meanwhile.
 func (s *Server) callLeaves(call *call) error {
 	for _, attempt := range slices.Clone(call.attempts) {
 		if attempt.message.ended || attempt.message.pastIdempotencyWindow(s.now) {
@@ -120,9 +120,10 @@
 	return nil
 }
 
+// errNothingToSend: all attempts of a call were canceled before its first byte.
 var errNothingToSend = errors.New("nothing of it is wanted any more")
 
-// note writes an attempt into the spool, once; with its outcome where it ended before it was sent.
+// noteAttempt stores an attempt, once; with its outcome where it ended before it was sent.
 func (s *Server) noteAttempt(attempt *attempt, outcome string) error {
 	if attempt.stored {
 		return nil
@@ -132,7 +133,7 @@
 		SentAt: int64(attempt.sentAt), Outcome: outcome})
 }
 
-// outcome writes down how an attempt ended.
+// noteOutcome stores the outcome of an attempt.
 func (s *Server) noteOutcome(attempt *attempt, outcome dispatch.Outcome) {
 	if attempt.stored {
 		s.logSpoolError(s.spool.FinishAttempt(attempt.message.stored.ID, attempt.number, outcomeName(outcome)))
@@ -145,12 +146,11 @@
 	return peerID{host: entry.Host, addr: entry.Dial, startedAt: entry.Born}
 }
 
-// restSlack is how long the rest of an answer may take once its first bytes are here: it is written at once, and the
-// longest way that a deployment tells of is a fifth of a second. A head or body without an end would else hold its slot,
-// and what it answered for, until nobody waits any more.
+// answerTimeout is how long the rest of an answer may take once its first bytes are here: it is written at once, and the longest way in any
+// deployment is a fifth of a second. A head or body without an end would otherwise hold its slot until the attempt times out.
 const answerTimeout = 500 * 1000
 
-// begun shortens the waiting for an answer of which a part has come, and takes that back where it was an interim one.
+// answerBegun shortens the timeout of attempts whose answer has begun, and takes that back where it was an interim answer.
 func (s *Server) answerBegun(call *call, begun bool) {
 	for _, attempt := range call.attempts {
 		if attempt.waitUntil = call.waitUntil; begun {
@@ -159,7 +159,7 @@
 	}
 }
 
-// answered steps the end of a call into the outcomes of its attempts.
+// callAnswered turns the end of a call into the outcomes of its attempts.
 func (s *Server) callAnswered(call *call, a protocol.Answer, err error) {
 	if errors.Is(err, errOvertaken) {
 		for _, attempt := range call.attempts {
@@ -194,14 +194,14 @@
 	}
 }
 
-// keepWait keeps a wait that an endpoint reported.
+// keepRetryAfter keeps a Retry-After of an endpoint.
 func (s *Server) keepRetryAfter(entry protocol.Host, until dispatch.Micros) {
 	maps.DeleteFunc(s.retryAfter, func(_ string, until dispatch.Micros) bool { return until <= s.now })
 	s.retryAfter[s.groupKey(entry)] = max(until, s.retryAfter[s.groupKey(entry)])
 	s.handoff.forwardRetryAfter(entry, until)
 }
 
-// route is what a wait holds for: an endpoint where its kind's are apart, else the destination.
+// groupKey names what a Retry-After holds for: the endpoint where its type's endpoints are separate, else the destination.
 func (s *Server) groupKey(entry protocol.Host) string {
 	if s.hasSeparateGroups(entry) {
 		return entry.Host
@@ -209,13 +209,13 @@
 	return strconv.Itoa(entry.Dest)
 }
 
-// apart tells whether a wait that an endpoint reported holds for it alone.
+// hasSeparateGroups reports whether a Retry-After of an endpoint holds for it alone.
 func (s *Server) hasSeparateGroups(entry protocol.Host) bool {
 	kind, ok := s.endpointTypeOf(entry)
 	return ok && kind.Separate
 }
 
-// kindOf is what the settings say of the kind that an endpoint is of; false where they know none of that name.
+// endpointTypeOf returns the type of an endpoint; false where the settings have none of that name.
 func (s *Server) endpointTypeOf(entry protocol.Host) (dispatch.EndpointType, bool) {
 	i := slices.Index(s.deployment.Shapes, entry.Kind)
 	if i < 0 || i >= len(s.deployment.Dispatch.EndpointTypes) {
@@ -224,7 +224,7 @@
 	return s.deployment.Dispatch.EndpointTypes[i], true
 }
 
-// outcomeOf reads an answer for all that a call carried.
+// outcomeOf reads the outcome of all attempts of a call from its answer.
 func outcomeOf(a protocol.Answer) dispatch.AttemptFinished {
 	switch {
 	case a.Status == 200:
@@ -241,7 +241,7 @@
 	return dispatch.AttemptFinished{Outcome: dispatch.Failure} // unknown: it may have run
 }
 
-// endOf reads one message's end from an answer for several; one that is not named may have run.
+// outcomeInBatch reads the outcome of one message from an answer for several; one that is not named may have run.
 func outcomeInBatch(word string) dispatch.AttemptFinished {
 	switch word {
 	case protocol.Accepted:
@@ -256,7 +256,7 @@
 	return dispatch.AttemptFinished{Outcome: dispatch.Failure}
 }
 
-// complete ends an attempt with its outcome and tells the decisions.
+// complete ends an attempt with its outcome, and hands it to the dispatcher.
 func (s *Server) complete(attempt *attempt, event dispatch.AttemptFinished) {
 	if s.handoff.handedOver {
 		s.handoff.forwardOutcome(attempt, event)
@@ -298,8 +298,8 @@
 	s.forget(attempt.message)
 }
 
-// overdue ends an attempt that was waited for long enough, unless its answer is here and only not dispatched yet. Failure: a delivered message
-// passed for one without an answer.
+// attemptOverdue ends an attempt that has timed out, unless its answer is here and not handled yet. Failure: a delivered message passed for
+// one without an answer.
 func (s *Server) attemptOverdue(attempt *attempt) {
 	if s.answerArriving(attempt) {
 		return
@@ -318,12 +318,12 @@
 	s.abandonCall(attempt.call)
 }
 
-// recheckAfter is how long an attempt that is to be given up is waited for where something that came over its connection lies unread. The poller
-// reads that at once unless the machine is busy; a peer that sends on and on gains no more than this.
+// recheckDelay is how long an attempt that is to be given up is still waited for where bytes over its connection lie unread. The poller
+// reads them at once unless the machine is busy; a peer that sends on and on gains no more than this.
 const recheckDelay = 5 * 1000
 
-// arrives tells whether the answer to an attempt is here, or may be: whole but not dispatched yet, or unread in the socket. For the latter it
-// gives the attempt a moment, once.
+// answerArriving reports whether the answer to an attempt is here, complete but not handled yet, or may lie unread in the socket. For the
+// latter it extends the timeout a little, once.
 func (s *Server) answerArriving(attempt *attempt) bool {
 	exchange := attempt.call.exchange
 	if s.endpointConns.hasAnswer(exchange) {
@@ -352,7 +352,7 @@
 	s.abandonCall(attempt.call)
 }
 
-// drop gives up a call once nobody waits for any of it.
+// abandonCall gives up a call once none of its attempts is waited for.
 func (s *Server) abandonCall(call *call) {
 	for _, attempt := range call.attempts {
 		if !attempt.finished {
--- a/server/counters.go
+++ b/server/counters.go
@@ -8,7 +8,7 @@
 	"pineport/dispatch"
 )
 
-// ending is what a message is counted under.
+// endingKind is what the end of a message is counted under.
 type endingKind int
 
 const (
@@ -18,7 +18,7 @@
 	numEndings
 )
 
-// counters are the figures for the operators, each counted where it happens.
+// counters are the metrics for operators, each counted where it happens.
 type counters struct {
 	endings    [][numEndings]int64 // by class
 	calls      int64
@@ -33,14 +33,14 @@
 func (c *counters) accepted() { c.unfinished++ }
 func (c *counters) ended()    { c.unfinished-- }
 
-// count takes down how a message of a class ended; of an unknown one nobody asks.
+// count counts the end of a message of a class; an unknown one is ignored.
 func (s *Server) count(class string, how endingKind) {
 	if w := slices.Index(s.deployment.Classes, class); w >= 0 {
 		s.counters.endings[w][how]++
 	}
 }
 
-// figures is a copy of the counters that belongs to nobody else.
+// collectMetrics returns a copy of the counters.
 func (s *Server) collectMetrics() *admin.Metrics {
 	f := &admin.Metrics{Success: map[string]int64{}, Overload: map[string]int64{}, Error: map[string]int64{},
 		Dispatches: s.counters.calls, Concurrent: s.counters.unfinished, Targets: int64(len(s.endpoints)),
--- a/server/discovery.go
+++ b/server/discovery.go
@@ -31,7 +31,7 @@
 	noticeLifetime    = 10 * 1000 * 1000 // after a message's time nobody asks for its end any more
 )
 
-// owed is a notice that the platform has not confirmed.
+// notice is a notice that the platform has not confirmed.
 type notice struct {
 	notice    protocol.Notice
 	until     dispatch.Micros
@@ -40,14 +40,14 @@
 	confirmed bool
 }
 
-// telling is one call with notices.
+// noticeCall is one call with notices.
 type noticeCall struct {
 	exchange  *exchange
 	timeoutAt dispatch.Micros
 	notices   []*notice
 }
 
-// platform speaks with discovery: one watch, and some calls with notices.
+// discovery speaks with the platform: one poll of the endpoint list, and some calls with notices.
 type discovery struct {
 	server        *Server
 	version       int64
@@ -68,7 +68,7 @@
 	}
 }
 
-// watch asks for what is newer than the list held; it goes on by itself until it fails.
+// poll asks for what is newer than the list held; it goes on by itself until it fails.
 func (p *discovery) poll() {
 	p.pollAt = never
 	if p.pollInFlight != nil {
@@ -130,8 +130,8 @@
 	p.poll()
 }
 
-// moved leaves the address that was used so far. The new one is asked for news at once and reported all that the old one
-// has not confirmed; a notice that both hear of does no harm.
+// addressChanged leaves the address that was used so far. The new one is polled at once, and gets all notices that the old one has not
+// confirmed; a notice that both get does no harm.
 func (p *discovery) addressChanged(old string) {
 	p.server.endpointConns.abort(p.pollInFlight)
 	p.pollInFlight = nil
@@ -146,7 +146,7 @@
 	p.poll()
 }
 
-// stop asks and tells nothing more; what is owed stands in the spool.
+// stop polls and sends nothing more; notices that are not confirmed are in the spool.
 func (p *discovery) stop() {
 	p.server.endpointConns.abort(p.pollInFlight)
 	p.pollInFlight, p.pollTimeoutAt, p.pollAt = nil, never, never
@@ -156,7 +156,7 @@
 	p.calls, p.notices = nil, nil
 }
 
-// tell owes the platform the end of a message.
+// addNotice owes the platform a notice for a message.
 func (p *discovery) addNotice(stored *spool.Message) {
 	p.notices = append(p.notices, &notice{until: dispatch.Micros(stored.Deadline) + noticeLifetime,
 		notice: protocol.Notice{ID: stored.ID, Rejected: stored.Ended == storedRejected, AgainMs: stored.RetryAfterMs}})
@@ -175,7 +175,7 @@
 	return at
 }
 
-// tick does what has fallen due.
+// tick does what is due.
 func (p *discovery) tick() {
 	now := p.server.now
 	if p.server.driver == nil {
@@ -200,7 +200,7 @@
 
 var errNoAnswer = errors.New("no answer in time")
 
-// notify sends the notices that are due, as many as a call takes, and tells whether there were any.
+// notify sends the notices that are due, as many as a call takes, and reports whether there were any.
 func (p *discovery) notify() bool {
 	call := &noticeCall{timeoutAt: p.server.now + noticeTimeout}
 	var notices []protocol.Notice
--- a/server/endpointconns.go
+++ b/server/endpointconns.go
@@ -11,7 +11,7 @@
 	"pineport/transport"
 )
 
-// exchange is one request and its answer. end is called once, unless it is given up.
+// exchange is one request and its answer. onEnd is called once, unless the exchange is given up.
 type exchange struct {
 	peer        peerID
 	bytes       []byte
@@ -30,7 +30,7 @@
 	onEnd     func(protocol.Answer, error)
 }
 
-// noted tells, once, that an exchange was written whole.
+// notifyWritten reports, once, that an exchange was written completely.
 func (x *exchange) notifyWritten(whole bool) {
 	if whole && x.sent && x.onWritten != nil {
 		x.onWritten()
@@ -38,15 +38,15 @@
 	}
 }
 
-// peer is who a connection leads to. An address alone is nobody: another endpoint may have taken it over, or the same
-// one may have started again.
+// peerID is the peer of a connection. An address alone is not enough: another endpoint may have taken it over, or the same one may have
+// been restarted.
 type peerID struct {
 	host      string // empty for the platform
 	addr      string
 	startedAt int64
 }
 
-// link is one connection to an endpoint or the platform; one exchange at a time goes over it.
+// endpointConn is one connection to an endpoint or to discovery; one exchange at a time goes over it.
 type endpointConn struct {
 	server        *Server
 	peer          peerID
@@ -111,8 +111,7 @@
 	}
 }
 
-// errUnasked: what comes over a connection where nothing is waited for belongs to nothing, and what comes next
-// could not be notified from it.
+// errUnexpectedAnswer: bytes that come while no answer is due belong to no request, and the next answer could not be told from them.
 var errUnexpectedAnswer = errors.New("an answer nobody asked for")
 
 func (l *endpointConn) Closed(conn *transport.Conn, err error) {
@@ -126,7 +125,7 @@
 	l.server.queue <- connDown{l, l.requests.Load(), status, slices.Clone(l.parser.Part()), conn.Flushed(), err}
 }
 
-// links are the connections this courier opened.
+// endpointConns are the connections that this courier opened.
 type endpointConns struct {
 	server      *Server
 	idle        map[peerID][]*endpointConn // the longest idle first
@@ -141,7 +140,7 @@
 	ls.updateLimits()
 }
 
-// limit takes the limits of the deployment.
+// updateLimits takes the limits of the deployment.
 func (ls *endpointConns) updateLimits() {
 	r := ls.server
 	ls.maxConns = (r.deployment.Sockets - AdminSockets(r.deployment)) * 4 / 10
@@ -176,7 +175,7 @@
 	conn.conn = ls.server.driver.Dial(exchange.peer.addr, ls.server.deployment.ConnectTimeout, conn)
 }
 
-// maxList bounds what is read of discovery's list, the longest answer there is.
+// maxList bounds the list of discovery, the longest answer there is, in bytes.
 const maxList = 1 << 20
 
 func (ls *endpointConns) write(conn *endpointConn, exchange *exchange) {
@@ -201,7 +200,7 @@
 
 const flushInterval = 50 * 1000
 
-// unwritten is when to look again at what the sockets have not taken yet.
+// nextFlushCheck returns when to look again at what the sockets have not taken yet.
 func (ls *endpointConns) nextFlushCheck() dispatch.Micros {
 	if len(ls.unflushed) == 0 {
 		return never
@@ -209,7 +208,7 @@
 	return ls.server.now + flushInterval
 }
 
-// flushed looks at that.
+// checkWritten looks at what the sockets have not taken yet.
 func (ls *endpointConns) checkWritten() {
 	ls.unflushed = slices.DeleteFunc(ls.unflushed, func(exchange *exchange) bool {
 		exchange.notifyWritten(ls.isWritten(exchange))
@@ -217,22 +216,22 @@
 	})
 }
 
-// out tells whether the last byte of an exchange has been handed to the socket.
+// isWritten reports whether the last byte of an exchange has been handed to the socket.
 func (ls *endpointConns) isWritten(exchange *exchange) bool {
 	return exchange.sent && exchange.conn.conn.Flushed()
 }
 
-// heard tells whether the whole answer to an exchange has come; it may not be taken in yet.
+// hasAnswer reports whether the complete answer to an exchange has come; it may not be handled yet.
 func (ls *endpointConns) hasAnswer(exchange *exchange) bool {
 	return exchange != nil && exchange.sent && !exchange.finished && ls.all[exchange.conn] && exchange.conn.answered.Load() == exchange.conn.requests.Load()
 }
 
-// stirs tells whether something that came since an exchange was written lies unread.
+// hasUnread reports whether something that came since an exchange was written lies unread.
 func (ls *endpointConns) hasUnread(exchange *exchange) bool {
 	return exchange != nil && exchange.sent && !exchange.finished && ls.all[exchange.conn] && exchange.conn.conn.HasUnread()
 }
 
-// abort gives up an exchange; its connection goes with it.
+// abort gives up an exchange, and closes its connection.
 func (ls *endpointConns) abort(exchange *exchange) {
 	if exchange == nil || exchange.finished {
 		return
@@ -266,7 +265,7 @@
 	exchange.onEnd(protocol.Answer{}, errOvertaken)
 }
 
-// errOvertaken: while the connection came up it was notified that nothing may be sent there.
+// errOvertaken: while the connection was being opened it became known that nothing may be sent there.
 var errOvertaken = errors.New("overtaken by a drain or a wait")
 
 func (ls *endpointConns) keepIdle(conn *endpointConn) {
@@ -289,7 +288,7 @@
 	exchange.onEnd(event.answer, nil)
 }
 
-// begun: the rest of an answer follows at once, or never. What follows an interim one may take its time.
+// answerBegun notes that an answer has begun: the rest of it follows at once, or never. What follows an interim one may take its time.
 func (ls *endpointConns) answerBegun(event answerBegun) {
 	if exchange := event.conn.exchange; exchange != nil && !exchange.finished && event.request == event.conn.requests.Load() {
 		exchange.begun, exchange.partialBody = event.begun, event.partialBody
@@ -329,7 +328,7 @@
 	exchange.onEnd(protocol.Answer{}, &protocol.Failure{Progress: progress, Err: event.err})
 }
 
-// makeRoom closes the connection that has been idle longest when there are many, and tells whether there is room.
+// evictIdle closes the connection that has been idle longest when there are many, and reports whether there is room.
 func (ls *endpointConns) evictIdle() bool {
 	if len(ls.all) < ls.maxConns {
 		return true
@@ -355,14 +354,14 @@
 	delete(ls.idle, to)
 }
 
-// closeResting closes every connection on which nothing is out.
+// closeAllIdle closes every connection without an exchange.
 func (ls *endpointConns) closeAllIdle() {
 	for to := range ls.idle {
 		ls.closeIdle(to)
 	}
 }
 
-// due is when the next idle connection has been kept long enough.
+// due returns when the next idle connection has been kept long enough.
 func (ls *endpointConns) due() dispatch.Micros {
 	at := never
 	for _, pool := range ls.idle {
@@ -373,7 +372,7 @@
 	return at
 }
 
-// expire closes what has been idle for long enough, well before the other side does.
+// expire closes what has been idle for long enough, well before the server does.
 func (ls *endpointConns) expire() {
 	for to, pool := range ls.idle {
 		n := 0
--- a/server/endpoints.go
+++ b/server/endpoints.go
@@ -8,7 +8,7 @@
 	"pineport/protocol"
 )
 
-// applyListing hands a list, or changes of it, to the decisions, and keeps the addresses.
+// applyEndpoints hands the endpoint list, or changes of it, to the dispatcher, and keeps the addresses.
 func (s *Server) applyEndpoints(l protocol.List, how dispatch.UpdateKind) {
 	for _, fault := range l.Faults {
 		s.log.Warn("endpoint list entry ignored", "error", fault)
@@ -48,11 +48,10 @@
 	}
 }
 
-// unlisted is how long a destination without any endpoint on the list is still known: many times what replacing its
-// endpoints takes.
+// unlistedLifetime is how long a destination without any listed endpoint is still known: many times what replacing its endpoints takes.
 const unlistedLifetime = 600 * 1000 * 1000
 
-// knows tells whether there is such a destination; without any list nobody can say.
+// knowsDestination reports whether a destination is known; without any list all are.
 func (s *Server) knowsDestination(dest int) bool {
 	until, ok := s.destinations[dest]
 	return ok && until > s.now || len(s.destinations) == 0
--- a/server/fleet.go
+++ b/server/fleet.go
@@ -5,15 +5,15 @@
 	"pineport/handoff"
 )
 
-// FleetSizeEstimated has the decisions count on so many couriers from the next step on. It never waits, and no step waits for it:
-// whatever becomes of the fleet's membership, messages flow.
+// FleetSizeEstimated sets the size of the fleet for the dispatcher, from the next step on. It never waits, and no step waits for it:
+// whatever becomes of the membership, messages flow. Any goroutine may call it.
 func (s *Server) FleetSizeEstimated(couriers int) { s.estimatedSize.Store(int64(couriers)) }
 
-// OnHandoff has f give up this process's place in the fleet, at the instant at which another one takes over.
+// OnHandoff has f give up this process's place in the fleet, at the instant at which a successor takes over.
 func (s *Server) OnHandoff(f func() *handoff.Membership) { s.onHandoff = f }
 
-// configuration is the settings' own, with as many couriers as the fleet counts where that is more: a part of a limit can only
-// become smaller by what others say.
+// dispatchConfig is the configured one, with the size of the fleet as it is estimated where that is more: a share of a limit can only
+// become smaller by what others report.
 func (s *Server) dispatchConfig() dispatch.Config {
 	ch := s.deployment.Dispatch
 	ch.Couriers = max(ch.Couriers, int(s.appliedSize))
--- a/server/handoff.go
+++ b/server/handoff.go
@@ -15,23 +15,23 @@
 	"pineport/protocol"
 )
 
-// ErrReclaim says that this process had handed all to a new one, which has gone: it is to begin anew from the folder.
+// ErrReclaim is returned by Run where this process had handed over to a successor that has gone: it is to start again from the folder.
 var ErrReclaim = errors.New("the process that took over has gone")
 
 type (
-	// knock is a new process that is ready to take over.
+	// successorArrived is a successor that is ready to take over.
 	successorArrived struct {
 		link  *handoff.Link
 		hello *handoff.Hello
 	}
-	// said is a message of the other process, nil when it has gone.
+	// peerMessage is a message of the other process, nil when its link has ended.
 	peerMessage struct {
 		link    *handoff.Link
 		message *handoff.Message
 	}
 )
 
-// upgrade is the other process of an upgrade: first a predecessor that handed all to this one, later a successor.
+// handoffState is the other process of an upgrade: first a predecessor that handed over to this one, later a successor.
 type handoffState struct {
 	server            *Server
 	machine           *handoff.Predecessor
@@ -52,15 +52,15 @@
 	u.server, u.machine, u.commands, u.release = r, handoff.NewPredecessor(r.deployment.Name), map[int64]chan commandResult{}, func() {}
 }
 
-// Successors lets new processes take over: release frees the folder at that instant.
+// Successors lets successors take over; release frees the folder at that instant.
 func (s *Server) Successors(release func()) { s.handoff.release = release }
 
-// SuccessorArrived is notified of a new process that is ready to take over.
+// SuccessorArrived reports a successor that is ready to take over. Any goroutine may call it.
 func (s *Server) SuccessorArrived(link *handoff.Link, hello *handoff.Hello) {
 	s.control <- successorArrived{link, hello}
 }
 
-// Predecessor joins the event loop with the process that handed all over.
+// Predecessor joins the loop with the process that handed over to it.
 func (s *Server) Predecessor(link *handoff.Link) {
 	s.handoff.predecessor = link
 	go s.listenTo(link)
@@ -82,14 +82,14 @@
 }
 
 const (
-	// So long, at most, connections in the midst of a command are waited for; a client waits for many times that.
+	// handoffSettleTimeout bounds the wait for clients in the midst of a command; a client waits for many times that.
 	handoffSettleTimeout = 10 * 1000
 	handoffSettleStep    = time.Millisecond
-	// adoptSlack is how much longer than the predecessor its successor waits for an outcome: a line over a socket takes far less.
+	// adoptionSlack is how much longer than the predecessor its successor waits for an outcome: a line over a socket takes far less.
 	adoptionSlack = 250 * 1000
 )
 
-// give hands all to the successor, at one instant: what came before it is decided here, what comes later by the successor.
+// handOver hands all to the successor, at one instant: what came before it is decided here, what comes later by the successor.
 func (u *handoffState) handOver() {
 	if !u.requested {
 		return
@@ -129,7 +129,8 @@
 	debug.FreeOSMemory() // both processes have one limit
 }
 
-// recallUnsent takes back what waits for a connection: until that is up the successor may have heard that nothing may go there.
+// withdrawUnsent takes back attempts that wait for a connection: until that is open the successor may have learned that nothing may be sent
+// there.
 func (u *handoffState) withdrawUnsent() {
 	for _, attempt := range slices.Clone(u.server.inFlight) {
 		if exchange := attempt.call.exchange; exchange != nil && !exchange.sent {
@@ -140,7 +141,7 @@
 	}
 }
 
-// state is what the folder does not hold.
+// state returns what the folder does not hold.
 func (u *handoffState) state() *handoff.State {
 	r := u.server
 	state := &handoff.State{Snapshot: r.takeSnapshot(), ListVersion: r.discovery.version, RetryAfter: maps.Clone(r.retryAfter), Disabled: slices.Sorted(maps.Keys(r.operators.disabled)),
@@ -157,7 +158,7 @@
 	return state
 }
 
-// inherit takes over what the predecessor handed on, beside the list.
+// takeOver takes over what the predecessor handed on, beside the list.
 func (u *handoffState) takeOver(state *handoff.State) {
 	r := u.server
 	state.Snapshot.TakenAt = min(state.Snapshot.TakenAt, r.now)
@@ -178,7 +179,7 @@
 	}
 }
 
-// adopt takes over an attempt that the predecessor has out; where its endpoint is not listed any more, it is given up.
+// adoptAttempt takes over an attempt that the predecessor has in flight; where its endpoint is not listed any more, it is given up.
 func (u *handoffState) adoptAttempt(adopted *attempt, limit dispatch.Micros) {
 	id := dispatch.EndpointID(adopted.message.stored.Attempts[adopted.number].Endpoint)
 	host, ok := u.server.endpoints[id]
@@ -192,7 +193,7 @@
 	u.server.inFlight = append(u.server.inFlight, adopted)
 }
 
-// serving tells the predecessor that clients are taken here.
+// announceServing tells the predecessor that clients are accepted here.
 func (u *handoffState) announceServing() {
 	if u.predecessor == nil {
 		return
@@ -204,14 +205,14 @@
 	u.unlisted = nil
 }
 
-// cancel tells the predecessor that an attempt is waited for no more.
+// cancelAttempt tells the predecessor that an attempt is given up.
 func (u *handoffState) cancelAttempt(attempt *attempt) {
 	if u.predecessor != nil {
 		u.predecessor.Send(handoff.Message{Cancel: &handoff.AttemptID{Message: attempt.message.stored.ID, Attempt: attempt.number}})
 	}
 }
 
-// waits tells the predecessor of a wait, in case it has to go on.
+// forwardRetryAfter tells the predecessor of a Retry-After, in case it has to go on.
 func (u *handoffState) forwardRetryAfter(entry protocol.Host, until dispatch.Micros) {
 	if u.predecessor == nil {
 		return
@@ -223,7 +224,7 @@
 	u.predecessor.Send(handoff.Message{RetryAfter: w})
 }
 
-// echo tells the successor how an attempt ended.
+// forwardOutcome tells the successor how an attempt ended.
 func (u *handoffState) forwardOutcome(attempt *attempt, event dispatch.AttemptFinished) {
 	if attempt.finished {
 		return
@@ -238,7 +239,7 @@
 	u.server.inFlight = slices.DeleteFunc(u.server.inFlight, func(o *attempt) bool { return o == landed })
 }
 
-// ask hands what operators want to the successor, which decides.
+// forwardCommand hands a command of an operator to the successor, which decides.
 func (u *handoffState) forwardCommand(command command) {
 	if len(u.commands) >= controlQueueSize {
 		command.done <- commandResult{err: errTooManyCommands}
@@ -258,7 +259,7 @@
 
 var errTooManyCommands = errors.New("too many calls wait for the process that took over")
 
-// said takes what the other process says.
+// messageReceived handles a message of the other process.
 func (u *handoffState) messageReceived(event peerMessage) {
 	switch {
 	case event.link == u.predecessor && event.message == nil:
@@ -309,7 +310,7 @@
 	}
 }
 
-// orphaned: nobody will tell any more how the predecessor's attempts ended; they may have run.
+// orphaned gives up the predecessor's attempts: nobody will report how they ended, and they may have run.
 func (u *handoffState) orphaned() {
 	u.predecessor = nil
 	lost := 0
@@ -356,7 +357,7 @@
 	MergeRetryAfter(&u.snapshotAtHandoff, &dispatch.Snapshot{Groups: []dispatch.GroupSnapshot{{Destination: retryAfter.Destination, Endpoint: retryAfter.Endpoint, RetryAfterUntil: retryAfter.Until}}})
 }
 
-// MergeRetryAfter adds to what is known the waits of another: of each route the later one holds.
+// MergeRetryAfter adds to a snapshot the Retry-After of another; of each group the later one holds.
 func MergeRetryAfter(l, other *dispatch.Snapshot) *dispatch.Snapshot {
 	for _, o := range other.Groups {
 		i := slices.IndexFunc(l.Groups, func(r dispatch.GroupSnapshot) bool { return r.Destination == o.Destination && r.Endpoint == o.Endpoint })
@@ -369,7 +370,8 @@
 	return l
 }
 
-// bereft: the successor has gone.
+// successorLost goes on where the successor has gone. Failure: a successor that left while all was made ready for it was handed all the
+// same, and nobody decided any more.
 func (u *handoffState) successorLost() {
 	for _, done := range u.commands {
 		done <- commandResult{err: fmt.Errorf("asked in an upgrade: %w", ErrReclaim)}
@@ -383,7 +385,7 @@
 	}
 }
 
-// CountFrom goes on counting where another event loop of this process left off.
+// CountFrom continues the counters of an earlier event loop of this process.
 func (s *Server) CountFrom(before *Server) {
 	s.counters.endings, s.counters.calls = before.counters.endings, before.counters.calls
 	s.counters.grow(len(s.deployment.Classes))
@@ -391,5 +393,5 @@
 	s.operators.failedReloads.Store(before.operators.failedReloads.Load())
 }
 
-// SnapshotAtHandoff is what this process had learned as it handed all over, for a event loop that goes on after its successor has gone.
+// SnapshotAtHandoff returns what this process had learned when it handed over, for a loop that goes on after its successor has gone.
 func (s *Server) SnapshotAtHandoff() *dispatch.Snapshot { return &s.handoff.snapshotAtHandoff }
--- a/server/malformed.go
+++ b/server/malformed.go
@@ -6,8 +6,7 @@
 	"pineport/dispatch"
 )
 
-// malformed is what came in that could not be used, since it was last logged: one line for all of it, as it may come at
-// full speed.
+// malformedInput is what could not be used of what came in, since it was last logged: one line for all of it, as it may come at full speed.
 type malformedInput struct {
 	clients, answers       int
 	lastClient, lastAnswer error // the last
--- a/server/message.go
+++ b/server/message.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// message is a message that the courier has accepted, for as long as it is not ended or a call with it is still out.
+// message is an accepted message, until it has ended and no call with it is in flight.
 type message struct {
 	stored     *spool.Message  // as the spool has it
 	waiting    []*reply        // until they are written; more than one where it was submitted again in the same step
@@ -15,7 +15,7 @@
 	attempts   []*attempt
 	inFlight   int // attempts that are not over
 	ended      bool
-	// repeatWindow is how long a repeat is known by its idempotency key, as the class had it when the message was accepted; 0: no matter.
+	// idempotencyWindow returns the window of a class with idempotency keys; 0 for all others.
 	idempotencyWindow dispatch.Micros
 }
 
@@ -28,8 +28,8 @@
 	return class.IdempotencyWindow
 }
 
-// windowOver tells whether an earlier attempt may have run, so long ago that a repeat is not known by its idempotency key any more.
-// Failure: a repeat that was decided within the window went out after it, as its connection took a second to come up.
+// pastIdempotencyWindow reports whether an earlier attempt may have run, so long ago that a retry is not recognized by its idempotency key
+// any more. Failure: a retry that was decided within the window went out after it, as its connection took a second to open.
 func (m *message) pastIdempotencyWindow(now dispatch.Micros) bool {
 	if m.idempotencyWindow == 0 {
 		return false
@@ -42,12 +42,12 @@
 	return false
 }
 
-// mayHaveRun tells whether an attempt that ended so may have taken effect.
+// mayHaveRun reports whether an attempt with that outcome may have taken effect.
 func mayHaveRun(outcome dispatch.Outcome) bool {
 	return outcome != dispatch.Throttled && outcome != dispatch.Unreachable && outcome != dispatch.Unprocessed
 }
 
-// attempt is one try to deliver a message: a call to an endpoint, alone or together with attempts of other messages.
+// attempt is one attempt to deliver a message: a call to an endpoint, alone or together with attempts of other messages.
 type attempt struct {
 	message   *message
 	number    int // among the message's attempts, from 0
@@ -59,7 +59,7 @@
 	finished  bool
 }
 
-// accepted is what the decisions are notified of a message that was accepted.
+// acceptedEvent returns a stored message as an event of the dispatcher.
 func (s *Server) acceptedEvent(stored *spool.Message) dispatch.MessageAccepted {
 	return dispatch.MessageAccepted{Message: dispatch.MessageID(stored.ID), Destination: dispatch.DestinationID(stored.Destination),
 		Class:  dispatch.ClassID(slices.Index(s.deployment.Classes, stored.Class)),
@@ -81,18 +81,18 @@
 	kind         endingKind
 }
 
-// reject ends a message undelivered in a way that may be tried again, after the pause.
+// reject ends a message that is safe to submit again, with its Retry-After.
 func (s *Server) reject(id dispatch.MessageID, pause dispatch.Micros) {
 	againMs := int64((pause + 999) / 1000)
 	s.endUndelivered(id, undelivered{reply: protocol.ReplyBusy(againMs), stored: storedRejected, retryAfterMs: againMs, kind: rejected})
 }
 
-// fail ends a message undelivered for good: trying again might do harm.
+// fail ends a message that is not safe to submit again.
 func (s *Server) fail(id dispatch.MessageID) {
 	s.endUndelivered(id, undelivered{reply: protocol.ReplyError("ERR terminated"), stored: storedFailed, kind: failed})
 }
 
-// endUndelivered tells the client how a message ended if it still waits for its reply, and else the platform.
+// endUndelivered answers the client if it still waits for its reply, and else owes the platform a notice.
 func (s *Server) endUndelivered(id dispatch.MessageID, how undelivered) {
 	message := s.messages[id]
 	if message == nil || message.ended {
@@ -123,7 +123,7 @@
 	}
 }
 
-// forget gives up what is held of a message that is ended, once no call with it is out.
+// forget drops a message that has ended, once no call with it is in flight.
 func (s *Server) forget(message *message) {
 	if message.ended && message.inFlight == 0 {
 		delete(s.messages, dispatch.MessageID(message.stored.ID))
--- a/server/queue.go
+++ b/server/queue.go
@@ -10,13 +10,13 @@
 	"pineport/server/clientconn"
 )
 
-// late is more than a loaded machine delays a timer by, and less than an answer takes.
+// pausedAfter is more than a loaded machine delays a timer by, and less than an answer takes.
 const pausedAfter = 50 * 1000
 
 const hour = 3600 * 1000 * 1000
 
-// standstill lets in what came while this process stood still, before anything is judged overdue: its own
-// delay would pass for the endpoints' silence.
+// catchUpAfterPause takes in what came while this process was paused, before anything is judged overdue: its own delay would pass for
+// silence of the endpoints.
 func (s *Server) catchUpAfterPause(due dispatch.Micros) {
 	for waited := 0; s.clock()-due > pausedAfter && waited < 4; waited++ {
 		time.Sleep(pausedAfter / 2 * time.Microsecond)
@@ -27,7 +27,7 @@
 	}
 }
 
-// gather dispatches all that has come by now.
+// drainQueues handles all events that have come by now.
 func (s *Server) drainQueues() {
 	for range len(s.control) {
 		s.handle(<-s.control)
@@ -42,7 +42,7 @@
 	}
 }
 
-// dispatch hands what came in to the part that it is for. A panic over it costs the client that sent it its connection, and nothing else.
+// handle hands an event to the part that it is for. A panic over a command is answered with an error, and costs nobody else anything.
 func (s *Server) handle(what any) {
 	s.now = s.clock()
 	repliesBefore := len(s.replies)
--- a/server/quota.go
+++ b/server/quota.go
@@ -7,18 +7,18 @@
 	"pineport/quota"
 )
 
-// sharing is what couriers have settled among themselves, on its way to the decisions.
+// sharesAgreed is what couriers have agreed on about limits, on its way to the dispatcher.
 type sharesAgreed struct {
 	parts   []quota.Share
 	epoch   time.Time // their clock's
 	applied chan struct{}
 }
 
-// needsEvery is how old what the decisions tell of their routes may be.
+// demandsInterval is how old the demands of the dispatcher may be.
 const demandsInterval = 100 * 1000
 
-// ApplyShares hands the decisions what stands on limits, at their next step; what it returns is closed after that. It never waits: nil where
-// this process cannot take it just now.
+// ApplyShares hands the dispatcher the shares that hold, at its next step; the channel is closed after that. It never waits: nil where the
+// loop cannot take it now. Any goroutine may call it.
 func (s *Server) ApplyShares(parts []quota.Share, zero time.Time) (applied <-chan struct{}) {
 	agreed := sharesAgreed{parts, zero, make(chan struct{})}
 	select {
@@ -29,7 +29,7 @@
 	}
 }
 
-// Demands is what the decisions last reported of their routes.
+// Demands returns what the dispatcher last reported of its groups. Any goroutine may call it.
 func (s *Server) Demands() []dispatch.Demand {
 	if all := s.demands.Load(); all != nil {
 		return *all
@@ -37,17 +37,18 @@
 	return nil
 }
 
-// shares tells whether parts of limits are shared among couriers at all.
+// sharesQuota reports whether limits are shared among couriers at all.
 func (s *Server) sharesQuota() bool { return s.deployment.Peers.Sharing() }
 
-// holdBack is notified at each beginning of the decisions: an earlier start, or the decisions that failed, may have granted half of each part.
+// reserveGranted is called at each start of a dispatcher: an earlier start, or a dispatcher that panicked, may have granted half of each
+// share.
 func (s *Server) reserveGranted() {
 	if s.sharesQuota() {
 		s.grantedUntil = s.clock() + quota.GrantHorizon
 	}
 }
 
-// applySharing hands the decisions what couriers have settled.
+// applyShares hands the dispatcher the shares that hold.
 func (s *Server) applyShares(agreed sharesAgreed) {
 	if s.handoff.handedOver {
 		return // another process decides, and has been reported nothing
@@ -59,7 +60,7 @@
 	s.operators.replies = append(s.operators.replies, func() { close(agreed.applied) })
 }
 
-// tellNeeds has the decisions tell of their routes, now and then.
+// publishDemands collects the demands of the dispatcher, now and then.
 func (s *Server) publishDemands() {
 	if !s.sharesQuota() || s.now < s.demandsAt {
 		return
--- a/server/recovery.go
+++ b/server/recovery.go
@@ -10,8 +10,8 @@
 	"pineport/spool"
 )
 
-// renew hands all that is held to decisions that know nothing yet, and nothing of what the failed ones had learned. Where they fail again over that, it is ended,
-// so that one message cannot stop all others for ever.
+// restartDispatcher hands all unfinished messages to a new dispatcher, without what the one that panicked had learned. Where that panics
+// again over them, they fail, so that one message cannot stop all others for ever.
 func (s *Server) restartDispatcher() {
 	if s.handoff.handedOver {
 		return
@@ -48,7 +48,7 @@
 	}
 }
 
-// recover hands what the spool held to the decisions.
+// recoverMessages hands what the spool held to the dispatcher.
 func (s *Server) recoverMessages(unfinished []*spool.Message, given *handoff.State) {
 	out := map[handoff.AttemptID]dispatch.Micros{}
 	if given != nil {
@@ -84,7 +84,7 @@
 	}
 }
 
-// recall is what the decisions are notified of a message from before them.
+// recoveredEvent returns a message that was held before this dispatcher as an event.
 func (s *Server) recoveredEvent(message *message) dispatch.MessageRecovered {
 	e := dispatch.MessageRecovered{MessageAccepted: s.acceptedEvent(message.stored)}
 	for i, t := range message.stored.Attempts {
--- a/server/reload.go
+++ b/server/reload.go
@@ -7,11 +7,11 @@
 	"pineport/snapshot"
 )
 
-// OnReload has f reported of each configuration that was taken over, for what the process itself must set.
+// OnReload has f called for each configuration that was taken over, for what the process itself must set.
 func (s *Server) OnReload(f func(*config.Deployment)) { s.onReload = f }
 
-// reload takes over what a configuration read anew changes, while messages are held: all that is held, out or reported to wait
-// stays as it is, and messages keep what they were promised when they were accepted. What must wait for a start is named.
+// reload takes over a reloaded configuration while messages are held: unfinished messages, attempts in flight and Retry-After stay as they
+// are, and messages keep what they were promised when they were accepted. What must wait for a restart is logged.
 func (s *Server) reload(next *config.Deployment) {
 	waiting := s.deployment.Waiting(next)
 	merged := s.deployment.Merged(next)
@@ -52,7 +52,7 @@
 	}
 }
 
-// heldOf is how many messages of a class are held.
+// countHeld counts the unfinished messages of a class.
 func (s *Server) countHeld(class string) (n int) {
 	for _, message := range s.messages {
 		if !message.ended && message.stored.Class == class {
@@ -62,7 +62,7 @@
 	return n
 }
 
-// SpoolLimit is how much of the folder that lasts is the spool's.
+// SpoolLimit is the spool's part of the state folder, in bytes.
 func SpoolLimit(dep *config.Deployment) int64 {
 	folder := int64(dep.SpoolMB * 1e6)
 	left := folder
--- a/server/server.go
+++ b/server/server.go
@@ -1,5 +1,5 @@
-// Package server joins the decisions with the outside: one goroutine owns the dispatch.Dispatcher and all that is
-// known of messages, gathers what happened, calls Handle and carries out what it returns. It decides nothing.
+// Package server is the event loop of a courier: one goroutine owns the dispatch.Dispatcher and all that is known of messages, gathers
+// events, steps the dispatcher and carries its actions out. It decides nothing. docs/ARCHITECTURE.md has the way of a message through it.
 package server
 
 import (
@@ -22,16 +22,16 @@
 
 const never = dispatch.Micros(math.MaxInt64)
 
-// inboxSize bounds what waits for the event loop; when it is full the poller reads on later. 256 took 70 MB of small
-// commands from five clients that read no replies.
+// queueSize bounds the events that wait for the loop; when it is full the poller reads on later. 256 took 70 MB of small commands from five
+// clients that read no replies.
 const queueSize = 64
 
-// decider is a dispatch.Dispatcher.
+// dispatcher is what the loop needs of a dispatch.Dispatcher.
 type dispatcher interface {
 	Handle(dispatch.Micros, []dispatch.Event) []dispatch.Action
 }
 
-// Server runs one courier.
+// Server is the event loop of one courier. The goroutine of Run owns it; methods that other goroutines may call say so.
 type Server struct {
 	deployment         *config.Deployment
 	log                *slog.Logger
@@ -53,7 +53,7 @@
 	messages           map[dispatch.MessageID]*message
 	inFlight           []*attempt // oldest first
 	endpoints          map[dispatch.EndpointID]protocol.Host
-	destinations       map[int]dispatch.Micros    // those that lists name, and until when
+	destinations       map[int]dispatch.Micros    // known destinations, and until when
 	retryAfter         map[string]dispatch.Micros // reported by a route, until when; the decisions keep their own
 	endpointConns      endpointConns
 	clients            *clientconn.Set
@@ -65,9 +65,9 @@
 	counters           counters
 	operators          adminState
 	handoff            handoffState
-	onReload           func(*config.Deployment)   // reported of each configuration taken over
+	onReload           func(*config.Deployment)   // called for each configuration that is taken over
 	onHandoff          func() *handoff.Membership // gives up this process's place in the fleet
-	estimatedSize      atomic.Int64               // that the fleet counts, 0 where nobody does
+	estimatedSize      atomic.Int64               // of the fleet, by its membership; 0 if unknown
 	appliedSize        int64
 	configuredCouriers int // couriers, as the decisions were notified
 	demands            atomic.Pointer[[]dispatch.Demand]
@@ -79,8 +79,8 @@
 	drainAt            dispatch.Micros // from here on clients' connections are closed between requests
 }
 
-// New makes a event loop over an open spool; unfinished is what the spool still held. given is what the process before this one
-// handed over while it ran, nil where none did.
+// New returns an event loop over an open spool; unfinished is what the spool still held. given is what a predecessor handed over, nil where
+// none did.
 func New(dep *config.Deployment, sp *spool.Spool, unfinished []*spool.Message, given *handoff.State, log *slog.Logger) (*Server, error) {
 	r := &Server{deployment: dep, log: log, spool: sp, queue: make(chan any, queueSize), control: make(chan any, controlQueueSize),
 		startedAt: time.Now(), timerAt: never, shutdownBy: never, drainAt: never, messages: map[dispatch.MessageID]*message{},
@@ -119,8 +119,8 @@
 	return r, nil
 }
 
-// Run listens and works until stop is closed; then it goes on for as long as grace allows. What comes in over reloads
-// is taken over as far as a process that runs can.
+// Run listens and works until stop is closed, and then for as long as grace allows. Configurations from reloads are taken over as far as a
+// running process can.
 func (s *Server) Run(stop <-chan struct{}, reloads <-chan *config.Deployment, grace time.Duration) error {
 	if err := s.startServing(); err != nil {
 		return err
@@ -155,7 +155,7 @@
 	}
 }
 
-// startServing listens, and takes the first step: over what the event loop began with.
+// startServing listens, and takes the first step, over what the loop was started with.
 func (s *Server) startServing() error {
 	driver, err := s.openDriver()
 	if err != nil {
@@ -186,7 +186,7 @@
 	return s.startedAtUnix + dispatch.Micros(time.Since(s.startedAt).Microseconds())
 }
 
-// check logs what the spool could not write; decisions go on with what is in memory.
+// logSpoolError logs what could not be written to the spool; the loop goes on with what is in memory.
 func (s *Server) logSpoolError(err error) {
 	if err != nil {
 		s.log.Error("spool error", "error", err)
--- a/server/shadow.go
+++ b/server/shadow.go
@@ -9,7 +9,7 @@
 	"pineport/dispatch"
 )
 
-// watch runs decisions under settings to come beside those that are carried out, and counts where they differ.
+// shadowState runs a shadow dispatcher with the configuration to come, and counts where it differs.
 type shadowState struct {
 	deployment  *config.Deployment // to come
 	shadow      *dispatch.Shadow
@@ -30,14 +30,14 @@
 	}
 }
 
-// recharter keeps the numbers of classes and tenants those of a configuration that was read anew.
+// reconfigure keeps the numbers of classes and tenants those of a configuration that was reloaded.
 func (w *shadowState) reconfigure(r *Server) {
 	if w.shadow != nil {
 		w.shadow.Reconfigure(r.deployment.Merged(w.deployment).Dispatch)
 	}
 }
 
-// see shows the watched decisions what happened and what is done about it. Should they fail, watching ends; nothing else.
+// observe shows the shadow what happened and what is done about it. Should it panic, it is stopped; nothing else is.
 func (w *shadowState) observe(r *Server, events []dispatch.Event, did []dispatch.Action) {
 	if w.shadow == nil {
 		return
@@ -55,7 +55,7 @@
 	}
 }
 
-// tell logs the counts, if anything was decided since.
+// log logs the counts, if anything was decided since.
 func (w *shadowState) log(log *slog.Logger) {
 	if w.shadow == nil {
 		return
--- a/server/shutdown.go
+++ b/server/shutdown.go
@@ -7,7 +7,7 @@
 	"pineport/server/clientconn"
 )
 
-// beginShutdown has the process end after a grace; until then it goes on as before, and clients with somewhere else to go are sent there.
+// beginShutdown has the process exit after a grace; until then it goes on as before, and drains clients that can go elsewhere.
 func (s *Server) beginShutdown(grace time.Duration) {
 	s.handoff.machine.ShutDown()
 	s.shutdownBy = s.clock() + dispatch.Micros(grace.Microseconds())
@@ -17,7 +17,7 @@
 	s.log.Info("graceful shutdown started", "unfinished", len(s.messages), "in_flight", len(s.inFlight))
 }
 
-// finishShutdown stores what outlasts the process, unless a successor has the folder.
+// finishShutdown stores what outlasts the process, unless a successor owns the folder.
 func (s *Server) finishShutdown() error {
 	if !s.handoff.machine.Owns() {
 		s.log.Info("exited after the handoff", "in_flight", len(s.inFlight))
@@ -29,8 +29,7 @@
 	return s.spool.Close()
 }
 
-// parting is when, after being reported to end, nobody is sent here any more who could go elsewhere. Who can not, as it
-// has a courier of its own, is served to the end.
+// drainDelay is when, after the shutdown has begun, clients are drained. Those that have only this courier are served to the end.
 const drainDelay = 500 * 1000
 
 // lastWords is how long, after the last connection came in, all who are connected are still served; then each is closed as soon as it
@@ -38,13 +37,13 @@
 const (
 	acceptTimeout = 50 * 1000
 	exitTimeout   = 100 * 1000
-	// lastReplies is how long, after nothing more is read, the replies to what was read may take.
+	// replyTimeout is how long, after nothing more is read, the replies to what was read may take.
 	replyTimeout  = 50 * 1000
 	closeInterval = 2 * 1000
 )
 
-// mayExit tells whether the process may end. Nothing is read any more by then, or it would have had an answer. Failures: what was read
-// between the last read and the end had none; connections whose first request was on its way were closed.
+// mayExit reports whether the process may exit. Nothing is read any more by then, or it would have had an answer. Failures: what was read
+// between the last read and the exit had none; connections whose first request was on its way were closed.
 func (s *Server) mayExit() bool {
 	handed := s.handoff.handedOver && s.shutdownBy < never && len(s.inFlight) == 0
 	if !s.exiting && (s.now >= s.shutdownBy || handed) {
--- a/server/snapshots.go
+++ b/server/snapshots.go
@@ -6,13 +6,13 @@
 	"pineport/dispatch"
 )
 
-// keeper stores snapshots of the learned state, without waiting for a disk.
+// snapshotWriter stores snapshots of the learned state, without waiting for a disk.
 type snapshotWriter interface {
 	Offer(dispatch.Snapshot)
 	Close(within time.Duration)
 }
 
-// learnedState says when a snapshot of what the decisions have learned is due: soon after any outcome but a delivery, else now and then.
+// snapshotSchedule says when a snapshot is due: soon after any outcome but a delivery, else now and then.
 type snapshotSchedule struct {
 	writer    snapshotWriter
 	every     dispatch.Micros
@@ -21,16 +21,15 @@
 	failed    bool            // something went wrong since then
 }
 
-// calmFactor: where every call is delivered, little is learned, and the next snapshot may wait so many times as long.
+// quietFactor: where every call is delivered little is learned, and the next snapshot may wait so many times as long.
 const quietFactor = 5
 
-// StoreSnapshots has snapshots of the learned state stored from now on, one in every so long at most.
+// StoreSnapshots has snapshots of the learned state stored from now on, at most one in every interval.
 func (s *Server) StoreSnapshots(k snapshotWriter, every time.Duration) {
 	s.snapshots = snapshotSchedule{writer: k, every: dispatch.Micros(every.Microseconds())}
 }
 
-// RestoreSnapshot hands the learned state of an earlier run to the decisions, beside the list that it is about; nil where there is none
-// that can be used.
+// RestoreSnapshot hands the snapshot of an earlier run to the dispatcher, after the list that it is about; nil for none.
 func (s *Server) RestoreSnapshot(before *dispatch.Snapshot) {
 	if before == nil || len(s.events) == 0 {
 		return
@@ -39,7 +38,7 @@
 	s.events = append(s.events[:1:1], append([]dispatch.Event{dispatch.SnapshotRestored{Snapshot: *before}}, s.events[1:]...)...)
 }
 
-// observe takes down that an attempt had an outcome.
+// observe notes an outcome.
 func (l *snapshotSchedule) observe(outcome dispatch.Outcome) {
 	switch outcome {
 	case dispatch.Delivered:
@@ -61,7 +60,7 @@
 	return never
 }
 
-// saveLearned hands a snapshot to the keeper, if it is time or is to be done at once.
+// saveSnapshot hands a snapshot to the writer, if it is due or is to be stored at once.
 func (s *Server) saveSnapshot(atOnce bool) {
 	if s.snapshots.writer == nil || !atOnce && s.snapshots.due() > s.now {
 		return
@@ -70,7 +69,7 @@
 	s.snapshots.writer.Offer(s.takeSnapshot())
 }
 
-// snapshotLearned is what the decisions have learned by now.
+// takeSnapshot returns what the dispatcher has learned by now.
 func (s *Server) takeSnapshot() (snapshot dispatch.Snapshot) {
 	if d, ok := s.dispatcher.(dispatch.Snapshotter); ok {
 		snapshot = d.Snapshot()
@@ -78,10 +77,10 @@
 	return snapshot
 }
 
-// lastWrite is how long the end of the process waits for the last snapshot to be written.
+// lastSnapshotTimeout is how long the exit of the process waits for the last snapshot.
 const lastSnapshotTimeout = 200 * time.Millisecond
 
-// saveLearnedAtEnd stores the last snapshot of this process.
+// saveLastSnapshot stores the last snapshot of this process.
 func (s *Server) saveLastSnapshot() {
 	if s.snapshots.writer != nil {
 		s.saveSnapshot(true)
--- a/server/step.go
+++ b/server/step.go
@@ -7,7 +7,7 @@
 	"pineport/dispatch"
 )
 
-// due is when something is to be done next, unasked.
+// due returns when the next step is due without an event.
 func (s *Server) due() dispatch.Micros {
 	at := min(s.timerAt, s.endpointConns.due(), s.clients.Due(), s.discovery.due(), s.snapshots.due(), s.operators.due(), s.endpointConns.nextFlushCheck(), s.shutdownBy, s.drainAt)
 	for _, attempt := range s.inFlight {
@@ -16,7 +16,7 @@
 	return at
 }
 
-// guardedStep is a step after which the process goes on whatever went wrong in it.
+// guardedStep is a step that no panic leaves.
 func (s *Server) guardedStep() {
 	defer func() {
 		if fault := recover(); fault != nil {
@@ -27,7 +27,7 @@
 	s.step()
 }
 
-// step hands the decisions what happened since the last one, and carries out their actions.
+// step hands the dispatcher the events since the last step, and carries out its actions.
 func (s *Server) step() {
 	s.now = s.clock()
 	s.endpointConns.expire()
@@ -65,7 +65,7 @@
 	s.operators.publish()
 }
 
-// reply writes what clients wait for; from then on the platform is notified how a message ends.
+// reply writes the replies that clients wait for. Messages that end from then on end with a notice.
 func (s *Server) reply() {
 	for _, reply := range s.replies {
 		reply.client.Write(reply.text, reply.close)
@@ -76,7 +76,7 @@
 	s.replies = s.replies[:0]
 }
 
-// decide asks the decisions. Should they fail, they begin anew, as after a restart of the process.
+// decide calls the dispatcher. Should it panic, a new one is started, as after a restart of the process.
 func (s *Server) decide(events []dispatch.Event) (actions []dispatch.Action) {
 	defer func() {
 		if fault := recover(); fault != nil {
