--- a/admin/admin_test.go
+++ b/admin/admin_test.go
@@ -150,7 +150,7 @@
 	if status, _ := raw(t, addr, call("GET", "/status"), 999); status != 503 {
 		t.Errorf("clients are not taken, and status says %d", status)
 	}
-	// Failure: a event loop that stands still left operators without an answer in time.
+	// Failure: an event loop that stands still left operators without an answer in time.
 	if status, _ := raw(t, addr, call("POST", "/standby"), 999); status != 503 {
 		t.Errorf("nobody acts, and the call got %d", status)
 	}
--- a/cmd/pineport/run.go
+++ b/cmd/pineport/run.go
@@ -53,7 +53,7 @@
 		l.Close()
 	}
 	var desk *admin.Server
-	if dep.Ops != "" { // answers from the start: with no, until there is a event loop
+	if dep.Ops != "" { // answers from the start: with no, until there is an event loop
 		if desk, err = admin.Open(dep.Ops, server.AdminSockets(dep)-2, log.With(logging.Component, "ops")); err != nil {
 			return fmt.Errorf("ops: %w", err)
 		}
--- a/handoff/folder_test.go
+++ b/handoff/folder_test.go
@@ -100,7 +100,7 @@
 		t.Errorf("the owner says nothing: %v", err)
 	}
 	g := NewPredecessor("n0")
-	var one sync.Mutex // several may knock at once; the courier has a event loop that takes them in step
+	var one sync.Mutex // several may knock at once; the courier has an event loop that takes them in step
 	if err := old.Serve(func(link *Link, h *Hello) {
 		one.Lock()
 		defer one.Unlock()
--- a/server/crossings_test.go
+++ b/server/crossings_test.go
@@ -23,7 +23,7 @@
 // The crossings of docs/crossings.md, each forced: a test steps the event loop by hand and takes what came off its inbox itself, so that
 // its own peer can write, close or reset between two lines.
 
-// byHand makes a event loop with sockets, whose steps and events are the test's.
+// byHand makes an event loop with sockets, whose steps and events are the test's.
 func steppedServer(t *testing.T, world *scripted.World, held ...*spool.Message) *Server {
 	t.Helper()
 	r := prepare(t, world, held...)
@@ -33,7 +33,7 @@
 	}
 	t.Cleanup(func() {
 		ended := make(chan struct{})
-		go func() { // handlers must not wait for a event loop that steps no more
+		go func() { // handlers must not wait for an event loop that steps no more
 			for {
 				select {
 				case <-r.queue:
@@ -256,7 +256,7 @@
 	return string(b[:n])
 }
 
-// sent has a event loop send what it holds to the test's endpoint, and reads it there.
+// sent has an event loop send what it holds to the test's endpoint, and reads it there.
 func sent(t *testing.T, r *Server, l *net.TCPListener) *net.TCPConn {
 	t.Helper()
 	r.step()
@@ -584,7 +584,7 @@
 	}
 }
 
-// leave steps a event loop to its end, or until cross says that it has seen enough, and tells whether it ended.
+// leave steps an event loop to its end, or until cross says that it has seen enough, and tells whether it ended.
 func leave(t *testing.T, r *Server, cross func() bool) bool {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(100 * time.Microsecond) {
@@ -603,7 +603,7 @@
 
 func neverMind() bool { return false }
 
-// tell has a event loop end now.
+// tell has an event loop end now.
 func tell(r *Server) { r.now, r.shutdownBy = r.clock(), r.clock() }
 
 // TestRequestDuringShutdownIsAnswered. Failure: what lay in a socket at the last look was reset as the process ended; the client had no answer.
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -46,7 +46,7 @@
 	return f.dispatcher.Handle(now, events)
 }
 
-// prepare makes a event loop with what a spool may already hold.
+// prepare makes an event loop with what a spool may already hold.
 func prepare(t *testing.T, world *scripted.World, held ...*spool.Message) *Server {
 	t.Helper()
 	return prepareEdited(t, world, func(text []byte) []byte { return text }, held...)
@@ -85,7 +85,7 @@
 	return r
 }
 
-// serve runs a event loop in this process; its decisions fail so many times at messages whose ids begin with "bad".
+// serve runs an event loop in this process; its decisions fail so many times at messages whose ids begin with "bad".
 func serve(t *testing.T, world *scripted.World, times int) (listen string) {
 	t.Helper()
 	r := prepare(t, world)
@@ -95,7 +95,7 @@
 	return run(t, r)
 }
 
-// run runs a event loop until the test ends, and returns its address.
+// run runs an event loop until the test ends, and returns its address.
 func run(t *testing.T, r *Server) (listen string) {
 	t.Helper()
 	stop, ended := make(chan struct{}), make(chan error)
--- a/testbed/invariants/rules.go
+++ b/testbed/invariants/rules.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// judgeRepeat: a at-most-once message goes again only if every earlier attempt provably never ran; a with an idempotency key one that may
+// judgeRepeat: an at-most-once message goes again only if every earlier attempt provably never ran; one with an idempotency key that may
 // have run only in its window and group.
 func (l *Ledger) judgeRepeat(at dispatch.Micros, r *message, p Place) {
 	if r.work.Repeat == dispatch.Idempotent || len(r.attempts) == 0 {
