--- a/testbed/scenario/trouble.go
+++ b/testbed/scenario/trouble.go
@@ -30,7 +30,7 @@
 	"courier-kill":   {"couriers are killed outright and start again", "", Range{1, 6}, Range{}, Range{0.2, 0.5}},
 	"courier-roll":   {"couriers are restarted one after the other", "seconds that each is away", Range{8, 20}, Range{0.3, 1.2}, Range{0.5, 1}},
 	"courier-stand":  {"couriers stand still, again and again", "each standstill, in ms; one begins each 2 s", Range{8, 15}, Range{100, 600}, Range{0.3, 1}},
-	"flood":          {"a party sends more than its share", "times its usual traffic", Range{6, 15}, Range{2, 6}, Range{1, 1}},
+	"flood":          {"a tenant sends more than its share", "times its usual traffic", Range{6, 15}, Range{2, 6}, Range{1, 1}},
 	"directory-down": {"the directory does not answer", "", Range{5, 15}, Range{}, Range{1, 1}},
 }
 
