--- a/admin/admin.go
+++ b/admin/admin.go
@@ -31,7 +31,9 @@
 	ReloadFailure   int64            `json:"reload_failure"`
 }
 
-// Commands that change something.
+// Command changes something at a courier: SetDisabled or Drain.
+type Command interface{ isCommand() }
+
 type (
 	// SetDisabled disables an endpoint, or enables it again.
 	SetDisabled struct {
@@ -42,6 +44,9 @@
 	Drain struct{ Enabled bool }
 )
 
+func (SetDisabled) isCommand() {}
+func (Drain) isCommand()       {}
+
 // ErrUnknownEndpoint is the answer for an endpoint that nobody knows.
 var ErrUnknownEndpoint = errors.New("no such endpoint")
 
@@ -49,7 +54,7 @@
 type Courier interface {
 	Serving() bool
 	Metrics() *Metrics // nil: none yet
-	Execute(ctx context.Context, what any) error
+	Execute(ctx context.Context, command Command) error
 }
 
 const (
@@ -188,7 +193,7 @@
 	json.NewEncoder(w).Encode(metrics)
 }
 
-func (s *Server) execute(w http.ResponseWriter, r *http.Request, what any) {
+func (s *Server) execute(w http.ResponseWriter, r *http.Request, command Command) {
 	courier := s.current()
 	if courier == nil {
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
@@ -196,7 +201,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), answerTimeout)
 	defer cancel()
-	err := courier.Execute(ctx, what)
+	err := courier.Execute(ctx, command)
 	s.log.Info("admin request", "path", r.URL.Path, "remote", r.RemoteAddr, "error", err)
 	switch {
 	case errors.Is(err, ErrUnknownEndpoint):
--- a/admin/admin_test.go
+++ b/admin/admin_test.go
@@ -36,7 +36,7 @@
 		Dispatches: 5, Concurrent: 2, Targets: 4, TargetsDisabled: 1}
 }
 
-func (d *fakeCourier) Execute(ctx context.Context, what any) error {
+func (d *fakeCourier) Execute(ctx context.Context, what Command) error {
 	if d.hanging {
 		<-ctx.Done()
 		return ctx.Err()
--- a/admin/golden_test.go
+++ b/admin/golden_test.go
@@ -24,7 +24,7 @@
 	return &f
 }
 
-func (recordedCourier) Execute(_ context.Context, what any) error {
+func (recordedCourier) Execute(_ context.Context, what Command) error {
 	if m, ok := what.(SetDisabled); ok && m.Endpoint == "unknown" {
 		return ErrUnknownEndpoint
 	}
--- a/server/actions.go
+++ b/server/actions.go
@@ -18,7 +18,7 @@
 		case dispatch.SetTimer:
 			s.timerAt = min(s.timerAt, a.At)
 		case dispatch.CloseIdle:
-			s.endpointConns.closeIdle(peerOf(s.endpoints[a.Endpoint]))
+			s.endpointConns.CloseIdle(peerOf(s.endpoints[a.Endpoint]))
 		case dispatch.WatchEndpoints:
 			s.discovery.poll()
 		case dispatch.Note:
--- a/server/admin.go
+++ b/server/admin.go
@@ -27,7 +27,7 @@
 
 // command is one command of an operator; done gets its result once, after the step that carried it out.
 type command struct {
-	command any
+	command admin.Command
 	done    chan commandResult
 }
 
@@ -85,7 +85,7 @@
 func (s *Server) CountFailedReload() { s.operators.failedReloads.Add(1) }
 
 // Execute has the loop carry out a command, and returns once it is done and stored. Any goroutine may call it.
-func (s *Server) Execute(ctx context.Context, what any) error {
+func (s *Server) Execute(ctx context.Context, what admin.Command) error {
 	command := command{what, make(chan commandResult, 1)}
 	select {
 	case s.control <- command:
@@ -138,7 +138,7 @@
 	if o.disabled[w.Endpoint] != w.Disabled {
 		if o.generation++; w.Disabled {
 			o.disabled[w.Endpoint] = true
-			o.server.endpointConns.closeIdle(peerOf(host))
+			o.server.endpointConns.CloseIdle(peerOf(host))
 		} else {
 			delete(o.disabled, w.Endpoint)
 		}
--- a/server/answer_test.go
+++ b/server/answer_test.go
@@ -22,8 +22,8 @@
 			v := visit(t, r)
 			io.WriteString(v, c.request)
 			v.CloseWrite()
-			r.handle(until(t, r, func(clientconn.Commands) bool { return true }))
-			r.handle(until(t, r, func(clientconn.Closed) bool { return true }))
+			r.handle(clientEvent{until(t, r, func(clientconn.Commands) bool { return true })})
+			r.handle(clientEvent{until(t, r, func(clientconn.Closed) bool { return true })})
 			r.step()
 			if got := v.reply(); got != c.want {
 				t.Errorf("answered %q", got)
@@ -45,9 +45,9 @@
 	one := first.asks(t, r, "one")
 	two := second.asks(t, r, "one")
 	first.CloseWrite()
-	r.handle(one)
-	r.handle(two)
-	r.handle(<-r.queue) // clientGone of the first
+	r.handle(clientEvent{one})
+	r.handle(clientEvent{two})
+	r.handle(<-r.queue) // the end of the first
 	r.step()
 	for _, v := range []*visitor{first, second} {
 		if got := v.reply(); got != "+OK" {
@@ -63,7 +63,7 @@
 	request := v.asks(t, r, "one")
 	r.now = r.clock()
 	r.exiting, r.shutdownBy, r.exitBy = true, r.now, r.now // the last chance is over
-	r.queue <- request
+	r.queue <- clientEvent{request}
 	if r.mayExit() {
 		t.Fatal("it ended over a request that had been read")
 	}
@@ -85,7 +85,7 @@
 	request := v.asks(t, r, "one")
 	healthy := r.deployment
 	r.deployment = nil // as if by a fault in this code
-	r.handle(request)
+	r.handle(clientEvent{request})
 	r.deployment = healthy
 	r.step()
 	if got := v.reply(); got != "-ERR internal error" {
--- a/server/calls.go
+++ b/server/calls.go
@@ -8,6 +8,7 @@
 
 	"pineport/dispatch"
 	"pineport/protocol"
+	"pineport/server/endpointconn"
 	"pineport/spool"
 )
 
@@ -16,7 +17,7 @@
 	endpoint    dispatch.EndpointID
 	entry       protocol.Host
 	attempts    []*attempt
-	exchange    *exchange
+	exchange    *endpointconn.Exchange
 	waitUntil   dispatch.Micros // until when it is waited for
 	predecessor bool            // the other process of an upgrade has it out; one attempt
 }
@@ -84,15 +85,15 @@
 		return
 	}
 	call.alignTimeouts()
-	call.exchange = &exchange{peer: peerOf(call.entry),
-		onBegin:     func(begun bool) { s.answerBegun(call, begun) },
-		beforeWrite: func() error { return s.callLeaves(call) },
-		isWanted: func() bool {
+	call.exchange = &endpointconn.Exchange{Peer: peerOf(call.entry),
+		OnBegin:     func(begun bool) { s.answerBegun(call, begun) },
+		BeforeWrite: func() error { return s.callLeaves(call) },
+		IsWanted: func() bool {
 			return s.endpoints[call.endpoint].Health == protocol.InService && !s.operators.disabled[string(call.endpoint)] && s.retryAfter[s.groupKey(call.entry)] <= s.now
 		},
-		onWritten: func() { s.counters.calls += int64(len(call.attempts)) },
-		onEnd:     func(a protocol.Answer, err error) { s.callAnswered(call, a, err) }}
-	s.endpointConns.start(call.exchange)
+		OnWritten: func() { s.counters.calls += int64(len(call.attempts)) },
+		OnEnd:     func(a protocol.Answer, err error) { s.callAnswered(call, a, err) }}
+	s.endpointConns.Start(call.exchange)
 }
 
 // callLeaves stores a call's attempts as its first byte is about to leave, and no sooner, and puts the bytes together. Failures: stored
@@ -116,7 +117,7 @@
 	if len(items) == 0 {
 		return errNothingToSend
 	}
-	call.exchange.bytes, call.exchange.needsBody = protocol.Call(call.entry.Dial, int64((call.waitUntil-s.now)/1000), items), len(items) > 1
+	call.exchange.Request, call.exchange.NeedsBody = protocol.Call(call.entry.Dial, int64((call.waitUntil-s.now)/1000), items), len(items) > 1
 	return nil
 }
 
@@ -142,8 +143,9 @@
 	}
 }
 
-func peerOf(entry protocol.Host) peerID {
-	return peerID{host: entry.Host, addr: entry.Dial, startedAt: entry.Born}
+// peerOf returns whom a connection to an endpoint of the list leads to.
+func peerOf(entry protocol.Host) endpointconn.Peer {
+	return endpointconn.Peer{Endpoint: entry.Host, Address: entry.Dial, StartedAt: entry.Born}
 }
 
 // answerTimeout is how long the rest of an answer may take once its first bytes are here: it is written at once, and the longest way in any
@@ -161,7 +163,7 @@
 
 // callAnswered turns the end of a call into the outcomes of its attempts.
 func (s *Server) callAnswered(call *call, a protocol.Answer, err error) {
-	if errors.Is(err, errOvertaken) {
+	if errors.Is(err, endpointconn.ErrOvertaken) {
 		for _, attempt := range call.attempts {
 			s.complete(attempt, dispatch.AttemptFinished{Outcome: dispatch.Unprocessed})
 		}
@@ -307,11 +309,11 @@
 	event := dispatch.AttemptFinished{Outcome: dispatch.TimedOut}
 	switch exchange := attempt.call.exchange; {
 	case attempt.call.predecessor: // the other process has said nothing of it for longer than it should wait
-	case !s.endpointConns.isWritten(exchange):
+	case !exchange.IsWritten():
 		event.Outcome = dispatch.Unreachable
-	case !exchange.needsBody && exchange.conn.partialStatus.Load() == 200:
+	case exchange.HasSuccessLine():
 		event.Outcome, event.MessageDone = dispatch.Delivered, true // the rest of the answer is slow, but this was its first line
-	case exchange.begun:
+	case exchange.HasBegun():
 		event.Outcome = dispatch.Failure // it answers, but nothing that can be read
 	}
 	s.complete(attempt, event)
@@ -326,10 +328,10 @@
 // latter it extends the timeout a little, once.
 func (s *Server) answerArriving(attempt *attempt) bool {
 	exchange := attempt.call.exchange
-	if s.endpointConns.hasAnswer(exchange) {
+	if s.endpointConns.HasAnswer(exchange) {
 		return true
 	}
-	if attempt.rechecked || !s.endpointConns.hasUnread(exchange) {
+	if attempt.rechecked || !s.endpointConns.HasUnread(exchange) {
 		return false
 	}
 	attempt.rechecked, attempt.waitUntil = true, s.now+recheckDelay
@@ -345,7 +347,7 @@
 	if s.answerArriving(attempt) {
 		return // its answer says more
 	}
-	if exchange := attempt.call.exchange; exchange != nil && !exchange.sent {
+	if exchange := attempt.call.exchange; exchange != nil && !exchange.IsSent() {
 		outcome = dispatch.Unprocessed // its connection is still coming up: it never ran
 	}
 	s.complete(attempt, dispatch.AttemptFinished{Outcome: outcome})
@@ -363,5 +365,5 @@
 		s.handoff.cancelAttempt(call.attempts[0])
 		return
 	}
-	s.endpointConns.abort(call.exchange)
+	s.endpointConns.Abort(call.exchange)
 }
--- a/server/crossings_test.go
+++ b/server/crossings_test.go
@@ -14,6 +14,7 @@
 	"pineport/config"
 	"pineport/dispatch"
 	"pineport/server/clientconn"
+	"pineport/server/endpointconn"
 	"pineport/spool"
 	"pineport/testbed/port"
 	"pineport/testbed/scripted"
@@ -49,6 +50,17 @@
 	return r
 }
 
+// unwrap returns the event of a connection where one is wrapped, else the event itself.
+func unwrap(e event) any {
+	switch wrapped := e.(type) {
+	case clientEvent:
+		return wrapped.Event
+	case endpointEvent:
+		return wrapped.Event
+	}
+	return e
+}
+
 // until takes what comes, a step after each, up to the first event that is wanted; that one is not taken.
 func until[E any](t *testing.T, r *Server, wanted func(E) bool) (e E) {
 	t.Helper()
@@ -56,7 +68,7 @@
 	for {
 		select {
 		case what := <-r.queue:
-			if e, ok := what.(E); ok && wanted(e) {
+			if e, ok := unwrap(what).(E); ok && wanted(e) {
 				return e
 			}
 			r.handle(what)
@@ -68,7 +80,7 @@
 }
 
 // toEndpoint tells whether a link leads to an endpoint of the world.
-func toEndpoint(conn *endpointConn) bool { return conn.peer.host != "" }
+func toEndpoint(conn *endpointconn.Conn) bool { return !conn.Peer().IsDiscovery() }
 
 func single(id string) *spool.Message {
 	return &spool.Message{ID: id, Class: "order", Destination: 1, Deadline: time.Now().Add(time.Minute).UnixMicro()}
@@ -94,11 +106,11 @@
 func TestMessageIsUntriedUntilSent(t *testing.T) {
 	r := steppedServer(t, open(t, 0), single("one"))
 	r.step()
-	up := until(t, r, func(event connUp) bool { return toEndpoint(event.conn) })
+	up := until(t, r, func(event endpointconn.Opened) bool { return toEndpoint(event.Conn) })
 	if rec := onDisk(t, r, "one"); len(rec.Attempts) > 0 {
 		t.Errorf("before anything was sent a restart would find %+v", rec.Attempts)
 	}
-	r.handle(up)
+	r.handle(endpointEvent{up})
 	if rec := onDisk(t, r, "one"); len(rec.Attempts) != 1 || rec.Attempts[0].Outcome != "" || rec.Attempts[0].Endpoint != "s-0" {
 		t.Errorf("once it was sent a restart would find %+v", rec.Attempts)
 	}
@@ -110,8 +122,8 @@
 	world := open(t, 0)
 	r := steppedServer(t, world, single("one"))
 	r.step()
-	up := until(t, r, func(event connUp) bool { return toEndpoint(event.conn) })
-	r.handle(connDown{conn: up.conn, err: errNoAnswer})
+	up := until(t, r, func(event endpointconn.Opened) bool { return toEndpoint(event.Conn) })
+	r.handle(endpointEvent{endpointconn.Closed{Conn: up.Conn, Err: errNoAnswer}})
 	if rec := onDisk(t, r, "one"); len(rec.Attempts) != 1 || rec.Attempts[0].Outcome != "unreachable" {
 		t.Errorf("a restart would find %+v", rec.Attempts)
 	}
@@ -131,14 +143,14 @@
 	}
 	r.events = nil
 	r.startCall(calls[0])
-	up := until(t, r, func(event connUp) bool { return toEndpoint(event.conn) })
+	up := until(t, r, func(event endpointconn.Opened) bool { return toEndpoint(event.Conn) })
 	r.cancel(dispatch.Cancel{Message: "one", Attempt: 0})
 	if s := r.events[len(r.events)-1].(dispatch.AttemptFinished); s.Outcome != dispatch.Unprocessed {
 		t.Errorf("never sent, and called off as %v", s.Outcome)
 	}
-	r.handle(up)
-	if call := calls[0]; len(call.attempts) != 1 || call.attempts[0].message.stored.ID != "two" || call.exchange.needsBody {
-		t.Errorf("it went out with %d attempts, whole %v", len(call.attempts), call.exchange.needsBody)
+	r.handle(endpointEvent{up})
+	if call := calls[0]; len(call.attempts) != 1 || call.attempts[0].message.stored.ID != "two" || call.exchange.NeedsBody {
+		t.Errorf("it went out with %d attempts, whole %v", len(call.attempts), call.exchange.NeedsBody)
 	}
 	if rec := onDisk(t, r, "one"); len(rec.Attempts) != 1 || rec.Attempts[0].Outcome != "void" {
 		t.Errorf("of the one called off a restart would find %+v", rec.Attempts)
@@ -196,7 +208,7 @@
 	}
 	t.Cleanup(func() { conn.Close() })
 	conn.SetDeadline(time.Now().Add(10 * time.Second))
-	r.handle(until(t, r, func(clientconn.Opened) bool { return true }))
+	r.handle(clientEvent{until(t, r, func(clientconn.Opened) bool { return true })})
 	return &visitor{conn.(*net.TCPConn), bufio.NewReader(conn)}
 }
 
@@ -260,7 +272,7 @@
 func sent(t *testing.T, r *Server, l *net.TCPListener) *net.TCPConn {
 	t.Helper()
 	r.step()
-	r.handle(until(t, r, func(event connUp) bool { return toEndpoint(event.conn) }))
+	r.handle(endpointEvent{until(t, r, func(event endpointconn.Opened) bool { return toEndpoint(event.Conn) })})
 	return called(t, l)
 }
 
@@ -272,7 +284,7 @@
 	r := steppedServer(t, world, single("one"))
 	conn := sent(t, r, l)
 	io.WriteString(conn, okAnswer)
-	r.handle(until(t, r, func(event answerReceived) bool { return toEndpoint(event.conn) }))
+	r.handle(endpointEvent{until(t, r, func(event endpointconn.Answered) bool { return toEndpoint(event.Conn) })})
 	r.step()
 	goOn := stop(t, r)
 	conn.CloseWrite()
@@ -284,13 +296,13 @@
 	}
 	r.recoverMessages([]*spool.Message{single("two")}, nil)
 	r.step()
-	if out := r.messages["two"].attempts; len(out) != 1 || out[0].call.exchange.sent {
+	if out := r.messages["two"].attempts; len(out) != 1 || out[0].call.exchange.IsSent() {
 		t.Fatalf("%d attempts; written to what had ended", len(out))
 	}
 	goOn()
-	r.handle(until(t, r, func(event connUp) bool { return toEndpoint(event.conn) }))
+	r.handle(endpointEvent{until(t, r, func(event endpointconn.Opened) bool { return toEndpoint(event.Conn) })})
 	io.WriteString(called(t, l), okAnswer)
-	r.handle(until(t, r, func(event answerReceived) bool { return toEndpoint(event.conn) }))
+	r.handle(endpointEvent{until(t, r, func(event endpointconn.Answered) bool { return toEndpoint(event.Conn) })})
 	if r.step(); r.messages["two"] != nil {
 		t.Error("not delivered")
 	}
@@ -308,13 +320,13 @@
 			l := raw(t, world)
 			r := steppedServer(t, world, single("one"))
 			io.WriteString(sent(t, r, l), okAnswer)
-			answer := until(t, r, func(event answerReceived) bool { return toEndpoint(event.conn) })
+			answer := until(t, r, func(event endpointconn.Answered) bool { return toEndpoint(event.Conn) })
 			attempt := r.messages["one"].attempts[0]
 			cross(r, attempt)
 			if attempt.finished {
 				t.Error("ended although its answer is here")
 			}
-			r.handle(answer)
+			r.handle(endpointEvent{answer})
 			if s, ok := r.events[len(r.events)-1].(dispatch.AttemptFinished); !ok || s.Outcome != dispatch.Delivered {
 				t.Errorf("ended as %+v", r.events)
 			}
@@ -342,7 +354,7 @@
 				r := steppedServer(t, world, single("one"))
 				conn := sent(t, r, l)
 				attempt := r.messages["one"].attempts[0]
-				for attempt.call.exchange.conn.conn.HasUnread() { // its handler may still be telling that it is up
+				for r.endpointConns.HasUnread(attempt.call.exchange) { // its handler may still be telling that it is up
 					time.Sleep(100 * time.Microsecond)
 				}
 				goOn := stop(t, r)
@@ -360,17 +372,17 @@
 					want = dispatch.Canceled
 				}
 				for read := c.bytes == ""; !read; {
-					var what any
+					var what event
 					select {
 					case what = <-r.queue:
 					case <-time.After(10 * time.Second):
 						t.Fatal("it is never read")
 					}
-					switch e := what.(type) {
-					case answerReceived:
-						read = toEndpoint(e.conn)
-					case answerBegun:
-						read = toEndpoint(e.conn)
+					switch e := unwrap(what).(type) {
+					case endpointconn.Answered:
+						read = toEndpoint(e.Conn)
+					case endpointconn.AnswerBegun:
+						read = toEndpoint(e.Conn)
 					}
 					r.handle(what)
 				}
@@ -418,19 +430,19 @@
 	l := raw(t, world)
 	r := steppedServer(t, world, single("one"))
 	r.step()
-	event := until(t, r, func(e connUp) bool { return toEndpoint(e.conn) })
+	event := until(t, r, func(e endpointconn.Opened) bool { return toEndpoint(e.Conn) })
 	conn, err := l.AcceptTCP()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	io.WriteString(conn, okAnswer)
-	down := until(t, r, func(e connDown) bool { return toEndpoint(e.conn) })
-	r.handle(event)
-	if !errors.Is(down.err, errUnexpectedAnswer) {
-		t.Errorf("ended by %v", down.err)
+	down := until(t, r, func(e endpointconn.Closed) bool { return toEndpoint(e.Conn) })
+	r.handle(endpointEvent{event})
+	if !errors.Is(down.Err, endpointconn.ErrUnexpectedAnswer) {
+		t.Errorf("ended by %v", down.Err)
 	}
-	r.handle(down)
+	r.handle(endpointEvent{down})
 	if rec := onDisk(t, r, "one"); len(rec.Attempts) != 1 || rec.Attempts[0].Outcome != "unreachable" {
 		t.Errorf("a restart would find %+v", rec.Attempts)
 	}
@@ -449,19 +461,19 @@
 	l := raw(t, world)
 	r := steppedServer(t, world, single("one"))
 	r.step()
-	up := until(t, r, func(event connUp) bool { return toEndpoint(event.conn) })
+	up := until(t, r, func(event endpointconn.Opened) bool { return toEndpoint(event.Conn) })
 	r.spool.Close()
-	r.handle(up)
+	r.handle(endpointEvent{up})
 	attempt := r.messages["one"].attempts[0]
-	if !attempt.finished || attempt.call.exchange.sent {
-		t.Errorf("over %v, sent %v", attempt.finished, attempt.call.exchange.sent)
+	if !attempt.finished || attempt.call.exchange.IsSent() {
+		t.Errorf("over %v, sent %v", attempt.finished, attempt.call.exchange.IsSent())
 	}
 	conn, err := l.AcceptTCP()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	r.endpointConns.closeAllIdle()
+	r.endpointConns.CloseAllIdle()
 	conn.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if n, err := conn.Read(make([]byte, 1)); n > 0 || err != io.EOF {
 		t.Errorf("%d bytes came, then %v", n, err)
@@ -488,8 +500,8 @@
 			first, second := visit(t, r), visit(t, r)
 			one := first.asks(t, r, "one")
 			two := second.asks(t, r, "one")
-			r.handle(one)
-			r.handle(two)
+			r.handle(clientEvent{one})
+			r.handle(clientEvent{two})
 			stay := []*visitor{first, second}
 			if c.gone > 0 {
 				stay[c.gone-1].SetLinger(0)
@@ -497,7 +509,7 @@
 				from := []clientconn.Commands{one, two}[c.gone-1].Conn
 				for gone := false; !gone; { // no step in between
 					what := <-r.queue
-					event, ok := what.(clientconn.Closed)
+					event, ok := unwrap(what).(clientconn.Closed)
 					gone = ok && event.Conn == from
 					r.handle(what)
 				}
@@ -533,8 +545,8 @@
 	r := steppedServer(t, open(t, 0))
 	first, second := visit(t, r), visit(t, r)
 	one, two := first.asks(t, r, "one"), second.asks(t, r, "one")
-	for _, e := range []any{one, two, clientconn.Closed{Conn: one.Conn}, clientconn.Closed{Conn: two.Conn}} {
-		r.handle(e)
+	for _, e := range []clientconn.Event{one, two, clientconn.Closed{Conn: one.Conn}, clientconn.Closed{Conn: two.Conn}} {
+		r.handle(clientEvent{e})
 	}
 	if r.step(); onDisk(t, r, "one") != nil || r.messages["one"] != nil {
 		t.Error("still held")
@@ -547,16 +559,16 @@
 	world := open(t, 0)
 	r := steppedServer(t, world)
 	first := visit(t, r)
-	r.handle(first.asks(t, r, "one"))
+	r.handle(clientEvent{first.asks(t, r, "one")})
 	r.step()
 	first.SetLinger(0) // whatever reply it had is gone
 	first.Close()
 	for r.messages["one"] != nil {
-		r.handle(until(t, r, func(event answerReceived) bool { return toEndpoint(event.conn) }))
+		r.handle(endpointEvent{until(t, r, func(event endpointconn.Answered) bool { return toEndpoint(event.Conn) })})
 		r.step()
 	}
 	second := visit(t, r)
-	r.handle(second.asks(t, r, "one"))
+	r.handle(clientEvent{second.asks(t, r, "one")})
 	r.step()
 	if got := second.reply(); got != "+OK" || r.messages["one"] != nil {
 		t.Errorf("reported %q, held again %v", got, r.messages["one"] != nil)
@@ -672,7 +684,7 @@
 	if got := rests.reply(); got != io.EOF.Error() {
 		t.Errorf("the one at rest: %s", got)
 	}
-	r.handle(v.asks(t, r, "one"))
+	r.handle(clientEvent{v.asks(t, r, "one")})
 	r.step()
 	if got := v.reply(); got != "+OK" {
 		t.Errorf("reported %q", got)
@@ -737,7 +749,7 @@
 		r.now = max(r.clock(), p.pollAt)
 		p.poll()
 		exchange := p.pollInFlight
-		for !exchange.sent {
+		for !exchange.IsSent() {
 			r.handle(<-r.queue)
 		}
 		conn := called(t, l.(*net.TCPListener))
@@ -769,24 +781,24 @@
 func TestListFromOldDiscoveryAddressIsIgnored(t *testing.T) {
 	world := open(t, 0)
 	r := steppedServer(t, world)
-	ofDiscovery := func(conn *endpointConn) bool { return !toEndpoint(conn) }
+	ofDiscovery := func(conn *endpointconn.Conn) bool { return !toEndpoint(conn) }
 	r.discovery.version = 0
 	r.discovery.poll()
-	r.handle(until(t, r, func(e connUp) bool { return ofDiscovery(e.conn) }))
-	answer := until(t, r, func(e answerReceived) bool { return ofDiscovery(e.conn) })
+	r.handle(endpointEvent{until(t, r, func(e endpointconn.Opened) bool { return ofDiscovery(e.Conn) })})
+	answer := until(t, r, func(e endpointconn.Answered) bool { return ofDiscovery(e.Conn) })
 	if _, err := world.Move(); err != nil {
 		t.Fatal(err)
 	}
 	next := *r.deployment
 	next.Discovery = world.Discovery
-	r.handle(&next)
+	r.handle(configReloaded{&next})
 	watching := r.discovery.pollInFlight
-	r.handle(answer)
-	if r.discovery.pollInFlight != watching || watching == nil || watching.peer.addr != world.Discovery || r.discovery.version != 0 {
+	r.handle(endpointEvent{answer})
+	if r.discovery.pollInFlight != watching || watching == nil || watching.Peer.Address != world.Discovery || r.discovery.version != 0 {
 		t.Errorf("watching %+v, version %d", r.discovery.pollInFlight, r.discovery.version)
 	}
-	r.handle(until(t, r, func(e connUp) bool { return ofDiscovery(e.conn) }))
-	r.handle(until(t, r, func(e answerReceived) bool { return ofDiscovery(e.conn) }))
+	r.handle(endpointEvent{until(t, r, func(e endpointconn.Opened) bool { return ofDiscovery(e.Conn) })})
+	r.handle(endpointEvent{until(t, r, func(e endpointconn.Answered) bool { return ofDiscovery(e.Conn) })})
 	if r.discovery.version == 0 {
 		t.Error("the new one was not heard")
 	}
@@ -801,7 +813,7 @@
 	r.OnReload(func(dep *config.Deployment) { reloaded = dep })
 	next := *r.deployment
 	next.Discovery = "127.0.0.1:9"
-	r.handle(&next)
+	r.handle(configReloaded{&next})
 	if reloaded == nil || reloaded.Discovery != next.Discovery {
 		t.Errorf("the next event loop here begins with %+v", reloaded)
 	}
@@ -827,7 +839,7 @@
 		}
 	}
 	io.WriteString(v, text[len(text)-1:])
-	r.handle(until(t, r, func(clientconn.Commands) bool { return true }))
+	r.handle(clientEvent{until(t, r, func(clientconn.Commands) bool { return true })})
 	if r.clients.AllIdle() {
 		t.Error("at rest before its reply")
 	}
--- a/server/discovery.go
+++ b/server/discovery.go
@@ -7,6 +7,7 @@
 
 	"pineport/dispatch"
 	"pineport/protocol"
+	"pineport/server/endpointconn"
 	"pineport/spool"
 )
 
@@ -42,7 +43,7 @@
 
 // noticeCall is one call with notices.
 type noticeCall struct {
-	exchange  *exchange
+	exchange  *endpointconn.Exchange
 	timeoutAt dispatch.Micros
 	notices   []*notice
 }
@@ -51,7 +52,7 @@
 type discovery struct {
 	server        *Server
 	version       int64
-	pollInFlight  *exchange
+	pollInFlight  *endpointconn.Exchange
 	pollTimeoutAt dispatch.Micros
 	pollAt        dispatch.Micros
 	polledAt      dispatch.Micros
@@ -74,20 +75,20 @@
 	if p.pollInFlight != nil {
 		return
 	}
-	exchange := &exchange{peer: peerID{addr: p.server.deployment.Discovery}, needsBody: true,
-		bytes: protocol.Watch(p.server.deployment.Discovery, p.version, watchWait/1000), onEnd: p.pollAnswered,
-		onBegin: func(begun bool) {
+	exchange := &endpointconn.Exchange{Peer: endpointconn.Peer{Address: p.server.deployment.Discovery}, NeedsBody: true,
+		Request: protocol.Watch(p.server.deployment.Discovery, p.version, watchWait/1000), OnEnd: p.pollAnswered,
+		OnBegin: func(begun bool) {
 			if p.pollTimeoutAt = p.polledAt + watchWait + watchTimeout; begun {
 				p.pollTimeoutAt = min(p.pollTimeoutAt, p.server.now+listTimeout)
 			}
 		}}
 	p.polledAt = p.server.now
 	p.pollInFlight, p.pollTimeoutAt = exchange, p.server.now+watchWait+watchTimeout
-	p.server.endpointConns.start(exchange)
+	p.server.endpointConns.Start(exchange)
 }
 
 func (p *discovery) pollAnswered(a protocol.Answer, err error) {
-	cut, part := p.pollInFlight.begun, p.pollInFlight.partialBody
+	cut, part := p.pollInFlight.HasBegun(), p.pollInFlight.PartialBody()
 	p.pollInFlight, p.pollTimeoutAt = nil, never
 	if err == nil && a.Status != 200 {
 		err = fmt.Errorf("status %d", a.Status)
@@ -133,25 +134,25 @@
 // addressChanged leaves the address that was used so far. The new one is polled at once, and gets all notices that the old one has not
 // confirmed; a notice that both get does no harm.
 func (p *discovery) addressChanged(old string) {
-	p.server.endpointConns.abort(p.pollInFlight)
+	p.server.endpointConns.Abort(p.pollInFlight)
 	p.pollInFlight = nil
 	for _, call := range p.calls {
-		p.server.endpointConns.abort(call.exchange)
+		p.server.endpointConns.Abort(call.exchange)
 	}
 	p.calls = nil
 	for _, other := range p.notices {
 		other.next, other.attempts = p.server.now, 0
 	}
-	p.server.endpointConns.closeIdle(peerID{addr: old})
+	p.server.endpointConns.CloseIdle(endpointconn.Peer{Address: old})
 	p.poll()
 }
 
 // stop polls and sends nothing more; notices that are not confirmed are in the spool.
 func (p *discovery) stop() {
-	p.server.endpointConns.abort(p.pollInFlight)
+	p.server.endpointConns.Abort(p.pollInFlight)
 	p.pollInFlight, p.pollTimeoutAt, p.pollAt = nil, never, never
 	for _, call := range p.calls {
-		p.server.endpointConns.abort(call.exchange)
+		p.server.endpointConns.Abort(call.exchange)
 	}
 	p.calls, p.notices = nil, nil
 }
@@ -182,7 +183,7 @@
 		return
 	}
 	if p.pollTimeoutAt <= now {
-		p.server.endpointConns.abort(p.pollInFlight)
+		p.server.endpointConns.Abort(p.pollInFlight)
 		p.pollAnswered(protocol.Answer{}, errNoAnswer)
 	}
 	if p.pollAt <= now {
@@ -190,7 +191,7 @@
 	}
 	for _, call := range slices.Clone(p.calls) {
 		if call.timeoutAt <= now {
-			p.server.endpointConns.abort(call.exchange)
+			p.server.endpointConns.Abort(call.exchange)
 			p.noticesAnswered(call, protocol.Answer{}, errNoAnswer)
 		}
 	}
@@ -214,10 +215,10 @@
 	if len(notices) == 0 {
 		return false
 	}
-	call.exchange = &exchange{peer: peerID{addr: p.server.deployment.Discovery}, bytes: protocol.Notices(p.server.deployment.Discovery, notices),
-		onBegin: func(bool) {}, onEnd: func(a protocol.Answer, err error) { p.noticesAnswered(call, a, err) }}
+	call.exchange = &endpointconn.Exchange{Peer: endpointconn.Peer{Address: p.server.deployment.Discovery}, Request: protocol.Notices(p.server.deployment.Discovery, notices),
+		OnBegin: func(bool) {}, OnEnd: func(a protocol.Answer, err error) { p.noticesAnswered(call, a, err) }}
 	p.calls = append(p.calls, call)
-	p.server.endpointConns.start(call.exchange)
+	p.server.endpointConns.Start(call.exchange)
 	return true
 }
 
--- /dev/null
+++ b/server/endpointconn/exchange.go
@@ -0,0 +1,75 @@
+package endpointconn
+
+import "pineport/protocol"
+
+// Peer is the other side of a connection. An address alone is not enough: another endpoint may have taken it over, or the same one may have
+// been restarted.
+type Peer struct {
+	Endpoint  string // empty for discovery
+	Address   string
+	StartedAt int64 // as the endpoint list says it
+}
+
+// IsDiscovery reports whether the peer is discovery rather than an endpoint.
+func (p Peer) IsDiscovery() bool { return p.Endpoint == "" }
+
+// Exchange is one request and its answer.
+type Exchange struct {
+	Peer      Peer
+	Request   []byte
+	NeedsBody bool // the body is needed, not just the first line
+
+	// IsWanted is asked once more when a new connection is up; nil for always.
+	IsWanted func() bool
+	// BeforeWrite is called just before the first byte is written, which an error stops; nil for nothing to do. It may set Request.
+	BeforeWrite func() error
+	// OnBegin is called when an answer has begun and the rest of it has not come yet; with false where it was an interim one.
+	OnBegin func(begun bool)
+	// OnWritten is called once, when the socket has the last byte or an answer shows that it had; nil for nobody. It may lag by
+	// flushInterval.
+	OnWritten func()
+	// OnEnd is called once, unless the exchange is aborted.
+	OnEnd func(protocol.Answer, error)
+
+	conn        *Conn
+	sent        bool
+	finished    bool
+	begun       bool   // part of an answer is here
+	partialBody []byte // of its body
+}
+
+// IsSent reports whether the request went to a connection.
+func (x *Exchange) IsSent() bool { return x.sent }
+
+// IsWritten reports whether the last byte of the request has been handed to the socket.
+func (x *Exchange) IsWritten() bool { return x.sent && x.conn.conn.Flushed() }
+
+// HasBegun reports whether part of an answer is here.
+func (x *Exchange) HasBegun() bool { return x.begun }
+
+// PartialBody returns what is here of the body of an answer that is not complete.
+func (x *Exchange) PartialBody() []byte { return x.partialBody }
+
+// HasSuccessLine reports whether the first line of the answer is here, says success, and is all that is needed of it.
+func (x *Exchange) HasSuccessLine() bool {
+	return x.sent && !x.NeedsBody && x.conn.partialStatus.Load() == statusOK
+}
+
+// notifyWritten reports, once, that the request was written completely.
+func (x *Exchange) notifyWritten(complete bool) {
+	if complete && x.sent && x.OnWritten != nil {
+		x.OnWritten()
+		x.OnWritten = nil
+	}
+}
+
+// end reports how the exchange ended; its connection is free for another one.
+func (x *Exchange) end(answer protocol.Answer, err error) {
+	x.finished = true
+	x.OnEnd(answer, err)
+}
+
+// fail ends the exchange with a failure at a stage of it.
+func (x *Exchange) fail(progress protocol.Progress, err error) {
+	x.end(protocol.Answer{}, &protocol.Failure{Progress: progress, Err: err})
+}
--- a/server/endpoints.go
+++ b/server/endpoints.go
@@ -33,7 +33,7 @@
 	s.events = append(s.events, news)
 	for id, entry := range before {
 		if now := s.endpoints[id]; now.Health != protocol.InService || peerOf(now) != peerOf(entry) {
-			s.endpointConns.closeIdle(peerOf(entry)) // nothing new goes there, or what they lead to is not there any more
+			s.endpointConns.CloseIdle(peerOf(entry)) // nothing new goes there, or what they lead to is not there any more
 		}
 	}
 	for dest, until := range s.destinations {
--- a/server/handoff.go
+++ b/server/handoff.go
@@ -118,7 +118,7 @@
 		r.snapshots.writer = nil
 	}
 	r.discovery.stop()
-	r.endpointConns.closeAllIdle()
+	r.endpointConns.CloseAllIdle()
 	r.logSpoolError(r.spool.Close())
 	u.release()
 	u.successor.Send(handoff.Message{State: state})
@@ -133,9 +133,9 @@
 // there.
 func (u *handoffState) withdrawUnsent() {
 	for _, attempt := range slices.Clone(u.server.inFlight) {
-		if exchange := attempt.call.exchange; exchange != nil && !exchange.sent {
+		if exchange := attempt.call.exchange; exchange != nil && !exchange.IsSent() {
 			u.finishAttempt(attempt)
-			u.server.endpointConns.abort(exchange)
+			u.server.endpointConns.Abort(exchange)
 			u.server.noteOutcome(attempt, dispatch.Unprocessed)
 		}
 	}
--- a/server/reload.go
+++ b/server/reload.go
@@ -34,7 +34,7 @@
 	}
 	s.counters.grow(len(merged.Classes))
 	s.clients.SetLimits(s.clientLimits())
-	s.endpointConns.updateLimits()
+	s.endpointConns.SetLimits(s.endpointConnLimits())
 	if old.SpoolMB != merged.SpoolMB {
 		s.spool.Resize(SpoolLimit(merged))
 	}
--- a/server/server.go
+++ b/server/server.go
@@ -16,6 +16,7 @@
 	"pineport/logging"
 	"pineport/protocol"
 	"pineport/server/clientconn"
+	"pineport/server/endpointconn"
 	"pineport/spool"
 	"pineport/transport"
 )
@@ -41,8 +42,8 @@
 	dispatcherFailures int // how often in a row the decisions did
 	spool              *spool.Spool
 	driver             *transport.Driver
-	queue              chan any
-	control            chan any // operators and the other process of an upgrade, served before the inbox
+	queue              chan event
+	control            chan event // operators and the other process of an upgrade, served before the inbox
 
 	startedAt          time.Time // for the clock: Unix time at the start, and what has passed since
 	startedAtUnix      dispatch.Micros
@@ -55,7 +56,7 @@
 	endpoints          map[dispatch.EndpointID]protocol.Host
 	destinations       map[int]dispatch.Micros    // known destinations, and until when
 	retryAfter         map[string]dispatch.Micros // reported by a route, until when; the decisions keep their own
-	endpointConns      endpointConns
+	endpointConns      *endpointconn.Pool
 	clients            *clientconn.Set
 	finished           finishedMessages
 	discovery          discovery
@@ -82,7 +83,7 @@
 // New returns an event loop over an open spool; unfinished is what the spool still held. given is what a predecessor handed over, nil where
 // none did.
 func New(dep *config.Deployment, sp *spool.Spool, unfinished []*spool.Message, given *handoff.State, log *slog.Logger) (*Server, error) {
-	r := &Server{deployment: dep, log: log, spool: sp, queue: make(chan any, queueSize), control: make(chan any, controlQueueSize),
+	r := &Server{deployment: dep, log: log, spool: sp, queue: make(chan event, queueSize), control: make(chan event, controlQueueSize),
 		startedAt: time.Now(), timerAt: never, shutdownBy: never, drainAt: never, messages: map[dispatch.MessageID]*message{},
 		endpoints: map[dispatch.EndpointID]protocol.Host{}, retryAfter: map[string]dispatch.Micros{}, destinations: map[int]dispatch.Micros{}}
 	r.tracer = log.With(logging.Component, "decisions")
@@ -96,8 +97,8 @@
 	}
 	r.dispatcher = r.newDispatcher()
 	r.shadow.start(r)
-	r.endpointConns.init(r)
-	r.clients = clientconn.New(r.clientLimits(), r.clock, func(event clientconn.Event) { r.queue <- event })
+	r.endpointConns = r.newEndpointConns()
+	r.clients = clientconn.New(r.clientLimits(), r.clock, func(e clientconn.Event) { r.queue <- clientEvent{e} })
 	r.discovery.init(r)
 	r.counters.grow(len(dep.Classes))
 	r.operators.init(r)
@@ -130,17 +131,18 @@
 		began := s.clock()
 		due := min(max(s.due(), began), began+hour)
 		timer.Reset(time.Duration(due-began) * time.Microsecond)
-		var what any
+		var next event
 		select {
-		case what = <-s.queue:
+		case next = <-s.queue:
 		case <-timer.C:
-		case what = <-reloads:
-		case what = <-s.control:
+		case reloaded := <-reloads:
+			next = configReloaded{reloaded}
+		case next = <-s.control:
 		case <-stop:
 			stop = nil
 			s.beginShutdown(grace)
 		}
-		s.handle(what)
+		s.handle(next)
 		s.catchUpAfterPause(due)
 		s.drainQueues()
 		s.guardedStep()
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -16,6 +16,7 @@
 	"pineport/dispatch"
 	"pineport/handoff"
 	"pineport/protocol"
+	"pineport/server/endpointconn"
 	"pineport/spool"
 	"pineport/testbed/port"
 	"pineport/testbed/scripted"
@@ -455,20 +456,23 @@
 		"another": func(entry *protocol.Host) { entry.Host = "s-new" }, "started again": func(entry *protocol.Host) { entry.Born = 7 },
 		"same": func(*protocol.Host) {},
 	} {
-		world := open(t, 0)
-		r := prepare(t, world)
+		r := steppedServer(t, open(t, 0), single("one"))
+		r.step()
+		for r.messages["one"] != nil { // its connection rests then
+			r.handle(endpointEvent{until(t, r, func(endpointconn.Event) bool { return true })})
+			r.step()
+		}
 		var before protocol.Host
 		for _, entry := range r.endpoints {
 			before = entry
 		}
-		exchange := &exchange{peer: peerOf(before)}
-		conn := &endpointConn{server: r, peer: exchange.peer, conn: &transport.Conn{}}
-		r.endpointConns.all[conn] = true
-		r.endpointConns.keepIdle(conn)
+		if idle := r.endpointConns.Idle(peerOf(before)); idle != 1 {
+			t.Fatalf("%d idle connections after a call", idle)
+		}
 		after := before
 		change(&after)
 		r.applyEndpoints(protocol.List{Whole: true, Hosts: []protocol.Host{after}}, dispatch.CompleteList)
-		if kept := r.endpointConns.all[conn] && len(r.endpointConns.idle[peerOf(after)]) == 1; kept != (name == "same") {
+		if kept := r.endpointConns.Idle(peerOf(after)) == 1; kept != (name == "same") {
 			t.Errorf("%s: kept %v", name, kept)
 		}
 	}
@@ -572,13 +576,13 @@
 			r.driver = driver
 			r.step()
 			for up := false; !up; {
-				var what any
+				var what event
 				select {
 				case what = <-r.queue:
 				case <-time.After(5 * time.Second):
 					t.Fatal("no connection")
 				}
-				if event, ok := what.(connUp); ok && event.conn.peer.addr == world.Endpoints[0] {
+				if event, ok := unwrap(what).(endpointconn.Opened); ok && event.Conn.Peer().Address == world.Endpoints[0] {
 					up = true
 					overtake(r)
 				}
--- a/server/step.go
+++ b/server/step.go
@@ -9,7 +9,7 @@
 
 // due returns when the next step is due without an event.
 func (s *Server) due() dispatch.Micros {
-	at := min(s.timerAt, s.endpointConns.due(), s.clients.Due(), s.discovery.due(), s.snapshots.due(), s.operators.due(), s.endpointConns.nextFlushCheck(), s.shutdownBy, s.drainAt)
+	at := min(s.timerAt, s.endpointConns.Due(), s.clients.Due(), s.discovery.due(), s.snapshots.due(), s.operators.due(), s.shutdownBy, s.drainAt)
 	for _, attempt := range s.inFlight {
 		at = min(at, attempt.waitUntil)
 	}
@@ -30,8 +30,8 @@
 // step hands the dispatcher the events since the last step, and carries out its actions.
 func (s *Server) step() {
 	s.now = s.clock()
-	s.endpointConns.expire()
-	s.endpointConns.checkWritten()
+	s.endpointConns.Expire()
+	s.endpointConns.CheckWritten()
 	s.clients.Sweep(s.now)
 	s.operators.tick()
 	s.malformed.log(s.log, s.now)
