--- a/quota/packet.go
+++ b/quota/packet.go
@@ -87,7 +87,7 @@
 		return fmt.Errorf("version %d, from %.20q", w.Version, w.From)
 	}
 	if len(w.Requests) > maxItems || len(w.Leases) > maxItems || len(w.Samples) > maxItems {
-		return fmt.Errorf("%d asks, %d loans, %d counts", len(w.Requests), len(w.Leases), len(w.Samples))
+		return fmt.Errorf("%d requests, %d leases, %d samples", len(w.Requests), len(w.Leases), len(w.Samples))
 	}
 	for _, a := range w.Requests {
 		if !a.Key.sound() || a.Units < 1 || a.Units > whole {
--- a/server/endpointconn/conn.go
+++ b/server/endpointconn/conn.go
@@ -19,10 +19,11 @@
 const statusOK = http.StatusOK
 
 var (
-	// ErrUnexpectedAnswer ends a connection on which an answer comes that no request asked for: bytes that come while no answer is due belong to no request, and the next answer could not be told from them.
+	// ErrUnexpectedAnswer ends a connection over which bytes come while no answer is due: they belong to no request, and the next
+	// answer could not be told apart from them.
 	ErrUnexpectedAnswer = errors.New("an answer nobody asked for")
-	// ErrOvertaken ends an exchange that is not wanted any more: while its connection was being opened it became known that nothing may be
-	// sent there.
+	// ErrOvertaken ends an exchange that is not wanted any more: while its connection was being opened it became known that nothing
+	// may be sent there.
 	ErrOvertaken = errors.New("overtaken by a drain or a wait")
 
 	errNoDescriptor   = errors.New("no descriptor left")
--- a/testbed/environment/endpoint.go
+++ b/testbed/environment/endpoint.go
@@ -296,7 +296,7 @@
 		ids, body = append(ids, dispatch.MessageID(parts[0])), rest[n+2:]
 	}
 	if len(ids) == 0 {
-		return nil, errors.New("no records")
+		return nil, errors.New("no messages")
 	}
 	return ids, nil
 }
--- a/testbed/fleet/fleet.go
+++ b/testbed/fleet/fleet.go
@@ -84,7 +84,7 @@
 		case f.At < 0 || f.Length <= 0 || f.At+f.Length > p.Length:
 			return fmt.Errorf("%s: fault.%d: a span within the day's %v s was expected, not %v s from %v s", name, i, p.Length, f.Length, f.At)
 		case len(f.From) == 0 && !netfault.OnNetwork(f.Kind):
-			return fmt.Errorf("%s: fault.%d.from: the couriers that it strikes were expected", name, i)
+			return fmt.Errorf("%s: fault.%d.from: the couriers that it affects were expected", name, i)
 		}
 	}
 	return nil
--- a/testbed/scenario/scenario.go
+++ b/testbed/scenario/scenario.go
@@ -169,7 +169,7 @@
 	Kind   string  `toml:"kind" one:"refuse|silent|hang|shut|errors|swallow|resets|slow|pauses|shrink|crowd|drain|replace|courier-kill|courier-roll|courier-stand|flood|directory-down" doc:"what"`
 	At     Range   `toml:"at_s" def:"[10,10]" in:"0..86400" unit:"s" doc:"when it begins"`
 	Length Range   `toml:"length_s" def:"[10,10]" in:"0.01..86400" unit:"s" doc:"how long it lasts"`
-	Part   float64 `toml:"part" def:"0.2" in:"0..1" doc:"share of the traffic (or of the couriers) that it strikes"`
+	Part   float64 `toml:"part" def:"0.2" in:"0..1" doc:"share of the traffic (or of the couriers) that it affects"`
 	By     string  `toml:"by" def:"any" one:"any|zone" doc:"zone: only endpoints of one building"`
 	Of     string  `toml:"of" def:"" doc:"only destinations of this kind; for flood: the tenant"`
 	Whole  float64 `toml:"whole" def:"0.8" in:"0..1" doc:"chance that all endpoints of a destination are struck, and not one"`
