--- a/protocol/calls.go
+++ b/protocol/calls.go
@@ -8,35 +8,36 @@
 	"strconv"
 )
 
-// Item is a message on its way to an endpoint.
+// Item is a message in a delivery request.
 type Item struct {
 	ID   string
-	Mark string // by which a repeat is known, if it has one
+	Mark string // idempotency key; empty if there is none
 	Body []byte
 }
 
-func post(dst []byte, path, host, headers string, size int) []byte {
+func appendPost(dst []byte, path, host, headers string, size int) []byte {
 	return fmt.Appendf(dst, "POST %s HTTP/1.1\r\nHost: %s\r\n%sContent-Length: %d\r\n\r\n", path, host, headers, size)
 }
 
-// Call writes a call with the messages it carries; budget is how long this side will wait, in milliseconds.
+// Call encodes a delivery request for one or more messages. budget is the time for which the courier will wait for the
+// response, in milliseconds.
 func Call(host string, budget int64, items []Item) []byte {
 	if len(items) == 1 {
 		head := fmt.Sprintf("X-Call-Id: %s\r\nX-Budget-Ms: %d\r\n", items[0].ID, budget)
 		if items[0].Mark != "" {
 			head += "Idempotency-Key: " + items[0].Mark + "\r\n"
 		}
-		return append(post(nil, "/hook", host, head, len(items[0].Body)), items[0].Body...)
+		return append(appendPost(nil, "/hook", host, head, len(items[0].Body)), items[0].Body...)
 	}
 	var body []byte
 	for _, it := range items {
 		body = fmt.Appendf(body, "%s %s %d\r\n", it.ID, cmp.Or(it.Mark, "-"), len(it.Body))
 		body = append(append(body, it.Body...), "\r\n"...)
 	}
-	return append(post(nil, "/hook/batch", host, fmt.Sprintf("X-Budget-Ms: %d\r\n", budget), len(body)), body...)
+	return append(appendPost(nil, "/hook/batch", host, fmt.Sprintf("X-Budget-Ms: %d\r\n", budget), len(body)), body...)
 }
 
-// Ends of a message in an answer for several.
+// Outcomes of a single message in the response to a batch.
 const (
 	Accepted = "accepted"
 	Fault    = "fault"
@@ -45,25 +46,25 @@
 	NoMore   = "no_more"
 )
 
-// ReadEnds reads how each message of a call fared.
+// ReadEnds parses the body of the response to a batch. It returns the outcome of each message by message ID.
 func ReadEnds(body []byte) map[string]string {
-	ends := map[string]string{}
+	outcomes := map[string]string{}
 	for _, line := range bytes.Split(body, []byte{'\n'}) {
-		if parts := bytes.Fields(line); len(parts) == 2 {
-			ends[string(parts[0])] = string(parts[1])
+		if fields := bytes.Fields(line); len(fields) == 2 {
+			outcomes[string(fields[0])] = string(fields[1])
 		}
 	}
-	return ends
+	return outcomes
 }
 
-// Notice tells the platform of a message that was taken on and not delivered.
+// Notice reports to the platform that an accepted message was not delivered.
 type Notice struct {
 	ID       string
 	Rejected bool
-	AgainMs  int64 // with a reject, 0 if nothing is advised
+	AgainMs  int64 // if Rejected, how long to wait before submitting the message again; 0 for no advice
 }
 
-// Notices writes one call with several notices.
+// Notices encodes a request that carries notices.
 func Notices(host string, notices []Notice) []byte {
 	var body []byte
 	for _, n := range notices {
@@ -75,23 +76,23 @@
 		if n.Rejected {
 			line.Status, line.Again = "deferred", n.AgainMs
 		}
-		text, _ := json.Marshal(line) // strings and a number: it cannot fail
+		text, _ := json.Marshal(line) // cannot fail: the struct holds only strings and an integer
 		body = append(append(body, text...), '\n')
 	}
-	return append(post(nil, "/v1/notices", host, "", len(body)), body...)
+	return append(appendPost(nil, "/v1/notices", host, "", len(body)), body...)
 }
 
-// Health is where an endpoint stands on discovery's list.
+// Health is the state of an endpoint on discovery's endpoint list.
 type Health string
 
-// The states of an endpoint, as discovery writes them.
+// Endpoint states, as encoded on discovery's endpoint list.
 const (
 	InService Health = "in_service"
 	Draining  Health = "terminating"
 	Removed   Health = "terminated"
 )
 
-// Host is one endpoint on discovery's list.
+// Host is an entry of discovery's endpoint list.
 type Host struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
@@ -100,10 +101,10 @@
 	Dest   int     `json:"block"`
 	Health Health  `json:"health"`
 	Rate   float64 `json:"share"`
-	Born   int64   `json:"born_ms"` // when it last started, in Unix milliseconds; 0 for long ago
+	Born   int64   `json:"born_ms"` // time of the endpoint's last start, in Unix milliseconds; 0 if long ago
 }
 
-// List is discovery's list, or changes of it. Faults are the entries that were left out.
+// List is discovery's endpoint list if Whole, else changes to it. Faults holds the entries that were omitted as invalid.
 type List struct {
 	Seq    int64
 	Whole  bool
@@ -111,20 +112,20 @@
 	Faults []EntryFault
 }
 
-// EntryFault is an entry that cannot be used.
+// EntryFault describes an invalid entry of an endpoint list.
 type EntryFault struct {
-	Host string // the endpoint that it names; empty where that cannot be read either
-	Dial string // the same for its address
+	Host string // endpoint name in the entry; empty if it could not be parsed
+	Dial string // address in the entry; empty if it could not be parsed
 	Err  error
 }
 
 func (f EntryFault) Error() string { return f.Err.Error() }
 
-// Unwrap returns what is wrong with it.
+// Unwrap returns the reason why the entry is invalid.
 func (f EntryFault) Unwrap() error { return f.Err }
 
-// ReadList reads a list; an entry that cannot be used is left out and named. Without version, kind or entries it is no list: what
-// is missing may have been there, under a name that was spoilt on the way.
+// ReadList parses an endpoint list. It omits invalid entries and reports them in Faults. It returns an error if seq, whole or
+// hosts is missing, since the missing key may have been sent under a name that was corrupted in transit.
 func ReadList(text []byte) (List, error) {
 	var raw struct {
 		Seq   *int64            `json:"seq"`
@@ -145,7 +146,7 @@
 	return newList(*raw.Seq, *raw.Whole, raw.Hosts), nil
 }
 
-// ReadCachedList reads a whole list that a configuration holds; one without entries is empty.
+// ReadCachedList parses a complete endpoint list stored in a configuration. The list is empty if hosts is missing.
 func ReadCachedList(text []byte) (List, error) {
 	var raw struct {
 		Seq   *int64            `json:"seq"`
@@ -174,13 +175,13 @@
 	switch {
 	case err != nil:
 	case !isToken([]byte(h.Host)):
-		err = fmt.Errorf("host: a name was expected")
+		err = fmt.Errorf("host: missing or invalid name")
 	case h.Dest < 0:
-		err = fmt.Errorf("host %s: block: a number was expected", h.Host)
+		err = fmt.Errorf("host %s: block: missing or negative number", h.Host)
 	case h.Health != InService && h.Health != Draining && h.Health != Removed:
 		err = fmt.Errorf("host %s: health: unknown state %.20q", h.Host, h.Health)
 	case h.Health != Removed && !isAddress(h.Dial):
-		err = fmt.Errorf("host %s: dial: address:port was expected, not %.40q", h.Host, h.Dial)
+		err = fmt.Errorf("host %s: dial: expected address:port, got %.40q", h.Host, h.Dial)
 	}
 	if err != nil {
 		l.Faults = append(l.Faults, EntryFault{Host: h.Host, Dial: h.Dial, Err: err})
@@ -189,7 +190,7 @@
 	l.Hosts = append(l.Hosts, h)
 }
 
-// ReadPart reads the entries that are complete of a list that broke off.
+// ReadPart parses the complete entries of a truncated endpoint list.
 func ReadPart(text []byte) (l List) {
 	dec := json.NewDecoder(bytes.NewReader(text))
 	if start, err := dec.Token(); err != nil || start != json.Delim('{') {
@@ -202,9 +203,9 @@
 		} else if err == nil && key == "hosts" {
 			_, err = dec.Token()
 			for err == nil && dec.More() {
-				var one json.RawMessage
-				if err = dec.Decode(&one); err == nil {
-					l.add(one)
+				var entry json.RawMessage
+				if err = dec.Decode(&entry); err == nil {
+					l.add(entry)
 				}
 			}
 		} else if err == nil {
@@ -217,12 +218,12 @@
 	return l
 }
 
-// WholeList writes the call for the whole list.
+// WholeList encodes the request for the complete endpoint list.
 func WholeList(host string) []byte {
 	return fmt.Appendf(nil, "GET /v1/servers HTTP/1.1\r\nHost: %s\r\n\r\n", host)
 }
 
-// Watch writes the call that waits for what is newer than a version.
+// Watch encodes the request that waits up to waitMs milliseconds for changes after version seq of the endpoint list.
 func Watch(host string, seq, waitMs int64) []byte {
 	return fmt.Appendf(nil, "GET /v1/servers?index=%d&wait=%d HTTP/1.1\r\nHost: %s\r\n\r\n", seq, waitMs, host)
 }
--- a/protocol/http.go
+++ b/protocol/http.go
@@ -9,136 +9,137 @@
 	"strings"
 )
 
-// Progress is how far an attempt had come when it failed.
+// Progress is the stage at which an attempt failed.
 type Progress int
 
-// How far an attempt may have come.
+// Stages of an attempt. They determine whether the endpoint may have processed the request.
 const (
-	BeforeLastByte Progress = iota // the other side cannot have begun it
-	AfterLastByte                  // it may have
-	InAnswer                       // it has, and what it answered can't be read
+	BeforeLastByte Progress = iota // the request was not fully sent, so the endpoint cannot have processed it
+	AfterLastByte                  // the request was fully sent, so the endpoint may have processed it
+	InAnswer                       // the endpoint sent a malformed response
 )
 
-// Failure is an attempt without a whole answer.
+// Failure is the error of an attempt that got no complete response.
 type Failure struct {
 	Progress Progress
 	Err      error
 }
 
 func (f *Failure) Error() string {
-	return map[Progress]string{BeforeLastByte: "before the last byte was out: ", AfterLastByte: "after the last byte was out: ",
-		InAnswer: "in the answer: "}[f.Progress] + f.Err.Error()
+	return map[Progress]string{BeforeLastByte: "before the request was fully sent: ", AfterLastByte: "after the request was fully sent: ",
+		InAnswer: "in the response: "}[f.Progress] + f.Err.Error()
 }
 
 func (f *Failure) Unwrap() error { return f.Err }
 
-// ErrAnswer is an answer that cannot be read.
-var ErrAnswer = errors.New("bad answer")
+// ErrAnswer means that a response is malformed.
+var ErrAnswer = errors.New("malformed response")
 
-// Answer holds what is needed of an HTTP answer.
+// Answer holds the parts of an HTTP response that this software uses.
 type Answer struct {
 	Status int
-	WaitMs int64  // reported with it, 0 if none
-	NoSlot bool   // all slots of this courier were taken
-	Report string // of the load, as it came
-	Close  bool   // the connection ends with it
+	WaitMs int64  // backoff requested by X-Backoff-Ms, rounded up; 0 if none
+	NoSlot bool   // X-Egress-Full: the endpoint has no free slot for this courier
+	Report string // load report from X-Load-Report, unparsed
+	Close  bool   // the connection must not be reused after this response
 	Body   []byte
 }
 
-const maxHead = 8 << 10
+const maxHeadBytes = 8 << 10
 
-type answerState int
+type responseState int
 
 const (
-	inStatus answerState = iota
+	inStatus responseState = iota
 	inHeaders
 	inBody
 	inChunkSize
 	inChunk
 	inTrailer
-	untilEnd
+	inBodyUntilClose
 )
 
-// Answers takes HTTP/1.1 answers off a stream.
-type Answers struct {
-	state   answerState
-	buf     []byte
-	now     Answer
-	head    int // bytes of the head so far
-	left    int // of the body or chunk
-	length  int // -1 where none was notified
-	chunked bool
-	limit   int
-	err     error
+// ResponseParser parses a stream of HTTP/1.1 responses.
+type ResponseParser struct {
+	state         responseState
+	buf           []byte
+	current       Answer
+	headBytes     int // bytes parsed so far of the head, or of a chunk size line or trailer
+	remaining     int // bytes of the body or chunk not yet received
+	contentLength int // -1 if there is no Content-Length header
+	chunked       bool
+	maxBody       int
+	err           error
 }
 
-// NewAnswers reads answers with bodies up to limit bytes.
-func NewAnswers(limit int) *Answers { return &Answers{limit: limit} }
+// NewResponseParser returns a parser that rejects bodies of more than limit bytes.
+func NewResponseParser(limit int) *ResponseParser { return &ResponseParser{maxBody: limit} }
 
-// Begun tells whether part of an answer has come, and the status if its first line has.
-func (a *Answers) Begun() (status int, begun bool) {
+// Started reports whether part of a response has been received, and its status; the status is 0 until the status line is
+// complete.
+func (a *ResponseParser) Started() (status int, started bool) {
 	if a.state == inStatus {
 		return 0, len(a.buf) > 0
 	}
-	return a.now.Status, true
+	return a.current.Status, true
 }
 
-// Part is what has come of the body of an answer that is not complete.
-func (a *Answers) Part() []byte { return a.now.Body }
+// PartialBody returns the part of an incomplete response's body that has been received.
+func (a *ResponseParser) PartialBody() []byte { return a.current.Body }
 
-// Feed takes what came in and returns the answer that is complete, if one is. One request at a time goes over a
-// connection: what comes after its answer belongs to nothing, and would else pass for the answer to the next.
-func (a *Answers) Feed(b []byte) (answer Answer, done bool, err error) {
+// Feed parses received bytes and returns the response if it is complete. Each connection carries one request at a time,
+// so bytes after a response are an error: they would otherwise be taken for the response to the next request.
+func (a *ResponseParser) Feed(b []byte) (answer Answer, done bool, err error) {
 	a.buf = append(a.buf, b...)
 	used := 0
 	for n := -1; a.err == nil && n != 0 && !done; used += n {
 		n, done = a.step(a.buf[used:])
 	}
-	if a.buf = append(a.buf[:0], a.buf[used:]...); len(a.buf) == 0 && cap(a.buf) > maxHead {
+	if a.buf = append(a.buf[:0], a.buf[used:]...); len(a.buf) == 0 && cap(a.buf) > maxHeadBytes {
 		a.buf = nil
 	}
 	if done {
-		if answer = a.now; len(a.buf) > 0 {
-			a.fail("%d bytes more than it", len(a.buf))
+		if answer = a.current; len(a.buf) > 0 {
+			a.fail("%d unexpected bytes after the response", len(a.buf))
 		}
-		a.now, a.state, a.head = Answer{}, inStatus, 0
+		a.current, a.state, a.headBytes = Answer{}, inStatus, 0
 	}
 	return answer, done, a.err
 }
 
-// End tells that the stream has ended; an answer without a reported length ends with it.
-func (a *Answers) End() (Answer, bool) {
-	if a.err == nil && a.state == untilEnd {
-		a.now.Close = true
-		return a.now, true
+// End handles the end of the stream. It returns the response whose body ends with the stream, if there is one.
+func (a *ResponseParser) End() (Answer, bool) {
+	if a.err == nil && a.state == inBodyUntilClose {
+		a.current.Close = true
+		return a.current, true
 	}
 	return Answer{}, false
 }
 
-func (a *Answers) fail(format string, args ...any) (int, bool) {
+func (a *ResponseParser) fail(format string, args ...any) (int, bool) {
 	a.err = fmt.Errorf("%w: "+format, append([]any{ErrAnswer}, args...)...)
 	return 0, false
 }
 
-// step takes in one line or a piece of a body, and reports how much it used and whether the answer is complete.
-func (a *Answers) step(b []byte) (used int, done bool) {
+// step parses one line or part of a body. It returns the number of bytes consumed and whether the response is complete.
+func (a *ResponseParser) step(b []byte) (used int, done bool) {
 	switch a.state {
 	case inBody, inChunk:
 		return a.stepBody(b)
-	case untilEnd:
-		if a.now.Body = append(a.now.Body, b...); len(a.now.Body) > a.limit {
-			return a.fail("body over %d bytes", a.limit)
+	case inBodyUntilClose:
+		if a.current.Body = append(a.current.Body, b...); len(a.current.Body) > a.maxBody {
+			return a.fail("response body exceeds %d bytes", a.maxBody)
 		}
 		return len(b), false
 	}
 	return a.stepLine(b)
 }
 
-// stepBody takes in a piece of a body of known length, or of a chunk of one.
-func (a *Answers) stepBody(b []byte) (used int, done bool) {
-	n := min(a.left, len(b))
-	a.now.Body = append(a.now.Body, b[:n]...)
-	if a.left -= n; a.left > 0 {
+// stepBody parses part of a body of known length, or part of a chunk.
+func (a *ResponseParser) stepBody(b []byte) (used int, done bool) {
+	n := min(a.remaining, len(b))
+	a.current.Body = append(a.current.Body, b[:n]...)
+	if a.remaining -= n; a.remaining > 0 {
 		return n, false
 	}
 	if a.state == inBody {
@@ -148,47 +149,47 @@
 		return n, false
 	}
 	if b[n] != '\r' || b[n+1] != '\n' {
-		return a.fail("a chunk does not end where it should")
+		return a.fail("chunk data is not followed by CRLF")
 	}
 	a.state = inChunkSize
 	return n + 2, false
 }
 
-// stepLine takes in one line of the head, of a chunk's size or of the trailer.
-func (a *Answers) stepLine(b []byte) (used int, done bool) {
-	if a.state == inStatus && !begins(b, "HTTP/1.") {
-		return a.fail("no status line begins with %.20q", b)
+// stepLine parses one line: a status line, a header, a chunk size or a trailer line.
+func (a *ResponseParser) stepLine(b []byte) (used int, done bool) {
+	if a.state == inStatus && !canStartWith(b, "HTTP/1.") {
+		return a.fail("status line expected, got %.20q", b)
 	}
 	end := bytes.IndexByte(b, '\n')
 	if end < 0 {
-		if a.head+len(b) > maxHead {
-			return a.fail("head over %d bytes", maxHead)
+		if a.headBytes+len(b) > maxHeadBytes {
+			return a.fail("response head exceeds %d bytes", maxHeadBytes)
 		}
 		return 0, false
 	}
 	used = end + 1
-	if a.head += used; a.head > maxHead {
-		return a.fail("head over %d bytes", maxHead)
+	if a.headBytes += used; a.headBytes > maxHeadBytes {
+		return a.fail("response head exceeds %d bytes", maxHeadBytes)
 	}
 	line := string(bytes.TrimSuffix(b[:end], []byte{'\r'}))
 	switch a.state {
 	case inStatus:
-		if line == "" && a.head <= 2 {
-			return used, false // an empty line before an answer does no harm
+		if line == "" && a.headBytes <= 2 {
+			return used, false // ignore an empty line before the status line
 		}
-		return used, a.status(line)
+		return used, a.parseStatusLine(line)
 	case inHeaders:
 		if line == "" {
-			return used, a.body()
+			return used, a.startBody()
 		}
-		a.header(line)
+		a.parseHeader(line)
 	case inChunkSize:
 		size, _, _ := strings.Cut(line, ";")
 		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
-		if err != nil || len(a.now.Body)+int(n) > a.limit {
-			return a.fail("bad chunk size %q", size)
+		if err != nil || len(a.current.Body)+int(n) > a.maxBody {
+			return a.fail("invalid or too large chunk size %q", size)
 		}
-		a.left, a.state, a.head = int(n), inChunk, 0
+		a.remaining, a.state, a.headBytes = int(n), inChunk, 0
 		if n == 0 {
 			a.state = inTrailer
 		}
@@ -201,83 +202,86 @@
 	return used, false
 }
 
-// begins tells whether b, of which more may come, can still begin with text; an empty line before it does no harm.
-func begins(b []byte, text string) bool {
+// canStartWith reports whether b, which may be incomplete, starts with text or with a prefix of it. It ignores an empty
+// line at the start of b.
+func canStartWith(b []byte, text string) bool {
 	b = bytes.TrimPrefix(bytes.TrimPrefix(b, []byte{'\r'}), []byte{'\n'})
 	n := min(len(b), len(text))
 	return string(b[:n]) == text[:n]
 }
 
-func (a *Answers) status(line string) bool {
+func (a *ResponseParser) parseStatusLine(line string) bool {
 	version, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
-	n, ok := digits([]byte(code))
+	n, ok := parseDecimal([]byte(code))
 	if !strings.HasPrefix(version, "HTTP/1.") || !ok || len(code) != 3 || n < 100 {
-		a.fail("bad status line %.40q", line)
+		a.fail("malformed status line %.40q", line)
 		return false
 	}
-	a.now, a.state, a.length, a.chunked = Answer{Status: n, Close: version == "HTTP/1.0"}, inHeaders, -1, false
+	a.current, a.state, a.contentLength, a.chunked = Answer{Status: n, Close: version == "HTTP/1.0"}, inHeaders, -1, false
 	return false
 }
 
-func (a *Answers) header(line string) {
+func (a *ResponseParser) parseHeader(line string) {
 	name, value, ok := strings.Cut(line, ":")
 	if value = strings.TrimSpace(value); !ok || name == "" || strings.ContainsAny(name, " \t") {
-		a.fail("bad header %.40q", line)
+		a.fail("malformed header %.40q", line)
 		return
 	}
 	switch strings.ToLower(name) {
 	case "content-length":
-		n, ok := digits([]byte(value))
-		if !ok || a.length >= 0 && a.length != n {
-			a.fail("bad length %.40q", value)
+		n, ok := parseDecimal([]byte(value))
+		if !ok || a.contentLength >= 0 && a.contentLength != n {
+			a.fail("invalid or conflicting Content-Length %.40q", value)
 		}
-		a.length = n
+		a.contentLength = n
 	case "transfer-encoding":
 		if !strings.EqualFold(value, "chunked") {
-			a.fail("unknown encoding %.40q", value)
+			a.fail("unsupported Transfer-Encoding %.40q", value)
 		}
 		a.chunked = true
 	case "connection":
 		switch strings.ToLower(value) {
 		case "close":
-			a.now.Close = true
+			a.current.Close = true
 		case "keep-alive":
-			a.now.Close = false
+			a.current.Close = false
 		}
 	case "x-backoff-ms":
 		if ms, err := strconv.ParseFloat(value, 64); err == nil && ms > 0 && ms < 1e9 {
-			a.now.WaitMs = int64(ms + 0.999) // a part of a millisecond is waited out too
+			a.current.WaitMs = int64(ms + 0.999) // round up to whole milliseconds
 		}
 	case "x-egress-full":
-		a.now.NoSlot = value == "1"
+		a.current.NoSlot = value == "1"
 	case "x-load-report":
-		a.now.Report = value
+		a.current.Report = value
 	}
 }
 
-// body is called at the end of the head; it tells whether the answer is complete.
-func (a *Answers) body() bool {
+// startBody is called at the end of the head. It selects how the body is parsed, and reports whether the response is
+// already complete.
+func (a *ResponseParser) startBody() bool {
 	switch {
-	case a.now.Status < 200:
-		a.state, a.head = inStatus, 0 // an interim answer; the real one follows
-	case a.now.Status == 204 || a.now.Status == 304:
+	case a.current.Status < 200:
+		a.state, a.headBytes = inStatus, 0 // an interim (1xx) response; the final response follows
+	case a.current.Status == 204 || a.current.Status == 304:
 		return true
 	case a.chunked:
-		a.state, a.head = inChunkSize, 0
-	case a.length > a.limit:
-		a.fail("body over %d bytes", a.limit)
-	case a.length == 0:
+		a.state, a.headBytes = inChunkSize, 0
+	case a.contentLength > a.maxBody:
+		a.fail("response body exceeds %d bytes", a.maxBody)
+	case a.contentLength == 0:
 		return true
-	case a.length > 0:
-		a.state, a.left = inBody, a.length
+	case a.contentLength > 0:
+		a.state, a.remaining = inBody, a.contentLength
 	default:
-		a.state = untilEnd
+		a.state = inBodyUntilClose
 	}
 	return false
 }
 
-// Pressure picks the named values from a report such as x0=0.4,x1=25; nil where one is missing.
+// Pressure returns the values with the given names from a load report such as x0=0.4,x1=25. It returns nil if a value is
+// missing or invalid.
 func Pressure(report string, names []string) []float64 {
 	if report == "" || len(names) == 0 {
 		return nil
--- a/protocol/protocol_test.go
+++ b/protocol/protocol_test.go
@@ -9,14 +9,14 @@
 	"testing"
 )
 
-// everySplit feeds text in two parts cut at every byte, and byte by byte, and compares what came out.
-func everySplit(t *testing.T, text string, want any, feed func(parts ...[]byte) any) {
+// checkEverySplit feeds text in two parts, split at each byte, and then byte by byte. It checks that the result is always want.
+func checkEverySplit(t *testing.T, text string, want any, feed func(parts ...[]byte) any) {
 	t.Helper()
 	var single [][]byte
 	for i := range text {
 		single = append(single, []byte(text[i:i+1]))
 		if got := feed([]byte(text[:i]), []byte(text[i:])); !reflect.DeepEqual(got, want) {
-			t.Fatalf("cut at %d: %q, want %q", i, got, want)
+			t.Fatalf("split at %d: %q, want %q", i, got, want)
 		}
 	}
 	if got := feed(single...); !reflect.DeepEqual(got, want) {
@@ -27,8 +27,8 @@
 func TestCommandsInEverySplit(t *testing.T) {
 	text := "*1\r\n$4\r\nPING\r\n*2\r\n$1\r\n\r\r\n$3\r\n\n\x00$\r\n*1\r\n$0\r\n\r\n"
 	want := [][][]byte{{[]byte("PING")}, {[]byte("\r"), []byte("\n\x00$")}, {{}}}
-	everySplit(t, text, want, func(parts ...[]byte) any {
-		var c Commands
+	checkEverySplit(t, text, want, func(parts ...[]byte) any {
+		var c CommandParser
 		var all [][][]byte
 		for _, part := range parts {
 			got, err := c.Feed(part)
@@ -37,14 +37,14 @@
 			}
 			all = append(all, got...)
 		}
-		if !c.Between() {
-			t.Fatal("not between two commands at the end")
+		if !c.BetweenCommands() {
+			t.Fatal("an incomplete command is buffered at the end")
 		}
 		return all
 	})
 }
 
-func TestCommandsThatCannotBeRead(t *testing.T) {
+func TestMalformedCommands(t *testing.T) {
 	for text, want := range map[string]error{
 		"PING\r\n": ErrFraming, "*1\n$4\r\n": ErrFraming, "*0\r\n": ErrFraming, "*-1\r\n": ErrFraming,
 		"*1\r\n:4\r\n": ErrFraming, "*1\r\n$x\r\n": ErrFraming, "*1\r\n$1\r\nab\r\n": ErrFraming, "*17\r\n": ErrOversize,
@@ -52,18 +52,18 @@
 		"*1\r\n$60000000\r\n": ErrOversize, "*5\r\n$5000\r\n": ErrOversize, "*1\r\n$-1\r\n": ErrFraming,
 		strings.Repeat("*", 100): ErrOversize, "*" + strings.Repeat("1", 100): ErrOversize,
 	} {
-		var c Commands
+		var c CommandParser
 		if got, err := c.Feed([]byte(text)); !errors.Is(err, want) || len(got) > 0 {
 			t.Errorf("%.30q: %v %v, want %v", text, got, err, want)
 		}
 		if _, err := c.Feed([]byte("*1\r\n$4\r\nPING\r\n")); err == nil {
-			t.Errorf("%.30q: read on after a fault", text)
+			t.Errorf("%.30q: parsed more commands after an error", text)
 		}
 	}
 }
 
-// TestLongBodyOnlyForWhatCanBeUsed: a body is kept for a message that names all it needs, and for nothing else.
-func TestLongBodyOnlyForWhatCanBeUsed(t *testing.T) {
+// TestLongBodyOnlyForValidEnqueue checks that a long body is buffered only for an ENQUEUE whose other arguments are valid.
+func TestLongBodyOnlyForValidEnqueue(t *testing.T) {
 	head := func(name, options string) []byte {
 		return fmt.Appendf(nil, "*5\r\n$7\r\n%s\r\n$1\r\n0\r\n$1\r\na\r\n$%d\r\n%s\r\n$60000\r\n", name, len(options), options)
 	}
@@ -72,18 +72,18 @@
 		ok            bool
 	}{{"ENQUEUE", "c=x,d=5,dest=1", true}, {"enqueue", "c=x,d=5,dest=1", true}, {"ENQUEUX", "c=x,d=5,dest=1", false},
 		{"ENQUEUE", "c=x,d=y,dest=1", false}, {"ENQUEUE", "c=x,d=5", false}} {
-		var p Commands
+		var p CommandParser
 		if _, err := p.Feed(head(c.name, c.options)); (err == nil) != c.ok {
 			t.Errorf("%s %s: %v", c.name, c.options, err)
 		}
-		if _, err := p.Feed(make([]byte, 100)); c.ok && (err != nil || p.Held() < 100) {
-			t.Errorf("%s %s: %v, held %d", c.name, c.options, err, p.Held())
+		if _, err := p.Feed(make([]byte, 100)); c.ok && (err != nil || p.PartialBytes() < 100) {
+			t.Errorf("%s %s: %v, held %d", c.name, c.options, err, p.PartialBytes())
 		}
 	}
 }
 
-func TestCommandsBeforeAFaultAreKept(t *testing.T) {
-	var c Commands
+func TestCommandsBeforeMalformedOneAreReturned(t *testing.T) {
+	var c CommandParser
 	if got, err := c.Feed([]byte("*1\r\n$4\r\nPING\r\nrubbish\r\n")); len(got) != 1 || err == nil {
 		t.Errorf("%q %v", got, err)
 	}
@@ -106,13 +106,13 @@
 		}
 	}
 	if _, err := ReadEnqueue([][]byte{[]byte("ENQUEUE"), []byte("0")}); err == nil {
-		t.Error("two arguments were enough")
+		t.Error("two arguments were accepted")
 	}
 }
 
-func readAnswers(t *testing.T, end bool) func(parts ...[]byte) any {
+func parseResponses(t *testing.T, wantAtEOF bool) func(parts ...[]byte) any {
 	return func(parts ...[]byte) any {
-		a := NewAnswers(64)
+		a := NewResponseParser(64)
 		var all []Answer
 		for _, part := range parts {
 			got, done, err := a.Feed(part)
@@ -123,8 +123,8 @@
 				all = append(all, got)
 			}
 		}
-		if last, ok := a.End(); ok != end {
-			t.Fatalf("ended by the stream's end: %v", ok)
+		if last, ok := a.End(); ok != wantAtEOF {
+			t.Fatalf("response completed by the end of the stream: %v", ok)
 		} else if ok {
 			all = append(all, last)
 		}
@@ -132,7 +132,7 @@
 	}
 }
 
-func TestAnswersInEverySplit(t *testing.T) {
+func TestResponsesInEverySplit(t *testing.T) {
 	for text, want := range map[string]Answer{
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Load-Report: x0=0.4,x1=25\r\n\r\nok": {Status: 200, Report: "x0=0.4,x1=25", Body: []byte("ok")},
 		"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: x\r\n\r\n\r\nHTTP/1.1 429 Too Many\r\nx-backoff-ms: 250.5\r\n" +
@@ -141,55 +141,55 @@
 		"HTTP/1.1 204 No Content\r\n\r\n": {Status: 204},
 		"HTTP/1.1 503 Full\r\nX-Egress-Full: 1\r\nConnection: close\r\nContent-Length: 1\r\n\r\nx": {Status: 503, NoSlot: true, Close: true, Body: []byte("x")},
 	} {
-		everySplit(t, text, []Answer{want}, readAnswers(t, false))
+		checkEverySplit(t, text, []Answer{want}, parseResponses(t, false))
 	}
-	everySplit(t, "HTTP/1.0 500 No\n\nbody", []Answer{{Status: 500, Close: true, Body: []byte("body")}}, readAnswers(t, true))
+	checkEverySplit(t, "HTTP/1.0 500 No\n\nbody", []Answer{{Status: 500, Close: true, Body: []byte("body")}}, parseResponses(t, true))
 }
 
-func TestAnswersThatCannotBeRead(t *testing.T) {
+func TestMalformedResponses(t *testing.T) {
 	ok := "HTTP/1.1 200 OK\r\n"
 	for _, text := range []string{"rubbish\r\n", "HTTP/2 200\r\n", "HTTP/1.1 20 OK\r\n", "HTTP/1.1 2000 OK\r\n", ok + "no colon\r\n",
 		ok + "a b: c\r\n", ok + "Content-Length: x\r\n", ok + "Content-Length: -1\r\n", ok + "Content-Length: 65\r\n\r\n",
 		ok + "Content-Length: 1\r\nContent-Length: 2\r\n", ok + "Transfer-Encoding: gzip\r\n",
 		ok + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", ok + "Transfer-Encoding: chunked\r\n\r\n41\r\n",
 		ok + "Transfer-Encoding: chunked\r\n\r\n1\r\nabc", ok + "Transfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\n",
-		strings.Repeat("x", maxHead+1), ok + strings.Repeat("A: b\r\n", maxHead/6), ok + "\r\n" + strings.Repeat("x", 65), "HTTP/1.1 100 Go\r\n\r\nnoise", "\r\nHTTP/2", "\x00", "noise without an end of line",
+		strings.Repeat("x", maxHeadBytes+1), ok + strings.Repeat("A: b\r\n", maxHeadBytes/6), ok + "\r\n" + strings.Repeat("x", 65), "HTTP/1.1 100 Go\r\n\r\nnoise", "\r\nHTTP/2", "\x00", "noise without an end of line",
 		"HTTP/1.1 429 Full\r\nContent-Length: 3000000000\r\n\r\n"} {
-		a := NewAnswers(64)
+		a := NewResponseParser(64)
 		if got, done, err := a.Feed([]byte(text)); !errors.Is(err, ErrAnswer) || done {
 			t.Errorf("%.60q: %+v %v", text, got, err)
 		}
 		if _, ended := a.End(); ended {
-			t.Errorf("%.60q: taken for an answer at the end", text)
+			t.Errorf("%.60q: taken for a response at the end of the stream", text)
 		}
 	}
 }
 
-// TestMoreThanOneAnswer: a second copy or noise leaves the answer true and ends the stream, where it would else begin
-// the next one.
-func TestMoreThanOneAnswer(t *testing.T) {
+// TestDataAfterResponse checks that data after a response leaves the response valid and fails the parser. Otherwise the
+// data would be taken for the start of the next response.
+func TestDataAfterResponse(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-	for _, more := range []string{ok, "noise", "\r\n", "\x00"} {
-		a := NewAnswers(64)
-		got, done, err := a.Feed([]byte(ok + more))
+	for _, extra := range []string{ok, "noise", "\r\n", "\x00"} {
+		a := NewResponseParser(64)
+		got, done, err := a.Feed([]byte(ok + extra))
 		if got.Status != 200 || !done || !errors.Is(err, ErrAnswer) {
-			t.Errorf("%q: %+v %v %v", more, got, done, err)
+			t.Errorf("%q: %+v %v %v", extra, got, done, err)
 		}
 		if got, done, err := a.Feed([]byte(ok)); done || err == nil {
-			t.Errorf("after %q: %+v %v", more, got, err)
+			t.Errorf("after %q: %+v %v", extra, got, err)
 		}
 	}
 }
 
-func TestAnswerCutShort(t *testing.T) {
-	a := NewAnswers(64)
+func TestTruncatedResponse(t *testing.T) {
+	a := NewResponseParser(64)
 	a.Feed([]byte("HTTP/1.1 200 OK\r\nContent-Le"))
-	if status, begun := a.Begun(); status != 200 || !begun {
-		t.Errorf("%d %v: its first line has come", status, begun)
+	if status, begun := a.Started(); status != 200 || !begun {
+		t.Errorf("%d %v: the status line is complete", status, begun)
 	}
 }
 
-func TestCallsAreWrittenAsTheyCame(t *testing.T) {
+func TestRequestEncoding(t *testing.T) {
 	one := string(Call("h:1", 1500, []Item{{ID: "a", Mark: "m", Body: []byte("x\r\n\x00")}}))
 	if want := "POST /hook HTTP/1.1\r\nHost: h:1\r\nX-Call-Id: a\r\nX-Budget-Ms: 1500\r\nIdempotency-Key: m\r\n" +
 		"Content-Length: 4\r\n\r\nx\r\n\x00"; one != want {
@@ -210,7 +210,7 @@
 	}
 }
 
-func TestListLeavesOutWhatCannotBeUsed(t *testing.T) {
+func TestListOmitsInvalidEntries(t *testing.T) {
 	host := func(name, dial, health, dest string) string {
 		return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"a","class":"m","block":%s,"health":%q,"share":1.5}`, name, dial, dest, health)
 	}
@@ -228,8 +228,8 @@
 	}
 }
 
-// TestListThatBrokeOff: cut at any byte, what is read of a list is a part of it, and only whole entries count.
-func TestListThatBrokeOff(t *testing.T) {
+// TestTruncatedList checks that a list truncated at any byte yields exactly its complete entries.
+func TestTruncatedList(t *testing.T) {
 	entry := `{"host":"%s","dial":"127.0.0.1:80","site":"a","class":"m","block":3,"health":"terminating","share":1.5}`
 	text := `{"seq":4,"whole":true,"x":{"y":[1]},"hosts":[` + fmt.Sprintf(entry+","+entry, "a", "b") + `]}`
 	whole, err := ReadList([]byte(text))
@@ -239,7 +239,7 @@
 	for i := range text {
 		want := whole.Hosts[:strings.Count(text[:i], "1.5}")]
 		if got := ReadPart([]byte(text[:i])); len(got.Hosts) != len(want) || len(want) > 0 && (!reflect.DeepEqual(got.Hosts, want) || got.Seq != 4) {
-			t.Fatalf("cut at %d: %+v", i, got)
+			t.Fatalf("truncated at %d: %+v", i, got)
 		}
 	}
 	for _, bad := range []string{"", "[]", "{\"hosts\":3}", "noise"} {
@@ -261,33 +261,33 @@
 	}
 }
 
-func FuzzAnswers(f *testing.F) {
+func FuzzResponseParser(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		whole, split := NewAnswers(64), NewAnswers(64)
+		whole, split := NewResponseParser(64), NewResponseParser(64)
 		want, _, _ := whole.Feed(b)
 		var got Answer
 		for i, done := 0, false; i < len(b) && !done; i++ {
 			got, done, _ = split.Feed(b[i : i+1])
 		}
 		if !reflect.DeepEqual(got, want) {
-			t.Fatalf("%+v in one, %+v byte by byte", want, got)
+			t.Fatalf("%+v in one piece, %+v byte by byte", want, got)
 		}
 	})
 }
 
-func FuzzCommands(f *testing.F) {
+func FuzzCommandParser(f *testing.F) {
 	f.Add([]byte("*2\r\n$1\r\na\r\n$0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		var whole, split Commands
+		var whole, split CommandParser
 		want, _ := whole.Feed(b)
 		var got [][][]byte
 		for i := range b {
-			some, _ := split.Feed(b[i : i+1])
-			got = append(got, some...)
+			commands, _ := split.Feed(b[i : i+1])
+			got = append(got, commands...)
 		}
 		if len(got) != len(want) {
-			t.Fatalf("%q in one, %q byte by byte", want, got)
+			t.Fatalf("%q in one piece, %q byte by byte", want, got)
 		}
 	})
 }
--- a/protocol/resp.go
+++ b/protocol/resp.go
@@ -1,6 +1,6 @@
-// Package protocol reads and writes what goes over the wires: clients' commands, calls to endpoints, notices
-// and discovery's list. Its parsers are state machines that are fed bytes in any split; they know no socket
-// and no clock, and what they keep is bounded.
+// Package protocol encodes and parses the wire formats: client commands, delivery requests to endpoints, notices
+// and discovery's endpoint list. Its parsers are state machines that accept input split at any byte. They use
+// neither sockets nor clocks, and they buffer a bounded number of bytes.
 package protocol
 
 import (
@@ -9,33 +9,34 @@
 	"strconv"
 )
 
-// MaxBody is the largest body of a message or an answer.
+// MaxBody is the maximum size of a message body or a response body, in bytes.
 const MaxBody = 64 << 10
 
 const (
-	maxArgs    = 16
-	maxLine    = 32      // the digits of a length
-	maxCommand = 4 << 10 // beside the body
+	maxArgs         = 16
+	maxLengthLine   = 32      // bytes of a line that holds a count or a length
+	maxCommandBytes = 4 << 10 // bytes of all arguments other than the message body
 )
 
-// Faults of a command's framing; after one the stream cannot be read on.
+// Framing errors of a command. After one of them the rest of the stream cannot be parsed.
 var (
 	ErrFraming  = errors.New("ERR protocol error: an array of bulk strings was expected")
 	ErrOversize = errors.New("ERR protocol error: too long")
 )
 
-// Commands takes RESP2 commands, arrays of bulk strings, off a stream.
-type Commands struct {
-	buf  []byte
-	args [][]byte
-	left int // bulk strings still to come; 0 between commands
-	size int // of the bulk string being read; -1 while its length is
-	held int // bytes in args
-	err  error
+// CommandParser parses a stream of RESP2 commands, which are arrays of bulk strings.
+type CommandParser struct {
+	buf           []byte
+	args          [][]byte
+	remainingArgs int // bulk strings of the current command not yet parsed; 0 between commands
+	argSize       int // length of the current bulk string; -1 until its length line is parsed
+	argBytes      int // total bytes in args
+	err           error
 }
 
-// Feed takes what came in and returns the commands that are complete, in order; their bytes are their own.
-func (c *Commands) Feed(b []byte) (commands [][][]byte, err error) {
+// Feed parses received bytes and returns the commands completed by them, in order. The returned slices do not
+// share memory with b or with the parser.
+func (c *CommandParser) Feed(b []byte) (commands [][][]byte, err error) {
 	c.buf = append(c.buf, b...)
 	used := 0
 	for c.err == nil {
@@ -43,97 +44,97 @@
 		used += n
 		if done {
 			commands = append(commands, c.args)
-			c.args, c.held = nil, 0
+			c.args, c.argBytes = nil, 0
 		} else if n == 0 {
 			break
 		}
 	}
 	c.buf = append(c.buf[:0], c.buf[used:]...)
-	if len(c.buf) == 0 && cap(c.buf) > maxCommand {
-		c.buf = nil // a connection that rests keeps no large buffer
+	if len(c.buf) == 0 && cap(c.buf) > maxCommandBytes {
+		c.buf = nil // do not keep a large buffer for an idle connection
 	}
 	return commands, c.err
 }
 
-// Held is how many bytes are kept of a command that is not whole.
-func (c *Commands) Held() int { return len(c.buf) + c.held }
+// PartialBytes returns the number of buffered bytes of an incomplete command.
+func (c *CommandParser) PartialBytes() int { return len(c.buf) + c.argBytes }
 
-// Between tells whether the stream stands between two commands.
-func (c *Commands) Between() bool { return c.left == 0 && len(c.buf) == 0 }
+// BetweenCommands reports whether no incomplete command is buffered.
+func (c *CommandParser) BetweenCommands() bool { return c.remainingArgs == 0 && len(c.buf) == 0 }
 
-// step reads one piece; it returns how many bytes that took, and whether a command is complete.
-func (c *Commands) step(b []byte) (used int, done bool) {
-	if c.left > 0 && c.size >= 0 {
-		if len(b) < c.size+2 {
+// step parses one length line or bulk string. It returns the number of bytes consumed and whether a command is complete.
+func (c *CommandParser) step(b []byte) (used int, done bool) {
+	if c.remainingArgs > 0 && c.argSize >= 0 {
+		if len(b) < c.argSize+2 {
 			return 0, false
 		}
-		if b[c.size] != '\r' || b[c.size+1] != '\n' {
+		if b[c.argSize] != '\r' || b[c.argSize+1] != '\n' {
 			c.err = ErrFraming
 			return 0, false
 		}
-		c.args = append(c.args, bytes.Clone(b[:c.size]))
-		c.held += c.size
-		used, c.size = c.size+2, -1
-		c.left--
-		return used, c.left == 0
+		c.args = append(c.args, bytes.Clone(b[:c.argSize]))
+		c.argBytes += c.argSize
+		used, c.argSize = c.argSize+2, -1
+		c.remainingArgs--
+		return used, c.remainingArgs == 0
 	}
-	mark, limit := byte('*'), maxArgs
-	if c.left > 0 {
-		mark, limit = '$', MaxBody
+	prefix, limit := byte('*'), maxArgs
+	if c.remainingArgs > 0 {
+		prefix, limit = '$', MaxBody
 	}
-	if len(b) > 0 && b[0] != mark {
+	if len(b) > 0 && b[0] != prefix {
 		c.err = ErrFraming
 		return 0, false
 	}
 	end := bytes.IndexByte(b, '\n')
 	if end < 0 {
-		if len(b) > maxLine {
+		if len(b) > maxLengthLine {
 			c.err = ErrOversize
 		}
 		return 0, false
 	}
-	n, ok := -1, end >= 2 && end <= maxLine && b[end-1] == '\r'
+	n, ok := -1, end >= 2 && end <= maxLengthLine && b[end-1] == '\r'
 	if ok {
-		n, ok = digits(b[1 : end-1])
+		n, ok = parseDecimal(b[1 : end-1])
 	}
 	switch {
-	case !ok || mark == '*' && n == 0:
+	case !ok || prefix == '*' && n == 0:
 		c.err = ErrFraming
 		return 0, false
 	case n > limit:
 		c.err = ErrOversize
 		return 0, false
-	case mark == '*':
-		c.left, c.size, c.held = n, -1, 0
+	case prefix == '*':
+		c.remainingArgs, c.argSize, c.argBytes = n, -1, 0
 	default:
-		if c.err = c.check(n); c.err != nil {
+		if c.err = c.checkSize(n); c.err != nil {
 			return 0, false
 		}
-		c.size = n
+		c.argSize = n
 	}
 	return end + 1, false
 }
 
-// check judges a bulk string by its length before any of it is kept. Only a message's body may be long, and only where
-// all that comes before it can be used.
-func (c *Commands) check(n int) error {
+// checkSize checks the length of a bulk string before any of its bytes are buffered. Only a message body may make
+// the arguments exceed maxCommandBytes, and only if the arguments of ENQUEUE before it are valid.
+func (c *CommandParser) checkSize(n int) error {
 	switch {
-	case c.held+n <= maxCommand:
+	case c.argBytes+n <= maxCommandBytes:
 		return nil
-	case c.left > 1 || !IsCommand(c.args, "ENQUEUE"):
+	case c.remainingArgs > 1 || !IsCommand(c.args, "ENQUEUE"):
 		return ErrOversize
 	}
 	_, err := ReadEnqueue(append(c.args[:len(c.args):len(c.args)], nil))
 	return err
 }
 
-// IsCommand compares a command's name, in any case.
+// IsCommand reports whether the command has the given name, ignoring case.
 func IsCommand(args [][]byte, name string) bool {
 	return len(args) > 0 && bytes.EqualFold(args[0], []byte(name))
 }
 
-// digits reads a plain decimal number.
-func digits(b []byte) (int, bool) {
+// parseDecimal parses an unsigned decimal number of at most nine digits.
+func parseDecimal(b []byte) (int, bool) {
 	if len(b) == 0 || len(b) > 9 {
 		return 0, false
 	}
@@ -147,20 +148,20 @@
 	return n, true
 }
 
-// Enqueue is a message as a client hands it in.
+// Enqueue is a message as submitted by a client.
 type Enqueue struct {
 	ID     string
 	Class  string
 	Dest   int
-	LeftMs int // how long it may still be delivered
+	LeftMs int // remaining time to live, in milliseconds
 	Tenant string
-	Key    string // of its order
-	Mark   string // by which a repeat is known
-	Again  bool   // submitted before
+	Key    string // ordering key
+	Mark   string // idempotency key; empty if there is none
+	Again  bool   // the client has submitted this message before
 	Body   []byte
 }
 
-// ReadEnqueue reads the arguments of ENQUEUE: key, id, names with values, body.
+// ReadEnqueue parses the arguments of ENQUEUE: the command name, a key, the message ID, name=value fields, and the body.
 func ReadEnqueue(args [][]byte) (Enqueue, error) {
 	if len(args) != 5 {
 		return Enqueue{}, errors.New("ERR wrong number of arguments for 'enqueue'")
@@ -171,7 +172,7 @@
 	}
 	for _, field := range bytes.Split(args[3], []byte{','}) {
 		name, value, _ := bytes.Cut(field, []byte{'='})
-		n, ok := digits(value)
+		n, ok := parseDecimal(value)
 		switch string(name) {
 		case "c":
 			e.Class = string(value)
@@ -205,7 +206,8 @@
 	return e, nil
 }
 
-// isToken keeps what could break a line out of ids, as they go into headers and frames.
+// isToken reports whether b is 1 to 128 printable ASCII characters without spaces. IDs must be tokens because they are
+// written into headers and batch lines, which a space or line break would corrupt.
 func isToken(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c >= 0x7f {
@@ -221,7 +223,7 @@
 	ReplyPong = "+PONG\r\n"
 )
 
-// ReplyBusy refuses; trying again is harmless, after a while if one is notified.
+// ReplyBusy returns the reply that rejects a message. The client may safely retry, after ms milliseconds if ms is positive.
 func ReplyBusy(ms int64) string {
 	if ms <= 0 {
 		return "-BUSY\r\n"
@@ -229,5 +231,5 @@
 	return "-BUSY " + strconv.FormatInt(ms, 10) + "\r\n"
 }
 
-// ReplyError fails a command; the text begins with a word in capitals.
+// ReplyError returns an error reply to a command. The text must begin with an error code in capitals, such as ERR.
 func ReplyError(text string) string { return "-" + text + "\r\n" }
--- a/server/clientconn/conn.go
+++ b/server/clientconn/conn.go
@@ -1,9 +1,9 @@
-// Package clientconn keeps the connections of clients: it parses their commands, bounds what they may hold, closes those on
-// which nothing comes, and writes replies in order. It knows nothing of messages: commands are handed to the event loop as
-// events, and replies come back as text.
+// Package clientconn manages client connections: it parses their commands, limits the memory they use, closes idle
+// connections, and writes replies in order. It does not interpret commands: it passes them to the event loop as events,
+// and the event loop passes replies back as text.
 //
-// The poller of package transport runs the methods of Conn that transport.Handler asks for; all others, and those of Set, are
-// the event loop's.
+// The poller of package transport calls the methods of Conn that implement transport.Handler. All other methods of Conn
+// and the methods of Set are called by the event loop, unless their comment says otherwise.
 package clientconn
 
 import (
@@ -16,20 +16,20 @@
 	"pineport/transport"
 )
 
-// Event is something that happened on a connection: one of the types of this package with that method.
+// Event is an event of a client connection: Opened, Commands or Closed.
 type Event interface{ clientEvent() }
 
 type (
 	// Opened reports a new connection.
 	Opened struct{ Conn *Conn }
-	// Commands brings commands, each as its arguments. With Err the stream cannot be read on; it is the text of an error reply,
-	// which comes after those of the commands.
+	// Commands carries received commands; each is the list of its arguments. If Err is set, the rest of the input cannot be
+	// parsed. Err is the text of an error reply, to be sent after the replies to Commands.
 	Commands struct {
 		Conn     *Conn
 		Commands [][][]byte
 		Err      error
 	}
-	// Closed reports that a connection has ended. Replies may still be written if it is HalfClosed.
+	// Closed reports that a connection is closed. If it is HalfClosed, replies can still be written.
 	Closed struct{ Conn *Conn }
 )
 
@@ -38,37 +38,39 @@
 func (Closed) clientEvent()   {}
 
 const (
-	// maxUnreadReplies is how many bytes of replies a client may leave unread: thousands of replies.
+	// maxUnreadReplies is the maximum number of reply bytes that wait for the client to read them; it is enough for
+	// thousands of replies.
 	maxUnreadReplies = 64 << 10
-	// freePartialBytes of a command that is not complete are kept for any client; nearly all commands are shorter.
-	freePartialBytes = 4 << 10
-	// closeDelay is the time that a last reply has to leave.
+	// guaranteedPartialBytes is how many bytes of an incomplete command are buffered for each client regardless of the
+	// total limit; nearly all commands are shorter.
+	guaranteedPartialBytes = 4 << 10
+	// closeDelay is the time between writing the last reply and closing the connection.
 	closeDelay = 200 * time.Millisecond
 )
 
 var errPartialTooLong = errors.New("ERR no room for so long a command now")
 
-// Conn is one client's connection.
+// Conn is a client connection.
 type Conn struct {
 	set  *Set
 	conn *transport.Conn
 
-	// Of the poller.
-	parser       protocol.Commands
-	unreadable   bool  // the stream cannot be read on
-	discarded    int   // bytes since then
-	partialBytes int64 // of a command that is not complete
-
-	// Of both.
-	pending      atomic.Int64 // commands without a reply
-	hasCommanded atomic.Bool  // some command has come
-	partialSince atomic.Int64 // when the command that is not complete began; 0 between two commands
-
-	// Of the event loop.
-	connectedAt   dispatch.Micros
-	lastCommandAt dispatch.Micros
-	closed        bool // for good, in a shutdown
-	ended         bool // sends nothing more
+	// Accessed only by the poller.
+	parser         protocol.CommandParser
+	inputFailed    bool  // the rest of the input cannot be parsed
+	discardedBytes int   // bytes discarded after inputFailed was set
+	partialBytes   int64 // buffered bytes of an incomplete command
+
+	// Accessed by the poller and the event loop.
+	pendingReplies atomic.Int64 // number of commands without a reply
+	hasSentCommand atomic.Bool  // at least one command has been received
+	partialSince   atomic.Int64 // time at which the incomplete command started; 0 if there is none
+
+	// Accessed only by the event loop.
+	connectedAt       dispatch.Micros
+	lastCommandAt     dispatch.Micros
+	closedForShutdown bool // set by CloseAnswered
+	inputEnded        bool // the client sends nothing more; set by Set.Remove
 }
 
 // Opened implements transport.Handler.
@@ -79,86 +81,88 @@
 
 // Data implements transport.Handler.
 func (c *Conn) Data(_ *transport.Conn, b []byte) {
-	if c.unreadable { // reading it all would cost those who can be served
-		if c.discarded += len(b); c.discarded > maxUnreadReplies && !c.RepliesDue() {
+	if c.inputFailed { // parsing the rest would take time from other clients
+		if c.discardedBytes += len(b); c.discardedBytes > maxUnreadReplies && !c.RepliesDue() {
 			c.conn.Close()
 		}
 		return
 	}
 	commands, err := c.parser.Feed(b)
 	if err == nil {
-		err = c.holdPartial()
+		err = c.reservePartial()
 	}
-	if c.parser.Between() {
+	if c.parser.BetweenCommands() {
 		c.partialSince.Store(0)
 	} else if len(commands) > 0 || c.partialSince.Load() == 0 {
 		c.partialSince.Store(int64(c.set.clock()))
 	}
-	if c.unreadable = err != nil; c.unreadable {
-		c.release()
+	if c.inputFailed = err != nil; c.inputFailed {
+		c.releasePartial()
 	}
 	if len(commands) == 0 && err == nil {
 		return
 	}
-	c.hasCommanded.Store(true)
-	c.pending.Add(int64(len(commands)))
+	c.hasSentCommand.Store(true)
+	c.pendingReplies.Add(int64(len(commands)))
 	if err != nil {
-		c.pending.Add(1) // the error reply
+		c.pendingReplies.Add(1) // the error reply
 	}
 	c.set.notify(Commands{c, commands, err})
 }
 
-// holdPartial counts the bytes of a command that is not complete; an error where there is no room for them.
-func (c *Conn) holdPartial() error {
-	held := int64(c.parser.Held())
-	sum := c.set.partialBytes.Add(held - c.partialBytes)
+// reservePartial counts the buffered bytes of an incomplete command. It returns an error if they exceed both
+// guaranteedPartialBytes and what is left of the total limit.
+func (c *Conn) reservePartial() error {
+	held := int64(c.parser.PartialBytes())
+	total := c.set.partialBytes.Add(held - c.partialBytes)
 	c.partialBytes = held
-	if sum > c.set.partialLimit.Load() && held > freePartialBytes {
+	if total > c.set.partialLimit.Load() && held > guaranteedPartialBytes {
 		return errPartialTooLong
 	}
 	return nil
 }
 
-// release gives back what was held of a command that will never be complete.
-func (c *Conn) release() {
+// releasePartial discards the incomplete command and subtracts its bytes from the total.
+func (c *Conn) releasePartial() {
 	c.set.partialBytes.Add(-c.partialBytes)
-	c.partialBytes, c.parser = 0, protocol.Commands{}
+	c.partialBytes, c.parser = 0, protocol.CommandParser{}
 	c.partialSince.Store(0)
 }
 
 // Closed implements transport.Handler.
 func (c *Conn) Closed(*transport.Conn, error) {
-	c.release()
-	c.set.count.Add(-1)
+	c.releasePartial()
+	c.set.connCount.Add(-1)
 	c.set.notify(Closed{c})
 }
 
 // RepliesDue implements transport.Replier.
-func (c *Conn) RepliesDue() bool { return c.pending.Load() > 0 }
+func (c *Conn) RepliesDue() bool { return c.pendingReplies.Load() > 0 }
 
-// HalfClosed reports whether the client has ended its sending and may still read replies.
+// HalfClosed reports whether the client has shut down its write side and can still read replies.
 func (c *Conn) HalfClosed() bool { return c.conn.HalfClosed() }
 
-// isIdle reports whether nothing of a command has been read that has no reply yet; a partial command counts.
+// isIdle reports whether no command is unanswered or partially received, and all replies are in the socket.
 func (c *Conn) isIdle() bool {
 	return !c.RepliesDue() && c.partialSince.Load() == 0 && c.conn.Flushed()
 }
 
-// isAnswered reports whether every command that was read has its reply in the socket.
+// isAnswered reports whether the replies to all complete commands are in the socket.
 func (c *Conn) isAnswered() bool { return !c.RepliesDue() && c.conn.Flushed() }
 
-// isStuck reports whether a command has not been completed for too long.
+// isStuck reports whether a command has been incomplete for longer than partialTimeout and no replies are pending.
 func (c *Conn) isStuck(now dispatch.Micros) bool {
 	since := dispatch.Micros(c.partialSince.Load())
 	return since > 0 && now-since > partialTimeout && !c.RepliesDue()
 }
 
-// Write writes the reply to the next command without one. With last the connection is closed after it. A client that has gone
-// is reported by Closed; one that reads no replies is closed.
-func (c *Conn) Write(reply string, last bool) {
-	c.pending.Add(-1)
+// Write writes the reply to the oldest unanswered command. If closeAfter is set, the connection is closed after closeDelay.
+// Write errors are ignored, since Closed reports a lost connection. A client that leaves more than maxUnreadReplies unread is
+// disconnected.
+func (c *Conn) Write(reply string, closeAfter bool) {
+	c.pendingReplies.Add(-1)
 	_ = c.conn.Write([]byte(reply))
-	if c.ended {
+	if c.inputEnded {
 		if !c.RepliesDue() {
 			c.conn.CloseReplies()
 		}
@@ -167,7 +171,7 @@
 	if c.conn.Unsent() > maxUnreadReplies {
 		c.conn.Close()
 	}
-	if last {
+	if closeAfter {
 		c.conn.Expire(closeDelay)
 	}
 }
--- a/server/clientconn/set.go
+++ b/server/clientconn/set.go
@@ -14,21 +14,22 @@
 
 const (
 	sweepInterval = 250 * 1000
-	// partialTimeout is how long a connection may bring nothing, or a command stay partial: many times what a client waits.
+	// partialTimeout is how long a new connection may send no command, or a command stay incomplete. It is many times the
+	// time that a client waits for a reply.
 	partialTimeout = 2000 * 1000
-	idleTimeout    = 5 * 1000 * 1000 // between two commands; a client that comes back later connects anew
-	// NewConnGrace is how long a connection is taken for one whose first command is on its way.
+	idleTimeout    = 5 * 1000 * 1000 // maximum time between two commands; a client that is idle for longer reconnects
+	// NewConnGrace is how long the first command of a new connection is assumed to be in transit.
 	NewConnGrace = 250 * 1000
 )
 
 // Limits bound the connections of a Set.
 type Limits struct {
-	Conns        int   // kept; beyond it the one that is missed least is closed
-	Admitted     int   // at once, those included that the event loop has not heard of yet
-	PartialBytes int64 // of partial commands, of all connections together
+	Conns        int   // maximum number of open connections; beyond it the least active one is closed
+	Admitted     int   // maximum number of accepted connections, including those not yet added to the Set
+	PartialBytes int64 // maximum total size of incomplete commands on all connections, in bytes
 }
 
-// Set is the connections of all clients.
+// Set holds the connections of all clients.
 type Set struct {
 	clock        func() dispatch.Micros
 	notify       func(Event)
@@ -36,38 +37,39 @@
 	maxConns     int
 	sweepAt      dispatch.Micros
 	admitLimit   atomic.Int64
-	count        atomic.Int64
+	connCount    atomic.Int64
 	partialBytes atomic.Int64
 	partialLimit atomic.Int64
 }
 
-// New returns an empty set. notify takes events, from the poller, and may wait for the event loop.
+// New returns an empty set. The poller calls notify with each event; notify may block until the event loop takes the event.
 func New(limits Limits, clock func() dispatch.Micros, notify func(Event)) *Set {
 	s := &Set{clock: clock, notify: notify, conns: map[*Conn]bool{}, sweepAt: never}
 	s.SetLimits(limits)
 	return s
 }
 
-// SetLimits replaces the limits; no connection is closed for that.
+// SetLimits replaces the limits. It closes no connection.
 func (s *Set) SetLimits(limits Limits) {
 	s.maxConns = limits.Conns
 	s.admitLimit.Store(int64(limits.Admitted))
 	s.partialLimit.Store(limits.PartialBytes)
 }
 
-// Admit reports whether a further connection may be accepted. Any goroutine may call it.
-func (s *Set) Admit() bool { return s.count.Load() < s.admitLimit.Load() }
+// Admit reports whether another connection may be accepted. It is safe for concurrent use.
+func (s *Set) Admit() bool { return s.connCount.Load() < s.admitLimit.Load() }
 
-// Accept returns the handler of a new connection.
+// Accept counts a new connection and returns its handler.
 func (s *Set) Accept() transport.Handler {
-	s.count.Add(1)
+	s.connCount.Add(1)
 	return &Conn{set: s}
 }
 
 // Len returns the number of connections.
 func (s *Set) Len() int { return len(s.conns) }
 
-// Add takes in a connection that was Opened; beyond the limit it closes another one.
+// Add adds a connection reported by Opened. If this exceeds the limit, it closes the least active connection that may be
+// closed.
 func (s *Set) Add(conn *Conn, now dispatch.Micros) {
 	conn.connectedAt, conn.lastCommandAt = now, now
 	s.conns[conn] = true
@@ -77,23 +79,24 @@
 	}
 }
 
-// Commanded notes that commands have come over a connection.
+// Commanded records that commands were received on a connection.
 func (s *Set) Commanded(conn *Conn, now dispatch.Micros) { conn.lastCommandAt = now }
 
-// Remove drops a connection that was Closed. Replies that are due are still written if it is half-closed.
+// Remove removes a connection reported by Closed. Pending replies can still be written if the connection is half-closed.
 func (s *Set) Remove(conn *Conn) {
 	delete(s.conns, conn)
-	if conn.ended = true; !conn.RepliesDue() {
+	if conn.inputEnded = true; !conn.RepliesDue() {
 		conn.conn.CloseReplies()
 	}
 }
 
-// evictIdle closes the connection that is missed least: one that has sent no command yet, but for those that came just now,
-// then the one that has been idle longest. latest goes only where no other may.
-func (s *Set) evictIdle(latest *Conn, now dispatch.Micros) {
+// evictIdle closes the connection that has been idle longest, skipping those that are neither idle nor stuck. A
+// connection that has sent no command ranks as idle since partialTimeout before it was opened, or, within NewConnGrace,
+// since partialTimeout after it was opened. newest is closed only if no other connection can be.
+func (s *Set) evictIdle(newest *Conn, now dispatch.Micros) {
 	rank := func(conn *Conn) dispatch.Micros {
 		switch {
-		case conn.hasCommanded.Load():
+		case conn.hasSentCommand.Load():
 			return conn.lastCommandAt
 		case now-conn.connectedAt > NewConnGrace:
 			return conn.connectedAt - partialTimeout
@@ -102,12 +105,12 @@
 	}
 	candidates := make([]*Conn, 0, len(s.conns))
 	for conn := range s.conns {
-		if conn != latest && !conn.RepliesDue() {
+		if conn != newest && !conn.RepliesDue() {
 			candidates = append(candidates, conn)
 		}
 	}
 	slices.SortFunc(candidates, func(a, b *Conn) int { return cmp.Compare(rank(a), rank(b)) })
-	for _, conn := range append(candidates, latest) {
+	for _, conn := range append(candidates, newest) {
 		if conn.conn.CloseIf(func() bool { return conn.isIdle() || conn.isStuck(now) }) {
 			delete(s.conns, conn)
 			return
@@ -115,10 +118,10 @@
 	}
 }
 
-// Due returns when Sweep is to be called next.
+// Due returns the time at which Sweep must be called next.
 func (s *Set) Due() dispatch.Micros { return s.sweepAt }
 
-// Sweep closes connections on which nothing comes.
+// Sweep closes connections that have sent nothing, are idle, or have sent an incomplete command, for too long.
 func (s *Set) Sweep(now dispatch.Micros) {
 	if now < s.sweepAt {
 		return
@@ -126,7 +129,7 @@
 	s.sweepAt = never
 	for conn := range s.conns {
 		s.sweepAt = now + sweepInterval
-		silent := !conn.hasCommanded.Load() && now-conn.connectedAt > partialTimeout
+		silent := !conn.hasSentCommand.Load() && now-conn.connectedAt > partialTimeout
 		idle := now-conn.lastCommandAt > idleTimeout
 		if silent || idle || conn.isStuck(now) {
 			conn.conn.CloseIf(func() bool { return (silent || idle) && conn.isIdle() || conn.isStuck(now) })
@@ -134,11 +137,11 @@
 	}
 }
 
-// CloseIdle closes idle connections, so that their clients go elsewhere. Connections whose first command may be on its way
-// stay; it reports whether there are such.
+// CloseIdle closes idle connections, so that their clients connect to another courier. It keeps connections whose first
+// command may be in transit, and reports whether there are any.
 func (s *Set) CloseIdle(now dispatch.Micros) (more bool) {
 	for conn := range s.conns {
-		if conn.hasCommanded.Load() || now-conn.connectedAt > NewConnGrace {
+		if conn.hasSentCommand.Load() || now-conn.connectedAt > NewConnGrace {
 			conn.conn.CloseIf(conn.isIdle)
 		} else {
 			more = true
@@ -147,22 +150,23 @@
 	return more
 }
 
-// CloseAnswered closes all connections without a reply due, and reports whether none is left. Partial commands get no answer:
-// their clients send them elsewhere.
+// CloseAnswered closes all connections without pending replies, and reports whether no connection is left open. Incomplete
+// commands get no reply; their clients resend them to another courier.
 func (s *Set) CloseAnswered() bool {
-	left := 0
+	remaining := 0
 	for conn := range s.conns {
-		if !conn.closed {
-			conn.closed = conn.conn.CloseIf(conn.isAnswered)
+		if !conn.closedForShutdown {
+			conn.closedForShutdown = conn.conn.CloseIf(conn.isAnswered)
 		}
-		if !conn.closed {
-			left++
+		if !conn.closedForShutdown {
+			remaining++
 		}
 	}
-	return left == 0
+	return remaining == 0
 }
 
-// AllAnswered reports whether all that was read has its reply; it holds once nothing more is read.
+// AllAnswered reports whether all commands that were read have a reply. Once it returns true it stays true, if the caller
+// has stopped reading from the connections.
 func (s *Set) AllAnswered() bool {
 	for conn := range s.conns {
 		if !conn.conn.Idle() || conn.RepliesDue() {
@@ -172,7 +176,7 @@
 	return true
 }
 
-// AllIdle reports whether no command is on its way in, as far as is known here.
+// AllIdle reports whether all connections are idle. Commands still in transit or unread in a socket are not known here.
 func (s *Set) AllIdle() bool {
 	for conn := range s.conns {
 		if !conn.isIdle() {
--- a/server/clientconn/set_test.go
+++ b/server/clientconn/set_test.go
@@ -12,7 +12,7 @@
 	"pineport/transport"
 )
 
-// testSet is a set behind a real listener, with its events, and a clock that the test sets.
+// testSet is a Set that serves a real listener. The test receives its events and sets its clock.
 type testSet struct {
 	*Set
 	address string
@@ -38,18 +38,18 @@
 	return s
 }
 
-// next returns the next event, which must be an E.
+// next returns the next event, which must be of type E.
 func next[E Event](t *testing.T, s *testSet) E {
 	t.Helper()
 	select {
 	case event := <-s.events:
 		wanted, ok := event.(E)
 		if !ok {
-			t.Fatalf("%T came, not %T", event, wanted)
+			t.Fatalf("got event %T, want %T", event, wanted)
 		}
 		return wanted
 	case <-time.After(5 * time.Second):
-		t.Fatal("no event came")
+		t.Fatal("no event within 5 s")
 		panic("unreachable")
 	}
 }
@@ -72,14 +72,15 @@
 
 var limits = Limits{Conns: 2, Admitted: 16, PartialBytes: 8 << 10}
 
-// isClosed reports whether the other side has closed a connection.
+// isClosed reports whether the server has closed a connection.
 func isClosed(client *net.TCPConn) bool {
 	client.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	_, err := client.Read(make([]byte, 1))
 	return err == io.EOF
 }
 
-// TestEvictionPrefersSilentConnections: beyond the limit the connection goes that has sent no command for longest, not one that is served.
+// TestEvictionPrefersSilentConnections checks that beyond the connection limit a connection that has sent no command is closed, rather than one
+// that has sent commands.
 func TestEvictionPrefersSilentConnections(t *testing.T) {
 	s := openSet(t, limits)
 	served, conn := s.connect(t)
@@ -92,12 +93,13 @@
 	s.now.Store(NewConnGrace + 2)
 	latest, _ := s.connect(t)
 	if isClosed(served) || !isClosed(silent) || isClosed(latest) {
-		t.Errorf("%d connections are left, and another one than the silent one went", s.Len())
+		t.Errorf("%d connections are left, and the closed one is not the silent one", s.Len())
 	}
 }
 
-// TestSweepClosesWhatIsIdleOrStuck: silence, idleness and a partial command end a connection; a command without a reply does not.
-func TestSweepClosesWhatIsIdleOrStuck(t *testing.T) {
+// TestSweepClosesIdleAndStuckConnections checks that a connection is closed if it sends no command, is idle, or leaves a command incomplete, but
+// not while a reply is pending.
+func TestSweepClosesIdleAndStuckConnections(t *testing.T) {
 	s := openSet(t, Limits{Conns: 8, Admitted: 16, PartialBytes: 8 << 10})
 	silent, _ := s.connect(t)
 	stuck, stuckConn := s.connect(t)
@@ -108,7 +110,7 @@
 	s.Commanded(conn, 1)
 	for deadline := time.Now().Add(5 * time.Second); stuckConn.partialSince.Load() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("the partial command was never read")
+			t.Fatal("the partial command was not read within 5 s")
 		}
 	}
 	s.Sweep(idleTimeout + sweepInterval + 2)
@@ -116,7 +118,7 @@
 		t.Error("the wrong connections are closed")
 	}
 	if s.AllAnswered() || s.CloseAnswered() {
-		t.Error("a command without a reply counts as answered")
+		t.Error("a command without a reply is reported as answered")
 	}
 	conn.Write("+PONG\r\n", false)
 	waiting.SetReadDeadline(time.Now().Add(5 * time.Second))
@@ -125,7 +127,7 @@
 	}
 	for deadline := time.Now().Add(5 * time.Second); !s.CloseAnswered(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("an answered connection is never closed")
+			t.Fatal("an answered connection was not closed within 5 s")
 		}
 		for len(s.events) > 0 {
 			if closed, ok := (<-s.events).(Closed); ok {
@@ -135,7 +137,8 @@
 	}
 }
 
-// TestPartialCommandsAreBounded: a command that is too long for the room that is left is an error, and its bytes are given back.
+// TestPartialCommandsAreBounded checks that an incomplete command beyond the total limit is an error, and that its bytes are subtracted from the
+// total.
 func TestPartialCommandsAreBounded(t *testing.T) {
 	s := openSet(t, limits)
 	client, _ := s.connect(t)
@@ -146,11 +149,11 @@
 		t.Fatalf("%d commands, %v", len(event.Commands), event.Err)
 	}
 	if held := s.partialBytes.Load(); held != 0 {
-		t.Errorf("%d bytes are still held", held)
+		t.Errorf("%d bytes are still counted", held)
 	}
 }
 
-// TestAdmissionIsBounded: beyond the limit no connection is admitted, until one has gone.
+// TestAdmissionIsBounded checks that beyond the limit no connection is admitted until another one is closed.
 func TestAdmissionIsBounded(t *testing.T) {
 	s := openSet(t, Limits{Conns: 8, Admitted: 1, PartialBytes: 1})
 	client, _ := s.connect(t)
--- a/server/endpointconn/conn.go
+++ b/server/endpointconn/conn.go
@@ -1,8 +1,9 @@
-// Package endpointconn keeps the connections that a courier opens, to endpoints and to discovery: one exchange at a time goes over
-// each, idle ones are used again and closed before the other side does, and answers come back through callbacks of the exchange.
+// Package endpointconn manages the connections that a courier opens to endpoints and to discovery. Each connection carries one
+// exchange at a time. Idle connections are reused, and closed before the peer closes them. Responses are reported through the
+// callbacks of the exchange.
 //
-// The poller of package transport runs the methods of Conn that transport.Handler asks for; they only queue events. All others, and
-// those of Pool and Exchange, are the event loop's.
+// The poller of package transport calls the methods of Conn that implement transport.Handler; they only queue events. All other
+// methods of Conn and the methods of Pool and Exchange are called by the event loop.
 package endpointconn
 
 import (
@@ -19,46 +20,47 @@
 const statusOK = http.StatusOK
 
 var (
-	// ErrUnexpectedAnswer ends a connection over which bytes come while no answer is due: they belong to no request, and the next
-	// answer could not be told apart from them.
-	ErrUnexpectedAnswer = errors.New("an answer nobody asked for")
-	// ErrOvertaken ends an exchange that is not wanted any more: while its connection was being opened it became known that nothing
-	// may be sent there.
-	ErrOvertaken = errors.New("overtaken by a drain or a wait")
-
-	// ErrNotStored ends an exchange that could not be stored, and was not sent.
-	ErrNotStored = errors.New("the state folder fails")
-
-	errNoDescriptor   = errors.New("no descriptor left")
-	errClosedRemotely = errors.New("closed by the other side")
+	// ErrUnexpectedAnswer closes a connection that receives bytes while no request is outstanding. Such bytes could not be told
+	// apart from the response to the next request.
+	ErrUnexpectedAnswer = errors.New("received data while no request was outstanding")
+	// ErrOvertaken ends an exchange whose IsWanted returned false: while its connection was being opened, its endpoint started
+	// draining or asked for a backoff, for example.
+	ErrOvertaken = errors.New("request not sent: endpoint became unavailable while the connection was being opened")
+
+	// ErrNotStored ends an exchange that was not sent because its attempts could not be stored.
+	ErrNotStored = errors.New("attempt could not be stored in the state folder")
+
+	errConnLimit    = errors.New("connection limit reached and no idle connection to close")
+	errClosedByPeer = errors.New("connection closed by peer")
 )
 
-// Event is something that happened on a connection: one of the types of this package with that method. Pool.Handle takes it.
+// Event is an event of a connection: Opened, Answered, AnswerBegun or Closed. It is passed to Pool.Handle.
 type Event interface{ endpointEvent() }
 
 type (
-	// Opened reports that a connection is up.
+	// Opened reports that a connection is established.
 	Opened struct{ Conn *Conn }
-	// Answered brings a complete answer.
+	// Answered carries a complete response.
 	Answered struct {
 		Conn    *Conn
-		Request int64 // its number on the connection
+		Request int64 // number of the request on the connection, starting at 1
 		Answer  protocol.Answer
 	}
-	// AnswerBegun reports that an answer has begun, or, where Begun is false, that what had begun was an interim answer.
+	// AnswerBegun reports that a response has started. With Begun false, it reports that the response that had started was an
+	// interim (1xx) response.
 	AnswerBegun struct {
 		Conn        *Conn
 		Request     int64
 		Begun       bool
 		PartialBody []byte
 	}
-	// Closed reports that a connection has ended, or never came up.
+	// Closed reports that a connection is closed, or could not be established.
 	Closed struct {
 		Conn        *Conn
 		Request     int64
-		Status      int // of an answer that was cut short
+		Status      int // status of a truncated response; 0 if none
 		PartialBody []byte
-		Flushed     bool // the socket took all that was written
+		Flushed     bool // the socket took all bytes that were written
 		Err         error
 	}
 )
@@ -68,32 +70,32 @@
 func (AnswerBegun) endpointEvent() {}
 func (Closed) endpointEvent()      {}
 
-// IsMalformed reports whether the connection ended by something that is no answer.
+// IsMalformed reports whether the connection was closed because the peer sent malformed or unexpected data.
 func (e Closed) IsMalformed() bool {
 	return errors.Is(e.Err, protocol.ErrAnswer) || errors.Is(e.Err, ErrUnexpectedAnswer)
 }
 
-// Conn is one connection; one exchange at a time goes over it.
+// Conn is a connection, which carries one exchange at a time.
 type Conn struct {
 	pool *Pool
 	peer Peer
 	conn *transport.Conn
 
-	// Of the poller.
-	parser        *protocol.Answers
-	reportedBegun int64 // the request of which the event loop knows that its answer has begun, else 0
+	// Accessed only by the poller.
+	parser         *protocol.ResponseParser
+	startedRequest int64 // request whose response was last reported as started; 0 if none
 
-	// Of both.
-	requests      atomic.Int64 // how many were written: the number of the last
-	answered      atomic.Int64 // the request whose answer was complete; written by the poller
-	partialStatus atomic.Int64 // status of an answer that has begun and is not complete
+	// Accessed by the poller and the event loop.
+	requestCount    atomic.Int64 // number of requests written, which is also the number of the last one
+	answeredRequest atomic.Int64 // last request with a complete response; written by the poller
+	partialStatus   atomic.Int64 // status of an incomplete response; 0 if none
 
-	// Of the event loop.
+	// Accessed only by the event loop.
 	exchange  *Exchange
 	idleSince dispatch.Micros
 }
 
-// Peer returns the other side.
+// Peer returns the peer of the connection.
 func (c *Conn) Peer() Peer { return c.peer }
 
 // Opened implements transport.Handler.
@@ -101,45 +103,45 @@
 
 // Data implements transport.Handler.
 func (c *Conn) Data(conn *transport.Conn, b []byte) {
-	last := c.requests.Load()
-	if c.answered.Load() == last {
-		conn.Fail(ErrUnexpectedAnswer)
+	last := c.requestCount.Load()
+	if c.answeredRequest.Load() == last {
+		conn.CloseWithError(ErrUnexpectedAnswer)
 		return
 	}
 	answer, done, err := c.parser.Feed(b)
-	status, begun := c.parser.Begun()
+	status, begun := c.parser.Started()
 	c.partialStatus.Store(int64(status))
-	begun = begun && (status == 0 || status >= statusOK) // the first bytes of its first line are enough: a peer may fall silent there
+	begun = begun && (status == 0 || status >= statusOK) // even part of the status line counts: a peer may stop sending there
 	switch {
 	case done:
-		c.answered.Store(last)
+		c.answeredRequest.Store(last)
 		answer.Close = answer.Close || err != nil
 		c.pool.notify(Answered{c, last, answer})
-	case err == nil && begun != (c.reportedBegun == last):
-		c.reportBegun(last, begun)
+	case err == nil && begun != (c.startedRequest == last):
+		c.reportStarted(last, begun)
 	}
 	if err != nil {
-		conn.Fail(err)
+		conn.CloseWithError(err)
 	}
 }
 
-// reportBegun reports that the answer to a request has begun, or takes that back.
-func (c *Conn) reportBegun(request int64, begun bool) {
-	c.reportedBegun = 0
+// reportStarted reports that the response to a request has started, or that it was an interim response.
+func (c *Conn) reportStarted(request int64, begun bool) {
+	c.startedRequest = 0
 	if begun {
-		c.reportedBegun = request
+		c.startedRequest = request
 	}
-	c.pool.notify(AnswerBegun{c, request, begun, slices.Clone(c.parser.Part())})
+	c.pool.notify(AnswerBegun{c, request, begun, slices.Clone(c.parser.PartialBody())})
 }
 
 // Closed implements transport.Handler.
 func (c *Conn) Closed(conn *transport.Conn, err error) {
 	if answer, ok := c.parser.End(); ok {
-		c.pool.notify(Answered{c, c.requests.Load(), answer})
+		c.pool.notify(Answered{c, c.requestCount.Load(), answer})
 	}
 	if err == nil {
-		err = errClosedRemotely
+		err = errClosedByPeer
 	}
-	status, _ := c.parser.Begun()
-	c.pool.notify(Closed{c, c.requests.Load(), status, slices.Clone(c.parser.Part()), conn.Flushed(), err})
+	status, _ := c.parser.Started()
+	c.pool.notify(Closed{c, c.requestCount.Load(), status, slices.Clone(c.parser.PartialBody()), conn.Flushed(), err})
 }
--- a/server/endpointconn/exchange.go
+++ b/server/endpointconn/exchange.go
@@ -8,60 +8,62 @@
 	"pineport/protocol"
 )
 
-// Peer is the other side of a connection. An address alone is not enough: another endpoint may have taken it over, or the same one may have
-// been restarted.
+// Peer identifies the other side of a connection. An address alone does not identify it: another endpoint may have taken over the
+// address, or the same endpoint may have restarted.
 type Peer struct {
 	Endpoint  string // empty for discovery
 	Address   string
-	StartedAt int64 // as the endpoint list says it
+	StartedAt int64 // time of the endpoint's last start, from the endpoint list
 }
 
 // IsDiscovery reports whether the peer is discovery rather than an endpoint.
 func (p Peer) IsDiscovery() bool { return p.Endpoint == "" }
 
-// Exchange is one request and its answer.
+// Exchange is a request and its response.
 type Exchange struct {
 	Peer      Peer
 	Request   []byte
-	NeedsBody bool // the body is needed, not just the first line
+	NeedsBody bool // the response body is needed, not only the status line
 
-	// IsWanted is asked once more when a new connection is up; nil for always.
+	// IsWanted is called when a new connection is established; if it returns false, the request is not sent. nil means true.
 	IsWanted func() bool
-	// BeforeWrite is called just before the first byte is written, which an error stops; nil for nothing to do. It may set Request.
+	// BeforeWrite is called immediately before the request is written and may set Request. If it returns an error, the request is
+	// not sent. It may be nil.
 	BeforeWrite func() error
-	// OnBegin is called when an answer has begun and the rest of it has not come yet; with false where it was an interim one.
-	OnBegin func(begun bool)
-	// OnWritten is called once, when the socket has the last byte or an answer shows that it had; nil for nobody. It may lag by
-	// flushInterval.
+	// OnBegin is called with true when the first part of a response is received, and with false when that response turns out to be
+	// an interim response.
+	OnBegin func(responseStarted bool)
+	// OnWritten is called once, when the socket has taken the last byte of the request or a response proves that it has. The call
+	// may be late by flushInterval. It may be nil.
 	OnWritten func()
-	// OnEnd is called once, unless the exchange is aborted.
+	// OnEnd is called once with the response or the error, unless the exchange is aborted.
 	OnEnd func(protocol.Answer, error)
 
-	conn        *Conn
-	sent        bool
-	finished    bool
-	begun       bool   // part of an answer is here
-	partialBody []byte // of its body
+	conn            *Conn
+	sent            bool
+	finished        bool
+	responseStarted bool   // part of a response has been received
+	partialBody     []byte // received part of its body
 }
 
-// IsSent reports whether the request went to a connection.
+// IsSent reports whether the request was passed to a connection.
 func (x *Exchange) IsSent() bool { return x.sent }
 
-// IsWritten reports whether the last byte of the request has been handed to the socket.
+// IsWritten reports whether the socket has taken the last byte of the request.
 func (x *Exchange) IsWritten() bool { return x.sent && x.conn.conn.Flushed() }
 
-// HasBegun reports whether part of an answer is here.
-func (x *Exchange) HasBegun() bool { return x.begun }
+// HasBegun reports whether part of a response has been received.
+func (x *Exchange) HasBegun() bool { return x.responseStarted }
 
-// PartialBody returns what is here of the body of an answer that is not complete.
+// PartialBody returns the received part of the body of an incomplete response.
 func (x *Exchange) PartialBody() []byte { return x.partialBody }
 
-// HasSuccessLine reports whether the first line of the answer is here, says success, and is all that is needed of it.
+// HasSuccessLine reports whether an incomplete response has a status line with status 200 and its body is not needed.
 func (x *Exchange) HasSuccessLine() bool {
 	return x.sent && !x.NeedsBody && x.conn.partialStatus.Load() == statusOK
 }
 
-// notifyWritten reports, once, that the request was written completely.
+// notifyWritten calls OnWritten, at most once, if the request is completely written.
 func (x *Exchange) notifyWritten(complete bool) {
 	if complete && x.sent && x.OnWritten != nil {
 		x.OnWritten()
@@ -69,17 +71,18 @@
 	}
 }
 
-// end reports how the exchange ended; its connection is free for another one.
+// end finishes the exchange and calls OnEnd.
 func (x *Exchange) end(answer protocol.Answer, err error) {
 	x.finished = true
 	x.OnEnd(answer, err)
 }
 
-// localErrors are what the system says where this machine is short of something, or has no way out: they say nothing of the other side.
-var localErrors = []error{errNoDescriptor, ErrNotStored, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH,
+// localErrors are errors caused by this machine: a resource is exhausted, or the network is unreachable. They do not indicate a fault
+// of the peer.
+var localErrors = []error{errConnLimit, ErrNotStored, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH,
 	syscall.ENETDOWN, syscall.EAGAIN}
 
-// IsLocal reports whether an exchange failed on this machine, before its last byte was out.
+// IsLocal reports whether an exchange failed because of this machine, before the request was fully written.
 func IsLocal(err error) bool {
 	var failure *protocol.Failure
 	if !errors.As(err, &failure) || failure.Progress != protocol.BeforeLastByte {
@@ -88,7 +91,7 @@
 	return slices.ContainsFunc(localErrors, func(local error) bool { return errors.Is(failure.Err, local) })
 }
 
-// fail ends the exchange with a failure at a stage of it.
+// fail ends the exchange with an error and the stage at which it occurred.
 func (x *Exchange) fail(progress protocol.Progress, err error) {
 	x.end(protocol.Answer{}, &protocol.Failure{Progress: progress, Err: err})
 }
--- a/server/endpointconn/pool.go
+++ b/server/endpointconn/pool.go
@@ -13,40 +13,41 @@
 const never = dispatch.Micros(math.MaxInt64)
 
 const (
-	// flushInterval is how often to look at what the sockets have not taken yet.
+	// flushInterval is the interval, in microseconds, at which CheckWritten is called while a request is not completely written.
 	flushInterval = 50 * 1000
-	// maxListBytes bounds the list of discovery, the longest answer there is.
-	maxListBytes = 1 << 20
+	// maxListBodyBytes is the maximum size of discovery's endpoint list, which is the largest response.
+	maxListBodyBytes = 1 << 20
 )
 
-// Limits bound the connections of a Pool.
+// Limits are the limits on the connections of a Pool.
 type Limits struct {
-	Conns       int             // beyond it the one that has been idle longest is closed
-	IdleTimeout dispatch.Micros // how long an idle connection is kept
+	Conns       int             // maximum number of open connections; beyond it the longest-idle connection is closed
+	IdleTimeout dispatch.Micros // how long an idle connection is kept open
 }
 
-// Loop is what a Pool needs of the event loop.
+// Loop holds the functions that a Pool needs from the event loop.
 type Loop struct {
-	// Now returns the time of the step.
+	// Now returns the time at which the current step of the event loop started.
 	Now func() dispatch.Micros
-	// Dial begins to open a connection.
+	// Dial starts to open a connection.
 	Dial func(address string, handler transport.Handler) *transport.Conn
-	// Notify takes events, from the poller, and may wait for the event loop, which hands them to Pool.Handle.
+	// Notify is called by the poller with each event, and may block until the event loop takes it. The event loop passes the event
+	// to Pool.Handle.
 	Notify func(Event)
 }
 
-// Pool is the connections that this courier opened.
+// Pool holds the connections opened by this courier.
 type Pool struct {
 	now       func() dispatch.Micros
 	dial      func(address string, handler transport.Handler) *transport.Conn
 	notify    func(Event)
 	limits    Limits
 	conns     map[*Conn]bool
-	idle      map[Peer][]*Conn // the longest idle first; those that are not in conns have ended
-	unflushed []*Exchange      // with bytes that the socket has not taken
+	idle      map[Peer][]*Conn // longest idle first; may include closed connections, which are no longer in conns
+	unflushed []*Exchange      // exchanges whose request the socket has not completely taken
 }
 
-// NewPool returns a pool without connections.
+// NewPool returns an empty pool.
 func NewPool(limits Limits, loop Loop) *Pool {
 	return &Pool{now: loop.Now, dial: loop.Dial, notify: loop.Notify, limits: limits, conns: map[*Conn]bool{}, idle: map[Peer][]*Conn{}}
 }
@@ -54,7 +55,7 @@
 // SetLimits replaces the limits.
 func (p *Pool) SetLimits(limits Limits) { p.limits = limits }
 
-// Idle returns how many idle connections to a peer are open.
+// Idle returns the number of open idle connections to a peer.
 func (p *Pool) Idle(peer Peer) (n int) {
 	for _, conn := range p.idle[peer] {
 		if p.conns[conn] {
@@ -64,31 +65,31 @@
 	return n
 }
 
-// Start sends an exchange over an idle connection, or a new one. Where no descriptor is left it fails at once; discovery gets one beyond the
-// limit.
+// Start sends the request over an idle connection, or over a new one. The exchange fails immediately if the connection limit is
+// reached and no idle connection can be closed; exchanges with discovery may exceed the limit.
 func (p *Pool) Start(exchange *Exchange) {
 	if p.reuse(exchange) {
 		return
 	}
 	if !p.makeRoom() && !exchange.Peer.IsDiscovery() {
-		exchange.fail(protocol.BeforeLastByte, errNoDescriptor)
+		exchange.fail(protocol.BeforeLastByte, errConnLimit)
 		return
 	}
 	limit := protocol.MaxBody
 	if exchange.Peer.IsDiscovery() {
-		limit = maxListBytes
+		limit = maxListBodyBytes
 	}
-	conn := &Conn{pool: p, peer: exchange.Peer, parser: protocol.NewAnswers(limit), exchange: exchange}
+	conn := &Conn{pool: p, peer: exchange.Peer, parser: protocol.NewResponseParser(limit), exchange: exchange}
 	p.conns[conn] = true
 	exchange.conn = conn
 	conn.conn = p.dial(exchange.Peer.Address, conn)
 }
 
-// reuse sends an exchange over an idle connection, and reports whether there was one; those that it finds unusable are closed.
+// reuse sends the request over an idle connection, and reports whether a usable one was found. It closes unusable ones.
 func (p *Pool) reuse(exchange *Exchange) bool {
-	for pool := p.idle[exchange.Peer]; len(pool) > 0; pool = p.idle[exchange.Peer] {
-		conn := pool[len(pool)-1]
-		p.idle[exchange.Peer] = pool[:len(pool)-1]
+	for idle := p.idle[exchange.Peer]; len(idle) > 0; idle = p.idle[exchange.Peer] {
+		conn := idle[len(idle)-1]
+		p.idle[exchange.Peer] = idle[:len(idle)-1]
 		usable := p.conns[conn] && p.now()-conn.idleSince < p.limits.IdleTimeout
 		if usable && conn.conn.WhileIdle(func() { p.write(conn, exchange) }) {
 			return true
@@ -107,9 +108,9 @@
 		}
 	}
 	conn.exchange, exchange.conn, exchange.sent = exchange, conn, true
-	conn.requests.Add(1)
+	conn.requestCount.Add(1)
 	if err := conn.conn.Write(exchange.Request); err != nil {
-		p.closed(Closed{Conn: conn, Request: conn.requests.Load(), Flushed: false, Err: err})
+		p.closed(Closed{Conn: conn, Request: conn.requestCount.Load(), Flushed: false, Err: err})
 		return
 	}
 	if exchange.notifyWritten(conn.conn.Flushed()); exchange.OnWritten != nil {
@@ -117,7 +118,7 @@
 	}
 }
 
-// CheckWritten looks at what the sockets have not taken yet.
+// CheckWritten calls OnWritten for requests that the sockets have completely taken since the last call.
 func (p *Pool) CheckWritten() {
 	p.unflushed = slices.DeleteFunc(p.unflushed, func(exchange *Exchange) bool {
 		exchange.notifyWritten(exchange.IsWritten())
@@ -125,22 +126,22 @@
 	})
 }
 
-// HasAnswer reports whether the complete answer to an exchange has come; it may not be handled yet. The exchange may be nil.
+// HasAnswer reports whether the complete response of an exchange has been received and is not handled yet. The exchange may be nil.
 func (p *Pool) HasAnswer(exchange *Exchange) bool {
-	return p.isWaiting(exchange) && exchange.conn.answered.Load() == exchange.conn.requests.Load()
+	return p.isWaiting(exchange) && exchange.conn.answeredRequest.Load() == exchange.conn.requestCount.Load()
 }
 
-// HasUnread reports whether something that came since an exchange was written lies unread. The exchange may be nil.
+// HasUnread reports whether received bytes for a waiting exchange are unread or being handled. The exchange may be nil.
 func (p *Pool) HasUnread(exchange *Exchange) bool {
 	return p.isWaiting(exchange) && exchange.conn.conn.HasUnread()
 }
 
-// isWaiting reports whether an exchange waits for its answer over an open connection.
+// isWaiting reports whether an exchange is waiting for its response on an open connection.
 func (p *Pool) isWaiting(exchange *Exchange) bool {
 	return exchange != nil && exchange.sent && !exchange.finished && p.conns[exchange.conn]
 }
 
-// Abort gives up an exchange, and closes its connection. The exchange may be nil.
+// Abort ends an exchange without calling OnEnd and closes its connection. The exchange may be nil.
 func (p *Pool) Abort(exchange *Exchange) {
 	if exchange == nil || exchange.finished {
 		return
@@ -153,7 +154,7 @@
 	}
 }
 
-// Handle takes in an event of a connection of this pool.
+// Handle processes an event of a connection of this pool.
 func (p *Pool) Handle(event Event) {
 	switch e := event.(type) {
 	case Opened:
@@ -181,20 +182,21 @@
 	exchange.end(protocol.Answer{}, ErrOvertaken)
 }
 
-// answerBegun notes that an answer has begun: the rest of it follows at once, or never. What follows an interim one may take its time.
+// answerBegun records that a response has started. The rest of a response follows immediately or not at all, but the response that
+// follows an interim response may take longer.
 func (p *Pool) answerBegun(event AnswerBegun) {
 	exchange := event.Conn.exchange
-	if exchange == nil || exchange.finished || event.Request != event.Conn.requests.Load() {
+	if exchange == nil || exchange.finished || event.Request != event.Conn.requestCount.Load() {
 		return
 	}
-	exchange.begun, exchange.partialBody = event.Begun, event.PartialBody
+	exchange.responseStarted, exchange.partialBody = event.Begun, event.PartialBody
 	exchange.OnBegin(event.Begun)
 }
 
 func (p *Pool) answered(event Answered) {
 	conn, exchange := event.Conn, event.Conn.exchange
-	if exchange == nil || exchange.finished || event.Request != conn.requests.Load() || !exchange.sent {
-		return // given up meanwhile, and its connection with it
+	if exchange == nil || exchange.finished || event.Request != conn.requestCount.Load() || !exchange.sent {
+		return // the exchange was aborted, and its connection closed
 	}
 	exchange.finished = true
 	exchange.notifyWritten(true)
@@ -221,14 +223,14 @@
 	if len(event.PartialBody) > len(exchange.partialBody) {
 		exchange.partialBody = event.PartialBody
 	}
-	if event.Status == statusOK && !exchange.NeedsBody && event.Request == conn.requests.Load() {
-		exchange.end(protocol.Answer{Status: statusOK}, nil) // its first line is all that counts
+	if event.Status == statusOK && !exchange.NeedsBody && event.Request == conn.requestCount.Load() {
+		exchange.end(protocol.Answer{Status: statusOK}, nil) // only the status line is needed
 		return
 	}
 	exchange.fail(exchange.progress(event), event.Err)
 }
 
-// progress returns how far the exchange had come when its connection ended.
+// progress returns the stage that the exchange had reached when its connection was closed.
 func (x *Exchange) progress(event Closed) protocol.Progress {
 	switch {
 	case !x.sent || !event.Flushed:
@@ -239,14 +241,15 @@
 	return protocol.AfterLastByte
 }
 
-// makeRoom closes the connection that has been idle longest where there are as many as may be, and reports whether there is room.
+// makeRoom closes the longest-idle connection if the connection limit is reached, and reports whether another connection may be
+// opened.
 func (p *Pool) makeRoom() bool {
 	if len(p.conns) < p.limits.Conns {
 		return true
 	}
 	var oldest *Conn
-	for _, pool := range p.idle {
-		for _, conn := range pool {
+	for _, idle := range p.idle {
+		for _, conn := range idle {
 			if p.conns[conn] && (oldest == nil || conn.idleSince < oldest.idleSince) {
 				oldest = conn
 			}
@@ -258,7 +261,7 @@
 	return oldest != nil
 }
 
-// keepIdle keeps a connection without an exchange for later ones.
+// keepIdle marks a connection as idle, to be reused by a later exchange.
 func (p *Pool) keepIdle(conn *Conn) {
 	conn.exchange = nil
 	conn.idleSince = p.now()
@@ -278,36 +281,36 @@
 	delete(p.idle, peer)
 }
 
-// CloseAllIdle closes every connection without an exchange.
+// CloseAllIdle closes all idle connections.
 func (p *Pool) CloseAllIdle() {
 	for peer := range p.idle {
 		p.CloseIdle(peer)
 	}
 }
 
-// Due returns when CheckWritten or Expire is to be called next.
+// Due returns the time at which CheckWritten or Expire must be called next.
 func (p *Pool) Due() dispatch.Micros {
 	at := never
 	if len(p.unflushed) > 0 {
 		at = p.now() + flushInterval
 	}
-	for _, pool := range p.idle {
-		if len(pool) > 0 {
-			at = min(at, pool[0].idleSince+p.limits.IdleTimeout)
+	for _, idle := range p.idle {
+		if len(idle) > 0 {
+			at = min(at, idle[0].idleSince+p.limits.IdleTimeout)
 		}
 	}
 	return at
 }
 
-// Expire closes what has been idle for long enough, well before the other side does.
+// Expire closes connections that have been idle for IdleTimeout, which is well below the idle timeout of the peers.
 func (p *Pool) Expire() {
-	for peer, pool := range p.idle {
+	for peer, idle := range p.idle {
 		n := 0
-		for n < len(pool) && (!p.conns[pool[n]] || p.now()-pool[n].idleSince >= p.limits.IdleTimeout) {
-			p.close(pool[n])
+		for n < len(idle) && (!p.conns[idle[n]] || p.now()-idle[n].idleSince >= p.limits.IdleTimeout) {
+			p.close(idle[n])
 			n++
 		}
-		if p.idle[peer] = pool[n:]; n == len(pool) {
+		if p.idle[peer] = idle[n:]; n == len(idle) {
 			delete(p.idle, peer)
 		}
 	}
--- a/server/endpointconn/pool_test.go
+++ b/server/endpointconn/pool_test.go
@@ -20,13 +20,13 @@
 	success = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 )
 
-// testPool is a pool that dials an endpoint of the test's; the events and the time are the test's too.
+// testPool is a Pool that dials an endpoint of the test. The test also receives its events and sets its time.
 type testPool struct {
 	*Pool
 	endpoint net.Listener
 	peer     Peer
 	events   chan Event
-	time     dispatch.Micros
+	now      dispatch.Micros
 }
 
 func openPool(t *testing.T, conns int) *testPool {
@@ -45,9 +45,9 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(driver.Close)
-	p := &testPool{endpoint: endpoint, peer: Peer{Endpoint: "s-0", Address: endpoint.Addr().String()}, events: make(chan Event, 64), time: 1}
+	p := &testPool{endpoint: endpoint, peer: Peer{Endpoint: "s-0", Address: endpoint.Addr().String()}, events: make(chan Event, 64), now: 1}
 	p.Pool = NewPool(Limits{Conns: conns, IdleTimeout: 1000 * 1000}, Loop{
-		Now:    func() dispatch.Micros { return p.time },
+		Now:    func() dispatch.Micros { return p.now },
 		Notify: func(e Event) { p.events <- e },
 		Dial: func(address string, handler transport.Handler) *transport.Conn {
 			return driver.Dial(address, 5*time.Second, handler)
@@ -56,7 +56,8 @@
 	return p
 }
 
-// handleNext hands events to the pool up to the next E, and returns that. Only ends of connections that were given up may come before it.
+// handleNext passes events to the pool up to the next event of type E, and returns that. Before it, only Closed events of connections that this
+// side closed are allowed.
 func handleNext[E Event](t *testing.T, p *testPool) E {
 	t.Helper()
 	for {
@@ -66,23 +67,23 @@
 			if wanted, ok := event.(E); ok {
 				return wanted
 			}
-			if closed, ok := event.(Closed); !ok || !errors.Is(closed.Err, transport.ErrGivenUp) {
-				t.Fatalf("%#v came", event)
+			if closed, ok := event.(Closed); !ok || !errors.Is(closed.Err, transport.ErrClosedLocally) {
+				t.Fatalf("unexpected event %#v", event)
 			}
 		case <-time.After(5 * time.Second):
-			t.Fatal("no event came")
+			t.Fatal("no event within 5 s")
 		}
 	}
 }
 
-// ending is how an exchange ended.
+// ending records the arguments of OnEnd and how often it was called.
 type ending struct {
 	answer protocol.Answer
 	err    error
 	count  int
 }
 
-// start starts an exchange; its ending is filled in when it has one.
+// start starts an exchange. Its ending is filled in when OnEnd is called.
 func (p *testPool) start() (*Exchange, *ending) {
 	end := &ending{}
 	exchange := &Exchange{Peer: p.peer, Request: []byte(request), OnBegin: func(bool) {}, OnEnd: func(answer protocol.Answer, err error) {
@@ -92,7 +93,7 @@
 	return exchange, end
 }
 
-// accept returns the endpoint's side of a new connection, once it is up and the request is there.
+// accept returns the endpoint's side of a new connection after the request has been received.
 func (p *testPool) accept(t *testing.T) net.Conn {
 	t.Helper()
 	conn, err := p.endpoint.Accept()
@@ -113,8 +114,8 @@
 	}
 }
 
-// exchanged carries an exchange out over a new connection, and returns the endpoint's side of it.
-func (p *testPool) exchanged(t *testing.T) net.Conn {
+// completeExchange completes an exchange over a new connection and returns the endpoint's side of the connection.
+func (p *testPool) completeExchange(t *testing.T) net.Conn {
 	t.Helper()
 	_, end := p.start()
 	conn := p.accept(t)
@@ -123,7 +124,7 @@
 	if end.count != 1 || end.err != nil || end.answer.Status != statusOK {
 		t.Fatalf("ended as %+v", *end)
 	}
-	for !used.conn.WhileIdle(func() {}) { // its handler may still be at the answer
+	for !used.conn.WhileIdle(func() {}) { // the handler may still be processing the response
 		time.Sleep(time.Millisecond)
 	}
 	return conn
@@ -136,66 +137,67 @@
 	return err == io.EOF
 }
 
-// TestIdleConnectionIsReused: the second request goes over the connection of the first, and after its time over a new one.
+// TestIdleConnectionIsReused checks that a second request uses the connection of the first, and that a request after the idle timeout uses a
+// new one.
 func TestIdleConnectionIsReused(t *testing.T) {
 	p := openPool(t, 4)
-	conn := p.exchanged(t)
+	conn := p.completeExchange(t)
 	_, end := p.start()
 	readRequest(t, conn)
 	io.WriteString(conn, success)
 	if handleNext[Answered](t, p); end.count != 1 || p.Idle(p.peer) != 1 {
 		t.Fatalf("ended as %+v, %d idle", *end, p.Idle(p.peer))
 	}
-	p.time += p.limits.IdleTimeout
-	p.exchanged(t)
+	p.now += p.limits.IdleTimeout
+	p.completeExchange(t)
 	if !isClosed(conn) {
-		t.Error("a connection beyond its time stays open")
+		t.Error("a connection beyond its idle timeout is still open")
 	}
 }
 
-// TestExpireClosesIdleConnections: at Due, and not before.
+// TestExpireClosesIdleConnections checks that idle connections are closed at the time returned by Due, and not earlier.
 func TestExpireClosesIdleConnections(t *testing.T) {
 	p := openPool(t, 4)
-	conn := p.exchanged(t)
+	conn := p.completeExchange(t)
 	due := p.Due()
-	p.time = due - 1
+	p.now = due - 1
 	if p.Expire(); p.Idle(p.peer) != 1 || isClosed(conn) {
-		t.Fatal("closed before its time")
+		t.Fatal("closed before the idle timeout")
 	}
-	p.time = due
+	p.now = due
 	if p.Expire(); p.Idle(p.peer) != 0 || !isClosed(conn) {
-		t.Error("not closed at its time")
+		t.Error("not closed at the idle timeout")
 	}
 	if p.Due() != never {
-		t.Errorf("due at %d with nothing open", p.Due())
+		t.Errorf("Due returned %d with no open connection", p.Due())
 	}
 }
 
-// TestLimitEvictsIdleConnection: beyond the limit an idle connection goes; where all are busy an endpoint's exchange fails before its first
-// byte, and discovery's does not.
+// TestLimitEvictsIdleConnection checks that an idle connection is closed when the limit is reached. If all connections are busy, an exchange
+// with an endpoint fails before its first byte, while one with discovery does not fail.
 func TestLimitEvictsIdleConnection(t *testing.T) {
 	p := openPool(t, 1)
-	idle := p.exchanged(t)
-	p.peer.StartedAt++ // another incarnation: no connection to it is idle
+	idle := p.completeExchange(t)
+	p.peer.StartedAt++ // another incarnation of the endpoint: it has no idle connection
 	_, busy := p.start()
 	p.accept(t)
 	if !isClosed(idle) {
-		t.Error("the idle connection stays open")
+		t.Error("the idle connection is still open")
 	}
-	_, beyond := p.start()
+	_, overLimit := p.start()
 	var failure *protocol.Failure
-	if !errors.As(beyond.err, &failure) || failure.Progress != protocol.BeforeLastByte || beyond.count != 1 || busy.count != 0 {
-		t.Errorf("beyond the limit %+v, the other %+v", *beyond, *busy)
+	if !errors.As(overLimit.err, &failure) || failure.Progress != protocol.BeforeLastByte || overLimit.count != 1 || busy.count != 0 {
+		t.Errorf("exchange beyond the limit: %+v, exchange within the limit: %+v", *overLimit, *busy)
 	}
 	p.peer.Endpoint = ""
 	if _, end := p.start(); end.count != 0 {
-		t.Errorf("discovery's ended as %+v", *end)
+		t.Errorf("the exchange with discovery ended as %+v", *end)
 	}
 	p.accept(t)
 }
 
-// TestAbortedExchangeHasNoEnd: its connection is closed, and what comes afterwards is for nobody.
-func TestAbortedExchangeHasNoEnd(t *testing.T) {
+// TestAbortedExchangeDoesNotCallOnEnd checks that aborting an exchange closes its connection, and that later events do not call OnEnd.
+func TestAbortedExchangeDoesNotCallOnEnd(t *testing.T) {
 	p := openPool(t, 4)
 	exchange, end := p.start()
 	conn := p.accept(t)
@@ -203,15 +205,15 @@
 	p.Abort(exchange)
 	p.Abort(nil)
 	if !isClosed(conn) {
-		t.Error("its connection stays open")
+		t.Error("the connection is still open")
 	}
 	if handleNext[Closed](t, p); end.count != 0 {
 		t.Errorf("ended as %+v", *end)
 	}
 }
 
-// TestFailureTellsHowFarTheExchangeCame: what the sender may do next hangs on it.
-func TestFailureTellsHowFarTheExchangeCame(t *testing.T) {
+// TestFailureReportsProgress checks the reported stage of a failed exchange, which determines whether the request may be repeated.
+func TestFailureReportsProgress(t *testing.T) {
 	for name, c := range map[string]struct {
 		bytes string
 		want  protocol.Progress
@@ -236,8 +238,8 @@
 	}
 }
 
-// TestUnwantedExchangeIsNotWritten: nothing goes out where nobody wants it once the connection is up, nor where BeforeWrite fails; the
-// connection is kept for others.
+// TestUnwantedExchangeIsNotWritten checks that no request is sent if IsWanted returns false or BeforeWrite fails, and that the connection is
+// kept for later exchanges.
 func TestUnwantedExchangeIsNotWritten(t *testing.T) {
 	errRefused := errors.New("refused")
 	for name, c := range map[string]struct {
--- a/transport/crossings_test.go
+++ b/transport/crossings_test.go
@@ -16,11 +16,11 @@
 	"pineport/testbed/port"
 )
 
-// What comes between two lines of this package, each forced: docs/crossings.md. The one poller is stopped in a handler of the test's, so
-// that what other connections bring lies unread for as long as it wants.
+// These tests force events between two statements of this package; see docs/crossings.md. A handler of the test blocks the only poller, so
+// that bytes received on other connections stay unread until the test releases the poller.
 
-// stopped is a driver whose poller stands still until goOn is called, and its address.
-func stoppedDriver(t *testing.T, accept func() Handler) (driver *Driver, addr string, goOn func()) {
+// stoppedDriver returns a driver whose poller is blocked until resume is called, and the driver's address.
+func stoppedDriver(t *testing.T, accept func() Handler) (driver *Driver, addr string, resume func()) {
 	t.Helper()
 	driver, addr = open(t, accept)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -28,9 +28,9 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	stands, release := make(chan struct{}), make(chan struct{})
-	goOn = sync.OnceFunc(func() { close(release) })
-	t.Cleanup(goOn)
+	stopped, release := make(chan struct{}), make(chan struct{})
+	resume = sync.OnceFunc(func() { close(release) })
+	t.Cleanup(resume)
 	up := make(chan struct{})
 	go func() {
 		defer close(up)
@@ -41,37 +41,37 @@
 		}
 	}()
 	driver.Dial(l.Addr().String(), 5*time.Second, newRecordingHandler(func(*Conn, []byte) {
-		close(stands)
+		close(stopped)
 		<-release
 	}))
-	for _, c := range []chan struct{}{up, stands} {
+	for _, c := range []chan struct{}{up, stopped} {
 		select {
 		case <-c:
 		case <-time.After(5 * time.Second):
-			t.Fatal("the poller does not stand still")
+			t.Fatal("the poller was not blocked within 5 s")
 		}
 	}
-	return driver, addr, goOn
+	return driver, addr, resume
 }
 
-// taking keeps the handlers of connections that are taken in, in their order.
+// acceptedHandlers receives the handlers of connections in the order in which they are opened.
 type acceptedHandlers chan *recordingHandler
 
 func (c acceptedHandlers) accept() Handler {
 	h := &recordingHandler{closed: make(chan struct{})}
-	h.on = func(conn *Conn, b []byte) { conn.Write(b) }
+	h.onData = func(conn *Conn, b []byte) { conn.Write(b) }
 	return &announcingHandler{h, c}
 }
 
-// announced tells of its connection once that is up.
+// announcingHandler sends its recordingHandler to a channel when its connection is opened.
 type announcingHandler struct {
 	*recordingHandler
-	to acceptedHandlers
+	opened acceptedHandlers
 }
 
 func (a *announcingHandler) Opened(conn *Conn) {
 	a.recordingHandler.Opened(conn)
-	a.to <- a.recordingHandler
+	a.opened <- a.recordingHandler
 }
 
 func (c acceptedHandlers) next(t *testing.T) *recordingHandler {
@@ -80,7 +80,7 @@
 	case h := <-c:
 		return h
 	case <-time.After(5 * time.Second):
-		t.Fatal("nobody came")
+		t.Fatal("no connection was opened within 5 s")
 		return nil
 	}
 }
@@ -96,136 +96,136 @@
 	return conn.(*net.TCPConn)
 }
 
-func always() bool { return true }
+func alwaysTrue() bool { return true }
 
-// TestNoCloseWithUnreadBytes. Failure: a connection that rested as far as was known was closed over a request that lay in its socket;
-// the system reset it, and a reply on its way went with it.
+// TestNoCloseWithUnreadBytes checks that CloseIf does not close a connection with unread bytes. Incident: a connection that appeared idle was
+// closed while a request was unread in its socket; the kernel reset the connection, and a reply in transit was lost.
 func TestNoCloseWithUnreadBytes(t *testing.T) {
-	came := make(acceptedHandlers, 1)
-	_, addr, goOn := stoppedDriver(t, came.accept)
+	accepted := make(acceptedHandlers, 1)
+	_, addr, resume := stoppedDriver(t, accepted.accept)
 	peer := dial(t, addr)
-	h := came.next(t)
+	h := accepted.next(t)
 	io.WriteString(peer, "request")
 	if !port.Arrived(peer) {
-		t.Fatal("it never arrived")
+		t.Fatal("the request did not arrive")
 	}
-	if h.conn.CloseIf(always) {
-		t.Error("closed over what lay unread")
+	if h.conn.CloseIf(alwaysTrue) {
+		t.Error("closed a connection with unread bytes")
 	}
-	goOn()
+	resume()
 	got := make([]byte, 7)
 	if _, err := io.ReadFull(peer, got); err != nil || string(got) != "request" {
 		t.Fatalf("answered %q, %v", got, err)
 	}
-	for !h.conn.CloseIf(always) { // the handler may still run
+	for !h.conn.CloseIf(alwaysTrue) { // the handler may still be running
 		time.Sleep(time.Millisecond)
 	}
 	if _, err := peer.Read(got); err != io.EOF {
-		t.Errorf("a connection at rest ended with %v", err)
+		t.Errorf("an idle connection was closed with %v", err)
 	}
 }
 
-// TestNoWriteToEndedConnection. Failure: a call was written to a connection whose other side had closed it, and nobody could
-// say whether it had run.
-func TestNoWriteToEndedConnection(t *testing.T) {
+// TestNoWriteToConnectionClosedByPeer checks that WhileIdle does not run its function on a connection that the peer has closed. Incident: a
+// request was written to such a connection, and it was unknown whether the peer had processed it.
+func TestNoWriteToConnectionClosedByPeer(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
 	driver, _, _ := stoppedDriver(t, nil)
-	came := make(acceptedHandlers, 1)
-	conn := driver.Dial(l.Addr().String(), 5*time.Second, came.accept())
-	came.next(t)
+	opened := make(acceptedHandlers, 1)
+	conn := driver.Dial(l.Addr().String(), 5*time.Second, opened.accept())
+	opened.next(t)
 	peer, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer peer.Close()
-	for deadline := time.Now().Add(5 * time.Second); !conn.WhileIdle(func() {}); { // its handler may still be telling that it is up
+	for deadline := time.Now().Add(5 * time.Second); !conn.WhileIdle(func() {}); { // the handler may still be in Opened
 		if time.Now().After(deadline) {
-			t.Fatal("an open connection at rest passes for ended")
+			t.Fatal("an open idle connection is reported as closed")
 		}
 	}
 	peer.(*net.TCPConn).CloseWrite()
 	if !port.Arrived(peer.(*net.TCPConn)) {
-		t.Fatal("its end never arrived")
+		t.Fatal("the end of file did not arrive")
 	}
 	if conn.WhileIdle(func() {}) {
-		t.Error("written to one that has ended")
+		t.Error("wrote to a connection that the peer has closed")
 	}
 }
 
-// TestNoCloseWhileHandlerRuns: whoever acts on a connection at rest does so before its bytes are read or after they were handled.
+// TestNoCloseWhileHandlerRuns checks that CloseIf does not close a connection between the read of its bytes and the end of their handling.
 func TestNoCloseWhileHandlerRuns(t *testing.T) {
-	handles, goOn := make(chan struct{}), make(chan struct{})
-	came := make(acceptedHandlers, 1)
+	handling, resume := make(chan struct{}), make(chan struct{})
+	accepted := make(acceptedHandlers, 1)
 	_, addr := open(t, func() Handler {
-		a := came.accept().(*announcingHandler)
-		a.on = func(*Conn, []byte) {
-			close(handles)
-			<-goOn
+		a := accepted.accept().(*announcingHandler)
+		a.onData = func(*Conn, []byte) {
+			close(handling)
+			<-resume
 		}
 		return a
 	})
 	peer := dial(t, addr)
-	h := came.next(t)
+	h := accepted.next(t)
 	io.WriteString(peer, "x")
-	<-handles
-	if h.conn.CloseIf(always) {
-		t.Error("closed while its bytes were handled")
+	<-handling
+	if h.conn.CloseIf(alwaysTrue) {
+		t.Error("closed while the handler was running")
 	}
-	close(goOn)
+	close(resume)
 }
 
-// TestCloseReasonIsReportedOnce: a handler that fails its connection is notified so by Closed, and of nothing after it.
+// TestCloseReasonIsReportedOnce checks that a handler that calls CloseWithError gets one call of Closed with the same error.
 func TestCloseReasonIsReportedOnce(t *testing.T) {
-	why := errors.New("as if spoilt")
-	ended := make(chan error, 2)
-	driver, addr := open(t, func() Handler { return &failingHandler{why, ended} })
+	reason := errors.New("simulated malformed data")
+	closed := make(chan error, 2)
+	driver, addr := open(t, func() Handler { return &failingHandler{reason, closed} })
 	peer := dial(t, addr)
 	io.WriteString(peer, "x")
-	if err := <-ended; err != why {
+	if err := <-closed; err != reason {
 		t.Errorf("reported %v", err)
 	}
 	if _, err := peer.Read(make([]byte, 1)); err == nil {
-		t.Error("still open")
+		t.Error("the connection is still open")
 	}
-	driver.Close() // whatever is notified is notified by now
-	if len(ended) > 0 {
-		t.Errorf("reported once more: %v", <-ended)
+	driver.Close() // waits until all pending calls of Closed are made
+	if len(closed) > 0 {
+		t.Errorf("Closed was called again with %v", <-closed)
 	}
 }
 
 type failingHandler struct {
-	why   error
-	ended chan error
+	reason error
+	closed chan error
 }
 
 func (*failingHandler) Opened(*Conn)                {}
-func (h *failingHandler) Data(conn *Conn, _ []byte) { conn.Fail(h.why) }
-func (h *failingHandler) Closed(_ *Conn, err error) { h.ended <- err }
+func (h *failingHandler) Data(conn *Conn, _ []byte) { conn.CloseWithError(h.reason) }
+func (h *failingHandler) Closed(_ *Conn, err error) { h.closed <- err }
 
-// TestCanceledDialEndsAtOnce. Failure: it held a descriptor that nobody counted any more until its time was over; with a third of the
-// dials coming up late, the limit was passed.
+// TestCanceledDialEndsAtOnce checks that closing a connection cancels its dial. Incident: a canceled dial held a descriptor, which was no longer
+// counted, until the dial timed out. When a third of the dials were slow, the descriptor limit was exceeded.
 func TestCanceledDialEndsAtOnce(t *testing.T) {
 	driver, _ := open(t, nil)
-	addr := full(t)
-	why, ended := errors.New("as if overtaken"), make(chan error, 2)
-	conn := driver.Dial(addr, time.Hour, &failingHandler{why, ended})
-	conn.Fail(why)
+	addr := listenWithFullBacklog(t)
+	reason, closed := errors.New("simulated cancellation"), make(chan error, 2)
+	conn := driver.Dial(addr, time.Hour, &failingHandler{reason, closed})
+	conn.CloseWithError(reason)
 	select {
-	case err := <-ended:
-		if err != why {
+	case err := <-closed:
+		if err != reason {
 			t.Errorf("reported %v", err)
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("it goes on")
+		t.Error("the dial was not canceled within 5 s")
 	}
 }
 
-// full is a listener whose queue has no room: a dial to it comes up no more.
-func full(t *testing.T) string {
+// listenWithFullBacklog returns the address of a listener whose backlog is full, so that dials to it do not complete.
+func listenWithFullBacklog(t *testing.T) string {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -238,11 +238,11 @@
 	if err := unix.Listen(fd, 0); err != nil {
 		t.Fatal(err)
 	}
-	at, err := unix.Getsockname(fd)
+	sockAddr, err := unix.Getsockname(fd)
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := fmt.Sprintf("127.0.0.1:%d", at.(*unix.SockaddrInet4).Port)
+	addr := fmt.Sprintf("127.0.0.1:%d", sockAddr.(*unix.SockaddrInet4).Port)
 	for {
 		conn, err := net.DialTimeout("tcp", addr, 100*time.Millisecond)
 		if err != nil {
@@ -252,26 +252,26 @@
 	}
 }
 
-// TestPendingConnectionsAreAccepted. Failure: the system reset who still waited at the door as it was closed, and requests that came with the first
-// breath of a connection had no answer.
+// TestPendingConnectionsAreAccepted checks that StopAccepting first accepts queued connections. Incident: the kernel reset connections that were
+// still queued when the listener was closed, so requests sent immediately after connecting got no response.
 func TestPendingConnectionsAreAccepted(t *testing.T) {
-	const many = 16
+	const connCount = 16
 	admitted := make(chan struct{})
-	came := make(acceptedHandlers, many+1)
+	accepted := make(acceptedHandlers, connCount+1)
 	driver, err := Open("127.0.0.1:0", nil, 1024, slog.New(slog.DiscardHandler), func() bool {
 		<-admitted
 		return true
-	}, came.accept)
+	}, accepted.accept)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(driver.Close)
-	peers := make([]*net.TCPConn, many) // the first is held up on its way in, the others wait behind it
+	peers := make([]*net.TCPConn, connCount) // the first waits to be admitted, the others wait in the accept queue
 	for i := range peers {
 		peers[i] = dial(t, driver.engine.Addrs[0])
 		io.WriteString(peers[i], "hello")
 		if !port.Arrived(peers[i]) {
-			t.Fatal("it never arrived")
+			t.Fatal("the request did not arrive")
 		}
 	}
 	close(admitted)
@@ -279,16 +279,16 @@
 	for i, peer := range peers {
 		got := make([]byte, 5)
 		if _, err := io.ReadFull(peer, got); err != nil {
-			t.Errorf("%d was rejected: %v", i, err)
+			t.Errorf("connection %d was not accepted: %v", i, err)
 		}
 	}
 	if conn, err := net.Dial("tcp", driver.engine.Addrs[0]); err == nil {
 		conn.Close()
-		t.Error("it still listens")
+		t.Error("the listener still accepts connections")
 	}
 }
 
-// TestDialsDuringCloseLeakNothing: whatever comes up as the driver closes is closed with it.
+// TestDialsDuringCloseLeakNothing checks that connections established while the driver is closing are closed too.
 func TestDialsDuringCloseLeakNothing(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -296,37 +296,38 @@
 	}
 	defer l.Close()
 	for range 10 {
-		came := make(acceptedHandlers, 1)
-		driver, addr := open(t, came.accept)
-		peer := dial(t, addr) // nbio forgets an end that comes before its loops have begun
+		accepted := make(acceptedHandlers, 1)
+		driver, addr := open(t, accepted.accept)
+		peer := dial(t, addr) // nbio ignores a shutdown requested before its loops have started
 		io.WriteString(peer, "x")
 		if _, err := io.ReadFull(peer, make([]byte, 1)); err != nil {
 			t.Fatal(err)
 		}
-		var all []*recordingHandler
+		var handlers []*recordingHandler
 		for range 20 {
 			h := newRecordingHandler(nil)
-			all = append(all, h)
+			handlers = append(handlers, h)
 			driver.Dial(l.Addr().String(), 5*time.Second, h)
 		}
 		driver.Close()
-		for _, h := range all {
-			h.wait(t)
+		for _, h := range handlers {
+			h.waitClosed(t)
 		}
 	}
 }
 
-// TestSmallWritesAreSentAtOnce: what the system held back would go with a connection that is closed over unread bytes.
+// TestSmallWritesAreSentAtOnce checks that TCP_NODELAY is set. Bytes held back by the kernel would be lost if the connection is closed with unread
+// bytes.
 func TestSmallWritesAreSentAtOnce(t *testing.T) {
-	came := make(acceptedHandlers, 2)
-	driver, addr := open(t, came.accept)
-	dialled := driver.Dial(addr, 5*time.Second, came.accept())
+	opened := make(acceptedHandlers, 2)
+	driver, addr := open(t, opened.accept)
+	dialled := driver.Dial(addr, 5*time.Second, opened.accept())
 	for range 2 {
-		conn := came.next(t).conn
-		for conn.open() == nil {
+		conn := opened.next(t).conn
+		for conn.openConn() == nil {
 			time.Sleep(time.Millisecond)
 		}
-		if on, err := unix.GetsockoptInt(conn.open().Hash(), syscall.IPPROTO_TCP, syscall.TCP_NODELAY); err != nil || on == 0 {
+		if on, err := unix.GetsockoptInt(conn.openConn().Hash(), syscall.IPPROTO_TCP, syscall.TCP_NODELAY); err != nil || on == 0 {
 			t.Errorf("dialled %v: TCP_NODELAY %d, %v", conn == dialled, on, err)
 		}
 	}
--- a/transport/halfclose.go
+++ b/transport/halfclose.go
@@ -10,26 +10,26 @@
 	"golang.org/x/sys/unix"
 )
 
-// A peer may end its sending and still wait for its replies. nbio closes a connection as soon as the peer has ended its
-// sending, so the descriptor is duplicated before that, and the replies that are still due go over the duplicate.
+// A peer may shut down its write side and still wait for replies. nbio closes a connection as soon as it reads end of
+// file, so the descriptor is duplicated before that, and the pending replies are written to the duplicate.
 
-// Replier is a Handler that may owe its peer replies.
+// Replier is a Handler that replies to the peer and may have replies pending.
 type Replier interface {
 	Handler
-	// RepliesDue reports whether something that was read has no reply yet.
+	// RepliesDue reports whether a request that was read has no reply yet.
 	RepliesDue() bool
 }
 
-// keepForReplies duplicates the descriptor of a connection whose peer has ended its sending, if replies are due. Bytes that
-// nbio still holds back would go with its own descriptor, and what came after them could not be understood: then nothing is kept.
-// The caller holds the handler lock, and closes the connection then.
+// duplicateForReplies duplicates the descriptor of a connection whose peer has shut down its write side, if replies are
+// pending. It does nothing if nbio still holds queued bytes: these are lost when nbio closes its own descriptor, and the
+// peer could not interpret replies with a gap before them. The caller holds handlerLock and closes the connection afterwards.
 //
-// Failure: the poll of the system knows a descriptor's number for as long as any duplicate is open, and nbio relies on the close to end
-// that. The end of the old connection was reported for the number, which a new connection had by then: its first request was read, or lay
-// there, and it was closed with no answer. So the number is taken from the poll first.
-func (c *Conn) keepForReplies(raw *nbio.Conn) {
+// The descriptor is removed from epoll first. epoll keeps reporting a descriptor number as long as any duplicate is open,
+// while nbio relies on close to remove it. Incident: epoll reported the end of the old connection under a descriptor number
+// that a new connection had by then, and the new connection was closed with its first request unanswered.
+func (c *Conn) duplicateForReplies(raw *nbio.Conn) {
 	replier, ok := c.handler.(Replier)
-	if !ok || !replier.RepliesDue() || !c.Flushed() || !peerEnded(raw.Hash()) {
+	if !ok || !replier.RepliesDue() || !c.Flushed() || !peerClosedWrite(raw.Hash()) {
 		return
 	}
 	if c.driver.removeFromPoll(raw.Hash()) != nil {
@@ -37,10 +37,10 @@
 	}
 	duplicate, err := unix.FcntlInt(uintptr(raw.Hash()), unix.F_DUPFD_CLOEXEC, 0)
 	if err != nil {
-		return // no descriptor left
+		return // for example, the descriptor limit is reached
 	}
-	c.state.Lock()
-	defer c.state.Unlock()
+	c.stateLock.Lock()
+	defer c.stateLock.Unlock()
 	if c.halfClosed {
 		unix.Close(duplicate)
 		return
@@ -48,39 +48,40 @@
 	c.halfClosed, c.replyDescriptor = true, duplicate
 }
 
-// removeFromPoll ends what the poller is told of a descriptor. nbio has no call for that, nor shows its poll's descriptor.
+// removeFromPoll removes a descriptor from nbio's epoll instance. nbio exports neither a function for this nor the epoll
+// descriptor, so the descriptor is read by reflection.
 func (d *Driver) removeFromPoll(descriptor int) error {
 	pollers := reflect.ValueOf(d.engine).Elem().FieldByName("pollers")
 	if !pollers.IsValid() || pollers.Len() != 1 {
-		return errNoPoll
+		return errNoEpollDescriptor
 	}
 	poll := pollers.Index(0).Elem().FieldByName("epfd")
 	if !poll.IsValid() {
-		return errNoPoll
+		return errNoEpollDescriptor
 	}
 	return unix.EpollCtl(int(poll.Int()), unix.EPOLL_CTL_DEL, descriptor, nil)
 }
 
-var errNoPoll = errors.New("this version of nbio has its poll elsewhere")
+var errNoEpollDescriptor = errors.New("epoll descriptor not found in this version of nbio")
 
-// peerEnded reports whether the peer of a socket has ended its sending and has not reset the connection.
-func peerEnded(descriptor int) bool {
-	set := []unix.PollFd{{Fd: int32(descriptor), Events: unix.POLLRDHUP}}
-	n, err := unix.Poll(set, 0)
-	return err == nil && n > 0 && set[0].Revents&unix.POLLRDHUP != 0 && set[0].Revents&unix.POLLERR == 0
+// peerClosedWrite reports whether the peer has shut down its write side and has not reset the connection.
+func peerClosedWrite(descriptor int) bool {
+	pollFds := []unix.PollFd{{Fd: int32(descriptor), Events: unix.POLLRDHUP}}
+	n, err := unix.Poll(pollFds, 0)
+	return err == nil && n > 0 && pollFds[0].Revents&unix.POLLRDHUP != 0 && pollFds[0].Revents&unix.POLLERR == 0
 }
 
-// HalfClosed reports whether replies can still be written although the peer has ended its sending.
+// HalfClosed reports whether the peer has shut down its write side and replies can still be written to it.
 func (c *Conn) HalfClosed() bool {
-	c.state.Lock()
-	defer c.state.Unlock()
+	c.stateLock.Lock()
+	defer c.stateLock.Unlock()
 	return c.halfClosed
 }
 
-// writeReply writes to a peer that has ended its sending; replies are short, and what the socket does not take at once is lost.
+// writeReply writes to a half-closed connection. Replies are short; bytes that the socket does not take at once are lost.
 func (c *Conn) writeReply(b []byte) error {
-	c.state.Lock()
-	defer c.state.Unlock()
+	c.stateLock.Lock()
+	defer c.stateLock.Unlock()
 	if !c.halfClosed {
 		return net.ErrClosed
 	}
@@ -91,10 +92,10 @@
 	return err
 }
 
-// CloseReplies ends what HalfClosed reports: no replies follow. It does nothing on a connection that is not half-closed.
+// CloseReplies closes a half-closed connection after its last reply. On other connections it does nothing.
 func (c *Conn) CloseReplies() {
-	c.state.Lock()
-	defer c.state.Unlock()
+	c.stateLock.Lock()
+	defer c.stateLock.Unlock()
 	if c.halfClosed {
 		c.halfClosed = false
 		unix.Close(c.replyDescriptor)
--- a/transport/halfclose_test.go
+++ b/transport/halfclose_test.go
@@ -12,28 +12,28 @@
 	"golang.org/x/sys/unix"
 )
 
-// owing is a handler that writes its reply when the test says so.
-type owing struct {
+// pendingReplyHandler is a handler whose reply is pending until the test closes replied.
+type pendingReplyHandler struct {
 	*recordingHandler
-	due chan struct{} // closed when the reply has been written
+	replied chan struct{} // closed when the reply has been written
 }
 
-func (o *owing) RepliesDue() bool {
+func (o *pendingReplyHandler) RepliesDue() bool {
 	select {
-	case <-o.due:
+	case <-o.replied:
 		return false
 	default:
 		return true
 	}
 }
 
-// TestHalfClosedPeerGetsItsReply: a peer that ends its sending right behind a request, or while its request is being handled,
-// still gets the reply, after which the connection ends.
+// TestHalfClosedPeerGetsItsReply checks that a peer that shuts down its write side directly after its request, or while the request
+// is being handled, still gets the reply before the connection is closed.
 func TestHalfClosedPeerGetsItsReply(t *testing.T) {
 	for name, endFirst := range map[string]bool{"ends with the request": true, "ends while it is handled": false} {
 		t.Run(name, func(t *testing.T) {
 			read := make(chan struct{}, 1)
-			o := &owing{newRecordingHandler(func(*Conn, []byte) { read <- struct{}{} }), make(chan struct{})}
+			o := &pendingReplyHandler{newRecordingHandler(func(*Conn, []byte) { read <- struct{}{} }), make(chan struct{})}
 			_, addr := open(t, func() Handler { return o })
 			peer := dial(t, addr)
 			io.WriteString(peer, "request")
@@ -44,14 +44,14 @@
 				<-read
 				peer.CloseWrite()
 			}
-			o.wait(t) // Closed was notified: nothing more comes
+			o.waitClosed(t) // no handler calls follow Closed
 			if !o.conn.HalfClosed() {
-				t.Fatal("nothing can be written any more")
+				t.Fatal("the connection is not half-closed")
 			}
 			if err := o.conn.Write([]byte("reply")); err != nil {
 				t.Fatal(err)
 			}
-			close(o.due)
+			close(o.replied)
 			o.conn.CloseReplies()
 			peer.SetReadDeadline(time.Now().Add(5 * time.Second))
 			if got, err := io.ReadAll(peer); string(got) != "reply" || err != nil {
@@ -61,44 +61,44 @@
 	}
 }
 
-// TestResetPeerIsNotHalfClosed: a peer that resets its connection reads nothing more, and no descriptor is kept for it.
+// TestResetPeerIsNotHalfClosed checks that no descriptor is kept for a peer that has reset its connection, since it reads no replies.
 func TestResetPeerIsNotHalfClosed(t *testing.T) {
 	read := make(chan struct{}, 1)
-	o := &owing{newRecordingHandler(func(*Conn, []byte) { read <- struct{}{} }), make(chan struct{})}
+	o := &pendingReplyHandler{newRecordingHandler(func(*Conn, []byte) { read <- struct{}{} }), make(chan struct{})}
 	_, addr := open(t, func() Handler { return o })
 	peer := dial(t, addr)
 	io.WriteString(peer, "request")
 	<-read
 	peer.SetLinger(0)
 	peer.Close()
-	o.wait(t)
+	o.waitClosed(t)
 	if o.conn.HalfClosed() {
-		t.Error("a descriptor is kept for a peer that has gone")
+		t.Error("a descriptor is kept for a peer that has reset its connection")
 	}
 }
 
-// TestHalfClosedPeerIsNotPolled: while replies are due to a peer that has ended its sending, no poll of the system knows its old descriptor's
-// number, which the next connection may have. Failure: its end was reported for that number, and the connection that had it by then was
-// closed with no answer.
+// TestHalfClosedPeerIsNotPolled checks that the descriptor of a half-closed connection is removed from epoll while replies are pending.
+// Incident: epoll reported the end of the old connection under its descriptor number, and a new connection that had got that number was
+// closed with its request unanswered.
 func TestHalfClosedPeerIsNotPolled(t *testing.T) {
 	read := make(chan struct{}, 1)
-	o := &owing{newRecordingHandler(func(*Conn, []byte) { read <- struct{}{} }), make(chan struct{})}
+	o := &pendingReplyHandler{newRecordingHandler(func(*Conn, []byte) { read <- struct{}{} }), make(chan struct{})}
 	_, addr := open(t, func() Handler { return o })
 	peer := dial(t, addr)
 	io.WriteString(peer, "request")
 	<-read
-	descriptor := o.conn.open().Hash()
+	descriptor := o.conn.openConn().Hash()
 	var socket unix.Stat_t
 	if err := unix.Fstat(descriptor, &socket); err != nil {
 		t.Fatal(err)
 	}
 	if !isPolled(t, descriptor, socket.Ino) {
-		t.Fatal("not polled while it is open: this test sees nothing")
+		t.Fatal("the open connection is not found in epoll, so this test cannot detect a failure")
 	}
 	peer.CloseWrite()
-	o.wait(t)
+	o.waitClosed(t)
 	if !o.conn.HalfClosed() {
-		t.Fatal("no reply can be written any more")
+		t.Fatal("the connection is not half-closed")
 	}
 	if isPolled(t, descriptor, socket.Ino) {
 		t.Errorf("descriptor %d is still polled", descriptor)
@@ -106,7 +106,7 @@
 	o.conn.CloseReplies()
 }
 
-// isPolled reports whether a poll of this process knows a socket by the number of a descriptor.
+// isPolled reports whether an epoll instance of this process contains a socket under a descriptor number.
 func isPolled(t *testing.T, descriptor int, inode uint64) bool {
 	t.Helper()
 	entries, err := os.ReadDir("/proc/self/fd")
--- a/transport/reuse_test.go
+++ b/transport/reuse_test.go
@@ -9,11 +9,12 @@
 	"time"
 )
 
-// TestClosedNumberEndsNobodyElse: connections are closed by this side just as their peers end them, while others come, have their descriptors'
-// numbers, and are served. Failure: the end of a connection that was closed outside of the poller lay among the events that the poller was
-// about to handle, and was taken for that of the newcomer (seen in cmd/pineport, TestSystemCallsFail; rare here, as the clients of this process take the numbers).
-func TestClosedNumberEndsNobodyElse(t *testing.T) {
-	const lasting = time.Second
+// TestReusedDescriptorKeepsNewConnection closes connections at the moment when their peers close them, while new connections are accepted that
+// may reuse the descriptor numbers. Incident: a connection was closed outside the poller while its end-of-file event was still queued, and the
+// event closed a new connection with the same descriptor number. The failure was seen in TestSystemCallsFail of cmd/pineport; it is rare here,
+// since the clients run in the same process and take most of the released numbers.
+func TestReusedDescriptorKeepsNewConnection(t *testing.T) {
+	const duration = time.Second
 	echo := func() Handler { return newRecordingHandler(func(conn *Conn, b []byte) { conn.Write(b) }) }
 	driver, addr := open(t, echo)
 	peers, err := net.Listen("tcp", "127.0.0.1:0")
@@ -21,7 +22,7 @@
 		t.Fatal(err)
 	}
 	defer peers.Close()
-	go func() { // each answers and ends its connection
+	go func() { // responds on each connection and closes it
 		for {
 			conn, err := peers.Accept()
 			if err != nil {
@@ -32,9 +33,9 @@
 		}
 	}()
 	var stopped atomic.Bool
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for range 8 {
-		all.Go(func() {
+		wg.Go(func() {
 			for !stopped.Load() {
 				answered := make(chan struct{}, 8)
 				conn := driver.Dial(peers.Addr().String(), time.Second, newRecordingHandler(func(*Conn, []byte) { answered <- struct{}{} }))
@@ -48,7 +49,7 @@
 	}
 	var served, lost atomic.Int64
 	for range 8 {
-		all.Go(func() {
+		wg.Go(func() {
 			for !stopped.Load() {
 				conn, err := net.Dial("tcp", addr)
 				if err != nil {
@@ -60,15 +61,15 @@
 					lost.Add(1)
 				}
 				served.Add(1)
-				conn.(*net.TCPConn).SetLinger(0) // no ports in TIME_WAIT
+				conn.(*net.TCPConn).SetLinger(0) // avoid ports in TIME_WAIT
 				conn.Close()
 			}
 		})
 	}
-	time.Sleep(lasting)
+	time.Sleep(duration)
 	stopped.Store(true)
-	all.Wait()
+	wg.Wait()
 	if lost.Load() > 0 || served.Load() < 100 {
-		t.Errorf("%d of %d connections ended with no answer", lost.Load(), served.Load())
+		t.Errorf("%d of %d connections ended without a response; want 0 of at least 100", lost.Load(), served.Load())
 	}
 }
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -1,5 +1,5 @@
-// Package transport drives the sockets with lesismal/nbio: it listens, dials, reads, writes and keeps
-// deadlines. It knows nothing of what the bytes mean.
+// Package transport handles socket I/O through lesismal/nbio: it listens, dials, reads, writes and closes
+// connections after a timeout. It does not interpret the bytes it carries.
 package transport
 
 import (
@@ -21,61 +21,66 @@
 	"golang.org/x/sys/unix"
 )
 
-// Handler is notified what happens on one connection; the calls never overlap, and Closed is the last.
-// A panic in it closes that connection alone.
+// Handler receives the events of one connection. Its methods are never called concurrently, and Closed is the
+// last call. A panic in a method closes only that connection.
 type Handler interface {
 	Opened(*Conn)
 	Data(*Conn, []byte)
 	Closed(*Conn, error)
 }
 
-// ErrGivenUp is the reason of a connection that this side closed.
-var ErrGivenUp = errors.New("given up by this side")
+// ErrClosedLocally is passed to Handler.Closed when this side closed the connection with Close.
+var ErrClosedLocally = errors.New("connection closed by this side")
 
 const (
-	readBuffer = 16 << 10
-	// nbio closes on the peer's end after so many bytes or reads of one connection, whatever is still unread: more than any body, byte by byte.
-	maxReadInRow = 64 * readBuffer
-	writeBuffer  = 1 << 20 // over the largest call, five full bodies
+	readBufferSize = 16 << 10
+	// maxConsecutiveReadBytes limits the number of bytes plus reads of one connection per poller event. If the
+	// peer has closed the connection, nbio closes it when this limit is reached, even if bytes are still unread.
+	// The limit therefore exceeds the largest body, even one that arrives one byte per read.
+	maxConsecutiveReadBytes = 64 * readBufferSize
+	maxWriteBufferSize      = 1 << 20 // more than the largest request, which holds five bodies of maximum size
 )
 
-// Driver owns the poller and all its connections.
+// Driver owns the nbio poller and all connections that it serves.
 type Driver struct {
 	engine           *nbio.Engine
 	listener         net.Listener
 	stoppedAccepting atomic.Bool // after StopAccepting
 	stoppedReading   atomic.Bool // after StopReading
 	log              *slog.Logger
-	// joined counts connections as they are given to nbio. Its tables are its own and say nothing of order: whoever finds a connection
-	// there reads this first, and sees all that stood before it was given.
-	handedOver atomic.Int64
-	closeLock  sync.RWMutex // held by who gives nbio a connection
-	closed     bool         // no more of those
+	// registeredConns counts the connections that were added to nbio. It serves as a memory barrier: nbio's
+	// connection table guarantees no ordering, so code that gets a connection from that table loads this counter
+	// first, and thereby sees all writes made before the connection was added.
+	registeredConns atomic.Int64
+	closeLock       sync.RWMutex // read-locked while a connection is added to nbio
+	closed          bool         // no more connections may be added to nbio
 }
 
-// of finds the connection that nbio speaks of.
+// connOf returns the Conn that belongs to an nbio connection.
 func (d *Driver) connOf(raw *nbio.Conn) (*Conn, bool) {
-	d.handedOver.Load()
+	d.registeredConns.Load()
 	conn, ok := raw.Session().(*Conn)
 	return conn, ok
 }
 
-// Listener makes a listener of a descriptor that this process inherited; the socket stays its holder's.
+// Listener returns a listener for a file descriptor that this process inherited. It works on a duplicate, so
+// closing the listener leaves the inherited descriptor open.
 func Listener(fd int) (net.Listener, error) {
-	if listens, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN); err != nil || listens == 0 {
-		return nil, fmt.Errorf("descriptor %d is no listening socket (%v)", fd, err)
+	if acceptConn, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN); err != nil || acceptConn == 0 {
+		return nil, fmt.Errorf("descriptor %d is not a listening socket (%v)", fd, err)
 	}
-	again, err := syscall.Dup(fd) // the first stays open, for the next time
+	duplicate, err := syscall.Dup(fd) // the inherited descriptor stays open, for a later call
 	if err != nil {
 		return nil, err
 	}
-	syscall.CloseOnExec(again)
-	f := os.NewFile(uintptr(again), "listen")
+	syscall.CloseOnExec(duplicate)
+	f := os.NewFile(uintptr(duplicate), "listen")
 	defer f.Close()
 	return net.FileListener(f)
 }
 
-// IsShortage reports whether a call failed as this machine is short of something, which it may have again in a moment.
+// IsShortage reports whether a system call failed for a temporary local reason: no descriptors, buffers or
+// memory were available, or the call was interrupted. A later retry may succeed.
 func IsShortage(err error) bool {
 	for _, shortage := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR} {
 		if errors.Is(err, shortage) {
@@ -85,12 +90,13 @@
 	return false
 }
 
-// Open starts a driver that takes clients on a listener, or where that is nil listens on addr, and makes a Handler for each connection that comes in
-// and is admitted.
+// Open starts a driver that accepts connections on the inherited listener or, if that is nil, on addr. For each
+// accepted connection that admit allows, accept returns the Handler. sockets is the maximum number of open
+// sockets.
 func Open(addr string, inherited net.Listener, sockets int, log *slog.Logger, admit func() bool, accept func() Handler) (*Driver, error) {
 	openLock.Lock()
 	defer openLock.Unlock()
-	nbio.MaxOpenFiles = sockets + 64 // nbio keeps a table of that length
+	nbio.MaxOpenFiles = sockets + 64 // nbio allocates a connection table of this length
 	driver := &Driver{log: log}
 	latestDriver.Store(driver)
 	listen := func(network, addr string) (l net.Listener, err error) {
@@ -101,16 +107,16 @@
 		return driver.listener, err
 	}
 	driver.engine = nbio.NewEngine(nbio.Config{Network: "tcp", Addrs: []string{addr}, NPoller: 1, Listen: listen,
-		ReadBufferSize: readBuffer, MaxWriteBufferSize: writeBuffer})
+		ReadBufferSize: readBufferSize, MaxWriteBufferSize: maxWriteBufferSize})
 	driver.engine.OnOpen(func(raw *nbio.Conn) {
-		if raw.Session() == nil { // taken in, not dialled
+		if raw.Session() == nil { // accepted, not dialed
 			conn := &Conn{raw: raw, driver: driver, handler: accept()}
 			raw.SetSession(conn)
 			conn.runUnlessClosed(func() { conn.handler.Opened(conn) })
-			driver.handedOver.Add(1)
+			driver.registeredConns.Add(1)
 		}
 	})
-	buffer := make([]byte, readBuffer) // one for all, as a single poller reads them in step
+	buffer := make([]byte, readBufferSize) // shared by all connections: the only poller reads them one after another
 	driver.engine.OnRead(func(raw *nbio.Conn) {
 		if conn, ok := driver.connOf(raw); ok {
 			conn.read(raw, buffer)
@@ -118,7 +124,7 @@
 	})
 	driver.engine.OnWrittenSize(func(raw *nbio.Conn, _ []byte, n int) {
 		if conn, ok := driver.connOf(raw); ok {
-			conn.written.Add(int64(n))
+			conn.writtenBytes.Add(int64(n))
 		}
 	})
 	driver.engine.OnClose(func(raw *nbio.Conn, err error) {
@@ -126,39 +132,41 @@
 			conn.reportClosed(err)
 		}
 	})
-	// Out of descriptors, nbio would accept again at once, for ever.
+	// Without this pause nbio would retry accept in a busy loop while no descriptor is available.
 	driver.engine.OnAcceptError(func(error) {
 		if time.Sleep(20 * time.Millisecond); driver.stoppedAccepting.Load() {
-			select {} // it would complain of the closed listener for ever
+			select {} // otherwise nbio would log accept errors of the closed listener forever
 		}
 	})
 	return driver, driver.engine.Start()
 }
 
-// gate closes connections that are not admitted before they cost a place among those that are.
+// admissionListener closes connections that are not admitted before nbio registers them.
 type admissionListener struct {
 	net.Listener
 	admit func() bool
 }
 
-func (g admissionListener) Accept() (net.Conn, error) {
+func (l admissionListener) Accept() (net.Conn, error) {
 	for {
-		conn, err := g.Listener.Accept()
-		for waited := time.Duration(0); err == nil && !g.admit() && waited < admitTimeout; waited += admitTimeout / 50 {
+		conn, err := l.Listener.Accept()
+		for waited := time.Duration(0); err == nil && !l.admit() && waited < admitTimeout; waited += admitTimeout / 50 {
 			time.Sleep(admitTimeout / 50)
 		}
-		if err != nil || g.admit() {
+		if err != nil || l.admit() {
 			return conn, err
 		}
 		conn.Close()
 	}
 }
 
-// admitWait is how long a connection waits for a place, which others are about to leave; the rest waits behind it.
+// admitTimeout is how long an accepted connection waits to be admitted, as other connections may close in the
+// meantime. Connections behind it stay in the accept queue.
 const admitTimeout = 50 * time.Millisecond
 
-// StopAccepting takes no more connections in; those that are up stay. Who had come before it is let in, within a bound. Failure: the
-// system reset who still waited there, and a request sent with the first breath of a connection had no answer.
+// StopAccepting closes the listener and leaves established connections open. For up to admitTimeout it first lets
+// the connections that are already in the accept queue be accepted. Incident: the kernel reset connections that
+// were still queued when the listener was closed, so a request sent immediately after connecting got no response.
 func (d *Driver) StopAccepting() {
 	for waited := time.Duration(0); waited < admitTimeout && d.hasPending(); waited += admitTimeout / 50 {
 		time.Sleep(admitTimeout / 50)
@@ -167,69 +175,71 @@
 	d.listener.Close()
 }
 
-// StopReading leaves all that comes from now on unread. Once a connection is Idle, nothing more is read from it.
+// StopReading stops reading from all connections. A read already in progress completes: once a connection is Idle,
+// nothing more is read from it.
 func (d *Driver) StopReading() { d.stoppedReading.Store(true) }
 
-// knocked tells whether a connection waits to be accepted.
-func (d *Driver) hasPending() (waits bool) {
+// hasPending reports whether a connection is waiting in the accept queue.
+func (d *Driver) hasPending() (pending bool) {
 	l, ok := d.listener.(admissionListener).Listener.(syscall.Conn)
 	if !ok {
 		return false
 	}
 	if raw, err := l.SyscallConn(); err == nil {
-		raw.Control(func(fd uintptr) { waits = readable(int(fd)) })
+		raw.Control(func(fd uintptr) { pending = isReadable(int(fd)) })
 	}
-	return waits
+	return pending
 }
 
-// readable tells whether there is something to read on a descriptor, an end too, and takes nothing.
-func readable(fd int) bool {
-	set := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN | unix.POLLRDHUP}}
-	n, err := unix.Poll(set, 0)
-	return err == nil && n > 0 && set[0].Revents&unix.POLLNVAL == 0
+// isReadable reports whether a read on a descriptor would return data or end of file. It consumes nothing.
+func isReadable(fd int) bool {
+	pollFds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN | unix.POLLRDHUP}}
+	n, err := unix.Poll(pollFds, 0)
+	return err == nil && n > 0 && pollFds[0].Revents&unix.POLLNVAL == 0
 }
 
-// Close ends the listener and every connection; a dial under way ends by itself, and nbio would wait for it. Once more does nothing.
+// Close closes the listener and all connections. Connections that are still being dialed are not added to nbio any
+// more, since nbio would wait for them; each is closed when its dial completes. Repeated calls do nothing.
 func (d *Driver) Close() {
 	d.closeLock.Lock()
-	again := d.closed
+	alreadyClosed := d.closed
 	d.closed = true
 	d.closeLock.Unlock()
-	if again {
+	if alreadyClosed {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	_ = d.engine.Shutdown(ctx) // what is left ends with the process
+	_ = d.engine.Shutdown(ctx) // connections still open after the timeout end with the process
 }
 
-// Conn is a connection, perhaps not up yet.
+// Conn is a connection, which may still be being dialed.
 type Conn struct {
-	driver        *Driver
-	handler       Handler
-	state         sync.Mutex // guards raw and over
-	raw           *nbio.Conn
-	closing       bool
-	freed         bool        // the descriptor's number may be another connection's, or is about to be free
-	expiry        *time.Timer // see Expire; nil for none
-	closeReason   error       // it was closed by this side, if that had a reason of its own
-	cancelDial    func()      // ends a dial that is under way
-	handlerLock   sync.Mutex  // held while bytes are read and the handler runs
-	closeReported bool        // Closed was notified
-	queued        atomic.Int64
-	written       atomic.Int64
-
-	halfClosed      bool // the peer has ended its sending and is still owed replies; guarded by state
-	replyDescriptor int  // of those replies, while halfClosed
-}
-
-// Dial brings up a connection in the background. nbio's own DialAsync gives no hold of a dial that is under
-// way and reports a refused one as up, so a goroutine waits here.
-func (d *Driver) Dial(addr string, within time.Duration, handler Handler) *Conn {
-	ctx, giveUp := context.WithTimeout(context.Background(), within)
-	c := &Conn{driver: d, handler: handler, cancelDial: giveUp}
+	driver             *Driver
+	handler            Handler
+	stateLock          sync.Mutex // guards raw, closing, descriptorReleased, expiry, closeReason, halfClosed and replyDescriptor
+	raw                *nbio.Conn
+	closing            bool
+	descriptorReleased bool        // the descriptor number is about to be free, or already belongs to another connection
+	expiry             *time.Timer // set by Expire; nil if no timeout is set
+	closeReason        error       // reason given to CloseWithError; nil if this side did not close the connection
+	cancelDial         func()      // cancels a dial in progress; nil for accepted connections
+	handlerLock        sync.Mutex  // held while bytes are read and while the handler runs
+	closeReported      bool        // Handler.Closed has been called, or is about to be
+	queuedBytes        atomic.Int64
+	writtenBytes       atomic.Int64
+
+	halfClosed      bool // the peer has shut down its write side, and replies to it are still pending
+	replyDescriptor int  // duplicate descriptor for these replies; valid while halfClosed
+}
+
+// Dial opens a connection in the background. It dials in a goroutine because nbio's DialAsync cannot cancel a
+// dial in progress and reports a refused connection as established.
+func (d *Driver) Dial(addr string, timeout time.Duration, handler Handler) *Conn {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+	c := &Conn{driver: d, handler: handler, cancelDial: cancel}
 	go func() {
-		defer giveUp()
+		defer cancel()
 		conn, err := new(net.Dialer).DialContext(ctx, "tcp", addr)
 		if err != nil {
 			c.reportClosed(err)
@@ -247,11 +257,11 @@
 			c.reportClosed(err)
 			return
 		}
-		c.state.Lock()
+		c.stateLock.Lock()
 		c.raw = raw
-		given := c.closing
-		c.state.Unlock()
-		if given {
+		closing := c.closing
+		c.stateLock.Unlock()
+		if closing {
 			c.shutDown()
 			return
 		}
@@ -260,29 +270,29 @@
 	return c
 }
 
-// join gives nbio a connection, unless the driver is closed.
+// addConn adds a connection to nbio, unless the driver is closed.
 func (d *Driver) addConn(raw *nbio.Conn) error {
 	d.closeLock.RLock()
 	defer d.closeLock.RUnlock()
 	if d.closed {
 		return net.ErrClosed
 	}
-	d.handedOver.Add(1)
+	d.registeredConns.Add(1)
 	_, err := d.engine.AddConn(raw)
 	return err
 }
 
-// Write hands bytes to the socket; what does not fit goes later.
+// Write writes bytes to the socket. Bytes that the socket does not take at once are queued and written later.
 func (c *Conn) Write(b []byte) error {
-	raw := c.open()
+	raw := c.openConn()
 	if raw == nil {
 		return c.writeReply(b)
 	}
-	c.queued.Add(int64(len(b)))
-	if c.Unsent() == int64(len(b)) { // nothing waits at nbio
+	c.queuedBytes.Add(int64(len(b)))
+	if c.Unsent() == int64(len(b)) { // nbio holds no queued bytes
 		n, err := c.writeNow(raw, b)
 		if err != nil {
-			if c.HalfClosed() { // closed by nbio a moment ago
+			if c.HalfClosed() { // nbio has just closed it
 				return c.writeReply(b)
 			}
 			c.shutDown()
@@ -296,11 +306,12 @@
 	return err
 }
 
-// writeNow writes what the socket takes. nbio would close the connection where that fails, and free its number: see shutDown.
+// writeNow writes as many bytes as the socket takes at once. It does not use nbio's Write, which on an error closes
+// the connection and releases its descriptor outside the poller; see shutDown.
 func (c *Conn) writeNow(raw *nbio.Conn, b []byte) (n int, err error) {
-	c.state.Lock()
-	defer c.state.Unlock()
-	if c.freed {
+	c.stateLock.Lock()
+	defer c.stateLock.Unlock()
+	if c.descriptorReleased {
 		return 0, net.ErrClosed
 	}
 	n, err = unix.Write(raw.Hash(), b)
@@ -310,43 +321,43 @@
 	if err != nil {
 		return 0, err
 	}
-	c.written.Add(int64(n))
+	c.writtenBytes.Add(int64(n))
 	return n, nil
 }
 
-// Flushed tells whether the socket has taken all that was written.
+// Flushed reports whether the socket has taken all bytes passed to Write.
 func (c *Conn) Flushed() bool { return c.Unsent() <= 0 }
 
-// Unsent is how much the socket has not taken yet.
-func (c *Conn) Unsent() int64 { return c.queued.Load() - c.written.Load() }
+// Unsent returns the number of bytes passed to Write that the socket has not taken yet.
+func (c *Conn) Unsent() int64 { return c.queuedBytes.Load() - c.writtenBytes.Load() }
 
-// Expire closes the connection if it is still there after a while; nought takes that back.
-func (c *Conn) Expire(after time.Duration) {
-	c.state.Lock()
-	defer c.state.Unlock()
+// Expire closes the connection after a timeout. A new call replaces the timeout; zero removes it.
+func (c *Conn) Expire(timeout time.Duration) {
+	c.stateLock.Lock()
+	defer c.stateLock.Unlock()
 	if c.expiry != nil {
 		c.expiry.Stop()
 		c.expiry = nil
 	}
-	if after > 0 && !c.closing {
-		c.expiry = time.AfterFunc(after, c.Close)
+	if timeout > 0 && !c.closing {
+		c.expiry = time.AfterFunc(timeout, c.Close)
 	}
 }
 
-// Close gives the connection up; Closed follows. A dial that is under way ends. Failure: it went on, and held a descriptor that
-// nobody counted any more.
-func (c *Conn) Close() { c.Fail(ErrGivenUp) }
+// Close closes the connection, or cancels its dial; Handler.Closed is called afterwards. Incident: a dial that was
+// not canceled continued and held a descriptor that was no longer counted against the limit.
+func (c *Conn) Close() { c.CloseWithError(ErrClosedLocally) }
 
-// Fail closes the connection for a reason, which Closed is notified. What was written by then was written, and nothing is later: only in
-// Closed is Flushed the last word.
-func (c *Conn) Fail(why error) {
-	c.state.Lock()
+// CloseWithError closes the connection and passes a reason to Handler.Closed. No more bytes are written after it,
+// but a write in progress may still complete, so the result of Flushed is final only in Handler.Closed.
+func (c *Conn) CloseWithError(reason error) {
+	c.stateLock.Lock()
 	c.closing = true
 	raw := c.raw
 	if c.closeReason == nil {
-		c.closeReason = why
+		c.closeReason = reason
 	}
-	c.state.Unlock()
+	c.stateLock.Unlock()
 	c.CloseReplies()
 	if raw != nil {
 		c.shutDown()
@@ -355,56 +366,60 @@
 	}
 }
 
-// shutDown has the poller close the connection.
+// shutDown shuts the socket down, which makes the poller close the connection.
 //
-// Failure: a connection was closed by the event loop as its end lay among the events that the poller was about to handle. A connection that
-// was accepted in between had its descriptor's number, was taken for it, and was closed with its first request unanswered. So only the
-// poller frees numbers: as it handles the event of that number, there is no other of it.
+// Incident: the event loop closed a connection whose end-of-file event was still queued in the poller. A connection
+// accepted in between got the same descriptor number, and the queued event closed it before its first request was
+// answered. Therefore only the poller releases descriptors: while it handles an event for a descriptor, that
+// descriptor number cannot belong to another connection.
 func (c *Conn) shutDown() {
-	c.state.Lock()
-	defer c.state.Unlock()
-	if c.raw != nil && !c.freed {
-		_ = unix.Shutdown(c.raw.Hash(), unix.SHUT_RDWR) // where the peer has ended it, that is reported already
+	c.stateLock.Lock()
+	defer c.stateLock.Unlock()
+	if c.raw != nil && !c.descriptorReleased {
+		_ = unix.Shutdown(c.raw.Hash(), unix.SHUT_RDWR) // an error means that the peer has closed it, which the poller already reports
 	}
 }
 
-// CloseIf closes the connection if rests, which is asked while the handler stands still, says so, and nothing that came lies unread. It
-// does not wait for a handler that runs, which may itself be waiting for the caller.
-func (c *Conn) CloseIf(rests func() bool) bool {
+// CloseIf closes the connection if no received bytes are unread and condition returns true, and reports whether it
+// did. condition is called while the handler is not running. CloseIf returns false if the handler is running; it
+// does not wait for the handler, which may itself be waiting for the caller.
+func (c *Conn) CloseIf(condition func() bool) bool {
 	closed := false
 	c.WhileIdle(func() {
-		if closed = rests(); closed {
+		if closed = condition(); closed {
 			c.Close()
 		}
 	})
 	return closed
 }
 
-// WhileIdle runs f while the handler stands still, if nothing that came lies unread and the other side has not ended, and tells whether it
-// did. Failures: a connection was closed over a request just read, or over one that lay unread, which resets it and takes with it what
-// the other side has not received yet; a call was written to a connection that the other side had closed, and may have run for all one knew.
+// WhileIdle runs f if the handler is not running, no received bytes are unread and the peer has not closed the
+// connection, and reports whether it ran f. The handler does not run during f. Incidents: a connection was closed
+// while a request had just been read or was still unread; closing with unread bytes resets the connection and
+// discards data that the peer has not received yet. A request was written to a connection that the peer had already
+// closed, so it was unknown whether the peer had processed the request.
 func (c *Conn) WhileIdle(f func()) bool {
 	if !c.handlerLock.TryLock() {
 		return false
 	}
 	defer c.handlerLock.Unlock()
-	if c.closeReported || c.isClosing() || c.unread() {
+	if c.closeReported || c.isClosing() || c.hasUnreadData() {
 		return false
 	}
 	f()
 	return true
 }
 
-// HasUnread tells whether something that came lies unread, or is being handled just now.
+// HasUnread reports whether received bytes or an end of file are unread or being handled.
 func (c *Conn) HasUnread() bool {
 	if !c.handlerLock.TryLock() {
 		return true
 	}
 	defer c.handlerLock.Unlock()
-	return c.unread()
+	return c.hasUnreadData()
 }
 
-// Idle reports whether neither bytes are being read nor the handler runs.
+// Idle reports whether no bytes are being read and the handler is not running.
 func (c *Conn) Idle() bool {
 	if !c.handlerLock.TryLock() {
 		return false
@@ -413,21 +428,21 @@
 	return true
 }
 
-// unread tells whether something that came lies unread, an end too. The caller holds the handler lock.
-func (c *Conn) unread() bool {
-	raw := c.open()
-	return raw != nil && readable(raw.Hash()) // its hash is the descriptor
+// hasUnreadData reports whether received bytes or an end of file are unread. The caller holds handlerLock.
+func (c *Conn) hasUnreadData() bool {
+	raw := c.openConn()
+	return raw != nil && isReadable(raw.Hash()) // Hash returns the descriptor
 }
 
 func (c *Conn) isClosing() bool {
-	c.state.Lock()
-	defer c.state.Unlock()
+	c.stateLock.Lock()
+	defer c.stateLock.Unlock()
 	return c.closing
 }
 
-func (c *Conn) open() *nbio.Conn {
-	c.state.Lock()
-	defer c.state.Unlock()
+func (c *Conn) openConn() *nbio.Conn {
+	c.stateLock.Lock()
+	defer c.stateLock.Unlock()
 	if c.closing {
 		return nil
 	}
@@ -435,33 +450,34 @@
 }
 
 func (c *Conn) reportClosed(err error) {
-	c.state.Lock()
-	c.closing, c.freed = true, true
+	c.stateLock.Lock()
+	c.closing, c.descriptorReleased = true, true
 	if c.expiry != nil {
 		c.expiry.Stop()
 	}
 	if c.closeReason != nil {
 		err = c.closeReason
 	}
-	c.state.Unlock()
+	c.stateLock.Unlock()
 	c.handlerLock.Lock()
 	reported := c.closeReported
 	c.closeReported = true
 	c.handlerLock.Unlock()
 	if !reported {
-		c.run(func() { c.handler.Closed(c, err) })
+		c.runRecovered(func() { c.handler.Closed(c, err) })
 	}
 }
 
-// read hands over what has come, as the poller's step is. Reading and handling are one: whoever holds the handler lock knows that all that was read
-// was handled.
+// read reads the available bytes and passes them to the handler; the poller calls it. handlerLock is held from the
+// read until the handler returns, so a holder of handlerLock knows that all bytes read so far have been handled.
 func (c *Conn) read(raw *nbio.Conn, buffer []byte) {
-	// Failure: a read that fell short passed for the last, though more lay there, and the peer's end then closed the connection over it.
-	for taken := 0; taken < maxReadInRow; taken++ {
+	// Read until EAGAIN. Incident: a short read was taken for the last one although more bytes were available,
+	// and the peer's end of file then closed the connection before they were read.
+	for bytesRead := 0; bytesRead < maxConsecutiveReadBytes; bytesRead++ {
 		c.handlerLock.Lock()
 		if c.closeReported || c.isClosing() {
 			c.handlerLock.Unlock()
-			c.release(raw, ErrGivenUp)
+			c.closeOnPoller(raw, ErrClosedLocally)
 			return
 		}
 		if c.driver.stoppedReading.Load() {
@@ -470,12 +486,12 @@
 		}
 		n, err := raw.Read(buffer)
 		if n > 0 {
-			taken += n
-			c.run(func() { c.handler.Data(c, buffer[:n]) })
+			bytesRead += n
+			c.runRecovered(func() { c.handler.Data(c, buffer[:n]) })
 		}
 		if n == 0 && err == nil {
 			err = io.EOF
-			c.keepForReplies(raw)
+			c.duplicateForReplies(raw)
 		}
 		c.handlerLock.Unlock()
 		switch {
@@ -483,49 +499,51 @@
 		case errors.Is(err, syscall.EAGAIN):
 			return
 		case err != nil:
-			c.release(raw, err)
+			c.closeOnPoller(raw, err)
 			return
 		}
 	}
 }
 
-// release closes the connection, on the poller. What nbio reports of it comes later, when its number may be another connection's.
-func (c *Conn) release(raw *nbio.Conn, err error) {
-	c.state.Lock()
-	c.freed = true
-	c.state.Unlock()
+// closeOnPoller closes the connection and releases its descriptor; it runs on the poller. nbio reports the close
+// later, when the descriptor number may already belong to another connection.
+func (c *Conn) closeOnPoller(raw *nbio.Conn, err error) {
+	c.stateLock.Lock()
+	c.descriptorReleased = true
+	c.stateLock.Unlock()
 	raw.CloseWithError(err)
 }
 
-// guarded runs the handler unless the connection has ended.
+// runUnlessClosed runs a handler call unless the connection is closed or closing.
 func (c *Conn) runUnlessClosed(f func()) {
 	c.handlerLock.Lock()
 	defer c.handlerLock.Unlock()
 	if !c.closeReported && !c.isClosing() {
-		c.run(f)
+		c.runRecovered(f)
 	}
 }
 
-// run stops a panic at its connection.
-func (c *Conn) run(f func()) {
+// runRecovered runs a handler call; if that panics, it logs the panic and closes the connection.
+func (c *Conn) runRecovered(f func()) {
 	defer func() {
-		if fault := recover(); fault != nil {
-			c.driver.log.Error("panic on a connection", "error", fmt.Sprint(fault), "stack", string(debug.Stack()))
+		if panicValue := recover(); panicValue != nil {
+			c.driver.log.Error("panic in connection handler", "error", fmt.Sprint(panicValue), "stack", string(debug.Stack()))
 			c.Close()
 		}
 	}()
 	f()
 }
 
-// What nbio has one of for the whole process: its limit is set, and read, as a driver opens; its words go to the latest driver's log.
+// nbio has one descriptor limit and one logger per process.
 var (
-	openLock     sync.Mutex
-	latestDriver atomic.Pointer[Driver]
+	openLock     sync.Mutex             // held by Open, which sets the limit and lets nbio read it
+	latestDriver atomic.Pointer[Driver] // its log receives nbio's messages
 )
 
 func init() { logging.DefaultLogger = nbioLogger{} }
 
-// quiet sends nbio's own words to the log; what it says of its start and its end is left out.
+// nbioLogger writes nbio's warnings and errors to the log of the latest driver. It drops debug and info messages,
+// and errors that occur after StopAccepting.
 type nbioLogger struct{}
 
 func (nbioLogger) SetLevel(int)            {}
--- a/transport/transport_test.go
+++ b/transport/transport_test.go
@@ -13,21 +13,21 @@
 	"pineport/testbed/port"
 )
 
-// reported writes down what a handler is notified.
+// recordingHandler records the calls of its methods and the received data.
 type recordingHandler struct {
 	mu     sync.Mutex
 	events []string
 	data   bytes.Buffer
 	conn   *Conn
-	on     func(c *Conn, b []byte)
+	onData func(c *Conn, b []byte)
 	closed chan struct{}
 }
 
 func newRecordingHandler(on func(conn *Conn, b []byte)) *recordingHandler {
-	return &recordingHandler{on: on, closed: make(chan struct{})}
+	return &recordingHandler{onData: on, closed: make(chan struct{})}
 }
 
-func (h *recordingHandler) note(event string) {
+func (h *recordingHandler) record(event string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.events = append(h.events, event)
@@ -35,24 +35,24 @@
 
 func (h *recordingHandler) Opened(conn *Conn) {
 	h.conn = conn
-	h.note("opened")
+	h.record("opened")
 }
 
 func (h *recordingHandler) Data(conn *Conn, b []byte) {
 	h.mu.Lock()
 	h.data.Write(b)
 	h.mu.Unlock()
-	if h.on != nil {
-		h.on(conn, b)
+	if h.onData != nil {
+		h.onData(conn, b)
 	}
 }
 
 func (h *recordingHandler) Closed(*Conn, error) {
-	h.note("closed")
+	h.record("closed")
 	close(h.closed)
 }
 
-func (h *recordingHandler) wait(t *testing.T) string {
+func (h *recordingHandler) waitClosed(t *testing.T) string {
 	t.Helper()
 	select {
 	case <-h.closed:
@@ -76,55 +76,55 @@
 
 func TestRefusedDialNeverOpens(t *testing.T) {
 	driver, _ := open(t, nil)
-	nobody, letGo, err := port.Reserve()
+	unusedAddr, release, err := port.Reserve()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer letGo()
+	defer release()
 	h := newRecordingHandler(nil)
-	conn := driver.Dial(nobody, time.Second, h)
-	if got := h.wait(t); got != "closed" {
+	conn := driver.Dial(unusedAddr, time.Second, h)
+	if got := h.waitClosed(t); got != "closed" {
 		t.Errorf("reported %q", got)
 	}
 	if conn.Write([]byte("x")) == nil {
-		t.Error("wrote to it all the same")
+		t.Error("Write to the refused connection succeeded")
 	}
 }
 
-// TestCanceledDialIsClosed: given up at any moment of its coming up, a connection ends here, and at the other side if it came that far.
+// TestCanceledDialIsClosed checks that a connection closed at any time during its dial is closed here, and at the peer if it was accepted.
 func TestCanceledDialIsClosed(t *testing.T) {
 	var mu sync.Mutex
-	var came []*recordingHandler
+	var accepted []*recordingHandler
 	driver, addr := open(t, func() Handler {
 		mu.Lock()
 		defer mu.Unlock()
-		came = append(came, newRecordingHandler(nil))
-		return came[len(came)-1]
+		accepted = append(accepted, newRecordingHandler(nil))
+		return accepted[len(accepted)-1]
 	})
 	for i := range 40 {
 		h := newRecordingHandler(nil)
 		conn := driver.Dial(addr, time.Second, h)
 		time.Sleep(time.Duration(i) * 10 * time.Microsecond)
 		conn.Close()
-		if got := h.wait(t); got != "closed" && got != "opened closed" {
+		if got := h.waitClosed(t); got != "closed" && got != "opened closed" {
 			t.Errorf("reported %q", got)
 		}
 	}
-	last := newRecordingHandler(nil) // by the time it is up, all before it were let in
+	last := newRecordingHandler(nil) // once it is open, all earlier connections have been accepted
 	conn := driver.Dial(addr, time.Second, last)
-	for conn.open() == nil {
+	for conn.openConn() == nil {
 		time.Sleep(time.Millisecond)
 	}
 	conn.Close()
-	last.wait(t)
+	last.waitClosed(t)
 	mu.Lock()
 	defer mu.Unlock()
-	for _, h := range came {
-		h.wait(t)
+	for _, h := range accepted {
+		h.waitClosed(t)
 	}
 }
 
-// TestLargeBodiesBothWays: what does not fit the socket goes later, and the last bytes before an end are read.
+// TestLargeBodiesBothWays checks that bytes that the socket does not take at once are queued and written later.
 func TestLargeBodiesBothWays(t *testing.T) {
 	body := bytes.Repeat([]byte("0123456789abcdef"), 20000)
 	_, addr := open(t, func() Handler {
@@ -143,7 +143,7 @@
 	conn.SetDeadline(time.Now().Add(5 * time.Second))
 	got := make([]byte, len(body))
 	if _, err := io.ReadFull(conn, got); err != nil || !bytes.Equal(got, body) {
-		t.Fatalf("%v; the same: %v", err, bytes.Equal(got, body))
+		t.Fatalf("%v; body unchanged: %v", err, bytes.Equal(got, body))
 	}
 }
 
@@ -157,9 +157,9 @@
 	}
 	conn.Write(body)
 	conn.Close()
-	h.wait(t)
+	h.waitClosed(t)
 	if h.data.Len() != len(body) {
-		t.Errorf("%d bytes of %d", h.data.Len(), len(body))
+		t.Errorf("received %d of %d bytes", h.data.Len(), len(body))
 	}
 }
 
@@ -167,12 +167,12 @@
 	_, addr := open(t, func() Handler {
 		return newRecordingHandler(func(conn *Conn, b []byte) {
 			if b[0] == '!' {
-				panic("as if by a fault in a parser")
+				panic("simulated parser error")
 			}
 			conn.Write(b)
 		})
 	})
-	ask := func(text string) string {
+	exchange := func(text string) string {
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -184,10 +184,10 @@
 		n, _ := conn.Read(b)
 		return string(b[:n])
 	}
-	if got := ask("!"); got != "" {
+	if got := exchange("!"); got != "" {
 		t.Errorf("answered %q", got)
 	}
-	if got := ask("a"); got != "a" {
+	if got := exchange("a"); got != "a" {
 		t.Errorf("another connection got %q", got)
 	}
 }
@@ -197,7 +197,7 @@
 	driver, addr := open(t, func() Handler { return newRecordingHandler(nil) })
 	conn := driver.Dial(addr, time.Second, h)
 	if conn.CloseIf(func() bool { return false }) || !conn.CloseIf(func() bool { return true }) {
-		t.Error("not as it was notified")
+		t.Error("CloseIf did not follow its condition")
 	}
-	h.wait(t)
+	h.waitClosed(t)
 }
