--- a/protocol/http.go
+++ b/protocol/http.go
@@ -40,7 +40,7 @@
 	Status int
 	WaitMs int64  // backoff requested by X-Backoff-Ms, rounded up; 0 if none
 	NoSlot bool   // X-Egress-Full: the endpoint has no free slot for this courier
-	Report string // load report from X-Load-Report, unparsed
+	Report string // unparsed value of the header that carries the load report
 	Close  bool   // the connection must not be reused after this response
 	Body   []byte
 }
