--- a/transport/transport.go
+++ b/transport/transport.go
@@ -29,7 +29,7 @@
 	Closed(*Conn, error)
 }
 
-// ErrClosedLocally is passed to Handler.Closed when this side closed the connection with Close.
+// ErrClosedLocally is passed to Handler.Closed when this side closed the connection and gave no other reason.
 var ErrClosedLocally = errors.New("connection closed by this side")
 
 const (
@@ -175,8 +175,8 @@
 	d.listener.Close()
 }
 
-// StopReading stops reading from all connections. A read already in progress completes: once a connection is Idle,
-// nothing more is read from it.
+// StopReading stops reading from all connections. A read already in progress completes: once Idle returns true,
+// nothing more is read from that connection.
 func (d *Driver) StopReading() { d.stoppedReading.Store(true) }
 
 // hasPending reports whether a connection is waiting in the accept queue.
