--- a/protocol/calls.go
+++ b/protocol/calls.go
@@ -39,11 +39,11 @@
 
 // Outcomes of a single message in the response to a batch.
 const (
-	Accepted = "accepted"
-	Fault    = "fault"
-	Deferred = "deferred"
-	Expired  = "expired"
-	NoMore   = "no_more"
+	Accepted = "accepted" // delivered
+	Fault    = "fault"    // failed; it may have been processed
+	Deferred = "deferred" // throttled
+	Expired  = "expired"  // not processed, because its time to live is over
+	NoMore   = "no_more"  // not processed, because the endpoint accepts no more attempts of it
 )
 
 // ReadEnds parses the body of the response to a batch. It returns the outcome of each message by message ID.
@@ -57,11 +57,11 @@
 	return outcomes
 }
 
-// Notice reports to the platform that an accepted message was not delivered.
+// Notice tells the platform, through the discovery service, that an accepted message was not delivered.
 type Notice struct {
 	ID       string
 	Rejected bool
-	AgainMs  int64 // if Rejected, how long to wait before submitting the message again; 0 for no advice
+	AgainMs  int64 // if Rejected, how long to wait before submitting the message again; 0 if none is advised
 }
 
 // Notices encodes a request that carries notices.
@@ -100,11 +100,12 @@
 	Kind   string  `json:"class"`
 	Dest   int     `json:"block"`
 	Health Health  `json:"health"`
-	Rate   float64 `json:"share"`
-	Born   int64   `json:"born_ms"` // time of the endpoint's last start, in Unix milliseconds; 0 if long ago
+	Rate   float64 `json:"share"`   // limit in calls per second from all couriers; 0 if unknown
+	Born   int64   `json:"born_ms"` // time of the endpoint's last start, in Unix milliseconds; discovery sends 0 if it was long ago
 }
 
-// List is discovery's endpoint list if Whole, else changes to it. Faults holds the entries that were omitted as invalid.
+// List is the complete endpoint list of discovery if Whole is set, and otherwise the changed entries. Seq is the version of the list.
+// Faults holds the entries that were omitted as invalid.
 type List struct {
 	Seq    int64
 	Whole  bool
@@ -125,7 +126,7 @@
 func (f EntryFault) Unwrap() error { return f.Err }
 
 // ReadList parses an endpoint list. It omits invalid entries and reports them in Faults. It returns an error if seq, whole or
-// hosts is missing, since the missing key may have been sent under a name that was corrupted in transit.
+// hosts is missing: such a list is not trustworthy, since the key may have been there under a corrupted name.
 func ReadList(text []byte) (List, error) {
 	var raw struct {
 		Seq   *int64            `json:"seq"`
@@ -146,7 +147,7 @@
 	return newList(*raw.Seq, *raw.Whole, raw.Hosts), nil
 }
 
-// ReadCachedList parses a complete endpoint list stored in a configuration. The list is empty if hosts is missing.
+// ReadCachedList parses a complete endpoint list stored in the configuration. The list is empty if hosts is missing.
 func ReadCachedList(text []byte) (List, error) {
 	var raw struct {
 		Seq   *int64            `json:"seq"`
--- a/protocol/http.go
+++ b/protocol/http.go
@@ -12,11 +12,11 @@
 // Progress is the stage at which an attempt failed.
 type Progress int
 
-// Stages of an attempt. They determine whether the endpoint may have processed the request.
+// Stages of an attempt. They determine whether the peer may have processed the request.
 const (
-	BeforeLastByte Progress = iota // the request was not fully sent, so the endpoint cannot have processed it
-	AfterLastByte                  // the request was fully sent, so the endpoint may have processed it
-	InAnswer                       // the endpoint sent a malformed response
+	BeforeLastByte Progress = iota // the request was not fully written to the socket, so the peer cannot have processed it
+	AfterLastByte                  // the request was fully written to the socket, so the peer may have processed it
+	InAnswer                       // the peer sent a malformed response
 )
 
 // Failure is the error of an attempt that got no complete response.
@@ -26,7 +26,7 @@
 }
 
 func (f *Failure) Error() string {
-	return map[Progress]string{BeforeLastByte: "before the request was fully sent: ", AfterLastByte: "after the request was fully sent: ",
+	return map[Progress]string{BeforeLastByte: "before the request was fully written: ", AfterLastByte: "after the request was fully written: ",
 		InAnswer: "in the response: "}[f.Progress] + f.Err.Error()
 }
 
@@ -39,7 +39,7 @@
 type Answer struct {
 	Status int
 	WaitMs int64  // backoff requested by X-Backoff-Ms, rounded up; 0 if none
-	NoSlot bool   // X-Egress-Full: the endpoint has no free slot for this courier
+	NoSlot bool   // X-Egress-Full: all request slots that the endpoint grants this courier are in use
 	Report string // unparsed value of the header that carries the load report
 	Close  bool   // the connection must not be reused after this response
 	Body   []byte
@@ -77,126 +77,126 @@
 
 // Started reports whether part of a response has been received, and its status; the status is 0 until the status line is
 // complete.
-func (a *ResponseParser) Started() (status int, started bool) {
-	if a.state == inStatus {
-		return 0, len(a.buf) > 0
+func (p *ResponseParser) Started() (status int, started bool) {
+	if p.state == inStatus {
+		return 0, len(p.buf) > 0
 	}
-	return a.current.Status, true
+	return p.current.Status, true
 }
 
 // PartialBody returns the part of an incomplete response's body that has been received.
-func (a *ResponseParser) PartialBody() []byte { return a.current.Body }
+func (p *ResponseParser) PartialBody() []byte { return p.current.Body }
 
 // Feed parses received bytes and returns the response if it is complete. Each connection carries one request at a time,
 // so bytes after a response are an error: they would otherwise be taken for the response to the next request.
-func (a *ResponseParser) Feed(b []byte) (answer Answer, done bool, err error) {
-	a.buf = append(a.buf, b...)
+func (p *ResponseParser) Feed(b []byte) (response Answer, done bool, err error) {
+	p.buf = append(p.buf, b...)
 	used := 0
-	for n := -1; a.err == nil && n != 0 && !done; used += n {
-		n, done = a.step(a.buf[used:])
+	for n := -1; p.err == nil && n != 0 && !done; used += n {
+		n, done = p.step(p.buf[used:])
 	}
-	if a.buf = append(a.buf[:0], a.buf[used:]...); len(a.buf) == 0 && cap(a.buf) > maxHeadBytes {
-		a.buf = nil
+	if p.buf = append(p.buf[:0], p.buf[used:]...); len(p.buf) == 0 && cap(p.buf) > maxHeadBytes {
+		p.buf = nil
 	}
 	if done {
-		if answer = a.current; len(a.buf) > 0 {
-			a.fail("%d unexpected bytes after the response", len(a.buf))
+		if response = p.current; len(p.buf) > 0 {
+			p.fail("%d unexpected bytes after the response", len(p.buf))
 		}
-		a.current, a.state, a.headBytes = Answer{}, inStatus, 0
+		p.current, p.state, p.headBytes = Answer{}, inStatus, 0
 	}
-	return answer, done, a.err
+	return response, done, p.err
 }
 
 // End handles the end of the stream. It returns the response whose body ends with the stream, if there is one.
-func (a *ResponseParser) End() (Answer, bool) {
-	if a.err == nil && a.state == inBodyUntilClose {
-		a.current.Close = true
-		return a.current, true
+func (p *ResponseParser) End() (Answer, bool) {
+	if p.err == nil && p.state == inBodyUntilClose {
+		p.current.Close = true
+		return p.current, true
 	}
 	return Answer{}, false
 }
 
-func (a *ResponseParser) fail(format string, args ...any) (int, bool) {
-	a.err = fmt.Errorf("%w: "+format, append([]any{ErrAnswer}, args...)...)
+func (p *ResponseParser) fail(format string, args ...any) (int, bool) {
+	p.err = fmt.Errorf("%w: "+format, append([]any{ErrAnswer}, args...)...)
 	return 0, false
 }
 
 // step parses one line or part of a body. It returns the number of bytes consumed and whether the response is complete.
-func (a *ResponseParser) step(b []byte) (used int, done bool) {
-	switch a.state {
+func (p *ResponseParser) step(b []byte) (used int, done bool) {
+	switch p.state {
 	case inBody, inChunk:
-		return a.stepBody(b)
+		return p.stepBody(b)
 	case inBodyUntilClose:
-		if a.current.Body = append(a.current.Body, b...); len(a.current.Body) > a.maxBody {
-			return a.fail("response body exceeds %d bytes", a.maxBody)
+		if p.current.Body = append(p.current.Body, b...); len(p.current.Body) > p.maxBody {
+			return p.fail("response body exceeds %d bytes", p.maxBody)
 		}
 		return len(b), false
 	}
-	return a.stepLine(b)
+	return p.stepLine(b)
 }
 
 // stepBody parses part of a body of known length, or part of a chunk.
-func (a *ResponseParser) stepBody(b []byte) (used int, done bool) {
-	n := min(a.remaining, len(b))
-	a.current.Body = append(a.current.Body, b[:n]...)
-	if a.remaining -= n; a.remaining > 0 {
+func (p *ResponseParser) stepBody(b []byte) (used int, done bool) {
+	n := min(p.remaining, len(b))
+	p.current.Body = append(p.current.Body, b[:n]...)
+	if p.remaining -= n; p.remaining > 0 {
 		return n, false
 	}
-	if a.state == inBody {
+	if p.state == inBody {
 		return n, true
 	}
 	if len(b) < n+2 {
 		return n, false
 	}
 	if b[n] != '\r' || b[n+1] != '\n' {
-		return a.fail("chunk data is not followed by CRLF")
+		return p.fail("chunk data is not followed by CRLF")
 	}
-	a.state = inChunkSize
+	p.state = inChunkSize
 	return n + 2, false
 }
 
 // stepLine parses one line: a status line, a header, a chunk size or a trailer line.
-func (a *ResponseParser) stepLine(b []byte) (used int, done bool) {
-	if a.state == inStatus && !canStartWith(b, "HTTP/1.") {
-		return a.fail("status line expected, got %.20q", b)
+func (p *ResponseParser) stepLine(b []byte) (used int, done bool) {
+	if p.state == inStatus && !canStartWith(b, "HTTP/1.") {
+		return p.fail("status line expected, got %.20q", b)
 	}
 	end := bytes.IndexByte(b, '\n')
 	if end < 0 {
-		if a.headBytes+len(b) > maxHeadBytes {
-			return a.fail("response head exceeds %d bytes", maxHeadBytes)
+		if p.headBytes+len(b) > maxHeadBytes {
+			return p.fail("response head, chunk size line or trailer exceeds %d bytes", maxHeadBytes)
 		}
 		return 0, false
 	}
 	used = end + 1
-	if a.headBytes += used; a.headBytes > maxHeadBytes {
-		return a.fail("response head exceeds %d bytes", maxHeadBytes)
+	if p.headBytes += used; p.headBytes > maxHeadBytes {
+		return p.fail("response head, chunk size line or trailer exceeds %d bytes", maxHeadBytes)
 	}
 	line := string(bytes.TrimSuffix(b[:end], []byte{'\r'}))
-	switch a.state {
+	switch p.state {
 	case inStatus:
-		if line == "" && a.headBytes <= 2 {
+		if line == "" && p.headBytes <= 2 {
 			return used, false // ignore an empty line before the status line
 		}
-		return used, a.parseStatusLine(line)
+		return used, p.parseStatusLine(line)
 	case inHeaders:
 		if line == "" {
-			return used, a.startBody()
+			return used, p.startBody()
 		}
-		a.parseHeader(line)
+		p.parseHeader(line)
 	case inChunkSize:
 		size, _, _ := strings.Cut(line, ";")
 		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
-		if err != nil || len(a.current.Body)+int(n) > a.maxBody {
-			return a.fail("invalid or too large chunk size %q", size)
+		if err != nil || len(p.current.Body)+int(n) > p.maxBody {
+			return p.fail("invalid or too large chunk size %q", size)
 		}
-		a.remaining, a.state, a.headBytes = int(n), inChunk, 0
+		p.remaining, p.state, p.headBytes = int(n), inChunk, 0
 		if n == 0 {
-			a.state = inTrailer
+			p.state = inTrailer
 		}
 	case inTrailer:
 		return used, line == ""
 	}
-	if a.err != nil {
+	if p.err != nil {
 		return 0, false
 	}
 	return used, false
@@ -210,72 +210,73 @@
 	return string(b[:n]) == text[:n]
 }
 
-func (a *ResponseParser) parseStatusLine(line string) bool {
+// parseStatusLine parses the status line. It returns false, since a status line never completes a response.
+func (p *ResponseParser) parseStatusLine(line string) bool {
 	version, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
 	n, ok := parseDecimal([]byte(code))
 	if !strings.HasPrefix(version, "HTTP/1.") || !ok || len(code) != 3 || n < 100 {
-		a.fail("malformed status line %.40q", line)
+		p.fail("malformed status line %.40q", line)
 		return false
 	}
-	a.current, a.state, a.contentLength, a.chunked = Answer{Status: n, Close: version == "HTTP/1.0"}, inHeaders, -1, false
+	p.current, p.state, p.contentLength, p.chunked = Answer{Status: n, Close: version == "HTTP/1.0"}, inHeaders, -1, false
 	return false
 }
 
-func (a *ResponseParser) parseHeader(line string) {
+func (p *ResponseParser) parseHeader(line string) {
 	name, value, ok := strings.Cut(line, ":")
 	if value = strings.TrimSpace(value); !ok || name == "" || strings.ContainsAny(name, " \t") {
-		a.fail("malformed header %.40q", line)
+		p.fail("malformed header %.40q", line)
 		return
 	}
 	switch strings.ToLower(name) {
 	case "content-length":
 		n, ok := parseDecimal([]byte(value))
-		if !ok || a.contentLength >= 0 && a.contentLength != n {
-			a.fail("invalid or conflicting Content-Length %.40q", value)
+		if !ok || p.contentLength >= 0 && p.contentLength != n {
+			p.fail("invalid or conflicting Content-Length %.40q", value)
 		}
-		a.contentLength = n
+		p.contentLength = n
 	case "transfer-encoding":
 		if !strings.EqualFold(value, "chunked") {
-			a.fail("unsupported Transfer-Encoding %.40q", value)
+			p.fail("unsupported Transfer-Encoding %.40q", value)
 		}
-		a.chunked = true
+		p.chunked = true
 	case "connection":
 		switch strings.ToLower(value) {
 		case "close":
-			a.current.Close = true
+			p.current.Close = true
 		case "keep-alive":
-			a.current.Close = false
+			p.current.Close = false
 		}
 	case "x-backoff-ms":
 		if ms, err := strconv.ParseFloat(value, 64); err == nil && ms > 0 && ms < 1e9 {
-			a.current.WaitMs = int64(ms + 0.999) // round up to whole milliseconds
+			p.current.WaitMs = int64(ms + 0.999) // round up to whole milliseconds
 		}
 	case "x-egress-full":
-		a.current.NoSlot = value == "1"
+		p.current.NoSlot = value == "1"
 	case "x-load-report":
-		a.current.Report = value
+		p.current.Report = value
 	}
 }
 
 // startBody is called at the end of the head. It selects how the body is parsed, and reports whether the response is
 // already complete.
-func (a *ResponseParser) startBody() bool {
+func (p *ResponseParser) startBody() bool {
 	switch {
-	case a.current.Status < 200:
-		a.state, a.headBytes = inStatus, 0 // an interim (1xx) response; the final response follows
-	case a.current.Status == 204 || a.current.Status == 304:
+	case p.current.Status < 200:
+		p.state, p.headBytes = inStatus, 0 // an interim (1xx) response; the final response follows
+	case p.current.Status == 204 || p.current.Status == 304:
 		return true
-	case a.chunked:
-		a.state, a.headBytes = inChunkSize, 0
-	case a.contentLength > a.maxBody:
-		a.fail("response body exceeds %d bytes", a.maxBody)
-	case a.contentLength == 0:
+	case p.chunked:
+		p.state, p.headBytes = inChunkSize, 0
+	case p.contentLength > p.maxBody:
+		p.fail("response body exceeds %d bytes", p.maxBody)
+	case p.contentLength == 0:
 		return true
-	case a.contentLength > 0:
-		a.state, a.remaining = inBody, a.contentLength
+	case p.contentLength > 0:
+		p.state, p.remaining = inBody, p.contentLength
 	default:
-		a.state = inBodyUntilClose
+		p.state = inBodyUntilClose
 	}
 	return false
 }
--- a/protocol/protocol_test.go
+++ b/protocol/protocol_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestCommandsInEverySplit(t *testing.T) {
+func TestCommandsSplitAnywhere(t *testing.T) {
 	text := "*1\r\n$4\r\nPING\r\n*2\r\n$1\r\n\r\r\n$3\r\n\n\x00$\r\n*1\r\n$0\r\n\r\n"
 	want := [][][]byte{{[]byte("PING")}, {[]byte("\r"), []byte("\n\x00$")}, {{}}}
 	checkEverySplit(t, text, want, func(parts ...[]byte) any {
@@ -77,7 +77,7 @@
 			t.Errorf("%s %s: %v", c.name, c.options, err)
 		}
 		if _, err := p.Feed(make([]byte, 100)); c.ok && (err != nil || p.PartialBytes() < 100) {
-			t.Errorf("%s %s: %v, held %d", c.name, c.options, err, p.PartialBytes())
+			t.Errorf("%s %s: %v, %d bytes buffered", c.name, c.options, err, p.PartialBytes())
 		}
 	}
 }
@@ -110,7 +110,9 @@
 	}
 }
 
-func parseResponses(t *testing.T, wantAtEOF bool) func(parts ...[]byte) any {
+// responseFeeder returns a function that parses parts and returns the responses. wantAtEOF says whether the last response must be
+// completed by the end of the stream.
+func responseFeeder(t *testing.T, wantAtEOF bool) func(parts ...[]byte) any {
 	return func(parts ...[]byte) any {
 		a := NewResponseParser(64)
 		var all []Answer
@@ -132,7 +134,7 @@
 	}
 }
 
-func TestResponsesInEverySplit(t *testing.T) {
+func TestResponsesSplitAnywhere(t *testing.T) {
 	for text, want := range map[string]Answer{
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Load-Report: x0=0.4,x1=25\r\n\r\nok": {Status: 200, Report: "x0=0.4,x1=25", Body: []byte("ok")},
 		"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: x\r\n\r\n\r\nHTTP/1.1 429 Too Many\r\nx-backoff-ms: 250.5\r\n" +
@@ -141,9 +143,9 @@
 		"HTTP/1.1 204 No Content\r\n\r\n": {Status: 204},
 		"HTTP/1.1 503 Full\r\nX-Egress-Full: 1\r\nConnection: close\r\nContent-Length: 1\r\n\r\nx": {Status: 503, NoSlot: true, Close: true, Body: []byte("x")},
 	} {
-		checkEverySplit(t, text, []Answer{want}, parseResponses(t, false))
+		checkEverySplit(t, text, []Answer{want}, responseFeeder(t, false))
 	}
-	checkEverySplit(t, "HTTP/1.0 500 No\n\nbody", []Answer{{Status: 500, Close: true, Body: []byte("body")}}, parseResponses(t, true))
+	checkEverySplit(t, "HTTP/1.0 500 No\n\nbody", []Answer{{Status: 500, Close: true, Body: []byte("body")}}, responseFeeder(t, true))
 }
 
 func TestMalformedResponses(t *testing.T) {
@@ -185,7 +187,7 @@
 	a := NewResponseParser(64)
 	a.Feed([]byte("HTTP/1.1 200 OK\r\nContent-Le"))
 	if status, begun := a.Started(); status != 200 || !begun {
-		t.Errorf("%d %v: the status line is complete", status, begun)
+		t.Errorf("got status %d, started %v; want 200, true", status, begun)
 	}
 }
 
--- a/protocol/resp.go
+++ b/protocol/resp.go
@@ -9,7 +9,7 @@
 	"strconv"
 )
 
-// MaxBody is the maximum size of a message body or a response body, in bytes.
+// MaxBody is the maximum size in bytes of a message body, or of the body of an endpoint's response.
 const MaxBody = 64 << 10
 
 const (
@@ -36,60 +36,60 @@
 
 // Feed parses received bytes and returns the commands completed by them, in order. The returned slices do not
 // share memory with b or with the parser.
-func (c *CommandParser) Feed(b []byte) (commands [][][]byte, err error) {
-	c.buf = append(c.buf, b...)
+func (p *CommandParser) Feed(b []byte) (commands [][][]byte, err error) {
+	p.buf = append(p.buf, b...)
 	used := 0
-	for c.err == nil {
-		n, done := c.step(c.buf[used:])
+	for p.err == nil {
+		n, done := p.step(p.buf[used:])
 		used += n
 		if done {
-			commands = append(commands, c.args)
-			c.args, c.argBytes = nil, 0
+			commands = append(commands, p.args)
+			p.args, p.argBytes = nil, 0
 		} else if n == 0 {
 			break
 		}
 	}
-	c.buf = append(c.buf[:0], c.buf[used:]...)
-	if len(c.buf) == 0 && cap(c.buf) > maxCommandBytes {
-		c.buf = nil // do not keep a large buffer for an idle connection
+	p.buf = append(p.buf[:0], p.buf[used:]...)
+	if len(p.buf) == 0 && cap(p.buf) > maxCommandBytes {
+		p.buf = nil // do not keep a large buffer for an idle connection
 	}
-	return commands, c.err
+	return commands, p.err
 }
 
 // PartialBytes returns the number of buffered bytes of an incomplete command.
-func (c *CommandParser) PartialBytes() int { return len(c.buf) + c.argBytes }
+func (p *CommandParser) PartialBytes() int { return len(p.buf) + p.argBytes }
 
 // BetweenCommands reports whether no incomplete command is buffered.
-func (c *CommandParser) BetweenCommands() bool { return c.remainingArgs == 0 && len(c.buf) == 0 }
+func (p *CommandParser) BetweenCommands() bool { return p.remainingArgs == 0 && len(p.buf) == 0 }
 
 // step parses one length line or bulk string. It returns the number of bytes consumed and whether a command is complete.
-func (c *CommandParser) step(b []byte) (used int, done bool) {
-	if c.remainingArgs > 0 && c.argSize >= 0 {
-		if len(b) < c.argSize+2 {
+func (p *CommandParser) step(b []byte) (used int, done bool) {
+	if p.remainingArgs > 0 && p.argSize >= 0 {
+		if len(b) < p.argSize+2 {
 			return 0, false
 		}
-		if b[c.argSize] != '\r' || b[c.argSize+1] != '\n' {
-			c.err = ErrFraming
+		if b[p.argSize] != '\r' || b[p.argSize+1] != '\n' {
+			p.err = ErrFraming
 			return 0, false
 		}
-		c.args = append(c.args, bytes.Clone(b[:c.argSize]))
-		c.argBytes += c.argSize
-		used, c.argSize = c.argSize+2, -1
-		c.remainingArgs--
-		return used, c.remainingArgs == 0
+		p.args = append(p.args, bytes.Clone(b[:p.argSize]))
+		p.argBytes += p.argSize
+		used, p.argSize = p.argSize+2, -1
+		p.remainingArgs--
+		return used, p.remainingArgs == 0
 	}
 	prefix, limit := byte('*'), maxArgs
-	if c.remainingArgs > 0 {
+	if p.remainingArgs > 0 {
 		prefix, limit = '$', MaxBody
 	}
 	if len(b) > 0 && b[0] != prefix {
-		c.err = ErrFraming
+		p.err = ErrFraming
 		return 0, false
 	}
 	end := bytes.IndexByte(b, '\n')
 	if end < 0 {
 		if len(b) > maxLengthLine {
-			c.err = ErrOversize
+			p.err = ErrOversize
 		}
 		return 0, false
 	}
@@ -99,32 +99,32 @@
 	}
 	switch {
 	case !ok || prefix == '*' && n == 0:
-		c.err = ErrFraming
+		p.err = ErrFraming
 		return 0, false
 	case n > limit:
-		c.err = ErrOversize
+		p.err = ErrOversize
 		return 0, false
 	case prefix == '*':
-		c.remainingArgs, c.argSize, c.argBytes = n, -1, 0
+		p.remainingArgs, p.argSize, p.argBytes = n, -1, 0
 	default:
-		if c.err = c.checkSize(n); c.err != nil {
+		if p.err = p.checkSize(n); p.err != nil {
 			return 0, false
 		}
-		c.argSize = n
+		p.argSize = n
 	}
 	return end + 1, false
 }
 
 // checkSize checks the length of a bulk string before any of its bytes are buffered. Only a message body may make
 // the arguments exceed maxCommandBytes, and only if the arguments of ENQUEUE before it are valid.
-func (c *CommandParser) checkSize(n int) error {
+func (p *CommandParser) checkSize(n int) error {
 	switch {
-	case c.argBytes+n <= maxCommandBytes:
+	case p.argBytes+n <= maxCommandBytes:
 		return nil
-	case c.remainingArgs > 1 || !IsCommand(c.args, "ENQUEUE"):
+	case p.remainingArgs > 1 || !IsCommand(p.args, "ENQUEUE"):
 		return ErrOversize
 	}
-	_, err := ReadEnqueue(append(c.args[:len(c.args):len(c.args)], nil))
+	_, err := ReadEnqueue(append(p.args[:len(p.args):len(p.args)], nil))
 	return err
 }
 
@@ -161,7 +161,8 @@
 	Body   []byte
 }
 
-// ReadEnqueue parses the arguments of ENQUEUE: the command name, a key, the message ID, name=value fields, and the body.
+// ReadEnqueue parses the arguments of ENQUEUE: the command name, an ignored argument, the message ID,
+// name=value fields, and the body.
 func ReadEnqueue(args [][]byte) (Enqueue, error) {
 	if len(args) != 5 {
 		return Enqueue{}, errors.New("ERR wrong number of arguments for 'enqueue'")
--- a/server/clientconn/conn.go
+++ b/server/clientconn/conn.go
@@ -39,12 +39,12 @@
 
 const (
 	// maxUnreadReplies is the maximum number of reply bytes that wait for the client to read them; it is enough for
-	// thousands of replies.
+	// thousands of replies. The same limit applies to input bytes discarded after a parse error.
 	maxUnreadReplies = 64 << 10
 	// guaranteedPartialBytes is how many bytes of an incomplete command are buffered for each client regardless of the
 	// total limit; nearly all commands are shorter.
 	guaranteedPartialBytes = 4 << 10
-	// closeDelay is the time between writing the last reply and closing the connection.
+	// closeDelay is the time between writing the last reply and closing the connection, so that the reply can reach the client.
 	closeDelay = 200 * time.Millisecond
 )
 
@@ -63,7 +63,7 @@
 
 	// Accessed by the poller and the event loop.
 	pendingReplies atomic.Int64 // number of commands without a reply
-	hasSentCommand atomic.Bool  // at least one command has been received
+	hasSentCommand atomic.Bool  // a command or a parse error has been received
 	partialSince   atomic.Int64 // time at which the incomplete command started; 0 if there is none
 
 	// Accessed only by the event loop.
@@ -81,7 +81,7 @@
 
 // Data implements transport.Handler.
 func (c *Conn) Data(_ *transport.Conn, b []byte) {
-	if c.inputFailed { // parsing the rest would take time from other clients
+	if c.inputFailed { // reading an unlimited amount of unparsable input would take time from other clients
 		if c.discardedBytes += len(b); c.discardedBytes > maxUnreadReplies && !c.RepliesDue() {
 			c.conn.Close()
 		}
@@ -142,12 +142,12 @@
 // HalfClosed reports whether the client has shut down its write side and can still read replies.
 func (c *Conn) HalfClosed() bool { return c.conn.HalfClosed() }
 
-// isIdle reports whether no command is unanswered or partially received, and all replies are in the socket.
+// isIdle reports whether no command is unanswered or incomplete, and the socket has accepted all replies.
 func (c *Conn) isIdle() bool {
 	return !c.RepliesDue() && c.partialSince.Load() == 0 && c.conn.Flushed()
 }
 
-// isAnswered reports whether the replies to all complete commands are in the socket.
+// isAnswered reports whether the socket has accepted the replies to all complete commands.
 func (c *Conn) isAnswered() bool { return !c.RepliesDue() && c.conn.Flushed() }
 
 // isStuck reports whether a command has been incomplete for longer than partialTimeout and no replies are pending.
@@ -158,7 +158,7 @@
 
 // Write writes the reply to the oldest unanswered command. If closeAfter is set, the connection is closed after closeDelay.
 // Write errors are ignored, since Closed reports a lost connection. A client that leaves more than maxUnreadReplies unread is
-// disconnected.
+// disconnected. After Set.Remove neither applies: the connection is closed after the last pending reply.
 func (c *Conn) Write(reply string, closeAfter bool) {
 	c.pendingReplies.Add(-1)
 	_ = c.conn.Write([]byte(reply))
--- a/server/clientconn/set.go
+++ b/server/clientconn/set.go
@@ -12,19 +12,20 @@
 
 const never = dispatch.Micros(math.MaxInt64)
 
+// Times in microseconds.
 const (
-	sweepInterval = 250 * 1000
-	// partialTimeout is how long a new connection may send no command, or a command stay incomplete. It is many times the
-	// time that a client waits for a reply.
+	sweepInterval = 250 * 1000 // between two calls of Sweep
+	// partialTimeout is the maximum time until the first command of a connection, and until a command is complete. It is
+	// many times the time that a client waits for a reply.
 	partialTimeout = 2000 * 1000
-	idleTimeout    = 5 * 1000 * 1000 // maximum time between two commands; a client that is idle for longer reconnects
+	idleTimeout    = 5 * 1000 * 1000 // maximum time between two commands; after it the connection is closed, and the client must reconnect
 	// NewConnGrace is how long the first command of a new connection is assumed to be in transit.
 	NewConnGrace = 250 * 1000
 )
 
 // Limits bound the connections of a Set.
 type Limits struct {
-	Conns        int   // maximum number of open connections; beyond it the least active one is closed
+	Conns        int   // maximum number of open connections; beyond it the longest-idle one is closed
 	Admitted     int   // maximum number of accepted connections, including those not yet added to the Set
 	PartialBytes int64 // maximum total size of incomplete commands on all connections, in bytes
 }
@@ -68,8 +69,7 @@
 // Len returns the number of connections.
 func (s *Set) Len() int { return len(s.conns) }
 
-// Add adds a connection reported by Opened. If this exceeds the limit, it closes the least active connection that may be
-// closed.
+// Add adds a connection reported by Opened. If this exceeds the limit, it closes the longest-idle connection.
 func (s *Set) Add(conn *Conn, now dispatch.Micros) {
 	conn.connectedAt, conn.lastCommandAt = now, now
 	s.conns[conn] = true
@@ -90,9 +90,10 @@
 	}
 }
 
-// evictIdle closes the connection that has been idle longest, skipping those that are neither idle nor stuck. A
-// connection that has sent no command ranks as idle since partialTimeout before it was opened, or, within NewConnGrace,
-// since partialTimeout after it was opened. newest is closed only if no other connection can be.
+// evictIdle closes one connection that is idle or stuck. It orders connections by the time of their last command, the
+// earliest first. Connections without a command are ordered by the time they were opened, shifted by partialTimeout:
+// earlier, so that they are preferred for closing, or later within NewConnGrace, so that their first command can arrive.
+// newest is closed only if no other connection can be.
 func (s *Set) evictIdle(newest *Conn, now dispatch.Micros) {
 	rank := func(conn *Conn) dispatch.Micros {
 		switch {
@@ -121,7 +122,8 @@
 // Due returns the time at which Sweep must be called next.
 func (s *Set) Due() dispatch.Micros { return s.sweepAt }
 
-// Sweep closes connections that have sent nothing, are idle, or have sent an incomplete command, for too long.
+// Sweep closes connections that have sent no command or have left one incomplete for partialTimeout, or have been idle
+// for idleTimeout.
 func (s *Set) Sweep(now dispatch.Micros) {
 	if now < s.sweepAt {
 		return
@@ -150,8 +152,9 @@
 	return more
 }
 
-// CloseAnswered closes all connections without pending replies, and reports whether no connection is left open. Incomplete
-// commands get no reply; their clients resend them to another courier.
+// CloseAnswered closes the connections whose commands are all answered, and reports whether this or earlier calls have
+// closed all connections. Connections with unread bytes or a running handler stay open. Incomplete commands get no reply;
+// their clients resend them to another courier.
 func (s *Set) CloseAnswered() bool {
 	remaining := 0
 	for conn := range s.conns {
@@ -165,8 +168,8 @@
 	return remaining == 0
 }
 
-// AllAnswered reports whether all commands that were read have a reply. Once it returns true it stays true, if the caller
-// has stopped reading from the connections.
+// AllAnswered reports whether no read is in progress and all commands that were read have a reply. The result stays true
+// only if reading from the connections has been stopped.
 func (s *Set) AllAnswered() bool {
 	for conn := range s.conns {
 		if !conn.conn.Idle() || conn.RepliesDue() {
@@ -176,7 +179,7 @@
 	return true
 }
 
-// AllIdle reports whether all connections are idle. Commands still in transit or unread in a socket are not known here.
+// AllIdle reports whether all connections are idle. It does not see commands that are in transit or unread in a socket.
 func (s *Set) AllIdle() bool {
 	for conn := range s.conns {
 		if !conn.isIdle() {
--- a/server/clientconn/set_test.go
+++ b/server/clientconn/set_test.go
@@ -97,9 +97,9 @@
 	}
 }
 
-// TestSweepClosesIdleAndStuckConnections checks that a connection is closed if it sends no command, is idle, or leaves a command incomplete, but
-// not while a reply is pending.
-func TestSweepClosesIdleAndStuckConnections(t *testing.T) {
+// TestSweepClosesSilentAndStuckConnections checks that a connection is closed if it sends no command or leaves a command
+// incomplete, but not while a reply is pending.
+func TestSweepClosesSilentAndStuckConnections(t *testing.T) {
 	s := openSet(t, Limits{Conns: 8, Admitted: 16, PartialBytes: 8 << 10})
 	silent, _ := s.connect(t)
 	stuck, stuckConn := s.connect(t)
@@ -115,7 +115,7 @@
 	}
 	s.Sweep(idleTimeout + sweepInterval + 2)
 	if !isClosed(silent) || !isClosed(stuck) || isClosed(waiting) {
-		t.Error("the wrong connections are closed")
+		t.Error("want the silent and the stuck connection closed, and the waiting one open")
 	}
 	if s.AllAnswered() || s.CloseAnswered() {
 		t.Error("a command without a reply is reported as answered")
--- a/server/endpointconn/conn.go
+++ b/server/endpointconn/conn.go
@@ -23,8 +23,8 @@
 	// ErrUnexpectedAnswer closes a connection that receives bytes while no request is outstanding. Such bytes could not be told
 	// apart from the response to the next request.
 	ErrUnexpectedAnswer = errors.New("received data while no request was outstanding")
-	// ErrOvertaken ends an exchange whose IsWanted returned false: while its connection was being opened, its endpoint started
-	// draining or asked for a backoff, for example.
+	// ErrOvertaken ends an exchange whose IsWanted returned false, for example because the endpoint started draining while the
+	// connection was being opened.
 	ErrOvertaken = errors.New("request not sent: endpoint became unavailable while the connection was being opened")
 
 	// ErrNotStored ends an exchange that was not sent because its attempts could not be stored.
@@ -46,8 +46,8 @@
 		Request int64 // number of the request on the connection, starting at 1
 		Answer  protocol.Answer
 	}
-	// AnswerBegun reports that a response has started. With Begun false, it reports that the response that had started was an
-	// interim (1xx) response.
+	// AnswerBegun reports a change of an incomplete response: with Begun true, the response has started. With Begun false, the
+	// response that was reported as started is an interim (1xx) response, and the final response has not started yet.
 	AnswerBegun struct {
 		Conn        *Conn
 		Request     int64
@@ -60,7 +60,7 @@
 		Request     int64
 		Status      int // status of a truncated response; 0 if none
 		PartialBody []byte
-		Flushed     bool // the socket took all bytes that were written
+		Flushed     bool // the socket has accepted all bytes passed to Write
 		Err         error
 	}
 )
@@ -86,9 +86,9 @@
 	startedRequest int64 // request whose response was last reported as started; 0 if none
 
 	// Accessed by the poller and the event loop.
-	requestCount    atomic.Int64 // number of requests written, which is also the number of the last one
-	answeredRequest atomic.Int64 // last request with a complete response; written by the poller
-	partialStatus   atomic.Int64 // status of an incomplete response; 0 if none
+	requestCount     atomic.Int64 // number of requests written, which is also the number of the last one
+	completedRequest atomic.Int64 // last request with a complete response; written by the poller
+	partialStatus    atomic.Int64 // status of an incomplete response; 0 if none
 
 	// Accessed only by the event loop.
 	exchange  *Exchange
@@ -104,21 +104,21 @@
 // Data implements transport.Handler.
 func (c *Conn) Data(conn *transport.Conn, b []byte) {
 	last := c.requestCount.Load()
-	if c.answeredRequest.Load() == last {
+	if c.completedRequest.Load() == last {
 		conn.CloseWithError(ErrUnexpectedAnswer)
 		return
 	}
-	answer, done, err := c.parser.Feed(b)
-	status, begun := c.parser.Started()
+	response, done, err := c.parser.Feed(b)
+	status, started := c.parser.Started()
 	c.partialStatus.Store(int64(status))
-	begun = begun && (status == 0 || status >= statusOK) // even part of the status line counts: a peer may stop sending there
+	started = started && (status == 0 || status >= statusOK) // a partial status line counts as a started response: the peer may stop sending within it
 	switch {
 	case done:
-		c.answeredRequest.Store(last)
-		answer.Close = answer.Close || err != nil
-		c.pool.notify(Answered{c, last, answer})
-	case err == nil && begun != (c.startedRequest == last):
-		c.reportStarted(last, begun)
+		c.completedRequest.Store(last)
+		response.Close = response.Close || err != nil
+		c.pool.notify(Answered{c, last, response})
+	case err == nil && started != (c.startedRequest == last):
+		c.reportStarted(last, started)
 	}
 	if err != nil {
 		conn.CloseWithError(err)
@@ -126,18 +126,19 @@
 }
 
 // reportStarted reports that the response to a request has started, or that it was an interim response.
-func (c *Conn) reportStarted(request int64, begun bool) {
+func (c *Conn) reportStarted(request int64, started bool) {
 	c.startedRequest = 0
-	if begun {
+	if started {
 		c.startedRequest = request
 	}
-	c.pool.notify(AnswerBegun{c, request, begun, slices.Clone(c.parser.PartialBody())})
+	c.pool.notify(AnswerBegun{c, request, started, slices.Clone(c.parser.PartialBody())})
 }
 
 // Closed implements transport.Handler.
 func (c *Conn) Closed(conn *transport.Conn, err error) {
-	if answer, ok := c.parser.End(); ok {
-		c.pool.notify(Answered{c, c.requestCount.Load(), answer})
+	// A response without a declared length ends when the connection is closed.
+	if response, ok := c.parser.End(); ok {
+		c.pool.notify(Answered{c, c.requestCount.Load(), response})
 	}
 	if err == nil {
 		err = errClosedByPeer
--- a/server/endpointconn/exchange.go
+++ b/server/endpointconn/exchange.go
@@ -33,8 +33,8 @@
 	// OnBegin is called with true when the first part of a response is received, and with false when that response turns out to be
 	// an interim response.
 	OnBegin func(responseStarted bool)
-	// OnWritten is called once, when the socket has taken the last byte of the request or a response proves that it has. The call
-	// may be late by flushInterval. It may be nil.
+	// OnWritten is called once, when the socket has accepted the last byte of the request or a response proves that it has. The
+	// call may be up to flushInterval late. OnWritten is nil if unused, and is set to nil when it has been called.
 	OnWritten func()
 	// OnEnd is called once with the response or the error, unless the exchange is aborted.
 	OnEnd func(protocol.Answer, error)
@@ -49,7 +49,7 @@
 // IsSent reports whether the request was passed to a connection.
 func (x *Exchange) IsSent() bool { return x.sent }
 
-// IsWritten reports whether the socket has taken the last byte of the request.
+// IsWritten reports whether the socket has accepted the last byte of the request.
 func (x *Exchange) IsWritten() bool { return x.sent && x.conn.conn.Flushed() }
 
 // HasBegun reports whether part of a response has been received.
@@ -58,12 +58,13 @@
 // PartialBody returns the received part of the body of an incomplete response.
 func (x *Exchange) PartialBody() []byte { return x.partialBody }
 
-// HasSuccessLine reports whether an incomplete response has a status line with status 200 and its body is not needed.
+// HasSuccessLine reports whether the status line of an incomplete response has been received with status 200, and the exchange needs
+// no body.
 func (x *Exchange) HasSuccessLine() bool {
 	return x.sent && !x.NeedsBody && x.conn.partialStatus.Load() == statusOK
 }
 
-// notifyWritten calls OnWritten, at most once, if the request is completely written.
+// notifyWritten calls OnWritten and sets it to nil if the request has been sent and complete is true.
 func (x *Exchange) notifyWritten(complete bool) {
 	if complete && x.sent && x.OnWritten != nil {
 		x.OnWritten()
@@ -72,13 +73,13 @@
 }
 
 // end finishes the exchange and calls OnEnd.
-func (x *Exchange) end(answer protocol.Answer, err error) {
+func (x *Exchange) end(response protocol.Answer, err error) {
 	x.finished = true
-	x.OnEnd(answer, err)
+	x.OnEnd(response, err)
 }
 
-// localErrors are errors caused by this machine: a resource is exhausted, or the network is unreachable. They do not indicate a fault
-// of the peer.
+// localErrors are errors that are attributed to this machine rather than to the peer: exhausted resources, a failed store of the
+// attempt, or an unreachable network.
 var localErrors = []error{errConnLimit, ErrNotStored, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH,
 	syscall.ENETDOWN, syscall.EAGAIN}
 
@@ -92,6 +93,6 @@
 }
 
 // fail ends the exchange with an error and the stage at which it occurred.
-func (x *Exchange) fail(progress protocol.Progress, err error) {
-	x.end(protocol.Answer{}, &protocol.Failure{Progress: progress, Err: err})
+func (x *Exchange) fail(stage protocol.Progress, err error) {
+	x.end(protocol.Answer{}, &protocol.Failure{Progress: stage, Err: err})
 }
--- a/server/endpointconn/pool.go
+++ b/server/endpointconn/pool.go
@@ -44,7 +44,7 @@
 	limits    Limits
 	conns     map[*Conn]bool
 	idle      map[Peer][]*Conn // longest idle first; may include closed connections, which are no longer in conns
-	unflushed []*Exchange      // exchanges whose request the socket has not completely taken
+	unflushed []*Exchange      // exchanges whose OnWritten has not been called yet
 }
 
 // NewPool returns an empty pool.
@@ -110,7 +110,7 @@
 	conn.exchange, exchange.conn, exchange.sent = exchange, conn, true
 	conn.requestCount.Add(1)
 	if err := conn.conn.Write(exchange.Request); err != nil {
-		p.closed(Closed{Conn: conn, Request: conn.requestCount.Load(), Flushed: false, Err: err})
+		p.handleClosed(Closed{Conn: conn, Request: conn.requestCount.Load(), Flushed: false, Err: err})
 		return
 	}
 	if exchange.notifyWritten(conn.conn.Flushed()); exchange.OnWritten != nil {
@@ -118,7 +118,7 @@
 	}
 }
 
-// CheckWritten calls OnWritten for requests that the sockets have completely taken since the last call.
+// CheckWritten calls OnWritten for requests that the sockets have completely accepted since the last call.
 func (p *Pool) CheckWritten() {
 	p.unflushed = slices.DeleteFunc(p.unflushed, func(exchange *Exchange) bool {
 		exchange.notifyWritten(exchange.IsWritten())
@@ -126,12 +126,13 @@
 	})
 }
 
-// HasAnswer reports whether the complete response of an exchange has been received and is not handled yet. The exchange may be nil.
+// HasAnswer reports whether the complete response of an exchange has been received but not yet processed by the event loop. The exchange
+// may be nil.
 func (p *Pool) HasAnswer(exchange *Exchange) bool {
-	return p.isWaiting(exchange) && exchange.conn.answeredRequest.Load() == exchange.conn.requestCount.Load()
+	return p.isWaiting(exchange) && exchange.conn.completedRequest.Load() == exchange.conn.requestCount.Load()
 }
 
-// HasUnread reports whether received bytes for a waiting exchange are unread or being handled. The exchange may be nil.
+// HasUnread reports whether received bytes for a waiting exchange are unread, or being processed by the poller. The exchange may be nil.
 func (p *Pool) HasUnread(exchange *Exchange) bool {
 	return p.isWaiting(exchange) && exchange.conn.conn.HasUnread()
 }
@@ -158,17 +159,17 @@
 func (p *Pool) Handle(event Event) {
 	switch e := event.(type) {
 	case Opened:
-		p.opened(e)
+		p.handleOpened(e)
 	case AnswerBegun:
-		p.answerBegun(e)
+		p.handleResponseStarted(e)
 	case Answered:
-		p.answered(e)
+		p.handleResponse(e)
 	case Closed:
-		p.closed(e)
+		p.handleClosed(e)
 	}
 }
 
-func (p *Pool) opened(event Opened) {
+func (p *Pool) handleOpened(event Opened) {
 	conn, exchange := event.Conn, event.Conn.exchange
 	if exchange == nil || !p.conns[conn] {
 		p.close(conn)
@@ -182,9 +183,10 @@
 	exchange.end(protocol.Answer{}, ErrOvertaken)
 }
 
-// answerBegun records that a response has started. The rest of a response follows immediately or not at all, but the response that
-// follows an interim response may take longer.
-func (p *Pool) answerBegun(event AnswerBegun) {
+// handleResponseStarted records that a response has started, or was an interim response, and calls OnBegin. The caller can shorten
+// its timeout for the rest of a started response, which follows immediately or not at all. The response that follows an interim
+// response may take longer.
+func (p *Pool) handleResponseStarted(event AnswerBegun) {
 	exchange := event.Conn.exchange
 	if exchange == nil || exchange.finished || event.Request != event.Conn.requestCount.Load() {
 		return
@@ -193,10 +195,10 @@
 	exchange.OnBegin(event.Begun)
 }
 
-func (p *Pool) answered(event Answered) {
+func (p *Pool) handleResponse(event Answered) {
 	conn, exchange := event.Conn, event.Conn.exchange
 	if exchange == nil || exchange.finished || event.Request != conn.requestCount.Load() || !exchange.sent {
-		return // the exchange was aborted, and its connection closed
+		return // the exchange has ended, or the response belongs to another request
 	}
 	exchange.finished = true
 	exchange.notifyWritten(true)
@@ -209,7 +211,7 @@
 	exchange.end(event.Answer, nil)
 }
 
-func (p *Pool) closed(event Closed) {
+func (p *Pool) handleClosed(event Closed) {
 	conn, exchange := event.Conn, event.Conn.exchange
 	if !p.conns[conn] {
 		return
@@ -224,14 +226,14 @@
 		exchange.partialBody = event.PartialBody
 	}
 	if event.Status == statusOK && !exchange.NeedsBody && event.Request == conn.requestCount.Load() {
-		exchange.end(protocol.Answer{Status: statusOK}, nil) // only the status line is needed
+		exchange.end(protocol.Answer{Status: statusOK}, nil) // the endpoint has accepted the request; the truncated body is not needed
 		return
 	}
-	exchange.fail(exchange.progress(event), event.Err)
+	exchange.fail(exchange.failureStage(event), event.Err)
 }
 
-// progress returns the stage that the exchange had reached when its connection was closed.
-func (x *Exchange) progress(event Closed) protocol.Progress {
+// failureStage returns the stage that the exchange had reached when its connection was closed.
+func (x *Exchange) failureStage(event Closed) protocol.Progress {
 	switch {
 	case !x.sent || !event.Flushed:
 		return protocol.BeforeLastByte
@@ -302,7 +304,8 @@
 	return at
 }
 
-// Expire closes connections that have been idle for IdleTimeout, which is well below the idle timeout of the peers.
+// Expire closes connections that have been idle for IdleTimeout. The timeout is shorter than that of the peers, so that no request is
+// sent over a connection that the peer is closing.
 func (p *Pool) Expire() {
 	for peer, idle := range p.idle {
 		n := 0
--- a/server/endpointconn/pool_test.go
+++ b/server/endpointconn/pool_test.go
@@ -56,8 +56,8 @@
 	return p
 }
 
-// handleNext passes events to the pool up to the next event of type E, and returns that. Before it, only Closed events of connections that this
-// side closed are allowed.
+// handleNext passes events to the pool until one of type E, which it returns. Only Closed events of connections closed by this side may
+// precede it.
 func handleNext[E Event](t *testing.T, p *testPool) E {
 	t.Helper()
 	for {
@@ -78,16 +78,16 @@
 
 // ending records the arguments of OnEnd and how often it was called.
 type ending struct {
-	answer protocol.Answer
-	err    error
-	count  int
+	response protocol.Answer
+	err      error
+	count    int
 }
 
 // start starts an exchange. Its ending is filled in when OnEnd is called.
 func (p *testPool) start() (*Exchange, *ending) {
 	end := &ending{}
-	exchange := &Exchange{Peer: p.peer, Request: []byte(request), OnBegin: func(bool) {}, OnEnd: func(answer protocol.Answer, err error) {
-		*end = ending{answer, err, end.count + 1}
+	exchange := &Exchange{Peer: p.peer, Request: []byte(request), OnBegin: func(bool) {}, OnEnd: func(response protocol.Answer, err error) {
+		*end = ending{response, err, end.count + 1}
 	}}
 	p.Start(exchange)
 	return exchange, end
@@ -121,7 +121,7 @@
 	conn := p.accept(t)
 	io.WriteString(conn, success)
 	used := handleNext[Answered](t, p).Conn
-	if end.count != 1 || end.err != nil || end.answer.Status != statusOK {
+	if end.count != 1 || end.err != nil || end.response.Status != statusOK {
 		t.Fatalf("ended as %+v", *end)
 	}
 	for !used.conn.WhileIdle(func() {}) { // the handler may still be processing the response
@@ -174,7 +174,7 @@
 }
 
 // TestLimitEvictsIdleConnection checks that an idle connection is closed when the limit is reached. If all connections are busy, an exchange
-// with an endpoint fails before its first byte, while one with discovery does not fail.
+// with an endpoint fails with BeforeLastByte, while one with discovery does not fail.
 func TestLimitEvictsIdleConnection(t *testing.T) {
 	p := openPool(t, 1)
 	idle := p.completeExchange(t)
@@ -218,7 +218,7 @@
 		bytes string
 		want  protocol.Progress
 	}{
-		"nothing": {"", protocol.AfterLastByte}, "no answer": {"what?\r\n\r\n", protocol.InAnswer},
+		"nothing": {"", protocol.AfterLastByte}, "malformed response": {"what?\r\n\r\n", protocol.InAnswer},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := openPool(t, 4)
@@ -247,7 +247,7 @@
 		want   error
 	}{
 		"not wanted":        {func(x *Exchange) { x.IsWanted = func() bool { return false } }, ErrOvertaken},
-		"before it is sent": {func(x *Exchange) { x.BeforeWrite = func() error { return errRefused } }, errRefused},
+		"BeforeWrite fails": {func(x *Exchange) { x.BeforeWrite = func() error { return errRefused } }, errRefused},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := openPool(t, 4)
--- a/transport/crossings_test.go
+++ b/transport/crossings_test.go
@@ -16,24 +16,24 @@
 	"pineport/testbed/port"
 )
 
-// These tests force events between two statements of this package; see docs/crossings.md. A handler of the test blocks the only poller, so
+// These tests force a race: an event of the peer arrives between two statements of this package; see docs/crossings.md. A handler of the test blocks the only poller, so
 // that bytes received on other connections stay unread until the test releases the poller.
 
-// stoppedDriver returns a driver whose poller is blocked until resume is called, and the driver's address.
-func stoppedDriver(t *testing.T, accept func() Handler) (driver *Driver, addr string, resume func()) {
+// driverWithBlockedPoller returns a driver whose poller is blocked until resume is called, and the driver's address.
+func driverWithBlockedPoller(t *testing.T, newHandler func() Handler) (driver *Driver, addr string, resume func()) {
 	t.Helper()
-	driver, addr = open(t, accept)
+	driver, addr = open(t, newHandler)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	stopped, release := make(chan struct{}), make(chan struct{})
+	blocked, release := make(chan struct{}), make(chan struct{})
 	resume = sync.OnceFunc(func() { close(release) })
 	t.Cleanup(resume)
-	up := make(chan struct{})
+	accepted := make(chan struct{})
 	go func() {
-		defer close(up)
+		defer close(accepted)
 		conn, err := l.Accept()
 		if err == nil {
 			t.Cleanup(func() { conn.Close() })
@@ -41,10 +41,10 @@
 		}
 	}()
 	driver.Dial(l.Addr().String(), 5*time.Second, newRecordingHandler(func(*Conn, []byte) {
-		close(stopped)
+		close(blocked)
 		<-release
 	}))
-	for _, c := range []chan struct{}{up, stopped} {
+	for _, c := range []chan struct{}{accepted, blocked} {
 		select {
 		case <-c:
 		case <-time.After(5 * time.Second):
@@ -102,7 +102,7 @@
 // closed while a request was unread in its socket; the kernel reset the connection, and a reply in transit was lost.
 func TestNoCloseWithUnreadBytes(t *testing.T) {
 	accepted := make(acceptedHandlers, 1)
-	_, addr, resume := stoppedDriver(t, accepted.accept)
+	_, addr, resume := driverWithBlockedPoller(t, accepted.accept)
 	peer := dial(t, addr)
 	h := accepted.next(t)
 	io.WriteString(peer, "request")
@@ -133,7 +133,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	driver, _, _ := stoppedDriver(t, nil)
+	driver, _, _ := driverWithBlockedPoller(t, nil)
 	opened := make(acceptedHandlers, 1)
 	conn := driver.Dial(l.Addr().String(), 5*time.Second, opened.accept())
 	opened.next(t)
@@ -152,7 +152,7 @@
 		t.Fatal("the end of file did not arrive")
 	}
 	if conn.WhileIdle(func() {}) {
-		t.Error("wrote to a connection that the peer has closed")
+		t.Error("WhileIdle ran its function on a connection that the peer has closed")
 	}
 }
 
@@ -182,7 +182,7 @@
 func TestCloseReasonIsReportedOnce(t *testing.T) {
 	reason := errors.New("simulated malformed data")
 	closed := make(chan error, 2)
-	driver, addr := open(t, func() Handler { return &failingHandler{reason, closed} })
+	driver, addr := open(t, func() Handler { return &closingHandler{reason, closed} })
 	peer := dial(t, addr)
 	io.WriteString(peer, "x")
 	if err := <-closed; err != reason {
@@ -197,22 +197,22 @@
 	}
 }
 
-type failingHandler struct {
+type closingHandler struct {
 	reason error
 	closed chan error
 }
 
-func (*failingHandler) Opened(*Conn)                {}
-func (h *failingHandler) Data(conn *Conn, _ []byte) { conn.CloseWithError(h.reason) }
-func (h *failingHandler) Closed(_ *Conn, err error) { h.closed <- err }
+func (*closingHandler) Opened(*Conn)                {}
+func (h *closingHandler) Data(conn *Conn, _ []byte) { conn.CloseWithError(h.reason) }
+func (h *closingHandler) Closed(_ *Conn, err error) { h.closed <- err }
 
 // TestCanceledDialEndsAtOnce checks that closing a connection cancels its dial. Incident: a canceled dial held a descriptor, which was no longer
-// counted, until the dial timed out. When a third of the dials were slow, the descriptor limit was exceeded.
+// counted, until the dial timed out. With a third of the dials slow, the descriptor limit was exceeded.
 func TestCanceledDialEndsAtOnce(t *testing.T) {
 	driver, _ := open(t, nil)
 	addr := listenWithFullBacklog(t)
 	reason, closed := errors.New("simulated cancellation"), make(chan error, 2)
-	conn := driver.Dial(addr, time.Hour, &failingHandler{reason, closed})
+	conn := driver.Dial(addr, time.Hour, &closingHandler{reason, closed})
 	conn.CloseWithError(reason)
 	select {
 	case err := <-closed:
@@ -288,8 +288,8 @@
 	}
 }
 
-// TestDialsDuringCloseLeakNothing checks that connections established while the driver is closing are closed too.
-func TestDialsDuringCloseLeakNothing(t *testing.T) {
+// TestConnectionsDialedDuringCloseAreClosed checks that connections established while the driver is closing are closed too.
+func TestConnectionsDialedDuringCloseAreClosed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -298,7 +298,7 @@
 	for range 10 {
 		accepted := make(acceptedHandlers, 1)
 		driver, addr := open(t, accepted.accept)
-		peer := dial(t, addr) // nbio ignores a shutdown requested before its loops have started
+		peer := dial(t, addr) // the echo proves that nbio's loops have started; before that, nbio ignores a shutdown
 		io.WriteString(peer, "x")
 		if _, err := io.ReadFull(peer, make([]byte, 1)); err != nil {
 			t.Fatal(err)
@@ -316,19 +316,19 @@
 	}
 }
 
-// TestSmallWritesAreSentAtOnce checks that TCP_NODELAY is set. Bytes held back by the kernel would be lost if the connection is closed with unread
-// bytes.
+// TestSmallWritesAreSentAtOnce checks that TCP_NODELAY is set. Otherwise a reply held back by the kernel would be lost when a connection
+// with unread input is closed.
 func TestSmallWritesAreSentAtOnce(t *testing.T) {
 	opened := make(acceptedHandlers, 2)
 	driver, addr := open(t, opened.accept)
-	dialled := driver.Dial(addr, 5*time.Second, opened.accept())
+	dialed := driver.Dial(addr, 5*time.Second, opened.accept())
 	for range 2 {
 		conn := opened.next(t).conn
 		for conn.openConn() == nil {
 			time.Sleep(time.Millisecond)
 		}
 		if on, err := unix.GetsockoptInt(conn.openConn().Hash(), syscall.IPPROTO_TCP, syscall.TCP_NODELAY); err != nil || on == 0 {
-			t.Errorf("dialled %v: TCP_NODELAY %d, %v", conn == dialled, on, err)
+			t.Errorf("dialled %v: TCP_NODELAY %d, %v", conn == dialed, on, err)
 		}
 	}
 }
--- a/transport/halfclose.go
+++ b/transport/halfclose.go
@@ -78,7 +78,8 @@
 	return c.halfClosed
 }
 
-// writeReply writes to a half-closed connection. Replies are short; bytes that the socket does not take at once are lost.
+// writeReply writes to a half-closed connection. Replies are short; bytes that the socket does not take at once are
+// lost, and writeReply returns io.ErrShortWrite.
 func (c *Conn) writeReply(b []byte) error {
 	c.stateLock.Lock()
 	defer c.stateLock.Unlock()
@@ -92,7 +93,7 @@
 	return err
 }
 
-// CloseReplies closes a half-closed connection after its last reply. On other connections it does nothing.
+// CloseReplies closes the descriptor kept for replies, if there is one. Call it after the last reply.
 func (c *Conn) CloseReplies() {
 	c.stateLock.Lock()
 	defer c.stateLock.Unlock()
--- a/transport/halfclose_test.go
+++ b/transport/halfclose_test.go
@@ -18,9 +18,9 @@
 	replied chan struct{} // closed when the reply has been written
 }
 
-func (o *pendingReplyHandler) RepliesDue() bool {
+func (h *pendingReplyHandler) RepliesDue() bool {
 	select {
-	case <-o.replied:
+	case <-h.replied:
 		return false
 	default:
 		return true
@@ -30,11 +30,11 @@
 // TestHalfClosedPeerGetsItsReply checks that a peer that shuts down its write side directly after its request, or while the request
 // is being handled, still gets the reply before the connection is closed.
 func TestHalfClosedPeerGetsItsReply(t *testing.T) {
-	for name, endFirst := range map[string]bool{"ends with the request": true, "ends while it is handled": false} {
+	for name, endFirst := range map[string]bool{"closes write side after request": true, "closes write side while request is handled": false} {
 		t.Run(name, func(t *testing.T) {
 			read := make(chan struct{}, 1)
-			o := &pendingReplyHandler{newRecordingHandler(func(*Conn, []byte) { read <- struct{}{} }), make(chan struct{})}
-			_, addr := open(t, func() Handler { return o })
+			h := &pendingReplyHandler{newRecordingHandler(func(*Conn, []byte) { read <- struct{}{} }), make(chan struct{})}
+			_, addr := open(t, func() Handler { return h })
 			peer := dial(t, addr)
 			io.WriteString(peer, "request")
 			if endFirst {
@@ -44,15 +44,15 @@
 				<-read
 				peer.CloseWrite()
 			}
-			o.waitClosed(t) // no handler calls follow Closed
-			if !o.conn.HalfClosed() {
+			h.waitClosed(t) // no handler calls follow Closed
+			if !h.conn.HalfClosed() {
 				t.Fatal("the connection is not half-closed")
 			}
-			if err := o.conn.Write([]byte("reply")); err != nil {
+			if err := h.conn.Write([]byte("reply")); err != nil {
 				t.Fatal(err)
 			}
-			close(o.replied)
-			o.conn.CloseReplies()
+			close(h.replied)
+			h.conn.CloseReplies()
 			peer.SetReadDeadline(time.Now().Add(5 * time.Second))
 			if got, err := io.ReadAll(peer); string(got) != "reply" || err != nil {
 				t.Errorf("got %q, %v", got, err)
@@ -61,18 +61,18 @@
 	}
 }
 
-// TestResetPeerIsNotHalfClosed checks that no descriptor is kept for a peer that has reset its connection, since it reads no replies.
+// TestResetPeerIsNotHalfClosed checks that no descriptor is kept for a peer that has reset its connection, since that peer reads no replies.
 func TestResetPeerIsNotHalfClosed(t *testing.T) {
 	read := make(chan struct{}, 1)
-	o := &pendingReplyHandler{newRecordingHandler(func(*Conn, []byte) { read <- struct{}{} }), make(chan struct{})}
-	_, addr := open(t, func() Handler { return o })
+	h := &pendingReplyHandler{newRecordingHandler(func(*Conn, []byte) { read <- struct{}{} }), make(chan struct{})}
+	_, addr := open(t, func() Handler { return h })
 	peer := dial(t, addr)
 	io.WriteString(peer, "request")
 	<-read
 	peer.SetLinger(0)
 	peer.Close()
-	o.waitClosed(t)
-	if o.conn.HalfClosed() {
+	h.waitClosed(t)
+	if h.conn.HalfClosed() {
 		t.Error("a descriptor is kept for a peer that has reset its connection")
 	}
 }
@@ -82,12 +82,12 @@
 // closed with its request unanswered.
 func TestHalfClosedPeerIsNotPolled(t *testing.T) {
 	read := make(chan struct{}, 1)
-	o := &pendingReplyHandler{newRecordingHandler(func(*Conn, []byte) { read <- struct{}{} }), make(chan struct{})}
-	_, addr := open(t, func() Handler { return o })
+	h := &pendingReplyHandler{newRecordingHandler(func(*Conn, []byte) { read <- struct{}{} }), make(chan struct{})}
+	_, addr := open(t, func() Handler { return h })
 	peer := dial(t, addr)
 	io.WriteString(peer, "request")
 	<-read
-	descriptor := o.conn.openConn().Hash()
+	descriptor := h.conn.openConn().Hash()
 	var socket unix.Stat_t
 	if err := unix.Fstat(descriptor, &socket); err != nil {
 		t.Fatal(err)
@@ -96,14 +96,14 @@
 		t.Fatal("the open connection is not found in epoll, so this test cannot detect a failure")
 	}
 	peer.CloseWrite()
-	o.waitClosed(t)
-	if !o.conn.HalfClosed() {
+	h.waitClosed(t)
+	if !h.conn.HalfClosed() {
 		t.Fatal("the connection is not half-closed")
 	}
 	if isPolled(t, descriptor, socket.Ino) {
 		t.Errorf("descriptor %d is still polled", descriptor)
 	}
-	o.conn.CloseReplies()
+	h.conn.CloseReplies()
 }
 
 // isPolled reports whether an epoll instance of this process contains a socket under a descriptor number.
--- a/transport/reuse_test.go
+++ b/transport/reuse_test.go
@@ -70,6 +70,6 @@
 	stopped.Store(true)
 	wg.Wait()
 	if lost.Load() > 0 || served.Load() < 100 {
-		t.Errorf("%d of %d connections ended without a response; want 0 of at least 100", lost.Load(), served.Load())
+		t.Errorf("%d of %d connections ended without a response; want none, and at least 100 connections", lost.Load(), served.Load())
 	}
 }
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -1,5 +1,5 @@
-// Package transport handles socket I/O through lesismal/nbio: it listens, dials, reads, writes and closes
-// connections after a timeout. It does not interpret the bytes it carries.
+// Package transport handles socket I/O through lesismal/nbio: it listens, dials, reads and writes, and closes
+// connections, also after a timeout. It does not interpret the bytes it carries.
 package transport
 
 import (
@@ -34,9 +34,10 @@
 
 const (
 	readBufferSize = 16 << 10
-	// maxConsecutiveReadBytes limits the number of bytes plus reads of one connection per poller event. If the
-	// peer has closed the connection, nbio closes it when this limit is reached, even if bytes are still unread.
-	// The limit therefore exceeds the largest body, even one that arrives one byte per read.
+	// maxConsecutiveReadBytes limits the reading of one connection per poller event; each read counts as one more
+	// byte. If the event also reports that the peer has closed the connection, nbio closes it when Conn.read
+	// returns, even if bytes are still unread. The limit therefore exceeds the largest message body, even one that
+	// arrives one byte per read.
 	maxConsecutiveReadBytes = 64 * readBufferSize
 	maxWriteBufferSize      = 1 << 20 // more than the largest request, which holds five bodies of maximum size
 )
@@ -48,9 +49,9 @@
 	stoppedAccepting atomic.Bool // after StopAccepting
 	stoppedReading   atomic.Bool // after StopReading
 	log              *slog.Logger
-	// registeredConns counts the connections that were added to nbio. It serves as a memory barrier: nbio's
-	// connection table guarantees no ordering, so code that gets a connection from that table loads this counter
-	// first, and thereby sees all writes made before the connection was added.
+	// registeredConns is incremented for each connection passed to nbio. Its value is not used; it serves as a memory
+	// barrier. nbio's connection table guarantees no ordering, so code that gets a connection from that table loads
+	// this counter first, and thereby sees all writes made before the increment.
 	registeredConns atomic.Int64
 	closeLock       sync.RWMutex // read-locked while a connection is added to nbio
 	closed          bool         // no more connections may be added to nbio
@@ -69,7 +70,7 @@
 	if acceptConn, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN); err != nil || acceptConn == 0 {
 		return nil, fmt.Errorf("descriptor %d is not a listening socket (%v)", fd, err)
 	}
-	duplicate, err := syscall.Dup(fd) // the inherited descriptor stays open, for a later call
+	duplicate, err := syscall.Dup(fd) // the inherited descriptor stays open: it is checked at startup and opened later
 	if err != nil {
 		return nil, err
 	}
@@ -91,12 +92,12 @@
 }
 
 // Open starts a driver that accepts connections on the inherited listener or, if that is nil, on addr. For each
-// accepted connection that admit allows, accept returns the Handler. sockets is the maximum number of open
+// accepted connection that admit allows, newHandler returns the Handler. sockets is the maximum number of open
 // sockets.
-func Open(addr string, inherited net.Listener, sockets int, log *slog.Logger, admit func() bool, accept func() Handler) (*Driver, error) {
+func Open(addr string, inherited net.Listener, sockets int, log *slog.Logger, admit func() bool, newHandler func() Handler) (*Driver, error) {
 	openLock.Lock()
 	defer openLock.Unlock()
-	nbio.MaxOpenFiles = sockets + 64 // nbio allocates a connection table of this length
+	nbio.MaxOpenFiles = sockets + 64 // nbio's connection table is indexed by descriptor number, including those of other files
 	driver := &Driver{log: log}
 	latestDriver.Store(driver)
 	listen := func(network, addr string) (l net.Listener, err error) {
@@ -110,7 +111,7 @@
 		ReadBufferSize: readBufferSize, MaxWriteBufferSize: maxWriteBufferSize})
 	driver.engine.OnOpen(func(raw *nbio.Conn) {
 		if raw.Session() == nil { // accepted, not dialed
-			conn := &Conn{raw: raw, driver: driver, handler: accept()}
+			conn := &Conn{raw: raw, driver: driver, handler: newHandler()}
 			raw.SetSession(conn)
 			conn.runUnlessClosed(func() { conn.handler.Opened(conn) })
 			driver.registeredConns.Add(1)
@@ -135,13 +136,13 @@
 	// Without this pause nbio would retry accept in a busy loop while no descriptor is available.
 	driver.engine.OnAcceptError(func(error) {
 		if time.Sleep(20 * time.Millisecond); driver.stoppedAccepting.Load() {
-			select {} // otherwise nbio would log accept errors of the closed listener forever
+			select {} // otherwise nbio would log accept errors forever; Close returns after its timeout in any case
 		}
 	})
 	return driver, driver.engine.Start()
 }
 
-// admissionListener closes connections that are not admitted before nbio registers them.
+// admissionListener accepts connections, and closes those that are not admitted within admitTimeout. nbio does not see these.
 type admissionListener struct {
 	net.Listener
 	admit func() bool
@@ -213,7 +214,9 @@
 	_ = d.engine.Shutdown(ctx) // connections still open after the timeout end with the process
 }
 
-// Conn is a connection, which may still be being dialed.
+// Conn is a connection, which may still be being dialed. Close and CloseWithError only shut down the socket of an open
+// connection. The poller then reads end of file and releases the descriptor with closeOnPoller, and nbio's close event
+// makes reportClosed call Handler.Closed.
 type Conn struct {
 	driver             *Driver
 	handler            Handler
@@ -328,7 +331,8 @@
 // Flushed reports whether the socket has taken all bytes passed to Write.
 func (c *Conn) Flushed() bool { return c.Unsent() <= 0 }
 
-// Unsent returns the number of bytes passed to Write that the socket has not taken yet.
+// Unsent returns the number of bytes passed to Write that the socket has not taken yet. The result may be negative while
+// another goroutine writes, since the two counters are read one after the other.
 func (c *Conn) Unsent() int64 { return c.queuedBytes.Load() - c.writtenBytes.Load() }
 
 // Expire closes the connection after a timeout. A new call replaces the timeout; zero removes it.
@@ -345,7 +349,7 @@
 }
 
 // Close closes the connection, or cancels its dial; Handler.Closed is called afterwards. Incident: a dial that was
-// not canceled continued and held a descriptor that was no longer counted against the limit.
+// not canceled continued and held a descriptor that its owner no longer counted against the connection limit.
 func (c *Conn) Close() { c.CloseWithError(ErrClosedLocally) }
 
 // CloseWithError closes the connection and passes a reason to Handler.Closed. No more bytes are written after it,
@@ -537,7 +541,7 @@
 // nbio has one descriptor limit and one logger per process.
 var (
 	openLock     sync.Mutex             // held by Open, which sets the limit and lets nbio read it
-	latestDriver atomic.Pointer[Driver] // its log receives nbio's messages
+	latestDriver atomic.Pointer[Driver] // its log receives nbio's messages, also those about earlier drivers
 )
 
 func init() { logging.DefaultLogger = nbioLogger{} }
--- a/transport/transport_test.go
+++ b/transport/transport_test.go
@@ -64,9 +64,9 @@
 	return strings.Join(h.events, " ")
 }
 
-func open(t *testing.T, accept func() Handler) (*Driver, string) {
+func open(t *testing.T, newHandler func() Handler) (*Driver, string) {
 	t.Helper()
-	driver, err := Open("127.0.0.1:0", nil, 1024, slog.New(slog.DiscardHandler), func() bool { return true }, accept)
+	driver, err := Open("127.0.0.1:0", nil, 1024, slog.New(slog.DiscardHandler), func() bool { return true }, newHandler)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,7 +91,8 @@
 	}
 }
 
-// TestCanceledDialIsClosed checks that a connection closed at any time during its dial is closed here, and at the peer if it was accepted.
+// TestCanceledDialIsClosed checks that a connection closed at any time during its dial is closed on the dialing side, and
+// on the accepting side if it was accepted there.
 func TestCanceledDialIsClosed(t *testing.T) {
 	var mu sync.Mutex
 	var accepted []*recordingHandler
@@ -110,7 +111,7 @@
 			t.Errorf("reported %q", got)
 		}
 	}
-	last := newRecordingHandler(nil) // once it is open, all earlier connections have been accepted
+	last := newRecordingHandler(nil) // the test assumes that all earlier connections have been accepted once this one is open
 	conn := driver.Dial(addr, time.Second, last)
 	for conn.openConn() == nil {
 		time.Sleep(time.Millisecond)
@@ -197,7 +198,7 @@
 	driver, addr := open(t, func() Handler { return newRecordingHandler(nil) })
 	conn := driver.Dial(addr, time.Second, h)
 	if conn.CloseIf(func() bool { return false }) || !conn.CloseIf(func() bool { return true }) {
-		t.Error("CloseIf did not follow its condition")
+		t.Error("CloseIf closed with a false condition, or did not close with a true one")
 	}
 	h.waitClosed(t)
 }
