--- a/protocol/http.go
+++ b/protocol/http.go
@@ -9,276 +9,281 @@
 	"strings"
 )
 
-// Progress is how far an attempt had come when it failed.
-type Progress int
+// Stage is the stage at which an attempt failed.
+type Stage int
 
-// How far an attempt may have come.
+// Stages of an attempt. They determine whether the peer may have processed the request.
 const (
-	BeforeLastByte Progress = iota // the other side cannot have begun it
-	AfterLastByte                  // it may have
-	InAnswer                       // it has, and what it answered can't be read
+	RequestIncomplete Stage = iota // the request was not fully written to the socket, so the peer cannot have processed it
+	RequestSent                    // the request was fully written to the socket, so the peer may have processed it
+	ResponseMalformed              // the peer sent a malformed response
 )
 
-// Failure is an attempt without a whole answer.
+// Failure is the error of an attempt that got no complete response.
 type Failure struct {
-	Progress Progress
-	Err      error
+	Stage Stage
+	Err   error
 }
 
 func (f *Failure) Error() string {
-	return map[Progress]string{BeforeLastByte: "before the last byte was out: ", AfterLastByte: "after the last byte was out: ",
-		InAnswer: "in the answer: "}[f.Progress] + f.Err.Error()
+	return map[Stage]string{RequestIncomplete: "before the request was fully written: ", RequestSent: "after the request was fully written: ",
+		ResponseMalformed: "in the response: "}[f.Stage] + f.Err.Error()
 }
 
 func (f *Failure) Unwrap() error { return f.Err }
 
-// ErrAnswer is an answer that cannot be read.
-var ErrAnswer = errors.New("bad answer")
+// ErrMalformedResponse means that a response is malformed.
+var ErrMalformedResponse = errors.New("malformed response")
 
-// Answer holds what is needed of an HTTP answer.
-type Answer struct {
-	Status int
-	WaitMs int64  // reported with it, 0 if none
-	NoSlot bool   // all slots of this courier were taken
-	Report string // of the load, as it came
-	Close  bool   // the connection ends with it
-	Body   []byte
+// Response holds the parts of an HTTP response that this software uses.
+type Response struct {
+	Status     int
+	BackoffMs  int64  // backoff requested by X-Backoff-Ms, rounded up; 0 if none
+	EgressFull bool   // X-Egress-Full: all request slots that the endpoint grants this courier are in use
+	LoadReport string // unparsed value of the header that carries the load report
+	Close      bool   // the connection must not be reused after this response
+	Body       []byte
 }
 
-const maxHead = 8 << 10
+const maxHeadBytes = 8 << 10
 
-type answerState int
+type responseState int
 
 const (
-	inStatus answerState = iota
+	inStatus responseState = iota
 	inHeaders
 	inBody
 	inChunkSize
 	inChunk
 	inTrailer
-	untilEnd
+	inBodyUntilClose
 )
 
-// Answers takes HTTP/1.1 answers off a stream.
-type Answers struct {
-	state   answerState
-	buf     []byte
-	now     Answer
-	head    int // bytes of the head so far
-	left    int // of the body or chunk
-	length  int // -1 where none was notified
-	chunked bool
-	limit   int
-	err     error
+// ResponseParser parses a stream of HTTP/1.1 responses.
+type ResponseParser struct {
+	state         responseState
+	buf           []byte
+	current       Response
+	headBytes     int // bytes parsed so far of the head, or of a chunk size line or trailer
+	remaining     int // bytes of the body or chunk not yet received
+	contentLength int // -1 if there is no Content-Length header
+	chunked       bool
+	maxBody       int
+	err           error
 }
 
-// NewAnswers reads answers with bodies up to limit bytes.
-func NewAnswers(limit int) *Answers { return &Answers{limit: limit} }
+// NewResponseParser returns a parser that rejects bodies of more than limit bytes.
+func NewResponseParser(limit int) *ResponseParser { return &ResponseParser{maxBody: limit} }
 
-// Begun tells whether part of an answer has come, and the status if its first line has.
-func (a *Answers) Begun() (status int, begun bool) {
-	if a.state == inStatus {
-		return 0, len(a.buf) > 0
+// Started reports whether part of a response has been received, and its status; the status is 0 until the status line is
+// complete.
+func (p *ResponseParser) Started() (status int, started bool) {
+	if p.state == inStatus {
+		return 0, len(p.buf) > 0
 	}
-	return a.now.Status, true
+	return p.current.Status, true
 }
 
-// Part is what has come of the body of an answer that is not complete.
-func (a *Answers) Part() []byte { return a.now.Body }
+// PartialBody returns the part of an incomplete response's body that has been received.
+func (p *ResponseParser) PartialBody() []byte { return p.current.Body }
 
-// Feed takes what came in and returns the answer that is complete, if one is. One request at a time goes over a
-// connection: what comes after its answer belongs to nothing, and would else pass for the answer to the next.
-func (a *Answers) Feed(b []byte) (answer Answer, done bool, err error) {
-	a.buf = append(a.buf, b...)
+// Feed parses received bytes and returns the response if it is complete. Each connection carries one request at a time,
+// so bytes after a response are an error: they would otherwise be taken for the response to the next request.
+func (p *ResponseParser) Feed(b []byte) (response Response, done bool, err error) {
+	p.buf = append(p.buf, b...)
 	used := 0
-	for n := -1; a.err == nil && n != 0 && !done; used += n {
-		n, done = a.step(a.buf[used:])
+	for n := -1; p.err == nil && n != 0 && !done; used += n {
+		n, done = p.step(p.buf[used:])
 	}
-	if a.buf = append(a.buf[:0], a.buf[used:]...); len(a.buf) == 0 && cap(a.buf) > maxHead {
-		a.buf = nil
+	if p.buf = append(p.buf[:0], p.buf[used:]...); len(p.buf) == 0 && cap(p.buf) > maxHeadBytes {
+		p.buf = nil
 	}
 	if done {
-		if answer = a.now; len(a.buf) > 0 {
-			a.fail("%d bytes more than it", len(a.buf))
+		if response = p.current; len(p.buf) > 0 {
+			p.fail("%d unexpected bytes after the response", len(p.buf))
 		}
-		a.now, a.state, a.head = Answer{}, inStatus, 0
+		p.current, p.state, p.headBytes = Response{}, inStatus, 0
 	}
-	return answer, done, a.err
+	return response, done, p.err
 }
 
-// End tells that the stream has ended; an answer without a reported length ends with it.
-func (a *Answers) End() (Answer, bool) {
-	if a.err == nil && a.state == untilEnd {
-		a.now.Close = true
-		return a.now, true
+// End handles the end of the stream. It returns the response whose body ends with the stream, if there is one.
+func (p *ResponseParser) End() (Response, bool) {
+	if p.err == nil && p.state == inBodyUntilClose {
+		p.current.Close = true
+		return p.current, true
 	}
-	return Answer{}, false
+	return Response{}, false
 }
 
-func (a *Answers) fail(format string, args ...any) (int, bool) {
-	a.err = fmt.Errorf("%w: "+format, append([]any{ErrAnswer}, args...)...)
+func (p *ResponseParser) fail(format string, args ...any) (int, bool) {
+	p.err = fmt.Errorf("%w: "+format, append([]any{ErrMalformedResponse}, args...)...)
 	return 0, false
 }
 
-// step takes in one line or a piece of a body, and reports how much it used and whether the answer is complete.
-func (a *Answers) step(b []byte) (used int, done bool) {
-	switch a.state {
+// step parses one line or part of a body. It returns the number of bytes consumed and whether the response is complete.
+func (p *ResponseParser) step(b []byte) (used int, done bool) {
+	switch p.state {
 	case inBody, inChunk:
-		return a.stepBody(b)
-	case untilEnd:
-		if a.now.Body = append(a.now.Body, b...); len(a.now.Body) > a.limit {
-			return a.fail("body over %d bytes", a.limit)
+		return p.stepBody(b)
+	case inBodyUntilClose:
+		if p.current.Body = append(p.current.Body, b...); len(p.current.Body) > p.maxBody {
+			return p.fail("response body exceeds %d bytes", p.maxBody)
 		}
 		return len(b), false
 	}
-	return a.stepLine(b)
+	return p.stepLine(b)
 }
 
-// stepBody takes in a piece of a body of known length, or of a chunk of one.
-func (a *Answers) stepBody(b []byte) (used int, done bool) {
-	n := min(a.left, len(b))
-	a.now.Body = append(a.now.Body, b[:n]...)
-	if a.left -= n; a.left > 0 {
+// stepBody parses part of a body of known length, or part of a chunk.
+func (p *ResponseParser) stepBody(b []byte) (used int, done bool) {
+	n := min(p.remaining, len(b))
+	p.current.Body = append(p.current.Body, b[:n]...)
+	if p.remaining -= n; p.remaining > 0 {
 		return n, false
 	}
-	if a.state == inBody {
+	if p.state == inBody {
 		return n, true
 	}
 	if len(b) < n+2 {
 		return n, false
 	}
 	if b[n] != '\r' || b[n+1] != '\n' {
-		return a.fail("a chunk does not end where it should")
+		return p.fail("chunk data is not followed by CRLF")
 	}
-	a.state = inChunkSize
+	p.state = inChunkSize
 	return n + 2, false
 }
 
-// stepLine takes in one line of the head, of a chunk's size or of the trailer.
-func (a *Answers) stepLine(b []byte) (used int, done bool) {
-	if a.state == inStatus && !begins(b, "HTTP/1.") {
-		return a.fail("no status line begins with %.20q", b)
+// stepLine parses one line: a status line, a header, a chunk size or a trailer line.
+func (p *ResponseParser) stepLine(b []byte) (used int, done bool) {
+	if p.state == inStatus && !canStartWith(b, "HTTP/1.") {
+		return p.fail("status line expected, got %.20q", b)
 	}
 	end := bytes.IndexByte(b, '\n')
 	if end < 0 {
-		if a.head+len(b) > maxHead {
-			return a.fail("head over %d bytes", maxHead)
+		if p.headBytes+len(b) > maxHeadBytes {
+			return p.fail("response head, chunk size line or trailer exceeds %d bytes", maxHeadBytes)
 		}
 		return 0, false
 	}
 	used = end + 1
-	if a.head += used; a.head > maxHead {
-		return a.fail("head over %d bytes", maxHead)
+	if p.headBytes += used; p.headBytes > maxHeadBytes {
+		return p.fail("response head, chunk size line or trailer exceeds %d bytes", maxHeadBytes)
 	}
 	line := string(bytes.TrimSuffix(b[:end], []byte{'\r'}))
-	switch a.state {
+	switch p.state {
 	case inStatus:
-		if line == "" && a.head <= 2 {
-			return used, false // an empty line before an answer does no harm
+		if line == "" && p.headBytes <= 2 {
+			return used, false // ignore an empty line before the status line
 		}
-		return used, a.status(line)
+		return used, p.parseStatusLine(line)
 	case inHeaders:
 		if line == "" {
-			return used, a.body()
+			return used, p.startBody()
 		}
-		a.header(line)
+		p.parseHeader(line)
 	case inChunkSize:
 		size, _, _ := strings.Cut(line, ";")
 		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
-		if err != nil || len(a.now.Body)+int(n) > a.limit {
-			return a.fail("bad chunk size %q", size)
+		if err != nil || len(p.current.Body)+int(n) > p.maxBody {
+			return p.fail("invalid or too large chunk size %q", size)
 		}
-		a.left, a.state, a.head = int(n), inChunk, 0
+		p.remaining, p.state, p.headBytes = int(n), inChunk, 0
 		if n == 0 {
-			a.state = inTrailer
+			p.state = inTrailer
 		}
 	case inTrailer:
 		return used, line == ""
 	}
-	if a.err != nil {
+	if p.err != nil {
 		return 0, false
 	}
 	return used, false
 }
 
-// begins tells whether b, of which more may come, can still begin with text; an empty line before it does no harm.
-func begins(b []byte, text string) bool {
+// canStartWith reports whether b, which may be incomplete, starts with text or with a prefix of it. It ignores an empty
+// line at the start of b.
+func canStartWith(b []byte, text string) bool {
 	b = bytes.TrimPrefix(bytes.TrimPrefix(b, []byte{'\r'}), []byte{'\n'})
 	n := min(len(b), len(text))
 	return string(b[:n]) == text[:n]
 }
 
-func (a *Answers) status(line string) bool {
+// parseStatusLine parses the status line. It returns false, since a status line never completes a response.
+func (p *ResponseParser) parseStatusLine(line string) bool {
 	version, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
-	n, ok := digits([]byte(code))
+	n, ok := parseDecimal([]byte(code))
 	if !strings.HasPrefix(version, "HTTP/1.") || !ok || len(code) != 3 || n < 100 {
-		a.fail("bad status line %.40q", line)
+		p.fail("malformed status line %.40q", line)
 		return false
 	}
-	a.now, a.state, a.length, a.chunked = Answer{Status: n, Close: version == "HTTP/1.0"}, inHeaders, -1, false
+	p.current, p.state, p.contentLength, p.chunked = Response{Status: n, Close: version == "HTTP/1.0"}, inHeaders, -1, false
 	return false
 }
 
-func (a *Answers) header(line string) {
+func (p *ResponseParser) parseHeader(line string) {
 	name, value, ok := strings.Cut(line, ":")
 	if value = strings.TrimSpace(value); !ok || name == "" || strings.ContainsAny(name, " \t") {
-		a.fail("bad header %.40q", line)
+		p.fail("malformed header %.40q", line)
 		return
 	}
 	switch strings.ToLower(name) {
 	case "content-length":
-		n, ok := digits([]byte(value))
-		if !ok || a.length >= 0 && a.length != n {
-			a.fail("bad length %.40q", value)
+		n, ok := parseDecimal([]byte(value))
+		if !ok || p.contentLength >= 0 && p.contentLength != n {
+			p.fail("invalid or conflicting Content-Length %.40q", value)
 		}
-		a.length = n
+		p.contentLength = n
 	case "transfer-encoding":
 		if !strings.EqualFold(value, "chunked") {
-			a.fail("unknown encoding %.40q", value)
+			p.fail("unsupported Transfer-Encoding %.40q", value)
 		}
-		a.chunked = true
+		p.chunked = true
 	case "connection":
 		switch strings.ToLower(value) {
 		case "close":
-			a.now.Close = true
+			p.current.Close = true
 		case "keep-alive":
-			a.now.Close = false
+			p.current.Close = false
 		}
 	case "x-backoff-ms":
 		if ms, err := strconv.ParseFloat(value, 64); err == nil && ms > 0 && ms < 1e9 {
-			a.now.WaitMs = int64(ms + 0.999) // a part of a millisecond is waited out too
+			p.current.BackoffMs = int64(ms + 0.999) // round up to whole milliseconds
 		}
 	case "x-egress-full":
-		a.now.NoSlot = value == "1"
+		p.current.EgressFull = value == "1"
 	case "x-load-report":
-		a.now.Report = value
+		p.current.LoadReport = value
 	}
 }
 
-// body is called at the end of the head; it tells whether the answer is complete.
-func (a *Answers) body() bool {
+// startBody is called at the end of the head. It selects how the body is parsed, and reports whether the response is
+// already complete.
+func (p *ResponseParser) startBody() bool {
 	switch {
-	case a.now.Status < 200:
-		a.state, a.head = inStatus, 0 // an interim answer; the real one follows
-	case a.now.Status == 204 || a.now.Status == 304:
+	case p.current.Status < 200:
+		p.state, p.headBytes = inStatus, 0 // an interim (1xx) response; the final response follows
+	case p.current.Status == 204 || p.current.Status == 304:
 		return true
-	case a.chunked:
-		a.state, a.head = inChunkSize, 0
-	case a.length > a.limit:
-		a.fail("body over %d bytes", a.limit)
-	case a.length == 0:
+	case p.chunked:
+		p.state, p.headBytes = inChunkSize, 0
+	case p.contentLength > p.maxBody:
+		p.fail("response body exceeds %d bytes", p.maxBody)
+	case p.contentLength == 0:
 		return true
-	case a.length > 0:
-		a.state, a.left = inBody, a.length
+	case p.contentLength > 0:
+		p.state, p.remaining = inBody, p.contentLength
 	default:
-		a.state = untilEnd
+		p.state = inBodyUntilClose
 	}
 	return false
 }
 
-// Pressure picks the named values from a report such as x0=0.4,x1=25; nil where one is missing.
-func Pressure(report string, names []string) []float64 {
+// LoadValues returns the values with the given names from a load report such as x0=0.4,x1=25. It returns nil if a value is
+// missing or invalid.
+func LoadValues(report string, names []string) []float64 {
 	if report == "" || len(names) == 0 {
 		return nil
 	}
