--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// accept takes on a message, and lowers its priority weight where its tenant is over quota.
+// accept queues a new message. The priority weight of a message over its tenant's quota is reduced.
 func (d *Dispatcher) accept(event MessageAccepted) {
 	if d.messages[event.Message] != nil || int(event.Class) >= len(d.config.Classes) {
 		return
@@ -13,16 +13,16 @@
 	case !d.withinQuota(event.Tenant):
 		message.priority *= d.config.OverQuotaFactor
 	case !event.Resubmitted:
-		destination.accepted.add(d.now, rateSpan, 1)
+		destination.accepted.add(d.now, rateDecayTime, 1)
 	}
 	if class.Ordered && event.OrderingKey != "" {
 		message.order = d.joinKey(event.OrderingKey, message)
 	}
-	d.hold(message)
+	d.addMessage(message)
 }
 
-// withinQuota takes a token from this courier's share of a tenant's quota; two seconds' worth may be saved
-// up.
+// withinQuota takes a token from this courier's share of a tenant's quota and reports whether there was one.
+// Tokens for up to two seconds accumulate.
 func (d *Dispatcher) withinQuota(tenant TenantID) bool {
 	if int(tenant) >= len(d.config.Tenants) || d.config.Tenants[tenant].RatePerSecond <= 0 {
 		return true
@@ -38,13 +38,13 @@
 	return within
 }
 
-// shedLoad keeps the queue below its limit, after all that could be sent was sent: the messages that promise
-// the least value go first. Spared are messages that a restart found untried, until three quarters of their
-// time are over.
+// shedLoad keeps the number of unfinished messages below the queue limit. It runs after everything that can
+// be sent has been sent, and gives up the queued messages with the lowest expected value first. Messages that
+// were untried at a restart are exempt until three quarters of their time to live have passed.
 func (d *Dispatcher) shedLoad() {
 	d.queueAllowance = min(d.queueAllowance, d.unfinished)
 	for d.unfinished >= max(d.config.QueueLimit, d.queueAllowance+1) && d.config.QueueLimit > 0 {
-		victim := d.leastPromising()
+		victim := d.leastValuable()
 		if victim == nil {
 			return
 		}
@@ -52,19 +52,19 @@
 	}
 }
 
-func (d *Dispatcher) leastPromising() (victim *message) {
-	least := math.Inf(1)
+func (d *Dispatcher) leastValuable() (victim *message) {
+	lowestValue := math.Inf(1)
 	for _, destination := range d.waiting {
 		for i, message := range destination.queue {
-			promise, ready := message.priority/1000, d.earliestReady(message)
+			expectedValue, ready := message.priority/1000, d.earliestReady(message)
 			if ready < never {
 				first := destination.groups[0]
 				wait := d.expectedDuration(first) + Micros(i)*d.interval(first)
-				promise += d.valueAt(message, max(ready, d.now)+wait)
+				expectedValue += d.valueAt(message, max(ready, d.now)+wait)
 			}
-			mayGo := !message.untried || message.mayHaveRun || message.deadline-d.now < message.class.TimeToLive/4
-			if promise < least && mayGo {
-				victim, least = message, promise
+			mayShed := !message.untried || message.mayHaveRun || message.deadline-d.now < message.class.TimeToLive/4
+			if expectedValue < lowestValue && mayShed {
+				victim, lowestValue = message, expectedValue
 			}
 		}
 	}
--- a/dispatch/breaker.go
+++ b/dispatch/breaker.go
@@ -1,15 +1,16 @@
 package dispatch
 
 const (
-	failureThreshold = 5              // opens when more consecutive failures than this come (DESIGN)
-	openPeriod       = 5 * second / 2 // half of DESIGN's starting value: outages here last 5 to 25 s
-	outageAfter      = 2 * second     // shorter breaks are stalls; outages recorded last over twice as long
-	forgetAfter      = 120 * second
-	snapshotMaxAge   = 30 * second // outages last 5 to 25 s, limits change as seldom
-	rareRate         = 0.25        // calls a second, so few that outages, of some seconds, show too little
+	failureThreshold = 5              // a breaker opens after more consecutive failures than this (design)
+	openPeriod       = 5 * second / 2 // half the initial value of the design, as outages last 5 to 25 s
+	outageAfter      = 2 * second     // shorter breaks are stalls; recorded outages last over twice as long
+	forgetAfter      = 120 * second   // time without use after which learned state is dropped
+	snapshotMaxAge   = 30 * second    // outages last 5 to 25 s, and limits change no more often
+	lowCallRate      = 0.25           // calls per second; below it an outage of seconds shows too few failures
 )
 
-// tryHalfOpen turns an open breaker half-open when its period is over, and resets one that was long unused.
+// tryHalfOpen turns an open breaker half-open when its open period has passed. It resets a closed breaker
+// that was not used for forgetAfter.
 func (b *breaker) tryHalfOpen(now Micros) {
 	if b.state == breakerOpen && now >= b.openUntil {
 		b.state, b.changedAt, b.trial = breakerHalfOpen, now, nil
@@ -20,15 +21,15 @@
 	b.usedAt = now
 }
 
-// openBreaker opens a breaker for its period, with jitter so that couriers do not try again all at once.
+// openBreaker opens a breaker for openPeriod plus jitter, so that couriers do not start their trials at once.
 func (d *Dispatcher) openBreaker(b *breaker, group *endpointGroup) {
 	b.state, b.changedAt, b.failures, b.trial = breakerOpen, d.now, 0, nil
 	b.openUntil = d.now + openPeriod + Micros(d.rng.Int63n(int64(openPeriod/10)))
 	d.markOutage(group)
 }
 
-// markOutage notes an outage of a group. The rate of deliveries before it is what the recovery ramp is
-// measured by.
+// markOutage records an outage of a group, and the delivery rate before it, which the recovery ramp is based
+// on.
 func (d *Dispatcher) markOutage(group *endpointGroup) {
 	if !group.outage && !group.warmingUp {
 		group.usualRate = max(group.usualRate, d.deliveryRate(group))
@@ -39,9 +40,9 @@
 	group.outage, group.warmingUp = true, false
 }
 
-// observePast counts an attempt that failed unanswered before a restart, so that queued messages do not
-// overload a server that recovers now.
-func (d *Dispatcher) observePast(past PastAttempt) {
+// observePastAttempt counts an attempt from before a restart that failed without an answer as a sign of an
+// outage, so that queued messages do not overload a server that is recovering.
+func (d *Dispatcher) observePastAttempt(past PastAttempt) {
 	endpoint := d.endpoints[past.Endpoint]
 	if endpoint == nil || past.Outcome != Unreachable && past.Outcome != TimedOut {
 		return
@@ -51,10 +52,10 @@
 	}
 }
 
-// restore takes over what was learned before a restart, unless it is too old or from a clock that was ahead.
-// What calls for caution is kept in full, and a recovery ramp goes on from where it was, as the server may
-// have failed again; what gives confidence decays. So an older snapshot never makes the dispatcher bolder
-// than a younger one.
+// restore applies the state learned before a restart, unless the snapshot is too old or lies in the future.
+// State that calls for caution is kept in full, and a recovery ramp continues from where it was, as the
+// server may have failed again. State that gives confidence decays with age. An older snapshot therefore
+// never makes the dispatcher less cautious than a younger one.
 func (d *Dispatcher) restore(snapshot Snapshot) {
 	if d.now < snapshot.TakenAt || d.now-snapshot.TakenAt > snapshotMaxAge {
 		return
@@ -62,25 +63,26 @@
 	d.restoreSnapshot(snapshot)
 }
 
-// countSign counts a sign of an outage. An outage is noted after three in a row with no delivery for a while,
-// or two where calls are rare. Throttling may be due to a limit: three are needed, and at an exhausted limit
-// none counts unless this courier has long kept to a small share.
-func (d *Dispatcher) countSign(group *endpointGroup, signs *int, outcome Outcome, unexpected bool) {
-	needed, undelivered := 3, d.now-group.lastDelivery
-	if d.fairRate(group) < rareRate && (outcome != Throttled || group.rate == 0 || unexpected) {
+// countOutageSign counts a failed or throttled attempt as a sign of an outage. Three consecutive signs with
+// no delivery for outageAfter mark an outage. Where calls are rare, two failures are enough, or one throttled
+// attempt unless a known limit explains it. Throttling at an exhausted limit marks an outage only if the fair
+// rate is below four times lowCallRate and nothing was delivered for three times outageAfter.
+func (d *Dispatcher) countOutageSign(group *endpointGroup, signs *int, outcome Outcome, unexpected bool) {
+	needed, sinceDelivery := 3, d.now-group.lastDelivery
+	if d.fairRate(group) < lowCallRate && (outcome != Throttled || group.rate == 0 || unexpected) {
 		if needed = 2; outcome == Throttled {
-			needed = 1 // most couriers with so few calls see no more than one
+			needed = 1 // at this call rate most couriers see no more than one
 		}
 	}
-	exhausted := outcome == Throttled && group.reported && group.remaining < scarceShare &&
-		(d.fairRate(group) >= 4*rareRate || undelivered < 3*outageAfter)
-	if *signs++; *signs >= needed && undelivered > outageAfter && !exhausted {
+	exhausted := outcome == Throttled && group.reported && group.remaining < lowRemainingShare &&
+		(d.fairRate(group) >= 4*lowCallRate || sinceDelivery < 3*outageAfter)
+	if *signs++; *signs >= needed && sinceDelivery > outageAfter && !exhausted {
 		d.markOutage(group)
 	}
 }
 
-// updateBreaker counts the outcome of an attempt. tableFull marks a refused connection that says nothing of
-// health.
+// updateBreaker updates the breaker with the outcome of an attempt. tableFull is set for a connection that
+// was refused because of a full connection table, which does not indicate a failure of the server.
 func (d *Dispatcher) updateBreaker(attempt *attempt, outcome Outcome, tableFull bool) {
 	group := attempt.endpoint.group
 	b := &group.breakers[attempt.message.classID]
@@ -90,7 +92,7 @@
 	}
 	switch {
 	case outcome == Unprocessed || outcome == Canceled || tableFull:
-		return // says nothing of health: a half-open breaker allows another trial
+		return // no evidence of health: a half-open breaker allows another trial
 	case outcome == Delivered || outcome == Throttled:
 		b.failures = 0
 		if trial {
--- a/dispatch/calls.go
+++ b/dispatch/calls.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Calls and the attempts that they carry. No decision is made in this file.
+// This file keeps the calls and the attempts that they carry. It makes no decisions.
 
-// attempt is one sending of a message.
+// attempt is one transmission of a message.
 type attempt struct {
 	message  *message
 	endpoint *endpoint
@@ -17,36 +17,36 @@
 	finished bool
 }
 
-// number is the place of an attempt among those of its message, from 0.
+// number returns the index of an attempt among those of its message.
 func (a *attempt) number() AttemptNumber { return AttemptNumber(slices.Index(a.message.attempts, a)) }
 
-// call takes one slot and carries one attempt, or several that finish together.
+// call occupies one slot and carries one attempt, or several that finish together.
 type call struct {
-	endpoint      *endpoint
-	openAttempts  int
-	sent          bool   // some of it was
-	connectionAge int    // see ageIndex
-	previousCall  Micros // the last call of the group before it
+	endpoint     *endpoint
+	openAttempts int
+	sent         bool   // at least one of its attempts was sent
+	idleBucket   int    // of its connection when the call started; see idleBucketOf
+	previousCall Micros // when the previous call to the group started
 }
 
-// startCall takes a slot for a call to an endpoint.
+// startCall occupies a slot for a call to an endpoint.
 func (d *Dispatcher) startCall(endpoint *endpoint) *call {
 	group := endpoint.group
 	started := &call{endpoint: endpoint, previousCall: group.lastCall}
 	if idle := d.now - endpoint.idleSince; endpoint.idleSince > 0 && idle < d.config.IdleTimeout {
-		started.connectionAge = ageIndex(idle)
+		started.idleBucket = idleBucketOf(idle)
 	}
 	d.callsInFlight++
 	endpoint.calls++
 	endpoint.destination.calls++
 	endpoint.lastCall, group.lastCall = d.now, d.now
-	endpoint.callCount.add(d.now, rateSpan, 1)
+	endpoint.callCount.add(d.now, rateDecayTime, 1)
 	group.totalCalls++
 	d.markRecent(group)
 	return started
 }
 
-// addAttempt puts a message on a call.
+// addAttempt adds an attempt of a message to a call.
 func (d *Dispatcher) addAttempt(message *message, call *call) *attempt {
 	group := call.endpoint.group
 	added := &attempt{message: message, endpoint: call.endpoint, call: call, sentAt: d.now}
@@ -58,7 +58,7 @@
 	return added
 }
 
-// resumeAttempt takes over an attempt that another process has in flight. At a half-open breaker it is the trial.
+// resumeAttempt takes over an attempt that the predecessor has in flight. At a half-open breaker it becomes the trial.
 func (d *Dispatcher) resumeAttempt(message *message, endpoint *endpoint, sentAt Micros) {
 	d.dequeue(message)
 	resumed := d.addAttempt(message, d.startCall(endpoint))
@@ -69,7 +69,7 @@
 	}
 }
 
-// unfinishedAttempt returns the attempt that an event is about; nil if it is not known or has finished already.
+// unfinishedAttempt returns the attempt that an event refers to; nil if it is unknown or has already finished.
 func (d *Dispatcher) unfinishedAttempt(event AttemptFinished) *attempt {
 	message := d.messages[event.Message]
 	if message == nil || int(event.Attempt) >= len(message.attempts) || message.attempts[event.Attempt].finished {
@@ -78,8 +78,9 @@
 	return message.attempts[event.Attempt]
 }
 
-// finishAttempt books an outcome; the last attempt of a call frees its slot. A call of which nothing was sent, as its
-// messages were canceled before, does not count for the interval between calls: others would wait for nothing.
+// finishAttempt records the outcome of an attempt; the last attempt of a call frees its slot. A call of which nothing was
+// sent, because its messages were canceled before, does not count for the interval between calls: other messages would
+// wait without a reason.
 func (d *Dispatcher) finishAttempt(attempt *attempt, event AttemptFinished) {
 	attempt.finished = true
 	attempt.message.inFlight--
@@ -113,23 +114,24 @@
 	d.emit(CloseIdle{endpoint.Endpoint})
 }
 
-// youngestAge is the idle time of a connection that is in constant use; each further age is twice as long.
-const youngestAge = 16 * millisecond
+// firstIdleLimit is the upper limit of idle-time bucket 1, for connections in constant use. The limit doubles with each
+// further bucket.
+const firstIdleLimit = 16 * millisecond
 
-// ageIndex sorts connections by how long they were idle before a call; 0 stands for new ones.
-func ageIndex(idle Micros) int {
-	return min(1+bits.Len64(uint64(idle/youngestAge)), len(Dispatcher{}.lostCalls)-1)
+// idleBucketOf returns the bucket for the time that a connection was idle before a call. Bucket 0 is for new connections.
+func idleBucketOf(idle Micros) int {
+	return min(1+bits.Len64(uint64(idle/firstIdleLimit)), len(Dispatcher{}.lostCalls)-1)
 }
 
-// lossyRestTime is the idle time from which on calls are lost more often than on new connections, by a share of more. A
-// single loss is ignored.
-func (d *Dispatcher) lossyRestTime(more float64) Micros {
-	lost := func(sum *decayingSum, ignored float64) float64 {
-		return max(0, sum.decay(d.now, rateSpan).sum-ignored) / (sum.weight + 2)
+// lossyIdleTime returns the idle time from which the share of lost calls exceeds that on new connections by more than
+// margin; never if there is none. A single loss per bucket is ignored.
+func (d *Dispatcher) lossyIdleTime(margin float64) Micros {
+	lossShare := func(sum *decayingSum, ignored float64) float64 {
+		return max(0, sum.decay(d.now, rateDecayTime).sum-ignored) / (sum.weight + 2)
 	}
-	for age := 1; age < len(d.lostCalls); age++ {
-		if lost(&d.lostCalls[age], 1) > lost(&d.lostCalls[0], 0)+more {
-			return youngestAge << age / 4 // the shortest of that age
+	for bucket := 1; bucket < len(d.lostCalls); bucket++ {
+		if lossShare(&d.lostCalls[bucket], 1) > lossShare(&d.lostCalls[0], 0)+margin {
+			return firstIdleLimit << bucket / 4 // shortest idle time of the bucket
 		}
 	}
 	return never
--- a/dispatch/endpoints.go
+++ b/dispatch/endpoints.go
@@ -2,20 +2,20 @@
 
 import "slices"
 
-// Destinations, their endpoints and endpoint groups, as the list has them and as calls to them went. No decision is made in
-// this file.
+// This file keeps destinations, their endpoints and endpoint groups: their entries on the endpoint list and the results of
+// calls to them. It makes no decisions.
 
 // destination is a receiver of messages, with its queue.
 type destination struct {
 	id           DestinationID
 	endpointType EndpointType
-	typeIndex    int // of its endpoint type, in the sums that are kept by type
+	typeIndex    int // index of its endpoint type in sums that are kept by type
 	groups       []*endpointGroup
-	endpoints    []*endpoint // in rank
+	endpoints    []*endpoint // ordered by rank
 	queue        []*message
 	calls        int         // in flight
-	accepted     decayingSum // messages that were not resubmitted
-	urgency      float64     // value that a slot gains there, per microsecond
+	accepted     decayingSum // messages accepted within quota, without resubmissions
+	urgency      float64     // value that a slot gains at this destination, per microsecond
 }
 
 // endpoint is one server of a destination.
@@ -23,25 +23,25 @@
 	EndpointEntry
 	destination  *destination
 	group        *endpointGroup
-	rank         uint64
-	calls        int // in flight
+	rank         uint64 // rendezvous hash
+	calls        int    // in flight
 	callCount    decayingSum
 	lastAnswer   Micros
 	lastCall     Micros
-	idleSince    Micros // when a call last left its connection idle; 0 if there is none
-	warmingUntil Micros // enabled again by an operator: warm from then on
-	failureRun          // of all classes
-	classRuns    []failureRun
+	idleSince    Micros       // when the last call left its connection idle; 0 if no connection is idle
+	warmingUntil Micros       // end of the warm-up after an operator enabled it again
+	failureRun                // over all classes
+	classRuns    []failureRun // by class
 }
 
-// failureRun counts consecutive failures at an endpoint, and how long it is ejected for them.
+// failureRun counts consecutive failures at an endpoint, and holds until when it is ejected for them.
 type failureRun struct {
 	failures     int
 	ejectedUntil Micros
 }
 
-// endpointGroup is what limits, intervals, Retry-After, outages and breakers are kept for: all endpoints of a destination,
-// or one endpoint where its type has them separate.
+// endpointGroup is the unit for which limits, intervals, Retry-After, outages and breakers are kept: all endpoints of a
+// destination, or a single endpoint if its type is separate.
 type endpointGroup struct {
 	destination *destination
 	breakers    []breaker  // by class
@@ -50,44 +50,44 @@
 	lastAnswer        Micros
 	lastCall          Micros
 	lastDelivery      Micros
-	lastDeliveredSent Micros // the latest sending of an attempt that was delivered
-	lastFailure       Micros // of a call that failed or was throttled
+	lastDeliveredSent Micros // latest send time of a delivered attempt
+	lastFailure       Micros // last outcome that was a failure or throttling
 
-	interval          Micros // between calls, as throttling has shown; see Dispatcher.interval for what holds
-	throttledInterval Micros // the interval that was last throttled
-	widenedAt         Micros
+	interval          Micros // between calls, adapted to throttling; Dispatcher.interval returns the one that applies
+	throttledInterval Micros // interval at the last throttling
+	widenedAt         Micros // when widenInterval last changed the interval
 	retryAfterUntil   Micros
-	draw              float64 // uniform in [0, 1): its place among the couriers with the same Retry-After
-	throttleSigns     int     // consecutive ones
+	retryAfterJitter  float64 // uniform in [0, 1): spreads couriers with the same Retry-After
+	throttleSigns     int     // consecutive throttled attempts
 
 	durations    decayingSum // in microseconds
 	deliveries   decayingSum
-	countedSince Micros
+	countedSince Micros // start of the counts
 
-	outage       bool // and no delivery since
+	outage       bool // an outage was marked and there was no delivery since
 	outageAt     Micros
 	failureSigns int // consecutive signs of an outage
 	warmingUp    bool
 	warmingSince Micros
-	usualRate    float64 // calls a second before the outage
+	usualRate    float64 // deliveries per second before the outage
 
-	rate       float64 // calls a second from all couriers, listed or reported; 0 if unknown
-	remaining  float64 // share of the limit, as last reported
+	rate       float64 // limit in calls per second from all couriers, listed or reported; 0 if unknown
+	remaining  float64 // share of the limit that is left, as last reported
 	reported   bool    // rate and remaining come from load reports
 	reportedAt Micros
 	quota      QuotaShare // as agreed among couriers
 
-	recent         bool // in Dispatcher.recentGroups
+	inRecentGroups bool // the group is in Dispatcher.recentGroups
 	totalCalls     int
 	totalDelivered int
 	totalThrottled int
 }
 
-// crowding counts connections refused by full connection tables, among those and the deliveries.
-type crowding struct {
+// refusalStats holds the share of connections that were refused by full connection tables, among refusals and deliveries.
+type refusalStats struct {
 	decayingSum
-	lastCounted Micros
-	active      bool
+	lastCounted Micros // when a refusal was last counted
+	tablesFull  bool   // the share was above the threshold at the last check of shouldCloseIdle
 }
 
 type breakerState int
@@ -100,17 +100,17 @@
 
 func (s breakerState) String() string { return [...]string{"closed", "open", "half-open"}[s] }
 
-// breaker is the circuit breaker of a class at a group.
+// breaker is the circuit breaker of one class at one group.
 type breaker struct {
 	state     breakerState
-	failures  int // consecutive ones
+	failures  int // consecutive failures
 	openUntil Micros
-	changedAt Micros // of the state
+	changedAt Micros // when the state last changed
 	usedAt    Micros
-	trial     *attempt // the one attempt that a half-open breaker allows
+	trial     *attempt // the only attempt that a half-open breaker allows
 }
 
-// destination returns a destination, which it makes where it is not known yet.
+// destination returns the destination with an ID, and creates it if it is not known yet.
 func (d *Dispatcher) destination(id DestinationID) *destination {
 	known := d.destinations[id]
 	if known == nil {
@@ -120,7 +120,7 @@
 	return known
 }
 
-// newEndpoint adds an endpoint to its destination, in a group of its own where endpoints are separate.
+// newEndpoint adds an endpoint to its destination, in its own group if the endpoint type is separate.
 func (d *Dispatcher) newEndpoint(entry EndpointEntry, destination *destination, rank uint64) *endpoint {
 	added := &endpoint{EndpointEntry: entry, destination: destination, rank: rank, lastAnswer: -never / 2, classRuns: d.newFailureRuns()}
 	if destination.endpointType.Separate || len(destination.groups) == 0 {
@@ -146,7 +146,7 @@
 	}
 }
 
-// applyList takes over the entries of the endpoint list, or the changes of a partial one.
+// applyList applies the entries of a whole endpoint list, or the changes of a partial one.
 func (d *Dispatcher) applyList(event EndpointUpdate) {
 	if event.Kind != PartialList {
 		for _, endpoint := range d.endpoints {
@@ -165,8 +165,8 @@
 	}
 }
 
-// observeReport takes in the load report and the Retry-After of an answer. Either may come with any outcome, as an answer
-// for several messages has one beside the outcome of each.
+// observeReport records the load report and the Retry-After of an answer. Either may come with any outcome, as an answer for
+// several messages has one report and one Retry-After beside the outcome of each message.
 func (d *Dispatcher) observeReport(event AttemptFinished, group *endpointGroup) {
 	left, rate, report := d.config.ReportLeftIndex, d.config.ReportRateIndex, event.LoadReport
 	if min(left, rate) >= 0 && len(report) > max(left, rate) && report[rate] > 0 {
@@ -174,12 +174,12 @@
 	}
 	if event.RetryAfter > 0 {
 		until := d.now + event.RetryAfter + d.config.Tick
-		group.retryAfterUntil, group.draw = max(group.retryAfterUntil, until), d.rng.Float64()
+		group.retryAfterUntil, group.retryAfterJitter = max(group.retryAfterUntil, until), d.rng.Float64()
 	}
 }
 
-// Avoided reports whether an endpoint gets no new message now: unknown, draining, removed, disabled by an operator, ejected,
-// or with no breaker closed for a class that is not ejected. It changes nothing.
+// Avoided reports whether an endpoint gets no new messages now: it is unknown, draining, removed, disabled by an operator or
+// ejected, or there is no class for which its breaker is closed and it is not ejected. Avoided changes no state.
 func (d *Dispatcher) Avoided(now Micros, id EndpointID) bool {
 	endpoint := d.endpoints[id]
 	if endpoint == nil || endpoint.Phase != InService || d.disabled[id] || endpoint.ejectedUntil > now {
@@ -193,7 +193,8 @@
 	return len(endpoint.group.breakers) > 0
 }
 
-// prune forgets endpoints that were removed from the list and idle for so long, and destinations with nothing left.
+// prune drops endpoints that were removed from the list and not called for the idle time, and destinations that are no longer
+// needed.
 func (d *Dispatcher) prune(idle Micros) {
 	d.forgetIdleGroups()
 	for _, destination := range d.destinations {
@@ -225,23 +226,24 @@
 	destination.endpoints = slices.DeleteFunc(destination.endpoints, unused)
 }
 
-// markRecent puts a group on the list of those that were called recently.
+// markRecent adds a group to the recently called groups.
 func (d *Dispatcher) markRecent(group *endpointGroup) {
-	if !group.recent {
-		group.recent = true
+	if !group.inRecentGroups {
+		group.inRecentGroups = true
 		d.recentGroups = append(d.recentGroups, group)
 	}
 }
 
-// forgetIdleGroups drops groups from that list that were not called for long.
+// forgetIdleGroups removes groups from the recently called groups that were not called for forgetAfter and whose Retry-After
+// has passed.
 func (d *Dispatcher) forgetIdleGroups() {
 	d.recentGroups = slices.DeleteFunc(d.recentGroups, func(group *endpointGroup) bool {
-		group.recent = d.now-group.lastCall <= forgetAfter || group.retryAfterUntil > d.now
-		return !group.recent
+		group.inRecentGroups = d.now-group.lastCall <= forgetAfter || group.retryAfterUntil > d.now
+		return !group.inRecentGroups
 	})
 }
 
-// earliestReady is when the first group takes a message, as far as is known.
+// earliestReady returns when the first group of a destination may get a message, as far as is known.
 func (d *Dispatcher) earliestReady(message *message) Micros {
 	at := never
 	for _, group := range message.destination.groups {
--- a/dispatch/keyorder.go
+++ b/dispatch/keyorder.go
@@ -6,12 +6,12 @@
 type keyOrder struct {
 	key       OrderingKey
 	messages  []*message
-	holdUntil Micros // an attempt of the key may still run until then
+	holdUntil Micros // an attempt with the key may still run until then
 }
 
-// joinKey appends a message to those of its ordering key.
+// joinKey appends a message to the messages of its ordering key.
 func (d *Dispatcher) joinKey(key OrderingKey, message *message) *keyOrder {
-	d.releaseKeys()
+	d.dropExpiredKeys()
 	order := d.keys[key]
 	if order == nil {
 		order = &keyOrder{key: key}
@@ -21,7 +21,7 @@
 	return order
 }
 
-// remove takes a message out of the order, which may be nil.
+// remove removes a message from the order. The order may be nil.
 func (o *keyOrder) remove(message *message) {
 	if o == nil {
 		return
@@ -31,7 +31,7 @@
 	}
 }
 
-// sendableAt is when a message may be sent by the order of its ordering key: 0 for at once, never while an earlier
+// sendableAt returns when the order of its ordering key allows a message to be sent: 0 for at once, never while an earlier
 // message of the key is unfinished.
 func (o *keyOrder) sendableAt(message *message) Micros {
 	switch {
@@ -43,13 +43,14 @@
 	return o.holdUntil
 }
 
-// releaseKeys forgets keys that are no longer held and have no messages. Keys rarely come twice, so nothing else would.
-func (d *Dispatcher) releaseKeys() {
-	d.restingKeys = slices.DeleteFunc(d.restingKeys, func(order *keyOrder) bool {
-		over := d.now >= order.holdUntil
-		if over && len(order.messages) == 0 && d.keys[order.key] == order {
+// dropExpiredKeys drops keys that are no longer held and have no messages. Few keys are used twice, so no later message would
+// cause their removal.
+func (d *Dispatcher) dropExpiredKeys() {
+	d.idleHeldKeys = slices.DeleteFunc(d.idleHeldKeys, func(order *keyOrder) bool {
+		expired := d.now >= order.holdUntil
+		if expired && len(order.messages) == 0 && d.keys[order.key] == order {
 			delete(d.keys, order.key)
 		}
-		return over
+		return expired
 	})
 }
--- a/dispatch/listing.go
+++ b/dispatch/listing.go
@@ -2,100 +2,107 @@
 
 import "math/rand"
 
-// When the endpoint list is polled again after a poll that came to nothing, and how long it may be trusted meanwhile. A watch that
-// is well goes on without a decision.
+// This file decides when the endpoint list is polled again after a failed poll, and how long the held list may be
+// used meanwhile. A watch without failures continues without decisions here.
 
 const (
-	// ListDeadline is when a change counts as known at the latest, after discovery had it and could be reached.
+	// ListDeadline is the time within which a courier must know a change that discovery has, while discovery is
+	// reachable.
 	ListDeadline = 6 * second
-	// listHold bounds how long calls wait for a list that may lack a change past its deadline: discovery that is down tells nothing
-	// that counts, and destinations are to be served meanwhile. It allows for one more poll that is silent, 2.4 s, and one that is not.
-	listHold = 3 * second
+	// staleListHold bounds how long calls are held back while the list may lack a change past its deadline. While
+	// discovery is down no deadline applies, and destinations must still be served. The bound leaves time for one
+	// more poll without an answer, 2.4 s, and one with an answer.
+	staleListHold = 3 * second
 
-	// Polls that failed are repeated after 0.05 to 0.15 s twice: what went before may have taken most of the deadline. The longest
-	// pause, 0.6 to 1.8 s, leaves three polls and more to each span of the deadline, and a server that comes back one call from each
-	// courier in a second and more.
+	// The first two retries of a failed poll come after 0.05 to 0.15 s each, as the polls before may have taken
+	// most of the deadline. The longest pause, 0.6 to 1.8 s, allows at least three polls within each ListDeadline,
+	// and a discovery server that returns gets less than one call per second from each courier on average.
 	firstListRetry = second / 10
 	maxListRetry   = 12 * second / 10
-	// Answers of which a part could not be used are asked for again sooner, as they are no sign of a server that is overloaded.
-	firstListReread = second * 3 / 100
-	maxListReread   = second
-	// rereadsByVersion is how many times what is newer is asked for again before the whole list is.
-	rereadsByVersion = 1
-	// Entries that the source confirms and this configuration cannot use are looked at again ever more rarely.
-	firstUnusableReread = 5 * second
-	maxUnusableReread   = 60 * second
+	// Lists that could be used only in part are requested again sooner, as they are no sign of an overloaded
+	// server.
+	firstIncompleteRetry = second * 3 / 100
+	maxIncompleteRetry   = second
+	// incrementalRetries is how many times the changes since the held version are requested again before the whole
+	// list is.
+	incrementalRetries = 1
+	// Lists with entries that the source confirms and this configuration cannot use are requested again at growing
+	// intervals.
+	firstUnusableRetry = 5 * second
+	maxUnusableRetry   = 60 * second
 )
 
-// listing is how current the endpoint list is.
-type listing struct {
-	pollAt     Micros // when to poll; never while a poll is out
-	currentAt  Micros // when nothing was missing in the list
-	failures   int    // polls in a row that brought nothing
-	incomplete int    // polls in a row of which a part could not be used
-	uncertain  bool   // since then a poll was not answered in time, or not such that all of it could be used
-	unusable   int    // times in a row that the source confirmed entries that cannot be used
+// listStatus is how current the held endpoint list is.
+type listStatus struct {
+	pollAt          Micros // when to poll; never while a poll is in progress
+	completeAt      Micros // when the list last had no missing changes
+	failures        int    // consecutive polls that failed
+	incompleteReads int    // consecutive polls with a list that could be used only in part
+	mayLackChanges  bool   // since completeAt a poll was not answered in time, or its list could be used only in part
+	unusableReads   int    // consecutive lists in which the source confirmed entries that cannot be used
 }
 
-// failed decides when to poll after a poll that brought nothing; silent is whether it was not answered in time.
+// recordFailure schedules the next poll after a failed one. silent is set if the poll was not answered in time.
 //
-// Incident: after a silent watch had taken 5.5 s of the deadline, one refused poll began a pause of 1 to 4 s, and a drain was
-// heeded past its grace. The pause goes by the failures in a row, and its longest by the deadline.
-func (l *listing) failed(now Micros, silent bool, rng *rand.Rand) {
+// Incident: an unanswered watch had taken 5.5 s of the deadline when one refused poll started a pause of 1 to 4 s,
+// and a draining endpoint got calls after its grace period. The pause therefore depends on the consecutive
+// failures, and its maximum on ListDeadline.
+func (l *listStatus) recordFailure(now Micros, silent bool, rng *rand.Rand) {
 	l.failures++
-	l.uncertain = l.uncertain || silent
+	l.mayLackChanges = l.mayLackChanges || silent
 	pause := min(firstListRetry<<min(max(0, l.failures-2), 10), maxListRetry)
 	l.pollAt = now + pause/2 + Micros(rng.Int63n(int64(pause)))
 }
 
-// read takes in that a list was read.
-func (l *listing) read(now Micros, event EndpointUpdate) {
-	if event.Kind == CachedList { // it says nothing of what was polled
-		l.currentAt = now
+// update records that a list was received.
+func (l *listStatus) update(now Micros, event EndpointUpdate) {
+	if event.Kind == CachedList { // it is not the answer to a poll
+		l.completeAt = now
 		return
 	}
 	l.pollAt, l.failures = never, 0
 	if event.Incomplete {
-		l.uncertain = true
-		l.pollAt = now + min(firstListReread<<min(l.incomplete, 10), maxListReread)
-		l.incomplete++
+		l.mayLackChanges = true
+		l.pollAt = now + min(firstIncompleteRetry<<min(l.incompleteReads, 10), maxIncompleteRetry)
+		l.incompleteReads++
 		return
 	}
-	l.currentAt, l.uncertain, l.incomplete = now, false, 0
+	l.completeAt, l.mayLackChanges, l.incompleteReads = now, false, 0
 	if !event.Unusable {
-		l.unusable = 0
+		l.unusableReads = 0
 		return
 	}
-	l.pollAt = now + min(firstUnusableReread<<min(l.unusable, 10), maxUnusableReread)
-	l.unusable++
+	l.pollAt = now + min(firstUnusableRetry<<min(l.unusableReads, 10), maxUnusableRetry)
+	l.unusableReads++
 }
 
-// poll returns the poll that is due. After a failure it is answered at once, so that silence shows.
-func (l *listing) poll() WatchEndpoints {
+// startPoll returns the poll that is due. After a failure it requests an answer at once, so that a missing answer
+// is noticed early.
+func (l *listStatus) startPoll() WatchEndpoints {
 	l.pollAt = never
-	return WatchEndpoints{Whole: l.incomplete > rereadsByVersion || l.unusable > 0, Immediate: l.failures+l.incomplete > 0}
+	return WatchEndpoints{Whole: l.incompleteReads > incrementalRetries || l.unusableReads > 0, Immediate: l.failures+l.incompleteReads > 0}
 }
 
-// overdue reports whether the list may lack a change past its deadline, and until when that holds calls back.
-func (l *listing) overdue(now Micros) (until Micros, overdue bool) {
-	from := l.currentAt + ListDeadline
-	return from + listHold, l.uncertain && now >= from && now < from+listHold
+// stale reports whether the list may lack a change past its deadline, and until when calls are held back for it.
+func (l *listStatus) stale(now Micros) (until Micros, stale bool) {
+	deadline := l.completeAt + ListDeadline
+	return deadline + staleListHold, l.mayLackChanges && now >= deadline && now < deadline+staleListHold
 }
 
-// updateEndpoints takes over the endpoint list or changes of it, or schedules a poll after a failed one.
+// updateEndpoints applies the endpoint list or changes of it, or schedules a poll after a failed one.
 func (d *Dispatcher) updateEndpoints(event EndpointUpdate) {
 	if event.Kind == ListFailed || event.Kind == ListSilent {
-		d.listing.failed(d.now, event.Kind == ListSilent, d.rng)
+		d.listStatus.recordFailure(d.now, event.Kind == ListSilent, d.rng)
 		return
 	}
-	d.listing.read(d.now, event)
+	d.listStatus.update(d.now, event)
 	d.applyList(event)
 	d.prune(forgetAfter)
 }
 
-// MayCall reports whether the endpoint list is current enough for a call to leave now. Incident: see listing.failed; a call whose
-// connection comes up late must not leave either.
+// MayCall reports whether the endpoint list is current enough for a call to leave now. This also applies to a call
+// whose connection is established late: see the incident at listStatus.recordFailure.
 func (d *Dispatcher) MayCall(now Micros) bool {
-	_, overdue := d.listing.overdue(now)
-	return !overdue
+	_, stale := d.listStatus.stale(now)
+	return !stale
 }
--- a/dispatch/localfault.go
+++ b/dispatch/localfault.go
@@ -1,23 +1,25 @@
 package dispatch
 
-// What a failure on this machine says: nothing of any destination. No attempt left, so none counts, no breaker opens and no endpoint is ejected;
-// but what this machine is short of it is short of for all, so that nothing is sent for a moment.
+// This file handles failures on this machine, such as a lack of sockets. They are no evidence about any
+// destination: the attempt was not sent, so it is not counted, opens no breaker and ejects no endpoint. As the lack
+// affects all destinations, nothing is sent for a short time.
 
 const (
-	// The pause is as short as a table that is full for a moment, and grows to what a message of the shortest deadlines can spare.
+	// The first pause suits a table that is full for a moment. The pause grows to what a message with a short
+	// deadline can spare.
 	firstLocalPause = second / 50
 	maxLocalPause   = second * 8 / 25
 )
 
-// localFault is a failure of this machine that lasts.
+// localFault is the state of a continuing failure on this machine; its zero value means no failure.
 type localFault struct {
-	failures    int    // in a row, those of attempts that were sent together counted once
-	failedAt    Micros // when the last one was counted
-	pausedUntil Micros
+	failures    int    // consecutive ones; attempts that were sent together count once
+	failedAt    Micros // when the last failure was counted
+	pausedUntil Micros // nothing is sent until then
 }
 
-// fails takes in that an attempt never left.
-func (f *localFault) fails(now, sentAt Micros) {
+// recordFailure records that an attempt was not sent.
+func (f *localFault) recordFailure(now, sentAt Micros) {
 	if f.failures > 0 && sentAt < f.failedAt {
 		return
 	}
@@ -26,24 +28,26 @@
 	f.failures++
 }
 
-// sends takes in that an attempt is sent: while the fault lasts, one is enough to see whether it is over.
-func (f *localFault) sends(now Micros) {
+// recordSend records that an attempt is sent. While the fault lasts, it extends the pause: one attempt is enough to
+// test whether the fault is over.
+func (f *localFault) recordSend(now Micros) {
 	if f.failures > 0 {
 		f.pausedUntil = max(f.pausedUntil, now+firstLocalPause)
 	}
 }
 
-// clear ends the fault where an attempt has left.
+// clear ends the fault if the outcome shows that an attempt has left this machine.
 func (f *localFault) clear(outcome Outcome) {
 	if outcome != Unprocessed && outcome != Canceled {
 		*f = localFault{}
 	}
 }
 
-// attemptUnsent books an attempt that never left: it is none of those that its message may have.
+// attemptUnsent records an attempt that was not sent. It does not count towards the attempts that its message may
+// have.
 func (d *Dispatcher) attemptUnsent(event AttemptUnsent) {
 	if attempt := d.unfinishedAttempt(event.AttemptFinished); attempt != nil {
-		d.local.fails(d.now, attempt.sentAt)
+		d.localFault.recordFailure(d.now, attempt.sentAt)
 		attempt.message.unsent++
 	}
 	event.Outcome = Unprocessed
--- a/dispatch/localfault_test.go
+++ b/dispatch/localfault_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestLocalFaultsSayNothing: attempts that never left, however many, open no breaker, eject no endpoint and are none of those that a message may
+// TestUnsentAttemptsCountForNoEndpoint: attempts that never left, however many, open no breaker, eject no endpoint and are none of those that a message may
 // have; between them is a pause that grows, and one that leaves ends it.
-func TestLocalFaultsSayNothing(t *testing.T) {
+func TestUnsentAttemptsCountForNoEndpoint(t *testing.T) {
 	const attempts = 40
 	d := New(Config{Classes: []Class{{Objective: second, TimeToLive: 60 * second, Priority: 1, Idempotency: Idempotent}}, EndpointTypes: []EndpointType{{MaxPerCall: 1}},
 		Couriers: 1, Slots: 10, QueueLimit: 10, MaxAttempts: 6, Tick: 1000, SlowStart: 10 * second, OverloadFactor: 2, Seed: 1})
@@ -40,8 +40,8 @@
 	if b := endpoint.group.breakers[0]; b.state != breakerClosed || b.failures > 0 || endpoint.ejectedUntil > 0 || endpoint.group.outage {
 		t.Errorf("breaker %+v, ejected until %d, outage %v", b, endpoint.ejectedUntil, endpoint.group.outage)
 	}
-	d.local.clear(Delivered)
-	if d.local != (localFault{}) {
-		t.Errorf("after an attempt that left %+v", d.local)
+	d.localFault.clear(Delivered)
+	if d.localFault != (localFault{}) {
+		t.Errorf("after an attempt that left %+v", d.localFault)
 	}
 }
--- a/dispatch/observation.go
+++ b/dispatch/observation.go
@@ -1,12 +1,13 @@
 package dispatch
 
-// observe takes in what the outcome of an attempt says of its endpoint and group.
+// observe updates the learned state of an endpoint and its group with the outcome of an attempt.
 func (d *Dispatcher) observe(event AttemptFinished, attempt *attempt) {
 	endpoint, group, outcome := attempt.endpoint, attempt.endpoint.group, event.Outcome
 	d.observeReport(event, group)
-	// A full connection table looks like an outage to one attempt, while others are answered.
+	// A refused connection while other attempts are answered is due to a full connection table, not an
+	// outage.
 	tableFull := outcome == Unreachable && endpoint.lastAnswer > attempt.sentAt
-	d.observeCrowding(event, group)
+	d.observeRefusals(event, group)
 	if outcome != Delivered && outcome != Unprocessed && outcome != Canceled && !tableFull {
 		group.lastFailure = d.now
 	}
@@ -20,38 +21,39 @@
 			d.observeFailure(event, attempt)
 		}
 	}
-	lost := &d.lostCalls[attempt.call.connectionAge]
+	lostCalls := &d.lostCalls[attempt.call.idleBucket]
 	if outcome == Delivered || outcome == Failure || outcome == Throttled {
 		group.lastAnswer, endpoint.lastAnswer = d.now, d.now
-		lost.add(d.now, rateSpan, 0)
+		lostCalls.add(d.now, rateDecayTime, 0)
 	} else if outcome == Broken {
-		lost.add(d.now, rateSpan, 1)
+		lostCalls.add(d.now, rateDecayTime, 1)
 	}
 	d.updateBreaker(attempt, outcome, tableFull)
 }
 
-// observeCrowding counts refused connections among the calls to an endpoint type, but not all that an outage
-// refuses.
-func (d *Dispatcher) observeCrowding(event AttemptFinished, group *endpointGroup) {
-	crowding := &d.crowding[group.destination.typeIndex]
+// observeRefusals counts connections refused by full connection tables among the calls to an endpoint type.
+// As an outage also refuses connections, it ignores refusals during a known outage, those that took half a
+// second or more, and those within outageAfter of the last counted one.
+func (d *Dispatcher) observeRefusals(event AttemptFinished, group *endpointGroup) {
+	refusals := &d.connectionRefusals[group.destination.typeIndex]
 	refused := event.Outcome == Unreachable && !group.outage && event.Duration < second/2
 	if event.Outcome == Delivered {
-		crowding.add(d.now, rateSpan, 0)
-	} else if refused && d.now-crowding.lastCounted > outageAfter {
-		crowding.add(d.now, rateSpan, 1)
-		crowding.lastCounted = d.now
+		refusals.add(d.now, rateDecayTime, 0)
+	} else if refused && d.now-refusals.lastCounted > outageAfter {
+		refusals.add(d.now, rateDecayTime, 1)
+		refusals.lastCounted = d.now
 	}
 }
 
 func (d *Dispatcher) observeDelivery(event AttemptFinished, attempt *attempt) {
 	endpoint, group := attempt.endpoint, attempt.endpoint.group
-	group.durations.add(d.now, durationSpan, float64(event.Duration))
-	d.durations.add(d.now, durationSpan, float64(event.Duration))
-	group.deliveries.add(d.now, rateSpan, 1)
-	d.throttled[group.destination.typeIndex].add(d.now, rateSpan, 0)
+	group.durations.add(d.now, durationDecayTime, float64(event.Duration))
+	d.durations.add(d.now, durationDecayTime, float64(event.Duration))
+	group.deliveries.add(d.now, rateDecayTime, 1)
+	d.throttled[group.destination.typeIndex].add(d.now, rateDecayTime, 0)
 	d.narrowInterval(group, event.RetryAfter)
 	if group.outage && attempt.sentAt < group.outageAt {
-		return // sent before the outage: it would start the ramp while the server is still down
+		return // sent before the outage: it would start the recovery ramp while the server is still down
 	}
 	if group.outage || group.failureSigns > 2 && d.now-group.lastDelivery > outageAfter {
 		group.warmingUp, group.warmingSince = true, d.now
@@ -62,16 +64,18 @@
 }
 
 func (d *Dispatcher) observeThrottling(event AttemptFinished, group *endpointGroup) {
-	d.throttled[group.destination.typeIndex].add(d.now, rateSpan, 1)
-	// Throttled although plenty of the limit is left, and without Retry-After: shut or hung, not over its limit.
-	unexpected := group.reported && group.remaining >= scarceShare && event.RetryAfter == 0
-	least := maxInterval / 2
+	d.throttled[group.destination.typeIndex].add(d.now, rateDecayTime, 1)
+	// Throttling without Retry-After while enough of the limit is left: the server is closed or hung, and not
+	// over its limit.
+	unexpected := group.reported && group.remaining >= lowRemainingShare && event.RetryAfter == 0
+	minStart := maxInterval / 2
 	if unexpected {
-		least = 4 * maxInterval
+		minStart = 4 * maxInterval
 	}
-	d.widenInterval(group, least)
-	d.countSign(group, &group.throttleSigns, Throttled, unexpected)
-	// A longer Retry-After than any limit needs: shut. Queued messages would overload it when it opens.
+	d.widenInterval(group, minStart)
+	d.countOutageSign(group, &group.throttleSigns, Throttled, unexpected)
+	// A Retry-After longer than any limit requires: the server is closed. Queued messages would overload it
+	// when it opens.
 	if event.RetryAfter > outageAfter {
 		d.markOutage(group)
 	}
@@ -80,22 +84,23 @@
 func (d *Dispatcher) observeFailure(event AttemptFinished, attempt *attempt) {
 	endpoint, group, outcome := attempt.endpoint, attempt.endpoint.group, event.Outcome
 	if outcome == TimedOut && group.lastDeliveredSent > attempt.sentAt {
-		d.lostCalls[attempt.call.connectionAge].add(d.now, rateSpan, 1)
-		return // what was sent later was delivered: this call was lost, the server is up
+		d.lostCalls[attempt.call.idleBucket].add(d.now, rateDecayTime, 1)
+		return // a call sent later was delivered: the server is up, and only this call was lost
 	}
-	if outcome != Broken { // after a reset the server is there
-		d.countSign(group, &group.failureSigns, outcome, false)
+	if outcome != Broken { // a connection reset shows that the server is reachable
+		d.countOutageSign(group, &group.failureSigns, outcome, false)
 	}
 	if outcome == TimedOut {
-		group.durations.add(d.now, durationSpan, float64(event.Duration))
+		group.durations.add(d.now, durationDecayTime, float64(event.Duration))
 	}
+	// Unless shared, the failure may be limited to this endpoint.
 	shared := group.destination.endpointType.Separate || group.failureSigns >= len(group.destination.endpoints)
-	if shared && d.fairRate(group) < rareRate && outcome == Unreachable { // otherwise it may be this one endpoint
-		d.widenInterval(group, 4*maxInterval) // so few calls that six consecutive failures come too late
+	if shared && d.fairRate(group) < lowCallRate && outcome == Unreachable {
+		d.widenInterval(group, 4*maxInterval) // the breaker would see six failures too late
 	}
-	all, ofClass := &endpoint.failureRun, &endpoint.classRuns[attempt.message.classID]
-	for _, run := range []*failureRun{all, ofClass} { // one class may fail where others do not
-		if run.failures++; run.failures >= 2 || run == ofClass && d.fairRate(group) < rareRate {
+	endpointRun, classRun := &endpoint.failureRun, &endpoint.classRuns[attempt.message.classID]
+	for _, run := range []*failureRun{endpointRun, classRun} { // one class may fail while others do not
+		if run.failures++; run.failures >= 2 || run == classRun && d.fairRate(group) < lowCallRate {
 			run.ejectedUntil = d.now + min(8*second, second<<min(run.failures, 4))
 		}
 	}
--- a/dispatch/ordering.go
+++ b/dispatch/ordering.go
@@ -6,7 +6,8 @@
 	"slices"
 )
 
-// sendQueued sends queued messages as far as slots and intervals allow, most urgent destinations first.
+// sendQueued sends queued messages as far as slots and intervals allow, for the most urgent destinations
+// first.
 func (d *Dispatcher) sendQueued() {
 	for _, destination := range d.waiting {
 		d.sortQueue(destination)
@@ -21,9 +22,9 @@
 			case len(destination.queue) == 0 || free > 0 && destination.calls > d.maxCalls(destination, free):
 			case free > 0:
 				sent = d.sendNext(destination) || sent
-			default: // no slot is free: a ready message may have an overdue attempt canceled
+			default: // no slot is free: for a ready message an overdue attempt may be canceled
 				if endpoint, _ := d.selectEndpoint(destination.queue[0]); endpoint != nil {
-					overdue = min(overdue, 3+float64(min(destination.calls, 1))) // later where it has a call in flight
+					overdue = min(overdue, 3+float64(min(destination.calls, 1))) // later if it has a call in flight
 				}
 			}
 		}
@@ -33,8 +34,9 @@
 	}
 }
 
-// maxCalls is how many calls a destination may have in flight: twice the free slots, but only as many as are
-// free before its first answer and while a call is overdue, as a silent destination would take them all.
+// maxCalls returns how many calls a destination may have in flight: twice the number of free slots. Before
+// its first answer, and while a call is overdue, it is only the number of free slots, as a silent destination
+// would otherwise take them all.
 func (d *Dispatcher) maxCalls(destination *destination, free int) int {
 	for _, group := range destination.groups {
 		if len(group.inFlight) == 0 {
@@ -48,34 +50,35 @@
 	return 2 * free
 }
 
-// sortQueue puts the messages first that lose the most by waiting another second. The urgency of the
-// destination is what a slot gains there over the time that a call takes it.
+// sortQueue sorts the queue by the value that messages lose by waiting another second, highest first. The
+// urgency of the destination is the value that a slot gains there per microsecond of a call.
 func (d *Dispatcher) sortQueue(destination *destination) {
 	if len(destination.queue) == 0 || len(destination.groups) == 0 {
 		return
 	}
 	at := d.now + d.expectedDuration(destination.groups[0])
 	for _, message := range destination.queue {
-		message.loss = d.valueAt(message, at) - d.valueAt(message, at+second)
+		message.valueLoss = d.valueAt(message, at) - d.valueAt(message, at+second)
 	}
 	slices.SortStableFunc(destination.queue, func(a, b *message) int {
-		return cmp.Or(cmp.Compare(b.loss, a.loss), cmp.Compare(b.priority, a.priority),
+		return cmp.Or(cmp.Compare(b.valueLoss, a.valueLoss), cmp.Compare(b.priority, a.priority),
 			cmp.Compare(a.objectiveAt, b.objectiveAt))
 	})
 	first := destination.queue[0]
-	destination.urgency = (first.loss + first.priority/100) / float64(at-d.now+second/10)
+	destination.urgency = (first.valueLoss + first.priority/100) / float64(at-d.now+second/10)
 }
 
-// sendNext sends the first message that an endpoint is ready for, and others in the same call where that is
-// allowed.
+// sendNext sends the first message for which an endpoint is ready, and others in the same call where that is
+// allowed. It reports whether it sent one.
 func (d *Dispatcher) sendNext(destination *destination) bool {
 	for _, message := range destination.queue {
 		endpoint, trial := d.selectEndpoint(message)
 		if endpoint == nil {
 			continue
 		}
-		// Connections that were idle so long are lost more often, and a new one costs less than that.
-		if endpoint.idleSince > 0 && d.now-endpoint.idleSince >= d.lossyRestTime(0.05) {
+		// Calls on connections that were idle this long are lost more often, which costs more than a new
+		// connection.
+		if endpoint.idleSince > 0 && d.now-endpoint.idleSince >= d.lossyIdleTime(0.05) {
 			d.closeIdle(endpoint)
 		}
 		call := d.startCall(endpoint)
@@ -83,13 +86,13 @@
 		if !trial && !endpoint.group.warmingUp && !endpoint.group.outage {
 			d.fillCall(call, destination)
 		}
-		d.local.sends(d.now)
+		d.localFault.recordSend(d.now)
 		return true
 	}
 	return false
 }
 
-// fillCall adds further queued messages to a call, up to what its endpoint type takes.
+// fillCall adds further queued messages to a call, up to the limit of its endpoint type.
 func (d *Dispatcher) fillCall(call *call, destination *destination) {
 	for _, message := range slices.Clone(destination.queue) {
 		if call.openAttempts >= destination.endpointType.MaxPerCall {
--- a/dispatch/quota.go
+++ b/dispatch/quota.go
@@ -1,42 +1,42 @@
 package dispatch
 
-// What the couriers of a fleet agree on about shared limits, handed out and taken in. No decision is made in this file; what
-// it does to intervals is in ratelimit.go.
+// This file reports this courier's demand for shared limits, and applies the shares that the couriers of a fleet agree on. It
+// makes no decisions; ratelimit.go uses the shares for intervals.
 
-// Demand is what a courier does at one group that was called recently.
+// Demand is the use that a courier makes of one recently called group.
 type Demand struct {
 	Destination DestinationID
 	Endpoint    EndpointID // empty where the group is the whole destination
-	Limit       float64    // calls a second from all couriers; 0 where it is not known, or only roughly
-	Calls       int        // since the courier started, as are Delivered and Throttled
+	Limit       float64    // in calls per second from all couriers; 0 if unknown or only roughly known
+	Calls       int        // calls since the start; Delivered and Throttled count attempts since the start
 	Delivered   int
 	Throttled   int
 	Waiting     int // messages queued for the destination
 }
 
-// QuotaChanged brings what couriers have agreed on. It only lowers what this courier sends, but for leased shares, which
-// others gave up.
+// QuotaChanged delivers the shares that couriers have agreed on. They only lower this courier's rate, except for leased
+// shares, which other couriers have given up.
 type QuotaChanged struct{ Shares []QuotaShare }
 
-// QuotaShare is what holds for one group. Granted and Leased are shares of this courier's own part of the limit.
+// QuotaShare is the agreement for one group. Granted and Leased are relative to this courier's own part of the limit.
 type QuotaShare struct {
 	Destination  DestinationID
 	Endpoint     EndpointID
 	Granted      float64 // given to other couriers, until GrantedUntil
 	GrantedUntil Micros
-	Leased       float64 // on top, from other couriers, until LeasedUntil
+	Leased       float64 // received from other couriers, until LeasedUntil
 	LeasedUntil  Micros
-	Load         float64 // share of the limit that all couriers that were heard of use, until LoadUntil
+	Load         float64 // share of the limit used by all couriers with a known report, until LoadUntil
 	LoadUntil    Micros
 }
 
 func (QuotaChanged) event() {}
 
-// maxGranted is the most of its own part that a courier grants at once.
+// maxGranted is the largest share of its own part that a courier grants to others at any time.
 const maxGranted = 0.5
 
-// Demands returns what the courier does at the groups that were called recently.
-func (d *Dispatcher) Demands() (all []Demand) {
+// Demands returns the demand of the courier at the groups that were called recently.
+func (d *Dispatcher) Demands() (demands []Demand) {
 	for _, group := range d.recentGroups {
 		destination := group.destination
 		demand := Demand{Destination: destination.id, Calls: group.totalCalls, Delivered: group.totalDelivered,
@@ -52,12 +52,12 @@
 				}
 			}
 		}
-		all = append(all, demand)
+		demands = append(demands, demand)
 	}
-	return all
+	return demands
 }
 
-// applyShares takes over what was agreed on. What an earlier start of this courier may have granted is kept from its part.
+// applyShares applies agreed shares. What an earlier run of this courier may have granted stays deducted from its part.
 func (d *Dispatcher) applyShares(event QuotaChanged) {
 	for _, share := range event.Shares {
 		group := d.findGroup(share.Destination, share.Endpoint)
@@ -71,7 +71,7 @@
 	}
 }
 
-// balance is what leases add to this courier's part of the limit, as a share of that; negative where more was granted.
+// balance returns leased minus granted, relative to this courier's own part of the limit.
 func (s *QuotaShare) balance(now Micros) (balance float64) {
 	if now < s.GrantedUntil {
 		balance -= s.Granted
@@ -82,7 +82,7 @@
 	return balance
 }
 
-// load is the share of the limit that is known to be in use; 0 where nothing recent is known.
+// load returns the share of the limit that is known to be in use; 0 if there is no recent value.
 func (s *QuotaShare) load(now Micros) float64 {
 	if now < s.LoadUntil {
 		return s.Load
--- a/dispatch/quota_test.go
+++ b/dispatch/quota_test.go
@@ -8,10 +8,10 @@
 )
 
 // limited is a configuration under which three couriers share a listed limit.
-func limited() (Config, EndpointUpdate) {
+func sharedLimitConfig() (Config, EndpointUpdate) {
 	config := testConfig()
 	config.RateQuality = NominalRates
-	list := threeEndpoints()
+	list := threeEndpointList()
 	for i := range list.Entries {
 		list.Entries[i].Rate = 30
 	}
@@ -22,23 +22,23 @@
 // message as one that was notified nothing. Failure: what couriers had settled lasted beyond its time.
 func TestExpiredLeasesHaveNoEffect(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		config, list := limited()
-		one, other := New(config), New(config)
+		config, list := sharedLimitConfig()
+		plain, leased := New(config), New(config)
 		now := 100 * second
-		one.Handle(now, []Event{list})
-		other.Handle(now, []Event{list, QuotaChanged{[]QuotaShare{{Destination: 1, Granted: 0.5, GrantedUntil: now + 1, Leased: 2, LeasedUntil: now + 1, Load: 3, LoadUntil: now + 1}}}})
+		plain.Handle(now, []Event{list})
+		leased.Handle(now, []Event{list, QuotaChanged{[]QuotaShare{{Destination: 1, Granted: 0.5, GrantedUntil: now + 1, Leased: 2, LeasedUntil: now + 1, Load: 3, LoadUntil: now + 1}}}})
 		for i := range rapid.IntRange(1, 60).Draw(t, "records") {
 			now += Micros(rapid.IntRange(1, 100).Draw(t, "pause")) * millisecond
-			taken := MessageAccepted{Message: MessageID(rune('a' + i)), Destination: 1, Deadline: now + 20*second}
-			got, want := one.Handle(now, []Event{taken}), other.Handle(now, []Event{taken})
+			accepted := MessageAccepted{Message: MessageID(rune('a' + i)), Destination: 1, Deadline: now + 20*second}
+			got, want := plain.Handle(now, []Event{accepted}), leased.Handle(now, []Event{accepted})
 			if !reflect.DeepEqual(got, want) {
 				t.Fatalf("%v, and %v beside what is over", got, want)
 			}
 			for _, a := range got {
 				if s, ok := a.(Send); ok {
 					event := AttemptFinished{Message: s.Message, Attempt: 0, Outcome: Outcome(rapid.IntRange(int(Delivered), int(Broken)).Draw(t, "outcome")), Duration: 50 * millisecond, MessageDone: true}
-					one.Handle(now, []Event{event})
-					other.Handle(now, []Event{event})
+					plain.Handle(now, []Event{event})
+					leased.Handle(now, []Event{event})
 				}
 			}
 		}
@@ -50,67 +50,67 @@
 // left; a lessee that stood still past the lapse and uses on.
 func TestSharedLoadOnlySlowsDown(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		config, list := limited()
+		config, list := sharedLimitConfig()
 		dispatcher := New(config)
 		now := 100 * second
 		dispatcher.Handle(now, []Event{list})
 		group := dispatcher.destinations[1].groups[0]
 		group.reported, group.remaining, group.interval = rapid.Bool().Draw(t, "told"), rapid.Float64Range(0, 1).Draw(t, "left"), Micros(rapid.IntRange(0, 500).Draw(t, "gap"))*millisecond
 		group.outage = rapid.Bool().Draw(t, "sick")
-		before, part := dispatcher.interval(group), dispatcher.fairInterval(group)
+		before, fairInterval := dispatcher.interval(group), dispatcher.fairInterval(group)
 		share := QuotaShare{Destination: 1, Granted: rapid.Float64Range(0, 0.9).Draw(t, "lent"), GrantedUntil: now + second,
 			Load: rapid.Float64Range(0, 12).Draw(t, "load"), LoadUntil: now + second}
 		dispatcher.Handle(now, []Event{QuotaChanged{[]QuotaShare{share}}})
 		if after := dispatcher.interval(group); after < before {
 			t.Fatalf("a gap of %d became %d with %+v", before, after, share)
 		}
-		if share.Load >= 1 && dispatcher.interval(group) < part-1 {
-			t.Fatalf("a limit that is used up, by what is heard, is called every %d us, its part is %d", dispatcher.interval(group), part)
+		if share.Load >= 1 && dispatcher.interval(group) < fairInterval-1 {
+			t.Fatalf("a limit that is used up, by what is heard, is called every %d us, its part is %d", dispatcher.interval(group), fairInterval)
 		}
 		share = QuotaShare{Destination: 1, Leased: rapid.Float64Range(0.1, 2).Draw(t, "loan"), LeasedUntil: now + second}
 		dispatcher.Handle(now, []Event{QuotaChanged{[]QuotaShare{share}}})
-		if dispatcher.fairInterval(group) >= part {
+		if dispatcher.fairInterval(group) >= fairInterval {
 			t.Fatalf("a lease of %v leaves the part at %d", share.Leased, dispatcher.fairInterval(group))
 		}
-		if dispatcher.Handle(now+second, nil); dispatcher.fairInterval(group) != part {
-			t.Fatalf("a lease that lapsed leaves the part at %d of %d", dispatcher.fairInterval(group), part)
+		if dispatcher.Handle(now+second, nil); dispatcher.fairInterval(group) != fairInterval {
+			t.Fatalf("a lease that lapsed leaves the part at %d of %d", dispatcher.fairInterval(group), fairInterval)
 		}
 	})
 }
 
 // TestDemandsCountCalls: what is notified of a route is what was called, served and refused there, and what waits.
 func TestDemandsCountCalls(t *testing.T) {
-	config, list := limited()
+	config, list := sharedLimitConfig()
 	config.Slots = 1
 	dispatcher := New(config)
 	now := 100 * second
 	dispatcher.Handle(now, []Event{list})
 	dispatcher.Handle(now, []Event{MessageAccepted{Message: "a", Destination: 1, Deadline: now + 20*second}, MessageAccepted{Message: "b", Destination: 1, Deadline: now + 20*second}})
 	dispatcher.Handle(now+second, []Event{AttemptFinished{Message: "a", Outcome: Throttled, Duration: second, MessageDone: false}})
-	all := dispatcher.Demands()
-	if len(all) != 1 || all[0].Destination != 1 || all[0].Limit != 30 || all[0].Throttled != 1 || all[0].Calls < 1 || all[0].Waiting < 1 {
-		t.Errorf("needs %+v", all)
+	demands := dispatcher.Demands()
+	if len(demands) != 1 || demands[0].Destination != 1 || demands[0].Limit != 30 || demands[0].Throttled != 1 || demands[0].Calls < 1 || demands[0].Waiting < 1 {
+		t.Errorf("needs %+v", demands)
 	}
 }
 
 // TestStartReservesGrantedShare: as long as an earlier start may have granted half of each part, half is used at most, whatever is notified meanwhile;
 // then all of it. Failure meant: a grantor that is killed and back uses what its lessees still use.
 func TestStartReservesGrantedShare(t *testing.T) {
-	config, list := limited()
+	config, list := sharedLimitConfig()
 	now := 100 * second
-	whole := New(config)
-	whole.Handle(now, []Event{list})
-	part := whole.fairInterval(whole.destinations[1].groups[0])
+	full := New(config)
+	full.Handle(now, []Event{list})
+	fairInterval := full.fairInterval(full.destinations[1].groups[0])
 	config.GrantedUntil = now + 4*second
 	dispatcher := New(config)
 	dispatcher.Handle(now, []Event{list})
 	group := dispatcher.destinations[1].groups[0]
 	for _, events := range [][]Event{nil, {QuotaChanged{[]QuotaShare{{Destination: 1}}}}, {QuotaChanged{[]QuotaShare{{Destination: 1, Granted: 0.1, GrantedUntil: now + second}}}}} {
-		if dispatcher.Handle(now, events); dispatcher.fairInterval(group) < 2*part-1 {
-			t.Errorf("reported %v, a call goes every %d us, the whole part is %d", events, dispatcher.fairInterval(group), part)
+		if dispatcher.Handle(now, events); dispatcher.fairInterval(group) < 2*fairInterval-1 {
+			t.Errorf("reported %v, a call goes every %d us, the whole part is %d", events, dispatcher.fairInterval(group), fairInterval)
 		}
 	}
-	if dispatcher.Handle(config.GrantedUntil, nil); dispatcher.fairInterval(group) != part {
-		t.Errorf("then every %d us, the whole part is %d", dispatcher.fairInterval(group), part)
+	if dispatcher.Handle(config.GrantedUntil, nil); dispatcher.fairInterval(group) != fairInterval {
+		t.Errorf("then every %d us, the whole part is %d", dispatcher.fairInterval(group), fairInterval)
 	}
 }
--- a/dispatch/ratelimit.go
+++ b/dispatch/ratelimit.go
@@ -3,37 +3,38 @@
 import "math"
 
 const (
-	intervalStep = 10 * millisecond // DESIGN's starting values
-	maxInterval  = second
-	scarceShare  = 0.3         // of a limit left: reports are late by some calls and noisy by a seventh
-	rateSpan     = 30 * second // a server's rate for this courier is averaged over a part of a day
+	intervalStep      = 10 * millisecond // this and maxInterval are the initial values of the design
+	maxInterval       = second
+	lowRemainingShare = 0.3         // of a limit; load reports lag by some calls and vary by a seventh
+	rateDecayTime     = 30 * second // averages this courier's rate at a server over part of a day
 )
 
-// remainingShare is the share of a limit that is left. Where calls are rare the last report is old and the
-// limit has recovered since, unless many calls to the endpoint type are throttled: from one in seven they
-// exhaust it.
+// remainingShare returns the share of a limit that is left. Where calls are rare, the last report is old and
+// the limit has recovered since. It has not recovered if many calls to the endpoint type are throttled: from
+// one in seven on they keep it exhausted.
 func (d *Dispatcher) remainingShare(group *endpointGroup) float64 {
 	switch {
 	case !group.reported:
 		return 1
-	case d.fairRate(group) >= rareRate:
+	case d.fairRate(group) >= lowCallRate:
 		return group.remaining
 	}
-	sum := d.throttled[group.destination.typeIndex].decay(d.now, rateSpan)
+	sum := d.throttled[group.destination.typeIndex].decay(d.now, rateDecayTime)
 	age := float64(d.now - group.reportedAt)
 	return group.remaining + max(0, 1-7*sum.sum/(sum.weight+3))*age/float64(10*second)
 }
 
-// rateLimit is what a group takes from all couriers, in calls a second, as listed or reported; 0 if unknown.
+// rateLimit returns the limit of a group for all couriers together, in calls per second, as listed or
+// reported; 0 if unknown.
 func (d *Dispatcher) rateLimit(group *endpointGroup) float64 {
 	if d.config.RateQuality == RoughRates && !group.reported {
-		return group.rate * 0.67 // up to half too high
+		return group.rate * 0.67 // listed rates are up to 50 % too high
 	}
 	return group.rate
 }
 
-// fairRate is this courier's share of a group's limit, in calls a second. Where no limit is known it is
-// measured, with a margin, as limits mostly lie well above the usual calls.
+// fairRate returns this courier's share of a group's limit, in calls per second. Where no limit is known, the
+// share is the measured delivery rate plus a margin, as most limits lie well above the usual call rate.
 func (d *Dispatcher) fairRate(group *endpointGroup) float64 {
 	couriers := float64(max(1, d.config.Couriers)) / (1 + group.quota.balance(d.now))
 	if limit := d.rateLimit(group); limit > 0 {
@@ -42,74 +43,76 @@
 	return max(1.3*d.ownRate(group), 1/couriers)
 }
 
-// fairInterval is the interval between calls at the fair rate.
+// fairInterval returns the interval between calls at the fair rate.
 func (d *Dispatcher) fairInterval(group *endpointGroup) Micros {
 	return Micros(float64(second) / d.fairRate(group))
 }
 
-// ownRate is the rate of this courier's deliveries before an outage, with a margin as limits lie above the
-// usual calls.
+// ownRate returns the higher of this courier's delivery rates now and before an outage, plus a margin, as
+// limits lie above the usual call rate.
 func (d *Dispatcher) ownRate(group *endpointGroup) float64 {
 	return 1.4 * max(group.usualRate, d.deliveryRate(group))
 }
 
-// deliveryRate is the rate of deliveries, in calls a second; just after a start, that of messages accepted in
-// quota.
+// deliveryRate returns the rate of deliveries, in calls per second. Shortly after a start, and if no limit is
+// known, it is at least the rate of messages accepted within quota.
 func (d *Dispatcher) deliveryRate(group *endpointGroup) float64 {
-	count := group.deliveries.decay(d.now, rateSpan).weight
+	count := group.deliveries.decay(d.now, rateDecayTime).weight
 	if d.now-group.countedSince < 15*second && group.rate == 0 {
-		count = max(count, group.destination.accepted.decay(d.now, rateSpan).weight)
+		count = max(count, group.destination.accepted.decay(d.now, rateDecayTime).weight)
 	}
 	return count / d.countedSpan(group) * float64(second)
 }
 
-// countedSpan is the time over which the rates of a group were counted, as far as they have not decayed.
+// countedSpan returns the effective time, in microseconds, over which the decaying counts of a group were
+// collected.
 func (d *Dispatcher) countedSpan(group *endpointGroup) float64 {
 	counted := float64(max(d.now-group.countedSince, 5*second))
-	return float64(rateSpan) * (1 - math.Exp(-counted/float64(rateSpan)))
+	return float64(rateDecayTime) * (1 - math.Exp(-counted/float64(rateDecayTime)))
 }
 
-// narrowInterval lets a group's interval shrink after a delivery: by a quarter, or by a sixteenth near the
-// interval that was last throttled, as with a quarter every third call would be throttled.
+// narrowInterval shortens a group's interval after a delivery: by a quarter, or by a sixteenth near the
+// interval at which a call was last throttled. With a quarter there, every third call would be throttled.
 func (d *Dispatcher) narrowInterval(group *endpointGroup, retryAfter Micros) {
-	share := Micros(4)
+	parts := Micros(4)
 	if group.interval*4 <= group.throttledInterval*5 && group.interval*4 >= group.throttledInterval*3 {
-		share = 16
+		parts = 16
 	}
-	if group.reported && group.remaining >= scarceShare && retryAfter == 0 {
-		group.interval = min(group.interval, d.fairInterval(group)) // plenty is left: throttling is outdated
+	if group.reported && group.remaining >= lowRemainingShare && retryAfter == 0 {
+		group.interval = min(group.interval, d.fairInterval(group)) // enough is left: throttling is outdated
 	}
-	if group.interval = min(group.interval, 4*maxInterval) * (share - 1) / share; group.interval < intervalStep {
+	if group.interval = min(group.interval, 4*maxInterval) * (parts - 1) / parts; group.interval < intervalStep {
 		group.interval = 0
 	}
 }
 
-// widenInterval doubles a group's interval, once an instant: for throttling, and where calls are rare for
-// failures too, as six consecutive ones come too late. It starts at a sixth of the fair interval and ends at
-// that, or a second. Where calls are rare it starts at a random multiple of least: short for throttling, as
-// bursts are over in seconds, else long.
-func (d *Dispatcher) widenInterval(group *endpointGroup, least Micros) {
+// widenInterval doubles a group's interval, at most once per instant. It does so after throttling and, where
+// calls are rare, after failures too, as the breaker would see six consecutive failures too late. The
+// interval starts at a sixth of the fair interval and does not exceed the longer of maxInterval and the fair
+// interval. Where calls are rare it starts at a random value from one to four times minStart, which is short
+// for throttling, as bursts are over within seconds, and long otherwise.
+func (d *Dispatcher) widenInterval(group *endpointGroup, minStart Micros) {
 	if group.widenedAt == d.now {
 		return
 	}
 	group.widenedAt, group.throttledInterval = d.now, group.interval
 	start := min(d.fairInterval(group)/6, 4*maxInterval)
-	if d.fairRate(group) < rareRate {
-		start = least + Micros(d.rng.Int63n(int64(3*least)))
+	if d.fairRate(group) < lowCallRate {
+		start = minStart + Micros(d.rng.Int63n(int64(3*minStart)))
 	}
 	group.interval = min(max(maxInterval, d.fairInterval(group)), max(intervalStep, start, 2*group.interval))
 }
 
-// interval is the minimum interval between two calls to a group.
+// interval returns the minimum interval between two calls to a group.
 func (d *Dispatcher) interval(group *endpointGroup) Micros {
 	interval, warm := group.interval, d.warmShare(group)
-	if left := min(d.remainingShare(group), 1-group.quota.load(d.now)); left < scarceShare {
-		// A limit that is nearly exhausted, or was lowered: keep to this courier's share of it.
-		interval = max(interval, Micros((1-left/scarceShare)*float64(d.fairInterval(group))))
+	if left := min(d.remainingShare(group), 1-group.quota.load(d.now)); left < lowRemainingShare {
+		// The limit is nearly exhausted, or was lowered: move towards this courier's share of it.
+		interval = max(interval, Micros((1-left/lowRemainingShare)*float64(d.fairInterval(group))))
 	}
 	if group.outage || group.warmingUp {
-		// With the random share of readyAt this stays below the overload factor, as the capacity lies above the
-		// limit. One call a second from all couriers together is always allowed.
+		// Together with the messages that readyAt sends at once, the rate stays below the overload factor, as
+		// the capacity lies above the limit. All couriers together may always send one call per second.
 		rate := max(d.fairRate(group), d.ownRate(group)) * max(1, 0.7*d.config.OverloadFactor)
 		slowest := Micros(max(2, d.config.Couriers)) * second
 		interval = max(interval, min(Micros(float64(second)/(rate*warm)), slowest))
--- a/dispatch/scenario_test.go
+++ b/dispatch/scenario_test.go
@@ -36,7 +36,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			p := &player{t: t, messages: map[string]*messageBook{}, replies: map[string]reply{}, phase: map[EndpointID]Phase{}, disabled: map[string]bool{}, digest: sha256.New()}
+			p := &scenarioRunner{t: t, messages: map[string]*messageState{}, replies: map[string]reply{}, phases: map[EndpointID]Phase{}, disabled: map[string]bool{}, digest: sha256.New()}
 			p.config = Config{Seed: 7, Couriers: 1, Slots: 50, QueueLimit: 100, MaxAttempts: 8, MayTellRetryAfter: true,
 				MayCancel: true, MaxRetryAfter: 2 * second, Tick: 5 * millisecond, ReportLeftIndex: -1, ReportRateIndex: -1,
 				SlowStartFrom: 0.2, SlowStart: 10 * second, OverloadFactor: 2, IdleTimeout: 5 * second,
@@ -46,7 +46,7 @@
 				line, _, _ = strings.Cut(line, "#")
 				for _, part := range strings.Split(line, ";") {
 					if words := strings.Fields(part); len(words) > 0 {
-						p.play(words)
+						p.runDirective(words)
 					}
 				}
 			}
@@ -91,47 +91,47 @@
 	loadReport []float64
 }
 
-type pending struct {
+type scheduledOutcome struct {
 	at    Micros
 	event AttemptFinished
 }
 
 // fate is what the rules need to know of a message.
-type messageBook struct {
+type messageState struct {
 	class             Class
-	attempts          []bool // over
+	attemptsDone      []bool // over
 	inFlight          int
 	mayHaveRun, ended bool
 	ranAt, deadline   Micros
 }
 
-type player struct {
+type scenarioRunner struct {
 	t            *testing.T
 	line, checks int
 	config       Config
 	dispatcher   *Dispatcher
-	shadows      watchers
+	shadows      shadowSet
 	paused       bool
 	snapshot     *Snapshot
 	now          Micros
 	batch        []Event
-	open         bool // a batch is being written
-	later        []pending
-	wakes        []Micros
+	batchOpen    bool // a batch is being written
+	scheduled    []scheduledOutcome
+	timers       []Micros
 	actions      []Action
-	messages     map[string]*messageBook
+	messages     map[string]*messageState
 	replies      map[string]reply
-	phase        map[EndpointID]Phase
+	phases       map[EndpointID]Phase
 	disabled     map[string]bool
 	digest       hash.Hash // of all actions, in order
 }
 
-func (p *player) fatal(format string, args ...any) {
+func (p *scenarioRunner) fatal(format string, args ...any) {
 	p.t.Helper()
 	p.t.Fatalf("line %d, at %.3f s: %s", p.line, float64(p.now)/1e6, fmt.Sprintf(format, args...))
 }
 
-func (p *player) span(word string) Micros {
+func (p *scenarioRunner) duration(word string) Micros {
 	d, err := time.ParseDuration(word)
 	if err != nil {
 		p.fatal("not a span: %s", word)
@@ -139,7 +139,7 @@
 	return Micros(d.Microseconds())
 }
 
-func (p *player) number(word string) float64 {
+func (p *scenarioRunner) number(word string) float64 {
 	x, err := strconv.ParseFloat(word, 64)
 	if err != nil {
 		p.fatal("not a number: %s", word)
@@ -147,7 +147,7 @@
 	return x
 }
 
-func (p *player) loadReport(left, rate string) []float64 {
+func (p *scenarioRunner) loadReport(left, rate string) []float64 {
 	if left == "" {
 		return nil
 	}
@@ -155,7 +155,7 @@
 }
 
 // ids expands r1..r9.
-func (p *player) ids(word string) []string {
+func (p *scenarioRunner) expandIDs(word string) []string {
 	from, to, ok := strings.Cut(word, "..")
 	if !ok {
 		return []string{word}
@@ -169,120 +169,120 @@
 	return out
 }
 
-var outcomeWords = map[string]Outcome{"done": Delivered, "failure": Failure, "full": Throttled, "timed_out": TimedOut,
+var outcomesByKeyword = map[string]Outcome{"done": Delivered, "failure": Failure, "full": Throttled, "timed_out": TimedOut,
 	"unreachable": Unreachable, "broken": Broken, "withdrawn": Canceled, "void": Unprocessed}
 
-func (p *player) play(w []string) {
-	opt := func(name, otherwise string) string {
-		for i := 1; i+1 < len(w); i++ {
-			if w[i] == name {
-				return w[i+1]
+func (p *scenarioRunner) runDirective(words []string) {
+	option := func(name, fallback string) string {
+		for i := 1; i+1 < len(words); i++ {
+			if words[i] == name {
+				return words[i+1]
 			}
 		}
-		return otherwise
+		return fallback
 	}
-	has := func(name string) bool { return strings.Contains(" "+strings.Join(w, " ")+" ", " "+name+" ") }
-	if len(p.config.Classes) == 0 && w[0] == "at" {
+	has := func(name string) bool { return strings.Contains(" "+strings.Join(words, " ")+" ", " "+name+" ") }
+	if len(p.config.Classes) == 0 && words[0] == "at" {
 		p.config.Classes = []Class{{Objective: second, TimeToLive: 60 * second, Priority: 1, LateFactor: 0.5}}
 	}
-	if !p.open && (w[0] == "list" || w[0] == "take" || w[0] == "end" || w[0] == "left" || w[0] == "recover" || w[0] == "bar" || w[0] == "unbar" || w[0] == "learned" || w[0] == "recharter") {
+	if !p.batchOpen && (words[0] == "list" || words[0] == "take" || words[0] == "end" || words[0] == "left" || words[0] == "recover" || words[0] == "bar" || words[0] == "unbar" || words[0] == "learned" || words[0] == "recharter") {
 		p.fatal("an event needs an instant of its own")
 	}
-	switch w[0] {
+	switch words[0] {
 	case "charter":
-		c := &p.config
-		c.Slots = int(p.number(opt("slots", strconv.Itoa(c.Slots))))
-		c.QueueLimit = int(p.number(opt("hold", strconv.Itoa(c.QueueLimit))))
-		c.MaxAttempts = int(p.number(opt("trips", strconv.Itoa(c.MaxAttempts))))
-		c.Couriers = int(p.number(opt("couriers", strconv.Itoa(c.Couriers))))
-		c.CourierNumber = int(p.number(opt("number", "0")))
-		c.Zone, c.CrossZoneCost = ZoneID(p.number(opt("zone", "0"))), p.number(opt("crossing", "0"))
-		c.MustPoll = has("ask")
+		config := &p.config
+		config.Slots = int(p.number(option("slots", strconv.Itoa(config.Slots))))
+		config.QueueLimit = int(p.number(option("hold", strconv.Itoa(config.QueueLimit))))
+		config.MaxAttempts = int(p.number(option("trips", strconv.Itoa(config.MaxAttempts))))
+		config.Couriers = int(p.number(option("couriers", strconv.Itoa(config.Couriers))))
+		config.CourierNumber = int(p.number(option("number", "0")))
+		config.Zone, config.CrossZoneCost = ZoneID(p.number(option("zone", "0"))), p.number(option("crossing", "0"))
+		config.MustPoll = has("ask")
 		if has("reports") {
-			c.ReportLeftIndex, c.ReportRateIndex = 0, 1
+			config.ReportLeftIndex, config.ReportRateIndex = 0, 1
 		}
 		if has("nominal") {
-			c.RateQuality = NominalRates
+			config.RateQuality = NominalRates
 		}
 	case "workload":
-		kind := map[string]Idempotency{"replayable": Idempotent, "referenced": IdempotencyKey, "single-use": AtMostOnce}[w[1]]
-		p.config.Classes = append(p.config.Classes, Class{Idempotency: kind, LateFactor: p.number(opt("late", "0.5")),
-			Objective: p.span(opt("quoted", "1s")), TimeToLive: p.span(opt("life", "20s")),
-			Priority: p.number(opt("payoff", "1")), IdempotencyWindow: p.span(opt("window", "5s")),
+		idempotency := map[string]Idempotency{"replayable": Idempotent, "referenced": IdempotencyKey, "single-use": AtMostOnce}[words[1]]
+		p.config.Classes = append(p.config.Classes, Class{Idempotency: idempotency, LateFactor: p.number(option("late", "0.5")),
+			Objective: p.duration(option("quoted", "1s")), TimeToLive: p.duration(option("life", "20s")),
+			Priority: p.number(option("payoff", "1")), IdempotencyWindow: p.duration(option("window", "5s")),
 			SameZone: has("onezone"), Ordered: has("ordered")})
 	case "shape":
-		p.config.EndpointTypes = append(p.config.EndpointTypes, EndpointType{Separate: w[1] == "apart", MaxPerCall: int(p.number(w[2]))})
+		p.config.EndpointTypes = append(p.config.EndpointTypes, EndpointType{Separate: words[1] == "apart", MaxPerCall: int(p.number(words[2]))})
 	case "party":
 		p.config.OverQuotaFactor = 0.1
-		p.config.Tenants = append(p.config.Tenants, Tenant{p.number(w[1])})
+		p.config.Tenants = append(p.config.Tenants, Tenant{p.number(words[1])})
 	case "at":
 		p.flush()
-		p.advance(Micros(p.number(w[1]) * 1e6))
-		p.open = true
+		p.advance(Micros(p.number(words[1]) * 1e6))
+		p.batchOpen = true
 	case "answer":
-		if w[2] == "never" {
-			delete(p.replies, w[1])
+		if words[2] == "never" {
+			delete(p.replies, words[1])
 		} else {
-			p.replies[w[1]] = reply{outcomeWords[w[2]], p.span(opt(w[2], "20ms")), p.loadReport(opt("left", ""), opt("rate", "0"))}
+			p.replies[words[1]] = reply{outcomesByKeyword[words[2]], p.duration(option(words[2], "20ms")), p.loadReport(option("left", ""), option("rate", "0"))}
 		}
 	case "list":
-		news := EndpointUpdate{Kind: map[string]UpdateKind{"persisted": CachedList, "complete": CompleteList, "partial": PartialList,
-			"error": ListFailed}[w[1]]}
-		if news.Kind == CompleteList {
-			clear(p.phase)
+		update := EndpointUpdate{Kind: map[string]UpdateKind{"persisted": CachedList, "complete": CompleteList, "partial": PartialList,
+			"error": ListFailed}[words[1]]}
+		if update.Kind == CompleteList {
+			clear(p.phases)
 		}
-		for _, word := range w[2:] { // endpoint:dest:zone:shape:phase:rate
+		for _, word := range words[2:] { // endpoint:dest:zone:shape:phase:rate
 			parts := append(strings.Split(word, ":"), "", "", "", "", "")
 			field := func(i int) int { return int(p.number("0" + parts[i])) }
 			entry := EndpointEntry{Endpoint: EndpointID(parts[0]), Destination: DestinationID(field(1)), Zone: ZoneID(field(2)),
 				Type: EndpointTypeID(field(3)), Rate: float64(field(5)),
 				Phase: map[string]Phase{"": InService, "in": InService, "lame": Draining, "out": Removed}[parts[4]]}
-			news.Entries = append(news.Entries, entry)
-			p.phase[entry.Endpoint] = entry.Phase
+			update.Entries = append(update.Entries, entry)
+			p.phases[entry.Endpoint] = entry.Phase
 		}
-		p.batch = append(p.batch, news)
+		p.batch = append(p.batch, update)
 	case "take":
-		for _, id := range p.ids(w[1]) {
-			work := ClassID(p.number(opt("w", "0")))
-			cutOff := p.now + p.config.Classes[work].TimeToLive
-			p.messages[id] = &messageBook{class: p.config.Classes[work], deadline: cutOff}
-			p.batch = append(p.batch, MessageAccepted{Message: MessageID(id), Destination: DestinationID(p.number(opt("dest", "1"))),
-				Class: work, Tenant: TenantID(p.number(opt("p", "0"))), OrderingKey: OrderingKey(opt("key", "")), Deadline: cutOff})
+		for _, id := range p.expandIDs(words[1]) {
+			class := ClassID(p.number(option("w", "0")))
+			deadline := p.now + p.config.Classes[class].TimeToLive
+			p.messages[id] = &messageState{class: p.config.Classes[class], deadline: deadline}
+			p.batch = append(p.batch, MessageAccepted{Message: MessageID(id), Destination: DestinationID(p.number(option("dest", "1"))),
+				Class: class, Tenant: TenantID(p.number(option("p", "0"))), OrderingKey: OrderingKey(option("key", "")), Deadline: deadline})
 		}
 	case "recover": // ID, w, key, left, attempts OUTCOME@AGO[/ZONE],...; the outcome "out" is one that is still awaited
-		work := ClassID(p.number(opt("w", "0")))
-		book := &messageBook{class: p.config.Classes[work]}
-		book.deadline = p.now + p.span(opt("left", "5s"))
-		event := MessageRecovered{MessageAccepted: MessageAccepted{Message: MessageID(w[1]), Destination: 1, Class: work, OrderingKey: OrderingKey(opt("key", "")), Deadline: book.deadline}}
-		for _, word := range strings.Split(opt("trips", ""), ",") {
+		class := ClassID(p.number(option("w", "0")))
+		state := &messageState{class: p.config.Classes[class]}
+		state.deadline = p.now + p.duration(option("left", "5s"))
+		event := MessageRecovered{MessageAccepted: MessageAccepted{Message: MessageID(words[1]), Destination: 1, Class: class, OrderingKey: OrderingKey(option("key", "")), Deadline: state.deadline}}
+		for _, word := range strings.Split(option("trips", ""), ",") {
 			if name, rest, ok := strings.Cut(word, "@"); ok {
 				ago, zone, _ := strings.Cut(rest, "/")
-				past := PastAttempt{Endpoint: EndpointID(opt("at", "")), SentAt: p.now - p.span(ago), Outcome: outcomeWords[name],
+				past := PastAttempt{Endpoint: EndpointID(option("at", "")), SentAt: p.now - p.duration(ago), Outcome: outcomesByKeyword[name],
 					Zone: ZoneID(p.number("0" + zone))}
 				past.InFlight = name == "out"
 				event.Attempts = append(event.Attempts, past)
-				book.attempts = append(book.attempts, !past.InFlight)
+				state.attemptsDone = append(state.attemptsDone, !past.InFlight)
 				if past.InFlight {
-					book.inFlight++
-				} else if outcome := past.Outcome; !book.mayHaveRun && outcome != Throttled && outcome != Unreachable && outcome != Unprocessed {
-					book.mayHaveRun, book.ranAt = true, past.SentAt
+					state.inFlight++
+				} else if outcome := past.Outcome; !state.mayHaveRun && outcome != Throttled && outcome != Unreachable && outcome != Unprocessed {
+					state.mayHaveRun, state.ranAt = true, past.SentAt
 				}
 			}
 		}
-		p.messages[w[1]] = book
+		p.messages[words[1]] = state
 		p.batch = append(p.batch, event)
 	case "restart": // all that was held is dropped; what was learned is kept for the line learned
 		snapshot := p.dispatcher.Snapshot()
-		p.snapshot, p.dispatcher, p.later, p.wakes, p.shadows = &snapshot, New(p.config), nil, nil, nil
-		for _, book := range p.messages {
-			book.ended = true
+		p.snapshot, p.dispatcher, p.scheduled, p.timers, p.shadows = &snapshot, New(p.config), nil, nil, nil
+		for _, state := range p.messages {
+			state.ended = true
 		}
 	case "learned":
 		p.batch = append(p.batch, SnapshotRestored{*p.snapshot})
 	case "recharter": // slots, hold, and "at-most-once" for a first class that may run twice no more
 		config := p.config
 		config.Classes = append([]Class(nil), config.Classes...)
-		config.Slots, config.QueueLimit = int(p.number(opt("slots", strconv.Itoa(config.Slots)))), int(p.number(opt("hold", strconv.Itoa(config.QueueLimit))))
+		config.Slots, config.QueueLimit = int(p.number(option("slots", strconv.Itoa(config.Slots)))), int(p.number(option("hold", strconv.Itoa(config.QueueLimit))))
 		if has("single-use") {
 			config.Classes[0].Idempotency = AtMostOnce
 		}
@@ -290,94 +290,94 @@
 		p.config = config
 		p.batch = append(p.batch, Reconfigured{config})
 	case "closing":
-		p.batch = append(p.batch, ShutdownScheduled{p.now + p.span(w[1])})
+		p.batch = append(p.batch, ShutdownScheduled{p.now + p.duration(words[1])})
 	case "end":
-		for _, id := range p.ids(w[1]) {
-			s := AttemptFinished{Message: MessageID(id), Attempt: AttemptNumber(p.number(w[2])), Outcome: outcomeWords[w[3]],
-				Duration: p.span(opt("took", "100ms")), RetryAfter: p.span(opt("wait", "0s"))}
-			s.LoadReport = p.loadReport(opt("left", ""), opt("rate", "0"))
-			if book := p.messages[id]; has("over") && book != nil {
-				book.ended = true
+		for _, id := range p.expandIDs(words[1]) {
+			event := AttemptFinished{Message: MessageID(id), Attempt: AttemptNumber(p.number(words[2])), Outcome: outcomesByKeyword[words[3]],
+				Duration: p.duration(option("took", "100ms")), RetryAfter: p.duration(option("wait", "0s"))}
+			event.LoadReport = p.loadReport(option("left", ""), option("rate", "0"))
+			if state := p.messages[id]; has("over") && state != nil {
+				state.ended = true
 			}
-			p.batch = append(p.batch, p.note(s))
+			p.batch = append(p.batch, p.recordOutcome(event))
 		}
 	case "bar", "unbar": // by people
-		p.batch = append(p.batch, MaintenanceChanged{EndpointID(w[1]), w[0] == "bar"})
-		p.disabled[w[1]] = w[0] == "bar"
+		p.batch = append(p.batch, MaintenanceChanged{EndpointID(words[1]), words[0] == "bar"})
+		p.disabled[words[1]] = words[0] == "bar"
 	case "stands": // still: what falls due until the next instant comes then, all at once
 		p.flush()
 		p.paused = true
 	case "left":
-		p.batch = append(p.batch, MessageCanceled{MessageID(w[1])})
-		p.messages[w[1]].ended = true
+		p.batch = append(p.batch, MessageCanceled{MessageID(words[1])})
+		p.messages[words[1]].ended = true
 	case "holds":
 		p.flush()
 		p.checks++
 		got := map[string]int{"records": len(p.dispatcher.messages), "keys": len(p.dispatcher.keys),
-			"endpoints": len(p.dispatcher.endpoints), "dests": len(p.dispatcher.destinations)}[w[1]]
-		if got != int(p.number(w[2])) {
-			p.fatal("holds %d %s, not %s", got, w[1], w[2])
+			"endpoints": len(p.dispatcher.endpoints), "dests": len(p.dispatcher.destinations)}[words[1]]
+		if got != int(p.number(words[2])) {
+			p.fatal("holds %d %s, not %s", got, words[1], words[2])
 		}
 	case "want", "none", "most", "least":
 		p.flush()
-		p.check(w)
+		p.checkActions(words)
 	default:
-		p.fatal("no such line: %s", w[0])
+		p.fatal("no such line: %s", words[0])
 	}
 }
 
 // note keeps the books of an outcome that is about to be notified.
-func (p *player) note(event AttemptFinished) AttemptFinished {
-	book := p.messages[string(event.Message)]
-	if book == nil || int(event.Attempt) >= len(book.attempts) {
+func (p *scenarioRunner) recordOutcome(event AttemptFinished) AttemptFinished {
+	state := p.messages[string(event.Message)]
+	if state == nil || int(event.Attempt) >= len(state.attemptsDone) {
 		return event
 	}
-	book.attempts[event.Attempt] = true
-	book.inFlight--
+	state.attemptsDone[event.Attempt] = true
+	state.inFlight--
 	if event.Outcome == Delivered {
-		book.ended = true
+		state.ended = true
 	}
-	event.MessageDone = book.ended
+	event.MessageDone = state.ended
 	if outcome := event.Outcome; outcome != Throttled && outcome != Unreachable && outcome != Unprocessed {
-		book.mayHaveRun = true
+		state.mayHaveRun = true
 	}
 	return event
 }
 
 // flush hands over the batch that was written.
-func (p *player) flush() {
-	if p.open {
-		p.open = false
+func (p *scenarioRunner) flush() {
+	if p.batchOpen {
+		p.batchOpen = false
 		p.handle(p.batch)
 		p.batch = nil
 	}
 }
 
-func (p *player) handle(events []Event) {
+func (p *scenarioRunner) handle(events []Event) {
 	if p.dispatcher == nil {
 		p.dispatcher = New(p.config)
 	}
 	actions := p.dispatcher.Handle(p.now, events)
-	p.shadows.see(p, events, actions)
+	p.shadows.observe(p, events, actions)
 	for _, action := range actions {
 		digestAction(p.digest, p.now, action)
-		p.rules(action)
+		p.checkRules(action)
 		p.actions = append(p.actions, action)
 	}
 }
 
 // advance plays wake-ups and answers that fall due before an instant; what was done before is forgotten.
-func (p *player) advance(to Micros) {
+func (p *scenarioRunner) advance(to Micros) {
 	p.actions = nil
 	for p.dispatcher != nil {
-		sort.SliceStable(p.later, func(i, j int) bool { return p.later[i].at < p.later[j].at })
-		sort.Slice(p.wakes, func(i, j int) bool { return p.wakes[i] < p.wakes[j] })
+		sort.SliceStable(p.scheduled, func(i, j int) bool { return p.scheduled[i].at < p.scheduled[j].at })
+		sort.Slice(p.timers, func(i, j int) bool { return p.timers[i] < p.timers[j] })
 		next := Micros(math.MaxInt64)
-		if len(p.later) > 0 {
-			next = p.later[0].at
+		if len(p.scheduled) > 0 {
+			next = p.scheduled[0].at
 		}
-		if len(p.wakes) > 0 {
-			next = min(next, p.wakes[0])
+		if len(p.timers) > 0 {
+			next = min(next, p.timers[0])
 		}
 		if next >= to {
 			break
@@ -386,12 +386,12 @@
 			p.now = to
 		}
 		var events []Event
-		for len(p.later) > 0 && p.later[0].at <= p.now {
-			events = append(events, p.note(p.later[0].event))
-			p.later = p.later[1:]
+		for len(p.scheduled) > 0 && p.scheduled[0].at <= p.now {
+			events = append(events, p.recordOutcome(p.scheduled[0].event))
+			p.scheduled = p.scheduled[1:]
 		}
-		for len(p.wakes) > 0 && p.wakes[0] <= p.now {
-			events, p.wakes = append(events, TimerFired{}), p.wakes[1:]
+		for len(p.timers) > 0 && p.timers[0] <= p.now {
+			events, p.timers = append(events, TimerFired{}), p.timers[1:]
 		}
 		p.handle(events)
 	}
@@ -399,92 +399,92 @@
 }
 
 // rules holds every action against the six rules, in every scenario.
-func (p *player) rules(action Action) {
+func (p *scenarioRunner) checkRules(action Action) {
 	p.t.Helper()
-	end := func(id MessageID, reject bool) {
-		book := p.messages[string(id)]
-		if book == nil || book.ended {
+	recordAnswer := func(id MessageID, reject bool) {
+		state := p.messages[string(id)]
+		if state == nil || state.ended {
 			p.fatal("a second answer, or one for a stranger: %s", id)
 		}
-		if p.now > book.deadline {
+		if p.now > state.deadline {
 			p.fatal("%s answered after its deadline", id)
 		}
-		if reject && (book.mayHaveRun || book.inFlight > 0) && (book.class.Idempotency == AtMostOnce || book.class.SameZone) {
+		if reject && (state.mayHaveRun || state.inFlight > 0) && (state.class.Idempotency == AtMostOnce || state.class.SameZone) {
 			p.fatal("%s rejected though it may have run", id)
 		}
-		book.ended = true
+		state.ended = true
 	}
 	switch a := action.(type) {
 	case Reject:
-		end(a.Message, true)
+		recordAnswer(a.Message, true)
 	case Fail:
-		end(a.Message, false)
+		recordAnswer(a.Message, false)
 	case SetTimer:
-		p.wakes = append(p.wakes, a.At)
+		p.timers = append(p.timers, a.At)
 	case Send:
-		book := p.messages[string(a.Message)]
+		state := p.messages[string(a.Message)]
 		switch {
-		case book == nil || book.ended:
+		case state == nil || state.ended:
 			p.fatal("%s sent after its end", a.Message)
-		case p.phase[a.Endpoint] != InService:
+		case p.phases[a.Endpoint] != InService:
 			p.fatal("%s sent to %s, which is not in", a.Message, a.Endpoint)
 		case p.disabled[string(a.Endpoint)]:
 			p.fatal("%s sent to %s, which people have taken out", a.Message, a.Endpoint)
-		case book.class.Idempotency == AtMostOnce && (book.mayHaveRun || book.inFlight > 0):
+		case state.class.Idempotency == AtMostOnce && (state.mayHaveRun || state.inFlight > 0):
 			p.fatal("%s is at-most-once and sent again", a.Message)
-		case book.class.Idempotency == IdempotencyKey && book.mayHaveRun && p.now > book.ranAt+book.class.IdempotencyWindow:
+		case state.class.Idempotency == IdempotencyKey && state.mayHaveRun && p.now > state.ranAt+state.class.IdempotencyWindow:
 			p.fatal("%s sent again after its window", a.Message)
-		case a.Timeout <= 0 || p.now+a.Timeout > book.deadline:
+		case a.Timeout <= 0 || p.now+a.Timeout > state.deadline:
 			p.fatal("%s may run past its deadline", a.Message)
 		}
-		if len(book.attempts) == 0 {
-			book.ranAt = p.now
+		if len(state.attemptsDone) == 0 {
+			state.ranAt = p.now
 		}
-		book.attempts = append(book.attempts, false)
-		book.inFlight++
+		state.attemptsDone = append(state.attemptsDone, false)
+		state.inFlight++
 		if r, ok := p.replies[string(a.Endpoint)]; ok {
-			p.later = append(p.later, pending{p.now + r.delay, AttemptFinished{Message: a.Message,
-				Attempt: AttemptNumber(len(book.attempts) - 1), Outcome: r.outcome, Duration: r.delay, LoadReport: r.loadReport}})
+			p.scheduled = append(p.scheduled, scheduledOutcome{p.now + r.delay, AttemptFinished{Message: a.Message,
+				Attempt: AttemptNumber(len(state.attemptsDone) - 1), Outcome: r.outcome, Duration: r.delay, LoadReport: r.loadReport}})
 		}
 	}
 }
 
 // check compares what was done since the last "at" with: want|none KIND [ID [ENDPOINT]], most|least N KIND; * is any.
-func (p *player) check(w []string) {
+func (p *scenarioRunner) checkActions(directive []string) {
 	p.t.Helper()
 	p.checks++
-	words, number := w[1:], -1
-	if w[0] == "most" || w[0] == "least" {
-		number, words = int(p.number(w[1])), w[2:]
+	pattern, limit := directive[1:], -1
+	if directive[0] == "most" || directive[0] == "least" {
+		limit, pattern = int(p.number(directive[1])), directive[2:]
 	}
-	n := 0
+	found := 0
 	for _, action := range p.actions {
-		said := ""
+		text := ""
 		switch a := action.(type) {
 		case Send:
-			said = fmt.Sprintf("send %s %s", a.Message, a.Endpoint)
+			text = fmt.Sprintf("send %s %s", a.Message, a.Endpoint)
 		case Reject:
-			said = fmt.Sprintf("bounce %s pause %d", a.Message, a.RetryAfter/millisecond)
+			text = fmt.Sprintf("bounce %s pause %d", a.Message, a.RetryAfter/millisecond)
 		case Fail:
-			said = fmt.Sprintf("terminate %s", a.Message)
+			text = fmt.Sprintf("terminate %s", a.Message)
 		case Cancel:
-			said = fmt.Sprintf("cancel %s", a.Message)
+			text = fmt.Sprintf("cancel %s", a.Message)
 		case CloseIdle:
-			said = fmt.Sprintf("close %s", a.Endpoint)
+			text = fmt.Sprintf("close %s", a.Endpoint)
 		case WatchEndpoints:
-			said = "watch"
+			text = "watch"
 		}
-		all := true
-		for i, part := range strings.Fields(said) {
-			all = all && (i >= len(words) || words[i] == "*" || words[i] == part)
+		matches := true
+		for i, word := range strings.Fields(text) {
+			matches = matches && (i >= len(pattern) || pattern[i] == "*" || pattern[i] == word)
 		}
-		if all && len(strings.Fields(said)) >= len(words) {
-			n++
+		if matches && len(strings.Fields(text)) >= len(pattern) {
+			found++
 		}
 	}
 	switch {
-	case w[0] == "want" && n == 0, w[0] == "none" && n > 0,
-		w[0] == "most" && n > number, w[0] == "least" && n < number:
-		p.fatal("%s: found %d in %+v", strings.Join(w, " "), n, p.actions)
+	case directive[0] == "want" && found == 0, directive[0] == "none" && found > 0,
+		directive[0] == "most" && found > limit, directive[0] == "least" && found < limit:
+		p.fatal("%s: found %d in %+v", strings.Join(directive, " "), found, p.actions)
 	}
 }
--- a/dispatch/selection.go
+++ b/dispatch/selection.go
@@ -8,7 +8,8 @@
 	"slices"
 )
 
-// addEndpoint ranks a new endpoint by rendezvous hashing, by courier: else all couriers would fill one.
+// addEndpoint adds an endpoint and ranks it by rendezvous hashing. The hash includes the courier number, as
+// otherwise all couriers would fill the same endpoint first.
 func (d *Dispatcher) addEndpoint(entry EndpointEntry) *endpoint {
 	destination := d.destination(entry.Destination)
 	if int(entry.Type) < len(d.config.EndpointTypes) {
@@ -28,7 +29,7 @@
 	return cmp.Or(cmp.Compare(d.cost(a), d.cost(b)), cmp.Compare(a.rank, b.rank))
 }
 
-// cost is what a call to an endpoint costs by its zone.
+// cost returns the cost of a call to an endpoint, which depends on its zone.
 func (d *Dispatcher) cost(endpoint *endpoint) (cost float64) {
 	if endpoint.Zone != d.config.Zone {
 		cost = d.config.CrossZoneCost
@@ -39,21 +40,21 @@
 	return cost
 }
 
-// mayReceive reports whether the rules allow a message to be sent to an endpoint now.
+// mayReceive reports whether a message may be sent to an endpoint now, apart from intervals and breakers.
 func (d *Dispatcher) mayReceive(message *message, endpoint *endpoint) bool {
 	class := message.class
 	if endpoint.Phase != InService || d.disabled[endpoint.Endpoint] {
 		return false
 	}
-	if d.now < d.local.pausedUntil {
-		d.scheduleAt(d.local.pausedUntil)
+	if d.now < d.localFault.pausedUntil {
+		d.scheduleAt(d.localFault.pausedUntil)
 		return false
 	}
-	if until, overdue := d.listing.overdue(d.now); overdue {
+	if until, stale := d.listStatus.stale(d.now); stale {
 		d.scheduleAt(until)
 		return false
 	}
-	// The end of the process cuts off calls, which fails an at-most-once message: none is sent near it.
+	// A shutdown cuts off calls, which fails at-most-once messages: none of them is sent shortly before it.
 	if class.Idempotency == AtMostOnce && d.now+2*d.expectedDuration(endpoint.group) > d.shutdownAt {
 		return false
 	}
@@ -68,9 +69,9 @@
 	return inWindow && (!class.SameZone || endpoint.Zone == message.ranZone)
 }
 
-// selectEndpoint returns the endpoint for a message: the first in rank, or a later one with fewer calls in
-// flight; nil if none is ready. Ejected endpoints, and the one where the last attempt failed, are used only
-// if there is no other.
+// selectEndpoint returns the endpoint for a message: of those that are ready, the one with the fewest calls
+// in flight, and of equal ones the first in rank; nil if none is ready. Ejected endpoints, and the one where
+// the last attempt failed, are used only if there is no other. trial is set if the call is a breaker's trial.
 func (d *Dispatcher) selectEndpoint(message *message) (best *endpoint, trial bool) {
 	var spare *endpoint
 	least := 0
@@ -78,19 +79,19 @@
 		if !d.mayReceive(message, endpoint) {
 			continue
 		}
-		at := max(d.readyAt(message, endpoint.group), endpoint.lastCall+d.maintenanceInterval(endpoint))
+		at := max(d.readyAt(message, endpoint.group), endpoint.lastCall+d.warmupInterval(endpoint))
 		if at > d.now {
 			d.scheduleAt(at)
 			continue
 		}
 		ejectedUntil := max(endpoint.ejectedUntil, endpoint.classRuns[message.classID].ejectedUntil)
-		if ejectedUntil > d.now || endpoint == message.failedAt {
+		if ejectedUntil > d.now || endpoint == message.lastFailedEndpoint {
 			spare = cmp.Or(spare, endpoint)
 			continue
 		}
 		calls := endpoint.calls
 		if endpoint.Zone != d.config.Zone && d.config.CrossZoneCost > 0 {
-			calls++ // crossing zones takes time, too: a nearer endpoint may have one more call
+			calls++ // calls to another zone also take longer: endpoints of this zone may have one call more
 		}
 		if best == nil || calls < least {
 			best, least = endpoint, calls
@@ -100,7 +101,8 @@
 	return best, best != nil && best.group.breakers[message.classID].state == breakerHalfOpen
 }
 
-// readyAt is when a group takes a message, as far as known; never while a trial of its breaker is in flight.
+// readyAt returns the earliest instant at which a group may get a message, as far as is known; never while a
+// trial of its breaker is in flight.
 func (d *Dispatcher) readyAt(message *message, group *endpointGroup) Micros {
 	b := &group.breakers[message.classID]
 	b.tryHalfOpen(d.now)
@@ -111,39 +113,43 @@
 		return never
 	}
 	interval, overdue := d.interval(group), 2*d.expectedDuration(group)+second/4
-	// Silence: two attempts overdue and no answer since. Single calls may get lost, so one is sent now and then.
+	// The group is silent: two attempts are overdue and no answer came since. As single calls may get lost,
+	// calls go on at the overdue interval.
 	flight := group.inFlight
 	if len(flight) > 1 && group.lastAnswer < flight[1].sentAt && d.now-flight[1].sentAt > overdue {
 		interval = max(interval, overdue)
 	}
-	if !group.outage && !group.warmingUp && d.fairRate(group) < 4*rareRate {
-		// No single queue sorts what waits at many couriers: messages that lose less by waiting keep a longer
-		// interval, up to four times, or those that lose nothing would never be sent.
-		urgency := math.Cbrt(d.maxLossRate / max(d.lossRate(message.class), 1e-12))
+	if !group.outage && !group.warmingUp && d.fairRate(group) < 4*lowCallRate {
+		// The messages of all couriers are not in one queue that could be sorted. Messages that lose less
+		// value by waiting therefore keep a longer interval, at most four times as long: without that bound,
+		// messages that lose nothing would never be sent.
+		urgency := math.Cbrt(d.maxValueLossRate / max(d.valueLossRate(message.class), 1e-12))
 		interval = Micros(float64(interval) * min(4, max(1, urgency)))
 	}
-	// Couriers with the same Retry-After would all call at its end: each adds jitter.
-	at := group.retryAfterUntil + Micros(group.draw*float64(interval))
-	// A courier with rare calls cannot keep an interval: a random share of its new messages is sent at once.
-	drawn := len(message.attempts) == 0 && message.draw < 0.4*d.config.OverloadFactor*d.warmShare(group)
-	if drawn && (group.outage || group.warmingUp) && d.fairRate(group) < rareRate {
+	// Couriers with the same Retry-After would all call when it ends: each adds jitter.
+	at := group.retryAfterUntil + Micros(group.retryAfterJitter*float64(interval))
+	// A courier with rare calls cannot pace them by an interval: it sends a random share of new messages at
+	// once.
+	sampled := len(message.attempts) == 0 && message.sample < 0.4*d.config.OverloadFactor*d.warmShare(group)
+	if sampled && (group.outage || group.warmingUp) && d.fairRate(group) < lowCallRate {
 		return at
 	}
 	return max(at, group.lastCall+interval)
 }
 
-// isCrowdedOut reports whether an idle connection to an endpoint would keep others out: 15 in 1,000 calls to
-// the endpoint type found its connection table full, and more than four connections of all couriers would be
-// idle there (the smallest tables hold six). It misjudges where an outage that refuses connections looks the
-// same: see observeCrowding.
-func (d *Dispatcher) isCrowdedOut(endpoint *endpoint) bool {
-	calls := endpoint.callCount.decay(d.now, rateSpan).weight / d.countedSpan(endpoint.group) // a microsecond
+// shouldCloseIdle reports whether an idle connection to an endpoint would block other couriers: more than 15
+// in 1,000 calls to the endpoint type were refused by a full connection table, and more than four connections
+// of all couriers would be idle there (the smallest tables hold six). The result is wrong when an outage that
+// refuses connections looks the same: see observeRefusals.
+func (d *Dispatcher) shouldCloseIdle(endpoint *endpoint) bool {
+	// In calls per microsecond.
+	calls := endpoint.callCount.decay(d.now, rateDecayTime).weight / d.countedSpan(endpoint.group)
 	idle := min(1, calls*float64(d.config.IdleTimeout)) - 1.5*calls*float64(d.expectedDuration(endpoint.group))
-	crowding, share := &d.crowding[endpoint.destination.typeIndex], 0.015
-	if crowding.active {
-		share = 0.005 // an outage is over in seconds; crowding returns when connections stay open again
+	refusals, threshold := &d.connectionRefusals[endpoint.destination.typeIndex], 0.015
+	if refusals.tablesFull {
+		threshold = 0.005 // an outage ends within seconds, but tables fill again when connections stay open
 	}
-	crowding.decay(d.now, rateSpan)
-	crowding.active = crowding.sum > share*(crowding.weight+5)
-	return crowding.active && float64(d.config.Couriers)*idle > 4
+	refusals.decay(d.now, rateDecayTime)
+	refusals.tablesFull = refusals.sum > threshold*(refusals.weight+5)
+	return refusals.tablesFull && float64(d.config.Couriers)*idle > 4
 }
--- a/dispatch/shadow.go
+++ b/dispatch/shadow.go
@@ -2,27 +2,28 @@
 
 import "slices"
 
-// A shadow runs beside a dispatcher and counts what another configuration would have decided. It holds bookkeeping only.
+// A shadow runs beside a dispatcher and counts how the decisions under another configuration would differ. This file holds
+// bookkeeping only.
 
-// Difference is a way in which a decision of a shadow differs from what was done.
+// Difference is a way in which a decision of a shadow differs from the actual one.
 type Difference int
 
-// The differences.
+// The kinds of differences, as proposed by the shadow and as actually done.
 const (
 	OtherEndpoint   Difference = iota // sent to another endpoint
-	SentEarlier                       // sent, where it stayed queued
-	SentLater                         // queued, where it was sent
-	RejectedOnly                      // rejected, where it was not
-	FailedOnly                        // failed, where it was not
-	StillQueued                       // queued, where it was rejected or failed
-	CanceledOnly                      // canceled, where it was waited for
-	StillAwaited                      // waited for, where it was canceled
-	OtherRetryAfter                   // rejected alike, with another Retry-After
-	Differences                       // their number
+	SentEarlier                       // sent by the shadow; actually kept in the queue
+	SentLater                         // kept in the queue by the shadow; actually sent
+	RejectedOnly                      // rejected only by the shadow
+	FailedOnly                        // failed only by the shadow
+	StillQueued                       // kept by the shadow; actually rejected or failed
+	CanceledOnly                      // attempt canceled only by the shadow
+	StillAwaited                      // attempt kept by the shadow; actually canceled
+	OtherRetryAfter                   // rejected by both, with different Retry-After
+	Differences                       // number of kinds
 )
 
-// Shadow is a dispatcher with another configuration, whose actions are never carried out. After each instant it is brought
-// in line with what was done: what it alone would have done is undone, and what was done is booked.
+// Shadow is a dispatcher with another configuration, whose actions are never carried out. After each instant its state is
+// reconciled with the actual actions: actions that only the shadow proposed are undone, and actual ones are applied.
 type Shadow struct {
 	dispatcher *Dispatcher
 	counts     [Differences]int
@@ -30,31 +31,31 @@
 	counted    map[MessageID]map[Difference]bool // each difference counts once for a message
 }
 
-// NewShadow returns a shadow that has no messages and has learned nothing.
+// NewShadow returns a shadow without messages and without learned state.
 func NewShadow(config Config) *Shadow {
 	shadow := &Shadow{dispatcher: New(config), counted: map[MessageID]map[Difference]bool{}}
 	shadow.dispatcher.shadowed = true
 	return shadow
 }
 
-// Counts returns the differences so far, by kind, and how many decisions were compared.
+// Counts returns the number of differences so far, by kind, and the number of decisions that were compared.
 func (s *Shadow) Counts() (counts [Differences]int, compared int) { return s.counts, s.compared }
 
 // Reconfigure replaces the shadow's configuration.
 func (s *Shadow) Reconfigure(config Config) { s.dispatcher.reconfigure(config) }
 
-// Observe takes the events of an instant, and the actions that were carried out.
+// Observe processes the events of an instant, and compares the shadow's actions with those that were carried out.
 func (s *Shadow) Observe(now Micros, events []Event, actual []Action) {
 	d := s.dispatcher
 	d.finished = nil
 	proposed := d.Handle(now, withoutReconfigured(events))
-	proposedOrder, proposedFates := fatesByMessage(proposed)
-	actualOrder, actualFates := fatesByMessage(actual)
+	proposedOrder, proposedActions := actionsByMessage(proposed)
+	actualOrder, actualActions := actionsByMessage(actual)
 	for _, id := range slices.Backward(proposedOrder) {
-		s.undo(id, proposedFates[id], actualFates[id])
+		s.undo(id, proposedActions[id], actualActions[id])
 	}
 	for _, id := range actualOrder {
-		s.follow(id, proposedFates[id], actualFates[id])
+		s.applyActual(id, proposedActions[id], actualActions[id])
 	}
 	for _, action := range actual {
 		if a, ok := action.(CloseIdle); ok && d.endpoints[a.Endpoint] != nil {
@@ -69,59 +70,59 @@
 	d.finished = nil
 }
 
-// withoutReconfigured returns the events but for new configurations, which are not the shadow's.
+// withoutReconfigured returns the events without Reconfigured: the shadow has its own configuration, see Shadow.Reconfigure.
 func withoutReconfigured(events []Event) []Event {
-	others := make([]Event, 0, len(events))
+	kept := make([]Event, 0, len(events))
 	for _, event := range events {
 		if _, ok := event.(Reconfigured); !ok {
-			others = append(others, event)
+			kept = append(kept, event)
 		}
 	}
-	return others
+	return kept
 }
 
-// messageFate is what the actions of an instant do to one message.
-type messageFate struct {
+// messageActions are the actions of an instant that concern one message.
+type messageActions struct {
 	send     *Send
 	reject   *Reject
 	failed   bool
 	canceled []AttemptNumber
 }
 
-func (f *messageFate) endpoint() EndpointID {
+func (f *messageActions) endpoint() EndpointID {
 	if f.send == nil {
 		return ""
 	}
 	return f.send.Endpoint
 }
 
-// ended reports whether the message got its final answer.
-func (f *messageFate) ended() bool { return f.reject != nil || f.failed }
+// ended reports whether the actions give the message its final answer.
+func (f *messageActions) ended() bool { return f.reject != nil || f.failed }
 
-// fatesByMessage sorts actions by message; order lists the messages in the order of their first actions.
-func fatesByMessage(actions []Action) (order []MessageID, fates map[MessageID]*messageFate) {
-	fates = map[MessageID]*messageFate{}
-	of := func(id MessageID) *messageFate {
-		if fates[id] == nil {
-			fates[id] = &messageFate{}
+// actionsByMessage groups actions by message. order lists the messages in the order of their first actions.
+func actionsByMessage(actions []Action) (order []MessageID, byMessage map[MessageID]*messageActions) {
+	byMessage = map[MessageID]*messageActions{}
+	forMessage := func(id MessageID) *messageActions {
+		if byMessage[id] == nil {
+			byMessage[id] = &messageActions{}
 			order = append(order, id)
 		}
-		return fates[id]
+		return byMessage[id]
 	}
 	for _, action := range actions {
 		switch a := action.(type) {
 		case Send:
-			of(a.Message).send = &a
+			forMessage(a.Message).send = &a
 		case Reject:
-			of(a.Message).reject = &a
+			forMessage(a.Message).reject = &a
 		case Fail:
-			of(a.Message).failed = true
+			forMessage(a.Message).failed = true
 		case Cancel:
-			fate := of(a.Message)
-			fate.canceled = append(fate.canceled, a.Attempt)
+			entry := forMessage(a.Message)
+			entry.canceled = append(entry.canceled, a.Attempt)
 		}
 	}
-	return order, fates
+	return order, byMessage
 }
 
 func (s *Shadow) count(id MessageID, difference Difference) {
@@ -135,12 +136,12 @@
 	s.counts[difference]++
 }
 
-// undo takes back what only the shadow would have done, in reverse order. actual is nil where nothing was done.
-func (s *Shadow) undo(id MessageID, proposed, actual *messageFate) {
+// undo undoes the actions on a message that only the shadow proposed. actual is nil if there was no actual action on it.
+func (s *Shadow) undo(id MessageID, proposed, actual *messageActions) {
 	if actual == nil {
-		actual = &messageFate{}
+		actual = &messageActions{}
 	}
-	s.undoEnd(id, proposed, actual)
+	s.undoFinalAnswer(id, proposed, actual)
 	message := s.dispatcher.messages[id]
 	if message == nil {
 		return
@@ -159,7 +160,7 @@
 	}
 }
 
-func (s *Shadow) undoEnd(id MessageID, proposed, actual *messageFate) {
+func (s *Shadow) undoFinalAnswer(id MessageID, proposed, actual *messageActions) {
 	rejectedOnly := proposed.reject != nil && actual.reject == nil
 	failedOnly := proposed.failed && !actual.failed
 	if !rejectedOnly && !failedOnly {
@@ -167,9 +168,9 @@
 	}
 	d := s.dispatcher
 	if i := slices.IndexFunc(d.finished, func(m *message) bool { return m.id == id }); i >= 0 {
-		revived := d.finished[i]
+		finished := d.finished[i]
 		d.finished = slices.Delete(d.finished, i, i+1)
-		d.revive(revived)
+		d.undoFinish(finished)
 	}
 	if proposed.failed {
 		s.count(id, FailedOnly)
@@ -178,10 +179,11 @@
 	}
 }
 
-// follow books what was done and the shadow would not have. proposed is nil where it would have done nothing.
-func (s *Shadow) follow(id MessageID, proposed, actual *messageFate) {
+// applyActual applies the actual actions on a message that the shadow did not propose. proposed is nil if the shadow proposed
+// none.
+func (s *Shadow) applyActual(id MessageID, proposed, actual *messageActions) {
 	if proposed == nil {
-		proposed = &messageFate{}
+		proposed = &messageActions{}
 	}
 	s.compared++
 	switch {
@@ -194,7 +196,7 @@
 	if message == nil {
 		return
 	}
-	s.followSend(message, proposed, actual)
+	s.applyActualSend(message, proposed, actual)
 	for _, number := range actual.canceled {
 		if !slices.Contains(proposed.canceled, number) && int(number) < len(message.attempts) && !message.attempts[number].canceled {
 			message.attempts[number].canceled = true
@@ -206,7 +208,7 @@
 	}
 }
 
-func (s *Shadow) followSend(message *message, proposed, actual *messageFate) {
+func (s *Shadow) applyActualSend(message *message, proposed, actual *messageActions) {
 	d := s.dispatcher
 	endpoint := d.endpoints[actual.endpoint()]
 	if endpoint == nil || proposed.send != nil && proposed.endpoint() == actual.endpoint() {
@@ -224,22 +226,22 @@
 	}
 }
 
-// revive undoes the final answer of a message.
-func (d *Dispatcher) revive(message *message) {
+// undoFinish undoes the final answer of a message.
+func (d *Dispatcher) undoFinish(message *message) {
 	message.ended = false
 	d.unfinished++
 	d.messages[message.id] = message
 	if order := message.order; order != nil && !slices.Contains(order.messages, message) {
 		order.messages = slices.Insert(order.messages, min(message.orderIndex, len(order.messages)), message)
 		d.keys[order.key] = order
-		d.restingKeys = without(d.restingKeys, order)
+		d.idleHeldKeys = without(d.idleHeldKeys, order)
 	}
 	if message.inFlight == 0 && !message.queued {
 		d.enqueue(message)
 	}
 }
 
-// undoSend undoes the last attempt of a message, which was sent at this instant.
+// undoSend undoes the last attempt of a message, which must have been sent at this instant.
 func (d *Dispatcher) undoSend(message *message) {
 	last := len(message.attempts) - 1
 	undone := message.attempts[last]
--- a/dispatch/shadow_test.go
+++ b/dispatch/shadow_test.go
@@ -6,10 +6,10 @@
 
 // watchers look on in every scenario: first one under the courier's own configuration, which must never differ, then others,
 // which must differ and be in step all the same.
-type watchers []*Shadow
+type shadowSet []*Shadow
 
 // others are configurations that decide otherwise.
-var others = []func(*Config){
+var shadowChanges = []func(*Config){
 	func(*Config) {},
 	func(ch *Config) { ch.Slots, ch.MaxAttempts = 1, 2 },
 	func(ch *Config) { ch.QueueLimit, ch.MayTellRetryAfter = 2, !ch.MayTellRetryAfter },
@@ -23,10 +23,10 @@
 	},
 }
 
-func (ws *watchers) see(p *player, events []Event, did []Action) {
+func (ws *shadowSet) observe(p *scenarioRunner, events []Event, actual []Action) {
 	p.t.Helper()
 	if *ws == nil {
-		for _, change := range others {
+		for _, change := range shadowChanges {
 			config := p.config
 			change(&config)
 			*ws = append(*ws, NewShadow(config))
@@ -36,33 +36,33 @@
 		for _, e := range events {
 			if r, ok := e.(Reconfigured); ok {
 				config := r.Config
-				others[i](&config)
+				shadowChanges[i](&config)
 				shadow.Reconfigure(config)
 			}
 		}
-		shadow.Observe(p.now, events, did)
+		shadow.Observe(p.now, events, actual)
 		counts, _ := shadow.Counts()
 		if i == 0 && counts != [Differences]int{} {
 			p.fatal("under the same configuration it differs: %v", counts)
 		}
-		ws.inStep(p, i, shadow.dispatcher)
+		ws.checkInStep(p, i, shadow.dispatcher)
 	}
 }
 
 // inStep holds what a watcher has in hand against the courier it watches.
-func (ws *watchers) inStep(p *player, i int, dispatcher *Dispatcher) {
+func (ws *shadowSet) checkInStep(p *scenarioRunner, i int, shadow *Dispatcher) {
 	p.t.Helper()
-	if dispatcher.unfinished != p.dispatcher.unfinished || dispatcher.callsInFlight != p.dispatcher.callsInFlight || len(dispatcher.inFlight) != len(p.dispatcher.inFlight) {
-		p.fatal("watcher %d holds %d with %d calls and %d attempts out, the courier %d with %d and %d", i, dispatcher.unfinished, dispatcher.callsInFlight,
-			len(dispatcher.inFlight), p.dispatcher.unfinished, p.dispatcher.callsInFlight, len(p.dispatcher.inFlight))
+	if shadow.unfinished != p.dispatcher.unfinished || shadow.callsInFlight != p.dispatcher.callsInFlight || len(shadow.inFlight) != len(p.dispatcher.inFlight) {
+		p.fatal("watcher %d holds %d with %d calls and %d attempts out, the courier %d with %d and %d", i, shadow.unfinished, shadow.callsInFlight,
+			len(shadow.inFlight), p.dispatcher.unfinished, p.dispatcher.callsInFlight, len(p.dispatcher.inFlight))
 	}
 	for id, message := range p.dispatcher.messages {
-		if other := dispatcher.messages[id]; other == nil || len(other.attempts) != len(message.attempts) || other.ended != message.ended || other.queued != message.queued {
+		if shadowMessage := shadow.messages[id]; shadowMessage == nil || len(shadowMessage.attempts) != len(message.attempts) || shadowMessage.ended != message.ended || shadowMessage.queued != message.queued {
 			p.fatal("watcher %d is out of step on %s", i, id)
 		}
 	}
-	if len(dispatcher.messages) != len(p.dispatcher.messages) {
-		p.fatal("watcher %d knows %d messages, the courier %d", i, len(dispatcher.messages), len(p.dispatcher.messages))
+	if len(shadow.messages) != len(p.dispatcher.messages) {
+		p.fatal("watcher %d knows %d messages, the courier %d", i, len(shadow.messages), len(p.dispatcher.messages))
 	}
 }
 
@@ -72,42 +72,42 @@
 		MaxRetryAfter: 2 * second, Tick: 5 * millisecond, ReportLeftIndex: -1, ReportRateIndex: -1, SlowStartFrom: 0.2, SlowStart: 10 * second,
 		OverloadFactor: 2, IdleTimeout: 5 * second, Classes: []Class{{Objective: second, TimeToLive: 20 * second, Priority: 1}}}
 	list := EndpointUpdate{Kind: CompleteList, Entries: []EndpointEntry{{Endpoint: "a", Destination: 1}, {Endpoint: "b", Destination: 1}}}
-	taken := func(id MessageID) MessageAccepted {
+	accepted := func(id MessageID) MessageAccepted {
 		return MessageAccepted{Message: id, Destination: 1, Deadline: 20 * second}
 	}
-	for name, play := range map[Difference]struct {
+	for difference, c := range map[Difference]struct {
 		change func(*Config)
 		at     []Micros
 		events [][]Event
-		did    [][]Action
+		actual [][]Action
 	}{
-		OtherEndpoint: {func(config *Config) { config.CourierNumber = 3 }, []Micros{0}, [][]Event{{list, taken("r")}}, nil},
-		SentLater:     {func(config *Config) { config.Slots = 0 }, []Micros{0}, [][]Event{{list, taken("r")}}, nil},
-		SentEarlier: {func(config *Config) { config.Slots = 9 }, []Micros{0, second}, [][]Event{{list, taken("r")}, {TimerFired{}}},
+		OtherEndpoint: {func(config *Config) { config.CourierNumber = 3 }, []Micros{0}, [][]Event{{list, accepted("r")}}, nil},
+		SentLater:     {func(config *Config) { config.Slots = 0 }, []Micros{0}, [][]Event{{list, accepted("r")}}, nil},
+		SentEarlier: {func(config *Config) { config.Slots = 9 }, []Micros{0, second}, [][]Event{{list, accepted("r")}, {TimerFired{}}},
 			[][]Action{{}, {}}},
-		RejectedOnly: {func(config *Config) { config.QueueLimit = 1 }, []Micros{0}, [][]Event{{taken("r")}}, nil},
-		StillQueued:  {func(config *Config) { config.QueueLimit = 9 }, []Micros{0}, [][]Event{{taken("r")}}, [][]Action{{Reject{"r", 0}}}},
-		OtherRetryAfter: {func(config *Config) { config.QueueLimit, config.MayTellRetryAfter = 1, false }, []Micros{0}, [][]Event{{taken("r")}},
+		RejectedOnly: {func(config *Config) { config.QueueLimit = 1 }, []Micros{0}, [][]Event{{accepted("r")}}, nil},
+		StillQueued:  {func(config *Config) { config.QueueLimit = 9 }, []Micros{0}, [][]Event{{accepted("r")}}, [][]Action{{Reject{"r", 0}}}},
+		OtherRetryAfter: {func(config *Config) { config.QueueLimit, config.MayTellRetryAfter = 1, false }, []Micros{0}, [][]Event{{accepted("r")}},
 			[][]Action{{Reject{"r", second}}}},
-		StillAwaited: {func(*Config) {}, []Micros{0, second}, [][]Event{{list, taken("r")}, {TimerFired{}}},
+		StillAwaited: {func(*Config) {}, []Micros{0, second}, [][]Event{{list, accepted("r")}, {TimerFired{}}},
 			[][]Action{nil, {Cancel{"r", 0}}}},
 		FailedOnly: {func(config *Config) { config.Classes[0].Idempotency = AtMostOnce }, []Micros{0, second},
-			[][]Event{{list, taken("r")}, {AttemptFinished{Message: "r", Outcome: TimedOut}}}, nil},
+			[][]Event{{list, accepted("r")}, {AttemptFinished{Message: "r", Outcome: TimedOut}}}, nil},
 	} {
 		config := base
 		config.Classes = append([]Class(nil), base.Classes...)
-		play.change(&config)
+		c.change(&config)
 		dispatcher, shadow := New(base), NewShadow(config)
-		for i, at := range play.at {
-			did := dispatcher.Handle(at, play.events[i])
-			if i < len(play.did) && play.did[i] != nil {
-				did = play.did[i]
+		for i, at := range c.at {
+			actual := dispatcher.Handle(at, c.events[i])
+			if i < len(c.actual) && c.actual[i] != nil {
+				actual = c.actual[i]
 			}
-			shadow.Observe(at, play.events[i], did)
+			shadow.Observe(at, c.events[i], actual)
 			shadow.Observe(at+1, nil, nil)
 		}
-		if counts, _ := shadow.Counts(); counts[name] != 1 {
-			t.Errorf("difference %d counted %d times, not once: %v", name, counts[name], counts)
+		if counts, _ := shadow.Counts(); counts[difference] != 1 {
+			t.Errorf("difference %d counted %d times, not once: %v", difference, counts[difference], counts)
 		}
 	}
 }
--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -1,6 +1,7 @@
 package dispatch
 
-// warmShare is the share of its capacity that a group is expected to have, from 0.05 to 1.
+// warmShare returns the share of its full capacity, from 0.05 to 1, that a group is expected to have while it
+// is in an outage or warms up.
 func (d *Dispatcher) warmShare(group *endpointGroup) float64 {
 	warm := max(d.config.SlowStartFrom, 0.05)
 	if group.warmingUp {
@@ -10,9 +11,9 @@
 	return warm
 }
 
-// setDisabled keeps calls from an endpoint that an operator disabled, whatever the list says. Enabled again
-// it warms up, as it may have been restarted; where no other endpoint of its group is warm, the whole group
-// does. That is too cautious where it was not restarted.
+// setDisabled prevents calls to an endpoint that an operator disabled, regardless of its phase on the list.
+// An endpoint that is enabled again warms up, as it may have been restarted; if no other endpoint of its
+// group is warm, the whole group warms up. This is too cautious if the endpoint was not restarted.
 func (d *Dispatcher) setDisabled(event MaintenanceChanged) {
 	endpoint, wasDisabled := d.endpoints[event.Endpoint], d.disabled[event.Endpoint]
 	if d.disabled[event.Endpoint] = event.Disabled; event.Disabled {
@@ -32,13 +33,14 @@
 	d.markOutage(endpoint.group)
 }
 
-// maintenanceInterval is the minimum interval between calls to an endpoint that warms up beside warm ones.
-func (d *Dispatcher) maintenanceInterval(endpoint *endpoint) Micros {
+// warmupInterval returns the minimum interval between calls to an endpoint that warms up after an operator
+// enabled it again; 0 if it is warm.
+func (d *Dispatcher) warmupInterval(endpoint *endpoint) Micros {
 	if endpoint.warmingUntil <= d.now {
 		return 0
 	}
-	from := max(d.config.SlowStartFrom, 0.05)
-	warm := 1 - (1-from)*float64(endpoint.warmingUntil-d.now)/float64(max(1, d.config.SlowStart))
+	initial := max(d.config.SlowStartFrom, 0.05)
+	warm := 1 - (1-initial)*float64(endpoint.warmingUntil-d.now)/float64(max(1, d.config.SlowStart))
 	share := float64(d.fairInterval(endpoint.group)) * float64(len(endpoint.destination.endpoints))
 	return Micros(share / warm)
 }
--- a/dispatch/snapshot.go
+++ b/dispatch/snapshot.go
@@ -5,36 +5,36 @@
 	"slices"
 )
 
-// Snapshots of the learned state: taken, and taken over after a restart. Which of them are used is decided by restore. The
-// tags name the fields as files and other processes have them, and must not change.
+// This file saves the learned state in snapshots, and restores it after a restart. Dispatcher.restore decides which snapshots
+// are used. The tags are the field names in files and in the protocol between processes, and must not change.
 
-// SumSnapshot is a decaying sum as it was when its Snapshot was taken.
+// SumSnapshot is a decaying sum at the time of its Snapshot.
 type SumSnapshot struct {
 	Weight float64 `json:"Weight"`
 	Total  float64 `json:"Total"`
 }
 
-// Snapshot is what a dispatcher has learned of its endpoints. It shares no memory with the dispatcher. A SnapshotRestored
-// event hands it to another one.
+// Snapshot is the state that a dispatcher has learned about its endpoints. It shares no memory with the dispatcher. A
+// SnapshotRestored event hands it to another dispatcher.
 type Snapshot struct {
 	TakenAt     Micros             `json:"At"`
-	AnswerTimes SumSnapshot        `json:"Took"`  // of all calls, in microseconds
-	LostCalls   []SumSnapshot      `json:"Broke"` // by the idle time of their connection
+	AnswerTimes SumSnapshot        `json:"Took"`  // durations of calls to all groups, in microseconds
+	LostCalls   []SumSnapshot      `json:"Broke"` // by idle bucket of their connection
 	Groups      []GroupSnapshot    `json:"Routes"`
 	Endpoints   []EndpointSnapshot `json:"Endpoints"`
-	RestingKeys []KeySnapshot      `json:"Resting"` // for a successor only: held for a moment, and there may be many
+	RestingKeys []KeySnapshot      `json:"Resting"` // only for a successor process: the keys are held briefly, and there may be many
 }
 
-// KeySnapshot is an ordering key that is held, as an attempt of one of its messages may still run.
+// KeySnapshot is an ordering key that is held because an attempt of one of its messages may still run.
 type KeySnapshot struct {
 	Key       OrderingKey `json:"Key"`
 	HoldUntil Micros      `json:"RestTo"`
 }
 
-// GroupSnapshot is what is known of one endpoint group.
+// GroupSnapshot is the learned state of one endpoint group.
 type GroupSnapshot struct {
 	Destination       DestinationID     `json:"Dest"`
-	Endpoint          EndpointID        `json:"Endpoint"` // empty where the group is the whole destination
+	Endpoint          EndpointID        `json:"Endpoint"` // empty if the group is the whole destination
 	AnswerTimes       SumSnapshot       `json:"Took"`
 	Deliveries        SumSnapshot       `json:"Done"`
 	CountedSince      Micros            `json:"Since"`
@@ -49,38 +49,40 @@
 	OutageAt          Micros            `json:"SickAt"`
 	WarmingUp         bool              `json:"Cold"`
 	WarmedFor         Micros            `json:"Ramped"`
-	UsualRate         float64           `json:"Usual"` // calls a second
-	ReportedRate      float64           `json:"Rate"`  // calls a second; 0 if no load report had it
+	UsualRate         float64           `json:"Usual"` // deliveries per second before the outage
+	ReportedRate      float64           `json:"Rate"`  // limit in calls per second; 0 if no load report contained it
 	Breakers          []BreakerSnapshot `json:"Breakers"`
 }
 
-// BreakerSnapshot is the breaker of one class; OpenUntil is 0 where it is closed.
+// BreakerSnapshot is the breaker of one class. OpenUntil is 0 if the breaker is closed.
 type BreakerSnapshot struct {
 	Failures  int    `json:"Fails"`
 	OpenUntil Micros `json:"Until"`
 }
 
-// EndpointSnapshot is what is known of one endpoint. Only endpoints with failures, or that warm up, are listed.
+// EndpointSnapshot is the learned state of one endpoint. A Snapshot contains only endpoints with consecutive failures over all
+// classes, or that warm up after maintenance.
 type EndpointSnapshot struct {
 	Endpoint     EndpointID    `json:"Endpoint"`
-	FailureRuns  []RunSnapshot `json:"Runs"` // of all classes, then by class
+	FailureRuns  []RunSnapshot `json:"Runs"` // over all classes first, then by class
 	WarmingUntil Micros        `json:"ColdTo"`
 }
 
-// RunSnapshot is a number of consecutive failures, and how long the endpoint is ejected for them.
+// RunSnapshot is a number of consecutive failures, and until when the endpoint is ejected for them.
 type RunSnapshot struct {
 	Failures     int    `json:"Fails"`
 	EjectedUntil Micros `json:"RestTo"`
 }
 
-// SnapshotRestored hands over what was learned before a restart. It comes after the endpoint list that it is about.
+// SnapshotRestored hands over the state learned before a restart. It must come after the endpoint list that it refers to.
 type SnapshotRestored struct{ Snapshot }
 
 func (SnapshotRestored) event() {}
 
-// Snapshot returns what is known of the groups that were called recently; its cost grows with these, not with the list.
+// Snapshot returns the learned state of the recently called groups. Its cost grows with the number of these groups, and not
+// with the length of the endpoint list.
 func (d *Dispatcher) Snapshot() Snapshot {
-	snapshot := Snapshot{TakenAt: d.now, AnswerTimes: d.durations.snapshot(d.now, durationSpan)}
+	snapshot := Snapshot{TakenAt: d.now, AnswerTimes: d.durations.snapshot(d.now, durationDecayTime)}
 	for key, order := range d.keys {
 		if order.holdUntil > d.now {
 			snapshot.RestingKeys = append(snapshot.RestingKeys, KeySnapshot{key, order.holdUntil})
@@ -88,7 +90,7 @@
 	}
 	slices.SortFunc(snapshot.RestingKeys, func(a, b KeySnapshot) int { return cmp.Compare(a.Key, b.Key) })
 	for i := range d.lostCalls {
-		snapshot.LostCalls = append(snapshot.LostCalls, d.lostCalls[i].snapshot(d.now, rateSpan))
+		snapshot.LostCalls = append(snapshot.LostCalls, d.lostCalls[i].snapshot(d.now, rateDecayTime))
 	}
 	d.forgetIdleGroups()
 	for _, group := range d.recentGroups {
@@ -109,16 +111,16 @@
 	return snapshot
 }
 
-func (s *decayingSum) snapshot(now, over Micros) SumSnapshot {
-	s.decay(now, over)
+func (s *decayingSum) snapshot(now, timeConstant Micros) SumSnapshot {
+	s.decay(now, timeConstant)
 	return SumSnapshot{s.weight, s.sum}
 }
 
 func (g *endpointGroup) snapshot(now Micros) GroupSnapshot {
 	saved := GroupSnapshot{
 		Destination:       g.destination.id,
-		AnswerTimes:       g.durations.snapshot(now, durationSpan),
-		Deliveries:        g.deliveries.snapshot(now, rateSpan),
+		AnswerTimes:       g.durations.snapshot(now, durationDecayTime),
+		Deliveries:        g.deliveries.snapshot(now, rateDecayTime),
 		CountedSince:      g.countedSince,
 		LastCall:          g.lastCall,
 		LastDelivery:      g.lastDelivery,
@@ -158,7 +160,7 @@
 
 func (r *failureRun) snapshot() RunSnapshot { return RunSnapshot{r.failures, r.ejectedUntil} }
 
-// restoreSnapshot takes over a snapshot.
+// restoreSnapshot applies a snapshot.
 func (d *Dispatcher) restoreSnapshot(snapshot Snapshot) {
 	d.durations = snapshot.AnswerTimes.restore(snapshot.TakenAt)
 	restoreSums(d.lostCalls[:], snapshot.LostCalls, snapshot.TakenAt)
@@ -184,25 +186,25 @@
 	group.failureSigns, group.throttleSigns = saved.FailureSigns, saved.ThrottleSigns
 	group.outage, group.outageAt, group.warmingUp = saved.Outage, saved.OutageAt, saved.WarmingUp
 	group.warmingSince = d.now - saved.WarmedFor
-	group.retryAfterUntil, group.draw = saved.RetryAfterUntil, d.rng.Float64()
+	group.retryAfterUntil, group.retryAfterJitter = saved.RetryAfterUntil, d.rng.Float64()
 	if saved.ReportedRate > 0 {
-		group.rate = saved.ReportedRate // the remaining share changes within a second: the next load report has it
+		group.rate = saved.ReportedRate // without the remaining share, which changes within a second: the next load report contains it
 	}
 	group.restoreBreakers(saved.Breakers, takenAt, d.now)
 }
 
-// restoreKeys holds the ordering keys that were held.
+// restoreKeys holds the ordering keys of a snapshot again.
 func (d *Dispatcher) restoreKeys(keys []KeySnapshot) {
 	for _, saved := range keys {
 		if d.keys[saved.Key] == nil && saved.HoldUntil > d.now {
 			order := &keyOrder{key: saved.Key, holdUntil: saved.HoldUntil}
-			d.keys[saved.Key], d.restingKeys = order, append(d.restingKeys, order)
+			d.keys[saved.Key], d.idleHeldKeys = order, append(d.idleHeldKeys, order)
 		}
 	}
 }
 
-// findGroup returns the group of a destination, or of one of its endpoints where these are separate. It is nil where the
-// list has no such endpoint, or has endpoints separate that were not, or the reverse: nothing is taken over then.
+// findGroup returns the group of a destination, or of one of its endpoints if these are separate. It returns nil, and the
+// caller skips the entry, if the list has no such endpoint or if the endpoint type has changed between separate and not.
 func (d *Dispatcher) findGroup(id DestinationID, separate EndpointID) *endpointGroup {
 	if separate != "" {
 		endpoint := d.endpoints[separate]
@@ -218,15 +220,15 @@
 	return nil
 }
 
-// restore returns the sum as it was at an instant; it decays from there on.
+// restore returns the sum as of an instant, from which it decays.
 func (s SumSnapshot) restore(at Micros) decayingSum {
 	return decayingSum{weight: s.Weight, sum: s.Total, at: at}
 }
 
-// restoreSums takes over as many sums as both sides have.
-func restoreSums(into []decayingSum, from []SumSnapshot, at Micros) {
-	for i := range min(len(into), len(from)) {
-		into[i] = from[i].restore(at)
+// restoreSums restores as many sums as both slices have.
+func restoreSums(to []decayingSum, from []SumSnapshot, at Micros) {
+	for i := range min(len(to), len(from)) {
+		to[i] = from[i].restore(at)
 	}
 }
 
@@ -234,17 +236,17 @@
 	r.failures, r.ejectedUntil = saved.Failures, saved.EjectedUntil
 }
 
-// restoreBreakers takes over breakers: open ones stay open until the instant they had.
-func (g *endpointGroup) restoreBreakers(all []BreakerSnapshot, at, now Micros) {
-	for i := range min(len(g.breakers), len(all)) {
-		g.breakers[i] = breaker{failures: all[i].Failures, changedAt: at, usedAt: now}
-		if all[i].OpenUntil > 0 {
-			g.breakers[i].state, g.breakers[i].openUntil = breakerOpen, all[i].OpenUntil
+// restoreBreakers restores breakers. Breakers that are not closed are open until the saved instant.
+func (g *endpointGroup) restoreBreakers(saved []BreakerSnapshot, at, now Micros) {
+	for i := range min(len(g.breakers), len(saved)) {
+		g.breakers[i] = breaker{failures: saved[i].Failures, changedAt: at, usedAt: now}
+		if saved[i].OpenUntil > 0 {
+			g.breakers[i].state, g.breakers[i].openUntil = breakerOpen, saved[i].OpenUntil
 		}
 	}
 }
 
-// restore takes over the failures of an endpoint, where both sides have as many classes.
+// restore restores the failures and the warm-up of an endpoint, if the number of classes is the same.
 func (e *endpoint) restore(saved EndpointSnapshot) {
 	if len(saved.FailureRuns) != len(e.classRuns)+1 {
 		return
--- a/dispatch/snapshot_test.go
+++ b/dispatch/snapshot_test.go
@@ -9,10 +9,10 @@
 )
 
 // lived is a courier that has been through some chance events, at instant 100 s.
-func experienced(t *rapid.T, config Config) (*Dispatcher, Micros) {
+func dispatcherWithHistory(t *rapid.T, config Config) (*Dispatcher, Micros) {
 	dispatcher := New(config)
 	now := 100 * second
-	dispatcher.Handle(now, []Event{threeEndpoints()})
+	dispatcher.Handle(now, []Event{threeEndpointList()})
 	for i := range rapid.IntRange(0, 60).Draw(t, "records") {
 		now += Micros(rapid.IntRange(1, 400).Draw(t, "pause")) * millisecond
 		id := MessageID(fmt.Sprint("r", i))
@@ -32,7 +32,7 @@
 	return dispatcher, now
 }
 
-func threeEndpoints() EndpointUpdate {
+func threeEndpointList() EndpointUpdate {
 	return EndpointUpdate{Kind: CachedList, Entries: []EndpointEntry{{Endpoint: "a", Destination: 1}, {Endpoint: "b", Destination: 1}, {Endpoint: "c", Destination: 2}}}
 }
 
@@ -46,12 +46,12 @@
 // interval between calls, and never a group open that the other keeps closed for a Retry-After or a breaker.
 func TestOlderSnapshotIsMoreCautious(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		dispatcher, at := experienced(t, testConfig())
+		dispatcher, at := dispatcherWithHistory(t, testConfig())
 		snapshot := dispatcher.Snapshot()
 		now := at + snapshotMaxAge
 		successor := func(age Micros) *Dispatcher { // at the same instant, with a snapshot of another age
 			next := New(testConfig())
-			next.Handle(now, []Event{threeEndpoints()})
+			next.Handle(now, []Event{threeEndpointList()})
 			aged := snapshot
 			aged.TakenAt = now - age
 			shift := aged.TakenAt - snapshot.TakenAt
@@ -90,7 +90,7 @@
 // out again changes nothing of it.
 func TestSnapshotIsIndependentCopy(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		dispatcher, at := experienced(t, testConfig())
+		dispatcher, at := dispatcherWithHistory(t, testConfig())
 		snapshot := dispatcher.Snapshot()
 		before := fmt.Sprintf("%+v", snapshot)
 		for i := range 20 {
@@ -100,7 +100,7 @@
 			t.Fatalf("%s\nbecame %s", before, after)
 		}
 		successor := New(testConfig())
-		successor.Handle(at, []Event{threeEndpoints(), SnapshotRestored{snapshot}})
+		successor.Handle(at, []Event{threeEndpointList(), SnapshotRestored{snapshot}})
 		again := successor.Snapshot()
 		for i := range snapshot.Groups { // what is half-open has no trial out at the successor
 			if !reflect.DeepEqual(snapshot.Groups[i], again.Groups[i]) && snapshot.Groups[i].Breakers[0].OpenUntil == 0 {
@@ -113,7 +113,7 @@
 // TestSnapshotOfUnknownEndpointsIsIgnored: learned state about what the list does not have, or has otherwise, or of other classes, changes nothing.
 func TestSnapshotOfUnknownEndpointsIsIgnored(t *testing.T) {
 	dispatcher := New(testConfig())
-	dispatcher.Handle(100*second, []Event{threeEndpoints(), SnapshotRestored{Snapshot{TakenAt: 99 * second, LostCalls: make([]SumSnapshot, 99),
+	dispatcher.Handle(100*second, []Event{threeEndpointList(), SnapshotRestored{Snapshot{TakenAt: 99 * second, LostCalls: make([]SumSnapshot, 99),
 		Groups: []GroupSnapshot{{Destination: 9, Outage: true}, {Destination: 1, Endpoint: "a", Outage: true}, {Destination: 2, Endpoint: "zz", Outage: true}},
 		Endpoints: []EndpointSnapshot{{Endpoint: "zz", FailureRuns: []RunSnapshot{{5, 900 * second}}}, {Endpoint: "a", FailureRuns: []RunSnapshot{{5, 900 * second}}},
 			{Endpoint: "b"}}}}})
@@ -138,11 +138,11 @@
 	for _, size := range []struct{ known, active int }{{250, 250}, {100000, 1000}, {100000, 100000}} {
 		b.Run(fmt.Sprintf("known=%d/active=%d", size.known, size.active), func(b *testing.B) {
 			dispatcher := New(testConfig())
-			news := EndpointUpdate{Kind: CachedList}
+			update := EndpointUpdate{Kind: CachedList}
 			for i := range size.known {
-				news.Entries = append(news.Entries, EndpointEntry{Endpoint: EndpointID(fmt.Sprint("e", i)), Destination: DestinationID(i)})
+				update.Entries = append(update.Entries, EndpointEntry{Endpoint: EndpointID(fmt.Sprint("e", i)), Destination: DestinationID(i)})
 			}
-			dispatcher.Handle(100*second, []Event{news})
+			dispatcher.Handle(100*second, []Event{update})
 			for i := range size.active {
 				dispatcher.markRecent(dispatcher.destinations[DestinationID(i)].groups[0])
 				dispatcher.destinations[DestinationID(i)].groups[0].lastCall = 100 * second
--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// What a dispatcher remembers, and the bookkeeping of it. No decision is made in this file.
+// This file holds the state of a dispatcher and the functions that maintain it. It makes no decisions.
 
 const (
 	millisecond Micros = 1000
@@ -15,71 +15,71 @@
 	never       Micros = math.MaxInt64
 )
 
-// Dispatcher decides for one courier. It is not safe for concurrent use: one goroutine owns it.
+// Dispatcher makes the decisions of one courier. It is not safe for concurrent use: one goroutine owns it.
 type Dispatcher struct {
 	config  Config
 	rng     *rand.Rand
 	now     Micros
-	actions []Action // of the present call of Handle
+	actions []Action // of the current call of Handle
 
 	messages       map[MessageID]*message
 	unfinished     int            // messages without a final answer
-	queueAllowance int            // messages that were held when a lower queue limit came: none is given up for that
-	waiting        []*destination // those with queued messages, by id
+	queueAllowance int            // messages at the last reconfiguration: a lower queue limit gives up none of them
+	waiting        []*destination // destinations with queued messages, ordered by ID
 	keys           map[OrderingKey]*keyOrder
-	restingKeys    []*keyOrder // without messages, and held for a while
+	idleHeldKeys   []*keyOrder // keys that have no messages but are still held
 
 	destinations map[DestinationID]*destination
 	endpoints    map[EndpointID]*endpoint
-	disabled     map[EndpointID]bool // by an operator, whatever the list says
-	recentGroups []*endpointGroup    // called recently, in the order of their first call
+	disabled     map[EndpointID]bool // by an operator, regardless of the list
+	recentGroups []*endpointGroup    // called recently, in the order in which they were added
 
 	inFlight      []*attempt // oldest first
 	callsInFlight int        // slots in use
 
-	tenantQuotas  []decayingSum   // tokens of each tenant, in sum
-	priorDuration Micros          // expected duration of a call before any was seen
-	durations     decayingSum     // of calls to all groups, in microseconds
-	lostCalls     [10]decayingSum // calls without an answer, by the idle time of their connection; the first are new ones
-	throttled     []decayingSum   // throttled calls among those answered, by endpoint type
-	crowding      []crowding      // by endpoint type
-	maxPriority   float64         // highest priority weight of a class
-	maxLossRate   float64         // highest loss rate of a class, per microsecond
-
-	nextDue    Micros // when a queued message may next be sent or given up
-	timerAt    Micros // the earliest timer that was set
-	listing    listing
-	local      localFault
+	tenantQuotas       []decayingSum   // token bucket of each tenant; its sum is the number of tokens
+	priorDuration      Micros          // expected duration of a call before any was observed
+	durations          decayingSum     // of calls to all groups, in microseconds
+	lostCalls          [10]decayingSum // share of calls without an answer, by idle bucket; see idleBucketOf
+	throttled          []decayingSum   // share of throttled calls among delivered and throttled ones, by endpoint type
+	connectionRefusals []refusalStats  // by full connection tables, by endpoint type
+	maxPriority        float64         // highest priority weight of a class
+	maxValueLossRate   float64         // highest value loss rate of a class, per microsecond
+
+	nextDue    Micros // next instant at which a queued message may be sent or given up
+	timerAt    Micros // earliest timer that is set
+	listStatus listStatus
+	localFault localFault
 	shutdownAt Micros
 
-	shadowed bool       // owned by a Shadow, which undoes actions
-	finished []*message // finished since the Shadow last looked
+	shadowed bool       // owned by a Shadow, which may undo actions
+	finished []*message // messages that ended during Shadow.Observe, so that it can undo that
 }
 
-// newDispatcher returns a dispatcher that has seen nothing.
+// newDispatcher returns a dispatcher that has processed no events.
 func newDispatcher(config Config) *Dispatcher {
 	d := &Dispatcher{
-		config:       config,
-		rng:          rand.New(rand.NewSource(config.Seed)),
-		messages:     map[MessageID]*message{},
-		destinations: map[DestinationID]*destination{},
-		endpoints:    map[EndpointID]*endpoint{},
-		disabled:     map[EndpointID]bool{},
-		keys:         map[OrderingKey]*keyOrder{},
-		tenantQuotas: make([]decayingSum, len(config.Tenants)),
-		throttled:    make([]decayingSum, len(config.EndpointTypes)+1),
-		crowding:     make([]crowding, len(config.EndpointTypes)+1),
-		timerAt:      never,
-		listing:      listing{pollAt: never},
-		shutdownAt:   never,
+		config:             config,
+		rng:                rand.New(rand.NewSource(config.Seed)),
+		messages:           map[MessageID]*message{},
+		destinations:       map[DestinationID]*destination{},
+		endpoints:          map[EndpointID]*endpoint{},
+		disabled:           map[EndpointID]bool{},
+		keys:               map[OrderingKey]*keyOrder{},
+		tenantQuotas:       make([]decayingSum, len(config.Tenants)),
+		throttled:          make([]decayingSum, len(config.EndpointTypes)+1),
+		connectionRefusals: make([]refusalStats, len(config.EndpointTypes)+1),
+		timerAt:            never,
+		listStatus:         listStatus{pollAt: never},
+		shutdownAt:         never,
 	}
 	if config.MustPoll {
-		d.listing.pollAt = 0
+		d.listStatus.pollAt = 0
 	}
 	return d
 }
 
-// handleEvent takes in one event.
+// handleEvent processes one event.
 func (d *Dispatcher) handleEvent(event Event) {
 	switch e := event.(type) {
 	case MessageAccepted:
@@ -87,7 +87,7 @@
 	case MessageRecovered:
 		d.recoverMessage(e)
 	case AttemptFinished:
-		d.local.clear(e.Outcome)
+		d.localFault.clear(e.Outcome)
 		d.attemptFinished(e)
 	case AttemptUnsent:
 		d.attemptUnsent(e)
@@ -110,51 +110,51 @@
 
 func (d *Dispatcher) emit(action Action) { d.actions = append(d.actions, action) }
 
-// scheduleAt has Handle called at an instant, or before.
+// scheduleAt requests a timer, so that Handle is called at an instant at the latest.
 func (d *Dispatcher) scheduleAt(at Micros) { d.nextDue = min(d.nextDue, at) }
 
-// reconfigure replaces the configuration. Accepted messages keep the class that they were accepted with. Fewer slots end no
-// call, and a lower queue limit gives up no message that is queued already.
+// reconfigure replaces the configuration. Messages keep the class configuration with which they were accepted. With fewer
+// slots no call in flight is ended, and with a lower queue limit no message that is already queued is given up.
 func (d *Dispatcher) reconfigure(config Config) {
 	d.config, d.queueAllowance = config, d.unfinished
-	d.measureClasses()
-	d.growTables()
+	d.updateClassMaxima()
+	d.extendTables()
 }
 
-// measureClasses finds the highest priority weight and the highest loss rate of all classes.
-func (d *Dispatcher) measureClasses() {
-	d.maxPriority, d.maxLossRate = 0, 0
+// updateClassMaxima updates the highest priority weight and the highest value loss rate of all classes.
+func (d *Dispatcher) updateClassMaxima() {
+	d.maxPriority, d.maxValueLossRate = 0, 0
 	for _, class := range d.config.Classes {
-		d.maxPriority, d.maxLossRate = max(d.maxPriority, class.Priority), max(d.maxLossRate, d.lossRate(&class))
+		d.maxPriority, d.maxValueLossRate = max(d.maxPriority, class.Priority), max(d.maxValueLossRate, d.valueLossRate(&class))
 	}
 }
 
-// growTables makes room for the classes, endpoint types and tenants that a new configuration adds.
-func (d *Dispatcher) growTables() {
+// extendTables extends tables for the classes, endpoint types and tenants that a new configuration adds.
+func (d *Dispatcher) extendTables() {
 	for _, destination := range d.destinations {
-		d.growDestination(destination)
+		d.extendDestination(destination)
 	}
-	d.tenantQuotas = grown(d.tenantQuotas, len(d.config.Tenants))
-	d.throttled = grown(d.throttled, len(d.config.EndpointTypes)+1)
-	d.crowding = grown(d.crowding, len(d.config.EndpointTypes)+1)
+	d.tenantQuotas = extended(d.tenantQuotas, len(d.config.Tenants))
+	d.throttled = extended(d.throttled, len(d.config.EndpointTypes)+1)
+	d.connectionRefusals = extended(d.connectionRefusals, len(d.config.EndpointTypes)+1)
 }
 
-func (d *Dispatcher) growDestination(destination *destination) {
+func (d *Dispatcher) extendDestination(destination *destination) {
 	classes := len(d.config.Classes)
 	for _, group := range destination.groups {
-		group.breakers = grown(group.breakers, classes)
+		group.breakers = extended(group.breakers, classes)
 	}
 	for _, endpoint := range destination.endpoints {
-		endpoint.classRuns = grown(endpoint.classRuns, classes)
+		endpoint.classRuns = extended(endpoint.classRuns, classes)
 		if i := int(endpoint.Type); i < len(d.config.EndpointTypes) {
-			// Whether endpoints are separate groups stays as it was when the groups were made.
+			// Separate keeps its value from when the groups were created.
 			destination.endpointType.MaxPerCall = d.config.EndpointTypes[i].MaxPerCall
 		}
 	}
 }
 
-// grown returns a slice with zero items added up to a length.
-func grown[T any](list []T, length int) []T {
+// extended returns a slice that is extended to a length with zero values.
+func extended[T any](list []T, length int) []T {
 	return append(list, make([]T, max(0, length-len(list)))...)
 }
 
@@ -163,34 +163,34 @@
 	return slices.DeleteFunc(list, func(other T) bool { return other == item })
 }
 
-// message is an accepted message until its final answer, or until its last attempt has finished.
+// message is an accepted message. It is kept until it has its final answer and all its attempts have finished.
 type message struct {
-	id          MessageID
-	destination *destination
-	classID     ClassID
-	class       *Class
-	objectiveAt Micros // when its latency objective is over
-	deadline    Micros
-	priority    float64 // weight, lowered where its tenant is over quota
-	draw        float64 // uniform in [0, 1): its place among the messages of all couriers
-	loss        float64 // of value, by waiting another second
-	order       *keyOrder
-	orderIndex  int // its place in order when it was removed
-	attempts    []*attempt
-	inFlight    int // attempts without an outcome
-	throttled   int // attempts that were throttled
-	unsent      int // attempts that never left this machine
-	ended       bool
-	queued      bool
-	mayHaveRun  bool
-	ranAt       Micros // when the first attempt that may have run was sent
-	ranZone     ZoneID
-	untried     bool      // recovered, and nothing had run
-	failedAt    *endpoint // of the last failed attempt
+	id                 MessageID
+	destination        *destination
+	classID            ClassID
+	class              *Class
+	objectiveAt        Micros // end of the latency objective
+	deadline           Micros
+	priority           float64 // weight, reduced if its tenant was over quota
+	sample             float64 // uniform in [0, 1): selects messages that are sent at once; see Dispatcher.readyAt
+	valueLoss          float64 // loss of value by waiting another second
+	order              *keyOrder
+	orderIndex         int // its index in order when it was removed
+	attempts           []*attempt
+	inFlight           int  // attempts without an outcome
+	throttled          int  // attempts that were throttled
+	unsent             int  // attempts that were not sent because of a local fault
+	ended              bool // it has its final answer
+	queued             bool
+	mayHaveRun         bool
+	ranAt              Micros // when the first attempt that may have run was sent
+	ranZone            ZoneID
+	untried            bool      // recovered after a restart without an attempt that may have run
+	lastFailedEndpoint *endpoint // endpoint of the last attempt, if that did not deliver and was not throttled
 }
 
-// newMessage returns a message as it was accepted.
-func newMessage(event MessageAccepted, destination *destination, class *Class, draw float64) *message {
+// newMessage returns a message in its state at acceptance.
+func newMessage(event MessageAccepted, destination *destination, class *Class, sample float64) *message {
 	return &message{
 		id:          event.Message,
 		destination: destination,
@@ -199,18 +199,18 @@
 		objectiveAt: min(event.Deadline-class.TimeToLive+class.Objective, event.Deadline),
 		deadline:    event.Deadline,
 		priority:    class.Priority,
-		draw:        draw,
+		sample:      sample,
 	}
 }
 
-// hold keeps a message that was accepted, and queues it.
-func (d *Dispatcher) hold(message *message) {
+// addMessage registers an accepted message and queues it.
+func (d *Dispatcher) addMessage(message *message) {
 	d.messages[message.id] = message
 	d.unfinished++
 	d.enqueue(message)
 }
 
-// recover takes on a message from before a restart, with its attempts until then; nil if it cannot be used.
+// recover restores a message from before a restart with its past attempts; nil if it cannot be accepted.
 func (d *Dispatcher) recover(event MessageRecovered) *message {
 	d.accept(event.MessageAccepted)
 	message := d.messages[event.Message]
@@ -225,17 +225,18 @@
 		message.attempts = append(message.attempts, &attempt{message: message, sentAt: past.SentAt, finished: true})
 		d.noteMayHaveRun(message, past.Outcome, past.SentAt, past.Zone)
 		if i == len(event.Attempts)-1 {
-			d.observePast(past)
+			d.observePastAttempt(past)
 		}
 	}
 	message.untried = !message.mayHaveRun && message.inFlight == 0
 	return message
 }
 
-// noteMayHaveRun notes whether a message was throttled, or may have run and perhaps still runs.
+// noteMayHaveRun records whether an attempt of a message was throttled, or may have run. If it may still run, the ordering
+// key of the message is held.
 func (d *Dispatcher) noteMayHaveRun(message *message, outcome Outcome, sentAt Micros, zone ZoneID) {
 	if outcome == Throttled {
-		message.throttled, message.failedAt = message.throttled+1, nil
+		message.throttled, message.lastFailedEndpoint = message.throttled+1, nil
 	} else if outcome != Unreachable && outcome != Unprocessed && !message.mayHaveRun {
 		message.mayHaveRun, message.ranAt, message.ranZone = true, sentAt, zone
 	}
@@ -264,12 +265,12 @@
 	}
 }
 
-// dropEmptyQueues drops the destinations that have no queued messages.
+// dropEmptyQueues removes destinations without queued messages from waiting.
 func (d *Dispatcher) dropEmptyQueues() {
 	d.waiting = slices.DeleteFunc(d.waiting, func(destination *destination) bool { return len(destination.queue) == 0 })
 }
 
-// finish ends a message that has its final answer. It is remembered until its attempts in flight have finished.
+// finish ends a message that has its final answer. The message is kept until its attempts in flight have finished.
 func (d *Dispatcher) finish(message *message) {
 	if message == nil || message.ended {
 		return
@@ -283,7 +284,7 @@
 	d.forgetFinished(message)
 }
 
-// forgetFinished forgets a message that is finished, with its ordering key where that is done with.
+// forgetFinished drops a message that has ended and has no attempt in flight, and its ordering key if that is no longer needed.
 func (d *Dispatcher) forgetFinished(message *message) {
 	if !message.ended || message.inFlight > 0 {
 		return
@@ -296,26 +297,26 @@
 	case d.now >= order.holdUntil:
 		delete(d.keys, order.key)
 	default:
-		d.restingKeys = append(d.restingKeys, order)
+		d.idleHeldKeys = append(d.idleHeldKeys, order)
 	}
 }
 
-// decayingSum is an exponentially decaying sum; it is brought up to date when it is read.
+// decayingSum is a sum of values and their count that decay exponentially. Reading it updates it.
 type decayingSum struct {
-	weight, sum float64 // count of values, and their sum
+	weight, sum float64 // number of values, and their sum
 	at          Micros
 }
 
-// decay brings the sum up to date, with over as the time in which it decays to 1/e, and returns it.
-func (s *decayingSum) decay(now, over Micros) *decayingSum {
+// decay updates the sum to an instant and returns it. It decays to 1/e in timeConstant.
+func (s *decayingSum) decay(now, timeConstant Micros) *decayingSum {
 	if now > s.at {
-		left := math.Exp(-float64(now-s.at) / float64(over))
+		left := math.Exp(-float64(now-s.at) / float64(timeConstant))
 		s.weight, s.sum, s.at = s.weight*left, s.sum*left, now
 	}
 	return s
 }
 
-func (s *decayingSum) add(now, over Micros, value float64) {
-	s.decay(now, over)
+func (s *decayingSum) add(now, timeConstant Micros, value float64) {
+	s.decay(now, timeConstant)
 	s.weight, s.sum = s.weight+1, s.sum+value
 }
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -1,23 +1,23 @@
 package dispatch
 
-// Micros is an instant of the courier's clock, or a span of time, in whole microseconds.
+// Micros is an instant on the courier's clock, or a duration, in whole microseconds.
 type Micros int64
 
-// Identifiers. Each has a type of its own so that none is taken for another; none has a meaning here.
+// Identifiers. Each has its own type so that the compiler rejects mix-ups. This package does not interpret their values.
 type (
-	// MessageID names a message; a message that is submitted again has a new one.
+	// MessageID identifies a message. A message that is submitted again gets a new one.
 	MessageID string
-	// EndpointID names one server.
+	// EndpointID identifies one server.
 	EndpointID string
-	// OrderingKey groups messages that are delivered one at a time, in order; empty for none.
+	// OrderingKey groups messages that are delivered one at a time, in order. It is empty for messages without a key.
 	OrderingKey string
-	// DestinationID numbers a receiver of messages.
+	// DestinationID is the number of a receiver of messages.
 	DestinationID int32
 	// ClassID is an index into Config.Classes.
 	ClassID int
 	// TenantID is an index into Config.Tenants.
 	TenantID int
-	// ZoneID numbers a zone.
+	// ZoneID is the number of a zone.
 	ZoneID int
 	// EndpointTypeID is an index into Config.EndpointTypes.
 	EndpointTypeID int
@@ -25,7 +25,8 @@
 	AttemptNumber int
 )
 
-// Idempotency says whether a message that may already have run may be sent again.
+// Idempotency tells whether a message that may already have run may be sent again. A message has run when a server has
+// processed it.
 type Idempotency int
 
 // The kinds of idempotency.
@@ -35,87 +36,88 @@
 	AtMostOnce                        // must not run twice
 )
 
-// ValueDecay is how the value of a message falls after its latency objective.
+// ValueDecay is how the value of a message decreases after its latency objective.
 type ValueDecay int
 
-// The ways in which a value decays.
+// The kinds of value decay.
 const (
 	LinearDecay  ValueDecay = iota // linearly, to Class.LateFactor at the deadline
-	HalvingDecay                   // by half with each further latency objective, not below Class.LateFactor
+	HalvingDecay                   // halves with each further latency objective, down to Class.LateFactor
 )
 
-// RateQuality says how far the rates on the endpoint list can be relied on.
+// RateQuality is the accuracy of the rate limits on the endpoint list.
 type RateQuality int
 
 // The qualities of listed rates.
 const (
-	NoRates      RateQuality = iota // there are none
-	RoughRates                      // up to half too high
-	NominalRates                    // as they are
+	NoRates      RateQuality = iota // the list has no rates
+	RoughRates                      // listed rates are up to 50 % too high
+	NominalRates                    // listed rates equal the limits
 )
 
-// Class is the configuration of one class of messages. Its times count from when a message was first submitted.
+// Class is the configuration of one class of messages. Objective and TimeToLive count from the first submission of a
+// message.
 type Class struct {
 	Objective         Micros  // latency objective
-	TimeToLive        Micros  // until the deadline
+	TimeToLive        Micros  // time until the deadline
 	Priority          float64 // weight of a message delivered within its objective
-	LateFactor        float64 // share of the weight that is left at the deadline, from 0 to 1
+	LateFactor        float64 // share of the weight that remains at the deadline, from 0 to 1
 	Idempotency       Idempotency
-	SameZone          bool   // only endpoints of one zone recognize an idempotency key
-	IdempotencyWindow Micros // for how long, from the first attempt that may have run
-	Ordered           bool   // by ordering key
+	SameZone          bool   // an idempotency key is recognized only by endpoints of the same zone
+	IdempotencyWindow Micros // how long a key is recognized, from the first attempt that may have run
+	Ordered           bool   // messages with the same ordering key are delivered one at a time, in order
 }
 
-// EndpointType is the configuration of one type of endpoints.
+// EndpointType is the configuration of one type of endpoint.
 type EndpointType struct {
-	Separate   bool // each endpoint is a group of its own, with its own limit
-	MaxPerCall int  // messages in one call
+	Separate   bool // each endpoint forms its own group, with its own limit
+	MaxPerCall int  // maximum number of messages in one call
 }
 
 // Tenant is the configuration of one sender of messages.
 type Tenant struct {
-	RatePerSecond float64 // quota in messages a second, of all couriers; 0 for none
+	RatePerSecond float64 // quota in messages per second for all couriers together; 0 for no quota
 }
 
 // Config is the configuration of a dispatcher.
 type Config struct {
-	Seed              int64 // of all random draws
-	Couriers          int   // size of the fleet
-	CourierNumber     int   // of this one in the fleet
+	Seed              int64 // of the random number generator
+	Couriers          int   // number of couriers in the fleet
+	CourierNumber     int   // index of this courier in the fleet
 	Classes           []Class
 	EndpointTypes     []EndpointType
 	Tenants           []Tenant
-	OverQuotaFactor   float64 // of the priority weight, for messages over their tenant's quota
+	OverQuotaFactor   float64 // multiplies the priority weight of messages over their tenant's quota
 	Decay             ValueDecay
-	Slots             int // calls in flight at once
-	QueueLimit        int // messages held; 0 for no limit
-	MaxAttempts       int // of a message
-	MayCancel         bool
-	MayTellRetryAfter bool
-	MaxRetryAfter     Micros
-	IdleTimeout       Micros // after which a server closes an idle connection
+	Slots             int    // maximum number of calls in flight
+	QueueLimit        int    // maximum number of unfinished messages; 0 for no limit
+	MaxAttempts       int    // maximum number of attempts per message
+	MayCancel         bool   // whether overdue attempts may be canceled
+	MayTellRetryAfter bool   // whether a rejection may carry a Retry-After
+	MaxRetryAfter     Micros // longest Retry-After of a rejection
+	IdleTimeout       Micros // time after which a server closes an idle connection
 	Tick              Micros // shortest time between two timers
-	MustPoll          bool   // the endpoint list has to be polled; else it is pushed
+	MustPoll          bool   // the endpoint list has to be polled; otherwise it is pushed
 	RateQuality       RateQuality
-	ReportLeftIndex   int       // of the remaining share of the limit in a load report; -1 if there is none
-	ReportRateIndex   int       // of the limit in a load report, in calls a second; -1 if there is none
-	GroupCost         []float64 // by zone, of each message to a separate endpoint
-	Zone              ZoneID    // of this courier
-	CrossZoneCost     float64   // of a call to another zone
-	SlowStartFrom     float64   // share of its capacity with which a server starts
-	SlowStart         Micros    // how long a server takes to warm up
-	OverloadFactor    float64   // a warming server fails under so many times its capacity
+	ReportLeftIndex   int       // index of the remaining share of the limit in a load report; -1 if reports lack it
+	ReportRateIndex   int       // index of the limit, in calls per second, in a load report; -1 if reports lack it
+	GroupCost         []float64 // by zone: cost of a message to an endpoint that forms its own group
+	Zone              ZoneID    // zone of this courier
+	CrossZoneCost     float64   // cost of a call to another zone
+	SlowStartFrom     float64   // share of its capacity that a server has when it starts
+	SlowStart         Micros    // time that a server takes to warm up
+	OverloadFactor    float64   // a warming server fails when its load exceeds its current capacity by this factor
 	KeyCooldown       Micros    // how long an ordering key is held after an attempt that may still run
-	GrantedUntil      Micros    // an earlier start may have granted maxGranted of each limit until then
+	GrantedUntil      Micros    // until then an earlier run of this courier may have granted maxGranted of its part of each limit
 }
 
-// Phase is the state of an endpoint on the list.
+// Phase is the state of an endpoint on the endpoint list.
 type Phase int
 
 // The phases of an endpoint.
 const (
 	InService Phase = iota
-	Draining        // finishes its calls and takes no new one
+	Draining        // finishes its calls and takes no new ones
 	Removed
 )
 
@@ -126,22 +128,22 @@
 	Type        EndpointTypeID
 	Destination DestinationID
 	Phase       Phase
-	Rate        float64 // limit in calls a second from all couriers; 0 if unknown
+	Rate        float64 // limit in calls per second from all couriers together; 0 if unknown
 }
 
-// Outcome is how an attempt ended. The numbers are those of messages between processes, and must not change.
+// Outcome is how an attempt ended. The values are part of the protocol between processes and must not change.
 type Outcome int
 
 // The outcomes of an attempt.
 const (
 	Delivered   Outcome = iota
-	Failure             // an error was answered: it may have run
-	Throttled           // rejected, by a limit or a full queue: it has not run
-	TimedOut            // it may have run, or may yet
-	Unreachable         // the connection was refused, or lost before the whole request was written: it has not run
-	Broken              // the connection was lost after that: it may have run
-	Canceled            // given up by the dispatcher or the client: it may have run
-	Unprocessed         // rejected without being looked at, or not sent: it has not run
+	Failure             // the server answered with an error: the message may have run
+	Throttled           // rejected because of a limit or a full queue: the message has not run
+	TimedOut            // no answer in time: the message may have run, or may still run
+	Unreachable         // the connection was refused, or lost before the whole request was written: the message has not run
+	Broken              // the connection was lost after the request was written: the message may have run
+	Canceled            // given up by the dispatcher or the client: the message may have run
+	Unprocessed         // rejected before processing, or never sent: the message has not run
 )
 
 var outcomeNames = [...]string{"delivered", "failure", "throttled", "timed out", "unreachable", "broken", "canceled", "unprocessed"}
@@ -154,11 +156,11 @@
 	return outcomeNames[o]
 }
 
-// Event is something that happened: one of the types of this package with that method.
+// Event is an input of Dispatcher.Handle: one of the types of this package that have the method event.
 type Event interface{ event() }
 
 type (
-	// MessageAccepted hands over a message that was taken on.
+	// MessageAccepted hands over a message that the courier has accepted.
 	MessageAccepted struct {
 		Message     MessageID
 		Destination DestinationID
@@ -166,63 +168,66 @@
 		Tenant      TenantID
 		OrderingKey OrderingKey
 		Deadline    Micros
-		Resubmitted bool // by its client, after a rejection
+		Resubmitted bool // submitted again by its client after a rejection
 	}
-	// MessageRecovered hands over a message that was taken on before a restart and has no final answer.
+	// MessageRecovered hands over a message that was accepted before a restart and has no final answer yet.
 	MessageRecovered struct {
 		MessageAccepted
-		Attempts []PastAttempt // in order
+		Attempts []PastAttempt // in the order in which they were sent
 	}
-	// PastAttempt is an attempt from before a restart; one without an outcome counts as Broken.
+	// PastAttempt is an attempt from before a restart. An attempt without a known outcome has the outcome Broken.
 	PastAttempt struct {
 		Endpoint EndpointID
 		Zone     ZoneID
 		SentAt   Micros
 		Outcome  Outcome
-		InFlight bool // at the predecessor in an upgrade: its outcome comes as AttemptFinished
+		InFlight bool // still in flight at the predecessor in an upgrade: its outcome follows as AttemptFinished
 	}
-	// AttemptFinished is the one outcome of an attempt. The tags are the names that it has between processes.
+	// AttemptFinished reports the outcome of an attempt, once per attempt. The tags are the field names in the protocol
+	// between processes.
 	AttemptFinished struct {
 		Message     MessageID     `json:"Record"`
 		Attempt     AttemptNumber `json:"Trip"`
 		Outcome     Outcome       `json:"Outcome"`
 		Duration    Micros        `json:"Took"`
-		MessageDone bool          `json:"Over"`     // nothing more is owed for the message
+		MessageDone bool          `json:"Over"`     // the message has its final answer and needs no further attempt
 		RetryAfter  Micros        `json:"Wait"`     // 0 for none
 		LoadReport  []float64     `json:"Pressure"` // see Config.ReportLeftIndex
 	}
-	// AttemptUnsent is the outcome of an attempt that never left, as this machine was short of something.
+	// AttemptUnsent reports an attempt that was not sent because this machine lacked a resource, such as a socket.
 	AttemptUnsent struct{ AttemptFinished }
-	// ShutdownScheduled announces the end of the process. Attempts in flight are cut off then; other messages are handed on.
+	// ShutdownScheduled announces when the process ends. Attempts still in flight are cut off then; messages without an
+	// attempt in flight are handed off.
 	ShutdownScheduled struct{ At Micros }
-	// Reconfigured replaces the configuration. Classes, endpoint types, zones and tenants keep their numbers, with new ones
-	// after them; the seed and the endpoint list stay as they are.
+	// Reconfigured replaces the configuration. Existing classes, endpoint types, zones and tenants keep their indexes, and
+	// new ones are appended. The seed and the endpoint list do not change.
 	Reconfigured struct{ Config Config }
-	// MaintenanceChanged reports that an operator disabled an endpoint, whatever the list says of it, or enabled it again.
+	// MaintenanceChanged reports that an operator disabled an endpoint, regardless of its phase on the list, or enabled it
+	// again.
 	MaintenanceChanged struct {
 		Endpoint EndpointID
 		Disabled bool
 	}
-	// MessageCanceled reports that a message needs no final answer any more.
+	// MessageCanceled reports that a message no longer needs a final answer.
 	MessageCanceled struct{ Message MessageID }
-	// TimerFired reports that a timer is over.
+	// TimerFired reports that a timer requested by SetTimer has expired.
 	TimerFired struct{}
-	// EndpointUpdate brings the endpoint list, changes of it, or the failure of a poll.
+	// EndpointUpdate delivers the endpoint list or changes of it, or reports a failed poll.
 	EndpointUpdate struct {
 		Kind       UpdateKind
 		Entries    []EndpointEntry
-		Incomplete bool // a part of the list could not be used, and has to be asked for again
-		Unusable   bool // the whole list says so again and again: its source means what cannot be used here
+		Incomplete bool // part of the list could not be used and has to be requested again
+		Unusable   bool // repeated whole lists contain the same unusable entries: the source confirms them
 	}
 )
 
-// Snapshotter is a dispatcher whose learned state can be taken.
+// Snapshotter is a dispatcher that can return a snapshot of its learned state.
 type Snapshotter interface{ Snapshot() Snapshot }
 
-// ListGuard is a dispatcher that tells whether a call may leave under the endpoint list that is held.
+// ListGuard is a dispatcher that reports whether its endpoint list is current enough for a call to leave now.
 type ListGuard interface{ MayCall(now Micros) bool }
 
-// Demander is a dispatcher that tells what its courier does at each group.
+// Demander is a dispatcher that reports the demand of its courier at each endpoint group.
 type Demander interface{ Demands() []Demand }
 
 var (
@@ -231,19 +236,19 @@
 	_ Demander    = (*Dispatcher)(nil)
 )
 
-// UpdateKind says what an EndpointUpdate brings.
+// UpdateKind is what an EndpointUpdate delivers or reports.
 type UpdateKind int
 
 // The kinds of updates.
 const (
-	CachedList   UpdateKind = iota // the whole list, as it was stored
-	CompleteList                   // the whole list
-	PartialList                    // entries that changed
-	ListFailed                     // nothing: the poll failed
-	ListSilent                     // nothing: the poll was not answered in time
+	CachedList   UpdateKind = iota // the whole list, from local storage
+	CompleteList                   // the whole list, from a poll
+	PartialList                    // only the entries that changed
+	ListFailed                     // no list: the poll failed
+	ListSilent                     // no list: the poll was not answered in time
 )
 
-// String returns the kind as it stands in logs.
+// String returns the name of the kind that is used in logs.
 func (k UpdateKind) String() string {
 	return [...]string{"cached", "complete", "partial", "failed", "silent"}[k]
 }
@@ -259,36 +264,38 @@
 func (TimerFired) event()         {}
 func (EndpointUpdate) event()     {}
 
-// Action is something to be carried out: one of the types of this package with that method.
+// Action is an output of Dispatcher.Handle for the caller to carry out: one of the types of this package that have the
+// method action.
 type Action interface{ action() }
 
 type (
-	// Send starts an attempt; the attempts of a message are numbered from 0 in the order of their Sends.
+	// Send starts an attempt. The attempts of a message are numbered from 0 in the order of their Send actions.
 	Send struct {
 		Message  MessageID
 		Endpoint EndpointID
 		Timeout  Micros
 	}
-	// Cancel gives up an attempt. Its outcome is still to be reported.
+	// Cancel gives up an attempt. The caller must still report its outcome.
 	Cancel struct {
 		Message MessageID
 		Attempt AttemptNumber
 	}
-	// Reject ends a message that is safe to submit again.
+	// Reject ends a message that the client may safely submit again.
 	Reject struct {
 		Message    MessageID
 		RetryAfter Micros // 0 for none
 	}
 	// Fail ends a message that is not safe to submit again.
 	Fail struct{ Message MessageID }
-	// SetTimer has TimerFired reported at an instant, or later. A timer that was set for a later instant is replaced.
+	// SetTimer requests a TimerFired event at an instant, or later. It replaces a timer that was set for a later instant.
 	SetTimer struct{ At Micros }
 	// CloseIdle closes the idle connections to an endpoint.
 	CloseIdle struct{ Endpoint EndpointID }
-	// WatchEndpoints polls the endpoint list: for changes, or for what there is now, after which a watch goes on by itself.
+	// WatchEndpoints starts a poll of the endpoint list, for changes or for its current state. After an answer the watch
+	// continues without further actions.
 	WatchEndpoints struct {
-		Whole     bool // the whole list, whatever version is held
-		Immediate bool // an answer is due at once, with or without changes
+		Whole     bool // requests the whole list, whatever version is held
+		Immediate bool // requests an answer at once, even if nothing has changed
 	}
 	// Note is a line for the log.
 	Note struct{ Text string }
--- a/dispatch/value.go
+++ b/dispatch/value.go
@@ -2,17 +2,18 @@
 
 import "math"
 
-// What messages are worth, as the configuration has it: priority weights and how they decay after the latency objective.
+// This file computes the value of messages from the configuration: priority weights and their decay after the
+// latency objective.
 
-// lossRate is the most that a message of a class loses of its value, per microsecond of delay.
-func (d *Dispatcher) lossRate(class *Class) float64 {
+// valueLossRate returns the highest loss of value of a message of a class, per microsecond of delay.
+func (d *Dispatcher) valueLossRate(class *Class) float64 {
 	if d.config.Decay == HalvingDecay {
 		return class.Priority / 2 / float64(max(class.Objective, 1))
 	}
 	return class.Priority * (1 - class.LateFactor) / float64(max(class.TimeToLive-class.Objective, 1))
 }
 
-// valueAt is what delivering a message at an instant is worth, in units of the priority weight.
+// valueAt returns the value of delivering a message at an instant, in units of the priority weight.
 func (d *Dispatcher) valueAt(message *message, at Micros) float64 {
 	late, class := float64(at-message.objectiveAt), message.class
 	switch {
