--- a/dispatch/listing_test.go
+++ b/dispatch/listing_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// pauseOf returns how long after an update the list is polled again; never where it is not.
-func retryPause(l *listStatus) Micros { return l.pollAt } // updates here come at 0
+// retryPause returns the time from an update to the next poll of the list; never if no poll is scheduled.
+func retryPause(l *listStatus) Micros { return l.pollAt } // the updates in these tests come at instant 0
 
-// TestIncompleteListsBackOff: lists of which a part cannot be used are asked for again soon, then ever more slowly, the first time by
-// version and from then on whole; one that can be used ends that.
+// TestIncompleteListsBackOff checks that lists that could be used only in part are requested again soon, then at growing intervals:
+// first only the changes since the held version, then the whole list. A list that can be used in full ends this.
 func TestIncompleteListsBackOff(t *testing.T) {
 	l := &listStatus{pollAt: never}
 	previous := Micros(0)
@@ -17,23 +17,23 @@
 		l.update(0, EndpointUpdate{Kind: PartialList, Incomplete: true})
 		pause := retryPause(l)
 		if pause < previous || pause > maxIncompleteRetry || n == 0 && pause != firstIncompleteRetry || n == 7 && pause != maxIncompleteRetry {
-			t.Errorf("incomplete %d times, asked again after %d us", n+1, pause)
+			t.Errorf("after %d incomplete lists: polled again after %d us", n+1, pause)
 		}
 		if poll := l.startPoll(); poll.Whole != (n >= incrementalRetries) || !poll.Immediate || l.pollAt != never {
-			t.Errorf("incomplete %d times, asked by %+v", n+1, poll)
+			t.Errorf("after %d incomplete lists: poll %+v", n+1, poll)
 		}
 		previous = pause
 	}
 	l.update(0, EndpointUpdate{Kind: CompleteList})
 	if l.pollAt != never || l.mayLackChanges || l.startPoll() != (WatchEndpoints{}) {
-		t.Errorf("after a whole list %+v", l)
+		t.Errorf("after a complete list: status %+v", l)
 	}
 }
 
-// TestFailedPollsFitTheDeadline: however many polls were refused, there are three more within the deadline of a change, and after a silent
-// watch three before calls are held back; and in the long run a courier polls once in 1.2 s.
+// TestFailedPollsFitTheDeadline checks that at least three polls fit within ListDeadline, however many polls were refused, and that at
+// least three follow an unanswered watch before calls are held back. In the long run a courier must poll about once in 1.2 s.
 func TestFailedPollsFitTheDeadline(t *testing.T) {
-	const watch = 5250 * 1000 // until it is given up as silent
+	const watch = 5250 * 1000 // time without an answer after which a watch counts as failed, in microseconds
 	for seed := range int64(200) {
 		rng := rand.New(rand.NewSource(seed))
 		l := &listStatus{pollAt: never}
@@ -44,7 +44,7 @@
 			polls++
 		}
 		if polls < 3 {
-			t.Errorf("seed %d: %d refused polls after a silent watch, before calls are held back", seed, polls)
+			t.Errorf("seed %d: %d refused polls between an unanswered watch and the holding back of calls, want at least 3", seed, polls)
 		}
 		for range 20 {
 			now = l.pollAt
@@ -56,12 +56,12 @@
 			l.recordFailure(now, false, rng)
 		}
 		if polls > 65 || polls < 40 {
-			t.Errorf("seed %d: %d polls in a minute of failures", seed, polls)
+			t.Errorf("seed %d: %d polls in a minute of failures, want 40 to 65", seed, polls)
 		}
 		for n := range 50 {
 			pause := l.pollAt - now
 			if pause > ListDeadline/3 {
-				t.Errorf("seed %d: poll %d came after %d us", seed, n, pause)
+				t.Errorf("seed %d: poll %d came after a pause of %d us", seed, n, pause)
 			}
 			now = l.pollAt
 			l.recordFailure(now, rng.Intn(2) == 0, rng)
@@ -69,9 +69,9 @@
 	}
 }
 
-// TestOutdatedListHoldsCalls: after a poll that was not answered, or not such that all of it could be used, calls wait from the deadline
-// of a change that may be missing until the list is read, for a bounded time; after polls that were refused, and before any failed,
-// they do not.
+// TestOutdatedListHoldsCalls checks that calls are held back after a poll that was not answered, or whose list could be used only in
+// part. They are held from the deadline of a change that may be missing until a list is received, and for staleListHold at most.
+// Refused polls hold back no calls.
 func TestOutdatedListHoldsCalls(t *testing.T) {
 	cases := map[string]struct {
 		fail func(l *listStatus, now Micros)
@@ -89,18 +89,18 @@
 		for at, want := range map[Micros]bool{second + ListDeadline - 1: false, second + ListDeadline: c.hold,
 			second + ListDeadline + staleListHold - 1: c.hold, second + ListDeadline + staleListHold: false} {
 			if until, stale := l.stale(at); stale != want || stale && until != second+ListDeadline+staleListHold {
-				t.Errorf("%s, at %d us: overdue %v until %d us", name, at, stale, until)
+				t.Errorf("%s, at %d us: stale %v until %d us", name, at, stale, until)
 			}
 		}
 		l.update(second+ListDeadline, EndpointUpdate{Kind: PartialList})
 		if _, stale := l.stale(second + ListDeadline); stale {
-			t.Errorf("%s: calls wait though the list was read", name)
+			t.Errorf("%s: calls are held back although a list was received", name)
 		}
 	}
 }
 
-// TestUnusableEntriesBackOff: entries that the source confirms and the configuration cannot use are looked at again after 5 s, then
-// ever more rarely, while the watch goes on.
+// TestUnusableEntriesBackOff checks that a list with entries that the source confirms and the configuration cannot use is requested
+// again after 5 s, and then at growing intervals, while the watch continues.
 func TestUnusableEntriesBackOff(t *testing.T) {
 	l := &listStatus{}
 	previous := Micros(0)
@@ -108,10 +108,10 @@
 		l.update(0, EndpointUpdate{Kind: CompleteList, Unusable: true})
 		pause := retryPause(l)
 		if pause < previous || n == 0 && pause != firstUnusableRetry || n == 7 && pause != maxUnusableRetry {
-			t.Errorf("unusable %d times, read again after %d us", n+1, pause)
+			t.Errorf("after %d lists with unusable entries: requested again after %d us", n+1, pause)
 		}
 		if !l.startPoll().Whole {
-			t.Error("not read whole")
+			t.Error("the poll does not request the whole list")
 		}
 		previous = pause
 	}
--- a/dispatch/localfault.go
+++ b/dispatch/localfault.go
@@ -5,8 +5,8 @@
 // affects all destinations, nothing is sent for a short time.
 
 const (
-	// The first pause suits a table that is full for a moment. The pause grows to what a message with a short
-	// deadline can spare.
+	// The first pause suits a table of the system that is full for a moment. The pause grows to what a message with one
+	// of the shortest deadlines can spare.
 	firstLocalPause = second / 50
 	maxLocalPause   = second * 8 / 25
 )
--- a/dispatch/localfault_test.go
+++ b/dispatch/localfault_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestUnsentAttemptsCountForNoEndpoint: attempts that never left, however many, open no breaker, eject no endpoint and are none of those that a message may
-// have; between them is a pause that grows, and one that leaves ends it.
+// TestUnsentAttemptsCountForNoEndpoint checks that attempts that were not sent, however many, open no breaker, eject no endpoint and do not
+// count towards the attempts of their message. The pause between them must grow, and an attempt that is sent must end the local fault.
 func TestUnsentAttemptsCountForNoEndpoint(t *testing.T) {
 	const attempts = 40
 	d := New(Config{Classes: []Class{{Objective: second, TimeToLive: 60 * second, Priority: 1, Idempotency: Idempotent}}, EndpointTypes: []EndpointType{{MaxPerCall: 1}},
@@ -19,18 +19,18 @@
 				case Send:
 					sent = &a
 				case Reject, Fail:
-					t.Fatalf("given up after %d attempts that never left", n)
+					t.Fatalf("message given up after %d attempts that were not sent", n)
 				}
 			}
 			if events = []Event{TimerFired{}}; sent == nil {
 				now += 1000
 			}
 			if tries > 1000 {
-				t.Fatalf("not sent again after %d", n)
+				t.Fatalf("message not sent again within 1,000 ticks after %d attempts", n)
 			}
 		}
 		if pause := now - last; n > 1 && pause < firstLocalPause || n > 6 && pause < maxLocalPause {
-			t.Errorf("attempt %d came %d us after the one before", n, pause)
+			t.Errorf("attempt %d came only %d us after the previous one", n, pause)
 		}
 		last = now
 		now += 10
@@ -42,6 +42,6 @@
 	}
 	d.localFault.clear(Delivered)
 	if d.localFault != (localFault{}) {
-		t.Errorf("after an attempt that left %+v", d.localFault)
+		t.Errorf("after an attempt that was sent: local fault %+v, want none", d.localFault)
 	}
 }
--- a/dispatch/quota_test.go
+++ b/dispatch/quota_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// limited is a configuration under which three couriers share a listed limit.
+// sharedLimitConfig returns a configuration and an endpoint list under which three couriers share a listed limit.
 func sharedLimitConfig() (Config, EndpointUpdate) {
 	config := testConfig()
 	config.RateQuality = NominalRates
@@ -18,8 +18,8 @@
 	return config, list
 }
 
-// TestExpiredLeasesHaveNoEffect: a courier that was notified of leases, of what it granted and of a load, all of it over, decides message by
-// message as one that was notified nothing. Failure: what couriers had settled lasted beyond its time.
+// TestExpiredLeasesHaveNoEffect checks that a dispatcher with expired leases, grants and load makes the same decisions as one that received none.
+// It guards against agreements that stay in effect after they have expired.
 func TestExpiredLeasesHaveNoEffect(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config, list := sharedLimitConfig()
@@ -32,7 +32,7 @@
 			accepted := MessageAccepted{Message: MessageID(rune('a' + i)), Destination: 1, Deadline: now + 20*second}
 			got, want := plain.Handle(now, []Event{accepted}), leased.Handle(now, []Event{accepted})
 			if !reflect.DeepEqual(got, want) {
-				t.Fatalf("%v, and %v beside what is over", got, want)
+				t.Fatalf("actions %v without shares, but %v with expired shares", got, want)
 			}
 			for _, a := range got {
 				if s, ok := a.(Send); ok {
@@ -45,9 +45,9 @@
 	})
 }
 
-// TestSharedLoadOnlySlowsDown: whatever load is heard of and whatever was granted, no gap gets shorter; a lease shortens this courier's part of
-// it, until it lapses by its own clock. Failures meant: a fleet that goes on over a limit while reports, reported late, say that plenty is
-// left; a lessee that stood still past the lapse and uses on.
+// TestSharedLoadOnlySlowsDown checks that no load and no grant shortens an interval, and that a lease shortens the fair interval until it expires by
+// this courier's own clock. It guards against two failures: a fleet that keeps exceeding a limit while late load reports show that enough is left,
+// and a lessee that was paused past the expiry of a lease and still uses it.
 func TestSharedLoadOnlySlowsDown(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config, list := sharedLimitConfig()
@@ -62,23 +62,23 @@
 			Load: rapid.Float64Range(0, 12).Draw(t, "load"), LoadUntil: now + second}
 		dispatcher.Handle(now, []Event{QuotaChanged{[]QuotaShare{share}}})
 		if after := dispatcher.interval(group); after < before {
-			t.Fatalf("a gap of %d became %d with %+v", before, after, share)
+			t.Fatalf("interval of %d us became %d us with %+v", before, after, share)
 		}
 		if share.Load >= 1 && dispatcher.interval(group) < fairInterval-1 {
-			t.Fatalf("a limit that is used up, by what is heard, is called every %d us, its part is %d", dispatcher.interval(group), fairInterval)
+			t.Fatalf("interval of %d us at an exhausted limit, want at least the fair interval of %d us", dispatcher.interval(group), fairInterval)
 		}
 		share = QuotaShare{Destination: 1, Leased: rapid.Float64Range(0.1, 2).Draw(t, "loan"), LeasedUntil: now + second}
 		dispatcher.Handle(now, []Event{QuotaChanged{[]QuotaShare{share}}})
 		if dispatcher.fairInterval(group) >= fairInterval {
-			t.Fatalf("a lease of %v leaves the part at %d", share.Leased, dispatcher.fairInterval(group))
+			t.Fatalf("a lease of %v leaves the fair interval at %d us", share.Leased, dispatcher.fairInterval(group))
 		}
 		if dispatcher.Handle(now+second, nil); dispatcher.fairInterval(group) != fairInterval {
-			t.Fatalf("a lease that lapsed leaves the part at %d of %d", dispatcher.fairInterval(group), fairInterval)
+			t.Fatalf("fair interval %d us after a lease expired, want %d us", dispatcher.fairInterval(group), fairInterval)
 		}
 	})
 }
 
-// TestDemandsCountCalls: what is notified of a route is what was called, served and refused there, and what waits.
+// TestDemandsCountCalls checks that the demand at a group counts its calls, its throttled attempts and its queued messages.
 func TestDemandsCountCalls(t *testing.T) {
 	config, list := sharedLimitConfig()
 	config.Slots = 1
@@ -89,12 +89,13 @@
 	dispatcher.Handle(now+second, []Event{AttemptFinished{Message: "a", Outcome: Throttled, Duration: second, MessageDone: false}})
 	demands := dispatcher.Demands()
 	if len(demands) != 1 || demands[0].Destination != 1 || demands[0].Limit != 30 || demands[0].Throttled != 1 || demands[0].Calls < 1 || demands[0].Waiting < 1 {
-		t.Errorf("needs %+v", demands)
+		t.Errorf("demands %+v", demands)
 	}
 }
 
-// TestStartReservesGrantedShare: as long as an earlier start may have granted half of each part, half is used at most, whatever is notified meanwhile;
-// then all of it. Failure meant: a grantor that is killed and back uses what its lessees still use.
+// TestStartReservesGrantedShare checks that a courier uses at most half of its part of a limit as long as an earlier run may have granted the other
+// half, whatever shares it receives meanwhile, and all of it afterwards. It guards against a grantor that is killed, restarts and uses what its
+// lessees still use.
 func TestStartReservesGrantedShare(t *testing.T) {
 	config, list := sharedLimitConfig()
 	now := 100 * second
@@ -107,10 +108,10 @@
 	group := dispatcher.destinations[1].groups[0]
 	for _, events := range [][]Event{nil, {QuotaChanged{[]QuotaShare{{Destination: 1}}}}, {QuotaChanged{[]QuotaShare{{Destination: 1, Granted: 0.1, GrantedUntil: now + second}}}}} {
 		if dispatcher.Handle(now, events); dispatcher.fairInterval(group) < 2*fairInterval-1 {
-			t.Errorf("reported %v, a call goes every %d us, the whole part is %d", events, dispatcher.fairInterval(group), fairInterval)
+			t.Errorf("after %v: fair interval %d us, want at least twice the full part's %d us", events, dispatcher.fairInterval(group), fairInterval)
 		}
 	}
 	if dispatcher.Handle(config.GrantedUntil, nil); dispatcher.fairInterval(group) != fairInterval {
-		t.Errorf("then every %d us, the whole part is %d", dispatcher.fairInterval(group), fairInterval)
+		t.Errorf("after the grant ended: fair interval %d us, want %d us", dispatcher.fairInterval(group), fairInterval)
 	}
 }
--- a/dispatch/scenario_test.go
+++ b/dispatch/scenario_test.go
@@ -17,13 +17,17 @@
 	"pineport/testbed/golden"
 )
 
-// TestScenarios plays testdata/*.txt; parts are set apart by lines or semicolons, # begins a comment. First what
-// the courier is handed, if not the usual: configuration, class, shape, tenant, with names and values. Then "at
-// SECONDS", the events of that instant (list, take, end, left), and what must have been done since the instant
-// before: want, none, most N, least N, with the beginning of an action, or what it holds now: messages, keys, endpoints,
-// dests and their number. "answer ENDPOINT OUTCOME SPAN" lets an
-// endpoint answer by itself, "never" ends that. "stands" after an instant: no event is handled until the next one. List entries are endpoint:dest:zone:shape:phase:rate; r1..r9
-// stands for nine messages. Every action is held against the rules, asked or not.
+// TestScenarios runs the scenarios in testdata/*.txt and compares a digest of all actions with actions.golden.
+//
+// Directives are separated by line ends or semicolons; # begins a comment. A scenario starts with the configuration that
+// differs from the default: charter (Config), workload (Class), shape (EndpointType) and party (Tenant), with names and
+// values. "at SECONDS" starts an instant. It is followed by the events of that instant (list, take, end, left, ...) and by
+// checks. want, none, most N and least N check the actions since the previous "at" against the first words of an action.
+// "holds KIND N" checks the number of records (messages), keys, endpoints or dests that the dispatcher holds.
+//
+// "answer ENDPOINT OUTCOME DURATION" makes an endpoint answer each attempt; "answer ENDPOINT never" stops this. "stands"
+// pauses the courier until the next "at". List entries are endpoint:dest:zone:shape:phase:rate; r1..r9 stands for nine
+// messages. Every action of every scenario is also checked by checkRules.
 func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
@@ -52,7 +56,7 @@
 			}
 			p.flush()
 			if p.checks == 0 {
-				t.Fatal("nothing is asked for")
+				t.Fatal("the scenario contains no checks")
 			}
 			fmt.Fprintf(&digests, "%s %x\n", filepath.Base(file), p.digest.Sum(nil)[:16])
 		})
@@ -60,7 +64,7 @@
 	golden.Check(t, "actions.golden", []byte(digests.String()))
 }
 
-// digestAction adds an action, in full, to a digest that names no type and no field of the program.
+// digestAction adds all fields of an action to a digest that does not depend on the names of types and fields.
 func digestAction(digest io.Writer, now Micros, action Action) {
 	fmt.Fprintf(digest, "%d ", now)
 	switch a := action.(type) {
@@ -81,44 +85,47 @@
 	case Note:
 		fmt.Fprintf(digest, "8 %q\n", a.Text)
 	default:
-		panic(fmt.Sprintf("an action without a number: %T", action))
+		panic(fmt.Sprintf("no digest code for action type %T", action))
 	}
 }
 
+// reply is how an endpoint answers each attempt.
 type reply struct {
 	outcome    Outcome
 	delay      Micros
 	loadReport []float64
 }
 
+// scheduledOutcome is an outcome that is reported at a later instant.
 type scheduledOutcome struct {
 	at    Micros
 	event AttemptFinished
 }
 
-// fate is what the rules need to know of a message.
+// messageState is what checkRules needs to know of a message.
 type messageState struct {
 	class             Class
-	attemptsDone      []bool // over
+	attemptsDone      []bool // by attempt: whether it has finished
 	inFlight          int
 	mayHaveRun, ended bool
 	ranAt, deadline   Micros
 }
 
+// scenarioRunner runs one scenario with one dispatcher.
 type scenarioRunner struct {
 	t            *testing.T
-	line, checks int
+	line, checks int // current line of the scenario file, and number of checks so far
 	config       Config
 	dispatcher   *Dispatcher
 	shadows      shadowSet
-	paused       bool
-	snapshot     *Snapshot
+	paused       bool      // no event is handled until the next instant
+	snapshot     *Snapshot // taken at the last restart
 	now          Micros
-	batch        []Event
-	batchOpen    bool // a batch is being written
+	batch        []Event // events of the current instant
+	batchOpen    bool    // the batch has not been handled yet
 	scheduled    []scheduledOutcome
 	timers       []Micros
-	actions      []Action
+	actions      []Action // since the previous "at"
 	messages     map[string]*messageState
 	replies      map[string]reply
 	phases       map[EndpointID]Phase
@@ -134,7 +141,7 @@
 func (p *scenarioRunner) duration(word string) Micros {
 	d, err := time.ParseDuration(word)
 	if err != nil {
-		p.fatal("not a span: %s", word)
+		p.fatal("invalid duration: %s", word)
 	}
 	return Micros(d.Microseconds())
 }
@@ -142,7 +149,7 @@
 func (p *scenarioRunner) number(word string) float64 {
 	x, err := strconv.ParseFloat(word, 64)
 	if err != nil {
-		p.fatal("not a number: %s", word)
+		p.fatal("invalid number: %s", word)
 	}
 	return x
 }
@@ -154,19 +161,19 @@
 	return []float64{p.number(left), p.number(rate)}
 }
 
-// ids expands r1..r9.
+// expandIDs expands a range such as r1..r9 to its message IDs.
 func (p *scenarioRunner) expandIDs(word string) []string {
 	from, to, ok := strings.Cut(word, "..")
 	if !ok {
 		return []string{word}
 	}
-	stem := strings.TrimRight(from, "0123456789")
-	var out []string
-	last := int(p.number(strings.TrimPrefix(to, stem)))
-	for i := int(p.number(strings.TrimPrefix(from, stem))); i <= last; i++ {
-		out = append(out, stem+strconv.Itoa(i))
+	prefix := strings.TrimRight(from, "0123456789")
+	var expanded []string
+	last := int(p.number(strings.TrimPrefix(to, prefix)))
+	for i := int(p.number(strings.TrimPrefix(from, prefix))); i <= last; i++ {
+		expanded = append(expanded, prefix+strconv.Itoa(i))
 	}
-	return out
+	return expanded
 }
 
 var outcomesByKeyword = map[string]Outcome{"done": Delivered, "failure": Failure, "full": Throttled, "timed_out": TimedOut,
@@ -186,7 +193,7 @@
 		p.config.Classes = []Class{{Objective: second, TimeToLive: 60 * second, Priority: 1, LateFactor: 0.5}}
 	}
 	if !p.batchOpen && (words[0] == "list" || words[0] == "take" || words[0] == "end" || words[0] == "left" || words[0] == "recover" || words[0] == "bar" || words[0] == "unbar" || words[0] == "learned" || words[0] == "recharter") {
-		p.fatal("an event needs an instant of its own")
+		p.fatal(`an event must follow its own "at"`)
 	}
 	switch words[0] {
 	case "charter":
@@ -249,15 +256,15 @@
 			p.batch = append(p.batch, MessageAccepted{Message: MessageID(id), Destination: DestinationID(p.number(option("dest", "1"))),
 				Class: class, Tenant: TenantID(p.number(option("p", "0"))), OrderingKey: OrderingKey(option("key", "")), Deadline: deadline})
 		}
-	case "recover": // ID, w, key, left, attempts OUTCOME@AGO[/ZONE],...; the outcome "out" is one that is still awaited
+	case "recover": // ID, w, key, left, trips OUTCOME@AGE[/ZONE],...; the outcome "out" is an attempt still in flight
 		class := ClassID(p.number(option("w", "0")))
 		state := &messageState{class: p.config.Classes[class]}
 		state.deadline = p.now + p.duration(option("left", "5s"))
 		event := MessageRecovered{MessageAccepted: MessageAccepted{Message: MessageID(words[1]), Destination: 1, Class: class, OrderingKey: OrderingKey(option("key", "")), Deadline: state.deadline}}
 		for _, word := range strings.Split(option("trips", ""), ",") {
 			if name, rest, ok := strings.Cut(word, "@"); ok {
-				ago, zone, _ := strings.Cut(rest, "/")
-				past := PastAttempt{Endpoint: EndpointID(option("at", "")), SentAt: p.now - p.duration(ago), Outcome: outcomesByKeyword[name],
+				age, zone, _ := strings.Cut(rest, "/")
+				past := PastAttempt{Endpoint: EndpointID(option("at", "")), SentAt: p.now - p.duration(age), Outcome: outcomesByKeyword[name],
 					Zone: ZoneID(p.number("0" + zone))}
 				past.InFlight = name == "out"
 				event.Attempts = append(event.Attempts, past)
@@ -271,7 +278,7 @@
 		}
 		p.messages[words[1]] = state
 		p.batch = append(p.batch, event)
-	case "restart": // all that was held is dropped; what was learned is kept for the line learned
+	case "restart": // drops all messages and keeps the learned state for the directive learned
 		snapshot := p.dispatcher.Snapshot()
 		p.snapshot, p.dispatcher, p.scheduled, p.timers, p.shadows = &snapshot, New(p.config), nil, nil, nil
 		for _, state := range p.messages {
@@ -279,14 +286,14 @@
 		}
 	case "learned":
 		p.batch = append(p.batch, SnapshotRestored{*p.snapshot})
-	case "recharter": // slots, hold, and "at-most-once" for a first class that may run twice no more
+	case "recharter": // slots, hold, and "single-use" to make the first class at-most-once
 		config := p.config
 		config.Classes = append([]Class(nil), config.Classes...)
 		config.Slots, config.QueueLimit = int(p.number(option("slots", strconv.Itoa(config.Slots)))), int(p.number(option("hold", strconv.Itoa(config.QueueLimit))))
 		if has("single-use") {
 			config.Classes[0].Idempotency = AtMostOnce
 		}
-		config.Classes = append(config.Classes, Class{Objective: second, TimeToLive: 9 * second, Priority: 5}) // and one more than before
+		config.Classes = append(config.Classes, Class{Objective: second, TimeToLive: 9 * second, Priority: 5}) // an additional class
 		p.config = config
 		p.batch = append(p.batch, Reconfigured{config})
 	case "closing":
@@ -301,10 +308,10 @@
 			}
 			p.batch = append(p.batch, p.recordOutcome(event))
 		}
-	case "bar", "unbar": // by people
+	case "bar", "unbar": // an operator disables or enables an endpoint
 		p.batch = append(p.batch, MaintenanceChanged{EndpointID(words[1]), words[0] == "bar"})
 		p.disabled[words[1]] = words[0] == "bar"
-	case "stands": // still: what falls due until the next instant comes then, all at once
+	case "stands": // pauses the courier: everything due before the next instant is handled together at that instant
 		p.flush()
 		p.paused = true
 	case "left":
@@ -316,17 +323,17 @@
 		got := map[string]int{"records": len(p.dispatcher.messages), "keys": len(p.dispatcher.keys),
 			"endpoints": len(p.dispatcher.endpoints), "dests": len(p.dispatcher.destinations)}[words[1]]
 		if got != int(p.number(words[2])) {
-			p.fatal("holds %d %s, not %s", got, words[1], words[2])
+			p.fatal("dispatcher holds %d %s, want %s", got, words[1], words[2])
 		}
 	case "want", "none", "most", "least":
 		p.flush()
 		p.checkActions(words)
 	default:
-		p.fatal("no such line: %s", words[0])
+		p.fatal("unknown directive: %s", words[0])
 	}
 }
 
-// note keeps the books of an outcome that is about to be notified.
+// recordOutcome updates the state of a message for an outcome that is about to be reported.
 func (p *scenarioRunner) recordOutcome(event AttemptFinished) AttemptFinished {
 	state := p.messages[string(event.Message)]
 	if state == nil || int(event.Attempt) >= len(state.attemptsDone) {
@@ -344,7 +351,7 @@
 	return event
 }
 
-// flush hands over the batch that was written.
+// flush hands the events of the current instant to the dispatcher.
 func (p *scenarioRunner) flush() {
 	if p.batchOpen {
 		p.batchOpen = false
@@ -366,7 +373,7 @@
 	}
 }
 
-// advance plays wake-ups and answers that fall due before an instant; what was done before is forgotten.
+// advance handles the timers and answers that are due before an instant, and clears the recorded actions first.
 func (p *scenarioRunner) advance(to Micros) {
 	p.actions = nil
 	for p.dispatcher != nil {
@@ -398,19 +405,19 @@
 	p.now, p.paused = to, false
 }
 
-// rules holds every action against the six rules, in every scenario.
+// checkRules checks an action against the six rules that hold in every scenario.
 func (p *scenarioRunner) checkRules(action Action) {
 	p.t.Helper()
 	recordAnswer := func(id MessageID, reject bool) {
 		state := p.messages[string(id)]
 		if state == nil || state.ended {
-			p.fatal("a second answer, or one for a stranger: %s", id)
+			p.fatal("%s is unknown or already has its final answer", id)
 		}
 		if p.now > state.deadline {
-			p.fatal("%s answered after its deadline", id)
+			p.fatal("%s got its final answer after its deadline", id)
 		}
 		if reject && (state.mayHaveRun || state.inFlight > 0) && (state.class.Idempotency == AtMostOnce || state.class.SameZone) {
-			p.fatal("%s rejected though it may have run", id)
+			p.fatal("%s rejected although it may have run", id)
 		}
 		state.ended = true
 	}
@@ -425,15 +432,15 @@
 		state := p.messages[string(a.Message)]
 		switch {
 		case state == nil || state.ended:
-			p.fatal("%s sent after its end", a.Message)
+			p.fatal("%s sent although it is unknown or has its final answer", a.Message)
 		case p.phases[a.Endpoint] != InService:
-			p.fatal("%s sent to %s, which is not in", a.Message, a.Endpoint)
+			p.fatal("%s sent to %s, which is not in service", a.Message, a.Endpoint)
 		case p.disabled[string(a.Endpoint)]:
-			p.fatal("%s sent to %s, which people have taken out", a.Message, a.Endpoint)
+			p.fatal("%s sent to %s, which an operator has disabled", a.Message, a.Endpoint)
 		case state.class.Idempotency == AtMostOnce && (state.mayHaveRun || state.inFlight > 0):
-			p.fatal("%s is at-most-once and sent again", a.Message)
+			p.fatal("at-most-once message %s sent again", a.Message)
 		case state.class.Idempotency == IdempotencyKey && state.mayHaveRun && p.now > state.ranAt+state.class.IdempotencyWindow:
-			p.fatal("%s sent again after its window", a.Message)
+			p.fatal("%s sent again after its idempotency window", a.Message)
 		case a.Timeout <= 0 || p.now+a.Timeout > state.deadline:
 			p.fatal("%s may run past its deadline", a.Message)
 		}
@@ -449,7 +456,8 @@
 	}
 }
 
-// check compares what was done since the last "at" with: want|none KIND [ID [ENDPOINT]], most|least N KIND; * is any.
+// checkActions checks the actions since the previous "at" against a directive: want|none KIND [ID [ENDPOINT]] or
+// most|least N KIND, where * matches any word.
 func (p *scenarioRunner) checkActions(directive []string) {
 	p.t.Helper()
 	p.checks++
@@ -485,6 +493,6 @@
 	switch {
 	case directive[0] == "want" && found == 0, directive[0] == "none" && found > 0,
 		directive[0] == "most" && found > limit, directive[0] == "least" && found < limit:
-		p.fatal("%s: found %d in %+v", strings.Join(directive, " "), found, p.actions)
+		p.fatal("%s: %d matching actions in %+v", strings.Join(directive, " "), found, p.actions)
 	}
 }
--- a/dispatch/shadow_test.go
+++ b/dispatch/shadow_test.go
@@ -4,35 +4,36 @@
 	"testing"
 )
 
-// watchers look on in every scenario: first one under the courier's own configuration, which must never differ, then others,
-// which must differ and be in step all the same.
+// shadowSet holds the shadows that observe every scenario. The first one has the dispatcher's own configuration and must never
+// differ from it. The others have different configurations, and their state must still agree with the dispatcher after
+// each instant.
 type shadowSet []*Shadow
 
-// others are configurations that decide otherwise.
+// shadowChanges are the changes of the configuration for each shadow; the first one is none.
 var shadowChanges = []func(*Config){
 	func(*Config) {},
-	func(ch *Config) { ch.Slots, ch.MaxAttempts = 1, 2 },
-	func(ch *Config) { ch.QueueLimit, ch.MayTellRetryAfter = 2, !ch.MayTellRetryAfter },
-	func(ch *Config) { ch.Couriers, ch.OverloadFactor, ch.Seed = 400, 1.1, ch.Seed+1 },
-	func(ch *Config) {
-		ch.Classes = append([]Class(nil), ch.Classes...)
-		for i := range ch.Classes {
-			w := &ch.Classes[i]
-			w.Idempotency, w.Ordered, w.IdempotencyWindow = AtMostOnce, !w.Ordered, w.IdempotencyWindow/2
+	func(config *Config) { config.Slots, config.MaxAttempts = 1, 2 },
+	func(config *Config) { config.QueueLimit, config.MayTellRetryAfter = 2, !config.MayTellRetryAfter },
+	func(config *Config) { config.Couriers, config.OverloadFactor, config.Seed = 400, 1.1, config.Seed+1 },
+	func(config *Config) {
+		config.Classes = append([]Class(nil), config.Classes...)
+		for i := range config.Classes {
+			class := &config.Classes[i]
+			class.Idempotency, class.Ordered, class.IdempotencyWindow = AtMostOnce, !class.Ordered, class.IdempotencyWindow/2
 		}
 	},
 }
 
-func (ws *shadowSet) observe(p *scenarioRunner, events []Event, actual []Action) {
+func (set *shadowSet) observe(p *scenarioRunner, events []Event, actual []Action) {
 	p.t.Helper()
-	if *ws == nil {
+	if *set == nil {
 		for _, change := range shadowChanges {
 			config := p.config
 			change(&config)
-			*ws = append(*ws, NewShadow(config))
+			*set = append(*set, NewShadow(config))
 		}
 	}
-	for i, shadow := range *ws {
+	for i, shadow := range *set {
 		for _, e := range events {
 			if r, ok := e.(Reconfigured); ok {
 				config := r.Config
@@ -43,30 +44,31 @@
 		shadow.Observe(p.now, events, actual)
 		counts, _ := shadow.Counts()
 		if i == 0 && counts != [Differences]int{} {
-			p.fatal("under the same configuration it differs: %v", counts)
+			p.fatal("shadow with the same configuration differs from the dispatcher: %v", counts)
 		}
-		ws.checkInStep(p, i, shadow.dispatcher)
+		set.checkConsistent(p, i, shadow.dispatcher)
 	}
 }
 
-// inStep holds what a watcher has in hand against the courier it watches.
-func (ws *shadowSet) checkInStep(p *scenarioRunner, i int, shadow *Dispatcher) {
+// checkConsistent compares the messages, calls and attempts of a shadow with those of the dispatcher.
+func (set *shadowSet) checkConsistent(p *scenarioRunner, index int, shadow *Dispatcher) {
 	p.t.Helper()
 	if shadow.unfinished != p.dispatcher.unfinished || shadow.callsInFlight != p.dispatcher.callsInFlight || len(shadow.inFlight) != len(p.dispatcher.inFlight) {
-		p.fatal("watcher %d holds %d with %d calls and %d attempts out, the courier %d with %d and %d", i, shadow.unfinished, shadow.callsInFlight,
+		p.fatal("shadow %d has %d unfinished messages, %d calls and %d attempts in flight; the dispatcher has %d, %d and %d", index, shadow.unfinished, shadow.callsInFlight,
 			len(shadow.inFlight), p.dispatcher.unfinished, p.dispatcher.callsInFlight, len(p.dispatcher.inFlight))
 	}
 	for id, message := range p.dispatcher.messages {
 		if shadowMessage := shadow.messages[id]; shadowMessage == nil || len(shadowMessage.attempts) != len(message.attempts) || shadowMessage.ended != message.ended || shadowMessage.queued != message.queued {
-			p.fatal("watcher %d is out of step on %s", i, id)
+			p.fatal("shadow %d differs from the dispatcher on message %s", index, id)
 		}
 	}
 	if len(shadow.messages) != len(p.dispatcher.messages) {
-		p.fatal("watcher %d knows %d messages, the courier %d", i, len(shadow.messages), len(p.dispatcher.messages))
+		p.fatal("shadow %d has %d messages, the dispatcher %d", index, len(shadow.messages), len(p.dispatcher.messages))
 	}
 }
 
-// TestShadowCountsDifferencesByKind: each kind of difference is brought about, and counted once for its message.
+// TestShadowCountsDifferencesByKind checks that a shadow counts a difference once per message, for each kind of difference
+// but CanceledOnly.
 func TestShadowCountsDifferencesByKind(t *testing.T) {
 	base := Config{Seed: 7, Couriers: 1, Slots: 50, QueueLimit: 100, MaxAttempts: 8, MayTellRetryAfter: true, MayCancel: true,
 		MaxRetryAfter: 2 * second, Tick: 5 * millisecond, ReportLeftIndex: -1, ReportRateIndex: -1, SlowStartFrom: 0.2, SlowStart: 10 * second,
@@ -75,7 +77,7 @@
 	accepted := func(id MessageID) MessageAccepted {
 		return MessageAccepted{Message: id, Destination: 1, Deadline: 20 * second}
 	}
-	for difference, c := range map[Difference]struct {
+	for difference, testCase := range map[Difference]struct {
 		change func(*Config)
 		at     []Micros
 		events [][]Event
@@ -96,18 +98,18 @@
 	} {
 		config := base
 		config.Classes = append([]Class(nil), base.Classes...)
-		c.change(&config)
+		testCase.change(&config)
 		dispatcher, shadow := New(base), NewShadow(config)
-		for i, at := range c.at {
-			actual := dispatcher.Handle(at, c.events[i])
-			if i < len(c.actual) && c.actual[i] != nil {
-				actual = c.actual[i]
+		for i, at := range testCase.at {
+			actual := dispatcher.Handle(at, testCase.events[i])
+			if i < len(testCase.actual) && testCase.actual[i] != nil {
+				actual = testCase.actual[i]
 			}
-			shadow.Observe(at, c.events[i], actual)
+			shadow.Observe(at, testCase.events[i], actual)
 			shadow.Observe(at+1, nil, nil)
 		}
 		if counts, _ := shadow.Counts(); counts[difference] != 1 {
-			t.Errorf("difference %d counted %d times, not once: %v", difference, counts[difference], counts)
+			t.Errorf("difference %d counted %d times, want 1: %v", difference, counts[difference], counts)
 		}
 	}
 }
--- a/dispatch/snapshot_test.go
+++ b/dispatch/snapshot_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// lived is a courier that has been through some chance events, at instant 100 s.
+// dispatcherWithHistory returns a dispatcher that has handled random events from instant 100 s on, and the instant of the last one.
 func dispatcherWithHistory(t *rapid.T, config Config) (*Dispatcher, Micros) {
 	dispatcher := New(config)
 	now := 100 * second
@@ -42,20 +42,20 @@
 		Classes: []Class{{Objective: second, TimeToLive: 20 * second, Priority: 1, LateFactor: 0.5}}}
 }
 
-// TestOlderSnapshotIsMoreCautious: of two dispatchers that restore the same snapshot, the one for which it is older never has a shorter
-// interval between calls, and never a group open that the other keeps closed for a Retry-After or a breaker.
+// TestOlderSnapshotIsMoreCautious restores the same snapshot at two ages. The dispatcher with the older snapshot must not have a shorter
+// interval between calls than the other one, and both must have the same Retry-After and breaker states.
 func TestOlderSnapshotIsMoreCautious(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dispatcher, at := dispatcherWithHistory(t, testConfig())
 		snapshot := dispatcher.Snapshot()
 		now := at + snapshotMaxAge
-		successor := func(age Micros) *Dispatcher { // at the same instant, with a snapshot of another age
+		successor := func(age Micros) *Dispatcher { // a dispatcher at the instant now, with the snapshot at the given age
 			next := New(testConfig())
 			next.Handle(now, []Event{threeEndpointList()})
 			aged := snapshot
 			aged.TakenAt = now - age
 			shift := aged.TakenAt - snapshot.TakenAt
-			for i := range aged.Groups { // the same state, moved in time
+			for i := range aged.Groups { // the same state, shifted in time
 				group := &aged.Groups[i]
 				group.CountedSince += shift
 				group.LastCall += shift
@@ -76,18 +76,18 @@
 			for i, group := range destination.groups {
 				other := b.destinations[id].groups[i]
 				if x, y := a.interval(group), b.interval(other); y < x {
-					t.Fatalf("destination %d: a gap of %d at the age of %d, of %d at %d", id, x, younger, y, older)
+					t.Fatalf("destination %d: interval %d us with a snapshot of age %d us, but %d us at age %d us", id, x, younger, y, older)
 				}
 				if group.retryAfterUntil != other.retryAfterUntil || group.breakers[0].state != other.breakers[0].state {
-					t.Fatalf("destination %d: wait or breaker forgotten by age", id)
+					t.Fatalf("destination %d: Retry-After or breaker state differs by the age of the snapshot", id)
 				}
 			}
 		}
 	})
 }
 
-// TestSnapshotIsIndependentCopy: what is handed out stays as it was, whatever its courier does afterwards, and handing it over and
-// out again changes nothing of it.
+// TestSnapshotIsIndependentCopy checks that a snapshot does not change with later events of its dispatcher, and that a snapshot of a
+// dispatcher that restored it has the same groups.
 func TestSnapshotIsIndependentCopy(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dispatcher, at := dispatcherWithHistory(t, testConfig())
@@ -97,20 +97,21 @@
 			dispatcher.Handle(at+Micros(i)*second, []Event{MessageAccepted{Message: MessageID(fmt.Sprint("later", i)), Destination: 1, Deadline: at + 100*second}})
 		}
 		if after := fmt.Sprintf("%+v", snapshot); after != before {
-			t.Fatalf("%s\nbecame %s", before, after)
+			t.Fatalf("the snapshot changed from %s\nto %s", before, after)
 		}
 		successor := New(testConfig())
 		successor.Handle(at, []Event{threeEndpointList(), SnapshotRestored{snapshot}})
 		again := successor.Snapshot()
-		for i := range snapshot.Groups { // what is half-open has no trial out at the successor
+		for i := range snapshot.Groups { // groups with a half-open breaker may differ, as the successor has no trial in flight
 			if !reflect.DeepEqual(snapshot.Groups[i], again.Groups[i]) && snapshot.Groups[i].Breakers[0].OpenUntil == 0 {
-				t.Fatalf("%+v\nbecame %+v", snapshot.Groups[i], again.Groups[i])
+				t.Fatalf("group %+v\nwas restored as %+v", snapshot.Groups[i], again.Groups[i])
 			}
 		}
 	})
 }
 
-// TestSnapshotOfUnknownEndpointsIsIgnored: learned state about what the list does not have, or has otherwise, or of other classes, changes nothing.
+// TestSnapshotOfUnknownEndpointsIsIgnored checks that a snapshot is ignored where it refers to endpoints that are not on the list, to groups that
+// are formed differently, or to other classes.
 func TestSnapshotOfUnknownEndpointsIsIgnored(t *testing.T) {
 	dispatcher := New(testConfig())
 	dispatcher.Handle(100*second, []Event{threeEndpointList(), SnapshotRestored{Snapshot{TakenAt: 99 * second, LostCalls: make([]SumSnapshot, 99),
@@ -120,12 +121,12 @@
 	for _, destination := range dispatcher.destinations {
 		for _, group := range destination.groups {
 			if group.outage {
-				t.Errorf("destination %d took over what it had no part in", destination.id)
+				t.Errorf("destination %d restored the state of a group that does not match", destination.id)
 			}
 		}
 	}
 	if len(dispatcher.destinations) != 2 || dispatcher.endpoints["a"].ejectedUntil != 0 {
-		t.Errorf("%d destinations, a rests to %d", len(dispatcher.destinations), dispatcher.endpoints["a"].ejectedUntil)
+		t.Errorf("%d destinations, want 2; endpoint a is ejected until %d, want 0", len(dispatcher.destinations), dispatcher.endpoints["a"].ejectedUntil)
 	}
 	actions := dispatcher.Handle(101*second, []Event{MessageAccepted{Message: "r", Destination: 1, Deadline: 110 * second}})
 	if _, ok := actions[0].(Send); !ok {
@@ -133,7 +134,7 @@
 	}
 }
 
-// BenchmarkSnapshot: what handing out costs goes by the routes that were called lately.
+// BenchmarkSnapshot measures the cost of a snapshot by the number of known and of recently called groups. The cost should grow with the latter.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, size := range []struct{ known, active int }{{250, 250}, {100000, 1000}, {100000, 100000}} {
 		b.Run(fmt.Sprintf("known=%d/active=%d", size.known, size.active), func(b *testing.B) {
