--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -1,10 +1,10 @@
 // Package dispatch decides what a courier does with the messages it has accepted: which endpoint gets a
 // message and when, what is retried, rejected, failed or canceled, and when the endpoint list is polled.
 //
-// The package does no I/O, reads no clock and starts no goroutine. New reads the Config once; Handle takes an
-// instant and the events since the last call and returns the actions to carry out, in order. types.go defines
-// the events and actions; state.go and snapshot.go hold bookkeeping without decisions; docs/design.md gives
-// the reasons for the decisions.
+// The package does no I/O, reads no clock and starts no goroutine. New takes the initial Config; Handle takes
+// an instant and the events since the last call and returns the actions to carry out, in order. types.go
+// defines the events and actions; state.go and snapshot.go hold bookkeeping without decisions; docs/design.md
+// gives the reasons for the decisions.
 package dispatch
 
 // New returns a dispatcher without messages and without learned state.
--- a/dispatch/endpoints.go
+++ b/dispatch/endpoints.go
@@ -51,7 +51,7 @@
 	lastCall          Micros
 	lastDelivery      Micros
 	lastDeliveredSent Micros // latest send time of a delivered attempt
-	lastFailure       Micros // last outcome that was a failure or throttling
+	lastFailure       Micros // when an attempt last failed or was throttled
 
 	interval          Micros // between calls, adapted to throttling; Dispatcher.interval returns the one that applies
 	throttledInterval Micros // interval at the last throttling
--- a/dispatch/listing.go
+++ b/dispatch/listing.go
@@ -35,7 +35,7 @@
 // listStatus is how current the held endpoint list is.
 type listStatus struct {
 	pollAt          Micros // when to poll; never while a poll is in progress
-	completeAt      Micros // when the list last had no missing changes
+	completeAt      Micros // when the list was last known to lack no change
 	failures        int    // consecutive polls that failed
 	incompleteReads int    // consecutive polls with a list that could be used only in part
 	mayLackChanges  bool   // since completeAt a poll was not answered in time, or its list could be used only in part
--- a/dispatch/observation.go
+++ b/dispatch/observation.go
@@ -65,8 +65,8 @@
 
 func (d *Dispatcher) observeThrottling(event AttemptFinished, group *endpointGroup) {
 	d.throttled[group.destination.typeIndex].add(d.now, rateDecayTime, 1)
-	// Throttling without Retry-After while enough of the limit is left: the server is closed or hung, and not
-	// over its limit.
+	// Throttling without Retry-After while enough of the limit is left: the server is out of service or hung,
+	// and not over its limit.
 	unexpected := group.reported && group.remaining >= lowRemainingShare && event.RetryAfter == 0
 	minStart := maxInterval / 2
 	if unexpected {
@@ -74,8 +74,8 @@
 	}
 	d.widenInterval(group, minStart)
 	d.countOutageSign(group, &group.throttleSigns, Throttled, unexpected)
-	// A Retry-After longer than any limit requires: the server is closed. Queued messages would overload it
-	// when it opens.
+	// A Retry-After longer than any limit requires: the server is out of service. Queued messages would
+	// overload it when it returns.
 	if event.RetryAfter > outageAfter {
 		d.markOutage(group)
 	}
@@ -96,7 +96,7 @@
 	// Unless shared, the failure may be limited to this endpoint.
 	shared := group.destination.endpointType.Separate || group.failureSigns >= len(group.destination.endpoints)
 	if shared && d.fairRate(group) < lowCallRate && outcome == Unreachable {
-		d.widenInterval(group, 4*maxInterval) // the breaker would see six failures too late
+		d.widenInterval(group, 4*maxInterval) // the six failures that open a breaker come too late
 	}
 	endpointRun, classRun := &endpoint.failureRun, &endpoint.classRuns[attempt.message.classID]
 	for _, run := range []*failureRun{endpointRun, classRun} { // one class may fail while others do not
--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -186,7 +186,7 @@
 	ranAt              Micros // when the first attempt that may have run was sent
 	ranZone            ZoneID
 	untried            bool      // recovered after a restart without an attempt that may have run
-	lastFailedEndpoint *endpoint // endpoint of the last attempt, if that did not deliver and was not throttled
+	lastFailedEndpoint *endpoint // endpoint of the last attempt; nil if there was none or it was throttled
 }
 
 // newMessage returns a message in its state at acceptance.
