--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -22,7 +22,7 @@
 }
 
 // withinQuota takes a token from this courier's share of a tenant's quota and reports whether there was one.
-// Tokens for up to two seconds accumulate.
+// Tokens for up to two seconds accumulate, plus one.
 func (d *Dispatcher) withinQuota(tenant TenantID) bool {
 	if int(tenant) >= len(d.config.Tenants) || d.config.Tenants[tenant].RatePerSecond <= 0 {
 		return true
@@ -40,7 +40,8 @@
 
 // shedLoad keeps the number of unfinished messages below the queue limit. It runs after everything that can
 // be sent has been sent, and gives up the queued messages with the lowest expected value first. Messages that
-// were untried at a restart are exempt until three quarters of their time to live have passed.
+// were recovered after a restart and cannot have run are exempt until three quarters of their time to live
+// have passed.
 func (d *Dispatcher) shedLoad() {
 	d.queueAllowance = min(d.queueAllowance, d.unfinished)
 	for d.unfinished >= max(d.config.QueueLimit, d.queueAllowance+1) && d.config.QueueLimit > 0 {
@@ -56,14 +57,16 @@
 	lowestValue := math.Inf(1)
 	for _, destination := range d.waiting {
 		for i, message := range destination.queue {
+			// A thousandth of the priority decides between messages without any other expected value.
 			expectedValue, ready := message.priority/1000, d.earliestReady(message)
 			if ready < never {
 				first := destination.groups[0]
 				wait := d.expectedDuration(first) + Micros(i)*d.interval(first)
 				expectedValue += d.valueAt(message, max(ready, d.now)+wait)
 			}
-			mayShed := !message.untried || message.mayHaveRun || message.deadline-d.now < message.class.TimeToLive/4
-			if expectedValue < lowestValue && mayShed {
+			mayGiveUp := !message.recoveredUnrun || message.mayHaveRun ||
+				message.deadline-d.now < message.class.TimeToLive/4
+			if expectedValue < lowestValue && mayGiveUp {
 				victim, lowestValue = message, expectedValue
 			}
 		}
--- a/dispatch/breaker.go
+++ b/dispatch/breaker.go
@@ -1,12 +1,12 @@
 package dispatch
 
 const (
-	failureThreshold = 5              // a breaker opens after more consecutive failures than this (design)
-	openPeriod       = 5 * second / 2 // half the initial value of the design, as outages last 5 to 25 s
-	outageAfter      = 2 * second     // shorter breaks are stalls; recorded outages last over twice as long
+	failureThreshold = 5              // a breaker opens when there are more consecutive failures than this
+	openPeriod       = 5 * second / 2 // short compared to outages, which last 5 to 25 s
+	outageAfter      = 2 * second     // without delivery; shorter is a stall, outages last over twice as long
 	forgetAfter      = 120 * second   // time without use after which learned state is dropped
-	snapshotMaxAge   = 30 * second    // outages last 5 to 25 s, and limits change no more often
-	lowCallRate      = 0.25           // calls per second; below it an outage of seconds shows too few failures
+	snapshotMaxAge   = 30 * second    // outages last 5 to 25 s, and limits change as rarely as outages occur
+	lowCallRate      = 0.25           // calls per second; with fewer, an outage of seconds opens no breaker
 )
 
 // tryHalfOpen turns an open breaker half-open when its open period has passed. It resets a closed breaker
@@ -21,7 +21,8 @@
 	b.usedAt = now
 }
 
-// openBreaker opens a breaker for openPeriod plus jitter, so that couriers do not start their trials at once.
+// openBreaker opens a breaker for openPeriod plus jitter, so that couriers start their trials at different
+// instants.
 func (d *Dispatcher) openBreaker(b *breaker, group *endpointGroup) {
 	b.state, b.changedAt, b.failures, b.trial = breakerOpen, d.now, 0, nil
 	b.openUntil = d.now + openPeriod + Micros(d.rng.Int63n(int64(openPeriod/10)))
@@ -40,8 +41,9 @@
 	group.outage, group.warmingUp = true, false
 }
 
-// observePastAttempt counts an attempt from before a restart that failed without an answer as a sign of an
-// outage, so that queued messages do not overload a server that is recovering.
+// observePastAttempt counts the last attempt of a message before a restart as a sign of an outage if it
+// failed without an answer. The third sign of a group marks an outage, so that queued messages do not
+// overload a server that is recovering.
 func (d *Dispatcher) observePastAttempt(past PastAttempt) {
 	endpoint := d.endpoints[past.Endpoint]
 	if endpoint == nil || past.Outcome != Unreachable && past.Outcome != TimedOut {
@@ -52,10 +54,11 @@
 	}
 }
 
-// restore applies the state learned before a restart, unless the snapshot is too old or lies in the future.
-// State that calls for caution is kept in full, and a recovery ramp continues from where it was, as the
-// server may have failed again. State that gives confidence decays with age. An older snapshot therefore
-// never makes the dispatcher less cautious than a younger one.
+// restore applies the state learned before a restart, unless the snapshot is too old or lies in the
+// future. Intervals, Retry-After, outages, open breakers and ejections are restored in full, as they
+// call for caution. A recovery ramp continues from where it was, as the server may have failed again.
+// Counts of deliveries, call durations and lost calls decay with the age of the snapshot. An older
+// snapshot therefore never makes the dispatcher less cautious than a younger one.
 func (d *Dispatcher) restore(snapshot Snapshot) {
 	if d.now < snapshot.TakenAt || d.now-snapshot.TakenAt > snapshotMaxAge {
 		return
@@ -63,15 +66,21 @@
 	d.restoreSnapshot(snapshot)
 }
 
-// countOutageSign counts a failed or throttled attempt as a sign of an outage. Three consecutive signs with
-// no delivery for outageAfter mark an outage. Where calls are rare, two failures are enough, or one throttled
-// attempt unless a known limit explains it. Throttling at an exhausted limit marks an outage only if the fair
-// rate is below four times lowCallRate and nothing was delivered for three times outageAfter.
+// countOutageSign counts a failed or a throttled attempt as a sign of an outage; signs is the count of its
+// kind. It marks an outage if nothing was delivered for outageAfter and there are enough consecutive signs of
+// one kind:
+//   - three in general;
+//   - two failures if the fair rate is below lowCallRate;
+//   - one throttled attempt if the fair rate is below lowCallRate and the limit is unknown or the throttling
+//     was unexpected.
+//
+// Throttling at an exhausted limit marks an outage only if the fair rate is below four times lowCallRate and
+// nothing was delivered for three times outageAfter.
 func (d *Dispatcher) countOutageSign(group *endpointGroup, signs *int, outcome Outcome, unexpected bool) {
 	needed, sinceDelivery := 3, d.now-group.lastDelivery
 	if d.fairRate(group) < lowCallRate && (outcome != Throttled || group.rate == 0 || unexpected) {
 		if needed = 2; outcome == Throttled {
-			needed = 1 // at this call rate most couriers see no more than one
+			needed = 1 // most couriers with so few calls see only one throttled attempt in an outage
 		}
 	}
 	exhausted := outcome == Throttled && group.reported && group.remaining < lowRemainingShare &&
--- a/dispatch/calls.go
+++ b/dispatch/calls.go
@@ -24,7 +24,7 @@
 type call struct {
 	endpoint     *endpoint
 	openAttempts int
-	sent         bool   // at least one of its attempts was sent
+	sent         bool   // at least one of its attempts was sent, or may be sent again
 	idleBucket   int    // of its connection when the call started; see idleBucketOf
 	previousCall Micros // when the previous call to the group started
 }
@@ -58,7 +58,8 @@
 	return added
 }
 
-// resumeAttempt takes over an attempt that the predecessor has in flight. At a half-open breaker it becomes the trial.
+// resumeAttempt takes over an attempt that the predecessor has in flight. If the breaker is half-open without a trial, the
+// attempt becomes its trial.
 func (d *Dispatcher) resumeAttempt(message *message, endpoint *endpoint, sentAt Micros) {
 	d.dequeue(message)
 	resumed := d.addAttempt(message, d.startCall(endpoint))
@@ -78,9 +79,9 @@
 	return message.attempts[event.Attempt]
 }
 
-// finishAttempt records the outcome of an attempt; the last attempt of a call frees its slot. A call of which nothing was
-// sent, because its messages were canceled before, does not count for the interval between calls: other messages would
-// wait without a reason.
+// finishAttempt records the outcome of an attempt; the last attempt of a call frees its slot. If all messages of a call were
+// canceled before it was sent, the call does not count for the interval between calls, as otherwise other messages would wait
+// for a call that did not take place.
 func (d *Dispatcher) finishAttempt(attempt *attempt, event AttemptFinished) {
 	attempt.finished = true
 	attempt.message.inFlight--
@@ -114,8 +115,8 @@
 	d.emit(CloseIdle{endpoint.Endpoint})
 }
 
-// firstIdleLimit is the upper limit of idle-time bucket 1, for connections in constant use. The limit doubles with each
-// further bucket.
+// firstIdleLimit is the upper limit of idle-time bucket 1, for connections that get calls one after another. The limit doubles
+// with each further bucket.
 const firstIdleLimit = 16 * millisecond
 
 // idleBucketOf returns the bucket for the time that a connection was idle before a call. Bucket 0 is for new connections.
@@ -123,15 +124,15 @@
 	return min(1+bits.Len64(uint64(idle/firstIdleLimit)), len(Dispatcher{}.lostCalls)-1)
 }
 
-// lossyIdleTime returns the idle time from which the share of lost calls exceeds that on new connections by more than
-// margin; never if there is none. A single loss per bucket is ignored.
+// lossyIdleTime returns the shortest idle time at which calls are lost more often than on new connections: the shares of lost
+// calls differ by more than margin. It returns never if there is no such idle time. A single loss per bucket is ignored.
 func (d *Dispatcher) lossyIdleTime(margin float64) Micros {
 	lossShare := func(sum *decayingSum, ignored float64) float64 {
-		return max(0, sum.decay(d.now, rateDecayTime).sum-ignored) / (sum.weight + 2)
+		return max(0, sum.decay(d.now, rateDecayTime).sum-ignored) / (sum.count + 2)
 	}
 	for bucket := 1; bucket < len(d.lostCalls); bucket++ {
 		if lossShare(&d.lostCalls[bucket], 1) > lossShare(&d.lostCalls[0], 0)+margin {
-			return firstIdleLimit << bucket / 4 // shortest idle time of the bucket
+			return firstIdleLimit << bucket / 4 // lower limit of the bucket; for bucket 1 half its upper limit
 		}
 	}
 	return never
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -18,8 +18,8 @@
 	return d
 }
 
-// Handle processes the events of one instant, in whole microseconds, and returns the actions to carry out, in
-// order. A dispatcher that panicked must not be used again.
+// Handle processes the events of one instant and returns the actions to carry out, in order. A dispatcher
+// that panicked must not be used again.
 func (d *Dispatcher) Handle(now Micros, events []Event) []Action {
 	d.now, d.actions, d.nextDue = now, nil, never
 	if d.timerAt <= now {
@@ -47,9 +47,10 @@
 	return d.actions
 }
 
-// spreadAfterPause delays calls by a random part of the time for which this process was paused. It applies to
-// groups that failed or throttled calls within the last Config.SlowStart: couriers of one host that resume
-// together would otherwise overload a recovering server.
+// spreadAfterPause delays calls by a random part of the time for which this process was paused, if that was
+// over a quarter of a second. It applies to groups at which a call failed or was throttled within the last
+// Config.SlowStart: couriers of one host that resume together would otherwise overload a recovering server.
+// The delay is kept like a Retry-After.
 func (d *Dispatcher) spreadAfterPause(span Micros) {
 	for _, group := range d.recentGroups {
 		if span > second/4 && d.now-group.lastFailure < d.config.SlowStart {
--- a/dispatch/endpoints.go
+++ b/dispatch/endpoints.go
@@ -9,13 +9,13 @@
 type destination struct {
 	id           DestinationID
 	endpointType EndpointType
-	typeIndex    int // index of its endpoint type in sums that are kept by type
+	typeIndex    int // index of its endpoint type in tables by type, which have one more entry for unknown types
 	groups       []*endpointGroup
 	endpoints    []*endpoint // ordered by rank
 	queue        []*message
 	calls        int         // in flight
 	accepted     decayingSum // messages accepted within quota, without resubmissions
-	urgency      float64     // value that a slot gains at this destination, per microsecond
+	urgency      float64     // value gained per microsecond of slot time by sending the first message
 }
 
 // endpoint is one server of a destination.
@@ -58,7 +58,7 @@
 	widenedAt         Micros // when widenInterval last changed the interval
 	retryAfterUntil   Micros
 	retryAfterJitter  float64 // uniform in [0, 1): spreads couriers with the same Retry-After
-	throttleSigns     int     // consecutive throttled attempts
+	throttleSigns     int     // consecutive throttled attempts, as signs of an outage
 
 	durations    decayingSum // in microseconds
 	deliveries   decayingSum
@@ -66,7 +66,7 @@
 
 	outage       bool // an outage was marked and there was no delivery since
 	outageAt     Micros
-	failureSigns int // consecutive signs of an outage
+	failureSigns int // consecutive failures, as signs of an outage
 	warmingUp    bool
 	warmingSince Micros
 	usualRate    float64 // deliveries per second before the outage
@@ -139,8 +139,8 @@
 		destination:  destination,
 		countedSince: d.now,
 		lastDelivery: d.now,
-		lastCall:     -second,
-		lastFailure:  -never / 2,
+		lastCall:     -second,    // no call yet
+		lastFailure:  -never / 2, // no failure yet
 		breakers:     make([]breaker, len(d.config.Classes)),
 		quota:        QuotaShare{Granted: maxGranted, GrantedUntil: d.config.GrantedUntil},
 	}
@@ -178,8 +178,9 @@
 	}
 }
 
-// Avoided reports whether an endpoint gets no new messages now: it is unknown, draining, removed, disabled by an operator or
-// ejected, or there is no class for which its breaker is closed and it is not ejected. Avoided changes no state.
+// Avoided reports whether an endpoint gets no new messages now. This is so if it is unknown, draining, removed, disabled by an
+// operator or ejected, or if for every class the group's breaker is not closed or the endpoint is ejected. Avoided changes no
+// state.
 func (d *Dispatcher) Avoided(now Micros, id EndpointID) bool {
 	endpoint := d.endpoints[id]
 	if endpoint == nil || endpoint.Phase != InService || d.disabled[id] || endpoint.ejectedUntil > now {
@@ -193,17 +194,17 @@
 	return len(endpoint.group.breakers) > 0
 }
 
-// prune drops endpoints that were removed from the list and not called for the idle time, and destinations that are no longer
-// needed.
+// prune drops endpoints that were removed from the list and whose group had no call for longer than idle, and destinations that
+// are no longer in use.
 func (d *Dispatcher) prune(idle Micros) {
 	d.forgetIdleGroups()
 	for _, destination := range d.destinations {
 		d.pruneEndpoints(destination, idle)
-		wanted := len(destination.endpoints)+len(destination.queue)+destination.calls > 0
+		inUse := len(destination.endpoints)+len(destination.queue)+destination.calls > 0
 		for _, group := range destination.groups {
-			wanted = wanted || d.now-group.lastCall <= idle || d.now <= group.retryAfterUntil
+			inUse = inUse || d.now-group.lastCall <= idle || d.now <= group.retryAfterUntil
 		}
-		if !wanted {
+		if !inUse {
 			delete(d.destinations, destination.id)
 		}
 	}
--- a/dispatch/keyorder.go
+++ b/dispatch/keyorder.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// sendableAt returns when the order of its ordering key allows a message to be sent: 0 for at once, never while an earlier
-// message of the key is unfinished.
+// sendableAt returns when the ordering key of a message allows it to be sent: never while an earlier message of the key is
+// unfinished; 0, for at once, if it is a retry of the first message; else when the key is no longer held.
 func (o *keyOrder) sendableAt(message *message) Micros {
 	switch {
 	case o == nil || o.messages[0] == message && len(message.attempts) > 0:
@@ -43,8 +43,8 @@
 	return o.holdUntil
 }
 
-// dropExpiredKeys drops keys that are no longer held and have no messages. Few keys are used twice, so no later message would
-// cause their removal.
+// dropExpiredKeys drops keys that are no longer held and have no messages. As most keys are used only once, they cannot be
+// dropped by the next message of the same key.
 func (d *Dispatcher) dropExpiredKeys() {
 	d.idleHeldKeys = slices.DeleteFunc(d.idleHeldKeys, func(order *keyOrder) bool {
 		expired := d.now >= order.holdUntil
--- a/dispatch/listing.go
+++ b/dispatch/listing.go
@@ -9,9 +9,9 @@
 	// ListDeadline is the time within which a courier must know a change that discovery has, while discovery is
 	// reachable.
 	ListDeadline = 6 * second
-	// staleListHold bounds how long calls are held back while the list may lack a change past its deadline. While
-	// discovery is down no deadline applies, and destinations must still be served. The bound leaves time for one
-	// more poll without an answer, 2.4 s, and one with an answer.
+	// staleListHold bounds how long calls are held back while the list may lack a change for longer than ListDeadline.
+	// The bound is short because destinations must be served even while discovery is down. It leaves time for one
+	// more poll that times out, after 2.4 s, and one that is answered.
 	staleListHold = 3 * second
 
 	// The first two retries of a failed poll come after 0.05 to 0.15 s each, as the polls before may have taken
@@ -24,7 +24,7 @@
 	firstIncompleteRetry = second * 3 / 100
 	maxIncompleteRetry   = second
 	// incrementalRetries is how many times the changes since the held version are requested again before the whole
-	// list is.
+	// list is requested.
 	incrementalRetries = 1
 	// Lists with entries that the source confirms and this configuration cannot use are requested again at growing
 	// intervals.
@@ -35,7 +35,7 @@
 // listStatus is how current the held endpoint list is.
 type listStatus struct {
 	pollAt          Micros // when to poll; never while a poll is in progress
-	completeAt      Micros // when the list was last known to lack no change
+	completeAt      Micros // when the last list was received that could be used in full
 	failures        int    // consecutive polls that failed
 	incompleteReads int    // consecutive polls with a list that could be used only in part
 	mayLackChanges  bool   // since completeAt a poll was not answered in time, or its list could be used only in part
@@ -44,9 +44,9 @@
 
 // recordFailure schedules the next poll after a failed one. silent is set if the poll was not answered in time.
 //
-// Incident: an unanswered watch had taken 5.5 s of the deadline when one refused poll started a pause of 1 to 4 s,
-// and a draining endpoint got calls after its grace period. The pause therefore depends on the consecutive
-// failures, and its maximum on ListDeadline.
+// Incident: an unanswered watch had taken 5.5 s of the deadline, and one refused poll then started a pause of 1 to
+// 4 s. A draining endpoint got calls after its grace period. The pause therefore grows only with consecutive
+// failures, and its maximum is bound by ListDeadline.
 func (l *listStatus) recordFailure(now Micros, silent bool, rng *rand.Rand) {
 	l.failures++
 	l.mayLackChanges = l.mayLackChanges || silent
@@ -56,7 +56,7 @@
 
 // update records that a list was received.
 func (l *listStatus) update(now Micros, event EndpointUpdate) {
-	if event.Kind == CachedList { // it is not the answer to a poll
+	if event.Kind == CachedList { // a cached list is no answer to a poll, so the poll schedule stays
 		l.completeAt = now
 		return
 	}
--- a/dispatch/listing_test.go
+++ b/dispatch/listing_test.go
@@ -9,7 +9,7 @@
 func retryPause(l *listStatus) Micros { return l.pollAt } // the updates in these tests come at instant 0
 
 // TestIncompleteListsBackOff checks that lists that could be used only in part are requested again soon, then at growing intervals:
-// first only the changes since the held version, then the whole list. A list that can be used in full ends this.
+// first only the changes since the held version, then the whole list. A list that can be used in full ends the retries.
 func TestIncompleteListsBackOff(t *testing.T) {
 	l := &listStatus{pollAt: never}
 	previous := Micros(0)
@@ -31,7 +31,7 @@
 }
 
 // TestFailedPollsFitTheDeadline checks that at least three polls fit within ListDeadline, however many polls were refused, and that at
-// least three follow an unanswered watch before calls are held back. In the long run a courier must poll about once in 1.2 s.
+// least three follow an unanswered watch within ListDeadline. In the long run a courier must poll about once in 1.2 s.
 func TestFailedPollsFitTheDeadline(t *testing.T) {
 	const watch = 5250 * 1000 // time without an answer after which a watch counts as failed, in microseconds
 	for seed := range int64(200) {
@@ -44,7 +44,7 @@
 			polls++
 		}
 		if polls < 3 {
-			t.Errorf("seed %d: %d refused polls between an unanswered watch and the holding back of calls, want at least 3", seed, polls)
+			t.Errorf("seed %d: %d refused polls after an unanswered watch within ListDeadline, want at least 3", seed, polls)
 		}
 		for range 20 {
 			now = l.pollAt
@@ -100,7 +100,7 @@
 }
 
 // TestUnusableEntriesBackOff checks that a list with entries that the source confirms and the configuration cannot use is requested
-// again after 5 s, and then at growing intervals, while the watch continues.
+// again after 5 s, and then at growing intervals.
 func TestUnusableEntriesBackOff(t *testing.T) {
 	l := &listStatus{}
 	previous := Micros(0)
--- a/dispatch/localfault.go
+++ b/dispatch/localfault.go
@@ -5,15 +5,15 @@
 // affects all destinations, nothing is sent for a short time.
 
 const (
-	// The first pause suits a table of the system that is full for a moment. The pause grows to what a message with one
-	// of the shortest deadlines can spare.
+	// The first pause suits a full table of open files or sockets that has free entries again soon. The longest pause
+	// is what a message with one of the shortest deadlines can spare.
 	firstLocalPause = second / 50
 	maxLocalPause   = second * 8 / 25
 )
 
 // localFault is the state of a continuing failure on this machine; its zero value means no failure.
 type localFault struct {
-	failures    int    // consecutive ones; attempts that were sent together count once
+	failures    int    // consecutive failures; those of attempts that were started together count once
 	failedAt    Micros // when the last failure was counted
 	pausedUntil Micros // nothing is sent until then
 }
@@ -28,8 +28,8 @@
 	f.failures++
 }
 
-// recordSend records that an attempt is sent. While the fault lasts, it extends the pause: one attempt is enough to
-// test whether the fault is over.
+// recordSend records that an attempt is about to be sent. While the fault lasts, recordSend extends the pause: one
+// attempt is enough to test whether the fault is over.
 func (f *localFault) recordSend(now Micros) {
 	if f.failures > 0 {
 		f.pausedUntil = max(f.pausedUntil, now+firstLocalPause)
--- a/dispatch/observation.go
+++ b/dispatch/observation.go
@@ -68,13 +68,13 @@
 	// Throttling without Retry-After while enough of the limit is left: the server is out of service or hung,
 	// and not over its limit.
 	unexpected := group.reported && group.remaining >= lowRemainingShare && event.RetryAfter == 0
-	minStart := maxInterval / 2
+	minInitial := maxInterval / 2
 	if unexpected {
-		minStart = 4 * maxInterval
+		minInitial = 4 * maxInterval
 	}
-	d.widenInterval(group, minStart)
+	d.widenInterval(group, minInitial)
 	d.countOutageSign(group, &group.throttleSigns, Throttled, unexpected)
-	// A Retry-After longer than any limit requires: the server is out of service. Queued messages would
+	// A limit requires no Retry-After of over 2 s: the server is out of service. Queued messages would
 	// overload it when it returns.
 	if event.RetryAfter > outageAfter {
 		d.markOutage(group)
@@ -93,13 +93,16 @@
 	if outcome == TimedOut {
 		group.durations.add(d.now, durationDecayTime, float64(event.Duration))
 	}
-	// Unless shared, the failure may be limited to this endpoint.
-	shared := group.destination.endpointType.Separate || group.failureSigns >= len(group.destination.endpoints)
-	if shared && d.fairRate(group) < lowCallRate && outcome == Unreachable {
+	// Otherwise the failure may be limited to this endpoint of the group.
+	wholeGroup := group.destination.endpointType.Separate ||
+		group.failureSigns >= len(group.destination.endpoints)
+	if wholeGroup && d.fairRate(group) < lowCallRate && outcome == Unreachable {
 		d.widenInterval(group, 4*maxInterval) // the six failures that open a breaker come too late
 	}
 	endpointRun, classRun := &endpoint.failureRun, &endpoint.classRuns[attempt.message.classID]
-	for _, run := range []*failureRun{endpointRun, classRun} { // one class may fail while others do not
+	// The endpoint is ejected for all classes or, as one class may fail while others do not, for this class
+	// only.
+	for _, run := range []*failureRun{endpointRun, classRun} {
 		if run.failures++; run.failures >= 2 || run == classRun && d.fairRate(group) < lowCallRate {
 			run.ejectedUntil = d.now + min(8*second, second<<min(run.failures, 4))
 		}
--- a/dispatch/ordering.go
+++ b/dispatch/ordering.go
@@ -22,9 +22,9 @@
 			case len(destination.queue) == 0 || free > 0 && destination.calls > d.maxCalls(destination, free):
 			case free > 0:
 				sent = d.sendNext(destination) || sent
-			default: // no slot is free: for a ready message an overdue attempt may be canceled
+			default: // no slot is free: an overdue attempt may be canceled to send a ready message
 				if endpoint, _ := d.selectEndpoint(destination.queue[0]); endpoint != nil {
-					overdue = min(overdue, 3+float64(min(destination.calls, 1))) // later if it has a call in flight
+					overdue = min(overdue, 3+float64(min(destination.calls, 1))) // higher if it has a call in flight
 				}
 			}
 		}
@@ -34,9 +34,9 @@
 	}
 }
 
-// maxCalls returns how many calls a destination may have in flight: twice the number of free slots. Before
-// its first answer, and while a call is overdue, it is only the number of free slots, as a silent destination
-// would otherwise take them all.
+// maxCalls returns the number of calls in flight above which a destination gets no further call: twice the
+// number of free slots. Before its first answer, and while a call is overdue, it is the number of free slots,
+// as a silent destination would otherwise take them all.
 func (d *Dispatcher) maxCalls(destination *destination, free int) int {
 	for _, group := range destination.groups {
 		if len(group.inFlight) == 0 {
@@ -50,8 +50,10 @@
 	return 2 * free
 }
 
-// sortQueue sorts the queue by the value that messages lose by waiting another second, highest first. The
-// urgency of the destination is the value that a slot gains there per microsecond of a call.
+// sortQueue sorts the queue by the value that messages lose if they are delivered a second later, highest
+// first. The urgency of the destination is the loss of its first message, divided by the expected duration of
+// a call plus 0.1 s. A hundredth of the priority is added to the loss for destinations where nothing is lost
+// by waiting.
 func (d *Dispatcher) sortQueue(destination *destination) {
 	if len(destination.queue) == 0 || len(destination.groups) == 0 {
 		return
--- a/dispatch/quota.go
+++ b/dispatch/quota.go
@@ -8,14 +8,14 @@
 	Destination DestinationID
 	Endpoint    EndpointID // empty where the group is the whole destination
 	Limit       float64    // in calls per second from all couriers; 0 if unknown or only roughly known
-	Calls       int        // calls since the start; Delivered and Throttled count attempts since the start
-	Delivered   int
-	Throttled   int
-	Waiting     int // messages queued for the destination
+	Calls       int        // number of calls to the group so far
+	Delivered   int        // number of delivered attempts so far
+	Throttled   int        // number of throttled attempts so far
+	Waiting     int        // messages queued for the destination
 }
 
-// QuotaChanged delivers the shares that couriers have agreed on. They only lower this courier's rate, except for leased
-// shares, which other couriers have given up.
+// QuotaChanged delivers the shares that couriers have agreed on. Leased shares, which other couriers have given up, raise this
+// courier's rate; all other values can only lower it.
 type QuotaChanged struct{ Shares []QuotaShare }
 
 // QuotaShare is the agreement for one group. Granted and Leased are relative to this courier's own part of the limit.
@@ -26,7 +26,7 @@
 	GrantedUntil Micros
 	Leased       float64 // received from other couriers, until LeasedUntil
 	LeasedUntil  Micros
-	Load         float64 // share of the limit used by all couriers with a known report, until LoadUntil
+	Load         float64 // share of the limit that the couriers use whose demand is known, until LoadUntil
 	LoadUntil    Micros
 }
 
--- a/dispatch/retry.go
+++ b/dispatch/retry.go
@@ -5,19 +5,21 @@
 	"slices"
 )
 
-const durationDecayTime = 15 * second // some tens of answers at usual traffic; a fault lasts about as long
+// durationDecayTime covers some tens of answers at usual traffic. A fault lasts about 15 s, too.
+const durationDecayTime = 15 * second
 
 // expectedDuration returns the expected duration of a call to a group. It combines the average of the group
 // with the average of all groups and, while there are few observations, with half the shortest latency
-// objective.
+// objective (at most 1 s).
 func (d *Dispatcher) expectedDuration(group *endpointGroup) Micros {
 	overall, own := d.durations.decay(d.now, durationDecayTime), group.durations.decay(d.now, durationDecayTime)
-	overallMean := (overall.sum + 3*float64(d.priorDuration)) / (overall.weight + 3)
-	return Micros((own.sum + 2*overallMean) / (own.weight + 2))
+	overallMean := (overall.sum + 3*float64(d.priorDuration)) / (overall.count + 3)
+	return Micros((own.sum + 2*overallMean) / (own.count + 2))
 }
 
-// attemptTimeout returns a timeout that allows for a skewed latency distribution, a threefold slowdown and a
-// stall of two seconds. A shorter timeout would give up on answers that are merely slow.
+// attemptTimeout returns the timeout of an attempt: 6 times the expected duration, for a skewed distribution
+// of durations and a threefold slowdown, and 2 s for a stall. A shorter timeout would give up on answers that
+// are merely slow.
 func (d *Dispatcher) attemptTimeout(group *endpointGroup, class *Class) Micros {
 	timeout := 6*d.expectedDuration(group) + 2*second
 	if class.Idempotency == AtMostOnce {
@@ -33,8 +35,9 @@
 		m.class.Idempotency == IdempotencyKey && !m.class.SameZone
 }
 
-// giveUp ends a message at once: with Reject if it is safe to submit again, otherwise with Fail. Where
-// the configuration allows it, a rejection carries the time until the first group is ready as Retry-After.
+// giveUp ends a message at once: with Reject if it is safe to submit again, otherwise with Fail. Where the
+// configuration allows it, a rejection carries the time until the first group is ready as Retry-After, at
+// most Config.MaxRetryAfter.
 func (d *Dispatcher) giveUp(message *message) {
 	if !message.mayReject() {
 		d.emit(Fail{message.id})
@@ -46,9 +49,9 @@
 	d.finish(message)
 }
 
-// mayRetry reports whether the idempotency of a message and its number of attempts allow another attempt. The
-// allowed number grows with the priority weight, up to the configured maximum. Throttled attempts cost little
-// and count only towards that maximum.
+// mayRetry reports whether the idempotency of a message and its number of attempts allow another attempt. Two
+// attempts are allowed, and more in proportion to the priority weight, up to Config.MaxAttempts for the class
+// with the highest weight. Throttled attempts cost little and count only towards Config.MaxAttempts.
 func (d *Dispatcher) mayRetry(message *message) bool {
 	extra := float64(d.config.MaxAttempts-1) * message.priority / max(d.maxPriority, 1e-9)
 	attempts, class := len(message.attempts)-message.unsent, message.class
@@ -99,8 +102,8 @@
 	if endpoint.calls == 0 && d.shouldCloseIdle(endpoint) {
 		d.closeIdle(endpoint)
 	}
-	message.lastFailedEndpoint = endpoint
-	d.noteMayHaveRun(message, event.Outcome, attempt.sentAt, endpoint.Zone)
+	message.avoidEndpoint = endpoint
+	d.recordAttemptEffect(message, event.Outcome, attempt.sentAt, endpoint.Zone)
 	if event.MessageDone {
 		d.finish(message)
 	}
@@ -113,10 +116,10 @@
 	}
 }
 
-// cancelOverdue cancels the attempt with the highest ratio of elapsed to expected duration, if that ratio is
-// above highest. Nine calls in ten take less than three times the expected duration. When all endpoints slow
-// down at once, this also cancels calls that would still be answered.
-func (d *Dispatcher) cancelOverdue(highest float64) {
+// cancelOverdue cancels the attempt with the highest ratio of elapsed to expected duration (plus 0.25 s), if
+// that ratio is above minRatio. Nine calls in ten take less than three times the expected duration. When all
+// endpoints slow down at the same time, this also cancels calls that would still be answered.
+func (d *Dispatcher) cancelOverdue(minRatio float64) {
 	var worst *attempt
 	for _, attempt := range d.inFlight {
 		expected := d.expectedDuration(attempt.endpoint.group) + second/4
@@ -124,14 +127,14 @@
 		if attempt.message.class.Idempotency == AtMostOnce {
 			overdue /= 1.5 // cancellation fails an at-most-once message
 		}
-		if overdue > highest && !attempt.canceled {
-			highest, worst = overdue, attempt
+		if overdue > minRatio && !attempt.canceled {
+			minRatio, worst = overdue, attempt
 		}
 	}
 	if worst == nil {
 		return
 	}
-	worst.canceled = true // is counted as a timeout
+	worst.canceled = true // the cancellation is observed as a timeout, as the call had no answer for so long
 	d.observe(AttemptFinished{Outcome: TimedOut, Duration: d.now - worst.sentAt}, worst)
 	d.emit(Cancel{worst.message.id, worst.number()})
 }
--- a/dispatch/scenario_test.go
+++ b/dispatch/scenario_test.go
@@ -20,14 +20,36 @@
 // TestScenarios runs the scenarios in testdata/*.txt and compares a digest of all actions with actions.golden.
 //
 // Directives are separated by line ends or semicolons; # begins a comment. A scenario starts with the configuration that
-// differs from the default: charter (Config), workload (Class), shape (EndpointType) and party (Tenant), with names and
-// values. "at SECONDS" starts an instant. It is followed by the events of that instant (list, take, end, left, ...) and by
-// checks. want, none, most N and least N check the actions since the previous "at" against the first words of an action.
-// "holds KIND N" checks the number of records (messages), keys, endpoints or dests that the dispatcher holds.
+// differs from the default, in names and values:
 //
-// "answer ENDPOINT OUTCOME DURATION" makes an endpoint answer each attempt; "answer ENDPOINT never" stops this. "stands"
-// pauses the courier until the next "at". List entries are endpoint:dest:zone:shape:phase:rate; r1..r9 stands for nine
-// messages. Every action of every scenario is also checked by checkRules.
+//	charter    Config: slots (Slots), hold (QueueLimit), trips (MaxAttempts), couriers, number (CourierNumber), zone,
+//	           crossing (CrossZoneCost), ask (MustPoll), reports (load reports), nominal (NominalRates)
+//	workload   Class: replayable (Idempotent), referenced (IdempotencyKey) or single-use (AtMostOnce); late (LateFactor),
+//	           quoted (Objective), life (TimeToLive), payoff (Priority), window (IdempotencyWindow), onezone (SameZone),
+//	           ordered
+//	shape      EndpointType: apart (Separate) or another word, then MaxPerCall
+//	party      Tenant: quota in messages per second
+//
+// "at SECONDS" starts an instant. It is followed by events and by checks of the actions since the previous "at":
+//
+//	list KIND ENTRIES         EndpointUpdate; an entry is endpoint:dest:zone:shape:phase:rate, with the phases in, lame
+//	                          (Draining) and out (Removed)
+//	take IDS                  MessageAccepted: w (class), p (tenant), key, dest; r1..r9 stands for nine messages
+//	end IDS ATTEMPT OUTCOME   AttemptFinished: took (Duration), wait (Retry-After), left and rate (load report), over
+//	                          (the message has its final answer)
+//	left ID                   MessageCanceled
+//	bar, unbar ENDPOINT       MaintenanceChanged: disabled, enabled
+//	closing DURATION          ShutdownScheduled
+//	recharter                 Reconfigured
+//	restart, learned          a restart without messages; SnapshotRestored
+//	recover ID                MessageRecovered: left (time to the deadline), trips (past attempts), at (their endpoint)
+//	answer ENDPOINT OUTCOME   lets an endpoint answer each attempt, until "answer ENDPOINT never"
+//	stands                    pauses the process until the next "at"
+//	want, none, most N, least N   compares the first words of actions: send ID ENDPOINT, bounce ID pause MILLISECONDS
+//	                          (Reject), terminate ID (Fail), cancel ID, close ENDPOINT (CloseIdle), watch (WatchEndpoints)
+//	holds KIND N              compares the number of messages (records), keys, endpoints or destinations (dests) kept
+//
+// Every action of every scenario is also checked by checkRules.
 func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
@@ -40,31 +62,32 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			p := &scenarioRunner{t: t, messages: map[string]*messageState{}, replies: map[string]reply{}, phases: map[EndpointID]Phase{}, disabled: map[string]bool{}, digest: sha256.New()}
-			p.config = Config{Seed: 7, Couriers: 1, Slots: 50, QueueLimit: 100, MaxAttempts: 8, MayTellRetryAfter: true,
+			r := &scenarioRunner{t: t, messages: map[string]*messageState{}, replies: map[string]reply{}, phases: map[EndpointID]Phase{}, disabled: map[string]bool{}, digest: sha256.New()}
+			r.config = Config{Seed: 7, Couriers: 1, Slots: 50, QueueLimit: 100, MaxAttempts: 8, MayTellRetryAfter: true,
 				MayCancel: true, MaxRetryAfter: 2 * second, Tick: 5 * millisecond, ReportLeftIndex: -1, ReportRateIndex: -1,
 				SlowStartFrom: 0.2, SlowStart: 10 * second, OverloadFactor: 2, IdleTimeout: 5 * second,
 				KeyCooldown: second}
 			for _, line := range strings.Split(string(text), "\n") {
-				p.line++
+				r.line++
 				line, _, _ = strings.Cut(line, "#")
 				for _, part := range strings.Split(line, ";") {
 					if words := strings.Fields(part); len(words) > 0 {
-						p.runDirective(words)
+						r.runDirective(words)
 					}
 				}
 			}
-			p.flush()
-			if p.checks == 0 {
+			r.flush()
+			if r.checks == 0 {
 				t.Fatal("the scenario contains no checks")
 			}
-			fmt.Fprintf(&digests, "%s %x\n", filepath.Base(file), p.digest.Sum(nil)[:16])
+			fmt.Fprintf(&digests, "%s %x\n", filepath.Base(file), r.digest.Sum(nil)[:16])
 		})
 	}
 	golden.Check(t, "actions.golden", []byte(digests.String()))
 }
 
-// digestAction adds all fields of an action to a digest that does not depend on the names of types and fields.
+// digestAction adds an action and its fields to a digest that does not depend on the names of types and fields. WatchEndpoints is
+// added without its fields.
 func digestAction(digest io.Writer, now Micros, action Action) {
 	fmt.Fprintf(digest, "%d ", now)
 	switch a := action.(type) {
@@ -118,7 +141,7 @@
 	config       Config
 	dispatcher   *Dispatcher
 	shadows      shadowSet
-	paused       bool      // no event is handled until the next instant
+	paused       bool      // events are handled only at the next "at"
 	snapshot     *Snapshot // taken at the last restart
 	now          Micros
 	batch        []Event // events of the current instant
@@ -133,44 +156,44 @@
 	digest       hash.Hash // of all actions, in order
 }
 
-func (p *scenarioRunner) fatal(format string, args ...any) {
-	p.t.Helper()
-	p.t.Fatalf("line %d, at %.3f s: %s", p.line, float64(p.now)/1e6, fmt.Sprintf(format, args...))
+func (r *scenarioRunner) fatal(format string, args ...any) {
+	r.t.Helper()
+	r.t.Fatalf("line %d, at %.3f s: %s", r.line, float64(r.now)/1e6, fmt.Sprintf(format, args...))
 }
 
-func (p *scenarioRunner) duration(word string) Micros {
+func (r *scenarioRunner) duration(word string) Micros {
 	d, err := time.ParseDuration(word)
 	if err != nil {
-		p.fatal("invalid duration: %s", word)
+		r.fatal("invalid duration: %s", word)
 	}
 	return Micros(d.Microseconds())
 }
 
-func (p *scenarioRunner) number(word string) float64 {
+func (r *scenarioRunner) number(word string) float64 {
 	x, err := strconv.ParseFloat(word, 64)
 	if err != nil {
-		p.fatal("invalid number: %s", word)
+		r.fatal("invalid number: %s", word)
 	}
 	return x
 }
 
-func (p *scenarioRunner) loadReport(left, rate string) []float64 {
+func (r *scenarioRunner) loadReport(left, rate string) []float64 {
 	if left == "" {
 		return nil
 	}
-	return []float64{p.number(left), p.number(rate)}
+	return []float64{r.number(left), r.number(rate)}
 }
 
 // expandIDs expands a range such as r1..r9 to its message IDs.
-func (p *scenarioRunner) expandIDs(word string) []string {
+func (r *scenarioRunner) expandIDs(word string) []string {
 	from, to, ok := strings.Cut(word, "..")
 	if !ok {
 		return []string{word}
 	}
 	prefix := strings.TrimRight(from, "0123456789")
 	var expanded []string
-	last := int(p.number(strings.TrimPrefix(to, prefix)))
-	for i := int(p.number(strings.TrimPrefix(from, prefix))); i <= last; i++ {
+	last := int(r.number(strings.TrimPrefix(to, prefix)))
+	for i := int(r.number(strings.TrimPrefix(from, prefix))); i <= last; i++ {
 		expanded = append(expanded, prefix+strconv.Itoa(i))
 	}
 	return expanded
@@ -179,7 +202,7 @@
 var outcomesByKeyword = map[string]Outcome{"done": Delivered, "failure": Failure, "full": Throttled, "timed_out": TimedOut,
 	"unreachable": Unreachable, "broken": Broken, "withdrawn": Canceled, "void": Unprocessed}
 
-func (p *scenarioRunner) runDirective(words []string) {
+func (r *scenarioRunner) runDirective(words []string) {
 	option := func(name, fallback string) string {
 		for i := 1; i+1 < len(words); i++ {
 			if words[i] == name {
@@ -189,21 +212,21 @@
 		return fallback
 	}
 	has := func(name string) bool { return strings.Contains(" "+strings.Join(words, " ")+" ", " "+name+" ") }
-	if len(p.config.Classes) == 0 && words[0] == "at" {
-		p.config.Classes = []Class{{Objective: second, TimeToLive: 60 * second, Priority: 1, LateFactor: 0.5}}
+	if len(r.config.Classes) == 0 && words[0] == "at" {
+		r.config.Classes = []Class{{Objective: second, TimeToLive: 60 * second, Priority: 1, LateFactor: 0.5}}
 	}
-	if !p.batchOpen && (words[0] == "list" || words[0] == "take" || words[0] == "end" || words[0] == "left" || words[0] == "recover" || words[0] == "bar" || words[0] == "unbar" || words[0] == "learned" || words[0] == "recharter") {
-		p.fatal(`an event must follow its own "at"`)
+	if !r.batchOpen && (words[0] == "list" || words[0] == "take" || words[0] == "end" || words[0] == "left" || words[0] == "recover" || words[0] == "bar" || words[0] == "unbar" || words[0] == "learned" || words[0] == "recharter") {
+		r.fatal(`an event must follow its own "at"`)
 	}
 	switch words[0] {
 	case "charter":
-		config := &p.config
-		config.Slots = int(p.number(option("slots", strconv.Itoa(config.Slots))))
-		config.QueueLimit = int(p.number(option("hold", strconv.Itoa(config.QueueLimit))))
-		config.MaxAttempts = int(p.number(option("trips", strconv.Itoa(config.MaxAttempts))))
-		config.Couriers = int(p.number(option("couriers", strconv.Itoa(config.Couriers))))
-		config.CourierNumber = int(p.number(option("number", "0")))
-		config.Zone, config.CrossZoneCost = ZoneID(p.number(option("zone", "0"))), p.number(option("crossing", "0"))
+		config := &r.config
+		config.Slots = int(r.number(option("slots", strconv.Itoa(config.Slots))))
+		config.QueueLimit = int(r.number(option("hold", strconv.Itoa(config.QueueLimit))))
+		config.MaxAttempts = int(r.number(option("trips", strconv.Itoa(config.MaxAttempts))))
+		config.Couriers = int(r.number(option("couriers", strconv.Itoa(config.Couriers))))
+		config.CourierNumber = int(r.number(option("number", "0")))
+		config.Zone, config.CrossZoneCost = ZoneID(r.number(option("zone", "0"))), r.number(option("crossing", "0"))
 		config.MustPoll = has("ask")
 		if has("reports") {
 			config.ReportLeftIndex, config.ReportRateIndex = 0, 1
@@ -213,59 +236,59 @@
 		}
 	case "workload":
 		idempotency := map[string]Idempotency{"replayable": Idempotent, "referenced": IdempotencyKey, "single-use": AtMostOnce}[words[1]]
-		p.config.Classes = append(p.config.Classes, Class{Idempotency: idempotency, LateFactor: p.number(option("late", "0.5")),
-			Objective: p.duration(option("quoted", "1s")), TimeToLive: p.duration(option("life", "20s")),
-			Priority: p.number(option("payoff", "1")), IdempotencyWindow: p.duration(option("window", "5s")),
+		r.config.Classes = append(r.config.Classes, Class{Idempotency: idempotency, LateFactor: r.number(option("late", "0.5")),
+			Objective: r.duration(option("quoted", "1s")), TimeToLive: r.duration(option("life", "20s")),
+			Priority: r.number(option("payoff", "1")), IdempotencyWindow: r.duration(option("window", "5s")),
 			SameZone: has("onezone"), Ordered: has("ordered")})
 	case "shape":
-		p.config.EndpointTypes = append(p.config.EndpointTypes, EndpointType{Separate: words[1] == "apart", MaxPerCall: int(p.number(words[2]))})
+		r.config.EndpointTypes = append(r.config.EndpointTypes, EndpointType{Separate: words[1] == "apart", MaxPerCall: int(r.number(words[2]))})
 	case "party":
-		p.config.OverQuotaFactor = 0.1
-		p.config.Tenants = append(p.config.Tenants, Tenant{p.number(words[1])})
+		r.config.OverQuotaFactor = 0.1
+		r.config.Tenants = append(r.config.Tenants, Tenant{r.number(words[1])})
 	case "at":
-		p.flush()
-		p.advance(Micros(p.number(words[1]) * 1e6))
-		p.batchOpen = true
+		r.flush()
+		r.advance(Micros(r.number(words[1]) * 1e6))
+		r.batchOpen = true
 	case "answer":
 		if words[2] == "never" {
-			delete(p.replies, words[1])
+			delete(r.replies, words[1])
 		} else {
-			p.replies[words[1]] = reply{outcomesByKeyword[words[2]], p.duration(option(words[2], "20ms")), p.loadReport(option("left", ""), option("rate", "0"))}
+			r.replies[words[1]] = reply{outcomesByKeyword[words[2]], r.duration(option(words[2], "20ms")), r.loadReport(option("left", ""), option("rate", "0"))}
 		}
 	case "list":
 		update := EndpointUpdate{Kind: map[string]UpdateKind{"persisted": CachedList, "complete": CompleteList, "partial": PartialList,
 			"error": ListFailed}[words[1]]}
 		if update.Kind == CompleteList {
-			clear(p.phases)
+			clear(r.phases)
 		}
 		for _, word := range words[2:] { // endpoint:dest:zone:shape:phase:rate
 			parts := append(strings.Split(word, ":"), "", "", "", "", "")
-			field := func(i int) int { return int(p.number("0" + parts[i])) }
+			field := func(i int) int { return int(r.number("0" + parts[i])) }
 			entry := EndpointEntry{Endpoint: EndpointID(parts[0]), Destination: DestinationID(field(1)), Zone: ZoneID(field(2)),
 				Type: EndpointTypeID(field(3)), Rate: float64(field(5)),
 				Phase: map[string]Phase{"": InService, "in": InService, "lame": Draining, "out": Removed}[parts[4]]}
 			update.Entries = append(update.Entries, entry)
-			p.phases[entry.Endpoint] = entry.Phase
+			r.phases[entry.Endpoint] = entry.Phase
 		}
-		p.batch = append(p.batch, update)
+		r.batch = append(r.batch, update)
 	case "take":
-		for _, id := range p.expandIDs(words[1]) {
-			class := ClassID(p.number(option("w", "0")))
-			deadline := p.now + p.config.Classes[class].TimeToLive
-			p.messages[id] = &messageState{class: p.config.Classes[class], deadline: deadline}
-			p.batch = append(p.batch, MessageAccepted{Message: MessageID(id), Destination: DestinationID(p.number(option("dest", "1"))),
-				Class: class, Tenant: TenantID(p.number(option("p", "0"))), OrderingKey: OrderingKey(option("key", "")), Deadline: deadline})
+		for _, id := range r.expandIDs(words[1]) {
+			class := ClassID(r.number(option("w", "0")))
+			deadline := r.now + r.config.Classes[class].TimeToLive
+			r.messages[id] = &messageState{class: r.config.Classes[class], deadline: deadline}
+			r.batch = append(r.batch, MessageAccepted{Message: MessageID(id), Destination: DestinationID(r.number(option("dest", "1"))),
+				Class: class, Tenant: TenantID(r.number(option("p", "0"))), OrderingKey: OrderingKey(option("key", "")), Deadline: deadline})
 		}
 	case "recover": // ID, w, key, left, trips OUTCOME@AGE[/ZONE],...; the outcome "out" is an attempt still in flight
-		class := ClassID(p.number(option("w", "0")))
-		state := &messageState{class: p.config.Classes[class]}
-		state.deadline = p.now + p.duration(option("left", "5s"))
+		class := ClassID(r.number(option("w", "0")))
+		state := &messageState{class: r.config.Classes[class]}
+		state.deadline = r.now + r.duration(option("left", "5s"))
 		event := MessageRecovered{MessageAccepted: MessageAccepted{Message: MessageID(words[1]), Destination: 1, Class: class, OrderingKey: OrderingKey(option("key", "")), Deadline: state.deadline}}
 		for _, word := range strings.Split(option("trips", ""), ",") {
 			if name, rest, ok := strings.Cut(word, "@"); ok {
 				age, zone, _ := strings.Cut(rest, "/")
-				past := PastAttempt{Endpoint: EndpointID(option("at", "")), SentAt: p.now - p.duration(age), Outcome: outcomesByKeyword[name],
-					Zone: ZoneID(p.number("0" + zone))}
+				past := PastAttempt{Endpoint: EndpointID(option("at", "")), SentAt: r.now - r.duration(age), Outcome: outcomesByKeyword[name],
+					Zone: ZoneID(r.number("0" + zone))}
 				past.InFlight = name == "out"
 				event.Attempts = append(event.Attempts, past)
 				state.attemptsDone = append(state.attemptsDone, !past.InFlight)
@@ -276,66 +299,66 @@
 				}
 			}
 		}
-		p.messages[words[1]] = state
-		p.batch = append(p.batch, event)
+		r.messages[words[1]] = state
+		r.batch = append(r.batch, event)
 	case "restart": // drops all messages and keeps the learned state for the directive learned
-		snapshot := p.dispatcher.Snapshot()
-		p.snapshot, p.dispatcher, p.scheduled, p.timers, p.shadows = &snapshot, New(p.config), nil, nil, nil
-		for _, state := range p.messages {
+		snapshot := r.dispatcher.Snapshot()
+		r.snapshot, r.dispatcher, r.scheduled, r.timers, r.shadows = &snapshot, New(r.config), nil, nil, nil
+		for _, state := range r.messages {
 			state.ended = true
 		}
 	case "learned":
-		p.batch = append(p.batch, SnapshotRestored{*p.snapshot})
+		r.batch = append(r.batch, SnapshotRestored{*r.snapshot})
 	case "recharter": // slots, hold, and "single-use" to make the first class at-most-once
-		config := p.config
+		config := r.config
 		config.Classes = append([]Class(nil), config.Classes...)
-		config.Slots, config.QueueLimit = int(p.number(option("slots", strconv.Itoa(config.Slots)))), int(p.number(option("hold", strconv.Itoa(config.QueueLimit))))
+		config.Slots, config.QueueLimit = int(r.number(option("slots", strconv.Itoa(config.Slots)))), int(r.number(option("hold", strconv.Itoa(config.QueueLimit))))
 		if has("single-use") {
 			config.Classes[0].Idempotency = AtMostOnce
 		}
 		config.Classes = append(config.Classes, Class{Objective: second, TimeToLive: 9 * second, Priority: 5}) // an additional class
-		p.config = config
-		p.batch = append(p.batch, Reconfigured{config})
+		r.config = config
+		r.batch = append(r.batch, Reconfigured{config})
 	case "closing":
-		p.batch = append(p.batch, ShutdownScheduled{p.now + p.duration(words[1])})
+		r.batch = append(r.batch, ShutdownScheduled{r.now + r.duration(words[1])})
 	case "end":
-		for _, id := range p.expandIDs(words[1]) {
-			event := AttemptFinished{Message: MessageID(id), Attempt: AttemptNumber(p.number(words[2])), Outcome: outcomesByKeyword[words[3]],
-				Duration: p.duration(option("took", "100ms")), RetryAfter: p.duration(option("wait", "0s"))}
-			event.LoadReport = p.loadReport(option("left", ""), option("rate", "0"))
-			if state := p.messages[id]; has("over") && state != nil {
+		for _, id := range r.expandIDs(words[1]) {
+			event := AttemptFinished{Message: MessageID(id), Attempt: AttemptNumber(r.number(words[2])), Outcome: outcomesByKeyword[words[3]],
+				Duration: r.duration(option("took", "100ms")), RetryAfter: r.duration(option("wait", "0s"))}
+			event.LoadReport = r.loadReport(option("left", ""), option("rate", "0"))
+			if state := r.messages[id]; has("over") && state != nil {
 				state.ended = true
 			}
-			p.batch = append(p.batch, p.recordOutcome(event))
+			r.batch = append(r.batch, r.recordOutcome(event))
 		}
 	case "bar", "unbar": // an operator disables or enables an endpoint
-		p.batch = append(p.batch, MaintenanceChanged{EndpointID(words[1]), words[0] == "bar"})
-		p.disabled[words[1]] = words[0] == "bar"
-	case "stands": // pauses the courier: everything due before the next instant is handled together at that instant
-		p.flush()
-		p.paused = true
+		r.batch = append(r.batch, MaintenanceChanged{EndpointID(words[1]), words[0] == "bar"})
+		r.disabled[words[1]] = words[0] == "bar"
+	case "stands": // the process is paused: everything due before the next "at" is handled together at that instant
+		r.flush()
+		r.paused = true
 	case "left":
-		p.batch = append(p.batch, MessageCanceled{MessageID(words[1])})
-		p.messages[words[1]].ended = true
+		r.batch = append(r.batch, MessageCanceled{MessageID(words[1])})
+		r.messages[words[1]].ended = true
 	case "holds":
-		p.flush()
-		p.checks++
-		got := map[string]int{"records": len(p.dispatcher.messages), "keys": len(p.dispatcher.keys),
-			"endpoints": len(p.dispatcher.endpoints), "dests": len(p.dispatcher.destinations)}[words[1]]
-		if got != int(p.number(words[2])) {
-			p.fatal("dispatcher holds %d %s, want %s", got, words[1], words[2])
+		r.flush()
+		r.checks++
+		got := map[string]int{"records": len(r.dispatcher.messages), "keys": len(r.dispatcher.keys),
+			"endpoints": len(r.dispatcher.endpoints), "dests": len(r.dispatcher.destinations)}[words[1]]
+		if got != int(r.number(words[2])) {
+			r.fatal("dispatcher holds %d %s, want %s", got, words[1], words[2])
 		}
 	case "want", "none", "most", "least":
-		p.flush()
-		p.checkActions(words)
+		r.flush()
+		r.checkActions(words)
 	default:
-		p.fatal("unknown directive: %s", words[0])
+		r.fatal("unknown directive: %s", words[0])
 	}
 }
 
 // recordOutcome updates the state of a message for an outcome that is about to be reported.
-func (p *scenarioRunner) recordOutcome(event AttemptFinished) AttemptFinished {
-	state := p.messages[string(event.Message)]
+func (r *scenarioRunner) recordOutcome(event AttemptFinished) AttemptFinished {
+	state := r.messages[string(event.Message)]
 	if state == nil || int(event.Attempt) >= len(state.attemptsDone) {
 		return event
 	}
@@ -352,72 +375,72 @@
 }
 
 // flush hands the events of the current instant to the dispatcher.
-func (p *scenarioRunner) flush() {
-	if p.batchOpen {
-		p.batchOpen = false
-		p.handle(p.batch)
-		p.batch = nil
+func (r *scenarioRunner) flush() {
+	if r.batchOpen {
+		r.batchOpen = false
+		r.handle(r.batch)
+		r.batch = nil
 	}
 }
 
-func (p *scenarioRunner) handle(events []Event) {
-	if p.dispatcher == nil {
-		p.dispatcher = New(p.config)
+func (r *scenarioRunner) handle(events []Event) {
+	if r.dispatcher == nil {
+		r.dispatcher = New(r.config)
 	}
-	actions := p.dispatcher.Handle(p.now, events)
-	p.shadows.observe(p, events, actions)
+	actions := r.dispatcher.Handle(r.now, events)
+	r.shadows.observe(r, events, actions)
 	for _, action := range actions {
-		digestAction(p.digest, p.now, action)
-		p.checkRules(action)
-		p.actions = append(p.actions, action)
+		digestAction(r.digest, r.now, action)
+		r.checkRules(action)
+		r.actions = append(r.actions, action)
 	}
 }
 
 // advance handles the timers and answers that are due before an instant, and clears the recorded actions first.
-func (p *scenarioRunner) advance(to Micros) {
-	p.actions = nil
-	for p.dispatcher != nil {
-		sort.SliceStable(p.scheduled, func(i, j int) bool { return p.scheduled[i].at < p.scheduled[j].at })
-		sort.Slice(p.timers, func(i, j int) bool { return p.timers[i] < p.timers[j] })
+func (r *scenarioRunner) advance(to Micros) {
+	r.actions = nil
+	for r.dispatcher != nil {
+		sort.SliceStable(r.scheduled, func(i, j int) bool { return r.scheduled[i].at < r.scheduled[j].at })
+		sort.Slice(r.timers, func(i, j int) bool { return r.timers[i] < r.timers[j] })
 		next := Micros(math.MaxInt64)
-		if len(p.scheduled) > 0 {
-			next = p.scheduled[0].at
+		if len(r.scheduled) > 0 {
+			next = r.scheduled[0].at
 		}
-		if len(p.timers) > 0 {
-			next = min(next, p.timers[0])
+		if len(r.timers) > 0 {
+			next = min(next, r.timers[0])
 		}
 		if next >= to {
 			break
 		}
-		if p.now = max(p.now, next); p.paused {
-			p.now = to
+		if r.now = max(r.now, next); r.paused {
+			r.now = to
 		}
 		var events []Event
-		for len(p.scheduled) > 0 && p.scheduled[0].at <= p.now {
-			events = append(events, p.recordOutcome(p.scheduled[0].event))
-			p.scheduled = p.scheduled[1:]
+		for len(r.scheduled) > 0 && r.scheduled[0].at <= r.now {
+			events = append(events, r.recordOutcome(r.scheduled[0].event))
+			r.scheduled = r.scheduled[1:]
 		}
-		for len(p.timers) > 0 && p.timers[0] <= p.now {
-			events, p.timers = append(events, TimerFired{}), p.timers[1:]
+		for len(r.timers) > 0 && r.timers[0] <= r.now {
+			events, r.timers = append(events, TimerFired{}), r.timers[1:]
 		}
-		p.handle(events)
+		r.handle(events)
 	}
-	p.now, p.paused = to, false
+	r.now, r.paused = to, false
 }
 
-// checkRules checks an action against the six rules that hold in every scenario.
-func (p *scenarioRunner) checkRules(action Action) {
-	p.t.Helper()
+// checkRules checks an action against the rules that hold in every scenario.
+func (r *scenarioRunner) checkRules(action Action) {
+	r.t.Helper()
 	recordAnswer := func(id MessageID, reject bool) {
-		state := p.messages[string(id)]
+		state := r.messages[string(id)]
 		if state == nil || state.ended {
-			p.fatal("%s is unknown or already has its final answer", id)
+			r.fatal("%s is unknown or already has its final answer", id)
 		}
-		if p.now > state.deadline {
-			p.fatal("%s got its final answer after its deadline", id)
+		if r.now > state.deadline {
+			r.fatal("%s got its final answer after its deadline", id)
 		}
 		if reject && (state.mayHaveRun || state.inFlight > 0) && (state.class.Idempotency == AtMostOnce || state.class.SameZone) {
-			p.fatal("%s rejected although it may have run", id)
+			r.fatal("%s rejected although it may have run", id)
 		}
 		state.ended = true
 	}
@@ -427,46 +450,46 @@
 	case Fail:
 		recordAnswer(a.Message, false)
 	case SetTimer:
-		p.timers = append(p.timers, a.At)
+		r.timers = append(r.timers, a.At)
 	case Send:
-		state := p.messages[string(a.Message)]
+		state := r.messages[string(a.Message)]
 		switch {
 		case state == nil || state.ended:
-			p.fatal("%s sent although it is unknown or has its final answer", a.Message)
-		case p.phases[a.Endpoint] != InService:
-			p.fatal("%s sent to %s, which is not in service", a.Message, a.Endpoint)
-		case p.disabled[string(a.Endpoint)]:
-			p.fatal("%s sent to %s, which an operator has disabled", a.Message, a.Endpoint)
+			r.fatal("%s sent although it is unknown or has its final answer", a.Message)
+		case r.phases[a.Endpoint] != InService:
+			r.fatal("%s sent to %s, which is not in service", a.Message, a.Endpoint)
+		case r.disabled[string(a.Endpoint)]:
+			r.fatal("%s sent to %s, which an operator has disabled", a.Message, a.Endpoint)
 		case state.class.Idempotency == AtMostOnce && (state.mayHaveRun || state.inFlight > 0):
-			p.fatal("at-most-once message %s sent again", a.Message)
-		case state.class.Idempotency == IdempotencyKey && state.mayHaveRun && p.now > state.ranAt+state.class.IdempotencyWindow:
-			p.fatal("%s sent again after its idempotency window", a.Message)
-		case a.Timeout <= 0 || p.now+a.Timeout > state.deadline:
-			p.fatal("%s may run past its deadline", a.Message)
+			r.fatal("at-most-once message %s sent again", a.Message)
+		case state.class.Idempotency == IdempotencyKey && state.mayHaveRun && r.now > state.ranAt+state.class.IdempotencyWindow:
+			r.fatal("%s sent again after its idempotency window", a.Message)
+		case a.Timeout <= 0 || r.now+a.Timeout > state.deadline:
+			r.fatal("%s sent with a timeout that is not positive or ends after its deadline", a.Message)
 		}
 		if len(state.attemptsDone) == 0 {
-			state.ranAt = p.now
+			state.ranAt = r.now
 		}
 		state.attemptsDone = append(state.attemptsDone, false)
 		state.inFlight++
-		if r, ok := p.replies[string(a.Endpoint)]; ok {
-			p.scheduled = append(p.scheduled, scheduledOutcome{p.now + r.delay, AttemptFinished{Message: a.Message,
-				Attempt: AttemptNumber(len(state.attemptsDone) - 1), Outcome: r.outcome, Duration: r.delay, LoadReport: r.loadReport}})
+		if answer, ok := r.replies[string(a.Endpoint)]; ok {
+			r.scheduled = append(r.scheduled, scheduledOutcome{r.now + answer.delay, AttemptFinished{Message: a.Message,
+				Attempt: AttemptNumber(len(state.attemptsDone) - 1), Outcome: answer.outcome, Duration: answer.delay, LoadReport: answer.loadReport}})
 		}
 	}
 }
 
 // checkActions checks the actions since the previous "at" against a directive: want|none KIND [ID [ENDPOINT]] or
 // most|least N KIND, where * matches any word.
-func (p *scenarioRunner) checkActions(directive []string) {
-	p.t.Helper()
-	p.checks++
+func (r *scenarioRunner) checkActions(directive []string) {
+	r.t.Helper()
+	r.checks++
 	pattern, limit := directive[1:], -1
 	if directive[0] == "most" || directive[0] == "least" {
-		limit, pattern = int(p.number(directive[1])), directive[2:]
+		limit, pattern = int(r.number(directive[1])), directive[2:]
 	}
 	found := 0
-	for _, action := range p.actions {
+	for _, action := range r.actions {
 		text := ""
 		switch a := action.(type) {
 		case Send:
@@ -493,6 +516,6 @@
 	switch {
 	case directive[0] == "want" && found == 0, directive[0] == "none" && found > 0,
 		directive[0] == "most" && found > limit, directive[0] == "least" && found < limit:
-		p.fatal("%s: %d matching actions in %+v", strings.Join(directive, " "), found, p.actions)
+		r.fatal("%s: %d matching actions in %+v", strings.Join(directive, " "), found, r.actions)
 	}
 }
--- a/dispatch/shadow.go
+++ b/dispatch/shadow.go
@@ -8,7 +8,7 @@
 // Difference is a way in which a decision of a shadow differs from the actual one.
 type Difference int
 
-// The kinds of differences, as proposed by the shadow and as actually done.
+// The kinds of differences between the actions of the shadow and those that were carried out.
 const (
 	OtherEndpoint   Difference = iota // sent to another endpoint
 	SentEarlier                       // sent by the shadow; actually kept in the queue
@@ -17,13 +17,14 @@
 	FailedOnly                        // failed only by the shadow
 	StillQueued                       // kept by the shadow; actually rejected or failed
 	CanceledOnly                      // attempt canceled only by the shadow
-	StillAwaited                      // attempt kept by the shadow; actually canceled
+	StillAwaited                      // attempt not canceled by the shadow; actually canceled
 	OtherRetryAfter                   // rejected by both, with different Retry-After
 	Differences                       // number of kinds
 )
 
 // Shadow is a dispatcher with another configuration, whose actions are never carried out. After each instant its state is
-// reconciled with the actual actions: actions that only the shadow proposed are undone, and actual ones are applied.
+// reconciled with the actual actions: actions that only the shadow proposed are undone, except for call statistics, and
+// actual ones are applied.
 type Shadow struct {
 	dispatcher *Dispatcher
 	counts     [Differences]int
@@ -89,15 +90,15 @@
 	canceled []AttemptNumber
 }
 
-func (f *messageActions) endpoint() EndpointID {
-	if f.send == nil {
+func (a *messageActions) endpoint() EndpointID {
+	if a.send == nil {
 		return ""
 	}
-	return f.send.Endpoint
+	return a.send.Endpoint
 }
 
 // ended reports whether the actions give the message its final answer.
-func (f *messageActions) ended() bool { return f.reject != nil || f.failed }
+func (a *messageActions) ended() bool { return a.reject != nil || a.failed }
 
 // actionsByMessage groups actions by message. order lists the messages in the order of their first actions.
 func actionsByMessage(actions []Action) (order []MessageID, byMessage map[MessageID]*messageActions) {
@@ -136,7 +137,7 @@
 	s.counts[difference]++
 }
 
-// undo undoes the actions on a message that only the shadow proposed. actual is nil if there was no actual action on it.
+// undo undoes, for one message, the actions that only the shadow proposed. actual is nil if there was no actual action.
 func (s *Shadow) undo(id MessageID, proposed, actual *messageActions) {
 	if actual == nil {
 		actual = &messageActions{}
@@ -179,8 +180,8 @@
 	}
 }
 
-// applyActual applies the actual actions on a message that the shadow did not propose. proposed is nil if the shadow proposed
-// none.
+// applyActual applies, for one message, the actual actions that the shadow did not propose. proposed is nil if the shadow
+// proposed none.
 func (s *Shadow) applyActual(id MessageID, proposed, actual *messageActions) {
 	if proposed == nil {
 		proposed = &messageActions{}
--- a/dispatch/shadow_test.go
+++ b/dispatch/shadow_test.go
@@ -9,7 +9,7 @@
 // each instant.
 type shadowSet []*Shadow
 
-// shadowChanges are the changes of the configuration for each shadow; the first one is none.
+// shadowChanges are the changes of the configuration for each shadow; the first one changes nothing.
 var shadowChanges = []func(*Config){
 	func(*Config) {},
 	func(config *Config) { config.Slots, config.MaxAttempts = 1, 2 },
@@ -24,51 +24,51 @@
 	},
 }
 
-func (set *shadowSet) observe(p *scenarioRunner, events []Event, actual []Action) {
-	p.t.Helper()
+func (set *shadowSet) observe(r *scenarioRunner, events []Event, actual []Action) {
+	r.t.Helper()
 	if *set == nil {
 		for _, change := range shadowChanges {
-			config := p.config
+			config := r.config
 			change(&config)
 			*set = append(*set, NewShadow(config))
 		}
 	}
 	for i, shadow := range *set {
 		for _, e := range events {
-			if r, ok := e.(Reconfigured); ok {
-				config := r.Config
+			if reconfigured, ok := e.(Reconfigured); ok {
+				config := reconfigured.Config
 				shadowChanges[i](&config)
 				shadow.Reconfigure(config)
 			}
 		}
-		shadow.Observe(p.now, events, actual)
+		shadow.Observe(r.now, events, actual)
 		counts, _ := shadow.Counts()
 		if i == 0 && counts != [Differences]int{} {
-			p.fatal("shadow with the same configuration differs from the dispatcher: %v", counts)
+			r.fatal("shadow with the same configuration differs from the dispatcher: %v", counts)
 		}
-		set.checkConsistent(p, i, shadow.dispatcher)
+		set.checkConsistent(r, i, shadow.dispatcher)
 	}
 }
 
 // checkConsistent compares the messages, calls and attempts of a shadow with those of the dispatcher.
-func (set *shadowSet) checkConsistent(p *scenarioRunner, index int, shadow *Dispatcher) {
-	p.t.Helper()
-	if shadow.unfinished != p.dispatcher.unfinished || shadow.callsInFlight != p.dispatcher.callsInFlight || len(shadow.inFlight) != len(p.dispatcher.inFlight) {
-		p.fatal("shadow %d has %d unfinished messages, %d calls and %d attempts in flight; the dispatcher has %d, %d and %d", index, shadow.unfinished, shadow.callsInFlight,
-			len(shadow.inFlight), p.dispatcher.unfinished, p.dispatcher.callsInFlight, len(p.dispatcher.inFlight))
+func (set *shadowSet) checkConsistent(r *scenarioRunner, index int, shadow *Dispatcher) {
+	r.t.Helper()
+	if shadow.unfinished != r.dispatcher.unfinished || shadow.callsInFlight != r.dispatcher.callsInFlight || len(shadow.inFlight) != len(r.dispatcher.inFlight) {
+		r.fatal("shadow %d has %d unfinished messages, %d calls and %d attempts in flight; the dispatcher has %d, %d and %d", index, shadow.unfinished, shadow.callsInFlight,
+			len(shadow.inFlight), r.dispatcher.unfinished, r.dispatcher.callsInFlight, len(r.dispatcher.inFlight))
 	}
-	for id, message := range p.dispatcher.messages {
+	for id, message := range r.dispatcher.messages {
 		if shadowMessage := shadow.messages[id]; shadowMessage == nil || len(shadowMessage.attempts) != len(message.attempts) || shadowMessage.ended != message.ended || shadowMessage.queued != message.queued {
-			p.fatal("shadow %d differs from the dispatcher on message %s", index, id)
+			r.fatal("shadow %d differs from the dispatcher on message %s", index, id)
 		}
 	}
-	if len(shadow.messages) != len(p.dispatcher.messages) {
-		p.fatal("shadow %d has %d messages, the dispatcher %d", index, len(shadow.messages), len(p.dispatcher.messages))
+	if len(shadow.messages) != len(r.dispatcher.messages) {
+		r.fatal("shadow %d has %d messages, the dispatcher %d", index, len(shadow.messages), len(r.dispatcher.messages))
 	}
 }
 
-// TestShadowCountsDifferencesByKind checks that a shadow counts a difference once per message, for each kind of difference
-// but CanceledOnly.
+// TestShadowCountsDifferencesByKind checks that a shadow counts a difference once per message. There is no case for
+// CanceledOnly.
 func TestShadowCountsDifferencesByKind(t *testing.T) {
 	base := Config{Seed: 7, Couriers: 1, Slots: 50, QueueLimit: 100, MaxAttempts: 8, MayTellRetryAfter: true, MayCancel: true,
 		MaxRetryAfter: 2 * second, Tick: 5 * millisecond, ReportLeftIndex: -1, ReportRateIndex: -1, SlowStartFrom: 0.2, SlowStart: 10 * second,
--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -1,7 +1,7 @@
 package dispatch
 
-// warmShare returns the share of its full capacity, from 0.05 to 1, that a group is expected to have while it
-// is in an outage or warms up.
+// warmShare returns the share of its full capacity that a group is expected to have while it is in an outage
+// or warms up, at least 0.05. It ends the warm-up when the share reaches 1.
 func (d *Dispatcher) warmShare(group *endpointGroup) float64 {
 	warm := max(d.config.SlowStartFrom, 0.05)
 	if group.warmingUp {
@@ -13,7 +13,8 @@
 
 // setDisabled prevents calls to an endpoint that an operator disabled, regardless of its phase on the list.
 // An endpoint that is enabled again warms up, as it may have been restarted; if no other endpoint of its
-// group is warm, the whole group warms up. This is too cautious if the endpoint was not restarted.
+// group is warm, the whole group is treated as in an outage, and warms up from the next delivery on. This is
+// too cautious if the endpoint was not restarted.
 func (d *Dispatcher) setDisabled(event MaintenanceChanged) {
 	endpoint, wasDisabled := d.endpoints[event.Endpoint], d.disabled[event.Endpoint]
 	if d.disabled[event.Endpoint] = event.Disabled; event.Disabled {
@@ -41,6 +42,6 @@
 	}
 	initial := max(d.config.SlowStartFrom, 0.05)
 	warm := 1 - (1-initial)*float64(endpoint.warmingUntil-d.now)/float64(max(1, d.config.SlowStart))
-	share := float64(d.fairInterval(endpoint.group)) * float64(len(endpoint.destination.endpoints))
-	return Micros(share / warm)
+	warmInterval := float64(d.fairInterval(endpoint.group)) * float64(len(endpoint.destination.endpoints))
+	return Micros(warmInterval / warm)
 }
--- a/dispatch/snapshot.go
+++ b/dispatch/snapshot.go
@@ -22,7 +22,7 @@
 	LostCalls   []SumSnapshot      `json:"Broke"` // by idle bucket of their connection
 	Groups      []GroupSnapshot    `json:"Routes"`
 	Endpoints   []EndpointSnapshot `json:"Endpoints"`
-	RestingKeys []KeySnapshot      `json:"Resting"` // only for a successor process: the keys are held briefly, and there may be many
+	RestingKeys []KeySnapshot      `json:"Resting"` // only for a successor process; snapshot files omit them, as they are held briefly and may be many
 }
 
 // KeySnapshot is an ordering key that is held because an attempt of one of its messages may still run.
@@ -48,9 +48,9 @@
 	Outage            bool              `json:"Sick"`
 	OutageAt          Micros            `json:"SickAt"`
 	WarmingUp         bool              `json:"Cold"`
-	WarmedFor         Micros            `json:"Ramped"`
-	UsualRate         float64           `json:"Usual"` // deliveries per second before the outage
-	ReportedRate      float64           `json:"Rate"`  // limit in calls per second; 0 if no load report contained it
+	WarmedFor         Micros            `json:"Ramped"` // how long the group had been warming up
+	UsualRate         float64           `json:"Usual"`  // deliveries per second before the outage
+	ReportedRate      float64           `json:"Rate"`   // limit in calls per second; 0 if no load report contained it
 	Breakers          []BreakerSnapshot `json:"Breakers"`
 }
 
@@ -113,7 +113,7 @@
 
 func (s *decayingSum) snapshot(now, timeConstant Micros) SumSnapshot {
 	s.decay(now, timeConstant)
-	return SumSnapshot{s.weight, s.sum}
+	return SumSnapshot{s.count, s.sum}
 }
 
 func (g *endpointGroup) snapshot(now Micros) GroupSnapshot {
@@ -188,7 +188,7 @@
 	group.warmingSince = d.now - saved.WarmedFor
 	group.retryAfterUntil, group.retryAfterJitter = saved.RetryAfterUntil, d.rng.Float64()
 	if saved.ReportedRate > 0 {
-		group.rate = saved.ReportedRate // without the remaining share, which changes within a second: the next load report contains it
+		group.rate = saved.ReportedRate // the remaining share counts as 1 until the next load report, as it changes within a second
 	}
 	group.restoreBreakers(saved.Breakers, takenAt, d.now)
 }
@@ -222,7 +222,7 @@
 
 // restore returns the sum as of an instant, from which it decays.
 func (s SumSnapshot) restore(at Micros) decayingSum {
-	return decayingSum{weight: s.Weight, sum: s.Total, at: at}
+	return decayingSum{count: s.Weight, sum: s.Total, at: at}
 }
 
 // restoreSums restores as many sums as both slices have.
--- a/dispatch/snapshot_test.go
+++ b/dispatch/snapshot_test.go
@@ -102,7 +102,7 @@
 		successor := New(testConfig())
 		successor.Handle(at, []Event{threeEndpointList(), SnapshotRestored{snapshot}})
 		again := successor.Snapshot()
-		for i := range snapshot.Groups { // groups with a half-open breaker may differ, as the successor has no trial in flight
+		for i := range snapshot.Groups { // groups with a breaker that is not closed may differ, as the successor has no trial in flight
 			if !reflect.DeepEqual(snapshot.Groups[i], again.Groups[i]) && snapshot.Groups[i].Breakers[0].OpenUntil == 0 {
 				t.Fatalf("group %+v\nwas restored as %+v", snapshot.Groups[i], again.Groups[i])
 			}
--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -24,7 +24,7 @@
 
 	messages       map[MessageID]*message
 	unfinished     int            // messages without a final answer
-	queueAllowance int            // messages at the last reconfiguration: a lower queue limit gives up none of them
+	queueAllowance int            // number of messages that a lowered queue limit tolerates; falls as messages end
 	waiting        []*destination // destinations with queued messages, ordered by ID
 	keys           map[OrderingKey]*keyOrder
 	idleHeldKeys   []*keyOrder // keys that have no messages but are still held
@@ -38,9 +38,9 @@
 	callsInFlight int        // slots in use
 
 	tenantQuotas       []decayingSum   // token bucket of each tenant; its sum is the number of tokens
-	priorDuration      Micros          // expected duration of a call before any was observed
+	priorDuration      Micros          // expected duration of a call before any was observed: half the shortest objective, at most 1 s
 	durations          decayingSum     // of calls to all groups, in microseconds
-	lostCalls          [10]decayingSum // share of calls without an answer, by idle bucket; see idleBucketOf
+	lostCalls          [10]decayingSum // share of broken calls and lost answers, by idle bucket; see idleBucketOf
 	throttled          []decayingSum   // share of throttled calls among delivered and throttled ones, by endpoint type
 	connectionRefusals []refusalStats  // by full connection tables, by endpoint type
 	maxPriority        float64         // highest priority weight of a class
@@ -147,7 +147,7 @@
 	for _, endpoint := range destination.endpoints {
 		endpoint.classRuns = extended(endpoint.classRuns, classes)
 		if i := int(endpoint.Type); i < len(d.config.EndpointTypes) {
-			// Separate keeps its value from when the groups were created.
+			// The reconfiguration leaves Separate as it is, as the groups were formed by it.
 			destination.endpointType.MaxPerCall = d.config.EndpointTypes[i].MaxPerCall
 		}
 	}
@@ -165,28 +165,28 @@
 
 // message is an accepted message. It is kept until it has its final answer and all its attempts have finished.
 type message struct {
-	id                 MessageID
-	destination        *destination
-	classID            ClassID
-	class              *Class
-	objectiveAt        Micros // end of the latency objective
-	deadline           Micros
-	priority           float64 // weight, reduced if its tenant was over quota
-	sample             float64 // uniform in [0, 1): selects messages that are sent at once; see Dispatcher.readyAt
-	valueLoss          float64 // loss of value by waiting another second
-	order              *keyOrder
-	orderIndex         int // its index in order when it was removed
-	attempts           []*attempt
-	inFlight           int  // attempts without an outcome
-	throttled          int  // attempts that were throttled
-	unsent             int  // attempts that were not sent because of a local fault
-	ended              bool // it has its final answer
-	queued             bool
-	mayHaveRun         bool
-	ranAt              Micros // when the first attempt that may have run was sent
-	ranZone            ZoneID
-	untried            bool      // recovered after a restart without an attempt that may have run
-	lastFailedEndpoint *endpoint // endpoint of the last attempt; nil if there was none or it was throttled
+	id             MessageID
+	destination    *destination
+	classID        ClassID
+	class          *Class
+	objectiveAt    Micros // end of the latency objective
+	deadline       Micros
+	priority       float64 // weight, reduced if its tenant was over quota
+	sample         float64 // uniform in [0, 1): selects messages that are sent at once; see Dispatcher.readyAt
+	valueLoss      float64 // loss of value if the answer comes one second later than expected
+	order          *keyOrder
+	orderIndex     int // index in order.messages before the message was removed from it
+	attempts       []*attempt
+	inFlight       int  // attempts without an outcome
+	throttled      int  // attempts that were throttled
+	unsent         int  // attempts that were not sent because of a local fault
+	ended          bool // it has its final answer
+	queued         bool
+	mayHaveRun     bool
+	ranAt          Micros // when the first attempt that may have run was sent
+	ranZone        ZoneID
+	recoveredUnrun bool      // recovered after a restart, and no attempt before it may have run
+	avoidEndpoint  *endpoint // endpoint of the last finished attempt, avoided for the next; nil if there was none or it was throttled
 }
 
 // newMessage returns a message in its state at acceptance.
@@ -223,20 +223,20 @@
 			continue
 		}
 		message.attempts = append(message.attempts, &attempt{message: message, sentAt: past.SentAt, finished: true})
-		d.noteMayHaveRun(message, past.Outcome, past.SentAt, past.Zone)
+		d.recordAttemptEffect(message, past.Outcome, past.SentAt, past.Zone)
 		if i == len(event.Attempts)-1 {
 			d.observePastAttempt(past)
 		}
 	}
-	message.untried = !message.mayHaveRun && message.inFlight == 0
+	message.recoveredUnrun = !message.mayHaveRun && message.inFlight == 0
 	return message
 }
 
-// noteMayHaveRun records whether an attempt of a message was throttled, or may have run. If it may still run, the ordering
-// key of the message is held.
-func (d *Dispatcher) noteMayHaveRun(message *message, outcome Outcome, sentAt Micros, zone ZoneID) {
+// recordAttemptEffect counts a throttled attempt of a message, or records that the attempt may have run. If the attempt may
+// still run, the ordering key of the message is held.
+func (d *Dispatcher) recordAttemptEffect(message *message, outcome Outcome, sentAt Micros, zone ZoneID) {
 	if outcome == Throttled {
-		message.throttled, message.lastFailedEndpoint = message.throttled+1, nil
+		message.throttled, message.avoidEndpoint = message.throttled+1, nil
 	} else if outcome != Unreachable && outcome != Unprocessed && !message.mayHaveRun {
 		message.mayHaveRun, message.ranAt, message.ranZone = true, sentAt, zone
 	}
@@ -301,22 +301,23 @@
 	}
 }
 
-// decayingSum is a sum of values and their count that decay exponentially. Reading it updates it.
+// decayingSum is a sum of values and their number that decay exponentially. The fields hold for the instant at; decay and add
+// update them. All calls for one sum must use the same time constant.
 type decayingSum struct {
-	weight, sum float64 // number of values, and their sum
-	at          Micros
+	count, sum float64 // decayed number of values, and their decayed sum
+	at         Micros
 }
 
-// decay updates the sum to an instant and returns it. It decays to 1/e in timeConstant.
+// decay updates the sum to an instant and returns it. The sum decays to 1/e in timeConstant.
 func (s *decayingSum) decay(now, timeConstant Micros) *decayingSum {
 	if now > s.at {
 		left := math.Exp(-float64(now-s.at) / float64(timeConstant))
-		s.weight, s.sum, s.at = s.weight*left, s.sum*left, now
+		s.count, s.sum, s.at = s.count*left, s.sum*left, now
 	}
 	return s
 }
 
 func (s *decayingSum) add(now, timeConstant Micros, value float64) {
 	s.decay(now, timeConstant)
-	s.weight, s.sum = s.weight+1, s.sum+value
+	s.count, s.sum = s.count+1, s.sum+value
 }
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -60,8 +60,8 @@
 type Class struct {
 	Objective         Micros  // latency objective
 	TimeToLive        Micros  // time until the deadline
-	Priority          float64 // weight of a message delivered within its objective
-	LateFactor        float64 // share of the weight that remains at the deadline, from 0 to 1
+	Priority          float64 // priority weight: the value of a message delivered within its objective
+	LateFactor        float64 // share of the priority weight that remains at the deadline, from 0 to 1
 	Idempotency       Idempotency
 	SameZone          bool   // an idempotency key is recognized only by endpoints of the same zone
 	IdempotencyWindow Micros // how long a key is recognized, from the first attempt that may have run
@@ -90,23 +90,23 @@
 	OverQuotaFactor   float64 // multiplies the priority weight of messages over their tenant's quota
 	Decay             ValueDecay
 	Slots             int    // maximum number of calls in flight
-	QueueLimit        int    // maximum number of unfinished messages; 0 for no limit
+	QueueLimit        int    // the number of unfinished messages is kept below this; 0 for no limit
 	MaxAttempts       int    // maximum number of attempts per message
 	MayCancel         bool   // whether overdue attempts may be canceled
 	MayTellRetryAfter bool   // whether a rejection may carry a Retry-After
 	MaxRetryAfter     Micros // longest Retry-After of a rejection
 	IdleTimeout       Micros // time after which a server closes an idle connection
-	Tick              Micros // shortest time between two timers
+	Tick              Micros // shortest time between two timers, and safety margin at deadlines and other limits in time
 	MustPoll          bool   // the endpoint list has to be polled; otherwise it is pushed
 	RateQuality       RateQuality
 	ReportLeftIndex   int       // index of the remaining share of the limit in a load report; -1 if reports lack it
 	ReportRateIndex   int       // index of the limit, in calls per second, in a load report; -1 if reports lack it
-	GroupCost         []float64 // by zone: cost of a message to an endpoint that forms its own group
+	GroupCost         []float64 // by zone: configured cost of an endpoint that forms its own group, for the order of endpoints
 	Zone              ZoneID    // zone of this courier
-	CrossZoneCost     float64   // cost of a call to another zone
+	CrossZoneCost     float64   // configured cost of an endpoint in another zone, in the unit of GroupCost
 	SlowStartFrom     float64   // share of its capacity that a server has when it starts
 	SlowStart         Micros    // time that a server takes to warm up
-	OverloadFactor    float64   // a warming server fails when its load exceeds its current capacity by this factor
+	OverloadFactor    float64   // a warming server fails when its load is over this multiple of its current capacity
 	KeyCooldown       Micros    // how long an ordering key is held after an attempt that may still run
 	GrantedUntil      Micros    // until then an earlier run of this courier may have granted maxGranted of its part of each limit
 }
@@ -291,13 +291,13 @@
 	SetTimer struct{ At Micros }
 	// CloseIdle closes the idle connections to an endpoint.
 	CloseIdle struct{ Endpoint EndpointID }
-	// WatchEndpoints starts a poll of the endpoint list, for changes or for its current state. After an answer the watch
-	// continues without further actions.
+	// WatchEndpoints polls the endpoint list, for changes or for its current state. After an answered poll the caller starts
+	// the next one by itself; after a failed one the dispatcher decides when to poll again.
 	WatchEndpoints struct {
-		Whole     bool // requests the whole list, whatever version is held
+		Whole     bool // requests the whole list, instead of the changes since the version that the caller holds
 		Immediate bool // requests an answer at once, even if nothing has changed
 	}
-	// Note is a line for the log.
+	// Note is a line for the log. The dispatcher emits none at present; drivers and tests handle it.
 	Note struct{ Text string }
 )
 
--- a/dispatch/value.go
+++ b/dispatch/value.go
@@ -5,7 +5,8 @@
 // This file computes the value of messages from the configuration: priority weights and their decay after the
 // latency objective.
 
-// valueLossRate returns the highest loss of value of a message of a class, per microsecond of delay.
+// valueLossRate returns the loss of value of a message of a class after its objective, per microsecond of delay. With
+// HalvingDecay it is the average over one further objective.
 func (d *Dispatcher) valueLossRate(class *Class) float64 {
 	if d.config.Decay == HalvingDecay {
 		return class.Priority / 2 / float64(max(class.Objective, 1))
