--- a/dispatch/keyorder.go
+++ b/dispatch/keyorder.go
@@ -6,12 +6,12 @@
 type keyOrder struct {
 	key       OrderingKey
 	messages  []*message
-	holdUntil Micros // an attempt of the key may still run until then
+	holdUntil Micros // an attempt with the key may still run until then
 }
 
-// joinKey appends a message to those of its ordering key.
+// joinKey appends a message to the messages of its ordering key.
 func (d *Dispatcher) joinKey(key OrderingKey, message *message) *keyOrder {
-	d.releaseKeys()
+	d.dropExpiredKeys()
 	order := d.keys[key]
 	if order == nil {
 		order = &keyOrder{key: key}
@@ -21,7 +21,7 @@
 	return order
 }
 
-// remove takes a message out of the order, which may be nil.
+// remove removes a message from the order. The order may be nil.
 func (o *keyOrder) remove(message *message) {
 	if o == nil {
 		return
@@ -31,8 +31,8 @@
 	}
 }
 
-// sendableAt is when a message may be sent by the order of its ordering key: 0 for at once, never while an earlier
-// message of the key is unfinished.
+// sendableAt returns when the ordering key of a message allows it to be sent: never while an earlier message of the key is
+// unfinished; 0, for at once, if it is a retry of the first message; else when the key is no longer held.
 func (o *keyOrder) sendableAt(message *message) Micros {
 	switch {
 	case o == nil || o.messages[0] == message && len(message.attempts) > 0:
@@ -43,13 +43,14 @@
 	return o.holdUntil
 }
 
-// releaseKeys forgets keys that are no longer held and have no messages. Keys rarely come twice, so nothing else would.
-func (d *Dispatcher) releaseKeys() {
-	d.restingKeys = slices.DeleteFunc(d.restingKeys, func(order *keyOrder) bool {
-		over := d.now >= order.holdUntil
-		if over && len(order.messages) == 0 && d.keys[order.key] == order {
+// dropExpiredKeys drops keys that are no longer held and have no messages. As most keys are used only once, they cannot be
+// dropped by the next message of the same key.
+func (d *Dispatcher) dropExpiredKeys() {
+	d.idleHeldKeys = slices.DeleteFunc(d.idleHeldKeys, func(order *keyOrder) bool {
+		expired := d.now >= order.holdUntil
+		if expired && len(order.messages) == 0 && d.keys[order.key] == order {
 			delete(d.keys, order.key)
 		}
-		return over
+		return expired
 	})
 }
--- a/dispatch/scenario_test.go
+++ b/dispatch/scenario_test.go
@@ -17,13 +17,39 @@
 	"pineport/testbed/golden"
 )
 
-// TestScenarios plays testdata/*.txt; parts are set apart by lines or semicolons, # begins a comment. First what
-// the courier is handed, if not the usual: configuration, class, shape, tenant, with names and values. Then "at
-// SECONDS", the events of that instant (list, take, end, left), and what must have been done since the instant
-// before: want, none, most N, least N, with the beginning of an action, or what it holds now: messages, keys, endpoints,
-// dests and their number. "answer ENDPOINT OUTCOME SPAN" lets an
-// endpoint answer by itself, "never" ends that. "stands" after an instant: no event is handled until the next one. List entries are endpoint:dest:zone:shape:phase:rate; r1..r9
-// stands for nine messages. Every action is held against the rules, asked or not.
+// TestScenarios runs the scenarios in testdata/*.txt and compares a digest of all actions with actions.golden.
+//
+// Directives are separated by line ends or semicolons; # begins a comment. A scenario starts with the configuration that
+// differs from the default, in names and values:
+//
+//	charter    Config: slots (Slots), hold (QueueLimit), trips (MaxAttempts), couriers, number (CourierNumber), zone,
+//	           crossing (CrossZoneCost), ask (MustPoll), reports (load reports), nominal (NominalRates)
+//	workload   Class: replayable (Idempotent), referenced (IdempotencyKey) or single-use (AtMostOnce); late (LateFactor),
+//	           quoted (Objective), life (TimeToLive), payoff (Priority), window (IdempotencyWindow), onezone (SameZone),
+//	           ordered
+//	shape      EndpointType: apart (Separate) or another word, then MaxPerCall
+//	party      Tenant: quota in messages per second
+//
+// "at SECONDS" starts an instant. It is followed by events and by checks of the actions since the previous "at":
+//
+//	list KIND ENTRIES         EndpointUpdate; an entry is endpoint:dest:zone:shape:phase:rate, with the phases in, lame
+//	                          (Draining) and out (Removed)
+//	take IDS                  MessageAccepted: w (class), p (tenant), key, dest; r1..r9 stands for nine messages
+//	end IDS ATTEMPT OUTCOME   AttemptFinished: took (Duration), wait (Retry-After), left and rate (load report), over
+//	                          (the message has its final answer)
+//	left ID                   MessageCanceled
+//	bar, unbar ENDPOINT       MaintenanceChanged: disabled, enabled
+//	closing DURATION          ShutdownScheduled
+//	recharter                 Reconfigured
+//	restart, learned          a restart without messages; SnapshotRestored
+//	recover ID                MessageRecovered: left (time to the deadline), trips (past attempts), at (their endpoint)
+//	answer ENDPOINT OUTCOME   lets an endpoint answer each attempt, until "answer ENDPOINT never"
+//	stands                    pauses the process until the next "at"
+//	want, none, most N, least N   compares the first words of actions: send ID ENDPOINT, bounce ID pause MILLISECONDS
+//	                          (Reject), terminate ID (Fail), cancel ID, close ENDPOINT (CloseIdle), watch (WatchEndpoints)
+//	holds KIND N              compares the number of messages (records), keys, endpoints or destinations (dests) kept
+//
+// Every action of every scenario is also checked by checkRules.
 func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
@@ -36,31 +62,32 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			p := &player{t: t, messages: map[string]*messageBook{}, replies: map[string]reply{}, phase: map[EndpointID]Phase{}, disabled: map[string]bool{}, digest: sha256.New()}
-			p.config = Config{Seed: 7, Couriers: 1, Slots: 50, QueueLimit: 100, MaxAttempts: 8, MayTellRetryAfter: true,
-				MayCancel: true, MaxRetryAfter: 2 * second, Tick: 5 * millisecond, ReportLeftIndex: -1, ReportRateIndex: -1,
-				SlowStartFrom: 0.2, SlowStart: 10 * second, OverloadFactor: 2, IdleTimeout: 5 * second,
+			r := &scenarioRunner{t: t, messages: map[string]*messageState{}, replies: map[string]reply{}, phases: map[EndpointID]Phase{}, disabled: map[string]bool{}, digest: sha256.New()}
+			r.config = Config{Seed: 7, Couriers: 1, Slots: 50, QueueLimit: 100, MaxAttempts: 8, MaySendRetryAfter: true,
+				MayCancel: true, MaxRetryAfter: 2 * second, Tick: 5 * millisecond, ReportRemainingIndex: -1, ReportRateIndex: -1,
+				SlowStartInitialShare: 0.2, SlowStart: 10 * second, OverloadFactor: 2, IdleTimeout: 5 * second,
 				KeyCooldown: second}
 			for _, line := range strings.Split(string(text), "\n") {
-				p.line++
+				r.line++
 				line, _, _ = strings.Cut(line, "#")
 				for _, part := range strings.Split(line, ";") {
 					if words := strings.Fields(part); len(words) > 0 {
-						p.play(words)
+						r.runDirective(words)
 					}
 				}
 			}
-			p.flush()
-			if p.checks == 0 {
-				t.Fatal("nothing is asked for")
+			r.flush()
+			if r.checks == 0 {
+				t.Fatal("the scenario contains no checks")
 			}
-			fmt.Fprintf(&digests, "%s %x\n", filepath.Base(file), p.digest.Sum(nil)[:16])
+			fmt.Fprintf(&digests, "%s %x\n", filepath.Base(file), r.digest.Sum(nil)[:16])
 		})
 	}
 	golden.Check(t, "actions.golden", []byte(digests.String()))
 }
 
-// digestAction adds an action, in full, to a digest that names no type and no field of the program.
+// digestAction adds an action and its fields to a digest that does not depend on the names of types and fields. WatchEndpoints is
+// added without its fields.
 func digestAction(digest io.Writer, now Micros, action Action) {
 	fmt.Fprintf(digest, "%d ", now)
 	switch a := action.(type) {
@@ -81,410 +108,414 @@
 	case Note:
 		fmt.Fprintf(digest, "8 %q\n", a.Text)
 	default:
-		panic(fmt.Sprintf("an action without a number: %T", action))
+		panic(fmt.Sprintf("no digest code for action type %T", action))
 	}
 }
 
+// reply is how an endpoint answers each attempt.
 type reply struct {
 	outcome    Outcome
 	delay      Micros
 	loadReport []float64
 }
 
-type pending struct {
+// scheduledOutcome is an outcome that is reported at a later instant.
+type scheduledOutcome struct {
 	at    Micros
 	event AttemptFinished
 }
 
-// fate is what the rules need to know of a message.
-type messageBook struct {
+// messageState is what checkRules needs to know of a message.
+type messageState struct {
 	class             Class
-	attempts          []bool // over
+	attemptsDone      []bool // by attempt: whether it has finished
 	inFlight          int
 	mayHaveRun, ended bool
 	ranAt, deadline   Micros
 }
 
-type player struct {
+// scenarioRunner runs one scenario with one dispatcher.
+type scenarioRunner struct {
 	t            *testing.T
-	line, checks int
+	line, checks int // current line of the scenario file, and number of checks so far
 	config       Config
 	dispatcher   *Dispatcher
-	shadows      watchers
-	paused       bool
-	snapshot     *Snapshot
+	shadows      shadowSet
+	paused       bool      // events are handled only at the next "at"
+	snapshot     *Snapshot // taken at the last restart
 	now          Micros
-	batch        []Event
-	open         bool // a batch is being written
-	later        []pending
-	wakes        []Micros
-	actions      []Action
-	messages     map[string]*messageBook
+	batch        []Event // events of the current instant
+	batchOpen    bool    // the batch has not been handled yet
+	scheduled    []scheduledOutcome
+	timers       []Micros
+	actions      []Action // since the previous "at"
+	messages     map[string]*messageState
 	replies      map[string]reply
-	phase        map[EndpointID]Phase
+	phases       map[EndpointID]Phase
 	disabled     map[string]bool
 	digest       hash.Hash // of all actions, in order
 }
 
-func (p *player) fatal(format string, args ...any) {
-	p.t.Helper()
-	p.t.Fatalf("line %d, at %.3f s: %s", p.line, float64(p.now)/1e6, fmt.Sprintf(format, args...))
+func (r *scenarioRunner) fatal(format string, args ...any) {
+	r.t.Helper()
+	r.t.Fatalf("line %d, at %.3f s: %s", r.line, float64(r.now)/1e6, fmt.Sprintf(format, args...))
 }
 
-func (p *player) span(word string) Micros {
+func (r *scenarioRunner) duration(word string) Micros {
 	d, err := time.ParseDuration(word)
 	if err != nil {
-		p.fatal("not a span: %s", word)
+		r.fatal("invalid duration: %s", word)
 	}
 	return Micros(d.Microseconds())
 }
 
-func (p *player) number(word string) float64 {
+func (r *scenarioRunner) number(word string) float64 {
 	x, err := strconv.ParseFloat(word, 64)
 	if err != nil {
-		p.fatal("not a number: %s", word)
+		r.fatal("invalid number: %s", word)
 	}
 	return x
 }
 
-func (p *player) loadReport(left, rate string) []float64 {
+func (r *scenarioRunner) loadReport(left, rate string) []float64 {
 	if left == "" {
 		return nil
 	}
-	return []float64{p.number(left), p.number(rate)}
+	return []float64{r.number(left), r.number(rate)}
 }
 
-// ids expands r1..r9.
-func (p *player) ids(word string) []string {
+// expandIDs expands a range such as r1..r9 to its message IDs.
+func (r *scenarioRunner) expandIDs(word string) []string {
 	from, to, ok := strings.Cut(word, "..")
 	if !ok {
 		return []string{word}
 	}
-	stem := strings.TrimRight(from, "0123456789")
-	var out []string
-	last := int(p.number(strings.TrimPrefix(to, stem)))
-	for i := int(p.number(strings.TrimPrefix(from, stem))); i <= last; i++ {
-		out = append(out, stem+strconv.Itoa(i))
+	prefix := strings.TrimRight(from, "0123456789")
+	var expanded []string
+	last := int(r.number(strings.TrimPrefix(to, prefix)))
+	for i := int(r.number(strings.TrimPrefix(from, prefix))); i <= last; i++ {
+		expanded = append(expanded, prefix+strconv.Itoa(i))
 	}
-	return out
+	return expanded
 }
 
-var outcomeWords = map[string]Outcome{"done": Delivered, "failure": Failure, "full": Throttled, "timed_out": TimedOut,
+var outcomesByKeyword = map[string]Outcome{"done": Delivered, "failure": Failure, "full": Throttled, "timed_out": TimedOut,
 	"unreachable": Unreachable, "broken": Broken, "withdrawn": Canceled, "void": Unprocessed}
 
-func (p *player) play(w []string) {
-	opt := func(name, otherwise string) string {
-		for i := 1; i+1 < len(w); i++ {
-			if w[i] == name {
-				return w[i+1]
+func (r *scenarioRunner) runDirective(words []string) {
+	option := func(name, fallback string) string {
+		for i := 1; i+1 < len(words); i++ {
+			if words[i] == name {
+				return words[i+1]
 			}
 		}
-		return otherwise
+		return fallback
 	}
-	has := func(name string) bool { return strings.Contains(" "+strings.Join(w, " ")+" ", " "+name+" ") }
-	if len(p.config.Classes) == 0 && w[0] == "at" {
-		p.config.Classes = []Class{{Objective: second, TimeToLive: 60 * second, Priority: 1, LateFactor: 0.5}}
+	has := func(name string) bool { return strings.Contains(" "+strings.Join(words, " ")+" ", " "+name+" ") }
+	if len(r.config.Classes) == 0 && words[0] == "at" {
+		r.config.Classes = []Class{{Objective: second, TimeToLive: 60 * second, Priority: 1, LateFactor: 0.5}}
 	}
-	if !p.open && (w[0] == "list" || w[0] == "take" || w[0] == "end" || w[0] == "left" || w[0] == "recover" || w[0] == "bar" || w[0] == "unbar" || w[0] == "learned" || w[0] == "recharter") {
-		p.fatal("an event needs an instant of its own")
+	if !r.batchOpen && (words[0] == "list" || words[0] == "take" || words[0] == "end" || words[0] == "left" || words[0] == "recover" || words[0] == "bar" || words[0] == "unbar" || words[0] == "learned" || words[0] == "recharter") {
+		r.fatal(`an event must follow its own "at"`)
 	}
-	switch w[0] {
+	switch words[0] {
 	case "charter":
-		c := &p.config
-		c.Slots = int(p.number(opt("slots", strconv.Itoa(c.Slots))))
-		c.QueueLimit = int(p.number(opt("hold", strconv.Itoa(c.QueueLimit))))
-		c.MaxAttempts = int(p.number(opt("trips", strconv.Itoa(c.MaxAttempts))))
-		c.Couriers = int(p.number(opt("couriers", strconv.Itoa(c.Couriers))))
-		c.CourierNumber = int(p.number(opt("number", "0")))
-		c.Zone, c.CrossZoneCost = ZoneID(p.number(opt("zone", "0"))), p.number(opt("crossing", "0"))
-		c.MustPoll = has("ask")
+		config := &r.config
+		config.Slots = int(r.number(option("slots", strconv.Itoa(config.Slots))))
+		config.QueueLimit = int(r.number(option("hold", strconv.Itoa(config.QueueLimit))))
+		config.MaxAttempts = int(r.number(option("trips", strconv.Itoa(config.MaxAttempts))))
+		config.Couriers = int(r.number(option("couriers", strconv.Itoa(config.Couriers))))
+		config.CourierNumber = int(r.number(option("number", "0")))
+		config.Zone, config.CrossZoneCost = ZoneID(r.number(option("zone", "0"))), r.number(option("crossing", "0"))
+		config.MustPoll = has("ask")
 		if has("reports") {
-			c.ReportLeftIndex, c.ReportRateIndex = 0, 1
+			config.ReportRemainingIndex, config.ReportRateIndex = 0, 1
 		}
 		if has("nominal") {
-			c.RateQuality = NominalRates
+			config.RateQuality = NominalRates
 		}
 	case "workload":
-		kind := map[string]Idempotency{"replayable": Idempotent, "referenced": IdempotencyKey, "single-use": AtMostOnce}[w[1]]
-		p.config.Classes = append(p.config.Classes, Class{Idempotency: kind, LateFactor: p.number(opt("late", "0.5")),
-			Objective: p.span(opt("quoted", "1s")), TimeToLive: p.span(opt("life", "20s")),
-			Priority: p.number(opt("payoff", "1")), IdempotencyWindow: p.span(opt("window", "5s")),
+		idempotency := map[string]Idempotency{"replayable": Idempotent, "referenced": IdempotencyKey, "single-use": AtMostOnce}[words[1]]
+		r.config.Classes = append(r.config.Classes, Class{Idempotency: idempotency, LateFactor: r.number(option("late", "0.5")),
+			Objective: r.duration(option("quoted", "1s")), TimeToLive: r.duration(option("life", "20s")),
+			Priority: r.number(option("payoff", "1")), IdempotencyWindow: r.duration(option("window", "5s")),
 			SameZone: has("onezone"), Ordered: has("ordered")})
 	case "shape":
-		p.config.EndpointTypes = append(p.config.EndpointTypes, EndpointType{Separate: w[1] == "apart", MaxPerCall: int(p.number(w[2]))})
+		r.config.EndpointTypes = append(r.config.EndpointTypes, EndpointType{Separate: words[1] == "apart", MaxPerCall: int(r.number(words[2]))})
 	case "party":
-		p.config.OverQuotaFactor = 0.1
-		p.config.Tenants = append(p.config.Tenants, Tenant{p.number(w[1])})
+		r.config.OverQuotaFactor = 0.1
+		r.config.Tenants = append(r.config.Tenants, Tenant{r.number(words[1])})
 	case "at":
-		p.flush()
-		p.advance(Micros(p.number(w[1]) * 1e6))
-		p.open = true
+		r.flush()
+		r.advance(Micros(r.number(words[1]) * 1e6))
+		r.batchOpen = true
 	case "answer":
-		if w[2] == "never" {
-			delete(p.replies, w[1])
+		if words[2] == "never" {
+			delete(r.replies, words[1])
 		} else {
-			p.replies[w[1]] = reply{outcomeWords[w[2]], p.span(opt(w[2], "20ms")), p.loadReport(opt("left", ""), opt("rate", "0"))}
+			r.replies[words[1]] = reply{outcomesByKeyword[words[2]], r.duration(option(words[2], "20ms")), r.loadReport(option("left", ""), option("rate", "0"))}
 		}
 	case "list":
-		news := EndpointUpdate{Kind: map[string]UpdateKind{"persisted": CachedList, "complete": CompleteList, "partial": PartialList,
-			"error": ListFailed}[w[1]]}
-		if news.Kind == CompleteList {
-			clear(p.phase)
+		update := EndpointUpdate{Kind: map[string]UpdateKind{"persisted": CachedList, "complete": CompleteList, "partial": PartialList,
+			"error": ListFailed}[words[1]]}
+		if update.Kind == CompleteList {
+			clear(r.phases)
 		}
-		for _, word := range w[2:] { // endpoint:dest:zone:shape:phase:rate
+		for _, word := range words[2:] { // endpoint:dest:zone:shape:phase:rate
 			parts := append(strings.Split(word, ":"), "", "", "", "", "")
-			field := func(i int) int { return int(p.number("0" + parts[i])) }
+			field := func(i int) int { return int(r.number("0" + parts[i])) }
 			entry := EndpointEntry{Endpoint: EndpointID(parts[0]), Destination: DestinationID(field(1)), Zone: ZoneID(field(2)),
 				Type: EndpointTypeID(field(3)), Rate: float64(field(5)),
 				Phase: map[string]Phase{"": InService, "in": InService, "lame": Draining, "out": Removed}[parts[4]]}
-			news.Entries = append(news.Entries, entry)
-			p.phase[entry.Endpoint] = entry.Phase
+			update.Entries = append(update.Entries, entry)
+			r.phases[entry.Endpoint] = entry.Phase
 		}
-		p.batch = append(p.batch, news)
+		r.batch = append(r.batch, update)
 	case "take":
-		for _, id := range p.ids(w[1]) {
-			work := ClassID(p.number(opt("w", "0")))
-			cutOff := p.now + p.config.Classes[work].TimeToLive
-			p.messages[id] = &messageBook{class: p.config.Classes[work], deadline: cutOff}
-			p.batch = append(p.batch, MessageAccepted{Message: MessageID(id), Destination: DestinationID(p.number(opt("dest", "1"))),
-				Class: work, Tenant: TenantID(p.number(opt("p", "0"))), OrderingKey: OrderingKey(opt("key", "")), Deadline: cutOff})
+		for _, id := range r.expandIDs(words[1]) {
+			class := ClassID(r.number(option("w", "0")))
+			deadline := r.now + r.config.Classes[class].TimeToLive
+			r.messages[id] = &messageState{class: r.config.Classes[class], deadline: deadline}
+			r.batch = append(r.batch, MessageAccepted{Message: MessageID(id), Destination: DestinationID(r.number(option("dest", "1"))),
+				Class: class, Tenant: TenantID(r.number(option("p", "0"))), OrderingKey: OrderingKey(option("key", "")), Deadline: deadline})
 		}
-	case "recover": // ID, w, key, left, attempts OUTCOME@AGO[/ZONE],...; the outcome "out" is one that is still awaited
-		work := ClassID(p.number(opt("w", "0")))
-		book := &messageBook{class: p.config.Classes[work]}
-		book.deadline = p.now + p.span(opt("left", "5s"))
-		event := MessageRecovered{MessageAccepted: MessageAccepted{Message: MessageID(w[1]), Destination: 1, Class: work, OrderingKey: OrderingKey(opt("key", "")), Deadline: book.deadline}}
-		for _, word := range strings.Split(opt("trips", ""), ",") {
+	case "recover": // ID, w, key, left, trips OUTCOME@AGE[/ZONE],...; the outcome "out" is an attempt still in flight
+		class := ClassID(r.number(option("w", "0")))
+		state := &messageState{class: r.config.Classes[class]}
+		state.deadline = r.now + r.duration(option("left", "5s"))
+		event := MessageRecovered{MessageAccepted: MessageAccepted{Message: MessageID(words[1]), Destination: 1, Class: class, OrderingKey: OrderingKey(option("key", "")), Deadline: state.deadline}}
+		for _, word := range strings.Split(option("trips", ""), ",") {
 			if name, rest, ok := strings.Cut(word, "@"); ok {
-				ago, zone, _ := strings.Cut(rest, "/")
-				past := PastAttempt{Endpoint: EndpointID(opt("at", "")), SentAt: p.now - p.span(ago), Outcome: outcomeWords[name],
-					Zone: ZoneID(p.number("0" + zone))}
+				age, zone, _ := strings.Cut(rest, "/")
+				past := PastAttempt{Endpoint: EndpointID(option("at", "")), SentAt: r.now - r.duration(age), Outcome: outcomesByKeyword[name],
+					Zone: ZoneID(r.number("0" + zone))}
 				past.InFlight = name == "out"
 				event.Attempts = append(event.Attempts, past)
-				book.attempts = append(book.attempts, !past.InFlight)
+				state.attemptsDone = append(state.attemptsDone, !past.InFlight)
 				if past.InFlight {
-					book.inFlight++
-				} else if outcome := past.Outcome; !book.mayHaveRun && outcome != Throttled && outcome != Unreachable && outcome != Unprocessed {
-					book.mayHaveRun, book.ranAt = true, past.SentAt
+					state.inFlight++
+				} else if outcome := past.Outcome; !state.mayHaveRun && outcome != Throttled && outcome != Unreachable && outcome != Unprocessed {
+					state.mayHaveRun, state.ranAt = true, past.SentAt
 				}
 			}
 		}
-		p.messages[w[1]] = book
-		p.batch = append(p.batch, event)
-	case "restart": // all that was held is dropped; what was learned is kept for the line learned
-		snapshot := p.dispatcher.Snapshot()
-		p.snapshot, p.dispatcher, p.later, p.wakes, p.shadows = &snapshot, New(p.config), nil, nil, nil
-		for _, book := range p.messages {
-			book.ended = true
+		r.messages[words[1]] = state
+		r.batch = append(r.batch, event)
+	case "restart": // drops all messages and keeps the learned state for the directive learned
+		snapshot := r.dispatcher.Snapshot()
+		r.snapshot, r.dispatcher, r.scheduled, r.timers, r.shadows = &snapshot, New(r.config), nil, nil, nil
+		for _, state := range r.messages {
+			state.ended = true
 		}
 	case "learned":
-		p.batch = append(p.batch, SnapshotRestored{*p.snapshot})
-	case "recharter": // slots, hold, and "at-most-once" for a first class that may run twice no more
-		config := p.config
+		r.batch = append(r.batch, SnapshotRestored{*r.snapshot})
+	case "recharter": // slots, hold, and "single-use" to make the first class at-most-once
+		config := r.config
 		config.Classes = append([]Class(nil), config.Classes...)
-		config.Slots, config.QueueLimit = int(p.number(opt("slots", strconv.Itoa(config.Slots)))), int(p.number(opt("hold", strconv.Itoa(config.QueueLimit))))
+		config.Slots, config.QueueLimit = int(r.number(option("slots", strconv.Itoa(config.Slots)))), int(r.number(option("hold", strconv.Itoa(config.QueueLimit))))
 		if has("single-use") {
 			config.Classes[0].Idempotency = AtMostOnce
 		}
-		config.Classes = append(config.Classes, Class{Objective: second, TimeToLive: 9 * second, Priority: 5}) // and one more than before
-		p.config = config
-		p.batch = append(p.batch, Reconfigured{config})
+		config.Classes = append(config.Classes, Class{Objective: second, TimeToLive: 9 * second, Priority: 5}) // an additional class
+		r.config = config
+		r.batch = append(r.batch, Reconfigured{config})
 	case "closing":
-		p.batch = append(p.batch, ShutdownScheduled{p.now + p.span(w[1])})
+		r.batch = append(r.batch, ShutdownScheduled{r.now + r.duration(words[1])})
 	case "end":
-		for _, id := range p.ids(w[1]) {
-			s := AttemptFinished{Message: MessageID(id), Attempt: AttemptNumber(p.number(w[2])), Outcome: outcomeWords[w[3]],
-				Duration: p.span(opt("took", "100ms")), RetryAfter: p.span(opt("wait", "0s"))}
-			s.LoadReport = p.loadReport(opt("left", ""), opt("rate", "0"))
-			if book := p.messages[id]; has("over") && book != nil {
-				book.ended = true
+		for _, id := range r.expandIDs(words[1]) {
+			event := AttemptFinished{Message: MessageID(id), Attempt: AttemptNumber(r.number(words[2])), Outcome: outcomesByKeyword[words[3]],
+				Duration: r.duration(option("took", "100ms")), RetryAfter: r.duration(option("wait", "0s"))}
+			event.LoadReport = r.loadReport(option("left", ""), option("rate", "0"))
+			if state := r.messages[id]; has("over") && state != nil {
+				state.ended = true
 			}
-			p.batch = append(p.batch, p.note(s))
+			r.batch = append(r.batch, r.recordOutcome(event))
 		}
-	case "bar", "unbar": // by people
-		p.batch = append(p.batch, MaintenanceChanged{EndpointID(w[1]), w[0] == "bar"})
-		p.disabled[w[1]] = w[0] == "bar"
-	case "stands": // still: what falls due until the next instant comes then, all at once
-		p.flush()
-		p.paused = true
+	case "bar", "unbar": // an operator disables or enables an endpoint
+		r.batch = append(r.batch, MaintenanceChanged{EndpointID(words[1]), words[0] == "bar"})
+		r.disabled[words[1]] = words[0] == "bar"
+	case "stands": // the process is paused: everything due before the next "at" is handled together at that instant
+		r.flush()
+		r.paused = true
 	case "left":
-		p.batch = append(p.batch, MessageCanceled{MessageID(w[1])})
-		p.messages[w[1]].ended = true
+		r.batch = append(r.batch, MessageCanceled{MessageID(words[1])})
+		r.messages[words[1]].ended = true
 	case "holds":
-		p.flush()
-		p.checks++
-		got := map[string]int{"records": len(p.dispatcher.messages), "keys": len(p.dispatcher.keys),
-			"endpoints": len(p.dispatcher.endpoints), "dests": len(p.dispatcher.destinations)}[w[1]]
-		if got != int(p.number(w[2])) {
-			p.fatal("holds %d %s, not %s", got, w[1], w[2])
+		r.flush()
+		r.checks++
+		got := map[string]int{"records": len(r.dispatcher.messages), "keys": len(r.dispatcher.keys),
+			"endpoints": len(r.dispatcher.endpoints), "dests": len(r.dispatcher.destinations)}[words[1]]
+		if got != int(r.number(words[2])) {
+			r.fatal("dispatcher holds %d %s, want %s", got, words[1], words[2])
 		}
 	case "want", "none", "most", "least":
-		p.flush()
-		p.check(w)
+		r.flush()
+		r.checkActions(words)
 	default:
-		p.fatal("no such line: %s", w[0])
+		r.fatal("unknown directive: %s", words[0])
 	}
 }
 
-// note keeps the books of an outcome that is about to be notified.
-func (p *player) note(event AttemptFinished) AttemptFinished {
-	book := p.messages[string(event.Message)]
-	if book == nil || int(event.Attempt) >= len(book.attempts) {
+// recordOutcome updates the state of a message for an outcome that is about to be reported.
+func (r *scenarioRunner) recordOutcome(event AttemptFinished) AttemptFinished {
+	state := r.messages[string(event.Message)]
+	if state == nil || int(event.Attempt) >= len(state.attemptsDone) {
 		return event
 	}
-	book.attempts[event.Attempt] = true
-	book.inFlight--
+	state.attemptsDone[event.Attempt] = true
+	state.inFlight--
 	if event.Outcome == Delivered {
-		book.ended = true
+		state.ended = true
 	}
-	event.MessageDone = book.ended
+	event.MessageDone = state.ended
 	if outcome := event.Outcome; outcome != Throttled && outcome != Unreachable && outcome != Unprocessed {
-		book.mayHaveRun = true
+		state.mayHaveRun = true
 	}
 	return event
 }
 
-// flush hands over the batch that was written.
-func (p *player) flush() {
-	if p.open {
-		p.open = false
-		p.handle(p.batch)
-		p.batch = nil
+// flush hands the events of the current instant to the dispatcher.
+func (r *scenarioRunner) flush() {
+	if r.batchOpen {
+		r.batchOpen = false
+		r.handle(r.batch)
+		r.batch = nil
 	}
 }
 
-func (p *player) handle(events []Event) {
-	if p.dispatcher == nil {
-		p.dispatcher = New(p.config)
+func (r *scenarioRunner) handle(events []Event) {
+	if r.dispatcher == nil {
+		r.dispatcher = New(r.config)
 	}
-	actions := p.dispatcher.Handle(p.now, events)
-	p.shadows.see(p, events, actions)
+	actions := r.dispatcher.Handle(r.now, events)
+	r.shadows.observe(r, events, actions)
 	for _, action := range actions {
-		digestAction(p.digest, p.now, action)
-		p.rules(action)
-		p.actions = append(p.actions, action)
+		digestAction(r.digest, r.now, action)
+		r.checkRules(action)
+		r.actions = append(r.actions, action)
 	}
 }
 
-// advance plays wake-ups and answers that fall due before an instant; what was done before is forgotten.
-func (p *player) advance(to Micros) {
-	p.actions = nil
-	for p.dispatcher != nil {
-		sort.SliceStable(p.later, func(i, j int) bool { return p.later[i].at < p.later[j].at })
-		sort.Slice(p.wakes, func(i, j int) bool { return p.wakes[i] < p.wakes[j] })
+// advance handles the timers and answers that are due before an instant, and clears the recorded actions first.
+func (r *scenarioRunner) advance(to Micros) {
+	r.actions = nil
+	for r.dispatcher != nil {
+		sort.SliceStable(r.scheduled, func(i, j int) bool { return r.scheduled[i].at < r.scheduled[j].at })
+		sort.Slice(r.timers, func(i, j int) bool { return r.timers[i] < r.timers[j] })
 		next := Micros(math.MaxInt64)
-		if len(p.later) > 0 {
-			next = p.later[0].at
+		if len(r.scheduled) > 0 {
+			next = r.scheduled[0].at
 		}
-		if len(p.wakes) > 0 {
-			next = min(next, p.wakes[0])
+		if len(r.timers) > 0 {
+			next = min(next, r.timers[0])
 		}
 		if next >= to {
 			break
 		}
-		if p.now = max(p.now, next); p.paused {
-			p.now = to
+		if r.now = max(r.now, next); r.paused {
+			r.now = to
 		}
 		var events []Event
-		for len(p.later) > 0 && p.later[0].at <= p.now {
-			events = append(events, p.note(p.later[0].event))
-			p.later = p.later[1:]
+		for len(r.scheduled) > 0 && r.scheduled[0].at <= r.now {
+			events = append(events, r.recordOutcome(r.scheduled[0].event))
+			r.scheduled = r.scheduled[1:]
 		}
-		for len(p.wakes) > 0 && p.wakes[0] <= p.now {
-			events, p.wakes = append(events, TimerFired{}), p.wakes[1:]
+		for len(r.timers) > 0 && r.timers[0] <= r.now {
+			events, r.timers = append(events, TimerFired{}), r.timers[1:]
 		}
-		p.handle(events)
+		r.handle(events)
 	}
-	p.now, p.paused = to, false
+	r.now, r.paused = to, false
 }
 
-// rules holds every action against the six rules, in every scenario.
-func (p *player) rules(action Action) {
-	p.t.Helper()
-	end := func(id MessageID, reject bool) {
-		book := p.messages[string(id)]
-		if book == nil || book.ended {
-			p.fatal("a second answer, or one for a stranger: %s", id)
+// checkRules checks an action against the rules that hold in every scenario.
+func (r *scenarioRunner) checkRules(action Action) {
+	r.t.Helper()
+	recordAnswer := func(id MessageID, reject bool) {
+		state := r.messages[string(id)]
+		if state == nil || state.ended {
+			r.fatal("%s is unknown or already has its final answer", id)
 		}
-		if p.now > book.deadline {
-			p.fatal("%s answered after its deadline", id)
+		if r.now > state.deadline {
+			r.fatal("%s got its final answer after its deadline", id)
 		}
-		if reject && (book.mayHaveRun || book.inFlight > 0) && (book.class.Idempotency == AtMostOnce || book.class.SameZone) {
-			p.fatal("%s rejected though it may have run", id)
+		if reject && (state.mayHaveRun || state.inFlight > 0) && (state.class.Idempotency == AtMostOnce || state.class.SameZone) {
+			r.fatal("%s rejected although it may have run", id)
 		}
-		book.ended = true
+		state.ended = true
 	}
 	switch a := action.(type) {
 	case Reject:
-		end(a.Message, true)
+		recordAnswer(a.Message, true)
 	case Fail:
-		end(a.Message, false)
+		recordAnswer(a.Message, false)
 	case SetTimer:
-		p.wakes = append(p.wakes, a.At)
+		r.timers = append(r.timers, a.At)
 	case Send:
-		book := p.messages[string(a.Message)]
+		state := r.messages[string(a.Message)]
 		switch {
-		case book == nil || book.ended:
-			p.fatal("%s sent after its end", a.Message)
-		case p.phase[a.Endpoint] != InService:
-			p.fatal("%s sent to %s, which is not in", a.Message, a.Endpoint)
-		case p.disabled[string(a.Endpoint)]:
-			p.fatal("%s sent to %s, which people have taken out", a.Message, a.Endpoint)
-		case book.class.Idempotency == AtMostOnce && (book.mayHaveRun || book.inFlight > 0):
-			p.fatal("%s is at-most-once and sent again", a.Message)
-		case book.class.Idempotency == IdempotencyKey && book.mayHaveRun && p.now > book.ranAt+book.class.IdempotencyWindow:
-			p.fatal("%s sent again after its window", a.Message)
-		case a.Timeout <= 0 || p.now+a.Timeout > book.deadline:
-			p.fatal("%s may run past its deadline", a.Message)
+		case state == nil || state.ended:
+			r.fatal("%s sent although it is unknown or has its final answer", a.Message)
+		case r.phases[a.Endpoint] != InService:
+			r.fatal("%s sent to %s, which is not in service", a.Message, a.Endpoint)
+		case r.disabled[string(a.Endpoint)]:
+			r.fatal("%s sent to %s, which an operator has disabled", a.Message, a.Endpoint)
+		case state.class.Idempotency == AtMostOnce && (state.mayHaveRun || state.inFlight > 0):
+			r.fatal("at-most-once message %s sent again", a.Message)
+		case state.class.Idempotency == IdempotencyKey && state.mayHaveRun && r.now > state.ranAt+state.class.IdempotencyWindow:
+			r.fatal("%s sent again after its idempotency window", a.Message)
+		case a.Timeout <= 0 || r.now+a.Timeout > state.deadline:
+			r.fatal("%s sent with a timeout that is not positive or ends after its deadline", a.Message)
 		}
-		if len(book.attempts) == 0 {
-			book.ranAt = p.now
+		if len(state.attemptsDone) == 0 {
+			state.ranAt = r.now
 		}
-		book.attempts = append(book.attempts, false)
-		book.inFlight++
-		if r, ok := p.replies[string(a.Endpoint)]; ok {
-			p.later = append(p.later, pending{p.now + r.delay, AttemptFinished{Message: a.Message,
-				Attempt: AttemptNumber(len(book.attempts) - 1), Outcome: r.outcome, Duration: r.delay, LoadReport: r.loadReport}})
+		state.attemptsDone = append(state.attemptsDone, false)
+		state.inFlight++
+		if answer, ok := r.replies[string(a.Endpoint)]; ok {
+			r.scheduled = append(r.scheduled, scheduledOutcome{r.now + answer.delay, AttemptFinished{Message: a.Message,
+				Attempt: AttemptNumber(len(state.attemptsDone) - 1), Outcome: answer.outcome, Duration: answer.delay, LoadReport: answer.loadReport}})
 		}
 	}
 }
 
-// check compares what was done since the last "at" with: want|none KIND [ID [ENDPOINT]], most|least N KIND; * is any.
-func (p *player) check(w []string) {
-	p.t.Helper()
-	p.checks++
-	words, number := w[1:], -1
-	if w[0] == "most" || w[0] == "least" {
-		number, words = int(p.number(w[1])), w[2:]
+// checkActions checks the actions since the previous "at" against a directive: want|none KIND [ID [ENDPOINT]] or
+// most|least N KIND, where * matches any word.
+func (r *scenarioRunner) checkActions(directive []string) {
+	r.t.Helper()
+	r.checks++
+	pattern, limit := directive[1:], -1
+	if directive[0] == "most" || directive[0] == "least" {
+		limit, pattern = int(r.number(directive[1])), directive[2:]
 	}
-	n := 0
-	for _, action := range p.actions {
-		said := ""
+	found := 0
+	for _, action := range r.actions {
+		text := ""
 		switch a := action.(type) {
 		case Send:
-			said = fmt.Sprintf("send %s %s", a.Message, a.Endpoint)
+			text = fmt.Sprintf("send %s %s", a.Message, a.Endpoint)
 		case Reject:
-			said = fmt.Sprintf("bounce %s pause %d", a.Message, a.RetryAfter/millisecond)
+			text = fmt.Sprintf("bounce %s pause %d", a.Message, a.RetryAfter/millisecond)
 		case Fail:
-			said = fmt.Sprintf("terminate %s", a.Message)
+			text = fmt.Sprintf("terminate %s", a.Message)
 		case Cancel:
-			said = fmt.Sprintf("cancel %s", a.Message)
+			text = fmt.Sprintf("cancel %s", a.Message)
 		case CloseIdle:
-			said = fmt.Sprintf("close %s", a.Endpoint)
+			text = fmt.Sprintf("close %s", a.Endpoint)
 		case WatchEndpoints:
-			said = "watch"
+			text = "watch"
 		}
-		all := true
-		for i, part := range strings.Fields(said) {
-			all = all && (i >= len(words) || words[i] == "*" || words[i] == part)
+		matches := true
+		for i, word := range strings.Fields(text) {
+			matches = matches && (i >= len(pattern) || pattern[i] == "*" || pattern[i] == word)
 		}
-		if all && len(strings.Fields(said)) >= len(words) {
-			n++
+		if matches && len(strings.Fields(text)) >= len(pattern) {
+			found++
 		}
 	}
 	switch {
-	case w[0] == "want" && n == 0, w[0] == "none" && n > 0,
-		w[0] == "most" && n > number, w[0] == "least" && n < number:
-		p.fatal("%s: found %d in %+v", strings.Join(w, " "), n, p.actions)
+	case directive[0] == "want" && found == 0, directive[0] == "none" && found > 0,
+		directive[0] == "most" && found > limit, directive[0] == "least" && found < limit:
+		r.fatal("%s: %d matching actions in %+v", strings.Join(directive, " "), found, r.actions)
 	}
 }
--- a/dispatch/shadow_test.go
+++ b/dispatch/shadow_test.go
@@ -4,110 +4,112 @@
 	"testing"
 )
 
-// watchers look on in every scenario: first one under the courier's own configuration, which must never differ, then others,
-// which must differ and be in step all the same.
-type watchers []*Shadow
+// shadowSet holds the shadows that observe every scenario. The first one has the dispatcher's own configuration and must never
+// differ from it. The others have different configurations, and their state must still agree with the dispatcher after
+// each instant.
+type shadowSet []*Shadow
 
-// others are configurations that decide otherwise.
-var others = []func(*Config){
+// shadowChanges are the changes of the configuration for each shadow; the first one changes nothing.
+var shadowChanges = []func(*Config){
 	func(*Config) {},
-	func(ch *Config) { ch.Slots, ch.MaxAttempts = 1, 2 },
-	func(ch *Config) { ch.QueueLimit, ch.MayTellRetryAfter = 2, !ch.MayTellRetryAfter },
-	func(ch *Config) { ch.Couriers, ch.OverloadFactor, ch.Seed = 400, 1.1, ch.Seed+1 },
-	func(ch *Config) {
-		ch.Classes = append([]Class(nil), ch.Classes...)
-		for i := range ch.Classes {
-			w := &ch.Classes[i]
-			w.Idempotency, w.Ordered, w.IdempotencyWindow = AtMostOnce, !w.Ordered, w.IdempotencyWindow/2
+	func(config *Config) { config.Slots, config.MaxAttempts = 1, 2 },
+	func(config *Config) { config.QueueLimit, config.MaySendRetryAfter = 2, !config.MaySendRetryAfter },
+	func(config *Config) { config.Couriers, config.OverloadFactor, config.Seed = 400, 1.1, config.Seed+1 },
+	func(config *Config) {
+		config.Classes = append([]Class(nil), config.Classes...)
+		for i := range config.Classes {
+			class := &config.Classes[i]
+			class.Idempotency, class.Ordered, class.IdempotencyWindow = AtMostOnce, !class.Ordered, class.IdempotencyWindow/2
 		}
 	},
 }
 
-func (ws *watchers) see(p *player, events []Event, did []Action) {
-	p.t.Helper()
-	if *ws == nil {
-		for _, change := range others {
-			config := p.config
+func (set *shadowSet) observe(r *scenarioRunner, events []Event, actual []Action) {
+	r.t.Helper()
+	if *set == nil {
+		for _, change := range shadowChanges {
+			config := r.config
 			change(&config)
-			*ws = append(*ws, NewShadow(config))
+			*set = append(*set, NewShadow(config))
 		}
 	}
-	for i, shadow := range *ws {
+	for i, shadow := range *set {
 		for _, e := range events {
-			if r, ok := e.(Reconfigured); ok {
-				config := r.Config
-				others[i](&config)
+			if reconfigured, ok := e.(Reconfigured); ok {
+				config := reconfigured.Config
+				shadowChanges[i](&config)
 				shadow.Reconfigure(config)
 			}
 		}
-		shadow.Observe(p.now, events, did)
+		shadow.Observe(r.now, events, actual)
 		counts, _ := shadow.Counts()
-		if i == 0 && counts != [Differences]int{} {
-			p.fatal("under the same configuration it differs: %v", counts)
+		if i == 0 && counts != [DifferenceCount]int{} {
+			r.fatal("shadow with the same configuration differs from the dispatcher: %v", counts)
 		}
-		ws.inStep(p, i, shadow.dispatcher)
+		set.checkConsistent(r, i, shadow.dispatcher)
 	}
 }
 
-// inStep holds what a watcher has in hand against the courier it watches.
-func (ws *watchers) inStep(p *player, i int, dispatcher *Dispatcher) {
-	p.t.Helper()
-	if dispatcher.unfinished != p.dispatcher.unfinished || dispatcher.callsInFlight != p.dispatcher.callsInFlight || len(dispatcher.inFlight) != len(p.dispatcher.inFlight) {
-		p.fatal("watcher %d holds %d with %d calls and %d attempts out, the courier %d with %d and %d", i, dispatcher.unfinished, dispatcher.callsInFlight,
-			len(dispatcher.inFlight), p.dispatcher.unfinished, p.dispatcher.callsInFlight, len(p.dispatcher.inFlight))
+// checkConsistent compares the messages, calls and attempts of a shadow with those of the dispatcher.
+func (set *shadowSet) checkConsistent(r *scenarioRunner, index int, shadow *Dispatcher) {
+	r.t.Helper()
+	if shadow.unfinished != r.dispatcher.unfinished || shadow.callsInFlight != r.dispatcher.callsInFlight || len(shadow.inFlight) != len(r.dispatcher.inFlight) {
+		r.fatal("shadow %d has %d unfinished messages, %d calls and %d attempts in flight; the dispatcher has %d, %d and %d", index, shadow.unfinished, shadow.callsInFlight,
+			len(shadow.inFlight), r.dispatcher.unfinished, r.dispatcher.callsInFlight, len(r.dispatcher.inFlight))
 	}
-	for id, message := range p.dispatcher.messages {
-		if other := dispatcher.messages[id]; other == nil || len(other.attempts) != len(message.attempts) || other.ended != message.ended || other.queued != message.queued {
-			p.fatal("watcher %d is out of step on %s", i, id)
+	for id, message := range r.dispatcher.messages {
+		if shadowMessage := shadow.messages[id]; shadowMessage == nil || len(shadowMessage.attempts) != len(message.attempts) || shadowMessage.ended != message.ended || shadowMessage.queued != message.queued {
+			r.fatal("shadow %d differs from the dispatcher on message %s", index, id)
 		}
 	}
-	if len(dispatcher.messages) != len(p.dispatcher.messages) {
-		p.fatal("watcher %d knows %d messages, the courier %d", i, len(dispatcher.messages), len(p.dispatcher.messages))
+	if len(shadow.messages) != len(r.dispatcher.messages) {
+		r.fatal("shadow %d has %d messages, the dispatcher %d", index, len(shadow.messages), len(r.dispatcher.messages))
 	}
 }
 
-// TestShadowCountsDifferencesByKind: each kind of difference is brought about, and counted once for its message.
+// TestShadowCountsDifferencesByKind checks that a shadow counts a difference once per message. There is no case for
+// CanceledOnly.
 func TestShadowCountsDifferencesByKind(t *testing.T) {
-	base := Config{Seed: 7, Couriers: 1, Slots: 50, QueueLimit: 100, MaxAttempts: 8, MayTellRetryAfter: true, MayCancel: true,
-		MaxRetryAfter: 2 * second, Tick: 5 * millisecond, ReportLeftIndex: -1, ReportRateIndex: -1, SlowStartFrom: 0.2, SlowStart: 10 * second,
+	base := Config{Seed: 7, Couriers: 1, Slots: 50, QueueLimit: 100, MaxAttempts: 8, MaySendRetryAfter: true, MayCancel: true,
+		MaxRetryAfter: 2 * second, Tick: 5 * millisecond, ReportRemainingIndex: -1, ReportRateIndex: -1, SlowStartInitialShare: 0.2, SlowStart: 10 * second,
 		OverloadFactor: 2, IdleTimeout: 5 * second, Classes: []Class{{Objective: second, TimeToLive: 20 * second, Priority: 1}}}
 	list := EndpointUpdate{Kind: CompleteList, Entries: []EndpointEntry{{Endpoint: "a", Destination: 1}, {Endpoint: "b", Destination: 1}}}
-	taken := func(id MessageID) MessageAccepted {
+	accepted := func(id MessageID) MessageAccepted {
 		return MessageAccepted{Message: id, Destination: 1, Deadline: 20 * second}
 	}
-	for name, play := range map[Difference]struct {
+	for difference, testCase := range map[Difference]struct {
 		change func(*Config)
 		at     []Micros
 		events [][]Event
-		did    [][]Action
+		actual [][]Action
 	}{
-		OtherEndpoint: {func(config *Config) { config.CourierNumber = 3 }, []Micros{0}, [][]Event{{list, taken("r")}}, nil},
-		SentLater:     {func(config *Config) { config.Slots = 0 }, []Micros{0}, [][]Event{{list, taken("r")}}, nil},
-		SentEarlier: {func(config *Config) { config.Slots = 9 }, []Micros{0, second}, [][]Event{{list, taken("r")}, {TimerFired{}}},
+		OtherEndpoint: {func(config *Config) { config.CourierNumber = 3 }, []Micros{0}, [][]Event{{list, accepted("r")}}, nil},
+		SentLater:     {func(config *Config) { config.Slots = 0 }, []Micros{0}, [][]Event{{list, accepted("r")}}, nil},
+		SentEarlier: {func(config *Config) { config.Slots = 9 }, []Micros{0, second}, [][]Event{{list, accepted("r")}, {TimerFired{}}},
 			[][]Action{{}, {}}},
-		RejectedOnly: {func(config *Config) { config.QueueLimit = 1 }, []Micros{0}, [][]Event{{taken("r")}}, nil},
-		StillQueued:  {func(config *Config) { config.QueueLimit = 9 }, []Micros{0}, [][]Event{{taken("r")}}, [][]Action{{Reject{"r", 0}}}},
-		OtherRetryAfter: {func(config *Config) { config.QueueLimit, config.MayTellRetryAfter = 1, false }, []Micros{0}, [][]Event{{taken("r")}},
+		RejectedOnly: {func(config *Config) { config.QueueLimit = 1 }, []Micros{0}, [][]Event{{accepted("r")}}, nil},
+		StillQueued:  {func(config *Config) { config.QueueLimit = 9 }, []Micros{0}, [][]Event{{accepted("r")}}, [][]Action{{Reject{"r", 0}}}},
+		OtherRetryAfter: {func(config *Config) { config.QueueLimit, config.MaySendRetryAfter = 1, false }, []Micros{0}, [][]Event{{accepted("r")}},
 			[][]Action{{Reject{"r", second}}}},
-		StillAwaited: {func(*Config) {}, []Micros{0, second}, [][]Event{{list, taken("r")}, {TimerFired{}}},
+		StillAwaited: {func(*Config) {}, []Micros{0, second}, [][]Event{{list, accepted("r")}, {TimerFired{}}},
 			[][]Action{nil, {Cancel{"r", 0}}}},
 		FailedOnly: {func(config *Config) { config.Classes[0].Idempotency = AtMostOnce }, []Micros{0, second},
-			[][]Event{{list, taken("r")}, {AttemptFinished{Message: "r", Outcome: TimedOut}}}, nil},
+			[][]Event{{list, accepted("r")}, {AttemptFinished{Message: "r", Outcome: TimedOut}}}, nil},
 	} {
 		config := base
 		config.Classes = append([]Class(nil), base.Classes...)
-		play.change(&config)
+		testCase.change(&config)
 		dispatcher, shadow := New(base), NewShadow(config)
-		for i, at := range play.at {
-			did := dispatcher.Handle(at, play.events[i])
-			if i < len(play.did) && play.did[i] != nil {
-				did = play.did[i]
+		for i, at := range testCase.at {
+			actual := dispatcher.Handle(at, testCase.events[i])
+			if i < len(testCase.actual) && testCase.actual[i] != nil {
+				actual = testCase.actual[i]
 			}
-			shadow.Observe(at, play.events[i], did)
+			shadow.Observe(at, testCase.events[i], actual)
 			shadow.Observe(at+1, nil, nil)
 		}
-		if counts, _ := shadow.Counts(); counts[name] != 1 {
-			t.Errorf("difference %d counted %d times, not once: %v", name, counts[name], counts)
+		if counts, _ := shadow.Counts(); counts[difference] != 1 {
+			t.Errorf("difference %d counted %d times, want 1: %v", difference, counts[difference], counts)
 		}
 	}
 }
--- a/server/calls.go
+++ b/server/calls.go
@@ -96,7 +96,7 @@
 
 // mayCall reports whether a call whose connection has come up may still leave.
 func (s *Server) mayCall(call *call) bool {
-	if guard, ok := s.dispatcher.(dispatch.ListGuard); ok && !guard.MayCall(s.now) {
+	if guard, ok := s.dispatcher.(dispatch.CallPermitter); ok && !guard.MayCall(s.now) {
 		return false
 	}
 	inService := s.endpoints[call.endpoint].Health == protocol.InService && !s.suspects[call.endpoint]
--- a/server/discovery.go
+++ b/server/discovery.go
@@ -146,7 +146,7 @@
 		list.Invalid = append(list.Invalid, protocol.InvalidEntry{Err: err})
 		p.server.applyEndpoints(list, dispatch.PartialList)
 	case errors.Is(err, errNoAnswer):
-		p.server.events = append(p.server.events, dispatch.EndpointUpdate{Kind: dispatch.ListSilent})
+		p.server.events = append(p.server.events, dispatch.EndpointUpdate{Kind: dispatch.ListTimedOut})
 	default:
 		p.server.events = append(p.server.events, dispatch.EndpointUpdate{Kind: dispatch.ListFailed})
 	}
--- a/snapshot/file.go
+++ b/snapshot/file.go
@@ -74,7 +74,7 @@
 // kept, and the endpoints that failed last.
 func Encode(state State, limit int) ([]byte, error) {
 	snapshot := state.Snapshot
-	snapshot.Groups, snapshot.RestingKeys = slices.Clone(snapshot.Groups), nil
+	snapshot.Groups, snapshot.HeldKeys = slices.Clone(snapshot.Groups), nil
 	slices.SortStableFunc(snapshot.Groups, func(a, b dispatch.GroupSnapshot) int { return int(min(1, max(-1, b.LastCall-a.LastCall))) })
 	for {
 		text, err := encoder.Marshal(body{state.Courier, snapshot})
