--- a/atomicfile/atomicfile.go
+++ b/atomicfile/atomicfile.go
@@ -1,5 +1,5 @@
-// Package atomicfile writes and reads small files that outlast a process: versioned, checksummed, replaced as a whole, never half
-// written.
+// Package atomicfile writes and reads small files that survive restarts of the process. A file is versioned, checksummed and
+// replaced atomically.
 package atomicfile
 
 import (
@@ -13,48 +13,49 @@
 	"github.com/google/renameio/v2"
 )
 
-// HeadSize is the size of a file's head, in bytes: four bytes of magic, the version, the length of the text and its hash, in
-// network byte order.
-const HeadSize = 24
+// HeaderSize is the size of the file header in bytes: 4 bytes of magic, the version (4 bytes), the length of the payload (8 bytes)
+// and its xxHash64 (8 bytes). The numbers are big-endian.
+const HeaderSize = 24
 
-// Why a file is not used.
+// Reasons for which a file is not used.
 var (
-	ErrAbsent   = errors.New("no file")
+	ErrAbsent   = errors.New("file does not exist")
 	ErrTorn     = errors.New("torn or damaged")
 	ErrTooLarge = errors.New("too large")
 )
 
-// Encode returns the content of a file with a text.
-func Encode(magic string, version uint32, text []byte) []byte {
-	out := make([]byte, HeadSize, HeadSize+len(text))
-	copy(out[:4], magic)
-	binary.BigEndian.PutUint32(out[4:], version)
-	binary.BigEndian.PutUint64(out[8:], uint64(len(text)))
-	binary.BigEndian.PutUint64(out[16:], xxhash.Sum64(text))
-	return append(out, text...)
+// Encode returns the content of a file: the header and the payload.
+func Encode(magic string, version uint32, payload []byte) []byte {
+	content := make([]byte, HeaderSize, HeaderSize+len(payload))
+	copy(content[:4], magic)
+	binary.BigEndian.PutUint32(content[4:], version)
+	binary.BigEndian.PutUint64(content[8:], uint64(len(payload)))
+	binary.BigEndian.PutUint64(content[16:], xxhash.Sum64(payload))
+	return append(content, payload...)
 }
 
-// Decode returns the version and the text in the content of a file.
-func Decode(magic string, content []byte) (version uint32, text []byte, err error) {
-	if len(content) < HeadSize || string(content[:4]) != magic {
-		return 0, nil, fmt.Errorf("%w: no head", ErrTorn)
+// Decode checks the header and the checksum of a file and returns its version and its payload.
+func Decode(magic string, content []byte) (version uint32, payload []byte, err error) {
+	if len(content) < HeaderSize || string(content[:4]) != magic {
+		return 0, nil, fmt.Errorf("%w: no header", ErrTorn)
 	}
-	text = content[HeadSize:]
-	if n := binary.BigEndian.Uint64(content[8:]); n != uint64(len(text)) {
-		return 0, nil, fmt.Errorf("%w: %d bytes, the head says %d", ErrTorn, len(text), n)
+	payload = content[HeaderSize:]
+	if n := binary.BigEndian.Uint64(content[8:]); n != uint64(len(payload)) {
+		return 0, nil, fmt.Errorf("%w: payload has %d bytes, header says %d", ErrTorn, len(payload), n)
 	}
-	if xxhash.Sum64(text) != binary.BigEndian.Uint64(content[16:]) {
-		return 0, nil, fmt.Errorf("%w: the checksum differs", ErrTorn)
+	if xxhash.Sum64(payload) != binary.BigEndian.Uint64(content[16:]) {
+		return 0, nil, fmt.Errorf("%w: checksum mismatch", ErrTorn)
 	}
-	return binary.BigEndian.Uint32(content[4:]), text, nil
+	return binary.BigEndian.Uint32(content[4:]), payload, nil
 }
 
-// Write replaces a file in a folder, whole: whatever happens meanwhile, the old content or the new one is there.
+// Write atomically replaces a file in dir. If it is interrupted, the file has either the complete old or the complete new
+// content.
 func Write(dir, name string, content []byte) error {
 	return renameio.WriteFile(filepath.Join(dir, name), content, 0o600, renameio.WithTempDir(dir))
 }
 
-// Read reads a file in a folder, of so many bytes at most.
+// Read reads a file in dir and fails if it has more than limit bytes.
 func Read(dir, name string, limit int) ([]byte, error) {
 	path := filepath.Join(dir, name)
 	info, err := os.Stat(path)
@@ -64,15 +65,15 @@
 	case err != nil:
 		return nil, err
 	case !info.Mode().IsRegular():
-		return nil, fmt.Errorf("%w: no ordinary file", ErrTorn)
+		return nil, fmt.Errorf("%w: not a regular file", ErrTorn)
 	case info.Size() > int64(limit):
 		return nil, fmt.Errorf("%w: %d bytes, %d allowed", ErrTooLarge, info.Size(), limit)
 	}
 	return os.ReadFile(path)
 }
 
-// RemoveLeftovers removes what writes of a file left behind that were cut off, and returns how much there was.
-func RemoveLeftovers(dir, name string) (removed int) {
+// RemoveTempFiles removes the temporary files that interrupted writes of a file left in dir, and returns their number.
+func RemoveTempFiles(dir, name string) (removed int) {
 	names, err := filepath.Glob(filepath.Join(dir, "."+name+"*"))
 	if err != nil {
 		return 0
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,9 +1,9 @@
-// Package clock is the one place where a courier reads the system's clocks.
+// Package clock is the only place where a courier reads the system clocks.
 //
-// A courier's time is microseconds that look like Unix time and pass as real time does: it is taken from the wall clock once, and
-// from then on runs by the monotonic clock, over restarts and handoffs too, for as long as the machine runs. So a wall clock that is
-// stepped moves no deadline, window, wait or grace. A small file in the state folder, the anchor, says which courier time belongs to
-// which reading of the monotonic clock; times in other files are courier times.
+// Courier time is a number of microseconds like Unix time. It is taken from the wall clock once. From then on it advances with
+// the monotonic clock, also across restarts and handoffs, until the machine reboots. Stepping the wall clock therefore moves no
+// deadline, time window, wait or grace period. A small file in the state directory, the anchor, maps one reading of the monotonic
+// clock to a courier time. All times in other files of the state directory are courier times.
 package clock
 
 import (
@@ -17,77 +17,80 @@
 	"pineport/atomicfile"
 )
 
-// Name of the anchor's file, in the state folder.
+// Name is the file name of the anchor in the state directory.
 const Name = "clock.anchor"
 
 const (
 	magic   = "PPCA"
 	version = 1
-	// limit is the most that the file may hold, in bytes.
-	limit = 512
-	// Reserve is what the folder must have free for it: the file, and its successor while it is replaced, in whole blocks.
-	Reserve = 2 * limit
+	// maxFileSize is the maximum size of the file in bytes.
+	maxFileSize = 512
+	// Reserve is the number of bytes reserved in the state directory: for the file and, during a replacement, the new file, in
+	// whole blocks.
+	Reserve = 2 * maxFileSize
 )
 
-// bootPath names the machine's start: the monotonic clock runs from there.
+// bootPath is the file with the boot ID of the machine. The monotonic clock starts at boot, so its readings are comparable only
+// under the same boot ID.
 const bootPath = "/proc/sys/kernel/random/boot_id"
 
-// Instant returns the instant that it is, for spans within this process alone: it compares by the monotonic clock. What it shows as a
-// date is the wall clock's, which only a log may show.
+// Instant returns the current time for measuring durations within this process, by the monotonic clock. Its date comes from the
+// wall clock and may be used in logs only.
 func Instant() time.Time { return time.Now() }
 
-// Since returns the span since an instant of this process.
+// Since returns the time elapsed since an instant returned by Instant.
 func Since(instant time.Time) time.Duration { return time.Since(instant) }
 
-// Readings are what the system's clocks show at one instant.
+// Readings are the values of the system clocks at one instant.
 type Readings struct {
-	Wall      int64     // microseconds of Unix time
-	Monotonic int64     // microseconds
-	Boot      string    // which start of the machine the monotonic clock belongs to; empty where that is not known
-	instant   time.Time // the same instant, for spans within this process
+	Wall      int64     // Unix time in microseconds
+	Monotonic int64     // microseconds since boot
+	Boot      string    // boot ID under which Monotonic was read; empty if unknown
+	instant   time.Time // the same instant, for durations within this process
 }
 
-// Source reads the clocks that a courier's time is taken from, at its start.
+// Source reads the clocks from which the courier time is set at the start of a process.
 type Source func() Readings
 
-// System is the source in service: the system's clocks.
+// System reads the system clocks. It is the Source used in production.
 func System() Readings {
 	id, err := os.ReadFile(bootPath)
 	if err != nil {
-		id = nil // then no anchor is used
+		id = nil // without a boot ID, Open uses no anchor
 	}
 	now := Instant()
 	return Readings{Wall: now.UnixMicro(), Monotonic: monotonic(), Boot: strings.TrimSpace(string(id)), instant: now}
 }
 
-// anchor says that at a reading of the monotonic clock the courier's time was so much.
+// anchor is the courier time at one reading of the monotonic clock under one boot ID.
 type anchor struct {
 	Boot      string `json:"boot"`
 	Monotonic int64  `json:"monotonic"`
 	Time      int64  `json:"time"`
 }
 
-// Clock is the time of one process of a courier.
+// Clock provides the courier time in one process.
 type Clock struct {
 	dir       string
-	startedAt int64 // courier time
-	started   time.Time
+	startedAt int64     // courier time at started
+	started   time.Time // instant at which this process read the clocks
 	anchor    anchor
-	stored    bool
+	stored    bool // the anchor is in the state directory
 }
 
-// Open returns a clock that goes on from the anchor in a state folder. Where there is none, or the machine has been started since, it
-// begins at the wall clock, but never before floor, the latest time in the folder. err says why an anchor that is there is not used;
-// the clock runs all the same. Call Store then.
+// Open returns a clock that continues from the anchor in the state directory dir. If there is no usable anchor, or the machine has
+// rebooted since, the clock starts at the wall clock, but not before floor, which is the latest time in the other files of the
+// directory, and not before the time of a readable anchor. If err is not nil, it says why an existing anchor is not used; the
+// clock is valid nevertheless. Call Store afterwards.
 func Open(dir string, readings Readings, floor int64) (c *Clock, err error) {
 	c = &Clock{dir: dir, started: readings.instant}
-	held, err := read(dir)
+	saved, err := read(dir)
 	switch {
-	case err == nil && held.Boot == readings.Boot && held.Boot != "" && held.Monotonic <= readings.Monotonic:
-		c.startedAt, c.anchor, c.stored = held.Time+readings.Monotonic-held.Monotonic, held, true
+	case err == nil && saved.Boot == readings.Boot && saved.Boot != "" && saved.Monotonic <= readings.Monotonic:
+		c.startedAt, c.anchor, c.stored = saved.Time+readings.Monotonic-saved.Monotonic, saved, true
 		return c, nil
 	case err == nil:
-		floor = max(floor, held.Time)
+		floor = max(floor, saved.Time)
 	case errors.Is(err, atomicfile.ErrAbsent):
 		err = nil
 	}
@@ -96,53 +99,56 @@
 	return c, err
 }
 
-// Peek returns the courier's time by the anchor in a folder, which a courier may be using; without one, by the wall clock.
+// Peek returns the courier time according to the anchor in dir, or the wall clock time if there is no usable anchor. It changes
+// nothing, and a courier may be using the directory.
 func Peek(dir string) int64 {
-	c, _ := Open(dir, System(), 0) // what is wrong with the anchor is the courier's to report
+	c, _ := Open(dir, System(), 0) // the courier that owns the directory reports a bad anchor
 	return c.Now()
 }
 
-// Now returns the courier's time, in microseconds. Any goroutine may call it.
+// Now returns the courier time in microseconds. It is safe for concurrent use.
 func (c *Clock) Now() int64 { return c.startedAt + time.Since(c.started).Microseconds() }
 
-// At returns the courier's time at an instant of this process, which must have been read from time.Now.
+// At returns the courier time at an instant of this process. The instant must come from time.Now.
 func (c *Clock) At(instant time.Time) int64 {
 	return c.startedAt + instant.Sub(c.started).Microseconds()
 }
 
-// Store writes the anchor, unless it is there. Until it is, a restart goes by the wall clock.
+// Store writes the anchor unless it is already stored. Without a stored anchor, the next process takes its time from the wall
+// clock.
 func (c *Clock) Store() error {
 	if c.stored {
 		return nil
 	}
-	atomicfile.RemoveLeftovers(c.dir, Name)
-	text, err := json.Marshal(c.anchor)
+	atomicfile.RemoveTempFiles(c.dir, Name)
+	payload, err := json.Marshal(c.anchor)
 	if err != nil {
 		return err
 	}
-	if err := atomicfile.Write(c.dir, Name, atomicfile.Encode(magic, version, text)); err != nil {
+	if err := atomicfile.Write(c.dir, Name, atomicfile.Encode(magic, version, payload)); err != nil {
 		return err
 	}
 	c.stored = true
 	return nil
 }
 
-// Stored reports whether the anchor is in the folder.
+// Stored reports whether the anchor is in the state directory.
 func (c *Clock) Stored() bool { return c.stored }
 
+// read reads the anchor in dir.
 func read(dir string) (a anchor, err error) {
-	content, err := atomicfile.Read(dir, Name, limit)
+	content, err := atomicfile.Read(dir, Name, maxFileSize)
 	if err != nil {
 		return a, err
 	}
-	v, text, err := atomicfile.Decode(magic, content)
+	fileVersion, payload, err := atomicfile.Decode(magic, content)
 	if err != nil {
 		return a, err
 	}
-	if v != version {
-		return a, fmt.Errorf("version %d, this program knows %d", v, version)
+	if fileVersion != version {
+		return a, fmt.Errorf("unsupported version %d, supported version is %d", fileVersion, version)
 	}
-	if err := json.Unmarshal(text, &a); err != nil {
+	if err := json.Unmarshal(payload, &a); err != nil {
 		return a, fmt.Errorf("%w: %v", atomicfile.ErrTorn, err)
 	}
 	return a, nil
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// machine is a machine whose wall clock can be stepped.
+// machine simulates the clocks of a machine whose wall clock can be stepped.
 type machine struct {
 	readings Readings
 }
@@ -16,15 +16,16 @@
 	return &machine{Readings{Wall: 1_800_000_000_000_000, Monotonic: 50_000_000, Boot: "first"}}
 }
 
-// passes lets real time pass.
-func (m *machine) passes(span time.Duration) {
-	m.readings.Wall += span.Microseconds()
-	m.readings.Monotonic += span.Microseconds()
+// advance advances the wall clock and the monotonic clock.
+func (m *machine) advance(duration time.Duration) {
+	m.readings.Wall += duration.Microseconds()
+	m.readings.Monotonic += duration.Microseconds()
 }
 
-func (m *machine) steps(by time.Duration) { m.readings.Wall += by.Microseconds() }
+// stepWallClock changes only the wall clock.
+func (m *machine) stepWallClock(by time.Duration) { m.readings.Wall += by.Microseconds() }
 
-// start starts a process, and returns its time.
+// start simulates the start of a process and returns its initial courier time.
 func (m *machine) start(t *testing.T, dir string, floor int64) int64 {
 	t.Helper()
 	readings := m.readings
@@ -39,89 +40,90 @@
 	return c.startedAt
 }
 
-var steps = []time.Duration{2 * time.Second, 90 * time.Second, time.Hour, -2 * time.Second, -90 * time.Second, -time.Hour}
+var wallClockSteps = []time.Duration{2 * time.Second, 90 * time.Second, time.Hour, -2 * time.Second, -90 * time.Second, -time.Hour}
 
-// TestTimeGoesOnOverSteps: from one process to the next the courier's time passes as real time does, however the wall clock was stepped
-// meanwhile, once and again.
-func TestTimeGoesOnOverSteps(t *testing.T) {
-	for _, first := range steps {
-		for _, second := range steps {
+// TestTimeIgnoresWallClockSteps: across two restarts, courier time must advance by the elapsed time, whatever steps the wall clock
+// makes in between.
+func TestTimeIgnoresWallClockSteps(t *testing.T) {
+	for _, first := range wallClockSteps {
+		for _, second := range wallClockSteps {
 			dir, m := t.TempDir(), newMachine()
-			began := m.start(t, dir, 0)
-			if began != m.readings.Wall {
-				t.Fatalf("began at %d, not at the wall clock", began)
+			startTime := m.start(t, dir, 0)
+			if startTime != m.readings.Wall {
+				t.Fatalf("courier time starts at %d, not at the wall clock", startTime)
 			}
 			for n, step := range []time.Duration{first, second} {
-				m.steps(step)
-				m.passes(7 * time.Second)
-				if got, want := m.start(t, dir, 0)-began, int64(n+1)*7e6; got != want {
-					t.Errorf("stepped by %v and %v: %d us passed, not %d", first, second, got, want)
+				m.stepWallClock(step)
+				m.advance(7 * time.Second)
+				if got, want := m.start(t, dir, 0)-startTime, int64(n+1)*7e6; got != want {
+					t.Errorf("stepped by %v and %v: courier time advanced by %d us, want %d", first, second, got, want)
 				}
 			}
 		}
 	}
 }
 
-// TestTimeAfterAStartOfTheMachine: it goes on by the wall clock, and never before what is known of earlier processes.
-func TestTimeAfterAStartOfTheMachine(t *testing.T) {
-	for _, step := range append(steps, 0) {
+// TestTimeAfterReboot: after a reboot, courier time must continue from the wall clock, but not before the latest time known from
+// earlier processes.
+func TestTimeAfterReboot(t *testing.T) {
+	for _, step := range append(wallClockSteps, 0) {
 		dir, m := t.TempDir(), newMachine()
-		began := m.start(t, dir, 0)
-		latest := began + 30e6
-		m.passes(time.Minute)
-		m.steps(step)
+		startTime := m.start(t, dir, 0)
+		latest := startTime + 30e6
+		m.advance(time.Minute)
+		m.stepWallClock(step)
 		m.readings.Boot, m.readings.Monotonic = "second", 3_000_000
 		got := m.start(t, dir, latest)
 		if want := max(m.readings.Wall, latest); got != want {
-			t.Errorf("stepped by %v: began at %d, want %d", step, got-began, want-began)
+			t.Errorf("stepped by %v: courier time continued after %d us, want %d", step, got-startTime, want-startTime)
 		}
-		m.steps(time.Hour)
-		m.passes(time.Second)
-		if again := m.start(t, dir, 0); again-got != 1e6 {
-			t.Errorf("stepped by %v: the new start's anchor is not used: %d us passed", step, again-got)
+		m.stepWallClock(time.Hour)
+		m.advance(time.Second)
+		if next := m.start(t, dir, 0); next-got != 1e6 {
+			t.Errorf("stepped by %v: the anchor stored after the reboot is not used: courier time advanced by %d us", step, next-got)
 		}
 	}
 }
 
-// TestAnchorThatCannotBeUsed: it is reported, the clock runs, and a new anchor takes its place.
-func TestAnchorThatCannotBeUsed(t *testing.T) {
+// TestDamagedAnchor: Open must report a truncated anchor and return a valid clock, and Store must replace the anchor.
+func TestDamagedAnchor(t *testing.T) {
 	dir, m := t.TempDir(), newMachine()
 	m.start(t, dir, 0)
-	whole, err := os.ReadFile(filepath.Join(dir, Name))
+	content, err := os.ReadFile(filepath.Join(dir, Name))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for cut := range whole {
-		if err := os.WriteFile(filepath.Join(dir, Name), whole[:cut], 0o600); err != nil {
+	for cut := range content {
+		if err := os.WriteFile(filepath.Join(dir, Name), content[:cut], 0o600); err != nil {
 			t.Fatal(err)
 		}
 		c, err := Open(dir, m.readings, 0)
 		if err == nil || c == nil || c.startedAt != m.readings.Wall || c.Stored() {
-			t.Fatalf("cut at %d: %v, %+v", cut, err, c)
+			t.Fatalf("truncated at byte %d: %v, %+v", cut, err, c)
 		}
 		if err := c.Store(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	m.passes(time.Second)
-	m.steps(time.Hour)
+	m.advance(time.Second)
+	m.stepWallClock(time.Hour)
 	if got := m.start(t, dir, 0); got != m.readings.Wall-time.Hour.Microseconds() {
-		t.Errorf("the anchor that was written again is not used: %d", got-m.readings.Wall)
+		t.Errorf("the replaced anchor is not used: off by %d us", got-m.readings.Wall)
 	}
 }
 
-// TestUnknownBoot: without a name for the machine's start no anchor is trusted.
-func TestUnknownBoot(t *testing.T) {
+// TestUnknownBootID: without a boot ID, no anchor may be used.
+func TestUnknownBootID(t *testing.T) {
 	dir, m := t.TempDir(), newMachine()
 	m.readings.Boot = ""
 	m.start(t, dir, 0)
-	m.steps(time.Hour)
+	m.stepWallClock(time.Hour)
 	if got := m.start(t, dir, 0); got != m.readings.Wall {
-		t.Errorf("began %d us from the wall clock", got-m.readings.Wall)
+		t.Errorf("courier time starts %d us from the wall clock", got-m.readings.Wall)
 	}
 }
 
-// TestSystem: the readings are there, and a process's time passes.
+// TestSystem: all readings of the system clocks must be set, and courier time must advance.
 func TestSystem(t *testing.T) {
 	readings := System()
 	if readings.Wall == 0 || readings.Monotonic == 0 || readings.Boot == "" {
@@ -134,6 +136,6 @@
 	before := c.Now()
 	time.Sleep(5 * time.Millisecond)
 	if after := c.Now(); after-before < 4000 || c.At(Instant()) < after {
-		t.Errorf("%d us passed", after-before)
+		t.Errorf("courier time advanced by %d us", after-before)
 	}
 }
--- a/clock/monotonic.go
+++ b/clock/monotonic.go
@@ -2,11 +2,12 @@
 
 import "golang.org/x/sys/unix"
 
-// monotonic reads the clock that runs on over restarts of a process, in microseconds. That of package time begins with the process.
+// monotonic returns CLOCK_MONOTONIC in microseconds. It continues across restarts of the process; the monotonic readings of
+// package time are only comparable within one process.
 func monotonic() int64 {
-	var at unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &at); err != nil {
-		return 0 // Linux has this clock
+	var now unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &now); err != nil {
+		return 0 // does not happen on Linux
 	}
-	return at.Nano() / 1000
+	return now.Nano() / 1000
 }
--- a/handoff/folder.go
+++ b/handoff/folder.go
@@ -18,38 +18,40 @@
 	lockName      = "owner.lock"
 	socketName    = "upgrade.sock"
 	retryInterval = 20 * time.Millisecond
-	// talkTimeout is longer than a predecessor needs to hand over; the wait for the lock goes on after it.
-	talkTimeout = 3 * time.Second
+	// handshakeTimeout is the time limit for connecting and for the first message. A predecessor needs less time to hand
+	// over. After a time-out, Acquire continues to wait for the lock.
+	handshakeTimeout = 3 * time.Second
 )
 
-// Folder is the state folder, owned by this process.
+// Folder is the state directory with its ownership lock and its handoff socket.
 type Folder struct {
 	dir      string
 	lock     *os.File
 	listener net.Listener
-	opened   *os.File // the folder itself: a short path to the socket
+	dirFile  *os.File // the directory itself, for a short path to the socket
 }
 
-// ErrTakenOver is returned where another process is taking over already.
+// ErrTakenOver is returned when another process is already taking over.
 var ErrTakenOver = errors.New("another process is taking over")
 
-// Acquire returns once this process owns the folder: at once where nobody does, or when its owner has handed it over or has
-// exited. The state and the link to the predecessor are nil unless it was handed over.
+// Acquire returns once this process owns the state directory dir: at once if it has no owner, otherwise when the owner has handed
+// it over or has exited. The state and the link to the predecessor are nil unless the directory was handed over. If locking is
+// not possible, Acquire logs a warning and returns the directory without the lock.
 func Acquire(ctx context.Context, dir, courier string, log *slog.Logger) (*Folder, *State, *Link, error) {
 	folder := &Folder{dir: dir}
 	var err error
 	if folder.lock, err = os.OpenFile(filepath.Join(dir, lockName), os.O_CREATE|os.O_RDWR, 0o600); err != nil {
 		return nil, nil, nil, err
 	}
-	if folder.opened, err = os.Open(dir); err != nil {
+	if folder.dirFile, err = os.Open(dir); err != nil {
 		folder.lock.Close()
 		return nil, nil, nil, err
 	}
-	said := ""
+	lastLogged := ""
 	for {
 		switch free, err := folder.tryLock(); {
 		case err != nil:
-			log.Warn("state folder cannot be locked: another process could use it", "error", err)
+			log.Warn("failed to lock the state directory: another process could use it", "error", err)
 			return folder, nil, nil, nil
 		case free:
 			return folder, nil, nil, nil
@@ -62,9 +64,9 @@
 			folder.Close()
 			return nil, nil, nil, errors.Join(err, ctx.Err())
 		}
-		if err.Error() != said {
-			said = err.Error()
-			log.Warn("owner of the state folder refuses the handoff: waiting for its exit", "error", err)
+		if err.Error() != lastLogged {
+			lastLogged = err.Error()
+			log.Warn("no handoff from the owner of the state directory: waiting for its exit", "error", err)
 		}
 		select {
 		case <-ctx.Done():
@@ -73,7 +75,7 @@
 	}
 }
 
-// awaitLock waits for the lock of a folder that was handed over: it is free before the state is sent.
+// awaitLock acquires the lock after a handoff. The predecessor releases the lock before it sends the state, so the wait is short.
 func (f *Folder) awaitLock(ctx context.Context, state *State, link *Link) (*Folder, *State, *Link, error) {
 	for {
 		if free, err := f.tryLock(); free || err != nil {
@@ -89,6 +91,7 @@
 	}
 }
 
+// tryLock tries to acquire the lock without waiting and reports whether this process has it.
 func (f *Folder) tryLock() (bool, error) {
 	err := syscall.Flock(int(f.lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 	if errors.Is(err, syscall.EWOULDBLOCK) {
@@ -97,19 +100,20 @@
 	return err == nil, err
 }
 
-// path is the path of the socket; the folder's own path may be too long for one.
-func (f *Folder) path() string {
-	return fmt.Sprintf("/proc/self/fd/%d/%s", f.opened.Fd(), socketName)
+// socketPath returns a path of the socket through /proc, because the path of the directory may exceed the length limit of socket
+// addresses.
+func (f *Folder) socketPath() string {
+	return fmt.Sprintf("/proc/self/fd/%d/%s", f.dirFile.Fd(), socketName)
 }
 
-// requestHandoff asks the owner to hand the folder over.
+// requestHandoff asks the owner of the state directory to hand it over.
 func (f *Folder) requestHandoff(ctx context.Context, courier string) (*State, *Link, error) {
-	conn, err := (&net.Dialer{Timeout: talkTimeout}).DialContext(ctx, "unix", f.path())
+	conn, err := (&net.Dialer{Timeout: handshakeTimeout}).DialContext(ctx, "unix", f.socketPath())
 	if err != nil {
 		return nil, nil, err
 	}
 	link := newLink(conn)
-	conn.SetReadDeadline(clock.Instant().Add(talkTimeout))
+	conn.SetReadDeadline(clock.Instant().Add(handshakeTimeout))
 	link.Send(Message{Hello: &Hello{Version: Version, Courier: courier}})
 	message, err := link.next()
 	if err != nil {
@@ -117,7 +121,7 @@
 		return nil, nil, err
 	}
 	successor := &Successor{}
-	switch step, why := successor.MessageReceived(message); step {
+	switch decision, reason := successor.MessageReceived(message); decision {
 	case TakeOver:
 		conn.SetReadDeadline(time.Time{})
 		return message.State, link, nil
@@ -126,33 +130,33 @@
 		return nil, nil, ErrTakenOver
 	default:
 		link.Close()
-		return nil, nil, fmt.Errorf("refused: %s", why)
+		return nil, nil, fmt.Errorf("predecessor refused the handoff: %s", reason)
 	}
 }
 
-// Serve lets successors connect from now on; arrived is called for each, with its link and its hello.
-func (f *Folder) Serve(arrived func(*Link, *Hello)) error {
-	os.Remove(filepath.Join(f.dir, socketName)) // of an owner that has exited
-	l, err := net.Listen("unix", f.path())
+// Serve starts to accept connections from successors. It calls onHello for each one that sends a hello.
+func (f *Folder) Serve(onHello func(*Link, *Hello)) error {
+	os.Remove(filepath.Join(f.dir, socketName)) // socket of an owner that has exited
+	listener, err := net.Listen("unix", f.socketPath())
 	if err != nil {
 		return err
 	}
-	l.(*net.UnixListener).SetUnlinkOnClose(false) // the next owner has made its own by then
-	f.listener = l
+	listener.(*net.UnixListener).SetUnlinkOnClose(false) // by then, the path may belong to the socket of the next owner
+	f.listener = listener
 	go func() {
 		for {
-			conn, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
 				link := newLink(conn)
-				conn.SetReadDeadline(clock.Instant().Add(talkTimeout))
+				conn.SetReadDeadline(clock.Instant().Add(handshakeTimeout))
 				if message, err := link.next(); err != nil || message.Hello == nil {
 					link.Close()
 				} else {
 					conn.SetReadDeadline(time.Time{})
-					arrived(link, message.Hello)
+					onHello(link, message.Hello)
 				}
 			}()
 		}
@@ -160,7 +164,7 @@
 	return nil
 }
 
-// Release frees the lock; whoever takes it owns the folder.
+// Release stops accepting successors and releases the lock. The process that acquires the lock next owns the directory.
 func (f *Folder) Release() {
 	if f.listener != nil {
 		f.listener.Close()
@@ -168,8 +172,8 @@
 	f.lock.Close()
 }
 
-// Close frees the lock and the folder.
+// Close releases the lock and closes the directory.
 func (f *Folder) Close() {
 	f.Release()
-	f.opened.Close()
+	f.dirFile.Close()
 }
--- a/handoff/folder_test.go
+++ b/handoff/folder_test.go
@@ -16,11 +16,11 @@
 	"pineport/dispatch"
 )
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLogger = slog.New(slog.DiscardHandler)
 
 func acquire(t *testing.T, dir string) (*Folder, *State, *Link) {
 	t.Helper()
-	folder, s, link, err := Acquire(t.Context(), dir, "n0", quiet)
+	folder, s, link, err := Acquire(t.Context(), dir, "n0", discardLogger)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,23 +28,23 @@
 	return folder, s, link
 }
 
-// serve plays an owner that gives to the first that knocks, and refuses all others.
+// serve simulates an owner that hands over to the first successor and refuses all others.
 func serve(t *testing.T, folder *Folder, state *State) (links chan *Link) {
 	t.Helper()
 	links = make(chan *Link, 1)
-	g := NewPredecessor("n0")
-	arrivals := make(chan struct{}, 1)
-	arrivals <- struct{}{}
+	predecessor := NewPredecessor("n0")
+	serialize := make(chan struct{}, 1)
+	serialize <- struct{}{}
 	if err := folder.Serve(func(link *Link, h *Hello) {
-		<-arrivals
-		defer func() { arrivals <- struct{}{} }()
-		if do, why := g.HelloReceived(h); do == Refuse {
-			link.Refuse(why)
+		<-serialize
+		defer func() { serialize <- struct{}{} }()
+		if decision, reason := predecessor.HelloReceived(h); decision == Refuse {
+			link.Refuse(reason)
 			return
 		}
 		folder.Release()
 		link.Send(Message{State: state})
-		g.HandedOver()
+		predecessor.HandedOver()
 		links <- link
 	}); err != nil {
 		t.Fatal(err)
@@ -52,18 +52,19 @@
 	return links
 }
 
-// TestHandedOver: the state and all that follows it arrive whole, over a folder with a name too long for a socket's.
-func TestHandedOver(t *testing.T) {
+// TestHandoff: the state and the messages after it must arrive complete, also if the path of the directory is too long for a
+// socket address.
+func TestHandoff(t *testing.T) {
 	dir := t.TempDir() + "/" + strings.Repeat("x", 120)
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	old, s, link := acquire(t, dir)
+	owner, s, link := acquire(t, dir)
 	if s != nil || link != nil {
-		t.Fatal("handed over by nobody")
+		t.Fatal("got a handoff, but the directory had no owner")
 	}
 	state := &State{ListVersion: 7, Disabled: []string{"s-1"}, InFlight: []AttemptID{{"r", 1, 5}}, Snapshot: dispatch.Snapshot{TakenAt: 3, Groups: make([]dispatch.GroupSnapshot, 5000)}}
-	links := serve(t, old, state)
+	links := serve(t, owner, state)
 	_, s, link = acquire(t, dir)
 	if s == nil || s.ListVersion != 7 || len(s.Snapshot.Groups) != 5000 || s.InFlight[0] != state.InFlight[0] || s.Disabled[0] != "s-1" {
 		t.Fatalf("%+v", s)
@@ -72,55 +73,55 @@
 	for i := range 100 {
 		predecessor.Send(Message{AttemptFinished: &dispatch.AttemptFinished{Message: dispatch.MessageID(fmt.Sprint(i)), Outcome: dispatch.Throttled, RetryAfter: 9}})
 	}
-	heard := make(chan *Message, 200)
-	go link.Listen(func(message *Message) { heard <- message })
+	received := make(chan *Message, 200)
+	go link.Listen(func(message *Message) { received <- message })
 	for i := range 100 {
-		if message := <-heard; message == nil || message.AttemptFinished.Message != dispatch.MessageID(fmt.Sprint(i)) || message.AttemptFinished.RetryAfter != 9 {
+		if message := <-received; message == nil || message.AttemptFinished.Message != dispatch.MessageID(fmt.Sprint(i)) || message.AttemptFinished.RetryAfter != 9 {
 			t.Fatalf("%d: %+v", i, message)
 		}
 	}
 	predecessor.Close()
-	if message := <-heard; message != nil {
-		t.Errorf("after the end: %+v", message)
+	if message := <-received; message != nil {
+		t.Errorf("message after the end of the link: %+v", message)
 	}
 }
 
-// TestOneAtATime: beside an owner that says nothing, a stranger, or one that has given to another, a new process waits or ends,
-// and never owns the folder. Failure: two processes wrote to one spool.
-func TestOneAtATime(t *testing.T) {
+// TestSingleOwner: a new process must not own the directory while the owner does not reply, the courier name differs, or the owner
+// is handing over to another process. It must wait or fail. Incident: two processes wrote to the same spool.
+func TestSingleOwner(t *testing.T) {
 	dir := t.TempDir()
-	old, _, _ := acquire(t, dir)
-	brief := func(courier string) error {
+	owner, _, _ := acquire(t, dir)
+	tryAcquire := func(courier string) error {
 		ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 		defer cancel()
-		_, _, _, err := Acquire(ctx, dir, courier, quiet)
+		_, _, _, err := Acquire(ctx, dir, courier, discardLogger)
 		return err
 	}
-	if err := brief("n0"); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("the owner says nothing: %v", err)
-	}
-	g := NewPredecessor("n0")
-	var one sync.Mutex // several may knock at once; the courier has an event loop that takes them in step
-	if err := old.Serve(func(link *Link, h *Hello) {
-		one.Lock()
-		defer one.Unlock()
-		if do, why := g.HelloReceived(h); do == Refuse {
-			link.Refuse(why)
-		} // else it hangs, and the new one waits
+	if err := tryAcquire("n0"); !errors.Is(err, context.DeadlineExceeded) {
+		t.Errorf("the owner does not listen: %v", err)
+	}
+	predecessor := NewPredecessor("n0")
+	var mu sync.Mutex // several successors may connect at once; a courier handles them one by one in its event loop
+	if err := owner.Serve(func(link *Link, h *Hello) {
+		mu.Lock()
+		defer mu.Unlock()
+		if decision, reason := predecessor.HelloReceived(h); decision == Refuse {
+			link.Refuse(reason)
+		} // on HandOver: send nothing, so that the successor waits for the state
 	}); err != nil {
 		t.Fatal(err)
 	}
-	if err := brief("n1"); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("a stranger: %v", err)
+	if err := tryAcquire("n1"); !errors.Is(err, context.DeadlineExceeded) {
+		t.Errorf("a process of another courier: %v", err)
 	}
-	if err := brief("n0"); err == nil {
-		t.Error("the owner hangs, and the folder is owned twice")
+	if err := tryAcquire("n0"); err == nil {
+		t.Error("the owner hangs, but another process owns the directory too")
 	}
-	if err := brief("n0"); !errors.Is(err, ErrTakenOver) {
-		t.Errorf("a second new process: %v", err)
+	if err := tryAcquire("n0"); !errors.Is(err, ErrTakenOver) {
+		t.Errorf("a second successor: %v", err)
 	}
-	for _, text := range []string{"", "{", "nonsense\n", "{}\n", strings.Repeat("x", 1<<16)} { // whoever knocks and says no hello
-		conn, err := net.Dial("unix", old.path())
+	for _, text := range []string{"", "{", "nonsense\n", "{}\n", strings.Repeat("x", 1<<16)} { // connections that send no valid hello must be closed
+		conn, err := net.Dial("unix", owner.socketPath())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -132,8 +133,8 @@
 		}
 		conn.Close()
 	}
-	old.Release()
+	owner.Release()
 	if folder, s, _ := acquire(t, dir); folder == nil || s != nil {
-		t.Error("the owner has ended, and its folder is not to be had")
+		t.Error("the owner has released the directory, but a new process did not acquire it without a handoff")
 	}
 }
--- a/handoff/golden_test.go
+++ b/handoff/golden_test.go
@@ -9,9 +9,9 @@
 	"pineport/testbed/golden"
 )
 
-// TestMessagesAreAsRecorded: each message between the two processes of an upgrade, with every field set, is written byte by byte as
-// recorded and reads as what was written.
-func TestMessagesAreAsRecorded(t *testing.T) {
+// TestMessagesMatchGolden: the encoding of each kind of message, with every field set, must be byte-identical to the golden file,
+// and decoding it must return the same message.
+func TestMessagesMatchGolden(t *testing.T) {
 	golden.Tagged(t, Message{})
 	var lines bytes.Buffer
 	kinds := reflect.TypeOf(Message{}).NumField()
@@ -24,9 +24,9 @@
 			t.Fatal(err)
 		}
 		lines.Write(append(text, '\n'))
-		var again Message
-		if err := json.Unmarshal(text, &again); err != nil || !reflect.DeepEqual(again, one) {
-			t.Errorf("%s: read as %+v: %v", text, again, err)
+		var decoded Message
+		if err := json.Unmarshal(text, &decoded); err != nil || !reflect.DeepEqual(decoded, one) {
+			t.Errorf("%s: decoded as %+v: %v", text, decoded, err)
 		}
 	}
 	golden.Check(t, "messages.golden", lines.Bytes())
--- a/handoff/machine.go
+++ b/handoff/machine.go
@@ -1,68 +1,71 @@
 package handoff
 
-// The state machines of a handoff, without I/O: they are given what happened and decide what is to be done.
+// This file has the two state machines of a handoff. They do no I/O: the caller passes in events and carries out the decisions.
 
-// Predecessor is the machine of the process that owns the state folder. It decides on messages as long as it Owns.
+// Predecessor is the state machine of the process that owns the state directory. The process decides on messages only while Owns
+// returns true.
 type Predecessor struct {
 	courier      string
 	phase        phase
 	shuttingDown bool
 }
 
+// phase is the progress of a handoff, as seen by the predecessor.
 type phase int
 
 const (
-	phaseOwner      phase = iota // no handoff is under way
-	phaseRequested               // a successor is ready; what has come by now is still decided here
-	phaseHandedOver              // the successor may decide
-	phaseForwarding              // the successor serves; outcomes of attempts in flight are forwarded to it
+	phaseOwner      phase = iota // no handoff in progress
+	phaseRequested               // a successor is ready; this process still decides on the messages received so far
+	phaseHandedOver              // the successor may already decide on messages
+	phaseForwarding              // the successor accepts clients; this process forwards the outcomes of its attempts in flight
 )
 
-// Decision is what a Predecessor wants done.
+// Decision is the action that a Predecessor requests from its caller.
 type Decision int
 
-// The decisions of a Predecessor.
+// Decisions of a Predecessor.
 const (
 	Nothing  Decision = iota
-	Refuse            // send this successor a refusal, and close its link
-	HandOver          // stop deciding, free the folder, send the state, and report HandedOver
-	Apply             // carry out the message
-	Reclaim           // the successor is gone: own the folder again as soon as its lock is free
-	Drop              // close the link: the message makes no sense. SuccessorLost follows
+	Refuse            // send the successor a refusal and close its link
+	HandOver          // stop deciding on messages, release the lock, send the State and call HandedOver
+	Apply             // act on the received message
+	Reclaim           // the successor is lost: acquire the lock again when it is free, and continue
+	Drop              // the message is invalid in this phase: close the link, then call SuccessorLost
 )
 
-// NewPredecessor returns the machine of a process that owns the folder of a courier.
+// NewPredecessor returns the state machine of a process that owns the state directory of a courier.
 func NewPredecessor(courier string) *Predecessor { return &Predecessor{courier: courier} }
 
 // Owns reports whether this process decides on messages.
 func (p *Predecessor) Owns() bool { return p.phase == phaseOwner || p.phase == phaseRequested }
 
-// ShutDown notes that this process shuts down: it hands over to nobody, and does not go on when a successor dies.
+// ShutDown records that this process is shutting down: it starts no further handoff, and does not take over again if the successor
+// is lost.
 func (p *Predecessor) ShutDown() { p.shuttingDown = true }
 
-// HelloReceived decides on a new process that is ready to take over; the text is the reason of a refusal.
+// HelloReceived handles the hello of a new process. With Refuse, it also returns the reason.
 func (p *Predecessor) HelloReceived(h *Hello) (Decision, string) {
-	if err := h.agree(p.courier); err != nil {
+	if err := h.checkCompatible(p.courier); err != nil {
 		return Refuse, err.Error()
 	}
 	switch {
 	case p.shuttingDown:
 		return Refuse, "this process is ending"
 	case p.phase != phaseOwner:
-		return Refuse, takenOver
+		return Refuse, reasonTakenOver
 	}
 	p.phase = phaseRequested
 	return HandOver, ""
 }
 
-// HandedOver notes that the state was sent and the lock of the folder is free.
+// HandedOver records that the lock is released and the state is sent.
 func (p *Predecessor) HandedOver() {
 	if p.phase == phaseRequested {
 		p.phase = phaseHandedOver
 	}
 }
 
-// MessageReceived decides on a message of the successor.
+// MessageReceived handles a message from the successor.
 func (p *Predecessor) MessageReceived(message *Message) Decision {
 	switch {
 	case message.Serving && p.phase == phaseHandedOver:
@@ -74,7 +77,7 @@
 	return Drop
 }
 
-// SuccessorLost decides what to do when the link to the successor has ended.
+// SuccessorLost handles the end of the link to the successor.
 func (p *Predecessor) SuccessorLost() Decision {
 	before := p.phase
 	p.phase = phaseOwner
@@ -88,29 +91,30 @@
 	return Reclaim
 }
 
-// Successor is the machine of a new process, before it owns the state folder.
+// Successor is the state machine of a new process that does not own the state directory yet.
 type Successor struct{ received bool }
 
-// SuccessorDecision is what a Successor wants done.
+// SuccessorDecision is the action that a Successor requests from its caller.
 type SuccessorDecision int
 
-// The decisions of a Successor.
+// Decisions of a Successor.
 const (
-	Wait     SuccessorDecision = iota // wait for the lock, and ask again
-	TakeOver                          // take the lock, which is free or about to be, with the state if there is one
-	Yield                             // exit: another process takes over
+	Wait     SuccessorDecision = iota // retry the lock and the request after a while
+	TakeOver                          // acquire the lock, which is free or about to be released, and use the received State
+	Yield                             // exit, because another process is taking over
 )
 
-// takenOver is the reason of a refusal by which a successor knows that another one is taking over. It is part of the protocol.
-const takenOver = "another process is taking over"
+// reasonTakenOver is the refusal reason that tells a successor that another one is taking over. The text is part of the
+// protocol.
+const reasonTakenOver = "another process is taking over"
 
-// MessageReceived decides on the answer of the predecessor; the text is its reason.
+// MessageReceived handles the predecessor's reply to the hello. It also returns the reason of a refusal, or "".
 func (s *Successor) MessageReceived(message *Message) (SuccessorDecision, string) {
 	switch {
 	case message.State != nil && !s.received:
 		s.received = true
 		return TakeOver, ""
-	case message.Refused == takenOver:
+	case message.Refused == reasonTakenOver:
 		return Yield, message.Refused
 	}
 	return Wait, message.Refused
--- a/handoff/machine_test.go
+++ b/handoff/machine_test.go
@@ -5,193 +5,198 @@
 	"testing"
 )
 
-// model is one old and up to two new processes with a lock and the messages between them, and nothing else.
+// model simulates a predecessor and up to two successors with the lock and the messages between them.
 type model struct {
-	predecessor       *Predecessor
-	oldAlive, stopped bool
-	regaining         bool // it is to go on, and has not got the lock yet
-	lock              int  // 0 free, 1 old, 2 and 3 the new ones
-	news              [2]newcomer
+	predecessor                    *Predecessor
+	predecessorAlive, shuttingDown bool
+	reclaiming                     bool // the predecessor must take over again, but does not have the lock yet
+	lock                           int  // owner of the lock: 0 nobody, 1 predecessor, 2 and 3 the successors
+	successors                     [2]successorModel
 }
 
-type newcomer struct {
-	born, alive, linked bool
-	successor           Successor
-	toOld, toNew        []Message
-	decides, wanted     bool
+// successorModel simulates one successor.
+type successorModel struct {
+	started, alive, connected  bool
+	successor                  Successor
+	toPredecessor, toSuccessor []Message
+	decides, handoffRequested  bool
 }
 
 func (m model) clone() *model {
-	g := *m.predecessor
-	m.predecessor = &g
-	for i := range m.news {
-		m.news[i].toOld = append([]Message(nil), m.news[i].toOld...)
-		m.news[i].toNew = append([]Message(nil), m.news[i].toNew...)
+	predecessor := *m.predecessor
+	m.predecessor = &predecessor
+	for i := range m.successors {
+		m.successors[i].toPredecessor = append([]Message(nil), m.successors[i].toPredecessor...)
+		m.successors[i].toSuccessor = append([]Message(nil), m.successors[i].toSuccessor...)
 	}
 	return &m
 }
 
-func (m *model) oldDecides() bool { return m.oldAlive && m.predecessor.Owns() && !m.regaining }
+func (m *model) predecessorDecides() bool {
+	return m.predecessorAlive && m.predecessor.Owns() && !m.reclaiming
+}
 
-// steps are all that can happen next.
-func (m *model) steps() (all []func(*model)) {
+// transitions returns all events that are possible in this state.
+func (m *model) transitions() (all []func(*model)) {
 	add := func(ok bool, f func(*model)) {
 		if ok {
 			all = append(all, f)
 		}
 	}
-	add(m.oldAlive, func(m *model) { // SIGKILL
-		m.oldAlive = false
+	add(m.predecessorAlive, func(m *model) { // SIGKILL
+		m.predecessorAlive = false
 		if m.lock == 1 {
 			m.lock = 0
 		}
-		for i := range m.news {
-			m.news[i].linked = false
+		for i := range m.successors {
+			m.successors[i].connected = false
 		}
 	})
-	add(m.oldAlive && !m.stopped, func(m *model) { m.stopped = true; m.predecessor.ShutDown() }) // SIGTERM
-	for i := range m.news {
-		n := m.news[i]
-		add(!n.born, func(m *model) { m.news[i] = newcomer{born: true, alive: true} })
-		add(n.alive, func(m *model) { // SIGKILL
-			n := &m.news[i]
-			n.alive, n.decides = false, false
+	add(m.predecessorAlive && !m.shuttingDown, func(m *model) { m.shuttingDown = true; m.predecessor.ShutDown() }) // SIGTERM
+	for i := range m.successors {
+		s := m.successors[i]
+		add(!s.started, func(m *model) { m.successors[i] = successorModel{started: true, alive: true} })
+		add(s.alive, func(m *model) { // SIGKILL
+			s := &m.successors[i]
+			s.alive, s.decides = false, false
 			if m.lock == 2+i {
 				m.lock = 0
 			}
-			if n.linked {
-				n.linked, n.wanted = false, false
-				m.lost()
+			if s.connected {
+				s.connected, s.handoffRequested = false, false
+				m.successorLost()
 			}
 		})
-		add(n.alive && !n.decides && m.lock == 0, func(m *model) { m.lock = 2 + i; m.news[i].decides = true }) // the lock is free
-		add(n.alive && !n.decides && !n.linked && m.oldAlive && m.lock == 1, func(m *model) {                  // it knocks
-			n := &m.news[i]
-			n.linked = true
-			switch do, why := m.predecessor.HelloReceived(&Hello{Version, "n0"}); do {
+		add(s.alive && !s.decides && m.lock == 0, func(m *model) { m.lock = 2 + i; m.successors[i].decides = true }) // acquires the free lock
+		add(s.alive && !s.decides && !s.connected && m.predecessorAlive && m.lock == 1, func(m *model) {             // sends its hello
+			s := &m.successors[i]
+			s.connected = true
+			switch decision, reason := m.predecessor.HelloReceived(&Hello{Version, "n0"}); decision {
 			case Refuse:
-				n.linked = false
-				if step, _ := n.successor.MessageReceived(&Message{Refused: why}); step == Yield {
-					n.alive = false
+				s.connected = false
+				if decision, _ := s.successor.MessageReceived(&Message{Refused: reason}); decision == Yield {
+					s.alive = false
 				}
 			case HandOver:
-				n.wanted = true
+				s.handoffRequested = true
 			}
 		})
-		add(m.oldAlive && n.linked && n.wanted, func(m *model) { // the old one has come round to giving
-			n := &m.news[i]
-			n.wanted, m.lock = false, 0
-			n.toNew = append(n.toNew, Message{State: &State{}})
+		add(m.predecessorAlive && s.connected && s.handoffRequested, func(m *model) { // the predecessor hands over
+			s := &m.successors[i]
+			s.handoffRequested, m.lock = false, 0
+			s.toSuccessor = append(s.toSuccessor, Message{State: &State{}})
 			m.predecessor.HandedOver()
 		})
-		add(n.alive && len(n.toNew) > 0, func(m *model) { // it hears
-			n := &m.news[i]
-			msg := n.toNew[0]
-			n.toNew = n.toNew[1:]
-			if step, _ := n.successor.MessageReceived(&msg); step == TakeOver && m.lock == 0 {
-				m.lock, n.decides = 2+i, true
-				n.toOld = append(n.toOld, Message{Serving: true}, Message{Cancel: &AttemptID{}})
+		add(s.alive && len(s.toSuccessor) > 0, func(m *model) { // the successor receives a message
+			s := &m.successors[i]
+			msg := s.toSuccessor[0]
+			s.toSuccessor = s.toSuccessor[1:]
+			if decision, _ := s.successor.MessageReceived(&msg); decision == TakeOver && m.lock == 0 {
+				m.lock, s.decides = 2+i, true
+				s.toPredecessor = append(s.toPredecessor, Message{Serving: true}, Message{Cancel: &AttemptID{}})
 			}
 		})
-		add(m.oldAlive && n.linked && len(n.toOld) > 0, func(m *model) {
-			n := &m.news[i]
-			msg := n.toOld[0]
-			n.toOld = n.toOld[1:]
+		add(m.predecessorAlive && s.connected && len(s.toPredecessor) > 0, func(m *model) {
+			s := &m.successors[i]
+			msg := s.toPredecessor[0]
+			s.toPredecessor = s.toPredecessor[1:]
 			if m.predecessor.MessageReceived(&msg) == Drop {
-				n.linked = false
-				m.lost()
+				s.connected = false
+				m.successorLost()
 			}
 		})
 	}
-	// What has given all up and is to go on takes the lock as any process does.
-	add(m.oldAlive && m.regaining && m.lock == 0, func(m *model) { m.lock, m.regaining = 1, false })
+	// A predecessor that takes over again acquires the lock when it is free.
+	add(m.predecessorAlive && m.reclaiming && m.lock == 0, func(m *model) { m.lock, m.reclaiming = 1, false })
 	return all
 }
 
-func (m *model) lost() {
+// successorLost ends the link on the predecessor's side.
+func (m *model) successorLost() {
 	if m.predecessor.SuccessorLost() == Reclaim {
-		m.regaining = true
+		m.reclaiming = true
 	}
 }
 
-// TestEveryOrder plays every order of messages, kills and SIGTERM up to a length, and holds it against what must not be:
-// two that decide at once. What must be: whoever is left alive can own the folder. Failure: an old process that went on while
-// the new one decided broke waits and sent messages twice.
-func TestEveryOrder(t *testing.T) {
-	start := &model{predecessor: NewPredecessor("n0"), oldAlive: true, lock: 1}
-	seen := map[string]bool{}
-	played := 0
-	var play func(m *model, depth int)
-	play = func(m *model, depth int) {
-		key := fmt.Sprint(depth, *m.predecessor, m.oldAlive, m.stopped, m.regaining, m.lock, m.news[0].born, m.news[0].alive, m.news[0].linked, m.news[0].successor,
-			len(m.news[0].toOld), len(m.news[0].toNew), m.news[0].decides, m.news[0].wanted, m.news[1].born, m.news[1].alive, m.news[1].linked,
-			m.news[1].successor, len(m.news[1].toOld), len(m.news[1].toNew), m.news[1].decides, m.news[1].wanted)
-		if seen[key] {
+// TestEveryEventOrder explores every order of messages, kills and SIGTERM, up to 18 events. Two processes must never decide on
+// messages at the same time. The predecessor must decide whenever it is alive and owns the lock, and only then. Incident: the
+// predecessor continued while the successor was deciding, which violated Retry-After waits and sent messages twice.
+func TestEveryEventOrder(t *testing.T) {
+	start := &model{predecessor: NewPredecessor("n0"), predecessorAlive: true, lock: 1}
+	visited := map[string]bool{}
+	explored := 0
+	var explore func(m *model, depth int)
+	explore = func(m *model, depth int) {
+		key := fmt.Sprint(depth, *m.predecessor, m.predecessorAlive, m.shuttingDown, m.reclaiming, m.lock, m.successors[0].started, m.successors[0].alive, m.successors[0].connected, m.successors[0].successor,
+			len(m.successors[0].toPredecessor), len(m.successors[0].toSuccessor), m.successors[0].decides, m.successors[0].handoffRequested, m.successors[1].started, m.successors[1].alive, m.successors[1].connected,
+			m.successors[1].successor, len(m.successors[1].toPredecessor), len(m.successors[1].toSuccessor), m.successors[1].decides, m.successors[1].handoffRequested)
+		if visited[key] {
 			return
 		}
-		seen[key] = true
-		played++
+		visited[key] = true
+		explored++
 		deciders := 0
-		if m.oldDecides() {
+		if m.predecessorDecides() {
 			deciders++
 		}
-		for _, n := range m.news {
-			if n.alive && n.decides {
+		for _, s := range m.successors {
+			if s.alive && s.decides {
 				deciders++
 			}
 		}
 		if deciders > 1 {
-			t.Fatalf("%d decide: %+v, predecessor %+v", deciders, m, *m.predecessor)
+			t.Fatalf("%d processes decide: %+v, predecessor %+v", deciders, m, *m.predecessor)
 		}
-		if m.oldDecides() && m.lock != 1 || m.oldAlive && m.lock == 1 && !m.oldDecides() {
-			t.Fatalf("who decides does not own the folder: %+v, predecessor %+v", m, *m.predecessor)
+		if m.predecessorDecides() && m.lock != 1 || m.predecessorAlive && m.lock == 1 && !m.predecessorDecides() {
+			t.Fatalf("the deciding process and the owner of the lock differ: %+v, predecessor %+v", m, *m.predecessor)
 		}
 		if depth == 0 {
 			return
 		}
-		for _, step := range m.steps() {
+		for _, step := range m.transitions() {
 			next := m.clone()
 			step(next)
-			play(next, depth-1)
+			explore(next, depth-1)
 		}
 	}
-	play(start, 18)
-	if played < 2000 {
-		t.Fatalf("only %d states", played)
+	explore(start, 18)
+	if explored < 2000 {
+		t.Fatalf("only %d states explored", explored)
 	}
-	t.Logf("%d states", played)
+	t.Logf("%d states explored", explored)
 }
 
+// TestPredecessor covers the decisions of a predecessor in each phase of a handoff.
 func TestPredecessor(t *testing.T) {
 	hello := &Hello{Version, "n0"}
-	g := NewPredecessor("n0")
-	for _, bad := range []*Hello{{Version + 1, "n0"}, {Version, "n1"}} {
-		if do, why := g.HelloReceived(bad); do != Refuse || why == "" || !g.Owns() {
-			t.Errorf("%+v: %v %q", bad, do, why)
+	predecessor := NewPredecessor("n0")
+	for _, invalid := range []*Hello{{Version + 1, "n0"}, {Version, "n1"}} {
+		if decision, reason := predecessor.HelloReceived(invalid); decision != Refuse || reason == "" || !predecessor.Owns() {
+			t.Errorf("%+v: %v %q", invalid, decision, reason)
 		}
 	}
-	if do, _ := g.HelloReceived(hello); do != HandOver || !g.Owns() {
-		t.Error("a new process that is ready is not given to, or too soon")
+	if decision, _ := predecessor.HelloReceived(hello); decision != HandOver || !predecessor.Owns() {
+		t.Error("the predecessor does not hand over to a ready successor, or gives up ownership too early")
 	}
-	if do, _ := g.HelloReceived(hello); do != Refuse {
-		t.Error("a second new process is not refused")
+	if decision, _ := predecessor.HelloReceived(hello); decision != Refuse {
+		t.Error("a second successor is not refused")
 	}
-	if g.MessageReceived(&Message{Serving: true}) != Drop {
-		t.Error("serves before it was given anything")
+	if predecessor.MessageReceived(&Message{Serving: true}) != Drop {
+		t.Error("Serving is accepted before the handoff")
 	}
-	if g.HandedOver(); g.Owns() || g.MessageReceived(&Message{State: &State{}}) != Drop || g.MessageReceived(&Message{Serving: true}) != Apply ||
-		g.MessageReceived(&Message{Serving: true}) != Drop || g.MessageReceived(&Message{Cancel: &AttemptID{}}) != Apply {
-		t.Error("messages after the handoff")
+	if predecessor.HandedOver(); predecessor.Owns() || predecessor.MessageReceived(&Message{State: &State{}}) != Drop || predecessor.MessageReceived(&Message{Serving: true}) != Apply ||
+		predecessor.MessageReceived(&Message{Serving: true}) != Drop || predecessor.MessageReceived(&Message{Cancel: &AttemptID{}}) != Apply {
+		t.Error("wrong decision on a message after the handoff")
 	}
-	if g.SuccessorLost() != Reclaim || !g.Owns() {
-		t.Error("does not go on when the new process dies")
+	if predecessor.SuccessorLost() != Reclaim || !predecessor.Owns() {
+		t.Error("the predecessor does not take over again when the successor is lost")
 	}
-	g.HelloReceived(hello)
-	g.HandedOver()
-	if g.ShutDown(); g.SuccessorLost() != Nothing || g.Owns() {
-		t.Error("goes on though it was notified to end")
+	predecessor.HelloReceived(hello)
+	predecessor.HandedOver()
+	if predecessor.ShutDown(); predecessor.SuccessorLost() != Nothing || predecessor.Owns() {
+		t.Error("the predecessor takes over again although it is shutting down")
 	}
-	if do, _ := NewPredecessor("n0").HelloReceived(hello); do != HandOver {
-		t.Error("a fresh one refuses")
+	if decision, _ := NewPredecessor("n0").HelloReceived(hello); decision != HandOver {
+		t.Error("a new predecessor refuses a valid hello")
 	}
 }
--- a/handoff/message.go
+++ b/handoff/message.go
@@ -1,6 +1,7 @@
-// Package handoff moves a courier from one process to its successor in an upgrade: the predecessor, which owns the state folder and
-// decides, hands both over, and forwards the outcomes of its attempts in flight afterwards. A lock on the folder says who owns it,
-// whatever the messages say. machine.go decides, without I/O; folder.go has the lock and the socket; message.go the messages.
+// Package handoff transfers a courier from a running process, the predecessor, to a new one, the successor, during an upgrade.
+// The predecessor hands over the state directory and the control of the messages, and afterwards forwards the outcomes of its
+// attempts in flight. A file lock decides which process owns the state directory, whatever the processes tell each other.
+// machine.go has the state machines, which do no I/O; folder.go has the lock and the socket; message.go has the messages.
 package handoff
 
 import (
@@ -18,68 +19,71 @@
 	"pineport/protocol"
 )
 
-// Version of the messages; processes of different versions do not hand over to one another.
+// Version is the protocol version. Processes with different versions do not hand over to each other.
 const Version = 1
 
-// Message is one message, of which one field is set. The tags are the names between processes.
+// Message is one protocol message. Exactly one field is set. The JSON tags are the names on the wire.
 type Message struct {
-	Hello           *Hello                    `json:"hello,omitempty"`   // successor: ready to take over
-	Refused         string                    `json:"refused,omitempty"` // predecessor: goes on by itself, and why
-	State           *State                    `json:"state,omitempty"`   // predecessor: hands over, and decides no more
-	Serving         bool                      `json:"serving,omitempty"` // successor: accepts clients
-	AttemptFinished *dispatch.AttemptFinished `json:"settled,omitempty"` // predecessor: an attempt in flight finished
-	Cancel          *AttemptID                `json:"cancel,omitempty"`  // successor: the attempt is given up
-	RetryAfter      *RetryAfter               `json:"wait,omitempty"`    // successor: got a Retry-After, in case the predecessor must go on
-	Command         *Command                  `json:"ask,omitempty"`     // predecessor: a command of an operator
-	Result          *Result                   `json:"answer,omitempty"`  // successor: the result of a command
-}
-
-// Hello introduces a successor.
+	Hello           *Hello                    `json:"hello,omitempty"`   // from the successor: it is ready to take over
+	Refused         string                    `json:"refused,omitempty"` // from the predecessor: it refuses the handoff; the reason
+	State           *State                    `json:"state,omitempty"`   // from the predecessor: it hands over and stops deciding on messages
+	Serving         bool                      `json:"serving,omitempty"` // from the successor: it accepts clients
+	AttemptFinished *dispatch.AttemptFinished `json:"settled,omitempty"` // from the predecessor: an attempt in flight has finished
+	Cancel          *AttemptID                `json:"cancel,omitempty"`  // from the successor: this attempt is canceled
+	RetryAfter      *RetryAfter               `json:"wait,omitempty"`    // from the successor: it received a Retry-After
+	Command         *Command                  `json:"ask,omitempty"`     // from the predecessor: an operator command
+	Result          *Result                   `json:"answer,omitempty"`  // from the successor: the result of a command
+}
+
+// Hello is the first message of a successor.
 type Hello struct {
 	Version int    `json:"version"`
 	Courier string `json:"courier"`
 }
 
-// State is all that the state folder does not hold.
+// State is the state of the predecessor that is not in the state directory.
 type State struct {
 	Snapshot    dispatch.Snapshot          `json:"lore"`
-	ListVersion int64                      `json:"seq"` // of the endpoint list
+	ListVersion int64                      `json:"seq"` // version of the endpoint list
 	Endpoints   []protocol.Host            `json:"hosts"`
-	InFlight    []AttemptID                `json:"out"`   // attempts whose outcome is still to come
-	RetryAfter  map[string]dispatch.Micros `json:"waits"` // by endpoint group, until when
-	Disabled    []string                   `json:"gone"`  // endpoints that operators disabled
+	InFlight    []AttemptID                `json:"out"`   // attempts without an outcome yet
+	RetryAfter  map[string]dispatch.Micros `json:"waits"` // time at which the Retry-After ends, by endpoint group
+	Disabled    []string                   `json:"gone"`  // endpoints disabled by operators
 	Draining    bool                       `json:"away"`  // clients are being drained
 	Membership  *Membership                `json:"peers,omitempty"`
 }
 
-// Membership is what the fleet knows this courier by, and the addresses of its members: both processes are one member.
+// Membership is the incarnation of this courier in the fleet and the addresses of the fleet members. The fleet sees both
+// processes as one member.
 type Membership struct {
 	Incarnation uint64   `json:"start"`
 	Members     []string `json:"members"`
 }
 
-// AttemptID names one attempt.
+// AttemptID identifies one attempt.
 type AttemptID struct {
 	Message   string          `json:"record"`
-	Attempt   int             `json:"trip"`
-	WaitUntil dispatch.Micros `json:"limit,omitempty"`
+	Attempt   int             `json:"trip"`            // index in the attempts of the message
+	WaitUntil dispatch.Micros `json:"limit,omitempty"` // deadline for the outcome
 }
 
-// RetryAfter is the Retry-After of an endpoint group; Endpoint is empty where the group is the whole destination.
+// RetryAfter is a Retry-After for an endpoint group. The successor reports it so that the predecessor knows it if it takes over
+// again. Endpoint is empty if the group is the whole destination.
 type RetryAfter struct {
 	Destination dispatch.DestinationID `json:"dest"`
 	Endpoint    dispatch.EndpointID    `json:"endpoint,omitempty"`
 	Until       dispatch.Micros        `json:"until"`
 }
 
-// Command is a command of an operator: an endpoint disabled (On) or enabled, or clients drained (On) or not.
+// Command is an operator command. With Endpoint, it disables (On) or enables this endpoint. Without, it starts (On) or stops
+// draining the clients.
 type Command struct {
 	Number   int64  `json:"number"`
 	Endpoint string `json:"endpoint,omitempty"`
 	On       bool   `json:"yes"`
 }
 
-// Result is the result of a command; Error is empty where it succeeded.
+// Result is the result of the command with this Number. Error is empty on success.
 type Result struct {
 	Number  int64  `json:"number"`
 	Error   string `json:"fault,omitempty"`
@@ -87,48 +91,48 @@
 }
 
 const (
-	maxMessage = 16 << 20 // the state, with a kilobyte for each of many thousand groups
-	maxQueue   = 4096     // messages that the peer has not read
+	maxMessageSize    = 16 << 20 // fits a State with about 1 KB for each of many thousand endpoint groups
+	maxQueuedMessages = 4096     // messages waiting to be sent
 )
 
-// Link is a connection to the other process.
+// Link is the connection to the other process. It carries one JSON message per line.
 type Link struct {
-	conn  net.Conn
-	lines *bufio.Scanner
-	queue chan Message
-	close sync.Once
-	ended chan struct{}
+	conn      net.Conn
+	scanner   *bufio.Scanner
+	queue     chan Message
+	closeOnce sync.Once
+	closed    chan struct{}
 }
 
 func newLink(conn net.Conn) *Link {
-	link := &Link{conn: conn, lines: bufio.NewScanner(conn), queue: make(chan Message, maxQueue), ended: make(chan struct{})}
-	link.lines.Buffer(make([]byte, 0, 4<<10), maxMessage)
+	link := &Link{conn: conn, scanner: bufio.NewScanner(conn), queue: make(chan Message, maxQueuedMessages), closed: make(chan struct{})}
+	link.scanner.Buffer(make([]byte, 0, 4<<10), maxMessageSize)
 	go link.write()
 	return link
 }
 
-// Listen calls to for each message until the link ends, and then with nil.
-func (l *Link) Listen(to func(*Message)) {
+// Listen calls handle for each received message until the link ends, then closes the link and calls handle with nil.
+func (l *Link) Listen(handle func(*Message)) {
 	for {
 		message, err := l.next()
 		if err != nil {
 			break
 		}
-		to(message)
+		handle(message)
 	}
 	l.Close()
-	to(nil)
+	handle(nil)
 }
 
 func (l *Link) next() (*Message, error) {
-	if !l.lines.Scan() {
-		return nil, errors.Join(io.ErrUnexpectedEOF, l.lines.Err())
+	if !l.scanner.Scan() {
+		return nil, errors.Join(io.ErrUnexpectedEOF, l.scanner.Err())
 	}
 	message := &Message{}
-	return message, json.Unmarshal(l.lines.Bytes(), message)
+	return message, json.Unmarshal(l.scanner.Bytes(), message)
 }
 
-// Send queues a message and never waits; a peer that does not read ends the link.
+// Send queues a message and never blocks. If the queue is full because the peer does not read, it closes the link.
 func (l *Link) Send(m Message) {
 	select {
 	case l.queue <- m:
@@ -137,21 +141,21 @@
 	}
 }
 
-// Refuse sends a refusal with its reason, and ends the link.
-func (l *Link) Refuse(why string) {
-	if text, err := json.Marshal(Message{Refused: why}); err == nil {
+// Refuse sends a refusal with its reason and closes the link.
+func (l *Link) Refuse(reason string) {
+	if text, err := json.Marshal(Message{Refused: reason}); err == nil {
 		l.conn.SetWriteDeadline(clock.Instant().Add(refuseTimeout))
 		l.conn.Write(append(text, '\n'))
 	}
 	l.Close()
 }
 
-const refuseTimeout = 50 * time.Millisecond // one line fits the socket's buffer
+const refuseTimeout = 50 * time.Millisecond // enough, because one line fits the socket buffer
 
-// Close ends the link.
+// Close closes the link. Queued messages may be lost.
 func (l *Link) Close() {
-	l.close.Do(func() {
-		close(l.ended)
+	l.closeOnce.Do(func() {
+		close(l.closed)
 		l.conn.Close()
 	})
 }
@@ -168,14 +172,15 @@
 				l.Close()
 				return
 			}
-		case <-l.ended:
+		case <-l.closed:
 			return
 		}
 	}
 }
 
-// agree returns why two processes do not go together; nil if they do.
-func (h *Hello) agree(courier string) error {
+// checkCompatible returns an error if this process cannot hand over to the sender of the hello. The error text is sent to the
+// successor as the reason of the refusal.
+func (h *Hello) checkCompatible(courier string) error {
 	switch {
 	case h.Version != Version:
 		return fmt.Errorf("version %d, this program speaks %d", h.Version, Version)
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -1,6 +1,6 @@
-// Package logging is the courier's log on log/slog: text or JSON, levels for single components that change while it runs,
-// repeats counted and told once, and a bounded queue before the writer, so that a reader that does not read, or a disk that is
-// full, stops nobody.
+// Package logging is the courier's log, built on log/slog. It writes text or JSON and has log levels per component that can
+// change at run time. Repeated lines are counted and reported once. A bounded queue in front of the writer keeps the callers
+// from blocking when the log's reader hangs or the disk is full.
 package logging
 
 import (
@@ -16,69 +16,70 @@
 	"pineport/clock"
 )
 
-// Options are how a log is kept.
+// Options configure a log.
 type Options struct {
-	Level   string
-	Levels  map[string]string // of single components
+	Level   string            // default level
+	Levels  map[string]string // levels by component, which replace the default level
 	JSON    bool
-	Repeats time.Duration // a line that comes again within this is counted, and told once; 0: each is written
-	Queue   int           // lines that wait for the writer; further ones are dropped and counted
+	Repeats time.Duration // a line repeated within this time is counted and reported once; 0 writes every line
+	Queue   int           // maximum number of lines waiting to be written; further lines are dropped and counted
 }
 
-// Component is the attribute that says which part a line is of; levels go by it.
+// Component is the key of the attribute that names the component of a line. Options.Levels refers to its value.
 const Component = "component"
 
-// Log is a log and what keeps it.
+// Log is a logger with its levels, its queue and the goroutine that writes the lines.
 type Log struct {
 	*slog.Logger
 	levels  atomic.Pointer[levels]
-	queue   chan []byte
-	dropped atomic.Int64
-	written atomic.Int64
-	repeats *repeats
-	quit    chan struct{}
-	done    chan struct{}
+	queue   chan []byte  // lines to write
+	dropped atomic.Int64 // lines dropped because the queue was full
+	written atomic.Int64 // lines written without an error
+	repeats *repeatFilter
+	quit    chan struct{} // closed by Close
+	done    chan struct{} // closed when all lines are written after quit
 	once    sync.Once
 }
 
+// levels is one setting of the log levels.
 type levels struct {
-	all slog.Level
-	of  map[string]slog.Level
+	defaultLevel slog.Level
+	byComponent  map[string]slog.Level
 }
 
-// Level reads a level's name.
+// Level parses the name of a log level.
 func Level(name string) (slog.Level, error) {
 	var l slog.Level
 	err := l.UnmarshalText([]byte(name))
 	return l, err
 }
 
-// New begins a log that is written to out.
+// New returns a log that writes to out.
 func New(out io.Writer, o Options) (*Log, error) {
 	l := &Log{queue: make(chan []byte, max(1, o.Queue)), quit: make(chan struct{}), done: make(chan struct{}),
-		repeats: &repeats{within: o.Repeats, seen: map[string]*repeat{}}}
+		repeats: &repeatFilter{window: o.Repeats, tracked: map[string]*trackedLine{}}}
 	if err := l.SetLevels(o.Level, o.Levels); err != nil {
 		return nil, err
 	}
-	all := &slog.HandlerOptions{Level: slog.Level(-1 << 10)} // what is let through is settled before
-	var form slog.Handler = slog.NewTextHandler(writer{l}, all)
+	options := &slog.HandlerOptions{Level: slog.Level(-1 << 10)} // handler.Enabled filters by level
+	var formatter slog.Handler = slog.NewTextHandler(queueWriter{l}, options)
 	if o.JSON {
-		form = slog.NewJSONHandler(writer{l}, all)
+		formatter = slog.NewJSONHandler(queueWriter{l}, options)
 	}
-	l.Logger = slog.New(&handler{log: l, form: form})
+	l.Logger = slog.New(&handler{log: l, formatter: formatter})
 	go l.write(out)
 	return l, nil
 }
 
-// SetLevels changes what is logged from now on; with a name that is no level nothing changes.
-func (l *Log) SetLevels(all string, of map[string]string) error {
-	level, err := Level(all)
+// SetLevels replaces the log levels. If any name is not a valid level, it returns an error and changes nothing.
+func (l *Log) SetLevels(defaultLevel string, byComponent map[string]string) error {
+	level, err := Level(defaultLevel)
 	if err != nil {
 		return fmt.Errorf("log.level: %w", err)
 	}
-	next := &levels{all: level, of: map[string]slog.Level{}}
-	for component, name := range of {
-		if next.of[component], err = Level(name); err != nil {
+	next := &levels{defaultLevel: level, byComponent: map[string]slog.Level{}}
+	for component, name := range byComponent {
+		if next.byComponent[component], err = Level(name); err != nil {
 			return fmt.Errorf("log.levels: %s: %w", component, err)
 		}
 	}
@@ -86,50 +87,50 @@
 	return nil
 }
 
-// Dropped is how many lines found no room in the queue.
+// Dropped returns the number of lines dropped because the queue was full.
 func (l *Log) Dropped() int64 { return l.dropped.Load() }
 
-// Close writes what waits, for a while at most.
-func (l *Log) Close(within time.Duration) {
+// Close waits until the queued lines are written, at most for timeout.
+func (l *Log) Close(timeout time.Duration) {
 	l.once.Do(func() { close(l.quit) })
 	select {
 	case <-l.done:
-	case <-time.After(within):
+	case <-time.After(timeout):
 	}
 }
 
-// tellRepeats is how often counted repeats are looked through.
-const tellRepeats = time.Second
+// repeatReportInterval is the interval at which expired repeats are reported.
+const repeatReportInterval = time.Second
 
-// write is the one goroutine that waits for the reader.
+// write writes the queued lines to out. Only its goroutine blocks if out blocks.
 func (l *Log) write(out io.Writer) {
 	defer close(l.done)
-	logged := int64(0)
-	put := func(line []byte) {
+	reported := int64(0)
+	writeLine := func(line []byte) {
 		if _, err := out.Write(line); err == nil {
 			l.written.Add(1)
 		}
-		if n := l.dropped.Load(); n > logged && len(l.queue) < cap(l.queue)/2 {
+		if n := l.dropped.Load(); n > reported && len(l.queue) < cap(l.queue)/2 {
 			record := slog.NewRecord(clock.Instant(), slog.LevelWarn, "log lines dropped", 0)
-			record.AddAttrs(slog.Int64("count", n-logged), slog.String(Component, "logs"))
-			logged = n
-			_ = l.Logger.Handler().(*handler).form.Handle(context.Background(), record) // into the queue, which has room
+			record.AddAttrs(slog.Int64("count", n-reported), slog.String(Component, "logs"))
+			reported = n
+			_ = l.Logger.Handler().(*handler).formatter.Handle(context.Background(), record) // goes into the queue, which has room
 		}
 	}
-	look := time.NewTicker(tellRepeats)
-	defer look.Stop()
+	ticker := time.NewTicker(repeatReportInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case line := <-l.queue:
-			put(line)
-		case <-look.C:
-			l.repeats.tell(clock.Instant(), false)
+			writeLine(line)
+		case <-ticker.C:
+			l.repeats.reportExpired(clock.Instant(), false)
 		case <-l.quit:
-			l.repeats.tell(clock.Instant(), true)
+			l.repeats.reportExpired(clock.Instant(), true)
 			for {
 				select {
 				case line := <-l.queue:
-					put(line)
+					writeLine(line)
 				default:
 					return
 				}
@@ -138,10 +139,10 @@
 	}
 }
 
-// writer puts a formed line into the queue, or counts it as dropped. It never waits.
-type writer struct{ log *Log }
+// queueWriter adds a formatted line to the queue, or counts it as dropped if the queue is full. It never blocks.
+type queueWriter struct{ log *Log }
 
-func (w writer) Write(line []byte) (int, error) {
+func (w queueWriter) Write(line []byte) (int, error) {
 	select {
 	case w.log.queue <- append([]byte(nil), line...):
 	default:
@@ -150,108 +151,112 @@
 	return len(line), nil
 }
 
-// handler lets lines through by level and counts repeats.
+// handler filters lines by level and suppresses repeats.
 type handler struct {
 	log       *Log
-	form      slog.Handler
+	formatter slog.Handler
 	component string
-	with      string // attributes that all its lines have, to tell lines apart
+	attrsKey  string // attributes and groups set by WithAttrs and WithGroup, as text; part of the key of a repeat
 }
 
 func (h *handler) Enabled(_ context.Context, level slog.Level) bool {
 	ls := h.log.levels.Load()
-	if l, ok := ls.of[h.component]; ok {
+	if l, ok := ls.byComponent[h.component]; ok {
 		return level >= l
 	}
-	return level >= ls.all
+	return level >= ls.defaultLevel
 }
 
 func (h *handler) Handle(ctx context.Context, r slog.Record) error {
-	if h.log.repeats.within > 0 && h.log.repeats.again(h, r) {
+	if h.log.repeats.window > 0 && h.log.repeats.suppress(h, r) {
 		return nil
 	}
-	return h.form.Handle(ctx, r)
+	return h.formatter.Handle(ctx, r)
 }
 
 func (h *handler) WithAttrs(attrs []slog.Attr) slog.Handler {
 	next := *h
-	next.form = h.form.WithAttrs(attrs)
+	next.formatter = h.formatter.WithAttrs(attrs)
 	for _, a := range attrs {
 		if a.Key == Component {
 			next.component = a.Value.String()
 		}
-		next.with += a.String() + " "
+		next.attrsKey += a.String() + " "
 	}
 	return &next
 }
 
 func (h *handler) WithGroup(name string) slog.Handler {
 	next := *h
-	next.form = h.form.WithGroup(name)
-	next.with += name + "."
+	next.formatter = h.formatter.WithGroup(name)
+	next.attrsKey += name + "."
 	return &next
 }
 
-// repeats counts lines that come again.
-type repeats struct {
-	mu     sync.Mutex
-	within time.Duration
-	seen   map[string]*repeat
+// repeatFilter detects and counts repeated lines.
+type repeatFilter struct {
+	mu      sync.Mutex
+	window  time.Duration           // a line equal to an earlier one within this time is a repeat
+	tracked map[string]*trackedLine // by all parts of a line except its time
 }
 
-type repeat struct {
-	handler *handler
-	record  slog.Record
-	first   time.Time
-	count   int
+// trackedLine is a line that was written, with the number of its repeats.
+type trackedLine struct {
+	handler  *handler
+	record   slog.Record
+	first    time.Time // time of the written line
+	repeated int       // repeats since then
 }
 
-// mostSeen bounds what is kept of lines to tell repeats by; beyond it lines are written each.
-const mostSeen = 1024
+// maxTrackedLines is the maximum number of lines tracked for repeats. Beyond it, new lines are written without tracking.
+const maxTrackedLines = 1024
 
-// again tells whether a line is a repeat, which is counted and not written. Lines are the same if all but their time is.
-func (rs *repeats) again(h *handler, r slog.Record) bool {
+// suppress counts a repeat and returns true, so that the caller does not write it. Lines that differ only in their time are
+// repeats.
+func (f *repeatFilter) suppress(h *handler, r slog.Record) bool {
 	var key strings.Builder
-	fmt.Fprintf(&key, "%s %v %s", h.with, r.Level, r.Message)
+	fmt.Fprintf(&key, "%s %v %s", h.attrsKey, r.Level, r.Message)
 	r.Attrs(func(a slog.Attr) bool {
 		key.WriteByte(' ')
 		key.WriteString(a.String())
 		return true
 	})
-	rs.mu.Lock()
-	defer rs.mu.Unlock()
-	if seen := rs.seen[key.String()]; seen != nil {
-		if r.Time.Sub(seen.first) < rs.within {
-			seen.count++
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if line := f.tracked[key.String()]; line != nil {
+		if r.Time.Sub(line.first) < f.window {
+			line.repeated++
 			return true
 		}
-		seen.tell()
-		delete(rs.seen, key.String())
+		line.report()
+		delete(f.tracked, key.String())
 	}
-	if len(rs.seen) < mostSeen {
-		rs.seen[key.String()] = &repeat{handler: h, record: r.Clone(), first: r.Time}
+	if len(f.tracked) < maxTrackedLines {
+		f.tracked[key.String()] = &trackedLine{handler: h, record: r.Clone(), first: r.Time}
 	}
 	return false
 }
 
-// tell writes how often lines came again whose time is over.
-func (rs *repeats) tell(now time.Time, all bool) {
-	rs.mu.Lock()
-	defer rs.mu.Unlock()
-	for key, seen := range rs.seen {
-		if all || now.Sub(seen.first) >= rs.within {
-			seen.tell()
-			delete(rs.seen, key)
+// reportExpired reports the repeats of the lines whose window is over, or of all lines if all is set, and stops tracking these
+// lines.
+func (f *repeatFilter) reportExpired(now time.Time, all bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for key, line := range f.tracked {
+		if all || now.Sub(line.first) >= f.window {
+			line.report()
+			delete(f.tracked, key)
 		}
 	}
 }
 
-func (s *repeat) tell() {
-	if s.count == 0 {
+// report writes the line again with the number of its repeats, if there are any.
+func (s *trackedLine) report() {
+	if s.repeated == 0 {
 		return
 	}
 	r := slog.NewRecord(clock.Instant(), s.record.Level, s.record.Message, 0)
 	s.record.Attrs(func(a slog.Attr) bool { r.AddAttrs(a); return true })
-	r.AddAttrs(slog.Int("repeated", s.count))
-	_ = s.handler.form.Handle(context.Background(), r) // into the queue
+	r.AddAttrs(slog.Int("repeated", s.repeated))
+	_ = s.handler.formatter.Handle(context.Background(), r) // goes into the queue
 }
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -10,29 +10,29 @@
 	"time"
 )
 
-// sink is a reader that may be stuck.
+// sink is a log output that can block.
 type sink struct {
-	mu    sync.Mutex
-	b     bytes.Buffer
-	stuck chan struct{}
+	mu      sync.Mutex
+	buffer  bytes.Buffer
+	unblock chan struct{} // if set, Write blocks until it is closed
 }
 
 func (s *sink) Write(p []byte) (int, error) {
-	if s.stuck != nil {
-		<-s.stuck
+	if s.unblock != nil {
+		<-s.unblock
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.b.Write(p)
+	return s.buffer.Write(p)
 }
 
 func (s *sink) String() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.b.String()
+	return s.buffer.String()
 }
 
-// TestLevels of components, and changed while it runs; a name that is no level changes nothing.
+// TestLevels covers levels per component and their change at run time. An invalid level must change nothing.
 func TestLevels(t *testing.T) {
 	var out sink
 	l, err := New(&out, Options{Level: "info", Levels: map[string]string{"spool": "debug", "links": "error"}, Queue: 100})
@@ -54,7 +54,7 @@
 	l.Close(time.Second)
 	for text, want := range map[string]bool{"a1": false, "a2": true, "a3": false, "a4": true, "a5": true} {
 		if strings.Contains(out.String(), text) != want {
-			t.Errorf("%s: %v was wanted in\n%s", text, want, out.String())
+			t.Errorf("%s: logged must be %v in\n%s", text, want, out.String())
 		}
 	}
 	if _, err := New(&out, Options{Level: "loud"}); err == nil {
@@ -62,7 +62,8 @@
 	}
 }
 
-// TestRepeats: the same line is written once and counted; one with another value is another line. Every line is JSON.
+// TestRepeats: repeats of a line must be counted and reported once. A line with another attribute value is not a repeat. Every
+// line must be valid JSON.
 func TestRepeats(t *testing.T) {
 	var out sink
 	l, err := New(&out, Options{Level: "info", JSON: true, Repeats: time.Hour, Queue: 100})
@@ -90,39 +91,39 @@
 	}
 }
 
-// TestStuckReader: a reader that does not read holds up nobody under a flood; what was dropped is counted, and told once it
-// reads again.
-func TestStuckReader(t *testing.T) {
-	out := sink{stuck: make(chan struct{})}
+// TestBlockedWriter: callers must not block while the output blocks, even for 20000 lines. The dropped lines must be counted, and
+// their number logged once the output accepts lines again.
+func TestBlockedWriter(t *testing.T) {
+	out := sink{unblock: make(chan struct{})}
 	l, err := New(&out, Options{Level: "info", Repeats: time.Second, Queue: 64})
 	if err != nil {
 		t.Fatal(err)
 	}
-	began := time.Now()
+	start := time.Now()
 	for i := range 20000 {
 		l.Info("flood", "i", i)
 	}
-	if took := time.Since(began); took > 5*time.Second {
-		t.Errorf("took %v", took)
+	if elapsed := time.Since(start); elapsed > 5*time.Second {
+		t.Errorf("logging 20000 lines took %v", elapsed)
 	}
 	dropped := l.Dropped()
 	if dropped < 19000 {
-		t.Errorf("%d dropped", dropped)
+		t.Errorf("%d lines dropped, want at least 19000", dropped)
 	}
-	close(out.stuck)
+	close(out.unblock)
 	for deadline := time.Now().Add(5 * time.Second); !strings.Contains(out.String(), "log lines dropped"); {
 		if time.Now().After(deadline) {
-			t.Fatalf("not reported:\n%.500s", out.String())
+			t.Fatalf("the dropped lines are not logged:\n%.500s", out.String())
 		}
-		l.Info("still here", "at", time.Now())
+		l.Info("still running", "at", time.Now())
 		time.Sleep(10 * time.Millisecond)
 	}
 	l.Close(time.Second)
-	logged := int64(0)
+	reported := int64(0)
 	if _, text, ok := strings.Cut(out.String(), "count="); ok {
-		fmt.Sscan(text, &logged)
+		fmt.Sscan(text, &reported)
 	}
-	if logged < dropped || logged > l.Dropped() { // a few more may have been dropped since it was stuck
-		t.Errorf("%d reported, %d dropped", logged, dropped)
+	if reported < dropped || reported > l.Dropped() { // some lines may have been dropped after the output was unblocked
+		t.Errorf("%d lines logged as dropped, %d were dropped", reported, dropped)
 	}
 }
--- a/maintenance/golden_test.go
+++ b/maintenance/golden_test.go
@@ -9,8 +9,9 @@
 	"pineport/testbed/golden"
 )
 
-// TestFileIsAsRecorded: the file is written byte by byte as recorded, and reads as what was written.
-func TestFileIsAsRecorded(t *testing.T) {
+// TestFileMatchesGolden: the written file must be byte-identical to the golden file, and reading it must return the endpoints
+// that were written.
+func TestFileMatchesGolden(t *testing.T) {
 	golden.Tagged(t, body{})
 	dir := t.TempDir()
 	if err := NewWriter(dir, "n0").Write(1, map[string]bool{"s-1": true, "s-2": true}); err != nil {
@@ -21,7 +22,7 @@
 		t.Fatal(err)
 	}
 	golden.Check(t, "maintenance.golden", content)
-	if out, err := Read(dir, "n0"); err != nil || !slices.Equal(out, []string{"s-1", "s-2"}) {
-		t.Errorf("%v, %v", out, err)
+	if disabled, err := Read(dir, "n0"); err != nil || !slices.Equal(disabled, []string{"s-1", "s-2"}) {
+		t.Errorf("%v, %v", disabled, err)
 	}
 }
--- a/maintenance/maintenance.go
+++ b/maintenance/maintenance.go
@@ -1,5 +1,5 @@
-// Package maintenance keeps which endpoints people have taken out, in a file that outlasts the process. What that means for
-// them is not decided here.
+// Package maintenance stores the list of endpoints that operators have disabled, in a file that survives restarts of the
+// process. It does not decide how a disabled endpoint is treated.
 package maintenance
 
 import (
@@ -13,101 +13,104 @@
 	"pineport/atomicfile"
 )
 
-// Name of the file, in the folder that lasts.
+// Name is the file name in the state directory.
 const Name = "maintenance.out"
 
 const (
 	magic   = "PPMT"
 	version = 1
-	// Limit is the most that the file may hold: some hundred endpoints.
-	Limit = 16 << 10
-	// Reserve is what the folder must have free for it: the file, and its successor while it is replaced.
-	Reserve = 2 * Limit
+	// MaxFileSize is the maximum size of the file in bytes, enough for some hundred endpoints.
+	MaxFileSize = 16 << 10
+	// Reserve is the number of bytes reserved in the state directory: for the file and, during a replacement, the new file.
+	Reserve = 2 * MaxFileSize
 )
 
-// Why a file is not used, beside what encoded says.
+// Reasons for which a file is not used, beside the errors of package atomicfile.
 var (
-	ErrVersion      = errors.New("of another version")
-	ErrOtherCourier = errors.New("of another courier")
+	ErrVersion      = errors.New("unsupported version")
+	ErrOtherCourier = errors.New("file belongs to another courier")
 )
 
-// ErrTooMany says that more endpoints are out than the file may name.
-var ErrTooMany = errors.New("too many endpoints are out")
+// ErrTooMany is returned if the disabled endpoints do not fit into a file of MaxFileSize bytes.
+var ErrTooMany = errors.New("too many disabled endpoints")
 
+// body is the JSON payload of the file.
 type body struct {
-	Courier string   `json:"courier"`
-	Out     []string `json:"out"`
+	Courier  string   `json:"courier"`
+	Disabled []string `json:"out"`
 }
 
-func encode(courier string, out []string) ([]byte, error) {
-	text, err := json.Marshal(body{courier, out})
-	if err == nil && len(text)+atomicfile.HeadSize > Limit {
+func encode(courier string, disabled []string) ([]byte, error) {
+	payload, err := json.Marshal(body{courier, disabled})
+	if err == nil && len(payload)+atomicfile.HeaderSize > MaxFileSize {
 		err = ErrTooMany
 	}
-	return atomicfile.Encode(magic, version, text), err
+	return atomicfile.Encode(magic, version, payload), err
 }
 
-// Read tells which endpoints are out, by the file in a folder; none where there is no file.
+// Read returns the disabled endpoints listed in the file in dir, or nil if there is no file.
 func Read(dir, courier string) ([]string, error) {
-	content, err := atomicfile.Read(dir, Name, Limit)
+	content, err := atomicfile.Read(dir, Name, MaxFileSize)
 	if errors.Is(err, atomicfile.ErrAbsent) {
 		return nil, nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	v, text, err := atomicfile.Decode(magic, content)
+	fileVersion, payload, err := atomicfile.Decode(magic, content)
 	switch {
 	case err != nil:
 		return nil, err
-	case v != version:
-		return nil, fmt.Errorf("%w: %d, this program knows %d", ErrVersion, v, version)
+	case fileVersion != version:
+		return nil, fmt.Errorf("%w: %d, supported version is %d", ErrVersion, fileVersion, version)
 	}
-	var b body
-	if err := json.Unmarshal(text, &b); err != nil {
+	var decoded body
+	if err := json.Unmarshal(payload, &decoded); err != nil {
 		return nil, fmt.Errorf("%w: %v", atomicfile.ErrTorn, err)
 	}
-	if b.Courier != courier {
-		return nil, fmt.Errorf("%w: %q", ErrOtherCourier, b.Courier)
+	if decoded.Courier != courier {
+		return nil, fmt.Errorf("%w: %q", ErrOtherCourier, decoded.Courier)
 	}
-	return b.Out, nil
+	return decoded.Disabled, nil
 }
 
-// Writer writes the file. Calls may come from several goroutines, and out of order.
+// Writer writes the file. It is safe for concurrent use, and Write may be called out of order.
 type Writer struct {
-	dir, courier string
-	mu           sync.Mutex
-	written      int64
-	stopped      bool
+	dir, courier      string
+	mu                sync.Mutex
+	writtenGeneration int64 // generation of the list in the file
+	stopped           bool  // set by Stop: Write does nothing
 }
 
-// NewWriter makes a keeper for a folder, and removes what a write left behind that was cut off.
+// NewWriter returns a Writer for the file in dir and removes the temporary files of interrupted writes.
 func NewWriter(dir, courier string) *Writer {
-	atomicfile.RemoveLeftovers(dir, Name)
+	atomicfile.RemoveTempFiles(dir, Name)
 	return &Writer{dir: dir, courier: courier}
 }
 
-// Stop ends the writing: what is out has been handed to another process, which has it in the file before it serves.
-func (k *Writer) Stop() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.stopped = true
+// Stop makes Write do nothing from now on. It is called when the disabled endpoints have been handed over to another
+// process, which writes the file before it serves.
+func (w *Writer) Stop() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.stopped = true
 }
 
-// Write returns once the endpoints that were out at a step, or a later one, are in the file.
-func (k *Writer) Write(turn int64, out map[string]bool) error {
-	content, err := encode(k.courier, slices.Sorted(maps.Keys(out)))
+// Write stores the disabled endpoints of a generation. If the file already has the same or a later generation, it is left
+// unchanged.
+func (w *Writer) Write(generation int64, disabled map[string]bool) error {
+	content, err := encode(w.courier, slices.Sorted(maps.Keys(disabled)))
 	if err != nil {
 		return err
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if turn <= k.written || k.stopped {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if generation <= w.writtenGeneration || w.stopped {
 		return nil
 	}
-	if err := atomicfile.Write(k.dir, Name, content); err != nil {
+	if err := atomicfile.Write(w.dir, Name, content); err != nil {
 		return err
 	}
-	k.written = turn
+	w.writtenGeneration = generation
 	return nil
 }
--- a/maintenance/maintenance_test.go
+++ b/maintenance/maintenance_test.go
@@ -11,49 +11,50 @@
 	"pineport/atomicfile"
 )
 
-// Failure: endpoints that people had taken out were called again after a restart, or a damaged file ended the start.
-func TestWhatIsOutOutlastsTheProcess(t *testing.T) {
+// TestDisabledEndpointsSurviveRestart guards against two failures: endpoints that operators had disabled were called again
+// after a restart, and a damaged file made the start fail.
+func TestDisabledEndpointsSurviveRestart(t *testing.T) {
 	dir := t.TempDir()
-	if out, err := Read(dir, "n0"); out != nil || err != nil {
-		t.Fatalf("no file: %v, %v", out, err)
+	if disabled, err := Read(dir, "n0"); disabled != nil || err != nil {
+		t.Fatalf("no file: %v, %v", disabled, err)
 	}
-	k := NewWriter(dir, "n0")
-	for turn, out := range []map[string]bool{{"a": true}, {"a": true, "b": true}} {
-		if err := k.Write(int64(turn+1), out); err != nil {
+	writer := NewWriter(dir, "n0")
+	for index, disabled := range []map[string]bool{{"a": true}, {"a": true, "b": true}} {
+		if err := writer.Write(int64(index+1), disabled); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := k.Write(1, map[string]bool{"a": true}); err != nil { // came late: the later one stands
+	if err := writer.Write(1, map[string]bool{"a": true}); err != nil { // an older generation must not replace a newer one
 		t.Fatal(err)
 	}
-	if out, err := Read(dir, "n0"); err != nil || !slices.Equal(out, []string{"a", "b"}) {
-		t.Fatalf("%v, %v", out, err)
+	if disabled, err := Read(dir, "n0"); err != nil || !slices.Equal(disabled, []string{"a", "b"}) {
+		t.Fatalf("%v, %v", disabled, err)
 	}
-	sound, err := os.ReadFile(filepath.Join(dir, Name))
+	valid, err := os.ReadFile(filepath.Join(dir, Name))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, c := range map[string]struct {
 		content []byte
 		courier string
-		fault   error
+		wantErr error
 	}{
-		"torn":         {sound[:len(sound)-1], "n0", atomicfile.ErrTorn},
-		"damaged":      {append(slices.Clone(sound[:len(sound)-1]), 'x'), "n0", atomicfile.ErrTorn},
-		"empty":        {nil, "n0", atomicfile.ErrTorn},
-		"newer":        {atomicfile.Encode(magic, version+1, []byte("{}")), "n0", ErrVersion},
-		"other things": {atomicfile.Encode(magic, version, []byte("[]")), "n0", atomicfile.ErrTorn},
-		"stranger":     {sound, "n1", ErrOtherCourier},
-		"too large":    {make([]byte, Limit+1), "n0", atomicfile.ErrTooLarge},
+		"torn":          {valid[:len(valid)-1], "n0", atomicfile.ErrTorn},
+		"damaged":       {append(slices.Clone(valid[:len(valid)-1]), 'x'), "n0", atomicfile.ErrTorn},
+		"empty":         {nil, "n0", atomicfile.ErrTorn},
+		"newer":         {atomicfile.Encode(magic, version+1, []byte("{}")), "n0", ErrVersion},
+		"wrong payload": {atomicfile.Encode(magic, version, []byte("[]")), "n0", atomicfile.ErrTorn},
+		"stranger":      {valid, "n1", ErrOtherCourier},
+		"too large":     {make([]byte, MaxFileSize+1), "n0", atomicfile.ErrTooLarge},
 	} {
 		if err := os.WriteFile(filepath.Join(dir, Name), c.content, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if out, err := Read(dir, c.courier); len(out) > 0 || !errors.Is(err, c.fault) {
-			t.Errorf("%s: %v, %v", name, out, err)
+		if disabled, err := Read(dir, c.courier); len(disabled) > 0 || !errors.Is(err, c.wantErr) {
+			t.Errorf("%s: %v, %v", name, disabled, err)
 		}
 	}
-	if err := k.Write(9, map[string]bool{strings.Repeat("x", Limit): true}); !errors.Is(err, ErrTooMany) {
+	if err := writer.Write(9, map[string]bool{strings.Repeat("x", MaxFileSize): true}); !errors.Is(err, ErrTooMany) {
 		t.Errorf("too many: %v", err)
 	}
 }
--- a/snapshot/file.go
+++ b/snapshot/file.go
@@ -1,5 +1,5 @@
-// Package snapshot stores snapshots of the learned state in one file that outlasts the process: versioned, checksummed, replaced
-// as a whole, never half written. Whether a snapshot is still used after a while is decided in package dispatch.
+// Package snapshot stores the learned state of the dispatcher in one file that survives restarts of the process. The file
+// is versioned, checksummed and replaced atomically. Package dispatch decides whether a snapshot is too old to be used.
 package snapshot
 
 import (
@@ -14,42 +14,42 @@
 	"pineport/dispatch"
 )
 
-// Name of the file, in the state folder.
+// Name is the file name in the state directory.
 const Name = "learned.lore"
 
-// A file is that of package atomicfile, with CBOR in it.
+// The file has the format of package atomicfile, with CBOR as its payload.
 const (
-	magic    = "PPLL"
-	version  = 2
-	headSize = atomicfile.HeadSize
-	block    = 512 // files count in whole blocks
+	magic      = "PPLL"
+	version    = 2
+	headerSize = atomicfile.HeaderSize
+	blockSize  = 512 // disk usage is counted in whole blocks
 )
 
-// Why a file is not used. Each is wrapped with what the file has in its place.
+// Reasons for which a file is not used. Most are returned wrapped, with the value found in the file.
 var (
-	ErrAbsent       = atomicfile.ErrAbsent
-	ErrTorn         = atomicfile.ErrTorn
-	ErrTooLarge     = atomicfile.ErrTooLarge
-	ErrOlder        = errors.New("of a version that is too old")
-	ErrNewer        = errors.New("of a newer version")
-	ErrOtherCourier = errors.New("of another courier")
-	ErrFuture       = errors.New("from the future: the clock went backwards")
-	ErrImplausible  = errors.New("holds what cannot be")
+	ErrAbsent        = atomicfile.ErrAbsent
+	ErrTorn          = atomicfile.ErrTorn
+	ErrTooLarge      = atomicfile.ErrTooLarge
+	ErrVersionTooOld = errors.New("version too old")
+	ErrVersionTooNew = errors.New("version too new")
+	ErrOtherCourier  = errors.New("file belongs to another courier")
+	ErrFuture        = errors.New("taken in the future: the clock went backwards")
+	ErrImplausible   = errors.New("contains implausible values")
 )
 
-// State is the content of a file; the tags are the names in the output of commands.
+// State is the content of a file. The JSON tags are the names in the output of the command "state show".
 type State struct {
 	Courier  string            `json:"Courier"`
 	Snapshot dispatch.Snapshot `json:"Lore"`
 }
 
-// body is the body of version 2.
+// body is the payload of version 2.
 type body struct {
 	Courier  string            `cbor:"1,keyasint"`
 	Snapshot dispatch.Snapshot `cbor:"2,keyasint"`
 }
 
-// bodyV1 is the body of version 1, which had no state of connections and endpoints; the rest means the same.
+// bodyV1 is the payload of version 1, which has no lost calls and no endpoints. Its fields mean the same as in version 2.
 type bodyV1 struct {
 	Courier     string                   `cbor:"1,keyasint"`
 	TakenAt     dispatch.Micros          `cbor:"2,keyasint"`
@@ -63,58 +63,59 @@
 		DupMapKey: cbor.DupMapKeyEnforcedAPF}.DecMode())
 )
 
+// must returns mode and panics on an error.
 func must[T any](mode T, err error) T {
 	if err != nil {
-		panic(err) // options that are fixed here
+		panic(err) // the options are constant, so an error is a programming error
 	}
 	return mode
 }
 
-// Encode returns the content of a file, of at most limit bytes. Where all does not fit, the groups that were called last are
-// kept, and the endpoints that failed last.
+// Encode returns the content of a file, of at most limit bytes. If the state is larger, Encode keeps the groups with the
+// most recent calls and the last entries of Endpoints, which are those that failed most recently.
 func Encode(state State, limit int) ([]byte, error) {
 	snapshot := state.Snapshot
 	snapshot.Groups, snapshot.RestingKeys = slices.Clone(snapshot.Groups), nil
 	slices.SortStableFunc(snapshot.Groups, func(a, b dispatch.GroupSnapshot) int { return int(min(1, max(-1, b.LastCall-a.LastCall))) })
 	for {
-		text, err := encoder.Marshal(body{state.Courier, snapshot})
+		payload, err := encoder.Marshal(body{state.Courier, snapshot})
 		if err != nil {
 			return nil, err
 		}
-		if len(text)+headSize <= limit {
-			return atomicfile.Encode(magic, version, text), nil
+		if len(payload)+headerSize <= limit {
+			return atomicfile.Encode(magic, version, payload), nil
 		}
 		if len(snapshot.Groups) == 0 && len(snapshot.Endpoints) == 0 {
-			return nil, fmt.Errorf("%w: %d bytes, %d allowed", ErrTooLarge, len(text)+headSize, limit)
+			return nil, fmt.Errorf("%w: %d bytes, %d allowed", ErrTooLarge, len(payload)+headerSize, limit)
 		}
-		// A little less than what seems to fit, so that it does the second time.
-		part := 0.95 * float64(limit) / float64(len(text)+headSize)
-		snapshot.Groups = snapshot.Groups[:int(part*float64(len(snapshot.Groups)))]
-		snapshot.Endpoints = snapshot.Endpoints[len(snapshot.Endpoints)-int(part*float64(len(snapshot.Endpoints))):]
+		// Keep 5% less than the ratio allows, so that the second pass fits.
+		fraction := 0.95 * float64(limit) / float64(len(payload)+headerSize)
+		snapshot.Groups = snapshot.Groups[:int(fraction*float64(len(snapshot.Groups)))]
+		snapshot.Endpoints = snapshot.Endpoints[len(snapshot.Endpoints)-int(fraction*float64(len(snapshot.Endpoints))):]
 	}
 }
 
-// Decode reads the content of a file of either version.
+// Decode decodes the content of a file of version 1 or 2.
 func Decode(content []byte) (State, error) {
-	v, text, err := atomicfile.Decode(magic, content)
+	fileVersion, payload, err := atomicfile.Decode(magic, content)
 	if err != nil {
 		return State{}, err
 	}
 	var state State
 	switch {
-	case v > version:
-		return state, fmt.Errorf("%w: %d, this program knows %d", ErrNewer, v, version)
-	case v == 1:
+	case fileVersion > version:
+		return state, fmt.Errorf("%w: %d, newest supported version is %d", ErrVersionTooNew, fileVersion, version)
+	case fileVersion == 1:
 		var b bodyV1
-		if err := decoder.Unmarshal(text, &b); err != nil {
+		if err := decoder.Unmarshal(payload, &b); err != nil {
 			return state, fmt.Errorf("%w: %v", ErrTorn, err)
 		}
 		state = State{b.Courier, dispatch.Snapshot{TakenAt: b.TakenAt, Groups: b.Groups, AnswerTimes: b.AnswerTimes}}
-	case v < 1:
-		return state, fmt.Errorf("%w: %d", ErrOlder, v)
+	case fileVersion < 1:
+		return state, fmt.Errorf("%w: %d", ErrVersionTooOld, fileVersion)
 	default:
 		var b body
-		if err := decoder.Unmarshal(text, &b); err != nil {
+		if err := decoder.Unmarshal(payload, &b); err != nil {
 			return state, fmt.Errorf("%w: %v", ErrTorn, err)
 		}
 		state = State(b)
@@ -125,42 +126,43 @@
 	return state, nil
 }
 
-// Bounds of plausible values: wide, so that they only catch what would harm the dispatcher.
+// Limits for plausible values. They are wide: they reject only values that would harm the dispatcher.
 const (
-	longest = dispatch.Micros(3600 * 1000 * 1000) // of an interval, or of a Retry-After that is still to come
-	largest = 1e9
+	maxInterval = dispatch.Micros(3600 * 1000 * 1000) // for an interval, and for the rest of a Retry-After; in microseconds
+	maxValue    = 1e9
 )
 
-// validate checks that values are plausible. A checksum proves that a file is what was written, not that it made sense.
+// validate checks that the values are plausible. The checksum only shows that the file is unchanged since it was written,
+// not that the values were right.
 func validate(snapshot dispatch.Snapshot) error {
-	number := func(values ...float64) bool {
+	validNumbers := func(values ...float64) bool {
 		for _, v := range values {
-			if math.IsNaN(v) || v < 0 || v > largest {
+			if math.IsNaN(v) || v < 0 || v > maxValue {
 				return false
 			}
 		}
 		return true
 	}
-	sums := func(all ...dispatch.SumSnapshot) bool {
+	validSums := func(all ...dispatch.SumSnapshot) bool {
 		for _, s := range all {
-			if math.IsNaN(s.Weight) || s.Weight < 0 || s.Weight > largest || math.IsNaN(s.Total) || math.Abs(s.Total) > 1e18 || s.Total < 0 {
+			if math.IsNaN(s.Weight) || s.Weight < 0 || s.Weight > maxValue || math.IsNaN(s.Total) || math.Abs(s.Total) > 1e18 || s.Total < 0 {
 				return false
 			}
 		}
 		return true
 	}
-	if !sums(snapshot.AnswerTimes) || !sums(snapshot.LostCalls...) {
-		return fmt.Errorf("%w: sums", ErrImplausible)
+	if !validSums(snapshot.AnswerTimes) || !validSums(snapshot.LostCalls...) {
+		return fmt.Errorf("%w: answer times or lost calls", ErrImplausible)
 	}
 	for _, group := range snapshot.Groups {
-		past := func(at dispatch.Micros) bool { return at <= snapshot.TakenAt }
-		ok := sums(group.AnswerTimes, group.Deliveries) && number(group.UsualRate, group.ReportedRate) && past(group.CountedSince) && past(group.LastCall) && past(group.LastDelivery) &&
-			past(group.OutageAt) && group.RetryAfterUntil <= snapshot.TakenAt+longest && group.Interval >= 0 && group.Interval <= longest && group.ThrottledInterval >= 0 && group.ThrottledInterval <= longest &&
-			group.WarmedFor >= 0 && group.WarmedFor <= longest && group.FailureSigns >= 0 && group.ThrottleSigns >= 0
+		notInFuture := func(at dispatch.Micros) bool { return at <= snapshot.TakenAt }
+		valid := validSums(group.AnswerTimes, group.Deliveries) && validNumbers(group.UsualRate, group.ReportedRate) && notInFuture(group.CountedSince) && notInFuture(group.LastCall) && notInFuture(group.LastDelivery) &&
+			notInFuture(group.OutageAt) && group.RetryAfterUntil <= snapshot.TakenAt+maxInterval && group.Interval >= 0 && group.Interval <= maxInterval && group.ThrottledInterval >= 0 && group.ThrottledInterval <= maxInterval &&
+			group.WarmedFor >= 0 && group.WarmedFor <= maxInterval && group.FailureSigns >= 0 && group.ThrottleSigns >= 0
 		for _, b := range group.Breakers {
-			ok = ok && b.Failures >= 0 && b.OpenUntil <= snapshot.TakenAt+longest
+			valid = valid && b.Failures >= 0 && b.OpenUntil <= snapshot.TakenAt+maxInterval
 		}
-		if !ok {
+		if !valid {
 			return fmt.Errorf("%w: destination %d", ErrImplausible, group.Destination)
 		}
 	}
@@ -168,8 +170,8 @@
 		if len(endpoint.FailureRuns) == 0 {
 			return fmt.Errorf("%w: endpoint %s", ErrImplausible, endpoint.Endpoint)
 		}
-		for _, n := range endpoint.FailureRuns {
-			if n.Failures < 0 || n.EjectedUntil > snapshot.TakenAt+longest {
+		for _, run := range endpoint.FailureRuns {
+			if run.Failures < 0 || run.EjectedUntil > snapshot.TakenAt+maxInterval {
 				return fmt.Errorf("%w: endpoint %s", ErrImplausible, endpoint.Endpoint)
 			}
 		}
@@ -177,10 +179,11 @@
 	return nil
 }
 
-// Write replaces the file in a folder as a whole.
+// Write atomically replaces the file in dir.
 func Write(dir string, content []byte) error { return atomicfile.Write(dir, Name, content) }
 
-// Read reads the file in a folder for a courier, at an instant; an empty courier and an instant of 0 are not checked.
+// Read reads the file in dir. It fails if the file belongs to another courier, or if the snapshot was taken after now. An
+// empty courier or a now of 0 turns off that check.
 func Read(dir, courier string, now dispatch.Micros, limit int) (State, error) {
 	content, err := atomicfile.Read(dir, Name, limit)
 	if err != nil {
@@ -198,15 +201,16 @@
 	return state, nil
 }
 
-// Sweep removes what an interrupted write left behind, and returns how many files that were.
-func Sweep(dir string) (removed int) { return atomicfile.RemoveLeftovers(dir, Name) }
+// Sweep removes the temporary files of interrupted writes and returns their number.
+func Sweep(dir string) (removed int) { return atomicfile.RemoveTempFiles(dir, Name) }
 
-// MaxSize is the most that a file may hold in any folder, in bytes.
+// MaxSize is the maximum size of the file in bytes, whatever the size limit of the directory.
 const MaxSize = 128 << 10
 
-// Reserve returns how many bytes of a folder's limit are reserved for the file and, while it is replaced, its successor, in whole
-// blocks, and the limit of one of them: a sixteenth of the folder together, a quarter of a megabyte at most.
-func Reserve(folder int64) (room int64, limit int) {
-	each := min(folder/16, 2*MaxSize) / 2 / block * block
-	return 2 * each, int(each)
+// Reserve divides the size limit of the state directory. reserved is the number of bytes for the file and, during a
+// replacement, the new file; fileLimit is the limit for each of the two. reserved is 1/16 of folderLimit, at most 256 KiB,
+// and both results are whole blocks.
+func Reserve(folderLimit int64) (reserved int64, fileLimit int) {
+	perFile := min(folderLimit/16, 2*MaxSize) / 2 / blockSize * blockSize
+	return 2 * perFile, int(perFile)
 }
--- a/snapshot/golden_test.go
+++ b/snapshot/golden_test.go
@@ -11,33 +11,34 @@
 	"pineport/testbed/golden"
 )
 
-const millionYears = 1 << 60 // microseconds: later than any instant that golden.Fill sets
+const farFuture = 1 << 60 // in microseconds; later than any time that golden.Fill sets
 
-// recordedState is a state with every field set, as the files of testdata hold it.
-func recordedState() (state State) {
+// goldenState returns the state in the golden files, which has every field set.
+func goldenState() (state State) {
 	golden.Fill(&state)
-	state.Snapshot.TakenAt = millionYears
-	state.Snapshot.RestingKeys = nil // no file keeps them
+	state.Snapshot.TakenAt = farFuture
+	state.Snapshot.RestingKeys = nil // not stored in the file
 	return state
 }
 
-// TestFileIsAsRecorded: the file of today's version is written byte by byte as recorded, and reads as what was written.
-func TestFileIsAsRecorded(t *testing.T) {
+// TestEncodeMatchesGolden: a file of the current version must be byte-identical to the golden file, and decoding it must
+// return the encoded state.
+func TestEncodeMatchesGolden(t *testing.T) {
 	golden.Tagged(t, body{})
 	golden.Tagged(t, State{})
-	content, err := Encode(recordedState(), 1<<16)
+	content, err := Encode(goldenState(), 1<<16)
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Check(t, "version-2.golden", content)
 	got, err := Decode(content)
-	if err != nil || !reflect.DeepEqual(got, recordedState()) {
-		t.Errorf("%v: read as %+v", err, got)
+	if err != nil || !reflect.DeepEqual(got, goldenState()) {
+		t.Errorf("%v: decoded as %+v", err, got)
 	}
 }
 
-// TestRecordedFilesAreRead: the recorded files of both versions read as what was recorded.
-func TestRecordedFilesAreRead(t *testing.T) {
+// TestDecodeGolden: decoding the golden files of versions 1 and 2 must return the state that they were made from.
+func TestDecodeGolden(t *testing.T) {
 	for name, want := range map[string]func(*State){
 		"version-2.golden": func(*State) {},
 		"version-1.golden": func(s *State) { s.Snapshot.LostCalls, s.Snapshot.Endpoints = nil, nil },
@@ -46,38 +47,38 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		state := recordedState()
+		state := goldenState()
 		want(&state)
 		if got, err := Decode(content); err != nil || !reflect.DeepEqual(got, state) {
-			t.Errorf("%s: %v: %+v", name, err, got)
+			t.Errorf("%s: %v: decoded as %+v", name, err, got)
 		}
 	}
 }
 
-// TestFirstVersionIsAsRecorded holds the recorded file of the first version, which nothing writes any more, against what a writer of
-// it would write.
-func TestFirstVersionIsAsRecorded(t *testing.T) {
-	state := recordedState()
-	text, err := encoder.Marshal(bodyV1{state.Courier, state.Snapshot.TakenAt, state.Snapshot.Groups, state.Snapshot.AnswerTimes})
+// TestVersion1MatchesGolden: the golden file of version 1, which the program no longer writes, must be byte-identical to an
+// encoding of bodyV1.
+func TestVersion1MatchesGolden(t *testing.T) {
+	state := goldenState()
+	payload, err := encoder.Marshal(bodyV1{state.Courier, state.Snapshot.TakenAt, state.Snapshot.Groups, state.Snapshot.AnswerTimes})
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Check(t, "version-1.golden", atomicfile.Encode(magic, 1, text))
+	golden.Check(t, "version-1.golden", atomicfile.Encode(magic, 1, payload))
 }
 
-// TestStateInJSONIsAsRecorded: what "state show --output json" prints, and a script reads.
-func TestStateInJSONIsAsRecorded(t *testing.T) {
-	var text bytes.Buffer
-	encoder := json.NewEncoder(&text)
+// TestStateJSONMatchesGolden: the output of "state show --output json", which scripts read, must match the golden file.
+func TestStateJSONMatchesGolden(t *testing.T) {
+	var output bytes.Buffer
+	encoder := json.NewEncoder(&output)
 	encoder.SetIndent("", "  ")
 	var state State
 	golden.Fill(&state)
 	if err := encoder.Encode(state); err != nil {
 		t.Fatal(err)
 	}
-	golden.Check(t, "state.json.golden", text.Bytes())
-	var again State
-	if err := json.Unmarshal(text.Bytes(), &again); err != nil || !reflect.DeepEqual(again, state) {
-		t.Errorf("%v: read as %+v", err, again)
+	golden.Check(t, "state.json.golden", output.Bytes())
+	var decoded State
+	if err := json.Unmarshal(output.Bytes(), &decoded); err != nil || !reflect.DeepEqual(decoded, state) {
+		t.Errorf("%v: decoded as %+v", err, decoded)
 	}
 }
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -21,109 +21,111 @@
 	"pineport/dispatch"
 )
 
-var kills = flag.Int("kills", 60, "how often a process is killed while it writes")
+var kills = flag.Int("kills", 60, "number of times that a writing process is killed")
 
 func TestMain(m *testing.M) {
 	if dir := os.Getenv("LEARNED_WRITES"); dir != "" {
-		writeForEver(dir)
+		writeUntilKilled(dir)
 	}
 	os.Exit(m.Run())
 }
 
-const at = dispatch.Micros(1_700_000_000_000_000)
+const baseTime = dispatch.Micros(1_700_000_000_000_000)
 
-func sums(t *rapid.T, n int) (all []dispatch.SumSnapshot) {
+func drawSums(t *rapid.T, n int) (all []dispatch.SumSnapshot) {
 	for range n {
 		all = append(all, dispatch.SumSnapshot{Weight: rapid.Float64Range(0, 1e6).Draw(t, "weight"), Total: rapid.Float64Range(0, 1e12).Draw(t, "total")})
 	}
 	return all
 }
 
-func ago(t *rapid.T, what string) dispatch.Micros {
-	return at - dispatch.Micros(rapid.Int64Range(0, 1e9).Draw(t, what))
+func drawPastTime(t *rapid.T, label string) dispatch.Micros {
+	return baseTime - dispatch.Micros(rapid.Int64Range(0, 1e9).Draw(t, label))
 }
 
-func span(t *rapid.T, what string) dispatch.Micros {
-	return dispatch.Micros(rapid.Int64Range(0, int64(longest)).Draw(t, what))
+func drawInterval(t *rapid.T, label string) dispatch.Micros {
+	return dispatch.Micros(rapid.Int64Range(0, int64(maxInterval)).Draw(t, label))
 }
 
-func state(t *rapid.T) State {
-	snapshot := dispatch.Snapshot{TakenAt: at, AnswerTimes: sums(t, 1)[0], LostCalls: sums(t, 10)}
+func drawState(t *rapid.T) State {
+	snapshot := dispatch.Snapshot{TakenAt: baseTime, AnswerTimes: drawSums(t, 1)[0], LostCalls: drawSums(t, 10)}
 	for i := range rapid.IntRange(0, 30).Draw(t, "routes") {
 		snapshot.Groups = append(snapshot.Groups, dispatch.GroupSnapshot{Destination: dispatch.DestinationID(i), Endpoint: dispatch.EndpointID(rapid.StringN(0, 20, -1).Draw(t, "endpoint")),
-			AnswerTimes: sums(t, 1)[0], Deliveries: sums(t, 1)[0], CountedSince: ago(t, "since"), LastCall: ago(t, "call"), LastDelivery: ago(t, "done"),
-			RetryAfterUntil: at + span(t, "wait"), Interval: span(t, "gap"), ThrottledInterval: span(t, "knee"), FailureSigns: rapid.IntRange(0, 99).Draw(t, "strikes"),
-			Outage: rapid.Bool().Draw(t, "sick"), OutageAt: ago(t, "sick at"), WarmingUp: rapid.Bool().Draw(t, "cold"), WarmedFor: span(t, "ramped"),
+			AnswerTimes: drawSums(t, 1)[0], Deliveries: drawSums(t, 1)[0], CountedSince: drawPastTime(t, "since"), LastCall: drawPastTime(t, "call"), LastDelivery: drawPastTime(t, "done"),
+			RetryAfterUntil: baseTime + drawInterval(t, "wait"), Interval: drawInterval(t, "gap"), ThrottledInterval: drawInterval(t, "knee"), FailureSigns: rapid.IntRange(0, 99).Draw(t, "strikes"),
+			Outage: rapid.Bool().Draw(t, "sick"), OutageAt: drawPastTime(t, "outage at"), WarmingUp: rapid.Bool().Draw(t, "cold"), WarmedFor: drawInterval(t, "ramped"),
 			UsualRate: rapid.Float64Range(0, 1e6).Draw(t, "usual"), ReportedRate: rapid.Float64Range(0, 1e6).Draw(t, "rate"),
-			Breakers: []dispatch.BreakerSnapshot{{Failures: rapid.IntRange(0, 6).Draw(t, "fails"), OpenUntil: at + span(t, "until")}}})
+			Breakers: []dispatch.BreakerSnapshot{{Failures: rapid.IntRange(0, 6).Draw(t, "fails"), OpenUntil: baseTime + drawInterval(t, "until")}}})
 	}
-	snapshot.Endpoints = append(snapshot.Endpoints, dispatch.EndpointSnapshot{Endpoint: "x", FailureRuns: []dispatch.RunSnapshot{{Failures: 2, EjectedUntil: at + 5}}})
+	snapshot.Endpoints = append(snapshot.Endpoints, dispatch.EndpointSnapshot{Endpoint: "x", FailureRuns: []dispatch.RunSnapshot{{Failures: 2, EjectedUntil: baseTime + 5}}})
 	return State{Courier: rapid.StringN(1, 30, -1).Draw(t, "courier"), Snapshot: snapshot}
 }
 
-// TestEncodeDecode: what is written is what is read, to the bit; a limit only takes whole routes away, the last called last.
+// TestEncodeDecode: decoding must return the encoded state. A size limit may only remove whole groups, those with the oldest
+// last call first.
 func TestEncodeDecode(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		state := state(t)
+		state := drawState(t)
 		content, err := Encode(state, 1<<20)
 		if err != nil {
 			t.Fatal(err)
 		}
-		back, err := Decode(content)
+		decoded, err := Decode(content)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(back.Snapshot.Groups) != len(state.Snapshot.Groups) || back.Courier != state.Courier || !reflect.DeepEqual(back.Snapshot.LostCalls, state.Snapshot.LostCalls) {
-			t.Fatalf("%+v\nbecame %+v", state, back)
+		if len(decoded.Snapshot.Groups) != len(state.Snapshot.Groups) || decoded.Courier != state.Courier || !reflect.DeepEqual(decoded.Snapshot.LostCalls, state.Snapshot.LostCalls) {
+			t.Fatalf("%+v\ndecoded as %+v", state, decoded)
 		}
 		limit := rapid.IntRange(600, 4000).Draw(t, "limit")
-		small, err := Encode(state, limit)
+		limited, err := Encode(state, limit)
 		if errors.Is(err, ErrTooLarge) {
 			return
 		}
-		if back, err = Decode(small); err != nil || len(small) > limit {
-			t.Fatalf("%d bytes of %d: %v", len(small), limit, err)
+		if decoded, err = Decode(limited); err != nil || len(limited) > limit {
+			t.Fatalf("%d bytes with a limit of %d: %v", len(limited), limit, err)
 		}
 		kept := map[dispatch.DestinationID]bool{}
-		oldest := at
-		for _, group := range back.Snapshot.Groups {
-			kept[group.Destination], oldest = true, min(oldest, group.LastCall)
+		oldestKept := baseTime
+		for _, group := range decoded.Snapshot.Groups {
+			kept[group.Destination], oldestKept = true, min(oldestKept, group.LastCall)
 		}
 		for _, group := range state.Snapshot.Groups {
-			if !kept[group.Destination] && group.LastCall > oldest {
-				t.Fatalf("a route called at %d was left out for one called at %d", group.LastCall, oldest)
+			if !kept[group.Destination] && group.LastCall > oldestKept {
+				t.Fatalf("a group last called at %d was removed, but one last called at %d was kept", group.LastCall, oldestKept)
 			}
 		}
 	})
 }
 
-// TestSpoilt: a flipped bit anywhere, a cut anywhere, nonsense and an empty file are each reported and never used.
-func TestSpoilt(t *testing.T) {
-	content, err := Encode(State{Courier: "n1", Snapshot: dispatch.Snapshot{TakenAt: at, Groups: []dispatch.GroupSnapshot{{Destination: 1}, {Destination: 2}}}}, 1<<16)
+// TestDecodeRejectsDamage: Decode must reject a file with any single bit flipped, a file truncated at any byte, and a file with
+// an intact checksum but implausible values.
+func TestDecodeRejectsDamage(t *testing.T) {
+	content, err := Encode(State{Courier: "n1", Snapshot: dispatch.Snapshot{TakenAt: baseTime, Groups: []dispatch.GroupSnapshot{{Destination: 1}, {Destination: 2}}}}, 1<<16)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range content {
 		for bit := range 8 {
-			bad := append([]byte(nil), content...)
-			bad[i] ^= 1 << bit
-			if state, err := Decode(bad); err == nil {
+			damaged := append([]byte(nil), content...)
+			damaged[i] ^= 1 << bit
+			if state, err := Decode(damaged); err == nil {
 				t.Fatalf("bit %d of byte %d flipped: %+v", bit, i, state)
 			}
 		}
 		if _, err := Decode(content[:i]); err == nil {
-			t.Fatalf("cut at byte %d", i)
+			t.Fatalf("Decode accepted a file truncated at byte %d", i)
 		}
 	}
 	for _, snapshot := range []dispatch.Snapshot{
-		{TakenAt: at, AnswerTimes: dispatch.SumSnapshot{Weight: math.NaN()}},
-		{TakenAt: at, Groups: []dispatch.GroupSnapshot{{UsualRate: math.Inf(1)}}},
-		{TakenAt: at, Groups: []dispatch.GroupSnapshot{{Interval: -1}}},
-		{TakenAt: at, Groups: []dispatch.GroupSnapshot{{LastCall: at + 1}}},
-		{TakenAt: at, Groups: []dispatch.GroupSnapshot{{RetryAfterUntil: at + 2*longest}}},
-		{TakenAt: at, Groups: []dispatch.GroupSnapshot{{Breakers: []dispatch.BreakerSnapshot{{OpenUntil: math.MaxInt64}}}}},
-		{TakenAt: at, Endpoints: []dispatch.EndpointSnapshot{{Endpoint: "x", FailureRuns: []dispatch.RunSnapshot{{EjectedUntil: math.MaxInt64}}}}},
-		{TakenAt: at, Endpoints: []dispatch.EndpointSnapshot{{Endpoint: "x"}}},
+		{TakenAt: baseTime, AnswerTimes: dispatch.SumSnapshot{Weight: math.NaN()}},
+		{TakenAt: baseTime, Groups: []dispatch.GroupSnapshot{{UsualRate: math.Inf(1)}}},
+		{TakenAt: baseTime, Groups: []dispatch.GroupSnapshot{{Interval: -1}}},
+		{TakenAt: baseTime, Groups: []dispatch.GroupSnapshot{{LastCall: baseTime + 1}}},
+		{TakenAt: baseTime, Groups: []dispatch.GroupSnapshot{{RetryAfterUntil: baseTime + 2*maxInterval}}},
+		{TakenAt: baseTime, Groups: []dispatch.GroupSnapshot{{Breakers: []dispatch.BreakerSnapshot{{OpenUntil: math.MaxInt64}}}}},
+		{TakenAt: baseTime, Endpoints: []dispatch.EndpointSnapshot{{Endpoint: "x", FailureRuns: []dispatch.RunSnapshot{{EjectedUntil: math.MaxInt64}}}}},
+		{TakenAt: baseTime, Endpoints: []dispatch.EndpointSnapshot{{Endpoint: "x"}}},
 	} {
 		content, err := Encode(State{"n1", snapshot}, 1<<16)
 		if err != nil {
@@ -135,26 +137,28 @@
 	}
 }
 
+// FuzzDecode: Decode must not panic, and must not accept implausible values.
 func FuzzDecode(f *testing.F) {
-	content, _ := Encode(State{Courier: "n1", Snapshot: dispatch.Snapshot{TakenAt: at, Groups: []dispatch.GroupSnapshot{{Destination: 1}}}}, 1<<16)
-	f.Add(content[headSize:])
+	content, _ := Encode(State{Courier: "n1", Snapshot: dispatch.Snapshot{TakenAt: baseTime, Groups: []dispatch.GroupSnapshot{{Destination: 1}}}}, 1<<16)
+	f.Add(content[headerSize:])
 	f.Fuzz(func(t *testing.T, text []byte) {
 		for v := range uint32(3) {
 			if state, err := Decode(atomicfile.Encode(magic, v, text)); err == nil && validate(state.Snapshot) != nil {
-				t.Fatal("taken, and holds what cannot be")
+				t.Fatal("Decode accepted implausible values")
 			}
 		}
 	})
 }
 
-// TestFoldersAndVersions: whose file it is, how old, of which version and what else may stand in its place.
-func TestFoldersAndVersions(t *testing.T) {
-	good := State{Courier: "n1", Snapshot: dispatch.Snapshot{TakenAt: at, Groups: []dispatch.GroupSnapshot{{Destination: 7, Outage: true}}}}
-	content, err := Encode(good, 1<<16)
+// TestRead covers files of each version, damaged and oversized files, files of another courier or with a future time, and the
+// temporary files of interrupted writes.
+func TestRead(t *testing.T) {
+	want := State{Courier: "n1", Snapshot: dispatch.Snapshot{TakenAt: baseTime, Groups: []dispatch.GroupSnapshot{{Destination: 7, Outage: true}}}}
+	content, err := Encode(want, 1<<16)
 	if err != nil {
 		t.Fatal(err)
 	}
-	old, err := encoder.Marshal(bodyV1{Courier: "n1", TakenAt: at, Groups: good.Snapshot.Groups})
+	version1, err := encoder.Marshal(bodyV1{Courier: "n1", TakenAt: baseTime, Groups: want.Snapshot.Groups})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -162,54 +166,55 @@
 		content []byte
 		want    error
 	}{
-		"sound": {content, nil}, "older": {atomicfile.Encode(magic, 1, old), nil}, "oldest": {atomicfile.Encode(magic, 0, old), ErrOlder}, "newer": {atomicfile.Encode(magic, version+1, content[headSize:]), ErrNewer},
+		"sound": {content, nil}, "older": {atomicfile.Encode(magic, 1, version1), nil}, "oldest": {atomicfile.Encode(magic, 0, version1), ErrVersionTooOld}, "newer": {atomicfile.Encode(magic, version+1, content[headerSize:]), ErrVersionTooNew},
 		"empty": {nil, ErrTorn}, "huge": {make([]byte, 1<<17), ErrTooLarge}, "nonsense": {[]byte(strings.Repeat("x", 99)), ErrTorn},
 	} {
 		dir := t.TempDir()
 		if err := os.WriteFile(filepath.Join(dir, Name), c.content, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		state, err := Read(dir, "n1", at+5, 1<<16)
+		state, err := Read(dir, "n1", baseTime+5, 1<<16)
 		if !errors.Is(err, c.want) || err == nil && (len(state.Snapshot.Groups) != 1 || !state.Snapshot.Groups[0].Outage) {
 			t.Errorf("%s: %+v, %v", name, state, err)
 		}
 	}
 	dir := t.TempDir()
-	if _, err := Read(dir, "n1", at, 1<<16); !errors.Is(err, ErrAbsent) {
+	if _, err := Read(dir, "n1", baseTime, 1<<16); !errors.Is(err, ErrAbsent) {
 		t.Error(err)
 	}
 	if err := Write(dir, content); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Read(dir, "n2", at, 1<<16); !errors.Is(err, ErrOtherCourier) {
+	if _, err := Read(dir, "n2", baseTime, 1<<16); !errors.Is(err, ErrOtherCourier) {
 		t.Error(err)
 	}
-	if _, err := Read(dir, "n1", at-1, 1<<16); !errors.Is(err, ErrFuture) {
+	if _, err := Read(dir, "n1", baseTime-1, 1<<16); !errors.Is(err, ErrFuture) {
 		t.Error(err)
 	}
-	for i := range content { // a write that was cut off at any byte leaves the old file, and is swept away
+	for i := range content { // the temporary file of a write interrupted at any byte is ignored and removed
 		if err := os.WriteFile(filepath.Join(dir, "."+Name+"123"), content[:i], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Read(dir, "n1", at, 1<<16); err != nil || Sweep(dir) != 1 {
+		if _, err := Read(dir, "n1", baseTime, 1<<16); err != nil || Sweep(dir) != 1 {
 			t.Fatal(i, err)
 		}
 	}
 	os.Remove(filepath.Join(dir, Name))
 	os.Mkdir(filepath.Join(dir, Name), 0o700)
-	if _, err := Read(dir, "n1", at, 1<<16); !errors.Is(err, ErrTorn) {
+	if _, err := Read(dir, "n1", baseTime, 1<<16); !errors.Is(err, ErrTorn) {
 		t.Error(err)
 	}
-	if room, limit := Reserve(3e6); room != int64(2*limit) || limit%block != 0 || limit < 64<<10 {
-		t.Errorf("room %d, limit %d", room, limit)
+	if reserved, limit := Reserve(3e6); reserved != int64(2*limit) || limit%blockSize != 0 || limit < 64<<10 {
+		t.Errorf("%d bytes reserved, limit %d", reserved, limit)
 	}
 }
 
-// writeForEver is the process that is killed: each file says how many it has written, and stdout which is finished.
-func writeForEver(dir string) {
-	routes := make([]dispatch.GroupSnapshot, 300)
+// writeUntilKilled writes files until the process is killed. TakenAt - baseTime in each file is its number, which is
+// also printed once the file is written.
+func writeUntilKilled(dir string) {
+	groups := make([]dispatch.GroupSnapshot, 300)
 	for i := 1; ; i++ {
-		content, err := Encode(State{Courier: "n1", Snapshot: dispatch.Snapshot{TakenAt: at + dispatch.Micros(i), Groups: routes}}, 1<<18)
+		content, err := Encode(State{Courier: "n1", Snapshot: dispatch.Snapshot{TakenAt: baseTime + dispatch.Micros(i), Groups: groups}}, 1<<18)
 		if err == nil {
 			err = Write(dir, content)
 		}
@@ -221,10 +226,11 @@
 	}
 }
 
-// TestKilledWhileWriting: after a kill at any moment the old content or the new one is there, whole.
+// TestKilledWhileWriting kills a writing process at various moments. Afterwards the file must have the complete old or the
+// complete new content.
 func TestKilledWhileWriting(t *testing.T) {
 	dir := t.TempDir()
-	swept := 0
+	leftovers := 0
 	for n := range *kills {
 		cmd := exec.Command(os.Args[0])
 		cmd.Env = append(os.Environ(), "LEARNED_WRITES="+dir)
@@ -236,54 +242,55 @@
 		time.Sleep(time.Duration(5+n%25) * time.Millisecond)
 		cmd.Process.Kill()
 		cmd.Wait()
-		finished := 0
+		lastFinished := 0
 		for _, line := range strings.Fields(out.String()) {
-			fmt.Sscan(line, &finished)
+			fmt.Sscan(line, &lastFinished)
 		}
-		state, err := Read(dir, "n1", at+1e9, 1<<18)
-		if errors.Is(err, ErrAbsent) && finished == 0 {
+		state, err := Read(dir, "n1", baseTime+1e9, 1<<18)
+		if errors.Is(err, ErrAbsent) && lastFinished == 0 {
 			continue
 		}
-		if err != nil || finished > 0 && int(state.Snapshot.TakenAt-at) < finished || len(state.Snapshot.Groups) != 300 {
-			t.Fatalf("kill %d: %v; %d finished, read %d", n, err, finished, state.Snapshot.TakenAt-at)
+		if err != nil || lastFinished > 0 && int(state.Snapshot.TakenAt-baseTime) < lastFinished || len(state.Snapshot.Groups) != 300 {
+			t.Fatalf("kill %d: %v; file %d was written, but file %d was read", n, err, lastFinished, state.Snapshot.TakenAt-baseTime)
 		}
-		swept += Sweep(dir)
+		leftovers += Sweep(dir)
 	}
-	t.Logf("%d kills, %d in the middle of a write", *kills, swept)
+	t.Logf("%d kills, %d of them in the middle of a write", *kills, leftovers)
 }
 
-// TestKeeperNeverWaits: a disk that does not answer holds up nobody; a full one is notified once, and once when it is over.
-func TestKeeperNeverWaits(t *testing.T) {
+// TestWriterNeverBlocks: Offer must not wait for a hanging disk. Consecutive write failures must be logged once, and the first
+// success after them once.
+func TestWriterNeverBlocks(t *testing.T) {
 	var mu sync.Mutex
 	var log strings.Builder
-	logger := slog.New(slog.NewTextHandler(&locked{&mu, &log}, nil))
+	logger := slog.New(slog.NewTextHandler(&lockedWriter{&mu, &log}, nil))
 	stuck := make(chan struct{})
 	writer := newWriter(t.TempDir(), "n1", 1<<16, logger, func(string, []byte) error { <-stuck; return nil })
-	began := time.Now()
+	start := time.Now()
 	for range 1000 {
-		writer.Offer(dispatch.Snapshot{TakenAt: at})
+		writer.Offer(dispatch.Snapshot{TakenAt: baseTime})
 	}
-	if took := time.Since(began); took > time.Second {
-		t.Errorf("a thousand offers took %v", took)
+	if elapsed := time.Since(start); elapsed > time.Second {
+		t.Errorf("1000 offers took %v", elapsed)
 	}
 	writer.Close(20 * time.Millisecond)
 	close(stuck)
 	<-writer.done
 	if writer.written > 3 {
-		t.Errorf("%d written", writer.written)
+		t.Errorf("%d snapshots were written, want at most 3", writer.written)
 	}
 	n := 0
-	full := newWriter(t.TempDir(), "n1", 1<<16, logger, func(string, []byte) error {
+	failing := newWriter(t.TempDir(), "n1", 1<<16, logger, func(string, []byte) error {
 		if n++; n < 5 {
 			return errors.New("no space left")
 		}
 		return nil
 	})
 	for i := range 6 {
-		full.Offer(dispatch.Snapshot{TakenAt: at + dispatch.Micros(i)})
+		failing.Offer(dispatch.Snapshot{TakenAt: baseTime + dispatch.Micros(i)})
 		time.Sleep(20 * time.Millisecond)
 	}
-	full.Close(time.Second)
+	failing.Close(time.Second)
 	mu.Lock()
 	defer mu.Unlock()
 	for _, c := range []struct {
@@ -291,18 +298,18 @@
 		times int
 	}{{"snapshot not written in time", 1}, {"no space left", 1}, {"written again", 1}} {
 		if got := strings.Count(log.String(), c.text); got != c.times {
-			t.Errorf("%q is notified %d times:\n%s", c.text, got, log.String())
+			t.Errorf("%q was logged %d times:\n%s", c.text, got, log.String())
 		}
 	}
 }
 
-type locked struct {
-	mu *sync.Mutex
-	b  *strings.Builder
+type lockedWriter struct {
+	mu     *sync.Mutex
+	buffer *strings.Builder
 }
 
-func (l *locked) Write(p []byte) (int, error) {
+func (l *lockedWriter) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.b.Write(p)
+	return l.buffer.Write(p)
 }
--- a/spool/behind.go
+++ b/spool/behind.go
@@ -5,31 +5,34 @@
 	"os"
 )
 
-// What the folder does not take is written later. A message whose last changes are not in the folder is behind: what is known of it stands in
-// memory, and is written as a whole, in the order in which messages fell behind and before anything later, once the folder takes writes again.
-// So what waits is bounded by the messages that are held.
+// This file keeps the backlog: the messages whose latest changes could not be written to the directory. Their state
+// stays in memory. Once writes succeed again, each of them is written as one complete message record, or as a removal,
+// in the order in which their writes first failed and before any later record. The backlog holds one id per message,
+// and Append accepts no message before the backlog is written, so the number of stored messages bounds its size.
 
-// ErrBehind is returned where the folder fails, and what was to be stored is in memory alone.
-var ErrBehind = errors.New("spool: the folder fails")
+// ErrBehind is returned while the directory does not accept writes. Changes other than those of Append and Discard
+// stay in memory until a Flush succeeds.
+var ErrBehind = errors.New("spool: cannot write to the state directory")
 
-// segmentFile is the segment that is written to, as the system has it.
+// segmentFile is the file of the current segment.
 type segmentFile interface {
 	Write(b []byte) (int, error)
 	Truncate(size int64) error
 	Close() error
 }
 
-// createSegment creates a segment's file.
+// createSegment creates or truncates a segment file.
 func createSegment(path string) (segmentFile, error) {
 	return os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND|os.O_TRUNC, 0o600)
 }
 
-// backlog is what is not in the folder yet.
+// backlog is the list of messages whose latest state is not in the directory yet.
 type backlog struct {
-	order []string // ids of messages, and of those that are over
-	ids   map[string]bool
+	order []string        // message ids, oldest first; includes removed messages
+	ids   map[string]bool // the ids in order
 }
 
+// add adds a message id unless it is already in the backlog.
 func (b *backlog) add(id string) {
 	if !b.ids[id] {
 		b.ids[id] = true
@@ -37,17 +40,17 @@
 	}
 }
 
-// Behind reports whether something is in memory alone. Flush writes it.
+// Behind reports whether any change is in memory only. Flush writes these changes.
 func (s *Spool) Behind() bool { return len(s.backlog.order) > 0 }
 
-// IsBehind reports whether something of a message is in memory alone.
+// IsBehind reports whether any change of the message is in memory only.
 func (s *Spool) IsBehind(id string) bool { return s.backlog.ids[id] }
 
-// Flush writes what is in memory alone; what fails stays there, and what comes after it.
+// Flush writes the changes that are in memory only. It stops at the first error and keeps the remaining changes.
 func (s *Spool) Flush() error {
 	for len(s.backlog.order) > 0 {
 		id := s.backlog.order[0]
-		if err := s.writeWhole(id); err != nil {
+		if err := s.writeMessage(id); err != nil {
 			return errors.Join(ErrBehind, err)
 		}
 		s.backlog.order = s.backlog.order[1:]
@@ -57,16 +60,16 @@
 	return nil
 }
 
-// writeWhole writes all that is known of a message, or that nothing is owed for it.
-func (s *Spool) writeWhole(id string) error {
+// writeMessage writes the complete state of a message, or its removal if it is no longer stored.
+func (s *Spool) writeMessage(id string) error {
 	entry := s.entries[id]
 	if entry == nil {
-		return s.write(encodeUpdate(kindForgotten, update{ID: id}))
+		return s.appendRecord(encodeUpdate(kindRemoved, update{ID: id}))
 	}
-	body := s.encode(entry.message)
-	if err := s.write(body); err != nil {
+	payload := s.encodeMessage(entry.message)
+	if err := s.appendRecord(payload); err != nil {
 		return err
 	}
-	s.index(entry.message, s.segments[len(s.segments)-1], int64(len(body)+overhead))
+	s.index(entry.message, s.segments[len(s.segments)-1], int64(len(payload)+recordHeaderSize))
 	return nil
 }
--- a/spool/behind_test.go
+++ b/spool/behind_test.go
@@ -10,72 +10,72 @@
 	"testing"
 )
 
-// moodyFile is a segment whose folder fails at times.
-type moodyFile struct {
+// faultyFile is a segment file with injected write and truncation faults.
+type faultyFile struct {
 	segmentFile
-	mood *mood
+	faults *faultInjector
 }
 
-// mood is how the folder does.
-type mood struct {
-	rng     *rand.Rand
-	fails   bool // writes, and creating segments
-	noCuts  bool // cutting off
-	struck  int
-	partial int // writes of which a part was done
+// faultInjector decides which file operations fail.
+type faultInjector struct {
+	rng           *rand.Rand
+	failWrites    bool // writes fail; creating a segment fails at random
+	failTruncates bool
+	injected      int // faults injected so far
+	partialWrites int // failed writes that wrote part of their bytes
 }
 
-func (m *mood) create(path string) (segmentFile, error) {
-	if m.fails && m.rng.Intn(2) == 0 {
-		m.struck++
+func (m *faultInjector) create(path string) (segmentFile, error) {
+	if m.failWrites && m.rng.Intn(2) == 0 {
+		m.injected++
 		return nil, syscall.ENOSPC
 	}
 	file, err := createSegment(path)
-	return moodyFile{file, m}, err
+	return faultyFile{file, m}, err
 }
 
-func (f moodyFile) Write(b []byte) (int, error) {
-	if !f.mood.fails {
+func (f faultyFile) Write(b []byte) (int, error) {
+	if !f.faults.failWrites {
 		return f.segmentFile.Write(b)
 	}
-	f.mood.struck++
+	f.faults.injected++
 	n := 0
-	if f.mood.rng.Intn(2) == 0 {
-		f.mood.partial++
-		n, _ = f.segmentFile.Write(b[:f.mood.rng.Intn(len(b))])
+	if f.faults.rng.Intn(2) == 0 {
+		f.faults.partialWrites++
+		n, _ = f.segmentFile.Write(b[:f.faults.rng.Intn(len(b))])
 	}
-	return n, []error{syscall.ENOSPC, syscall.EIO}[f.mood.rng.Intn(2)]
+	return n, []error{syscall.ENOSPC, syscall.EIO}[f.faults.rng.Intn(2)]
 }
 
-func (f moodyFile) Truncate(size int64) error {
-	if f.mood.noCuts {
-		f.mood.struck++
+func (f faultyFile) Truncate(size int64) error {
+	if f.faults.failTruncates {
+		f.faults.injected++
 		return syscall.EIO
 	}
 	return f.segmentFile.Truncate(size)
 }
 
-// TestFolderThatFailsForAWhile: whatever fails, for however long, what is stored afterwards is what was asked for: a message that was refused is
-// not there, one that was taken on is, with its attempts and its end, and one that is over is not. Where half an entry could not be cut off,
-// messages may pass for perhaps sent, no more.
-func TestFolderThatFailsForAWhile(t *testing.T) {
-	struck, partial := 0, 0
+// TestWriteFaultsLoseNothing injects faults into creating, writing and truncating segments. After the faults end, the
+// spool must hold every accepted message with its attempts and its end, and no refused or removed message. If a
+// partial record could not be truncated, the only allowed difference is that messages count as possibly sent.
+func TestWriteFaultsLoseNothing(t *testing.T) {
+	injected, partialWrites := 0, 0
 	for seed := range int64(200) {
 		rng := rand.New(rand.NewSource(seed))
-		m := &mood{rng: rng}
+		injector := &faultInjector{rng: rng}
 		dir := t.TempDir()
 		s, _, _ := open(t, dir, 300_000)
-		s.create = m.create
+		s.create = injector.create
 		if err := s.startSegment(s.segments[len(s.segments)-1].number + 1); err != nil {
 			t.Fatal(err)
 		}
-		cutsFail := seed%4 == 0
+		truncatesFail := seed%4 == 0
 		want := map[string]*Message{}
 		var ids []string
 		for step := range 300 {
 			if step%20 == 0 {
-				m.fails = rng.Intn(2) == 0
-				m.noCuts = m.fails && cutsFail
+				injector.failWrites = rng.Intn(2) == 0
+				injector.failTruncates = injector.failWrites && truncatesFail
 			}
 			id := fmt.Sprint("m", step)
 			if len(ids) > 0 {
@@ -88,13 +88,13 @@
 				stored := &Message{ID: id, Body: make([]byte, rng.Intn(300))}
 				if err := s.Append(stored); err == nil {
 					want[id], ids = stored, append(ids, id)
-				} else if !m.fails {
-					t.Fatalf("seed %d: refused by a folder that is well: %v", seed, err)
+				} else if !injector.failWrites {
+					t.Fatalf("seed %d: append failed without an injected fault: %v", seed, err)
 				}
 			case n < 5:
 				_ = s.BeginAttempt(id, Attempt{Endpoint: "e", SentAt: int64(step)})
 				if len(message.Attempts) == 0 || message.Attempts[len(message.Attempts)-1].SentAt != int64(step) {
-					t.Fatalf("seed %d: the attempt is not known", seed)
+					t.Fatalf("seed %d: the attempt is missing in memory", seed)
 				}
 			case n < 7 && len(message.Attempts) > 0:
 				_ = s.FinishAttempt(id, len(message.Attempts)-1, "broken")
@@ -104,8 +104,8 @@
 				if s.Discard(id) == nil {
 					delete(want, id)
 					ids = without(ids, id)
-				} else if !m.fails {
-					t.Fatalf("seed %d: not discarded in a folder that is well", seed)
+				} else if !injector.failWrites {
+					t.Fatalf("seed %d: discard failed without an injected fault", seed)
 				}
 			default:
 				_ = s.Forget(id)
@@ -113,37 +113,38 @@
 				ids = without(ids, id)
 			}
 		}
-		m.fails, m.noCuts = false, false
+		injector.failWrites, injector.failTruncates = false, false
 		if err := s.Flush(); err != nil || s.Behind() {
-			t.Fatalf("seed %d: not written by a folder that is well: %v", seed, err)
+			t.Fatalf("seed %d: changes are still in memory only after the faults ended: %v", seed, err)
 		}
-		struck, partial = struck+m.struck, partial+m.partial
+		injected, partialWrites = injected+injector.injected, partialWrites+injector.partialWrites
 		_, got, faults := open(t, dir, 300_000)
-		if len(faults) > 0 && !cutsFail {
+		if len(faults) > 0 && !truncatesFail {
 			t.Fatalf("seed %d: %v", seed, faults)
 		}
 		if len(got) != len(want) {
 			t.Fatalf("seed %d: %d messages, want %d", seed, len(got), len(want))
 		}
 		for _, message := range got {
-			if cutsFail && len(message.Attempts) > 0 && message.Attempts[len(message.Attempts)-1] == (Attempt{}) {
+			if truncatesFail && len(message.Attempts) > 0 && message.Attempts[len(message.Attempts)-1] == (Attempt{}) {
 				continue
 			}
-			if !reflect.DeepEqual(normal(message), normal(want[message.ID])) {
+			if !reflect.DeepEqual(normalized(message), normalized(want[message.ID])) {
 				t.Fatalf("seed %d: %+v, want %+v", seed, message, want[message.ID])
 			}
 		}
 	}
-	if struck < 1000 || partial < 100 {
-		t.Errorf("%d faults struck, %d in the middle of a write", struck, partial)
+	if injected < 1000 || partialWrites < 100 {
+		t.Errorf("too few faults: %d injected, %d of them in the middle of a write", injected, partialWrites)
 	}
 }
 
-func normal(message *Message) Message {
-	same := *message
-	same.Attempts = append([]Attempt{}, message.Attempts...)
-	same.Body = append([]byte{}, message.Body...)
-	return same
+// normalized returns a copy of a message in which empty and nil slices are the same.
+func normalized(message *Message) Message {
+	copied := *message
+	copied.Attempts = append([]Attempt{}, message.Attempts...)
+	copied.Body = append([]byte{}, message.Body...)
+	return copied
 }
 
 func without(ids []string, id string) (rest []string) {
@@ -155,9 +156,9 @@
 	return rest
 }
 
-// TestCompactionThatFailsRefusesNothing: the message behind which a compaction fails is in the folder, and its client hears so; the folder stays
-// within its limit all the same.
-func TestCompactionThatFailsRefusesNothing(t *testing.T) {
+// TestFailedCompactionRefusesNothing: when the compaction after an append fails, Append must still report the message
+// as stored, and the directory must stay within its limit.
+func TestFailedCompactionRefusesNothing(t *testing.T) {
 	const limit = 100_000
 	s, _, _ := open(t, t.TempDir(), limit)
 	s.remove = func(string) error { return syscall.EIO }
@@ -166,7 +167,7 @@
 		id := fmt.Sprint(i)
 		err := s.Append(&Message{ID: id, Body: make([]byte, 1500)})
 		if stored := s.entries[id] != nil; stored != (err == nil) || err != nil && !errors.Is(err, ErrFull) {
-			t.Fatalf("stored %v, told %v", stored, err)
+			t.Fatalf("stored: %v, but Append returned %v", stored, err)
 		}
 		if err == nil {
 			must(t, s.Forget(id))
@@ -176,7 +177,7 @@
 		}
 	}
 	if faults == 0 || s.Size() > limit {
-		t.Errorf("%d compactions failed, the folder holds %d bytes", faults, s.Size())
+		t.Errorf("%d compactions failed, the directory holds %d bytes", faults, s.Size())
 	}
 	s.remove = os.Remove
 	must(t, s.Append(&Message{ID: "later"}))
--- a/spool/entry.go
+++ b/spool/entry.go
@@ -6,69 +6,73 @@
 	"hash/crc32"
 )
 
-// Entries as they stand in segments: length, checksum, kind, a JSON head and, for a message, its body.
+// This file has the record format of the segments: length, checksum, kind, a JSON head and, for a message, its body.
 
+// update is the JSON head of every record except a message record.
 type update struct {
 	ID           string   `json:"id"`
-	Attempt      int      `json:"n,omitempty"`
-	Begun        *Attempt `json:"t,omitempty"`
+	AttemptIndex int      `json:"n,omitempty"`
+	NewAttempt   *Attempt `json:"t,omitempty"`
 	Outcome      string   `json:"o,omitempty"`
 	RetryAfterMs int64    `json:"m,omitempty"`
 }
 
-func (s *Spool) encode(message *Message) []byte {
-	head, _ := json.Marshal(message) // strings and numbers: it cannot fail
-	b := append([]byte{kindMessage}, binary.LittleEndian.AppendUint32(nil, uint32(len(head)))...)
-	return append(append(b, head...), message.Body...)
+// encodeMessage returns the payload of a message record: kind, length of the head, JSON head and body.
+func (s *Spool) encodeMessage(message *Message) []byte {
+	head, _ := json.Marshal(message) // cannot fail: only strings and numbers
+	payload := append([]byte{kindMessage}, binary.LittleEndian.AppendUint32(nil, uint32(len(head)))...)
+	return append(append(payload, head...), message.Body...)
 }
 
-func frame(dst, body []byte) []byte {
-	dst = binary.LittleEndian.AppendUint32(dst, uint32(len(body)))
-	dst = binary.LittleEndian.AppendUint32(dst, crc32.ChecksumIEEE(body))
-	return append(dst, body...)
+// appendFrame appends a record to dst: the length and the checksum of the payload, and the payload.
+func appendFrame(dst, payload []byte) []byte {
+	dst = binary.LittleEndian.AppendUint32(dst, uint32(len(payload)))
+	dst = binary.LittleEndian.AppendUint32(dst, crc32.ChecksumIEEE(payload))
+	return append(dst, payload...)
 }
 
-// apply takes in one entry: its kind, a JSON head and, for a message, the body. It is false where the entry makes no sense.
-func (s *Spool) apply(seg *segment, body []byte) bool {
-	if body[0] == kindMessage {
-		if len(body) < 5 {
+// applyRecord applies the payload of one record to the index and the messages in memory. It returns false if the
+// payload is invalid.
+func (s *Spool) applyRecord(seg *segment, payload []byte) bool {
+	if payload[0] == kindMessage {
+		if len(payload) < 5 {
 			return false
 		}
-		n := int(binary.LittleEndian.Uint32(body[1:]))
+		headSize := int(binary.LittleEndian.Uint32(payload[1:]))
 		message := &Message{}
-		if n > len(body)-5 || json.Unmarshal(body[5:5+n], message) != nil {
+		if headSize > len(payload)-5 || json.Unmarshal(payload[5:5+headSize], message) != nil {
 			return false
 		}
-		message.Body = append([]byte{}, body[5+n:]...)
+		message.Body = append([]byte{}, payload[5+headSize:]...)
 		if old := s.entries[message.ID]; old != nil {
 			*old.message = *message
 			message = old.message
 		}
 		s.lastNumber = max(s.lastNumber, message.Number)
-		s.index(message, seg, int64(len(body)+overhead))
+		s.index(message, seg, int64(len(payload)+recordHeaderSize))
 		return true
 	}
 	var update update
-	if json.Unmarshal(body[1:], &update) != nil {
+	if json.Unmarshal(payload[1:], &update) != nil {
 		return false
 	}
 	entry := s.entries[update.ID]
 	if entry == nil {
-		return true // it ended, and its first entry was removed by compaction
+		return true // the message has ended, and compaction has removed its message record
 	}
-	switch body[0] {
+	switch payload[0] {
 	case kindAttempt:
-		if update.Begun != nil {
-			entry.message.Attempts = append(entry.message.Attempts, *update.Begun)
+		if update.NewAttempt != nil {
+			entry.message.Attempts = append(entry.message.Attempts, *update.NewAttempt)
 		}
 	case kindOutcome:
-		if update.Attempt < len(entry.message.Attempts) && update.Attempt >= 0 {
-			entry.message.Attempts[update.Attempt].Outcome = update.Outcome
+		if update.AttemptIndex < len(entry.message.Attempts) && update.AttemptIndex >= 0 {
+			entry.message.Attempts[update.AttemptIndex].Outcome = update.Outcome
 		}
 	case kindEnd:
 		entry.message.Ended, entry.message.RetryAfterMs = update.Outcome, update.RetryAfterMs
-	case kindForgotten:
-		s.forget(update.ID)
+	case kindRemoved:
+		s.unindex(update.ID)
 	default:
 		return false
 	}
--- a/spool/golden_test.go
+++ b/spool/golden_test.go
@@ -10,9 +10,9 @@
 	"pineport/testbed/golden"
 )
 
-// recordedStates puts messages of every state into a spool: untried, in flight, with each outcome, ended with their notice
-// unconfirmed, and over.
-func recordedStates(t *testing.T, s *Spool) {
+// storeMessagesInEveryState stores a message in each possible state: without an attempt, with an attempt in flight, with
+// each attempt outcome, ended with an unconfirmed notice, and removed.
+func storeMessagesInEveryState(t *testing.T, s *Spool) {
 	t.Helper()
 	check := func(err error) {
 		t.Helper()
@@ -20,31 +20,31 @@
 			t.Fatal(err)
 		}
 	}
-	take := func(id string) {
+	appendMessage := func(id string) {
 		t.Helper()
 		check(s.Append(&Message{ID: id, Class: "order", Destination: 7, Tenant: "shop", OrderingKey: "key-1", IdempotencyKey: "mark-1", Resubmitted: true, Deadline: 1_800_000_000_000_000,
 			Body: []byte("body of\r\n" + id)}))
 	}
-	take("untried")
-	take("in-flight")
+	appendMessage("untried")
+	appendMessage("in-flight")
 	check(s.BeginAttempt("in-flight", Attempt{Endpoint: "s-1", Zone: 2, SentAt: 1_700_000_000_000_000}))
 	for _, outcome := range []string{"failure", "full", "timed_out", "unreachable", "broken", "withdrawn", "void"} {
-		take(outcome)
+		appendMessage(outcome)
 		check(s.BeginAttempt(outcome, Attempt{Endpoint: "s-1", Zone: 2, SentAt: 1_700_000_000_000_001}))
 		check(s.FinishAttempt(outcome, 0, outcome))
 		check(s.BeginAttempt(outcome, Attempt{Endpoint: "s-2", SentAt: 1_700_000_000_000_002}))
 	}
-	take("rejected")
+	appendMessage("rejected")
 	check(s.Finish("rejected", "bounced", 250))
-	take("failed")
+	appendMessage("failed")
 	check(s.Finish("failed", "terminated", 0))
-	take("over")
+	appendMessage("over")
 	check(s.Forget("over"))
 }
 
-// TestSegmentIsAsRecorded: messages of every state are written byte by byte as recorded; the recorded segment, which an earlier
-// program wrote, reads as the same messages.
-func TestSegmentIsAsRecorded(t *testing.T) {
+// TestSegmentMatchesGolden: a segment with messages in every state must be byte-identical to the golden file, which an
+// earlier version of the program wrote. Reading the golden file must return the same messages.
+func TestSegmentMatchesGolden(t *testing.T) {
 	golden.Tagged(t, Message{})
 	golden.Tagged(t, update{})
 	dir := t.TempDir()
@@ -52,7 +52,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	recordedStates(t, s)
+	storeMessagesInEveryState(t, s)
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
--- a/spool/segment.go
+++ b/spool/segment.go
@@ -12,31 +12,32 @@
 	"slices"
 )
 
-// Segment files: reading them at the start, appending, and compaction.
+// This file reads segments at the start, appends records to them and compacts them.
 
+// segment is one segment file.
 type segment struct {
-	number int
-	size   int64
-	live   map[string]int64 // messages whose last whole entry is in this segment, with its size
+	number    int
+	size      int64
+	liveSizes map[string]int64 // sizes of the message records here that are the newest of their message, by message id
 }
 
-// load reads all segments; next is the number of the segment to start.
-func (s *Spool) load() (unfinished []*Message, faults []error, next int, err error) {
+// load reads all segments. nextNumber is the number for the next new segment.
+func (s *Spool) load() (unfinished []*Message, faults []error, nextNumber int, err error) {
 	names, err := filepath.Glob(filepath.Join(s.dir, "*.seg"))
 	if err != nil {
 		return nil, nil, 0, err
 	}
 	slices.Sort(names)
-	next = 1
+	nextNumber = 1
 	for i, name := range names {
 		number := 0
 		if _, err := fmt.Sscanf(filepath.Base(name), "%d.seg", &number); err != nil {
-			faults = append(faults, fmt.Errorf("%s: not a segment's name", filepath.Base(name)))
+			faults = append(faults, fmt.Errorf("%s: invalid segment file name", filepath.Base(name)))
 			continue
 		}
-		next = max(next, number+1)
-		seg := &segment{number: number, live: map[string]int64{}}
-		if err := s.read(name, seg, i == len(names)-1); err != nil {
+		nextNumber = max(nextNumber, number+1)
+		seg := &segment{number: number, liveSizes: map[string]int64{}}
+		if err := s.readSegment(name, seg, i == len(names)-1); err != nil {
 			faults = append(faults, fmt.Errorf("%s: %w", filepath.Base(name), err))
 		}
 		s.segments = append(s.segments, seg)
@@ -45,173 +46,179 @@
 		unfinished = append(unfinished, entry.message)
 	}
 	slices.SortFunc(unfinished, func(a, b *Message) int { return cmp.Compare(a.Number, b.Number) })
-	return unfinished, faults, next, nil
+	return unfinished, faults, nextNumber, nil
 }
 
-func (s *Spool) path(number int) string {
+func (s *Spool) segmentPath(number int) string {
 	return filepath.Join(s.dir, fmt.Sprintf("%010d.seg", number))
 }
 
-// startSegment starts a new segment.
+// startSegment creates a new segment, to which all further records are appended.
 func (s *Spool) startSegment(number int) error {
-	f, err := s.create(s.path(number))
+	file, err := s.create(s.segmentPath(number))
 	if err != nil {
 		return err
 	}
-	if _, err := f.Write([]byte(magic)); err != nil {
-		f.Close()
-		return err // the next try starts the same one anew
+	if _, err := file.Write([]byte(magic)); err != nil {
+		file.Close()
+		return err // the next call creates the same file again and truncates it
 	}
 	if s.file != nil {
 		s.file.Close()
 	}
-	s.file, s.torn = f, false
-	s.segments = append(s.segments, &segment{number: number, size: int64(len(magic)), live: map[string]int64{}})
+	s.file, s.tornTail = file, false
+	s.segments = append(s.segments, &segment{number: number, size: int64(len(magic)), liveSizes: map[string]int64{}})
 	return nil
 }
 
-// read takes in one segment up to the first entry that is damaged; the rest of the file is cut off.
-func (s *Spool) read(name string, seg *segment, last bool) error {
+// readSegment applies the records of one segment up to the first damaged one, and truncates the file there. With
+// readOnly set, the file is not changed.
+func (s *Spool) readSegment(name string, seg *segment, isLast bool) error {
 	mode := os.O_RDWR
 	if s.readOnly {
 		mode = os.O_RDONLY
 	}
-	f, err := os.OpenFile(name, mode, 0)
+	file, err := os.OpenFile(name, mode, 0)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
-	data, err := io.ReadAll(f)
+	defer file.Close()
+	data, err := io.ReadAll(file)
 	if err != nil {
 		return err
 	}
 	seg.size = int64(len(data))
 	if len(data) < len(magic) {
-		return errors.New("empty: nothing was written to it")
+		return errors.New("no segment header: the file is empty or truncated")
 	}
 	if string(data[:len(magic)]) != magic {
-		return fmt.Errorf("unknown version %q: left out", data[:len(magic)])
-	}
-	at, torn := len(magic), false
-	for at < len(data) {
-		n := 0
-		if torn = len(data)-at < overhead; !torn {
-			n = int(binary.LittleEndian.Uint32(data[at:]))
-			torn = n <= maxEntry && at+overhead+n > len(data)
+		return fmt.Errorf("unknown version %q: segment skipped", data[:len(magic)])
+	}
+	offset, torn := len(magic), false
+	for offset < len(data) {
+		length := 0
+		if torn = len(data)-offset < recordHeaderSize; !torn {
+			length = int(binary.LittleEndian.Uint32(data[offset:]))
+			torn = length <= maxRecordSize && offset+recordHeaderSize+length > len(data)
 		}
-		if torn || n < 2 || n > maxEntry {
+		if torn || length < 2 || length > maxRecordSize {
 			break
 		}
-		body := data[at+overhead : at+overhead+n]
-		if crc32.ChecksumIEEE(body) != binary.LittleEndian.Uint32(data[at+4:]) || !s.apply(seg, body) {
+		payload := data[offset+recordHeaderSize : offset+recordHeaderSize+length]
+		if crc32.ChecksumIEEE(payload) != binary.LittleEndian.Uint32(data[offset+4:]) || !s.applyRecord(seg, payload) {
 			break
 		}
-		at += overhead + n
+		offset += recordHeaderSize + length
 	}
-	if at < len(data) {
-		seg.size = int64(at)
-		if !torn || !last {
+	if offset < len(data) {
+		seg.size = int64(offset)
+		if !torn || !isLast {
 			s.markUncertain()
 		}
-		if s.readOnly && torn && last {
-			return nil // being written just now
+		if s.readOnly && torn && isLast {
+			return nil // the courier may be writing this record at the moment
 		}
 		if s.readOnly {
-			return fmt.Errorf("torn or damaged at byte %d: the last %d bytes cannot be read", at, len(data)-at)
+			return fmt.Errorf("torn or damaged at byte %d: the last %d bytes cannot be read", offset, len(data)-offset)
 		}
-		if err := f.Truncate(int64(at)); err != nil {
+		if err := file.Truncate(int64(offset)); err != nil {
 			return err
 		}
-		return fmt.Errorf("torn or damaged at byte %d: the last %d bytes were dropped", at, len(data)-at)
+		return fmt.Errorf("torn or damaged at byte %d: the last %d bytes were dropped", offset, len(data)-offset)
 	}
 	return nil
 }
 
-// markUncertain notes that entries were lost: any message known by now may have ended, or been sent, since.
+// markUncertain adds an attempt without an outcome to every message read so far. It is called after records were
+// lost, because each of these messages may have been sent, or may have ended, in a lost record.
 func (s *Spool) markUncertain() {
 	for _, entry := range s.entries {
 		entry.message.Attempts = append(entry.message.Attempts, Attempt{})
 	}
 }
 
-// write appends one entry, in a new segment if this one is full. Failure: half an entry was written and could not be cut off, and hid all
-// that was appended behind it at the next start. Nothing is appended before it is cut off, or where that fails too, in this segment.
-func (s *Spool) write(body []byte) error {
-	if err := s.cutTorn(); err != nil {
+// appendRecord appends one record, to a new segment if the current one is full. Incident: a partial record could not
+// be truncated after a failed write, and at the next start it hid all records appended after it. So nothing is
+// appended after a partial record: it is truncated first, and if that keeps failing, a new segment is started.
+func (s *Spool) appendRecord(payload []byte) error {
+	if err := s.truncateTornTail(); err != nil {
 		return err
 	}
 	last := s.segments[len(s.segments)-1]
-	if last.size > int64(len(magic)) && last.size+int64(len(body)+overhead) > s.segmentSize {
+	if last.size > int64(len(magic)) && last.size+int64(len(payload)+recordHeaderSize) > s.segmentSize {
 		if err := s.startSegment(last.number + 1); err != nil {
 			return err
 		}
 		last = s.segments[len(s.segments)-1]
 	}
-	s.scratch = frame(s.scratch[:0], body)
+	s.scratch = appendFrame(s.scratch[:0], payload)
 	n, err := s.file.Write(s.scratch)
 	if err == nil && n < len(s.scratch) {
 		err = io.ErrShortWrite
 	}
 	if err != nil {
-		s.torn = n > 0
-		return errors.Join(err, s.cutTorn())
+		s.tornTail = n > 0
+		return errors.Join(err, s.truncateTornTail())
 	}
 	last.size += int64(n)
 	return nil
 }
 
-// cutTorn cuts half an entry off the segment that is written to, or, where that fails time after time, starts another one.
-func (s *Spool) cutTorn() error {
-	if !s.torn {
+// truncateTornTail truncates a partial record at the end of the current segment. After maxTruncateFailures failures it
+// starts a new segment instead.
+func (s *Spool) truncateTornTail() error {
+	if !s.tornTail {
 		return nil
 	}
 	last := s.segments[len(s.segments)-1]
 	err := s.file.Truncate(last.size)
 	if err == nil {
-		s.torn, s.cutsFailed = false, 0
+		s.tornTail, s.truncateFailures = false, 0
 		return nil
 	}
-	if s.cutsFailed++; s.cutsFailed < maxCuts {
+	if s.truncateFailures++; s.truncateFailures < maxTruncateFailures {
 		return err
 	}
 	return s.startSegment(last.number + 1)
 }
 
-// maxCuts is how often it is tried to cut half an entry off a segment. What is in the folder of messages that are known there counts as perhaps
-// sent after a restart, where a segment before the last has such an end.
-const maxCuts = 5
+// maxTruncateFailures is the number of failed truncations after which a new segment is started. If a segment other
+// than the last ends in a partial record, all messages read up to there count as possibly sent after a restart.
+const maxTruncateFailures = 5
 
-// Size returns the bytes of the folder, each file counted in whole blocks.
+// Size returns the size of the directory in bytes, with each file counted in whole blocks.
 func (s *Spool) Size() int64 {
 	total := int64(0)
 	for _, seg := range s.segments {
-		total += (seg.size + block - 1) / block * block
+		total += (seg.size + blockSize - 1) / blockSize * blockSize
 	}
 	return total
 }
 
-// compact removes the oldest segments while there is more garbage than live bytes, or little room is left.
+// compact rewrites the live messages of the oldest segment at the end of the newest and removes the oldest. It repeats
+// this while more than 3/4 of the limit is used, or while there are at least 4 segments and their size is at least
+// 3 times the live bytes.
 func (s *Spool) compact() error {
 	for len(s.segments) > 1 {
 		size := s.Size()
-		if size <= s.limit*3/4 && (len(s.segments) < 4 || size < 3*s.live) {
+		if size <= s.limit*3/4 && (len(s.segments) < 4 || size < 3*s.liveBytes) {
 			return nil
 		}
 		oldest := s.segments[0]
-		ids := make([]string, 0, len(oldest.live))
-		for id := range oldest.live {
+		ids := make([]string, 0, len(oldest.liveSizes))
+		for id := range oldest.liveSizes {
 			ids = append(ids, id)
 		}
 		slices.Sort(ids)
 		for _, id := range ids {
 			entry := s.entries[id]
-			body := s.encode(entry.message)
-			if err := s.write(body); err != nil {
+			payload := s.encodeMessage(entry.message)
+			if err := s.appendRecord(payload); err != nil {
 				return err
 			}
-			s.index(entry.message, s.segments[len(s.segments)-1], int64(len(body)+overhead))
+			s.index(entry.message, s.segments[len(s.segments)-1], int64(len(payload)+recordHeaderSize))
 		}
-		if err := s.remove(s.path(oldest.number)); err != nil {
+		if err := s.remove(s.segmentPath(oldest.number)); err != nil {
 			return err
 		}
 		s.segments = s.segments[1:]
--- a/spool/spool.go
+++ b/spool/spool.go
@@ -1,6 +1,8 @@
-// Package spool stores the messages that a courier has accepted, with their attempts, in a folder that outlasts the process:
-// append-only segments of checksummed entries, written without a sync. The oldest segment is removed once all that still
-// matters of it has been written again at the end, so the folder stays small and an end is never removed before what it ends.
+// Package spool persists the messages that a courier has accepted, and their attempts, in a directory that
+// survives restarts of the process. The directory holds append-only segments of checksummed records, which are
+// written without fsync. Compaction rewrites the live messages of the oldest segment at the end of the newest one
+// and then removes the oldest. This keeps the directory small, and the record that ends a message is never
+// removed before the earlier records of that message.
 package spool
 
 import (
@@ -10,22 +12,21 @@
 	"os"
 )
 
-// ErrFull is returned where there is no room for another message.
+// ErrFull is returned when the size limit leaves no room for another message.
 var ErrFull = errors.New("spool: full")
 
-// Attempt is one attempt of a message; Outcome is empty while it is in flight, or was when the process ended. The tags are the
-// names in the files.
+// Attempt is one attempt to deliver a message. The JSON tags are the names in the segment files.
 type Attempt struct {
 	Endpoint string `json:"e"`
 	Zone     int    `json:"z"`
-	SentAt   int64  `json:"s"` // in microseconds of Unix time, as all times here
-	Outcome  string `json:"o,omitempty"`
+	SentAt   int64  `json:"s"`           // microseconds of Unix time, like all times in this package
+	Outcome  string `json:"o,omitempty"` // empty while in flight, or if the process ended before the outcome
 }
 
-// Message is all that is stored of a message. The tags are the names in the files.
+// Message is a stored message. The JSON tags are the names in the segment files.
 type Message struct {
 	ID             string    `json:"id"`
-	Number         int64     `json:"n"` // in the order of acceptance; set by Append
+	Number         int64     `json:"n"` // sequence number in the order of acceptance; set by Append
 	Class          string    `json:"w"`
 	Destination    int       `json:"d"`
 	Tenant         string    `json:"p,omitempty"`
@@ -34,173 +35,184 @@
 	Resubmitted    bool      `json:"a,omitempty"`
 	Deadline       int64     `json:"c"`
 	Attempts       []Attempt `json:"t,omitempty"`
-	Ended          string    `json:"x,omitempty"` // how it ended, while its notice is not confirmed
+	Ended          string    `json:"x,omitempty"` // how the message ended, while its notice is not confirmed; else empty
 	RetryAfterMs   int64     `json:"m,omitempty"`
 	Body           []byte    `json:"-"`
 }
 
 const (
-	magic    = "PPS1"
-	block    = 512 // files count in whole blocks
-	overhead = 8   // length and checksum of an entry
-	// segmentsPerFolder is high enough that compaction, which needs room for one more segment, takes little of the folder.
-	segmentsPerFolder = 16
-	maxEntry          = 1 << 20
+	magic            = "PPS1"
+	blockSize        = 512 // disk usage is counted in whole blocks
+	recordHeaderSize = 8   // length and checksum, 4 bytes each
+	// segmentsPerDir is how many full segments the size limit allows. It is high because compaction needs room
+	// for one more segment, which should be a small part of the directory.
+	segmentsPerDir = 16
+	maxRecordSize  = 1 << 20
 )
 
 const (
-	kindMessage   = 'R' // a message with all that is known, which replaces what was known
-	kindAttempt   = 'T' // an attempt that begins
-	kindOutcome   = 'O' // the outcome of an attempt
-	kindEnd       = 'E' // ended, with a notice to be confirmed
-	kindForgotten = 'G' // ended, nothing more is owed
+	kindMessage = 'R' // a complete message, which replaces the earlier state of that message
+	kindAttempt = 'T' // the start of an attempt
+	kindOutcome = 'O' // the outcome of an attempt
+	kindEnd     = 'E' // the message has ended, and its notice is not confirmed yet
+	kindRemoved = 'G' // the message has ended, and no notice is outstanding
 )
 
-type entry struct {
-	message *Message
-	size    int64 // of its last whole entry
-	segment *segment
-	reserve int64 // for its attempts and its end, at the most
+// indexEntry locates the newest message record of a live message.
+type indexEntry struct {
+	message       *Message
+	recordSize    int64 // of its newest message record
+	segment       *segment
+	reservedBytes int64 // upper bound for the records of its attempts and its end
 }
 
-// Spool is one open folder. One goroutine owns it.
+// Spool is an open spool directory. It is not safe for concurrent use.
 type Spool struct {
-	dir         string
-	limit       int64
-	segmentSize int64
-	file        segmentFile
-	create      func(path string) (segmentFile, error)
-	remove      func(path string) error
-	torn        bool // half an entry stands at the end of the file
-	cutsFailed  int  // in a row
-	backlog     backlog
-	fault       error      // of a compaction, that nobody has asked for yet
-	segments    []*segment // oldest first; the last is written to
-	entries     map[string]*entry
-	live        int64 // bytes that compaction would leave
-	lastNumber  int64 // of the message accepted last
-	scratch     []byte
-	readOnly    bool // for Inspect: nothing is written
-}
-
-// Inspect reads a folder as Open does and changes nothing; its courier may be running. faults are entries that cannot be read.
+	dir              string
+	limit            int64
+	segmentSize      int64
+	file             segmentFile
+	create           func(path string) (segmentFile, error)
+	remove           func(path string) error
+	tornTail         bool // the current segment ends in a partial record
+	truncateFailures int  // consecutive failures to truncate a partial record
+	backlog          backlog
+	compactionErr    error      // last compaction error, until TakeFault returns it
+	segments         []*segment // oldest first; records are appended to the last one
+	entries          map[string]*indexEntry
+	liveBytes        int64  // bytes that remain after a complete compaction, with reserved bytes
+	lastNumber       int64  // Number of the message accepted last
+	scratch          []byte // buffer for encoding a record
+	readOnly         bool   // set by Inspect: the files are not modified
+}
+
+// Inspect reads a spool directory without modifying it; the courier that owns it may be running. messages are the
+// unfinished messages in the order of acceptance, faults describe unreadable records and files.
 func Inspect(dir string) (messages []*Message, faults []error, err error) {
 	if info, err := os.Stat(dir); err != nil || !info.IsDir() {
-		return nil, nil, fmt.Errorf("%s: a folder was expected", dir)
+		return nil, nil, fmt.Errorf("%s: no such directory", dir)
 	}
-	s := &Spool{dir: dir, entries: map[string]*entry{}, readOnly: true}
+	s := &Spool{dir: dir, entries: map[string]*indexEntry{}, readOnly: true}
 	messages, faults, _, err = s.load()
 	return messages, faults, err
 }
 
-// Open reads a folder and returns the unfinished messages in it, in the order of acceptance; faults are entries that were
-// dropped. limit is the most that the folder may ever hold, in bytes.
+// Open opens a spool directory and returns its unfinished messages in the order of acceptance. faults describe
+// records that were dropped and files that were skipped, because they are damaged. limit is the maximum size of
+// the directory in bytes.
 func Open(dir string, limit int64) (s *Spool, unfinished []*Message, faults []error, err error) {
-	s = &Spool{dir: dir, limit: limit, segmentSize: max(limit/segmentsPerFolder/block*block, 4*block), entries: map[string]*entry{},
+	s = &Spool{dir: dir, limit: limit, segmentSize: max(limit/segmentsPerDir/blockSize*blockSize, 4*blockSize), entries: map[string]*indexEntry{},
 		create: createSegment, remove: os.Remove, backlog: backlog{ids: map[string]bool{}}}
-	unfinished, faults, next, err := s.load()
+	unfinished, faults, nextNumber, err := s.load()
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	if err := s.startSegment(next); err != nil {
+	if err := s.startSegment(nextNumber); err != nil {
 		return nil, nil, faults, err
 	}
-	s.compactNow()
+	s.tryCompact()
 	return s, unfinished, faults, nil
 }
 
-// index notes where the last whole entry of a message is.
+// index records the segment and the size of the newest message record of a message.
 func (s *Spool) index(message *Message, seg *segment, size int64) {
-	s.forget(message.ID)
-	// What its attempts add to a whole entry is reserved, or compaction could need more than there is.
-	entry := &entry{message: message, size: size, segment: seg, reserve: 1024}
+	s.unindex(message.ID)
+	// Attempts enlarge the message record that compaction writes later. Space is reserved for them, because
+	// otherwise compaction could need more than is left.
+	entry := &indexEntry{message: message, recordSize: size, segment: seg, reservedBytes: 1024}
 	s.entries[message.ID] = entry
-	seg.live[message.ID] = size
-	s.live += size + entry.reserve
+	seg.liveSizes[message.ID] = size
+	s.liveBytes += size + entry.reservedBytes
 }
 
-func (s *Spool) forget(id string) {
+// unindex removes a message from the index; its records become garbage.
+func (s *Spool) unindex(id string) {
 	if entry := s.entries[id]; entry != nil {
-		delete(entry.segment.live, id)
-		s.live -= entry.size + entry.reserve
+		delete(entry.segment.liveSizes, id)
+		s.liveBytes -= entry.recordSize + entry.reservedBytes
 		delete(s.entries, id)
 	}
 }
 
-// Append stores a message and sets its number. After an error nothing of it is stored.
+// Append stores a new message and sets its Number. On an error, the message is not stored.
 func (s *Spool) Append(message *Message) error {
 	if s.entries[message.ID] != nil {
-		return fmt.Errorf("spool: %s is there already", message.ID)
+		return fmt.Errorf("spool: message %s already exists", message.ID)
 	}
 	if err := s.Flush(); err != nil {
 		return err
 	}
 	message.Number = s.lastNumber + 1
-	body := s.encode(message)
-	// Half of the folder is for what is live: the rest is for garbage that is not removed yet, and for compaction.
-	size := int64(len(body) + overhead)
-	if s.live+size+1024 > s.limit/2 || size > 2*s.segmentSize {
+	payload := s.encodeMessage(message)
+	// Live messages may use half of the limit. The other half is for garbage not yet removed, and for compaction.
+	size := int64(len(payload) + recordHeaderSize)
+	if s.liveBytes+size+1024 > s.limit/2 || size > 2*s.segmentSize {
 		return ErrFull
 	}
-	if !s.hasRoom(size) { // an earlier compaction failed
-		if s.compactNow(); !s.hasRoom(size) {
+	if !s.hasRoom(size) { // an earlier compaction has failed
+		if s.tryCompact(); !s.hasRoom(size) {
 			return ErrFull
 		}
 	}
-	if err := s.write(body); err != nil {
+	if err := s.appendRecord(payload); err != nil {
 		return err
 	}
 	s.lastNumber = message.Number
 	s.index(message, s.segments[len(s.segments)-1], size)
-	s.compactNow() // Failure: a message was in the folder, a compaction behind it failed, and its client heard that it was not taken on
+	// Incident: a compaction failed after a message was stored, and Append returned that error, so the client was
+	// told that the message was not accepted. A compaction error is therefore kept for TakeFault.
+	s.tryCompact()
 	return nil
 }
 
-// hasRoom reports whether an entry fits, and a segment for the next compaction.
+// hasRoom reports whether the limit has room for a record of size bytes and for one more segment, which the next
+// compaction needs.
 func (s *Spool) hasRoom(size int64) bool { return s.Size()+size+s.segmentSize <= s.limit }
 
-// compactNow compacts; where that fails the folder holds more than it has to, and it is tried again behind the next entry.
-func (s *Spool) compactNow() {
+// tryCompact runs a compaction and keeps its error for TakeFault. After a failure the directory is larger than
+// necessary until the compaction that follows the next write.
+func (s *Spool) tryCompact() {
 	if err := s.compact(); err != nil {
-		s.fault = err
+		s.compactionErr = err
 	}
 }
 
-// TakeFault returns a fault of a compaction, once.
+// TakeFault returns the last compaction error and clears it.
 func (s *Spool) TakeFault() error {
-	fault := s.fault
-	s.fault = nil
-	return fault
+	err := s.compactionErr
+	s.compactionErr = nil
+	return err
 }
 
-// BeginAttempt stores an attempt before it is sent; a message that is not held is ignored. After ErrBehind a restart would not know of it.
-func (s *Spool) BeginAttempt(id string, t Attempt) error {
+// BeginAttempt stores the start of an attempt, before it is sent. An unknown id is ignored. On ErrBehind the attempt
+// is in memory only, and a restart before the next successful Flush loses it.
+func (s *Spool) BeginAttempt(id string, attempt Attempt) error {
 	if entry := s.entries[id]; entry != nil {
-		entry.message.Attempts = append(entry.message.Attempts, t)
-		return s.writeUpdate(kindAttempt, update{ID: id, Begun: &t})
+		entry.message.Attempts = append(entry.message.Attempts, attempt)
+		return s.writeUpdate(kindAttempt, update{ID: id, NewAttempt: &attempt})
 	}
 	return nil
 }
 
-// FinishAttempt stores the outcome of an attempt.
-func (s *Spool) FinishAttempt(id string, attempt int, outcome string) error {
-	if entry := s.entries[id]; entry != nil && attempt < len(entry.message.Attempts) {
-		entry.message.Attempts[attempt].Outcome = outcome
-		return s.writeUpdate(kindOutcome, update{ID: id, Attempt: attempt, Outcome: outcome})
+// FinishAttempt stores the outcome of the attempt with this index. Unknown ids and attempts are ignored.
+func (s *Spool) FinishAttempt(id string, index int, outcome string) error {
+	if entry := s.entries[id]; entry != nil && index < len(entry.message.Attempts) {
+		entry.message.Attempts[index].Outcome = outcome
+		return s.writeUpdate(kindOutcome, update{ID: id, AttemptIndex: index, Outcome: outcome})
 	}
 	return nil
 }
 
-// Finish stores how a message ended, while its notice is to be confirmed.
-func (s *Spool) Finish(id, how string, againMs int64) error {
+// Finish stores how a message ended. The message stays stored until its notice is confirmed and Forget is called.
+func (s *Spool) Finish(id, outcome string, retryAfterMs int64) error {
 	if entry := s.entries[id]; entry != nil {
-		entry.message.Ended, entry.message.RetryAfterMs = how, againMs
-		return s.writeUpdate(kindEnd, update{ID: id, Outcome: how, RetryAfterMs: againMs})
+		entry.message.Ended, entry.message.RetryAfterMs = outcome, retryAfterMs
+		return s.writeUpdate(kindEnd, update{ID: id, Outcome: outcome, RetryAfterMs: retryAfterMs})
 	}
 	return nil
 }
 
-// Discard stores that nothing is owed for a message, or fails and changes nothing.
+// Discard removes a message. If the removal cannot be written, it returns an error and keeps the message.
 func (s *Spool) Discard(id string) error {
 	if s.entries[id] == nil {
 		return nil
@@ -208,48 +220,50 @@
 	if err := s.Flush(); err != nil {
 		return err
 	}
-	if err := s.write(encodeUpdate(kindForgotten, update{ID: id})); err != nil {
+	if err := s.appendRecord(encodeUpdate(kindRemoved, update{ID: id})); err != nil {
 		return errors.Join(ErrBehind, err)
 	}
-	s.forget(id)
-	s.compactNow()
+	s.unindex(id)
+	s.tryCompact()
 	return nil
 }
 
-// Forget stores that nothing more is owed for a message.
+// Forget removes a message from memory and writes the removal. If that write fails, a later Flush repeats it.
 func (s *Spool) Forget(id string) error {
 	if s.entries[id] == nil {
 		return nil
 	}
-	s.forget(id)
-	return s.writeUpdate(kindForgotten, update{ID: id})
+	s.unindex(id)
+	return s.writeUpdate(kindRemoved, update{ID: id})
 }
 
-// writeUpdate writes a change that is in memory already. Failure: one that the folder did not take was never written again, and a message
-// that was over was owed after a restart.
+// writeUpdate writes a change that has already been made in memory. If the write fails, the message is added to the
+// backlog. Incident: updates whose write failed were never repeated, so a message that had ended was unfinished
+// again after a restart.
 func (s *Spool) writeUpdate(kind byte, update update) error {
 	if s.Behind() {
 		s.backlog.add(update.ID)
 		return s.Flush()
 	}
-	if err := s.write(encodeUpdate(kind, update)); err != nil {
+	if err := s.appendRecord(encodeUpdate(kind, update)); err != nil {
 		s.backlog.add(update.ID)
 		return errors.Join(ErrBehind, err)
 	}
-	s.compactNow()
+	s.tryCompact()
 	return nil
 }
 
+// encodeUpdate returns the payload of any record except a message record: kind and JSON head.
 func encodeUpdate(kind byte, update update) []byte {
-	head, _ := json.Marshal(update) // strings and numbers: it cannot fail
+	head, _ := json.Marshal(update) // cannot fail: only strings and numbers
 	return append([]byte{kind}, head...)
 }
 
-// Close closes the segment that is written to, after what is in memory alone was tried once more.
+// Close flushes the backlog and closes the current segment file, even if the flush fails.
 func (s *Spool) Close() error { return errors.Join(s.Flush(), s.file.Close()) }
 
-// Resize sets the most that the folder may hold, in bytes. Nothing that is held is dropped for a lower limit: no message is
-// accepted until what is live fits again.
+// Resize sets the maximum size of the directory in bytes. A lower limit drops no stored message: Append returns
+// ErrFull until the live messages fit into the new limit.
 func (s *Spool) Resize(limit int64) {
-	s.limit, s.segmentSize = limit, max(limit/segmentsPerFolder/block*block, 4*block)
+	s.limit, s.segmentSize = limit, max(limit/segmentsPerDir/blockSize*blockSize, 4*blockSize)
 }
--- a/spool/spool_test.go
+++ b/spool/spool_test.go
@@ -27,7 +27,8 @@
 	}
 }
 
-func TestComesBackAsItWas(t *testing.T) {
+// TestReopenRestoresMessages: reopening the directory must return the unfinished messages with all fields and attempts.
+func TestReopenRestoresMessages(t *testing.T) {
 	dir := t.TempDir()
 	s, _, _ := open(t, dir, 1e6)
 	a := &Message{ID: "a", Class: "w", Destination: 3, Tenant: "p", OrderingKey: "k", IdempotencyKey: "m", Resubmitted: true, Deadline: 99, Body: []byte("\x00\r\n")}
@@ -35,7 +36,7 @@
 		s.BeginAttempt("a", Attempt{Endpoint: "e", Zone: 1, SentAt: 5}), s.FinishAttempt("a", 0, "full"), s.BeginAttempt("a", Attempt{Endpoint: "f", SentAt: 6}),
 		s.Forget("b"), s.Finish("c", "bounced", 70))
 	if err := s.Append(&Message{ID: "a"}); err == nil {
-		t.Error("taken twice")
+		t.Error("a message with a known id was accepted again")
 	}
 	_, got, faults := open(t, dir, 1e6)
 	want := []*Message{{ID: "a", Number: 1, Class: "w", Destination: 3, Tenant: "p", OrderingKey: "k", IdempotencyKey: "m", Resubmitted: true, Deadline: 99, Body: []byte("\x00\r\n"),
@@ -45,53 +46,58 @@
 	}
 }
 
-// TestCutAtEveryByte: whatever was written before the cut counts, and what comes after a restart is found again.
-func TestCutAtEveryByte(t *testing.T) {
+// TestTruncationAtEveryByte truncates a segment at every byte. All records before that byte must be read, and a message
+// appended after reopening must be found at the next start.
+func TestTruncationAtEveryByte(t *testing.T) {
 	dir := t.TempDir()
 	s, _, _ := open(t, dir, 1e6)
 	type mark struct {
-		size int64
-		held int
+		size         int64
+		wantMessages int
 	}
-	var marks []mark
-	note := func(held int) { marks = append(marks, mark{s.segments[len(s.segments)-1].size, held}) }
-	note(0)
+	var checkpoints []mark
+	addCheckpoint := func(wantMessages int) {
+		checkpoints = append(checkpoints, mark{s.segments[len(s.segments)-1].size, wantMessages})
+	}
+	addCheckpoint(0)
 	must(t, s.Append(&Message{ID: "a", Body: []byte("body")}))
-	note(1)
+	addCheckpoint(1)
 	must(t, s.BeginAttempt("a", Attempt{Endpoint: "e"}))
-	note(1)
+	addCheckpoint(1)
 	must(t, s.Append(&Message{ID: "b"}))
-	note(2)
+	addCheckpoint(2)
 	must(t, s.Forget("a"))
-	note(1)
-	name := s.path(s.segments[len(s.segments)-1].number)
-	whole, err := os.ReadFile(name)
+	addCheckpoint(1)
+	name := s.segmentPath(s.segments[len(s.segments)-1].number)
+	content, err := os.ReadFile(name)
 	must(t, err)
-	for cut := range whole {
+	for cut := range content {
 		dir := t.TempDir()
-		must(t, os.WriteFile(filepath.Join(dir, filepath.Base(name)), whole[:cut], 0o600))
-		held, clean := 0, false
-		for _, m := range marks {
-			if int64(cut) >= m.size {
-				held, clean = m.held, int64(cut) == m.size
+		must(t, os.WriteFile(filepath.Join(dir, filepath.Base(name)), content[:cut], 0o600))
+		wantMessages, atBoundary := 0, false
+		for _, checkpoint := range checkpoints {
+			if int64(cut) >= checkpoint.size {
+				wantMessages, atBoundary = checkpoint.wantMessages, int64(cut) == checkpoint.size
 			}
 		}
 		s, got, faults := open(t, dir, 1e6)
-		if len(got) != held || (len(faults) == 0) != clean {
-			t.Fatalf("cut at %d: %d messages and %v, want %d", cut, len(got), faults, held)
+		if len(got) != wantMessages || (len(faults) == 0) != atBoundary {
+			t.Fatalf("truncated at byte %d: %d messages and %v, want %d", cut, len(got), faults, wantMessages)
 		}
 		must(t, s.Append(&Message{ID: "later"}), s.Close())
-		if _, got, faults := open(t, dir, 1e6); len(got) != held+1 || len(faults) > 0 && cut >= len(magic) {
-			t.Fatalf("cut at %d: after another start %d messages, %v", cut, len(got), faults)
+		if _, got, faults := open(t, dir, 1e6); len(got) != wantMessages+1 || len(faults) > 0 && cut >= len(magic) {
+			t.Fatalf("truncated at byte %d: after another start %d messages, %v", cut, len(got), faults)
 		}
 	}
 }
 
-func TestDamageIsNamedAndSurvived(t *testing.T) {
+// TestDamageIsReported: a record with a bad checksum, a segment of an unknown version and a file with an invalid name must
+// each be reported. The intact message must be returned, marked as possibly sent.
+func TestDamageIsReported(t *testing.T) {
 	dir := t.TempDir()
 	s, _, _ := open(t, dir, 1e6)
 	must(t, s.Append(&Message{ID: "a"}), s.Append(&Message{ID: "b"}))
-	name := s.path(s.segments[len(s.segments)-1].number)
+	name := s.segmentPath(s.segments[len(s.segments)-1].number)
 	data, err := os.ReadFile(name)
 	must(t, err)
 	data[len(data)-1] ^= 1
@@ -102,42 +108,42 @@
 		t.Fatalf("%d messages, %v", len(got), faults)
 	}
 	if len(got[0].Attempts) != 1 || got[0].Attempts[0].Outcome != "" {
-		t.Errorf("what was noted of it may be gone, yet it counts as never sent: %+v", got[0])
+		t.Errorf("records of this message may be lost, but it counts as never sent: %+v", got[0])
 	}
 }
 
-// TestNeverOverItsLimit: the folder holds no more than it may at any write, nothing live is lost, and nothing
-// that ended comes back, whatever the order of events.
-func TestNeverOverItsLimit(t *testing.T) {
+// TestSizeLimit: after any order of events, the directory must be within its limit, every live message must be kept, and no
+// message that has ended may come back.
+func TestSizeLimit(t *testing.T) {
 	const limit = 200_000
 	dir := t.TempDir()
 	s, _, _ := open(t, dir, limit)
 	rng := rand.New(rand.NewSource(1))
-	live := map[string]int{} // attempts
+	liveAttempts := map[string]int{} // number of attempts by id of the live message
 	var ids []string
-	full := 0
+	fullErrors := 0
 	for i := range 20000 {
 		switch n := rng.Intn(10); {
 		case n < 4 || len(ids) == 0:
 			id := fmt.Sprint("r", i)
 			err := s.Append(&Message{ID: id, Body: make([]byte, rng.Intn(6000))})
 			if errors.Is(err, ErrFull) {
-				full++
+				fullErrors++
 				continue
 			}
 			must(t, err)
-			live[id] = 0
+			liveAttempts[id] = 0
 			ids = append(ids, id)
 		case n < 6:
-			if id := ids[rng.Intn(len(ids))]; live[id] < 8 {
-				must(t, s.BeginAttempt(id, Attempt{Endpoint: "endpoint"}), s.FinishAttempt(id, live[id], "unreachable"))
-				live[id]++
+			if id := ids[rng.Intn(len(ids))]; liveAttempts[id] < 8 {
+				must(t, s.BeginAttempt(id, Attempt{Endpoint: "endpoint"}), s.FinishAttempt(id, liveAttempts[id], "unreachable"))
+				liveAttempts[id]++
 			}
 		default:
-			k := rng.Intn(len(ids))
-			must(t, s.Finish(ids[k], "bounced", 5), s.Forget(ids[k]))
-			delete(live, ids[k])
-			ids = append(ids[:k], ids[k+1:]...)
+			index := rng.Intn(len(ids))
+			must(t, s.Finish(ids[index], "bounced", 5), s.Forget(ids[index]))
+			delete(liveAttempts, ids[index])
+			ids = append(ids[:index], ids[index+1:]...)
 		}
 		if i%10 == 0 {
 			files, _ := filepath.Glob(filepath.Join(dir, "*"))
@@ -148,7 +154,7 @@
 				total += (info.Size() + 511) / 512 * 512
 			}
 			if total > limit || total != s.Size() {
-				t.Fatalf("after %d events the folder holds %d, the spool counts %d", i, total, s.Size())
+				t.Fatalf("after %d events the directory holds %d bytes, the spool counts %d", i, total, s.Size())
 			}
 		}
 		if i%2500 == 0 {
@@ -156,20 +162,20 @@
 			var got []*Message
 			var faults []error
 			s, got, faults = open(t, dir, limit)
-			if len(got) != len(live) || len(faults) > 0 {
-				t.Fatalf("after %d events %d messages came back of %d, %v", i, len(got), len(live), faults)
+			if len(got) != len(liveAttempts) || len(faults) > 0 {
+				t.Fatalf("after %d events %d of %d messages were restored, %v", i, len(got), len(liveAttempts), faults)
 			}
 			for i, message := range got {
 				if i > 0 && got[i-1].Number >= message.Number {
-					t.Fatal("not in the order in which they were taken")
+					t.Fatal("messages are not in the order of acceptance")
 				}
-				if attempts, ok := live[message.ID]; !ok || len(message.Attempts) != attempts {
-					t.Fatalf("%s came back with %d attempts, want %d, %v", message.ID, len(message.Attempts), attempts, ok)
+				if attempts, ok := liveAttempts[message.ID]; !ok || len(message.Attempts) != attempts {
+					t.Fatalf("%s was restored with %d attempts, want %d; live: %v", message.ID, len(message.Attempts), attempts, ok)
 				}
 			}
 		}
 	}
-	if full == 0 || len(ids) == 0 {
+	if fullErrors == 0 || len(ids) == 0 {
 		t.Error("the spool was never full")
 	}
 }
