--- a/atomicfile/atomicfile.go
+++ b/atomicfile/atomicfile.go
@@ -17,10 +17,10 @@
 // and its xxHash64 (8 bytes). The numbers are big-endian.
 const HeaderSize = 24
 
-// Reasons for which a file is not used.
+// Errors of Decode and Read.
 var (
 	ErrAbsent   = errors.New("file does not exist")
-	ErrTorn     = errors.New("torn or damaged")
+	ErrTorn     = errors.New("torn or damaged") // incomplete, changed, or not a regular file
 	ErrTooLarge = errors.New("too large")
 )
 
@@ -49,8 +49,8 @@
 	return binary.BigEndian.Uint32(content[4:]), payload, nil
 }
 
-// Write atomically replaces a file in dir. If it is interrupted, the file has either the complete old or the complete new
-// content.
+// Write atomically replaces a file in dir. After an interrupted write, the file has either the complete old or the complete
+// new content.
 func Write(dir, name string, content []byte) error {
 	return renameio.WriteFile(filepath.Join(dir, name), content, 0o600, renameio.WithTempDir(dir))
 }
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,8 +1,9 @@
 // Package clock is the only place where a courier reads the system clocks.
 //
-// Courier time is a number of microseconds like Unix time. It is taken from the wall clock once. From then on it advances with
-// the monotonic clock, also across restarts and handoffs, until the machine reboots. Stepping the wall clock therefore moves no
-// deadline, time window, wait or grace period. A small file in the state directory, the anchor, maps one reading of the monotonic
+// Courier time is in microseconds and approximately the Unix time. It is taken from the wall clock at the first start of a
+// courier, after a reboot of the machine, and if the anchor (see below) is missing or damaged. Otherwise it advances with the
+// monotonic clock, also across restarts and handoffs. Stepping the wall clock therefore moves no deadline, time window, wait or
+// grace period. A small file in the state directory, the anchor, maps one reading of the monotonic
 // clock to a courier time. All times in other files of the state directory are courier times.
 package clock
 
@@ -35,7 +36,7 @@
 const bootPath = "/proc/sys/kernel/random/boot_id"
 
 // Instant returns the current time for measuring durations within this process, by the monotonic clock. Its date comes from the
-// wall clock and may be used in logs only.
+// wall clock; outside this package it may be used in logs only.
 func Instant() time.Time { return time.Now() }
 
 // Since returns the time elapsed since an instant returned by Instant.
@@ -78,10 +79,10 @@
 	stored    bool // the anchor is in the state directory
 }
 
-// Open returns a clock that continues from the anchor in the state directory dir. If there is no usable anchor, or the machine has
-// rebooted since, the clock starts at the wall clock, but not before floor, which is the latest time in the other files of the
-// directory, and not before the time of a readable anchor. If err is not nil, it says why an existing anchor is not used; the
-// clock is valid nevertheless. Call Store afterwards.
+// Open returns a clock that continues from the anchor in the state directory dir. If the anchor is missing, damaged, or from another
+// or an unknown boot, the clock starts at the wall clock, but not before floor, the latest time in the other files of the directory. After an
+// anchor from another boot, it also does not start before the time of that anchor. If err is not nil, the anchor cannot be read;
+// err says why, and the clock is valid nevertheless. Call Store afterwards.
 func Open(dir string, readings Readings, floor int64) (c *Clock, err error) {
 	c = &Clock{dir: dir, started: readings.instant}
 	saved, err := read(dir)
@@ -99,17 +100,17 @@
 	return c, err
 }
 
-// Peek returns the courier time according to the anchor in dir, or the wall clock time if there is no usable anchor. It changes
-// nothing, and a courier may be using the directory.
+// Peek returns the courier time according to the anchor in dir, or the wall clock time if there is no usable anchor. It does
+// not write to dir and is safe while a courier uses it.
 func Peek(dir string) int64 {
-	c, _ := Open(dir, System(), 0) // the courier that owns the directory reports a bad anchor
+	c, _ := Open(dir, System(), 0) // the error is ignored, because the courier that owns the directory logs it
 	return c.Now()
 }
 
 // Now returns the courier time in microseconds. It is safe for concurrent use.
 func (c *Clock) Now() int64 { return c.startedAt + time.Since(c.started).Microseconds() }
 
-// At returns the courier time at an instant of this process. The instant must come from time.Now.
+// At returns the courier time at an instant of this process. The instant must come from Instant.
 func (c *Clock) At(instant time.Time) int64 {
 	return c.startedAt + instant.Sub(c.started).Microseconds()
 }
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -75,7 +75,7 @@
 		m.readings.Boot, m.readings.Monotonic = "second", 3_000_000
 		got := m.start(t, dir, latest)
 		if want := max(m.readings.Wall, latest); got != want {
-			t.Errorf("stepped by %v: courier time continued after %d us, want %d", step, got-startTime, want-startTime)
+			t.Errorf("stepped by %v: courier time after the reboot is %d us after the first start, want %d us", step, got-startTime, want-startTime)
 		}
 		m.stepWallClock(time.Hour)
 		m.advance(time.Second)
@@ -108,7 +108,7 @@
 	m.advance(time.Second)
 	m.stepWallClock(time.Hour)
 	if got := m.start(t, dir, 0); got != m.readings.Wall-time.Hour.Microseconds() {
-		t.Errorf("the replaced anchor is not used: off by %d us", got-m.readings.Wall)
+		t.Errorf("the replaced anchor is not used: courier time minus wall clock is %d us, want minus 1 h", got-m.readings.Wall)
 	}
 }
 
--- a/handoff/folder.go
+++ b/handoff/folder.go
@@ -18,8 +18,9 @@
 	lockName      = "owner.lock"
 	socketName    = "upgrade.sock"
 	retryInterval = 20 * time.Millisecond
-	// handshakeTimeout is the time limit for connecting and for the first message. A predecessor needs less time to hand
-	// over. After a time-out, Acquire continues to wait for the lock.
+	// handshakeTimeout is the time limit for connecting, and for each process to wait for the first message of the
+	// other. It must be longer than a predecessor needs to hand over. After a time-out, Acquire tries the lock and the
+	// request again.
 	handshakeTimeout = 3 * time.Second
 )
 
@@ -35,8 +36,8 @@
 var ErrTakenOver = errors.New("another process is taking over")
 
 // Acquire returns once this process owns the state directory dir: at once if it has no owner, otherwise when the owner has handed
-// it over or has exited. The state and the link to the predecessor are nil unless the directory was handed over. If locking is
-// not possible, Acquire logs a warning and returns the directory without the lock.
+// it over or has exited. The state and the link to the predecessor are nil unless the directory was handed over. If the first
+// attempts to lock fail with an error, Acquire logs a warning and returns the directory without the lock.
 func Acquire(ctx context.Context, dir, courier string, log *slog.Logger) (*Folder, *State, *Link, error) {
 	folder := &Folder{dir: dir}
 	var err error
@@ -51,7 +52,7 @@
 	for {
 		switch free, err := folder.tryLock(); {
 		case err != nil:
-			log.Warn("failed to lock the state directory: another process could use it", "error", err)
+			log.Warn("continuing without the lock of the state directory: another process may use it at the same time", "error", err)
 			return folder, nil, nil, nil
 		case free:
 			return folder, nil, nil, nil
@@ -66,7 +67,7 @@
 		}
 		if err.Error() != lastLogged {
 			lastLogged = err.Error()
-			log.Warn("no handoff from the owner of the state directory: waiting for its exit", "error", err)
+			log.Warn("no handoff of the state directory: retrying until the owner hands over or exits", "error", err)
 		}
 		select {
 		case <-ctx.Done():
@@ -75,7 +76,8 @@
 	}
 }
 
-// awaitLock acquires the lock after a handoff. The predecessor releases the lock before it sends the state, so the wait is short.
+// awaitLock acquires the lock after a handoff. The predecessor has released the lock before it sent the state, so awaitLock only
+// waits if another process has acquired the lock in between. If locking fails with an error, it returns without the lock.
 func (f *Folder) awaitLock(ctx context.Context, state *State, link *Link) (*Folder, *State, *Link, error) {
 	for {
 		if free, err := f.tryLock(); free || err != nil {
@@ -130,7 +132,7 @@
 		return nil, nil, ErrTakenOver
 	default:
 		link.Close()
-		return nil, nil, fmt.Errorf("predecessor refused the handoff: %s", reason)
+		return nil, nil, fmt.Errorf("predecessor did not hand over: %s", reason)
 	}
 }
 
@@ -141,7 +143,7 @@
 	if err != nil {
 		return err
 	}
-	listener.(*net.UnixListener).SetUnlinkOnClose(false) // by then, the path may belong to the socket of the next owner
+	listener.(*net.UnixListener).SetUnlinkOnClose(false) // when it is closed, the path may belong to the socket of the next owner
 	f.listener = listener
 	go func() {
 		for {
--- a/handoff/folder_test.go
+++ b/handoff/folder_test.go
@@ -52,8 +52,8 @@
 	return links
 }
 
-// TestHandoff: the state and the messages after it must arrive complete, also if the path of the directory is too long for a
-// socket address.
+// TestHandoff: the state and the messages sent after it must arrive complete, even if the path of the directory is too long for
+// a socket address.
 func TestHandoff(t *testing.T) {
 	dir := t.TempDir() + "/" + strings.Repeat("x", 120)
 	if err := os.Mkdir(dir, 0o700); err != nil {
@@ -86,8 +86,9 @@
 	}
 }
 
-// TestSingleOwner: a new process must not own the directory while the owner does not reply, the courier name differs, or the owner
-// is handing over to another process. It must wait or fail. Incident: two processes wrote to the same spool.
+// TestSingleOwner: a new process must not own the directory while another process does. If the owner does not listen, does not
+// send its state or has another courier name, the new process must not become the owner before its deadline; if the owner is handing over to
+// another process, it must fail with ErrTakenOver. Incident: two processes wrote to the same spool.
 func TestSingleOwner(t *testing.T) {
 	dir := t.TempDir()
 	owner, _, _ := acquire(t, dir)
@@ -98,7 +99,7 @@
 		return err
 	}
 	if err := tryAcquire("n0"); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("the owner does not listen: %v", err)
+		t.Errorf("the owner does not listen: got %v, want an exceeded deadline", err)
 	}
 	predecessor := NewPredecessor("n0")
 	var mu sync.Mutex // several successors may connect at once; a courier handles them one by one in its event loop
@@ -112,13 +113,13 @@
 		t.Fatal(err)
 	}
 	if err := tryAcquire("n1"); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("a process of another courier: %v", err)
+		t.Errorf("the new process has another courier name: got %v, want an exceeded deadline", err)
 	}
 	if err := tryAcquire("n0"); err == nil {
 		t.Error("the owner hangs, but another process owns the directory too")
 	}
 	if err := tryAcquire("n0"); !errors.Is(err, ErrTakenOver) {
-		t.Errorf("a second successor: %v", err)
+		t.Errorf("the owner is handing over to another process: got %v, want ErrTakenOver", err)
 	}
 	for _, text := range []string{"", "{", "nonsense\n", "{}\n", strings.Repeat("x", 1<<16)} { // connections that send no valid hello must be closed
 		conn, err := net.Dial("unix", owner.socketPath())
@@ -135,6 +136,6 @@
 	}
 	owner.Release()
 	if folder, s, _ := acquire(t, dir); folder == nil || s != nil {
-		t.Error("the owner has released the directory, but a new process did not acquire it without a handoff")
+		t.Error("after the owner has released the lock, a new process must own the directory, without a handed over state")
 	}
 }
--- a/handoff/machine.go
+++ b/handoff/machine.go
@@ -2,8 +2,8 @@
 
 // This file has the two state machines of a handoff. They do no I/O: the caller passes in events and carries out the decisions.
 
-// Predecessor is the state machine of the process that owns the state directory. The process decides on messages only while Owns
-// returns true.
+// Predecessor is the state machine of the process that owns the state directory. The process decides on client messages
+// only while Owns returns true.
 type Predecessor struct {
 	courier      string
 	phase        phase
@@ -15,8 +15,8 @@
 
 const (
 	phaseOwner      phase = iota // no handoff in progress
-	phaseRequested               // a successor is ready; this process still decides on the messages received so far
-	phaseHandedOver              // the successor may already decide on messages
+	phaseRequested               // a successor is ready; this process decides on client messages until it calls HandedOver
+	phaseHandedOver              // the successor may already decide on client messages
 	phaseForwarding              // the successor accepts clients; this process forwards the outcomes of its attempts in flight
 )
 
@@ -27,16 +27,16 @@
 const (
 	Nothing  Decision = iota
 	Refuse            // send the successor a refusal and close its link
-	HandOver          // stop deciding on messages, release the lock, send the State and call HandedOver
+	HandOver          // stop deciding on client messages, release the lock, send the State and call HandedOver
 	Apply             // act on the received message
-	Reclaim           // the successor is lost: acquire the lock again when it is free, and continue
+	Reclaim           // the successor is lost: acquire the lock again when it is free, and decide on client messages again
 	Drop              // the message is invalid in this phase: close the link, then call SuccessorLost
 )
 
 // NewPredecessor returns the state machine of a process that owns the state directory of a courier.
 func NewPredecessor(courier string) *Predecessor { return &Predecessor{courier: courier} }
 
-// Owns reports whether this process decides on messages.
+// Owns reports whether this process decides on client messages.
 func (p *Predecessor) Owns() bool { return p.phase == phaseOwner || p.phase == phaseRequested }
 
 // ShutDown records that this process is shutting down: it starts no further handoff, and does not take over again if the successor
@@ -81,10 +81,10 @@
 func (p *Predecessor) SuccessorLost() Decision {
 	before := p.phase
 	p.phase = phaseOwner
-	if before == phaseRequested || before == phaseOwner {
+	if before == phaseRequested || before == phaseOwner { // nothing was handed over, so there is nothing to reclaim
 		return Nothing
 	}
-	if p.shuttingDown {
+	if p.shuttingDown { // keep the phase, so that Owns stays false
 		p.phase = before
 		return Nothing
 	}
@@ -100,7 +100,7 @@
 // Decisions of a Successor.
 const (
 	Wait     SuccessorDecision = iota // retry the lock and the request after a while
-	TakeOver                          // acquire the lock, which is free or about to be released, and use the received State
+	TakeOver                          // acquire the lock, which the predecessor has released, and use the received State
 	Yield                             // exit, because another process is taking over
 )
 
--- a/handoff/machine_test.go
+++ b/handoff/machine_test.go
@@ -119,8 +119,9 @@
 }
 
 // TestEveryEventOrder explores every order of messages, kills and SIGTERM, up to 18 events. Two processes must never decide on
-// messages at the same time. The predecessor must decide whenever it is alive and owns the lock, and only then. Incident: the
-// predecessor continued while the successor was deciding, which violated Retry-After waits and sent messages twice.
+// client messages at the same time. The predecessor must decide whenever it is alive and owns the lock, and only then. Incident: the
+// predecessor continued while the successor was deciding, so endpoints were called before their Retry-After had passed, and
+// messages were sent twice.
 func TestEveryEventOrder(t *testing.T) {
 	start := &model{predecessor: NewPredecessor("n0"), predecessorAlive: true, lock: 1}
 	visited := map[string]bool{}
--- a/handoff/message.go
+++ b/handoff/message.go
@@ -1,6 +1,9 @@
-// Package handoff transfers a courier from a running process, the predecessor, to a new one, the successor, during an upgrade.
-// The predecessor hands over the state directory and the control of the messages, and afterwards forwards the outcomes of its
-// attempts in flight. A file lock decides which process owns the state directory, whatever the processes tell each other.
+// Package handoff lets a courier process, the predecessor, hand over to a new process of the same courier name, the successor,
+// during an upgrade. The predecessor hands over the state directory and the client messages, and afterwards forwards the
+// outcomes of its attempts in flight. A process decides on client messages when it accepts them and chooses when and where they
+// are sent; at most one of the two processes may do so at a time. A file lock, not the protocol, determines which process owns
+// the state directory; only if locking fails does Acquire continue without it.
+//
 // machine.go has the state machines, which do no I/O; folder.go has the lock and the socket; message.go has the messages.
 package handoff
 
@@ -26,10 +29,10 @@
 type Message struct {
 	Hello           *Hello                    `json:"hello,omitempty"`   // from the successor: it is ready to take over
 	Refused         string                    `json:"refused,omitempty"` // from the predecessor: it refuses the handoff; the reason
-	State           *State                    `json:"state,omitempty"`   // from the predecessor: it hands over and stops deciding on messages
+	State           *State                    `json:"state,omitempty"`   // from the predecessor: it hands over and stops deciding on client messages
 	Serving         bool                      `json:"serving,omitempty"` // from the successor: it accepts clients
 	AttemptFinished *dispatch.AttemptFinished `json:"settled,omitempty"` // from the predecessor: an attempt in flight has finished
-	Cancel          *AttemptID                `json:"cancel,omitempty"`  // from the successor: this attempt is canceled
+	Cancel          *AttemptID                `json:"cancel,omitempty"`  // from the successor: cancel this attempt
 	RetryAfter      *RetryAfter               `json:"wait,omitempty"`    // from the successor: it received a Retry-After
 	Command         *Command                  `json:"ask,omitempty"`     // from the predecessor: an operator command
 	Result          *Result                   `json:"answer,omitempty"`  // from the successor: the result of a command
@@ -47,7 +50,7 @@
 	ListVersion int64                      `json:"seq"` // version of the endpoint list
 	Endpoints   []protocol.Host            `json:"hosts"`
 	InFlight    []AttemptID                `json:"out"`   // attempts without an outcome yet
-	RetryAfter  map[string]dispatch.Micros `json:"waits"` // time at which the Retry-After ends, by endpoint group
+	RetryAfter  map[string]dispatch.Micros `json:"waits"` // time at which the Retry-After ends, by endpoint name or destination number
 	Disabled    []string                   `json:"gone"`  // endpoints disabled by operators
 	Draining    bool                       `json:"away"`  // clients are being drained
 	Membership  *Membership                `json:"peers,omitempty"`
@@ -75,8 +78,8 @@
 	Until       dispatch.Micros        `json:"until"`
 }
 
-// Command is an operator command. With Endpoint, it disables (On) or enables this endpoint. Without, it starts (On) or stops
-// draining the clients.
+// Command is an operator command. If Endpoint is set, the command disables this endpoint if On is true, and enables it
+// otherwise. If Endpoint is empty, the command starts draining the clients if On is true, and stops it otherwise.
 type Command struct {
 	Number   int64  `json:"number"`
 	Endpoint string `json:"endpoint,omitempty"`
@@ -87,11 +90,11 @@
 type Result struct {
 	Number  int64  `json:"number"`
 	Error   string `json:"fault,omitempty"`
-	Unknown bool   `json:"unknown,omitempty"`
+	Unknown bool   `json:"unknown,omitempty"` // the error is that the endpoint is unknown
 }
 
 const (
-	maxMessageSize    = 16 << 20 // fits a State with about 1 KB for each of many thousand endpoint groups
+	maxMessageSize    = 16 << 20 // fits a State with about 1 KB for each of about 16,000 endpoint groups
 	maxQueuedMessages = 4096     // messages waiting to be sent
 )
 
@@ -99,7 +102,7 @@
 type Link struct {
 	conn      net.Conn
 	scanner   *bufio.Scanner
-	queue     chan Message
+	queue     chan Message // messages waiting to be sent
 	closeOnce sync.Once
 	closed    chan struct{}
 }
@@ -150,7 +153,7 @@
 	l.Close()
 }
 
-const refuseTimeout = 50 * time.Millisecond // enough, because one line fits the socket buffer
+const refuseTimeout = 50 * time.Millisecond // the refusal is one line and fits into the socket buffer, so the write normally does not wait
 
 // Close closes the link. Queued messages may be lost.
 func (l *Link) Close() {
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -1,6 +1,6 @@
 // Package logging is the courier's log, built on log/slog. It writes text or JSON and has log levels per component that can
 // change at run time. Repeated lines are counted and reported once. A bounded queue in front of the writer keeps the callers
-// from blocking when the log's reader hangs or the disk is full.
+// from blocking when the process that reads the output hangs or the disk is full.
 package logging
 
 import (
@@ -99,7 +99,7 @@
 	}
 }
 
-// repeatReportInterval is the interval at which expired repeats are reported.
+// repeatReportInterval is the interval for checking for lines whose window is over, to report their repeats.
 const repeatReportInterval = time.Second
 
 // write writes the queued lines to out. Only its goroutine blocks if out blocks.
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -54,7 +54,7 @@
 	l.Close(time.Second)
 	for text, want := range map[string]bool{"a1": false, "a2": true, "a3": false, "a4": true, "a5": true} {
 		if strings.Contains(out.String(), text) != want {
-			t.Errorf("%s: logged must be %v in\n%s", text, want, out.String())
+			t.Errorf("%s: in the log: want %v; the log is\n%s", text, want, out.String())
 		}
 	}
 	if _, err := New(&out, Options{Level: "loud"}); err == nil {
--- a/maintenance/maintenance.go
+++ b/maintenance/maintenance.go
@@ -19,13 +19,14 @@
 const (
 	magic   = "PPMT"
 	version = 1
-	// MaxFileSize is the maximum size of the file in bytes, enough for some hundred endpoints.
+	// MaxFileSize is the maximum size of the file in bytes, enough for several hundred endpoint names of
+	// about 30 bytes.
 	MaxFileSize = 16 << 10
 	// Reserve is the number of bytes reserved in the state directory: for the file and, during a replacement, the new file.
 	Reserve = 2 * MaxFileSize
 )
 
-// Reasons for which a file is not used, beside the errors of package atomicfile.
+// Errors of Read, in addition to those of package atomicfile.
 var (
 	ErrVersion      = errors.New("unsupported version")
 	ErrOtherCourier = errors.New("file belongs to another courier")
@@ -74,11 +75,11 @@
 	return decoded.Disabled, nil
 }
 
-// Writer writes the file. It is safe for concurrent use, and Write may be called out of order.
+// Writer writes the file. It is safe for concurrent use, and calls of Write may come in any order of generations.
 type Writer struct {
 	dir, courier      string
 	mu                sync.Mutex
-	writtenGeneration int64 // generation of the list in the file
+	writtenGeneration int64 // latest generation written by this Writer
 	stopped           bool  // set by Stop: Write does nothing
 }
 
@@ -89,15 +90,15 @@
 }
 
 // Stop makes Write do nothing from now on. It is called when the disabled endpoints have been handed over to another
-// process, which writes the file before it serves.
+// process, which writes the file before it accepts clients.
 func (w *Writer) Stop() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.stopped = true
 }
 
-// Write stores the disabled endpoints of a generation. If the file already has the same or a later generation, it is left
-// unchanged.
+// Write stores the disabled endpoints. generation is a counter that the caller increments with every change. If this Writer
+// has already written the same or a later generation, Write does nothing.
 func (w *Writer) Write(generation int64, disabled map[string]bool) error {
 	content, err := encode(w.courier, slices.Sorted(maps.Keys(disabled)))
 	if err != nil {
--- a/maintenance/maintenance_test.go
+++ b/maintenance/maintenance_test.go
@@ -11,8 +11,9 @@
 	"pineport/atomicfile"
 )
 
-// TestDisabledEndpointsSurviveRestart guards against two failures: endpoints that operators had disabled were called again
-// after a restart, and a damaged file made the start fail.
+// TestDisabledEndpointsSurviveRestart guards against two failures: endpoints that operators have disabled are called again
+// after a restart, or a damaged file prevents the start. It also covers files of another courier or version, and a list that
+// is too long.
 func TestDisabledEndpointsSurviveRestart(t *testing.T) {
 	dir := t.TempDir()
 	if disabled, err := Read(dir, "n0"); disabled != nil || err != nil {
--- a/snapshot/file.go
+++ b/snapshot/file.go
@@ -25,7 +25,7 @@
 	blockSize  = 512 // disk usage is counted in whole blocks
 )
 
-// Reasons for which a file is not used. Most are returned wrapped, with the value found in the file.
+// Errors of Encode, Decode and Read. Most are returned wrapped, with the value found in the file.
 var (
 	ErrAbsent        = atomicfile.ErrAbsent
 	ErrTorn          = atomicfile.ErrTorn
@@ -33,7 +33,7 @@
 	ErrVersionTooOld = errors.New("version too old")
 	ErrVersionTooNew = errors.New("version too new")
 	ErrOtherCourier  = errors.New("file belongs to another courier")
-	ErrFuture        = errors.New("taken in the future: the clock went backwards")
+	ErrFuture        = errors.New("snapshot is later than the courier clock")
 	ErrImplausible   = errors.New("contains implausible values")
 )
 
@@ -49,7 +49,7 @@
 	Snapshot dispatch.Snapshot `cbor:"2,keyasint"`
 }
 
-// bodyV1 is the payload of version 1, which has no lost calls and no endpoints. Its fields mean the same as in version 2.
+// bodyV1 is the payload of version 1, without LostCalls and Endpoints of dispatch.Snapshot. Its fields mean the same as in version 2.
 type bodyV1 struct {
 	Courier     string                   `cbor:"1,keyasint"`
 	TakenAt     dispatch.Micros          `cbor:"2,keyasint"`
@@ -71,8 +71,9 @@
 	return mode
 }
 
-// Encode returns the content of a file, of at most limit bytes. If the state is larger, Encode keeps the groups with the
-// most recent calls and the last entries of Endpoints, which are those that failed most recently.
+// Encode returns the content of a file, of at most limit bytes. If the state is larger, Encode keeps the endpoint
+// groups with the most recent calls and the last entries of Endpoints, which are those that failed most recently. It does
+// not store RestingKeys: these ordering keys are held for a moment only, and there may be many.
 func Encode(state State, limit int) ([]byte, error) {
 	snapshot := state.Snapshot
 	snapshot.Groups, snapshot.RestingKeys = slices.Clone(snapshot.Groups), nil
@@ -88,7 +89,7 @@
 		if len(snapshot.Groups) == 0 && len(snapshot.Endpoints) == 0 {
 			return nil, fmt.Errorf("%w: %d bytes, %d allowed", ErrTooLarge, len(payload)+headerSize, limit)
 		}
-		// Keep 5% less than the ratio allows, so that the second pass fits.
+		// Keep 5% less than the ratio allows, so that the second pass usually fits.
 		fraction := 0.95 * float64(limit) / float64(len(payload)+headerSize)
 		snapshot.Groups = snapshot.Groups[:int(fraction*float64(len(snapshot.Groups)))]
 		snapshot.Endpoints = snapshot.Endpoints[len(snapshot.Endpoints)-int(fraction*float64(len(snapshot.Endpoints))):]
@@ -126,9 +127,10 @@
 	return state, nil
 }
 
-// Limits for plausible values. They are wide: they reject only values that would harm the dispatcher.
+// Upper limits for values in a file. They are far above real values; a larger value would harm the dispatcher, for example
+// by keeping a breaker open for years.
 const (
-	maxInterval = dispatch.Micros(3600 * 1000 * 1000) // for an interval, and for the rest of a Retry-After; in microseconds
+	maxInterval = dispatch.Micros(3600 * 1000 * 1000) // for intervals, warm-up, and the rest of a Retry-After, open breaker or ejection; microseconds
 	maxValue    = 1e9
 )
 
@@ -163,7 +165,7 @@
 			valid = valid && b.Failures >= 0 && b.OpenUntil <= snapshot.TakenAt+maxInterval
 		}
 		if !valid {
-			return fmt.Errorf("%w: destination %d", ErrImplausible, group.Destination)
+			return fmt.Errorf("%w: group of destination %d", ErrImplausible, group.Destination)
 		}
 	}
 	for _, endpoint := range snapshot.Endpoints {
@@ -183,7 +185,7 @@
 func Write(dir string, content []byte) error { return atomicfile.Write(dir, Name, content) }
 
 // Read reads the file in dir. It fails if the file belongs to another courier, or if the snapshot was taken after now. An
-// empty courier or a now of 0 turns off that check.
+// empty courier turns off the first check, a now of 0 the second.
 func Read(dir, courier string, now dispatch.Micros, limit int) (State, error) {
 	content, err := atomicfile.Read(dir, Name, limit)
 	if err != nil {
@@ -207,9 +209,9 @@
 // MaxSize is the maximum size of the file in bytes, whatever the size limit of the directory.
 const MaxSize = 128 << 10
 
-// Reserve divides the size limit of the state directory. reserved is the number of bytes for the file and, during a
-// replacement, the new file; fileLimit is the limit for each of the two. reserved is 1/16 of folderLimit, at most 256 KiB,
-// and both results are whole blocks.
+// Reserve returns how many bytes of the size limit of the state directory, folderLimit, are reserved for the snapshot file
+// and for the new file during a replacement, and the size limit of each of these two files. reserved is 1/16 of folderLimit,
+// at most 256 KiB, and both results are whole blocks.
 func Reserve(folderLimit int64) (reserved int64, fileLimit int) {
 	perFile := min(folderLimit/16, 2*MaxSize) / 2 / blockSize * blockSize
 	return 2 * perFile, int(perFile)
--- a/snapshot/golden_test.go
+++ b/snapshot/golden_test.go
@@ -39,7 +39,7 @@
 
 // TestDecodeGolden: decoding the golden files of versions 1 and 2 must return the state that they were made from.
 func TestDecodeGolden(t *testing.T) {
-	for name, want := range map[string]func(*State){
+	for name, adjust := range map[string]func(*State){
 		"version-2.golden": func(*State) {},
 		"version-1.golden": func(s *State) { s.Snapshot.LostCalls, s.Snapshot.Endpoints = nil, nil },
 	} {
@@ -48,7 +48,7 @@
 			t.Fatal(err)
 		}
 		state := goldenState()
-		want(&state)
+		adjust(&state)
 		if got, err := Decode(content); err != nil || !reflect.DeepEqual(got, state) {
 			t.Errorf("%s: %v: decoded as %+v", name, err, got)
 		}
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -61,8 +61,8 @@
 	return State{Courier: rapid.StringN(1, 30, -1).Draw(t, "courier"), Snapshot: snapshot}
 }
 
-// TestEncodeDecode: decoding must return the encoded state. A size limit may only remove whole groups, those with the oldest
-// last call first.
+// TestEncodeDecode: decoding must return the courier, the lost calls and the number of groups that were encoded. With a size
+// limit, the groups with the oldest last call must be removed first; the endpoints are not checked.
 func TestEncodeDecode(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := drawState(t)
@@ -150,8 +150,8 @@
 	})
 }
 
-// TestRead covers files of each version, damaged and oversized files, files of another courier or with a future time, and the
-// temporary files of interrupted writes.
+// TestRead covers files of each version, damaged and oversized files, files of another courier or with a future time, the
+// temporary files of interrupted writes, and a directory in place of the file. It also checks the results of Reserve.
 func TestRead(t *testing.T) {
 	want := State{Courier: "n1", Snapshot: dispatch.Snapshot{TakenAt: baseTime, Groups: []dispatch.GroupSnapshot{{Destination: 7, Outage: true}}}}
 	content, err := Encode(want, 1<<16)
@@ -209,8 +209,8 @@
 	}
 }
 
-// writeUntilKilled writes files until the process is killed. TakenAt - baseTime in each file is its number, which is
-// also printed once the file is written.
+// writeUntilKilled writes files 1, 2, 3 and so on until the process is killed. File i has TakenAt = baseTime + i, and i is
+// printed after the write.
 func writeUntilKilled(dir string) {
 	groups := make([]dispatch.GroupSnapshot, 300)
 	for i := 1; ; i++ {
@@ -255,7 +255,7 @@
 		}
 		leftovers += Sweep(dir)
 	}
-	t.Logf("%d kills, %d of them in the middle of a write", *kills, leftovers)
+	t.Logf("%d kills, %d temporary files removed", *kills, leftovers)
 }
 
 // TestWriterNeverBlocks: Offer must not wait for a hanging disk. Consecutive write failures must be logged once, and the first
--- a/spool/behind.go
+++ b/spool/behind.go
@@ -10,8 +10,8 @@
 // in the order in which their writes first failed and before any later record. The backlog holds one id per message,
 // and Append accepts no message before the backlog is written, so the number of stored messages bounds its size.
 
-// ErrBehind is returned while the directory does not accept writes. Changes other than those of Append and Discard
-// stay in memory until a Flush succeeds.
+// ErrBehind is returned while the directory does not accept writes. The changes of Append and Discard are then not made;
+// all other changes are made in memory, and stay there until a Flush succeeds.
 var ErrBehind = errors.New("spool: cannot write to the state directory")
 
 // segmentFile is the file of the current segment.
@@ -26,9 +26,9 @@
 	return os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND|os.O_TRUNC, 0o600)
 }
 
-// backlog is the list of messages whose latest state is not in the directory yet.
+// backlog is the list of messages whose latest changes are not in the directory yet.
 type backlog struct {
-	order []string        // message ids, oldest first; includes removed messages
+	order []string        // message ids in the order in which they were added; includes messages removed from the spool
 	ids   map[string]bool // the ids in order
 }
 
--- a/spool/behind_test.go
+++ b/spool/behind_test.go
@@ -19,19 +19,19 @@
 // faultInjector decides which file operations fail.
 type faultInjector struct {
 	rng           *rand.Rand
-	failWrites    bool // writes fail; creating a segment fails at random
+	failWrites    bool // all writes fail, and creating a segment fails at random
 	failTruncates bool
 	injected      int // faults injected so far
 	partialWrites int // failed writes that wrote part of their bytes
 }
 
-func (m *faultInjector) create(path string) (segmentFile, error) {
-	if m.failWrites && m.rng.Intn(2) == 0 {
-		m.injected++
+func (injector *faultInjector) create(path string) (segmentFile, error) {
+	if injector.failWrites && injector.rng.Intn(2) == 0 {
+		injector.injected++
 		return nil, syscall.ENOSPC
 	}
 	file, err := createSegment(path)
-	return faultyFile{file, m}, err
+	return faultyFile{file, injector}, err
 }
 
 func (f faultyFile) Write(b []byte) (int, error) {
@@ -57,7 +57,7 @@
 
 // TestWriteFaultsLoseNothing injects faults into creating, writing and truncating segments. After the faults end, the
 // spool must hold every accepted message with its attempts and its end, and no refused or removed message. If a
-// partial record could not be truncated, the only allowed difference is that messages count as possibly sent.
+// partial record could not be truncated, faults may be reported, and messages marked as possibly sent are not compared.
 func TestWriteFaultsLoseNothing(t *testing.T) {
 	injected, partialWrites := 0, 0
 	for seed := range int64(200) {
@@ -69,13 +69,13 @@
 		if err := s.startSegment(s.segments[len(s.segments)-1].number + 1); err != nil {
 			t.Fatal(err)
 		}
-		truncatesFail := seed%4 == 0
+		allowTruncateFaults := seed%4 == 0
 		want := map[string]*Message{}
 		var ids []string
 		for step := range 300 {
 			if step%20 == 0 {
 				injector.failWrites = rng.Intn(2) == 0
-				injector.failTruncates = injector.failWrites && truncatesFail
+				injector.failTruncates = injector.failWrites && allowTruncateFaults
 			}
 			id := fmt.Sprint("m", step)
 			if len(ids) > 0 {
@@ -119,14 +119,14 @@
 		}
 		injected, partialWrites = injected+injector.injected, partialWrites+injector.partialWrites
 		_, got, faults := open(t, dir, 300_000)
-		if len(faults) > 0 && !truncatesFail {
+		if len(faults) > 0 && !allowTruncateFaults {
 			t.Fatalf("seed %d: %v", seed, faults)
 		}
 		if len(got) != len(want) {
 			t.Fatalf("seed %d: %d messages, want %d", seed, len(got), len(want))
 		}
 		for _, message := range got {
-			if truncatesFail && len(message.Attempts) > 0 && message.Attempts[len(message.Attempts)-1] == (Attempt{}) {
+			if allowTruncateFaults && len(message.Attempts) > 0 && message.Attempts[len(message.Attempts)-1] == (Attempt{}) {
 				continue
 			}
 			if !reflect.DeepEqual(normalized(message), normalized(want[message.ID])) {
@@ -156,9 +156,9 @@
 	return rest
 }
 
-// TestFailedCompactionRefusesNothing: when the compaction after an append fails, Append must still report the message
-// as stored, and the directory must stay within its limit.
-func TestFailedCompactionRefusesNothing(t *testing.T) {
+// TestAppendSucceedsDespiteFailedCompaction: when the compaction after an append fails, Append must still report
+// that the message is stored. Only ErrFull is allowed as an error, and the directory must stay within its limit.
+func TestAppendSucceedsDespiteFailedCompaction(t *testing.T) {
 	const limit = 100_000
 	s, _, _ := open(t, t.TempDir(), limit)
 	s.remove = func(string) error { return syscall.EIO }
--- a/spool/entry.go
+++ b/spool/entry.go
@@ -58,7 +58,7 @@
 	}
 	entry := s.entries[update.ID]
 	if entry == nil {
-		return true // the message has ended, and compaction has removed its message record
+		return true // the message was removed, or its message record was lost in a damaged segment
 	}
 	switch payload[0] {
 	case kindAttempt:
--- a/spool/golden_test.go
+++ b/spool/golden_test.go
@@ -11,7 +11,7 @@
 )
 
 // storeMessagesInEveryState stores a message in each possible state: without an attempt, with an attempt in flight, with
-// each attempt outcome, ended with an unconfirmed notice, and removed.
+// each attempt outcome and a second attempt in flight, ended with an unconfirmed notice, and removed.
 func storeMessagesInEveryState(t *testing.T, s *Spool) {
 	t.Helper()
 	check := func(err error) {
@@ -42,8 +42,8 @@
 	check(s.Forget("over"))
 }
 
-// TestSegmentMatchesGolden: a segment with messages in every state must be byte-identical to the golden file, which an
-// earlier version of the program wrote. Reading the golden file must return the same messages.
+// TestSegmentMatchesGolden: a segment with messages in every state must be byte-identical to the golden file. Reading
+// the golden file, which stands for a segment of an earlier version, must return the same messages.
 func TestSegmentMatchesGolden(t *testing.T) {
 	golden.Tagged(t, Message{})
 	golden.Tagged(t, update{})
--- a/spool/segment.go
+++ b/spool/segment.go
@@ -22,7 +22,7 @@
 }
 
 // load reads all segments. nextNumber is the number for the next new segment.
-func (s *Spool) load() (unfinished []*Message, faults []error, nextNumber int, err error) {
+func (s *Spool) load() (messages []*Message, faults []error, nextNumber int, err error) {
 	names, err := filepath.Glob(filepath.Join(s.dir, "*.seg"))
 	if err != nil {
 		return nil, nil, 0, err
@@ -43,10 +43,10 @@
 		s.segments = append(s.segments, seg)
 	}
 	for _, entry := range s.entries {
-		unfinished = append(unfinished, entry.message)
+		messages = append(messages, entry.message)
 	}
-	slices.SortFunc(unfinished, func(a, b *Message) int { return cmp.Compare(a.Number, b.Number) })
-	return unfinished, faults, nextNumber, nil
+	slices.SortFunc(messages, func(a, b *Message) int { return cmp.Compare(a.Number, b.Number) })
+	return messages, faults, nextNumber, nil
 }
 
 func (s *Spool) segmentPath(number int) string {
@@ -72,7 +72,7 @@
 }
 
 // readSegment applies the records of one segment up to the first damaged one, and truncates the file there. With
-// readOnly set, the file is not changed.
+// readOnly set, the file is not changed, and a partial last record in the last segment is no error.
 func (s *Spool) readSegment(name string, seg *segment, isLast bool) error {
 	mode := os.O_RDWR
 	if s.readOnly {
@@ -92,7 +92,7 @@
 		return errors.New("no segment header: the file is empty or truncated")
 	}
 	if string(data[:len(magic)]) != magic {
-		return fmt.Errorf("unknown version %q: segment skipped", data[:len(magic)])
+		return fmt.Errorf("unknown version %q: segment not read", data[:len(magic)])
 	}
 	offset, torn := len(magic), false
 	for offset < len(data) {
@@ -130,7 +130,7 @@
 }
 
 // markUncertain adds an attempt without an outcome to every message read so far. It is called after records were
-// lost, because each of these messages may have been sent, or may have ended, in a lost record.
+// lost, because a lost record may have said that the message was sent or has ended.
 func (s *Spool) markUncertain() {
 	for _, entry := range s.entries {
 		entry.message.Attempts = append(entry.message.Attempts, Attempt{})
@@ -139,7 +139,8 @@
 
 // appendRecord appends one record, to a new segment if the current one is full. Incident: a partial record could not
 // be truncated after a failed write, and at the next start it hid all records appended after it. So nothing is
-// appended after a partial record: it is truncated first, and if that keeps failing, a new segment is started.
+// appended after a partial record: it is truncated first, and if truncating fails
+// maxTruncateFailures times, a new segment is started.
 func (s *Spool) appendRecord(payload []byte) error {
 	if err := s.truncateTornTail(); err != nil {
 		return err
@@ -183,7 +184,7 @@
 }
 
 // maxTruncateFailures is the number of failed truncations after which a new segment is started. If a segment other
-// than the last ends in a partial record, all messages read up to there count as possibly sent after a restart.
+// than the last ends in a partial record, markUncertain marks all messages read up to there at the next start.
 const maxTruncateFailures = 5
 
 // Size returns the size of the directory in bytes, with each file counted in whole blocks.
@@ -196,8 +197,8 @@
 }
 
 // compact rewrites the live messages of the oldest segment at the end of the newest and removes the oldest. It repeats
-// this while more than 3/4 of the limit is used, or while there are at least 4 segments and their size is at least
-// 3 times the live bytes.
+// this while little room is left (more than 3/4 of the limit is used), or while there is more garbage than live data (at
+// least 4 segments, whose size is at least 3 times the live bytes).
 func (s *Spool) compact() error {
 	for len(s.segments) > 1 {
 		size := s.Size()
--- a/spool/spool.go
+++ b/spool/spool.go
@@ -1,8 +1,8 @@
 // Package spool persists the messages that a courier has accepted, and their attempts, in a directory that
 // survives restarts of the process. The directory holds append-only segments of checksummed records, which are
-// written without fsync. Compaction rewrites the live messages of the oldest segment at the end of the newest one
-// and then removes the oldest. This keeps the directory small, and the record that ends a message is never
-// removed before the earlier records of that message.
+// written without fsync. Records that are no longer needed are garbage. Compaction rewrites the live messages of the
+// oldest segment at the end of the newest one and then removes the oldest. This keeps the directory small, and the
+// record that ends a message is never removed before the earlier records of that message.
 package spool
 
 import (
@@ -19,7 +19,7 @@
 type Attempt struct {
 	Endpoint string `json:"e"`
 	Zone     int    `json:"z"`
-	SentAt   int64  `json:"s"`           // microseconds of Unix time, like all times in this package
+	SentAt   int64  `json:"s"`           // courier time (package clock) in microseconds, like Message.Deadline
 	Outcome  string `json:"o,omitempty"` // empty while in flight, or if the process ended before the outcome
 }
 
@@ -35,7 +35,7 @@
 	Resubmitted    bool      `json:"a,omitempty"`
 	Deadline       int64     `json:"c"`
 	Attempts       []Attempt `json:"t,omitempty"`
-	Ended          string    `json:"x,omitempty"` // how the message ended, while its notice is not confirmed; else empty
+	Ended          string    `json:"x,omitempty"` // how the message ended; empty until it has ended
 	RetryAfterMs   int64     `json:"m,omitempty"`
 	Body           []byte    `json:"-"`
 }
@@ -55,7 +55,7 @@
 	kindAttempt = 'T' // the start of an attempt
 	kindOutcome = 'O' // the outcome of an attempt
 	kindEnd     = 'E' // the message has ended, and its notice is not confirmed yet
-	kindRemoved = 'G' // the message has ended, and no notice is outstanding
+	kindRemoved = 'G' // the message is removed: it ended or was discarded, and no notice is outstanding
 )
 
 // indexEntry locates the newest message record of a live message.
@@ -63,7 +63,7 @@
 	message       *Message
 	recordSize    int64 // of its newest message record
 	segment       *segment
-	reservedBytes int64 // upper bound for the records of its attempts and its end
+	reservedBytes int64 // reserved for the growth of the record by attempts and by the end
 }
 
 // Spool is an open spool directory. It is not safe for concurrent use.
@@ -87,7 +87,7 @@
 }
 
 // Inspect reads a spool directory without modifying it; the courier that owns it may be running. messages are the
-// unfinished messages in the order of acceptance, faults describe unreadable records and files.
+// stored messages in the order of acceptance, faults describe unreadable records and files.
 func Inspect(dir string) (messages []*Message, faults []error, err error) {
 	if info, err := os.Stat(dir); err != nil || !info.IsDir() {
 		return nil, nil, fmt.Errorf("%s: no such directory", dir)
@@ -97,13 +97,14 @@
 	return messages, faults, err
 }
 
-// Open opens a spool directory and returns its unfinished messages in the order of acceptance. faults describe
+// Open opens a spool directory and returns its stored messages in the order of acceptance, including those
+// that have ended and whose notice is not confirmed. faults describe
 // records that were dropped and files that were skipped, because they are damaged. limit is the maximum size of
 // the directory in bytes.
-func Open(dir string, limit int64) (s *Spool, unfinished []*Message, faults []error, err error) {
+func Open(dir string, limit int64) (s *Spool, messages []*Message, faults []error, err error) {
 	s = &Spool{dir: dir, limit: limit, segmentSize: max(limit/segmentsPerDir/blockSize*blockSize, 4*blockSize), entries: map[string]*indexEntry{},
 		create: createSegment, remove: os.Remove, backlog: backlog{ids: map[string]bool{}}}
-	unfinished, faults, nextNumber, err := s.load()
+	messages, faults, nextNumber, err := s.load()
 	if err != nil {
 		return nil, nil, nil, err
 	}
@@ -111,14 +112,14 @@
 		return nil, nil, faults, err
 	}
 	s.tryCompact()
-	return s, unfinished, faults, nil
+	return s, messages, faults, nil
 }
 
 // index records the segment and the size of the newest message record of a message.
 func (s *Spool) index(message *Message, seg *segment, size int64) {
 	s.unindex(message.ID)
-	// Attempts enlarge the message record that compaction writes later. Space is reserved for them, because
-	// otherwise compaction could need more than is left.
+	// Attempts and the end enlarge the message record that compaction writes later. Space is reserved for this
+	// growth, because otherwise compaction could need more than is left.
 	entry := &indexEntry{message: message, recordSize: size, segment: seg, reservedBytes: 1024}
 	s.entries[message.ID] = entry
 	seg.liveSizes[message.ID] = size
@@ -170,7 +171,7 @@
 func (s *Spool) hasRoom(size int64) bool { return s.Size()+size+s.segmentSize <= s.limit }
 
 // tryCompact runs a compaction and keeps its error for TakeFault. After a failure the directory is larger than
-// necessary until the compaction that follows the next write.
+// necessary until a later compaction succeeds; the next one runs after the next write.
 func (s *Spool) tryCompact() {
 	if err := s.compact(); err != nil {
 		s.compactionErr = err
@@ -203,7 +204,7 @@
 	return nil
 }
 
-// Finish stores how a message ended. The message stays stored until its notice is confirmed and Forget is called.
+// Finish stores how a message ended. The message stays stored until Forget is called, after the notice is confirmed.
 func (s *Spool) Finish(id, outcome string, retryAfterMs int64) error {
 	if entry := s.entries[id]; entry != nil {
 		entry.message.Ended, entry.message.RetryAfterMs = outcome, retryAfterMs
@@ -238,8 +239,8 @@
 }
 
 // writeUpdate writes a change that has already been made in memory. If the write fails, the message is added to the
-// backlog. Incident: updates whose write failed were never repeated, so a message that had ended was unfinished
-// again after a restart.
+// backlog. Incident: updates whose write failed were never repeated, so a message that had ended counted
+// as not ended after a restart.
 func (s *Spool) writeUpdate(kind byte, update update) error {
 	if s.Behind() {
 		s.backlog.add(update.ID)
--- a/spool/spool_test.go
+++ b/spool/spool_test.go
@@ -51,13 +51,13 @@
 func TestTruncationAtEveryByte(t *testing.T) {
 	dir := t.TempDir()
 	s, _, _ := open(t, dir, 1e6)
-	type mark struct {
+	type checkpoint struct {
 		size         int64
 		wantMessages int
 	}
-	var checkpoints []mark
+	var checkpoints []checkpoint
 	addCheckpoint := func(wantMessages int) {
-		checkpoints = append(checkpoints, mark{s.segments[len(s.segments)-1].size, wantMessages})
+		checkpoints = append(checkpoints, checkpoint{s.segments[len(s.segments)-1].size, wantMessages})
 	}
 	addCheckpoint(0)
 	must(t, s.Append(&Message{ID: "a", Body: []byte("body")}))
@@ -85,6 +85,7 @@
 			t.Fatalf("truncated at byte %d: %d messages and %v, want %d", cut, len(got), faults, wantMessages)
 		}
 		must(t, s.Append(&Message{ID: "later"}), s.Close())
+		// A file truncated within the magic number is not repaired, so it may be reported again at the second start.
 		if _, got, faults := open(t, dir, 1e6); len(got) != wantMessages+1 || len(faults) > 0 && cut >= len(magic) {
 			t.Fatalf("truncated at byte %d: after another start %d messages, %v", cut, len(got), faults)
 		}
@@ -108,12 +109,12 @@
 		t.Fatalf("%d messages, %v", len(got), faults)
 	}
 	if len(got[0].Attempts) != 1 || got[0].Attempts[0].Outcome != "" {
-		t.Errorf("records of this message may be lost, but it counts as never sent: %+v", got[0])
+		t.Errorf("records of this message may be lost, but it is not marked as possibly sent: %+v", got[0])
 	}
 }
 
-// TestSizeLimit: after any order of events, the directory must be within its limit, every live message must be kept, and no
-// message that has ended may come back.
+// TestSizeLimit: during a random sequence of 20000 events, the directory must stay within its limit, every live message must
+// be kept, and no removed message may come back.
 func TestSizeLimit(t *testing.T) {
 	const limit = 200_000
 	dir := t.TempDir()
@@ -176,6 +177,6 @@
 		}
 	}
 	if fullErrors == 0 || len(ids) == 0 {
-		t.Error("the spool was never full")
+		t.Error("the spool was never full, or no message was left at the end")
 	}
 }
