--- a/cmd/pineport/run.go
+++ b/cmd/pineport/run.go
@@ -50,7 +50,7 @@
 	}
 	defer log.Close(lastLines)
 	if dep.Socket > 0 { // before another process hands all over for nothing
-		l, err := transport.Listener(dep.Socket)
+		l, err := transport.ListenerFromFD(dep.Socket)
 		if err != nil {
 			return fmt.Errorf("socket_fd: %w", err)
 		}
@@ -84,7 +84,7 @@
 func openDesk(dep *config.Deployment, log *logging.Log) (*admin.Server, error) {
 	for {
 		desk, err := admin.Open(dep.Ops, server.AdminSockets(dep)-2, log.With(logging.Component, "ops"))
-		if !transport.IsShortage(err) {
+		if !transport.IsTemporary(err) {
 			return desk, err
 		}
 		log.Warn("not listening yet", "error", err)
@@ -233,7 +233,7 @@
 			return true
 		}
 	}
-	return transport.IsShortage(err)
+	return transport.IsTemporary(err)
 }
 
 // openSpool opens the spool, as often as it takes: what was taken on is still owed, and a process that ends helps nobody. A folder that is not
--- a/handoff/message.go
+++ b/handoff/message.go
@@ -48,7 +48,7 @@
 type State struct {
 	Snapshot    dispatch.Snapshot          `json:"lore"`
 	ListVersion int64                      `json:"seq"` // version of the endpoint list
-	Endpoints   []protocol.Host            `json:"hosts"`
+	Endpoints   []protocol.Endpoint        `json:"hosts"`
 	InFlight    []AttemptID                `json:"out"`   // attempts without an outcome yet
 	RetryAfter  map[string]dispatch.Micros `json:"waits"` // time at which the Retry-After ends, by endpoint name or destination number
 	Disabled    []string                   `json:"gone"`  // endpoints disabled by operators
--- a/server/handoff.go
+++ b/server/handoff.go
@@ -214,11 +214,11 @@
 }
 
 // forwardRetryAfter tells the predecessor of a Retry-After, in case it has to go on.
-func (u *handoffState) forwardRetryAfter(entry protocol.Host, until dispatch.Micros) {
+func (u *handoffState) forwardRetryAfter(entry protocol.Endpoint, until dispatch.Micros) {
 	if u.predecessor == nil {
 		return
 	}
-	w := &handoff.RetryAfter{Destination: dispatch.DestinationID(entry.Dest), Until: until}
+	w := &handoff.RetryAfter{Destination: dispatch.DestinationID(entry.Destination), Until: until}
 	if u.server.hasSeparateGroups(entry) {
 		w.Endpoint = dispatch.EndpointID(entry.Host)
 	}
--- a/snapshot/file.go
+++ b/snapshot/file.go
@@ -76,7 +76,7 @@
 // not store RestingKeys: these ordering keys are held for a moment only, and there may be many.
 func Encode(state State, limit int) ([]byte, error) {
 	snapshot := state.Snapshot
-	snapshot.Groups, snapshot.RestingKeys = slices.Clone(snapshot.Groups), nil
+	snapshot.Groups, snapshot.HeldKeys = slices.Clone(snapshot.Groups), nil
 	slices.SortStableFunc(snapshot.Groups, func(a, b dispatch.GroupSnapshot) int { return int(min(1, max(-1, b.LastCall-a.LastCall))) })
 	for {
 		payload, err := encoder.Marshal(body{state.Courier, snapshot})
--- a/snapshot/golden_test.go
+++ b/snapshot/golden_test.go
@@ -17,7 +17,7 @@
 func goldenState() (state State) {
 	golden.Fill(&state)
 	state.Snapshot.TakenAt = farFuture
-	state.Snapshot.RestingKeys = nil // not stored in the file
+	state.Snapshot.HeldKeys = nil // not stored in the file
 	return state
 }
 
