--- a/cmd/pineport/tools_test.go
+++ b/cmd/pineport/tools_test.go
@@ -58,7 +58,7 @@
 		{"config show " + good + " --set limits.socket=99", "", "with a known key was expected"},
 		{"config init", "[settings.family-info]", ""},
 		{"version", "pineport", ""},
-		{"spool ls " + dir + "/none", "", "a folder was expected"},
+		{"spool ls " + dir + "/none", "", "no such directory"},
 		{"state verify " + dir, "", "no such file"},
 		{"completion bash", "bash completion", ""},
 		{"nonsense", "", "unknown command"},
--- a/server/clients.go
+++ b/server/clients.go
@@ -177,7 +177,7 @@
 			s.logSpoolError(err)
 		}
 		reply.text = protocol.ReplyBusy(0)
-		if errors.Is(err, spool.ErrBehind) {
+		if errors.Is(err, spool.ErrWriteFailed) {
 			reply.text = protocol.ReplyBusy(folderRetryMs)
 		}
 		s.count(stored.Class, rejected)
--- a/server/handoff.go
+++ b/server/handoff.go
@@ -172,7 +172,7 @@
 		}
 		r.operators.generation++
 		if err := r.operators.writer.Write(r.operators.generation, r.operators.disabled); err != nil {
-			r.log.Error("disabled endpoints cannot be stored", "file", maintenance.Name, "error", err)
+			r.log.Error("disabled endpoints cannot be stored", "file", maintenance.FileName, "error", err)
 		}
 	}
 	if state.Draining {
@@ -270,7 +270,7 @@
 	case event.link != u.successor:
 	case event.message == nil:
 		u.successorLost()
-	case u.machine.MessageReceived(event.message) == handoff.Drop:
+	case u.machine.MessageReceived(event.message) == handoff.CloseLink:
 		u.server.log.Error("unexpected message from the successor")
 		event.link.Close()
 	default:
--- a/server/server.go
+++ b/server/server.go
@@ -208,7 +208,7 @@
 
 // spoolDue returns when the folder is tried again.
 func (s *Server) spoolDue() dispatch.Micros {
-	if s.spool.Behind() {
+	if s.spool.HasBacklog() {
 		return s.spoolRetryAt
 	}
 	return never
@@ -216,8 +216,8 @@
 
 // flushSpool writes what the folder did not take, now and then.
 func (s *Server) flushSpool() {
-	s.logSpoolError(s.spool.TakeFault())
-	if !s.spool.Behind() || s.now < s.spoolRetryAt {
+	s.logSpoolError(s.spool.TakeCompactionError())
+	if !s.spool.HasBacklog() || s.now < s.spoolRetryAt {
 		return
 	}
 	s.spoolRetryAt = s.now + spoolRetryInterval
--- a/testbed/capacity/arithmetic_test.go
+++ b/testbed/capacity/arithmetic_test.go
@@ -90,7 +90,7 @@
 		{"membership/gossip/gossip.go", `ticks\s+= (\d+)\s`, gossipTicks},
 		{"server/discovery.go", `watchWait\s+= (\d+) \* 1000\n`, 1000 * watchSeconds},
 		{"cmd/pineport/fleet.go", `Interval: min\(o\.Interval/(\d+), maxExchangeInterval\)`, sharingTicks},
-		{"spool/spool.go", `reserve: (\d+)}`, keptFreeEach},
+		{"spool/spool.go", `reservedBytes: (\d+)}`, keptFreeEach},
 		{"server/queue.go", `const pausedAfter = (\d+) \* 1000`, 1000 * planned(t).Budget.Courier.StepSeconds},
 	}
 	bounds := 0
--- a/testbed/capacity/promises.go
+++ b/testbed/capacity/promises.go
@@ -14,7 +14,7 @@
 func Promises() []Promise {
 	return []Promise{
 		{"messages taken on", "each is delivered or answered by the courier that took it, alone; nothing on its way waits for another courier",
-			"a second copy: what is on a lost disk is lost", "docs/design.md", "spool", []string{"TestComesBackAsItWas", "TestCutAtEveryByte"}},
+			"a second copy: what is on a lost disk is lost", "docs/design.md", "spool", []string{"TestReopenRestoresMessages", "TestTruncationAtEveryByte"}},
 		{"the decisions", "with nothing heard they are those of a courier alone, one by one; no rule rests on a word of another courier",
 			"that outages are known sooner than a courier's own calls show them", "docs/quota.md", "dispatch", []string{"TestExpiredLeasesHaveNoEffect", "TestSharedLoadOnlySlowsDown"}},
 		{"how many couriers to reckon with", "never fewer by what others say: alive, suspected, unknown and failed are all counted, so parts only shrink",
