--- a/server/actions.go
+++ b/server/actions.go
@@ -2,8 +2,9 @@
 
 import "pineport/dispatch"
 
-// carryOut carries out the actions of the dispatcher. Calls start last, after clients have their replies.
-func (s *Server) carryOut(actions []dispatch.Action) {
+// execute executes the actions of the dispatcher. It starts calls last, after it has written the replies to
+// clients.
+func (s *Server) execute(actions []dispatch.Action) {
 	var calls []*call
 	for _, action := range actions {
 		switch a := action.(type) {
--- a/server/admin.go
+++ b/server/admin.go
@@ -14,10 +14,11 @@
 	"pineport/maintenance"
 )
 
-// controlQueueSize bounds the commands that may wait; each of them waits for its result.
+// controlQueueSize bounds the control queue, and the number of operator commands that wait for a successor.
+// Each command waits for its result.
 const controlQueueSize = 16
 
-// AdminSockets is how many of the courier's descriptors are reserved for the admin address.
+// AdminSockets returns the number of file descriptors reserved for the admin address.
 func AdminSockets(dep *config.Deployment) int {
 	if dep.Ops == "" {
 		return 0
@@ -25,171 +26,176 @@
 	return min(16, dep.Sockets/24)
 }
 
-// command is one command of an operator; done gets its result once, after the step that carried it out.
+// command is an operator's command. The event loop sends one result to done, after the step that executed
+// the command.
 type command struct {
 	command admin.Command
 	done    chan commandResult
 }
 
-// commandResult is the result of a command, with what is to be stored.
+// commandResult is the result of a command, with the state to store before the operator gets it.
 type commandResult struct {
 	err        error
 	generation int64
-	disabled   map[string]bool // endpoints out then
+	disabled   map[string]bool // all disabled endpoints after the command
 }
 
-// adminState is what operators have commanded, and the metrics that they read.
+// adminState is the state set by operators' commands, and the metrics served to operators.
 type adminState struct {
-	server        *Server
-	disabled      map[string]bool // endpoints that are out for maintenance
-	generation    int64           // of changes of that
-	writer        *maintenance.Writer
-	serving       atomic.Bool // clients are taken
-	drainAt       dispatch.Micros
-	replies       []func()
-	figures       atomic.Pointer[admin.Metrics]
-	figuresAt     dispatch.Micros
-	reloads       int64
-	failedReloads atomic.Int64
+	server         *Server
+	disabled       map[string]bool // endpoints disabled for maintenance
+	generation     int64           // incremented with each change of disabled
+	writer         *maintenance.Writer
+	serving        atomic.Bool // whether the courier accepts clients
+	drainAt        dispatch.Micros
+	pendingResults []func()
+	metrics        atomic.Pointer[admin.Metrics]
+	metricsAt      dispatch.Micros
+	reloads        int64
+	failedReloads  atomic.Int64
 }
 
-func (o *adminState) init(r *Server) {
-	o.server, o.disabled, o.drainAt, o.figuresAt = r, map[string]bool{}, never, never
-	o.writer = maintenance.NewWriter(r.deployment.Spool, r.deployment.Name)
-	if r.deployment.Ops != "" {
-		o.figuresAt = 0
+func (a *adminState) init(s *Server) {
+	a.server, a.disabled, a.drainAt, a.metricsAt = s, map[string]bool{}, never, never
+	a.writer = maintenance.NewWriter(s.deployment.Spool, s.deployment.Name)
+	if s.deployment.Ops != "" {
+		a.metricsAt = 0
 	}
-	out, err := maintenance.Read(r.deployment.Spool, r.deployment.Name)
+	disabled, err := maintenance.Read(s.deployment.Spool, s.deployment.Name)
 	if err != nil {
-		r.log.Error("disabled endpoints cannot be read: all are enabled", "file", maintenance.Name, "error", err)
+		s.log.Error("cannot read the disabled endpoints; all endpoints are enabled", "file", maintenance.Name, "error", err)
 	}
-	for _, id := range out {
-		o.disabled[id] = true
+	for _, id := range disabled {
+		a.disabled[id] = true
 	}
 }
 
-// replayDisabled tells a new dispatcher which endpoints are disabled.
-func (o *adminState) replayDisabled() {
-	for _, id := range slices.Sorted(maps.Keys(o.disabled)) {
-		o.server.events = append(o.server.events, dispatch.MaintenanceChanged{Endpoint: dispatch.EndpointID(id), Disabled: true})
+// replayDisabled reports the disabled endpoints to a new dispatcher.
+func (a *adminState) replayDisabled() {
+	for _, id := range slices.Sorted(maps.Keys(a.disabled)) {
+		a.server.events = append(a.server.events, dispatch.MaintenanceChanged{Endpoint: dispatch.EndpointID(id), Disabled: true})
 	}
 }
 
 // Serving reports whether this process accepts clients. Any goroutine may call it.
-func (s *Server) Serving() bool { return s.operators.serving.Load() }
+func (s *Server) Serving() bool { return s.admin.serving.Load() }
 
-// Metrics returns the metrics that were collected last. Any goroutine may call it.
-func (s *Server) Metrics() *admin.Metrics { return s.operators.figures.Load() }
+// Metrics returns the most recently collected metrics. Any goroutine may call it.
+func (s *Server) Metrics() *admin.Metrics { return s.admin.metrics.Load() }
 
-// CountFailedReload counts a configuration that was rejected. Any goroutine may call it.
-func (s *Server) CountFailedReload() { s.operators.failedReloads.Add(1) }
+// CountFailedReload counts a rejected configuration. Any goroutine may call it.
+func (s *Server) CountFailedReload() { s.admin.failedReloads.Add(1) }
 
-// Execute has the loop carry out a command, and returns once it is done and stored. Any goroutine may call it.
-func (s *Server) Execute(ctx context.Context, what admin.Command) error {
-	command := command{what, make(chan commandResult, 1)}
+// Execute runs a command on the event loop and returns after its result has been stored. Any goroutine may
+// call it.
+func (s *Server) Execute(ctx context.Context, adminCommand admin.Command) error {
+	command := command{adminCommand, make(chan commandResult, 1)}
 	select {
 	case s.control <- command:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	var a commandResult
+	var result commandResult
 	select {
-	case a = <-command.done:
+	case result = <-command.done:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	return s.persist(a)
+	return s.persist(result)
 }
 
-// persist stores what a result says, and returns its error.
-func (s *Server) persist(a commandResult) error {
-	if a.err != nil || a.disabled == nil {
-		return a.err
+// persist stores the state in a command's result and returns the command's error or the error of storing
+// it.
+func (s *Server) persist(result commandResult) error {
+	if result.err != nil || result.disabled == nil {
+		return result.err
 	}
-	return s.operators.writer.Write(a.generation, a.disabled)
+	return s.admin.writer.Write(result.generation, result.disabled)
 }
 
 var errUnknownCommand = errors.New("no such call here")
 
-// execute carries out a command; its result is sent after the step.
-func (o *adminState) execute(command command) {
-	if o.server.handoff.handedOver {
-		o.server.handoff.forwardCommand(command)
+// execute runs a command. Its result is sent after the step.
+func (a *adminState) execute(command command) {
+	if a.server.handoff.handedOver {
+		a.server.handoff.forwardCommand(command)
 		return
 	}
-	a := commandResult{}
-	switch w := command.command.(type) {
+	result := commandResult{}
+	switch typed := command.command.(type) {
 	case admin.SetDisabled:
-		a = o.setDisabled(w)
+		result = a.setDisabled(typed)
 	case admin.Drain:
-		o.setDraining(w.Enabled)
+		a.setDraining(typed.Enabled)
 	default:
-		a.err = fmt.Errorf("%w: %T", errUnknownCommand, command.command)
+		result.err = fmt.Errorf("%w: %T", errUnknownCommand, command.command)
 	}
-	o.replies = append(o.replies, func() { command.done <- a })
+	a.pendingResults = append(a.pendingResults, func() { command.done <- result })
 }
 
-// setDisabled disables an endpoint or enables it again; it must be on the list, or disabled.
-func (o *adminState) setDisabled(w admin.SetDisabled) commandResult {
-	host, listed := o.server.endpoints[dispatch.EndpointID(w.Endpoint)]
-	if !listed && !o.disabled[w.Endpoint] {
+// setDisabled disables or enables an endpoint. The endpoint must be listed or already disabled.
+func (a *adminState) setDisabled(change admin.SetDisabled) commandResult {
+	entry, listed := a.server.endpoints[dispatch.EndpointID(change.Endpoint)]
+	if !listed && !a.disabled[change.Endpoint] {
 		return commandResult{err: admin.ErrUnknownEndpoint}
 	}
-	if o.disabled[w.Endpoint] != w.Disabled {
-		if o.generation++; w.Disabled {
-			o.disabled[w.Endpoint] = true
-			o.server.endpointConns.CloseIdle(peerOf(host))
+	if a.disabled[change.Endpoint] != change.Disabled {
+		if a.generation++; change.Disabled {
+			a.disabled[change.Endpoint] = true
+			a.server.endpointConns.CloseIdle(peerOf(entry))
 		} else {
-			delete(o.disabled, w.Endpoint)
+			delete(a.disabled, change.Endpoint)
 		}
-		o.server.log.Info("maintenance changed", "endpoint", w.Endpoint, "disabled", w.Disabled)
-		o.server.events = append(o.server.events, dispatch.MaintenanceChanged{Endpoint: dispatch.EndpointID(w.Endpoint), Disabled: w.Disabled})
+		a.server.log.Info("maintenance changed", "endpoint", change.Endpoint, "disabled", change.Disabled)
+		a.server.events = append(a.server.events, dispatch.MaintenanceChanged{Endpoint: dispatch.EndpointID(change.Endpoint), Disabled: change.Disabled})
 	}
-	return commandResult{generation: o.generation, disabled: maps.Clone(o.disabled)} // written again if it is there already: the first try may have failed
+	return commandResult{generation: a.generation, disabled: maps.Clone(a.disabled)} // also without a change: an earlier write may have failed
 }
 
 const (
-	// drainStart: a front that hands out connections stops within two tenths of a second of the first refusal, and probes every tenth.
+	// drainStart is the delay before idle client connections are closed. A load balancer in front of the
+	// couriers probes every 100 ms and stops sending new connections within 200 ms of the first refusal.
 	drainStart    = 350 * 1000
 	drainInterval = 50 * 1000
 )
 
-// setDraining begins or ends draining. Open connections are served, and closed between two requests.
-func (o *adminState) setDraining(away bool) {
-	if away == o.isDraining() {
+// setDraining starts or stops draining. While draining, the courier serves open client connections and
+// closes each one between two requests.
+func (a *adminState) setDraining(draining bool) {
+	if draining == a.isDraining() {
 		return
 	}
-	o.server.log.Info("draining clients", "draining", away, "clients", o.server.clients.Len())
-	o.drainAt = never
-	if away {
-		o.drainAt = o.server.now + drainStart
+	a.server.log.Info("draining clients", "draining", draining, "clients", a.server.clients.Len())
+	a.drainAt = never
+	if draining {
+		a.drainAt = a.server.now + drainStart
 	}
-	o.serving.Store(!away && o.server.shutdownBy == never)
+	a.serving.Store(!draining && a.server.shutdownBy == never)
 }
 
-func (o *adminState) isDraining() bool { return o.drainAt < never }
+func (a *adminState) isDraining() bool { return a.drainAt < never }
 
-func (o *adminState) due() dispatch.Micros { return min(o.drainAt, o.figuresAt) }
+func (a *adminState) due() dispatch.Micros { return min(a.drainAt, a.metricsAt) }
 
-// tick closes idle connections while clients are drained.
-func (o *adminState) tick() {
-	if o.drainAt <= o.server.now {
-		o.drainAt = o.server.now + drainInterval
-		o.server.clients.CloseIdle(o.server.now)
+// tick closes idle client connections while the courier is draining.
+func (a *adminState) tick() {
+	if a.drainAt <= a.server.now {
+		a.drainAt = a.server.now + drainInterval
+		a.server.clients.CloseIdle(a.server.now)
 	}
 }
 
-// figuresInterval is how old the metrics may be.
-const figuresInterval = 200 * 1000
+// metricsInterval is the maximum age of the metrics.
+const metricsInterval = 200 * 1000
 
-// publish collects the metrics, and sends the results of commands.
-func (o *adminState) publish() {
-	if o.server.deployment.Ops != "" && o.server.now >= o.figuresAt || len(o.replies) > 0 {
-		o.figuresAt = o.server.now + figuresInterval
-		o.figures.Store(o.server.collectMetrics())
+// publish collects the metrics if they are due and sends the results of commands.
+func (a *adminState) publish() {
+	if a.server.deployment.Ops != "" && a.server.now >= a.metricsAt || len(a.pendingResults) > 0 {
+		a.metricsAt = a.server.now + metricsInterval
+		a.metrics.Store(a.server.collectMetrics())
 	}
-	for _, tell := range o.replies {
-		tell()
+	for _, sendResult := range a.pendingResults {
+		sendResult()
 	}
-	o.replies = nil
+	a.pendingResults = nil
 }
--- a/server/answer_test.go
+++ b/server/answer_test.go
@@ -6,89 +6,93 @@
 	"testing"
 )
 
-// A request that was read and then closed with no answer is lost: docs/crossings.md names each way in which a client's connection
-// is closed. These tests force the ways in which a request had been read.
+// These tests force the ways in which a client connection can be closed after a request has been read. Each
+// such request must get a reply. docs/crossings.md lists all ways in which a client connection is closed.
 
-// TestHalfClosedClientGetsAnAnswer. Failure: a client that ended its sending and waited for its reply was closed with no answer. Its
-// message is rejected, which it may submit again; other requests get their usual reply.
+// TestHalfClosedClientGetsAnAnswer. Failure: a client that closed its sending side and waited for its reply
+// was disconnected without one. Now its message is rejected and may be submitted again, and other commands
+// get their usual replies.
 func TestHalfClosedClientGetsAnAnswer(t *testing.T) {
-	for name, c := range map[string]struct{ request, want string }{
+	for name, tc := range map[string]struct{ request, want string }{
 		"a message":          {enqueue("one"), "-BUSY"},
 		"a ping":             {"*1\r\n$4\r\nPING\r\n", "+PONG"},
 		"an unknown command": {"*1\r\n$4\r\nNOPE\r\n", "-ERR unknown command"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := steppedServer(t, open(t, 0))
-			v := visit(t, r)
-			io.WriteString(v, c.request)
-			v.CloseWrite()
-			r.handle(clientEvent{until(t, r, func(clientconn.Commands) bool { return true })})
-			r.handle(clientEvent{until(t, r, func(clientconn.Closed) bool { return true })})
-			r.step()
-			if got := v.reply(); got != c.want {
-				t.Errorf("answered %q", got)
+			s := steppedServer(t, openWorld(t, 0))
+			client := connectClient(t, s)
+			io.WriteString(client, tc.request)
+			client.CloseWrite()
+			s.handle(clientEvent{waitForEvent(t, s, func(clientconn.Commands) bool { return true })})
+			s.handle(clientEvent{waitForEvent(t, s, func(clientconn.Closed) bool { return true })})
+			s.step()
+			if got := client.reply(); got != tc.want {
+				t.Errorf("got reply %q", got)
 			}
-			if got := v.reply(); got != io.EOF.Error() {
-				t.Errorf("afterwards %q", got)
+			if got := client.reply(); got != io.EOF.Error() {
+				t.Errorf("after the reply got %q", got)
 			}
-			if r.messages["one"] != nil || onDisk(t, r, "one") != nil {
-				t.Error("rejected, and still held")
+			if s.messages["one"] != nil || storedMessage(t, s, "one") != nil {
+				t.Error("the message was rejected and is still held")
 			}
 		})
 	}
 }
 
-// TestHalfClosedClientOfAMessageHandedInTwice: the other connection still waits for the message, so both get the reply of its acceptance.
-func TestHalfClosedClientOfAMessageHandedInTwice(t *testing.T) {
-	r := steppedServer(t, open(t, 0))
-	first, second := visit(t, r), visit(t, r)
-	one := first.asks(t, r, "one")
-	two := second.asks(t, r, "one")
+// TestHalfClosedClientOfDuplicateSubmission: a message is submitted on two connections and one of them is
+// half-closed. Both get the reply that the message was accepted, because the other client still waits.
+func TestHalfClosedClientOfDuplicateSubmission(t *testing.T) {
+	s := steppedServer(t, openWorld(t, 0))
+	first, second := connectClient(t, s), connectClient(t, s)
+	one := first.submit(t, s, "one")
+	two := second.submit(t, s, "one")
 	first.CloseWrite()
-	r.handle(clientEvent{one})
-	r.handle(clientEvent{two})
-	r.handle(<-r.queue) // the end of the first
-	r.step()
-	for _, v := range []*visitor{first, second} {
-		if got := v.reply(); got != "+OK" {
-			t.Errorf("answered %q", got)
+	s.handle(clientEvent{one})
+	s.handle(clientEvent{two})
+	s.handle(<-s.queue) // the first client's half-close
+	s.step()
+	for _, client := range []*testClient{first, second} {
+		if got := client.reply(); got != "+OK" {
+			t.Errorf("got reply %q", got)
 		}
 	}
 }
 
-// TestRequestReadAtTheLastLookIsAnswered. Failure: the process ended over a request that the poller had read since the loop last looked.
-func TestRequestReadAtTheLastLookIsAnswered(t *testing.T) {
-	r := steppedServer(t, open(t, 0))
-	v := visit(t, r)
-	request := v.asks(t, r, "one")
-	r.now = r.clock()
-	r.exiting, r.shutdownBy, r.exitBy = true, r.now, r.now // the last chance is over
-	r.queue <- clientEvent{request}
-	if r.mayExit() {
-		t.Fatal("it ended over a request that had been read")
+// TestRequestReadBeforeExitIsAnswered. Failure: the process exited although the poller had read a request
+// after the event loop last checked the queue.
+func TestRequestReadBeforeExitIsAnswered(t *testing.T) {
+	s := steppedServer(t, openWorld(t, 0))
+	client := connectClient(t, s)
+	request := client.submit(t, s, "one")
+	s.now = s.clock()
+	s.exiting, s.shutdownBy, s.closeClientsBy = true, s.now, s.now // the time limits of the exit have passed
+	s.queue <- clientEvent{request}
+	if s.mayExit() {
+		t.Fatal("the event loop exited without a reply to a request it had read")
 	}
-	if !leave(t, r, neverMind) {
-		t.Fatal("it never ended")
+	if !runUntilExit(t, s, noCondition) {
+		t.Fatal("the event loop did not exit")
 	}
-	if got := v.reply(); got != "+OK" {
-		t.Errorf("answered %q", got)
+	if got := client.reply(); got != "+OK" {
+		t.Errorf("got reply %q", got)
 	}
-	if r.now > r.exitBy+2*replyTimeout {
-		t.Errorf("it took %d us beyond its last chance", r.now-r.exitBy)
+	if s.now > s.closeClientsBy+2*replyTimeout {
+		t.Errorf("the exit took %d us longer than its time limits", s.now-s.closeClientsBy)
 	}
 }
 
-// TestCommandsThatFailAreAnswered. Failure: a fault while a request was handled closed its connection with no answer.
-func TestCommandsThatFailAreAnswered(t *testing.T) {
-	r := steppedServer(t, open(t, 0))
-	v := visit(t, r)
-	request := v.asks(t, r, "one")
-	healthy := r.deployment
-	r.deployment = nil // as if by a fault in this code
-	r.handle(clientEvent{request})
-	r.deployment = healthy
-	r.step()
-	if got := v.reply(); got != "-ERR internal error" {
-		t.Errorf("answered %q", got)
+// TestPanickingCommandIsAnswered. Failure: a panic while a command was handled closed its connection
+// without a reply.
+func TestPanickingCommandIsAnswered(t *testing.T) {
+	s := steppedServer(t, openWorld(t, 0))
+	client := connectClient(t, s)
+	request := client.submit(t, s, "one")
+	deployment := s.deployment
+	s.deployment = nil // makes the handler panic
+	s.handle(clientEvent{request})
+	s.deployment = deployment
+	s.step()
+	if got := client.reply(); got != "-ERR internal error" {
+		t.Errorf("got reply %q", got)
 	}
 }
--- a/server/calls.go
+++ b/server/calls.go
@@ -12,14 +12,14 @@
 	"pineport/spool"
 )
 
-// call is what goes to an endpoint at once: one attempt, or several where the configuration allows.
+// call is one request to an endpoint. It carries one attempt, or several if the endpoint type allows it.
 type call struct {
 	endpoint    dispatch.EndpointID
 	entry       protocol.Host
 	attempts    []*attempt
 	exchange    *endpointconn.Exchange
-	waitUntil   dispatch.Micros // until when it is waited for
-	predecessor bool            // the other process of an upgrade has it out; one attempt
+	waitUntil   dispatch.Micros // when the call times out
+	predecessor bool            // sent by the predecessor of an upgrade; holds one attempt
 }
 
 var outcomes = map[string]dispatch.Outcome{
@@ -28,85 +28,91 @@
 }
 
 func outcomeName(outcome dispatch.Outcome) string {
-	for name, other := range outcomes {
-		if other == outcome {
+	for name, candidate := range outcomes {
+		if candidate == outcome {
 			return name
 		}
 	}
 	return ""
 }
 
-// addToCall puts an attempt on a call: attempts of one step to one endpoint go together, up to what its type takes.
+// addToCall adds an attempt to a call. Attempts of one step to the same endpoint share a call, up to the
+// maximum number per call of the endpoint's type.
 func (s *Server) addToCall(calls []*call, a dispatch.Send) []*call {
 	message := s.messages[a.Message]
 	if message == nil || message.ended {
 		return calls
 	}
-	host := s.endpoints[a.Endpoint]
+	entry := s.endpoints[a.Endpoint]
 	perCall := 1
-	if kind, ok := s.endpointTypeOf(host); ok {
+	if kind, ok := s.endpointTypeOf(entry); ok {
 		perCall = kind.MaxPerCall
 	}
-	var c *call
-	for _, o := range calls {
-		if o.endpoint == a.Endpoint && len(o.attempts) < perCall {
-			c = o
+	var target *call
+	for _, candidate := range calls {
+		if candidate.endpoint == a.Endpoint && len(candidate.attempts) < perCall {
+			target = candidate
 		}
 	}
-	if c == nil {
-		c = &call{endpoint: a.Endpoint, entry: host}
-		calls = append(calls, c)
+	if target == nil {
+		target = &call{endpoint: a.Endpoint, entry: entry}
+		calls = append(calls, target)
 	}
-	attempt := &attempt{message: message, number: len(message.attempts), call: c, sentAt: s.now, waitUntil: s.now + a.Timeout}
+	attempt := &attempt{message: message, number: len(message.attempts), call: target, sentAt: s.now, waitUntil: s.now + a.Timeout}
 	message.attempts = append(message.attempts, attempt)
 	message.inFlight++
 	s.inFlight = append(s.inFlight, attempt)
-	c.attempts = append(c.attempts, attempt)
+	target.attempts = append(target.attempts, attempt)
 	return calls
 }
 
-// alignTimeouts has all attempts of a call time out together, with the first, and returns when. Failure: with a timeout of its own for
-// each, one attempt was given up while its call went on for the others, and messages were counted as lost.
+// alignTimeouts sets the timeout of every attempt of a call to the earliest of them and returns it.
+// Failure: with separate timeouts, one attempt timed out while the call went on for the others, and its
+// message was counted as lost.
 func (c *call) alignTimeouts() dispatch.Micros {
-	limit := never
+	earliest := never
 	for _, attempt := range c.attempts {
-		limit = min(limit, attempt.waitUntil)
+		earliest = min(earliest, attempt.waitUntil)
 	}
 	for _, attempt := range c.attempts {
-		attempt.waitUntil = limit
+		attempt.waitUntil = earliest
 	}
-	c.waitUntil = limit
-	return limit
+	c.waitUntil = earliest
+	return earliest
 }
 
-// startCall sends a call on its way.
+// startCall starts the exchange of a call.
 func (s *Server) startCall(call *call) {
 	if len(call.attempts) == 0 {
 		return
 	}
 	call.alignTimeouts()
 	call.exchange = &endpointconn.Exchange{Peer: peerOf(call.entry),
-		OnBegin:     func(begun bool) { s.answerBegun(call, begun) },
-		BeforeWrite: func() error { return s.callLeaves(call) },
+		OnBegin:     func(begun bool) { s.answerStarted(call, begun) },
+		BeforeWrite: func() error { return s.prepareCall(call) },
 		IsWanted:    func() bool { return s.mayCall(call) },
 		OnWritten:   func() { s.counters.calls += int64(len(call.attempts)) },
-		OnEnd:       func(a protocol.Answer, err error) { s.callAnswered(call, a, err) }}
+		OnEnd:       func(a protocol.Answer, err error) { s.callEnded(call, a, err) }}
 	s.endpointConns.Start(call.exchange)
 }
 
-// mayCall reports whether a call whose connection has come up may still leave.
+// mayCall reports whether a call may still be sent after its connection has been opened.
 func (s *Server) mayCall(call *call) bool {
 	if guard, ok := s.dispatcher.(dispatch.ListGuard); ok && !guard.MayCall(s.now) {
 		return false
 	}
 	inService := s.endpoints[call.endpoint].Health == protocol.InService && !s.suspects[call.endpoint]
-	return inService && !s.operators.disabled[string(call.endpoint)] && s.retryAfter[s.groupKey(call.entry)] <= s.now
+	return inService && !s.admin.disabled[string(call.endpoint)] && s.retryAfter[s.groupKey(call.entry)] <= s.now
 }
 
-// callLeaves stores a call's attempts as its first byte is about to leave, and no sooner, and puts the bytes together. Failures: stored
-// when they were decided, attempts whose connection was still being opened as the process was killed passed for calls that may have run,
-// and at-most-once messages failed after the restart with no call. Put together then, a call went out with messages canceled meanwhile.
-func (s *Server) callLeaves(call *call) error {
+// prepareCall stores the attempts of a call and builds its request, immediately before the first byte is
+// written.
+//
+// Failures: when attempts were stored at the time of the decision, a process killed while a connection was
+// being opened left attempts in the spool that looked as if they might have run, and at-most-once messages
+// failed after the restart although no call had been made. When the request was built at the time of the
+// decision, it still contained messages canceled while the connection was being opened.
+func (s *Server) prepareCall(call *call) error {
 	for _, attempt := range slices.Clone(call.attempts) {
 		if attempt.message.ended || attempt.message.pastIdempotencyWindow(s.now) {
 			s.complete(attempt, dispatch.AttemptFinished{Outcome: dispatch.Unprocessed})
@@ -115,10 +121,10 @@
 	call.attempts = slices.DeleteFunc(call.attempts, func(attempt *attempt) bool { return attempt.finished })
 	var items []protocol.Item
 	for _, attempt := range call.attempts {
-		if err := s.noteAttempt(attempt, ""); err != nil {
+		if err := s.storeAttempt(attempt, ""); err != nil {
 			s.logSpoolError(err)
 			if !s.isIdempotent(attempt.message) {
-				return endpointconn.ErrNotStored // so not sent: a restart would not know of it
+				return endpointconn.ErrNotStored // not sent, because a restart would not know of the attempt
 			}
 		}
 		items = append(items, protocol.Item{ID: attempt.message.stored.ID, Mark: attempt.message.stored.IdempotencyKey, Body: attempt.message.stored.Body})
@@ -130,11 +136,12 @@
 	return nil
 }
 
-// errNothingToSend: all attempts of a call were canceled before its first byte.
-var errNothingToSend = errors.New("nothing of it is wanted any more")
+// errNothingToSend is returned by prepareCall if all attempts of a call ended before its first byte was
+// written.
+var errNothingToSend = errors.New("all attempts of the call have ended")
 
-// noteAttempt stores an attempt, once; with its outcome where it ended before it was sent.
-func (s *Server) noteAttempt(attempt *attempt, outcome string) error {
+// storeAttempt stores an attempt once. An attempt that ended before it was sent is stored with its outcome.
+func (s *Server) storeAttempt(attempt *attempt, outcome string) error {
 	if attempt.stored {
 		return nil
 	}
@@ -143,26 +150,28 @@
 		SentAt: int64(attempt.sentAt), Outcome: outcome})
 }
 
-// noteOutcome stores the outcome of an attempt.
-func (s *Server) noteOutcome(attempt *attempt, outcome dispatch.Outcome) {
+// storeOutcome stores the outcome of an attempt.
+func (s *Server) storeOutcome(attempt *attempt, outcome dispatch.Outcome) {
 	if attempt.stored {
 		s.logSpoolError(s.spool.FinishAttempt(attempt.message.stored.ID, attempt.number, outcomeName(outcome)))
 	} else {
-		s.logSpoolError(s.noteAttempt(attempt, outcomeName(outcome)))
+		s.logSpoolError(s.storeAttempt(attempt, outcomeName(outcome)))
 	}
 }
 
-// peerOf returns whom a connection to an endpoint of the list leads to.
+// peerOf returns the peer for connections to a listed endpoint.
 func peerOf(entry protocol.Host) endpointconn.Peer {
 	return endpointconn.Peer{Endpoint: entry.Host, Address: entry.Dial, StartedAt: entry.Born}
 }
 
-// answerTimeout is how long the rest of an answer may take once its first bytes are here: it is written at once, and the longest way in any
-// deployment is a fifth of a second. A head or body without an end would otherwise hold its slot until the attempt times out.
+// answerTimeout bounds the time between the first bytes of an answer and its end. Endpoints write an answer
+// at once, and the longest latency in any deployment is 200 ms. Without this bound, a head or body that
+// never ends would hold its slot until the attempt times out.
 const answerTimeout = 500 * 1000
 
-// answerBegun shortens the timeout of attempts whose answer has begun, and takes that back where it was an interim answer.
-func (s *Server) answerBegun(call *call, begun bool) {
+// answerStarted shortens the timeout of a call's attempts when an answer begins. It restores the timeout if
+// that was an interim answer.
+func (s *Server) answerStarted(call *call, begun bool) {
 	for _, attempt := range call.attempts {
 		if attempt.waitUntil = call.waitUntil; begun {
 			attempt.waitUntil = min(attempt.waitUntil, s.now+answerTimeout)
@@ -170,8 +179,8 @@
 	}
 }
 
-// callAnswered turns the end of a call into the outcomes of its attempts.
-func (s *Server) callAnswered(call *call, a protocol.Answer, err error) {
+// callEnded derives the outcomes of a call's attempts from its answer or error.
+func (s *Server) callEnded(call *call, answer protocol.Answer, err error) {
 	if errors.Is(err, endpointconn.ErrOvertaken) {
 		for _, attempt := range call.attempts {
 			s.complete(attempt, dispatch.AttemptFinished{Outcome: dispatch.Unprocessed})
@@ -194,32 +203,34 @@
 		}
 		return
 	}
-	var ends map[string]string
-	if a.Status == 200 && len(call.attempts) > 1 {
-		ends = protocol.ReadEnds(a.Body)
+	var outcomesByID map[string]string
+	if answer.Status == 200 && len(call.attempts) > 1 {
+		outcomesByID = protocol.ReadEnds(answer.Body)
 	}
-	if a.WaitMs > 0 {
-		s.keepRetryAfter(call.entry, s.now+dispatch.Micros(a.WaitMs)*1000)
+	if answer.WaitMs > 0 {
+		s.storeRetryAfter(call.entry, s.now+dispatch.Micros(answer.WaitMs)*1000)
 	}
-	pressure := protocol.Pressure(a.Report, s.deployment.Report)
+	loadReport := protocol.Pressure(answer.Report, s.deployment.Report)
 	for _, attempt := range call.attempts {
-		event := outcomeOf(a)
-		if ends != nil {
-			event = outcomeInBatch(ends[attempt.message.stored.ID])
+		event := outcomeOf(answer)
+		if outcomesByID != nil {
+			event = outcomeInBatch(outcomesByID[attempt.message.stored.ID])
 		}
-		event.LoadReport, event.RetryAfter = pressure, dispatch.Micros(a.WaitMs)*1000
+		event.LoadReport, event.RetryAfter = loadReport, dispatch.Micros(answer.WaitMs)*1000
 		s.complete(attempt, event)
 	}
 }
 
-// keepRetryAfter keeps a Retry-After of an endpoint.
-func (s *Server) keepRetryAfter(entry protocol.Host, until dispatch.Micros) {
+// storeRetryAfter stores a Retry-After received from an endpoint and forwards it to the predecessor, if
+// there is one.
+func (s *Server) storeRetryAfter(entry protocol.Host, until dispatch.Micros) {
 	maps.DeleteFunc(s.retryAfter, func(_ string, until dispatch.Micros) bool { return until <= s.now })
 	s.retryAfter[s.groupKey(entry)] = max(until, s.retryAfter[s.groupKey(entry)])
 	s.handoff.forwardRetryAfter(entry, until)
 }
 
-// groupKey names what a Retry-After holds for: the endpoint where its type's endpoints are separate, else the destination.
+// groupKey returns the key of the group that a Retry-After applies to: the endpoint if endpoints of its
+// type are separate, otherwise the destination.
 func (s *Server) groupKey(entry protocol.Host) string {
 	if s.hasSeparateGroups(entry) {
 		return entry.Host
@@ -227,13 +238,13 @@
 	return strconv.Itoa(entry.Dest)
 }
 
-// hasSeparateGroups reports whether a Retry-After of an endpoint holds for it alone.
+// hasSeparateGroups reports whether a Retry-After from an endpoint applies to that endpoint only.
 func (s *Server) hasSeparateGroups(entry protocol.Host) bool {
 	kind, ok := s.endpointTypeOf(entry)
 	return ok && kind.Separate
 }
 
-// endpointTypeOf returns the type of an endpoint; false where the settings have none of that name.
+// endpointTypeOf returns the type of an endpoint, and false if the configuration has no type of that name.
 func (s *Server) endpointTypeOf(entry protocol.Host) (dispatch.EndpointType, bool) {
 	i := slices.Index(s.deployment.Shapes, entry.Kind)
 	if i < 0 || i >= len(s.deployment.Dispatch.EndpointTypes) {
@@ -242,26 +253,27 @@
 	return s.deployment.Dispatch.EndpointTypes[i], true
 }
 
-// outcomeOf reads the outcome of all attempts of a call from its answer.
-func outcomeOf(a protocol.Answer) dispatch.AttemptFinished {
+// outcomeOf returns the outcome that an answer gives to all attempts of its call.
+func outcomeOf(answer protocol.Answer) dispatch.AttemptFinished {
 	switch {
-	case a.Status == 200:
+	case answer.Status == 200:
 		return dispatch.AttemptFinished{Outcome: dispatch.Delivered, MessageDone: true}
-	case a.Status == 503 && a.NoSlot, a.Status == 504:
+	case answer.Status == 503 && answer.NoSlot, answer.Status == 504:
 		return dispatch.AttemptFinished{Outcome: dispatch.Unprocessed}
-	case a.Status == 429, a.Status == 503:
+	case answer.Status == 429, answer.Status == 503:
 		return dispatch.AttemptFinished{Outcome: dispatch.Throttled}
-	case a.Status == 410:
+	case answer.Status == 410:
 		return dispatch.AttemptFinished{Outcome: dispatch.Unprocessed, MessageDone: true}
-	case a.Status == 400, a.Status == 404, a.Status == 413:
-		return dispatch.AttemptFinished{Outcome: dispatch.Unprocessed} // nothing of it was read
+	case answer.Status == 400, answer.Status == 404, answer.Status == 413:
+		return dispatch.AttemptFinished{Outcome: dispatch.Unprocessed} // the endpoint rejected the request without reading any message
 	}
-	return dispatch.AttemptFinished{Outcome: dispatch.Failure} // unknown: it may have run
+	return dispatch.AttemptFinished{Outcome: dispatch.Failure} // unknown status: the message may have run
 }
 
-// outcomeInBatch reads the outcome of one message from an answer for several; one that is not named may have run.
-func outcomeInBatch(word string) dispatch.AttemptFinished {
-	switch word {
+// outcomeInBatch returns the outcome of one message in the answer to a call with several. A message missing
+// from the answer may have run.
+func outcomeInBatch(status string) dispatch.AttemptFinished {
+	switch status {
 	case protocol.Accepted:
 		return dispatch.AttemptFinished{Outcome: dispatch.Delivered, MessageDone: true}
 	case protocol.Deferred:
@@ -274,14 +286,14 @@
 	return dispatch.AttemptFinished{Outcome: dispatch.Failure}
 }
 
-// complete ends an attempt with its outcome, and hands it to the dispatcher.
+// complete ends an attempt with its outcome and passes that to the dispatcher.
 func (s *Server) complete(attempt *attempt, event dispatch.AttemptFinished) {
 	if s.handoff.handedOver {
 		s.handoff.forwardOutcome(attempt, event)
 		return
 	}
 	if attempt.finished {
-		if event.MessageDone && !attempt.message.ended { // called off, and delivered all the same
+		if event.MessageDone && !attempt.message.ended { // delivered although the attempt was canceled
 			if event.Outcome == dispatch.Delivered {
 				s.count(attempt.message.stored.Class, delivered)
 			}
@@ -294,8 +306,8 @@
 	}
 	attempt.finished = true
 	attempt.message.inFlight--
-	for i, o := range s.inFlight {
-		if o == attempt {
+	for i, other := range s.inFlight {
+		if other == attempt {
 			s.inFlight = append(s.inFlight[:i], s.inFlight[i+1:]...)
 			break
 		}
@@ -307,7 +319,7 @@
 		s.finished.add(attempt.message, s.now)
 		s.finish(attempt.message)
 	} else if !attempt.message.ended {
-		s.noteOutcome(attempt, event.Outcome)
+		s.storeOutcome(attempt, event.Outcome)
 	}
 	event.Message, event.Attempt, event.Duration = dispatch.MessageID(attempt.message.stored.ID), dispatch.AttemptNumber(attempt.number), s.now-attempt.sentAt
 	event.MessageDone = event.MessageDone || attempt.message.ended
@@ -320,32 +332,32 @@
 	s.forget(attempt.message)
 }
 
-// attemptOverdue ends an attempt that has timed out, unless its answer is here and not handled yet. Failure: a delivered message passed for
-// one without an answer.
-func (s *Server) attemptOverdue(attempt *attempt) {
+// attemptTimedOut ends an attempt whose timeout has expired, unless its answer has been received but not
+// handled yet. Failure: a delivered message was treated as unanswered.
+func (s *Server) attemptTimedOut(attempt *attempt) {
 	if s.answerArriving(attempt) {
 		return
 	}
 	event := dispatch.AttemptFinished{Outcome: dispatch.TimedOut}
 	switch exchange := attempt.call.exchange; {
-	case attempt.call.predecessor: // the other process has said nothing of it for longer than it should wait
+	case attempt.call.predecessor: // the predecessor has not reported the outcome in time
 	case !exchange.IsWritten():
 		event.Outcome = dispatch.Unreachable
 	case exchange.HasSuccessLine():
-		event.Outcome, event.MessageDone = dispatch.Delivered, true // the rest of the answer is slow, but this was its first line
+		event.Outcome, event.MessageDone = dispatch.Delivered, true // the answer is incomplete, but its status line was received and reports success
 	case exchange.HasBegun():
-		event.Outcome = dispatch.Failure // it answers, but nothing that can be read
+		event.Outcome = dispatch.Failure // an answer has begun, but no valid status line was received
 	}
 	s.complete(attempt, event)
 	s.abandonCall(attempt.call)
 }
 
-// recheckDelay is how long an attempt that is to be given up is still waited for where bytes over its connection lie unread. The poller
-// reads them at once unless the machine is busy; a peer that sends on and on gains no more than this.
+// recheckDelay is by how much a timeout is extended once if the connection holds unread bytes. The poller
+// reads them at once unless the machine is busy. A peer that keeps sending gets only this one extension.
 const recheckDelay = 5 * 1000
 
-// answerArriving reports whether the answer to an attempt is here, complete but not handled yet, or may lie unread in the socket. For the
-// latter it extends the timeout a little, once.
+// answerArriving reports whether the answer to an attempt has been received but not handled yet, or may be
+// unread in the socket. In the second case it extends the timeout once by recheckDelay.
 func (s *Server) answerArriving(attempt *attempt) bool {
 	exchange := attempt.call.exchange
 	if s.endpointConns.HasAnswer(exchange) {
@@ -365,16 +377,16 @@
 	}
 	attempt, outcome := message.attempts[a.Attempt], dispatch.Canceled
 	if s.answerArriving(attempt) {
-		return // its answer says more
+		return // the answer determines the outcome
 	}
 	if exchange := attempt.call.exchange; exchange != nil && !exchange.IsSent() {
-		outcome = dispatch.Unprocessed // its connection is still coming up: it never ran
+		outcome = dispatch.Unprocessed // the connection is still being opened, so the message was not sent
 	}
 	s.complete(attempt, dispatch.AttemptFinished{Outcome: outcome})
 	s.abandonCall(attempt.call)
 }
 
-// abandonCall gives up a call once none of its attempts is waited for.
+// abandonCall aborts a call once all its attempts have finished.
 func (s *Server) abandonCall(call *call) {
 	for _, attempt := range call.attempts {
 		if !attempt.finished {
--- a/server/clients.go
+++ b/server/clients.go
@@ -10,31 +10,32 @@
 	"pineport/spool"
 )
 
-// Commands of clients, and their replies. Package clientconn has the connections.
+// This file handles the commands of clients and their replies. Package clientconn manages the connections.
 
-// Errors that clients get, as they stand on the wire.
+// Error replies to clients, as written on the wire.
 var (
 	errUnknownCommandName = errors.New("ERR unknown command")
 	errUnknownClass       = errors.New("ERR unknown workload")
 	errUnknownDestination = errors.New("ERR unknown destination")
 )
 
-// reply is the answer to one command. Replies are written in the order of the commands.
+// reply is the reply to one command. Replies on a connection are written in the order of the commands.
 type reply struct {
 	client  *clientconn.Conn
-	message *message // accepted with the command
+	message *message // the message accepted by the command, if any
 	text    string
-	close   bool // the connection, after the reply
+	close   bool // close the connection after the reply
 }
 
-// clientLimits takes the limits of the deployment: four tenths of the descriptors, and half of them while many come at once, so that endpoints
-// and discovery always find some. An eighth of the memory goes to partial commands.
+// clientLimits derives the limits of client connections from the deployment. Clients get 4/10 of the file
+// descriptors, and up to half of them during a burst of new connections, so that descriptors remain for
+// endpoints and discovery. Partially received commands get 1/8 of the memory.
 func (s *Server) clientLimits() clientconn.Limits {
 	sockets := s.deployment.Sockets - AdminSockets(s.deployment)
 	return clientconn.Limits{Conns: sockets * 4 / 10, Admitted: sockets / 2, PartialBytes: int64(s.deployment.MemoryMB) << 20 / 8}
 }
 
-// handleClient takes in an event of a client's connection.
+// handleClient handles an event of a client connection.
 func (s *Server) handleClient(event clientconn.Event) {
 	switch e := event.(type) {
 	case clientconn.Opened:
@@ -59,31 +60,35 @@
 	}
 }
 
-// commandsFailed answers the commands of an event that could not be handled; before is how many replies were due until then. Failure: the
-// connection was closed with no answer to what had been read.
-func (s *Server) commandsFailed(event clientconn.Commands, before int) {
-	for len(s.replies) < before+len(event.Commands) {
+// commandsFailed replies to the commands of an event whose handling panicked. repliesBefore is the number
+// of replies that were pending before the event. Failure: the connection was closed without a reply to
+// requests already read.
+func (s *Server) commandsFailed(event clientconn.Commands, repliesBefore int) {
+	for len(s.replies) < repliesBefore+len(event.Commands) {
 		s.replies = append(s.replies, &reply{client: event.Conn})
 	}
-	for _, failed := range s.replies[before:] {
-		if failed.close = true; failed.text == "" {
-			failed.text = protocol.ReplyError("ERR internal error")
+	for _, reply := range s.replies[repliesBefore:] {
+		if reply.close = true; reply.text == "" {
+			reply.text = protocol.ReplyError("ERR internal error")
 		}
 	}
 }
 
-// clientClosed drops the messages of a client that has gone and did not learn that they were accepted, unless they were submitted over another
-// connection too: it submits them anew. Failure: the other connection was promised what had gone with the first. A client that has only ended
-// its sending and still reads is answered that its message is rejected. Failure: it was closed with no answer to what had been read.
+// clientClosed drops messages whose acceptance had not been reported to a client before its connection
+// closed, because that client submits them again. A message that was also submitted over another connection
+// is kept. Failure: the other connection got +OK for a message that had been dropped with the first.
+//
+// A client that has only closed its sending side still reads, so it is told that its message was rejected.
+// Failure: its connection was closed without a reply to requests already read.
 func (s *Server) clientClosed(conn *clientconn.Conn) {
 	s.clients.Remove(conn)
-	for _, due := range s.replies {
-		message := due.message
-		if due.client != conn || message == nil {
+	for _, pending := range s.replies {
+		message := pending.message
+		if pending.client != conn || message == nil {
 			continue
 		}
-		due.message = nil
-		message.waiting = slices.DeleteFunc(message.waiting, func(other *reply) bool { return other == due })
+		pending.message = nil
+		message.waiting = slices.DeleteFunc(message.waiting, func(other *reply) bool { return other == pending })
 		if len(message.waiting) > 0 {
 			continue
 		}
@@ -91,7 +96,7 @@
 		s.events = append(s.events, dispatch.MessageCanceled{Message: dispatch.MessageID(message.stored.ID)})
 		s.forget(message)
 		if conn.HalfClosed() {
-			due.text = protocol.ReplyBusy(0)
+			pending.text = protocol.ReplyBusy(0)
 			s.count(message.stored.Class, rejected)
 		}
 	}
@@ -99,7 +104,7 @@
 
 func (s *Server) handleCommand(arguments [][]byte, reply *reply) {
 	switch {
-	case protocol.IsCommand(arguments, "PING") && len(arguments) == 1 && s.operators.isDraining():
+	case protocol.IsCommand(arguments, "PING") && len(arguments) == 1 && s.admin.isDraining():
 		reply.text = protocol.ReplyError("ERR sent away: the courier takes no more clients")
 	case protocol.IsCommand(arguments, "PING") && len(arguments) == 1:
 		reply.text = protocol.ReplyPong
@@ -114,11 +119,12 @@
 }
 
 func (s *Server) countMalformedClient(err error) {
-	s.malformed.clients, s.malformed.lastClient = s.malformed.clients+1, err
+	s.malformed.clients, s.malformed.lastClientError = s.malformed.clients+1, err
 }
 
-// enqueue accepts a message. The reply is written after the dispatcher has taken it in, and may have rejected it. A request that was on its way
-// as the connection was to be closed for a successor is not accepted, and may be sent again at once.
+// enqueue handles an ENQUEUE command. Its reply is written after the dispatcher has handled the message and
+// possibly rejected it. After a handoff, a request still in transit on a connection that is about to be
+// closed is not accepted. The client may send it again at once.
 func (s *Server) enqueue(arguments [][]byte, reply *reply) {
 	if s.handoff.handedOver {
 		reply.text, reply.close = protocol.ReplyBusy(1), true
@@ -138,7 +144,7 @@
 	}
 }
 
-// checkEnqueue returns an error where a message names a class or destination that is not known.
+// checkEnqueue returns an error if the class or destination of a message is unknown.
 func (s *Server) checkEnqueue(request protocol.Enqueue) error {
 	if !slices.Contains(s.deployment.Classes, request.Class) || s.deployment.Retired[request.Class] {
 		return errUnknownClass
@@ -150,25 +156,25 @@
 	return nil
 }
 
-// acceptedBefore answers a message that was accepted already, and reports whether it was.
+// acceptedBefore sets the reply for a message that has already been accepted, and reports whether it has.
 func (s *Server) acceptedBefore(request protocol.Enqueue, reply *reply) bool {
 	id := dispatch.MessageID(request.ID)
 	switch message := s.messages[id]; {
-	case message != nil && len(message.waiting) > 0: // sent twice in one step: whatever the first reply is
+	case message != nil && len(message.waiting) > 0: // submitted twice in one step: both get the first one's reply
 		reply.message, reply.text = message, protocol.ReplyOK
 		message.waiting = append(message.waiting, reply)
 		return true
-	case message != nil || s.finished.contains(id, s.now): // sent once more after a closed connection
+	case message != nil || s.finished.contains(id, s.now): // submitted again after its connection was closed
 		reply.text = protocol.ReplyOK
 		return true
 	}
 	return false
 }
 
-// folderRetryMs is when clients may come again while the folder fails.
-const folderRetryMs = 1000
+// spoolRetryAfterMs is the Retry-After sent to clients while writes to the spool fail.
+const spoolRetryAfterMs = 1000
 
-// acceptMessage stores a message and hands it to the dispatcher.
+// acceptMessage stores a message and passes it to the dispatcher.
 func (s *Server) acceptMessage(request protocol.Enqueue, reply *reply) {
 	stored := &spool.Message{ID: request.ID, Class: request.Class, Destination: request.Dest, Tenant: request.Tenant, OrderingKey: request.Key,
 		IdempotencyKey: request.Mark, Resubmitted: request.Again, Deadline: int64(s.now) + int64(request.LeftMs)*1000, Body: request.Body}
@@ -178,7 +184,7 @@
 		}
 		reply.text = protocol.ReplyBusy(0)
 		if errors.Is(err, spool.ErrBehind) {
-			reply.text = protocol.ReplyBusy(folderRetryMs)
+			reply.text = protocol.ReplyBusy(spoolRetryAfterMs)
 		}
 		s.count(stored.Class, rejected)
 		return
--- a/server/counters.go
+++ b/server/counters.go
@@ -8,7 +8,7 @@
 	"pineport/dispatch"
 )
 
-// endingKind is what the end of a message is counted under.
+// endingKind is how a message ended, for the metrics.
 type endingKind int
 
 const (
@@ -18,14 +18,14 @@
 	numEndings
 )
 
-// counters are the metrics for operators, each counted where it happens.
+// counters are the counters behind the metrics for operators.
 type counters struct {
-	endings    [][numEndings]int64 // by class
+	endings    [][numEndings]int64 // indexed by class
 	calls      int64
-	unfinished int64 // accepted and not ended
+	unfinished int64 // messages accepted and not ended
 }
 
-// grow makes room for further classes.
+// grow adds counters for new classes.
 func (c *counters) grow(classes int) {
 	c.endings = append(c.endings, make([][numEndings]int64, max(0, classes-len(c.endings)))...)
 }
@@ -33,29 +33,29 @@
 func (c *counters) accepted() { c.unfinished++ }
 func (c *counters) ended()    { c.unfinished-- }
 
-// count counts the end of a message of a class; an unknown one is ignored.
-func (s *Server) count(class string, how endingKind) {
-	if w := slices.Index(s.deployment.Classes, class); w >= 0 {
-		s.counters.endings[w][how]++
+// count counts the end of a message of the given class. Unknown classes are ignored.
+func (s *Server) count(class string, kind endingKind) {
+	if i := slices.Index(s.deployment.Classes, class); i >= 0 {
+		s.counters.endings[i][kind]++
 	}
 }
 
-// collectMetrics returns a copy of the counters.
+// collectMetrics returns a snapshot of the metrics.
 func (s *Server) collectMetrics() *admin.Metrics {
-	f := &admin.Metrics{Success: map[string]int64{}, Overload: map[string]int64{}, Error: map[string]int64{},
+	metrics := &admin.Metrics{Success: map[string]int64{}, Overload: map[string]int64{}, Error: map[string]int64{},
 		Dispatches: s.counters.calls, Concurrent: s.counters.unfinished, Targets: int64(len(s.endpoints)),
-		ReloadSuccess: s.operators.reloads, ReloadFailure: s.operators.failedReloads.Load()}
-	for w, name := range s.deployment.Classes {
-		f.Success[name], f.Overload[name], f.Error[name] = s.counters.endings[w][delivered], s.counters.endings[w][rejected], s.counters.endings[w][failed]
+		ReloadSuccess: s.admin.reloads, ReloadFailure: s.admin.failedReloads.Load()}
+	for i, name := range s.deployment.Classes {
+		metrics.Success[name], metrics.Overload[name], metrics.Error[name] = s.counters.endings[i][delivered], s.counters.endings[i][rejected], s.counters.endings[i][failed]
 	}
-	if c, ok := s.dispatcher.(interface {
+	if avoider, ok := s.dispatcher.(interface {
 		Avoided(dispatch.Micros, dispatch.EndpointID) bool
 	}); ok {
 		for id := range maps.Keys(s.endpoints) {
-			if c.Avoided(s.now, id) {
-				f.TargetsDisabled++
+			if avoider.Avoided(s.now, id) {
+				metrics.TargetsDisabled++
 			}
 		}
 	}
-	return f
+	return metrics
 }
--- a/server/crossings_test.go
+++ b/server/crossings_test.go
@@ -21,23 +21,24 @@
 	"pineport/transport"
 )
 
-// The crossings of docs/crossings.md, each forced: a test steps the event loop by hand and takes what came off its inbox itself, so that
-// its own peer can write, close or reset between two lines.
+// These tests force the races listed in docs/crossings.md. A test steps the event loop itself and takes
+// events from its queue, so that its own client or endpoint can write, close or reset a connection between
+// two statements.
 
-// byHand makes an event loop with sockets, whose steps and events are the test's.
-func steppedServer(t *testing.T, world *scripted.World, held ...*spool.Message) *Server {
+// steppedServer returns an event loop with open sockets. The test handles its events and steps it.
+func steppedServer(t *testing.T, world *scripted.World, unfinished ...*spool.Message) *Server {
 	t.Helper()
-	r := prepare(t, world, held...)
-	driver, err := transport.Open(r.deployment.Listen, nil, 1024, r.log, r.clients.Admit, r.clients.Accept)
+	s := newTestServer(t, world, unfinished...)
+	driver, err := transport.Open(s.deployment.Listen, nil, 1024, s.log, s.clients.Admit, s.clients.Accept)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
 		ended := make(chan struct{})
-		go func() { // handlers must not wait for an event loop that steps no more
+		go func() { // connection handlers block on the queue, which nothing reads any more
 			for {
 				select {
-				case <-r.queue:
+				case <-s.queue:
 				case <-ended:
 					return
 				}
@@ -46,11 +47,11 @@
 		driver.Close()
 		close(ended)
 	})
-	r.driver = driver
-	return r
+	s.driver = driver
+	return s
 }
 
-// unwrap returns the event of a connection where one is wrapped, else the event itself.
+// unwrap returns the connection event inside a clientEvent or endpointEvent, and any other event as it is.
 func unwrap(e event) any {
 	switch wrapped := e.(type) {
 	case clientEvent:
@@ -61,203 +62,206 @@
 	return e
 }
 
-// until takes what comes, a step after each, up to the first event that is wanted; that one is not taken.
-func until[E any](t *testing.T, r *Server, wanted func(E) bool) (e E) {
+// waitForEvent handles queued events, with a step after each, up to the first event of type E that matches.
+// It returns that event without handling it.
+func waitForEvent[E any](t *testing.T, s *Server, matches func(E) bool) (wanted E) {
 	t.Helper()
-	waits := time.After(10 * time.Second)
+	timeout := time.After(10 * time.Second)
 	for {
 		select {
-		case what := <-r.queue:
-			if e, ok := unwrap(what).(E); ok && wanted(e) {
-				return e
+		case queued := <-s.queue:
+			if wanted, ok := unwrap(queued).(E); ok && matches(wanted) {
+				return wanted
 			}
-			r.handle(what)
-			r.step()
-		case <-waits:
-			t.Fatalf("no %T came", e)
+			s.handle(queued)
+			s.step()
+		case <-timeout:
+			t.Fatalf("no %T event within 10 s", wanted)
 		}
 	}
 }
 
-// toEndpoint tells whether a link leads to an endpoint of the world.
-func toEndpoint(conn *endpointconn.Conn) bool { return !conn.Peer().IsDiscovery() }
+// isEndpointConn reports whether a connection leads to an endpoint and not to discovery.
+func isEndpointConn(conn *endpointconn.Conn) bool { return !conn.Peer().IsDiscovery() }
 
-func single(id string) *spool.Message {
+func newMessage(id string) *spool.Message {
 	return &spool.Message{ID: id, Class: "order", Destination: 1, Deadline: time.Now().Add(time.Minute).UnixMicro()}
 }
 
-// onDisk is what a process that started now would find of a message.
-func onDisk(t *testing.T, r *Server, id string) *spool.Message {
+// storedMessage returns the message that a process started now would recover from the spool, or nil.
+func storedMessage(t *testing.T, s *Server, id string) *spool.Message {
 	t.Helper()
-	all, _, err := spool.Inspect(r.deployment.Spool)
+	all, _, err := spool.Inspect(s.deployment.Spool)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, rec := range all {
-		if rec.ID == id {
-			return rec
+	for _, stored := range all {
+		if stored.ID == id {
+			return stored
 		}
 	}
 	return nil
 }
 
-// TestMessageIsUntriedUntilSent. Failure: killed while the connection came up, a message that was never sent came back as one that may have
-// run, and was given up with no call if it may not be repeated.
-func TestMessageIsUntriedUntilSent(t *testing.T) {
-	r := steppedServer(t, open(t, 0), single("one"))
-	r.step()
-	up := until(t, r, func(event endpointconn.Opened) bool { return toEndpoint(event.Conn) })
-	if rec := onDisk(t, r, "one"); len(rec.Attempts) > 0 {
-		t.Errorf("before anything was sent a restart would find %+v", rec.Attempts)
+// TestAttemptIsStoredOnlyWhenSent. Failure: if the process was killed while the connection was being
+// opened, the restart took the unsent attempt for one that may have run. An at-most-once message then
+// failed without any call.
+func TestAttemptIsStoredOnlyWhenSent(t *testing.T) {
+	s := steppedServer(t, openWorld(t, 0), newMessage("one"))
+	s.step()
+	opened := waitForEvent(t, s, func(event endpointconn.Opened) bool { return isEndpointConn(event.Conn) })
+	if stored := storedMessage(t, s, "one"); len(stored.Attempts) > 0 {
+		t.Errorf("before the send, the spool holds attempts %+v", stored.Attempts)
 	}
-	r.handle(endpointEvent{up})
-	if rec := onDisk(t, r, "one"); len(rec.Attempts) != 1 || rec.Attempts[0].Outcome != "" || rec.Attempts[0].Endpoint != "s-0" {
-		t.Errorf("once it was sent a restart would find %+v", rec.Attempts)
+	s.handle(endpointEvent{opened})
+	if stored := storedMessage(t, s, "one"); len(stored.Attempts) != 1 || stored.Attempts[0].Outcome != "" || stored.Attempts[0].Endpoint != "s-0" {
+		t.Errorf("after the send, the spool holds attempts %+v", stored.Attempts)
 	}
 }
 
-// TestUnreachableAttemptIsStored: an attempt that failed before anything was sent stands in the spool with its outcome, so that those after it keep
-// their numbers.
+// TestUnreachableAttemptIsStored: an attempt that failed before it was sent is stored with its outcome, so
+// that later attempts keep their numbers.
 func TestUnreachableAttemptIsStored(t *testing.T) {
-	world := open(t, 0)
-	r := steppedServer(t, world, single("one"))
-	r.step()
-	up := until(t, r, func(event endpointconn.Opened) bool { return toEndpoint(event.Conn) })
-	r.handle(endpointEvent{endpointconn.Closed{Conn: up.Conn, Err: errNoAnswer}})
-	if rec := onDisk(t, r, "one"); len(rec.Attempts) != 1 || rec.Attempts[0].Outcome != "unreachable" {
-		t.Errorf("a restart would find %+v", rec.Attempts)
+	world := openWorld(t, 0)
+	s := steppedServer(t, world, newMessage("one"))
+	s.step()
+	opened := waitForEvent(t, s, func(event endpointconn.Opened) bool { return isEndpointConn(event.Conn) })
+	s.handle(endpointEvent{endpointconn.Closed{Conn: opened.Conn, Err: errNoAnswer}})
+	if stored := storedMessage(t, s, "one"); len(stored.Attempts) != 1 || stored.Attempts[0].Outcome != "unreachable" {
+		t.Errorf("the spool holds attempts %+v", stored.Attempts)
 	}
 }
 
-// TestAttemptCanceledBeforeSendingNeverRan. Failure: an attempt that was called off while its connection came up passed for one that may have run, and
-// its message could not go again; put together when it was decided, a call for several went out with it all the same.
+// TestAttemptCanceledBeforeSendingNeverRan. Failures: an attempt canceled while its connection was being
+// opened was treated as one that may have run, so its message could not be retried. A call with several
+// messages was built at the time of the decision and still sent the canceled one.
 func TestAttemptCanceledBeforeSendingNeverRan(t *testing.T) {
-	r := steppedServer(t, open(t, 0), single("one"), single("two"))
+	s := steppedServer(t, openWorld(t, 0), newMessage("one"), newMessage("two"))
 	var calls []*call
-	r.deployment.Dispatch.EndpointTypes[0].MaxPerCall = 5
+	s.deployment.Dispatch.EndpointTypes[0].MaxPerCall = 5
 	for _, id := range []dispatch.MessageID{"one", "two"} {
-		calls = r.addToCall(calls, dispatch.Send{Message: id, Endpoint: "s-0", Timeout: 5 * 1000 * 1000})
+		calls = s.addToCall(calls, dispatch.Send{Message: id, Endpoint: "s-0", Timeout: 5 * 1000 * 1000})
 	}
 	if len(calls) != 1 || len(calls[0].attempts) != 2 {
-		t.Fatalf("%d calls", len(calls))
+		t.Fatalf("got %d calls", len(calls))
 	}
-	r.events = nil
-	r.startCall(calls[0])
-	up := until(t, r, func(event endpointconn.Opened) bool { return toEndpoint(event.Conn) })
-	r.cancel(dispatch.Cancel{Message: "one", Attempt: 0})
-	if s := r.events[len(r.events)-1].(dispatch.AttemptFinished); s.Outcome != dispatch.Unprocessed {
-		t.Errorf("never sent, and called off as %v", s.Outcome)
+	s.events = nil
+	s.startCall(calls[0])
+	opened := waitForEvent(t, s, func(event endpointconn.Opened) bool { return isEndpointConn(event.Conn) })
+	s.cancel(dispatch.Cancel{Message: "one", Attempt: 0})
+	if finished := s.events[len(s.events)-1].(dispatch.AttemptFinished); finished.Outcome != dispatch.Unprocessed {
+		t.Errorf("canceled before sending with outcome %v", finished.Outcome)
 	}
-	r.handle(endpointEvent{up})
+	s.handle(endpointEvent{opened})
 	if call := calls[0]; len(call.attempts) != 1 || call.attempts[0].message.stored.ID != "two" || call.exchange.NeedsBody {
-		t.Errorf("it went out with %d attempts, whole %v", len(call.attempts), call.exchange.NeedsBody)
+		t.Errorf("sent with %d attempts, needs body %v", len(call.attempts), call.exchange.NeedsBody)
 	}
-	if rec := onDisk(t, r, "one"); len(rec.Attempts) != 1 || rec.Attempts[0].Outcome != "void" {
-		t.Errorf("of the one called off a restart would find %+v", rec.Attempts)
+	if stored := storedMessage(t, s, "one"); len(stored.Attempts) != 1 || stored.Attempts[0].Outcome != "void" {
+		t.Errorf("the spool holds attempts %+v of the canceled message", stored.Attempts)
 	}
 }
 
-// stop has the poller stand still until goOn is called: what comes lies in the sockets.
-func stop(t *testing.T, r *Server) (goOn func()) {
+// blockPoller blocks the poller until resume is called. Received bytes stay in the sockets meanwhile.
+func blockPoller(t *testing.T, s *Server) (resume func()) {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer listener.Close()
 	h := &blockingHandler{make(chan struct{}), make(chan struct{})}
-	goOn = sync.OnceFunc(func() { close(h.goOn) })
-	t.Cleanup(goOn)
-	r.driver.Dial(l.Addr().String(), 5*time.Second, h)
-	conn, err := l.Accept()
+	resume = sync.OnceFunc(func() { close(h.resume) })
+	t.Cleanup(resume)
+	s.driver.Dial(listener.Addr().String(), 5*time.Second, h)
+	conn, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
 	io.WriteString(conn, "x")
 	select {
-	case <-h.stands:
+	case <-h.blocked:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the poller does not stand still")
+		t.Fatal("the poller is not blocked")
 	}
-	return goOn
+	return resume
 }
 
-// status is a connection whose handler stands still.
-type blockingHandler struct{ stands, goOn chan struct{} }
+// blockingHandler handles a connection and blocks the poller on the first data.
+type blockingHandler struct{ blocked, resume chan struct{} }
 
 func (*blockingHandler) Opened(*transport.Conn)        {}
 func (*blockingHandler) Closed(*transport.Conn, error) {}
 
 func (h *blockingHandler) Data(*transport.Conn, []byte) {
-	close(h.stands)
-	<-h.goOn
+	close(h.blocked)
+	<-h.resume
 }
 
-// visitor is a client of the test's.
-type visitor struct {
+// testClient is a client connection whose replies the test reads.
+type testClient struct {
 	*net.TCPConn
-	in *bufio.Reader
+	reader *bufio.Reader
 }
 
-func visit(t *testing.T, r *Server) *visitor {
+func connectClient(t *testing.T, s *Server) *testClient {
 	t.Helper()
-	conn, err := net.Dial("tcp", r.deployment.Listen)
+	conn, err := net.Dial("tcp", s.deployment.Listen)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
 	conn.SetDeadline(time.Now().Add(10 * time.Second))
-	r.handle(clientEvent{until(t, r, func(clientconn.Opened) bool { return true })})
-	return &visitor{conn.(*net.TCPConn), bufio.NewReader(conn)}
+	s.handle(clientEvent{waitForEvent(t, s, func(clientconn.Opened) bool { return true })})
+	return &testClient{conn.(*net.TCPConn), bufio.NewReader(conn)}
 }
 
 func enqueue(id string) string {
 	return fmt.Sprintf("*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$%d\r\n%s\r\n$21\r\nc=order,d=8000,dest=1\r\n$1\r\nx\r\n", len(id), id)
 }
 
-// asks writes a request and waits until it lies at the event loop, untaken.
-func (v *visitor) asks(t *testing.T, r *Server, id string) clientconn.Commands {
+// submit writes a request and returns its event from the queue, not handled yet.
+func (c *testClient) submit(t *testing.T, s *Server, id string) clientconn.Commands {
 	t.Helper()
-	io.WriteString(v, enqueue(id))
-	return until(t, r, func(clientconn.Commands) bool { return true })
+	io.WriteString(c, enqueue(id))
+	return waitForEvent(t, s, func(clientconn.Commands) bool { return true })
 }
 
-// reply is the next line, or why there is none.
-func (v *visitor) reply() string {
-	line, err := v.in.ReadString('\n')
+// reply returns the next line, or the text of the error.
+func (c *testClient) reply() string {
+	line, err := c.reader.ReadString('\n')
 	if err != nil {
 		return err.Error()
 	}
 	return strings.TrimSpace(line)
 }
 
-// raw is an endpoint whose connections are the test's own.
-func raw(t *testing.T, world *scripted.World) *net.TCPListener {
+// listenAsEndpoint replaces the endpoints of world by a listener of the test.
+func listenAsEndpoint(t *testing.T, world *scripted.World) *net.TCPListener {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
-	world.Endpoints = []string{l.Addr().String()}
-	return l.(*net.TCPListener)
+	t.Cleanup(func() { listener.Close() })
+	world.Endpoints = []string{listener.Addr().String()}
+	return listener.(*net.TCPListener)
 }
 
-// called accepts a connection and reads the call that comes over it.
-func called(t *testing.T, l *net.TCPListener) *net.TCPConn {
+// acceptCall accepts a connection and reads the call sent over it.
+func acceptCall(t *testing.T, listener *net.TCPListener) *net.TCPConn {
 	t.Helper()
-	l.SetDeadline(time.Now().Add(10 * time.Second))
-	conn, err := l.AcceptTCP()
+	listener.SetDeadline(time.Now().Add(10 * time.Second))
+	conn, err := listener.AcceptTCP()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	reads(t, conn)
+	readRequestText(t, conn)
 	return conn
 }
 
-func reads(t *testing.T, conn *net.TCPConn) string {
+func readRequestText(t *testing.T, conn *net.TCPConn) string {
 	t.Helper()
 	conn.SetReadDeadline(time.Now().Add(10 * time.Second))
 	b := make([]byte, 4096)
@@ -268,270 +272,275 @@
 	return string(b[:n])
 }
 
-// sent has an event loop send what it holds to the test's endpoint, and reads it there.
-func sent(t *testing.T, r *Server, l *net.TCPListener) *net.TCPConn {
+// sendToEndpoint has the event loop send a call to the test's listener, and reads it there.
+func sendToEndpoint(t *testing.T, s *Server, listener *net.TCPListener) *net.TCPConn {
 	t.Helper()
-	r.step()
-	r.handle(endpointEvent{until(t, r, func(event endpointconn.Opened) bool { return toEndpoint(event.Conn) })})
-	return called(t, l)
+	s.step()
+	s.handle(endpointEvent{waitForEvent(t, s, func(event endpointconn.Opened) bool { return isEndpointConn(event.Conn) })})
+	return acceptCall(t, listener)
 }
 
-// TestCallIsNotWrittenToEndedConnection. Failure: an endpoint ended a connection at rest just as the next call was written to it; the call may have
-// run for all one knew, and what may not be repeated was given up. Now it goes over a new connection.
+// TestCallIsNotWrittenToEndedConnection. Failure: an endpoint closed an idle connection just as the next
+// call was written to it. The call may have run, so an at-most-once message failed. Now the call goes over
+// a new connection.
 func TestCallIsNotWrittenToEndedConnection(t *testing.T) {
-	world := open(t, 0)
-	l := raw(t, world)
-	r := steppedServer(t, world, single("one"))
-	conn := sent(t, r, l)
+	world := openWorld(t, 0)
+	listener := listenAsEndpoint(t, world)
+	s := steppedServer(t, world, newMessage("one"))
+	conn := sendToEndpoint(t, s, listener)
 	io.WriteString(conn, okAnswer)
-	r.handle(endpointEvent{until(t, r, func(event endpointconn.Answered) bool { return toEndpoint(event.Conn) })})
-	r.step()
-	goOn := stop(t, r)
+	s.handle(endpointEvent{waitForEvent(t, s, func(event endpointconn.Answered) bool { return isEndpointConn(event.Conn) })})
+	s.step()
+	resume := blockPoller(t, s)
 	conn.CloseWrite()
 	if !port.Arrived(conn) {
-		t.Fatal("its end never arrived")
+		t.Fatal("the endpoint's FIN never arrived")
 	}
-	if err := r.spool.Append(single("two")); err != nil {
+	if err := s.spool.Append(newMessage("two")); err != nil {
 		t.Fatal(err)
 	}
-	r.recoverMessages([]*spool.Message{single("two")}, nil)
-	r.step()
-	if out := r.messages["two"].attempts; len(out) != 1 || out[0].call.exchange.IsSent() {
-		t.Fatalf("%d attempts; written to what had ended", len(out))
+	s.recoverMessages([]*spool.Message{newMessage("two")}, nil)
+	s.step()
+	if attempts := s.messages["two"].attempts; len(attempts) != 1 || attempts[0].call.exchange.IsSent() {
+		t.Fatalf("got %d attempts, or the call was written to a closed connection", len(attempts))
 	}
-	goOn()
-	r.handle(endpointEvent{until(t, r, func(event endpointconn.Opened) bool { return toEndpoint(event.Conn) })})
-	io.WriteString(called(t, l), okAnswer)
-	r.handle(endpointEvent{until(t, r, func(event endpointconn.Answered) bool { return toEndpoint(event.Conn) })})
-	if r.step(); r.messages["two"] != nil {
-		t.Error("not delivered")
+	resume()
+	s.handle(endpointEvent{waitForEvent(t, s, func(event endpointconn.Opened) bool { return isEndpointConn(event.Conn) })})
+	io.WriteString(acceptCall(t, listener), okAnswer)
+	s.handle(endpointEvent{waitForEvent(t, s, func(event endpointconn.Answered) bool { return isEndpointConn(event.Conn) })})
+	if s.step(); s.messages["two"] != nil {
+		t.Error("message not delivered")
 	}
 }
 
-// TestAnswerReceivedAtTimeoutCounts. Failure: an answer that lay at the event loop, untaken, as the time for it ran out, or as its attempt was called
-// off, passed for none; a delivered message was sent again, or given up.
+// TestAnswerReceivedAtTimeoutCounts. Failure: an answer was queued and not handled yet when its attempt
+// timed out or was canceled. It was ignored, so a delivered message was retried or failed.
 func TestAnswerReceivedAtTimeoutCounts(t *testing.T) {
-	for name, cross := range map[string]func(r *Server, attempt *attempt){
-		"overdue":    func(r *Server, attempt *attempt) { r.attemptOverdue(attempt) },
-		"called off": func(r *Server, _ *attempt) { r.cancel(dispatch.Cancel{Message: "one"}) },
+	for name, trigger := range map[string]func(s *Server, attempt *attempt){
+		"overdue":          func(s *Server, attempt *attempt) { s.attemptTimedOut(attempt) },
+		"attempt canceled": func(s *Server, _ *attempt) { s.cancel(dispatch.Cancel{Message: "one"}) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			world := open(t, 0)
-			l := raw(t, world)
-			r := steppedServer(t, world, single("one"))
-			io.WriteString(sent(t, r, l), okAnswer)
-			answer := until(t, r, func(event endpointconn.Answered) bool { return toEndpoint(event.Conn) })
-			attempt := r.messages["one"].attempts[0]
-			cross(r, attempt)
+			world := openWorld(t, 0)
+			listener := listenAsEndpoint(t, world)
+			s := steppedServer(t, world, newMessage("one"))
+			io.WriteString(sendToEndpoint(t, s, listener), okAnswer)
+			answer := waitForEvent(t, s, func(event endpointconn.Answered) bool { return isEndpointConn(event.Conn) })
+			attempt := s.messages["one"].attempts[0]
+			trigger(s, attempt)
 			if attempt.finished {
-				t.Error("ended although its answer is here")
+				t.Error("attempt ended although its answer had been received")
 			}
-			r.handle(endpointEvent{answer})
-			if s, ok := r.events[len(r.events)-1].(dispatch.AttemptFinished); !ok || s.Outcome != dispatch.Delivered {
-				t.Errorf("ended as %+v", r.events)
+			s.handle(endpointEvent{answer})
+			if finished, ok := s.events[len(s.events)-1].(dispatch.AttemptFinished); !ok || finished.Outcome != dispatch.Delivered {
+				t.Errorf("got events %+v", s.events)
 			}
 		})
 	}
 }
 
-// TestAnswerUnreadAtTimeoutCounts. Failure: an answer that lay in the socket as the time for it ran out passed for none. Where it is none, or
-// not whole, the attempt ends a moment later, whatever comes on and on.
+// TestAnswerUnreadAtTimeoutCounts. Failure: an answer that was unread in the socket when its attempt timed
+// out was ignored. If the bytes are no complete answer, the attempt ends shortly afterwards, however many
+// bytes follow.
 func TestAnswerUnreadAtTimeoutCounts(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, tc := range map[string]struct {
 		bytes string
 		want  dispatch.Outcome
 	}{
-		"whole": {okAnswer, dispatch.Delivered}, "its first line": {okAnswer[:17], dispatch.Delivered}, "half a line": {"HTTP/1.1 2", dispatch.Failure},
+		"whole": {okAnswer, dispatch.Delivered}, "status line only": {okAnswer[:17], dispatch.Delivered}, "partial status line": {"HTTP/1.1 2", dispatch.Failure},
 		"nothing": {"", dispatch.TimedOut},
 	} {
-		for how, cross := range map[string]func(r *Server, attempt *attempt){
-			"overdue":    func(r *Server, attempt *attempt) { r.attemptOverdue(attempt) },
-			"called off": func(r *Server, _ *attempt) { r.cancel(dispatch.Cancel{Message: "one"}) },
+		for how, trigger := range map[string]func(s *Server, attempt *attempt){
+			"overdue":          func(s *Server, attempt *attempt) { s.attemptTimedOut(attempt) },
+			"attempt canceled": func(s *Server, _ *attempt) { s.cancel(dispatch.Cancel{Message: "one"}) },
 		} {
 			t.Run(name+" "+how, func(t *testing.T) {
-				world := open(t, 0)
-				l := raw(t, world)
-				r := steppedServer(t, world, single("one"))
-				conn := sent(t, r, l)
-				attempt := r.messages["one"].attempts[0]
-				for r.endpointConns.HasUnread(attempt.call.exchange) { // its handler may still be telling that it is up
+				world := openWorld(t, 0)
+				listener := listenAsEndpoint(t, world)
+				s := steppedServer(t, world, newMessage("one"))
+				conn := sendToEndpoint(t, s, listener)
+				attempt := s.messages["one"].attempts[0]
+				for s.endpointConns.HasUnread(attempt.call.exchange) { // its handler may still be reporting that the connection is open
 					time.Sleep(100 * time.Microsecond)
 				}
-				goOn := stop(t, r)
-				io.WriteString(conn, c.bytes)
+				resume := blockPoller(t, s)
+				io.WriteString(conn, tc.bytes)
 				if !port.Arrived(conn) {
-					t.Fatal("it never arrived")
+					t.Fatal("the bytes never arrived")
 				}
-				r.events, r.now = nil, r.clock()
-				if cross(r, attempt); attempt.finished != (c.bytes == "") {
-					t.Fatalf("over %v at its time", attempt.finished)
+				s.events, s.now = nil, s.clock()
+				if trigger(s, attempt); attempt.finished != (tc.bytes == "") {
+					t.Fatalf("finished at its timeout: %v", attempt.finished)
 				}
-				goOn()
-				want := c.want
-				if c.bytes == "" && how == "called off" {
+				resume()
+				want := tc.want
+				if tc.bytes == "" && how == "attempt canceled" {
 					want = dispatch.Canceled
 				}
-				for read := c.bytes == ""; !read; {
-					var what event
+				for read := tc.bytes == ""; !read; {
+					var queued event
 					select {
-					case what = <-r.queue:
+					case queued = <-s.queue:
 					case <-time.After(10 * time.Second):
-						t.Fatal("it is never read")
+						t.Fatal("the answer was never read")
 					}
-					switch e := unwrap(what).(type) {
+					switch e := unwrap(queued).(type) {
 					case endpointconn.Answered:
-						read = toEndpoint(e.Conn)
+						read = isEndpointConn(e.Conn)
 					case endpointconn.AnswerBegun:
-						read = toEndpoint(e.Conn)
+						read = isEndpointConn(e.Conn)
 					}
-					r.handle(what)
+					s.handle(queued)
 				}
-				for range 3 { // as what has begun may take a moment too
-					if r.now = max(r.clock(), attempt.waitUntil); !attempt.finished {
-						r.attemptOverdue(attempt)
+				for range 3 { // an answer that has begun extends the timeout as well
+					if s.now = max(s.clock(), attempt.waitUntil); !attempt.finished {
+						s.attemptTimedOut(attempt)
 					}
 				}
-				for _, e := range r.events {
+				for _, e := range s.events {
 					if event, ok := e.(dispatch.AttemptFinished); ok && event.Outcome == want {
 						return
 					}
 				}
-				t.Errorf("ended as %+v, want %v", r.events, want)
+				t.Errorf("got events %+v, want outcome %v", s.events, want)
 			})
 		}
 	}
 }
 
-// TestUnreadBytesExtendTimeoutOnce: and no more, or a peer that sends on and on would never be given up.
+// TestUnreadBytesExtendTimeoutOnce: otherwise an attempt to a peer that keeps sending would never time out.
 func TestUnreadBytesExtendTimeoutOnce(t *testing.T) {
-	world := open(t, 0)
-	l := raw(t, world)
-	r := steppedServer(t, world, single("one"))
-	conn := sent(t, r, l)
-	stop(t, r)
+	world := openWorld(t, 0)
+	listener := listenAsEndpoint(t, world)
+	s := steppedServer(t, world, newMessage("one"))
+	conn := sendToEndpoint(t, s, listener)
+	blockPoller(t, s)
 	io.WriteString(conn, okAnswer)
 	if !port.Arrived(conn) {
-		t.Fatal("it never arrived")
+		t.Fatal("the bytes never arrived")
 	}
-	attempt := r.messages["one"].attempts[0]
-	r.now = attempt.waitUntil
-	if r.attemptOverdue(attempt); attempt.finished || attempt.waitUntil != r.now+recheckDelay {
-		t.Fatalf("over %v, waited for %d us longer", attempt.finished, attempt.waitUntil-r.now)
+	attempt := s.messages["one"].attempts[0]
+	s.now = attempt.waitUntil
+	if s.attemptTimedOut(attempt); attempt.finished || attempt.waitUntil != s.now+recheckDelay {
+		t.Fatalf("finished %v, timeout extended by %d us", attempt.finished, attempt.waitUntil-s.now)
 	}
-	r.now = attempt.waitUntil
-	if r.attemptOverdue(attempt); !attempt.finished {
-		t.Error("waited for on and on")
+	s.now = attempt.waitUntil
+	if s.attemptTimedOut(attempt); !attempt.finished {
+		t.Error("the timeout was extended twice")
 	}
 }
 
-// TestUnexpectedBytesCloseConnection: an endpoint that speaks first is notified of once and gets nothing; nothing of the call has run.
+// TestUnexpectedBytesCloseConnection: if an endpoint sends bytes before any request, the connection is
+// closed, the call is not written and the attempt counts as unreachable.
 func TestUnexpectedBytesCloseConnection(t *testing.T) {
-	world := open(t, 0)
-	l := raw(t, world)
-	r := steppedServer(t, world, single("one"))
-	r.step()
-	event := until(t, r, func(e endpointconn.Opened) bool { return toEndpoint(e.Conn) })
-	conn, err := l.AcceptTCP()
+	world := openWorld(t, 0)
+	listener := listenAsEndpoint(t, world)
+	s := steppedServer(t, world, newMessage("one"))
+	s.step()
+	event := waitForEvent(t, s, func(e endpointconn.Opened) bool { return isEndpointConn(e.Conn) })
+	conn, err := listener.AcceptTCP()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	io.WriteString(conn, okAnswer)
-	down := until(t, r, func(e endpointconn.Closed) bool { return toEndpoint(e.Conn) })
-	r.handle(endpointEvent{event})
-	if !errors.Is(down.Err, endpointconn.ErrUnexpectedAnswer) {
-		t.Errorf("ended by %v", down.Err)
+	closed := waitForEvent(t, s, func(e endpointconn.Closed) bool { return isEndpointConn(e.Conn) })
+	s.handle(endpointEvent{event})
+	if !errors.Is(closed.Err, endpointconn.ErrUnexpectedAnswer) {
+		t.Errorf("connection closed with error %v", closed.Err)
 	}
-	r.handle(endpointEvent{down})
-	if rec := onDisk(t, r, "one"); len(rec.Attempts) != 1 || rec.Attempts[0].Outcome != "unreachable" {
-		t.Errorf("a restart would find %+v", rec.Attempts)
+	s.handle(endpointEvent{closed})
+	if stored := storedMessage(t, s, "one"); len(stored.Attempts) != 1 || stored.Attempts[0].Outcome != "unreachable" {
+		t.Errorf("the spool holds attempts %+v", stored.Attempts)
 	}
 	conn.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if n, _ := conn.Read(make([]byte, 1)); n > 0 {
-		t.Error("the call was written all the same")
+		t.Error("the call was written after unexpected bytes")
 	}
-	if r.step(); r.messages["one"] == nil || r.messages["one"].ended {
-		t.Error("given up, though it never ran")
+	if s.step(); s.messages["one"] == nil || s.messages["one"].ended {
+		t.Error("message ended although it never ran")
 	}
 }
 
-// TestNoSendUnlessStored: what the disk does not take is not sent, as a restart would not know of it.
+// TestNoSendUnlessStored: an attempt that cannot be stored is not sent, because a restart would not know of
+// it.
 func TestNoSendUnlessStored(t *testing.T) {
-	world := open(t, 0)
-	l := raw(t, world)
-	r := steppedServer(t, world, single("one"))
-	r.step()
-	up := until(t, r, func(event endpointconn.Opened) bool { return toEndpoint(event.Conn) })
-	r.spool.Close()
-	r.handle(endpointEvent{up})
-	attempt := r.messages["one"].attempts[0]
+	world := openWorld(t, 0)
+	listener := listenAsEndpoint(t, world)
+	s := steppedServer(t, world, newMessage("one"))
+	s.step()
+	opened := waitForEvent(t, s, func(event endpointconn.Opened) bool { return isEndpointConn(event.Conn) })
+	s.spool.Close()
+	s.handle(endpointEvent{opened})
+	attempt := s.messages["one"].attempts[0]
 	if !attempt.finished || attempt.call.exchange.IsSent() {
-		t.Errorf("over %v, sent %v", attempt.finished, attempt.call.exchange.IsSent())
+		t.Errorf("finished %v, sent %v", attempt.finished, attempt.call.exchange.IsSent())
 	}
-	conn, err := l.AcceptTCP()
+	conn, err := listener.AcceptTCP()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	r.endpointConns.CloseAllIdle()
+	s.endpointConns.CloseAllIdle()
 	conn.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if n, err := conn.Read(make([]byte, 1)); n > 0 || err != io.EOF {
-		t.Errorf("%d bytes came, then %v", n, err)
+		t.Errorf("read %d bytes, then %v", n, err)
 	}
 }
 
-// TestMessageSubmittedOnTwoConnections. Failure: a request sent again over a new connection in the step that accepted it was promised what went with
-// the first connection as that ended, or what was refused in that step.
+// TestMessageSubmittedOnTwoConnections. Failure: a message was submitted on two connections in one step.
+// The second client got +OK although the message was dropped when the first connection closed, or although
+// the dispatcher rejected it in the same step.
 func TestMessageSubmittedOnTwoConnections(t *testing.T) {
-	for name, c := range map[string]struct {
-		gone  int // whose connection ends before the step, 0 for nobody's
+	for name, tc := range map[string]struct {
+		gone  int // which connection closes before the step, 1 or 2; 0 for none
 		busy  bool
-		want  string // for whoever stays
+		want  string // reply to the remaining clients
 		keeps bool
 	}{
-		"first gone": {1, false, "+OK", true}, "second gone": {2, false, "+OK", true}, "both stay": {0, false, "+OK", true},
-		"refused": {0, true, "-BUSY 7", false}, "first gone, refused": {1, true, "-BUSY 7", false},
+		"first closes": {1, false, "+OK", true}, "second closes": {2, false, "+OK", true}, "neither closes": {0, false, "+OK", true},
+		"refused": {0, true, "-BUSY 7", false}, "first closes, refused": {1, true, "-BUSY 7", false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := steppedServer(t, open(t, 0))
-			if c.busy {
-				r.dispatcher = refusing{}
+			s := steppedServer(t, openWorld(t, 0))
+			if tc.busy {
+				s.dispatcher = rejectingDispatcher{}
 			}
-			first, second := visit(t, r), visit(t, r)
-			one := first.asks(t, r, "one")
-			two := second.asks(t, r, "one")
-			r.handle(clientEvent{one})
-			r.handle(clientEvent{two})
-			stay := []*visitor{first, second}
-			if c.gone > 0 {
-				stay[c.gone-1].SetLinger(0)
-				stay[c.gone-1].Close()
-				from := []clientconn.Commands{one, two}[c.gone-1].Conn
-				for gone := false; !gone; { // no step in between
-					what := <-r.queue
-					event, ok := unwrap(what).(clientconn.Closed)
+			first, second := connectClient(t, s), connectClient(t, s)
+			one := first.submit(t, s, "one")
+			two := second.submit(t, s, "one")
+			s.handle(clientEvent{one})
+			s.handle(clientEvent{two})
+			remaining := []*testClient{first, second}
+			if tc.gone > 0 {
+				remaining[tc.gone-1].SetLinger(0)
+				remaining[tc.gone-1].Close()
+				from := []clientconn.Commands{one, two}[tc.gone-1].Conn
+				for gone := false; !gone; { // without a step in between
+					queued := <-s.queue
+					event, ok := unwrap(queued).(clientconn.Closed)
 					gone = ok && event.Conn == from
-					r.handle(what)
+					s.handle(queued)
 				}
-				stay = []*visitor{stay[2-c.gone]}
+				remaining = []*testClient{remaining[2-tc.gone]}
 			}
-			r.step()
-			for _, v := range stay {
-				if got := v.reply(); got != c.want {
-					t.Errorf("reported %q", got)
+			s.step()
+			for _, client := range remaining {
+				if got := client.reply(); got != tc.want {
+					t.Errorf("got reply %q", got)
 				}
 			}
-			if keeps := onDisk(t, r, "one") != nil; keeps != c.keeps {
-				t.Errorf("kept %v", keeps)
+			if keeps := storedMessage(t, s, "one") != nil; keeps != tc.keeps {
+				t.Errorf("message stored: %v", keeps)
 			}
 		})
 	}
 }
 
-// refusing are decisions that reject whatever is accepted.
-type refusing struct{}
+// rejectingDispatcher rejects every accepted message.
+type rejectingDispatcher struct{}
 
-func (refusing) Handle(_ dispatch.Micros, events []dispatch.Event) (actions []dispatch.Action) {
+func (rejectingDispatcher) Handle(_ dispatch.Micros, events []dispatch.Event) (actions []dispatch.Action) {
 	for _, event := range events {
 		if e, ok := event.(dispatch.MessageAccepted); ok {
 			actions = append(actions, dispatch.Reject{Message: e.Message, RetryAfter: 7000})
@@ -540,319 +549,326 @@
 	return actions
 }
 
-// TestMessageIsDroppedWhenAllClientsClose: what nobody waits for any more, and nobody was notified of, is nobody's.
+// TestMessageIsDroppedWhenAllClientsClose: if all clients of a message disconnect before they get a reply,
+// the message is dropped.
 func TestMessageIsDroppedWhenAllClientsClose(t *testing.T) {
-	r := steppedServer(t, open(t, 0))
-	first, second := visit(t, r), visit(t, r)
-	one, two := first.asks(t, r, "one"), second.asks(t, r, "one")
+	s := steppedServer(t, openWorld(t, 0))
+	first, second := connectClient(t, s), connectClient(t, s)
+	one, two := first.submit(t, s, "one"), second.submit(t, s, "one")
 	for _, e := range []clientconn.Event{one, two, clientconn.Closed{Conn: one.Conn}, clientconn.Closed{Conn: two.Conn}} {
-		r.handle(clientEvent{e})
+		s.handle(clientEvent{e})
 	}
-	if r.step(); onDisk(t, r, "one") != nil || r.messages["one"] != nil {
-		t.Error("still held")
+	if s.step(); storedMessage(t, s, "one") != nil || s.messages["one"] != nil {
+		t.Error("the message is still held")
 	}
 }
 
-// TestFinishedMessageIsNotAcceptedTwice. Failure: a reset took away a reply that the socket had; the request came once more, was over by then, and
-// was accepted anew: a second effect.
+// TestFinishedMessageIsNotAcceptedTwice. Failure: a connection reset discarded a reply in the socket
+// buffer. The client submitted the message again after it had ended, and it was accepted and delivered a
+// second time.
 func TestFinishedMessageIsNotAcceptedTwice(t *testing.T) {
-	world := open(t, 0)
-	r := steppedServer(t, world)
-	first := visit(t, r)
-	r.handle(clientEvent{first.asks(t, r, "one")})
-	r.step()
-	first.SetLinger(0) // whatever reply it had is gone
+	world := openWorld(t, 0)
+	s := steppedServer(t, world)
+	first := connectClient(t, s)
+	s.handle(clientEvent{first.submit(t, s, "one")})
+	s.step()
+	first.SetLinger(0) // the reset discards any reply
 	first.Close()
-	for r.messages["one"] != nil {
-		r.handle(endpointEvent{until(t, r, func(event endpointconn.Answered) bool { return toEndpoint(event.Conn) })})
-		r.step()
+	for s.messages["one"] != nil {
+		s.handle(endpointEvent{waitForEvent(t, s, func(event endpointconn.Answered) bool { return isEndpointConn(event.Conn) })})
+		s.step()
 	}
-	second := visit(t, r)
-	r.handle(clientEvent{second.asks(t, r, "one")})
-	r.step()
-	if got := second.reply(); got != "+OK" || r.messages["one"] != nil {
-		t.Errorf("reported %q, held again %v", got, r.messages["one"] != nil)
+	second := connectClient(t, s)
+	s.handle(clientEvent{second.submit(t, s, "one")})
+	s.step()
+	if got := second.reply(); got != "+OK" || s.messages["one"] != nil {
+		t.Errorf("got reply %q, held again %v", got, s.messages["one"] != nil)
 	}
 	if began, _, _ := world.Seen("one"); began != 1 {
-		t.Errorf("%d calls", began)
+		t.Errorf("got %d calls", began)
 	}
 }
 
-// TestFinishedMessagesAreForgotten: ids of what is over are known for as long as a client may come with them once more, and never too many.
+// TestFinishedMessagesAreForgotten: ids of ended messages are kept only as long as clients may submit them
+// again, and their number is bounded.
 func TestFinishedMessagesAreForgotten(t *testing.T) {
-	var o finishedMessages
+	var finished finishedMessages
 	for i := range 3 * maxFinished {
-		o.add(&message{stored: &spool.Message{ID: fmt.Sprint(i)}, acceptedAt: 5}, 5)
+		finished.add(&message{stored: &spool.Message{ID: fmt.Sprint(i)}, acceptedAt: 5}, 5)
 	}
-	if len(o.until) > maxFinished || len(o.order) > maxFinished || !o.contains(dispatch.MessageID(fmt.Sprint(3*maxFinished-1)), 5) {
-		t.Errorf("%d ids, %d in order", len(o.until), len(o.order))
+	if len(finished.until) > maxFinished || len(finished.order) > maxFinished || !finished.contains(dispatch.MessageID(fmt.Sprint(3*maxFinished-1)), 5) {
+		t.Errorf("%d ids in the map, %d in the order", len(finished.until), len(finished.order))
 	}
-	if o.contains(dispatch.MessageID(fmt.Sprint(3*maxFinished-1)), 5+resendWindow) {
-		t.Error("known for ever")
+	if finished.contains(dispatch.MessageID(fmt.Sprint(3*maxFinished-1)), 5+resendWindow) {
+		t.Error("the id is still known after the resend window")
 	}
-	o.add(&message{stored: &spool.Message{ID: "late"}, acceptedAt: 5}, 5+resendWindow)
-	if len(o.until) > 0 || len(o.order) > 0 {
-		t.Errorf("%d ids are left", len(o.until))
+	finished.add(&message{stored: &spool.Message{ID: "late"}, acceptedAt: 5}, 5+resendWindow)
+	if len(finished.until) > 0 || len(finished.order) > 0 {
+		t.Errorf("%d ids are left", len(finished.until))
 	}
 }
 
-// leave steps an event loop to its end, or until cross says that it has seen enough, and tells whether it ended.
-func leave(t *testing.T, r *Server, cross func() bool) bool {
+// runUntilExit steps the event loop until it may exit or done returns true, and reports whether it may
+// exit.
+func runUntilExit(t *testing.T, s *Server, done func() bool) bool {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(100 * time.Microsecond) {
-		r.drainQueues()
-		r.step()
-		if r.mayExit() {
+		s.drainQueues()
+		s.step()
+		if s.mayExit() {
 			return true
 		}
-		if cross() {
+		if done() {
 			return false
 		}
 	}
-	t.Fatal("it never ends")
+	t.Fatal("the event loop does not exit within 10 s")
 	return false
 }
 
-func neverMind() bool { return false }
+func noCondition() bool { return false }
 
-// tell has an event loop end now.
-func tell(r *Server) { r.now, r.shutdownBy = r.clock(), r.clock() }
+// scheduleExit sets the deadline of the shutdown to now.
+func scheduleExit(s *Server) { s.now, s.shutdownBy = s.clock(), s.clock() }
 
-// TestRequestDuringShutdownIsAnswered. Failure: what lay in a socket at the last look was reset as the process ended; the client had no answer.
+// TestRequestDuringShutdownIsAnswered. Failure: a request that was unread in the socket at the last check
+// before the exit got a connection reset instead of a reply.
 func TestRequestDuringShutdownIsAnswered(t *testing.T) {
-	world := open(t, 0)
-	r := steppedServer(t, world)
-	v := visit(t, r)
-	goOn := stop(t, r)
-	tell(r)
-	io.WriteString(v, enqueue("one"))
-	if !port.Arrived(v) {
-		t.Fatal("it never arrived")
-	}
-	looked := false
-	if leave(t, r, func() bool { // up to the first look after the last connection may have come in
-		looked = r.exiting && r.shutdownBy == r.now+closeInterval
-		return looked
+	world := openWorld(t, 0)
+	s := steppedServer(t, world)
+	client := connectClient(t, s)
+	resume := blockPoller(t, s)
+	scheduleExit(s)
+	io.WriteString(client, enqueue("one"))
+	if !port.Arrived(client) {
+		t.Fatal("the bytes never arrived")
+	}
+	checked := false
+	if runUntilExit(t, s, func() bool { // up to the first check after the accept timeout
+		checked = s.exiting && s.shutdownBy == s.now+closeInterval
+		return checked
 	}) {
-		t.Fatal("it ended over an unread request")
+		t.Fatal("the event loop exited before it read a request")
 	}
-	goOn()
-	if !leave(t, r, neverMind) {
-		t.Fatal("it never ended")
+	resume()
+	if !runUntilExit(t, s, noCondition) {
+		t.Fatal("the event loop did not exit")
 	}
-	if got := v.reply(); got != "+OK" {
-		t.Errorf("reported %q", got)
+	if got := client.reply(); got != "+OK" {
+		t.Errorf("got reply %q", got)
 	}
-	if began, _, _ := world.Seen("one"); began == 0 && onDisk(t, r, "one") == nil {
-		t.Error("promised, and not kept")
+	if began, _, _ := world.Seen("one"); began == 0 && storedMessage(t, s, "one") == nil {
+		t.Error("the message was accepted but neither sent nor stored")
 	}
 }
 
-// TestFirstRequestDuringShutdownIsAnswered. Failure: a connection that had come just before the end was closed while its first request was on
-// its way.
+// TestFirstRequestDuringShutdownIsAnswered. Failure: a connection opened just before the exit was closed
+// while its first request was in transit.
 func TestFirstRequestDuringShutdownIsAnswered(t *testing.T) {
-	r := steppedServer(t, open(t, 0))
-	v := visit(t, r)
-	tell(r)
-	if leave(t, r, func() bool { return r.exiting }) {
-		t.Fatal("it ended at once")
+	s := steppedServer(t, openWorld(t, 0))
+	client := connectClient(t, s)
+	scheduleExit(s)
+	if runUntilExit(t, s, func() bool { return s.exiting }) {
+		t.Fatal("the event loop exited at once")
 	}
-	io.WriteString(v, enqueue("one"))
-	if !leave(t, r, neverMind) {
-		t.Fatal("it never ended")
+	io.WriteString(client, enqueue("one"))
+	if !runUntilExit(t, s, noCondition) {
+		t.Fatal("the event loop did not exit")
 	}
-	if got := v.reply(); got != "+OK" {
-		t.Errorf("reported %q", got)
+	if got := client.reply(); got != "+OK" {
+		t.Errorf("got reply %q", got)
 	}
 }
 
-// TestNewConnectionIsDrainedLater: half a second after it was notified to end, a process sends clients away; who has just come is answered first, and
-// drained too.
+// TestNewConnectionIsDrainedLater: when a process that shuts down drains its clients, it closes idle
+// connections at once, but a new connection only after its first request has been answered.
 func TestNewConnectionIsDrainedLater(t *testing.T) {
-	r := steppedServer(t, open(t, 0))
-	rests := visit(t, r)
-	for r.clock()-r.now <= clientconn.NewConnGrace {
+	s := steppedServer(t, openWorld(t, 0))
+	idle := connectClient(t, s)
+	for s.clock()-s.now <= clientconn.NewConnGrace {
 		time.Sleep(time.Millisecond)
 	}
-	r.now = r.clock()
-	v := visit(t, r)
-	r.now = r.clock()
-	r.drainAt, r.shutdownBy = r.now, r.now+hour
-	if r.mayExit() {
-		t.Fatal("it ended")
+	s.now = s.clock()
+	client := connectClient(t, s)
+	s.now = s.clock()
+	s.drainAt, s.shutdownBy = s.now, s.now+hour
+	if s.mayExit() {
+		t.Fatal("the event loop exited")
 	}
-	if got := rests.reply(); got != io.EOF.Error() {
-		t.Errorf("the one at rest: %s", got)
+	if got := idle.reply(); got != io.EOF.Error() {
+		t.Errorf("reply to the idle client: %s", got)
 	}
-	r.handle(clientEvent{v.asks(t, r, "one")})
-	r.step()
-	if got := v.reply(); got != "+OK" {
-		t.Errorf("reported %q", got)
+	s.handle(clientEvent{client.submit(t, s, "one")})
+	s.step()
+	if got := client.reply(); got != "+OK" {
+		t.Errorf("got reply %q", got)
 	}
-	for r.drainAt < never {
-		if r.now = r.clock(); r.mayExit() {
-			t.Fatal("it ended")
+	for s.drainAt < never {
+		if s.now = s.clock(); s.mayExit() {
+			t.Fatal("the event loop exited")
 		}
 		time.Sleep(time.Millisecond)
 	}
-	if got := v.reply(); got != io.EOF.Error() {
-		t.Errorf("afterwards: %s", got)
+	if got := client.reply(); got != io.EOF.Error() {
+		t.Errorf("after its request the client got %s", got)
 	}
 }
 
-// TestClientsDoNotDelayShutdown: a client with half a command, one that reads nothing and one that asks on and on do not keep a process that
-// ends; whoever rests is closed without a reset.
+// TestClientsDoNotDelayShutdown: a client with a partial command, and one that sends without end and reads
+// no replies, do not delay the exit. An idle client is closed without a reset.
 func TestClientsDoNotDelayShutdown(t *testing.T) {
-	r := steppedServer(t, open(t, 0))
-	half, rests, floods := visit(t, r), visit(t, r), visit(t, r)
-	io.WriteString(half, enqueue("half")[:40])
-	if !port.Arrived(half) {
-		t.Fatal("it never arrived")
+	s := steppedServer(t, openWorld(t, 0))
+	partial, idle, flooder := connectClient(t, s), connectClient(t, s), connectClient(t, s)
+	io.WriteString(partial, enqueue("half")[:40])
+	if !port.Arrived(partial) {
+		t.Fatal("the bytes never arrived")
 	}
 	flooding := make(chan struct{})
 	go func() {
 		defer close(flooding)
 		for {
-			if _, err := io.WriteString(floods, "*1\r\n$4\r\nPING\r\n"); err != nil {
+			if _, err := io.WriteString(flooder, "*1\r\n$4\r\nPING\r\n"); err != nil {
 				return
 			}
 		}
 	}()
-	began := r.clock()
-	tell(r)
-	if !leave(t, r, neverMind) {
-		t.Fatal("it never ended")
+	began := s.clock()
+	scheduleExit(s)
+	if !runUntilExit(t, s, noCondition) {
+		t.Fatal("the event loop did not exit")
 	}
-	if took := r.clock() - began; took > 20*(acceptTimeout+exitTimeout) {
-		t.Errorf("it took %d us", took)
+	if took := s.clock() - began; took > 20*(acceptTimeout+exitTimeout) {
+		t.Errorf("the exit took %d us", took)
 	}
-	if got := rests.reply(); got != io.EOF.Error() {
-		t.Errorf("the one at rest: %s", got)
+	if got := idle.reply(); got != io.EOF.Error() {
+		t.Errorf("reply to the idle client: %s", got)
 	}
-	floods.Close()
+	flooder.Close()
 	<-flooding
 }
 
-// TestTruncatedListsAreReported: each list that broke off is reported to the dispatcher as incomplete, which then decides on growing pauses
-// (dispatch, TestIncompleteListsBackOff). Failure: a list that broke off each time was asked for thirty times a second by each courier.
-func TestPollBackoffAfterTruncatedLists(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// TestTruncatedListsAreReported: each truncated list is reported to the dispatcher as incomplete, and the
+// dispatcher then backs off (see TestIncompleteListsBackOff in package dispatch). Failure: when every list
+// was truncated, each courier polled 30 times per second.
+func TestTruncatedListsAreReported(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	world := open(t, 0)
-	world.Discovery = l.Addr().String()
-	r := steppedServer(t, world)
-	r.events = nil
-	p := &r.discovery
-	ask := func(answer string) {
+	defer listener.Close()
+	world := openWorld(t, 0)
+	world.Discovery = listener.Addr().String()
+	s := steppedServer(t, world)
+	s.events = nil
+	d := &s.discovery
+	poll := func(answer string) {
 		t.Helper()
-		r.now = max(r.clock(), p.pollAt)
-		p.poll(dispatch.WatchEndpoints{})
-		exchange := p.pollInFlight
+		s.now = max(s.clock(), d.pollAt)
+		d.poll(dispatch.WatchEndpoints{})
+		exchange := d.pollInFlight
 		for !exchange.IsSent() {
-			r.handle(<-r.queue)
+			s.handle(<-s.queue)
 		}
-		conn := called(t, l.(*net.TCPListener))
+		conn := acceptCall(t, listener.(*net.TCPListener))
 		io.WriteString(conn, answer)
 		conn.Close()
-		for p.pollInFlight == exchange {
-			r.handle(<-r.queue)
+		for d.pollInFlight == exchange {
+			s.handle(<-s.queue)
 		}
 	}
-	const cut = "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"seq\":9,\"whole\":false,\"hosts\":["
+	const truncatedAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"seq\":9,\"whole\":false,\"hosts\":["
 	incomplete := func() bool {
 		t.Helper()
-		if len(r.events) != 1 {
-			t.Fatalf("events %+v", r.events)
+		if len(s.events) != 1 {
+			t.Fatalf("events %+v", s.events)
 		}
-		update, ok := r.events[0].(dispatch.EndpointUpdate)
-		r.events = nil
+		update, ok := s.events[0].(dispatch.EndpointUpdate)
+		s.events = nil
 		return ok && update.Incomplete
 	}
 	for n := range 8 {
-		ask(cut)
-		if !incomplete() || p.pollAt != never || p.pollInFlight != nil {
-			t.Errorf("cut off %d times: not left to the dispatcher", n+1)
+		poll(truncatedAnswer)
+		if !incomplete() || d.pollAt != never || d.pollInFlight != nil {
+			t.Errorf("after %d truncated lists, the next poll is not left to the dispatcher", n+1)
 		}
 	}
 	list := `{"seq":10,"whole":false,"hosts":[]}`
-	ask(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s", len(list), list))
-	if incomplete() || p.pollInFlight == nil {
-		t.Error("after a whole list cuts still count")
+	poll(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s", len(list), list))
+	if incomplete() || d.pollInFlight == nil {
+		t.Error("a complete answer is still treated as incomplete")
 	}
 }
 
-// TestListFromOldDiscoveryAddressIsIgnored: a reload moves discovery while the old one's answer lies at the event loop, untaken; it is not taken for the new
-// one's, and the new one is asked.
+// TestListFromOldDiscoveryAddressIsIgnored: a reload changes the address of discovery while an answer from
+// the old address is queued. That answer is ignored and the new address is polled.
 func TestListFromOldDiscoveryAddressIsIgnored(t *testing.T) {
-	world := open(t, 0)
-	r := steppedServer(t, world)
-	ofDiscovery := func(conn *endpointconn.Conn) bool { return !toEndpoint(conn) }
-	r.discovery.version = 0
-	r.discovery.poll(dispatch.WatchEndpoints{})
-	r.handle(endpointEvent{until(t, r, func(e endpointconn.Opened) bool { return ofDiscovery(e.Conn) })})
-	answer := until(t, r, func(e endpointconn.Answered) bool { return ofDiscovery(e.Conn) })
+	world := openWorld(t, 0)
+	s := steppedServer(t, world)
+	ofDiscovery := func(conn *endpointconn.Conn) bool { return !isEndpointConn(conn) }
+	s.discovery.version = 0
+	s.discovery.poll(dispatch.WatchEndpoints{})
+	s.handle(endpointEvent{waitForEvent(t, s, func(e endpointconn.Opened) bool { return ofDiscovery(e.Conn) })})
+	answer := waitForEvent(t, s, func(e endpointconn.Answered) bool { return ofDiscovery(e.Conn) })
 	if _, err := world.Move(); err != nil {
 		t.Fatal(err)
 	}
-	next := *r.deployment
+	next := *s.deployment
 	next.Discovery = world.Discovery
-	r.handle(configReloaded{&next})
-	watching := r.discovery.pollInFlight
-	r.handle(endpointEvent{answer})
-	if r.discovery.pollInFlight != watching || watching == nil || watching.Peer.Address != world.Discovery || r.discovery.version != 0 {
-		t.Errorf("watching %+v, version %d", r.discovery.pollInFlight, r.discovery.version)
+	s.handle(configReloaded{&next})
+	watching := s.discovery.pollInFlight
+	s.handle(endpointEvent{answer})
+	if s.discovery.pollInFlight != watching || watching == nil || watching.Peer.Address != world.Discovery || s.discovery.version != 0 {
+		t.Errorf("poll in flight %+v, version %d", s.discovery.pollInFlight, s.discovery.version)
 	}
-	r.handle(endpointEvent{until(t, r, func(e endpointconn.Opened) bool { return ofDiscovery(e.Conn) })})
-	r.handle(endpointEvent{until(t, r, func(e endpointconn.Answered) bool { return ofDiscovery(e.Conn) })})
-	if r.discovery.version == 0 {
-		t.Error("the new one was not heard")
+	s.handle(endpointEvent{waitForEvent(t, s, func(e endpointconn.Opened) bool { return ofDiscovery(e.Conn) })})
+	s.handle(endpointEvent{waitForEvent(t, s, func(e endpointconn.Answered) bool { return ofDiscovery(e.Conn) })})
+	if s.discovery.version == 0 {
+		t.Error("no list from the new address was applied")
 	}
 }
 
-// TestReloadAfterHandoffIsKept. Failure: settings read anew while another process had taken over were gone once that died, and this one
-// went on by the old ones.
+// TestReloadAfterHandoffIsKept. Failure: a configuration reloaded after the handoff was lost when the
+// successor died, and this process resumed with the old one.
 func TestReloadAfterHandoffIsKept(t *testing.T) {
-	r := steppedServer(t, open(t, 0))
-	r.handoff.handedOver = true
+	s := steppedServer(t, openWorld(t, 0))
+	s.handoff.handedOver = true
 	var reloaded *config.Deployment
-	r.OnReload(func(dep *config.Deployment) { reloaded = dep })
-	next := *r.deployment
+	s.OnReload(func(dep *config.Deployment) { reloaded = dep })
+	next := *s.deployment
 	next.Discovery = "127.0.0.1:9"
-	r.handle(configReloaded{&next})
+	s.handle(configReloaded{&next})
 	if reloaded == nil || reloaded.Discovery != next.Discovery {
-		t.Errorf("the next event loop here begins with %+v", reloaded)
+		t.Errorf("OnReload got %+v", reloaded)
 	}
-	if r.discovery.pollInFlight != nil {
-		t.Error("it asks discovery, which the other process does")
+	if s.discovery.pollInFlight != nil {
+		t.Error("discovery was polled after the handoff")
 	}
 }
 
-// TestIdleCheckDuringRead. Failure: as all was made ready for another process, it was read from a parser which the poller was feeding.
+// TestIdleCheckDuringRead. Failure: during a handoff, the event loop checked whether a client was idle in a
+// parser that the poller was writing to.
 func TestIdleCheckDuringRead(t *testing.T) {
-	r := steppedServer(t, open(t, 0))
-	v := visit(t, r)
+	s := steppedServer(t, openWorld(t, 0))
+	client := connectClient(t, s)
 	text := enqueue("one")
-	if !r.clients.AllIdle() {
-		t.Error("not at rest before its request")
+	if !s.clients.AllIdle() {
+		t.Error("client not idle before its request")
 	}
 	for at := range len(text) - 1 {
-		io.WriteString(v, text[at:at+1])
-		for deadline := time.Now().Add(5 * time.Second); r.clients.AllIdle(); {
+		io.WriteString(client, text[at:at+1])
+		for deadline := time.Now().Add(5 * time.Second); s.clients.AllIdle(); {
 			if time.Now().After(deadline) {
-				t.Fatalf("at rest with %d bytes of a command", at+1)
+				t.Fatalf("client idle with %d bytes of a command", at+1)
 			}
 		}
 	}
-	io.WriteString(v, text[len(text)-1:])
-	r.handle(clientEvent{until(t, r, func(clientconn.Commands) bool { return true })})
-	if r.clients.AllIdle() {
-		t.Error("at rest before its reply")
+	io.WriteString(client, text[len(text)-1:])
+	s.handle(clientEvent{waitForEvent(t, s, func(clientconn.Commands) bool { return true })})
+	if s.clients.AllIdle() {
+		t.Error("client idle before its reply")
 	}
-	r.step()
-	if got := v.reply(); got != "+OK" || !r.clients.AllIdle() {
-		t.Errorf("reported %q; at rest %v", got, r.clients.AllIdle())
+	s.step()
+	if got := client.reply(); got != "+OK" || !s.clients.AllIdle() {
+		t.Errorf("got reply %q, idle %v", got, s.clients.AllIdle())
 	}
 }
--- a/server/discovery.go
+++ b/server/discovery.go
@@ -13,112 +13,118 @@
 )
 
 const (
-	// How long discovery may hold a watch, and how much later its answer may come; then it passes for silent.
+	// watchWait is how long discovery may hold a watch open. watchTimeout is added to it before a missing
+	// answer counts as a timeout.
 	watchWait    = 4500 * 1000
 	watchTimeout = 750 * 1000
-	// How long the answer to a poll that asks for it at once may take: discovery that is overloaded answers, or refuses, after two
-	// seconds and some. Failure: given up after 1.1 s, polls of 300 couriers were thrown away that discovery was about to answer.
+	// pollTimeout bounds the wait for the answer to a poll that asks for an immediate answer. An overloaded
+	// discovery answers or refuses after slightly more than 2 s. Failure: with a timeout of 1.1 s, the
+	// polls of 300 couriers were given up shortly before discovery would have answered them.
 	pollTimeout     = 2400 * 1000
-	listTimeout     = 150 * 1000 // the rest of a list that has begun may take; a drain that it tells has a grace of less
-	minPollInterval = 100 * 1000 // an answer that comes sooner and is no newer would have us ask in a circle
+	listTimeout     = 150 * 1000 // for the rest of a list once it has begun; the grace period of a drain in the list is longer
+	minPollInterval = 100 * 1000 // for answers that bring no newer version; without it, they would cause a tight polling loop
 
-	// A notice that is not confirmed goes again beside the first, as that may hang and its time be short; ever
-	// more slowly. The longest way there and back that a deployment tells of is a fifth of a second.
+	// An unconfirmed notice is sent again, with growing backoff, while the earlier call is still in flight:
+	// that call may hang, and the client may not wait long. The longest round trip in any deployment is 200
+	// ms.
 	noticeBackoff     = 250 * 1000
-	noticeRetryDelay  = 50 * 1000 // after a call that failed; twice as long after each further one, up to the next line
+	noticeRetryDelay  = 50 * 1000 // after a failed call, doubled with each further failure up to maxNoticeDelay
 	maxNoticeDelay    = 200 * 1000
 	noticeTimeout     = 2 * 1000 * 1000
-	maxNoticeCalls    = 4                // out at once
-	maxNoticesPerCall = 64               // in one call
-	noticeLifetime    = 10 * 1000 * 1000 // after a message's time nobody asks for its end any more
+	maxNoticeCalls    = 4                // in flight at the same time
+	maxNoticesPerCall = 64               // limit of one call
+	noticeLifetime    = 10 * 1000 * 1000 // from a message's deadline; after that, nobody asks how the message ended
 )
 
-// notice is a notice that the platform has not confirmed.
+// notice is a notice that the platform has not confirmed yet.
 type notice struct {
-	notice    protocol.Notice
-	until     dispatch.Micros
-	next      dispatch.Micros // when it goes, or goes again
-	attempts  int
-	confirmed bool
+	notice        protocol.Notice
+	expiresAt     dispatch.Micros
+	nextAttemptAt dispatch.Micros // when the notice is sent for the first time or again
+	attempts      int
+	confirmed     bool
 }
 
-// noticeCall is one call with notices.
+// noticeCall is a call in flight that carries notices.
 type noticeCall struct {
 	exchange  *endpointconn.Exchange
 	timeoutAt dispatch.Micros
 	notices   []*notice
 }
 
-// discovery speaks with the platform: one poll of the endpoint list, and some calls with notices. The dispatcher decides when to poll
-// after one that came to nothing; a watch that is well goes on by itself.
+// discovery is the client of the platform: it keeps one poll of the endpoint list in flight and sends
+// notices. After a failed poll the dispatcher decides when to poll again. After a successful poll or watch
+// the next one starts without a decision.
 type discovery struct {
-	server        *Server
-	version       int64 // of the list held; nothing of it or before it is missing
-	pollInFlight  *endpointconn.Exchange
-	polled        dispatch.WatchEndpoints // what the poll in flight asks for
-	wholeWanted   bool                    // the next poll is for the whole list
-	olderSince    dispatch.Micros         // since when discovery has had an older version than the one held; never if it has not
-	wholeFaults   string                  // what could not be used of the whole list that was read last
-	pollTimeoutAt dispatch.Micros
-	pollAt        dispatch.Micros
-	polledAt      dispatch.Micros
-	notices       []*notice
-	calls         []*noticeCall
-	callsFailed   int             // calls with notices in a row
-	callAt        dispatch.Micros // no call with notices before that
+	server             *Server
+	version            int64 // of the stored list, which includes all changes up to this version
+	pollInFlight       *endpointconn.Exchange
+	pollRequest        dispatch.WatchEndpoints // the options of the poll in flight
+	completeListWanted bool                    // whether the next poll requests the complete list
+	olderSince         dispatch.Micros         // since when discovery has returned versions older than the stored one, or never
+	lastListFaults     string                  // the entries of the last complete list that could not be used
+	pollTimeoutAt      dispatch.Micros
+	pollAt             dispatch.Micros
+	polledAt           dispatch.Micros
+	notices            []*notice
+	calls              []*noticeCall
+	failedCalls        int             // consecutive failed calls with notices
+	nextCallAt         dispatch.Micros // earliest start of the next call with notices
 }
 
-func (p *discovery) init(r *Server) {
-	p.server, p.pollTimeoutAt, p.pollAt, p.olderSince = r, never, never, never
+func (d *discovery) init(s *Server) {
+	d.server, d.pollTimeoutAt, d.pollAt, d.olderSince = s, never, never, never
 }
 
-func (p *discovery) start() {
-	if !p.server.deployment.Dispatch.MustPoll {
-		p.poll(dispatch.WatchEndpoints{})
+func (d *discovery) start() {
+	if !d.server.deployment.Dispatch.MustPoll {
+		d.poll(dispatch.WatchEndpoints{})
 	}
 }
 
-// poll asks for the endpoint list; where a poll is in flight, the one after it asks for the whole list, if that is wanted.
-func (p *discovery) poll(what dispatch.WatchEndpoints) {
-	p.pollAt = never
-	p.wholeWanted = p.wholeWanted || what.Whole
-	if p.pollInFlight != nil {
+// poll starts a poll of the endpoint list. If a poll is already in flight, it only records whether the next
+// one must request the complete list.
+func (d *discovery) poll(request dispatch.WatchEndpoints) {
+	d.pollAt = never
+	d.completeListWanted = d.completeListWanted || request.Whole
+	if d.pollInFlight != nil {
 		return
 	}
-	what.Whole, p.wholeWanted = p.wholeWanted, false
-	p.polled, p.polledAt = what, p.server.now
-	address := p.server.deployment.Discovery
-	request, timeout := protocol.Watch(address, p.version, watchWait/1000), dispatch.Micros(watchWait+watchTimeout)
+	request.Whole, d.completeListWanted = d.completeListWanted, false
+	d.pollRequest, d.polledAt = request, d.server.now
+	address := d.server.deployment.Discovery
+	httpRequest, timeout := protocol.Watch(address, d.version, watchWait/1000), dispatch.Micros(watchWait+watchTimeout)
 	switch {
-	case what.Whole:
-		request, timeout = protocol.WholeList(address), pollTimeout
-	case what.Immediate:
-		request, timeout = protocol.Watch(address, p.version, 0), pollTimeout
+	case request.Whole:
+		httpRequest, timeout = protocol.WholeList(address), pollTimeout
+	case request.Immediate:
+		httpRequest, timeout = protocol.Watch(address, d.version, 0), pollTimeout
 	}
-	exchange := &endpointconn.Exchange{Peer: endpointconn.Peer{Address: address}, NeedsBody: true, Request: request, OnEnd: p.pollAnswered,
+	exchange := &endpointconn.Exchange{Peer: endpointconn.Peer{Address: address}, NeedsBody: true, Request: httpRequest, OnEnd: d.pollAnswered,
 		OnBegin: func(begun bool) {
-			if p.pollTimeoutAt = p.polledAt + timeout; begun {
-				p.pollTimeoutAt = min(p.pollTimeoutAt, p.server.now+listTimeout)
+			if d.pollTimeoutAt = d.polledAt + timeout; begun {
+				d.pollTimeoutAt = min(d.pollTimeoutAt, d.server.now+listTimeout)
 			}
 		}}
-	p.server.log.Debug("endpoint list polled", "version", p.version, "whole", what.Whole, "immediate", what.Immediate)
-	p.pollInFlight, p.pollTimeoutAt = exchange, p.server.now+timeout
-	p.server.endpointConns.Start(exchange)
+	d.server.log.Debug("endpoint list polled", "version", d.version, "whole", request.Whole, "immediate", request.Immediate)
+	d.pollInFlight, d.pollTimeoutAt = exchange, d.server.now+timeout
+	d.server.endpointConns.Start(exchange)
 }
 
-// resume has the list polled though the dispatcher that had to decide when is gone.
-func (p *discovery) resume() {
-	if p.pollInFlight == nil {
-		p.pollAt = p.server.now
+// resume schedules a poll after a restart of the dispatcher, because the decision of the old one on when to
+// poll is lost.
+func (d *discovery) resume() {
+	if d.pollInFlight == nil {
+		d.pollAt = d.server.now
 	}
 }
 
-func (p *discovery) pollAnswered(answer protocol.Answer, err error) {
-	begun, part := p.pollInFlight.HasBegun(), p.pollInFlight.PartialBody()
-	p.pollInFlight, p.pollTimeoutAt = nil, never
+func (d *discovery) pollAnswered(answer protocol.Answer, err error) {
+	begun, body := d.pollInFlight.HasBegun(), d.pollInFlight.PartialBody()
+	d.pollInFlight, d.pollTimeoutAt = nil, never
 	isAnswer := err == nil && answer.Status == http.StatusOK
 	if isAnswer {
-		part = answer.Body
+		body = answer.Body
 	} else if err == nil {
 		err = fmt.Errorf("status %d", answer.Status)
 		begun = false
@@ -128,208 +134,213 @@
 		list, err = protocol.ReadList(answer.Body)
 	}
 	if err != nil {
-		p.pollFailed(err, begun || isAnswer || errors.Is(err, protocol.ErrAnswer), part)
+		d.pollFailed(err, begun || isAnswer || errors.Is(err, protocol.ErrAnswer), body)
 		return
 	}
-	p.listRead(list)
+	d.listReceived(list)
 }
 
-// pollFailed is called where no list could be read. What is there of one that has begun to come counts as reported, and is heeded.
-func (p *discovery) pollFailed(err error, begun bool, part []byte) {
-	p.server.log.Warn("endpoint list poll failed", "error", err, "truncated", begun, "version", p.version)
+// pollFailed handles a poll that returned no valid list. The entries that can be read from a truncated list
+// are applied.
+func (d *discovery) pollFailed(err error, begun bool, body []byte) {
+	d.server.log.Warn("endpoint list poll failed", "error", err, "truncated", begun, "version", d.version)
 	switch {
 	case begun:
-		list := protocol.ReadPart(part)
-		if list.Seq <= p.version {
+		list := protocol.ReadPart(body)
+		if list.Seq <= d.version {
 			list = protocol.List{}
 		}
 		list.Faults = append(list.Faults, protocol.EntryFault{Err: err})
-		p.server.applyEndpoints(list, dispatch.PartialList)
+		d.server.applyEndpoints(list, dispatch.PartialList)
 	case errors.Is(err, errNoAnswer):
-		p.server.events = append(p.server.events, dispatch.EndpointUpdate{Kind: dispatch.ListSilent})
+		d.server.events = append(d.server.events, dispatch.EndpointUpdate{Kind: dispatch.ListSilent})
 	default:
-		p.server.events = append(p.server.events, dispatch.EndpointUpdate{Kind: dispatch.ListFailed})
+		d.server.events = append(d.server.events, dispatch.EndpointUpdate{Kind: dispatch.ListFailed})
 	}
 }
 
-// listRead takes in a list. The version moves on only where all of the list could be used, or where its source confirms, asked for
-// the whole list twice, that it means what cannot be used.
-func (p *discovery) listRead(list protocol.List) {
+// listReceived applies a list. The stored version advances only if every entry could be used, or if
+// discovery returned the same unusable entries to two consecutive requests for the complete list.
+func (d *discovery) listReceived(list protocol.List) {
 	kind := dispatch.PartialList
 	if list.Whole {
 		kind = dispatch.CompleteList
 	}
-	if p.isOlder(list) {
+	if d.isOlder(list) {
 		return
 	}
-	faults := p.server.applyEndpoints(list, kind)
-	if len(faults) > 0 && !p.isConfirmed(list, faults) {
+	faults := d.server.applyEndpoints(list, kind)
+	if len(faults) > 0 && !d.isConfirmed(list, faults) {
 		return
 	}
 	if len(faults) > 0 {
-		p.server.acceptFaults(faults)
+		d.server.acceptFaults(faults)
 	}
-	if list.Seq <= p.version && !p.polled.Whole && !p.polled.Immediate && p.server.now-p.polledAt < minPollInterval {
-		p.pollAt = p.server.now + minPollInterval
+	if list.Seq <= d.version && !d.pollRequest.Whole && !d.pollRequest.Immediate && d.server.now-d.polledAt < minPollInterval {
+		d.pollAt = d.server.now + minPollInterval
 		return
 	}
-	p.version = list.Seq
-	p.poll(dispatch.WatchEndpoints{})
+	d.version = list.Seq
+	d.poll(dispatch.WatchEndpoints{})
 }
 
-// isOlder reports whether a list is older than the one held and must not replace it. Discovery that has lost its versions keeps to that
-// whenever it is asked for the whole list, which is taken as it is once a change would have had to be known.
-func (p *discovery) isOlder(list protocol.List) bool {
-	if list.Seq >= p.version {
-		p.olderSince = never
+// isOlder reports whether a list is older than the stored one and must not replace it. If discovery has
+// lost its state and keeps returning an older version, a complete list of that version is accepted after
+// dispatch.ListDeadline, the time within which a change has to be applied.
+func (d *discovery) isOlder(list protocol.List) bool {
+	if list.Seq >= d.version {
+		d.olderSince = never
 		return false
 	}
-	p.olderSince = min(p.olderSince, p.server.now)
-	if p.polled.Whole && list.Whole && p.server.now-p.olderSince >= dispatch.ListDeadline {
-		p.olderSince = never
+	d.olderSince = min(d.olderSince, d.server.now)
+	if d.pollRequest.Whole && list.Whole && d.server.now-d.olderSince >= dispatch.ListDeadline {
+		d.olderSince = never
 		return false
 	}
-	p.server.log.Warn("older endpoint list ignored", "version", list.Seq, "current", p.version)
-	p.wholeWanted = true
-	p.server.events = append(p.server.events, dispatch.EndpointUpdate{Kind: dispatch.PartialList, Incomplete: true})
+	d.server.log.Warn("older endpoint list ignored", "version", list.Seq, "current", d.version)
+	d.completeListWanted = true
+	d.server.events = append(d.server.events, dispatch.EndpointUpdate{Kind: dispatch.PartialList, Incomplete: true})
 	return true
 }
 
-// isConfirmed reports whether the whole list says for the second time in a row what cannot be used.
-func (p *discovery) isConfirmed(list protocol.List, faults []protocol.EntryFault) bool {
-	if !p.polled.Whole || !list.Whole {
+// isConfirmed reports whether two consecutive complete lists contained the same unusable entries.
+func (d *discovery) isConfirmed(list protocol.List, faults []protocol.EntryFault) bool {
+	if !d.pollRequest.Whole || !list.Whole {
 		return false
 	}
-	before := p.wholeFaults
-	p.wholeFaults = fmt.Sprint(faults)
-	return p.wholeFaults == before
+	previous := d.lastListFaults
+	d.lastListFaults = fmt.Sprint(faults)
+	return d.lastListFaults == previous
 }
 
-// addressChanged leaves the address that was used so far. The new one is polled at once, and gets all notices that the old one has not
-// confirmed; a notice that both get does no harm.
-func (p *discovery) addressChanged(old string) {
-	p.server.endpointConns.Abort(p.pollInFlight)
-	p.pollInFlight = nil
-	for _, call := range p.calls {
-		p.server.endpointConns.Abort(call.exchange)
-	}
-	p.calls = nil
-	for _, other := range p.notices {
-		other.next, other.attempts = p.server.now, 0
-	}
-	p.server.endpointConns.CloseIdle(endpointconn.Peer{Address: old})
-	p.poll(dispatch.WatchEndpoints{})
+// addressChanged switches to a new address of discovery. It polls the new address at once and sends it all
+// notices that the old one has not confirmed. Sending a notice to both addresses does no harm.
+func (d *discovery) addressChanged(old string) {
+	d.server.endpointConns.Abort(d.pollInFlight)
+	d.pollInFlight = nil
+	for _, call := range d.calls {
+		d.server.endpointConns.Abort(call.exchange)
+	}
+	d.calls = nil
+	for _, pending := range d.notices {
+		pending.nextAttemptAt, pending.attempts = d.server.now, 0
+	}
+	d.server.endpointConns.CloseIdle(endpointconn.Peer{Address: old})
+	d.poll(dispatch.WatchEndpoints{})
 }
 
-// stop polls and sends nothing more; notices that are not confirmed are in the spool.
-func (p *discovery) stop() {
-	p.server.endpointConns.Abort(p.pollInFlight)
-	p.pollInFlight, p.pollTimeoutAt, p.pollAt = nil, never, never
-	for _, call := range p.calls {
-		p.server.endpointConns.Abort(call.exchange)
-	}
-	p.calls, p.notices = nil, nil
+// stop aborts the poll and all calls with notices. Unconfirmed notices remain in the spool.
+func (d *discovery) stop() {
+	d.server.endpointConns.Abort(d.pollInFlight)
+	d.pollInFlight, d.pollTimeoutAt, d.pollAt = nil, never, never
+	for _, call := range d.calls {
+		d.server.endpointConns.Abort(call.exchange)
+	}
+	d.calls, d.notices = nil, nil
 }
 
-// addNotice owes the platform a notice for a message.
-func (p *discovery) addNotice(stored *spool.Message) {
-	p.notices = append(p.notices, &notice{until: dispatch.Micros(stored.Deadline) + noticeLifetime,
+// addNotice schedules a notice about the end of a message.
+func (d *discovery) addNotice(stored *spool.Message) {
+	d.notices = append(d.notices, &notice{expiresAt: dispatch.Micros(stored.Deadline) + noticeLifetime,
 		notice: protocol.Notice{ID: stored.ID, Rejected: stored.Ended == storedRejected, AgainMs: stored.RetryAfterMs}})
 }
 
-func (p *discovery) due() dispatch.Micros {
-	at := min(p.pollTimeoutAt, p.pollAt)
-	for _, call := range p.calls {
+func (d *discovery) due() dispatch.Micros {
+	at := min(d.pollTimeoutAt, d.pollAt)
+	for _, call := range d.calls {
 		at = min(at, call.timeoutAt)
 	}
-	if len(p.calls) < maxNoticeCalls {
-		for _, other := range p.notices {
-			if !p.mustWait(other) {
-				at = min(at, max(other.next, p.callAt))
+	if len(d.calls) < maxNoticeCalls {
+		for _, pending := range d.notices {
+			if !d.waitsForSpool(pending) {
+				at = min(at, max(pending.nextAttemptAt, d.nextCallAt))
 			}
 		}
 	}
 	return at
 }
 
-// mustWait reports whether the end that a notice tells is not in the folder yet: a restart would take the message up again, and it could run
-// after its end was told. Past its deadline it would not.
-func (p *discovery) mustWait(n *notice) bool {
-	return p.server.spool.IsBehind(n.notice.ID) && p.server.now < n.until-noticeLifetime
+// waitsForSpool reports whether a notice must be held back because the end of its message is not in the
+// spool yet. After a restart the message would be recovered, and it could run although its end had been
+// reported. After its deadline the message cannot run any more.
+func (d *discovery) waitsForSpool(pending *notice) bool {
+	return d.server.spool.IsBehind(pending.notice.ID) && d.server.now < pending.expiresAt-noticeLifetime
 }
 
-// tick does what is due.
-func (p *discovery) tick() {
-	now := p.server.now
-	if p.server.driver == nil {
+// tick handles expired timeouts and sends polls and notices that are due.
+func (d *discovery) tick() {
+	now := d.server.now
+	if d.server.driver == nil {
 		return
 	}
-	if p.pollTimeoutAt <= now {
-		p.server.endpointConns.Abort(p.pollInFlight)
-		p.pollAnswered(protocol.Answer{}, errNoAnswer)
+	if d.pollTimeoutAt <= now {
+		d.server.endpointConns.Abort(d.pollInFlight)
+		d.pollAnswered(protocol.Answer{}, errNoAnswer)
 	}
-	if p.pollAt <= now {
-		p.poll(dispatch.WatchEndpoints{})
+	if d.pollAt <= now {
+		d.poll(dispatch.WatchEndpoints{})
 	}
-	for _, call := range slices.Clone(p.calls) {
+	for _, call := range slices.Clone(d.calls) {
 		if call.timeoutAt <= now {
-			p.server.endpointConns.Abort(call.exchange)
-			p.noticesAnswered(call, protocol.Answer{}, errNoAnswer)
+			d.server.endpointConns.Abort(call.exchange)
+			d.noticesAnswered(call, protocol.Answer{}, errNoAnswer)
 		}
 	}
-	for len(p.calls) < maxNoticeCalls && p.notify() {
+	for len(d.calls) < maxNoticeCalls && d.notify() {
 	}
 }
 
-var errNoAnswer = errors.New("no answer in time")
+var errNoAnswer = errors.New("no answer before the timeout")
 
-// notify sends the notices that are due, as many as a call takes, and reports whether there were any.
-func (p *discovery) notify() bool {
-	if p.server.now < p.callAt {
+// notify sends one call with notices that are due, up to maxNoticesPerCall, and reports whether there were
+// any.
+func (d *discovery) notify() bool {
+	if d.server.now < d.nextCallAt {
 		return false
 	}
-	call := &noticeCall{timeoutAt: p.server.now + noticeTimeout}
+	call := &noticeCall{timeoutAt: d.server.now + noticeTimeout}
 	var notices []protocol.Notice
-	for _, other := range p.notices {
-		if other.next <= p.server.now && len(notices) < maxNoticesPerCall && !p.mustWait(other) {
-			other.next = p.server.now + noticeBackoff<<min(other.attempts, 3)
-			other.attempts++
-			call.notices, notices = append(call.notices, other), append(notices, other.notice)
+	for _, pending := range d.notices {
+		if pending.nextAttemptAt <= d.server.now && len(notices) < maxNoticesPerCall && !d.waitsForSpool(pending) {
+			pending.nextAttemptAt = d.server.now + noticeBackoff<<min(pending.attempts, 3)
+			pending.attempts++
+			call.notices, notices = append(call.notices, pending), append(notices, pending.notice)
 		}
 	}
 	if len(notices) == 0 {
 		return false
 	}
-	call.exchange = &endpointconn.Exchange{Peer: endpointconn.Peer{Address: p.server.deployment.Discovery}, Request: protocol.Notices(p.server.deployment.Discovery, notices),
-		OnBegin: func(bool) {}, OnEnd: func(a protocol.Answer, err error) { p.noticesAnswered(call, a, err) }}
-	p.calls = append(p.calls, call)
-	p.server.endpointConns.Start(call.exchange)
+	call.exchange = &endpointconn.Exchange{Peer: endpointconn.Peer{Address: d.server.deployment.Discovery}, Request: protocol.Notices(d.server.deployment.Discovery, notices),
+		OnBegin: func(bool) {}, OnEnd: func(a protocol.Answer, err error) { d.noticesAnswered(call, a, err) }}
+	d.calls = append(d.calls, call)
+	d.server.endpointConns.Start(call.exchange)
 	return true
 }
 
-func (p *discovery) noticesAnswered(call *noticeCall, a protocol.Answer, err error) {
-	p.calls = slices.DeleteFunc(p.calls, func(other *noticeCall) bool { return other == call })
+func (d *discovery) noticesAnswered(call *noticeCall, answer protocol.Answer, err error) {
+	d.calls = slices.DeleteFunc(d.calls, func(other *noticeCall) bool { return other == call })
 	switch {
 	case err != nil:
-	case a.Status == 400:
-		p.server.log.Error("notices rejected as malformed", "first", call.notices[0].notice.ID)
-	case a.Status != 204 && a.Status != 200:
-		err = fmt.Errorf("status %d", a.Status)
+	case answer.Status == 400:
+		d.server.log.Error("notices rejected as malformed", "first", call.notices[0].notice.ID)
+	case answer.Status != 204 && answer.Status != 200:
+		err = fmt.Errorf("status %d", answer.Status)
 	}
-	p.callsFailed++
+	d.failedCalls++
 	if err == nil {
-		p.callsFailed, p.callAt = 0, 0
+		d.failedCalls, d.nextCallAt = 0, 0
 	} else {
-		// Failure: each call that failed at once had its notices go again by themselves, in ever smaller calls, hundreds a second.
-		p.callAt = p.server.now + min(dispatch.Micros(noticeRetryDelay)<<min(p.callsFailed-1, 8), maxNoticeDelay)
-		p.server.log.Warn("notices will be retried", "count", len(call.notices), "error", err)
-	}
-	for _, other := range call.notices {
-		if other.confirmed = other.confirmed || err == nil || p.server.now > other.until; other.confirmed {
-			p.server.logSpoolError(p.server.spool.Forget(other.notice.ID))
+		// Failure: without a common delay, the notices of calls that failed at once were retried
+		// separately, in ever smaller calls, at hundreds of calls per second.
+		d.nextCallAt = d.server.now + min(dispatch.Micros(noticeRetryDelay)<<min(d.failedCalls-1, 8), maxNoticeDelay)
+		d.server.log.Warn("notices will be retried", "count", len(call.notices), "error", err)
+	}
+	for _, pending := range call.notices {
+		if pending.confirmed = pending.confirmed || err == nil || d.server.now > pending.expiresAt; pending.confirmed {
+			d.server.logSpoolError(d.server.spool.Forget(pending.notice.ID))
 		} else {
-			other.next = min(other.next, p.callAt) // it failed at once
+			pending.nextAttemptAt = min(pending.nextAttemptAt, d.nextCallAt) // earlier than the backoff if the call failed at once
 		}
 	}
-	p.notices = slices.DeleteFunc(p.notices, func(other *notice) bool { return other.confirmed })
+	d.notices = slices.DeleteFunc(d.notices, func(pending *notice) bool { return pending.confirmed })
 }
--- a/server/endpointconns.go
+++ b/server/endpointconns.go
@@ -8,24 +8,25 @@
 	"pineport/transport"
 )
 
-// Connections to endpoints and to discovery. Package endpointconn has them.
+// This file sets up the connections to endpoints and to discovery. Package endpointconn manages them.
 
-// maxRoundTrip is the longest way there and back that a deployment tells of.
+// maxRoundTrip is an upper bound of the round-trip time in any deployment.
 const maxRoundTrip = 300 * 1000
 
-// newEndpointConns returns the connections that this courier opens; there are none yet.
+// newEndpointConns returns the pool of outgoing connections, which is empty at first.
 func (s *Server) newEndpointConns() *endpointconn.Pool {
 	return endpointconn.NewPool(s.endpointConnLimits(), endpointconn.Loop{
 		Now:    func() dispatch.Micros { return s.now },
-		Notify: func(e endpointconn.Event) { s.queue <- endpointEvent{e} },
+		Notify: func(event endpointconn.Event) { s.queue <- endpointEvent{event} },
 		Dial: func(address string, handler transport.Handler) *transport.Conn {
 			return s.driver.Dial(address, s.deployment.ConnectTimeout, handler)
 		},
 	})
 }
 
-// endpointConnLimits takes the limits of the deployment: four tenths of the descriptors. The other side closes an idle connection at the
-// latest after the whole timeout, counted from when it wrote its answer, and a request that comes later is lost.
+// endpointConnLimits derives the limits of outgoing connections from the deployment. They get 4/10 of the
+// file descriptors. A peer closes an idle connection once the idle timeout has passed since it wrote its
+// answer, and a request that arrives later is lost. The courier therefore closes idle connections earlier.
 func (s *Server) endpointConnLimits() endpointconn.Limits {
 	idle := s.deployment.Dispatch.IdleTimeout
 	return endpointconn.Limits{
@@ -34,7 +35,7 @@
 	}
 }
 
-// handleEndpointConn takes in an event of a connection that this courier opened.
+// handleEndpointConn handles an event of an outgoing connection.
 func (s *Server) handleEndpointConn(event endpointconn.Event) {
 	if closed, ok := event.(endpointconn.Closed); ok && closed.IsMalformed() {
 		s.countMalformedAnswer(closed)
@@ -42,9 +43,9 @@
 	s.endpointConns.Handle(event)
 }
 
-// countMalformedAnswer counts something that came in place of an answer.
+// countMalformedAnswer counts an answer that could not be parsed.
 func (s *Server) countMalformedAnswer(closed endpointconn.Closed) {
 	peer := closed.Conn.Peer()
 	s.malformed.answers++
-	s.malformed.lastAnswer = fmt.Errorf("%s %s: %w", peer.Endpoint, peer.Address, closed.Err)
+	s.malformed.lastAnswerError = fmt.Errorf("%s %s: %w", peer.Endpoint, peer.Address, closed.Err)
 }
--- a/server/endpoints.go
+++ b/server/endpoints.go
@@ -9,11 +9,12 @@
 	"pineport/protocol"
 )
 
-// applyEndpoints hands the endpoint list, or changes of it, to the dispatcher, and keeps the addresses. It returns what of the list
-// could not be used.
+// applyEndpoints passes a complete or partial endpoint list to the dispatcher and stores its entries. It
+// returns the entries that could not be used.
 //
-// Incident: an entry that could not be used was left out and the rest passed for the whole, so that the drain it told was neither
-// heeded nor asked for again. Whoever it may have been about gets nothing new until a list could be used whole.
+// Incident: an unusable entry was skipped and the list was treated as complete, so the drain announced in
+// that entry was neither applied nor polled for again. Endpoints that an unusable entry may refer to now
+// get no new messages until a list without unusable entries is received.
 func (s *Server) applyEndpoints(list protocol.List, kind dispatch.UpdateKind) (faults []protocol.EntryFault) {
 	usable, faults := s.usableEntries(list, kind)
 	before := maps.Clone(s.endpoints)
@@ -26,7 +27,7 @@
 	}
 	for _, entry := range usable {
 		s.logHealthChange(list.Seq, before, entry)
-		s.keepEndpoint(entry)
+		s.storeEndpoint(entry)
 		listing, _ := s.endpointEntry(entry)
 		update.Entries = append(update.Entries, listing)
 	}
@@ -36,12 +37,12 @@
 	}
 	s.events = append(s.events, update)
 	s.closeUnused(before)
-	s.noteDestinations()
+	s.updateDestinations()
 	return faults
 }
 
-// keepEndpoint takes one entry into the list that is held.
-func (s *Server) keepEndpoint(entry protocol.Host) {
+// storeEndpoint applies one entry to the stored endpoint list.
+func (s *Server) storeEndpoint(entry protocol.Host) {
 	id := dispatch.EndpointID(entry.Host)
 	delete(s.suspects, id)
 	if entry.Health == protocol.Removed {
@@ -51,22 +52,22 @@
 	}
 }
 
-// usableEntries splits a list into entries that can be used, one for each endpoint, and what is wrong with the others.
+// usableEntries splits a list into usable entries, at most one per endpoint, and the faults of the others.
 func (s *Server) usableEntries(list protocol.List, kind dispatch.UpdateKind) (usable []protocol.Host, faults []protocol.EntryFault) {
 	faults = slices.Clone(list.Faults)
-	at := map[string]int{}
+	indexByHost := map[string]int{}
 	for _, entry := range list.Hosts {
 		_, ok := s.endpointEntry(entry)
-		earlier, twice := at[entry.Host]
+		index, duplicate := indexByHost[entry.Host]
 		switch {
 		case !ok:
 			faults = append(faults, protocol.EntryFault{Host: entry.Host, Dial: entry.Dial, Err: fmt.Errorf("host %s: unknown zone %q or type %q", entry.Host, entry.Zone, entry.Kind)})
-		case kind == dispatch.PartialList && s.isMisnamed(entry):
-			faults = append(faults, protocol.EntryFault{Host: entry.Host, Dial: entry.Dial, Err: fmt.Errorf("host %s: a drain at no address, or another endpoint's", entry.Host)})
-		case twice && usable[earlier] != entry:
-			faults = append(faults, protocol.EntryFault{Host: entry.Host, Err: fmt.Errorf("host %s: two entries that contradict each other", entry.Host)})
-		case !twice:
-			at[entry.Host] = len(usable)
+		case kind == dispatch.PartialList && s.mayBeMisnamed(entry):
+			faults = append(faults, protocol.EntryFault{Host: entry.Host, Dial: entry.Dial, Err: fmt.Errorf("host %s: drain or removal without an address or with the address of another endpoint", entry.Host)})
+		case duplicate && usable[index] != entry:
+			faults = append(faults, protocol.EntryFault{Host: entry.Host, Err: fmt.Errorf("host %s: conflicting entries", entry.Host)})
+		case !duplicate:
+			indexByHost[entry.Host] = len(usable)
 			usable = append(usable, entry)
 		}
 	}
@@ -76,9 +77,9 @@
 	return usable, faults
 }
 
-// isMisnamed reports whether an entry tells a drain at the address of another endpoint, or of an endpoint that is not known and at no address:
-// its name may be what was spoilt on the way.
-func (s *Server) isMisnamed(entry protocol.Host) bool {
+// mayBeMisnamed reports whether the endpoint name of a drain or removal may be corrupt: the entry has the
+// address of another endpoint, or it has no address and names an unknown endpoint.
+func (s *Server) mayBeMisnamed(entry protocol.Host) bool {
 	if entry.Health == protocol.InService {
 		return false
 	}
@@ -97,8 +98,8 @@
 	return "", false
 }
 
-// suspectUnlisted suspects all endpoints that are missing in a whole list of which a part could not be used: they are gone, or that
-// part was about them.
+// suspectUnlisted marks all endpoints that are missing from a complete list with unusable entries as
+// suspects: they have been removed, or the unusable entries refer to them.
 func (s *Server) suspectUnlisted(usable []protocol.Host) {
 	listed := map[dispatch.EndpointID]bool{}
 	for _, entry := range usable {
@@ -111,10 +112,10 @@
 	}
 }
 
-// updateSuspects suspects the endpoints that faults name, or nobody any more where there are no faults, and returns the entries of
-// all whose phase that may change, as they hold now.
+// updateSuspects marks the endpoints named by faults as suspects, or clears all suspects if there are no
+// faults. It returns the current entries of all endpoints whose phase may change.
 func (s *Server) updateSuspects(faults []protocol.EntryFault) (entries []dispatch.EndpointEntry) {
-	for _, id := range s.endpointsOf(faults) {
+	for _, id := range s.faultyEndpoints(faults) {
 		s.suspects[id] = true
 	}
 	changed := slices.Sorted(maps.Keys(s.suspects))
@@ -130,8 +131,8 @@
 	return entries
 }
 
-// endpointsOf returns the listed endpoints that faults may be about, by name and by address.
-func (s *Server) endpointsOf(faults []protocol.EntryFault) (ids []dispatch.EndpointID) {
+// faultyEndpoints returns the listed endpoints that faults may refer to, by name or by address.
+func (s *Server) faultyEndpoints(faults []protocol.EntryFault) (ids []dispatch.EndpointID) {
 	for _, fault := range faults {
 		if _, known := s.endpoints[dispatch.EndpointID(fault.Host)]; known {
 			ids = append(ids, dispatch.EndpointID(fault.Host))
@@ -143,34 +144,36 @@
 	return ids
 }
 
-// acceptFaults takes a whole list as it is, of which a part cannot be used, after its source has confirmed that: endpoints that are
-// missing in it are gone, and those that faults name drain until an entry of them can be used.
+// acceptFaults applies a complete list with unusable entries after discovery has confirmed it. Endpoints
+// missing from the list are removed. Endpoints named by faults drain until a usable entry for them is
+// received.
 func (s *Server) acceptFaults(faults []protocol.EntryFault) {
-	named := s.endpointsOf(faults)
+	named := s.faultyEndpoints(faults)
 	update := dispatch.EndpointUpdate{Kind: dispatch.PartialList, Unusable: true}
 	for _, id := range slices.Sorted(maps.Keys(s.suspects)) {
 		entry := s.endpoints[id]
 		if entry.Health = protocol.Draining; !slices.Contains(named, id) {
 			entry.Health = protocol.Removed
 		}
-		s.keepEndpoint(entry)
+		s.storeEndpoint(entry)
 		listing, _ := s.endpointEntry(entry)
 		update.Entries = append(update.Entries, listing)
 	}
 	s.events = append(s.events, update)
 }
 
-// closeUnused closes idle connections to endpoints that get nothing new, and those that lead to what is not there any more.
+// closeUnused closes idle connections to endpoints that are no longer in service or whose peer has changed.
 func (s *Server) closeUnused(before map[dispatch.EndpointID]protocol.Host) {
 	for id, entry := range before {
-		if now := s.endpoints[id]; now.Health != protocol.InService || peerOf(now) != peerOf(entry) {
+		if current := s.endpoints[id]; current.Health != protocol.InService || peerOf(current) != peerOf(entry) {
 			s.endpointConns.CloseIdle(peerOf(entry))
 		}
 	}
 }
 
-// noteDestinations keeps the destinations of the listed endpoints, and forgets those that were unlisted for long.
-func (s *Server) noteDestinations() {
+// updateDestinations records the destinations of the listed endpoints. It removes those that have had no
+// listed endpoint for unlistedLifetime.
+func (s *Server) updateDestinations() {
 	for dest, until := range s.destinations {
 		if until == never {
 			s.destinations[dest] = s.now + unlistedLifetime
@@ -183,7 +186,7 @@
 	}
 }
 
-// logHealthChange logs that an endpoint of the list before has another health now.
+// logHealthChange logs a change of a listed endpoint's health.
 func (s *Server) logHealthChange(version int64, before map[dispatch.EndpointID]protocol.Host, entry protocol.Host) {
 	known, ok := before[dispatch.EndpointID(entry.Host)]
 	if ok && known.Health != entry.Health {
@@ -191,17 +194,19 @@
 	}
 }
 
-// unlistedLifetime is how long a destination without any listed endpoint is still known: many times what replacing its endpoints takes.
+// unlistedLifetime is how long a destination without listed endpoints remains known. Replacing all its
+// endpoints takes only a fraction of this time.
 const unlistedLifetime = 600 * 1000 * 1000
 
-// knowsDestination reports whether a destination is known; without any list all are.
+// knowsDestination reports whether a destination is known. Before the first list, every destination counts
+// as known.
 func (s *Server) knowsDestination(dest int) bool {
 	until, ok := s.destinations[dest]
 	return ok && until > s.now || len(s.destinations) == 0
 }
 
-// endpointEntry returns an entry of the list as the dispatcher is told it; a suspect drains. It is false where the settings have no such
-// zone or type.
+// endpointEntry converts an entry of the list for the dispatcher. Suspects are reported as draining. It
+// returns false if the configuration does not have the entry's zone or type.
 func (s *Server) endpointEntry(entry protocol.Host) (dispatch.EndpointEntry, bool) {
 	phases := map[protocol.Health]dispatch.Phase{protocol.InService: dispatch.InService, protocol.Draining: dispatch.Draining,
 		protocol.Removed: dispatch.Removed}
--- a/server/finished.go
+++ b/server/finished.go
@@ -3,15 +3,16 @@
 import "pineport/dispatch"
 
 const (
-	// resendWindow is how long a client may send a message once more: it waits 400 ms for its reply, and whatever it submits later
-	// has a new id (PROTOCOL). The longest way there is a fifth of a second.
+	// resendWindow is how long a client may submit the same message again. A client waits 400 ms for its
+	// reply and uses new ids for later submissions (see PROTOCOL), and the longest latency is 200 ms.
 	resendWindow = 1000 * 1000
-	// maxFinished is a hundred times what ends in that time at a busy courier.
+	// maxFinished is 100 times the number of messages that end within resendWindow at a busy courier.
 	maxFinished = 4096
 )
 
-// finishedMessages remembers messages that were accepted and have ended, for as long as their clients may send them once more. Failure: a
-// reset took away a reply that the socket had; the client sent the same request again, and its message was accepted a second time.
+// finishedMessages remembers the ids of accepted messages that have ended, as long as clients may submit
+// them again. Failure: a connection reset discarded a reply in the socket buffer, the client sent the same
+// request again, and the message was accepted a second time.
 type finishedMessages struct {
 	until map[dispatch.MessageID]dispatch.Micros
 	order []dispatch.MessageID // oldest first
@@ -33,7 +34,7 @@
 	f.order = append(f.order, id)
 }
 
-// contains reports whether a message was accepted and has ended.
+// contains reports whether a message was accepted and has ended within the resend window.
 func (f *finishedMessages) contains(id dispatch.MessageID, now dispatch.Micros) bool {
 	return f.until[id] > now
 }
--- a/server/fleet.go
+++ b/server/fleet.go
@@ -5,26 +5,29 @@
 	"pineport/handoff"
 )
 
-// FleetSizeEstimated sets the size of the fleet for the dispatcher, from the next step on. It never waits, and no step waits for it:
-// whatever becomes of the membership, messages flow. Any goroutine may call it.
-func (s *Server) FleetSizeEstimated(couriers int) { s.estimatedSize.Store(int64(couriers)) }
+// FleetSizeEstimated sets the fleet size used by the dispatcher from the next step on. It does not block,
+// and the event loop does not wait for it, so a failing membership cannot stop messages. Any goroutine may
+// call it.
+func (s *Server) FleetSizeEstimated(couriers int) { s.estimatedFleetSize.Store(int64(couriers)) }
 
-// OnHandoff has f give up this process's place in the fleet, at the instant at which a successor takes over.
+// OnHandoff sets f to be called when a successor takes over. f gives up this process's membership in the
+// fleet and returns it for the successor.
 func (s *Server) OnHandoff(f func() *handoff.Membership) { s.onHandoff = f }
 
-// dispatchConfig is the configured one, with the size of the fleet as it is estimated where that is more: a share of a limit can only
-// become smaller by what others report.
+// dispatchConfig returns the configuration of the dispatcher. It uses the estimated fleet size if that is
+// larger than the configured one, so reports of other couriers can only reduce this courier's share of a
+// limit.
 func (s *Server) dispatchConfig() dispatch.Config {
-	ch := s.deployment.Dispatch
-	ch.Couriers = max(ch.Couriers, int(s.appliedSize))
-	ch.GrantedUntil = s.grantedUntil
-	return ch
+	cfg := s.deployment.Dispatch
+	cfg.Couriers = max(cfg.Couriers, int(s.appliedFleetSize))
+	cfg.GrantedUntil = s.grantedUntil
+	return cfg
 }
 
 func (s *Server) updateFleetSize() {
-	s.appliedSize = s.estimatedSize.Load()
-	if ch := s.dispatchConfig(); ch.Couriers != s.configuredCouriers {
-		s.configuredCouriers = ch.Couriers
-		s.events = append(s.events, dispatch.Reconfigured{Config: ch})
+	s.appliedFleetSize = s.estimatedFleetSize.Load()
+	if cfg := s.dispatchConfig(); cfg.Couriers != s.reportedCouriers {
+		s.reportedCouriers = cfg.Couriers
+		s.events = append(s.events, dispatch.Reconfigured{Config: cfg})
 	}
 }
--- a/server/handoff.go
+++ b/server/handoff.go
@@ -15,384 +15,393 @@
 	"pineport/protocol"
 )
 
-// ErrReclaim is returned by Run where this process had handed over to a successor that has gone: it is to start again from the folder.
+// ErrReclaim is returned by Run if the successor has exited after a handoff. The caller must then start a
+// new event loop from the state folder.
 var ErrReclaim = errors.New("the process that took over has gone")
 
 type (
-	// successorArrived is a successor that is ready to take over.
-	successorArrived struct {
+	// successorReady reports a successor that is ready to take over.
+	successorReady struct {
 		link  *handoff.Link
 		hello *handoff.Hello
 	}
-	// peerMessage is a message of the other process, nil when its link has ended.
+	// peerMessage is a message from the other process of an upgrade, or nil when the link to it has ended.
 	peerMessage struct {
 		link    *handoff.Link
 		message *handoff.Message
 	}
 )
 
-// handoffState is the other process of an upgrade: first a predecessor that handed over to this one, later a successor.
+// handoffState is the state of an upgrade: the link to the predecessor that handed over to this process,
+// and later the link to a successor.
 type handoffState struct {
 	server            *Server
 	machine           *handoff.Predecessor
-	release           func() // frees the folder
+	releaseFolder     func() // unlocks the state folder
 	successor         *handoff.Link
-	requested         bool // the successor is ready, and nothing is handed over yet
-	handingOver       bool // between the two
-	handedOver        bool // the successor decides
+	requested         bool // the successor is ready and the handoff has not started
+	handingOver       bool // the handoff has started and the successor does not have the state yet
+	handedOver        bool // the successor has the state and runs the dispatcher
 	reclaim           bool
 	predecessor       *handoff.Link
-	unlisted          []*attempt        // of the predecessor, to endpoints that are not listed any more
-	snapshotAtHandoff dispatch.Snapshot // as it was handed over, and the waits reported since
+	unlisted          []*attempt        // attempts of the predecessor whose endpoints are no longer listed
+	snapshotAtHandoff dispatch.Snapshot // the snapshot handed over, with each Retry-After that the successor has reported since
 	commands          map[int64]chan commandResult
 	nextCommand       int64
 }
 
-func (u *handoffState) init(r *Server) {
-	u.server, u.machine, u.commands, u.release = r, handoff.NewPredecessor(r.deployment.Name), map[int64]chan commandResult{}, func() {}
+func (h *handoffState) init(s *Server) {
+	h.server, h.machine, h.commands, h.releaseFolder = s, handoff.NewPredecessor(s.deployment.Name), map[int64]chan commandResult{}, func() {}
 }
 
-// Successors lets successors take over; release frees the folder at that instant.
-func (s *Server) Successors(release func()) { s.handoff.release = release }
+// Successors sets the function that unlocks the state folder during a handoff.
+func (s *Server) Successors(releaseFolder func()) { s.handoff.releaseFolder = releaseFolder }
 
 // SuccessorArrived reports a successor that is ready to take over. Any goroutine may call it.
 func (s *Server) SuccessorArrived(link *handoff.Link, hello *handoff.Hello) {
-	s.control <- successorArrived{link, hello}
+	s.control <- successorReady{link, hello}
 }
 
-// Predecessor joins the loop with the process that handed over to it.
+// Predecessor sets the link to the process that handed over to this one and starts receiving its messages.
 func (s *Server) Predecessor(link *handoff.Link) {
 	s.handoff.predecessor = link
-	go s.listenTo(link)
+	go s.receiveMessages(link)
 }
 
-func (s *Server) listenTo(link *handoff.Link) {
+func (s *Server) receiveMessages(link *handoff.Link) {
 	link.Listen(func(message *handoff.Message) { s.control <- peerMessage{link, message} })
 }
 
-func (u *handoffState) successorArrived(event successorArrived) {
-	verdict, why := u.machine.HelloReceived(event.hello)
+func (h *handoffState) successorReady(event successorReady) {
+	verdict, reason := h.machine.HelloReceived(event.hello)
 	if verdict == handoff.Refuse {
-		u.server.log.Warn("successor refused", "reason", why)
-		event.link.Refuse(why)
+		h.server.log.Warn("successor refused", "reason", reason)
+		event.link.Refuse(reason)
 		return
 	}
-	u.successor, u.requested = event.link, true
-	go u.server.listenTo(event.link)
+	h.successor, h.requested = event.link, true
+	go h.server.receiveMessages(event.link)
 }
 
 const (
-	// handoffSettleTimeout bounds the wait for clients in the midst of a command; a client waits for many times that.
+	// handoffSettleTimeout bounds the wait for clients that have sent part of a command. Clients wait many
+	// times longer for a reply.
 	handoffSettleTimeout = 10 * 1000
 	handoffSettleStep    = time.Millisecond
-	// adoptionSlack is how much longer than the predecessor its successor waits for an outcome: a line over a socket takes far less.
+	// adoptionSlack is added to the timeout of an adopted attempt so that the predecessor's report of its
+	// outcome can arrive. A message over the local socket takes far less.
 	adoptionSlack = 250 * 1000
 )
 
-// handOver hands all to the successor, at one instant: what came before it is decided here, what comes later by the successor.
-func (u *handoffState) handOver() {
-	if !u.requested || u.server.spool.Flush() != nil { // the folder does not hold all: later
+// handOver transfers all state to the successor at one point in time. The dispatcher of this process
+// handles all events before it, the successor all later ones.
+func (h *handoffState) handOver() {
+	if !h.requested || h.server.spool.Flush() != nil { // if the spool cannot be written completely, the handoff is tried again after the next step
 		return
 	}
-	u.requested, u.handingOver = false, true
-	r := u.server
-	began := r.clock()
-	r.operators.serving.Store(false)
-	r.driver.StopAccepting()
-	for { // new connections wait for the successor now; those that rest close, and their clients come there
-		r.drainQueues()
-		r.guardedStep()
-		r.clients.CloseIdle(r.now)
-		if r.clients.AllIdle() && len(r.queue) == 0 || r.clock()-began > handoffSettleTimeout {
+	h.requested, h.handingOver = false, true
+	s := h.server
+	began := s.clock()
+	s.admin.serving.Store(false)
+	s.driver.StopAccepting()
+	for { // new connections now wait for the successor; idle ones are closed, and their clients reconnect to it
+		s.drainQueues()
+		s.guardedStep()
+		s.clients.CloseIdle(s.now)
+		if s.clients.AllIdle() && len(s.queue) == 0 || s.clock()-began > handoffSettleTimeout {
 			break
 		}
 		time.Sleep(handoffSettleStep)
 	}
-	u.withdrawUnsent()
-	state := u.state()
-	u.handedOver, u.snapshotAtHandoff = true, state.Snapshot
-	r.timerAt = never // Failure: the dispatcher is not asked any more, and its timer had the loop go round without a pause
-	r.operators.writer.Stop()
-	r.operators.drainAt = r.now
-	if r.snapshots.writer != nil {
-		r.snapshots.writer.Close(lastSnapshotTimeout)
-		r.snapshots.writer = nil
+	h.cancelUnsentAttempts()
+	state := h.state()
+	h.handedOver, h.snapshotAtHandoff = true, state.Snapshot
+	s.timerAt = never // Failure: the dispatcher no longer runs, so its expired timer made the loop spin
+	s.admin.writer.Stop()
+	s.admin.drainAt = s.now
+	if s.snapshots.writer != nil {
+		s.snapshots.writer.Close(lastSnapshotTimeout)
+		s.snapshots.writer = nil
 	}
-	r.discovery.stop()
-	r.endpointConns.CloseAllIdle()
-	r.logSpoolError(r.spool.Close())
-	u.release()
-	u.successor.Send(handoff.Message{State: state})
-	u.machine.HandedOver()
-	u.handingOver = false
-	r.counters.unfinished = 0
-	r.log.Info("handed over to the successor", "unfinished", len(r.messages), "in_flight", len(r.inFlight), "clients", r.clients.Len(), "duration", time.Duration(r.clock()-began)*time.Microsecond)
-	debug.FreeOSMemory() // both processes have one limit
+	s.discovery.stop()
+	s.endpointConns.CloseAllIdle()
+	s.logSpoolError(s.spool.Close())
+	h.releaseFolder()
+	h.successor.Send(handoff.Message{State: state})
+	h.machine.HandedOver()
+	h.handingOver = false
+	s.counters.unfinished = 0
+	s.log.Info("handed over to the successor", "unfinished", len(s.messages), "in_flight", len(s.inFlight), "clients", s.clients.Len(), "duration", time.Duration(s.clock()-began)*time.Microsecond)
+	debug.FreeOSMemory() // both processes share one memory limit
 }
 
-// withdrawUnsent takes back attempts that wait for a connection: until that is open the successor may have learned that nothing may be sent
-// there.
-func (u *handoffState) withdrawUnsent() {
-	for _, attempt := range slices.Clone(u.server.inFlight) {
+// cancelUnsentAttempts ends attempts that wait for a connection. By the time it is open, the successor may
+// have learned that nothing may be sent to that endpoint.
+func (h *handoffState) cancelUnsentAttempts() {
+	for _, attempt := range slices.Clone(h.server.inFlight) {
 		if exchange := attempt.call.exchange; exchange != nil && !exchange.IsSent() {
-			u.finishAttempt(attempt)
-			u.server.endpointConns.Abort(exchange)
-			u.server.noteOutcome(attempt, dispatch.Unprocessed)
+			h.finishAttempt(attempt)
+			h.server.endpointConns.Abort(exchange)
+			h.server.storeOutcome(attempt, dispatch.Unprocessed)
 		}
 	}
 }
 
-// state returns what the folder does not hold.
-func (u *handoffState) state() *handoff.State {
-	r := u.server
-	state := &handoff.State{Snapshot: r.takeSnapshot(), ListVersion: r.discovery.version, RetryAfter: maps.Clone(r.retryAfter), Disabled: slices.Sorted(maps.Keys(r.operators.disabled)),
-		Draining: r.operators.isDraining()}
-	if r.onHandoff != nil {
-		state.Membership = r.onHandoff()
+// state returns the state that the successor cannot read from the state folder.
+func (h *handoffState) state() *handoff.State {
+	s := h.server
+	state := &handoff.State{Snapshot: s.takeSnapshot(), ListVersion: s.discovery.version, RetryAfter: maps.Clone(s.retryAfter), Disabled: slices.Sorted(maps.Keys(s.admin.disabled)),
+		Draining: s.admin.isDraining()}
+	if s.onHandoff != nil {
+		state.Membership = s.onHandoff()
 	}
-	for _, id := range slices.Sorted(maps.Keys(r.endpoints)) {
-		state.Endpoints = append(state.Endpoints, r.endpoints[id])
+	for _, id := range slices.Sorted(maps.Keys(s.endpoints)) {
+		state.Endpoints = append(state.Endpoints, s.endpoints[id])
 	}
-	for _, attempt := range r.inFlight {
+	for _, attempt := range s.inFlight {
 		state.InFlight = append(state.InFlight, handoff.AttemptID{Message: attempt.message.stored.ID, Attempt: attempt.number, WaitUntil: attempt.waitUntil})
 	}
 	return state
 }
 
-// takeOver takes over what the predecessor handed on, beside the list.
-func (u *handoffState) takeOver(state *handoff.State) {
-	r := u.server
-	state.Snapshot.TakenAt = min(state.Snapshot.TakenAt, r.now)
-	r.events = append(r.events, dispatch.SnapshotRestored{Snapshot: state.Snapshot})
-	maps.Copy(r.retryAfter, state.RetryAfter)
-	if gone := slices.Sorted(maps.Keys(r.operators.disabled)); !slices.Equal(gone, state.Disabled) {
-		r.operators.disabled = map[string]bool{}
+// restoreState applies the predecessor's state. New has already applied its endpoint list.
+func (h *handoffState) restoreState(state *handoff.State) {
+	s := h.server
+	state.Snapshot.TakenAt = min(state.Snapshot.TakenAt, s.now)
+	s.events = append(s.events, dispatch.SnapshotRestored{Snapshot: state.Snapshot})
+	maps.Copy(s.retryAfter, state.RetryAfter)
+	if disabled := slices.Sorted(maps.Keys(s.admin.disabled)); !slices.Equal(disabled, state.Disabled) {
+		s.admin.disabled = map[string]bool{}
 		for _, id := range state.Disabled {
-			r.operators.disabled[id] = true
+			s.admin.disabled[id] = true
 		}
-		r.operators.generation++
-		if err := r.operators.writer.Write(r.operators.generation, r.operators.disabled); err != nil {
-			r.log.Error("disabled endpoints cannot be stored", "file", maintenance.Name, "error", err)
+		s.admin.generation++
+		if err := s.admin.writer.Write(s.admin.generation, s.admin.disabled); err != nil {
+			s.log.Error("cannot store the disabled endpoints", "file", maintenance.Name, "error", err)
 		}
 	}
 	if state.Draining {
-		r.operators.setDraining(true)
+		s.admin.setDraining(true)
 	}
 }
 
-// adoptAttempt takes over an attempt that the predecessor has in flight; where its endpoint is not listed any more, it is given up.
-func (u *handoffState) adoptAttempt(adopted *attempt, limit dispatch.Micros) {
+// adoptAttempt adds an attempt that the predecessor has in flight. An attempt to an endpoint that is no
+// longer listed is canceled instead.
+func (h *handoffState) adoptAttempt(adopted *attempt, waitUntil dispatch.Micros) {
 	id := dispatch.EndpointID(adopted.message.stored.Attempts[adopted.number].Endpoint)
-	host, ok := u.server.endpoints[id]
+	entry, ok := h.server.endpoints[id]
 	if !ok {
-		u.unlisted = append(u.unlisted, adopted)
+		h.unlisted = append(h.unlisted, adopted)
 		return
 	}
-	adopted.finished, adopted.waitUntil = false, limit+adoptionSlack
-	adopted.call = &call{endpoint: id, entry: host, attempts: []*attempt{adopted}, predecessor: true}
+	adopted.finished, adopted.waitUntil = false, waitUntil+adoptionSlack
+	adopted.call = &call{endpoint: id, entry: entry, attempts: []*attempt{adopted}, predecessor: true}
 	adopted.message.inFlight++
-	u.server.inFlight = append(u.server.inFlight, adopted)
+	h.server.inFlight = append(h.server.inFlight, adopted)
 }
 
-// announceServing tells the predecessor that clients are accepted here.
-func (u *handoffState) announceServing() {
-	if u.predecessor == nil {
+// announceServing reports to the predecessor that this process accepts clients, and cancels the attempts to
+// unlisted endpoints.
+func (h *handoffState) announceServing() {
+	if h.predecessor == nil {
 		return
 	}
-	u.predecessor.Send(handoff.Message{Serving: true})
-	for _, attempt := range u.unlisted {
-		u.cancelAttempt(attempt)
+	h.predecessor.Send(handoff.Message{Serving: true})
+	for _, attempt := range h.unlisted {
+		h.cancelAttempt(attempt)
 	}
-	u.unlisted = nil
+	h.unlisted = nil
 }
 
-// cancelAttempt tells the predecessor that an attempt is given up.
-func (u *handoffState) cancelAttempt(attempt *attempt) {
-	if u.predecessor != nil {
-		u.predecessor.Send(handoff.Message{Cancel: &handoff.AttemptID{Message: attempt.message.stored.ID, Attempt: attempt.number}})
+// cancelAttempt tells the predecessor to cancel an attempt.
+func (h *handoffState) cancelAttempt(attempt *attempt) {
+	if h.predecessor != nil {
+		h.predecessor.Send(handoff.Message{Cancel: &handoff.AttemptID{Message: attempt.message.stored.ID, Attempt: attempt.number}})
 	}
 }
 
-// forwardRetryAfter tells the predecessor of a Retry-After, in case it has to go on.
-func (u *handoffState) forwardRetryAfter(entry protocol.Host, until dispatch.Micros) {
-	if u.predecessor == nil {
+// forwardRetryAfter sends a Retry-After to the predecessor, which needs it if it has to resume.
+func (h *handoffState) forwardRetryAfter(entry protocol.Host, until dispatch.Micros) {
+	if h.predecessor == nil {
 		return
 	}
-	w := &handoff.RetryAfter{Destination: dispatch.DestinationID(entry.Dest), Until: until}
-	if u.server.hasSeparateGroups(entry) {
-		w.Endpoint = dispatch.EndpointID(entry.Host)
+	retryAfter := &handoff.RetryAfter{Destination: dispatch.DestinationID(entry.Dest), Until: until}
+	if h.server.hasSeparateGroups(entry) {
+		retryAfter.Endpoint = dispatch.EndpointID(entry.Host)
 	}
-	u.predecessor.Send(handoff.Message{RetryAfter: w})
+	h.predecessor.Send(handoff.Message{RetryAfter: retryAfter})
 }
 
-// forwardOutcome tells the successor how an attempt ended.
-func (u *handoffState) forwardOutcome(attempt *attempt, event dispatch.AttemptFinished) {
+// forwardOutcome sends the outcome of an attempt to the successor.
+func (h *handoffState) forwardOutcome(attempt *attempt, event dispatch.AttemptFinished) {
 	if attempt.finished {
 		return
 	}
-	u.finishAttempt(attempt)
+	h.finishAttempt(attempt)
 	event.Message, event.Attempt = dispatch.MessageID(attempt.message.stored.ID), dispatch.AttemptNumber(attempt.number)
-	u.successor.Send(handoff.Message{AttemptFinished: &event})
+	h.successor.Send(handoff.Message{AttemptFinished: &event})
 }
 
-func (u *handoffState) finishAttempt(landed *attempt) {
-	landed.finished = true
-	u.server.inFlight = slices.DeleteFunc(u.server.inFlight, func(o *attempt) bool { return o == landed })
+func (h *handoffState) finishAttempt(finished *attempt) {
+	finished.finished = true
+	h.server.inFlight = slices.DeleteFunc(h.server.inFlight, func(other *attempt) bool { return other == finished })
 }
 
-// forwardCommand hands a command of an operator to the successor, which decides.
-func (u *handoffState) forwardCommand(command command) {
-	if len(u.commands) >= controlQueueSize {
+// forwardCommand forwards an operator's command to the successor.
+func (h *handoffState) forwardCommand(command command) {
+	if len(h.commands) >= controlQueueSize {
 		command.done <- commandResult{err: errTooManyCommands}
 		return
 	}
-	a := &handoff.Command{Number: u.nextCommand}
-	switch w := command.command.(type) {
+	forwarded := &handoff.Command{Number: h.nextCommand}
+	switch typed := command.command.(type) {
 	case admin.SetDisabled:
-		a.Endpoint, a.On = w.Endpoint, w.Disabled
+		forwarded.Endpoint, forwarded.On = typed.Endpoint, typed.Disabled
 	case admin.Drain:
-		a.On = w.Enabled
+		forwarded.On = typed.Enabled
 	}
-	u.commands[u.nextCommand] = command.done
-	u.nextCommand++
-	u.successor.Send(handoff.Message{Command: a})
+	h.commands[h.nextCommand] = command.done
+	h.nextCommand++
+	h.successor.Send(handoff.Message{Command: forwarded})
 }
 
 var errTooManyCommands = errors.New("too many calls wait for the process that took over")
 
-// messageReceived handles a message of the other process.
-func (u *handoffState) messageReceived(event peerMessage) {
+// messageReceived handles a message from the other process of an upgrade.
+func (h *handoffState) messageReceived(event peerMessage) {
 	switch {
-	case event.link == u.predecessor && event.message == nil:
-		u.orphaned()
-	case event.link == u.predecessor:
-		u.fromPredecessor(event.message)
-	case event.link != u.successor:
+	case event.link == h.predecessor && event.message == nil:
+		h.predecessorLost()
+	case event.link == h.predecessor:
+		h.handlePredecessorMessage(event.message)
+	case event.link != h.successor:
 	case event.message == nil:
-		u.successorLost()
-	case u.machine.MessageReceived(event.message) == handoff.Drop:
-		u.server.log.Error("unexpected message from the successor")
+		h.successorLost()
+	case h.machine.MessageReceived(event.message) == handoff.Drop:
+		h.server.log.Error("unexpected message from the successor")
 		event.link.Close()
 	default:
-		u.fromSuccessor(event.message)
+		h.handleSuccessorMessage(event.message)
 	}
 }
 
-func (u *handoffState) fromPredecessor(m *handoff.Message) {
-	r := u.server
+func (h *handoffState) handlePredecessorMessage(peer *handoff.Message) {
+	s := h.server
 	switch {
-	case m.AttemptFinished != nil:
-		message := r.messages[m.AttemptFinished.Message]
-		if message == nil || int(m.AttemptFinished.Attempt) < 0 || int(m.AttemptFinished.Attempt) >= len(message.attempts) {
+	case peer.AttemptFinished != nil:
+		message := s.messages[peer.AttemptFinished.Message]
+		if message == nil || int(peer.AttemptFinished.Attempt) < 0 || int(peer.AttemptFinished.Attempt) >= len(message.attempts) {
 			return
 		}
-		attempt := message.attempts[m.AttemptFinished.Attempt]
+		attempt := message.attempts[peer.AttemptFinished.Attempt]
 		if attempt.call == nil || !attempt.call.predecessor {
 			return
 		}
-		s := *m.AttemptFinished
-		if s.RetryAfter > 0 {
-			r.keepRetryAfter(attempt.call.entry, r.now+s.RetryAfter)
+		finished := *peer.AttemptFinished
+		if finished.RetryAfter > 0 {
+			s.storeRetryAfter(attempt.call.entry, s.now+finished.RetryAfter)
 		}
-		r.complete(attempt, dispatch.AttemptFinished{Outcome: s.Outcome, MessageDone: s.MessageDone, RetryAfter: s.RetryAfter, LoadReport: s.LoadReport})
-	case m.Command != nil:
-		q, link := command{admin.Drain{Enabled: m.Command.On}, make(chan commandResult, 1)}, u.predecessor
-		if m.Command.Endpoint != "" {
-			q.command = admin.SetDisabled{Endpoint: m.Command.Endpoint, Disabled: m.Command.On}
+		s.complete(attempt, dispatch.AttemptFinished{Outcome: finished.Outcome, MessageDone: finished.MessageDone, RetryAfter: finished.RetryAfter, LoadReport: finished.LoadReport})
+	case peer.Command != nil:
+		forwarded, link := command{admin.Drain{Enabled: peer.Command.On}, make(chan commandResult, 1)}, h.predecessor
+		if peer.Command.Endpoint != "" {
+			forwarded.command = admin.SetDisabled{Endpoint: peer.Command.Endpoint, Disabled: peer.Command.On}
 		}
-		r.operators.execute(q)
-		go func() { // the answer waits for the disk
-			a := handoff.Result{Number: m.Command.Number}
-			if err := r.persist(<-q.done); err != nil {
-				a.Error, a.Unknown = err.Error(), errors.Is(err, admin.ErrUnknownEndpoint)
+		s.admin.execute(forwarded)
+		go func() { // in a goroutine, because storing the result waits for the disk
+			result := handoff.Result{Number: peer.Command.Number}
+			if err := s.persist(<-forwarded.done); err != nil {
+				result.Error, result.Unknown = err.Error(), errors.Is(err, admin.ErrUnknownEndpoint)
 			}
-			link.Send(handoff.Message{Result: &a})
+			link.Send(handoff.Message{Result: &result})
 		}()
 	}
 }
 
-// orphaned gives up the predecessor's attempts: nobody will report how they ended, and they may have run.
-func (u *handoffState) orphaned() {
-	u.predecessor = nil
+// predecessorLost ends the attempts of the predecessor. Their outcomes are unknown, and they may have run.
+func (h *handoffState) predecessorLost() {
+	h.predecessor = nil
 	lost := 0
-	for _, attempt := range slices.Clone(u.server.inFlight) {
+	for _, attempt := range slices.Clone(h.server.inFlight) {
 		if attempt.call.predecessor {
 			lost++
-			u.server.complete(attempt, dispatch.AttemptFinished{Outcome: dispatch.Broken})
+			h.server.complete(attempt, dispatch.AttemptFinished{Outcome: dispatch.Broken})
 		}
 	}
-	u.server.log.Info("predecessor exited", "unknown_outcomes", lost)
+	h.server.log.Info("predecessor exited", "unknown_outcomes", lost)
 }
 
-func (u *handoffState) fromSuccessor(message *handoff.Message) {
-	r := u.server
+func (h *handoffState) handleSuccessorMessage(message *handoff.Message) {
+	s := h.server
 	switch {
 	case message.Serving:
-		r.log.Info("successor is serving", "in_flight", len(r.inFlight))
+		s.log.Info("successor is serving", "in_flight", len(s.inFlight))
 	case message.Cancel != nil:
-		for _, attempt := range slices.Clone(r.inFlight) {
+		for _, attempt := range slices.Clone(s.inFlight) {
 			if attempt.message.stored.ID == message.Cancel.Message && attempt.number == message.Cancel.Attempt {
-				u.finishAttempt(attempt)
-				r.abandonCall(attempt.call)
+				h.finishAttempt(attempt)
+				s.abandonCall(attempt.call)
 			}
 		}
 	case message.RetryAfter != nil:
-		u.mergeRetryAfter(*message.RetryAfter)
+		h.mergeRetryAfter(*message.RetryAfter)
 	case message.Result != nil:
-		done, ok := u.commands[message.Result.Number]
+		done, ok := h.commands[message.Result.Number]
 		if !ok {
 			return
 		}
-		delete(u.commands, message.Result.Number)
-		a := commandResult{}
+		delete(h.commands, message.Result.Number)
+		result := commandResult{}
 		if message.Result.Unknown {
-			a.err = admin.ErrUnknownEndpoint
+			result.err = admin.ErrUnknownEndpoint
 		} else if message.Result.Error != "" {
-			a.err = errors.New(message.Result.Error)
+			result.err = errors.New(message.Result.Error)
 		}
-		done <- a
+		done <- result
 	}
 }
 
-func (u *handoffState) mergeRetryAfter(retryAfter handoff.RetryAfter) {
-	MergeRetryAfter(&u.snapshotAtHandoff, &dispatch.Snapshot{Groups: []dispatch.GroupSnapshot{{Destination: retryAfter.Destination, Endpoint: retryAfter.Endpoint, RetryAfterUntil: retryAfter.Until}}})
+func (h *handoffState) mergeRetryAfter(retryAfter handoff.RetryAfter) {
+	MergeRetryAfter(&h.snapshotAtHandoff, &dispatch.Snapshot{Groups: []dispatch.GroupSnapshot{{Destination: retryAfter.Destination, Endpoint: retryAfter.Endpoint, RetryAfterUntil: retryAfter.Until}}})
 }
 
-// MergeRetryAfter adds to a snapshot the Retry-After of another; of each group the later one holds.
-func MergeRetryAfter(l, other *dispatch.Snapshot) *dispatch.Snapshot {
+// MergeRetryAfter merges the Retry-After times of other into target and returns target. For each group
+// the later time is kept.
+func MergeRetryAfter(target, other *dispatch.Snapshot) *dispatch.Snapshot {
 	for _, o := range other.Groups {
-		i := slices.IndexFunc(l.Groups, func(r dispatch.GroupSnapshot) bool { return r.Destination == o.Destination && r.Endpoint == o.Endpoint })
+		i := slices.IndexFunc(target.Groups, func(g dispatch.GroupSnapshot) bool { return g.Destination == o.Destination && g.Endpoint == o.Endpoint })
 		if i < 0 {
-			i = len(l.Groups)
-			l.Groups = append(l.Groups, dispatch.GroupSnapshot{Destination: o.Destination, Endpoint: o.Endpoint, CountedSince: l.TakenAt, LastCall: l.TakenAt, LastDelivery: l.TakenAt})
+			i = len(target.Groups)
+			target.Groups = append(target.Groups, dispatch.GroupSnapshot{Destination: o.Destination, Endpoint: o.Endpoint, CountedSince: target.TakenAt, LastCall: target.TakenAt, LastDelivery: target.TakenAt})
 		}
-		l.Groups[i].RetryAfterUntil = max(l.Groups[i].RetryAfterUntil, o.RetryAfterUntil)
+		target.Groups[i].RetryAfterUntil = max(target.Groups[i].RetryAfterUntil, o.RetryAfterUntil)
 	}
-	return l
+	return target
 }
 
-// successorLost goes on where the successor has gone. Failure: a successor that left while all was made ready for it was handed all the
-// same, and nobody decided any more.
-func (u *handoffState) successorLost() {
-	for _, done := range u.commands {
+// successorLost resumes this process after the successor has exited. Failure: if the successor exited
+// during the handoff, the state was handed over to it anyway, and no process ran the dispatcher.
+func (h *handoffState) successorLost() {
+	for _, done := range h.commands {
 		done <- commandResult{err: fmt.Errorf("asked in an upgrade: %w", ErrReclaim)}
 	}
-	clear(u.commands)
-	u.requested = false
-	// Failure: a successor that left while all was made ready for it was given it even so, and nobody decided any more.
-	if u.machine.SuccessorLost() == handoff.Reclaim || u.handingOver {
-		u.server.log.Error("successor is gone: this process continues", "in_flight", len(u.server.inFlight))
-		u.reclaim = true
+	clear(h.commands)
+	h.requested = false
+	// The handoff may be in progress, see above.
+	if h.machine.SuccessorLost() == handoff.Reclaim || h.handingOver {
+		h.server.log.Error("successor exited; this process resumes", "in_flight", len(h.server.inFlight))
+		h.reclaim = true
 	}
 }
 
-// CountFrom continues the counters of an earlier event loop of this process.
-func (s *Server) CountFrom(before *Server) {
-	s.counters.endings, s.counters.calls = before.counters.endings, before.counters.calls
+// CountFrom copies the counters of an earlier event loop of this process.
+func (s *Server) CountFrom(previous *Server) {
+	s.counters.endings, s.counters.calls = previous.counters.endings, previous.counters.calls
 	s.counters.grow(len(s.deployment.Classes))
-	s.operators.reloads = before.operators.reloads
-	s.operators.failedReloads.Store(before.operators.failedReloads.Load())
+	s.admin.reloads = previous.admin.reloads
+	s.admin.failedReloads.Store(previous.admin.failedReloads.Load())
 }
 
-// SnapshotAtHandoff returns what this process had learned when it handed over, for a loop that goes on after its successor has gone.
+// SnapshotAtHandoff returns the learned state at the time of the handoff, for the event loop that resumes
+// after the successor has exited.
 func (s *Server) SnapshotAtHandoff() *dispatch.Snapshot { return &s.handoff.snapshotAtHandoff }
--- a/server/malformed.go
+++ b/server/malformed.go
@@ -6,11 +6,12 @@
 	"pineport/dispatch"
 )
 
-// malformedInput is what could not be used of what came in, since it was last logged: one line for all of it, as it may come at full speed.
+// malformedInput counts unusable input since it was last logged. It is logged as one line per interval,
+// because such input may arrive at a high rate.
 type malformedInput struct {
-	clients, answers       int
-	lastClient, lastAnswer error // the last
-	nextLogAt              dispatch.Micros
+	clients, answers                 int
+	lastClientError, lastAnswerError error
+	nextLogAt                        dispatch.Micros
 }
 
 const malformedInterval = 10 * 1000 * 1000
@@ -20,10 +21,10 @@
 		return
 	}
 	if m.clients > 0 {
-		log.Warn("client input rejected", "count", m.clients, "last", m.lastClient)
+		log.Warn("client input rejected", "count", m.clients, "last", m.lastClientError)
 	}
 	if m.answers > 0 {
-		log.Warn("malformed answers", "count", m.answers, "last", m.lastAnswer)
+		log.Warn("malformed answers", "count", m.answers, "last", m.lastAnswerError)
 	}
 	*m = malformedInput{nextLogAt: now + malformedInterval}
 }
--- a/server/message.go
+++ b/server/message.go
@@ -7,19 +7,21 @@
 	"slices"
 )
 
-// message is an accepted message, until it has ended and no call with it is in flight.
+// message is an accepted message that has not ended or that has attempts in flight.
 type message struct {
-	stored     *spool.Message  // as the spool has it
-	waiting    []*reply        // until they are written; more than one where it was submitted again in the same step
-	acceptedAt dispatch.Micros // or taken up again after a restart
+	stored     *spool.Message  // as stored in the spool
+	waiting    []*reply        // replies not written yet; several if the message was submitted again in the same step
+	acceptedAt dispatch.Micros // or recovered after a restart
 	attempts   []*attempt
-	inFlight   int // attempts that are not over
+	inFlight   int // number of unfinished attempts
 	ended      bool
-	// idempotencyWindow returns the window of a class with idempotency keys; 0 for all others.
+	// idempotencyWindow is the idempotency window of the message's class, or 0 if the class has no
+	// idempotency keys.
 	idempotencyWindow dispatch.Micros
 }
 
-// repeatWindow is the window of a class whose repeats are known by an idempotency key; 0 for all others.
+// idempotencyWindow returns the time during which endpoints recognize retries of a class by their
+// idempotency key. It is 0 for classes without idempotency keys.
 func (s *Server) idempotencyWindow(name string) dispatch.Micros {
 	class := s.deployment.Dispatch.Classes[slices.Index(s.deployment.Classes, name)]
 	if class.Idempotency != dispatch.IdempotencyKey {
@@ -28,8 +30,9 @@
 	return class.IdempotencyWindow
 }
 
-// pastIdempotencyWindow reports whether an earlier attempt may have run, so long ago that a retry is not recognized by its idempotency key
-// any more. Failure: a retry that was decided within the window went out after it, as its connection took a second to open.
+// pastIdempotencyWindow reports whether an earlier attempt may have run so long ago that a retry would no
+// longer be recognized by its idempotency key. Failure: a retry decided within the window was sent after
+// it, because its connection took 1 s to open.
 func (m *message) pastIdempotencyWindow(now dispatch.Micros) bool {
 	if m.idempotencyWindow == 0 {
 		return false
@@ -48,25 +51,26 @@
 	return class >= 0 && s.deployment.Dispatch.Classes[class].Idempotency == dispatch.Idempotent
 }
 
-// mayHaveRun reports whether an attempt with that outcome may have taken effect.
+// mayHaveRun reports whether an attempt with the given outcome may have taken effect.
 func mayHaveRun(outcome dispatch.Outcome) bool {
 	return outcome != dispatch.Throttled && outcome != dispatch.Unreachable && outcome != dispatch.Unprocessed
 }
 
-// attempt is one attempt to deliver a message: a call to an endpoint, alone or together with attempts of other messages.
+// attempt is one attempt to deliver a message. It is sent in a call, alone or together with attempts of
+// other messages.
 type attempt struct {
 	message   *message
-	number    int // among the message's attempts, from 0
+	number    int // index among the message's attempts
 	call      *call
-	sentAt    dispatch.Micros // when it was decided
-	waitUntil dispatch.Micros // when this side stops waiting
+	sentAt    dispatch.Micros // when the dispatcher decided to send it
+	waitUntil dispatch.Micros // when the attempt times out
 	stored    bool            // in the spool
-	rechecked bool            // as it was to be given up, something had come
+	rechecked bool            // the timeout was extended once because of unread bytes
 	finished  bool
-	unsent    bool // it never left, as this machine was short of something
+	unsent    bool // not sent because of a local shortage, for example of file descriptors
 }
 
-// acceptedEvent returns a stored message as an event of the dispatcher.
+// acceptedEvent returns the dispatcher event for a stored message.
 func (s *Server) acceptedEvent(stored *spool.Message) dispatch.MessageAccepted {
 	return dispatch.MessageAccepted{Message: dispatch.MessageID(stored.ID), Destination: dispatch.DestinationID(stored.Destination),
 		Class:  dispatch.ClassID(slices.Index(s.deployment.Classes, stored.Class)),
@@ -74,62 +78,65 @@
 		Deadline: dispatch.Micros(stored.Deadline), Resubmitted: stored.Resubmitted}
 }
 
-// How a message ended that was not delivered, as the spool has it.
+// Values in the spool for how an undelivered message ended.
 const (
 	storedRejected = "bounced"
 	storedFailed   = "terminated"
 )
 
-// undelivered is how a message ends that is not delivered.
+// undelivered describes how a message ended that was not delivered.
 type undelivered struct {
-	reply        string // to a client that still waits for one
-	stored       string
-	retryAfterMs int64 // after so long its client may try again; 0 where that is left to the client
+	reply        string // to clients that still wait for one
+	spoolValue   string
+	retryAfterMs int64 // when the client may submit it again; 0 leaves that to the client
 	kind         endingKind
 }
 
-// reject ends a message that is safe to submit again, with its Retry-After.
-func (s *Server) reject(id dispatch.MessageID, pause dispatch.Micros) {
-	againMs := int64((pause + 999) / 1000)
-	s.endUndelivered(id, undelivered{reply: protocol.ReplyBusy(againMs), stored: storedRejected, retryAfterMs: againMs, kind: rejected})
+// reject ends a message that may be submitted again, with a Retry-After.
+func (s *Server) reject(id dispatch.MessageID, retryAfter dispatch.Micros) {
+	retryAfterMs := int64((retryAfter + 999) / 1000)
+	s.endUndelivered(id, undelivered{reply: protocol.ReplyBusy(retryAfterMs), spoolValue: storedRejected, retryAfterMs: retryAfterMs, kind: rejected})
 }
 
-// fail ends a message that is not safe to submit again.
+// fail ends a message that must not be submitted again.
 func (s *Server) fail(id dispatch.MessageID) {
-	s.endUndelivered(id, undelivered{reply: protocol.ReplyError("ERR terminated"), stored: storedFailed, kind: failed})
+	s.endUndelivered(id, undelivered{reply: protocol.ReplyError("ERR terminated"), spoolValue: storedFailed, kind: failed})
 }
 
-// endUndelivered answers the client if it still waits for its reply, and else owes the platform a notice.
-func (s *Server) endUndelivered(id dispatch.MessageID, how undelivered) {
+// endUndelivered ends a message that was not delivered. It replies to clients that still wait for a reply,
+// and otherwise notifies the platform.
+func (s *Server) endUndelivered(id dispatch.MessageID, end undelivered) {
 	message := s.messages[id]
 	if message == nil || message.ended {
 		return
 	}
 	message.ended = true
 	s.counters.ended()
-	s.count(message.stored.Class, how.kind)
-	// A client hears that a message was not taken on only once the folder does not hold it: else it would be owed after a restart, and run
-	// twice where its client submits it again. Where the folder fails, the message is taken on and then ends by a notice.
+	s.count(message.stored.Class, end.kind)
+	// A client is told that its message was not accepted only after the spool has dropped it. Otherwise a
+	// restart would recover the message, and it could run twice if the client submits it again. If the
+	// spool cannot drop it, the client is told that the message was accepted, and the message then ends
+	// with a notice.
 	if len(message.waiting) > 0 && s.discard(message) {
-		for _, rep := range message.waiting {
-			rep.text = how.reply
+		for _, waitingReply := range message.waiting {
+			waitingReply.text = end.reply
 		}
 	} else {
 		s.finished.add(message, s.now)
-		s.logSpoolError(s.spool.Finish(message.stored.ID, how.stored, how.retryAfterMs))
+		s.logSpoolError(s.spool.Finish(message.stored.ID, end.spoolValue, end.retryAfterMs))
 		s.discovery.addNotice(message.stored)
 	}
 	s.forget(message)
 }
 
-// discard reports whether the folder has taken in that a message is not owed.
+// discard drops a message from the spool and reports whether that succeeded.
 func (s *Server) discard(message *message) bool {
 	err := s.spool.Discard(message.stored.ID)
 	s.logSpoolError(err)
 	return err == nil
 }
 
-// finish ends a message for which nothing more is owed.
+// finish ends a message that needs neither a reply nor a notice.
 func (s *Server) finish(message *message) {
 	if !message.ended {
 		message.ended = true
@@ -138,7 +145,7 @@
 	}
 }
 
-// forget drops a message that has ended, once no call with it is in flight.
+// forget removes a message that has ended and has no attempts in flight.
 func (s *Server) forget(message *message) {
 	if message.ended && message.inFlight == 0 {
 		delete(s.messages, dispatch.MessageID(message.stored.ID))
--- a/server/queue.go
+++ b/server/queue.go
@@ -11,16 +11,17 @@
 	"pineport/server/endpointconn"
 )
 
-// pausedAfter is more than a loaded machine delays a timer by, and less than an answer takes.
-const pausedAfter = 50 * 1000
+// pauseThreshold is longer than timers are delayed on a loaded machine and shorter than an endpoint takes
+// to answer.
+const pauseThreshold = 50 * 1000
 
 const hour = 3600 * 1000 * 1000
 
-// catchUpAfterPause takes in what came while this process was paused, before anything is judged overdue: its own delay would pass for
-// silence of the endpoints.
+// catchUpAfterPause handles events that arrived while this process was paused, before any timeout is
+// checked. Otherwise the pause would look like endpoints that do not answer.
 func (s *Server) catchUpAfterPause(due dispatch.Micros) {
-	for waited := 0; s.clock()-due > pausedAfter && waited < 4; waited++ {
-		time.Sleep(pausedAfter / 2 * time.Microsecond)
+	for rounds := 0; s.clock()-due > pauseThreshold && rounds < 4; rounds++ {
+		time.Sleep(pauseThreshold / 2 * time.Microsecond)
 		if len(s.queue) == 0 {
 			return
 		}
@@ -28,7 +29,7 @@
 	}
 }
 
-// drainQueues handles all events that have come by now.
+// drainQueues handles all queued events.
 func (s *Server) drainQueues() {
 	for range len(s.control) {
 		s.handle(<-s.control)
@@ -43,29 +44,30 @@
 	}
 }
 
-// event is something that happened outside of the loop. Other goroutines queue events; handle runs on the loop's.
+// event is something that happened outside of the event loop. Other goroutines queue events, and the event
+// loop calls handle.
 type event interface{ handle(*Server) }
 
-// The events that are not declared beside the part they are for.
+// Events that are not declared next to the code that handles them.
 type (
-	// clientEvent is an event of a client's connection.
+	// clientEvent is an event of a client connection.
 	clientEvent struct{ clientconn.Event }
-	// endpointEvent is an event of a connection that this courier opened.
+	// endpointEvent is an event of an outgoing connection.
 	endpointEvent struct{ endpointconn.Event }
-	// configReloaded brings a configuration that was read anew and found valid.
+	// configReloaded carries a valid configuration that was reloaded.
 	configReloaded struct{ deployment *config.Deployment }
 )
 
-func (e clientEvent) handle(s *Server)      { s.handleClient(e.Event) }
-func (e endpointEvent) handle(s *Server)    { s.handleEndpointConn(e.Event) }
-func (e configReloaded) handle(s *Server)   { s.reload(e.deployment) }
-func (e command) handle(s *Server)          { s.operators.execute(e) }
-func (e successorArrived) handle(s *Server) { s.handoff.successorArrived(e) }
-func (e peerMessage) handle(s *Server)      { s.handoff.messageReceived(e) }
-func (e sharesAgreed) handle(s *Server)     { s.applyShares(e) }
+func (e clientEvent) handle(s *Server)    { s.handleClient(e.Event) }
+func (e endpointEvent) handle(s *Server)  { s.handleEndpointConn(e.Event) }
+func (e configReloaded) handle(s *Server) { s.reload(e.deployment) }
+func (e command) handle(s *Server)        { s.admin.execute(e) }
+func (e successorReady) handle(s *Server) { s.handoff.successorReady(e) }
+func (e peerMessage) handle(s *Server)    { s.handoff.messageReceived(e) }
+func (e sharesUpdated) handle(s *Server)  { s.applyShares(e) }
 
-// handle hands an event to the part that it is for; nil, where only time has passed, is nobody's. A panic over a command is answered with
-// an error, and costs nobody else anything.
+// handle dispatches an event to its handler. A nil event only updates the time. If a client command panics,
+// its client gets an error reply and other clients are not affected.
 func (s *Server) handle(e event) {
 	s.now = s.clock()
 	repliesBefore := len(s.replies)
@@ -80,7 +82,7 @@
 	}
 }
 
-// answerAfterPanic answers the commands of an event over which the loop panicked.
+// answerAfterPanic replies to the commands of an event whose handler panicked.
 func (s *Server) answerAfterPanic(e event, repliesBefore int) {
 	client, ok := e.(clientEvent)
 	if !ok {
--- a/server/quota.go
+++ b/server/quota.go
@@ -7,67 +7,68 @@
 	"pineport/quota"
 )
 
-// sharesAgreed is what couriers have agreed on about limits, on its way to the dispatcher.
-type sharesAgreed struct {
-	parts   []quota.Share
-	epoch   time.Time // their clock's
+// sharesUpdated carries the quota shares agreed among couriers to the dispatcher.
+type sharesUpdated struct {
+	shares  []quota.Share
+	epoch   time.Time // zero of the times in shares
 	applied chan struct{}
 }
 
-// demandsInterval is how old the demands of the dispatcher may be.
+// demandsInterval is the maximum age of the published demands.
 const demandsInterval = 100 * 1000
 
-// ApplyShares hands the dispatcher the shares that hold, at its next step; the channel is closed after that. It never waits: nil where the
-// loop cannot take it now. Any goroutine may call it.
-func (s *Server) ApplyShares(parts []quota.Share, zero time.Time) (applied <-chan struct{}) {
-	agreed := sharesAgreed{parts, zero, make(chan struct{})}
+// ApplyShares passes the current quota shares to the dispatcher at its next step. The returned channel is
+// closed after that step. ApplyShares does not block: it returns nil if the control queue is full. Any
+// goroutine may call it.
+func (s *Server) ApplyShares(shares []quota.Share, epoch time.Time) (applied <-chan struct{}) {
+	update := sharesUpdated{shares, epoch, make(chan struct{})}
 	select {
-	case s.control <- agreed:
-		return agreed.applied
+	case s.control <- update:
+		return update.applied
 	default:
 		return nil
 	}
 }
 
-// Demands returns what the dispatcher last reported of its groups. Any goroutine may call it.
+// Demands returns the demands per group that the dispatcher last reported. Any goroutine may call it.
 func (s *Server) Demands() []dispatch.Demand {
-	if all := s.demands.Load(); all != nil {
-		return *all
+	if demands := s.demands.Load(); demands != nil {
+		return *demands
 	}
 	return nil
 }
 
-// sharesQuota reports whether limits are shared among couriers at all.
+// sharesQuota reports whether couriers share limits.
 func (s *Server) sharesQuota() bool { return s.deployment.Peers.Sharing() }
 
-// reserveGranted is called at each start of a dispatcher: an earlier start, or a dispatcher that panicked, may have granted half of each
-// share.
+// reserveGranted reserves half of each quota share when a dispatcher starts: an earlier process, or a
+// dispatcher that panicked, may have granted that half to other couriers.
 func (s *Server) reserveGranted() {
 	if s.sharesQuota() {
 		s.grantedUntil = s.clock() + quota.GrantHorizon
 	}
 }
 
-// applyShares hands the dispatcher the shares that hold.
-func (s *Server) applyShares(agreed sharesAgreed) {
+// applyShares passes the current quota shares to the dispatcher.
+func (s *Server) applyShares(update sharesUpdated) {
 	if s.handoff.handedOver {
-		return // another process decides, and has been reported nothing
+		return // the successor runs the dispatcher, and applied stays open
 	}
 	at := func(t dispatch.Micros) dispatch.Micros {
-		return dispatch.Micros(s.courierClock.At(agreed.epoch.Add(time.Duration(t) * time.Microsecond)))
+		return dispatch.Micros(s.courierClock.At(update.epoch.Add(time.Duration(t) * time.Microsecond)))
 	}
-	s.events = append(s.events, quota.ToDispatch(agreed.parts, at))
-	s.operators.replies = append(s.operators.replies, func() { close(agreed.applied) })
+	s.events = append(s.events, quota.ToDispatch(update.shares, at))
+	s.admin.pendingResults = append(s.admin.pendingResults, func() { close(update.applied) })
 }
 
-// publishDemands collects the demands of the dispatcher, now and then.
+// publishDemands publishes the demands of the dispatcher once per demandsInterval.
 func (s *Server) publishDemands() {
-	if !s.sharesQuota() || s.now < s.demandsAt {
+	if !s.sharesQuota() || s.now < s.nextDemandsAt {
 		return
 	}
-	s.demandsAt = s.now + demandsInterval
-	if d, ok := s.dispatcher.(dispatch.Demander); ok {
-		all := d.Demands()
-		s.demands.Store(&all)
+	s.nextDemandsAt = s.now + demandsInterval
+	if demander, ok := s.dispatcher.(dispatch.Demander); ok {
+		demands := demander.Demands()
+		s.demands.Store(&demands)
 	}
 }
