--- a/server/recovery.go
+++ b/server/recovery.go
@@ -10,8 +10,9 @@
 	"pineport/spool"
 )
 
-// restartDispatcher hands all unfinished messages to a new dispatcher, without what the one that panicked had learned. Where that panics
-// again over them, they fail, so that one message cannot stop all others for ever.
+// restartDispatcher starts a new dispatcher with all unfinished messages and without the learned state of
+// the one that panicked. If the dispatcher panics twice in a row, all unfinished messages fail, so that one
+// message cannot block all others forever.
 func (s *Server) restartDispatcher() {
 	if s.handoff.handedOver {
 		return
@@ -22,25 +23,25 @@
 	}
 	s.events, s.dispatcher, s.timerAt = nil, s.newDispatcher(), never
 	s.shadow.start(s)
-	held := make([]*message, 0, len(s.messages))
+	unfinished := make([]*message, 0, len(s.messages))
 	for _, message := range s.messages {
-		held = append(held, message)
+		unfinished = append(unfinished, message)
 	}
-	slices.SortFunc(held, func(a, b *message) int { return cmp.Compare(a.stored.Number, b.stored.Number) })
-	news := dispatch.EndpointUpdate{Kind: dispatch.CachedList}
+	slices.SortFunc(unfinished, func(a, b *message) int { return cmp.Compare(a.stored.Number, b.stored.Number) })
+	update := dispatch.EndpointUpdate{Kind: dispatch.CachedList}
 	for _, id := range slices.Sorted(maps.Keys(s.endpoints)) {
-		if l, ok := s.endpointEntry(s.endpoints[id]); ok {
-			news.Entries = append(news.Entries, l)
+		if entry, ok := s.endpointEntry(s.endpoints[id]); ok {
+			update.Entries = append(update.Entries, entry)
 		}
 	}
-	s.events = append(s.events, news)
+	s.events = append(s.events, update)
 	s.discovery.resume()
-	s.operators.replayDisabled()
+	s.admin.replayDisabled()
 	if s.shutdownBy < never {
 		s.events = append(s.events, dispatch.ShutdownScheduled{At: s.shutdownBy})
 	}
 	s.dispatcherFailures++
-	for _, message := range held {
+	for _, message := range unfinished {
 		if s.dispatcherFailures > 1 {
 			s.fail(dispatch.MessageID(message.stored.ID))
 		} else if !message.ended {
@@ -49,34 +50,34 @@
 	}
 }
 
-// recoverMessages hands what the spool held to the dispatcher.
-func (s *Server) recoverMessages(unfinished []*spool.Message, given *handoff.State) {
-	out := map[handoff.AttemptID]dispatch.Micros{}
-	if given != nil {
-		for _, o := range given.InFlight {
-			out[handoff.AttemptID{Message: o.Message, Attempt: o.Attempt}] = o.WaitUntil
+// recoverMessages passes the messages read from the spool to the dispatcher.
+func (s *Server) recoverMessages(unfinished []*spool.Message, inherited *handoff.State) {
+	waitUntil := map[handoff.AttemptID]dispatch.Micros{}
+	if inherited != nil {
+		for _, attemptID := range inherited.InFlight {
+			waitUntil[handoff.AttemptID{Message: attemptID.Message, Attempt: attemptID.Attempt}] = attemptID.WaitUntil
 		}
 	}
-	for _, kept := range unfinished {
-		if kept.Ended != "" {
-			s.discovery.addNotice(kept)
+	for _, stored := range unfinished {
+		if stored.Ended != "" {
+			s.discovery.addNotice(stored)
 			continue
 		}
-		if slices.Index(s.deployment.Classes, kept.Class) < 0 {
-			s.log.Warn("message of an unknown class", "message", kept.ID, "class", kept.Class)
-			s.logSpoolError(s.spool.Finish(kept.ID, storedFailed, 0))
-			s.discovery.addNotice(kept)
+		if slices.Index(s.deployment.Classes, stored.Class) < 0 {
+			s.log.Warn("recovered message has an unknown class; it ends as failed", "message", stored.ID, "class", stored.Class)
+			s.logSpoolError(s.spool.Finish(stored.ID, storedFailed, 0))
+			s.discovery.addNotice(stored)
 			continue
 		}
-		message := &message{stored: kept, acceptedAt: s.now, idempotencyWindow: s.idempotencyWindow(kept.Class)}
-		for i := range kept.Attempts {
-			attempt := &attempt{message: message, number: i, sentAt: dispatch.Micros(kept.Attempts[i].SentAt), stored: true, finished: true}
+		message := &message{stored: stored, acceptedAt: s.now, idempotencyWindow: s.idempotencyWindow(stored.Class)}
+		for i := range stored.Attempts {
+			attempt := &attempt{message: message, number: i, sentAt: dispatch.Micros(stored.Attempts[i].SentAt), stored: true, finished: true}
 			message.attempts = append(message.attempts, attempt)
-			if limit, ok := out[handoff.AttemptID{Message: kept.ID, Attempt: i}]; ok {
+			if limit, ok := waitUntil[handoff.AttemptID{Message: stored.ID, Attempt: i}]; ok {
 				s.handoff.adoptAttempt(attempt, limit)
 			}
 		}
-		s.messages[dispatch.MessageID(kept.ID)] = message
+		s.messages[dispatch.MessageID(stored.ID)] = message
 		s.counters.accepted()
 		s.events = append(s.events, s.recoveredEvent(message))
 	}
@@ -85,16 +86,17 @@
 	}
 }
 
-// recoveredEvent returns a message that was held before this dispatcher as an event.
+// recoveredEvent returns the dispatcher event for a message that was accepted before this dispatcher
+// started.
 func (s *Server) recoveredEvent(message *message) dispatch.MessageRecovered {
-	e := dispatch.MessageRecovered{MessageAccepted: s.acceptedEvent(message.stored)}
-	for i, t := range message.stored.Attempts {
-		outcome, known := outcomes[t.Outcome]
+	recovered := dispatch.MessageRecovered{MessageAccepted: s.acceptedEvent(message.stored)}
+	for i, past := range message.stored.Attempts {
+		outcome, known := outcomes[past.Outcome]
 		if !known {
-			outcome = dispatch.Broken // nothing was heard: it may have run
+			outcome = dispatch.Broken // no outcome is stored, so the attempt may have run
 		}
-		e.Attempts = append(e.Attempts, dispatch.PastAttempt{Endpoint: dispatch.EndpointID(t.Endpoint), Zone: dispatch.ZoneID(t.Zone),
-			SentAt: dispatch.Micros(t.SentAt), Outcome: outcome, InFlight: !message.attempts[i].finished})
+		recovered.Attempts = append(recovered.Attempts, dispatch.PastAttempt{Endpoint: dispatch.EndpointID(past.Endpoint), Zone: dispatch.ZoneID(past.Zone),
+			SentAt: dispatch.Micros(past.SentAt), Outcome: outcome, InFlight: !message.attempts[i].finished})
 	}
-	return e
+	return recovered
 }
--- a/server/reload.go
+++ b/server/reload.go
@@ -8,15 +8,16 @@
 	"pineport/snapshot"
 )
 
-// OnReload has f called for each configuration that was taken over, for what the process itself must set.
+// OnReload sets f to be called with each reloaded configuration, for settings of the whole process.
 func (s *Server) OnReload(f func(*config.Deployment)) { s.onReload = f }
 
-// reload takes over a reloaded configuration while messages are held: unfinished messages, attempts in flight and Retry-After stay as they
-// are, and messages keep what they were promised when they were accepted. What must wait for a restart is logged.
+// reload applies a reloaded configuration. Unfinished messages, attempts in flight and Retry-After times
+// are kept, and messages keep the terms under which they were accepted. Settings that need a restart are
+// logged.
 func (s *Server) reload(next *config.Deployment) {
 	waiting := s.deployment.Waiting(next)
 	merged := s.deployment.Merged(next)
-	if s.handoff.handedOver { // another process decides, by what it has read itself; should it go, the next event loop here begins with this
+	if s.handoff.handedOver { // the successor has read the configuration itself; if this process resumes, its next event loop starts with the merged one
 		s.deployment = merged
 		if s.onReload != nil {
 			s.onReload(merged)
@@ -25,11 +26,11 @@
 	}
 	s.log.Info("configuration reloaded", "discovery", merged.Discovery)
 	if len(waiting) > 0 {
-		s.log.Warn("changes apply at the next start", "keys", waiting)
+		s.log.Warn("some settings take effect after a restart", "keys", waiting)
 	}
 	old := s.deployment
 	s.deployment = merged
-	s.operators.reloads++
+	s.admin.reloads++
 	if old.Discovery != merged.Discovery {
 		s.discovery.addressChanged(old.Discovery)
 	}
@@ -43,9 +44,9 @@
 		s.events = append(s.events, dispatch.Reconfigured{Config: s.dispatchConfig()})
 		s.shadow.reconfigure(s)
 	}
-	for name := range merged.Retired { // the decisions need not hear of it: they end what is held, and get no more
+	for name := range merged.Retired { // the dispatcher is not told: it finishes the remaining messages of the class and gets no new ones
 		if !old.Retired[name] {
-			s.log.Warn("class removed", "class", name, "unfinished", s.countHeld(name))
+			s.log.Warn("class removed", "class", name, "unfinished", s.countUnfinished(name))
 		}
 	}
 	if s.onReload != nil {
@@ -53,8 +54,8 @@
 	}
 }
 
-// countHeld counts the unfinished messages of a class.
-func (s *Server) countHeld(class string) (n int) {
+// countUnfinished returns the number of unfinished messages of a class.
+func (s *Server) countUnfinished(class string) (n int) {
 	for _, message := range s.messages {
 		if !message.ended && message.stored.Class == class {
 			n++
@@ -63,7 +64,7 @@
 	return n
 }
 
-// SpoolLimit is the spool's part of the state folder, in bytes.
+// SpoolLimit returns the size limit of the spool within the state folder, in bytes.
 func SpoolLimit(dep *config.Deployment) int64 {
 	folder := int64(dep.SpoolMB * 1e6)
 	left := folder - clock.Reserve
--- a/server/repeat_window_test.go
+++ b/server/repeat_window_test.go
@@ -12,17 +12,17 @@
 	"pineport/testbed/scripted"
 )
 
-// lateEndpoint is an endpoint whose connections come up when the test says: meanwhile its system drops what asks for one, and
-// whoever asks asks again a second later.
-type lateEndpoint struct {
+// slowEndpoint is an endpoint that accepts connections only when the test allows it. Until then the kernel
+// drops connection requests, and the client's kernel retries after 1 s.
+type slowEndpoint struct {
 	*net.TCPListener
-	plugs []net.Conn
+	backlogConns []net.Conn
 }
 
-// stuff fills the queue of connections not accepted, which is made as short as can be.
-func (l *lateEndpoint) stuff(t *testing.T) {
+// fillBacklog sets the listen backlog to its minimum and fills it.
+func (endpoint *slowEndpoint) fillBacklog(t *testing.T) {
 	t.Helper()
-	raw, err := l.SyscallConn()
+	raw, err := endpoint.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,22 +30,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	const most = 8
-	for range most {
-		conn, err := net.DialTimeout("tcp", l.Addr().String(), 50*time.Millisecond)
+	const maxConns = 8
+	for range maxConns {
+		conn, err := net.DialTimeout("tcp", endpoint.Addr().String(), 50*time.Millisecond)
 		if err != nil {
 			return
 		}
-		l.plugs = append(l.plugs, conn)
+		endpoint.backlogConns = append(endpoint.backlogConns, conn)
 	}
-	t.Fatal("this system queues connections without end: the endpoint cannot be made late")
+	t.Fatal("the listen backlog cannot be filled on this system")
 }
 
-// unstuff empties it again.
-func (l *lateEndpoint) unstuff(t *testing.T) {
+// drainBacklog accepts and closes the connections in the backlog.
+func (endpoint *slowEndpoint) drainBacklog(t *testing.T) {
 	t.Helper()
-	for range l.plugs {
-		conn, err := l.Accept()
+	for range endpoint.backlogConns {
+		conn, err := endpoint.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -53,15 +53,16 @@
 	}
 }
 
-// TestRetryStopsAtIdempotencyWindow. Failure: a repeat was decided within the window in which its idempotency key is known, its connection
-// took a second to come up, and the call went out after the window was over.
+// TestRetryStopsAtIdempotencyWindow. Failure: a retry was decided within the window in which its
+// idempotency key is recognized, its connection took 1 s to open, and the call was sent after the window
+// had ended.
 func TestRetryStopsAtIdempotencyWindow(t *testing.T) {
 	const window = time.Second
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	endpoint := &lateEndpoint{TCPListener: l.(*net.TCPListener)}
+	endpoint := &slowEndpoint{TCPListener: listener.(*net.TCPListener)}
 	defer endpoint.Close()
 	endpoint.SetDeadline(time.Now().Add(20 * time.Second))
 	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
@@ -69,7 +70,7 @@
 		t.Fatal(err)
 	}
 	defer world.Close()
-	world.Endpoints[0] = l.Addr().String()
+	world.Endpoints[0] = listener.Addr().String()
 	listen := server.StartCourier(t, world, func(text []byte) []byte {
 		for from, to := range map[string]string{`"single_shot"`: `"guarded"`, `"dedup-window-s": 5`: `"dedup-window-s": 1`,
 			`"connect-timeout-s": 1`: `"connect-timeout-s": 3`} {
@@ -80,9 +81,9 @@
 		}
 		return text
 	})
-	client := &visitor{listen: listen}
-	defer client.leave()
-	for reply := ""; reply != "+OK"; reply, _ = client.asks("keyed", knownDest) {
+	client := &testClient{listen: listen}
+	defer client.disconnect()
+	for reply := ""; reply != "+OK"; reply, _ = client.submit("keyed", knownDest) {
 		time.Sleep(10 * time.Millisecond)
 	}
 	first, err := endpoint.Accept()
@@ -92,31 +93,31 @@
 	if err := readRequest(bufio.NewReader(first)); err != nil {
 		t.Fatal(err)
 	}
-	called := time.Now()
-	endpoint.stuff(t)
-	first.Close() // without an answer: it may have run
+	firstCallAt := time.Now()
+	endpoint.fillBacklog(t)
+	first.Close() // without an answer, so the message may have run
 	time.Sleep(window / 2)
-	endpoint.unstuff(t)
+	endpoint.drainBacklog(t)
 	second, err := endpoint.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer second.Close()
-	up := time.Since(called)
+	openedAfter := time.Since(firstCallAt)
 	second.SetReadDeadline(time.Now().Add(500 * time.Millisecond))
-	if n, _ := second.Read(make([]byte, 4096)); n > 0 && time.Since(called) > window {
-		t.Errorf("the repeat went out %v after the first call, over a connection that was up after %v: its window is %v", time.Since(called), up, window)
+	if n, _ := second.Read(make([]byte, 4096)); n > 0 && time.Since(firstCallAt) > window {
+		t.Errorf("the retry was sent %v after the first call, over a connection opened after %v; the window is %v", time.Since(firstCallAt), openedAfter, window)
 	}
-	if up < window {
-		t.Fatalf("the connection was up after %v, within the window: nothing was shown", up)
+	if openedAfter < window {
+		t.Fatalf("the connection was opened after %v, within the window, so the test shows nothing", openedAfter)
 	}
 	for deadline := time.Now().Add(5 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 		if _, _, notices := world.Seen("keyed"); len(notices) > 0 {
-			t.Logf("the connection was up %v after the first call; the message ended as %v", up.Round(time.Millisecond), notices)
+			t.Logf("the connection was opened %v after the first call; the message ended with %v", openedAfter.Round(time.Millisecond), notices)
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("it never got its final answer")
+			t.Fatal("no notice for the message within 5 s")
 		}
 	}
 }
--- a/server/server.go
+++ b/server/server.go
@@ -1,5 +1,6 @@
-// Package server is the event loop of a courier: one goroutine owns the dispatch.Dispatcher and all that is known of messages, gathers
-// events, steps the dispatcher and carries its actions out. It decides nothing. docs/ARCHITECTURE.md has the way of a message through it.
+// Package server implements the event loop of a courier. One goroutine owns the dispatch.Dispatcher and the
+// state of all messages, collects events, steps the dispatcher and executes its actions. All decisions are
+// the dispatcher's. docs/ARCHITECTURE.md describes the path of a message through the event loop.
 package server
 
 import (
@@ -24,27 +25,28 @@
 
 const never = dispatch.Micros(math.MaxInt64)
 
-// queueSize bounds the events that wait for the loop; when it is full the poller reads on later. 256 took 70 MB of small commands from five
-// clients that read no replies.
+// queueSize bounds the queue of connection events. When it is full, the poller blocks. A size of 256 took
+// 70 MB with small commands from five clients that did not read their replies.
 const queueSize = 64
 
-// dispatcher is what the loop needs of a dispatch.Dispatcher.
+// dispatcher is the part of dispatch.Dispatcher that the event loop always needs.
 type dispatcher interface {
 	Handle(dispatch.Micros, []dispatch.Event) []dispatch.Action
 }
 
-// Server is the event loop of one courier. The goroutine of Run owns it; methods that other goroutines may call say so.
+// Server is the event loop of one courier. The goroutine of Run owns it. Methods that other goroutines may
+// call are documented as such.
 type Server struct {
 	deployment         *config.Deployment
 	log                *slog.Logger
-	tracer             *slog.Logger // the decisions, for a replay
+	tracer             *slog.Logger // logs the dispatcher's events and actions, for replay
 	dispatcher         dispatcher
 	newDispatcher      func() dispatcher
-	dispatcherFailures int // how often in a row the decisions did
+	dispatcherFailures int // consecutive panics
 	spool              *spool.Spool
 	driver             *transport.Driver
 	queue              chan event
-	control            chan event // operators and the other process of an upgrade, served before the inbox
+	control            chan event // events from operators, the fleet and the other process of an upgrade, handled before queue
 
 	courierClock       *clock.Clock
 	now                dispatch.Micros
@@ -54,9 +56,9 @@
 	messages           map[dispatch.MessageID]*message
 	inFlight           []*attempt // oldest first
 	endpoints          map[dispatch.EndpointID]protocol.Host
-	suspects           map[dispatch.EndpointID]bool // listed ones of which a list told what could not be used; they get nothing new
-	destinations       map[int]dispatch.Micros      // known destinations, and until when
-	retryAfter         map[string]dispatch.Micros   // reported by a route, until when; the decisions keep their own
+	suspects           map[dispatch.EndpointID]bool // listed endpoints that unusable list entries may refer to; they get no new messages
+	destinations       map[int]dispatch.Micros      // known destinations and when each expires; never while it has listed endpoints
+	retryAfter         map[string]dispatch.Micros   // end of the Retry-After per group key; the dispatcher keeps its own copy
 	endpointConns      *endpointconn.Pool
 	clients            *clientconn.Set
 	finished           finishedMessages
@@ -65,65 +67,65 @@
 	snapshots          snapshotSchedule
 	shadow             shadowState
 	counters           counters
-	operators          adminState
+	admin              adminState
 	handoff            handoffState
-	onReload           func(*config.Deployment)   // called for each configuration that is taken over
-	onHandoff          func() *handoff.Membership // gives up this process's place in the fleet
-	estimatedSize      atomic.Int64               // of the fleet, by its membership; 0 if unknown
-	appliedSize        int64
-	configuredCouriers int // couriers, as the decisions were notified
+	onReload           func(*config.Deployment)   // called with each reloaded configuration
+	onHandoff          func() *handoff.Membership // gives up this process's membership in the fleet
+	estimatedFleetSize atomic.Int64               // from the membership; 0 if unknown
+	appliedFleetSize   int64
+	reportedCouriers   int // fleet size last passed to the dispatcher
 	demands            atomic.Pointer[[]dispatch.Demand]
-	demandsAt          dispatch.Micros
-	grantedUntil       dispatch.Micros // until then an earlier start may have granted half of each part
+	nextDemandsAt      dispatch.Micros
+	grantedUntil       dispatch.Micros // until then, half of each quota share may be granted to other couriers
 	spoolRetryAt       dispatch.Micros
 	shutdownBy         dispatch.Micros
 	exiting            bool
-	exitBy             dispatch.Micros // while leaving: until then at the latest
-	drainAt            dispatch.Micros // from here on clients' connections are closed between requests
+	closeClientsBy     dispatch.Micros // during exit, the latest time for closing client connections
+	drainAt            dispatch.Micros // when to close client connections between requests
 }
 
-// New returns an event loop over an open spool; unfinished is what the spool still held. given is what a predecessor handed over, nil where
-// none did; times in both are those of the clock.
-func New(dep *config.Deployment, sp *spool.Spool, unfinished []*spool.Message, given *handoff.State, clk *clock.Clock, log *slog.Logger) (*Server, error) {
-	r := &Server{deployment: dep, log: log, spool: sp, queue: make(chan event, queueSize), control: make(chan event, controlQueueSize),
-		courierClock: clk, timerAt: never, shutdownBy: never, drainAt: never, messages: map[dispatch.MessageID]*message{},
+// New returns an event loop with an open spool. unfinished are the messages read from that spool. inherited
+// is the state handed over by a predecessor, or nil. Times in both are those of courierClock.
+func New(dep *config.Deployment, messageSpool *spool.Spool, unfinished []*spool.Message, inherited *handoff.State, courierClock *clock.Clock, log *slog.Logger) (*Server, error) {
+	s := &Server{deployment: dep, log: log, spool: messageSpool, queue: make(chan event, queueSize), control: make(chan event, controlQueueSize),
+		courierClock: courierClock, timerAt: never, shutdownBy: never, drainAt: never, messages: map[dispatch.MessageID]*message{},
 		endpoints: map[dispatch.EndpointID]protocol.Host{}, suspects: map[dispatch.EndpointID]bool{}, retryAfter: map[string]dispatch.Micros{}, destinations: map[int]dispatch.Micros{}}
-	r.tracer = log.With(logging.Component, "decisions")
-	r.now = r.clock()
-	r.newDispatcher = func() dispatcher {
-		r.reserveGranted()
-		ch := r.dispatchConfig()
-		r.configuredCouriers = ch.Couriers
-		return dispatch.New(ch)
+	s.tracer = log.With(logging.Component, "decisions")
+	s.now = s.clock()
+	s.newDispatcher = func() dispatcher {
+		s.reserveGranted()
+		cfg := s.dispatchConfig()
+		s.reportedCouriers = cfg.Couriers
+		return dispatch.New(cfg)
 	}
-	r.dispatcher = r.newDispatcher()
-	r.shadow.start(r)
-	r.endpointConns = r.newEndpointConns()
-	r.clients = clientconn.New(r.clientLimits(), r.clock, func(e clientconn.Event) { r.queue <- clientEvent{e} })
-	r.discovery.init(r)
-	r.counters.grow(len(dep.Classes))
-	r.operators.init(r)
+	s.dispatcher = s.newDispatcher()
+	s.shadow.start(s)
+	s.endpointConns = s.newEndpointConns()
+	s.clients = clientconn.New(s.clientLimits(), s.clock, func(event clientconn.Event) { s.queue <- clientEvent{event} })
+	s.discovery.init(s)
+	s.counters.grow(len(dep.Classes))
+	s.admin.init(s)
 	list, err := protocol.ReadCachedList(dep.Known)
 	if err != nil {
-		log.Warn("known endpoint list ignored", "key", "known", "error", err)
+		log.Warn("cached endpoint list ignored", "key", "known", "error", err)
 	}
-	r.handoff.init(r)
-	if given != nil && given.ListVersion >= list.Seq {
-		list = protocol.List{Seq: given.ListVersion, Whole: true, Hosts: given.Endpoints}
+	s.handoff.init(s)
+	if inherited != nil && inherited.ListVersion >= list.Seq {
+		list = protocol.List{Seq: inherited.ListVersion, Whole: true, Hosts: inherited.Endpoints}
 	}
-	if len(r.applyEndpoints(list, dispatch.CachedList)) == 0 {
-		r.discovery.version = list.Seq // else all is asked for
+	if len(s.applyEndpoints(list, dispatch.CachedList)) == 0 {
+		s.discovery.version = list.Seq // otherwise version stays 0 and the first poll returns the complete list
 	}
-	if given != nil {
-		r.handoff.takeOver(given)
+	if inherited != nil {
+		s.handoff.restoreState(inherited)
 	}
-	r.operators.replayDisabled()
-	r.recoverMessages(unfinished, given)
-	return r, nil
+	s.admin.replayDisabled()
+	s.recoverMessages(unfinished, inherited)
+	return s, nil
 }
 
-// Run listens and works until stop is closed, and then for as long as grace allows. Configurations from reloads are taken over as far as a
-// running process can.
+// Run listens and runs the event loop until stop is closed, and then shuts down gracefully within grace. It
+// applies reloaded configurations, except for settings that need a restart.
 func (s *Server) Run(stop <-chan struct{}, reloads <-chan *config.Deployment, grace time.Duration) error {
 	if err := s.startServing(stop); err != nil {
 		return err
@@ -159,11 +161,12 @@
 	}
 }
 
-// listenRetry is how often it is tried to listen, where this machine is short of something.
+// listenRetry is the interval between attempts to listen while a resource such as file descriptors is
+// exhausted.
 const listenRetry = 50 * time.Millisecond
 
-// startServing listens, and takes the first step, over what the loop was started with. Failure: a process that was started while no descriptor
-// could be had ended, and what it had taken on waited for the next start.
+// startServing listens and runs the first step with the recovered state. Failure: a process that started
+// while no file descriptors were available exited, and its unfinished messages waited for the next start.
 func (s *Server) startServing(stop <-chan struct{}) error {
 	driver, err := s.openDriver()
 	for transport.IsShortage(err) {
@@ -181,7 +184,7 @@
 	s.driver = driver
 	s.discovery.start()
 	s.step()
-	s.operators.serving.Store(!s.operators.isDraining())
+	s.admin.serving.Store(!s.admin.isDraining())
 	s.handoff.announceServing()
 	s.log.Info("serving", "name", s.deployment.Name, "listen", s.deployment.Listen)
 	return nil
@@ -190,11 +193,11 @@
 func (s *Server) openDriver() (*transport.Driver, error) {
 	var inherited net.Listener
 	if s.deployment.Socket > 0 {
-		l, err := transport.Listener(s.deployment.Socket)
+		listener, err := transport.Listener(s.deployment.Socket)
 		if err != nil {
 			return nil, fmt.Errorf("socket_fd: %w", err)
 		}
-		inherited = l
+		inherited = listener
 	}
 	return transport.Open(s.deployment.Listen, inherited, s.deployment.Sockets, s.log, s.clients.Admit, s.clients.Accept)
 }
@@ -203,10 +206,10 @@
 	return dispatch.Micros(s.courierClock.Now())
 }
 
-// spoolRetryInterval is how often it is tried to write what the folder did not take.
+// spoolRetryInterval is the interval between attempts to write what could not be written to the spool.
 const spoolRetryInterval = 100 * 1000
 
-// spoolDue returns when the folder is tried again.
+// spoolDue returns the time of the next attempt to flush the spool.
 func (s *Server) spoolDue() dispatch.Micros {
 	if s.spool.Behind() {
 		return s.spoolRetryAt
@@ -214,7 +217,7 @@
 	return never
 }
 
-// flushSpool writes what the folder did not take, now and then.
+// flushSpool retries failed writes to the spool, at most once per spoolRetryInterval.
 func (s *Server) flushSpool() {
 	s.logSpoolError(s.spool.TakeFault())
 	if !s.spool.Behind() || s.now < s.spoolRetryAt {
@@ -224,7 +227,7 @@
 	s.logSpoolError(s.spool.Flush())
 }
 
-// logSpoolError logs what could not be written to the spool; the loop goes on with what is in memory.
+// logSpoolError logs an error of the spool. The event loop continues with the state in memory.
 func (s *Server) logSpoolError(err error) {
 	if err != nil {
 		s.log.Error("spool error", "error", err)
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -24,14 +24,14 @@
 	"pineport/transport"
 )
 
-// failing panics at the first message whose id begins so, each time or once.
-type failing struct {
+// panickingDispatcher panics on messages whose ids begin with idPrefix, for the given number of times.
+type panickingDispatcher struct {
 	dispatcher
-	at    string
-	times *int
+	idPrefix string
+	panics   *int
 }
 
-func (f failing) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
+func (f panickingDispatcher) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
 	for _, event := range events {
 		var id dispatch.MessageID
 		switch e := event.(type) {
@@ -40,29 +40,29 @@
 		case dispatch.MessageRecovered:
 			id = e.Message
 		}
-		if strings.HasPrefix(string(id), f.at) && *f.times > 0 {
-			*f.times--
-			panic("as if by a fault in the decisions")
+		if strings.HasPrefix(string(id), f.idPrefix) && *f.panics > 0 {
+			*f.panics--
+			panic("injected panic in the dispatcher")
 		}
 	}
 	return f.dispatcher.Handle(now, events)
 }
 
-// prepare makes an event loop with what a spool may already hold.
-func prepare(t *testing.T, world *scripted.World, held ...*spool.Message) *Server {
+// newTestServer returns an event loop whose spool holds the given unfinished messages.
+func newTestServer(t *testing.T, world *scripted.World, unfinished ...*spool.Message) *Server {
 	t.Helper()
-	return prepareEdited(t, world, func(text []byte) []byte { return text }, held...)
+	return newTestServerWithConfig(t, world, func(text []byte) []byte { return text }, unfinished...)
 }
 
-// prepareEdited is prepare by a configuration that edit may change.
-func prepareEdited(t *testing.T, world *scripted.World, edit func(text []byte) []byte, held ...*spool.Message) *Server {
+// newTestServerWithConfig is newTestServer with a configuration that edit may change.
+func newTestServerWithConfig(t *testing.T, world *scripted.World, edit func(text []byte) []byte, unfinished ...*spool.Message) *Server {
 	t.Helper()
 	dir := t.TempDir()
-	listen, letGo, err := port.Reserve()
+	listen, release, err := port.Reserve()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(letGo)
+	t.Cleanup(release)
 	path := filepath.Join(dir, "config.json")
 	if err := os.WriteFile(path, edit(world.Configuration("n0", listen)), 0o600); err != nil {
 		t.Fatal(err)
@@ -71,62 +71,64 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	kept, _, _, err := spool.Open(dir, 1e6)
+	messageSpool, _, _, err := spool.Open(dir, 1e6)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, r := range held {
-		if err := kept.Append(r); err != nil {
+	for _, message := range unfinished {
+		if err := messageSpool.Append(message); err != nil {
 			t.Fatal(err)
 		}
 	}
-	clk, err := clock.Open(dir, clock.System(), 0)
+	courierClock, err := clock.Open(dir, clock.System(), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := New(dep, kept, held, nil, clk, slog.New(slog.DiscardHandler))
+	s, err := New(dep, messageSpool, unfinished, nil, courierClock, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return r
+	return s
 }
 
-// serve runs an event loop in this process; its decisions fail so many times at messages whose ids begin with "bad".
-func serve(t *testing.T, world *scripted.World, times int) (listen string) {
+// startServer runs an event loop whose dispatcher panics, the given number of times, on messages whose ids
+// begin with "bad".
+func startServer(t *testing.T, world *scripted.World, panics int) (listen string) {
 	t.Helper()
-	r := prepare(t, world)
-	begin := r.newDispatcher
-	r.newDispatcher = func() dispatcher { return failing{begin(), "bad", &times} }
-	r.dispatcher = failing{r.dispatcher, "bad", &times}
-	return run(t, r)
+	s := newTestServer(t, world)
+	newDispatcher := s.newDispatcher
+	s.newDispatcher = func() dispatcher { return panickingDispatcher{newDispatcher(), "bad", &panics} }
+	s.dispatcher = panickingDispatcher{s.dispatcher, "bad", &panics}
+	return runServer(t, s)
 }
 
-// run runs an event loop until the test ends, and returns its address.
-func run(t *testing.T, r *Server) (listen string) {
+// runServer runs an event loop until the test ends and returns its address.
+func runServer(t *testing.T, s *Server) (listen string) {
 	t.Helper()
 	stop, ended := make(chan struct{}), make(chan error)
-	go func() { ended <- r.Run(stop, nil, 50*time.Millisecond) }()
+	go func() { ended <- s.Run(stop, nil, 50*time.Millisecond) }()
 	t.Cleanup(func() {
 		close(stop)
 		if err := <-ended; err != nil {
 			t.Error(err)
 		}
 	})
-	return r.deployment.Listen
+	return s.deployment.Listen
 }
 
-// StartCourier runs a courier in this process by a configuration that edit may change, and returns its address.
+// StartCourier runs a courier in this process with a configuration that edit may change, and returns its
+// address.
 func StartCourier(t *testing.T, world *scripted.World, edit func(text []byte) []byte) (listen string) {
 	t.Helper()
-	return run(t, prepareEdited(t, world, edit))
+	return runServer(t, newTestServerWithConfig(t, world, edit))
 }
 
-// handTo submits one message for a destination.
-func handTo(t *testing.T, listen, id string, dest int) string {
+// submitTo submits one message for a destination and returns the reply.
+func submitTo(t *testing.T, listen, id string, dest int) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", listen)
 	if err != nil {
-		return err.Error() // not up yet
+		return err.Error() // not listening yet
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(5 * time.Second))
@@ -139,7 +141,7 @@
 	return strings.TrimSpace(line)
 }
 
-func hand(t *testing.T, listen string, ids ...string) (replies []string) {
+func submit(t *testing.T, listen string, ids ...string) (replies []string) {
 	t.Helper()
 	var conn net.Conn
 	var err error
@@ -165,7 +167,7 @@
 	return replies
 }
 
-func open(t *testing.T, after time.Duration) *scripted.World {
+func openWorld(t *testing.T, after time.Duration) *scripted.World {
 	t.Helper()
 	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200, After: after} })
 	if err != nil {
@@ -190,17 +192,18 @@
 	return "never"
 }
 
-// TestDispatcherRestartsAfterPanic: what is out when they fail may have run, and is not sent again.
+// TestDispatcherRestartsAfterPanic: a message in flight when the dispatcher panics may have run, so it is
+// not sent again.
 func TestDispatcherRestartsAfterPanic(t *testing.T) {
-	world := open(t, 300*time.Millisecond)
-	listen := serve(t, world, 1)
-	hand(t, listen, "out")
+	world := openWorld(t, 300*time.Millisecond)
+	listen := startServer(t, world, 1)
+	submit(t, listen, "out")
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		if began, _, _ := world.Seen("out"); began > 0 {
 			break
 		}
 	}
-	if got := hand(t, listen, "bad", "next"); got[0] != "+OK" || got[1] != "+OK" {
+	if got := submit(t, listen, "bad", "next"); got[0] != "+OK" || got[1] != "+OK" {
 		t.Fatal(got)
 	}
 	for id, want := range map[string]string{"out": "undeliverable", "bad": "done", "next": "done"} {
@@ -209,11 +212,12 @@
 		}
 	}
 	if began, _, _ := world.Seen("out"); began != 1 {
-		t.Errorf("begun %d times", began)
+		t.Errorf("got %d calls", began)
 	}
 }
 
-// TestUnconfirmedNoticeIsRetried: a call that hangs holds up neither its own notice nor the next.
+// TestUnconfirmedNoticeIsRetried: a call that hangs delays neither the retry of its notice nor the next
+// notice.
 func TestUnconfirmedNoticeIsRetried(t *testing.T) {
 	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 500} })
 	if err != nil {
@@ -221,33 +225,33 @@
 	}
 	t.Cleanup(world.Close)
 	world.MuteNotices(1)
-	listen := serve(t, world, 0)
-	hand(t, listen, "first")
+	listen := startServer(t, world, 0)
+	submit(t, listen, "first")
 	began := time.Now()
 	if got := waitForEnd(t, world, "first"); got != "undeliverable" || time.Since(began) > noticeTimeout*time.Microsecond {
 		t.Errorf("first: %s after %v", got, time.Since(began))
 	}
-	hand(t, listen, "second")
+	submit(t, listen, "second")
 	if got := waitForEnd(t, world, "second"); got != "undeliverable" {
 		t.Errorf("second: %s", got)
 	}
 }
 
-// misbehaving is an endpoint that answers its first call with raw bytes, and the next ones well. It tells the number of
-// each call and the connection on which it came.
-func misbehaving(t *testing.T, world *scripted.World, raw string, stays bool) (calls chan [2]int) {
+// misbehavingEndpoint starts an endpoint that answers its first call with raw bytes and later calls
+// correctly. For each call it sends the number of the call and of the connection.
+func misbehavingEndpoint(t *testing.T, world *scripted.World, rawAnswer string, keepOpen bool) (calls chan [2]int) {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
-	world.Endpoints = []string{l.Addr().String()}
+	t.Cleanup(func() { listener.Close() })
+	world.Endpoints = []string{listener.Addr().String()}
 	calls = make(chan [2]int, 100)
-	var n atomic.Int64
+	var count atomic.Int64
 	go func() {
-		for up := 1; ; up++ {
-			conn, err := l.Accept()
+		for connection := 1; ; connection++ {
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -257,11 +261,11 @@
 					if _, err := conn.Read(make([]byte, 4096)); err != nil {
 						return
 					}
-					call := int(n.Add(1))
-					calls <- [2]int{call, up}
+					call := int(count.Add(1))
+					calls <- [2]int{call, connection}
 					if call > 1 {
 						conn.Write([]byte(okAnswer))
-					} else if conn.Write([]byte(raw)); !stays {
+					} else if conn.Write([]byte(rawAnswer)); !keepOpen {
 						return
 					}
 				}
@@ -273,72 +277,74 @@
 
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
-// TestEndpointsThatMisbehave: what a raw answer means for a message that must not run twice, where the connection ends
-// after it and where it stays: a malformed one has run, and nobody waits for the rest of it until no time is left. An end after a
-// refusal that did not announce it is left out: the second call may have gone out on the connection by then, and may have run.
-func TestEndpointsThatMisbehave(t *testing.T) {
+// TestMisbehavingEndpoint checks what a raw answer means for an at-most-once message, with the connection
+// closed after the answer or kept open. After a malformed answer the message counts as run, and the courier
+// does not wait for the rest of the answer until the deadline. Closing the connection after an unannounced
+// refusal is not tested: the second call may have been sent over it by then and may have run.
+func TestMisbehavingEndpoint(t *testing.T) {
 	const ended, stays = 1, 2
-	for raw, c := range map[string]struct {
+	for raw, tc := range map[string]struct {
 		kinds int
 		want  string
 	}{
-		"rubbish\r\n": {ended | stays, lost}, "": {ended, lost}, "HTTP/1.1 599 What\r\n\r\n": {ended | stays, lost},
-		"noise with no end": {ended | stays, lost}, "HTTP/1.1 503 Full\r\nX: y\r\n": {stays, lost},
-		"HTTP/1.1 500 No\r\nContent-Length: 9\r\n\r\ncut":                      {ended | stays, lost},
-		"HTTP/1.1 429 Full\r\nContent-Length: x\r\n\r\n":                       {ended | stays, lost},
-		"HTTP/1.1 429 Full\r\nContent-Length: 3000000000\r\n\r\nand on and on": {ended | stays, lost},
+		"rubbish\r\n": {ended | stays, undeliverable}, "": {ended, undeliverable}, "HTTP/1.1 599 What\r\n\r\n": {ended | stays, undeliverable},
+		"noise with no end": {ended | stays, undeliverable}, "HTTP/1.1 503 Full\r\nX: y\r\n": {stays, undeliverable},
+		"HTTP/1.1 500 No\r\nContent-Length: 9\r\n\r\ncut":                      {ended | stays, undeliverable},
+		"HTTP/1.1 429 Full\r\nContent-Length: x\r\n\r\n":                       {ended | stays, undeliverable},
+		"HTTP/1.1 429 Full\r\nContent-Length: 3000000000\r\n\r\nand on and on": {ended | stays, undeliverable},
 		"HTTP/1.1 200 OK\r\nBad header\r\n\r\n":                                {ended | stays, done},
 		"HTTP/1.1 200 OK\r\nContent-Le":                                        {ended | stays, done},
 		"HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\ncut":                      {ended | stays, done},
 		"HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n":                     {ended | stays, done},
-		"HTTP/1.1 100 Go":   {ended | stays, lost},
+		"HTTP/1.1 100 Go":   {ended | stays, undeliverable},
 		okAnswer + okAnswer: {ended | stays, done},
 		okAnswer + "noise":  {ended | stays, done},
 		"HTTP/1.1 100 Go\r\n\r\nHTTP/1.1 103 Hints\r\nA: b\r\n\r\n" + okAnswer:  {ended | stays, done},
 		"HTTP/1.1 200 OK\r\nX-Load-Report: ?=;\r\nContent-Length: 0\r\n\r\n":    {ended | stays, done},
-		"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n":                        {stays, again},
-		"HTTP/1.1 503 Full\r\nConnection: close\r\n\r\nbody":                    {ended, again},
-		"HTTP/1.1 504 No more\r\nContent-Length: 0\r\n\r\n":                     {stays, again},
-		"HTTP/1.1 504 No more\r\nConnection: close\r\n\r\n":                     {ended, again},
+		"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n":                        {stays, calledAgain},
+		"HTTP/1.1 503 Full\r\nConnection: close\r\n\r\nbody":                    {ended, calledAgain},
+		"HTTP/1.1 504 No more\r\nContent-Length: 0\r\n\r\n":                     {stays, calledAgain},
+		"HTTP/1.1 504 No more\r\nConnection: close\r\n\r\n":                     {ended, calledAgain},
 		"HTTP/1.1 410 Over\r\nContent-Length: 0\r\n\r\n" + "xx":                 {ended | stays, done},
-		"HTTP/1.1 100 Go\r\n\r\nHTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n": {stays, again},
+		"HTTP/1.1 100 Go\r\n\r\nHTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n": {stays, calledAgain},
 	} {
 		for _, kind := range []int{ended, stays} {
-			if c.kinds&kind == 0 {
+			if tc.kinds&kind == 0 {
 				continue
 			}
 			t.Run(fmt.Sprintf("%d %.40q", kind, raw), func(t *testing.T) {
 				t.Parallel()
-				answered(t, raw, kind == stays, c.want)
+				checkOutcome(t, raw, kind == stays, tc.want)
 			})
 		}
 	}
 }
 
-// How a message that must not run twice goes on after an answer.
-const lost, done, again = "undeliverable", "done", "second call"
+// Results of an at-most-once message after an answer.
+const undeliverable, done, calledAgain = "undeliverable", "done", "second call"
 
-// answered has an endpoint answer the first call for such a message with raw bytes, and holds what becomes of it against want.
-func answered(t *testing.T, raw string, stays bool, want string) {
+// checkOutcome has an endpoint answer the first call for an at-most-once message with raw bytes, and checks
+// the result of the message.
+func checkOutcome(t *testing.T, rawAnswer string, keepOpen bool, want string) {
 	t.Helper()
-	world := open(t, 0)
-	calls := misbehaving(t, world, raw, stays)
-	listen := serve(t, world, 0)
-	hand(t, listen, "one")
+	world := openWorld(t, 0)
+	calls := misbehavingEndpoint(t, world, rawAnswer, keepOpen)
+	listen := startServer(t, world, 0)
+	submit(t, listen, "one")
 	<-calls
 	got := done
 	for deadline := time.Now().Add(1500 * time.Millisecond); time.Now().Before(deadline) && got == done; time.Sleep(10 * time.Millisecond) {
 		if _, _, notices := world.Seen("one"); len(notices) > 0 {
 			got = notices[0]
 		} else if len(calls) > 0 {
-			got = again
+			got = calledAgain
 		}
 	}
 	if got != want {
-		t.Fatalf("ended by %s, want %s", got, want)
+		t.Fatalf("message ended with %s, want %s", got, want)
 	}
-	if got == done { // it is over only if its id can be accepted anew
-		hand(t, listen, "one")
+	if got == done { // a message that has ended can be submitted again under the same id
+		submit(t, listen, "one")
 		select {
 		case <-calls:
 		case <-time.After(2 * time.Second):
@@ -347,46 +353,47 @@
 	}
 }
 
-// TestSilentAfterAnyByte: an endpoint falls silent, or leaves, after any byte of a good answer. Once the first line has come the
-// message is done; before, it may have run and is not sent again.
+// TestSilentAfterAnyByte: an endpoint stops sending, or closes the connection, after any byte of a
+// successful answer. After the complete status line the message is done. Before that it may have run and is
+// not sent again.
 func TestSilentAfterAnyByte(t *testing.T) {
-	const answer, line = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine", 17
-	for at := 1; at <= len(answer); at++ {
-		if at > line && at%6 != 0 && at != len(answer) {
+	const answer, statusLineLength = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine", 17
+	for length := 1; length <= len(answer); length++ {
+		if length > statusLineLength && length%6 != 0 && length != len(answer) {
 			continue
 		}
-		want := lost
-		if at >= line {
+		want := undeliverable
+		if length >= statusLineLength {
 			want = done
 		}
-		for _, stays := range []bool{true, false} {
-			t.Run(fmt.Sprintf("%d %v", at, stays), func(t *testing.T) {
+		for _, keepOpen := range []bool{true, false} {
+			t.Run(fmt.Sprintf("%d %v", length, keepOpen), func(t *testing.T) {
 				t.Parallel()
-				answered(t, answer[:at], stays, want)
+				checkOutcome(t, answer[:length], keepOpen, want)
 			})
 		}
 	}
 }
 
-// TestDiscoverySilentAfterAnyByte: discovery falls silent, or leaves, in its first answer; what it has to tell is heard all the
-// same, as it is asked again.
+// TestDiscoverySilentAfterAnyByte: discovery stops sending, or closes the connection, after any byte of its
+// first answer. The courier polls again and gets the list.
 func TestDiscoverySilentAfterAnyByte(t *testing.T) {
-	for _, part := range []int{0, 5, 16, 17, 40, 70, 99, 100} { // of a hundred of the answer; nought is nothing at all
-		for _, stays := range []bool{true, false} {
-			t.Run(fmt.Sprintf("%d %v", part, stays), func(t *testing.T) {
+	for _, percent := range []int{0, 5, 16, 17, 40, 70, 99, 100} { // of the length of the answer
+		for _, keepOpen := range []bool{true, false} {
+			t.Run(fmt.Sprintf("%d %v", percent, keepOpen), func(t *testing.T) {
 				t.Parallel()
-				world := open(t, 0)
+				world := openWorld(t, 0)
 				list := fmt.Sprintf(`{"seq":9,"whole":true,"hosts":[{"host":"s-9","dial":%q,"site":"a","class":"plain","block":2,`+
 					`"health":"in_service","share":50.0,"born_ms":0}]}`, world.Endpoints[0])
 				answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
-				world.Discovery = breakingOff(t, answer, len(answer)*part/100, stays)
-				listen := serve(t, world, 0)
-				waits := time.Now().Add(20 * time.Second)
+				world.Discovery = truncatingDiscovery(t, answer, len(answer)*percent/100, keepOpen)
+				listen := startServer(t, world, 0)
+				deadline := time.Now().Add(20 * time.Second)
 				for n := 0; ; n++ {
-					if time.Now().After(waits) {
-						t.Fatal("the list was never heard")
+					if time.Now().After(deadline) {
+						t.Fatal("the list was never applied")
 					}
-					if got := handTo(t, listen, fmt.Sprint("r", n), 2); got == "+OK" {
+					if got := submitTo(t, listen, fmt.Sprint("r", n), 2); got == "+OK" {
 						break
 					}
 					time.Sleep(50 * time.Millisecond)
@@ -396,19 +403,19 @@
 	}
 }
 
-// breakingOff is a discovery that writes so many bytes of its first answer and then falls silent or leaves; it answers the next
-// calls whole and at once, and keeps those that come after a whole answer waiting.
-func breakingOff(t *testing.T, answer string, at int, stays bool) (addr string) {
+// truncatingDiscovery starts a discovery that writes only the first length bytes of its first answer. It
+// answers the second poll completely and leaves later ones unanswered.
+func truncatingDiscovery(t *testing.T, answer string, length int, keepOpen bool) (addr string) {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
-	var asked atomic.Int64
+	t.Cleanup(func() { listener.Close() })
+	var polls atomic.Int64
 	go func() {
 		for {
-			conn, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -418,9 +425,9 @@
 					if _, err := conn.Read(make([]byte, 4096)); err != nil {
 						return
 					}
-					switch n := asked.Add(1); {
+					switch n := polls.Add(1); {
 					case n == 1:
-						if conn.Write([]byte(answer[:at])); !stays {
+						if conn.Write([]byte(answer[:length])); !keepOpen {
 							return
 						}
 					case n == 2:
@@ -430,107 +437,108 @@
 			}()
 		}
 	}()
-	return l.Addr().String()
+	return listener.Addr().String()
 }
 
-// TestBytesAfterAnswerCloseConnection: what comes after an answer is not taken for the answer to the next call, which goes over another
-// connection. It may come with the answer or later.
+// TestBytesAfterAnswerCloseConnection: bytes after an answer, received with it or later, are not taken for
+// the answer to the next call. That call goes over another connection.
 func TestBytesAfterAnswerCloseConnection(t *testing.T) {
-	for _, more := range []string{okAnswer, "noise", "\x00"} {
-		world := open(t, 0)
-		calls := misbehaving(t, world, okAnswer+more, true)
-		listen := serve(t, world, 0)
-		hand(t, listen, "one")
+	for _, extra := range []string{okAnswer, "noise", "\x00"} {
+		world := openWorld(t, 0)
+		calls := misbehavingEndpoint(t, world, okAnswer+extra, true)
+		listen := startServer(t, world, 0)
+		submit(t, listen, "one")
 		first := <-calls
 		time.Sleep(100 * time.Millisecond)
-		hand(t, listen, "two")
+		submit(t, listen, "two")
 		if second := <-calls; second[1] == first[1] {
-			t.Errorf("%q: the next call went over the same connection", more)
+			t.Errorf("%q: the next call went over the same connection", extra)
 		}
 		time.Sleep(200 * time.Millisecond)
 		if _, _, notices := world.Seen("two"); len(notices) > 0 {
-			t.Errorf("%q: the next message ended by %v", more, notices)
+			t.Errorf("%q: the next message ended with %v", extra, notices)
 		}
 	}
 }
 
-// TestEndpointIsIdentifiedByMoreThanAddress: connections that rest lead to who was there. Once another endpoint has the address, or the same
-// one has started again, calls go over new ones.
+// TestEndpointIsIdentifiedByMoreThanAddress: idle connections to an address are not used any more after
+// another endpoint has taken over the address or the same endpoint has restarted.
 func TestEndpointIsIdentifiedByMoreThanAddress(t *testing.T) {
 	for name, change := range map[string]func(entry *protocol.Host){
-		"another": func(entry *protocol.Host) { entry.Host = "s-new" }, "started again": func(entry *protocol.Host) { entry.Born = 7 },
+		"another": func(entry *protocol.Host) { entry.Host = "s-new" }, "endpoint restarted": func(entry *protocol.Host) { entry.Born = 7 },
 		"same": func(*protocol.Host) {},
 	} {
-		r := steppedServer(t, open(t, 0), single("one"))
-		r.step()
-		for r.messages["one"] != nil { // its connection rests then
-			r.handle(endpointEvent{until(t, r, func(endpointconn.Event) bool { return true })})
-			r.step()
+		s := steppedServer(t, openWorld(t, 0), newMessage("one"))
+		s.step()
+		for s.messages["one"] != nil { // afterwards its connection is idle
+			s.handle(endpointEvent{waitForEvent(t, s, func(endpointconn.Event) bool { return true })})
+			s.step()
 		}
 		var before protocol.Host
-		for _, entry := range r.endpoints {
+		for _, entry := range s.endpoints {
 			before = entry
 		}
-		if idle := r.endpointConns.Idle(peerOf(before)); idle != 1 {
+		if idle := s.endpointConns.Idle(peerOf(before)); idle != 1 {
 			t.Fatalf("%d idle connections after a call", idle)
 		}
 		after := before
 		change(&after)
-		r.applyEndpoints(protocol.List{Whole: true, Hosts: []protocol.Host{after}}, dispatch.CompleteList)
-		if kept := r.endpointConns.Idle(peerOf(after)) == 1; kept != (name == "same") {
-			t.Errorf("%s: kept %v", name, kept)
+		s.applyEndpoints(protocol.List{Whole: true, Hosts: []protocol.Host{after}}, dispatch.CompleteList)
+		if kept := s.endpointConns.Idle(peerOf(after)) == 1; kept != (name == "same") {
+			t.Errorf("%s: connection kept: %v", name, kept)
 		}
 	}
 }
 
-// TestDiscoveryThatMisbehaves: bad and older answers leave the list that is held, and none is asked for in a circle.
-func TestDiscoveryThatMisbehaves(t *testing.T) {
+// TestMisbehavingDiscovery: invalid and older lists do not replace the stored list and do not cause a tight
+// polling loop.
+func TestMisbehavingDiscovery(t *testing.T) {
 	for name, answer := range map[string]string{"not JSON": "{", "older": `{"seq":0,"whole":true,"hosts":[]}`,
-		"nothing new at once": `{"seq":1,"whole":false,"hosts":[]}`, "unknown state": `{"seq":2,"whole":false,"hosts":[
+		"nothing new without delay": `{"seq":1,"whole":false,"hosts":[]}`, "unknown state": `{"seq":2,"whole":false,"hosts":[
 			{"host":"s-0","dial":"127.0.0.1:1","site":"a","class":"plain","block":1,"health":"dancing","share":1}]}`} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			world := open(t, 0)
-			var asked atomic.Int64
+			world := openWorld(t, 0)
+			var polls atomic.Int64
 			world.Lists = func(int) string {
-				if asked.Add(1) > 1 && name == "unknown state" {
-					return "" // it is notified once
+				if polls.Add(1) > 1 && name == "unknown state" {
+					return "" // this list is sent only once
 				}
 				return answer
 			}
-			listen := serve(t, world, 0)
+			listen := startServer(t, world, 0)
 			time.Sleep(500 * time.Millisecond)
-			if n := asked.Load(); n < 1 || n > 10 {
-				t.Errorf("asked %d times in half a second", n)
+			if n := polls.Load(); n < 1 || n > 10 {
+				t.Errorf("%d polls in 500 ms", n)
 			}
-			hand(t, listen, "one")
+			submit(t, listen, "one")
 			if got := waitForEnd(t, world, "one"); got != "done" {
-				t.Errorf("ended by %s", got)
+				t.Errorf("message ended with %s", got)
 			}
 		})
 	}
 }
 
-// TestTruncatedListIsPolledAgain: what a list that broke off or got stuck had begun to tell counts as reported, so what is there of it
-// is heeded, and it is asked for again at once, within the grace of a drain.
+// TestTruncatedListIsPolledAgain: if a list breaks off or stalls, its readable entries are applied, and the
+// list is polled again within the grace period of a drain.
 func TestTruncatedListIsPolledAgain(t *testing.T) {
 	for name, stuck := range map[string]bool{"breaks off": false, "gets stuck": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			l, err := net.Listen("tcp", "127.0.0.1:0")
+			listener, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Cleanup(func() { l.Close() })
-			asked := make(chan time.Time, 10)
+			t.Cleanup(func() { listener.Close() })
+			polls := make(chan time.Time, 10)
 			go func() {
 				for {
-					conn, err := l.Accept()
+					conn, err := listener.Accept()
 					if err != nil {
 						return
 					}
 					if _, err := conn.Read(make([]byte, 4096)); err == nil {
-						asked <- time.Now()
+						polls <- time.Now()
 						fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n"+`{"seq":9,"whole":false,"hosts":[
 							{"host":"s-0","dial":"127.0.0.1:1","site":"a","class":"plain","block":1,"health":"terminating","share":1},{"ho`)
 					}
@@ -541,71 +549,73 @@
 					}
 				}
 			}()
-			world := open(t, 0)
-			world.Discovery = l.Addr().String()
-			listen := serve(t, world, 0)
-			first, second := <-asked, <-asked
+			world := openWorld(t, 0)
+			world.Discovery = listener.Addr().String()
+			listen := startServer(t, world, 0)
+			first, second := <-polls, <-polls
 			if second.Sub(first) > 400*time.Millisecond {
-				t.Errorf("asked again after %v", second.Sub(first))
+				t.Errorf("polled again after %v", second.Sub(first))
 			}
-			hand(t, listen, "one")
+			submit(t, listen, "one")
 			time.Sleep(200 * time.Millisecond)
 			if began, _, _ := world.Seen("one"); began > 0 {
-				t.Error("sent to an endpoint that drains, as the part of the list that is there tells")
+				t.Error("sent to an endpoint whose drain is in the readable part of the list")
 			}
 		})
 	}
 }
 
-// TestDrainWhileDialingStopsSend: what a drain or a wait overtakes before its first byte is not sent there any more.
+// TestDrainWhileDialingStopsSend: a call is not sent if a drain, removal or Retry-After arrives before its
+// first byte.
 func TestDrainWhileDialingStopsSend(t *testing.T) {
-	for name, overtake := range map[string]func(r *Server){
-		"wait":    func(r *Server) { r.retryAfter["1"] = r.now + 1000*1000 },
-		"gone":    func(r *Server) { r.applyEndpoints(protocol.List{Whole: true}, dispatch.CompleteList) },
+	for name, intervene := range map[string]func(s *Server){
+		"wait":    func(s *Server) { s.retryAfter["1"] = s.now + 1000*1000 },
+		"gone":    func(s *Server) { s.applyEndpoints(protocol.List{Whole: true}, dispatch.CompleteList) },
 		"nothing": func(*Server) {},
-		"drain": func(r *Server) {
-			for _, entry := range r.endpoints {
+		"drain": func(s *Server) {
+			for _, entry := range s.endpoints {
 				entry.Health = protocol.Draining
-				r.applyEndpoints(protocol.List{Hosts: []protocol.Host{entry}}, dispatch.PartialList)
+				s.applyEndpoints(protocol.List{Hosts: []protocol.Host{entry}}, dispatch.PartialList)
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			world := open(t, 0)
-			r := prepare(t, world, &spool.Message{ID: "one", Class: "order", Destination: 1, Deadline: time.Now().Add(time.Minute).UnixMicro()})
-			driver, err := transport.Open(r.deployment.Listen, nil, 1024, r.log, r.clients.Admit, r.clients.Accept)
+			world := openWorld(t, 0)
+			s := newTestServer(t, world, &spool.Message{ID: "one", Class: "order", Destination: 1, Deadline: time.Now().Add(time.Minute).UnixMicro()})
+			driver, err := transport.Open(s.deployment.Listen, nil, 1024, s.log, s.clients.Admit, s.clients.Accept)
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(driver.Close)
-			r.driver = driver
-			r.step()
-			for up := false; !up; {
-				var what event
+			s.driver = driver
+			s.step()
+			for opened := false; !opened; {
+				var queued event
 				select {
-				case what = <-r.queue:
+				case queued = <-s.queue:
 				case <-time.After(5 * time.Second):
-					t.Fatal("no connection")
+					t.Fatal("no connection within 5 s")
 				}
-				if event, ok := unwrap(what).(endpointconn.Opened); ok && event.Conn.Peer().Address == world.Endpoints[0] {
-					up = true
-					overtake(r)
+				if event, ok := unwrap(queued).(endpointconn.Opened); ok && event.Conn.Peer().Address == world.Endpoints[0] {
+					opened = true
+					intervene(s)
 				}
-				r.handle(what)
+				s.handle(queued)
 			}
-			attempts := r.messages["one"].stored.Attempts
+			attempts := s.messages["one"].stored.Attempts
 			if sent := attempts[0].Outcome != "void"; sent != (name == "nothing") {
-				t.Errorf("attempts %+v", attempts)
+				t.Errorf("got attempts %+v", attempts)
 			}
 		})
 	}
 }
 
-// TestPoisonMessageDoesNotStopOthers: where the decisions fail over a message each time, it is ended and others go on.
+// TestPoisonMessageDoesNotStopOthers: a message on which the dispatcher panics each time fails, and other
+// messages are delivered.
 func TestPoisonMessageDoesNotStopOthers(t *testing.T) {
-	world := open(t, 0)
-	listen := serve(t, world, 1000)
-	if got := hand(t, listen, "bad", "next"); got[0] != "+OK" || got[1] != "+OK" {
+	world := openWorld(t, 0)
+	listen := startServer(t, world, 1000)
+	if got := submit(t, listen, "bad", "next"); got[0] != "+OK" || got[1] != "+OK" {
 		t.Fatal(got)
 	}
 	for id, want := range map[string]string{"bad": "undeliverable", "next": "done"} {
@@ -615,43 +625,46 @@
 	}
 }
 
-// TestAttemptsOfOneCallShareTimeout. Failure: one message of a call was given up while the call went on for the others.
+// TestAttemptsOfOneCallShareTimeout. Failure: one attempt of a call timed out while the call went on for
+// the others.
 func TestAttemptsOfOneCallShareTimeout(t *testing.T) {
 	call := &call{attempts: []*attempt{{waitUntil: 900}, {waitUntil: 300}, {waitUntil: 700}}}
 	if got := call.alignTimeouts(); got != 300 {
-		t.Errorf("waited for until %d, not 300", got)
+		t.Errorf("common timeout %d, want 300", got)
 	}
 	for i, attempt := range call.attempts {
 		if attempt.waitUntil != 300 {
-			t.Errorf("attempt %d is waited for until %d", i, attempt.waitUntil)
+			t.Errorf("attempt %d times out at %d, want 300", i, attempt.waitUntil)
 		}
 	}
 }
 
-// TestSuccessorLostDuringHandoff. Failure: a successor that left while all was made ready for it was given it, and nobody decided any more.
+// TestSuccessorLostDuringHandoff. Failure: if the successor exited during the handoff, the state was handed
+// over to it anyway, and no process ran the dispatcher.
 func TestSuccessorLostDuringHandoff(t *testing.T) {
-	r := prepare(t, open(t, 0))
-	if do, why := r.handoff.machine.HelloReceived(&handoff.Hello{Version: handoff.Version, Courier: "n0"}); do != handoff.HandOver {
-		t.Fatal(why)
+	s := newTestServer(t, openWorld(t, 0))
+	if decision, reason := s.handoff.machine.HelloReceived(&handoff.Hello{Version: handoff.Version, Courier: "n0"}); decision != handoff.HandOver {
+		t.Fatal(reason)
 	}
-	r.handoff.handingOver = true
-	if r.handoff.successorLost(); !r.handoff.reclaim {
-		t.Error("all is given to one that has left")
+	s.handoff.handingOver = true
+	if s.handoff.successorLost(); !s.handoff.reclaim {
+		t.Error("the state was handed over to a successor that has exited")
 	}
 }
 
-// TestInterimInPieces: an interim answer that comes in two pieces does not shorten the wait for the answer itself.
-func TestInterimInPieces(t *testing.T) {
-	world := open(t, 0)
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// TestInterimResponseInPieces: an interim answer received in two pieces does not shorten the timeout of the
+// final answer.
+func TestInterimResponseInPieces(t *testing.T) {
+	world := openWorld(t, 0)
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	world.Endpoints = []string{l.Addr().String()}
+	defer listener.Close()
+	world.Endpoints = []string{listener.Addr().String()}
 	ended := make(chan error, 1)
 	go func() {
-		conn, err := l.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			ended <- err
 			return
@@ -669,15 +682,15 @@
 			time.Sleep(p.pause)
 		}
 		conn.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
-		_, err = conn.Read(make([]byte, 1)) // closed by the courier if it had given up
+		_, err = conn.Read(make([]byte, 1)) // times out unless the courier has closed the connection
 		ended <- err
 	}()
-	listen := serve(t, world, 0)
-	hand(t, listen, "one")
+	listen := startServer(t, world, 0)
+	submit(t, listen, "one")
 	if err := <-ended; err == nil || !strings.Contains(err.Error(), "timeout") {
-		t.Errorf("the call was given up: %v", err)
+		t.Errorf("the courier closed the connection: %v", err)
 	}
 	if _, _, notices := world.Seen("one"); len(notices) > 0 {
-		t.Errorf("ended by %v", notices)
+		t.Errorf("message ended with %v", notices)
 	}
 }
--- a/server/shadow.go
+++ b/server/shadow.go
@@ -9,53 +9,54 @@
 	"pineport/dispatch"
 )
 
-// shadowState runs a shadow dispatcher with the configuration to come, and counts where it differs.
+// shadowState runs a shadow dispatcher with a candidate configuration and counts its different decisions.
 type shadowState struct {
-	deployment  *config.Deployment // to come
+	candidate   *config.Deployment
 	shadow      *dispatch.Shadow
 	interval    dispatch.Micros
-	nextLogAt   dispatch.Micros // when the counts are logged
-	loggedCount int             // decisions compared by then
+	nextLogAt   dispatch.Micros // when the counts are logged next
+	loggedCount int             // number of compared decisions at the last log line
 }
 
 var differences = [dispatch.Differences]string{dispatch.OtherEndpoint: "elsewhere", dispatch.SentEarlier: "sooner", dispatch.SentLater: "later",
 	dispatch.RejectedOnly: "bounced", dispatch.FailedOnly: "terminated", dispatch.StillQueued: "kept", dispatch.CanceledOnly: "called_off",
 	dispatch.StillAwaited: "waited_for", dispatch.OtherRetryAfter: "advised"}
 
-func (w *shadowState) start(r *Server) {
-	w.deployment, w.shadow = r.deployment.Watch, nil
-	w.interval = dispatch.Micros(r.deployment.WatchTell.Microseconds())
-	if w.deployment != nil {
-		w.shadow, w.nextLogAt = dispatch.NewShadow(r.deployment.Merged(w.deployment).Dispatch), r.now+w.interval
+func (w *shadowState) start(s *Server) {
+	w.candidate, w.shadow = s.deployment.Watch, nil
+	w.interval = dispatch.Micros(s.deployment.WatchTell.Microseconds())
+	if w.candidate != nil {
+		w.shadow, w.nextLogAt = dispatch.NewShadow(s.deployment.Merged(w.candidate).Dispatch), s.now+w.interval
 	}
 }
 
-// reconfigure keeps the numbers of classes and tenants those of a configuration that was reloaded.
-func (w *shadowState) reconfigure(r *Server) {
+// reconfigure keeps the numbering of classes and tenants in the shadow equal to that of a reloaded
+// configuration.
+func (w *shadowState) reconfigure(s *Server) {
 	if w.shadow != nil {
-		w.shadow.Reconfigure(r.deployment.Merged(w.deployment).Dispatch)
+		w.shadow.Reconfigure(s.deployment.Merged(w.candidate).Dispatch)
 	}
 }
 
-// observe shows the shadow what happened and what is done about it. Should it panic, it is stopped; nothing else is.
-func (w *shadowState) observe(r *Server, events []dispatch.Event, did []dispatch.Action) {
+// observe passes events and the dispatcher's actions to the shadow. A panic stops only the shadow.
+func (w *shadowState) observe(s *Server, events []dispatch.Event, actions []dispatch.Action) {
 	if w.shadow == nil {
 		return
 	}
 	defer func() {
 		if fault := recover(); fault != nil {
-			r.log.Error("shadow configuration stopped", "error", fmt.Sprint(fault), "stack", string(debug.Stack()))
+			s.log.Error("shadow dispatcher stopped after a panic", "error", fmt.Sprint(fault), "stack", string(debug.Stack()))
 			w.shadow = nil
 		}
 	}()
-	w.shadow.Observe(r.now, events, did)
-	if r.now >= w.nextLogAt {
-		w.log(r.log)
-		w.nextLogAt = r.now + w.interval
+	w.shadow.Observe(s.now, events, actions)
+	if s.now >= w.nextLogAt {
+		w.log(s.log)
+		w.nextLogAt = s.now + w.interval
 	}
 }
 
-// log logs the counts, if anything was decided since.
+// log logs the counts if any decision has been compared since the last time.
 func (w *shadowState) log(log *slog.Logger) {
 	if w.shadow == nil {
 		return
@@ -65,9 +66,9 @@
 		return
 	}
 	w.loggedCount = compared
-	pairs := []any{"compared", compared}
-	for d, n := range counts {
-		pairs = append(pairs, differences[d], n)
+	attributes := []any{"compared", compared}
+	for kind, count := range counts {
+		attributes = append(attributes, differences[kind], count)
 	}
-	log.Info("shadow configuration compared", pairs...)
+	log.Info("shadow configuration compared", attributes...)
 }
--- a/server/shutdown.go
+++ b/server/shutdown.go
@@ -7,17 +7,18 @@
 	"pineport/server/clientconn"
 )
 
-// beginShutdown has the process exit after a grace; until then it goes on as before, and drains clients that can go elsewhere.
+// beginShutdown schedules the exit after the grace period. Until then the courier works as before, and
+// drains clients that can use another courier.
 func (s *Server) beginShutdown(grace time.Duration) {
 	s.handoff.machine.ShutDown()
 	s.shutdownBy = s.clock() + dispatch.Micros(grace.Microseconds())
 	s.drainAt = s.clock() + drainDelay
-	s.operators.serving.Store(false)
+	s.admin.serving.Store(false)
 	s.events = append(s.events, dispatch.ShutdownScheduled{At: s.shutdownBy})
 	s.log.Info("graceful shutdown started", "unfinished", len(s.messages), "in_flight", len(s.inFlight))
 }
 
-// finishShutdown stores what outlasts the process, unless a successor owns the folder.
+// finishShutdown stores the final state, unless a successor owns the state folder.
 func (s *Server) finishShutdown() error {
 	if !s.handoff.machine.Owns() {
 		s.log.Info("exited after the handoff", "in_flight", len(s.inFlight))
@@ -29,25 +30,28 @@
 	return s.spool.Close()
 }
 
-// drainDelay is when, after the shutdown has begun, clients are drained. Those that have only this courier are served to the end.
+// drainDelay is the time from the start of the shutdown to the draining of clients. Clients that can only
+// use this courier are served until the exit.
 const drainDelay = 500 * 1000
 
-// lastWords is how long, after the last connection came in, all who are connected are still served; then each is closed as soon as it
-// has no reply due, and after lastChance whatever stands.
+// Limits of the exit. For acceptTimeout after accepting stops, all connected clients are served. Then each
+// connection is closed as soon as it has no pending replies. After a further exitTimeout, reading stops.
 const (
 	acceptTimeout = 50 * 1000
 	exitTimeout   = 100 * 1000
-	// replyTimeout is how long, after nothing more is read, the replies to what was read may take.
+	// replyTimeout bounds the time for the remaining replies after reading has stopped.
 	replyTimeout  = 50 * 1000
 	closeInterval = 2 * 1000
 )
 
-// mayExit reports whether the process may exit. Nothing is read any more by then, or it would have had an answer. Failures: what was read
-// between the last read and the exit had none; connections whose first request was on its way were closed.
+// mayExit reports whether the process may exit, and closes client connections on the way there. It returns
+// true only after reading has stopped or all connections are closed. Failures: requests read between the
+// last check of the queue and the exit got no reply, and connections whose first request was in transit
+// were closed.
 func (s *Server) mayExit() bool {
-	handed := s.handoff.handedOver && s.shutdownBy < never && len(s.inFlight) == 0
-	if !s.exiting && (s.now >= s.shutdownBy || handed) {
-		s.exiting, s.shutdownBy, s.exitBy, s.drainAt = true, s.now+acceptTimeout, s.now+acceptTimeout+exitTimeout, never
+	handoffDone := s.handoff.handedOver && s.shutdownBy < never && len(s.inFlight) == 0
+	if !s.exiting && (s.now >= s.shutdownBy || handoffDone) {
+		s.exiting, s.shutdownBy, s.closeClientsBy, s.drainAt = true, s.now+acceptTimeout, s.now+acceptTimeout+exitTimeout, never
 		s.driver.StopAccepting()
 		s.clients.CloseIdle(s.now)
 	}
@@ -60,21 +64,23 @@
 		return false
 	}
 	s.shutdownBy = s.now + closeInterval
-	if s.now < s.exitBy {
+	if s.now < s.closeClientsBy {
 		return s.allClientsClosed()
 	}
-	// Failure: what the poller had read at the last look was closed with no answer.
+	// Failure: the connection of a request that the poller read after the last check of the queue was
+	// closed without a reply.
 	s.driver.StopReading()
-	return s.allClientsClosed() || s.allClientsAnswered() || s.now >= s.exitBy+replyTimeout
+	return s.allClientsClosed() || s.allClientsAnswered() || s.now >= s.closeClientsBy+replyTimeout
 }
 
-// allClientsClosed closes the connections that have all their replies, and reports whether none is left and nothing waits in the queue.
+// allClientsClosed closes the connections without pending replies. It reports whether none is left and the
+// event queue is empty.
 func (s *Server) allClientsClosed() bool {
 	closed := s.clients.CloseAnswered()
 	return closed && len(s.queue) == 0
 }
 
-// allClientsAnswered reports whether all that was read has its reply, once nothing more is read.
+// allClientsAnswered reports whether all requests have their replies, after reading has stopped.
 func (s *Server) allClientsAnswered() bool {
 	return s.clients.AllAnswered() && len(s.queue) == 0
 }
--- a/server/snapshots.go
+++ b/server/snapshots.go
@@ -6,81 +6,85 @@
 	"pineport/dispatch"
 )
 
-// snapshotWriter stores snapshots of the learned state, without waiting for a disk.
+// snapshotWriter stores snapshots of the learned state without blocking on the disk.
 type snapshotWriter interface {
 	Offer(dispatch.Snapshot)
 	Close(within time.Duration)
 }
 
-// snapshotSchedule says when a snapshot is due: soon after any outcome but a delivery, else now and then.
+// snapshotSchedule determines when a snapshot is due: one interval after the last if any outcome shows a
+// problem, otherwise after several intervals.
 type snapshotSchedule struct {
 	writer    snapshotWriter
-	every     dispatch.Micros
-	last      dispatch.Micros // when the last snapshot was taken
-	delivered bool            // something was, since then
-	failed    bool            // something went wrong since then
+	interval  dispatch.Micros
+	takenAt   dispatch.Micros
+	delivered bool // an attempt was delivered since then
+	failed    bool // an attempt failed since then
 }
 
-// quietFactor: where every call is delivered little is learned, and the next snapshot may wait so many times as long.
-const quietFactor = 5
+// deliveredOnlyFactor multiplies the interval if all attempts were delivered, because little is learned
+// from those.
+const deliveredOnlyFactor = 5
 
-// StoreSnapshots has snapshots of the learned state stored from now on, at most one in every interval.
-func (s *Server) StoreSnapshots(k snapshotWriter, every time.Duration) {
-	s.snapshots = snapshotSchedule{writer: k, every: dispatch.Micros(every.Microseconds())}
+// StoreSnapshots enables snapshots of the learned state, at most one per interval.
+func (s *Server) StoreSnapshots(writer snapshotWriter, interval time.Duration) {
+	s.snapshots = snapshotSchedule{writer: writer, interval: dispatch.Micros(interval.Microseconds())}
 }
 
-// RestoreSnapshot hands the snapshot of an earlier run to the dispatcher, after the list that it is about; nil for none.
-func (s *Server) RestoreSnapshot(before *dispatch.Snapshot) {
-	if before == nil || len(s.events) == 0 {
+// RestoreSnapshot passes the snapshot of an earlier run to the dispatcher, after the endpoint list that it
+// refers to. A nil snapshot is ignored.
+func (s *Server) RestoreSnapshot(previous *dispatch.Snapshot) {
+	if previous == nil || len(s.events) == 0 {
 		return
 	}
-	// CountFrom the list, which is the first event, and before the messages that were held.
-	s.events = append(s.events[:1:1], append([]dispatch.Event{dispatch.SnapshotRestored{Snapshot: *before}}, s.events[1:]...)...)
+	// Insert the snapshot after the endpoint list, which is the first event, and before the recovered
+	// messages.
+	s.events = append(s.events[:1:1], append([]dispatch.Event{dispatch.SnapshotRestored{Snapshot: *previous}}, s.events[1:]...)...)
 }
 
-// observe notes an outcome.
-func (l *snapshotSchedule) observe(outcome dispatch.Outcome) {
+// observe records the outcome of an attempt.
+func (s *snapshotSchedule) observe(outcome dispatch.Outcome) {
 	switch outcome {
 	case dispatch.Delivered:
-		l.delivered = true
+		s.delivered = true
 	case dispatch.Unprocessed, dispatch.Canceled:
 	default:
-		l.failed = true
+		s.failed = true
 	}
 }
 
-func (l *snapshotSchedule) due() dispatch.Micros {
+func (s *snapshotSchedule) due() dispatch.Micros {
 	switch {
-	case l.writer == nil:
-	case l.failed:
-		return l.last + l.every
-	case l.delivered:
-		return l.last + quietFactor*l.every
+	case s.writer == nil:
+	case s.failed:
+		return s.takenAt + s.interval
+	case s.delivered:
+		return s.takenAt + deliveredOnlyFactor*s.interval
 	}
 	return never
 }
 
-// saveSnapshot hands a snapshot to the writer, if it is due or is to be stored at once.
-func (s *Server) saveSnapshot(atOnce bool) {
-	if s.snapshots.writer == nil || !atOnce && s.snapshots.due() > s.now {
+// saveSnapshot passes a snapshot to the writer if one is due or force is set.
+func (s *Server) saveSnapshot(force bool) {
+	if s.snapshots.writer == nil || !force && s.snapshots.due() > s.now {
 		return
 	}
-	s.snapshots.last, s.snapshots.delivered, s.snapshots.failed = s.now, false, false
+	s.snapshots.takenAt, s.snapshots.delivered, s.snapshots.failed = s.now, false, false
 	s.snapshots.writer.Offer(s.takeSnapshot())
 }
 
-// takeSnapshot returns what the dispatcher has learned by now.
+// takeSnapshot returns the learned state of the dispatcher.
 func (s *Server) takeSnapshot() (snapshot dispatch.Snapshot) {
-	if d, ok := s.dispatcher.(dispatch.Snapshotter); ok {
-		snapshot = d.Snapshot()
+	if snapshotter, ok := s.dispatcher.(dispatch.Snapshotter); ok {
+		snapshot = snapshotter.Snapshot()
 	}
 	return snapshot
 }
 
-// lastSnapshotTimeout is how long the exit of the process waits for the last snapshot.
+// lastSnapshotTimeout bounds the wait for the last snapshot during exit.
 const lastSnapshotTimeout = 200 * time.Millisecond
 
-// saveLastSnapshot stores the last snapshot of this process.
+// saveLastSnapshot stores the final snapshot of this process.
 func (s *Server) saveLastSnapshot() {
 	if s.snapshots.writer != nil {
 		s.saveSnapshot(true)
--- a/server/standing_terms_test.go
+++ b/server/standing_terms_test.go
@@ -17,17 +17,19 @@
 	"pineport/testbed/scripted"
 )
 
-// Terms of the acceptance that hold whatever else is allowed; docs/crossings.md has a row for each. These tests see the courier
-// from outside: its address, its configuration and what its peers are asked.
+// These tests check acceptance criteria that always hold; docs/crossings.md has a row for each. They use
+// only the external interfaces of the courier: its address, its configuration and the requests that its
+// peers get.
 
-// toldWithin is when a change counts as reported at the latest, after discovery had it and could be reached.
+// changeDeadline is the time within which a change of the endpoint list must be applied, from when
+// discovery has the change and is reachable.
 const changeDeadline = 6 * time.Second
 
-// failure is one way in which a call to discovery fails. It is handed the call's connection, and tells whether that is kept
-// open and silent.
-type failure func(conn *net.TCPConn, request *bufio.Reader) (stays bool)
+// failureMode is a way in which a call to discovery fails. It gets the connection of the call and reports
+// whether the connection is kept open.
+type failureMode func(conn *net.TCPConn, request *bufio.Reader) (stays bool)
 
-// readRequest reads the head of a call; it has no body.
+// readRequest reads a request without a body.
 func readRequest(in *bufio.Reader) error {
 	for {
 		line, err := in.ReadString('\n')
@@ -37,18 +39,19 @@
 	}
 }
 
-// answering writes a text once the call has been read, and then closes or falls silent.
-func answering(text string, stays bool) failure {
+// answerWith reads the request, writes text, and then closes the connection or keeps it open without
+// sending more.
+func answerWith(text string, keepOpen bool) failureMode {
 	return func(conn *net.TCPConn, request *bufio.Reader) bool {
 		if readRequest(request) != nil {
 			return false
 		}
 		io.WriteString(conn, text)
-		return stays
+		return keepOpen
 	}
 }
 
-func resetting(afterRequest bool) failure {
+func resetConn(afterRequest bool) failureMode {
 	return func(conn *net.TCPConn, request *bufio.Reader) bool {
 		if afterRequest && readRequest(request) != nil {
 			return false
@@ -59,51 +62,52 @@
 }
 
 const (
-	halfAList   = "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"seq\":9,\"whole\":false,\"hosts\":["
-	serverError = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
-	noList      = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{]"
-	interim     = "HTTP/1.1 102 Processing\r\n\r\n"
+	truncatedList = "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"seq\":9,\"whole\":false,\"hosts\":["
+	serverError   = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
+	invalidList   = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{]"
+	interim       = "HTTP/1.1 102 Processing\r\n\r\n"
 )
 
-// failures are the ways in which discovery is unwell, one call after the other; none means that connections are refused.
-var failures = map[string][]failure{
-	"refuses":                   nil,
-	"resets new connections":    {resetting(false)},
-	"resets under the call":     {resetting(true)},
-	"answers errors":            {answering(serverError, true)},
-	"answers what is no list":   {answering(noList, true)},
-	"hangs":                     {answering("", true)},
-	"hangs after an interim":    {answering(interim, true)},
-	"breaks off lists":          {answering(halfAList, false)},
-	"lists get stuck":           {answering(halfAList, true)},
-	"all of it, one by one":     {answering(serverError, true), resetting(true), answering(halfAList, false), resetting(false), answering("", true), answering(halfAList, true)},
-	"resets and hangs in turns": {resetting(true), answering("", true)},
+// failureModes are sequences of failures of discovery, one per call. A nil sequence means that connections
+// are refused.
+var failureModes = map[string][]failureMode{
+	"refuses":                       nil,
+	"resets new connections":        {resetConn(false)},
+	"resets after the request":      {resetConn(true)},
+	"answers errors":                {answerWith(serverError, true)},
+	"answers an invalid list":       {answerWith(invalidList, true)},
+	"hangs":                         {answerWith("", true)},
+	"hangs after an interim answer": {answerWith(interim, true)},
+	"truncates lists":               {answerWith(truncatedList, false)},
+	"stalls within lists":           {answerWith(truncatedList, true)},
+	"all failures in turn":          {answerWith(serverError, true), resetConn(true), answerWith(truncatedList, false), resetConn(false), answerWith("", true), answerWith(truncatedList, true)},
+	"alternates resets and hangs":   {resetConn(true), answerWith("", true)},
 }
 
-// moodyDiscovery fails all calls until it recovers; from then on it has a change, and answers each new call with it at once.
-// Calls that hang by then stay as they are.
-type moodyDiscovery struct {
+// faultyDiscovery fails all calls until it recovers. After that it has a changed list and answers each new
+// call with it at once. Calls that hang at that time stay unanswered.
+type faultyDiscovery struct {
 	addr      string
-	fails     []failure
+	modes     []failureMode
 	calls     atomic.Int64
 	recovered atomic.Bool
-	list      string // the whole list, with the change
+	list      string // complete list with the change
 	mu        sync.Mutex
 	listener  net.Listener
 	conns     []net.Conn
 }
 
-func (d *moodyDiscovery) listen() error {
-	l, err := net.Listen("tcp", d.addr)
+func (d *faultyDiscovery) listen() error {
+	listener, err := net.Listen("tcp", d.addr)
 	if err != nil {
 		return err
 	}
 	d.mu.Lock()
-	d.listener = l
+	d.listener = listener
 	d.mu.Unlock()
 	go func() {
 		for {
-			conn, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -116,15 +120,15 @@
 	return nil
 }
 
-func (d *moodyDiscovery) serve(conn *net.TCPConn) {
+func (d *faultyDiscovery) serve(conn *net.TCPConn) {
 	in := bufio.NewReader(conn)
 	for !d.recovered.Load() {
 		n := int(d.calls.Add(1)) - 1
-		if !d.fails[n%len(d.fails)](conn, in) {
+		if !d.modes[n%len(d.modes)](conn, in) {
 			conn.Close()
 			return
 		}
-		if _, err := in.Peek(1); err != nil { // silent until the next call comes over it
+		if _, err := in.Peek(1); err != nil { // waits for the next call on this connection
 			conn.Close()
 			return
 		}
@@ -137,16 +141,16 @@
 	}
 }
 
-// recover makes discovery reachable and well.
-func (d *moodyDiscovery) recover() error {
+// recover makes discovery reachable and lets it answer calls.
+func (d *faultyDiscovery) recover() error {
 	d.recovered.Store(true)
-	if d.fails == nil {
+	if d.modes == nil {
 		return d.listen()
 	}
 	return nil
 }
 
-func (d *moodyDiscovery) close() {
+func (d *faultyDiscovery) close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.listener != nil {
@@ -157,24 +161,24 @@
 	}
 }
 
-// The destination that every courier here knows from its start, and the one that only the change has.
+// knownDest is a destination in the initial list of every courier. changedDest is only in the changed list.
 const (
 	knownDest   = 1
 	changedDest = 2
 )
 
-// newMoodyDiscovery serves discovery at an address of its own; the change is an endpoint of changedDest.
-func newMoodyDiscovery(t *testing.T, endpoint string, fails []failure) *moodyDiscovery {
+// newFaultyDiscovery starts discovery at its own address. The change is an endpoint of changedDest.
+func newFaultyDiscovery(t *testing.T, endpoint string, modes []failureMode) *faultyDiscovery {
 	t.Helper()
-	addr, letGo, err := port.Reserve()
+	addr, release, err := port.Reserve()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(letGo)
-	d := &moodyDiscovery{addr: addr, fails: fails, list: fmt.Sprintf(`{"seq":9,"whole":true,"hosts":[{"host":"s-9","dial":%q,`+
+	t.Cleanup(release)
+	d := &faultyDiscovery{addr: addr, modes: modes, list: fmt.Sprintf(`{"seq":9,"whole":true,"hosts":[{"host":"s-9","dial":%q,`+
 		`"site":"a","class":"plain","block":%d,"health":"in_service","share":50.0,"born_ms":0}]}`, endpoint, changedDest)}
 	t.Cleanup(d.close)
-	if fails != nil {
+	if modes != nil {
 		if err := d.listen(); err != nil {
 			t.Fatal(err)
 		}
@@ -182,44 +186,45 @@
 	return d
 }
 
-// visitor is a client that keeps its connection for as long as that lasts.
-type visitor struct {
+// testClient is a client that reuses its connection as long as it is open.
+type testClient struct {
 	listen string
 	conn   net.Conn
-	in     *bufio.Reader
+	reader *bufio.Reader
 }
 
-func (v *visitor) leave() {
-	if v.conn != nil {
-		v.conn.Close()
-		v.conn = nil
+func (c *testClient) disconnect() {
+	if c.conn != nil {
+		c.conn.Close()
+		c.conn = nil
 	}
 }
 
-// asks submits a message and returns the reply.
-func (v *visitor) asks(id string, dest int) (reply string, err error) {
-	if v.conn == nil {
-		if v.conn, err = net.Dial("tcp", v.listen); err != nil {
+// submit submits a message and returns the reply.
+func (c *testClient) submit(id string, dest int) (reply string, err error) {
+	if c.conn == nil {
+		if c.conn, err = net.Dial("tcp", c.listen); err != nil {
 			return "", err
 		}
-		v.in = bufio.NewReader(v.conn)
+		c.reader = bufio.NewReader(c.conn)
 	}
-	v.conn.SetDeadline(time.Now().Add(time.Second))
+	c.conn.SetDeadline(time.Now().Add(time.Second))
 	attributes := fmt.Sprintf("c=order,d=8000,dest=%d", dest)
-	fmt.Fprintf(v.conn, "*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$1\r\nx\r\n", len(id), id, len(attributes), attributes)
-	line, err := v.in.ReadString('\n')
+	fmt.Fprintf(c.conn, "*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$1\r\nx\r\n", len(id), id, len(attributes), attributes)
+	line, err := c.reader.ReadString('\n')
 	if err != nil {
-		v.leave()
+		c.disconnect()
 	}
 	return strings.TrimSpace(line), err
 }
 
-// waitsFor submits messages for a destination until one is taken, and tells how long that took.
-func (v *visitor) waitsFor(dest int, giveUp time.Duration) (took time.Duration, taken bool) {
+// submitUntilAccepted submits messages for a destination until one is accepted, and returns how long that
+// took.
+func (c *testClient) submitUntilAccepted(dest int, giveUp time.Duration) (elapsed time.Duration, accepted bool) {
 	const poll = 20 * time.Millisecond
 	began := time.Now()
 	for n := 0; time.Since(began) < giveUp; n++ {
-		if reply, err := v.asks(fmt.Sprintf("to-%d-%d", dest, n), dest); err == nil && reply == "+OK" {
+		if reply, err := c.submit(fmt.Sprintf("to-%d-%d", dest, n), dest); err == nil && reply == "+OK" {
 			return time.Since(began), true
 		}
 		time.Sleep(poll)
@@ -227,89 +232,91 @@
 	return time.Since(began), false
 }
 
-// stalls watches how late this machine wakes who sleeps, at worst; stop ends that.
-func stalls() (stop func() time.Duration) {
-	const nap = 10 * time.Millisecond
-	stopped, worst := make(chan struct{}), make(chan time.Duration)
+// measureStalls measures the largest delay with which this machine wakes a sleeping goroutine. stop ends
+// the measurement and returns that delay.
+func measureStalls() (stop func() time.Duration) {
+	const interval = 10 * time.Millisecond
+	stopped, result := make(chan struct{}), make(chan time.Duration)
 	go func() {
-		late := time.Duration(0)
+		maxDelay := time.Duration(0)
 		for {
 			select {
 			case <-stopped:
-				worst <- late
+				result <- maxDelay
 				return
 			default:
 			}
 			began := time.Now()
-			time.Sleep(nap)
-			late = max(late, time.Since(began)-nap)
+			time.Sleep(interval)
+			maxDelay = max(maxDelay, time.Since(began)-interval)
 		}
 	}()
-	return func() time.Duration { close(stopped); return <-worst }
+	return func() time.Duration { close(stopped); return <-result }
 }
 
-// TestChangeIsAppliedInTime: whatever calls to discovery came to while it was unwell, and whenever it recovers, the courier has a
-// change 6 s after discovery had it and could be reached, where lists are asked for and where they are pushed. By how much the
-// machine itself stood still is added.
+// TestChangeIsAppliedInTime: whatever failures discovery had before it recovers, and whenever it recovers,
+// the courier applies a change within 6 s after discovery has it and is reachable. This holds for polls and
+// watches. The largest stall of the machine is added to the limit.
 func TestChangeIsAppliedInTime(t *testing.T) {
-	// Instants of recovery, from when the courier serves: within its first call, between two, and after several.
+	// Times of recovery after the start of the courier: during its first call, between two calls, and after
+	// several calls.
 	recoveries := []time.Duration{200 * time.Millisecond, 2500 * time.Millisecond, 7100 * time.Millisecond}
 	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer world.Close()
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	var mu sync.Mutex
 	seed := 0
-	worst, cases := map[string]time.Duration{}, map[string]time.Duration{}
-	stop := stalls()
+	worst, durations := map[string]time.Duration{}, map[string]time.Duration{}
+	stopMeasuring := measureStalls()
 	for _, mode := range []string{"subscribe", "automatic"} {
-		for name, fails := range failures {
+		for name, modes := range failureModes {
 			for _, recovery := range recoveries {
-				d := newMoodyDiscovery(t, world.Endpoints[0], fails)
+				d := newFaultyDiscovery(t, world.Endpoints[0], modes)
 				world.Discovery = d.addr
-				seed++ // so that each draws its pauses anew
+				seed++ // different jitter in each case
 				listen := server.StartCourier(t, world, func(text []byte) []byte {
 					text = bytes.ReplaceAll(text, []byte(`"seed": "8c1f30d27a5be964"`), fmt.Appendf(nil, `"seed": "%016x"`, seed))
-					text = bytes.ReplaceAll(text, []byte(`"sockets": 1024`), []byte(`"sockets": 8192`)) // of all in this process
+					text = bytes.ReplaceAll(text, []byte(`"sockets": 1024`), []byte(`"sockets": 8192`)) // the limit is shared by all couriers in this process
 					return bytes.ReplaceAll(text, []byte(`"subscribe"`), []byte(`"`+mode+`"`))
 				})
-				all.Add(1)
+				wg.Add(1)
 				go func() {
-					defer all.Done()
-					client := &visitor{listen: listen}
-					defer client.leave()
-					if _, up := client.waitsFor(knownDest, 10*time.Second); !up {
-						t.Errorf("%s, %s: the courier does not know what it was started with", mode, name)
+					defer wg.Done()
+					client := &testClient{listen: listen}
+					defer client.disconnect()
+					if _, accepted := client.submitUntilAccepted(knownDest, 10*time.Second); !accepted {
+						t.Errorf("%s, %s: the courier does not know its initial destination", mode, name)
 						return
 					}
 					time.Sleep(recovery)
-					if reply, err := client.asks("early", changedDest); err == nil && reply == "+OK" {
-						t.Errorf("%s, %s: the courier knows the change before it was made", mode, name)
+					if reply, err := client.submit("early", changedDest); err == nil && reply == "+OK" {
+						t.Errorf("%s, %s: the courier applied the change before it was made", mode, name)
 					}
 					if err := d.recover(); err != nil {
 						t.Error(err)
 						return
 					}
-					took, _ := client.waitsFor(changedDest, 2*changeDeadline)
+					took, _ := client.submitUntilAccepted(changedDest, 2*changeDeadline)
 					mu.Lock()
 					defer mu.Unlock()
 					worst[mode+", "+name] = max(worst[mode+", "+name], took)
-					cases[fmt.Sprintf("%s, %s, recovered after %v", mode, name, recovery)] = took
+					durations[fmt.Sprintf("%s, %s, recovered after %v", mode, name, recovery)] = took
 				}()
 			}
 		}
 	}
-	all.Wait()
-	stood := stop()
-	t.Logf("the machine stood still for %v at worst", stood.Round(time.Millisecond))
-	for what, took := range cases {
-		if took > changeDeadline+stood {
-			t.Errorf("%s: the change was notified after %v", what, took.Round(time.Millisecond))
+	wg.Wait()
+	stall := stopMeasuring()
+	t.Logf("largest stall of the machine: %v", stall.Round(time.Millisecond))
+	for caseName, took := range durations {
+		if took > changeDeadline+stall {
+			t.Errorf("%s: the change was applied after %v", caseName, took.Round(time.Millisecond))
 		}
 	}
 	for name, took := range worst {
-		t.Logf("%s: at worst %v", name, took.Round(10*time.Millisecond))
+		t.Logf("%s: slowest after %v", name, took.Round(10*time.Millisecond))
 	}
 }
--- a/server/step.go
+++ b/server/step.go
@@ -9,14 +9,14 @@
 
 // due returns when the next step is due without an event.
 func (s *Server) due() dispatch.Micros {
-	at := min(s.timerAt, s.endpointConns.Due(), s.clients.Due(), s.discovery.due(), s.snapshots.due(), s.spoolDue(), s.operators.due(), s.shutdownBy, s.drainAt)
+	at := min(s.timerAt, s.endpointConns.Due(), s.clients.Due(), s.discovery.due(), s.snapshots.due(), s.spoolDue(), s.admin.due(), s.shutdownBy, s.drainAt)
 	for _, attempt := range s.inFlight {
 		at = min(at, attempt.waitUntil)
 	}
 	return at
 }
 
-// guardedStep is a step that no panic leaves.
+// guardedStep runs a step and recovers from a panic in it.
 func (s *Server) guardedStep() {
 	defer func() {
 		if fault := recover(); fault != nil {
@@ -27,25 +27,25 @@
 	s.step()
 }
 
-// step hands the dispatcher the events since the last step, and carries out its actions.
+// step passes the events since the last step to the dispatcher and executes its actions.
 func (s *Server) step() {
 	s.now = s.clock()
 	s.endpointConns.Expire()
 	s.endpointConns.CheckWritten()
 	s.clients.Sweep(s.now)
-	s.operators.tick()
+	s.admin.tick()
 	s.malformed.log(s.log, s.now)
 	if !s.handoff.handedOver {
 		s.discovery.tick()
 	}
 	for _, attempt := range append([]*attempt(nil), s.inFlight...) {
 		if !attempt.finished && attempt.waitUntil <= s.now {
-			s.attemptOverdue(attempt)
+			s.attemptTimedOut(attempt)
 		}
 	}
-	if s.handoff.handedOver { // another process decides
+	if s.handoff.handedOver { // the successor runs the dispatcher
 		s.reply()
-		s.operators.publish()
+		s.admin.publish()
 		return
 	}
 	if s.timerAt <= s.now {
@@ -56,17 +56,18 @@
 	for len(s.events) > 0 {
 		events := s.events
 		s.events = nil
-		s.carryOut(s.decide(events))
+		s.execute(s.decide(events))
 	}
 	s.reply()
 	s.flushSpool()
 	s.discovery.tick()
 	s.saveSnapshot(false)
 	s.publishDemands()
-	s.operators.publish()
+	s.admin.publish()
 }
 
-// reply writes the replies that clients wait for. Messages that end from then on end with a notice.
+// reply writes the pending replies. A message that ends undelivered after its reply was written ends with a
+// notice.
 func (s *Server) reply() {
 	for _, reply := range s.replies {
 		reply.client.Write(reply.text, reply.close)
@@ -77,7 +78,7 @@
 	s.replies = s.replies[:0]
 }
 
-// decide calls the dispatcher. Should it panic, a new one is started, as after a restart of the process.
+// decide calls the dispatcher. If it panics, a new one is started with the unfinished messages.
 func (s *Server) decide(events []dispatch.Event) (actions []dispatch.Action) {
 	defer func() {
 		if fault := recover(); fault != nil {
--- a/server/trace.go
+++ b/server/trace.go
@@ -7,8 +7,8 @@
 	"pineport/dispatch"
 )
 
-// trace logs the events and actions of the dispatcher, at debug level of the component decisions: a replay of a day counts them across the
-// fleet. Off, it costs one check a step.
+// trace logs the events and actions of the dispatcher at debug level for the component decisions. Replays
+// of a day use it to count them across the fleet. When disabled, it costs one check per step.
 func (s *Server) trace(events []dispatch.Event, actions []dispatch.Action) {
 	if !s.tracer.Enabled(context.Background(), slog.LevelDebug) {
 		return
