--- a/server/actions.go
+++ b/server/actions.go
@@ -26,7 +26,7 @@
 			s.log.Info("note", "text", a.Text)
 		}
 	}
-	s.reply()
+	s.writeReplies()
 	for _, call := range calls {
 		s.startCall(call)
 	}
--- a/server/admin.go
+++ b/server/admin.go
@@ -15,7 +15,7 @@
 )
 
 // controlQueueSize bounds the control queue, and the number of operator commands that wait for a successor.
-// Each command waits for its result.
+// It can be small because the sender of each command waits for the result.
 const controlQueueSize = 16
 
 // AdminSockets returns the number of file descriptors reserved for the admin address.
@@ -29,11 +29,12 @@
 // command is an operator's command. The event loop sends one result to done, after the step that executed
 // the command.
 type command struct {
-	command admin.Command
+	request admin.Command
 	done    chan commandResult
 }
 
-// commandResult is the result of a command, with the state to store before the operator gets it.
+// commandResult is the result of a command, with the state that must be stored before the result is
+// reported to the operator.
 type commandResult struct {
 	err        error
 	generation int64
@@ -46,8 +47,8 @@
 	disabled       map[string]bool // endpoints disabled for maintenance
 	generation     int64           // incremented with each change of disabled
 	writer         *maintenance.Writer
-	serving        atomic.Bool // whether the courier accepts clients
-	drainAt        dispatch.Micros
+	serving        atomic.Bool     // whether the courier accepts clients
+	drainAt        dispatch.Micros // when the next idle client connections are closed; never if the courier is not draining
 	pendingResults []func()
 	metrics        atomic.Pointer[admin.Metrics]
 	metricsAt      dispatch.Micros
@@ -122,13 +123,13 @@
 		return
 	}
 	result := commandResult{}
-	switch typed := command.command.(type) {
+	switch typed := command.request.(type) {
 	case admin.SetDisabled:
 		result = a.setDisabled(typed)
 	case admin.Drain:
 		a.setDraining(typed.Enabled)
 	default:
-		result.err = fmt.Errorf("%w: %T", errUnknownCommand, command.command)
+		result.err = fmt.Errorf("%w: %T", errUnknownCommand, command.request)
 	}
 	a.pendingResults = append(a.pendingResults, func() { command.done <- result })
 }
@@ -149,12 +150,13 @@
 		a.server.log.Info("maintenance changed", "endpoint", change.Endpoint, "disabled", change.Disabled)
 		a.server.events = append(a.server.events, dispatch.MaintenanceChanged{Endpoint: dispatch.EndpointID(change.Endpoint), Disabled: change.Disabled})
 	}
-	return commandResult{generation: a.generation, disabled: maps.Clone(a.disabled)} // also without a change: an earlier write may have failed
+	return commandResult{generation: a.generation, disabled: maps.Clone(a.disabled)} // even without a change, as an earlier write may have failed
 }
 
 const (
 	// drainStart is the delay before idle client connections are closed. A load balancer in front of the
-	// couriers probes every 100 ms and stops sending new connections within 200 ms of the first refusal.
+	// couriers probes each courier every 100 ms and stops sending new connections to it within 200 ms of
+	// the first failed probe.
 	drainStart    = 350 * 1000
 	drainInterval = 50 * 1000
 )
@@ -188,7 +190,7 @@
 // metricsInterval is the maximum age of the metrics.
 const metricsInterval = 200 * 1000
 
-// publish collects the metrics if they are due and sends the results of commands.
+// publish collects the metrics if they are due or a result is pending, and sends the results of commands.
 func (a *adminState) publish() {
 	if a.server.deployment.Ops != "" && a.server.now >= a.metricsAt || len(a.pendingResults) > 0 {
 		a.metricsAt = a.server.now + metricsInterval
--- a/server/answer_test.go
+++ b/server/answer_test.go
@@ -9,10 +9,11 @@
 // These tests force the ways in which a client connection can be closed after a request has been read. Each
 // such request must get a reply. docs/crossings.md lists all ways in which a client connection is closed.
 
-// TestHalfClosedClientGetsAnAnswer. Failure: a client that closed its sending side and waited for its reply
-// was disconnected without one. Now its message is rejected and may be submitted again, and other commands
-// get their usual replies.
-func TestHalfClosedClientGetsAnAnswer(t *testing.T) {
+// TestHalfClosedClientGetsReply. Failure: a client that closed its sending side and waited for its reply
+// was disconnected without one.
+//
+// Now its message is rejected and may be submitted again, and other commands get their usual replies.
+func TestHalfClosedClientGetsReply(t *testing.T) {
 	for name, tc := range map[string]struct{ request, want string }{
 		"a message":          {enqueue("one"), "-BUSY"},
 		"a ping":             {"*1\r\n$4\r\nPING\r\n", "+PONG"},
@@ -33,7 +34,7 @@
 				t.Errorf("after the reply got %q", got)
 			}
 			if s.messages["one"] != nil || storedMessage(t, s, "one") != nil {
-				t.Error("the message was rejected and is still held")
+				t.Error("the message was rejected and is still stored or in memory")
 			}
 		})
 	}
@@ -58,16 +59,16 @@
 	}
 }
 
-// TestRequestReadBeforeExitIsAnswered. Failure: the process exited although the poller had read a request
+// TestRequestReadBeforeExitGetsReply. Failure: the process exited although the poller had read a request
 // after the event loop last checked the queue.
-func TestRequestReadBeforeExitIsAnswered(t *testing.T) {
+func TestRequestReadBeforeExitGetsReply(t *testing.T) {
 	s := steppedServer(t, openWorld(t, 0))
 	client := connectClient(t, s)
 	request := client.submit(t, s, "one")
 	s.now = s.clock()
-	s.exiting, s.shutdownBy, s.closeClientsBy = true, s.now, s.now // the time limits of the exit have passed
+	s.exiting, s.shutdownBy, s.stopReadingAt = true, s.now, s.now // the time limits of the exit have passed
 	s.queue <- clientEvent{request}
-	if s.mayExit() {
+	if s.tryExit() {
 		t.Fatal("the event loop exited without a reply to a request it had read")
 	}
 	if !runUntilExit(t, s, noCondition) {
@@ -76,14 +77,14 @@
 	if got := client.reply(); got != "+OK" {
 		t.Errorf("got reply %q", got)
 	}
-	if s.now > s.closeClientsBy+2*replyTimeout {
-		t.Errorf("the exit took %d us longer than its time limits", s.now-s.closeClientsBy)
+	if s.now > s.stopReadingAt+2*replyTimeout {
+		t.Errorf("the exit took %d us longer than its time limits", s.now-s.stopReadingAt)
 	}
 }
 
-// TestPanickingCommandIsAnswered. Failure: a panic while a command was handled closed its connection
+// TestPanickingCommandGetsReply. Failure: a panic while a command was handled closed its connection
 // without a reply.
-func TestPanickingCommandIsAnswered(t *testing.T) {
+func TestPanickingCommandGetsReply(t *testing.T) {
 	s := steppedServer(t, openWorld(t, 0))
 	client := connectClient(t, s)
 	request := client.submit(t, s, "one")
--- a/server/calls.go
+++ b/server/calls.go
@@ -13,6 +13,7 @@
 )
 
 // call is one request to an endpoint. It carries one attempt, or several if the endpoint type allows it.
+// Its exchange is the request and answer on a connection.
 type call struct {
 	endpoint    dispatch.EndpointID
 	entry       protocol.Host
@@ -22,6 +23,7 @@
 	predecessor bool            // sent by the predecessor of an upgrade; holds one attempt
 }
 
+// outcomes maps the names of outcomes in the spool to outcomes.
 var outcomes = map[string]dispatch.Outcome{
 	"done": dispatch.Delivered, "failure": dispatch.Failure, "full": dispatch.Throttled, "timed_out": dispatch.TimedOut,
 	"unreachable": dispatch.Unreachable, "broken": dispatch.Broken, "withdrawn": dispatch.Canceled, "void": dispatch.Unprocessed,
@@ -58,7 +60,7 @@
 		target = &call{endpoint: a.Endpoint, entry: entry}
 		calls = append(calls, target)
 	}
-	attempt := &attempt{message: message, number: len(message.attempts), call: target, sentAt: s.now, waitUntil: s.now + a.Timeout}
+	attempt := &attempt{message: message, number: len(message.attempts), call: target, decidedAt: s.now, waitUntil: s.now + a.Timeout}
 	message.attempts = append(message.attempts, attempt)
 	message.inFlight++
 	s.inFlight = append(s.inFlight, attempt)
@@ -68,7 +70,7 @@
 
 // alignTimeouts sets the timeout of every attempt of a call to the earliest of them and returns it.
 // Failure: with separate timeouts, one attempt timed out while the call went on for the others, and its
-// message was counted as lost.
+// message was counted as lost although it may have been delivered.
 func (c *call) alignTimeouts() dispatch.Micros {
 	earliest := never
 	for _, attempt := range c.attempts {
@@ -91,12 +93,13 @@
 		OnBegin:     func(begun bool) { s.answerStarted(call, begun) },
 		BeforeWrite: func() error { return s.prepareCall(call) },
 		IsWanted:    func() bool { return s.mayCall(call) },
-		OnWritten:   func() { s.counters.calls += int64(len(call.attempts)) },
+		OnWritten:   func() { s.counters.attempts += int64(len(call.attempts)) },
 		OnEnd:       func(a protocol.Answer, err error) { s.callEnded(call, a, err) }}
 	s.endpointConns.Start(call.exchange)
 }
 
-// mayCall reports whether a call may still be sent after its connection has been opened.
+// mayCall reports whether a call may still be sent after its connection has been opened. The dispatcher
+// refuses calls while the endpoint list may be outdated.
 func (s *Server) mayCall(call *call) bool {
 	if guard, ok := s.dispatcher.(dispatch.ListGuard); ok && !guard.MayCall(s.now) {
 		return false
@@ -106,10 +109,10 @@
 }
 
 // prepareCall stores the attempts of a call and builds its request, immediately before the first byte is
-// written.
+// written. It ends attempts whose message has ended or is past its idempotency window.
 //
 // Failures: when attempts were stored at the time of the decision, a process killed while a connection was
-// being opened left attempts in the spool that looked as if they might have run, and at-most-once messages
+// being opened left attempts in the spool that looked as if they might have run. At-most-once messages then
 // failed after the restart although no call had been made. When the request was built at the time of the
 // decision, it still contained messages canceled while the connection was being opened.
 func (s *Server) prepareCall(call *call) error {
@@ -124,7 +127,7 @@
 		if err := s.storeAttempt(attempt, ""); err != nil {
 			s.logSpoolError(err)
 			if !s.isIdempotent(attempt.message) {
-				return endpointconn.ErrNotStored // not sent, because a restart would not know of the attempt
+				return endpointconn.ErrNotStored // not sent: after a restart, the process would not know of the attempt
 			}
 		}
 		items = append(items, protocol.Item{ID: attempt.message.stored.ID, Mark: attempt.message.stored.IdempotencyKey, Body: attempt.message.stored.Body})
@@ -147,7 +150,7 @@
 	}
 	attempt.stored = true
 	return s.spool.BeginAttempt(attempt.message.stored.ID, spool.Attempt{Endpoint: string(attempt.call.endpoint), Zone: max(0, slices.Index(s.deployment.Zones, attempt.call.entry.Zone)),
-		SentAt: int64(attempt.sentAt), Outcome: outcome})
+		SentAt: int64(attempt.decidedAt), Outcome: outcome})
 }
 
 // storeOutcome stores the outcome of an attempt.
@@ -165,12 +168,12 @@
 }
 
 // answerTimeout bounds the time between the first bytes of an answer and its end. Endpoints write an answer
-// at once, and the longest latency in any deployment is 200 ms. Without this bound, a head or body that
-// never ends would hold its slot until the attempt times out.
+// at once, and the longest latency in any deployment is 200 ms. Without this bound, an answer whose head or
+// body never ends would occupy one of the endpoint's slots until the attempt times out.
 const answerTimeout = 500 * 1000
 
-// answerStarted shortens the timeout of a call's attempts when an answer begins. It restores the timeout if
-// that was an interim answer.
+// answerStarted shortens the timeout of a call's attempts when an answer begins. If begun is false, the
+// answer was an interim one, and the timeout is restored.
 func (s *Server) answerStarted(call *call, begun bool) {
 	for _, attempt := range call.attempts {
 		if attempt.waitUntil = call.waitUntil; begun {
@@ -187,9 +190,11 @@
 		}
 		return
 	}
+	// The request was not sent completely because of a shortage on this machine, or not at all because it could
+	// not be stored.
 	if endpointconn.IsLocal(err) {
 		for _, attempt := range call.attempts {
-			attempt.unsent = true
+			attempt.failedLocally = true
 			s.complete(attempt, dispatch.AttemptFinished{Outcome: dispatch.Unprocessed})
 		}
 		return
@@ -203,9 +208,9 @@
 		}
 		return
 	}
-	var outcomesByID map[string]string
+	var statusesByID map[string]string
 	if answer.Status == 200 && len(call.attempts) > 1 {
-		outcomesByID = protocol.ReadEnds(answer.Body)
+		statusesByID = protocol.ReadEnds(answer.Body)
 	}
 	if answer.WaitMs > 0 {
 		s.storeRetryAfter(call.entry, s.now+dispatch.Micros(answer.WaitMs)*1000)
@@ -213,8 +218,8 @@
 	loadReport := protocol.Pressure(answer.Report, s.deployment.Report)
 	for _, attempt := range call.attempts {
 		event := outcomeOf(answer)
-		if outcomesByID != nil {
-			event = outcomeInBatch(outcomesByID[attempt.message.stored.ID])
+		if statusesByID != nil {
+			event = outcomeInBatch(statusesByID[attempt.message.stored.ID])
 		}
 		event.LoadReport, event.RetryAfter = loadReport, dispatch.Micros(answer.WaitMs)*1000
 		s.complete(attempt, event)
@@ -265,9 +270,9 @@
 	case answer.Status == 410:
 		return dispatch.AttemptFinished{Outcome: dispatch.Unprocessed, MessageDone: true}
 	case answer.Status == 400, answer.Status == 404, answer.Status == 413:
-		return dispatch.AttemptFinished{Outcome: dispatch.Unprocessed} // the endpoint rejected the request without reading any message
+		return dispatch.AttemptFinished{Outcome: dispatch.Unprocessed} // the endpoint rejected the request without processing any message
 	}
-	return dispatch.AttemptFinished{Outcome: dispatch.Failure} // unknown status: the message may have run
+	return dispatch.AttemptFinished{Outcome: dispatch.Failure} // unknown status, so the message may have run
 }
 
 // outcomeInBatch returns the outcome of one message in the answer to a call with several. A message missing
@@ -286,21 +291,24 @@
 	return dispatch.AttemptFinished{Outcome: dispatch.Failure}
 }
 
-// complete ends an attempt with its outcome and passes that to the dispatcher.
+// complete ends an attempt with its outcome and reports the outcome to the dispatcher, or to the successor
+// after a handoff. For an attempt that has already finished, a late answer can still end the message.
 func (s *Server) complete(attempt *attempt, event dispatch.AttemptFinished) {
 	if s.handoff.handedOver {
 		s.handoff.forwardOutcome(attempt, event)
 		return
 	}
 	if attempt.finished {
-		if event.MessageDone && !attempt.message.ended { // delivered although the attempt was canceled
+		if event.MessageDone && !attempt.message.ended { // the late answer of an attempt that was canceled or timed out
 			if event.Outcome == dispatch.Delivered {
 				s.count(attempt.message.stored.Class, delivered)
 			}
 			s.finished.add(attempt.message, s.now)
-			s.finish(attempt.message)
+			s.endMessage(attempt.message)
+			// The dispatcher has already handled the end of the attempt, so it is only told to drop the
+			// message.
 			s.events = append(s.events, dispatch.MessageCanceled{Message: dispatch.MessageID(attempt.message.stored.ID)})
-			s.forget(attempt.message)
+			s.removeIfDone(attempt.message)
 		}
 		return
 	}
@@ -317,19 +325,19 @@
 			s.count(attempt.message.stored.Class, delivered)
 		}
 		s.finished.add(attempt.message, s.now)
-		s.finish(attempt.message)
+		s.endMessage(attempt.message)
 	} else if !attempt.message.ended {
 		s.storeOutcome(attempt, event.Outcome)
 	}
-	event.Message, event.Attempt, event.Duration = dispatch.MessageID(attempt.message.stored.ID), dispatch.AttemptNumber(attempt.number), s.now-attempt.sentAt
+	event.Message, event.Attempt, event.Duration = dispatch.MessageID(attempt.message.stored.ID), dispatch.AttemptNumber(attempt.number), s.now-attempt.decidedAt
 	event.MessageDone = event.MessageDone || attempt.message.ended
-	if attempt.unsent {
+	if attempt.failedLocally {
 		s.events = append(s.events, dispatch.AttemptUnsent{AttemptFinished: event})
 	} else {
 		s.events = append(s.events, event)
 	}
 	s.snapshots.observe(event.Outcome)
-	s.forget(attempt.message)
+	s.removeIfDone(attempt.message)
 }
 
 // attemptTimedOut ends an attempt whose timeout has expired, unless its answer has been received but not
@@ -352,8 +360,9 @@
 	s.abandonCall(attempt.call)
 }
 
-// recheckDelay is by how much a timeout is extended once if the connection holds unread bytes. The poller
-// reads them at once unless the machine is busy. A peer that keeps sending gets only this one extension.
+// recheckDelay is the only extension of the timeout of an attempt whose connection holds unread bytes. The
+// poller reads them at once unless the machine is busy, and a peer that keeps sending gets no further
+// extension.
 const recheckDelay = 5 * 1000
 
 // answerArriving reports whether the answer to an attempt has been received but not handled yet, or may be
--- a/server/clients.go
+++ b/server/clients.go
@@ -27,9 +27,9 @@
 	close   bool // close the connection after the reply
 }
 
-// clientLimits derives the limits of client connections from the deployment. Clients get 4/10 of the file
-// descriptors, and up to half of them during a burst of new connections, so that descriptors remain for
-// endpoints and discovery. Partially received commands get 1/8 of the memory.
+// clientLimits derives the limits of client connections from the deployment. Clients may keep 4/10 of all
+// file descriptors, and use up to half of all during a burst of new connections, so that descriptors remain
+// for endpoints and discovery. Partially received commands may use 1/8 of the memory.
 func (s *Server) clientLimits() clientconn.Limits {
 	sockets := s.deployment.Sockets - AdminSockets(s.deployment)
 	return clientconn.Limits{Conns: sockets * 4 / 10, Admitted: sockets / 2, PartialBytes: int64(s.deployment.MemoryMB) << 20 / 8}
@@ -60,10 +60,10 @@
 	}
 }
 
-// commandsFailed replies to the commands of an event whose handling panicked. repliesBefore is the number
-// of replies that were pending before the event. Failure: the connection was closed without a reply to
+// failCommands replies to the commands of an event whose handler panicked. repliesBefore is the number of
+// replies that were pending before the event. Failure: the connection was closed without a reply to
 // requests already read.
-func (s *Server) commandsFailed(event clientconn.Commands, repliesBefore int) {
+func (s *Server) failCommands(event clientconn.Commands, repliesBefore int) {
 	for len(s.replies) < repliesBefore+len(event.Commands) {
 		s.replies = append(s.replies, &reply{client: event.Conn})
 	}
@@ -74,9 +74,9 @@
 	}
 }
 
-// clientClosed drops messages whose acceptance had not been reported to a client before its connection
-// closed, because that client submits them again. A message that was also submitted over another connection
-// is kept. Failure: the other connection got +OK for a message that had been dropped with the first.
+// clientClosed drops the messages of a client that disconnected before it got their replies: the client
+// submits them again. A message that was also submitted over another connection is kept. Failure: the other
+// connection got +OK for a message that had been dropped with the first.
 //
 // A client that has only closed its sending side still reads, so it is told that its message was rejected.
 // Failure: its connection was closed without a reply to requests already read.
@@ -92,9 +92,9 @@
 		if len(message.waiting) > 0 {
 			continue
 		}
-		s.finish(message)
+		s.endMessage(message)
 		s.events = append(s.events, dispatch.MessageCanceled{Message: dispatch.MessageID(message.stored.ID)})
-		s.forget(message)
+		s.removeIfDone(message)
 		if conn.HalfClosed() {
 			pending.text = protocol.ReplyBusy(0)
 			s.count(message.stored.Class, rejected)
@@ -156,15 +156,15 @@
 	return nil
 }
 
-// acceptedBefore sets the reply for a message that has already been accepted, and reports whether it has.
+// acceptedBefore reports whether a message has already been accepted, and if so sets the reply.
 func (s *Server) acceptedBefore(request protocol.Enqueue, reply *reply) bool {
 	id := dispatch.MessageID(request.ID)
 	switch message := s.messages[id]; {
-	case message != nil && len(message.waiting) > 0: // submitted twice in one step: both get the first one's reply
+	case message != nil && len(message.waiting) > 0: // submitted twice in one step: both get the reply of the first
 		reply.message, reply.text = message, protocol.ReplyOK
 		message.waiting = append(message.waiting, reply)
 		return true
-	case message != nil || s.finished.contains(id, s.now): // submitted again after its connection was closed
+	case message != nil || s.finished.contains(id, s.now): // submitted again, for example after its connection was closed
 		reply.text = protocol.ReplyOK
 		return true
 	}
--- a/server/counters.go
+++ b/server/counters.go
@@ -21,8 +21,8 @@
 // counters are the counters behind the metrics for operators.
 type counters struct {
 	endings    [][numEndings]int64 // indexed by class
-	calls      int64
-	unfinished int64 // messages accepted and not ended
+	attempts   int64               // attempts written to endpoints
+	unfinished int64               // messages accepted and not ended
 }
 
 // grow adds counters for new classes.
@@ -40,10 +40,13 @@
 	}
 }
 
-// collectMetrics returns a snapshot of the metrics.
+// collectMetrics returns a snapshot of the metrics. In the metrics, Success, Overload and Error count
+// delivered, rejected and failed messages, Dispatches counts attempts, Concurrent unfinished messages and
+// Targets listed endpoints. TargetsDisabled counts the endpoints that get no new messages, for whatever
+// reason.
 func (s *Server) collectMetrics() *admin.Metrics {
 	metrics := &admin.Metrics{Success: map[string]int64{}, Overload: map[string]int64{}, Error: map[string]int64{},
-		Dispatches: s.counters.calls, Concurrent: s.counters.unfinished, Targets: int64(len(s.endpoints)),
+		Dispatches: s.counters.attempts, Concurrent: s.counters.unfinished, Targets: int64(len(s.endpoints)),
 		ReloadSuccess: s.admin.reloads, ReloadFailure: s.admin.failedReloads.Load()}
 	for i, name := range s.deployment.Classes {
 		metrics.Success[name], metrics.Overload[name], metrics.Error[name] = s.counters.endings[i][delivered], s.counters.endings[i][rejected], s.counters.endings[i][failed]
--- a/server/crossings_test.go
+++ b/server/crossings_test.go
@@ -104,7 +104,7 @@
 }
 
 // TestAttemptIsStoredOnlyWhenSent. Failure: if the process was killed while the connection was being
-// opened, the restart took the unsent attempt for one that may have run. An at-most-once message then
+// opened, the next process took the unsent attempt for one that may have run. An at-most-once message then
 // failed without any call.
 func TestAttemptIsStoredOnlyWhenSent(t *testing.T) {
 	s := steppedServer(t, openWorld(t, 0), newMessage("one"))
@@ -340,7 +340,9 @@
 }
 
 // TestAnswerUnreadAtTimeoutCounts. Failure: an answer that was unread in the socket when its attempt timed
-// out was ignored. If the bytes are no complete answer, the attempt ends shortly afterwards, however many
+// out was ignored.
+//
+// If the unread bytes are not a complete answer, the attempt still ends shortly afterwards, however many
 // bytes follow.
 func TestAnswerUnreadAtTimeoutCounts(t *testing.T) {
 	for name, tc := range map[string]struct {
@@ -350,17 +352,17 @@
 		"whole": {okAnswer, dispatch.Delivered}, "status line only": {okAnswer[:17], dispatch.Delivered}, "partial status line": {"HTTP/1.1 2", dispatch.Failure},
 		"nothing": {"", dispatch.TimedOut},
 	} {
-		for how, trigger := range map[string]func(s *Server, attempt *attempt){
+		for triggerName, trigger := range map[string]func(s *Server, attempt *attempt){
 			"overdue":          func(s *Server, attempt *attempt) { s.attemptTimedOut(attempt) },
 			"attempt canceled": func(s *Server, _ *attempt) { s.cancel(dispatch.Cancel{Message: "one"}) },
 		} {
-			t.Run(name+" "+how, func(t *testing.T) {
+			t.Run(name+" "+triggerName, func(t *testing.T) {
 				world := openWorld(t, 0)
 				listener := listenAsEndpoint(t, world)
 				s := steppedServer(t, world, newMessage("one"))
 				conn := sendToEndpoint(t, s, listener)
 				attempt := s.messages["one"].attempts[0]
-				for s.endpointConns.HasUnread(attempt.call.exchange) { // its handler may still be reporting that the connection is open
+				for s.endpointConns.HasUnread(attempt.call.exchange) { // HasUnread is also true while the handler of the opened connection runs
 					time.Sleep(100 * time.Microsecond)
 				}
 				resume := blockPoller(t, s)
@@ -374,7 +376,7 @@
 				}
 				resume()
 				want := tc.want
-				if tc.bytes == "" && how == "attempt canceled" {
+				if tc.bytes == "" && triggerName == "attempt canceled" {
 					want = dispatch.Canceled
 				}
 				for read := tc.bytes == ""; !read; {
@@ -392,7 +394,7 @@
 					}
 					s.handle(queued)
 				}
-				for range 3 { // an answer that has begun extends the timeout as well
+				for range 3 { // the start of an answer sets a new timeout (answerStarted)
 					if s.now = max(s.clock(), attempt.waitUntil); !attempt.finished {
 						s.attemptTimedOut(attempt)
 					}
@@ -462,8 +464,8 @@
 	}
 }
 
-// TestNoSendUnlessStored: an attempt that cannot be stored is not sent, because a restart would not know of
-// it.
+// TestNoSendUnlessStored: an attempt that cannot be stored is not sent, because a process started after a
+// crash would not know of it.
 func TestNoSendUnlessStored(t *testing.T) {
 	world := openWorld(t, 0)
 	listener := listenAsEndpoint(t, world)
@@ -493,17 +495,17 @@
 // the dispatcher rejected it in the same step.
 func TestMessageSubmittedOnTwoConnections(t *testing.T) {
 	for name, tc := range map[string]struct {
-		gone  int // which connection closes before the step, 1 or 2; 0 for none
-		busy  bool
-		want  string // reply to the remaining clients
-		keeps bool
+		closing int // which connection closes before the step, 1 or 2; 0 for none
+		rejects bool
+		want    string // reply to the remaining clients
+		stored  bool
 	}{
 		"first closes": {1, false, "+OK", true}, "second closes": {2, false, "+OK", true}, "neither closes": {0, false, "+OK", true},
-		"refused": {0, true, "-BUSY 7", false}, "first closes, refused": {1, true, "-BUSY 7", false},
+		"refused": {0, true, "-BUSY 7", false}, "first closes, rejected": {1, true, "-BUSY 7", false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := steppedServer(t, openWorld(t, 0))
-			if tc.busy {
+			if tc.rejects {
 				s.dispatcher = rejectingDispatcher{}
 			}
 			first, second := connectClient(t, s), connectClient(t, s)
@@ -512,17 +514,17 @@
 			s.handle(clientEvent{one})
 			s.handle(clientEvent{two})
 			remaining := []*testClient{first, second}
-			if tc.gone > 0 {
-				remaining[tc.gone-1].SetLinger(0)
-				remaining[tc.gone-1].Close()
-				from := []clientconn.Commands{one, two}[tc.gone-1].Conn
-				for gone := false; !gone; { // without a step in between
+			if tc.closing > 0 {
+				remaining[tc.closing-1].SetLinger(0)
+				remaining[tc.closing-1].Close()
+				from := []clientconn.Commands{one, two}[tc.closing-1].Conn
+				for closed := false; !closed; { // without a step in between
 					queued := <-s.queue
 					event, ok := unwrap(queued).(clientconn.Closed)
-					gone = ok && event.Conn == from
+					closed = ok && event.Conn == from
 					s.handle(queued)
 				}
-				remaining = []*testClient{remaining[2-tc.gone]}
+				remaining = []*testClient{remaining[2-tc.closing]}
 			}
 			s.step()
 			for _, client := range remaining {
@@ -530,8 +532,8 @@
 					t.Errorf("got reply %q", got)
 				}
 			}
-			if keeps := storedMessage(t, s, "one") != nil; keeps != tc.keeps {
-				t.Errorf("message stored: %v", keeps)
+			if stored := storedMessage(t, s, "one") != nil; stored != tc.stored {
+				t.Errorf("message stored: %v", stored)
 			}
 		})
 	}
@@ -559,7 +561,7 @@
 		s.handle(clientEvent{e})
 	}
 	if s.step(); storedMessage(t, s, "one") != nil || s.messages["one"] != nil {
-		t.Error("the message is still held")
+		t.Error("the message is still stored or in memory")
 	}
 }
 
@@ -599,10 +601,10 @@
 	if len(finished.until) > maxFinished || len(finished.order) > maxFinished || !finished.contains(dispatch.MessageID(fmt.Sprint(3*maxFinished-1)), 5) {
 		t.Errorf("%d ids in the map, %d in the order", len(finished.until), len(finished.order))
 	}
-	if finished.contains(dispatch.MessageID(fmt.Sprint(3*maxFinished-1)), 5+resendWindow) {
+	if finished.contains(dispatch.MessageID(fmt.Sprint(3*maxFinished-1)), 5+resubmitWindow) {
 		t.Error("the id is still known after the resend window")
 	}
-	finished.add(&message{stored: &spool.Message{ID: "late"}, acceptedAt: 5}, 5+resendWindow)
+	finished.add(&message{stored: &spool.Message{ID: "late"}, acceptedAt: 5}, 5+resubmitWindow)
 	if len(finished.until) > 0 || len(finished.order) > 0 {
 		t.Errorf("%d ids are left", len(finished.until))
 	}
@@ -613,9 +615,9 @@
 func runUntilExit(t *testing.T, s *Server, done func() bool) bool {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(100 * time.Microsecond) {
-		s.drainQueues()
+		s.handleQueued()
 		s.step()
-		if s.mayExit() {
+		if s.tryExit() {
 			return true
 		}
 		if done() {
@@ -631,9 +633,9 @@
 // scheduleExit sets the deadline of the shutdown to now.
 func scheduleExit(s *Server) { s.now, s.shutdownBy = s.clock(), s.clock() }
 
-// TestRequestDuringShutdownIsAnswered. Failure: a request that was unread in the socket at the last check
+// TestRequestDuringShutdownGetsReply. Failure: a request that was unread in the socket at the last check
 // before the exit got a connection reset instead of a reply.
-func TestRequestDuringShutdownIsAnswered(t *testing.T) {
+func TestRequestDuringShutdownGetsReply(t *testing.T) {
 	world := openWorld(t, 0)
 	s := steppedServer(t, world)
 	client := connectClient(t, s)
@@ -644,7 +646,7 @@
 		t.Fatal("the bytes never arrived")
 	}
 	checked := false
-	if runUntilExit(t, s, func() bool { // up to the first check after the accept timeout
+	if runUntilExit(t, s, func() bool { // up to the first check after postAcceptGrace
 		checked = s.exiting && s.shutdownBy == s.now+closeInterval
 		return checked
 	}) {
@@ -662,9 +664,9 @@
 	}
 }
 
-// TestFirstRequestDuringShutdownIsAnswered. Failure: a connection opened just before the exit was closed
+// TestFirstRequestDuringShutdownGetsReply. Failure: a connection opened just before the exit was closed
 // while its first request was in transit.
-func TestFirstRequestDuringShutdownIsAnswered(t *testing.T) {
+func TestFirstRequestDuringShutdownGetsReply(t *testing.T) {
 	s := steppedServer(t, openWorld(t, 0))
 	client := connectClient(t, s)
 	scheduleExit(s)
@@ -691,8 +693,8 @@
 	s.now = s.clock()
 	client := connectClient(t, s)
 	s.now = s.clock()
-	s.drainAt, s.shutdownBy = s.now, s.now+hour
-	if s.mayExit() {
+	s.shutdownDrainAt, s.shutdownBy = s.now, s.now+hour
+	if s.tryExit() {
 		t.Fatal("the event loop exited")
 	}
 	if got := idle.reply(); got != io.EOF.Error() {
@@ -703,8 +705,8 @@
 	if got := client.reply(); got != "+OK" {
 		t.Errorf("got reply %q", got)
 	}
-	for s.drainAt < never {
-		if s.now = s.clock(); s.mayExit() {
+	for s.shutdownDrainAt < never {
+		if s.now = s.clock(); s.tryExit() {
 			t.Fatal("the event loop exited")
 		}
 		time.Sleep(time.Millisecond)
@@ -737,7 +739,7 @@
 	if !runUntilExit(t, s, noCondition) {
 		t.Fatal("the event loop did not exit")
 	}
-	if took := s.clock() - began; took > 20*(acceptTimeout+exitTimeout) {
+	if took := s.clock() - began; took > 20*(postAcceptGrace+exitTimeout) {
 		t.Errorf("the exit took %d us", took)
 	}
 	if got := idle.reply(); got != io.EOF.Error() {
@@ -748,8 +750,8 @@
 }
 
 // TestTruncatedListsAreReported: each truncated list is reported to the dispatcher as incomplete, and the
-// dispatcher then backs off (see TestIncompleteListsBackOff in package dispatch). Failure: when every list
-// was truncated, each courier polled 30 times per second.
+// dispatcher then backs off (see TestIncompleteListsBackOff in package dispatch). Failure: with every list
+// truncated, each courier polled 30 times per second.
 func TestTruncatedListsAreReported(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -815,9 +817,9 @@
 	next := *s.deployment
 	next.Discovery = world.Discovery
 	s.handle(configReloaded{&next})
-	watching := s.discovery.pollInFlight
+	inFlight := s.discovery.pollInFlight
 	s.handle(endpointEvent{answer})
-	if s.discovery.pollInFlight != watching || watching == nil || watching.Peer.Address != world.Discovery || s.discovery.version != 0 {
+	if s.discovery.pollInFlight != inFlight || inFlight == nil || inFlight.Peer.Address != world.Discovery || s.discovery.version != 0 {
 		t.Errorf("poll in flight %+v, version %d", s.discovery.pollInFlight, s.discovery.version)
 	}
 	s.handle(endpointEvent{waitForEvent(t, s, func(e endpointconn.Opened) bool { return ofDiscovery(e.Conn) })})
@@ -828,7 +830,10 @@
 }
 
 // TestReloadAfterHandoffIsKept. Failure: a configuration reloaded after the handoff was lost when the
-// successor died, and this process resumed with the old one.
+// successor exited, and this process resumed with the old one.
+//
+// The configuration must be passed to OnReload, whose caller starts the next event loop with it, and
+// discovery must not be polled.
 func TestReloadAfterHandoffIsKept(t *testing.T) {
 	s := steppedServer(t, openWorld(t, 0))
 	s.handoff.handedOver = true
@@ -845,8 +850,8 @@
 	}
 }
 
-// TestIdleCheckDuringRead. Failure: during a handoff, the event loop checked whether a client was idle in a
-// parser that the poller was writing to.
+// TestIdleCheckDuringRead. Failure: during a handoff, the event loop read the state of a client's parser
+// while the poller wrote to it.
 func TestIdleCheckDuringRead(t *testing.T) {
 	s := steppedServer(t, openWorld(t, 0))
 	client := connectClient(t, s)
--- a/server/discovery.go
+++ b/server/discovery.go
@@ -13,70 +13,73 @@
 )
 
 const (
-	// watchWait is how long discovery may hold a watch open. watchTimeout is added to it before a missing
-	// answer counts as a timeout.
-	watchWait    = 4500 * 1000
-	watchTimeout = 750 * 1000
-	// pollTimeout bounds the wait for the answer to a poll that asks for an immediate answer. An overloaded
-	// discovery answers or refuses after slightly more than 2 s. Failure: with a timeout of 1.1 s, the
-	// polls of 300 couriers were given up shortly before discovery would have answered them.
+	// watchWait is how long discovery may hold a watch open. A watch times out after watchWait +
+	// watchMargin.
+	watchWait   = 4500 * 1000
+	watchMargin = 750 * 1000
+	// pollTimeout bounds the wait for the answer to a poll that asks for an immediate answer. It exceeds
+	// the time of slightly more than 2 s after which an overloaded discovery answers or refuses. Failure:
+	// with a timeout of 1.1 s, the polls of 300 couriers were aborted shortly before discovery would have
+	// answered them.
 	pollTimeout     = 2400 * 1000
-	listTimeout     = 150 * 1000 // for the rest of a list once it has begun; the grace period of a drain in the list is longer
-	minPollInterval = 100 * 1000 // for answers that bring no newer version; without it, they would cause a tight polling loop
+	listTimeout     = 150 * 1000 // for the rest of a list that has begun; shorter than the grace period of a drain in the list
+	minPollInterval = 100 * 1000 // after an answer without a newer version; prevents a tight polling loop
 
-	// An unconfirmed notice is sent again, with growing backoff, while the earlier call is still in flight:
-	// that call may hang, and the client may not wait long. The longest round trip in any deployment is 200
-	// ms.
+	// noticeBackoff is the delay before an unconfirmed notice is sent again, while the earlier call is
+	// still in flight. It doubles with each attempt, up to 2 s. The earlier call may hang, and the notice
+	// is of use only for a limited time. The longest round trip in any deployment is 200 ms.
 	noticeBackoff     = 250 * 1000
 	noticeRetryDelay  = 50 * 1000 // after a failed call, doubled with each further failure up to maxNoticeDelay
 	maxNoticeDelay    = 200 * 1000
 	noticeTimeout     = 2 * 1000 * 1000
 	maxNoticeCalls    = 4                // in flight at the same time
 	maxNoticesPerCall = 64               // limit of one call
-	noticeLifetime    = 10 * 1000 * 1000 // from a message's deadline; after that, nobody asks how the message ended
+	noticeLifetime    = 10 * 1000 * 1000 // from a message's deadline; after that, unconfirmed notices are dropped
 )
 
-// notice is a notice that the platform has not confirmed yet.
-type notice struct {
-	notice        protocol.Notice
+// pendingNotice is a notice that is still to be sent or confirmed.
+type pendingNotice struct {
+	content       protocol.Notice
 	expiresAt     dispatch.Micros
 	nextAttemptAt dispatch.Micros // when the notice is sent for the first time or again
 	attempts      int
-	confirmed     bool
+	done          bool // confirmed, expired or rejected as malformed
 }
 
 // noticeCall is a call in flight that carries notices.
 type noticeCall struct {
 	exchange  *endpointconn.Exchange
 	timeoutAt dispatch.Micros
-	notices   []*notice
+	notices   []*pendingNotice
 }
 
-// discovery is the client of the platform: it keeps one poll of the endpoint list in flight and sends
-// notices. After a failed poll the dispatcher decides when to poll again. After a successful poll or watch
-// the next one starts without a decision.
-type discovery struct {
+// discoveryClient talks to discovery, the service of the platform that has the endpoint list and takes
+// notices. It keeps one poll of the list in flight and sends notices. A watch is a poll that discovery may
+// hold open until there is a change. After a failed poll, or a list with unusable entries, the dispatcher
+// decides when to poll again. After any other list the next watch starts without a decision.
+type discoveryClient struct {
 	server             *Server
 	version            int64 // of the stored list, which includes all changes up to this version
 	pollInFlight       *endpointconn.Exchange
 	pollRequest        dispatch.WatchEndpoints // the options of the poll in flight
 	completeListWanted bool                    // whether the next poll requests the complete list
-	olderSince         dispatch.Micros         // since when discovery has returned versions older than the stored one, or never
+	olderSince         dispatch.Micros         // since when discovery has returned versions older than the stored one; the constant never if it has not
 	lastListFaults     string                  // the entries of the last complete list that could not be used
 	pollTimeoutAt      dispatch.Micros
 	pollAt             dispatch.Micros
 	polledAt           dispatch.Micros
-	notices            []*notice
+	notices            []*pendingNotice
 	calls              []*noticeCall
 	failedCalls        int             // consecutive failed calls with notices
 	nextCallAt         dispatch.Micros // earliest start of the next call with notices
 }
 
-func (d *discovery) init(s *Server) {
+func (d *discoveryClient) init(s *Server) {
 	d.server, d.pollTimeoutAt, d.pollAt, d.olderSince = s, never, never, never
 }
 
-func (d *discovery) start() {
+// start starts the first watch. With MustPoll, the dispatcher requests polls instead.
+func (d *discoveryClient) start() {
 	if !d.server.deployment.Dispatch.MustPoll {
 		d.poll(dispatch.WatchEndpoints{})
 	}
@@ -84,7 +87,7 @@
 
 // poll starts a poll of the endpoint list. If a poll is already in flight, it only records whether the next
 // one must request the complete list.
-func (d *discovery) poll(request dispatch.WatchEndpoints) {
+func (d *discoveryClient) poll(request dispatch.WatchEndpoints) {
 	d.pollAt = never
 	d.completeListWanted = d.completeListWanted || request.Whole
 	if d.pollInFlight != nil {
@@ -93,7 +96,7 @@
 	request.Whole, d.completeListWanted = d.completeListWanted, false
 	d.pollRequest, d.polledAt = request, d.server.now
 	address := d.server.deployment.Discovery
-	httpRequest, timeout := protocol.Watch(address, d.version, watchWait/1000), dispatch.Micros(watchWait+watchTimeout)
+	httpRequest, timeout := protocol.Watch(address, d.version, watchWait/1000), dispatch.Micros(watchWait+watchMargin)
 	switch {
 	case request.Whole:
 		httpRequest, timeout = protocol.WholeList(address), pollTimeout
@@ -113,13 +116,13 @@
 
 // resume schedules a poll after a restart of the dispatcher, because the decision of the old one on when to
 // poll is lost.
-func (d *discovery) resume() {
+func (d *discoveryClient) resume() {
 	if d.pollInFlight == nil {
 		d.pollAt = d.server.now
 	}
 }
 
-func (d *discovery) pollAnswered(answer protocol.Answer, err error) {
+func (d *discoveryClient) pollAnswered(answer protocol.Answer, err error) {
 	begun, body := d.pollInFlight.HasBegun(), d.pollInFlight.PartialBody()
 	d.pollInFlight, d.pollTimeoutAt = nil, never
 	isAnswer := err == nil && answer.Status == http.StatusOK
@@ -140,9 +143,9 @@
 	d.listReceived(list)
 }
 
-// pollFailed handles a poll that returned no valid list. The entries that can be read from a truncated list
-// are applied.
-func (d *discovery) pollFailed(err error, begun bool, body []byte) {
+// pollFailed handles a poll that returned no valid list. If an answer has begun, the entries that can be
+// read from it are applied, unless its version is not newer than the stored one.
+func (d *discoveryClient) pollFailed(err error, begun bool, body []byte) {
 	d.server.log.Warn("endpoint list poll failed", "error", err, "truncated", begun, "version", d.version)
 	switch {
 	case begun:
@@ -160,8 +163,8 @@
 }
 
 // listReceived applies a list. The stored version advances only if every entry could be used, or if
-// discovery returned the same unusable entries to two consecutive requests for the complete list.
-func (d *discovery) listReceived(list protocol.List) {
+// discovery returned the same unusable entries to two requests for the complete list.
+func (d *discoveryClient) listReceived(list protocol.List) {
 	kind := dispatch.PartialList
 	if list.Whole {
 		kind = dispatch.CompleteList
@@ -174,7 +177,7 @@
 		return
 	}
 	if len(faults) > 0 {
-		d.server.acceptFaults(faults)
+		d.server.applyConfirmedFaults(faults)
 	}
 	if list.Seq <= d.version && !d.pollRequest.Whole && !d.pollRequest.Immediate && d.server.now-d.polledAt < minPollInterval {
 		d.pollAt = d.server.now + minPollInterval
@@ -187,7 +190,7 @@
 // isOlder reports whether a list is older than the stored one and must not replace it. If discovery has
 // lost its state and keeps returning an older version, a complete list of that version is accepted after
 // dispatch.ListDeadline, the time within which a change has to be applied.
-func (d *discovery) isOlder(list protocol.List) bool {
+func (d *discoveryClient) isOlder(list protocol.List) bool {
 	if list.Seq >= d.version {
 		d.olderSince = never
 		return false
@@ -203,8 +206,8 @@
 	return true
 }
 
-// isConfirmed reports whether two consecutive complete lists contained the same unusable entries.
-func (d *discovery) isConfirmed(list protocol.List, faults []protocol.EntryFault) bool {
+// isConfirmed reports whether two complete lists in a row contained the same unusable entries.
+func (d *discoveryClient) isConfirmed(list protocol.List, faults []protocol.EntryFault) bool {
 	if !d.pollRequest.Whole || !list.Whole {
 		return false
 	}
@@ -215,7 +218,7 @@
 
 // addressChanged switches to a new address of discovery. It polls the new address at once and sends it all
 // notices that the old one has not confirmed. Sending a notice to both addresses does no harm.
-func (d *discovery) addressChanged(old string) {
+func (d *discoveryClient) addressChanged(old string) {
 	d.server.endpointConns.Abort(d.pollInFlight)
 	d.pollInFlight = nil
 	for _, call := range d.calls {
@@ -230,7 +233,7 @@
 }
 
 // stop aborts the poll and all calls with notices. Unconfirmed notices remain in the spool.
-func (d *discovery) stop() {
+func (d *discoveryClient) stop() {
 	d.server.endpointConns.Abort(d.pollInFlight)
 	d.pollInFlight, d.pollTimeoutAt, d.pollAt = nil, never, never
 	for _, call := range d.calls {
@@ -240,12 +243,12 @@
 }
 
 // addNotice schedules a notice about the end of a message.
-func (d *discovery) addNotice(stored *spool.Message) {
-	d.notices = append(d.notices, &notice{expiresAt: dispatch.Micros(stored.Deadline) + noticeLifetime,
-		notice: protocol.Notice{ID: stored.ID, Rejected: stored.Ended == storedRejected, AgainMs: stored.RetryAfterMs}})
+func (d *discoveryClient) addNotice(stored *spool.Message) {
+	d.notices = append(d.notices, &pendingNotice{expiresAt: dispatch.Micros(stored.Deadline) + noticeLifetime,
+		content: protocol.Notice{ID: stored.ID, Rejected: stored.Ended == storedRejected, AgainMs: stored.RetryAfterMs}})
 }
 
-func (d *discovery) due() dispatch.Micros {
+func (d *discoveryClient) due() dispatch.Micros {
 	at := min(d.pollTimeoutAt, d.pollAt)
 	for _, call := range d.calls {
 		at = min(at, call.timeoutAt)
@@ -263,12 +266,12 @@
 // waitsForSpool reports whether a notice must be held back because the end of its message is not in the
 // spool yet. After a restart the message would be recovered, and it could run although its end had been
 // reported. After its deadline the message cannot run any more.
-func (d *discovery) waitsForSpool(pending *notice) bool {
-	return d.server.spool.IsBehind(pending.notice.ID) && d.server.now < pending.expiresAt-noticeLifetime
+func (d *discoveryClient) waitsForSpool(pending *pendingNotice) bool {
+	return d.server.spool.IsBehind(pending.content.ID) && d.server.now < pending.expiresAt-noticeLifetime
 }
 
 // tick handles expired timeouts and sends polls and notices that are due.
-func (d *discovery) tick() {
+func (d *discoveryClient) tick() {
 	now := d.server.now
 	if d.server.driver == nil {
 		return
@@ -294,7 +297,7 @@
 
 // notify sends one call with notices that are due, up to maxNoticesPerCall, and reports whether there were
 // any.
-func (d *discovery) notify() bool {
+func (d *discoveryClient) notify() bool {
 	if d.server.now < d.nextCallAt {
 		return false
 	}
@@ -304,7 +307,7 @@
 		if pending.nextAttemptAt <= d.server.now && len(notices) < maxNoticesPerCall && !d.waitsForSpool(pending) {
 			pending.nextAttemptAt = d.server.now + noticeBackoff<<min(pending.attempts, 3)
 			pending.attempts++
-			call.notices, notices = append(call.notices, pending), append(notices, pending.notice)
+			call.notices, notices = append(call.notices, pending), append(notices, pending.content)
 		}
 	}
 	if len(notices) == 0 {
@@ -317,12 +320,12 @@
 	return true
 }
 
-func (d *discovery) noticesAnswered(call *noticeCall, answer protocol.Answer, err error) {
+func (d *discoveryClient) noticesAnswered(call *noticeCall, answer protocol.Answer, err error) {
 	d.calls = slices.DeleteFunc(d.calls, func(other *noticeCall) bool { return other == call })
 	switch {
 	case err != nil:
 	case answer.Status == 400:
-		d.server.log.Error("notices rejected as malformed", "first", call.notices[0].notice.ID)
+		d.server.log.Error("notices rejected as malformed", "first", call.notices[0].content.ID)
 	case answer.Status != 204 && answer.Status != 200:
 		err = fmt.Errorf("status %d", answer.Status)
 	}
@@ -330,17 +333,17 @@
 	if err == nil {
 		d.failedCalls, d.nextCallAt = 0, 0
 	} else {
-		// Failure: without a common delay, the notices of calls that failed at once were retried
-		// separately, in ever smaller calls, at hundreds of calls per second.
+		// Failure: without a common delay, notices whose calls failed at once were retried in many small
+		// calls, hundreds per second.
 		d.nextCallAt = d.server.now + min(dispatch.Micros(noticeRetryDelay)<<min(d.failedCalls-1, 8), maxNoticeDelay)
 		d.server.log.Warn("notices will be retried", "count", len(call.notices), "error", err)
 	}
 	for _, pending := range call.notices {
-		if pending.confirmed = pending.confirmed || err == nil || d.server.now > pending.expiresAt; pending.confirmed {
-			d.server.logSpoolError(d.server.spool.Forget(pending.notice.ID))
+		if pending.done = pending.done || err == nil || d.server.now > pending.expiresAt; pending.done {
+			d.server.logSpoolError(d.server.spool.Forget(pending.content.ID))
 		} else {
 			pending.nextAttemptAt = min(pending.nextAttemptAt, d.nextCallAt) // earlier than the backoff if the call failed at once
 		}
 	}
-	d.notices = slices.DeleteFunc(d.notices, func(pending *notice) bool { return pending.confirmed })
+	d.notices = slices.DeleteFunc(d.notices, func(pending *pendingNotice) bool { return pending.done })
 }
--- a/server/endpointconns.go
+++ b/server/endpointconns.go
@@ -10,7 +10,7 @@
 
 // This file sets up the connections to endpoints and to discovery. Package endpointconn manages them.
 
-// maxRoundTrip is an upper bound of the round-trip time in any deployment.
+// maxRoundTrip is the longest round trip that endpointConnLimits allows for.
 const maxRoundTrip = 300 * 1000
 
 // newEndpointConns returns the pool of outgoing connections, which is empty at first.
--- a/server/endpoints.go
+++ b/server/endpoints.go
@@ -10,7 +10,8 @@
 )
 
 // applyEndpoints passes a complete or partial endpoint list to the dispatcher and stores its entries. It
-// returns the entries that could not be used.
+// returns the entries that could not be used. If there are any, the update is marked Incomplete and the
+// dispatcher polls the list again.
 //
 // Incident: an unusable entry was skipped and the list was treated as complete, so the drain announced in
 // that entry was neither applied nor polled for again. Endpoints that an unusable entry may refer to now
@@ -28,8 +29,8 @@
 	for _, entry := range usable {
 		s.logHealthChange(list.Seq, before, entry)
 		s.storeEndpoint(entry)
-		listing, _ := s.endpointEntry(entry)
-		update.Entries = append(update.Entries, listing)
+		converted, _ := s.endpointEntry(entry)
+		update.Entries = append(update.Entries, converted)
 	}
 	update.Entries = append(update.Entries, s.updateSuspects(faults)...)
 	if len(usable)+len(faults) > 0 {
@@ -124,8 +125,8 @@
 	}
 	for _, id := range changed {
 		if entry, listed := s.endpoints[id]; listed {
-			listing, _ := s.endpointEntry(entry)
-			entries = append(entries, listing)
+			converted, _ := s.endpointEntry(entry)
+			entries = append(entries, converted)
 		}
 	}
 	return entries
@@ -144,10 +145,10 @@
 	return ids
 }
 
-// acceptFaults applies a complete list with unusable entries after discovery has confirmed it. Endpoints
-// missing from the list are removed. Endpoints named by faults drain until a usable entry for them is
-// received.
-func (s *Server) acceptFaults(faults []protocol.EntryFault) {
+// applyConfirmedFaults applies a complete list with unusable entries after discovery has returned the same
+// ones twice. Endpoints missing from the list are removed. Endpoints named by unusable entries drain until
+// a usable entry for them is received. The update is marked Unusable.
+func (s *Server) applyConfirmedFaults(faults []protocol.EntryFault) {
 	named := s.faultyEndpoints(faults)
 	update := dispatch.EndpointUpdate{Kind: dispatch.PartialList, Unusable: true}
 	for _, id := range slices.Sorted(maps.Keys(s.suspects)) {
@@ -156,8 +157,8 @@
 			entry.Health = protocol.Removed
 		}
 		s.storeEndpoint(entry)
-		listing, _ := s.endpointEntry(entry)
-		update.Entries = append(update.Entries, listing)
+		converted, _ := s.endpointEntry(entry)
+		update.Entries = append(update.Entries, converted)
 	}
 	s.events = append(s.events, update)
 }
@@ -194,12 +195,12 @@
 	}
 }
 
-// unlistedLifetime is how long a destination without listed endpoints remains known. Replacing all its
-// endpoints takes only a fraction of this time.
+// unlistedLifetime is how long a destination without listed endpoints remains known. It is many times
+// longer than the replacement of all its endpoints takes.
 const unlistedLifetime = 600 * 1000 * 1000
 
-// knowsDestination reports whether a destination is known. Before the first list, every destination counts
-// as known.
+// knowsDestination reports whether a destination is known. As long as no destination is known, for example
+// before the first list, it returns true for every destination.
 func (s *Server) knowsDestination(dest int) bool {
 	until, ok := s.destinations[dest]
 	return ok && until > s.now || len(s.destinations) == 0
--- a/server/finished.go
+++ b/server/finished.go
@@ -3,10 +3,12 @@
 import "pineport/dispatch"
 
 const (
-	// resendWindow is how long a client may submit the same message again. A client waits 400 ms for its
-	// reply and uses new ids for later submissions (see PROTOCOL), and the longest latency is 200 ms.
-	resendWindow = 1000 * 1000
-	// maxFinished is 100 times the number of messages that end within resendWindow at a busy courier.
+	// resubmitWindow is how long a client may submit the same message again. According to the protocol, a
+	// client waits 400 ms for its reply and uses new ids for later submissions. The longest latency is 200
+	// ms.
+	resubmitWindow = 1000 * 1000
+	// maxFinished bounds the number of remembered ids. It is 100 times the number of messages that end
+	// within resubmitWindow at a busy courier.
 	maxFinished = 4096
 )
 
@@ -23,7 +25,7 @@
 		delete(f.until, f.order[0])
 		f.order = f.order[1:]
 	}
-	id, until := dispatch.MessageID(message.stored.ID), message.acceptedAt+resendWindow
+	id, until := dispatch.MessageID(message.stored.ID), message.acceptedAt+resubmitWindow
 	if until <= now || f.until[id] != 0 {
 		return
 	}
@@ -34,7 +36,7 @@
 	f.order = append(f.order, id)
 }
 
-// contains reports whether a message was accepted and has ended within the resend window.
+// contains reports whether a message was accepted and has ended within the resubmit window.
 func (f *finishedMessages) contains(id dispatch.MessageID, now dispatch.Micros) bool {
 	return f.until[id] > now
 }
--- a/server/handoff.go
+++ b/server/handoff.go
@@ -15,8 +15,8 @@
 	"pineport/protocol"
 )
 
-// ErrReclaim is returned by Run if the successor has exited after a handoff. The caller must then start a
-// new event loop from the state folder.
+// ErrReclaim is returned by Run if the successor has exited during or after a handoff. The caller must then
+// take the state folder again and start a new event loop.
 var ErrReclaim = errors.New("the process that took over has gone")
 
 type (
@@ -25,7 +25,8 @@
 		link  *handoff.Link
 		hello *handoff.Hello
 	}
-	// peerMessage is a message from the other process of an upgrade, or nil when the link to it has ended.
+	// peerMessage is a message from the other process of an upgrade, or nil when the link to that process
+	// has ended.
 	peerMessage struct {
 		link    *handoff.Link
 		message *handoff.Message
@@ -36,22 +37,22 @@
 // and later the link to a successor.
 type handoffState struct {
 	server            *Server
-	machine           *handoff.Predecessor
+	stateMachine      *handoff.Predecessor
 	releaseFolder     func() // unlocks the state folder
 	successor         *handoff.Link
 	requested         bool // the successor is ready and the handoff has not started
 	handingOver       bool // the handoff has started and the successor does not have the state yet
 	handedOver        bool // the successor has the state and runs the dispatcher
-	reclaim           bool
+	reclaim           bool // the successor has exited and this process must resume
 	predecessor       *handoff.Link
-	unlisted          []*attempt        // attempts of the predecessor whose endpoints are no longer listed
-	snapshotAtHandoff dispatch.Snapshot // the snapshot handed over, with each Retry-After that the successor has reported since
-	commands          map[int64]chan commandResult
+	unlisted          []*attempt                   // attempts of the predecessor whose endpoints are no longer listed
+	snapshotAtHandoff dispatch.Snapshot            // the snapshot handed over, with each Retry-After that the successor has reported since
+	commands          map[int64]chan commandResult // results of commands forwarded to the successor, by command number
 	nextCommand       int64
 }
 
 func (h *handoffState) init(s *Server) {
-	h.server, h.machine, h.commands, h.releaseFolder = s, handoff.NewPredecessor(s.deployment.Name), map[int64]chan commandResult{}, func() {}
+	h.server, h.stateMachine, h.commands, h.releaseFolder = s, handoff.NewPredecessor(s.deployment.Name), map[int64]chan commandResult{}, func() {}
 }
 
 // Successors sets the function that unlocks the state folder during a handoff.
@@ -73,7 +74,7 @@
 }
 
 func (h *handoffState) successorReady(event successorReady) {
-	verdict, reason := h.machine.HelloReceived(event.hello)
+	verdict, reason := h.stateMachine.HelloReceived(event.hello)
 	if verdict == handoff.Refuse {
 		h.server.log.Warn("successor refused", "reason", reason)
 		event.link.Refuse(reason)
@@ -84,10 +85,10 @@
 }
 
 const (
-	// handoffSettleTimeout bounds the wait for clients that have sent part of a command. Clients wait many
+	// partialCommandTimeout bounds the wait for clients that have sent part of a command. Clients wait many
 	// times longer for a reply.
-	handoffSettleTimeout = 10 * 1000
-	handoffSettleStep    = time.Millisecond
+	partialCommandTimeout = 10 * 1000
+	partialCommandPoll    = time.Millisecond
 	// adoptionSlack is added to the timeout of an adopted attempt so that the predecessor's report of its
 	// outcome can arrive. A message over the local socket takes far less.
 	adoptionSlack = 250 * 1000
@@ -105,20 +106,20 @@
 	s.admin.serving.Store(false)
 	s.driver.StopAccepting()
 	for { // new connections now wait for the successor; idle ones are closed, and their clients reconnect to it
-		s.drainQueues()
+		s.handleQueued()
 		s.guardedStep()
 		s.clients.CloseIdle(s.now)
-		if s.clients.AllIdle() && len(s.queue) == 0 || s.clock()-began > handoffSettleTimeout {
+		if s.clients.AllIdle() && len(s.queue) == 0 || s.clock()-began > partialCommandTimeout {
 			break
 		}
-		time.Sleep(handoffSettleStep)
+		time.Sleep(partialCommandPoll)
 	}
 	h.cancelUnsentAttempts()
 	state := h.state()
 	h.handedOver, h.snapshotAtHandoff = true, state.Snapshot
-	s.timerAt = never // Failure: the dispatcher no longer runs, so its expired timer made the loop spin
+	s.timerAt = never // Failure: its expired timer made the loop spin, because the dispatcher no longer runs
 	s.admin.writer.Stop()
-	s.admin.drainAt = s.now
+	s.admin.drainAt = s.now // closes the remaining client connections as they become idle
 	if s.snapshots.writer != nil {
 		s.snapshots.writer.Close(lastSnapshotTimeout)
 		s.snapshots.writer = nil
@@ -128,7 +129,7 @@
 	s.logSpoolError(s.spool.Close())
 	h.releaseFolder()
 	h.successor.Send(handoff.Message{State: state})
-	h.machine.HandedOver()
+	h.stateMachine.HandedOver()
 	h.handingOver = false
 	s.counters.unfinished = 0
 	s.log.Info("handed over to the successor", "unfinished", len(s.messages), "in_flight", len(s.inFlight), "clients", s.clients.Len(), "duration", time.Duration(s.clock()-began)*time.Microsecond)
@@ -254,7 +255,7 @@
 		return
 	}
 	forwarded := &handoff.Command{Number: h.nextCommand}
-	switch typed := command.command.(type) {
+	switch typed := command.request.(type) {
 	case admin.SetDisabled:
 		forwarded.Endpoint, forwarded.On = typed.Endpoint, typed.Disabled
 	case admin.Drain:
@@ -277,7 +278,7 @@
 	case event.link != h.successor:
 	case event.message == nil:
 		h.successorLost()
-	case h.machine.MessageReceived(event.message) == handoff.Drop:
+	case h.stateMachine.MessageReceived(event.message) == handoff.Drop:
 		h.server.log.Error("unexpected message from the successor")
 		event.link.Close()
 	default:
@@ -285,31 +286,31 @@
 	}
 }
 
-func (h *handoffState) handlePredecessorMessage(peer *handoff.Message) {
+func (h *handoffState) handlePredecessorMessage(received *handoff.Message) {
 	s := h.server
 	switch {
-	case peer.AttemptFinished != nil:
-		message := s.messages[peer.AttemptFinished.Message]
-		if message == nil || int(peer.AttemptFinished.Attempt) < 0 || int(peer.AttemptFinished.Attempt) >= len(message.attempts) {
+	case received.AttemptFinished != nil:
+		message := s.messages[received.AttemptFinished.Message]
+		if message == nil || int(received.AttemptFinished.Attempt) < 0 || int(received.AttemptFinished.Attempt) >= len(message.attempts) {
 			return
 		}
-		attempt := message.attempts[peer.AttemptFinished.Attempt]
+		attempt := message.attempts[received.AttemptFinished.Attempt]
 		if attempt.call == nil || !attempt.call.predecessor {
 			return
 		}
-		finished := *peer.AttemptFinished
+		finished := *received.AttemptFinished
 		if finished.RetryAfter > 0 {
 			s.storeRetryAfter(attempt.call.entry, s.now+finished.RetryAfter)
 		}
 		s.complete(attempt, dispatch.AttemptFinished{Outcome: finished.Outcome, MessageDone: finished.MessageDone, RetryAfter: finished.RetryAfter, LoadReport: finished.LoadReport})
-	case peer.Command != nil:
-		forwarded, link := command{admin.Drain{Enabled: peer.Command.On}, make(chan commandResult, 1)}, h.predecessor
-		if peer.Command.Endpoint != "" {
-			forwarded.command = admin.SetDisabled{Endpoint: peer.Command.Endpoint, Disabled: peer.Command.On}
+	case received.Command != nil:
+		forwarded, link := command{admin.Drain{Enabled: received.Command.On}, make(chan commandResult, 1)}, h.predecessor
+		if received.Command.Endpoint != "" {
+			forwarded.request = admin.SetDisabled{Endpoint: received.Command.Endpoint, Disabled: received.Command.On}
 		}
 		s.admin.execute(forwarded)
 		go func() { // in a goroutine, because storing the result waits for the disk
-			result := handoff.Result{Number: peer.Command.Number}
+			result := handoff.Result{Number: received.Command.Number}
 			if err := s.persist(<-forwarded.done); err != nil {
 				result.Error, result.Unknown = err.Error(), errors.Is(err, admin.ErrUnknownEndpoint)
 			}
@@ -387,16 +388,16 @@
 	}
 	clear(h.commands)
 	h.requested = false
-	// The handoff may be in progress, see above.
-	if h.machine.SuccessorLost() == handoff.Reclaim || h.handingOver {
-		h.server.log.Error("successor exited; this process resumes", "in_flight", len(h.server.inFlight))
+	// The successor may also have exited before it received the state.
+	if h.stateMachine.SuccessorLost() == handoff.Reclaim || h.handingOver {
+		h.server.log.Error("successor is gone: this process continues", "in_flight", len(h.server.inFlight))
 		h.reclaim = true
 	}
 }
 
 // CountFrom copies the counters of an earlier event loop of this process.
 func (s *Server) CountFrom(previous *Server) {
-	s.counters.endings, s.counters.calls = previous.counters.endings, previous.counters.calls
+	s.counters.endings, s.counters.attempts = previous.counters.endings, previous.counters.attempts
 	s.counters.grow(len(s.deployment.Classes))
 	s.admin.reloads = previous.admin.reloads
 	s.admin.failedReloads.Store(previous.admin.failedReloads.Load())
--- a/server/lists_test.go
+++ b/server/lists_test.go
@@ -111,9 +111,10 @@
 	}
 }
 
-// TestConfirmedListIsAccepted: two requests for the complete list return the same unusable entries, so the
-// list is accepted. The version advances, the endpoint named by the unusable entry drains, the missing
-// endpoint is removed, and discovery is polled again rarely.
+// TestConfirmedListIsAccepted reads the same list three times: as the answer to a request for changes, and
+// then to two requests for the complete list. After the third time the list is accepted although an entry
+// is unusable. The version advances, the endpoint named by that entry drains, and the missing endpoint is
+// removed. The update is marked Unusable, on which the dispatcher polls again rarely.
 func TestConfirmedListIsAccepted(t *testing.T) {
 	world := openWorld(t, 0)
 	for range 2 {
--- a/server/message.go
+++ b/server/message.go
@@ -11,7 +11,7 @@
 type message struct {
 	stored     *spool.Message  // as stored in the spool
 	waiting    []*reply        // replies not written yet; several if the message was submitted again in the same step
-	acceptedAt dispatch.Micros // or recovered after a restart
+	acceptedAt dispatch.Micros // when the message was accepted, or recovered after a restart
 	attempts   []*attempt
 	inFlight   int // number of unfinished attempts
 	ended      bool
@@ -38,7 +38,7 @@
 		return false
 	}
 	for _, attempt := range m.stored.Attempts {
-		if outcome, heard := outcomes[attempt.Outcome]; !heard || mayHaveRun(outcome) {
+		if outcome, known := outcomes[attempt.Outcome]; !known || mayHaveRun(outcome) {
 			return now >= dispatch.Micros(attempt.SentAt)+m.idempotencyWindow
 		}
 	}
@@ -51,7 +51,8 @@
 	return class >= 0 && s.deployment.Dispatch.Classes[class].Idempotency == dispatch.Idempotent
 }
 
-// mayHaveRun reports whether an attempt with the given outcome may have taken effect.
+// mayHaveRun reports whether an attempt with the given outcome may have run: the endpoint may have
+// processed the message.
 func mayHaveRun(outcome dispatch.Outcome) bool {
 	return outcome != dispatch.Throttled && outcome != dispatch.Unreachable && outcome != dispatch.Unprocessed
 }
@@ -59,15 +60,15 @@
 // attempt is one attempt to deliver a message. It is sent in a call, alone or together with attempts of
 // other messages.
 type attempt struct {
-	message   *message
-	number    int // index among the message's attempts
-	call      *call
-	sentAt    dispatch.Micros // when the dispatcher decided to send it
-	waitUntil dispatch.Micros // when the attempt times out
-	stored    bool            // in the spool
-	rechecked bool            // the timeout was extended once because of unread bytes
-	finished  bool
-	unsent    bool // not sent because of a local shortage, for example of file descriptors
+	message       *message
+	number        int // index among the message's attempts
+	call          *call
+	decidedAt     dispatch.Micros // when the dispatcher decided on the attempt, before its connection was open
+	waitUntil     dispatch.Micros // when the attempt times out
+	stored        bool            // in the spool
+	rechecked     bool            // the timeout was extended once because of unread bytes
+	finished      bool
+	failedLocally bool // not sent because of a shortage on this machine, for example of file descriptors, or because it could not be stored
 }
 
 // acceptedEvent returns the dispatcher event for a stored message.
@@ -126,7 +127,7 @@
 		s.logSpoolError(s.spool.Finish(message.stored.ID, end.spoolValue, end.retryAfterMs))
 		s.discovery.addNotice(message.stored)
 	}
-	s.forget(message)
+	s.removeIfDone(message)
 }
 
 // discard drops a message from the spool and reports whether that succeeded.
@@ -136,8 +137,8 @@
 	return err == nil
 }
 
-// finish ends a message that needs neither a reply nor a notice.
-func (s *Server) finish(message *message) {
+// endMessage marks a message as ended and removes it from the spool, without a notice.
+func (s *Server) endMessage(message *message) {
 	if !message.ended {
 		message.ended = true
 		s.counters.ended()
@@ -145,8 +146,8 @@
 	}
 }
 
-// forget removes a message that has ended and has no attempts in flight.
-func (s *Server) forget(message *message) {
+// removeIfDone removes a message that has ended and has no attempts in flight.
+func (s *Server) removeIfDone(message *message) {
 	if message.ended && message.inFlight == 0 {
 		delete(s.messages, dispatch.MessageID(message.stored.ID))
 	}
--- a/server/queue.go
+++ b/server/queue.go
@@ -15,22 +15,25 @@
 // to answer.
 const pauseThreshold = 50 * 1000
 
+// hour bounds the wait of the event loop, because the constant never does not fit a time.Duration.
 const hour = 3600 * 1000 * 1000
 
 // catchUpAfterPause handles events that arrived while this process was paused, before any timeout is
-// checked. Otherwise the pause would look like endpoints that do not answer.
+// checked. Otherwise the pause would look like endpoints that do not answer. It waits for the poller up to
+// four times, as long as events arrive.
 func (s *Server) catchUpAfterPause(due dispatch.Micros) {
 	for rounds := 0; s.clock()-due > pauseThreshold && rounds < 4; rounds++ {
 		time.Sleep(pauseThreshold / 2 * time.Microsecond)
 		if len(s.queue) == 0 {
 			return
 		}
-		s.drainQueues()
+		s.handleQueued()
 	}
 }
 
-// drainQueues handles all queued events.
-func (s *Server) drainQueues() {
+// handleQueued handles the queued events, those of the control queue first. It handles at most as many
+// events as fit in the queue, so that it ends under load.
+func (s *Server) handleQueued() {
 	for range len(s.control) {
 		s.handle(<-s.control)
 	}
@@ -72,9 +75,9 @@
 	s.now = s.clock()
 	repliesBefore := len(s.replies)
 	defer func() {
-		if fault := recover(); fault != nil {
-			s.log.Error("panic while handling an event", "error", fmt.Sprint(fault), "stack", string(debug.Stack()))
-			s.answerAfterPanic(e, repliesBefore)
+		if panicValue := recover(); panicValue != nil {
+			s.log.Error("panic while handling an event", "error", fmt.Sprint(panicValue), "stack", string(debug.Stack()))
+			s.replyAfterPanic(e, repliesBefore)
 		}
 	}()
 	if e != nil {
@@ -82,13 +85,13 @@
 	}
 }
 
-// answerAfterPanic replies to the commands of an event whose handler panicked.
-func (s *Server) answerAfterPanic(e event, repliesBefore int) {
+// replyAfterPanic replies to the commands of an event whose handler panicked.
+func (s *Server) replyAfterPanic(e event, repliesBefore int) {
 	client, ok := e.(clientEvent)
 	if !ok {
 		return
 	}
 	if commands, ok := client.Event.(clientconn.Commands); ok {
-		s.commandsFailed(commands, repliesBefore)
+		s.failCommands(commands, repliesBefore)
 	}
 }
--- a/server/quota.go
+++ b/server/quota.go
@@ -30,7 +30,8 @@
 	}
 }
 
-// Demands returns the demands per group that the dispatcher last reported. Any goroutine may call it.
+// Demands returns the demands that the dispatcher last reported: for each group, the calls, their results
+// and the queued messages. Any goroutine may call it.
 func (s *Server) Demands() []dispatch.Demand {
 	if demands := s.demands.Load(); demands != nil {
 		return *demands
--- a/server/recovery.go
+++ b/server/recovery.go
@@ -10,9 +10,9 @@
 	"pineport/spool"
 )
 
-// restartDispatcher starts a new dispatcher with all unfinished messages and without the learned state of
-// the one that panicked. If the dispatcher panics twice in a row, all unfinished messages fail, so that one
-// message cannot block all others forever.
+// restartDispatcher replaces the dispatcher after a panic in it or elsewhere in a step. The new one gets
+// all unfinished messages but not the learned state. If it has to be replaced as well before it has handled
+// any events, all unfinished messages fail, so that one message cannot block all others forever.
 func (s *Server) restartDispatcher() {
 	if s.handoff.handedOver {
 		return
@@ -40,9 +40,9 @@
 	if s.shutdownBy < never {
 		s.events = append(s.events, dispatch.ShutdownScheduled{At: s.shutdownBy})
 	}
-	s.dispatcherFailures++
+	s.dispatcherRestarts++
 	for _, message := range unfinished {
-		if s.dispatcherFailures > 1 {
+		if s.dispatcherRestarts > 1 {
 			s.fail(dispatch.MessageID(message.stored.ID))
 		} else if !message.ended {
 			s.events = append(s.events, s.recoveredEvent(message))
@@ -64,14 +64,14 @@
 			continue
 		}
 		if slices.Index(s.deployment.Classes, stored.Class) < 0 {
-			s.log.Warn("recovered message has an unknown class; it ends as failed", "message", stored.ID, "class", stored.Class)
+			s.log.Warn("message of an unknown class", "message", stored.ID, "class", stored.Class)
 			s.logSpoolError(s.spool.Finish(stored.ID, storedFailed, 0))
 			s.discovery.addNotice(stored)
 			continue
 		}
 		message := &message{stored: stored, acceptedAt: s.now, idempotencyWindow: s.idempotencyWindow(stored.Class)}
 		for i := range stored.Attempts {
-			attempt := &attempt{message: message, number: i, sentAt: dispatch.Micros(stored.Attempts[i].SentAt), stored: true, finished: true}
+			attempt := &attempt{message: message, number: i, decidedAt: dispatch.Micros(stored.Attempts[i].SentAt), stored: true, finished: true}
 			message.attempts = append(message.attempts, attempt)
 			if limit, ok := waitUntil[handoff.AttemptID{Message: stored.ID, Attempt: i}]; ok {
 				s.handoff.adoptAttempt(attempt, limit)
--- a/server/reload.go
+++ b/server/reload.go
@@ -15,7 +15,7 @@
 // are kept, and messages keep the terms under which they were accepted. Settings that need a restart are
 // logged.
 func (s *Server) reload(next *config.Deployment) {
-	waiting := s.deployment.Waiting(next)
+	needRestart := s.deployment.Waiting(next)
 	merged := s.deployment.Merged(next)
 	if s.handoff.handedOver { // the successor has read the configuration itself; if this process resumes, its next event loop starts with the merged one
 		s.deployment = merged
@@ -25,8 +25,8 @@
 		return
 	}
 	s.log.Info("configuration reloaded", "discovery", merged.Discovery)
-	if len(waiting) > 0 {
-		s.log.Warn("some settings take effect after a restart", "keys", waiting)
+	if len(needRestart) > 0 {
+		s.log.Warn("changes apply at the next start", "keys", needRestart)
 	}
 	old := s.deployment
 	s.deployment = merged
@@ -66,14 +66,14 @@
 
 // SpoolLimit returns the size limit of the spool within the state folder, in bytes.
 func SpoolLimit(dep *config.Deployment) int64 {
-	folder := int64(dep.SpoolMB * 1e6)
-	left := folder - clock.Reserve
+	folderSize := int64(dep.SpoolMB * 1e6)
+	remaining := folderSize - clock.Reserve
 	if dep.Learn > 0 {
-		room, _ := snapshot.Reserve(folder)
-		left -= room
+		reserved, _ := snapshot.Reserve(folderSize)
+		remaining -= reserved
 	}
 	if dep.Ops != "" {
-		left -= maintenance.Reserve
+		remaining -= maintenance.Reserve
 	}
-	return left
+	return remaining
 }
--- a/server/repeat_window_test.go
+++ b/server/repeat_window_test.go
@@ -13,7 +13,7 @@
 )
 
 // slowEndpoint is an endpoint that accepts connections only when the test allows it. Until then the kernel
-// drops connection requests, and the client's kernel retries after 1 s.
+// drops connection requests, and the courier's kernel sends them again after 1 s.
 type slowEndpoint struct {
 	*net.TCPListener
 	backlogConns []net.Conn
--- a/server/server.go
+++ b/server/server.go
@@ -1,6 +1,8 @@
 // Package server implements the event loop of a courier. One goroutine owns the dispatch.Dispatcher and the
 // state of all messages, collects events, steps the dispatcher and executes its actions. All decisions are
 // the dispatcher's. docs/ARCHITECTURE.md describes the path of a message through the event loop.
+//
+// In the comments, "Failure:" and "Incident:" describe what went wrong before the code was as it is now.
 package server
 
 import (
@@ -29,7 +31,8 @@
 // 70 MB with small commands from five clients that did not read their replies.
 const queueSize = 64
 
-// dispatcher is the part of dispatch.Dispatcher that the event loop always needs.
+// dispatcher is the interface that any dispatcher implements. Further methods of dispatch.Dispatcher are
+// optional and found by type assertions, for example to dispatch.Snapshotter.
 type dispatcher interface {
 	Handle(dispatch.Micros, []dispatch.Event) []dispatch.Action
 }
@@ -39,30 +42,30 @@
 type Server struct {
 	deployment         *config.Deployment
 	log                *slog.Logger
-	tracer             *slog.Logger // logs the dispatcher's events and actions, for replay
+	tracer             *slog.Logger // logs the main events and actions of the dispatcher, for replay
 	dispatcher         dispatcher
 	newDispatcher      func() dispatcher
-	dispatcherFailures int // consecutive panics
+	dispatcherRestarts int // restarts since the dispatcher last handled events without a panic
 	spool              *spool.Spool
 	driver             *transport.Driver
 	queue              chan event
-	control            chan event // events from operators, the fleet and the other process of an upgrade, handled before queue
+	control            chan event // events from operators, the fleet and the other process of an upgrade; handleQueued takes them before those in queue
 
 	courierClock       *clock.Clock
 	now                dispatch.Micros
-	timerAt            dispatch.Micros
-	events             []dispatch.Event
+	timerAt            dispatch.Micros  // when the dispatcher's timer fires
+	events             []dispatch.Event // events for the dispatcher since the last step
 	replies            []*reply
 	messages           map[dispatch.MessageID]*message
 	inFlight           []*attempt // oldest first
 	endpoints          map[dispatch.EndpointID]protocol.Host
 	suspects           map[dispatch.EndpointID]bool // listed endpoints that unusable list entries may refer to; they get no new messages
-	destinations       map[int]dispatch.Micros      // known destinations and when each expires; never while it has listed endpoints
+	destinations       map[int]dispatch.Micros      // when each known destination expires; the constant never while it has listed endpoints
 	retryAfter         map[string]dispatch.Micros   // end of the Retry-After per group key; the dispatcher keeps its own copy
 	endpointConns      *endpointconn.Pool
 	clients            *clientconn.Set
 	finished           finishedMessages
-	discovery          discovery
+	discovery          discoveryClient
 	malformed          malformedInput
 	snapshots          snapshotSchedule
 	shadow             shadowState
@@ -76,19 +79,19 @@
 	reportedCouriers   int // fleet size last passed to the dispatcher
 	demands            atomic.Pointer[[]dispatch.Demand]
 	nextDemandsAt      dispatch.Micros
-	grantedUntil       dispatch.Micros // until then, half of each quota share may be granted to other couriers
+	grantedUntil       dispatch.Micros // until then, other couriers may use half of each quota share, granted by an earlier process or dispatcher
 	spoolRetryAt       dispatch.Micros
-	shutdownBy         dispatch.Micros
+	shutdownBy         dispatch.Micros // when the exit starts; during the exit, the time of the next check
 	exiting            bool
-	closeClientsBy     dispatch.Micros // during exit, the latest time for closing client connections
-	drainAt            dispatch.Micros // when to close client connections between requests
+	stopReadingAt      dispatch.Micros // during the exit, when reading stops
+	shutdownDrainAt    dispatch.Micros // during the shutdown, when idle client connections are closed; the drain by operators is adminState.drainAt
 }
 
 // New returns an event loop with an open spool. unfinished are the messages read from that spool. inherited
 // is the state handed over by a predecessor, or nil. Times in both are those of courierClock.
 func New(dep *config.Deployment, messageSpool *spool.Spool, unfinished []*spool.Message, inherited *handoff.State, courierClock *clock.Clock, log *slog.Logger) (*Server, error) {
 	s := &Server{deployment: dep, log: log, spool: messageSpool, queue: make(chan event, queueSize), control: make(chan event, controlQueueSize),
-		courierClock: courierClock, timerAt: never, shutdownBy: never, drainAt: never, messages: map[dispatch.MessageID]*message{},
+		courierClock: courierClock, timerAt: never, shutdownBy: never, shutdownDrainAt: never, messages: map[dispatch.MessageID]*message{},
 		endpoints: map[dispatch.EndpointID]protocol.Host{}, suspects: map[dispatch.EndpointID]bool{}, retryAfter: map[string]dispatch.Micros{}, destinations: map[int]dispatch.Micros{}}
 	s.tracer = log.With(logging.Component, "decisions")
 	s.now = s.clock()
@@ -107,14 +110,14 @@
 	s.admin.init(s)
 	list, err := protocol.ReadCachedList(dep.Known)
 	if err != nil {
-		log.Warn("cached endpoint list ignored", "key", "known", "error", err)
+		log.Warn("known endpoint list ignored", "key", "known", "error", err)
 	}
 	s.handoff.init(s)
 	if inherited != nil && inherited.ListVersion >= list.Seq {
 		list = protocol.List{Seq: inherited.ListVersion, Whole: true, Hosts: inherited.Endpoints}
 	}
 	if len(s.applyEndpoints(list, dispatch.CachedList)) == 0 {
-		s.discovery.version = list.Seq // otherwise version stays 0 and the first poll returns the complete list
+		s.discovery.version = list.Seq // no unusable entries; otherwise version stays 0 and the first poll returns the complete list
 	}
 	if inherited != nil {
 		s.handoff.restoreState(inherited)
@@ -148,14 +151,14 @@
 		}
 		s.handle(next)
 		s.catchUpAfterPause(due)
-		s.drainQueues()
+		s.handleQueued()
 		s.guardedStep()
 		s.handoff.handOver()
 		if s.handoff.reclaim {
 			s.driver.Close()
 			return ErrReclaim
 		}
-		if s.mayExit() {
+		if s.tryExit() {
 			return s.finishShutdown()
 		}
 	}
@@ -166,7 +169,8 @@
 const listenRetry = 50 * time.Millisecond
 
 // startServing listens and runs the first step with the recovered state. Failure: a process that started
-// while no file descriptors were available exited, and its unfinished messages waited for the next start.
+// while no file descriptors were available exited at once, so its unfinished messages waited until the next
+// start.
 func (s *Server) startServing(stop <-chan struct{}) error {
 	driver, err := s.openDriver()
 	for transport.IsShortage(err) {
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -192,8 +192,8 @@
 	return "never"
 }
 
-// TestDispatcherRestartsAfterPanic: a message in flight when the dispatcher panics may have run, so it is
-// not sent again.
+// TestDispatcherRestartsAfterPanic: a message of an at-most-once class that is in flight when the
+// dispatcher panics may have run, so it is not sent again.
 func TestDispatcherRestartsAfterPanic(t *testing.T) {
 	world := openWorld(t, 300*time.Millisecond)
 	listen := startServer(t, world, 1)
@@ -278,43 +278,45 @@
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
 // TestMisbehavingEndpoint checks what a raw answer means for an at-most-once message, with the connection
-// closed after the answer or kept open. After a malformed answer the message counts as run, and the courier
-// does not wait for the rest of the answer until the deadline. Closing the connection after an unannounced
-// refusal is not tested: the second call may have been sent over it by then and may have run.
+// closed after the answer or kept open. After a malformed answer the message may have run, and the courier
+// does not wait for the rest of the answer until the deadline.
+//
+// A 503 or 504 without Connection: close whose connection is then closed is not tested: the second call may
+// already have been sent over that connection, and may have run.
 func TestMisbehavingEndpoint(t *testing.T) {
-	const ended, stays = 1, 2
+	const closed, keptOpen = 1, 2
 	for raw, tc := range map[string]struct {
 		kinds int
 		want  string
 	}{
-		"rubbish\r\n": {ended | stays, undeliverable}, "": {ended, undeliverable}, "HTTP/1.1 599 What\r\n\r\n": {ended | stays, undeliverable},
-		"noise with no end": {ended | stays, undeliverable}, "HTTP/1.1 503 Full\r\nX: y\r\n": {stays, undeliverable},
-		"HTTP/1.1 500 No\r\nContent-Length: 9\r\n\r\ncut":                      {ended | stays, undeliverable},
-		"HTTP/1.1 429 Full\r\nContent-Length: x\r\n\r\n":                       {ended | stays, undeliverable},
-		"HTTP/1.1 429 Full\r\nContent-Length: 3000000000\r\n\r\nand on and on": {ended | stays, undeliverable},
-		"HTTP/1.1 200 OK\r\nBad header\r\n\r\n":                                {ended | stays, done},
-		"HTTP/1.1 200 OK\r\nContent-Le":                                        {ended | stays, done},
-		"HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\ncut":                      {ended | stays, done},
-		"HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n":                     {ended | stays, done},
-		"HTTP/1.1 100 Go":   {ended | stays, undeliverable},
-		okAnswer + okAnswer: {ended | stays, done},
-		okAnswer + "noise":  {ended | stays, done},
-		"HTTP/1.1 100 Go\r\n\r\nHTTP/1.1 103 Hints\r\nA: b\r\n\r\n" + okAnswer:  {ended | stays, done},
-		"HTTP/1.1 200 OK\r\nX-Load-Report: ?=;\r\nContent-Length: 0\r\n\r\n":    {ended | stays, done},
-		"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n":                        {stays, calledAgain},
-		"HTTP/1.1 503 Full\r\nConnection: close\r\n\r\nbody":                    {ended, calledAgain},
-		"HTTP/1.1 504 No more\r\nContent-Length: 0\r\n\r\n":                     {stays, calledAgain},
-		"HTTP/1.1 504 No more\r\nConnection: close\r\n\r\n":                     {ended, calledAgain},
-		"HTTP/1.1 410 Over\r\nContent-Length: 0\r\n\r\n" + "xx":                 {ended | stays, done},
-		"HTTP/1.1 100 Go\r\n\r\nHTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n": {stays, calledAgain},
+		"rubbish\r\n": {closed | keptOpen, undeliverable}, "": {closed, undeliverable}, "HTTP/1.1 599 What\r\n\r\n": {closed | keptOpen, undeliverable},
+		"noise with no end": {closed | keptOpen, undeliverable}, "HTTP/1.1 503 Full\r\nX: y\r\n": {keptOpen, undeliverable},
+		"HTTP/1.1 500 No\r\nContent-Length: 9\r\n\r\ncut":                      {closed | keptOpen, undeliverable},
+		"HTTP/1.1 429 Full\r\nContent-Length: x\r\n\r\n":                       {closed | keptOpen, undeliverable},
+		"HTTP/1.1 429 Full\r\nContent-Length: 3000000000\r\n\r\nand on and on": {closed | keptOpen, undeliverable},
+		"HTTP/1.1 200 OK\r\nBad header\r\n\r\n":                                {closed | keptOpen, done},
+		"HTTP/1.1 200 OK\r\nContent-Le":                                        {closed | keptOpen, done},
+		"HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\ncut":                      {closed | keptOpen, done},
+		"HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n":                     {closed | keptOpen, done},
+		"HTTP/1.1 100 Go":   {closed | keptOpen, undeliverable},
+		okAnswer + okAnswer: {closed | keptOpen, done},
+		okAnswer + "noise":  {closed | keptOpen, done},
+		"HTTP/1.1 100 Go\r\n\r\nHTTP/1.1 103 Hints\r\nA: b\r\n\r\n" + okAnswer:  {closed | keptOpen, done},
+		"HTTP/1.1 200 OK\r\nX-Load-Report: ?=;\r\nContent-Length: 0\r\n\r\n":    {closed | keptOpen, done},
+		"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n":                        {keptOpen, calledAgain},
+		"HTTP/1.1 503 Full\r\nConnection: close\r\n\r\nbody":                    {closed, calledAgain},
+		"HTTP/1.1 504 No more\r\nContent-Length: 0\r\n\r\n":                     {keptOpen, calledAgain},
+		"HTTP/1.1 504 No more\r\nConnection: close\r\n\r\n":                     {closed, calledAgain},
+		"HTTP/1.1 410 Over\r\nContent-Length: 0\r\n\r\n" + "xx":                 {closed | keptOpen, done},
+		"HTTP/1.1 100 Go\r\n\r\nHTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n": {keptOpen, calledAgain},
 	} {
-		for _, kind := range []int{ended, stays} {
+		for _, kind := range []int{closed, keptOpen} {
 			if tc.kinds&kind == 0 {
 				continue
 			}
 			t.Run(fmt.Sprintf("%d %.40q", kind, raw), func(t *testing.T) {
 				t.Parallel()
-				checkOutcome(t, raw, kind == stays, tc.want)
+				checkOutcome(t, raw, kind == keptOpen, tc.want)
 			})
 		}
 	}
@@ -343,7 +345,7 @@
 	if got != want {
 		t.Fatalf("message ended with %s, want %s", got, want)
 	}
-	if got == done { // a message that has ended can be submitted again under the same id
+	if got == done { // the loop above waited longer than resubmitWindow, so an ended message can be submitted under the same id
 		submit(t, listen, "one")
 		select {
 		case <-calls:
@@ -494,7 +496,7 @@
 // polling loop.
 func TestMisbehavingDiscovery(t *testing.T) {
 	for name, answer := range map[string]string{"not JSON": "{", "older": `{"seq":0,"whole":true,"hosts":[]}`,
-		"nothing new without delay": `{"seq":1,"whole":false,"hosts":[]}`, "unknown state": `{"seq":2,"whole":false,"hosts":[
+		"watch answered at once without changes": `{"seq":1,"whole":false,"hosts":[]}`, "unknown state": `{"seq":2,"whole":false,"hosts":[
 			{"host":"s-0","dial":"127.0.0.1:1","site":"a","class":"plain","block":1,"health":"dancing","share":1}]}`} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -643,7 +645,7 @@
 // over to it anyway, and no process ran the dispatcher.
 func TestSuccessorLostDuringHandoff(t *testing.T) {
 	s := newTestServer(t, openWorld(t, 0))
-	if decision, reason := s.handoff.machine.HelloReceived(&handoff.Hello{Version: handoff.Version, Courier: "n0"}); decision != handoff.HandOver {
+	if decision, reason := s.handoff.stateMachine.HelloReceived(&handoff.Hello{Version: handoff.Version, Courier: "n0"}); decision != handoff.HandOver {
 		t.Fatal(reason)
 	}
 	s.handoff.handingOver = true
--- a/server/shadow.go
+++ b/server/shadow.go
@@ -9,7 +9,8 @@
 	"pineport/dispatch"
 )
 
-// shadowState runs a shadow dispatcher with a candidate configuration and counts its different decisions.
+// shadowState runs a shadow dispatcher with a candidate configuration and counts the decisions in which it
+// differs from the dispatcher.
 type shadowState struct {
 	candidate   *config.Deployment
 	shadow      *dispatch.Shadow
@@ -44,8 +45,8 @@
 		return
 	}
 	defer func() {
-		if fault := recover(); fault != nil {
-			s.log.Error("shadow dispatcher stopped after a panic", "error", fmt.Sprint(fault), "stack", string(debug.Stack()))
+		if panicValue := recover(); panicValue != nil {
+			s.log.Error("shadow dispatcher stopped after a panic", "error", fmt.Sprint(panicValue), "stack", string(debug.Stack()))
 			w.shadow = nil
 		}
 	}()
--- a/server/shutdown.go
+++ b/server/shutdown.go
@@ -7,12 +7,13 @@
 	"pineport/server/clientconn"
 )
 
-// beginShutdown schedules the exit after the grace period. Until then the courier works as before, and
-// drains clients that can use another courier.
+// beginShutdown schedules the exit after the grace period. Until then the courier accepts and serves
+// clients. After drainDelay it closes idle client connections, so that clients with another courier can use
+// that one.
 func (s *Server) beginShutdown(grace time.Duration) {
-	s.handoff.machine.ShutDown()
+	s.handoff.stateMachine.ShutDown()
 	s.shutdownBy = s.clock() + dispatch.Micros(grace.Microseconds())
-	s.drainAt = s.clock() + drainDelay
+	s.shutdownDrainAt = s.clock() + drainDelay
 	s.admin.serving.Store(false)
 	s.events = append(s.events, dispatch.ShutdownScheduled{At: s.shutdownBy})
 	s.log.Info("graceful shutdown started", "unfinished", len(s.messages), "in_flight", len(s.inFlight))
@@ -20,7 +21,7 @@
 
 // finishShutdown stores the final state, unless a successor owns the state folder.
 func (s *Server) finishShutdown() error {
-	if !s.handoff.machine.Owns() {
+	if !s.handoff.stateMachine.Owns() {
 		s.log.Info("exited after the handoff", "in_flight", len(s.inFlight))
 		return nil
 	}
@@ -30,52 +31,53 @@
 	return s.spool.Close()
 }
 
-// drainDelay is the time from the start of the shutdown to the draining of clients. Clients that can only
-// use this courier are served until the exit.
+// drainDelay is the time from the start of the shutdown until idle client connections are closed. Clients
+// that have only this courier connect again and are served until the exit.
 const drainDelay = 500 * 1000
 
-// Limits of the exit. For acceptTimeout after accepting stops, all connected clients are served. Then each
-// connection is closed as soon as it has no pending replies. After a further exitTimeout, reading stops.
+// Limits of the exit. For postAcceptGrace after accepting has stopped, all connected clients are served.
+// Then each connection is closed as soon as it has no pending replies, with a check every closeInterval.
+// After a further exitTimeout, reading stops.
 const (
-	acceptTimeout = 50 * 1000
-	exitTimeout   = 100 * 1000
+	postAcceptGrace = 50 * 1000
+	exitTimeout     = 100 * 1000
 	// replyTimeout bounds the time for the remaining replies after reading has stopped.
 	replyTimeout  = 50 * 1000
 	closeInterval = 2 * 1000
 )
 
-// mayExit reports whether the process may exit, and closes client connections on the way there. It returns
-// true only after reading has stopped or all connections are closed. Failures: requests read between the
-// last check of the queue and the exit got no reply, and connections whose first request was in transit
-// were closed.
-func (s *Server) mayExit() bool {
+// tryExit starts the exit when it is due, closes client connections during the exit, and reports whether
+// the process may exit. It returns true only after reading has stopped or all connections are closed.
+// Failures: requests read between the last check of the queue and the exit got no reply, and connections
+// whose first request was in transit were closed.
+func (s *Server) tryExit() bool {
 	handoffDone := s.handoff.handedOver && s.shutdownBy < never && len(s.inFlight) == 0
 	if !s.exiting && (s.now >= s.shutdownBy || handoffDone) {
-		s.exiting, s.shutdownBy, s.closeClientsBy, s.drainAt = true, s.now+acceptTimeout, s.now+acceptTimeout+exitTimeout, never
+		s.exiting, s.shutdownBy, s.stopReadingAt, s.shutdownDrainAt = true, s.now+postAcceptGrace, s.now+postAcceptGrace+exitTimeout, never
 		s.driver.StopAccepting()
 		s.clients.CloseIdle(s.now)
 	}
-	if s.now >= s.drainAt {
-		if s.drainAt = never; s.clients.CloseIdle(s.now) {
-			s.drainAt = s.now + clientconn.NewConnGrace
+	if s.now >= s.shutdownDrainAt {
+		if s.shutdownDrainAt = never; s.clients.CloseIdle(s.now) {
+			s.shutdownDrainAt = s.now + clientconn.NewConnGrace
 		}
 	}
 	if !s.exiting || s.now < s.shutdownBy {
 		return false
 	}
 	s.shutdownBy = s.now + closeInterval
-	if s.now < s.closeClientsBy {
-		return s.allClientsClosed()
+	if s.now < s.stopReadingAt {
+		return s.closeAnsweredClients()
 	}
 	// Failure: the connection of a request that the poller read after the last check of the queue was
 	// closed without a reply.
 	s.driver.StopReading()
-	return s.allClientsClosed() || s.allClientsAnswered() || s.now >= s.closeClientsBy+replyTimeout
+	return s.closeAnsweredClients() || s.allClientsAnswered() || s.now >= s.stopReadingAt+replyTimeout
 }
 
-// allClientsClosed closes the connections without pending replies. It reports whether none is left and the
-// event queue is empty.
-func (s *Server) allClientsClosed() bool {
+// closeAnsweredClients closes the connections without pending replies. It reports whether no connection is
+// left and the event queue is empty.
+func (s *Server) closeAnsweredClients() bool {
 	closed := s.clients.CloseAnswered()
 	return closed && len(s.queue) == 0
 }
--- a/server/snapshots.go
+++ b/server/snapshots.go
@@ -18,8 +18,8 @@
 	writer    snapshotWriter
 	interval  dispatch.Micros
 	takenAt   dispatch.Micros
-	delivered bool // an attempt was delivered since then
-	failed    bool // an attempt failed since then
+	delivered bool // an attempt was delivered since takenAt
+	failed    bool // an attempt failed since takenAt
 }
 
 // deliveredOnlyFactor multiplies the interval if all attempts were delivered, because little is learned
--- a/server/standing_terms_test.go
+++ b/server/standing_terms_test.go
@@ -17,8 +17,8 @@
 	"pineport/testbed/scripted"
 )
 
-// These tests check acceptance criteria that always hold; docs/crossings.md has a row for each. They use
-// only the external interfaces of the courier: its address, its configuration and the requests that its
+// These tests check requirements that hold at any time; docs/crossings.md has a table row for each. They
+// use only the external interfaces of the courier: its address, its configuration and the requests that its
 // peers get.
 
 // changeDeadline is the time within which a change of the endpoint list must be applied, from when
@@ -27,7 +27,7 @@
 
 // failureMode is a way in which a call to discovery fails. It gets the connection of the call and reports
 // whether the connection is kept open.
-type failureMode func(conn *net.TCPConn, request *bufio.Reader) (stays bool)
+type failureMode func(conn *net.TCPConn, request *bufio.Reader) (keepOpen bool)
 
 // readRequest reads a request without a body.
 func readRequest(in *bufio.Reader) error {
--- a/server/step.go
+++ b/server/step.go
@@ -9,7 +9,7 @@
 
 // due returns when the next step is due without an event.
 func (s *Server) due() dispatch.Micros {
-	at := min(s.timerAt, s.endpointConns.Due(), s.clients.Due(), s.discovery.due(), s.snapshots.due(), s.spoolDue(), s.admin.due(), s.shutdownBy, s.drainAt)
+	at := min(s.timerAt, s.endpointConns.Due(), s.clients.Due(), s.discovery.due(), s.snapshots.due(), s.spoolDue(), s.admin.due(), s.shutdownBy, s.shutdownDrainAt)
 	for _, attempt := range s.inFlight {
 		at = min(at, attempt.waitUntil)
 	}
@@ -19,15 +19,16 @@
 // guardedStep runs a step and recovers from a panic in it.
 func (s *Server) guardedStep() {
 	defer func() {
-		if fault := recover(); fault != nil {
-			s.log.Error("panic in a step", "error", fmt.Sprint(fault), "stack", string(debug.Stack()))
+		if panicValue := recover(); panicValue != nil {
+			s.log.Error("panic in a step", "error", fmt.Sprint(panicValue), "stack", string(debug.Stack()))
 			s.restartDispatcher()
 		}
 	}()
 	s.step()
 }
 
-// step passes the events since the last step to the dispatcher and executes its actions.
+// step passes the events since the last step to the dispatcher and executes its actions. It ticks discovery
+// before that, to report expired polls to the dispatcher, and again after it, to send new notices.
 func (s *Server) step() {
 	s.now = s.clock()
 	s.endpointConns.Expire()
@@ -44,7 +45,7 @@
 		}
 	}
 	if s.handoff.handedOver { // the successor runs the dispatcher
-		s.reply()
+		s.writeReplies()
 		s.admin.publish()
 		return
 	}
@@ -58,7 +59,7 @@
 		s.events = nil
 		s.execute(s.decide(events))
 	}
-	s.reply()
+	s.writeReplies()
 	s.flushSpool()
 	s.discovery.tick()
 	s.saveSnapshot(false)
@@ -66,9 +67,9 @@
 	s.admin.publish()
 }
 
-// reply writes the pending replies. A message that ends undelivered after its reply was written ends with a
-// notice.
-func (s *Server) reply() {
+// writeReplies writes the pending replies. A message that ends undelivered after its reply was written ends
+// with a notice.
+func (s *Server) writeReplies() {
 	for _, reply := range s.replies {
 		reply.client.Write(reply.text, reply.close)
 		if reply.message != nil {
@@ -81,14 +82,14 @@
 // decide calls the dispatcher. If it panics, a new one is started with the unfinished messages.
 func (s *Server) decide(events []dispatch.Event) (actions []dispatch.Action) {
 	defer func() {
-		if fault := recover(); fault != nil {
-			s.log.Error("panic in the dispatcher", "error", fmt.Sprint(fault), "stack", string(debug.Stack()))
+		if panicValue := recover(); panicValue != nil {
+			s.log.Error("panic in the dispatcher", "error", fmt.Sprint(panicValue), "stack", string(debug.Stack()))
 			s.restartDispatcher()
 		}
 	}()
 	actions = s.dispatcher.Handle(s.now, events)
 	s.trace(events, actions)
-	s.dispatcherFailures = 0
+	s.dispatcherRestarts = 0
 	s.shadow.observe(s, events, actions)
 	return actions
 }
--- a/server/trace.go
+++ b/server/trace.go
@@ -7,8 +7,9 @@
 	"pineport/dispatch"
 )
 
-// trace logs the events and actions of the dispatcher at debug level for the component decisions. Replays
-// of a day use it to count them across the fleet. When disabled, it costs one check per step.
+// trace logs the main events and actions of the dispatcher at debug level for the component decisions.
+// Replays of a day of traffic count these log lines across the fleet. When disabled, trace costs one check
+// per step.
 func (s *Server) trace(events []dispatch.Event, actions []dispatch.Action) {
 	if !s.tracer.Enabled(context.Background(), slog.LevelDebug) {
 		return
--- a/server/trace_test.go
+++ b/server/trace_test.go
@@ -9,8 +9,8 @@
 	"pineport/dispatch"
 )
 
-// TestTraceOfDispatcher: the trace logs one line per event and action of the dispatcher at debug level, and
-// nothing at higher levels.
+// TestTraceOfDispatcher: the trace logs one line for each of these events and actions of the dispatcher at
+// debug level, and nothing at higher levels.
 func TestTraceOfDispatcher(t *testing.T) {
 	events := []dispatch.Event{dispatch.MessageAccepted{Message: "r7", Destination: 2}, dispatch.AttemptFinished{Message: "r7", Outcome: dispatch.Throttled, RetryAfter: 500}}
 	actions := []dispatch.Action{dispatch.Send{Message: "r7", Endpoint: "s-1", Timeout: 900}, dispatch.Reject{Message: "r7", RetryAfter: 40}}
