--- a/server/admin.go
+++ b/server/admin.go
@@ -64,7 +64,7 @@
 	}
 	disabled, err := maintenance.Read(s.deployment.Spool, s.deployment.Name)
 	if err != nil {
-		s.log.Error("cannot read the disabled endpoints; all endpoints are enabled", "file", maintenance.Name, "error", err)
+		s.log.Error("cannot read the disabled endpoints; all endpoints are enabled", "file", maintenance.FileName, "error", err)
 	}
 	for _, id := range disabled {
 		a.disabled[id] = true
--- a/server/calls.go
+++ b/server/calls.go
@@ -16,7 +16,7 @@
 // Its exchange is the request and answer on a connection.
 type call struct {
 	endpoint    dispatch.EndpointID
-	entry       protocol.Host
+	entry       protocol.Endpoint
 	attempts    []*attempt
 	exchange    *endpointconn.Exchange
 	waitUntil   dispatch.Micros // when the call times out
@@ -90,18 +90,18 @@
 	}
 	call.alignTimeouts()
 	call.exchange = &endpointconn.Exchange{Peer: peerOf(call.entry),
-		OnBegin:     func(begun bool) { s.answerStarted(call, begun) },
-		BeforeWrite: func() error { return s.prepareCall(call) },
-		IsWanted:    func() bool { return s.mayCall(call) },
-		OnWritten:   func() { s.counters.attempts += int64(len(call.attempts)) },
-		OnEnd:       func(a protocol.Answer, err error) { s.callEnded(call, a, err) }}
+		OnResponseStart: func(begun bool) { s.answerStarted(call, begun) },
+		BeforeWrite:     func() error { return s.prepareCall(call) },
+		IsWanted:        func() bool { return s.mayCall(call) },
+		OnWritten:       func() { s.counters.attempts += int64(len(call.attempts)) },
+		OnEnd:           func(a protocol.Response, err error) { s.callEnded(call, a, err) }}
 	s.endpointConns.Start(call.exchange)
 }
 
 // mayCall reports whether a call may still be sent after its connection has been opened. The dispatcher
 // refuses calls while the endpoint list may be outdated.
 func (s *Server) mayCall(call *call) bool {
-	if guard, ok := s.dispatcher.(dispatch.ListGuard); ok && !guard.MayCall(s.now) {
+	if guard, ok := s.dispatcher.(dispatch.CallPermitter); ok && !guard.MayCall(s.now) {
 		return false
 	}
 	inService := s.endpoints[call.endpoint].Health == protocol.InService && !s.suspects[call.endpoint]
@@ -122,7 +122,7 @@
 		}
 	}
 	call.attempts = slices.DeleteFunc(call.attempts, func(attempt *attempt) bool { return attempt.finished })
-	var items []protocol.Item
+	var items []protocol.Message
 	for _, attempt := range call.attempts {
 		if err := s.storeAttempt(attempt, ""); err != nil {
 			s.logSpoolError(err)
@@ -130,12 +130,12 @@
 				return endpointconn.ErrNotStored // not sent: after a restart, the process would not know of the attempt
 			}
 		}
-		items = append(items, protocol.Item{ID: attempt.message.stored.ID, Mark: attempt.message.stored.IdempotencyKey, Body: attempt.message.stored.Body})
+		items = append(items, protocol.Message{ID: attempt.message.stored.ID, IdempotencyKey: attempt.message.stored.IdempotencyKey, Body: attempt.message.stored.Body})
 	}
 	if len(items) == 0 {
 		return errNothingToSend
 	}
-	call.exchange.Request, call.exchange.NeedsBody = protocol.Call(call.entry.Dial, int64((call.waitUntil-s.now)/1000), items), len(items) > 1
+	call.exchange.Request, call.exchange.NeedsBody = protocol.EncodeDelivery(call.entry.Address, int64((call.waitUntil-s.now)/1000), items), len(items) > 1
 	return nil
 }
 
@@ -163,8 +163,8 @@
 }
 
 // peerOf returns the peer for connections to a listed endpoint.
-func peerOf(entry protocol.Host) endpointconn.Peer {
-	return endpointconn.Peer{Endpoint: entry.Host, Address: entry.Dial, StartedAt: entry.Born}
+func peerOf(entry protocol.Endpoint) endpointconn.Peer {
+	return endpointconn.Peer{Endpoint: entry.Host, Address: entry.Address, StartedAt: entry.StartedAtMs}
 }
 
 // answerTimeout bounds the time between the first bytes of an answer and its end. Endpoints write an answer
@@ -183,8 +183,8 @@
 }
 
 // callEnded derives the outcomes of a call's attempts from its answer or error.
-func (s *Server) callEnded(call *call, answer protocol.Answer, err error) {
-	if errors.Is(err, endpointconn.ErrOvertaken) {
+func (s *Server) callEnded(call *call, answer protocol.Response, err error) {
+	if errors.Is(err, endpointconn.ErrNoLongerWanted) {
 		for _, attempt := range call.attempts {
 			s.complete(attempt, dispatch.AttemptFinished{Outcome: dispatch.Unprocessed})
 		}
@@ -192,7 +192,7 @@
 	}
 	// The request was not sent completely because of a shortage on this machine, or not at all because it could
 	// not be stored.
-	if endpointconn.IsLocal(err) {
+	if endpointconn.IsLocalFailure(err) {
 		for _, attempt := range call.attempts {
 			attempt.failedLocally = true
 			s.complete(attempt, dispatch.AttemptFinished{Outcome: dispatch.Unprocessed})
@@ -201,8 +201,8 @@
 	}
 	var failure *protocol.Failure
 	if errors.As(err, &failure) {
-		outcome := map[protocol.Progress]dispatch.Outcome{protocol.BeforeLastByte: dispatch.Unreachable,
-			protocol.AfterLastByte: dispatch.Broken, protocol.InAnswer: dispatch.Failure}[failure.Progress]
+		outcome := map[protocol.Stage]dispatch.Outcome{protocol.RequestIncomplete: dispatch.Unreachable,
+			protocol.RequestSent: dispatch.Broken, protocol.ResponseMalformed: dispatch.Failure}[failure.Stage]
 		for _, attempt := range call.attempts {
 			s.complete(attempt, dispatch.AttemptFinished{Outcome: outcome})
 		}
@@ -210,25 +210,25 @@
 	}
 	var statusesByID map[string]string
 	if answer.Status == 200 && len(call.attempts) > 1 {
-		statusesByID = protocol.ReadEnds(answer.Body)
+		statusesByID = protocol.ReadOutcomes(answer.Body)
 	}
-	if answer.WaitMs > 0 {
-		s.storeRetryAfter(call.entry, s.now+dispatch.Micros(answer.WaitMs)*1000)
+	if answer.BackoffMs > 0 {
+		s.storeRetryAfter(call.entry, s.now+dispatch.Micros(answer.BackoffMs)*1000)
 	}
-	loadReport := protocol.Pressure(answer.Report, s.deployment.Report)
+	loadReport := protocol.LoadValues(answer.LoadReport, s.deployment.Report)
 	for _, attempt := range call.attempts {
 		event := outcomeOf(answer)
 		if statusesByID != nil {
 			event = outcomeInBatch(statusesByID[attempt.message.stored.ID])
 		}
-		event.LoadReport, event.RetryAfter = loadReport, dispatch.Micros(answer.WaitMs)*1000
+		event.LoadReport, event.RetryAfter = loadReport, dispatch.Micros(answer.BackoffMs)*1000
 		s.complete(attempt, event)
 	}
 }
 
 // storeRetryAfter stores a Retry-After received from an endpoint and forwards it to the predecessor, if
 // there is one.
-func (s *Server) storeRetryAfter(entry protocol.Host, until dispatch.Micros) {
+func (s *Server) storeRetryAfter(entry protocol.Endpoint, until dispatch.Micros) {
 	maps.DeleteFunc(s.retryAfter, func(_ string, until dispatch.Micros) bool { return until <= s.now })
 	s.retryAfter[s.groupKey(entry)] = max(until, s.retryAfter[s.groupKey(entry)])
 	s.handoff.forwardRetryAfter(entry, until)
@@ -236,22 +236,22 @@
 
 // groupKey returns the key of the group that a Retry-After applies to: the endpoint if endpoints of its
 // type are separate, otherwise the destination.
-func (s *Server) groupKey(entry protocol.Host) string {
+func (s *Server) groupKey(entry protocol.Endpoint) string {
 	if s.hasSeparateGroups(entry) {
 		return entry.Host
 	}
-	return strconv.Itoa(entry.Dest)
+	return strconv.Itoa(entry.Destination)
 }
 
 // hasSeparateGroups reports whether a Retry-After from an endpoint applies to that endpoint only.
-func (s *Server) hasSeparateGroups(entry protocol.Host) bool {
+func (s *Server) hasSeparateGroups(entry protocol.Endpoint) bool {
 	kind, ok := s.endpointTypeOf(entry)
 	return ok && kind.Separate
 }
 
 // endpointTypeOf returns the type of an endpoint, and false if the configuration has no type of that name.
-func (s *Server) endpointTypeOf(entry protocol.Host) (dispatch.EndpointType, bool) {
-	i := slices.Index(s.deployment.Shapes, entry.Kind)
+func (s *Server) endpointTypeOf(entry protocol.Endpoint) (dispatch.EndpointType, bool) {
+	i := slices.Index(s.deployment.Shapes, entry.EndpointType)
 	if i < 0 || i >= len(s.deployment.Dispatch.EndpointTypes) {
 		return dispatch.EndpointType{}, false
 	}
@@ -259,11 +259,11 @@
 }
 
 // outcomeOf returns the outcome that an answer gives to all attempts of its call.
-func outcomeOf(answer protocol.Answer) dispatch.AttemptFinished {
+func outcomeOf(answer protocol.Response) dispatch.AttemptFinished {
 	switch {
 	case answer.Status == 200:
 		return dispatch.AttemptFinished{Outcome: dispatch.Delivered, MessageDone: true}
-	case answer.Status == 503 && answer.NoSlot, answer.Status == 504:
+	case answer.Status == 503 && answer.EgressFull, answer.Status == 504:
 		return dispatch.AttemptFinished{Outcome: dispatch.Unprocessed}
 	case answer.Status == 429, answer.Status == 503:
 		return dispatch.AttemptFinished{Outcome: dispatch.Throttled}
@@ -285,7 +285,7 @@
 		return dispatch.AttemptFinished{Outcome: dispatch.Throttled}
 	case protocol.Expired:
 		return dispatch.AttemptFinished{Outcome: dispatch.Unprocessed, MessageDone: true}
-	case protocol.NoMore:
+	case protocol.NoMoreAttempts:
 		return dispatch.AttemptFinished{Outcome: dispatch.Unprocessed}
 	}
 	return dispatch.AttemptFinished{Outcome: dispatch.Failure}
@@ -351,9 +351,9 @@
 	case attempt.call.predecessor: // the predecessor has not reported the outcome in time
 	case !exchange.IsWritten():
 		event.Outcome = dispatch.Unreachable
-	case exchange.HasSuccessLine():
+	case exchange.HasSuccessStatus():
 		event.Outcome, event.MessageDone = dispatch.Delivered, true // the answer is incomplete, but its status line was received and reports success
-	case exchange.HasBegun():
+	case exchange.HasResponseStarted():
 		event.Outcome = dispatch.Failure // an answer has begun, but no valid status line was received
 	}
 	s.complete(attempt, event)
@@ -369,7 +369,7 @@
 // unread in the socket. In the second case it extends the timeout once by recheckDelay.
 func (s *Server) answerArriving(attempt *attempt) bool {
 	exchange := attempt.call.exchange
-	if s.endpointConns.HasAnswer(exchange) {
+	if s.endpointConns.HasResponse(exchange) {
 		return true
 	}
 	if attempt.rechecked || !s.endpointConns.HasUnread(exchange) {
--- a/server/crossings_test.go
+++ b/server/crossings_test.go
@@ -29,7 +29,7 @@
 func steppedServer(t *testing.T, world *scripted.World, unfinished ...*spool.Message) *Server {
 	t.Helper()
 	s := newTestServer(t, world, unfinished...)
-	driver, err := transport.Open(s.deployment.Listen, nil, 1024, s.log, s.clients.Admit, s.clients.Accept)
+	driver, err := transport.Open(s.deployment.Listen, nil, 1024, s.log, s.clients.CanAccept, s.clients.Accept)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -289,7 +289,7 @@
 	s := steppedServer(t, world, newMessage("one"))
 	conn := sendToEndpoint(t, s, listener)
 	io.WriteString(conn, okAnswer)
-	s.handle(endpointEvent{waitForEvent(t, s, func(event endpointconn.Answered) bool { return isEndpointConn(event.Conn) })})
+	s.handle(endpointEvent{waitForEvent(t, s, func(event endpointconn.ResponseReceived) bool { return isEndpointConn(event.Conn) })})
 	s.step()
 	resume := blockPoller(t, s)
 	conn.CloseWrite()
@@ -307,7 +307,7 @@
 	resume()
 	s.handle(endpointEvent{waitForEvent(t, s, func(event endpointconn.Opened) bool { return isEndpointConn(event.Conn) })})
 	io.WriteString(acceptCall(t, listener), okAnswer)
-	s.handle(endpointEvent{waitForEvent(t, s, func(event endpointconn.Answered) bool { return isEndpointConn(event.Conn) })})
+	s.handle(endpointEvent{waitForEvent(t, s, func(event endpointconn.ResponseReceived) bool { return isEndpointConn(event.Conn) })})
 	if s.step(); s.messages["two"] != nil {
 		t.Error("message not delivered")
 	}
@@ -325,7 +325,7 @@
 			listener := listenAsEndpoint(t, world)
 			s := steppedServer(t, world, newMessage("one"))
 			io.WriteString(sendToEndpoint(t, s, listener), okAnswer)
-			answer := waitForEvent(t, s, func(event endpointconn.Answered) bool { return isEndpointConn(event.Conn) })
+			answer := waitForEvent(t, s, func(event endpointconn.ResponseReceived) bool { return isEndpointConn(event.Conn) })
 			attempt := s.messages["one"].attempts[0]
 			trigger(s, attempt)
 			if attempt.finished {
@@ -387,9 +387,9 @@
 						t.Fatal("the answer was never read")
 					}
 					switch e := unwrap(queued).(type) {
-					case endpointconn.Answered:
+					case endpointconn.ResponseReceived:
 						read = isEndpointConn(e.Conn)
-					case endpointconn.AnswerBegun:
+					case endpointconn.ResponseProgress:
 						read = isEndpointConn(e.Conn)
 					}
 					s.handle(queued)
@@ -448,7 +448,7 @@
 	io.WriteString(conn, okAnswer)
 	closed := waitForEvent(t, s, func(e endpointconn.Closed) bool { return isEndpointConn(e.Conn) })
 	s.handle(endpointEvent{event})
-	if !errors.Is(closed.Err, endpointconn.ErrUnexpectedAnswer) {
+	if !errors.Is(closed.Err, endpointconn.ErrUnexpectedResponse) {
 		t.Errorf("connection closed with error %v", closed.Err)
 	}
 	s.handle(endpointEvent{closed})
@@ -577,7 +577,7 @@
 	first.SetLinger(0) // the reset discards any reply
 	first.Close()
 	for s.messages["one"] != nil {
-		s.handle(endpointEvent{waitForEvent(t, s, func(event endpointconn.Answered) bool { return isEndpointConn(event.Conn) })})
+		s.handle(endpointEvent{waitForEvent(t, s, func(event endpointconn.ResponseReceived) bool { return isEndpointConn(event.Conn) })})
 		s.step()
 	}
 	second := connectClient(t, s)
@@ -810,7 +810,7 @@
 	s.discovery.version = 0
 	s.discovery.poll(dispatch.WatchEndpoints{})
 	s.handle(endpointEvent{waitForEvent(t, s, func(e endpointconn.Opened) bool { return ofDiscovery(e.Conn) })})
-	answer := waitForEvent(t, s, func(e endpointconn.Answered) bool { return ofDiscovery(e.Conn) })
+	answer := waitForEvent(t, s, func(e endpointconn.ResponseReceived) bool { return ofDiscovery(e.Conn) })
 	if _, err := world.Move(); err != nil {
 		t.Fatal(err)
 	}
@@ -823,7 +823,7 @@
 		t.Errorf("poll in flight %+v, version %d", s.discovery.pollInFlight, s.discovery.version)
 	}
 	s.handle(endpointEvent{waitForEvent(t, s, func(e endpointconn.Opened) bool { return ofDiscovery(e.Conn) })})
-	s.handle(endpointEvent{waitForEvent(t, s, func(e endpointconn.Answered) bool { return ofDiscovery(e.Conn) })})
+	s.handle(endpointEvent{waitForEvent(t, s, func(e endpointconn.ResponseReceived) bool { return ofDiscovery(e.Conn) })})
 	if s.discovery.version == 0 {
 		t.Error("no list from the new address was applied")
 	}
--- a/server/discovery.go
+++ b/server/discovery.go
@@ -96,15 +96,15 @@
 	request.Whole, d.completeListWanted = d.completeListWanted, false
 	d.pollRequest, d.polledAt = request, d.server.now
 	address := d.server.deployment.Discovery
-	httpRequest, timeout := protocol.Watch(address, d.version, watchWait/1000), dispatch.Micros(watchWait+watchMargin)
+	httpRequest, timeout := protocol.EncodeWatch(address, d.version, watchWait/1000), dispatch.Micros(watchWait+watchMargin)
 	switch {
 	case request.Whole:
-		httpRequest, timeout = protocol.WholeList(address), pollTimeout
+		httpRequest, timeout = protocol.EncodeListRequest(address), pollTimeout
 	case request.Immediate:
-		httpRequest, timeout = protocol.Watch(address, d.version, 0), pollTimeout
+		httpRequest, timeout = protocol.EncodeWatch(address, d.version, 0), pollTimeout
 	}
 	exchange := &endpointconn.Exchange{Peer: endpointconn.Peer{Address: address}, NeedsBody: true, Request: httpRequest, OnEnd: d.pollAnswered,
-		OnBegin: func(begun bool) {
+		OnResponseStart: func(begun bool) {
 			if d.pollTimeoutAt = d.polledAt + timeout; begun {
 				d.pollTimeoutAt = min(d.pollTimeoutAt, d.server.now+listTimeout)
 			}
@@ -122,8 +122,8 @@
 	}
 }
 
-func (d *discoveryClient) pollAnswered(answer protocol.Answer, err error) {
-	begun, body := d.pollInFlight.HasBegun(), d.pollInFlight.PartialBody()
+func (d *discoveryClient) pollAnswered(answer protocol.Response, err error) {
+	begun, body := d.pollInFlight.HasResponseStarted(), d.pollInFlight.PartialBody()
 	d.pollInFlight, d.pollTimeoutAt = nil, never
 	isAnswer := err == nil && answer.Status == http.StatusOK
 	if isAnswer {
@@ -137,7 +137,7 @@
 		list, err = protocol.ReadList(answer.Body)
 	}
 	if err != nil {
-		d.pollFailed(err, begun || isAnswer || errors.Is(err, protocol.ErrAnswer), body)
+		d.pollFailed(err, begun || isAnswer || errors.Is(err, protocol.ErrMalformedResponse), body)
 		return
 	}
 	d.listReceived(list)
@@ -149,14 +149,14 @@
 	d.server.log.Warn("endpoint list poll failed", "error", err, "truncated", begun, "version", d.version)
 	switch {
 	case begun:
-		list := protocol.ReadPart(body)
-		if list.Seq <= d.version {
+		list := protocol.ReadTruncatedList(body)
+		if list.Version <= d.version {
 			list = protocol.List{}
 		}
-		list.Faults = append(list.Faults, protocol.EntryFault{Err: err})
+		list.Invalid = append(list.Invalid, protocol.InvalidEntry{Err: err})
 		d.server.applyEndpoints(list, dispatch.PartialList)
 	case errors.Is(err, errNoAnswer):
-		d.server.events = append(d.server.events, dispatch.EndpointUpdate{Kind: dispatch.ListSilent})
+		d.server.events = append(d.server.events, dispatch.EndpointUpdate{Kind: dispatch.ListTimedOut})
 	default:
 		d.server.events = append(d.server.events, dispatch.EndpointUpdate{Kind: dispatch.ListFailed})
 	}
@@ -166,7 +166,7 @@
 // discovery returned the same unusable entries to two requests for the complete list.
 func (d *discoveryClient) listReceived(list protocol.List) {
 	kind := dispatch.PartialList
-	if list.Whole {
+	if list.Complete {
 		kind = dispatch.CompleteList
 	}
 	if d.isOlder(list) {
@@ -179,11 +179,11 @@
 	if len(faults) > 0 {
 		d.server.applyConfirmedFaults(faults)
 	}
-	if list.Seq <= d.version && !d.pollRequest.Whole && !d.pollRequest.Immediate && d.server.now-d.polledAt < minPollInterval {
+	if list.Version <= d.version && !d.pollRequest.Whole && !d.pollRequest.Immediate && d.server.now-d.polledAt < minPollInterval {
 		d.pollAt = d.server.now + minPollInterval
 		return
 	}
-	d.version = list.Seq
+	d.version = list.Version
 	d.poll(dispatch.WatchEndpoints{})
 }
 
@@ -191,24 +191,24 @@
 // lost its state and keeps returning an older version, a complete list of that version is accepted after
 // dispatch.ListDeadline, the time within which a change has to be applied.
 func (d *discoveryClient) isOlder(list protocol.List) bool {
-	if list.Seq >= d.version {
+	if list.Version >= d.version {
 		d.olderSince = never
 		return false
 	}
 	d.olderSince = min(d.olderSince, d.server.now)
-	if d.pollRequest.Whole && list.Whole && d.server.now-d.olderSince >= dispatch.ListDeadline {
+	if d.pollRequest.Whole && list.Complete && d.server.now-d.olderSince >= dispatch.ListDeadline {
 		d.olderSince = never
 		return false
 	}
-	d.server.log.Warn("older endpoint list ignored", "version", list.Seq, "current", d.version)
+	d.server.log.Warn("older endpoint list ignored", "version", list.Version, "current", d.version)
 	d.completeListWanted = true
 	d.server.events = append(d.server.events, dispatch.EndpointUpdate{Kind: dispatch.PartialList, Incomplete: true})
 	return true
 }
 
 // isConfirmed reports whether two complete lists in a row contained the same unusable entries.
-func (d *discoveryClient) isConfirmed(list protocol.List, faults []protocol.EntryFault) bool {
-	if !d.pollRequest.Whole || !list.Whole {
+func (d *discoveryClient) isConfirmed(list protocol.List, faults []protocol.InvalidEntry) bool {
+	if !d.pollRequest.Whole || !list.Complete {
 		return false
 	}
 	previous := d.lastListFaults
@@ -245,7 +245,7 @@
 // addNotice schedules a notice about the end of a message.
 func (d *discoveryClient) addNotice(stored *spool.Message) {
 	d.notices = append(d.notices, &pendingNotice{expiresAt: dispatch.Micros(stored.Deadline) + noticeLifetime,
-		content: protocol.Notice{ID: stored.ID, Rejected: stored.Ended == storedRejected, AgainMs: stored.RetryAfterMs}})
+		content: protocol.Notice{ID: stored.ID, Rejected: stored.FinalOutcome == storedRejected, RetryAfterMs: stored.RetryAfterMs}})
 }
 
 func (d *discoveryClient) due() dispatch.Micros {
@@ -267,7 +267,7 @@
 // spool yet. After a restart the message would be recovered, and it could run although its end had been
 // reported. After its deadline the message cannot run any more.
 func (d *discoveryClient) waitsForSpool(pending *pendingNotice) bool {
-	return d.server.spool.IsBehind(pending.content.ID) && d.server.now < pending.expiresAt-noticeLifetime
+	return d.server.spool.InBacklog(pending.content.ID) && d.server.now < pending.expiresAt-noticeLifetime
 }
 
 // tick handles expired timeouts and sends polls and notices that are due.
@@ -278,7 +278,7 @@
 	}
 	if d.pollTimeoutAt <= now {
 		d.server.endpointConns.Abort(d.pollInFlight)
-		d.pollAnswered(protocol.Answer{}, errNoAnswer)
+		d.pollAnswered(protocol.Response{}, errNoAnswer)
 	}
 	if d.pollAt <= now {
 		d.poll(dispatch.WatchEndpoints{})
@@ -286,7 +286,7 @@
 	for _, call := range slices.Clone(d.calls) {
 		if call.timeoutAt <= now {
 			d.server.endpointConns.Abort(call.exchange)
-			d.noticesAnswered(call, protocol.Answer{}, errNoAnswer)
+			d.noticesAnswered(call, protocol.Response{}, errNoAnswer)
 		}
 	}
 	for len(d.calls) < maxNoticeCalls && d.notify() {
@@ -313,14 +313,14 @@
 	if len(notices) == 0 {
 		return false
 	}
-	call.exchange = &endpointconn.Exchange{Peer: endpointconn.Peer{Address: d.server.deployment.Discovery}, Request: protocol.Notices(d.server.deployment.Discovery, notices),
-		OnBegin: func(bool) {}, OnEnd: func(a protocol.Answer, err error) { d.noticesAnswered(call, a, err) }}
+	call.exchange = &endpointconn.Exchange{Peer: endpointconn.Peer{Address: d.server.deployment.Discovery}, Request: protocol.EncodeNotices(d.server.deployment.Discovery, notices),
+		OnResponseStart: func(bool) {}, OnEnd: func(a protocol.Response, err error) { d.noticesAnswered(call, a, err) }}
 	d.calls = append(d.calls, call)
 	d.server.endpointConns.Start(call.exchange)
 	return true
 }
 
-func (d *discoveryClient) noticesAnswered(call *noticeCall, answer protocol.Answer, err error) {
+func (d *discoveryClient) noticesAnswered(call *noticeCall, answer protocol.Response, err error) {
 	d.calls = slices.DeleteFunc(d.calls, func(other *noticeCall) bool { return other == call })
 	switch {
 	case err != nil:
@@ -340,7 +340,7 @@
 	}
 	for _, pending := range call.notices {
 		if pending.done = pending.done || err == nil || d.server.now > pending.expiresAt; pending.done {
-			d.server.logSpoolError(d.server.spool.Forget(pending.content.ID))
+			d.server.logSpoolError(d.server.spool.Remove(pending.content.ID))
 		} else {
 			pending.nextAttemptAt = min(pending.nextAttemptAt, d.nextCallAt) // earlier than the backoff if the call failed at once
 		}
--- a/server/endpoints.go
+++ b/server/endpoints.go
@@ -16,7 +16,7 @@
 // Incident: an unusable entry was skipped and the list was treated as complete, so the drain announced in
 // that entry was neither applied nor polled for again. Endpoints that an unusable entry may refer to now
 // get no new messages until a list without unusable entries is received.
-func (s *Server) applyEndpoints(list protocol.List, kind dispatch.UpdateKind) (faults []protocol.EntryFault) {
+func (s *Server) applyEndpoints(list protocol.List, kind dispatch.UpdateKind) (faults []protocol.InvalidEntry) {
 	usable, faults := s.usableEntries(list, kind)
 	before := maps.Clone(s.endpoints)
 	update := dispatch.EndpointUpdate{Kind: kind, Incomplete: len(faults) > 0}
@@ -27,14 +27,14 @@
 		update.Kind = dispatch.PartialList
 	}
 	for _, entry := range usable {
-		s.logHealthChange(list.Seq, before, entry)
+		s.logHealthChange(list.Version, before, entry)
 		s.storeEndpoint(entry)
 		converted, _ := s.endpointEntry(entry)
 		update.Entries = append(update.Entries, converted)
 	}
 	update.Entries = append(update.Entries, s.updateSuspects(faults)...)
 	if len(usable)+len(faults) > 0 {
-		s.log.Info("endpoint list applied", "version", list.Seq, "kind", kind.String(), "entries", len(usable), "ignored", len(faults))
+		s.log.Info("endpoint list applied", "version", list.Version, "kind", kind.String(), "entries", len(usable), "ignored", len(faults))
 	}
 	s.events = append(s.events, update)
 	s.closeUnused(before)
@@ -43,7 +43,7 @@
 }
 
 // storeEndpoint applies one entry to the stored endpoint list.
-func (s *Server) storeEndpoint(entry protocol.Host) {
+func (s *Server) storeEndpoint(entry protocol.Endpoint) {
 	id := dispatch.EndpointID(entry.Host)
 	delete(s.suspects, id)
 	if entry.Health == protocol.Removed {
@@ -54,19 +54,19 @@
 }
 
 // usableEntries splits a list into usable entries, at most one per endpoint, and the faults of the others.
-func (s *Server) usableEntries(list protocol.List, kind dispatch.UpdateKind) (usable []protocol.Host, faults []protocol.EntryFault) {
-	faults = slices.Clone(list.Faults)
+func (s *Server) usableEntries(list protocol.List, kind dispatch.UpdateKind) (usable []protocol.Endpoint, faults []protocol.InvalidEntry) {
+	faults = slices.Clone(list.Invalid)
 	indexByHost := map[string]int{}
 	for _, entry := range list.Hosts {
 		_, ok := s.endpointEntry(entry)
 		index, duplicate := indexByHost[entry.Host]
 		switch {
 		case !ok:
-			faults = append(faults, protocol.EntryFault{Host: entry.Host, Dial: entry.Dial, Err: fmt.Errorf("host %s: unknown zone %q or type %q", entry.Host, entry.Zone, entry.Kind)})
+			faults = append(faults, protocol.InvalidEntry{Host: entry.Host, Address: entry.Address, Err: fmt.Errorf("host %s: unknown zone %q or type %q", entry.Host, entry.Zone, entry.EndpointType)})
 		case kind == dispatch.PartialList && s.mayBeMisnamed(entry):
-			faults = append(faults, protocol.EntryFault{Host: entry.Host, Dial: entry.Dial, Err: fmt.Errorf("host %s: drain or removal without an address or with the address of another endpoint", entry.Host)})
+			faults = append(faults, protocol.InvalidEntry{Host: entry.Host, Address: entry.Address, Err: fmt.Errorf("host %s: drain or removal without an address or with the address of another endpoint", entry.Host)})
 		case duplicate && usable[index] != entry:
-			faults = append(faults, protocol.EntryFault{Host: entry.Host, Err: fmt.Errorf("host %s: conflicting entries", entry.Host)})
+			faults = append(faults, protocol.InvalidEntry{Host: entry.Host, Err: fmt.Errorf("host %s: conflicting entries", entry.Host)})
 		case !duplicate:
 			indexByHost[entry.Host] = len(usable)
 			usable = append(usable, entry)
@@ -80,19 +80,19 @@
 
 // mayBeMisnamed reports whether the endpoint name of a drain or removal may be corrupt: the entry has the
 // address of another endpoint, or it has no address and names an unknown endpoint.
-func (s *Server) mayBeMisnamed(entry protocol.Host) bool {
+func (s *Server) mayBeMisnamed(entry protocol.Endpoint) bool {
 	if entry.Health == protocol.InService {
 		return false
 	}
 	_, known := s.endpoints[dispatch.EndpointID(entry.Host)]
-	other, found := s.endpointAt(entry.Dial)
-	return found && string(other) != entry.Host || !known && entry.Dial == ""
+	other, found := s.endpointAt(entry.Address)
+	return found && string(other) != entry.Host || !known && entry.Address == ""
 }
 
 // endpointAt returns the endpoint in service at an address.
 func (s *Server) endpointAt(address string) (dispatch.EndpointID, bool) {
 	for id, entry := range s.endpoints {
-		if entry.Dial == address && entry.Health == protocol.InService {
+		if entry.Address == address && entry.Health == protocol.InService {
 			return id, true
 		}
 	}
@@ -101,7 +101,7 @@
 
 // suspectUnlisted marks all endpoints that are missing from a complete list with unusable entries as
 // suspects: they have been removed, or the unusable entries refer to them.
-func (s *Server) suspectUnlisted(usable []protocol.Host) {
+func (s *Server) suspectUnlisted(usable []protocol.Endpoint) {
 	listed := map[dispatch.EndpointID]bool{}
 	for _, entry := range usable {
 		listed[dispatch.EndpointID(entry.Host)] = true
@@ -115,7 +115,7 @@
 
 // updateSuspects marks the endpoints named by faults as suspects, or clears all suspects if there are no
 // faults. It returns the current entries of all endpoints whose phase may change.
-func (s *Server) updateSuspects(faults []protocol.EntryFault) (entries []dispatch.EndpointEntry) {
+func (s *Server) updateSuspects(faults []protocol.InvalidEntry) (entries []dispatch.EndpointEntry) {
 	for _, id := range s.faultyEndpoints(faults) {
 		s.suspects[id] = true
 	}
@@ -133,12 +133,12 @@
 }
 
 // faultyEndpoints returns the listed endpoints that faults may refer to, by name or by address.
-func (s *Server) faultyEndpoints(faults []protocol.EntryFault) (ids []dispatch.EndpointID) {
+func (s *Server) faultyEndpoints(faults []protocol.InvalidEntry) (ids []dispatch.EndpointID) {
 	for _, fault := range faults {
 		if _, known := s.endpoints[dispatch.EndpointID(fault.Host)]; known {
 			ids = append(ids, dispatch.EndpointID(fault.Host))
 		}
-		if id, known := s.endpointAt(fault.Dial); known {
+		if id, known := s.endpointAt(fault.Address); known {
 			ids = append(ids, id)
 		}
 	}
@@ -148,7 +148,7 @@
 // applyConfirmedFaults applies a complete list with unusable entries after discovery has returned the same
 // ones twice. Endpoints missing from the list are removed. Endpoints named by unusable entries drain until
 // a usable entry for them is received. The update is marked Unusable.
-func (s *Server) applyConfirmedFaults(faults []protocol.EntryFault) {
+func (s *Server) applyConfirmedFaults(faults []protocol.InvalidEntry) {
 	named := s.faultyEndpoints(faults)
 	update := dispatch.EndpointUpdate{Kind: dispatch.PartialList, Unusable: true}
 	for _, id := range slices.Sorted(maps.Keys(s.suspects)) {
@@ -164,7 +164,7 @@
 }
 
 // closeUnused closes idle connections to endpoints that are no longer in service or whose peer has changed.
-func (s *Server) closeUnused(before map[dispatch.EndpointID]protocol.Host) {
+func (s *Server) closeUnused(before map[dispatch.EndpointID]protocol.Endpoint) {
 	for id, entry := range before {
 		if current := s.endpoints[id]; current.Health != protocol.InService || peerOf(current) != peerOf(entry) {
 			s.endpointConns.CloseIdle(peerOf(entry))
@@ -183,12 +183,12 @@
 		}
 	}
 	for _, entry := range s.endpoints {
-		s.destinations[entry.Dest] = never
+		s.destinations[entry.Destination] = never
 	}
 }
 
 // logHealthChange logs a change of a listed endpoint's health.
-func (s *Server) logHealthChange(version int64, before map[dispatch.EndpointID]protocol.Host, entry protocol.Host) {
+func (s *Server) logHealthChange(version int64, before map[dispatch.EndpointID]protocol.Endpoint, entry protocol.Endpoint) {
 	known, ok := before[dispatch.EndpointID(entry.Host)]
 	if ok && known.Health != entry.Health {
 		s.log.Info("endpoint health changed", "endpoint", entry.Host, "from", known.Health, "to", entry.Health, "version", version)
@@ -208,14 +208,14 @@
 
 // endpointEntry converts an entry of the list for the dispatcher. Suspects are reported as draining. It
 // returns false if the configuration does not have the entry's zone or type.
-func (s *Server) endpointEntry(entry protocol.Host) (dispatch.EndpointEntry, bool) {
+func (s *Server) endpointEntry(entry protocol.Endpoint) (dispatch.EndpointEntry, bool) {
 	phases := map[protocol.Health]dispatch.Phase{protocol.InService: dispatch.InService, protocol.Draining: dispatch.Draining,
 		protocol.Removed: dispatch.Removed}
 	phase := phases[entry.Health]
 	if phase == dispatch.InService && s.suspects[dispatch.EndpointID(entry.Host)] {
 		phase = dispatch.Draining
 	}
-	zone, kind := slices.Index(s.deployment.Zones, entry.Zone), slices.Index(s.deployment.Shapes, entry.Kind)
+	zone, kind := slices.Index(s.deployment.Zones, entry.Zone), slices.Index(s.deployment.Shapes, entry.EndpointType)
 	return dispatch.EndpointEntry{Endpoint: dispatch.EndpointID(entry.Host), Zone: dispatch.ZoneID(zone), Type: dispatch.EndpointTypeID(kind),
-		Destination: dispatch.DestinationID(entry.Dest), Phase: phase, Rate: entry.Rate}, zone >= 0 && kind >= 0
+		Destination: dispatch.DestinationID(entry.Destination), Phase: phase, Rate: entry.Rate}, zone >= 0 && kind >= 0
 }
--- a/server/handoff.go
+++ b/server/handoff.go
@@ -178,7 +178,7 @@
 		}
 		s.admin.generation++
 		if err := s.admin.writer.Write(s.admin.generation, s.admin.disabled); err != nil {
-			s.log.Error("cannot store the disabled endpoints", "file", maintenance.Name, "error", err)
+			s.log.Error("cannot store the disabled endpoints", "file", maintenance.FileName, "error", err)
 		}
 	}
 	if state.Draining {
@@ -222,11 +222,11 @@
 }
 
 // forwardRetryAfter sends a Retry-After to the predecessor, which needs it if it has to resume.
-func (h *handoffState) forwardRetryAfter(entry protocol.Host, until dispatch.Micros) {
+func (h *handoffState) forwardRetryAfter(entry protocol.Endpoint, until dispatch.Micros) {
 	if h.predecessor == nil {
 		return
 	}
-	retryAfter := &handoff.RetryAfter{Destination: dispatch.DestinationID(entry.Dest), Until: until}
+	retryAfter := &handoff.RetryAfter{Destination: dispatch.DestinationID(entry.Destination), Until: until}
 	if h.server.hasSeparateGroups(entry) {
 		retryAfter.Endpoint = dispatch.EndpointID(entry.Host)
 	}
@@ -278,7 +278,7 @@
 	case event.link != h.successor:
 	case event.message == nil:
 		h.successorLost()
-	case h.stateMachine.MessageReceived(event.message) == handoff.Drop:
+	case h.stateMachine.MessageReceived(event.message) == handoff.CloseLink:
 		h.server.log.Error("unexpected message from the successor")
 		event.link.Close()
 	default:
--- a/server/lists_test.go
+++ b/server/lists_test.go
@@ -77,7 +77,7 @@
 			s := newTestServer(t, world)
 			endpoints := s.endpoints
 			for _, text := range corrupt {
-				s.endpoints, s.suspects, s.discovery.version, s.discovery.olderSince = map[dispatch.EndpointID]protocol.Host{}, map[dispatch.EndpointID]bool{}, 1, never
+				s.endpoints, s.suspects, s.discovery.version, s.discovery.olderSince = map[dispatch.EndpointID]protocol.Endpoint{}, map[dispatch.EndpointID]bool{}, 1, never
 				for id, entry := range endpoints {
 					s.endpoints[id] = entry
 				}
--- a/server/quota.go
+++ b/server/quota.go
@@ -68,7 +68,7 @@
 		return
 	}
 	s.nextDemandsAt = s.now + demandsInterval
-	if demander, ok := s.dispatcher.(dispatch.Demander); ok {
+	if demander, ok := s.dispatcher.(dispatch.DemandReporter); ok {
 		demands := demander.Demands()
 		s.demands.Store(&demands)
 	}
--- a/server/recovery.go
+++ b/server/recovery.go
@@ -59,7 +59,7 @@
 		}
 	}
 	for _, stored := range unfinished {
-		if stored.Ended != "" {
+		if stored.FinalOutcome != "" {
 			s.discovery.addNotice(stored)
 			continue
 		}
--- a/server/server.go
+++ b/server/server.go
@@ -58,7 +58,7 @@
 	replies            []*reply
 	messages           map[dispatch.MessageID]*message
 	inFlight           []*attempt // oldest first
-	endpoints          map[dispatch.EndpointID]protocol.Host
+	endpoints          map[dispatch.EndpointID]protocol.Endpoint
 	suspects           map[dispatch.EndpointID]bool // listed endpoints that unusable list entries may refer to; they get no new messages
 	destinations       map[int]dispatch.Micros      // when each known destination expires; the constant never while it has listed endpoints
 	retryAfter         map[string]dispatch.Micros   // end of the Retry-After per group key; the dispatcher keeps its own copy
@@ -92,7 +92,7 @@
 func New(dep *config.Deployment, messageSpool *spool.Spool, unfinished []*spool.Message, inherited *handoff.State, courierClock *clock.Clock, log *slog.Logger) (*Server, error) {
 	s := &Server{deployment: dep, log: log, spool: messageSpool, queue: make(chan event, queueSize), control: make(chan event, controlQueueSize),
 		courierClock: courierClock, timerAt: never, shutdownBy: never, shutdownDrainAt: never, messages: map[dispatch.MessageID]*message{},
-		endpoints: map[dispatch.EndpointID]protocol.Host{}, suspects: map[dispatch.EndpointID]bool{}, retryAfter: map[string]dispatch.Micros{}, destinations: map[int]dispatch.Micros{}}
+		endpoints: map[dispatch.EndpointID]protocol.Endpoint{}, suspects: map[dispatch.EndpointID]bool{}, retryAfter: map[string]dispatch.Micros{}, destinations: map[int]dispatch.Micros{}}
 	s.tracer = log.With(logging.Component, "decisions")
 	s.now = s.clock()
 	s.newDispatcher = func() dispatcher {
@@ -108,16 +108,16 @@
 	s.discovery.init(s)
 	s.counters.grow(len(dep.Classes))
 	s.admin.init(s)
-	list, err := protocol.ReadCachedList(dep.Known)
+	list, err := protocol.ReadConfiguredList(dep.Known)
 	if err != nil {
 		log.Warn("known endpoint list ignored", "key", "known", "error", err)
 	}
 	s.handoff.init(s)
-	if inherited != nil && inherited.ListVersion >= list.Seq {
-		list = protocol.List{Seq: inherited.ListVersion, Whole: true, Hosts: inherited.Endpoints}
+	if inherited != nil && inherited.ListVersion >= list.Version {
+		list = protocol.List{Version: inherited.ListVersion, Complete: true, Hosts: inherited.Endpoints}
 	}
 	if len(s.applyEndpoints(list, dispatch.CachedList)) == 0 {
-		s.discovery.version = list.Seq // no unusable entries; otherwise version stays 0 and the first poll returns the complete list
+		s.discovery.version = list.Version // no unusable entries; otherwise version stays 0 and the first poll returns the complete list
 	}
 	if inherited != nil {
 		s.handoff.restoreState(inherited)
@@ -173,7 +173,7 @@
 // start.
 func (s *Server) startServing(stop <-chan struct{}) error {
 	driver, err := s.openDriver()
-	for transport.IsShortage(err) {
+	for transport.IsTemporary(err) {
 		s.log.Warn("not listening yet", "error", err)
 		select {
 		case <-stop:
@@ -197,13 +197,13 @@
 func (s *Server) openDriver() (*transport.Driver, error) {
 	var inherited net.Listener
 	if s.deployment.Socket > 0 {
-		listener, err := transport.Listener(s.deployment.Socket)
+		listener, err := transport.ListenerFromFD(s.deployment.Socket)
 		if err != nil {
 			return nil, fmt.Errorf("socket_fd: %w", err)
 		}
 		inherited = listener
 	}
-	return transport.Open(s.deployment.Listen, inherited, s.deployment.Sockets, s.log, s.clients.Admit, s.clients.Accept)
+	return transport.Open(s.deployment.Listen, inherited, s.deployment.Sockets, s.log, s.clients.CanAccept, s.clients.Accept)
 }
 
 func (s *Server) clock() dispatch.Micros {
@@ -215,7 +215,7 @@
 
 // spoolDue returns the time of the next attempt to flush the spool.
 func (s *Server) spoolDue() dispatch.Micros {
-	if s.spool.Behind() {
+	if s.spool.HasBacklog() {
 		return s.spoolRetryAt
 	}
 	return never
@@ -223,8 +223,8 @@
 
 // flushSpool retries failed writes to the spool, at most once per spoolRetryInterval.
 func (s *Server) flushSpool() {
-	s.logSpoolError(s.spool.TakeFault())
-	if !s.spool.Behind() || s.now < s.spoolRetryAt {
+	s.logSpoolError(s.spool.TakeCompactionError())
+	if !s.spool.HasBacklog() || s.now < s.spoolRetryAt {
 		return
 	}
 	s.spoolRetryAt = s.now + spoolRetryInterval
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -466,9 +466,9 @@
 // TestEndpointIsIdentifiedByMoreThanAddress: idle connections to an address are not used any more after
 // another endpoint has taken over the address or the same endpoint has restarted.
 func TestEndpointIsIdentifiedByMoreThanAddress(t *testing.T) {
-	for name, change := range map[string]func(entry *protocol.Host){
-		"another": func(entry *protocol.Host) { entry.Host = "s-new" }, "endpoint restarted": func(entry *protocol.Host) { entry.Born = 7 },
-		"same": func(*protocol.Host) {},
+	for name, change := range map[string]func(entry *protocol.Endpoint){
+		"another": func(entry *protocol.Endpoint) { entry.Host = "s-new" }, "endpoint restarted": func(entry *protocol.Endpoint) { entry.StartedAtMs = 7 },
+		"same": func(*protocol.Endpoint) {},
 	} {
 		s := steppedServer(t, openWorld(t, 0), newMessage("one"))
 		s.step()
@@ -476,7 +476,7 @@
 			s.handle(endpointEvent{waitForEvent(t, s, func(endpointconn.Event) bool { return true })})
 			s.step()
 		}
-		var before protocol.Host
+		var before protocol.Endpoint
 		for _, entry := range s.endpoints {
 			before = entry
 		}
@@ -485,7 +485,7 @@
 		}
 		after := before
 		change(&after)
-		s.applyEndpoints(protocol.List{Whole: true, Hosts: []protocol.Host{after}}, dispatch.CompleteList)
+		s.applyEndpoints(protocol.List{Complete: true, Hosts: []protocol.Endpoint{after}}, dispatch.CompleteList)
 		if kept := s.endpointConns.Idle(peerOf(after)) == 1; kept != (name == "same") {
 			t.Errorf("%s: connection kept: %v", name, kept)
 		}
@@ -572,19 +572,19 @@
 func TestDrainWhileDialingStopsSend(t *testing.T) {
 	for name, intervene := range map[string]func(s *Server){
 		"wait":    func(s *Server) { s.retryAfter["1"] = s.now + 1000*1000 },
-		"gone":    func(s *Server) { s.applyEndpoints(protocol.List{Whole: true}, dispatch.CompleteList) },
+		"gone":    func(s *Server) { s.applyEndpoints(protocol.List{Complete: true}, dispatch.CompleteList) },
 		"nothing": func(*Server) {},
 		"drain": func(s *Server) {
 			for _, entry := range s.endpoints {
 				entry.Health = protocol.Draining
-				s.applyEndpoints(protocol.List{Hosts: []protocol.Host{entry}}, dispatch.PartialList)
+				s.applyEndpoints(protocol.List{Hosts: []protocol.Endpoint{entry}}, dispatch.PartialList)
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			world := openWorld(t, 0)
 			s := newTestServer(t, world, &spool.Message{ID: "one", Class: "order", Destination: 1, Deadline: time.Now().Add(time.Minute).UnixMicro()})
-			driver, err := transport.Open(s.deployment.Listen, nil, 1024, s.log, s.clients.Admit, s.clients.Accept)
+			driver, err := transport.Open(s.deployment.Listen, nil, 1024, s.log, s.clients.CanAccept, s.clients.Accept)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/server/step.go
+++ b/server/step.go
@@ -31,7 +31,7 @@
 // before that, to report expired polls to the dispatcher, and again after it, to send new notices.
 func (s *Server) step() {
 	s.now = s.clock()
-	s.endpointConns.Expire()
+	s.endpointConns.CloseExpired()
 	s.endpointConns.CheckWritten()
 	s.clients.Sweep(s.now)
 	s.admin.tick()
