--- a/admin/admin.go
+++ b/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin is the second address, for operators alone: it listens, reads a call, answers and closes. What a call
-// means for the courier is not known here.
+// Package admin serves the admin HTTP API for operators, on an address of its own. Each connection carries one request. The
+// package passes commands to the courier and does not implement them.
 package admin
 
 import (
@@ -18,53 +18,54 @@
 	"time"
 )
 
-// Metrics is what the courier counted, from the start of its process on.
+// Metrics holds the counters and gauges of the courier. Counters start at 0 with the process.
 type Metrics struct {
-	Success         map[string]int64 `json:"success"`  // delivered, by class
-	Overload        map[string]int64 `json:"overload"` // rejected or handed back
-	Error           map[string]int64 `json:"error"`    // failed
-	Dispatches      int64            `json:"dispatches"`
-	Concurrent      int64            `json:"concurrent"`
-	Targets         int64            `json:"targets"`
-	TargetsDisabled int64            `json:"targets_disabled"`
+	Success         map[string]int64 `json:"success"`          // messages delivered, by class
+	Overload        map[string]int64 `json:"overload"`         // messages rejected, by class
+	Error           map[string]int64 `json:"error"`            // messages failed, by class
+	Dispatches      int64            `json:"dispatches"`       // calls to endpoints
+	Concurrent      int64            `json:"concurrent"`       // messages accepted and not finished
+	Targets         int64            `json:"targets"`          // endpoints on the list
+	TargetsDisabled int64            `json:"targets_disabled"` // endpoints that get no new messages at present
 	ReloadSuccess   int64            `json:"reload_success"`
 	ReloadFailure   int64            `json:"reload_failure"`
 }
 
-// Command changes something at a courier: SetDisabled or Drain.
+// Command is a request to change the state of a courier: SetDisabled or Drain.
 type Command interface{ isCommand() }
 
 type (
-	// SetDisabled disables an endpoint, or enables it again.
+	// SetDisabled disables or enables an endpoint.
 	SetDisabled struct {
 		Endpoint string
 		Disabled bool
 	}
-	// Drain drains clients, or ends that.
+	// Drain starts or stops draining clients.
 	Drain struct{ Enabled bool }
 )
 
 func (SetDisabled) isCommand() {}
 func (Drain) isCommand()       {}
 
-// ErrUnknownEndpoint is the answer for an endpoint that nobody knows.
+// ErrUnknownEndpoint is returned by Execute for an endpoint that the courier does not know.
 var ErrUnknownEndpoint = errors.New("no such endpoint")
 
-// Courier is who stands behind the address. Execute may be called from many goroutines; what it answers lasts.
+// Courier executes the requests. Execute may be called concurrently and returns nil once the change is applied; a change to
+// disabled endpoints is stored on disk by then.
 type Courier interface {
-	Serving() bool
-	Metrics() *Metrics // nil: none yet
+	Serving() bool     // whether it accepts clients
+	Metrics() *Metrics // nil before the first counts are available
 	Execute(ctx context.Context, command Command) error
 }
 
 const (
-	answerTimeout  = 800 * time.Millisecond // an answer is owed in a second
-	requestTimeout = 3 * time.Second        // for a call to come whole
-	maxHead        = 4 << 10
-	maxBody        = 4 << 10 // nothing in it is read
+	answerTimeout  = 800 * time.Millisecond // clients expect a response within one second
+	requestTimeout = 3 * time.Second        // for reading a complete request
+	maxHeaderBytes = 4 << 10
+	maxBodyBytes   = 4 << 10 // request bodies are discarded
 )
 
-// Server is the address.
+// Server is the admin HTTP server.
 type Server struct {
 	http    *http.Server
 	courier atomic.Pointer[Courier]
@@ -72,32 +73,33 @@
 	log     *slog.Logger
 }
 
-// Open listens and answers from now on, at most so many calls at once; with no for all until there is a courier.
-func Open(addr string, most int, log *slog.Logger) (*Server, error) {
+// Open listens on addr and serves requests on at most maxConns connections at once. Until SetCourier is called, requests that
+// need a courier get status 503.
+func Open(addr string, maxConns int, log *slog.Logger) (*Server, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
 	s := &Server{log: log}
-	crowd := &limitedListener{Listener: l, limit: max(1, most), active: map[net.Conn]bool{}}
-	s.http = &http.Server{Handler: s.handler(), ReadTimeout: requestTimeout, WriteTimeout: requestTimeout + time.Second, MaxHeaderBytes: maxHead,
-		ConnState: crowd.state, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
+	listener := &limitedListener{Listener: l, limit: max(1, maxConns), hasRequest: map[net.Conn]bool{}}
+	s.http = &http.Server{Handler: s.handler(), ReadTimeout: requestTimeout, WriteTimeout: requestTimeout + time.Second, MaxHeaderBytes: maxHeaderBytes,
+		ConnState: listener.onStateChange, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
 	s.http.SetKeepAlivesEnabled(false)
-	go s.http.Serve(crowd)
+	go s.http.Serve(listener)
 	return s, nil
 }
 
-// SetCourier puts a courier behind the address.
+// SetCourier sets the courier that executes the requests.
 func (s *Server) SetCourier(courier Courier) { s.courier.Store(&courier) }
 
-// Fleet is what a courier knows of the others.
+// Fleet gives access to the membership and the shared quotas of the fleet.
 type Fleet interface {
-	Members() any // for JSON
+	Members() any // encoded as JSON
 	Remove(name string)
-	Quota() any // for JSON; nil where limits are not shared
+	Quota() any // encoded as JSON; nil if couriers do not share quotas
 }
 
-// SetFleet puts a fleet behind the address; without one there is no such call.
+// SetFleet enables the requests about the fleet. Without a fleet they get status 404.
 func (s *Server) SetFleet(f Fleet) { s.fleet.Store(&f) }
 
 func (s *Server) members(w http.ResponseWriter, r *http.Request) {
@@ -111,16 +113,16 @@
 }
 
 func (s *Server) quota(w http.ResponseWriter, r *http.Request) {
-	var shared any
+	var quota any
 	if f := s.fleet.Load(); f != nil {
-		shared = (*f).Quota()
+		quota = (*f).Quota()
 	}
-	if shared == nil {
+	if quota == nil {
 		http.NotFound(w, r)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(shared)
+	json.NewEncoder(w).Encode(quota)
 }
 
 func (s *Server) remove(w http.ResponseWriter, r *http.Request) {
@@ -134,16 +136,16 @@
 	io.WriteString(w, "done\n")
 }
 
-// Close ends it.
+// Close closes the listener and all connections.
 func (s *Server) Close() error { return s.http.Close() }
 
 func (s *Server) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /status", s.status)
 	mux.HandleFunc("GET /status/metrics", s.metrics)
-	for verb, out := range map[string]bool{"enter": true, "exit": false} {
+	for verb, disabled := range map[string]bool{"enter": true, "exit": false} {
 		mux.HandleFunc("POST /maintenance/"+verb+"/{id}", func(w http.ResponseWriter, r *http.Request) {
-			s.execute(w, r, SetDisabled{r.PathValue("id"), out})
+			s.execute(w, r, SetDisabled{r.PathValue("id"), disabled})
 		})
 	}
 	mux.HandleFunc("GET /peers", s.members)
@@ -152,11 +154,11 @@
 	mux.HandleFunc("POST /standby", func(w http.ResponseWriter, r *http.Request) { s.execute(w, r, Drain{true}) })
 	mux.HandleFunc("POST /active", func(w http.ResponseWriter, r *http.Request) { s.execute(w, r, Drain{false}) })
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, maxBody)); err != nil {
+		if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, maxBodyBytes)); err != nil {
 			http.Error(w, "a body that cannot be read, or is too long", http.StatusRequestEntityTooLarge)
 			return
 		}
-		// The mux would send such a path elsewhere, which is neither yes nor no.
+		// ServeMux would redirect a path that is not clean; operators' scripts need a definite status.
 		if clean := path.Clean(r.URL.Path); clean != r.URL.Path || !strings.HasPrefix(clean, "/") {
 			http.NotFound(w, r)
 			return
@@ -213,13 +215,14 @@
 	}
 }
 
-// crowd bounds the connections: where one more comes, that which has brought no whole call for longest is closed.
+// limitedListener limits the number of open connections. If a new connection exceeds the limit, the oldest connection without
+// a complete request header is closed, or the oldest connection if all have one.
 type limitedListener struct {
 	net.Listener
-	limit  int
-	mu     sync.Mutex
-	order  []net.Conn        // oldest first
-	active map[net.Conn]bool // brought something
+	limit      int
+	mu         sync.Mutex
+	conns      []net.Conn        // oldest first
+	hasRequest map[net.Conn]bool // a complete request header was received
 }
 
 func (c *limitedListener) Accept() (net.Conn, error) {
@@ -228,45 +231,45 @@
 		return nil, err
 	}
 	c.mu.Lock()
-	c.order = append(c.order, conn)
-	var dumb net.Conn
-	if len(c.order) > c.limit {
-		dumb = c.order[0]
-		for _, o := range c.order[:len(c.order)-1] { // one that brings nothing goes before one that has begun a call
-			if !c.active[o] {
-				dumb = o
+	c.conns = append(c.conns, conn)
+	var evicted net.Conn
+	if len(c.conns) > c.limit {
+		evicted = c.conns[0]
+		for _, candidate := range c.conns[:len(c.conns)-1] { // prefer a connection without a request
+			if !c.hasRequest[candidate] {
+				evicted = candidate
 				break
 			}
 		}
-		c.drop(dumb)
+		c.remove(evicted)
 	}
 	c.mu.Unlock()
-	if dumb != nil {
-		dumb.Close()
+	if evicted != nil {
+		evicted.Close()
 	}
 	return conn, nil
 }
 
-// drop forgets a connection; the caller holds the lock.
-func (c *limitedListener) drop(conn net.Conn) {
-	delete(c.active, conn)
-	for i, o := range c.order {
-		if o == conn {
-			c.order = append(c.order[:i:i], c.order[i+1:]...)
+// remove stops tracking a connection. The caller must hold c.mu.
+func (c *limitedListener) remove(conn net.Conn) {
+	delete(c.hasRequest, conn)
+	for i, tracked := range c.conns {
+		if tracked == conn {
+			c.conns = append(c.conns[:i:i], c.conns[i+1:]...)
 			return
 		}
 	}
 }
 
-func (c *limitedListener) state(conn net.Conn, state http.ConnState) {
+func (c *limitedListener) onStateChange(conn net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch state {
 	case http.StateActive:
-		if slices.Contains(c.order, conn) {
-			c.active[conn] = true
+		if slices.Contains(c.conns, conn) {
+			c.hasRequest[conn] = true
 		}
 	case http.StateClosed, http.StateHijacked:
-		c.drop(conn)
+		c.remove(conn)
 	}
 }
--- a/admin/admin_test.go
+++ b/admin/admin_test.go
@@ -21,7 +21,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// desk stands in for the courier and writes down what it was asked.
+// fakeCourier is a stand-in for the courier that records the commands it receives.
 type fakeCourier struct {
 	mu       sync.Mutex
 	serving  bool
@@ -36,36 +36,36 @@
 		Dispatches: 5, Concurrent: 2, Targets: 4, TargetsDisabled: 1}
 }
 
-func (d *fakeCourier) Execute(ctx context.Context, what Command) error {
+func (d *fakeCourier) Execute(ctx context.Context, command Command) error {
 	if d.hanging {
 		<-ctx.Done()
 		return ctx.Err()
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.commands = append(d.commands, fmt.Sprint(what))
-	if m, ok := what.(SetDisabled); ok && m.Endpoint == "stranger" {
+	d.commands = append(d.commands, fmt.Sprint(command))
+	if disable, ok := command.(SetDisabled); ok && disable.Endpoint == "stranger" {
 		return ErrUnknownEndpoint
 	}
 	return nil
 }
 
-func begin(t *testing.T, most int) (s *Server, addr string) {
+func startServer(t *testing.T, maxConns int) (s *Server, addr string) {
 	t.Helper()
-	addr, letGo, err := port.Reserve()
+	addr, release, err := port.Reserve()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(letGo)
-	if s, err = Open(addr, most, slog.New(slog.DiscardHandler)); err != nil {
+	t.Cleanup(release)
+	if s, err = Open(addr, maxConns, slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { s.Close() })
 	return s, addr
 }
 
-// raw sends bytes in pieces and returns the status of the answer, 0 where none came.
-func raw(t *testing.T, addr, text string, piece int) (status int, body string) {
+// sendInPieces sends text in pieces of pieceSize bytes and returns the status and body of the response; status 0: no response.
+func sendInPieces(t *testing.T, addr, text string, pieceSize int) (status int, body string) {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -73,95 +73,95 @@
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(10 * time.Second))
-	for at := 0; at < len(text); at += piece {
-		if _, err := io.WriteString(conn, text[at:min(len(text), at+piece)]); err != nil {
-			break // it has been answered already
+	for sent := 0; sent < len(text); sent += pieceSize {
+		if _, err := io.WriteString(conn, text[sent:min(len(text), sent+pieceSize)]); err != nil {
+			break // the server has already responded and closed the connection
 		}
-		if piece < len(text) {
+		if pieceSize < len(text) {
 			time.Sleep(time.Millisecond)
 		}
 	}
-	answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer answer.Body.Close()
-	all, _ := io.ReadAll(answer.Body)
-	if !answer.Close {
-		t.Errorf("%.40q: the connection stays", text)
+	defer response.Body.Close()
+	content, _ := io.ReadAll(response.Body)
+	if !response.Close {
+		t.Errorf("%.40q: the response does not close the connection", text)
 	}
-	return answer.StatusCode, string(all)
+	return response.StatusCode, string(content)
 }
 
-func call(method, path string) string { return method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n" }
+func request(method, path string) string { return method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n" }
 
-func TestCalls(t *testing.T) {
-	s, addr := begin(t, 8)
+func TestRequests(t *testing.T) {
+	s, addr := startServer(t, 8)
 	for _, path := range []string{"/status", "/status/metrics"} {
-		if status, _ := raw(t, addr, call("GET", path), 999); status != 503 {
-			t.Errorf("%s before there is a courier: %d", path, status)
+		if status, _ := sendInPieces(t, addr, request("GET", path), 999); status != 503 {
+			t.Errorf("%s before SetCourier: got status %d, want 503", path, status)
 		}
 	}
-	d := &fakeCourier{serving: true}
-	s.SetCourier(d)
-	head := strings.Repeat("x", 2*maxHead)
+	courier := &fakeCourier{serving: true}
+	s.SetCourier(courier)
+	longText := strings.Repeat("x", 2*maxHeaderBytes)
 	for text, want := range map[string]int{
-		call("GET", "/status"):                     200,
-		call("GET", "/status/metrics"):             200,
-		call("POST", "/maintenance/enter/s-1"):     200,
-		call("POST", "/maintenance/exit/s%2D1"):    200,
-		call("POST", "/standby"):                   200,
-		call("POST", "/active"):                    200,
-		call("POST", "/maintenance/exit/stranger"): 404,
-		call("POST", "/maintenance/enter/"):        404,
-		call("POST", "/maintenance/enter/a/b"):     404,
-		call("POST", "/maintenance//enter/a"):      404,
-		call("GET", "/"):                           404,
-		call("GET", "/nothing"):                    404,
-		call("GET", "/standby"):                    405,
-		call("POST", "/status"):                    405,
-		call("DELETE", "/maintenance/enter/s-1"):   405,
-		"POST /standby HTTP/1.1\r\nHost: x\r\nContent-Length: 9999\r\n\r\n" + head:          413,
+		request("GET", "/status"):                                                           200,
+		request("GET", "/status/metrics"):                                                   200,
+		request("POST", "/maintenance/enter/s-1"):                                           200,
+		request("POST", "/maintenance/exit/s%2D1"):                                          200,
+		request("POST", "/standby"):                                                         200,
+		request("POST", "/active"):                                                          200,
+		request("POST", "/maintenance/exit/stranger"):                                       404,
+		request("POST", "/maintenance/enter/"):                                              404,
+		request("POST", "/maintenance/enter/a/b"):                                           404,
+		request("POST", "/maintenance//enter/a"):                                            404,
+		request("GET", "/"):                                                                 404,
+		request("GET", "/nothing"):                                                          404,
+		request("GET", "/standby"):                                                          405,
+		request("POST", "/status"):                                                          405,
+		request("DELETE", "/maintenance/enter/s-1"):                                         405,
+		"POST /standby HTTP/1.1\r\nHost: x\r\nContent-Length: 9999\r\n\r\n" + longText:      413,
 		"POST /standby HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n\r\n": 413,
-		"GET /status HTTP/1.1\r\nHost: x\r\nLong: " + head + "\r\n\r\n":                     431,
-		"NONSENSE\r\n\r\n": 400,
+		"GET /status HTTP/1.1\r\nHost: x\r\nLong: " + longText + "\r\n\r\n":                 431,
+		"NONSENSE\r\n\r\n":                                                                  400,
 	} {
-		for _, piece := range []int{1 << 20, 7} {
-			if status, body := raw(t, addr, text, piece); status != want {
-				t.Errorf("%.60q in pieces of %d: %d %.60q, not %d", text, piece, status, body, want)
+		for _, pieceSize := range []int{1 << 20, 7} {
+			if status, body := sendInPieces(t, addr, text, pieceSize); status != want {
+				t.Errorf("%.60q in pieces of %d bytes: got status %d %.60q, want %d", text, pieceSize, status, body, want)
 			}
 		}
 	}
 	counts := map[string]int{}
-	for _, a := range d.commands {
-		counts[a]++
+	for _, command := range courier.commands {
+		counts[command]++
 	}
-	for what, n := range map[string]int{"{s-1 true}": 2, "{s-1 false}": 2, "{true}": 2, "{false}": 2} {
-		if counts[what] != n {
-			t.Errorf("%s was asked %d times: %v", what, counts[what], counts)
+	for command, n := range map[string]int{"{s-1 true}": 2, "{s-1 false}": 2, "{true}": 2, "{false}": 2} {
+		if counts[command] != n {
+			t.Errorf("wrong number of executions of command %s: %d of %v", command, counts[command], counts)
 		}
 	}
-	_, body := raw(t, addr, call("GET", "/status/metrics"), 999)
-	var f Metrics
-	if err := json.Unmarshal([]byte(body), &f); err != nil || f.Success["update"] != 3 || f.Dispatches != 5 || f.TargetsDisabled != 1 {
+	_, body := sendInPieces(t, addr, request("GET", "/status/metrics"), 999)
+	var metrics Metrics
+	if err := json.Unmarshal([]byte(body), &metrics); err != nil || metrics.Success["update"] != 3 || metrics.Dispatches != 5 || metrics.TargetsDisabled != 1 {
 		t.Errorf("%v: %s", err, body)
 	}
-	d.serving, d.hanging = false, true
-	if status, _ := raw(t, addr, call("GET", "/status"), 999); status != 503 {
-		t.Errorf("clients are not taken, and status says %d", status)
+	courier.serving, courier.hanging = false, true
+	if status, _ := sendInPieces(t, addr, request("GET", "/status"), 999); status != 503 {
+		t.Errorf("/status of a courier that accepts no clients: got %d, want 503", status)
 	}
-	// Failure: an event loop that stands still left operators without an answer in time.
-	if status, _ := raw(t, addr, call("POST", "/standby"), 999); status != 503 {
-		t.Errorf("nobody acts, and the call got %d", status)
+	// Guards against an admin request without a timely response while the event loop is blocked.
+	if status, _ := sendInPieces(t, addr, request("POST", "/standby"), 999); status != 503 {
+		t.Errorf("command to a blocked event loop: got status %d, want 503", status)
 	}
 }
 
-// TestHeldConnections. Failure: callers that held connections without a whole call took all of them, and the next call
-// found none.
-func TestHeldConnections(t *testing.T) {
-	s, addr := begin(t, 4)
+// TestIncompleteRequestsDoNotBlockOthers guards against exhausted connections: clients that kept connections open
+// without sending a complete request used up the limit, and further requests were not served.
+func TestIncompleteRequestsDoNotBlockOthers(t *testing.T) {
+	s, addr := startServer(t, 4)
 	s.SetCourier(&fakeCourier{serving: true})
-	var dumb []net.Conn
+	var conns []net.Conn
 	for i := range 40 {
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -171,17 +171,17 @@
 		if i%2 == 0 {
 			io.WriteString(conn, "GET /sta")
 		}
-		dumb = append(dumb, conn)
+		conns = append(conns, conn)
 		if i%5 == 4 {
-			if status, _ := raw(t, addr, call("GET", "/status"), 5); status != 200 {
-				t.Fatalf("beside %d held connections: %d", i+1, status)
+			if status, _ := sendInPieces(t, addr, request("GET", "/status"), 5); status != 200 {
+				t.Fatalf("with %d connections without a complete request: got status %d, want 200", i+1, status)
 			}
 		}
 	}
-	dumb[0].SetReadDeadline(time.Now().Add(10 * time.Second))
-	if _, err := dumb[0].Read(make([]byte, 1)); err == nil {
-		t.Error("the first held connection got an answer")
-	} else if late, ok := err.(net.Error); ok && late.Timeout() {
-		t.Error("the first held connection is still up")
+	conns[0].SetReadDeadline(time.Now().Add(10 * time.Second))
+	if _, err := conns[0].Read(make([]byte, 1)); err == nil {
+		t.Error("the first incomplete request got a response")
+	} else if netErr, ok := err.(net.Error); ok && netErr.Timeout() {
+		t.Error("the first connection with an incomplete request is still open")
 	}
 }
--- a/admin/golden_test.go
+++ b/admin/golden_test.go
@@ -13,31 +13,32 @@
 	"pineport/testbed/golden"
 )
 
-// recordedCourier answers every call with all that it could say.
+// recordedCourier returns metrics with every field filled and knows every endpoint except "unknown".
 type recordedCourier struct{}
 
 func (recordedCourier) Serving() bool { return true }
 
 func (recordedCourier) Metrics() *Metrics {
-	var f Metrics
-	golden.Fill(&f)
-	return &f
+	var metrics Metrics
+	golden.Fill(&metrics)
+	return &metrics
 }
 
-func (recordedCourier) Execute(_ context.Context, what Command) error {
-	if m, ok := what.(SetDisabled); ok && m.Endpoint == "unknown" {
+func (recordedCourier) Execute(_ context.Context, command Command) error {
+	if disable, ok := command.(SetDisabled); ok && disable.Endpoint == "unknown" {
 		return ErrUnknownEndpoint
 	}
 	return nil
 }
 
-// TestPagesAreAsRecorded: status and text of each call, without and with a courier behind the address.
-func TestPagesAreAsRecorded(t *testing.T) {
+// TestResponsesMatchGolden compares the status, content type and body of each response with the golden file, before and
+// after SetCourier.
+func TestResponsesMatchGolden(t *testing.T) {
 	golden.Tagged(t, Metrics{})
 	var pages strings.Builder
 	s := &Server{log: slog.New(slog.DiscardHandler)}
 	handler := s.handler()
-	look := func(method, path string) {
+	record := func(method, path string) {
 		w := httptest.NewRecorder()
 		handler.ServeHTTP(w, httptest.NewRequest(method, path, nil))
 		body, _ := io.ReadAll(w.Result().Body)
@@ -49,10 +50,10 @@
 		}
 		fmt.Fprintf(&pages, "with a courier: %v\n", courier != nil)
 		for _, path := range []string{"/status", "/status/metrics", "/peers", "/commons", "/nonsense", "/status/"} {
-			look(http.MethodGet, path)
+			record(http.MethodGet, path)
 		}
 		for _, path := range []string{"/maintenance/enter/s-1", "/maintenance/exit/s-1", "/maintenance/enter/unknown", "/standby", "/active", "/peers/gone/n1"} {
-			look(http.MethodPost, path)
+			record(http.MethodPost, path)
 		}
 	}
 	golden.Check(t, "pages.golden", []byte(pages.String()))
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,5 @@
-// Command simadapter runs many couriers on the simulator's wire, standard input to standard output.
+// Command simadapter runs the dispatchers of many couriers for the simulator. It reads the simulator's protocol from standard
+// input and writes replies to standard output.
 package main
 
 import (
@@ -18,7 +19,7 @@
 	}
 }
 
-// run answers each batch with one reply until input ends.
+// run writes one reply to each batch until the end of input.
 func run(in io.Reader, out, log io.Writer) error {
 	reader := simprotocol.NewReader(in, func(line int, fault error) {
 		fmt.Fprintf(log, "simadapter: line %d: %v\n", line, fault)
@@ -33,34 +34,34 @@
 		if err != nil {
 			return err
 		}
-		var order []int
+		var ids []int
 		events := map[int][]dispatch.Event{}
-		seen := map[int]bool{}
-		for _, item := range batch.Items {
-			if !seen[item.Courier] {
-				seen[item.Courier] = true
-				order = append(order, item.Courier)
+		listed := map[int]bool{}
+		for _, item := range batch.Events {
+			if !listed[item.Courier] {
+				listed[item.Courier] = true
+				ids = append(ids, item.Courier)
 			}
-			switch what := item.What.(type) {
+			switch event := item.Event.(type) {
 			case simprotocol.Started:
-				couriers[item.Courier] = dispatch.New(what.Config)
+				couriers[item.Courier] = dispatch.New(event.Config)
 				events[item.Courier] = nil
 			case simprotocol.Killed:
 				delete(couriers, item.Courier)
 				events[item.Courier] = nil
 			case dispatch.Event:
-				events[item.Courier] = append(events[item.Courier], what)
+				events[item.Courier] = append(events[item.Courier], event)
 			}
 		}
-		for _, id := range order {
+		for _, id := range ids {
 			courier := couriers[id]
 			if courier == nil {
 				if len(events[id]) > 0 {
-					fmt.Fprintf(log, "simadapter: courier %d has not begun; %d events left out\n", id, len(events[id]))
+					fmt.Fprintf(log, "simadapter: courier %d is not running; %d events ignored\n", id, len(events[id]))
 				}
 				continue
 			}
-			actions, fault := decide(courier, batch.Now, events[id])
+			actions, fault := handle(courier, batch.Now, events[id])
 			if fault != "" {
 				writer.Fault(id, fault)
 				continue
@@ -73,8 +74,8 @@
 	}
 }
 
-// decide steps a panic in the decisions into a report that the wire can carry.
-func decide(c *dispatch.Dispatcher, now dispatch.Micros, events []dispatch.Event) (actions []dispatch.Action, fault string) {
+// handle passes events to a dispatcher. It returns a panic of the dispatcher as text, for the internal_error line of the reply.
+func handle(c *dispatch.Dispatcher, now dispatch.Micros, events []dispatch.Event) (actions []dispatch.Action, fault string) {
 	defer func() {
 		if r := recover(); r != nil {
 			fault = fmt.Sprint(r)
--- a/config/config.go
+++ b/config/config.go
@@ -1,4 +1,4 @@
-// Package config is the one place where configuration is read, checked and given defaults.
+// Package config reads the configuration, validates it and fills in defaults.
 package config
 
 import (
@@ -14,71 +14,71 @@
 	"pineport/dispatch"
 )
 
-// Deployment is what one real courier is notified.
+// Deployment is the complete configuration of one courier process.
 type Deployment struct {
 	Name      string
 	Listen    string
 	Discovery string
-	Ops       string // where operators call; empty: nowhere
-	Socket    int    // descriptor of an inherited listening socket; 0: none
-	Spool     string // the folder that lasts
+	Ops       string // address of the admin HTTP server; empty: no admin server
+	Socket    int    // descriptor of an inherited listening socket; 0: the courier opens its own
+	Spool     string // directory of the spool and all other persistent state
 	Cores     float64
 	MemoryMB  int
 	Sockets   int
 	SpoolMB   float64
-	Known     json.RawMessage // the list as this courier had it last, in discovery's form
-	Learn     time.Duration   // how often at most what was learned is kept; 0: never
+	Known     json.RawMessage // last endpoint list that this courier held, in discovery's JSON format
+	Learn     time.Duration   // minimum interval between snapshots of the learned state; 0: no snapshots
 	Log       Log
 	Peers     Peers
-	Watch     *Deployment // whose settings are watched; nil for none
-	WatchTell time.Duration
+	Watch     *Deployment   // shadow configuration: its decisions are compared, never executed; nil: none
+	WatchTell time.Duration // interval between log lines about the shadow configuration
 
 	Dispatch       dispatch.Config
-	Classes        []string        // names, by the configuration's numbers
-	Retired        map[string]bool // classes that a reload removed: they take no more messages
+	Classes        []string        // names; the index of a class is its dispatch.ClassID
+	Retired        map[string]bool // classes that a reload removed: new messages of them are rejected
 	Zones          []string
 	Shapes         []string
 	Tenants        []string
-	Report         []string // names of the values in a report
+	Report         []string // names of the values in a load report, in order
 	ConnectTimeout time.Duration
 
 	Document *Document
 }
 
-// Peers is how this courier knows the others of its fleet.
+// Peers configures the membership of this courier in its fleet.
 type Peers struct {
-	Listen, Advertise string // empty: no membership
+	Listen, Advertise string // addresses; an empty Listen disables membership
 	Fleet, Key        string
 	Join, Through     []string
 	Pace              time.Duration
-	Allowed           bool // by the configuration
-	Share             bool // parts of limits
+	Allowed           bool // settings.ceilings.peers: couriers may form a fleet
+	ShareQuotas       bool // couriers lease shares of quotas and endpoint limits to each other
 }
 
-// On tells whether there is to be a membership at all.
+// On reports whether this courier joins the membership of its fleet.
 func (p Peers) On() bool { return p.Listen != "" && p.Allowed }
 
-// Sharing tells whether parts of limits are shared over it.
-func (p Peers) Sharing() bool { return p.On() && p.Share }
+// Sharing reports whether couriers share quotas over the membership.
+func (p Peers) Sharing() bool { return p.On() && p.ShareQuotas }
 
-// Log is how the log is kept.
+// Log configures logging.
 type Log struct {
 	Level   string
-	Levels  map[string]string // of single components
+	Levels  map[string]string // overrides by component
 	JSON    bool
-	Repeats time.Duration
-	Queue   int
+	Repeats time.Duration // window in which repeated lines are counted instead of written; 0: all lines are written
+	Queue   int           // lines buffered for a slow log reader
 }
 
-// Load reads the variables and the file that they name.
+// Load reads the environment variables and the configuration file that RELAY_CONFIG names.
 func Load(getenv func(string) string) (*Deployment, error) { return From(Sources{Getenv: getenv}) }
 
-// Reload reads the file anew for a process that runs.
+// Reload reads the configuration file again for a running process.
 func Reload(getenv func(string) string) (*Deployment, error) {
 	return From(Sources{Getenv: getenv, Anew: true})
 }
 
-// From reads a deployment from its sources; all faults are notified at once.
+// From reads a deployment from its sources. The error joins all invalid settings, not only the first.
 func From(sources Sources) (*Deployment, error) {
 	state := sources.State
 	if state == "" {
@@ -95,7 +95,7 @@
 		return nil, err
 	}
 	if err := os.MkdirAll(state, 0o700); err != nil {
-		return nil, fmt.Errorf("RELAY_STATE: a folder was expected: %w", err)
+		return nil, fmt.Errorf("RELAY_STATE: cannot create the state directory: %w", err)
 	}
 	deployment, err := doc.deployment()
 	if err != nil {
@@ -103,15 +103,16 @@
 	}
 	deployment.Spool = state
 	if path := doc.Values["watch.file"].Text; path != "" {
-		if deployment.Watch, err = watched(path, sources); err != nil {
+		if deployment.Watch, err = loadShadow(path, sources); err != nil {
 			return nil, fmt.Errorf("watch.file: %w", err)
 		}
 	}
 	return deployment, nil
 }
 
-// watched reads the configuration to come, from its file and the defaults alone: nothing of it is put to use but settings.
-func watched(path string, sources Sources) (*Deployment, error) {
+// loadShadow reads a shadow configuration from its file and the defaults only, ignoring environment variables and flags.
+// Only its settings are used.
+func loadShadow(path string, sources Sources) (*Deployment, error) {
 	doc, err := ReadDocument(Sources{Getenv: func(string) string { return "" }, File: path, Anew: sources.Anew})
 	if err != nil {
 		return nil, err
@@ -122,11 +123,11 @@
 	return doc.deployment()
 }
 
-// deployment takes the values of a sound document.
+// deployment converts the values of a document without faults.
 func (d *Document) deployment() (*Deployment, error) {
 	text := func(path string) string { return d.Values[path].Text }
 	number := func(path string) float64 {
-		n, _ := strconv.ParseFloat(text(path), 64) // held against the schema before
+		n, _ := strconv.ParseFloat(text(path), 64) // check has validated the value
 		return n
 	}
 	seconds := func(path string) time.Duration { return time.Duration(number(path) * float64(time.Second)) }
@@ -148,8 +149,8 @@
 	seed, _ := strconv.ParseUint(text("seed"), 16, 64)
 	settings := map[string]string{}
 	for path, v := range d.Values {
-		if inner, ok := strings.CutPrefix(path, "settings."); ok {
-			settings[inner] = v.Text
+		if setting, ok := strings.CutPrefix(path, "settings."); ok {
+			settings[setting] = v.Text
 		}
 	}
 	var err error
@@ -163,20 +164,20 @@
 		deployment.Tenants = append(deployment.Tenants, settings[fmt.Sprintf("tenants.%d.name", i)])
 	}
 	deployment.Peers = Peers{Listen: text("peers.listen"), Advertise: text("peers.advertise"), Fleet: text("peers.fleet"), Key: text("peers.key"),
-		Join: words("peers.join"), Through: words("peers.through"), Pace: seconds("peers.pace_s"), Allowed: text("settings.ceilings.peers") == "true", Share: text("peers.share") == "true"}
+		Join: words("peers.join"), Through: words("peers.through"), Pace: seconds("peers.pace_s"), Allowed: text("settings.ceilings.peers") == "true", ShareQuotas: text("peers.share") == "true"}
 	deployment.Zones, deployment.Shapes, deployment.Report = words("settings.zones"), words("settings.shapes"), words("settings.telemetry.fields")
 	deployment.ConnectTimeout = seconds("settings.ceilings.connect-timeout-s")
-	return deployment, deployment.unique()
+	return deployment, deployment.checkUniqueNames()
 }
 
-// unique tells of names that stand twice.
-func (d *Deployment) unique() error {
+// checkUniqueNames returns a Fault for a duplicate name of a class, tenant, zone or endpoint type.
+func (d *Deployment) checkUniqueNames() error {
 	for key, names := range map[string][]string{"settings.classes": d.Classes, "settings.tenants": d.Tenants,
 		"settings.zones": d.Zones, "settings.shapes": d.Shapes} {
 		seen := map[string]bool{}
 		for _, name := range names {
 			if seen[name] {
-				return Fault{d.Document.File, 0, key, fmt.Sprintf("the name %q stands twice", name)}
+				return Fault{d.Document.File, 0, key, fmt.Sprintf("duplicate name %q", name)}
 			}
 			seen[name] = true
 		}
@@ -184,42 +185,43 @@
 	return nil
 }
 
-// Merged is what a running process goes on with when its configuration is read anew: next, with the numbers of classes,
-// zones, kinds and tenants as they were, as messages, routes and the spool's entries go by them. What is gone from next
-// keeps its number; a class that is gone takes no more messages. What must wait for a start stays as it is.
+// Merged returns the deployment that a running process uses after a reload: next, with the indexes of classes, zones,
+// endpoint types and tenants unchanged, because queued messages, endpoint groups and spool entries refer to them. An item
+// missing from next keeps its index and settings; a class missing from next takes no new messages. Settings that take
+// effect only after a restart keep the values of d.
 func (d *Deployment) Merged(next *Deployment) *Deployment {
-	m := *next
-	m.Name, m.Listen, m.Ops, m.Socket, m.Spool, m.Known, m.Learn = d.Name, d.Listen, d.Ops, d.Socket, d.Spool, d.Known, d.Learn
-	m.Watch, m.WatchTell, m.Peers = d.Watch, d.WatchTell, d.Peers
+	merged := *next
+	merged.Name, merged.Listen, merged.Ops, merged.Socket, merged.Spool, merged.Known, merged.Learn = d.Name, d.Listen, d.Ops, d.Socket, d.Spool, d.Known, d.Learn
+	merged.Watch, merged.WatchTell, merged.Peers = d.Watch, d.WatchTell, d.Peers
 	old, config := d.Dispatch, next.Dispatch
-	m.Retired = map[string]bool{}
-	var from []int
-	m.Classes, from = numbers(d.Classes, next.Classes)
-	config.Classes = pick(from, next.Dispatch.Classes, old.Classes)
-	for i, name := range m.Classes {
-		if from[i] < 0 {
-			m.Retired[name] = true
+	merged.Retired = map[string]bool{}
+	var nextIndex []int
+	merged.Classes, nextIndex = mergeNames(d.Classes, next.Classes)
+	config.Classes = mergeItems(nextIndex, next.Dispatch.Classes, old.Classes)
+	for i, name := range merged.Classes {
+		if nextIndex[i] < 0 {
+			merged.Retired[name] = true
 		}
 	}
-	m.Shapes, from = numbers(d.Shapes, next.Shapes)
-	config.EndpointTypes = pick(from, next.Dispatch.EndpointTypes, old.EndpointTypes)
+	merged.Shapes, nextIndex = mergeNames(d.Shapes, next.Shapes)
+	config.EndpointTypes = mergeItems(nextIndex, next.Dispatch.EndpointTypes, old.EndpointTypes)
 	for i := range min(len(config.EndpointTypes), len(old.EndpointTypes)) {
-		config.EndpointTypes[i].Separate = old.EndpointTypes[i].Separate // settled when the routes were made
+		config.EndpointTypes[i].Separate = old.EndpointTypes[i].Separate // fixed when the endpoint groups were created
 	}
-	m.Tenants, from = numbers(d.Tenants, next.Tenants)
-	config.Tenants = pick(from, next.Dispatch.Tenants, old.Tenants)
-	m.Zones, from = numbers(d.Zones, next.Zones)
-	config.GroupCost = pick(from, next.Dispatch.GroupCost, old.GroupCost)
+	merged.Tenants, nextIndex = mergeNames(d.Tenants, next.Tenants)
+	config.Tenants = mergeItems(nextIndex, next.Dispatch.Tenants, old.Tenants)
+	merged.Zones, nextIndex = mergeNames(d.Zones, next.Zones)
+	config.GroupCost = mergeItems(nextIndex, next.Dispatch.GroupCost, old.GroupCost)
 	if z := int(next.Dispatch.Zone); z < len(next.Zones) {
-		config.Zone = dispatch.ZoneID(slices.Index(m.Zones, next.Zones[z]))
+		config.Zone = dispatch.ZoneID(slices.Index(merged.Zones, next.Zones[z]))
 	}
 	config.Seed, config.MustPoll = old.Seed, old.MustPoll
-	m.Dispatch = config
-	return &m
+	merged.Dispatch = config
+	return &merged
 }
 
-// numbers keeps the places of old names and appends new ones; from has, for each, its place among the new ones or -1.
-func numbers(old, next []string) (names []string, from []int) {
+// mergeNames returns old followed by the names that only next has. nextIndex holds the index of each name in next, or -1.
+func mergeNames(old, next []string) (names []string, nextIndex []int) {
 	names = slices.Clone(old)
 	for _, name := range next {
 		if !slices.Contains(names, name) {
@@ -227,28 +229,28 @@
 		}
 	}
 	for _, name := range names {
-		from = append(from, slices.Index(next, name))
+		nextIndex = append(nextIndex, slices.Index(next, name))
 	}
-	return names, from
+	return names, nextIndex
 }
 
-// pick takes each item from next, or where it has none from old.
-func pick[T any](from []int, next, old []T) (items []T) {
-	for i, f := range from {
+// mergeItems takes each item from next by its index there, or from old if the index is -1.
+func mergeItems[T any](nextIndex []int, next, old []T) (items []T) {
+	for i, index := range nextIndex {
 		switch {
-		case f >= 0 && f < len(next):
-			items = append(items, next[f])
-		case f < 0 && i < len(old):
+		case index >= 0 && index < len(next):
+			items = append(items, next[index])
+		case index < 0 && i < len(old):
 			items = append(items, old[i])
 		default:
-			var none T
-			items = append(items, none)
+			var zero T
+			items = append(items, zero)
 		}
 	}
 	return items
 }
 
-// Waiting names what a configuration read anew says otherwise and a process that runs cannot take over.
+// Waiting returns the keys that differ in next but take effect only after a restart.
 func (d *Deployment) Waiting(next *Deployment) (keys []string) {
 	for _, p := range d.Document.Against(next.Document) {
 		if !p.TakeOver {
@@ -258,21 +260,21 @@
 	return keys
 }
 
-// SameDecisions tells whether two deployments hand the decisions the same.
+// SameDecisions reports whether both deployments configure the dispatcher identically.
 func (d *Deployment) SameDecisions(next *Deployment) bool {
 	return reflect.DeepEqual(d.Dispatch, next.Dispatch)
 }
 
-// Flatten steps settings as nested JSON has them into the pairs that Dispatch reads.
+// Flatten converts nested settings, as decoded from JSON, to the flat map of paths to values that Dispatch reads.
 func Flatten(settings any) map[string]string {
 	values := map[string]string{}
 	flatten(values, "", settings)
 	return values
 }
 
-// flatten steps nested JSON into the paths of the simulator's wire: plain lists are joined with commas, lists
-// of objects put their length under .count and their items under .0, .1 and onward.
-func flatten(into map[string]string, path string, v any) {
+// flatten writes nested settings to values by path, as in the simulator's protocol. The values of a plain list are joined
+// with commas. A list of objects has its length at path.count and its items at path.0, path.1 and so on.
+func flatten(values map[string]string, path string, v any) {
 	join := func(key string) string {
 		if path == "" {
 			return key
@@ -281,36 +283,36 @@
 	}
 	switch v := v.(type) {
 	case map[string]any:
-		for key, inner := range v {
-			flatten(into, join(key), inner)
+		for key, item := range v {
+			flatten(values, join(key), item)
 		}
 	case []string:
-		into[path] = strings.Join(v, ",")
+		values[path] = strings.Join(v, ",")
 	case []bool:
-		into[path] = joined(v)
+		values[path] = joinValues(v)
 	case []int:
-		into[path] = joined(v)
+		values[path] = joinValues(v)
 	case []any:
-		plain := make([]string, 0, len(v))
-		for i, inner := range v {
-			if _, ok := inner.(map[string]any); ok {
-				into[join("count")] = strconv.Itoa(len(v))
-				flatten(into, join(strconv.Itoa(i)), inner)
+		scalars := make([]string, 0, len(v))
+		for i, item := range v {
+			if _, ok := item.(map[string]any); ok {
+				values[join("count")] = strconv.Itoa(len(v))
+				flatten(values, join(strconv.Itoa(i)), item)
 				continue
 			}
-			plain = append(plain, fmt.Sprint(inner))
+			scalars = append(scalars, fmt.Sprint(item))
 		}
-		into[path] = strings.Join(plain, ",")
+		values[path] = strings.Join(scalars, ",")
 	case nil:
 	default:
-		into[path] = fmt.Sprint(v)
+		values[path] = fmt.Sprint(v)
 	}
 }
 
-func joined[T any](values []T) string {
-	words := make([]string, len(values))
+func joinValues[T any](values []T) string {
+	texts := make([]string, len(values))
 	for i, v := range values {
-		words[i] = fmt.Sprint(v)
+		texts[i] = fmt.Sprint(v)
 	}
-	return strings.Join(words, ",")
+	return strings.Join(texts, ",")
 }
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -12,8 +12,8 @@
 	"pineport/testbed/scripted"
 )
 
-// load writes a configuration changed by edit and has it read.
-func load(t *testing.T, read func(func(string) string) (*Deployment, error), edit func(top, settings map[string]any), env map[string]string) (*Deployment, error) {
+// load writes a valid configuration, modified by edit, to a file and reads it with loadFunc.
+func load(t *testing.T, loadFunc func(func(string) string) (*Deployment, error), edit func(top, settings map[string]any), env map[string]string) (*Deployment, error) {
 	t.Helper()
 	dir := t.TempDir()
 	var top map[string]any
@@ -32,14 +32,14 @@
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	all := map[string]string{"RELAY_CONFIG": path, "RELAY_STATE": dir}
+	vars := map[string]string{"RELAY_CONFIG": path, "RELAY_STATE": dir}
 	for key, value := range env {
-		all[key] = value
+		vars[key] = value
 	}
-	return read(func(key string) string { return all[key] })
+	return loadFunc(func(key string) string { return vars[key] })
 }
 
-func TestReadsAllSettings(t *testing.T) {
+func TestLoadReadsSettings(t *testing.T) {
 	deployment, err := load(t, Load, func(top, settings map[string]any) {
 		top["surprise"] = map[string]any{"x": nil}
 		settings["surprise"] = []any{1}
@@ -56,24 +56,24 @@
 	}
 }
 
-func TestNamesTheFaultyKey(t *testing.T) {
-	inner := func(s map[string]any, key string) map[string]any { return s[key].(map[string]any) }
+func TestLoadNamesInvalidKey(t *testing.T) {
+	section := func(s map[string]any, key string) map[string]any { return s[key].(map[string]any) }
 	for key, edit := range map[string]func(top, settings map[string]any){
 		"seed":                              func(top, _ map[string]any) { top["seed"] = "not hex" },
 		"listen":                            func(top, _ map[string]any) { top["listen"] = "here" },
 		"discovery":                         func(top, _ map[string]any) { delete(top, "discovery") },
 		"name":                              func(top, _ map[string]any) { delete(top, "name") },
 		"settings":                          func(top, _ map[string]any) { top["settings"] = 3 },
-		"limits.sockets":                    func(top, _ map[string]any) { inner(top, "limits")["sockets"] = 3 },
-		"limits.disk_mb":                    func(top, _ map[string]any) { inner(top, "limits")["disk_mb"] = "much" },
-		"settings.ceilings.conn-idle-s":     func(_, s map[string]any) { delete(inner(s, "ceilings"), "conn-idle-s") },
-		"settings.ceilings.try-limit":       func(_, s map[string]any) { inner(s, "ceilings")["try-limit"] = 0 },
-		"settings.family-info.slots":        func(_, s map[string]any) { inner(s, "family-info")["slots"] = -1 },
+		"limits.sockets":                    func(top, _ map[string]any) { section(top, "limits")["sockets"] = 3 },
+		"limits.disk_mb":                    func(top, _ map[string]any) { section(top, "limits")["disk_mb"] = "much" },
+		"settings.ceilings.conn-idle-s":     func(_, s map[string]any) { delete(section(s, "ceilings"), "conn-idle-s") },
+		"settings.ceilings.try-limit":       func(_, s map[string]any) { section(s, "ceilings")["try-limit"] = 0 },
+		"settings.family-info.slots":        func(_, s map[string]any) { section(s, "family-info")["slots"] = -1 },
 		"settings.tick-s":                   func(_, s map[string]any) { s["tick-s"] = "soon" },
 		"settings.classes":                  func(_, s map[string]any) { s["classes"] = []any{} },
 		"settings.classes.0.name":           func(_, s map[string]any) { delete(s["classes"].([]any)[0].(map[string]any), "name") },
 		"settings.classes.1.deadline-s":     func(_, s map[string]any) { s["classes"].([]any)[1].(map[string]any)["deadline-s"] = 0 },
-		"settings.ceilings.max-retry-after": func(_, s map[string]any) { inner(s, "ceilings")["max-retry-after-s"] = "x" },
+		"settings.ceilings.max-retry-after": func(_, s map[string]any) { section(s, "ceilings")["max-retry-after-s"] = "x" },
 	} {
 		if deployment, err := load(t, Load, edit, nil); err == nil || !strings.Contains(err.Error(), ": "+key) {
 			t.Errorf("%s: got %v, %v", key, deployment, err)
@@ -87,30 +87,31 @@
 	}
 }
 
-// TestReadAnew: the file goes before the variable that the process was started with, and what has to wait is named.
-func TestReadAnew(t *testing.T) {
+// TestReloadSources checks that on a reload the file overrides RELAY_DISCOVERY, and that keys that need a restart are named.
+func TestReloadSources(t *testing.T) {
 	env := map[string]string{"RELAY_DISCOVERY": "127.0.0.2:1"}
 	first, err := load(t, Load, nil, env)
 	if err != nil || first.Discovery != "127.0.0.2:1" {
 		t.Fatal(first, err)
 	}
-	moved, err := load(t, Reload, func(top, _ map[string]any) { top["discovery"], top["seed"] = "127.0.0.3:1", "1" }, env)
-	if err != nil || moved.Discovery != "127.0.0.3:1" || len(first.Waiting(moved)) > 0 {
-		t.Error(moved, err, first.Waiting(moved))
+	discoveryChanged, err := load(t, Reload, func(top, _ map[string]any) { top["discovery"], top["seed"] = "127.0.0.3:1", "1" }, env)
+	if err != nil || discoveryChanged.Discovery != "127.0.0.3:1" || len(first.Waiting(discoveryChanged)) > 0 {
+		t.Error(discoveryChanged, err, first.Waiting(discoveryChanged))
 	}
-	other, err := load(t, Reload, func(top, settings map[string]any) {
+	listenChanged, err := load(t, Reload, func(top, settings map[string]any) {
 		top["limits"].(map[string]any)["sockets"], settings["tick-s"], top["listen"] = 99, 0.01, "127.0.0.1:1"
 	}, env)
-	if err != nil || !slices.Equal(first.Waiting(other), []string{"listen"}) {
-		t.Error(other, err, first.Waiting(other))
+	if err != nil || !slices.Equal(first.Waiting(listenChanged), []string{"listen"}) {
+		t.Error(listenChanged, err, first.Waiting(listenChanged))
 	}
 	if _, err := load(t, Reload, func(top, _ map[string]any) { delete(top, "discovery") }, env); err == nil {
-		t.Error("read without discovery")
+		t.Error("reload without discovery in the file: got no error")
 	}
 }
 
-// TestAllFaultsAtOnce, each with file, line, key and what was expected; what is unknown is a warning with the nearest key.
-func TestAllFaultsAtOnce(t *testing.T) {
+// TestAllFaultsAreReported checks that every fault is reported with file, line, key and problem, and that an unknown key causes
+// a warning that names the most similar known key.
+func TestAllFaultsAreReported(t *testing.T) {
 	for file, text := range map[string]string{
 		"c.json": "{\n\"name\":\"n\",\n\"listen\":\"x\",\n\"limits\":{\n\"sockets\":3,\n\"memory_md\":9},\n\"settings\":{\"classes\":[{\n\"name\":\"u\",\n\"slo-s\":\"soon\"}]}}",
 		"c.toml": "\nname = \"n\"\nlisten = \"x\"\n[limits]\nsockets = 3\nmemory_md = 9\n[[settings.classes]]\nname = \"u\"\nslo-s = \"soon\"",
@@ -124,17 +125,18 @@
 		for _, want := range []string{file + ":3: listen: address:port", file + ":5: limits.sockets: a number from 32", "seed: must be given",
 			"discovery: must be given", "settings.classes.0.slo-s: a number", "settings.classes.0.deadline-s: must be given", "settings.tick-s: must be"} {
 			if !strings.Contains(all, want) {
-				t.Errorf("%s: %q is not in\n%s", file, want, all)
+				t.Errorf("%s: missing %q in\n%s", file, want, all)
 			}
 		}
-		if len(d.Warnings) != 1 || !strings.Contains(d.Warnings[0].Error(), file+":6: limits.memory_md: no such key; limits.memory_mb?") {
+		if len(d.Warnings) != 1 || !strings.Contains(d.Warnings[0].Error(), file+":6: limits.memory_md: no such key; did you mean limits.memory_mb?") {
 			t.Errorf("%s: %v", file, d.Warnings)
 		}
 	}
 }
 
-// TestLayers: flags go before variables, variables before the file, the file before defaults; each value tells its source.
-func TestLayers(t *testing.T) {
+// TestSourcePrecedence checks that flags override environment variables, which override the file, which overrides defaults, and
+// that each value names its source.
+func TestSourcePrecedence(t *testing.T) {
 	text := "name: file\nlisten: 127.0.0.1:1\nseed: \"12\"\n"
 	env := map[string]string{"RELAY_LISTEN": "127.0.0.1:2", "RELAY_NAME": "variable"}
 	d, err := parseDocument("c.yaml", []byte(text), Sources{Getenv: func(k string) string { return env[k] }, Set: map[string]string{"name": "flag"}})
@@ -144,13 +146,13 @@
 	for path, want := range map[string]Value{"name": {"flag", "flag", 0}, "listen": {"127.0.0.1:2", "RELAY_LISTEN", 0}, "seed": {"12", "file", 3},
 		"limits.sockets": {"1024", "default", 0}} {
 		if got := d.Values[path]; got != want {
-			t.Errorf("%s: %+v, not %+v", path, got, want)
+			t.Errorf("%s: got %+v, want %+v", path, got, want)
 		}
 	}
 }
 
-// TestMergedKeepsNumbers: messages that are held go by the numbers of classes, zones and tenants.
-func TestMergedKeepsNumbers(t *testing.T) {
+// TestMergedKeepsIndexes checks that a reload keeps the indexes of classes and zones, because queued messages refer to them.
+func TestMergedKeepsIndexes(t *testing.T) {
 	first, err := load(t, Load, nil, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -159,22 +161,23 @@
 		classes := s["classes"].([]any)
 		order := classes[1].(map[string]any)
 		order["points"] = 7
-		fresh := map[string]any{"name": "fresh", "slo-s": 1, "deadline-s": 2, "points": 3}
-		s["classes"], s["zones"] = []any{fresh, order}, []string{"z", "a"}
+		newClass := map[string]any{"name": "fresh", "slo-s": 1, "deadline-s": 2, "points": 3}
+		s["classes"], s["zones"] = []any{newClass, order}, []string{"z", "a"}
 		s["ceilings"].(map[string]any)["open-cap"] = 5
 	}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	deployment := first.Merged(next)
-	if !slices.Equal(deployment.Classes, []string{"update", "order", "fresh"}) || !slices.Equal(deployment.Zones, []string{"a", "z"}) || !deployment.Retired["update"] ||
-		deployment.Retired["order"] || deployment.Dispatch.Classes[1].Priority != 7 || deployment.Dispatch.Classes[2].Priority != 3 || deployment.Dispatch.Classes[0].Priority != 1 ||
-		deployment.Dispatch.QueueLimit != 5 || deployment.Dispatch.Zone != 1 || deployment.Dispatch.Seed != first.Dispatch.Seed {
-		t.Errorf("%+v %v %v %+v", deployment.Classes, deployment.Zones, deployment.Retired, deployment.Dispatch)
+	merged := first.Merged(next)
+	if !slices.Equal(merged.Classes, []string{"update", "order", "fresh"}) || !slices.Equal(merged.Zones, []string{"a", "z"}) || !merged.Retired["update"] ||
+		merged.Retired["order"] || merged.Dispatch.Classes[1].Priority != 7 || merged.Dispatch.Classes[2].Priority != 3 || merged.Dispatch.Classes[0].Priority != 1 ||
+		merged.Dispatch.QueueLimit != 5 || merged.Dispatch.Zone != 1 || merged.Dispatch.Seed != first.Dispatch.Seed {
+		t.Errorf("%+v %v %v %+v", merged.Classes, merged.Zones, merged.Retired, merged.Dispatch)
 	}
 }
 
-// FuzzDocument: no text makes the reader panic, and every fault names a key or a line.
+// FuzzDocument checks that no text makes the parser panic, that every fault names a key or a line, and that a document without
+// faults yields a deployment unless a name is duplicate.
 func FuzzDocument(f *testing.F) {
 	w := scripted.World{Discovery: "127.0.0.1:8500"}
 	f.Add(0, w.Configuration("n3", "127.0.0.1:6379"))
@@ -188,19 +191,20 @@
 		}
 		for _, fault := range d.Faults {
 			if fault.Key == "" && fault.Line == 0 {
-				t.Fatalf("neither key nor line: %v", fault)
+				t.Fatalf("fault without key and line: %v", fault)
 			}
 		}
 		if len(d.Faults) == 0 {
-			if _, err := d.deployment(); err != nil && !strings.Contains(err.Error(), "stands twice") {
-				t.Fatalf("sound by the schema, and refused: %v", err)
+			if _, err := d.deployment(); err != nil && !strings.Contains(err.Error(), "duplicate name") {
+				t.Fatalf("valid by the schema, but rejected: %v", err)
 			}
 		}
 	})
 }
 
-// TestExampleIsSound: what init writes can be used as it is, and so can a file in TOML or YAML as one in JSON.
-func TestExampleIsSound(t *testing.T) {
+// TestExampleIsValid checks that the output of config init is a valid configuration without warnings, and that
+// docs/configuration.md is current.
+func TestExampleIsValid(t *testing.T) {
 	d, err := parseDocument("c.toml", []byte(Example()), Sources{Getenv: func(string) string { return "" }})
 	if err != nil || d.Err() != nil || len(d.Warnings) > 0 {
 		t.Fatal(err, d.Err(), d.Warnings)
@@ -217,8 +221,8 @@
 	}
 }
 
-// TestContradictionsAreReported: settings that come to nothing beside others are warned of, each with its line.
-func TestContradictionsAreReported(t *testing.T) {
+// TestConflictingSettingsAreReported checks that settings without effect cause warnings with lines.
+func TestConflictingSettingsAreReported(t *testing.T) {
 	text := "name = \"n\"\nlisten = \"127.0.0.1:1\"\ndiscovery = \"127.0.0.1:2\"\nseed = \"a\"\n[settings]\ntick-s = 0.01\n" +
 		"[settings.family-info]\nslots = 3\n[settings.ceilings]\nopen-cap = 9\ntry-limit = 6\nconn-idle-s = 5\nretry-after = true\n" +
 		"[settings.rules]\nkey-rest-s = 0.1\n[[settings.classes]]\nname = \"a\"\nslo-s = 1\ndeadline-s = 9\nidempotency = \"guarded\"\n"
--- a/config/decode.go
+++ b/config/decode.go
@@ -14,12 +14,12 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Fault is what is wrong with one key of a file.
+// Fault describes a problem with one key of a configuration file.
 type Fault struct {
 	File     string
-	Line     int // 0 where none is known
+	Line     int // 0 if unknown
 	Key      string
-	Expected string
+	Expected string // description of the problem
 }
 
 func (f Fault) Error() string {
@@ -36,8 +36,8 @@
 	return fmt.Sprintf("%s: %s: %s", at, f.Key, f.Expected)
 }
 
-// decode reads a file by its name's ending: TOML, YAML, or else JSON. It returns the tree, the line of each key by its
-// path, and the list of endpoints as JSON.
+// decode parses a file as TOML or YAML, by its extension, or else as JSON. It returns the decoded tree without the key
+// known, the line of each key by path, and the value of known (the last known endpoint list) as JSON.
 func decode(file string, text []byte) (tree map[string]any, lines map[string]int, known json.RawMessage, err error) {
 	switch strings.ToLower(filepath.Ext(file)) {
 	case ".toml":
@@ -66,20 +66,20 @@
 		return nil, nil, Fault{Line: line, Expected: "not a JSON object: " + err.Error()}
 	}
 	if dec.More() {
-		return nil, nil, Fault{Expected: "something stands after the JSON object"}
+		return nil, nil, Fault{Expected: "unexpected data after the JSON object"}
 	}
 	return tree, jsonLines(text), nil
 }
 
-// jsonLines walks the tokens of a text that is known to be sound.
+// jsonLines returns the line of each key of a valid JSON text, by path.
 func jsonLines(text []byte) map[string]int {
 	lines := map[string]int{}
 	dec := json.NewDecoder(bytes.NewReader(text))
 	line, counted := 1, 0
-	here := func() int {
-		to := min(int(dec.InputOffset()), len(text))
-		line += bytes.Count(text[counted:to], []byte("\n"))
-		counted = to
+	currentLine := func() int {
+		offset := min(int(dec.InputOffset()), len(text))
+		line += bytes.Count(text[counted:offset], []byte("\n"))
+		counted = offset
 		return line
 	}
 	var walk func(path string)
@@ -95,9 +95,9 @@
 				if err != nil {
 					return
 				}
-				inner := strings.TrimPrefix(path+"."+fmt.Sprint(key), ".")
-				lines[inner] = here()
-				walk(inner)
+				keyPath := strings.TrimPrefix(path+"."+fmt.Sprint(key), ".")
+				lines[keyPath] = currentLine()
+				walk(keyPath)
 			}
 			dec.Token()
 		case json.Delim('['):
@@ -118,9 +118,9 @@
 	return tree, TOMLLines(text), nil
 }
 
-// TOMLLines tells on which line each key of a TOML text stands, by its path; tables of a list are numbered from 0.
+// TOMLLines returns the line of each key of a TOML text, by path. Tables of an array are numbered from 0.
 func TOMLLines(text []byte) map[string]int {
-	at, table, count := map[string]int{}, "", map[string]int{}
+	lines, table, count := map[string]int{}, "", map[string]int{}
 	var p unstable.Parser
 	p.Reset(text)
 	for p.NextExpression() {
@@ -141,17 +141,17 @@
 			table = numberedTable(path, count) + "." + strconv.Itoa(count[path]) + "."
 			count[path]++
 		case unstable.KeyValue:
-			at[table+path] = line
+			lines[table+path] = line
 			continue
 		default:
 			continue
 		}
-		at[strings.TrimSuffix(table, ".")] = line
+		lines[strings.TrimSuffix(table, ".")] = line
 	}
-	return at
+	return lines
 }
 
-// numberedTable puts the number of the list's last table behind each list in a path.
+// numberedTable inserts, after each array of tables within a path, the index of the array's last table so far.
 func numberedTable(path string, count map[string]int) string {
 	parts := strings.Split(path, ".")
 	var out []string
@@ -170,19 +170,19 @@
 		return nil, nil, Fault{Expected: strings.TrimPrefix(err.Error(), "yaml: ")}
 	}
 	if len(doc.Content) != 1 || doc.Content[0].Kind != yaml.MappingNode {
-		return nil, nil, Fault{Line: doc.Line, Expected: "a mapping was expected"}
+		return nil, nil, Fault{Line: doc.Line, Expected: "expected a mapping"}
 	}
 	lines = map[string]int{}
-	value, err := fromYAML(doc.Content[0], "", lines, 0)
+	value, err := yamlValue(doc.Content[0], "", lines, 0)
 	if err != nil {
 		return nil, nil, err
 	}
 	tree, _ = value.(map[string]any)
-	for i, n := 0, doc.Content[0].Content; i+1 < len(n); i += 2 { // the list of endpoints keeps its types
-		if n[i].Value == "known" {
+	for i, nodes := 0, doc.Content[0].Content; i+1 < len(nodes); i += 2 { // the endpoint list keeps the types of its scalars
+		if nodes[i].Value == "known" {
 			var known any
-			if err := n[i+1].Decode(&known); err != nil {
-				return nil, nil, Fault{Line: n[i].Line, Key: "known", Expected: err.Error()}
+			if err := nodes[i+1].Decode(&known); err != nil {
+				return nil, nil, Fault{Line: nodes[i].Line, Key: "known", Expected: err.Error()}
 			}
 			tree["known"] = known
 		}
@@ -190,20 +190,21 @@
 	return tree, lines, nil
 }
 
-// fromYAML takes scalars as they are written, so that digits of a seed stay digits.
-func fromYAML(n *yaml.Node, path string, lines map[string]int, depth int) (any, error) {
+// yamlValue converts a node to maps, lists and strings. Scalars stay as written, so that the hex digits of a seed are not
+// read as a number.
+func yamlValue(n *yaml.Node, path string, lines map[string]int, depth int) (any, error) {
 	switch {
 	case depth > 16:
-		return nil, Fault{Line: n.Line, Key: path, Expected: "nested too deep"}
+		return nil, Fault{Line: n.Line, Key: path, Expected: "nested too deeply"}
 	case n.Kind == yaml.AliasNode:
-		return nil, Fault{Line: n.Line, Key: path, Expected: "an alias, which is not taken here"}
+		return nil, Fault{Line: n.Line, Key: path, Expected: "YAML aliases are not supported"}
 	case n.Kind == yaml.MappingNode:
 		m := map[string]any{}
 		for i := 0; i+1 < len(n.Content); i += 2 {
 			key := n.Content[i].Value
-			inner := strings.TrimPrefix(path+"."+key, ".")
-			lines[inner] = n.Content[i].Line
-			v, err := fromYAML(n.Content[i+1], inner, lines, depth+1)
+			keyPath := strings.TrimPrefix(path+"."+key, ".")
+			lines[keyPath] = n.Content[i].Line
+			v, err := yamlValue(n.Content[i+1], keyPath, lines, depth+1)
 			if err != nil {
 				return nil, err
 			}
@@ -213,7 +214,7 @@
 	case n.Kind == yaml.SequenceNode:
 		list := []any{}
 		for i, c := range n.Content {
-			v, err := fromYAML(c, path+"."+strconv.Itoa(i), lines, depth+1)
+			v, err := yamlValue(c, path+"."+strconv.Itoa(i), lines, depth+1)
 			if err != nil {
 				return nil, err
 			}
@@ -226,36 +227,36 @@
 	return n.Value, nil
 }
 
-// Nearest proposes, of some known names, the one that has most in common with a strange one; empty if none has enough.
+// Nearest returns the known name that is most similar to an unknown one, or "" if none is similar enough.
 func Nearest(name string, known []string) (best string) {
-	most := len(name) / 2
+	bestScore := len(name) / 2
 	for _, k := range known {
-		if n := common(name, k); n > most {
-			best, most = k, n
+		if score := similarity(name, k); score > bestScore {
+			best, bestScore = k, score
 		}
 	}
 	return best
 }
 
-// common is the length of the longest common subsequence, less what the longer one has besides.
-func common(a, b string) int {
+// similarity is the length of the longest common subsequence of a and b, less the bytes by which b is longer than a.
+func similarity(a, b string) int {
 	row := make([]int, len(b)+1)
 	for i := range a {
-		before := 0
+		diagonal := 0
 		for j := range b {
-			keep := row[j+1]
+			above := row[j+1]
 			if a[i] == b[j] {
-				row[j+1] = before + 1
+				row[j+1] = diagonal + 1
 			} else {
 				row[j+1] = max(row[j+1], row[j])
 			}
-			before = keep
+			diagonal = above
 		}
 	}
 	return row[len(b)] - max(0, len(b)-len(a))
 }
 
-// LineOf is the line of a key in TOMLLines, or of the nearest table around it; 0: none is known.
+// LineOf returns the line of a key in the result of TOMLLines, or else of the innermost enclosing table with a line, or 0.
 func LineOf(lines map[string]int, path string) int {
 	line := lines[path]
 	for line == 0 && strings.Contains(path, ".") {
@@ -265,13 +266,13 @@
 	return line
 }
 
-// TOMLFault tells what go-toml found wrong with a file, with line and key where it knows them.
+// TOMLFault converts an error of go-toml to a Fault, with line and key if the error has them.
 func TOMLFault(file string, err error) Fault {
 	fault := Fault{File: file, Expected: strings.TrimPrefix(err.Error(), "toml: ")}
-	var wrong *toml.DecodeError
-	if errors.As(err, &wrong) {
-		fault.Line, _ = wrong.Position()
-		fault.Key = strings.Join(wrong.Key(), ".")
+	var decodeError *toml.DecodeError
+	if errors.As(err, &decodeError) {
+		fault.Line, _ = decodeError.Position()
+		fault.Key = strings.Join(decodeError.Key(), ".")
 	}
 	return fault
 }
--- a/config/dispatch.go
+++ b/config/dispatch.go
@@ -11,14 +11,14 @@
 	"pineport/dispatch"
 )
 
-// pairs are settings by their paths, read key by key; the first fault is kept.
-type pairs struct {
+// flatSettings reads settings by path from a flat map. It keeps the first error.
+type flatSettings struct {
 	values map[string]string
-	prefix string // of the keys, in messages
+	prefix string // prepended to keys in error messages
 	err    error
 }
 
-func (p *pairs) number(key string) float64 {
+func (p *flatSettings) number(key string) float64 {
 	text, ok := p.values[key]
 	if !ok || text == "" || text == "-" {
 		return 0
@@ -28,51 +28,52 @@
 		err = strconv.ErrRange
 	}
 	if err != nil && p.err == nil {
-		p.err = fmt.Errorf("%s%s: a number was expected, not %q", p.prefix, key, text)
+		p.err = fmt.Errorf("%s%s: a number expected, got %q", p.prefix, key, text)
 	}
 	return value
 }
 
-func (p *pairs) count(key string) int {
+func (p *flatSettings) count(key string) int {
 	n := p.number(key)
 	if (n < 0 || n > 1e6 || n != math.Trunc(n)) && p.err == nil {
-		p.err = fmt.Errorf("%s%s: a count was expected, not %v", p.prefix, key, n)
+		p.err = fmt.Errorf("%s%s: a count expected, got %v", p.prefix, key, n)
 	}
 	return int(n)
 }
 
-func (p *pairs) span(key string) dispatch.Micros { return Micros(p.number(key)) }
-func (p *pairs) flag(key string) bool            { return p.values[key] == "true" || p.values[key] == "1" }
+func (p *flatSettings) duration(key string) dispatch.Micros { return Micros(p.number(key)) }
+func (p *flatSettings) flag(key string) bool                { return p.values[key] == "true" || p.values[key] == "1" }
 
-func (p *pairs) words(key string) []string {
+func (p *flatSettings) words(key string) []string {
 	if p.values[key] == "" {
 		return nil
 	}
 	return strings.Split(p.values[key], ",")
 }
 
-// Micros steps seconds into the decisions' unit.
+// Micros converts seconds to microseconds, rounded.
 func Micros(seconds float64) dispatch.Micros { return dispatch.Micros(math.Round(seconds * 1e6)) }
 
-// Sound checks settings that come without a file, by their paths, against the schema. It returns a Fault for the first key whose value
-// does not fit, or contradicts another one. Unknown keys are ignored.
-func Sound(values map[string]string) error {
+// ValidateSettings checks flat settings that do not come from a file against the schema. It returns a Fault for the first
+// key, in sorted order, whose value is invalid or contradicts another one. Unknown keys are ignored.
+func ValidateSettings(values map[string]string) error {
 	for _, path := range slices.Sorted(maps.Keys(values)) {
 		text := values[path]
 		key, ok := Lookup("settings." + path)
-		if ok && !key.Unread && text != "" && text != "-" && !key.fits(text) {
-			return Fault{Key: path, Expected: fmt.Sprintf("%s was expected, not %q", key.Expects(), text)}
+		if ok && !key.Unread && text != "" && text != "-" && !key.accepts(text) {
+			return Fault{Key: path, Expected: fmt.Sprintf("%s expected, got %q", key.Expects(), text)}
 		}
-		if cut := strings.TrimSuffix(path, "slo-s") + "deadline-s"; strings.HasSuffix(path, ".slo-s") && later(text, values[cut]) {
-			return Fault{Key: path, Expected: fmt.Sprintf("not after deadline-s of %s s, but %s s", values[cut], text)}
+		if deadline := strings.TrimSuffix(path, "slo-s") + "deadline-s"; strings.HasSuffix(path, ".slo-s") && isGreater(text, values[deadline]) {
+			return Fault{Key: path, Expected: fmt.Sprintf("must not exceed deadline-s (%s s), got %s s", values[deadline], text)}
 		}
 	}
 	return nil
 }
 
-// Dispatch decodes the configuration of a dispatcher from the settings, by paths such as classes.0.points; seed is that of its draws.
+// Dispatch builds the configuration of a dispatcher from flat settings, with paths such as classes.0.points. The dispatcher
+// seeds its random draws with seed.
 func Dispatch(seed int64, values map[string]string) (dispatch.Config, error) {
-	p := &pairs{values: values, prefix: "settings."}
+	p := &flatSettings{values: values, prefix: "settings."}
 	config := dispatch.Config{
 		Seed:              seed,
 		Couriers:          p.count("fleet-size"),
@@ -83,14 +84,14 @@
 		MaxAttempts:       p.count("ceilings.try-limit"),
 		MayCancel:         p.flag("ceilings.may-cancel"),
 		MayTellRetryAfter: p.flag("ceilings.retry-after"),
-		MaxRetryAfter:     p.span("ceilings.max-retry-after-s"),
-		IdleTimeout:       p.span("ceilings.conn-idle-s"),
-		Tick:              p.span("tick-s"),
+		MaxRetryAfter:     p.duration("ceilings.max-retry-after-s"),
+		IdleTimeout:       p.duration("ceilings.conn-idle-s"),
+		Tick:              p.duration("tick-s"),
 		MustPoll:          p.values["discovery"] == "subscribe",
 		SlowStartFrom:     p.number("rules.cold-from"),
-		SlowStart:         p.span("rules.ramp-time-s"),
+		SlowStart:         p.duration("rules.ramp-time-s"),
 		OverloadFactor:    p.number("rules.fall-multiple"),
-		KeyCooldown:       p.span("rules.key-rest-s"),
+		KeyCooldown:       p.duration("rules.key-rest-s"),
 		Zone:              dispatch.ZoneID(p.count("locality")),
 		CrossZoneCost:     p.number("prices.cross-zone"),
 	}
@@ -110,14 +111,14 @@
 		config.Tenants = append(config.Tenants, dispatch.Tenant{RatePerSecond: p.number(fmt.Sprintf("tenants.%d.quota-per-s", i))})
 	}
 	for _, word := range p.words("family-info.route-fee") {
-		cost, _ := strconv.ParseFloat(word, 64) // held against the schema before
+		cost, _ := strconv.ParseFloat(word, 64) // check or ValidateSettings has validated the value
 		config.GroupCost = append(config.GroupCost, cost)
 	}
 	return config, p.err
 }
 
-// reportIndex is where a value stands in a load report; -1 if it is not in it.
-func (p *pairs) reportIndex(name string) int {
+// reportIndex returns the position of a value in a load report, or -1 if the report does not have it.
+func (p *flatSettings) reportIndex(name string) int {
 	index := -1
 	for i, field := range p.words("telemetry.fields") {
 		if field == name {
@@ -127,20 +128,20 @@
 	return index
 }
 
-func (p *pairs) classes() (classes []dispatch.Class) {
+func (p *flatSettings) classes() (classes []dispatch.Class) {
 	for i := range p.count("classes.count") {
-		at := fmt.Sprintf("classes.%d.", i)
+		prefix := fmt.Sprintf("classes.%d.", i)
 		class := dispatch.Class{
-			Objective:         p.span(at + "slo-s"),
-			TimeToLive:        p.span(at + "deadline-s"),
-			Priority:          p.number(at + "points"),
-			LateFactor:        p.number(at + "late-worth"),
-			SameZone:          p.values[at+"group"] != "all",
-			IdempotencyWindow: p.span(at + "dedup-window-s"),
-			Ordered:           p.flag(at + "in-order"),
+			Objective:         p.duration(prefix + "slo-s"),
+			TimeToLive:        p.duration(prefix + "deadline-s"),
+			Priority:          p.number(prefix + "points"),
+			LateFactor:        p.number(prefix + "late-worth"),
+			SameZone:          p.values[prefix+"group"] != "all",
+			IdempotencyWindow: p.duration(prefix + "dedup-window-s"),
+			Ordered:           p.flag(prefix + "in-order"),
 			Idempotency:       dispatch.AtMostOnce,
 		}
-		switch p.values[at+"idempotency"] {
+		switch p.values[prefix+"idempotency"] {
 		case "free":
 			class.Idempotency = dispatch.Idempotent
 		case "guarded":
@@ -151,7 +152,7 @@
 	return classes
 }
 
-func (p *pairs) endpointTypes() (types []dispatch.EndpointType) {
+func (p *flatSettings) endpointTypes() (types []dispatch.EndpointType) {
 	separate, perCall := p.words("family-info.separate-routes"), p.words("family-info.per-call")
 	for i := range p.words("shapes") {
 		endpointType := dispatch.EndpointType{MaxPerCall: 1}
--- a/config/document.go
+++ b/config/document.go
@@ -13,33 +13,36 @@
 	"strings"
 )
 
-// Value is one value of a configuration, as text, and where it came from.
+// Value is the text of one configuration value and its source.
 type Value struct {
 	Text string `json:"Text"`
-	From string `json:"From"` // "default", "file", a variable, or "flag"
-	Line int    `json:"Line"` // in the file
+	From string `json:"From"` // "default", "file", "flag", or the name of an environment variable
+	Line int    `json:"Line"` // line in the file; 0 for other sources
 }
 
-// Document is a configuration with all its layers: defaults under the file under variables under flags.
+// Document is a configuration merged from all its sources. Flags override environment variables, which override the file,
+// which overrides defaults.
 type Document struct {
 	File     string
-	Values   map[string]Value // by path, lists numbered from 0
-	Known    json.RawMessage  // the list of endpoints
-	Faults   []Fault          // what must be put right
-	Warnings []Fault          // what is unknown, or comes to nothing
+	Values   map[string]Value // by path; list items are numbered from 0
+	Known    json.RawMessage  // last known endpoint list
+	Faults   []Fault          // errors: the configuration cannot be used
+	Warnings []Fault          // unknown keys, and settings that have no effect
 }
 
-// Sources are where a configuration comes from.
+// Sources names the sources of a configuration.
 type Sources struct {
 	Getenv func(string) string
-	File   string            // empty: RELAY_CONFIG
-	State  string            // empty: RELAY_STATE
-	Set    map[string]string // flags, by path
-	// Anew: the process runs already. Its environment is as old as it is, so of the address of discovery the file knows better.
+	File   string            // path of the configuration file; empty: RELAY_CONFIG names it
+	State  string            // state directory; empty: RELAY_STATE names it
+	Set    map[string]string // values given by --set flags, by path
+	// Anew is set for a reload. RELAY_DISCOVERY is then ignored: the environment dates from the start of the process, so
+	// the address in the file is newer.
 	Anew bool
 }
 
-// ReadDocument reads all layers and holds them against the schema; an error is one that leaves no document.
+// ReadDocument reads all sources and checks them against the schema. It returns an error only if the file cannot be read or
+// decoded; invalid values are listed in Faults.
 func ReadDocument(sources Sources) (*Document, error) {
 	path := sources.File
 	if path == "" {
@@ -65,59 +68,60 @@
 		}
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
-	d := &Document{File: file, Values: map[string]Value{}, Known: known}
-	d.shape(tree, lines)
+	doc := &Document{File: file, Values: map[string]Value{}, Known: known}
+	doc.checkStructure(tree, lines)
 	for path, text := range Flatten(tree) {
-		d.Values[path] = Value{Text: text, From: "file", Line: lines[path]}
+		doc.Values[path] = Value{Text: text, From: "file", Line: lines[path]}
 	}
 	for _, key := range Schema {
 		if key.Variable == "" || sources.Anew && key.Variable == "RELAY_DISCOVERY" {
 			continue
 		}
 		if text := sources.Getenv(key.Variable); text != "" {
-			d.Values[key.Path] = Value{Text: text, From: key.Variable}
+			doc.Values[key.Path] = Value{Text: text, From: key.Variable}
 		}
 	}
 	for path, text := range sources.Set {
-		d.Values[path] = Value{Text: text, From: "flag"}
+		doc.Values[path] = Value{Text: text, From: "flag"}
 	}
-	d.check(lines)
-	return d, nil
+	doc.check(lines)
+	return doc, nil
 }
 
-// shape tells of lists and objects that stand where the other was expected, which flattening would not show.
-func (d *Document) shape(tree map[string]any, lines map[string]int) {
+// checkStructure reports settings, classes or tenants that are not an object or a list as required. Flattened values would
+// not show this.
+func (d *Document) checkStructure(tree map[string]any, lines map[string]int) {
 	settings, ok := tree["settings"].(map[string]any)
 	if !ok {
-		d.fault("settings", lines["settings"], "an object was expected")
+		d.addFault("settings", lines["settings"], "expected an object")
 		return
 	}
 	for _, key := range []string{"classes", "tenants"} {
 		list, isList := settings[key].([]any)
 		if settings[key] != nil && !isList {
-			d.fault("settings."+key, lines["settings."+key], "a list was expected")
+			d.addFault("settings."+key, lines["settings."+key], "expected a list")
 			delete(settings, key)
 		}
 		for i, item := range list {
 			if _, ok := item.(map[string]any); !ok {
-				d.fault(fmt.Sprintf("settings.%s.%d", key, i), lines["settings."+key], "an object was expected")
+				d.addFault(fmt.Sprintf("settings.%s.%d", key, i), lines["settings."+key], "expected an object")
 				delete(settings, key)
 			}
 		}
 	}
 }
 
-func (d *Document) fault(path string, line int, format string, args ...any) {
+func (d *Document) addFault(path string, line int, format string, args ...any) {
 	d.Faults = append(d.Faults, Fault{d.File, line, path, fmt.Sprintf(format, args...)})
 }
 
-// count is how many items a list has.
+// count returns the number of items of a list.
 func (d *Document) count(list string) int {
 	n, _ := strconv.Atoi(d.Values[list+".count"].Text)
 	return n
 }
 
-// check holds each value against its key, finds what is missing, and gives defaults.
+// check validates each value against the schema, reports missing keys and fills in defaults.
 func (d *Document) check(lines map[string]int) {
 	var paths []string
 	for path := range d.Values {
@@ -132,9 +136,9 @@
 		key, ok := Lookup(path)
 		switch {
 		case !ok:
-			d.unknown(path, v.Line)
-		case !key.Unread && !key.fits(v.Text):
-			d.fault(path, v.Line, "%s was expected, not %q%s", key.Expects(), v.Text, from(v))
+			d.warnUnknownKey(path, v.Line)
+		case !key.Unread && !key.accepts(v.Text):
+			d.addFault(path, v.Line, "%s expected, got %q%s", key.Expects(), v.Text, sourceSuffix(v))
 		}
 	}
 	for _, key := range Schema {
@@ -145,13 +149,13 @@
 			if v, ok := d.Values[path]; ok && v.Text != "" {
 				continue
 			}
-			if key.Needed {
+			if key.Required {
 				line := lines[path]
 				if line == 0 {
 					line = lines[path[:max(0, strings.LastIndexByte(path, '.'))]]
 				}
-				if _, ok := d.Values[path]; !ok { // an empty one has been reported already
-					d.fault(path, line, "must be given: %s (%s)", key.Doc, key.Expects())
+				if _, ok := d.Values[path]; !ok { // an empty value has been reported above
+					d.addFault(path, line, "must be given: %s (%s)", key.Doc, key.Expects())
 				}
 			} else if key.Default != "" {
 				d.Values[path] = Value{Text: key.Default, From: "default"}
@@ -159,123 +163,123 @@
 		}
 	}
 	if d.count("settings.classes") == 0 && !slices.ContainsFunc(d.Faults, func(f Fault) bool { return strings.HasPrefix("settings.classes", f.Key) }) {
-		d.fault("settings.classes", lines["settings.classes"], "at least one was expected")
+		d.addFault("settings.classes", lines["settings.classes"], "at least one class is required")
 	}
-	d.contradictions()
+	d.checkConflicts()
 }
 
-// contradictions tells of settings that are sound by themselves and not beside others: a fault where they can't both hold, a
-// warning where they come to nothing.
-func (d *Document) contradictions() {
+// checkConflicts reports settings that are valid alone but not in combination: a fault if they contradict each other, a
+// warning if one of them has no effect.
+func (d *Document) checkConflicts() {
 	text := func(path string) string { return d.Values[path].Text }
-	on := func(path string) bool { return text(path) == "true" || text(path) == "1" }
-	over := func(path string) bool {
+	isTrue := func(path string) bool { return text(path) == "true" || text(path) == "1" }
+	isPositive := func(path string) bool {
 		n, err := strconv.ParseFloat(text(path), 64)
 		return err == nil && n > 0
 	}
-	doubt := func(path, expected string) {
-		d.Warnings = append(d.Warnings, Fault{d.File, d.Values[path].Line, path, expected})
+	warn := func(path, problem string) {
+		d.Warnings = append(d.Warnings, Fault{d.File, d.Values[path].Line, path, problem})
 	}
 	if text("ops") != "" && text("ops") == text("listen") {
-		d.fault("ops", d.Values["ops"].Line, "another address than listen was expected, not %q%s", text("ops"), from(d.Values["ops"]))
+		d.addFault("ops", d.Values["ops"].Line, "must differ from listen, got %q%s", text("ops"), sourceSuffix(d.Values["ops"]))
 	}
 	for _, path := range d.Paths("settings.classes[].slo-s") {
-		cut := strings.TrimSuffix(path, "slo-s") + "deadline-s"
-		if later(text(path), text(cut)) {
-			d.fault(path, d.Values[path].Line, "not after deadline-s of %s s, but %s s%s", text(cut), text(path), from(d.Values[path]))
+		deadline := strings.TrimSuffix(path, "slo-s") + "deadline-s"
+		if isGreater(text(path), text(deadline)) {
+			d.addFault(path, d.Values[path].Line, "must not exceed deadline-s (%s s), got %s s%s", text(deadline), text(path), sourceSuffix(d.Values[path]))
 		}
 	}
-	d.peers(text)
-	const rest, advice = "settings.rules.key-rest-s", "settings.ceilings.retry-after"
-	if over(rest) && !slices.ContainsFunc(d.Paths("settings.classes[].in-order"), on) {
-		doubt(rest, "an ordered class was expected, as only its keys are held")
+	d.checkPeers(text)
+	const keyHold, retryAfter = "settings.rules.key-rest-s", "settings.ceilings.retry-after"
+	if isPositive(keyHold) && !slices.ContainsFunc(d.Paths("settings.classes[].in-order"), isTrue) {
+		warn(keyHold, "no effect: no class sets in-order, and only classes in order hold ordering keys")
 	}
-	if on(advice) && !over("settings.ceilings.max-retry-after-s") {
-		doubt(advice, "max-retry-after-s over 0 was expected, or Retry-After is never sent")
+	if isTrue(retryAfter) && !isPositive("settings.ceilings.max-retry-after-s") {
+		warn(retryAfter, "no effect: Retry-After is sent only if max-retry-after-s is above 0")
 	}
 	for _, path := range d.Paths("settings.classes[].idempotency") {
-		if text(path) == "guarded" && !over(strings.TrimSuffix(path, "idempotency")+"dedup-window-s") {
-			doubt(path, "dedup-window-s over 0 was expected, or no repeat is known")
+		if text(path) == "guarded" && !isPositive(strings.TrimSuffix(path, "idempotency")+"dedup-window-s") {
+			warn(path, "no effect: repeats are recognized only if dedup-window-s is above 0")
 		}
 	}
 }
 
-// peers holds the keys of the fleet against what they are read as.
-func (d *Document) peers(text func(string) string) {
+// checkPeers checks the formats of peers.key, peers.join and peers.through, which the schema does not describe.
+func (d *Document) checkPeers(text func(string) string) {
 	if key := text("peers.key"); key != "" {
 		if raw, err := hex.DecodeString(key); err != nil || len(raw) != 16 && len(raw) != 24 && len(raw) != 32 {
-			d.fault("peers.key", d.Values["peers.key"].Line, "16, 24 or 32 bytes in hex were expected%s", from(d.Values["peers.key"]))
+			d.addFault("peers.key", d.Values["peers.key"].Line, "16, 24 or 32 bytes in hex expected%s", sourceSuffix(d.Values["peers.key"]))
 		}
 	}
-	each := func(path string, parts int) {
+	checkAddresses := func(path string, parts int) {
 		if text(path) == "" {
 			return
 		}
 		for _, word := range strings.Split(text(path), ",") {
 			addresses := strings.Split(word, "=")
 			if len(addresses) != parts || slices.ContainsFunc(addresses, func(a string) bool { return !isAddress(a) }) {
-				d.fault(path, d.Values[path].Line, "%s was expected, not %q%s", []string{"", "address:port", "address:port=address:port"}[parts], word, from(d.Values[path]))
+				d.addFault(path, d.Values[path].Line, "%s expected, got %q%s", []string{"", "address:port", "address:port=address:port"}[parts], word, sourceSuffix(d.Values[path]))
 			}
 		}
 	}
-	each("peers.join", 1)
-	each("peers.through", 2)
+	checkAddresses("peers.join", 1)
+	checkAddresses("peers.through", 2)
 }
 
-// later tells whether one number is larger than another; what is no number has been reported of elsewhere.
-func later(a, b string) bool {
+// isGreater reports whether the number a is larger than b. It is false if either is not a number: check reports that.
+func isGreater(a, b string) bool {
 	x, errX := strconv.ParseFloat(a, 64)
 	y, errY := strconv.ParseFloat(b, 64)
 	return errX == nil && errY == nil && x > y
 }
 
-func from(v Value) string {
+func sourceSuffix(v Value) string {
 	if v.From == "file" {
 		return ""
 	}
 	return ", from " + v.From
 }
 
-// Paths are the paths that a key has in this document: one, or one for each item of its list.
-func (d *Document) Paths(path string) (all []string) {
+// Paths returns the paths of a key in this document: one, or one for each item if the key belongs to a list.
+func (d *Document) Paths(path string) (paths []string) {
 	list, rest, ok := strings.Cut(path, "[]")
 	if !ok {
 		return []string{path}
 	}
 	for i := range d.count(list) {
-		all = append(all, list+"."+strconv.Itoa(i)+rest)
+		paths = append(paths, list+"."+strconv.Itoa(i)+rest)
 	}
-	return all
+	return paths
 }
 
-// unknown warns of a key that nobody reads, with the nearest one that is known.
-func (d *Document) unknown(path string, line int) {
+// warnUnknownKey adds a warning about a key that the schema does not have, with the most similar known key.
+func (d *Document) warnUnknownKey(path string, line int) {
 	var known []string
 	for _, key := range Schema {
-		if strings.HasPrefix(key.Path, general(path)+"[]") {
-			return // a list: its items have paths of their own
+		if strings.HasPrefix(key.Path, genericPath(path)+"[]") {
+			return // the path of a list itself: the keys of its items are checked separately
 		}
 		if !key.Unread {
 			known = append(known, key.Path)
 		}
 	}
 	text := "no such key"
-	if best := Nearest(general(path), known); best != "" {
-		text += "; " + best + "?"
+	if best := Nearest(genericPath(path), known); best != "" {
+		text += "; did you mean " + best + "?"
 	}
 	d.Warnings = append(d.Warnings, Fault{d.File, line, path, text})
 }
 
-// Err is all faults at once.
+// Err joins all faults, or returns nil if there are none.
 func (d *Document) Err() error {
-	all := make([]error, len(d.Faults))
+	errs := make([]error, len(d.Faults))
 	for i, f := range d.Faults {
-		all[i] = f
+		errs[i] = f
 	}
-	return errors.Join(all...)
+	return errors.Join(errs...)
 }
 
-// isAddress takes an address and a port; a name would have to be looked up.
+// isAddress reports whether text is an IP address with a port. Host names are not accepted, as they need a lookup.
 func isAddress(text string) bool {
 	host, port, err := net.SplitHostPort(text)
 	if err != nil || net.ParseIP(host) == nil {
@@ -285,16 +289,16 @@
 	return err == nil && n >= 0 && n < 1<<16
 }
 
-// Plan is what a reload would do with a change of one key.
+// Plan describes what a reload does with the change of one key.
 type Plan struct {
 	Key      string `json:"key"`
 	Old      string `json:"old"`
 	New      string `json:"new"`
-	TakeOver bool   `json:"taken_over"` // else it waits for the next start
+	TakeOver bool   `json:"taken_over"` // takes effect on the reload; false: only after a restart
 	Effect   string `json:"effect"`
 }
 
-// Against tells what a reload from one document to another would do, key by key.
+// Against returns, for each key that differs, what a reload from d to next does.
 func (d *Document) Against(next *Document) (plans []Plan) {
 	var paths []string
 	for path := range d.Values {
@@ -307,25 +311,25 @@
 	}
 	slices.Sort(paths)
 	for _, path := range paths {
-		a, b := d.Values[path].Text, next.Values[path].Text
+		oldText, newText := d.Values[path].Text, next.Values[path].Text
 		key, ok := Lookup(path)
-		if a == b || !ok || key.Unread || path == "seed" || strings.HasSuffix(path, ".count") {
+		if oldText == newText || !ok || key.Unread || path == "seed" || strings.HasSuffix(path, ".count") {
 			continue
 		}
-		plans = append(plans, Plan{path, a, b, !key.Restart, effect(key, b)})
+		plans = append(plans, Plan{path, oldText, newText, !key.NeedsRestart, reloadEffect(key, newText)})
 	}
 	return plans
 }
 
-// OnReload says what a reload does with a change of the key.
-func (k Key) OnReload() string { return effect(k, "new") }
+// OnReload describes what a reload does with a change of the key.
+func (k Key) OnReload() string { return reloadEffect(k, "new") }
 
-// effect says what a change means for what is held.
-func effect(key Key, next string) string {
+// reloadEffect describes how a new value of a key affects messages, calls and connections that exist at the reload.
+func reloadEffect(key Key, newText string) string {
 	switch {
-	case key.Restart:
+	case key.NeedsRestart:
 		return "waits for the next start"
-	case strings.HasPrefix(key.Path, "settings.classes[]") && next == "":
+	case strings.HasPrefix(key.Path, "settings.classes[]") && newText == "":
 		return "the workload takes no more records; those held keep what they were promised"
 	case strings.HasPrefix(key.Path, "settings.classes[]"):
 		return "records held keep what they were promised; new ones get this"
--- a/config/page.go
+++ b/config/page.go
@@ -6,23 +6,23 @@
 	"strings"
 )
 
-// WritePage writes the page on configuration, from the schema.
+// WritePage generates the configuration reference (docs/configuration.md) from the schema.
 func WritePage(w io.Writer) error {
 	var b strings.Builder
 	b.WriteString("# Configuration\n\nWritten by `pineport config page`; do not edit.\n\n" +
-		"A file in JSON, TOML or YAML, by its name's ending (JSON for any other), named by `RELAY_CONFIG` or `--config`. Layers, each\n" +
-		"over the one before: defaults, the file, variables, flags (`--set KEY=VALUE`). The platform's file, in JSON, is read as it is.\n" +
-		"Lists of plain values may be written as lists. In YAML and TOML put the seed in quotes.\n\n" +
-		"On SIGHUP the file is read anew. What the last column calls taken over applies at once, to messages that are held as well unless\n" +
-		"it says otherwise; a faulty file changes nothing.\n\n" +
-		"| key | what | unit | allowed | if missing | on reload |\n| --- | --- | --- | --- | --- | --- |\n")
+		"`RELAY_CONFIG` or `--config` names the configuration file. Its extension selects the format: TOML, YAML, or else JSON. Sources,\n" +
+		"each overriding the previous one: defaults, the file, environment variables, flags (`--set KEY=VALUE`). The platform's JSON file\n" +
+		"needs no conversion. Lists of plain values may be written as lists. In YAML and TOML the seed must be quoted.\n\n" +
+		"On SIGHUP the courier reads the file again. A change that the last column calls taken over applies immediately, also to messages\n" +
+		"already accepted, unless the column says otherwise. An invalid file changes nothing.\n\n" +
+		"| key | meaning | unit | allowed | default | on reload |\n| --- | --- | --- | --- | --- | --- |\n")
 	for _, key := range Schema {
 		if key.Unread {
 			continue
 		}
 		missing := key.Default
-		if key.Needed {
-			missing = "a fault"
+		if key.Required {
+			missing = "none (required)"
 		} else if missing == "" {
 			missing = "none"
 		}
@@ -32,13 +32,14 @@
 		}
 		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s | %s |\n", key.Path, doc, key.Unit, key.Expects(), missing, key.OnReload())
 	}
-	b.WriteString("\nKeys of the platform that nothing here reads are passed over; any other unknown key is warned of, with the nearest known one,\n" +
-		"and so are settings that come to nothing beside others; with `--strict` both are faults.\n")
+	b.WriteString("\nKeys of the platform that couriers do not read are ignored. Any other unknown key causes a warning that names the most similar\n" +
+		"known key, as do settings that have no effect in combination with others. With `--strict` both are errors.\n")
 	_, err := io.WriteString(w, b.String())
 	return err
 }
 
-// Example is a commented file with every key, in TOML: those that must be given with an example, the others commented out.
+// Example returns a commented TOML file with every key except those of tenants. Required keys have example values; other
+// keys are commented out, unless the example needs them.
 func Example() string {
 	var b strings.Builder
 	b.WriteString("# A courier's configuration. Keys that are commented out stand at their defaults; docs/configuration.md has all of them.\n")
@@ -46,23 +47,23 @@
 		"settings.tick-s": "0.005", "settings.classes[].name": `"update"`, "settings.classes[].slo-s": "1.0", "settings.classes[].deadline-s": "8.0",
 		"settings.classes[].points": "1.0", "settings.classes[].idempotency": `"free"`, "settings.family-info.slots": "20", "settings.ceilings.open-cap": "200",
 		"settings.ceilings.try-limit": "6", "settings.ceilings.conn-idle-s": "5.0", "settings.zones": `["a"]`, "settings.shapes": `["plain"]`}
-	table := ""
-	for _, list := range []bool{false, true} { // tables of lists last, as TOML wants it
+	currentSection := ""
+	for _, inLists := range []bool{false, true} { // arrays of tables come last: in TOML, keys after [[...]] belong to its table
 		for _, k := range Schema {
-			if k.Unread || k.Kind == Any || strings.Contains(k.Path, "[]") != list || strings.HasPrefix(k.Path, "settings.tenants") {
+			if k.Unread || k.Kind == Any || strings.Contains(k.Path, "[]") != inLists || strings.HasPrefix(k.Path, "settings.tenants") {
 				continue
 			}
-			at := strings.LastIndexByte(k.Path, '.')
-			in, key := "", k.Path
-			if at >= 0 {
-				in, key = k.Path[:at], k.Path[at+1:]
+			dot := strings.LastIndexByte(k.Path, '.')
+			section, key := "", k.Path
+			if dot >= 0 {
+				section, key = k.Path[:dot], k.Path[dot+1:]
 			}
-			if in != table {
-				table = in
-				if name, ok := strings.CutSuffix(in, "[]"); ok {
+			if section != currentSection {
+				currentSection = section
+				if name, ok := strings.CutSuffix(section, "[]"); ok {
 					fmt.Fprintf(&b, "\n[[%s]]\n", name)
 				} else {
-					fmt.Fprintf(&b, "\n[%s]\n", in)
+					fmt.Fprintf(&b, "\n[%s]\n", section)
 				}
 			}
 			unit := ""
@@ -70,8 +71,8 @@
 				unit = ", " + k.Unit
 			}
 			fmt.Fprintf(&b, "# %s%s: %s\n", k.Doc, unit, k.Expects())
-			switch value, given := examples[k.Path]; {
-			case given:
+			switch value, hasExample := examples[k.Path]; {
+			case hasExample:
 				fmt.Fprintf(&b, "%s = %s\n", key, value)
 			case k.Kind == Text && k.Default != "" || k.Kind == Words:
 				fmt.Fprintf(&b, "# %s = %q\n", key, k.Default)
--- a/deploy/dynamic/main.go
+++ b/deploy/dynamic/main.go
@@ -1,5 +1,5 @@
-// Command dynamic checks that a program is linked dynamically against the C library, as a library that is loaded
-// into its process asks for.
+// Command dynamic checks that a program is linked dynamically against the C library, so that a library can be preloaded into
+// its process.
 package main
 
 import (
@@ -12,7 +12,7 @@
 
 func main() {
 	if len(os.Args) != 2 {
-		fmt.Fprintln(os.Stderr, "dynamic: one program was expected")
+		fmt.Fprintln(os.Stderr, "dynamic: usage: dynamic PROGRAM")
 		os.Exit(1)
 	}
 	if err := check(os.Args[1]); err != nil {
@@ -21,7 +21,7 @@
 	}
 }
 
-// check reads the program's own head and table of libraries.
+// check reads the ELF program headers and the list of imported libraries.
 func check(path string) error {
 	f, err := elf.Open(path)
 	if err != nil {
@@ -29,7 +29,7 @@
 	}
 	defer f.Close()
 	if !slices.ContainsFunc(f.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }) {
-		return fmt.Errorf("no interpreter: it is linked statically")
+		return fmt.Errorf("statically linked: no program interpreter")
 	}
 	libraries, err := f.ImportedLibraries()
 	if err != nil {
--- a/modelcheck/modelcheck.go
+++ b/modelcheck/modelcheck.go
@@ -1,34 +1,36 @@
-// Package modelcheck plays orders of events against modules that hold no I/O: every order up to a depth, and long ones drawn from a seed.
+// Package modelcheck generates sequences of steps for testing modules without I/O: all sequences of one length, and long random
+// ones from a seed.
 package modelcheck
 
 import "math/rand"
 
-// Orders has do play every order of depth steps out of so many, until it returns false. The slice is the same each time.
-func Orders(depth, steps int, do func(order []int) bool) {
-	order := make([]int, depth)
+// Orders calls visit with every sequence of the given length, with repetition, over the step numbers 0 to choices-1, until
+// visit returns false. All calls share one slice, which visit must not keep.
+func Orders(length, choices int, visit func(sequence []int) bool) {
+	sequence := make([]int, length)
 	for {
-		if !do(order) {
+		if !visit(sequence) {
 			return
 		}
-		at := depth - 1
-		for ; at >= 0; at-- {
-			if order[at]++; order[at] < steps {
+		position := length - 1
+		for ; position >= 0; position-- {
+			if sequence[position]++; sequence[position] < choices {
 				break
 			}
-			order[at] = 0
+			sequence[position] = 0
 		}
-		if at < 0 {
+		if position < 0 {
 			return
 		}
 	}
 }
 
-// Walk is an order of so many steps, the same for the same seed.
-func Walk(seed int64, length, steps int) []int {
+// Walk returns a random sequence of the given length over the step numbers 0 to choices-1. Equal seeds give equal sequences.
+func Walk(seed int64, length, choices int) []int {
 	rng := rand.New(rand.NewSource(seed))
-	order := make([]int, length)
-	for i := range order {
-		order[i] = rng.Intn(steps)
+	sequence := make([]int, length)
+	for i := range sequence {
+		sequence[i] = rng.Intn(choices)
 	}
-	return order
+	return sequence
 }
--- a/modelcheck/modelcheck_test.go
+++ b/modelcheck/modelcheck_test.go
@@ -2,15 +2,15 @@
 
 import "testing"
 
-func TestOrdersAreAllAndOnce(t *testing.T) {
+func TestOrdersVisitsEverySequenceOnce(t *testing.T) {
 	seen := map[[3]int]bool{}
 	Orders(3, 4, func(order []int) bool {
 		seen[[3]int(order)] = true
 		return true
 	})
 	if n := 0; len(seen) != 64 {
-		t.Errorf("%d of 64 orders", len(seen))
+		t.Errorf("visited %d of 64 sequences", len(seen))
 	} else if Orders(3, 4, func([]int) bool { n++; return n < 5 }); n != 5 {
-		t.Errorf("went on for %d", n)
+		t.Errorf("visited %d sequences; visit ended the run after 5", n)
 	}
 }
--- a/simprotocol/read.go
+++ b/simprotocol/read.go
@@ -1,4 +1,4 @@
-// Package simprotocol reads and writes the simulator's wire; the wire's names end here.
+// Package simprotocol reads and writes the text protocol of the simulator and converts its names to those of package dispatch.
 package simprotocol
 
 import (
@@ -15,39 +15,40 @@
 )
 
 type (
-	// Started says that a courier starts anew. Like Killed it is handled by the host, before the decisions.
+	// Started reports that a courier starts or restarts. The host handles Started and Killed itself, instead of passing them
+	// to a dispatcher.
 	Started struct{ Config dispatch.Config }
-	// Killed says that a courier was killed.
+	// Killed reports that a courier was killed.
 	Killed struct{}
 )
 
-// Item is one event of a batch: a dispatch.Event, Started, or Killed.
-type Item struct {
+// CourierEvent is an event for one courier: a dispatch.Event, Started or Killed.
+type CourierEvent struct {
 	Courier int
-	What    any
+	Event   any
 }
 
-// Batch is what came in at one instant, in order of arrival.
+// Batch holds the events of one point in time, in order of arrival.
 type Batch struct {
-	Now   dispatch.Micros
-	Items []Item
+	Now    dispatch.Micros
+	Events []CourierEvent
 }
 
-// Reader takes batches off a stream and complains about lines it can't use.
+// Reader reads batches from a stream and reports invalid lines.
 type Reader struct {
-	in       *bufio.Reader
-	complain func(line int, fault error)
-	line     int
-	now      dispatch.Micros
-	pages    map[int][]dispatch.EndpointEntry
+	in          *bufio.Reader
+	reportFault func(line int, fault error)
+	line        int
+	now         dispatch.Micros
+	lists       map[int][]dispatch.EndpointEntry // by list number
 }
 
-// NewReader reads from in; complain is notified of each line that is left out.
-func NewReader(in io.Reader, complain func(line int, fault error)) *Reader {
-	return &Reader{in: bufio.NewReaderSize(in, 1<<16), complain: complain, pages: map[int][]dispatch.EndpointEntry{}}
+// NewReader returns a Reader of in. It calls reportFault for each line that it skips as invalid.
+func NewReader(in io.Reader, reportFault func(line int, fault error)) *Reader {
+	return &Reader{in: bufio.NewReaderSize(in, 1<<16), reportFault: reportFault, lists: map[int][]dispatch.EndpointEntry{}}
 }
 
-func (r *Reader) next() (string, error) {
+func (r *Reader) readLine() (string, error) {
 	text, err := r.in.ReadString('\n')
 	if err != nil && text == "" {
 		return "", err
@@ -59,9 +60,9 @@
 // Next returns the next batch, or io.EOF at the end of input.
 func (r *Reader) Next() (Batch, error) {
 	batch := Batch{Now: r.now}
-	begun, courier := false, -1
+	timeSet, courier := false, -1
 	for {
-		text, err := r.next()
+		text, err := r.readLine()
 		if err != nil {
 			return batch, err
 		}
@@ -71,76 +72,76 @@
 		case "go":
 			return batch, nil
 		case "mark":
-			if t := f.span(); f.err == nil {
-				batch.Now, r.now, begun = t, t, true
+			if t := f.duration(); f.err == nil {
+				batch.Now, r.now, timeSet = t, t, true
 			}
 		case "on":
 			if courier = f.count(); f.err != nil {
 				courier = -1
 			}
 		case "list":
-			err := r.list(&f)
+			err := r.readList(&f)
 			if f.err == nil {
 				f.err = err
 			}
 		default:
-			what := r.event(name, &f)
+			event := r.parseEvent(name, &f)
 			switch {
-			case f.err != nil || what == nil:
+			case f.err != nil || event == nil:
 			case courier < 0:
 				f.err = errors.New("event without a courier")
-			case !begun:
+			case !timeSet:
 				f.err = errors.New("event before mark")
 			default:
-				batch.Items = append(batch.Items, Item{courier, what})
+				batch.Events = append(batch.Events, CourierEvent{courier, event})
 			}
 		}
 		if f.err != nil {
-			r.complain(r.line, f.err)
+			r.reportFault(r.line, f.err)
 		}
 	}
 }
 
-// event reads one event; nil where there is a fault, or nothing is known by that name.
-func (r *Reader) event(name string, f *fields) any {
+// parseEvent parses one event. It returns nil, and sets the error of f, for an invalid or unknown event.
+func (r *Reader) parseEvent(name string, f *fields) any {
 	switch name {
 	case "begin":
-		return f.started()
+		return f.parseStarted()
 	case "crash_now":
 		return Killed{}
 	case "topology":
-		return r.endpointUpdate(f)
+		return r.parseEndpointUpdate(f)
 	case "job_in":
-		return f.accepted()
+		return f.parseAccepted()
 	case "settled":
-		return f.finished()
+		return f.parseFinished()
 	case "client_left":
-		return dispatch.MessageCanceled{Message: dispatch.MessageID(f.need())}
+		return dispatch.MessageCanceled{Message: dispatch.MessageID(f.requiredWord())}
 	case "tick_due":
 		return dispatch.TimerFired{}
 	case "health", "begun", "peer":
-		return dispatch.TimerFired{} // nothing the decisions ask for; the courier only looks again
+		return dispatch.TimerFired{} // the dispatcher does not use the contents; the event only triggers a step
 	}
 	f.fail("unknown event %q", name)
 	return nil
 }
 
-func (f *fields) started() any {
-	salt := f.integer()
+func (f *fields) parseStarted() any {
+	seed := f.integer()
 	if f.err != nil {
 		return nil
 	}
 	values := map[string]string{}
-	for _, part := range f.parts[f.at:] {
+	for _, part := range f.parts[f.pos:] {
 		if key, value, ok := strings.Cut(part, "="); ok {
 			values[key] = value
 		}
 	}
-	if err := config.Sound(values); err != nil {
+	if err := config.ValidateSettings(values); err != nil {
 		f.err = err
 		return nil
 	}
-	config, err := config.Dispatch(salt, values)
+	config, err := config.Dispatch(seed, values)
 	if err != nil {
 		f.err = err
 		return nil
@@ -148,114 +149,114 @@
 	return Started{config}
 }
 
-func (r *Reader) endpointUpdate(f *fields) any {
+func (r *Reader) parseEndpointUpdate(f *fields) any {
 	f.integer()
-	page, how := f.optionalCount(), f.word()
-	news := dispatch.EndpointUpdate{}
-	switch how {
+	list, kind := f.optionalCount(), f.word()
+	update := dispatch.EndpointUpdate{}
+	switch kind {
 	case "Persisted":
-		news.Kind = dispatch.CachedList
+		update.Kind = dispatch.CachedList
 	case "Complete":
-		news.Kind = dispatch.CompleteList
+		update.Kind = dispatch.CompleteList
 	case "Partial":
-		news.Kind = dispatch.PartialList
+		update.Kind = dispatch.PartialList
 	case "Error":
-		news.Kind = dispatch.ListFailed
-		return news
+		update.Kind = dispatch.ListFailed
+		return update
 	default:
-		f.fail("unknown kind of list %q", how)
+		f.fail("unknown kind of list %q", kind)
 		return nil
 	}
-	entries, ok := r.pages[page]
+	entries, ok := r.lists[list]
 	if !ok {
-		f.fail("no list has number %d", page)
+		f.fail("unknown list number %d", list)
 	}
-	news.Entries = entries
-	return news
+	update.Entries = entries
+	return update
 }
 
-func (f *fields) accepted() any {
-	t := dispatch.MessageAccepted{Message: dispatch.MessageID(f.need())}
+func (f *fields) parseAccepted() any {
+	message := dispatch.MessageAccepted{Message: dispatch.MessageID(f.requiredWord())}
 	f.word()
-	t.Destination = dispatch.DestinationID(f.count())
-	t.Tenant = dispatch.TenantID(f.optionalCount())
+	message.Destination = dispatch.DestinationID(f.count())
+	message.Tenant = dispatch.TenantID(f.optionalCount())
 	if key := f.word(); key != "-" {
-		t.OrderingKey = dispatch.OrderingKey(key)
+		message.OrderingKey = dispatch.OrderingKey(key)
 	}
-	t.Deadline = f.span()
-	t.Class = dispatch.ClassID(f.count())
-	t.Resubmitted = f.optionalCount()&(2|16) != 0
-	return t
+	message.Deadline = f.duration()
+	message.Class = dispatch.ClassID(f.count())
+	message.Resubmitted = f.optionalCount()&(2|16) != 0
+	return message
 }
 
-func (f *fields) finished() any {
-	s := dispatch.AttemptFinished{Message: dispatch.MessageID(f.need()), Attempt: dispatch.AttemptNumber(f.count())}
+func (f *fields) parseFinished() any {
+	finished := dispatch.AttemptFinished{Message: dispatch.MessageID(f.requiredWord()), Attempt: dispatch.AttemptNumber(f.count())}
 	f.word()
-	s.Outcome = f.outcome()
-	s.Duration = f.optionalSpan()
-	s.MessageDone = f.word() == "1"
-	if remark := f.optionalCount(); s.Outcome == dispatch.Throttled { // with others it means something else
-		s.RetryAfter = dispatch.Micros(remark) * 1000
+	finished.Outcome = f.outcome()
+	finished.Duration = f.optionalDuration()
+	finished.MessageDone = f.word() == "1"
+	if detail := f.optionalCount(); finished.Outcome == dispatch.Throttled { // with other outcomes the field has another meaning
+		finished.RetryAfter = dispatch.Micros(detail) * 1000
 	}
-	if row := f.word(); row != "-" && row != "" {
-		for _, part := range strings.Split(row, ",") {
+	if loadReport := f.word(); loadReport != "-" && loadReport != "" {
+		for _, part := range strings.Split(loadReport, ",") {
 			value, err := strconv.ParseFloat(part, 64)
 			if err != nil {
-				f.fail("bad number %q", part)
+				f.fail("invalid number %q", part)
 			}
-			s.LoadReport = append(s.LoadReport, value)
+			finished.LoadReport = append(finished.LoadReport, value)
 		}
 	}
-	return s
+	return finished
 }
 
-// list keeps a numbered list; all its rows are read even if one is bad.
-func (r *Reader) list(f *fields) error {
-	page, n := f.count(), f.count()
+// readList reads and stores a numbered endpoint list. It skips invalid rows and returns the first error.
+func (r *Reader) readList(f *fields) error {
+	number, rows := f.count(), f.count()
 	if f.err != nil {
 		return f.err
 	}
-	entries := make([]dispatch.EndpointEntry, 0, min(n, 1<<12))
-	var first error
-	for range n {
-		text, err := r.next()
+	entries := make([]dispatch.EndpointEntry, 0, min(rows, 1<<12))
+	var firstErr error
+	for range rows {
+		text, err := r.readLine()
 		if err != nil {
 			return err
 		}
 		row := fields{parts: strings.Fields(text)}
 		if row.word() != "row" {
-			row.fail("a row was expected, not %q", text)
+			row.fail("expected a row, got %q", text)
 		}
-		l := dispatch.EndpointEntry{Endpoint: dispatch.EndpointID(row.need())}
-		l.Zone = dispatch.ZoneID(row.count())
-		l.Type = dispatch.EndpointTypeID(row.count())
-		l.Destination = dispatch.DestinationID(row.count())
+		entry := dispatch.EndpointEntry{Endpoint: dispatch.EndpointID(row.requiredWord())}
+		entry.Zone = dispatch.ZoneID(row.count())
+		entry.Type = dispatch.EndpointTypeID(row.count())
+		entry.Destination = dispatch.DestinationID(row.count())
 		switch phase := row.word(); phase {
 		case "IN":
 		case "LAME":
-			l.Phase = dispatch.Draining
+			entry.Phase = dispatch.Draining
 		case "OUT":
-			l.Phase = dispatch.Removed
+			entry.Phase = dispatch.Removed
 		default:
 			row.fail("unknown phase %q", phase)
 		}
-		l.Rate = row.optionalNumber()
+		entry.Rate = row.optionalNumber()
 		if row.err != nil {
-			if first == nil {
-				first = row.err
+			if firstErr == nil {
+				firstErr = row.err
 			}
 			continue
 		}
-		entries = append(entries, l)
+		entries = append(entries, entry)
 	}
-	r.pages[page] = entries
-	return first
+	r.lists[number] = entries
+	return firstErr
 }
 
-// fields walks the parts of one line; the first fault is kept.
+// fields reads the fields of one line in order. It keeps the first error.
 type fields struct {
 	parts []string
-	at    int
+	pos   int
 	err   error
 }
 
@@ -265,27 +266,27 @@
 	}
 }
 
-// word is the next part, or empty where the line has ended.
+// word returns the next field, or "" at the end of the line.
 func (f *fields) word() string {
-	if f.at >= len(f.parts) {
+	if f.pos >= len(f.parts) {
 		return ""
 	}
-	f.at++
-	return f.parts[f.at-1]
+	f.pos++
+	return f.parts[f.pos-1]
 }
 
-func (f *fields) need() string {
+func (f *fields) requiredWord() string {
 	text := f.word()
 	if text == "" || text == "-" {
-		f.fail("the line is cut short")
+		f.fail("missing field")
 	}
 	return text
 }
 
-func (f *fields) parse(text string) float64 {
+func (f *fields) parseNumber(text string) float64 {
 	value, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(value) || math.Abs(value) > 1e12 {
-		f.fail("bad number %q", text)
+		f.fail("invalid number %q", text)
 		return 0
 	}
 	return value
@@ -293,22 +294,22 @@
 
 func (f *fields) optionalNumber() float64 {
 	if text := f.word(); text != "" && text != "-" {
-		return f.parse(text)
+		return f.parseNumber(text)
 	}
 	return 0
 }
 
-func (f *fields) span() dispatch.Micros         { return config.Micros(f.parse(f.need())) }
-func (f *fields) optionalSpan() dispatch.Micros { return config.Micros(f.optionalNumber()) }
+func (f *fields) duration() dispatch.Micros         { return config.Micros(f.parseNumber(f.requiredWord())) }
+func (f *fields) optionalDuration() dispatch.Micros { return config.Micros(f.optionalNumber()) }
 
 func (f *fields) integer() int64 {
-	text := f.need()
+	text := f.requiredWord()
 	value, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
 		if u, uerr := strconv.ParseUint(text, 10, 64); uerr == nil {
 			return int64(u)
 		}
-		f.fail("bad number %q", text)
+		f.fail("invalid number %q", text)
 	}
 	return value
 }
@@ -323,10 +324,10 @@
 }
 
 func (f *fields) optionalCount() int {
-	if f.at < len(f.parts) && f.parts[f.at] != "-" {
+	if f.pos < len(f.parts) && f.parts[f.pos] != "-" {
 		return f.count()
 	}
-	f.at++
+	f.pos++
 	return 0
 }
 
@@ -336,7 +337,7 @@
 }
 
 func (f *fields) outcome() dispatch.Outcome {
-	text := f.need()
+	text := f.requiredWord()
 	o, ok := outcomes[text]
 	if !ok {
 		f.fail("unknown outcome %q", text)
--- a/simprotocol/wire_test.go
+++ b/simprotocol/wire_test.go
@@ -11,7 +11,7 @@
 	"pineport/dispatch"
 )
 
-func TestReaderNamesBadLinesAndGoesOn(t *testing.T) {
+func TestReaderReportsInvalidLinesAndContinues(t *testing.T) {
 	in := `mark 1.5
 on 3
 list 0 1
@@ -32,9 +32,9 @@
 		t.Fatal(err)
 	}
 	if want := []int{7, 8, 10, 11}; !reflect.DeepEqual(bad, want) {
-		t.Errorf("bad lines %v, want %v", bad, want)
+		t.Errorf("invalid lines %v, want %v", bad, want)
 	}
-	want := Batch{Now: 1500000, Items: []Item{
+	want := Batch{Now: 1500000, Events: []CourierEvent{
 		{3, dispatch.EndpointUpdate{Kind: dispatch.CachedList, Entries: []dispatch.EndpointEntry{
 			{Endpoint: "a:1", Type: 1, Destination: 57, Rate: 2.5}}}},
 		{3, dispatch.MessageAccepted{Message: "t/x", Destination: 57, Class: 1, Deadline: 9500000, Resubmitted: true}},
@@ -44,12 +44,13 @@
 		t.Errorf("read %+v, want %+v", batch, want)
 	}
 	if _, err := r.Next(); !errors.Is(err, io.EOF) {
-		t.Errorf("at the end: %v, want EOF", err)
+		t.Errorf("at the end of input: got %v, want EOF", err)
 	}
 }
 
-// Failure: settings that can't be meant were taken as they came; they are refused, by line and key, and what runs goes on.
-func TestSettingsThatCannotBe(t *testing.T) {
+// Guards against starting a courier with invalid settings: the begin event is rejected with line and key, and couriers that
+// run already are unaffected.
+func TestInvalidSettingsAreRejected(t *testing.T) {
 	sound := "family-info.slots=4 ceilings.open-cap=20 ceilings.try-limit=8 tick-s=0.005 classes.count=1 classes.0.slo-s=1.0 classes.0.deadline-s=8.0"
 	in := "mark 1.5\non 3\nbegin 7 " + sound + " something-new=9\n"
 	for _, bad := range []string{"family-info.slots=0", "ceilings.open-cap=-3", "weight-kind=heavy", "classes.0.deadline-s=0.5", "tick-s=NaN"} {
@@ -58,10 +59,10 @@
 	var reported []string
 	r := NewReader(strings.NewReader(in+"go\n"), func(line int, fault error) { reported = append(reported, fmt.Sprintf("%d %v", line, fault)) })
 	batch, err := r.Next()
-	if err != nil || len(batch.Items) != 1 || batch.Items[0].Courier != 3 {
-		t.Fatalf("%v, %+v", err, batch.Items)
+	if err != nil || len(batch.Events) != 1 || batch.Events[0].Courier != 3 {
+		t.Fatalf("%v, %+v", err, batch.Events)
 	}
-	want := []string{"5 family-info.slots: ", "7 ceilings.open-cap: ", "9 weight-kind: ", "11 classes.0.slo-s: not after", "13 tick-s: "}
+	want := []string{"5 family-info.slots: ", "7 ceilings.open-cap: ", "9 weight-kind: ", "11 classes.0.slo-s: must not exceed", "13 tick-s: "}
 	if len(reported) != len(want) {
 		t.Fatalf("reported %q", reported)
 	}
@@ -72,7 +73,7 @@
 	}
 }
 
-func TestWriterKeepsExactTimes(t *testing.T) {
+func TestWriterFormatsExactTimes(t *testing.T) {
 	var out strings.Builder
 	w := NewWriter(&out)
 	w.Actions(2, []dispatch.Action{dispatch.Send{Message: "t/x", Endpoint: "a:1", Timeout: 80001}, dispatch.SetTimer{At: 434704055501}})
--- a/simprotocol/write.go
+++ b/simprotocol/write.go
@@ -9,15 +9,15 @@
 	"pineport/dispatch"
 )
 
-// Writer puts replies on a stream.
+// Writer writes replies to a stream.
 type Writer struct {
 	out *bufio.Writer
 }
 
-// NewWriter writes to out.
+// NewWriter returns a Writer to out. End flushes its buffer.
 func NewWriter(out io.Writer) *Writer { return &Writer{out: bufio.NewWriterSize(out, 1<<16)} }
 
-func (w *Writer) line(parts ...string) {
+func (w *Writer) writeLine(parts ...string) {
 	for i, part := range parts {
 		if i > 0 {
 			w.out.WriteByte(' ')
@@ -29,43 +29,43 @@
 
 func seconds(t dispatch.Micros) string { return strconv.FormatFloat(float64(t)/1e6, 'f', -1, 64) }
 
-// Actions writes what one courier wants done.
+// Actions writes the actions of one courier.
 func (w *Writer) Actions(courier int, actions []dispatch.Action) {
 	if len(actions) == 0 {
 		return
 	}
-	w.line("at", strconv.Itoa(courier))
+	w.writeLine("at", strconv.Itoa(courier))
 	for _, action := range actions {
-		switch a := action.(type) {
+		switch action := action.(type) {
 		case dispatch.Send:
-			w.line("transmit", string(a.Message), string(a.Endpoint), seconds(a.Timeout))
+			w.writeLine("transmit", string(action.Message), string(action.Endpoint), seconds(action.Timeout))
 		case dispatch.Cancel:
-			w.line("cancel", string(a.Message), strconv.Itoa(int(a.Attempt)))
+			w.writeLine("cancel", string(action.Message), strconv.Itoa(int(action.Attempt)))
 		case dispatch.Reject:
-			w.line("reject", string(a.Message), seconds(a.RetryAfter))
+			w.writeLine("reject", string(action.Message), seconds(action.RetryAfter))
 		case dispatch.Fail:
-			w.line("abort", string(a.Message))
+			w.writeLine("abort", string(action.Message))
 		case dispatch.SetTimer:
-			w.line("wake_me", seconds(a.At), "look")
+			w.writeLine("wake_me", seconds(action.At), "look")
 		case dispatch.CloseIdle:
-			w.line("let_go", string(a.Endpoint))
+			w.writeLine("let_go", string(action.Endpoint))
 		case dispatch.WatchEndpoints:
-			w.line("stream_changes", "1")
+			w.writeLine("stream_changes", "1")
 		case dispatch.Note:
-			w.line("journal_line", oneLine(a.Text))
+			w.writeLine("journal_line", oneLine(action.Text))
 		}
 	}
 }
 
-// Fault reports that a courier's decisions failed.
+// Fault reports that the dispatcher of a courier panicked.
 func (w *Writer) Fault(courier int, text string) {
-	w.line("at", strconv.Itoa(courier))
-	w.line("internal_error", oneLine(text))
+	w.writeLine("at", strconv.Itoa(courier))
+	w.writeLine("internal_error", oneLine(text))
 }
 
-// End closes a reply and flushes it.
+// End marks the end of a reply and flushes it.
 func (w *Writer) End() error {
-	w.line("ok")
+	w.writeLine("ok")
 	return w.out.Flush()
 }
 
