--- a/admin/admin_test.go
+++ b/admin/admin_test.go
@@ -26,7 +26,7 @@
 	mu       sync.Mutex
 	serving  bool
 	commands []string
-	hanging  bool
+	blocked  bool
 }
 
 func (d *fakeCourier) Serving() bool { return d.serving }
@@ -37,7 +37,7 @@
 }
 
 func (d *fakeCourier) Execute(ctx context.Context, command Command) error {
-	if d.hanging {
+	if d.blocked {
 		<-ctx.Done()
 		return ctx.Err()
 	}
@@ -146,7 +146,7 @@
 	if err := json.Unmarshal([]byte(body), &metrics); err != nil || metrics.Success["update"] != 3 || metrics.Dispatches != 5 || metrics.TargetsDisabled != 1 {
 		t.Errorf("%v: %s", err, body)
 	}
-	courier.serving, courier.hanging = false, true
+	courier.serving, courier.blocked = false, true
 	if status, _ := sendInPieces(t, addr, request("GET", "/status"), 999); status != 503 {
 		t.Errorf("/status of a courier that accepts no clients: got %d, want 503", status)
 	}
--- a/config/decode.go
+++ b/config/decode.go
@@ -170,7 +170,7 @@
 		return nil, nil, Fault{Expected: strings.TrimPrefix(err.Error(), "yaml: ")}
 	}
 	if len(doc.Content) != 1 || doc.Content[0].Kind != yaml.MappingNode {
-		return nil, nil, Fault{Line: doc.Line, Expected: "expected a mapping"}
+		return nil, nil, Fault{Line: doc.Line, Expected: "a mapping expected"}
 	}
 	lines = map[string]int{}
 	value, err := yamlValue(doc.Content[0], "", lines, 0)
@@ -228,14 +228,14 @@
 }
 
 // Nearest returns the known name that is most similar to an unknown one, or "" if none is similar enough.
-func Nearest(name string, known []string) (best string) {
+func Nearest(name string, known []string) (closest string) {
 	bestScore := len(name) / 2
 	for _, k := range known {
 		if score := similarity(name, k); score > bestScore {
-			best, bestScore = k, score
+			closest, bestScore = k, score
 		}
 	}
-	return best
+	return closest
 }
 
 // similarity is the length of the longest common subsequence of a and b, less the bytes by which b is longer than a.
--- a/config/document.go
+++ b/config/document.go
@@ -93,18 +93,18 @@
 func (d *Document) checkStructure(tree map[string]any, lines map[string]int) {
 	settings, ok := tree["settings"].(map[string]any)
 	if !ok {
-		d.addFault("settings", lines["settings"], "expected an object")
+		d.addFault("settings", lines["settings"], "an object expected")
 		return
 	}
 	for _, key := range []string{"classes", "tenants"} {
 		list, isList := settings[key].([]any)
 		if settings[key] != nil && !isList {
-			d.addFault("settings."+key, lines["settings."+key], "expected a list")
+			d.addFault("settings."+key, lines["settings."+key], "a list expected")
 			delete(settings, key)
 		}
 		for i, item := range list {
 			if _, ok := item.(map[string]any); !ok {
-				d.addFault(fmt.Sprintf("settings.%s.%d", key, i), lines["settings."+key], "expected an object")
+				d.addFault(fmt.Sprintf("settings.%s.%d", key, i), lines["settings."+key], "an object expected")
 				delete(settings, key)
 			}
 		}
@@ -264,8 +264,8 @@
 		}
 	}
 	text := "no such key"
-	if best := Nearest(genericPath(path), known); best != "" {
-		text += "; did you mean " + best + "?"
+	if closest := Nearest(genericPath(path), known); closest != "" {
+		text += "; did you mean " + closest + "?"
 	}
 	d.Warnings = append(d.Warnings, Fault{d.File, line, path, text})
 }
--- a/modelcheck/modelcheck_test.go
+++ b/modelcheck/modelcheck_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-func TestOrdersVisitsEverySequenceOnce(t *testing.T) {
+func TestEverySequenceIsVisitedOnce(t *testing.T) {
 	seen := map[[3]int]bool{}
-	Orders(3, 4, func(order []int) bool {
-		seen[[3]int(order)] = true
+	Orders(3, 4, func(sequence []int) bool {
+		seen[[3]int(sequence)] = true
 		return true
 	})
 	if n := 0; len(seen) != 64 {
--- a/simprotocol/read.go
+++ b/simprotocol/read.go
@@ -225,7 +225,7 @@
 		}
 		row := fields{parts: strings.Fields(text)}
 		if row.word() != "row" {
-			row.fail("expected a row, got %q", text)
+			row.fail("a row expected, got %q", text)
 		}
 		entry := dispatch.EndpointEntry{Endpoint: dispatch.EndpointID(row.requiredWord())}
 		entry.Zone = dispatch.ZoneID(row.count())
--- a/simprotocol/wire_test.go
+++ b/simprotocol/wire_test.go
@@ -25,14 +25,14 @@
 surprise 1
 go
 `
-	var bad []int
-	r := NewReader(strings.NewReader(in), func(line int, _ error) { bad = append(bad, line) })
+	var invalid []int
+	r := NewReader(strings.NewReader(in), func(line int, _ error) { invalid = append(invalid, line) })
 	batch, err := r.Next()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := []int{7, 8, 10, 11}; !reflect.DeepEqual(bad, want) {
-		t.Errorf("invalid lines %v, want %v", bad, want)
+	if want := []int{7, 8, 10, 11}; !reflect.DeepEqual(invalid, want) {
+		t.Errorf("invalid lines %v, want %v", invalid, want)
 	}
 	want := Batch{Now: 1500000, Events: []CourierEvent{
 		{3, dispatch.EndpointUpdate{Kind: dispatch.CachedList, Entries: []dispatch.EndpointEntry{
@@ -51,10 +51,10 @@
 // Guards against starting a courier with invalid settings: the begin event is rejected with line and key, and couriers that
 // run already are unaffected.
 func TestInvalidSettingsAreRejected(t *testing.T) {
-	sound := "family-info.slots=4 ceilings.open-cap=20 ceilings.try-limit=8 tick-s=0.005 classes.count=1 classes.0.slo-s=1.0 classes.0.deadline-s=8.0"
-	in := "mark 1.5\non 3\nbegin 7 " + sound + " something-new=9\n"
-	for _, bad := range []string{"family-info.slots=0", "ceilings.open-cap=-3", "weight-kind=heavy", "classes.0.deadline-s=0.5", "tick-s=NaN"} {
-		in += "on 4\nbegin 7 " + sound + " " + bad + "\n"
+	valid := "family-info.slots=4 ceilings.open-cap=20 ceilings.try-limit=8 tick-s=0.005 classes.count=1 classes.0.slo-s=1.0 classes.0.deadline-s=8.0"
+	in := "mark 1.5\non 3\nbegin 7 " + valid + " something-new=9\n"
+	for _, invalid := range []string{"family-info.slots=0", "ceilings.open-cap=-3", "weight-kind=heavy", "classes.0.deadline-s=0.5", "tick-s=NaN"} {
+		in += "on 4\nbegin 7 " + valid + " " + invalid + "\n"
 	}
 	var reported []string
 	r := NewReader(strings.NewReader(in+"go\n"), func(line int, fault error) { reported = append(reported, fmt.Sprintf("%d %v", line, fault)) })
