--- a/config/config_test.go
+++ b/config/config_test.go
@@ -109,9 +109,9 @@
 	}
 }
 
-// TestAllFaultsAreReported checks that every fault is reported with file, line, key and problem, and that an unknown key causes
+// TestAllFaultsAtOnce checks that every fault is reported with file, line, key and problem, and that an unknown key causes
 // a warning that names the most similar known key.
-func TestAllFaultsAreReported(t *testing.T) {
+func TestAllFaultsAtOnce(t *testing.T) {
 	for file, text := range map[string]string{
 		"c.json": "{\n\"name\":\"n\",\n\"listen\":\"x\",\n\"limits\":{\n\"sockets\":3,\n\"memory_md\":9},\n\"settings\":{\"classes\":[{\n\"name\":\"u\",\n\"slo-s\":\"soon\"}]}}",
 		"c.toml": "\nname = \"n\"\nlisten = \"x\"\n[limits]\nsockets = 3\nmemory_md = 9\n[[settings.classes]]\nname = \"u\"\nslo-s = \"soon\"",
