--- a/admin/admin.go
+++ b/admin/admin.go
@@ -26,7 +26,7 @@
 	Dispatches      int64            `json:"dispatches"`       // calls to endpoints
 	Concurrent      int64            `json:"concurrent"`       // messages accepted and not finished
 	Targets         int64            `json:"targets"`          // endpoints on the list
-	TargetsDisabled int64            `json:"targets_disabled"` // endpoints that get no new messages at present
+	TargetsDisabled int64            `json:"targets_disabled"` // endpoints without new messages: disabled, draining, ejected or with open breakers
 	ReloadSuccess   int64            `json:"reload_success"`
 	ReloadFailure   int64            `json:"reload_failure"`
 }
@@ -59,7 +59,7 @@
 }
 
 const (
-	answerTimeout  = 800 * time.Millisecond // clients expect a response within one second
+	answerTimeout  = 800 * time.Millisecond // operators' HTTP clients expect a response within one second
 	requestTimeout = 3 * time.Second        // for reading a complete request
 	maxHeaderBytes = 4 << 10
 	maxBodyBytes   = 4 << 10 // request bodies are discarded
@@ -125,7 +125,7 @@
 	json.NewEncoder(w).Encode(quota)
 }
 
-func (s *Server) remove(w http.ResponseWriter, r *http.Request) {
+func (s *Server) removeMember(w http.ResponseWriter, r *http.Request) {
 	f := s.fleet.Load()
 	if f == nil {
 		http.NotFound(w, r)
@@ -143,14 +143,15 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /status", s.status)
 	mux.HandleFunc("GET /status/metrics", s.metrics)
-	for verb, disabled := range map[string]bool{"enter": true, "exit": false} {
+	for verb, disable := range map[string]bool{"enter": true, "exit": false} { // entering maintenance disables the endpoint
 		mux.HandleFunc("POST /maintenance/"+verb+"/{id}", func(w http.ResponseWriter, r *http.Request) {
-			s.execute(w, r, SetDisabled{r.PathValue("id"), disabled})
+			s.execute(w, r, SetDisabled{r.PathValue("id"), disable})
 		})
 	}
+	// The paths of requests about the fleet keep older names: peers are members, commons are shared quotas.
 	mux.HandleFunc("GET /peers", s.members)
 	mux.HandleFunc("GET /commons", s.quota)
-	mux.HandleFunc("POST /peers/gone/{name}", s.remove)
+	mux.HandleFunc("POST /peers/gone/{name}", s.removeMember)
 	mux.HandleFunc("POST /standby", func(w http.ResponseWriter, r *http.Request) { s.execute(w, r, Drain{true}) })
 	mux.HandleFunc("POST /active", func(w http.ResponseWriter, r *http.Request) { s.execute(w, r, Drain{false}) })
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -225,51 +226,51 @@
 	hasRequest map[net.Conn]bool // a complete request header was received
 }
 
-func (c *limitedListener) Accept() (net.Conn, error) {
-	conn, err := c.Listener.Accept()
+func (l *limitedListener) Accept() (net.Conn, error) {
+	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c.mu.Lock()
-	c.conns = append(c.conns, conn)
+	l.mu.Lock()
+	l.conns = append(l.conns, conn)
 	var evicted net.Conn
-	if len(c.conns) > c.limit {
-		evicted = c.conns[0]
-		for _, candidate := range c.conns[:len(c.conns)-1] { // prefer a connection without a request
-			if !c.hasRequest[candidate] {
+	if len(l.conns) > l.limit {
+		evicted = l.conns[0]
+		for _, candidate := range l.conns[:len(l.conns)-1] { // prefer a connection without a request
+			if !l.hasRequest[candidate] {
 				evicted = candidate
 				break
 			}
 		}
-		c.remove(evicted)
+		l.untrack(evicted)
 	}
-	c.mu.Unlock()
+	l.mu.Unlock()
 	if evicted != nil {
 		evicted.Close()
 	}
 	return conn, nil
 }
 
-// remove stops tracking a connection. The caller must hold c.mu.
-func (c *limitedListener) remove(conn net.Conn) {
-	delete(c.hasRequest, conn)
-	for i, tracked := range c.conns {
+// untrack stops tracking a connection. The caller must hold c.mu.
+func (l *limitedListener) untrack(conn net.Conn) {
+	delete(l.hasRequest, conn)
+	for i, tracked := range l.conns {
 		if tracked == conn {
-			c.conns = append(c.conns[:i:i], c.conns[i+1:]...)
+			l.conns = append(l.conns[:i:i], l.conns[i+1:]...)
 			return
 		}
 	}
 }
 
-func (c *limitedListener) onStateChange(conn net.Conn, state http.ConnState) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+func (l *limitedListener) onStateChange(conn net.Conn, state http.ConnState) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	switch state {
 	case http.StateActive:
-		if slices.Contains(c.conns, conn) {
-			c.hasRequest[conn] = true
+		if slices.Contains(l.conns, conn) {
+			l.hasRequest[conn] = true
 		}
 	case http.StateClosed, http.StateHijacked:
-		c.remove(conn)
+		l.untrack(conn)
 	}
 }
--- a/admin/admin_test.go
+++ b/admin/admin_test.go
@@ -29,21 +29,21 @@
 	blocked  bool
 }
 
-func (d *fakeCourier) Serving() bool { return d.serving }
+func (c *fakeCourier) Serving() bool { return c.serving }
 
-func (d *fakeCourier) Metrics() *Metrics {
+func (c *fakeCourier) Metrics() *Metrics {
 	return &Metrics{Success: map[string]int64{"update": 3}, Overload: map[string]int64{"update": 0}, Error: map[string]int64{"update": 1},
 		Dispatches: 5, Concurrent: 2, Targets: 4, TargetsDisabled: 1}
 }
 
-func (d *fakeCourier) Execute(ctx context.Context, command Command) error {
-	if d.blocked {
+func (c *fakeCourier) Execute(ctx context.Context, command Command) error {
+	if c.blocked {
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.commands = append(d.commands, fmt.Sprint(command))
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.commands = append(c.commands, fmt.Sprint(command))
 	if disable, ok := command.(SetDisabled); ok && disable.Endpoint == "stranger" {
 		return ErrUnknownEndpoint
 	}
@@ -64,7 +64,8 @@
 	return s, addr
 }
 
-// sendInPieces sends text in pieces of pieceSize bytes and returns the status and body of the response; status 0: no response.
+// sendInPieces sends text in pieces of pieceSize bytes, or at once if it is shorter, and returns the status and body of the response;
+// status 0: no response.
 func sendInPieces(t *testing.T, addr, text string, pieceSize int) (status int, body string) {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -150,9 +151,10 @@
 	if status, _ := sendInPieces(t, addr, request("GET", "/status"), 999); status != 503 {
 		t.Errorf("/status of a courier that accepts no clients: got %d, want 503", status)
 	}
-	// Guards against an admin request without a timely response while the event loop is blocked.
+	// Guards against an admin request without a timely response: Execute blocks until its context ends, as it does while the
+	// event loop is blocked.
 	if status, _ := sendInPieces(t, addr, request("POST", "/standby"), 999); status != 503 {
-		t.Errorf("command to a blocked event loop: got status %d, want 503", status)
+		t.Errorf("command while Execute blocks: got status %d, want 503", status)
 	}
 }
 
--- a/admin/golden_test.go
+++ b/admin/golden_test.go
@@ -13,18 +13,18 @@
 	"pineport/testbed/golden"
 )
 
-// recordedCourier returns metrics with every field filled and knows every endpoint except "unknown".
-type recordedCourier struct{}
+// fixedCourier returns metrics with every field filled and knows every endpoint except "unknown".
+type fixedCourier struct{}
 
-func (recordedCourier) Serving() bool { return true }
+func (fixedCourier) Serving() bool { return true }
 
-func (recordedCourier) Metrics() *Metrics {
+func (fixedCourier) Metrics() *Metrics {
 	var metrics Metrics
 	golden.Fill(&metrics)
 	return &metrics
 }
 
-func (recordedCourier) Execute(_ context.Context, command Command) error {
+func (fixedCourier) Execute(_ context.Context, command Command) error {
 	if disable, ok := command.(SetDisabled); ok && disable.Endpoint == "unknown" {
 		return ErrUnknownEndpoint
 	}
@@ -34,7 +34,7 @@
 // TestResponsesMatchGolden compares the status, content type and body of each response with the golden file, before and
 // after SetCourier.
 func TestResponsesMatchGolden(t *testing.T) {
-	golden.Tagged(t, Metrics{})
+	golden.Tagged(t, Metrics{}) // every field has a JSON name
 	var pages strings.Builder
 	s := &Server{log: slog.New(slog.DiscardHandler)}
 	handler := s.handler()
@@ -44,7 +44,7 @@
 		body, _ := io.ReadAll(w.Result().Body)
 		fmt.Fprintf(&pages, "%s %s: %d %s\n%s", method, path, w.Code, w.Header().Get("Content-Type"), body)
 	}
-	for _, courier := range []Courier{nil, recordedCourier{}} {
+	for _, courier := range []Courier{nil, fixedCourier{}} {
 		if courier != nil {
 			s.SetCourier(courier)
 		}
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -25,7 +25,7 @@
 		fmt.Fprintf(log, "simadapter: line %d: %v\n", line, fault)
 	})
 	writer := simprotocol.NewWriter(out)
-	couriers := map[int]*dispatch.Dispatcher{}
+	dispatchers := map[int]*dispatch.Dispatcher{}
 	for {
 		batch, err := reader.Next()
 		if errors.Is(err, io.EOF) {
@@ -44,26 +44,26 @@
 			}
 			switch event := item.Event.(type) {
 			case simprotocol.Started:
-				couriers[item.Courier] = dispatch.New(event.Config)
-				events[item.Courier] = nil
+				dispatchers[item.Courier] = dispatch.New(event.Config)
+				events[item.Courier] = nil // earlier events of the batch were for the previous run
 			case simprotocol.Killed:
-				delete(couriers, item.Courier)
+				delete(dispatchers, item.Courier)
 				events[item.Courier] = nil
 			case dispatch.Event:
 				events[item.Courier] = append(events[item.Courier], event)
 			}
 		}
 		for _, id := range ids {
-			courier := couriers[id]
-			if courier == nil {
+			dispatcher := dispatchers[id]
+			if dispatcher == nil {
 				if len(events[id]) > 0 {
 					fmt.Fprintf(log, "simadapter: courier %d is not running; %d events ignored\n", id, len(events[id]))
 				}
 				continue
 			}
-			actions, fault := handle(courier, batch.Now, events[id])
+			actions, fault := handle(dispatcher, batch.Now, events[id])
 			if fault != "" {
-				writer.Fault(id, fault)
+				writer.Panicked(id, fault)
 				continue
 			}
 			writer.Actions(id, actions)
@@ -75,11 +75,12 @@
 }
 
 // handle passes events to a dispatcher. It returns a panic of the dispatcher as text, for the internal_error line of the reply.
-func handle(c *dispatch.Dispatcher, now dispatch.Micros, events []dispatch.Event) (actions []dispatch.Action, fault string) {
+// The dispatcher stays in use after a panic.
+func handle(dispatcher *dispatch.Dispatcher, now dispatch.Micros, events []dispatch.Event) (actions []dispatch.Action, fault string) {
 	defer func() {
 		if r := recover(); r != nil {
 			fault = fmt.Sprint(r)
 		}
 	}()
-	return c.Handle(now, events), ""
+	return dispatcher.Handle(now, events), ""
 }
--- a/config/config.go
+++ b/config/config.go
@@ -19,13 +19,13 @@
 	Name      string
 	Listen    string
 	Discovery string
-	Ops       string // address of the admin HTTP server; empty: no admin server
-	Socket    int    // descriptor of an inherited listening socket; 0: the courier opens its own
-	Spool     string // directory of the spool and all other persistent state
-	Cores     float64
-	MemoryMB  int
-	Sockets   int
-	SpoolMB   float64
+	Ops       string          // address of the admin HTTP server; empty: no admin server
+	Socket    int             // descriptor of an inherited listening socket; 0: the courier opens its own
+	Spool     string          // directory of the spool and all other persistent state
+	Cores     float64         // limit of CPU cores
+	MemoryMB  int             // limit of memory
+	Sockets   int             // limit of open file descriptors
+	SpoolMB   float64         // size limit of the state directory
 	Known     json.RawMessage // last endpoint list that this courier held, in discovery's JSON format
 	Learn     time.Duration   // minimum interval between snapshots of the learned state; 0: no snapshots
 	Log       Log
@@ -36,10 +36,10 @@
 	Dispatch       dispatch.Config
 	Classes        []string        // names; the index of a class is its dispatch.ClassID
 	Retired        map[string]bool // classes that a reload removed: new messages of them are rejected
-	Zones          []string
-	Shapes         []string
-	Tenants        []string
-	Report         []string // names of the values in a load report, in order
+	Zones          []string        // names; the index of a zone is its dispatch.ZoneID
+	Shapes         []string        // names of endpoint types; the index is the dispatch.EndpointTypeID
+	Tenants        []string        // names; the index of a tenant is its dispatch.TenantID
+	Report         []string        // names of the values in a load report, in order
 	ConnectTimeout time.Duration
 
 	Document *Document
@@ -49,10 +49,10 @@
 type Peers struct {
 	Listen, Advertise string // addresses; an empty Listen disables membership
 	Fleet, Key        string
-	Join, Through     []string
-	Pace              time.Duration
-	Allowed           bool // settings.ceilings.peers: couriers may form a fleet
-	ShareQuotas       bool // couriers lease shares of quotas and endpoint limits to each other
+	Join, Through     []string      // addresses of members to contact when joining; address overrides, see peers.through
+	Pace              time.Duration // interval between health checks of members
+	Allowed           bool          // settings.ceilings.peers: couriers may form a fleet
+	ShareQuotas       bool          // couriers lease shares of quotas and endpoint limits to each other
 }
 
 // On reports whether this courier joins the membership of its fleet.
@@ -111,7 +111,7 @@
 }
 
 // loadShadow reads a shadow configuration from its file and the defaults only, ignoring environment variables and flags.
-// Only its settings are used.
+// The shadow dispatcher uses its settings; addresses, limits and logging are ignored.
 func loadShadow(path string, sources Sources) (*Deployment, error) {
 	doc, err := ReadDocument(Sources{Getenv: func(string) string { return "" }, File: path, Anew: sources.Anew})
 	if err != nil {
@@ -127,7 +127,7 @@
 func (d *Document) deployment() (*Deployment, error) {
 	text := func(path string) string { return d.Values[path].Text }
 	number := func(path string) float64 {
-		n, _ := strconv.ParseFloat(text(path), 64) // check has validated the value
+		n, _ := strconv.ParseFloat(text(path), 64) // validated by Document.check
 		return n
 	}
 	seconds := func(path string) time.Duration { return time.Duration(number(path) * float64(time.Second)) }
@@ -187,8 +187,8 @@
 
 // Merged returns the deployment that a running process uses after a reload: next, with the indexes of classes, zones,
 // endpoint types and tenants unchanged, because queued messages, endpoint groups and spool entries refer to them. An item
-// missing from next keeps its index and settings; a class missing from next takes no new messages. Settings that take
-// effect only after a restart keep the values of d.
+// missing from next keeps its index and settings; a class missing from next takes no new messages. The name, addresses, state
+// directory, known endpoints, snapshot interval, shadow configuration and membership keep the values of d.
 func (d *Deployment) Merged(next *Deployment) *Deployment {
 	merged := *next
 	merged.Name, merged.Listen, merged.Ops, merged.Socket, merged.Spool, merged.Known, merged.Learn = d.Name, d.Listen, d.Ops, d.Socket, d.Spool, d.Known, d.Learn
@@ -234,7 +234,8 @@
 	return names, nextIndex
 }
 
-// mergeItems takes each item from next by its index there, or from old if the index is -1.
+// mergeItems takes each item from next by its index there, or from old if the index is -1. A list that is too short, as a list
+// of optional costs may be, yields the zero value.
 func mergeItems[T any](nextIndex []int, next, old []T) (items []T) {
 	for i, index := range nextIndex {
 		switch {
@@ -260,7 +261,8 @@
 	return keys
 }
 
-// SameDecisions reports whether both deployments configure the dispatcher identically.
+// SameDecisions reports whether both deployments configure the dispatcher identically, including its seed. Deployments returned
+// by Merged keep the seed.
 func (d *Deployment) SameDecisions(next *Deployment) bool {
 	return reflect.DeepEqual(d.Dispatch, next.Dispatch)
 }
@@ -273,7 +275,7 @@
 }
 
 // flatten writes nested settings to values by path, as in the simulator's protocol. The values of a plain list are joined
-// with commas. A list of objects has its length at path.count and its items at path.0, path.1 and so on.
+// with commas. A list of objects has its length at path.count, its items at path.0, path.1 and so on, and "" at path.
 func flatten(values map[string]string, path string, v any) {
 	join := func(key string) string {
 		if path == "" {
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -39,6 +39,8 @@
 	return loadFunc(func(key string) string { return vars[key] })
 }
 
+// TestLoadReadsSettings checks the values of a valid file that also has unknown keys, which must be ignored, and that RELAY_NAME
+// overrides the file.
 func TestLoadReadsSettings(t *testing.T) {
 	deployment, err := load(t, Load, func(top, settings map[string]any) {
 		top["surprise"] = map[string]any{"x": nil}
@@ -109,8 +111,8 @@
 	}
 }
 
-// TestAllFaultsAtOnce checks that every fault is reported with file, line, key and problem, and that an unknown key causes
-// a warning that names the most similar known key.
+// TestAllFaultsAtOnce checks that all faults are reported together, with file, key and problem, and with the line if the key is in
+// the file. An unknown key causes a warning that names the most similar known key.
 func TestAllFaultsAtOnce(t *testing.T) {
 	for file, text := range map[string]string{
 		"c.json": "{\n\"name\":\"n\",\n\"listen\":\"x\",\n\"limits\":{\n\"sockets\":3,\n\"memory_md\":9},\n\"settings\":{\"classes\":[{\n\"name\":\"u\",\n\"slo-s\":\"soon\"}]}}",
@@ -217,12 +219,13 @@
 		t.Fatal(err)
 	}
 	if text, err := os.ReadFile("../docs/configuration.md"); err != nil || string(text) != page.String() {
-		t.Errorf("docs/configuration.md is stale: go run ./cmd/pineport config page > docs/configuration.md (%v)", err)
+		t.Errorf("docs/configuration.md is stale; run: go run ./cmd/pineport config page > docs/configuration.md (%v)", err)
 	}
 }
 
-// TestConflictingSettingsAreReported checks that settings without effect cause warnings with lines.
-func TestConflictingSettingsAreReported(t *testing.T) {
+// TestSettingsWithoutEffectCauseWarnings checks the number of warnings about settings that have no effect in combination with
+// others, and that the last warning has a line.
+func TestSettingsWithoutEffectCauseWarnings(t *testing.T) {
 	text := "name = \"n\"\nlisten = \"127.0.0.1:1\"\ndiscovery = \"127.0.0.1:2\"\nseed = \"a\"\n[settings]\ntick-s = 0.01\n" +
 		"[settings.family-info]\nslots = 3\n[settings.ceilings]\nopen-cap = 9\ntry-limit = 6\nconn-idle-s = 5\nretry-after = true\n" +
 		"[settings.rules]\nkey-rest-s = 0.1\n[[settings.classes]]\nname = \"a\"\nslo-s = 1\ndeadline-s = 9\nidempotency = \"guarded\"\n"
--- a/config/decode.go
+++ b/config/decode.go
@@ -178,7 +178,7 @@
 		return nil, nil, err
 	}
 	tree, _ = value.(map[string]any)
-	for i, nodes := 0, doc.Content[0].Content; i+1 < len(nodes); i += 2 { // the endpoint list keeps the types of its scalars
+	for i, nodes := 0, doc.Content[0].Content; i+1 < len(nodes); i += 2 { // known is decoded with types: it becomes JSON in discovery's format
 		if nodes[i].Value == "known" {
 			var known any
 			if err := nodes[i+1].Decode(&known); err != nil {
@@ -238,7 +238,8 @@
 	return closest
 }
 
-// similarity is the length of the longest common subsequence of a and b, less the bytes by which b is longer than a.
+// similarity is the length of the longest common subsequence of a and b, minus the number of bytes by which b
+// is longer than a, so that a long name does not match merely by its length.
 func similarity(a, b string) int {
 	row := make([]int, len(b)+1)
 	for i := range a {
--- a/config/dispatch.go
+++ b/config/dispatch.go
@@ -33,10 +33,11 @@
 	return value
 }
 
+// count reads an integer from 0 to 1e6.
 func (p *flatSettings) count(key string) int {
 	n := p.number(key)
 	if (n < 0 || n > 1e6 || n != math.Trunc(n)) && p.err == nil {
-		p.err = fmt.Errorf("%s%s: a count expected, got %v", p.prefix, key, n)
+		p.err = fmt.Errorf("%s%s: a count from 0 to 1e6 expected, got %v", p.prefix, key, n)
 	}
 	return int(n)
 }
@@ -104,6 +105,7 @@
 	case "nominal":
 		config.RateQuality = dispatch.NominalRates
 	}
+	// In load reports, x0 is the remaining share of the limit and x1 is the limit in calls per second.
 	config.ReportLeftIndex, config.ReportRateIndex = p.reportIndex("x0"), p.reportIndex("x1")
 	config.Classes = p.classes()
 	config.EndpointTypes = p.endpointTypes()
@@ -111,7 +113,7 @@
 		config.Tenants = append(config.Tenants, dispatch.Tenant{RatePerSecond: p.number(fmt.Sprintf("tenants.%d.quota-per-s", i))})
 	}
 	for _, word := range p.words("family-info.route-fee") {
-		cost, _ := strconv.ParseFloat(word, 64) // check or ValidateSettings has validated the value
+		cost, _ := strconv.ParseFloat(word, 64) // validated by Document.check or ValidateSettings
 		config.GroupCost = append(config.GroupCost, cost)
 	}
 	return config, p.err
--- a/config/document.go
+++ b/config/document.go
@@ -162,6 +162,7 @@
 			}
 		}
 	}
+	// A fault of settings or settings.classes itself has been reported already.
 	if d.count("settings.classes") == 0 && !slices.ContainsFunc(d.Faults, func(f Fault) bool { return strings.HasPrefix("settings.classes", f.Key) }) {
 		d.addFault("settings.classes", lines["settings.classes"], "at least one class is required")
 	}
@@ -169,7 +170,7 @@
 }
 
 // checkConflicts reports settings that are valid alone but not in combination: a fault if they contradict each other, a
-// warning if one of them has no effect.
+// warning if one of them has no effect. It also calls checkPeers.
 func (d *Document) checkConflicts() {
 	text := func(path string) string { return d.Values[path].Text }
 	isTrue := func(path string) bool { return text(path) == "true" || text(path) == "1" }
@@ -192,14 +193,14 @@
 	d.checkPeers(text)
 	const keyHold, retryAfter = "settings.rules.key-rest-s", "settings.ceilings.retry-after"
 	if isPositive(keyHold) && !slices.ContainsFunc(d.Paths("settings.classes[].in-order"), isTrue) {
-		warn(keyHold, "no effect: no class sets in-order, and only classes in order hold ordering keys")
+		warn(keyHold, "no effect: only classes with in-order hold ordering keys, and no class sets it")
 	}
 	if isTrue(retryAfter) && !isPositive("settings.ceilings.max-retry-after-s") {
 		warn(retryAfter, "no effect: Retry-After is sent only if max-retry-after-s is above 0")
 	}
 	for _, path := range d.Paths("settings.classes[].idempotency") {
 		if text(path) == "guarded" && !isPositive(strings.TrimSuffix(path, "idempotency")+"dedup-window-s") {
-			warn(path, "no effect: repeats are recognized only if dedup-window-s is above 0")
+			warn(path, "no effect: endpoints recognize a repeated idempotency key only if dedup-window-s is above 0")
 		}
 	}
 }
@@ -226,7 +227,8 @@
 	checkAddresses("peers.through", 2)
 }
 
-// isGreater reports whether the number a is larger than b. It is false if either is not a number: check reports that.
+// isGreater reports whether the number a is larger than b. It returns false if either is not a number: Document.check reports
+// that.
 func isGreater(a, b string) bool {
 	x, errX := strconv.ParseFloat(a, 64)
 	y, errY := strconv.ParseFloat(b, 64)
@@ -295,10 +297,11 @@
 	Old      string `json:"old"`
 	New      string `json:"new"`
 	TakeOver bool   `json:"taken_over"` // takes effect on the reload; false: only after a restart
-	Effect   string `json:"effect"`
+	Effect   string `json:"effect"`     // what the reload does with the change, as in OnReload
 }
 
-// Against returns, for each key that differs, what a reload from d to next does.
+// Against returns the keys that differ in next and what a reload from d to next does with each of them. It skips keys that
+// couriers do not read, the lengths of lists, and the seed, which a running process never changes.
 func (d *Document) Against(next *Document) (plans []Plan) {
 	var paths []string
 	for path := range d.Values {
@@ -321,10 +324,11 @@
 	return plans
 }
 
-// OnReload describes what a reload does with a change of the key.
+// OnReload describes what a reload does with a change of the key to a value that is not empty.
 func (k Key) OnReload() string { return reloadEffect(k, "new") }
 
-// reloadEffect describes how a new value of a key affects messages, calls and connections that exist at the reload.
+// reloadEffect describes when a new value of a key takes effect, and how it affects messages and calls in progress. An empty
+// newText means that the key was removed.
 func reloadEffect(key Key, newText string) string {
 	switch {
 	case key.NeedsRestart:
--- a/config/page.go
+++ b/config/page.go
@@ -11,35 +11,35 @@
 	var b strings.Builder
 	b.WriteString("# Configuration\n\nWritten by `pineport config page`; do not edit.\n\n" +
 		"`RELAY_CONFIG` or `--config` names the configuration file. Its extension selects the format: TOML, YAML, or else JSON. Sources,\n" +
-		"each overriding the previous one: defaults, the file, environment variables, flags (`--set KEY=VALUE`). The platform's JSON file\n" +
-		"needs no conversion. Lists of plain values may be written as lists. In YAML and TOML the seed must be quoted.\n\n" +
-		"On SIGHUP the courier reads the file again. A change that the last column calls taken over applies immediately, also to messages\n" +
-		"already accepted, unless the column says otherwise. An invalid file changes nothing.\n\n" +
+		"each overriding the previous one: defaults, the file, environment variables, flags (`--set KEY=VALUE`). The JSON configuration that\n" +
+		"the platform writes for a courier is accepted unchanged. Plain lists may be written as lists. In YAML and TOML the seed must be quoted.\n\n" +
+		"On SIGHUP the courier reads the file again. The last column tells how a changed key takes effect; \"taken over at once\" includes\n" +
+		"messages already accepted. An invalid file changes nothing.\n\n" +
 		"| key | meaning | unit | allowed | default | on reload |\n| --- | --- | --- | --- | --- | --- |\n")
 	for _, key := range Schema {
 		if key.Unread {
 			continue
 		}
-		missing := key.Default
+		defaultText := key.Default
 		if key.Required {
-			missing = "none (required)"
-		} else if missing == "" {
-			missing = "none"
+			defaultText = "none (required)"
+		} else if defaultText == "" {
+			defaultText = "none"
 		}
 		doc := key.Doc
 		if key.Variable != "" {
 			doc += "; `" + key.Variable + "`"
 		}
-		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s | %s |\n", key.Path, doc, key.Unit, key.Expects(), missing, key.OnReload())
+		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s | %s |\n", key.Path, doc, key.Unit, key.Expects(), defaultText, key.OnReload())
 	}
 	b.WriteString("\nKeys of the platform that couriers do not read are ignored. Any other unknown key causes a warning that names the most similar\n" +
-		"known key, as do settings that have no effect in combination with others. With `--strict` both are errors.\n")
+		"known key, as do settings that have no effect in combination with others. With `pineport config check --strict` both are errors.\n")
 	_, err := io.WriteString(w, b.String())
 	return err
 }
 
-// Example returns a commented TOML file with every key except those of tenants. Required keys have example values; other
-// keys are commented out, unless the example needs them.
+// Example returns a commented TOML file with every key, except known, those of tenants and those that couriers do not read.
+// Required keys have example values; other keys are commented out, unless the example needs them.
 func Example() string {
 	var b strings.Builder
 	b.WriteString("# A courier's configuration. Keys that are commented out stand at their defaults; docs/configuration.md has all of them.\n")
--- a/config/schema.go
+++ b/config/schema.go
@@ -149,7 +149,7 @@
 	return Key{}, false
 }
 
-// Expects describes the values that the key allows.
+// Expects describes the values that the key allows, not counting an absent value.
 func (k Key) Expects() string {
 	switch {
 	case len(k.AllowedValues) > 0:
@@ -164,7 +164,8 @@
 	return string(k.Kind)
 }
 
-// accepts reports whether a value is valid for the key. An absent value, "" or "-", is valid if the key is not required.
+// accepts reports whether a value is valid for the key. An absent value is valid if the key is not required: "", or "-" as in the
+// simulator's protocol.
 func (k Key) accepts(text string) bool {
 	if text == "" || text == "-" {
 		return !k.Required
--- a/deploy/dynamic/main.go
+++ b/deploy/dynamic/main.go
@@ -1,5 +1,5 @@
-// Command dynamic checks that a program is linked dynamically against the C library, so that a library can be preloaded into
-// its process.
+// Command dynamic checks that a program is linked dynamically against the C library. A test environment loads a library into the
+// courier's process, which is only possible with dynamic linking.
 package main
 
 import (
@@ -36,7 +36,7 @@
 		return err
 	}
 	if !slices.ContainsFunc(libraries, func(l string) bool { return strings.HasPrefix(l, "libc.so") }) {
-		return fmt.Errorf("linked against %v, not the C library", libraries)
+		return fmt.Errorf("not linked against the C library, only against %v", libraries)
 	}
 	return nil
 }
--- a/modelcheck/modelcheck.go
+++ b/modelcheck/modelcheck.go
@@ -1,5 +1,5 @@
-// Package modelcheck generates sequences of steps for testing modules without I/O: all sequences of one length, and long random
-// ones from a seed.
+// Package modelcheck generates sequences of steps for tests of code that performs no I/O: all sequences of one length, and long
+// random ones from a seed.
 package modelcheck
 
 import "math/rand"
--- a/modelcheck/modelcheck_test.go
+++ b/modelcheck/modelcheck_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestEverySequenceIsVisitedOnce(t *testing.T) {
+func TestOrdersVisitsEverySequence(t *testing.T) {
 	seen := map[[3]int]bool{}
 	Orders(3, 4, func(sequence []int) bool {
 		seen[[3]int(sequence)] = true
@@ -11,6 +11,6 @@
 	if n := 0; len(seen) != 64 {
 		t.Errorf("visited %d of 64 sequences", len(seen))
 	} else if Orders(3, 4, func([]int) bool { n++; return n < 5 }); n != 5 {
-		t.Errorf("visited %d sequences; visit ended the run after 5", n)
+		t.Errorf("got %d visits, want 5: visit returned false at the fifth", n)
 	}
 }
--- a/simprotocol/read.go
+++ b/simprotocol/read.go
@@ -1,4 +1,10 @@
 // Package simprotocol reads and writes the text protocol of the simulator and converts its names to those of package dispatch.
+//
+// A batch consists of the lines "mark SECONDS" (its time), "on COURIER" (the courier of the events that follow), endpoint lists
+// ("list NUMBER ROWS", followed by lines "row ..."), events, and "go" at its end. Event begin starts a courier, crash_now kills
+// it, topology updates its endpoint list, job_in is an accepted message, settled a finished attempt, client_left a canceled
+// message, and tick_due a timer. A reply has "at COURIER", followed by the actions of that courier, for each courier, and ends
+// with "ok". The field "-" stands for an absent value.
 package simprotocol
 
 import (
@@ -15,8 +21,8 @@
 )
 
 type (
-	// Started reports that a courier starts or restarts. The host handles Started and Killed itself, instead of passing them
-	// to a dispatcher.
+	// Started reports that a courier starts or restarts. The caller of Next handles Started and Killed itself, instead of
+	// passing them to a dispatcher.
 	Started struct{ Config dispatch.Config }
 	// Killed reports that a courier was killed.
 	Killed struct{}
@@ -36,16 +42,16 @@
 
 // Reader reads batches from a stream and reports invalid lines.
 type Reader struct {
-	in          *bufio.Reader
-	reportFault func(line int, fault error)
-	line        int
-	now         dispatch.Micros
-	lists       map[int][]dispatch.EndpointEntry // by list number
+	in            *bufio.Reader
+	reportInvalid func(line int, fault error)
+	line          int
+	now           dispatch.Micros
+	lists         map[int][]dispatch.EndpointEntry // by list number
 }
 
 // NewReader returns a Reader of in. It calls reportFault for each line that it skips as invalid.
-func NewReader(in io.Reader, reportFault func(line int, fault error)) *Reader {
-	return &Reader{in: bufio.NewReaderSize(in, 1<<16), reportFault: reportFault, lists: map[int][]dispatch.EndpointEntry{}}
+func NewReader(in io.Reader, reportInvalid func(line int, fault error)) *Reader {
+	return &Reader{in: bufio.NewReaderSize(in, 1<<16), reportInvalid: reportInvalid, lists: map[int][]dispatch.EndpointEntry{}}
 }
 
 func (r *Reader) readLine() (string, error) {
@@ -97,12 +103,12 @@
 			}
 		}
 		if f.err != nil {
-			r.reportFault(r.line, f.err)
+			r.reportInvalid(r.line, f.err)
 		}
 	}
 }
 
-// parseEvent parses one event. It returns nil, and sets the error of f, for an invalid or unknown event.
+// parseEvent parses one event. For an invalid or unknown event it sets f.err, and the result must be ignored.
 func (r *Reader) parseEvent(name string, f *fields) any {
 	switch name {
 	case "begin":
@@ -150,7 +156,7 @@
 }
 
 func (r *Reader) parseEndpointUpdate(f *fields) any {
-	f.integer()
+	f.integer() // serial number of the update, not used
 	list, kind := f.optionalCount(), f.word()
 	update := dispatch.EndpointUpdate{}
 	switch kind {
@@ -177,7 +183,7 @@
 
 func (f *fields) parseAccepted() any {
 	message := dispatch.MessageAccepted{Message: dispatch.MessageID(f.requiredWord())}
-	f.word()
+	f.word() // not used
 	message.Destination = dispatch.DestinationID(f.count())
 	message.Tenant = dispatch.TenantID(f.optionalCount())
 	if key := f.word(); key != "-" {
@@ -185,17 +191,17 @@
 	}
 	message.Deadline = f.duration()
 	message.Class = dispatch.ClassID(f.count())
-	message.Resubmitted = f.optionalCount()&(2|16) != 0
+	message.Resubmitted = f.optionalCount()&(2|16) != 0 // flags 2 and 16 both mark a resubmitted message
 	return message
 }
 
 func (f *fields) parseFinished() any {
 	finished := dispatch.AttemptFinished{Message: dispatch.MessageID(f.requiredWord()), Attempt: dispatch.AttemptNumber(f.count())}
-	f.word()
+	f.word() // the endpoint, not used
 	finished.Outcome = f.outcome()
 	finished.Duration = f.optionalDuration()
 	finished.MessageDone = f.word() == "1"
-	if detail := f.optionalCount(); finished.Outcome == dispatch.Throttled { // with other outcomes the field has another meaning
+	if detail := f.optionalCount(); finished.Outcome == dispatch.Throttled { // Retry-After in ms; with other outcomes, the field has another meaning
 		finished.RetryAfter = dispatch.Micros(detail) * 1000
 	}
 	if loadReport := f.word(); loadReport != "-" && loadReport != "" {
@@ -302,6 +308,7 @@
 func (f *fields) duration() dispatch.Micros         { return config.Micros(f.parseNumber(f.requiredWord())) }
 func (f *fields) optionalDuration() dispatch.Micros { return config.Micros(f.optionalNumber()) }
 
+// integer reads a decimal integer. It also accepts an unsigned 64-bit number, such as a seed, and converts it by wrapping.
 func (f *fields) integer() int64 {
 	text := f.requiredWord()
 	value, err := strconv.ParseInt(text, 10, 64)
--- a/simprotocol/wire_test.go
+++ b/simprotocol/wire_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// Guards against starting a courier with invalid settings: the begin event is rejected with line and key, and couriers that
-// run already are unaffected.
+// TestInvalidSettingsAreRejected guards against starting a courier with invalid settings: its begin event is reported with line
+// and key, and other begin events of the batch are unaffected.
 func TestInvalidSettingsAreRejected(t *testing.T) {
 	valid := "family-info.slots=4 ceilings.open-cap=20 ceilings.try-limit=8 tick-s=0.005 classes.count=1 classes.0.slo-s=1.0 classes.0.deadline-s=8.0"
 	in := "mark 1.5\non 3\nbegin 7 " + valid + " something-new=9\n"
@@ -73,11 +73,11 @@
 	}
 }
 
-func TestWriterFormatsExactTimes(t *testing.T) {
+func TestWriterOutput(t *testing.T) {
 	var out strings.Builder
 	w := NewWriter(&out)
 	w.Actions(2, []dispatch.Action{dispatch.Send{Message: "t/x", Endpoint: "a:1", Timeout: 80001}, dispatch.SetTimer{At: 434704055501}})
-	w.Fault(5, "index\nout of range")
+	w.Panicked(5, "index\nout of range")
 	if err := w.End(); err != nil {
 		t.Fatal(err)
 	}
--- a/simprotocol/write.go
+++ b/simprotocol/write.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// Fault reports that the dispatcher of a courier panicked.
-func (w *Writer) Fault(courier int, text string) {
+// Panicked reports that the dispatcher of a courier panicked.
+func (w *Writer) Panicked(courier int, text string) {
 	w.writeLine("at", strconv.Itoa(courier))
 	w.writeLine("internal_error", oneLine(text))
 }
