--- a/cmd/pineport/golden_test.go
+++ b/cmd/pineport/golden_test.go
@@ -39,7 +39,7 @@
 	t.Setenv("RELAY_CONFIG", "")
 	dir := t.TempDir()
 	copyRecorded(t, "../../spool/testdata/segment.golden", dir, "0000000001.seg")
-	copyRecorded(t, "../../snapshot/testdata/version-2.golden", dir, snapshot.Name)
+	copyRecorded(t, "../../snapshot/testdata/version-2.golden", dir, snapshot.FileName)
 	write := func(name, text string) string {
 		path := filepath.Join(dir, name)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
--- a/cmd/pineport/run.go
+++ b/cmd/pineport/run.go
@@ -50,7 +50,7 @@
 	}
 	defer log.Close(lastLines)
 	if dep.Socket > 0 { // before another process hands all over for nothing
-		l, err := transport.Listener(dep.Socket)
+		l, err := transport.ListenerFromFD(dep.Socket)
 		if err != nil {
 			return fmt.Errorf("socket_fd: %w", err)
 		}
@@ -84,7 +84,7 @@
 func openDesk(dep *config.Deployment, log *logging.Log) (*admin.Server, error) {
 	for {
 		desk, err := admin.Open(dep.Ops, server.AdminSockets(dep)-2, log.With(logging.Component, "ops"))
-		if !transport.IsShortage(err) {
+		if !transport.IsTemporary(err) {
 			return desk, err
 		}
 		log.Warn("not listening yet", "error", err)
@@ -149,7 +149,7 @@
 		return fmt.Errorf("RELAY_STATE: %w", err)
 	}
 	defer folder.Close()
-	snapshot.Sweep(dep.Spool) // before the spool takes that room
+	snapshot.RemoveTempFiles(dep.Spool) // before the spool takes that room
 	kept, unfinished, faults, err := p.openSpool(ctx)
 	if err != nil || ctx.Err() != nil {
 		return err
@@ -187,7 +187,7 @@
 	}
 	clk, err := clock.Open(dir, readings, latestTime(dir, p.dep.Name, unfinished))
 	if err != nil {
-		log.Warn("clock anchor not used", "file", clock.Name, "error", err)
+		log.Warn("clock anchor not used", "file", clock.FileName, "error", err)
 	}
 	p.clock.Store(clk)
 	go storeAnchor(ctx, clk, log)
@@ -201,7 +201,7 @@
 		if err == nil {
 			return
 		}
-		log.Warn("clock anchor not stored", "file", clock.Name, "error", err)
+		log.Warn("clock anchor not stored", "file", clock.FileName, "error", err)
 		select {
 		case <-ctx.Done():
 			return
@@ -233,7 +233,7 @@
 			return true
 		}
 	}
-	return transport.IsShortage(err)
+	return transport.IsTemporary(err)
 }
 
 // openSpool opens the spool, as often as it takes: what was taken on is still owed, and a process that ends helps nobody. A folder that is not
@@ -297,7 +297,7 @@
 }
 
 func logOptions(dep *config.Deployment) logging.Options {
-	return logging.Options{Level: dep.Log.Level, Levels: dep.Log.Levels, JSON: dep.Log.JSON, Repeats: dep.Log.Repeats, Queue: dep.Log.Queue}
+	return logging.Options{Level: dep.Log.Level, Levels: dep.Log.Levels, JSON: dep.Log.JSON, RepeatWindow: dep.Log.Repeats, QueueSize: dep.Log.Queue}
 }
 
 // limits sets what the process itself must keep.
@@ -318,10 +318,10 @@
 	now := dispatch.Micros(clk.Now())
 	state, err := snapshot.Read(dep.Spool, dep.Name, now, limit)
 	switch {
-	case errors.Is(err, snapshot.ErrAbsent):
+	case errors.Is(err, snapshot.ErrNotExist):
 		return nil
 	case err != nil:
-		log.Warn("snapshot not used", "file", snapshot.Name, "error", err)
+		log.Warn("snapshot not used", "file", snapshot.FileName, "error", err)
 		return nil
 	}
 	age := time.Duration(now-state.Snapshot.TakenAt) * time.Microsecond
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -52,7 +52,7 @@
 	}
 	config := deployment.Dispatch
 	if deployment.Name != "n4" || deployment.Listen != "127.0.0.1:6379" || deployment.Sockets != 1024 || len(deployment.Classes) != 2 || deployment.Classes[1] != "order" ||
-		config.Classes[1].Idempotency != dispatch.AtMostOnce || config.Classes[1].Priority != 2 || config.Slots != 20 || config.ReportLeftIndex != 1 || config.ReportRateIndex != 0 ||
+		config.Classes[1].Idempotency != dispatch.AtMostOnce || config.Classes[1].Priority != 2 || config.Slots != 20 || config.ReportRemainingIndex != 1 || config.ReportRateIndex != 0 ||
 		config.RateQuality != dispatch.NominalRates || len(config.EndpointTypes) != 1 || config.EndpointTypes[0].MaxPerCall != 1 || !config.MustPoll || config.Seed == 0 {
 		t.Errorf("%+v", deployment)
 	}
--- a/config/dispatch.go
+++ b/config/dispatch.go
@@ -76,25 +76,25 @@
 func Dispatch(seed int64, values map[string]string) (dispatch.Config, error) {
 	p := &flatSettings{values: values, prefix: "settings."}
 	config := dispatch.Config{
-		Seed:              seed,
-		Couriers:          p.count("fleet-size"),
-		CourierNumber:     p.count("ordinal"),
-		OverQuotaFactor:   p.number("over-share-worth"),
-		Slots:             p.count("family-info.slots"),
-		QueueLimit:        p.count("ceilings.open-cap"),
-		MaxAttempts:       p.count("ceilings.try-limit"),
-		MayCancel:         p.flag("ceilings.may-cancel"),
-		MayTellRetryAfter: p.flag("ceilings.retry-after"),
-		MaxRetryAfter:     p.duration("ceilings.max-retry-after-s"),
-		IdleTimeout:       p.duration("ceilings.conn-idle-s"),
-		Tick:              p.duration("tick-s"),
-		MustPoll:          p.values["discovery"] == "subscribe",
-		SlowStartFrom:     p.number("rules.cold-from"),
-		SlowStart:         p.duration("rules.ramp-time-s"),
-		OverloadFactor:    p.number("rules.fall-multiple"),
-		KeyCooldown:       p.duration("rules.key-rest-s"),
-		Zone:              dispatch.ZoneID(p.count("locality")),
-		CrossZoneCost:     p.number("prices.cross-zone"),
+		Seed:                  seed,
+		Couriers:              p.count("fleet-size"),
+		CourierNumber:         p.count("ordinal"),
+		OverQuotaFactor:       p.number("over-share-worth"),
+		Slots:                 p.count("family-info.slots"),
+		QueueLimit:            p.count("ceilings.open-cap"),
+		MaxAttempts:           p.count("ceilings.try-limit"),
+		MayCancel:             p.flag("ceilings.may-cancel"),
+		MaySendRetryAfter:     p.flag("ceilings.retry-after"),
+		MaxRetryAfter:         p.duration("ceilings.max-retry-after-s"),
+		IdleTimeout:           p.duration("ceilings.conn-idle-s"),
+		Tick:                  p.duration("tick-s"),
+		MustPoll:              p.values["discovery"] == "subscribe",
+		SlowStartInitialShare: p.number("rules.cold-from"),
+		SlowStart:             p.duration("rules.ramp-time-s"),
+		OverloadFactor:        p.number("rules.fall-multiple"),
+		KeyCooldown:           p.duration("rules.key-rest-s"),
+		Zone:                  dispatch.ZoneID(p.count("locality")),
+		CrossZoneCost:         p.number("prices.cross-zone"),
 	}
 	if p.values["family-info.decay"] == "halves" {
 		config.Decay = dispatch.HalvingDecay
@@ -106,7 +106,7 @@
 		config.RateQuality = dispatch.NominalRates
 	}
 	// In load reports, x0 is the remaining share of the limit and x1 is the limit in calls per second.
-	config.ReportLeftIndex, config.ReportRateIndex = p.reportIndex("x0"), p.reportIndex("x1")
+	config.ReportRemainingIndex, config.ReportRateIndex = p.reportIndex("x0"), p.reportIndex("x1")
 	config.Classes = p.classes()
 	config.EndpointTypes = p.endpointTypes()
 	for i := range p.count("tenants.count") {
--- a/server/admin.go
+++ b/server/admin.go
@@ -61,7 +61,7 @@
 	}
 	out, err := maintenance.Read(r.deployment.Spool, r.deployment.Name)
 	if err != nil {
-		r.log.Error("disabled endpoints cannot be read: all are enabled", "file", maintenance.Name, "error", err)
+		r.log.Error("disabled endpoints cannot be read: all are enabled", "file", maintenance.FileName, "error", err)
 	}
 	for _, id := range out {
 		o.disabled[id] = true
--- a/server/quota.go
+++ b/server/quota.go
@@ -66,7 +66,7 @@
 		return
 	}
 	s.demandsAt = s.now + demandsInterval
-	if d, ok := s.dispatcher.(dispatch.Demander); ok {
+	if d, ok := s.dispatcher.(dispatch.DemandReporter); ok {
 		all := d.Demands()
 		s.demands.Store(&all)
 	}
--- a/server/shadow.go
+++ b/server/shadow.go
@@ -18,7 +18,7 @@
 	loggedCount int             // decisions compared by then
 }
 
-var differences = [dispatch.Differences]string{dispatch.OtherEndpoint: "elsewhere", dispatch.SentEarlier: "sooner", dispatch.SentLater: "later",
+var differences = [dispatch.DifferenceCount]string{dispatch.OtherEndpoint: "elsewhere", dispatch.SentEarlier: "sooner", dispatch.SentLater: "later",
 	dispatch.RejectedOnly: "bounced", dispatch.FailedOnly: "terminated", dispatch.StillQueued: "kept", dispatch.CanceledOnly: "called_off",
 	dispatch.StillAwaited: "waited_for", dispatch.OtherRetryAfter: "advised"}
 
--- a/testbed/scale/reloads.go
+++ b/testbed/scale/reloads.go
@@ -314,17 +314,17 @@
 
 // listText is discovery's list as it is sent.
 type listText struct {
-	Seq   int64           `json:"seq"`
-	Whole bool            `json:"whole"`
-	Hosts []protocol.Host `json:"hosts"`
+	Seq   int64               `json:"seq"`
+	Whole bool                `json:"whole"`
+	Hosts []protocol.Endpoint `json:"hosts"`
 }
 
 // listedHosts are so many endpoints, each of a destination of its own.
-func listedHosts(n int) []protocol.Host {
-	hosts := make([]protocol.Host, 0, n)
+func listedHosts(n int) []protocol.Endpoint {
+	hosts := make([]protocol.Endpoint, 0, n)
 	for i := range n {
-		hosts = append(hosts, protocol.Host{Host: fmt.Sprintf("e%d-0", i), Dial: fmt.Sprintf("10.%d.%d.%d:8080", i>>16&255, i>>8&255, i&255),
-			Zone: listedZone, Kind: listedKind, Dest: i, Health: protocol.InService, Rate: 50})
+		hosts = append(hosts, protocol.Endpoint{Host: fmt.Sprintf("e%d-0", i), Address: fmt.Sprintf("10.%d.%d.%d:8080", i>>16&255, i>>8&255, i&255),
+			Zone: listedZone, EndpointType: listedKind, Destination: i, Health: protocol.InService, Rate: 50})
 	}
 	return hosts
 }
