--- a/admin/golden_test.go
+++ b/admin/golden_test.go
@@ -13,46 +13,47 @@
 	"pineport/testbed/golden"
 )
 
-// recordedCourier answers every call with all that it could say.
-type recordedCourier struct{}
+// fixedCourier returns metrics with every field filled and knows every endpoint except "unknown".
+type fixedCourier struct{}
 
-func (recordedCourier) Serving() bool { return true }
+func (fixedCourier) Serving() bool { return true }
 
-func (recordedCourier) Metrics() *Metrics {
-	var f Metrics
-	golden.Fill(&f)
-	return &f
+func (fixedCourier) Metrics() *Metrics {
+	var metrics Metrics
+	golden.Fill(&metrics)
+	return &metrics
 }
 
-func (recordedCourier) Execute(_ context.Context, what Command) error {
-	if m, ok := what.(SetDisabled); ok && m.Endpoint == "unknown" {
+func (fixedCourier) Execute(_ context.Context, command Command) error {
+	if disable, ok := command.(SetDisabled); ok && disable.Endpoint == "unknown" {
 		return ErrUnknownEndpoint
 	}
 	return nil
 }
 
-// TestPagesAreAsRecorded: status and text of each call, without and with a courier behind the address.
-func TestPagesAreAsRecorded(t *testing.T) {
-	golden.Tagged(t, Metrics{})
+// TestResponsesMatchGolden compares the status, content type and body of each response with the golden file, before and
+// after SetCourier.
+func TestResponsesMatchGolden(t *testing.T) {
+	golden.Tagged(t, Metrics{}) // every field has a JSON name
 	var pages strings.Builder
 	s := &Server{log: slog.New(slog.DiscardHandler)}
 	handler := s.handler()
-	look := func(method, path string) {
+	record := func(method, path string) {
 		w := httptest.NewRecorder()
 		handler.ServeHTTP(w, httptest.NewRequest(method, path, nil))
 		body, _ := io.ReadAll(w.Result().Body)
 		fmt.Fprintf(&pages, "%s %s: %d %s\n%s", method, path, w.Code, w.Header().Get("Content-Type"), body)
 	}
-	for _, courier := range []Courier{nil, recordedCourier{}} {
+	for _, courier := range []Courier{nil, fixedCourier{}} {
 		if courier != nil {
 			s.SetCourier(courier)
 		}
 		fmt.Fprintf(&pages, "with a courier: %v\n", courier != nil)
 		for _, path := range []string{"/status", "/status/metrics", "/peers", "/commons", "/nonsense", "/status/"} {
-			look(http.MethodGet, path)
+			record(http.MethodGet, path)
 		}
 		for _, path := range []string{"/maintenance/enter/s-1", "/maintenance/exit/s-1", "/maintenance/enter/unknown", "/standby", "/active", "/peers/gone/n1"} {
-			look(http.MethodPost, path)
+			record(http.MethodPost, path)
 		}
 	}
 	golden.Check(t, "pages.golden", []byte(pages.String()))
--- a/cmd/pineport/tools_test.go
+++ b/cmd/pineport/tools_test.go
@@ -48,7 +48,7 @@
 		{"config check " + odd, "limits.memory_mb?", ""},
 		{"config check --strict " + odd, "", "limits.memory_md: no such key"},
 		{"config check " + bad, "", "settings.family-info.slots: a count from 1"},
-		{"config check " + late, "", "slo-s: not after deadline-s"},
+		{"config check " + late, "", "slo-s: must not exceed deadline-s"},
 		{"config check " + good + " --set peers.key=abc", "", "peers.key: 16, 24 or 32 bytes"},
 		{"config check " + good + " --set peers.through=1.2.3.4:5", "", "peers.through: address:port=address:port"},
 		{"config check " + next + " --against " + good, "waits for the next start", ""},
@@ -69,8 +69,8 @@
 		}
 	}
 	out, err := tool("config", "check", next, "--against", good, "--output", "json")
-	var plans []config.Plan
-	if err != nil || json.Unmarshal([]byte(out), &plans) != nil || len(plans) != 2 || plans[0].TakeOver || !plans[1].TakeOver {
+	var plans []config.KeyChange
+	if err != nil || json.Unmarshal([]byte(out), &plans) != nil || len(plans) != 2 || plans[0].AppliesNow || !plans[1].AppliesNow {
 		t.Errorf("%v %s", err, out)
 	}
 }
--- a/modelcheck/modelcheck_test.go
+++ b/modelcheck/modelcheck_test.go
@@ -2,15 +2,15 @@
 
 import "testing"
 
-func TestOrdersAreAllAndOnce(t *testing.T) {
+func TestOrdersVisitsEverySequence(t *testing.T) {
 	seen := map[[3]int]bool{}
-	Orders(3, 4, func(order []int) bool {
-		seen[[3]int(order)] = true
+	ForEachSequence(3, 4, func(sequence []int) bool {
+		seen[[3]int(sequence)] = true
 		return true
 	})
 	if n := 0; len(seen) != 64 {
-		t.Errorf("%d of 64 orders", len(seen))
-	} else if Orders(3, 4, func([]int) bool { n++; return n < 5 }); n != 5 {
-		t.Errorf("went on for %d", n)
+		t.Errorf("visited %d of 64 sequences", len(seen))
+	} else if ForEachSequence(3, 4, func([]int) bool { n++; return n < 5 }); n != 5 {
+		t.Errorf("got %d visits, want 5: visit returned false at the fifth", n)
 	}
 }
