--- a/membership/gossip/gossip.go
+++ b/membership/gossip/gossip.go
@@ -1,5 +1,6 @@
-// Package gossip carries what a fleet's couriers say of one another: hashicorp/memberlist detects, membership decides, and
-// this joins the two with a clock, a network and a log. Nothing here is on a message's way, and nothing waits for it.
+// Package gossip runs the membership protocol of a fleet of couriers. It connects hashicorp/memberlist, which detects failures,
+// to package membership, which decides, and adds the clock, the network and the log. No message passes through this package,
+// and message delivery never waits for it.
 package gossip
 
 import (
@@ -22,36 +23,36 @@
 	"pineport/membership"
 )
 
-// Options are what a member is notified.
+// Options configure a Member.
 type Options struct {
 	Name        string
 	Incarnation uint64
-	FleetSize   int // of the fleet, as the settings say
-	Fleet       string
+	FleetSize   int    // configured number of couriers in the fleet
+	Fleet       string // name of the fleet; packets of other fleets are ignored
 	Zone        string
 	Listen      string
-	Advertise   string // where others reach it, if not at Listen
-	Join        []string
-	Through     map[string]string
-	Key         string // hex, of 16, 24 or 32 bytes; empty: none
-	Interval    time.Duration
+	Advertise   string            // address at which other members reach this one; empty: Listen
+	Join        []string          // addresses of members to join
+	Through     map[string]string // address to dial instead of a member's own address, by that address
+	Key         string            // hex encoding of the 16, 24 or 32 byte encryption key; empty: no encryption
+	Interval    time.Duration     // between two probes of the detector; default 1 s
 	Seed        int64
 	Log         *slog.Logger
-	// StoreIncarnation writes a start's number down, before it is used.
-	StoreIncarnation func(start uint64) error
-	// SizeEstimated is notified how many couriers the decisions are to count on. It must not wait.
+	// StoreIncarnation stores the incarnation of this courier before it is announced.
+	StoreIncarnation func(incarnation uint64) error
+	// SizeEstimated receives the fleet size that the dispatcher has to use. It must not block.
 	SizeEstimated func(couriers int)
-	// Receive is notified what others said with Send. It must not wait.
+	// Receive receives the data that another member sent with Member.Send. It must not block.
 	Receive func(text []byte)
-	// Transport stands in for sockets, in tests.
+	// Transport replaces the UDP and TCP sockets in tests.
 	Transport memberlist.Transport
 }
 
-// Version of what is said beside the detector's own words. Unknown fields are passed over; a later version that may not be
-// read by this one would take another number.
+// Version is the version of the data that is exchanged in addition to the detector's own messages. Receivers ignore unknown
+// fields. An incompatible format needs a new version number.
 const Version = 1
 
-// tag is what a member says of itself in every word on it.
+// metadata is the metadata that memberlist distributes with each member.
 type metadata struct {
 	Version     int    `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
@@ -59,14 +60,15 @@
 	Leaving     bool   `cbor:"4,keyasint,omitempty"`
 }
 
-// state is what two members tell each other in full, now and then.
+// pushPullState is the full state that two members exchange periodically.
 type pushPullState struct {
 	Version      int               `cbor:"1,keyasint"`
 	From         string            `cbor:"2,keyasint"`
 	Incarnations map[string]uint64 `cbor:"3,keyasint,omitempty"`
 }
 
-// name conflict tells a courier that another one of its name is there: who hears of both tells the older start.
+// nameConflict notifies a courier that another courier with its name and a newer incarnation is in the fleet. A member that
+// sees both sends it to the courier with the older incarnation.
 type nameConflict struct {
 	Version     int    `cbor:"1,keyasint"`
 	Name        string `cbor:"2,keyasint"`
@@ -74,19 +76,19 @@
 	Address     string `cbor:"4,keyasint"`
 }
 
-// parcel carries what a part beside membership says. An earlier version passes it over.
+// userPacket carries data of another package, see Member.Send. Versions that do not know it ignore it.
 type userPacket struct {
 	Version int    `cbor:"1,keyasint"`
 	Quota   []byte `cbor:"9,keyasint"`
 }
 
 const (
-	queueSize    = 1024 // words that wait for the view; a lost one comes again, from the detector's list
-	maxNameBytes = 128  // bytes of a name
-	ticks        = 5    // a pace has so many
-	maxProbes    = 4    // suspected members that are asked at once
-	// againTicks is how often the detector's list is held against the view, lost words or not.
-	resyncTicks  = 10 * ticks
+	eventQueueSize   = 1024 // events waiting for run; resync recovers dropped ones from the detector's member list
+	maxNameBytes     = 128  // maximum length of the name, zone or address of a member
+	ticksPerInterval = 5    // Tick events per Options.Interval
+	maxProbes        = 4    // suspected members that one resync probes
+	// resyncTicks is the number of ticks between two resyncs if no event was dropped.
+	resyncTicks  = 10 * ticksPerInterval
 	leaveTimeout = 500 * time.Millisecond
 )
 
@@ -98,29 +100,29 @@
 	return mode
 }()
 
-// Member is this courier in its fleet.
+// Member is this courier as a member of its fleet.
 type Member struct {
-	options        Options
-	log            *slog.Logger
-	list           *memberlist.Memberlist
-	sockets        *sockets // nil: another transport
-	membership     *membership.Membership
-	events         chan membership.Event
-	startedAt      time.Time
-	incarnation    atomic.Uint64
-	leaving        atomic.Bool
-	steppedDown    atomic.Bool
-	lostEvents     atomic.Int64
-	snapshot       atomic.Pointer[membership.Snapshot]
-	incarnations   atomic.Pointer[map[membership.Name]membership.Incarnation]
-	changes        map[string]int64 // by the state that was reached; the loop's
-	countedChanges atomic.Pointer[map[string]int64]
-	stop           context.CancelFunc
-	done           sync.WaitGroup
-	end            sync.Once
-}
-
-// Open joins the fleet. Members that cannot be reached are tried again, with pauses.
+	options          Options
+	log              *slog.Logger
+	list             *memberlist.Memberlist
+	sockets          *socketTransport // nil if Options.Transport is set
+	membership       *membership.Membership
+	events           chan membership.Event
+	startedAt        time.Time
+	incarnation      atomic.Uint64
+	leaving          atomic.Bool
+	steppedDown      atomic.Bool
+	lostEvents       atomic.Int64
+	snapshot         atomic.Pointer[membership.Snapshot]
+	incarnations     atomic.Pointer[map[membership.Name]membership.Incarnation]
+	stateChanges     map[string]int64 // transitions of members by new state; only run uses it
+	publishedChanges atomic.Pointer[map[string]int64]
+	cancel           context.CancelFunc
+	wg               sync.WaitGroup
+	closeOnce        sync.Once
+}
+
+// Open starts a member and joins the fleet in the background. It retries members that it cannot reach, with increasing delays.
 func Open(o Options) (*Member, error) {
 	if o.Interval == 0 {
 		o.Interval = time.Second
@@ -129,17 +131,17 @@
 		o.Log = slog.New(slog.DiscardHandler)
 	}
 	if len(o.Name) == 0 || len(o.Name) > maxNameBytes {
-		return nil, fmt.Errorf("peers: a name of 1 to %d bytes was expected", maxNameBytes)
+		return nil, fmt.Errorf("peers: name must have 1 to %d bytes", maxNameBytes)
 	}
 	key, err := hex.DecodeString(o.Key)
 	if err != nil || len(key) != 0 && len(key) != 16 && len(key) != 24 && len(key) != 32 {
-		return nil, fmt.Errorf("peers.key: 16, 24 or 32 bytes in hex were expected")
+		return nil, fmt.Errorf("peers.key: expected 16, 24 or 32 bytes in hex")
 	}
-	member := &Member{options: o, log: o.Log, events: make(chan membership.Event, queueSize), startedAt: clock.Instant(), changes: map[string]int64{}}
+	member := &Member{options: o, log: o.Log, events: make(chan membership.Event, eventQueueSize), startedAt: clock.Instant(), stateChanges: map[string]int64{}}
 	member.incarnation.Store(o.Incarnation)
-	member.membership = membership.New(membership.Config{Self: membership.Name(o.Name), Incarnation: membership.Incarnation(o.Incarnation), FleetSize: o.FleetSize, Tick: dispatch.Micros((o.Interval / ticks).Microseconds()), Seed: o.Seed})
+	member.membership = membership.New(membership.Config{Self: membership.Name(o.Name), Incarnation: membership.Incarnation(o.Incarnation), FleetSize: o.FleetSize, Tick: dispatch.Micros((o.Interval / ticksPerInterval).Microseconds()), Seed: o.Seed})
 	member.publish()
-	c := member.settings(key)
+	c := member.memberlistConfig(key)
 	if o.Transport == nil {
 		if member.sockets, err = listen(o.Listen, o.Advertise, o.Through); err != nil {
 			return nil, fmt.Errorf("peers.listen: %w", err)
@@ -153,32 +155,33 @@
 		return nil, fmt.Errorf("peers: %w", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	member.stop = cancel
-	member.done.Add(2)
+	member.cancel = cancel
+	member.wg.Add(2)
 	go member.run(ctx)
 	go member.join(ctx)
 	return member, nil
 }
 
-func (m *Member) settings(key []byte) *memberlist.Config {
+func (m *Member) memberlistConfig(key []byte) *memberlist.Config {
 	c := memberlist.DefaultLANConfig()
 	c.Name, c.Label, c.Transport = m.options.Name, m.options.Fleet, m.options.Transport
 	c.ProbeInterval, c.ProbeTimeout, c.GossipInterval = m.options.Interval, m.options.Interval/2, m.options.Interval/5
 	c.PushPullInterval, c.GossipToTheDeadTime, c.TCPTimeout = 15*m.options.Interval, 30*m.options.Interval, 5*m.options.Interval
-	c.DeadNodeReclaimTime = m.options.Interval // a courier may come back at another address
+	c.DeadNodeReclaimTime = m.options.Interval // a restarted courier may have another address
 	c.Delegate, c.Events, c.Conflict, c.Ping = delegate{m}, delegate{m}, delegate{m}, delegate{m}
 	c.SecretKey, c.LogOutput, c.UDPBufferSize, c.EnableCompression = key, &detectorLog{member: m}, 1400, false
 	return c
 }
 
-// join seeks the members that it was notified of, until one is found, and then now and then while somebody is missing.
+// join contacts the addresses of Options.Join until one responds. While the local status is not Complete, it repeats that at
+// longer intervals, so that separated parts of the fleet merge again.
 func (m *Member) join(ctx context.Context) {
-	defer m.done.Done()
+	defer m.wg.Done()
 	wait := m.options.Interval
 	for {
 		if snapshot := m.Snapshot(); snapshot.LocalStatus != membership.Complete.String() && len(m.options.Join) > 0 && !m.steppedDown.Load() {
 			if n, err := m.list.Join(m.options.Join); n == 0 {
-				m.log.Debug("no member reached", "error", err)
+				m.log.Debug("join failed: no member reached", "error", err)
 				wait = min(2*wait, 16*m.options.Interval)
 			} else {
 				wait = 8 * m.options.Interval
@@ -192,13 +195,13 @@
 	}
 }
 
-// run is the one place that asks the view.
+// run is the event loop of the member. Only its goroutine uses m.membership.
 func (m *Member) run(ctx context.Context) {
-	defer m.done.Done()
-	tick := time.NewTicker(m.options.Interval / ticks)
+	defer m.wg.Done()
+	tick := time.NewTicker(m.options.Interval / ticksPerInterval)
 	defer tick.Stop()
-	var lost int64
-	for passed, since := 0, 0; ; {
+	var resyncedLostEvents int64
+	for ticksSincePublish, ticksSinceResync := 0, 0; ; {
 		var events []membership.Event
 		select {
 		case <-ctx.Done():
@@ -206,11 +209,12 @@
 		case e := <-m.events:
 			events = append(events, e)
 		case <-tick.C:
-			// Behind what the detector has reported already, or what came in while this process stood still would count as old.
+			// The Tick precedes the queued events. Otherwise reports that arrived while this process was paused would be
+			// handled as if they were from before the pause.
 			events = append(events, membership.Tick{})
-			passed++
-			if since++; since >= resyncTicks || m.lostEvents.Load() != lost {
-				since, lost = 0, m.lostEvents.Load()
+			ticksSincePublish++
+			if ticksSinceResync++; ticksSinceResync >= resyncTicks || m.lostEvents.Load() != resyncedLostEvents {
+				ticksSinceResync, resyncedLostEvents = 0, m.lostEvents.Load()
 				events = append(events, m.resync()...)
 			}
 		}
@@ -219,15 +223,16 @@
 		}
 		actions := m.membership.Handle(dispatch.Micros(clock.Since(m.startedAt).Microseconds())+1, events...)
 		m.carryOut(actions)
-		if len(actions) > 0 || passed >= ticks { // who answered last may be shown a pace late
-			passed = 0
+		if len(actions) > 0 || ticksSincePublish >= ticksPerInterval { // published response times may be one interval old
+			ticksSincePublish = 0
 			m.publish()
 		}
 	}
 }
 
-// again says anew where the detector's list and the view differ. Failure: the detector tells a change once, and one that found the
-// queue full was never heard of; in a storm of joins a member stayed failed for good.
+// resync returns events for the differences between the detector's member list and the membership. Incident: the detector reports
+// each change only once, and reports were dropped while the event queue was full. After many members joined at once, a member
+// remained Failed forever.
 func (m *Member) resync() (events []membership.Event) {
 	states := map[membership.Name]membership.State{}
 	for _, member := range m.Snapshot().Members {
@@ -237,24 +242,24 @@
 		name := membership.Name(node.Name)
 		state, known := states[name]
 		delete(states, name)
-		if e, ok := m.report(node, membership.Alive); ok && (!known || state == membership.Failed || state == membership.Left) {
+		if e, ok := m.memberReport(node, membership.Alive); ok && (!known || state == membership.Failed || state == membership.Left) {
 			events = append(events, e)
 		}
 	}
-	asked := 0
+	probes := 0
 	for _, member := range m.Snapshot().Members {
-		if member.State == membership.Suspected && asked < maxProbes { // that a suspicion is over is notified to nobody: ask
-			asked++
+		if member.State == membership.Suspected && probes < maxProbes { // the detector does not report the end of a suspicion
+			probes++
 			go m.probe(member)
 		}
-		if _, missing := states[member.Name]; missing && member.State != membership.Failed && member.State != membership.Left {
+		if _, unlisted := states[member.Name]; unlisted && member.State != membership.Failed && member.State != membership.Left {
 			events = append(events, membership.MemberReported{Name: member.Name, Incarnation: member.Incarnation, State: membership.Failed, Zone: member.Zone, Address: member.Address})
 		}
 	}
 	return events
 }
 
-// ask has a member prove that it is there.
+// probe pings a member and enqueues ProbeAnswered if it responds.
 func (m *Member) probe(member membership.Member) {
 	at, err := net.ResolveUDPAddr("udp", member.Address)
 	if err != nil {
@@ -266,20 +271,20 @@
 }
 
 func (m *Member) publish() {
-	snapshot, starts, counts := m.membership.Snapshot(), m.membership.Incarnations(), map[string]int64{}
-	for k, n := range m.changes {
+	snapshot, incarnations, counts := m.membership.Snapshot(), m.membership.Incarnations(), map[string]int64{}
+	for k, n := range m.stateChanges {
 		counts[k] = n
 	}
 	m.snapshot.Store(&snapshot)
-	m.incarnations.Store(&starts)
-	m.countedChanges.Store(&counts)
+	m.incarnations.Store(&incarnations)
+	m.publishedChanges.Store(&counts)
 }
 
 func (m *Member) carryOut(actions []membership.Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
 		case membership.MemberChanged:
-			m.changes[a.To.String()]++
+			m.stateChanges[a.To.String()]++
 			m.log.Info("member state changed", "name", a.Name, "from", a.From.String(), "to", a.To.String(), "incarnation", uint64(a.Incarnation), "revoked", a.Revoked)
 		case membership.LocalStatusChanged:
 			m.log.Info("local status changed", "from", a.From.String(), "to", a.To.String())
@@ -289,31 +294,32 @@
 				m.options.SizeEstimated(a.Couriers)
 			}
 		case membership.IncarnationAdvanced:
-			m.renumber(uint64(a.Incarnation))
+			m.advanceIncarnation(uint64(a.Incarnation))
 		case membership.StepDown:
-			m.log.Error("name conflict: a newer courier of this name is in the fleet, this one steps down and delivers alone", "incarnation", uint64(a.Incarnation), "address", a.Address)
+			m.log.Error("name conflict: a courier with this name and a newer incarnation is in the fleet; leaving the fleet, messages are still delivered", "incarnation", uint64(a.Incarnation), "address", a.Address)
 			m.steppedDown.Store(true)
 			go m.stepDown()
 		}
 	}
 }
 
-// renumber keeps the number and then tells it; one that cannot be kept is notified all the same, as it is higher than any seen.
-func (m *Member) renumber(start uint64) {
+// advanceIncarnation stores a new incarnation and announces it to the fleet. It announces the incarnation even if storing fails,
+// because it is higher than any known one.
+func (m *Member) advanceIncarnation(incarnation uint64) {
 	if m.options.StoreIncarnation != nil {
-		if err := m.options.StoreIncarnation(start); err != nil {
-			m.log.Error("incarnation cannot be stored", "incarnation", start, "error", err)
+		if err := m.options.StoreIncarnation(incarnation); err != nil {
+			m.log.Error("incarnation not stored", "incarnation", incarnation, "error", err)
 		}
 	}
-	m.log.Warn("incarnation advanced", "incarnation", start)
-	m.incarnation.Store(start)
+	m.log.Warn("incarnation advanced", "incarnation", incarnation)
+	m.incarnation.Store(incarnation)
 	go m.list.UpdateNode(m.options.Interval)
 }
 
-// withdraw ends talking without a word, as the name is another's.
+// stepDown stops the member without a leave message, because the name now belongs to another courier.
 func (m *Member) stepDown() { m.list.Shutdown() }
 
-// tell puts an event before the view; the detector must not wait.
+// enqueue queues an event for run. If the queue is full it drops the event, because the detector's callbacks must not block.
 func (m *Member) enqueue(e membership.Event) {
 	select {
 	case m.events <- e:
@@ -322,27 +328,27 @@
 	}
 }
 
-// Snapshot is the view as it last stood.
+// Snapshot returns the last published state of the membership.
 func (m *Member) Snapshot() membership.Snapshot { return *m.snapshot.Load() }
 
-// Metrics count what happened, and what it took.
+// Metrics are the counters of a Member.
 type Metrics struct {
-	Changes    map[string]int64 `json:"changes"`
-	LostEvents int64            `json:"words_lost"`
-	Health     int              `json:"own_health"` // the detector's doubt in this courier itself, 0 for none
+	Changes    map[string]int64 `json:"changes"`    // state transitions of members, by new state
+	LostEvents int64            `json:"words_lost"` // events dropped because the queue was full
+	Health     int              `json:"own_health"` // memberlist's health score of this courier, 0 is healthy
 	Network    Counts           `json:"network"`
 }
 
-// Metrics are the counts as they stand.
+// Metrics returns the current counters.
 func (m *Member) Metrics() Metrics {
-	f := Metrics{Changes: *m.countedChanges.Load(), LostEvents: m.lostEvents.Load(), Health: m.list.GetHealthScore()}
+	metrics := Metrics{Changes: *m.publishedChanges.Load(), LostEvents: m.lostEvents.Load(), Health: m.list.GetHealthScore()}
 	if m.sockets != nil {
-		f.Network = m.sockets.counts.read()
+		metrics.Network = m.sockets.counters.load()
 	}
-	return f
+	return metrics
 }
 
-// Send has a member hear some bytes, in one packet that may be lost.
+// Send sends data to a member in one UDP packet, which may be lost.
 func (m *Member) Send(to string, text []byte) error {
 	for _, node := range m.list.Members() {
 		if node.Name != to {
@@ -354,52 +360,52 @@
 		}
 		return m.list.SendBestEffort(node, packet)
 	}
-	return fmt.Errorf("peers: no member has the name %q", to)
+	return fmt.Errorf("peers: unknown member %q", to)
 }
 
-// FleetResized tells that the settings name another number of couriers.
+// FleetResized sets the configured number of couriers.
 func (m *Member) FleetResized(couriers int) { m.enqueue(membership.FleetResized{FleetSize: couriers}) }
 
-// Remove tells that a member will not come back, as an operator says.
+// Remove marks a member as left, because an operator declared that it will not return. It has no effect on an alive member.
 func (m *Member) Remove(name string) {
 	m.enqueue(membership.MemberRemoved{Name: membership.Name(name)})
 }
 
-// Members are the addresses of those heard, for a process that takes over.
-func (m *Member) Members() (at []string) {
+// Members returns the addresses of all other known members that have not left, for a successor process.
+func (m *Member) Members() (addresses []string) {
 	for _, member := range m.Snapshot().Members {
 		if member.State != membership.Left && member.Address != "" {
-			at = append(at, member.Address)
+			addresses = append(addresses, member.Address)
 		}
 	}
-	return at
+	return addresses
 }
 
-// Incarnation is the number of this start.
+// Incarnation returns the current incarnation of this courier.
 func (m *Member) Incarnation() uint64 { return m.incarnation.Load() }
 
-// Leave says that this courier goes, and ends.
+// Leave announces that this courier leaves the fleet, and stops the member.
 func (m *Member) Leave() {
-	m.end.Do(func() {
+	m.closeOnce.Do(func() {
 		if !m.steppedDown.Load() {
 			m.leaving.Store(true)
 			m.list.UpdateNode(leaveTimeout)
 			m.list.Leave(leaveTimeout)
 		}
-		m.quit()
+		m.shutdown()
 	})
 }
 
-// HandOff ends without a word: another process of this courier goes on as the same member.
-func (m *Member) HandOff() { m.end.Do(m.quit) }
+// HandOff stops the member without a leave message: a successor process of this courier continues as the same member.
+func (m *Member) HandOff() { m.closeOnce.Do(m.shutdown) }
 
-func (m *Member) quit() {
-	m.stop()
+func (m *Member) shutdown() {
+	m.cancel()
 	m.list.Shutdown()
-	m.done.Wait()
+	m.wg.Wait()
 }
 
-// delegate is what the detector calls.
+// delegate implements the callbacks of memberlist.
 type delegate struct{ m *Member }
 
 func (d delegate) NodeMeta(limit int) []byte {
@@ -410,7 +416,7 @@
 	return text
 }
 
-// NotifyMsg takes word of a name conflict, and what is carried for others.
+// NotifyMsg receives the data of Member.Send and notifications of name conflicts.
 func (d delegate) NotifyMsg(text []byte) {
 	var p userPacket
 	if decoder.Unmarshal(text, &p) == nil && p.Version == Version && len(p.Quota) > 0 {
@@ -429,8 +435,8 @@
 
 func (d delegate) LocalState(bool) []byte {
 	s := pushPullState{Version: Version, From: d.m.options.Name, Incarnations: map[string]uint64{}}
-	for name, start := range *d.m.incarnations.Load() {
-		s.Incarnations[string(name)] = uint64(start)
+	for name, incarnation := range *d.m.incarnations.Load() {
+		s.Incarnations[string(name)] = uint64(incarnation)
 	}
 	text, err := cbor.Marshal(s)
 	if err != nil {
@@ -444,21 +450,22 @@
 	if decoder.Unmarshal(text, &s) != nil || s.Version != Version || len(s.From) > maxNameBytes {
 		return
 	}
-	if start, ok := s.Incarnations[d.m.options.Name]; ok {
-		d.m.enqueue(membership.IncarnationReported{Incarnation: membership.Incarnation(start)})
+	if incarnation, ok := s.Incarnations[d.m.options.Name]; ok {
+		d.m.enqueue(membership.IncarnationReported{Incarnation: membership.Incarnation(incarnation)})
 	}
 	d.m.enqueue(membership.ProbeAnswered{Name: membership.Name(s.From)})
 }
 
-// heard makes a word of the view's out of one of the detector's.
-func (d delegate) report(node *memberlist.Node, state membership.State) {
-	if e, ok := d.m.report(node, state); ok {
+// enqueueReport enqueues a report of the detector as an event of the membership.
+func (d delegate) enqueueReport(node *memberlist.Node, state membership.State) {
+	if e, ok := d.m.memberReport(node, state); ok {
 		d.m.enqueue(e)
 	}
 }
 
-// word is what a member of the detector's list is to the view, unless it makes no sense or is this courier.
-func (m *Member) report(node *memberlist.Node, state membership.State) (membership.MemberReported, bool) {
+// memberReport converts an entry of the detector's member list to an event. It returns false for this courier itself and for
+// entries with malformed metadata or with a name or zone that is too long.
+func (m *Member) memberReport(node *memberlist.Node, state membership.State) (membership.MemberReported, bool) {
 	var t metadata
 	if node.Name == m.options.Name || decoder.Unmarshal(node.Meta, &t) != nil || len(node.Name) > maxNameBytes || len(t.Zone) > maxNameBytes {
 		return membership.MemberReported{}, false
@@ -469,25 +476,25 @@
 	return membership.MemberReported{Name: membership.Name(node.Name), Incarnation: membership.Incarnation(t.Incarnation), State: state, Zone: t.Zone, Address: node.Address()}, true
 }
 
-func (d delegate) NotifyJoin(node *memberlist.Node)   { d.report(node, membership.Alive) }
-func (d delegate) NotifyUpdate(node *memberlist.Node) { d.report(node, membership.Alive) }
-func (d delegate) NotifyLeave(node *memberlist.Node)  { d.report(node, membership.Failed) }
+func (d delegate) NotifyJoin(node *memberlist.Node)   { d.enqueueReport(node, membership.Alive) }
+func (d delegate) NotifyUpdate(node *memberlist.Node) { d.enqueueReport(node, membership.Alive) }
+func (d delegate) NotifyLeave(node *memberlist.Node)  { d.enqueueReport(node, membership.Failed) }
 
 func (d delegate) NotifyConflict(existing, other *memberlist.Node) {
-	var here, there metadata
-	if decoder.Unmarshal(existing.Meta, &here) != nil || decoder.Unmarshal(other.Meta, &there) != nil {
+	var existingMetadata, otherMetadata metadata
+	if decoder.Unmarshal(existing.Meta, &existingMetadata) != nil || decoder.Unmarshal(other.Meta, &otherMetadata) != nil {
 		return
 	}
 	if other.Name == d.m.options.Name {
-		d.m.enqueue(membership.NameConflict{Incarnation: membership.Incarnation(there.Incarnation), Address: other.Address()})
+		d.m.enqueue(membership.NameConflict{Incarnation: membership.Incarnation(otherMetadata.Incarnation), Address: other.Address()})
 		return
 	}
-	older, younger, start := *existing, *other, there.Incarnation
-	if here.Incarnation > there.Incarnation {
-		older, younger, start = *other, *existing, here.Incarnation
+	older, newer, newerIncarnation := *existing, *other, otherMetadata.Incarnation
+	if existingMetadata.Incarnation > otherMetadata.Incarnation {
+		older, newer, newerIncarnation = *other, *existing, existingMetadata.Incarnation
 	}
-	text, err := cbor.Marshal(nameConflict{Version, other.Name, start, younger.Address()})
-	if err == nil { // the detector is not to wait
+	text, err := cbor.Marshal(nameConflict{Version, other.Name, newerIncarnation, newer.Address()})
+	if err == nil { // in a goroutine, because memberlist's callbacks must not block
 		go d.m.list.SendToAddress(memberlist.Address{Addr: older.Address(), Name: older.Name}, text)
 	}
 }
@@ -497,26 +504,26 @@
 	d.m.enqueue(membership.ProbeAnswered{Name: membership.Name(other.Name)})
 }
 
-// words is the detector's log. Whom it suspects stands nowhere else; should the line change, nobody is shown as suspected
-// until given up.
+// detectorLog receives memberlist's log. memberlist reports suspicions only there. If a later version words the line differently,
+// members go from Alive to Failed without being shown as Suspected.
 type detectorLog struct{ member *Member }
 
-func (w *detectorLog) Write(line []byte) (int, error) {
+func (d *detectorLog) Write(line []byte) (int, error) {
 	text := string(line)
 	if _, rest, ok := strings.Cut(text, "memberlist: Suspect "); ok {
 		if name, _, ok := strings.Cut(rest, " has failed"); ok {
-			w.member.suspect(membership.Name(name))
+			d.member.enqueueSuspicion(membership.Name(name))
 		}
 	}
 	level := slog.LevelDebug
 	if strings.Contains(text, "[ERR]") {
 		level = slog.LevelInfo
 	}
-	w.member.log.Log(context.Background(), level, "detector", "says", strings.TrimSpace(text))
+	d.member.log.Log(context.Background(), level, "detector", "says", strings.TrimSpace(text))
 	return len(line), nil
 }
 
-func (m *Member) suspect(name membership.Name) {
+func (m *Member) enqueueSuspicion(name membership.Name) {
 	for _, member := range m.Snapshot().Members {
 		if member.Name == name && (member.State == membership.Alive || member.State == membership.Unknown) {
 			m.enqueue(membership.MemberReported{Name: name, Incarnation: member.Incarnation, State: membership.Suspected, Zone: member.Zone, Address: member.Address})
--- a/membership/gossip/gossip_test.go
+++ b/membership/gossip/gossip_test.go
@@ -17,15 +17,15 @@
 
 // fleet is members in virtual time.
 type fleet struct {
-	t       *testing.T
-	mesh    *netfault.Mesh
-	members []*Member
-	starts  []uint64
+	t            *testing.T
+	mesh         *netfault.Mesh
+	members      []*Member
+	incarnations []uint64
 }
 
-func (f *fleet) begin(i int) {
-	f.starts[i]++
-	member, err := Open(Options{Name: fmt.Sprintf("n%d", i), Incarnation: f.starts[i], FleetSize: len(f.members), Join: []string{f.mesh.At(0), f.mesh.At((i + 1) % len(f.members))},
+func (f *fleet) start(i int) {
+	f.incarnations[i]++
+	member, err := Open(Options{Name: fmt.Sprintf("n%d", i), Incarnation: f.incarnations[i], FleetSize: len(f.members), Join: []string{f.mesh.At(0), f.mesh.At((i + 1) % len(f.members))},
 		Seed: int64(i), Transport: f.mesh.Join(i)})
 	if err != nil {
 		f.t.Fatal(err)
@@ -33,15 +33,15 @@
 	f.members[i] = member
 }
 
-func begin(t *testing.T, n int, seed int64) *fleet {
-	f := &fleet{t: t, mesh: netfault.NewMesh(n+1, seed), members: make([]*Member, n), starts: make([]uint64, n)}
+func startFleet(t *testing.T, n int, seed int64) *fleet {
+	f := &fleet{t: t, mesh: netfault.NewMesh(n+1, seed), members: make([]*Member, n), incarnations: make([]uint64, n)}
 	for i := range n {
-		f.begin(i)
+		f.start(i)
 	}
 	return f
 }
 
-func (f *fleet) end() {
+func (f *fleet) stop() {
 	for _, member := range f.members {
 		member.HandOff()
 	}
@@ -49,27 +49,27 @@
 }
 
 // settle waits for a state of all but some, and returns how long that took.
-func (f *fleet) settle(within time.Duration, all func(i int, member *Member) bool, but ...int) time.Duration {
+func (f *fleet) settle(within time.Duration, condition func(i int, member *Member) bool, except ...int) time.Duration {
 	f.t.Helper()
-	begun := time.Now()
-	for time.Since(begun) < within {
+	startedAt := time.Now()
+	for time.Since(startedAt) < within {
 		ok := true
 		for i, member := range f.members {
 			skip := false
-			for _, b := range but {
+			for _, b := range except {
 				skip = skip || b == i
 			}
-			ok = ok && (skip || all(i, member))
+			ok = ok && (skip || condition(i, member))
 		}
 		if ok {
-			return time.Since(begun)
+			return time.Since(startedAt)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	notified := 0
+	reported := 0
 	for i, member := range f.members {
-		if snapshot := member.Snapshot(); !all(i, member) && notified < 8 {
-			notified++
+		if snapshot := member.Snapshot(); !condition(i, member) && reported < 8 {
+			reported++
 			f.t.Errorf("n%d, start %d: %s, %d to %d couriers, %d words lost", i, member.Incarnation(), snapshot.LocalStatus, snapshot.MinCouriers, snapshot.MaxCouriers, member.Metrics().LostEvents)
 			for _, o := range snapshot.Members {
 				if o.State != membership.Alive {
@@ -82,7 +82,7 @@
 	return 0
 }
 
-func whole(_ int, member *Member) bool {
+func isComplete(_ int, member *Member) bool {
 	return member.Snapshot().LocalStatus == membership.Complete.String()
 }
 
@@ -95,18 +95,18 @@
 	return membership.Unknown
 }
 
-// TestFaultsFromSeeds: whatever faults the network, once it is over all know of all again, nobody counted fewer meanwhile,
+// TestRecoveryFromRandomFaults: whatever faults the network, once it is over all know of all again, nobody counted fewer meanwhile,
 // and no part of the fleet took the rest for gone.
-func TestFaultsFromSeeds(t *testing.T) {
+func TestRecoveryFromRandomFaults(t *testing.T) {
 	seeds, n := 12, 24
 	if s, err := strconv.Atoi(os.Getenv("PINEPORT_SEEDS")); err == nil {
 		seeds = s
 	}
 	for seed := range seeds {
 		synctest.Test(t, func(t *testing.T) {
-			f := begin(t, n, int64(seed))
-			defer f.end()
-			f.settle(2*time.Minute, whole)
+			f := startFleet(t, n, int64(seed))
+			defer f.stop()
+			f.settle(2*time.Minute, isComplete)
 			for _, fault := range netfault.Draw(int64(seed), 4, n, 120) {
 				end := f.mesh.Begin(fault)
 				for range int(fault.Length * 10) {
@@ -121,33 +121,33 @@
 					t.Errorf("seed %d: %v", seed, err)
 				}
 			}
-			f.settle(3*time.Minute, whole)
+			f.settle(3*time.Minute, isComplete)
 		})
 	}
 }
 
-// TestThreeHundred: three hundred members find each other; a tenth dies, is known to be dead, and comes back.
-func TestThreeHundred(t *testing.T) {
+// TestFailuresInFleetOf300: three hundred members find each other; a tenth dies, is known to be dead, and comes back.
+func TestFailuresInFleetOf300(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := 300
-		f := begin(t, n, 1)
-		defer f.end()
-		t.Logf("whole after %v", f.settle(3*time.Minute, whole))
+		f := startFleet(t, n, 1)
+		defer f.stop()
+		t.Logf("whole after %v", f.settle(3*time.Minute, isComplete))
 		var dead []int
 		for i := 0; i < n; i += 10 {
 			dead = append(dead, i)
 			f.mesh.Drop(i)
 			f.members[i].HandOff()
 		}
-		took := f.settle(3*time.Minute, func(_ int, member *Member) bool {
+		detectionTime := f.settle(3*time.Minute, func(_ int, member *Member) bool {
 			snapshot := member.Snapshot()
 			return snapshot.MinCouriers == n-len(dead) && snapshot.MaxCouriers == n
 		}, dead...)
-		t.Logf("thirty deaths known by all after %v", took)
+		t.Logf("thirty deaths known by all after %v", detectionTime)
 		for _, i := range dead {
-			f.begin(i)
+			f.start(i)
 		}
-		t.Logf("whole again after %v", f.settle(3*time.Minute, whole))
+		t.Logf("whole again after %v", f.settle(3*time.Minute, isComplete))
 	})
 }
 
@@ -155,25 +155,25 @@
 func TestPartitionAndHeal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := 9
-		f := begin(t, n, 3)
-		defer f.end()
-		f.settle(time.Minute, whole)
+		f := startFleet(t, n, 3)
+		defer f.stop()
+		f.settle(time.Minute, isComplete)
 		for _, side := range [][]int{{0, 1, 2}, {3, 4, 5}} {
 			end := f.mesh.Begin(netfault.Fault{Kind: "cut", From: side})
 			f.settle(time.Minute, func(i int, member *Member) bool {
 				snapshot := member.Snapshot()
-				inside := 6
+				sideSize := 6
 				for _, s := range side {
 					if s == i {
-						inside = 3
+						sideSize = 3
 					}
 				}
-				return snapshot.MinCouriers == inside && snapshot.MaxCouriers == n && snapshot.LocalStatus == membership.Partial.String()
+				return snapshot.MinCouriers == sideSize && snapshot.MaxCouriers == n && snapshot.LocalStatus == membership.Partial.String()
 			})
 			if err := end(); err != nil {
 				t.Error(err)
 			}
-			f.settle(2*time.Minute, whole)
+			f.settle(2*time.Minute, isComplete)
 		}
 	})
 }
@@ -181,9 +181,9 @@
 // TestOneWay: A hears B, B hears C, C hears A only. Nobody is counted fewer, and it heals.
 func TestOneWay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := begin(t, 3, 5)
-		defer f.end()
-		f.settle(time.Minute, whole)
+		f := startFleet(t, 3, 5)
+		defer f.stop()
+		f.settle(time.Minute, isComplete)
 		var ends []func() error
 		for _, p := range [][2]int{{0, 1}, {1, 2}, {2, 0}} {
 			ends = append(ends, f.mesh.Begin(netfault.Fault{Kind: "one-way", From: p[:1], To: p[1:]}))
@@ -197,20 +197,20 @@
 		for _, end := range ends {
 			end()
 		}
-		f.settle(2*time.Minute, whole)
+		f.settle(2*time.Minute, isComplete)
 	})
 }
 
 // TestLeaveAndReturn: who leaves by word is not taken for dead, and is back with its next start alone.
 func TestLeaveAndReturn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := begin(t, 5, 7)
-		defer f.end()
-		f.settle(time.Minute, whole)
+		f := startFleet(t, 5, 7)
+		defer f.stop()
+		f.settle(time.Minute, isComplete)
 		f.members[2].Leave()
 		f.settle(time.Minute, func(_ int, member *Member) bool { return stateOf(member, "n2") == membership.Left }, 2)
-		f.begin(2)
-		f.settle(time.Minute, whole)
+		f.start(2)
+		f.settle(time.Minute, isComplete)
 		for i, member := range f.members {
 			if member.Snapshot().Revoked != 0 {
 				t.Errorf("n%d believed in a death", i)
@@ -223,19 +223,19 @@
 // name the older start steps down.
 func TestStaleIncarnationAndNameConflict(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := begin(t, 5, 9)
-		defer f.end()
-		f.settle(time.Minute, whole)
+		f := startFleet(t, 5, 9)
+		defer f.stop()
+		f.settle(time.Minute, isComplete)
 		for range 3 { // its number grows to 4
 			f.members[1].Leave()
-			f.begin(1)
-			f.settle(time.Minute, whole)
+			f.start(1)
+			f.settle(time.Minute, isComplete)
 		}
 		f.mesh.Drop(1)
 		f.members[1].HandOff()
-		f.starts[1] = 0 // the folder is an older copy
-		f.begin(1)
-		f.settle(time.Minute, func(_ int, member *Member) bool { return whole(0, member) && f.members[1].Incarnation() > 4 })
+		f.incarnations[1] = 0 // the folder is an older copy
+		f.start(1)
+		f.settle(time.Minute, func(_ int, member *Member) bool { return isComplete(0, member) && f.members[1].Incarnation() > 4 })
 
 		twin, err := Open(Options{Name: "n1", Incarnation: 5000, FleetSize: 5, Join: []string{f.mesh.At(0)}, Transport: f.mesh.Join(5)})
 		if err != nil {
@@ -251,9 +251,9 @@
 // TestHostilePackets: what does not make sense changes nothing and stops nothing.
 func TestHostilePackets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := begin(t, 3, 11)
-		defer f.end()
-		f.settle(time.Minute, whole)
+		f := startFleet(t, 3, 11)
+		defer f.stop()
+		f.settle(time.Minute, isComplete)
 		rng := rand.New(rand.NewSource(1))
 		from := f.mesh.Join(0)
 		f.members[0].HandOff()
@@ -266,40 +266,40 @@
 			from.WriteTo(junk, f.mesh.At(1))
 			delegate{f.members[1]}.MergeRemoteState(junk, false)
 		}
-		f.begin(0)
-		f.settle(2*time.Minute, whole)
+		f.start(0)
+		f.settle(2*time.Minute, isComplete)
 	})
 }
 
-// TestLostEvents: what the queue had no room for is heard all the same, a little later. Failure: see again.
-func TestLostEvents(t *testing.T) {
+// TestLostEventsAreRecovered: what the queue had no room for is heard all the same, a little later. Failure: see again.
+func TestLostEventsAreRecovered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := begin(t, 4, 17)
-		defer f.end()
-		f.settle(time.Minute, whole)
+		f := startFleet(t, 4, 17)
+		defer f.stop()
+		f.settle(time.Minute, isComplete)
 		member := f.members[0]
 		member.enqueue(membership.MemberReported{Name: "n1", Incarnation: 1, State: membership.Failed}) // and the word that it is back is lost
 		for member.lostEvents.Load() == 0 {
 			member.enqueue(membership.ProbeAnswered{Name: "nobody"})
 		}
-		f.settle(5*time.Second, whole)
+		f.settle(5*time.Second, isComplete)
 		member.enqueue(membership.MemberReported{Name: "n2", Incarnation: 1, State: membership.Failed}) // without anybody noticing that a word was lost
 		time.Sleep(50 * time.Millisecond)
-		f.settle(15*time.Second, whole)
+		f.settle(15*time.Second, isComplete)
 	})
 }
 
 // TestReplays: words of before, said again by somebody who kept them, revive nobody who left and bring no start back.
 func TestReplays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := begin(t, 4, 13)
-		defer f.end()
+		f := startFleet(t, 4, 13)
+		defer f.stop()
 		f.mesh.Keep = true
-		f.settle(time.Minute, whole)
+		f.settle(time.Minute, isComplete)
 		f.members[3].Leave()
 		f.settle(time.Minute, func(_ int, member *Member) bool { return stateOf(member, "n3") == membership.Left }, 3)
 		f.members[2].Leave()
-		f.begin(2)
+		f.start(2)
 		f.settle(time.Minute, func(_ int, member *Member) bool { return stateOf(member, "n2") == membership.Alive }, 2, 3)
 		n := f.mesh.Replay()
 		time.Sleep(30 * time.Second)
@@ -316,33 +316,33 @@
 // TestSlowMember: one whose words take longer than a probe waits does not have the fleet assume in deaths, by its own doubt.
 func TestSlowMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := begin(t, 12, 15)
-		defer f.end()
-		f.settle(time.Minute, whole)
+		f := startFleet(t, 12, 15)
+		defer f.stop()
+		f.settle(time.Minute, isComplete)
 		end := f.mesh.Begin(netfault.Fault{Kind: "slow", From: []int{5}, Size: 400})
 		time.Sleep(2 * time.Minute)
 		if err := end(); err != nil {
 			t.Error(err)
 		}
-		among := 0
+		revokedByOthers := 0
 		for i, member := range f.members {
 			if i != 5 {
-				among += member.Snapshot().Revoked
+				revokedByOthers += member.Snapshot().Revoked
 			}
 			if snapshot := member.Snapshot(); snapshot.MaxCouriers != 12 {
 				t.Errorf("n%d counts %d", i, snapshot.MaxCouriers)
 			}
 		}
-		t.Logf("in two minutes eleven sound members gave somebody up and took it back %d times, the slow one %d times", among, f.members[5].Snapshot().Revoked)
-		if among > 11*4 {
-			t.Errorf("%d deaths believed that were none among the sound", among)
+		t.Logf("in two minutes eleven sound members gave somebody up and took it back %d times, the slow one %d times", revokedByOthers, f.members[5].Snapshot().Revoked)
+		if revokedByOthers > 11*4 {
+			t.Errorf("%d deaths believed that were none among the sound", revokedByOthers)
 		}
-		f.settle(2*time.Minute, whole)
+		f.settle(2*time.Minute, isComplete)
 	})
 }
 
 // loopback is an address that is free over UDP and TCP.
-func loopback(t *testing.T) string {
+func freeLoopbackAddress(t *testing.T) string {
 	t.Helper()
 	l, err := listen("127.0.0.1:0", "127.0.0.1:1", nil)
 	if err != nil {
@@ -356,7 +356,7 @@
 // does not end, are not heard; members are, and go on.
 func TestMembersOfOtherFleetsAreIgnored(t *testing.T) {
 	const key = "00112233445566778899aabbccddeeff"
-	at := loopback(t)
+	at := freeLoopbackAddress(t)
 	open := func(name, fleet, key, listen string) *Member {
 		member, err := Open(Options{Name: name, Incarnation: 1, FleetSize: 2, Fleet: fleet, Key: key, Listen: listen, Join: []string{at}, Interval: 50 * time.Millisecond})
 		if err != nil {
@@ -367,7 +367,7 @@
 	}
 	a := open("a", "f", key, at)
 	for _, s := range [][2]string{{"g", key}, {"f", "ff112233445566778899aabbccddeeff"}, {"f", ""}} {
-		open("stranger-"+s[0]+s[1], s[0], s[1], loopback(t))
+		open("stranger-"+s[0]+s[1], s[0], s[1], freeLoopbackAddress(t))
 	}
 	u, err := net.Dial("udp", at)
 	if err != nil {
@@ -388,13 +388,13 @@
 		defer c.Close()
 		c.Write(junk[:i*100])
 	}
-	for end := time.Now().Add(20 * time.Second); a.Metrics().Network.Turned == 0 && time.Now().Before(end); {
+	for end := time.Now().Add(20 * time.Second); a.Metrics().Network.Rejected == 0 && time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond)
 	}
-	if a.Metrics().Network.Turned == 0 {
+	if a.Metrics().Network.Rejected == 0 {
 		t.Error("nothing is rejected")
 	}
-	b := open("b", "f", key, loopback(t))
+	b := open("b", "f", key, freeLoopbackAddress(t))
 	for end := time.Now().Add(40 * time.Second); b.Snapshot().LocalStatus != membership.Complete.String() && time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -406,22 +406,22 @@
 	if _, err := Open(Options{Name: "c", Listen: at}); err == nil {
 		t.Error("an address that is taken is taken again")
 	}
-	if _, err := Open(Options{Name: "c", Listen: loopback(t), Key: "00"}); err == nil {
+	if _, err := Open(Options{Name: "c", Listen: freeLoopbackAddress(t), Key: "00"}); err == nil {
 		t.Error("a key that is none")
 	}
 }
 
-// TestGrowth tells, with PINEPORT_GROWTH set, what talk costs each member of fleets of 10 to 1,000 in virtual time, and how long
+// TestCostByFleetSize tells, with PINEPORT_GROWTH set, what talk costs each member of fleets of 10 to 1,000 in virtual time, and how long
 // a death takes to be known.
-func TestGrowth(t *testing.T) {
+func TestCostByFleetSize(t *testing.T) {
 	if os.Getenv("PINEPORT_GROWTH") == "" {
 		t.Skip("PINEPORT_GROWTH is not set")
 	}
 	for _, n := range []int{10, 30, 100, 300, 1000} {
 		synctest.Test(t, func(t *testing.T) {
-			f := begin(t, n, 1)
-			defer f.end()
-			found := f.settle(10*time.Minute, whole)
+			f := startFleet(t, n, 1)
+			defer f.stop()
+			formationTime := f.settle(10*time.Minute, isComplete)
 			sent, bytes := f.mesh.Traffic()
 			var before, after runtime.MemStats
 			runtime.ReadMemStats(&before)
@@ -431,12 +431,12 @@
 			runtime.ReadMemStats(&after)
 			f.mesh.Drop(n / 2)
 			f.members[n/2].HandOff()
-			first := f.settle(10*time.Minute, func(i int, member *Member) bool {
+			firstDetection := f.settle(10*time.Minute, func(i int, member *Member) bool {
 				return i != 0 || stateOf(member, fmt.Sprintf("n%d", n/2)) == membership.Failed
 			}, n/2)
-			all := f.settle(10*time.Minute, func(_ int, member *Member) bool { return stateOf(member, fmt.Sprintf("n%d", n/2)) == membership.Failed }, n/2)
+			remainingDetection := f.settle(10*time.Minute, func(_ int, member *Member) bool { return stateOf(member, fmt.Sprintf("n%d", n/2)) == membership.Failed }, n/2)
 			t.Logf("%4d members: whole after %v; %.1f packets/s and %.0f bytes/s each; %.0f kB of heap each; a death known to one after %v, to the last %v later",
-				n, found, float64(sent2-sent)/60/float64(n), float64(bytes2-bytes)/60/float64(n), float64(after.HeapAlloc)/1024/float64(n), first, all)
+				n, formationTime, float64(sent2-sent)/60/float64(n), float64(bytes2-bytes)/60/float64(n), float64(after.HeapAlloc)/1024/float64(n), firstDetection, remainingDetection)
 		})
 	}
 }
--- a/membership/gossip/transport.go
+++ b/membership/gossip/transport.go
@@ -16,55 +16,57 @@
 )
 
 const (
-	packetQueue = 256     // packets that wait for the detector; further ones are lost, as on any network
-	packetSize  = 2 << 10 // the detector's own are under 1,400 bytes
-	maxStreams  = 16      // streams from others at once
-	streamBytes = 4 << 20 // of one stream: the state of many thousand members is under a megabyte
-	streamFor   = 30 * time.Second
+	packetQueueSize  = 256     // received packets waiting for the detector; further ones are dropped
+	packetBufferSize = 2 << 10 // bytes; the detector's packets are under 1,400 bytes
+	maxStreams       = 16      // concurrent inbound streams
+	maxStreamBytes   = 4 << 20 // bytes read from one stream; the state of many thousand members is under 1 MB
+	streamTimeout    = 30 * time.Second
 )
 
-// Counts is what went over the network, both ways.
+// Counts are the network counters of a Member. Rejected counts packets and streams that were dropped: truncated, too long, or
+// above the queue or stream limit.
 type Counts struct {
 	PacketsIn  int64 `json:"PacketsIn"`
 	PacketsOut int64 `json:"PacketsOut"`
 	BytesIn    int64 `json:"BytesIn"`
 	BytesOut   int64 `json:"BytesOut"`
 	Streams    int64 `json:"Streams"`
-	Turned     int64 `json:"Turned"`
+	Rejected   int64 `json:"Turned"`
 }
 
-// counters are Counts as they grow.
-type counters struct{ packetsIn, packetsOut, bytesIn, bytesOut, streams, turned atomic.Int64 }
+// counters are the live counters behind Counts.
+type counters struct{ packetsIn, packetsOut, bytesIn, bytesOut, streams, rejected atomic.Int64 }
 
-func (c *counters) read() Counts {
-	return Counts{c.packetsIn.Load(), c.packetsOut.Load(), c.bytesIn.Load(), c.bytesOut.Load(), c.streams.Load(), c.turned.Load()}
+func (c *counters) load() Counts {
+	return Counts{c.packetsIn.Load(), c.packetsOut.Load(), c.bytesIn.Load(), c.bytesOut.Load(), c.streams.Load(), c.rejected.Load()}
 }
 
-// sockets is the detector's way over UDP and TCP. Through leads addresses elsewhere, as past a translating event loop.
-type sockets struct {
-	udp       *net.UDPConn
-	tcp       net.Listener
-	advertise *net.TCPAddr
-	through   map[string]string
-	packets   chan *memberlist.Packet
-	streams   chan net.Conn
-	open      atomic.Int32
-	counts    counters
-	closing   sync.Once
-	done      chan struct{}
-	group     sync.WaitGroup
+// socketTransport is a memberlist.Transport over UDP and TCP. dialAddresses replaces the addresses of other members when they are
+// dialed, for example to reach them through an address translator.
+type socketTransport struct {
+	udp           *net.UDPConn
+	tcp           net.Listener
+	advertise     *net.TCPAddr
+	dialAddresses map[string]string
+	packets       chan *memberlist.Packet
+	streams       chan net.Conn
+	openStreams   atomic.Int32
+	counters      counters
+	closeOnce     sync.Once
+	done          chan struct{}
+	wg            sync.WaitGroup
 }
 
-func listen(addr, advertise string, through map[string]string) (*sockets, error) {
+func listen(addr, advertise string, through map[string]string) (*socketTransport, error) {
 	if advertise == "" {
 		advertise = addr
 	}
-	notified, err := net.ResolveTCPAddr("tcp", advertise)
+	advertiseAddr, err := net.ResolveTCPAddr("tcp", advertise)
 	if err != nil {
 		return nil, err
 	}
-	if notified.IP == nil || notified.IP.IsUnspecified() || notified.Port == 0 {
-		return nil, fmt.Errorf("%s: an address that others can reach was expected", advertise)
+	if advertiseAddr.IP == nil || advertiseAddr.IP.IsUnspecified() || advertiseAddr.Port == 0 {
+		return nil, fmt.Errorf("%s: expected an address that other couriers can reach, with IP and port", advertise)
 	}
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -76,43 +78,43 @@
 		l.Close()
 		return nil, err
 	}
-	t := &sockets{udp: udp, tcp: l, advertise: notified, through: through, packets: make(chan *memberlist.Packet, packetQueue),
+	t := &socketTransport{udp: udp, tcp: l, advertise: advertiseAddr, dialAddresses: through, packets: make(chan *memberlist.Packet, packetQueueSize),
 		streams: make(chan net.Conn), done: make(chan struct{})}
-	t.group.Add(2)
+	t.wg.Add(2)
 	go t.receive()
 	go t.accept()
 	return t, nil
 }
 
-func (t *sockets) receive() {
-	defer t.group.Done()
+func (t *socketTransport) receive() {
+	defer t.wg.Done()
 	for {
-		buf := make([]byte, packetSize)
+		buf := make([]byte, packetBufferSize)
 		n, from, err := t.udp.ReadFrom(buf)
 		if err != nil {
 			select {
 			case <-t.done:
 				return
-			case <-time.After(10 * time.Millisecond): // such as an answer that nobody listens there
+			case <-time.After(10 * time.Millisecond): // a temporary error, for example ICMP port unreachable
 				continue
 			}
 		}
-		if n == 0 || n == len(buf) { // cut off: never one of ours
-			t.counts.turned.Add(1)
+		if n == 0 || n == len(buf) { // empty or truncated: not a packet of the detector
+			t.counters.rejected.Add(1)
 			continue
 		}
-		t.counts.packetsIn.Add(1)
-		t.counts.bytesIn.Add(int64(n))
+		t.counters.packetsIn.Add(1)
+		t.counters.bytesIn.Add(int64(n))
 		select {
 		case t.packets <- &memberlist.Packet{Buf: buf[:n], From: from, Timestamp: clock.Instant()}:
 		default:
-			t.counts.turned.Add(1)
+			t.counters.rejected.Add(1)
 		}
 	}
 }
 
-func (t *sockets) accept() {
-	defer t.group.Done()
+func (t *socketTransport) accept() {
+	defer t.wg.Done()
 	for {
 		conn, err := t.tcp.Accept()
 		if err != nil {
@@ -123,120 +125,120 @@
 				continue
 			}
 		}
-		if t.open.Add(1) > maxStreams {
-			t.open.Add(-1)
-			t.counts.turned.Add(1)
+		if t.openStreams.Add(1) > maxStreams {
+			t.openStreams.Add(-1)
+			t.counters.rejected.Add(1)
 			conn.Close()
 			continue
 		}
 		select {
-		case t.streams <- t.bounded(conn, func() { t.open.Add(-1) }):
+		case t.streams <- t.limitStream(conn, func() { t.openStreams.Add(-1) }):
 		case <-t.done:
 			conn.Close()
 		}
 	}
 }
 
-// bounded is a stream that ends after so many bytes and so long, whatever the other side sends.
-func (t *sockets) bounded(conn net.Conn, after func()) net.Conn {
-	t.counts.streams.Add(1)
-	b := &stream{Conn: conn, left: streamBytes, counts: &t.counts, after: after, end: clock.Instant().Add(streamFor)}
-	conn.SetDeadline(b.end)
-	return b
+// limitStream wraps a connection so that at most maxStreamBytes are read from it and it ends after streamTimeout.
+func (t *socketTransport) limitStream(conn net.Conn, onClose func()) net.Conn {
+	t.counters.streams.Add(1)
+	stream := &limitedStream{Conn: conn, remaining: maxStreamBytes, counters: &t.counters, onClose: onClose, deadline: clock.Instant().Add(streamTimeout)}
+	conn.SetDeadline(stream.deadline)
+	return stream
 }
 
-type stream struct {
+type limitedStream struct {
 	net.Conn
-	left   int64
-	counts *counters
-	after  func()
-	end    time.Time
-	once   sync.Once
+	remaining int64 // bytes that may still be read
+	counters  *counters
+	onClose   func()
+	deadline  time.Time
+	closeOnce sync.Once
 }
 
-func (s *stream) Read(p []byte) (int, error) {
-	if s.left <= 0 {
-		s.counts.turned.Add(1)
+func (s *limitedStream) Read(p []byte) (int, error) {
+	if s.remaining <= 0 {
+		s.counters.rejected.Add(1)
 		return 0, io.ErrUnexpectedEOF
 	}
-	n, err := s.Conn.Read(p[:min(int64(len(p)), s.left)])
-	s.left -= int64(n)
-	s.counts.bytesIn.Add(int64(n))
+	n, err := s.Conn.Read(p[:min(int64(len(p)), s.remaining)])
+	s.remaining -= int64(n)
+	s.counters.bytesIn.Add(int64(n))
 	return n, err
 }
 
-func (s *stream) Write(p []byte) (int, error) {
+func (s *limitedStream) Write(p []byte) (int, error) {
 	n, err := s.Conn.Write(p)
-	s.counts.bytesOut.Add(int64(n))
+	s.counters.bytesOut.Add(int64(n))
 	return n, err
 }
 
-func (s *stream) SetDeadline(at time.Time) error {
-	if at.IsZero() || at.After(s.end) {
-		at = s.end
+func (s *limitedStream) SetDeadline(at time.Time) error {
+	if at.IsZero() || at.After(s.deadline) {
+		at = s.deadline
 	}
 	return s.Conn.SetDeadline(at)
 }
 
-func (s *stream) Close() error {
-	s.once.Do(s.after)
+func (s *limitedStream) Close() error {
+	s.closeOnce.Do(s.onClose)
 	return s.Conn.Close()
 }
 
-func (t *sockets) lead(addr string) string {
-	if to, ok := t.through[addr]; ok {
+func (t *socketTransport) dialAddress(addr string) string {
+	if to, ok := t.dialAddresses[addr]; ok {
 		return to
 	}
 	return addr
 }
 
-func (t *sockets) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
+func (t *socketTransport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
 	return t.advertise.IP, t.advertise.Port, nil
 }
 
-func (t *sockets) WriteTo(b []byte, addr string) (time.Time, error) {
-	to, err := net.ResolveUDPAddr("udp", t.lead(addr))
+func (t *socketTransport) WriteTo(b []byte, addr string) (time.Time, error) {
+	to, err := net.ResolveUDPAddr("udp", t.dialAddress(addr))
 	if err != nil {
 		return time.Time{}, err
 	}
 	n, err := t.udp.WriteTo(b, to)
-	t.counts.packetsOut.Add(1)
-	t.counts.bytesOut.Add(int64(n))
+	t.counters.packetsOut.Add(1)
+	t.counters.bytesOut.Add(int64(n))
 	return clock.Instant(), err
 }
 
-func (t *sockets) PacketCh() <-chan *memberlist.Packet { return t.packets }
+func (t *socketTransport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
-func (t *sockets) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
-	conn, err := net.DialTimeout("tcp", t.lead(addr), timeout)
+func (t *socketTransport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+	conn, err := net.DialTimeout("tcp", t.dialAddress(addr), timeout)
 	if err != nil {
 		return nil, err
 	}
-	return t.bounded(conn, func() {}), nil
+	return t.limitStream(conn, func() {}), nil
 }
 
-func (t *sockets) StreamCh() <-chan net.Conn { return t.streams }
+func (t *socketTransport) StreamCh() <-chan net.Conn { return t.streams }
 
-func (t *sockets) Shutdown() error {
-	t.closing.Do(func() {
+func (t *socketTransport) Shutdown() error {
+	t.closeOnce.Do(func() {
 		close(t.done)
 		t.tcp.Close()
 		t.udp.Close()
 	})
-	t.group.Wait()
+	t.wg.Wait()
 	return nil
 }
 
-// Pairs reads address=address words.
-func Pairs(words []string) (map[string]string, error) {
+// Pairs parses arguments of the form address=address into a map from the first address to the second.
+func Pairs(arguments []string) (map[string]string, error) {
 	pairs := map[string]string{}
-	for _, w := range words {
-		from, to, _ := strings.Cut(w, "=")
-		for _, a := range []string{from, to} {
-			if _, port, err := net.SplitHostPort(a); err != nil {
-				return nil, fmt.Errorf("%q: address=address was expected", w)
+	for _, argument := range arguments {
+		from, to, _ := strings.Cut(argument, "=")
+		for _, address := range []string{from, to} {
+			if _, port, err := net.SplitHostPort(address); err != nil {
+				return nil, fmt.Errorf("%q: expected address=address", argument)
 			} else if _, err := strconv.ParseUint(port, 10, 16); err != nil {
-				return nil, fmt.Errorf("%q: address=address was expected", w)
+				return nil, fmt.Errorf("%q: expected address=address", argument)
 			}
 		}
 		pairs[from] = to
--- a/membership/incarnation/golden_test.go
+++ b/membership/incarnation/golden_test.go
@@ -10,7 +10,7 @@
 
 // TestFileIsAsRecorded: the file is written byte by byte as recorded, and the recorded one is gone on from.
 func TestFileIsAsRecorded(t *testing.T) {
-	golden.Tagged(t, body{})
+	golden.Tagged(t, record{})
 	dir := t.TempDir()
 	if err := Store(dir, "n0", 41); err != nil {
 		t.Fatal(err)
--- a/membership/incarnation/incarnation.go
+++ b/membership/incarnation/incarnation.go
@@ -1,4 +1,4 @@
-// Package incarnation keeps the number of a courier's starts over restarts: it grows with each, and is written down before it
+// Package incarnation stores the incarnation of a courier across restarts. Each start increments it and stores it before it
 // is used.
 package incarnation
 
@@ -10,32 +10,32 @@
 	"pineport/atomicfile"
 )
 
-// Name of the file, in the folder that lasts.
+// Name is the name of the file in the state folder.
 const Name = "peers.start"
 
 const (
-	magic   = "PPST"
-	version = 1
-	limit   = 1 << 10
+	magic        = "PPST"
+	version      = 1
+	maxFileBytes = 1 << 10
 )
 
-// kept is the file's text.
-type body struct {
+// record is the content of the file, encoded as JSON.
+type record struct {
 	Courier     string `json:"courier"`
 	Incarnation uint64 `json:"start"`
 }
 
-// Next takes the next number and keeps it. What cannot be read begins anew at 1, and the fault is notified beside the number:
-// the others remember higher ones, and tell them.
-func Next(dir, courier string) (start uint64, fault error, err error) {
-	last, fault := read(dir, courier)
-	start = last + 1
-	return start, fault, Store(dir, courier, start)
+// Next increments the stored incarnation, stores and returns it. If the file cannot be read, Next starts again at 1 and returns
+// the cause as readErr: the other members still know the higher incarnation and report it.
+func Next(dir, courier string) (incarnation uint64, readErr error, err error) {
+	last, readErr := read(dir, courier)
+	incarnation = last + 1
+	return incarnation, readErr, Store(dir, courier, incarnation)
 }
 
-// Store writes a number down.
-func Store(dir, courier string, start uint64) error {
-	text, err := json.Marshal(body{courier, start})
+// Store writes the incarnation of a courier to the file.
+func Store(dir, courier string, incarnation uint64) error {
+	text, err := json.Marshal(record{courier, incarnation})
 	if err != nil {
 		return err
 	}
@@ -43,7 +43,7 @@
 }
 
 func read(dir, courier string) (uint64, error) {
-	content, err := atomicfile.Read(dir, Name, limit)
+	content, err := atomicfile.Read(dir, Name, maxFileBytes)
 	if errors.Is(err, atomicfile.ErrAbsent) {
 		return 0, nil
 	}
@@ -54,14 +54,14 @@
 	if err != nil {
 		return 0, err
 	}
-	var k body
-	switch err := json.Unmarshal(text, &k); {
+	var r record
+	switch err := json.Unmarshal(text, &r); {
 	case v != version:
-		return 0, fmt.Errorf("version %d, this program reads %d", v, version)
+		return 0, fmt.Errorf("unsupported version %d, expected %d", v, version)
 	case err != nil:
 		return 0, err
-	case k.Courier != courier:
-		return 0, fmt.Errorf("of courier %q, this is %q", k.Courier, courier)
+	case r.Courier != courier:
+		return 0, fmt.Errorf("file belongs to courier %q, this is courier %q", r.Courier, courier)
 	}
-	return k.Incarnation, nil
+	return r.Incarnation, nil
 }
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -1,6 +1,6 @@
-// Package membership decides who is in a fleet of couriers, and what this courier's own status in it is, from what a failure detector and
-// the other members report, without I/O or a clock. New reads the Config once; Handle takes an instant and events, and returns the
-// actions to carry out, in order. docs/membership.md says what is promised.
+// Package membership tracks the members of a fleet of couriers and this courier's own status in the fleet. Its input is what a failure
+// detector and the other members report. It does no I/O and reads no clock: New reads the Config once, and Handle takes the current time
+// and events and returns the actions to carry out, in order. docs/membership.md lists the guarantees.
 package membership
 
 import (
@@ -13,31 +13,31 @@
 )
 
 type (
-	// Micros is an instant of this process's clock, or a span.
+	// Micros is a time on this process's clock, or a duration, in microseconds.
 	Micros = dispatch.Micros
-	// Name of a courier, the same over all its starts.
+	// Name is the name of a courier. It stays the same over all starts of the courier.
 	Name string
-	// Incarnation counts the starts of a courier; it only grows.
+	// Incarnation numbers the starts of a courier. It never decreases.
 	Incarnation uint64
 )
 
 const second Micros = 1000 * 1000
 
-// State is the state of a member, as far as is known.
+// State is the last known state of a member.
 type State int
 
 // States of a member.
 const (
-	Unknown   State = iota // nothing recent is known, as this process has just resumed
-	Alive                  // reported, and not suspected
-	Suspected              // the detector suspects it
-	Failed                 // the detector has given it up; it counts for the size of the fleet all the same
-	Left                   // it left by itself, or an operator removed it
+	Unknown   State = iota // this process was paused, and no report about the member has arrived since
+	Alive                  // reported alive, and not suspected
+	Suspected              // the detector suspects that the member has failed
+	Failed                 // the detector declared the member failed; it still counts towards the fleet size
+	Left                   // the member left the fleet, or an operator removed it
 )
 
 var stateNames = [...]string{"unknown", "alive", "suspected", "failed", "left"}
 
-// String returns the name of the state in output.
+// String returns the name of the state, as commands and logs print it.
 func (s State) String() string { return stateNames[s] }
 
 // LocalStatus is the status of this courier in its fleet.
@@ -45,33 +45,33 @@
 
 // The statuses of this courier.
 const (
-	Isolated    LocalStatus = iota // no other member is alive, though there should be
-	Partial                        // some members are alive
-	Complete                       // all members are alive
-	Recovering                     // this process was paused or its clock jumped: nothing known from before is trusted
-	SteppedDown                    // a newer courier of this name is in the fleet
+	Isolated    LocalStatus = iota // other members are expected, but none is alive
+	Partial                        // some of the expected members are alive
+	Complete                       // all expected members are alive
+	Recovering                     // this process was paused or its clock jumped: earlier member states are not trusted
+	SteppedDown                    // another courier with this name and a newer incarnation is in the fleet
 )
 
-// localStatusNames are the names in output; scripts read them.
+// localStatusNames are the names that commands and logs print. Scripts match them.
 var localStatusNames = [...]string{"alone", "part", "whole", "just woken", "stood back"}
 
-// String returns the name of the status in output.
+// String returns the name of the status, as commands and logs print it.
 func (s LocalStatus) String() string { return localStatusNames[s] }
 
 // Config is the configuration of a Membership.
 type Config struct {
 	Self        Name
 	Incarnation Incarnation
-	FleetSize   int    // as configured
-	Tick        Micros // how often Tick comes
-	Seed        int64
+	FleetSize   int    // configured number of couriers in the fleet
+	Tick        Micros // interval between Tick events
+	Seed        int64  // of the random numbers
 }
 
-// Event is something that happened: one of the types of this package with that method.
+// Event is an input of Membership.Handle: one of the types below.
 type Event interface{ event() }
 
 type (
-	// MemberReported is what the failure detector reports of a member.
+	// MemberReported is a report of the failure detector about a member.
 	MemberReported struct {
 		Name        Name
 		Incarnation Incarnation
@@ -79,20 +79,20 @@
 		Zone        string
 		Address     string
 	}
-	// ProbeAnswered reports that a member answered a probe of this process itself.
+	// ProbeAnswered reports that a member responded directly to this process.
 	ProbeAnswered struct{ Name Name }
-	// IncarnationReported reports that some member knows an incarnation of this courier.
+	// IncarnationReported reports the incarnation that another member knows for this courier.
 	IncarnationReported struct{ Incarnation Incarnation }
-	// NameConflict reports a courier of this name at another address.
+	// NameConflict reports another courier with this courier's name, at a different address.
 	NameConflict struct {
 		Incarnation Incarnation
 		Address     string
 	}
-	// MemberRemoved reports that, by an operator, a member will not come back.
+	// MemberRemoved reports that an operator declared that a member will not return.
 	MemberRemoved struct{ Name Name }
-	// FleetResized reports another configured size of the fleet.
+	// FleetResized reports a change of the configured fleet size.
 	FleetResized struct{ FleetSize int }
-	// Tick comes every Config.Tick.
+	// Tick is due once per Config.Tick.
 	Tick struct{}
 )
 
@@ -104,24 +104,24 @@
 func (FleetResized) event()        {}
 func (Tick) event()                {}
 
-// Action is something to be carried out: one of the types of this package with that method.
+// Action is an instruction for the caller of Membership.Handle: one of the types below.
 type Action interface{ action() }
 
 type (
-	// MemberChanged reports a new state of a member.
+	// MemberChanged reports a state transition of a member.
 	MemberChanged struct {
 		Name        Name
 		From, To    State
 		Incarnation Incarnation
-		Revoked     bool // it had failed, and the same incarnation is alive after all
+		Revoked     bool // the failure was a false positive: the same incarnation is reported alive again
 	}
-	// LocalStatusChanged reports a new status of this courier.
+	// LocalStatusChanged reports a change of this courier's status.
 	LocalStatusChanged struct{ From, To LocalStatus }
-	// FleetSizeEstimated reports a new size for the dispatcher to use.
+	// FleetSizeEstimated reports a new fleet size that the dispatcher has to use.
 	FleetSizeEstimated struct{ Couriers int }
-	// IncarnationAdvanced has a new incarnation of this courier stored, and used from then on.
+	// IncarnationAdvanced reports a new incarnation of this courier. The caller stores it and announces it from then on.
 	IncarnationAdvanced struct{ Incarnation Incarnation }
-	// StepDown has this courier leave the fleet to the newer one of its name.
+	// StepDown tells this courier to leave the fleet, because the courier at Address has the same name and a newer incarnation.
 	StepDown struct {
 		Incarnation Incarnation
 		Address     string
@@ -134,7 +134,7 @@
 func (IncarnationAdvanced) action() {}
 func (StepDown) action()            {}
 
-// Member is what is known of one member.
+// Member is the last known state of one member.
 type Member struct {
 	Name        Name        `json:"name"`
 	Incarnation Incarnation `json:"start"`
@@ -143,70 +143,71 @@
 	Since       Micros      `json:"since_us"`
 	Zone        string      `json:"zone,omitempty"`
 	Address     string      `json:"address,omitempty"`
-	// AnsweredAt is when it last answered a probe of this courier, 0 if never.
+	// AnsweredAt is the time of the last direct response to this courier, 0 if there was none.
 	AnsweredAt Micros `json:"answered_us"`
 }
 
-// Snapshot is what is known of the fleet at an instant; the tags are the names in output.
+// Snapshot is the state of the membership at one instant. The tags are the names in the output of commands.
 type Snapshot struct {
-	Version      uint64      `json:"number"` // grows with each change
+	Version      uint64      `json:"number"` // incremented with each change
 	Self         Name        `json:"self"`
 	Incarnation  Incarnation `json:"start"`
 	LocalStatus  string      `json:"standing"`
 	Since        Micros      `json:"since_us"`
-	MinCouriers  int         `json:"least"` // that are known to be alive, this one included
-	MaxCouriers  int         `json:"most"`  // that may be alive, and are counted on
-	Revoked      int         `json:"revoked"`
-	StaleReports int         `json:"stale"` // reports about old incarnations
+	MinCouriers  int         `json:"least"`   // couriers known to be alive, including this one
+	MaxCouriers  int         `json:"most"`    // couriers that may be alive, including this one
+	Revoked      int         `json:"revoked"` // failures that were false positives
+	StaleReports int         `json:"stale"`   // ignored reports about old incarnations, or about an incarnation that left
 	Members      []Member    `json:"members"`
 }
 
-// Membership is the membership of a fleet as one courier knows it. One goroutine owns it.
+// Membership is one courier's view of the fleet. It is not safe for concurrent use: one goroutine owns it.
 type Membership struct {
-	config          Config
-	rng             *rand.Rand
-	now             Micros
-	actions         []Action
-	members         map[Name]*Member
-	forgotten       int // members dropped for room, which are counted on
-	localStatus     LocalStatus
-	since           Micros
-	lastTick        Micros
-	fresh           map[Name]bool  // members that answered since this process resumed
-	deferredReports map[Name]State // reports of suspicions and failures since then, applied later
-	estimatedSize   int            // what the dispatcher uses
-	shrinkAt        Micros
-	version         uint64
-	revoked         int
-	staleReports    int
+	config             Config
+	rng                *rand.Rand
+	now                Micros
+	actions            []Action
+	members            map[Name]*Member
+	evictedMembers     int // members removed by evict that had not left; they still count towards MaxCouriers
+	localStatus        LocalStatus
+	localStatusSince   Micros
+	lastTick           Micros
+	answeredSincePause map[Name]bool  // members that responded directly since the last pause of this process
+	deferredReports    map[Name]State // Suspected and Failed reports received during recovery, applied at its end
+	estimatedSize      int            // fleet size that the dispatcher uses
+	shrinkAt           Micros         // when estimatedSize is lowered; never if no reduction is scheduled
+	version            uint64
+	revoked            int
+	staleReports       int
 }
 
-// New returns a membership that knows no other member.
-func New(t Config) *Membership {
-	return &Membership{config: t, rng: rand.New(rand.NewSource(t.Seed)), members: map[Name]*Member{}, fresh: map[Name]bool{}, deferredReports: map[Name]State{},
-		estimatedSize: max(1, t.FleetSize), shrinkAt: never}
+// New returns a Membership without any other member.
+func New(config Config) *Membership {
+	return &Membership{config: config, rng: rand.New(rand.NewSource(config.Seed)), members: map[Name]*Member{}, answeredSincePause: map[Name]bool{}, deferredReports: map[Name]State{},
+		estimatedSize: max(1, config.FleetSize), shrinkAt: never}
 }
 
 const (
 	never Micros = 1<<63 - 1
-	// maxNames bounds the members that are kept: many times the fleets of some hundreds that this is meant for. Members
-	// dropped beyond it are counted on, as they may be alive.
-	maxNames = 4096
-	// maxTickDelay is how late a Tick may come before the process counts as paused: the detector gives a member up after
-	// some seconds, and a loaded machine delays a timer by far less.
+	// maxMembers limits the number of members in memory. The design target is fleets of some hundred couriers. Members evicted beyond
+	// the limit still count towards MaxCouriers, because they may be alive.
+	maxMembers = 4096
+	// maxTickDelay is how late a Tick may be before the process counts as paused. The detector declares a member failed only after
+	// some seconds, and a loaded machine delays a timer by far less than 2 s.
 	maxTickDelay = 2 * second
-	// freshAfter answers of different members end the recovery: one alone may have been paused at the same time.
-	freshAfter = 3
-	// recoveryTime is how long suspicions and failures are deferred after a pause: the detector has probed again by then.
+	// minRecoveryAnswers is the number of different members that must respond before recovery ends. A single member may have been
+	// paused at the same time as this process.
+	minRecoveryAnswers = 3
+	// recoveryTime is how long suspicions and failures are deferred after a pause. By then the detector has probed the members again.
 	recoveryTime = 10 * second
-	// shrinkDelay bounds the random delay after which a smaller fleet is used, so that no two couriers do so in step.
+	// shrinkDelay is the maximum of the random delay before a smaller fleet size is used, so that couriers do not all switch at once.
 	shrinkDelay = 10 * second
 )
 
-// Handle takes the events of one instant and returns the actions to carry out, in order.
+// Handle processes events that are known at the time now and returns the actions to carry out, in order.
 func (m *Membership) Handle(now Micros, events ...Event) []Action {
 	m.actions = nil
-	m.checkClock(now)
+	m.detectPause(now)
 	for _, event := range events {
 		switch e := event.(type) {
 		case MemberReported:
@@ -232,26 +233,27 @@
 	return m.actions
 }
 
-// checkClock notices that this process was paused: its own silence would pass for the failure of all others.
-func (m *Membership) checkClock(now Micros) {
-	odd := now < m.now || m.lastTick > 0 && now-m.lastTick > m.config.Tick+maxTickDelay
-	if m.now = now; !odd || m.localStatus == SteppedDown {
+// detectPause starts recovery if a Tick is overdue by more than maxTickDelay or the clock went backwards. A process that was paused has
+// missed the messages of all other members, and its detector would report them as failed.
+func (m *Membership) detectPause(now Micros) {
+	paused := now < m.now || m.lastTick > 0 && now-m.lastTick > m.config.Tick+maxTickDelay
+	if m.now = now; !paused || m.localStatus == SteppedDown {
 		return
 	}
-	m.lastTick, m.fresh, m.deferredReports = now, map[Name]bool{}, map[Name]State{}
-	for _, name := range m.names() {
+	m.lastTick, m.answeredSincePause, m.deferredReports = now, map[Name]bool{}, map[Name]State{}
+	for _, name := range m.sortedNames() {
 		if member := m.members[name]; member.State == Alive || member.State == Suspected {
 			m.setState(member, Unknown)
 		}
 	}
 	m.setLocalStatus(Recovering)
-	m.since = now
+	m.localStatusSince = now
 }
 
-func (m *Membership) names() []Name { return slices.Sorted(maps.Keys(m.members)) }
+func (m *Membership) sortedNames() []Name { return slices.Sorted(maps.Keys(m.members)) }
 
-// memberReported takes in a report of the detector. Reports about old incarnations say nothing, and a member that left is back
-// only with a new incarnation. During recovery only good reports count: the others may be due to this process's own pause.
+// memberReported applies a report of the detector. Reports about older incarnations are ignored, and a member that left returns only with
+// a newer incarnation. During recovery, reports of suspicion and failure are deferred: they may be due to this process's own pause.
 func (m *Membership) memberReported(event MemberReported) {
 	if event.Name == m.config.Self {
 		m.incarnationReported(event.Incarnation)
@@ -273,8 +275,8 @@
 		m.deferredReports[event.Name] = event.State
 		return
 	}
-	before := member.State
-	if m.setState(member, event.State); before == Failed && event.State == Alive && !newer {
+	previous := member.State
+	if m.setState(member, event.State); previous == Failed && event.State == Alive && !newer {
 		m.revoked++
 		if c, ok := m.actions[len(m.actions)-1].(MemberChanged); ok {
 			c.Revoked = true
@@ -292,19 +294,20 @@
 	member.State, member.Since = to, m.now
 }
 
-// probeAnswered notes that a member is alive, which ends any suspicion.
+// probeAnswered records a direct response of a member, which ends any suspicion.
 func (m *Membership) probeAnswered(name Name) {
 	member := m.members[name]
 	if member == nil || member.State == Left {
 		return
 	}
 	delete(m.deferredReports, name)
-	if member.AnsweredAt, m.fresh[name] = m.now, true; member.State != Failed { // a failure is revoked by the detector
+	if member.AnsweredAt, m.answeredSincePause[name] = m.now, true; member.State != Failed { // only a report of the detector revokes a failure
 		m.setState(member, Alive)
 	}
 }
 
-// incarnationReported advances the incarnation where a higher one is known, as the state folder is an older copy or lost.
+// incarnationReported advances this courier's incarnation if another member knows a higher one. That happens when the state folder
+// was lost or restored from an older copy.
 func (m *Membership) incarnationReported(incarnation Incarnation) {
 	if incarnation > m.config.Incarnation {
 		m.config.Incarnation = incarnation + 1
@@ -313,8 +316,8 @@
 	}
 }
 
-// nameConflict decides between two couriers of one name: the older incarnation steps down; of two with the same one, the first
-// to notice advances its own by a random number.
+// nameConflict resolves a conflict between two couriers with the same name. The courier with the older incarnation steps down. If both
+// incarnations are equal, the courier that detects the conflict advances its own by a random number.
 func (m *Membership) nameConflict(event NameConflict) {
 	switch {
 	case m.localStatus == SteppedDown || event.Incarnation < m.config.Incarnation:
@@ -328,66 +331,68 @@
 	}
 }
 
-// evict drops a member for a new one: the one that left longest ago, or else failed. Those that did not leave are counted on.
-func (m *Membership) evict(but Name) {
-	if len(m.members) <= maxNames {
+// evict removes one member other than keep if there are more than maxMembers. It prefers members that left, then failed, unknown, suspected
+// and alive ones; within a state, the one in it the longest. Evicted members that had not left still count towards MaxCouriers.
+func (m *Membership) evict(keep Name) {
+	if len(m.members) <= maxMembers {
 		return
 	}
 	rank := func(member *Member) int {
 		return map[State]int{Left: 0, Failed: 1, Unknown: 2, Suspected: 3, Alive: 4}[member.State]
 	}
-	var worst *Member
-	for _, name := range m.names() {
+	var victim *Member
+	for _, name := range m.sortedNames() {
 		member := m.members[name]
-		if name != but && (worst == nil || cmp.Or(cmp.Compare(rank(member), rank(worst)), cmp.Compare(member.Since, worst.Since)) < 0) {
-			worst = member
+		if name != keep && (victim == nil || cmp.Or(cmp.Compare(rank(member), rank(victim)), cmp.Compare(member.Since, victim.Since)) < 0) {
+			victim = member
 		}
 	}
-	if worst.State != Left {
-		m.forgotten++
+	if victim.State != Left {
+		m.evictedMembers++
 	}
-	delete(m.members, worst.Name)
-	delete(m.deferredReports, worst.Name)
+	delete(m.members, victim.Name)
+	delete(m.deferredReports, victim.Name)
 }
 
-// bounds returns how many couriers there are at least and at most, this one included. Failed members may be cut off and at work.
-func (m *Membership) bounds() (least, most int) {
-	least, most = 1, 1+m.forgotten
+// courierBounds returns the minimum and maximum number of couriers in the fleet, including this one. Failed members count towards the
+// maximum, because they may still be running behind a network partition.
+func (m *Membership) courierBounds() (minCouriers, maxCouriers int) {
+	minCouriers, maxCouriers = 1, 1+m.evictedMembers
 	for _, member := range m.members {
 		switch member.State {
 		case Alive:
-			least, most = least+1, most+1
+			minCouriers, maxCouriers = minCouriers+1, maxCouriers+1
 		case Unknown, Suspected, Failed:
-			most++
+			maxCouriers++
 		}
 	}
-	return least, max(most, m.config.FleetSize)
+	return minCouriers, max(maxCouriers, m.config.FleetSize)
 }
 
 func (m *Membership) updateLocalStatus() {
-	if m.localStatus == Recovering && m.now-m.since >= recoveryTime {
+	if m.localStatus == Recovering && m.now-m.localStatusSince >= recoveryTime {
 		for _, name := range slices.Sorted(maps.Keys(m.deferredReports)) {
 			m.setState(m.members[name], m.deferredReports[name])
 		}
 		m.deferredReports = map[Name]State{}
 	}
-	least, most := m.bounds()
+	minCouriers, maxCouriers := m.courierBounds()
 	switch {
 	case m.localStatus == SteppedDown:
-	case m.localStatus == Recovering && len(m.fresh) < min(freshAfter, m.others()):
-	case least >= most:
+	case m.localStatus == Recovering && len(m.answeredSincePause) < min(minRecoveryAnswers, m.recoveryCandidates()):
+	case minCouriers >= maxCouriers:
 		m.setLocalStatus(Complete)
-	case least > 1:
+	case minCouriers > 1:
 		m.setLocalStatus(Partial)
 	default:
 		m.setLocalStatus(Isolated)
 	}
 }
 
-// others is how many members might answer during recovery.
-func (m *Membership) others() (n int) {
+// recoveryCandidates returns the number of members that have responded, or may still respond, during recovery.
+func (m *Membership) recoveryCandidates() (n int) {
 	for _, member := range m.members {
-		if member.State == Unknown || m.fresh[member.Name] {
+		if member.State == Unknown || m.answeredSincePause[member.Name] {
 			n++
 		}
 	}
@@ -398,48 +403,48 @@
 	if m.localStatus != s {
 		m.version++
 		m.actions = append(m.actions, LocalStatusChanged{m.localStatus, s})
-		m.localStatus, m.since = s, m.now
+		m.localStatus, m.localStatusSince = s, m.now
 	}
 }
 
-// estimateSize updates the size that is used: a larger one at once, as that makes shares of limits smaller; a smaller one only if
-// the membership is complete, and later.
+// estimateSize updates the fleet size that the dispatcher uses. It raises the size at once, which makes each courier's share of a limit
+// smaller. It lowers the size only while the local status is Complete, and after a random delay of up to shrinkDelay.
 func (m *Membership) estimateSize() {
-	_, most := m.bounds()
+	_, maxCouriers := m.courierBounds()
 	switch {
 	case m.localStatus == SteppedDown || m.localStatus == Recovering:
-		most = max(most, m.estimatedSize)
-	case most < m.estimatedSize && m.localStatus == Complete && m.shrinkAt == never:
+		maxCouriers = max(maxCouriers, m.estimatedSize)
+	case maxCouriers < m.estimatedSize && m.localStatus == Complete && m.shrinkAt == never:
 		m.shrinkAt = m.now + Micros(m.rng.Int63n(int64(shrinkDelay)))
 	}
-	if most >= m.estimatedSize || m.localStatus != Complete {
+	if maxCouriers >= m.estimatedSize || m.localStatus != Complete {
 		m.shrinkAt = never
 	}
-	if most > m.estimatedSize || m.now >= m.shrinkAt {
-		m.estimatedSize, m.shrinkAt = most, never
+	if maxCouriers > m.estimatedSize || m.now >= m.shrinkAt {
+		m.estimatedSize, m.shrinkAt = maxCouriers, never
 		m.version++
-		m.actions = append(m.actions, FleetSizeEstimated{most})
+		m.actions = append(m.actions, FleetSizeEstimated{maxCouriers})
 	}
 }
 
-// EstimatedSize returns the size of the fleet that is used.
+// EstimatedSize returns the fleet size that the dispatcher uses.
 func (m *Membership) EstimatedSize() int { return m.estimatedSize }
 
-// Incarnations returns the highest incarnation known of each member that is kept, and of this courier.
+// Incarnations returns the highest known incarnation of this courier and of each member in memory.
 func (m *Membership) Incarnations() map[Name]Incarnation {
-	starts := map[Name]Incarnation{m.config.Self: m.config.Incarnation}
+	incarnations := map[Name]Incarnation{m.config.Self: m.config.Incarnation}
 	for name, member := range m.members {
-		starts[name] = member.Incarnation
+		incarnations[name] = member.Incarnation
 	}
-	return starts
+	return incarnations
 }
 
-// Snapshot returns what is known now.
+// Snapshot returns the current state.
 func (m *Membership) Snapshot() Snapshot {
-	minimum, maximum := m.bounds()
-	snapshot := Snapshot{Version: m.version, Self: m.config.Self, Incarnation: m.config.Incarnation, LocalStatus: m.localStatus.String(), Since: m.since,
+	minimum, maximum := m.courierBounds()
+	snapshot := Snapshot{Version: m.version, Self: m.config.Self, Incarnation: m.config.Incarnation, LocalStatus: m.localStatus.String(), Since: m.localStatusSince,
 		MinCouriers: minimum, MaxCouriers: max(maximum, m.estimatedSize), Revoked: m.revoked, StaleReports: m.staleReports}
-	for _, name := range m.names() {
+	for _, name := range m.sortedNames() {
 		member := *m.members[name]
 		member.StateName = member.State.String()
 		snapshot.Members = append(snapshot.Members, member)
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -11,17 +11,17 @@
 
 const tick = second / 5
 
-func begun(fleet int) *Membership {
+func startedMembership(fleet int) *Membership {
 	v := New(Config{Self: "a", Incarnation: 5, FleetSize: fleet, Tick: tick, Seed: 1})
 	v.Handle(tick, Tick{})
 	return v
 }
 
-func alive(n Name, s Incarnation) MemberReported {
+func aliveReport(n Name, s Incarnation) MemberReported {
 	return MemberReported{Name: n, Incarnation: s, State: Alive}
 }
 
-func find[T Action](all []Action) (found T, ok bool) {
+func findAction[T Action](all []Action) (found T, ok bool) {
 	for _, a := range all {
 		if a, is := a.(T); is {
 			return a, true
@@ -32,9 +32,9 @@
 
 // Failure: a courier that is cut off took the rest for dead, and a larger part of every limit for itself.
 func TestPartitionedMemberCountsTheLargest(t *testing.T) {
-	v := begun(3)
-	out := v.Handle(2*tick, alive("b", 1), alive("c", 1), alive("d", 1))
-	if r, ok := find[FleetSizeEstimated](out); !ok || r.Couriers != 4 || v.localStatus != Complete {
+	v := startedMembership(3)
+	out := v.Handle(2*tick, aliveReport("b", 1), aliveReport("c", 1), aliveReport("d", 1))
+	if r, ok := findAction[FleetSizeEstimated](out); !ok || r.Couriers != 4 || v.localStatus != Complete {
 		t.Fatalf("four are there, %v, %v", out, v.localStatus)
 	}
 	for _, n := range []Name{"b", "c", "d"} {
@@ -50,10 +50,10 @@
 
 // Failure: a process stopped for 20 s woke believing that the rest was dead.
 func TestRecoveringTrustsNothing(t *testing.T) {
-	v := begun(4)
-	v.Handle(2*tick, Tick{}, alive("b", 1), alive("c", 1), alive("d", 1))
+	v := startedMembership(4)
+	v.Handle(2*tick, Tick{}, aliveReport("b", 1), aliveReport("c", 1), aliveReport("d", 1))
 	out := v.Handle(20*second, MemberReported{Name: "b", Incarnation: 1, State: Failed}, MemberReported{Name: "c", Incarnation: 1, State: Suspected}, Tick{})
-	if s, ok := find[LocalStatusChanged](out); !ok || s.To != Recovering {
+	if s, ok := findAction[LocalStatusChanged](out); !ok || s.To != Recovering {
 		t.Fatalf("after a standstill %v", out)
 	}
 	for _, member := range v.Snapshot().Members {
@@ -72,8 +72,8 @@
 
 // Failure: who waited for an answer of one that had died meanwhile never trusted anybody again.
 func TestRecoveryEnds(t *testing.T) {
-	v := begun(3)
-	v.Handle(2*tick, Tick{}, alive("b", 1), alive("c", 1))
+	v := startedMembership(3)
+	v.Handle(2*tick, Tick{}, aliveReport("b", 1), aliveReport("c", 1))
 	v.Handle(20*second, Tick{}, ProbeAnswered{"b"}, MemberReported{Name: "c", Incarnation: 1, State: Failed})
 	for now := 20*second + tick; now < 29*second; now += tick {
 		if v.Handle(now, Tick{}); v.localStatus != Recovering {
@@ -90,24 +90,24 @@
 
 // Failure: a restart under an old number, or two couriers of one name, passed for one member.
 func TestIncarnationsOnlyGrow(t *testing.T) {
-	v := begun(1)
-	if r, ok := find[IncarnationAdvanced](v.Handle(2*tick, IncarnationReported{9})); !ok || r.Incarnation != 10 {
+	v := startedMembership(1)
+	if r, ok := findAction[IncarnationAdvanced](v.Handle(2*tick, IncarnationReported{9})); !ok || r.Incarnation != 10 {
 		t.Errorf("an older copy of the folder goes on with %v", r)
 	}
 	if out := v.Handle(3*tick, NameConflict{Incarnation: 8, Address: "x:1"}); len(out) != 0 {
 		t.Errorf("the younger one steps down: %v", out)
 	}
-	if r, ok := find[IncarnationAdvanced](v.Handle(4*tick, NameConflict{Incarnation: 10, Address: "x:1"})); !ok || r.Incarnation <= 10 {
+	if r, ok := findAction[IncarnationAdvanced](v.Handle(4*tick, NameConflict{Incarnation: 10, Address: "x:1"})); !ok || r.Incarnation <= 10 {
 		t.Errorf("of two of one number this one keeps it: %v", r)
 	}
-	if b, ok := find[StepDown](v.Handle(5*tick, NameConflict{Incarnation: 5000, Address: "x:1"})); !ok || b.Incarnation != 5000 || v.localStatus != SteppedDown {
+	if b, ok := findAction[StepDown](v.Handle(5*tick, NameConflict{Incarnation: 5000, Address: "x:1"})); !ok || b.Incarnation != 5000 || v.localStatus != SteppedDown {
 		t.Errorf("the older one goes on: %v", v.localStatus)
 	}
-	v.Handle(6*tick, alive("b", 3), MemberReported{Name: "b", Incarnation: 2, State: Failed})
+	v.Handle(6*tick, aliveReport("b", 3), MemberReported{Name: "b", Incarnation: 2, State: Failed})
 	if member := v.members["b"]; member.State != Alive || v.staleReports != 1 {
 		t.Errorf("a word on an old start counts: %+v", member)
 	}
-	v.Handle(7*tick, MemberReported{Name: "b", Incarnation: 3, State: Left}, alive("b", 3))
+	v.Handle(7*tick, MemberReported{Name: "b", Incarnation: 3, State: Left}, aliveReport("b", 3))
 	if member := v.members["b"]; member.State != Left {
 		t.Errorf("who left is back without a new start: %+v", member)
 	}
@@ -116,17 +116,17 @@
 // Failure: a word that a fleet shrank was taken up by all in step, or by one that did not hear all.
 func TestEstimateShrinksLater(t *testing.T) {
 	at := map[Micros]bool{}
-	for salt := range int64(20) {
-		v := New(Config{Self: "a", Incarnation: 1, FleetSize: 2, Tick: tick, Seed: salt})
-		v.Handle(tick, Tick{}, alive("b", 1), alive("c", 1))
+	for seed := range int64(20) {
+		v := New(Config{Self: "a", Incarnation: 1, FleetSize: 2, Tick: tick, Seed: seed})
+		v.Handle(tick, Tick{}, aliveReport("b", 1), aliveReport("c", 1))
 		v.Handle(2*tick, MemberReported{Name: "c", Incarnation: 1, State: Failed}, Tick{}, MemberRemoved{"c"})
 		for now := 3 * tick; now < 12*second; now += tick {
-			if r, ok := find[FleetSizeEstimated](v.Handle(now, Tick{})); ok && r.Couriers == 2 {
+			if r, ok := findAction[FleetSizeEstimated](v.Handle(now, Tick{})); ok && r.Couriers == 2 {
 				at[now] = true
 			}
 		}
 		if v.EstimatedSize() != 2 {
-			t.Fatalf("salt %d: %d couriers", salt, v.EstimatedSize())
+			t.Fatalf("salt %d: %d couriers", seed, v.EstimatedSize())
 		}
 	}
 	if len(at) < 8 {
@@ -135,84 +135,84 @@
 }
 
 // Failure: the view grew with the names ever seen.
-func TestNamesAreBounded(t *testing.T) {
-	v := begun(1)
-	for i := range maxNames + 500 {
+func TestMemberCountIsBounded(t *testing.T) {
+	v := startedMembership(1)
+	for i := range maxMembers + 500 {
 		v.Handle(2*tick, MemberReported{Name: Name(fmt.Sprintf("n%05d", i)), Incarnation: 1, State: Failed})
 	}
-	if len(v.members) != maxNames || v.Snapshot().MaxCouriers != maxNames+501 {
+	if len(v.members) != maxMembers || v.Snapshot().MaxCouriers != maxMembers+501 {
 		t.Errorf("%d names kept, %d counted", len(v.members), v.Snapshot().MaxCouriers)
 	}
 }
 
 // world is what the view's promises are held against: all that was ever said to it.
-type world struct {
-	membership *Membership
-	start      Incarnation
-	highest    map[Name]Incarnation
-	left       map[Name]Incarnation
-	asked      int
-	answers    map[Name]bool // since it last stood still
-	paused     bool
+type checker struct {
+	membership         *Membership
+	incarnation        Incarnation
+	highestIncarnation map[Name]Incarnation
+	leftIncarnation    map[Name]Incarnation
+	reportedSize       int
+	answersSincePause  map[Name]bool // since it last stood still
+	paused             bool
 }
 
-func (w *world) check(events []Event, out []Action) error {
+func (w *checker) check(events []Event, actions []Action) error {
 	v := w.membership
 	for _, e := range events {
-		if h, ok := e.(MemberReported); ok && h.Name != "a" && h.Incarnation >= w.highest[h.Name] {
+		if h, ok := e.(MemberReported); ok && h.Name != "a" && h.Incarnation >= w.highestIncarnation[h.Name] {
 			if h.State == Left {
-				w.left[h.Name] = h.Incarnation
+				w.leftIncarnation[h.Name] = h.Incarnation
 			}
-			w.highest[h.Name] = h.Incarnation
+			w.highestIncarnation[h.Name] = h.Incarnation
 		}
 		if a, ok := e.(ProbeAnswered); ok {
-			w.answers[a.Name] = true
+			w.answersSincePause[a.Name] = true
 		}
 	}
-	most, less := 1, false
-	for n, s := range w.highest {
-		if l, ok := w.left[n]; !ok || l < s {
-			most++
+	maxCouriers, shrank := 1, false
+	for n, s := range w.highestIncarnation {
+		if l, ok := w.leftIncarnation[n]; !ok || l < s {
+			maxCouriers++
 		}
 	}
-	for _, a := range out {
+	for _, a := range actions {
 		switch a := a.(type) {
 		case FleetSizeEstimated:
-			less = a.Couriers < w.asked
-			w.asked = a.Couriers
+			shrank = a.Couriers < w.reportedSize
+			w.reportedSize = a.Couriers
 		case IncarnationAdvanced:
-			if a.Incarnation <= w.start {
-				return fmt.Errorf("number %d after %d", a.Incarnation, w.start)
+			if a.Incarnation <= w.incarnation {
+				return fmt.Errorf("number %d after %d", a.Incarnation, w.incarnation)
 			}
-			w.start = a.Incarnation
+			w.incarnation = a.Incarnation
 		case LocalStatusChanged:
 			if a.To == Recovering {
-				w.paused, w.answers = true, map[Name]bool{}
+				w.paused, w.answersSincePause = true, map[Name]bool{}
 			} else if a.From == Recovering {
 				for n, member := range v.members {
-					if member.State == Unknown && len(w.answers) < freshAfter {
-						return fmt.Errorf("trusts again after %d answers, and %s is unknown", len(w.answers), n)
+					if member.State == Unknown && len(w.answersSincePause) < minRecoveryAnswers {
+						return fmt.Errorf("trusts again after %d answers, and %s is unknown", len(w.answersSincePause), n)
 					}
 				}
 			}
 		}
 	}
-	if v.EstimatedSize() < most || v.EstimatedSize() < v.config.FleetSize && !less {
-		return fmt.Errorf("counts on %d, %d may be there, %d by the settings", v.EstimatedSize(), most, v.config.FleetSize)
+	if v.EstimatedSize() < maxCouriers || v.EstimatedSize() < v.config.FleetSize && !shrank {
+		return fmt.Errorf("counts on %d, %d may be there, %d by the settings", v.EstimatedSize(), maxCouriers, v.config.FleetSize)
 	}
-	if less && v.localStatus != Complete {
+	if shrank && v.localStatus != Complete {
 		return fmt.Errorf("counts fewer while %v", v.localStatus)
 	}
 	for n, member := range v.members {
-		if member.Incarnation != w.highest[n] {
-			return fmt.Errorf("%s has start %d, %d was heard", n, member.Incarnation, w.highest[n])
+		if member.Incarnation != w.highestIncarnation[n] {
+			return fmt.Errorf("%s has start %d, %d was heard", n, member.Incarnation, w.highestIncarnation[n])
 		}
-		if l, ok := w.left[n]; ok && l == member.Incarnation && member.State != Left {
+		if l, ok := w.leftIncarnation[n]; ok && l == member.Incarnation && member.State != Left {
 			return fmt.Errorf("%s is %v, and had left", n, member.State)
 		}
 	}
-	if v.estimatedSize != w.asked {
-		return fmt.Errorf("counts on %d, reported %d", v.estimatedSize, w.asked)
+	if v.estimatedSize != w.reportedSize {
+		return fmt.Errorf("counts on %d, reported %d", v.estimatedSize, w.reportedSize)
 	}
 	return nil
 }
@@ -220,26 +220,26 @@
 // steps are what may happen next in a world of three: each once for b and c where it names one.
 func steps() (all [][]Event) {
 	for _, n := range []Name{"b", "c"} {
-		all = append(all, []Event{alive(n, 1)}, []Event{MemberReported{Name: n, Incarnation: 1, State: Suspected}}, []Event{MemberReported{Name: n, Incarnation: 1, State: Failed}},
-			[]Event{MemberReported{Name: n, Incarnation: 1, State: Left}}, []Event{alive(n, 2)}, []Event{ProbeAnswered{n}})
+		all = append(all, []Event{aliveReport(n, 1)}, []Event{MemberReported{Name: n, Incarnation: 1, State: Suspected}}, []Event{MemberReported{Name: n, Incarnation: 1, State: Failed}},
+			[]Event{MemberReported{Name: n, Incarnation: 1, State: Left}}, []Event{aliveReport(n, 2)}, []Event{ProbeAnswered{n}})
 	}
 	return append(all, []Event{Tick{}}, nil, []Event{IncarnationReported{7}}) // nil: stands still, see run
 }
 
 // run plays an order of steps; plant breaks the view on purpose after each.
-func run(order []int, all [][]Event, plant func(*Membership)) error {
-	w := &world{membership: begun(2), start: 5, highest: map[Name]Incarnation{}, left: map[Name]Incarnation{}, asked: 2, answers: map[Name]bool{}}
+func run(order []int, all [][]Event, injectFault func(*Membership)) error {
+	w := &checker{membership: startedMembership(2), incarnation: 5, highestIncarnation: map[Name]Incarnation{}, leftIncarnation: map[Name]Incarnation{}, reportedSize: 2, answersSincePause: map[Name]bool{}}
 	now := 2 * tick
 	for _, i := range order {
 		events := all[i]
 		if now += tick; events == nil {
 			now, events = now+20*second, []Event{Tick{}}
 		}
-		out := w.membership.Handle(now, events...)
-		if plant != nil {
-			plant(w.membership)
+		actions := w.membership.Handle(now, events...)
+		if injectFault != nil {
+			injectFault(w.membership)
 		}
-		if err := w.check(events, out); err != nil {
+		if err := w.check(events, actions); err != nil {
 			return err
 		}
 		w.membership.lastTick = now
@@ -265,10 +265,10 @@
 	t.Logf("%d worlds", n)
 }
 
-// TestPlantedFaults shows that the checks above see what they are there for.
-func TestPlantedFaults(t *testing.T) {
+// TestInjectedFaultsAreDetected shows that the checks above see what they are there for.
+func TestInjectedFaultsAreDetected(t *testing.T) {
 	all := steps()
-	for name, plant := range map[string]func(*Membership){
+	for name, injectFault := range map[string]func(*Membership){
 		"forgets who failed": func(v *Membership) {
 			for n, member := range v.members {
 				if member.State == Failed {
@@ -293,7 +293,7 @@
 	} {
 		caught := false
 		modelcheck.Orders(3, len(all), func(order []int) bool {
-			caught = run(order, all, plant) != nil
+			caught = run(order, all, injectFault) != nil
 			return !caught
 		})
 		if !caught {
@@ -315,7 +315,7 @@
 
 func TestSameEventsSameActions(t *testing.T) {
 	play := func() (out []Action) {
-		v := begun(2)
+		v := startedMembership(2)
 		for i := range 40 {
 			n := Name(fmt.Sprintf("m%d", i%9))
 			out = append(out, v.Handle(Micros(i+2)*tick, Tick{}, MemberReported{Name: n, Incarnation: Incarnation(i / 9), State: State(1 + i%4)})...)
--- a/quota/bench_test.go
+++ b/quota/bench_test.go
@@ -9,8 +9,8 @@
 // BenchmarkTick is what a tick costs one courier that hears all others on all routes: time, bytes said, and what is kept.
 func BenchmarkTick(b *testing.B) {
 	for _, size := range [][2]int{{10, 10}, {10, 1000}, {100, 100}, {300, 10}, {300, 1000}} {
-		couriers, routes := size[0], size[1]
-		b.Run(fmt.Sprintf("%d couriers, %d routes", couriers, routes), func(b *testing.B) {
+		couriers, groups := size[0], size[1]
+		b.Run(fmt.Sprintf("%d couriers, %d routes", couriers, groups), func(b *testing.B) {
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
@@ -19,11 +19,11 @@
 			for i := 1; i < couriers; i++ {
 				alive = append(alive, fmt.Sprintf("n%d", i))
 			}
-			now, said := 10*second, 0
+			now, sentBytes := 10*second, 0
 			tick := func(n int) {
 				now += second / 2
 				var all []Demand
-				for r := range routes {
+				for r := range groups {
 					all = append(all, Demand{Key: Key{Dest: int32(r)}, Limit: 100, Calls: uint64(n * (1 + r%3))})
 				}
 				for _, a := range c.Handle(now, FleetChanged{couriers, alive}, DemandsChanged{all}, Tick{}) {
@@ -32,15 +32,15 @@
 						if err != nil {
 							b.Fatal(err)
 						}
-						said += len(text)
+						sentBytes += len(text)
 					}
 				}
 			}
-			hear := func(n int) {
+			receiveAll := func(n int) {
 				for i := 1; i < couriers; i++ {
-					for r := 0; r < routes; r += 10 {
+					for r := 0; r < groups; r += 10 {
 						packet := Packet{Version: Version, From: alive[i-1]}
-						for k := r; k < min(r+10, routes); k++ {
+						for k := r; k < min(r+10, groups); k++ {
 							packet.Samples = append(packet.Samples, Sample{Key: Key{Dest: int32(k)}, Courier: alive[i-1], Incarnation: 1, Sequence: uint64(n), Usage: 100})
 						}
 						c.Handle(now, PacketReceived{packet})
@@ -48,23 +48,23 @@
 				}
 			}
 			tick(1)
-			hear(1)
+			receiveAll(1)
 			tick(2)
 			runtime.GC()
 			runtime.ReadMemStats(&after)
-			kept := float64(after.HeapAlloc) - float64(before.HeapAlloc)
-			said = 0
+			retained := float64(after.HeapAlloc) - float64(before.HeapAlloc)
+			sentBytes = 0
 			b.ResetTimer()
 			for n := range b.N {
 				if n%4 == 3 {
 					b.StopTimer()
-					hear(n)
+					receiveAll(n)
 					b.StartTimer()
 				}
 				tick(n + 3)
 			}
-			b.ReportMetric(float64(said)/float64(b.N), "bytes/beat")
-			b.ReportMetric(kept/1024, "KiB-kept")
+			b.ReportMetric(float64(sentBytes)/float64(b.N), "bytes/beat")
+			b.ReportMetric(retained/1024, "KiB-kept")
 		})
 	}
 }
--- a/quota/counting.go
+++ b/quota/counting.go
@@ -7,30 +7,30 @@
 	"slices"
 )
 
-// Samples of what couriers use of limits, the load known from them, and how they spread.
+// This file samples how much couriers use of the limits, estimates the load from the samples, and distributes the samples.
 
-type sampleSlot struct {
-	count Sample
-	at    Micros // when it was so, by this courier's clock
+type peerSample struct {
+	sample Sample
+	at     Micros // when the sample was taken, on this courier's clock
 }
 
-type sample struct {
+type callSample struct {
 	at    Micros
 	calls uint64
 }
 
-// merge keeps the latest sample of the latest incarnation of each courier; samples may come in any order, any number of times.
+// merge keeps the latest sample of the latest incarnation of each courier. Samples may arrive in any order and more than once.
 func (c *Allocator) merge(sample Sample) {
 	if sample.Courier == c.config.Self {
 		return
 	}
-	route := c.group(sample.Key)
-	if route == nil {
+	group := c.groupFor(sample.Key)
+	if group == nil {
 		return
 	}
-	was, known := route.peerSamples[sample.Courier]
+	previous, known := group.peerSamples[sample.Courier]
 	switch {
-	case known && cmp.Or(cmp.Compare(sample.Incarnation, was.count.Incarnation), cmp.Compare(sample.Sequence, was.count.Sequence)) <= 0:
+	case known && cmp.Or(cmp.Compare(sample.Incarnation, previous.sample.Incarnation), cmp.Compare(sample.Sequence, previous.sample.Sequence)) <= 0:
 		return
 	case !known && c.peerSampleCount >= maxPeerSamples:
 		c.counters.Dropped++
@@ -39,94 +39,97 @@
 	if !known {
 		c.peerSampleCount++
 	}
-	route.peerSamples[sample.Courier] = sampleSlot{sample, c.now - sample.Age}
+	group.peerSamples[sample.Courier] = peerSample{sample, c.now - sample.Age}
 }
 
-// followLoad has the load that is handed out follow the one that is known, as slowly as use is measured. Failure: couriers that all knew the
-// same fresh load slowed down and sped up in step, and the more they knew the worse.
-func (c *Allocator) followLoad(route *groupState) {
-	sum, heard := c.load(route)
-	if !heard {
+// updateSmoothedLoad moves the reported load towards the estimated load, exponentially with the time constant usageWindow. Incident: when
+// all couriers received the same unsmoothed load, they slowed down and sped up in step. The oscillation grew with the number of samples
+// that each courier had.
+func (c *Allocator) updateSmoothedLoad(group *groupState) {
+	usage, known := c.estimateLoad(group)
+	if !known {
 		return
 	}
-	load, passed := float64(sum)/float64(whole), c.now-route.loadAt
-	if route.loadAt > 0 && passed < sampleLifetime {
-		load = route.load + (load-route.load)*(1-math.Exp(-float64(passed)/float64(usageSpan)))
+	load, elapsed := float64(usage)/float64(fullLimit), c.now-group.loadUpdatedAt
+	if group.loadUpdatedAt > 0 && elapsed < sampleLifetime {
+		load = group.smoothedLoad + (load-group.smoothedLoad)*(1-math.Exp(-float64(elapsed)/float64(usageWindow)))
 	}
-	route.load, route.loadAt = load, c.now
+	group.smoothedLoad, group.loadUpdatedAt = load, c.now
 }
 
-// load is what all couriers use of a limit, as far as it is known: the sum of the samples, and at least what the members that sent theirs
-// themselves make likely for all. It is false where there are no samples.
-func (c *Allocator) load(route *groupState) (sum Units, heard bool) {
-	known, said := Units(0), Units(0)
-	for who, slot := range route.peerSamples {
-		if c.now-slot.at > sampleLifetime {
+// estimateLoad estimates how much of a limit all couriers use together. It adds this courier's usage to the larger of two numbers: the sum
+// of the current samples, and the mean usage of the members that sent packets directly, multiplied by the number of alive members. It
+// returns false if there are no current samples.
+func (c *Allocator) estimateLoad(group *groupState) (usage Units, known bool) {
+	knownUsage, directUsage := Units(0), Units(0)
+	for name, peer := range group.peerSamples {
+		if c.now-peer.at > sampleLifetime {
 			continue
 		}
-		known, heard = known+slot.count.Usage, true
-		if at, ok := c.heardDirectly[who]; ok && c.now-at <= sampleLifetime {
-			said += slot.count.Usage
+		knownUsage, known = knownUsage+peer.sample.Usage, true
+		if at, ok := c.directPacketAt[name]; ok && c.now-at <= sampleLifetime {
+			directUsage += peer.sample.Usage
 		}
 	}
-	likely := float64(said) * float64(len(c.alive)) / float64(max(1, len(c.heardDirectly)))
-	return route.usage + max(known, Units(likely)), heard
+	extrapolated := float64(directUsage) * float64(len(c.alive)) / float64(max(1, len(c.directPacketAt)))
+	return group.usage + max(knownUsage, Units(extrapolated)), known
 }
 
-// spread sends requests to the members that they are for, and samples to some members: this courier's own first, then others by turns.
-func (c *Allocator) spread(keys []Key, requests map[string][]Request) {
-	var own, others []Sample
-	from := 0
-	if c.peerSampleCount > maxPeers {
-		from = int(c.sequence % uint64(len(keys)))
+// sendPackets sends the requests to their target members, and samples to sampleFanout random members. A packet holds this courier's own
+// samples first, then forwarded samples of other couriers in rotation.
+func (c *Allocator) sendPackets(keys []Key, requests map[string][]Request) {
+	var own, forwarded []Sample
+	first := 0
+	if c.peerSampleCount > maxForwardedSamples {
+		first = int(c.sequence % uint64(len(keys)))
 	}
 	for i := range keys {
-		key := keys[(from+i)%len(keys)]
-		route := c.groups[key]
-		if sample := route.demand; route.usage > 0 {
-			own = append(own, Sample{Key: key, Courier: c.config.Self, Incarnation: c.config.Incarnation, Sequence: c.sequence, Calls: sample.Calls, Delivered: sample.Delivered, Throttled: sample.Throttled, Usage: route.usage})
+		key := keys[(first+i)%len(keys)]
+		group := c.groups[key]
+		if demand := group.demand; group.usage > 0 {
+			own = append(own, Sample{Key: key, Courier: c.config.Self, Incarnation: c.config.Incarnation, Sequence: c.sequence, Calls: demand.Calls, Delivered: demand.Delivered, Throttled: demand.Throttled, Usage: group.usage})
 		}
-		if len(others) >= maxPeers {
+		if len(forwarded) >= maxForwardedSamples {
 			continue
 		}
-		for _, who := range slices.Sorted(maps.Keys(route.peerSamples)) {
-			if slot := route.peerSamples[who]; c.now-slot.at <= sampleLifetime/2 {
-				sample := slot.count
-				sample.Age = max(0, c.now-slot.at)
-				others = append(others, sample)
+		for _, courier := range slices.Sorted(maps.Keys(group.peerSamples)) {
+			if peer := group.peerSamples[courier]; c.now-peer.at <= sampleLifetime/2 {
+				sample := peer.sample
+				sample.Age = max(0, c.now-peer.at)
+				forwarded = append(forwarded, sample)
 			}
 		}
 	}
-	slices.SortStableFunc(own, func(request, b Sample) int { return cmp.Compare(b.Usage, request.Usage) })
-	to, hear := map[string]Packet{}, map[string]bool{}
-	for _, i := range c.rng.Perm(len(c.alive))[:min(fanout, len(c.alive))] {
-		hear[c.alive[i]] = true
+	slices.SortStableFunc(own, func(a, b Sample) int { return cmp.Compare(b.Usage, a.Usage) })
+	to, sampleTargets := map[string]Packet{}, map[string]bool{}
+	for _, i := range c.rng.Perm(len(c.alive))[:min(sampleFanout, len(c.alive))] {
+		sampleTargets[c.alive[i]] = true
 		to[c.alive[i]] = Packet{}
 	}
 	for name, request := range requests {
 		to[name] = Packet{Requests: request}
 	}
-	said := 0
+	forwardedCount := 0
 	for _, name := range slices.Sorted(maps.Keys(to)) {
-		packet, room := Packet{}, newPacketBudget(c.config.Self)
-		for _, request := range to[name].Requests { // those beyond are lost, and requested again
-			if room.take(request.size()) {
+		packet, budget := Packet{}, newPacketBudget(c.config.Self)
+		for _, request := range to[name].Requests { // requests that do not fit are dropped and made again in a later tick
+			if budget.reserve(request.size()) {
 				packet.Requests = append(packet.Requests, request)
 			}
 		}
-		if hear[name] {
-			for i := 0; i < len(own) && room.take(own[i].size()); i++ {
+		if sampleTargets[name] {
+			for i := 0; i < len(own) && budget.reserve(own[i].size()); i++ {
 				packet.Samples = append(packet.Samples, own[i])
 			}
-			for i := 0; i < len(others); i++ {
-				sample := others[(c.rotation+i)%len(others)]
-				if !room.take(sample.size()) {
+			for i := 0; i < len(forwarded); i++ {
+				sample := forwarded[(c.forwardOffset+i)%len(forwarded)]
+				if !budget.reserve(sample.size()) {
 					break
 				}
-				packet.Samples, said = append(packet.Samples, sample), max(said, i+1)
+				packet.Samples, forwardedCount = append(packet.Samples, sample), max(forwardedCount, i+1)
 			}
 		}
-		c.send(name, packet) // also where nothing is used, which is worth knowing too
+		c.send(name, packet) // also without samples: the receiver then knows that this courier uses nothing
 	}
-	c.rotation += said
+	c.forwardOffset += forwardedCount
 }
--- a/quota/decisions.go
+++ b/quota/decisions.go
@@ -2,7 +2,7 @@
 
 import "pineport/dispatch"
 
-// DemandsOf returns the demands of a dispatcher as an event.
+// DemandsOf converts the demands of a dispatcher to an event for the Allocator.
 func DemandsOf(all []dispatch.Demand) (changed DemandsChanged) {
 	for _, demand := range all {
 		changed.All = append(changed.All, Demand{Key: Key{Dest: int32(demand.Destination), Endpoint: string(demand.Endpoint)}, Limit: demand.Limit,
@@ -11,7 +11,7 @@
 	return changed
 }
 
-// ToDispatch returns shares as an event for the dispatcher; at converts an instant of the allocator's clock to one of the dispatcher's.
+// ToDispatch converts shares to an event for the dispatcher. The function at converts a time of the Allocator's clock to the dispatcher's.
 func ToDispatch(shares []Share, at func(Micros) Micros) (event dispatch.QuotaChanged) {
 	for _, share := range shares {
 		event.Shares = append(event.Shares, dispatch.QuotaShare{Destination: dispatch.DestinationID(share.Dest), Endpoint: dispatch.EndpointID(share.Endpoint), Granted: share.Granted, GrantedUntil: at(share.GrantedUntil),
--- a/quota/events.go
+++ b/quota/events.go
@@ -1,26 +1,26 @@
 package quota
 
-// Event is something that happened: one of the types of this file with that method.
+// Event is an input of Allocator.Handle: one of the types below.
 type Event interface{ event() }
 
 type (
-	// DemandsChanged brings what the dispatcher does at its groups.
+	// DemandsChanged reports the demand of the dispatcher for each of its groups.
 	DemandsChanged struct{ All []Demand }
-	// Demand is what the dispatcher does at one group; the counts are since the process started.
+	// Demand is the demand of the dispatcher for one group. The counters restart at 0 when the dispatcher restarts.
 	Demand struct {
 		Key
-		Limit                       float64 // calls a second from all couriers; 0 if unknown
+		Limit                       float64 // calls per second of all couriers together; 0 if unknown
 		Calls, Delivered, Throttled uint64
 		Waiting                     int // messages queued
 	}
-	// FleetChanged brings the size of the fleet, and the names of the other members that are alive.
+	// FleetChanged reports the size of the fleet and the names of the other alive members.
 	FleetChanged struct {
 		Couriers int
 		Alive    []string
 	}
-	// PacketReceived brings a packet of another courier.
+	// PacketReceived reports a packet of another courier.
 	PacketReceived struct{ Packet Packet }
-	// Tick comes at a steady interval.
+	// Tick is due at a fixed interval. It sends requests and samples.
 	Tick struct{}
 )
 
@@ -29,29 +29,30 @@
 func (PacketReceived) event() {}
 func (Tick) event()           {}
 
-// Action is something to be carried out: one of the types of this file with that method.
+// Action is an instruction for the caller of Allocator.Handle: one of the types below.
 type Action interface{ action() }
 
 type (
-	// SendPacket sends a packet to a member. It may be lost.
+	// SendPacket sends a packet to a member. The packet may be lost.
 	SendPacket struct {
 		To     string
 		Packet Packet
 	}
-	// ShareChanged hands the dispatcher the shares that hold, of all groups that it named.
+	// ShareChanged reports the current shares to the dispatcher: after a Tick for all groups with a known limit, after a packet for the
+	// groups with a new grant.
 	ShareChanged struct{ Shares []Share }
 )
 
 func (SendPacket) action()   {}
 func (ShareChanged) action() {}
 
-// Share is what holds for one group. Granted and Leased are shares of the base share.
+// Share is the current share of one group. Granted and Leased are fractions of the base share.
 type Share struct {
 	Key
-	Granted      float64 // subtracted, until GrantedUntil
+	Granted      float64 // subtracted from the base share until GrantedUntil
 	GrantedUntil Micros
-	Leased       float64 // on top, until LeasedUntil
+	Leased       float64 // added to the base share until LeasedUntil
 	LeasedUntil  Micros
-	Load         float64 // share of the limit that all known couriers use, until LoadUntil
+	Load         float64 // estimated usage of all couriers as a fraction of the limit, valid until LoadUntil
 	LoadUntil    Micros
 }
--- a/quota/exchange/exchange.go
+++ b/quota/exchange/exchange.go
@@ -1,5 +1,5 @@
-// Package exchange joins quota with a clock, the words of the fleet and the decisions. Nothing here is on a message's way: it reads what
-// the decisions last reported of their routes, and hands them what stands.
+// Package exchange connects package quota to the clock, to the other members of the fleet and to the dispatcher. No message passes through
+// this package: it reads the demands that the dispatcher last reported and hands the current shares to the dispatcher.
 package exchange
 
 import (
@@ -16,47 +16,48 @@
 	"pineport/quota"
 )
 
-// Options are what an exchange is notified.
+// Options configure an Exchange.
 type Options struct {
-	Self        string
-	Incarnation uint64
-	Interval    time.Duration
-	// FirstSequence is beyond all sequence numbers of an earlier process of this incarnation: the courier's time at its start, in
-	// milliseconds. The two processes of an upgrade have one incarnation.
+	Self        string        // name of this courier
+	Incarnation uint64        // of this courier
+	Interval    time.Duration // between two ticks of the Allocator
+	// FirstSequence is higher than all sequence numbers of an earlier process with this incarnation. It is the courier's time at its
+	// start, in milliseconds. During an upgrade, the old and the new process have the same incarnation.
 	FirstSequence uint64
 	Log           *slog.Logger
-	// Fleet is how many couriers are counted on, and who else is heard.
+	// Fleet returns the estimated number of couriers in the fleet, and the names of the other alive members.
 	Fleet func() (couriers int, alive []string)
-	// Send has a member hear words, which may be lost. It must not wait.
+	// Send sends data to a member. The data may be lost. Send must not block.
 	Send func(to string, text []byte) error
-	// Demands is what the decisions last reported of their routes.
+	// Demands returns the demands that the dispatcher last reported.
 	Demands func() []dispatch.Demand
-	// Apply hands the decisions what stands, by a clock that began at zero. What it returns is closed once it is taken in; nil if it is not.
-	Apply func(parts []quota.Share, zero time.Time) (taken <-chan struct{})
+	// Apply hands shares to the dispatcher. Their times are relative to zero. Apply returns a channel that is closed once the dispatcher
+	// has applied the shares, or nil if it cannot accept them now.
+	Apply func(shares []quota.Share, zero time.Time) (applied <-chan struct{})
 }
 
 const (
-	queueSize = 256 // packets that wait; what comes beyond is lost, as any may be
-	// takenWithin is how long the decisions may take before a lease is said: if they have not heard what was taken off by then, it is not.
+	packetQueueSize = 256 // received packets waiting for run; further ones are dropped
+	// applyTimeout is how long the dispatcher may take to apply a grant. After that, the lease is not sent.
 	applyTimeout = 250 * time.Millisecond
 )
 
-// Exchange runs one courier's quota.
+// Exchange runs the quota Allocator of one courier.
 type Exchange struct {
-	options   Options
-	startedAt time.Time
-	allocator *quota.Allocator
-	packets   chan quota.Packet
-	counts    Counts
-	looks     chan chan Status
-	stop      context.CancelFunc
-	done      sync.WaitGroup
+	options        Options
+	startedAt      time.Time
+	allocator      *quota.Allocator
+	packets        chan quota.Packet
+	counts         Counts
+	statusRequests chan chan Status
+	cancel         context.CancelFunc
+	wg             sync.WaitGroup
 }
 
-// Counts count packets since the start.
+// Counts are the live counters of an Exchange since its start.
 type Counts struct{ PacketsOut, BytesOut, PacketsIn, PacketsMalformed, PacketsDropped, LeasesWithheld atomic.Int64 }
 
-// Status is what operators are shown.
+// Status is the state of an Exchange, as commands print it.
 type Status struct {
 	Incarnation      uint64         `json:"start"`
 	Groups           []quota.Status `json:"routes"`
@@ -69,31 +70,31 @@
 	LeasesWithheld   int64          `json:"loans_withheld"`
 }
 
-// Open begins to share.
+// Open starts an Exchange.
 func Open(o Options) *Exchange {
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	x := &Exchange{options: o, startedAt: clock.Instant(), packets: make(chan quota.Packet, queueSize), looks: make(chan chan Status)}
+	x := &Exchange{options: o, startedAt: clock.Instant(), packets: make(chan quota.Packet, packetQueueSize), statusRequests: make(chan chan Status)}
 	var salt [8]byte
 	rand.Read(salt[:])
 	couriers, _ := o.Fleet()
 	x.allocator = quota.New(x.now(), quota.Config{Self: o.Self, Incarnation: o.Incarnation, Couriers: couriers, Seed: int64(binary.LittleEndian.Uint64(salt[:])),
 		FirstSequence: o.FirstSequence})
 	ctx, cancel := context.WithCancel(context.Background())
-	x.stop = cancel
-	x.done.Add(1)
+	x.cancel = cancel
+	x.wg.Add(1)
 	go x.run(ctx)
 	return x
 }
 
-// Close ends it; what was granted stays with the lessees, and what was leased lapses.
+// Close stops the Exchange. Granted leases stay valid at the lessees until they expire. Leases of this courier are not renewed.
 func (x *Exchange) Close() {
-	x.stop()
-	x.done.Wait()
+	x.cancel()
+	x.wg.Wait()
 }
 
-// Receive takes in what a member said. It does not wait.
+// Receive queues a packet of another member. It does not block.
 func (x *Exchange) Receive(text []byte) {
 	x.counts.PacketsIn.Add(1)
 	packet, err := quota.Decode(text)
@@ -108,22 +109,22 @@
 	}
 }
 
-// shownWithin is how long somebody waits to be shown what stands.
+// statusTimeout is how long Status waits for run.
 const statusTimeout = time.Second
 
-// Status is what stands at this instant; false where the exchange has ended or hangs.
+// Status returns the current state. It returns false if the Exchange is closed or does not respond within statusTimeout.
 func (x *Exchange) Status() (Status, bool) {
-	late := time.After(statusTimeout)
+	timeout := time.After(statusTimeout)
 	to := make(chan Status, 1)
 	select {
-	case x.looks <- to:
-	case <-late:
+	case x.statusRequests <- to:
+	case <-timeout:
 		return Status{}, false
 	}
 	select {
 	case s := <-to:
 		return s, true
-	case <-late:
+	case <-timeout:
 		return Status{}, false
 	}
 }
@@ -133,9 +134,9 @@
 }
 
 func (x *Exchange) run(ctx context.Context) {
-	defer x.done.Done()
-	interval := time.NewTicker(x.options.Interval)
-	defer interval.Stop()
+	defer x.wg.Done()
+	ticker := time.NewTicker(x.options.Interval)
+	defer ticker.Stop()
 	for {
 		var actions []quota.Action
 		select {
@@ -143,25 +144,26 @@
 			return
 		case packet := <-x.packets:
 			actions = x.allocator.Handle(x.now(), quota.PacketReceived{Packet: packet})
-		case <-interval.C:
+		case <-ticker.C:
 			couriers, alive := x.options.Fleet()
 			actions = x.allocator.Handle(x.now(), quota.FleetChanged{Couriers: couriers, Alive: alive}, quota.DemandsOf(x.options.Demands()), quota.Tick{})
-		case to := <-x.looks:
-			to <- x.status()
+		case to := <-x.statusRequests:
+			to <- x.currentStatus()
 		}
 		x.carryOut(ctx, actions)
 	}
 }
 
-// carryOut does what was decided, in order: a lease is said only once the decisions go without it.
+// carryOut carries out actions in order. It sends a lease only after the dispatcher has applied the matching grant, and otherwise
+// withholds it.
 func (x *Exchange) carryOut(ctx context.Context, actions []quota.Action) {
-	known := true
+	applied := true
 	for _, action := range actions {
 		switch a := action.(type) {
 		case quota.ShareChanged:
-			known = x.share(ctx, a.Shares)
+			applied = x.applyShares(ctx, a.Shares)
 		case quota.SendPacket:
-			if len(a.Packet.Leases) > 0 && !known {
+			if len(a.Packet.Leases) > 0 && !applied {
 				x.counts.LeasesWithheld.Add(1)
 				continue
 			}
@@ -179,27 +181,27 @@
 	}
 }
 
-func (x *Exchange) share(ctx context.Context, parts []quota.Share) bool {
-	if len(parts) == 0 {
+func (x *Exchange) applyShares(ctx context.Context, shares []quota.Share) bool {
+	if len(shares) == 0 {
 		return true
 	}
-	taken := x.options.Apply(parts, x.startedAt)
-	if taken == nil {
+	applied := x.options.Apply(shares, x.startedAt)
+	if applied == nil {
 		return false
 	}
-	late := time.NewTimer(applyTimeout)
-	defer late.Stop()
+	timeout := time.NewTimer(applyTimeout)
+	defer timeout.Stop()
 	select {
-	case <-taken:
+	case <-applied:
 		return true
 	case <-ctx.Done():
-	case <-late.C:
+	case <-timeout.C:
 	}
 	return false
 }
 
-func (x *Exchange) status() Status {
-	lines, sums := x.allocator.Status(x.now())
-	return Status{Incarnation: x.options.Incarnation, Groups: lines, Counters: sums, PacketsOut: x.counts.PacketsOut.Load(), BytesOut: x.counts.BytesOut.Load(), PacketsIn: x.counts.PacketsIn.Load(),
+func (x *Exchange) currentStatus() Status {
+	groups, counters := x.allocator.Status(x.now())
+	return Status{Incarnation: x.options.Incarnation, Groups: groups, Counters: counters, PacketsOut: x.counts.PacketsOut.Load(), BytesOut: x.counts.BytesOut.Load(), PacketsIn: x.counts.PacketsIn.Load(),
 		PacketsMalformed: x.counts.PacketsMalformed.Load(), PacketsDropped: x.counts.PacketsDropped.Load(), LeasesWithheld: x.counts.LeasesWithheld.Load()}
 }
--- a/quota/golden_test.go
+++ b/quota/golden_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// TestShownIsAsRecorded: the keys that scripts read of what is shown.
-func TestShownIsAsRecorded(t *testing.T) {
+// TestStatusIsAsRecorded: the keys that scripts read of what is shown.
+func TestStatusIsAsRecorded(t *testing.T) {
 	golden.Tagged(t, Status{})
 	golden.Tagged(t, Counters{})
 	var shown struct {
--- a/quota/leasing.go
+++ b/quota/leasing.go
@@ -6,27 +6,27 @@
 	"slices"
 )
 
-// Leases of shares among couriers, as both sides of a lease keep them.
+// This file handles both sides of a lease: grants to other couriers, and leases that this courier requested.
 
 type lease struct {
-	courier string
+	courier string // the other courier
 	id      uint64
 	units   Units
 	until   Micros
 }
 
 type request struct {
-	courier string
+	courier string // the member that received the request
 	units   Units
 	at      Micros
 }
 
-// grantedUnits is how much of the base share is granted now.
-func (c *Allocator) grantedUnits(route *groupState) (sum Units) {
-	if c.now < c.ownGrantsUntil {
-		sum = c.baseUnits() / 2 // as much as an earlier start may have granted
+// grantedUnits returns how much of the base share is currently granted.
+func (c *Allocator) grantedUnits(group *groupState) (sum Units) {
+	if c.now < c.earlierGrantsUntil {
+		sum = c.baseUnits() / 2 // the most that an earlier incarnation may have granted
 	}
-	for _, lease := range route.grants {
+	for _, lease := range group.grants {
 		if c.now < lease.until {
 			sum += lease.units
 		}
@@ -34,10 +34,10 @@
 	return sum
 }
 
-// leasedUnits is what leases add that hold for a while longer, and when the first of them ends.
-func (c *Allocator) leasedUnits(route *groupState, longer Micros) (sum Units, until Micros) {
-	for _, lease := range route.leases {
-		if c.now+longer < lease.until {
+// leasedUnits returns the sum of the leases that are valid for longer than margin, and when the first of them ends.
+func (c *Allocator) leasedUnits(group *groupState, margin Micros) (sum Units, until Micros) {
+	for _, lease := range group.leases {
+		if c.now+margin < lease.until {
 			if sum += lease.units; until == 0 || lease.until < until {
 				until = lease.until
 			}
@@ -46,60 +46,63 @@
 	return sum, until
 }
 
-// acceptLeases adds a lease that was requested, until a span after its request, once.
-func (c *Allocator) acceptLeases(from string, l Lease) {
-	rt := c.groups[l.Key]
-	if rt == nil {
+// acceptLease adds a lease that this courier requested. The lease is valid until leaseDuration after the request, and each request accepts
+// at most one lease.
+func (c *Allocator) acceptLease(from string, granted Lease) {
+	group := c.groups[granted.Key]
+	if group == nil {
 		return
 	}
-	a, ok := rt.requests[l.LeaseID]
-	if !ok || a.courier != from || l.Units > a.units || c.now >= a.at+leaseSpan {
+	pending, ok := group.requests[granted.LeaseID]
+	if !ok || pending.courier != from || granted.Units > pending.units || c.now >= pending.at+leaseDuration {
 		c.counters.Late++
 		return
 	}
-	delete(rt.requests, l.LeaseID)
+	delete(group.requests, granted.LeaseID)
 	c.counters.Leased++
-	rt.leases = append(rt.leases, lease{from, l.LeaseID, l.Units, a.at + leaseSpan})
+	group.leases = append(group.leases, lease{from, granted.LeaseID, granted.Units, pending.at + leaseDuration})
 }
 
-// grantLeases grants what this courier does not need, half of its base share at most, and subtracts it first. A tenth is kept for
-// unforeseen use; less than a fiftieth is not worth a packet.
-func (c *Allocator) grantLeases(to string, request Request) (Lease, bool) {
-	route := c.groups[request.Key]
-	if route == nil {
-		route = c.group(request.Key) // no demand here
+// grantLease grants the part of the base share that this courier does not need, at most half of it, and records the grant before the lease
+// is sent. It keeps a tenth of the base share for an increase of its own usage. It does not grant less than a fiftieth of the base share,
+// which is not worth a packet.
+func (c *Allocator) grantLease(to string, request Request) (Lease, bool) {
+	group := c.groups[request.Key]
+	if group == nil {
+		group = c.groupFor(request.Key) // this courier has no demand for the group
 	}
-	if route == nil || !slices.Contains(c.alive, to) {
+	if group == nil || !slices.Contains(c.alive, to) {
 		return Lease{}, false
 	}
-	for _, lease := range route.grants {
+	for _, lease := range group.grants {
 		if lease.courier == to && lease.id == request.LeaseID {
 			return Lease{}, false // a duplicate request
 		}
 	}
-	base, away := c.baseUnits(), c.grantedUnits(route)
-	units := min(request.Units, base-away-route.usage*5/4-base/10, base/2-away)
+	base, granted := c.baseUnits(), c.grantedUnits(group)
+	units := min(request.Units, base-granted-group.usage*5/4-base/10, base/2-granted)
 	if units < max(1, base/50) {
 		return Lease{}, false
 	}
-	route.grants = append(route.grants, lease{to, request.LeaseID, units, c.now + grantSpan})
+	group.grants = append(group.grants, lease{to, request.LeaseID, units, c.now + grantDuration})
 	c.counters.Granted++
 	return Lease{request.Key, units, request.LeaseID}, true
 }
 
-// requestLeases requests what is wanted beyond this courier's share: a quarter more than it uses, and what waits, within a second. Members
-// that use least of the limit come first; among equals each courier prefers others, by rendezvous hashing.
-func (c *Allocator) requestLeases(route *groupState, requests map[string][]Request) {
+// requestLeases requests what this courier needs beyond its current share. It needs its usage plus a quarter, plus enough to send the
+// waiting messages within one second. Requests go to the members that use least of the limit. Among members with equal usage, rendezvous
+// hashing gives each courier a different order.
+func (c *Allocator) requestLeases(group *groupState, requests map[string][]Request) {
 	base := c.baseUnits()
-	lasting, _ := c.leasedUnits(route, leaseSpan/2)
-	for _, a := range route.requests {
-		if c.now-a.at < leaseSpan/4 {
-			lasting += a.units
+	expected, _ := c.leasedUnits(group, leaseDuration/2)
+	for _, pending := range group.requests {
+		if c.now-pending.at < leaseDuration/4 {
+			expected += pending.units
 		}
 	}
-	waiting := Units(min(float64(whole), float64(route.demand.Waiting)/route.demand.Limit*float64(whole)))
-	want := min(whole-base, route.usage*5/4+waiting) - (base - c.grantedUnits(route)) - lasting
-	if route.usage == 0 || want < max(1, base/20) {
+	waiting := Units(min(float64(fullLimit), float64(group.demand.Waiting)/group.demand.Limit*float64(fullLimit)))
+	wanted := min(fullLimit-base, group.usage*5/4+waiting) - (base - c.grantedUnits(group)) - expected
+	if group.usage == 0 || wanted < max(1, base/20) {
 		return
 	}
 	type member struct {
@@ -107,27 +110,27 @@
 		usage Units
 		rank  uint64
 	}
-	var all []member
+	var candidates []member
 	for _, name := range c.alive {
-		m := member{name: name, rank: rank(c.config.Self, name, route.demand.Key)}
-		if slot, ok := route.peerSamples[name]; ok && c.now-slot.at <= sampleLifetime {
-			m.usage = slot.count.Usage
+		m := member{name: name, rank: rendezvousRank(c.config.Self, name, group.demand.Key)}
+		if peer, ok := group.peerSamples[name]; ok && c.now-peer.at <= sampleLifetime {
+			m.usage = peer.sample.Usage
 		}
 		if m.usage < base/2 {
-			all = append(all, m)
+			candidates = append(candidates, m)
 		}
 	}
-	slices.SortFunc(all, func(a, b member) int { return cmp.Or(cmp.Compare(a.usage, b.usage), cmp.Compare(a.rank, b.rank)) })
-	for _, m := range all[:min(requestFanout, len(all))] {
-		a := Request{route.demand.Key, want/Units(min(requestFanout, len(all))) + 1, c.rng.Uint64()}
-		route.requests[a.LeaseID] = request{m.name, a.Units, c.now}
-		requests[m.name] = append(requests[m.name], a)
+	slices.SortFunc(candidates, func(a, b member) int { return cmp.Or(cmp.Compare(a.usage, b.usage), cmp.Compare(a.rank, b.rank)) })
+	for _, m := range candidates[:min(requestFanout, len(candidates))] {
+		sent := Request{group.demand.Key, wanted/Units(min(requestFanout, len(candidates))) + 1, c.rng.Uint64()}
+		group.requests[sent.LeaseID] = request{m.name, sent.Units, c.now}
+		requests[m.name] = append(requests[m.name], sent)
 		c.counters.Requested++
 	}
 }
 
-// rank orders members for one courier and group, by rendezvous hashing.
-func rank(self, other string, key Key) uint64 {
+// rendezvousRank returns the sort key of another member for one courier and group, by rendezvous hashing.
+func rendezvousRank(self, other string, key Key) uint64 {
 	h := fnv.New64a()
 	for _, s := range []string{self, other, key.Endpoint} {
 		h.Write([]byte(s))
--- a/quota/packet.go
+++ b/quota/packet.go
@@ -6,18 +6,18 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Version of the packets. Unknown fields are ignored.
+// Version is the version of the packet format. Receivers ignore unknown fields.
 const Version = 1
 
 const (
-	// maxItems bounds the requests, leases and samples of one packet each; a packet holds fewer.
+	// maxItems limits the number of requests, of leases and of samples in one packet. Packets of a courier stay below it.
 	maxItems = 64
-	// maxPacketBytes is below what the transport carries in one datagram.
+	// maxPacketBytes is less than the transport can carry in one datagram.
 	maxPacketBytes = 1200
 	maxNameBytes   = 128
 	maxKeyBytes    = 256
-	// maxUsage is the highest plausible use of a limit by one courier: throttled calls may go far beyond the limit.
-	maxUsage     = 4 * whole
+	// maxUsage is the highest plausible usage of one courier. Throttled calls count too, so usage may be far above the limit.
+	maxUsage     = 4 * fullLimit
 	maxSampleAge = 60 * second
 )
 
@@ -30,27 +30,27 @@
 	Samples  []Sample  `cbor:"5,keyasint,omitempty"`
 }
 
-// Request asks a member for a share of a limit. The span of the lease counts from the request, at the requesting courier.
+// Request asks a member for a share of a limit. The duration of the lease counts from the request, on the clock of the requesting courier.
 type Request struct {
 	Key     Key    `cbor:"1,keyasint"`
 	Units   Units  `cbor:"2,keyasint"`
-	LeaseID uint64 `cbor:"3,keyasint"` // drawn; a lease answers it
+	LeaseID uint64 `cbor:"3,keyasint"` // random; the Lease that answers the request has the same id
 }
 
-// Lease answers a Request. It may be smaller.
+// Lease answers a Request. It may be for fewer Units than requested.
 type Lease struct {
 	Key     Key    `cbor:"1,keyasint"`
 	Units   Units  `cbor:"2,keyasint"`
 	LeaseID uint64 `cbor:"3,keyasint"`
 }
 
-// Sample is what one courier has done at a group since its start, and what it uses of the limit now.
+// Sample holds the counters of one courier for a group since its start, and its current usage of the limit.
 type Sample struct {
 	Key         Key    `cbor:"1,keyasint"`
 	Courier     string `cbor:"2,keyasint"`
 	Incarnation uint64 `cbor:"3,keyasint"`
-	Sequence    uint64 `cbor:"4,keyasint"` // grows
-	Age         Micros `cbor:"5,keyasint"`
+	Sequence    uint64 `cbor:"4,keyasint"` // higher for later samples of the same incarnation
+	Age         Micros `cbor:"5,keyasint"` // time since the sample was taken
 	Calls       uint64 `cbor:"6,keyasint"`
 	Delivered   uint64 `cbor:"7,keyasint"`
 	Throttled   uint64 `cbor:"8,keyasint"`
@@ -65,76 +65,77 @@
 	return mode
 }()
 
-// Encode makes a packet of words.
+// Encode encodes a packet as CBOR and sets its version.
 func Encode(packet Packet) ([]byte, error) {
 	packet.Version = Version
 	return cbor.Marshal(packet)
 }
 
-// Decode reads a packet; what no courier says is refused whole.
+// Decode decodes a packet. It rejects the complete packet if any value in it is out of range.
 func Decode(text []byte) (packet Packet, err error) {
 	if len(text) > 2*maxPacketBytes {
-		return Packet{}, fmt.Errorf("%d bytes in one packet", len(text))
+		return Packet{}, fmt.Errorf("packet too long: %d bytes", len(text))
 	}
 	if err := decoder.Unmarshal(text, &packet); err != nil {
 		return Packet{}, err
 	}
-	return packet, packet.check()
+	return packet, packet.validate()
 }
 
-func (w *Packet) check() error {
-	if w.Version != Version || w.From == "" || len(w.From) > maxNameBytes {
-		return fmt.Errorf("version %d, from %.20q", w.Version, w.From)
+func (p *Packet) validate() error {
+	if p.Version != Version || p.From == "" || len(p.From) > maxNameBytes {
+		return fmt.Errorf("unsupported version %d or invalid sender %.20q", p.Version, p.From)
 	}
-	if len(w.Requests) > maxItems || len(w.Leases) > maxItems || len(w.Samples) > maxItems {
-		return fmt.Errorf("%d requests, %d leases, %d samples", len(w.Requests), len(w.Leases), len(w.Samples))
+	if len(p.Requests) > maxItems || len(p.Leases) > maxItems || len(p.Samples) > maxItems {
+		return fmt.Errorf("too many items: %d requests, %d leases, %d samples", len(p.Requests), len(p.Leases), len(p.Samples))
 	}
-	for _, a := range w.Requests {
-		if !a.Key.sound() || a.Units < 1 || a.Units > whole {
-			return fmt.Errorf("asks for %d", a.Units)
+	for _, request := range p.Requests {
+		if !request.Key.valid() || request.Units < 1 || request.Units > fullLimit {
+			return fmt.Errorf("invalid request for %d ppm", request.Units)
 		}
 	}
-	for _, lease := range w.Leases {
-		if !lease.Key.sound() || lease.Units < 1 || lease.Units > whole {
-			return fmt.Errorf("lends %d", lease.Units)
+	for _, lease := range p.Leases {
+		if !lease.Key.valid() || lease.Units < 1 || lease.Units > fullLimit {
+			return fmt.Errorf("invalid lease of %d ppm", lease.Units)
 		}
 	}
-	for _, sample := range w.Samples {
-		if !sample.Key.sound() || sample.Courier == "" || len(sample.Courier) > maxNameBytes || sample.Usage < 0 || sample.Usage > maxUsage || sample.Age < 0 || sample.Age > maxSampleAge {
-			return fmt.Errorf("counts %d of %.20q, %d old", sample.Usage, sample.Courier, sample.Age)
+	for _, sample := range p.Samples {
+		if !sample.Key.valid() || sample.Courier == "" || len(sample.Courier) > maxNameBytes || sample.Usage < 0 || sample.Usage > maxUsage || sample.Age < 0 || sample.Age > maxSampleAge {
+			return fmt.Errorf("invalid sample of courier %.20q: usage %d ppm, age %d us", sample.Courier, sample.Usage, sample.Age)
 		}
 	}
 	return nil
 }
 
-// room is how many bytes a packet may still take.
+// packetBudget is the number of bytes that can still be added to a packet.
 type packetBudget int
 
 func newPacketBudget(from string) packetBudget { return packetBudget(maxPacketBytes - 16 - len(from)) }
 
-func (r *packetBudget) take(bytes int) bool {
-	if int(*r) < bytes {
+func (b *packetBudget) reserve(bytes int) bool {
+	if int(*b) < bytes {
 		return false
 	}
-	*r -= packetBudget(bytes)
+	*b -= packetBudget(bytes)
 	return true
 }
 
-// What an ask or a count takes in a packet, to the byte or a little more.
-func (a Request) size() int { return 5 + a.Key.size() + number(uint64(a.Units)) + number(a.LeaseID) }
+// size returns the encoded size in bytes, or a few bytes more.
+func (r Request) size() int { return 5 + r.Key.size() + uintSize(uint64(r.Units)) + uintSize(r.LeaseID) }
 
-func (n Sample) size() int {
-	size := 11 + n.Key.size() + 2 + len(n.Courier)
-	for _, v := range []uint64{n.Incarnation, n.Sequence, uint64(n.Age), n.Calls, n.Delivered, n.Throttled, uint64(n.Usage)} {
-		size += number(v)
+// size returns the encoded size in bytes, or a few bytes more.
+func (s Sample) size() int {
+	size := 11 + s.Key.size() + 2 + len(s.Courier)
+	for _, v := range []uint64{s.Incarnation, s.Sequence, uint64(s.Age), s.Calls, s.Delivered, s.Throttled, uint64(s.Usage)} {
+		size += uintSize(v)
 	}
 	return size
 }
 
-func (k Key) size() int { return 6 + number(uint64(uint32(k.Dest))) + len(k.Endpoint) }
+func (k Key) size() int { return 6 + uintSize(uint64(uint32(k.Dest))) + len(k.Endpoint) }
 
-// number is how many bytes an unsigned number takes.
-func number(v uint64) int {
+// uintSize returns the size of an unsigned integer in CBOR, in bytes.
+func uintSize(v uint64) int {
 	switch {
 	case v < 24:
 		return 1
@@ -148,4 +149,4 @@
 	return 9
 }
 
-func (k Key) sound() bool { return len(k.Endpoint) <= maxKeyBytes }
+func (k Key) valid() bool { return len(k.Endpoint) <= maxKeyBytes }
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -1,13 +1,13 @@
-// Package quota shares limits that hold for all couriers of a fleet, without I/O or a clock: shares of limits are leased, and the use
-// of limits is sampled. New reads the Config once; Handle takes an instant and events, and returns the packets to send and the shares
-// that hold. docs/quota.md says what is promised.
+// Package quota divides rate limits among the couriers of a fleet. Couriers lease parts of their shares to each other and exchange samples
+// of how much of each limit they use. The package does no I/O and reads no clock: New reads the Config once, and Handle takes the current
+// time and events and returns the packets to send and the current shares. docs/quota.md lists the guarantees.
 //
-// Shares are counted in millionths of a limit. Each courier has a base share that it needs nobody for: one of as many as the fleet has
-// couriers. What it does not need it may grant to others, up to half of it. A grant is subtracted at the grantor before the lease is
-// sent, ends at the lessee a span after it *requested* it, and returns to the grantor strictly later, for clocks that run apart by one
-// part in a hundred. So a packet that is lost, late or doubled only ever makes capacity smaller, and no clock is compared with another
-// one. A courier that starts reserves what an earlier start of it may have granted: nothing has to be stored, and an older copy of the
-// state folder does no harm.
+// Shares are measured in millionths of a limit. Each courier owns a base share: the limit divided by the number of couriers in the fleet.
+// It may grant the unused part of its base share to others, at most half of it. The grantor subtracts a grant before it sends the lease.
+// The lease ends at the lessee leaseDuration after the lessee *requested* it, and the grant returns to the grantor strictly later, even if
+// one clock runs 1 % fast and the other 1 % slow. Therefore a lost, late or duplicated packet can only reduce the capacity in use, and
+// times of two clocks are never compared. A courier that starts reserves what an earlier incarnation may have granted. So leases need not
+// be stored, and restoring an older copy of the state folder is safe.
 package quota
 
 import (
@@ -20,113 +20,119 @@
 )
 
 type (
-	// Micros is an instant of this process's clock, or a span.
+	// Micros is a time on this process's clock, or a duration, in microseconds.
 	Micros = dispatch.Micros
 	// Units are millionths of a limit.
 	Units int64
 )
 
 const (
-	second = 1000 * 1000 * Micros(1)
-	whole  = Units(1000 * 1000)
+	second    = 1000 * 1000 * Micros(1)
+	fullLimit = Units(1000 * 1000) // the complete limit
 )
 
-// Key names an endpoint group whose limit is shared: a destination, or one endpoint of it where these are separate.
+// Key identifies a group with a shared limit: a destination, or a single endpoint if each endpoint of the destination has its own limit.
 type Key struct {
 	Dest     int32  `cbor:"1,keyasint" json:"destination"`
 	Endpoint string `cbor:"2,keyasint,omitempty" json:"endpoint,omitempty"`
 }
 
-func compare(a, b Key) int {
+func compareKeys(a, b Key) int {
 	return cmp.Or(cmp.Compare(a.Dest, b.Dest), cmp.Compare(a.Endpoint, b.Endpoint))
 }
 
 const (
-	// leaseSpan is how long a lease holds, from its request: some ticks, and short beside an outage, so that what is lost with a packet or
-	// a process is soon back.
-	leaseSpan = 4 * second
-	// grantSpan is when a grant returns to the grantor: with clocks a hundredth fast and slow, 4 s at one are 4.08 s at the other.
-	grantSpan = leaseSpan + leaseSpan/40
-	// sampleLifetime is how old a sample may be to count.
+	// leaseDuration is how long a lease is valid, counted from its request. It spans several ticks, but is short compared to an outage,
+	// so that capacity that is unused after a lost packet or a failed process returns soon.
+	leaseDuration = 4 * second
+	// grantDuration is how long a grant is subtracted at the grantor. If one clock runs 1 % fast and the other 1 % slow, 4 s on one clock
+	// last up to 4.08 s on the other.
+	grantDuration = leaseDuration + leaseDuration/40
+	// sampleLifetime is the maximum age of a sample that is included in the load.
 	sampleLifetime = 3 * second
-	// usageSpan is what use is averaged over: long beside a tick, short beside an outage.
-	usageSpan = 2 * second
-	// maxKeys and maxPeerSamples bound what is kept: groups, and samples of other couriers over all of them, some 2 MB. What is beyond does
-	// not count for a load, which is then underestimated.
+	// usageWindow is the time over which usage is averaged. It is long compared to a tick and short compared to an outage.
+	usageWindow = 2 * second
+	// maxKeys and maxPeerSamples limit the groups and the samples of other couriers in memory, about 2 MB in total. Samples beyond the
+	// limits are dropped, so the load is then underestimated.
 	maxKeys        = 1024
 	maxPeerSamples = 8192
-	// maxMembersAsked get requests at one tick, whatever the number of groups; the others wait for the next one.
-	maxMembersAsked = 12
-	// maxPeers samples of others are gathered for a tick, more than its packets hold.
-	maxPeers = 512
-	// maxGranted of a base share counts as granted. Less than was granted only where the fleet has more than doubled since.
-	maxGranted = 0.9
-	// requestFanout members share a request: one that answers late or never costs a part of it.
+	// maxRequestTargets limits the members that receive requests in one tick. Once it is reached, the remaining groups send their requests
+	// in a later tick.
+	maxRequestTargets = 12
+	// maxForwardedSamples is how many samples of other couriers are collected per tick before collecting stops. That is more than the
+	// packets of a tick can hold.
+	maxForwardedSamples = 512
+	// maxGrantedShare caps the part of the base share that is reported as granted. At most half of the base share is granted, so the cap
+	// takes effect only if the fleet has nearly doubled since the grant.
+	maxGrantedShare = 0.9
+	// requestFanout is the number of members among which a request is divided. If one of them responds late or not at all, only its part
+	// is missing.
 	requestFanout = 3
-	// fanout members get samples at each tick; passed on, they reach a fleet of hundreds within sampleLifetime.
-	fanout = 3
+	// sampleFanout is the number of members that receive samples in each tick. They forward the samples, which reach a fleet of hundreds of
+	// couriers within sampleLifetime.
+	sampleFanout = 3
 )
 
-// Config is what the quota allocator is handed at their start.
+// Config is the configuration of an Allocator.
 type Config struct {
-	Self          string
+	Self          string // name of this courier
 	Incarnation   uint64
 	Couriers      int    // size of the fleet
-	Seed          int64  // another one for each process
-	FirstSequence uint64 // beyond all sequence numbers of an earlier process of this incarnation
+	Seed          int64  // of the random numbers; must differ for each process
+	FirstSequence uint64 // higher than all sequence numbers of an earlier process with this incarnation
 }
 
-// groupState is what is known of one group.
+// groupState is the state of one group.
 type groupState struct {
-	demand      Demand
-	samples     []sample
-	usage       Units
-	usedAt      Micros
-	load        float64 // of the limit, by all, as it is notified
-	loadAt      Micros  // when a sample was last known; 0: never
-	grants      []lease
-	leases      []lease
-	requests    map[uint64]request
-	peerSamples map[string]sampleSlot
+	demand        Demand
+	callSamples   []callSample // call counts of this courier within usageWindow
+	usage         Units        // what this courier uses of the limit
+	lastUsedAt    Micros
+	smoothedLoad  float64               // load of all couriers, as reported to the dispatcher; 1 is the complete limit
+	loadUpdatedAt Micros                // when smoothedLoad was last updated; 0 if never
+	grants        []lease               // shares granted to other couriers
+	leases        []lease               // shares leased from other couriers
+	requests      map[uint64]request    // pending requests by lease id
+	peerSamples   map[string]peerSample // latest sample of each other courier
 }
 
-// Allocator shares limits for one courier. One goroutine owns it.
+// Allocator computes the shares of one courier. It is not safe for concurrent use: one goroutine owns it.
 type Allocator struct {
-	config          Config
-	rng             *rand.Rand
-	now             Micros
-	actions         []Action
-	alive           []string
-	groups          map[Key]*groupState
-	heardDirectly   map[string]Micros // when members last sent samples themselves
-	ownGrantsUntil  Micros            // grants of an earlier start may hold until then, see GrantHorizon
-	sequence        uint64            // of the last tick
-	rotation        int               // where the next packets' samples of others begin
-	peerSampleCount int               // counts of others
-	counters        Counters
+	config             Config
+	rng                *rand.Rand
+	now                Micros
+	actions            []Action
+	alive              []string
+	groups             map[Key]*groupState
+	directPacketAt     map[string]Micros // when each alive member last sent a packet directly to this courier
+	earlierGrantsUntil Micros            // grants of an earlier incarnation may be valid until then, see GrantHorizon
+	sequence           uint64            // sequence number of the last tick
+	forwardOffset      int               // index of the first forwarded sample in the next packets
+	peerSampleCount    int               // samples of other couriers in all groups
+	counters           Counters
 }
 
-// New returns an allocator that knows nothing but its configuration. Lease ids are drawn by a source that no earlier process of this
-// courier had. Failure: a start with the same seed made requests under the same ids, and took a lease of the start before it for its own.
+// New returns an Allocator without groups. Lease ids are random numbers from a source that no earlier process of this courier used.
+// Incident: a restarted courier with the same seed reused lease ids, and accepted leases that had been granted to its earlier incarnation.
 func New(now Micros, config Config) *Allocator {
-	const golden = 0x9e3779b97f4a7c15 // spreads neighbouring incarnations over all bits
-	seed := config.Seed ^ int64(config.Incarnation*golden) ^ int64(config.FirstSequence)
+	const goldenRatio = 0x9e3779b97f4a7c15 // spreads consecutive incarnations over all bits
+	seed := config.Seed ^ int64(config.Incarnation*goldenRatio) ^ int64(config.FirstSequence)
 	return &Allocator{
-		config:         config,
-		rng:            rand.New(rand.NewSource(seed)),
-		now:            now,
-		groups:         map[Key]*groupState{},
-		heardDirectly:  map[string]Micros{},
-		ownGrantsUntil: now + grantSpan,
-		sequence:       config.FirstSequence,
+		config:             config,
+		rng:                rand.New(rand.NewSource(seed)),
+		now:                now,
+		groups:             map[Key]*groupState{},
+		directPacketAt:     map[string]Micros{},
+		earlierGrantsUntil: now + grantDuration,
+		sequence:           config.FirstSequence,
 	}
 }
 
-// GrantHorizon is how long after a start, or after the dispatcher was started anew, half of each base share is not to be used: as much
-// may have been granted. The owner of the dispatcher sees to that, as it starts before the allocator has handed out anything.
-const GrantHorizon = grantSpan
+// GrantHorizon is how long after a start of the process or of its dispatcher half of each base share must stay unused, because up to half
+// may have been granted before. The owner of the dispatcher enforces this: the dispatcher starts before the Allocator reports any shares.
+const GrantHorizon = grantDuration
 
-// Handle takes the events of one instant and returns the actions to carry out, in order.
+// Handle processes events that are known at the time now and returns the actions to carry out, in order.
 func (c *Allocator) Handle(now Micros, events ...Event) []Action {
 	c.now, c.actions = max(c.now, now), nil
 	for _, event := range events {
@@ -144,56 +150,56 @@
 	return c.actions
 }
 
-// baseUnits is the share that needs nobody.
-func (c *Allocator) baseUnits() Units { return whole / Units(max(1, c.config.Couriers)) }
+// baseUnits returns the base share of this courier, which does not depend on leases.
+func (c *Allocator) baseUnits() Units { return fullLimit / Units(max(1, c.config.Couriers)) }
 
-// group returns what is known of a group, which it adds; nil where there is no room.
-func (c *Allocator) group(k Key) *groupState {
-	rt := c.groups[k]
-	if rt == nil {
+// groupFor returns the state of a group and adds the group if it is new. It returns nil if there are already maxKeys groups.
+func (c *Allocator) groupFor(key Key) *groupState {
+	group := c.groups[key]
+	if group == nil {
 		if len(c.groups) >= maxKeys {
 			c.counters.Dropped++
 			return nil
 		}
-		rt = &groupState{demand: Demand{Key: k}, requests: map[uint64]request{}, peerSamples: map[string]sampleSlot{}}
-		c.groups[k] = rt
+		group = &groupState{demand: Demand{Key: key}, requests: map[uint64]request{}, peerSamples: map[string]peerSample{}}
+		c.groups[key] = group
 	}
-	rt.usedAt = c.now
-	return rt
+	group.lastUsedAt = c.now
+	return group
 }
 
-// demandsChanged takes in the demands, and measures what this courier uses of each limit.
+// demandsChanged stores the demands and computes what this courier uses of each limit.
 func (c *Allocator) demandsChanged(all []Demand) {
 	for _, demand := range all {
-		route := c.group(demand.Key)
-		if route == nil {
+		group := c.groupFor(demand.Key)
+		if group == nil {
 			continue
 		}
-		if route.demand = demand; len(route.samples) > 0 && route.samples[len(route.samples)-1].calls > demand.Calls {
-			route.samples = nil // the dispatcher was started anew
+		if group.demand = demand; len(group.callSamples) > 0 && group.callSamples[len(group.callSamples)-1].calls > demand.Calls {
+			group.callSamples = nil // the dispatcher was restarted and counts from 0
 		}
-		route.samples = append(route.samples, sample{c.now, demand.Calls})
-		for len(route.samples) > 2 && c.now-route.samples[1].at >= usageSpan {
-			route.samples = route.samples[1:]
+		group.callSamples = append(group.callSamples, callSample{c.now, demand.Calls})
+		for len(group.callSamples) > 2 && c.now-group.callSamples[1].at >= usageWindow {
+			group.callSamples = group.callSamples[1:]
 		}
-		route.usage = 0
-		if first := route.samples[0]; demand.Limit > 0 && c.now > first.at {
-			perSec := float64(demand.Calls-first.calls) / float64(max(c.now-first.at, usageSpan/2)) * float64(second)
-			route.usage = Units(min(float64(maxUsage), perSec/demand.Limit*float64(whole)))
+		group.usage = 0
+		if first := group.callSamples[0]; demand.Limit > 0 && c.now > first.at {
+			perSec := float64(demand.Calls-first.calls) / float64(max(c.now-first.at, usageWindow/2)) * float64(second)
+			group.usage = Units(min(float64(maxUsage), perSec/demand.Limit*float64(fullLimit)))
 		}
 	}
 }
 
-// packetReceived takes in a packet. Nothing in it can raise this courier's share but a lease that it requested from that member.
+// packetReceived processes a packet of another courier. Only a lease that this courier requested from the sender can increase its share.
 func (c *Allocator) packetReceived(packet Packet) {
-	if packet.From == c.config.Self || packet.check() != nil {
+	if packet.From == c.config.Self || packet.validate() != nil {
 		return
 	}
 	for _, lease := range packet.Leases {
-		c.acceptLeases(packet.From, lease)
+		c.acceptLease(packet.From, lease)
 	}
 	if slices.Contains(c.alive, packet.From) {
-		c.heardDirectly[packet.From] = c.now
+		c.directPacketAt[packet.From] = c.now
 	}
 	for _, sample := range packet.Samples {
 		c.merge(sample)
@@ -201,13 +207,13 @@
 	var leases []Lease
 	var share ShareChanged
 	for _, request := range packet.Requests {
-		if lease, ok := c.grantLeases(packet.From, request); ok {
+		if lease, ok := c.grantLease(packet.From, request); ok {
 			leases = append(leases, lease)
 			share.Shares = append(share.Shares, c.share(c.groups[request.Key]))
 		}
 	}
 	if len(leases) > 0 {
-		c.actions = append(c.actions, share) // before the leases are sent
+		c.actions = append(c.actions, share) // the grants must be applied before the leases are sent
 		c.send(packet.From, Packet{Leases: leases})
 	}
 }
@@ -219,49 +225,49 @@
 
 func (c *Allocator) tick() {
 	c.sequence++
-	c.forget()
-	keys := slices.SortedFunc(maps.Keys(c.groups), compare)
+	c.expire()
+	keys := slices.SortedFunc(maps.Keys(c.groups), compareKeys)
 	requests := map[string][]Request{}
 	var share ShareChanged
-	for i := range keys { // each tick another group comes first
-		if route := c.groups[keys[(int(c.sequence%uint64(len(keys)))+i)%len(keys)]]; route.demand.Limit > 0 {
-			if len(requests) < maxMembersAsked {
-				c.requestLeases(route, requests)
+	for i := range keys { // starts with a different group in each tick
+		if group := c.groups[keys[(int(c.sequence%uint64(len(keys)))+i)%len(keys)]]; group.demand.Limit > 0 {
+			if len(requests) < maxRequestTargets {
+				c.requestLeases(group, requests)
 			}
-			c.followLoad(route)
-			share.Shares = append(share.Shares, c.share(route))
+			c.updateSmoothedLoad(group)
+			share.Shares = append(share.Shares, c.share(group))
 		}
 	}
-	c.spread(keys, requests)
+	c.sendPackets(keys, requests)
 	c.actions = append(c.actions, share)
 }
 
-// forget drops what has expired.
-func (c *Allocator) forget() {
-	maps.DeleteFunc(c.heardDirectly, func(_ string, at Micros) bool { return c.now-at > sampleLifetime })
-	over := func(lease lease) bool { return c.now >= lease.until }
+// expire deletes expired leases, grants, requests and samples, and groups that are no longer used.
+func (c *Allocator) expire() {
+	maps.DeleteFunc(c.directPacketAt, func(_ string, at Micros) bool { return c.now-at > sampleLifetime })
+	expired := func(lease lease) bool { return c.now >= lease.until }
 	c.peerSampleCount = 0
-	for key, route := range c.groups {
-		route.grants, route.leases = slices.DeleteFunc(route.grants, over), slices.DeleteFunc(route.leases, over)
-		maps.DeleteFunc(route.requests, func(_ uint64, a request) bool { return c.now >= a.at+leaseSpan })
-		maps.DeleteFunc(route.peerSamples, func(_ string, slot sampleSlot) bool { return c.now-slot.at > 10*sampleLifetime })
-		if c.now-route.usedAt > maxSampleAge && len(route.grants) == 0 {
+	for key, group := range c.groups {
+		group.grants, group.leases = slices.DeleteFunc(group.grants, expired), slices.DeleteFunc(group.leases, expired)
+		maps.DeleteFunc(group.requests, func(_ uint64, a request) bool { return c.now >= a.at+leaseDuration })
+		maps.DeleteFunc(group.peerSamples, func(_ string, peer peerSample) bool { return c.now-peer.at > 10*sampleLifetime })
+		if c.now-group.lastUsedAt > maxSampleAge && len(group.grants) == 0 {
 			delete(c.groups, key)
 			continue
 		}
-		c.peerSampleCount += len(route.peerSamples)
+		c.peerSampleCount += len(group.peerSamples)
 	}
 }
 
-func (c *Allocator) share(route *groupState) Share {
+func (c *Allocator) share(group *groupState) Share {
 	base := c.baseUnits()
-	units, until := c.leasedUnits(route, 0)
-	share := Share{Key: route.demand.Key, Leased: float64(units) / float64(base), LeasedUntil: until}
-	for _, lease := range route.grants {
-		share.Granted, share.GrantedUntil = min(maxGranted, share.Granted+float64(lease.units)/float64(base)), max(share.GrantedUntil, lease.until)
+	units, until := c.leasedUnits(group, 0)
+	share := Share{Key: group.demand.Key, Leased: float64(units) / float64(base), LeasedUntil: until}
+	for _, lease := range group.grants {
+		share.Granted, share.GrantedUntil = min(maxGrantedShare, share.Granted+float64(lease.units)/float64(base)), max(share.GrantedUntil, lease.until)
 	}
-	if route.loadAt > 0 {
-		share.Load, share.LoadUntil = route.load, route.loadAt+sampleLifetime
+	if group.loadUpdatedAt > 0 {
+		share.Load, share.LoadUntil = group.smoothedLoad, group.loadUpdatedAt+sampleLifetime
 	}
 	return share
 }
--- a/quota/show.go
+++ b/quota/show.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// Counters count what happened since the start; the tags are their names in the output of commands.
+// Counters count events since the start. The tags are the names in the output of commands.
 type Counters struct {
 	Requested uint64 `json:"Asked"`     // requests sent
 	Granted   uint64 `json:"Lent"`      // leases granted
 	Leased    uint64 `json:"Taken"`     // leases accepted
-	Late      uint64 `json:"Late"`      // leases that came too late or were not requested
-	Dropped   uint64 `json:"Forgotten"` // groups and samples dropped for want of room
+	Late      uint64 `json:"Late"`      // leases rejected because they were late, not requested, or larger than requested
+	Dropped   uint64 `json:"Forgotten"` // groups and samples dropped because of maxKeys or maxPeerSamples
 }
 
-// Status is what holds for one group.
+// Status is the current state of one group. The tags are the names in the output of commands.
 type Status struct {
 	Key
 	Limit         float64       `json:"limit_per_s"`
@@ -31,7 +31,7 @@
 	Leases        []LeaseStatus `json:"borrowed_from,omitempty"`
 }
 
-// LeaseStatus is one lease: the other courier, its id, and how long it still holds.
+// LeaseStatus is one grant or lease: the other courier, the lease id, the share, and the remaining time.
 type LeaseStatus struct {
 	Courier   string `json:"who"`
 	LeaseID   uint64 `json:"no"`
@@ -48,19 +48,19 @@
 	return leases
 }
 
-// Status returns what holds at an instant, by group, and the counters.
+// Status returns the state of each group at the time now, and the counters.
 func (c *Allocator) Status(now Micros) (statuses []Status, counters Counters) {
 	c.now = max(c.now, now)
-	for _, key := range slices.SortedFunc(maps.Keys(c.groups), compare) {
-		route := c.groups[key]
-		share := c.share(route)
-		units, _ := c.leasedUnits(route, 0)
-		status := Status{Key: key, Limit: route.demand.Limit, Base: c.baseUnits(), Granted: min(c.baseUnits(), c.grantedUnits(route)), Leased: units, Usage: route.usage, Load: share.Load,
-			Calls: route.demand.Calls, Delivered: route.demand.Delivered, Throttled: route.demand.Throttled, Grants: c.leaseStatuses(route.grants), Leases: c.leaseStatuses(route.leases)}
-		for _, slot := range route.peerSamples {
-			if c.now-slot.at <= sampleLifetime {
+	for _, key := range slices.SortedFunc(maps.Keys(c.groups), compareKeys) {
+		group := c.groups[key]
+		share := c.share(group)
+		units, _ := c.leasedUnits(group, 0)
+		status := Status{Key: key, Limit: group.demand.Limit, Base: c.baseUnits(), Granted: min(c.baseUnits(), c.grantedUnits(group)), Leased: units, Usage: group.usage, Load: share.Load,
+			Calls: group.demand.Calls, Delivered: group.demand.Delivered, Throttled: group.demand.Throttled, Grants: c.leaseStatuses(group.grants), Leases: c.leaseStatuses(group.leases)}
+		for _, peer := range group.peerSamples {
+			if c.now-peer.at <= sampleLifetime {
 				status.CouriersHeard++
-				status.Calls, status.Delivered, status.Throttled = status.Calls+slot.count.Calls, status.Delivered+slot.count.Delivered, status.Throttled+slot.count.Throttled
+				status.Calls, status.Delivered, status.Throttled = status.Calls+peer.sample.Calls, status.Delivered+peer.sample.Delivered, status.Throttled+peer.sample.Throttled
 			}
 		}
 		statuses = append(statuses, status)
