--- a/membership/gossip/golden_test.go
+++ b/membership/gossip/golden_test.go
@@ -11,7 +11,8 @@
 	"pineport/testbed/golden"
 )
 
-// TestPacketsAreAsRecorded: what members send one another beside the detector's own messages, with every field set, byte by byte.
+// TestPacketsAreAsRecorded compares the encoding of all messages that are sent in addition to memberlist's own, with every field set,
+// byte by byte with the recorded file.
 func TestPacketsAreAsRecorded(t *testing.T) {
 	var lines strings.Builder
 	for _, packet := range []any{&metadata{}, &pushPullState{}, &nameConflict{}, &userPacket{}} {
--- a/membership/gossip/gossip.go
+++ b/membership/gossip/gossip.go
@@ -95,7 +95,7 @@
 var decoder = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxArrayElements: 16, MaxMapPairs: 8192, MaxNestedLevels: 4}.DecMode()
 	if err != nil {
-		panic(err) // the options are constants
+		panic(err) // cannot happen: the options are constants
 	}
 	return mode
 }()
--- a/membership/gossip/gossip_test.go
+++ b/membership/gossip/gossip_test.go
@@ -15,7 +15,7 @@
 	"pineport/testbed/netfault"
 )
 
-// fleet is members in virtual time.
+// fleet is a number of members on a simulated network in virtual time.
 type fleet struct {
 	t            *testing.T
 	mesh         *netfault.Mesh
@@ -45,10 +45,10 @@
 	for _, member := range f.members {
 		member.HandOff()
 	}
-	time.Sleep(time.Minute) // what the detector has under way runs out
+	time.Sleep(time.Minute) // pending timers and goroutines of memberlist end
 }
 
-// settle waits for a state of all but some, and returns how long that took.
+// settle waits until condition holds for all members except the given ones, and returns how long that took.
 func (f *fleet) settle(within time.Duration, condition func(i int, member *Member) bool, except ...int) time.Duration {
 	f.t.Helper()
 	startedAt := time.Now()
@@ -70,10 +70,10 @@
 	for i, member := range f.members {
 		if snapshot := member.Snapshot(); !condition(i, member) && reported < 8 {
 			reported++
-			f.t.Errorf("n%d, start %d: %s, %d to %d couriers, %d words lost", i, member.Incarnation(), snapshot.LocalStatus, snapshot.MinCouriers, snapshot.MaxCouriers, member.Metrics().LostEvents)
+			f.t.Errorf("n%d, incarnation %d: %s, %d to %d couriers, %d events lost", i, member.Incarnation(), snapshot.LocalStatus, snapshot.MinCouriers, snapshot.MaxCouriers, member.Metrics().LostEvents)
 			for _, o := range snapshot.Members {
 				if o.State != membership.Alive {
-					f.t.Errorf("  %s is %v, start %d", o.Name, o.State, o.Incarnation)
+					f.t.Errorf("  %s is %v, incarnation %d", o.Name, o.State, o.Incarnation)
 				}
 			}
 		}
@@ -95,8 +95,8 @@
 	return membership.Unknown
 }
 
-// TestRecoveryFromRandomFaults: whatever faults the network, once it is over all know of all again, nobody counted fewer meanwhile,
-// and no part of the fleet took the rest for gone.
+// TestRecoveryFromRandomFaults injects random network faults. After the faults all members see the complete fleet again, and during the
+// faults no member counts fewer than all couriers.
 func TestRecoveryFromRandomFaults(t *testing.T) {
 	seeds, n := 12, 24
 	if s, err := strconv.Atoi(os.Getenv("PINEPORT_SEEDS")); err == nil {
@@ -113,7 +113,7 @@
 					time.Sleep(100 * time.Millisecond)
 					for i, member := range f.members {
 						if snapshot := member.Snapshot(); snapshot.MaxCouriers < n {
-							t.Fatalf("seed %d, %s: n%d counts %d", seed, fault.Kind, i, snapshot.MaxCouriers)
+							t.Fatalf("seed %d, fault %s: n%d counts %d couriers", seed, fault.Kind, i, snapshot.MaxCouriers)
 						}
 					}
 				}
@@ -126,32 +126,33 @@
 	}
 }
 
-// TestFailuresInFleetOf300: three hundred members find each other; a tenth dies, is known to be dead, and comes back.
+// TestFailuresInFleetOf300 starts 300 members, stops a tenth of them, waits until all others have detected the failures, and restarts them.
 func TestFailuresInFleetOf300(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := 300
 		f := startFleet(t, n, 1)
 		defer f.stop()
-		t.Logf("whole after %v", f.settle(3*time.Minute, isComplete))
-		var dead []int
+		t.Logf("complete after %v", f.settle(3*time.Minute, isComplete))
+		var stopped []int
 		for i := 0; i < n; i += 10 {
-			dead = append(dead, i)
+			stopped = append(stopped, i)
 			f.mesh.Drop(i)
 			f.members[i].HandOff()
 		}
 		detectionTime := f.settle(3*time.Minute, func(_ int, member *Member) bool {
 			snapshot := member.Snapshot()
-			return snapshot.MinCouriers == n-len(dead) && snapshot.MaxCouriers == n
-		}, dead...)
-		t.Logf("thirty deaths known by all after %v", detectionTime)
-		for _, i := range dead {
+			return snapshot.MinCouriers == n-len(stopped) && snapshot.MaxCouriers == n
+		}, stopped...)
+		t.Logf("all members detected thirty failures after %v", detectionTime)
+		for _, i := range stopped {
 			f.start(i)
 		}
-		t.Logf("whole again after %v", f.settle(3*time.Minute, isComplete))
+		t.Logf("complete again after %v", f.settle(3*time.Minute, isComplete))
 	})
 }
 
-// TestPartitionAndHeal: cut in two, then otherwise in two: each side counts all, and after the heal nothing is taken for dead.
+// TestPartitionAndHeal partitions the fleet in two different ways. Each side counts all couriers, and after the partition heals all members
+// see the complete fleet.
 func TestPartitionAndHeal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := 9
@@ -178,7 +179,8 @@
 	})
 }
 
-// TestOneWay: A hears B, B hears C, C hears A only. Nobody is counted fewer, and it heals.
+// TestOneWay drops packets in one direction between each pair of three members. No member counts fewer couriers, and the fleet becomes
+// complete again afterwards.
 func TestOneWay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleet(t, 3, 5)
@@ -191,7 +193,7 @@
 		time.Sleep(40 * time.Second)
 		for i, member := range f.members {
 			if p := member.Snapshot(); p.MaxCouriers != 3 {
-				t.Errorf("n%d counts %d", i, p.MaxCouriers)
+				t.Errorf("n%d counts %d couriers, want 3", i, p.MaxCouriers)
 			}
 		}
 		for _, end := range ends {
@@ -201,7 +203,7 @@
 	})
 }
 
-// TestLeaveAndReturn: who leaves by word is not taken for dead, and is back with its next start alone.
+// TestLeaveAndReturn verifies that a member that leaves is shown as left, not as failed, and returns with its next incarnation.
 func TestLeaveAndReturn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleet(t, 5, 7)
@@ -213,42 +215,42 @@
 		f.settle(time.Minute, isComplete)
 		for i, member := range f.members {
 			if member.Snapshot().Revoked != 0 {
-				t.Errorf("n%d believed in a death", i)
+				t.Errorf("n%d revoked a failure, want none reported", i)
 			}
 		}
 	})
 }
 
-// TestStaleIncarnationAndNameConflict: one that comes back from an older copy of its folder goes on under a higher number; of two of one
-// name the older start steps down.
+// TestStaleIncarnationAndNameConflict verifies that a courier restored from an older copy of its state folder continues with a higher
+// incarnation, and that of two couriers with one name the one with the older incarnation steps down.
 func TestStaleIncarnationAndNameConflict(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleet(t, 5, 9)
 		defer f.stop()
 		f.settle(time.Minute, isComplete)
-		for range 3 { // its number grows to 4
+		for range 3 { // its incarnation grows to 4
 			f.members[1].Leave()
 			f.start(1)
 			f.settle(time.Minute, isComplete)
 		}
 		f.mesh.Drop(1)
 		f.members[1].HandOff()
-		f.incarnations[1] = 0 // the folder is an older copy
+		f.incarnations[1] = 0 // the state folder is an older copy
 		f.start(1)
 		f.settle(time.Minute, func(_ int, member *Member) bool { return isComplete(0, member) && f.members[1].Incarnation() > 4 })
 
-		twin, err := Open(Options{Name: "n1", Incarnation: 5000, FleetSize: 5, Join: []string{f.mesh.At(0)}, Transport: f.mesh.Join(5)})
+		duplicate, err := Open(Options{Name: "n1", Incarnation: 5000, FleetSize: 5, Join: []string{f.mesh.At(0)}, Transport: f.mesh.Join(5)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer twin.HandOff()
+		defer duplicate.HandOff()
 		f.settle(2*time.Minute, func(i int, member *Member) bool {
 			return i != 1 || member.Snapshot().LocalStatus == membership.SteppedDown.String()
 		})
 	})
 }
 
-// TestHostilePackets: what does not make sense changes nothing and stops nothing.
+// TestHostilePackets verifies that malformed packets neither change the membership nor stop a member.
 func TestHostilePackets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleet(t, 3, 11)
@@ -261,7 +263,7 @@
 			junk := make([]byte, rng.Intn(1400))
 			rng.Read(junk)
 			if len(junk) > 0 && rng.Intn(2) == 0 {
-				junk[0] = byte(rng.Intn(14)) // a kind of word that there is
+				junk[0] = byte(rng.Intn(14)) // a valid memberlist message type
 			}
 			from.WriteTo(junk, f.mesh.At(1))
 			delegate{f.members[1]}.MergeRemoteState(junk, false)
@@ -271,25 +273,25 @@
 	})
 }
 
-// TestLostEventsAreRecovered: what the queue had no room for is heard all the same, a little later. Failure: see again.
+// TestLostEventsAreRecovered verifies that events dropped by a full queue are recovered from the member list. For the failure see resync.
 func TestLostEventsAreRecovered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleet(t, 4, 17)
 		defer f.stop()
 		f.settle(time.Minute, isComplete)
 		member := f.members[0]
-		member.enqueue(membership.MemberReported{Name: "n1", Incarnation: 1, State: membership.Failed}) // and the word that it is back is lost
+		member.enqueue(membership.MemberReported{Name: "n1", Incarnation: 1, State: membership.Failed}) // the report that n1 is alive is lost
 		for member.lostEvents.Load() == 0 {
 			member.enqueue(membership.ProbeAnswered{Name: "nobody"})
 		}
 		f.settle(5*time.Second, isComplete)
-		member.enqueue(membership.MemberReported{Name: "n2", Incarnation: 1, State: membership.Failed}) // without anybody noticing that a word was lost
+		member.enqueue(membership.MemberReported{Name: "n2", Incarnation: 1, State: membership.Failed}) // wrong, and no lost event is counted
 		time.Sleep(50 * time.Millisecond)
 		f.settle(15*time.Second, isComplete)
 	})
 }
 
-// TestReplays: words of before, said again by somebody who kept them, revive nobody who left and bring no start back.
+// TestReplays verifies that replayed packets neither revive a member that left nor bring back an old incarnation.
 func TestReplays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleet(t, 4, 13)
@@ -306,14 +308,15 @@
 		for i, member := range f.members[:3] {
 			for _, o := range member.Snapshot().Members {
 				if o.Name == "n3" && o.State != membership.Left || o.Name == "n2" && (o.State != membership.Alive || o.Incarnation != 2) {
-					t.Errorf("n%d believes %d packets of before: %s is %v, start %d", i, n, o.Name, o.State, o.Incarnation)
+					t.Errorf("n%d after %d replayed packets: %s is %v, incarnation %d", i, n, o.Name, o.State, o.Incarnation)
 				}
 			}
 		}
 	})
 }
 
-// TestSlowMember: one whose words take longer than a probe waits does not have the fleet assume in deaths, by its own doubt.
+// TestSlowMember verifies that a member whose packets are delayed by more than the probe timeout does not make the other members report
+// false failures.
 func TestSlowMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleet(t, 12, 15)
@@ -330,18 +333,18 @@
 				revokedByOthers += member.Snapshot().Revoked
 			}
 			if snapshot := member.Snapshot(); snapshot.MaxCouriers != 12 {
-				t.Errorf("n%d counts %d", i, snapshot.MaxCouriers)
+				t.Errorf("n%d counts %d couriers, want 12", i, snapshot.MaxCouriers)
 			}
 		}
-		t.Logf("in two minutes eleven sound members gave somebody up and took it back %d times, the slow one %d times", revokedByOthers, f.members[5].Snapshot().Revoked)
+		t.Logf("in two minutes the eleven fast members revoked %d failures, the slow member %d", revokedByOthers, f.members[5].Snapshot().Revoked)
 		if revokedByOthers > 11*4 {
-			t.Errorf("%d deaths believed that were none among the sound", revokedByOthers)
+			t.Errorf("the fast members revoked %d failures, want at most 44", revokedByOthers)
 		}
 		f.settle(2*time.Minute, isComplete)
 	})
 }
 
-// loopback is an address that is free over UDP and TCP.
+// freeLoopbackAddress returns a loopback address with a port that is free for UDP and TCP.
 func freeLoopbackAddress(t *testing.T) string {
 	t.Helper()
 	l, err := listen("127.0.0.1:0", "127.0.0.1:1", nil)
@@ -352,8 +355,8 @@
 	return l.tcp.Addr().String()
 }
 
-// TestMembersOfOtherFleetsAreIgnored: on sockets, members of another fleet, with another key or without, and whoever sends what is torn, too long or
-// does not end, are not heard; members are, and go on.
+// TestMembersOfOtherFleetsAreIgnored uses real sockets. Members with another fleet name, another key or no key are ignored, and so is whoever
+// sends truncated, too long or endless data. The members of the fleet still find each other.
 func TestMembersOfOtherFleetsAreIgnored(t *testing.T) {
 	const key = "00112233445566778899aabbccddeeff"
 	at := freeLoopbackAddress(t)
@@ -380,7 +383,7 @@
 	for i := range 200 {
 		u.Write(junk[:1+(i*977)%len(junk)])
 	}
-	for i := range maxStreams + 10 { // more than are taken at once; none says anything whole
+	for i := range maxStreams + 10 { // more than maxStreams, none with a complete message
 		c, err := net.Dial("tcp", at)
 		if err != nil {
 			continue
@@ -392,7 +395,7 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	if a.Metrics().Network.Rejected == 0 {
-		t.Error("nothing is rejected")
+		t.Error("no packet or stream was rejected")
 	}
 	b := open("b", "f", key, freeLoopbackAddress(t))
 	for end := time.Now().Add(40 * time.Second); b.Snapshot().LocalStatus != membership.Complete.String() && time.Now().Before(end); {
@@ -400,19 +403,19 @@
 	}
 	for _, member := range []*Member{a, b} {
 		if snapshot := member.Snapshot(); len(snapshot.Members) != 1 || snapshot.Members[0].State != membership.Alive {
-			t.Errorf("%s knows %+v", snapshot.Self, snapshot.Members)
+			t.Errorf("%s: got members %+v, want the other member of the fleet, alive", snapshot.Self, snapshot.Members)
 		}
 	}
 	if _, err := Open(Options{Name: "c", Listen: at}); err == nil {
-		t.Error("an address that is taken is taken again")
+		t.Error("opened a member at an address in use")
 	}
 	if _, err := Open(Options{Name: "c", Listen: freeLoopbackAddress(t), Key: "00"}); err == nil {
-		t.Error("a key that is none")
+		t.Error("opened a member with an invalid key")
 	}
 }
 
-// TestCostByFleetSize tells, with PINEPORT_GROWTH set, what talk costs each member of fleets of 10 to 1,000 in virtual time, and how long
-// a death takes to be known.
+// TestCostByFleetSize runs only with PINEPORT_GROWTH set. It logs the traffic and memory per member of fleets of 10 to 1,000 members in
+// virtual time, and how long the detection of a failure takes.
 func TestCostByFleetSize(t *testing.T) {
 	if os.Getenv("PINEPORT_GROWTH") == "" {
 		t.Skip("PINEPORT_GROWTH is not set")
@@ -435,7 +438,7 @@
 				return i != 0 || stateOf(member, fmt.Sprintf("n%d", n/2)) == membership.Failed
 			}, n/2)
 			remainingDetection := f.settle(10*time.Minute, func(_ int, member *Member) bool { return stateOf(member, fmt.Sprintf("n%d", n/2)) == membership.Failed }, n/2)
-			t.Logf("%4d members: whole after %v; %.1f packets/s and %.0f bytes/s each; %.0f kB of heap each; a death known to one after %v, to the last %v later",
+			t.Logf("%4d members: complete after %v; %.1f packets/s and %.0f bytes/s each; %.0f kB of heap each; failure detected by n0 after %v, by all others %v later",
 				n, formationTime, float64(sent2-sent)/60/float64(n), float64(bytes2-bytes)/60/float64(n), float64(after.HeapAlloc)/1024/float64(n), firstDetection, remainingDetection)
 		})
 	}
--- a/membership/incarnation/golden_test.go
+++ b/membership/incarnation/golden_test.go
@@ -8,7 +8,8 @@
 	"pineport/testbed/golden"
 )
 
-// TestFileIsAsRecorded: the file is written byte by byte as recorded, and the recorded one is gone on from.
+// TestFileIsAsRecorded verifies that the file is written byte by byte as recorded, and that Next continues
+// from the recorded file.
 func TestFileIsAsRecorded(t *testing.T) {
 	golden.Tagged(t, record{})
 	dir := t.TempDir()
@@ -21,6 +22,6 @@
 	}
 	golden.Check(t, "start.golden", content)
 	if next, fault, err := Next(dir, "n0"); next != 42 || fault != nil || err != nil {
-		t.Errorf("%d, %v, %v", next, fault, err)
+		t.Errorf("next incarnation: got %d, %v, %v, want 42", next, fault, err)
 	}
 }
--- a/membership/incarnation/incarnation_test.go
+++ b/membership/incarnation/incarnation_test.go
@@ -6,16 +6,17 @@
 	"testing"
 )
 
-// Failure: a start went on under a number that had been used; a damaged file stopped the courier.
+// TestIncarnationGrows guards against two failures: a start reused an incarnation, and a damaged file
+// prevented the courier from starting.
 func TestIncarnationGrows(t *testing.T) {
 	dir := t.TempDir()
 	for want := uint64(1); want < 4; want++ {
 		if got, fault, err := Next(dir, "n0"); got != want || fault != nil || err != nil {
-			t.Fatalf("%d, %v, %v; want %d", got, fault, err, want)
+			t.Fatalf("got %d, %v, %v; want %d", got, fault, err, want)
 		}
 	}
 	if got, fault, _ := Next(dir, "n1"); got != 1 || fault == nil {
-		t.Errorf("another courier's number is taken: %d, %v", got, fault)
+		t.Errorf("used the incarnation of another courier: %d, %v", got, fault)
 	}
 	path := filepath.Join(dir, Name)
 	text, err := os.ReadFile(path)
@@ -27,7 +28,7 @@
 			t.Fatal(err)
 		}
 		if got, fault, err := Next(dir, "n1"); got != 1 || fault == nil || err != nil {
-			t.Fatalf("cut at %d: %d, %v, %v", cut, got, fault, err)
+			t.Fatalf("file truncated to %d bytes: got %d, %v, %v; want 1 and a read error", cut, got, fault, err)
 		}
 	}
 }
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -12,9 +12,9 @@
 const tick = second / 5
 
 func startedMembership(fleet int) *Membership {
-	v := New(Config{Self: "a", Incarnation: 5, FleetSize: fleet, Tick: tick, Seed: 1})
-	v.Handle(tick, Tick{})
-	return v
+	m := New(Config{Self: "a", Incarnation: 5, FleetSize: fleet, Tick: tick, Seed: 1})
+	m.Handle(tick, Tick{})
+	return m
 }
 
 func aliveReport(n Name, s Incarnation) MemberReported {
@@ -30,225 +30,230 @@
 	return found, false
 }
 
-// Failure: a courier that is cut off took the rest for dead, and a larger part of every limit for itself.
+// TestPartitionedMemberCountsTheLargest guards against a failure: a courier behind a network partition counted the other members as gone,
+// and used a larger share of each limit.
 func TestPartitionedMemberCountsTheLargest(t *testing.T) {
-	v := startedMembership(3)
-	out := v.Handle(2*tick, aliveReport("b", 1), aliveReport("c", 1), aliveReport("d", 1))
-	if r, ok := findAction[FleetSizeEstimated](out); !ok || r.Couriers != 4 || v.localStatus != Complete {
-		t.Fatalf("four are there, %v, %v", out, v.localStatus)
+	m := startedMembership(3)
+	out := m.Handle(2*tick, aliveReport("b", 1), aliveReport("c", 1), aliveReport("d", 1))
+	if r, ok := findAction[FleetSizeEstimated](out); !ok || r.Couriers != 4 || m.localStatus != Complete {
+		t.Fatalf("with four alive couriers: actions %v, status %v", out, m.localStatus)
 	}
 	for _, n := range []Name{"b", "c", "d"} {
-		v.Handle(3*tick, MemberReported{Name: n, Incarnation: 1, State: Failed})
+		m.Handle(3*tick, MemberReported{Name: n, Incarnation: 1, State: Failed})
 	}
 	for now := 4 * tick; now < 600*second; now += tick {
-		v.Handle(now, Tick{})
+		m.Handle(now, Tick{})
 	}
-	if p := v.Snapshot(); p.LocalStatus != "alone" || p.MinCouriers != 1 || p.MaxCouriers != 4 || v.EstimatedSize() != 4 {
-		t.Errorf("alone it counts %+v", p)
+	if p := m.Snapshot(); p.LocalStatus != "alone" || p.MinCouriers != 1 || p.MaxCouriers != 4 || m.EstimatedSize() != 4 {
+		t.Errorf("behind a partition: got %+v, want status alone, 1 to 4 couriers", p)
 	}
 }
 
-// Failure: a process stopped for 20 s woke believing that the rest was dead.
+// TestRecoveringTrustsNothing guards against a failure: a process that was paused for 20 s resumed and considered all other members failed.
 func TestRecoveringTrustsNothing(t *testing.T) {
-	v := startedMembership(4)
-	v.Handle(2*tick, Tick{}, aliveReport("b", 1), aliveReport("c", 1), aliveReport("d", 1))
-	out := v.Handle(20*second, MemberReported{Name: "b", Incarnation: 1, State: Failed}, MemberReported{Name: "c", Incarnation: 1, State: Suspected}, Tick{})
+	m := startedMembership(4)
+	m.Handle(2*tick, Tick{}, aliveReport("b", 1), aliveReport("c", 1), aliveReport("d", 1))
+	out := m.Handle(20*second, MemberReported{Name: "b", Incarnation: 1, State: Failed}, MemberReported{Name: "c", Incarnation: 1, State: Suspected}, Tick{})
 	if s, ok := findAction[LocalStatusChanged](out); !ok || s.To != Recovering {
-		t.Fatalf("after a standstill %v", out)
+		t.Fatalf("after a pause: got actions %v, want a change to Recovering", out)
 	}
-	for _, member := range v.Snapshot().Members {
+	for _, member := range m.Snapshot().Members {
 		if member.State != Unknown {
-			t.Errorf("%s is taken for %v", member.Name, member.State)
+			t.Errorf("%s: got state %v, want unknown", member.Name, member.State)
 		}
 	}
-	v.Handle(20*second+tick, ProbeAnswered{"b"}, ProbeAnswered{"c"}, Tick{})
-	if v.localStatus != Recovering {
-		t.Errorf("two answers of three are enough: %v", v.localStatus)
+	m.Handle(20*second+tick, ProbeAnswered{"b"}, ProbeAnswered{"c"}, Tick{})
+	if m.localStatus != Recovering {
+		t.Errorf("after two of three responses: got %v, want Recovering", m.localStatus)
 	}
-	if v.Handle(20*second+2*tick, ProbeAnswered{"d"}, Tick{}); v.localStatus != Complete || v.EstimatedSize() != 4 {
-		t.Errorf("after three answers %v, %d couriers", v.localStatus, v.EstimatedSize())
+	if m.Handle(20*second+2*tick, ProbeAnswered{"d"}, Tick{}); m.localStatus != Complete || m.EstimatedSize() != 4 {
+		t.Errorf("after three responses: got %v, %d couriers, want Complete, 4", m.localStatus, m.EstimatedSize())
 	}
 }
 
-// Failure: who waited for an answer of one that had died meanwhile never trusted anybody again.
+// TestRecoveryEnds guards against a failure: recovery never ended if it waited for the response of a member that had failed in the
+// meantime.
 func TestRecoveryEnds(t *testing.T) {
-	v := startedMembership(3)
-	v.Handle(2*tick, Tick{}, aliveReport("b", 1), aliveReport("c", 1))
-	v.Handle(20*second, Tick{}, ProbeAnswered{"b"}, MemberReported{Name: "c", Incarnation: 1, State: Failed})
+	m := startedMembership(3)
+	m.Handle(2*tick, Tick{}, aliveReport("b", 1), aliveReport("c", 1))
+	m.Handle(20*second, Tick{}, ProbeAnswered{"b"}, MemberReported{Name: "c", Incarnation: 1, State: Failed})
 	for now := 20*second + tick; now < 29*second; now += tick {
-		if v.Handle(now, Tick{}); v.localStatus != Recovering {
-			t.Fatalf("at %d it heeds a word from its own silence", now)
+		if m.Handle(now, Tick{}); m.localStatus != Recovering {
+			t.Fatalf("at %d us: left recovery early", now)
 		}
 	}
 	for now := 29 * second; now < 31*second; now += tick {
-		v.Handle(now, Tick{})
+		m.Handle(now, Tick{})
 	}
-	if v.localStatus != Partial || v.members["c"].State != Failed || v.EstimatedSize() != 3 {
-		t.Errorf("%v, %d couriers", v.localStatus, v.EstimatedSize())
+	if m.localStatus != Partial || m.members["c"].State != Failed || m.EstimatedSize() != 3 {
+		t.Errorf("after recovery: got %v, %d couriers, want Partial, 3, and c failed", m.localStatus, m.EstimatedSize())
 	}
 }
 
-// Failure: a restart under an old number, or two couriers of one name, passed for one member.
+// TestIncarnationsOnlyGrow guards against a failure: a courier that restarted with an old incarnation, or two couriers with one name, were
+// treated as one member.
 func TestIncarnationsOnlyGrow(t *testing.T) {
-	v := startedMembership(1)
-	if r, ok := findAction[IncarnationAdvanced](v.Handle(2*tick, IncarnationReported{9})); !ok || r.Incarnation != 10 {
-		t.Errorf("an older copy of the folder goes on with %v", r)
+	m := startedMembership(1)
+	if r, ok := findAction[IncarnationAdvanced](m.Handle(2*tick, IncarnationReported{9})); !ok || r.Incarnation != 10 {
+		t.Errorf("after a report of incarnation 9: got %v, want incarnation 10", r)
 	}
-	if out := v.Handle(3*tick, NameConflict{Incarnation: 8, Address: "x:1"}); len(out) != 0 {
-		t.Errorf("the younger one steps down: %v", out)
+	if out := m.Handle(3*tick, NameConflict{Incarnation: 8, Address: "x:1"}); len(out) != 0 {
+		t.Errorf("the courier with the newer incarnation reacts to the conflict: %v", out)
 	}
-	if r, ok := findAction[IncarnationAdvanced](v.Handle(4*tick, NameConflict{Incarnation: 10, Address: "x:1"})); !ok || r.Incarnation <= 10 {
-		t.Errorf("of two of one number this one keeps it: %v", r)
+	if r, ok := findAction[IncarnationAdvanced](m.Handle(4*tick, NameConflict{Incarnation: 10, Address: "x:1"})); !ok || r.Incarnation <= 10 {
+		t.Errorf("conflict with an equal incarnation 10: got %v, want a higher one", r)
 	}
-	if b, ok := findAction[StepDown](v.Handle(5*tick, NameConflict{Incarnation: 5000, Address: "x:1"})); !ok || b.Incarnation != 5000 || v.localStatus != SteppedDown {
-		t.Errorf("the older one goes on: %v", v.localStatus)
+	if b, ok := findAction[StepDown](m.Handle(5*tick, NameConflict{Incarnation: 5000, Address: "x:1"})); !ok || b.Incarnation != 5000 || m.localStatus != SteppedDown {
+		t.Errorf("the courier with the older incarnation does not step down: %v", m.localStatus)
 	}
-	v.Handle(6*tick, aliveReport("b", 3), MemberReported{Name: "b", Incarnation: 2, State: Failed})
-	if member := v.members["b"]; member.State != Alive || v.staleReports != 1 {
-		t.Errorf("a word on an old start counts: %+v", member)
+	m.Handle(6*tick, aliveReport("b", 3), MemberReported{Name: "b", Incarnation: 2, State: Failed})
+	if member := m.members["b"]; member.State != Alive || m.staleReports != 1 {
+		t.Errorf("a report about an old incarnation is applied: %+v", member)
 	}
-	v.Handle(7*tick, MemberReported{Name: "b", Incarnation: 3, State: Left}, aliveReport("b", 3))
-	if member := v.members["b"]; member.State != Left {
-		t.Errorf("who left is back without a new start: %+v", member)
+	m.Handle(7*tick, MemberReported{Name: "b", Incarnation: 3, State: Left}, aliveReport("b", 3))
+	if member := m.members["b"]; member.State != Left {
+		t.Errorf("a member that left returns with the same incarnation: %+v", member)
 	}
 }
 
-// Failure: a word that a fleet shrank was taken up by all in step, or by one that did not hear all.
+// TestEstimateShrinksLater guards against a failure: all couriers switched to a smaller fleet size at the same time, or a courier did so
+// without a complete view.
 func TestEstimateShrinksLater(t *testing.T) {
 	at := map[Micros]bool{}
 	for seed := range int64(20) {
-		v := New(Config{Self: "a", Incarnation: 1, FleetSize: 2, Tick: tick, Seed: seed})
-		v.Handle(tick, Tick{}, aliveReport("b", 1), aliveReport("c", 1))
-		v.Handle(2*tick, MemberReported{Name: "c", Incarnation: 1, State: Failed}, Tick{}, MemberRemoved{"c"})
+		m := New(Config{Self: "a", Incarnation: 1, FleetSize: 2, Tick: tick, Seed: seed})
+		m.Handle(tick, Tick{}, aliveReport("b", 1), aliveReport("c", 1))
+		m.Handle(2*tick, MemberReported{Name: "c", Incarnation: 1, State: Failed}, Tick{}, MemberRemoved{"c"})
 		for now := 3 * tick; now < 12*second; now += tick {
-			if r, ok := findAction[FleetSizeEstimated](v.Handle(now, Tick{})); ok && r.Couriers == 2 {
+			if r, ok := findAction[FleetSizeEstimated](m.Handle(now, Tick{})); ok && r.Couriers == 2 {
 				at[now] = true
 			}
 		}
-		if v.EstimatedSize() != 2 {
-			t.Fatalf("salt %d: %d couriers", seed, v.EstimatedSize())
+		if m.EstimatedSize() != 2 {
+			t.Fatalf("seed %d: got %d couriers, want 2", seed, m.EstimatedSize())
 		}
 	}
 	if len(at) < 8 {
-		t.Errorf("twenty couriers take fewer up at only %d instants", len(at))
+		t.Errorf("twenty couriers switch to the smaller size at only %d different times, want at least 8", len(at))
 	}
 }
 
-// Failure: the view grew with the names ever seen.
+// TestMemberCountIsBounded guards against a failure: the memory use grew with the number of member names ever seen.
 func TestMemberCountIsBounded(t *testing.T) {
-	v := startedMembership(1)
+	m := startedMembership(1)
 	for i := range maxMembers + 500 {
-		v.Handle(2*tick, MemberReported{Name: Name(fmt.Sprintf("n%05d", i)), Incarnation: 1, State: Failed})
+		m.Handle(2*tick, MemberReported{Name: Name(fmt.Sprintf("n%05d", i)), Incarnation: 1, State: Failed})
 	}
-	if len(v.members) != maxMembers || v.Snapshot().MaxCouriers != maxMembers+501 {
-		t.Errorf("%d names kept, %d counted", len(v.members), v.Snapshot().MaxCouriers)
+	if len(m.members) != maxMembers || m.Snapshot().MaxCouriers != maxMembers+501 {
+		t.Errorf("%d members in memory, MaxCouriers %d", len(m.members), m.Snapshot().MaxCouriers)
 	}
 }
 
-// world is what the view's promises are held against: all that was ever said to it.
+// checker holds a Membership and the events it has received, and checks its guarantees against them.
 type checker struct {
 	membership         *Membership
 	incarnation        Incarnation
 	highestIncarnation map[Name]Incarnation
 	leftIncarnation    map[Name]Incarnation
 	reportedSize       int
-	answersSincePause  map[Name]bool // since it last stood still
+	answersSincePause  map[Name]bool // members that responded since the last pause
 	paused             bool
 }
 
-func (w *checker) check(events []Event, actions []Action) error {
-	v := w.membership
+func (c *checker) check(events []Event, actions []Action) error {
+	m := c.membership
 	for _, e := range events {
-		if h, ok := e.(MemberReported); ok && h.Name != "a" && h.Incarnation >= w.highestIncarnation[h.Name] {
+		if h, ok := e.(MemberReported); ok && h.Name != "a" && h.Incarnation >= c.highestIncarnation[h.Name] {
 			if h.State == Left {
-				w.leftIncarnation[h.Name] = h.Incarnation
+				c.leftIncarnation[h.Name] = h.Incarnation
 			}
-			w.highestIncarnation[h.Name] = h.Incarnation
+			c.highestIncarnation[h.Name] = h.Incarnation
 		}
 		if a, ok := e.(ProbeAnswered); ok {
-			w.answersSincePause[a.Name] = true
+			c.answersSincePause[a.Name] = true
 		}
 	}
 	maxCouriers, shrank := 1, false
-	for n, s := range w.highestIncarnation {
-		if l, ok := w.leftIncarnation[n]; !ok || l < s {
+	for n, s := range c.highestIncarnation {
+		if l, ok := c.leftIncarnation[n]; !ok || l < s {
 			maxCouriers++
 		}
 	}
 	for _, a := range actions {
 		switch a := a.(type) {
 		case FleetSizeEstimated:
-			shrank = a.Couriers < w.reportedSize
-			w.reportedSize = a.Couriers
+			shrank = a.Couriers < c.reportedSize
+			c.reportedSize = a.Couriers
 		case IncarnationAdvanced:
-			if a.Incarnation <= w.incarnation {
-				return fmt.Errorf("number %d after %d", a.Incarnation, w.incarnation)
+			if a.Incarnation <= c.incarnation {
+				return fmt.Errorf("incarnation %d after %d", a.Incarnation, c.incarnation)
 			}
-			w.incarnation = a.Incarnation
+			c.incarnation = a.Incarnation
 		case LocalStatusChanged:
 			if a.To == Recovering {
-				w.paused, w.answersSincePause = true, map[Name]bool{}
+				c.paused, c.answersSincePause = true, map[Name]bool{}
 			} else if a.From == Recovering {
-				for n, member := range v.members {
-					if member.State == Unknown && len(w.answersSincePause) < minRecoveryAnswers {
-						return fmt.Errorf("trusts again after %d answers, and %s is unknown", len(w.answersSincePause), n)
+				for n, member := range m.members {
+					if member.State == Unknown && len(c.answersSincePause) < minRecoveryAnswers {
+						return fmt.Errorf("left recovery after %d responses while %s is unknown", len(c.answersSincePause), n)
 					}
 				}
 			}
 		}
 	}
-	if v.EstimatedSize() < maxCouriers || v.EstimatedSize() < v.config.FleetSize && !shrank {
-		return fmt.Errorf("counts on %d, %d may be there, %d by the settings", v.EstimatedSize(), maxCouriers, v.config.FleetSize)
+	if m.EstimatedSize() < maxCouriers || m.EstimatedSize() < m.config.FleetSize && !shrank {
+		return fmt.Errorf("estimated size %d, but %d couriers may be alive and %d are configured", m.EstimatedSize(), maxCouriers, m.config.FleetSize)
 	}
-	if shrank && v.localStatus != Complete {
-		return fmt.Errorf("counts fewer while %v", v.localStatus)
+	if shrank && m.localStatus != Complete {
+		return fmt.Errorf("estimated size lowered while the status is %v", m.localStatus)
 	}
-	for n, member := range v.members {
-		if member.Incarnation != w.highestIncarnation[n] {
-			return fmt.Errorf("%s has start %d, %d was heard", n, member.Incarnation, w.highestIncarnation[n])
+	for n, member := range m.members {
+		if member.Incarnation != c.highestIncarnation[n] {
+			return fmt.Errorf("%s has incarnation %d, %d was reported", n, member.Incarnation, c.highestIncarnation[n])
 		}
-		if l, ok := w.leftIncarnation[n]; ok && l == member.Incarnation && member.State != Left {
-			return fmt.Errorf("%s is %v, and had left", n, member.State)
+		if l, ok := c.leftIncarnation[n]; ok && l == member.Incarnation && member.State != Left {
+			return fmt.Errorf("%s is %v, but had left", n, member.State)
 		}
 	}
-	if v.estimatedSize != w.reportedSize {
-		return fmt.Errorf("counts on %d, reported %d", v.estimatedSize, w.reportedSize)
+	if m.estimatedSize != c.reportedSize {
+		return fmt.Errorf("estimated size %d, but the last reported size is %d", m.estimatedSize, c.reportedSize)
 	}
 	return nil
 }
 
-// steps are what may happen next in a world of three: each once for b and c where it names one.
+// steps returns the possible events in a fleet of three couriers; events about a member exist for b and for c.
 func steps() (all [][]Event) {
 	for _, n := range []Name{"b", "c"} {
 		all = append(all, []Event{aliveReport(n, 1)}, []Event{MemberReported{Name: n, Incarnation: 1, State: Suspected}}, []Event{MemberReported{Name: n, Incarnation: 1, State: Failed}},
 			[]Event{MemberReported{Name: n, Incarnation: 1, State: Left}}, []Event{aliveReport(n, 2)}, []Event{ProbeAnswered{n}})
 	}
-	return append(all, []Event{Tick{}}, nil, []Event{IncarnationReported{7}}) // nil: stands still, see run
+	return append(all, []Event{Tick{}}, nil, []Event{IncarnationReported{7}}) // nil: this process is paused, see run
 }
 
-// run plays an order of steps; plant breaks the view on purpose after each.
+// run plays the steps in the given order and checks the guarantees after each. injectFault, if set, corrupts the Membership after each
+// step.
 func run(order []int, all [][]Event, injectFault func(*Membership)) error {
-	w := &checker{membership: startedMembership(2), incarnation: 5, highestIncarnation: map[Name]Incarnation{}, leftIncarnation: map[Name]Incarnation{}, reportedSize: 2, answersSincePause: map[Name]bool{}}
+	c := &checker{membership: startedMembership(2), incarnation: 5, highestIncarnation: map[Name]Incarnation{}, leftIncarnation: map[Name]Incarnation{}, reportedSize: 2, answersSincePause: map[Name]bool{}}
 	now := 2 * tick
 	for _, i := range order {
 		events := all[i]
 		if now += tick; events == nil {
 			now, events = now+20*second, []Event{Tick{}}
 		}
-		actions := w.membership.Handle(now, events...)
+		actions := c.membership.Handle(now, events...)
 		if injectFault != nil {
-			injectFault(w.membership)
+			injectFault(c.membership)
 		}
-		if err := w.check(events, actions); err != nil {
+		if err := c.check(events, actions); err != nil {
 			return err
 		}
-		w.membership.lastTick = now
+		c.membership.lastTick = now
 	}
 	return nil
 }
 
-// TestEveryOrder plays every order of four of fifteen steps of three members: 50,625 worlds. With PINEPORT_DEEP set, of five:
-// 759,375, in some twenty seconds.
+// TestEveryOrder plays every sequence of four out of fifteen steps in a fleet of three couriers: 50,625 sequences. With PINEPORT_DEEP set
+// it plays sequences of five: 759,375, in about 20 s.
 func TestEveryOrder(t *testing.T) {
 	all, n, depth := steps(), 0, 4
 	if os.Getenv("PINEPORT_DEEP") != "" {
@@ -262,34 +267,34 @@
 		}
 		return true
 	})
-	t.Logf("%d worlds", n)
+	t.Logf("%d sequences", n)
 }
 
-// TestInjectedFaultsAreDetected shows that the checks above see what they are there for.
+// TestInjectedFaultsAreDetected verifies that the checks above detect violations of the guarantees.
 func TestInjectedFaultsAreDetected(t *testing.T) {
 	all := steps()
 	for name, injectFault := range map[string]func(*Membership){
-		"forgets who failed": func(v *Membership) {
-			for n, member := range v.members {
+		"removes failed members from the count": func(m *Membership) {
+			for n, member := range m.members {
 				if member.State == Failed {
-					delete(v.members, n)
-					v.estimatedSize = len(v.members) + 1
+					delete(m.members, n)
+					m.estimatedSize = len(m.members) + 1
 				}
 			}
 		},
-		"goes back to an old start": func(v *Membership) {
-			for _, member := range v.members {
+		"goes back to an old incarnation": func(m *Membership) {
+			for _, member := range m.members {
 				member.Incarnation = min(member.Incarnation, 1)
 			}
 		},
-		"revives who left": func(v *Membership) {
-			for _, member := range v.members {
+		"revives members that left": func(m *Membership) {
+			for _, member := range m.members {
 				if member.State == Left {
 					member.State = Alive
 				}
 			}
 		},
-		"counts without telling": func(v *Membership) { v.estimatedSize = 9 },
+		"changes the estimated size without an action": func(m *Membership) { m.estimatedSize = 9 },
 	} {
 		caught := false
 		modelcheck.Orders(3, len(all), func(order []int) bool {
@@ -297,12 +302,12 @@
 			return !caught
 		})
 		if !caught {
-			t.Errorf("%s: not seen", name)
+			t.Errorf("fault not detected: %s", name)
 		}
 	}
 }
 
-// TestRandomWalks goes beyond every order: long walks, the same each time.
+// TestRandomWalks plays longer random sequences than TestEveryOrder, with fixed seeds.
 func TestRandomWalks(t *testing.T) {
 	all := steps()
 	for seed := range int64(2000) {
@@ -315,12 +320,12 @@
 
 func TestSameEventsSameActions(t *testing.T) {
 	play := func() (out []Action) {
-		v := startedMembership(2)
+		m := startedMembership(2)
 		for i := range 40 {
 			n := Name(fmt.Sprintf("m%d", i%9))
-			out = append(out, v.Handle(Micros(i+2)*tick, Tick{}, MemberReported{Name: n, Incarnation: Incarnation(i / 9), State: State(1 + i%4)})...)
+			out = append(out, m.Handle(Micros(i+2)*tick, Tick{}, MemberReported{Name: n, Incarnation: Incarnation(i / 9), State: State(1 + i%4)})...)
 		}
-		return append(out, v.Handle(90*second)...)
+		return append(out, m.Handle(90*second)...)
 	}
 	if a, b := play(), play(); !reflect.DeepEqual(a, b) {
 		t.Errorf("%v\n%v", a, b)
--- a/quota/bench_test.go
+++ b/quota/bench_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// BenchmarkTick is what a tick costs one courier that hears all others on all routes: time, bytes said, and what is kept.
+// BenchmarkTick measures a tick of one courier that receives samples of all groups from all other couriers: time, bytes sent and memory.
 func BenchmarkTick(b *testing.B) {
 	for _, size := range [][2]int{{10, 10}, {10, 1000}, {100, 100}, {300, 10}, {300, 1000}} {
 		couriers, groups := size[0], size[1]
-		b.Run(fmt.Sprintf("%d couriers, %d routes", couriers, groups), func(b *testing.B) {
+		b.Run(fmt.Sprintf("%d couriers, %d groups", couriers, groups), func(b *testing.B) {
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
--- a/quota/events.go
+++ b/quota/events.go
@@ -6,7 +6,8 @@
 type (
 	// DemandsChanged reports the demand of the dispatcher for each of its groups.
 	DemandsChanged struct{ All []Demand }
-	// Demand is the demand of the dispatcher for one group. The counters restart at 0 when the dispatcher restarts.
+	// Demand is the demand of the dispatcher for one group. The counters restart at 0 when the dispatcher
+	// restarts.
 	Demand struct {
 		Key
 		Limit                       float64 // calls per second of all couriers together; 0 if unknown
@@ -38,8 +39,8 @@
 		To     string
 		Packet Packet
 	}
-	// ShareChanged reports the current shares to the dispatcher: after a Tick for all groups with a known limit, after a packet for the
-	// groups with a new grant.
+	// ShareChanged reports the current shares to the dispatcher: after a Tick for all groups with a known
+	// limit, after a packet for the groups with a new grant.
 	ShareChanged struct{ Shares []Share }
 )
 
--- a/quota/golden_test.go
+++ b/quota/golden_test.go
@@ -9,7 +9,7 @@
 	"pineport/testbed/golden"
 )
 
-// TestPacketIsAsRecorded: a packet with every field set is written byte by byte as recorded, and reads as what was written.
+// TestPacketIsAsRecorded compares the encoding of a packet with every field set byte by byte with the recorded file, and decodes it again.
 func TestPacketIsAsRecorded(t *testing.T) {
 	golden.Tagged(t, Packet{})
 	var packet Packet
@@ -21,11 +21,11 @@
 	}
 	golden.Check(t, "packet.golden", []byte(hex.EncodeToString(text)))
 	if again, err := Decode(text); err != nil || !reflect.DeepEqual(again, packet) {
-		t.Errorf("%v: read as %+v", err, again)
+		t.Errorf("error %v, decoded as %+v", err, again)
 	}
 }
 
-// TestStatusIsAsRecorded: the keys that scripts read of what is shown.
+// TestStatusIsAsRecorded compares the JSON keys of Status and Counters, which scripts read, with the recorded file.
 func TestStatusIsAsRecorded(t *testing.T) {
 	golden.Tagged(t, Status{})
 	golden.Tagged(t, Counters{})
--- a/quota/packet.go
+++ b/quota/packet.go
@@ -60,7 +60,7 @@
 var decoder = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxArrayElements: maxItems, MaxMapPairs: 64, MaxNestedLevels: 6}.DecMode()
 	if err != nil {
-		panic(err) // the options are constants
+		panic(err) // cannot happen: the options are constants
 	}
 	return mode
 }()
@@ -101,7 +101,7 @@
 	}
 	for _, sample := range p.Samples {
 		if !sample.Key.valid() || sample.Courier == "" || len(sample.Courier) > maxNameBytes || sample.Usage < 0 || sample.Usage > maxUsage || sample.Age < 0 || sample.Age > maxSampleAge {
-			return fmt.Errorf("invalid sample of courier %.20q: usage %d ppm, age %d us", sample.Courier, sample.Usage, sample.Age)
+			return fmt.Errorf("invalid sample: usage %d ppm of courier %.20q, age %d us", sample.Usage, sample.Courier, sample.Age)
 		}
 	}
 	return nil
@@ -121,21 +121,21 @@
 }
 
 // size returns the encoded size in bytes, or a few bytes more.
-func (r Request) size() int { return 5 + r.Key.size() + uintSize(uint64(r.Units)) + uintSize(r.LeaseID) }
+func (r Request) size() int { return 5 + r.Key.size() + uintLen(uint64(r.Units)) + uintLen(r.LeaseID) }
 
 // size returns the encoded size in bytes, or a few bytes more.
 func (s Sample) size() int {
 	size := 11 + s.Key.size() + 2 + len(s.Courier)
 	for _, v := range []uint64{s.Incarnation, s.Sequence, uint64(s.Age), s.Calls, s.Delivered, s.Throttled, uint64(s.Usage)} {
-		size += uintSize(v)
+		size += uintLen(v)
 	}
 	return size
 }
 
-func (k Key) size() int { return 6 + uintSize(uint64(uint32(k.Dest))) + len(k.Endpoint) }
+func (k Key) size() int { return 6 + uintLen(uint64(uint32(k.Dest))) + len(k.Endpoint) }
 
-// uintSize returns the size of an unsigned integer in CBOR, in bytes.
-func uintSize(v uint64) int {
+// uintLen returns the size of an unsigned integer in CBOR, in bytes.
+func uintLen(v uint64) int {
 	switch {
 	case v < 24:
 		return 1
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -13,24 +13,24 @@
 	"pineport/modelcheck"
 )
 
-// fleet is a few couriers' quota under one true clock, each with a clock of its own that runs a hundredth slow or fast, and words
-// that are under way between them. What each uses is held against the limit at every instant.
+// fleet simulates the Allocators of several couriers. Each courier has its own clock, which may run 1 % slow or fast compared to the true
+// time, and packets are in flight between the couriers. check compares the shares that all couriers may use with the limit.
 type fleet struct {
-	trueTime      Micros // true
+	trueTime      Micros
 	names         []string
 	clockRates    []float64
 	allocators    []*Allocator
-	startedAt     []Micros // by the true clock
+	startedAt     []Micros // in true time
 	incarnations  []uint64
 	calls         []uint64
-	callRates     []float64 // calls a second, of a limit of 100
+	callRates     []float64 // calls per second; the limit is 100
 	paused        []bool
-	dead          []bool
-	appliedShares []map[Key]Share // what its decisions go by
-	inFlight      []SendPacket    // words under way
-	replayable    []SendPacket    // words that may come again
-	couriers      int             // couriers that each counts on
-	maxLoad       map[int]float64 // the highest load that each had reason to assume in
+	killed        []bool
+	appliedShares []map[Key]Share // the last shares that the dispatcher received
+	inFlight      []SendPacket    // packets in flight
+	replayable    []SendPacket    // delivered packets that may be delivered again
+	couriers      int             // fleet size that each courier uses
+	maxLoad       map[int]float64 // by courier: the highest load that its samples ever supported
 	afterHandle   func(f *fleet, i int)
 }
 
@@ -46,12 +46,12 @@
 	return f
 }
 
-// add begins one more courier.
+// add starts one more courier.
 func (f *fleet) add(callRate float64) {
 	i := len(f.allocators)
 	f.names = append(f.names, string(rune('a'+i)))
 	f.allocators, f.startedAt, f.incarnations, f.calls = append(f.allocators, nil), append(f.startedAt, 0), append(f.incarnations, 0), append(f.calls, 0)
-	f.callRates, f.paused, f.dead, f.appliedShares = append(f.callRates, callRate), append(f.paused, false), append(f.dead, false), append(f.appliedShares, nil)
+	f.callRates, f.paused, f.killed, f.appliedShares = append(f.callRates, callRate), append(f.paused, false), append(f.killed, false), append(f.appliedShares, nil)
 	f.restart(i)
 }
 
@@ -60,15 +60,15 @@
 }
 
 func (f *fleet) restart(i int) {
-	f.startedAt[i], f.calls[i], f.dead[i], f.paused[i] = f.trueTime, 0, false, false
+	f.startedAt[i], f.calls[i], f.killed[i], f.paused[i] = f.trueTime, 0, false, false
 	f.incarnations[i]++
 	f.appliedShares[i] = map[Key]Share{}
 	f.allocators[i] = New(f.clock(i), Config{Self: f.names[i], Incarnation: f.incarnations[i], Couriers: f.couriers, Seed: int64(i)})
 }
 
-// do has a courier decide, and its words leave.
+// handle passes events to a courier, stores its new shares and puts its packets in flight.
 func (f *fleet) handle(i int, events ...Event) {
-	if f.dead[i] || f.paused[i] {
+	if f.killed[i] || f.paused[i] {
 		return
 	}
 	for _, a := range f.allocators[i].Handle(f.clock(i), events...) {
@@ -109,10 +109,11 @@
 	}
 }
 
-// inUse is the share of the limit that all may use at this instant, by what their decisions were notified.
+// usableShare returns the fraction of the limit that all running couriers together may use now, by the shares that their dispatchers
+// received.
 func (f *fleet) usableShare() (sum float64) {
 	for i := range f.allocators {
-		if f.dead[i] {
+		if f.killed[i] {
 			continue
 		}
 		at, share := f.clock(i), f.appliedShares[i][testKey]
@@ -133,67 +134,67 @@
 
 func (f *fleet) check() error {
 	if usable := f.usableShare(); usable > 1+1e-6 {
-		return fmt.Errorf("parts in use sum to %.4f of the limit", usable)
+		return fmt.Errorf("usable shares sum to %.4f of the limit", usable)
 	}
 	for i, c := range f.allocators {
-		if group := c.groups[testKey]; group != nil && !f.dead[i] {
+		if group := c.groups[testKey]; group != nil && !f.killed[i] {
 			for name, peer := range group.peerSamples {
 				if j := slices.Index(f.names, name); peer.sample.Incarnation == f.incarnations[j] && peer.sample.Calls > f.calls[j] {
-					return fmt.Errorf("%s counts %d calls of %s, there were %d", c.config.Self, peer.sample.Calls, name, f.calls[j])
+					return fmt.Errorf("%s has a sample of %d calls of %s, which made %d", c.config.Self, peer.sample.Calls, name, f.calls[j])
 				}
 			}
 			share := c.share(group)
 			sum := group.usage
-			for _, peer := range group.peerSamples { // of one that spoke, as much may be likely of each
+			for _, peer := range group.peerSamples { // estimateLoad may extrapolate one direct sample to all members
 				sum += peer.sample.Usage * Units(len(f.names)-1)
 			}
 			if f.maxLoad[i] = max(f.maxLoad[i], float64(sum)/float64(fullLimit)); share.Load > f.maxLoad[i]+1e-9 {
-				return fmt.Errorf("%s is notified of a load of %v, its counts never made more than %v", c.config.Self, share.Load, f.maxLoad[i])
+				return fmt.Errorf("%s reports a load of %v, its samples support at most %v", c.config.Self, share.Load, f.maxLoad[i])
 			}
 		}
 	}
 	return nil
 }
 
-// steps are what may happen next among three couriers: a needs much, b and c little.
+// steps returns the possible steps of a fleet of three couriers, of which a makes many calls and b and c few.
 func steps() []func(*fleet) {
 	withNextPacket := func(f *fleet, do func(SendPacket)) {
 		if len(f.inFlight) > 0 {
-			w := f.inFlight[0]
+			action := f.inFlight[0]
 			f.inFlight = f.inFlight[1:]
-			do(w)
+			do(action)
 		}
 	}
 	return []func(*fleet){
 		func(f *fleet) { f.tick(0) },
 		func(f *fleet) { f.tick(1); f.tick(2) },
-		func(f *fleet) { withNextPacket(f, f.deliver) }, // in order
+		func(f *fleet) { withNextPacket(f, f.deliver) }, // deliver the next packet
 		func(f *fleet) {
 			withNextPacket(f, func(action SendPacket) { f.deliver(action); f.replayable = append(f.replayable, action) })
-		}, // and again later
-		func(f *fleet) { withNextPacket(f, func(SendPacket) {}) }, // lost
-		func(f *fleet) { slices.Reverse(f.inFlight) },             // overtaken
+		}, // deliver the next packet, and keep it to be replayed
+		func(f *fleet) { withNextPacket(f, func(SendPacket) {}) }, // lose the next packet
+		func(f *fleet) { slices.Reverse(f.inFlight) },             // reorder the packets
 		func(f *fleet) {
 			all := f.replayable
 			f.replayable = nil
 			for _, action := range all {
 				f.deliver(action)
 			}
-		}, // replayed
+		}, // deliver the kept packets again
 		func(f *fleet) { f.advance(second / 2) },
 		func(f *fleet) { f.advance(leaseDuration - second/10) },
 		func(f *fleet) { f.advance(second / 10) },
-		func(f *fleet) { f.dead[1] = true },           // the grantor is killed
-		func(f *fleet) { f.restart(1) },               // and is back, with nothing kept
-		func(f *fleet) { f.dead[0] = true },           // the lessee
-		func(f *fleet) { f.restart(0) },               //
-		func(f *fleet) { f.paused[0] = !f.paused[0] }, // stands still, or goes on
-		func(f *fleet) { f.paused[1] = !f.paused[1] }, //
+		func(f *fleet) { f.killed[1] = true },         // b, the grantor, is killed
+		func(f *fleet) { f.restart(1) },               // b restarts without stored state
+		func(f *fleet) { f.killed[0] = true },         // a, the lessee, is killed
+		func(f *fleet) { f.restart(0) },               // a restarts without stored state
+		func(f *fleet) { f.paused[0] = !f.paused[0] }, // a is paused or resumes
+		func(f *fleet) { f.paused[1] = !f.paused[1] }, // b is paused or resumes
 		func(f *fleet) { f.callRates[0], f.callRates[1] = f.callRates[1], f.callRates[0] },
 	}
 }
 
-// settled is a fleet past its start, in which a uses its whole part and has just asked.
+// settledFleet returns a fleet past its GrantHorizon, in which a uses its complete base share and has just requested leases.
 func settledFleet() *fleet {
 	f := newFleet(3)
 	f.callRates[0] = 90
@@ -204,7 +205,7 @@
 		}
 		f.inFlight = nil
 	}
-	f.advance(leaseDuration / 2) // what was asked is given up
+	f.advance(leaseDuration / 2) // the earlier requests no longer count as pending, see requestLeases
 	f.tick(0)
 	return f
 }
@@ -221,8 +222,8 @@
 	return nil
 }
 
-// TestEveryOrder plays every order of four of seventeen steps of three couriers, of which one has just asked: 83,521 worlds. With
-// PINEPORT_DEEP set, of five: 1,419,857.
+// TestEveryOrder plays every sequence of four out of seventeen steps of three couriers, of which one has just requested leases: 83,521
+// sequences. With PINEPORT_DEEP set it plays sequences of five: 1,419,857.
 func TestEveryOrder(t *testing.T) {
 	all, n, depth := steps(), 0, 4
 	if os.Getenv("PINEPORT_DEEP") != "" {
@@ -236,11 +237,12 @@
 		}
 		return true
 	})
-	t.Logf("%d worlds", n)
+	t.Logf("%d sequences", n)
 }
 
-// TestLeasesToEarlierIncarnationAreIgnored: a courier that begins anew takes no lease that its earlier start asked for, though it asks again, of the
-// same member and with the same salt. Failure: walk 6,786 of 10,000, parts in use summed to 1.17 of the limit.
+// TestLeasesToEarlierIncarnationAreIgnored verifies that a restarted courier does not accept leases that its earlier incarnation requested,
+// even if it sends requests to the same member and has the same seed. Incident: in random walk 6,786 of 10,000, the shares in use summed to
+// 1.17 of the limit.
 func TestLeasesToEarlierIncarnationAreIgnored(t *testing.T) {
 	f := newFleet(3)
 	f.callRates[0] = 60
@@ -272,22 +274,22 @@
 	}
 	group := f.allocators[0].groups[testKey]
 	if len(leases) == 0 || len(group.requests) == 0 {
-		t.Fatalf("%d leases, %d asked: the case did not come up", len(leases), len(group.requests))
+		t.Fatalf("%d leases, %d requests: the test needs at least one of each", len(leases), len(group.requests))
 	}
 	if len(group.leases) > 0 {
-		t.Errorf("%v was granted to an earlier start", group.leases)
+		t.Errorf("accepted leases that were granted to an earlier incarnation: %v", group.leases)
 	}
 }
 
-// walk plays a long order drawn from a seed.
+// walk plays a sequence of 120 random steps.
 func walk(seed int64, steps []func(*fleet), injectFault func(*fleet, int)) error {
 	return run(modelcheck.Walk(seed, 120, len(steps)), steps, injectFault)
 }
 
-// TestRandomWalks goes beyond every order; PINEPORT_DEEP plays 10,000 seeds.
+// TestRandomWalks plays longer random sequences than TestEveryOrder, with 500 seeds, or 10,000 if PINEPORT_DEEP is set.
 func TestRandomWalks(t *testing.T) {
 	all, seeds := steps(), int64(500)
-	calm := []func(*fleet){all[0], all[1], all[2], all[2], all[2], all[2], all[7], all[11]} // leases build up before a grantor begins anew
+	calm := []func(*fleet){all[0], all[1], all[2], all[2], all[2], all[2], all[7], all[11]} // few faults: leases accumulate before a grantor restarts
 	if os.Getenv("PINEPORT_DEEP") != "" {
 		seeds = 10000
 	}
@@ -301,31 +303,31 @@
 	}
 }
 
-// TestInjectedFaultsAreDetected shows that the checks see what they are there for.
+// TestInjectedFaultsAreDetected verifies that the checks detect violations of the guarantees.
 func TestInjectedFaultsAreDetected(t *testing.T) {
 	all := steps()
 	groupOf := func(f *fleet, i int) *groupState { return f.allocators[i].groups[testKey] }
 	for name, injectFault := range map[string]func(*fleet, int){
-		"a loan that lapses too late": func(f *fleet, i int) {
+		"a lease that expires too late": func(f *fleet, i int) {
 			if share, ok := f.appliedShares[i][testKey]; ok && share.Leased > 0 {
 				share.LeasedUntil += leaseDuration / 2
 				f.appliedShares[i][testKey] = share
 			}
 		},
-		"lent before it is taken off": func(f *fleet, i int) {
+		"a lease sent before the grant is subtracted": func(f *fleet, i int) {
 			if share, ok := f.appliedShares[i][testKey]; ok {
 				share.Granted = 0
 				f.appliedShares[i][testKey] = share
 			}
 		},
-		"back too early": func(f *fleet, i int) {
+		"a grant that returns too early": func(f *fleet, i int) {
 			if share, ok := f.appliedShares[i][testKey]; ok {
 				share.GrantedUntil -= grantDuration / 2
 				f.appliedShares[i][testKey] = share
 			}
 		},
-		"a restart that knows of no loan": func(f *fleet, i int) { f.startedAt[i] = min(f.startedAt[i], f.trueTime-2*GrantHorizon) },
-		"a count that is merged twice": func(f *fleet, i int) {
+		"a restart that ignores earlier grants": func(f *fleet, i int) { f.startedAt[i] = min(f.startedAt[i], f.trueTime-2*GrantHorizon) },
+		"a sample that is merged twice": func(f *fleet, i int) {
 			if group := groupOf(f, i); group != nil {
 				for name, peer := range group.peerSamples {
 					peer.sample.Calls *= 2
@@ -333,8 +335,8 @@
 				}
 			}
 		},
-		"a loan that any may take": func(f *fleet, i int) {
-			if group := groupOf(f, i); group != nil { // who hears a word again takes it up again
+		"a lease that is accepted more than once": func(f *fleet, i int) {
+			if group := groupOf(f, i); group != nil { // a replayed lease is accepted again
 				for _, lease := range group.leases {
 					group.requests[lease.id] = request{lease.courier, fullLimit, lease.until - leaseDuration}
 				}
@@ -342,16 +344,16 @@
 		},
 	} {
 		caught := false
-		for seed := int64(0); seed < 600 && !caught; seed++ { // some faults show where little else goes wrong
+		for seed := int64(0); seed < 600 && !caught; seed++ { // some faults are visible only if few other steps interfere
 			caught = walk(seed, all, injectFault) != nil || walk(seed, []func(*fleet){all[0], all[2], all[3], all[6], all[7]}, injectFault) != nil
 		}
 		if !caught {
-			t.Errorf("%s: not seen", name)
+			t.Errorf("fault not detected: %s", name)
 		}
 	}
 }
 
-// TestLeasesReachCouriersInNeed: a busy courier among idle ones comes to use more than its part, and the idle ones together less.
+// TestLeasesReachCouriersInNeed verifies that a busy courier leases from idle couriers and can use more than its base share.
 func TestLeasesReachCouriersInNeed(t *testing.T) {
 	f := newFleet(3)
 	f.callRates = []float64{50, 8, 2}
@@ -374,16 +376,16 @@
 		}
 	}
 	if maxLeased < 0.5 {
-		t.Errorf("its part grew by %.2f of itself at most", maxLeased)
+		t.Errorf("a leased at most %.2f of its base share, want at least 0.5", maxLeased)
 	}
 	if share := f.appliedShares[0][testKey]; math.Abs(share.Load-0.6) > 0.1 {
-		t.Errorf("it is notified of a load of %.2f, 0.60 is used", share.Load)
+		t.Errorf("reported load %.2f, want 0.60", share.Load)
 	}
 }
 
-// TestFleetChanges: parts keep within the limit while the fleet doubles under leases that stand, and while it falls to one in three, each
-// courier hearing of it at another time. Failures meant: base parts shrink under what was granted from them; one that counts fewer early
-// takes what others still use.
+// TestFleetChanges verifies that the shares stay within the limit while the fleet doubles during valid leases, and while it shrinks to a
+// third. The couriers learn of a new fleet size one after the other. The test guards against two failures: the base share becomes smaller
+// than the grants from it, and a courier that learns of the smaller fleet first uses shares that others still use.
 func TestFleetChanges(t *testing.T) {
 	f := newFleet(3)
 	f.callRates = []float64{90, 1, 1}
@@ -403,10 +405,10 @@
 	}
 	for n := 0; f.appliedShares[0][testKey].Leased < 0.5; n++ {
 		if round(); n > 50 {
-			t.Fatalf("nothing much is granted: %+v", f.appliedShares[0][testKey])
+			t.Fatalf("leased share stays below 0.5: %+v", f.appliedShares[0][testKey])
 		}
 	}
-	f.couriers = 6 // membership tells all of them before the new ones begin
+	f.couriers = 6 // membership reports the new size before the new couriers start
 	for i := range f.allocators {
 		f.tick(i)
 	}
@@ -420,9 +422,9 @@
 		round()
 	}
 	for _, stopped := range []int{1, 2, 4, 5} {
-		f.dead[stopped] = true
+		f.killed[stopped] = true
 	}
-	for range 10 { // still counted: their parts lie idle
+	for range 10 { // stopped couriers still count: their shares are unused
 		round()
 	}
 	f.couriers = 2
@@ -431,7 +433,7 @@
 	}
 }
 
-// TestOtherVersions: what a later version says besides is passed over; one that may not be read is refused.
+// TestOtherVersions verifies that unknown fields are ignored and that packets with an unknown version are rejected.
 func TestOtherVersions(t *testing.T) {
 	type later struct {
 		Version int       `cbor:"1,keyasint"`
@@ -439,25 +441,25 @@
 		Asks    []Request `cbor:"3,keyasint"`
 		More    string    `cbor:"77,keyasint"`
 	}
-	w := later{Version: Version, From: "b", Asks: []Request{{testKey, 5, 9}}, More: "said by a later version"}
+	w := later{Version: Version, From: "b", Asks: []Request{{testKey, 5, 9}}, More: "added in a later version"}
 	text, err := cbor.Marshal(w)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got, err := Decode(text); err != nil || len(got.Requests) != 1 {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("with an unknown field: got %+v, error %v", got, err)
 	}
 	w.Version++
 	if text, err = cbor.Marshal(w); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Decode(text); err == nil {
-		t.Error("a version that may not be read is")
+		t.Error("accepted an unknown version")
 	}
 }
 
-// TestImplausiblePacketsAreRejected: whatever one member says, no courier's room grows by it beyond what it asked that one for, nobody grants more than half,
-// and what is kept has an end.
+// TestImplausiblePacketsAreRejected verifies that packets of a faulty member cannot raise the share of a courier beyond its requests to
+// that member, cannot make a courier grant more than half of its base share, and cannot use unlimited memory.
 func TestImplausiblePacketsAreRejected(t *testing.T) {
 	f := settledFleet()
 	c, at := f.allocators[0], f.clock(0)
@@ -467,7 +469,7 @@
 			Samples: []Sample{{Key: Key{Dest: int32(i)}, Courier: fmt.Sprintf("x%d", i), Incarnation: math.MaxUint64, Sequence: math.MaxUint64, Usage: maxUsage},
 				{Key: testKey, Courier: fmt.Sprintf("x%d", i), Usage: maxUsage}, {Key: testKey, Courier: "a", Incarnation: 99, Usage: maxUsage}},
 			Leases: []Lease{{testKey, fullLimit, uint64(i)}}, Requests: []Request{{testKey, fullLimit, uint64(i)}}}
-		if i == 0 && len(sentRequests) > 0 { // one that was asked grants to excess, and another answers in its name
+		if i == 0 && len(sentRequests) > 0 { // a lease larger than requested, and a lease from a member that did not get the request
 			a := sentRequests[0].Packet.Requests[0]
 			packet.Leases = append(packet.Leases, Lease{testKey, a.Units, a.LeaseID}, Lease{testKey, fullLimit, a.LeaseID})
 		}
@@ -475,28 +477,28 @@
 	}
 	group := c.groups[testKey]
 	if len(group.leases) != 0 || len(group.grants) != 0 {
-		t.Errorf("%v was taken and %v granted", group.leases, group.grants)
+		t.Errorf("accepted leases %v, granted %v, want none", group.leases, group.grants)
 	}
 	if len(c.groups) > maxKeys || c.peerSampleCount > maxPeerSamples {
-		t.Errorf("%d routes and %d counts are kept", len(c.groups), c.peerSampleCount)
+		t.Errorf("%d groups and %d samples in memory", len(c.groups), c.peerSampleCount)
 	}
 	b := f.allocators[1]
 	for i := range 50 {
 		b.Handle(f.clock(1), PacketReceived{Packet{Version: Version, From: "c", Requests: []Request{{testKey, fullLimit, uint64(i)}}}})
 	}
 	if granted := b.grantedUnits(b.groups[testKey]); granted == 0 || granted > b.baseUnits()/2 {
-		t.Errorf("of a part of %d, %d is granted", b.baseUnits(), granted)
+		t.Errorf("of a base share of %d, %d is granted", b.baseUnits(), granted)
 	}
 	for _, bad := range []Packet{{From: "b"}, {Version: Version}, {Version: Version, From: "b", Requests: []Request{{testKey, -5, 1}}},
 		{Version: Version, From: "b", Leases: []Lease{{testKey, fullLimit + 1, 1}}}, {Version: Version, From: "b", Samples: []Sample{{Key: testKey, Courier: "b", Usage: -1}}},
 		{Version: Version, From: "b", Samples: []Sample{{Key: testKey, Courier: "b", Age: -1}}}} {
 		if bad.validate() == nil {
-			t.Errorf("%+v is taken for words", bad)
+			t.Errorf("accepted an invalid packet: %+v", bad)
 		}
 	}
 }
 
-// TestPacketsFit: what is said to one member fits into a datagram, also where destinations and couriers are many and names long.
+// TestPacketsFit verifies that packets fit into a datagram, even with many destinations, many couriers and long names.
 func TestPacketsFit(t *testing.T) {
 	long := func(i int) string { return fmt.Sprintf("courier-of-some-building-%04d", i) }
 	c := New(1, Config{Self: long(0), Incarnation: 1, Couriers: 300, Seed: 1})
@@ -514,14 +516,14 @@
 			if action, ok := a.(SendPacket); ok {
 				packets++
 				if text, err := Encode(action.Packet); err != nil || len(text) > maxPacketBytes {
-					t.Fatalf("%d bytes (%v)", len(text), err)
+					t.Fatalf("packet of %d bytes (error %v)", len(text), err)
 				}
 				maxSamples = max(maxSamples, len(action.Packet.Samples))
 			}
 		}
 	}
 	if packets == 0 || maxSamples < 8 {
-		t.Errorf("%d packets, %d counts in one at most", packets, maxSamples)
+		t.Errorf("%d packets, at most %d samples in one", packets, maxSamples)
 	}
 }
 
@@ -535,11 +537,11 @@
 		return out
 	}
 	if a, b := play(), play(); !reflect.DeepEqual(a, b) {
-		t.Error("the same events had other actions")
+		t.Error("the same events returned different actions")
 	}
 }
 
-// FuzzDecode: any bytes are words that keep the bounds, or none.
+// FuzzDecode verifies that any input is rejected or decodes to a packet that an Allocator handles within its bounds.
 func FuzzDecode(f *testing.F) {
 	text, err := Encode(Packet{From: "a", Requests: []Request{{testKey, 5, 9}}, Leases: []Lease{{testKey, 5, 9}}, Samples: []Sample{{Key: testKey, Courier: "b", Usage: 7}}})
 	if err != nil {
@@ -557,7 +559,7 @@
 		c.Handle(10*second, FleetChanged{3, []string{packet.From}}, DemandsChanged{[]Demand{{Key: testKey, Limit: 10}}}, PacketReceived{packet}, Tick{})
 		for _, group := range c.groups {
 			if granted := c.grantedUnits(group); granted > c.baseUnits()/2 || len(group.leases) > 0 {
-				t.Errorf("%d granted, %v taken", granted, group.leases)
+				t.Errorf("%d granted, leases %v accepted", granted, group.leases)
 			}
 		}
 	})
