--- a/membership/gossip/gossip.go
+++ b/membership/gossip/gossip.go
@@ -33,17 +33,17 @@
 	Listen      string
 	Advertise   string            // address at which other members reach this one; empty: Listen
 	Join        []string          // addresses of members to join
-	Through     map[string]string // address to dial instead of a member's own address, by that address
+	Through     map[string]string // addresses to dial instead of the announced addresses of members; the keys are the announced ones
 	Key         string            // hex encoding of the 16, 24 or 32 byte encryption key; empty: no encryption
 	Interval    time.Duration     // between two probes of the detector; default 1 s
 	Seed        int64
 	Log         *slog.Logger
-	// StoreIncarnation stores the incarnation of this courier before it is announced.
+	// StoreIncarnation stores a new incarnation of this courier. It is called before the incarnation is announced.
 	StoreIncarnation func(incarnation uint64) error
 	// SizeEstimated receives the fleet size that the dispatcher has to use. It must not block.
 	SizeEstimated func(couriers int)
 	// Receive receives the data that another member sent with Member.Send. It must not block.
-	Receive func(text []byte)
+	Receive func(data []byte)
 	// Transport replaces the UDP and TCP sockets in tests.
 	Transport memberlist.Transport
 }
@@ -67,8 +67,8 @@
 	Incarnations map[string]uint64 `cbor:"3,keyasint,omitempty"`
 }
 
-// nameConflict notifies a courier that another courier with its name and a newer incarnation is in the fleet. A member that
-// sees both sends it to the courier with the older incarnation.
+// nameConflict notifies a courier that another courier with its name is in the fleet. A member that sees both sends it to the one
+// with the older incarnation, or to the one that it knew first if both incarnations are equal.
 type nameConflict struct {
 	Version     int    `cbor:"1,keyasint"`
 	Name        string `cbor:"2,keyasint"`
@@ -76,7 +76,7 @@
 	Address     string `cbor:"4,keyasint"`
 }
 
-// userPacket carries data of another package, see Member.Send. Versions that do not know it ignore it.
+// userPacket carries a packet of package quota, see Member.Send. Couriers of versions without this message ignore it.
 type userPacket struct {
 	Version int    `cbor:"1,keyasint"`
 	Quota   []byte `cbor:"9,keyasint"`
@@ -173,8 +173,8 @@
 	return c
 }
 
-// join contacts the addresses of Options.Join until one responds. While the local status is not Complete, it repeats that at
-// longer intervals, so that separated parts of the fleet merge again.
+// join contacts the addresses of Options.Join while the local status is not Complete, so that the member finds the fleet and separated
+// parts of the fleet merge again. The delay doubles up to 16 intervals while no address responds, and is 8 intervals after a response.
 func (m *Member) join(ctx context.Context) {
 	defer m.wg.Done()
 	wait := m.options.Interval
@@ -209,8 +209,8 @@
 		case e := <-m.events:
 			events = append(events, e)
 		case <-tick.C:
-			// The Tick precedes the queued events. Otherwise reports that arrived while this process was paused would be
-			// handled as if they were from before the pause.
+			// Handle processes the Tick and the queued events in one batch. It detects a pause of this process before it applies
+			// the reports that arrived during the pause.
 			events = append(events, membership.Tick{})
 			ticksSincePublish++
 			if ticksSinceResync++; ticksSinceResync >= resyncTicks || m.lostEvents.Load() != resyncedLostEvents {
@@ -221,6 +221,7 @@
 		for range len(m.events) {
 			events = append(events, <-m.events)
 		}
+		// + 1, because 0 stands for never.
 		actions := m.membership.Handle(dispatch.Micros(clock.Since(m.startedAt).Microseconds())+1, events...)
 		m.carryOut(actions)
 		if len(actions) > 0 || ticksSincePublish >= ticksPerInterval { // published response times may be one interval old
@@ -246,7 +247,7 @@
 			events = append(events, e)
 		}
 	}
-	probes := 0
+	probes := 0 // states now holds only the members that are missing in the detector's list
 	for _, member := range m.Snapshot().Members {
 		if member.State == membership.Suspected && probes < maxProbes { // the detector does not report the end of a suspicion
 			probes++
@@ -266,7 +267,7 @@
 		return
 	}
 	if _, err := m.list.Ping(string(member.Name), at); err == nil {
-		m.enqueue(membership.ProbeAnswered{Name: member.Name})
+		m.enqueue(membership.MemberResponded{Name: member.Name})
 	}
 }
 
@@ -296,15 +297,15 @@
 		case membership.IncarnationAdvanced:
 			m.advanceIncarnation(uint64(a.Incarnation))
 		case membership.StepDown:
-			m.log.Error("name conflict: a courier with this name and a newer incarnation is in the fleet; leaving the fleet, messages are still delivered", "incarnation", uint64(a.Incarnation), "address", a.Address)
+			m.log.Error("name conflict: a courier with this name and a newer incarnation is in the fleet; stopping membership, messages are still delivered", "incarnation", uint64(a.Incarnation), "address", a.Address)
 			m.steppedDown.Store(true)
 			go m.stepDown()
 		}
 	}
 }
 
-// advanceIncarnation stores a new incarnation and announces it to the fleet. It announces the incarnation even if storing fails,
-// because it is higher than any known one.
+// advanceIncarnation stores a new incarnation and announces it to the fleet. If storing fails, the incarnation is announced anyway: it is
+// higher than any known one, and after a restart the other members report it back.
 func (m *Member) advanceIncarnation(incarnation uint64) {
 	if m.options.StoreIncarnation != nil {
 		if err := m.options.StoreIncarnation(incarnation); err != nil {
@@ -349,12 +350,12 @@
 }
 
 // Send sends data to a member in one UDP packet, which may be lost.
-func (m *Member) Send(to string, text []byte) error {
+func (m *Member) Send(to string, data []byte) error {
 	for _, node := range m.list.Members() {
 		if node.Name != to {
 			continue
 		}
-		packet, err := cbor.Marshal(userPacket{Version, text})
+		packet, err := cbor.Marshal(userPacket{Version, data})
 		if err != nil {
 			return err
 		}
@@ -408,25 +409,26 @@
 // delegate implements the callbacks of memberlist.
 type delegate struct{ m *Member }
 
+// NodeMeta returns the metadata of this courier, or nil if it is longer than limit. The other members ignore a courier without metadata.
 func (d delegate) NodeMeta(limit int) []byte {
-	text, err := cbor.Marshal(metadata{Version: Version, Incarnation: d.m.incarnation.Load(), Zone: d.m.options.Zone, Leaving: d.m.leaving.Load()})
-	if err != nil || len(text) > limit {
+	data, err := cbor.Marshal(metadata{Version: Version, Incarnation: d.m.incarnation.Load(), Zone: d.m.options.Zone, Leaving: d.m.leaving.Load()})
+	if err != nil || len(data) > limit {
 		return nil
 	}
-	return text
+	return data
 }
 
 // NotifyMsg receives the data of Member.Send and notifications of name conflicts.
-func (d delegate) NotifyMsg(text []byte) {
+func (d delegate) NotifyMsg(data []byte) {
 	var p userPacket
-	if decoder.Unmarshal(text, &p) == nil && p.Version == Version && len(p.Quota) > 0 {
+	if decoder.Unmarshal(data, &p) == nil && p.Version == Version && len(p.Quota) > 0 {
 		if d.m.options.Receive != nil {
 			d.m.options.Receive(p.Quota)
 		}
 		return
 	}
 	var n nameConflict
-	if decoder.Unmarshal(text, &n) == nil && n.Version == Version && n.Name == d.m.options.Name && len(n.Address) <= maxNameBytes {
+	if decoder.Unmarshal(data, &n) == nil && n.Version == Version && n.Name == d.m.options.Name && len(n.Address) <= maxNameBytes {
 		d.m.enqueue(membership.NameConflict{Incarnation: membership.Incarnation(n.Incarnation), Address: n.Address})
 	}
 }
@@ -438,22 +440,22 @@
 	for name, incarnation := range *d.m.incarnations.Load() {
 		s.Incarnations[string(name)] = uint64(incarnation)
 	}
-	text, err := cbor.Marshal(s)
+	data, err := cbor.Marshal(s)
 	if err != nil {
 		return nil
 	}
-	return text
+	return data
 }
 
-func (d delegate) MergeRemoteState(text []byte, _ bool) {
+func (d delegate) MergeRemoteState(data []byte, _ bool) {
 	var s pushPullState
-	if decoder.Unmarshal(text, &s) != nil || s.Version != Version || len(s.From) > maxNameBytes {
+	if decoder.Unmarshal(data, &s) != nil || s.Version != Version || len(s.From) > maxNameBytes {
 		return
 	}
 	if incarnation, ok := s.Incarnations[d.m.options.Name]; ok {
 		d.m.enqueue(membership.IncarnationReported{Incarnation: membership.Incarnation(incarnation)})
 	}
-	d.m.enqueue(membership.ProbeAnswered{Name: membership.Name(s.From)})
+	d.m.enqueue(membership.MemberResponded{Name: membership.Name(s.From)})
 }
 
 // enqueueReport enqueues a report of the detector as an event of the membership.
@@ -478,7 +480,9 @@
 
 func (d delegate) NotifyJoin(node *memberlist.Node)   { d.enqueueReport(node, membership.Alive) }
 func (d delegate) NotifyUpdate(node *memberlist.Node) { d.enqueueReport(node, membership.Alive) }
-func (d delegate) NotifyLeave(node *memberlist.Node)  { d.enqueueReport(node, membership.Failed) }
+
+// NotifyLeave is called for failed and for leaving members. memberReport reports Left instead if the metadata says Leaving.
+func (d delegate) NotifyLeave(node *memberlist.Node) { d.enqueueReport(node, membership.Failed) }
 
 func (d delegate) NotifyConflict(existing, other *memberlist.Node) {
 	var existingMetadata, otherMetadata metadata
@@ -493,15 +497,15 @@
 	if existingMetadata.Incarnation > otherMetadata.Incarnation {
 		older, newer, newerIncarnation = *other, *existing, existingMetadata.Incarnation
 	}
-	text, err := cbor.Marshal(nameConflict{Version, other.Name, newerIncarnation, newer.Address()})
+	data, err := cbor.Marshal(nameConflict{Version, other.Name, newerIncarnation, newer.Address()})
 	if err == nil { // in a goroutine, because memberlist's callbacks must not block
-		go d.m.list.SendToAddress(memberlist.Address{Addr: older.Address(), Name: older.Name}, text)
+		go d.m.list.SendToAddress(memberlist.Address{Addr: older.Address(), Name: older.Name}, data)
 	}
 }
 
 func (d delegate) AckPayload() []byte { return nil }
 func (d delegate) NotifyPingComplete(other *memberlist.Node, _ time.Duration, _ []byte) {
-	d.m.enqueue(membership.ProbeAnswered{Name: membership.Name(other.Name)})
+	d.m.enqueue(membership.MemberResponded{Name: membership.Name(other.Name)})
 }
 
 // detectorLog receives memberlist's log. memberlist reports suspicions only there. If a later version words the line differently,
--- a/membership/gossip/gossip_test.go
+++ b/membership/gossip/gossip_test.go
@@ -96,7 +96,7 @@
 }
 
 // TestRecoveryFromRandomFaults injects random network faults. After the faults all members see the complete fleet again, and during the
-// faults no member counts fewer than all couriers.
+// faults MaxCouriers of no member falls below the fleet size.
 func TestRecoveryFromRandomFaults(t *testing.T) {
 	seeds, n := 12, 24
 	if s, err := strconv.Atoi(os.Getenv("PINEPORT_SEEDS")); err == nil {
@@ -113,7 +113,7 @@
 					time.Sleep(100 * time.Millisecond)
 					for i, member := range f.members {
 						if snapshot := member.Snapshot(); snapshot.MaxCouriers < n {
-							t.Fatalf("seed %d, fault %s: n%d counts %d couriers", seed, fault.Kind, i, snapshot.MaxCouriers)
+							t.Fatalf("seed %d, fault %s: MaxCouriers of n%d is %d", seed, fault.Kind, i, snapshot.MaxCouriers)
 						}
 					}
 				}
@@ -151,8 +151,8 @@
 	})
 }
 
-// TestPartitionAndHeal partitions the fleet in two different ways. Each side counts all couriers, and after the partition heals all members
-// see the complete fleet.
+// TestPartitionAndHeal partitions the fleet in two different ways. On each side MaxCouriers stays the fleet size, and after the partition
+// heals all members see the complete fleet.
 func TestPartitionAndHeal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := 9
@@ -179,8 +179,8 @@
 	})
 }
 
-// TestOneWay drops packets in one direction between each pair of three members. No member counts fewer couriers, and the fleet becomes
-// complete again afterwards.
+// TestOneWay drops packets in one direction between each pair of three members. MaxCouriers of no member
+// falls, and the fleet becomes complete again afterwards.
 func TestOneWay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleet(t, 3, 5)
@@ -193,7 +193,7 @@
 		time.Sleep(40 * time.Second)
 		for i, member := range f.members {
 			if p := member.Snapshot(); p.MaxCouriers != 3 {
-				t.Errorf("n%d counts %d couriers, want 3", i, p.MaxCouriers)
+				t.Errorf("MaxCouriers of n%d is %d, want 3", i, p.MaxCouriers)
 			}
 		}
 		for _, end := range ends {
@@ -228,7 +228,7 @@
 		f := startFleet(t, 5, 9)
 		defer f.stop()
 		f.settle(time.Minute, isComplete)
-		for range 3 { // its incarnation grows to 4
+		for range 3 { // the incarnation of n1 grows to 4
 			f.members[1].Leave()
 			f.start(1)
 			f.settle(time.Minute, isComplete)
@@ -250,7 +250,8 @@
 	})
 }
 
-// TestHostilePackets verifies that malformed packets neither change the membership nor stop a member.
+// TestHostilePackets sends malformed packets from the address of n0 to n1, while n0 is stopped. After n0 has restarted, all members see the
+// complete fleet again.
 func TestHostilePackets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleet(t, 3, 11)
@@ -280,12 +281,12 @@
 		defer f.stop()
 		f.settle(time.Minute, isComplete)
 		member := f.members[0]
-		member.enqueue(membership.MemberReported{Name: "n1", Incarnation: 1, State: membership.Failed}) // the report that n1 is alive is lost
+		member.enqueue(membership.MemberReported{Name: "n1", Incarnation: 1, State: membership.Failed}) // a false report; the full queue below drops further events
 		for member.lostEvents.Load() == 0 {
-			member.enqueue(membership.ProbeAnswered{Name: "nobody"})
+			member.enqueue(membership.MemberResponded{Name: "nobody"})
 		}
 		f.settle(5*time.Second, isComplete)
-		member.enqueue(membership.MemberReported{Name: "n2", Incarnation: 1, State: membership.Failed}) // wrong, and no lost event is counted
+		member.enqueue(membership.MemberReported{Name: "n2", Incarnation: 1, State: membership.Failed}) // a false report without a dropped event: only the periodic resync corrects it
 		time.Sleep(50 * time.Millisecond)
 		f.settle(15*time.Second, isComplete)
 	})
@@ -315,8 +316,8 @@
 	})
 }
 
-// TestSlowMember verifies that a member whose packets are delayed by more than the probe timeout does not make the other members report
-// false failures.
+// TestSlowMember verifies that a member whose packets are delayed by more than the probe timeout makes each other member report at most
+// four false failures on average in two minutes.
 func TestSlowMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleet(t, 12, 15)
@@ -333,7 +334,7 @@
 				revokedByOthers += member.Snapshot().Revoked
 			}
 			if snapshot := member.Snapshot(); snapshot.MaxCouriers != 12 {
-				t.Errorf("n%d counts %d couriers, want 12", i, snapshot.MaxCouriers)
+				t.Errorf("MaxCouriers of n%d is %d, want 12", i, snapshot.MaxCouriers)
 			}
 		}
 		t.Logf("in two minutes the eleven fast members revoked %d failures, the slow member %d", revokedByOthers, f.members[5].Snapshot().Revoked)
@@ -355,8 +356,8 @@
 	return l.tcp.Addr().String()
 }
 
-// TestMembersOfOtherFleetsAreIgnored uses real sockets. Members with another fleet name, another key or no key are ignored, and so is whoever
-// sends truncated, too long or endless data. The members of the fleet still find each other.
+// TestMembersOfOtherFleetsAreIgnored uses real sockets. Members with another fleet name, another key or no key are ignored, as are
+// truncated and oversized packets and incomplete streams. The members of the fleet still find each other.
 func TestMembersOfOtherFleetsAreIgnored(t *testing.T) {
 	const key = "00112233445566778899aabbccddeeff"
 	at := freeLoopbackAddress(t)
@@ -414,8 +415,8 @@
 	}
 }
 
-// TestCostByFleetSize runs only with PINEPORT_GROWTH set. It logs the traffic and memory per member of fleets of 10 to 1,000 members in
-// virtual time, and how long the detection of a failure takes.
+// TestCostByFleetSize runs only with PINEPORT_GROWTH set. It logs the traffic per member and the heap of the test divided by the number
+// of members, for fleets of 10 to 1,000 members in virtual time, and how long the detection of a failure takes.
 func TestCostByFleetSize(t *testing.T) {
 	if os.Getenv("PINEPORT_GROWTH") == "" {
 		t.Skip("PINEPORT_GROWTH is not set")
--- a/membership/gossip/transport.go
+++ b/membership/gossip/transport.go
@@ -19,12 +19,12 @@
 	packetQueueSize  = 256     // received packets waiting for the detector; further ones are dropped
 	packetBufferSize = 2 << 10 // bytes; the detector's packets are under 1,400 bytes
 	maxStreams       = 16      // concurrent inbound streams
-	maxStreamBytes   = 4 << 20 // bytes read from one stream; the state of many thousand members is under 1 MB
+	maxStreamBytes   = 4 << 20 // bytes read from one stream; the state of several thousand members is under 1 MB
 	streamTimeout    = 30 * time.Second
 )
 
-// Counts are the network counters of a Member. Rejected counts packets and streams that were dropped: truncated, too long, or
-// above the queue or stream limit.
+// Counts are the network counters of a Member. Streams counts inbound and outbound streams. Rejected counts empty packets, packets
+// longer than packetBufferSize, packets and streams above the queue and stream limits, and reads beyond maxStreamBytes.
 type Counts struct {
 	PacketsIn  int64 `json:"PacketsIn"`
 	PacketsOut int64 `json:"PacketsOut"`
@@ -42,7 +42,7 @@
 }
 
 // socketTransport is a memberlist.Transport over UDP and TCP. dialAddresses replaces the addresses of other members when they are
-// dialed, for example to reach them through an address translator.
+// dialed, for example to reach them through NAT.
 type socketTransport struct {
 	udp           *net.UDPConn
 	tcp           net.Listener
@@ -139,7 +139,7 @@
 	}
 }
 
-// limitStream wraps a connection so that at most maxStreamBytes are read from it and it ends after streamTimeout.
+// limitStream wraps a connection so that at most maxStreamBytes can be read, and all reads and writes fail after streamTimeout.
 func (t *socketTransport) limitStream(conn net.Conn, onClose func()) net.Conn {
 	t.counters.streams.Add(1)
 	stream := &limitedStream{Conn: conn, remaining: maxStreamBytes, counters: &t.counters, onClose: onClose, deadline: clock.Instant().Add(streamTimeout)}
@@ -229,7 +229,8 @@
 	return nil
 }
 
-// Pairs parses arguments of the form address=address into a map from the first address to the second.
+// Pairs parses arguments of the form address=address into a map: the keys are the announced addresses of members, the values the
+// addresses to dial instead, see Options.Through.
 func Pairs(arguments []string) (map[string]string, error) {
 	pairs := map[string]string{}
 	for _, argument := range arguments {
--- a/membership/incarnation/golden_test.go
+++ b/membership/incarnation/golden_test.go
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	golden.Check(t, "start.golden", content)
-	if next, fault, err := Next(dir, "n0"); next != 42 || fault != nil || err != nil {
-		t.Errorf("next incarnation: got %d, %v, %v, want 42", next, fault, err)
+	if next, readErr, err := Next(dir, "n0"); next != 42 || readErr != nil || err != nil {
+		t.Errorf("next incarnation: got %d, %v, %v, want 42", next, readErr, err)
 	}
 }
--- a/membership/incarnation/incarnation_test.go
+++ b/membership/incarnation/incarnation_test.go
@@ -11,12 +11,12 @@
 func TestIncarnationGrows(t *testing.T) {
 	dir := t.TempDir()
 	for want := uint64(1); want < 4; want++ {
-		if got, fault, err := Next(dir, "n0"); got != want || fault != nil || err != nil {
-			t.Fatalf("got %d, %v, %v; want %d", got, fault, err, want)
+		if got, readErr, err := Next(dir, "n0"); got != want || readErr != nil || err != nil {
+			t.Fatalf("got %d, %v, %v; want %d", got, readErr, err, want)
 		}
 	}
-	if got, fault, _ := Next(dir, "n1"); got != 1 || fault == nil {
-		t.Errorf("used the incarnation of another courier: %d, %v", got, fault)
+	if got, readErr, _ := Next(dir, "n1"); got != 1 || readErr == nil {
+		t.Errorf("used the incarnation of another courier: %d, %v", got, readErr)
 	}
 	path := filepath.Join(dir, Name)
 	text, err := os.ReadFile(path)
@@ -27,8 +27,8 @@
 		if err := os.WriteFile(path, text[:cut], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if got, fault, err := Next(dir, "n1"); got != 1 || fault == nil || err != nil {
-			t.Fatalf("file truncated to %d bytes: got %d, %v, %v; want 1 and a read error", cut, got, fault, err)
+		if got, readErr, err := Next(dir, "n1"); got != 1 || readErr == nil || err != nil {
+			t.Fatalf("file truncated to %d bytes: got %d, %v, %v; want 1 and a read error", cut, got, readErr, err)
 		}
 	}
 }
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -28,7 +28,7 @@
 
 // States of a member.
 const (
-	Unknown   State = iota // this process was paused, and no report about the member has arrived since
+	Unknown   State = iota // not known to be alive: no report was applied since a pause of this process or a clock jump
 	Alive                  // reported alive, and not suspected
 	Suspected              // the detector suspects that the member has failed
 	Failed                 // the detector declared the member failed; it still counts towards the fleet size
@@ -52,7 +52,7 @@
 	SteppedDown                    // another courier with this name and a newer incarnation is in the fleet
 )
 
-// localStatusNames are the names that commands and logs print. Scripts match them.
+// localStatusNames are the names that commands and logs print. They differ from the constants, and stay because scripts match them.
 var localStatusNames = [...]string{"alone", "part", "whole", "just woken", "stood back"}
 
 // String returns the name of the status, as commands and logs print it.
@@ -79,8 +79,8 @@
 		Zone        string
 		Address     string
 	}
-	// ProbeAnswered reports that a member responded directly to this process.
-	ProbeAnswered struct{ Name Name }
+	// MemberResponded reports that this process has heard directly from a member: a response to a probe, or a state exchange.
+	MemberResponded struct{ Name Name }
 	// IncarnationReported reports the incarnation that another member knows for this courier.
 	IncarnationReported struct{ Incarnation Incarnation }
 	// NameConflict reports another courier with this courier's name, at a different address.
@@ -97,7 +97,7 @@
 )
 
 func (MemberReported) event()      {}
-func (ProbeAnswered) event()       {}
+func (MemberResponded) event()     {}
 func (IncarnationReported) event() {}
 func (NameConflict) event()        {}
 func (MemberRemoved) event()       {}
@@ -121,7 +121,8 @@
 	FleetSizeEstimated struct{ Couriers int }
 	// IncarnationAdvanced reports a new incarnation of this courier. The caller stores it and announces it from then on.
 	IncarnationAdvanced struct{ Incarnation Incarnation }
-	// StepDown tells this courier to leave the fleet, because the courier at Address has the same name and a newer incarnation.
+	// StepDown tells the caller to stop the membership of this courier, because the courier at Address has the same name and a newer
+	// incarnation.
 	StepDown struct {
 		Incarnation Incarnation
 		Address     string
@@ -149,13 +150,13 @@
 
 // Snapshot is the state of the membership at one instant. The tags are the names in the output of commands.
 type Snapshot struct {
-	Version      uint64      `json:"number"` // incremented with each change
+	Version      uint64      `json:"number"` // incremented when a member state, the local status, the own incarnation or the estimated size changes
 	Self         Name        `json:"self"`
 	Incarnation  Incarnation `json:"start"`
 	LocalStatus  string      `json:"standing"`
 	Since        Micros      `json:"since_us"`
 	MinCouriers  int         `json:"least"`   // couriers known to be alive, including this one
-	MaxCouriers  int         `json:"most"`    // couriers that may be alive, including this one
+	MaxCouriers  int         `json:"most"`    // the largest of the couriers that may be alive, the configured fleet size and the estimated size
 	Revoked      int         `json:"revoked"` // failures that were false positives
 	StaleReports int         `json:"stale"`   // ignored reports about old incarnations, or about an incarnation that left
 	Members      []Member    `json:"members"`
@@ -168,12 +169,12 @@
 	now                Micros
 	actions            []Action
 	members            map[Name]*Member
-	evictedMembers     int // members removed by evict that had not left; they still count towards MaxCouriers
+	evictedMembers     int // members removed by evict that had not left; they still count towards MaxCouriers, twice if reported again
 	localStatus        LocalStatus
 	localStatusSince   Micros
 	lastTick           Micros
 	answeredSincePause map[Name]bool  // members that responded directly since the last pause of this process
-	deferredReports    map[Name]State // Suspected and Failed reports received during recovery, applied at its end
+	deferredReports    map[Name]State // Suspected and Failed reports received during recovery, see updateLocalStatus
 	estimatedSize      int            // fleet size that the dispatcher uses
 	shrinkAt           Micros         // when estimatedSize is lowered; never if no reduction is scheduled
 	version            uint64
@@ -189,16 +190,17 @@
 
 const (
 	never Micros = 1<<63 - 1
-	// maxMembers limits the number of members in memory. The design target is fleets of some hundred couriers. Members evicted beyond
-	// the limit still count towards MaxCouriers, because they may be alive.
+	// maxMembers limits the number of members in memory. It is many times the size of the intended fleets of several hundred couriers.
+	// Members evicted beyond the limit still count towards MaxCouriers, because they may be alive.
 	maxMembers = 4096
-	// maxTickDelay is how late a Tick may be before the process counts as paused. The detector declares a member failed only after
-	// some seconds, and a loaded machine delays a timer by far less than 2 s.
+	// maxTickDelay is how late a Tick may be before the process counts as paused. The detector needs several seconds
+	// to declare a member failed, and a loaded machine is assumed to delay a timer by far less than 2 s.
 	maxTickDelay = 2 * second
 	// minRecoveryAnswers is the number of different members that must respond before recovery ends. A single member may have been
 	// paused at the same time as this process.
 	minRecoveryAnswers = 3
-	// recoveryTime is how long suspicions and failures are deferred after a pause. By then the detector has probed the members again.
+	// recoveryTime is how long after a pause reports of suspicion and failure are deferred, if recovery has not ended before. By then
+	// the detector has probed the members again.
 	recoveryTime = 10 * second
 	// shrinkDelay is the maximum of the random delay before a smaller fleet size is used, so that couriers do not all switch at once.
 	shrinkDelay = 10 * second
@@ -212,8 +214,8 @@
 		switch e := event.(type) {
 		case MemberReported:
 			m.memberReported(e)
-		case ProbeAnswered:
-			m.probeAnswered(e.Name)
+		case MemberResponded:
+			m.memberResponded(e.Name)
 		case IncarnationReported:
 			m.incarnationReported(e.Incarnation)
 		case NameConflict:
@@ -247,7 +249,7 @@
 		}
 	}
 	m.setLocalStatus(Recovering)
-	m.localStatusSince = now
+	m.localStatusSince = now // a pause during recovery restarts recoveryTime
 }
 
 func (m *Membership) sortedNames() []Name { return slices.Sorted(maps.Keys(m.members)) }
@@ -295,7 +297,7 @@
 }
 
 // probeAnswered records a direct response of a member, which ends any suspicion.
-func (m *Membership) probeAnswered(name Name) {
+func (m *Membership) memberResponded(name Name) {
 	member := m.members[name]
 	if member == nil || member.State == Left {
 		return
@@ -320,7 +322,7 @@
 // incarnations are equal, the courier that detects the conflict advances its own by a random number.
 func (m *Membership) nameConflict(event NameConflict) {
 	switch {
-	case m.localStatus == SteppedDown || event.Incarnation < m.config.Incarnation:
+	case m.localStatus == SteppedDown || event.Incarnation < m.config.Incarnation: // nothing to do: the other courier steps down, or this one did
 	case event.Incarnation == m.config.Incarnation:
 		m.config.Incarnation += 1 + Incarnation(m.rng.Int63n(1000))
 		m.version++
@@ -369,6 +371,8 @@
 	return minCouriers, max(maxCouriers, m.config.FleetSize)
 }
 
+// updateLocalStatus sets the status from the member states. Recovery ends once enough members have responded. While it lasts longer than
+// recoveryTime, the deferred reports are applied.
 func (m *Membership) updateLocalStatus() {
 	if m.localStatus == Recovering && m.now-m.localStatusSince >= recoveryTime {
 		for _, name := range slices.Sorted(maps.Keys(m.deferredReports)) {
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -30,7 +30,7 @@
 	return found, false
 }
 
-// TestPartitionedMemberCountsTheLargest guards against a failure: a courier behind a network partition counted the other members as gone,
+// TestPartitionedMemberCountsTheLargest guards against a failure: a courier behind a network partition counted the other members as left,
 // and used a larger share of each limit.
 func TestPartitionedMemberCountsTheLargest(t *testing.T) {
 	m := startedMembership(3)
@@ -49,7 +49,8 @@
 	}
 }
 
-// TestRecoveringTrustsNothing guards against a failure: a process that was paused for 20 s resumed and considered all other members failed.
+// TestRecoveringTrustsNothing guards against a failure: a process that was paused for 20 s resumed and considered all other members
+// failed.
 func TestRecoveringTrustsNothing(t *testing.T) {
 	m := startedMembership(4)
 	m.Handle(2*tick, Tick{}, aliveReport("b", 1), aliveReport("c", 1), aliveReport("d", 1))
@@ -62,11 +63,11 @@
 			t.Errorf("%s: got state %v, want unknown", member.Name, member.State)
 		}
 	}
-	m.Handle(20*second+tick, ProbeAnswered{"b"}, ProbeAnswered{"c"}, Tick{})
+	m.Handle(20*second+tick, MemberResponded{"b"}, MemberResponded{"c"}, Tick{})
 	if m.localStatus != Recovering {
 		t.Errorf("after two of three responses: got %v, want Recovering", m.localStatus)
 	}
-	if m.Handle(20*second+2*tick, ProbeAnswered{"d"}, Tick{}); m.localStatus != Complete || m.EstimatedSize() != 4 {
+	if m.Handle(20*second+2*tick, MemberResponded{"d"}, Tick{}); m.localStatus != Complete || m.EstimatedSize() != 4 {
 		t.Errorf("after three responses: got %v, %d couriers, want Complete, 4", m.localStatus, m.EstimatedSize())
 	}
 }
@@ -76,7 +77,7 @@
 func TestRecoveryEnds(t *testing.T) {
 	m := startedMembership(3)
 	m.Handle(2*tick, Tick{}, aliveReport("b", 1), aliveReport("c", 1))
-	m.Handle(20*second, Tick{}, ProbeAnswered{"b"}, MemberReported{Name: "c", Incarnation: 1, State: Failed})
+	m.Handle(20*second, Tick{}, MemberResponded{"b"}, MemberReported{Name: "c", Incarnation: 1, State: Failed})
 	for now := 20*second + tick; now < 29*second; now += tick {
 		if m.Handle(now, Tick{}); m.localStatus != Recovering {
 			t.Fatalf("at %d us: left recovery early", now)
@@ -90,8 +91,8 @@
 	}
 }
 
-// TestIncarnationsOnlyGrow guards against a failure: a courier that restarted with an old incarnation, or two couriers with one name, were
-// treated as one member.
+// TestIncarnationsOnlyGrow guards against a failure: a courier that restarted with an old incarnation was taken for its
+// earlier start, and two couriers with one name were taken for one member.
 func TestIncarnationsOnlyGrow(t *testing.T) {
 	m := startedMembership(1)
 	if r, ok := findAction[IncarnationAdvanced](m.Handle(2*tick, IncarnationReported{9})); !ok || r.Incarnation != 10 {
@@ -116,9 +117,9 @@
 	}
 }
 
-// TestEstimateShrinksLater guards against a failure: all couriers switched to a smaller fleet size at the same time, or a courier did so
-// without a complete view.
-func TestEstimateShrinksLater(t *testing.T) {
+// TestFleetSizeIsLoweredAtDifferentTimes guards against a failure: all couriers switched to a smaller fleet size at the same time, or a
+// courier did so while its status was not Complete.
+func TestFleetSizeIsLoweredAtDifferentTimes(t *testing.T) {
 	at := map[Micros]bool{}
 	for seed := range int64(20) {
 		m := New(Config{Self: "a", Incarnation: 1, FleetSize: 2, Tick: tick, Seed: seed})
@@ -149,7 +150,7 @@
 	}
 }
 
-// checker holds a Membership and the events it has received, and checks its guarantees against them.
+// checker checks the guarantees of a Membership after each step, against what the earlier events reported.
 type checker struct {
 	membership         *Membership
 	incarnation        Incarnation
@@ -157,7 +158,7 @@
 	leftIncarnation    map[Name]Incarnation
 	reportedSize       int
 	answersSincePause  map[Name]bool // members that responded since the last pause
-	paused             bool
+	paused             bool          // set when recovery starts; no check uses it
 }
 
 func (c *checker) check(events []Event, actions []Action) error {
@@ -169,7 +170,7 @@
 			}
 			c.highestIncarnation[h.Name] = h.Incarnation
 		}
-		if a, ok := e.(ProbeAnswered); ok {
+		if a, ok := e.(MemberResponded); ok {
 			c.answersSincePause[a.Name] = true
 		}
 	}
@@ -221,11 +222,11 @@
 	return nil
 }
 
-// steps returns the possible events in a fleet of three couriers; events about a member exist for b and for c.
+// steps returns the possible events in a fleet of three couriers, a, b and c. Each event about a member is included for b and for c.
 func steps() (all [][]Event) {
 	for _, n := range []Name{"b", "c"} {
 		all = append(all, []Event{aliveReport(n, 1)}, []Event{MemberReported{Name: n, Incarnation: 1, State: Suspected}}, []Event{MemberReported{Name: n, Incarnation: 1, State: Failed}},
-			[]Event{MemberReported{Name: n, Incarnation: 1, State: Left}}, []Event{aliveReport(n, 2)}, []Event{ProbeAnswered{n}})
+			[]Event{MemberReported{Name: n, Incarnation: 1, State: Left}}, []Event{aliveReport(n, 2)}, []Event{MemberResponded{n}})
 	}
 	return append(all, []Event{Tick{}}, nil, []Event{IncarnationReported{7}}) // nil: this process is paused, see run
 }
@@ -233,6 +234,7 @@
 // run plays the steps in the given order and checks the guarantees after each. injectFault, if set, corrupts the Membership after each
 // step.
 func run(order []int, all [][]Event, injectFault func(*Membership)) error {
+	// The configured fleet size is 2, so that the estimated size can grow to 3.
 	c := &checker{membership: startedMembership(2), incarnation: 5, highestIncarnation: map[Name]Incarnation{}, leftIncarnation: map[Name]Incarnation{}, reportedSize: 2, answersSincePause: map[Name]bool{}}
 	now := 2 * tick
 	for _, i := range order {
@@ -247,7 +249,7 @@
 		if err := c.check(events, actions); err != nil {
 			return err
 		}
-		c.membership.lastTick = now
+		c.membership.lastTick = now // a step without a Tick is not a pause
 	}
 	return nil
 }
--- a/quota/counting.go
+++ b/quota/counting.go
@@ -42,9 +42,9 @@
 	group.peerSamples[sample.Courier] = peerSample{sample, c.now - sample.Age}
 }
 
-// updateSmoothedLoad moves the reported load towards the estimated load, exponentially with the time constant usageWindow. Incident: when
-// all couriers received the same unsmoothed load, they slowed down and sped up in step. The oscillation grew with the number of samples
-// that each courier had.
+// updateSmoothedLoad moves the reported load towards the estimated load, exponentially with the time constant usageWindow. The first
+// estimate, and an estimate more than sampleLifetime after the last one, is reported as it is. Incident: without smoothing, couriers with
+// the same estimate slowed down and sped up in step, the more so the more samples they had.
 func (c *Allocator) updateSmoothedLoad(group *groupState) {
 	usage, known := c.estimateLoad(group)
 	if !known {
@@ -80,7 +80,7 @@
 func (c *Allocator) sendPackets(keys []Key, requests map[string][]Request) {
 	var own, forwarded []Sample
 	first := 0
-	if c.peerSampleCount > maxForwardedSamples {
+	if c.peerSampleCount > maxForwardedSamples { // not all samples are collected: start with a different group in each tick
 		first = int(c.sequence % uint64(len(keys)))
 	}
 	for i := range keys {
@@ -101,18 +101,18 @@
 		}
 	}
 	slices.SortStableFunc(own, func(a, b Sample) int { return cmp.Compare(b.Usage, a.Usage) })
-	to, sampleTargets := map[string]Packet{}, map[string]bool{}
+	packets, sampleTargets := map[string]Packet{}, map[string]bool{}
 	for _, i := range c.rng.Perm(len(c.alive))[:min(sampleFanout, len(c.alive))] {
 		sampleTargets[c.alive[i]] = true
-		to[c.alive[i]] = Packet{}
+		packets[c.alive[i]] = Packet{}
 	}
 	for name, request := range requests {
-		to[name] = Packet{Requests: request}
+		packets[name] = Packet{Requests: request}
 	}
 	forwardedCount := 0
-	for _, name := range slices.Sorted(maps.Keys(to)) {
+	for _, name := range slices.Sorted(maps.Keys(packets)) {
 		packet, budget := Packet{}, newPacketBudget(c.config.Self)
-		for _, request := range to[name].Requests { // requests that do not fit are dropped and made again in a later tick
+		for _, request := range packets[name].Requests { // requests that do not fit are dropped and made again in a later tick
 			if budget.reserve(request.size()) {
 				packet.Requests = append(packet.Requests, request)
 			}
@@ -129,7 +129,7 @@
 				packet.Samples, forwardedCount = append(packet.Samples, sample), max(forwardedCount, i+1)
 			}
 		}
-		c.send(name, packet) // also without samples: the receiver then knows that this courier uses nothing
+		c.send(name, packet) // also if it is empty: the receiver records direct contact, see estimateLoad
 	}
 	c.forwardOffset += forwardedCount
 }
--- a/quota/decisions.go
+++ b/quota/decisions.go
@@ -11,11 +11,12 @@
 	return changed
 }
 
-// ToDispatch converts shares to an event for the dispatcher. The function at converts a time of the Allocator's clock to the dispatcher's.
-func ToDispatch(shares []Share, at func(Micros) Micros) (event dispatch.QuotaChanged) {
+// ToDispatch converts shares to an event for the dispatcher. toDispatcherTime converts a time of the Allocator's clock to the
+// dispatcher's clock.
+func ToDispatch(shares []Share, toDispatcherTime func(Micros) Micros) (event dispatch.QuotaChanged) {
 	for _, share := range shares {
-		event.Shares = append(event.Shares, dispatch.QuotaShare{Destination: dispatch.DestinationID(share.Dest), Endpoint: dispatch.EndpointID(share.Endpoint), Granted: share.Granted, GrantedUntil: at(share.GrantedUntil),
-			Leased: share.Leased, LeasedUntil: at(share.LeasedUntil), Load: share.Load, LoadUntil: at(share.LoadUntil)})
+		event.Shares = append(event.Shares, dispatch.QuotaShare{Destination: dispatch.DestinationID(share.Dest), Endpoint: dispatch.EndpointID(share.Endpoint), Granted: share.Granted, GrantedUntil: toDispatcherTime(share.GrantedUntil),
+			Leased: share.Leased, LeasedUntil: toDispatcherTime(share.LeasedUntil), Load: share.Load, LoadUntil: toDispatcherTime(share.LoadUntil)})
 	}
 	return event
 }
--- a/quota/events.go
+++ b/quota/events.go
@@ -21,7 +21,7 @@
 	}
 	// PacketReceived reports a packet of another courier.
 	PacketReceived struct{ Packet Packet }
-	// Tick is due at a fixed interval. It sends requests and samples.
+	// Tick is due at a fixed interval. On a Tick the Allocator sends requests and samples.
 	Tick struct{}
 )
 
--- a/quota/exchange/exchange.go
+++ b/quota/exchange/exchange.go
@@ -21,19 +21,20 @@
 	Self        string        // name of this courier
 	Incarnation uint64        // of this courier
 	Interval    time.Duration // between two ticks of the Allocator
-	// FirstSequence is higher than all sequence numbers of an earlier process with this incarnation. It is the courier's time at its
-	// start, in milliseconds. During an upgrade, the old and the new process have the same incarnation.
+	// FirstSequence is higher than all sequence numbers of an earlier process with this incarnation. The caller passes the time of the
+	// courier's clock when it opens the Exchange, in milliseconds. During an upgrade, the old and the new process have the same
+	// incarnation.
 	FirstSequence uint64
 	Log           *slog.Logger
 	// Fleet returns the estimated number of couriers in the fleet, and the names of the other alive members.
 	Fleet func() (couriers int, alive []string)
 	// Send sends data to a member. The data may be lost. Send must not block.
-	Send func(to string, text []byte) error
+	Send func(to string, data []byte) error
 	// Demands returns the demands that the dispatcher last reported.
 	Demands func() []dispatch.Demand
-	// Apply hands shares to the dispatcher. Their times are relative to zero. Apply returns a channel that is closed once the dispatcher
-	// has applied the shares, or nil if it cannot accept them now.
-	Apply func(shares []quota.Share, zero time.Time) (applied <-chan struct{})
+	// Apply hands shares to the dispatcher. The times in the shares count from origin. Apply returns a channel that is closed once the
+	// dispatcher has applied the shares, or nil if it cannot accept them now.
+	Apply func(shares []quota.Share, origin time.Time) (applied <-chan struct{})
 }
 
 const (
@@ -76,10 +77,10 @@
 		o.Log = slog.New(slog.DiscardHandler)
 	}
 	x := &Exchange{options: o, startedAt: clock.Instant(), packets: make(chan quota.Packet, packetQueueSize), statusRequests: make(chan chan Status)}
-	var salt [8]byte
-	rand.Read(salt[:])
+	var seed [8]byte
+	rand.Read(seed[:])
 	couriers, _ := o.Fleet()
-	x.allocator = quota.New(x.now(), quota.Config{Self: o.Self, Incarnation: o.Incarnation, Couriers: couriers, Seed: int64(binary.LittleEndian.Uint64(salt[:])),
+	x.allocator = quota.New(x.now(), quota.Config{Self: o.Self, Incarnation: o.Incarnation, Couriers: couriers, Seed: int64(binary.LittleEndian.Uint64(seed[:])),
 		FirstSequence: o.FirstSequence})
 	ctx, cancel := context.WithCancel(context.Background())
 	x.cancel = cancel
@@ -88,16 +89,17 @@
 	return x
 }
 
-// Close stops the Exchange. Granted leases stay valid at the lessees until they expire. Leases of this courier are not renewed.
+// Close stops the Exchange. Leases that this courier granted stay valid at the lessees until they expire. Leases that it holds are not
+// renewed.
 func (x *Exchange) Close() {
 	x.cancel()
 	x.wg.Wait()
 }
 
 // Receive queues a packet of another member. It does not block.
-func (x *Exchange) Receive(text []byte) {
+func (x *Exchange) Receive(data []byte) {
 	x.counts.PacketsIn.Add(1)
-	packet, err := quota.Decode(text)
+	packet, err := quota.Decode(data)
 	if err != nil {
 		x.counts.PacketsMalformed.Add(1)
 		return
@@ -130,7 +132,7 @@
 }
 
 func (x *Exchange) now() dispatch.Micros {
-	return dispatch.Micros(clock.Since(x.startedAt).Microseconds()) + 1
+	return dispatch.Micros(clock.Since(x.startedAt).Microseconds()) + 1 // 0 stands for never
 }
 
 func (x *Exchange) run(ctx context.Context) {
@@ -167,16 +169,16 @@
 				x.counts.LeasesWithheld.Add(1)
 				continue
 			}
-			text, err := quota.Encode(a.Packet)
+			data, err := quota.Encode(a.Packet)
 			if err == nil {
-				err = x.options.Send(a.To, text)
+				err = x.options.Send(a.To, data)
 			}
 			if err != nil {
 				x.options.Log.Debug("packet not sent", "to", a.To, "error", err)
 				continue
 			}
 			x.counts.PacketsOut.Add(1)
-			x.counts.BytesOut.Add(int64(len(text)))
+			x.counts.BytesOut.Add(int64(len(data)))
 		}
 	}
 }
--- a/quota/exchange/exchange_test.go
+++ b/quota/exchange/exchange_test.go
@@ -23,8 +23,8 @@
 	return Open(Options{Self: "a", Incarnation: 1, Interval: 500 * time.Millisecond,
 		Fleet:   func() (int, []string) { return 2, []string{"b"} },
 		Demands: func() []dispatch.Demand { return p.demands },
-		Send: func(_ string, text []byte) error {
-			packet, err := quota.Decode(text)
+		Send: func(_ string, data []byte) error {
+			packet, err := quota.Decode(data)
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			p.sentLeases += len(packet.Leases)
@@ -53,11 +53,11 @@
 
 // requestLease sends a request of b and returns the number of leases sent to b so far.
 func (p *fakePeer) requestLease(x *Exchange, id uint64) int {
-	text, err := quota.Encode(quota.Packet{From: "b", Requests: []quota.Request{{Key: quota.Key{Dest: 1}, Units: 100000, LeaseID: id}}})
+	data, err := quota.Encode(quota.Packet{From: "b", Requests: []quota.Request{{Key: quota.Key{Dest: 1}, Units: 100000, LeaseID: id}}})
 	if err != nil {
 		panic(err)
 	}
-	x.Receive(text)
+	x.Receive(data)
 	time.Sleep(2 * time.Second)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -65,8 +65,8 @@
 }
 
 // TestLeaseIsSentAfterItIsApplied verifies that a lease is sent only after the dispatcher has applied the grant, and not while an earlier
-// incarnation may have granted the same share. It guards against both sides using the same share because the dispatcher of the grantor hangs
-// or runs in another process.
+// incarnation may have granted the same share. It guards against both sides using the same share because the dispatcher of the grantor
+// hangs, or cannot accept shares.
 func TestLeaseIsSentAfterItIsApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &fakePeer{applies: true, demands: []dispatch.Demand{{Destination: 1, Limit: 10}}}
@@ -93,20 +93,20 @@
 	})
 }
 
-// TestMalformedPacketsAreCounted verifies that malformed packets are counted and ignored, that valid packets beyond the queue size are dropped,
-// and that Status does not block forever after Close.
+// TestMalformedPacketsAreCounted verifies that malformed packets are counted and ignored, that valid packets beyond the queue size are
+// dropped, and that Status does not block forever after Close.
 func TestMalformedPacketsAreCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &fakePeer{applies: true, hangs: true, demands: []dispatch.Demand{{Destination: 1, Limit: 10}}}
 		x := p.open()
 		time.Sleep(600 * time.Millisecond) // past the first tick: run waits for the dispatcher and receives no packets
 		x.Receive([]byte("noise"))
-		text, err := quota.Encode(quota.Packet{From: "b"})
+		data, err := quota.Encode(quota.Packet{From: "b"})
 		if err != nil {
 			t.Fatal(err)
 		}
 		for range 3 * packetQueueSize {
-			x.Receive(text)
+			x.Receive(data)
 		}
 		time.Sleep(3 * time.Second)
 		s, ok := x.Status()
--- a/quota/leasing.go
+++ b/quota/leasing.go
@@ -16,9 +16,9 @@
 }
 
 type request struct {
-	courier string // the member that received the request
+	courier string // the member to which the request was sent
 	units   Units
-	at      Micros
+	at      Micros // when the request was sent
 }
 
 // grantedUnits returns how much of the base share is currently granted.
@@ -46,8 +46,8 @@
 	return sum, until
 }
 
-// acceptLease adds a lease that this courier requested. The lease is valid until leaseDuration after the request, and each request accepts
-// at most one lease.
+// acceptLease adds a lease that this courier requested. The lease is valid until leaseDuration after the request. At most one
+// lease is accepted per request.
 func (c *Allocator) acceptLease(from string, granted Lease) {
 	group := c.groups[granted.Key]
 	if group == nil {
@@ -63,9 +63,9 @@
 	group.leases = append(group.leases, lease{from, granted.LeaseID, granted.Units, pending.at + leaseDuration})
 }
 
-// grantLease grants the part of the base share that this courier does not need, at most half of it, and records the grant before the lease
-// is sent. It keeps a tenth of the base share for an increase of its own usage. It does not grant less than a fiftieth of the base share,
-// which is not worth a packet.
+// grantLease grants the part of the base share that this courier does not need, at most half of the base share, and records the grant
+// before the lease is sent. The courier keeps its own usage plus a quarter of it, and a tenth of the base share for an increase of its
+// usage. Grants below a fiftieth of the base share are not worth a packet and are not made.
 func (c *Allocator) grantLease(to string, request Request) (Lease, bool) {
 	group := c.groups[request.Key]
 	if group == nil {
@@ -89,9 +89,13 @@
 	return Lease{request.Key, units, request.LeaseID}, true
 }
 
-// requestLeases requests what this courier needs beyond its current share. It needs its usage plus a quarter, plus enough to send the
-// waiting messages within one second. Requests go to the members that use least of the limit. Among members with equal usage, rendezvous
-// hashing gives each courier a different order.
+// requestLeases requests what this courier needs beyond its current share. The courier needs its usage plus a quarter, plus enough to send
+// the waiting messages within one second. Nothing is requested without usage, or for a need below a twentieth of the base share. Requests
+// go to the members that use the least of the limit, and never to a member that uses half of its base share or more. Among members with
+// equal usage, rendezvous hashing gives each courier a different order.
+//
+// Leases count only while they are valid for more than leaseDuration/2, so that new ones are requested before they end. Pending requests
+// count for leaseDuration/4, after which unanswered requests are made again.
 func (c *Allocator) requestLeases(group *groupState, requests map[string][]Request) {
 	base := c.baseUnits()
 	expected, _ := c.leasedUnits(group, leaseDuration/2)
--- a/quota/packet.go
+++ b/quota/packet.go
@@ -10,7 +10,8 @@
 const Version = 1
 
 const (
-	// maxItems limits the number of requests, of leases and of samples in one packet. Packets of a courier stay below it.
+	// maxItems limits the number of requests, of leases and of samples in one packet. The packets that the Allocator sends have at most as
+	// many.
 	maxItems = 64
 	// maxPacketBytes is less than the transport can carry in one datagram.
 	maxPacketBytes = 1200
@@ -44,7 +45,7 @@
 	LeaseID uint64 `cbor:"3,keyasint"`
 }
 
-// Sample holds the counters of one courier for a group since its start, and its current usage of the limit.
+// Sample holds the counters of one courier for a group since the start of its dispatcher, and its current usage of the limit.
 type Sample struct {
 	Key         Key    `cbor:"1,keyasint"`
 	Courier     string `cbor:"2,keyasint"`
@@ -71,12 +72,12 @@
 	return cbor.Marshal(packet)
 }
 
-// Decode decodes a packet. It rejects the complete packet if any value in it is out of range.
-func Decode(text []byte) (packet Packet, err error) {
-	if len(text) > 2*maxPacketBytes {
-		return Packet{}, fmt.Errorf("packet too long: %d bytes", len(text))
+// Decode decodes a packet. It rejects packets longer than twice maxPacketBytes, and the complete packet if any value in it is out of range.
+func Decode(data []byte) (packet Packet, err error) {
+	if len(data) > 2*maxPacketBytes {
+		return Packet{}, fmt.Errorf("packet too long: %d bytes", len(data))
 	}
-	if err := decoder.Unmarshal(text, &packet); err != nil {
+	if err := decoder.Unmarshal(data, &packet); err != nil {
 		return Packet{}, err
 	}
 	return packet, packet.validate()
@@ -107,7 +108,8 @@
 	return nil
 }
 
-// packetBudget is the number of bytes that can still be added to a packet.
+// packetBudget is the number of bytes that can still be added to a packet. 16 bytes are reserved for Version, the keys of the fields, and
+// the headers of the lists.
 type packetBudget int
 
 func newPacketBudget(from string) packetBudget { return packetBudget(maxPacketBytes - 16 - len(from)) }
@@ -120,10 +122,11 @@
 	return true
 }
 
-// size returns the encoded size in bytes, or a few bytes more.
+// size returns the encoded size in bytes, or a few bytes more. The constants cover the headers of maps and strings and the keys of the
+// fields.
 func (r Request) size() int { return 5 + r.Key.size() + uintLen(uint64(r.Units)) + uintLen(r.LeaseID) }
 
-// size returns the encoded size in bytes, or a few bytes more.
+// size returns the encoded size in bytes, or a few bytes more, as Request.size does.
 func (s Sample) size() int {
 	size := 11 + s.Key.size() + 2 + len(s.Courier)
 	for _, v := range []uint64{s.Incarnation, s.Sequence, uint64(s.Age), s.Calls, s.Delivered, s.Throttled, uint64(s.Usage)} {
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -4,10 +4,10 @@
 //
 // Shares are measured in millionths of a limit. Each courier owns a base share: the limit divided by the number of couriers in the fleet.
 // It may grant the unused part of its base share to others, at most half of it. The grantor subtracts a grant before it sends the lease.
-// The lease ends at the lessee leaseDuration after the lessee *requested* it, and the grant returns to the grantor strictly later, even if
-// one clock runs 1 % fast and the other 1 % slow. Therefore a lost, late or duplicated packet can only reduce the capacity in use, and
-// times of two clocks are never compared. A courier that starts reserves what an earlier incarnation may have granted. So leases need not
-// be stored, and restoring an older copy of the state folder is safe.
+// The lease ends at the lessee leaseDuration after the lessee requested it. The grantor counts the share as its own again strictly later,
+// even if one clock runs 1 % fast and the other 1 % slow. Therefore a lost, late or duplicated packet can only reduce the capacity in use,
+// and times of two clocks are never compared. A courier that starts reserves what an earlier incarnation may have granted. So leases need
+// not be stored, and restoring an older copy of the state folder is safe.
 package quota
 
 import (
@@ -42,15 +42,16 @@
 }
 
 const (
-	// leaseDuration is how long a lease is valid, counted from its request. It spans several ticks, but is short compared to an outage,
-	// so that capacity that is unused after a lost packet or a failed process returns soon.
+	// leaseDuration is how long a lease is valid, counted from its request. It spans several ticks, but is short compared to an outage of
+	// an endpoint. If the packet with a lease is lost or the lessee fails, the share stays unused only until the grantor counts it again.
 	leaseDuration = 4 * second
 	// grantDuration is how long a grant is subtracted at the grantor. If one clock runs 1 % fast and the other 1 % slow, 4 s on one clock
 	// last up to 4.08 s on the other.
 	grantDuration = leaseDuration + leaseDuration/40
 	// sampleLifetime is the maximum age of a sample that is included in the load.
 	sampleLifetime = 3 * second
-	// usageWindow is the time over which usage is averaged. It is long compared to a tick and short compared to an outage.
+	// usageWindow is the time over which usage is averaged. It is long compared to a tick and short compared to an outage of
+	// an endpoint.
 	usageWindow = 2 * second
 	// maxKeys and maxPeerSamples limit the groups and the samples of other couriers in memory, about 2 MB in total. Samples beyond the
 	// limits are dropped, so the load is then underestimated.
@@ -68,8 +69,8 @@
 	// requestFanout is the number of members among which a request is divided. If one of them responds late or not at all, only its part
 	// is missing.
 	requestFanout = 3
-	// sampleFanout is the number of members that receive samples in each tick. They forward the samples, which reach a fleet of hundreds of
-	// couriers within sampleLifetime.
+	// sampleFanout is the number of members that receive samples in each tick. They forward the samples, so that each sample can reach a
+	// fleet of several hundred couriers within sampleLifetime.
 	sampleFanout = 3
 )
 
@@ -85,9 +86,9 @@
 // groupState is the state of one group.
 type groupState struct {
 	demand        Demand
-	callSamples   []callSample // call counts of this courier within usageWindow
-	usage         Units        // what this courier uses of the limit
-	lastUsedAt    Micros
+	callSamples   []callSample          // call counts of this courier within usageWindow
+	usage         Units                 // what this courier uses of the limit
+	lastSeenAt    Micros                // when an event last named the group
 	smoothedLoad  float64               // load of all couriers, as reported to the dispatcher; 1 is the complete limit
 	loadUpdatedAt Micros                // when smoothedLoad was last updated; 0 if never
 	grants        []lease               // shares granted to other couriers
@@ -129,7 +130,7 @@
 }
 
 // GrantHorizon is how long after a start of the process or of its dispatcher half of each base share must stay unused, because up to half
-// may have been granted before. The owner of the dispatcher enforces this: the dispatcher starts before the Allocator reports any shares.
+// may have been granted before. Package server enforces this, because the dispatcher starts before the Allocator reports any shares.
 const GrantHorizon = grantDuration
 
 // Handle processes events that are known at the time now and returns the actions to carry out, in order.
@@ -164,7 +165,7 @@
 		group = &groupState{demand: Demand{Key: key}, requests: map[uint64]request{}, peerSamples: map[string]peerSample{}}
 		c.groups[key] = group
 	}
-	group.lastUsedAt = c.now
+	group.lastSeenAt = c.now
 	return group
 }
 
@@ -184,6 +185,7 @@
 		}
 		group.usage = 0
 		if first := group.callSamples[0]; demand.Limit > 0 && c.now > first.at {
+			// Within usageWindow/2 of the first sample the usage is underestimated, so that a short burst does not count as a high rate.
 			perSec := float64(demand.Calls-first.calls) / float64(max(c.now-first.at, usageWindow/2)) * float64(second)
 			group.usage = Units(min(float64(maxUsage), perSec/demand.Limit*float64(fullLimit)))
 		}
@@ -242,7 +244,8 @@
 	c.actions = append(c.actions, share)
 }
 
-// expire deletes expired leases, grants, requests and samples, and groups that are no longer used.
+// expire deletes expired leases, grants and requests, old samples, and groups without an event for maxSampleAge. Samples are kept ten times
+// longer than they count for the load; until then merge rejects older samples of the same courier.
 func (c *Allocator) expire() {
 	maps.DeleteFunc(c.directPacketAt, func(_ string, at Micros) bool { return c.now-at > sampleLifetime })
 	expired := func(lease lease) bool { return c.now >= lease.until }
@@ -251,7 +254,7 @@
 		group.grants, group.leases = slices.DeleteFunc(group.grants, expired), slices.DeleteFunc(group.leases, expired)
 		maps.DeleteFunc(group.requests, func(_ uint64, a request) bool { return c.now >= a.at+leaseDuration })
 		maps.DeleteFunc(group.peerSamples, func(_ string, peer peerSample) bool { return c.now-peer.at > 10*sampleLifetime })
-		if c.now-group.lastUsedAt > maxSampleAge && len(group.grants) == 0 {
+		if c.now-group.lastSeenAt > maxSampleAge && len(group.grants) == 0 {
 			delete(c.groups, key)
 			continue
 		}
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -30,7 +30,7 @@
 	inFlight      []SendPacket    // packets in flight
 	replayable    []SendPacket    // delivered packets that may be delivered again
 	couriers      int             // fleet size that each courier uses
-	maxLoad       map[int]float64 // by courier: the highest load that its samples ever supported
+	maxLoad       map[int]float64 // by courier: the highest load that could ever follow from its samples
 	afterHandle   func(f *fleet, i int)
 }
 
@@ -149,7 +149,7 @@
 				sum += peer.sample.Usage * Units(len(f.names)-1)
 			}
 			if f.maxLoad[i] = max(f.maxLoad[i], float64(sum)/float64(fullLimit)); share.Load > f.maxLoad[i]+1e-9 {
-				return fmt.Errorf("%s reports a load of %v, its samples support at most %v", c.config.Self, share.Load, f.maxLoad[i])
+				return fmt.Errorf("%s reports a load of %v, at most %v can follow from its samples", c.config.Self, share.Load, f.maxLoad[i])
 			}
 		}
 	}
@@ -184,17 +184,17 @@
 		func(f *fleet) { f.advance(second / 2) },
 		func(f *fleet) { f.advance(leaseDuration - second/10) },
 		func(f *fleet) { f.advance(second / 10) },
-		func(f *fleet) { f.killed[1] = true },         // b, the grantor, is killed
-		func(f *fleet) { f.restart(1) },               // b restarts without stored state
-		func(f *fleet) { f.killed[0] = true },         // a, the lessee, is killed
-		func(f *fleet) { f.restart(0) },               // a restarts without stored state
-		func(f *fleet) { f.paused[0] = !f.paused[0] }, // a is paused or resumes
-		func(f *fleet) { f.paused[1] = !f.paused[1] }, // b is paused or resumes
-		func(f *fleet) { f.callRates[0], f.callRates[1] = f.callRates[1], f.callRates[0] },
+		func(f *fleet) { f.killed[1] = true },                                              // b, the grantor, is killed
+		func(f *fleet) { f.restart(1) },                                                    // b restarts without stored state
+		func(f *fleet) { f.killed[0] = true },                                              // a, the lessee, is killed
+		func(f *fleet) { f.restart(0) },                                                    // a restarts without stored state
+		func(f *fleet) { f.paused[0] = !f.paused[0] },                                      // a is paused or resumes
+		func(f *fleet) { f.paused[1] = !f.paused[1] },                                      // b is paused or resumes
+		func(f *fleet) { f.callRates[0], f.callRates[1] = f.callRates[1], f.callRates[0] }, // a and b exchange their call rates
 	}
 }
 
-// settledFleet returns a fleet past its GrantHorizon, in which a uses its complete base share and has just requested leases.
+// settledFleet returns a fleet past its GrantHorizon, in which a needs far more than its base share and has just requested leases.
 func settledFleet() *fleet {
 	f := newFleet(3)
 	f.callRates[0] = 90
@@ -241,8 +241,8 @@
 }
 
 // TestLeasesToEarlierIncarnationAreIgnored verifies that a restarted courier does not accept leases that its earlier incarnation requested,
-// even if it sends requests to the same member and has the same seed. Incident: in random walk 6,786 of 10,000, the shares in use summed to
-// 1.17 of the limit.
+// even if it sends requests to the same member and has the same seed. Incident: an accepted lease of an earlier incarnation made the
+// usable shares sum to 1.17 of the limit, in random walk 6,786 of 10,000.
 func TestLeasesToEarlierIncarnationAreIgnored(t *testing.T) {
 	f := newFleet(3)
 	f.callRates[0] = 60
@@ -289,7 +289,7 @@
 // TestRandomWalks plays longer random sequences than TestEveryOrder, with 500 seeds, or 10,000 if PINEPORT_DEEP is set.
 func TestRandomWalks(t *testing.T) {
 	all, seeds := steps(), int64(500)
-	calm := []func(*fleet){all[0], all[1], all[2], all[2], all[2], all[2], all[7], all[11]} // few faults: leases accumulate before a grantor restarts
+	fewFaults := []func(*fleet){all[0], all[1], all[2], all[2], all[2], all[2], all[7], all[11]} // few faults: leases accumulate before a grantor restarts
 	if os.Getenv("PINEPORT_DEEP") != "" {
 		seeds = 10000
 	}
@@ -297,8 +297,8 @@
 		if err := walk(seed, all, nil); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		if err := walk(seed, calm, nil); err != nil {
-			t.Fatalf("seed %d, calm: %v", seed, err)
+		if err := walk(seed, fewFaults, nil); err != nil {
+			t.Fatalf("seed %d, few faults: %v", seed, err)
 		}
 	}
 }
@@ -327,7 +327,7 @@
 			}
 		},
 		"a restart that ignores earlier grants": func(f *fleet, i int) { f.startedAt[i] = min(f.startedAt[i], f.trueTime-2*GrantHorizon) },
-		"a sample that is merged twice": func(f *fleet, i int) {
+		"a sample whose calls are counted twice": func(f *fleet, i int) {
 			if group := groupOf(f, i); group != nil {
 				for name, peer := range group.peerSamples {
 					peer.sample.Calls *= 2
@@ -353,8 +353,8 @@
 	}
 }
 
-// TestLeasesReachCouriersInNeed verifies that a busy courier leases from idle couriers and can use more than its base share.
-func TestLeasesReachCouriersInNeed(t *testing.T) {
+// TestBusyCourierLeasesFromIdleOnes verifies that a busy courier leases from idle couriers and can use more than its base share.
+func TestBusyCourierLeasesFromIdleOnes(t *testing.T) {
 	f := newFleet(3)
 	f.callRates = []float64{50, 8, 2}
 	maxLeased := 0.0
@@ -383,9 +383,9 @@
 	}
 }
 
-// TestFleetChanges verifies that the shares stay within the limit while the fleet doubles during valid leases, and while it shrinks to a
-// third. The couriers learn of a new fleet size one after the other. The test guards against two failures: the base share becomes smaller
-// than the grants from it, and a courier that learns of the smaller fleet first uses shares that others still use.
+// TestFleetChanges verifies that the shares stay within the limit while the fleet doubles and leases are still valid, and while it shrinks
+// to a third. The couriers learn of a new fleet size one after the other. The test guards against two failures: the base share becomes
+// smaller than the grants from it, and a courier that learns of the smaller fleet first uses shares that others still use.
 func TestFleetChanges(t *testing.T) {
 	f := newFleet(3)
 	f.callRates = []float64{90, 1, 1}
@@ -436,12 +436,12 @@
 // TestOtherVersions verifies that unknown fields are ignored and that packets with an unknown version are rejected.
 func TestOtherVersions(t *testing.T) {
 	type later struct {
-		Version int       `cbor:"1,keyasint"`
-		From    string    `cbor:"2,keyasint"`
-		Asks    []Request `cbor:"3,keyasint"`
-		More    string    `cbor:"77,keyasint"`
+		Version  int       `cbor:"1,keyasint"`
+		From     string    `cbor:"2,keyasint"`
+		Requests []Request `cbor:"3,keyasint"`
+		More     string    `cbor:"77,keyasint"`
 	}
-	w := later{Version: Version, From: "b", Asks: []Request{{testKey, 5, 9}}, More: "added in a later version"}
+	w := later{Version: Version, From: "b", Requests: []Request{{testKey, 5, 9}}, More: "added in a later version"}
 	text, err := cbor.Marshal(w)
 	if err != nil {
 		t.Fatal(err)
@@ -469,7 +469,7 @@
 			Samples: []Sample{{Key: Key{Dest: int32(i)}, Courier: fmt.Sprintf("x%d", i), Incarnation: math.MaxUint64, Sequence: math.MaxUint64, Usage: maxUsage},
 				{Key: testKey, Courier: fmt.Sprintf("x%d", i), Usage: maxUsage}, {Key: testKey, Courier: "a", Incarnation: 99, Usage: maxUsage}},
 			Leases: []Lease{{testKey, fullLimit, uint64(i)}}, Requests: []Request{{testKey, fullLimit, uint64(i)}}}
-		if i == 0 && len(sentRequests) > 0 { // a lease larger than requested, and a lease from a member that did not get the request
+		if i == 0 && len(sentRequests) > 0 { // leases for a real request from a member that did not get it, one of them larger than requested
 			a := sentRequests[0].Packet.Requests[0]
 			packet.Leases = append(packet.Leases, Lease{testKey, a.Units, a.LeaseID}, Lease{testKey, fullLimit, a.LeaseID})
 		}
@@ -487,7 +487,7 @@
 		b.Handle(f.clock(1), PacketReceived{Packet{Version: Version, From: "c", Requests: []Request{{testKey, fullLimit, uint64(i)}}}})
 	}
 	if granted := b.grantedUnits(b.groups[testKey]); granted == 0 || granted > b.baseUnits()/2 {
-		t.Errorf("of a base share of %d, %d is granted", b.baseUnits(), granted)
+		t.Errorf("of a base share of %d, %d is granted, want more than 0 and at most half", b.baseUnits(), granted)
 	}
 	for _, bad := range []Packet{{From: "b"}, {Version: Version}, {Version: Version, From: "b", Requests: []Request{{testKey, -5, 1}}},
 		{Version: Version, From: "b", Leases: []Lease{{testKey, fullLimit + 1, 1}}}, {Version: Version, From: "b", Samples: []Sample{{Key: testKey, Courier: "b", Usage: -1}}},
@@ -523,7 +523,7 @@
 		}
 	}
 	if packets == 0 || maxSamples < 8 {
-		t.Errorf("%d packets, at most %d samples in one", packets, maxSamples)
+		t.Errorf("%d packets, at most %d samples in one, want packets with at least 8", packets, maxSamples)
 	}
 }
 
@@ -532,7 +532,7 @@
 		f := settledFleet()
 		f.afterHandle = func(f *fleet, i int) { out = append(out, f.allocators[i].actions...) }
 		for i := range 40 {
-			steps()[i%13](f)
+			steps()[i%13](f) // up to killing a, without restarts of a, pauses or changed call rates
 		}
 		return out
 	}
--- a/quota/show.go
+++ b/quota/show.go
@@ -11,10 +11,12 @@
 	Granted   uint64 `json:"Lent"`      // leases granted
 	Leased    uint64 `json:"Taken"`     // leases accepted
 	Late      uint64 `json:"Late"`      // leases rejected because they were late, not requested, or larger than requested
-	Dropped   uint64 `json:"Forgotten"` // groups and samples dropped because of maxKeys or maxPeerSamples
+	Dropped   uint64 `json:"Forgotten"` // attempts to add a group beyond maxKeys or a sample beyond maxPeerSamples
 }
 
-// Status is the current state of one group. The tags are the names in the output of commands.
+// Status is the current state of one group. Usage is of this courier; Load is the estimate for all couriers. Calls, Delivered and Throttled
+// are sums over this courier and the couriers with a current sample, whose number is CouriersHeard. The tags are the names in the output of
+// commands.
 type Status struct {
 	Key
 	Limit         float64       `json:"limit_per_s"`
