--- a/config/dispatch.go
+++ b/config/dispatch.go
@@ -60,39 +60,39 @@
 	for _, path := range slices.Sorted(maps.Keys(values)) {
 		text := values[path]
 		key, ok := Lookup("settings." + path)
-		if ok && !key.Unread && text != "" && text != "-" && !key.fits(text) {
-			return Fault{Key: path, Expected: fmt.Sprintf("%s was expected, not %q", key.Expects(), text)}
+		if ok && !key.Ignored && text != "" && text != "-" && !key.fits(text) {
+			return Fault{Key: path, Problem: fmt.Sprintf("%s was expected, not %q", key.Expects(), text)}
 		}
 		if cut := strings.TrimSuffix(path, "slo-s") + "deadline-s"; strings.HasSuffix(path, ".slo-s") && later(text, values[cut]) {
-			return Fault{Key: path, Expected: fmt.Sprintf("not after deadline-s of %s s, but %s s", values[cut], text)}
+			return Fault{Key: path, Problem: fmt.Sprintf("not after deadline-s of %s s, but %s s", values[cut], text)}
 		}
 	}
 	return nil
 }
 
-// Dispatch decodes the configuration of a dispatcher from the settings, by paths such as classes.0.points; seed is that of its draws.
-func Dispatch(seed int64, values map[string]string) (dispatch.Config, error) {
+// DispatchConfig decodes the configuration of a dispatcher from the settings, by paths such as classes.0.points; seed is that of its draws.
+func DispatchConfig(seed int64, values map[string]string) (dispatch.Config, error) {
 	p := &pairs{values: values, prefix: "settings."}
 	config := dispatch.Config{
-		Seed:              seed,
-		Couriers:          p.count("fleet-size"),
-		CourierNumber:     p.count("ordinal"),
-		OverQuotaFactor:   p.number("over-share-worth"),
-		Slots:             p.count("family-info.slots"),
-		QueueLimit:        p.count("ceilings.open-cap"),
-		MaxAttempts:       p.count("ceilings.try-limit"),
-		MayCancel:         p.flag("ceilings.may-cancel"),
-		MayTellRetryAfter: p.flag("ceilings.retry-after"),
-		MaxRetryAfter:     p.span("ceilings.max-retry-after-s"),
-		IdleTimeout:       p.span("ceilings.conn-idle-s"),
-		Tick:              p.span("tick-s"),
-		MustPoll:          p.values["discovery"] == "subscribe",
-		SlowStartFrom:     p.number("rules.cold-from"),
-		SlowStart:         p.span("rules.ramp-time-s"),
-		OverloadFactor:    p.number("rules.fall-multiple"),
-		KeyCooldown:       p.span("rules.key-rest-s"),
-		Zone:              dispatch.ZoneID(p.count("locality")),
-		CrossZoneCost:     p.number("prices.cross-zone"),
+		Seed:                  seed,
+		Couriers:              p.count("fleet-size"),
+		CourierNumber:         p.count("ordinal"),
+		OverQuotaFactor:       p.number("over-share-worth"),
+		Slots:                 p.count("family-info.slots"),
+		QueueLimit:            p.count("ceilings.open-cap"),
+		MaxAttempts:           p.count("ceilings.try-limit"),
+		MayCancel:             p.flag("ceilings.may-cancel"),
+		MaySendRetryAfter:     p.flag("ceilings.retry-after"),
+		MaxRetryAfter:         p.span("ceilings.max-retry-after-s"),
+		IdleTimeout:           p.span("ceilings.conn-idle-s"),
+		Tick:                  p.span("tick-s"),
+		MustPoll:              p.values["discovery"] == "subscribe",
+		SlowStartInitialShare: p.number("rules.cold-from"),
+		SlowStart:             p.span("rules.ramp-time-s"),
+		OverloadFactor:        p.number("rules.fall-multiple"),
+		KeyCooldown:           p.span("rules.key-rest-s"),
+		Zone:                  dispatch.ZoneID(p.count("locality")),
+		CrossZoneCost:         p.number("prices.cross-zone"),
 	}
 	if p.values["family-info.decay"] == "halves" {
 		config.Decay = dispatch.HalvingDecay
@@ -103,7 +103,7 @@
 	case "nominal":
 		config.RateQuality = dispatch.NominalRates
 	}
-	config.ReportLeftIndex, config.ReportRateIndex = p.reportIndex("x0"), p.reportIndex("x1")
+	config.ReportRemainingIndex, config.ReportRateIndex = p.reportIndex("x0"), p.reportIndex("x1")
 	config.Classes = p.classes()
 	config.EndpointTypes = p.endpointTypes()
 	for i := range p.count("tenants.count") {
--- a/dispatch/endpoints.go
+++ b/dispatch/endpoints.go
@@ -168,7 +168,7 @@
 // observeReport takes in the load report and the Retry-After of an answer. Either may come with any outcome, as an answer
 // for several messages has one beside the outcome of each.
 func (d *Dispatcher) observeReport(event AttemptFinished, group *endpointGroup) {
-	left, rate, report := d.config.ReportLeftIndex, d.config.ReportRateIndex, event.LoadReport
+	left, rate, report := d.config.ReportRemainingIndex, d.config.ReportRateIndex, event.LoadReport
 	if min(left, rate) >= 0 && len(report) > max(left, rate) && report[rate] > 0 {
 		group.rate, group.remaining, group.reported, group.reportedAt = report[rate], report[left], true, d.now
 	}
--- a/dispatch/listing.go
+++ b/dispatch/listing.go
@@ -84,8 +84,8 @@
 
 // updateEndpoints takes over the endpoint list or changes of it, or schedules a poll after a failed one.
 func (d *Dispatcher) updateEndpoints(event EndpointUpdate) {
-	if event.Kind == ListFailed || event.Kind == ListSilent {
-		d.listing.failed(d.now, event.Kind == ListSilent, d.rng)
+	if event.Kind == ListFailed || event.Kind == ListTimedOut {
+		d.listing.failed(d.now, event.Kind == ListTimedOut, d.rng)
 		return
 	}
 	d.listing.read(d.now, event)
--- a/dispatch/retry.go
+++ b/dispatch/retry.go
@@ -37,7 +37,7 @@
 func (d *Dispatcher) giveUp(message *message) {
 	if !message.mayReject() {
 		d.emit(Fail{message.id})
-	} else if at := d.earliestReady(message); d.config.MayTellRetryAfter && at < never {
+	} else if at := d.earliestReady(message); d.config.MaySendRetryAfter && at < never {
 		d.emit(Reject{message.id, min(d.config.MaxRetryAfter, max(0, at-d.now))})
 	} else {
 		d.emit(Reject{message.id, 0})
--- a/dispatch/scenario_test.go
+++ b/dispatch/scenario_test.go
@@ -37,9 +37,9 @@
 				t.Fatal(err)
 			}
 			p := &player{t: t, messages: map[string]*messageBook{}, replies: map[string]reply{}, phase: map[EndpointID]Phase{}, disabled: map[string]bool{}, digest: sha256.New()}
-			p.config = Config{Seed: 7, Couriers: 1, Slots: 50, QueueLimit: 100, MaxAttempts: 8, MayTellRetryAfter: true,
-				MayCancel: true, MaxRetryAfter: 2 * second, Tick: 5 * millisecond, ReportLeftIndex: -1, ReportRateIndex: -1,
-				SlowStartFrom: 0.2, SlowStart: 10 * second, OverloadFactor: 2, IdleTimeout: 5 * second,
+			p.config = Config{Seed: 7, Couriers: 1, Slots: 50, QueueLimit: 100, MaxAttempts: 8, MaySendRetryAfter: true,
+				MayCancel: true, MaxRetryAfter: 2 * second, Tick: 5 * millisecond, ReportRemainingIndex: -1, ReportRateIndex: -1,
+				SlowStartInitialShare: 0.2, SlowStart: 10 * second, OverloadFactor: 2, IdleTimeout: 5 * second,
 				KeyCooldown: second}
 			for _, line := range strings.Split(string(text), "\n") {
 				p.line++
@@ -199,7 +199,7 @@
 		c.Zone, c.CrossZoneCost = ZoneID(p.number(opt("zone", "0"))), p.number(opt("crossing", "0"))
 		c.MustPoll = has("ask")
 		if has("reports") {
-			c.ReportLeftIndex, c.ReportRateIndex = 0, 1
+			c.ReportRemainingIndex, c.ReportRateIndex = 0, 1
 		}
 		if has("nominal") {
 			c.RateQuality = NominalRates
--- a/dispatch/shadow.go
+++ b/dispatch/shadow.go
@@ -18,14 +18,14 @@
 	CanceledOnly                      // canceled, where it was waited for
 	StillAwaited                      // waited for, where it was canceled
 	OtherRetryAfter                   // rejected alike, with another Retry-After
-	Differences                       // their number
+	DifferenceCount                   // their number
 )
 
 // Shadow is a dispatcher with another configuration, whose actions are never carried out. After each instant it is brought
 // in line with what was done: what it alone would have done is undone, and what was done is booked.
 type Shadow struct {
 	dispatcher *Dispatcher
-	counts     [Differences]int
+	counts     [DifferenceCount]int
 	compared   int
 	counted    map[MessageID]map[Difference]bool // each difference counts once for a message
 }
@@ -38,7 +38,7 @@
 }
 
 // Counts returns the differences so far, by kind, and how many decisions were compared.
-func (s *Shadow) Counts() (counts [Differences]int, compared int) { return s.counts, s.compared }
+func (s *Shadow) Counts() (counts [DifferenceCount]int, compared int) { return s.counts, s.compared }
 
 // Reconfigure replaces the shadow's configuration.
 func (s *Shadow) Reconfigure(config Config) { s.dispatcher.reconfigure(config) }
--- a/dispatch/shadow_test.go
+++ b/dispatch/shadow_test.go
@@ -12,7 +12,7 @@
 var others = []func(*Config){
 	func(*Config) {},
 	func(ch *Config) { ch.Slots, ch.MaxAttempts = 1, 2 },
-	func(ch *Config) { ch.QueueLimit, ch.MayTellRetryAfter = 2, !ch.MayTellRetryAfter },
+	func(ch *Config) { ch.QueueLimit, ch.MaySendRetryAfter = 2, !ch.MaySendRetryAfter },
 	func(ch *Config) { ch.Couriers, ch.OverloadFactor, ch.Seed = 400, 1.1, ch.Seed+1 },
 	func(ch *Config) {
 		ch.Classes = append([]Class(nil), ch.Classes...)
@@ -42,7 +42,7 @@
 		}
 		shadow.Observe(p.now, events, did)
 		counts, _ := shadow.Counts()
-		if i == 0 && counts != [Differences]int{} {
+		if i == 0 && counts != [DifferenceCount]int{} {
 			p.fatal("under the same configuration it differs: %v", counts)
 		}
 		ws.inStep(p, i, shadow.dispatcher)
@@ -68,8 +68,8 @@
 
 // TestShadowCountsDifferencesByKind: each kind of difference is brought about, and counted once for its message.
 func TestShadowCountsDifferencesByKind(t *testing.T) {
-	base := Config{Seed: 7, Couriers: 1, Slots: 50, QueueLimit: 100, MaxAttempts: 8, MayTellRetryAfter: true, MayCancel: true,
-		MaxRetryAfter: 2 * second, Tick: 5 * millisecond, ReportLeftIndex: -1, ReportRateIndex: -1, SlowStartFrom: 0.2, SlowStart: 10 * second,
+	base := Config{Seed: 7, Couriers: 1, Slots: 50, QueueLimit: 100, MaxAttempts: 8, MaySendRetryAfter: true, MayCancel: true,
+		MaxRetryAfter: 2 * second, Tick: 5 * millisecond, ReportRemainingIndex: -1, ReportRateIndex: -1, SlowStartInitialShare: 0.2, SlowStart: 10 * second,
 		OverloadFactor: 2, IdleTimeout: 5 * second, Classes: []Class{{Objective: second, TimeToLive: 20 * second, Priority: 1}}}
 	list := EndpointUpdate{Kind: CompleteList, Entries: []EndpointEntry{{Endpoint: "a", Destination: 1}, {Endpoint: "b", Destination: 1}}}
 	taken := func(id MessageID) MessageAccepted {
@@ -87,7 +87,7 @@
 			[][]Action{{}, {}}},
 		RejectedOnly: {func(config *Config) { config.QueueLimit = 1 }, []Micros{0}, [][]Event{{taken("r")}}, nil},
 		StillQueued:  {func(config *Config) { config.QueueLimit = 9 }, []Micros{0}, [][]Event{{taken("r")}}, [][]Action{{Reject{"r", 0}}}},
-		OtherRetryAfter: {func(config *Config) { config.QueueLimit, config.MayTellRetryAfter = 1, false }, []Micros{0}, [][]Event{{taken("r")}},
+		OtherRetryAfter: {func(config *Config) { config.QueueLimit, config.MaySendRetryAfter = 1, false }, []Micros{0}, [][]Event{{taken("r")}},
 			[][]Action{{Reject{"r", second}}}},
 		StillAwaited: {func(*Config) {}, []Micros{0, second}, [][]Event{{list, taken("r")}, {TimerFired{}}},
 			[][]Action{nil, {Cancel{"r", 0}}}},
--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -2,7 +2,7 @@
 
 // warmShare is the share of its capacity that a group is expected to have, from 0.05 to 1.
 func (d *Dispatcher) warmShare(group *endpointGroup) float64 {
-	warm := max(d.config.SlowStartFrom, 0.05)
+	warm := max(d.config.SlowStartInitialShare, 0.05)
 	if group.warmingUp {
 		warm += (1 - warm) * float64(d.now-group.warmingSince) / float64(max(1, d.config.SlowStart))
 		group.warmingUp = warm < 1
@@ -37,7 +37,7 @@
 	if endpoint.warmingUntil <= d.now {
 		return 0
 	}
-	from := max(d.config.SlowStartFrom, 0.05)
+	from := max(d.config.SlowStartInitialShare, 0.05)
 	warm := 1 - (1-from)*float64(endpoint.warmingUntil-d.now)/float64(max(1, d.config.SlowStart))
 	share := float64(d.fairInterval(endpoint.group)) * float64(len(endpoint.destination.endpoints))
 	return Micros(share / warm)
--- a/dispatch/snapshot.go
+++ b/dispatch/snapshot.go
@@ -22,7 +22,7 @@
 	LostCalls   []SumSnapshot      `json:"Broke"` // by the idle time of their connection
 	Groups      []GroupSnapshot    `json:"Routes"`
 	Endpoints   []EndpointSnapshot `json:"Endpoints"`
-	RestingKeys []KeySnapshot      `json:"Resting"` // for a successor only: held for a moment, and there may be many
+	HeldKeys    []KeySnapshot      `json:"Resting"` // for a successor only: held for a moment, and there may be many
 }
 
 // KeySnapshot is an ordering key that is held, as an attempt of one of its messages may still run.
@@ -83,10 +83,10 @@
 	snapshot := Snapshot{TakenAt: d.now, AnswerTimes: d.durations.snapshot(d.now, durationSpan)}
 	for key, order := range d.keys {
 		if order.holdUntil > d.now {
-			snapshot.RestingKeys = append(snapshot.RestingKeys, KeySnapshot{key, order.holdUntil})
+			snapshot.HeldKeys = append(snapshot.HeldKeys, KeySnapshot{key, order.holdUntil})
 		}
 	}
-	slices.SortFunc(snapshot.RestingKeys, func(a, b KeySnapshot) int { return cmp.Compare(a.Key, b.Key) })
+	slices.SortFunc(snapshot.HeldKeys, func(a, b KeySnapshot) int { return cmp.Compare(a.Key, b.Key) })
 	for i := range d.lostCalls {
 		snapshot.LostCalls = append(snapshot.LostCalls, d.lostCalls[i].snapshot(d.now, rateSpan))
 	}
@@ -162,7 +162,7 @@
 func (d *Dispatcher) restoreSnapshot(snapshot Snapshot) {
 	d.durations = snapshot.AnswerTimes.restore(snapshot.TakenAt)
 	restoreSums(d.lostCalls[:], snapshot.LostCalls, snapshot.TakenAt)
-	d.restoreKeys(snapshot.RestingKeys)
+	d.restoreKeys(snapshot.HeldKeys)
 	for _, saved := range snapshot.Groups {
 		if group := d.findGroup(saved.Destination, saved.Endpoint); group != nil {
 			d.restoreGroup(group, saved, snapshot.TakenAt)
--- a/dispatch/snapshot_test.go
+++ b/dispatch/snapshot_test.go
@@ -37,8 +37,8 @@
 }
 
 func testConfig() Config {
-	return Config{Seed: 3, Couriers: 3, Slots: 50, QueueLimit: 500, MaxAttempts: 8, Tick: 5 * millisecond, ReportLeftIndex: -1, ReportRateIndex: -1,
-		SlowStartFrom: 0.2, SlowStart: 10 * second, OverloadFactor: 2, IdleTimeout: 5 * second, MayTellRetryAfter: true, EndpointTypes: []EndpointType{{MaxPerCall: 1}},
+	return Config{Seed: 3, Couriers: 3, Slots: 50, QueueLimit: 500, MaxAttempts: 8, Tick: 5 * millisecond, ReportRemainingIndex: -1, ReportRateIndex: -1,
+		SlowStartInitialShare: 0.2, SlowStart: 10 * second, OverloadFactor: 2, IdleTimeout: 5 * second, MaySendRetryAfter: true, EndpointTypes: []EndpointType{{MaxPerCall: 1}},
 		Classes: []Class{{Objective: second, TimeToLive: 20 * second, Priority: 1, LateFactor: 0.5}}}
 }
 
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -79,34 +79,34 @@
 
 // Config is the configuration of a dispatcher.
 type Config struct {
-	Seed              int64 // of all random draws
-	Couriers          int   // size of the fleet
-	CourierNumber     int   // of this one in the fleet
-	Classes           []Class
-	EndpointTypes     []EndpointType
-	Tenants           []Tenant
-	OverQuotaFactor   float64 // of the priority weight, for messages over their tenant's quota
-	Decay             ValueDecay
-	Slots             int // calls in flight at once
-	QueueLimit        int // messages held; 0 for no limit
-	MaxAttempts       int // of a message
-	MayCancel         bool
-	MayTellRetryAfter bool
-	MaxRetryAfter     Micros
-	IdleTimeout       Micros // after which a server closes an idle connection
-	Tick              Micros // shortest time between two timers
-	MustPoll          bool   // the endpoint list has to be polled; else it is pushed
-	RateQuality       RateQuality
-	ReportLeftIndex   int       // of the remaining share of the limit in a load report; -1 if there is none
-	ReportRateIndex   int       // of the limit in a load report, in calls a second; -1 if there is none
-	GroupCost         []float64 // by zone, of each message to a separate endpoint
-	Zone              ZoneID    // of this courier
-	CrossZoneCost     float64   // of a call to another zone
-	SlowStartFrom     float64   // share of its capacity with which a server starts
-	SlowStart         Micros    // how long a server takes to warm up
-	OverloadFactor    float64   // a warming server fails under so many times its capacity
-	KeyCooldown       Micros    // how long an ordering key is held after an attempt that may still run
-	GrantedUntil      Micros    // an earlier start may have granted maxGranted of each limit until then
+	Seed                  int64 // of all random draws
+	Couriers              int   // size of the fleet
+	CourierNumber         int   // of this one in the fleet
+	Classes               []Class
+	EndpointTypes         []EndpointType
+	Tenants               []Tenant
+	OverQuotaFactor       float64 // of the priority weight, for messages over their tenant's quota
+	Decay                 ValueDecay
+	Slots                 int // calls in flight at once
+	QueueLimit            int // messages held; 0 for no limit
+	MaxAttempts           int // of a message
+	MayCancel             bool
+	MaySendRetryAfter     bool
+	MaxRetryAfter         Micros
+	IdleTimeout           Micros // after which a server closes an idle connection
+	Tick                  Micros // shortest time between two timers
+	MustPoll              bool   // the endpoint list has to be polled; else it is pushed
+	RateQuality           RateQuality
+	ReportRemainingIndex  int       // of the remaining share of the limit in a load report; -1 if there is none
+	ReportRateIndex       int       // of the limit in a load report, in calls a second; -1 if there is none
+	GroupCost             []float64 // by zone, of each message to a separate endpoint
+	Zone                  ZoneID    // of this courier
+	CrossZoneCost         float64   // of a call to another zone
+	SlowStartInitialShare float64   // share of its capacity with which a server starts
+	SlowStart             Micros    // how long a server takes to warm up
+	OverloadFactor        float64   // a warming server fails under so many times its capacity
+	KeyCooldown           Micros    // how long an ordering key is held after an attempt that may still run
+	GrantedUntil          Micros    // an earlier start may have granted maxGranted of each limit until then
 }
 
 // Phase is the state of an endpoint on the list.
@@ -189,7 +189,7 @@
 		Duration    Micros        `json:"Took"`
 		MessageDone bool          `json:"Over"`     // nothing more is owed for the message
 		RetryAfter  Micros        `json:"Wait"`     // 0 for none
-		LoadReport  []float64     `json:"Pressure"` // see Config.ReportLeftIndex
+		LoadReport  []float64     `json:"Pressure"` // see Config.ReportRemainingIndex
 	}
 	// AttemptUnsent is the outcome of an attempt that never left, as this machine was short of something.
 	AttemptUnsent struct{ AttemptFinished }
@@ -219,16 +219,16 @@
 // Snapshotter is a dispatcher whose learned state can be taken.
 type Snapshotter interface{ Snapshot() Snapshot }
 
-// ListGuard is a dispatcher that tells whether a call may leave under the endpoint list that is held.
-type ListGuard interface{ MayCall(now Micros) bool }
+// CallPermitter is a dispatcher that tells whether a call may leave under the endpoint list that is held.
+type CallPermitter interface{ MayCall(now Micros) bool }
 
-// Demander is a dispatcher that tells what its courier does at each group.
-type Demander interface{ Demands() []Demand }
+// DemandReporter is a dispatcher that tells what its courier does at each group.
+type DemandReporter interface{ Demands() []Demand }
 
 var (
-	_ Snapshotter = (*Dispatcher)(nil)
-	_ ListGuard   = (*Dispatcher)(nil)
-	_ Demander    = (*Dispatcher)(nil)
+	_ Snapshotter    = (*Dispatcher)(nil)
+	_ CallPermitter  = (*Dispatcher)(nil)
+	_ DemandReporter = (*Dispatcher)(nil)
 )
 
 // UpdateKind says what an EndpointUpdate brings.
@@ -240,7 +240,7 @@
 	CompleteList                   // the whole list
 	PartialList                    // entries that changed
 	ListFailed                     // nothing: the poll failed
-	ListSilent                     // nothing: the poll was not answered in time
+	ListTimedOut                   // nothing: the poll was not answered in time
 )
 
 // String returns the kind as it stands in logs.
--- a/handoff/message.go
+++ b/handoff/message.go
@@ -44,7 +44,7 @@
 type State struct {
 	Snapshot    dispatch.Snapshot          `json:"lore"`
 	ListVersion int64                      `json:"seq"` // of the endpoint list
-	Endpoints   []protocol.Host            `json:"hosts"`
+	Endpoints   []protocol.Endpoint        `json:"hosts"`
 	InFlight    []AttemptID                `json:"out"`   // attempts whose outcome is still to come
 	RetryAfter  map[string]dispatch.Micros `json:"waits"` // by endpoint group, until when
 	Disabled    []string                   `json:"gone"`  // endpoints that operators disabled
--- a/membership/incarnation/incarnation.go
+++ b/membership/incarnation/incarnation.go
@@ -44,7 +44,7 @@
 
 func read(dir, courier string) (uint64, error) {
 	content, err := atomicfile.Read(dir, Name, maxFileBytes)
-	if errors.Is(err, atomicfile.ErrAbsent) {
+	if errors.Is(err, atomicfile.ErrNotExist) {
 		return 0, nil
 	}
 	if err != nil {
--- a/protocol/http.go
+++ b/protocol/http.go
@@ -9,40 +9,40 @@
 	"strings"
 )
 
-// Progress is how far an attempt had come when it failed.
-type Progress int
+// Stage is how far an attempt had come when it failed.
+type Stage int
 
 // How far an attempt may have come.
 const (
-	BeforeLastByte Progress = iota // the other side cannot have begun it
-	AfterLastByte                  // it may have
-	InAnswer                       // it has, and what it answered can't be read
+	RequestIncomplete Stage = iota // the other side cannot have begun it
+	RequestSent                    // it may have
+	ResponseMalformed              // it has, and what it answered can't be read
 )
 
 // Failure is an attempt without a whole answer.
 type Failure struct {
-	Progress Progress
-	Err      error
+	Stage Stage
+	Err   error
 }
 
 func (f *Failure) Error() string {
-	return map[Progress]string{BeforeLastByte: "before the last byte was out: ", AfterLastByte: "after the last byte was out: ",
-		InAnswer: "in the answer: "}[f.Progress] + f.Err.Error()
+	return map[Stage]string{RequestIncomplete: "before the last byte was out: ", RequestSent: "after the last byte was out: ",
+		ResponseMalformed: "in the answer: "}[f.Stage] + f.Err.Error()
 }
 
 func (f *Failure) Unwrap() error { return f.Err }
 
-// ErrAnswer is an answer that cannot be read.
-var ErrAnswer = errors.New("bad answer")
+// ErrMalformedResponse is an answer that cannot be read.
+var ErrMalformedResponse = errors.New("bad answer")
 
-// Answer holds what is needed of an HTTP answer.
-type Answer struct {
-	Status int
-	WaitMs int64  // reported with it, 0 if none
-	NoSlot bool   // all slots of this courier were taken
-	Report string // of the load, as it came
-	Close  bool   // the connection ends with it
-	Body   []byte
+// Response holds what is needed of an HTTP answer.
+type Response struct {
+	Status     int
+	BackoffMs  int64  // reported with it, 0 if none
+	EgressFull bool   // all slots of this courier were taken
+	LoadReport string // of the load, as it came
+	Close      bool   // the connection ends with it
+	Body       []byte
 }
 
 const maxHead = 8 << 10
@@ -63,7 +63,7 @@
 type Answers struct {
 	state   answerState
 	buf     []byte
-	now     Answer
+	now     Response
 	head    int // bytes of the head so far
 	left    int // of the body or chunk
 	length  int // -1 where none was notified
@@ -88,7 +88,7 @@
 
 // Feed takes what came in and returns the answer that is complete, if one is. One request at a time goes over a
 // connection: what comes after its answer belongs to nothing, and would else pass for the answer to the next.
-func (a *Answers) Feed(b []byte) (answer Answer, done bool, err error) {
+func (a *Answers) Feed(b []byte) (answer Response, done bool, err error) {
 	a.buf = append(a.buf, b...)
 	used := 0
 	for n := -1; a.err == nil && n != 0 && !done; used += n {
@@ -101,22 +101,22 @@
 		if answer = a.now; len(a.buf) > 0 {
 			a.fail("%d bytes more than it", len(a.buf))
 		}
-		a.now, a.state, a.head = Answer{}, inStatus, 0
+		a.now, a.state, a.head = Response{}, inStatus, 0
 	}
 	return answer, done, a.err
 }
 
 // End tells that the stream has ended; an answer without a reported length ends with it.
-func (a *Answers) End() (Answer, bool) {
+func (a *Answers) End() (Response, bool) {
 	if a.err == nil && a.state == untilEnd {
 		a.now.Close = true
 		return a.now, true
 	}
-	return Answer{}, false
+	return Response{}, false
 }
 
 func (a *Answers) fail(format string, args ...any) (int, bool) {
-	a.err = fmt.Errorf("%w: "+format, append([]any{ErrAnswer}, args...)...)
+	a.err = fmt.Errorf("%w: "+format, append([]any{ErrMalformedResponse}, args...)...)
 	return 0, false
 }
 
@@ -216,7 +216,7 @@
 		a.fail("bad status line %.40q", line)
 		return false
 	}
-	a.now, a.state, a.length, a.chunked = Answer{Status: n, Close: version == "HTTP/1.0"}, inHeaders, -1, false
+	a.now, a.state, a.length, a.chunked = Response{Status: n, Close: version == "HTTP/1.0"}, inHeaders, -1, false
 	return false
 }
 
@@ -247,12 +247,12 @@
 		}
 	case "x-backoff-ms":
 		if ms, err := strconv.ParseFloat(value, 64); err == nil && ms > 0 && ms < 1e9 {
-			a.now.WaitMs = int64(ms + 0.999) // a part of a millisecond is waited out too
+			a.now.BackoffMs = int64(ms + 0.999) // a part of a millisecond is waited out too
 		}
 	case "x-egress-full":
-		a.now.NoSlot = value == "1"
+		a.now.EgressFull = value == "1"
 	case "x-load-report":
-		a.now.Report = value
+		a.now.LoadReport = value
 	}
 }
 
@@ -277,8 +277,8 @@
 	return false
 }
 
-// Pressure picks the named values from a report such as x0=0.4,x1=25; nil where one is missing.
-func Pressure(report string, names []string) []float64 {
+// LoadValues picks the named values from a report such as x0=0.4,x1=25; nil where one is missing.
+func LoadValues(report string, names []string) []float64 {
 	if report == "" || len(names) == 0 {
 		return nil
 	}
--- a/protocol/protocol_test.go
+++ b/protocol/protocol_test.go
@@ -94,7 +94,7 @@
 		return ReadEnqueue([][]byte{[]byte("ENQUEUE"), []byte("0"), []byte(id), []byte(fields), []byte("b\r\n")})
 	}
 	got, err := read("i-1", "c=notice,d=8000,zz=1,dest=7,again=1,k=m,t=p")
-	want := Enqueue{ID: "i-1", Class: "notice", Dest: 7, LeftMs: 8000, Tenant: "p", Mark: "m", Again: true, Body: []byte("b\r\n")}
+	want := Enqueue{ID: "i-1", Class: "notice", Destination: 7, TTLMs: 8000, Tenant: "p", IdempotencyKey: "m", Resubmitted: true, Body: []byte("b\r\n")}
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v %v", got, err)
 	}
@@ -113,7 +113,7 @@
 func readAnswers(t *testing.T, end bool) func(parts ...[]byte) any {
 	return func(parts ...[]byte) any {
 		a := NewAnswers(64)
-		var all []Answer
+		var all []Response
 		for _, part := range parts {
 			got, done, err := a.Feed(part)
 			if err != nil {
@@ -133,17 +133,17 @@
 }
 
 func TestAnswersInEverySplit(t *testing.T) {
-	for text, want := range map[string]Answer{
-		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Load-Report: x0=0.4,x1=25\r\n\r\nok": {Status: 200, Report: "x0=0.4,x1=25", Body: []byte("ok")},
+	for text, want := range map[string]Response{
+		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Load-Report: x0=0.4,x1=25\r\n\r\nok": {Status: 200, LoadReport: "x0=0.4,x1=25", Body: []byte("ok")},
 		"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: x\r\n\r\n\r\nHTTP/1.1 429 Too Many\r\nx-backoff-ms: 250.5\r\n" +
-			"content-length: 0\r\n\r\n": {Status: 429, WaitMs: 251},
+			"content-length: 0\r\n\r\n": {Status: 429, BackoffMs: 251},
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\na\r\n\r\n1\r\nb\r\n0\r\nTrailer: 1\r\n\r\n": {Status: 200, Body: []byte("a\r\nb")},
 		"HTTP/1.1 204 No Content\r\n\r\n": {Status: 204},
-		"HTTP/1.1 503 Full\r\nX-Egress-Full: 1\r\nConnection: close\r\nContent-Length: 1\r\n\r\nx": {Status: 503, NoSlot: true, Close: true, Body: []byte("x")},
+		"HTTP/1.1 503 Full\r\nX-Egress-Full: 1\r\nConnection: close\r\nContent-Length: 1\r\n\r\nx": {Status: 503, EgressFull: true, Close: true, Body: []byte("x")},
 	} {
-		everySplit(t, text, []Answer{want}, readAnswers(t, false))
+		everySplit(t, text, []Response{want}, readAnswers(t, false))
 	}
-	everySplit(t, "HTTP/1.0 500 No\n\nbody", []Answer{{Status: 500, Close: true, Body: []byte("body")}}, readAnswers(t, true))
+	everySplit(t, "HTTP/1.0 500 No\n\nbody", []Response{{Status: 500, Close: true, Body: []byte("body")}}, readAnswers(t, true))
 }
 
 func TestAnswersThatCannotBeRead(t *testing.T) {
@@ -156,7 +156,7 @@
 		strings.Repeat("x", maxHead+1), ok + strings.Repeat("A: b\r\n", maxHead/6), ok + "\r\n" + strings.Repeat("x", 65), "HTTP/1.1 100 Go\r\n\r\nnoise", "\r\nHTTP/2", "\x00", "noise without an end of line",
 		"HTTP/1.1 429 Full\r\nContent-Length: 3000000000\r\n\r\n"} {
 		a := NewAnswers(64)
-		if got, done, err := a.Feed([]byte(text)); !errors.Is(err, ErrAnswer) || done {
+		if got, done, err := a.Feed([]byte(text)); !errors.Is(err, ErrMalformedResponse) || done {
 			t.Errorf("%.60q: %+v %v", text, got, err)
 		}
 		if _, ended := a.End(); ended {
@@ -172,7 +172,7 @@
 	for _, more := range []string{ok, "noise", "\r\n", "\x00"} {
 		a := NewAnswers(64)
 		got, done, err := a.Feed([]byte(ok + more))
-		if got.Status != 200 || !done || !errors.Is(err, ErrAnswer) {
+		if got.Status != 200 || !done || !errors.Is(err, ErrMalformedResponse) {
 			t.Errorf("%q: %+v %v %v", more, got, done, err)
 		}
 		if got, done, err := a.Feed([]byte(ok)); done || err == nil {
@@ -190,20 +190,20 @@
 }
 
 func TestCallsAreWrittenAsTheyCame(t *testing.T) {
-	one := string(Call("h:1", 1500, []Item{{ID: "a", Mark: "m", Body: []byte("x\r\n\x00")}}))
+	one := string(EncodeDelivery("h:1", 1500, []Message{{ID: "a", IdempotencyKey: "m", Body: []byte("x\r\n\x00")}}))
 	if want := "POST /hook HTTP/1.1\r\nHost: h:1\r\nX-Call-Id: a\r\nX-Budget-Ms: 1500\r\nIdempotency-Key: m\r\n" +
 		"Content-Length: 4\r\n\r\nx\r\n\x00"; one != want {
 		t.Errorf("%q", one)
 	}
-	two := Call("h:1", 9, []Item{{ID: "a", Body: []byte("\r\n")}, {ID: "b", Mark: "m", Body: nil}})
+	two := EncodeDelivery("h:1", 9, []Message{{ID: "a", Body: []byte("\r\n")}, {ID: "b", IdempotencyKey: "m", Body: nil}})
 	if head, body, _ := bytes.Cut(two, []byte("\r\n\r\n")); string(body) != "a - 2\r\n\r\n\r\nb m 0\r\n\r\n" ||
 		!bytes.Contains(head, []byte(fmt.Sprintf("Content-Length: %d", len(body)))) {
 		t.Errorf("%q", two)
 	}
-	if ends := ReadEnds([]byte("a accepted\r\nb deferred\r\nrubbish\r\n")); !reflect.DeepEqual(ends, map[string]string{"a": Accepted, "b": Deferred}) {
+	if ends := ReadOutcomes([]byte("a accepted\r\nb deferred\r\nrubbish\r\n")); !reflect.DeepEqual(ends, map[string]string{"a": Accepted, "b": Deferred}) {
 		t.Errorf("%v", ends)
 	}
-	notices := string(Notices("h:1", []Notice{{ID: "a\""}, {ID: "b", Rejected: true, AgainMs: 5}, {ID: "c", Rejected: true}}))
+	notices := string(EncodeNotices("h:1", []Notice{{ID: "a\""}, {ID: "b", Rejected: true, RetryAfterMs: 5}, {ID: "c", Rejected: true}}))
 	if want := "{\"id\":\"a\\\"\",\"status\":\"undeliverable\"}\n{\"id\":\"b\",\"status\":\"deferred\",\"again_ms\":5}\n" +
 		"{\"id\":\"c\",\"status\":\"deferred\"}\n"; !strings.HasSuffix(notices, "\r\n\r\n"+want) {
 		t.Errorf("%q", notices)
@@ -218,7 +218,7 @@
 		host("b", "nowhere", "in_service", "3"), host("c", "127.0.0.1:80", "dancing", "3"), host("", "127.0.0.1:80", "in_service", "3"),
 		host("d", "127.0.0.1:80", "in_service", `"x"`), host("e", "127.0.0.1:99999", "in_service", "3"), host("f", "", "terminated", "3"),
 		host("g", "127.0.0.1:80", "in_service", "-1"), `7`}, ",") + `]}`))
-	if err != nil || l.Seq != 4 || !l.Whole || len(l.Hosts) != 2 || len(l.Faults) != 7 || l.Hosts[0].Rate != 1.5 {
+	if err != nil || l.Version != 4 || !l.Complete || len(l.Hosts) != 2 || len(l.Invalid) != 7 || l.Hosts[0].Rate != 1.5 {
 		t.Errorf("%+v %v", l, err)
 	}
 	for _, bad := range []string{"", "[]", `{"hosts":[]}`, `{"seq":"x"}`, `{"seq":1,"hosts":3}`} {
@@ -238,12 +238,12 @@
 	}
 	for i := range text {
 		want := whole.Hosts[:strings.Count(text[:i], "1.5}")]
-		if got := ReadPart([]byte(text[:i])); len(got.Hosts) != len(want) || len(want) > 0 && (!reflect.DeepEqual(got.Hosts, want) || got.Seq != 4) {
+		if got := ReadTruncatedList([]byte(text[:i])); len(got.Hosts) != len(want) || len(want) > 0 && (!reflect.DeepEqual(got.Hosts, want) || got.Version != 4) {
 			t.Fatalf("cut at %d: %+v", i, got)
 		}
 	}
 	for _, bad := range []string{"", "[]", "{\"hosts\":3}", "noise"} {
-		if got := ReadPart([]byte(bad)); len(got.Hosts) > 0 {
+		if got := ReadTruncatedList([]byte(bad)); len(got.Hosts) > 0 {
 			t.Errorf("%q read as %+v", bad, got)
 		}
 	}
@@ -251,11 +251,11 @@
 
 func TestPressure(t *testing.T) {
 	names := []string{"x0", "x1"}
-	if got := Pressure("x1=25, zz=1,x0=0.4", names); !reflect.DeepEqual(got, []float64{0.4, 25}) {
+	if got := LoadValues("x1=25, zz=1,x0=0.4", names); !reflect.DeepEqual(got, []float64{0.4, 25}) {
 		t.Errorf("%v", got)
 	}
 	for _, bad := range []string{"", "x0=1", "x0=a,x1=1", "x0=NaN,x1=1", "x0=1,x0=1", "x0=-1,x1=1"} {
-		if got := Pressure(bad, names); got != nil {
+		if got := LoadValues(bad, names); got != nil {
 			t.Errorf("%q read as %v", bad, got)
 		}
 	}
@@ -266,7 +266,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		whole, split := NewAnswers(64), NewAnswers(64)
 		want, _, _ := whole.Feed(b)
-		var got Answer
+		var got Response
 		for i, done := 0, false; i < len(b) && !done; i++ {
 			got, done, _ = split.Feed(b[i : i+1])
 		}
--- a/protocol/resp.go
+++ b/protocol/resp.go
@@ -18,7 +18,7 @@
 	maxCommand = 4 << 10 // beside the body
 )
 
-// Faults of a command's framing; after one the stream cannot be read on.
+// Invalid of a command's framing; after one the stream cannot be read on.
 var (
 	ErrFraming  = errors.New("ERR protocol error: an array of bulk strings was expected")
 	ErrOversize = errors.New("ERR protocol error: too long")
@@ -149,15 +149,15 @@
 
 // Enqueue is a message as a client hands it in.
 type Enqueue struct {
-	ID     string
-	Class  string
-	Dest   int
-	LeftMs int // how long it may still be delivered
-	Tenant string
-	Key    string // of its order
-	Mark   string // by which a repeat is known
-	Again  bool   // submitted before
-	Body   []byte
+	ID             string
+	Class          string
+	Destination    int
+	TTLMs          int // how long it may still be delivered
+	Tenant         string
+	OrderingKey    string // of its order
+	IdempotencyKey string // by which a repeat is known
+	Resubmitted    bool   // submitted before
+	Body           []byte
 }
 
 // ReadEnqueue reads the arguments of ENQUEUE: key, id, names with values, body.
@@ -165,7 +165,7 @@
 	if len(args) != 5 {
 		return Enqueue{}, errors.New("ERR wrong number of arguments for 'enqueue'")
 	}
-	e := Enqueue{ID: string(args[2]), Dest: -1, LeftMs: -1, Body: args[4]}
+	e := Enqueue{ID: string(args[2]), Destination: -1, TTLMs: -1, Body: args[4]}
 	if !isToken(args[2]) {
 		return e, errors.New("ERR bad id")
 	}
@@ -177,11 +177,11 @@
 			e.Class = string(value)
 		case "d":
 			if ok {
-				e.LeftMs = n
+				e.TTLMs = n
 			}
 		case "dest":
 			if ok {
-				e.Dest = n
+				e.Destination = n
 			}
 		case "t":
 			e.Tenant = string(value)
@@ -189,17 +189,17 @@
 			if !isToken(value) {
 				return e, errors.New("ERR bad k")
 			}
-			e.Mark = string(value)
+			e.IdempotencyKey = string(value)
 		case "about":
-			e.Key = string(value)
+			e.OrderingKey = string(value)
 		case "r", "again":
-			e.Again = e.Again || ok && n == 1
+			e.Resubmitted = e.Resubmitted || ok && n == 1
 		}
 	}
 	switch {
-	case e.LeftMs < 0:
+	case e.TTLMs < 0:
 		return e, errors.New("ERR missing or bad d")
-	case e.Dest < 0:
+	case e.Destination < 0:
 		return e, errors.New("ERR missing or bad dest")
 	}
 	return e, nil
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -229,7 +229,7 @@
 	if os.Getenv("PINEPORT_DEEP") != "" {
 		depth = 5
 	}
-	modelcheck.Orders(depth, len(all), func(order []int) bool {
+	modelcheck.ForEachSequence(depth, len(all), func(order []int) bool {
 		n++
 		if err := run(order, all, nil); err != nil {
 			t.Errorf("%v: %v", order, err)
@@ -283,7 +283,7 @@
 
 // walk plays a sequence of 120 random steps.
 func walk(seed int64, steps []func(*fleet), injectFault func(*fleet, int)) error {
-	return run(modelcheck.Walk(seed, 120, len(steps)), steps, injectFault)
+	return run(modelcheck.RandomSequence(seed, 120, len(steps)), steps, injectFault)
 }
 
 // TestRandomWalks plays longer random sequences than TestEveryOrder, with 500 seeds, or 10,000 if PINEPORT_DEEP is set.
--- a/server/calls.go
+++ b/server/calls.go
@@ -15,7 +15,7 @@
 // call is what goes to an endpoint at once: one attempt, or several where the configuration allows.
 type call struct {
 	endpoint    dispatch.EndpointID
-	entry       protocol.Host
+	entry       protocol.Endpoint
 	attempts    []*attempt
 	exchange    *endpointconn.Exchange
 	waitUntil   dispatch.Micros // until when it is waited for
@@ -86,17 +86,17 @@
 	}
 	call.alignTimeouts()
 	call.exchange = &endpointconn.Exchange{Peer: peerOf(call.entry),
-		OnBegin:     func(begun bool) { s.answerBegun(call, begun) },
-		BeforeWrite: func() error { return s.callLeaves(call) },
-		IsWanted:    func() bool { return s.mayCall(call) },
-		OnWritten:   func() { s.counters.calls += int64(len(call.attempts)) },
-		OnEnd:       func(a protocol.Answer, err error) { s.callAnswered(call, a, err) }}
+		OnResponseStart: func(begun bool) { s.answerBegun(call, begun) },
+		BeforeWrite:     func() error { return s.callLeaves(call) },
+		IsWanted:        func() bool { return s.mayCall(call) },
+		OnWritten:       func() { s.counters.calls += int64(len(call.attempts)) },
+		OnEnd:           func(a protocol.Response, err error) { s.callAnswered(call, a, err) }}
 	s.endpointConns.Start(call.exchange)
 }
 
 // mayCall reports whether a call whose connection has come up may still leave.
 func (s *Server) mayCall(call *call) bool {
-	if guard, ok := s.dispatcher.(dispatch.ListGuard); ok && !guard.MayCall(s.now) {
+	if guard, ok := s.dispatcher.(dispatch.CallPermitter); ok && !guard.MayCall(s.now) {
 		return false
 	}
 	inService := s.endpoints[call.endpoint].Health == protocol.InService && !s.suspects[call.endpoint]
@@ -113,7 +113,7 @@
 		}
 	}
 	call.attempts = slices.DeleteFunc(call.attempts, func(attempt *attempt) bool { return attempt.finished })
-	var items []protocol.Item
+	var items []protocol.Message
 	for _, attempt := range call.attempts {
 		if err := s.noteAttempt(attempt, ""); err != nil {
 			s.logSpoolError(err)
@@ -121,12 +121,12 @@
 				return endpointconn.ErrNotStored // so not sent: a restart would not know of it
 			}
 		}
-		items = append(items, protocol.Item{ID: attempt.message.stored.ID, Mark: attempt.message.stored.IdempotencyKey, Body: attempt.message.stored.Body})
+		items = append(items, protocol.Message{ID: attempt.message.stored.ID, IdempotencyKey: attempt.message.stored.IdempotencyKey, Body: attempt.message.stored.Body})
 	}
 	if len(items) == 0 {
 		return errNothingToSend
 	}
-	call.exchange.Request, call.exchange.NeedsBody = protocol.Call(call.entry.Dial, int64((call.waitUntil-s.now)/1000), items), len(items) > 1
+	call.exchange.Request, call.exchange.NeedsBody = protocol.EncodeDelivery(call.entry.Address, int64((call.waitUntil-s.now)/1000), items), len(items) > 1
 	return nil
 }
 
@@ -153,8 +153,8 @@
 }
 
 // peerOf returns whom a connection to an endpoint of the list leads to.
-func peerOf(entry protocol.Host) endpointconn.Peer {
-	return endpointconn.Peer{Endpoint: entry.Host, Address: entry.Dial, StartedAt: entry.Born}
+func peerOf(entry protocol.Endpoint) endpointconn.Peer {
+	return endpointconn.Peer{Endpoint: entry.Host, Address: entry.Address, StartedAt: entry.StartedAtMs}
 }
 
 // answerTimeout is how long the rest of an answer may take once its first bytes are here: it is written at once, and the longest way in any
@@ -171,14 +171,14 @@
 }
 
 // callAnswered turns the end of a call into the outcomes of its attempts.
-func (s *Server) callAnswered(call *call, a protocol.Answer, err error) {
-	if errors.Is(err, endpointconn.ErrOvertaken) {
+func (s *Server) callAnswered(call *call, a protocol.Response, err error) {
+	if errors.Is(err, endpointconn.ErrNoLongerWanted) {
 		for _, attempt := range call.attempts {
 			s.complete(attempt, dispatch.AttemptFinished{Outcome: dispatch.Unprocessed})
 		}
 		return
 	}
-	if endpointconn.IsLocal(err) {
+	if endpointconn.IsLocalFailure(err) {
 		for _, attempt := range call.attempts {
 			attempt.unsent = true
 			s.complete(attempt, dispatch.AttemptFinished{Outcome: dispatch.Unprocessed})
@@ -187,8 +187,8 @@
 	}
 	var failure *protocol.Failure
 	if errors.As(err, &failure) {
-		outcome := map[protocol.Progress]dispatch.Outcome{protocol.BeforeLastByte: dispatch.Unreachable,
-			protocol.AfterLastByte: dispatch.Broken, protocol.InAnswer: dispatch.Failure}[failure.Progress]
+		outcome := map[protocol.Stage]dispatch.Outcome{protocol.RequestIncomplete: dispatch.Unreachable,
+			protocol.RequestSent: dispatch.Broken, protocol.ResponseMalformed: dispatch.Failure}[failure.Stage]
 		for _, attempt := range call.attempts {
 			s.complete(attempt, dispatch.AttemptFinished{Outcome: outcome})
 		}
@@ -196,46 +196,46 @@
 	}
 	var ends map[string]string
 	if a.Status == 200 && len(call.attempts) > 1 {
-		ends = protocol.ReadEnds(a.Body)
+		ends = protocol.ReadOutcomes(a.Body)
 	}
-	if a.WaitMs > 0 {
-		s.keepRetryAfter(call.entry, s.now+dispatch.Micros(a.WaitMs)*1000)
+	if a.BackoffMs > 0 {
+		s.keepRetryAfter(call.entry, s.now+dispatch.Micros(a.BackoffMs)*1000)
 	}
-	pressure := protocol.Pressure(a.Report, s.deployment.Report)
+	pressure := protocol.LoadValues(a.LoadReport, s.deployment.LoadReportFields)
 	for _, attempt := range call.attempts {
 		event := outcomeOf(a)
 		if ends != nil {
 			event = outcomeInBatch(ends[attempt.message.stored.ID])
 		}
-		event.LoadReport, event.RetryAfter = pressure, dispatch.Micros(a.WaitMs)*1000
+		event.LoadReport, event.RetryAfter = pressure, dispatch.Micros(a.BackoffMs)*1000
 		s.complete(attempt, event)
 	}
 }
 
 // keepRetryAfter keeps a Retry-After of an endpoint.
-func (s *Server) keepRetryAfter(entry protocol.Host, until dispatch.Micros) {
+func (s *Server) keepRetryAfter(entry protocol.Endpoint, until dispatch.Micros) {
 	maps.DeleteFunc(s.retryAfter, func(_ string, until dispatch.Micros) bool { return until <= s.now })
 	s.retryAfter[s.groupKey(entry)] = max(until, s.retryAfter[s.groupKey(entry)])
 	s.handoff.forwardRetryAfter(entry, until)
 }
 
 // groupKey names what a Retry-After holds for: the endpoint where its type's endpoints are separate, else the destination.
-func (s *Server) groupKey(entry protocol.Host) string {
+func (s *Server) groupKey(entry protocol.Endpoint) string {
 	if s.hasSeparateGroups(entry) {
 		return entry.Host
 	}
-	return strconv.Itoa(entry.Dest)
+	return strconv.Itoa(entry.Destination)
 }
 
 // hasSeparateGroups reports whether a Retry-After of an endpoint holds for it alone.
-func (s *Server) hasSeparateGroups(entry protocol.Host) bool {
+func (s *Server) hasSeparateGroups(entry protocol.Endpoint) bool {
 	kind, ok := s.endpointTypeOf(entry)
 	return ok && kind.Separate
 }
 
 // endpointTypeOf returns the type of an endpoint; false where the settings have none of that name.
-func (s *Server) endpointTypeOf(entry protocol.Host) (dispatch.EndpointType, bool) {
-	i := slices.Index(s.deployment.Shapes, entry.Kind)
+func (s *Server) endpointTypeOf(entry protocol.Endpoint) (dispatch.EndpointType, bool) {
+	i := slices.Index(s.deployment.EndpointTypes, entry.EndpointType)
 	if i < 0 || i >= len(s.deployment.Dispatch.EndpointTypes) {
 		return dispatch.EndpointType{}, false
 	}
@@ -243,11 +243,11 @@
 }
 
 // outcomeOf reads the outcome of all attempts of a call from its answer.
-func outcomeOf(a protocol.Answer) dispatch.AttemptFinished {
+func outcomeOf(a protocol.Response) dispatch.AttemptFinished {
 	switch {
 	case a.Status == 200:
 		return dispatch.AttemptFinished{Outcome: dispatch.Delivered, MessageDone: true}
-	case a.Status == 503 && a.NoSlot, a.Status == 504:
+	case a.Status == 503 && a.EgressFull, a.Status == 504:
 		return dispatch.AttemptFinished{Outcome: dispatch.Unprocessed}
 	case a.Status == 429, a.Status == 503:
 		return dispatch.AttemptFinished{Outcome: dispatch.Throttled}
@@ -268,7 +268,7 @@
 		return dispatch.AttemptFinished{Outcome: dispatch.Throttled}
 	case protocol.Expired:
 		return dispatch.AttemptFinished{Outcome: dispatch.Unprocessed, MessageDone: true}
-	case protocol.NoMore:
+	case protocol.NoMoreAttempts:
 		return dispatch.AttemptFinished{Outcome: dispatch.Unprocessed}
 	}
 	return dispatch.AttemptFinished{Outcome: dispatch.Failure}
@@ -331,9 +331,9 @@
 	case attempt.call.predecessor: // the other process has said nothing of it for longer than it should wait
 	case !exchange.IsWritten():
 		event.Outcome = dispatch.Unreachable
-	case exchange.HasSuccessLine():
+	case exchange.HasSuccessStatus():
 		event.Outcome, event.MessageDone = dispatch.Delivered, true // the rest of the answer is slow, but this was its first line
-	case exchange.HasBegun():
+	case exchange.HasResponseStarted():
 		event.Outcome = dispatch.Failure // it answers, but nothing that can be read
 	}
 	s.complete(attempt, event)
@@ -348,7 +348,7 @@
 // latter it extends the timeout a little, once.
 func (s *Server) answerArriving(attempt *attempt) bool {
 	exchange := attempt.call.exchange
-	if s.endpointConns.HasAnswer(exchange) {
+	if s.endpointConns.HasResponse(exchange) {
 		return true
 	}
 	if attempt.rechecked || !s.endpointConns.HasUnread(exchange) {
--- a/server/clientconn/conn.go
+++ b/server/clientconn/conn.go
@@ -80,7 +80,7 @@
 // Data implements transport.Handler.
 func (c *Conn) Data(_ *transport.Conn, b []byte) {
 	if c.unreadable { // reading it all would cost those who can be served
-		if c.discarded += len(b); c.discarded > maxUnreadReplies && !c.RepliesDue() {
+		if c.discarded += len(b); c.discarded > maxUnreadReplies && !c.HasPendingReplies() {
 			c.conn.Close()
 		}
 		return
@@ -133,24 +133,24 @@
 	c.set.notify(Closed{c})
 }
 
-// RepliesDue implements transport.Replier.
-func (c *Conn) RepliesDue() bool { return c.pending.Load() > 0 }
+// HasPendingReplies implements transport.Replier.
+func (c *Conn) HasPendingReplies() bool { return c.pending.Load() > 0 }
 
 // HalfClosed reports whether the client has ended its sending and may still read replies.
 func (c *Conn) HalfClosed() bool { return c.conn.HalfClosed() }
 
 // isIdle reports whether nothing of a command has been read that has no reply yet; a partial command counts.
 func (c *Conn) isIdle() bool {
-	return !c.RepliesDue() && c.partialSince.Load() == 0 && c.conn.Flushed()
+	return !c.HasPendingReplies() && c.partialSince.Load() == 0 && c.conn.Flushed()
 }
 
 // isAnswered reports whether every command that was read has its reply in the socket.
-func (c *Conn) isAnswered() bool { return !c.RepliesDue() && c.conn.Flushed() }
+func (c *Conn) isAnswered() bool { return !c.HasPendingReplies() && c.conn.Flushed() }
 
 // isStuck reports whether a command has not been completed for too long.
 func (c *Conn) isStuck(now dispatch.Micros) bool {
 	since := dispatch.Micros(c.partialSince.Load())
-	return since > 0 && now-since > partialTimeout && !c.RepliesDue()
+	return since > 0 && now-since > partialTimeout && !c.HasPendingReplies()
 }
 
 // Write writes the reply to the next command without one. With last the connection is closed after it. A client that has gone
@@ -159,7 +159,7 @@
 	c.pending.Add(-1)
 	_ = c.conn.Write([]byte(reply))
 	if c.ended {
-		if !c.RepliesDue() {
+		if !c.HasPendingReplies() {
 			c.conn.CloseReplies()
 		}
 		return
@@ -168,6 +168,6 @@
 		c.conn.Close()
 	}
 	if last {
-		c.conn.Expire(closeDelay)
+		c.conn.CloseAfter(closeDelay)
 	}
 }
--- a/server/clientconn/set.go
+++ b/server/clientconn/set.go
@@ -55,8 +55,8 @@
 	s.partialLimit.Store(limits.PartialBytes)
 }
 
-// Admit reports whether a further connection may be accepted. Any goroutine may call it.
-func (s *Set) Admit() bool { return s.count.Load() < s.admitLimit.Load() }
+// CanAccept reports whether a further connection may be accepted. Any goroutine may call it.
+func (s *Set) CanAccept() bool { return s.count.Load() < s.admitLimit.Load() }
 
 // Accept returns the handler of a new connection.
 func (s *Set) Accept() transport.Handler {
@@ -77,13 +77,13 @@
 	}
 }
 
-// Commanded notes that commands have come over a connection.
-func (s *Set) Commanded(conn *Conn, now dispatch.Micros) { conn.lastCommandAt = now }
+// RecordCommands notes that commands have come over a connection.
+func (s *Set) RecordCommands(conn *Conn, now dispatch.Micros) { conn.lastCommandAt = now }
 
 // Remove drops a connection that was Closed. Replies that are due are still written if it is half-closed.
 func (s *Set) Remove(conn *Conn) {
 	delete(s.conns, conn)
-	if conn.ended = true; !conn.RepliesDue() {
+	if conn.ended = true; !conn.HasPendingReplies() {
 		conn.conn.CloseReplies()
 	}
 }
@@ -102,7 +102,7 @@
 	}
 	candidates := make([]*Conn, 0, len(s.conns))
 	for conn := range s.conns {
-		if conn != latest && !conn.RepliesDue() {
+		if conn != latest && !conn.HasPendingReplies() {
 			candidates = append(candidates, conn)
 		}
 	}
@@ -165,7 +165,7 @@
 // AllAnswered reports whether all that was read has its reply; it holds once nothing more is read.
 func (s *Set) AllAnswered() bool {
 	for conn := range s.conns {
-		if !conn.conn.Idle() || conn.RepliesDue() {
+		if !conn.conn.IsHandlerIdle() || conn.HasPendingReplies() {
 			return false
 		}
 	}
--- a/server/clientconn/set_test.go
+++ b/server/clientconn/set_test.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	driver, err := transport.Open("", listener, 256, slog.New(slog.DiscardHandler), s.Admit, s.Accept)
+	driver, err := transport.Open("", listener, 256, slog.New(slog.DiscardHandler), s.CanAccept, s.Accept)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,7 +85,7 @@
 	served, conn := s.connect(t)
 	io.WriteString(served, ping)
 	next[Commands](t, s)
-	s.Commanded(conn, 1)
+	s.RecordCommands(conn, 1)
 	conn.Write("+PONG\r\n", false)
 	io.ReadFull(served, make([]byte, 7))
 	silent, _ := s.connect(t)
@@ -105,7 +105,7 @@
 	waiting, conn := s.connect(t)
 	io.WriteString(waiting, ping)
 	next[Commands](t, s)
-	s.Commanded(conn, 1)
+	s.RecordCommands(conn, 1)
 	for deadline := time.Now().Add(5 * time.Second); stuckConn.partialSince.Load() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("the partial command was never read")
@@ -154,12 +154,12 @@
 func TestAdmissionIsBounded(t *testing.T) {
 	s := openSet(t, Limits{Conns: 8, Admitted: 1, PartialBytes: 1})
 	client, _ := s.connect(t)
-	if s.Admit() {
+	if s.CanAccept() {
 		t.Error("admitted beyond the limit")
 	}
 	client.Close()
 	s.Remove(next[Closed](t, s).Conn)
-	if !s.Admit() || s.Len() != 0 {
+	if !s.CanAccept() || s.Len() != 0 {
 		t.Errorf("not admitted, with %d connections", s.Len())
 	}
 }
--- a/server/clients.go
+++ b/server/clients.go
@@ -30,7 +30,7 @@
 // clientLimits takes the limits of the deployment: four tenths of the descriptors, and half of them while many come at once, so that endpoints
 // and discovery always find some. An eighth of the memory goes to partial commands.
 func (s *Server) clientLimits() clientconn.Limits {
-	sockets := s.deployment.Sockets - AdminSockets(s.deployment)
+	sockets := s.deployment.MaxDescriptors - AdminSockets(s.deployment)
 	return clientconn.Limits{Conns: sockets * 4 / 10, Admitted: sockets / 2, PartialBytes: int64(s.deployment.MemoryMB) << 20 / 8}
 }
 
@@ -47,7 +47,7 @@
 }
 
 func (s *Server) handleCommands(event clientconn.Commands) {
-	s.clients.Commanded(event.Conn, s.now)
+	s.clients.RecordCommands(event.Conn, s.now)
 	for _, arguments := range event.Commands {
 		reply := &reply{client: event.Conn}
 		s.replies = append(s.replies, reply)
@@ -143,7 +143,7 @@
 	if !slices.Contains(s.deployment.Classes, request.Class) || s.deployment.Retired[request.Class] {
 		return errUnknownClass
 	}
-	if !s.knowsDestination(request.Dest) {
+	if !s.knowsDestination(request.Destination) {
 		s.count(request.Class, failed)
 		return errUnknownDestination
 	}
@@ -170,14 +170,14 @@
 
 // acceptMessage stores a message and hands it to the dispatcher.
 func (s *Server) acceptMessage(request protocol.Enqueue, reply *reply) {
-	stored := &spool.Message{ID: request.ID, Class: request.Class, Destination: request.Dest, Tenant: request.Tenant, OrderingKey: request.Key,
-		IdempotencyKey: request.Mark, Resubmitted: request.Again, Deadline: int64(s.now) + int64(request.LeftMs)*1000, Body: request.Body}
+	stored := &spool.Message{ID: request.ID, Class: request.Class, Destination: request.Destination, Tenant: request.Tenant, OrderingKey: request.OrderingKey,
+		IdempotencyKey: request.IdempotencyKey, Resubmitted: request.Resubmitted, Deadline: int64(s.now) + int64(request.TTLMs)*1000, Body: request.Body}
 	if err := s.spool.Append(stored); err != nil {
 		if !errors.Is(err, spool.ErrFull) {
 			s.logSpoolError(err)
 		}
 		reply.text = protocol.ReplyBusy(0)
-		if errors.Is(err, spool.ErrBehind) {
+		if errors.Is(err, spool.ErrWriteFailed) {
 			reply.text = protocol.ReplyBusy(folderRetryMs)
 		}
 		s.count(stored.Class, rejected)
--- a/server/crossings_test.go
+++ b/server/crossings_test.go
@@ -28,7 +28,7 @@
 func steppedServer(t *testing.T, world *scripted.World, held ...*spool.Message) *Server {
 	t.Helper()
 	r := prepare(t, world, held...)
-	driver, err := transport.Open(r.deployment.Listen, nil, 1024, r.log, r.clients.Admit, r.clients.Accept)
+	driver, err := transport.Open(r.deployment.Listen, nil, 1024, r.log, r.clients.CanAccept, r.clients.Accept)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,7 +89,7 @@
 // onDisk is what a process that started now would find of a message.
 func onDisk(t *testing.T, r *Server, id string) *spool.Message {
 	t.Helper()
-	all, _, err := spool.Inspect(r.deployment.Spool)
+	all, _, err := spool.Inspect(r.deployment.StateDir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -284,7 +284,7 @@
 	r := steppedServer(t, world, single("one"))
 	conn := sent(t, r, l)
 	io.WriteString(conn, okAnswer)
-	r.handle(endpointEvent{until(t, r, func(event endpointconn.Answered) bool { return toEndpoint(event.Conn) })})
+	r.handle(endpointEvent{until(t, r, func(event endpointconn.ResponseReceived) bool { return toEndpoint(event.Conn) })})
 	r.step()
 	goOn := stop(t, r)
 	conn.CloseWrite()
@@ -302,7 +302,7 @@
 	goOn()
 	r.handle(endpointEvent{until(t, r, func(event endpointconn.Opened) bool { return toEndpoint(event.Conn) })})
 	io.WriteString(called(t, l), okAnswer)
-	r.handle(endpointEvent{until(t, r, func(event endpointconn.Answered) bool { return toEndpoint(event.Conn) })})
+	r.handle(endpointEvent{until(t, r, func(event endpointconn.ResponseReceived) bool { return toEndpoint(event.Conn) })})
 	if r.step(); r.messages["two"] != nil {
 		t.Error("not delivered")
 	}
@@ -320,7 +320,7 @@
 			l := raw(t, world)
 			r := steppedServer(t, world, single("one"))
 			io.WriteString(sent(t, r, l), okAnswer)
-			answer := until(t, r, func(event endpointconn.Answered) bool { return toEndpoint(event.Conn) })
+			answer := until(t, r, func(event endpointconn.ResponseReceived) bool { return toEndpoint(event.Conn) })
 			attempt := r.messages["one"].attempts[0]
 			cross(r, attempt)
 			if attempt.finished {
@@ -379,9 +379,9 @@
 						t.Fatal("it is never read")
 					}
 					switch e := unwrap(what).(type) {
-					case endpointconn.Answered:
+					case endpointconn.ResponseReceived:
 						read = toEndpoint(e.Conn)
-					case endpointconn.AnswerBegun:
+					case endpointconn.ResponseProgress:
 						read = toEndpoint(e.Conn)
 					}
 					r.handle(what)
@@ -439,7 +439,7 @@
 	io.WriteString(conn, okAnswer)
 	down := until(t, r, func(e endpointconn.Closed) bool { return toEndpoint(e.Conn) })
 	r.handle(endpointEvent{event})
-	if !errors.Is(down.Err, endpointconn.ErrUnexpectedAnswer) {
+	if !errors.Is(down.Err, endpointconn.ErrUnexpectedResponse) {
 		t.Errorf("ended by %v", down.Err)
 	}
 	r.handle(endpointEvent{down})
@@ -564,7 +564,7 @@
 	first.SetLinger(0) // whatever reply it had is gone
 	first.Close()
 	for r.messages["one"] != nil {
-		r.handle(endpointEvent{until(t, r, func(event endpointconn.Answered) bool { return toEndpoint(event.Conn) })})
+		r.handle(endpointEvent{until(t, r, func(event endpointconn.ResponseReceived) bool { return toEndpoint(event.Conn) })})
 		r.step()
 	}
 	second := visit(t, r)
@@ -793,7 +793,7 @@
 	r.discovery.version = 0
 	r.discovery.poll(dispatch.WatchEndpoints{})
 	r.handle(endpointEvent{until(t, r, func(e endpointconn.Opened) bool { return ofDiscovery(e.Conn) })})
-	answer := until(t, r, func(e endpointconn.Answered) bool { return ofDiscovery(e.Conn) })
+	answer := until(t, r, func(e endpointconn.ResponseReceived) bool { return ofDiscovery(e.Conn) })
 	if _, err := world.Move(); err != nil {
 		t.Fatal(err)
 	}
@@ -806,7 +806,7 @@
 		t.Errorf("watching %+v, version %d", r.discovery.pollInFlight, r.discovery.version)
 	}
 	r.handle(endpointEvent{until(t, r, func(e endpointconn.Opened) bool { return ofDiscovery(e.Conn) })})
-	r.handle(endpointEvent{until(t, r, func(e endpointconn.Answered) bool { return ofDiscovery(e.Conn) })})
+	r.handle(endpointEvent{until(t, r, func(e endpointconn.ResponseReceived) bool { return ofDiscovery(e.Conn) })})
 	if r.discovery.version == 0 {
 		t.Error("the new one was not heard")
 	}
--- a/server/discovery.go
+++ b/server/discovery.go
@@ -88,15 +88,15 @@
 	what.Whole, p.wholeWanted = p.wholeWanted, false
 	p.polled, p.polledAt = what, p.server.now
 	address := p.server.deployment.Discovery
-	request, timeout := protocol.Watch(address, p.version, watchWait/1000), dispatch.Micros(watchWait+watchTimeout)
+	request, timeout := protocol.EncodeWatch(address, p.version, watchWait/1000), dispatch.Micros(watchWait+watchTimeout)
 	switch {
 	case what.Whole:
-		request, timeout = protocol.WholeList(address), pollTimeout
+		request, timeout = protocol.EncodeListRequest(address), pollTimeout
 	case what.Immediate:
-		request, timeout = protocol.Watch(address, p.version, 0), pollTimeout
+		request, timeout = protocol.EncodeWatch(address, p.version, 0), pollTimeout
 	}
 	exchange := &endpointconn.Exchange{Peer: endpointconn.Peer{Address: address}, NeedsBody: true, Request: request, OnEnd: p.pollAnswered,
-		OnBegin: func(begun bool) {
+		OnResponseStart: func(begun bool) {
 			if p.pollTimeoutAt = p.polledAt + timeout; begun {
 				p.pollTimeoutAt = min(p.pollTimeoutAt, p.server.now+listTimeout)
 			}
@@ -113,8 +113,8 @@
 	}
 }
 
-func (p *discovery) pollAnswered(answer protocol.Answer, err error) {
-	begun, part := p.pollInFlight.HasBegun(), p.pollInFlight.PartialBody()
+func (p *discovery) pollAnswered(answer protocol.Response, err error) {
+	begun, part := p.pollInFlight.HasResponseStarted(), p.pollInFlight.PartialBody()
 	p.pollInFlight, p.pollTimeoutAt = nil, never
 	isAnswer := err == nil && answer.Status == http.StatusOK
 	if isAnswer {
@@ -128,7 +128,7 @@
 		list, err = protocol.ReadList(answer.Body)
 	}
 	if err != nil {
-		p.pollFailed(err, begun || isAnswer || errors.Is(err, protocol.ErrAnswer), part)
+		p.pollFailed(err, begun || isAnswer || errors.Is(err, protocol.ErrMalformedResponse), part)
 		return
 	}
 	p.listRead(list)
@@ -139,14 +139,14 @@
 	p.server.log.Warn("endpoint list poll failed", "error", err, "truncated", begun, "version", p.version)
 	switch {
 	case begun:
-		list := protocol.ReadPart(part)
-		if list.Seq <= p.version {
+		list := protocol.ReadTruncatedList(part)
+		if list.Version <= p.version {
 			list = protocol.List{}
 		}
-		list.Faults = append(list.Faults, protocol.EntryFault{Err: err})
+		list.Invalid = append(list.Invalid, protocol.InvalidEntry{Err: err})
 		p.server.applyEndpoints(list, dispatch.PartialList)
 	case errors.Is(err, errNoAnswer):
-		p.server.events = append(p.server.events, dispatch.EndpointUpdate{Kind: dispatch.ListSilent})
+		p.server.events = append(p.server.events, dispatch.EndpointUpdate{Kind: dispatch.ListTimedOut})
 	default:
 		p.server.events = append(p.server.events, dispatch.EndpointUpdate{Kind: dispatch.ListFailed})
 	}
@@ -156,7 +156,7 @@
 // the whole list twice, that it means what cannot be used.
 func (p *discovery) listRead(list protocol.List) {
 	kind := dispatch.PartialList
-	if list.Whole {
+	if list.Complete {
 		kind = dispatch.CompleteList
 	}
 	if p.isOlder(list) {
@@ -169,35 +169,35 @@
 	if len(faults) > 0 {
 		p.server.acceptFaults(faults)
 	}
-	if list.Seq <= p.version && !p.polled.Whole && !p.polled.Immediate && p.server.now-p.polledAt < minPollInterval {
+	if list.Version <= p.version && !p.polled.Whole && !p.polled.Immediate && p.server.now-p.polledAt < minPollInterval {
 		p.pollAt = p.server.now + minPollInterval
 		return
 	}
-	p.version = list.Seq
+	p.version = list.Version
 	p.poll(dispatch.WatchEndpoints{})
 }
 
 // isOlder reports whether a list is older than the one held and must not replace it. Discovery that has lost its versions keeps to that
 // whenever it is asked for the whole list, which is taken as it is once a change would have had to be known.
 func (p *discovery) isOlder(list protocol.List) bool {
-	if list.Seq >= p.version {
+	if list.Version >= p.version {
 		p.olderSince = never
 		return false
 	}
 	p.olderSince = min(p.olderSince, p.server.now)
-	if p.polled.Whole && list.Whole && p.server.now-p.olderSince >= dispatch.ListDeadline {
+	if p.polled.Whole && list.Complete && p.server.now-p.olderSince >= dispatch.ListDeadline {
 		p.olderSince = never
 		return false
 	}
-	p.server.log.Warn("older endpoint list ignored", "version", list.Seq, "current", p.version)
+	p.server.log.Warn("older endpoint list ignored", "version", list.Version, "current", p.version)
 	p.wholeWanted = true
 	p.server.events = append(p.server.events, dispatch.EndpointUpdate{Kind: dispatch.PartialList, Incomplete: true})
 	return true
 }
 
 // isConfirmed reports whether the whole list says for the second time in a row what cannot be used.
-func (p *discovery) isConfirmed(list protocol.List, faults []protocol.EntryFault) bool {
-	if !p.polled.Whole || !list.Whole {
+func (p *discovery) isConfirmed(list protocol.List, faults []protocol.InvalidEntry) bool {
+	if !p.polled.Whole || !list.Complete {
 		return false
 	}
 	before := p.wholeFaults
@@ -234,7 +234,7 @@
 // addNotice owes the platform a notice for a message.
 func (p *discovery) addNotice(stored *spool.Message) {
 	p.notices = append(p.notices, &notice{until: dispatch.Micros(stored.Deadline) + noticeLifetime,
-		notice: protocol.Notice{ID: stored.ID, Rejected: stored.Ended == storedRejected, AgainMs: stored.RetryAfterMs}})
+		notice: protocol.Notice{ID: stored.ID, Rejected: stored.FinalOutcome == storedRejected, RetryAfterMs: stored.RetryAfterMs}})
 }
 
 func (p *discovery) due() dispatch.Micros {
@@ -255,7 +255,7 @@
 // mustWait reports whether the end that a notice tells is not in the folder yet: a restart would take the message up again, and it could run
 // after its end was told. Past its deadline it would not.
 func (p *discovery) mustWait(n *notice) bool {
-	return p.server.spool.IsBehind(n.notice.ID) && p.server.now < n.until-noticeLifetime
+	return p.server.spool.InBacklog(n.notice.ID) && p.server.now < n.until-noticeLifetime
 }
 
 // tick does what is due.
@@ -266,7 +266,7 @@
 	}
 	if p.pollTimeoutAt <= now {
 		p.server.endpointConns.Abort(p.pollInFlight)
-		p.pollAnswered(protocol.Answer{}, errNoAnswer)
+		p.pollAnswered(protocol.Response{}, errNoAnswer)
 	}
 	if p.pollAt <= now {
 		p.poll(dispatch.WatchEndpoints{})
@@ -274,7 +274,7 @@
 	for _, call := range slices.Clone(p.calls) {
 		if call.timeoutAt <= now {
 			p.server.endpointConns.Abort(call.exchange)
-			p.noticesAnswered(call, protocol.Answer{}, errNoAnswer)
+			p.noticesAnswered(call, protocol.Response{}, errNoAnswer)
 		}
 	}
 	for len(p.calls) < maxNoticeCalls && p.notify() {
@@ -300,14 +300,14 @@
 	if len(notices) == 0 {
 		return false
 	}
-	call.exchange = &endpointconn.Exchange{Peer: endpointconn.Peer{Address: p.server.deployment.Discovery}, Request: protocol.Notices(p.server.deployment.Discovery, notices),
-		OnBegin: func(bool) {}, OnEnd: func(a protocol.Answer, err error) { p.noticesAnswered(call, a, err) }}
+	call.exchange = &endpointconn.Exchange{Peer: endpointconn.Peer{Address: p.server.deployment.Discovery}, Request: protocol.EncodeNotices(p.server.deployment.Discovery, notices),
+		OnResponseStart: func(bool) {}, OnEnd: func(a protocol.Response, err error) { p.noticesAnswered(call, a, err) }}
 	p.calls = append(p.calls, call)
 	p.server.endpointConns.Start(call.exchange)
 	return true
 }
 
-func (p *discovery) noticesAnswered(call *noticeCall, a protocol.Answer, err error) {
+func (p *discovery) noticesAnswered(call *noticeCall, a protocol.Response, err error) {
 	p.calls = slices.DeleteFunc(p.calls, func(other *noticeCall) bool { return other == call })
 	switch {
 	case err != nil:
@@ -326,7 +326,7 @@
 	}
 	for _, other := range call.notices {
 		if other.confirmed = other.confirmed || err == nil || p.server.now > other.until; other.confirmed {
-			p.server.logSpoolError(p.server.spool.Forget(other.notice.ID))
+			p.server.logSpoolError(p.server.spool.Remove(other.notice.ID))
 		} else {
 			other.next = min(other.next, p.callAt) // it failed at once
 		}
--- a/server/endpointconn/conn.go
+++ b/server/endpointconn/conn.go
@@ -19,12 +19,12 @@
 const statusOK = http.StatusOK
 
 var (
-	// ErrUnexpectedAnswer ends a connection over which bytes come while no answer is due: they belong to no request, and the next
+	// ErrUnexpectedResponse ends a connection over which bytes come while no answer is due: they belong to no request, and the next
 	// answer could not be told apart from them.
-	ErrUnexpectedAnswer = errors.New("an answer nobody asked for")
-	// ErrOvertaken ends an exchange that is not wanted any more: while its connection was being opened it became known that nothing
+	ErrUnexpectedResponse = errors.New("an answer nobody asked for")
+	// ErrNoLongerWanted ends an exchange that is not wanted any more: while its connection was being opened it became known that nothing
 	// may be sent there.
-	ErrOvertaken = errors.New("overtaken by a drain or a wait")
+	ErrNoLongerWanted = errors.New("overtaken by a drain or a wait")
 
 	// ErrNotStored ends an exchange that could not be stored, and was not sent.
 	ErrNotStored = errors.New("the state folder fails")
@@ -39,17 +39,17 @@
 type (
 	// Opened reports that a connection is up.
 	Opened struct{ Conn *Conn }
-	// Answered brings a complete answer.
-	Answered struct {
-		Conn    *Conn
-		Request int64 // its number on the connection
-		Answer  protocol.Answer
+	// ResponseReceived brings a complete answer.
+	ResponseReceived struct {
+		Conn     *Conn
+		Request  int64 // its number on the connection
+		Response protocol.Response
 	}
-	// AnswerBegun reports that an answer has begun, or, where Begun is false, that what had begun was an interim answer.
-	AnswerBegun struct {
+	// ResponseProgress reports that an answer has begun, or, where Started is false, that what had begun was an interim answer.
+	ResponseProgress struct {
 		Conn        *Conn
 		Request     int64
-		Begun       bool
+		Started     bool
 		PartialBody []byte
 	}
 	// Closed reports that a connection has ended, or never came up.
@@ -63,14 +63,14 @@
 	}
 )
 
-func (Opened) endpointEvent()      {}
-func (Answered) endpointEvent()    {}
-func (AnswerBegun) endpointEvent() {}
-func (Closed) endpointEvent()      {}
+func (Opened) endpointEvent()           {}
+func (ResponseReceived) endpointEvent() {}
+func (ResponseProgress) endpointEvent() {}
+func (Closed) endpointEvent()           {}
 
 // IsMalformed reports whether the connection ended by something that is no answer.
 func (e Closed) IsMalformed() bool {
-	return errors.Is(e.Err, protocol.ErrAnswer) || errors.Is(e.Err, ErrUnexpectedAnswer)
+	return errors.Is(e.Err, protocol.ErrMalformedResponse) || errors.Is(e.Err, ErrUnexpectedResponse)
 }
 
 // Conn is one connection; one exchange at a time goes over it.
@@ -103,7 +103,7 @@
 func (c *Conn) Data(conn *transport.Conn, b []byte) {
 	last := c.requests.Load()
 	if c.answered.Load() == last {
-		conn.Fail(ErrUnexpectedAnswer)
+		conn.Fail(ErrUnexpectedResponse)
 		return
 	}
 	answer, done, err := c.parser.Feed(b)
@@ -114,7 +114,7 @@
 	case done:
 		c.answered.Store(last)
 		answer.Close = answer.Close || err != nil
-		c.pool.notify(Answered{c, last, answer})
+		c.pool.notify(ResponseReceived{c, last, answer})
 	case err == nil && begun != (c.reportedBegun == last):
 		c.reportBegun(last, begun)
 	}
@@ -129,13 +129,13 @@
 	if begun {
 		c.reportedBegun = request
 	}
-	c.pool.notify(AnswerBegun{c, request, begun, slices.Clone(c.parser.Part())})
+	c.pool.notify(ResponseProgress{c, request, begun, slices.Clone(c.parser.Part())})
 }
 
 // Closed implements transport.Handler.
 func (c *Conn) Closed(conn *transport.Conn, err error) {
 	if answer, ok := c.parser.End(); ok {
-		c.pool.notify(Answered{c, c.requests.Load(), answer})
+		c.pool.notify(ResponseReceived{c, c.requests.Load(), answer})
 	}
 	if err == nil {
 		err = errClosedRemotely
--- a/server/endpointconn/exchange.go
+++ b/server/endpointconn/exchange.go
@@ -29,13 +29,13 @@
 	IsWanted func() bool
 	// BeforeWrite is called just before the first byte is written, which an error stops; nil for nothing to do. It may set Request.
 	BeforeWrite func() error
-	// OnBegin is called when an answer has begun and the rest of it has not come yet; with false where it was an interim one.
-	OnBegin func(begun bool)
+	// OnResponseStart is called when an answer has begun and the rest of it has not come yet; with false where it was an interim one.
+	OnResponseStart func(begun bool)
 	// OnWritten is called once, when the socket has the last byte or an answer shows that it had; nil for nobody. It may lag by
 	// flushInterval.
 	OnWritten func()
 	// OnEnd is called once, unless the exchange is aborted.
-	OnEnd func(protocol.Answer, error)
+	OnEnd func(protocol.Response, error)
 
 	conn        *Conn
 	sent        bool
@@ -50,14 +50,14 @@
 // IsWritten reports whether the last byte of the request has been handed to the socket.
 func (x *Exchange) IsWritten() bool { return x.sent && x.conn.conn.Flushed() }
 
-// HasBegun reports whether part of an answer is here.
-func (x *Exchange) HasBegun() bool { return x.begun }
+// HasResponseStarted reports whether part of an answer is here.
+func (x *Exchange) HasResponseStarted() bool { return x.begun }
 
 // PartialBody returns what is here of the body of an answer that is not complete.
 func (x *Exchange) PartialBody() []byte { return x.partialBody }
 
-// HasSuccessLine reports whether the first line of the answer is here, says success, and is all that is needed of it.
-func (x *Exchange) HasSuccessLine() bool {
+// HasSuccessStatus reports whether the first line of the answer is here, says success, and is all that is needed of it.
+func (x *Exchange) HasSuccessStatus() bool {
 	return x.sent && !x.NeedsBody && x.conn.partialStatus.Load() == statusOK
 }
 
@@ -70,7 +70,7 @@
 }
 
 // end reports how the exchange ended; its connection is free for another one.
-func (x *Exchange) end(answer protocol.Answer, err error) {
+func (x *Exchange) end(answer protocol.Response, err error) {
 	x.finished = true
 	x.OnEnd(answer, err)
 }
@@ -79,16 +79,16 @@
 var localErrors = []error{errNoDescriptor, ErrNotStored, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH,
 	syscall.ENETDOWN, syscall.EAGAIN}
 
-// IsLocal reports whether an exchange failed on this machine, before its last byte was out.
-func IsLocal(err error) bool {
+// IsLocalFailure reports whether an exchange failed on this machine, before its last byte was out.
+func IsLocalFailure(err error) bool {
 	var failure *protocol.Failure
-	if !errors.As(err, &failure) || failure.Progress != protocol.BeforeLastByte {
+	if !errors.As(err, &failure) || failure.Stage != protocol.RequestIncomplete {
 		return false
 	}
 	return slices.ContainsFunc(localErrors, func(local error) bool { return errors.Is(failure.Err, local) })
 }
 
 // fail ends the exchange with a failure at a stage of it.
-func (x *Exchange) fail(progress protocol.Progress, err error) {
-	x.end(protocol.Answer{}, &protocol.Failure{Progress: progress, Err: err})
+func (x *Exchange) fail(progress protocol.Stage, err error) {
+	x.end(protocol.Response{}, &protocol.Failure{Stage: progress, Err: err})
 }
--- a/server/endpointconn/pool.go
+++ b/server/endpointconn/pool.go
@@ -71,7 +71,7 @@
 		return
 	}
 	if !p.makeRoom() && !exchange.Peer.IsDiscovery() {
-		exchange.fail(protocol.BeforeLastByte, errNoDescriptor)
+		exchange.fail(protocol.RequestIncomplete, errNoDescriptor)
 		return
 	}
 	limit := protocol.MaxBody
@@ -102,7 +102,7 @@
 	if exchange.BeforeWrite != nil {
 		if err := exchange.BeforeWrite(); err != nil {
 			p.keepIdle(conn)
-			exchange.fail(protocol.BeforeLastByte, err)
+			exchange.fail(protocol.RequestIncomplete, err)
 			return
 		}
 	}
@@ -125,8 +125,8 @@
 	})
 }
 
-// HasAnswer reports whether the complete answer to an exchange has come; it may not be handled yet. The exchange may be nil.
-func (p *Pool) HasAnswer(exchange *Exchange) bool {
+// HasResponse reports whether the complete answer to an exchange has come; it may not be handled yet. The exchange may be nil.
+func (p *Pool) HasResponse(exchange *Exchange) bool {
 	return p.isWaiting(exchange) && exchange.conn.answered.Load() == exchange.conn.requests.Load()
 }
 
@@ -158,9 +158,9 @@
 	switch e := event.(type) {
 	case Opened:
 		p.opened(e)
-	case AnswerBegun:
+	case ResponseProgress:
 		p.answerBegun(e)
-	case Answered:
+	case ResponseReceived:
 		p.answered(e)
 	case Closed:
 		p.closed(e)
@@ -178,33 +178,33 @@
 		return
 	}
 	p.keepIdle(conn)
-	exchange.end(protocol.Answer{}, ErrOvertaken)
+	exchange.end(protocol.Response{}, ErrNoLongerWanted)
 }
 
 // answerBegun notes that an answer has begun: the rest of it follows at once, or never. What follows an interim one may take its time.
-func (p *Pool) answerBegun(event AnswerBegun) {
+func (p *Pool) answerBegun(event ResponseProgress) {
 	exchange := event.Conn.exchange
 	if exchange == nil || exchange.finished || event.Request != event.Conn.requests.Load() {
 		return
 	}
-	exchange.begun, exchange.partialBody = event.Begun, event.PartialBody
-	exchange.OnBegin(event.Begun)
+	exchange.begun, exchange.partialBody = event.Started, event.PartialBody
+	exchange.OnResponseStart(event.Started)
 }
 
-func (p *Pool) answered(event Answered) {
+func (p *Pool) answered(event ResponseReceived) {
 	conn, exchange := event.Conn, event.Conn.exchange
 	if exchange == nil || exchange.finished || event.Request != conn.requests.Load() || !exchange.sent {
 		return // given up meanwhile, and its connection with it
 	}
 	exchange.finished = true
 	exchange.notifyWritten(true)
-	if event.Answer.Close || !conn.conn.Flushed() || !p.conns[conn] {
+	if event.Response.Close || !conn.conn.Flushed() || !p.conns[conn] {
 		conn.exchange = nil
 		p.close(conn)
 	} else {
 		p.keepIdle(conn)
 	}
-	exchange.end(event.Answer, nil)
+	exchange.end(event.Response, nil)
 }
 
 func (p *Pool) closed(event Closed) {
@@ -222,21 +222,21 @@
 		exchange.partialBody = event.PartialBody
 	}
 	if event.Status == statusOK && !exchange.NeedsBody && event.Request == conn.requests.Load() {
-		exchange.end(protocol.Answer{Status: statusOK}, nil) // its first line is all that counts
+		exchange.end(protocol.Response{Status: statusOK}, nil) // its first line is all that counts
 		return
 	}
 	exchange.fail(exchange.progress(event), event.Err)
 }
 
 // progress returns how far the exchange had come when its connection ended.
-func (x *Exchange) progress(event Closed) protocol.Progress {
+func (x *Exchange) progress(event Closed) protocol.Stage {
 	switch {
 	case !x.sent || !event.Flushed:
-		return protocol.BeforeLastByte
-	case errors.Is(event.Err, protocol.ErrAnswer):
-		return protocol.InAnswer
+		return protocol.RequestIncomplete
+	case errors.Is(event.Err, protocol.ErrMalformedResponse):
+		return protocol.ResponseMalformed
 	}
-	return protocol.AfterLastByte
+	return protocol.RequestSent
 }
 
 // makeRoom closes the connection that has been idle longest where there are as many as may be, and reports whether there is room.
@@ -285,7 +285,7 @@
 	}
 }
 
-// Due returns when CheckWritten or Expire is to be called next.
+// Due returns when CheckWritten or CloseExpired is to be called next.
 func (p *Pool) Due() dispatch.Micros {
 	at := never
 	if len(p.unflushed) > 0 {
@@ -299,8 +299,8 @@
 	return at
 }
 
-// Expire closes what has been idle for long enough, well before the other side does.
-func (p *Pool) Expire() {
+// CloseExpired closes what has been idle for long enough, well before the other side does.
+func (p *Pool) CloseExpired() {
 	for peer, pool := range p.idle {
 		n := 0
 		for n < len(pool) && (!p.conns[pool[n]] || p.now()-pool[n].idleSince >= p.limits.IdleTimeout) {
--- a/server/endpointconn/pool_test.go
+++ b/server/endpointconn/pool_test.go
@@ -77,7 +77,7 @@
 
 // ending is how an exchange ended.
 type ending struct {
-	answer protocol.Answer
+	answer protocol.Response
 	err    error
 	count  int
 }
@@ -85,7 +85,7 @@
 // start starts an exchange; its ending is filled in when it has one.
 func (p *testPool) start() (*Exchange, *ending) {
 	end := &ending{}
-	exchange := &Exchange{Peer: p.peer, Request: []byte(request), OnBegin: func(bool) {}, OnEnd: func(answer protocol.Answer, err error) {
+	exchange := &Exchange{Peer: p.peer, Request: []byte(request), OnResponseStart: func(bool) {}, OnEnd: func(answer protocol.Response, err error) {
 		*end = ending{answer, err, end.count + 1}
 	}}
 	p.Start(exchange)
@@ -119,7 +119,7 @@
 	_, end := p.start()
 	conn := p.accept(t)
 	io.WriteString(conn, success)
-	used := handleNext[Answered](t, p).Conn
+	used := handleNext[ResponseReceived](t, p).Conn
 	if end.count != 1 || end.err != nil || end.answer.Status != statusOK {
 		t.Fatalf("ended as %+v", *end)
 	}
@@ -143,7 +143,7 @@
 	_, end := p.start()
 	readRequest(t, conn)
 	io.WriteString(conn, success)
-	if handleNext[Answered](t, p); end.count != 1 || p.Idle(p.peer) != 1 {
+	if handleNext[ResponseReceived](t, p); end.count != 1 || p.Idle(p.peer) != 1 {
 		t.Fatalf("ended as %+v, %d idle", *end, p.Idle(p.peer))
 	}
 	p.time += p.limits.IdleTimeout
@@ -159,11 +159,11 @@
 	conn := p.exchanged(t)
 	due := p.Due()
 	p.time = due - 1
-	if p.Expire(); p.Idle(p.peer) != 1 || isClosed(conn) {
+	if p.CloseExpired(); p.Idle(p.peer) != 1 || isClosed(conn) {
 		t.Fatal("closed before its time")
 	}
 	p.time = due
-	if p.Expire(); p.Idle(p.peer) != 0 || !isClosed(conn) {
+	if p.CloseExpired(); p.Idle(p.peer) != 0 || !isClosed(conn) {
 		t.Error("not closed at its time")
 	}
 	if p.Due() != never {
@@ -184,7 +184,7 @@
 	}
 	_, beyond := p.start()
 	var failure *protocol.Failure
-	if !errors.As(beyond.err, &failure) || failure.Progress != protocol.BeforeLastByte || beyond.count != 1 || busy.count != 0 {
+	if !errors.As(beyond.err, &failure) || failure.Stage != protocol.RequestIncomplete || beyond.count != 1 || busy.count != 0 {
 		t.Errorf("beyond the limit %+v, the other %+v", *beyond, *busy)
 	}
 	p.peer.Endpoint = ""
@@ -214,9 +214,9 @@
 func TestFailureTellsHowFarTheExchangeCame(t *testing.T) {
 	for name, c := range map[string]struct {
 		bytes string
-		want  protocol.Progress
+		want  protocol.Stage
 	}{
-		"nothing": {"", protocol.AfterLastByte}, "no answer": {"what?\r\n\r\n", protocol.InAnswer},
+		"nothing": {"", protocol.RequestSent}, "no answer": {"what?\r\n\r\n", protocol.ResponseMalformed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := openPool(t, 4)
@@ -226,10 +226,10 @@
 			conn.Close()
 			closed := handleNext[Closed](t, p)
 			var failure *protocol.Failure
-			if !errors.As(end.err, &failure) || failure.Progress != c.want || end.count != 1 {
+			if !errors.As(end.err, &failure) || failure.Stage != c.want || end.count != 1 {
 				t.Errorf("ended as %+v", *end)
 			}
-			if closed.IsMalformed() != (c.want == protocol.InAnswer) {
+			if closed.IsMalformed() != (c.want == protocol.ResponseMalformed) {
 				t.Errorf("malformed %v", closed.IsMalformed())
 			}
 		})
@@ -244,7 +244,7 @@
 		refuse func(*Exchange)
 		want   error
 	}{
-		"not wanted":        {func(x *Exchange) { x.IsWanted = func() bool { return false } }, ErrOvertaken},
+		"not wanted":        {func(x *Exchange) { x.IsWanted = func() bool { return false } }, ErrNoLongerWanted},
 		"before it is sent": {func(x *Exchange) { x.BeforeWrite = func() error { return errRefused } }, errRefused},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/server/endpoints.go
+++ b/server/endpoints.go
@@ -14,7 +14,7 @@
 //
 // Incident: an entry that could not be used was left out and the rest passed for the whole, so that the drain it told was neither
 // heeded nor asked for again. Whoever it may have been about gets nothing new until a list could be used whole.
-func (s *Server) applyEndpoints(list protocol.List, kind dispatch.UpdateKind) (faults []protocol.EntryFault) {
+func (s *Server) applyEndpoints(list protocol.List, kind dispatch.UpdateKind) (faults []protocol.InvalidEntry) {
 	usable, faults := s.usableEntries(list, kind)
 	before := maps.Clone(s.endpoints)
 	update := dispatch.EndpointUpdate{Kind: kind, Incomplete: len(faults) > 0}
@@ -25,14 +25,14 @@
 		update.Kind = dispatch.PartialList
 	}
 	for _, entry := range usable {
-		s.logHealthChange(list.Seq, before, entry)
+		s.logHealthChange(list.Version, before, entry)
 		s.keepEndpoint(entry)
 		listing, _ := s.endpointEntry(entry)
 		update.Entries = append(update.Entries, listing)
 	}
 	update.Entries = append(update.Entries, s.updateSuspects(faults)...)
 	if len(usable)+len(faults) > 0 {
-		s.log.Info("endpoint list applied", "version", list.Seq, "kind", kind.String(), "entries", len(usable), "ignored", len(faults))
+		s.log.Info("endpoint list applied", "version", list.Version, "kind", kind.String(), "entries", len(usable), "ignored", len(faults))
 	}
 	s.events = append(s.events, update)
 	s.closeUnused(before)
@@ -41,7 +41,7 @@
 }
 
 // keepEndpoint takes one entry into the list that is held.
-func (s *Server) keepEndpoint(entry protocol.Host) {
+func (s *Server) keepEndpoint(entry protocol.Endpoint) {
 	id := dispatch.EndpointID(entry.Host)
 	delete(s.suspects, id)
 	if entry.Health == protocol.Removed {
@@ -52,19 +52,19 @@
 }
 
 // usableEntries splits a list into entries that can be used, one for each endpoint, and what is wrong with the others.
-func (s *Server) usableEntries(list protocol.List, kind dispatch.UpdateKind) (usable []protocol.Host, faults []protocol.EntryFault) {
-	faults = slices.Clone(list.Faults)
+func (s *Server) usableEntries(list protocol.List, kind dispatch.UpdateKind) (usable []protocol.Endpoint, faults []protocol.InvalidEntry) {
+	faults = slices.Clone(list.Invalid)
 	at := map[string]int{}
 	for _, entry := range list.Hosts {
 		_, ok := s.endpointEntry(entry)
 		earlier, twice := at[entry.Host]
 		switch {
 		case !ok:
-			faults = append(faults, protocol.EntryFault{Host: entry.Host, Dial: entry.Dial, Err: fmt.Errorf("host %s: unknown zone %q or type %q", entry.Host, entry.Zone, entry.Kind)})
+			faults = append(faults, protocol.InvalidEntry{Host: entry.Host, Address: entry.Address, Err: fmt.Errorf("host %s: unknown zone %q or type %q", entry.Host, entry.Zone, entry.EndpointType)})
 		case kind == dispatch.PartialList && s.isMisnamed(entry):
-			faults = append(faults, protocol.EntryFault{Host: entry.Host, Dial: entry.Dial, Err: fmt.Errorf("host %s: a drain at no address, or another endpoint's", entry.Host)})
+			faults = append(faults, protocol.InvalidEntry{Host: entry.Host, Address: entry.Address, Err: fmt.Errorf("host %s: a drain at no address, or another endpoint's", entry.Host)})
 		case twice && usable[earlier] != entry:
-			faults = append(faults, protocol.EntryFault{Host: entry.Host, Err: fmt.Errorf("host %s: two entries that contradict each other", entry.Host)})
+			faults = append(faults, protocol.InvalidEntry{Host: entry.Host, Err: fmt.Errorf("host %s: two entries that contradict each other", entry.Host)})
 		case !twice:
 			at[entry.Host] = len(usable)
 			usable = append(usable, entry)
@@ -78,19 +78,19 @@
 
 // isMisnamed reports whether an entry tells a drain at the address of another endpoint, or of an endpoint that is not known and at no address:
 // its name may be what was spoilt on the way.
-func (s *Server) isMisnamed(entry protocol.Host) bool {
+func (s *Server) isMisnamed(entry protocol.Endpoint) bool {
 	if entry.Health == protocol.InService {
 		return false
 	}
 	_, known := s.endpoints[dispatch.EndpointID(entry.Host)]
-	other, found := s.endpointAt(entry.Dial)
-	return found && string(other) != entry.Host || !known && entry.Dial == ""
+	other, found := s.endpointAt(entry.Address)
+	return found && string(other) != entry.Host || !known && entry.Address == ""
 }
 
 // endpointAt returns the endpoint in service at an address.
 func (s *Server) endpointAt(address string) (dispatch.EndpointID, bool) {
 	for id, entry := range s.endpoints {
-		if entry.Dial == address && entry.Health == protocol.InService {
+		if entry.Address == address && entry.Health == protocol.InService {
 			return id, true
 		}
 	}
@@ -99,7 +99,7 @@
 
 // suspectUnlisted suspects all endpoints that are missing in a whole list of which a part could not be used: they are gone, or that
 // part was about them.
-func (s *Server) suspectUnlisted(usable []protocol.Host) {
+func (s *Server) suspectUnlisted(usable []protocol.Endpoint) {
 	listed := map[dispatch.EndpointID]bool{}
 	for _, entry := range usable {
 		listed[dispatch.EndpointID(entry.Host)] = true
@@ -113,7 +113,7 @@
 
 // updateSuspects suspects the endpoints that faults name, or nobody any more where there are no faults, and returns the entries of
 // all whose phase that may change, as they hold now.
-func (s *Server) updateSuspects(faults []protocol.EntryFault) (entries []dispatch.EndpointEntry) {
+func (s *Server) updateSuspects(faults []protocol.InvalidEntry) (entries []dispatch.EndpointEntry) {
 	for _, id := range s.endpointsOf(faults) {
 		s.suspects[id] = true
 	}
@@ -131,12 +131,12 @@
 }
 
 // endpointsOf returns the listed endpoints that faults may be about, by name and by address.
-func (s *Server) endpointsOf(faults []protocol.EntryFault) (ids []dispatch.EndpointID) {
+func (s *Server) endpointsOf(faults []protocol.InvalidEntry) (ids []dispatch.EndpointID) {
 	for _, fault := range faults {
 		if _, known := s.endpoints[dispatch.EndpointID(fault.Host)]; known {
 			ids = append(ids, dispatch.EndpointID(fault.Host))
 		}
-		if id, known := s.endpointAt(fault.Dial); known {
+		if id, known := s.endpointAt(fault.Address); known {
 			ids = append(ids, id)
 		}
 	}
@@ -145,7 +145,7 @@
 
 // acceptFaults takes a whole list as it is, of which a part cannot be used, after its source has confirmed that: endpoints that are
 // missing in it are gone, and those that faults name drain until an entry of them can be used.
-func (s *Server) acceptFaults(faults []protocol.EntryFault) {
+func (s *Server) acceptFaults(faults []protocol.InvalidEntry) {
 	named := s.endpointsOf(faults)
 	update := dispatch.EndpointUpdate{Kind: dispatch.PartialList, Unusable: true}
 	for _, id := range slices.Sorted(maps.Keys(s.suspects)) {
@@ -161,7 +161,7 @@
 }
 
 // closeUnused closes idle connections to endpoints that get nothing new, and those that lead to what is not there any more.
-func (s *Server) closeUnused(before map[dispatch.EndpointID]protocol.Host) {
+func (s *Server) closeUnused(before map[dispatch.EndpointID]protocol.Endpoint) {
 	for id, entry := range before {
 		if now := s.endpoints[id]; now.Health != protocol.InService || peerOf(now) != peerOf(entry) {
 			s.endpointConns.CloseIdle(peerOf(entry))
@@ -179,12 +179,12 @@
 		}
 	}
 	for _, entry := range s.endpoints {
-		s.destinations[entry.Dest] = never
+		s.destinations[entry.Destination] = never
 	}
 }
 
 // logHealthChange logs that an endpoint of the list before has another health now.
-func (s *Server) logHealthChange(version int64, before map[dispatch.EndpointID]protocol.Host, entry protocol.Host) {
+func (s *Server) logHealthChange(version int64, before map[dispatch.EndpointID]protocol.Endpoint, entry protocol.Endpoint) {
 	known, ok := before[dispatch.EndpointID(entry.Host)]
 	if ok && known.Health != entry.Health {
 		s.log.Info("endpoint health changed", "endpoint", entry.Host, "from", known.Health, "to", entry.Health, "version", version)
@@ -202,14 +202,14 @@
 
 // endpointEntry returns an entry of the list as the dispatcher is told it; a suspect drains. It is false where the settings have no such
 // zone or type.
-func (s *Server) endpointEntry(entry protocol.Host) (dispatch.EndpointEntry, bool) {
+func (s *Server) endpointEntry(entry protocol.Endpoint) (dispatch.EndpointEntry, bool) {
 	phases := map[protocol.Health]dispatch.Phase{protocol.InService: dispatch.InService, protocol.Draining: dispatch.Draining,
 		protocol.Removed: dispatch.Removed}
 	phase := phases[entry.Health]
 	if phase == dispatch.InService && s.suspects[dispatch.EndpointID(entry.Host)] {
 		phase = dispatch.Draining
 	}
-	zone, kind := slices.Index(s.deployment.Zones, entry.Zone), slices.Index(s.deployment.Shapes, entry.Kind)
+	zone, kind := slices.Index(s.deployment.Zones, entry.Zone), slices.Index(s.deployment.EndpointTypes, entry.EndpointType)
 	return dispatch.EndpointEntry{Endpoint: dispatch.EndpointID(entry.Host), Zone: dispatch.ZoneID(zone), Type: dispatch.EndpointTypeID(kind),
-		Destination: dispatch.DestinationID(entry.Dest), Phase: phase, Rate: entry.Rate}, zone >= 0 && kind >= 0
+		Destination: dispatch.DestinationID(entry.Destination), Phase: phase, Rate: entry.Rate}, zone >= 0 && kind >= 0
 }
--- a/server/handoff.go
+++ b/server/handoff.go
@@ -172,7 +172,7 @@
 		}
 		r.operators.generation++
 		if err := r.operators.writer.Write(r.operators.generation, r.operators.disabled); err != nil {
-			r.log.Error("disabled endpoints cannot be stored", "file", maintenance.Name, "error", err)
+			r.log.Error("disabled endpoints cannot be stored", "file", maintenance.FileName, "error", err)
 		}
 	}
 	if state.Draining {
@@ -214,11 +214,11 @@
 }
 
 // forwardRetryAfter tells the predecessor of a Retry-After, in case it has to go on.
-func (u *handoffState) forwardRetryAfter(entry protocol.Host, until dispatch.Micros) {
+func (u *handoffState) forwardRetryAfter(entry protocol.Endpoint, until dispatch.Micros) {
 	if u.predecessor == nil {
 		return
 	}
-	w := &handoff.RetryAfter{Destination: dispatch.DestinationID(entry.Dest), Until: until}
+	w := &handoff.RetryAfter{Destination: dispatch.DestinationID(entry.Destination), Until: until}
 	if u.server.hasSeparateGroups(entry) {
 		w.Endpoint = dispatch.EndpointID(entry.Host)
 	}
@@ -270,7 +270,7 @@
 	case event.link != u.successor:
 	case event.message == nil:
 		u.successorLost()
-	case u.machine.MessageReceived(event.message) == handoff.Drop:
+	case u.machine.MessageReceived(event.message) == handoff.CloseLink:
 		u.server.log.Error("unexpected message from the successor")
 		event.link.Close()
 	default:
--- a/server/lists_test.go
+++ b/server/lists_test.go
@@ -75,7 +75,7 @@
 			r := prepare(t, world)
 			endpoints := r.endpoints
 			for _, text := range spoilt {
-				r.endpoints, r.suspects, r.discovery.version, r.discovery.olderSince = map[dispatch.EndpointID]protocol.Host{}, map[dispatch.EndpointID]bool{}, 1, never
+				r.endpoints, r.suspects, r.discovery.version, r.discovery.olderSince = map[dispatch.EndpointID]protocol.Endpoint{}, map[dispatch.EndpointID]bool{}, 1, never
 				for id, entry := range endpoints {
 					r.endpoints[id] = entry
 				}
--- a/server/server.go
+++ b/server/server.go
@@ -53,7 +53,7 @@
 	replies            []*reply
 	messages           map[dispatch.MessageID]*message
 	inFlight           []*attempt // oldest first
-	endpoints          map[dispatch.EndpointID]protocol.Host
+	endpoints          map[dispatch.EndpointID]protocol.Endpoint
 	suspects           map[dispatch.EndpointID]bool // listed ones of which a list told what could not be used; they get nothing new
 	destinations       map[int]dispatch.Micros      // known destinations, and until when
 	retryAfter         map[string]dispatch.Micros   // reported by a route, until when; the decisions keep their own
@@ -87,7 +87,7 @@
 func New(dep *config.Deployment, sp *spool.Spool, unfinished []*spool.Message, given *handoff.State, clk *clock.Clock, log *slog.Logger) (*Server, error) {
 	r := &Server{deployment: dep, log: log, spool: sp, queue: make(chan event, queueSize), control: make(chan event, controlQueueSize),
 		courierClock: clk, timerAt: never, shutdownBy: never, drainAt: never, messages: map[dispatch.MessageID]*message{},
-		endpoints: map[dispatch.EndpointID]protocol.Host{}, suspects: map[dispatch.EndpointID]bool{}, retryAfter: map[string]dispatch.Micros{}, destinations: map[int]dispatch.Micros{}}
+		endpoints: map[dispatch.EndpointID]protocol.Endpoint{}, suspects: map[dispatch.EndpointID]bool{}, retryAfter: map[string]dispatch.Micros{}, destinations: map[int]dispatch.Micros{}}
 	r.tracer = log.With(logging.Component, "decisions")
 	r.now = r.clock()
 	r.newDispatcher = func() dispatcher {
@@ -103,16 +103,16 @@
 	r.discovery.init(r)
 	r.counters.grow(len(dep.Classes))
 	r.operators.init(r)
-	list, err := protocol.ReadCachedList(dep.Known)
+	list, err := protocol.ReadConfiguredList(dep.KnownEndpoints)
 	if err != nil {
 		log.Warn("known endpoint list ignored", "key", "known", "error", err)
 	}
 	r.handoff.init(r)
-	if given != nil && given.ListVersion >= list.Seq {
-		list = protocol.List{Seq: given.ListVersion, Whole: true, Hosts: given.Endpoints}
+	if given != nil && given.ListVersion >= list.Version {
+		list = protocol.List{Version: given.ListVersion, Complete: true, Hosts: given.Endpoints}
 	}
 	if len(r.applyEndpoints(list, dispatch.CachedList)) == 0 {
-		r.discovery.version = list.Seq // else all is asked for
+		r.discovery.version = list.Version // else all is asked for
 	}
 	if given != nil {
 		r.handoff.takeOver(given)
@@ -166,7 +166,7 @@
 // could be had ended, and what it had taken on waited for the next start.
 func (s *Server) startServing(stop <-chan struct{}) error {
 	driver, err := s.openDriver()
-	for transport.IsShortage(err) {
+	for transport.IsTemporary(err) {
 		s.log.Warn("not listening yet", "error", err)
 		select {
 		case <-stop:
@@ -189,14 +189,14 @@
 
 func (s *Server) openDriver() (*transport.Driver, error) {
 	var inherited net.Listener
-	if s.deployment.Socket > 0 {
-		l, err := transport.Listener(s.deployment.Socket)
+	if s.deployment.SocketFD > 0 {
+		l, err := transport.ListenerFromFD(s.deployment.SocketFD)
 		if err != nil {
 			return nil, fmt.Errorf("socket_fd: %w", err)
 		}
 		inherited = l
 	}
-	return transport.Open(s.deployment.Listen, inherited, s.deployment.Sockets, s.log, s.clients.Admit, s.clients.Accept)
+	return transport.Open(s.deployment.Listen, inherited, s.deployment.MaxDescriptors, s.log, s.clients.CanAccept, s.clients.Accept)
 }
 
 func (s *Server) clock() dispatch.Micros {
@@ -208,7 +208,7 @@
 
 // spoolDue returns when the folder is tried again.
 func (s *Server) spoolDue() dispatch.Micros {
-	if s.spool.Behind() {
+	if s.spool.HasBacklog() {
 		return s.spoolRetryAt
 	}
 	return never
@@ -216,8 +216,8 @@
 
 // flushSpool writes what the folder did not take, now and then.
 func (s *Server) flushSpool() {
-	s.logSpoolError(s.spool.TakeFault())
-	if !s.spool.Behind() || s.now < s.spoolRetryAt {
+	s.logSpoolError(s.spool.TakeCompactionError())
+	if !s.spool.HasBacklog() || s.now < s.spoolRetryAt {
 		return
 	}
 	s.spoolRetryAt = s.now + spoolRetryInterval
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -457,9 +457,9 @@
 // TestEndpointIsIdentifiedByMoreThanAddress: connections that rest lead to who was there. Once another endpoint has the address, or the same
 // one has started again, calls go over new ones.
 func TestEndpointIsIdentifiedByMoreThanAddress(t *testing.T) {
-	for name, change := range map[string]func(entry *protocol.Host){
-		"another": func(entry *protocol.Host) { entry.Host = "s-new" }, "started again": func(entry *protocol.Host) { entry.Born = 7 },
-		"same": func(*protocol.Host) {},
+	for name, change := range map[string]func(entry *protocol.Endpoint){
+		"another": func(entry *protocol.Endpoint) { entry.Host = "s-new" }, "started again": func(entry *protocol.Endpoint) { entry.StartedAtMs = 7 },
+		"same": func(*protocol.Endpoint) {},
 	} {
 		r := steppedServer(t, open(t, 0), single("one"))
 		r.step()
@@ -467,7 +467,7 @@
 			r.handle(endpointEvent{until(t, r, func(endpointconn.Event) bool { return true })})
 			r.step()
 		}
-		var before protocol.Host
+		var before protocol.Endpoint
 		for _, entry := range r.endpoints {
 			before = entry
 		}
@@ -476,7 +476,7 @@
 		}
 		after := before
 		change(&after)
-		r.applyEndpoints(protocol.List{Whole: true, Hosts: []protocol.Host{after}}, dispatch.CompleteList)
+		r.applyEndpoints(protocol.List{Complete: true, Hosts: []protocol.Endpoint{after}}, dispatch.CompleteList)
 		if kept := r.endpointConns.Idle(peerOf(after)) == 1; kept != (name == "same") {
 			t.Errorf("%s: kept %v", name, kept)
 		}
@@ -561,19 +561,19 @@
 func TestDrainWhileDialingStopsSend(t *testing.T) {
 	for name, overtake := range map[string]func(r *Server){
 		"wait":    func(r *Server) { r.retryAfter["1"] = r.now + 1000*1000 },
-		"gone":    func(r *Server) { r.applyEndpoints(protocol.List{Whole: true}, dispatch.CompleteList) },
+		"gone":    func(r *Server) { r.applyEndpoints(protocol.List{Complete: true}, dispatch.CompleteList) },
 		"nothing": func(*Server) {},
 		"drain": func(r *Server) {
 			for _, entry := range r.endpoints {
 				entry.Health = protocol.Draining
-				r.applyEndpoints(protocol.List{Hosts: []protocol.Host{entry}}, dispatch.PartialList)
+				r.applyEndpoints(protocol.List{Hosts: []protocol.Endpoint{entry}}, dispatch.PartialList)
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			world := open(t, 0)
 			r := prepare(t, world, &spool.Message{ID: "one", Class: "order", Destination: 1, Deadline: time.Now().Add(time.Minute).UnixMicro()})
-			driver, err := transport.Open(r.deployment.Listen, nil, 1024, r.log, r.clients.Admit, r.clients.Accept)
+			driver, err := transport.Open(r.deployment.Listen, nil, 1024, r.log, r.clients.CanAccept, r.clients.Accept)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/server/shadow.go
+++ b/server/shadow.go
@@ -18,13 +18,13 @@
 	loggedCount int             // decisions compared by then
 }
 
-var differences = [dispatch.Differences]string{dispatch.OtherEndpoint: "elsewhere", dispatch.SentEarlier: "sooner", dispatch.SentLater: "later",
+var differences = [dispatch.DifferenceCount]string{dispatch.OtherEndpoint: "elsewhere", dispatch.SentEarlier: "sooner", dispatch.SentLater: "later",
 	dispatch.RejectedOnly: "bounced", dispatch.FailedOnly: "terminated", dispatch.StillQueued: "kept", dispatch.CanceledOnly: "called_off",
 	dispatch.StillAwaited: "waited_for", dispatch.OtherRetryAfter: "advised"}
 
 func (w *shadowState) start(r *Server) {
-	w.deployment, w.shadow = r.deployment.Watch, nil
-	w.interval = dispatch.Micros(r.deployment.WatchTell.Microseconds())
+	w.deployment, w.shadow = r.deployment.Shadow, nil
+	w.interval = dispatch.Micros(r.deployment.ShadowLogInterval.Microseconds())
 	if w.deployment != nil {
 		w.shadow, w.nextLogAt = dispatch.NewShadow(r.deployment.Merged(w.deployment).Dispatch), r.now+w.interval
 	}
--- a/server/step.go
+++ b/server/step.go
@@ -30,7 +30,7 @@
 // step hands the dispatcher the events since the last step, and carries out its actions.
 func (s *Server) step() {
 	s.now = s.clock()
-	s.endpointConns.Expire()
+	s.endpointConns.CloseExpired()
 	s.endpointConns.CheckWritten()
 	s.clients.Sweep(s.now)
 	s.operators.tick()
--- a/snapshot/golden_test.go
+++ b/snapshot/golden_test.go
@@ -17,7 +17,7 @@
 func recordedState() (state State) {
 	golden.Fill(&state)
 	state.Snapshot.TakenAt = millionYears
-	state.Snapshot.RestingKeys = nil // no file keeps them
+	state.Snapshot.HeldKeys = nil // no file keeps them
 	return state
 }
 
--- a/testbed/scale/changes_test.go
+++ b/testbed/scale/changes_test.go
@@ -114,7 +114,7 @@
 		t.Fatal(err)
 	}
 	hosts := listedHosts(10)
-	hosts[4].Dial = "nowhere"
+	hosts[4].Address = "nowhere"
 	cost, err := l.tell(true, hosts)
 	if err != nil || cost.unread != 1 {
 		t.Errorf("%d unread, %v", cost.unread, err)
--- a/testbed/scale/driver.go
+++ b/testbed/scale/driver.go
@@ -32,11 +32,11 @@
 
 // courierSettings are for a courier that may hold so many messages.
 func courierSettings(seed int64, hold int) dispatch.Config {
-	return dispatch.Config{Seed: seed, Couriers: couriersInFleet, Slots: slots, QueueLimit: hold, MaxAttempts: attemptsAtMost, MayTellRetryAfter: true,
+	return dispatch.Config{Seed: seed, Couriers: couriersInFleet, Slots: slots, QueueLimit: hold, MaxAttempts: attemptsAtMost, MaySendRetryAfter: true,
 		Classes:       []dispatch.Class{{Objective: targetLatency, TimeToLive: messageDeadline, Priority: 1, LateFactor: 0.5, Idempotency: dispatch.Idempotent}},
 		EndpointTypes: []dispatch.EndpointType{{MaxPerCall: 1}},
-		MaxRetryAfter: 2 * second, IdleTimeout: 5 * second, Tick: 5 * millisecond, RateQuality: dispatch.NominalRates, ReportLeftIndex: -1, ReportRateIndex: -1,
-		SlowStartFrom: 0.2, SlowStart: 10 * second, OverloadFactor: 2}
+		MaxRetryAfter: 2 * second, IdleTimeout: 5 * second, Tick: 5 * millisecond, RateQuality: dispatch.NominalRates, ReportRemainingIndex: -1, ReportRateIndex: -1,
+		SlowStartInitialShare: 0.2, SlowStart: 10 * second, OverloadFactor: 2}
 }
 
 // listing lists a destination's one endpoint.
--- a/testbed/scale/lists.go
+++ b/testbed/scale/lists.go
@@ -40,7 +40,7 @@
 	if err := json.Unmarshal(text, &file); err != nil {
 		return nil, err
 	}
-	config, err := config.Dispatch(1, config.Flatten(file.Settings))
+	config, err := config.DispatchConfig(1, config.Flatten(file.Settings))
 	if err != nil {
 		return nil, err
 	}
@@ -54,7 +54,7 @@
 }
 
 // tell hands the courier one answer of discovery.
-func (l *lister) tell(whole bool, hosts []protocol.Host) (cost listCost, err error) {
+func (l *lister) tell(whole bool, hosts []protocol.Endpoint) (cost listCost, err error) {
 	l.seq++
 	l.now += dispatch.Micros(microsPerSecond)
 	text, err := json.Marshal(listText{Seq: l.seq, Whole: whole, Hosts: hosts})
@@ -67,7 +67,7 @@
 		return cost, err
 	}
 	news := dispatch.EndpointUpdate{Kind: dispatch.PartialList, Entries: make([]dispatch.EndpointEntry, 0, len(list.Hosts))}
-	if list.Whole {
+	if list.Complete {
 		news.Kind = dispatch.CompleteList
 	}
 	for _, host := range list.Hosts {
@@ -78,9 +78,9 @@
 }
 
 // listingOf is what the event loop makes of an entry.
-func listingOf(host protocol.Host) dispatch.EndpointEntry {
+func listingOf(host protocol.Endpoint) dispatch.EndpointEntry {
 	phases := map[protocol.Health]dispatch.Phase{protocol.InService: dispatch.InService, protocol.Draining: dispatch.Draining, protocol.Removed: dispatch.Removed}
-	return dispatch.EndpointEntry{Endpoint: dispatch.EndpointID(host.Host), Destination: dispatch.DestinationID(host.Dest), Phase: phases[host.Health], Rate: host.Rate}
+	return dispatch.EndpointEntry{Endpoint: dispatch.EndpointID(host.Host), Destination: dispatch.DestinationID(host.Destination), Phase: phases[host.Health], Rate: host.Rate}
 }
 
 func measureLists(ctx context.Context, play *Play) error {
@@ -126,7 +126,7 @@
 	for i := range changesNotified {
 		host := hosts[i*listed/changesNotified]
 		host.Health = protocol.Draining
-		cost, err := l.tell(false, []protocol.Host{host})
+		cost, err := l.tell(false, []protocol.Endpoint{host})
 		if err != nil {
 			return err
 		}
@@ -152,7 +152,7 @@
 	if _, err := l.tell(true, hosts); err != nil {
 		return err
 	}
-	changed := make([]protocol.Host, 0, waiting)
+	changed := make([]protocol.Endpoint, 0, waiting)
 	for i := range waiting {
 		host := hosts[i*listed/waiting]
 		host.Health = protocol.Draining
--- a/testbed/scale/reloads.go
+++ b/testbed/scale/reloads.go
@@ -97,7 +97,7 @@
 
 // read reads the file as a start does, or as a hangup does where the process runs already.
 func (h *hollowConfig) read(anew bool) (*config.Deployment, error) {
-	return config.From(config.Sources{Getenv: func(string) string { return "" }, File: h.file, State: h.state, Anew: anew})
+	return config.LoadFrom(config.Sources{Getenv: func(string) string { return "" }, File: h.file, State: h.state, IsReload: anew})
 }
 
 func (h *hollowConfig) start() (err error) {
@@ -114,11 +114,11 @@
 	if err != nil {
 		return err
 	}
-	if waiting := h.deployment.Waiting(next); len(waiting) > 0 {
+	if waiting := h.deployment.RestartKeys(next); len(waiting) > 0 {
 		return fmt.Errorf("%s: changes that wait for a start: %v", h.file, waiting)
 	}
 	merged := h.deployment.Merged(next)
-	if !h.deployment.SameDecisions(merged) {
+	if !h.deployment.SameDispatch(merged) {
 		h.courier.Handle(now, []dispatch.Event{dispatch.Reconfigured{Config: merged.Dispatch}})
 	}
 	h.deployment = merged
@@ -314,17 +314,17 @@
 
 // listText is discovery's list as it is sent.
 type listText struct {
-	Seq   int64           `json:"seq"`
-	Whole bool            `json:"whole"`
-	Hosts []protocol.Host `json:"hosts"`
+	Seq   int64               `json:"seq"`
+	Whole bool                `json:"whole"`
+	Hosts []protocol.Endpoint `json:"hosts"`
 }
 
 // listedHosts are so many endpoints, each of a destination of its own.
-func listedHosts(n int) []protocol.Host {
-	hosts := make([]protocol.Host, 0, n)
+func listedHosts(n int) []protocol.Endpoint {
+	hosts := make([]protocol.Endpoint, 0, n)
 	for i := range n {
-		hosts = append(hosts, protocol.Host{Host: fmt.Sprintf("e%d-0", i), Dial: fmt.Sprintf("10.%d.%d.%d:8080", i>>16&255, i>>8&255, i&255),
-			Zone: listedZone, Kind: listedKind, Dest: i, Health: protocol.InService, Rate: 50})
+		hosts = append(hosts, protocol.Endpoint{Host: fmt.Sprintf("e%d-0", i), Address: fmt.Sprintf("10.%d.%d.%d:8080", i>>16&255, i>>8&255, i&255),
+			Zone: listedZone, EndpointType: listedKind, Destination: i, Health: protocol.InService, Rate: 50})
 	}
 	return hosts
 }
--- a/testbed/simulation/quota.go
+++ b/testbed/simulation/quota.go
@@ -43,7 +43,7 @@
 	if !ok || s.now < c.standsTo {
 		return
 	}
-	d, ok := local.Courier(c.no).(dispatch.Demander)
+	d, ok := local.Courier(c.no).(dispatch.DemandReporter)
 	if !ok {
 		return
 	}
--- a/transport/halfclose.go
+++ b/transport/halfclose.go
@@ -16,8 +16,8 @@
 // Replier is a Handler that may owe its peer replies.
 type Replier interface {
 	Handler
-	// RepliesDue reports whether something that was read has no reply yet.
-	RepliesDue() bool
+	// HasPendingReplies reports whether something that was read has no reply yet.
+	HasPendingReplies() bool
 }
 
 // keepForReplies duplicates the descriptor of a connection whose peer has ended its sending, if replies are due. Bytes that
@@ -29,7 +29,7 @@
 // there, and it was closed with no answer. So the number is taken from the poll first.
 func (c *Conn) keepForReplies(raw *nbio.Conn) {
 	replier, ok := c.handler.(Replier)
-	if !ok || !replier.RepliesDue() || !c.Flushed() || !peerEnded(raw.Hash()) {
+	if !ok || !replier.HasPendingReplies() || !c.Flushed() || !peerEnded(raw.Hash()) {
 		return
 	}
 	if c.driver.removeFromPoll(raw.Hash()) != nil {
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -60,8 +60,8 @@
 	return conn, ok
 }
 
-// Listener makes a listener of a descriptor that this process inherited; the socket stays its holder's.
-func Listener(fd int) (net.Listener, error) {
+// ListenerFromFD makes a listener of a descriptor that this process inherited; the socket stays its holder's.
+func ListenerFromFD(fd int) (net.Listener, error) {
 	if listens, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN); err != nil || listens == 0 {
 		return nil, fmt.Errorf("descriptor %d is no listening socket (%v)", fd, err)
 	}
@@ -75,8 +75,8 @@
 	return net.FileListener(f)
 }
 
-// IsShortage reports whether a call failed as this machine is short of something, which it may have again in a moment.
-func IsShortage(err error) bool {
+// IsTemporary reports whether a call failed as this machine is short of something, which it may have again in a moment.
+func IsTemporary(err error) bool {
 	for _, shortage := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR} {
 		if errors.Is(err, shortage) {
 			return true
@@ -167,7 +167,7 @@
 	d.listener.Close()
 }
 
-// StopReading leaves all that comes from now on unread. Once a connection is Idle, nothing more is read from it.
+// StopReading leaves all that comes from now on unread. Once a connection is IsHandlerIdle, nothing more is read from it.
 func (d *Driver) StopReading() { d.stoppedReading.Store(true) }
 
 // knocked tells whether a connection waits to be accepted.
@@ -211,7 +211,7 @@
 	raw           *nbio.Conn
 	closing       bool
 	freed         bool        // the descriptor's number may be another connection's, or is about to be free
-	expiry        *time.Timer // see Expire; nil for none
+	expiry        *time.Timer // see CloseAfter; nil for none
 	closeReason   error       // it was closed by this side, if that had a reason of its own
 	cancelDial    func()      // ends a dial that is under way
 	handlerLock   sync.Mutex  // held while bytes are read and the handler runs
@@ -320,8 +320,8 @@
 // Unsent is how much the socket has not taken yet.
 func (c *Conn) Unsent() int64 { return c.queued.Load() - c.written.Load() }
 
-// Expire closes the connection if it is still there after a while; nought takes that back.
-func (c *Conn) Expire(after time.Duration) {
+// CloseAfter closes the connection if it is still there after a while; nought takes that back.
+func (c *Conn) CloseAfter(after time.Duration) {
 	c.state.Lock()
 	defer c.state.Unlock()
 	if c.expiry != nil {
@@ -404,8 +404,8 @@
 	return c.unread()
 }
 
-// Idle reports whether neither bytes are being read nor the handler runs.
-func (c *Conn) Idle() bool {
+// IsHandlerIdle reports whether neither bytes are being read nor the handler runs.
+func (c *Conn) IsHandlerIdle() bool {
 	if !c.handlerLock.TryLock() {
 		return false
 	}
