--- a/testbed/capacity/arithmetic_test.go
+++ b/testbed/capacity/arithmetic_test.go
@@ -87,7 +87,7 @@
 	}
 	all := []constant{
 		{"dispatch/breaker.go", `forgetAfter\s+= (\d+) \* second`, forgetAfter},
-		{"membership/gossip/gossip.go", `ticks\s+= (\d+)\s`, gossipTicks},
+		{"membership/gossip/gossip.go", `ticksPerInterval\s+= (\d+)\s`, gossipTicks},
 		{"server/discovery.go", `watchWait\s+= (\d+) \* 1000\n`, 1000 * watchSeconds},
 		{"cmd/pineport/fleet.go", `Interval: min\(o\.Interval/(\d+), maxExchangeInterval\)`, sharingTicks},
 		{"spool/spool.go", `reservedBytes: (\d+)}`, keptFreeEach},
--- a/testbed/capacity/rows_courier.go
+++ b/testbed/capacity/rows_courier.go
@@ -125,7 +125,7 @@
 	look.Reported = lookedAtRarely
 	return []Row{
 		{Role: RoleCourier, Resource: Bound, What: "members that a view keeps by name; the failed beyond are counted on", Unit: "couriers",
-			Worked: fleetMembers.At, CodeBound: &CodeBound{"maxNames", "membership/membership.go", mostNames}, Mechanism: Membership, Package: "membership", Status: RunsToday},
+			Worked: fleetMembers.At, CodeBound: &CodeBound{"maxMembers", "membership/membership.go", mostNames}, Mechanism: Membership, Package: "membership", Status: RunsToday},
 		{Role: RoleCourier, Resource: Bound, What: "starts that a full exchange tells; a larger one is refused whole", Unit: "couriers",
 			Worked: fleetMembers.At, CodeBound: &CodeBound{"MaxMapPairs", "membership/gossip/gossip.go", 8192}, Mechanism: Membership, Package: "membership/gossip", Status: RunsToday},
 		member(Messages, "packets of membership sent", "couriers.packets", "packets/s", nil),
