--- a/testbed/endpointmodel/endpoint.go
+++ b/testbed/endpointmodel/endpoint.go
@@ -8,81 +8,81 @@
 
 type endpoint struct {
 	Endpoint
-	route  *route
-	busy   int
-	queue  []*job
-	open   int    // connections
-	hand   []*job // in hand, oldest first; those that hang among them
-	lost   []*job // sent into silence
-	gone   bool
-	outage bool
-	ill
+	route       *route
+	busyWorkers int
+	queue       []*job
+	openConns   int    // connections
+	active      []*job // in hand, oldest first; those that hang among them
+	unanswered  []*job // sent into silence
+	removed     bool
+	outage      bool
+	faultEffects
 	faults []Fault
 }
 
 // ill is what all faults at an endpoint come to.
-type ill struct {
-	refuses, silent, hangs, shut, stands bool
-	until                                dispatch.Micros // when a shut endpoint opens
-	hangActs                             float64
-	errors, errorActs                    float64
-	swallow, resets, resetActs           float64
-	slow, table                          float64
+type faultEffects struct {
+	refusesConns, silent, hangs, throttlesAll, paused bool
+	opensAt                                           dispatch.Micros // when a shut endpoint opens
+	hangEffectShare                                   float64
+	errorShare, errorEffectShare                      float64
+	lostAnswerShare, resetShare, resetEffectShare     float64
+	slowdown, connShare                               float64
 }
 
 // diagnose sums up the faults.
-func (ep *endpoint) diagnose(fallen bool) {
-	ep.ill = ill{slow: 1, table: 1, refuses: fallen}
-	ep.outage = fallen
+func (ep *endpoint) updateEffects(overloaded bool) {
+	ep.faultEffects = faultEffects{slowdown: 1, connShare: 1, refusesConns: overloaded}
+	ep.outage = overloaded
 	for _, s := range ep.faults {
 		ep.outage = ep.outage || s.outage()
 		switch s.Kind {
 		case Refuse:
-			ep.refuses = true
+			ep.refusesConns = true
 		case Silent:
 			ep.silent = true
 		case Hang:
-			ep.hangs, ep.hangActs = true, max(ep.hangActs, s.Acts)
+			ep.hangs, ep.hangEffectShare = true, max(ep.hangEffectShare, s.Acts)
 		case Shut:
-			ep.shut, ep.until = true, max(ep.until, s.Until)
+			ep.throttlesAll, ep.opensAt = true, max(ep.opensAt, s.Until)
 		case Errors:
-			ep.errors, ep.errorActs = max(ep.errors, s.Size), max(ep.errorActs, s.Acts)
+			ep.errorShare, ep.errorEffectShare = max(ep.errorShare, s.Size), max(ep.errorEffectShare, s.Acts)
 		case Swallow:
-			ep.swallow = max(ep.swallow, s.Size)
+			ep.lostAnswerShare = max(ep.lostAnswerShare, s.Size)
 		case Resets:
-			ep.resets, ep.resetActs = max(ep.resets, s.Size), max(ep.resetActs, s.Acts)
+			ep.resetShare, ep.resetEffectShare = max(ep.resetShare, s.Size), max(ep.resetEffectShare, s.Acts)
 		case Slow:
-			ep.slow *= max(1, s.Size)
-		case Stand:
-			ep.stands = true
+			ep.slowdown *= max(1, s.Size)
+		case Pause:
+			ep.paused = true
 		case Crowd:
-			ep.table *= s.Size
+			ep.connShare *= s.Size
 		}
 	}
 }
 
 // job is a call in hand.
 type job struct {
-	call   *Call
-	ep     *endpoint
-	fate   fate
-	began  bool // a worker is on it
-	over   bool
-	called bool // off
-	after  dispatch.Micros
+	call           *Call
+	ep             *endpoint
+	result         jobResult
+	started        bool // a worker is on it
+	ended          bool
+	canceled       bool // off
+	dueWhilePaused dispatch.Micros
 }
 
 // fate is what will come of a job, settled when it begins.
-type fate struct {
-	outcome dispatch.Outcome
-	acts    bool
-	mute    bool // no answer comes
-	wait    dispatch.Micros
+type jobResult struct {
+	outcome     dispatch.Outcome
+	takesEffect bool
+	noAnswer    bool // no answer comes
+	retryAfter  dispatch.Micros
 }
 
-func (ep *endpoint) drop(j *job) {
-	if i := slices.Index(ep.hand, j); i >= 0 {
-		ep.hand = slices.Delete(ep.hand, i, i+1)
+func (ep *endpoint) removeJob(j *job) {
+	if i := slices.Index(ep.active, j); i >= 0 {
+		ep.active = slices.Delete(ep.active, i, i+1)
 	}
 	if i := slices.Index(ep.queue, j); i >= 0 {
 		ep.queue = slices.Delete(ep.queue, i, i+1)
--- a/testbed/endpointmodel/endpointmodel.go
+++ b/testbed/endpointmodel/endpointmodel.go
@@ -16,16 +16,16 @@
 
 // Partner is one destination.
 type Partner struct {
-	plan      Plan
-	rng       *rand.Rand
-	spread    distuv.LogNormal // of the time of service, with the mean 1
-	routes    []*route
-	endpoints map[dispatch.EndpointID]*endpoint
-	order     []*endpoint
-	timers    timers
-	seq       int
-	ran       map[dispatch.MessageID][]effect
-	out       []Output
+	plan         Plan
+	rng          *rand.Rand
+	serviceTimes distuv.LogNormal // of the time of service, with the mean 1
+	routes       []*route
+	endpoints    map[dispatch.EndpointID]*endpoint
+	order        []*endpoint
+	timers       timers
+	seq          int
+	effects      map[dispatch.MessageID][]effect
+	outputs      []Output
 }
 
 // effect is one time that a message took effect.
@@ -37,10 +37,10 @@
 // New makes a destination.
 func New(plan Plan) *Partner {
 	source := rand.NewPCG(plan.Seed, 0x70617274)
-	variance := math.Log(1 + plan.Spread*plan.Spread)
+	variance := math.Log(1 + plan.ServiceTimeCV*plan.ServiceTimeCV)
 	p := &Partner{plan: plan, rng: rand.New(source), endpoints: map[dispatch.EndpointID]*endpoint{},
-		spread: distuv.LogNormal{Mu: -variance / 2, Sigma: math.Sqrt(variance), Src: source},
-		ran:    map[dispatch.MessageID][]effect{}}
+		serviceTimes: distuv.LogNormal{Mu: -variance / 2, Sigma: math.Sqrt(variance), Src: source},
+		effects:      map[dispatch.MessageID][]effect{}}
 	for _, e := range plan.Endpoints {
 		p.Add(e)
 	}
@@ -57,7 +57,7 @@
 	}
 	ep := &endpoint{Endpoint: e, route: p.routes[len(p.routes)-1]}
 	ep.route.endpoints = append(ep.route.endpoints, ep)
-	ep.diagnose(false)
+	ep.updateEffects(false)
 	p.endpoints[e.ID] = ep
 	p.order = append(p.order, ep)
 }
@@ -65,147 +65,147 @@
 // Route is the number of the route that an endpoint belongs to; -1 for a strange endpoint.
 func (p *Partner) Route(id dispatch.EndpointID) int {
 	if ep := p.endpoints[id]; ep != nil {
-		return ep.route.no
+		return ep.route.number
 	}
 	return -1
 }
 
 // Remove takes an endpoint away: what it had in hand is cut off, connections are refused from now on.
 func (p *Partner) Remove(_ dispatch.Micros, id dispatch.EndpointID) []Output {
-	p.out = nil
-	if ep := p.endpoints[id]; ep != nil && !ep.gone {
-		ep.gone = true
-		p.cutOff(ep)
+	p.outputs = nil
+	if ep := p.endpoints[id]; ep != nil && !ep.removed {
+		ep.removed = true
+		p.breakCalls(ep)
 	}
-	return p.out
+	return p.outputs
 }
 
 // Connect asks an endpoint for a connection.
-func (p *Partner) Connect(_ dispatch.Micros, id dispatch.EndpointID) Link {
-	link := p.Door(id)
+func (p *Partner) Connect(_ dispatch.Micros, id dispatch.EndpointID) ConnectResult {
+	link := p.ConnectStatus(id)
 	if link == Up {
-		p.endpoints[id].open++
+		p.endpoints[id].openConns++
 	}
 	return link
 }
 
 // Disconnect gives a connection back.
 func (p *Partner) Disconnect(id dispatch.EndpointID) {
-	if ep := p.endpoints[id]; ep != nil && ep.open > 0 {
-		ep.open--
+	if ep := p.endpoints[id]; ep != nil && ep.openConns > 0 {
+		ep.openConns--
 	}
 }
 
 // Take takes a call over a connection that is up.
 func (p *Partner) Take(now dispatch.Micros, c *Call) []Output {
-	p.out = nil
+	p.outputs = nil
 	ep := p.endpoints[c.Endpoint]
-	if ep == nil || ep.gone || ep.refuses {
-		p.say(Answer{Call: c, Outcome: dispatch.Broken})
-		return p.out
+	if ep == nil || ep.removed || ep.refusesConns {
+		p.emit(Answer{Call: c, Outcome: dispatch.Broken})
+		return p.outputs
 	}
 	j := &job{call: c, ep: ep}
 	c.job = j
 	if ep.silent {
-		ep.lost = append(ep.lost, j)
-		return p.out
+		ep.unanswered = append(ep.unanswered, j)
+		return p.outputs
 	}
-	if sent, since, falls := ep.route.press(now, c.Courier); falls {
-		p.say(Fell{Route: ep.route.no, Since: since, Sent: sent})
-		p.fall(now, ep.route)
-		if ep.refuses {
-			p.say(Answer{Call: c, Outcome: dispatch.Broken})
-			return p.out
+	if sent, since, overloaded := ep.route.countCall(now, c.Courier); overloaded {
+		p.emit(Fell{Route: ep.route.number, Since: since, Sent: sent})
+		p.overload(now, ep.route)
+		if ep.refusesConns {
+			p.emit(Answer{Call: c, Outcome: dispatch.Broken})
+			return p.outputs
 		}
 	}
-	p.judge(now, j)
-	return p.out
+	p.decideResult(now, j)
+	return p.outputs
 }
 
 // quick is what turning a call away takes: a millisecond.
-const quick = 1000
+const rejectTime = 1000
 
 // judge settles what comes of a call, as far as health, limit and queue go.
-func (p *Partner) judge(now dispatch.Micros, j *job) {
+func (p *Partner) decideResult(now dispatch.Micros, j *job) {
 	ep := j.ep
-	full := func(wait dispatch.Micros) {
-		j.fate = fate{outcome: dispatch.Throttled, wait: (wait + quick - 1) / quick * quick} // reported in whole milliseconds
-		ep.hand = append(ep.hand, j)
-		p.after(now+quick, j)
+	throttle := func(wait dispatch.Micros) {
+		j.result = jobResult{outcome: dispatch.Throttled, retryAfter: (wait + rejectTime - 1) / rejectTime * rejectTime} // reported in whole milliseconds
+		ep.active = append(ep.active, j)
+		p.schedule(now+rejectTime, j)
 	}
-	if ep.shut {
+	if ep.throttlesAll {
 		wait := dispatch.Micros(0)
-		if ep.until > now && p.rng.Float64() < p.plan.Limit.Tells {
-			wait = ep.until - now
+		if ep.opensAt > now && p.rng.Float64() < p.plan.Limit.RetryAfterShare {
+			wait = ep.opensAt - now
 		}
-		full(wait)
+		throttle(wait)
 		return
 	}
-	if ok, wait := ep.route.meter.take(now); !ok {
-		full(wait)
+	if ok, wait := ep.route.limiter.allow(now); !ok {
+		throttle(wait)
 		return
 	}
 	switch chance := p.rng.Float64(); {
 	case ep.hangs:
-		j.fate = fate{mute: true, acts: p.rng.Float64() < ep.hangActs}
-		ep.hand = append(ep.hand, j)
-		p.after(now+p.service(now, j), j) // it holds no worker: what hangs would else answer full before long
+		j.result = jobResult{noAnswer: true, takesEffect: p.rng.Float64() < ep.hangEffectShare}
+		ep.active = append(ep.active, j)
+		p.schedule(now+p.serviceTime(now, j), j) // it holds no worker: what hangs would else answer full before long
 		return
-	case chance < ep.errors || chance < p.plan.ErrorRate:
-		j.fate = fate{outcome: dispatch.Failure, acts: p.rng.Float64() < ep.errorActs}
-		ep.hand = append(ep.hand, j)
-		p.after(now+p.service(now, j)/10, j)
+	case chance < ep.errorShare || chance < p.plan.ErrorRate:
+		j.result = jobResult{outcome: dispatch.Failure, takesEffect: p.rng.Float64() < ep.errorEffectShare}
+		ep.active = append(ep.active, j)
+		p.schedule(now+p.serviceTime(now, j)/10, j)
 		return
-	case chance < ep.resets:
-		j.fate = fate{outcome: dispatch.Broken, acts: p.rng.Float64() < ep.resetActs}
-	case chance < ep.swallow:
-		j.fate = fate{mute: true, acts: true}
+	case chance < ep.resetShare:
+		j.result = jobResult{outcome: dispatch.Broken, takesEffect: p.rng.Float64() < ep.resetEffectShare}
+	case chance < ep.lostAnswerShare:
+		j.result = jobResult{noAnswer: true, takesEffect: true}
 	default:
-		j.fate = fate{outcome: dispatch.Delivered, acts: true}
+		j.result = jobResult{outcome: dispatch.Delivered, takesEffect: true}
 	}
 	switch {
-	case ep.busy < p.plan.Workers:
-		ep.hand = append(ep.hand, j)
-		p.begin(now, j)
+	case ep.busyWorkers < p.plan.Workers:
+		ep.active = append(ep.active, j)
+		p.startService(now, j)
 	case len(ep.queue) < p.plan.Queue:
-		ep.hand, ep.queue = append(ep.hand, j), append(ep.queue, j)
+		ep.active, ep.queue = append(ep.active, j), append(ep.queue, j)
 	default:
-		full(0)
+		throttle(0)
 	}
 }
 
-func (p *Partner) begin(now dispatch.Micros, j *job) {
-	j.began = true
-	j.ep.busy++
-	p.after(now+p.service(now, j), j)
+func (p *Partner) startService(now dispatch.Micros, j *job) {
+	j.started = true
+	j.ep.busyWorkers++
+	p.schedule(now+p.serviceTime(now, j), j)
 }
 
 // service draws how long a call takes.
-func (p *Partner) service(now dispatch.Micros, j *job) dispatch.Micros {
+func (p *Partner) serviceTime(now dispatch.Micros, j *job) dispatch.Micros {
 	work := 1 + p.plan.ItemCost*float64(len(j.call.Items)-1)
-	span := float64(p.plan.Answer) * work * j.ep.slow / j.ep.route.warm(now)
-	if p.plan.Spread > 0 {
-		span *= p.spread.Rand()
+	duration := float64(p.plan.Answer) * work * j.ep.slowdown / j.ep.route.warmShare(now)
+	if p.plan.ServiceTimeCV > 0 {
+		duration *= p.serviceTimes.Rand()
 	}
-	return max(quick, dispatch.Micros(span))
+	return max(rejectTime, dispatch.Micros(duration))
 }
 
 // CallOff tells that nobody waits for a call any more: what has not begun is dropped, what has runs on.
 func (p *Partner) CallOff(_ dispatch.Micros, c *Call) []Output {
-	p.out = nil
+	p.outputs = nil
 	j := c.job
 	if j == nil {
 		return nil
 	}
-	j.called = true
-	if i := slices.Index(j.ep.lost, j); i >= 0 {
-		j.ep.lost = slices.Delete(j.ep.lost, i, i+1)
+	j.canceled = true
+	if i := slices.Index(j.ep.unanswered, j); i >= 0 {
+		j.ep.unanswered = slices.Delete(j.ep.unanswered, i, i+1)
 	}
-	if !j.over && !j.began && slices.Contains(j.ep.queue, j) {
-		j.over = true
-		j.ep.drop(j)
+	if !j.ended && !j.started && slices.Contains(j.ep.queue, j) {
+		j.ended = true
+		j.ep.removeJob(j)
 	}
-	return p.out
+	return p.outputs
 }
 
 // Due is when something happens next by itself.
@@ -213,104 +213,104 @@
 	if len(p.timers) == 0 {
 		return Never
 	}
-	return p.timers[0].at
+	return p.timers[0].due
 }
 
 // Step lets happen what is due.
 func (p *Partner) Step(now dispatch.Micros) []Output {
-	p.out = nil
-	for len(p.timers) > 0 && p.timers[0].at <= now {
+	p.outputs = nil
+	for len(p.timers) > 0 && p.timers[0].due <= now {
 		t := heap.Pop(&p.timers).(timer)
 		switch {
 		case t.route != nil:
-			p.look(now, t.route)
-		case t.job.over:
-		case t.job.ep.stands:
-			t.job.after = now // its end is set anew when it goes on
+			p.updatePhase(now, t.route)
+		case t.job.ended:
+		case t.job.ep.paused:
+			t.job.dueWhilePaused = now // its end is set anew when it goes on
 		default:
 			p.finish(now, t.job)
 		}
 	}
-	return p.out
+	return p.outputs
 }
 
 // finish ends a job: its effect, its answer, and the next in the queue.
 func (p *Partner) finish(now dispatch.Micros, j *job) {
 	ep := j.ep
-	j.over = true
-	if j.fate.acts {
-		p.act(now, j)
+	j.ended = true
+	if j.result.takesEffect {
+		p.applyEffects(now, j)
 	}
-	if !j.fate.mute {
-		ep.drop(j)
+	if !j.result.noAnswer {
+		ep.removeJob(j)
 		p.answer(now, j)
-	} else if ep.drop(j); !j.called {
-		ep.lost = append(ep.lost, j)
+	} else if ep.removeJob(j); !j.canceled {
+		ep.unanswered = append(ep.unanswered, j)
 	}
-	if j.began {
-		ep.busy--
+	if j.started {
+		ep.busyWorkers--
 		p.nextInQueue(now, ep)
 	}
 }
 
 func (p *Partner) nextInQueue(now dispatch.Micros, ep *endpoint) {
-	for len(ep.queue) > 0 && ep.busy < p.plan.Workers {
+	for len(ep.queue) > 0 && ep.busyWorkers < p.plan.Workers {
 		next := ep.queue[0]
 		ep.queue = ep.queue[1:]
-		p.begin(now, next)
+		p.startService(now, next)
 	}
 }
 
 func (p *Partner) answer(now dispatch.Micros, j *job) {
-	a := Answer{Call: j.call, Outcome: j.fate.outcome, Wait: j.fate.wait}
+	a := Answer{Call: j.call, Outcome: j.result.outcome, Wait: j.result.retryAfter}
 	if p.plan.Reports {
-		a.Pressure = j.ep.route.meter.report(now)
+		a.Pressure = j.ep.route.limiter.report(now)
 	}
-	if !j.called {
-		p.say(a)
+	if !j.canceled {
+		p.emit(a)
 	}
 }
 
 // act lets the messages of a call take effect, but for repeats that are known by their mark.
-func (p *Partner) act(now dispatch.Micros, j *job) {
+func (p *Partner) applyEffects(now dispatch.Micros, j *job) {
 	for _, item := range j.call.Items {
-		before := p.ran[item.Origin]
-		known := false
+		earlier := p.effects[item.Origin]
+		deduplicated := false
 		if item.Repeat == dispatch.IdempotencyKey {
-			for _, e := range before {
-				known = known || now-e.at <= item.Window && (!item.OneZone || e.zone == j.ep.Zone)
+			for _, e := range earlier {
+				deduplicated = deduplicated || now-e.at <= item.Window && (!item.OneZone || e.zone == j.ep.Zone)
 			}
 		}
-		if !known {
-			p.ran[item.Origin] = append(before, effect{now, j.ep.Zone})
+		if !deduplicated {
+			p.effects[item.Origin] = append(earlier, effect{now, j.ep.Zone})
 		}
-		p.say(Ran{Item: item, Endpoint: j.ep.ID, Courier: j.call.Courier, Before: len(before), Known: known})
+		p.emit(Ran{Item: item, Endpoint: j.ep.ID, Courier: j.call.Courier, Before: len(earlier), Known: deduplicated})
 	}
 }
 
 // cutOff breaks what an endpoint has in hand; it comes to nothing.
-func (p *Partner) cutOff(ep *endpoint) {
-	for _, j := range append(slices.Clone(ep.hand), ep.lost...) {
-		if j.call != nil && !j.called {
-			p.say(Answer{Call: j.call, Outcome: dispatch.Broken})
+func (p *Partner) breakCalls(ep *endpoint) {
+	for _, j := range append(slices.Clone(ep.active), ep.unanswered...) {
+		if j.call != nil && !j.canceled {
+			p.emit(Answer{Call: j.call, Outcome: dispatch.Broken})
 		}
-		j.over = true
+		j.ended = true
 	}
-	ep.hand, ep.queue, ep.lost, ep.busy = nil, nil, nil, 0
+	ep.active, ep.queue, ep.unanswered, ep.busyWorkers = nil, nil, nil, 0
 }
 
-func (p *Partner) say(o Output) { p.out = append(p.out, o) }
+func (p *Partner) emit(o Output) { p.outputs = append(p.outputs, o) }
 
-func (p *Partner) after(at dispatch.Micros, j *job) {
+func (p *Partner) schedule(at dispatch.Micros, j *job) {
 	p.seq++
-	heap.Push(&p.timers, timer{at: at, seq: p.seq, job: j})
+	heap.Push(&p.timers, timer{due: at, seq: p.seq, job: j})
 }
 
 // timers is a heap by instant, and by order of setting within one.
 type timers []timer
 
 type timer struct {
-	at    dispatch.Micros
+	due   dispatch.Micros
 	seq   int
 	job   *job
 	route *route
@@ -318,7 +318,7 @@
 
 func (t timers) Len() int { return len(t) }
 func (t timers) Less(a, b int) bool {
-	return t[a].at < t[b].at || t[a].at == t[b].at && t[a].seq < t[b].seq
+	return t[a].due < t[b].due || t[a].due == t[b].due && t[a].seq < t[b].seq
 }
 func (t timers) Swap(a, b int) { t[a], t[b] = t[b], t[a] }
 func (t *timers) Push(x any)   { *t = append(*t, x.(timer)) }
@@ -329,22 +329,22 @@
 	return last
 }
 
-// Door tells how an endpoint treats who asks for a connection just now, without opening one.
-func (p *Partner) Door(id dispatch.EndpointID) Link {
+// ConnectStatus tells how an endpoint treats who asks for a connection just now, without opening one.
+func (p *Partner) ConnectStatus(id dispatch.EndpointID) ConnectResult {
 	ep := p.endpoints[id]
 	switch {
-	case p.Dead(id):
+	case p.IsDown(id):
 		return Refused
 	case ep.silent:
 		return NoWord
-	case p.plan.Connections > 0 && float64(ep.open) >= float64(p.plan.Connections)*ep.table:
+	case p.plan.Connections > 0 && float64(ep.openConns) >= float64(p.plan.Connections)*ep.connShare:
 		return Refused
 	}
 	return Up
 }
 
-// Dead tells whether an endpoint's process does not run: no connection to it lives.
-func (p *Partner) Dead(id dispatch.EndpointID) bool {
+// IsDown tells whether an endpoint's process does not run: no connection to it lives.
+func (p *Partner) IsDown(id dispatch.EndpointID) bool {
 	ep := p.endpoints[id]
-	return ep == nil || ep.gone || ep.refuses
+	return ep == nil || ep.removed || ep.refusesConns
 }
--- a/testbed/endpointmodel/health.go
+++ b/testbed/endpointmodel/health.go
@@ -9,109 +9,109 @@
 
 // Inject lets a fault begin at an endpoint.
 func (p *Partner) Inject(now dispatch.Micros, id dispatch.EndpointID, s Fault) []Output {
-	p.out = nil
+	p.outputs = nil
 	ep := p.endpoints[id]
-	if ep == nil || ep.gone {
+	if ep == nil || ep.removed {
 		return nil
 	}
-	before := ep.ill
+	before := ep.faultEffects
 	ep.faults = append(ep.faults, s)
-	p.changed(now, ep, before)
-	return p.out
+	p.applyFaults(now, ep, before)
+	return p.outputs
 }
 
 // Heal ends a trouble at an endpoint.
-func (p *Partner) Heal(now dispatch.Micros, id dispatch.EndpointID, fault int) []Output {
-	p.out = nil
+func (p *Partner) Heal(now dispatch.Micros, id dispatch.EndpointID, faultID int) []Output {
+	p.outputs = nil
 	ep := p.endpoints[id]
 	if ep == nil {
 		return nil
 	}
-	before := ep.ill
-	ep.faults = slices.DeleteFunc(ep.faults, func(s Fault) bool { return s.ID == fault })
-	p.changed(now, ep, before)
-	return p.out
+	before := ep.faultEffects
+	ep.faults = slices.DeleteFunc(ep.faults, func(s Fault) bool { return s.ID == faultID })
+	p.applyFaults(now, ep, before)
+	return p.outputs
 }
 
 // changed carries out what new or ended faults mean for what is in hand.
-func (p *Partner) changed(now dispatch.Micros, ep *endpoint, before ill) {
-	ep.diagnose(ep.route.fellTo > now)
-	shrunk := 1.0
+func (p *Partner) applyFaults(now dispatch.Micros, ep *endpoint, before faultEffects) {
+	ep.updateEffects(ep.route.downUntil > now)
+	remaining := 1.0
 	for _, other := range ep.route.endpoints {
 		for _, s := range other.faults {
 			if s.Kind == Shrink {
-				shrunk = min(shrunk, s.Size)
+				remaining = min(remaining, s.Size)
 			}
 		}
 	}
-	ep.route.meter.fill(now)
-	ep.route.meter.shrunk = shrunk
+	ep.route.limiter.refill(now)
+	ep.route.limiter.remaining = remaining
 	switch {
-	case ep.refuses && !before.refuses:
-		p.cutOff(ep)
-		ep.open = 0
+	case ep.refusesConns && !before.refusesConns:
+		p.breakCalls(ep)
+		ep.openConns = 0
 	case ep.silent && !before.silent:
-		ep.lost = append(ep.lost, ep.hand...)
-		for _, j := range ep.hand {
-			j.over = true
+		ep.unanswered = append(ep.unanswered, ep.active...)
+		for _, j := range ep.active {
+			j.ended = true
 		}
-		ep.hand, ep.queue, ep.busy = nil, nil, 0
+		ep.active, ep.queue, ep.busyWorkers = nil, nil, 0
 	case !ep.silent && before.silent: // it is back: what was open there is reset
-		p.cutOff(ep)
-		ep.open = 0
+		p.breakCalls(ep)
+		ep.openConns = 0
 	}
-	if before.stands && !ep.stands {
-		p.goOn(now, ep)
+	if before.paused && !ep.paused {
+		p.resume(now, ep)
 	}
-	p.look(now, ep.route)
+	p.updatePhase(now, ep.route)
 }
 
 // goOn ends a standstill: what fell due in it ends now.
-func (p *Partner) goOn(now dispatch.Micros, ep *endpoint) {
-	for _, j := range ep.hand {
-		if j.after > 0 && !j.over {
-			j.after = 0
-			p.after(now, j)
+func (p *Partner) resume(now dispatch.Micros, ep *endpoint) {
+	for _, j := range ep.active {
+		if j.dueWhilePaused > 0 && !j.ended {
+			j.dueWhilePaused = 0
+			p.schedule(now, j)
 		}
 	}
 }
 
 // look brings the phase of a route up to date.
-func (p *Partner) look(now dispatch.Micros, rt *route) {
-	if rt.fellTo > 0 && now >= rt.fellTo {
-		rt.fellTo = 0
+func (p *Partner) updatePhase(now dispatch.Micros, rt *route) {
+	if rt.downUntil > 0 && now >= rt.downUntil {
+		rt.downUntil = 0
 		for _, ep := range rt.endpoints {
-			ep.diagnose(false)
+			ep.updateEffects(false)
 		}
 	}
-	out := rt.out()
+	out := rt.isUnavailable()
 	switch {
 	case out && rt.phase != Out:
 		rt.phase = Out
-		p.say(Turned{rt.no, Out})
+		p.emit(Turned{rt.number, Out})
 	case !out && rt.phase == Out:
-		rt.phase, rt.coldSince, rt.load = Cold, now, nil
-		p.say(Turned{rt.no, Cold})
-		p.lookAt(now+p.plan.Ramp, rt)
+		rt.phase, rt.coldSince, rt.recentCalls = Cold, now, nil
+		p.emit(Turned{rt.number, Cold})
+		p.schedulePhaseUpdate(now+p.plan.Ramp, rt)
 	case rt.phase == Cold && now >= rt.coldSince+p.plan.Ramp:
-		rt.phase = Well
-		p.say(Turned{rt.no, Well})
+		rt.phase = Healthy
+		p.emit(Turned{rt.number, Healthy})
 	}
 }
 
 // fall puts a route down that was sent too much on its return.
-func (p *Partner) fall(now dispatch.Micros, rt *route) {
-	rt.fellTo = now + p.plan.FallDown
+func (p *Partner) overload(now dispatch.Micros, rt *route) {
+	rt.downUntil = now + p.plan.OverloadDowntime
 	for _, ep := range rt.endpoints {
-		ep.diagnose(true)
-		p.cutOff(ep)
-		ep.open = 0
+		ep.updateEffects(true)
+		p.breakCalls(ep)
+		ep.openConns = 0
 	}
-	p.lookAt(rt.fellTo, rt)
-	p.look(now, rt)
+	p.schedulePhaseUpdate(rt.downUntil, rt)
+	p.updatePhase(now, rt)
 }
 
-func (p *Partner) lookAt(at dispatch.Micros, rt *route) {
+func (p *Partner) schedulePhaseUpdate(at dispatch.Micros, rt *route) {
 	p.seq++
-	heap.Push(&p.timers, timer{at: at, seq: p.seq, route: rt})
+	heap.Push(&p.timers, timer{due: at, seq: p.seq, route: rt})
 }
--- a/testbed/endpointmodel/limit.go
+++ b/testbed/endpointmodel/limit.go
@@ -7,82 +7,82 @@
 )
 
 // meter counts calls against a limit.
-type meter struct {
-	limit  Limit
-	rng    *rand.Rand
-	shrunk float64 // what is left of the limit, by faults
-	tokens float64
-	at     dispatch.Micros
-	span   int64 // the window that is counted
-	used   int
+type limiter struct {
+	limit        Limit
+	rng          *rand.Rand
+	remaining    float64 // what is left of the limit, by faults
+	tokens       float64
+	filledAt     dispatch.Micros
+	windowNumber int64 // the window that is counted
+	usedInWindow int
 
-	every          dispatch.Micros // of its reports
-	noise          float64
-	reportAt       dispatch.Micros
-	leftAt, rateAt float64
+	reportEvery                dispatch.Micros // of its reports
+	reportNoise                float64
+	nextReportAt               dispatch.Micros
+	reportedLeft, reportedRate float64
 }
 
-func (m *meter) rate() float64 { return m.limit.PerSec * m.shrunk }
+func (m *limiter) rate() float64 { return m.limit.PerSec * m.remaining }
 
 // saved is how many calls may be saved up: half a second's value.
-func (m *meter) saved() float64 { return max(1, m.rate()/2) }
+func (m *limiter) burst() float64 { return max(1, m.rate()/2) }
 
-func (m *meter) fill(now dispatch.Micros) {
+func (m *limiter) refill(now dispatch.Micros) {
 	switch m.limit.Kind {
 	case Rate:
-		m.tokens = min(m.saved(), m.tokens+m.rate()*float64(now-m.at)/1e6)
-		m.at = now
+		m.tokens = min(m.burst(), m.tokens+m.rate()*float64(now-m.filledAt)/1e6)
+		m.filledAt = now
 	case Window:
-		if span := int64(now / m.limit.Span); span != m.span {
-			m.span, m.used = span, 0
+		if number := int64(now / m.limit.Span); number != m.windowNumber {
+			m.windowNumber, m.usedInWindow = number, 0
 		}
 	}
 }
 
-func (m *meter) windowful() int { return max(1, int(m.rate()*float64(m.limit.Span)/1e6)) }
+func (m *limiter) windowLimit() int { return max(1, int(m.rate()*float64(m.limit.Span)/1e6)) }
 
 // take tells whether a call is within the limit; where it is not, how long to wait, if that is notified.
-func (m *meter) take(now dispatch.Micros) (ok bool, wait dispatch.Micros) {
-	m.fill(now)
+func (m *limiter) allow(now dispatch.Micros) (ok bool, retryAfter dispatch.Micros) {
+	m.refill(now)
 	switch m.limit.Kind {
 	case NoLimit:
 		return true, 0
 	case Window:
-		if m.used < m.windowful() {
-			m.used++
+		if m.usedInWindow < m.windowLimit() {
+			m.usedInWindow++
 			return true, 0
 		}
-		wait = dispatch.Micros(m.span+1)*m.limit.Span - now
+		retryAfter = dispatch.Micros(m.windowNumber+1)*m.limit.Span - now
 	default:
 		if m.tokens >= 1 {
 			m.tokens--
 			return true, 0
 		}
-		if m.limit.RefusedCount {
-			m.tokens = max(-m.saved(), m.tokens-1)
+		if m.limit.CountRefused {
+			m.tokens = max(-m.burst(), m.tokens-1)
 		}
-		wait = dispatch.Micros((1 - m.tokens) / max(m.rate(), 1e-3) * 1e6)
+		retryAfter = dispatch.Micros((1 - m.tokens) / max(m.rate(), 1e-3) * 1e6)
 	}
-	if m.rng.Float64() >= m.limit.Tells {
+	if m.rng.Float64() >= m.limit.RetryAfterShare {
 		return false, 0
 	}
-	return false, max(wait, m.limit.LeastWait)
+	return false, max(retryAfter, m.limit.MinRetryAfter)
 }
 
 // report is the share of the limit that is left, and the limit; late and noisy, as it is read now and then.
-func (m *meter) report(now dispatch.Micros) []float64 {
+func (m *limiter) report(now dispatch.Micros) []float64 {
 	if m.limit.Kind == NoLimit {
 		return []float64{0, 0}
 	}
-	if now >= m.reportAt {
-		m.fill(now)
-		left := max(0, m.tokens) / m.saved()
+	if now >= m.nextReportAt {
+		m.refill(now)
+		left := max(0, m.tokens) / m.burst()
 		if m.limit.Kind == Window {
-			left = 1 - float64(m.used)/float64(m.windowful())
+			left = 1 - float64(m.usedInWindow)/float64(m.windowLimit())
 		}
-		blur := func() float64 { return 1 + m.noise*m.rng.NormFloat64() }
-		m.leftAt, m.rateAt = min(1, max(0, left*blur())), max(0.01, m.rate()*blur())
-		m.reportAt = now + m.every
+		noise := func() float64 { return 1 + m.reportNoise*m.rng.NormFloat64() }
+		m.reportedLeft, m.reportedRate = min(1, max(0, left*noise())), max(0.01, m.rate()*noise())
+		m.nextReportAt = now + m.reportEvery
 	}
-	return []float64{m.leftAt, m.rateAt}
+	return []float64{m.reportedLeft, m.reportedRate}
 }
--- a/testbed/endpointmodel/plan.go
+++ b/testbed/endpointmodel/plan.go
@@ -19,12 +19,12 @@
 
 // Limit is what a route takes from all couriers together.
 type Limit struct {
-	Kind         LimitKind
-	PerSec       float64
-	Span         dispatch.Micros // of a Window
-	RefusedCount bool            // refused calls use it up as well
-	Tells        float64         // share of refusals that tell how long to wait
-	LeastWait    dispatch.Micros // the shortest wait that is notified
+	Kind            LimitKind
+	PerSec          float64
+	Span            dispatch.Micros // of a Window
+	CountRefused    bool            // refused calls use it up as well
+	RetryAfterShare float64         // share of refusals that tell how long to wait
+	MinRetryAfter   dispatch.Micros // the shortest wait that is notified
 }
 
 // Endpoint is one address of a destination.
@@ -35,28 +35,28 @@
 
 // Plan is what a destination is made from.
 type Plan struct {
-	Dest        dispatch.DestinationID
-	Kind        dispatch.EndpointTypeID
-	Apart       bool // each endpoint is a route of its own, with its own limit, outages and return
-	PerCall     int  // messages in a call at most
-	ItemCost    float64
-	Endpoints   []Endpoint
-	Workers     int             // calls that an endpoint serves at once
-	Queue       int             // calls that wait at an endpoint at most
-	Connections int             // that an endpoint holds, idle ones counted; 0: any number
-	Answer      dispatch.Micros // mean time of service
-	Spread      float64         // coefficient of variation of it (lognormal)
-	ErrorRate   float64         // of calls in good health
-	Limit       Limit
-	Reports     bool // answers tell how much of the limit is left, and the limit
-	ReportEvery dispatch.Micros
-	ReportNoise float64
-	ColdFrom    float64 // share of the capacity at a return
-	Ramp        dispatch.Micros
-	Fall        float64 // sent more than this multiple of its present capacity ...
-	FallSpan    dispatch.Micros
-	FallDown    dispatch.Micros // ... for so long, it falls over, and is down for so long
-	Seed        uint64
+	Dest             dispatch.DestinationID
+	Kind             dispatch.EndpointTypeID
+	Apart            bool // each endpoint is a route of its own, with its own limit, outages and return
+	PerCall          int  // messages in a call at most
+	ItemCost         float64
+	Endpoints        []Endpoint
+	Workers          int             // calls that an endpoint serves at once
+	Queue            int             // calls that wait at an endpoint at most
+	Connections      int             // that an endpoint holds, idle ones counted; 0: any number
+	Answer           dispatch.Micros // mean time of service
+	ServiceTimeCV    float64         // coefficient of variation of it (lognormal)
+	ErrorRate        float64         // of calls in good health
+	Limit            Limit
+	Reports          bool // answers tell how much of the limit is left, and the limit
+	ReportEvery      dispatch.Micros
+	ReportNoise      float64
+	ColdFrom         float64 // share of the capacity at a return
+	Ramp             dispatch.Micros
+	Fall             float64 // sent more than this multiple of its present capacity ...
+	FallSpan         dispatch.Micros
+	OverloadDowntime dispatch.Micros // ... for so long, it falls over, and is down for so long
+	Seed             uint64
 }
 
 // Capacity is how many calls a second an endpoint in good health serves.
@@ -122,19 +122,19 @@
 
 // The phases of a route.
 const (
-	Well Phase = iota
+	Healthy Phase = iota
 	Out
 	Cold
 )
 
 func (p Phase) String() string { return [...]string{"well", "out", "cold"}[p] }
 
-// Link is what comes of asking for a connection.
-type Link int
+// ConnectResult is what comes of asking for a connection.
+type ConnectResult int
 
 // What may come of asking for a connection.
 const (
-	Up Link = iota
+	Up ConnectResult = iota
 	Refused
 	NoWord // nothing comes back
 )
@@ -152,7 +152,7 @@
 	Swallow Trouble = "swallow" // Size: share of answers that never come, though the call took effect
 	Resets  Trouble = "resets"  // Size: share of calls whose connection breaks; Acts: share of those that took effect
 	Slow    Trouble = "slow"    // Size: times as long
-	Stand   Trouble = "stand"   // stands still until the fault ends
+	Pause   Trouble = "stand"   // stands still until the fault ends
 	Shrink  Trouble = "shrink"  // Size: what is left of its limit
 	Crowd   Trouble = "crowd"   // Size: what is left of its connection table
 )
--- a/testbed/environment/directory.go
+++ b/testbed/environment/directory.go
@@ -18,18 +18,18 @@
 
 // directory is discovery and the platform as one courier meets them.
 type directory struct {
-	world   *World
-	courier int
-	server  *http.Server
-	address string
-	mu      sync.Mutex
-	seq     int
-	entries map[dispatch.EndpointID]entry
-	log     []change
-	changed chan struct{} // closed with each change
-	isDown  bool
-	newsAt  dispatch.Micros
-	pending []entry
+	world        *World
+	courier      int
+	server       *http.Server
+	address      string
+	mu           sync.Mutex
+	seq          int
+	entries      map[dispatch.EndpointID]entry
+	changes      []change
+	changed      chan struct{} // closed with each change
+	isDown       bool
+	nextChangeAt dispatch.Micros
+	pending      []entry
 }
 
 // entry is one endpoint in the platform's form.
@@ -50,17 +50,17 @@
 }
 
 type list struct {
-	Seq   int     `json:"seq"`
-	Whole bool    `json:"whole"`
-	Hosts []entry `json:"hosts"`
+	Seq     int     `json:"seq"`
+	Full    bool    `json:"whole"`
+	Entries []entry `json:"hosts"`
 }
 
-var health = map[dispatch.Phase]string{dispatch.InService: "in_service", dispatch.Draining: "terminating", dispatch.Removed: "terminated"}
+var healthNames = map[dispatch.Phase]string{dispatch.InService: "in_service", dispatch.Draining: "terminating", dispatch.Removed: "terminated"}
 
 func (w *World) entry(dest int, e endpointmodel.Endpoint, phase dispatch.Phase, born int64) entry {
 	dst := &w.Day.Destinations[dest]
 	return entry{Host: e.ID, Dial: w.endpoint(e.ID).address, Site: w.Day.Day.Fleet.Zones[e.Zone], Class: dst.KindName, Block: dest,
-		Health: health[phase], Share: dst.Listed, Born: born}
+		Health: healthNames[phase], Share: dst.ListedRate, Born: born}
 }
 
 func openDirectory(w *World, courier int) (*directory, error) {
@@ -89,7 +89,7 @@
 func (d *directory) close() { d.server.Close() }
 
 // later tells of a change after a while, in the order of changes.
-func (d *directory) later(late dispatch.Micros, dest int, e endpointmodel.Endpoint, phase dispatch.Phase) {
+func (d *directory) publishAfter(delay dispatch.Micros, dest int, e endpointmodel.Endpoint, phase dispatch.Phase) {
 	born := int64(0)
 	if phase == dispatch.InService {
 		born = time.Now().UnixMilli()
@@ -97,33 +97,33 @@
 	en := d.world.entry(dest, e, phase, born)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.newsAt = max(d.newsAt, d.world.Clock.Now()+late)
-	d.world.Clock.After(d.newsAt, func() { d.apply(en) })
+	d.nextChangeAt = max(d.nextChangeAt, d.world.Clock.Now()+delay)
+	d.world.Clock.After(d.nextChangeAt, func() { d.publish(en) })
 }
 
-func (d *directory) apply(en entry) {
+func (d *directory) publish(en entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.isDown {
 		d.pending = append(d.pending, en)
 		return
 	}
-	d.put(en)
+	d.addChange(en)
 }
 
-func (d *directory) put(en entry) {
+func (d *directory) addChange(en entry) {
 	d.seq++
-	if en.Health == health[dispatch.Removed] {
+	if en.Health == healthNames[dispatch.Removed] {
 		delete(d.entries, en.Host)
 	} else {
 		d.entries[en.Host] = en
 	}
-	d.log = append(d.log, change{d.seq, en})
+	d.changes = append(d.changes, change{d.seq, en})
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-func (d *directory) down(down bool) {
+func (d *directory) setDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.isDown = down
@@ -133,35 +133,35 @@
 		return
 	}
 	for _, en := range d.pending {
-		d.put(en)
+		d.addChange(en)
 	}
 	d.pending = nil
 }
 
 // whole is the list as this courier would get it now; the caller holds the lock.
-func (d *directory) whole() list {
-	l := list{Seq: d.seq, Whole: true, Hosts: []entry{}}
+func (d *directory) fullList() list {
+	l := list{Seq: d.seq, Full: true, Entries: []entry{}}
 	for _, en := range d.entries {
-		l.Hosts = append(l.Hosts, en)
+		l.Entries = append(l.Entries, en)
 	}
-	slices.SortFunc(l.Hosts, func(a, b entry) int { return cmp.Compare(a.Host, b.Host) })
+	slices.SortFunc(l.Entries, func(a, b entry) int { return cmp.Compare(a.Host, b.Host) })
 	return l
 }
 
 // since is what changed after a version.
-func (d *directory) since(seq int) (list, bool) {
+func (d *directory) changesSince(seq int) (list, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.isDown {
 		return list{}, false
 	}
 	if seq < 0 || seq > d.seq {
-		return d.whole(), true
+		return d.fullList(), true
 	}
-	l := list{Seq: d.seq, Hosts: []entry{}}
-	for _, c := range d.log {
+	l := list{Seq: d.seq, Entries: []entry{}}
+	for _, c := range d.changes {
 		if c.seq > seq {
-			l.Hosts = append(l.Hosts, c.entry)
+			l.Entries = append(l.Entries, c.entry)
 		}
 	}
 	return l, true
@@ -186,12 +186,12 @@
 		d.mu.Lock()
 		changed := d.changed
 		d.mu.Unlock()
-		l, ok := d.since(seq)
+		l, ok := d.changesSince(seq)
 		if !ok {
 			rw.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		if l.Whole || len(l.Hosts) > 0 || seq < l.Seq {
+		if l.Full || len(l.Entries) > 0 || seq < l.Seq {
 			d.write(rw, l)
 			return
 		}
@@ -220,14 +220,14 @@
 		rw.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	if _, err := rw.Write(text); err != nil || d.world.Books == nil {
+	if _, err := rw.Write(text); err != nil || d.world.Ledger == nil {
 		return
 	}
 	now := d.world.Clock.Now()
-	for _, en := range l.Hosts {
-		for phase, word := range health {
-			if word == en.Health {
-				d.world.Books.Notified(now, d.courier, en.Host, phase)
+	for _, en := range l.Entries {
+		for phase, name := range healthNames {
+			if name == en.Health {
+				d.world.Ledger.Notified(now, d.courier, en.Host, phase)
 			}
 		}
 	}
@@ -246,16 +246,16 @@
 	}
 	w := d.world
 	for _, n := range all {
-		how := invariants.Failed
+		end := invariants.Failed
 		if n.Status == "deferred" {
-			how = invariants.Rejected
+			end = invariants.Rejected
 		}
-		if w.Books == nil || !w.Books.Noticed(w.Clock.Now(), n.ID, how) {
+		if w.Ledger == nil || !w.Ledger.Noticed(w.Clock.Now(), n.ID, end) {
 			continue
 		}
 		w.Drop(n.ID)
 		if w.Noticed != nil {
-			w.Noticed(n.ID, how, time.Duration(n.AgainMs)*time.Millisecond)
+			w.Noticed(n.ID, end, time.Duration(n.AgainMs)*time.Millisecond)
 		}
 	}
 	rw.WriteHeader(http.StatusNoContent)
@@ -269,11 +269,11 @@
 
 // Known is the list that a courier is handed at its start, in the platform's form.
 func (w *World) Known(courier int) any {
-	d := w.directory[courier]
+	d := w.directories[courier]
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.whole()
+	return d.fullList()
 }
 
 // Discovery is where a courier finds its directory.
-func (w *World) Discovery(courier int) string { return w.directory[courier].address }
+func (w *World) Discovery(courier int) string { return w.directories[courier].address }
--- a/testbed/environment/endpoint.go
+++ b/testbed/environment/endpoint.go
@@ -23,20 +23,20 @@
 // endpoint is one endpoint on a socket. Its door is open, shut (connections are refused) or stuffed (they never come up).
 type endpoint struct {
 	endpointmodel.Endpoint
-	world    *World
-	site     *site
-	address  string
-	mu       sync.Mutex
-	door     endpointmodel.Link
-	listener *net.TCPListener
-	plugs    []net.Conn // what keeps the door stuffed
-	conns    map[*net.TCPConn]bool
-	closed   bool
+	world        *World
+	destination  *destination
+	address      string
+	mu           sync.Mutex
+	connectState endpointmodel.ConnectResult
+	listener     *net.TCPListener
+	backlogConns []net.Conn // what keeps the door stuffed
+	conns        map[*net.TCPConn]bool
+	closed       bool
 }
 
 // put puts up an endpoint, at an address that another one had or a new one.
-func (w *World) put(s *site, e endpointmodel.Endpoint, address string) (*endpoint, error) {
-	ep := &endpoint{Endpoint: e, world: w, site: s, address: address, door: endpointmodel.Refused, conns: map[*net.TCPConn]bool{}}
+func (w *World) addEndpoint(s *destination, e endpointmodel.Endpoint, address string) (*endpoint, error) {
+	ep := &endpoint{Endpoint: e, world: w, destination: s, address: address, connectState: endpointmodel.Refused, conns: map[*net.TCPConn]bool{}}
 	if address == "" {
 		ep.address = "127.0.0.1:0"
 	}
@@ -62,7 +62,7 @@
 	if err != nil {
 		return err
 	}
-	e.listener, e.address, e.door = l.(*net.TCPListener), l.Addr().String(), endpointmodel.Up
+	e.listener, e.address, e.connectState = l.(*net.TCPListener), l.Addr().String(), endpointmodel.Up
 	e.world.wg.Add(1)
 	go e.accept(e.listener)
 	return nil
@@ -79,57 +79,57 @@
 			return
 		}
 		link := endpointmodel.Refused
-		e.site.do(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
+		e.destination.update(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
 			link = p.Connect(now, e.ID)
 			return nil
 		})
 		if link != endpointmodel.Up {
 			reset(conn)
-			e.gate()
+			e.updateListener()
 			continue
 		}
-		if books := e.world.Books; books != nil {
-			books.Shook()
+		if ledger := e.world.Ledger; ledger != nil {
+			ledger.Shook()
 		}
 		e.mu.Lock()
 		e.conns[conn] = true
 		e.mu.Unlock()
 		e.world.wg.Add(1)
 		go e.serve(conn)
-		e.gate()
+		e.updateListener()
 	}
 }
 
 // gate brings the door to what the partner says, and resets connections where they are cut off.
-func (e *endpoint) gate() {
-	e.site.mu.Lock()
-	want, dead := e.site.partner.Door(e.ID), e.site.partner.Dead(e.ID)
-	e.site.mu.Unlock()
+func (e *endpoint) updateListener() {
+	e.destination.mu.Lock()
+	want, down := e.destination.model.ConnectStatus(e.ID), e.destination.model.IsDown(e.ID)
+	e.destination.mu.Unlock()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if dead {
+	if down {
 		e.resetAll()
 	}
-	if e.closed || want == e.door {
+	if e.closed || want == e.connectState {
 		return
 	}
-	was := e.door
-	e.door = want
+	before := e.connectState
+	e.connectState = want
 	switch {
 	case want == endpointmodel.NoWord:
-		e.stuff()
-	case was == endpointmodel.NoWord:
-		for _, c := range e.plugs {
+		e.fillBacklog()
+	case before == endpointmodel.NoWord:
+		for _, c := range e.backlogConns {
 			reset(c.(*net.TCPConn))
 		}
-		e.plugs = nil
-		e.shut()
+		e.backlogConns = nil
+		e.closeListener()
 		e.resetAll()
 		if want == endpointmodel.Up {
 			e.reopen()
 		}
 	case want == endpointmodel.Refused:
-		e.shut()
+		e.closeListener()
 	default:
 		e.reopen()
 	}
@@ -138,11 +138,11 @@
 func (e *endpoint) reopen() {
 	if err := e.listen(); err != nil {
 		e.world.log.Warn("endpoint not opened again", "endpoint", e.ID, "error", err)
-		e.door = endpointmodel.Refused
+		e.connectState = endpointmodel.Refused
 	}
 }
 
-func (e *endpoint) shut() {
+func (e *endpoint) closeListener() {
 	if e.listener != nil {
 		e.listener.Close()
 		e.listener = nil
@@ -151,12 +151,12 @@
 
 // stuff lets new connections neither come up nor be refused: the queue of those not accepted is made as short as it can
 // be, and filled, so that the kernel drops what asks for one more.
-func (e *endpoint) stuff() {
+func (e *endpoint) fillBacklog() {
 	if e.listener == nil {
 		if err := e.listen(); err != nil {
 			return
 		}
-		e.door = endpointmodel.NoWord
+		e.connectState = endpointmodel.NoWord
 	}
 	e.listener.SetDeadline(time.Now())
 	if raw, err := e.listener.SyscallConn(); err == nil {
@@ -167,7 +167,7 @@
 		if err != nil {
 			break
 		}
-		e.plugs = append(e.plugs, c)
+		e.backlogConns = append(e.backlogConns, c)
 	}
 }
 
@@ -187,8 +187,8 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.closed = true
-	e.shut()
-	for _, c := range e.plugs {
+	e.closeListener()
+	for _, c := range e.backlogConns {
 		c.Close()
 	}
 	e.resetAll()
@@ -196,52 +196,52 @@
 
 // inbound is one request off a connection.
 type inbound struct {
-	req   *http.Request
-	body  []byte
-	first dispatch.Micros // when its first byte had come
+	req        *http.Request
+	body       []byte
+	receivedAt dispatch.Micros // when its first byte had come
 }
 
 // serve reads calls off a connection and answers them, one at a time.
 func (e *endpoint) serve(conn *net.TCPConn) {
 	defer e.world.wg.Done()
-	e.world.opened(1)
-	defer e.world.opened(-1)
+	e.world.countConns(1)
+	defer e.world.countConns(-1)
 	requests, quit := make(chan inbound), make(chan struct{})
 	e.world.wg.Add(1)
 	go func() {
 		defer e.world.wg.Done()
 		defer close(requests)
-		e.readAll(conn, requests, quit)
+		e.readRequests(conn, requests, quit)
 	}()
 	for in := range requests {
-		if !e.call(conn, in, requests) {
+		if !e.handleRequest(conn, in, requests) {
 			break
 		}
 	}
 	close(quit)
 	conn.Close()
 	e.mu.Lock()
-	_, mine := e.conns[conn]
+	_, open := e.conns[conn]
 	delete(e.conns, conn)
 	e.mu.Unlock()
-	if mine { // else it was cut off, and the partner has counted it out
-		e.site.do(func(p *endpointmodel.Partner, _ dispatch.Micros) []endpointmodel.Output {
+	if open { // else it was cut off, and the partner has counted it out
+		e.destination.update(func(p *endpointmodel.Partner, _ dispatch.Micros) []endpointmodel.Output {
 			p.Disconnect(e.ID)
 			return nil
 		})
 	}
-	e.gate()
+	e.updateListener()
 }
 
 const maxBody = 64 << 10
 
-func (e *endpoint) readAll(conn net.Conn, requests chan<- inbound, quit <-chan struct{}) {
+func (e *endpoint) readRequests(conn net.Conn, requests chan<- inbound, quit <-chan struct{}) {
 	br := bufio.NewReader(conn)
 	for {
 		if _, err := br.Peek(1); err != nil {
 			return
 		}
-		first := e.world.Clock.Now()
+		receivedAt := e.world.Clock.Now()
 		req, err := http.ReadRequest(br)
 		if err != nil {
 			return
@@ -251,7 +251,7 @@
 			return
 		}
 		select {
-		case requests <- inbound{req, body, first}:
+		case requests <- inbound{req, body, receivedAt}:
 		case <-quit:
 			return
 		}
@@ -259,25 +259,25 @@
 }
 
 // call answers one request; it tells whether the connection goes on.
-func (e *endpoint) call(conn *net.TCPConn, in inbound, closed <-chan inbound) bool {
+func (e *endpoint) handleRequest(conn *net.TCPConn, in inbound, requests <-chan inbound) bool {
 	switch {
 	case in.req.Method == http.MethodPost && in.req.URL.Path == "/hook":
-		return e.carry(conn, in, []dispatch.MessageID{dispatch.MessageID(in.req.Header.Get("X-Call-Id"))}, false, closed)
+		return e.handleMessages(conn, in, []dispatch.MessageID{dispatch.MessageID(in.req.Header.Get("X-Call-Id"))}, false, requests)
 	case in.req.Method == http.MethodPost && in.req.URL.Path == "/hook/batch":
-		ids, err := batch(in.body)
+		ids, err := parseBatch(in.body)
 		if err != nil {
-			return e.write(conn, 400, "", err.Error())
+			return e.writeResponse(conn, 400, "", err.Error())
 		}
-		if len(ids) > e.site.partner.Plan().PerCall {
-			return e.write(conn, 413, "", "too many records in one call")
+		if len(ids) > e.destination.model.Plan().PerCall {
+			return e.writeResponse(conn, 413, "", "too many records in one call")
 		}
-		return e.carry(conn, in, ids, true, closed)
+		return e.handleMessages(conn, in, ids, true, requests)
 	}
-	return e.write(conn, 404, "", "")
+	return e.writeResponse(conn, 404, "", "")
 }
 
 // batch reads the ids of a call with several messages.
-func batch(body []byte) (ids []dispatch.MessageID, err error) {
+func parseBatch(body []byte) (ids []dispatch.MessageID, err error) {
 	for len(body) > 0 {
 		line, rest, ok := bytes.Cut(body, []byte("\r\n"))
 		parts := strings.Fields(string(line))
@@ -302,162 +302,162 @@
 }
 
 // admitted is what a call's messages come to before the partner sees it.
-type admitted struct {
+type admission struct {
 	courier  int
 	items    []endpointmodel.Item
 	ids      []dispatch.MessageID
 	attempts []int
-	ends     map[dispatch.MessageID]string // what is not sent on
-	full     bool
+	refusals map[dispatch.MessageID]string // what is not sent on
+	noSlot   bool
 }
 
 // admit looks the messages of a call up, counts attempts and takes a slot.
-func (e *endpoint) admit(in inbound, ids []dispatch.MessageID) (a admitted, fault string) {
+func (e *endpoint) admit(in inbound, ids []dispatch.MessageID) (a admission, fault string) {
 	w := e.world
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	a.ends, a.courier = map[dispatch.MessageID]string{}, -1
+	a.refusals, a.courier = map[dispatch.MessageID]string{}, -1
 	for _, id := range ids {
 		r := w.messages[id]
 		if r == nil && w.Guests {
-			r = &Message{Origin: id, Dest: e.site.no}
+			r = &Message{Origin: id, Dest: e.destination.id}
 			w.messages[id] = r
-			w.Books.Offered(in.first, id, 0, 0, dispatch.DestinationID(r.Dest))
-			w.Books.Taken(in.first, id, id, 0, "", in.first+dispatch.Micros(w.Day.Day.Classes[0].CutOff*1e6))
+			w.Ledger.Offered(in.receivedAt, id, 0, 0, dispatch.DestinationID(r.Dest))
+			w.Ledger.Taken(in.receivedAt, id, id, 0, "", in.receivedAt+dispatch.Micros(w.Day.Day.Classes[0].CutOff*1e6))
 		}
 		switch {
 		case r == nil:
 			return a, "no client handed in " + string(id)
-		case r.Dest != e.site.no:
-			return a, fmt.Sprintf("%s is for destination %d and came to %s, which is of %d", id, r.Dest, e.ID, e.site.no)
+		case r.Dest != e.destination.id:
+			return a, fmt.Sprintf("%s is for destination %d and came to %s, which is of %d", id, r.Dest, e.ID, e.destination.id)
 		}
 		a.courier = r.Courier
 		wl := &w.Day.Day.Classes[r.Work]
 		switch r.Attempts++; {
-		case r.Over:
-			a.ends[id] = "expired"
+		case r.Ended:
+			a.refusals[id] = "expired"
 		case r.Attempts > w.Day.Day.Fleet.MaxAttempts:
-			a.ends[id] = "no_more"
+			a.refusals[id] = "no_more"
 		default:
 			a.ids = append(a.ids, id)
 			a.items = append(a.items, endpointmodel.Item{Message: id, Origin: r.Origin, Repeat: invariants.RepeatOf(wl.Repeat),
 				OneZone: wl.OneZone, Window: dispatch.Micros(wl.Window * 1e6)})
 		}
 	}
-	if a.full = w.out[a.courier] >= w.Day.Slots; !a.full {
-		w.out[a.courier]++
+	if a.noSlot = w.callsInFlight[a.courier] >= w.Day.Slots; !a.noSlot {
+		w.callsInFlight[a.courier]++
 	}
 	for _, id := range a.ids {
-		a.attempts = append(a.attempts, w.Books.Sent(in.first, id, invariants.Place{Dest: dispatch.DestinationID(e.site.no),
-			Route: e.site.route(e.ID), Endpoint: e.ID, Zone: e.Zone}))
+		a.attempts = append(a.attempts, w.Ledger.Sent(in.receivedAt, id, invariants.Place{Dest: dispatch.DestinationID(e.destination.id),
+			Route: e.destination.route(e.ID), Endpoint: e.ID, Zone: e.Zone}))
 	}
 	return a, ""
 }
 
-func (s *site) route(id dispatch.EndpointID) int {
+func (s *destination) route(id dispatch.EndpointID) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.partner.Route(id)
+	return s.model.Route(id)
 }
 
 // carry plays one call with messages.
-func (e *endpoint) carry(conn *net.TCPConn, in inbound, ids []dispatch.MessageID, several bool, closed <-chan inbound) bool {
+func (e *endpoint) handleMessages(conn *net.TCPConn, in inbound, ids []dispatch.MessageID, isBatch bool, requests <-chan inbound) bool {
 	w := e.world
 	a, fault := e.admit(in, ids)
 	if fault != "" {
-		w.Books.Crashed(in.first, max(0, a.courier), fault)
-		return e.write(conn, 400, "", fault)
+		w.Ledger.Crashed(in.receivedAt, max(0, a.courier), fault)
+		return e.writeResponse(conn, 400, "", fault)
 	}
 	settle := func(o dispatch.Outcome, wait dispatch.Micros) {
 		for i, id := range a.ids {
-			w.Books.Settled(w.Clock.Now(), id, a.attempts[i], o, wait)
+			w.Ledger.Settled(w.Clock.Now(), id, a.attempts[i], o, wait)
 		}
 	}
-	if a.full {
+	if a.noSlot {
 		settle(dispatch.Unprocessed, 0)
-		return e.write(conn, 503, "X-Egress-Full: 1\r\n", "")
+		return e.writeResponse(conn, 503, "X-Egress-Full: 1\r\n", "")
 	}
 	defer func() {
 		w.mu.Lock()
-		w.out[a.courier]--
+		w.callsInFlight[a.courier]--
 		w.mu.Unlock()
 	}()
 	if len(a.ids) == 0 {
-		if !several {
-			return e.write(conn, map[string]int{"expired": 410, "no_more": 504}[a.ends[ids[0]]], "", "")
+		if !isBatch {
+			return e.writeResponse(conn, map[string]int{"expired": 410, "no_more": 504}[a.refusals[ids[0]]], "", "")
 		}
-		return e.write(conn, 200, "", e.ends(ids, a.ends, ""))
+		return e.writeResponse(conn, 200, "", e.batchResults(ids, a.refusals, ""))
 	}
 	w.mu.Lock()
-	w.calls++
-	call := &endpointmodel.Call{ID: w.calls, Courier: a.courier, Endpoint: e.ID, Items: a.items}
+	w.lastCall++
+	call := &endpointmodel.Call{ID: w.lastCall, Courier: a.courier, Endpoint: e.ID, Items: a.items}
 	w.mu.Unlock()
 	answer := make(chan endpointmodel.Answer, 1)
-	way := w.way(a.courier, e.Zone)
-	time.AfterFunc(way, func() {
-		e.site.do(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
-			e.site.waiting[call.ID] = answer
+	delay := w.networkDelay(a.courier, e.Zone)
+	time.AfterFunc(delay, func() {
+		e.destination.update(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
+			e.destination.pendingCalls[call.ID] = answer
 			return p.Take(now, call)
 		})
-		e.site.gates()
+		e.destination.updateListeners()
 	})
-	var got endpointmodel.Answer
+	var result endpointmodel.Answer
 	select {
-	case got = <-answer:
-	case <-closed: // the courier hung up, or was cut off
-		e.site.do(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
-			delete(e.site.waiting, call.ID)
+	case result = <-answer:
+	case <-requests: // the courier hung up, or was cut off
+		e.destination.update(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
+			delete(e.destination.pendingCalls, call.ID)
 			return p.CallOff(now, call)
 		})
 		settle(dispatch.TimedOut, 0)
 		return false
 	}
-	if got.Outcome == dispatch.Broken {
+	if result.Outcome == dispatch.Broken {
 		settle(dispatch.Broken, 0)
 		conn.SetLinger(0)
 		return false
 	}
-	time.Sleep(way)
-	settle(got.Outcome, got.Wait) // before it is written, as the courier may act on it at once
-	return e.reply(conn, ids, a, got, several)
+	time.Sleep(delay)
+	settle(result.Outcome, result.Wait) // before it is written, as the courier may act on it at once
+	return e.writeAnswer(conn, ids, a, result, isBatch)
 }
 
-func (e *endpoint) reply(conn net.Conn, ids []dispatch.MessageID, a admitted, got endpointmodel.Answer, several bool) bool {
-	head := ""
-	if len(got.Pressure) == 2 {
-		head = fmt.Sprintf("X-Load-Report: x0=%.4f,x1=%.4f\r\n", got.Pressure[0], got.Pressure[1])
+func (e *endpoint) writeAnswer(conn net.Conn, ids []dispatch.MessageID, a admission, result endpointmodel.Answer, isBatch bool) bool {
+	headers := ""
+	if len(result.Pressure) == 2 {
+		headers = fmt.Sprintf("X-Load-Report: x0=%.4f,x1=%.4f\r\n", result.Pressure[0], result.Pressure[1])
 	}
 	status, body := 200, ""
-	switch got.Outcome {
+	switch result.Outcome {
 	case dispatch.Failure:
 		status = 500
 	case dispatch.Throttled:
-		if status = 503; got.Wait > 0 {
+		if status = 503; result.Wait > 0 {
 			status = 429
-			head += fmt.Sprintf("X-Backoff-Ms: %d\r\n", int64(got.Wait+999)/1000)
+			headers += fmt.Sprintf("X-Backoff-Ms: %d\r\n", int64(result.Wait+999)/1000)
 		}
 	default:
-		if several {
-			body = e.ends(ids, a.ends, "accepted")
+		if isBatch {
+			body = e.batchResults(ids, a.refusals, "accepted")
 		}
 	}
-	return e.write(conn, status, head, body)
+	return e.writeResponse(conn, status, headers, body)
 }
 
 // ends is the body of an answer for several.
-func (e *endpoint) ends(ids []dispatch.MessageID, ends map[dispatch.MessageID]string, otherwise string) string {
+func (e *endpoint) batchResults(ids []dispatch.MessageID, refusals map[dispatch.MessageID]string, otherwise string) string {
 	var b strings.Builder
 	for _, id := range ids {
-		end := ends[id]
-		if end == "" {
-			end = otherwise
+		result := refusals[id]
+		if result == "" {
+			result = otherwise
 		}
-		fmt.Fprintf(&b, "%s %s\r\n", id, end)
+		fmt.Fprintf(&b, "%s %s\r\n", id, result)
 	}
 	return b.String()
 }
 
-func (e *endpoint) write(conn net.Conn, status int, head, body string) bool {
-	_, err := fmt.Fprintf(conn, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s", status, http.StatusText(status), head, len(body), body)
+func (e *endpoint) writeResponse(conn net.Conn, status int, headers, body string) bool {
+	_, err := fmt.Fprintf(conn, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s", status, http.StatusText(status), headers, len(body), body)
 	return err == nil
 }
--- a/testbed/environment/environment.go
+++ b/testbed/environment/environment.go
@@ -35,98 +35,98 @@
 	Courier  int
 	Work     int
 	Dest     int
-	Over     bool
+	Ended    bool
 	Attempts int
 }
 
 // World is the outside of one day.
 type World struct {
-	Day   *scenario.Drawn
-	Books *invariants.Ledger
-	Clock Clock
+	Day    *scenario.Drawn
+	Ledger *invariants.Ledger
+	Clock  Clock
 	// Noticed is notified of each notice that ends a message: how, and for a reject when to come again.
 	Noticed func(id dispatch.MessageID, how invariants.End, again time.Duration)
 
 	// Guests lets in messages that nobody announced, for clients that are not ours: of the first class, from courier 0.
 	Guests bool
 
-	log       *slog.Logger
-	mu        sync.Mutex
-	rng       *rand.Rand
-	sites     []*site
-	endpoints map[dispatch.EndpointID]*endpoint
-	messages  map[dispatch.MessageID]*Message
-	out       []int // calls out, by courier
-	directory []*directory
-	closed    bool
-	timers    []*time.Timer
-	wg        sync.WaitGroup
-	calls     uint64
-	open      int // connections
-	busiest   int
+	log           *slog.Logger
+	mu            sync.Mutex
+	rng           *rand.Rand
+	destinations  []*destination
+	endpoints     map[dispatch.EndpointID]*endpoint
+	messages      map[dispatch.MessageID]*Message
+	callsInFlight []int // calls out, by courier
+	directories   []*directory
+	closed        bool
+	timers        []*time.Timer
+	wg            sync.WaitGroup
+	lastCall      uint64
+	openConns     int // connections
+	maxConns      int
 }
 
 // site is one partner and its endpoints on sockets.
-type site struct {
-	world   *World
-	no      int
-	mu      sync.Mutex
-	partner *endpointmodel.Partner
-	timer   *time.Timer
-	dueAt   dispatch.Micros
-	waiting map[uint64]chan endpointmodel.Answer
+type destination struct {
+	world        *World
+	id           int
+	mu           sync.Mutex
+	model        *endpointmodel.Partner
+	timer        *time.Timer
+	dueAt        dispatch.Micros
+	pendingCalls map[uint64]chan endpointmodel.Answer
 }
 
 // Open puts up the world of a day; nothing goes wrong in it before Begin.
-func Open(w *scenario.Drawn, log *slog.Logger) (*World, error) {
-	o := &World{Day: w, log: log, rng: rand.New(rand.NewPCG(uint64(w.Seed), 99)), endpoints: map[dispatch.EndpointID]*endpoint{},
-		messages: map[dispatch.MessageID]*Message{}, out: make([]int, w.Day.Fleet.Couriers), Clock: Clock{time.Now()}}
-	for i := range w.Destinations {
-		s := &site{world: o, no: i, partner: endpointmodel.New(w.Destinations[i].Plan), dueAt: endpointmodel.Never,
-			waiting: map[uint64]chan endpointmodel.Answer{}}
-		o.sites = append(o.sites, s)
-		for _, e := range w.Destinations[i].Endpoints {
-			if _, err := o.put(s, e, ""); err != nil {
-				o.Close()
+func Open(instance *scenario.Drawn, logger *slog.Logger) (*World, error) {
+	w := &World{Day: instance, log: logger, rng: rand.New(rand.NewPCG(uint64(instance.Seed), 99)), endpoints: map[dispatch.EndpointID]*endpoint{},
+		messages: map[dispatch.MessageID]*Message{}, callsInFlight: make([]int, instance.Day.Fleet.Couriers), Clock: Clock{time.Now()}}
+	for i := range instance.Destinations {
+		s := &destination{world: w, id: i, model: endpointmodel.New(instance.Destinations[i].Plan), dueAt: endpointmodel.Never,
+			pendingCalls: map[uint64]chan endpointmodel.Answer{}}
+		w.destinations = append(w.destinations, s)
+		for _, e := range instance.Destinations[i].Endpoints {
+			if _, err := w.addEndpoint(s, e, ""); err != nil {
+				w.Close()
 				return nil, err
 			}
 		}
 	}
-	for i := range w.Day.Fleet.Couriers {
-		d, err := openDirectory(o, i)
+	for i := range instance.Day.Fleet.Couriers {
+		d, err := openDirectory(w, i)
 		if err != nil {
-			o.Close()
+			w.Close()
 			return nil, err
 		}
-		o.directory = append(o.directory, d)
+		w.directories = append(w.directories, d)
 	}
-	return o, nil
+	return w, nil
 }
 
 // Begin starts the day: from now on its clock runs and its troubles come. Each act is notified to courier first; those of couriers are its to
 // carry out.
-func (w *World) Begin(books *invariants.Ledger, courier func(scenario.Act)) {
+func (w *World) Begin(ledger *invariants.Ledger, onEvent func(scenario.Act)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.Books, w.Clock = books, Clock{time.Now()}
+	w.Ledger, w.Clock = ledger, Clock{time.Now()}
 	for _, a := range w.Day.Acts {
-		w.timers = append(w.timers, w.Clock.After(a.At, func() { w.act(a, courier) }))
+		w.timers = append(w.timers, w.Clock.After(a.At, func() { w.applyEvent(a, onEvent) }))
 	}
 }
 
-func (w *World) act(a scenario.Act, courier func(scenario.Act)) {
-	courier(a)
-	var s *site
+func (w *World) applyEvent(a scenario.Act, onEvent func(scenario.Act)) {
+	onEvent(a)
+	var s *destination
 	if a.Kind <= scenario.Removes {
-		s = w.sites[a.Dest]
+		s = w.destinations[a.Dest]
 	}
 	switch a.Kind {
 	case scenario.Begins:
-		s.do(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
+		s.update(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
 			return p.Inject(now, a.Endpoint.ID, a.Fault)
 		})
 	case scenario.Ends:
-		s.do(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
+		s.update(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
 			return p.Heal(now, a.Endpoint.ID, a.Fault.ID)
 		})
 	case scenario.Adds:
@@ -134,38 +134,38 @@
 		if old := w.endpoint(a.Address); old != nil {
 			address = old.address
 		}
-		s.do(func(p *endpointmodel.Partner, _ dispatch.Micros) []endpointmodel.Output {
+		s.update(func(p *endpointmodel.Partner, _ dispatch.Micros) []endpointmodel.Output {
 			p.Add(a.Endpoint)
 			return nil
 		})
-		if _, err := w.put(s, a.Endpoint, address); err != nil {
+		if _, err := w.addEndpoint(s, a.Endpoint, address); err != nil {
 			w.log.Warn("endpoint not put up", "endpoint", a.Endpoint.ID, "error", err)
 		}
-		w.listed(a.Dest, a.Endpoint, dispatch.InService)
+		w.publish(a.Dest, a.Endpoint, dispatch.InService)
 	case scenario.Drains:
-		w.listed(a.Dest, a.Endpoint, dispatch.Draining)
+		w.publish(a.Dest, a.Endpoint, dispatch.Draining)
 	case scenario.Removes:
-		s.do(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
+		s.update(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
 			return p.Remove(now, a.Endpoint.ID)
 		})
-		w.listed(a.Dest, a.Endpoint, dispatch.Removed)
+		w.publish(a.Dest, a.Endpoint, dispatch.Removed)
 	case scenario.ListDown, scenario.ListUp:
-		for _, d := range w.directory {
-			d.down(a.Kind == scenario.ListDown)
+		for _, d := range w.directories {
+			d.setDown(a.Kind == scenario.ListDown)
 		}
 	}
 	if s != nil {
-		s.gates()
+		s.updateListeners()
 	}
 }
 
-func (w *World) listed(dest int, e endpointmodel.Endpoint, phase dispatch.Phase) {
-	for _, d := range w.directory {
+func (w *World) publish(dest int, e endpointmodel.Endpoint, phase dispatch.Phase) {
+	for _, d := range w.directories {
 		w.mu.Lock()
 		r := w.Day.Day.Directory.Notice
-		late := config.Micros(r[0] + (r[1]-r[0])*w.rng.Float64())
+		delay := config.Micros(r[0] + (r[1]-r[0])*w.rng.Float64())
 		w.mu.Unlock()
-		d.later(late, dest, e, phase)
+		d.publishAfter(delay, dest, e, phase)
 	}
 }
 
@@ -187,7 +187,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if r := w.messages[id]; r != nil {
-		r.Over = true
+		r.Ended = true
 	}
 }
 
@@ -195,15 +195,15 @@
 func (w *World) Busiest() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.busiest
+	return w.maxConns
 }
 
 // opened counts connections that come and go.
-func (w *World) opened(n int) {
+func (w *World) countConns(n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.open += n
-	w.busiest = max(w.busiest, w.open)
+	w.openConns += n
+	w.maxConns = max(w.maxConns, w.openConns)
 }
 
 // Close ends everything.
@@ -215,7 +215,7 @@
 	}
 	endpoints := slices.Collect(maps.Values(w.endpoints))
 	w.mu.Unlock()
-	for _, s := range w.sites {
+	for _, s := range w.destinations {
 		s.mu.Lock()
 		if s.timer != nil {
 			s.timer.Stop()
@@ -225,14 +225,14 @@
 	for _, e := range endpoints {
 		e.close()
 	}
-	for _, d := range w.directory {
+	for _, d := range w.directories {
 		d.close()
 	}
 	w.wg.Wait()
 }
 
 // way draws how long something takes between a courier and an endpoint.
-func (w *World) way(courier int, zone dispatch.ZoneID) time.Duration {
+func (w *World) networkDelay(courier int, zone dispatch.ZoneID) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	r := w.Day.Day.Network.Same
@@ -243,11 +243,11 @@
 }
 
 // do has something done to the partner, and takes in what comes of it.
-func (s *site) do(what func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output) {
+func (s *destination) update(action func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output) {
 	s.mu.Lock()
 	now := s.world.Clock.Now()
-	outs := what(s.partner, now)
-	due := s.partner.Due()
+	outputs := action(s.model, now)
+	due := s.model.Due()
 	if due < s.dueAt {
 		s.dueAt = due
 		if s.timer != nil {
@@ -256,56 +256,56 @@
 		s.timer = s.world.Clock.After(due, s.step)
 	}
 	var answers []func()
-	for _, o := range outs {
+	for _, o := range outputs {
 		if a, ok := o.(endpointmodel.Answer); ok {
-			if ch := s.waiting[a.Call.ID]; ch != nil {
-				delete(s.waiting, a.Call.ID)
+			if ch := s.pendingCalls[a.Call.ID]; ch != nil {
+				delete(s.pendingCalls, a.Call.ID)
 				answers = append(answers, func() { ch <- a })
 			}
 		}
 	}
 	s.mu.Unlock()
-	for _, o := range outs {
-		s.book(now, o)
+	for _, o := range outputs {
+		s.record(now, o)
 	}
 	for _, answer := range answers {
 		answer()
 	}
 }
 
-func (s *site) step() {
+func (s *destination) step() {
 	s.mu.Lock()
 	s.dueAt = endpointmodel.Never
 	s.mu.Unlock()
-	s.do(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output { return p.Step(now) })
-	s.gates()
+	s.update(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output { return p.Step(now) })
+	s.updateListeners()
 }
 
-func (s *site) book(now dispatch.Micros, o endpointmodel.Output) {
-	books := s.world.Books
-	if books == nil {
+func (s *destination) record(now dispatch.Micros, o endpointmodel.Output) {
+	ledger := s.world.Ledger
+	if ledger == nil {
 		return
 	}
 	switch o := o.(type) {
 	case endpointmodel.Ran:
-		books.Ran(now, o.Item.Message, o.Endpoint, o.Before, o.Known)
+		ledger.Ran(now, o.Item.Message, o.Endpoint, o.Before, o.Known)
 	case endpointmodel.Fell:
-		books.Fell(now, dispatch.DestinationID(s.no), o.Route, o.Sent)
+		ledger.Fell(now, dispatch.DestinationID(s.id), o.Route, o.Sent)
 	case endpointmodel.Turned:
-		books.Turned(now, dispatch.DestinationID(s.no), o.Route, o.Phase == endpointmodel.Out)
+		ledger.Turned(now, dispatch.DestinationID(s.id), o.Route, o.Phase == endpointmodel.Out)
 	}
 }
 
-func (s *site) gates() {
+func (s *destination) updateListeners() {
 	s.world.mu.Lock()
 	var all []*endpoint
 	for _, e := range s.world.endpoints {
-		if e.site == s {
+		if e.destination == s {
 			all = append(all, e)
 		}
 	}
 	s.world.mu.Unlock()
 	for _, e := range all {
-		e.gate()
+		e.updateListener()
 	}
 }
--- a/testbed/invariants/fromday.go
+++ b/testbed/invariants/fromday.go
@@ -8,20 +8,20 @@
 )
 
 // ForDay is the setup for a day in virtual time.
-func ForDay(w *scenario.Drawn) Setup {
-	d, us := w.Day, func(s float64) dispatch.Micros { return dispatch.Micros(math.Round(s * 1e6)) }
-	setup := Setup{OverShare: d.Rules.OverShare, Halves: d.Rules.Decay == "halves", Length: w.Length,
-		AnswerSlack: us(d.Rules.AnswerSlack), DrainGrace: us(d.Rules.DrainGrace), KeyRest: us(d.Rules.KeyRest),
-		Goal:   Weights{d.Goal.Whole, d.Goal.Window, d.Goal.Class, d.Goal.Tenant},
-		Prices: Prices{d.Prices.Waste, d.Prices.Handshake, d.Prices.Refused}}
-	for _, wl := range d.Classes {
-		setup.Classes = append(setup.Classes, Class{Name: wl.Name, Objective: us(wl.Objective), Life: us(wl.CutOff),
-			Priority: wl.Priority, LatePart: wl.LatePart, Repeat: RepeatOf(wl.Repeat), Window: us(wl.Window), OneZone: wl.OneZone,
+func ForDay(instance *scenario.Drawn) Setup {
+	definition, micros := instance.Day, func(s float64) dispatch.Micros { return dispatch.Micros(math.Round(s * 1e6)) }
+	setup := Setup{OverQuotaFactor: definition.Rules.OverQuotaFactor, HalvingDecay: definition.Rules.Decay == "halves", Length: instance.Length,
+		AnswerSlack: micros(definition.Rules.AnswerSlack), DrainGrace: micros(definition.Rules.DrainGrace), KeyHold: micros(definition.Rules.KeyHold),
+		Goal:   Weights{definition.Goal.Whole, definition.Goal.Window, definition.Goal.WorstClass, definition.Goal.WorstTenant},
+		Prices: Prices{definition.Prices.Waste, definition.Prices.Handshake, definition.Prices.Refused}}
+	for _, wl := range definition.Classes {
+		setup.Classes = append(setup.Classes, Class{Name: wl.Name, Objective: micros(wl.Objective), Deadline: micros(wl.CutOff),
+			Priority: wl.Priority, LateValue: wl.LateValue, Repeat: RepeatOf(wl.Repeat), Window: micros(wl.Window), OneZone: wl.OneZone,
 			InOrder: wl.InOrder})
 	}
-	for _, p := range d.Tenants {
+	for _, p := range definition.Tenants {
 		setup.Tenants = append(setup.Tenants, p.Name)
-		setup.Quotas = append(setup.Quotas, w.Quota(p))
+		setup.Quotas = append(setup.Quotas, instance.Quota(p))
 	}
 	return setup
 }
--- a/testbed/invariants/invariants.go
+++ b/testbed/invariants/invariants.go
@@ -13,29 +13,29 @@
 
 // Class is what a kind of message promises.
 type Class struct {
-	Name            string
-	Objective, Life dispatch.Micros
-	Priority        float64
-	LatePart        float64
-	Repeat          dispatch.Idempotency
-	Window          dispatch.Micros
-	OneZone         bool
-	InOrder         bool
+	Name                string
+	Objective, Deadline dispatch.Micros
+	Priority            float64
+	LateValue           float64
+	Repeat              dispatch.Idempotency
+	Window              dispatch.Micros
+	OneZone             bool
+	InOrder             bool
 }
 
 // Setup is what the ledger is notified of a day.
 type Setup struct {
-	Classes     []Class
-	Tenants     []string
-	Quotas      []float64 // messages a second within a tenant's share; 0: no share
-	OverShare   float64
-	Halves      bool // value halves with each further latency objective, else falls evenly
-	Length      dispatch.Micros
-	AnswerSlack dispatch.Micros
-	DrainGrace  dispatch.Micros
-	KeyRest     dispatch.Micros
-	Goal        Weights
-	Prices      Prices
+	Classes         []Class
+	Tenants         []string
+	Quotas          []float64 // messages a second within a tenant's share; 0: no share
+	OverQuotaFactor float64
+	HalvingDecay    bool // value halves with each further latency objective, else falls evenly
+	Length          dispatch.Micros
+	AnswerSlack     dispatch.Micros
+	DrainGrace      dispatch.Micros
+	KeyHold         dispatch.Micros
+	Goal            Weights
+	Prices          Prices
 	// Leeway is what is granted for clocks of two tenants that do not see the same instant; 0 in virtual time.
 	Leeway dispatch.Micros
 	// WaitFrom: calls that come so soon after a wait was notified crossed it; 0 in virtual time.
@@ -45,7 +45,7 @@
 }
 
 // Weights of a day's figure.
-type Weights struct{ Whole, Window, Class, Tenant float64 }
+type Weights struct{ Whole, Window, WorstClass, WorstTenant float64 }
 
 // Prices come off it, each times its count over the messages offered.
 type Prices struct{ Waste, Handshake, Refused float64 }
@@ -82,49 +82,49 @@
 
 // origin is a message through all its submissions.
 type origin struct {
-	work   int
-	tenant int
-	dest   dispatch.DestinationID
-	at     dispatch.Micros // when it was due to be submitted first
-	value  float64         // within its latency objective
-	won    float64
-	doneAt dispatch.Micros
-	end    End
+	class       int
+	tenant      int
+	dest        dispatch.DestinationID
+	at          dispatch.Micros // when it was due to be submitted first
+	value       float64         // within its latency objective
+	earned      float64
+	deliveredAt dispatch.Micros
+	end         End
 }
 
 type message struct {
-	id       dispatch.MessageID
-	origin   *origin
-	work     *Class
-	courier  int
-	key      dispatch.OrderingKey
-	cutOff   dispatch.Micros
-	taken    dispatch.Micros
-	attempts []*attempt
-	end      End
-	endAt    dispatch.Micros
-	mayRan   bool
-	ranAt    dispatch.Micros
-	ranZone  dispatch.ZoneID
-	out      int
-	unheard  bool // its answer went to a courier that was killed then, and may not have been read
+	id                dispatch.MessageID
+	origin            *origin
+	class             *Class
+	courier           int
+	key               dispatch.OrderingKey
+	deadline          dispatch.Micros
+	acceptedAt        dispatch.Micros
+	attempts          []*attempt
+	end               End
+	endAt             dispatch.Micros
+	mayHaveRun        bool
+	firstRunAt        dispatch.Micros
+	firstRunZone      dispatch.ZoneID
+	openAttempts      int
+	answerMayBeUnread bool // its answer went to a courier that was killed then, and may not have been read
 }
 
 type attempt struct {
-	place   Place
+	target  Place
 	sent    dispatch.Micros
-	over    bool
+	ended   bool
 	outcome dispatch.Outcome
 }
 
-type keyOf struct {
+type keyQueueID struct {
 	courier int
 	key     dispatch.OrderingKey
 }
 
-type line struct {
-	messages []*message
-	restTo   dispatch.Micros
+type keyQueue struct {
+	messages  []*message
+	holdUntil dispatch.Micros
 }
 
 type notifiedKey struct {
@@ -140,75 +140,75 @@
 type wait struct{ from, to dispatch.Micros }
 
 // down is a stretch in which a courier owed no answers.
-type down struct{ from, to dispatch.Micros }
+type downtime struct{ from, to dispatch.Micros }
 
 // outage is what is kept of the present or last outage of a route.
 type outage struct {
-	since dispatch.Micros
-	on    bool
-	seen  map[int]bool // couriers that saw it
+	since     dispatch.Micros
+	active    bool
+	observers map[int]bool // couriers that saw it
 }
 
 // Ledger keeps the books. Its methods may be called from any goroutine; instants should not run backwards by much.
 type Ledger struct {
-	mu       sync.Mutex
-	setup    Setup
-	origins  map[dispatch.MessageID]*origin
-	order    []*origin
-	messages map[dispatch.MessageID]*message
-	all      []*message
-	lines    map[keyOf]*line
-	notified map[notifiedKey]dispatch.Micros
-	waits    map[waitKey]wait
-	downs    map[int][]down
-	killed   map[int]dispatch.Micros
-	outages  map[routeKey]*outage
-	shares   []share
-	breaches map[Rule]*breach
-	counts   Counts
-	series   series
-	latency  latencies
-}
-
-type share struct {
-	saved float64
-	at    dispatch.Micros
+	mu           sync.Mutex
+	setup        Setup
+	origins      map[dispatch.MessageID]*origin
+	originOrder  []*origin
+	messages     map[dispatch.MessageID]*message
+	messageOrder []*message
+	keyQueues    map[keyQueueID]*keyQueue
+	notified     map[notifiedKey]dispatch.Micros
+	waits        map[waitKey]wait
+	downtimes    map[int][]downtime
+	killed       map[int]dispatch.Micros
+	outages      map[routeKey]*outage
+	quotas       []quota
+	breaches     map[Rule]*breaches
+	counts       Counts
+	series       series
+	latency      latencies
+}
+
+type quota struct {
+	tokens     float64
+	refilledAt dispatch.Micros
 }
 
 // New begins the books of a day.
 func New(setup Setup) *Ledger {
 	return &Ledger{setup: setup, origins: map[dispatch.MessageID]*origin{}, messages: map[dispatch.MessageID]*message{},
-		lines: map[keyOf]*line{}, notified: map[notifiedKey]dispatch.Micros{}, waits: map[waitKey]wait{}, downs: map[int][]down{}, killed: map[int]dispatch.Micros{},
-		outages: map[routeKey]*outage{}, shares: make([]share, len(setup.Quotas)), breaches: map[Rule]*breach{},
+		keyQueues: map[keyQueueID]*keyQueue{}, notified: map[notifiedKey]dispatch.Micros{}, waits: map[waitKey]wait{}, downtimes: map[int][]downtime{}, killed: map[int]dispatch.Micros{},
+		outages: map[routeKey]*outage{}, quotas: make([]quota, len(setup.Quotas)), breaches: map[Rule]*breaches{},
 		series: series{dests: map[dispatch.DestinationID]*DestSeries{}}, latency: newLatencies(setup.Classes)}
 }
 
 // Offered notes that a client has a message for the first time.
-func (l *Ledger) Offered(at dispatch.Micros, id dispatch.MessageID, work, tenant int, dest dispatch.DestinationID) {
+func (l *Ledger) Offered(at dispatch.Micros, id dispatch.MessageID, class, tenant int, dest dispatch.DestinationID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	w := &l.setup.Classes[work]
-	o := &origin{work: work, tenant: tenant, dest: dest, at: at, value: w.Priority}
-	if !l.withinShare(at, tenant) {
-		o.value *= l.setup.OverShare
+	w := &l.setup.Classes[class]
+	o := &origin{class: class, tenant: tenant, dest: dest, at: at, value: w.Priority}
+	if !l.takeQuota(at, tenant) {
+		o.value *= l.setup.OverQuotaFactor
 	}
 	l.origins[id] = o
-	l.order = append(l.order, o)
+	l.originOrder = append(l.originOrder, o)
 	l.counts.Offered++
 }
 
 // withinShare spends a tenant's share; two seconds of it may be saved up.
-func (l *Ledger) withinShare(at dispatch.Micros, tenant int) bool {
-	if tenant >= len(l.shares) || l.setup.Quotas[tenant] <= 0 {
+func (l *Ledger) takeQuota(at dispatch.Micros, tenant int) bool {
+	if tenant >= len(l.quotas) || l.setup.Quotas[tenant] <= 0 {
 		return true
 	}
-	s, perSec := &l.shares[tenant], l.setup.Quotas[tenant]
-	s.saved = min(2*perSec+1, s.saved+perSec*float64(max(0, at-s.at))/1e6)
-	s.at = max(s.at, at)
-	if s.saved < 1 {
+	q, perSec := &l.quotas[tenant], l.setup.Quotas[tenant]
+	q.tokens = min(2*perSec+1, q.tokens+perSec*float64(max(0, at-q.refilledAt))/1e6)
+	q.refilledAt = max(q.refilledAt, at)
+	if q.tokens < 1 {
 		return false
 	}
-	s.saved--
+	q.tokens--
 	return true
 }
 
@@ -221,17 +221,17 @@
 		l.breach(Final, at, "courier %d was handed %s, which nobody offered", courier, originID)
 		return
 	}
-	r := &message{id: id, origin: o, work: &l.setup.Classes[o.work], courier: courier, key: key, cutOff: cutOff, taken: at}
+	r := &message{id: id, origin: o, class: &l.setup.Classes[o.class], courier: courier, key: key, deadline: cutOff, acceptedAt: at}
 	l.messages[id] = r
-	l.all = append(l.all, r)
+	l.messageOrder = append(l.messageOrder, r)
 	l.counts.Taken++
-	l.series.held(at, 1)
-	if r.work.InOrder && key != "" {
-		k := keyOf{courier, key}
-		if l.lines[k] == nil {
-			l.lines[k] = &line{}
+	l.series.changeOpen(at, 1)
+	if r.class.InOrder && key != "" {
+		k := keyQueueID{courier, key}
+		if l.keyQueues[k] == nil {
+			l.keyQueues[k] = &keyQueue{}
 		}
-		l.lines[k].messages = append(l.lines[k].messages, r)
+		l.keyQueues[k].messages = append(l.keyQueues[k].messages, r)
 	}
 }
 
@@ -245,35 +245,35 @@
 		return -1
 	}
 	l.counts.Attempts++
-	l.series.call(at, p.Dest)
-	l.judgeSend(at, r, p)
-	r.attempts = append(r.attempts, &attempt{place: p, sent: at})
-	r.out++
+	l.series.countCall(at, p.Dest)
+	l.checkSend(at, r, p)
+	r.attempts = append(r.attempts, &attempt{target: p, sent: at})
+	r.openAttempts++
 	return len(r.attempts) - 1
 }
 
 // Settled notes that a courier has the outcome of an attempt, or has stopped waiting for it.
-func (l *Ledger) Settled(at dispatch.Micros, id dispatch.MessageID, no int, o dispatch.Outcome, notified dispatch.Micros) {
+func (l *Ledger) Settled(at dispatch.Micros, id dispatch.MessageID, no int, o dispatch.Outcome, retryAfter dispatch.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.messages[id]
-	if r == nil || no < 0 || no >= len(r.attempts) || r.attempts[no].over {
+	if r == nil || no < 0 || no >= len(r.attempts) || r.attempts[no].ended {
 		return
 	}
 	t := r.attempts[no]
-	t.over, t.outcome = true, o
-	r.out--
-	rk := routeKey{t.place.Dest, t.place.Route}
-	l.series.settled(at, t.place.Dest, o)
-	l.counts.settle(o)
+	t.ended, t.outcome = true, o
+	r.openAttempts--
+	rk := routeKey{t.target.Dest, t.target.Route}
+	l.series.countOutcome(at, t.target.Dest, o)
+	l.counts.countOutcome(o)
 	mayRun := o != dispatch.Throttled && o != dispatch.Unreachable && o != dispatch.Unprocessed
-	if mayRun && !r.mayRan {
-		r.mayRan, r.ranAt, r.ranZone = true, t.sent, t.place.Zone
+	if mayRun && !r.mayHaveRun {
+		r.mayHaveRun, r.firstRunAt, r.firstRunZone = true, t.sent, t.target.Zone
 	}
-	if notified > 0 {
+	if retryAfter > 0 {
 		k := waitKey{r.courier, rk}
 		w := l.waits[k]
-		if to := at + notified; to > w.to {
+		if to := at + retryAfter; to > w.to {
 			from := at
 			if w.to > at { // one wait runs into the next
 				from = w.from
@@ -281,16 +281,16 @@
 			l.waits[k] = wait{from, to}
 		}
 	}
-	if og := l.outages[rk]; og != nil && og.on && o != dispatch.Delivered && o != dispatch.Unprocessed && o != dispatch.Canceled {
-		og.seen[r.courier] = true
+	if current := l.outages[rk]; current != nil && current.active && o != dispatch.Delivered && o != dispatch.Unprocessed && o != dispatch.Canceled {
+		current.observers[r.courier] = true
 	}
-	if r.work.InOrder && r.key != "" && (o == dispatch.TimedOut || o == dispatch.Broken || o == dispatch.Canceled) {
-		line := l.lines[keyOf{r.courier, r.key}]
-		line.restTo = max(line.restTo, at+l.setup.KeyRest)
+	if r.class.InOrder && r.key != "" && (o == dispatch.TimedOut || o == dispatch.Broken || o == dispatch.Canceled) {
+		queue := l.keyQueues[keyQueueID{r.courier, r.key}]
+		queue.holdUntil = max(queue.holdUntil, at+l.setup.KeyHold)
 	}
 	if o == dispatch.Delivered {
 		_, dead := l.killed[r.courier]
-		r.unheard = r.unheard || dead && r.end == Open
+		r.answerMayBeUnread = r.answerMayBeUnread || dead && r.end == Open
 		l.delivered(at, r)
 	}
 }
@@ -302,79 +302,79 @@
 	}
 	if r.end == Open {
 		r.end, r.endAt = Delivered, at
-		l.series.held(at, -1)
+		l.series.changeOpen(at, -1)
 		l.counts.Done++
 	}
 	o := r.origin
 	if o.end == Delivered {
 		return
 	}
-	o.end, o.doneAt = Delivered, at
-	o.won = o.value * l.part(o, at)
-	l.latency.note(o.work, at-o.at)
+	o.end, o.deliveredAt = Delivered, at
+	o.earned = o.value * l.valueShare(o, at)
+	l.latency.record(o.class, at-o.at)
 }
 
 // part is what is left of a message's value at an instant.
-func (l *Ledger) part(o *origin, at dispatch.Micros) float64 {
-	w := &l.setup.Classes[o.work]
+func (l *Ledger) valueShare(o *origin, at dispatch.Micros) float64 {
+	w := &l.setup.Classes[o.class]
 	late := float64(at - o.at - w.Objective)
 	switch {
-	case at > o.at+w.Life+l.setup.AnswerSlack+l.setup.Leeway:
+	case at > o.at+w.Deadline+l.setup.AnswerSlack+l.setup.Leeway:
 		return 0
 	case late <= 0:
 		return 1
-	case l.setup.Halves:
-		return max(w.LatePart, math.Exp2(-late/float64(w.Objective)))
+	case l.setup.HalvingDecay:
+		return max(w.LateValue, math.Exp2(-late/float64(w.Objective)))
 	}
-	return 1 - (1-w.LatePart)*min(1, late/float64(w.Life-w.Objective))
+	return 1 - (1-w.LateValue)*min(1, late/float64(w.Deadline-w.Objective))
 }
 
 // Ended notes that a message has its final answer without having been delivered.
-func (l *Ledger) Ended(at dispatch.Micros, id dispatch.MessageID, how End) {
+func (l *Ledger) Ended(at dispatch.Micros, id dispatch.MessageID, end End) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ended(at, id, how)
+	l.ended(at, id, end)
 }
 
-func (l *Ledger) ended(at dispatch.Micros, id dispatch.MessageID, how End) {
+func (l *Ledger) ended(at dispatch.Micros, id dispatch.MessageID, end End) {
 	r := l.messages[id]
 	if r == nil {
-		if how == Rejected || how == Failed {
-			l.breach(Final, at, "%s was %s and had never been taken", id, how)
+		if end == Rejected || end == Failed {
+			l.breach(Final, at, "%s was %s and had never been taken", id, end)
 		}
 		return
 	}
 	if r.end != Open {
-		if how == Rejected || how == Failed {
-			l.breach(Final, at, "%s was %s after it was %s", id, how, r.end)
+		if end == Rejected || end == Failed {
+			l.breach(Final, at, "%s was %s after it was %s", id, end, r.end)
 		}
 		return
 	}
-	if how == Rejected {
-		l.judgeReject(at, r)
+	if end == Rejected {
+		l.checkReject(at, r)
 	}
-	r.end, r.endAt = how, at
-	l.series.held(at, -1)
-	switch how {
+	r.end, r.endAt = end, at
+	l.series.changeOpen(at, -1)
+	switch end {
 	case Rejected:
 		l.counts.Rejected++
 	case Failed:
 		l.counts.Failed++
 	}
 	if r.origin.end != Delivered {
-		r.origin.end = how
+		r.origin.end = end
 	}
 }
 
 // Noticed takes a notice for a message; it tells whether that ended it. Notices are sent until they are confirmed, and one
 // for a message that is over does no harm.
-func (l *Ledger) Noticed(at dispatch.Micros, id dispatch.MessageID, how End) bool {
+func (l *Ledger) Noticed(at dispatch.Micros, id dispatch.MessageID, end End) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if r := l.messages[id]; r != nil && r.end != Open {
 		return false
 	}
-	l.ended(at, id, how)
+	l.ended(at, id, end)
 	return true
 }
 
@@ -383,22 +383,22 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.messages[id]
-	return r != nil && (r.mayRan || r.out > 0)
+	return r != nil && (r.mayHaveRun || r.openAttempts > 0)
 }
 
 // Ran notes that a message took effect; before is how often it had done so already, known whether the repeat was recognized.
-func (l *Ledger) Ran(at dispatch.Micros, id dispatch.MessageID, where dispatch.EndpointID, before int, known bool) {
+func (l *Ledger) Ran(at dispatch.Micros, id dispatch.MessageID, endpoint dispatch.EndpointID, earlier int, deduplicated bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts.Effects++
 	r := l.messages[id]
-	if r == nil || before == 0 || known {
+	if r == nil || earlier == 0 || deduplicated {
 		return
 	}
 	l.counts.Repeats++
 	// A with an idempotency key message's repeats are judged when they are sent: a submission after a courier died is its client's.
-	if r.work.Repeat == dispatch.AtMostOnce && r.end != Dropped {
-		l.breach(Twice, at, "%s took effect for the %d. time, at %s", id, before+1, where)
+	if r.class.Repeat == dispatch.AtMostOnce && r.end != Dropped {
+		l.breach(Twice, at, "%s took effect for the %d. time, at %s", id, earlier+1, endpoint)
 	}
 }
 
@@ -416,37 +416,37 @@
 
 // Down notes that a courier is away, until Back. Where lost is set, what it held went with it; where it forgets, nothing that it had
 // learned survives, and nobody can ask it to know.
-func (l *Ledger) Down(at dispatch.Micros, courier int, lost, forgets bool) {
+func (l *Ledger) Down(at dispatch.Micros, courier int, losesMessages, losesLearned bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.downs[courier] = append(l.downs[courier], down{at, math.MaxInt64})
+	l.downtimes[courier] = append(l.downtimes[courier], downtime{at, math.MaxInt64})
 	for k := range l.waits {
 		if k.courier == courier {
 			delete(l.waits, k) // a restart ends a wait
 		}
 	}
 	for k := range l.notified {
-		if lost && k.courier == courier {
+		if losesMessages && k.courier == courier {
 			delete(l.notified, k)
 		}
 	}
-	if forgets {
+	if losesLearned {
 		for _, o := range l.outages {
-			delete(o.seen, courier)
+			delete(o.observers, courier)
 		}
 	}
-	if !lost {
+	if !losesMessages {
 		return
 	}
-	for _, r := range l.all {
+	for _, r := range l.messageOrder {
 		if r.courier == courier && r.end == Open {
 			r.end, r.endAt = Dropped, at
-			l.series.held(at, -1)
+			l.series.changeOpen(at, -1)
 		}
 	}
-	for k := range l.lines {
+	for k := range l.keyQueues {
 		if k.courier == courier {
-			delete(l.lines, k)
+			delete(l.keyQueues, k)
 		}
 	}
 }
@@ -457,8 +457,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.killed[courier] = at
-	for _, r := range l.all {
-		r.unheard = r.unheard || r.courier == courier && r.end == Delivered && r.endAt+l.setup.Leeway >= at
+	for _, r := range l.messageOrder {
+		r.answerMayBeUnread = r.answerMayBeUnread || r.courier == courier && r.end == Delivered && r.endAt+l.setup.Leeway >= at
 	}
 }
 
@@ -467,9 +467,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.killed, courier)
-	for i, d := range l.downs[courier] {
+	for i, d := range l.downtimes[courier] {
 		if d.to == math.MaxInt64 {
-			l.downs[courier][i].to = at + l.setup.Excused
+			l.downtimes[courier][i].to = at + l.setup.Excused
 		}
 	}
 }
@@ -478,7 +478,7 @@
 func (l *Ledger) Stood(at dispatch.Micros, courier int, to dispatch.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.downs[courier] = append(l.downs[courier], down{at, to})
+	l.downtimes[courier] = append(l.downtimes[courier], downtime{at, to})
 }
 
 // Turned notes that the health of a route changed.
@@ -486,14 +486,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := routeKey{dest, route}
-	og := l.outages[k]
+	current := l.outages[k]
 	switch {
-	case out && (og == nil || !og.on):
-		l.outages[k] = &outage{since: at, on: true, seen: map[int]bool{}}
-		l.series.out(at, dest, true)
-	case !out && og != nil && og.on:
-		og.on, og.since = false, at
-		l.series.out(at, dest, false)
+	case out && (current == nil || !current.active):
+		l.outages[k] = &outage{since: at, active: true, observers: map[int]bool{}}
+		l.series.routeOutage(at, dest, true)
+	case !out && current != nil && current.active:
+		current.active, current.since = false, at
+		l.series.routeOutage(at, dest, false)
 	}
 }
 
@@ -502,16 +502,16 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts.Falls++
-	og, knowing, all := l.outages[routeKey{dest, route}], 0.0, 0.0
+	o, fromObservers, all := l.outages[routeKey{dest, route}], 0.0, 0.0
 	for courier, n := range sent {
 		all += n
-		if og != nil && og.seen[courier] {
-			knowing += n
+		if o != nil && o.observers[courier] {
+			fromObservers += n
 		}
 	}
-	if knowing >= all*2/3 {
+	if fromObservers >= all*2/3 {
 		l.breach(Pushed, at, "destination %d was pushed over on its return: %.0f of %.0f calls came from couriers that knew",
-			dest, knowing, all)
+			dest, fromObservers, all)
 	}
 }
 
@@ -523,10 +523,10 @@
 }
 
 // Crashed notes that a courier exited by itself, or its decisions failed.
-func (l *Ledger) Crashed(at dispatch.Micros, courier int, why string) {
+func (l *Ledger) Crashed(at dispatch.Micros, courier int, reason string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.breach(Crash, at, "courier %d: %s", courier, why)
+	l.breach(Crash, at, "courier %d: %s", courier, reason)
 }
 
 func seconds(t dispatch.Micros) string { return fmt.Sprintf("%.3f s", float64(t)/1e6) }
@@ -535,14 +535,14 @@
 func (l *Ledger) Open() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.series.holding
+	return l.series.open
 }
 
 // Excused tells whether a courier owes no answers at an instant.
 func (l *Ledger) Excused(at dispatch.Micros, courier int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.excused(courier, at) != at
+	return l.excusedUntil(courier, at) != at
 }
 
 // Unanswered notes that a courier that runs ended a connection without an answer to what it had read.
--- a/testbed/invariants/rules.go
+++ b/testbed/invariants/rules.go
@@ -25,7 +25,7 @@
 func Rules() []Rule { return []Rule{Final, Twice, Drain, Pushed, Waits, Order, Crash} }
 
 // breach is how often a rule was broken, and the first times.
-type breach struct {
+type breaches struct {
 	count int
 	first []Breach
 }
@@ -37,97 +37,97 @@
 	Text string  `json:"text"`
 }
 
-const examples = 5
+const maxExamples = 5
 
 func (l *Ledger) breach(rule Rule, at dispatch.Micros, format string, args ...any) {
 	b := l.breaches[rule]
 	if b == nil {
-		b = &breach{}
+		b = &breaches{}
 		l.breaches[rule] = b
 	}
-	if b.count++; len(b.first) < examples {
+	if b.count++; len(b.first) < maxExamples {
 		b.first = append(b.first, Breach{rule, float64(at) / 1e6, fmt.Sprintf(format, args...)})
 	}
 }
 
 // judgeSend holds an attempt against the rules on ends, effects, drains, waits and order.
-func (l *Ledger) judgeSend(at dispatch.Micros, r *message, p Place) {
-	if r.end != Open && r.end != Dropped && !r.unheard && at > r.endAt+l.setup.Leeway {
+func (l *Ledger) checkSend(at dispatch.Micros, r *message, p Place) {
+	if r.end != Open && r.end != Dropped && !r.answerMayBeUnread && at > r.endAt+l.setup.Leeway {
 		l.breach(Final, at, "%s was sent to %s after it was %s at %s", r.id, p.Endpoint, r.end, seconds(r.endAt))
 	}
-	l.judgeRepeat(at, r, p)
+	l.checkRepeat(at, r, p)
 	if notified, ok := l.notified[notifiedKey{r.courier, p.Endpoint}]; ok && at > notified+l.setup.DrainGrace+l.setup.Leeway {
 		l.breach(Drain, at, "%s went to %s, which drains or is gone, as courier %d was told at %s", r.id, p.Endpoint, r.courier, seconds(notified))
 	}
 	if w, ok := l.waits[waitKey{r.courier, routeKey{p.Dest, p.Route}}]; ok && at > w.from+l.setup.WaitFrom && at < w.to-l.setup.Leeway {
 		l.breach(Waits, at, "%s went to %s, while courier %d was told to wait until %s", r.id, p.Endpoint, r.courier, seconds(w.to))
 	}
-	if r.work.InOrder && r.key != "" {
-		l.judgeOrder(at, r)
+	if r.class.InOrder && r.key != "" {
+		l.checkOrder(at, r)
 	}
 }
 
 // judgeRepeat: an at-most-once message goes again only if every earlier attempt provably never ran; one with an idempotency key that may
 // have run only in its window and group.
-func (l *Ledger) judgeRepeat(at dispatch.Micros, r *message, p Place) {
-	if r.work.Repeat == dispatch.Idempotent || len(r.attempts) == 0 {
+func (l *Ledger) checkRepeat(at dispatch.Micros, r *message, p Place) {
+	if r.class.Repeat == dispatch.Idempotent || len(r.attempts) == 0 {
 		return
 	}
-	may, ranAt, zone := r.mayRan, r.ranAt, r.ranZone
+	mayHaveRun, firstRunAt, zone := r.mayHaveRun, r.firstRunAt, r.firstRunZone
 	for _, t := range r.attempts {
-		if !t.over && (!may || t.sent < ranAt) {
-			may, ranAt, zone = true, t.sent, t.place.Zone
+		if !t.ended && (!mayHaveRun || t.sent < firstRunAt) {
+			mayHaveRun, firstRunAt, zone = true, t.sent, t.target.Zone
 		}
 	}
 	switch {
-	case !may:
-	case r.work.Repeat == dispatch.AtMostOnce:
+	case !mayHaveRun:
+	case r.class.Repeat == dispatch.AtMostOnce:
 		l.breach(Twice, at, "%s, single-use, went to %s though an earlier trip may have run", r.id, p.Endpoint)
-	case at > ranAt+r.work.Window+l.setup.Leeway:
-		l.breach(Twice, at, "%s, referenced, went to %s after its window of %s", r.id, p.Endpoint, seconds(r.work.Window))
-	case r.work.OneZone && p.Zone != zone:
+	case at > firstRunAt+r.class.Window+l.setup.Leeway:
+		l.breach(Twice, at, "%s, referenced, went to %s after its window of %s", r.id, p.Endpoint, seconds(r.class.Window))
+	case r.class.OneZone && p.Zone != zone:
 		l.breach(Twice, at, "%s, referenced, went to %s, which does not know the repeat", r.id, p.Endpoint)
 	}
 }
 
 // judgeBounce: a reject says that trying again is harmless.
-func (l *Ledger) judgeReject(at dispatch.Micros, r *message) {
-	may := r.mayRan || r.out > 0
-	if may && (r.work.Repeat == dispatch.AtMostOnce || r.work.Repeat == dispatch.IdempotencyKey && r.work.OneZone) {
+func (l *Ledger) checkReject(at dispatch.Micros, r *message) {
+	mayHaveRun := r.mayHaveRun || r.openAttempts > 0
+	if mayHaveRun && (r.class.Repeat == dispatch.AtMostOnce || r.class.Repeat == dispatch.IdempotencyKey && r.class.OneZone) {
 		l.breach(Twice, at, "%s was bounced though a trip may have run", r.id)
 	}
 }
 
 // judgeOrder: nothing is sent for a message while an earlier one of its key is not over.
-func (l *Ledger) judgeOrder(at dispatch.Micros, r *message) {
-	line := l.lines[keyOf{r.courier, r.key}]
-	line.messages = slices.DeleteFunc(line.messages, func(o *message) bool { return o.end != Open && o.out == 0 })
-	if len(line.messages) > 0 && line.messages[0] != r {
-		l.breach(Order, at, "%s went out of turn: %s of the same key is not over", r.id, line.messages[0].id)
+func (l *Ledger) checkOrder(at dispatch.Micros, r *message) {
+	queue := l.keyQueues[keyQueueID{r.courier, r.key}]
+	queue.messages = slices.DeleteFunc(queue.messages, func(o *message) bool { return o.end != Open && o.openAttempts == 0 })
+	if len(queue.messages) > 0 && queue.messages[0] != r {
+		l.breach(Order, at, "%s went out of turn: %s of the same key is not over", r.id, queue.messages[0].id)
 		return
 	}
-	if at < line.restTo-l.setup.Leeway && len(r.attempts) == 0 {
-		l.breach(Order, at, "%s went while its key had to rest until %s", r.id, seconds(line.restTo))
+	if at < queue.holdUntil-l.setup.Leeway && len(r.attempts) == 0 {
+		l.breach(Order, at, "%s went while its key had to rest until %s", r.id, seconds(queue.holdUntil))
 	}
 }
 
 // overdue holds what was taken against its deadline, at the end of the day.
-func (l *Ledger) overdue(end dispatch.Micros) {
-	for _, r := range l.all {
-		by := l.excused(r.courier, r.cutOff+l.setup.AnswerSlack+l.setup.Leeway)
+func (l *Ledger) checkOverdue(end dispatch.Micros) {
+	for _, r := range l.messageOrder {
+		latest := l.excusedUntil(r.courier, r.deadline+l.setup.AnswerSlack+l.setup.Leeway)
 		switch {
-		case r.end == Open && end > by:
-			l.breach(Final, by, "%s was never answered", r.id)
+		case r.end == Open && end > latest:
+			l.breach(Final, latest, "%s was never answered", r.id)
 			l.counts.Lost++
-		case (r.end == Rejected || r.end == Failed || r.end == Delivered) && r.endAt > by:
-			l.breach(Final, r.endAt, "%s was %s %s after its cut-off", r.id, r.end, seconds(r.endAt-r.cutOff))
+		case (r.end == Rejected || r.end == Failed || r.end == Delivered) && r.endAt > latest:
+			l.breach(Final, r.endAt, "%s was %s %s after its cut-off", r.id, r.end, seconds(r.endAt-r.deadline))
 		}
 	}
 }
 
 // excused moves an instant out of the stretches in which a courier owed no answers.
-func (l *Ledger) excused(courier int, at dispatch.Micros) dispatch.Micros {
-	for _, d := range l.downs[courier] {
+func (l *Ledger) excusedUntil(courier int, at dispatch.Micros) dispatch.Micros {
+	for _, d := range l.downtimes[courier] {
 		if at >= d.from && at < d.to {
 			at = d.to
 		}
--- a/testbed/invariants/series.go
+++ b/testbed/invariants/series.go
@@ -26,13 +26,13 @@
 }
 
 type series struct {
-	holding int
-	heldAt  []float64
-	dests   map[dispatch.DestinationID]*DestSeries
+	open      int
+	openByBin []float64
+	dests     map[dispatch.DestinationID]*DestSeries
 }
 
 // put adds to a bin; what lies before the day counts to its first bin.
-func put(s []float64, at dispatch.Micros, n float64) []float64 {
+func addToBin(s []float64, at dispatch.Micros, n float64) []float64 {
 	i := max(0, int(at/Bin))
 	for len(s) <= i {
 		s = append(s, 0)
@@ -41,13 +41,13 @@
 	return s
 }
 
-func (s *series) held(at dispatch.Micros, n int) {
-	s.holding += n
+func (s *series) changeOpen(at dispatch.Micros, n int) {
+	s.open += n
 	i := max(0, int(at/Bin))
-	for len(s.heldAt) <= i {
-		s.heldAt = append(s.heldAt, -1) // unchanged
+	for len(s.openByBin) <= i {
+		s.openByBin = append(s.openByBin, -1) // unchanged
 	}
-	s.heldAt[i] = float64(s.holding)
+	s.openByBin[i] = float64(s.open)
 }
 
 func (s *series) dest(id dispatch.DestinationID) *DestSeries {
@@ -59,25 +59,25 @@
 	return d
 }
 
-func (s *series) call(at dispatch.Micros, id dispatch.DestinationID) {
+func (s *series) countCall(at dispatch.Micros, id dispatch.DestinationID) {
 	d := s.dest(id)
-	d.Calls = put(d.Calls, at, 1)
+	d.Calls = addToBin(d.Calls, at, 1)
 }
 
-func (s *series) settled(at dispatch.Micros, id dispatch.DestinationID, o dispatch.Outcome) {
+func (s *series) countOutcome(at dispatch.Micros, id dispatch.DestinationID, o dispatch.Outcome) {
 	switch d := s.dest(id); o {
 	case dispatch.Delivered:
-		d.Done = put(d.Done, at, 1)
+		d.Done = addToBin(d.Done, at, 1)
 	case dispatch.Throttled:
-		d.Full = put(d.Full, at, 1)
+		d.Full = addToBin(d.Full, at, 1)
 	case dispatch.Unprocessed, dispatch.Canceled:
 	default:
-		d.Failed = put(d.Failed, at, 1)
+		d.Failed = addToBin(d.Failed, at, 1)
 	}
 }
 
 // out notes that a route of a destination went out or came back; the destination is out while any of them is.
-func (s *series) out(at dispatch.Micros, id dispatch.DestinationID, on bool) {
+func (s *series) routeOutage(at dispatch.Micros, id dispatch.DestinationID, on bool) {
 	d := s.dest(id)
 	switch {
 	case on:
@@ -93,14 +93,14 @@
 
 func (s *series) finish(l *Ledger, end dispatch.Micros) *Series {
 	out, bins := &Series{}, int(end/Bin)+1
-	for _, o := range l.order {
-		out.Asked = put(out.Asked, o.at, o.value)
-		out.Won = put(out.Won, o.at, o.won)
+	for _, o := range l.originOrder {
+		out.Asked = addToBin(out.Asked, o.at, o.value)
+		out.Won = addToBin(out.Won, o.at, o.earned)
 		d := s.dest(o.dest)
-		d.Offered = put(d.Offered, o.at, 1)
+		d.Offered = addToBin(d.Offered, o.at, 1)
 	}
 	level := 0.0
-	for _, h := range s.heldAt {
+	for _, h := range s.openByBin {
 		if h >= 0 {
 			level = h
 		}
--- a/testbed/invariants/verdict.go
+++ b/testbed/invariants/verdict.go
@@ -32,7 +32,7 @@
 	Falls       int `json:"falls"`
 }
 
-func (c *Counts) settle(o dispatch.Outcome) {
+func (c *Counts) countOutcome(o dispatch.Outcome) {
 	switch o {
 	case dispatch.Throttled:
 		c.Full++
@@ -53,20 +53,20 @@
 
 // Verdict is the judgement of a day.
 type Verdict struct {
-	Figure   float64            `json:"figure"` // 0 where a rule broke
-	Service  float64            `json:"service"`
-	Whole    float64            `json:"whole"`
-	Window   float64            `json:"worst_window"`
-	WindowAt float64            `json:"worst_window_at_s"`
-	Class    map[string]float64 `json:"workloads"`
-	Tenant   map[string]float64 `json:"parties,omitempty"`
-	Costs    float64            `json:"costs"`
-	Counts   Counts             `json:"counts"`
-	Broken   map[Rule]int       `json:"broken,omitempty"`
-	Breaches []Breach           `json:"breaches,omitempty"`
-	Latency  []Latency          `json:"latency"`
-	Invalid  string             `json:"void,omitempty"` // why the run does not count
-	Series   *Series            `json:"-"`
+	Figure       float64            `json:"figure"` // 0 where a rule broke
+	Service      float64            `json:"service"`
+	Whole        float64            `json:"whole"`
+	Window       float64            `json:"worst_window"`
+	WindowAt     float64            `json:"worst_window_at_s"`
+	Class        map[string]float64 `json:"workloads"`
+	TenantShares map[string]float64 `json:"parties,omitempty"`
+	Costs        float64            `json:"costs"`
+	Counts       Counts             `json:"counts"`
+	Broken       map[Rule]int       `json:"broken,omitempty"`
+	Breaches     []Breach           `json:"breaches,omitempty"`
+	Latency      []Latency          `json:"latency"`
+	Invalid      string             `json:"void,omitempty"` // why the run does not count
+	Series       *Series            `json:"-"`
 }
 
 // OK tells whether all rules were kept.
@@ -89,51 +89,51 @@
 	return strings.Join(parts, "; ")
 }
 
-const windowSpan = 10 * 1000 * 1000
+const worstWindowSpan = 10 * 1000 * 1000
 
 // Finish closes the books at the end of a day.
 func (l *Ledger) Finish(end dispatch.Micros) *Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.overdue(end)
-	v := &Verdict{Counts: l.counts, Class: map[string]float64{}, Tenant: map[string]float64{}, Broken: map[Rule]int{},
+	l.checkOverdue(end)
+	v := &Verdict{Counts: l.counts, Class: map[string]float64{}, TenantShares: map[string]float64{}, Broken: map[Rule]int{},
 		Latency: l.latency.table(), Series: l.series.finish(l, end)}
-	var whole sum
-	works, tenants := make([]sum, len(l.setup.Classes)), make([]sum, len(l.setup.Tenants))
-	const half = windowSpan / 2
-	halves := make([]sum, int(l.setup.Length/half)+2)
-	for _, o := range l.order {
-		for _, s := range []*sum{&whole, &works[o.work], &halves[min(int(o.at/half), len(halves)-1)]} {
+	var overall valueSum
+	classes, tenants := make([]valueSum, len(l.setup.Classes)), make([]valueSum, len(l.setup.Tenants))
+	const half = worstWindowSpan / 2
+	halves := make([]valueSum, int(l.setup.Length/half)+2)
+	for _, o := range l.originOrder {
+		for _, s := range []*valueSum{&overall, &classes[o.class], &halves[min(int(o.at/half), len(halves)-1)]} {
 			s.add(o)
 		}
-		if o.tenant < len(tenants) && o.value > 0 && o.value >= l.setup.Classes[o.work].Priority {
+		if o.tenant < len(tenants) && o.value > 0 && o.value >= l.setup.Classes[o.class].Priority {
 			tenants[o.tenant].add(o) // within its share
 		}
 	}
-	v.Whole, v.Window = whole.share(), whole.share()
+	v.Whole, v.Window = overall.share(), overall.share()
 	for i := 0; i+1 < len(halves); i++ {
-		pair := sum{halves[i].asked + halves[i+1].asked, halves[i].won + halves[i+1].won}
-		if s := pair.share(); s < v.Window && pair.asked > 0.05*whole.asked*windowSpan/float64(max(windowSpan, l.setup.Length)) {
+		pair := valueSum{halves[i].offered + halves[i+1].offered, halves[i].earned + halves[i+1].earned}
+		if s := pair.share(); s < v.Window && pair.offered > 0.05*overall.offered*worstWindowSpan/float64(max(worstWindowSpan, l.setup.Length)) {
 			v.Window, v.WindowAt = s, float64(i)*half/1e6
 		}
 	}
-	least := func(names func(int) string, sums []sum, into map[string]float64) float64 {
-		low := math.Inf(1)
+	lowestShare := func(name func(int) string, sums []valueSum, shares map[string]float64) float64 {
+		lowest := math.Inf(1)
 		for i, s := range sums {
-			if s.asked > 0 {
-				into[names(i)] = s.share()
-				low = min(low, s.share())
+			if s.offered > 0 {
+				shares[name(i)] = s.share()
+				lowest = min(lowest, s.share())
 			}
 		}
-		if math.IsInf(low, 1) {
+		if math.IsInf(lowest, 1) {
 			return v.Whole
 		}
-		return low
+		return lowest
 	}
-	worstWork := least(func(i int) string { return l.setup.Classes[i].Name }, works, v.Class)
-	worstTenant := least(func(i int) string { return l.setup.Tenants[i] }, tenants, v.Tenant)
+	worstClass := lowestShare(func(i int) string { return l.setup.Classes[i].Name }, classes, v.Class)
+	worstTenant := lowestShare(func(i int) string { return l.setup.Tenants[i] }, tenants, v.TenantShares)
 	g := l.setup.Goal
-	v.Service = (g.Whole*v.Whole + g.Window*v.Window + g.Class*worstWork + g.Tenant*worstTenant) / (g.Whole + g.Window + g.Class + g.Tenant)
+	v.Service = (g.Whole*v.Whole + g.Window*v.Window + g.WorstClass*worstClass + g.WorstTenant*worstTenant) / (g.Whole + g.Window + g.WorstClass + g.WorstTenant)
 	offered, p := float64(max(1, l.counts.Offered)), l.setup.Prices
 	wasted := float64(max(0, l.counts.Attempts-l.counts.Unprocessed-l.counts.Done))
 	v.Costs = (p.Waste*wasted + p.Handshake*float64(l.counts.Handshakes) + p.Refused*float64(l.counts.Full)) / offered
@@ -148,14 +148,14 @@
 	return v
 }
 
-type sum struct{ asked, won float64 }
+type valueSum struct{ offered, earned float64 }
 
-func (s *sum) add(o *origin) { s.asked, s.won = s.asked+o.value, s.won+o.won }
-func (s sum) share() float64 {
-	if s.asked <= 0 {
+func (s *valueSum) add(o *origin) { s.offered, s.earned = s.offered+o.value, s.earned+o.earned }
+func (s valueSum) share() float64 {
+	if s.offered <= 0 {
 		return 1
 	}
-	return s.won / s.asked
+	return s.earned / s.offered
 }
 
 // Latency is how long delivery took, from the instant a message was due to be submitted.
@@ -175,17 +175,17 @@
 }
 
 // newLatencies keeps from a tenth of a millisecond to an hour, to three digits.
-func newLatencies(works []Class) latencies {
+func newLatencies(classes []Class) latencies {
 	var l latencies
-	for _, w := range works {
+	for _, w := range classes {
 		l.names = append(l.names, w.Name)
 		l.all = append(l.all, hdrhistogram.New(100, 3600*1000*1000, 3))
 	}
 	return l
 }
 
-func (l *latencies) note(work int, took dispatch.Micros) {
-	_ = l.all[work].RecordValue(min(max(100, int64(took)), 3600*1000*1000)) // always within its bounds
+func (l *latencies) record(class int, latency dispatch.Micros) {
+	_ = l.all[class].RecordValue(min(max(100, int64(latency)), 3600*1000*1000)) // always within its bounds
 }
 
 func (l *latencies) table() (rows []Latency) {
--- a/testbed/scenario/draw.go
+++ b/testbed/scenario/draw.go
@@ -28,10 +28,10 @@
 // Destination is a partner and its traffic.
 type Destination struct {
 	endpointmodel.Plan
-	KindName string
-	Usual    float64 // messages a second at full load
-	Listed   float64 // the rate on the list, for a route
-	Tenant   int     // whose messages it gets; -1: nobody's
+	KindName   string
+	UsualRate  float64 // messages a second at full load
+	ListedRate float64 // the rate on the list, for a route
+	Tenant     int     // whose messages it gets; -1: nobody's
 }
 
 // Arrival is a message submitted for the first time.
@@ -49,18 +49,18 @@
 
 // What happens by itself on a day.
 const (
-	Begins   ActKind = iota // a fault begins
-	Ends                    // and ends
-	Adds                    // an endpoint goes up and is listed
-	Drains                  // an endpoint is listed as draining
-	Removes                 // an endpoint goes down and is taken off the list
-	Kills                   // a courier is killed
-	Asks                    // a courier is asked to end, as before a planned restart
-	Starts                  // a courier starts
-	Stands                  // a courier stands still for Span
-	ListDown                // the directory stops answering
-	ListUp                  // and goes on
-	Tells                   // nothing but a line for the account: a flood began or ended
+	Begins     ActKind = iota // a fault begins
+	Ends                      // and ends
+	Adds                      // an endpoint goes up and is listed
+	Drains                    // an endpoint is listed as draining
+	Removes                   // an endpoint goes down and is taken off the list
+	Kills                     // a courier is killed
+	Asks                      // a courier is asked to end, as before a planned restart
+	Starts                    // a courier starts
+	Stands                    // a courier stands still for Span
+	ListDown                  // the directory stops answering
+	ListUp                    // and goes on
+	Annotation                // nothing but a line for the account: a flood began or ended
 )
 
 // Act is one thing that happens by itself.
@@ -80,7 +80,7 @@
 func micros(seconds float64) dispatch.Micros { return dispatch.Micros(math.Round(seconds * 1e6)) }
 
 // stream is the chance of one part of the drawing, so that a change in one part leaves the others as they are.
-func stream(seed int64, part uint64) *rand.Rand { return rand.New(rand.NewPCG(uint64(seed), part)) }
+func newRand(seed int64, part uint64) *rand.Rand { return rand.New(rand.NewPCG(uint64(seed), part)) }
 
 func (r Range) draw(rng *rand.Rand) float64 { return r[0] + (r[1]-r[0])*rng.Float64() }
 
@@ -93,125 +93,125 @@
 }
 
 // Draw makes a day of a file.
-func Draw(d *Day, seed int64) *Drawn {
-	w := &Drawn{Day: d, Seed: seed, Length: micros(d.Length), Load: d.Load.draw(stream(seed, 1))}
-	last := 0.0
-	for _, wl := range d.Classes {
-		last = max(last, wl.CutOff)
+func Draw(def *Day, seed int64) *Drawn {
+	instance := &Drawn{Day: def, Seed: seed, Length: micros(def.Length), Load: def.Load.draw(newRand(seed, 1))}
+	maxDeadline := 0.0
+	for _, wl := range def.Classes {
+		maxDeadline = max(maxDeadline, wl.CutOff)
 	}
-	w.End = w.Length + micros(last+d.Rules.AnswerSlack+0.5)
-	w.destinations()
-	w.couriers()
-	floods := w.troubles()
-	w.arrivals(floods)
-	slices.SortStableFunc(w.Acts, func(a, b Act) int { return cmp.Compare(a.At, b.At) })
-	return w
+	instance.End = instance.Length + micros(maxDeadline+def.Rules.AnswerSlack+0.5)
+	instance.drawDestinations()
+	instance.sizeCouriers()
+	floods := instance.drawFaults()
+	instance.drawArrivals(floods)
+	slices.SortStableFunc(instance.Acts, func(a, b Act) int { return cmp.Compare(a.At, b.At) })
+	return instance
 }
 
 // weights are shares of the traffic by Zipf's law, in an order of chance.
-func weights(n int, exponent float64, rng *rand.Rand) []float64 {
-	all, sum := make([]float64, n), 0.0
-	for i := range all {
-		all[i] = math.Pow(float64(i+1), -exponent)
-		sum += all[i]
+func zipfShares(n int, exponent float64, rng *rand.Rand) []float64 {
+	shares, sum := make([]float64, n), 0.0
+	for i := range shares {
+		shares[i] = math.Pow(float64(i+1), -exponent)
+		sum += shares[i]
 	}
-	for i := range all {
-		all[i] /= sum
+	for i := range shares {
+		shares[i] /= sum
 	}
-	rng.Shuffle(n, func(i, j int) { all[i], all[j] = all[j], all[i] })
-	return all
+	rng.Shuffle(n, func(i, j int) { shares[i], shares[j] = shares[j], shares[i] })
+	return shares
 }
 
-func (w *Drawn) destinations() {
-	d, rng := w.Day, stream(w.Seed, 2)
-	share := weights(d.Traffic.Destinations, d.Traffic.Zipf, rng)
-	kinds := w.kindOf(share, rng)
+func (w *Drawn) drawDestinations() {
+	d, rng := w.Day, newRand(w.Seed, 2)
+	share := zipfShares(d.Traffic.Destinations, d.Traffic.Zipf, rng)
+	kinds := w.assignKinds(share, rng)
 	order := make([]int, len(d.Tenants))
 	for i := range order {
 		order[i] = i
 	}
-	owed := make([]float64, len(d.Tenants))
+	assigned := make([]float64, len(d.Tenants))
 	for i, usual := range share {
 		kind := d.Kinds[kinds[i]]
-		dst := Destination{KindName: kind.Name, Usual: usual * d.Traffic.FullPerSec, Tenant: -1}
+		dst := Destination{KindName: kind.Name, UsualRate: usual * d.Traffic.FullPerSec, Tenant: -1}
 		if len(order) > 0 { // to the tenant that is furthest behind its share
-			dst.Tenant = slices.MinFunc(order, func(a, b int) int { return cmp.Compare(owed[a], owed[b]) })
-			owed[dst.Tenant] += usual / max(1e-9, d.Tenants[dst.Tenant].Share)
+			dst.Tenant = slices.MinFunc(order, func(a, b int) int { return cmp.Compare(assigned[a], assigned[b]) })
+			assigned[dst.Tenant] += usual / max(1e-9, d.Tenants[dst.Tenant].Share)
 		}
-		w.plan(&dst, kind, i, kinds[i], rng)
+		w.drawPlan(&dst, kind, i, kinds[i], rng)
 		w.Destinations = append(w.Destinations, dst)
 	}
 }
 
 // kindOf gives each destination a kind; kinds that lean to the busy take from the front of the busiest.
-func (w *Drawn) kindOf(share []float64, rng *rand.Rand) []int {
+func (w *Drawn) assignKinds(share []float64, rng *rand.Rand) []int {
 	kinds, sum := w.Day.Kinds, 0.0
 	for _, k := range kinds {
 		sum += k.Share
 	}
-	busy := make([]int, len(share))
-	for i := range busy {
-		busy[i] = i
+	byRate := make([]int, len(share))
+	for i := range byRate {
+		byRate[i] = i
 	}
-	slices.SortStableFunc(busy, func(a, b int) int { return cmp.Compare(share[b], share[a]) })
+	slices.SortStableFunc(byRate, func(a, b int) int { return cmp.Compare(share[b], share[a]) })
 	order := make([]int, len(kinds))
 	for i := range order {
 		order[i] = i
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(kinds[b].Lean, kinds[a].Lean) })
-	of, at := make([]int, len(share)), 0
+	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(kinds[b].LoadBias, kinds[a].LoadBias) })
+	kindOf, next := make([]int, len(share)), 0
 	for n, k := range order {
 		count := int(math.Round(kinds[k].Share / max(sum, 1e-9) * float64(len(share))))
 		if n == len(order)-1 {
-			count = len(share) - at
+			count = len(share) - next
 		} else {
-			count = min(max(count, 1), len(share)-at)
+			count = min(max(count, 1), len(share)-next)
 		}
 		for range count {
-			of[busy[at]] = k
-			at++
+			kindOf[byRate[next]] = k
+			next++
 		}
 	}
 	// Leaning is mostly so, and not always: one in five trades places.
-	for i := range of {
-		if j := rng.IntN(len(of)); rng.Float64() < 0.2 {
-			of[i], of[j] = of[j], of[i]
+	for i := range kindOf {
+		if j := rng.IntN(len(kindOf)); rng.Float64() < 0.2 {
+			kindOf[i], kindOf[j] = kindOf[j], kindOf[i]
 		}
 	}
-	return of
+	return kindOf
 }
 
-func (w *Drawn) plan(dst *Destination, k Kind, number, kind int, rng *rand.Rand) {
+func (w *Drawn) drawPlan(dst *Destination, k Kind, number, kind int, rng *rand.Rand) {
 	d := w.Day
 	endpoints := int(math.Round(k.Endpoints.draw(rng)))
-	answer := k.Answer.drawLog(rng) / 1000
-	limit := max(k.Least.draw(rng), dst.Usual*k.Headroom.draw(rng))
-	perEndpoint := limit * k.Spare.draw(rng) / float64(endpoints)
-	workers := max(1, math.Ceil(perEndpoint*answer))
-	answer = workers / perEndpoint // so that the capacity is just that
-	if answer > k.Answer[1]/1000 {
-		answer = k.Answer[1] / 1000
+	serviceTime := k.Answer.drawLog(rng) / 1000
+	limit := max(k.MinLimit.draw(rng), dst.UsualRate*k.LimitFactor.draw(rng))
+	perEndpoint := limit * k.CapacityFactor.draw(rng) / float64(endpoints)
+	workers := max(1, math.Ceil(perEndpoint*serviceTime))
+	serviceTime = workers / perEndpoint // so that the capacity is just that
+	if serviceTime > k.Answer[1]/1000 {
+		serviceTime = k.Answer[1] / 1000
 	}
 	p := endpointmodel.Plan{Dest: dispatch.DestinationID(number), Kind: dispatch.EndpointTypeID(kind), Apart: k.Apart, PerCall: k.PerCall,
-		ItemCost: k.ItemCost, Workers: int(workers), Answer: micros(answer), Spread: k.Spread.draw(rng),
+		ItemCost: k.ItemCost, Workers: int(workers), Answer: micros(serviceTime), ServiceTimeCV: k.ServiceTimeCV.draw(rng),
 		Queue: int(math.Ceil(perEndpoint * k.Queue.draw(rng))), ErrorRate: k.ErrorRate.draw(rng),
 		Reports: k.Reports, ReportEvery: micros(k.ReportEvery / 1000), ReportNoise: k.ReportNoise,
 		ColdFrom: d.Rules.ColdFrom, Ramp: micros(d.Rules.Ramp), Fall: d.Rules.Fall, FallSpan: micros(d.Rules.FallSpan),
-		FallDown: micros(d.Rules.FallDown), Seed: rng.Uint64()}
+		OverloadDowntime: micros(d.Rules.OverloadDowntime), Seed: rng.Uint64()}
 	perRoute := limit
 	if k.Apart {
 		perRoute /= float64(endpoints)
 	}
-	p.Limit = endpointmodel.Limit{PerSec: perRoute, Span: micros(k.WindowSpan / 1000), Tells: k.Tells.draw(rng),
-		LeastWait: micros(k.Wait.draw(rng) / 1000), RefusedCount: rng.Float64() < k.RefusedCount}
-	switch k.Limits[rng.IntN(len(k.Limits))] {
+	p.Limit = endpointmodel.Limit{PerSec: perRoute, Span: micros(k.LimitWindow / 1000), RetryAfterShare: k.RetryAfterShare.draw(rng),
+		MinRetryAfter: micros(k.Wait.draw(rng) / 1000), CountRefused: rng.Float64() < k.CountRefusedShare}
+	switch k.LimitKinds[rng.IntN(len(k.LimitKinds))] {
 	case "rate":
 		p.Limit.Kind = endpointmodel.Rate
 	case "window":
 		p.Limit.Kind = endpointmodel.Window
 	}
 	if k.Connections[1] > 0 {
-		p.Connections = max(k.LeastConns, int(math.Ceil(k.Connections.draw(rng)*workers)))
+		p.Connections = max(k.MinConnections, int(math.Ceil(k.Connections.draw(rng)*workers)))
 	}
 	for e := range endpoints {
 		p.Endpoints = append(p.Endpoints, endpointmodel.Endpoint{ID: endpointID(number, e),
@@ -220,9 +220,9 @@
 	dst.Plan = p
 	switch d.Directory.Rates {
 	case "nominal":
-		dst.Listed = perRoute
+		dst.ListedRate = perRoute
 	case "rough":
-		dst.Listed = perRoute * (0.5 + rng.Float64())
+		dst.ListedRate = perRoute * (0.5 + rng.Float64())
 	}
 }
 
@@ -230,15 +230,15 @@
 	return dispatch.EndpointID(fmt.Sprintf("e%d-%d", dest, n))
 }
 
-func (w *Drawn) couriers() {
+func (w *Drawn) sizeCouriers() {
 	d := w.Day
 	busy := 0.0
 	for _, dst := range w.Destinations {
-		busy += dst.Usual * (float64(dst.Answer)/1e6 + d.Network.Same[1]/1000)
+		busy += dst.UsualRate * (float64(dst.Answer)/1e6 + d.Network.Same[1]/1000)
 	}
 	n := float64(d.Fleet.Couriers)
-	w.Slots = max(d.Fleet.LeastSlots, int(math.Ceil(d.Fleet.SlotsRoom*busy/n)))
-	w.Hold = max(d.Fleet.LeastHold, int(math.Ceil(d.Fleet.HoldFor*d.Traffic.FullPerSec/n)))
+	w.Slots = max(d.Fleet.MinSlots, int(math.Ceil(d.Fleet.SlotsRoom*busy/n)))
+	w.Hold = max(d.Fleet.MinQueueLimit, int(math.Ceil(d.Fleet.QueueLimitTime*d.Traffic.FullPerSec/n)))
 	for i := range d.Fleet.Couriers {
 		w.CourierZone = append(w.CourierZone, dispatch.ZoneID(i%len(d.Fleet.Zones)))
 	}
@@ -248,7 +248,7 @@
 type flood struct {
 	from, to dispatch.Micros
 	tenant   int // -1: all
-	times    float64
+	factor   float64
 }
 
 // trafficShares is the usual traffic of each destination, and its sum.
@@ -259,33 +259,33 @@
 		if destination.Tenant >= 0 {
 			usage = w.Day.Tenants[destination.Tenant].Usage
 		}
-		share[i] = destination.Usual * usage
+		share[i] = destination.UsualRate * usage
 		total += share[i]
 	}
 	return share, total
 }
 
-func (w *Drawn) arrivals(floods []flood) {
-	d, rng := w.Day, stream(w.Seed, 4)
+func (w *Drawn) drawArrivals(floods []flood) {
+	d, rng := w.Day, newRand(w.Seed, 4)
 	share, total := w.trafficShares()
-	pick := newPicker(share)
-	works := w.classesByKind()
-	clumps := d.Traffic.Clumps.draw(rng)
+	destinations := newPicker(share)
+	classes := w.classesByKind()
+	burstShare := d.Traffic.Clumps.draw(rng)
 	phase := rng.Float64() * 2 * math.Pi
-	most := 1.0
+	maxFactor := 1.0
 	for _, f := range floods {
-		most = max(most, f.times)
+		maxFactor = max(maxFactor, f.factor)
 	}
-	var busy picker // couriers, where traffic is uneven among them
-	if d.Traffic.Uneven > 0 {
-		busy = newPicker(weights(d.Fleet.Couriers, d.Traffic.Uneven, stream(w.Seed, 9)))
+	var courierPicker picker // couriers, where traffic is uneven among them
+	if d.Traffic.CourierZipf > 0 {
+		courierPicker = newPicker(zipfShares(d.Fleet.Couriers, d.Traffic.CourierZipf, newRand(w.Seed, 9)))
 	}
 	add := func(at dispatch.Micros, dest int) {
 		dst := &w.Destinations[dest]
 		a := Arrival{At: at, Dest: int32(dest), Tenant: int32(max(0, dst.Tenant)), Courier: int32(rng.IntN(d.Fleet.Couriers)), Key: -1}
-		a.Class = int32(works[dst.Plan.Kind].draw(rng))
-		if busy != nil {
-			a.Courier = int32(busy.draw(rng))
+		a.Class = int32(classes[dst.Plan.Kind].draw(rng))
+		if courierPicker != nil {
+			a.Courier = int32(courierPicker.draw(rng))
 		}
 		if d.Classes[a.Class].InOrder {
 			a.Key = int32(rng.IntN(d.Traffic.Keys))
@@ -294,17 +294,17 @@
 		w.Arrivals = append(w.Arrivals, a)
 	}
 	// Single messages by thinning: drawn at the highest rate, kept as often as the rate of the instant asks.
-	peak := total * w.Load * (1 - clumps) * (1 + d.Traffic.Swing) * most
+	peak := total * w.Load * (1 - burstShare) * (1 + d.Traffic.Swing) * maxFactor
 	for at := 0.0; ; {
 		at += rng.ExpFloat64() / max(peak, 1e-9)
 		if at >= d.Length {
 			break
 		}
-		dest, now := pick.draw(rng), micros(at)
-		rate := (1 + d.Traffic.Swing*math.Sin(phase+2*math.Pi*at/d.Length)) / (1 + d.Traffic.Swing) / most
+		dest, now := destinations.draw(rng), micros(at)
+		rate := (1 + d.Traffic.Swing*math.Sin(phase+2*math.Pi*at/d.Length)) / (1 + d.Traffic.Swing) / maxFactor
 		for _, f := range floods {
 			if now >= f.from && now < f.to && (f.tenant < 0 || f.tenant == w.Destinations[dest].Tenant) {
-				rate *= f.times
+				rate *= f.factor
 			}
 		}
 		if rng.Float64() < rate {
@@ -312,9 +312,9 @@
 		}
 	}
 	// Clumps: as many messages for one destination as its limit takes in some time, within a fifth of a second.
-	for left := total * w.Load * clumps * d.Length; left >= 1; {
-		dest, at := pick.draw(rng), rng.Float64()*d.Length
-		size := max(1, math.Round(w.Destinations[dest].Limit.PerSec*d.Traffic.ClumpFor.draw(rng)))
+	for left := total * w.Load * burstShare * d.Length; left >= 1; {
+		dest, at := destinations.draw(rng), rng.Float64()*d.Length
+		size := max(1, math.Round(w.Destinations[dest].Limit.PerSec*d.Traffic.BurstSize.draw(rng)))
 		size = min(size, math.Ceil(left))
 		left -= size
 		for range int(size) {
--- a/testbed/scenario/scenario.go
+++ b/testbed/scenario/scenario.go
@@ -31,20 +31,20 @@
 
 // Fleet is the couriers.
 type Fleet struct {
-	Couriers    int      `toml:"couriers" in:"1..10000" doc:"how many"`
-	Entry       string   `toml:"entry" def:"front" one:"front|own" doc:"front: clients reach any courier; own: each client has one courier"`
-	Zones       []string `toml:"zones" def:"a" doc:"buildings; couriers and endpoints are spread over them"`
-	SlotsRoom   float64  `toml:"slots_room" def:"2" in:"0.1..1000" doc:"slots, over what a courier's part of the full load keeps busy"`
-	LeastSlots  int      `toml:"least_slots" def:"4" in:"1..100000" doc:"slots of a courier at least"`
-	HoldFor     float64  `toml:"hold_s" def:"6" in:"0.1..3600" unit:"s of the full load" doc:"how much a courier holds"`
-	LeastHold   int      `toml:"least_hold" def:"10" in:"1..1000000" doc:"messages that a courier holds at least"`
-	Tick        float64  `toml:"tick_ms" def:"5" in:"0.1..1000" unit:"ms" doc:"virtual time only: a courier handles what has come once a tick"`
-	MaxAttempts int      `toml:"max_trips" def:"8" in:"1..100" doc:"attempts of a message at most"`
-	MayCancel   bool     `toml:"may_cancel" def:"true" doc:"couriers may call attempts off"`
-	MayAdvise   bool     `toml:"may_advise" def:"true" doc:"a rejection may say when to come again"`
-	Idle        float64  `toml:"idle_s" def:"5" in:"0.1..3600" unit:"s" doc:"idle connections are closed after this"`
-	Connect     float64  `toml:"connect_ms" def:"1000" in:"10..60000" unit:"ms" doc:"connections that are not up by then are given up"`
-	LongestWait float64  `toml:"longest_advice_s" def:"2" in:"0..3600" unit:"s" doc:"longest advice that clients heed"`
+	Couriers       int      `toml:"couriers" in:"1..10000" doc:"how many"`
+	Entry          string   `toml:"entry" def:"front" one:"front|own" doc:"front: clients reach any courier; own: each client has one courier"`
+	Zones          []string `toml:"zones" def:"a" doc:"buildings; couriers and endpoints are spread over them"`
+	SlotsRoom      float64  `toml:"slots_room" def:"2" in:"0.1..1000" doc:"slots, over what a courier's part of the full load keeps busy"`
+	MinSlots       int      `toml:"least_slots" def:"4" in:"1..100000" doc:"slots of a courier at least"`
+	QueueLimitTime float64  `toml:"hold_s" def:"6" in:"0.1..3600" unit:"s of the full load" doc:"how much a courier holds"`
+	MinQueueLimit  int      `toml:"least_hold" def:"10" in:"1..1000000" doc:"messages that a courier holds at least"`
+	Tick           float64  `toml:"tick_ms" def:"5" in:"0.1..1000" unit:"ms" doc:"virtual time only: a courier handles what has come once a tick"`
+	MaxAttempts    int      `toml:"max_trips" def:"8" in:"1..100" doc:"attempts of a message at most"`
+	MayCancel      bool     `toml:"may_cancel" def:"true" doc:"couriers may call attempts off"`
+	SendRetryAfter bool     `toml:"may_advise" def:"true" doc:"a rejection may say when to come again"`
+	Idle           float64  `toml:"idle_s" def:"5" in:"0.1..3600" unit:"s" doc:"idle connections are closed after this"`
+	Connect        float64  `toml:"connect_ms" def:"1000" in:"10..60000" unit:"ms" doc:"connections that are not up by then are given up"`
+	LongestWait    float64  `toml:"longest_advice_s" def:"2" in:"0..3600" unit:"s" doc:"longest advice that clients heed"`
 }
 
 // Traffic is what is submitted.
@@ -52,42 +52,42 @@
 	FullPerSec   float64 `toml:"full_per_s" in:"0.01..1000000" unit:"records/s" doc:"the full load"`
 	Destinations int     `toml:"destinations" in:"1..1000000" doc:"how many destinations"`
 	Zipf         float64 `toml:"zipf" def:"0.9" in:"0..3" doc:"how uneven traffic is among destinations (exponent)"`
-	Uneven       float64 `toml:"uneven" def:"0" in:"0..3" doc:"how uneven it is among couriers (exponent); 0: all alike"`
+	CourierZipf  float64 `toml:"uneven" def:"0" in:"0..3" doc:"how uneven it is among couriers (exponent); 0: all alike"`
 	Swing        float64 `toml:"swing" def:"0.2" in:"0..0.95" doc:"how far traffic swings about its mean, in one wave a day"`
 	Clumps       Range   `toml:"clumps" def:"[0.1,0.1]" in:"0..0.9" doc:"share of messages that come in clumps for one destination"`
-	ClumpFor     Range   `toml:"clump_s" def:"[1,3]" in:"0.01..60" unit:"s of the limit" doc:"size of a clump"`
+	BurstSize    Range   `toml:"clump_s" def:"[1,3]" in:"0.01..60" unit:"s of the limit" doc:"size of a clump"`
 	Keys         int     `toml:"keys" def:"200" in:"1..1000000" doc:"distinct keys, for classes in order"`
 }
 
 // Kind is one kind of destination.
 type Kind struct {
-	Name         string   `toml:"name" doc:"its name"`
-	Share        float64  `toml:"share" def:"1" in:"0..1000" doc:"part of the destinations, among the kinds"`
-	Lean         int      `toml:"lean" def:"0" in:"-1..1" doc:"1: mostly busy destinations, -1: mostly quiet ones"`
-	Endpoints    Range    `toml:"endpoints" def:"[1,3]" in:"1..64" doc:"endpoints of a destination"`
-	Answer       Range    `toml:"answer_ms" def:"[150,300]" in:"1..60000" unit:"ms" doc:"mean time of service"`
-	Spread       Range    `toml:"spread" def:"[0.4,0.7]" in:"0..5" doc:"coefficient of variation of it (lognormal)"`
-	Headroom     Range    `toml:"headroom" def:"[1.2,2]" in:"0.1..1000" unit:"x its calls at full load" doc:"the limit"`
-	Least        Range    `toml:"least_per_s" def:"[2,4]" in:"0.01..100000" unit:"calls/s" doc:"the limit at least"`
-	Spare        Range    `toml:"spare" def:"[1.15,1.6]" in:"1..100" unit:"x the limit" doc:"capacity"`
-	Limits       []string `toml:"limits" def:"rate" one:"rate|window|none" doc:"how it counts, one drawn for each: a plain rate, so many in a span, or not at all"`
-	WindowSpan   float64  `toml:"window_ms" def:"1000" in:"10..60000" unit:"ms" doc:"span of a window"`
-	RefusedCount float64  `toml:"refused_count" def:"0" in:"0..1" doc:"share of destinations where refused calls use up the limit"`
-	Tells        Range    `toml:"tells" def:"[0.5,1]" in:"0..1" doc:"share of refusals that tell how long to wait"`
-	Wait         Range    `toml:"wait_ms" def:"[200,900]" in:"0..600000" unit:"ms" doc:"shortest wait that is told"`
-	Connections  Range    `toml:"connections" def:"[0,0]" in:"0..1000" unit:"x calls served at once" doc:"connections of an endpoint, idle ones counted; 0: any number"`
-	LeastConns   int      `toml:"least_connections" def:"8" in:"1..100000" doc:"connections at least, where they are few"`
-	Queue        Range    `toml:"queue_s" def:"[0.3,1]" in:"0..60" unit:"s of its capacity" doc:"queue of an endpoint"`
-	Apart        bool     `toml:"apart" def:"false" doc:"its endpoints are routes apart, each with its own limit, outages and return"`
-	PerCall      int      `toml:"per_call" def:"1" in:"1..100" doc:"messages in a call at most"`
-	ItemCost     float64  `toml:"item_cost" def:"0.15" in:"0..1" unit:"x a call" doc:"work of each further message in a call"`
-	Reports      bool     `toml:"reports" def:"false" doc:"answers tell what is left of the limit, and the limit"`
-	ReportEvery  float64  `toml:"report_ms" def:"300" in:"1..60000" unit:"ms" doc:"how old a report may be"`
-	ReportNoise  float64  `toml:"report_noise" def:"0.08" in:"0..1" doc:"how far a report is off (deviation)"`
-	ErrorRate    Range    `toml:"error_rate" def:"[0,0.003]" in:"0..1" doc:"share of calls that fail in good health"`
+	Name              string   `toml:"name" doc:"its name"`
+	Share             float64  `toml:"share" def:"1" in:"0..1000" doc:"part of the destinations, among the kinds"`
+	LoadBias          int      `toml:"lean" def:"0" in:"-1..1" doc:"1: mostly busy destinations, -1: mostly quiet ones"`
+	Endpoints         Range    `toml:"endpoints" def:"[1,3]" in:"1..64" doc:"endpoints of a destination"`
+	Answer            Range    `toml:"answer_ms" def:"[150,300]" in:"1..60000" unit:"ms" doc:"mean time of service"`
+	ServiceTimeCV     Range    `toml:"spread" def:"[0.4,0.7]" in:"0..5" doc:"coefficient of variation of it (lognormal)"`
+	LimitFactor       Range    `toml:"headroom" def:"[1.2,2]" in:"0.1..1000" unit:"x its calls at full load" doc:"the limit"`
+	MinLimit          Range    `toml:"least_per_s" def:"[2,4]" in:"0.01..100000" unit:"calls/s" doc:"the limit at least"`
+	CapacityFactor    Range    `toml:"spare" def:"[1.15,1.6]" in:"1..100" unit:"x the limit" doc:"capacity"`
+	LimitKinds        []string `toml:"limits" def:"rate" one:"rate|window|none" doc:"how it counts, one drawn for each: a plain rate, so many in a span, or not at all"`
+	LimitWindow       float64  `toml:"window_ms" def:"1000" in:"10..60000" unit:"ms" doc:"span of a window"`
+	CountRefusedShare float64  `toml:"refused_count" def:"0" in:"0..1" doc:"share of destinations where refused calls use up the limit"`
+	RetryAfterShare   Range    `toml:"tells" def:"[0.5,1]" in:"0..1" doc:"share of refusals that tell how long to wait"`
+	Wait              Range    `toml:"wait_ms" def:"[200,900]" in:"0..600000" unit:"ms" doc:"shortest wait that is told"`
+	Connections       Range    `toml:"connections" def:"[0,0]" in:"0..1000" unit:"x calls served at once" doc:"connections of an endpoint, idle ones counted; 0: any number"`
+	MinConnections    int      `toml:"least_connections" def:"8" in:"1..100000" doc:"connections at least, where they are few"`
+	Queue             Range    `toml:"queue_s" def:"[0.3,1]" in:"0..60" unit:"s of its capacity" doc:"queue of an endpoint"`
+	Apart             bool     `toml:"apart" def:"false" doc:"its endpoints are routes apart, each with its own limit, outages and return"`
+	PerCall           int      `toml:"per_call" def:"1" in:"1..100" doc:"messages in a call at most"`
+	ItemCost          float64  `toml:"item_cost" def:"0.15" in:"0..1" unit:"x a call" doc:"work of each further message in a call"`
+	Reports           bool     `toml:"reports" def:"false" doc:"answers tell what is left of the limit, and the limit"`
+	ReportEvery       float64  `toml:"report_ms" def:"300" in:"1..60000" unit:"ms" doc:"how old a report may be"`
+	ReportNoise       float64  `toml:"report_noise" def:"0.08" in:"0..1" doc:"how far a report is off (deviation)"`
+	ErrorRate         Range    `toml:"error_rate" def:"[0,0.003]" in:"0..1" doc:"share of calls that fail in good health"`
 }
 
-// Class is one kind of message.
+// WorstClass is one kind of message.
 type Class struct {
 	Name      string   `toml:"name" doc:"its name"`
 	Share     float64  `toml:"share" def:"1" in:"0..1000" doc:"part of the messages, among the classes"`
@@ -95,14 +95,14 @@
 	Objective float64  `toml:"quoted_s" in:"0.01..86400" unit:"s" doc:"latency objective"`
 	CutOff    float64  `toml:"cut_off_s" in:"0.1..86400" unit:"s" doc:"deadline"`
 	Priority  float64  `toml:"payoff" def:"1" in:"0..1e6" doc:"value"`
-	LatePart  float64  `toml:"late_part" def:"0" in:"0..1" doc:"part of the value that is left at the deadline"`
+	LateValue float64  `toml:"late_part" def:"0" in:"0..1" doc:"part of the value that is left at the deadline"`
 	Repeat    string   `toml:"repeat" def:"replayable" one:"replayable|referenced|single-use" doc:"what may be done about one that may have run"`
 	Window    float64  `toml:"window_s" def:"10" in:"0..86400" unit:"s" doc:"referenced: how long a repeat is known"`
 	OneZone   bool     `toml:"one_zone" def:"false" doc:"referenced: only endpoints of one zone know a repeat"`
 	InOrder   bool     `toml:"in_order" def:"false" doc:"messages of one key go in the order taken"`
 }
 
-// Tenant is a sender with a share.
+// WorstTenant is a sender with a share.
 type Tenant struct {
 	Name  string  `toml:"name" doc:"its name"`
 	Share float64 `toml:"share" in:"0..1" doc:"its share of the full load"`
@@ -137,24 +137,24 @@
 
 // Rules are figures of the rules.
 type Rules struct {
-	AnswerSlack float64 `toml:"answer_slack_s" def:"0.02" in:"0..60" unit:"s" doc:"grace for a final answer after the deadline"`
-	DrainGrace  float64 `toml:"drain_grace_s" def:"0.5" in:"0..600" unit:"s" doc:"grace for a send after a drain was told"`
-	ColdFrom    float64 `toml:"cold_from" def:"0.2" in:"0.01..1" doc:"share of its capacity that a returning destination has"`
-	Ramp        float64 `toml:"ramp_s" def:"10" in:"0..3600" unit:"s" doc:"time until it has all of it"`
-	Fall        float64 `toml:"fall_multiple" def:"2.5" in:"0..100" doc:"sent more than this multiple of what it can do"`
-	FallSpan    float64 `toml:"fall_span_s" def:"2" in:"0.01..600" unit:"s" doc:"for so long, it falls over"`
-	FallDown    float64 `toml:"fall_down_s" def:"15" in:"0.1..3600" unit:"s" doc:"how long it is down then"`
-	KeyRest     float64 `toml:"key_rest_s" def:"0" in:"0..600" unit:"s" doc:"how long a key rests after an attempt that may still run"`
-	OverShare   float64 `toml:"over_share_part" def:"0.1" in:"0..1" doc:"part of the value beyond a tenant's share"`
-	Decay       string  `toml:"decay" def:"halves" one:"halves|evenly" doc:"how value falls after the latency objective"`
+	AnswerSlack      float64 `toml:"answer_slack_s" def:"0.02" in:"0..60" unit:"s" doc:"grace for a final answer after the deadline"`
+	DrainGrace       float64 `toml:"drain_grace_s" def:"0.5" in:"0..600" unit:"s" doc:"grace for a send after a drain was told"`
+	ColdFrom         float64 `toml:"cold_from" def:"0.2" in:"0.01..1" doc:"share of its capacity that a returning destination has"`
+	Ramp             float64 `toml:"ramp_s" def:"10" in:"0..3600" unit:"s" doc:"time until it has all of it"`
+	Fall             float64 `toml:"fall_multiple" def:"2.5" in:"0..100" doc:"sent more than this multiple of what it can do"`
+	FallSpan         float64 `toml:"fall_span_s" def:"2" in:"0.01..600" unit:"s" doc:"for so long, it falls over"`
+	OverloadDowntime float64 `toml:"fall_down_s" def:"15" in:"0.1..3600" unit:"s" doc:"how long it is down then"`
+	KeyHold          float64 `toml:"key_rest_s" def:"0" in:"0..600" unit:"s" doc:"how long a key rests after an attempt that may still run"`
+	OverQuotaFactor  float64 `toml:"over_share_part" def:"0.1" in:"0..1" doc:"part of the value beyond a tenant's share"`
+	Decay            string  `toml:"decay" def:"halves" one:"halves|evenly" doc:"how value falls after the latency objective"`
 }
 
 // Goal weighs the day's figure.
 type Goal struct {
-	Whole  float64 `toml:"whole" def:"0.5" in:"0..1" doc:"the whole day"`
-	Window float64 `toml:"worst_window" def:"0.3" in:"0..1" doc:"the worst 10 s"`
-	Class  float64 `toml:"worst_workload" def:"0.2" in:"0..1" doc:"the worst class"`
-	Tenant float64 `toml:"worst_party" def:"0" in:"0..1" doc:"the worst tenant"`
+	Whole       float64 `toml:"whole" def:"0.5" in:"0..1" doc:"the whole day"`
+	Window      float64 `toml:"worst_window" def:"0.3" in:"0..1" doc:"the worst 10 s"`
+	WorstClass  float64 `toml:"worst_workload" def:"0.2" in:"0..1" doc:"the worst class"`
+	WorstTenant float64 `toml:"worst_party" def:"0" in:"0..1" doc:"the worst tenant"`
 }
 
 // Prices come off the day's figure.
@@ -171,7 +171,7 @@
 	Length Range   `toml:"length_s" def:"[10,10]" in:"0.01..86400" unit:"s" doc:"how long it lasts"`
 	Part   float64 `toml:"part" def:"0.2" in:"0..1" doc:"share of the traffic (or of the couriers) that it affects"`
 	By     string  `toml:"by" def:"any" one:"any|zone" doc:"zone: only endpoints of one building"`
-	Of     string  `toml:"of" def:"" doc:"only destinations of this kind; for flood: the tenant"`
+	Target string  `toml:"of" def:"" doc:"only destinations of this kind; for flood: the tenant"`
 	Whole  float64 `toml:"whole" def:"0.8" in:"0..1" doc:"chance that all endpoints of a destination are struck, and not one"`
 	Size   Range   `toml:"size" def:"[0,0]" in:"0..10000" doc:"how much; see the table of troubles"`
 	Acts   float64 `toml:"acts" def:"0.5" in:"0..1" doc:"share of calls without a good answer that take effect all the same (hang, errors, resets)"`
--- a/testbed/scenario/scenario_test.go
+++ b/testbed/scenario/scenario_test.go
@@ -10,7 +10,7 @@
 	"pineport/testbed/endpointmodel"
 )
 
-func TestFaultsNameFileLineKey(t *testing.T) {
+func TestErrorsNameFileLineKey(t *testing.T) {
 	good, err := builtIn.ReadFile("days/calm.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -42,8 +42,8 @@
 	}
 }
 
-// TestSameSeedSameDay: to the byte, for every day that comes with the testbed; another seed gives another one.
-func TestSameSeedSameDay(t *testing.T) {
+// TestSameSeedSameInstance: to the byte, for every day that comes with the testbed; another seed gives another one.
+func TestSameSeedSameInstance(t *testing.T) {
 	for _, name := range BuiltIn() {
 		d, err := Find(name)
 		if err != nil {
@@ -52,28 +52,28 @@
 		if d.Traffic.FullPerSec > 500 {
 			continue
 		}
-		print := func(seed int64) string {
+		format := func(seed int64) string {
 			w := Draw(d, seed)
 			return fmt.Sprintf("%+v %+v %+v", w.Destinations, w.Arrivals, w.Acts)
 		}
-		if first, again := print(4), print(4); first != again {
+		if first, again := format(4), format(4); first != again {
 			t.Errorf("%s: the same seed gave two days", name)
 		}
-		if print(4) == print(5) {
+		if format(4) == format(5) {
 			t.Errorf("%s: two seeds gave the same day", name)
 		}
 	}
 }
 
-// TestDrawKeepsToTheFile: shares, limits and troubles come out as the file has them.
-func TestDrawKeepsToTheFile(t *testing.T) {
+// TestDrawFollowsDefinition: shares, limits and troubles come out as the file has them.
+func TestDrawFollowsDefinition(t *testing.T) {
 	d, err := Find("chance")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for seed := range int64(20) {
 		w := Draw(d, seed)
-		begun, over := 0, 0
+		begun, ended := 0, 0
 		for i, a := range w.Acts {
 			if i > 0 && a.At < w.Acts[i-1].At {
 				t.Fatal("acts out of order")
@@ -82,14 +82,14 @@
 			case Begins:
 				begun++
 			case Ends:
-				over++
+				ended++
 			}
 		}
-		if begun != over {
-			t.Errorf("seed %d: %d faults begin, %d end", seed, begun, over)
+		if begun != ended {
+			t.Errorf("seed %d: %d faults begin, %d end", seed, begun, ended)
 		}
 		want := w.Load * d.Traffic.FullPerSec * d.Length
-		if n := float64(len(w.Arrivals)); n < 0.75*want || n > 1.25*want && !flooded(w) {
+		if n := float64(len(w.Arrivals)); n < 0.75*want || n > 1.25*want && !hasFlood(w) {
 			t.Errorf("seed %d: %v messages, %v were to be expected", seed, n, want)
 		}
 		for _, dst := range w.Destinations {
@@ -104,17 +104,17 @@
 	}
 }
 
-func flooded(w *Drawn) bool {
+func hasFlood(w *Drawn) bool {
 	for _, a := range w.Acts {
-		if a.Kind == Tells {
+		if a.Kind == Annotation {
 			return true
 		}
 	}
 	return false
 }
 
-// TestFormatPageIsFresh: the page is made from the tags that the reader uses, and must not lag behind them.
-func TestFormatPageIsFresh(t *testing.T) {
+// TestFormatPageIsCurrent: the page is made from the tags that the reader uses, and must not lag behind them.
+func TestFormatPageIsCurrent(t *testing.T) {
 	var b strings.Builder
 	if err := WriteFormat(&b); err != nil {
 		t.Fatal(err)
--- a/testbed/scenario/settings.go
+++ b/testbed/scenario/settings.go
@@ -9,9 +9,9 @@
 
 // Settings is what a courier of this day is handed at its start, in the form of its configuration's "settings".
 func (w *Drawn) Settings(courier int) map[string]any {
-	d := w.Day
+	def := w.Day
 	var classes, tenants []any
-	for _, wl := range d.Classes {
+	for _, wl := range def.Classes {
 		group, repeat := "all", "single_shot"
 		if wl.OneZone {
 			group = "zone"
@@ -23,40 +23,40 @@
 			repeat = "guarded"
 		}
 		classes = append(classes, map[string]any{"name": wl.Name, "slo-s": wl.Objective, "deadline-s": wl.CutOff,
-			"points": wl.Priority, "late-worth": wl.LatePart, "idempotency": repeat, "dedup-window-s": wl.Window,
+			"points": wl.Priority, "late-worth": wl.LateValue, "idempotency": repeat, "dedup-window-s": wl.Window,
 			"group": group, "in-order": wl.InOrder})
 	}
-	for _, p := range d.Tenants {
+	for _, p := range def.Tenants {
 		tenants = append(tenants, map[string]any{"name": p.Name, "share": p.Share, "quota-per-s": w.Quota(p)})
 	}
-	var shapes []string
-	var apart []bool
+	var types []string
+	var separateRoutes []bool
 	var perCall []int
 	var fields []string
-	for _, k := range d.Kinds {
-		shapes, apart, perCall = append(shapes, k.Name), append(apart, k.Apart), append(perCall, k.PerCall)
+	for _, k := range def.Kinds {
+		types, separateRoutes, perCall = append(types, k.Name), append(separateRoutes, k.Apart), append(perCall, k.PerCall)
 		if k.Reports {
 			fields = []string{"x0", "x1"}
 		}
 	}
-	discovery, rates := "automatic", d.Directory.Rates
-	if d.Directory.Mode == "ask" {
+	discovery, rates := "automatic", def.Directory.Rates
+	if def.Directory.Mode == "ask" {
 		discovery = "subscribe"
 	}
 	if rates == "none" {
 		rates = "silent"
 	}
-	r := d.Rules
+	r := def.Rules
 	return map[string]any{
-		"fleet-size": d.Fleet.Couriers, "ordinal": courier, "locality": int(w.CourierZone[courier]), "zones": d.Fleet.Zones,
-		"classes": classes, "tenants": tenants, "shapes": shapes, "discovery": discovery, "weight-kind": rates,
-		"tick-s": d.Fleet.Tick / 1000, "over-share-worth": r.OverShare, "telemetry": map[string]any{"fields": fields},
+		"fleet-size": def.Fleet.Couriers, "ordinal": courier, "locality": int(w.CourierZone[courier]), "zones": def.Fleet.Zones,
+		"classes": classes, "tenants": tenants, "shapes": types, "discovery": discovery, "weight-kind": rates,
+		"tick-s": def.Fleet.Tick / 1000, "over-share-worth": r.OverQuotaFactor, "telemetry": map[string]any{"fields": fields},
 		"family-info": map[string]any{"slots": w.Slots, "decay": map[string]string{"halves": "halves", "evenly": "line"}[r.Decay],
-			"per-call": perCall, "separate-routes": apart},
-		"ceilings": map[string]any{"open-cap": w.Hold, "try-limit": d.Fleet.MaxAttempts, "may-cancel": d.Fleet.MayCancel,
-			"retry-after": d.Fleet.MayAdvise, "max-retry-after-s": d.Fleet.LongestWait, "conn-idle-s": d.Fleet.Idle,
-			"connect-timeout-s": d.Fleet.Connect / 1000},
-		"rules": map[string]any{"cold-from": r.ColdFrom, "ramp-time-s": r.Ramp, "fall-multiple": r.Fall, "key-rest-s": r.KeyRest,
+			"per-call": perCall, "separate-routes": separateRoutes},
+		"ceilings": map[string]any{"open-cap": w.Hold, "try-limit": def.Fleet.MaxAttempts, "may-cancel": def.Fleet.MayCancel,
+			"retry-after": def.Fleet.SendRetryAfter, "max-retry-after-s": def.Fleet.LongestWait, "conn-idle-s": def.Fleet.Idle,
+			"connect-timeout-s": def.Fleet.Connect / 1000},
+		"rules": map[string]any{"cold-from": r.ColdFrom, "ramp-time-s": r.Ramp, "fall-multiple": r.Fall, "key-rest-s": r.KeyHold,
 			"drain-grace-s": r.DrainGrace},
 	}
 }
@@ -66,11 +66,11 @@
 
 // Config is the same, as the decisions read it: through the same code that a real courier's configuration passes.
 func (w *Drawn) Config(courier int, salt int64) (dispatch.Config, error) {
-	ch, err := config.Dispatch(salt, config.Flatten(w.Settings(courier)))
+	cfg, err := config.Dispatch(salt, config.Flatten(w.Settings(courier)))
 	if err != nil {
-		return ch, fmt.Errorf("day %s: %w", w.Day.Name, err)
+		return cfg, fmt.Errorf("day %s: %w", w.Day.Name, err)
 	}
-	return ch, nil
+	return cfg, nil
 }
 
 // List is the endpoints that are listed at the start of the day.
@@ -86,5 +86,5 @@
 // Listing is one endpoint as the list has it.
 func (w *Drawn) Listing(dest int, id dispatch.EndpointID, zone dispatch.ZoneID, phase dispatch.Phase) dispatch.EndpointEntry {
 	dst := &w.Destinations[dest]
-	return dispatch.EndpointEntry{Endpoint: id, Zone: zone, Type: dst.Plan.Kind, Destination: dispatch.DestinationID(dest), Phase: phase, Rate: dst.Listed}
+	return dispatch.EndpointEntry{Endpoint: id, Zone: zone, Type: dst.Plan.Kind, Destination: dispatch.DestinationID(dest), Phase: phase, Rate: dst.ListedRate}
 }
--- a/testbed/scenario/trouble.go
+++ b/testbed/scenario/trouble.go
@@ -6,14 +6,14 @@
 )
 
 // custom is how a kind of trouble is drawn where the file leaves it to chance.
-type custom struct {
+type faultKind struct {
 	doc, sizeDoc string
 	length, size Range
-	part         Range
+	share        Range
 }
 
 // usual has each kind of trouble. The ranges are ours, chosen so that a day of 40 s shows how it begins, lasts and ends.
-var usual = map[string]custom{
+var faultKinds = map[string]faultKind{
 	"refuse":         {"processes die; connections are refused; they come back cold", "", Range{6, 15}, Range{}, Range{0.1, 0.3}},
 	"silent":         {"machines are gone; nothing comes back; they come back cold", "", Range{6, 15}, Range{}, Range{0.1, 0.3}},
 	"hang":           {"calls are taken and none is answered; `acts` of them take effect", "", Range{6, 15}, Range{}, Range{0.1, 0.3}},
@@ -34,5 +34,5 @@
 	"directory-down": {"the directory does not answer", "", Range{5, 15}, Range{}, Range{1, 1}},
 }
 
-// TroubleNames lists the kinds of trouble.
-func TroubleNames() []string { return slices.Sorted(maps.Keys(usual)) }
+// FaultKinds lists the kinds of trouble.
+func FaultKinds() []string { return slices.Sorted(maps.Keys(faultKinds)) }
