--- a/testbed/endpointmodel/endpoint.go
+++ b/testbed/endpointmodel/endpoint.go
@@ -11,26 +11,27 @@
 	route       *route
 	busyWorkers int
 	queue       []*job
-	openConns   int    // connections
-	active      []*job // in hand, oldest first; those that hang among them
-	unanswered  []*job // sent into silence
+	openConns   int    // open connections, idle ones included
+	active      []*job // received calls without an answer, oldest first, including queued and hanging ones
+	unanswered  []*job // calls that will get no answer, kept until they are canceled or their connection breaks
 	removed     bool
 	outage      bool
 	faultEffects
 	faults []Fault
 }
 
-// ill is what all faults at an endpoint come to.
+// faultEffects is the combined effect of all faults of an endpoint.
 type faultEffects struct {
 	refusesConns, silent, hangs, throttlesAll, paused bool
-	opensAt                                           dispatch.Micros // when a shut endpoint opens
+	opensAt                                           dispatch.Micros // end of throttling, if known
 	hangEffectShare                                   float64
 	errorShare, errorEffectShare                      float64
 	lostAnswerShare, resetShare, resetEffectShare     float64
 	slowdown, connShare                               float64
 }
 
-// diagnose sums up the faults.
+// updateEffects combines the effects of the faults of the endpoint. All endpoints of an overloaded route
+// refuse connections.
 func (ep *endpoint) updateEffects(overloaded bool) {
 	ep.faultEffects = faultEffects{slowdown: 1, connShare: 1, refusesConns: overloaded}
 	ep.outage = overloaded
@@ -61,22 +62,22 @@
 	}
 }
 
-// job is a call in hand.
+// job is a call that an endpoint has received.
 type job struct {
 	call           *Call
 	ep             *endpoint
 	result         jobResult
-	started        bool // a worker is on it
+	started        bool // a worker processes it
 	ended          bool
-	canceled       bool // off
-	dueWhilePaused dispatch.Micros
+	canceled       bool            // by its courier, which no longer waits for the answer
+	dueWhilePaused dispatch.Micros // when the job came due during a pause of the endpoint; 0: it did not
 }
 
-// fate is what will come of a job, settled when it begins.
+// jobResult is the result of a job. It is decided when the call is received.
 type jobResult struct {
 	outcome     dispatch.Outcome
 	takesEffect bool
-	noAnswer    bool // no answer comes
+	noAnswer    bool // no answer is sent
 	retryAfter  dispatch.Micros
 }
 
--- a/testbed/endpointmodel/endpointmodel.go
+++ b/testbed/endpointmodel/endpointmodel.go
@@ -11,14 +11,14 @@
 	"pineport/dispatch"
 )
 
-// Never is an instant that does not come.
+// Never is the time that Due returns while nothing is scheduled.
 const Never = dispatch.Micros(math.MaxInt64)
 
-// Partner is one destination.
+// Partner is the model of one destination.
 type Partner struct {
 	plan         Plan
 	rng          *rand.Rand
-	serviceTimes distuv.LogNormal // of the time of service, with the mean 1
+	serviceTimes distuv.LogNormal // service time relative to its mean
 	routes       []*route
 	endpoints    map[dispatch.EndpointID]*endpoint
 	order        []*endpoint
@@ -28,13 +28,13 @@
 	outputs      []Output
 }
 
-// effect is one time that a message took effect.
+// effect records when and in which zone a message took effect.
 type effect struct {
 	at   dispatch.Micros
 	zone dispatch.ZoneID
 }
 
-// New makes a destination.
+// New returns the model of a destination with the endpoints of the plan.
 func New(plan Plan) *Partner {
 	source := rand.NewPCG(plan.Seed, 0x70617274)
 	variance := math.Log(1 + plan.ServiceTimeCV*plan.ServiceTimeCV)
@@ -47,10 +47,10 @@
 	return p
 }
 
-// Plan is what the destination was made from.
+// Plan returns the plan from which the destination was made.
 func (p *Partner) Plan() *Plan { return &p.plan }
 
-// Add puts up an endpoint.
+// Add adds an endpoint.
 func (p *Partner) Add(e Endpoint) {
 	if len(p.routes) == 0 || p.plan.Apart {
 		p.routes = append(p.routes, newRoute(len(p.routes), &p.plan, p.rng))
@@ -62,7 +62,7 @@
 	p.order = append(p.order, ep)
 }
 
-// Route is the number of the route that an endpoint belongs to; -1 for a strange endpoint.
+// Route returns the number of the route to which an endpoint belongs, or -1 for an unknown endpoint.
 func (p *Partner) Route(id dispatch.EndpointID) int {
 	if ep := p.endpoints[id]; ep != nil {
 		return ep.route.number
@@ -70,7 +70,7 @@
 	return -1
 }
 
-// Remove takes an endpoint away: what it had in hand is cut off, connections are refused from now on.
+// Remove removes an endpoint: its calls end with the outcome Broken, and it refuses connections from now on.
 func (p *Partner) Remove(_ dispatch.Micros, id dispatch.EndpointID) []Output {
 	p.outputs = nil
 	if ep := p.endpoints[id]; ep != nil && !ep.removed {
@@ -80,7 +80,7 @@
 	return p.outputs
 }
 
-// Connect asks an endpoint for a connection.
+// Connect opens a connection to an endpoint, if the endpoint accepts it.
 func (p *Partner) Connect(_ dispatch.Micros, id dispatch.EndpointID) ConnectResult {
 	link := p.ConnectStatus(id)
 	if link == Up {
@@ -89,14 +89,14 @@
 	return link
 }
 
-// Disconnect gives a connection back.
+// Disconnect closes a connection to an endpoint.
 func (p *Partner) Disconnect(id dispatch.EndpointID) {
 	if ep := p.endpoints[id]; ep != nil && ep.openConns > 0 {
 		ep.openConns--
 	}
 }
 
-// Take takes a call over a connection that is up.
+// Take receives a complete call over an open connection.
 func (p *Partner) Take(now dispatch.Micros, c *Call) []Output {
 	p.outputs = nil
 	ep := p.endpoints[c.Endpoint]
@@ -122,14 +122,15 @@
 	return p.outputs
 }
 
-// quick is what turning a call away takes: a millisecond.
+// rejectTime is the time that an endpoint takes to reject a call, in microseconds.
 const rejectTime = 1000
 
-// judge settles what comes of a call, as far as health, limit and queue go.
+// decideResult decides the result of a call from the faults of the endpoint, the limit and the queue, and starts, queues or
+// rejects the call.
 func (p *Partner) decideResult(now dispatch.Micros, j *job) {
 	ep := j.ep
 	throttle := func(wait dispatch.Micros) {
-		j.result = jobResult{outcome: dispatch.Throttled, retryAfter: (wait + rejectTime - 1) / rejectTime * rejectTime} // reported in whole milliseconds
+		j.result = jobResult{outcome: dispatch.Throttled, retryAfter: (wait + rejectTime - 1) / rejectTime * rejectTime} // sent in whole milliseconds
 		ep.active = append(ep.active, j)
 		p.schedule(now+rejectTime, j)
 	}
@@ -149,7 +150,7 @@
 	case ep.hangs:
 		j.result = jobResult{noAnswer: true, takesEffect: p.rng.Float64() < ep.hangEffectShare}
 		ep.active = append(ep.active, j)
-		p.schedule(now+p.serviceTime(now, j), j) // it holds no worker: what hangs would else answer full before long
+		p.schedule(now+p.serviceTime(now, j), j) // without a worker: otherwise a hanging endpoint would soon throttle calls
 		return
 	case chance < ep.errorShare || chance < p.plan.ErrorRate:
 		j.result = jobResult{outcome: dispatch.Failure, takesEffect: p.rng.Float64() < ep.errorEffectShare}
@@ -180,7 +181,7 @@
 	p.schedule(now+p.serviceTime(now, j), j)
 }
 
-// service draws how long a call takes.
+// serviceTime draws the service time of a call.
 func (p *Partner) serviceTime(now dispatch.Micros, j *job) dispatch.Micros {
 	work := 1 + p.plan.ItemCost*float64(len(j.call.Items)-1)
 	duration := float64(p.plan.Answer) * work * j.ep.slowdown / j.ep.route.warmShare(now)
@@ -190,7 +191,8 @@
 	return max(rejectTime, dispatch.Micros(duration))
 }
 
-// CallOff tells that nobody waits for a call any more: what has not begun is dropped, what has runs on.
+// CallOff cancels a call because its courier no longer waits for the answer. A queued call is dropped; a call that a worker
+// has started continues, but gets no answer.
 func (p *Partner) CallOff(_ dispatch.Micros, c *Call) []Output {
 	p.outputs = nil
 	j := c.job
@@ -208,7 +210,7 @@
 	return p.outputs
 }
 
-// Due is when something happens next by itself.
+// Due returns the time of the next scheduled event, or Never.
 func (p *Partner) Due() dispatch.Micros {
 	if len(p.timers) == 0 {
 		return Never
@@ -216,7 +218,7 @@
 	return p.timers[0].due
 }
 
-// Step lets happen what is due.
+// Step processes the scheduled events that are due.
 func (p *Partner) Step(now dispatch.Micros) []Output {
 	p.outputs = nil
 	for len(p.timers) > 0 && p.timers[0].due <= now {
@@ -226,7 +228,7 @@
 			p.updatePhase(now, t.route)
 		case t.job.ended:
 		case t.job.ep.paused:
-			t.job.dueWhilePaused = now // its end is set anew when it goes on
+			t.job.dueWhilePaused = now // resume schedules its end again
 		default:
 			p.finish(now, t.job)
 		}
@@ -234,7 +236,7 @@
 	return p.outputs
 }
 
-// finish ends a job: its effect, its answer, and the next in the queue.
+// finish ends a job: it applies the effects of the call, emits the answer and starts the next call of the queue.
 func (p *Partner) finish(now dispatch.Micros, j *job) {
 	ep := j.ep
 	j.ended = true
@@ -271,7 +273,8 @@
 	}
 }
 
-// act lets the messages of a call take effect, but for repeats that are known by their mark.
+// applyEffects lets the messages of a call take effect, except for repeats that the destination recognizes by their
+// idempotency key.
 func (p *Partner) applyEffects(now dispatch.Micros, j *job) {
 	for _, item := range j.call.Items {
 		earlier := p.effects[item.Origin]
@@ -288,7 +291,7 @@
 	}
 }
 
-// cutOff breaks what an endpoint has in hand; it comes to nothing.
+// breakCalls ends all calls of an endpoint with the outcome Broken. Calls that have not taken effect yet do not do so later.
 func (p *Partner) breakCalls(ep *endpoint) {
 	for _, j := range append(slices.Clone(ep.active), ep.unanswered...) {
 		if j.call != nil && !j.canceled {
@@ -306,7 +309,7 @@
 	heap.Push(&p.timers, timer{due: at, seq: p.seq, job: j})
 }
 
-// timers is a heap by instant, and by order of setting within one.
+// timers is a heap ordered by due time, and for equal times by the order of scheduling.
 type timers []timer
 
 type timer struct {
@@ -329,7 +332,7 @@
 	return last
 }
 
-// ConnectStatus tells how an endpoint treats who asks for a connection just now, without opening one.
+// ConnectStatus returns the result that Connect would have now, without opening a connection.
 func (p *Partner) ConnectStatus(id dispatch.EndpointID) ConnectResult {
 	ep := p.endpoints[id]
 	switch {
@@ -343,7 +346,7 @@
 	return Up
 }
 
-// IsDown tells whether an endpoint's process does not run: no connection to it lives.
+// IsDown reports whether the process of an endpoint is not running, so that all connections to it are closed.
 func (p *Partner) IsDown(id dispatch.EndpointID) bool {
 	ep := p.endpoints[id]
 	return ep == nil || ep.removed || ep.refusesConns
--- a/testbed/endpointmodel/endpointmodel_test.go
+++ b/testbed/endpointmodel/endpointmodel_test.go
@@ -15,7 +15,7 @@
 		ColdFrom: 0.2, Ramp: 10000 * ms, Fall: 2, FallSpan: 2000 * ms, OverloadDowntime: 5000 * ms, Limit: Limit{RetryAfterShare: 1}}
 }
 
-// until steps a partner up to an instant and returns what came of it.
+// stepUntil advances a destination to a time and returns the outputs.
 func stepUntil(p *Partner, to dispatch.Micros) (outputs []Output) {
 	for p.Due() <= to {
 		outputs = append(outputs, p.Step(p.Due())...)
@@ -54,22 +54,22 @@
 func TestServesWithinWorkersAndQueue(t *testing.T) {
 	p := New(plan())
 	var all []Output
-	for i := range 4 { // two workers, one waits, one is rejected
+	for i := range 4 { // two calls are served, one is queued, one is rejected
 		all = append(all, receive(p, 0, uint64(i), "a")...)
 	}
 	all = append(all, stepUntil(p, 1000*ms)...)
 	if done, full, _, _ := outcomes(all); done != 3 || full != 1 {
-		t.Errorf("done %d, full %d", done, full)
+		t.Errorf("%d calls delivered, %d throttled; want 3 and 1", done, full)
 	}
 }
 
-// TestHangWithEffect: an effect without an answer must be notified from an answer.
+// TestHangWithEffect checks that a call that hangs can take effect without an answer.
 func TestHangWithEffect(t *testing.T) {
 	p := New(plan())
 	p.Inject(0, "a", Fault{ID: 1, Kind: Hang, Acts: 1})
 	all := append(receive(p, 0, 1, "a"), stepUntil(p, 5000*ms)...)
 	if done, full, broken, ran := outcomes(all); done+full+broken != 0 || ran != 1 {
-		t.Errorf("answered %d %d %d, ran %d", done, full, broken, ran)
+		t.Errorf("%d calls delivered, %d throttled, %d broken, %d effects; want one effect and no answer", done, full, broken, ran)
 	}
 }
 
@@ -84,13 +84,14 @@
 		all = append(all, receive(p, c.at, uint64(c.at)+1, c.ep, item)...)
 		all = append(all, stepUntil(p, c.at+400*ms)...)
 	}
-	// The second is known; the third is in another zone, the fourth out of the window.
+	// The second call is recognized as a repeat. The third goes to another zone, and the fourth comes after the window.
 	if _, _, _, ran := outcomes(all); ran != 3 {
-		t.Errorf("ran %d times", ran)
+		t.Errorf("%d effects, want 3", ran)
 	}
 }
 
-// TestOverloadDuringRecovery: more than its multiple of what it can do puts a returning destination down, and less does not.
+// TestOverloadDuringRecovery checks that a recovering destination goes down if it receives more than Plan.Fall times its
+// capacity, and stays up otherwise.
 func TestOverloadDuringRecovery(t *testing.T) {
 	for _, c := range []struct {
 		every dispatch.Micros
@@ -107,24 +108,25 @@
 				if f, ok := o.(Fell); ok {
 					falls++
 					if f.Sent[0] < 5 {
-						t.Errorf("fell after %v calls", f.Sent)
+						t.Errorf("overloaded after %v calls per courier, want at least 5", f.Sent)
 					}
 				}
 			}
 			if falls > 0 {
 				if p.ConnectStatus("a") != Refused || p.ConnectStatus("b") != Refused {
-					t.Error("fell, and lets in")
+					t.Error("the destination is overloaded, but accepts connections")
 				}
 				break
 			}
 		}
 		if falls != c.falls {
-			t.Errorf("a call each %v: fell %d times", c.every, falls)
+			t.Errorf("with a call every %v: overloaded %d times", c.every, falls)
 		}
 	}
 }
 
-// TestEveryCallEndsOnce: whatever faults when, a call gets one answer at most, and none after its courier hung up.
+// TestEveryCallEndsOnce checks that a call gets at most one answer, and none after its courier canceled it, with any faults at
+// any time.
 func TestEveryCallEndsOnce(t *testing.T) {
 	kinds := []Trouble{Refuse, Silent, Hang, Shut, Errors, Swallow, Resets, Slow, Pause, Shrink, Crowd}
 	rapid.Check(t, func(t *rapid.T) {
@@ -141,7 +143,7 @@
 						t.Fatalf("call %d answered twice", a.Call.ID)
 					}
 					if canceled[a.Call.ID] {
-						t.Fatalf("call %d answered after it was called off", a.Call.ID)
+						t.Fatalf("call %d answered after it was canceled", a.Call.ID)
 					}
 				}
 			}
--- a/testbed/endpointmodel/health.go
+++ b/testbed/endpointmodel/health.go
@@ -7,7 +7,7 @@
 	"pineport/dispatch"
 )
 
-// Inject lets a fault begin at an endpoint.
+// Inject starts a fault at an endpoint.
 func (p *Partner) Inject(now dispatch.Micros, id dispatch.EndpointID, s Fault) []Output {
 	p.outputs = nil
 	ep := p.endpoints[id]
@@ -20,7 +20,7 @@
 	return p.outputs
 }
 
-// Heal ends a trouble at an endpoint.
+// Heal ends a fault at an endpoint.
 func (p *Partner) Heal(now dispatch.Micros, id dispatch.EndpointID, faultID int) []Output {
 	p.outputs = nil
 	ep := p.endpoints[id]
@@ -33,7 +33,7 @@
 	return p.outputs
 }
 
-// changed carries out what new or ended faults mean for what is in hand.
+// applyFaults updates the endpoint, its calls and its route after a fault started or ended.
 func (p *Partner) applyFaults(now dispatch.Micros, ep *endpoint, before faultEffects) {
 	ep.updateEffects(ep.route.downUntil > now)
 	remaining := 1.0
@@ -56,7 +56,7 @@
 			j.ended = true
 		}
 		ep.active, ep.queue, ep.busyWorkers = nil, nil, 0
-	case !ep.silent && before.silent: // it is back: what was open there is reset
+	case !ep.silent && before.silent: // the host is reachable again and resets all earlier connections
 		p.breakCalls(ep)
 		ep.openConns = 0
 	}
@@ -66,7 +66,7 @@
 	p.updatePhase(now, ep.route)
 }
 
-// goOn ends a standstill: what fell due in it ends now.
+// resume ends the pause of an endpoint: jobs that came due during the pause end now.
 func (p *Partner) resume(now dispatch.Micros, ep *endpoint) {
 	for _, j := range ep.active {
 		if j.dueWhilePaused > 0 && !j.ended {
@@ -76,7 +76,7 @@
 	}
 }
 
-// look brings the phase of a route up to date.
+// updatePhase updates the phase of a route.
 func (p *Partner) updatePhase(now dispatch.Micros, rt *route) {
 	if rt.downUntil > 0 && now >= rt.downUntil {
 		rt.downUntil = 0
@@ -99,7 +99,7 @@
 	}
 }
 
-// fall puts a route down that was sent too much on its return.
+// overload takes a route down because it received too many calls during its recovery.
 func (p *Partner) overload(now dispatch.Micros, rt *route) {
 	rt.downUntil = now + p.plan.OverloadDowntime
 	for _, ep := range rt.endpoints {
--- a/testbed/endpointmodel/limit.go
+++ b/testbed/endpointmodel/limit.go
@@ -10,13 +10,13 @@
 type limiter struct {
 	limit        Limit
 	rng          *rand.Rand
-	remaining    float64 // what is left of the limit, by faults
+	remaining    float64 // share of the limit that faults leave
 	tokens       float64
 	filledAt     dispatch.Micros
-	windowNumber int64 // the window that is counted
+	windowNumber int64 // number of the current window since time 0
 	usedInWindow int
 
-	reportEvery                dispatch.Micros // of its reports
+	reportEvery                dispatch.Micros // interval at which the load report is updated
 	reportNoise                float64
 	nextReportAt               dispatch.Micros
 	reportedLeft, reportedRate float64
@@ -24,7 +24,7 @@
 
 func (m *limiter) rate() float64 { return m.limit.PerSec * m.remaining }
 
-// saved is how many calls may be saved up: half a second's value.
+// burst returns the maximum number of tokens: the calls of half a second, at least 1.
 func (m *limiter) burst() float64 { return max(1, m.rate()/2) }
 
 func (m *limiter) refill(now dispatch.Micros) {
@@ -41,7 +41,8 @@
 
 func (m *limiter) windowLimit() int { return max(1, int(m.rate()*float64(m.limit.Span)/1e6)) }
 
-// take tells whether a call is within the limit; where it is not, how long to wait, if that is notified.
+// allow counts a call and reports whether it is within the limit. If it is not, allow also returns the
+// Retry-After time, or 0 if the destination sends none.
 func (m *limiter) allow(now dispatch.Micros) (ok bool, retryAfter dispatch.Micros) {
 	m.refill(now)
 	switch m.limit.Kind {
@@ -69,7 +70,8 @@
 	return false, max(retryAfter, m.limit.MinRetryAfter)
 }
 
-// report is the share of the limit that is left, and the limit; late and noisy, as it is read now and then.
+// report returns a load report: the share of the limit that is left, and the limit in calls per second. Both
+// values are noisy and up to reportEvery old.
 func (m *limiter) report(now dispatch.Micros) []float64 {
 	if m.limit.Kind == NoLimit {
 		return []float64{0, 0}
--- a/testbed/endpointmodel/plan.go
+++ b/testbed/endpointmodel/plan.go
@@ -1,30 +1,30 @@
-// Package endpointmodel is a destination as its couriers meet it: endpoints with workers, a queue and a connection table, a
-// limit, troubles, and a cold return. It is a state machine: it has no socket and no clock, is notified the instant with
-// each call of a method, and returns what comes of it. Chance comes from the seed that it is made with.
+// Package endpointmodel models a destination as couriers see it: endpoints with workers, a queue and a connection limit, a
+// limit on calls, faults, and reduced capacity after an outage. It is a state machine without sockets and without a clock: each
+// method gets the current time and returns the outputs that result. Random values come from the seed in the Plan.
 //
-// It is written from the public pages and this project's own docs. It is a model, and no measurement of anybody's system.
+// The model is based on public documentation and on the documentation of this project, not on measurements of a real system.
 package endpointmodel
 
 import "pineport/dispatch"
 
-// LimitKind is how a destination counts what it takes.
+// LimitKind is the way in which a destination limits calls.
 type LimitKind int
 
 // The kinds of limits.
 const (
 	NoLimit LimitKind = iota
-	Rate              // so many calls a second, with half a second's value saved up
-	Window            // so many calls in each span of fixed bounds
+	Rate              // token bucket: calls per second, with a burst of half a second's calls
+	Window            // calls per fixed time window
 )
 
-// Limit is what a route takes from all couriers together.
+// Limit is the limit on the calls that a route accepts from all couriers together.
 type Limit struct {
 	Kind            LimitKind
 	PerSec          float64
-	Span            dispatch.Micros // of a Window
-	CountRefused    bool            // refused calls use it up as well
-	RetryAfterShare float64         // share of refusals that tell how long to wait
-	MinRetryAfter   dispatch.Micros // the shortest wait that is notified
+	Span            dispatch.Micros // length of a time window
+	CountRefused    bool            // refused calls consume tokens as well
+	RetryAfterShare float64         // share of refusals that include a Retry-After time
+	MinRetryAfter   dispatch.Micros // shortest Retry-After time
 }
 
 // Endpoint is one address of a destination.
@@ -33,44 +33,44 @@
 	Zone dispatch.ZoneID
 }
 
-// Plan is what a destination is made from.
+// Plan describes a destination.
 type Plan struct {
 	Dest             dispatch.DestinationID
 	Kind             dispatch.EndpointTypeID
-	Apart            bool // each endpoint is a route of its own, with its own limit, outages and return
-	PerCall          int  // messages in a call at most
-	ItemCost         float64
+	Apart            bool    // each endpoint is a separate route, with its own limit, outages and recovery
+	PerCall          int     // maximum number of messages per call
+	ItemCost         float64 // work of each further message, as a share of the work of a call with one message
 	Endpoints        []Endpoint
-	Workers          int             // calls that an endpoint serves at once
-	Queue            int             // calls that wait at an endpoint at most
-	Connections      int             // that an endpoint holds, idle ones counted; 0: any number
-	Answer           dispatch.Micros // mean time of service
-	ServiceTimeCV    float64         // coefficient of variation of it (lognormal)
-	ErrorRate        float64         // of calls in good health
+	Workers          int             // calls that an endpoint serves at the same time
+	Queue            int             // maximum number of calls in the queue of an endpoint
+	Connections      int             // maximum number per endpoint, including idle ones; 0: unlimited
+	Answer           dispatch.Micros // mean service time
+	ServiceTimeCV    float64         // coefficient of variation of the service time (lognormal)
+	ErrorRate        float64         // share of calls that fail without any fault
 	Limit            Limit
-	Reports          bool // answers tell how much of the limit is left, and the limit
+	Reports          bool // answers include a load report: the share of the limit that is left, and the limit
 	ReportEvery      dispatch.Micros
 	ReportNoise      float64
-	ColdFrom         float64 // share of the capacity at a return
+	ColdFrom         float64 // share of the capacity at the start of a recovery
 	Ramp             dispatch.Micros
-	Fall             float64 // sent more than this multiple of its present capacity ...
-	FallSpan         dispatch.Micros
-	OverloadDowntime dispatch.Micros // ... for so long, it falls over, and is down for so long
+	Fall             float64         // a recovering route is overloaded if it receives more than this multiple of its current capacity
+	FallSpan         dispatch.Micros // time over which the calls to a recovering route are counted
+	OverloadDowntime dispatch.Micros // how long an overloaded route is down
 	Seed             uint64
 }
 
-// Capacity is how many calls a second an endpoint in good health serves.
+// Capacity returns the number of calls per second that a healthy endpoint can serve.
 func (p *Plan) Capacity() float64 { return float64(p.Workers) / float64(p.Answer) * 1e6 }
 
-// Item is one message within a call. Origin stays the same when a client hands a message in again.
+// Item is one message in a call. When a client submits a message again, Message changes and Origin stays the same.
 type Item struct {
 	Message, Origin dispatch.MessageID
 	Repeat          dispatch.Idempotency
-	OneZone         bool            // with an idempotency key: only this zone's endpoints know a repeat
-	Window          dispatch.Micros // with an idempotency key: for so long
+	OneZone         bool            // with an idempotency key: only endpoints in the zone of the first effect recognize a repeat
+	Window          dispatch.Micros // with an idempotency key: how long a repeat is recognized
 }
 
-// Call is one call whose last byte has come.
+// Call is a call that has been received completely.
 type Call struct {
 	ID       uint64
 	Courier  int
@@ -79,19 +79,19 @@
 	job      *job
 }
 
-// Output is something that comes of a call: one of the types below.
+// Output is an output of the state machine: one of the types below.
 type Output interface{ output() }
 
 type (
-	// Answer ends a call. Outcome is Done, Failure, Full, or Broken where its connection breaks.
+	// Answer ends a call. Its outcome is Delivered, Failure, Throttled, or Broken if the connection breaks.
 	Answer struct {
 		Call     *Call
 		Outcome  dispatch.Outcome
 		Wait     dispatch.Micros
-		Pressure []float64 // share of the limit left, and the limit in calls a second
+		Pressure []float64 // load report: share of the limit that is left, and the limit in calls per second
 	}
-	// Ran is an effect: Before is how often this message had taken effect before. Where the destination knew the repeat
-	// by its mark, nothing ran and Known is set.
+	// Ran reports that a message took effect. Before is the number of its earlier effects. If the destination recognized a
+	// repeat by its idempotency key, Known is set and the message had no further effect.
 	Ran struct {
 		Item     Item
 		Endpoint dispatch.EndpointID
@@ -99,13 +99,14 @@
 		Before   int
 		Known    bool
 	}
-	// Fell reports that a recovering route was sent more than it could take, and is down again. Sent has what each courier sent.
+	// Fell reports that a recovering route received too many calls and is down again. Sent holds the number of calls from each
+	// courier since the time Since.
 	Fell struct {
 		Route int
 		Since dispatch.Micros
 		Sent  map[int]float64
 	}
-	// Turned tells of the health of a route: an outage began, it came back cold, or it is warm again.
+	// Turned reports that the phase of a route changed.
 	Turned struct {
 		Route int
 		Phase Phase
@@ -117,56 +118,56 @@
 func (Fell) output()   {}
 func (Turned) output() {}
 
-// Phase is where a route stands.
+// Phase is the state of health of a route.
 type Phase int
 
 // The phases of a route.
 const (
 	Healthy Phase = iota
-	Out
-	Cold
+	Out           // all endpoints have an outage
+	Cold          // recovering: the capacity is reduced
 )
 
 func (p Phase) String() string { return [...]string{"well", "out", "cold"}[p] }
 
-// ConnectResult is what comes of asking for a connection.
+// ConnectResult is the result of a connection attempt.
 type ConnectResult int
 
-// What may come of asking for a connection.
+// The results of a connection attempt.
 const (
 	Up ConnectResult = iota
 	Refused
-	NoWord // nothing comes back
+	NoWord // no response arrives
 )
 
-// Trouble is a way in which an endpoint goes wrong.
+// Trouble is a kind of fault of an endpoint.
 type Trouble string
 
-// The troubles that an endpoint knows; Size and Acts of a Fault mean what stands beside them.
+// The kinds of faults. The comments say what Size and Acts of a Fault mean for each kind that uses them.
 const (
-	Refuse  Trouble = "refuse"  // its process is dead: connections are refused, what was in hand is cut off
-	Silent  Trouble = "silent"  // its machine is gone: nothing comes back, connections never come up
-	Hang    Trouble = "hang"    // takes calls and answers none; Acts: share that takes effect all the same
-	Shut    Trouble = "shut"    // answers full to everything, and may tell when it opens
-	Errors  Trouble = "errors"  // Size: share of calls that fail quickly; Acts: share of those that took effect
-	Swallow Trouble = "swallow" // Size: share of answers that never come, though the call took effect
-	Resets  Trouble = "resets"  // Size: share of calls whose connection breaks; Acts: share of those that took effect
-	Slow    Trouble = "slow"    // Size: times as long
-	Pause   Trouble = "stand"   // stands still until the fault ends
-	Shrink  Trouble = "shrink"  // Size: what is left of its limit
-	Crowd   Trouble = "crowd"   // Size: what is left of its connection table
+	Refuse  Trouble = "refuse"  // the process is down: connections are refused, and open calls break
+	Silent  Trouble = "silent"  // the host is unreachable: connection attempts and calls get no response
+	Hang    Trouble = "hang"    // calls get no answer; Acts: share of the calls that take effect anyway
+	Shut    Trouble = "shut"    // all calls are throttled, possibly with a Retry-After time
+	Errors  Trouble = "errors"  // Size: share of calls that fail quickly; Acts: share of the failed calls that take effect anyway
+	Swallow Trouble = "swallow" // Size: share of calls that take effect but get no answer
+	Resets  Trouble = "resets"  // Size: share of calls whose connection breaks; Acts: share of these that take effect anyway
+	Slow    Trouble = "slow"    // Size: factor by which service takes longer
+	Pause   Trouble = "stand"   // the process is paused until the fault ends
+	Shrink  Trouble = "shrink"  // Size: share of the limit that is left
+	Crowd   Trouble = "crowd"   // Size: share of the maximum number of connections that is left
 )
 
-// Fault is one trouble at one endpoint. ID tells faults apart, so that overlapping ones end singly.
+// Fault is one fault at one endpoint. ID identifies it, so that each of several overlapping faults can be ended.
 type Fault struct {
 	ID    int
 	Kind  Trouble
 	Size  float64
 	Acts  float64
-	Until dispatch.Micros // when it ends, as far as a destination itself may tell: when a shut one opens
+	Until dispatch.Micros // end of the fault, if the endpoint knows it: a shut endpoint derives its Retry-After time from it
 }
 
-// outage tells whether a fault is one from which a route comes back cold.
+// outage reports whether the fault is an outage, after which a route recovers with reduced capacity.
 func (s Fault) outage() bool {
 	switch s.Kind {
 	case Refuse, Silent, Hang, Shut:
--- a/testbed/endpointmodel/route.go
+++ b/testbed/endpointmodel/route.go
@@ -6,7 +6,8 @@
 	"pineport/dispatch"
 )
 
-// route is what a limit, an outage and a return belong to: a destination, or each endpoint apart.
+// route is a set of endpoints that share a limit, an outage and a recovery: all endpoints of the destination, or a single
+// endpoint if Plan.Apart is set.
 type route struct {
 	number      int
 	plan        *Plan
@@ -14,8 +15,8 @@
 	endpoints   []*endpoint
 	phase       Phase
 	coldSince   dispatch.Micros
-	downUntil   dispatch.Micros // down from a fall until then
-	recentCalls []arrival       // of the last FallSpan of a return
+	downUntil   dispatch.Micros // end of the downtime after an overload; 0: the route is not down because of one
+	recentCalls []arrival       // calls of the last FallSpan during a recovery
 }
 
 type arrival struct {
@@ -28,7 +29,7 @@
 		reportNoise: plan.ReportNoise, tokens: max(1, plan.Limit.PerSec/2)}}
 }
 
-// out tells whether every endpoint of the route has an outage.
+// isUnavailable reports whether every endpoint of the route that has not been removed has an outage.
 func (r *route) isUnavailable() bool {
 	for _, ep := range r.endpoints {
 		if !ep.removed && !ep.outage {
@@ -38,7 +39,7 @@
 	return len(r.endpoints) > 0
 }
 
-// warm is the share of its capacity that the route has.
+// warmShare returns the share of its full capacity that the route has at a time.
 func (r *route) warmShare(now dispatch.Micros) float64 {
 	if r.phase != Cold || r.plan.Ramp <= 0 {
 		return 1
@@ -47,7 +48,7 @@
 	return min(1, r.plan.ColdFrom+(1-r.plan.ColdFrom)*ramped)
 }
 
-// capacity is what all endpoints of the route that are up serve in a second.
+// capacity returns the number of calls per second that the available endpoints of the route can serve together.
 func (r *route) capacity(now dispatch.Micros) float64 {
 	n := 0
 	for _, ep := range r.endpoints {
@@ -58,10 +59,11 @@
 	return float64(n) * r.plan.Capacity() * r.warmShare(now)
 }
 
-// slack is what chance may add to a fair load before a route falls over.
+// overloadSlack is the number of calls by which random variation may exceed the permitted load without an overload.
 const overloadSlack = 3
 
-// press counts a call at a cold route and tells whether it falls over.
+// countCall counts a call to a cold route and reports whether the call overloads the route. In that case it also returns the
+// number of recent calls from each courier and the time of the first of them.
 func (r *route) countCall(now dispatch.Micros, courier int) (sent map[int]float64, since dispatch.Micros, overloaded bool) {
 	if r.phase != Cold || r.plan.Fall <= 0 {
 		return nil, 0, false
