--- a/testbed/invariants/fromday.go
+++ b/testbed/invariants/fromday.go
@@ -7,7 +7,7 @@
 	"pineport/testbed/scenario"
 )
 
-// ForDay is the setup for a day in virtual time.
+// ForDay returns the setup for a scenario that runs in virtual time.
 func ForDay(instance *scenario.Drawn) Setup {
 	definition, micros := instance.Day, func(s float64) dispatch.Micros { return dispatch.Micros(math.Round(s * 1e6)) }
 	setup := Setup{OverQuotaFactor: definition.Rules.OverQuotaFactor, HalvingDecay: definition.Rules.Decay == "halves", Length: instance.Length,
@@ -26,7 +26,7 @@
 	return setup
 }
 
-// RepeatOf reads the word of a day's file.
+// RepeatOf returns the idempotency that the key "repeat" of a scenario file names.
 func RepeatOf(word string) dispatch.Idempotency {
 	switch word {
 	case "replayable":
--- a/testbed/invariants/invariants.go
+++ b/testbed/invariants/invariants.go
@@ -1,6 +1,7 @@
-// Package invariants judges a day by what was seen of it from outside: what was submitted, sent, answered, reported and what
-// took effect. It keeps the books of value and holds every courier against the six rules. No other part of the
-// testbed says whether a day was good, and it knows neither whether the day was virtual nor which decisions were made.
+// Package invariants checks the run of a scenario by its externally visible events: which messages were submitted, sent,
+// answered and reported, and which took effect. It accounts for the value of the messages and checks each courier against the
+// six rules. No other part of the testbed decides whether a run succeeded. The package does not know whether the time of the run
+// was virtual or real, or how the couriers made their decisions.
 package invariants
 
 import (
@@ -11,7 +12,7 @@
 	"pineport/dispatch"
 )
 
-// Class is what a kind of message promises.
+// Class describes what a message class requires of a delivery.
 type Class struct {
 	Name                string
 	Objective, Deadline dispatch.Micros
@@ -23,34 +24,35 @@
 	InOrder             bool
 }
 
-// Setup is what the ledger is notified of a day.
+// Setup is what the ledger has to know about a scenario.
 type Setup struct {
 	Classes         []Class
 	Tenants         []string
-	Quotas          []float64 // messages a second within a tenant's share; 0: no share
+	Quotas          []float64 // messages per second that each tenant may send at full value; 0: unlimited
 	OverQuotaFactor float64
-	HalvingDecay    bool // value halves with each further latency objective, else falls evenly
+	HalvingDecay    bool // late messages lose half of their value per latency objective; otherwise the value falls linearly until the deadline
 	Length          dispatch.Micros
 	AnswerSlack     dispatch.Micros
 	DrainGrace      dispatch.Micros
 	KeyHold         dispatch.Micros
 	Goal            Weights
 	Prices          Prices
-	// Leeway is what is granted for clocks of two tenants that do not see the same instant; 0 in virtual time.
+	// Leeway is the tolerance for an event that two processes record at different times; 0 in virtual time.
 	Leeway dispatch.Micros
-	// WaitFrom: calls that come so soon after a wait was notified crossed it; 0 in virtual time.
+	// WaitFrom is how long after a Retry-After time was sent calls are allowed, because the courier may have sent them before
+	// it received the Retry-After time; 0 in virtual time.
 	WaitFrom dispatch.Micros
-	// Excused is how long after a courier is up again no answer is overdue.
+	// Excused is how long after the restart of a courier no answer counts as overdue.
 	Excused dispatch.Micros
 }
 
-// Weights of a day's figure.
+// Weights are the weights of the parts of the score.
 type Weights struct{ Whole, Window, WorstClass, WorstTenant float64 }
 
-// Prices come off it, each times its count over the messages offered.
+// Prices are deducted from the score. Each price is multiplied by the number of its events per offered message.
 type Prices struct{ Waste, Handshake, Refused float64 }
 
-// Place is where a call goes.
+// Place identifies the endpoint to which a call is sent, and its route.
 type Place struct {
 	Dest     dispatch.DestinationID
 	Route    int
@@ -63,30 +65,30 @@
 	route int
 }
 
-// End is how a message ended.
+// End is the way in which a message ended.
 type End int
 
-// The ends of a message.
+// The ways in which a message ends. Open means that it has not ended.
 const (
 	Open End = iota
 	Delivered
 	Rejected
 	Failed
-	Dropped   // its courier was killed and held it in memory only, or its client gave it up before it was taken on
-	Withdrawn // by its client
+	Dropped   // lost with a killed courier that held it only in memory, or given up by its client before a courier accepted it
+	Withdrawn // canceled by its client
 )
 
 func (e End) String() string {
 	return [...]string{"open", "done", "bounced", "terminated", "dropped", "withdrawn"}[e]
 }
 
-// origin is a message through all its submissions.
+// origin is a message across all its submissions.
 type origin struct {
 	class       int
 	tenant      int
 	dest        dispatch.DestinationID
-	at          dispatch.Micros // when it was due to be submitted first
-	value       float64         // within its latency objective
+	at          dispatch.Micros // when the message was due to be submitted for the first time
+	value       float64         // value of a delivery within the latency objective
 	earned      float64
 	deliveredAt dispatch.Micros
 	end         End
@@ -107,7 +109,7 @@
 	firstRunAt        dispatch.Micros
 	firstRunZone      dispatch.ZoneID
 	openAttempts      int
-	answerMayBeUnread bool // its answer went to a courier that was killed then, and may not have been read
+	answerMayBeUnread bool // its answer was on the way to a courier that was killed and may not have read it
 }
 
 type attempt struct {
@@ -139,17 +141,18 @@
 
 type wait struct{ from, to dispatch.Micros }
 
-// down is a stretch in which a courier owed no answers.
+// downtime is a period in which a courier does not have to answer.
 type downtime struct{ from, to dispatch.Micros }
 
-// outage is what is kept of the present or last outage of a route.
+// outage is the current or the last outage of a route.
 type outage struct {
 	since     dispatch.Micros
 	active    bool
-	observers map[int]bool // couriers that saw it
+	observers map[int]bool // couriers that had an attempt fail during the outage
 }
 
-// Ledger keeps the books. Its methods may be called from any goroutine; instants should not run backwards by much.
+// Ledger records the events of a run and checks them. Its methods may be called concurrently. Consecutive calls should have
+// nearly increasing times.
 type Ledger struct {
 	mu           sync.Mutex
 	setup        Setup
@@ -175,7 +178,7 @@
 	refilledAt dispatch.Micros
 }
 
-// New begins the books of a day.
+// New returns an empty ledger.
 func New(setup Setup) *Ledger {
 	return &Ledger{setup: setup, origins: map[dispatch.MessageID]*origin{}, messages: map[dispatch.MessageID]*message{},
 		keyQueues: map[keyQueueID]*keyQueue{}, notified: map[notifiedKey]dispatch.Micros{}, waits: map[waitKey]wait{}, downtimes: map[int][]downtime{}, killed: map[int]dispatch.Micros{},
@@ -183,7 +186,7 @@
 		series: series{dests: map[dispatch.DestinationID]*DestSeries{}}, latency: newLatencies(setup.Classes)}
 }
 
-// Offered notes that a client has a message for the first time.
+// Offered records that a client has a new message.
 func (l *Ledger) Offered(at dispatch.Micros, id dispatch.MessageID, class, tenant int, dest dispatch.DestinationID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -197,7 +200,8 @@
 	l.counts.Offered++
 }
 
-// withinShare spends a tenant's share; two seconds of it may be saved up.
+// takeQuota reports whether a message is within the quota of its tenant, and deducts it from the quota if so. At most the quota
+// of two seconds accumulates.
 func (l *Ledger) takeQuota(at dispatch.Micros, tenant int) bool {
 	if tenant >= len(l.quotas) || l.setup.Quotas[tenant] <= 0 {
 		return true
@@ -212,13 +216,13 @@
 	return true
 }
 
-// Taken notes that a courier accepted a message, and owes its final answer from now on.
+// Taken records that a courier accepted a message and from now on must give it a final answer.
 func (l *Ledger) Taken(at dispatch.Micros, id, originID dispatch.MessageID, courier int, key dispatch.OrderingKey, cutOff dispatch.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	o := l.origins[originID]
 	if o == nil {
-		l.breach(Final, at, "courier %d was handed %s, which nobody offered", courier, originID)
+		l.breach(Final, at, "courier %d accepted %s, which no client had offered", courier, originID)
 		return
 	}
 	r := &message{id: id, origin: o, class: &l.setup.Classes[o.class], courier: courier, key: key, deadline: cutOff, acceptedAt: at}
@@ -235,13 +239,13 @@
 	}
 }
 
-// Sent notes that a courier began an attempt of a message, and returns its number.
+// Sent records that a courier started an attempt of a message, and returns the number of the attempt.
 func (l *Ledger) Sent(at dispatch.Micros, id dispatch.MessageID, p Place) (no int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.messages[id]
 	if r == nil {
-		l.breach(Final, at, "a call for %s, which no courier had taken", id)
+		l.breach(Final, at, "a call contains %s, which no courier had accepted", id)
 		return -1
 	}
 	l.counts.Attempts++
@@ -252,7 +256,8 @@
 	return len(r.attempts) - 1
 }
 
-// Settled notes that a courier has the outcome of an attempt, or has stopped waiting for it.
+// Settled records the outcome of an attempt, or that the courier stopped waiting for it. retryAfter is the Retry-After time of the
+// answer; 0: none.
 func (l *Ledger) Settled(at dispatch.Micros, id dispatch.MessageID, no int, o dispatch.Outcome, retryAfter dispatch.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -275,7 +280,7 @@
 		w := l.waits[k]
 		if to := at + retryAfter; to > w.to {
 			from := at
-			if w.to > at { // one wait runs into the next
+			if w.to > at { // the new wait continues an earlier one
 				from = w.from
 			}
 			l.waits[k] = wait{from, to}
@@ -295,10 +300,10 @@
 	}
 }
 
-// delivered counts a message's value.
+// delivered records a delivery and credits the value of the message.
 func (l *Ledger) delivered(at dispatch.Micros, r *message) {
 	if r.end == Rejected || r.end == Failed {
-		return // its client was notified otherwise
+		return // its client has received a different final answer
 	}
 	if r.end == Open {
 		r.end, r.endAt = Delivered, at
@@ -314,7 +319,7 @@
 	l.latency.record(o.class, at-o.at)
 }
 
-// part is what is left of a message's value at an instant.
+// valueShare returns the share of the value of a message that a delivery at a time earns.
 func (l *Ledger) valueShare(o *origin, at dispatch.Micros) float64 {
 	w := &l.setup.Classes[o.class]
 	late := float64(at - o.at - w.Objective)
@@ -329,7 +334,7 @@
 	return 1 - (1-w.LateValue)*min(1, late/float64(w.Deadline-w.Objective))
 }
 
-// Ended notes that a message has its final answer without having been delivered.
+// Ended records that a message ended without a delivery.
 func (l *Ledger) Ended(at dispatch.Micros, id dispatch.MessageID, end End) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -340,7 +345,7 @@
 	r := l.messages[id]
 	if r == nil {
 		if end == Rejected || end == Failed {
-			l.breach(Final, at, "%s was %s and had never been taken", id, end)
+			l.breach(Final, at, "%s was %s, although no courier had accepted it", id, end)
 		}
 		return
 	}
@@ -366,8 +371,8 @@
 	}
 }
 
-// Noticed takes a notice for a message; it tells whether that ended it. Notices are sent until they are confirmed, and one
-// for a message that is over does no harm.
+// Noticed records a notice for a message and reports whether the notice ended the message. Notices are sent again until they are
+// confirmed, so a notice for an ended message is ignored.
 func (l *Ledger) Noticed(at dispatch.Micros, id dispatch.MessageID, end End) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -378,7 +383,7 @@
 	return true
 }
 
-// MayHaveRun tells whether any attempt of a message may have taken effect, as far as its client can know.
+// MayHaveRun reports whether any attempt of a message may have taken effect, as far as its client can know.
 func (l *Ledger) MayHaveRun(id dispatch.MessageID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -386,7 +391,8 @@
 	return r != nil && (r.mayHaveRun || r.openAttempts > 0)
 }
 
-// Ran notes that a message took effect; before is how often it had done so already, known whether the repeat was recognized.
+// Ran records an effect of a message. earlier is the number of its earlier effects, and deduplicated is set if the destination
+// recognized a repeat, which then had no effect.
 func (l *Ledger) Ran(at dispatch.Micros, id dispatch.MessageID, endpoint dispatch.EndpointID, earlier int, deduplicated bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -396,13 +402,14 @@
 		return
 	}
 	l.counts.Repeats++
-	// A with an idempotency key message's repeats are judged when they are sent: a submission after a courier died is its client's.
+	// Repeats of messages with an idempotency key are checked when they are sent. A repeat of a dropped message comes from its
+	// client, which submits it again after its courier was killed.
 	if r.class.Repeat == dispatch.AtMostOnce && r.end != Dropped {
-		l.breach(Twice, at, "%s took effect for the %d. time, at %s", id, earlier+1, endpoint)
+		l.breach(Twice, at, "%s took effect %d times, the last time at %s", id, earlier+1, endpoint)
 	}
 }
 
-// Notified notes that a courier was notified that an endpoint drains or is gone, or is in service again.
+// Notified records that a courier was notified that an endpoint is draining, removed, or in service again.
 func (l *Ledger) Notified(at dispatch.Micros, courier int, endpoint dispatch.EndpointID, phase dispatch.Phase) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -414,15 +421,15 @@
 	}
 }
 
-// Down notes that a courier is away, until Back. Where lost is set, what it held went with it; where it forgets, nothing that it had
-// learned survives, and nobody can ask it to know.
+// Down records that a courier stops running, until Back. If losesMessages is set, the messages that it holds are lost. If
+// losesLearned is set, its learned state is lost too, so that it need not know about the current outages.
 func (l *Ledger) Down(at dispatch.Micros, courier int, losesMessages, losesLearned bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.downtimes[courier] = append(l.downtimes[courier], downtime{at, math.MaxInt64})
 	for k := range l.waits {
 		if k.courier == courier {
-			delete(l.waits, k) // a restart ends a wait
+			delete(l.waits, k) // a Retry-After time does not bind a restarted courier
 		}
 	}
 	for k := range l.notified {
@@ -451,8 +458,8 @@
 	}
 }
 
-// Killed notes that a courier was killed. An answer that was on its way to it then may not have been read: what it was for may
-// go again, as far as its class allows.
+// Killed records that a courier was killed. It may not have read an answer that was on its way to it, so the message of that
+// answer may be sent again, if its class allows that.
 func (l *Ledger) Killed(at dispatch.Micros, courier int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -462,7 +469,7 @@
 	}
 }
 
-// Back notes that a courier serves again.
+// Back records that a courier serves again.
 func (l *Ledger) Back(at dispatch.Micros, courier int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -474,14 +481,14 @@
 	}
 }
 
-// Stood notes that a courier was paused, and could answer nothing until then.
+// Stood records that a courier is paused until a time and cannot answer during the pause.
 func (l *Ledger) Stood(at dispatch.Micros, courier int, to dispatch.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.downtimes[courier] = append(l.downtimes[courier], downtime{at, to})
 }
 
-// Turned notes that the health of a route changed.
+// Turned records that an outage of a route started or ended.
 func (l *Ledger) Turned(at dispatch.Micros, dest dispatch.DestinationID, route int, out bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -497,7 +504,7 @@
 	}
 }
 
-// Fell notes that a recovering route was sent more than it could take; sent has what each courier sent of that.
+// Fell records that a recovering route was overloaded. sent holds the number of calls from each courier.
 func (l *Ledger) Fell(at dispatch.Micros, dest dispatch.DestinationID, route int, sent map[int]float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -510,19 +517,19 @@
 		}
 	}
 	if fromObservers >= all*2/3 {
-		l.breach(Pushed, at, "destination %d was pushed over on its return: %.0f of %.0f calls came from couriers that knew",
+		l.breach(Pushed, at, "destination %d was overloaded during its recovery: %.0f of %.0f calls came from couriers that had observed the outage",
 			dest, fromObservers, all)
 	}
 }
 
-// Shook notes that a courier opened a new connection.
+// Shook records that a courier opened a connection.
 func (l *Ledger) Shook() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts.Handshakes++
 }
 
-// Crashed notes that a courier exited by itself, or its decisions failed.
+// Crashed records that a courier exited unexpectedly, failed in its decisions, or sent an invalid call.
 func (l *Ledger) Crashed(at dispatch.Micros, courier int, reason string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -531,21 +538,21 @@
 
 func seconds(t dispatch.Micros) string { return fmt.Sprintf("%.3f s", float64(t)/1e6) }
 
-// Open is how many messages are taken and have no final answer.
+// Open returns the number of accepted messages without a final answer.
 func (l *Ledger) Open() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.series.open
 }
 
-// Excused tells whether a courier owes no answers at an instant.
+// Excused reports whether a courier does not have to answer at a time.
 func (l *Ledger) Excused(at dispatch.Micros, courier int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.excusedUntil(courier, at) != at
 }
 
-// Unanswered notes that a courier that runs ended a connection without an answer to what it had read.
+// Unanswered records that a running courier closed a connection without answering a message that it had read from it.
 func (l *Ledger) Unanswered(at dispatch.Micros, id dispatch.MessageID, courier int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/testbed/invariants/leases.go
+++ b/testbed/invariants/leases.go
@@ -6,41 +6,41 @@
 	"pineport/dispatch"
 )
 
-// Leases holds what couriers show of the parts of limits that they granted and leased against one another, from outside: whoever uses a
-// lease must have been granted it, and must end with it before its grantor has it back. Looks take time, so only what was seen strictly
-// one after the other counts.
+// Leases checks the quota leases between couriers by the statuses that the couriers report. A lessee may use only a lease that its lessor
+// has granted, and must stop using it before the lessor uses that quota itself again. Reading a status takes time, so two observations are
+// compared only if one ended before the other began.
 type Leases struct {
 	leases       map[uint64]*leaseState
 	incarnations map[string]uint64
 	Breaches     []string
-	Seen         int     // leases seen at a lessee
-	Widest       float64 // of a base part, that one lessee had in all for one route
+	Seen         int     // number of leases observed at a lessee
+	Widest       float64 // largest total of the leases of one lessee for one route, relative to its base quota
 }
 
 type leaseState struct {
 	lessor      string
-	incarnation uint64          // of the grantor, when the lease was first seen; 0 not known
-	usedAt      dispatch.Micros // a look at the lessee that showed it had ended by then
-	missingAt   dispatch.Micros // a look at the grantor since then that did not show it had ended by then
+	incarnation uint64          // incarnation of the lessor when the lease was first observed; 0: unknown
+	usedAt      dispatch.Micros // end of the first observation of the lessee that shows the lease; 0: none
+	missingAt   dispatch.Micros // end of the first later observation of the lessor that does not show the lease; 0: none
 }
 
-// Lease is a lease as one side shows it.
+// Lease is a lease as the lessor or the lessee reports it.
 type Lease struct {
-	Who   string
+	Who   string // the other courier of the lease
 	No    uint64
 	Units int64
-	Base  int64 // the part of whoever shows it
+	Base  int64 // base quota of the courier that reports the lease
 }
 
-// Look is what one courier showed, between two instants.
+// Look is the status of one courier, read between From and To.
 type Look struct {
 	Name          string
-	Start         uint64
+	Start         uint64 // incarnation of the courier
 	From, To      dispatch.Micros
-	Granted, Used [][]Lease // by route
+	Granted, Used [][]Lease // leases per route
 }
 
-// Saw takes in a look. Looks at one courier come in order.
+// Saw checks an observation. The observations of one courier must come in order.
 func (l *Leases) Saw(observation Look) {
 	if l.leases == nil {
 		l.leases, l.incarnations = map[uint64]*leaseState{}, map[string]uint64{}
@@ -57,13 +57,13 @@
 			}
 		}
 		if leased > base/2+1 {
-			l.breach("%s has lent %d of its part of %d", observation.Name, leased, base)
+			l.breach("%s has granted leases of %d, more than half of its base quota of %d", observation.Name, leased, base)
 		}
 	}
-	for id, s := range l.leases { // in any order: each is judged by itself
+	for id, s := range l.leases { // the order does not matter, as each lease is checked separately
 		switch {
 		case s.lessor != observation.Name || granted[id] || s.usedAt == 0 || s.usedAt > observation.From:
-		case s.incarnation != 0 && s.incarnation != observation.Start: // it began anew, and holds as much back
+		case s.incarnation != 0 && s.incarnation != observation.Start: // the lessor has restarted and reserves the leased quota
 		case s.missingAt == 0:
 			s.missingAt, s.incarnation = observation.To, observation.Start
 		}
@@ -80,7 +80,7 @@
 				l.leases[lease.No] = s
 			}
 			if s.missingAt != 0 && s.missingAt <= observation.From && s.incarnation == l.incarnations[lease.Who] {
-				l.breach("%s uses %d of %s, which has it back or never lent it", observation.Name, lease.Units, lease.Who)
+				l.breach("%s uses a lease of %d from %s, which has ended the lease or never granted it", observation.Name, lease.Units, lease.Who)
 			}
 			if s.usedAt == 0 {
 				s.usedAt = observation.To
--- a/testbed/invariants/leases_test.go
+++ b/testbed/invariants/leases_test.go
@@ -6,8 +6,8 @@
 	"pineport/dispatch"
 )
 
-// TestLeaseChecks: what is used after it was back, what was never granted and what is more than half is seen; what
-// overlaps in time, or belongs to a grantor that began anew, is not held against anybody.
+// TestLeaseChecks checks that the use of an ended lease, the use of a lease that was never granted, and leases of more than half of a base
+// quota are reported. Observations that overlap in time and leases of a restarted lessor are not reported.
 func TestLeaseChecks(t *testing.T) {
 	used := []Lease{{"b", 7, 100, 1000}}
 	granted := []Lease{{"a", 7, 100, 1000}}
@@ -21,12 +21,12 @@
 		observations []Look
 		want         int
 	}{
-		"kept":                {[]Look{observeLessor(1, 1, granted), observeLessee(3, used), observeLessor(5, 1, granted), observeLessee(7, used), observeLessee(9), observeLessor(11, 1)}, 0},
-		"used on":             {[]Look{observeLessor(1, 1, granted), observeLessee(3, used), observeLessor(5, 1), observeLessee(7, used)}, 1},
-		"never lent":          {[]Look{observeLessee(3, used), observeLessor(5, 1), observeLessee(7, used)}, 1},
-		"looks that overlap":  {[]Look{observeLessor(1, 1, granted), observeLessee(3, used), observeLessor(3, 1), observeLessee(7, used)}, 0},
-		"lender began anew":   {[]Look{observeLessor(1, 1, granted), observeLessee(3, used), observeLessor(5, 2), observeLessee(7, used), observeLessor(9, 2), observeLessee(11, used)}, 0},
-		"more than half lent": {[]Look{observeLessor(1, 1, []Lease{{"a", 7, 600, 1000}})}, 1},
+		"kept":                     {[]Look{observeLessor(1, 1, granted), observeLessee(3, used), observeLessor(5, 1, granted), observeLessee(7, used), observeLessee(9), observeLessor(11, 1)}, 0},
+		"used after its end":       {[]Look{observeLessor(1, 1, granted), observeLessee(3, used), observeLessor(5, 1), observeLessee(7, used)}, 1},
+		"never granted":            {[]Look{observeLessee(3, used), observeLessor(5, 1), observeLessee(7, used)}, 1},
+		"overlapping observations": {[]Look{observeLessor(1, 1, granted), observeLessee(3, used), observeLessor(3, 1), observeLessee(7, used)}, 0},
+		"lessor restarted":         {[]Look{observeLessor(1, 1, granted), observeLessee(3, used), observeLessor(5, 2), observeLessee(7, used), observeLessor(9, 2), observeLessee(11, used)}, 0},
+		"more than half granted":   {[]Look{observeLessor(1, 1, []Lease{{"a", 7, 600, 1000}})}, 1},
 	} {
 		l := &Leases{}
 		for _, observation := range c.observations {
--- a/testbed/invariants/rules.go
+++ b/testbed/invariants/rules.go
@@ -7,30 +7,30 @@
 	"pineport/dispatch"
 )
 
-// Rule is one of the six, or that nothing crashes.
+// Rule is one of the six rules, or the requirement that no courier crashes.
 type Rule string
 
-// The rules, by what they ask for.
+// The rules. Their texts are keys and values in the JSON form of a Verdict.
 const (
-	Final  Rule = "one final answer"
-	Twice  Rule = "no effect twice"
-	Drain  Rule = "drains kept"
-	Pushed Rule = "no return pushed over"
-	Waits  Rule = "waits heeded"
-	Order  Rule = "order kept"
+	Final  Rule = "one final answer"      // an accepted message gets exactly one final answer, in time
+	Twice  Rule = "no effect twice"       // a message that must not be repeated does not take effect twice
+	Drain  Rule = "drains kept"           // no attempts at an endpoint that the courier knows to be draining or removed
+	Pushed Rule = "no return pushed over" // couriers that observed an outage do not overload the route during its recovery
+	Waits  Rule = "waits heeded"          // no attempts on a route before its Retry-After time has passed
+	Order  Rule = "order kept"            // messages with the same ordering key are sent in order
 	Crash  Rule = "no crash"
 )
 
-// Rules lists them in order.
+// Rules returns the rules in the order in which they are reported.
 func Rules() []Rule { return []Rule{Final, Twice, Drain, Pushed, Waits, Order, Crash} }
 
-// breach is how often a rule was broken, and the first times.
+// breaches counts the breaches of a rule and holds the first of them.
 type breaches struct {
 	count int
 	first []Breach
 }
 
-// Breach is one time that a rule was broken.
+// Breach is one breach of a rule.
 type Breach struct {
 	Rule Rule    `json:"rule"`
 	At   float64 `json:"at_s"`
@@ -50,25 +50,26 @@
 	}
 }
 
-// judgeSend holds an attempt against the rules on ends, effects, drains, waits and order.
+// checkSend checks an attempt against the rules on final answers, effects, drains, waits and order.
 func (l *Ledger) checkSend(at dispatch.Micros, r *message, p Place) {
 	if r.end != Open && r.end != Dropped && !r.answerMayBeUnread && at > r.endAt+l.setup.Leeway {
 		l.breach(Final, at, "%s was sent to %s after it was %s at %s", r.id, p.Endpoint, r.end, seconds(r.endAt))
 	}
 	l.checkRepeat(at, r, p)
 	if notified, ok := l.notified[notifiedKey{r.courier, p.Endpoint}]; ok && at > notified+l.setup.DrainGrace+l.setup.Leeway {
-		l.breach(Drain, at, "%s went to %s, which drains or is gone, as courier %d was told at %s", r.id, p.Endpoint, r.courier, seconds(notified))
+		l.breach(Drain, at, "%s was sent to %s, which is draining or removed, as courier %d was notified at %s", r.id, p.Endpoint, r.courier, seconds(notified))
 	}
 	if w, ok := l.waits[waitKey{r.courier, routeKey{p.Dest, p.Route}}]; ok && at > w.from+l.setup.WaitFrom && at < w.to-l.setup.Leeway {
-		l.breach(Waits, at, "%s went to %s, while courier %d was told to wait until %s", r.id, p.Endpoint, r.courier, seconds(w.to))
+		l.breach(Waits, at, "%s was sent to %s, although courier %d had to wait until %s", r.id, p.Endpoint, r.courier, seconds(w.to))
 	}
 	if r.class.InOrder && r.key != "" {
 		l.checkOrder(at, r)
 	}
 }
 
-// judgeRepeat: an at-most-once message goes again only if every earlier attempt provably never ran; one with an idempotency key that may
-// have run only in its window and group.
+// checkRepeat checks a repeated attempt. An at-most-once message may be sent again only if no earlier attempt can have taken effect. A
+// message with an idempotency key that may have taken effect may be sent again only within its deduplication window, to an endpoint that
+// recognizes the repeat.
 func (l *Ledger) checkRepeat(at dispatch.Micros, r *message, p Place) {
 	if r.class.Repeat == dispatch.Idempotent || len(r.attempts) == 0 {
 		return
@@ -82,50 +83,50 @@
 	switch {
 	case !mayHaveRun:
 	case r.class.Repeat == dispatch.AtMostOnce:
-		l.breach(Twice, at, "%s, single-use, went to %s though an earlier trip may have run", r.id, p.Endpoint)
+		l.breach(Twice, at, "at-most-once message %s was sent to %s although an earlier attempt may have taken effect", r.id, p.Endpoint)
 	case at > firstRunAt+r.class.Window+l.setup.Leeway:
-		l.breach(Twice, at, "%s, referenced, went to %s after its window of %s", r.id, p.Endpoint, seconds(r.class.Window))
+		l.breach(Twice, at, "message %s with an idempotency key was sent to %s after its deduplication window of %s", r.id, p.Endpoint, seconds(r.class.Window))
 	case r.class.OneZone && p.Zone != zone:
-		l.breach(Twice, at, "%s, referenced, went to %s, which does not know the repeat", r.id, p.Endpoint)
+		l.breach(Twice, at, "message %s with an idempotency key was sent to %s, which does not recognize the repeat", r.id, p.Endpoint)
 	}
 }
 
-// judgeBounce: a reject says that trying again is harmless.
+// checkReject checks a rejection. It tells the client that the message can be submitted again without a second effect.
 func (l *Ledger) checkReject(at dispatch.Micros, r *message) {
 	mayHaveRun := r.mayHaveRun || r.openAttempts > 0
 	if mayHaveRun && (r.class.Repeat == dispatch.AtMostOnce || r.class.Repeat == dispatch.IdempotencyKey && r.class.OneZone) {
-		l.breach(Twice, at, "%s was bounced though a trip may have run", r.id)
+		l.breach(Twice, at, "%s was rejected although an attempt may have taken effect", r.id)
 	}
 }
 
-// judgeOrder: nothing is sent for a message while an earlier one of its key is not over.
+// checkOrder checks that a message is not sent before all earlier messages with its ordering key have ended.
 func (l *Ledger) checkOrder(at dispatch.Micros, r *message) {
 	queue := l.keyQueues[keyQueueID{r.courier, r.key}]
 	queue.messages = slices.DeleteFunc(queue.messages, func(o *message) bool { return o.end != Open && o.openAttempts == 0 })
 	if len(queue.messages) > 0 && queue.messages[0] != r {
-		l.breach(Order, at, "%s went out of turn: %s of the same key is not over", r.id, queue.messages[0].id)
+		l.breach(Order, at, "%s was sent out of order: %s with the same ordering key has not ended", r.id, queue.messages[0].id)
 		return
 	}
 	if at < queue.holdUntil-l.setup.Leeway && len(r.attempts) == 0 {
-		l.breach(Order, at, "%s went while its key had to rest until %s", r.id, seconds(queue.holdUntil))
+		l.breach(Order, at, "%s was sent although its ordering key was held until %s", r.id, seconds(queue.holdUntil))
 	}
 }
 
-// overdue holds what was taken against its deadline, at the end of the day.
+// checkOverdue checks at the end of the run that all accepted messages got their final answer in time.
 func (l *Ledger) checkOverdue(end dispatch.Micros) {
 	for _, r := range l.messageOrder {
 		latest := l.excusedUntil(r.courier, r.deadline+l.setup.AnswerSlack+l.setup.Leeway)
 		switch {
 		case r.end == Open && end > latest:
-			l.breach(Final, latest, "%s was never answered", r.id)
+			l.breach(Final, latest, "%s got no final answer", r.id)
 			l.counts.Lost++
 		case (r.end == Rejected || r.end == Failed || r.end == Delivered) && r.endAt > latest:
-			l.breach(Final, r.endAt, "%s was %s %s after its cut-off", r.id, r.end, seconds(r.endAt-r.deadline))
+			l.breach(Final, r.endAt, "%s was %s %s after its deadline", r.id, r.end, seconds(r.endAt-r.deadline))
 		}
 	}
 }
 
-// excused moves an instant out of the stretches in which a courier owed no answers.
+// excusedUntil returns the earliest time, from a given time on, at which a courier has to answer.
 func (l *Ledger) excusedUntil(courier int, at dispatch.Micros) dispatch.Micros {
 	for _, d := range l.downtimes[courier] {
 		if at >= d.from && at < d.to {
--- a/testbed/invariants/series.go
+++ b/testbed/invariants/series.go
@@ -6,22 +6,22 @@
 	"pineport/dispatch"
 )
 
-// Bin is the span of one point of a series.
+// Bin is the time span of one value in a series.
 const Bin = dispatch.Micros(500 * 1000)
 
-// Series is a day over time, in bins of half a second.
+// Series holds the totals of a run over time, in bins of half a second.
 type Series struct {
-	Asked, Won []float64 // value, by when the message was due
-	Held       []float64 // messages taken and not ended, at the end of the bin
+	Asked, Won []float64 // value offered and value earned, in the bin in which the message was due to be submitted
+	Held       []float64 // accepted messages without a final answer, at the end of the bin
 	Dests      []*DestSeries
 }
 
-// DestSeries is what went to one destination.
+// DestSeries holds the traffic of one destination over time.
 type DestSeries struct {
 	Dest                      dispatch.DestinationID
 	Offered                   []float64
 	Calls, Done, Full, Failed []float64
-	Outages                   [][2]float64 // in seconds
+	Outages                   [][2]float64 // start and end of each outage, in seconds
 	routesOut                 int
 }
 
@@ -31,7 +31,7 @@
 	dests     map[dispatch.DestinationID]*DestSeries
 }
 
-// put adds to a bin; what lies before the day counts to its first bin.
+// addToBin adds a number to the bin of a time. Times before the start of the run belong to the first bin.
 func addToBin(s []float64, at dispatch.Micros, n float64) []float64 {
 	i := max(0, int(at/Bin))
 	for len(s) <= i {
@@ -45,7 +45,7 @@
 	s.open += n
 	i := max(0, int(at/Bin))
 	for len(s.openByBin) <= i {
-		s.openByBin = append(s.openByBin, -1) // unchanged
+		s.openByBin = append(s.openByBin, -1) // no change in this bin
 	}
 	s.openByBin[i] = float64(s.open)
 }
@@ -76,7 +76,7 @@
 	}
 }
 
-// out notes that a route of a destination went out or came back; the destination is out while any of them is.
+// routeOutage records that an outage of a route started or ended. A destination has an outage while any of its routes has one.
 func (s *series) routeOutage(at dispatch.Micros, id dispatch.DestinationID, on bool) {
 	d := s.dest(id)
 	switch {
--- a/testbed/invariants/verdict.go
+++ b/testbed/invariants/verdict.go
@@ -10,9 +10,9 @@
 	"pineport/dispatch"
 )
 
-// Counts are sums over a day.
+// Counts are the numbers of events in a run.
 type Counts struct {
-	Offered     int `json:"offered"` // messages, first tries
+	Offered     int `json:"offered"` // messages, without repeated submissions
 	Taken       int `json:"taken"`
 	Done        int `json:"done"`
 	Rejected    int `json:"bounced"`
@@ -28,7 +28,7 @@
 	Unprocessed int `json:"void"`
 	Handshakes  int `json:"handshakes"`
 	Effects     int `json:"effects"`
-	Repeats     int `json:"repeats"` // effects that were not the first and not dropped
+	Repeats     int `json:"repeats"` // effects after the first one of a message that the destination did not recognize as repeats
 	Falls       int `json:"falls"`
 }
 
@@ -51,9 +51,9 @@
 	}
 }
 
-// Verdict is the judgement of a day.
+// Verdict is the result of a run.
 type Verdict struct {
-	Figure       float64            `json:"figure"` // 0 where a rule broke
+	Figure       float64            `json:"figure"` // 0 if a rule was broken
 	Service      float64            `json:"service"`
 	Whole        float64            `json:"whole"`
 	Window       float64            `json:"worst_window"`
@@ -65,17 +65,17 @@
 	Broken       map[Rule]int       `json:"broken,omitempty"`
 	Breaches     []Breach           `json:"breaches,omitempty"`
 	Latency      []Latency          `json:"latency"`
-	Invalid      string             `json:"void,omitempty"` // why the run does not count
+	Invalid      string             `json:"void,omitempty"` // why the result cannot be used; empty if it can
 	Series       *Series            `json:"-"`
 }
 
-// OK tells whether all rules were kept.
+// OK reports whether all rules were kept.
 func (v *Verdict) OK() bool { return len(v.Broken) == 0 }
 
-// Short is the verdict in a few words.
+// Short returns a one-line summary.
 func (v *Verdict) Short() string {
 	if v.Invalid != "" {
-		return "does not count: " + v.Invalid
+		return "invalid run: " + v.Invalid
 	}
 	if v.OK() {
 		return "rules kept"
@@ -91,7 +91,7 @@
 
 const worstWindowSpan = 10 * 1000 * 1000
 
-// Finish closes the books at the end of a day.
+// Finish makes the final checks at the end of a run and returns the result.
 func (l *Ledger) Finish(end dispatch.Micros) *Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -107,7 +107,7 @@
 			s.add(o)
 		}
 		if o.tenant < len(tenants) && o.value > 0 && o.value >= l.setup.Classes[o.class].Priority {
-			tenants[o.tenant].add(o) // within its share
+			tenants[o.tenant].add(o) // within the quota of the tenant
 		}
 	}
 	v.Whole, v.Window = overall.share(), overall.share()
@@ -158,7 +158,7 @@
 	return s.earned / s.offered
 }
 
-// Latency is how long delivery took, from the instant a message was due to be submitted.
+// Latency is the distribution of the time between the planned submission and the delivery of the messages of a class.
 type Latency struct {
 	Class string  `json:"workload"`
 	Count int64   `json:"count"`
@@ -174,7 +174,7 @@
 	all   []*hdrhistogram.Histogram
 }
 
-// newLatencies keeps from a tenth of a millisecond to an hour, to three digits.
+// newLatencies returns histograms for values from 0.1 ms to one hour, with three significant digits.
 func newLatencies(classes []Class) latencies {
 	var l latencies
 	for _, w := range classes {
@@ -185,7 +185,7 @@
 }
 
 func (l *latencies) record(class int, latency dispatch.Micros) {
-	_ = l.all[class].RecordValue(min(max(100, int64(latency)), 3600*1000*1000)) // always within its bounds
+	_ = l.all[class].RecordValue(min(max(100, int64(latency)), 3600*1000*1000)) // no error: the value is within the bounds of the histogram
 }
 
 func (l *latencies) table() (rows []Latency) {
--- a/testbed/invariants/window.go
+++ b/testbed/invariants/window.go
@@ -1,13 +1,13 @@
 package invariants
 
-// Within is what happened in a stretch of a day, by the bins of its series.
+// Within holds the totals of an interval of a run.
 type Within struct {
-	Priority       float64 // share of what was asked by messages due in it
+	Priority       float64 // share of the offered value that was earned, for messages due in the interval
 	Calls, Done    float64
 	Refused, Fails float64
 }
 
-// Between sums a stretch up, in seconds.
+// Between returns the totals of the bins that start in an interval; its bounds are in seconds.
 func (s *Series) Between(from, to float64) (w Within) {
 	sum := func(values []float64) (n float64) {
 		for i, x := range values {
