--- a/testbed/environment/directory.go
+++ b/testbed/environment/directory.go
@@ -16,7 +16,7 @@
 	"pineport/testbed/invariants"
 )
 
-// directory is discovery and the platform as one courier meets them.
+// directory emulates the discovery service and the platform for one courier.
 type directory struct {
 	world        *World
 	courier      int
@@ -26,13 +26,13 @@
 	seq          int
 	entries      map[dispatch.EndpointID]entry
 	changes      []change
-	changed      chan struct{} // closed with each change
+	changed      chan struct{} // closed and replaced with each change
 	isDown       bool
 	nextChangeAt dispatch.Micros
 	pending      []entry
 }
 
-// entry is one endpoint in the platform's form.
+// entry is one endpoint in the format of the platform.
 type entry struct {
 	Host   dispatch.EndpointID `json:"host"`
 	Dial   string              `json:"dial"`
@@ -88,7 +88,7 @@
 
 func (d *directory) close() { d.server.Close() }
 
-// later tells of a change after a while, in the order of changes.
+// publishAfter publishes a change of an endpoint after a delay. Changes are published in the order in which they occur.
 func (d *directory) publishAfter(delay dispatch.Micros, dest int, e endpointmodel.Endpoint, phase dispatch.Phase) {
 	born := int64(0)
 	if phase == dispatch.InService {
@@ -128,7 +128,7 @@
 	defer d.mu.Unlock()
 	d.isDown = down
 	if down {
-		close(d.changed) // watches end
+		close(d.changed) // ends all watches
 		d.changed = make(chan struct{})
 		return
 	}
@@ -138,7 +138,7 @@
 	d.pending = nil
 }
 
-// whole is the list as this courier would get it now; the caller holds the lock.
+// fullList returns the complete endpoint list for the courier. The caller holds the lock.
 func (d *directory) fullList() list {
 	l := list{Seq: d.seq, Full: true, Entries: []entry{}}
 	for _, en := range d.entries {
@@ -148,7 +148,8 @@
 	return l
 }
 
-// since is what changed after a version.
+// changesSince returns the changes after a sequence number, or the complete list if the number is negative or not known. It
+// returns false while the directory is down.
 func (d *directory) changesSince(seq int) (list, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -213,7 +214,7 @@
 	return time.Duration((r[0] + (r[1]-r[0])*d.world.rng.Float64()) * float64(time.Millisecond))
 }
 
-// write answers; from then on the courier is notified.
+// write sends a list to the courier and records that the courier was notified of its entries.
 func (d *directory) write(rw http.ResponseWriter, l list) {
 	text, err := json.Marshal(l)
 	if err != nil {
@@ -267,7 +268,7 @@
 	AgainMs int64              `json:"again_ms"`
 }
 
-// Known is the list that a courier is handed at its start, in the platform's form.
+// Known returns the endpoint list that a courier is given at its start, in the format of the platform.
 func (w *World) Known(courier int) any {
 	d := w.directories[courier]
 	d.mu.Lock()
@@ -275,5 +276,5 @@
 	return d.fullList()
 }
 
-// Discovery is where a courier finds its directory.
+// Discovery returns the address of the directory of a courier.
 func (w *World) Discovery(courier int) string { return w.directories[courier].address }
--- a/testbed/environment/endpoint.go
+++ b/testbed/environment/endpoint.go
@@ -20,7 +20,8 @@
 	"pineport/testbed/invariants"
 )
 
-// endpoint is one endpoint on a socket. Its door is open, shut (connections are refused) or stuffed (they never come up).
+// endpoint is one endpoint on a socket. It accepts connections (endpointmodel.Up), refuses them (endpointmodel.Refused), or lets
+// connection attempts time out (endpointmodel.NoWord).
 type endpoint struct {
 	endpointmodel.Endpoint
 	world        *World
@@ -29,12 +30,12 @@
 	mu           sync.Mutex
 	connectState endpointmodel.ConnectResult
 	listener     *net.TCPListener
-	backlogConns []net.Conn // what keeps the door stuffed
+	backlogConns []net.Conn // connections that fill the accept backlog, so that further connection attempts time out
 	conns        map[*net.TCPConn]bool
 	closed       bool
 }
 
-// put puts up an endpoint, at an address that another one had or a new one.
+// addEndpoint starts an endpoint at an address that another endpoint had, or at a new address if none is given.
 func (w *World) addEndpoint(s *destination, e endpointmodel.Endpoint, address string) (*endpoint, error) {
 	ep := &endpoint{Endpoint: e, world: w, destination: s, address: address, connectState: endpointmodel.Refused, conns: map[*net.TCPConn]bool{}}
 	if address == "" {
@@ -49,11 +50,11 @@
 	return ep, nil
 }
 
-// listen opens the door; the caller holds the lock, or is alone.
+// listen starts to accept connections. The caller holds the lock, or is the only one that uses the endpoint.
 func (e *endpoint) listen() error {
 	var l net.Listener
 	var err error
-	for range 20 { // another process may hold the port for a moment, as it is outside of all ranges only while it listens
+	for range 20 { // while the endpoint does not listen, another process may use its port for a moment
 		if l, err = net.Listen("tcp", e.address); err == nil {
 			break
 		}
@@ -73,7 +74,7 @@
 	for {
 		conn, err := l.AcceptTCP()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			return // stuffed: accepting goes on when it is opened again
+			return // deadline set by fillBacklog; reopen starts a new accept loop
 		}
 		if err != nil {
 			return
@@ -100,7 +101,7 @@
 	}
 }
 
-// gate brings the door to what the partner says, and resets connections where they are cut off.
+// updateListener makes the listener follow the state of the model, and resets all connections if the endpoint is down.
 func (e *endpoint) updateListener() {
 	e.destination.mu.Lock()
 	want, down := e.destination.model.ConnectStatus(e.ID), e.destination.model.IsDown(e.ID)
@@ -137,7 +138,7 @@
 
 func (e *endpoint) reopen() {
 	if err := e.listen(); err != nil {
-		e.world.log.Warn("endpoint not opened again", "endpoint", e.ID, "error", err)
+		e.world.log.Warn("endpoint not reopened", "endpoint", e.ID, "error", err)
 		e.connectState = endpointmodel.Refused
 	}
 }
@@ -149,8 +150,8 @@
 	}
 }
 
-// stuff lets new connections neither come up nor be refused: the queue of those not accepted is made as short as it can
-// be, and filled, so that the kernel drops what asks for one more.
+// fillBacklog makes connection attempts time out: it makes the accept backlog as short as possible and fills it, so that the
+// kernel drops further connection requests.
 func (e *endpoint) fillBacklog() {
 	if e.listener == nil {
 		if err := e.listen(); err != nil {
@@ -194,14 +195,14 @@
 	e.resetAll()
 }
 
-// inbound is one request off a connection.
+// inbound is one request that was read from a connection.
 type inbound struct {
 	req        *http.Request
 	body       []byte
-	receivedAt dispatch.Micros // when its first byte had come
+	receivedAt dispatch.Micros // when the first byte was received
 }
 
-// serve reads calls off a connection and answers them, one at a time.
+// serve reads requests from a connection and answers them one at a time.
 func (e *endpoint) serve(conn *net.TCPConn) {
 	defer e.world.wg.Done()
 	e.world.countConns(1)
@@ -224,7 +225,7 @@
 	_, open := e.conns[conn]
 	delete(e.conns, conn)
 	e.mu.Unlock()
-	if open { // else it was cut off, and the partner has counted it out
+	if open { // otherwise it was reset, and the model no longer counts it
 		e.destination.update(func(p *endpointmodel.Partner, _ dispatch.Micros) []endpointmodel.Output {
 			p.Disconnect(e.ID)
 			return nil
@@ -258,7 +259,7 @@
 	}
 }
 
-// call answers one request; it tells whether the connection goes on.
+// handleRequest answers one request and reports whether the connection stays open.
 func (e *endpoint) handleRequest(conn *net.TCPConn, in inbound, requests <-chan inbound) bool {
 	switch {
 	case in.req.Method == http.MethodPost && in.req.URL.Path == "/hook":
@@ -276,7 +277,7 @@
 	return e.writeResponse(conn, 404, "", "")
 }
 
-// batch reads the ids of a call with several messages.
+// parseBatch returns the message IDs of a batch call.
 func parseBatch(body []byte) (ids []dispatch.MessageID, err error) {
 	for len(body) > 0 {
 		line, rest, ok := bytes.Cut(body, []byte("\r\n"))
@@ -301,17 +302,18 @@
 	return ids, nil
 }
 
-// admitted is what a call's messages come to before the partner sees it.
+// admission is the result of checking a call before the model receives it.
 type admission struct {
 	courier  int
 	items    []endpointmodel.Item
 	ids      []dispatch.MessageID
 	attempts []int
-	refusals map[dispatch.MessageID]string // what is not sent on
+	refusals map[dispatch.MessageID]string // results of the messages that the model does not receive
 	noSlot   bool
 }
 
-// admit looks the messages of a call up, counts attempts and takes a slot.
+// admit checks the messages of a call, counts their attempts and occupies a slot of the courier, if one is free. fault describes
+// why the call is invalid.
 func (e *endpoint) admit(in inbound, ids []dispatch.MessageID) (a admission, fault string) {
 	w := e.world
 	w.mu.Lock()
@@ -360,7 +362,7 @@
 	return s.model.Route(id)
 }
 
-// carry plays one call with messages.
+// handleMessages processes one call and reports whether the connection stays open.
 func (e *endpoint) handleMessages(conn *net.TCPConn, in inbound, ids []dispatch.MessageID, isBatch bool, requests <-chan inbound) bool {
 	w := e.world
 	a, fault := e.admit(in, ids)
@@ -404,7 +406,7 @@
 	var result endpointmodel.Answer
 	select {
 	case result = <-answer:
-	case <-requests: // the courier hung up, or was cut off
+	case <-requests: // the courier closed the connection, or it was reset
 		e.destination.update(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
 			delete(e.destination.pendingCalls, call.ID)
 			return p.CallOff(now, call)
@@ -418,7 +420,7 @@
 		return false
 	}
 	time.Sleep(delay)
-	settle(result.Outcome, result.Wait) // before it is written, as the courier may act on it at once
+	settle(result.Outcome, result.Wait) // before the answer is written, because the courier may act on it immediately
 	return e.writeAnswer(conn, ids, a, result, isBatch)
 }
 
@@ -444,7 +446,7 @@
 	return e.writeResponse(conn, status, headers, body)
 }
 
-// ends is the body of an answer for several.
+// batchResults returns the body of the answer to a batch call.
 func (e *endpoint) batchResults(ids []dispatch.MessageID, refusals map[dispatch.MessageID]string, otherwise string) string {
 	var b strings.Builder
 	for _, id := range ids {
--- a/testbed/environment/environment.go
+++ b/testbed/environment/environment.go
@@ -1,6 +1,7 @@
-// Package environment plays the outside of a day on loopback sockets: endpoints behind the same partners as in virtual time,
-// the directory, and the platform's notices. Each courier has a directory of its own to talk to, so that the books know
-// what it was notified; what calls it makes is known by the messages that it was handed.
+// Package environment emulates the surroundings of the couriers on loopback sockets: endpoints that use the same models as in
+// virtual time, the directory, and the receiver of notices. Each courier has its own directory, so that the ledger can record what
+// the courier was notified of. The courier that makes a call is known from the messages in the call, as each message is submitted
+// to one courier.
 package environment
 
 import (
@@ -18,18 +19,18 @@
 	"pineport/testbed/scenario"
 )
 
-// Clock counts from the beginning of a day.
+// Clock measures the time since the start of a run.
 type Clock struct{ Start time.Time }
 
-// Now is the instant of the day.
+// Now returns the time since the start of the run.
 func (c Clock) Now() dispatch.Micros { return dispatch.Micros(time.Since(c.Start).Microseconds()) }
 
-// After does something at an instant of the day.
+// After calls a function at a time of the run.
 func (c Clock) After(at dispatch.Micros, do func()) *time.Timer {
 	return time.AfterFunc(time.Duration(at-c.Now())*time.Microsecond, do)
 }
 
-// Message is what a client submitted, as far as endpoints must know.
+// Message is what the endpoints have to know about a submitted message.
 type Message struct {
 	Origin   dispatch.MessageID
 	Courier  int
@@ -39,15 +40,17 @@
 	Attempts int
 }
 
-// World is the outside of one day.
+// World is the environment of the couriers in one run of a scenario.
 type World struct {
 	Day    *scenario.Drawn
 	Ledger *invariants.Ledger
 	Clock  Clock
-	// Noticed is notified of each notice that ends a message: how, and for a reject when to come again.
+	// Noticed is called for each notice that ends a message. again is the time after which the client may submit a rejected
+	// message again.
 	Noticed func(id dispatch.MessageID, how invariants.End, again time.Duration)
 
-	// Guests lets in messages that nobody announced, for clients that are not ours: of the first class, from courier 0.
+	// Guests allows messages that were not announced by Expect, for clients that are not part of the testbed. Such a message is
+	// treated as one of the first class that was submitted to courier 0.
 	Guests bool
 
 	log           *slog.Logger
@@ -56,17 +59,17 @@
 	destinations  []*destination
 	endpoints     map[dispatch.EndpointID]*endpoint
 	messages      map[dispatch.MessageID]*Message
-	callsInFlight []int // calls out, by courier
+	callsInFlight []int // calls without an answer, per courier
 	directories   []*directory
 	closed        bool
 	timers        []*time.Timer
 	wg            sync.WaitGroup
 	lastCall      uint64
-	openConns     int // connections
+	openConns     int
 	maxConns      int
 }
 
-// site is one partner and its endpoints on sockets.
+// destination is the model of one destination with the timer and the pending calls that connect it to sockets.
 type destination struct {
 	world        *World
 	id           int
@@ -77,7 +80,7 @@
 	pendingCalls map[uint64]chan endpointmodel.Answer
 }
 
-// Open puts up the world of a day; nothing goes wrong in it before Begin.
+// Open starts the environment of a scenario. Its events occur only after Begin.
 func Open(instance *scenario.Drawn, logger *slog.Logger) (*World, error) {
 	w := &World{Day: instance, log: logger, rng: rand.New(rand.NewPCG(uint64(instance.Seed), 99)), endpoints: map[dispatch.EndpointID]*endpoint{},
 		messages: map[dispatch.MessageID]*Message{}, callsInFlight: make([]int, instance.Day.Fleet.Couriers), Clock: Clock{time.Now()}}
@@ -103,8 +106,8 @@
 	return w, nil
 }
 
-// Begin starts the day: from now on its clock runs and its troubles come. Each act is notified to courier first; those of couriers are its to
-// carry out.
+// Begin starts the run: its clock starts, and the events of the scenario occur at their times. Each event is first passed to onEvent, which
+// has to carry out the events that concern couriers.
 func (w *World) Begin(ledger *invariants.Ledger, onEvent func(scenario.Act)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -139,7 +142,7 @@
 			return nil
 		})
 		if _, err := w.addEndpoint(s, a.Endpoint, address); err != nil {
-			w.log.Warn("endpoint not put up", "endpoint", a.Endpoint.ID, "error", err)
+			w.log.Warn("endpoint not started", "endpoint", a.Endpoint.ID, "error", err)
 		}
 		w.publish(a.Dest, a.Endpoint, dispatch.InService)
 	case scenario.Drains:
@@ -175,14 +178,15 @@
 	return w.endpoints[id]
 }
 
-// Expect tells of a message before it is submitted: calls with other messages are strange.
+// Expect announces a message before it is submitted. A call with a message that was not announced is recorded as an error of
+// the courier.
 func (w *World) Expect(id dispatch.MessageID, r Message) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.messages[id] = &r
 }
 
-// Drop tells that what is still sent for a message counts for nothing.
+// Drop marks a message as ended, so that further attempts of it are answered as expired.
 func (w *World) Drop(id dispatch.MessageID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -191,14 +195,14 @@
 	}
 }
 
-// Busiest is how many connections the endpoints held at most, together.
+// Busiest returns the largest number of connections that all endpoints together had open at a time.
 func (w *World) Busiest() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.maxConns
 }
 
-// opened counts connections that come and go.
+// countConns adds to the number of open connections.
 func (w *World) countConns(n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -206,7 +210,7 @@
 	w.maxConns = max(w.maxConns, w.openConns)
 }
 
-// Close ends everything.
+// Close stops the environment and waits until its goroutines have ended.
 func (w *World) Close() {
 	w.mu.Lock()
 	w.closed = true
@@ -231,7 +235,7 @@
 	w.wg.Wait()
 }
 
-// way draws how long something takes between a courier and an endpoint.
+// networkDelay draws the one-way network delay between a courier and an endpoint.
 func (w *World) networkDelay(courier int, zone dispatch.ZoneID) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -242,7 +246,7 @@
 	return time.Duration((r[0] + (r[1]-r[0])*w.rng.Float64()) * float64(time.Millisecond))
 }
 
-// do has something done to the partner, and takes in what comes of it.
+// update calls a method of the model, schedules the next step of the model, records the outputs and passes on the answers.
 func (s *destination) update(action func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output) {
 	s.mu.Lock()
 	now := s.world.Clock.Now()
