--- a/testbed/scenario/days.go
+++ b/testbed/scenario/days.go
@@ -10,14 +10,14 @@
 //go:embed days/*.toml
 var builtIn embed.FS
 
-// BuiltIn lists the names of the days that come with the testbed.
+// BuiltIn returns the names of the scenarios that are built into the testbed.
 func BuiltIn() []string { return Names(builtIn) }
 
-// Names lists the days in the folder of that name of an embedded file system.
+// Names returns the names of the scenarios in the folder "days" of an embedded file system.
 func Names(in embed.FS) (names []string) {
 	entries, err := in.ReadDir("days")
 	if err != nil {
-		panic(err) // embedded, so it is there
+		panic(err) // the folder is embedded, so it always exists
 	}
 	for _, e := range entries {
 		names = append(names, strings.TrimSuffix(e.Name(), ".toml"))
@@ -25,7 +25,7 @@
 	return names
 }
 
-// Find reads a day that comes with the testbed, or else a file.
+// Find reads a built-in scenario, or the file of that name if there is no such scenario.
 func Find(name string) (*Day, error) {
 	file := path.Join("days", name+".toml")
 	if text, err := builtIn.ReadFile(file); err == nil {
@@ -33,7 +33,7 @@
 	}
 	d, err := Load(name)
 	if err != nil && !strings.ContainsAny(name, "./") {
-		return nil, fmt.Errorf("no day has the name %q; there are %s, and files", name, strings.Join(BuiltIn(), ", "))
+		return nil, fmt.Errorf("there is no built-in scenario %q; use a file name or one of %s", name, strings.Join(BuiltIn(), ", "))
 	}
 	return d, err
 }
--- a/testbed/scenario/draw.go
+++ b/testbed/scenario/draw.go
@@ -11,30 +11,30 @@
 	"pineport/testbed/endpointmodel"
 )
 
-// Drawn is a day as it happens: what is fixed by the file and a seed.
+// Drawn is a scenario with all values drawn: everything that the file and a seed determine.
 type Drawn struct {
 	Day          *Day
 	Seed         int64
 	Load         float64
-	Length       dispatch.Micros // messages arrive until then
-	End          dispatch.Micros // all is over
+	Length       dispatch.Micros // end of the arrivals
+	End          dispatch.Micros // end of the run
 	Destinations []Destination
-	Arrivals     []Arrival // by instant
-	Acts         []Act     // by instant
-	Slots, Hold  int       // of a courier
+	Arrivals     []Arrival // sorted by time
+	Acts         []Act     // sorted by time
+	Slots, Hold  int       // per courier
 	CourierZone  []dispatch.ZoneID
 }
 
-// Destination is a partner and its traffic.
+// Destination is a destination and its traffic.
 type Destination struct {
 	endpointmodel.Plan
 	KindName   string
-	UsualRate  float64 // messages a second at full load
-	ListedRate float64 // the rate on the list, for a route
-	Tenant     int     // whose messages it gets; -1: nobody's
+	UsualRate  float64 // messages per second at full load
+	ListedRate float64 // limit of a route in the endpoint list; 0: not listed
+	Tenant     int     // tenant that sends the messages to the destination; -1: none
 }
 
-// Arrival is a message submitted for the first time.
+// Arrival is the first submission of a message.
 type Arrival struct {
 	At      dispatch.Micros
 	Dest    int32
@@ -44,33 +44,33 @@
 	Key     int32 // -1: none
 }
 
-// ActKind is what happens in an Act.
+// ActKind is the kind of an Act.
 type ActKind int
 
-// What happens by itself on a day.
+// The kinds of events.
 const (
-	Begins     ActKind = iota // a fault begins
-	Ends                      // and ends
-	Adds                      // an endpoint goes up and is listed
+	Begins     ActKind = iota // a fault of an endpoint starts
+	Ends                      // a fault of an endpoint ends
+	Adds                      // an endpoint starts and is listed
 	Drains                    // an endpoint is listed as draining
-	Removes                   // an endpoint goes down and is taken off the list
+	Removes                   // an endpoint stops and is removed from the list
 	Kills                     // a courier is killed
-	Asks                      // a courier is asked to end, as before a planned restart
+	Asks                      // a courier is asked to shut down gracefully, as before a planned restart
 	Starts                    // a courier starts
-	Stands                    // a courier stands still for Span
+	Stands                    // a courier is paused for Span
 	ListDown                  // the directory stops answering
-	ListUp                    // and goes on
-	Annotation                // nothing but a line for the account: a flood began or ended
+	ListUp                    // the directory answers again
+	Annotation                // no effect but a line in the report: a flood started or ended
 )
 
-// Act is one thing that happens by itself.
+// Act is one event of a run that is not caused by a client or a courier.
 type Act struct {
 	At       dispatch.Micros
 	Kind     ActKind
-	Trouble  int // its number, from 1; 0 for none
+	Trouble  int // number of the fault that causes the event, from 1; 0: none
 	Dest     int
 	Endpoint endpointmodel.Endpoint
-	Address  dispatch.EndpointID // Adds: the endpoint whose address it takes over; empty: a new address
+	Address  dispatch.EndpointID // Adds: the endpoint whose address the new endpoint uses; empty: a new address
 	Fault    endpointmodel.Fault
 	Courier  int
 	Span     dispatch.Micros
@@ -79,12 +79,13 @@
 
 func micros(seconds float64) dispatch.Micros { return dispatch.Micros(math.Round(seconds * 1e6)) }
 
-// stream is the chance of one part of the drawing, so that a change in one part leaves the others as they are.
+// newRand returns the random number generator for one part of the drawing. Each part has its own, so that a change in one part does
+// not affect the values of the others.
 func newRand(seed int64, part uint64) *rand.Rand { return rand.New(rand.NewPCG(uint64(seed), part)) }
 
 func (r Range) draw(rng *rand.Rand) float64 { return r[0] + (r[1]-r[0])*rng.Float64() }
 
-// drawLog draws so that halving and doubling are alike.
+// drawLog draws a value whose logarithm is uniformly distributed.
 func (r Range) drawLog(rng *rand.Rand) float64 {
 	if r[0] <= 0 {
 		return r.draw(rng)
@@ -92,7 +93,7 @@
 	return r[0] * math.Pow(r[1]/r[0], rng.Float64())
 }
 
-// Draw makes a day of a file.
+// Draw draws all values of a scenario from a seed.
 func Draw(def *Day, seed int64) *Drawn {
 	instance := &Drawn{Day: def, Seed: seed, Length: micros(def.Length), Load: def.Load.draw(newRand(seed, 1))}
 	maxDeadline := 0.0
@@ -108,7 +109,7 @@
 	return instance
 }
 
-// weights are shares of the traffic by Zipf's law, in an order of chance.
+// zipfShares returns shares of the traffic by Zipf's law, in random order.
 func zipfShares(n int, exponent float64, rng *rand.Rand) []float64 {
 	shares, sum := make([]float64, n), 0.0
 	for i := range shares {
@@ -134,7 +135,7 @@
 	for i, usual := range share {
 		kind := d.Kinds[kinds[i]]
 		dst := Destination{KindName: kind.Name, UsualRate: usual * d.Traffic.FullPerSec, Tenant: -1}
-		if len(order) > 0 { // to the tenant that is furthest behind its share
+		if len(order) > 0 { // assign it to the tenant with the least traffic relative to its quota
 			dst.Tenant = slices.MinFunc(order, func(a, b int) int { return cmp.Compare(assigned[a], assigned[b]) })
 			assigned[dst.Tenant] += usual / max(1e-9, d.Tenants[dst.Tenant].Share)
 		}
@@ -143,7 +144,8 @@
 	}
 }
 
-// kindOf gives each destination a kind; kinds that lean to the busy take from the front of the busiest.
+// assignKinds assigns a kind to each destination. Destinations are assigned in the order of their traffic, starting with the most,
+// and kinds in the order of LoadBias, starting with the highest.
 func (w *Drawn) assignKinds(share []float64, rng *rand.Rand) []int {
 	kinds, sum := w.Day.Kinds, 0.0
 	for _, k := range kinds {
@@ -172,7 +174,7 @@
 			next++
 		}
 	}
-	// Leaning is mostly so, and not always: one in five trades places.
+	// The bias holds for most destinations only: one in five swaps its kind with a random one.
 	for i := range kindOf {
 		if j := rng.IntN(len(kindOf)); rng.Float64() < 0.2 {
 			kindOf[i], kindOf[j] = kindOf[j], kindOf[i]
@@ -188,7 +190,7 @@
 	limit := max(k.MinLimit.draw(rng), dst.UsualRate*k.LimitFactor.draw(rng))
 	perEndpoint := limit * k.CapacityFactor.draw(rng) / float64(endpoints)
 	workers := max(1, math.Ceil(perEndpoint*serviceTime))
-	serviceTime = workers / perEndpoint // so that the capacity is just that
+	serviceTime = workers / perEndpoint // so that the capacity of the whole number of workers is exactly perEndpoint
 	if serviceTime > k.Answer[1]/1000 {
 		serviceTime = k.Answer[1] / 1000
 	}
@@ -244,14 +246,14 @@
 	}
 }
 
-// flood is a stretch in which a tenant sends more.
+// flood is a period in which a tenant sends more than usual.
 type flood struct {
 	from, to dispatch.Micros
 	tenant   int // -1: all
 	factor   float64
 }
 
-// trafficShares is the usual traffic of each destination, and its sum.
+// trafficShares returns the usual traffic of each destination and its sum, in messages per second at full load.
 func (w *Drawn) trafficShares() (share []float64, total float64) {
 	share = make([]float64, len(w.Destinations))
 	for i, destination := range w.Destinations {
@@ -276,7 +278,7 @@
 	for _, f := range floods {
 		maxFactor = max(maxFactor, f.factor)
 	}
-	var courierPicker picker // couriers, where traffic is uneven among them
+	var courierPicker picker // draws the courier if the traffic is distributed unevenly over the couriers
 	if d.Traffic.CourierZipf > 0 {
 		courierPicker = newPicker(zipfShares(d.Fleet.Couriers, d.Traffic.CourierZipf, newRand(w.Seed, 9)))
 	}
@@ -289,11 +291,12 @@
 		}
 		if d.Classes[a.Class].InOrder {
 			a.Key = int32(rng.IntN(d.Traffic.Keys))
-			a.Courier = a.Key % int32(d.Fleet.Couriers) // those of one key come to one courier
+			a.Courier = a.Key % int32(d.Fleet.Couriers) // all messages with an ordering key go to the same courier
 		}
 		w.Arrivals = append(w.Arrivals, a)
 	}
-	// Single messages by thinning: drawn at the highest rate, kept as often as the rate of the instant asks.
+	// Single messages are drawn by thinning: candidates arrive at the highest rate and are kept with a probability proportional to the
+	// current rate.
 	peak := total * w.Load * (1 - burstShare) * (1 + d.Traffic.Swing) * maxFactor
 	for at := 0.0; ; {
 		at += rng.ExpFloat64() / max(peak, 1e-9)
@@ -311,7 +314,7 @@
 			add(now, dest)
 		}
 	}
-	// Clumps: as many messages for one destination as its limit takes in some time, within a fifth of a second.
+	// A burst has as many messages for one destination as its limit permits in the drawn time, and all arrive within 0.2 s.
 	for left := total * w.Load * burstShare * d.Length; left >= 1; {
 		dest, at := destinations.draw(rng), rng.Float64()*d.Length
 		size := max(1, math.Round(w.Destinations[dest].Limit.PerSec*d.Traffic.BurstSize.draw(rng)))
@@ -324,7 +327,7 @@
 	slices.SortStableFunc(w.Arrivals, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
 }
 
-// workloadsByKind has, for each kind of destination, which classes it gets.
+// classesByKind returns a picker of classes for each kind of destination.
 func (w *Drawn) classesByKind() []picker {
 	var all []picker
 	for _, k := range w.Day.Kinds {
@@ -339,7 +342,7 @@
 	return all
 }
 
-// picker draws one of several by their shares.
+// picker draws an index with a probability proportional to its share.
 type picker []float64
 
 func newPicker(share []float64) picker {
--- a/testbed/scenario/fault.go
+++ b/testbed/scenario/fault.go
@@ -10,7 +10,7 @@
 	"pineport/testbed/endpointmodel"
 )
 
-// troubles draws what goes wrong, and returns the floods, which the arrivals need.
+// drawFaults draws the faults of the run, adds their events, and returns the floods, which drawArrivals needs.
 func (w *Drawn) drawFaults() []flood {
 	d, rng := w.Day, newRand(w.Seed, 3)
 	specs := slices.Clone(d.Troubles)
@@ -40,13 +40,13 @@
 	return s.floods
 }
 
-// striker steps troubles into acts.
+// faultScheduler turns faults into events.
 type faultScheduler struct {
 	*Drawn
 	rng            *rand.Rand
-	faultNumber    int // of the trouble
-	lastFaultID    int // of faults
-	addedEndpoints int // of new endpoints
+	faultNumber    int // number of the current fault in the scenario
+	lastFaultID    int // ID of the last fault at an endpoint
+	addedEndpoints int // number of endpoints that were added
 	floods         []flood
 }
 
@@ -89,7 +89,7 @@
 	}
 }
 
-// at is an endpoint of a destination.
+// target is an endpoint of a destination.
 type target struct {
 	dest int
 	endpointmodel.Endpoint
@@ -102,7 +102,7 @@
 	s.addEvent(Act{At: to, Kind: Ends, Dest: e.dest, Endpoint: e.Endpoint, Fault: fault})
 }
 
-// struck picks endpoints until the part of the traffic is reached; a destination is struck whole or at one endpoint.
+// pickEndpoints picks endpoints until they receive the given share of the traffic. It picks all endpoints of a destination, or one.
 func (s *faultScheduler) pickEndpoints(t Trouble) (all []target) {
 	d := s.Day
 	zone := dispatch.ZoneID(-1)
--- a/testbed/scenario/read.go
+++ b/testbed/scenario/read.go
@@ -15,10 +15,10 @@
 	"pineport/config"
 )
 
-// FieldError is what is wrong with one key of a file.
+// FieldError is an error in the value of one key of a file.
 type FieldError = config.Fault
 
-// Load reads a day's file.
+// Load reads a scenario file.
 func Load(path string) (*Day, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -27,7 +27,8 @@
 	return Read(path, text)
 }
 
-// Read reads a day; all faults of it are notified at once, each with file, line, key and what was expected.
+// Read parses and checks a scenario. The returned error lists all errors of the file, each with file, line, key and the expected
+// value.
 func Read(file string, text []byte) (*Day, error) {
 	var d Day
 	dec := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
@@ -54,19 +55,19 @@
 	return errors.Join(all...)
 }
 
-// nearest proposes the known key that has most in common with a strange one.
+// nearest suggests the known key that is most similar to an unknown one.
 func nearest(key string) string {
 	var known []string
 	for _, k := range Keys() {
 		known = append(known, k.Key)
 	}
 	if best := config.Nearest(key[strings.LastIndexByte(key, '.')+1:], known); best != "" {
-		return fmt.Sprintf("; %q?", best)
+		return fmt.Sprintf("; did you mean %q?", best)
 	}
 	return ""
 }
 
-// checker holds a day against the tags of its fields, and gives defaults.
+// checker checks a scenario against the tags of its fields and sets defaults.
 type checker struct {
 	file  string
 	lines map[string]int
@@ -109,27 +110,27 @@
 	switch v.Kind() {
 	case reflect.Float64:
 		if n := v.Float(); bounded && !inside(n) {
-			c.addError(path, "a number from %v to %v was expected, not %v", low, high, n)
+			c.addError(path, "a number from %v to %v expected, got %v", low, high, n)
 		}
 	case reflect.Int, reflect.Int64:
 		if n := v.Int(); bounded && !inside(float64(n)) {
-			c.addError(path, "a count from %v to %v was expected, not %v", low, high, n)
+			c.addError(path, "an integer from %v to %v expected, got %v", low, high, n)
 		}
 	case reflect.Array:
 		a, b := number(v.Index(0)), number(v.Index(1))
 		if bounded && !(inside(a) && inside(b)) || !(a <= b) {
-			c.addError(path, "two numbers from %v to %v, the lower first, were expected, not [%v, %v]", low, high, a, b)
+			c.addError(path, "two numbers from %v to %v, the lower one first, expected, got [%v, %v]", low, high, a, b)
 		}
 	case reflect.String:
 		if allowed[0] != "" && !slices.Contains(allowed, v.String()) {
-			c.addError(path, "one of %s was expected, not %q", strings.Join(allowed, ", "), v.String())
+			c.addError(path, "one of %s expected, got %q", strings.Join(allowed, ", "), v.String())
 		} else if _, ok := tag.Lookup("def"); !ok && v.String() == "" {
 			c.addError(path, "must not be empty: %s", tag.Get("doc"))
 		}
 	case reflect.Slice:
 		for i := range v.Len() {
 			if word := v.Index(i).String(); allowed[0] != "" && !slices.Contains(allowed, word) {
-				c.addError(path, "words out of %s were expected, not %q", strings.Join(allowed, ", "), word)
+				c.addError(path, "values out of %s expected, got %q", strings.Join(allowed, ", "), word)
 			}
 		}
 	}
@@ -151,7 +152,7 @@
 	return low, high, ok
 }
 
-// preset gives a field its default.
+// setDefault sets a field to its default.
 func setDefault(v reflect.Value, def string) {
 	switch v.Kind() {
 	case reflect.String:
@@ -175,13 +176,13 @@
 	}
 }
 
-// whole checks what no single key shows.
+// checkConflicts checks rules that involve several keys.
 func (c *checker) checkConflicts(d *Day) {
 	if len(d.Kinds) == 0 {
-		c.addError("kind", "at least one kind of destination was expected")
+		c.addError("kind", "at least one kind of destination is required")
 	}
 	if len(d.Classes) == 0 {
-		c.addError("workload", "at least one workload was expected")
+		c.addError("workload", "at least one workload is required")
 	}
 	kinds := map[string]bool{}
 	for i, k := range d.Kinds {
@@ -193,16 +194,16 @@
 	for i, w := range d.Classes {
 		for _, k := range w.Kinds {
 			if !kinds[k] {
-				c.addError(fmt.Sprintf("workload.%d.kinds", i), "no kind has the name %q", k)
+				c.addError(fmt.Sprintf("workload.%d.kinds", i), "there is no kind %q", k)
 			}
 		}
 		if w.CutOff < w.Objective {
-			c.addError(fmt.Sprintf("workload.%d.cut_off_s", i), "not before the quoted time of %v s", w.Objective)
+			c.addError(fmt.Sprintf("workload.%d.cut_off_s", i), "must not be less than quoted_s (%v s)", w.Objective)
 		}
 	}
 	for _, k := range d.Kinds {
 		if !slices.ContainsFunc(d.Classes, func(w Class) bool { return len(w.Kinds) == 0 || slices.Contains(w.Kinds, k.Name) }) {
-			c.addError("workload", "none goes to the kind %q", k.Name)
+			c.addError("workload", "no workload includes the kind %q", k.Name)
 		}
 	}
 	share := 0.0
@@ -210,23 +211,23 @@
 		share += p.Share
 	}
 	if share > 1.0001 {
-		c.addError("party", "shares of 1 at most together were expected, not %v", share)
+		c.addError("party", "the sum of all shares must not exceed 1, got %v", share)
 	}
 	for i, t := range d.Troubles {
 		tenant := func(p Tenant) bool { return p.Name == t.Target }
 		switch {
 		case t.Kind == "flood" && (len(d.Tenants) > 0 || t.Target != "") && !slices.ContainsFunc(d.Tenants, tenant):
-			c.addError(fmt.Sprintf("trouble.%d.of", i), "the name of a party was expected, not %q", t.Target)
+			c.addError(fmt.Sprintf("trouble.%d.of", i), "the name of a party expected, got %q", t.Target)
 		case t.Kind != "flood" && t.Target != "" && !kinds[t.Target]:
-			c.addError(fmt.Sprintf("trouble.%d.of", i), "the name of a kind was expected, not %q", t.Target)
+			c.addError(fmt.Sprintf("trouble.%d.of", i), "the name of a kind expected, got %q", t.Target)
 		}
 	}
 	for _, k := range d.Chance.Kinds {
 		if _, ok := faultKinds[k]; !ok {
-			c.addError("chance.kinds", "no trouble has the name %q", k)
+			c.addError("chance.kinds", "there is no trouble %q", k)
 		}
 	}
 	if g := d.Goal; g.Whole+g.Window+g.WorstClass+g.WorstTenant <= 0 {
-		c.addError("goal", "a weight above 0 was expected")
+		c.addError("goal", "at least one weight must be above 0")
 	}
 }
--- a/testbed/scenario/scenario.go
+++ b/testbed/scenario/scenario.go
@@ -1,184 +1,184 @@
-// Package scenario is a day as a file: a fleet, its destinations, classes and traffic, and what goes wrong. Read checks a
-// file; Draw makes of it, with a seed, every arrival and every trouble of the day. The same seed gives the same day, to
-// the byte.
+// Package scenario reads scenario files, which describe a fleet, its destinations, classes and traffic, and the faults that occur.
+// Read checks a file. Draw derives all arrivals and all faults of a run from the file and a seed. The same seed always gives
+// exactly the same run.
 package scenario
 
-// Range is two bounds between which a value is drawn; the same twice for a fixed one.
+// Range holds the bounds between which a value is drawn. Equal bounds give a fixed value.
 type Range [2]float64
 
-// Day is a day's file. The tags are the one place that says what each key means: doc and unit, the default (def, none:
-// must be given), the bounds (in), the words allowed (one). Read, the checks and the page on the format all come of them.
+// Day is the content of a scenario file. The tags define each key: its description (doc) and unit, its default (def; a key without
+// one is required), its bounds (in) and its allowed values (one). Read, its checks and the page on the file format all use the tags.
 type Day struct {
-	Name      string    `toml:"name" doc:"name of the day, for reports"`
-	About     string    `toml:"about" def:"" doc:"what the day is meant to show"`
-	Seed      int64     `toml:"seed" def:"1" in:"0..9e15" doc:"seed, where the command names none"`
-	Length    float64   `toml:"length_s" in:"1..86400" unit:"s" doc:"how long messages arrive; the day ends when the last deadline has passed"`
-	Load      Range     `toml:"load" def:"[0.8,0.8]" in:"0.001..10" unit:"of the full load" doc:"traffic, as a part of the full load"`
+	Name      string    `toml:"name" doc:"name of the scenario in reports"`
+	About     string    `toml:"about" def:"" doc:"purpose of the scenario"`
+	Seed      int64     `toml:"seed" def:"1" in:"0..9e15" doc:"seed, if the command gives none"`
+	Length    float64   `toml:"length_s" in:"1..86400" unit:"s" doc:"how long clients submit messages; the run ends after the last deadline"`
+	Load      Range     `toml:"load" def:"[0.8,0.8]" in:"0.001..10" unit:"of the full load" doc:"traffic, as a share of the full load"`
 	Fleet     Fleet     `toml:"fleet" doc:"the couriers"`
-	Traffic   Traffic   `toml:"traffic" doc:"what is submitted"`
-	Kinds     []Kind    `toml:"kind" doc:"kinds of destination, at least one"`
-	Classes   []Class   `toml:"workload" doc:"kinds of message, at least one"`
-	Tenants   []Tenant  `toml:"party" doc:"senders with a share; none: no shares"`
-	Clients   Clients   `toml:"clients" doc:"how clients behave"`
-	Network   Network   `toml:"network" doc:"one way through the network"`
+	Traffic   Traffic   `toml:"traffic" doc:"messages that clients submit"`
+	Kinds     []Kind    `toml:"kind" doc:"kinds of destinations, at least one"`
+	Classes   []Class   `toml:"workload" doc:"message classes, at least one"`
+	Tenants   []Tenant  `toml:"party" doc:"tenants with a quota; none: no quotas"`
+	Clients   Clients   `toml:"clients" doc:"behavior of the clients"`
+	Network   Network   `toml:"network" doc:"one-way network delays"`
 	Directory Directory `toml:"directory" doc:"the list of endpoints"`
-	Rules     Rules     `toml:"rules" doc:"figures of the rules"`
-	Goal      Goal      `toml:"goal" doc:"weights of the day's figure; they are scaled to the sum of 1"`
-	Prices    Prices    `toml:"prices" doc:"what comes off the day's figure"`
-	Troubles  []Trouble `toml:"trouble" doc:"troubles that happen for certain"`
-	Chance    Chance    `toml:"chance" doc:"troubles drawn from the seed, on top"`
+	Rules     Rules     `toml:"rules" doc:"parameters of the rules"`
+	Goal      Goal      `toml:"goal" doc:"weights of the parts of the score; they are scaled to a sum of 1"`
+	Prices    Prices    `toml:"prices" doc:"deductions from the score"`
+	Troubles  []Trouble `toml:"trouble" doc:"faults that always occur"`
+	Chance    Chance    `toml:"chance" doc:"additional random faults"`
 }
 
-// Fleet is the couriers.
+// Fleet describes the couriers.
 type Fleet struct {
-	Couriers       int      `toml:"couriers" in:"1..10000" doc:"how many"`
-	Entry          string   `toml:"entry" def:"front" one:"front|own" doc:"front: clients reach any courier; own: each client has one courier"`
-	Zones          []string `toml:"zones" def:"a" doc:"buildings; couriers and endpoints are spread over them"`
-	SlotsRoom      float64  `toml:"slots_room" def:"2" in:"0.1..1000" doc:"slots, over what a courier's part of the full load keeps busy"`
-	MinSlots       int      `toml:"least_slots" def:"4" in:"1..100000" doc:"slots of a courier at least"`
-	QueueLimitTime float64  `toml:"hold_s" def:"6" in:"0.1..3600" unit:"s of the full load" doc:"how much a courier holds"`
-	MinQueueLimit  int      `toml:"least_hold" def:"10" in:"1..1000000" doc:"messages that a courier holds at least"`
-	Tick           float64  `toml:"tick_ms" def:"5" in:"0.1..1000" unit:"ms" doc:"virtual time only: a courier handles what has come once a tick"`
-	MaxAttempts    int      `toml:"max_trips" def:"8" in:"1..100" doc:"attempts of a message at most"`
-	MayCancel      bool     `toml:"may_cancel" def:"true" doc:"couriers may call attempts off"`
-	SendRetryAfter bool     `toml:"may_advise" def:"true" doc:"a rejection may say when to come again"`
-	Idle           float64  `toml:"idle_s" def:"5" in:"0.1..3600" unit:"s" doc:"idle connections are closed after this"`
-	Connect        float64  `toml:"connect_ms" def:"1000" in:"10..60000" unit:"ms" doc:"connections that are not up by then are given up"`
-	LongestWait    float64  `toml:"longest_advice_s" def:"2" in:"0..3600" unit:"s" doc:"longest advice that clients heed"`
+	Couriers       int      `toml:"couriers" in:"1..10000" doc:"number of couriers"`
+	Entry          string   `toml:"entry" def:"front" one:"front|own" doc:"front: a client may reach any courier; own: each client has its own courier"`
+	Zones          []string `toml:"zones" def:"a" doc:"zones over which couriers and endpoints are distributed"`
+	SlotsRoom      float64  `toml:"slots_room" def:"2" in:"0.1..1000" doc:"slots of a courier, as a multiple of those that its part of the full load occupies"`
+	MinSlots       int      `toml:"least_slots" def:"4" in:"1..100000" doc:"minimum number of slots of a courier"`
+	QueueLimitTime float64  `toml:"hold_s" def:"6" in:"0.1..3600" unit:"s of the full load" doc:"limit on the open messages of a courier"`
+	MinQueueLimit  int      `toml:"least_hold" def:"10" in:"1..1000000" doc:"minimum of that limit"`
+	Tick           float64  `toml:"tick_ms" def:"5" in:"0.1..1000" unit:"ms" doc:"virtual time only: interval at which a courier handles its input"`
+	MaxAttempts    int      `toml:"max_trips" def:"8" in:"1..100" doc:"maximum number of attempts of a message"`
+	MayCancel      bool     `toml:"may_cancel" def:"true" doc:"couriers may cancel attempts"`
+	SendRetryAfter bool     `toml:"may_advise" def:"true" doc:"a rejection may include a Retry-After time"`
+	Idle           float64  `toml:"idle_s" def:"5" in:"0.1..3600" unit:"s" doc:"time after which idle connections are closed"`
+	Connect        float64  `toml:"connect_ms" def:"1000" in:"10..60000" unit:"ms" doc:"time-out of connection attempts"`
+	LongestWait    float64  `toml:"longest_advice_s" def:"2" in:"0..3600" unit:"s" doc:"longest Retry-After time that clients honor"`
 }
 
-// Traffic is what is submitted.
+// Traffic describes the messages that clients submit.
 type Traffic struct {
-	FullPerSec   float64 `toml:"full_per_s" in:"0.01..1000000" unit:"records/s" doc:"the full load"`
-	Destinations int     `toml:"destinations" in:"1..1000000" doc:"how many destinations"`
-	Zipf         float64 `toml:"zipf" def:"0.9" in:"0..3" doc:"how uneven traffic is among destinations (exponent)"`
-	CourierZipf  float64 `toml:"uneven" def:"0" in:"0..3" doc:"how uneven it is among couriers (exponent); 0: all alike"`
-	Swing        float64 `toml:"swing" def:"0.2" in:"0..0.95" doc:"how far traffic swings about its mean, in one wave a day"`
-	Clumps       Range   `toml:"clumps" def:"[0.1,0.1]" in:"0..0.9" doc:"share of messages that come in clumps for one destination"`
-	BurstSize    Range   `toml:"clump_s" def:"[1,3]" in:"0.01..60" unit:"s of the limit" doc:"size of a clump"`
-	Keys         int     `toml:"keys" def:"200" in:"1..1000000" doc:"distinct keys, for classes in order"`
+	FullPerSec   float64 `toml:"full_per_s" in:"0.01..1000000" unit:"records/s" doc:"messages per second at full load"`
+	Destinations int     `toml:"destinations" in:"1..1000000" doc:"number of destinations"`
+	Zipf         float64 `toml:"zipf" def:"0.9" in:"0..3" doc:"Zipf exponent of the distribution of traffic over destinations"`
+	CourierZipf  float64 `toml:"uneven" def:"0" in:"0..3" doc:"Zipf exponent of the distribution over couriers; 0: even"`
+	Swing        float64 `toml:"swing" def:"0.2" in:"0..0.95" doc:"amplitude of the traffic around its mean; one sine wave per run"`
+	Clumps       Range   `toml:"clumps" def:"[0.1,0.1]" in:"0..0.9" doc:"share of messages that arrive in bursts for one destination"`
+	BurstSize    Range   `toml:"clump_s" def:"[1,3]" in:"0.01..60" unit:"s of the limit" doc:"size of a burst"`
+	Keys         int     `toml:"keys" def:"200" in:"1..1000000" doc:"number of ordering keys, for classes in order"`
 }
 
-// Kind is one kind of destination.
+// Kind describes one kind of destination.
 type Kind struct {
-	Name              string   `toml:"name" doc:"its name"`
-	Share             float64  `toml:"share" def:"1" in:"0..1000" doc:"part of the destinations, among the kinds"`
-	LoadBias          int      `toml:"lean" def:"0" in:"-1..1" doc:"1: mostly busy destinations, -1: mostly quiet ones"`
-	Endpoints         Range    `toml:"endpoints" def:"[1,3]" in:"1..64" doc:"endpoints of a destination"`
-	Answer            Range    `toml:"answer_ms" def:"[150,300]" in:"1..60000" unit:"ms" doc:"mean time of service"`
-	ServiceTimeCV     Range    `toml:"spread" def:"[0.4,0.7]" in:"0..5" doc:"coefficient of variation of it (lognormal)"`
-	LimitFactor       Range    `toml:"headroom" def:"[1.2,2]" in:"0.1..1000" unit:"x its calls at full load" doc:"the limit"`
-	MinLimit          Range    `toml:"least_per_s" def:"[2,4]" in:"0.01..100000" unit:"calls/s" doc:"the limit at least"`
-	CapacityFactor    Range    `toml:"spare" def:"[1.15,1.6]" in:"1..100" unit:"x the limit" doc:"capacity"`
-	LimitKinds        []string `toml:"limits" def:"rate" one:"rate|window|none" doc:"how it counts, one drawn for each: a plain rate, so many in a span, or not at all"`
-	LimitWindow       float64  `toml:"window_ms" def:"1000" in:"10..60000" unit:"ms" doc:"span of a window"`
-	CountRefusedShare float64  `toml:"refused_count" def:"0" in:"0..1" doc:"share of destinations where refused calls use up the limit"`
-	RetryAfterShare   Range    `toml:"tells" def:"[0.5,1]" in:"0..1" doc:"share of refusals that tell how long to wait"`
-	Wait              Range    `toml:"wait_ms" def:"[200,900]" in:"0..600000" unit:"ms" doc:"shortest wait that is told"`
-	Connections       Range    `toml:"connections" def:"[0,0]" in:"0..1000" unit:"x calls served at once" doc:"connections of an endpoint, idle ones counted; 0: any number"`
-	MinConnections    int      `toml:"least_connections" def:"8" in:"1..100000" doc:"connections at least, where they are few"`
-	Queue             Range    `toml:"queue_s" def:"[0.3,1]" in:"0..60" unit:"s of its capacity" doc:"queue of an endpoint"`
-	Apart             bool     `toml:"apart" def:"false" doc:"its endpoints are routes apart, each with its own limit, outages and return"`
-	PerCall           int      `toml:"per_call" def:"1" in:"1..100" doc:"messages in a call at most"`
-	ItemCost          float64  `toml:"item_cost" def:"0.15" in:"0..1" unit:"x a call" doc:"work of each further message in a call"`
-	Reports           bool     `toml:"reports" def:"false" doc:"answers tell what is left of the limit, and the limit"`
-	ReportEvery       float64  `toml:"report_ms" def:"300" in:"1..60000" unit:"ms" doc:"how old a report may be"`
-	ReportNoise       float64  `toml:"report_noise" def:"0.08" in:"0..1" doc:"how far a report is off (deviation)"`
-	ErrorRate         Range    `toml:"error_rate" def:"[0,0.003]" in:"0..1" doc:"share of calls that fail in good health"`
+	Name              string   `toml:"name" doc:"name of the kind"`
+	Share             float64  `toml:"share" def:"1" in:"0..1000" doc:"weight of the kind when destinations are assigned to kinds"`
+	LoadBias          int      `toml:"lean" def:"0" in:"-1..1" doc:"1: mostly destinations with much traffic, -1: mostly those with little"`
+	Endpoints         Range    `toml:"endpoints" def:"[1,3]" in:"1..64" doc:"number of endpoints of a destination"`
+	Answer            Range    `toml:"answer_ms" def:"[150,300]" in:"1..60000" unit:"ms" doc:"mean service time"`
+	ServiceTimeCV     Range    `toml:"spread" def:"[0.4,0.7]" in:"0..5" doc:"coefficient of variation of the service time (lognormal)"`
+	LimitFactor       Range    `toml:"headroom" def:"[1.2,2]" in:"0.1..1000" unit:"x its calls at full load" doc:"limit of a destination"`
+	MinLimit          Range    `toml:"least_per_s" def:"[2,4]" in:"0.01..100000" unit:"calls/s" doc:"minimum of the limit"`
+	CapacityFactor    Range    `toml:"spare" def:"[1.15,1.6]" in:"1..100" unit:"x the limit" doc:"capacity of a destination"`
+	LimitKinds        []string `toml:"limits" def:"rate" one:"rate|window|none" doc:"kinds of limits, one drawn for each destination: rate (token bucket), window (calls per fixed window), none"`
+	LimitWindow       float64  `toml:"window_ms" def:"1000" in:"10..60000" unit:"ms" doc:"length of a window"`
+	CountRefusedShare float64  `toml:"refused_count" def:"0" in:"0..1" doc:"share of destinations at which refused calls count against the limit"`
+	RetryAfterShare   Range    `toml:"tells" def:"[0.5,1]" in:"0..1" doc:"share of refusals that include a Retry-After time"`
+	Wait              Range    `toml:"wait_ms" def:"[200,900]" in:"0..600000" unit:"ms" doc:"shortest Retry-After time"`
+	Connections       Range    `toml:"connections" def:"[0,0]" in:"0..1000" unit:"x calls served at once" doc:"maximum number of connections of an endpoint, including idle ones; 0: unlimited"`
+	MinConnections    int      `toml:"least_connections" def:"8" in:"1..100000" doc:"minimum of that number, if it is limited"`
+	Queue             Range    `toml:"queue_s" def:"[0.3,1]" in:"0..60" unit:"s of its capacity" doc:"queue length of an endpoint"`
+	Apart             bool     `toml:"apart" def:"false" doc:"each endpoint is a separate route with its own limit, outages and recovery"`
+	PerCall           int      `toml:"per_call" def:"1" in:"1..100" doc:"maximum number of messages per call"`
+	ItemCost          float64  `toml:"item_cost" def:"0.15" in:"0..1" unit:"x a call" doc:"work of each further message of a call"`
+	Reports           bool     `toml:"reports" def:"false" doc:"answers include a load report: the share of the limit that is left, and the limit"`
+	ReportEvery       float64  `toml:"report_ms" def:"300" in:"1..60000" unit:"ms" doc:"maximum age of a load report"`
+	ReportNoise       float64  `toml:"report_noise" def:"0.08" in:"0..1" doc:"relative standard deviation of the values in a load report"`
+	ErrorRate         Range    `toml:"error_rate" def:"[0,0.003]" in:"0..1" doc:"share of calls that fail without a fault"`
 }
 
-// WorstClass is one kind of message.
+// Class describes one message class.
 type Class struct {
-	Name      string   `toml:"name" doc:"its name"`
-	Share     float64  `toml:"share" def:"1" in:"0..1000" doc:"part of the messages, among the classes"`
-	Kinds     []string `toml:"kinds" def:"" doc:"kinds of destination that it goes to; none: all"`
+	Name      string   `toml:"name" doc:"name of the class"`
+	Share     float64  `toml:"share" def:"1" in:"0..1000" doc:"weight of the class when messages are assigned to classes"`
+	Kinds     []string `toml:"kinds" def:"" doc:"kinds of destinations that get messages of the class; none: all"`
 	Objective float64  `toml:"quoted_s" in:"0.01..86400" unit:"s" doc:"latency objective"`
 	CutOff    float64  `toml:"cut_off_s" in:"0.1..86400" unit:"s" doc:"deadline"`
-	Priority  float64  `toml:"payoff" def:"1" in:"0..1e6" doc:"value"`
-	LateValue float64  `toml:"late_part" def:"0" in:"0..1" doc:"part of the value that is left at the deadline"`
-	Repeat    string   `toml:"repeat" def:"replayable" one:"replayable|referenced|single-use" doc:"what may be done about one that may have run"`
-	Window    float64  `toml:"window_s" def:"10" in:"0..86400" unit:"s" doc:"referenced: how long a repeat is known"`
-	OneZone   bool     `toml:"one_zone" def:"false" doc:"referenced: only endpoints of one zone know a repeat"`
-	InOrder   bool     `toml:"in_order" def:"false" doc:"messages of one key go in the order taken"`
+	Priority  float64  `toml:"payoff" def:"1" in:"0..1e6" doc:"value of a delivered message"`
+	LateValue float64  `toml:"late_part" def:"0" in:"0..1" doc:"share of the value that is left at the deadline"`
+	Repeat    string   `toml:"repeat" def:"replayable" one:"replayable|referenced|single-use" doc:"replayable: may always be repeated; referenced: repeats are recognized by an idempotency key; single-use: at most once"`
+	Window    float64  `toml:"window_s" def:"10" in:"0..86400" unit:"s" doc:"referenced: how long a repeat is recognized"`
+	OneZone   bool     `toml:"one_zone" def:"false" doc:"referenced: only endpoints of the same zone recognize a repeat"`
+	InOrder   bool     `toml:"in_order" def:"false" doc:"messages with the same ordering key are sent in the order in which they were accepted"`
 }
 
-// WorstTenant is a sender with a share.
+// Tenant describes a sender with a quota.
 type Tenant struct {
-	Name  string  `toml:"name" doc:"its name"`
-	Share float64 `toml:"share" in:"0..1" doc:"its share of the full load"`
-	Usage float64 `toml:"usage" def:"1" in:"0..100" doc:"what it sends, as a part of its share"`
+	Name  string  `toml:"name" doc:"name of the tenant"`
+	Share float64 `toml:"share" in:"0..1" doc:"quota, as a share of the full load"`
+	Usage float64 `toml:"usage" def:"1" in:"0..100" doc:"traffic, as a multiple of the quota"`
 }
 
-// Clients is how clients behave.
+// Clients describes the behavior of the clients.
 type Clients struct {
-	Retries int     `toml:"retries" def:"2" in:"0..20" doc:"how often a rejected message is submitted again"`
-	Backoff Range   `toml:"backoff_ms" def:"[300,1400]" in:"1..600000" unit:"ms" doc:"wait before that; doubled each time"`
-	Heed    float64 `toml:"heed" def:"0.7" in:"0..1" doc:"share of rejections whose advice is heeded"`
-	Again   Range   `toml:"again_s" def:"[0.3,2]" in:"0.01..600" unit:"s" doc:"after this, what a dead courier held is submitted at another"`
-	Notice  Range   `toml:"notice_s" def:"[1,4]" in:"0..600" unit:"s" doc:"how long a front goes on sending to a dead courier"`
-	Leave   float64 `toml:"leave" def:"0" in:"0..1" doc:"share of messages that are withdrawn before they are delivered or cut off"`
+	Retries int     `toml:"retries" def:"2" in:"0..20" doc:"how many times a rejected message is submitted again"`
+	Backoff Range   `toml:"backoff_ms" def:"[300,1400]" in:"1..600000" unit:"ms" doc:"wait before the first resubmission; doubled for each further one"`
+	Heed    float64 `toml:"heed" def:"0.7" in:"0..1" doc:"share of rejections whose Retry-After time the client honors"`
+	Again   Range   `toml:"again_s" def:"[0.3,2]" in:"0.01..600" unit:"s" doc:"time after which the messages of a killed courier are submitted to another courier"`
+	Notice  Range   `toml:"notice_s" def:"[1,4]" in:"0..600" unit:"s" doc:"time until the front stops sending messages to a killed courier"`
+	Leave   float64 `toml:"leave" def:"0" in:"0..1" doc:"share of messages that the client may cancel before their delivery or deadline"`
 }
 
-// Network is the network, one way.
+// Network describes the one-way network delays.
 type Network struct {
-	Same   Range   `toml:"same_ms" def:"[2,6]" in:"0..10000" unit:"ms" doc:"within a building"`
-	Cross  Range   `toml:"cross_ms" def:"[5,15]" in:"0..10000" unit:"ms" doc:"between buildings"`
+	Same   Range   `toml:"same_ms" def:"[2,6]" in:"0..10000" unit:"ms" doc:"within a zone"`
+	Cross  Range   `toml:"cross_ms" def:"[5,15]" in:"0..10000" unit:"ms" doc:"between zones"`
 	Client float64 `toml:"client_ms" def:"0.1" in:"0..10000" unit:"ms" doc:"between client and courier"`
-	Shakes float64 `toml:"handshake_rtts" def:"2" in:"0..10" doc:"round trips that a new connection takes"`
+	Shakes float64 `toml:"handshake_rtts" def:"2" in:"0..10" doc:"number of round trips that opening a connection takes"`
 }
 
-// Directory is the list of endpoints.
+// Directory describes the discovery service, which serves the endpoint list.
 type Directory struct {
-	Mode   string `toml:"mode" def:"push" one:"push|ask" doc:"push: changes come by themselves; ask: only to who watches"`
-	Rates  string `toml:"rates" def:"rough" one:"none|rough|nominal" doc:"what the list says of the limits: nothing, up to half off, the limit"`
-	Notice Range  `toml:"notice_s" def:"[0.5,3]" in:"0..600" unit:"s" doc:"how late a change is told"`
-	Call   Range  `toml:"call_ms" def:"[20,200]" in:"0..60000" unit:"ms" doc:"how long the whole list takes"`
+	Mode   string `toml:"mode" def:"push" one:"push|ask" doc:"push: changes are sent to all couriers; ask: only to couriers with a watch"`
+	Rates  string `toml:"rates" def:"rough" one:"none|rough|nominal" doc:"what the list contains as the limit: nothing, a value that is up to half too low or too high, the limit"`
+	Notice Range  `toml:"notice_s" def:"[0.5,3]" in:"0..600" unit:"s" doc:"delay until a change is sent"`
+	Call   Range  `toml:"call_ms" def:"[20,200]" in:"0..60000" unit:"ms" doc:"how long a poll of the complete list takes"`
 }
 
-// Rules are figures of the rules.
+// Rules holds the parameters of the rules.
 type Rules struct {
-	AnswerSlack      float64 `toml:"answer_slack_s" def:"0.02" in:"0..60" unit:"s" doc:"grace for a final answer after the deadline"`
-	DrainGrace       float64 `toml:"drain_grace_s" def:"0.5" in:"0..600" unit:"s" doc:"grace for a send after a drain was told"`
-	ColdFrom         float64 `toml:"cold_from" def:"0.2" in:"0.01..1" doc:"share of its capacity that a returning destination has"`
-	Ramp             float64 `toml:"ramp_s" def:"10" in:"0..3600" unit:"s" doc:"time until it has all of it"`
-	Fall             float64 `toml:"fall_multiple" def:"2.5" in:"0..100" doc:"sent more than this multiple of what it can do"`
-	FallSpan         float64 `toml:"fall_span_s" def:"2" in:"0.01..600" unit:"s" doc:"for so long, it falls over"`
-	OverloadDowntime float64 `toml:"fall_down_s" def:"15" in:"0.1..3600" unit:"s" doc:"how long it is down then"`
-	KeyHold          float64 `toml:"key_rest_s" def:"0" in:"0..600" unit:"s" doc:"how long a key rests after an attempt that may still run"`
-	OverQuotaFactor  float64 `toml:"over_share_part" def:"0.1" in:"0..1" doc:"part of the value beyond a tenant's share"`
-	Decay            string  `toml:"decay" def:"halves" one:"halves|evenly" doc:"how value falls after the latency objective"`
+	AnswerSlack      float64 `toml:"answer_slack_s" def:"0.02" in:"0..60" unit:"s" doc:"grace period for a final answer after the deadline"`
+	DrainGrace       float64 `toml:"drain_grace_s" def:"0.5" in:"0..600" unit:"s" doc:"grace period for attempts after the notification of a drain"`
+	ColdFrom         float64 `toml:"cold_from" def:"0.2" in:"0.01..1" doc:"share of its capacity that a destination has at the start of a recovery"`
+	Ramp             float64 `toml:"ramp_s" def:"10" in:"0..3600" unit:"s" doc:"time until a recovering destination has its full capacity"`
+	Fall             float64 `toml:"fall_multiple" def:"2.5" in:"0..100" doc:"a recovering destination is overloaded if it receives more than this multiple of its current capacity"`
+	FallSpan         float64 `toml:"fall_span_s" def:"2" in:"0.01..600" unit:"s" doc:"time over which the calls are counted for that"`
+	OverloadDowntime float64 `toml:"fall_down_s" def:"15" in:"0.1..3600" unit:"s" doc:"how long an overloaded destination is down"`
+	KeyHold          float64 `toml:"key_rest_s" def:"0" in:"0..600" unit:"s" doc:"how long an ordering key is held after an attempt that may still be running"`
+	OverQuotaFactor  float64 `toml:"over_share_part" def:"0.1" in:"0..1" doc:"share of the value of messages beyond the quota of their tenant"`
+	Decay            string  `toml:"decay" def:"halves" one:"halves|evenly" doc:"how the value falls after the latency objective: halves: by half per further objective; evenly: linearly until the deadline"`
 }
 
-// Goal weighs the day's figure.
+// Goal holds the weights of the parts of the score.
 type Goal struct {
-	Whole       float64 `toml:"whole" def:"0.5" in:"0..1" doc:"the whole day"`
-	Window      float64 `toml:"worst_window" def:"0.3" in:"0..1" doc:"the worst 10 s"`
-	WorstClass  float64 `toml:"worst_workload" def:"0.2" in:"0..1" doc:"the worst class"`
-	WorstTenant float64 `toml:"worst_party" def:"0" in:"0..1" doc:"the worst tenant"`
+	Whole       float64 `toml:"whole" def:"0.5" in:"0..1" doc:"value earned in the whole run"`
+	Window      float64 `toml:"worst_window" def:"0.3" in:"0..1" doc:"value earned in the worst 10 s"`
+	WorstClass  float64 `toml:"worst_workload" def:"0.2" in:"0..1" doc:"value earned by the worst class"`
+	WorstTenant float64 `toml:"worst_party" def:"0" in:"0..1" doc:"value earned by the worst tenant"`
 }
 
-// Prices come off the day's figure.
+// Prices holds the deductions from the score.
 type Prices struct {
-	Waste     float64 `toml:"waste" def:"0.1" in:"0..10" doc:"calls that delivered nothing, for each message"`
-	Handshake float64 `toml:"handshake" def:"0.02" in:"0..10" doc:"new connections, for each message"`
-	Refused   float64 `toml:"refused" def:"0" in:"0..10" doc:"calls refused, for each message"`
+	Waste     float64 `toml:"waste" def:"0.1" in:"0..10" doc:"deduction per call without a delivery, divided by the number of messages"`
+	Handshake float64 `toml:"handshake" def:"0.02" in:"0..10" doc:"deduction per new connection, divided by the number of messages"`
+	Refused   float64 `toml:"refused" def:"0" in:"0..10" doc:"deduction per refused call, divided by the number of messages"`
 }
 
-// Trouble is something that goes wrong.
+// Trouble describes a fault that occurs during a run.
 type Trouble struct {
-	Kind   string  `toml:"kind" one:"refuse|silent|hang|shut|errors|swallow|resets|slow|pauses|shrink|crowd|drain|replace|courier-kill|courier-roll|courier-stand|flood|directory-down" doc:"what"`
-	At     Range   `toml:"at_s" def:"[10,10]" in:"0..86400" unit:"s" doc:"when it begins"`
-	Length Range   `toml:"length_s" def:"[10,10]" in:"0.01..86400" unit:"s" doc:"how long it lasts"`
-	Part   float64 `toml:"part" def:"0.2" in:"0..1" doc:"share of the traffic (or of the couriers) that it affects"`
-	By     string  `toml:"by" def:"any" one:"any|zone" doc:"zone: only endpoints of one building"`
+	Kind   string  `toml:"kind" one:"refuse|silent|hang|shut|errors|swallow|resets|slow|pauses|shrink|crowd|drain|replace|courier-kill|courier-roll|courier-stand|flood|directory-down" doc:"kind of fault"`
+	At     Range   `toml:"at_s" def:"[10,10]" in:"0..86400" unit:"s" doc:"when the fault starts"`
+	Length Range   `toml:"length_s" def:"[10,10]" in:"0.01..86400" unit:"s" doc:"duration of the fault"`
+	Part   float64 `toml:"part" def:"0.2" in:"0..1" doc:"share of the traffic (or of the couriers) that the fault affects"`
+	By     string  `toml:"by" def:"any" one:"any|zone" doc:"zone: only endpoints of one zone"`
 	Target string  `toml:"of" def:"" doc:"only destinations of this kind; for flood: the tenant"`
-	Whole  float64 `toml:"whole" def:"0.8" in:"0..1" doc:"chance that all endpoints of a destination are struck, and not one"`
-	Size   Range   `toml:"size" def:"[0,0]" in:"0..10000" doc:"how much; see the table of troubles"`
-	Acts   float64 `toml:"acts" def:"0.5" in:"0..1" doc:"share of calls without a good answer that take effect all the same (hang, errors, resets)"`
+	Whole  float64 `toml:"whole" def:"0.8" in:"0..1" doc:"probability that the fault affects all endpoints of a destination instead of one"`
+	Size   Range   `toml:"size" def:"[0,0]" in:"0..10000" doc:"magnitude; see the table of troubles"`
+	Acts   float64 `toml:"acts" def:"0.5" in:"0..1" doc:"share of the affected calls that take effect anyway (hang, errors, resets)"`
 }
 
-// Chance draws further troubles.
+// Chance describes additional random faults.
 type Chance struct {
-	Troubles [2]int   `toml:"troubles" def:"[0,0]" in:"0..20" doc:"how many"`
-	Kinds    []string `toml:"kinds" def:"" doc:"from these kinds; none: from all"`
+	Troubles [2]int   `toml:"troubles" def:"[0,0]" in:"0..20" doc:"number of faults"`
+	Kinds    []string `toml:"kinds" def:"" doc:"kinds from which they are drawn; none: all kinds"`
 }
--- a/testbed/scenario/scenario_test.go
+++ b/testbed/scenario/scenario_test.go
@@ -16,33 +16,34 @@
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ old, new, want string }{
-		{"length_s = 30", "length_s = 0.5", "calm.toml:3: length_s: a number from 1 to 86400 was expected, not 0.5"},
+		{"length_s = 30", "length_s = 0.5", "calm.toml:3: length_s: a number from 1 to 86400 expected, got 0.5"},
 		{"length_s = 30", "", "calm.toml: length_s: must be given"},
 		{"load = [0.6, 0.6]", "load = [0.9, 0.6]", "calm.toml:4: load: two numbers"},
-		{"couriers = 3", "courirs = 3", `calm.toml:7: fleet.courirs: no such key; "couriers"?`},
+		{"couriers = 3", "courirs = 3", `calm.toml:7: fleet.courirs: no such key; did you mean "couriers"?`},
 		{"couriers = 3", `couriers = "three"`, "calm.toml:7: fleet.couriers: "},
-		{`repeat = "single-use"`, `repeat = "once"`, "workload.1.repeat: one of replayable, referenced, single-use was expected"},
-		{`kinds = ["banks"]`, `kinds = ["bank"]`, "workload.1.kinds: no kind has the name"},
+		{`repeat = "single-use"`, `repeat = "once"`, "workload.1.repeat: one of replayable, referenced, single-use expected"},
+		{`kinds = ["banks"]`, `kinds = ["bank"]`, "workload.1.kinds: there is no kind"},
 		{"name = \"firms\"", "name = \"banks\"", "kind.1.name: another kind"},
 		{"destinations = 12", "destinations = 12\n[[trouble]]\nkind = \"flod\"", "calm.toml:14: trouble.0.kind: one of"},
-		{"destinations = 12", "destinations = 12\n[chance]\nkinds = [\"flod\"]", "chance.kinds: no trouble"},
+		{"destinations = 12", "destinations = 12\n[chance]\nkinds = [\"flod\"]", "chance.kinds: there is no trouble"},
 		{"length_s = 30", "length_s = ", "calm.toml:3: "},
 	} {
 		text := strings.Replace(string(good), c.old, c.new, 1)
 		if _, err := Read("calm.toml", []byte(text)); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %q was wanted, not %v", c.new, c.want, err)
+			t.Errorf("%s: want error with %q, got %v", c.new, c.want, err)
 		}
 	}
-	// All faults at once.
+	// The error lists all errors of a file.
 	text := strings.NewReplacer("length_s = 30", "length_s = -1", "couriers = 3", "couriers = 0").Replace(string(good))
 	_, err = Read("calm.toml", []byte(text))
 	var joined interface{ Unwrap() []error }
 	if !errors.As(err, &joined) || len(joined.Unwrap()) != 2 {
-		t.Errorf("two faults were wanted: %v", err)
+		t.Errorf("want two errors, got %v", err)
 	}
 }
 
-// TestSameSeedSameInstance: to the byte, for every day that comes with the testbed; another seed gives another one.
+// TestSameSeedSameInstance checks that the same seed always draws the same values, and another seed draws other values, for the built-in
+// scenarios.
 func TestSameSeedSameInstance(t *testing.T) {
 	for _, name := range BuiltIn() {
 		d, err := Find(name)
@@ -57,15 +58,15 @@
 			return fmt.Sprintf("%+v %+v %+v", w.Destinations, w.Arrivals, w.Acts)
 		}
 		if first, again := format(4), format(4); first != again {
-			t.Errorf("%s: the same seed gave two days", name)
+			t.Errorf("%s: the same seed drew different values", name)
 		}
 		if format(4) == format(5) {
-			t.Errorf("%s: two seeds gave the same day", name)
+			t.Errorf("%s: two seeds drew the same values", name)
 		}
 	}
 }
 
-// TestDrawFollowsDefinition: shares, limits and troubles come out as the file has them.
+// TestDrawFollowsDefinition checks that the drawn traffic, endpoints, limits and faults agree with the file.
 func TestDrawFollowsDefinition(t *testing.T) {
 	d, err := Find("chance")
 	if err != nil {
@@ -76,7 +77,7 @@
 		begun, ended := 0, 0
 		for i, a := range w.Acts {
 			if i > 0 && a.At < w.Acts[i-1].At {
-				t.Fatal("acts out of order")
+				t.Fatal("events out of order")
 			}
 			switch a.Kind {
 			case Begins:
@@ -86,19 +87,19 @@
 			}
 		}
 		if begun != ended {
-			t.Errorf("seed %d: %d faults begin, %d end", seed, begun, ended)
+			t.Errorf("seed %d: %d faults start, %d end", seed, begun, ended)
 		}
 		want := w.Load * d.Traffic.FullPerSec * d.Length
 		if n := float64(len(w.Arrivals)); n < 0.75*want || n > 1.25*want && !hasFlood(w) {
-			t.Errorf("seed %d: %v messages, %v were to be expected", seed, n, want)
+			t.Errorf("seed %d: %v messages, want about %v", seed, n, want)
 		}
 		for _, dst := range w.Destinations {
 			k := d.Kinds[dst.Plan.Kind]
 			if n := float64(len(dst.Endpoints)); n < k.Endpoints[0] || n > k.Endpoints[1] {
-				t.Errorf("%v endpoints", n)
+				t.Errorf("%v endpoints, outside the range of the file", n)
 			}
 			if dst.Limit.Kind != endpointmodel.NoLimit && dst.Capacity()*float64(len(dst.Endpoints)) < dst.Limit.PerSec*0.9 {
-				t.Errorf("capacity %v under the limit %v", dst.Capacity()*float64(len(dst.Endpoints)), dst.Limit.PerSec)
+				t.Errorf("capacity %v is less than 0.9 times the limit %v", dst.Capacity()*float64(len(dst.Endpoints)), dst.Limit.PerSec)
 			}
 		}
 	}
@@ -113,7 +114,7 @@
 	return false
 }
 
-// TestFormatPageIsCurrent: the page is made from the tags that the reader uses, and must not lag behind them.
+// TestFormatPageIsCurrent checks that the page on the file format is generated from the current tags.
 func TestFormatPageIsCurrent(t *testing.T) {
 	var b strings.Builder
 	if err := WriteFormat(&b); err != nil {
@@ -121,11 +122,11 @@
 	}
 	page, err := os.ReadFile("../../docs/scenario-format.md")
 	if err != nil || string(page) != b.String() {
-		t.Errorf("docs/scenario-format.md is stale: go run ./cmd/pineport-testbed format > docs/scenario-format.md (%v)", err)
+		t.Errorf("docs/scenario-format.md is out of date: go run ./cmd/pineport-testbed format > docs/scenario-format.md (%v)", err)
 	}
 }
 
-// FuzzRead: no file makes the reader panic, and what it takes can be drawn.
+// FuzzRead checks that Read does not panic on any file, and that Draw does not panic on a file that Read accepts.
 func FuzzRead(f *testing.F) {
 	for _, name := range BuiltIn() {
 		text, _ := builtIn.ReadFile("days/" + name + ".toml")
--- a/testbed/scenario/settings.go
+++ b/testbed/scenario/settings.go
@@ -7,7 +7,7 @@
 	"pineport/dispatch"
 )
 
-// Settings is what a courier of this day is handed at its start, in the form of its configuration's "settings".
+// Settings returns the settings of a courier, in the form of the key "settings" of its configuration.
 func (w *Drawn) Settings(courier int) map[string]any {
 	def := w.Day
 	var classes, tenants []any
@@ -61,19 +61,19 @@
 	}
 }
 
-// Quota is what a tenant may send within its share, in messages a second.
+// Quota returns the quota of a tenant in messages per second.
 func (w *Drawn) Quota(p Tenant) float64 { return p.Share * w.Day.Traffic.FullPerSec }
 
-// Config is the same, as the decisions read it: through the same code that a real courier's configuration passes.
+// Config returns the same settings as a configuration of the dispatcher. It converts them with the code that a real courier uses.
 func (w *Drawn) Config(courier int, salt int64) (dispatch.Config, error) {
 	cfg, err := config.Dispatch(salt, config.Flatten(w.Settings(courier)))
 	if err != nil {
-		return cfg, fmt.Errorf("day %s: %w", w.Day.Name, err)
+		return cfg, fmt.Errorf("scenario %s: %w", w.Day.Name, err)
 	}
 	return cfg, nil
 }
 
-// List is the endpoints that are listed at the start of the day.
+// List returns the endpoint list at the start of the run.
 func (w *Drawn) List() (all []dispatch.EndpointEntry) {
 	for i := range w.Destinations {
 		for _, e := range w.Destinations[i].Endpoints {
@@ -83,7 +83,7 @@
 	return all
 }
 
-// Listing is one endpoint as the list has it.
+// Listing returns the entry of an endpoint in the endpoint list.
 func (w *Drawn) Listing(dest int, id dispatch.EndpointID, zone dispatch.ZoneID, phase dispatch.Phase) dispatch.EndpointEntry {
 	dst := &w.Destinations[dest]
 	return dispatch.EndpointEntry{Endpoint: id, Zone: zone, Type: dst.Plan.Kind, Destination: dispatch.DestinationID(dest), Phase: phase, Rate: dst.ListedRate}
--- a/testbed/scenario/trouble.go
+++ b/testbed/scenario/trouble.go
@@ -5,34 +5,34 @@
 	"slices"
 )
 
-// custom is how a kind of trouble is drawn where the file leaves it to chance.
+// faultKind describes a kind of fault and the ranges from which its parameters are drawn if the file does not give them.
 type faultKind struct {
 	doc, sizeDoc string
 	length, size Range
 	share        Range
 }
 
-// usual has each kind of trouble. The ranges are ours, chosen so that a day of 40 s shows how it begins, lasts and ends.
+// faultKinds holds all kinds of faults. The ranges are chosen so that a run of 40 s shows how a fault starts, lasts and ends.
 var faultKinds = map[string]faultKind{
-	"refuse":         {"processes die; connections are refused; they come back cold", "", Range{6, 15}, Range{}, Range{0.1, 0.3}},
-	"silent":         {"machines are gone; nothing comes back; they come back cold", "", Range{6, 15}, Range{}, Range{0.1, 0.3}},
-	"hang":           {"calls are taken and none is answered; `acts` of them take effect", "", Range{6, 15}, Range{}, Range{0.1, 0.3}},
-	"shut":           {"everything is answered full until it opens", "", Range{6, 15}, Range{}, Range{0.1, 0.3}},
-	"errors":         {"calls fail quickly", "share that fails", Range{6, 20}, Range{0.4, 1}, Range{0.1, 0.3}},
-	"swallow":        {"calls take effect and their answers never come", "share of answers lost", Range{6, 20}, Range{0.1, 0.5}, Range{0.2, 0.6}},
-	"resets":         {"connections break under calls", "share of calls", Range{6, 20}, Range{0.1, 0.5}, Range{0.2, 0.6}},
-	"slow":           {"service takes longer", "times as long", Range{8, 20}, Range{2, 8}, Range{0.1, 0.4}},
-	"pauses":         {"endpoints stand still, again and again", "each standstill, in ms; one begins each 2 s", Range{8, 20}, Range{100, 900}, Range{0.2, 0.5}},
-	"shrink":         {"limits are smaller than usual", "what is left of the limit", Range{8, 20}, Range{0.1, 0.5}, Range{0.1, 0.4}},
-	"crowd":          {"connection tables are smaller than usual", "what is left of the table", Range{8, 20}, Range{0.2, 0.6}, Range{0.2, 0.5}},
-	"drain":          {"endpoints drain and then go, replaced by new ones at new addresses", "seconds between drain and end", Range{10, 20}, Range{2, 5}, Range{0.3, 0.8}},
-	"replace":        {"endpoints go unannounced; another one answers at the address later", "seconds until the new one", Range{1, 2}, Range{0.2, 1}, Range{0.1, 0.3}},
-	"courier-kill":   {"couriers are killed outright and start again", "", Range{1, 6}, Range{}, Range{0.2, 0.5}},
-	"courier-roll":   {"couriers are restarted one after the other", "seconds that each is away", Range{8, 20}, Range{0.3, 1.2}, Range{0.5, 1}},
-	"courier-stand":  {"couriers stand still, again and again", "each standstill, in ms; one begins each 2 s", Range{8, 15}, Range{100, 600}, Range{0.3, 1}},
-	"flood":          {"a tenant sends more than its share", "times its usual traffic", Range{6, 15}, Range{2, 6}, Range{1, 1}},
+	"refuse":         {"processes are down; connections are refused; recovery with reduced capacity", "", Range{6, 15}, Range{}, Range{0.1, 0.3}},
+	"silent":         {"hosts are unreachable; nothing is answered; recovery with reduced capacity", "", Range{6, 15}, Range{}, Range{0.1, 0.3}},
+	"hang":           {"calls are accepted but not answered; the share `acts` of them takes effect", "", Range{6, 15}, Range{}, Range{0.1, 0.3}},
+	"shut":           {"all calls are throttled until the end of the fault", "", Range{6, 15}, Range{}, Range{0.1, 0.3}},
+	"errors":         {"calls fail quickly", "share of calls that fail", Range{6, 20}, Range{0.4, 1}, Range{0.1, 0.3}},
+	"swallow":        {"calls take effect, but their answers are lost", "share of answers that are lost", Range{6, 20}, Range{0.1, 0.5}, Range{0.2, 0.6}},
+	"resets":         {"connections break during calls", "share of calls", Range{6, 20}, Range{0.1, 0.5}, Range{0.2, 0.6}},
+	"slow":           {"service takes longer", "factor on the service time", Range{8, 20}, Range{2, 8}, Range{0.1, 0.4}},
+	"pauses":         {"endpoints are paused repeatedly", "length of a pause in ms; a pause starts every 2 s", Range{8, 20}, Range{100, 900}, Range{0.2, 0.5}},
+	"shrink":         {"limits are reduced", "share of the limit that is left", Range{8, 20}, Range{0.1, 0.5}, Range{0.1, 0.4}},
+	"crowd":          {"maximum numbers of connections are reduced", "share of the maximum that is left", Range{8, 20}, Range{0.2, 0.6}, Range{0.2, 0.5}},
+	"drain":          {"endpoints drain and are then removed; new ones at new addresses replace them", "seconds between the start of the drain and the removal", Range{10, 20}, Range{2, 5}, Range{0.3, 0.8}},
+	"replace":        {"endpoints are removed without a drain; later, new ones use their addresses", "seconds until the new endpoint starts", Range{1, 2}, Range{0.2, 1}, Range{0.1, 0.3}},
+	"courier-kill":   {"couriers are killed without a shutdown and started again", "", Range{1, 6}, Range{}, Range{0.2, 0.5}},
+	"courier-roll":   {"couriers are restarted one after the other", "seconds for which each courier is down", Range{8, 20}, Range{0.3, 1.2}, Range{0.5, 1}},
+	"courier-stand":  {"couriers are paused repeatedly", "length of a pause in ms; a pause starts every 2 s", Range{8, 15}, Range{100, 600}, Range{0.3, 1}},
+	"flood":          {"a tenant sends more than its quota", "factor on its usual traffic", Range{6, 15}, Range{2, 6}, Range{1, 1}},
 	"directory-down": {"the directory does not answer", "", Range{5, 15}, Range{}, Range{1, 1}},
 }
 
-// FaultKinds lists the kinds of trouble.
+// FaultKinds returns the names of the kinds of faults in alphabetical order.
 func FaultKinds() []string { return slices.Sorted(maps.Keys(faultKinds)) }
