--- a/testbed/invariants/invariants.go
+++ b/testbed/invariants/invariants.go
@@ -1,7 +1,7 @@
 // Package invariants checks the run of a scenario by its externally visible events: which messages were submitted, sent,
 // answered and reported, and which took effect. It accounts for the value of the messages and checks each courier against the
-// six rules. No other part of the testbed decides whether a run succeeded. The package does not know whether the time of the run
-// was virtual or real, or how the couriers made their decisions.
+// six rules. The other parts of the testbed do not decide whether a run succeeded. The package does not know whether the time of
+// the run was virtual or real, or how the couriers made their decisions.
 package invariants
 
 import (
@@ -42,7 +42,7 @@
 	// WaitFrom is how long after a Retry-After time was sent calls are allowed, because the courier may have sent them before
 	// it received the Retry-After time; 0 in virtual time.
 	WaitFrom dispatch.Micros
-	// Excused is how long after the restart of a courier no answer counts as overdue.
+	// Time after the restart of a courier in which no answer counts as overdue.
 	Excused dispatch.Micros
 }
 
@@ -68,7 +68,7 @@
 // End is the way in which a message ended.
 type End int
 
-// The ways in which a message ends. Open means that it has not ended.
+// The ways in which a message ends. The first one means that it has not ended.
 const (
 	Open End = iota
 	Delivered
--- a/testbed/scenario/format.go
+++ b/testbed/scenario/format.go
@@ -28,7 +28,7 @@
 		}
 		def, ok := f.Tag.Lookup("def")
 		if !ok {
-			def = "required"
+			def = "must be given"
 		} else if def == "" {
 			def = "none"
 		}
--- a/testbed/scenario/scenario.go
+++ b/testbed/scenario/scenario.go
@@ -116,7 +116,7 @@
 	Heed    float64 `toml:"heed" def:"0.7" in:"0..1" doc:"share of rejections whose Retry-After time the client honors"`
 	Again   Range   `toml:"again_s" def:"[0.3,2]" in:"0.01..600" unit:"s" doc:"time after which the messages of a killed courier are submitted to another courier"`
 	Notice  Range   `toml:"notice_s" def:"[1,4]" in:"0..600" unit:"s" doc:"time until the front stops sending messages to a killed courier"`
-	Leave   float64 `toml:"leave" def:"0" in:"0..1" doc:"share of messages that the client may cancel before their delivery or deadline"`
+	Leave   float64 `toml:"leave" def:"0" in:"0..1" doc:"share of messages that the client cancels at a random time before the deadline, unless they have ended"`
 }
 
 // Network describes the one-way network delays.
