--- a/testbed/endpointmodel/endpoint.go
+++ b/testbed/endpointmodel/endpoint.go
@@ -30,34 +30,34 @@
 	slowdown, connShare                               float64
 }
 
-// updateEffects combines the effects of the faults of the endpoint. All endpoints of an overloaded route
-// refuse connections.
+// updateEffects combines the effects of the faults of the endpoint. overloaded is set while the route is down
+// after an overload; its endpoints then refuse connections.
 func (ep *endpoint) updateEffects(overloaded bool) {
 	ep.faultEffects = faultEffects{slowdown: 1, connShare: 1, refusesConns: overloaded}
 	ep.outage = overloaded
-	for _, s := range ep.faults {
-		ep.outage = ep.outage || s.outage()
-		switch s.Kind {
+	for _, f := range ep.faults {
+		ep.outage = ep.outage || f.outage()
+		switch f.Kind {
 		case Refuse:
 			ep.refusesConns = true
 		case Silent:
 			ep.silent = true
 		case Hang:
-			ep.hangs, ep.hangEffectShare = true, max(ep.hangEffectShare, s.Acts)
+			ep.hangs, ep.hangEffectShare = true, max(ep.hangEffectShare, f.Acts)
 		case Shut:
-			ep.throttlesAll, ep.opensAt = true, max(ep.opensAt, s.Until)
+			ep.throttlesAll, ep.opensAt = true, max(ep.opensAt, f.Until)
 		case Errors:
-			ep.errorShare, ep.errorEffectShare = max(ep.errorShare, s.Size), max(ep.errorEffectShare, s.Acts)
+			ep.errorShare, ep.errorEffectShare = max(ep.errorShare, f.Size), max(ep.errorEffectShare, f.Acts)
 		case Swallow:
-			ep.lostAnswerShare = max(ep.lostAnswerShare, s.Size)
+			ep.lostAnswerShare = max(ep.lostAnswerShare, f.Size)
 		case Resets:
-			ep.resetShare, ep.resetEffectShare = max(ep.resetShare, s.Size), max(ep.resetEffectShare, s.Acts)
+			ep.resetShare, ep.resetEffectShare = max(ep.resetShare, f.Size), max(ep.resetEffectShare, f.Acts)
 		case Slow:
-			ep.slowdown *= max(1, s.Size)
+			ep.slowdown *= max(1, f.Size)
 		case Pause:
 			ep.paused = true
 		case Crowd:
-			ep.connShare *= s.Size
+			ep.connShare *= f.Size
 		}
 	}
 }
@@ -70,7 +70,7 @@
 	started        bool // a worker processes it
 	ended          bool
 	canceled       bool            // by its courier, which no longer waits for the answer
-	dueWhilePaused dispatch.Micros // when the job came due during a pause of the endpoint; 0: it did not
+	dueWhilePaused dispatch.Micros // time at which a pause of the endpoint delayed the end of the job; 0: none
 }
 
 // jobResult is the result of a job. It is decided when the call is received.
--- a/testbed/endpointmodel/endpointmodel.go
+++ b/testbed/endpointmodel/endpointmodel.go
@@ -18,7 +18,7 @@
 type Partner struct {
 	plan         Plan
 	rng          *rand.Rand
-	serviceTimes distuv.LogNormal // service time relative to its mean
+	serviceTimes distuv.LogNormal // factors on the mean service time, with mean 1
 	routes       []*route
 	endpoints    map[dispatch.EndpointID]*endpoint
 	order        []*endpoint
@@ -34,7 +34,7 @@
 	zone dispatch.ZoneID
 }
 
-// New returns the model of a destination with the endpoints of the plan.
+// New returns the model of a destination with the endpoints of the plan. The second part of the random seed is an arbitrary constant.
 func New(plan Plan) *Partner {
 	source := rand.NewPCG(plan.Seed, 0x70617274)
 	variance := math.Log(1 + plan.ServiceTimeCV*plan.ServiceTimeCV)
@@ -47,7 +47,7 @@
 	return p
 }
 
-// Plan returns the plan from which the destination was made.
+// Plan returns the plan from which the model was created.
 func (p *Partner) Plan() *Plan { return &p.plan }
 
 // Add adds an endpoint.
@@ -82,11 +82,11 @@
 
 // Connect opens a connection to an endpoint, if the endpoint accepts it.
 func (p *Partner) Connect(_ dispatch.Micros, id dispatch.EndpointID) ConnectResult {
-	link := p.ConnectStatus(id)
-	if link == Up {
+	result := p.ConnectStatus(id)
+	if result == Up {
 		p.endpoints[id].openConns++
 	}
-	return link
+	return result
 }
 
 // Disconnect closes a connection to an endpoint.
@@ -130,7 +130,7 @@
 func (p *Partner) decideResult(now dispatch.Micros, j *job) {
 	ep := j.ep
 	throttle := func(wait dispatch.Micros) {
-		j.result = jobResult{outcome: dispatch.Throttled, retryAfter: (wait + rejectTime - 1) / rejectTime * rejectTime} // sent in whole milliseconds
+		j.result = jobResult{outcome: dispatch.Throttled, retryAfter: (wait + rejectTime - 1) / rejectTime * rejectTime} // rounded up to whole milliseconds
 		ep.active = append(ep.active, j)
 		p.schedule(now+rejectTime, j)
 	}
@@ -146,20 +146,20 @@
 		throttle(wait)
 		return
 	}
-	switch chance := p.rng.Float64(); {
+	switch random := p.rng.Float64(); {
 	case ep.hangs:
 		j.result = jobResult{noAnswer: true, takesEffect: p.rng.Float64() < ep.hangEffectShare}
 		ep.active = append(ep.active, j)
-		p.schedule(now+p.serviceTime(now, j), j) // without a worker: otherwise a hanging endpoint would soon throttle calls
+		p.schedule(now+p.serviceTime(now, j), j) // no worker is occupied: otherwise the queue would fill, and calls would be throttled
 		return
-	case chance < ep.errorShare || chance < p.plan.ErrorRate:
+	case random < ep.errorShare || random < p.plan.ErrorRate:
 		j.result = jobResult{outcome: dispatch.Failure, takesEffect: p.rng.Float64() < ep.errorEffectShare}
 		ep.active = append(ep.active, j)
 		p.schedule(now+p.serviceTime(now, j)/10, j)
 		return
-	case chance < ep.resetShare:
+	case random < ep.resetShare:
 		j.result = jobResult{outcome: dispatch.Broken, takesEffect: p.rng.Float64() < ep.resetEffectShare}
-	case chance < ep.lostAnswerShare:
+	case random < ep.lostAnswerShare:
 		j.result = jobResult{noAnswer: true, takesEffect: true}
 	default:
 		j.result = jobResult{outcome: dispatch.Delivered, takesEffect: true}
@@ -191,8 +191,8 @@
 	return max(rejectTime, dispatch.Micros(duration))
 }
 
-// CallOff cancels a call because its courier no longer waits for the answer. A queued call is dropped; a call that a worker
-// has started continues, but gets no answer.
+// CallOff cancels a call because its courier no longer waits for the answer. A queued call is dropped. Any other call continues
+// and may take effect, but gets no answer.
 func (p *Partner) CallOff(_ dispatch.Micros, c *Call) []Output {
 	p.outputs = nil
 	j := c.job
@@ -291,7 +291,7 @@
 	}
 }
 
-// breakCalls ends all calls of an endpoint with the outcome Broken. Calls that have not taken effect yet do not do so later.
+// breakCalls ends all calls of an endpoint with the outcome Broken. Calls that have not yet taken effect never do.
 func (p *Partner) breakCalls(ep *endpoint) {
 	for _, j := range append(slices.Clone(ep.active), ep.unanswered...) {
 		if j.call != nil && !j.canceled {
--- a/testbed/endpointmodel/endpointmodel_test.go
+++ b/testbed/endpointmodel/endpointmodel_test.go
@@ -58,8 +58,8 @@
 		all = append(all, receive(p, 0, uint64(i), "a")...)
 	}
 	all = append(all, stepUntil(p, 1000*ms)...)
-	if done, full, _, _ := outcomes(all); done != 3 || full != 1 {
-		t.Errorf("%d calls delivered, %d throttled; want 3 and 1", done, full)
+	if delivered, throttled, _, _ := outcomes(all); delivered != 3 || throttled != 1 {
+		t.Errorf("%d calls delivered, %d throttled; want 3 and 1", delivered, throttled)
 	}
 }
 
@@ -68,8 +68,8 @@
 	p := New(plan())
 	p.Inject(0, "a", Fault{ID: 1, Kind: Hang, Acts: 1})
 	all := append(receive(p, 0, 1, "a"), stepUntil(p, 5000*ms)...)
-	if done, full, broken, ran := outcomes(all); done+full+broken != 0 || ran != 1 {
-		t.Errorf("%d calls delivered, %d throttled, %d broken, %d effects; want one effect and no answer", done, full, broken, ran)
+	if delivered, throttled, broken, effects := outcomes(all); delivered+throttled+broken != 0 || effects != 1 {
+		t.Errorf("%d calls delivered, %d throttled, %d broken, %d effects; want one effect and no answer", delivered, throttled, broken, effects)
 	}
 }
 
@@ -85,8 +85,8 @@
 		all = append(all, stepUntil(p, c.at+400*ms)...)
 	}
 	// The second call is recognized as a repeat. The third goes to another zone, and the fourth comes after the window.
-	if _, _, _, ran := outcomes(all); ran != 3 {
-		t.Errorf("%d effects, want 3", ran)
+	if _, _, _, effects := outcomes(all); effects != 3 {
+		t.Errorf("%d effects, want 3", effects)
 	}
 }
 
@@ -108,7 +108,7 @@
 				if f, ok := o.(Fell); ok {
 					falls++
 					if f.Sent[0] < 5 {
-						t.Errorf("overloaded after %v calls per courier, want at least 5", f.Sent)
+						t.Errorf("overloaded after %v calls by courier, want at least 5 by courier 0", f.Sent)
 					}
 				}
 			}
@@ -120,14 +120,14 @@
 			}
 		}
 		if falls != c.falls {
-			t.Errorf("with a call every %v: overloaded %d times", c.every, falls)
+			t.Errorf("with a call every %v: overloaded %d times, want %d", c.every, falls, c.falls)
 		}
 	}
 }
 
-// TestEveryCallEndsOnce checks that a call gets at most one answer, and none after its courier canceled it, with any faults at
+// TestAtMostOneAnswer checks that a call gets at most one answer, and none after its courier canceled it, with any faults at
 // any time.
-func TestEveryCallEndsOnce(t *testing.T) {
+func TestAtMostOneAnswer(t *testing.T) {
 	kinds := []Trouble{Refuse, Silent, Hang, Shut, Errors, Swallow, Resets, Slow, Pause, Shrink, Crowd}
 	rapid.Check(t, func(t *rapid.T) {
 		pl := plan()
--- a/testbed/endpointmodel/health.go
+++ b/testbed/endpointmodel/health.go
@@ -8,14 +8,14 @@
 )
 
 // Inject starts a fault at an endpoint.
-func (p *Partner) Inject(now dispatch.Micros, id dispatch.EndpointID, s Fault) []Output {
+func (p *Partner) Inject(now dispatch.Micros, id dispatch.EndpointID, f Fault) []Output {
 	p.outputs = nil
 	ep := p.endpoints[id]
 	if ep == nil || ep.removed {
 		return nil
 	}
 	before := ep.faultEffects
-	ep.faults = append(ep.faults, s)
+	ep.faults = append(ep.faults, f)
 	p.applyFaults(now, ep, before)
 	return p.outputs
 }
@@ -28,7 +28,7 @@
 		return nil
 	}
 	before := ep.faultEffects
-	ep.faults = slices.DeleteFunc(ep.faults, func(s Fault) bool { return s.ID == faultID })
+	ep.faults = slices.DeleteFunc(ep.faults, func(f Fault) bool { return f.ID == faultID })
 	p.applyFaults(now, ep, before)
 	return p.outputs
 }
@@ -38,9 +38,9 @@
 	ep.updateEffects(ep.route.downUntil > now)
 	remaining := 1.0
 	for _, other := range ep.route.endpoints {
-		for _, s := range other.faults {
-			if s.Kind == Shrink {
-				remaining = min(remaining, s.Size)
+		for _, f := range other.faults {
+			if f.Kind == Shrink {
+				remaining = min(remaining, f.Size)
 			}
 		}
 	}
@@ -50,7 +50,7 @@
 	case ep.refusesConns && !before.refusesConns:
 		p.breakCalls(ep)
 		ep.openConns = 0
-	case ep.silent && !before.silent:
+	case ep.silent && !before.silent: // all calls in progress are lost
 		ep.unanswered = append(ep.unanswered, ep.active...)
 		for _, j := range ep.active {
 			j.ended = true
--- a/testbed/endpointmodel/limit.go
+++ b/testbed/endpointmodel/limit.go
@@ -6,11 +6,11 @@
 	"pineport/dispatch"
 )
 
-// meter counts calls against a limit.
+// limiter counts calls against a limit.
 type limiter struct {
 	limit        Limit
 	rng          *rand.Rand
-	remaining    float64 // share of the limit that faults leave
+	remaining    float64 // share of the limit that remains during Shrink faults; 1: no such fault
 	tokens       float64
 	filledAt     dispatch.Micros
 	windowNumber int64 // number of the current window since time 0
@@ -22,69 +22,69 @@
 	reportedLeft, reportedRate float64
 }
 
-func (m *limiter) rate() float64 { return m.limit.PerSec * m.remaining }
+func (l *limiter) rate() float64 { return l.limit.PerSec * l.remaining }
 
 // burst returns the maximum number of tokens: the calls of half a second, at least 1.
-func (m *limiter) burst() float64 { return max(1, m.rate()/2) }
+func (l *limiter) burst() float64 { return max(1, l.rate()/2) }
 
-func (m *limiter) refill(now dispatch.Micros) {
-	switch m.limit.Kind {
-	case Rate:
-		m.tokens = min(m.burst(), m.tokens+m.rate()*float64(now-m.filledAt)/1e6)
-		m.filledAt = now
-	case Window:
-		if number := int64(now / m.limit.Span); number != m.windowNumber {
-			m.windowNumber, m.usedInWindow = number, 0
+func (l *limiter) refill(now dispatch.Micros) {
+	switch l.limit.Kind {
+	case RateLimit:
+		l.tokens = min(l.burst(), l.tokens+l.rate()*float64(now-l.filledAt)/1e6)
+		l.filledAt = now
+	case WindowLimit:
+		if number := int64(now / l.limit.Span); number != l.windowNumber {
+			l.windowNumber, l.usedInWindow = number, 0
 		}
 	}
 }
 
-func (m *limiter) windowLimit() int { return max(1, int(m.rate()*float64(m.limit.Span)/1e6)) }
+func (l *limiter) windowLimit() int { return max(1, int(l.rate()*float64(l.limit.Span)/1e6)) }
 
 // allow counts a call and reports whether it is within the limit. If it is not, allow also returns the
 // Retry-After time, or 0 if the destination sends none.
-func (m *limiter) allow(now dispatch.Micros) (ok bool, retryAfter dispatch.Micros) {
-	m.refill(now)
-	switch m.limit.Kind {
+func (l *limiter) allow(now dispatch.Micros) (ok bool, retryAfter dispatch.Micros) {
+	l.refill(now)
+	switch l.limit.Kind {
 	case NoLimit:
 		return true, 0
-	case Window:
-		if m.usedInWindow < m.windowLimit() {
-			m.usedInWindow++
+	case WindowLimit:
+		if l.usedInWindow < l.windowLimit() {
+			l.usedInWindow++
 			return true, 0
 		}
-		retryAfter = dispatch.Micros(m.windowNumber+1)*m.limit.Span - now
+		retryAfter = dispatch.Micros(l.windowNumber+1)*l.limit.Span - now
 	default:
-		if m.tokens >= 1 {
-			m.tokens--
+		if l.tokens >= 1 {
+			l.tokens--
 			return true, 0
 		}
-		if m.limit.CountRefused {
-			m.tokens = max(-m.burst(), m.tokens-1)
+		if l.limit.CountThrottled {
+			l.tokens = max(-l.burst(), l.tokens-1)
 		}
-		retryAfter = dispatch.Micros((1 - m.tokens) / max(m.rate(), 1e-3) * 1e6)
+		retryAfter = dispatch.Micros((1 - l.tokens) / max(l.rate(), 1e-3) * 1e6)
 	}
-	if m.rng.Float64() >= m.limit.RetryAfterShare {
+	if l.rng.Float64() >= l.limit.RetryAfterShare {
 		return false, 0
 	}
-	return false, max(retryAfter, m.limit.MinRetryAfter)
+	return false, max(retryAfter, l.limit.MinRetryAfter)
 }
 
 // report returns a load report: the share of the limit that is left, and the limit in calls per second. Both
 // values are noisy and up to reportEvery old.
-func (m *limiter) report(now dispatch.Micros) []float64 {
-	if m.limit.Kind == NoLimit {
+func (l *limiter) report(now dispatch.Micros) []float64 {
+	if l.limit.Kind == NoLimit {
 		return []float64{0, 0}
 	}
-	if now >= m.nextReportAt {
-		m.refill(now)
-		left := max(0, m.tokens) / m.burst()
-		if m.limit.Kind == Window {
-			left = 1 - float64(m.usedInWindow)/float64(m.windowLimit())
+	if now >= l.nextReportAt {
+		l.refill(now)
+		left := max(0, l.tokens) / l.burst()
+		if l.limit.Kind == WindowLimit {
+			left = 1 - float64(l.usedInWindow)/float64(l.windowLimit())
 		}
-		noise := func() float64 { return 1 + m.reportNoise*m.rng.NormFloat64() }
-		m.reportedLeft, m.reportedRate = min(1, max(0, left*noise())), max(0.01, m.rate()*noise())
-		m.nextReportAt = now + m.reportEvery
+		noise := func() float64 { return 1 + l.reportNoise*l.rng.NormFloat64() }
+		l.reportedLeft, l.reportedRate = min(1, max(0, left*noise())), max(0.01, l.rate()*noise())
+		l.nextReportAt = now + l.reportEvery
 	}
-	return []float64{m.reportedLeft, m.reportedRate}
+	return []float64{l.reportedLeft, l.reportedRate}
 }
--- a/testbed/endpointmodel/plan.go
+++ b/testbed/endpointmodel/plan.go
@@ -2,7 +2,7 @@
 // limit on calls, faults, and reduced capacity after an outage. It is a state machine without sockets and without a clock: each
 // method gets the current time and returns the outputs that result. Random values come from the seed in the Plan.
 //
-// The model is based on public documentation and on the documentation of this project, not on measurements of a real system.
+// The model is based on public documentation and on the documentation of this project. It does not represent a particular system.
 package endpointmodel
 
 import "pineport/dispatch"
@@ -12,9 +12,9 @@
 
 // The kinds of limits.
 const (
-	NoLimit LimitKind = iota
-	Rate              // token bucket: calls per second, with a burst of half a second's calls
-	Window            // calls per fixed time window
+	NoLimit     LimitKind = iota
+	RateLimit             // token bucket: calls per second, with a burst of half a second's calls
+	WindowLimit           // calls per fixed time window
 )
 
 // Limit is the limit on the calls that a route accepts from all couriers together.
@@ -22,7 +22,7 @@
 	Kind            LimitKind
 	PerSec          float64
 	Span            dispatch.Micros // length of a time window
-	CountRefused    bool            // refused calls consume tokens as well
+	CountThrottled  bool            // for RateLimit: throttled calls consume tokens as well
 	RetryAfterShare float64         // share of refusals that include a Retry-After time
 	MinRetryAfter   dispatch.Micros // shortest Retry-After time
 }
@@ -48,12 +48,12 @@
 	ServiceTimeCV    float64         // coefficient of variation of the service time (lognormal)
 	ErrorRate        float64         // share of calls that fail without any fault
 	Limit            Limit
-	Reports          bool // answers include a load report: the share of the limit that is left, and the limit
-	ReportEvery      dispatch.Micros
-	ReportNoise      float64
-	ColdFrom         float64 // share of the capacity at the start of a recovery
-	Ramp             dispatch.Micros
-	Fall             float64         // a recovering route is overloaded if it receives more than this multiple of its current capacity
+	Reports          bool            // answers include a load report: the share of the limit that is left, and the limit
+	ReportEvery      dispatch.Micros // maximum age of a load report
+	ReportNoise      float64         // relative standard deviation of the values in a load report
+	ColdFrom         float64         // share of the capacity at the start of a recovery
+	Ramp             dispatch.Micros // time from the start of a recovery to the full capacity
+	Fall             float64         // calls that overload a recovering route, as a multiple of its current capacity (see overloadSlack); 0: never
 	FallSpan         dispatch.Micros // time over which the calls to a recovering route are counted
 	OverloadDowntime dispatch.Micros // how long an overloaded route is down
 	Seed             uint64
@@ -109,7 +109,7 @@
 	// Turned reports that the phase of a route changed.
 	Turned struct {
 		Route int
-		Phase Phase
+		Phase RoutePhase
 	}
 )
 
@@ -118,17 +118,17 @@
 func (Fell) output()   {}
 func (Turned) output() {}
 
-// Phase is the state of health of a route.
-type Phase int
+// RoutePhase is the state of health of a route.
+type RoutePhase int
 
 // The phases of a route.
 const (
-	Healthy Phase = iota
-	Out           // all endpoints have an outage
-	Cold          // recovering: the capacity is reduced
+	Healthy RoutePhase = iota
+	Out                // all endpoints have an outage
+	Cold               // recovering: the capacity is reduced
 )
 
-func (p Phase) String() string { return [...]string{"well", "out", "cold"}[p] }
+func (p RoutePhase) String() string { return [...]string{"well", "out", "cold"}[p] }
 
 // ConnectResult is the result of a connection attempt.
 type ConnectResult int
@@ -168,12 +168,12 @@
 }
 
 // outage reports whether the fault is an outage, after which a route recovers with reduced capacity.
-func (s Fault) outage() bool {
-	switch s.Kind {
+func (f Fault) outage() bool {
+	switch f.Kind {
 	case Refuse, Silent, Hang, Shut:
 		return true
 	case Errors:
-		return s.Size > 0.5
+		return f.Size > 0.5
 	}
 	return false
 }
--- a/testbed/endpointmodel/route.go
+++ b/testbed/endpointmodel/route.go
@@ -13,7 +13,7 @@
 	plan        *Plan
 	limiter     limiter
 	endpoints   []*endpoint
-	phase       Phase
+	phase       RoutePhase
 	coldSince   dispatch.Micros
 	downUntil   dispatch.Micros // end of the downtime after an overload; 0: the route is not down because of one
 	recentCalls []arrival       // calls of the last FallSpan during a recovery
@@ -24,8 +24,8 @@
 	courier int
 }
 
-func newRoute(no int, plan *Plan, rng *rand.Rand) *route {
-	return &route{number: no, plan: plan, limiter: limiter{limit: plan.Limit, rng: rng, remaining: 1, reportEvery: plan.ReportEvery,
+func newRoute(number int, plan *Plan, rng *rand.Rand) *route {
+	return &route{number: number, plan: plan, limiter: limiter{limit: plan.Limit, rng: rng, remaining: 1, reportEvery: plan.ReportEvery,
 		reportNoise: plan.ReportNoise, tokens: max(1, plan.Limit.PerSec/2)}}
 }
 
@@ -39,7 +39,7 @@
 	return len(r.endpoints) > 0
 }
 
-// warmShare returns the share of its full capacity that the route has at a time.
+// warmShare returns the share of its full capacity that the route has at the time now.
 func (r *route) warmShare(now dispatch.Micros) float64 {
 	if r.phase != Cold || r.plan.Ramp <= 0 {
 		return 1
@@ -59,7 +59,7 @@
 	return float64(n) * r.plan.Capacity() * r.warmShare(now)
 }
 
-// overloadSlack is the number of calls by which random variation may exceed the permitted load without an overload.
+// overloadSlack is the number of calls beyond the permitted load that do not yet count as an overload, because arrivals vary at random.
 const overloadSlack = 3
 
 // countCall counts a call to a cold route and reports whether the call overloads the route. In that case it also returns the
--- a/testbed/environment/directory.go
+++ b/testbed/environment/directory.go
@@ -16,7 +16,7 @@
 	"pineport/testbed/invariants"
 )
 
-// directory emulates the discovery service and the platform for one courier.
+// directory is the HTTP service from which one courier gets the endpoint list, and to which it sends its notices.
 type directory struct {
 	world        *World
 	courier      int
@@ -32,7 +32,7 @@
 	pending      []entry
 }
 
-// entry is one endpoint in the format of the platform.
+// entry is one endpoint of the endpoint list, in the JSON format that couriers read.
 type entry struct {
 	Host   dispatch.EndpointID `json:"host"`
 	Dial   string              `json:"dial"`
@@ -57,7 +57,7 @@
 
 var healthNames = map[dispatch.Phase]string{dispatch.InService: "in_service", dispatch.Draining: "terminating", dispatch.Removed: "terminated"}
 
-func (w *World) entry(dest int, e endpointmodel.Endpoint, phase dispatch.Phase, born int64) entry {
+func (w *World) newEntry(dest int, e endpointmodel.Endpoint, phase dispatch.Phase, born int64) entry {
 	dst := &w.Day.Destinations[dest]
 	return entry{Host: e.ID, Dial: w.endpoint(e.ID).address, Site: w.Day.Day.Fleet.Zones[e.Zone], Class: dst.KindName, Block: dest,
 		Health: healthNames[phase], Share: dst.ListedRate, Born: born}
@@ -67,7 +67,7 @@
 	d := &directory{world: w, courier: courier, seq: 1, entries: map[dispatch.EndpointID]entry{}, changed: make(chan struct{})}
 	for i := range w.Day.Destinations {
 		for _, e := range w.Day.Destinations[i].Endpoints {
-			d.entries[e.ID] = w.entry(i, e, dispatch.InService, 0)
+			d.entries[e.ID] = w.newEntry(i, e, dispatch.InService, 0)
 		}
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -75,8 +75,8 @@
 		return nil, err
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/servers", d.list)
-	mux.HandleFunc("POST /v1/notices", d.notices)
+	mux.HandleFunc("GET /v1/servers", d.handleList)
+	mux.HandleFunc("POST /v1/notices", d.handleNotices)
 	d.address, d.server = l.Addr().String(), &http.Server{Handler: mux}
 	w.wg.Add(1)
 	go func() {
@@ -88,13 +88,13 @@
 
 func (d *directory) close() { d.server.Close() }
 
-// publishAfter publishes a change of an endpoint after a delay. Changes are published in the order in which they occur.
+// publishAfter publishes a change of an endpoint after a delay, but not at an earlier time than the previous change.
 func (d *directory) publishAfter(delay dispatch.Micros, dest int, e endpointmodel.Endpoint, phase dispatch.Phase) {
 	born := int64(0)
 	if phase == dispatch.InService {
 		born = time.Now().UnixMilli()
 	}
-	en := d.world.entry(dest, e, phase, born)
+	en := d.world.newEntry(dest, e, phase, born)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.nextChangeAt = max(d.nextChangeAt, d.world.Clock.Now()+delay)
@@ -168,7 +168,7 @@
 	return l, true
 }
 
-func (d *directory) list(rw http.ResponseWriter, r *http.Request) {
+func (d *directory) handleList(rw http.ResponseWriter, r *http.Request) {
 	seq := -1
 	if text := r.FormValue("index"); text != "" {
 		n, err := strconv.Atoi(text)
@@ -178,7 +178,7 @@
 		}
 		seq = n
 	} else {
-		time.Sleep(d.callTime())
+		time.Sleep(d.pollTime())
 	}
 	wait, _ := strconv.Atoi(r.FormValue("wait"))
 	deadline := time.NewTimer(time.Duration(min(max(wait, 0), 60000)) * time.Millisecond)
@@ -207,14 +207,14 @@
 	}
 }
 
-func (d *directory) callTime() time.Duration {
+func (d *directory) pollTime() time.Duration {
 	d.world.mu.Lock()
 	defer d.world.mu.Unlock()
 	r := d.world.Day.Day.Directory.Call
 	return time.Duration((r[0] + (r[1]-r[0])*d.world.rng.Float64()) * float64(time.Millisecond))
 }
 
-// write sends a list to the courier and records that the courier was notified of its entries.
+// write sends a list to the courier and records that the courier was notified of the entries in the list.
 func (d *directory) write(rw http.ResponseWriter, l list) {
 	text, err := json.Marshal(l)
 	if err != nil {
@@ -234,7 +234,7 @@
 	}
 }
 
-func (d *directory) notices(rw http.ResponseWriter, r *http.Request) {
+func (d *directory) handleNotices(rw http.ResponseWriter, r *http.Request) {
 	var all []notice
 	lines := bufio.NewScanner(r.Body)
 	for lines.Scan() {
@@ -268,7 +268,7 @@
 	AgainMs int64              `json:"again_ms"`
 }
 
-// Known returns the endpoint list that a courier is given at its start, in the format of the platform.
+// Known returns the endpoint list that the configuration of a courier contains at its start, in the JSON format that couriers read.
 func (w *World) Known(courier int) any {
 	d := w.directories[courier]
 	d.mu.Lock()
--- a/testbed/environment/endpoint.go
+++ b/testbed/environment/endpoint.go
@@ -35,9 +35,9 @@
 	closed       bool
 }
 
-// addEndpoint starts an endpoint at an address that another endpoint had, or at a new address if none is given.
-func (w *World) addEndpoint(s *destination, e endpointmodel.Endpoint, address string) (*endpoint, error) {
-	ep := &endpoint{Endpoint: e, world: w, destination: s, address: address, connectState: endpointmodel.Refused, conns: map[*net.TCPConn]bool{}}
+// addEndpoint starts an endpoint at the given address, or at a new one if address is empty.
+func (w *World) addEndpoint(d *destination, e endpointmodel.Endpoint, address string) (*endpoint, error) {
+	ep := &endpoint{Endpoint: e, world: w, destination: d, address: address, connectState: endpointmodel.Refused, conns: map[*net.TCPConn]bool{}}
 	if address == "" {
 		ep.address = "127.0.0.1:0"
 	}
@@ -79,12 +79,12 @@
 		if err != nil {
 			return
 		}
-		link := endpointmodel.Refused
+		result := endpointmodel.Refused
 		e.destination.update(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
-			link = p.Connect(now, e.ID)
+			result = p.Connect(now, e.ID)
 			return nil
 		})
-		if link != endpointmodel.Up {
+		if result != endpointmodel.Up {
 			reset(conn)
 			e.updateListener()
 			continue
@@ -138,7 +138,7 @@
 
 func (e *endpoint) reopen() {
 	if err := e.listen(); err != nil {
-		e.world.log.Warn("endpoint not reopened", "endpoint", e.ID, "error", err)
+		e.world.log.Warn("endpoint does not listen again", "endpoint", e.ID, "error", err)
 		e.connectState = endpointmodel.Refused
 	}
 }
@@ -151,7 +151,7 @@
 }
 
 // fillBacklog makes connection attempts time out: it makes the accept backlog as short as possible and fills it, so that the
-// kernel drops further connection requests.
+// kernel drops further connection requests. If the endpoint cannot listen, connections are refused instead.
 func (e *endpoint) fillBacklog() {
 	if e.listener == nil {
 		if err := e.listen(); err != nil {
@@ -304,17 +304,17 @@
 
 // admission is the result of checking a call before the model receives it.
 type admission struct {
-	courier  int
-	items    []endpointmodel.Item
-	ids      []dispatch.MessageID
-	attempts []int
-	refusals map[dispatch.MessageID]string // results of the messages that the model does not receive
-	noSlot   bool
+	courier        int
+	items          []endpointmodel.Item
+	ids            []dispatch.MessageID
+	attemptNumbers []int                         // as returned by Ledger.Sent
+	refusals       map[dispatch.MessageID]string // results of the messages that the model does not receive
+	noSlot         bool                          // the courier already has as many calls in flight as it has slots
 }
 
-// admit checks the messages of a call, counts their attempts and occupies a slot of the courier, if one is free. fault describes
-// why the call is invalid.
-func (e *endpoint) admit(in inbound, ids []dispatch.MessageID) (a admission, fault string) {
+// admit checks the messages of a call, counts their attempts and occupies a slot of the courier, if one is free. problem says why
+// the call is invalid; it is empty for a valid call.
+func (e *endpoint) admit(in inbound, ids []dispatch.MessageID) (a admission, problem string) {
 	w := e.world
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -334,7 +334,7 @@
 			return a, fmt.Sprintf("%s is for destination %d and came to %s, which is of %d", id, r.Dest, e.ID, e.destination.id)
 		}
 		a.courier = r.Courier
-		wl := &w.Day.Day.Classes[r.Work]
+		class := &w.Day.Day.Classes[r.Work]
 		switch r.Attempts++; {
 		case r.Ended:
 			a.refusals[id] = "expired"
@@ -342,41 +342,42 @@
 			a.refusals[id] = "no_more"
 		default:
 			a.ids = append(a.ids, id)
-			a.items = append(a.items, endpointmodel.Item{Message: id, Origin: r.Origin, Repeat: invariants.RepeatOf(wl.Repeat),
-				OneZone: wl.OneZone, Window: dispatch.Micros(wl.Window * 1e6)})
+			a.items = append(a.items, endpointmodel.Item{Message: id, Origin: r.Origin, Repeat: invariants.RepeatOf(class.Repeat),
+				OneZone: class.OneZone, Window: dispatch.Micros(class.Window * 1e6)})
 		}
 	}
 	if a.noSlot = w.callsInFlight[a.courier] >= w.Day.Slots; !a.noSlot {
 		w.callsInFlight[a.courier]++
 	}
 	for _, id := range a.ids {
-		a.attempts = append(a.attempts, w.Ledger.Sent(in.receivedAt, id, invariants.Place{Dest: dispatch.DestinationID(e.destination.id),
+		a.attemptNumbers = append(a.attemptNumbers, w.Ledger.Sent(in.receivedAt, id, invariants.Place{Dest: dispatch.DestinationID(e.destination.id),
 			Route: e.destination.route(e.ID), Endpoint: e.ID, Zone: e.Zone}))
 	}
 	return a, ""
 }
 
-func (s *destination) route(id dispatch.EndpointID) int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.model.Route(id)
+func (d *destination) route(id dispatch.EndpointID) int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.model.Route(id)
 }
 
-// handleMessages processes one call and reports whether the connection stays open.
+// handleMessages processes one call and reports whether the connection stays open. An invalid call is an error of the courier, which
+// the ledger records as a crash.
 func (e *endpoint) handleMessages(conn *net.TCPConn, in inbound, ids []dispatch.MessageID, isBatch bool, requests <-chan inbound) bool {
 	w := e.world
-	a, fault := e.admit(in, ids)
-	if fault != "" {
-		w.Ledger.Crashed(in.receivedAt, max(0, a.courier), fault)
-		return e.writeResponse(conn, 400, "", fault)
+	a, problem := e.admit(in, ids)
+	if problem != "" {
+		w.Ledger.Crashed(in.receivedAt, max(0, a.courier), problem)
+		return e.writeResponse(conn, 400, "", problem)
 	}
-	settle := func(o dispatch.Outcome, wait dispatch.Micros) {
+	recordOutcomes := func(o dispatch.Outcome, wait dispatch.Micros) {
 		for i, id := range a.ids {
-			w.Ledger.Settled(w.Clock.Now(), id, a.attempts[i], o, wait)
+			w.Ledger.Settled(w.Clock.Now(), id, a.attemptNumbers[i], o, wait)
 		}
 	}
 	if a.noSlot {
-		settle(dispatch.Unprocessed, 0)
+		recordOutcomes(dispatch.Unprocessed, 0)
 		return e.writeResponse(conn, 503, "X-Egress-Full: 1\r\n", "")
 	}
 	defer func() {
@@ -406,21 +407,21 @@
 	var result endpointmodel.Answer
 	select {
 	case result = <-answer:
-	case <-requests: // the courier closed the connection, or it was reset
+	case <-requests: // the connection was closed or reset, or another request arrived on it before the answer
 		e.destination.update(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
 			delete(e.destination.pendingCalls, call.ID)
 			return p.CallOff(now, call)
 		})
-		settle(dispatch.TimedOut, 0)
+		recordOutcomes(dispatch.TimedOut, 0)
 		return false
 	}
 	if result.Outcome == dispatch.Broken {
-		settle(dispatch.Broken, 0)
+		recordOutcomes(dispatch.Broken, 0)
 		conn.SetLinger(0)
 		return false
 	}
 	time.Sleep(delay)
-	settle(result.Outcome, result.Wait) // before the answer is written, because the courier may act on it immediately
+	recordOutcomes(result.Outcome, result.Wait) // before the answer is written, because the courier may act on it immediately
 	return e.writeAnswer(conn, ids, a, result, isBatch)
 }
 
@@ -447,12 +448,12 @@
 }
 
 // batchResults returns the body of the answer to a batch call.
-func (e *endpoint) batchResults(ids []dispatch.MessageID, refusals map[dispatch.MessageID]string, otherwise string) string {
+func (e *endpoint) batchResults(ids []dispatch.MessageID, refusals map[dispatch.MessageID]string, defaultResult string) string {
 	var b strings.Builder
 	for _, id := range ids {
 		result := refusals[id]
 		if result == "" {
-			result = otherwise
+			result = defaultResult
 		}
 		fmt.Fprintf(&b, "%s %s\r\n", id, result)
 	}
--- a/testbed/environment/environment.go
+++ b/testbed/environment/environment.go
@@ -1,7 +1,7 @@
-// Package environment emulates the surroundings of the couriers on loopback sockets: endpoints that use the same models as in
-// virtual time, the directory, and the receiver of notices. Each courier has its own directory, so that the ledger can record what
-// the courier was notified of. The courier that makes a call is known from the messages in the call, as each message is submitted
-// to one courier.
+// Package environment emulates the surroundings of the couriers on loopback sockets: endpoints that use the same models as the
+// simulation in virtual time, the directory, and the receiver of notices. Each courier has its own directory, so that the ledger
+// can record what the courier was notified of. An endpoint derives the courier of a call from the messages in the call, as each
+// message is submitted to one courier.
 package environment
 
 import (
@@ -45,9 +45,9 @@
 	Day    *scenario.Drawn
 	Ledger *invariants.Ledger
 	Clock  Clock
-	// Noticed is called for each notice that ends a message. again is the time after which the client may submit a rejected
+	// Noticed is called for each notice that ends a message. retryAfter is the time after which the client may submit a rejected
 	// message again.
-	Noticed func(id dispatch.MessageID, how invariants.End, again time.Duration)
+	Noticed func(id dispatch.MessageID, end invariants.End, retryAfter time.Duration)
 
 	// Guests allows messages that were not announced by Expect, for clients that are not part of the testbed. Such a message is
 	// treated as one of the first class that was submitted to courier 0.
@@ -59,7 +59,7 @@
 	destinations  []*destination
 	endpoints     map[dispatch.EndpointID]*endpoint
 	messages      map[dispatch.MessageID]*Message
-	callsInFlight []int // calls without an answer, per courier
+	callsInFlight []int // calls without an answer, per courier; at most Drawn.Slots
 	directories   []*directory
 	closed        bool
 	timers        []*time.Timer
@@ -80,16 +80,17 @@
 	pendingCalls map[uint64]chan endpointmodel.Answer
 }
 
-// Open starts the environment of a scenario. Its events occur only after Begin.
+// Open starts the environment of a scenario. The events of the scenario occur only after Begin. The random numbers come from stream 99,
+// which scenario.Draw does not use.
 func Open(instance *scenario.Drawn, logger *slog.Logger) (*World, error) {
 	w := &World{Day: instance, log: logger, rng: rand.New(rand.NewPCG(uint64(instance.Seed), 99)), endpoints: map[dispatch.EndpointID]*endpoint{},
 		messages: map[dispatch.MessageID]*Message{}, callsInFlight: make([]int, instance.Day.Fleet.Couriers), Clock: Clock{time.Now()}}
 	for i := range instance.Destinations {
-		s := &destination{world: w, id: i, model: endpointmodel.New(instance.Destinations[i].Plan), dueAt: endpointmodel.Never,
+		d := &destination{world: w, id: i, model: endpointmodel.New(instance.Destinations[i].Plan), dueAt: endpointmodel.Never,
 			pendingCalls: map[uint64]chan endpointmodel.Answer{}}
-		w.destinations = append(w.destinations, s)
+		w.destinations = append(w.destinations, d)
 		for _, e := range instance.Destinations[i].Endpoints {
-			if _, err := w.addEndpoint(s, e, ""); err != nil {
+			if _, err := w.addEndpoint(d, e, ""); err != nil {
 				w.Close()
 				return nil, err
 			}
@@ -107,7 +108,7 @@
 }
 
 // Begin starts the run: its clock starts, and the events of the scenario occur at their times. Each event is first passed to onEvent, which
-// has to carry out the events that concern couriers.
+// has to kill, stop, start and pause the couriers.
 func (w *World) Begin(ledger *invariants.Ledger, onEvent func(scenario.Act)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -119,17 +120,17 @@
 
 func (w *World) applyEvent(a scenario.Act, onEvent func(scenario.Act)) {
 	onEvent(a)
-	var s *destination
+	var d *destination
 	if a.Kind <= scenario.Removes {
-		s = w.destinations[a.Dest]
+		d = w.destinations[a.Dest]
 	}
 	switch a.Kind {
 	case scenario.Begins:
-		s.update(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
+		d.update(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
 			return p.Inject(now, a.Endpoint.ID, a.Fault)
 		})
 	case scenario.Ends:
-		s.update(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
+		d.update(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
 			return p.Heal(now, a.Endpoint.ID, a.Fault.ID)
 		})
 	case scenario.Adds:
@@ -137,18 +138,18 @@
 		if old := w.endpoint(a.Address); old != nil {
 			address = old.address
 		}
-		s.update(func(p *endpointmodel.Partner, _ dispatch.Micros) []endpointmodel.Output {
+		d.update(func(p *endpointmodel.Partner, _ dispatch.Micros) []endpointmodel.Output {
 			p.Add(a.Endpoint)
 			return nil
 		})
-		if _, err := w.addEndpoint(s, a.Endpoint, address); err != nil {
+		if _, err := w.addEndpoint(d, a.Endpoint, address); err != nil {
 			w.log.Warn("endpoint not started", "endpoint", a.Endpoint.ID, "error", err)
 		}
 		w.publish(a.Dest, a.Endpoint, dispatch.InService)
 	case scenario.Drains:
 		w.publish(a.Dest, a.Endpoint, dispatch.Draining)
 	case scenario.Removes:
-		s.update(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
+		d.update(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
 			return p.Remove(now, a.Endpoint.ID)
 		})
 		w.publish(a.Dest, a.Endpoint, dispatch.Removed)
@@ -157,8 +158,8 @@
 			d.setDown(a.Kind == scenario.ListDown)
 		}
 	}
-	if s != nil {
-		s.updateListeners()
+	if d != nil {
+		d.updateListeners()
 	}
 }
 
@@ -186,7 +187,7 @@
 	w.messages[id] = &r
 }
 
-// Drop marks a message as ended, so that further attempts of it are answered as expired.
+// Drop marks a message as ended, so that further attempts of it get the answer that it has expired.
 func (w *World) Drop(id dispatch.MessageID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -195,7 +196,7 @@
 	}
 }
 
-// Busiest returns the largest number of connections that all endpoints together had open at a time.
+// Busiest returns the largest number of connections that all endpoints together had open at the same time.
 func (w *World) Busiest() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -219,12 +220,12 @@
 	}
 	endpoints := slices.Collect(maps.Values(w.endpoints))
 	w.mu.Unlock()
-	for _, s := range w.destinations {
-		s.mu.Lock()
-		if s.timer != nil {
-			s.timer.Stop()
+	for _, d := range w.destinations {
+		d.mu.Lock()
+		if d.timer != nil {
+			d.timer.Stop()
 		}
-		s.mu.Unlock()
+		d.mu.Unlock()
 	}
 	for _, e := range endpoints {
 		e.close()
@@ -247,46 +248,46 @@
 }
 
 // update calls a method of the model, schedules the next step of the model, records the outputs and passes on the answers.
-func (s *destination) update(action func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output) {
-	s.mu.Lock()
-	now := s.world.Clock.Now()
-	outputs := action(s.model, now)
-	due := s.model.Due()
-	if due < s.dueAt {
-		s.dueAt = due
-		if s.timer != nil {
-			s.timer.Stop()
+func (d *destination) update(action func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output) {
+	d.mu.Lock()
+	now := d.world.Clock.Now()
+	outputs := action(d.model, now)
+	due := d.model.Due()
+	if due < d.dueAt {
+		d.dueAt = due
+		if d.timer != nil {
+			d.timer.Stop()
 		}
-		s.timer = s.world.Clock.After(due, s.step)
+		d.timer = d.world.Clock.After(due, d.step)
 	}
 	var answers []func()
 	for _, o := range outputs {
 		if a, ok := o.(endpointmodel.Answer); ok {
-			if ch := s.pendingCalls[a.Call.ID]; ch != nil {
-				delete(s.pendingCalls, a.Call.ID)
+			if ch := d.pendingCalls[a.Call.ID]; ch != nil {
+				delete(d.pendingCalls, a.Call.ID)
 				answers = append(answers, func() { ch <- a })
 			}
 		}
 	}
-	s.mu.Unlock()
+	d.mu.Unlock()
 	for _, o := range outputs {
-		s.record(now, o)
+		d.record(now, o)
 	}
 	for _, answer := range answers {
 		answer()
 	}
 }
 
-func (s *destination) step() {
-	s.mu.Lock()
-	s.dueAt = endpointmodel.Never
-	s.mu.Unlock()
-	s.update(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output { return p.Step(now) })
-	s.updateListeners()
+func (d *destination) step() {
+	d.mu.Lock()
+	d.dueAt = endpointmodel.Never
+	d.mu.Unlock()
+	d.update(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output { return p.Step(now) })
+	d.updateListeners()
 }
 
-func (s *destination) record(now dispatch.Micros, o endpointmodel.Output) {
-	ledger := s.world.Ledger
+func (d *destination) record(now dispatch.Micros, o endpointmodel.Output) {
+	ledger := d.world.Ledger
 	if ledger == nil {
 		return
 	}
@@ -294,21 +295,21 @@
 	case endpointmodel.Ran:
 		ledger.Ran(now, o.Item.Message, o.Endpoint, o.Before, o.Known)
 	case endpointmodel.Fell:
-		ledger.Fell(now, dispatch.DestinationID(s.id), o.Route, o.Sent)
+		ledger.Fell(now, dispatch.DestinationID(d.id), o.Route, o.Sent)
 	case endpointmodel.Turned:
-		ledger.Turned(now, dispatch.DestinationID(s.id), o.Route, o.Phase == endpointmodel.Out)
+		ledger.Turned(now, dispatch.DestinationID(d.id), o.Route, o.Phase == endpointmodel.Out)
 	}
 }
 
-func (s *destination) updateListeners() {
-	s.world.mu.Lock()
+func (d *destination) updateListeners() {
+	d.world.mu.Lock()
 	var all []*endpoint
-	for _, e := range s.world.endpoints {
-		if e.destination == s {
+	for _, e := range d.world.endpoints {
+		if e.destination == d {
 			all = append(all, e)
 		}
 	}
-	s.world.mu.Unlock()
+	d.world.mu.Unlock()
 	for _, e := range all {
 		e.updateListener()
 	}
--- a/testbed/invariants/invariants.go
+++ b/testbed/invariants/invariants.go
@@ -1,6 +1,6 @@
 // Package invariants checks the run of a scenario by its externally visible events: which messages were submitted, sent,
-// answered and reported, and which took effect. It accounts for the value of the messages and checks each courier against the
-// six rules. The other parts of the testbed do not decide whether a run succeeded. The package does not know whether the time of
+// answered and named in notices, and which took effect. It accounts for the value of the messages and checks each courier against the
+// rules that Rules returns. The other parts of the testbed do not decide whether a run succeeded. The package does not know whether the time of
 // the run was virtual or real, or how the couriers made their decisions.
 package invariants
 
@@ -30,26 +30,26 @@
 	Tenants         []string
 	Quotas          []float64 // messages per second that each tenant may send at full value; 0: unlimited
 	OverQuotaFactor float64
-	HalvingDecay    bool // late messages lose half of their value per latency objective; otherwise the value falls linearly until the deadline
+	HalvingDecay    bool // the value halves with each further latency objective, down to LatePart; otherwise it falls linearly until the deadline
 	Length          dispatch.Micros
 	AnswerSlack     dispatch.Micros
 	DrainGrace      dispatch.Micros
-	KeyHold         dispatch.Micros
-	Goal            Weights
+	KeyCooldown     dispatch.Micros
+	ScoreWeights    Weights
 	Prices          Prices
 	// Leeway is the tolerance for an event that two processes record at different times; 0 in virtual time.
 	Leeway dispatch.Micros
-	// WaitFrom is how long after a Retry-After time was sent calls are allowed, because the courier may have sent them before
-	// it received the Retry-After time; 0 in virtual time.
+	// WaitFrom is the period after the sending of a Retry-After time in which calls are still allowed, because the courier may
+	// have sent them before it received the Retry-After time; 0 in virtual time.
 	WaitFrom dispatch.Micros
-	// Time after the restart of a courier in which no answer counts as overdue.
-	Excused dispatch.Micros
+	Excused  dispatch.Micros // period after the restart of a courier in which no answer counts as overdue
 }
 
 // Weights are the weights of the parts of the score.
 type Weights struct{ Whole, Window, WorstClass, WorstTenant float64 }
 
-// Prices are deducted from the score. Each price is multiplied by the number of its events per offered message.
+// Prices are deducted from the score: for wasted attempts, new connections and throttled attempts. Each price is multiplied by the
+// number of such events per offered message.
 type Prices struct{ Waste, Handshake, Refused float64 }
 
 // Place identifies the endpoint to which a call is sent, and its route.
@@ -74,7 +74,7 @@
 	Delivered
 	Rejected
 	Failed
-	Dropped   // lost with a killed courier that held it only in memory, or given up by its client before a courier accepted it
+	Dropped   // no courier holds it: it was lost with a killed courier, or its client gave up before a courier accepted it
 	Withdrawn // canceled by its client
 )
 
@@ -95,21 +95,21 @@
 }
 
 type message struct {
-	id                dispatch.MessageID
-	origin            *origin
-	class             *Class
-	courier           int
-	key               dispatch.OrderingKey
-	deadline          dispatch.Micros
-	acceptedAt        dispatch.Micros
-	attempts          []*attempt
-	end               End
-	endAt             dispatch.Micros
-	mayHaveRun        bool
-	firstRunAt        dispatch.Micros
-	firstRunZone      dispatch.ZoneID
-	openAttempts      int
-	answerMayBeUnread bool // its answer was on the way to a courier that was killed and may not have read it
+	id                 dispatch.MessageID
+	origin             *origin
+	class              *Class
+	courier            int
+	key                dispatch.OrderingKey
+	deadline           dispatch.Micros
+	acceptedAt         dispatch.Micros
+	attempts           []*attempt
+	end                End
+	endAt              dispatch.Micros
+	mayHaveEffect      bool
+	possibleEffectAt   dispatch.Micros // when the first attempt that may have taken effect was sent
+	possibleEffectZone dispatch.ZoneID // zone of the endpoint of that attempt
+	openAttempts       int
+	answerMayBeUnread  bool // its answer was on the way to a courier that was killed, and may be unread
 }
 
 type attempt struct {
@@ -125,8 +125,8 @@
 }
 
 type keyQueue struct {
-	messages  []*message
-	holdUntil dispatch.Micros
+	messages      []*message
+	cooldownUntil dispatch.Micros
 }
 
 type notifiedKey struct {
@@ -151,8 +151,8 @@
 	observers map[int]bool // couriers that had an attempt fail during the outage
 }
 
-// Ledger records the events of a run and checks them. Its methods may be called concurrently. Consecutive calls should have
-// nearly increasing times.
+// Ledger records the events of a run and checks them. Its methods may be called concurrently. Events should be recorded
+// in the order of their times, except for differences as small as Setup.Leeway.
 type Ledger struct {
 	mu           sync.Mutex
 	setup        Setup
@@ -201,7 +201,7 @@
 }
 
 // takeQuota reports whether a message is within the quota of its tenant, and deducts it from the quota if so. At most the quota
-// of two seconds accumulates.
+// of two seconds and one message accumulates.
 func (l *Ledger) takeQuota(at dispatch.Micros, tenant int) bool {
 	if tenant >= len(l.quotas) || l.setup.Quotas[tenant] <= 0 {
 		return true
@@ -217,7 +217,7 @@
 }
 
 // Taken records that a courier accepted a message and from now on must give it a final answer.
-func (l *Ledger) Taken(at dispatch.Micros, id, originID dispatch.MessageID, courier int, key dispatch.OrderingKey, cutOff dispatch.Micros) {
+func (l *Ledger) Taken(at dispatch.Micros, id, originID dispatch.MessageID, courier int, key dispatch.OrderingKey, deadline dispatch.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	o := l.origins[originID]
@@ -225,7 +225,7 @@
 		l.breach(Final, at, "courier %d accepted %s, which no client had offered", courier, originID)
 		return
 	}
-	r := &message{id: id, origin: o, class: &l.setup.Classes[o.class], courier: courier, key: key, deadline: cutOff, acceptedAt: at}
+	r := &message{id: id, origin: o, class: &l.setup.Classes[o.class], courier: courier, key: key, deadline: deadline, acceptedAt: at}
 	l.messages[id] = r
 	l.messageOrder = append(l.messageOrder, r)
 	l.counts.Taken++
@@ -240,7 +240,7 @@
 }
 
 // Sent records that a courier started an attempt of a message, and returns the number of the attempt.
-func (l *Ledger) Sent(at dispatch.Micros, id dispatch.MessageID, p Place) (no int) {
+func (l *Ledger) Sent(at dispatch.Micros, id dispatch.MessageID, p Place) (number int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.messages[id]
@@ -249,31 +249,31 @@
 		return -1
 	}
 	l.counts.Attempts++
-	l.series.countCall(at, p.Dest)
+	l.series.countAttempt(at, p.Dest)
 	l.checkSend(at, r, p)
 	r.attempts = append(r.attempts, &attempt{target: p, sent: at})
 	r.openAttempts++
 	return len(r.attempts) - 1
 }
 
-// Settled records the outcome of an attempt, or that the courier stopped waiting for it. retryAfter is the Retry-After time of the
-// answer; 0: none.
-func (l *Ledger) Settled(at dispatch.Micros, id dispatch.MessageID, no int, o dispatch.Outcome, retryAfter dispatch.Micros) {
+// Settled records the outcome of an attempt. The attempt ends with its answer, or when the courier stops waiting for the answer.
+// retryAfter is the Retry-After time of the answer; 0: none.
+func (l *Ledger) Settled(at dispatch.Micros, id dispatch.MessageID, number int, o dispatch.Outcome, retryAfter dispatch.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.messages[id]
-	if r == nil || no < 0 || no >= len(r.attempts) || r.attempts[no].ended {
+	if r == nil || number < 0 || number >= len(r.attempts) || r.attempts[number].ended {
 		return
 	}
-	t := r.attempts[no]
+	t := r.attempts[number]
 	t.ended, t.outcome = true, o
 	r.openAttempts--
 	rk := routeKey{t.target.Dest, t.target.Route}
 	l.series.countOutcome(at, t.target.Dest, o)
 	l.counts.countOutcome(o)
-	mayRun := o != dispatch.Throttled && o != dispatch.Unreachable && o != dispatch.Unprocessed
-	if mayRun && !r.mayHaveRun {
-		r.mayHaveRun, r.firstRunAt, r.firstRunZone = true, t.sent, t.target.Zone
+	mayHaveEffect := o != dispatch.Throttled && o != dispatch.Unreachable && o != dispatch.Unprocessed
+	if mayHaveEffect && !r.mayHaveEffect {
+		r.mayHaveEffect, r.possibleEffectAt, r.possibleEffectZone = true, t.sent, t.target.Zone
 	}
 	if retryAfter > 0 {
 		k := waitKey{r.courier, rk}
@@ -291,7 +291,7 @@
 	}
 	if r.class.InOrder && r.key != "" && (o == dispatch.TimedOut || o == dispatch.Broken || o == dispatch.Canceled) {
 		queue := l.keyQueues[keyQueueID{r.courier, r.key}]
-		queue.holdUntil = max(queue.holdUntil, at+l.setup.KeyHold)
+		queue.cooldownUntil = max(queue.cooldownUntil, at+l.setup.KeyCooldown)
 	}
 	if o == dispatch.Delivered {
 		_, dead := l.killed[r.courier]
@@ -388,11 +388,11 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.messages[id]
-	return r != nil && (r.mayHaveRun || r.openAttempts > 0)
+	return r != nil && (r.mayHaveEffect || r.openAttempts > 0)
 }
 
-// Ran records an effect of a message. earlier is the number of its earlier effects, and deduplicated is set if the destination
-// recognized a repeat, which then had no effect.
+// Ran records that an endpoint processed a message. earlier is the number of earlier effects of the message. deduplicated is set if
+// the destination recognized a repeat, which then had no further effect.
 func (l *Ledger) Ran(at dispatch.Micros, id dispatch.MessageID, endpoint dispatch.EndpointID, earlier int, deduplicated bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -421,8 +421,9 @@
 	}
 }
 
-// Down records that a courier stops running, until Back. If losesMessages is set, the messages that it holds are lost. If
-// losesLearned is set, its learned state is lost too, so that it need not know about the current outages.
+// Down records that a courier has stopped; Back records that it serves again. If losesMessages is set, the courier loses the messages
+// that it holds and the notifications about endpoints. If losesLearned is set, it loses its learned state, so that it no longer
+// counts as an observer of the current outages.
 func (l *Ledger) Down(at dispatch.Micros, courier int, losesMessages, losesLearned bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -458,8 +459,8 @@
 	}
 }
 
-// Killed records that a courier was killed. It may not have read an answer that was on its way to it, so the message of that
-// answer may be sent again, if its class allows that.
+// Killed records that a courier was killed. An answer on its way to the courier may be unread, so its message may be sent again, as
+// far as its class allows that.
 func (l *Ledger) Killed(at dispatch.Micros, courier int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -504,7 +505,8 @@
 	}
 }
 
-// Fell records that a recovering route was overloaded. sent holds the number of calls from each courier.
+// Fell records that a recovering route was overloaded. sent holds the number of calls from each courier. The overload breaks a rule if
+// at least two thirds of the calls came from couriers that had observed the outage.
 func (l *Ledger) Fell(at dispatch.Micros, dest dispatch.DestinationID, route int, sent map[int]float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -529,7 +531,7 @@
 	l.counts.Handshakes++
 }
 
-// Crashed records that a courier exited unexpectedly, failed in its decisions, or sent an invalid call.
+// Crashed records that a courier exited unexpectedly, its dispatcher failed, or it sent an invalid call.
 func (l *Ledger) Crashed(at dispatch.Micros, courier int, reason string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/testbed/invariants/leases.go
+++ b/testbed/invariants/leases.go
@@ -6,9 +6,9 @@
 	"pineport/dispatch"
 )
 
-// Leases checks the quota leases between couriers by the statuses that the couriers report. A lessee may use only a lease that its lessor
-// has granted, and must stop using it before the lessor uses that quota itself again. Reading a status takes time, so two observations are
-// compared only if one ended before the other began.
+// Leases checks the quota leases between couriers from the statuses that the couriers report. A courier may grant at most half of its base
+// quota. A lessee may use only a lease that its lessor has granted, and must stop using it before the lessor uses that quota itself again.
+// Reading a status takes time, so two observations are compared only if one ended before the other began.
 type Leases struct {
 	leases       map[uint64]*leaseState
 	incarnations map[string]uint64
@@ -19,7 +19,7 @@
 
 type leaseState struct {
 	lessor      string
-	incarnation uint64          // incarnation of the lessor when the lease was first observed; 0: unknown
+	incarnation uint64          // incarnation of the lessor in the latest observation that concerns the lease; 0: unknown
 	usedAt      dispatch.Micros // end of the first observation of the lessee that shows the lease; 0: none
 	missingAt   dispatch.Micros // end of the first later observation of the lessor that does not show the lease; 0: none
 }
@@ -63,7 +63,7 @@
 	for id, s := range l.leases { // the order does not matter, as each lease is checked separately
 		switch {
 		case s.lessor != observation.Name || granted[id] || s.usedAt == 0 || s.usedAt > observation.From:
-		case s.incarnation != 0 && s.incarnation != observation.Start: // the lessor has restarted and reserves the leased quota
+		case s.incarnation != 0 && s.incarnation != observation.Start: // a restarted lessor neither lists its earlier leases nor uses their quota
 		case s.missingAt == 0:
 			s.missingAt, s.incarnation = observation.To, observation.Start
 		}
--- a/testbed/invariants/rules.go
+++ b/testbed/invariants/rules.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// checkSend checks an attempt against the rules on final answers, effects, drains, waits and order.
+// checkSend checks an attempt against the rules on final answers, effects, drains, Retry-After times and order.
 func (l *Ledger) checkSend(at dispatch.Micros, r *message, p Place) {
 	if r.end != Open && r.end != Dropped && !r.answerMayBeUnread && at > r.endAt+l.setup.Leeway {
 		l.breach(Final, at, "%s was sent to %s after it was %s at %s", r.id, p.Endpoint, r.end, seconds(r.endAt))
@@ -74,32 +74,34 @@
 	if r.class.Repeat == dispatch.Idempotent || len(r.attempts) == 0 {
 		return
 	}
-	mayHaveRun, firstRunAt, zone := r.mayHaveRun, r.firstRunAt, r.firstRunZone
+	mayHaveEffect, effectAt, zone := r.mayHaveEffect, r.possibleEffectAt, r.possibleEffectZone
 	for _, t := range r.attempts {
-		if !t.ended && (!mayHaveRun || t.sent < firstRunAt) {
-			mayHaveRun, firstRunAt, zone = true, t.sent, t.target.Zone
+		if !t.ended && (!mayHaveEffect || t.sent < effectAt) {
+			mayHaveEffect, effectAt, zone = true, t.sent, t.target.Zone
 		}
 	}
 	switch {
-	case !mayHaveRun:
+	case !mayHaveEffect:
 	case r.class.Repeat == dispatch.AtMostOnce:
 		l.breach(Twice, at, "at-most-once message %s was sent to %s although an earlier attempt may have taken effect", r.id, p.Endpoint)
-	case at > firstRunAt+r.class.Window+l.setup.Leeway:
+	case at > effectAt+r.class.Window+l.setup.Leeway:
 		l.breach(Twice, at, "message %s with an idempotency key was sent to %s after its deduplication window of %s", r.id, p.Endpoint, seconds(r.class.Window))
 	case r.class.OneZone && p.Zone != zone:
 		l.breach(Twice, at, "message %s with an idempotency key was sent to %s, which does not recognize the repeat", r.id, p.Endpoint)
 	}
 }
 
-// checkReject checks a rejection. It tells the client that the message can be submitted again without a second effect.
+// checkReject checks a rejection. A rejection tells the client that it can submit the message again without the risk of a second effect. If
+// the message may have taken effect, that holds only if it is idempotent, or if endpoints of all zones recognize its idempotency key.
 func (l *Ledger) checkReject(at dispatch.Micros, r *message) {
-	mayHaveRun := r.mayHaveRun || r.openAttempts > 0
-	if mayHaveRun && (r.class.Repeat == dispatch.AtMostOnce || r.class.Repeat == dispatch.IdempotencyKey && r.class.OneZone) {
+	mayHaveEffect := r.mayHaveEffect || r.openAttempts > 0
+	if mayHaveEffect && (r.class.Repeat == dispatch.AtMostOnce || r.class.Repeat == dispatch.IdempotencyKey && r.class.OneZone) {
 		l.breach(Twice, at, "%s was rejected although an attempt may have taken effect", r.id)
 	}
 }
 
-// checkOrder checks that a message is not sent before all earlier messages with its ordering key have ended.
+// checkOrder checks that a message is not sent before all earlier messages with its ordering key have ended, and not for the first time
+// during the cooldown of the key, which follows an attempt that may still be running.
 func (l *Ledger) checkOrder(at dispatch.Micros, r *message) {
 	queue := l.keyQueues[keyQueueID{r.courier, r.key}]
 	queue.messages = slices.DeleteFunc(queue.messages, func(o *message) bool { return o.end != Open && o.openAttempts == 0 })
@@ -107,12 +109,12 @@
 		l.breach(Order, at, "%s was sent out of order: %s with the same ordering key has not ended", r.id, queue.messages[0].id)
 		return
 	}
-	if at < queue.holdUntil-l.setup.Leeway && len(r.attempts) == 0 {
-		l.breach(Order, at, "%s was sent although its ordering key was held until %s", r.id, seconds(queue.holdUntil))
+	if at < queue.cooldownUntil-l.setup.Leeway && len(r.attempts) == 0 {
+		l.breach(Order, at, "%s was sent before the cooldown of its ordering key ended at %s", r.id, seconds(queue.cooldownUntil))
 	}
 }
 
-// checkOverdue checks at the end of the run that all accepted messages got their final answer in time.
+// checkOverdue checks at the end of the run that all accepted messages got their final answer in time, and counts those that got none.
 func (l *Ledger) checkOverdue(end dispatch.Micros) {
 	for _, r := range l.messageOrder {
 		latest := l.excusedUntil(r.courier, r.deadline+l.setup.AnswerSlack+l.setup.Leeway)
@@ -126,7 +128,7 @@
 	}
 }
 
-// excusedUntil returns the earliest time, from a given time on, at which a courier has to answer.
+// excusedUntil returns the given time, or the end of the downtime of the courier that contains it.
 func (l *Ledger) excusedUntil(courier int, at dispatch.Micros) dispatch.Micros {
 	for _, d := range l.downtimes[courier] {
 		if at >= d.from && at < d.to {
--- a/testbed/invariants/series.go
+++ b/testbed/invariants/series.go
@@ -6,7 +6,7 @@
 	"pineport/dispatch"
 )
 
-// Bin is the time span of one value in a series.
+// Bin is the length of the interval of one value in a series.
 const Bin = dispatch.Micros(500 * 1000)
 
 // Series holds the totals of a run over time, in bins of half a second.
@@ -22,7 +22,7 @@
 	Offered                   []float64
 	Calls, Done, Full, Failed []float64
 	Outages                   [][2]float64 // start and end of each outage, in seconds
-	routesOut                 int
+	routesWithOutage          int
 }
 
 type series struct {
@@ -59,7 +59,7 @@
 	return d
 }
 
-func (s *series) countCall(at dispatch.Micros, id dispatch.DestinationID) {
+func (s *series) countAttempt(at dispatch.Micros, id dispatch.DestinationID) {
 	d := s.dest(id)
 	d.Calls = addToBin(d.Calls, at, 1)
 }
@@ -81,11 +81,11 @@
 	d := s.dest(id)
 	switch {
 	case on:
-		if d.routesOut++; d.routesOut == 1 {
+		if d.routesWithOutage++; d.routesWithOutage == 1 {
 			d.Outages = append(d.Outages, [2]float64{float64(at) / 1e6, -1})
 		}
 	default:
-		if d.routesOut--; d.routesOut == 0 {
+		if d.routesWithOutage--; d.routesWithOutage == 0 {
 			d.Outages[len(d.Outages)-1][1] = float64(at) / 1e6
 		}
 	}
--- a/testbed/invariants/verdict.go
+++ b/testbed/invariants/verdict.go
@@ -13,23 +13,23 @@
 // Counts are the numbers of events in a run.
 type Counts struct {
 	Offered     int `json:"offered"` // messages, without repeated submissions
-	Taken       int `json:"taken"`
+	Taken       int `json:"taken"`   // accepted messages, including repeated submissions
 	Done        int `json:"done"`
 	Rejected    int `json:"bounced"`
 	Failed      int `json:"terminated"`
-	Lost        int `json:"lost"`
+	Lost        int `json:"lost"` // messages that got no final answer
 	Attempts    int `json:"trips"`
 	Full        int `json:"full"`
 	Failures    int `json:"failures"`
 	TimedOut    int `json:"timed_out"`
 	Unreachable int `json:"unreachable"`
 	Broken      int `json:"broken"`
-	Withdrawn   int `json:"withdrawn"`
+	Withdrawn   int `json:"withdrawn"` // canceled attempts
 	Unprocessed int `json:"void"`
 	Handshakes  int `json:"handshakes"`
 	Effects     int `json:"effects"`
-	Repeats     int `json:"repeats"` // effects after the first one of a message that the destination did not recognize as repeats
-	Falls       int `json:"falls"`
+	Repeats     int `json:"repeats"` // further effects of messages whose repeats the destination did not recognize
+	Falls       int `json:"falls"`   // overloads of recovering routes
 }
 
 func (c *Counts) countOutcome(o dispatch.Outcome) {
@@ -53,10 +53,10 @@
 
 // Verdict is the result of a run.
 type Verdict struct {
-	Figure       float64            `json:"figure"` // 0 if a rule was broken
-	Service      float64            `json:"service"`
-	Whole        float64            `json:"whole"`
-	Window       float64            `json:"worst_window"`
+	Figure       float64            `json:"figure"`       // 0 if a rule was broken
+	Service      float64            `json:"service"`      // weighted mean of the earned shares: whole run, worst window, worst class, worst tenant
+	Whole        float64            `json:"whole"`        // share of the offered value that was earned in the run
+	Window       float64            `json:"worst_window"` // the same share in the worst 10 s
 	WindowAt     float64            `json:"worst_window_at_s"`
 	Class        map[string]float64 `json:"workloads"`
 	TenantShares map[string]float64 `json:"parties,omitempty"`
@@ -113,6 +113,7 @@
 	v.Whole, v.Window = overall.share(), overall.share()
 	for i := 0; i+1 < len(halves); i++ {
 		pair := valueSum{halves[i].offered + halves[i+1].offered, halves[i].earned + halves[i+1].earned}
+		// Windows with less than 5 % of the average offered value are not considered.
 		if s := pair.share(); s < v.Window && pair.offered > 0.05*overall.offered*worstWindowSpan/float64(max(worstWindowSpan, l.setup.Length)) {
 			v.Window, v.WindowAt = s, float64(i)*half/1e6
 		}
@@ -132,10 +133,10 @@
 	}
 	worstClass := lowestShare(func(i int) string { return l.setup.Classes[i].Name }, classes, v.Class)
 	worstTenant := lowestShare(func(i int) string { return l.setup.Tenants[i] }, tenants, v.TenantShares)
-	g := l.setup.Goal
+	g := l.setup.ScoreWeights
 	v.Service = (g.Whole*v.Whole + g.Window*v.Window + g.WorstClass*worstClass + g.WorstTenant*worstTenant) / (g.Whole + g.Window + g.WorstClass + g.WorstTenant)
 	offered, p := float64(max(1, l.counts.Offered)), l.setup.Prices
-	wasted := float64(max(0, l.counts.Attempts-l.counts.Unprocessed-l.counts.Done))
+	wasted := float64(max(0, l.counts.Attempts-l.counts.Unprocessed-l.counts.Done)) // attempts without a delivery
 	v.Costs = (p.Waste*wasted + p.Handshake*float64(l.counts.Handshakes) + p.Refused*float64(l.counts.Full)) / offered
 	v.Figure = v.Service - v.Costs
 	for _, r := range Rules() {
--- a/testbed/scenario/draw.go
+++ b/testbed/scenario/draw.go
@@ -11,7 +11,7 @@
 	"pineport/testbed/endpointmodel"
 )
 
-// Drawn is a scenario with all values drawn: everything that the file and a seed determine.
+// Drawn is an instance of a scenario: everything that the file and a seed determine.
 type Drawn struct {
 	Day          *Day
 	Seed         int64
@@ -21,17 +21,17 @@
 	Destinations []Destination
 	Arrivals     []Arrival // sorted by time
 	Acts         []Act     // sorted by time
-	Slots, Hold  int       // per courier
+	Slots, Hold  int       // per courier: maximum numbers of calls in flight and of open messages
 	CourierZone  []dispatch.ZoneID
 }
 
 // Destination is a destination and its traffic.
 type Destination struct {
 	endpointmodel.Plan
-	KindName   string
-	UsualRate  float64 // messages per second at full load
-	ListedRate float64 // limit of a route in the endpoint list; 0: not listed
-	Tenant     int     // tenant that sends the messages to the destination; -1: none
+	KindName     string
+	FullLoadRate float64 // messages per second at full load
+	ListedRate   float64 // limit of a route in the endpoint list; 0: not listed
+	Tenant       int     // tenant that sends the messages to the destination; -1: none
 }
 
 // Arrival is the first submission of a message.
@@ -47,7 +47,7 @@
 // ActKind is the kind of an Act.
 type ActKind int
 
-// The kinds of events.
+// The kinds of events. World.Begin of the package environment relies on the order: the kinds up to Removes concern an endpoint.
 const (
 	Begins     ActKind = iota // a fault of an endpoint starts
 	Ends                      // a fault of an endpoint ends
@@ -60,7 +60,7 @@
 	Stands                    // a courier is paused for Span
 	ListDown                  // the directory stops answering
 	ListUp                    // the directory answers again
-	Annotation                // no effect but a line in the report: a flood started or ended
+	Annotation                // only adds a line to the report: a flood started or ended
 )
 
 // Act is one event of a run that is not caused by a client or a courier.
@@ -79,8 +79,8 @@
 
 func micros(seconds float64) dispatch.Micros { return dispatch.Micros(math.Round(seconds * 1e6)) }
 
-// newRand returns the random number generator for one part of the drawing. Each part has its own, so that a change in one part does
-// not affect the values of the others.
+// newRand returns the random number generator for one part of the drawing: 1 load, 2 destinations, 3 faults, 4 arrivals, 9 distribution
+// over couriers. Each part has its own generator, so that a change in one part does not affect the values of the others.
 func newRand(seed int64, part uint64) *rand.Rand { return rand.New(rand.NewPCG(uint64(seed), part)) }
 
 func (r Range) draw(rng *rand.Rand) float64 { return r[0] + (r[1]-r[0])*rng.Float64() }
@@ -134,7 +134,7 @@
 	assigned := make([]float64, len(d.Tenants))
 	for i, usual := range share {
 		kind := d.Kinds[kinds[i]]
-		dst := Destination{KindName: kind.Name, UsualRate: usual * d.Traffic.FullPerSec, Tenant: -1}
+		dst := Destination{KindName: kind.Name, FullLoadRate: usual * d.Traffic.FullPerSec, Tenant: -1}
 		if len(order) > 0 { // assign it to the tenant with the least traffic relative to its quota
 			dst.Tenant = slices.MinFunc(order, func(a, b int) int { return cmp.Compare(assigned[a], assigned[b]) })
 			assigned[dst.Tenant] += usual / max(1e-9, d.Tenants[dst.Tenant].Share)
@@ -187,10 +187,10 @@
 	d := w.Day
 	endpoints := int(math.Round(k.Endpoints.draw(rng)))
 	serviceTime := k.Answer.drawLog(rng) / 1000
-	limit := max(k.MinLimit.draw(rng), dst.UsualRate*k.LimitFactor.draw(rng))
+	limit := max(k.MinLimit.draw(rng), dst.FullLoadRate*k.LimitFactor.draw(rng))
 	perEndpoint := limit * k.CapacityFactor.draw(rng) / float64(endpoints)
 	workers := max(1, math.Ceil(perEndpoint*serviceTime))
-	serviceTime = workers / perEndpoint // so that the capacity of the whole number of workers is exactly perEndpoint
+	serviceTime = workers / perEndpoint // makes the capacity exactly perEndpoint, although the number of workers is an integer
 	if serviceTime > k.Answer[1]/1000 {
 		serviceTime = k.Answer[1] / 1000
 	}
@@ -205,12 +205,12 @@
 		perRoute /= float64(endpoints)
 	}
 	p.Limit = endpointmodel.Limit{PerSec: perRoute, Span: micros(k.LimitWindow / 1000), RetryAfterShare: k.RetryAfterShare.draw(rng),
-		MinRetryAfter: micros(k.Wait.draw(rng) / 1000), CountRefused: rng.Float64() < k.CountRefusedShare}
+		MinRetryAfter: micros(k.Wait.draw(rng) / 1000), CountThrottled: rng.Float64() < k.CountThrottledShare}
 	switch k.LimitKinds[rng.IntN(len(k.LimitKinds))] {
 	case "rate":
-		p.Limit.Kind = endpointmodel.Rate
+		p.Limit.Kind = endpointmodel.RateLimit
 	case "window":
-		p.Limit.Kind = endpointmodel.Window
+		p.Limit.Kind = endpointmodel.WindowLimit
 	}
 	if k.Connections[1] > 0 {
 		p.Connections = max(k.MinConnections, int(math.Ceil(k.Connections.draw(rng)*workers)))
@@ -236,7 +236,7 @@
 	d := w.Day
 	busy := 0.0
 	for _, dst := range w.Destinations {
-		busy += dst.UsualRate * (float64(dst.Answer)/1e6 + d.Network.Same[1]/1000)
+		busy += dst.FullLoadRate * (float64(dst.Answer)/1e6 + d.Network.Same[1]/1000)
 	}
 	n := float64(d.Fleet.Couriers)
 	w.Slots = max(d.Fleet.MinSlots, int(math.Ceil(d.Fleet.SlotsRoom*busy/n)))
@@ -253,24 +253,25 @@
 	factor   float64
 }
 
-// trafficShares returns the usual traffic of each destination and its sum, in messages per second at full load.
-func (w *Drawn) trafficShares() (share []float64, total float64) {
-	share = make([]float64, len(w.Destinations))
+// trafficRates returns the rate of each destination and the sum of the rates, in messages per second at full load. A rate includes the
+// Usage of the tenant.
+func (w *Drawn) trafficRates() (rates []float64, total float64) {
+	rates = make([]float64, len(w.Destinations))
 	for i, destination := range w.Destinations {
 		usage := 1.0
 		if destination.Tenant >= 0 {
 			usage = w.Day.Tenants[destination.Tenant].Usage
 		}
-		share[i] = destination.UsualRate * usage
-		total += share[i]
+		rates[i] = destination.FullLoadRate * usage
+		total += rates[i]
 	}
-	return share, total
+	return rates, total
 }
 
 func (w *Drawn) drawArrivals(floods []flood) {
 	d, rng := w.Day, newRand(w.Seed, 4)
-	share, total := w.trafficShares()
-	destinations := newPicker(share)
+	rates, total := w.trafficRates()
+	destinations := newPicker(rates)
 	classes := w.classesByKind()
 	burstShare := d.Traffic.Clumps.draw(rng)
 	phase := rng.Float64() * 2 * math.Pi
@@ -314,7 +315,8 @@
 			add(now, dest)
 		}
 	}
-	// A burst has as many messages for one destination as its limit permits in the drawn time, and all arrive within 0.2 s.
+	// The messages of a burst have one destination and arrive within 0.2 s. Their number is the number of calls that the limit of a
+	// route of the destination permits in the drawn time.
 	for left := total * w.Load * burstShare * d.Length; left >= 1; {
 		dest, at := destinations.draw(rng), rng.Float64()*d.Length
 		size := max(1, math.Round(w.Destinations[dest].Limit.PerSec*d.Traffic.BurstSize.draw(rng)))
--- a/testbed/scenario/fault.go
+++ b/testbed/scenario/fault.go
@@ -68,7 +68,7 @@
 		tenant := slices.IndexFunc(s.Day.Tenants, func(p Tenant) bool { return p.Name == t.Target })
 		s.floods = append(s.floods, flood{from, to, tenant, magnitude})
 		s.addEvent(Act{At: from, Kind: Annotation, Text: fmt.Sprintf("%s sends %.1f times its usual traffic", cmp.Or(t.Target, "everybody"), magnitude)})
-		s.addEvent(Act{At: to, Kind: Annotation, Text: "the flood is over"})
+		s.addEvent(Act{At: to, Kind: Annotation, Text: "the flood has ended"})
 	case "directory-down":
 		s.addEvent(Act{At: from, Kind: ListDown})
 		s.addEvent(Act{At: to, Kind: ListUp})
@@ -102,7 +102,9 @@
 	s.addEvent(Act{At: to, Kind: Ends, Dest: e.dest, Endpoint: e.Endpoint, Fault: fault})
 }
 
-// pickEndpoints picks endpoints until they receive the given share of the traffic. It picks all endpoints of a destination, or one.
+// pickEndpoints picks random endpoints until they receive the given share of the traffic. Of a destination, it picks all endpoints in the
+// zone of the fault, if it has one, or a single endpoint, as the probability in the file decides. It skips destinations with more than
+// 1.5 times the remaining traffic.
 func (s *faultScheduler) pickEndpoints(t Trouble) (all []target) {
 	d := s.Day
 	zone := dispatch.ZoneID(-1)
@@ -112,7 +114,7 @@
 	remaining := t.Part * d.Traffic.FullPerSec
 	for _, i := range s.rng.Perm(len(s.Destinations)) {
 		dst := &s.Destinations[i]
-		if t.Target != "" && dst.KindName != t.Target || t.Part < 1 && dst.UsualRate > remaining*1.5 {
+		if t.Target != "" && dst.KindName != t.Target || t.Part < 1 && dst.FullLoadRate > remaining*1.5 {
 			continue
 		}
 		var endpoints []target
@@ -127,7 +129,7 @@
 		if s.rng.Float64() >= t.Whole {
 			endpoints = endpoints[:1]
 		}
-		remaining -= dst.UsualRate * float64(len(endpoints)) / float64(len(dst.Endpoints))
+		remaining -= dst.FullLoadRate * float64(len(endpoints)) / float64(len(dst.Endpoints))
 		all = append(all, endpoints...)
 		if remaining <= 0 && t.Part < 1 {
 			break
--- a/testbed/scenario/read.go
+++ b/testbed/scenario/read.go
@@ -130,7 +130,7 @@
 	case reflect.Slice:
 		for i := range v.Len() {
 			if word := v.Index(i).String(); allowed[0] != "" && !slices.Contains(allowed, word) {
-				c.addError(path, "values out of %s expected, got %q", strings.Join(allowed, ", "), word)
+				c.addError(path, "values from the list %s expected, got %q", strings.Join(allowed, ", "), word)
 			}
 		}
 	}
@@ -182,7 +182,7 @@
 		c.addError("kind", "at least one kind of destination is required")
 	}
 	if len(d.Classes) == 0 {
-		c.addError("workload", "at least one workload is required")
+		c.addError("workload", "at least one message class ([[workload]]) is required")
 	}
 	kinds := map[string]bool{}
 	for i, k := range d.Kinds {
@@ -203,7 +203,7 @@
 	}
 	for _, k := range d.Kinds {
 		if !slices.ContainsFunc(d.Classes, func(w Class) bool { return len(w.Kinds) == 0 || slices.Contains(w.Kinds, k.Name) }) {
-			c.addError("workload", "no workload includes the kind %q", k.Name)
+			c.addError("workload", "no message class ([[workload]]) includes the kind %q", k.Name)
 		}
 	}
 	share := 0.0
@@ -217,14 +217,14 @@
 		tenant := func(p Tenant) bool { return p.Name == t.Target }
 		switch {
 		case t.Kind == "flood" && (len(d.Tenants) > 0 || t.Target != "") && !slices.ContainsFunc(d.Tenants, tenant):
-			c.addError(fmt.Sprintf("trouble.%d.of", i), "the name of a party expected, got %q", t.Target)
+			c.addError(fmt.Sprintf("trouble.%d.of", i), "the name of a tenant ([[party]]) expected, got %q", t.Target)
 		case t.Kind != "flood" && t.Target != "" && !kinds[t.Target]:
 			c.addError(fmt.Sprintf("trouble.%d.of", i), "the name of a kind expected, got %q", t.Target)
 		}
 	}
 	for _, k := range d.Chance.Kinds {
 		if _, ok := faultKinds[k]; !ok {
-			c.addError("chance.kinds", "there is no trouble %q", k)
+			c.addError("chance.kinds", "there is no kind of fault %q", k)
 		}
 	}
 	if g := d.Goal; g.Whole+g.Window+g.WorstClass+g.WorstTenant <= 0 {
--- a/testbed/scenario/scenario.go
+++ b/testbed/scenario/scenario.go
@@ -22,7 +22,7 @@
 	Clients   Clients   `toml:"clients" doc:"behavior of the clients"`
 	Network   Network   `toml:"network" doc:"one-way network delays"`
 	Directory Directory `toml:"directory" doc:"the list of endpoints"`
-	Rules     Rules     `toml:"rules" doc:"parameters of the rules"`
+	Rules     Rules     `toml:"rules" doc:"parameters of the rules and of the recovery of destinations"`
 	Goal      Goal      `toml:"goal" doc:"weights of the parts of the score; they are scaled to a sum of 1"`
 	Prices    Prices    `toml:"prices" doc:"deductions from the score"`
 	Troubles  []Trouble `toml:"trouble" doc:"faults that always occur"`
@@ -61,30 +61,30 @@
 
 // Kind describes one kind of destination.
 type Kind struct {
-	Name              string   `toml:"name" doc:"name of the kind"`
-	Share             float64  `toml:"share" def:"1" in:"0..1000" doc:"weight of the kind when destinations are assigned to kinds"`
-	LoadBias          int      `toml:"lean" def:"0" in:"-1..1" doc:"1: mostly destinations with much traffic, -1: mostly those with little"`
-	Endpoints         Range    `toml:"endpoints" def:"[1,3]" in:"1..64" doc:"number of endpoints of a destination"`
-	Answer            Range    `toml:"answer_ms" def:"[150,300]" in:"1..60000" unit:"ms" doc:"mean service time"`
-	ServiceTimeCV     Range    `toml:"spread" def:"[0.4,0.7]" in:"0..5" doc:"coefficient of variation of the service time (lognormal)"`
-	LimitFactor       Range    `toml:"headroom" def:"[1.2,2]" in:"0.1..1000" unit:"x its calls at full load" doc:"limit of a destination"`
-	MinLimit          Range    `toml:"least_per_s" def:"[2,4]" in:"0.01..100000" unit:"calls/s" doc:"minimum of the limit"`
-	CapacityFactor    Range    `toml:"spare" def:"[1.15,1.6]" in:"1..100" unit:"x the limit" doc:"capacity of a destination"`
-	LimitKinds        []string `toml:"limits" def:"rate" one:"rate|window|none" doc:"kinds of limits, one drawn for each destination: rate (token bucket), window (calls per fixed window), none"`
-	LimitWindow       float64  `toml:"window_ms" def:"1000" in:"10..60000" unit:"ms" doc:"length of a window"`
-	CountRefusedShare float64  `toml:"refused_count" def:"0" in:"0..1" doc:"share of destinations at which refused calls count against the limit"`
-	RetryAfterShare   Range    `toml:"tells" def:"[0.5,1]" in:"0..1" doc:"share of refusals that include a Retry-After time"`
-	Wait              Range    `toml:"wait_ms" def:"[200,900]" in:"0..600000" unit:"ms" doc:"shortest Retry-After time"`
-	Connections       Range    `toml:"connections" def:"[0,0]" in:"0..1000" unit:"x calls served at once" doc:"maximum number of connections of an endpoint, including idle ones; 0: unlimited"`
-	MinConnections    int      `toml:"least_connections" def:"8" in:"1..100000" doc:"minimum of that number, if it is limited"`
-	Queue             Range    `toml:"queue_s" def:"[0.3,1]" in:"0..60" unit:"s of its capacity" doc:"queue length of an endpoint"`
-	Apart             bool     `toml:"apart" def:"false" doc:"each endpoint is a separate route with its own limit, outages and recovery"`
-	PerCall           int      `toml:"per_call" def:"1" in:"1..100" doc:"maximum number of messages per call"`
-	ItemCost          float64  `toml:"item_cost" def:"0.15" in:"0..1" unit:"x a call" doc:"work of each further message of a call"`
-	Reports           bool     `toml:"reports" def:"false" doc:"answers include a load report: the share of the limit that is left, and the limit"`
-	ReportEvery       float64  `toml:"report_ms" def:"300" in:"1..60000" unit:"ms" doc:"maximum age of a load report"`
-	ReportNoise       float64  `toml:"report_noise" def:"0.08" in:"0..1" doc:"relative standard deviation of the values in a load report"`
-	ErrorRate         Range    `toml:"error_rate" def:"[0,0.003]" in:"0..1" doc:"share of calls that fail without a fault"`
+	Name                string   `toml:"name" doc:"name of the kind"`
+	Share               float64  `toml:"share" def:"1" in:"0..1000" doc:"weight of the kind when destinations are assigned to kinds"`
+	LoadBias            int      `toml:"lean" def:"0" in:"-1..1" doc:"1: mostly destinations with much traffic, -1: mostly those with little"`
+	Endpoints           Range    `toml:"endpoints" def:"[1,3]" in:"1..64" doc:"number of endpoints of a destination"`
+	Answer              Range    `toml:"answer_ms" def:"[150,300]" in:"1..60000" unit:"ms" doc:"mean service time"`
+	ServiceTimeCV       Range    `toml:"spread" def:"[0.4,0.7]" in:"0..5" doc:"coefficient of variation of the service time (lognormal)"`
+	LimitFactor         Range    `toml:"headroom" def:"[1.2,2]" in:"0.1..1000" unit:"x its calls at full load" doc:"limit of a destination"`
+	MinLimit            Range    `toml:"least_per_s" def:"[2,4]" in:"0.01..100000" unit:"calls/s" doc:"minimum of the limit"`
+	CapacityFactor      Range    `toml:"spare" def:"[1.15,1.6]" in:"1..100" unit:"x the limit" doc:"capacity of a destination"`
+	LimitKinds          []string `toml:"limits" def:"rate" one:"rate|window|none" doc:"kinds of limits, one drawn for each destination: rate (token bucket), window (calls per fixed window), none"`
+	LimitWindow         float64  `toml:"window_ms" def:"1000" in:"10..60000" unit:"ms" doc:"length of a window"`
+	CountThrottledShare float64  `toml:"refused_count" def:"0" in:"0..1" doc:"share of destinations at which refused calls count against the limit"`
+	RetryAfterShare     Range    `toml:"tells" def:"[0.5,1]" in:"0..1" doc:"share of refusals that include a Retry-After time"`
+	Wait                Range    `toml:"wait_ms" def:"[200,900]" in:"0..600000" unit:"ms" doc:"shortest Retry-After time"`
+	Connections         Range    `toml:"connections" def:"[0,0]" in:"0..1000" unit:"x calls served at once" doc:"maximum number of connections of an endpoint, including idle ones; 0: unlimited"`
+	MinConnections      int      `toml:"least_connections" def:"8" in:"1..100000" doc:"minimum of that number, if it is limited"`
+	Queue               Range    `toml:"queue_s" def:"[0.3,1]" in:"0..60" unit:"s of its capacity" doc:"queue length of an endpoint"`
+	Apart               bool     `toml:"apart" def:"false" doc:"each endpoint is a separate route with its own limit, outages and recovery"`
+	PerCall             int      `toml:"per_call" def:"1" in:"1..100" doc:"maximum number of messages per call"`
+	ItemCost            float64  `toml:"item_cost" def:"0.15" in:"0..1" unit:"x a call" doc:"work of each further message of a call"`
+	Reports             bool     `toml:"reports" def:"false" doc:"answers include a load report: the share of the limit that is left, and the limit"`
+	ReportEvery         float64  `toml:"report_ms" def:"300" in:"1..60000" unit:"ms" doc:"maximum age of a load report"`
+	ReportNoise         float64  `toml:"report_noise" def:"0.08" in:"0..1" doc:"relative standard deviation of the values in a load report"`
+	ErrorRate           Range    `toml:"error_rate" def:"[0,0.003]" in:"0..1" doc:"share of calls that fail without a fault"`
 }
 
 // Class describes one message class.
@@ -135,7 +135,7 @@
 	Call   Range  `toml:"call_ms" def:"[20,200]" in:"0..60000" unit:"ms" doc:"how long a poll of the complete list takes"`
 }
 
-// Rules holds the parameters of the rules.
+// Rules holds the parameters of the rules and of the recovery of destinations.
 type Rules struct {
 	AnswerSlack      float64 `toml:"answer_slack_s" def:"0.02" in:"0..60" unit:"s" doc:"grace period for a final answer after the deadline"`
 	DrainGrace       float64 `toml:"drain_grace_s" def:"0.5" in:"0..600" unit:"s" doc:"grace period for attempts after the notification of a drain"`
@@ -144,7 +144,7 @@
 	Fall             float64 `toml:"fall_multiple" def:"2.5" in:"0..100" doc:"a recovering destination is overloaded if it receives more than this multiple of its current capacity"`
 	FallSpan         float64 `toml:"fall_span_s" def:"2" in:"0.01..600" unit:"s" doc:"time over which the calls are counted for that"`
 	OverloadDowntime float64 `toml:"fall_down_s" def:"15" in:"0.1..3600" unit:"s" doc:"how long an overloaded destination is down"`
-	KeyHold          float64 `toml:"key_rest_s" def:"0" in:"0..600" unit:"s" doc:"how long an ordering key is held after an attempt that may still be running"`
+	KeyCooldown      float64 `toml:"key_rest_s" def:"0" in:"0..600" unit:"s" doc:"cooldown of an ordering key after an attempt that may still be running"`
 	OverQuotaFactor  float64 `toml:"over_share_part" def:"0.1" in:"0..1" doc:"share of the value of messages beyond the quota of their tenant"`
 	Decay            string  `toml:"decay" def:"halves" one:"halves|evenly" doc:"how the value falls after the latency objective: halves: by half per further objective; evenly: linearly until the deadline"`
 }
--- a/testbed/scenario/scenario_test.go
+++ b/testbed/scenario/scenario_test.go
@@ -25,7 +25,7 @@
 		{`kinds = ["banks"]`, `kinds = ["bank"]`, "workload.1.kinds: there is no kind"},
 		{"name = \"firms\"", "name = \"banks\"", "kind.1.name: another kind"},
 		{"destinations = 12", "destinations = 12\n[[trouble]]\nkind = \"flod\"", "calm.toml:14: trouble.0.kind: one of"},
-		{"destinations = 12", "destinations = 12\n[chance]\nkinds = [\"flod\"]", "chance.kinds: there is no trouble"},
+		{"destinations = 12", "destinations = 12\n[chance]\nkinds = [\"flod\"]", "chance.kinds: there is no kind of fault"},
 		{"length_s = 30", "length_s = ", "calm.toml:3: "},
 	} {
 		text := strings.Replace(string(good), c.old, c.new, 1)
@@ -43,7 +43,7 @@
 }
 
 // TestSameSeedSameInstance checks that the same seed always draws the same values, and another seed draws other values, for the built-in
-// scenarios.
+// scenarios with at most 500 messages per second.
 func TestSameSeedSameInstance(t *testing.T) {
 	for _, name := range BuiltIn() {
 		d, err := Find(name)
@@ -66,7 +66,8 @@
 	}
 }
 
-// TestDrawFollowsDefinition checks that the drawn traffic, endpoints, limits and faults agree with the file.
+// TestDrawFollowsDefinition checks that the drawn events are sorted by time, that every fault ends, that the numbers of messages and endpoints
+// agree with the file, and that the capacity of a destination is not below its limit.
 func TestDrawFollowsDefinition(t *testing.T) {
 	d, err := Find("chance")
 	if err != nil {
@@ -122,11 +123,12 @@
 	}
 	page, err := os.ReadFile("../../docs/scenario-format.md")
 	if err != nil || string(page) != b.String() {
-		t.Errorf("docs/scenario-format.md is out of date: go run ./cmd/pineport-testbed format > docs/scenario-format.md (%v)", err)
+		t.Errorf("docs/scenario-format.md is missing or out of date, run: go run ./cmd/pineport-testbed format > docs/scenario-format.md (%v)", err)
 	}
 }
 
-// FuzzRead checks that Read does not panic on any file, and that Draw does not panic on a file that Read accepts.
+// FuzzRead checks that Read does not panic on any file, and that Draw does not panic on a file that Read accepts. Files that take too long
+// to draw are not drawn.
 func FuzzRead(f *testing.F) {
 	for _, name := range BuiltIn() {
 		text, _ := builtIn.ReadFile("days/" + name + ".toml")
--- a/testbed/scenario/settings.go
+++ b/testbed/scenario/settings.go
@@ -56,7 +56,7 @@
 		"ceilings": map[string]any{"open-cap": w.Hold, "try-limit": def.Fleet.MaxAttempts, "may-cancel": def.Fleet.MayCancel,
 			"retry-after": def.Fleet.SendRetryAfter, "max-retry-after-s": def.Fleet.LongestWait, "conn-idle-s": def.Fleet.Idle,
 			"connect-timeout-s": def.Fleet.Connect / 1000},
-		"rules": map[string]any{"cold-from": r.ColdFrom, "ramp-time-s": r.Ramp, "fall-multiple": r.Fall, "key-rest-s": r.KeyHold,
+		"rules": map[string]any{"cold-from": r.ColdFrom, "ramp-time-s": r.Ramp, "fall-multiple": r.Fall, "key-rest-s": r.KeyCooldown,
 			"drain-grace-s": r.DrainGrace},
 	}
 }
@@ -64,9 +64,10 @@
 // Quota returns the quota of a tenant in messages per second.
 func (w *Drawn) Quota(p Tenant) float64 { return p.Share * w.Day.Traffic.FullPerSec }
 
-// Config returns the same settings as a configuration of the dispatcher. It converts them with the code that a real courier uses.
-func (w *Drawn) Config(courier int, salt int64) (dispatch.Config, error) {
-	cfg, err := config.Dispatch(salt, config.Flatten(w.Settings(courier)))
+// Config returns the same settings as a configuration of the dispatcher. It converts them with the code that a real courier uses. seed is
+// the seed of the random numbers of the courier.
+func (w *Drawn) Config(courier int, seed int64) (dispatch.Config, error) {
+	cfg, err := config.Dispatch(seed, config.Flatten(w.Settings(courier)))
 	if err != nil {
 		return cfg, fmt.Errorf("scenario %s: %w", w.Day.Name, err)
 	}
--- a/testbed/scenario/trouble.go
+++ b/testbed/scenario/trouble.go
@@ -12,13 +12,13 @@
 	share        Range
 }
 
-// faultKinds holds all kinds of faults. The ranges are chosen so that a run of 40 s shows how a fault starts, lasts and ends.
+// faultKinds holds all kinds of faults. A fault with these ranges starts, has its full effect and ends within a run of 40 s.
 var faultKinds = map[string]faultKind{
 	"refuse":         {"processes are down; connections are refused; recovery with reduced capacity", "", Range{6, 15}, Range{}, Range{0.1, 0.3}},
 	"silent":         {"hosts are unreachable; nothing is answered; recovery with reduced capacity", "", Range{6, 15}, Range{}, Range{0.1, 0.3}},
-	"hang":           {"calls are accepted but not answered; the share `acts` of them takes effect", "", Range{6, 15}, Range{}, Range{0.1, 0.3}},
-	"shut":           {"all calls are throttled until the end of the fault", "", Range{6, 15}, Range{}, Range{0.1, 0.3}},
-	"errors":         {"calls fail quickly", "share of calls that fail", Range{6, 20}, Range{0.4, 1}, Range{0.1, 0.3}},
+	"hang":           {"calls are accepted but not answered; the share `acts` of them takes effect; recovery with reduced capacity", "", Range{6, 15}, Range{}, Range{0.1, 0.3}},
+	"shut":           {"all calls are throttled; recovery with reduced capacity", "", Range{6, 15}, Range{}, Range{0.1, 0.3}},
+	"errors":         {"calls fail quickly; if the share is above 0.5, recovery with reduced capacity", "share of calls that fail", Range{6, 20}, Range{0.4, 1}, Range{0.1, 0.3}},
 	"swallow":        {"calls take effect, but their answers are lost", "share of answers that are lost", Range{6, 20}, Range{0.1, 0.5}, Range{0.2, 0.6}},
 	"resets":         {"connections break during calls", "share of calls", Range{6, 20}, Range{0.1, 0.5}, Range{0.2, 0.6}},
 	"slow":           {"service takes longer", "factor on the service time", Range{8, 20}, Range{2, 8}, Range{0.1, 0.4}},
@@ -30,7 +30,7 @@
 	"courier-kill":   {"couriers are killed without a shutdown and started again", "", Range{1, 6}, Range{}, Range{0.2, 0.5}},
 	"courier-roll":   {"couriers are restarted one after the other", "seconds for which each courier is down", Range{8, 20}, Range{0.3, 1.2}, Range{0.5, 1}},
 	"courier-stand":  {"couriers are paused repeatedly", "length of a pause in ms; a pause starts every 2 s", Range{8, 15}, Range{100, 600}, Range{0.3, 1}},
-	"flood":          {"a tenant sends more than its quota", "factor on its usual traffic", Range{6, 15}, Range{2, 6}, Range{1, 1}},
+	"flood":          {"a tenant, or every client if there are no tenants, sends more than usual", "factor on its usual traffic", Range{6, 15}, Range{2, 6}, Range{1, 1}},
 	"directory-down": {"the directory does not answer", "", Range{5, 15}, Range{}, Range{1, 1}},
 }
 
