--- a/testbed/environment/environment.go
+++ b/testbed/environment/environment.go
@@ -59,7 +59,7 @@
 	destinations  []*destination
 	endpoints     map[dispatch.EndpointID]*endpoint
 	messages      map[dispatch.MessageID]*Message
-	callsInFlight []int // calls without an answer, per courier; at most Drawn.Slots
+	callsInFlight []int // calls without an answer, per courier; at most scenario.Drawn.Slots
 	directories   []*directory
 	closed        bool
 	timers        []*time.Timer
--- a/testbed/invariants/invariants.go
+++ b/testbed/invariants/invariants.go
@@ -30,7 +30,7 @@
 	Tenants         []string
 	Quotas          []float64 // messages per second that each tenant may send at full value; 0: unlimited
 	OverQuotaFactor float64
-	HalvingDecay    bool // the value halves with each further latency objective, down to LatePart; otherwise it falls linearly until the deadline
+	HalvingDecay    bool // the value halves with each further latency objective, down to LateValue; otherwise it falls linearly until the deadline
 	Length          dispatch.Micros
 	AnswerSlack     dispatch.Micros
 	DrainGrace      dispatch.Micros
--- a/testbed/scenario/draw.go
+++ b/testbed/scenario/draw.go
@@ -47,7 +47,7 @@
 // ActKind is the kind of an Act.
 type ActKind int
 
-// The kinds of events. World.Begin of the package environment relies on the order: the kinds up to Removes concern an endpoint.
+// The kinds of events. The package environment relies on their order: the kinds up to Removes concern an endpoint.
 const (
 	Begins     ActKind = iota // a fault of an endpoint starts
 	Ends                      // a fault of an endpoint ends
