--- a/testbed/invariants/leases_test.go
+++ b/testbed/invariants/leases_test.go
@@ -21,7 +21,7 @@
 		observations []Look
 		want         int
 	}{
-		"used while granted":       {[]Look{observeLessor(1, 1, granted), observeLessee(3, used), observeLessor(5, 1, granted), observeLessee(7, used), observeLessee(9), observeLessor(11, 1)}, 0},
+		"kept":                     {[]Look{observeLessor(1, 1, granted), observeLessee(3, used), observeLessor(5, 1, granted), observeLessee(7, used), observeLessee(9), observeLessor(11, 1)}, 0},
 		"used after its end":       {[]Look{observeLessor(1, 1, granted), observeLessee(3, used), observeLessor(5, 1), observeLessee(7, used)}, 1},
 		"never granted":            {[]Look{observeLessee(3, used), observeLessor(5, 1), observeLessee(7, used)}, 1},
 		"overlapping observations": {[]Look{observeLessor(1, 1, granted), observeLessee(3, used), observeLessor(3, 1), observeLessee(7, used)}, 0},
