--- a/testbed/invariants/leases.go
+++ b/testbed/invariants/leases.go
@@ -7,14 +7,14 @@
 )
 
 // Leases checks the quota leases between couriers from the statuses that the couriers report. A courier may grant at most half of its base
-// quota. A lessee may use only a lease that its lessor has granted, and must stop using it before the lessor uses that quota itself again.
+// quota, with a tolerance of one unit. A lessee may use only a lease that its lessor has granted, and must stop using it before the lessor uses that quota itself again.
 // Reading a status takes time, so two observations are compared only if one ended before the other began.
 type Leases struct {
 	leases       map[uint64]*leaseState
 	incarnations map[string]uint64
-	Breaches     []string
-	Seen         int     // number of leases observed at a lessee
-	Widest       float64 // largest total of the leases of one lessee for one route, relative to its base quota
+	Breaches     []string // at most the first 20
+	Seen         int      // number of leases observed at a lessee
+	Widest       float64  // largest total of the leases of one lessee for one route, relative to its base quota
 }
 
 type leaseState struct {
--- a/testbed/scenario/fault.go
+++ b/testbed/scenario/fault.go
@@ -148,7 +148,7 @@
 			s.addEvent(Act{At: to, Kind: Starts, Courier: c})
 		case "courier-roll":
 			at := from + (to-from)*dispatch.Micros(i)/dispatch.Micros(len(order))
-			s.addEvent(Act{At: at, Kind: Asks, Courier: c, Span: micros(3.7)})
+			s.addEvent(Act{At: at, Kind: Asks, Courier: c, Span: micros(3.7)}) // 3.7 s later, the courier is killed
 			s.addEvent(Act{At: at + micros(3.7), Kind: Kills, Courier: c})
 			s.addEvent(Act{At: at + micros(3.7+magnitude), Kind: Starts, Courier: c})
 		case "courier-stand":
