--- a/testbed/invariants/leases.go
+++ b/testbed/invariants/leases.go
@@ -7,8 +7,8 @@
 )
 
 // Leases checks the quota leases between couriers from the statuses that the couriers report. A courier may grant at most half of its base
-// quota, with a tolerance of one unit. A lessee may use only a lease that its lessor has granted, and must stop using it before the lessor uses that quota itself again.
-// Reading a status takes time, so two observations are compared only if one ended before the other began.
+// quota, with a tolerance of one unit. A lessee may use only a lease that its lessor has granted, and must stop using it before the lessor
+// uses that quota itself again. Reading a status takes time, so two observations are compared only if one ended before the other began.
 type Leases struct {
 	leases       map[uint64]*leaseState
 	incarnations map[string]uint64
