--- a/testbed/fleet/fleet.go
+++ b/testbed/fleet/fleet.go
@@ -325,7 +325,7 @@
 func (r *rig) copies() map[int][]byte {
 	keep := map[int][]byte{}
 	for _, c := range r.field.Couriers() {
-		if text, err := os.ReadFile(filepath.Join(c.Dir, "state", incarnation.Name)); err == nil {
+		if text, err := os.ReadFile(filepath.Join(c.Dir, "state", incarnation.FileName)); err == nil {
 			keep[c.No] = text
 		}
 	}
@@ -381,11 +381,11 @@
 	case Kill:
 		r.away(no, scenario.Kills, f.Length, stop, nil)
 	case Empty:
-		r.away(no, scenario.Kills, f.Length, stop, func() { os.Remove(filepath.Join(state, incarnation.Name)) })
+		r.away(no, scenario.Kills, f.Length, stop, func() { os.Remove(filepath.Join(state, incarnation.FileName)) })
 	case Older:
 		r.away(no, scenario.Kills, f.Length, stop, func() {
 			if text := keep[no]; text != nil {
-				os.WriteFile(filepath.Join(state, incarnation.Name), text, 0o600)
+				os.WriteFile(filepath.Join(state, incarnation.FileName), text, 0o600)
 			}
 		})
 	case Address:
--- a/testbed/scenario/read.go
+++ b/testbed/scenario/read.go
@@ -50,7 +50,7 @@
 	for _, e := range strict.Errors {
 		line, _ := e.Position()
 		key := strings.Join(e.Key(), ".")
-		all = append(all, FieldError{File: file, Line: line, Key: key, Expected: "no such key" + nearest(key)})
+		all = append(all, FieldError{File: file, Line: line, Key: key, Problem: "no such key" + nearest(key)})
 	}
 	return errors.Join(all...)
 }
@@ -75,7 +75,7 @@
 }
 
 func (c *checker) addError(path, format string, args ...any) {
-	c.errs = append(c.errs, FieldError{File: c.file, Line: config.LineOf(c.lines, path), Key: path, Expected: fmt.Sprintf(format, args...)})
+	c.errs = append(c.errs, FieldError{File: c.file, Line: config.LineOf(c.lines, path), Key: path, Problem: fmt.Sprintf(format, args...)})
 }
 
 func (c *checker) checkTable(path string, v reflect.Value) {
--- a/testbed/scenario/settings.go
+++ b/testbed/scenario/settings.go
@@ -67,7 +67,7 @@
 // Config returns the same settings as a configuration of the dispatcher. It converts them with the code that a real courier uses. seed is
 // the seed of the random numbers of the courier.
 func (w *Drawn) Config(courier int, seed int64) (dispatch.Config, error) {
-	cfg, err := config.Dispatch(seed, config.Flatten(w.Settings(courier)))
+	cfg, err := config.DispatchConfig(seed, config.Flatten(w.Settings(courier)))
 	if err != nil {
 		return cfg, fmt.Errorf("scenario %s: %w", w.Day.Name, err)
 	}
