--- a/testbed/endpointmodel/limit.go
+++ b/testbed/endpointmodel/limit.go
@@ -6,83 +6,85 @@
 	"pineport/dispatch"
 )
 
-// meter counts calls against a limit.
-type meter struct {
-	limit  Limit
-	rng    *rand.Rand
-	shrunk float64 // what is left of the limit, by faults
-	tokens float64
-	at     dispatch.Micros
-	span   int64 // the window that is counted
-	used   int
+// limiter counts calls against a limit.
+type limiter struct {
+	limit        Limit
+	rng          *rand.Rand
+	remaining    float64 // share of the limit that remains during Shrink faults; 1: no such fault
+	tokens       float64
+	filledAt     dispatch.Micros
+	windowNumber int64 // number of the current window since time 0
+	usedInWindow int
 
-	every          dispatch.Micros // of its reports
-	noise          float64
-	reportAt       dispatch.Micros
-	leftAt, rateAt float64
+	reportEvery                dispatch.Micros // interval at which the load report is updated
+	reportNoise                float64
+	nextReportAt               dispatch.Micros
+	reportedLeft, reportedRate float64
 }
 
-func (m *meter) rate() float64 { return m.limit.PerSec * m.shrunk }
+func (l *limiter) rate() float64 { return l.limit.PerSec * l.remaining }
 
-// saved is how many calls may be saved up: half a second's value.
-func (m *meter) saved() float64 { return max(1, m.rate()/2) }
+// burst returns the maximum number of tokens: the calls of half a second, at least 1.
+func (l *limiter) burst() float64 { return max(1, l.rate()/2) }
 
-func (m *meter) fill(now dispatch.Micros) {
-	switch m.limit.Kind {
-	case Rate:
-		m.tokens = min(m.saved(), m.tokens+m.rate()*float64(now-m.at)/1e6)
-		m.at = now
-	case Window:
-		if span := int64(now / m.limit.Span); span != m.span {
-			m.span, m.used = span, 0
+func (l *limiter) refill(now dispatch.Micros) {
+	switch l.limit.Kind {
+	case RateLimit:
+		l.tokens = min(l.burst(), l.tokens+l.rate()*float64(now-l.filledAt)/1e6)
+		l.filledAt = now
+	case WindowLimit:
+		if number := int64(now / l.limit.Window); number != l.windowNumber {
+			l.windowNumber, l.usedInWindow = number, 0
 		}
 	}
 }
 
-func (m *meter) windowful() int { return max(1, int(m.rate()*float64(m.limit.Span)/1e6)) }
+func (l *limiter) windowLimit() int { return max(1, int(l.rate()*float64(l.limit.Window)/1e6)) }
 
-// take tells whether a call is within the limit; where it is not, how long to wait, if that is notified.
-func (m *meter) take(now dispatch.Micros) (ok bool, wait dispatch.Micros) {
-	m.fill(now)
-	switch m.limit.Kind {
+// allow counts a call and reports whether it is within the limit. If it is not, allow also returns the
+// Retry-After time, or 0 if the destination sends none.
+func (l *limiter) allow(now dispatch.Micros) (ok bool, retryAfter dispatch.Micros) {
+	l.refill(now)
+	switch l.limit.Kind {
 	case NoLimit:
 		return true, 0
-	case Window:
-		if m.used < m.windowful() {
-			m.used++
+	case WindowLimit:
+		if l.usedInWindow < l.windowLimit() {
+			l.usedInWindow++
 			return true, 0
 		}
-		wait = dispatch.Micros(m.span+1)*m.limit.Span - now
+		retryAfter = dispatch.Micros(l.windowNumber+1)*l.limit.Window - now
 	default:
-		if m.tokens >= 1 {
-			m.tokens--
+		if l.tokens >= 1 {
+			l.tokens--
 			return true, 0
 		}
-		if m.limit.RefusedCount {
-			m.tokens = max(-m.saved(), m.tokens-1)
+		if l.limit.CountThrottled {
+			l.tokens = max(-l.burst(), l.tokens-1)
 		}
-		wait = dispatch.Micros((1 - m.tokens) / max(m.rate(), 1e-3) * 1e6)
+		retryAfter = dispatch.Micros((1 - l.tokens) / max(l.rate(), 1e-3) * 1e6)
 	}
-	if m.rng.Float64() >= m.limit.Tells {
+	if l.rng.Float64() >= l.limit.RetryAfterShare {
 		return false, 0
 	}
-	return false, max(wait, m.limit.LeastWait)
+	return false, max(retryAfter, l.limit.MinRetryAfter)
 }
 
-// report is the share of the limit that is left, and the limit; late and noisy, as it is read now and then.
-func (m *meter) report(now dispatch.Micros) []float64 {
-	if m.limit.Kind == NoLimit {
+// report returns a load report: the share of the limit that is left, and the limit in calls per second. Both
+// values are noisy and up to reportEvery old.
+func (l *limiter) report(now dispatch.Micros) []float64 {
+	if l.limit.Kind == NoLimit {
 		return []float64{0, 0}
 	}
-	if now >= m.reportAt {
-		m.fill(now)
-		left := max(0, m.tokens) / m.saved()
-		if m.limit.Kind == Window {
-			left = 1 - float64(m.used)/float64(m.windowful())
+	if now >= l.nextReportAt {
+		l.refill(now)
+		left := max(0, l.tokens) / l.burst()
+		if l.limit.Kind == WindowLimit {
+			left = 1 - float64(l.usedInWindow)/float64(l.windowLimit())
 		}
-		blur := func() float64 { return 1 + m.noise*m.rng.NormFloat64() }
-		m.leftAt, m.rateAt = min(1, max(0, left*blur())), max(0.01, m.rate()*blur())
-		m.reportAt = now + m.every
+		noise := func() float64 { return 1 + l.reportNoise*l.rng.NormFloat64() }
+		l.reportedLeft, l.reportedRate = min(1, max(0, left*noise())), max(0.01, l.rate()*noise())
+		l.nextReportAt = now + l.reportEvery
 	}
-	return []float64{m.leftAt, m.rateAt}
+	return []float64{l.reportedLeft, l.reportedRate}
 }
--- a/testbed/environment/directory.go
+++ b/testbed/environment/directory.go
@@ -16,23 +16,23 @@
 	"pineport/testbed/invariants"
 )
 
-// directory is discovery and the platform as one courier meets them.
+// directory is the HTTP service from which one courier gets the endpoint list, and to which it sends its notices.
 type directory struct {
-	world   *World
-	courier int
-	server  *http.Server
-	address string
-	mu      sync.Mutex
-	seq     int
-	entries map[dispatch.EndpointID]entry
-	log     []change
-	changed chan struct{} // closed with each change
-	isDown  bool
-	newsAt  dispatch.Micros
-	pending []entry
+	world        *World
+	courier      int
+	server       *http.Server
+	address      string
+	mu           sync.Mutex
+	seq          int
+	entries      map[dispatch.EndpointID]entry
+	changes      []change
+	changed      chan struct{} // closed and replaced with each change
+	isDown       bool
+	nextChangeAt dispatch.Micros
+	pending      []entry
 }
 
-// entry is one endpoint in the platform's form.
+// entry is one endpoint of the endpoint list, in the JSON format that couriers read.
 type entry struct {
 	Host   dispatch.EndpointID `json:"host"`
 	Dial   string              `json:"dial"`
@@ -50,24 +50,24 @@
 }
 
 type list struct {
-	Seq   int     `json:"seq"`
-	Whole bool    `json:"whole"`
-	Hosts []entry `json:"hosts"`
+	Seq     int     `json:"seq"`
+	Full    bool    `json:"whole"`
+	Entries []entry `json:"hosts"`
 }
 
-var health = map[dispatch.Phase]string{dispatch.InService: "in_service", dispatch.Draining: "terminating", dispatch.Removed: "terminated"}
+var healthNames = map[dispatch.Phase]string{dispatch.InService: "in_service", dispatch.Draining: "terminating", dispatch.Removed: "terminated"}
 
-func (w *World) entry(dest int, e endpointmodel.Endpoint, phase dispatch.Phase, born int64) entry {
-	dst := &w.Day.Destinations[dest]
-	return entry{Host: e.ID, Dial: w.endpoint(e.ID).address, Site: w.Day.Day.Fleet.Zones[e.Zone], Class: dst.KindName, Block: dest,
-		Health: health[phase], Share: dst.Listed, Born: born}
+func (w *World) newEntry(dest int, e endpointmodel.Endpoint, phase dispatch.Phase, born int64) entry {
+	dst := &w.Scenario.Destinations[dest]
+	return entry{Host: e.ID, Dial: w.endpoint(e.ID).address, Site: w.Scenario.Definition.Fleet.Zones[e.Zone], Class: dst.KindName, Block: dest,
+		Health: healthNames[phase], Share: dst.ListedRate, Born: born}
 }
 
 func openDirectory(w *World, courier int) (*directory, error) {
 	d := &directory{world: w, courier: courier, seq: 1, entries: map[dispatch.EndpointID]entry{}, changed: make(chan struct{})}
-	for i := range w.Day.Destinations {
-		for _, e := range w.Day.Destinations[i].Endpoints {
-			d.entries[e.ID] = w.entry(i, e, dispatch.InService, 0)
+	for i := range w.Scenario.Destinations {
+		for _, e := range w.Scenario.Destinations[i].Endpoints {
+			d.entries[e.ID] = w.newEntry(i, e, dispatch.InService, 0)
 		}
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -75,8 +75,8 @@
 		return nil, err
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/servers", d.list)
-	mux.HandleFunc("POST /v1/notices", d.notices)
+	mux.HandleFunc("GET /v1/servers", d.handleList)
+	mux.HandleFunc("POST /v1/notices", d.handleNotices)
 	d.address, d.server = l.Addr().String(), &http.Server{Handler: mux}
 	w.wg.Add(1)
 	go func() {
@@ -88,86 +88,87 @@
 
 func (d *directory) close() { d.server.Close() }
 
-// later tells of a change after a while, in the order of changes.
-func (d *directory) later(late dispatch.Micros, dest int, e endpointmodel.Endpoint, phase dispatch.Phase) {
+// publishAfter publishes a change of an endpoint after a delay, but not at an earlier time than the previous change.
+func (d *directory) publishAfter(delay dispatch.Micros, dest int, e endpointmodel.Endpoint, phase dispatch.Phase) {
 	born := int64(0)
 	if phase == dispatch.InService {
 		born = time.Now().UnixMilli()
 	}
-	en := d.world.entry(dest, e, phase, born)
+	en := d.world.newEntry(dest, e, phase, born)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.newsAt = max(d.newsAt, d.world.Clock.Now()+late)
-	d.world.Clock.After(d.newsAt, func() { d.apply(en) })
+	d.nextChangeAt = max(d.nextChangeAt, d.world.Clock.Now()+delay)
+	d.world.Clock.After(d.nextChangeAt, func() { d.publish(en) })
 }
 
-func (d *directory) apply(en entry) {
+func (d *directory) publish(en entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.isDown {
 		d.pending = append(d.pending, en)
 		return
 	}
-	d.put(en)
+	d.addChange(en)
 }
 
-func (d *directory) put(en entry) {
+func (d *directory) addChange(en entry) {
 	d.seq++
-	if en.Health == health[dispatch.Removed] {
+	if en.Health == healthNames[dispatch.Removed] {
 		delete(d.entries, en.Host)
 	} else {
 		d.entries[en.Host] = en
 	}
-	d.log = append(d.log, change{d.seq, en})
+	d.changes = append(d.changes, change{d.seq, en})
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-func (d *directory) down(down bool) {
+func (d *directory) setDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.isDown = down
 	if down {
-		close(d.changed) // watches end
+		close(d.changed) // ends all watches
 		d.changed = make(chan struct{})
 		return
 	}
 	for _, en := range d.pending {
-		d.put(en)
+		d.addChange(en)
 	}
 	d.pending = nil
 }
 
-// whole is the list as this courier would get it now; the caller holds the lock.
-func (d *directory) whole() list {
-	l := list{Seq: d.seq, Whole: true, Hosts: []entry{}}
+// fullList returns the complete endpoint list for the courier. The caller holds the lock.
+func (d *directory) fullList() list {
+	l := list{Seq: d.seq, Full: true, Entries: []entry{}}
 	for _, en := range d.entries {
-		l.Hosts = append(l.Hosts, en)
+		l.Entries = append(l.Entries, en)
 	}
-	slices.SortFunc(l.Hosts, func(a, b entry) int { return cmp.Compare(a.Host, b.Host) })
+	slices.SortFunc(l.Entries, func(a, b entry) int { return cmp.Compare(a.Host, b.Host) })
 	return l
 }
 
-// since is what changed after a version.
-func (d *directory) since(seq int) (list, bool) {
+// changesSince returns the changes after a sequence number, or the complete list if the number is negative or not known. It
+// returns false while the directory is down.
+func (d *directory) changesSince(seq int) (list, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.isDown {
 		return list{}, false
 	}
 	if seq < 0 || seq > d.seq {
-		return d.whole(), true
+		return d.fullList(), true
 	}
-	l := list{Seq: d.seq, Hosts: []entry{}}
-	for _, c := range d.log {
+	l := list{Seq: d.seq, Entries: []entry{}}
+	for _, c := range d.changes {
 		if c.seq > seq {
-			l.Hosts = append(l.Hosts, c.entry)
+			l.Entries = append(l.Entries, c.entry)
 		}
 	}
 	return l, true
 }
 
-func (d *directory) list(rw http.ResponseWriter, r *http.Request) {
+func (d *directory) handleList(rw http.ResponseWriter, r *http.Request) {
 	seq := -1
 	if text := r.FormValue("index"); text != "" {
 		n, err := strconv.Atoi(text)
@@ -177,7 +178,7 @@
 		}
 		seq = n
 	} else {
-		time.Sleep(d.callTime())
+		time.Sleep(d.pollTime())
 	}
 	wait, _ := strconv.Atoi(r.FormValue("wait"))
 	deadline := time.NewTimer(time.Duration(min(max(wait, 0), 60000)) * time.Millisecond)
@@ -186,12 +187,12 @@
 		d.mu.Lock()
 		changed := d.changed
 		d.mu.Unlock()
-		l, ok := d.since(seq)
+		l, ok := d.changesSince(seq)
 		if !ok {
 			rw.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		if l.Whole || len(l.Hosts) > 0 || seq < l.Seq {
+		if l.Full || len(l.Entries) > 0 || seq < l.Seq {
 			d.write(rw, l)
 			return
 		}
@@ -206,34 +207,34 @@
 	}
 }
 
-func (d *directory) callTime() time.Duration {
+func (d *directory) pollTime() time.Duration {
 	d.world.mu.Lock()
 	defer d.world.mu.Unlock()
-	r := d.world.Day.Day.Directory.Call
+	r := d.world.Scenario.Definition.Directory.ListTime
 	return time.Duration((r[0] + (r[1]-r[0])*d.world.rng.Float64()) * float64(time.Millisecond))
 }
 
-// write answers; from then on the courier is notified.
+// write sends a list to the courier and records that the courier was notified of the entries in the list.
 func (d *directory) write(rw http.ResponseWriter, l list) {
 	text, err := json.Marshal(l)
 	if err != nil {
 		rw.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	if _, err := rw.Write(text); err != nil || d.world.Books == nil {
+	if _, err := rw.Write(text); err != nil || d.world.Ledger == nil {
 		return
 	}
 	now := d.world.Clock.Now()
-	for _, en := range l.Hosts {
-		for phase, word := range health {
-			if word == en.Health {
-				d.world.Books.Notified(now, d.courier, en.Host, phase)
+	for _, en := range l.Entries {
+		for phase, name := range healthNames {
+			if name == en.Health {
+				d.world.Ledger.EndpointNotified(now, d.courier, en.Host, phase)
 			}
 		}
 	}
 }
 
-func (d *directory) notices(rw http.ResponseWriter, r *http.Request) {
+func (d *directory) handleNotices(rw http.ResponseWriter, r *http.Request) {
 	var all []notice
 	lines := bufio.NewScanner(r.Body)
 	for lines.Scan() {
@@ -246,16 +247,16 @@
 	}
 	w := d.world
 	for _, n := range all {
-		how := invariants.Failed
+		end := invariants.Failed
 		if n.Status == "deferred" {
-			how = invariants.Rejected
+			end = invariants.Rejected
 		}
-		if w.Books == nil || !w.Books.Noticed(w.Clock.Now(), n.ID, how) {
+		if w.Ledger == nil || !w.Ledger.NoticeReceived(w.Clock.Now(), n.ID, end) {
 			continue
 		}
-		w.Drop(n.ID)
-		if w.Noticed != nil {
-			w.Noticed(n.ID, how, time.Duration(n.AgainMs)*time.Millisecond)
+		w.MarkEnded(n.ID)
+		if w.OnNotice != nil {
+			w.OnNotice(n.ID, end, time.Duration(n.AgainMs)*time.Millisecond)
 		}
 	}
 	rw.WriteHeader(http.StatusNoContent)
@@ -267,13 +268,13 @@
 	AgainMs int64              `json:"again_ms"`
 }
 
-// Known is the list that a courier is handed at its start, in the platform's form.
-func (w *World) Known(courier int) any {
-	d := w.directory[courier]
+// InitialList returns the endpoint list that the configuration of a courier contains at its start, in the JSON format that couriers read.
+func (w *World) InitialList(courier int) any {
+	d := w.directories[courier]
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.whole()
+	return d.fullList()
 }
 
-// Discovery is where a courier finds its directory.
-func (w *World) Discovery(courier int) string { return w.directory[courier].address }
+// DirectoryAddress returns the address of the directory of a courier.
+func (w *World) DirectoryAddress(courier int) string { return w.directories[courier].address }
--- a/testbed/environment/endpoint.go
+++ b/testbed/environment/endpoint.go
@@ -20,23 +20,24 @@
 	"pineport/testbed/invariants"
 )
 
-// endpoint is one endpoint on a socket. Its door is open, shut (connections are refused) or stuffed (they never come up).
+// endpoint is one endpoint on a socket. It accepts connections (endpointmodel.Connected), refuses them (endpointmodel.Refused), or lets
+// connection attempts time out (endpointmodel.NoResponse).
 type endpoint struct {
 	endpointmodel.Endpoint
-	world    *World
-	site     *site
-	address  string
-	mu       sync.Mutex
-	door     endpointmodel.Link
-	listener *net.TCPListener
-	plugs    []net.Conn // what keeps the door stuffed
-	conns    map[*net.TCPConn]bool
-	closed   bool
+	world        *World
+	destination  *destination
+	address      string
+	mu           sync.Mutex
+	connectState endpointmodel.ConnectResult
+	listener     *net.TCPListener
+	backlogConns []net.Conn // connections that fill the accept backlog, so that further connection attempts time out
+	conns        map[*net.TCPConn]bool
+	closed       bool
 }
 
-// put puts up an endpoint, at an address that another one had or a new one.
-func (w *World) put(s *site, e endpointmodel.Endpoint, address string) (*endpoint, error) {
-	ep := &endpoint{Endpoint: e, world: w, site: s, address: address, door: endpointmodel.Refused, conns: map[*net.TCPConn]bool{}}
+// addEndpoint starts an endpoint at the given address, or at a new one if address is empty.
+func (w *World) addEndpoint(d *destination, e endpointmodel.Endpoint, address string) (*endpoint, error) {
+	ep := &endpoint{Endpoint: e, world: w, destination: d, address: address, connectState: endpointmodel.Refused, conns: map[*net.TCPConn]bool{}}
 	if address == "" {
 		ep.address = "127.0.0.1:0"
 	}
@@ -49,11 +50,11 @@
 	return ep, nil
 }
 
-// listen opens the door; the caller holds the lock, or is alone.
+// listen starts to accept connections. The caller holds the lock, or is the only one that uses the endpoint.
 func (e *endpoint) listen() error {
 	var l net.Listener
 	var err error
-	for range 20 { // another process may hold the port for a moment, as it is outside of all ranges only while it listens
+	for range 20 { // while the endpoint does not listen, another process may use its port for a moment
 		if l, err = net.Listen("tcp", e.address); err == nil {
 			break
 		}
@@ -62,7 +63,7 @@
 	if err != nil {
 		return err
 	}
-	e.listener, e.address, e.door = l.(*net.TCPListener), l.Addr().String(), endpointmodel.Up
+	e.listener, e.address, e.connectState = l.(*net.TCPListener), l.Addr().String(), endpointmodel.Connected
 	e.world.wg.Add(1)
 	go e.accept(e.listener)
 	return nil
@@ -73,63 +74,63 @@
 	for {
 		conn, err := l.AcceptTCP()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			return // stuffed: accepting goes on when it is opened again
+			return // deadline set by fillBacklog; reopen starts a new accept loop
 		}
 		if err != nil {
 			return
 		}
-		link := endpointmodel.Refused
-		e.site.do(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
-			link = p.Connect(now, e.ID)
+		result := endpointmodel.Refused
+		e.destination.update(func(p *endpointmodel.Destination, now dispatch.Micros) []endpointmodel.Output {
+			result = p.Connect(now, e.ID)
 			return nil
 		})
-		if link != endpointmodel.Up {
+		if result != endpointmodel.Connected {
 			reset(conn)
-			e.gate()
+			e.updateListener()
 			continue
 		}
-		if books := e.world.Books; books != nil {
-			books.Shook()
+		if ledger := e.world.Ledger; ledger != nil {
+			ledger.ConnectionOpened()
 		}
 		e.mu.Lock()
 		e.conns[conn] = true
 		e.mu.Unlock()
 		e.world.wg.Add(1)
 		go e.serve(conn)
-		e.gate()
+		e.updateListener()
 	}
 }
 
-// gate brings the door to what the partner says, and resets connections where they are cut off.
-func (e *endpoint) gate() {
-	e.site.mu.Lock()
-	want, dead := e.site.partner.Door(e.ID), e.site.partner.Dead(e.ID)
-	e.site.mu.Unlock()
+// updateListener makes the listener follow the state of the model, and resets all connections if the endpoint is down.
+func (e *endpoint) updateListener() {
+	e.destination.mu.Lock()
+	want, down := e.destination.model.ConnectStatus(e.ID), e.destination.model.IsDown(e.ID)
+	e.destination.mu.Unlock()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if dead {
+	if down {
 		e.resetAll()
 	}
-	if e.closed || want == e.door {
+	if e.closed || want == e.connectState {
 		return
 	}
-	was := e.door
-	e.door = want
+	before := e.connectState
+	e.connectState = want
 	switch {
-	case want == endpointmodel.NoWord:
-		e.stuff()
-	case was == endpointmodel.NoWord:
-		for _, c := range e.plugs {
+	case want == endpointmodel.NoResponse:
+		e.fillBacklog()
+	case before == endpointmodel.NoResponse:
+		for _, c := range e.backlogConns {
 			reset(c.(*net.TCPConn))
 		}
-		e.plugs = nil
-		e.shut()
+		e.backlogConns = nil
+		e.closeListener()
 		e.resetAll()
-		if want == endpointmodel.Up {
+		if want == endpointmodel.Connected {
 			e.reopen()
 		}
 	case want == endpointmodel.Refused:
-		e.shut()
+		e.closeListener()
 	default:
 		e.reopen()
 	}
@@ -137,26 +138,26 @@
 
 func (e *endpoint) reopen() {
 	if err := e.listen(); err != nil {
-		e.world.log.Warn("endpoint not opened again", "endpoint", e.ID, "error", err)
-		e.door = endpointmodel.Refused
+		e.world.log.Warn("endpoint does not listen again", "endpoint", e.ID, "error", err)
+		e.connectState = endpointmodel.Refused
 	}
 }
 
-func (e *endpoint) shut() {
+func (e *endpoint) closeListener() {
 	if e.listener != nil {
 		e.listener.Close()
 		e.listener = nil
 	}
 }
 
-// stuff lets new connections neither come up nor be refused: the queue of those not accepted is made as short as it can
-// be, and filled, so that the kernel drops what asks for one more.
-func (e *endpoint) stuff() {
+// fillBacklog makes connection attempts time out: it makes the accept backlog as short as possible and fills it, so that the
+// kernel drops further connection requests. If the endpoint cannot listen, connections are refused instead.
+func (e *endpoint) fillBacklog() {
 	if e.listener == nil {
 		if err := e.listen(); err != nil {
 			return
 		}
-		e.door = endpointmodel.NoWord
+		e.connectState = endpointmodel.NoResponse
 	}
 	e.listener.SetDeadline(time.Now())
 	if raw, err := e.listener.SyscallConn(); err == nil {
@@ -167,7 +168,7 @@
 		if err != nil {
 			break
 		}
-		e.plugs = append(e.plugs, c)
+		e.backlogConns = append(e.backlogConns, c)
 	}
 }
 
@@ -187,61 +188,61 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.closed = true
-	e.shut()
-	for _, c := range e.plugs {
+	e.closeListener()
+	for _, c := range e.backlogConns {
 		c.Close()
 	}
 	e.resetAll()
 }
 
-// inbound is one request off a connection.
+// inbound is one request that was read from a connection.
 type inbound struct {
-	req   *http.Request
-	body  []byte
-	first dispatch.Micros // when its first byte had come
+	req        *http.Request
+	body       []byte
+	receivedAt dispatch.Micros // when the first byte was received
 }
 
-// serve reads calls off a connection and answers them, one at a time.
+// serve reads requests from a connection and answers them one at a time.
 func (e *endpoint) serve(conn *net.TCPConn) {
 	defer e.world.wg.Done()
-	e.world.opened(1)
-	defer e.world.opened(-1)
+	e.world.countConns(1)
+	defer e.world.countConns(-1)
 	requests, quit := make(chan inbound), make(chan struct{})
 	e.world.wg.Add(1)
 	go func() {
 		defer e.world.wg.Done()
 		defer close(requests)
-		e.readAll(conn, requests, quit)
+		e.readRequests(conn, requests, quit)
 	}()
 	for in := range requests {
-		if !e.call(conn, in, requests) {
+		if !e.handleRequest(conn, in, requests) {
 			break
 		}
 	}
 	close(quit)
 	conn.Close()
 	e.mu.Lock()
-	_, mine := e.conns[conn]
+	_, open := e.conns[conn]
 	delete(e.conns, conn)
 	e.mu.Unlock()
-	if mine { // else it was cut off, and the partner has counted it out
-		e.site.do(func(p *endpointmodel.Partner, _ dispatch.Micros) []endpointmodel.Output {
+	if open { // otherwise it was reset, and the model no longer counts it
+		e.destination.update(func(p *endpointmodel.Destination, _ dispatch.Micros) []endpointmodel.Output {
 			p.Disconnect(e.ID)
 			return nil
 		})
 	}
-	e.gate()
+	e.updateListener()
 }
 
 const maxBody = 64 << 10
 
-func (e *endpoint) readAll(conn net.Conn, requests chan<- inbound, quit <-chan struct{}) {
+func (e *endpoint) readRequests(conn net.Conn, requests chan<- inbound, quit <-chan struct{}) {
 	br := bufio.NewReader(conn)
 	for {
 		if _, err := br.Peek(1); err != nil {
 			return
 		}
-		first := e.world.Clock.Now()
+		receivedAt := e.world.Clock.Now()
 		req, err := http.ReadRequest(br)
 		if err != nil {
 			return
@@ -251,33 +252,33 @@
 			return
 		}
 		select {
-		case requests <- inbound{req, body, first}:
+		case requests <- inbound{req, body, receivedAt}:
 		case <-quit:
 			return
 		}
 	}
 }
 
-// call answers one request; it tells whether the connection goes on.
-func (e *endpoint) call(conn *net.TCPConn, in inbound, closed <-chan inbound) bool {
+// handleRequest answers one request and reports whether the connection stays open.
+func (e *endpoint) handleRequest(conn *net.TCPConn, in inbound, requests <-chan inbound) bool {
 	switch {
 	case in.req.Method == http.MethodPost && in.req.URL.Path == "/hook":
-		return e.carry(conn, in, []dispatch.MessageID{dispatch.MessageID(in.req.Header.Get("X-Call-Id"))}, false, closed)
+		return e.handleMessages(conn, in, []dispatch.MessageID{dispatch.MessageID(in.req.Header.Get("X-Call-Id"))}, false, requests)
 	case in.req.Method == http.MethodPost && in.req.URL.Path == "/hook/batch":
-		ids, err := batch(in.body)
+		ids, err := parseBatch(in.body)
 		if err != nil {
-			return e.write(conn, 400, "", err.Error())
+			return e.writeResponse(conn, 400, "", err.Error())
 		}
-		if len(ids) > e.site.partner.Plan().PerCall {
-			return e.write(conn, 413, "", "too many records in one call")
+		if len(ids) > e.destination.model.Plan().PerCall {
+			return e.writeResponse(conn, 413, "", "too many records in one call")
 		}
-		return e.carry(conn, in, ids, true, closed)
+		return e.handleMessages(conn, in, ids, true, requests)
 	}
-	return e.write(conn, 404, "", "")
+	return e.writeResponse(conn, 404, "", "")
 }
 
-// batch reads the ids of a call with several messages.
-func batch(body []byte) (ids []dispatch.MessageID, err error) {
+// parseBatch returns the message IDs of a batch call.
+func parseBatch(body []byte) (ids []dispatch.MessageID, err error) {
 	for len(body) > 0 {
 		line, rest, ok := bytes.Cut(body, []byte("\r\n"))
 		parts := strings.Fields(string(line))
@@ -301,163 +302,165 @@
 	return ids, nil
 }
 
-// admitted is what a call's messages come to before the partner sees it.
-type admitted struct {
-	courier  int
-	items    []endpointmodel.Item
-	ids      []dispatch.MessageID
-	attempts []int
-	ends     map[dispatch.MessageID]string // what is not sent on
-	full     bool
+// admission is the result of checking a call before the model receives it.
+type admission struct {
+	courier        int
+	items          []endpointmodel.Item
+	ids            []dispatch.MessageID
+	attemptNumbers []int                         // as returned by Ledger.Sent
+	refusals       map[dispatch.MessageID]string // results of the messages that the model does not receive
+	noSlot         bool                          // the courier already has as many calls in flight as it has slots
 }
 
-// admit looks the messages of a call up, counts attempts and takes a slot.
-func (e *endpoint) admit(in inbound, ids []dispatch.MessageID) (a admitted, fault string) {
+// admit checks the messages of a call, counts their attempts and occupies a slot of the courier, if one is free. problem says why
+// the call is invalid; it is empty for a valid call.
+func (e *endpoint) admit(in inbound, ids []dispatch.MessageID) (a admission, problem string) {
 	w := e.world
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	a.ends, a.courier = map[dispatch.MessageID]string{}, -1
+	a.refusals, a.courier = map[dispatch.MessageID]string{}, -1
 	for _, id := range ids {
 		r := w.messages[id]
-		if r == nil && w.Guests {
-			r = &Message{Origin: id, Dest: e.site.no}
+		if r == nil && w.AllowUnknownMessages {
+			r = &Message{Origin: id, Dest: e.destination.id}
 			w.messages[id] = r
-			w.Books.Offered(in.first, id, 0, 0, dispatch.DestinationID(r.Dest))
-			w.Books.Taken(in.first, id, id, 0, "", in.first+dispatch.Micros(w.Day.Day.Classes[0].CutOff*1e6))
+			w.Ledger.Offered(in.receivedAt, id, 0, 0, dispatch.DestinationID(r.Dest))
+			w.Ledger.Accepted(in.receivedAt, id, id, 0, "", in.receivedAt+dispatch.Micros(w.Scenario.Definition.Classes[0].Deadline*1e6))
 		}
 		switch {
 		case r == nil:
 			return a, "no client handed in " + string(id)
-		case r.Dest != e.site.no:
-			return a, fmt.Sprintf("%s is for destination %d and came to %s, which is of %d", id, r.Dest, e.ID, e.site.no)
+		case r.Dest != e.destination.id:
+			return a, fmt.Sprintf("%s is for destination %d and came to %s, which is of %d", id, r.Dest, e.ID, e.destination.id)
 		}
 		a.courier = r.Courier
-		wl := &w.Day.Day.Classes[r.Work]
+		class := &w.Scenario.Definition.Classes[r.Class]
 		switch r.Attempts++; {
-		case r.Over:
-			a.ends[id] = "expired"
-		case r.Attempts > w.Day.Day.Fleet.MaxAttempts:
-			a.ends[id] = "no_more"
+		case r.Ended:
+			a.refusals[id] = "expired"
+		case r.Attempts > w.Scenario.Definition.Fleet.MaxAttempts:
+			a.refusals[id] = "no_more"
 		default:
 			a.ids = append(a.ids, id)
-			a.items = append(a.items, endpointmodel.Item{Message: id, Origin: r.Origin, Repeat: invariants.RepeatOf(wl.Repeat),
-				OneZone: wl.OneZone, Window: dispatch.Micros(wl.Window * 1e6)})
+			a.items = append(a.items, endpointmodel.Item{Message: id, Origin: r.Origin, Repeat: invariants.ParseIdempotency(class.Idempotency),
+				DedupOneZone: class.DedupOneZone, DedupWindow: dispatch.Micros(class.DedupWindow * 1e6)})
 		}
 	}
-	if a.full = w.out[a.courier] >= w.Day.Slots; !a.full {
-		w.out[a.courier]++
+	if a.noSlot = w.callsInFlight[a.courier] >= w.Scenario.Slots; !a.noSlot {
+		w.callsInFlight[a.courier]++
 	}
 	for _, id := range a.ids {
-		a.attempts = append(a.attempts, w.Books.Sent(in.first, id, invariants.Place{Dest: dispatch.DestinationID(e.site.no),
-			Route: e.site.route(e.ID), Endpoint: e.ID, Zone: e.Zone}))
+		a.attemptNumbers = append(a.attemptNumbers, w.Ledger.AttemptSent(in.receivedAt, id, invariants.Target{Dest: dispatch.DestinationID(e.destination.id),
+			Route: e.destination.route(e.ID), Endpoint: e.ID, Zone: e.Zone}))
 	}
 	return a, ""
 }
 
-func (s *site) route(id dispatch.EndpointID) int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.partner.Route(id)
+func (d *destination) route(id dispatch.EndpointID) int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.model.Route(id)
 }
 
-// carry plays one call with messages.
-func (e *endpoint) carry(conn *net.TCPConn, in inbound, ids []dispatch.MessageID, several bool, closed <-chan inbound) bool {
+// handleMessages processes one call and reports whether the connection stays open. An invalid call is an error of the courier, which
+// the ledger records as a crash.
+func (e *endpoint) handleMessages(conn *net.TCPConn, in inbound, ids []dispatch.MessageID, isBatch bool, requests <-chan inbound) bool {
 	w := e.world
-	a, fault := e.admit(in, ids)
-	if fault != "" {
-		w.Books.Crashed(in.first, max(0, a.courier), fault)
-		return e.write(conn, 400, "", fault)
+	a, problem := e.admit(in, ids)
+	if problem != "" {
+		w.Ledger.CourierCrashed(in.receivedAt, max(0, a.courier), problem)
+		return e.writeResponse(conn, 400, "", problem)
 	}
-	settle := func(o dispatch.Outcome, wait dispatch.Micros) {
+	recordOutcomes := func(o dispatch.Outcome, wait dispatch.Micros) {
 		for i, id := range a.ids {
-			w.Books.Settled(w.Clock.Now(), id, a.attempts[i], o, wait)
+			w.Ledger.AttemptEnded(w.Clock.Now(), id, a.attemptNumbers[i], o, wait)
 		}
 	}
-	if a.full {
-		settle(dispatch.Unprocessed, 0)
-		return e.write(conn, 503, "X-Egress-Full: 1\r\n", "")
+	if a.noSlot {
+		recordOutcomes(dispatch.Unprocessed, 0)
+		return e.writeResponse(conn, 503, "X-Egress-Full: 1\r\n", "")
 	}
 	defer func() {
 		w.mu.Lock()
-		w.out[a.courier]--
+		w.callsInFlight[a.courier]--
 		w.mu.Unlock()
 	}()
 	if len(a.ids) == 0 {
-		if !several {
-			return e.write(conn, map[string]int{"expired": 410, "no_more": 504}[a.ends[ids[0]]], "", "")
+		if !isBatch {
+			return e.writeResponse(conn, map[string]int{"expired": 410, "no_more": 504}[a.refusals[ids[0]]], "", "")
 		}
-		return e.write(conn, 200, "", e.ends(ids, a.ends, ""))
+		return e.writeResponse(conn, 200, "", e.batchResults(ids, a.refusals, ""))
 	}
 	w.mu.Lock()
-	w.calls++
-	call := &endpointmodel.Call{ID: w.calls, Courier: a.courier, Endpoint: e.ID, Items: a.items}
+	w.lastCall++
+	call := &endpointmodel.Call{ID: w.lastCall, Courier: a.courier, Endpoint: e.ID, Items: a.items}
 	w.mu.Unlock()
 	answer := make(chan endpointmodel.Answer, 1)
-	way := w.way(a.courier, e.Zone)
-	time.AfterFunc(way, func() {
-		e.site.do(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
-			e.site.waiting[call.ID] = answer
-			return p.Take(now, call)
+	delay := w.networkDelay(a.courier, e.Zone)
+	time.AfterFunc(delay, func() {
+		e.destination.update(func(p *endpointmodel.Destination, now dispatch.Micros) []endpointmodel.Output {
+			e.destination.pendingCalls[call.ID] = answer
+			return p.Receive(now, call)
 		})
-		e.site.gates()
+		e.destination.updateListeners()
 	})
-	var got endpointmodel.Answer
+	var result endpointmodel.Answer
 	select {
-	case got = <-answer:
-	case <-closed: // the courier hung up, or was cut off
-		e.site.do(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
-			delete(e.site.waiting, call.ID)
-			return p.CallOff(now, call)
+	case result = <-answer:
+	case <-requests: // the connection was closed or reset, or another request arrived on it before the answer
+		e.destination.update(func(p *endpointmodel.Destination, now dispatch.Micros) []endpointmodel.Output {
+			delete(e.destination.pendingCalls, call.ID)
+			return p.Cancel(now, call)
 		})
-		settle(dispatch.TimedOut, 0)
+		recordOutcomes(dispatch.TimedOut, 0)
 		return false
 	}
-	if got.Outcome == dispatch.Broken {
-		settle(dispatch.Broken, 0)
+	if result.Outcome == dispatch.Broken {
+		recordOutcomes(dispatch.Broken, 0)
 		conn.SetLinger(0)
 		return false
 	}
-	time.Sleep(way)
-	settle(got.Outcome, got.Wait) // before it is written, as the courier may act on it at once
-	return e.reply(conn, ids, a, got, several)
+	time.Sleep(delay)
+	recordOutcomes(result.Outcome, result.RetryAfter) // before the answer is written, because the courier may act on it immediately
+	return e.writeAnswer(conn, ids, a, result, isBatch)
 }
 
-func (e *endpoint) reply(conn net.Conn, ids []dispatch.MessageID, a admitted, got endpointmodel.Answer, several bool) bool {
-	head := ""
-	if len(got.Pressure) == 2 {
-		head = fmt.Sprintf("X-Load-Report: x0=%.4f,x1=%.4f\r\n", got.Pressure[0], got.Pressure[1])
+func (e *endpoint) writeAnswer(conn net.Conn, ids []dispatch.MessageID, a admission, result endpointmodel.Answer, isBatch bool) bool {
+	headers := ""
+	if len(result.LoadReport) == 2 {
+		headers = fmt.Sprintf("X-Load-Report: x0=%.4f,x1=%.4f\r\n", result.LoadReport[0], result.LoadReport[1])
 	}
 	status, body := 200, ""
-	switch got.Outcome {
+	switch result.Outcome {
 	case dispatch.Failure:
 		status = 500
 	case dispatch.Throttled:
-		if status = 503; got.Wait > 0 {
+		if status = 503; result.RetryAfter > 0 {
 			status = 429
-			head += fmt.Sprintf("X-Backoff-Ms: %d\r\n", int64(got.Wait+999)/1000)
+			headers += fmt.Sprintf("X-Backoff-Ms: %d\r\n", int64(result.RetryAfter+999)/1000)
 		}
 	default:
-		if several {
-			body = e.ends(ids, a.ends, "accepted")
+		if isBatch {
+			body = e.batchResults(ids, a.refusals, "accepted")
 		}
 	}
-	return e.write(conn, status, head, body)
+	return e.writeResponse(conn, status, headers, body)
 }
 
-// ends is the body of an answer for several.
-func (e *endpoint) ends(ids []dispatch.MessageID, ends map[dispatch.MessageID]string, otherwise string) string {
+// batchResults returns the body of the answer to a batch call.
+func (e *endpoint) batchResults(ids []dispatch.MessageID, refusals map[dispatch.MessageID]string, defaultResult string) string {
 	var b strings.Builder
 	for _, id := range ids {
-		end := ends[id]
-		if end == "" {
-			end = otherwise
+		result := refusals[id]
+		if result == "" {
+			result = defaultResult
 		}
-		fmt.Fprintf(&b, "%s %s\r\n", id, end)
+		fmt.Fprintf(&b, "%s %s\r\n", id, result)
 	}
 	return b.String()
 }
 
-func (e *endpoint) write(conn net.Conn, status int, head, body string) bool {
-	_, err := fmt.Fprintf(conn, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s", status, http.StatusText(status), head, len(body), body)
+func (e *endpoint) writeResponse(conn net.Conn, status int, headers, body string) bool {
+	_, err := fmt.Fprintf(conn, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s", status, http.StatusText(status), headers, len(body), body)
 	return err == nil
 }
--- a/testbed/environment/environment.go
+++ b/testbed/environment/environment.go
@@ -1,6 +1,7 @@
-// Package environment plays the outside of a day on loopback sockets: endpoints behind the same partners as in virtual time,
-// the directory, and the platform's notices. Each courier has a directory of its own to talk to, so that the books know
-// what it was notified; what calls it makes is known by the messages that it was handed.
+// Package environment emulates the surroundings of the couriers on loopback sockets: endpoints that use the same models as the
+// simulation in virtual time, the directory, and the receiver of notices. Each courier has its own directory, so that the ledger
+// can record what the courier was notified of. An endpoint derives the courier of a call from the messages in the call, as each
+// message is submitted to one courier.
 package environment
 
 import (
@@ -18,154 +19,157 @@
 	"pineport/testbed/scenario"
 )
 
-// Clock counts from the beginning of a day.
+// Clock measures the time since the start of a run.
 type Clock struct{ Start time.Time }
 
-// Now is the instant of the day.
+// Now returns the time since the start of the run.
 func (c Clock) Now() dispatch.Micros { return dispatch.Micros(time.Since(c.Start).Microseconds()) }
 
-// After does something at an instant of the day.
+// After calls a function at a time of the run.
 func (c Clock) After(at dispatch.Micros, do func()) *time.Timer {
 	return time.AfterFunc(time.Duration(at-c.Now())*time.Microsecond, do)
 }
 
-// Message is what a client submitted, as far as endpoints must know.
+// Message is what the endpoints have to know about a submitted message.
 type Message struct {
 	Origin   dispatch.MessageID
 	Courier  int
-	Work     int
+	Class    int
 	Dest     int
-	Over     bool
+	Ended    bool
 	Attempts int
 }
 
-// World is the outside of one day.
+// World is the environment of the couriers in one run of a scenario.
 type World struct {
-	Day   *scenario.Drawn
-	Books *invariants.Ledger
-	Clock Clock
-	// Noticed is notified of each notice that ends a message: how, and for a reject when to come again.
-	Noticed func(id dispatch.MessageID, how invariants.End, again time.Duration)
+	Scenario *scenario.Instance
+	Ledger   *invariants.Ledger
+	Clock    Clock
+	// OnNotice is called for each notice that ends a message. retryAfter is the time after which the client may submit a rejected
+	// message again.
+	OnNotice func(id dispatch.MessageID, end invariants.End, retryAfter time.Duration)
 
-	// Guests lets in messages that nobody announced, for clients that are not ours: of the first class, from courier 0.
-	Guests bool
+	// AllowUnknownMessages allows messages that were not announced by Expect, for clients that are not part of the testbed. Such a message is
+	// treated as one of the first class that was submitted to courier 0.
+	AllowUnknownMessages bool
 
-	log       *slog.Logger
-	mu        sync.Mutex
-	rng       *rand.Rand
-	sites     []*site
-	endpoints map[dispatch.EndpointID]*endpoint
-	messages  map[dispatch.MessageID]*Message
-	out       []int // calls out, by courier
-	directory []*directory
-	closed    bool
-	timers    []*time.Timer
-	wg        sync.WaitGroup
-	calls     uint64
-	open      int // connections
-	busiest   int
+	log           *slog.Logger
+	mu            sync.Mutex
+	rng           *rand.Rand
+	destinations  []*destination
+	endpoints     map[dispatch.EndpointID]*endpoint
+	messages      map[dispatch.MessageID]*Message
+	callsInFlight []int // calls without an answer, per courier; at most scenario.Instance.Slots
+	directories   []*directory
+	closed        bool
+	timers        []*time.Timer
+	wg            sync.WaitGroup
+	lastCall      uint64
+	openConns     int
+	maxConns      int
 }
 
-// site is one partner and its endpoints on sockets.
-type site struct {
-	world   *World
-	no      int
-	mu      sync.Mutex
-	partner *endpointmodel.Partner
-	timer   *time.Timer
-	dueAt   dispatch.Micros
-	waiting map[uint64]chan endpointmodel.Answer
+// destination is the model of one destination with the timer and the pending calls that connect it to sockets.
+type destination struct {
+	world        *World
+	id           int
+	mu           sync.Mutex
+	model        *endpointmodel.Destination
+	timer        *time.Timer
+	dueAt        dispatch.Micros
+	pendingCalls map[uint64]chan endpointmodel.Answer
 }
 
-// Open puts up the world of a day; nothing goes wrong in it before Begin.
-func Open(w *scenario.Drawn, log *slog.Logger) (*World, error) {
-	o := &World{Day: w, log: log, rng: rand.New(rand.NewPCG(uint64(w.Seed), 99)), endpoints: map[dispatch.EndpointID]*endpoint{},
-		messages: map[dispatch.MessageID]*Message{}, out: make([]int, w.Day.Fleet.Couriers), Clock: Clock{time.Now()}}
-	for i := range w.Destinations {
-		s := &site{world: o, no: i, partner: endpointmodel.New(w.Destinations[i].Plan), dueAt: endpointmodel.Never,
-			waiting: map[uint64]chan endpointmodel.Answer{}}
-		o.sites = append(o.sites, s)
-		for _, e := range w.Destinations[i].Endpoints {
-			if _, err := o.put(s, e, ""); err != nil {
-				o.Close()
+// Open starts the environment of a scenario. The events of the scenario occur only after Start. The random numbers come from stream 99,
+// which scenario.Draw does not use.
+func Open(instance *scenario.Instance, logger *slog.Logger) (*World, error) {
+	w := &World{Scenario: instance, log: logger, rng: rand.New(rand.NewPCG(uint64(instance.Seed), 99)), endpoints: map[dispatch.EndpointID]*endpoint{},
+		messages: map[dispatch.MessageID]*Message{}, callsInFlight: make([]int, instance.Definition.Fleet.Couriers), Clock: Clock{time.Now()}}
+	for i := range instance.Destinations {
+		d := &destination{world: w, id: i, model: endpointmodel.New(instance.Destinations[i].Plan), dueAt: endpointmodel.Never,
+			pendingCalls: map[uint64]chan endpointmodel.Answer{}}
+		w.destinations = append(w.destinations, d)
+		for _, e := range instance.Destinations[i].Endpoints {
+			if _, err := w.addEndpoint(d, e, ""); err != nil {
+				w.Close()
 				return nil, err
 			}
 		}
 	}
-	for i := range w.Day.Fleet.Couriers {
-		d, err := openDirectory(o, i)
+	for i := range instance.Definition.Fleet.Couriers {
+		d, err := openDirectory(w, i)
 		if err != nil {
-			o.Close()
+			w.Close()
 			return nil, err
 		}
-		o.directory = append(o.directory, d)
+		w.directories = append(w.directories, d)
 	}
-	return o, nil
+	return w, nil
 }
 
-// Begin starts the day: from now on its clock runs and its troubles come. Each act is notified to courier first; those of couriers are its to
-// carry out.
-func (w *World) Begin(books *invariants.Ledger, courier func(scenario.Act)) {
+// Start starts the run: its clock starts, and the events of the scenario occur at their times. Each event is first passed to onEvent, which
+// has to kill, stop, start and pause the couriers.
+func (w *World) Start(ledger *invariants.Ledger, onEvent func(scenario.Event)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.Books, w.Clock = books, Clock{time.Now()}
-	for _, a := range w.Day.Acts {
-		w.timers = append(w.timers, w.Clock.After(a.At, func() { w.act(a, courier) }))
+	w.Ledger, w.Clock = ledger, Clock{time.Now()}
+	for _, a := range w.Scenario.Events {
+		w.timers = append(w.timers, w.Clock.After(a.At, func() { w.applyEvent(a, onEvent) }))
 	}
 }
 
-func (w *World) act(a scenario.Act, courier func(scenario.Act)) {
-	courier(a)
-	var s *site
-	if a.Kind <= scenario.Removes {
-		s = w.sites[a.Dest]
+func (w *World) applyEvent(a scenario.Event, onEvent func(scenario.Event)) {
+	onEvent(a)
+	var d *destination
+	if a.Kind <= scenario.EndpointRemoved {
+		d = w.destinations[a.Dest]
 	}
 	switch a.Kind {
-	case scenario.Begins:
-		s.do(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
-			return p.Inject(now, a.Endpoint.ID, a.Fault)
+	case scenario.FaultBegins:
+		d.update(func(p *endpointmodel.Destination, now dispatch.Micros) []endpointmodel.Output {
+			return p.StartFault(now, a.Endpoint.ID, a.Fault)
 		})
-	case scenario.Ends:
-		s.do(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
-			return p.Heal(now, a.Endpoint.ID, a.Fault.ID)
+	case scenario.FaultEnds:
+		d.update(func(p *endpointmodel.Destination, now dispatch.Micros) []endpointmodel.Output {
+			return p.EndFault(now, a.Endpoint.ID, a.Fault.ID)
 		})
-	case scenario.Adds:
+	case scenario.EndpointAdded:
 		address := ""
 		if old := w.endpoint(a.Address); old != nil {
 			address = old.address
 		}
-		s.do(func(p *endpointmodel.Partner, _ dispatch.Micros) []endpointmodel.Output {
+		d.update(func(p *endpointmodel.Destination, _ dispatch.Micros) []endpointmodel.Output {
 			p.Add(a.Endpoint)
 			return nil
 		})
-		if _, err := w.put(s, a.Endpoint, address); err != nil {
-			w.log.Warn("endpoint not put up", "endpoint", a.Endpoint.ID, "error", err)
+		if _, err := w.addEndpoint(d, a.Endpoint, address); err != nil {
+			w.log.Warn("endpoint not started", "endpoint", a.Endpoint.ID, "error", err)
 		}
-		w.listed(a.Dest, a.Endpoint, dispatch.InService)
-	case scenario.Drains:
-		w.listed(a.Dest, a.Endpoint, dispatch.Draining)
-	case scenario.Removes:
-		s.do(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
+		w.publish(a.Dest, a.Endpoint, dispatch.InService)
+	case scenario.EndpointDraining:
+		w.publish(a.Dest, a.Endpoint, dispatch.Draining)
+	case scenario.EndpointRemoved:
+		d.update(func(p *endpointmodel.Destination, now dispatch.Micros) []endpointmodel.Output {
 			return p.Remove(now, a.Endpoint.ID)
 		})
-		w.listed(a.Dest, a.Endpoint, dispatch.Removed)
-	case scenario.ListDown, scenario.ListUp:
-		for _, d := range w.directory {
-			d.down(a.Kind == scenario.ListDown)
+		w.publish(a.Dest, a.Endpoint, dispatch.Removed)
+	case scenario.DirectoryDown, scenario.DirectoryUp:
+		for _, d := range w.directories {
+			d.setDown(a.Kind == scenario.DirectoryDown)
 		}
 	}
-	if s != nil {
-		s.gates()
+	if d != nil {
+		d.updateListeners()
 	}
 }
 
-func (w *World) listed(dest int, e endpointmodel.Endpoint, phase dispatch.Phase) {
-	for _, d := range w.directory {
+func (w *World) publish(dest int, e endpointmodel.Endpoint, phase dispatch.Phase) {
+	for _, d := range w.directories {
 		w.mu.Lock()
-		r := w.Day.Day.Directory.Notice
-		late := config.Micros(r[0] + (r[1]-r[0])*w.rng.Float64())
+		r := w.Scenario.Definition.Directory.ChangeDelay
+		delay := config.Micros(r[0] + (r[1]-r[0])*w.rng.Float64())
 		w.mu.Unlock()
-		d.later(late, dest, e, phase)
+		d.publishAfter(delay, dest, e, phase)
 	}
 }
 
@@ -175,38 +179,39 @@
 	return w.endpoints[id]
 }
 
-// Expect tells of a message before it is submitted: calls with other messages are strange.
+// Expect announces a message before it is submitted. A call with a message that was not announced is recorded as an error of
+// the courier.
 func (w *World) Expect(id dispatch.MessageID, r Message) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.messages[id] = &r
 }
 
-// Drop tells that what is still sent for a message counts for nothing.
-func (w *World) Drop(id dispatch.MessageID) {
+// MarkEnded marks a message as ended, so that further attempts of it get the answer that it has expired.
+func (w *World) MarkEnded(id dispatch.MessageID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if r := w.messages[id]; r != nil {
-		r.Over = true
+		r.Ended = true
 	}
 }
 
-// Busiest is how many connections the endpoints held at most, together.
-func (w *World) Busiest() int {
+// MaxConnections returns the largest number of connections that all endpoints together had open at the same time.
+func (w *World) MaxConnections() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.busiest
+	return w.maxConns
 }
 
-// opened counts connections that come and go.
-func (w *World) opened(n int) {
+// countConns adds to the number of open connections.
+func (w *World) countConns(n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.open += n
-	w.busiest = max(w.busiest, w.open)
+	w.openConns += n
+	w.maxConns = max(w.maxConns, w.openConns)
 }
 
-// Close ends everything.
+// Close stops the environment and waits until its goroutines have ended.
 func (w *World) Close() {
 	w.mu.Lock()
 	w.closed = true
@@ -215,97 +220,97 @@
 	}
 	endpoints := slices.Collect(maps.Values(w.endpoints))
 	w.mu.Unlock()
-	for _, s := range w.sites {
-		s.mu.Lock()
-		if s.timer != nil {
-			s.timer.Stop()
+	for _, d := range w.destinations {
+		d.mu.Lock()
+		if d.timer != nil {
+			d.timer.Stop()
 		}
-		s.mu.Unlock()
+		d.mu.Unlock()
 	}
 	for _, e := range endpoints {
 		e.close()
 	}
-	for _, d := range w.directory {
+	for _, d := range w.directories {
 		d.close()
 	}
 	w.wg.Wait()
 }
 
-// way draws how long something takes between a courier and an endpoint.
-func (w *World) way(courier int, zone dispatch.ZoneID) time.Duration {
+// networkDelay draws the one-way network delay between a courier and an endpoint.
+func (w *World) networkDelay(courier int, zone dispatch.ZoneID) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	r := w.Day.Day.Network.Same
-	if w.Day.CourierZone[courier] != zone {
-		r = w.Day.Day.Network.Cross
+	r := w.Scenario.Definition.Network.SameZone
+	if w.Scenario.CourierZone[courier] != zone {
+		r = w.Scenario.Definition.Network.CrossZone
 	}
 	return time.Duration((r[0] + (r[1]-r[0])*w.rng.Float64()) * float64(time.Millisecond))
 }
 
-// do has something done to the partner, and takes in what comes of it.
-func (s *site) do(what func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output) {
-	s.mu.Lock()
-	now := s.world.Clock.Now()
-	outs := what(s.partner, now)
-	due := s.partner.Due()
-	if due < s.dueAt {
-		s.dueAt = due
-		if s.timer != nil {
-			s.timer.Stop()
+// update calls a method of the model, schedules the next step of the model, records the outputs and passes on the answers.
+func (d *destination) update(action func(p *endpointmodel.Destination, now dispatch.Micros) []endpointmodel.Output) {
+	d.mu.Lock()
+	now := d.world.Clock.Now()
+	outputs := action(d.model, now)
+	due := d.model.NextDue()
+	if due < d.dueAt {
+		d.dueAt = due
+		if d.timer != nil {
+			d.timer.Stop()
 		}
-		s.timer = s.world.Clock.After(due, s.step)
+		d.timer = d.world.Clock.After(due, d.step)
 	}
 	var answers []func()
-	for _, o := range outs {
+	for _, o := range outputs {
 		if a, ok := o.(endpointmodel.Answer); ok {
-			if ch := s.waiting[a.Call.ID]; ch != nil {
-				delete(s.waiting, a.Call.ID)
+			if ch := d.pendingCalls[a.Call.ID]; ch != nil {
+				delete(d.pendingCalls, a.Call.ID)
 				answers = append(answers, func() { ch <- a })
 			}
 		}
 	}
-	s.mu.Unlock()
-	for _, o := range outs {
-		s.book(now, o)
+	d.mu.Unlock()
+	for _, o := range outputs {
+		d.record(now, o)
 	}
 	for _, answer := range answers {
 		answer()
 	}
 }
 
-func (s *site) step() {
-	s.mu.Lock()
-	s.dueAt = endpointmodel.Never
-	s.mu.Unlock()
-	s.do(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output { return p.Step(now) })
-	s.gates()
+func (d *destination) step() {
+	d.mu.Lock()
+	d.dueAt = endpointmodel.Never
+	d.mu.Unlock()
+	d.update(func(p *endpointmodel.Destination, now dispatch.Micros) []endpointmodel.Output { return p.Step(now) })
+	d.updateListeners()
 }
 
-func (s *site) book(now dispatch.Micros, o endpointmodel.Output) {
-	books := s.world.Books
-	if books == nil {
+func (d *destination) record(now dispatch.Micros, o endpointmodel.Output) {
+	ledger := d.world.Ledger
+	if ledger == nil {
 		return
 	}
 	switch o := o.(type) {
-	case endpointmodel.Ran:
-		books.Ran(now, o.Item.Message, o.Endpoint, o.Before, o.Known)
-	case endpointmodel.Fell:
-		books.Fell(now, dispatch.DestinationID(s.no), o.Route, o.Sent)
-	case endpointmodel.Turned:
-		books.Turned(now, dispatch.DestinationID(s.no), o.Route, o.Phase == endpointmodel.Out)
+	case endpointmodel.Effect:
+		ledger.EffectOccurred(now, o.Item.Message, o.Endpoint, o.EarlierEffects, o.Deduplicated)
+	case endpointmodel.RouteOverloaded:
+		ledger.RouteOverloaded(now, dispatch.DestinationID(d.id), o.Route, o.Sent)
+	case endpointmodel.PhaseChanged:
+		ledger.RouteChanged(now, dispatch.DestinationID(d.id), o.Route, o.Phase == endpointmodel.Outage)
 	}
 }
 
-func (s *site) gates() {
-	s.world.mu.Lock()
+func (d *destination) updateListeners() {
+	d.world.mu.Lock()
 	var all []*endpoint
-	for _, e := range s.world.endpoints {
-		if e.site == s {
+	for _, e := range d.world.endpoints {
+		if e.destination == d {
 			all = append(all, e)
 		}
 	}
-	s.world.mu.Unlock()
+	d.world.mu.Unlock()
 	for _, e := range all {
-		e.gate()
+		e.updateListener()
 	}
 }
--- a/testbed/invariants/fromday.go
+++ b/testbed/invariants/fromday.go
@@ -7,27 +7,27 @@
 	"pineport/testbed/scenario"
 )
 
-// ForDay is the setup for a day in virtual time.
-func ForDay(w *scenario.Drawn) Setup {
-	d, us := w.Day, func(s float64) dispatch.Micros { return dispatch.Micros(math.Round(s * 1e6)) }
-	setup := Setup{OverShare: d.Rules.OverShare, Halves: d.Rules.Decay == "halves", Length: w.Length,
-		AnswerSlack: us(d.Rules.AnswerSlack), DrainGrace: us(d.Rules.DrainGrace), KeyRest: us(d.Rules.KeyRest),
-		Goal:   Weights{d.Goal.Whole, d.Goal.Window, d.Goal.Class, d.Goal.Tenant},
-		Prices: Prices{d.Prices.Waste, d.Prices.Handshake, d.Prices.Refused}}
-	for _, wl := range d.Classes {
-		setup.Classes = append(setup.Classes, Class{Name: wl.Name, Objective: us(wl.Objective), Life: us(wl.CutOff),
-			Priority: wl.Priority, LatePart: wl.LatePart, Repeat: RepeatOf(wl.Repeat), Window: us(wl.Window), OneZone: wl.OneZone,
+// SetupFor returns the setup for a scenario. It is complete for virtual time; a run in real time has to add the tolerances.
+func SetupFor(instance *scenario.Instance) Setup {
+	definition, micros := instance.Definition, func(s float64) dispatch.Micros { return dispatch.Micros(math.Round(s * 1e6)) }
+	setup := Setup{OverQuotaFactor: definition.Rules.OverQuotaFactor, HalvingDecay: definition.Rules.Decay == "halves", Length: instance.Length,
+		AnswerGrace: micros(definition.Rules.AnswerGrace), DrainGrace: micros(definition.Rules.DrainGrace), KeyCooldown: micros(definition.Rules.KeyCooldown),
+		ScoreWeights: Weights{definition.Goal.Overall, definition.Goal.WorstWindow, definition.Goal.WorstClass, definition.Goal.WorstTenant},
+		Prices:       Prices{definition.Prices.Waste, definition.Prices.Handshake, definition.Prices.Refused}}
+	for _, wl := range definition.Classes {
+		setup.Classes = append(setup.Classes, Class{Name: wl.Name, Objective: micros(wl.Objective), Deadline: micros(wl.Deadline),
+			Priority: wl.Priority, LateValue: wl.LateValue, Idempotency: ParseIdempotency(wl.Idempotency), DedupWindow: micros(wl.DedupWindow), DedupOneZone: wl.DedupOneZone,
 			InOrder: wl.InOrder})
 	}
-	for _, p := range d.Tenants {
+	for _, p := range definition.Tenants {
 		setup.Tenants = append(setup.Tenants, p.Name)
-		setup.Quotas = append(setup.Quotas, w.Quota(p))
+		setup.Quotas = append(setup.Quotas, instance.Quota(p))
 	}
 	return setup
 }
 
-// RepeatOf reads the word of a day's file.
-func RepeatOf(word string) dispatch.Idempotency {
+// ParseIdempotency returns the idempotency that the key "repeat" of a scenario file names.
+func ParseIdempotency(word string) dispatch.Idempotency {
 	switch word {
 	case "replayable":
 		return dispatch.Idempotent
--- a/testbed/invariants/leases.go
+++ b/testbed/invariants/leases.go
@@ -6,92 +6,92 @@
 	"pineport/dispatch"
 )
 
-// Leases holds what couriers show of the parts of limits that they granted and leased against one another, from outside: whoever uses a
-// lease must have been granted it, and must end with it before its grantor has it back. Looks take time, so only what was seen strictly
-// one after the other counts.
+// Leases checks the quota leases between couriers from the statuses that the couriers report. A courier may grant at most half of its base
+// quota, with a tolerance of one unit. A lessee may use only a lease that its lessor has granted, and must stop using it before the lessor
+// uses that quota itself again. Reading a status takes time, so two observations are compared only if one ended before the other began.
 type Leases struct {
-	all      map[uint64]*seenLease
-	starts   map[string]uint64
-	Breaches []string
-	Seen     int     // leases seen at a lessee
-	Widest   float64 // of a base part, that one lessee had in all for one route
+	leases         map[uint64]*leaseState
+	incarnations   map[string]uint64
+	Breaches       []string // at most the first 20
+	LeaseCount     int      // number of leases observed at a lessee
+	MaxLeasedShare float64  // largest total of the leases of one lessee for one route, relative to its base quota
 }
 
-type seenLease struct {
-	lender  string
-	start   uint64          // of the grantor, when the lease was first seen; 0 not known
-	used    dispatch.Micros // a look at the lessee that showed it had ended by then
-	missing dispatch.Micros // a look at the grantor since then that did not show it had ended by then
+type leaseState struct {
+	lessor      string
+	incarnation uint64          // incarnation of the lessor in the latest observation that concerns the lease; 0: unknown
+	usedAt      dispatch.Micros // end of the first observation of the lessee that shows the lease; 0: none
+	missingAt   dispatch.Micros // end of the first later observation of the lessor that does not show the lease; 0: none
 }
 
-// Lease is a lease as one side shows it.
+// Lease is a lease as the lessor or the lessee reports it.
 type Lease struct {
-	Who   string
-	No    uint64
+	Peer  string // the other courier of the lease
+	ID    uint64
 	Units int64
-	Base  int64 // the part of whoever shows it
+	Base  int64 // base quota of the courier that reports the lease
 }
 
-// Look is what one courier showed, between two instants.
-type Look struct {
+// Observation is the status of one courier, read between From and To.
+type Observation struct {
 	Name          string
-	Start         uint64
+	Incarnation   uint64 // incarnation of the courier
 	From, To      dispatch.Micros
-	Granted, Used [][]Lease // by route
+	Granted, Used [][]Lease // leases per route
 }
 
-// Saw takes in a look. Looks at one courier come in order.
-func (l *Leases) Saw(k Look) {
-	if l.all == nil {
-		l.all, l.starts = map[uint64]*seenLease{}, map[string]uint64{}
+// Observe checks an observation. The observations of one courier must come in order.
+func (l *Leases) Observe(observation Observation) {
+	if l.leases == nil {
+		l.leases, l.incarnations = map[uint64]*leaseState{}, map[string]uint64{}
 	}
-	l.starts[k.Name] = k.Start
+	l.incarnations[observation.Name] = observation.Incarnation
 	granted := map[uint64]bool{}
-	for _, route := range k.Granted {
-		away, base := int64(0), int64(0)
+	for _, route := range observation.Granted {
+		leased, base := int64(0), int64(0)
 		for _, lease := range route {
-			granted[lease.No], base = true, lease.Base
-			away += lease.Units
-			if s := l.all[lease.No]; s != nil && s.lender == k.Name {
-				s.start = k.Start
+			granted[lease.ID], base = true, lease.Base
+			leased += lease.Units
+			if s := l.leases[lease.ID]; s != nil && s.lessor == observation.Name {
+				s.incarnation = observation.Incarnation
 			}
 		}
-		if away > base/2+1 {
-			l.breach("%s has lent %d of its part of %d", k.Name, away, base)
+		if leased > base/2+1 {
+			l.breach("%s has granted leases of %d, more than half of its base quota of %d", observation.Name, leased, base)
 		}
 	}
-	for no, s := range l.all { // in any order: each is judged by itself
+	for id, s := range l.leases { // the order does not matter, as each lease is checked separately
 		switch {
-		case s.lender != k.Name || granted[no] || s.used == 0 || s.used > k.From:
-		case s.start != 0 && s.start != k.Start: // it began anew, and holds as much back
-		case s.missing == 0:
-			s.missing, s.start = k.To, k.Start
+		case s.lessor != observation.Name || granted[id] || s.usedAt == 0 || s.usedAt > observation.From:
+		case s.incarnation != 0 && s.incarnation != observation.Incarnation: // a restarted lessor neither lists its earlier leases nor uses their quota
+		case s.missingAt == 0:
+			s.missingAt, s.incarnation = observation.To, observation.Incarnation
 		}
 	}
-	for _, route := range k.Used {
+	for _, route := range observation.Used {
 		sum, base := int64(0), int64(1)
 		for _, lease := range route {
 			base = max(1, lease.Base)
 			sum += lease.Units
-			s := l.all[lease.No]
+			s := l.leases[lease.ID]
 			if s == nil {
-				l.Seen++
-				s = &seenLease{lender: lease.Who, start: l.starts[lease.Who]}
-				l.all[lease.No] = s
+				l.LeaseCount++
+				s = &leaseState{lessor: lease.Peer, incarnation: l.incarnations[lease.Peer]}
+				l.leases[lease.ID] = s
 			}
-			if s.missing != 0 && s.missing <= k.From && s.start == l.starts[lease.Who] {
-				l.breach("%s uses %d of %s, which has it back or never lent it", k.Name, lease.Units, lease.Who)
+			if s.missingAt != 0 && s.missingAt <= observation.From && s.incarnation == l.incarnations[lease.Peer] {
+				l.breach("%s uses a lease of %d from %s, which has ended the lease or never granted it", observation.Name, lease.Units, lease.Peer)
 			}
-			if s.used == 0 {
-				s.used = k.To
+			if s.usedAt == 0 {
+				s.usedAt = observation.To
 			}
 		}
-		l.Widest = max(l.Widest, float64(sum)/float64(base))
+		l.MaxLeasedShare = max(l.MaxLeasedShare, float64(sum)/float64(base))
 	}
 }
 
-func (l *Leases) breach(format string, of ...any) {
+func (l *Leases) breach(format string, args ...any) {
 	if len(l.Breaches) < 20 {
-		l.Breaches = append(l.Breaches, fmt.Sprintf(format, of...))
+		l.Breaches = append(l.Breaches, fmt.Sprintf(format, args...))
 	}
 }
--- a/testbed/invariants/series.go
+++ b/testbed/invariants/series.go
@@ -6,34 +6,34 @@
 	"pineport/dispatch"
 )
 
-// Bin is the span of one point of a series.
-const Bin = dispatch.Micros(500 * 1000)
+// BinLength is the length of the interval of one value in a series.
+const BinLength = dispatch.Micros(500 * 1000)
 
-// Series is a day over time, in bins of half a second.
+// Series holds the totals of a run over time, in bins of half a second.
 type Series struct {
-	Asked, Won []float64 // value, by when the message was due
-	Held       []float64 // messages taken and not ended, at the end of the bin
-	Dests      []*DestSeries
+	OfferedValue, EarnedValue []float64 // value offered and value earned, in the bin in which the message was due to be submitted
+	OpenMessages              []float64 // accepted messages without a final answer, at the end of the bin
+	Dests                     []*DestSeries
 }
 
-// DestSeries is what went to one destination.
+// DestSeries holds the traffic of one destination over time.
 type DestSeries struct {
-	Dest                      dispatch.DestinationID
-	Offered                   []float64
-	Calls, Done, Full, Failed []float64
-	Outages                   [][2]float64 // in seconds
-	routesOut                 int
+	Dest                                   dispatch.DestinationID
+	Offered                                []float64
+	Attempts, Delivered, Throttled, Failed []float64
+	Outages                                [][2]float64 // start and end of each outage, in seconds
+	routesWithOutage                       int
 }
 
 type series struct {
-	holding int
-	heldAt  []float64
-	dests   map[dispatch.DestinationID]*DestSeries
+	open      int
+	openByBin []float64
+	dests     map[dispatch.DestinationID]*DestSeries
 }
 
-// put adds to a bin; what lies before the day counts to its first bin.
-func put(s []float64, at dispatch.Micros, n float64) []float64 {
-	i := max(0, int(at/Bin))
+// addToBin adds a number to the bin of a time. Times before the start of the run belong to the first bin.
+func addToBin(s []float64, at dispatch.Micros, n float64) []float64 {
+	i := max(0, int(at/BinLength))
 	for len(s) <= i {
 		s = append(s, 0)
 	}
@@ -41,13 +41,13 @@
 	return s
 }
 
-func (s *series) held(at dispatch.Micros, n int) {
-	s.holding += n
-	i := max(0, int(at/Bin))
-	for len(s.heldAt) <= i {
-		s.heldAt = append(s.heldAt, -1) // unchanged
+func (s *series) changeOpen(at dispatch.Micros, n int) {
+	s.open += n
+	i := max(0, int(at/BinLength))
+	for len(s.openByBin) <= i {
+		s.openByBin = append(s.openByBin, -1) // no change in this bin
 	}
-	s.heldAt[i] = float64(s.holding)
+	s.openByBin[i] = float64(s.open)
 }
 
 func (s *series) dest(id dispatch.DestinationID) *DestSeries {
@@ -59,52 +59,52 @@
 	return d
 }
 
-func (s *series) call(at dispatch.Micros, id dispatch.DestinationID) {
+func (s *series) countAttempt(at dispatch.Micros, id dispatch.DestinationID) {
 	d := s.dest(id)
-	d.Calls = put(d.Calls, at, 1)
+	d.Attempts = addToBin(d.Attempts, at, 1)
 }
 
-func (s *series) settled(at dispatch.Micros, id dispatch.DestinationID, o dispatch.Outcome) {
+func (s *series) countOutcome(at dispatch.Micros, id dispatch.DestinationID, o dispatch.Outcome) {
 	switch d := s.dest(id); o {
 	case dispatch.Delivered:
-		d.Done = put(d.Done, at, 1)
+		d.Delivered = addToBin(d.Delivered, at, 1)
 	case dispatch.Throttled:
-		d.Full = put(d.Full, at, 1)
+		d.Throttled = addToBin(d.Throttled, at, 1)
 	case dispatch.Unprocessed, dispatch.Canceled:
 	default:
-		d.Failed = put(d.Failed, at, 1)
+		d.Failed = addToBin(d.Failed, at, 1)
 	}
 }
 
-// out notes that a route of a destination went out or came back; the destination is out while any of them is.
-func (s *series) out(at dispatch.Micros, id dispatch.DestinationID, on bool) {
+// routeOutage records that an outage of a route started or ended. A destination has an outage while any of its routes has one.
+func (s *series) routeOutage(at dispatch.Micros, id dispatch.DestinationID, on bool) {
 	d := s.dest(id)
 	switch {
 	case on:
-		if d.routesOut++; d.routesOut == 1 {
+		if d.routesWithOutage++; d.routesWithOutage == 1 {
 			d.Outages = append(d.Outages, [2]float64{float64(at) / 1e6, -1})
 		}
 	default:
-		if d.routesOut--; d.routesOut == 0 {
+		if d.routesWithOutage--; d.routesWithOutage == 0 {
 			d.Outages[len(d.Outages)-1][1] = float64(at) / 1e6
 		}
 	}
 }
 
 func (s *series) finish(l *Ledger, end dispatch.Micros) *Series {
-	out, bins := &Series{}, int(end/Bin)+1
-	for _, o := range l.order {
-		out.Asked = put(out.Asked, o.at, o.value)
-		out.Won = put(out.Won, o.at, o.won)
+	out, bins := &Series{}, int(end/BinLength)+1
+	for _, o := range l.originOrder {
+		out.OfferedValue = addToBin(out.OfferedValue, o.at, o.value)
+		out.EarnedValue = addToBin(out.EarnedValue, o.at, o.earned)
 		d := s.dest(o.dest)
-		d.Offered = put(d.Offered, o.at, 1)
+		d.Offered = addToBin(d.Offered, o.at, 1)
 	}
 	level := 0.0
-	for _, h := range s.heldAt {
+	for _, h := range s.openByBin {
 		if h >= 0 {
 			level = h
 		}
-		out.Held = append(out.Held, level)
+		out.OpenMessages = append(out.OpenMessages, level)
 	}
 	pad := func(all ...*[]float64) {
 		for _, p := range all {
@@ -113,9 +113,9 @@
 			}
 		}
 	}
-	pad(&out.Asked, &out.Won, &out.Held)
+	pad(&out.OfferedValue, &out.EarnedValue, &out.OpenMessages)
 	for _, d := range s.dests {
-		pad(&d.Offered, &d.Calls, &d.Done, &d.Full, &d.Failed)
+		pad(&d.Offered, &d.Attempts, &d.Delivered, &d.Throttled, &d.Failed)
 		for i := range d.Outages {
 			if d.Outages[i][1] < 0 {
 				d.Outages[i][1] = float64(end) / 1e6
--- a/testbed/invariants/verdict.go
+++ b/testbed/invariants/verdict.go
@@ -10,32 +10,32 @@
 	"pineport/dispatch"
 )
 
-// Counts are sums over a day.
+// Counts are the numbers of events in a run.
 type Counts struct {
-	Offered     int `json:"offered"` // messages, first tries
-	Taken       int `json:"taken"`
-	Done        int `json:"done"`
-	Rejected    int `json:"bounced"`
-	Failed      int `json:"terminated"`
-	Lost        int `json:"lost"`
-	Attempts    int `json:"trips"`
-	Full        int `json:"full"`
-	Failures    int `json:"failures"`
-	TimedOut    int `json:"timed_out"`
-	Unreachable int `json:"unreachable"`
-	Broken      int `json:"broken"`
-	Withdrawn   int `json:"withdrawn"`
-	Unprocessed int `json:"void"`
-	Handshakes  int `json:"handshakes"`
-	Effects     int `json:"effects"`
-	Repeats     int `json:"repeats"` // effects that were not the first and not dropped
-	Falls       int `json:"falls"`
+	Offered        int `json:"offered"` // messages, without repeated submissions
+	Accepted       int `json:"taken"`   // accepted messages, including repeated submissions
+	Delivered      int `json:"done"`
+	Rejected       int `json:"bounced"`
+	Failed         int `json:"terminated"`
+	Lost           int `json:"lost"` // messages that got no final answer
+	Attempts       int `json:"trips"`
+	Throttled      int `json:"full"`
+	Failures       int `json:"failures"`
+	TimedOut       int `json:"timed_out"`
+	Unreachable    int `json:"unreachable"`
+	Broken         int `json:"broken"`
+	Canceled       int `json:"withdrawn"` // canceled attempts
+	Unprocessed    int `json:"void"`
+	Handshakes     int `json:"handshakes"`
+	Effects        int `json:"effects"`
+	Repeats        int `json:"repeats"` // further effects of messages whose repeats the destination did not recognize
+	RouteOverloads int `json:"falls"`   // overloads of recovering routes
 }
 
-func (c *Counts) settle(o dispatch.Outcome) {
+func (c *Counts) countOutcome(o dispatch.Outcome) {
 	switch o {
 	case dispatch.Throttled:
-		c.Full++
+		c.Throttled++
 	case dispatch.Failure:
 		c.Failures++
 	case dispatch.TimedOut:
@@ -45,120 +45,121 @@
 	case dispatch.Broken:
 		c.Broken++
 	case dispatch.Canceled:
-		c.Withdrawn++
+		c.Canceled++
 	case dispatch.Unprocessed:
 		c.Unprocessed++
 	}
 }
 
-// Verdict is the judgement of a day.
+// Verdict is the result of a run.
 type Verdict struct {
-	Figure   float64            `json:"figure"` // 0 where a rule broke
-	Service  float64            `json:"service"`
-	Whole    float64            `json:"whole"`
-	Window   float64            `json:"worst_window"`
-	WindowAt float64            `json:"worst_window_at_s"`
-	Class    map[string]float64 `json:"workloads"`
-	Tenant   map[string]float64 `json:"parties,omitempty"`
-	Costs    float64            `json:"costs"`
-	Counts   Counts             `json:"counts"`
-	Broken   map[Rule]int       `json:"broken,omitempty"`
-	Breaches []Breach           `json:"breaches,omitempty"`
-	Latency  []Latency          `json:"latency"`
-	Invalid  string             `json:"void,omitempty"` // why the run does not count
-	Series   *Series            `json:"-"`
+	Score         float64            `json:"figure"`       // 0 if a rule was broken
+	ServiceScore  float64            `json:"service"`      // weighted mean of the earned shares: whole run, worst window, worst class, worst tenant
+	Overall       float64            `json:"whole"`        // share of the offered value that was earned in the run
+	WorstWindow   float64            `json:"worst_window"` // the same share in the worst 10 s
+	WorstWindowAt float64            `json:"worst_window_at_s"`
+	ClassShares   map[string]float64 `json:"workloads"`
+	TenantShares  map[string]float64 `json:"parties,omitempty"`
+	Costs         float64            `json:"costs"`
+	Counts        Counts             `json:"counts"`
+	BreachCounts  map[Rule]int       `json:"broken,omitempty"`
+	Breaches      []Breach           `json:"breaches,omitempty"`
+	Latency       []Latency          `json:"latency"`
+	InvalidReason string             `json:"void,omitempty"` // why the result cannot be used; empty if it can
+	Series        *Series            `json:"-"`
 }
 
-// OK tells whether all rules were kept.
-func (v *Verdict) OK() bool { return len(v.Broken) == 0 }
+// OK reports whether all rules were kept.
+func (v *Verdict) OK() bool { return len(v.BreachCounts) == 0 }
 
-// Short is the verdict in a few words.
+// Short returns a one-line summary.
 func (v *Verdict) Short() string {
-	if v.Invalid != "" {
-		return "does not count: " + v.Invalid
+	if v.InvalidReason != "" {
+		return "invalid run: " + v.InvalidReason
 	}
 	if v.OK() {
 		return "rules kept"
 	}
 	var parts []string
 	for _, r := range Rules() {
-		if n := v.Broken[r]; n > 0 {
+		if n := v.BreachCounts[r]; n > 0 {
 			parts = append(parts, fmt.Sprintf("%s: broken %d times", r, n))
 		}
 	}
 	return strings.Join(parts, "; ")
 }
 
-const windowSpan = 10 * 1000 * 1000
+const worstWindowSpan = 10 * 1000 * 1000
 
-// Finish closes the books at the end of a day.
+// Finish makes the final checks at the end of a run and returns the result.
 func (l *Ledger) Finish(end dispatch.Micros) *Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.overdue(end)
-	v := &Verdict{Counts: l.counts, Class: map[string]float64{}, Tenant: map[string]float64{}, Broken: map[Rule]int{},
+	l.checkOverdue(end)
+	v := &Verdict{Counts: l.counts, ClassShares: map[string]float64{}, TenantShares: map[string]float64{}, BreachCounts: map[Rule]int{},
 		Latency: l.latency.table(), Series: l.series.finish(l, end)}
-	var whole sum
-	works, tenants := make([]sum, len(l.setup.Classes)), make([]sum, len(l.setup.Tenants))
-	const half = windowSpan / 2
-	halves := make([]sum, int(l.setup.Length/half)+2)
-	for _, o := range l.order {
-		for _, s := range []*sum{&whole, &works[o.work], &halves[min(int(o.at/half), len(halves)-1)]} {
+	var overall valueSum
+	classes, tenants := make([]valueSum, len(l.setup.Classes)), make([]valueSum, len(l.setup.Tenants))
+	const half = worstWindowSpan / 2
+	halves := make([]valueSum, int(l.setup.Length/half)+2)
+	for _, o := range l.originOrder {
+		for _, s := range []*valueSum{&overall, &classes[o.class], &halves[min(int(o.at/half), len(halves)-1)]} {
 			s.add(o)
 		}
-		if o.tenant < len(tenants) && o.value > 0 && o.value >= l.setup.Classes[o.work].Priority {
-			tenants[o.tenant].add(o) // within its share
+		if o.tenant < len(tenants) && o.value > 0 && o.value >= l.setup.Classes[o.class].Priority {
+			tenants[o.tenant].add(o) // within the quota of the tenant
 		}
 	}
-	v.Whole, v.Window = whole.share(), whole.share()
+	v.Overall, v.WorstWindow = overall.share(), overall.share()
 	for i := 0; i+1 < len(halves); i++ {
-		pair := sum{halves[i].asked + halves[i+1].asked, halves[i].won + halves[i+1].won}
-		if s := pair.share(); s < v.Window && pair.asked > 0.05*whole.asked*windowSpan/float64(max(windowSpan, l.setup.Length)) {
-			v.Window, v.WindowAt = s, float64(i)*half/1e6
+		pair := valueSum{halves[i].offered + halves[i+1].offered, halves[i].earned + halves[i+1].earned}
+		// Windows with less than 5 % of the average offered value are not considered.
+		if s := pair.share(); s < v.WorstWindow && pair.offered > 0.05*overall.offered*worstWindowSpan/float64(max(worstWindowSpan, l.setup.Length)) {
+			v.WorstWindow, v.WorstWindowAt = s, float64(i)*half/1e6
 		}
 	}
-	least := func(names func(int) string, sums []sum, into map[string]float64) float64 {
-		low := math.Inf(1)
+	lowestShare := func(name func(int) string, sums []valueSum, shares map[string]float64) float64 {
+		lowest := math.Inf(1)
 		for i, s := range sums {
-			if s.asked > 0 {
-				into[names(i)] = s.share()
-				low = min(low, s.share())
+			if s.offered > 0 {
+				shares[name(i)] = s.share()
+				lowest = min(lowest, s.share())
 			}
 		}
-		if math.IsInf(low, 1) {
-			return v.Whole
+		if math.IsInf(lowest, 1) {
+			return v.Overall
 		}
-		return low
+		return lowest
 	}
-	worstWork := least(func(i int) string { return l.setup.Classes[i].Name }, works, v.Class)
-	worstTenant := least(func(i int) string { return l.setup.Tenants[i] }, tenants, v.Tenant)
-	g := l.setup.Goal
-	v.Service = (g.Whole*v.Whole + g.Window*v.Window + g.Class*worstWork + g.Tenant*worstTenant) / (g.Whole + g.Window + g.Class + g.Tenant)
+	worstClass := lowestShare(func(i int) string { return l.setup.Classes[i].Name }, classes, v.ClassShares)
+	worstTenant := lowestShare(func(i int) string { return l.setup.Tenants[i] }, tenants, v.TenantShares)
+	g := l.setup.ScoreWeights
+	v.ServiceScore = (g.Overall*v.Overall + g.WorstWindow*v.WorstWindow + g.WorstClass*worstClass + g.WorstTenant*worstTenant) / (g.Overall + g.WorstWindow + g.WorstClass + g.WorstTenant)
 	offered, p := float64(max(1, l.counts.Offered)), l.setup.Prices
-	wasted := float64(max(0, l.counts.Attempts-l.counts.Unprocessed-l.counts.Done))
-	v.Costs = (p.Waste*wasted + p.Handshake*float64(l.counts.Handshakes) + p.Refused*float64(l.counts.Full)) / offered
-	v.Figure = v.Service - v.Costs
+	wasted := float64(max(0, l.counts.Attempts-l.counts.Unprocessed-l.counts.Delivered)) // attempts without a delivery
+	v.Costs = (p.Waste*wasted + p.Handshake*float64(l.counts.Handshakes) + p.Refused*float64(l.counts.Throttled)) / offered
+	v.Score = v.ServiceScore - v.Costs
 	for _, r := range Rules() {
 		if b := l.breaches[r]; b != nil {
-			v.Broken[r] = b.count
+			v.BreachCounts[r] = b.count
 			v.Breaches = append(v.Breaches, b.first...)
-			v.Figure = 0
+			v.Score = 0
 		}
 	}
 	return v
 }
 
-type sum struct{ asked, won float64 }
+type valueSum struct{ offered, earned float64 }
 
-func (s *sum) add(o *origin) { s.asked, s.won = s.asked+o.value, s.won+o.won }
-func (s sum) share() float64 {
-	if s.asked <= 0 {
+func (s *valueSum) add(o *origin) { s.offered, s.earned = s.offered+o.value, s.earned+o.earned }
+func (s valueSum) share() float64 {
+	if s.offered <= 0 {
 		return 1
 	}
-	return s.won / s.asked
+	return s.earned / s.offered
 }
 
-// Latency is how long delivery took, from the instant a message was due to be submitted.
+// Latency is the distribution of the time between the planned submission and the delivery of the messages of a class.
 type Latency struct {
 	Class string  `json:"workload"`
 	Count int64   `json:"count"`
@@ -174,18 +175,18 @@
 	all   []*hdrhistogram.Histogram
 }
 
-// newLatencies keeps from a tenth of a millisecond to an hour, to three digits.
-func newLatencies(works []Class) latencies {
+// newLatencies returns histograms for values from 0.1 ms to one hour, with three significant digits.
+func newLatencies(classes []Class) latencies {
 	var l latencies
-	for _, w := range works {
+	for _, w := range classes {
 		l.names = append(l.names, w.Name)
 		l.all = append(l.all, hdrhistogram.New(100, 3600*1000*1000, 3))
 	}
 	return l
 }
 
-func (l *latencies) note(work int, took dispatch.Micros) {
-	_ = l.all[work].RecordValue(min(max(100, int64(took)), 3600*1000*1000)) // always within its bounds
+func (l *latencies) record(class int, latency dispatch.Micros) {
+	_ = l.all[class].RecordValue(min(max(100, int64(latency)), 3600*1000*1000)) // no error: the value is within the bounds of the histogram
 }
 
 func (l *latencies) table() (rows []Latency) {
--- a/testbed/scenario/settings.go
+++ b/testbed/scenario/settings.go
@@ -7,84 +7,85 @@
 	"pineport/dispatch"
 )
 
-// Settings is what a courier of this day is handed at its start, in the form of its configuration's "settings".
-func (w *Drawn) Settings(courier int) map[string]any {
-	d := w.Day
+// Settings returns the settings of a courier, in the form of the key "settings" of its configuration.
+func (w *Instance) Settings(courier int) map[string]any {
+	def := w.Definition
 	var classes, tenants []any
-	for _, wl := range d.Classes {
+	for _, wl := range def.Classes {
 		group, repeat := "all", "single_shot"
-		if wl.OneZone {
+		if wl.DedupOneZone {
 			group = "zone"
 		}
-		switch wl.Repeat {
+		switch wl.Idempotency {
 		case "replayable":
 			repeat = "free"
 		case "referenced":
 			repeat = "guarded"
 		}
-		classes = append(classes, map[string]any{"name": wl.Name, "slo-s": wl.Objective, "deadline-s": wl.CutOff,
-			"points": wl.Priority, "late-worth": wl.LatePart, "idempotency": repeat, "dedup-window-s": wl.Window,
+		classes = append(classes, map[string]any{"name": wl.Name, "slo-s": wl.Objective, "deadline-s": wl.Deadline,
+			"points": wl.Priority, "late-worth": wl.LateValue, "idempotency": repeat, "dedup-window-s": wl.DedupWindow,
 			"group": group, "in-order": wl.InOrder})
 	}
-	for _, p := range d.Tenants {
+	for _, p := range def.Tenants {
 		tenants = append(tenants, map[string]any{"name": p.Name, "share": p.Share, "quota-per-s": w.Quota(p)})
 	}
-	var shapes []string
-	var apart []bool
+	var types []string
+	var separateRoutes []bool
 	var perCall []int
 	var fields []string
-	for _, k := range d.Kinds {
-		shapes, apart, perCall = append(shapes, k.Name), append(apart, k.Apart), append(perCall, k.PerCall)
+	for _, k := range def.Kinds {
+		types, separateRoutes, perCall = append(types, k.Name), append(separateRoutes, k.SeparateRoutes), append(perCall, k.PerCall)
 		if k.Reports {
 			fields = []string{"x0", "x1"}
 		}
 	}
-	discovery, rates := "automatic", d.Directory.Rates
-	if d.Directory.Mode == "ask" {
+	discovery, rates := "automatic", def.Directory.Rates
+	if def.Directory.Mode == "ask" {
 		discovery = "subscribe"
 	}
 	if rates == "none" {
 		rates = "silent"
 	}
-	r := d.Rules
+	r := def.Rules
 	return map[string]any{
-		"fleet-size": d.Fleet.Couriers, "ordinal": courier, "locality": int(w.CourierZone[courier]), "zones": d.Fleet.Zones,
-		"classes": classes, "tenants": tenants, "shapes": shapes, "discovery": discovery, "weight-kind": rates,
-		"tick-s": d.Fleet.Tick / 1000, "over-share-worth": r.OverShare, "telemetry": map[string]any{"fields": fields},
+		"fleet-size": def.Fleet.Couriers, "ordinal": courier, "locality": int(w.CourierZone[courier]), "zones": def.Fleet.Zones,
+		"classes": classes, "tenants": tenants, "shapes": types, "discovery": discovery, "weight-kind": rates,
+		"tick-s": def.Fleet.Tick / 1000, "over-share-worth": r.OverQuotaFactor, "telemetry": map[string]any{"fields": fields},
 		"family-info": map[string]any{"slots": w.Slots, "decay": map[string]string{"halves": "halves", "evenly": "line"}[r.Decay],
-			"per-call": perCall, "separate-routes": apart},
-		"ceilings": map[string]any{"open-cap": w.Hold, "try-limit": d.Fleet.MaxAttempts, "may-cancel": d.Fleet.MayCancel,
-			"retry-after": d.Fleet.MayAdvise, "max-retry-after-s": d.Fleet.LongestWait, "conn-idle-s": d.Fleet.Idle,
-			"connect-timeout-s": d.Fleet.Connect / 1000},
-		"rules": map[string]any{"cold-from": r.ColdFrom, "ramp-time-s": r.Ramp, "fall-multiple": r.Fall, "key-rest-s": r.KeyRest,
+			"per-call": perCall, "separate-routes": separateRoutes},
+		"ceilings": map[string]any{"open-cap": w.QueueLimit, "try-limit": def.Fleet.MaxAttempts, "may-cancel": def.Fleet.MayCancel,
+			"retry-after": def.Fleet.SendRetryAfter, "max-retry-after-s": def.Fleet.MaxRetryAfter, "conn-idle-s": def.Fleet.IdleTimeout,
+			"connect-timeout-s": def.Fleet.ConnectTimeout / 1000},
+		"rules": map[string]any{"cold-from": r.SlowStartInitialShare, "ramp-time-s": r.SlowStart, "fall-multiple": r.OverloadFactor, "key-rest-s": r.KeyCooldown,
 			"drain-grace-s": r.DrainGrace},
 	}
 }
 
-// Quota is what a tenant may send within its share, in messages a second.
-func (w *Drawn) Quota(p Tenant) float64 { return p.Share * w.Day.Traffic.FullPerSec }
+// Quota returns the quota of a tenant in messages per second.
+func (w *Instance) Quota(p Tenant) float64 { return p.Share * w.Definition.Traffic.FullLoadPerSec }
 
-// Config is the same, as the decisions read it: through the same code that a real courier's configuration passes.
-func (w *Drawn) Config(courier int, salt int64) (dispatch.Config, error) {
-	ch, err := config.DispatchConfig(salt, config.Flatten(w.Settings(courier)))
+// Config returns the same settings as a configuration of the dispatcher. It converts them with the code that a real courier uses. seed is
+// the seed of the random numbers of the courier.
+func (w *Instance) Config(courier int, seed int64) (dispatch.Config, error) {
+	cfg, err := config.DispatchConfig(seed, config.Flatten(w.Settings(courier)))
 	if err != nil {
-		return ch, fmt.Errorf("day %s: %w", w.Day.Name, err)
+		return cfg, fmt.Errorf("scenario %s: %w", w.Definition.Name, err)
 	}
-	return ch, nil
+	return cfg, nil
 }
 
-// List is the endpoints that are listed at the start of the day.
-func (w *Drawn) List() (all []dispatch.EndpointEntry) {
+// InitialEntries returns the endpoint list at the start of the run.
+func (w *Instance) InitialEntries() (all []dispatch.EndpointEntry) {
 	for i := range w.Destinations {
 		for _, e := range w.Destinations[i].Endpoints {
-			all = append(all, w.Listing(i, e.ID, e.Zone, dispatch.InService))
+			all = append(all, w.Entry(i, e.ID, e.Zone, dispatch.InService))
 		}
 	}
 	return all
 }
 
-// Listing is one endpoint as the list has it.
-func (w *Drawn) Listing(dest int, id dispatch.EndpointID, zone dispatch.ZoneID, phase dispatch.Phase) dispatch.EndpointEntry {
+// Entry returns the entry of an endpoint in the endpoint list.
+func (w *Instance) Entry(dest int, id dispatch.EndpointID, zone dispatch.ZoneID, phase dispatch.Phase) dispatch.EndpointEntry {
 	dst := &w.Destinations[dest]
-	return dispatch.EndpointEntry{Endpoint: id, Zone: zone, Type: dst.Plan.Kind, Destination: dispatch.DestinationID(dest), Phase: phase, Rate: dst.Listed}
+	return dispatch.EndpointEntry{Endpoint: id, Zone: zone, Type: dst.Plan.Kind, Destination: dispatch.DestinationID(dest), Phase: phase, Rate: dst.ListedRate}
 }
