--- a/cmd/pineport-testbed/capacity.go
+++ b/cmd/pineport-testbed/capacity.go
@@ -22,25 +22,26 @@
 	var f capacityFlags
 	cmd := &cobra.Command{
 		Use:   "capacity",
-		Short: "Work out what a fleet of a planned size asks of each part, and what breaks first",
-		Long: `Carry the slopes that pineport-testbed scale measured to the sizes of a plan, hold them against its budgets, and say at which share of the
-planned size each breaks. Another operator's fleet is another --plan; docs/capacity/plan.toml is the example, with each key explained.
-A faulty plan is told by file, line, key and what was expected, all faults at once. Exit codes: 0 all well; 2 a file is at fault.`,
+		Short: "Compute the load of a planned fleet size on each component, and which budget is exceeded first",
+		Long: `Extrapolate the slopes measured by pineport-testbed scale to the sizes of a plan, compare the results with the plan's budgets, and report
+at which share of the planned size each budget is exceeded. For another fleet, write another --plan; docs/capacity/plan.toml is an example
+that explains each key. All errors of a plan are reported at once, each with file, line, key and expected value.
+Exit codes: 0 success; 2 a file is invalid.`,
 		Example: `  pineport-testbed capacity --plan ours.toml
   pineport-testbed capacity --output json
   pineport-testbed capacity --output markdown --write docs/CAPACITY.md --charts docs/capacity`,
 		Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error { return workOutCapacity(cmd, f) },
+		RunE: func(cmd *cobra.Command, _ []string) error { return computeCapacity(cmd, f) },
 	}
-	cmd.Flags().StringVar(&f.plan, "plan", "docs/capacity/plan.toml", "the planned size, budgets and failure rates")
-	cmd.Flags().StringVar(&f.measured, "measured", "docs/capacity/measured.json", "slopes as pineport-testbed scale wrote them")
-	cmd.Flags().StringVar(&f.output, "output", "table", "table, json or markdown")
-	cmd.Flags().StringVar(&f.write, "write", "", "file that takes the page, as markdown, whatever --output says (empty: printed only)")
-	cmd.Flags().StringVar(&f.charts, "charts", "", "folder that takes a chart of each slope (empty: none)")
+	cmd.Flags().StringVar(&f.plan, "plan", "docs/capacity/plan.toml", "file with the planned sizes, budgets and failure rates")
+	cmd.Flags().StringVar(&f.measured, "measured", "docs/capacity/measured.json", "file with the slopes, written by pineport-testbed scale")
+	cmd.Flags().StringVar(&f.output, "output", "table", "output format: table, json or markdown")
+	cmd.Flags().StringVar(&f.write, "write", "", "file to write the page to, always as Markdown (empty: print only)")
+	cmd.Flags().StringVar(&f.charts, "charts", "", "directory for one chart per slope (empty: no charts)")
 	return cmd
 }
 
-func workOutCapacity(cmd *cobra.Command, f capacityFlags) error {
+func computeCapacity(cmd *cobra.Command, f capacityFlags) error {
 	plan, measured, err := capacity.Load(f.plan, f.measured)
 	if err != nil {
 		return err
@@ -72,10 +73,10 @@
 	case "markdown":
 		return page.Markdown(), nil
 	}
-	return "", fmt.Errorf("--output: table, json or markdown was expected, not %q", output)
+	return "", fmt.Errorf("--output: expected table, json or markdown, got %q", output)
 }
 
-// drawSlopes draws the charts into a folder.
+// drawSlopes writes one chart per slope into the directory, which it creates if necessary. An empty name draws nothing.
 func drawSlopes(page *capacity.Page, folder string) error {
 	if folder == "" {
 		return nil
@@ -84,7 +85,7 @@
 		return err
 	}
 	for _, chart := range page.Charts() {
-		if _, err := report.Slope(folder, chart); err != nil {
+		if _, err := report.DrawSlope(folder, chart); err != nil {
 			return err
 		}
 	}
--- a/cmd/pineport-testbed/check.go
+++ b/cmd/pineport-testbed/check.go
@@ -11,10 +11,10 @@
 	"pineport/testbed/scenario"
 )
 
-// unchecked are the built-in days that take too long for a check.
-var unchecked = []string{"full-size"}
+// excludedFromCheck lists the built-in scenarios that take too long for the check command.
+var excludedFromCheck = []string{"full-size"}
 
-func where(c experiment.Cell) string {
+func socketsSuffix(c experiment.Cell) string {
 	if c.Live != nil {
 		return " (sockets)"
 	}
@@ -27,7 +27,7 @@
 	var courier string
 	cmd := &cobra.Command{
 		Use:   "check",
-		Short: "Play the built-in days in virtual time and a short one on sockets; one line each, exit code 1 where a rule broke",
+		Short: "Run the built-in scenarios in virtual time and a short one on sockets; one line each, exit code 1 if an invariant is violated",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 8, 2, ' ', 0)
@@ -35,8 +35,8 @@
 			if err != nil {
 				return err
 			}
-			days := slices.DeleteFunc(scenario.BuiltIn(), func(name string) bool { return slices.Contains(unchecked, name) })
-			plan, err := comparison(days, int(seeds), nil)
+			days := slices.DeleteFunc(scenario.BuiltIn(), func(name string) bool { return slices.Contains(excludedFromCheck, name) })
+			plan, err := comparisonPlan(days, int(seeds), nil)
 			if err != nil {
 				return err
 			}
@@ -50,30 +50,30 @@
 				if err != nil {
 					return err
 				}
-				cell, err := playLive(cmd, d, d.Seed, playFlags{courier: courier})
+				cell, err := playOnSockets(cmd, d, d.Seed, playFlags{courier: courier})
 				if err != nil {
 					return err
 				}
 				cells = append(cells, cell)
 			}
-			broken := false
+			violated := false
 			fmt.Fprintln(w, "day\tseed\tfigure\tjudgement")
 			for _, c := range cells {
-				fmt.Fprintf(w, "%s\t%d\t%.3f\t%s\n", c.Day+where(c), c.Seed, c.Verdict.Figure, c.Verdict.Short())
-				broken = broken || !c.Verdict.OK() || c.Verdict.Invalid != ""
+				fmt.Fprintf(w, "%s\t%d\t%.3f\t%s\n", c.Day+socketsSuffix(c), c.Seed, c.Verdict.Figure, c.Verdict.Short())
+				violated = violated || !c.Verdict.OK() || c.Verdict.Invalid != ""
 			}
 			w.Flush()
 			for _, c := range cells {
 				printBreaches(cmd.OutOrStdout(), c.Verdict)
 			}
-			if broken {
-				return errBroken
+			if violated {
+				return errViolation
 			}
 			return nil
 		},
 	}
-	cmd.Flags().Int64Var(&seeds, "seeds", 3, "how many seeds of each day")
-	cmd.Flags().BoolVar(&virtual, "virtual", false, "in virtual time only")
-	cmd.Flags().StringVar(&courier, "courier", "", "the courier's binary (empty: beside this program, or built anew)")
+	cmd.Flags().Int64Var(&seeds, "seeds", 3, "number of seeds per scenario")
+	cmd.Flags().BoolVar(&virtual, "virtual", false, "run in virtual time only")
+	cmd.Flags().StringVar(&courier, "courier", "", "courier binary (empty: the one in this program's directory, else a new build)")
 	return cmd
 }
--- a/cmd/pineport-testbed/compare.go
+++ b/cmd/pineport-testbed/compare.go
@@ -31,8 +31,9 @@
 	"costs": func(v *invariants.Verdict) float64 { return v.Costs },
 }
 
-// stretch is a figure of a part of the day.
-func stretch(figure string, from, to float64) (func(*invariants.Verdict) float64, bool) {
+// intervalFigure returns a function that reads a figure for the interval from..to, in seconds, of a scenario. The second result is false if
+// the figure is not available for intervals.
+func intervalFigure(figure string, from, to float64) (func(*invariants.Verdict) float64, bool) {
 	pick := map[string]func(invariants.Within) float64{
 		"whole":   func(w invariants.Within) float64 { return w.Priority },
 		"failed":  func(w invariants.Within) float64 { return w.Fails },
@@ -41,22 +42,23 @@
 	return func(v *invariants.Verdict) float64 { return pick(v.Series.Between(from, to)) }, pick != nil
 }
 
-// figurePicker returns what reads a figure of a verdict: of the whole day, or of a stretch of it, in seconds.
-func figurePicker(figure string, from, to float64) (func(v *invariants.Verdict) float64, error) {
+// figureSelector returns a function that reads a figure from a verdict: for the interval from..to, in seconds, if to is greater than from,
+// else for the whole scenario.
+func figureSelector(figure string, from, to float64) (func(v *invariants.Verdict) float64, error) {
 	pick, ok := figures[figure]
 	if !ok {
-		return nil, fmt.Errorf("--figure: figure, net, service, whole, window, costs, falls, refused or failed was expected, not %q", figure)
+		return nil, fmt.Errorf("--figure: expected figure, net, service, whole, window, costs, falls, refused or failed, got %q", figure)
 	}
 	if to > from {
-		if pick, ok = stretch(figure, from, to); !ok {
-			return nil, fmt.Errorf("--figure: whole, failed or refused was expected for a stretch, not %q", figure)
+		if pick, ok = intervalFigure(figure, from, to); !ok {
+			return nil, fmt.Errorf("--figure: expected whole, failed or refused for a time interval, got %q", figure)
 		}
 	}
 	return pick, nil
 }
 
-// comparison plans the plays of variants on days with seeds from 1.
-func comparison(days []string, seeds int, variants []string) (plan experiment.Plan, err error) {
+// comparisonPlan returns a plan that runs every variant on every scenario with the seeds 1 to seeds.
+func comparisonPlan(days []string, seeds int, variants []string) (plan experiment.Plan, err error) {
 	for _, name := range days {
 		found, err := scenario.Find(name)
 		if err != nil {
@@ -84,21 +86,21 @@
 	var from, to float64
 	cmd := &cobra.Command{
 		Use:   "compare VARIANT VARIANT...",
-		Short: "Play variants of the decisions on the same days and seeds, and tell how far they differ from the first",
+		Short: "Run variants of the decision logic on the same scenarios and seeds, and report how they differ from the first",
 		Example: `  pineport-testbed compare module baseline:textbook --day overload,chance --seeds 20
   pineport-testbed compare module "old=wire:/tmp/old/simadapter" --figure whole`,
 		Args: cobra.MinimumNArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			pick, err := figurePicker(figure, from, to)
+			pick, err := figureSelector(figure, from, to)
 			if err != nil {
 				return err
 			}
-			plan, err := comparison(names, seeds, args)
+			plan, err := comparisonPlan(names, seeds, args)
 			if err != nil {
 				return err
 			}
 			plan.Jobs = workers
-			plan.Progress = progress(cmd.Name(), len(plan.Days)*len(plan.Seeds)*len(plan.Variants))
+			plan.Progress = progressBar(cmd.Name(), len(plan.Days)*len(plan.Seeds)*len(plan.Variants))
 			cells, err := experiment.Run(cmd.Context(), plan)
 			if err != nil {
 				return err
@@ -115,23 +117,23 @@
 				return err
 			}
 			if output != "table" {
-				return errors.New("--output: table or json was expected")
+				return errors.New("--output: expected table or json")
 			}
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 8, 2, ' ', 0)
-			fmt.Fprintf(w, "day\tvariant\tpairs\t%s of %s\tof it\tdifference\t95 %% interval\truns with a broken rule\n", figure, plan.Variants[0].Name)
+			fmt.Fprintf(w, "day\tvariant\tpairs\t%s of %s\tof variant\tdifference\t95 %% interval\truns with a violated invariant\n", figure, plan.Variants[0].Name)
 			for _, r := range rows {
 				fmt.Fprintf(w, "%s\t%s\t%d\t%.3f\t%.3f\t%+.3f\t%+.3f to %+.3f\t%d\n", r.Day, r.Variant, r.Pairs, r.Base, r.Mean, r.Diff, r.Low, r.High, r.Broken)
 			}
 			return w.Flush()
 		},
 	}
-	cmd.Flags().StringSliceVar(&names, "day", []string{"chance"}, "days, by name or file")
-	cmd.Flags().IntVar(&seeds, "seeds", 10, "how many seeds of each day")
-	cmd.Flags().IntVar(&workers, "jobs", jobs(), "runs side by side")
-	cmd.Flags().StringVar(&figure, "figure", "figure", "what is compared: figure, net, service, whole, window, costs, falls, refused or failed")
-	cmd.Flags().Float64Var(&from, "from", 0, "count only what happened from this second of the day on ...")
-	cmd.Flags().Float64Var(&to, "to", 0, "... until this one (0: the whole day)")
-	cmd.Flags().StringVar(&output, "output", "table", "table or json")
-	cmd.Flags().StringVar(&out, "out", "", "folder for tables")
+	cmd.Flags().StringSliceVar(&names, "day", []string{"chance"}, "scenarios, by name or file")
+	cmd.Flags().IntVar(&seeds, "seeds", 10, "number of seeds per scenario")
+	cmd.Flags().IntVar(&workers, "jobs", jobs(), "number of concurrent runs")
+	cmd.Flags().StringVar(&figure, "figure", "figure", "figure to compare: figure, net, service, whole, window, costs, falls, refused or failed")
+	cmd.Flags().Float64Var(&from, "from", 0, "start of the compared interval, in seconds of scenario time")
+	cmd.Flags().Float64Var(&to, "to", 0, "end of the compared interval, in seconds of scenario time (0: the whole scenario)")
+	cmd.Flags().StringVar(&output, "output", "table", "output format: table or json")
+	cmd.Flags().StringVar(&out, "out", "", "directory for the result tables")
 	return cmd
 }
--- a/cmd/pineport-testbed/demo.go
+++ b/cmd/pineport-testbed/demo.go
@@ -16,7 +16,7 @@
 	var courier, out string
 	cmd := &cobra.Command{
 		Use:   "demo",
-		Short: "A small world on loopback, two couriers, load and trouble, and a plain account of what was decided; 20 s",
+		Short: "Run two couriers on loopback under load and faults for 20 s, and summarize what they did",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			d, err := scenario.Find("demo")
@@ -29,46 +29,46 @@
 			}
 			defer clean()
 			w := scenario.Draw(d, d.Seed)
-			say := func(format string, args ...any) { fmt.Fprintf(cmd.OutOrStdout(), format, args...) }
-			say("%s\n\n", d.About)
-			say("%d couriers, %d destinations, about %.0f records a second for %.0f s, all on loopback.\n", d.Fleet.Couriers,
+			printf := func(format string, args ...any) { fmt.Fprintf(cmd.OutOrStdout(), format, args...) }
+			printf("%s\n\n", d.About)
+			printf("%d couriers, %d destinations, about %.0f messages/s for %.0f s, all on loopback.\n", d.Fleet.Couriers,
 				len(w.Destinations), d.Traffic.FullPerSec*w.Load, d.Length)
 			for i, dst := range w.Destinations {
-				say("  destination %d: %s, %d endpoints, takes %.1f calls a second, answers in %.0f ms\n", i, dst.KindName,
+				printf("  destination %d: %s, %d endpoints, accepts %.1f calls/s, answers in %.0f ms\n", i, dst.KindName,
 					len(dst.Endpoints), dst.Limit.PerSec, float64(dst.Answer)/1000)
 			}
-			say("\nWhat will go wrong:\n")
-			report.Timeline(cmd.OutOrStdout(), w, 10)
-			say("\nPlaying ...\n")
+			printf("\nScheduled faults:\n")
+			report.WriteTimeline(cmd.OutOrStdout(), w, 10)
+			printf("\nRunning ...\n")
 			var mu sync.Mutex
-			v, cost, err := realtime.Play(cmd.Context(), w, realtime.Options{Binary: binary, Watch: func(at dispatch.Micros, a scenario.Act) {
+			v, cost, err := realtime.Play(cmd.Context(), w, realtime.Options{Binary: binary, OnAct: func(at dispatch.Micros, a scenario.Act) {
 				mu.Lock()
 				defer mu.Unlock()
-				say("  %5.1f s  %s\n", float64(at)/1e6, report.Event(w, a))
+				printf("  %5.1f s  %s\n", float64(at)/1e6, report.DescribeEvent(w, a))
 			}})
 			if err != nil {
 				return err
 			}
-			say("\nWhat the couriers did about it:\n")
-			report.Account(cmd.OutOrStdout(), w, v)
-			say("\n")
-			report.Answers(cmd.OutOrStdout(), v)
-			say("Payoff: %.0f %% of what was asked; judgement: %s. The couriers took %.2f s of processor time.\n", 100*v.Whole, v.Short(),
+			printf("\nReaction of the couriers:\n")
+			report.WriteOutages(cmd.OutOrStdout(), w, v)
+			printf("\n")
+			report.WriteMessageCounts(cmd.OutOrStdout(), v)
+			printf("Value: %.0f %% of the value offered; verdict: %s. The couriers used %.2f s of CPU time.\n", 100*v.Whole, v.Short(),
 				cost.CourierCPU)
 			if out != "" {
-				files, err := report.Day(out, w, v)
+				files, err := report.DrawScenario(out, w, v)
 				if err != nil {
 					return err
 				}
-				say("Charts in %s: %v\n", out, files)
+				printf("Charts in %s: %v\n", out, files)
 			}
 			if !v.OK() || v.Invalid != "" {
-				return errBroken
+				return errViolation
 			}
 			return nil
 		},
 	}
-	cmd.Flags().StringVar(&courier, "courier", "", "the courier's binary (empty: beside this program, or built anew)")
-	cmd.Flags().StringVar(&out, "out", "", "folder for charts")
+	cmd.Flags().StringVar(&courier, "courier", "", "courier binary (empty: the one in this program's directory, else a new build)")
+	cmd.Flags().StringVar(&out, "out", "", "directory for charts")
 	return cmd
 }
--- a/cmd/pineport-testbed/fleet.go
+++ b/cmd/pineport-testbed/fleet.go
@@ -36,9 +36,9 @@
 	var f fleetFlags
 	cmd := &cobra.Command{
 		Use:   "fleet DAY",
-		Short: "Play a day with real couriers that know each other, and faults between them",
-		Long: `Play a day with real couriers that know each other, while the network between them fails and they are killed, stopped and
-restarted. DAY is one of pineport-testbed fleet --list, or a file.`,
+		Short: "Run a scenario with real couriers that form a fleet, with faults between them",
+		Long: `Run a scenario with real courier processes that are members of one fleet, while the network between them fails and the processes are
+killed, paused and restarted. DAY is a scenario name listed by pineport-testbed fleet --list, or a file.`,
 		Example: `  pineport-testbed fleet partition --couriers 12
   pineport-testbed fleet mass-kill --seed 3 --trace links.jsonl --out results/`,
 		Args: cobra.MaximumNArgs(1),
@@ -56,17 +56,17 @@
 			return playFleet(cmd, args[0], f)
 		},
 	}
-	cmd.Flags().IntVar(&f.couriers, "couriers", 0, "how many (0: the day's own)")
-	cmd.Flags().Int64Var(&f.seed, "seed", 1, "seed of the day and of the network")
-	cmd.Flags().BoolVar(&f.alone, "alone", false, "membership off, for a comparison")
-	cmd.Flags().BoolVar(&f.share, "share", false, "couriers share limits")
-	cmd.Flags().DurationVar(&f.pace, "pace", 200*time.Millisecond, "how often a member is asked whether it is there")
-	cmd.Flags().StringVar(&f.courier, "courier", "", "the courier's binary (empty: beside this program, or built anew)")
-	cmd.Flags().StringVar(&f.dir, "dir", "", "keep the couriers' folders here, with their logs")
-	cmd.Flags().StringVar(&f.trace, "trace", "", "file for the network's trace, in JSON lines")
-	cmd.Flags().StringVar(&f.out, "out", "", "folder for the result, fleet.json, and charts")
-	cmd.Flags().StringVar(&f.output, "output", "table", "table or json")
-	cmd.Flags().BoolVar(&f.list, "list", false, "list the days")
+	cmd.Flags().IntVar(&f.couriers, "couriers", 0, "number of couriers (0: as the scenario defines)")
+	cmd.Flags().Int64Var(&f.seed, "seed", 1, "seed of the scenario and of the simulated network")
+	cmd.Flags().BoolVar(&f.alone, "alone", false, "disable membership, for a comparison")
+	cmd.Flags().BoolVar(&f.share, "share", false, "let couriers share quotas")
+	cmd.Flags().DurationVar(&f.pace, "pace", 200*time.Millisecond, "interval between membership probes")
+	cmd.Flags().StringVar(&f.courier, "courier", "", "courier binary (empty: the one in this program's directory, else a new build)")
+	cmd.Flags().StringVar(&f.dir, "dir", "", "directory to keep the couriers' state and logs in")
+	cmd.Flags().StringVar(&f.trace, "trace", "", "file for the network trace, as JSON lines")
+	cmd.Flags().StringVar(&f.out, "out", "", "directory for the result, fleet.json, and charts")
+	cmd.Flags().StringVar(&f.output, "output", "table", "output format: table or json")
+	cmd.Flags().BoolVar(&f.list, "list", false, "list the scenarios")
 	return cmd
 }
 
@@ -107,11 +107,11 @@
 		if err := os.WriteFile(filepath.Join(f.out, "fleet.json"), text, 0o644); err != nil {
 			return err
 		}
-		if _, err := report.Day(f.out, res.Drawn, res.Verdict); err != nil {
+		if _, err := report.DrawScenario(f.out, res.Drawn, res.Verdict); err != nil {
 			return err
 		}
 		if len(res.Parts) > 0 {
-			if _, err := report.Parts(f.out, res.Parts); err != nil {
+			if _, err := report.DrawLeases(f.out, res.Parts); err != nil {
 				return err
 			}
 		}
@@ -122,7 +122,7 @@
 		printFleet(cmd.OutOrStdout(), name, res)
 	}
 	if !res.Verdict.OK() || res.Verdict.Invalid != "" || len(res.Idle) > 0 || len(res.Overspent) > 0 || o.Peers && (!res.Whole || res.Fewer > 0) {
-		return errBroken
+		return errViolation
 	}
 	return nil
 }
@@ -132,35 +132,35 @@
 	v := res.Verdict
 	fmt.Fprintf(w, "day\t%s, %d couriers\n", name, res.Couriers)
 	fmt.Fprintf(w, "judgement\t%s\n", v.Short())
-	fmt.Fprintf(w, "figure\t%.3f; offered %d, done %d, bounced %d, terminated %d, lost %d\n", v.Figure, v.Counts.Offered, v.Counts.Done, v.Counts.Rejected,
+	fmt.Fprintf(w, "figure\t%.3f; offered %d, delivered %d, rejected %d, failed %d, lost %d\n", v.Figure, v.Counts.Offered, v.Counts.Done, v.Counts.Rejected,
 		v.Counts.Failed, v.Counts.Lost)
-	spans := func(what string, all []float64) {
+	printDurations := func(label string, all []float64) {
 		if len(all) > 0 {
 			slices.Sort(all)
-			fmt.Fprintf(w, "%s\tmedian %.1f s, 99 %% %.1f s, longest %.1f s (%d)\n", what, stat.Quantile(0.5, stat.Empirical, all, nil),
+			fmt.Fprintf(w, "%s\tmedian %.1f s, p99 %.1f s, longest %.1f s (%d)\n", label, stat.Quantile(0.5, stat.Empirical, all, nil),
 				stat.Quantile(0.99, stat.Empirical, all, nil), all[len(all)-1], len(all))
 		}
 	}
-	spans("a death known after", res.Deaths)
-	spans("a return known after", res.Returns)
+	printDurations("failure detected after", res.Deaths)
+	printDurations("recovery detected after", res.Returns)
 	for _, k := range slices.Sorted(maps.Keys(res.False)) {
-		fmt.Fprintf(w, "deaths believed that were none, %s\t%d (%.1f a process-hour)\n", k, res.False[k], float64(res.False[k])/res.Hours)
+		fmt.Fprintf(w, "false failure detections, %s\t%d (%.1f per process-hour)\n", k, res.False[k], float64(res.False[k])/res.Hours)
 	}
-	fmt.Fprintf(w, "counted fewer than there are\t%d looks\n", res.Fewer)
-	fmt.Fprintf(w, "whole at the end\t%v, %.1f s after the last fault\n", res.Whole, res.Healed)
+	fmt.Fprintf(w, "fleet size underestimated\t%d samples\n", res.Fewer)
+	fmt.Fprintf(w, "membership complete at the end\t%v, %.1f s after the last fault\n", res.Whole, res.Healed)
 	fmt.Fprintf(w, "each courier\t%.1f packets/s, %.0f bytes/s; largest %.1f MB\n", res.Messages, res.Bytes, float64(res.Cost.MaxRSS)/1024)
-	fmt.Fprintf(w, "trips\t%d, refused %d; %.3f refused for each done\n", v.Counts.Attempts, v.Counts.Full, float64(v.Counts.Full)/float64(max(1, v.Counts.Done)))
+	fmt.Fprintf(w, "attempts\t%d, throttled %d; %.3f throttled per delivered message\n", v.Counts.Attempts, v.Counts.Full, float64(v.Counts.Full)/float64(max(1, v.Counts.Done)))
 	if res.Packets > 0 {
-		fmt.Fprintf(w, "shared\t%d loans seen, at most %.2f of a part; %.1f packets/s, %.0f bytes/s each\n", res.Leases, res.Widest, res.Packets, res.ShareBytes)
+		fmt.Fprintf(w, "quota sharing\t%d leases seen, largest %.2f of a quota share; %.1f packets/s, %.0f bytes/s per courier\n", res.Leases, res.Widest, res.Packets, res.ShareBytes)
 	}
 	for _, b := range res.Overspent {
 		fmt.Fprintf(w, "overspent\t%s\n", b)
 	}
 	for _, k := range slices.Sorted(maps.Keys(res.Struck)) {
-		fmt.Fprintf(w, "struck: %s\t%d\n", k, res.Struck[k])
+		fmt.Fprintf(w, "fault triggered: %s\t%d\n", k, res.Struck[k])
 	}
 	for _, idle := range res.Idle {
-		fmt.Fprintf(w, "does not count\t%s\n", idle)
+		fmt.Fprintf(w, "run invalid\t%s\n", idle)
 	}
 	w.Flush()
 	printBreaches(out, v)
--- a/cmd/pineport-testbed/main.go
+++ b/cmd/pineport-testbed/main.go
@@ -1,5 +1,5 @@
-// Command pineport-testbed is the project's testbed: days with troubles, played in virtual time or on loopback sockets against
-// the couriers' decisions, judged by the six rules and by value. docs/testbed.md says how to work with it.
+// Command pineport-testbed runs test scenarios with faults against the couriers' decision logic, in virtual time or on loopback
+// sockets. It checks each run against the six invariants and measures the delivered value. See docs/testbed.md for usage.
 package main
 
 import (
@@ -15,12 +15,12 @@
 
 // Exit codes.
 const (
-	exitBroken = 1 // a rule broke, or a run does not count
-	exitUsage  = 2 // the command line or a file is at fault
+	exitViolation = 1 // an invariant is violated, or a run is invalid
+	exitUsage     = 2 // the command line or a file is invalid
 )
 
-// errBroken ends the program with exitBroken after all has been said.
-var errBroken = errors.New("a rule broke")
+// errViolation makes the program exit with exitViolation and no further message: the command has printed its results already.
+var errViolation = errors.New("invariant violated")
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
@@ -28,8 +28,8 @@
 	err := root().ExecuteContext(ctx)
 	switch {
 	case err == nil:
-	case errors.Is(err, errBroken):
-		os.Exit(exitBroken)
+	case errors.Is(err, errViolation):
+		os.Exit(exitViolation)
 	default:
 		fmt.Fprintln(os.Stderr, "pineport-testbed:", err)
 		os.Exit(exitUsage)
@@ -39,11 +39,11 @@
 func root() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "pineport-testbed",
-		Short: "Play days with troubles against the courier's decisions, and judge them",
-		Long: `pineport-testbed plays days with troubles against the courier's decisions, in virtual time or on loopback sockets, and judges
-them by the six rules and by payoff.
+		Short: "Run scenarios with faults against the courier's decision logic, and check the results",
+		Long: `pineport-testbed runs scenarios with faults against the courier's decision logic, in virtual time or on loopback sockets. It checks each
+run against the six invariants and measures the delivered value.
 
-Exit codes: 0 all well; 1 a rule broke, or a run does not count; 2 the command line or a file is at fault.`,
+Exit codes: 0 success; 1 an invariant is violated, or a run is invalid; 2 the command line or a file is invalid.`,
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
--- a/cmd/pineport-testbed/play.go
+++ b/cmd/pineport-testbed/play.go
@@ -22,7 +22,7 @@
 func daysCmd() *cobra.Command {
 	return &cobra.Command{
 		Use:   "days",
-		Short: "List the days that come with the laboratory",
+		Short: "List the built-in scenarios",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 8, 2, ' ', 0)
@@ -41,7 +41,7 @@
 func formatCmd() *cobra.Command {
 	return &cobra.Command{
 		Use:   "format",
-		Short: "Write the page on the format of a day's file",
+		Short: "Print the documentation of the scenario file format",
 		Args:  cobra.NoArgs,
 		RunE:  func(cmd *cobra.Command, _ []string) error { return scenario.WriteFormat(cmd.OutOrStdout()) },
 	}
@@ -62,20 +62,20 @@
 	var f playFlags
 	cmd := &cobra.Command{
 		Use:   "play DAY",
-		Short: "Play one day and print its judgement",
+		Short: "Run one scenario and print its verdict",
 		Example: `  pineport-testbed play overload --virtual --seed 3
   pineport-testbed play my-day.toml --courier bin/pineport --out results/`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error { return play(cmd, args[0], f) },
 	}
-	cmd.Flags().BoolVar(&f.virtual, "virtual", false, "in virtual time, against the decisions alone")
-	cmd.Flags().Int64Var(&f.seed, "seed", 0, "seed of the day (0: the file's)")
-	cmd.Flags().StringVar(&f.variant, "variant", "module", "virtual time: module, baseline:NAME or wire:COMMAND")
-	cmd.Flags().StringVar(&f.courier, "courier", "", "on sockets: the courier's binary (empty: beside this program, or built anew)")
-	cmd.Flags().DurationVar(&f.reload, "reload", 0, "on sockets: write other settings and have them read, so often (0: never)")
-	cmd.Flags().StringVar(&f.dir, "dir", "", "on sockets: keep the couriers' folders here, with their logs")
-	cmd.Flags().StringVar(&f.out, "out", "", "folder for verdict, series and charts")
-	cmd.Flags().StringVar(&f.output, "output", "table", "table or json")
+	cmd.Flags().BoolVar(&f.virtual, "virtual", false, "run in virtual time, with the decision logic only")
+	cmd.Flags().Int64Var(&f.seed, "seed", 0, "seed of the scenario (0: from the scenario file)")
+	cmd.Flags().StringVar(&f.variant, "variant", "module", "in virtual time: module, baseline:NAME or wire:COMMAND")
+	cmd.Flags().StringVar(&f.courier, "courier", "", "on sockets: courier binary (empty: the one in this program's directory, else a new build)")
+	cmd.Flags().DurationVar(&f.reload, "reload", 0, "on sockets: interval at which the couriers' settings change and are reloaded (0: never)")
+	cmd.Flags().StringVar(&f.dir, "dir", "", "on sockets: directory to keep the couriers' state and logs in")
+	cmd.Flags().StringVar(&f.out, "out", "", "directory for the verdict and charts")
+	cmd.Flags().StringVar(&f.output, "output", "table", "output format: table or json")
 	return cmd
 }
 
@@ -94,17 +94,17 @@
 		if err != nil {
 			return err
 		}
-		if cell, err = experiment.One(d, seed, v); err != nil {
+		if cell, err = experiment.RunOne(d, seed, v); err != nil {
 			return err
 		}
-	} else if cell, err = playLive(cmd, d, seed, f); err != nil {
+	} else if cell, err = playOnSockets(cmd, d, seed, f); err != nil {
 		return err
 	}
 	if f.out != "" {
 		if err := writeCell(f.out, cell); err != nil {
 			return err
 		}
-		if _, err := report.Day(f.out, scenario.Draw(d, seed), cell.Verdict); err != nil {
+		if _, err := report.DrawScenario(f.out, scenario.Draw(d, seed), cell.Verdict); err != nil {
 			return err
 		}
 	}
@@ -118,13 +118,13 @@
 		printCell(cmd.OutOrStdout(), cell)
 	}
 	if !cell.Verdict.OK() || cell.Verdict.Invalid != "" {
-		return errBroken
+		return errViolation
 	}
 	return nil
 }
 
-// playLive plays on sockets.
-func playLive(cmd *cobra.Command, d *scenario.Day, seed int64, f playFlags) (experiment.Cell, error) {
+// playOnSockets runs a scenario with real courier processes on loopback sockets.
+func playOnSockets(cmd *cobra.Command, d *scenario.Day, seed int64, f playFlags) (experiment.Cell, error) {
 	binary, clean, err := courierBinary(f.courier)
 	if err != nil {
 		return experiment.Cell{}, err
@@ -134,17 +134,18 @@
 	return experiment.Cell{Day: d.Name, Seed: seed, Variant: "sockets", Verdict: v, Wall: cost.Wall, Live: &cost}, err
 }
 
-// courierBinary finds the courier: the one named, the one beside this program, or one built from the source around.
+// courierBinary returns the path of the courier binary: the named one, else the one in this program's directory, else a new build from
+// source. The caller must call clean when the binary is no longer needed.
 func courierBinary(named string) (path string, clean func(), err error) {
 	clean = func() {}
 	if named != "" {
 		path, err = filepath.Abs(named)
 		return path, clean, err
 	}
-	if self, err := os.Executable(); err == nil {
-		beside := filepath.Join(filepath.Dir(self), "pineport")
-		if _, err := os.Stat(beside); err == nil {
-			return beside, clean, nil
+	if executable, err := os.Executable(); err == nil {
+		sibling := filepath.Join(filepath.Dir(executable), "pineport")
+		if _, err := os.Stat(sibling); err == nil {
+			return sibling, clean, nil
 		}
 	}
 	dir, err := os.MkdirTemp("", "pineport-testbed-bin-")
@@ -155,7 +156,7 @@
 	path = filepath.Join(dir, "pineport")
 	if out, err := exec.Command("go", "build", "-o", path, "pineport/cmd/pineport").CombinedOutput(); err != nil {
 		clean()
-		return "", func() {}, fmt.Errorf("no courier beside this program, and none could be built (name one with --courier): %w: %s", err, out)
+		return "", func() {}, fmt.Errorf("no courier binary in this program's directory, and the build failed (set --courier): %w: %s", err, out)
 	}
 	return path, clean, nil
 }
@@ -176,27 +177,27 @@
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintf(w, "day\t%s, seed %d, %s\n", c.Day, c.Seed, c.Variant)
 	fmt.Fprintf(w, "judgement\t%s\n", v.Short())
-	fmt.Fprintf(w, "figure\t%.3f (service %.3f less costs %.3f)\n", v.Figure, v.Service, v.Costs)
-	fmt.Fprintf(w, "payoff\twhole day %.3f, worst 10 s %.3f (from %.0f s)\n", v.Whole, v.Window, v.WindowAt)
+	fmt.Fprintf(w, "figure\t%.3f (service %.3f minus costs %.3f)\n", v.Figure, v.Service, v.Costs)
+	fmt.Fprintf(w, "value\twhole scenario %.3f, worst 10 s %.3f (from %.0f s)\n", v.Whole, v.Window, v.WindowAt)
 	for _, l := range v.Latency {
-		fmt.Fprintf(w, "workload %s\tpayoff %.3f; done %d; 50 %% within %.2f s, 90 %% %.2f s, 99 %% %.2f s, longest %.2f s\n",
+		fmt.Fprintf(w, "class %s\tvalue %.3f; delivered %d; p50 %.2f s, p90 %.2f s, p99 %.2f s, longest %.2f s\n",
 			l.Class, v.Class[l.Class], l.Count, l.P50, l.P90, l.P99, l.Max)
 	}
-	fmt.Fprintf(w, "records\toffered %d, taken %d, done %d, bounced %d, terminated %d, lost %d\n", n.Offered, n.Taken, n.Done,
+	fmt.Fprintf(w, "messages\toffered %d, accepted %d, delivered %d, rejected %d, failed %d, lost %d\n", n.Offered, n.Taken, n.Done,
 		n.Rejected, n.Failed, n.Lost)
-	fmt.Fprintf(w, "trips\t%d: full %d, failures %d, timed out %d, unreachable %d, broken %d, withdrawn %d, void %d\n", n.Attempts,
+	fmt.Fprintf(w, "attempts\t%d: throttled %d, failures %d, timed out %d, unreachable %d, broken %d, canceled %d, unprocessed %d\n", n.Attempts,
 		n.Full, n.Failures, n.TimedOut, n.Unreachable, n.Broken, n.Withdrawn, n.Unprocessed)
 	fmt.Fprintf(w, "connections\t%d opened\n", n.Handshakes)
 	if n.Falls > 0 {
-		fmt.Fprintf(w, "returns\t%d pushed over, by couriers that knew of the outage or did not\n", n.Falls)
+		fmt.Fprintf(w, "recoveries\t%d recovering endpoints overloaded again\n", n.Falls)
 	}
 	if c.Stats.Turns > 0 {
 		fmt.Fprintf(w, "cost\t%d events, %d turns, %.2f s\n", c.Stats.Events, c.Stats.Turns, c.Wall)
 	}
 	if l := c.Live; l != nil {
-		fmt.Fprintf(w, "cost\t%.1f s; processor: couriers %.2f s, laboratory %.2f s; largest courier %.1f MB; restarts %d, reloads %d\n", l.Wall,
-			l.CourierCPU, l.LabCPU, float64(l.MaxRSS)/1024, l.Restarts, l.Reloads)
-		fmt.Fprintf(w, "load tool\t1 in 100 records late by %.1f ms or more, one by %.1f ms\n", l.LateP99*1000, l.LateMax*1000)
+		fmt.Fprintf(w, "cost\t%.1f s; CPU: couriers %.2f s, testbed %.2f s; largest courier %.1f MB; restarts %d, reloads %d\n", l.Wall,
+			l.CourierCPU, l.TestbedCPU, float64(l.MaxRSS)/1024, l.Restarts, l.Reloads)
+		fmt.Fprintf(w, "load generator\tmessages sent late: p99 %.1f ms, maximum %.1f ms\n", l.LateP99*1000, l.LateMax*1000)
 	}
 	w.Flush()
 	printBreaches(out, v)
--- a/cmd/pineport-testbed/progress.go
+++ b/cmd/pineport-testbed/progress.go
@@ -9,22 +9,22 @@
 	"golang.org/x/term"
 )
 
-// progress shows how far long work has come, where a person is watching.
-func progress(what string, all int) func(done, all int) {
+// progressBar returns a function that updates a progress bar on standard error, or nil if standard error is not a terminal.
+func progressBar(description string, total int) func(done, total int) {
 	if !term.IsTerminal(int(os.Stderr.Fd())) {
 		return nil
 	}
-	bar := progressbar.NewOptions(all, progressbar.OptionSetWriter(os.Stderr), progressbar.OptionSetDescription(what),
+	bar := progressbar.NewOptions(total, progressbar.OptionSetWriter(os.Stderr), progressbar.OptionSetDescription(description),
 		progressbar.OptionClearOnFinish(), progressbar.OptionShowCount(), progressbar.OptionThrottle(100*time.Millisecond))
 	return func(done, _ int) { _ = bar.Set(done) }
 }
 
-// tellProgress overwrites the line of progress, where a person is watching.
-func tellProgress(text string) {
+// showProgressLine replaces the progress line on standard error, if standard error is a terminal.
+func showProgressLine(text string) {
 	if term.IsTerminal(int(os.Stderr.Fd())) {
 		fmt.Fprintf(os.Stderr, "\r\033[K%s", text)
 	}
 }
 
-// clearProgress takes the line away.
-func clearProgress() { tellProgress("") }
+// clearProgressLine removes the progress line.
+func clearProgressLine() { showProgressLine("") }
--- a/cmd/pineport-testbed/report.go
+++ b/cmd/pineport-testbed/report.go
@@ -12,15 +12,15 @@
 )
 
 func reportCmd() *cobra.Command {
-	var base, figure, only string
+	var base, figure, onlyDay string
 	cmd := &cobra.Command{
 		Use:   "report DIR",
-		Short: "Draw the differences of an experiment that compare kept with --out",
+		Short: "Draw the differences of an experiment that was stored by compare --out",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			pick, ok := figures[figure]
 			if !ok {
-				return fmt.Errorf("--figure: figure, net, service, whole, window, costs, falls, refused or failed was expected, not %q", figure)
+				return fmt.Errorf("--figure: expected figure, net, service, whole, window, costs, falls, refused or failed, got %q", figure)
 			}
 			cells, err := experiment.ReadCells(args[0])
 			if err != nil {
@@ -30,25 +30,25 @@
 				base = cells[0].Variant
 			}
 			if !slices.ContainsFunc(cells, func(c experiment.Cell) bool { return c.Variant == base }) {
-				return fmt.Errorf("--base: no variant has the name %q", base)
+				return fmt.Errorf("--base: no variant is named %q", base)
 			}
 			var rows []report.Difference
 			for _, r := range experiment.Compare(cells, base, pick) {
-				if only != "" && r.Day != only {
+				if onlyDay != "" && r.Day != onlyDay {
 					continue
 				}
 				rows = append(rows, report.Difference{Name: r.Variant + ", " + r.Day, Mean: r.Diff, Low: r.Low, High: r.High})
 			}
 			path := filepath.Join(args[0], "differences.svg")
-			if err := report.Differences(path, "Against "+base, rows); err != nil {
+			if err := report.DrawDifferences(path, "Difference from "+base, rows); err != nil {
 				return err
 			}
 			fmt.Fprintln(cmd.OutOrStdout(), path)
 			return nil
 		},
 	}
-	cmd.Flags().StringVar(&base, "base", "", "variant that the others are held against (empty: the first)")
-	cmd.Flags().StringVar(&only, "day", "", "only this day; all: the rows over all days")
-	cmd.Flags().StringVar(&figure, "figure", "figure", "what is compared: figure, net, service, whole, window, costs, falls, refused or failed")
+	cmd.Flags().StringVar(&base, "base", "", "variant to compare the others with (empty: the first)")
+	cmd.Flags().StringVar(&onlyDay, "day", "", "show only this scenario (all: only the rows that combine all scenarios; empty: every row)")
+	cmd.Flags().StringVar(&figure, "figure", "figure", "figure to compare: figure, net, service, whole, window, costs, falls, refused or failed")
 	return cmd
 }
--- a/cmd/pineport-testbed/scale.go
+++ b/cmd/pineport-testbed/scale.go
@@ -16,7 +16,7 @@
 	"pineport/testbed/slopes"
 )
 
-const allRuns = "all"
+const allExperiments = "all"
 
 type scaleFlags struct {
 	quick   bool
@@ -30,11 +30,12 @@
 	var f scaleFlags
 	cmd := &cobra.Command{
 		Use:   "scale RUN",
-		Short: "Measure how cost and knowledge grow with the size of the fleet",
-		Long: `Measure how cost and knowledge grow with the size of the fleet, with hollow couriers: the real decisions, membership and sharing
-in one process, over stand-ins for clients, endpoints, disk and sockets. RUN is one of pineport-testbed scale --list, or all.
-A full run writes its points and slopes into measured.json in the folder of --out, from which pineport-testbed capacity works out the page.
-A quick one plays the small sizes once, and is judged by what it counts alone. Exit codes: 0 all well; 1 a run failed its check.`,
+		Short: "Measure how resource use and propagation delays grow with the fleet size",
+		Long: `Measure how resource use and propagation delays grow with the fleet size. The couriers run in one process with the real decision logic,
+membership and quota sharing, and with stand-ins for clients, endpoints, disk and sockets ("in-process couriers"). RUN is an experiment
+listed by pineport-testbed scale --list, or all.
+A full run stores its points and slopes in measured.json in the directory of --out; pineport-testbed capacity computes its page from that file.
+A quick run measures the small sizes once and checks only counts, not times. Exit codes: 0 success; 1 a run failed its check.`,
 		Example: `  pineport-testbed scale all --quick
   pineport-testbed scale held --out docs/capacity`,
 		Args: cobra.MaximumNArgs(1),
@@ -48,17 +49,17 @@
 			return playScale(cmd, args[0], f)
 		},
 	}
-	cmd.Flags().BoolVar(&f.quick, "quick", false, "the small sizes, once")
-	cmd.Flags().Int64Var(&f.seed, "seed", 1, "seed of the first play; each further play takes the next")
-	cmd.Flags().StringVar(&f.out, "out", "", "folder whose measured.json takes the run in (empty: printed only)")
-	cmd.Flags().StringVar(&f.courier, "courier", "", "the courier's binary, for runs with real ones (empty: beside this program, or built anew)")
-	cmd.Flags().BoolVar(&f.list, "list", false, "list the runs")
+	cmd.Flags().BoolVar(&f.quick, "quick", false, "measure the small sizes only, once")
+	cmd.Flags().Int64Var(&f.seed, "seed", 1, "seed of the first repetition; each further one uses the next seed")
+	cmd.Flags().StringVar(&f.out, "out", "", "directory whose measured.json receives the results (empty: print only)")
+	cmd.Flags().StringVar(&f.courier, "courier", "", "courier binary, for experiments with real couriers (empty: the one in this program's directory, else a new build)")
+	cmd.Flags().BoolVar(&f.list, "list", false, "list the experiments")
 	return cmd
 }
 
 func playScale(cmd *cobra.Command, name string, f scaleFlags) error {
 	experiments := scale.Experiments()
-	if name != allRuns {
+	if name != allExperiments {
 		experiment, err := scale.Find(name)
 		if err != nil {
 			return err
@@ -66,18 +67,18 @@
 		experiments = []scale.Experiment{experiment}
 	}
 	if f.quick && f.out != "" {
-		return fmt.Errorf("--out: slopes come from full runs; --quick measures none")
+		return fmt.Errorf("--out: not available with --quick, which measures no slopes")
 	}
-	courier, clean, err := courierOf(experiments, f)
+	courier, clean, err := courierForExperiments(experiments, f)
 	if err != nil {
 		return err
 	}
 	defer clean()
 	failed := false
 	for _, experiment := range experiments {
-		o := scale.Options{Quick: f.quick, Seed: f.seed, Commit: commit(), Command: "pineport-testbed scale " + experiment.Name, Courier: courier, Progress: tellProgress}
+		o := scale.Options{Quick: f.quick, Seed: f.seed, Commit: buildCommit(), Command: "pineport-testbed scale " + experiment.Name, Courier: courier, Progress: showProgressLine}
 		run, err := scale.Run(cmd.Context(), experiment, o)
-		clearProgress()
+		clearProgressLine()
 		switch {
 		case cmd.Context().Err() != nil:
 			return cmd.Context().Err()
@@ -87,27 +88,27 @@
 			continue
 		}
 		printRun(cmd, run)
-		if err := keepRun(f.out, run); err != nil {
+		if err := saveRun(f.out, run); err != nil {
 			return err
 		}
 	}
 	if failed {
-		return errBroken
+		return errViolation
 	}
 	return nil
 }
 
-// courierOf finds the courier's binary where a run plays real couriers.
-func courierOf(experiments []scale.Experiment, f scaleFlags) (path string, clean func(), err error) {
-	playsReal := slices.ContainsFunc(experiments, func(experiment scale.Experiment) bool { return experiment.Real })
-	if f.quick || !playsReal {
+// courierForExperiments returns the path of the courier binary, or an empty path if no experiment of this run needs real couriers.
+func courierForExperiments(experiments []scale.Experiment, f scaleFlags) (path string, clean func(), err error) {
+	needsCourier := slices.ContainsFunc(experiments, func(experiment scale.Experiment) bool { return experiment.Real })
+	if f.quick || !needsCourier {
 		return "", func() {}, nil
 	}
 	return courierBinary(f.courier)
 }
 
-// keepRun takes a run into the folder's file.
-func keepRun(folder string, run slopes.Run) error {
+// saveRun stores a run in measured.json in the directory. An empty directory name stores nothing.
+func saveRun(folder string, run slopes.Run) error {
 	if folder == "" {
 		return nil
 	}
@@ -125,11 +126,11 @@
 
 func printRun(cmd *cobra.Command, run slopes.Run) {
 	w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 8, 2, ' ', 0)
-	fmt.Fprintf(w, "%s\tpassed, %d plays, %s\n", run.Name, run.Plays, time.Duration(run.Seconds*float64(time.Second)).Round(10*time.Millisecond))
+	fmt.Fprintf(w, "%s\tpassed, %d repetitions, %s\n", run.Name, run.Plays, time.Duration(run.Seconds*float64(time.Second)).Round(10*time.Millisecond))
 	if !run.Quick {
 		for _, point := range run.Points {
-			fmt.Fprintf(w, "  %s\t%s\n", sorted(point.Sizes, func(v float64) string { return fmt.Sprint(v) }),
-				sorted(point.Values, func(v []float64) string { return fmt.Sprintf("%.4g", v) }))
+			fmt.Fprintf(w, "  %s\t%s\n", formatSorted(point.Sizes, func(v float64) string { return fmt.Sprint(v) }),
+				formatSorted(point.Values, func(v []float64) string { return fmt.Sprintf("%.4g", v) }))
 		}
 	}
 	for _, slope := range run.Slopes {
@@ -140,12 +141,12 @@
 		fmt.Fprintf(w, "  not measured: %s\t%s\n", gap.Figure, gap.Why)
 	}
 	if run.Verified != "" {
-		fmt.Fprintf(w, "  hollow beside real\t%s\n", run.Verified)
+		fmt.Fprintf(w, "  in-process compared with real couriers\t%s\n", run.Verified)
 	}
 	w.Flush()
 }
 
-func sorted[V any](values map[string]V, text func(V) string) string {
+func formatSorted[V any](values map[string]V, text func(V) string) string {
 	var parts []string
 	for name, value := range values {
 		parts = append(parts, name+" "+text(value))
@@ -154,8 +155,8 @@
 	return strings.Join(parts, ", ")
 }
 
-// commit names the commit that this program was built from; "+" after it: with changes of its own.
-func commit() string {
+// buildCommit returns the abbreviated commit that this program was built from, followed by "+" if the working tree had changes.
+func buildCommit() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "unknown"
--- a/cmd/pineport-testbed/serve.go
+++ b/cmd/pineport-testbed/serve.go
@@ -21,9 +21,9 @@
 	var dir, listen string
 	cmd := &cobra.Command{
 		Use:   "serve DAY",
-		Short: "Put up a day's world alone, for couriers that you start yourself",
-		Long: `serve puts up the endpoints and directories of a day on loopback and writes a configuration for each of its couriers.
-Its troubles begin at once. Records are yours to hand in: "pineport-testbed send" does it.`,
+		Short: "Run the endpoints and discovery of a scenario, for couriers that you start yourself",
+		Long: `serve runs the endpoints and discovery servers of a scenario on loopback and writes a configuration for each of its couriers.
+The scenario's faults start at once. serve submits no messages: use "pineport-testbed send".`,
 		Example: "  pineport-testbed serve demo --dir example/run\n  RELAY_CONFIG=example/run/courier-0.json RELAY_STATE=example/run/state bin/pineport",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -35,18 +35,18 @@
 				seed = d.Seed
 			}
 			w := scenario.Draw(d, seed)
-			o, err := environment.Open(w, slog.New(slog.NewTextHandler(os.Stderr, nil)))
+			world, err := environment.Open(w, slog.New(slog.NewTextHandler(os.Stderr, nil)))
 			if err != nil {
 				return err
 			}
-			defer o.Close()
-			o.Guests = true
+			defer world.Close()
+			world.Guests = true
 			if err := os.MkdirAll(filepath.Join(dir, "state"), 0o755); err != nil {
 				return err
 			}
 			for i := range d.Fleet.Couriers {
 				text, err := json.MarshalIndent(map[string]any{"name": fmt.Sprintf("n%d", i), "listen": fmt.Sprintf("%s:%d", listen, 7379+i),
-					"discovery": o.Discovery(i), "seed": strconv.FormatInt(seed+int64(i), 16), "known": o.Known(i), "settings": w.Settings(i),
+					"discovery": world.Discovery(i), "seed": strconv.FormatInt(seed+int64(i), 16), "known": world.Known(i), "settings": w.Settings(i),
 					"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024, "disk_mb": 3}}, "", "  ")
 				if err != nil {
 					return err
@@ -57,15 +57,15 @@
 				}
 				fmt.Fprintf(cmd.OutOrStdout(), "courier %d: RELAY_CONFIG=%s\n", i, path)
 			}
-			report.Timeline(cmd.OutOrStdout(), w, 20)
-			books := invariants.New(invariants.ForDay(w))
-			o.Begin(books, func(scenario.Act) {})
+			report.WriteTimeline(cmd.OutOrStdout(), w, 20)
+			ledger := invariants.New(invariants.ForDay(w))
+			world.Begin(ledger, func(scenario.Act) {})
 			<-cmd.Context().Done()
 			return nil
 		},
 	}
-	cmd.Flags().Int64Var(&seed, "seed", 0, "seed of the day (0: the file's)")
-	cmd.Flags().StringVar(&dir, "dir", "example/run", "folder for the couriers' configurations")
-	cmd.Flags().StringVar(&listen, "listen", "127.0.0.1", "address that the couriers are to listen on")
+	cmd.Flags().Int64Var(&seed, "seed", 0, "seed of the scenario (0: from the scenario file)")
+	cmd.Flags().StringVar(&dir, "dir", "example/run", "directory for the couriers' configurations")
+	cmd.Flags().StringVar(&listen, "listen", "127.0.0.1", "address that the couriers listen on")
 	return cmd
 }
--- a/cmd/pineport-testbed/soak.go
+++ b/cmd/pineport-testbed/soak.go
@@ -30,31 +30,32 @@
 	f := soakFlags{}
 	cmd := &cobra.Command{
 		Use:   "soak",
-		Short: "Play real couriers among faults of all kinds, drawn by seeds, and judge them",
-		Long: `Play real couriers on loopback among faults of all kinds: failing system calls, a failing state folder, discovery that refuses, falls silent
-or is spoilt, endpoints that fail, clients that come, go and crowd, drains, and signals in series. A seed draws them all. Each fault is counted
-as struck or not: one that never struck was not tested. A seed that breaks a rule prints the command that plays it again, and leaves its log and
-timeline in the folder of --dir. Exit codes: 0 all well; 1 a rule broke.`,
+		Short: "Run real couriers under random faults of all kinds, and check the invariants",
+		Long: `Run real couriers on loopback under faults of all kinds: failing system calls, a failing state directory, discovery that refuses
+connections, does not answer or sends corrupt lists, failing endpoints, clients that connect, disconnect and overload the courier, drains, and
+series of signals. The seed determines all faults. The report counts which faults were triggered: a fault that was never triggered was not
+tested. For a seed that violates an invariant, the report prints the command that repeats the run, and the log and timeline stay in the
+directory of --dir. Exit codes: 0 success; 1 an invariant is violated.`,
 		Example: "  pineport-testbed soak --seeds 8\n  pineport-testbed soak --seeds 1 --from 17",
 		Args:    cobra.NoArgs,
 		RunE:    func(cmd *cobra.Command, _ []string) error { return playSoak(cmd, f) },
 	}
-	cmd.Flags().IntVar(&f.seeds, "seeds", 8, "how many seeds")
+	cmd.Flags().IntVar(&f.seeds, "seeds", 8, "number of seeds")
 	cmd.Flags().Int64Var(&f.from, "from", 1, "the first seed")
-	cmd.Flags().Float64Var(&f.seconds, "seconds", 12, "length of each play; its messages then still have their time")
-	cmd.Flags().IntVar(&f.parallel, "parallel", 4, "plays at once")
-	cmd.Flags().StringVar(&f.courier, "courier", "", "the courier's binary (empty: beside this program, or built anew)")
-	cmd.Flags().StringVar(&f.dir, "dir", "", "folder for plays that break a rule (empty: found/soak)")
-	cmd.Flags().StringVar(&f.output, "output", "table", "table or json")
+	cmd.Flags().Float64Var(&f.seconds, "seconds", 12, "length of each run, in seconds; messages still open then may use their remaining time to live")
+	cmd.Flags().IntVar(&f.parallel, "parallel", 4, "number of concurrent runs")
+	cmd.Flags().StringVar(&f.courier, "courier", "", "courier binary (empty: the one in this program's directory, else a new build)")
+	cmd.Flags().StringVar(&f.dir, "dir", "", "directory for the logs of runs that violate an invariant (empty: found/soak)")
+	cmd.Flags().StringVar(&f.output, "output", "table", "output format: table or json")
 	return cmd
 }
 
 func playSoak(cmd *cobra.Command, f soakFlags) error {
 	if f.output != "table" && f.output != "json" {
-		return fmt.Errorf("--output: table or json was expected, not %q", f.output)
+		return fmt.Errorf("--output: expected table or json, got %q", f.output)
 	}
 	if f.seeds < 1 || f.parallel < 1 || f.seconds < 1 {
-		return fmt.Errorf("--seeds, --parallel and --seconds: at least 1 was expected")
+		return fmt.Errorf("--seeds, --parallel and --seconds: expected at least 1")
 	}
 	binary, clean, err := courierBinary(f.courier)
 	if err != nil {
@@ -79,31 +80,31 @@
 		err = printSoak(cmd.OutOrStdout(), results, f)
 	}
 	if err == nil && slices.ContainsFunc(results, func(r *soak.Result) bool { return len(r.Breaches) > 0 }) {
-		err = errBroken
+		err = errViolation
 	}
 	return err
 }
 
-// playSeeds plays all seeds, some at once, and shows how far it is.
+// playSeeds runs all seeds, at most --parallel of them concurrently, and writes a progress line after each.
 func playSeeds(ctx context.Context, f soakFlags, binary string, progress io.Writer) ([]*soak.Result, error) {
-	results, faults := make([]*soak.Result, f.seeds), make([]error, f.seeds)
-	running := make(chan struct{}, f.parallel)
-	var all sync.WaitGroup
+	results, errs := make([]*soak.Result, f.seeds), make([]error, f.seeds)
+	slots := make(chan struct{}, f.parallel)
+	var workers sync.WaitGroup
 	var mu sync.Mutex
 	done := 0
 	for i := range f.seeds {
-		running <- struct{}{}
-		all.Go(func() {
-			defer func() { <-running }()
-			results[i], faults[i] = soak.Play(ctx, soak.Options{Binary: binary, Seed: f.from + int64(i), Dir: f.dir, Length: time.Duration(f.seconds * float64(time.Second))})
+		slots <- struct{}{}
+		workers.Go(func() {
+			defer func() { <-slots }()
+			results[i], errs[i] = soak.Play(ctx, soak.Options{Binary: binary, Seed: f.from + int64(i), Dir: f.dir, Length: time.Duration(f.seconds * float64(time.Second))})
 			mu.Lock()
 			defer mu.Unlock()
 			done++
-			fmt.Fprintf(progress, "seed %d is over, %d of %d\n", f.from+int64(i), done, f.seeds)
+			fmt.Fprintf(progress, "seed %d finished, %d of %d\n", f.from+int64(i), done, f.seeds)
 		})
 	}
-	all.Wait()
-	for _, err := range faults {
+	workers.Wait()
+	for _, err := range errs {
 		if err != nil {
 			return nil, err
 		}
@@ -112,31 +113,31 @@
 }
 
 func printSoak(out io.Writer, results []*soak.Result, f soakFlags) error {
-	struck, notStruck, broken, accepted := map[string]int{}, map[string]int{}, 0, 0
+	triggered, notTriggered, violating, accepted := map[string]int{}, map[string]int{}, 0, 0
 	for _, r := range results {
 		accepted += r.Accepted
-		for what, n := range r.Struck {
-			struck[what] += n
+		for fault, n := range r.Struck {
+			triggered[fault] += n
 		}
-		for _, what := range r.NotStruck {
-			notStruck[what]++
+		for _, fault := range r.NotStruck {
+			notTriggered[fault]++
 		}
 		if len(r.Breaches) == 0 {
 			continue
 		}
-		broken++
-		fmt.Fprintf(out, "seed %d: %s\n  again: pineport-testbed soak --seeds 1 --from %d --seconds %g\n", r.Seed, r.Folder, r.Seed, f.seconds)
+		violating++
+		fmt.Fprintf(out, "seed %d: %s\n  repeat with: pineport-testbed soak --seeds 1 --from %d --seconds %g\n", r.Seed, r.Folder, r.Seed, f.seconds)
 		for _, breach := range r.Breaches {
 			fmt.Fprintf(out, "  %s\n", breach)
 		}
 	}
-	for _, what := range sortedKeys(struck) {
-		fmt.Fprintf(out, "%-28s struck %d times\n", what, struck[what])
+	for _, fault := range sortedKeys(triggered) {
+		fmt.Fprintf(out, "%-28s triggered %d times\n", fault, triggered[fault])
 	}
-	for _, what := range sortedKeys(notStruck) {
-		fmt.Fprintf(out, "%-28s drawn and never struck in %d plays\n", what, notStruck[what])
+	for _, fault := range sortedKeys(notTriggered) {
+		fmt.Fprintf(out, "%-28s scheduled but never triggered in %d runs\n", fault, notTriggered[fault])
 	}
-	_, err := fmt.Fprintf(out, "%d seeds, %d messages accepted, %d seeds broke a rule\n", len(results), accepted, broken)
+	_, err := fmt.Fprintf(out, "%d seeds, %d messages accepted, %d seeds with violated invariants\n", len(results), accepted, violating)
 	return err
 }
 
--- a/testbed/baseline/baseline.go
+++ b/testbed/baseline/baseline.go
@@ -1,5 +1,5 @@
-// Package baseline has plain policies to hold the module against. They are yardsticks and nothing else: none of them
-// keeps all six rules on every day, and none runs in a courier.
+// Package baseline provides simple dispatch policies to compare the decision logic with. They serve only for comparison: none of them keeps all
+// six invariants in every scenario, and none runs in a courier.
 package baseline
 
 import (
@@ -14,38 +14,38 @@
 	second                      = 1000 * millisecond
 )
 
-// Names lists the policies, with what each does.
+// Names returns the policies by name, with a description of each.
 func Names() map[string]string {
 	return map[string]string{
-		"once":     "each record gets one trip, in the order taken, to the endpoint with fewest calls out",
-		"eager":    "each record goes again at once while it may, round the endpoints",
-		"backoff":  "each record goes again after a wait that doubles from 100 ms, told waits heeded",
-		"textbook": "the same, with a breaker for each destination: five failures open it for five seconds",
+		"once":     "one attempt per message, in order of arrival, at the endpoint with the fewest calls in flight",
+		"eager":    "retries a message at once while that is allowed, at the endpoint with the fewest calls in flight",
+		"backoff":  "retries a message after a backoff that starts at 100 ms and doubles, and observes Retry-After",
+		"textbook": "as backoff, with a breaker per destination: five failures open it for 5 s",
 	}
 }
 
-// New makes a policy by its name; nil for an unknown one.
+// New returns a new instance of the named policy, or nil if the name is unknown.
 func New(name string, ch dispatch.Config) *Policy {
 	if _, ok := Names()[name]; !ok {
 		return nil
 	}
-	return &Policy{ch: ch, again: name != "once", wait: name == "backoff" || name == "textbook", breaker: name == "textbook",
+	return &Policy{config: ch, retries: name != "once", backsOff: name == "backoff" || name == "textbook", breaker: name == "textbook",
 		endpoints: map[dispatch.EndpointID]*endpoint{}, dests: map[dispatch.DestinationID]*dest{}, messages: map[dispatch.MessageID]*message{}}
 }
 
-// Policy is one courier.
+// Policy is the decision logic of one courier. It implements simulation.Decider.
 type Policy struct {
-	ch                   dispatch.Config
-	again, wait, breaker bool
-	now                  dispatch.Micros
-	endpoints            map[dispatch.EndpointID]*endpoint
-	dests                map[dispatch.DestinationID]*dest
-	messages             map[dispatch.MessageID]*message
-	queue                []*message
-	out                  []dispatch.Action
-	slots                int
-	wakeAt               dispatch.Micros
-	asked                bool
+	config                     dispatch.Config
+	retries, backsOff, breaker bool
+	now                        dispatch.Micros
+	endpoints                  map[dispatch.EndpointID]*endpoint
+	dests                      map[dispatch.DestinationID]*dest
+	messages                   map[dispatch.MessageID]*message
+	queue                      []*message
+	actions                    []dispatch.Action
+	slotsInUse                 int
+	timerAt                    dispatch.Micros
+	watching                   bool
 }
 
 type endpoint struct {
@@ -54,47 +54,47 @@
 }
 
 type dest struct {
-	endpoints []*endpoint
-	waitTo    dispatch.Micros
-	fails     int
+	endpoints           []*endpoint
+	blockedUntil        dispatch.Micros
+	consecutiveFailures int
 }
 
 type message struct {
 	dispatch.MessageAccepted
-	dest     *dest
-	work     *dispatch.Class
-	attempts []*endpoint
-	out      int
-	ran      bool
-	ready    dispatch.Micros
-	over     bool
+	dest       *dest
+	class      *dispatch.Class
+	attempts   []*endpoint
+	inFlight   int
+	mayHaveRun bool
+	readyAt    dispatch.Micros
+	ended      bool
 }
 
-// Handle implements the decisions' one entry.
+// Handle implements simulation.Decider.
 func (p *Policy) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
-	p.now, p.out = now, nil
+	p.now, p.actions = now, nil
 	for _, e := range events {
 		switch e := e.(type) {
 		case dispatch.MessageAccepted:
-			r := &message{MessageAccepted: e, dest: p.dest(e.Destination), work: &p.ch.Classes[e.Class], ready: now}
+			r := &message{MessageAccepted: e, dest: p.dest(e.Destination), class: &p.config.Classes[e.Class], readyAt: now}
 			p.messages[e.Message] = r
 			p.queue = append(p.queue, r)
 		case dispatch.AttemptFinished:
-			p.settle(e)
+			p.finishAttempt(e)
 		case dispatch.MessageCanceled:
 			if r := p.messages[e.Message]; r != nil {
-				r.over = true
+				r.ended = true
 			}
 		case dispatch.EndpointUpdate:
-			p.list(e)
+			p.applyEndpointUpdate(e)
 		}
 	}
-	if p.ch.MustPoll && !p.asked {
-		p.asked = true
-		p.out = append(p.out, dispatch.WatchEndpoints{})
+	if p.config.MustPoll && !p.watching {
+		p.watching = true
+		p.actions = append(p.actions, dispatch.WatchEndpoints{})
 	}
 	p.dispatch()
-	return p.out
+	return p.actions
 }
 
 func (p *Policy) dest(id dispatch.DestinationID) *dest {
@@ -104,9 +104,9 @@
 	return p.dests[id]
 }
 
-func (p *Policy) list(e dispatch.EndpointUpdate) {
+func (p *Policy) applyEndpointUpdate(e dispatch.EndpointUpdate) {
 	if e.Kind == dispatch.ListFailed {
-		p.asked = false
+		p.watching = false
 		return
 	}
 	if e.Kind != dispatch.PartialList {
@@ -125,54 +125,54 @@
 	}
 }
 
-func (p *Policy) settle(e dispatch.AttemptFinished) {
+func (p *Policy) finishAttempt(e dispatch.AttemptFinished) {
 	r := p.messages[e.Message]
 	if r == nil {
 		return
 	}
-	p.slots--
-	r.out--
+	p.slotsInUse--
+	r.inFlight--
 	r.attempts[e.Attempt].calls--
 	d := r.dest
 	switch e.Outcome {
 	case dispatch.Throttled:
-		if p.wait {
-			d.waitTo = max(d.waitTo, p.now+e.RetryAfter+p.ch.Tick)
+		if p.backsOff {
+			d.blockedUntil = max(d.blockedUntil, p.now+e.RetryAfter+p.config.Tick)
 		}
 	case dispatch.Delivered:
-		d.fails = 0
+		d.consecutiveFailures = 0
 	case dispatch.Unreachable, dispatch.Unprocessed:
-		d.fails++
+		d.consecutiveFailures++
 	default:
-		d.fails++
-		r.ran = true
+		d.consecutiveFailures++
+		r.mayHaveRun = true
 	}
-	if p.breaker && d.fails >= 5 {
-		d.fails, d.waitTo = 0, max(d.waitTo, p.now+5*second)
+	if p.breaker && d.consecutiveFailures >= 5 {
+		d.consecutiveFailures, d.blockedUntil = 0, max(d.blockedUntil, p.now+5*second)
 	}
-	if r.over = r.over || e.MessageDone; r.over {
+	if r.ended = r.ended || e.MessageDone; r.ended {
 		delete(p.messages, e.Message)
 		return
 	}
-	if !p.again || len(r.attempts) >= p.ch.MaxAttempts || r.ran && r.work.Idempotency != dispatch.Idempotent {
+	if !p.retries || len(r.attempts) >= p.config.MaxAttempts || r.mayHaveRun && r.class.Idempotency != dispatch.Idempotent {
 		p.giveUp(r)
 		return
 	}
-	r.ready = p.now
-	if p.wait {
-		r.ready += 100 * millisecond << min(len(r.attempts)-1, 6)
+	r.readyAt = p.now
+	if p.backsOff {
+		r.readyAt += 100 * millisecond << min(len(r.attempts)-1, 6)
 	}
 	p.queue = append(p.queue, r)
 }
 
 func (p *Policy) giveUp(r *message) {
-	r.over = true
-	if r.ran && r.work.Idempotency != dispatch.Idempotent {
-		p.out = append(p.out, dispatch.Fail{Message: r.Message})
+	r.ended = true
+	if r.mayHaveRun && r.class.Idempotency != dispatch.Idempotent {
+		p.actions = append(p.actions, dispatch.Fail{Message: r.Message})
 	} else {
-		p.out = append(p.out, dispatch.Reject{Message: r.Message})
+		p.actions = append(p.actions, dispatch.Reject{Message: r.Message})
 	}
-	if r.out == 0 {
+	if r.inFlight == 0 {
 		delete(p.messages, r.Message)
 	}
 }
@@ -180,40 +180,40 @@
 func (p *Policy) dispatch() {
 	next := p.now + second
 	p.queue = slices.DeleteFunc(p.queue, func(r *message) bool {
-		if r.over {
+		if r.ended {
 			return true
 		}
-		if p.now >= r.Deadline-20*millisecond-2*p.ch.Tick {
+		if p.now >= r.Deadline-20*millisecond-2*p.config.Tick {
 			p.giveUp(r)
 			return true
 		}
-		at := max(r.ready, r.dest.waitTo)
+		at := max(r.readyAt, r.dest.blockedUntil)
 		if at > p.now {
 			next = min(next, at)
 			return false
 		}
-		if p.slots >= p.ch.Slots {
+		if p.slotsInUse >= p.config.Slots {
 			return false
 		}
-		ep := r.dest.best()
+		ep := r.dest.leastLoaded()
 		if ep == nil {
 			return false
 		}
-		p.slots++
+		p.slotsInUse++
 		ep.calls++
-		r.out++
+		r.inFlight++
 		r.attempts = append(r.attempts, ep)
-		p.out = append(p.out, dispatch.Send{Message: r.Message, Endpoint: ep.Endpoint, Timeout: min(3*second, r.Deadline-p.now-2*p.ch.Tick)})
+		p.actions = append(p.actions, dispatch.Send{Message: r.Message, Endpoint: ep.Endpoint, Timeout: min(3*second, r.Deadline-p.now-2*p.config.Tick)})
 		return true
 	})
-	if len(p.queue) > 0 && (p.wakeAt <= p.now || next < p.wakeAt) {
-		p.wakeAt = max(next, p.now+p.ch.Tick)
-		p.out = append(p.out, dispatch.SetTimer{At: p.wakeAt})
+	if len(p.queue) > 0 && (p.timerAt <= p.now || next < p.timerAt) {
+		p.timerAt = max(next, p.now+p.config.Tick)
+		p.actions = append(p.actions, dispatch.SetTimer{At: p.timerAt})
 	}
 }
 
-// best is the endpoint with fewest calls out, the first listed of those.
-func (d *dest) best() (best *endpoint) {
+// leastLoaded returns the endpoint in service with the fewest calls in flight, the first listed among equals, or nil if there is none.
+func (d *dest) leastLoaded() (best *endpoint) {
 	for _, ep := range d.endpoints {
 		if ep.Phase == dispatch.InService && (best == nil || ep.calls < best.calls) {
 			best = ep
@@ -222,5 +222,5 @@
 	return best
 }
 
-// Sorted lists the names in order.
+// Sorted returns the names of the policies in alphabetical order.
 func Sorted() []string { return slices.Sorted(maps.Keys(Names())) }
--- a/testbed/experiment/experiment.go
+++ b/testbed/experiment/experiment.go
@@ -1,5 +1,5 @@
-// Package experiment plays variants of the decisions against the same days and seeds, and says how far they differ: in
-// pairs, with intervals from a bootstrap over the pairs.
+// Package experiment runs variants of the decision logic on the same scenarios and seeds, and computes the paired differences between them,
+// with bootstrap confidence intervals.
 package experiment
 
 import (
@@ -24,41 +24,42 @@
 	"pineport/testbed/wirehost"
 )
 
-// Variant is one way to decide.
+// Variant is one implementation of the decision logic, with its simulation options.
 type Variant struct {
 	Name string
 	Open func() (simulation.Host, error)
 	simulation.Options
 }
 
-// Parse reads a variant: "module", "module:learned state", "module:share", "baseline:NAME", or "wire:COMMAND" for another build, each with NAME= before it if it
-// is to be called otherwise.
+// Parse parses a variant: "module", "module:lore", "module:share", "module:share-deaf", "module:share-lossy", "baseline:NAME", or
+// "wire:COMMAND" for another build. A prefix NAME= sets the name of the variant; without it, the text is the name.
 func Parse(text string) (Variant, error) {
-	name, what, named := strings.Cut(text, "=")
-	if !named || strings.ContainsAny(name, ":/ ") {
-		name, what = text, text
+	name, spec, hasName := strings.Cut(text, "=")
+	if !hasName || strings.ContainsAny(name, ":/ ") {
+		name, spec = text, text
 	}
-	kind, rest, _ := strings.Cut(what, ":")
+	kind, argument, _ := strings.Cut(spec, ":")
 	switch kind {
 	case "module":
-		o, err := options(rest)
+		o, err := moduleOptions(argument)
 		return Variant{name, func() (simulation.Host, error) { return simulation.NewLocal(nil), nil }, o}, err
 	case "baseline":
-		if _, ok := baseline.Names()[rest]; !ok {
-			return Variant{}, fmt.Errorf("no baseline has the name %q; there are %s", rest, strings.Join(baseline.Sorted(), ", "))
+		if _, ok := baseline.Names()[argument]; !ok {
+			return Variant{}, fmt.Errorf("no baseline is named %q; available: %s", argument, strings.Join(baseline.Sorted(), ", "))
 		}
 		return Variant{name, func() (simulation.Host, error) {
-			return simulation.NewLocal(func(_ int, ch dispatch.Config) simulation.Decider { return baseline.New(rest, ch) }), nil
+			return simulation.NewLocal(func(_ int, ch dispatch.Config) simulation.Decider { return baseline.New(argument, ch) }), nil
 		}, simulation.Options{}}, nil
 	case "wire":
-		return Variant{name, func() (simulation.Host, error) { return wirehost.Open(rest) }, simulation.Options{}}, nil
+		return Variant{name, func() (simulation.Host, error) { return wirehost.Open(argument) }, simulation.Options{}}, nil
 	}
-	return Variant{}, fmt.Errorf("%q: module, baseline:NAME or wire:COMMAND was expected", text)
+	return Variant{}, fmt.Errorf("%q: expected module, baseline:NAME or wire:COMMAND", text)
 }
 
-// options of the module as a variant: "learned state" keeps what couriers learned over their restarts, once a second; "share" has them share
-// limits, "share-deaf" while half of them hear nothing, "share-lossy" while 30 in 100 packets are lost.
-func options(text string) (o simulation.Options, err error) {
+// moduleOptions returns the simulation options of a "module:" variant. "lore" writes the learned state to a snapshot every second, so that it
+// survives restarts; "share" lets couriers share quotas; with "share-deaf" half of them receive nothing, with "share-lossy" 30 % of the
+// packets are lost.
+func moduleOptions(text string) (o simulation.Options, err error) {
 	switch text {
 	case "":
 	case "lore":
@@ -70,12 +71,12 @@
 	case "share-lossy":
 		o.Share = simulation.Share{Interval: 500 * 1000, Loss: 0.3}
 	default:
-		err = fmt.Errorf("module:%s: module, or module: with lore, share, share-deaf or share-lossy was expected", text)
+		err = fmt.Errorf("module:%s: expected module, or module: followed by lore, share, share-deaf or share-lossy", text)
 	}
 	return o, err
 }
 
-// Cell is one day, played once.
+// Cell is the result of one run: one scenario with one seed and one variant.
 type Cell struct {
 	Day     string              `json:"day"`
 	Seed    int64               `json:"seed"`
@@ -83,19 +84,20 @@
 	Verdict *invariants.Verdict `json:"verdict"`
 	Stats   simulation.Stats    `json:"stats"`
 	Wall    float64             `json:"wall_s"`
-	Live    *realtime.Cost      `json:"live,omitempty"` // on sockets
+	Live    *realtime.Cost      `json:"live,omitempty"` // set for runs on sockets
 }
 
-// Plan is what is to be played.
+// Plan lists the scenarios, seeds and variants to run. Jobs is the number of concurrent runs.
 type Plan struct {
 	Days     []*scenario.Day
 	Seeds    []int64
 	Variants []Variant
 	Jobs     int
-	Progress func(done, all int) // from one goroutine at a time
+	Progress func(done, all int) // called after each run, never concurrently
 }
 
-// Run plays every variant on every day with every seed, side by side, and returns the cells in order.
+// Run runs every variant on every scenario with every seed, at most Jobs of them concurrently. It returns the cells ordered by scenario, seed
+// and variant.
 func Run(ctx context.Context, p Plan) ([]Cell, error) {
 	cells := make([]Cell, len(p.Days)*len(p.Seeds)*len(p.Variants))
 	var mu sync.Mutex
@@ -109,7 +111,7 @@
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			c, err := One(d, seed, variant)
+			c, err := RunOne(d, seed, variant)
 			if err != nil {
 				return fmt.Errorf("%s, seed %d, %s: %w", d.Name, seed, variant.Name, err)
 			}
@@ -125,8 +127,8 @@
 	return cells, group.Wait()
 }
 
-// One plays one day once.
-func One(d *scenario.Day, seed int64, v Variant) (c Cell, err error) {
+// RunOne runs one scenario once.
+func RunOne(d *scenario.Day, seed int64, v Variant) (c Cell, err error) {
 	host, err := v.Open()
 	if err != nil {
 		return Cell{}, err
@@ -139,9 +141,9 @@
 	return c, err
 }
 
-// Paired is how far a variant differs from the first on the same days and seeds.
-type Paired struct {
-	Day     string  `json:"day"` // "all" for all of them
+// PairedDifference is the difference between a variant and the base variant on the same scenarios and seeds.
+type PairedDifference struct {
+	Day     string  `json:"day"` // "all" for the combination of all scenarios
 	Variant string  `json:"variant"`
 	Pairs   int     `json:"pairs"`
 	Base    float64 `json:"base"`
@@ -149,23 +151,24 @@
 	Diff    float64 `json:"diff"`
 	Low     float64 `json:"low"` // 95 % interval of the difference
 	High    float64 `json:"high"`
-	Broken  int     `json:"broken"` // runs in which a rule broke
+	Broken  int     `json:"broken"` // number of runs with a violated invariant
 }
 
-// resamples of the bootstrap: enough that the bounds of a 95 % interval move by little from seed to seed.
-const resamples = 4000
+// bootstrapResamples is the number of bootstrap resamples: enough that the bounds of a 95 % interval vary little between random seeds.
+const bootstrapResamples = 4000
 
-// Compare holds each variant against the first, day by day and over all. Figure picks what is compared.
-func Compare(cells []Cell, base string, figure func(*invariants.Verdict) float64) []Paired {
+// Compare compares each variant with the variant named base, per scenario and over all scenarios. The function figure selects the compared
+// value.
+func Compare(cells []Cell, base string, figure func(*invariants.Verdict) float64) []PairedDifference {
 	type key struct {
 		day  string
 		seed int64
 	}
-	first := map[key]Cell{}
+	baseCells := map[key]Cell{}
 	var days, variants []string
 	for _, c := range cells {
 		if c.Variant == base {
-			first[key{c.Day, c.Seed}] = c
+			baseCells[key{c.Day, c.Seed}] = c
 		}
 		if !slices.Contains(days, c.Day) {
 			days = append(days, c.Day)
@@ -174,13 +177,13 @@
 			variants = append(variants, c.Variant)
 		}
 	}
-	var rows []Paired
+	var rows []PairedDifference
 	for _, d := range append(days, "all") {
 		for _, v := range variants {
-			row := Paired{Day: d, Variant: v}
+			row := PairedDifference{Day: d, Variant: v}
 			var a, b, diffs []float64
 			for _, c := range cells {
-				f, ok := first[key{c.Day, c.Seed}]
+				f, ok := baseCells[key{c.Day, c.Seed}]
 				if c.Variant != v || d != "all" && c.Day != d || !ok {
 					continue
 				}
@@ -200,13 +203,13 @@
 	return rows
 }
 
-// Bootstrap is the 95 % interval of the mean of some values, by resampling; its chance is fixed.
+// Bootstrap returns the 95 % confidence interval of the mean of values, computed by resampling. The random seed is fixed.
 func Bootstrap(values []float64) (low, high float64) {
 	if len(values) == 0 {
 		return 0, 0
 	}
 	rng := rand.New(rand.NewPCG(1, uint64(len(values))))
-	means := make([]float64, resamples)
+	means := make([]float64, bootstrapResamples)
 	for i := range means {
 		for range values {
 			means[i] += values[rng.IntN(len(values))]
--- a/testbed/experiment/experiment_test.go
+++ b/testbed/experiment/experiment_test.go
@@ -18,12 +18,13 @@
 	}
 	for _, text := range []string{"", "modul", "baseline:best"} {
 		if _, err := Parse(text); err == nil {
-			t.Errorf("%q was taken", text)
+			t.Errorf("Parse accepted %q", text)
 		}
 	}
 }
 
-// TestPairsAndIntervals: the module against itself differs by nothing; against a plain policy by what is surely not chance.
+// TestPairsAndIntervals checks that the module compared with itself shows no difference, and that the interval of a simple policy's difference
+// excludes 0.
 func TestPairsAndIntervals(t *testing.T) {
 	d, err := scenario.Find("silent-and-cold")
 	if err != nil {
--- a/testbed/experiment/write.go
+++ b/testbed/experiment/write.go
@@ -8,8 +8,8 @@
 	"strconv"
 )
 
-// Write keeps the results of an experiment in a folder: cells.csv, cells.json and compared.csv.
-func Write(dir string, cells []Cell, rows []Paired) error {
+// Write stores the results of an experiment in a directory, as cells.csv, cells.json and compared.csv.
+func Write(dir string, cells []Cell, rows []PairedDifference) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
@@ -55,7 +55,7 @@
 	return file.Close()
 }
 
-// ReadCells reads back what Write kept.
+// ReadCells reads the cells that Write stored.
 func ReadCells(dir string) ([]Cell, error) {
 	text, err := os.ReadFile(filepath.Join(dir, "cells.json"))
 	if err != nil {
--- a/testbed/golden/golden.go
+++ b/testbed/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden holds what a program writes against files that were recorded earlier: formats that other processes, stored
-// files and scripts rely on. Tests alone use it. With -update the files are written anew.
+// Package golden compares output with recorded files in tests, to guard formats that other processes, stored files and scripts depend on.
+// With -update-golden, the tests rewrite the files.
 package golden
 
 import (
@@ -12,13 +12,13 @@
 	"testing"
 )
 
-var update = flag.Bool("update-golden", false, "write the golden files anew")
+var updateGolden = flag.Bool("update-golden", false, "rewrite the golden files")
 
-// Check fails the test unless got is, byte by byte, what testdata/NAME of the package under test holds.
+// Check fails the test unless got equals the content of testdata/NAME of the package under test.
 func Check(t testing.TB, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
-	if *update {
+	if *updateGolden {
 		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 			t.Fatal(err)
 		}
@@ -40,21 +40,21 @@
 			return
 		}
 	}
-	t.Errorf("%s: %d lines, %d recorded", path, len(gotLines), len(wantLines))
+	t.Errorf("%s: got %d lines, recorded %d", path, len(gotLines), len(wantLines))
 }
 
-// Fill sets every exported field that can be reached from what, a pointer, to a value of its own: numbers count up from 1 in
-// the order of the fields, texts hold such a number, lists and maps have one item. The same type is filled alike each time.
-func Fill(what any) {
+// Fill sets every exported field reachable from target, which is a pointer, to a distinct value: numbers count up from 1 in field order,
+// strings contain such a number, slices and maps get one element. The values depend on the type only.
+func Fill(target any) {
 	f := filler{}
-	f.fill(reflect.ValueOf(what).Elem())
+	f.fill(reflect.ValueOf(target).Elem())
 }
 
-type filler struct{ number int64 }
+type filler struct{ lastNumber int64 }
 
 func (f *filler) next() int64 {
-	f.number++
-	return f.number
+	f.lastNumber++
+	return f.lastNumber
 }
 
 func (f *filler) fill(v reflect.Value) {
@@ -94,32 +94,32 @@
 	}
 }
 
-// Tagged fails the test where a field that is encoded with a value has no tag with its name in the encoding ("json" or "cbor"):
-// the name of the field in the program would be its name in the format, and a rename would change it.
+// Tagged fails the test if an exported field reachable from value has neither a "json" nor a "cbor" tag. Without a tag, the encoding uses the
+// Go field name, so that renaming the field changes the format.
 func Tagged(t testing.TB, value any) {
 	t.Helper()
-	tagged(t, reflect.TypeOf(value), map[reflect.Type]bool{})
+	checkTags(t, reflect.TypeOf(value), map[reflect.Type]bool{})
 }
 
-func tagged(t testing.TB, what reflect.Type, seen map[reflect.Type]bool) {
+func checkTags(t testing.TB, typ reflect.Type, seen map[reflect.Type]bool) {
 	t.Helper()
-	switch what.Kind() {
+	switch typ.Kind() {
 	case reflect.Pointer, reflect.Slice, reflect.Array, reflect.Map:
-		tagged(t, what.Elem(), seen)
+		checkTags(t, typ.Elem(), seen)
 	case reflect.Struct:
-		if seen[what] {
+		if seen[typ] {
 			return
 		}
-		seen[what] = true
-		for i := range what.NumField() {
-			field := what.Field(i)
+		seen[typ] = true
+		for i := range typ.NumField() {
+			field := typ.Field(i)
 			_, json := field.Tag.Lookup("json")
 			_, cbor := field.Tag.Lookup("cbor")
 			if field.IsExported() && !field.Anonymous && !json && !cbor {
-				t.Errorf("%v.%s is encoded by its name in the program: it has no tag", what, field.Name)
+				t.Errorf("%v.%s has no json or cbor tag: it is encoded under its Go field name", typ, field.Name)
 			}
 			if field.IsExported() || field.Anonymous {
-				tagged(t, field.Type, seen)
+				checkTags(t, field.Type, seen)
 			}
 		}
 	}
--- a/testbed/load/load.go
+++ b/testbed/load/load.go
@@ -1,6 +1,6 @@
-// Package load is an open-loop load tool for couriers: it submits messages at given instants, whatever became of the
-// earlier ones, over kept connections, in the platform's protocol. How late it was is measured, and a run in which it
-// fell behind says so.
+// Package load is an open-loop load generator for couriers. It submits messages at scheduled times, regardless of the outcome of earlier
+// ones, over pooled connections in the platform's protocol. It measures how late each message is sent, and reports if it did not keep the
+// schedule.
 package load
 
 import (
@@ -16,70 +16,70 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Patience is how long a client waits for a courier's answer.
-const Patience = 400 * time.Millisecond
+// ReplyTimeout is how long a client waits for a connection, and how long for a courier's reply.
+const ReplyTimeout = 400 * time.Millisecond
 
-// Kind is what became of a submission.
+// Kind is the outcome of a submission.
 type Kind int
 
-// What a courier may answer, or not.
+// Outcomes of a submission.
 const (
-	OK      Kind = iota
-	Busy         // refused: handing it in again is harmless
-	Failed       // anything else
-	Silent       // nothing within the client's patience
-	Down         // no connection came up
-	Cut          // the connection ended after the last byte was written, without an answer
-	Unasked      // the connection ended before that
+	OK             Kind = iota
+	Busy                // rejected; the client may submit the message again
+	Failed              // any other reply
+	TimedOut            // no reply within ReplyTimeout
+	Unreachable         // the connection could not be established
+	ConnectionLost      // the connection ended after the whole command was written, without a reply
+	NotSent             // writing the command failed
 )
 
-// Reply is a courier's answer.
+// Reply is a courier's reply, or the reason why there is none.
 type Reply struct {
-	Kind  Kind
-	Again time.Duration // Busy: come again after this; 0: not reported
-	Text  string
+	Kind       Kind
+	RetryAfter time.Duration // Busy: how long to wait before submitting again; 0: not given
+	Text       string
 }
 
-// Message is what is submitted.
+// Message is a message to submit.
 type Message struct {
-	ID, Class  string
-	Left       time.Duration // how long it may still be delivered
-	Dest       int
-	Tenant     string // empty: none
-	Key        string // of its order; empty: none
-	Again      bool   // after a reject
-	AfterDeath bool   // held by a courier that died or did not answer
-	Body       []byte
+	ID, Class   string
+	TimeToLive  time.Duration // remaining time in which it may be delivered
+	Dest        int
+	Tenant      string // empty: none
+	OrderingKey string // empty: none
+	Resubmitted bool   // submitted again after a rejection
+	CourierLost bool   // submitted again because its courier was killed or did not reply
+	Body        []byte
 }
 
-// Enqueue is the command that submits one message.
+// Enqueue encodes the command that submits a message.
 func Enqueue(r Message) []byte {
-	pairs := fmt.Sprintf("c=%s,d=%d,dest=%d", r.Class, max(1, r.Left.Milliseconds()), r.Dest)
+	pairs := fmt.Sprintf("c=%s,d=%d,dest=%d", r.Class, max(1, r.TimeToLive.Milliseconds()), r.Dest)
 	if r.Tenant != "" {
 		pairs += ",t=" + r.Tenant
 	}
-	if r.Key != "" {
-		pairs += ",about=" + r.Key
+	if r.OrderingKey != "" {
+		pairs += ",about=" + r.OrderingKey
 	}
-	if r.Again {
+	if r.Resubmitted {
 		pairs += ",r=1"
 	}
-	if r.AfterDeath {
+	if r.CourierLost {
 		pairs += ",again=1"
 	}
 	return command("ENQUEUE", "0", r.ID, pairs, string(r.Body))
 }
 
-func command(words ...string) []byte {
+func command(args ...string) []byte {
 	var b strings.Builder
-	fmt.Fprintf(&b, "*%d\r\n", len(words))
-	for _, w := range words {
+	fmt.Fprintf(&b, "*%d\r\n", len(args))
+	for _, w := range args {
 		fmt.Fprintf(&b, "$%d\r\n%s\r\n", len(w), w)
 	}
 	return []byte(b.String())
 }
 
-// Pool keeps connections to one courier.
+// Pool is a pool of connections to one courier.
 type Pool struct {
 	address string
 	mu      sync.Mutex
@@ -93,10 +93,10 @@
 	in *bufio.Reader
 }
 
-// NewPool makes a pool of connections to an address.
+// NewPool returns an empty pool for the courier at address.
 func NewPool(address string) *Pool { return &Pool{address: address} }
 
-func (p *Pool) get() (c *conn, kept bool, err error) {
+func (p *Pool) get() (c *conn, reused bool, err error) {
 	p.mu.Lock()
 	if n := len(p.idle); n > 0 {
 		c = p.idle[n-1]
@@ -106,7 +106,7 @@
 	}
 	p.opened++
 	p.mu.Unlock()
-	raw, err := net.DialTimeout("tcp", p.address, Patience)
+	raw, err := net.DialTimeout("tcp", p.address, ReplyTimeout)
 	if err != nil {
 		return nil, false, err
 	}
@@ -123,8 +123,8 @@
 	p.idle = append(p.idle, c)
 }
 
-// Forget closes the connections that rest.
-func (p *Pool) Forget() {
+// CloseIdle closes the idle connections.
+func (p *Pool) CloseIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idle {
@@ -133,21 +133,21 @@
 	p.idle = nil
 }
 
-// Close closes the pool.
+// Close closes the idle connections; connections still in use are closed when they are returned.
 func (p *Pool) Close() {
-	p.Forget()
+	p.CloseIdle()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
 }
 
-// Do hands a command over and waits for the answer. A request that crossed the close of a kept connection is sent once
-// more, over a new one.
+// Do sends a command and waits for the reply. If the courier closes a reused connection while the command is being sent, Do sends the command
+// again over a new connection.
 func (p *Pool) Do(cmd []byte) Reply {
 	for {
-		c, kept, err := p.get()
+		c, reused, err := p.get()
 		if err != nil {
-			return Reply{Kind: Down, Text: err.Error()}
+			return Reply{Kind: Unreachable, Text: err.Error()}
 		}
 		r := c.do(cmd)
 		switch r.Kind {
@@ -156,8 +156,8 @@
 			return r
 		}
 		c.Close()
-		if kept && (r.Kind == Cut || r.Kind == Unasked) {
-			p.Forget() // those of the same age end the same way
+		if reused && (r.Kind == ConnectionLost || r.Kind == NotSent) {
+			p.CloseIdle() // the other idle connections are probably closed too
 			continue
 		}
 		return r
@@ -165,79 +165,79 @@
 }
 
 func (c *conn) do(cmd []byte) Reply {
-	c.SetDeadline(time.Now().Add(Patience))
+	c.SetDeadline(time.Now().Add(ReplyTimeout))
 	if _, err := c.Write(cmd); err != nil {
-		return Reply{Kind: Unasked, Text: err.Error()}
+		return Reply{Kind: NotSent, Text: err.Error()}
 	}
 	line, err := c.in.ReadString('\n')
 	var timeout net.Error
 	switch {
 	case errors.As(err, &timeout) && timeout.Timeout():
-		return Reply{Kind: Silent}
+		return Reply{Kind: TimedOut}
 	case err != nil:
-		return Reply{Kind: Cut, Text: err.Error()}
+		return Reply{Kind: ConnectionLost, Text: err.Error()}
 	}
-	return parse(strings.TrimRight(line, "\r\n"))
+	return parseReply(strings.TrimRight(line, "\r\n"))
 }
 
-func parse(line string) Reply {
+func parseReply(line string) Reply {
 	if strings.HasPrefix(line, "+") {
 		return Reply{Kind: OK, Text: line}
 	}
-	words := strings.Fields(line)
-	if len(words) == 0 || words[0] != "-BUSY" {
+	fields := strings.Fields(line)
+	if len(fields) == 0 || fields[0] != "-BUSY" {
 		return Reply{Kind: Failed, Text: line}
 	}
 	r := Reply{Kind: Busy, Text: line}
-	if len(words) > 1 {
-		if ms, err := strconv.Atoi(words[1]); err == nil && ms > 0 {
-			r.Again = time.Duration(ms) * time.Millisecond
+	if len(fields) > 1 {
+		if ms, err := strconv.Atoi(fields[1]); err == nil && ms > 0 {
+			r.RetryAfter = time.Duration(ms) * time.Millisecond
 		}
 	}
 	return r
 }
 
-// Lateness is how late an open-loop schedule was kept.
+// Lateness records how late messages are sent compared with the schedule.
 type Lateness struct {
 	mu   sync.Mutex
 	hist *hdrhistogram.Histogram
 }
 
-// NewLateness counts from a tenth of a millisecond to a minute.
+// NewLateness returns a recorder for delays from 0.1 ms to 1 min; delays outside this range count as its nearest bound.
 func NewLateness() *Lateness { return &Lateness{hist: hdrhistogram.New(100, 60*1000*1000, 3)} }
 
-// Note takes down how late one message was sent.
-func (l *Lateness) Note(late time.Duration) {
+// Record records how late one message was sent.
+func (l *Lateness) Record(late time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_ = l.hist.RecordValue(min(max(100, late.Microseconds()), 60*1000*1000)) // always within its bounds
+	_ = l.hist.RecordValue(min(max(100, late.Microseconds()), 60*1000*1000)) // no error: the value is clamped to the range of the histogram
 }
 
-// A run counts only if the schedule was kept: an open loop that falls behind becomes a closed one.
+// Limits of lateness. A run that exceeds one of them is invalid, since the load was not open-loop any more.
 const (
-	lateP99 = 50 * time.Millisecond
-	lateMax = 500 * time.Millisecond
+	maxLateP99 = 50 * time.Millisecond
+	maxLate    = 500 * time.Millisecond
 )
 
-// Behind says by how much the tool fell behind, or nothing.
-func (l *Lateness) Behind() string {
-	p99, most := l.Quantiles()
-	if p99 <= lateP99 && most <= lateMax {
+// Violation describes by how much the schedule was missed, or returns "" if it was kept.
+func (l *Lateness) Violation() string {
+	p99, longest := l.P99AndMax()
+	if p99 <= maxLateP99 && longest <= maxLate {
 		return ""
 	}
-	return fmt.Sprintf("the load tool fell behind its schedule: 1 in 100 records by %v or more, one by %v", p99, most)
+	return fmt.Sprintf("load generator fell behind its schedule: p99 %v, maximum %v", p99, longest)
 }
 
-// Quantiles are the 99th in a hundred, and the latest.
-func (l *Lateness) Quantiles() (p99, most time.Duration) {
+// P99AndMax returns the 99th percentile and the maximum of the recorded delays.
+func (l *Lateness) P99AndMax() (p99, longest time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	us := func(v int64) time.Duration { return time.Duration(v) * time.Microsecond }
 	return us(l.hist.ValueAtQuantile(99)), us(l.hist.Max())
 }
 
-// Run calls send for each of n messages at its instant, counted from start; it returns when the last was begun, or stop
-// is closed.
+// Run calls send(i) in a new goroutine for each i below n, at the time start plus at(i). It returns after the last call has started, or when
+// stop is closed.
 func Run(start time.Time, n int, at func(i int) time.Duration, send func(i int), late *Lateness, stop <-chan struct{}) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -252,7 +252,7 @@
 				return
 			}
 		}
-		late.Note(time.Since(due))
+		late.Record(time.Since(due))
 		go send(i)
 	}
 }
--- a/testbed/load/load_test.go
+++ b/testbed/load/load_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// TestReplies: each way in which a courier may answer, or not, is notified apart; a request that crosses the close of a kept
-// connection goes once more over a new one.
+// TestReplies checks that each outcome of a submission has its own Kind, and that a command is sent again over a new connection if the courier
+// has closed the pooled one.
 func TestReplies(t *testing.T) {
 	var conns atomic.Int32
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -34,7 +34,7 @@
 						return
 					}
 					switch strings.TrimSpace(line) {
-					case "once": // answers, and closes the kept connection a little later
+					case "once": // replies, and closes the pooled connection 50 ms later
 						c.Write([]byte("+OK\r\n"))
 						time.Sleep(50 * time.Millisecond)
 						return
@@ -57,46 +57,46 @@
 		want Kind
 	}{{"busy", Busy}, {"other", Failed}, {"once", OK}} {
 		r := p.Do([]byte(c.text + "\n"))
-		if r.Kind != c.want || c.want == Busy && r.Again != 250*time.Millisecond {
+		if r.Kind != c.want || c.want == Busy && r.RetryAfter != 250*time.Millisecond {
 			t.Errorf("%s: %+v", c.text, r)
 		}
 	}
 	time.Sleep(100 * time.Millisecond)
 	before := conns.Load()
 	if r := p.Do([]byte("busy\n")); r.Kind != Busy || conns.Load() != before+1 {
-		t.Errorf("over the closed connection: %+v, %d connections", r, conns.Load())
+		t.Errorf("after the pooled connection was closed: %+v, %d connections", r, conns.Load())
 	}
-	if r := p.Do([]byte("silent\n")); r.Kind != Silent {
+	if r := p.Do([]byte("silent\n")); r.Kind != TimedOut {
 		t.Errorf("%+v", r)
 	}
-	if r := p.Do([]byte("cut\n")); r.Kind != Cut {
+	if r := p.Do([]byte("cut\n")); r.Kind != ConnectionLost {
 		t.Errorf("%+v", r)
 	}
 	l.Close()
-	if r := NewPool(l.Addr().String()).Do(nil); r.Kind != Down {
+	if r := NewPool(l.Addr().String()).Do(nil); r.Kind != Unreachable {
 		t.Errorf("%+v", r)
 	}
 }
 
-// TestLatenessIsReported: a run whose schedule was not kept says so.
-func TestLatenessIsReported(t *testing.T) {
+// TestLatenessViolation checks that a missed schedule is reported.
+func TestLatenessViolation(t *testing.T) {
 	l := NewLateness()
 	for range 1000 {
-		l.Note(time.Millisecond)
+		l.Record(time.Millisecond)
 	}
-	if text := l.Behind(); text != "" {
+	if text := l.Violation(); text != "" {
 		t.Error(text)
 	}
 	for range 20 {
-		l.Note(80 * time.Millisecond)
+		l.Record(80 * time.Millisecond)
 	}
-	if l.Behind() == "" {
-		t.Error("two in a hundred were late, and nothing was said")
+	if l.Violation() == "" {
+		t.Error("2 of 100 messages were late, and no violation was reported")
 	}
 	sent := 0
 	late := NewLateness()
 	Run(time.Now().Add(-time.Second), 1, func(int) time.Duration { return 0 }, func(int) { sent++ }, late, nil)
-	if late.Behind() == "" {
-		t.Error("a second late, and nothing was said")
+	if late.Violation() == "" {
+		t.Error("a message was 1 s late, and no violation was reported")
 	}
 }
--- a/testbed/port/port.go
+++ b/testbed/port/port.go
@@ -1,4 +1,5 @@
-// Package port reserves addresses on loopback for processes that are yet to start, and looks at what lies between two sockets there.
+// Package port reserves loopback ports for processes that have not started yet, and waits until the peer of a TCP connection has received all
+// data.
 package port
 
 import (
@@ -10,15 +11,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// Reserve takes a port of 127.0.0.1 that is free, and keeps it until let go. It stays bound without listening: whoever is notified of it
-// may listen there, any number of times, and the kernel hands it to nobody else. Failure: a port that was closed to be listened on a
-// moment later was by then another test's endpoint or somebody's outgoing connection.
-func Reserve() (addr string, letGo func(), err error) {
+// Reserve reserves a free port of 127.0.0.1 until release is called. The port stays bound by a socket that does not listen: a process that
+// knows the address can listen on it, any number of times, and the kernel assigns the port to no other socket. Incident: a test closed the
+// listener of a free port for later use, and before the port was used again, the kernel had assigned it to another test's endpoint or to an
+// outgoing connection.
+func Reserve() (addr string, release func(), err error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return "", nil, fmt.Errorf("port: %w", err)
 	}
-	letGo = func() { syscall.Close(fd) }
+	release = func() { syscall.Close(fd) }
 	if err = syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err == nil {
 		err = syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
 	}
@@ -27,29 +29,29 @@
 		at, err = syscall.Getsockname(fd)
 	}
 	if err != nil {
-		letGo()
+		release()
 		return "", nil, fmt.Errorf("port: %w", err)
 	}
 	in := at.(*syscall.SockaddrInet4)
-	return netip.AddrPortFrom(netip.AddrFrom4(in.Addr), uint16(in.Port)).String(), letGo, nil
+	return netip.AddrPortFrom(netip.AddrFrom4(in.Addr), uint16(in.Port)).String(), release, nil
 }
 
-// Arrived waits until the other side's system has all that was written to a connection, and its end where it was ended for writing, and
-// tells whether that came to pass within a bound: from then on it lies there, read or not.
+// Arrived waits until the peer's kernel has acknowledged all data written to a TCP connection, including the FIN if the connection was closed
+// for writing. The peer process may not have read the data yet. Arrived returns false if that takes more than 10 s.
 func Arrived(conn syscall.Conn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return false
 	}
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(100 * time.Microsecond) {
-		there := false
+		acknowledged := false
 		if err := raw.Control(func(fd uintptr) {
 			info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
-			there = err == nil && info.Unacked == 0 && info.Notsent_bytes == 0 && info.State != unix.BPF_TCP_FIN_WAIT1
+			acknowledged = err == nil && info.Unacked == 0 && info.Notsent_bytes == 0 && info.State != unix.BPF_TCP_FIN_WAIT1
 		}); err != nil {
 			return false
 		}
-		if there {
+		if acknowledged {
 			return true
 		}
 	}
--- a/testbed/port/port_test.go
+++ b/testbed/port/port_test.go
@@ -5,19 +5,20 @@
 	"testing"
 )
 
-// TestReservedForOne: while a port is reserved nobody else is given it, and who knows it may listen on it again and again.
-func TestReservedForOne(t *testing.T) {
-	taken := map[string]bool{}
+// TestReservedPortIsExclusive checks that the kernel assigns a reserved port to no other socket, and that a process that knows the port can
+// listen on it repeatedly.
+func TestReservedPortIsExclusive(t *testing.T) {
+	reserved := map[string]bool{}
 	for range 2000 {
-		addr, letGo, err := Reserve()
+		addr, release, err := Reserve()
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer letGo()
-		if taken[addr] {
+		defer release()
+		if reserved[addr] {
 			t.Fatalf("%s was reserved twice", addr)
 		}
-		taken[addr] = true
+		reserved[addr] = true
 	}
 	for range 2000 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -25,11 +26,11 @@
 			t.Fatal(err)
 		}
 		defer l.Close()
-		if taken[l.Addr().String()] {
-			t.Fatalf("%s was reserved, and was given to another", l.Addr())
+		if reserved[l.Addr().String()] {
+			t.Fatalf("%s is reserved, but the kernel assigned it to another listener", l.Addr())
 		}
 	}
-	for addr := range taken {
+	for addr := range reserved {
 		for range 2 {
 			l, err := net.Listen("tcp", addr)
 			if err != nil {
--- a/testbed/process/process.go
+++ b/testbed/process/process.go
@@ -1,4 +1,4 @@
-// Package process starts, kills, stops and restarts real courier processes for a day on sockets.
+// Package process starts, signals, kills and restarts real courier processes for scenarios on sockets.
 package process
 
 import (
@@ -16,52 +16,53 @@
 	"time"
 )
 
-// Courier is one courier, through all its starts.
+// Courier is one courier across all starts of its process.
 type Courier struct {
 	No      int
 	Listen  string
 	Dir     string
 	binary  string
-	crashed func(no int, why string)
+	onCrash func(no int, why string)
 
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	wanted  bool // its end is not asked for
-	exited  chan struct{}
-	user    time.Duration
-	system  time.Duration
-	maxRSS  int64 // KiB
-	started int
+	mu         sync.Mutex
+	cmd        *exec.Cmd
+	expectedUp bool // started, and since then neither asked to shut down nor killed
+	exited     chan struct{}
+	userTime   time.Duration
+	systemTime time.Duration
+	maxRSS     int64 // KiB
+	starts     int
 }
 
-// New prepares a courier: a folder of its own with state and log, and an address to listen on.
+// New prepares a courier: it creates a directory for its state and log, and chooses an address to listen on. When the process exits
+// unexpectedly, crashed is called with the reason.
 func New(no int, binary, dir string, crashed func(no int, why string)) (*Courier, error) {
 	dir = filepath.Join(dir, "courier-"+strconv.Itoa(no))
 	if err := os.MkdirAll(filepath.Join(dir, "state"), 0o755); err != nil {
 		return nil, err
 	}
-	// An address of its own, by process and courier: on a shared one, the port that is free now may be somebody's
-	// outgoing connection by the time the courier starts.
+	// Each courier has its own loopback address, derived from the process id and the courier's number: on a shared address, a port that
+	// is free now can belong to an outgoing connection by the time the courier starts.
 	host := fmt.Sprintf("127.%d.%d.%d", 64+(os.Getpid()>>8)%128, os.Getpid()%256, 1+no%250)
 	l, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
 		return nil, err
 	}
 	defer l.Close()
-	return &Courier{No: no, Listen: l.Addr().String(), Dir: dir, binary: binary, crashed: crashed}, nil
+	return &Courier{No: no, Listen: l.Addr().String(), Dir: dir, binary: binary, onCrash: crashed}, nil
 }
 
-// Configure writes what the courier is notified.
-func (c *Courier) Configure(what map[string]any) error {
-	text, err := json.MarshalIndent(what, "", " ")
+// Configure writes the courier's configuration file.
+func (c *Courier) Configure(configuration map[string]any) error {
+	text, err := json.MarshalIndent(configuration, "", " ")
 	if err != nil {
 		return err
 	}
 	return os.WriteFile(filepath.Join(c.Dir, "config.json"), text, 0o644)
 }
 
-// Start starts the process, and returns once it answers PING.
-func (c *Courier) Start(within time.Duration) error {
+// Start starts the process unless it is running, and returns when it answers PING, or with an error after timeout.
+func (c *Courier) Start(timeout time.Duration) error {
 	c.mu.Lock()
 	if c.cmd != nil {
 		c.mu.Unlock()
@@ -81,33 +82,33 @@
 		return fmt.Errorf("courier %d: %w", c.No, err)
 	}
 	exited := make(chan struct{})
-	c.cmd, c.exited, c.wanted = cmd, exited, true
-	c.started++
+	c.cmd, c.exited, c.expectedUp = cmd, exited, true
+	c.starts++
 	c.mu.Unlock()
 	go c.wait(cmd, log, exited)
-	return c.ready(within, exited)
+	return c.waitReady(timeout, exited)
 }
 
-// wait reaps the process and counts what it took.
+// wait waits for the process to exit and adds up its CPU time. It reports an unexpected exit.
 func (c *Courier) wait(cmd *exec.Cmd, log *os.File, exited chan struct{}) {
 	err := cmd.Wait()
 	log.Close()
 	c.mu.Lock()
-	c.user += cmd.ProcessState.UserTime()
-	c.system += cmd.ProcessState.SystemTime()
-	unasked := c.wanted && c.cmd == cmd
+	c.userTime += cmd.ProcessState.UserTime()
+	c.systemTime += cmd.ProcessState.SystemTime()
+	unexpected := c.expectedUp && c.cmd == cmd
 	if c.cmd == cmd {
 		c.cmd = nil
 	}
 	c.mu.Unlock()
 	close(exited)
-	if unasked {
-		c.crashed(c.No, fmt.Sprintf("its process ended by itself: %v; the last of its log: %s", err, c.tail()))
+	if unexpected {
+		c.onCrash(c.No, fmt.Sprintf("process exited unexpectedly: %v; end of its log: %s", err, c.logTail()))
 	}
 }
 
-// tail is the end of its log, on one line.
-func (c *Courier) tail() string {
+// logTail returns the last 400 bytes of the log on one line.
+func (c *Courier) logTail() string {
 	text, err := os.ReadFile(filepath.Join(c.Dir, "log"))
 	if err != nil {
 		return err.Error()
@@ -118,18 +119,18 @@
 	return strings.Join(strings.Fields(string(text)), " ")
 }
 
-func (c *Courier) ready(within time.Duration, exited <-chan struct{}) error {
-	for deadline := time.Now().Add(within); time.Now().Before(deadline); {
+func (c *Courier) waitReady(timeout time.Duration, exited <-chan struct{}) error {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); {
 		select {
 		case <-exited:
-			return fmt.Errorf("courier %d ended before it was ready; the last of its log: %s", c.No, c.tail())
+			return fmt.Errorf("courier %d exited before it was ready; end of its log: %s", c.No, c.logTail())
 		case <-time.After(10 * time.Millisecond):
 		}
 		if ping(c.Listen) {
 			return nil
 		}
 	}
-	return fmt.Errorf("courier %d did not answer PING within %v; the last of its log: %s", c.No, within, c.tail())
+	return fmt.Errorf("courier %d did not answer PING within %v; end of its log: %s", c.No, timeout, c.logTail())
 }
 
 func ping(address string) bool {
@@ -144,24 +145,24 @@
 	return err == nil && line == "+PONG\r\n"
 }
 
-// Signal sends a signal to the process, if it runs. One that asks for its end makes that end wanted.
+// Signal sends a signal to the process if it is running. After SIGTERM or SIGKILL, the exit of the process is expected.
 func (c *Courier) Signal(s syscall.Signal) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if s == syscall.SIGTERM || s == syscall.SIGKILL {
-		c.wanted = false
+		c.expectedUp = false
 	}
 	if c.cmd != nil {
 		if s == syscall.SIGTERM || s == syscall.SIGKILL {
-			c.maxRSS = max(c.maxRSS, peak(c.cmd.Process.Pid))
+			c.maxRSS = max(c.maxRSS, peakRSS(c.cmd.Process.Pid))
 		}
 		c.cmd.Process.Signal(s)
 	}
 }
 
-// peak is the most that a process had resident, in KiB. What the system counts for a child that has ended takes in the
-// testbed's own memory, of which it was a copy for a moment.
-func peak(pid int) (kib int64) {
+// peakRSS returns the peak resident memory of a process in KiB, or 0 if it is unknown. The rusage of an exited child does not serve: it includes
+// the memory of the testbed, of which the child is a copy between fork and exec.
+func peakRSS(pid int) (kib int64) {
 	text, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), "status"))
 	if err != nil {
 		return 0
@@ -174,7 +175,7 @@
 	return kib
 }
 
-// Kill ends the process outright and waits for its end.
+// Kill sends SIGKILL to the process and waits until it has exited.
 func (c *Courier) Kill() {
 	c.Signal(syscall.SIGKILL)
 	c.mu.Lock()
@@ -185,30 +186,30 @@
 	}
 }
 
-// Up tells whether the process runs and is wanted to.
+// Up reports whether the process is running and has not been asked to exit.
 func (c *Courier) Up() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.cmd != nil && c.wanted
+	return c.cmd != nil && c.expectedUp
 }
 
-// Running tells whether the process runs, wanted or not.
+// Running reports whether the process is running, even if it has been asked to exit.
 func (c *Courier) Running() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.cmd != nil
 }
 
-// clockTick is the unit of processor time in /proc/PID/stat.
+// clockTick is the unit of CPU time in /proc/PID/stat.
 const clockTick = 10 * time.Millisecond
 
-// Taken is what the process that runs has taken so far on the processor, and what it has resident, in bytes, read of /proc.
+// Taken returns the CPU time and the resident memory, in bytes, of the running process, read from /proc.
 func (c *Courier) Taken() (cpu time.Duration, resident int64, err error) {
 	c.mu.Lock()
 	cmd := c.cmd
 	c.mu.Unlock()
 	if cmd == nil {
-		return 0, 0, fmt.Errorf("courier %d does not run", c.No)
+		return 0, 0, fmt.Errorf("courier %d is not running", c.No)
 	}
 	text, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(cmd.Process.Pid), "stat"))
 	if err != nil {
@@ -217,13 +218,13 @@
 	return parseStat(string(text))
 }
 
-// parseStat reads utime, stime and rss of the text of /proc/PID/stat: the 14th, 15th and 24th field, of which the second, the
-// name, ends at the last parenthesis.
+// parseStat parses utime, stime and rss, which are fields 14, 15 and 24 of /proc/PID/stat. Field 2, the process name, may contain spaces and
+// parentheses; it ends at the last closing parenthesis.
 func parseStat(text string) (cpu time.Duration, resident int64, err error) {
 	const userTime, systemTime, residentPages = 14 - 3, 15 - 3, 24 - 3
 	fields := strings.Fields(text[strings.LastIndexByte(text, ')')+1:])
 	if len(fields) <= residentPages {
-		return 0, 0, fmt.Errorf("%q: more fields were expected", text)
+		return 0, 0, fmt.Errorf("/proc/PID/stat %q: too few fields", text)
 	}
 	var values [3]int64
 	for i, at := range []int{userTime, systemTime, residentPages} {
@@ -234,9 +235,10 @@
 	return time.Duration(values[0]+values[1]) * clockTick, values[2] * int64(os.Getpagesize()), nil
 }
 
-// Used is what all its processes took: time on the processor, and resident memory at most.
+// Used returns the total CPU time of all processes of the courier that have exited, and the peak resident memory of those that were sent
+// SIGTERM or SIGKILL.
 func (c *Courier) Used() (cpu time.Duration, maxRSSKiB int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.user + c.system, c.maxRSS
+	return c.userTime + c.systemTime, c.maxRSS
 }
--- a/testbed/process/process_test.go
+++ b/testbed/process/process_test.go
@@ -14,13 +14,13 @@
 	}
 	for _, bad := range []string{"", "77 (a) S 1 2", "77 (a) S 1 77 77 0 -1 0 1 0 0 0 x 50 0 0 20 0 9 0 1 9 300 1"} {
 		if _, _, err := parseStat(bad); err == nil {
-			t.Errorf("%q was read", bad)
+			t.Errorf("parseStat accepted %q", bad)
 		}
 	}
 }
 
-func TestTakenNeedsAProcess(t *testing.T) {
+func TestUsageNeedsProcess(t *testing.T) {
 	if _, _, err := (&Courier{No: 1}).Taken(); err == nil {
-		t.Error("a courier that does not run has taken something")
+		t.Error("Taken returned no error for a courier that is not running")
 	}
 }
--- a/testbed/realtime/client.go
+++ b/testbed/realtime/client.go
@@ -11,48 +11,48 @@
 	"pineport/testbed/scenario"
 )
 
-// client is who submitted a message first, and hands it in again where it may. The run's lock guards it.
+// client is the client of one message. It submits the message again after a rejection or a missing reply. The lock of run guards it.
 type client struct {
-	id      dispatch.MessageID
-	arrival scenario.Arrival
-	due     dispatch.Micros
-	cutOff  dispatch.Micros
-	tries   int
-	rejects int
-	dropped int // submissions that nobody answered: what comes of them counts for nothing
+	id          dispatch.MessageID
+	arrival     scenario.Arrival
+	dueAt       dispatch.Micros
+	deadline    dispatch.Micros
+	submissions int
+	rejects     int
+	unanswered  int // submissions without a reply; what they lead to is not counted
 }
 
-func (r *run) offer(i int) {
+func (r *run) startClient(i int) {
 	a := r.day.Arrivals[i]
 	wl := r.day.Day.Classes[a.Class]
-	cl := &client{id: dispatch.MessageID("r" + strconv.Itoa(i)), arrival: a, due: a.At, cutOff: a.At + dispatch.Micros(wl.CutOff*1e6)}
-	r.books.Offered(a.At, cl.id, int(a.Class), int(a.Tenant), dispatch.DestinationID(a.Dest))
-	r.pend(1)
-	r.handIn(cl, int(a.Courier), false, false)
+	cl := &client{id: dispatch.MessageID("r" + strconv.Itoa(i)), arrival: a, dueAt: a.At, deadline: a.At + dispatch.Micros(wl.CutOff*1e6)}
+	r.ledger.Offered(a.At, cl.id, int(a.Class), int(a.Tenant), dispatch.DestinationID(a.Dest))
+	r.addPending(1)
+	r.submit(cl, int(a.Courier), false, false)
 }
 
-func (r *run) pend(n int) {
+func (r *run) addPending(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.pending += n
 }
 
-func (r *run) between(b scenario.Range) time.Duration {
+func (r *run) randomDuration(b scenario.Range) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return time.Duration((b[0] + (b[1]-b[0])*r.rng.Float64()) * float64(time.Second))
 }
 
-// later submits again after a while, if there is time left then.
-func (r *run) later(cl *client, after time.Duration, courier int, again, afterDeath bool) {
-	if r.world.Clock.Now()+dispatch.Micros(after.Microseconds()) < cl.cutOff {
-		r.pend(1)
-		time.AfterFunc(after, func() { r.handIn(cl, courier, again, afterDeath) })
+// submitLater submits the message again after the given delay, unless its deadline is reached by then.
+func (r *run) submitLater(cl *client, after time.Duration, courier int, resubmitted, courierLost bool) {
+	if r.world.Clock.Now()+dispatch.Micros(after.Microseconds()) < cl.deadline {
+		r.addPending(1)
+		time.AfterFunc(after, func() { r.submit(cl, courier, resubmitted, courierLost) })
 	}
 }
 
-// other is where a client goes whose courier did not serve it.
-func (r *run) other(courier int) int {
+// nextCourier returns the courier for the next submission, after the given courier did not accept the message.
+func (r *run) nextCourier(courier int) int {
 	if r.day.Day.Fleet.Entry == "own" {
 		return courier
 	}
@@ -61,27 +61,27 @@
 	return r.rng.IntN(len(r.couriers))
 }
 
-// handIn hands a message to a courier, and sees to what it answers.
-func (r *run) handIn(cl *client, courier int, again, afterDeath bool) {
-	defer r.pend(-1)
+// submit submits the message to a courier and handles the reply.
+func (r *run) submit(cl *client, courier int, resubmitted, courierLost bool) {
+	defer r.addPending(-1)
 	select {
 	case <-r.stop:
 		return
 	default:
 	}
 	now := r.world.Clock.Now()
-	if now >= cl.cutOff {
+	if now >= cl.deadline {
 		return
 	}
 	r.mu.Lock()
 	id, origin := cl.id, cl.id
-	if cl.tries > 0 {
-		id += dispatch.MessageID("." + strconv.Itoa(cl.tries))
+	if cl.submissions > 0 {
+		id += dispatch.MessageID("." + strconv.Itoa(cl.submissions))
 	}
-	if cl.dropped > 0 { // what ran under an id that nobody answered for counts for nothing
-		origin += dispatch.MessageID("+" + strconv.Itoa(cl.dropped))
+	if cl.unanswered > 0 { // a new origin, so that calls for submissions without a reply are not counted
+		origin += dispatch.MessageID("+" + strconv.Itoa(cl.unanswered))
 	}
-	cl.tries++
+	cl.submissions++
 	r.clients[id] = cl
 	r.mu.Unlock()
 	a := cl.arrival
@@ -91,75 +91,75 @@
 		key = dispatch.OrderingKey("k" + strconv.Itoa(int(a.Key)))
 	}
 	r.world.Expect(id, environment.Message{Origin: origin, Courier: courier, Work: int(a.Class), Dest: int(a.Dest)})
-	r.books.Taken(now, id, cl.id, courier, key, cl.cutOff)
-	rec := load.Message{ID: string(id), Class: wl.Name, Left: time.Duration(cl.cutOff-now) * time.Microsecond, Dest: int(a.Dest),
-		Key: string(key), Again: again, AfterDeath: afterDeath, Body: r.body}
+	r.ledger.Taken(now, id, cl.id, courier, key, cl.deadline)
+	message := load.Message{ID: string(id), Class: wl.Name, TimeToLive: time.Duration(cl.deadline-now) * time.Microsecond, Dest: int(a.Dest),
+		OrderingKey: string(key), Resubmitted: resubmitted, CourierLost: courierLost, Body: r.body}
 	if tenants := r.day.Day.Tenants; len(tenants) > 0 {
-		rec.Tenant = tenants[a.Tenant].Name
+		message.Tenant = tenants[a.Tenant].Name
 	}
-	reply := r.pools[courier].Do(load.Enqueue(rec))
+	reply := r.pools[courier].Do(load.Enqueue(message))
 	now = r.world.Clock.Now()
 	switch reply.Kind {
 	case load.OK:
-		// From now on its end is owed: a call answered with 200, or a notice.
+		// Accepted: the courier must now deliver the message or send a notice for it.
 	case load.Busy:
 		r.world.Drop(id)
-		r.books.Ended(now, id, invariants.Rejected)
-		r.comeAgain(cl, courier, reply.Again)
+		r.ledger.Ended(now, id, invariants.Rejected)
+		r.retryRejected(cl, courier, reply.RetryAfter)
 	case load.Failed:
 		r.world.Drop(id)
-		r.books.Ended(now, id, invariants.Failed)
+		r.ledger.Ended(now, id, invariants.Failed)
 	default:
-		r.unanswered(cl, id, courier, reply)
+		r.handleUnanswered(cl, id, courier, reply)
 	}
 }
 
-// unanswered is a submission that a courier did not answer: it was down, cut the connection or kept silent.
-func (r *run) unanswered(cl *client, id dispatch.MessageID, courier int, reply load.Reply) {
+// handleUnanswered handles a submission without a reply: the courier was unreachable, the connection ended, or the reply timed out.
+func (r *run) handleUnanswered(cl *client, id dispatch.MessageID, courier int, reply load.Reply) {
 	now := r.world.Clock.Now()
-	if reply.Kind == load.Cut && r.couriers[courier].Up() && !r.books.Excused(now, courier) {
-		r.books.Unanswered(now, id, courier)
+	if reply.Kind == load.ConnectionLost && r.couriers[courier].Up() && !r.ledger.Excused(now, courier) {
+		r.ledger.Unanswered(now, id, courier)
 	}
 	r.world.Drop(id)
-	r.books.Ended(now, id, invariants.Dropped)
+	r.ledger.Ended(now, id, invariants.Dropped)
 	r.mu.Lock()
-	cl.dropped++
+	cl.unanswered++
 	r.mu.Unlock()
-	again := r.between(r.day.Day.Clients.Again)
-	if reply.Kind == load.Down {
-		again /= 4
+	delay := r.randomDuration(r.day.Day.Clients.Again)
+	if reply.Kind == load.Unreachable {
+		delay /= 4
 	}
-	r.later(cl, again, r.other(courier), true, reply.Kind != load.Down)
+	r.submitLater(cl, delay, r.nextCourier(courier), true, reply.Kind != load.Unreachable)
 }
 
-// comeAgain submits anew what was rejected, after a while.
-func (r *run) comeAgain(cl *client, courier int, advice time.Duration) {
+// retryRejected submits a rejected message again after a backoff, up to the configured number of retries.
+func (r *run) retryRejected(cl *client, courier int, retryAfter time.Duration) {
 	d := r.day.Day.Clients
 	r.mu.Lock()
 	if cl.rejects >= d.Retries {
 		r.mu.Unlock()
 		return
 	}
-	heeds := r.rng.Float64() < d.Heed
+	heedsAdvice := r.rng.Float64() < d.Heed
 	n := cl.rejects
 	cl.rejects++
 	r.mu.Unlock()
-	wait := r.between(scenario.Range{d.Backoff[0] / 1000, d.Backoff[1] / 1000}) << n
-	if advice > 0 && heeds {
-		wait = min(advice, time.Duration(r.day.Day.Fleet.LongestWait*float64(time.Second)))
+	wait := r.randomDuration(scenario.Range{d.Backoff[0] / 1000, d.Backoff[1] / 1000}) << n
+	if retryAfter > 0 && heedsAdvice {
+		wait = min(retryAfter, time.Duration(r.day.Day.Fleet.LongestWait*float64(time.Second)))
 	}
-	r.later(cl, wait, r.other(courier), true, false)
+	r.submitLater(cl, wait, r.nextCourier(courier), true, false)
 }
 
-// noticed takes a notice for a message that a courier had taken on.
-func (r *run) noticed(id dispatch.MessageID, how invariants.End, again time.Duration) {
+// handleNotice handles a notice for a message that a courier had accepted.
+func (r *run) handleNotice(id dispatch.MessageID, end invariants.End, retryAfter time.Duration) {
 	r.mu.Lock()
 	cl := r.clients[id]
 	r.mu.Unlock()
 	if cl == nil {
 		return
 	}
-	if how == invariants.Rejected {
-		r.comeAgain(cl, int(cl.arrival.Courier), again)
+	if end == invariants.Rejected {
+		r.retryRejected(cl, int(cl.arrival.Courier), retryAfter)
 	}
 }
--- a/testbed/realtime/realtime.go
+++ b/testbed/realtime/realtime.go
@@ -1,5 +1,5 @@
-// Package realtime plays a day on loopback sockets: the world's endpoints and directories, open-loop clients, and real courier
-// processes that are killed, asked to end, restarted and stopped as the day has it.
+// Package realtime runs a scenario on loopback sockets: endpoints, discovery servers, open-loop clients, and real courier processes that are
+// killed, shut down, restarted and paused as the scenario defines.
 package realtime
 
 import (
@@ -22,42 +22,42 @@
 	"pineport/testbed/scenario"
 )
 
-// Options are how a day is played.
+// Options configures a run.
 type Options struct {
-	Binary string // the courier
-	Dir    string // for the couriers' folders; empty: one that is removed afterwards
-	Log    *slog.Logger
-	Ready  time.Duration // for a courier to answer PING
-	// Watch is notified of what happens by itself, as it happens.
-	Watch func(at dispatch.Micros, a scenario.Act)
-	// Reload is how often each courier's configuration is written anew, with other settings, and read on SIGHUP; 0: never.
+	Binary       string // path of the courier binary
+	Dir          string // directory for the couriers' state and logs; empty: a temporary one
+	Log          *slog.Logger
+	ReadyTimeout time.Duration // limit for a courier to answer PING after its start; 0: 10 s
+	// OnAct is called for each scheduled event when it happens; nil: not called.
+	OnAct func(at dispatch.Micros, a scenario.Act)
+	// Reload is the interval at which each courier's settings are changed and reloaded with SIGHUP; 0: never.
 	Reload time.Duration
-	// Extra is what a courier is configured with besides; it goes over the rest, key by key.
+	// Extra returns additional configuration of a courier, which is merged key by key over the rest; nil: none.
 	Extra func(c *process.Courier) (map[string]any, error)
-	// Begun is notified, once, when the day begins; what it returns is called when the last message has its answer.
+	// Begun is called once when the scenario starts. The function it returns is called when all messages have ended or the run stops.
 	Begun func(f *Field) (end func())
-	// Limits of a courier, in the platform's form; nil: 1 core, 192 MB, 1,024 descriptors, 3 MB of disk.
+	// Limits are the resource limits of a courier, in the platform's format; nil: 1 core, 192 MB, 1,024 descriptors, 3 MB of disk.
 	Limits map[string]any
 }
 
-// Field is a day under way, for who adds troubles of its own.
+// Field is a running scenario, for callers that add faults of their own.
 type Field struct{ run *run }
 
-// Couriers are those of the day, by number.
+// Couriers returns the couriers of the scenario, indexed by their number.
 func (f *Field) Couriers() []*process.Courier { return f.run.couriers }
 
-// Since is how long the day has been on.
+// Since returns the time since the start of the scenario.
 func (f *Field) Since() time.Duration { return time.Since(f.run.world.Clock.Start) }
 
-// Act carries out a trouble of a courier, and books it.
-func (f *Field) Act(a scenario.Act) { f.run.act(a) }
+// Act carries out a scheduled event of a courier and records it in the ledger.
+func (f *Field) Act(a scenario.Act) { f.run.applyAct(a) }
 
-// Cost is what a run took of the machine.
+// Cost holds the resources that a run used and the lateness of its load generator.
 type Cost struct {
 	Wall        float64 `json:"wall_s"`
-	CourierCPU  float64 `json:"courier_cpu_s"` // all couriers
-	LabCPU      float64 `json:"lab_cpu_s"`
-	MaxRSS      int64   `json:"courier_max_rss_kib"` // the largest of one courier
+	CourierCPU  float64 `json:"courier_cpu_s"` // sum over all couriers
+	TestbedCPU  float64 `json:"lab_cpu_s"`
+	MaxRSS      int64   `json:"courier_max_rss_kib"` // highest peak of a single courier
 	Connections int     `json:"connections_to_endpoints"`
 	LateP99     float64 `json:"late_p99_s"`
 	LateMax     float64 `json:"late_max_s"`
@@ -65,11 +65,11 @@
 	Reloads     int     `json:"reloads"`
 }
 
-// run is one day being played.
+// run is one run of a scenario.
 type run struct {
 	Options
 	day      *scenario.Drawn
-	books    *invariants.Ledger
+	ledger   *invariants.Ledger
 	world    *environment.World
 	couriers []*process.Courier
 	pools    []*load.Pool
@@ -78,22 +78,22 @@
 
 	mu       sync.Mutex
 	rng      *rand.Rand
-	clients  map[dispatch.MessageID]*client // by each id that it submitted
-	pending  int                            // submissions under way or to come
+	clients  map[dispatch.MessageID]*client // by each message id that the client has used
+	pending  int                            // submissions in progress or scheduled
 	restarts int
 	reloads  int
-	fault    string
+	invalid  string
 	body     []byte
 }
 
-// Play plays a day, and returns its judgement. The run ends when all messages have their answer, at the day's end at the
-// latest, or when ctx is done.
+// Play runs a scenario and returns its verdict. The run ends when all messages have a final answer, shortly after the end of the scenario at the
+// latest, or when ctx is done. In the last case the verdict is marked invalid.
 func Play(ctx context.Context, w *scenario.Drawn, o Options) (*invariants.Verdict, Cost, error) {
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	if o.Ready == 0 {
-		o.Ready = 10 * time.Second
+	if o.ReadyTimeout == 0 {
+		o.ReadyTimeout = 10 * time.Second
 	}
 	if o.Dir == "" {
 		dir, err := os.MkdirTemp("", "pineport-testbed-")
@@ -103,50 +103,51 @@
 		defer os.RemoveAll(dir)
 		o.Dir = dir
 	}
-	r := &run{Options: o, day: w, books: invariants.New(setup(w)), late: load.NewLateness(), stop: make(chan struct{}),
+	r := &run{Options: o, day: w, ledger: invariants.New(ledgerSetup(w)), late: load.NewLateness(), stop: make(chan struct{}),
 		rng: rand.New(rand.NewPCG(uint64(w.Seed), 55)), clients: map[dispatch.MessageID]*client{}, body: []byte("record of a laboratory day")}
 	var err error
 	if r.world, err = environment.Open(w, o.Log); err != nil {
 		return nil, Cost{}, err
 	}
 	defer r.world.Close()
-	r.world.Noticed = r.noticed
+	r.world.Noticed = r.handleNotice
 	defer r.killAll()
 	if err := r.startAll(); err != nil {
 		return nil, Cost{}, err
 	}
-	began, cpu := time.Now(), ownCPU()
-	r.world.Begin(r.books, r.act)
-	ended := func() {}
+	startedAt, cpu := time.Now(), ownCPU()
+	r.world.Begin(r.ledger, r.applyAct)
+	onEnd := func() {}
 	if o.Begun != nil {
-		ended = o.Begun(&Field{r})
+		onEnd = o.Begun(&Field{r})
 	}
 	r.play(ctx)
-	ended()
+	onEnd()
 	end := r.world.Clock.Now()
-	v := r.books.Finish(end)
-	cost := Cost{Wall: time.Since(began).Seconds(), LabCPU: (ownCPU() - cpu).Seconds(), Connections: r.world.Busiest(), Restarts: r.restarts}
+	v := r.ledger.Finish(end)
+	cost := Cost{Wall: time.Since(startedAt).Seconds(), TestbedCPU: (ownCPU() - cpu).Seconds(), Connections: r.world.Busiest(), Restarts: r.restarts}
 	cost.Reloads = r.reloads
-	p99, most := r.late.Quantiles()
-	cost.LateP99, cost.LateMax = p99.Seconds(), most.Seconds()
+	p99, longest := r.late.P99AndMax()
+	cost.LateP99, cost.LateMax = p99.Seconds(), longest.Seconds()
 	r.killAll()
 	for _, c := range r.couriers {
 		used, rss := c.Used()
 		cost.CourierCPU += used.Seconds()
 		cost.MaxRSS = max(cost.MaxRSS, rss)
 	}
-	v.Invalid = r.late.Behind()
+	v.Invalid = r.late.Violation()
 	switch {
 	case ctx.Err() != nil:
-		v.Invalid = "it was broken off"
-	case r.fault != "":
-		v.Invalid = r.fault
+		v.Invalid = "run canceled"
+	case r.invalid != "":
+		v.Invalid = r.invalid
 	}
 	return v, cost, nil
 }
 
-// setup grants what clocks of several processes need. The figures are those of the platform's protocol.
-func setup(w *scenario.Drawn) invariants.Setup {
+// ledgerSetup returns the ledger setup of the scenario with the tolerances that several processes with separate clocks need. The values come
+// from the platform's protocol.
+func ledgerSetup(w *scenario.Drawn) invariants.Setup {
 	s := invariants.ForDay(w)
 	const ms = dispatch.Micros(1000)
 	s.Leeway, s.WaitFrom, s.AnswerSlack, s.Excused = 50*ms, 100*ms, 300*ms, 1500*ms
@@ -164,9 +165,9 @@
 func (r *run) startAll() error {
 	var wg sync.WaitGroup
 	n := r.day.Day.Fleet.Couriers
-	faults := make([]error, n)
+	errs := make([]error, n)
 	for i := range n {
-		c, err := process.New(i, r.Binary, r.Dir, r.crashed)
+		c, err := process.New(i, r.Binary, r.Dir, r.recordCrash)
 		if err != nil {
 			return err
 		}
@@ -179,11 +180,11 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			faults[i] = c.Start(r.Ready)
+			errs[i] = c.Start(r.ReadyTimeout)
 		}()
 	}
 	wg.Wait()
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
 func (r *run) configure(c *process.Courier) error {
@@ -201,26 +202,27 @@
 		if err != nil {
 			return err
 		}
-		lay(all, extra)
+		mergeConfiguration(all, extra)
 	}
 	return c.Configure(all)
 }
 
-// lay puts one nested configuration over another.
-func lay(over, with map[string]any) {
-	for key, v := range with {
+// mergeConfiguration merges the nested configuration overlay into target. Values of overlay replace those of target, except that nested maps are
+// merged.
+func mergeConfiguration(target, overlay map[string]any) {
+	for key, v := range overlay {
 		if inner, ok := v.(map[string]any); ok {
-			if there, ok := over[key].(map[string]any); ok {
-				lay(there, inner)
+			if existing, ok := target[key].(map[string]any); ok {
+				mergeConfiguration(existing, inner)
 				continue
 			}
 		}
-		over[key] = v
+		target[key] = v
 	}
 }
 
-// settings of a courier: those of the day, and with each reload some that differ from the last ones, so that messages are
-// held while slots, hold, attempts and classes change under them. A class that no client uses comes and goes.
+// settings returns the settings of a courier: those of the scenario, changed with each reload, so that the number of slots, the queue limit, the
+// attempt limit and the classes change while the courier holds messages. A class that no client uses is added and removed alternately.
 func (r *run) settings(no int) map[string]any {
 	s := r.day.Settings(no)
 	r.mu.Lock()
@@ -239,7 +241,7 @@
 	return s
 }
 
-// reloadAll writes every courier's configuration anew, again and again, and has it read.
+// reloadAll changes and reloads the configuration of every courier at each interval Reload, until stop is closed.
 func (r *run) reloadAll(stop <-chan struct{}) {
 	every := time.NewTicker(r.Reload)
 	defer every.Stop()
@@ -263,9 +265,9 @@
 	}
 }
 
-func (r *run) crashed(no int, why string) { r.books.Crashed(r.world.Clock.Now(), no, why) }
+func (r *run) recordCrash(no int, why string) { r.ledger.Crashed(r.world.Clock.Now(), no, why) }
 
-// killAll ends the couriers: side by side, as each takes a moment.
+// killAll kills all couriers concurrently, since the exit of each takes some time.
 func (r *run) killAll() {
 	var wg sync.WaitGroup
 	for i, c := range r.couriers {
@@ -280,46 +282,46 @@
 	wg.Wait()
 }
 
-// act carries out what happens to couriers by itself.
-func (r *run) act(a scenario.Act) {
+// applyAct carries out a scheduled event of a courier and records it in the ledger.
+func (r *run) applyAct(a scenario.Act) {
 	now := r.world.Clock.Now()
-	if r.Watch != nil {
-		r.Watch(now, a)
+	if r.OnAct != nil {
+		r.OnAct(now, a)
 	}
 	c := r.couriers[a.Courier]
 	switch a.Kind {
 	case scenario.Kills:
 		if c.Up() {
-			r.books.Down(now, a.Courier, false, false)
-			r.books.Killed(now, a.Courier)
+			r.ledger.Down(now, a.Courier, false, false)
+			r.ledger.Killed(now, a.Courier)
 		}
 		c.Kill()
 	case scenario.Asks:
-		r.books.Down(now, a.Courier, false, false)
+		r.ledger.Down(now, a.Courier, false, false)
 		c.Signal(syscall.SIGTERM)
 	case scenario.Starts:
 		err := r.configure(c)
 		if err == nil {
-			err = c.Start(r.Ready)
+			err = c.Start(r.ReadyTimeout)
 		}
 		if err != nil {
-			r.crashed(a.Courier, err.Error())
+			r.recordCrash(a.Courier, err.Error())
 		}
 		r.mu.Lock()
 		r.restarts++
 		r.mu.Unlock()
-		r.books.Back(r.world.Clock.Now(), a.Courier)
+		r.ledger.Back(r.world.Clock.Now(), a.Courier)
 	case scenario.Stands:
 		c.Signal(syscall.SIGSTOP)
-		r.books.Stood(now, a.Courier, now+a.Span+standsLonger)
+		r.ledger.Stood(now, a.Courier, now+a.Span+resumeAllowance)
 		r.world.Clock.After(now+a.Span, func() { c.Signal(syscall.SIGCONT) })
 	}
 }
 
-// standsLonger is what a process needs to come to itself after it stood still.
-const standsLonger = dispatch.Micros(200 * 1000)
+// resumeAllowance is the time that a process needs to respond again after a pause.
+const resumeAllowance = dispatch.Micros(200 * 1000)
 
-// play submits the day's messages and waits for their ends.
+// play submits the messages of the scenario and waits until they have ended.
 func (r *run) play(ctx context.Context) {
 	watched := make(chan struct{})
 	go func() {
@@ -335,14 +337,15 @@
 	}
 	all := r.day.Arrivals
 	load.Run(r.world.Clock.Start, len(all), func(i int) time.Duration { return time.Duration(all[i].At) * time.Microsecond },
-		func(i int) { r.offer(i) }, r.late, r.stop)
-	// Between a notice and the submission that it leads to nothing is open for a moment: only a lasting calm is the end.
-	for calm := 0; r.world.Clock.Now() < r.day.End+300*1000 && calm < 3; {
+		func(i int) { r.startClient(i) }, r.late, r.stop)
+	// Between a notice and the submission that follows it, no message is open for a moment. So the run ends only after three
+	// consecutive checks without an open message or a pending submission.
+	for quietChecks := 0; r.world.Clock.Now() < r.day.End+300*1000 && quietChecks < 3; {
 		r.mu.Lock()
 		pending := r.pending
 		r.mu.Unlock()
-		if calm++; pending > 0 || r.books.Open() > 0 {
-			calm = 0
+		if quietChecks++; pending > 0 || r.ledger.Open() > 0 {
+			quietChecks = 0
 		}
 		select {
 		case <-r.stop:
--- a/testbed/realtime/realtime_test.go
+++ b/testbed/realtime/realtime_test.go
@@ -15,7 +15,7 @@
 	"pineport/testbed/scenario"
 )
 
-func build(t *testing.T) string {
+func buildCourier(t *testing.T) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "pineport")
 	if out, err := exec.Command("go", "build", "-o", binary, "pineport/cmd/pineport").CombinedOutput(); err != nil {
@@ -24,8 +24,9 @@
 	return binary
 }
 
-// short is a day of a few seconds with a restart, a kill, a silence, a drain and a standstill.
-func short(t *testing.T) *scenario.Day {
+// shortScenario returns a scenario of 7 s with a courier that is killed, an unreachable endpoint, a drain, a paused courier and connection
+// resets.
+func shortScenario(t *testing.T) *scenario.Day {
 	t.Helper()
 	d, err := scenario.Find("demo")
 	if err != nil {
@@ -39,10 +40,10 @@
 	return d
 }
 
-// TestDayOnSockets: a day with restarts and troubles keeps the rules, and leaves nothing running behind.
+// TestDayOnSockets checks that a scenario with restarts and faults violates no invariant and leaks no goroutine.
 func TestDayOnSockets(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	v, cost, err := Play(context.Background(), scenario.Draw(short(t), 2), Options{Binary: build(t)})
+	v, cost, err := Play(context.Background(), scenario.Draw(shortScenario(t), 2), Options{Binary: buildCourier(t)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +55,8 @@
 	}
 }
 
-// TestNoCourier, one that is unreachable, and one that crashes: a clear verdict, and no hang.
+// TestBadCouriers checks a missing courier binary, a courier that exits at once, one that never answers and one that crashes. Each must give a
+// clear error or verdict without a hang.
 func TestBadCouriers(t *testing.T) {
 	script := func(text string) string {
 		path := filepath.Join(t.TempDir(), "courier")
@@ -63,31 +65,31 @@
 		}
 		return path
 	}
-	w := scenario.Draw(short(t), 1)
+	w := scenario.Draw(shortScenario(t), 1)
 	for binary, want := range map[string]string{
 		"/nowhere/at-all":                      "no such file",
 		script("echo out of luck >&2; exit 3"): "out of luck",
 		script("exec sleep 60"):                "did not answer PING",
 	} {
 		began := time.Now()
-		_, _, err := Play(context.Background(), w, Options{Binary: binary, Ready: time.Second})
+		_, _, err := Play(context.Background(), w, Options{Binary: binary, ReadyTimeout: time.Second})
 		if err == nil || !strings.Contains(err.Error(), want) || time.Since(began) > 10*time.Second {
 			t.Errorf("%s: %v after %v", binary, err, time.Since(began))
 		}
 	}
-	crashing := script("timeout -s KILL 2.5 " + build(t) + "; exit 1")
+	crashing := script("timeout -s KILL 2.5 " + buildCourier(t) + "; exit 1")
 	v, _, err := Play(context.Background(), w, Options{Binary: crashing})
 	if err != nil || v.Broken[invariants.Crash] == 0 || v.Figure != 0 {
 		t.Errorf("%v, %+v", err, v)
 	}
 }
 
-// TestBrokenOff: a run that is broken off says so and does not count.
-func TestBrokenOff(t *testing.T) {
+// TestCanceledRunIsInvalid checks that a canceled run ends soon and that its verdict is invalid.
+func TestCanceledRunIsInvalid(t *testing.T) {
 	ctx, stop := context.WithTimeout(context.Background(), 2*time.Second)
 	defer stop()
 	began := time.Now()
-	v, _, err := Play(ctx, scenario.Draw(short(t), 1), Options{Binary: build(t)})
+	v, _, err := Play(ctx, scenario.Draw(shortScenario(t), 1), Options{Binary: buildCourier(t)})
 	if err != nil || v.Invalid == "" || time.Since(began) > 8*time.Second {
 		t.Errorf("%v, %+v after %v", err, v, time.Since(began))
 	}
--- a/testbed/report/account.go
+++ b/testbed/report/account.go
@@ -12,73 +12,73 @@
 	"pineport/testbed/scenario"
 )
 
-// Event says in words what happens by itself on a day.
-func Event(w *scenario.Drawn, a scenario.Act) string {
+// DescribeEvent describes a scheduled event of a scenario in words.
+func DescribeEvent(w *scenario.Drawn, a scenario.Act) string {
 	at := func() string {
 		return fmt.Sprintf("endpoint %s of destination %d (%s)", a.Endpoint.ID, a.Dest, w.Destinations[a.Dest].KindName)
 	}
 	switch a.Kind {
 	case scenario.Begins:
-		return at() + " " + begun[string(a.Fault.Kind)]
+		return at() + " " + faultDescriptions[string(a.Fault.Kind)]
 	case scenario.Ends:
-		return at() + " is over its trouble (" + string(a.Fault.Kind) + ")"
+		return at() + " recovers from its fault (" + string(a.Fault.Kind) + ")"
 	case scenario.Adds:
-		return at() + " goes up"
+		return at() + " starts"
 	case scenario.Drains:
 		return at() + " is listed as draining"
 	case scenario.Removes:
-		return at() + " goes down for good"
+		return at() + " shuts down permanently"
 	case scenario.Kills:
 		return fmt.Sprintf("courier %d is killed", a.Courier)
 	case scenario.Asks:
-		return fmt.Sprintf("courier %d is asked to end", a.Courier)
+		return fmt.Sprintf("courier %d is asked to shut down", a.Courier)
 	case scenario.Starts:
-		return fmt.Sprintf("courier %d starts again", a.Courier)
+		return fmt.Sprintf("courier %d restarts", a.Courier)
 	case scenario.Stands:
-		return fmt.Sprintf("courier %d stands still for %.0f ms", a.Courier, float64(a.Span)/1000)
+		return fmt.Sprintf("courier %d is paused for %.0f ms", a.Courier, float64(a.Span)/1000)
 	case scenario.ListDown:
-		return "the directory stops answering"
+		return "discovery stops answering"
 	case scenario.ListUp:
-		return "the directory answers again"
+		return "discovery answers again"
 	}
 	return a.Text
 }
 
-var begun = map[string]string{
-	"refuse": "dies: connections are refused", "silent": "is gone: nothing comes back", "hang": "takes calls and answers none",
-	"shut": "is shut: it answers full to everything", "errors": "fails calls", "swallow": "acts, and answers get lost",
-	"resets": "breaks connections under calls", "slow": "gets slow", "stand": "stands still", "shrink": "takes less than usual",
-	"crowd": "holds fewer connections than usual",
+var faultDescriptions = map[string]string{
+	"refuse": "fails: it refuses connections", "silent": "becomes unreachable: packets to it are lost", "hang": "hangs: it accepts calls and answers none",
+	"shut": "throttles every call", "errors": "answers calls with errors", "swallow": "handles calls but its answers are lost",
+	"resets": "resets connections during calls", "slow": "becomes slow", "stand": "is paused", "shrink": "accepts fewer calls than usual",
+	"crowd": "accepts fewer connections than usual",
 }
 
-// Account tells, for each destination that had an outage, what the couriers did about it, as the books have it.
-func Account(out io.Writer, w *scenario.Drawn, v *invariants.Verdict) {
-	type stretch struct {
+// WriteOutages describes each outage of a destination and how the couriers reacted to it, from the series of the verdict.
+func WriteOutages(out io.Writer, w *scenario.Drawn, v *invariants.Verdict) {
+	type outage struct {
 		dest     *invariants.DestSeries
 		from, to float64
 	}
-	var all []stretch
+	var outages []outage
 	for _, d := range v.Series.Dests {
 		for _, o := range d.Outages {
-			if n := len(all); n > 0 && all[n-1].dest == d && o[0]-all[n-1].to < 1 {
-				all[n-1].to = o[1] // routes of one destination, struck together
+			if n := len(outages); n > 0 && outages[n-1].dest == d && o[0]-outages[n-1].to < 1 {
+				outages[n-1].to = o[1] // routes of one destination that failed at the same time are one outage
 				continue
 			}
-			all = append(all, stretch{d, o[0], o[1]})
+			outages = append(outages, outage{d, o[0], o[1]})
 		}
 	}
-	slices.SortStableFunc(all, func(a, b stretch) int { return cmp.Compare(a.from, b.from) })
-	for _, s := range all {
-		fmt.Fprintf(out, "- destination %d (%s) was out from %.1f s to %.1f s.\n", s.dest.Dest, w.Destinations[s.dest.Dest].KindName, s.from, s.to)
-		describe(out, s.dest, s.from, s.to)
+	slices.SortStableFunc(outages, func(a, b outage) int { return cmp.Compare(a.from, b.from) })
+	for _, s := range outages {
+		fmt.Fprintf(out, "- Destination %d (%s) had an outage from %.1f s to %.1f s.\n", s.dest.Dest, w.Destinations[s.dest.Dest].KindName, s.from, s.to)
+		describeOutage(out, s.dest, s.from, s.to)
 	}
-	if len(all) == 0 {
-		fmt.Fprintln(out, "- no destination was out.")
+	if len(outages) == 0 {
+		fmt.Fprintln(out, "- No destination had an outage.")
 	}
 }
 
-// rate is how much of a series fell into a stretch, and how much a second.
-func rate(values []float64, from, to float64) (n, perSec float64) {
+// countAndRate sums a series over the interval from..to, in seconds, and returns the sum and its rate per second.
+func countAndRate(values []float64, from, to float64) (n, perSec float64) {
 	bin := float64(invariants.Bin) / 1e6
 	for i, x := range values {
 		if at := float64(i) * bin; at >= from && at < to {
@@ -88,53 +88,53 @@
 	return n, n / max(bin, to-from)
 }
 
-func describe(out io.Writer, d *invariants.DestSeries, from, to float64) {
-	_, usual := rate(d.Calls, max(0, from-8), from)
-	tried, during := rate(d.Calls, from, to)
-	offered, _ := rate(d.Offered, from, to)
-	failed, _ := rate(d.Failed, from, to)
-	full, _ := rate(d.Full, from, to)
-	fmt.Fprintf(out, "  Before: %.1f calls a second. While it was out: %.1f a second (%.0f calls for %.0f records handed in; %.0f failed, some sent before it, and %.0f were refused).\n",
-		usual, during, tried, offered, failed, full)
-	var why []string
-	if during < 0.7*usual {
-		why = append(why, "the breakers opened after more than five failures in a row, or the gap widened with refusals: the rest was parked without a call")
-	}
-	if full > 0 {
-		why = append(why, "told waits were heeded")
-	}
-	if len(why) > 0 {
-		fmt.Fprintf(out, "  Why: %s.\n", strings.Join(why, "; "))
-	}
-	first := -1.0
+func describeOutage(out io.Writer, d *invariants.DestSeries, from, to float64) {
+	_, rateBefore := countAndRate(d.Calls, max(0, from-8), from)
+	calls, rateDuring := countAndRate(d.Calls, from, to)
+	offered, _ := countAndRate(d.Offered, from, to)
+	failed, _ := countAndRate(d.Failed, from, to)
+	throttled, _ := countAndRate(d.Full, from, to)
+	fmt.Fprintf(out, "  Before: %.1f calls/s. During the outage: %.1f calls/s (%.0f calls for %.0f messages offered; %.0f failed, some of them sent before the outage, and %.0f were throttled).\n",
+		rateBefore, rateDuring, calls, offered, failed, throttled)
+	var reasons []string
+	if rateDuring < 0.7*rateBefore {
+		reasons = append(reasons, "the breakers opened after more than five consecutive failures, or throttled calls increased the minimum interval between calls; the other messages were parked without a call")
+	}
+	if throttled > 0 {
+		reasons = append(reasons, "the couriers observed the Retry-After of throttled calls")
+	}
+	if len(reasons) > 0 {
+		fmt.Fprintf(out, "  Reason: %s.\n", strings.Join(reasons, "; "))
+	}
+	firstServed := -1.0
 	for i, n := range d.Done {
 		if at := float64(i) * float64(invariants.Bin) / 1e6; n > 0 && at >= to {
-			first = at
+			firstServed = at
 			break
 		}
 	}
-	if first < 0 {
-		fmt.Fprintln(out, "  Nothing was served there afterwards.")
+	if firstServed < 0 {
+		fmt.Fprintln(out, "  No call succeeded there afterwards.")
 		return
 	}
-	_, early := rate(d.Calls, first, first+3)
-	_, later := rate(d.Calls, first+3, first+6)
-	fmt.Fprintf(out, "  Back: the first call was served %.1f s after the outage; then %.1f calls a second for three seconds, as it is cold, and %.1f in the next three.\n",
-		first-to, early, later)
+	_, firstRate := countAndRate(d.Calls, firstServed, firstServed+3)
+	_, nextRate := countAndRate(d.Calls, firstServed+3, firstServed+6)
+	fmt.Fprintf(out, "  Recovery: the first call succeeded %.1f s after the outage; then %.1f calls/s for three seconds (slow start), and %.1f calls/s in the next three.\n",
+		firstServed-to, firstRate, nextRate)
 }
 
-// Answers says what became of the messages.
-func Answers(out io.Writer, v *invariants.Verdict) {
+// WriteMessageCounts summarizes how the messages ended.
+func WriteMessageCounts(out io.Writer, v *invariants.Verdict) {
 	n := v.Counts
-	fmt.Fprintf(out, "%d records were handed in %d times: %d delivered, %d bounced (trying again is harmless), %d terminated, %d without an answer.\n",
+	fmt.Fprintf(out, "%d messages were submitted %d times: %d delivered, %d rejected (safe to submit again), %d failed, %d without a final answer.\n",
 		n.Offered, n.Taken, n.Done, n.Rejected, n.Failed, n.Lost)
 	if n.Repeats > 0 {
-		fmt.Fprintf(out, "%d effects were repeats of replayable records.\n", n.Repeats)
+		fmt.Fprintf(out, "%d deliveries were duplicates of idempotent messages.\n", n.Repeats)
 	}
 }
 
-// Timeline lists what happens by itself, those that fall together in one line.
-func Timeline(out io.Writer, w *scenario.Drawn, most int) {
+// WriteTimeline lists the scheduled events of a scenario in at most maxRows rows. Events within 200 ms share a row.
+func WriteTimeline(out io.Writer, w *scenario.Drawn, maxRows int) {
 	type row struct {
 		at    dispatch.Micros
 		texts []string
@@ -142,19 +142,19 @@
 	var rows []row
 	for _, a := range w.Acts {
 		if n := len(rows); n > 0 && a.At-rows[n-1].at < 200*1000 {
-			rows[n-1].texts = append(rows[n-1].texts, Event(w, a))
+			rows[n-1].texts = append(rows[n-1].texts, DescribeEvent(w, a))
 			continue
 		}
-		rows = append(rows, row{a.At, []string{Event(w, a)}})
+		rows = append(rows, row{a.At, []string{DescribeEvent(w, a)}})
 	}
 	for i, r := range rows {
-		if i == most {
-			fmt.Fprintf(out, "  ... and %d more\n", len(rows)-most)
+		if i == maxRows {
+			fmt.Fprintf(out, "  ... and %d more\n", len(rows)-maxRows)
 			return
 		}
 		text := r.texts[0]
 		if n := len(r.texts) - 1; n > 0 {
-			text += fmt.Sprintf("; and %d more at that time", n)
+			text += fmt.Sprintf("; and %d more at the same time", n)
 		}
 		fmt.Fprintf(out, "  %6.1f s  %s\n", float64(r.at)/1e6, text)
 	}
--- a/testbed/report/chart.go
+++ b/testbed/report/chart.go
@@ -1,4 +1,4 @@
-// Package report draws what the testbed found: charts as SVG by gonum/plot, and accounts in words.
+// Package report presents the results of the testbed as SVG charts, drawn with gonum/plot, and as text.
 package report
 
 import (
@@ -32,8 +32,9 @@
 	return p
 }
 
-// line adds a series of half seconds, smoothed over a few bins.
-func line(p *plot.Plot, name string, values []float64, n int, smooth int) error {
+// addLine adds a series with one value per invariants.Bin to the plot, as a moving average over the last smooth values. Color and dash
+// pattern follow from n.
+func addLine(p *plot.Plot, name string, values []float64, n int, smooth int) error {
 	pts := make(plotter.XYs, len(values))
 	if len(pts) == 0 {
 		return nil
@@ -49,15 +50,15 @@
 	if err != nil {
 		return err
 	}
-	p.X.Max = max(p.X.Max, 1.15*pts[len(pts)-1].X) // room for the legend
+	p.X.Max = max(p.X.Max, 1.15*pts[len(pts)-1].X) // leaves room for the legend
 	l.Color, l.Dashes, l.Width = plotutil.Color(n), plotutil.Dashes(n/7), vg.Points(1.3)
 	p.Add(l)
 	p.Legend.Add(name, l)
 	return nil
 }
 
-// shade marks a stretch of time.
-func shade(p *plot.Plot, from, to, top float64) error {
+// shadeInterval shades the time interval from..to.
+func shadeInterval(p *plot.Plot, from, to, top float64) error {
 	area, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: 0}, {X: to, Y: 0}, {X: to, Y: top}, {X: from, Y: top}})
 	if err != nil {
 		return err
@@ -67,7 +68,7 @@
 	return nil
 }
 
-func scale(values []float64, by float64) []float64 {
+func multiply(values []float64, by float64) []float64 {
 	out := make([]float64, len(values))
 	for i, v := range values {
 		out[i] = v * by
@@ -75,7 +76,7 @@
 	return out
 }
 
-func most(all ...[]float64) (top float64) {
+func maxValue(all ...[]float64) (top float64) {
 	for _, values := range all {
 		for _, v := range values {
 			top = max(top, v)
@@ -84,12 +85,12 @@
 	return top
 }
 
-// perSecond steps counts of a bin into a rate.
+// perSecond converts a count per invariants.Bin to a rate per second.
 const perSecond = 1e6 / float64(invariants.Bin)
 
-// Day draws a day's charts into a folder: value, held messages, and calls of the destinations that had trouble or most
-// traffic. It returns the files.
-func Day(dir string, w *scenario.Drawn, v *invariants.Verdict) (files []string, err error) {
+// DrawScenario writes the charts of a run into a directory: value, messages held, and the calls of the destinations that were most affected
+// by faults or have most traffic. It returns the file names.
+func DrawScenario(dir string, w *scenario.Drawn, v *invariants.Verdict) (files []string, err error) {
 	s := v.Series
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
@@ -100,18 +101,18 @@
 			files = append(files, name)
 		}
 	}
-	p := newPlot("Payoff of "+w.Day.Name+", by when a record was due", "payoff a second")
-	if err := addAll(p, 4, map[string][]float64{"asked": scale(s.Asked, perSecond), "delivered": scale(s.Won, perSecond)}); err != nil {
+	p := newPlot("Value of "+w.Day.Name+", by due time of the message", "value per second")
+	if err := addLines(p, 4, map[string][]float64{"asked": multiply(s.Asked, perSecond), "delivered": multiply(s.Won, perSecond)}); err != nil {
 		return nil, err
 	}
 	save(p, "payoff.svg", height)
-	p = newPlot("Records held by all couriers", "records")
-	if err := addAll(p, 1, map[string][]float64{"held": s.Held}); err != nil {
+	p = newPlot("Messages held by all couriers", "records")
+	if err := addLines(p, 1, map[string][]float64{"held": s.Held}); err != nil {
 		return nil, err
 	}
 	save(p, "held.svg", height)
-	for _, d := range Troubled(s, 4) {
-		p, err := destination(w, d)
+	for _, d := range MostAffected(s, 4) {
+		p, err := plotDestination(w, d)
 		if err != nil {
 			return nil, err
 		}
@@ -120,32 +121,32 @@
 	return files, err
 }
 
-func addAll(p *plot.Plot, smooth int, all map[string][]float64) error {
+func addLines(p *plot.Plot, smooth int, all map[string][]float64) error {
 	names := make([]string, 0, len(all))
 	for name := range all {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	for i, name := range names {
-		if err := line(p, name, all[name], i, smooth); err != nil {
+		if err := addLine(p, name, all[name], i, smooth); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// destination draws the calls of one destination against what it can do.
-func destination(w *scenario.Drawn, d *invariants.DestSeries) (*plot.Plot, error) {
+// plotDestination plots the calls of one destination by outcome, and its limit.
+func plotDestination(w *scenario.Drawn, d *invariants.DestSeries) (*plot.Plot, error) {
 	dst := &w.Destinations[d.Dest]
-	p := newPlot(fmt.Sprintf("Destination %d (%s): calls by outcome; shaded: out", d.Dest, dst.KindName), "calls a second")
-	top := perSecond * most(d.Calls, d.Offered)
+	p := newPlot(fmt.Sprintf("Destination %d (%s): calls by outcome; shaded: outage", d.Dest, dst.KindName), "calls per second")
+	top := perSecond * maxValue(d.Calls, d.Offered)
 	for _, o := range d.Outages {
-		if err := shade(p, o[0], o[1], top); err != nil {
+		if err := shadeInterval(p, o[0], o[1], top); err != nil {
 			return nil, err
 		}
 	}
-	err := addAll(p, 2, map[string][]float64{"sent": scale(d.Calls, perSecond), "done": scale(d.Done, perSecond),
-		"full": scale(d.Full, perSecond), "failed": scale(d.Failed, perSecond), "offered": scale(d.Offered, perSecond)})
+	err := addLines(p, 2, map[string][]float64{"sent": multiply(d.Calls, perSecond), "done": multiply(d.Done, perSecond),
+		"full": multiply(d.Full, perSecond), "failed": multiply(d.Failed, perSecond), "offered": multiply(d.Offered, perSecond)})
 	if err != nil {
 		return nil, err
 	}
@@ -157,18 +158,19 @@
 	for i := range flat {
 		flat[i] = limit
 	}
-	return p, line(p, "limit", flat, 9, 1)
+	return p, addLine(p, "limit", flat, 9, 1)
 }
 
-// Troubled picks destinations value a look: those that were out or failed most, then the busiest.
-func Troubled(s *invariants.Series, n int) []*invariants.DestSeries {
+// MostAffected returns the n destinations that were most affected by faults: those with an outage first, then by failed and throttled calls,
+// then by number of calls.
+func MostAffected(s *invariants.Series, n int) []*invariants.DestSeries {
 	sum := func(v []float64) (t float64) {
 		for _, x := range v {
 			t += x
 		}
 		return t
 	}
-	all := slices.Clone(s.Dests)
+	destinations := slices.Clone(s.Dests)
 	weight := func(d *invariants.DestSeries) float64 {
 		out := 0.0
 		for _, o := range d.Outages {
@@ -176,14 +178,14 @@
 		}
 		return min(1, out)*1e6 + 10*sum(d.Failed) + 3*sum(d.Full) + sum(d.Calls)/100
 	}
-	slices.SortStableFunc(all, func(a, b *invariants.DestSeries) int { return cmp.Compare(weight(b), weight(a)) })
-	return all[:min(n, len(all))]
+	slices.SortStableFunc(destinations, func(a, b *invariants.DestSeries) int { return cmp.Compare(weight(b), weight(a)) })
+	return destinations[:min(n, len(destinations))]
 }
 
-// Differences draws the paired differences of an experiment with their intervals.
-func Differences(path, title string, rows []Difference) error {
+// DrawDifferences draws the paired differences of an experiment with their 95 % intervals.
+func DrawDifferences(path, title string, rows []Difference) error {
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text = title, "difference of the day's figure, with its 95 % interval"
+	p.Title.Text, p.X.Label.Text = title, "difference of the compared figure, with its 95 % interval"
 	p.Add(plotter.NewGrid())
 	names := make([]string, len(rows))
 	pts := make(plotter.XYs, len(rows))
@@ -215,7 +217,7 @@
 	return p.Save(width, vg.Length(len(rows))*0.35*vg.Inch+1.2*vg.Inch, path)
 }
 
-// Difference is one row of Differences.
+// Difference is one row of the chart of DrawDifferences.
 type Difference struct {
 	Name            string
 	Mean, Low, High float64
--- a/testbed/report/parts.go
+++ b/testbed/report/parts.go
@@ -10,8 +10,9 @@
 	"pineport/testbed/fleet"
 )
 
-// Parts draws what of the limits couriers granted and leased over time: summed, and for the destinations with most of it.
-func Parts(dir string, parts fleet.Parts) (file string, err error) {
+// DrawLeases draws the quota shares that couriers granted and leased over time: the sums over all destinations, and the shares of the four
+// destinations with the highest leased total.
+func DrawLeases(dir string, parts fleet.Parts) (file string, err error) {
 	sums := func(of func(*fleet.LeaseTotals) []float64) (all []float64) {
 		for _, leases := range parts {
 			for i, v := range of(leases) {
@@ -23,16 +24,16 @@
 		}
 		return all
 	}
-	lines := map[string][]float64{"lent, all": sums(func(l *fleet.LeaseTotals) []float64 { return l.Granted }),
-		"borrowed, all": sums(func(l *fleet.LeaseTotals) []float64 { return l.Leased })}
+	lines := map[string][]float64{"total granted by all couriers": sums(func(l *fleet.LeaseTotals) []float64 { return l.Granted }),
+		"leased by all couriers": sums(func(l *fleet.LeaseTotals) []float64 { return l.Leased })}
 	dests := slices.SortedFunc(maps.Keys(parts), func(a, b int32) int {
 		return cmp.Or(-cmp.Compare(total(parts[a].Leased), total(parts[b].Leased)), cmp.Compare(a, b))
 	})
 	for _, d := range dests[:min(4, len(dests))] {
-		lines[fmt.Sprintf("borrowed, destination %d", d)] = parts[d].Leased
+		lines[fmt.Sprintf("leased, destination %d", d)] = parts[d].Leased
 	}
-	p := newPlot("Parts of limits lent and borrowed", "limits")
-	if err := addAll(p, 1, lines); err != nil {
+	p := newPlot("Quota shares granted and leased", "limits")
+	if err := addLines(p, 1, lines); err != nil {
 		return "", err
 	}
 	return "parts.svg", p.Save(width, height, filepath.Join(dir, "parts.svg"))
--- a/testbed/report/slope.go
+++ b/testbed/report/slope.go
@@ -15,12 +15,12 @@
 	"pineport/testbed/capacity"
 )
 
-// curvePoints are how many points a curve is drawn by.
-const curvePoints = 64
+// curvePointCount is the number of points of a drawn curve.
+const curvePointCount = 64
 
-// Slope draws how a figure grows with a size, on logarithmic scales: the points measured, the fitted curve, the planned size, and
-// the budget where there is one. It returns the file's name.
-func Slope(folder string, chart capacity.Chart) (file string, err error) {
+// DrawSlope draws how a figure grows with a size, on logarithmic scales: the measured points, the fitted curve, the planned size, and the
+// budget if there is one. It returns the file name.
+func DrawSlope(folder string, chart capacity.Chart) (file string, err error) {
 	p := plot.New()
 	p.Title.Text = chart.Slope
 	p.X.Label.Text, p.Y.Label.Text = chart.Over, chart.Unit
@@ -28,22 +28,22 @@
 	p.X.Tick.Marker, p.Y.Tick.Marker = plot.LogTicks{Prec: -1}, plot.LogTicks{Prec: -1}
 	p.Legend.Top, p.Legend.Left = true, true
 	p.Add(plotter.NewGrid())
-	curve := curveOf(chart)
+	curve := fittedCurve(chart)
 	if len(curve) == 0 {
-		return "", fmt.Errorf("%s: the curve has no figure above nought", chart.Slope)
+		return "", fmt.Errorf("%s: the fitted curve has no value above 0", chart.Slope)
 	}
-	if err := drawSlope(p, chart, curve); err != nil {
+	if err := plotSlope(p, chart, curve); err != nil {
 		return "", err
 	}
 	return chart.File, p.Save(width, 1.2*height, filepath.Join(folder, chart.File))
 }
 
-// curveOf is the fitted curve from the smallest size measured to the planned one, spaced evenly on a logarithmic scale. What is not
-// above nought has no place on such a scale.
-func curveOf(chart capacity.Chart) (curve plotter.XYs) {
+// fittedCurve returns points of the fitted curve from the smallest measured size to the planned size, evenly spaced on a logarithmic scale.
+// It omits values that are not above 0, which a logarithmic scale cannot show.
+func fittedCurve(chart capacity.Chart) (curve plotter.XYs) {
 	from, to := chart.From, max(chart.Planned, slices.Max(append([]float64{chart.From}, chart.Sizes...)))
-	for i := range curvePoints {
-		size := from * math.Pow(to/from, float64(i)/(curvePoints-1))
+	for i := range curvePointCount {
+		size := from * math.Pow(to/from, float64(i)/(curvePointCount-1))
 		if figure := chart.Fit.At(size); figure > 0 {
 			curve = append(curve, plotter.XY{X: size, Y: figure})
 		}
@@ -51,7 +51,7 @@
 	return curve
 }
 
-func drawSlope(p *plot.Plot, chart capacity.Chart, curve plotter.XYs) error {
+func plotSlope(p *plot.Plot, chart capacity.Chart, curve plotter.XYs) error {
 	fitted, err := plotter.NewLine(curve)
 	if err != nil {
 		return err
@@ -59,20 +59,20 @@
 	fitted.Color, fitted.Width = plotutil.Color(1), vg.Points(1.3)
 	p.Add(fitted)
 	p.Legend.Add(fmt.Sprintf("fit: %s, spread %.2g", chart.Fit.Model, chart.Fit.Spread), fitted)
-	if err := drawPoints(p, chart); err != nil {
+	if err := addPoints(p, chart); err != nil {
 		return err
 	}
-	low, high := heights(curve, chart)
-	if err := dashed(p, "planned size", 2, plotter.XYs{{X: chart.Planned, Y: low}, {X: chart.Planned, Y: high}}); err != nil {
+	low, high := valueRange(curve, chart)
+	if err := addDashedLine(p, "planned size", 2, plotter.XYs{{X: chart.Planned, Y: low}, {X: chart.Planned, Y: high}}); err != nil {
 		return err
 	}
 	if chart.Budget == 0 {
 		return nil
 	}
-	return dashed(p, "budget", 0, plotter.XYs{{X: chart.From, Y: chart.Budget}, {X: curve[len(curve)-1].X, Y: chart.Budget}})
+	return addDashedLine(p, "budget", 0, plotter.XYs{{X: chart.From, Y: chart.Budget}, {X: curve[len(curve)-1].X, Y: chart.Budget}})
 }
 
-func drawPoints(p *plot.Plot, chart capacity.Chart) error {
+func addPoints(p *plot.Plot, chart capacity.Chart) error {
 	points := make(plotter.XYs, len(chart.Sizes))
 	for i, size := range chart.Sizes {
 		points[i] = plotter.XY{X: size, Y: chart.Figures[i]}
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// heights are the lowest and the highest figure that is drawn.
-func heights(curve plotter.XYs, chart capacity.Chart) (low, high float64) {
+// valueRange returns the lowest and the highest value that is drawn.
+func valueRange(curve plotter.XYs, chart capacity.Chart) (low, high float64) {
 	all := slices.Clone(chart.Figures)
 	for _, point := range curve {
 		all = append(all, point.Y)
@@ -102,7 +102,7 @@
 	return slices.Min(all), slices.Max(all)
 }
 
-func dashed(p *plot.Plot, name string, number int, points plotter.XYs) error {
+func addDashedLine(p *plot.Plot, name string, number int, points plotter.XYs) error {
 	drawn, err := plotter.NewLine(points)
 	if err != nil {
 		return err
--- a/testbed/report/slope_test.go
+++ b/testbed/report/slope_test.go
@@ -16,7 +16,7 @@
 	drawn := func(chart capacity.Chart) string {
 		t.Helper()
 		folder := t.TempDir()
-		file, err := Slope(folder, chart)
+		file, err := DrawSlope(folder, chart)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -26,21 +26,21 @@
 		}
 		return string(text)
 	}
-	whole := drawn(chart)
+	complete := drawn(chart)
 	for _, want := range []string{"run.figure", "things", "fit: linear", "measured", "planned size", "budget"} {
-		if !strings.Contains(whole, want) {
+		if !strings.Contains(complete, want) {
 			t.Errorf("%q is not on the chart", want)
 		}
 	}
-	if whole != drawn(chart) {
-		t.Error("the same chart is drawn otherwise the second time")
+	if complete != drawn(chart) {
+		t.Error("drawing the same chart twice gives different files")
 	}
 	chart.Budget, chart.Sizes, chart.Figures = 0, nil, nil
-	if bare := drawn(chart); strings.Contains(bare, "budget") || strings.Contains(bare, "measured") {
-		t.Error("a budget or points are shown where there are none")
+	if withoutBudget := drawn(chart); strings.Contains(withoutBudget, "budget") || strings.Contains(withoutBudget, "measured") {
+		t.Error("the chart shows a budget or points, but has none")
 	}
 	chart.Fit = slopes.Fit{Model: slopes.Constant, Base: -1}
-	if _, err := Slope(t.TempDir(), chart); err == nil {
-		t.Error("a curve below nought was drawn on a logarithmic scale")
+	if _, err := DrawSlope(t.TempDir(), chart); err == nil {
+		t.Error("a curve below 0 was drawn on a logarithmic scale")
 	}
 }
--- a/testbed/scripted/scripted.go
+++ b/testbed/scripted/scripted.go
@@ -1,5 +1,6 @@
-// Package scripted plays discovery, the platform and a few endpoints on loopback, whose calls end as a test says, for the
-// end-to-end test. It is written from the pages that describe them and keeps books of what it saw.
+// Package scripted provides discovery, the platform's notice service and endpoints as stand-ins on loopback for the end-to-end tests. A test
+// decides how each call ends. The package is implemented from the protocol documentation, independently of the courier's code, and records
+// the calls and notices it receives.
 package scripted
 
 import (
@@ -17,55 +18,55 @@
 	"time"
 )
 
-// Fate is how an endpoint treats a call.
+// Fate is how an endpoint answers a call.
 type Fate struct {
-	Status int           // 0 closes the connection without an answer
-	After  time.Duration // work before the answer
-	WaitMs int
+	Status int           // HTTP status; 0 closes the connection without an answer
+	After  time.Duration // delay before the answer
+	WaitMs int           // value of the X-Backoff-Ms header for a status other than 200, in milliseconds; 0: no header
 }
 
-// Broken counts what an endpoint must never see.
+// Broken counts calls that a correct courier never makes.
 type Broken struct {
-	Early    int // calls within a wait that was notified over a tenth of a second before
-	Overlaps int // calls for a key while another message of it is out
-	Disorder int // calls for a key behind a later one
+	Early    int // calls during a wait that an endpoint requested more than 100 ms earlier
+	Overlaps int // calls for an ordering key while a call for another message of the key is in flight
+	Disorder int // calls for a message of an ordering key after a call for a later message of the key
 }
 
-// line is a key whose messages go one at a time.
-type line struct {
-	out  map[string]int // calls, by message; one that a killed courier had out runs on beside its next
-	last int
+// orderedKey is an ordering key, whose messages are sent one at a time.
+type orderedKey struct {
+	inFlight map[string]int // number of calls in flight by message; a call of a killed courier can overlap with the next attempt of its message
+	highest  int            // highest message number called so far
 }
 
-// World is discovery and the endpoints of one destination.
+// World holds discovery, the notice service and the endpoints.
 type World struct {
-	Discovery string // its address
+	Discovery string // address of discovery
 	Endpoints []string
-	Lists     func(index int) string // what discovery answers, in place of the list; empty for the list
+	Lists     func(index int) string // if set, returns the body of a list answer for the requested index; empty: the real list
 
-	mu       sync.Mutex
-	fate     func(id string) Fate
-	seq      int
-	dests    []int         // of the endpoints
-	draining map[int]int   // endpoints that drain, and the version of the list since when
-	changed  chan struct{} // closed with each drain
-	calls    []*atomic.Int64
-	began    map[string]int // calls that were begun, by message
-	done     map[string]int
-	notices  map[string][]string
-	broken   Broken
-	notified time.Time // when the last wait was notified, and until when it holds
-	waitTo   time.Time
-	lines    map[string]*line
-	mute     int // calls with notices that will get no answer
-	servers  []*http.Server
-	home     *http.Server // discovery's
+	mu                sync.Mutex
+	respond           func(id string) Fate
+	seq               int
+	destinations      []int         // destination of each endpoint
+	draining          map[int]int   // draining endpoints, with the list version at which each started to drain
+	changed           chan struct{} // closed and replaced when an endpoint starts to drain
+	calls             []*atomic.Int64
+	startedCalls      map[string]int // by message, without calls answered with 429 or 503
+	succeededCalls    map[string]int
+	notices           map[string][]string
+	violations        Broken
+	waitSentAt        time.Time // when an endpoint last requested a wait, and until when the wait lasts
+	waitUntil         time.Time
+	orderedKeys       map[string]*orderedKey
+	unansweredNotices int // number of notice calls still to leave unanswered
+	servers           []*http.Server
+	discoveryServer   *http.Server // serves Discovery
 }
 
-// Open starts a world with so many endpoints; fate decides for each call.
+// Open starts a World with the given number of endpoints of destination 1. fate returns the answer to a call for the message id.
 func Open(endpoints int, fate func(id string) Fate) (*World, error) {
-	w := &World{lines: map[string]*line{}, fate: fate, seq: 1 - endpoints, draining: map[int]int{}, changed: make(chan struct{}), began: map[string]int{}, done: map[string]int{}, notices: map[string][]string{}}
-	if err := w.settle(); err != nil {
+	w := &World{orderedKeys: map[string]*orderedKey{}, respond: fate, seq: 1 - endpoints, draining: map[int]int{}, changed: make(chan struct{}), startedCalls: map[string]int{}, succeededCalls: map[string]int{}, notices: map[string][]string{}}
+	if err := w.servePlatform(); err != nil {
 		return nil, err
 	}
 	for range endpoints {
@@ -87,23 +88,23 @@
 	return l.Addr().String(), nil
 }
 
-// settle serves discovery and the platform at a new address.
-func (w *World) settle() (err error) {
+// servePlatform serves discovery and the notice service at a new address.
+func (w *World) servePlatform() (err error) {
 	platform := http.NewServeMux()
 	platform.HandleFunc("GET /v1/servers", w.list)
 	platform.HandleFunc("POST /v1/notices", w.notice)
 	w.Discovery, err = w.serve(platform)
-	w.home = w.servers[len(w.servers)-1]
+	w.discoveryServer = w.servers[len(w.servers)-1]
 	return err
 }
 
-// Move serves discovery at a new address; leave ends the old one.
-func (w *World) Move() (leave func(), err error) {
-	old := w.home
-	return func() { old.Close() }, w.settle()
+// Move serves discovery and the notice service at a new address. closeOld closes the server at the old address.
+func (w *World) Move() (closeOld func(), err error) {
+	old := w.discoveryServer
+	return func() { old.Close() }, w.servePlatform()
 }
 
-// Grow adds an endpoint; whoever watches is not reported before the next list.
+// Grow adds an endpoint. A pending watch is not answered early; the endpoint appears in the next list.
 func (w *World) Grow(dest int) error {
 	mux := http.NewServeMux()
 	w.mu.Lock()
@@ -121,12 +122,12 @@
 	addr, err := w.serve(mux)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.Endpoints, w.dests = append(w.Endpoints, addr), append(w.dests, dest)
+	w.Endpoints, w.destinations = append(w.Endpoints, addr), append(w.destinations, dest)
 	w.seq++
 	return err
 }
 
-// Drain has discovery report an endpoint as draining, to whoever watches at once.
+// Drain marks an endpoint as draining and answers pending watches at once.
 func (w *World) Drain(endpoint int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -136,44 +137,45 @@
 	w.changed = make(chan struct{})
 }
 
-// CloseAfterAnswers has endpoints close each connection after its answer.
+// CloseAfterAnswers makes the endpoints close each connection after its next answer.
 func (w *World) CloseAfterAnswers() {
 	for _, server := range w.servers {
-		if server != w.home {
+		if server != w.discoveryServer {
 			server.SetKeepAlivesEnabled(false)
 		}
 	}
 }
 
-// Calls is how many calls have come to an endpoint.
+// Calls returns the number of calls that an endpoint has received.
 func (w *World) Calls(endpoint int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return int(w.calls[endpoint].Load())
 }
 
-// MuteNotices leaves so many calls with notices without an answer, unread.
+// MuteNotices leaves the next notice calls unanswered and does not record them.
 func (w *World) MuteNotices(calls int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.mute = calls
+	w.unansweredNotices = calls
 }
 
-// Close ends it.
+// Close closes all servers.
 func (w *World) Close() {
 	for _, s := range w.servers {
 		s.Close()
 	}
 }
 
-// Known is the list in discovery's form.
-func (w *World) Known() json.RawMessage {
+// EndpointList returns the complete endpoint list in discovery's format.
+func (w *World) EndpointList() json.RawMessage {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.listSince(-1)
 }
 
-// listSince returns what was drained after a version, or, for a negative one, the whole list. The caller holds the lock.
+// listSince returns the endpoints that started to drain after the given list version, or the complete list if version is negative. The caller
+// holds the lock.
 func (w *World) listSince(version int) json.RawMessage {
 	type host map[string]any
 	hosts := []host{}
@@ -187,7 +189,7 @@
 			health = "terminating"
 		}
 		hosts = append(hosts, host{"host": fmt.Sprintf("s-%d", i), "dial": addr, "site": "a", "class": "plain",
-			"block": w.dests[i], "health": health, "share": 50.0, "born_ms": 0})
+			"block": w.destinations[i], "health": health, "share": 50.0, "born_ms": 0})
 	}
 	text, _ := json.Marshal(map[string]any{"seq": w.seq, "whole": version < 0, "hosts": hosts})
 	return text
@@ -227,9 +229,9 @@
 
 func (w *World) notice(rw http.ResponseWriter, r *http.Request) {
 	w.mu.Lock()
-	mute := w.mute > 0
+	mute := w.unansweredNotices > 0
 	if mute {
-		w.mute--
+		w.unansweredNotices--
 	}
 	w.mu.Unlock()
 	if mute {
@@ -250,18 +252,19 @@
 	rw.WriteHeader(http.StatusNoContent)
 }
 
-// call plays one call for some messages and tells whether it is answered.
+// call handles one call for the given messages. It returns true if the caller must write the body of a success, false if the answer is complete
+// or the connection closed.
 func (w *World) call(rw http.ResponseWriter, ids ...string) bool {
 	w.mu.Lock()
-	if now := time.Now(); now.Before(w.waitTo) && now.After(w.notified.Add(100*time.Millisecond)) {
-		w.broken.Early++
+	if now := time.Now(); now.Before(w.waitUntil) && now.After(w.waitSentAt.Add(100*time.Millisecond)) {
+		w.violations.Early++
 	}
-	fate := w.fate(ids[0])
+	fate := w.respond(ids[0])
 	for _, id := range ids {
 		if fate.Status != 429 && fate.Status != 503 {
-			w.began[id]++
+			w.startedCalls[id]++
 		}
-		defer w.inLine(id)()
+		defer w.trackOrdering(id)()
 	}
 	w.mu.Unlock()
 	time.Sleep(fate.After)
@@ -274,14 +277,14 @@
 	case 200:
 		w.mu.Lock()
 		for _, id := range ids {
-			w.done[id]++
+			w.succeededCalls[id]++
 		}
 		w.mu.Unlock()
 		return true
 	}
 	if fate.WaitMs > 0 {
 		w.mu.Lock()
-		w.notified, w.waitTo = time.Now(), time.Now().Add(time.Duration(fate.WaitMs)*time.Millisecond)
+		w.waitSentAt, w.waitUntil = time.Now(), time.Now().Add(time.Duration(fate.WaitMs)*time.Millisecond)
 		w.mu.Unlock()
 		rw.Header().Set("X-Backoff-Ms", strconv.Itoa(fate.WaitMs))
 	}
@@ -289,44 +292,44 @@
 	return false
 }
 
-// inLine keeps the books of ids such as line-KEY-7, and returns what is to be done when the call is over. The caller holds
-// the lock, and does not when it is over.
-func (w *World) inLine(id string) func() {
+// trackOrdering checks the order of messages with ids such as line-KEY-7, in which 7 is the position for the ordering key KEY. It returns a
+// function to call when the call ends. The caller of trackOrdering holds the lock; the caller of the returned function does not.
+func (w *World) trackOrdering(id string) func() {
 	rest, ok := strings.CutPrefix(id, "line-")
 	key, number, found := strings.Cut(rest, "-")
 	n, err := strconv.Atoi(number)
 	if !ok || !found || err != nil {
 		return func() {}
 	}
-	l := w.lines[key]
+	l := w.orderedKeys[key]
 	if l == nil {
-		l = &line{out: map[string]int{}}
-		w.lines[key] = l
+		l = &orderedKey{inFlight: map[string]int{}}
+		w.orderedKeys[key] = l
 	}
-	for other := range l.out {
+	for other := range l.inFlight {
 		if other != id {
-			w.broken.Overlaps++
+			w.violations.Overlaps++
 		}
 	}
-	if n < l.last {
-		w.broken.Disorder++
+	if n < l.highest {
+		w.violations.Disorder++
 	}
-	l.out[id]++
-	l.last = max(l.last, n)
+	l.inFlight[id]++
+	l.highest = max(l.highest, n)
 	return func() {
 		w.mu.Lock()
-		if l.out[id]--; l.out[id] == 0 {
-			delete(l.out, id)
+		if l.inFlight[id]--; l.inFlight[id] == 0 {
+			delete(l.inFlight, id)
 		}
 		w.mu.Unlock()
 	}
 }
 
-// Broken is what must never be, as far as it was seen.
+// Broken returns the violations seen so far.
 func (w *World) Broken() Broken {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.broken
+	return w.violations
 }
 
 func (w *World) hook(rw http.ResponseWriter, r *http.Request) {
@@ -358,21 +361,22 @@
 	}
 }
 
-// Seen tells how often a message's call was begun and answered as done, and the notices for it.
+// Seen returns how many calls for a message were started (without those answered with 429 or 503) and how many were answered with 200, and the
+// statuses of its notices.
 func (w *World) Seen(id string) (began, done int, notices []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.began[id], w.done[id], append([]string(nil), w.notices[id]...)
+	return w.startedCalls[id], w.succeededCalls[id], append([]string(nil), w.notices[id]...)
 }
 
-// Configuration is what a courier beside this world is notified.
+// Configuration returns the configuration of a courier that uses this World.
 func (w *World) Configuration(name, listen string) []byte {
 	class := func(name, repeat string, points float64) map[string]any {
 		return map[string]any{"name": name, "idempotency": repeat, "points": points, "slo-s": 1.0, "deadline-s": 8.0,
 			"late-worth": 0.5, "dedup-window-s": 5.0, "group": "all"}
 	}
 	text, _ := json.MarshalIndent(map[string]any{
-		"name": name, "listen": listen, "discovery": w.Discovery, "seed": "8c1f30d27a5be964", "known": w.Known(),
+		"name": name, "listen": listen, "discovery": w.Discovery, "seed": "8c1f30d27a5be964", "known": w.EndpointList(),
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024, "disk_mb": 3},
 		"settings": map[string]any{
 			"classes": []any{class("update", "free", 1), class("order", "single_shot", 2)},
--- a/testbed/wirehost/host.go
+++ b/testbed/wirehost/host.go
@@ -1,5 +1,5 @@
-// Package wirehost runs the decisions of another build: a program that speaks the simulator's wire on its standard
-// input and output, such as cmd/simadapter of any commit. So a day in virtual time can be played against it.
+// Package wirehost runs the decision logic of another build in virtual-time scenarios. The other build is a program that speaks the simulator's
+// wire protocol on its standard input and output, such as cmd/simadapter of any commit.
 package wirehost
 
 import (
@@ -20,19 +20,19 @@
 	"pineport/testbed/simulation"
 )
 
-// Host is a program that is being talked to.
+// Host is a running program that speaks the wire protocol. It implements simulation.Host.
 type Host struct {
-	cmd    *exec.Cmd
-	in     io.WriteCloser
-	out    *bufio.Reader
-	w      *bufio.Writer
-	begins map[int]string // begin lines that go with the next step of their courier
-	killed map[int]bool
-	page   int
-	serial int
+	cmd           *exec.Cmd
+	in            io.WriteCloser
+	out           *bufio.Reader
+	w             *bufio.Writer
+	pendingBegins map[int]string // by courier: begin line to send before its next events
+	killed        map[int]bool
+	page          int
+	serial        int
 }
 
-// Open starts a program, as the shell would.
+// Open starts a program by running command in a shell.
 func Open(command string) (*Host, error) {
 	cmd := exec.Command("/bin/sh", "-c", "exec "+command)
 	cmd.Stderr = os.Stderr
@@ -48,10 +48,10 @@
 		return nil, fmt.Errorf("%s: %w", command, err)
 	}
 	return &Host{cmd: cmd, in: in, out: bufio.NewReaderSize(out, 1<<16), w: bufio.NewWriterSize(in, 1<<16),
-		begins: map[int]string{}, killed: map[int]bool{}}, nil
+		pendingBegins: map[int]string{}, killed: map[int]bool{}}, nil
 }
 
-// Close ends the program: at the end of its input, or by force two seconds later.
+// Close closes the input of the program and waits for it to exit. It kills the program after 2 s.
 func (h *Host) Close() error {
 	h.in.Close()
 	force := time.AfterFunc(2*time.Second, func() { h.cmd.Process.Kill() })
@@ -59,65 +59,65 @@
 	return h.cmd.Wait()
 }
 
-// Start implements simulation.Host: a courier begins with its next step.
+// Start implements simulation.Host. The program learns of the new courier with its next batch of events.
 func (h *Host) Start(courier int, ch dispatch.Config, settings map[string]string) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "begin %d", ch.Seed)
 	for _, key := range slices.Sorted(maps.Keys(settings)) {
 		fmt.Fprintf(&b, " %s=%s", key, strings.ReplaceAll(settings[key], " ", "_"))
 	}
-	h.begins[courier] = b.String()
+	h.pendingBegins[courier] = b.String()
 	return nil
 }
 
-// Kill implements simulation.Host.
+// Kill implements simulation.Host. The program learns of it with the next turn.
 func (h *Host) Kill(courier int) { h.killed[courier] = true }
 
 // Turn implements simulation.Host.
 func (h *Host) Turn(now dispatch.Micros, batches []simulation.Batch) ([][]dispatch.Action, error) {
-	h.line("mark", seconds(now))
+	h.writeLine("mark", seconds(now))
 	for _, i := range slices.Sorted(maps.Keys(h.killed)) {
-		h.line("on", strconv.Itoa(i))
-		h.line("crash_now")
+		h.writeLine("on", strconv.Itoa(i))
+		h.writeLine("crash_now")
 	}
 	clear(h.killed)
 	for _, b := range batches {
-		h.line("on", strconv.Itoa(b.Courier))
-		if begin := h.begins[b.Courier]; begin != "" {
-			h.line(begin)
-			delete(h.begins, b.Courier)
+		h.writeLine("on", strconv.Itoa(b.Courier))
+		if begin := h.pendingBegins[b.Courier]; begin != "" {
+			h.writeLine(begin)
+			delete(h.pendingBegins, b.Courier)
 		}
 		for _, e := range b.Events {
-			h.event(e)
+			h.writeEvent(e)
 		}
 	}
-	h.line("go")
+	h.writeLine("go")
 	if err := h.w.Flush(); err != nil {
 		return nil, err
 	}
 	all := make([][]dispatch.Action, len(batches))
-	at := map[int]int{}
+	batchIndex := map[int]int{}
 	for i, b := range batches {
-		at[b.Courier] = i
+		batchIndex[b.Courier] = i
 	}
-	return all, h.read(all, at)
+	return all, h.readReply(all, batchIndex)
 }
 
-func (h *Host) line(parts ...string) {
+func (h *Host) writeLine(parts ...string) {
 	h.w.WriteString(strings.Join(parts, " "))
 	h.w.WriteByte('\n')
 }
 
 func seconds(t dispatch.Micros) string { return strconv.FormatFloat(float64(t)/1e6, 'f', -1, 64) }
 
-func dash(s string) string {
+func orDash(s string) string {
 	if s == "" {
 		return "-"
 	}
 	return s
 }
 
-func bit(b bool) string {
+func boolDigit(b bool) string {
 	if b {
 		return "1"
 	}
@@ -128,14 +128,14 @@
 	dispatch.TimedOut: "timed_out", dispatch.Unreachable: "unreachable", dispatch.Broken: "broken", dispatch.Canceled: "withdrawn",
 	dispatch.Unprocessed: "void"}
 
-func (h *Host) event(e dispatch.Event) {
+func (h *Host) writeEvent(e dispatch.Event) {
 	switch e := e.(type) {
 	case dispatch.MessageAccepted:
 		flags := "0"
 		if e.Resubmitted {
 			flags = "2"
 		}
-		h.line("job_in", string(e.Message), "-", strconv.Itoa(int(e.Destination)), strconv.Itoa(int(e.Tenant)), dash(string(e.OrderingKey)),
+		h.writeLine("job_in", string(e.Message), "-", strconv.Itoa(int(e.Destination)), strconv.Itoa(int(e.Tenant)), orDash(string(e.OrderingKey)),
 			seconds(e.Deadline), strconv.Itoa(int(e.Class)), flags)
 	case dispatch.AttemptFinished:
 		remark := "-"
@@ -146,39 +146,39 @@
 		for _, v := range e.LoadReport {
 			row = append(row, strconv.FormatFloat(v, 'g', -1, 64))
 		}
-		h.line("settled", string(e.Message), strconv.Itoa(int(e.Attempt)), "-", outcomes[e.Outcome], seconds(e.Duration), bit(e.MessageDone),
-			remark, dash(strings.Join(row, ",")))
+		h.writeLine("settled", string(e.Message), strconv.Itoa(int(e.Attempt)), "-", outcomes[e.Outcome], seconds(e.Duration), boolDigit(e.MessageDone),
+			remark, orDash(strings.Join(row, ",")))
 	case dispatch.MessageCanceled:
-		h.line("client_left", string(e.Message))
+		h.writeLine("client_left", string(e.Message))
 	case dispatch.TimerFired:
-		h.line("tick_due", "look")
+		h.writeLine("tick_due", "look")
 	case dispatch.EndpointUpdate:
-		h.list(e)
-	} // the wire has no word for a planned end
+		h.writeEndpointList(e)
+	} // the wire protocol has no event for a graceful shutdown
 }
 
-func (h *Host) list(e dispatch.EndpointUpdate) {
+func (h *Host) writeEndpointList(e dispatch.EndpointUpdate) {
 	h.serial++
 	if e.Kind == dispatch.ListFailed {
-		h.line("topology", strconv.Itoa(h.serial), "0", "Error")
+		h.writeLine("topology", strconv.Itoa(h.serial), "0", "Error")
 		return
 	}
 	h.page = (h.page + 1) % 16
-	h.line("list", strconv.Itoa(h.page), strconv.Itoa(len(e.Entries)))
+	h.writeLine("list", strconv.Itoa(h.page), strconv.Itoa(len(e.Entries)))
 	for _, l := range e.Entries {
-		h.line("row", string(l.Endpoint), strconv.Itoa(int(l.Zone)), strconv.Itoa(int(l.Type)), strconv.Itoa(int(l.Destination)),
+		h.writeLine("row", string(l.Endpoint), strconv.Itoa(int(l.Zone)), strconv.Itoa(int(l.Type)), strconv.Itoa(int(l.Destination)),
 			[]string{"IN", "LAME", "OUT"}[l.Phase], strconv.FormatFloat(l.Rate, 'g', -1, 64), "-")
 	}
-	h.line("topology", strconv.Itoa(h.serial), strconv.Itoa(h.page), []string{"Persisted", "Complete", "Partial"}[e.Kind])
+	h.writeLine("topology", strconv.Itoa(h.serial), strconv.Itoa(h.page), []string{"Persisted", "Complete", "Partial"}[e.Kind])
 }
 
-// read takes one reply.
-func (h *Host) read(all [][]dispatch.Action, at map[int]int) error {
-	courier, here := -1, -1
+// readReply reads the reply to one turn and appends the actions to all, by the batch index of their courier.
+func (h *Host) readReply(all [][]dispatch.Action, batchIndex map[int]int) error {
+	courier, batch := -1, -1
 	for {
 		text, err := h.out.ReadString('\n')
 		if err != nil {
-			return fmt.Errorf("the reply broke off: %w", err)
+			return fmt.Errorf("reply ended early: %w", err)
 		}
 		f := strings.Fields(text)
 		if len(f) == 0 {
@@ -189,70 +189,70 @@
 			return nil
 		case "at":
 			if len(f) < 2 {
-				return errors.New("at without a number")
+				return errors.New("at line without a courier number")
 			}
 			n, err := strconv.Atoi(f[1])
-			i, known := at[n]
+			i, known := batchIndex[n]
 			if err != nil || !known {
-				return fmt.Errorf("a reply for courier %q, which had no event", f[1])
+				return fmt.Errorf("reply for courier %q, which had no events in this turn", f[1])
 			}
-			courier, here = n, i
+			courier, batch = n, i
 		case "internal_error":
 			return &simulation.CourierFault{Courier: courier, Text: strings.Join(f[1:], " ")}
 		default:
-			if here < 0 {
-				return fmt.Errorf("%q before any courier", f[0])
+			if batch < 0 {
+				return fmt.Errorf("%q before the first at line", f[0])
 			}
-			a, err := action(f)
+			a, err := parseAction(f)
 			if err != nil {
 				return &simulation.CourierFault{Courier: courier, Text: err.Error()}
 			}
 			if a != nil {
-				all[here] = append(all[here], a)
+				all[batch] = append(all[batch], a)
 			}
 		}
 	}
 }
 
-// action reads one line of a reply; nil where the testbed has no use for it.
-func action(f []string) (a dispatch.Action, err error) {
-	need := func(i int) string {
+// parseAction parses one action line of a reply.
+func parseAction(f []string) (a dispatch.Action, err error) {
+	field := func(i int) string {
 		if i < len(f) {
 			return f[i]
 		}
 		if err == nil {
-			err = fmt.Errorf("%s: the line is cut short", f[0])
+			err = fmt.Errorf("%s: missing field", f[0])
 		}
 		return ""
 	}
-	span := func(i int, otherwise string) dispatch.Micros {
-		text := otherwise
+	duration := func(i int, fallback string) dispatch.Micros {
+		text := fallback
 		if i < len(f) && f[i] != "-" {
 			text = f[i]
 		}
-		n, fault := strconv.ParseFloat(text, 64)
-		if fault != nil && err == nil {
+		n, parseErr := strconv.ParseFloat(text, 64)
+		if parseErr != nil && err == nil {
 			err = fmt.Errorf("%s: bad number %q", f[0], text)
 		}
 		return config.Micros(n)
 	}
 	switch f[0] {
 	case "transmit":
-		a = dispatch.Send{Message: dispatch.MessageID(need(1)), Endpoint: dispatch.EndpointID(need(2)), Timeout: span(3, "0")}
+		a = dispatch.Send{Message: dispatch.MessageID(field(1)), Endpoint: dispatch.EndpointID(field(2)), Timeout: duration(3, "0")}
 	case "cancel":
-		n, fault := strconv.Atoi(need(2))
-		if fault != nil {
-			return nil, fmt.Errorf("cancel: bad number")
+		n, parseErr := strconv.Atoi(field(2))
+		if parseErr != nil {
+			return nil, fmt.Errorf("cancel: bad attempt number")
 		}
-		a = dispatch.Cancel{Message: dispatch.MessageID(need(1)), Attempt: dispatch.AttemptNumber(n)}
+		a = dispatch.Cancel{Message: dispatch.MessageID(field(1)), Attempt: dispatch.AttemptNumber(n)}
 	case "reject":
-		a = dispatch.Reject{Message: dispatch.MessageID(need(1)), RetryAfter: span(2, "0")}
+		a = dispatch.Reject{Message: dispatch.MessageID(field(1)), RetryAfter: duration(2, "0")}
 	case "abort":
-		a = dispatch.Fail{Message: dispatch.MessageID(need(1))}
+		a = dispatch.Fail{Message: dispatch.MessageID(field(1))}
 	case "wake_me":
-		a = dispatch.SetTimer{At: span(1, "")}
+		a = dispatch.SetTimer{At: duration(1, "")}
 	case "let_go":
-		a = dispatch.CloseIdle{Endpoint: dispatch.EndpointID(need(1))}
+		a = dispatch.CloseIdle{Endpoint: dispatch.EndpointID(field(1))}
 	case "stream_changes", "refresh":
 		a = dispatch.WatchEndpoints{}
 	case "journal_line":
--- a/testbed/wirehost/host_test.go
+++ b/testbed/wirehost/host_test.go
@@ -12,8 +12,8 @@
 	"pineport/testbed/simulation"
 )
 
-// TestSameOverTheWire: the same decisions over the simulator's wire come to the same day, to the last count. The wire
-// has no word for a planned end, so days with one are left out.
+// TestSameOverTheWire checks that the same decision logic gives exactly the same counts and figure in process and over the simulator's wire
+// protocol. The wire protocol has no event for a graceful shutdown, so the test uses scenarios without one.
 func TestSameOverTheWire(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "simadapter")
 	if out, err := exec.Command("go", "build", "-o", binary, "pineport/cmd/simadapter").CombinedOutput(); err != nil {
@@ -41,20 +41,20 @@
 			t.Error(err)
 		}
 		if !reflect.DeepEqual(here.Counts, there.Counts) || here.Figure != there.Figure {
-			t.Errorf("%s: %v %+v here, %v %+v over the wire", name, here.Figure, here.Counts, there.Figure, there.Counts)
+			t.Errorf("%s: %v %+v in process, %v %+v over the wire", name, here.Figure, here.Counts, there.Figure, there.Counts)
 		}
 	}
 }
 
-// TestBrokenHosts: no program, one that ends at once, one that talks nonsense and one that reports a fault each give a
-// clear error or a broken day, and no hang.
-func TestBrokenHosts(t *testing.T) {
+// TestFaultyHosts checks a missing program, one that exits at once, one that writes invalid lines and one that reports an internal error. Each
+// must give a clear error, or a verdict with a violated invariant, without a hang.
+func TestFaultyHosts(t *testing.T) {
 	d, err := scenario.Find("calm")
 	if err != nil {
 		t.Fatal(err)
 	}
 	w := scenario.Draw(d, 1)
-	for command, want := range map[string]string{"/nowhere/at-all": "broke off", "true": "broke off", "yes nonsense": "before any courier"} {
+	for command, want := range map[string]string{"/nowhere/at-all": "reply ended early", "true": "reply ended early", "yes nonsense": "before the first at line"} {
 		host, err := Open(command)
 		if err != nil {
 			t.Fatal(err)
