--- a/cmd/pineport-testbed/play.go
+++ b/cmd/pineport-testbed/play.go
@@ -183,7 +183,7 @@
 		fmt.Fprintf(w, "class %s\tvalue %.3f; delivered %d; p50 %.2f s, p90 %.2f s, p99 %.2f s, longest %.2f s\n",
 			l.Class, v.Class[l.Class], l.Count, l.P50, l.P90, l.P99, l.Max)
 	}
-	fmt.Fprintf(w, "messages\toffered %d, accepted %d, delivered %d, rejected %d, failed %d, lost %d\n", n.Offered, n.Taken, n.Done,
+	fmt.Fprintf(w, "messages\toffered %d, submissions %d, delivered %d, rejected %d, failed %d, lost %d\n", n.Offered, n.Taken, n.Done,
 		n.Rejected, n.Failed, n.Lost)
 	fmt.Fprintf(w, "attempts\t%d: throttled %d, failures %d, timed out %d, unreachable %d, broken %d, canceled %d, unprocessed %d\n", n.Attempts,
 		n.Full, n.Failures, n.TimedOut, n.Unreachable, n.Broken, n.Withdrawn, n.Unprocessed)
--- a/cmd/pineport-testbed/send.go
+++ b/cmd/pineport-testbed/send.go
@@ -25,12 +25,12 @@
 			base := strconv.FormatInt(time.Now().UnixNano(), 36)
 			for i := range count {
 				id := fmt.Sprintf("%s-%d", base, i)
-				r := pool.Do(load.Enqueue(load.Message{ID: id, Class: class, TimeToLive: timeToLive, Dest: dest, Body: []byte("sent by hand")}))
-				if r.Kind == load.Unreachable {
-					return fmt.Errorf("courier at %s is unreachable: %s", to, r.Text)
+				reply := pool.Do(load.Enqueue(load.Message{ID: id, Class: class, TimeToLive: timeToLive, Dest: dest, Body: []byte("sent by hand")}))
+				if reply.Kind == load.Unreachable {
+					return fmt.Errorf("courier at %s is unreachable: %s", to, reply.Text)
 				}
-				text := r.Text
-				if r.Kind == load.TimedOut {
+				text := reply.Text
+				if reply.Kind == load.TimedOut {
 					text = "no reply within " + load.ReplyTimeout.String()
 				}
 				fmt.Fprintf(cmd.OutOrStdout(), "%s  %s\n", id, text)
--- a/testbed/baseline/baseline.go
+++ b/testbed/baseline/baseline.go
@@ -76,14 +76,14 @@
 	for _, e := range events {
 		switch e := e.(type) {
 		case dispatch.MessageAccepted:
-			r := &message{MessageAccepted: e, dest: p.dest(e.Destination), class: &p.config.Classes[e.Class], readyAt: now}
-			p.messages[e.Message] = r
-			p.queue = append(p.queue, r)
+			msg := &message{MessageAccepted: e, dest: p.dest(e.Destination), class: &p.config.Classes[e.Class], readyAt: now}
+			p.messages[e.Message] = msg
+			p.queue = append(p.queue, msg)
 		case dispatch.AttemptFinished:
 			p.finishAttempt(e)
 		case dispatch.MessageCanceled:
-			if r := p.messages[e.Message]; r != nil {
-				r.ended = true
+			if msg := p.messages[e.Message]; msg != nil {
+				msg.ended = true
 			}
 		case dispatch.EndpointUpdate:
 			p.applyEndpointUpdate(e)
@@ -126,14 +126,14 @@
 }
 
 func (p *Policy) finishAttempt(e dispatch.AttemptFinished) {
-	r := p.messages[e.Message]
-	if r == nil {
+	msg := p.messages[e.Message]
+	if msg == nil {
 		return
 	}
 	p.slotsInUse--
-	r.inFlight--
-	r.attempts[e.Attempt].calls--
-	d := r.dest
+	msg.inFlight--
+	msg.attempts[e.Attempt].calls--
+	d := msg.dest
 	switch e.Outcome {
 	case dispatch.Throttled:
 		if p.backsOff {
@@ -145,49 +145,49 @@
 		d.consecutiveFailures++
 	default:
 		d.consecutiveFailures++
-		r.mayHaveRun = true
+		msg.mayHaveRun = true
 	}
 	if p.breaker && d.consecutiveFailures >= 5 {
 		d.consecutiveFailures, d.blockedUntil = 0, max(d.blockedUntil, p.now+5*second)
 	}
-	if r.ended = r.ended || e.MessageDone; r.ended {
+	if msg.ended = msg.ended || e.MessageDone; msg.ended {
 		delete(p.messages, e.Message)
 		return
 	}
-	if !p.retries || len(r.attempts) >= p.config.MaxAttempts || r.mayHaveRun && r.class.Idempotency != dispatch.Idempotent {
-		p.giveUp(r)
+	if !p.retries || len(msg.attempts) >= p.config.MaxAttempts || msg.mayHaveRun && msg.class.Idempotency != dispatch.Idempotent {
+		p.giveUp(msg)
 		return
 	}
-	r.readyAt = p.now
+	msg.readyAt = p.now
 	if p.backsOff {
-		r.readyAt += 100 * millisecond << min(len(r.attempts)-1, 6)
+		msg.readyAt += 100 * millisecond << min(len(msg.attempts)-1, 6)
 	}
-	p.queue = append(p.queue, r)
+	p.queue = append(p.queue, msg)
 }
 
-func (p *Policy) giveUp(r *message) {
-	r.ended = true
-	if r.mayHaveRun && r.class.Idempotency != dispatch.Idempotent {
-		p.actions = append(p.actions, dispatch.Fail{Message: r.Message})
+func (p *Policy) giveUp(msg *message) {
+	msg.ended = true
+	if msg.mayHaveRun && msg.class.Idempotency != dispatch.Idempotent {
+		p.actions = append(p.actions, dispatch.Fail{Message: msg.Message})
 	} else {
-		p.actions = append(p.actions, dispatch.Reject{Message: r.Message})
+		p.actions = append(p.actions, dispatch.Reject{Message: msg.Message})
 	}
-	if r.inFlight == 0 {
-		delete(p.messages, r.Message)
+	if msg.inFlight == 0 {
+		delete(p.messages, msg.Message)
 	}
 }
 
 func (p *Policy) dispatch() {
 	next := p.now + second
-	p.queue = slices.DeleteFunc(p.queue, func(r *message) bool {
-		if r.ended {
+	p.queue = slices.DeleteFunc(p.queue, func(msg *message) bool {
+		if msg.ended {
 			return true
 		}
-		if p.now >= r.Deadline-20*millisecond-2*p.config.Tick {
-			p.giveUp(r)
+		if p.now >= msg.Deadline-20*millisecond-2*p.config.Tick {
+			p.giveUp(msg)
 			return true
 		}
-		at := max(r.readyAt, r.dest.blockedUntil)
+		at := max(msg.readyAt, msg.dest.blockedUntil)
 		if at > p.now {
 			next = min(next, at)
 			return false
@@ -195,15 +195,15 @@
 		if p.slotsInUse >= p.config.Slots {
 			return false
 		}
-		ep := r.dest.leastLoaded()
+		ep := msg.dest.leastLoaded()
 		if ep == nil {
 			return false
 		}
 		p.slotsInUse++
 		ep.calls++
-		r.inFlight++
-		r.attempts = append(r.attempts, ep)
-		p.actions = append(p.actions, dispatch.Send{Message: r.Message, Endpoint: ep.Endpoint, Timeout: min(3*second, r.Deadline-p.now-2*p.config.Tick)})
+		msg.inFlight++
+		msg.attempts = append(msg.attempts, ep)
+		p.actions = append(p.actions, dispatch.Send{Message: msg.Message, Endpoint: ep.Endpoint, Timeout: min(3*second, msg.Deadline-p.now-2*p.config.Tick)})
 		return true
 	})
 	if len(p.queue) > 0 && (p.timerAt <= p.now || next < p.timerAt) {
--- a/testbed/load/load.go
+++ b/testbed/load/load.go
@@ -53,21 +53,21 @@
 }
 
 // Enqueue encodes the command that submits a message.
-func Enqueue(r Message) []byte {
-	pairs := fmt.Sprintf("c=%s,d=%d,dest=%d", r.Class, max(1, r.TimeToLive.Milliseconds()), r.Dest)
-	if r.Tenant != "" {
-		pairs += ",t=" + r.Tenant
+func Enqueue(message Message) []byte {
+	pairs := fmt.Sprintf("c=%s,d=%d,dest=%d", message.Class, max(1, message.TimeToLive.Milliseconds()), message.Dest)
+	if message.Tenant != "" {
+		pairs += ",t=" + message.Tenant
 	}
-	if r.OrderingKey != "" {
-		pairs += ",about=" + r.OrderingKey
+	if message.OrderingKey != "" {
+		pairs += ",about=" + message.OrderingKey
 	}
-	if r.Resubmitted {
+	if message.Resubmitted {
 		pairs += ",r=1"
 	}
-	if r.CourierLost {
+	if message.CourierLost {
 		pairs += ",again=1"
 	}
-	return command("ENQUEUE", "0", r.ID, pairs, string(r.Body))
+	return command("ENQUEUE", "0", message.ID, pairs, string(message.Body))
 }
 
 func command(args ...string) []byte {
@@ -90,7 +90,7 @@
 
 type conn struct {
 	net.Conn
-	in *bufio.Reader
+	reader *bufio.Reader
 }
 
 // NewPool returns an empty pool for the courier at address.
@@ -169,7 +169,7 @@
 	if _, err := c.Write(cmd); err != nil {
 		return Reply{Kind: NotSent, Text: err.Error()}
 	}
-	line, err := c.in.ReadString('\n')
+	line, err := c.reader.ReadString('\n')
 	var timeout net.Error
 	switch {
 	case errors.As(err, &timeout) && timeout.Timeout():
--- a/testbed/port/port.go
+++ b/testbed/port/port.go
@@ -24,15 +24,15 @@
 	if err = syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err == nil {
 		err = syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
 	}
-	var at syscall.Sockaddr
+	var sockaddr syscall.Sockaddr
 	if err == nil {
-		at, err = syscall.Getsockname(fd)
+		sockaddr, err = syscall.Getsockname(fd)
 	}
 	if err != nil {
 		release()
 		return "", nil, fmt.Errorf("port: %w", err)
 	}
-	in := at.(*syscall.SockaddrInet4)
+	in := sockaddr.(*syscall.SockaddrInet4)
 	return netip.AddrPortFrom(netip.AddrFrom4(in.Addr), uint16(in.Port)).String(), release, nil
 }
 
--- a/testbed/process/process.go
+++ b/testbed/process/process.go
@@ -35,8 +35,8 @@
 }
 
 // New prepares a courier: it creates a directory for its state and log, and chooses an address to listen on. When the process exits
-// unexpectedly, crashed is called with the reason.
-func New(no int, binary, dir string, crashed func(no int, why string)) (*Courier, error) {
+// unexpectedly, onCrash is called with the reason.
+func New(no int, binary, dir string, onCrash func(no int, why string)) (*Courier, error) {
 	dir = filepath.Join(dir, "courier-"+strconv.Itoa(no))
 	if err := os.MkdirAll(filepath.Join(dir, "state"), 0o755); err != nil {
 		return nil, err
@@ -49,7 +49,7 @@
 		return nil, err
 	}
 	defer l.Close()
-	return &Courier{No: no, Listen: l.Addr().String(), Dir: dir, binary: binary, onCrash: crashed}, nil
+	return &Courier{No: no, Listen: l.Addr().String(), Dir: dir, binary: binary, onCrash: onCrash}, nil
 }
 
 // Configure writes the courier's configuration file.
--- a/testbed/realtime/client.go
+++ b/testbed/realtime/client.go
@@ -18,25 +18,28 @@
 	dueAt       dispatch.Micros
 	deadline    dispatch.Micros
 	submissions int
-	rejects     int
-	unanswered  int // submissions without a reply; what they lead to is not counted
+	rejects     int // number of retries after rejections
+	unanswered  int // submissions without a reply; the ledger ignores calls that result from them
 }
 
+// startClient submits message i of the scenario for the first time.
 func (r *run) startClient(i int) {
 	a := r.day.Arrivals[i]
-	wl := r.day.Day.Classes[a.Class]
-	cl := &client{id: dispatch.MessageID("r" + strconv.Itoa(i)), arrival: a, dueAt: a.At, deadline: a.At + dispatch.Micros(wl.CutOff*1e6)}
+	class := r.day.Day.Classes[a.Class]
+	cl := &client{id: dispatch.MessageID("r" + strconv.Itoa(i)), arrival: a, dueAt: a.At, deadline: a.At + dispatch.Micros(class.CutOff*1e6)}
 	r.ledger.Offered(a.At, cl.id, int(a.Class), int(a.Tenant), dispatch.DestinationID(a.Dest))
 	r.addPending(1)
 	r.submit(cl, int(a.Courier), false, false)
 }
 
+// addPending adds n to the number of submissions in progress or scheduled.
 func (r *run) addPending(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.pending += n
 }
 
+// randomDuration draws a duration from a range in seconds.
 func (r *run) randomDuration(b scenario.Range) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -78,21 +81,21 @@
 	if cl.submissions > 0 {
 		id += dispatch.MessageID("." + strconv.Itoa(cl.submissions))
 	}
-	if cl.unanswered > 0 { // a new origin, so that calls for submissions without a reply are not counted
+	if cl.unanswered > 0 { // with a new origin, calls that result from unanswered submissions are not attributed to this one
 		origin += dispatch.MessageID("+" + strconv.Itoa(cl.unanswered))
 	}
 	cl.submissions++
 	r.clients[id] = cl
 	r.mu.Unlock()
 	a := cl.arrival
-	wl := r.day.Day.Classes[a.Class]
+	class := r.day.Day.Classes[a.Class]
 	key := dispatch.OrderingKey("")
 	if a.Key >= 0 {
 		key = dispatch.OrderingKey("k" + strconv.Itoa(int(a.Key)))
 	}
 	r.world.Expect(id, environment.Message{Origin: origin, Courier: courier, Work: int(a.Class), Dest: int(a.Dest)})
 	r.ledger.Taken(now, id, cl.id, courier, key, cl.deadline)
-	message := load.Message{ID: string(id), Class: wl.Name, TimeToLive: time.Duration(cl.deadline-now) * time.Microsecond, Dest: int(a.Dest),
+	message := load.Message{ID: string(id), Class: class.Name, TimeToLive: time.Duration(cl.deadline-now) * time.Microsecond, Dest: int(a.Dest),
 		OrderingKey: string(key), Resubmitted: resubmitted, CourierLost: courierLost, Body: r.body}
 	if tenants := r.day.Day.Tenants; len(tenants) > 0 {
 		message.Tenant = tenants[a.Tenant].Name
--- a/testbed/realtime/realtime.go
+++ b/testbed/realtime/realtime.go
@@ -82,7 +82,7 @@
 	pending  int                            // submissions in progress or scheduled
 	restarts int
 	reloads  int
-	invalid  string
+	invalid  string // why the run is invalid; empty: it is valid
 	body     []byte
 }
 
--- a/testbed/scripted/scripted.go
+++ b/testbed/scripted/scripted.go
@@ -42,7 +42,7 @@
 type World struct {
 	Discovery string // address of discovery
 	Endpoints []string
-	Lists     func(index int) string // if set, returns the body of a list answer for the requested index; empty: the real list
+	Lists     func(index int) string // if set, returns the body of the answer to a list request with this index (0: none); empty body: the real list
 
 	mu                sync.Mutex
 	respond           func(id string) Fate
@@ -63,9 +63,10 @@
 	discoveryServer   *http.Server // serves Discovery
 }
 
-// Open starts a World with the given number of endpoints of destination 1. fate returns the answer to a call for the message id.
-func Open(endpoints int, fate func(id string) Fate) (*World, error) {
-	w := &World{orderedKeys: map[string]*orderedKey{}, respond: fate, seq: 1 - endpoints, draining: map[int]int{}, changed: make(chan struct{}), startedCalls: map[string]int{}, succeededCalls: map[string]int{}, notices: map[string][]string{}}
+// Open starts a World with the given number of endpoints of destination 1. respond is called with the message id of
+// each call, the first id of a batch, and returns the answer.
+func Open(endpoints int, respond func(id string) Fate) (*World, error) {
+	w := &World{orderedKeys: map[string]*orderedKey{}, respond: respond, seq: 1 - endpoints, draining: map[int]int{}, changed: make(chan struct{}), startedCalls: map[string]int{}, succeededCalls: map[string]int{}, notices: map[string][]string{}}
 	if err := w.servePlatform(); err != nil {
 		return nil, err
 	}
@@ -180,12 +181,12 @@
 	type host map[string]any
 	hosts := []host{}
 	for i, addr := range w.Endpoints {
-		since, drains := w.draining[i]
-		if version >= 0 && (!drains || since <= version) {
+		since, draining := w.draining[i]
+		if version >= 0 && (!draining || since <= version) {
 			continue
 		}
 		health := "in_service"
-		if drains {
+		if draining {
 			health = "terminating"
 		}
 		hosts = append(hosts, host{"host": fmt.Sprintf("s-%d", i), "dial": addr, "site": "a", "class": "plain",
@@ -229,12 +230,12 @@
 
 func (w *World) notice(rw http.ResponseWriter, r *http.Request) {
 	w.mu.Lock()
-	mute := w.unansweredNotices > 0
-	if mute {
+	unanswered := w.unansweredNotices > 0
+	if unanswered {
 		w.unansweredNotices--
 	}
 	w.mu.Unlock()
-	if mute {
+	if unanswered {
 		<-r.Context().Done()
 		return
 	}
@@ -259,16 +260,16 @@
 	if now := time.Now(); now.Before(w.waitUntil) && now.After(w.waitSentAt.Add(100*time.Millisecond)) {
 		w.violations.Early++
 	}
-	fate := w.respond(ids[0])
+	response := w.respond(ids[0])
 	for _, id := range ids {
-		if fate.Status != 429 && fate.Status != 503 {
+		if response.Status != 429 && response.Status != 503 {
 			w.startedCalls[id]++
 		}
 		defer w.trackOrdering(id)()
 	}
 	w.mu.Unlock()
-	time.Sleep(fate.After)
-	switch fate.Status {
+	time.Sleep(response.After)
+	switch response.Status {
 	case 0:
 		if conn, _, err := rw.(http.Hijacker).Hijack(); err == nil {
 			conn.Close()
@@ -282,13 +283,13 @@
 		w.mu.Unlock()
 		return true
 	}
-	if fate.WaitMs > 0 {
+	if response.WaitMs > 0 {
 		w.mu.Lock()
-		w.waitSentAt, w.waitUntil = time.Now(), time.Now().Add(time.Duration(fate.WaitMs)*time.Millisecond)
+		w.waitSentAt, w.waitUntil = time.Now(), time.Now().Add(time.Duration(response.WaitMs)*time.Millisecond)
 		w.mu.Unlock()
-		rw.Header().Set("X-Backoff-Ms", strconv.Itoa(fate.WaitMs))
+		rw.Header().Set("X-Backoff-Ms", strconv.Itoa(response.WaitMs))
 	}
-	rw.WriteHeader(fate.Status)
+	rw.WriteHeader(response.Status)
 	return false
 }
 
--- a/testbed/wirehost/host.go
+++ b/testbed/wirehost/host.go
@@ -23,9 +23,9 @@
 // Host is a running program that speaks the wire protocol. It implements simulation.Host.
 type Host struct {
 	cmd           *exec.Cmd
-	in            io.WriteCloser
-	out           *bufio.Reader
-	w             *bufio.Writer
+	stdin         io.WriteCloser
+	stdout        *bufio.Reader
+	writer        *bufio.Writer
 	pendingBegins map[int]string // by courier: begin line to send before its next events
 	killed        map[int]bool
 	page          int
@@ -47,13 +47,13 @@
 	if err := cmd.Start(); err != nil {
 		return nil, fmt.Errorf("%s: %w", command, err)
 	}
-	return &Host{cmd: cmd, in: in, out: bufio.NewReaderSize(out, 1<<16), w: bufio.NewWriterSize(in, 1<<16),
+	return &Host{cmd: cmd, stdin: in, stdout: bufio.NewReaderSize(out, 1<<16), writer: bufio.NewWriterSize(in, 1<<16),
 		pendingBegins: map[int]string{}, killed: map[int]bool{}}, nil
 }
 
 // Close closes the input of the program and waits for it to exit. It kills the program after 2 s.
 func (h *Host) Close() error {
-	h.in.Close()
+	h.stdin.Close()
 	force := time.AfterFunc(2*time.Second, func() { h.cmd.Process.Kill() })
 	defer force.Stop()
 	return h.cmd.Wait()
@@ -92,7 +92,7 @@
 		}
 	}
 	h.writeLine("go")
-	if err := h.w.Flush(); err != nil {
+	if err := h.writer.Flush(); err != nil {
 		return nil, err
 	}
 	all := make([][]dispatch.Action, len(batches))
@@ -104,8 +104,8 @@
 }
 
 func (h *Host) writeLine(parts ...string) {
-	h.w.WriteString(strings.Join(parts, " "))
-	h.w.WriteByte('\n')
+	h.writer.WriteString(strings.Join(parts, " "))
+	h.writer.WriteByte('\n')
 }
 
 func seconds(t dispatch.Micros) string { return strconv.FormatFloat(float64(t)/1e6, 'f', -1, 64) }
@@ -176,7 +176,7 @@
 func (h *Host) readReply(all [][]dispatch.Action, batchIndex map[int]int) error {
 	courier, batch := -1, -1
 	for {
-		text, err := h.out.ReadString('\n')
+		text, err := h.stdout.ReadString('\n')
 		if err != nil {
 			return fmt.Errorf("reply ended early: %w", err)
 		}
