--- a/cmd/pineport-testbed/capacity.go
+++ b/cmd/pineport-testbed/capacity.go
@@ -22,11 +22,11 @@
 	var f capacityFlags
 	cmd := &cobra.Command{
 		Use:   "capacity",
-		Short: "Compute the load of a planned fleet size on each component, and which budget is exceeded first",
+		Short: "Compute the load on each component at a planned fleet size, and which budget is exceeded first",
 		Long: `Extrapolate the slopes measured by pineport-testbed scale to the sizes of a plan, compare the results with the plan's budgets, and report
-at which share of the planned size each budget is exceeded. For another fleet, write another --plan; docs/capacity/plan.toml is an example
+at which fraction of the planned size each budget is exceeded. For another fleet, write another --plan; docs/capacity/plan.toml is an example
 that explains each key. All errors of a plan are reported at once, each with file, line, key and expected value.
-Exit codes: 0 success; 2 a file is invalid.`,
+Exit codes: 0 success; 2 any error, such as an invalid file.`,
 		Example: `  pineport-testbed capacity --plan ours.toml
   pineport-testbed capacity --output json
   pineport-testbed capacity --output markdown --write docs/CAPACITY.md --charts docs/capacity`,
@@ -36,7 +36,7 @@
 	cmd.Flags().StringVar(&f.plan, "plan", "docs/capacity/plan.toml", "file with the planned sizes, budgets and failure rates")
 	cmd.Flags().StringVar(&f.measured, "measured", "docs/capacity/measured.json", "file with the slopes, written by pineport-testbed scale")
 	cmd.Flags().StringVar(&f.output, "output", "table", "output format: table, json or markdown")
-	cmd.Flags().StringVar(&f.write, "write", "", "file to write the page to, always as Markdown (empty: print only)")
+	cmd.Flags().StringVar(&f.write, "write", "", "file to write the page to as Markdown, instead of printing it (empty: print it)")
 	cmd.Flags().StringVar(&f.charts, "charts", "", "directory for one chart per slope (empty: no charts)")
 	return cmd
 }
@@ -76,7 +76,7 @@
 	return "", fmt.Errorf("--output: expected table, json or markdown, got %q", output)
 }
 
-// drawSlopes writes one chart per slope into the directory, which it creates if necessary. An empty name draws nothing.
+// drawSlopes writes one chart per slope into the directory folder, which it creates if necessary. If folder is empty, it does nothing.
 func drawSlopes(page *capacity.Page, folder string) error {
 	if folder == "" {
 		return nil
--- a/cmd/pineport-testbed/check.go
+++ b/cmd/pineport-testbed/check.go
@@ -27,11 +27,11 @@
 	var courier string
 	cmd := &cobra.Command{
 		Use:   "check",
-		Short: "Run the built-in scenarios in virtual time and a short one on sockets; one line each, exit code 1 if an invariant is violated",
+		Short: "Run the built-in scenarios in virtual time and a short one on sockets; one line each, exit code 1 if a run violates an invariant or is invalid",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 8, 2, ' ', 0)
-			module, err := experiment.Parse("module:lore")
+			module, err := experiment.Parse("module:lore") // with learned state that survives restarts
 			if err != nil {
 				return err
 			}
@@ -64,10 +64,10 @@
 			}
 			w.Flush()
 			for _, c := range cells {
-				printBreaches(cmd.OutOrStdout(), c.Verdict)
+				printViolations(cmd.OutOrStdout(), c.Verdict)
 			}
 			if violated {
-				return errViolation
+				return errRunFailed
 			}
 			return nil
 		},
--- a/cmd/pineport-testbed/compare.go
+++ b/cmd/pineport-testbed/compare.go
@@ -16,6 +16,15 @@
 
 func jobs() int { return runtime.GOMAXPROCS(0) }
 
+// figures maps the values of --figure to what they read from a verdict:
+//   - figure: the overall score, which is service minus costs, or 0 if an invariant is violated
+//   - net: service minus costs, even if an invariant is violated
+//   - service: weighted mean of the value shares of the whole scenario, its worst 10 s, its worst class and its worst tenant
+//   - whole, window: share of the offered value that was delivered, in the whole scenario and in its worst 10 s
+//   - costs: deduction per offered message for wasted attempts, handshakes and throttled attempts
+//   - falls: number of recovering endpoints that were overloaded again
+//   - refused: number of throttled attempts
+//   - failed: number of attempts that failed, timed out, or found the endpoint unreachable or the connection broken
 var figures = map[string]func(*invariants.Verdict) float64{
 	"figure":  func(v *invariants.Verdict) float64 { return v.Figure },
 	"service": func(v *invariants.Verdict) float64 { return v.Service },
@@ -31,35 +40,35 @@
 	"costs": func(v *invariants.Verdict) float64 { return v.Costs },
 }
 
-// intervalFigure returns a function that reads a figure for the interval from..to, in seconds, of a scenario. The second result is false if
-// the figure is not available for intervals.
+// intervalFigure returns a function that reads a figure for the time between from and to, in seconds of scenario time. The second result is
+// false if the figure is not available for a part of a scenario.
 func intervalFigure(figure string, from, to float64) (func(*invariants.Verdict) float64, bool) {
-	pick := map[string]func(invariants.Within) float64{
+	figureOf := map[string]func(invariants.Within) float64{
 		"whole":   func(w invariants.Within) float64 { return w.Priority },
 		"failed":  func(w invariants.Within) float64 { return w.Fails },
 		"refused": func(w invariants.Within) float64 { return w.Refused },
 	}[figure]
-	return func(v *invariants.Verdict) float64 { return pick(v.Series.Between(from, to)) }, pick != nil
+	return func(v *invariants.Verdict) float64 { return figureOf(v.Series.Between(from, to)) }, figureOf != nil
 }
 
-// figureSelector returns a function that reads a figure from a verdict: for the interval from..to, in seconds, if to is greater than from,
-// else for the whole scenario.
+// figureSelector returns a function that reads a figure from a verdict: for the time between from and to, in seconds of scenario time, if to is
+// greater than from, else for the whole scenario.
 func figureSelector(figure string, from, to float64) (func(v *invariants.Verdict) float64, error) {
-	pick, ok := figures[figure]
+	figureOf, ok := figures[figure]
 	if !ok {
 		return nil, fmt.Errorf("--figure: expected figure, net, service, whole, window, costs, falls, refused or failed, got %q", figure)
 	}
 	if to > from {
-		if pick, ok = intervalFigure(figure, from, to); !ok {
+		if figureOf, ok = intervalFigure(figure, from, to); !ok {
 			return nil, fmt.Errorf("--figure: expected whole, failed or refused for a time interval, got %q", figure)
 		}
 	}
-	return pick, nil
+	return figureOf, nil
 }
 
 // comparisonPlan returns a plan that runs every variant on every scenario with the seeds 1 to seeds.
-func comparisonPlan(days []string, seeds int, variants []string) (plan experiment.Plan, err error) {
-	for _, name := range days {
+func comparisonPlan(scenarioNames []string, seeds int, variants []string) (plan experiment.Plan, err error) {
+	for _, name := range scenarioNames {
 		found, err := scenario.Find(name)
 		if err != nil {
 			return plan, err
@@ -80,7 +89,7 @@
 }
 
 func compareCmd() *cobra.Command {
-	var names []string
+	var scenarioNames []string
 	var seeds, workers int
 	var figure, output, out string
 	var from, to float64
@@ -91,11 +100,11 @@
   pineport-testbed compare module "old=wire:/tmp/old/simadapter" --figure whole`,
 		Args: cobra.MinimumNArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			pick, err := figureSelector(figure, from, to)
+			figureOf, err := figureSelector(figure, from, to)
 			if err != nil {
 				return err
 			}
-			plan, err := comparisonPlan(names, seeds, args)
+			plan, err := comparisonPlan(scenarioNames, seeds, args)
 			if err != nil {
 				return err
 			}
@@ -105,7 +114,7 @@
 			if err != nil {
 				return err
 			}
-			rows := experiment.Compare(cells, plan.Variants[0].Name, pick)
+			rows := experiment.Compare(cells, plan.Variants[0].Name, figureOf)
 			if out != "" {
 				if err := experiment.Write(out, cells, rows); err != nil {
 					return err
@@ -120,17 +129,17 @@
 				return errors.New("--output: expected table or json")
 			}
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 8, 2, ' ', 0)
-			fmt.Fprintf(w, "day\tvariant\tpairs\t%s of %s\tof variant\tdifference\t95 %% interval\truns with a violated invariant\n", figure, plan.Variants[0].Name)
+			fmt.Fprintf(w, "day\tvariant\tpairs\t%s of %s\t%[1]s of variant\tdifference\t95 %% interval\truns with a violated invariant\n", figure, plan.Variants[0].Name)
 			for _, r := range rows {
 				fmt.Fprintf(w, "%s\t%s\t%d\t%.3f\t%.3f\t%+.3f\t%+.3f to %+.3f\t%d\n", r.Day, r.Variant, r.Pairs, r.Base, r.Mean, r.Diff, r.Low, r.High, r.Broken)
 			}
 			return w.Flush()
 		},
 	}
-	cmd.Flags().StringSliceVar(&names, "day", []string{"chance"}, "scenarios, by name or file")
+	cmd.Flags().StringSliceVar(&scenarioNames, "day", []string{"chance"}, "scenarios, by name or file")
 	cmd.Flags().IntVar(&seeds, "seeds", 10, "number of seeds per scenario")
 	cmd.Flags().IntVar(&workers, "jobs", jobs(), "number of concurrent runs")
-	cmd.Flags().StringVar(&figure, "figure", "figure", "figure to compare: figure, net, service, whole, window, costs, falls, refused or failed")
+	cmd.Flags().StringVar(&figure, "figure", "figure", "figure to compare: figure (net, but 0 if an invariant is violated), net (service minus costs), service, whole, window, costs, falls, refused (throttled attempts) or failed (failed attempts)")
 	cmd.Flags().Float64Var(&from, "from", 0, "start of the compared interval, in seconds of scenario time")
 	cmd.Flags().Float64Var(&to, "to", 0, "end of the compared interval, in seconds of scenario time (0: the whole scenario)")
 	cmd.Flags().StringVar(&output, "output", "table", "output format: table or json")
--- a/cmd/pineport-testbed/demo.go
+++ b/cmd/pineport-testbed/demo.go
@@ -53,7 +53,7 @@
 			report.WriteOutages(cmd.OutOrStdout(), w, v)
 			printf("\n")
 			report.WriteMessageCounts(cmd.OutOrStdout(), v)
-			printf("Value: %.0f %% of the value offered; verdict: %s. The couriers used %.2f s of CPU time.\n", 100*v.Whole, v.Short(),
+			printf("Value of the deliveries: %.0f %% of the value of all messages offered; verdict: %s. The couriers used %.2f s of CPU time.\n", 100*v.Whole, v.Short(),
 				cost.CourierCPU)
 			if out != "" {
 				files, err := report.DrawScenario(out, w, v)
@@ -63,7 +63,7 @@
 				printf("Charts in %s: %v\n", out, files)
 			}
 			if !v.OK() || v.Invalid != "" {
-				return errViolation
+				return errRunFailed
 			}
 			return nil
 		},
--- a/cmd/pineport-testbed/fleet.go
+++ b/cmd/pineport-testbed/fleet.go
@@ -19,17 +19,17 @@
 )
 
 type fleetFlags struct {
-	couriers int
-	seed     int64
-	alone    bool
-	share    bool
-	pace     time.Duration
-	courier  string
-	dir      string
-	trace    string
-	output   string
-	out      string
-	list     bool
+	couriers      int
+	seed          int64
+	noMembership  bool
+	shareQuotas   bool
+	probeInterval time.Duration
+	courier       string
+	dir           string
+	trace         string
+	output        string
+	out           string
+	list          bool
 }
 
 func fleetCmd() *cobra.Command {
@@ -58,9 +58,9 @@
 	}
 	cmd.Flags().IntVar(&f.couriers, "couriers", 0, "number of couriers (0: as the scenario defines)")
 	cmd.Flags().Int64Var(&f.seed, "seed", 1, "seed of the scenario and of the simulated network")
-	cmd.Flags().BoolVar(&f.alone, "alone", false, "disable membership, for a comparison")
-	cmd.Flags().BoolVar(&f.share, "share", false, "let couriers share quotas")
-	cmd.Flags().DurationVar(&f.pace, "pace", 200*time.Millisecond, "interval between membership probes")
+	cmd.Flags().BoolVar(&f.noMembership, "alone", false, "disable membership, for a comparison")
+	cmd.Flags().BoolVar(&f.shareQuotas, "share", false, "let couriers share quotas (ignored with --alone)")
+	cmd.Flags().DurationVar(&f.probeInterval, "pace", 200*time.Millisecond, "interval between membership probes")
 	cmd.Flags().StringVar(&f.courier, "courier", "", "courier binary (empty: the one in this program's directory, else a new build)")
 	cmd.Flags().StringVar(&f.dir, "dir", "", "directory to keep the couriers' state and logs in")
 	cmd.Flags().StringVar(&f.trace, "trace", "", "file for the network trace, as JSON lines")
@@ -83,7 +83,7 @@
 		return err
 	}
 	defer clean()
-	o := fleet.Options{Binary: binary, Dir: f.dir, Seed: f.seed, Peers: !f.alone, Share: f.share && !f.alone, Pace: f.pace}
+	o := fleet.Options{Binary: binary, Dir: f.dir, Seed: f.seed, Peers: !f.noMembership, Share: f.shareQuotas && !f.noMembership, Pace: f.probeInterval}
 	if f.trace != "" {
 		file, err := os.Create(f.trace)
 		if err != nil {
@@ -121,8 +121,10 @@
 	} else {
 		printFleet(cmd.OutOrStdout(), name, res)
 	}
+	// Beyond the verdict, the run fails if a fault was never triggered or a quota was exceeded, or, with membership, if the couriers did not all
+	// know each other at the end or a courier underestimated the fleet size.
 	if !res.Verdict.OK() || res.Verdict.Invalid != "" || len(res.Idle) > 0 || len(res.Overspent) > 0 || o.Peers && (!res.Whole || res.Fewer > 0) {
-		return errViolation
+		return errRunFailed
 	}
 	return nil
 }
@@ -132,12 +134,12 @@
 	v := res.Verdict
 	fmt.Fprintf(w, "day\t%s, %d couriers\n", name, res.Couriers)
 	fmt.Fprintf(w, "judgement\t%s\n", v.Short())
-	fmt.Fprintf(w, "figure\t%.3f; offered %d, delivered %d, rejected %d, failed %d, lost %d\n", v.Figure, v.Counts.Offered, v.Counts.Done, v.Counts.Rejected,
+	fmt.Fprintf(w, "figure\t%.3f; messages offered %d, delivered %d, rejected %d, failed %d, lost %d\n", v.Figure, v.Counts.Offered, v.Counts.Done, v.Counts.Rejected,
 		v.Counts.Failed, v.Counts.Lost)
 	printDurations := func(label string, all []float64) {
 		if len(all) > 0 {
 			slices.Sort(all)
-			fmt.Fprintf(w, "%s\tmedian %.1f s, p99 %.1f s, longest %.1f s (%d)\n", label, stat.Quantile(0.5, stat.Empirical, all, nil),
+			fmt.Fprintf(w, "%s\tmedian %.1f s, p99 %.1f s, longest %.1f s (%d samples)\n", label, stat.Quantile(0.5, stat.Empirical, all, nil),
 				stat.Quantile(0.99, stat.Empirical, all, nil), all[len(all)-1], len(all))
 		}
 	}
@@ -146,12 +148,12 @@
 	for _, k := range slices.Sorted(maps.Keys(res.False)) {
 		fmt.Fprintf(w, "false failure detections, %s\t%d (%.1f per process-hour)\n", k, res.False[k], float64(res.False[k])/res.Hours)
 	}
-	fmt.Fprintf(w, "fleet size underestimated\t%d samples\n", res.Fewer)
-	fmt.Fprintf(w, "membership complete at the end\t%v, %.1f s after the last fault\n", res.Whole, res.Healed)
-	fmt.Fprintf(w, "each courier\t%.1f packets/s, %.0f bytes/s; largest %.1f MB\n", res.Messages, res.Bytes, float64(res.Cost.MaxRSS)/1024)
+	fmt.Fprintf(w, "fleet size underestimated\tby a courier in %d samples\n", res.Fewer)
+	fmt.Fprintf(w, "membership complete at the end\t%v; if so, %.1f s after the last fault\n", res.Whole, res.Healed)
+	fmt.Fprintf(w, "each courier\tmembership %.1f packets/s, %.0f bytes/s; highest peak memory %.1f MB\n", res.Messages, res.Bytes, float64(res.Cost.MaxRSS)/1024)
 	fmt.Fprintf(w, "attempts\t%d, throttled %d; %.3f throttled per delivered message\n", v.Counts.Attempts, v.Counts.Full, float64(v.Counts.Full)/float64(max(1, v.Counts.Done)))
 	if res.Packets > 0 {
-		fmt.Fprintf(w, "quota sharing\t%d leases seen, largest %.2f of a quota share; %.1f packets/s, %.0f bytes/s per courier\n", res.Leases, res.Widest, res.Packets, res.ShareBytes)
+		fmt.Fprintf(w, "quota sharing\t%d leases observed, the largest %.2f of a base quota share; %.1f packets/s, %.0f bytes/s per courier\n", res.Leases, res.Widest, res.Packets, res.ShareBytes)
 	}
 	for _, b := range res.Overspent {
 		fmt.Fprintf(w, "overspent\t%s\n", b)
@@ -159,9 +161,9 @@
 	for _, k := range slices.Sorted(maps.Keys(res.Struck)) {
 		fmt.Fprintf(w, "fault triggered: %s\t%d\n", k, res.Struck[k])
 	}
-	for _, idle := range res.Idle {
-		fmt.Fprintf(w, "run invalid\t%s\n", idle)
+	for _, fault := range res.Idle {
+		fmt.Fprintf(w, "fault not triggered\t%s\n", fault)
 	}
 	w.Flush()
-	printBreaches(out, v)
+	printViolations(out, v)
 }
--- a/cmd/pineport-testbed/main.go
+++ b/cmd/pineport-testbed/main.go
@@ -1,5 +1,6 @@
 // Command pineport-testbed runs test scenarios with faults against the couriers' decision logic, in virtual time or on loopback
-// sockets. It checks each run against the six invariants and measures the delivered value. See docs/testbed.md for usage.
+// sockets. It checks each run against the six invariants (see package testbed/invariants), and measures the value of the delivered
+// messages: the points of their classes, reduced for late deliveries. See docs/testbed.md for usage.
 package main
 
 import (
@@ -15,12 +16,12 @@
 
 // Exit codes.
 const (
-	exitViolation = 1 // an invariant is violated, or a run is invalid
-	exitUsage     = 2 // the command line or a file is invalid
+	exitRunFailed = 1 // an invariant is violated, a run is invalid, or a scale experiment failed
+	exitError     = 2 // any other error, such as an invalid command line or file
 )
 
-// errViolation makes the program exit with exitViolation and no further message: the command has printed its results already.
-var errViolation = errors.New("invariant violated")
+// errRunFailed makes the program exit with exitRunFailed and no further message: the command has printed its results already.
+var errRunFailed = errors.New("run failed, is invalid, or violates an invariant")
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
@@ -28,11 +29,11 @@
 	err := root().ExecuteContext(ctx)
 	switch {
 	case err == nil:
-	case errors.Is(err, errViolation):
-		os.Exit(exitViolation)
+	case errors.Is(err, errRunFailed):
+		os.Exit(exitRunFailed)
 	default:
 		fmt.Fprintln(os.Stderr, "pineport-testbed:", err)
-		os.Exit(exitUsage)
+		os.Exit(exitError)
 	}
 }
 
@@ -41,9 +42,9 @@
 		Use:   "pineport-testbed",
 		Short: "Run scenarios with faults against the courier's decision logic, and check the results",
 		Long: `pineport-testbed runs scenarios with faults against the courier's decision logic, in virtual time or on loopback sockets. It checks each
-run against the six invariants and measures the delivered value.
+run against the six invariants, and measures the value of the delivered messages: the points of their classes, reduced for late deliveries.
 
-Exit codes: 0 success; 1 an invariant is violated, or a run is invalid; 2 the command line or a file is invalid.`,
+Exit codes: 0 success; 1 an invariant is violated, a run is invalid, or a scale experiment failed; 2 any other error.`,
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
--- a/cmd/pineport-testbed/play.go
+++ b/cmd/pineport-testbed/play.go
@@ -72,7 +72,7 @@
 	cmd.Flags().Int64Var(&f.seed, "seed", 0, "seed of the scenario (0: from the scenario file)")
 	cmd.Flags().StringVar(&f.variant, "variant", "module", "in virtual time: module, baseline:NAME or wire:COMMAND")
 	cmd.Flags().StringVar(&f.courier, "courier", "", "on sockets: courier binary (empty: the one in this program's directory, else a new build)")
-	cmd.Flags().DurationVar(&f.reload, "reload", 0, "on sockets: interval at which the couriers' settings change and are reloaded (0: never)")
+	cmd.Flags().DurationVar(&f.reload, "reload", 0, "on sockets: interval at which slots, queue limit, attempt limit and classes of the couriers are changed and reloaded (0: never)")
 	cmd.Flags().StringVar(&f.dir, "dir", "", "on sockets: directory to keep the couriers' state and logs in")
 	cmd.Flags().StringVar(&f.out, "out", "", "directory for the verdict and charts")
 	cmd.Flags().StringVar(&f.output, "output", "table", "output format: table or json")
@@ -118,7 +118,7 @@
 		printCell(cmd.OutOrStdout(), cell)
 	}
 	if !cell.Verdict.OK() || cell.Verdict.Invalid != "" {
-		return errViolation
+		return errRunFailed
 	}
 	return nil
 }
@@ -178,7 +178,7 @@
 	fmt.Fprintf(w, "day\t%s, seed %d, %s\n", c.Day, c.Seed, c.Variant)
 	fmt.Fprintf(w, "judgement\t%s\n", v.Short())
 	fmt.Fprintf(w, "figure\t%.3f (service %.3f minus costs %.3f)\n", v.Figure, v.Service, v.Costs)
-	fmt.Fprintf(w, "value\twhole scenario %.3f, worst 10 s %.3f (from %.0f s)\n", v.Whole, v.Window, v.WindowAt)
+	fmt.Fprintf(w, "value\twhole scenario %.3f, lowest in 10 s %.3f (from %.0f s)\n", v.Whole, v.Window, v.WindowAt)
 	for _, l := range v.Latency {
 		fmt.Fprintf(w, "class %s\tvalue %.3f; delivered %d; p50 %.2f s, p90 %.2f s, p99 %.2f s, longest %.2f s\n",
 			l.Class, v.Class[l.Class], l.Count, l.P50, l.P90, l.P99, l.Max)
@@ -189,21 +189,21 @@
 		n.Full, n.Failures, n.TimedOut, n.Unreachable, n.Broken, n.Withdrawn, n.Unprocessed)
 	fmt.Fprintf(w, "connections\t%d opened\n", n.Handshakes)
 	if n.Falls > 0 {
-		fmt.Fprintf(w, "recoveries\t%d recovering endpoints overloaded again\n", n.Falls)
+		fmt.Fprintf(w, "failed recoveries\t%d recovering endpoints overloaded again\n", n.Falls)
 	}
 	if c.Stats.Turns > 0 {
-		fmt.Fprintf(w, "cost\t%d events, %d turns, %.2f s\n", c.Stats.Events, c.Stats.Turns, c.Wall)
+		fmt.Fprintf(w, "simulation\t%d events in %d steps of the decision logic, %.2f s wall time\n", c.Stats.Events, c.Stats.Turns, c.Wall)
 	}
 	if l := c.Live; l != nil {
-		fmt.Fprintf(w, "cost\t%.1f s; CPU: couriers %.2f s, testbed %.2f s; largest courier %.1f MB; restarts %d, reloads %d\n", l.Wall,
+		fmt.Fprintf(w, "cost\t%.1f s wall time; CPU: couriers %.2f s, testbed %.2f s; highest peak memory of a courier %.1f MB; restarts %d, reloads %d\n", l.Wall,
 			l.CourierCPU, l.TestbedCPU, float64(l.MaxRSS)/1024, l.Restarts, l.Reloads)
 		fmt.Fprintf(w, "load generator\tmessages sent late: p99 %.1f ms, maximum %.1f ms\n", l.LateP99*1000, l.LateMax*1000)
 	}
 	w.Flush()
-	printBreaches(out, v)
+	printViolations(out, v)
 }
 
-func printBreaches(out io.Writer, v *invariants.Verdict) {
+func printViolations(out io.Writer, v *invariants.Verdict) {
 	for _, b := range v.Breaches {
 		fmt.Fprintf(out, "  %8.3f s  %s: %s\n", b.At, b.Rule, b.Text)
 	}
--- a/cmd/pineport-testbed/report.go
+++ b/cmd/pineport-testbed/report.go
@@ -12,13 +12,13 @@
 )
 
 func reportCmd() *cobra.Command {
-	var base, figure, onlyDay string
+	var base, figure, onlyScenario string
 	cmd := &cobra.Command{
 		Use:   "report DIR",
 		Short: "Draw the differences of an experiment that was stored by compare --out",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			pick, ok := figures[figure]
+			figureOf, ok := figures[figure]
 			if !ok {
 				return fmt.Errorf("--figure: expected figure, net, service, whole, window, costs, falls, refused or failed, got %q", figure)
 			}
@@ -33,8 +33,8 @@
 				return fmt.Errorf("--base: no variant is named %q", base)
 			}
 			var rows []report.Difference
-			for _, r := range experiment.Compare(cells, base, pick) {
-				if onlyDay != "" && r.Day != onlyDay {
+			for _, r := range experiment.Compare(cells, base, figureOf) {
+				if onlyScenario != "" && r.Day != onlyScenario {
 					continue
 				}
 				rows = append(rows, report.Difference{Name: r.Variant + ", " + r.Day, Mean: r.Diff, Low: r.Low, High: r.High})
@@ -48,7 +48,7 @@
 		},
 	}
 	cmd.Flags().StringVar(&base, "base", "", "variant to compare the others with (empty: the first)")
-	cmd.Flags().StringVar(&onlyDay, "day", "", "show only this scenario (all: only the rows that combine all scenarios; empty: every row)")
-	cmd.Flags().StringVar(&figure, "figure", "figure", "figure to compare: figure, net, service, whole, window, costs, falls, refused or failed")
+	cmd.Flags().StringVar(&onlyScenario, "day", "", "show only this scenario (all: only the rows that combine all scenarios; empty: every row)")
+	cmd.Flags().StringVar(&figure, "figure", "figure", "figure to compare, as in pineport-testbed compare")
 	return cmd
 }
--- a/cmd/pineport-testbed/scale.go
+++ b/cmd/pineport-testbed/scale.go
@@ -29,13 +29,14 @@
 func scaleCmd() *cobra.Command {
 	var f scaleFlags
 	cmd := &cobra.Command{
-		Use:   "scale RUN",
+		Use:   "scale EXPERIMENT",
 		Short: "Measure how resource use and propagation delays grow with the fleet size",
-		Long: `Measure how resource use and propagation delays grow with the fleet size. The couriers run in one process with the real decision logic,
-membership and quota sharing, and with stand-ins for clients, endpoints, disk and sockets ("in-process couriers"). RUN is an experiment
-listed by pineport-testbed scale --list, or all.
-A full run stores its points and slopes in measured.json in the directory of --out; pineport-testbed capacity computes its page from that file.
-A quick run measures the small sizes once and checks only counts, not times. Exit codes: 0 success; 1 a run failed its check.`,
+		Long: `Measure how resource use and propagation delays grow with the fleet size. In-process couriers, which run together in one process, use the
+real decision logic, membership and quota sharing, with stand-ins for clients, endpoints, disk and sockets. EXPERIMENT is a name listed by
+pineport-testbed scale --list, or all.
+A full run stores its points and slopes in measured.json in the directory of --out; pineport-testbed capacity computes the capacity page from
+that file. A quick run measures the small sizes once and checks only values that it counts, such as calls and packets, but no durations.
+Exit codes: 0 success; 1 the check of an experiment failed; 2 any other error.`,
 		Example: `  pineport-testbed scale all --quick
   pineport-testbed scale held --out docs/capacity`,
 		Args: cobra.MaximumNArgs(1),
@@ -93,7 +94,7 @@
 		}
 	}
 	if failed {
-		return errViolation
+		return errRunFailed
 	}
 	return nil
 }
@@ -107,7 +108,7 @@
 	return courierBinary(f.courier)
 }
 
-// saveRun stores a run in measured.json in the directory. An empty directory name stores nothing.
+// saveRun stores a run in measured.json in the directory folder. If folder is empty, it does nothing.
 func saveRun(folder string, run slopes.Run) error {
 	if folder == "" {
 		return nil
@@ -134,11 +135,11 @@
 		}
 	}
 	for _, slope := range run.Slopes {
-		fmt.Fprintf(w, "  %s\t%s over %s: base %.4g, rate %.4g, spread %.2f, error %.2f\n", slope.Name, slope.Fit.Model, slope.Over, slope.Fit.Base,
+		fmt.Fprintf(w, "  %s\t%s in %s: base %.4g, rate %.4g, relative residual %.2f, relative error of rate %.2f\n", slope.Name, slope.Fit.Model, slope.Over, slope.Fit.Base,
 			slope.Fit.Rate, slope.Fit.Spread, slope.Fit.Error)
 	}
-	for _, gap := range run.Missing {
-		fmt.Fprintf(w, "  not measured: %s\t%s\n", gap.Figure, gap.Why)
+	for _, missing := range run.Missing {
+		fmt.Fprintf(w, "  not measured: %s\t%s\n", missing.Figure, missing.Why)
 	}
 	if run.Verified != "" {
 		fmt.Fprintf(w, "  in-process compared with real couriers\t%s\n", run.Verified)
--- a/cmd/pineport-testbed/send.go
+++ b/cmd/pineport-testbed/send.go
@@ -25,7 +25,7 @@
 			base := strconv.FormatInt(time.Now().UnixNano(), 36)
 			for i := range count {
 				id := fmt.Sprintf("%s-%d", base, i)
-				reply := pool.Do(load.Enqueue(load.Message{ID: id, Class: class, TimeToLive: timeToLive, Dest: dest, Body: []byte("sent by hand")}))
+				reply := pool.Do(load.EncodeEnqueue(load.Message{ID: id, Class: class, TimeToLive: timeToLive, Dest: dest, Body: []byte("sent by hand")}))
 				if reply.Kind == load.Unreachable {
 					return fmt.Errorf("courier at %s is unreachable: %s", to, reply.Text)
 				}
--- a/cmd/pineport-testbed/serve.go
+++ b/cmd/pineport-testbed/serve.go
@@ -23,7 +23,7 @@
 		Use:   "serve DAY",
 		Short: "Run the endpoints and discovery of a scenario, for couriers that you start yourself",
 		Long: `serve runs the endpoints and discovery servers of a scenario on loopback and writes a configuration for each of its couriers.
-The scenario's faults start at once. serve submits no messages: use "pineport-testbed send".`,
+The scenario's faults of endpoints and discovery start at once; serve ignores its faults of couriers. serve submits no messages: use "pineport-testbed send".`,
 		Example: "  pineport-testbed serve demo --dir example/run\n  RELAY_CONFIG=example/run/courier-0.json RELAY_STATE=example/run/state bin/pineport",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -58,7 +58,7 @@
 				fmt.Fprintf(cmd.OutOrStdout(), "courier %d: RELAY_CONFIG=%s\n", i, path)
 			}
 			report.WriteTimeline(cmd.OutOrStdout(), w, 20)
-			ledger := invariants.New(invariants.ForDay(w))
+			ledger := invariants.New(invariants.ForDay(w)) // required by Begin; its verdict is not used
 			world.Begin(ledger, func(scenario.Act) {})
 			<-cmd.Context().Done()
 			return nil
--- a/cmd/pineport-testbed/soak.go
+++ b/cmd/pineport-testbed/soak.go
@@ -31,18 +31,18 @@
 	cmd := &cobra.Command{
 		Use:   "soak",
 		Short: "Run real couriers under random faults of all kinds, and check the invariants",
-		Long: `Run real couriers on loopback under faults of all kinds: failing system calls, a failing state directory, discovery that refuses
-connections, does not answer or sends corrupt lists, failing endpoints, clients that connect, disconnect and overload the courier, drains, and
-series of signals. The seed determines all faults. The report counts which faults were triggered: a fault that was never triggered was not
-tested. For a seed that violates an invariant, the report prints the command that repeats the run, and the log and timeline stay in the
-directory of --dir. Exit codes: 0 success; 1 an invariant is violated.`,
+		Long: `Run real couriers on loopback under faults of all kinds. System calls fail, the state directory fails, discovery refuses connections, does
+not answer or sends corrupt lists, endpoints fail and drain, clients disconnect or overload the courier, and the courier receives signals in
+quick succession. The seed determines all faults. The report counts which faults were triggered: a fault that was not triggered was not tested.
+For a seed that violates an invariant, the report prints the command that repeats the run, and the run's log and timeline stay in the directory
+of --dir. Exit codes: 0 success; 1 an invariant is violated; 2 any other error.`,
 		Example: "  pineport-testbed soak --seeds 8\n  pineport-testbed soak --seeds 1 --from 17",
 		Args:    cobra.NoArgs,
 		RunE:    func(cmd *cobra.Command, _ []string) error { return playSoak(cmd, f) },
 	}
 	cmd.Flags().IntVar(&f.seeds, "seeds", 8, "number of seeds")
 	cmd.Flags().Int64Var(&f.from, "from", 1, "the first seed")
-	cmd.Flags().Float64Var(&f.seconds, "seconds", 12, "length of each run, in seconds; messages still open then may use their remaining time to live")
+	cmd.Flags().Float64Var(&f.seconds, "seconds", 12, "length of each run, in seconds; the run then waits until the open messages have ended or expired")
 	cmd.Flags().IntVar(&f.parallel, "parallel", 4, "number of concurrent runs")
 	cmd.Flags().StringVar(&f.courier, "courier", "", "courier binary (empty: the one in this program's directory, else a new build)")
 	cmd.Flags().StringVar(&f.dir, "dir", "", "directory for the logs of runs that violate an invariant (empty: found/soak)")
@@ -80,7 +80,7 @@
 		err = printSoak(cmd.OutOrStdout(), results, f)
 	}
 	if err == nil && slices.ContainsFunc(results, func(r *soak.Result) bool { return len(r.Breaches) > 0 }) {
-		err = errViolation
+		err = errRunFailed
 	}
 	return err
 }
@@ -126,7 +126,7 @@
 			continue
 		}
 		violating++
-		fmt.Fprintf(out, "seed %d: %s\n  repeat with: pineport-testbed soak --seeds 1 --from %d --seconds %g\n", r.Seed, r.Folder, r.Seed, f.seconds)
+		fmt.Fprintf(out, "seed %d: log and timeline in %s\n  repeat with: pineport-testbed soak --seeds 1 --from %d --seconds %g\n", r.Seed, r.Folder, r.Seed, f.seconds)
 		for _, breach := range r.Breaches {
 			fmt.Fprintf(out, "  %s\n", breach)
 		}
@@ -135,7 +135,7 @@
 		fmt.Fprintf(out, "%-28s triggered %d times\n", fault, triggered[fault])
 	}
 	for _, fault := range sortedKeys(notTriggered) {
-		fmt.Fprintf(out, "%-28s scheduled but never triggered in %d runs\n", fault, notTriggered[fault])
+		fmt.Fprintf(out, "%-28s scheduled but not triggered in %d runs\n", fault, notTriggered[fault])
 	}
 	_, err := fmt.Fprintf(out, "%d seeds, %d messages accepted, %d seeds with violated invariants\n", len(results), accepted, violating)
 	return err
--- a/testbed/baseline/baseline.go
+++ b/testbed/baseline/baseline.go
@@ -1,5 +1,5 @@
-// Package baseline provides simple dispatch policies to compare the decision logic with. They serve only for comparison: none of them keeps all
-// six invariants in every scenario, and none runs in a courier.
+// Package baseline provides simple dispatch policies to compare the decision logic with. They serve only for comparison: they are not
+// designed to keep all six invariants in every scenario, and none runs in a courier.
 package baseline
 
 import (
@@ -14,22 +14,22 @@
 	second                      = 1000 * millisecond
 )
 
-// Names returns the policies by name, with a description of each.
-func Names() map[string]string {
+// Descriptions returns the policies by name, with a description of each.
+func Descriptions() map[string]string {
 	return map[string]string{
 		"once":     "one attempt per message, in order of arrival, at the endpoint with the fewest calls in flight",
-		"eager":    "retries a message at once while that is allowed, at the endpoint with the fewest calls in flight",
+		"eager":    "retries a message at once while the attempt limit and its idempotency allow it, at the endpoint with the fewest calls in flight",
 		"backoff":  "retries a message after a backoff that starts at 100 ms and doubles, and observes Retry-After",
-		"textbook": "as backoff, with a breaker per destination: five failures open it for 5 s",
+		"textbook": "as backoff, with a breaker per destination: five consecutive failures open it for 5 s; it has no trial",
 	}
 }
 
 // New returns a new instance of the named policy, or nil if the name is unknown.
-func New(name string, ch dispatch.Config) *Policy {
-	if _, ok := Names()[name]; !ok {
+func New(name string, config dispatch.Config) *Policy {
+	if _, ok := Descriptions()[name]; !ok {
 		return nil
 	}
-	return &Policy{config: ch, retries: name != "once", backsOff: name == "backoff" || name == "textbook", breaker: name == "textbook",
+	return &Policy{config: config, retries: name != "once", backsOff: name == "backoff" || name == "textbook", breaker: name == "textbook",
 		endpoints: map[dispatch.EndpointID]*endpoint{}, dests: map[dispatch.DestinationID]*dest{}, messages: map[dispatch.MessageID]*message{}}
 }
 
@@ -61,13 +61,13 @@
 
 type message struct {
 	dispatch.MessageAccepted
-	dest       *dest
-	class      *dispatch.Class
-	attempts   []*endpoint
-	inFlight   int
-	mayHaveRun bool
-	readyAt    dispatch.Micros
-	ended      bool
+	dest           *dest
+	class          *dispatch.Class
+	attempts       []*endpoint // endpoint of each attempt, by attempt number
+	inFlight       int
+	mayBeProcessed bool // an endpoint may have processed it: an attempt failed, timed out, broke or was canceled
+	readyAt        dispatch.Micros
+	ended          bool
 }
 
 // Handle implements simulation.Decider.
@@ -93,7 +93,7 @@
 		p.watching = true
 		p.actions = append(p.actions, dispatch.WatchEndpoints{})
 	}
-	p.dispatch()
+	p.sendReady()
 	return p.actions
 }
 
@@ -145,7 +145,7 @@
 		d.consecutiveFailures++
 	default:
 		d.consecutiveFailures++
-		msg.mayHaveRun = true
+		msg.mayBeProcessed = true
 	}
 	if p.breaker && d.consecutiveFailures >= 5 {
 		d.consecutiveFailures, d.blockedUntil = 0, max(d.blockedUntil, p.now+5*second)
@@ -154,7 +154,7 @@
 		delete(p.messages, e.Message)
 		return
 	}
-	if !p.retries || len(msg.attempts) >= p.config.MaxAttempts || msg.mayHaveRun && msg.class.Idempotency != dispatch.Idempotent {
+	if !p.retries || len(msg.attempts) >= p.config.MaxAttempts || msg.mayBeProcessed && msg.class.Idempotency != dispatch.Idempotent {
 		p.giveUp(msg)
 		return
 	}
@@ -167,7 +167,7 @@
 
 func (p *Policy) giveUp(msg *message) {
 	msg.ended = true
-	if msg.mayHaveRun && msg.class.Idempotency != dispatch.Idempotent {
+	if msg.mayBeProcessed && msg.class.Idempotency != dispatch.Idempotent {
 		p.actions = append(p.actions, dispatch.Fail{Message: msg.Message})
 	} else {
 		p.actions = append(p.actions, dispatch.Reject{Message: msg.Message})
@@ -177,12 +177,13 @@
 	}
 }
 
-func (p *Policy) dispatch() {
+func (p *Policy) sendReady() {
 	next := p.now + second
 	p.queue = slices.DeleteFunc(p.queue, func(msg *message) bool {
 		if msg.ended {
 			return true
 		}
+		// Ends the message early enough that the answer reaches its client before the deadline.
 		if p.now >= msg.Deadline-20*millisecond-2*p.config.Tick {
 			p.giveUp(msg)
 			return true
@@ -222,5 +223,5 @@
 	return best
 }
 
-// Sorted returns the names of the policies in alphabetical order.
-func Sorted() []string { return slices.Sorted(maps.Keys(Names())) }
+// SortedNames returns the names of the policies in alphabetical order.
+func SortedNames() []string { return slices.Sorted(maps.Keys(Descriptions())) }
--- a/testbed/experiment/experiment.go
+++ b/testbed/experiment/experiment.go
@@ -26,13 +26,14 @@
 
 // Variant is one implementation of the decision logic, with its simulation options.
 type Variant struct {
-	Name string
-	Open func() (simulation.Host, error)
+	Name     string
+	OpenHost func() (simulation.Host, error)
 	simulation.Options
 }
 
 // Parse parses a variant: "module", "module:lore", "module:share", "module:share-deaf", "module:share-lossy", "baseline:NAME", or
-// "wire:COMMAND" for another build. A prefix NAME= sets the name of the variant; without it, the text is the name.
+// "wire:COMMAND" for another build of the decision logic. A prefix NAME= sets the name of the variant; NAME must not contain ":", "/" or a space.
+// Without such a prefix, the whole text is the name.
 func Parse(text string) (Variant, error) {
 	name, spec, hasName := strings.Cut(text, "=")
 	if !hasName || strings.ContainsAny(name, ":/ ") {
@@ -44,11 +45,11 @@
 		o, err := moduleOptions(argument)
 		return Variant{name, func() (simulation.Host, error) { return simulation.NewLocal(nil), nil }, o}, err
 	case "baseline":
-		if _, ok := baseline.Names()[argument]; !ok {
-			return Variant{}, fmt.Errorf("no baseline is named %q; available: %s", argument, strings.Join(baseline.Sorted(), ", "))
+		if _, ok := baseline.Descriptions()[argument]; !ok {
+			return Variant{}, fmt.Errorf("no baseline is named %q; available: %s", argument, strings.Join(baseline.SortedNames(), ", "))
 		}
 		return Variant{name, func() (simulation.Host, error) {
-			return simulation.NewLocal(func(_ int, ch dispatch.Config) simulation.Decider { return baseline.New(argument, ch) }), nil
+			return simulation.NewLocal(func(_ int, config dispatch.Config) simulation.Decider { return baseline.New(argument, config) }), nil
 		}, simulation.Options{}}, nil
 	case "wire":
 		return Variant{name, func() (simulation.Host, error) { return wirehost.Open(argument) }, simulation.Options{}}, nil
@@ -57,8 +58,8 @@
 }
 
 // moduleOptions returns the simulation options of a "module:" variant. "lore" writes the learned state to a snapshot every second, so that it
-// survives restarts; "share" lets couriers share quotas; with "share-deaf" half of them receive nothing, with "share-lossy" 30 % of the
-// packets are lost.
+// survives restarts; "share" lets couriers share quotas; with "share-deaf" half of the couriers receive no quota
+// packets, with "share-lossy" 30 % of these packets are lost.
 func moduleOptions(text string) (o simulation.Options, err error) {
 	switch text {
 	case "":
@@ -76,7 +77,7 @@
 	return o, err
 }
 
-// Cell is the result of one run: one scenario with one seed and one variant.
+// Cell is the result of one run. It is one cell of the grid of scenarios, seeds and variants.
 type Cell struct {
 	Day     string              `json:"day"`
 	Seed    int64               `json:"seed"`
@@ -129,7 +130,7 @@
 
 // RunOne runs one scenario once.
 func RunOne(d *scenario.Day, seed int64, v Variant) (c Cell, err error) {
-	host, err := v.Open()
+	host, err := v.OpenHost()
 	if err != nil {
 		return Cell{}, err
 	}
@@ -146,8 +147,8 @@
 	Day     string  `json:"day"` // "all" for the combination of all scenarios
 	Variant string  `json:"variant"`
 	Pairs   int     `json:"pairs"`
-	Base    float64 `json:"base"`
-	Mean    float64 `json:"mean"`
+	Base    float64 `json:"base"` // mean of the base variant
+	Mean    float64 `json:"mean"` // mean of this variant
 	Diff    float64 `json:"diff"`
 	Low     float64 `json:"low"` // 95 % interval of the difference
 	High    float64 `json:"high"`
@@ -183,12 +184,12 @@
 			row := PairedDifference{Day: d, Variant: v}
 			var a, b, diffs []float64
 			for _, c := range cells {
-				f, ok := baseCells[key{c.Day, c.Seed}]
+				baseCell, ok := baseCells[key{c.Day, c.Seed}]
 				if c.Variant != v || d != "all" && c.Day != d || !ok {
 					continue
 				}
-				a, b = append(a, figure(f.Verdict)), append(b, figure(c.Verdict))
-				diffs = append(diffs, figure(c.Verdict)-figure(f.Verdict))
+				a, b = append(a, figure(baseCell.Verdict)), append(b, figure(c.Verdict))
+				diffs = append(diffs, figure(c.Verdict)-figure(baseCell.Verdict))
 				if !c.Verdict.OK() {
 					row.Broken++
 				}
@@ -203,7 +204,8 @@
 	return rows
 }
 
-// Bootstrap returns the 95 % confidence interval of the mean of values, computed by resampling. The random seed is fixed.
+// Bootstrap returns the 95 % confidence interval of the mean of values, computed by resampling. The result is reproducible:
+// the random seed depends only on the number of values.
 func Bootstrap(values []float64) (low, high float64) {
 	if len(values) == 0 {
 		return 0, 0
--- a/testbed/experiment/experiment_test.go
+++ b/testbed/experiment/experiment_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// TestPairsAndIntervals checks that the module compared with itself shows no difference, and that the interval of a simple policy's difference
-// excludes 0.
+// TestPairsAndIntervals checks that the module compared with itself shows no difference, and that a simple policy is worse than the module: the
+// whole interval of its difference is below 0. It also checks that stored cells can be read back.
 func TestPairsAndIntervals(t *testing.T) {
 	d, err := scenario.Find("silent-and-cold")
 	if err != nil {
--- a/testbed/golden/golden.go
+++ b/testbed/golden/golden.go
@@ -43,8 +43,9 @@
 	t.Errorf("%s: got %d lines, recorded %d", path, len(gotLines), len(wantLines))
 }
 
-// Fill sets every exported field reachable from target, which is a pointer, to a distinct value: numbers count up from 1 in field order,
-// strings contain such a number, slices and maps get one element. The values depend on the type only.
+// Fill sets the exported fields reachable from target, which is a pointer, to values other than zero: numbers count up from 1 in field order,
+// strings contain such a number, booleans are true, slices and maps get one element. Interfaces, functions and channels stay nil. The values
+// depend on the type only.
 func Fill(target any) {
 	f := filler{}
 	f.fill(reflect.ValueOf(target).Elem())
@@ -95,7 +96,8 @@
 }
 
 // Tagged fails the test if an exported field reachable from value has neither a "json" nor a "cbor" tag. Without a tag, the encoding uses the
-// Go field name, so that renaming the field changes the format.
+// Go field name, so that renaming the field changes the format. An embedded struct
+// needs no tag itself.
 func Tagged(t testing.TB, value any) {
 	t.Helper()
 	checkTags(t, reflect.TypeOf(value), map[reflect.Type]bool{})
--- a/testbed/load/load.go
+++ b/testbed/load/load.go
@@ -1,6 +1,6 @@
 // Package load is an open-loop load generator for couriers. It submits messages at scheduled times, regardless of the outcome of earlier
-// ones, over pooled connections in the platform's protocol. It measures how late each message is sent, and reports if it did not keep the
-// schedule.
+// ones, over pooled connections in the platform's client protocol (RESP). It measures how late each message is
+// sent, and reports if it did not keep the schedule.
 package load
 
 import (
@@ -47,13 +47,13 @@
 	Dest        int
 	Tenant      string // empty: none
 	OrderingKey string // empty: none
-	Resubmitted bool   // submitted again after a rejection
-	CourierLost bool   // submitted again because its courier was killed or did not reply
+	Resubmitted bool   // submitted again after a rejection or a missing reply
+	MayBeHeld   bool   // an earlier submission got no reply although a connection existed, so that another courier may hold the message
 	Body        []byte
 }
 
-// Enqueue encodes the command that submits a message.
-func Enqueue(message Message) []byte {
+// EncodeEnqueue encodes the command that submits a message.
+func EncodeEnqueue(message Message) []byte {
 	pairs := fmt.Sprintf("c=%s,d=%d,dest=%d", message.Class, max(1, message.TimeToLive.Milliseconds()), message.Dest)
 	if message.Tenant != "" {
 		pairs += ",t=" + message.Tenant
@@ -64,7 +64,7 @@
 	if message.Resubmitted {
 		pairs += ",r=1"
 	}
-	if message.CourierLost {
+	if message.MayBeHeld {
 		pairs += ",again=1"
 	}
 	return command("ENQUEUE", "0", message.ID, pairs, string(message.Body))
@@ -84,7 +84,7 @@
 	address string
 	mu      sync.Mutex
 	idle    []*conn
-	opened  int
+	dials   int
 	closed  bool
 }
 
@@ -104,7 +104,7 @@
 		p.mu.Unlock()
 		return c, true, nil
 	}
-	p.opened++
+	p.dials++
 	p.mu.Unlock()
 	raw, err := net.DialTimeout("tcp", p.address, ReplyTimeout)
 	if err != nil {
@@ -141,8 +141,8 @@
 	p.closed = true
 }
 
-// Do sends a command and waits for the reply. If the courier closes a reused connection while the command is being sent, Do sends the command
-// again over a new connection.
+// Do sends a command and waits for the reply. If a reused connection ends before the reply, the courier has probably closed it as idle; Do then
+// sends the command again over a new connection.
 func (p *Pool) Do(cmd []byte) Reply {
 	for {
 		c, reused, err := p.get()
@@ -213,7 +213,7 @@
 	_ = l.hist.RecordValue(min(max(100, late.Microseconds()), 60*1000*1000)) // no error: the value is clamped to the range of the histogram
 }
 
-// Limits of lateness. A run that exceeds one of them is invalid, since the load was not open-loop any more.
+// Limits of lateness. A run that exceeds one of them is invalid: its load differed from the schedule.
 const (
 	maxLateP99 = 50 * time.Millisecond
 	maxLate    = 500 * time.Millisecond
--- a/testbed/load/load_test.go
+++ b/testbed/load/load_test.go
@@ -91,7 +91,7 @@
 		l.Record(80 * time.Millisecond)
 	}
 	if l.Violation() == "" {
-		t.Error("2 of 100 messages were late, and no violation was reported")
+		t.Error("20 of 1,020 messages were late, and no violation was reported")
 	}
 	sent := 0
 	late := NewLateness()
--- a/testbed/port/port.go
+++ b/testbed/port/port.go
@@ -12,9 +12,9 @@
 )
 
 // Reserve reserves a free port of 127.0.0.1 until release is called. The port stays bound by a socket that does not listen: a process that
-// knows the address can listen on it, any number of times, and the kernel assigns the port to no other socket. Incident: a test closed the
-// listener of a free port for later use, and before the port was used again, the kernel had assigned it to another test's endpoint or to an
-// outgoing connection.
+// knows the address can listen on it, any number of times, and the kernel assigns the port to no other socket. Incident: a test chose a free port
+// by listening on it and closing the listener; before the port was used, the kernel had assigned it to another test's endpoint or to an outgoing
+// connection.
 func Reserve() (addr string, release func(), err error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -37,7 +37,8 @@
 }
 
 // Arrived waits until the peer's kernel has acknowledged all data written to a TCP connection, including the FIN if the connection was closed
-// for writing. The peer process may not have read the data yet. Arrived returns false if that takes more than 10 s.
+// for writing. The peer process may not have read the data yet. Arrived returns false after a socket error, or if the acknowledgement
+// takes more than 10 s.
 func Arrived(conn syscall.Conn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -46,6 +47,7 @@
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(100 * time.Microsecond) {
 		acknowledged := false
 		if err := raw.Control(func(fd uintptr) {
+			// Package unix has the TCP states under BPF names only.
 			info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 			acknowledged = err == nil && info.Unacked == 0 && info.Notsent_bytes == 0 && info.State != unix.BPF_TCP_FIN_WAIT1
 		}); err != nil {
--- a/testbed/process/process.go
+++ b/testbed/process/process.go
@@ -41,8 +41,8 @@
 	if err := os.MkdirAll(filepath.Join(dir, "state"), 0o755); err != nil {
 		return nil, err
 	}
-	// Each courier has its own loopback address, derived from the process id and the courier's number: on a shared address, a port that
-	// is free now can belong to an outgoing connection by the time the courier starts.
+	// Couriers have separate loopback addresses, derived from the process id and the courier's number, which repeat after 250 couriers. On the
+	// usual address, a port that is free now can belong to an outgoing connection by the time the courier starts.
 	host := fmt.Sprintf("127.%d.%d.%d", 64+(os.Getpid()>>8)%128, os.Getpid()%256, 1+no%250)
 	l, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
@@ -160,7 +160,7 @@
 	}
 }
 
-// peakRSS returns the peak resident memory of a process in KiB, or 0 if it is unknown. The rusage of an exited child does not serve: it includes
+// peakRSS returns the peak resident memory of a process in KiB, or 0 if it is unknown. The rusage of an exited child is not usable: it includes
 // the memory of the testbed, of which the child is a copy between fork and exec.
 func peakRSS(pid int) (kib int64) {
 	text, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), "status"))
@@ -200,7 +200,7 @@
 	return c.cmd != nil
 }
 
-// clockTick is the unit of CPU time in /proc/PID/stat.
+// clockTick is the unit of CPU time in /proc/PID/stat, for a kernel with USER_HZ = 100.
 const clockTick = 10 * time.Millisecond
 
 // Taken returns the CPU time and the resident memory, in bytes, of the running process, read from /proc.
--- a/testbed/process/process_test.go
+++ b/testbed/process/process_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-func TestUsageNeedsProcess(t *testing.T) {
+func TestUsageFailsWithoutProcess(t *testing.T) {
 	if _, _, err := (&Courier{No: 1}).Taken(); err == nil {
 		t.Error("Taken returned no error for a courier that is not running")
 	}
--- a/testbed/realtime/client.go
+++ b/testbed/realtime/client.go
@@ -11,21 +11,22 @@
 	"pineport/testbed/scenario"
 )
 
-// client is the client of one message. It submits the message again after a rejection or a missing reply. The lock of run guards it.
+// client is the client of one message. It submits the message again after a rejection or a missing reply. run.mu guards the counters; the other
+// fields do not change.
 type client struct {
 	id          dispatch.MessageID
 	arrival     scenario.Arrival
 	dueAt       dispatch.Micros
 	deadline    dispatch.Micros
 	submissions int
-	rejects     int // number of retries after rejections
-	unanswered  int // submissions without a reply; the ledger ignores calls that result from them
+	retries     int // submissions after a rejection
+	unanswered  int // submissions without a reply; World.Drop ends them, so endpoints refuse later calls for them
 }
 
 // startClient submits message i of the scenario for the first time.
 func (r *run) startClient(i int) {
-	a := r.day.Arrivals[i]
-	class := r.day.Day.Classes[a.Class]
+	a := r.drawn.Arrivals[i]
+	class := r.drawn.Day.Classes[a.Class]
 	cl := &client{id: dispatch.MessageID("r" + strconv.Itoa(i)), arrival: a, dueAt: a.At, deadline: a.At + dispatch.Micros(class.CutOff*1e6)}
 	r.ledger.Offered(a.At, cl.id, int(a.Class), int(a.Tenant), dispatch.DestinationID(a.Dest))
 	r.addPending(1)
@@ -47,16 +48,17 @@
 }
 
 // submitLater submits the message again after the given delay, unless its deadline is reached by then.
-func (r *run) submitLater(cl *client, after time.Duration, courier int, resubmitted, courierLost bool) {
+func (r *run) submitLater(cl *client, after time.Duration, courier int, resubmitted, mayBeHeld bool) {
 	if r.world.Clock.Now()+dispatch.Micros(after.Microseconds()) < cl.deadline {
 		r.addPending(1)
-		time.AfterFunc(after, func() { r.submit(cl, courier, resubmitted, courierLost) })
+		time.AfterFunc(after, func() { r.submit(cl, courier, resubmitted, mayBeHeld) })
 	}
 }
 
-// nextCourier returns the courier for the next submission, after the given courier did not accept the message.
+// nextCourier returns the courier for the next submission, after the given courier rejected the message or did not reply: the same courier if
+// each client has its own, else a random one.
 func (r *run) nextCourier(courier int) int {
-	if r.day.Day.Fleet.Entry == "own" {
+	if r.drawn.Day.Fleet.Entry == "own" {
 		return courier
 	}
 	r.mu.Lock()
@@ -65,7 +67,7 @@
 }
 
 // submit submits the message to a courier and handles the reply.
-func (r *run) submit(cl *client, courier int, resubmitted, courierLost bool) {
+func (r *run) submit(cl *client, courier int, resubmitted, mayBeHeld bool) {
 	defer r.addPending(-1)
 	select {
 	case <-r.stop:
@@ -81,14 +83,14 @@
 	if cl.submissions > 0 {
 		id += dispatch.MessageID("." + strconv.Itoa(cl.submissions))
 	}
-	if cl.unanswered > 0 { // with a new origin, calls that result from unanswered submissions are not attributed to this one
+	if cl.unanswered > 0 { // with a new origin, deliveries of unanswered submissions do not count as earlier deliveries of this one
 		origin += dispatch.MessageID("+" + strconv.Itoa(cl.unanswered))
 	}
 	cl.submissions++
 	r.clients[id] = cl
 	r.mu.Unlock()
 	a := cl.arrival
-	class := r.day.Day.Classes[a.Class]
+	class := r.drawn.Day.Classes[a.Class]
 	key := dispatch.OrderingKey("")
 	if a.Key >= 0 {
 		key = dispatch.OrderingKey("k" + strconv.Itoa(int(a.Key)))
@@ -96,11 +98,11 @@
 	r.world.Expect(id, environment.Message{Origin: origin, Courier: courier, Work: int(a.Class), Dest: int(a.Dest)})
 	r.ledger.Taken(now, id, cl.id, courier, key, cl.deadline)
 	message := load.Message{ID: string(id), Class: class.Name, TimeToLive: time.Duration(cl.deadline-now) * time.Microsecond, Dest: int(a.Dest),
-		OrderingKey: string(key), Resubmitted: resubmitted, CourierLost: courierLost, Body: r.body}
-	if tenants := r.day.Day.Tenants; len(tenants) > 0 {
+		OrderingKey: string(key), Resubmitted: resubmitted, MayBeHeld: mayBeHeld, Body: r.body}
+	if tenants := r.drawn.Day.Tenants; len(tenants) > 0 {
 		message.Tenant = tenants[a.Tenant].Name
 	}
-	reply := r.pools[courier].Do(load.Enqueue(message))
+	reply := r.pools[courier].Do(load.EncodeEnqueue(message))
 	now = r.world.Clock.Now()
 	switch reply.Kind {
 	case load.OK:
@@ -128,33 +130,33 @@
 	r.mu.Lock()
 	cl.unanswered++
 	r.mu.Unlock()
-	delay := r.randomDuration(r.day.Day.Clients.Again)
+	delay := r.randomDuration(r.drawn.Day.Clients.Again)
 	if reply.Kind == load.Unreachable {
-		delay /= 4
+		delay /= 4 // the client notices a refused connection sooner than a missing reply
 	}
 	r.submitLater(cl, delay, r.nextCourier(courier), true, reply.Kind != load.Unreachable)
 }
 
 // retryRejected submits a rejected message again after a backoff, up to the configured number of retries.
 func (r *run) retryRejected(cl *client, courier int, retryAfter time.Duration) {
-	d := r.day.Day.Clients
+	d := r.drawn.Day.Clients
 	r.mu.Lock()
-	if cl.rejects >= d.Retries {
+	if cl.retries >= d.Retries {
 		r.mu.Unlock()
 		return
 	}
-	heedsAdvice := r.rng.Float64() < d.Heed
-	n := cl.rejects
-	cl.rejects++
+	followsRetryAfter := r.rng.Float64() < d.Heed
+	n := cl.retries
+	cl.retries++
 	r.mu.Unlock()
 	wait := r.randomDuration(scenario.Range{d.Backoff[0] / 1000, d.Backoff[1] / 1000}) << n
-	if retryAfter > 0 && heedsAdvice {
-		wait = min(retryAfter, time.Duration(r.day.Day.Fleet.LongestWait*float64(time.Second)))
+	if retryAfter > 0 && followsRetryAfter {
+		wait = min(retryAfter, time.Duration(r.drawn.Day.Fleet.LongestWait*float64(time.Second)))
 	}
 	r.submitLater(cl, wait, r.nextCourier(courier), true, false)
 }
 
-// handleNotice handles a notice for a message that a courier had accepted.
+// handleNotice handles a notice that ends an accepted message. After a rejection, the client submits the message again.
 func (r *run) handleNotice(id dispatch.MessageID, end invariants.End, retryAfter time.Duration) {
 	r.mu.Lock()
 	cl := r.clients[id]
--- a/testbed/realtime/realtime.go
+++ b/testbed/realtime/realtime.go
@@ -32,7 +32,7 @@
 	OnAct func(at dispatch.Micros, a scenario.Act)
 	// Reload is the interval at which each courier's settings are changed and reloaded with SIGHUP; 0: never.
 	Reload time.Duration
-	// Extra returns additional configuration of a courier, which is merged key by key over the rest; nil: none.
+	// Extra returns additional configuration of a courier, which overrides the generated configuration key by key; nil: none.
 	Extra func(c *process.Courier) (map[string]any, error)
 	// Begun is called once when the scenario starts. The function it returns is called when all messages have ended or the run stops.
 	Begun func(f *Field) (end func())
@@ -57,8 +57,8 @@
 	Wall        float64 `json:"wall_s"`
 	CourierCPU  float64 `json:"courier_cpu_s"` // sum over all couriers
 	TestbedCPU  float64 `json:"lab_cpu_s"`
-	MaxRSS      int64   `json:"courier_max_rss_kib"` // highest peak of a single courier
-	Connections int     `json:"connections_to_endpoints"`
+	MaxRSS      int64   `json:"courier_max_rss_kib"`      // highest peak of a single courier
+	Connections int     `json:"connections_to_endpoints"` // highest number open at the same time
 	LateP99     float64 `json:"late_p99_s"`
 	LateMax     float64 `json:"late_max_s"`
 	Restarts    int     `json:"restarts"`
@@ -68,7 +68,7 @@
 // run is one run of a scenario.
 type run struct {
 	Options
-	day      *scenario.Drawn
+	drawn    *scenario.Drawn
 	ledger   *invariants.Ledger
 	world    *environment.World
 	couriers []*process.Courier
@@ -86,8 +86,8 @@
 	body     []byte
 }
 
-// Play runs a scenario and returns its verdict. The run ends when all messages have a final answer, shortly after the end of the scenario at the
-// latest, or when ctx is done. In the last case the verdict is marked invalid.
+// Play runs a scenario and returns its verdict. The run ends when all messages have a final answer, but at the latest 300 ms after the end of
+// the scenario. If ctx is done before, Play stops the run and marks the verdict as invalid.
 func Play(ctx context.Context, w *scenario.Drawn, o Options) (*invariants.Verdict, Cost, error) {
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
@@ -103,7 +103,7 @@
 		defer os.RemoveAll(dir)
 		o.Dir = dir
 	}
-	r := &run{Options: o, day: w, ledger: invariants.New(ledgerSetup(w)), late: load.NewLateness(), stop: make(chan struct{}),
+	r := &run{Options: o, drawn: w, ledger: invariants.New(ledgerSetup(w)), late: load.NewLateness(), stop: make(chan struct{}),
 		rng: rand.New(rand.NewPCG(uint64(w.Seed), 55)), clients: map[dispatch.MessageID]*client{}, body: []byte("record of a laboratory day")}
 	var err error
 	if r.world, err = environment.Open(w, o.Log); err != nil {
@@ -145,8 +145,10 @@
 	return v, cost, nil
 }
 
-// ledgerSetup returns the ledger setup of the scenario with the tolerances that several processes with separate clocks need. The values come
-// from the platform's protocol.
+// ledgerSetup returns the ledger setup of the scenario with the tolerances that several processes need. Leeway (50 ms) allows for clocks that
+// differ. Calls within WaitFrom (100 ms) after a requested wait may have been sent before the courier read it. A final answer may come AnswerSlack
+// (300 ms) after the deadline. For the time Excused (1.5 s) after its restart, a courier's overdue answers are not violations. The values are those
+// of the platform's protocol.
 func ledgerSetup(w *scenario.Drawn) invariants.Setup {
 	s := invariants.ForDay(w)
 	const ms = dispatch.Micros(1000)
@@ -164,7 +166,7 @@
 
 func (r *run) startAll() error {
 	var wg sync.WaitGroup
-	n := r.day.Day.Fleet.Couriers
+	n := r.drawn.Day.Fleet.Couriers
 	errs := make([]error, n)
 	for i := range n {
 		c, err := process.New(i, r.Binary, r.Dir, r.recordCrash)
@@ -221,10 +223,11 @@
 	}
 }
 
-// settings returns the settings of a courier: those of the scenario, changed with each reload, so that the number of slots, the queue limit, the
-// attempt limit and the classes change while the courier holds messages. A class that no client uses is added and removed alternately.
+// settings returns the settings of a courier: those of the scenario before the first reload, and a variation of them after each reload, so that
+// the number of slots, the queue limit, the attempt limit and the classes change while the courier holds messages. Every other reload adds a class
+// that no client uses, the next one removes it.
 func (r *run) settings(no int) map[string]any {
-	s := r.day.Settings(no)
+	s := r.drawn.Settings(no)
 	r.mu.Lock()
 	round := r.reloads
 	r.mu.Unlock()
@@ -232,22 +235,22 @@
 		return s
 	}
 	ceilings, family := s["ceilings"].(map[string]any), s["family-info"].(map[string]any)
-	ceilings["open-cap"] = r.day.Hold * (8 + round%5) / 10
-	family["slots"] = max(2, r.day.Slots*(8+round%4)/10)
-	ceilings["try-limit"] = r.day.Day.Fleet.MaxAttempts - round%2
+	ceilings["open-cap"] = r.drawn.Hold * (8 + round%5) / 10
+	family["slots"] = max(2, r.drawn.Slots*(8+round%4)/10)
+	ceilings["try-limit"] = r.drawn.Day.Fleet.MaxAttempts - round%2
 	if round%2 == 1 {
 		s["classes"] = append(s["classes"].([]any), map[string]any{"name": "passing", "slo-s": 1, "deadline-s": 2, "points": 1})
 	}
 	return s
 }
 
-// reloadAll changes and reloads the configuration of every courier at each interval Reload, until stop is closed.
-func (r *run) reloadAll(stop <-chan struct{}) {
+// reloadAll changes and reloads the configuration of every courier at each interval Reload, until finished is closed.
+func (r *run) reloadAll(finished <-chan struct{}) {
 	every := time.NewTicker(r.Reload)
 	defer every.Stop()
 	for {
 		select {
-		case <-stop:
+		case <-finished:
 			return
 		case <-every.C:
 		}
@@ -318,29 +321,29 @@
 	}
 }
 
-// resumeAllowance is the time that a process needs to respond again after a pause.
+// resumeAllowance is the time granted to a process to respond again after a pause.
 const resumeAllowance = dispatch.Micros(200 * 1000)
 
 // play submits the messages of the scenario and waits until they have ended.
 func (r *run) play(ctx context.Context) {
-	watched := make(chan struct{})
+	finished := make(chan struct{})
 	go func() {
 		select {
 		case <-ctx.Done():
 			close(r.stop)
-		case <-watched:
+		case <-finished:
 		}
 	}()
-	defer close(watched)
+	defer close(finished)
 	if r.Reload > 0 {
-		go r.reloadAll(watched)
+		go r.reloadAll(finished)
 	}
-	all := r.day.Arrivals
+	all := r.drawn.Arrivals
 	load.Run(r.world.Clock.Start, len(all), func(i int) time.Duration { return time.Duration(all[i].At) * time.Microsecond },
 		func(i int) { r.startClient(i) }, r.late, r.stop)
-	// Between a notice and the submission that follows it, no message is open for a moment. So the run ends only after three
-	// consecutive checks without an open message or a pending submission.
-	for quietChecks := 0; r.world.Clock.Now() < r.day.End+300*1000 && quietChecks < 3; {
+	// Between the rejection notice for a message and its next submission, the message counts neither as open nor as pending for a
+	// moment. So the run ends only after three consecutive checks without an open message or a pending submission.
+	for quietChecks := 0; r.world.Clock.Now() < r.drawn.End+300*1000 && quietChecks < 3; {
 		r.mu.Lock()
 		pending := r.pending
 		r.mu.Unlock()
--- a/testbed/realtime/realtime_test.go
+++ b/testbed/realtime/realtime_test.go
@@ -40,8 +40,8 @@
 	return d
 }
 
-// TestDayOnSockets checks that a scenario with restarts and faults violates no invariant and leaks no goroutine.
-func TestDayOnSockets(t *testing.T) {
+// TestScenarioOnSockets checks that a scenario with restarts and faults violates no invariant and leaks no goroutine.
+func TestScenarioOnSockets(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	v, cost, err := Play(context.Background(), scenario.Draw(shortScenario(t), 2), Options{Binary: buildCourier(t)})
 	if err != nil {
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestBadCouriers checks a missing courier binary, a courier that exits at once, one that never answers and one that crashes. Each must give a
-// clear error or verdict without a hang.
+// TestBadCouriers checks a missing courier binary, a courier that exits at once, one that never answers and one that crashes. The
+// first three must give a clear error within 10 s; the crash must violate the invariant invariants.Crash.
 func TestBadCouriers(t *testing.T) {
 	script := func(text string) string {
 		path := filepath.Join(t.TempDir(), "courier")
@@ -84,7 +84,7 @@
 	}
 }
 
-// TestCanceledRunIsInvalid checks that a canceled run ends soon and that its verdict is invalid.
+// TestCanceledRunIsInvalid checks that a run that is canceled after 2 s ends within 8 s and that its verdict is invalid.
 func TestCanceledRunIsInvalid(t *testing.T) {
 	ctx, stop := context.WithTimeout(context.Background(), 2*time.Second)
 	defer stop()
--- a/testbed/report/account.go
+++ b/testbed/report/account.go
@@ -41,7 +41,7 @@
 	case scenario.ListUp:
 		return "discovery answers again"
 	}
-	return a.Text
+	return a.Text // the remaining kind, scenario.Tells, has its own text
 }
 
 var faultDescriptions = map[string]string{
@@ -51,7 +51,7 @@
 	"crowd": "accepts fewer connections than usual",
 }
 
-// WriteOutages describes each outage of a destination and how the couriers reacted to it, from the series of the verdict.
+// WriteOutages describes each outage of a destination and how the couriers reacted to it, based on the time series in the verdict.
 func WriteOutages(out io.Writer, w *scenario.Drawn, v *invariants.Verdict) {
 	type outage struct {
 		dest     *invariants.DestSeries
@@ -61,7 +61,7 @@
 	for _, d := range v.Series.Dests {
 		for _, o := range d.Outages {
 			if n := len(outages); n > 0 && outages[n-1].dest == d && o[0]-outages[n-1].to < 1 {
-				outages[n-1].to = o[1] // routes of one destination that failed at the same time are one outage
+				outages[n-1].to = o[1] // outages of one destination less than 1 s apart, such as of its endpoints, count as one
 				continue
 			}
 			outages = append(outages, outage{d, o[0], o[1]})
@@ -88,23 +88,25 @@
 	return n, n / max(bin, to-from)
 }
 
+// describeOutage compares the calls during an outage with those of the 8 s before it and of the 6 s after the first successful call. The reasons
+// it prints are inferred from the numbers: a call rate below 70 % of the rate before the outage means that calls were held back.
 func describeOutage(out io.Writer, d *invariants.DestSeries, from, to float64) {
 	_, rateBefore := countAndRate(d.Calls, max(0, from-8), from)
 	calls, rateDuring := countAndRate(d.Calls, from, to)
 	offered, _ := countAndRate(d.Offered, from, to)
 	failed, _ := countAndRate(d.Failed, from, to)
 	throttled, _ := countAndRate(d.Full, from, to)
-	fmt.Fprintf(out, "  Before: %.1f calls/s. During the outage: %.1f calls/s (%.0f calls for %.0f messages offered; %.0f failed, some of them sent before the outage, and %.0f were throttled).\n",
+	fmt.Fprintf(out, "  Before: %.1f calls/s. During the outage: %.1f calls/s (%.0f calls for %.0f messages offered); %.0f calls ended as failed, possibly sent earlier, and %.0f as throttled.\n",
 		rateBefore, rateDuring, calls, offered, failed, throttled)
 	var reasons []string
 	if rateDuring < 0.7*rateBefore {
 		reasons = append(reasons, "the breakers opened after more than five consecutive failures, or throttled calls increased the minimum interval between calls; the other messages were parked without a call")
 	}
 	if throttled > 0 {
-		reasons = append(reasons, "the couriers observed the Retry-After of throttled calls")
+		reasons = append(reasons, "the couriers waited for the Retry-After of throttled calls")
 	}
 	if len(reasons) > 0 {
-		fmt.Fprintf(out, "  Reason: %s.\n", strings.Join(reasons, "; "))
+		fmt.Fprintf(out, "  Probable reason: %s.\n", strings.Join(reasons, "; "))
 	}
 	firstServed := -1.0
 	for i, n := range d.Done {
@@ -114,12 +116,12 @@
 		}
 	}
 	if firstServed < 0 {
-		fmt.Fprintln(out, "  No call succeeded there afterwards.")
+		fmt.Fprintln(out, "  No call to the destination succeeded after the outage.")
 		return
 	}
 	_, firstRate := countAndRate(d.Calls, firstServed, firstServed+3)
 	_, nextRate := countAndRate(d.Calls, firstServed+3, firstServed+6)
-	fmt.Fprintf(out, "  Recovery: the first call succeeded %.1f s after the outage; then %.1f calls/s for three seconds (slow start), and %.1f calls/s in the next three.\n",
+	fmt.Fprintf(out, "  Recovery: the first call succeeded %.1f s after the outage; then %.1f calls/s for three seconds, while slow start applies, and %.1f calls/s in the next three.\n",
 		firstServed-to, firstRate, nextRate)
 }
 
@@ -129,11 +131,11 @@
 	fmt.Fprintf(out, "%d messages were submitted %d times: %d delivered, %d rejected (safe to submit again), %d failed, %d without a final answer.\n",
 		n.Offered, n.Taken, n.Done, n.Rejected, n.Failed, n.Lost)
 	if n.Repeats > 0 {
-		fmt.Fprintf(out, "%d deliveries were duplicates of idempotent messages.\n", n.Repeats)
+		fmt.Fprintf(out, "%d deliveries repeated an earlier delivery of the same message.\n", n.Repeats)
 	}
 }
 
-// WriteTimeline lists the scheduled events of a scenario in at most maxRows rows. Events within 200 ms share a row.
+// WriteTimeline lists the scheduled events of a scenario. Events within 200 ms share a row. After maxRows rows, a last row counts the rest.
 func WriteTimeline(out io.Writer, w *scenario.Drawn, maxRows int) {
 	type row struct {
 		at    dispatch.Micros
@@ -154,7 +156,7 @@
 		}
 		text := r.texts[0]
 		if n := len(r.texts) - 1; n > 0 {
-			text += fmt.Sprintf("; and %d more at the same time", n)
+			text += fmt.Sprintf("; and %d more within 200 ms", n)
 		}
 		fmt.Fprintf(out, "  %6.1f s  %s\n", float64(r.at)/1e6, text)
 	}
--- a/testbed/report/chart.go
+++ b/testbed/report/chart.go
@@ -32,9 +32,9 @@
 	return p
 }
 
-// addLine adds a series with one value per invariants.Bin to the plot, as a moving average over the last smooth values. Color and dash
-// pattern follow from n.
-func addLine(p *plot.Plot, name string, values []float64, n int, smooth int) error {
+// addLine adds a series with one value per invariants.Bin to the plot, as a moving average over the last smooth values. The index
+// selects one of seven colors and, beyond seven lines, another dash pattern.
+func addLine(p *plot.Plot, name string, values []float64, index int, smooth int) error {
 	pts := make(plotter.XYs, len(values))
 	if len(pts) == 0 {
 		return nil
@@ -51,13 +51,13 @@
 		return err
 	}
 	p.X.Max = max(p.X.Max, 1.15*pts[len(pts)-1].X) // leaves room for the legend
-	l.Color, l.Dashes, l.Width = plotutil.Color(n), plotutil.Dashes(n/7), vg.Points(1.3)
+	l.Color, l.Dashes, l.Width = plotutil.Color(index), plotutil.Dashes(index/7), vg.Points(1.3)
 	p.Add(l)
 	p.Legend.Add(name, l)
 	return nil
 }
 
-// shadeInterval shades the time interval from..to.
+// shadeInterval shades the time between from and to, up to the height top.
 func shadeInterval(p *plot.Plot, from, to, top float64) error {
 	area, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: 0}, {X: to, Y: 0}, {X: to, Y: top}, {X: from, Y: top}})
 	if err != nil {
@@ -88,8 +88,8 @@
 // perSecond converts a count per invariants.Bin to a rate per second.
 const perSecond = 1e6 / float64(invariants.Bin)
 
-// DrawScenario writes the charts of a run into a directory: value, messages held, and the calls of the destinations that were most affected
-// by faults or have most traffic. It returns the file names.
+// DrawScenario writes the charts of a run into a directory: the value offered and delivered, the messages held by all couriers, and the calls to
+// the four destinations that MostAffected selects. It returns the file names.
 func DrawScenario(dir string, w *scenario.Drawn, v *invariants.Verdict) (files []string, err error) {
 	s := v.Series
 	if err := os.MkdirAll(dir, 0o755); err != nil {
@@ -101,7 +101,7 @@
 			files = append(files, name)
 		}
 	}
-	p := newPlot("Value of "+w.Day.Name+", by due time of the message", "value per second")
+	p := newPlot("Value of "+w.Day.Name+", by the time the message was first offered", "value per second")
 	if err := addLines(p, 4, map[string][]float64{"asked": multiply(s.Asked, perSecond), "delivered": multiply(s.Won, perSecond)}); err != nil {
 		return nil, err
 	}
@@ -135,7 +135,7 @@
 	return nil
 }
 
-// plotDestination plots the calls of one destination by outcome, and its limit.
+// plotDestination plots the calls of one destination by outcome, and its limit, which has line index 9 to differ in color and dash pattern.
 func plotDestination(w *scenario.Drawn, d *invariants.DestSeries) (*plot.Plot, error) {
 	dst := &w.Destinations[d.Dest]
 	p := newPlot(fmt.Sprintf("Destination %d (%s): calls by outcome; shaded: outage", d.Dest, dst.KindName), "calls per second")
@@ -161,8 +161,8 @@
 	return p, addLine(p, "limit", flat, 9, 1)
 }
 
-// MostAffected returns the n destinations that were most affected by faults: those with an outage first, then by failed and throttled calls,
-// then by number of calls.
+// MostAffected returns the n destinations with the highest weight: 1,000,000 for an outage (less if it is shorter than 1 s), 10 per failed call,
+// 3 per throttled call and 0.01 per call.
 func MostAffected(s *invariants.Series, n int) []*invariants.DestSeries {
 	sum := func(v []float64) (t float64) {
 		for _, x := range v {
--- a/testbed/report/parts.go
+++ b/testbed/report/parts.go
@@ -10,8 +10,8 @@
 	"pineport/testbed/fleet"
 )
 
-// DrawLeases draws the quota shares that couriers granted and leased over time: the sums over all destinations, and the shares of the four
-// destinations with the highest leased total.
+// DrawLeases draws, over time, the shares of the destinations' limits that couriers granted to other couriers and that couriers leased from
+// others: the sums over all destinations, and the leased shares of the four destinations with the highest sum over time.
 func DrawLeases(dir string, parts fleet.Parts) (file string, err error) {
 	sums := func(of func(*fleet.LeaseTotals) []float64) (all []float64) {
 		for _, leases := range parts {
@@ -32,7 +32,7 @@
 	for _, d := range dests[:min(4, len(dests))] {
 		lines[fmt.Sprintf("leased, destination %d", d)] = parts[d].Leased
 	}
-	p := newPlot("Quota shares granted and leased", "limits")
+	p := newPlot("Quota shares granted to and leased from other couriers, as multiples of a destination's limit", "limits")
 	if err := addLines(p, 1, lines); err != nil {
 		return "", err
 	}
--- a/testbed/report/slope.go
+++ b/testbed/report/slope.go
@@ -18,8 +18,9 @@
 // curvePointCount is the number of points of a drawn curve.
 const curvePointCount = 64
 
-// DrawSlope draws how a figure grows with a size, on logarithmic scales: the measured points, the fitted curve, the planned size, and the
-// budget if there is one. It returns the file name.
+// DrawSlope draws how a measured quantity grows with a size, such as the number of couriers, on logarithmic scales. The chart shows the
+// measured points, the fitted curve with its spread (the root mean square of the relative residuals), the planned size, and the budget if there
+// is one. DrawSlope returns the file name.
 func DrawSlope(folder string, chart capacity.Chart) (file string, err error) {
 	p := plot.New()
 	p.Title.Text = chart.Slope
--- a/testbed/report/slope_test.go
+++ b/testbed/report/slope_test.go
@@ -37,7 +37,7 @@
 	}
 	chart.Budget, chart.Sizes, chart.Figures = 0, nil, nil
 	if withoutBudget := drawn(chart); strings.Contains(withoutBudget, "budget") || strings.Contains(withoutBudget, "measured") {
-		t.Error("the chart shows a budget or points, but has none")
+		t.Error("the chart shows a budget or points although none were given")
 	}
 	chart.Fit = slopes.Fit{Model: slopes.Constant, Base: -1}
 	if _, err := DrawSlope(t.TempDir(), chart); err == nil {
--- a/testbed/scripted/scripted.go
+++ b/testbed/scripted/scripted.go
@@ -22,12 +22,12 @@
 type Fate struct {
 	Status int           // HTTP status; 0 closes the connection without an answer
 	After  time.Duration // delay before the answer
-	WaitMs int           // value of the X-Backoff-Ms header for a status other than 200, in milliseconds; 0: no header
+	WaitMs int           // X-Backoff-Ms header in milliseconds, sent with a status other than 200; 0: no header
 }
 
 // Broken counts calls that a correct courier never makes.
 type Broken struct {
-	Early    int // calls during a wait that an endpoint requested more than 100 ms earlier
+	Early    int // calls to any endpoint during a wait that was requested more than 100 ms before the call
 	Overlaps int // calls for an ordering key while a call for another message of the key is in flight
 	Disorder int // calls for a message of an ordering key after a call for a later message of the key
 }
@@ -38,25 +38,27 @@
 	highest  int            // highest message number called so far
 }
 
-// World holds discovery, the notice service and the endpoints.
+// World is a stand-in for the platform: discovery, the notice service and the endpoints.
 type World struct {
 	Discovery string // address of discovery
 	Endpoints []string
-	Lists     func(index int) string // if set, returns the body of the answer to a list request with this index (0: none); empty body: the real list
+	// Lists, if set, returns the answer to a list request. The index is the list version that the courier knows, 0 if none. If Lists returns "",
+	// the answer is the normal list.
+	Lists func(index int) string
 
 	mu                sync.Mutex
 	respond           func(id string) Fate
-	seq               int
+	seq               int           // version of the endpoint list: "seq" in answers, "index" in requests
 	destinations      []int         // destination of each endpoint
 	draining          map[int]int   // draining endpoints, with the list version at which each started to drain
 	changed           chan struct{} // closed and replaced when an endpoint starts to drain
 	calls             []*atomic.Int64
-	startedCalls      map[string]int // by message, without calls answered with 429 or 503
+	startedCalls      map[string]int // by message; calls answered with 429 or 503 are not counted, as the endpoint does not process them
 	succeededCalls    map[string]int
 	notices           map[string][]string
 	violations        Broken
-	waitSentAt        time.Time // when an endpoint last requested a wait, and until when the wait lasts
-	waitUntil         time.Time
+	waitSentAt        time.Time // when an endpoint last requested a wait with X-Backoff-Ms
+	waitUntil         time.Time // end of that wait
 	orderedKeys       map[string]*orderedKey
 	unansweredNotices int // number of notice calls still to leave unanswered
 	servers           []*http.Server
@@ -66,6 +68,7 @@
 // Open starts a World with the given number of endpoints of destination 1. respond is called with the message id of
 // each call, the first id of a batch, and returns the answer.
 func Open(endpoints int, respond func(id string) Fate) (*World, error) {
+	// The list version is 1 after the endpoints are added below.
 	w := &World{orderedKeys: map[string]*orderedKey{}, respond: respond, seq: 1 - endpoints, draining: map[int]int{}, changed: make(chan struct{}), startedCalls: map[string]int{}, succeededCalls: map[string]int{}, notices: map[string][]string{}}
 	if err := w.servePlatform(); err != nil {
 		return nil, err
@@ -105,7 +108,8 @@
 	return func() { old.Close() }, w.servePlatform()
 }
 
-// Grow adds an endpoint. A pending watch is not answered early; the endpoint appears in the next list.
+// Grow adds an endpoint for the given destination. Unlike Drain, it does not answer pending watches: couriers learn of the endpoint with their
+// next list request.
 func (w *World) Grow(dest int) error {
 	mux := http.NewServeMux()
 	w.mu.Lock()
@@ -154,7 +158,7 @@
 	return int(w.calls[endpoint].Load())
 }
 
-// MuteNotices leaves the next notice calls unanswered and does not record them.
+// MuteNotices leaves the given number of the next notice calls unanswered and does not record their notices.
 func (w *World) MuteNotices(calls int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -221,6 +225,7 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
+	// Once an endpoint drains, a courier with a list gets only the endpoints that started to drain since its version.
 	if index >= 0 && len(w.draining) > 0 || index >= w.seq {
 		rw.Write(w.listSince(index))
 		return
@@ -253,8 +258,8 @@
 	rw.WriteHeader(http.StatusNoContent)
 }
 
-// call handles one call for the given messages. It returns true if the caller must write the body of a success, false if the answer is complete
-// or the connection closed.
+// call handles one call for the given messages. It returns true if the status is 200, in which case the caller may write a body; else
+// the answer is complete or the connection closed.
 func (w *World) call(rw http.ResponseWriter, ids ...string) bool {
 	w.mu.Lock()
 	if now := time.Now(); now.Before(w.waitUntil) && now.After(w.waitSentAt.Add(100*time.Millisecond)) {
@@ -302,25 +307,25 @@
 	if !ok || !found || err != nil {
 		return func() {}
 	}
-	l := w.orderedKeys[key]
-	if l == nil {
-		l = &orderedKey{inFlight: map[string]int{}}
-		w.orderedKeys[key] = l
+	state := w.orderedKeys[key]
+	if state == nil {
+		state = &orderedKey{inFlight: map[string]int{}}
+		w.orderedKeys[key] = state
 	}
-	for other := range l.inFlight {
+	for other := range state.inFlight {
 		if other != id {
 			w.violations.Overlaps++
 		}
 	}
-	if n < l.highest {
+	if n < state.highest {
 		w.violations.Disorder++
 	}
-	l.inFlight[id]++
-	l.highest = max(l.highest, n)
+	state.inFlight[id]++
+	state.highest = max(state.highest, n)
 	return func() {
 		w.mu.Lock()
-		if l.inFlight[id]--; l.inFlight[id] == 0 {
-			delete(l.inFlight, id)
+		if state.inFlight[id]--; state.inFlight[id] == 0 {
+			delete(state.inFlight, id)
 		}
 		w.mu.Unlock()
 	}
@@ -364,7 +369,7 @@
 
 // Seen returns how many calls for a message were started (without those answered with 429 or 503) and how many were answered with 200, and the
 // statuses of its notices.
-func (w *World) Seen(id string) (began, done int, notices []string) {
+func (w *World) Seen(id string) (started, succeeded int, notices []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.startedCalls[id], w.succeededCalls[id], append([]string(nil), w.notices[id]...)
@@ -372,8 +377,8 @@
 
 // Configuration returns the configuration of a courier that uses this World.
 func (w *World) Configuration(name, listen string) []byte {
-	class := func(name, repeat string, points float64) map[string]any {
-		return map[string]any{"name": name, "idempotency": repeat, "points": points, "slo-s": 1.0, "deadline-s": 8.0,
+	class := func(name, idempotency string, points float64) map[string]any {
+		return map[string]any{"name": name, "idempotency": idempotency, "points": points, "slo-s": 1.0, "deadline-s": 8.0,
 			"late-worth": 0.5, "dedup-window-s": 5.0, "group": "all"}
 	}
 	text, _ := json.MarshalIndent(map[string]any{
--- a/testbed/wirehost/host.go
+++ b/testbed/wirehost/host.go
@@ -26,10 +26,10 @@
 	stdin         io.WriteCloser
 	stdout        *bufio.Reader
 	writer        *bufio.Writer
-	pendingBegins map[int]string // by courier: begin line to send before its next events
+	pendingBegins map[int]string // by courier: line that starts a new courier, to send before the events of that courier
 	killed        map[int]bool
-	page          int
-	serial        int
+	page          int // number of the last endpoint list, 0 to 15; the program stores lists by this number
+	serial        int // number of topology lines sent
 }
 
 // Open starts a program by running command in a shell.
@@ -60,9 +60,9 @@
 }
 
 // Start implements simulation.Host. The program learns of the new courier with its next batch of events.
-func (h *Host) Start(courier int, ch dispatch.Config, settings map[string]string) error {
+func (h *Host) Start(courier int, courierConfig dispatch.Config, settings map[string]string) error {
 	var b strings.Builder
-	fmt.Fprintf(&b, "begin %d", ch.Seed)
+	fmt.Fprintf(&b, "begin %d", courierConfig.Seed)
 	for _, key := range slices.Sorted(maps.Keys(settings)) {
 		fmt.Fprintf(&b, " %s=%s", key, strings.ReplaceAll(settings[key], " ", "_"))
 	}
@@ -70,10 +70,10 @@
 	return nil
 }
 
-// Kill implements simulation.Host. The program learns of it with the next turn.
+// Kill implements simulation.Host. The program learns of the kill with the next Turn.
 func (h *Host) Kill(courier int) { h.killed[courier] = true }
 
-// Turn implements simulation.Host.
+// Turn implements simulation.Host. It sends the events of all batches, each of one courier, and reads the actions of these couriers.
 func (h *Host) Turn(now dispatch.Micros, batches []simulation.Batch) ([][]dispatch.Action, error) {
 	h.writeLine("mark", seconds(now))
 	for _, i := range slices.Sorted(maps.Keys(h.killed)) {
@@ -133,7 +133,7 @@
 	case dispatch.MessageAccepted:
 		flags := "0"
 		if e.Resubmitted {
-			flags = "2"
+			flags = "2" // resubmitted
 		}
 		h.writeLine("job_in", string(e.Message), "-", strconv.Itoa(int(e.Destination)), strconv.Itoa(int(e.Tenant)), orDash(string(e.OrderingKey)),
 			seconds(e.Deadline), strconv.Itoa(int(e.Class)), flags)
@@ -154,7 +154,7 @@
 		h.writeLine("tick_due", "look")
 	case dispatch.EndpointUpdate:
 		h.writeEndpointList(e)
-	} // the wire protocol has no event for a graceful shutdown
+	} // other events are skipped: the wire protocol has none for a graceful shutdown
 }
 
 func (h *Host) writeEndpointList(e dispatch.EndpointUpdate) {
@@ -172,7 +172,7 @@
 	h.writeLine("topology", strconv.Itoa(h.serial), strconv.Itoa(h.page), []string{"Persisted", "Complete", "Partial"}[e.Kind])
 }
 
-// readReply reads the reply to one turn and appends the actions to all, by the batch index of their courier.
+// readReply reads the reply to one Turn. It appends each action to all[i], where i is the batch index of the courier that the last at line names.
 func (h *Host) readReply(all [][]dispatch.Action, batchIndex map[int]int) error {
 	courier, batch := -1, -1
 	for {
--- a/testbed/wirehost/host_test.go
+++ b/testbed/wirehost/host_test.go
@@ -25,7 +25,7 @@
 			t.Fatal(err)
 		}
 		w := scenario.Draw(d, 3)
-		here, _, err := simulation.Play(w, simulation.NewLocal(nil), simulation.Options{})
+		inProcess, _, err := simulation.Play(w, simulation.NewLocal(nil), simulation.Options{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -33,21 +33,22 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		there, _, err := simulation.Play(w, host, simulation.Options{})
+		overWire, _, err := simulation.Play(w, host, simulation.Options{})
 		if err != nil {
 			t.Fatal(err)
 		}
 		if err := host.Close(); err != nil {
 			t.Error(err)
 		}
-		if !reflect.DeepEqual(here.Counts, there.Counts) || here.Figure != there.Figure {
-			t.Errorf("%s: %v %+v in process, %v %+v over the wire", name, here.Figure, here.Counts, there.Figure, there.Counts)
+		if !reflect.DeepEqual(inProcess.Counts, overWire.Counts) || inProcess.Figure != overWire.Figure {
+			t.Errorf("%s: %v %+v in process, %v %+v over the wire", name, inProcess.Figure, inProcess.Counts, overWire.Figure, overWire.Counts)
 		}
 	}
 }
 
-// TestFaultyHosts checks a missing program, one that exits at once, one that writes invalid lines and one that reports an internal error. Each
-// must give a clear error, or a verdict with a violated invariant, without a hang.
+// TestFaultyHosts checks a missing program, one that exits at once, one that writes invalid lines and one that reports an internal error. The
+// first three must give a clear error. An internal error concerns one courier only: it must not be returned as an error, but appear in the verdict
+// as a violation of the invariant on crashes.
 func TestFaultyHosts(t *testing.T) {
 	d, err := scenario.Find("calm")
 	if err != nil {
