--- a/atomicfile/atomicfile.go
+++ b/atomicfile/atomicfile.go
@@ -19,8 +19,8 @@
 
 // Why a file is not used.
 var (
-	ErrAbsent   = errors.New("no file")
-	ErrTorn     = errors.New("torn or damaged")
+	ErrNotExist = errors.New("no file")
+	ErrCorrupt  = errors.New("torn or damaged")
 	ErrTooLarge = errors.New("too large")
 )
 
@@ -37,14 +37,14 @@
 // Decode returns the version and the text in the content of a file.
 func Decode(magic string, content []byte) (version uint32, text []byte, err error) {
 	if len(content) < HeadSize || string(content[:4]) != magic {
-		return 0, nil, fmt.Errorf("%w: no head", ErrTorn)
+		return 0, nil, fmt.Errorf("%w: no head", ErrCorrupt)
 	}
 	text = content[HeadSize:]
 	if n := binary.BigEndian.Uint64(content[8:]); n != uint64(len(text)) {
-		return 0, nil, fmt.Errorf("%w: %d bytes, the head says %d", ErrTorn, len(text), n)
+		return 0, nil, fmt.Errorf("%w: %d bytes, the head says %d", ErrCorrupt, len(text), n)
 	}
 	if xxhash.Sum64(text) != binary.BigEndian.Uint64(content[16:]) {
-		return 0, nil, fmt.Errorf("%w: the checksum differs", ErrTorn)
+		return 0, nil, fmt.Errorf("%w: the checksum differs", ErrCorrupt)
 	}
 	return binary.BigEndian.Uint32(content[4:]), text, nil
 }
@@ -60,11 +60,11 @@
 	info, err := os.Stat(path)
 	switch {
 	case errors.Is(err, os.ErrNotExist):
-		return nil, ErrAbsent
+		return nil, ErrNotExist
 	case err != nil:
 		return nil, err
 	case !info.Mode().IsRegular():
-		return nil, fmt.Errorf("%w: no ordinary file", ErrTorn)
+		return nil, fmt.Errorf("%w: no ordinary file", ErrCorrupt)
 	case info.Size() > int64(limit):
 		return nil, fmt.Errorf("%w: %d bytes, %d allowed", ErrTooLarge, info.Size(), limit)
 	}
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -17,8 +17,8 @@
 	"pineport/atomicfile"
 )
 
-// Name of the anchor's file, in the state folder.
-const Name = "clock.anchor"
+// FileName of the anchor's file, in the state folder.
+const FileName = "clock.anchor"
 
 const (
 	magic   = "PPCA"
@@ -88,7 +88,7 @@
 		return c, nil
 	case err == nil:
 		floor = max(floor, held.Time)
-	case errors.Is(err, atomicfile.ErrAbsent):
+	case errors.Is(err, atomicfile.ErrNotExist):
 		err = nil
 	}
 	c.startedAt = max(readings.Wall, floor)
@@ -115,12 +115,12 @@
 	if c.stored {
 		return nil
 	}
-	atomicfile.RemoveLeftovers(c.dir, Name)
+	atomicfile.RemoveLeftovers(c.dir, FileName)
 	text, err := json.Marshal(c.anchor)
 	if err != nil {
 		return err
 	}
-	if err := atomicfile.Write(c.dir, Name, atomicfile.Encode(magic, version, text)); err != nil {
+	if err := atomicfile.Write(c.dir, FileName, atomicfile.Encode(magic, version, text)); err != nil {
 		return err
 	}
 	c.stored = true
@@ -131,7 +131,7 @@
 func (c *Clock) Stored() bool { return c.stored }
 
 func read(dir string) (a anchor, err error) {
-	content, err := atomicfile.Read(dir, Name, limit)
+	content, err := atomicfile.Read(dir, FileName, limit)
 	if err != nil {
 		return a, err
 	}
@@ -143,7 +143,7 @@
 		return a, fmt.Errorf("version %d, this program knows %d", v, version)
 	}
 	if err := json.Unmarshal(text, &a); err != nil {
-		return a, fmt.Errorf("%w: %v", atomicfile.ErrTorn, err)
+		return a, fmt.Errorf("%w: %v", atomicfile.ErrCorrupt, err)
 	}
 	return a, nil
 }
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -87,12 +87,12 @@
 func TestAnchorThatCannotBeUsed(t *testing.T) {
 	dir, m := t.TempDir(), newMachine()
 	m.start(t, dir, 0)
-	whole, err := os.ReadFile(filepath.Join(dir, Name))
+	whole, err := os.ReadFile(filepath.Join(dir, FileName))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for cut := range whole {
-		if err := os.WriteFile(filepath.Join(dir, Name), whole[:cut], 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, FileName), whole[:cut], 0o600); err != nil {
 			t.Fatal(err)
 		}
 		c, err := Open(dir, m.readings, 0)
--- a/cmd/pineport-testbed/check.go
+++ b/cmd/pineport-testbed/check.go
@@ -59,8 +59,8 @@
 			violated := false
 			fmt.Fprintln(w, "day\tseed\tfigure\tjudgement")
 			for _, c := range cells {
-				fmt.Fprintf(w, "%s\t%d\t%.3f\t%s\n", c.Day+socketsSuffix(c), c.Seed, c.Verdict.Figure, c.Verdict.Short())
-				violated = violated || !c.Verdict.OK() || c.Verdict.Invalid != ""
+				fmt.Fprintf(w, "%s\t%d\t%.3f\t%s\n", c.Day+socketsSuffix(c), c.Seed, c.Verdict.Score, c.Verdict.Short())
+				violated = violated || !c.Verdict.OK() || c.Verdict.InvalidReason != ""
 			}
 			w.Flush()
 			for _, c := range cells {
--- a/cmd/pineport-testbed/compare.go
+++ b/cmd/pineport-testbed/compare.go
@@ -26,13 +26,13 @@
 //   - refused: number of throttled attempts
 //   - failed: number of attempts that failed, timed out, or found the endpoint unreachable or the connection broken
 var figures = map[string]func(*invariants.Verdict) float64{
-	"figure":  func(v *invariants.Verdict) float64 { return v.Figure },
-	"service": func(v *invariants.Verdict) float64 { return v.Service },
-	"whole":   func(v *invariants.Verdict) float64 { return v.Whole },
-	"window":  func(v *invariants.Verdict) float64 { return v.Window },
-	"net":     func(v *invariants.Verdict) float64 { return v.Service - v.Costs },
-	"falls":   func(v *invariants.Verdict) float64 { return float64(v.Counts.Falls) },
-	"refused": func(v *invariants.Verdict) float64 { return float64(v.Counts.Full) },
+	"figure":  func(v *invariants.Verdict) float64 { return v.Score },
+	"service": func(v *invariants.Verdict) float64 { return v.ServiceScore },
+	"whole":   func(v *invariants.Verdict) float64 { return v.Overall },
+	"window":  func(v *invariants.Verdict) float64 { return v.WorstWindow },
+	"net":     func(v *invariants.Verdict) float64 { return v.ServiceScore - v.Costs },
+	"falls":   func(v *invariants.Verdict) float64 { return float64(v.Counts.RouteOverloads) },
+	"refused": func(v *invariants.Verdict) float64 { return float64(v.Counts.Throttled) },
 	"failed": func(v *invariants.Verdict) float64 {
 		n := v.Counts
 		return float64(n.Failures + n.TimedOut + n.Unreachable + n.Broken)
@@ -43,12 +43,12 @@
 // intervalFigure returns a function that reads a figure for the time between from and to, in seconds of scenario time. The second result is
 // false if the figure is not available for a part of a scenario.
 func intervalFigure(figure string, from, to float64) (func(*invariants.Verdict) float64, bool) {
-	figureOf := map[string]func(invariants.Within) float64{
-		"whole":   func(w invariants.Within) float64 { return w.Priority },
-		"failed":  func(w invariants.Within) float64 { return w.Fails },
-		"refused": func(w invariants.Within) float64 { return w.Refused },
+	figureOf := map[string]func(invariants.IntervalTotals) float64{
+		"whole":   func(w invariants.IntervalTotals) float64 { return w.ValueShare },
+		"failed":  func(w invariants.IntervalTotals) float64 { return w.Failed },
+		"refused": func(w invariants.IntervalTotals) float64 { return w.Throttled },
 	}[figure]
-	return func(v *invariants.Verdict) float64 { return figureOf(v.Series.Between(from, to)) }, figureOf != nil
+	return func(v *invariants.Verdict) float64 { return figureOf(v.Series.Interval(from, to)) }, figureOf != nil
 }
 
 // figureSelector returns a function that reads a figure from a verdict: for the time between from and to, in seconds of scenario time, if to is
--- a/cmd/pineport-testbed/demo.go
+++ b/cmd/pineport-testbed/demo.go
@@ -32,16 +32,16 @@
 			printf := func(format string, args ...any) { fmt.Fprintf(cmd.OutOrStdout(), format, args...) }
 			printf("%s\n\n", d.About)
 			printf("%d couriers, %d destinations, about %.0f messages/s for %.0f s, all on loopback.\n", d.Fleet.Couriers,
-				len(w.Destinations), d.Traffic.FullPerSec*w.Load, d.Length)
+				len(w.Destinations), d.Traffic.FullLoadPerSec*w.Load, d.Length)
 			for i, dst := range w.Destinations {
 				printf("  destination %d: %s, %d endpoints, accepts %.1f calls/s, answers in %.0f ms\n", i, dst.KindName,
-					len(dst.Endpoints), dst.Limit.PerSec, float64(dst.Answer)/1000)
+					len(dst.Endpoints), dst.Limit.PerSec, float64(dst.ServiceTime)/1000)
 			}
 			printf("\nScheduled faults:\n")
 			report.WriteTimeline(cmd.OutOrStdout(), w, 10)
 			printf("\nRunning ...\n")
 			var mu sync.Mutex
-			v, cost, err := realtime.Play(cmd.Context(), w, realtime.Options{Binary: binary, OnAct: func(at dispatch.Micros, a scenario.Act) {
+			v, cost, err := realtime.Play(cmd.Context(), w, realtime.Options{Binary: binary, OnAct: func(at dispatch.Micros, a scenario.Event) {
 				mu.Lock()
 				defer mu.Unlock()
 				printf("  %5.1f s  %s\n", float64(at)/1e6, report.DescribeEvent(w, a))
@@ -53,7 +53,7 @@
 			report.WriteOutages(cmd.OutOrStdout(), w, v)
 			printf("\n")
 			report.WriteMessageCounts(cmd.OutOrStdout(), v)
-			printf("Value of the deliveries: %.0f %% of the value of all messages offered; verdict: %s. The couriers used %.2f s of CPU time.\n", 100*v.Whole, v.Short(),
+			printf("Value of the deliveries: %.0f %% of the value of all messages offered; verdict: %s. The couriers used %.2f s of CPU time.\n", 100*v.Overall, v.Short(),
 				cost.CourierCPU)
 			if out != "" {
 				files, err := report.DrawScenario(out, w, v)
@@ -62,7 +62,7 @@
 				}
 				printf("Charts in %s: %v\n", out, files)
 			}
-			if !v.OK() || v.Invalid != "" {
+			if !v.OK() || v.InvalidReason != "" {
 				return errRunFailed
 			}
 			return nil
--- a/cmd/pineport-testbed/fleet.go
+++ b/cmd/pineport-testbed/fleet.go
@@ -123,7 +123,7 @@
 	}
 	// Beyond the verdict, the run fails if a fault was never triggered or a quota was exceeded, or, with membership, if the couriers did not all
 	// know each other at the end or a courier underestimated the fleet size.
-	if !res.Verdict.OK() || res.Verdict.Invalid != "" || len(res.Idle) > 0 || len(res.Overspent) > 0 || o.Peers && (!res.Whole || res.Fewer > 0) {
+	if !res.Verdict.OK() || res.Verdict.InvalidReason != "" || len(res.Idle) > 0 || len(res.Overspent) > 0 || o.Peers && (!res.Whole || res.Fewer > 0) {
 		return errRunFailed
 	}
 	return nil
@@ -134,7 +134,7 @@
 	v := res.Verdict
 	fmt.Fprintf(w, "day\t%s, %d couriers\n", name, res.Couriers)
 	fmt.Fprintf(w, "judgement\t%s\n", v.Short())
-	fmt.Fprintf(w, "figure\t%.3f; messages offered %d, delivered %d, rejected %d, failed %d, lost %d\n", v.Figure, v.Counts.Offered, v.Counts.Done, v.Counts.Rejected,
+	fmt.Fprintf(w, "figure\t%.3f; messages offered %d, delivered %d, rejected %d, failed %d, lost %d\n", v.Score, v.Counts.Offered, v.Counts.Delivered, v.Counts.Rejected,
 		v.Counts.Failed, v.Counts.Lost)
 	printDurations := func(label string, all []float64) {
 		if len(all) > 0 {
@@ -151,7 +151,7 @@
 	fmt.Fprintf(w, "fleet size underestimated\tby a courier in %d samples\n", res.Fewer)
 	fmt.Fprintf(w, "membership complete at the end\t%v; if so, %.1f s after the last fault\n", res.Whole, res.Healed)
 	fmt.Fprintf(w, "each courier\tmembership %.1f packets/s, %.0f bytes/s; highest peak memory %.1f MB\n", res.Messages, res.Bytes, float64(res.Cost.MaxRSS)/1024)
-	fmt.Fprintf(w, "attempts\t%d, throttled %d; %.3f throttled per delivered message\n", v.Counts.Attempts, v.Counts.Full, float64(v.Counts.Full)/float64(max(1, v.Counts.Done)))
+	fmt.Fprintf(w, "attempts\t%d, throttled %d; %.3f throttled per delivered message\n", v.Counts.Attempts, v.Counts.Throttled, float64(v.Counts.Throttled)/float64(max(1, v.Counts.Delivered)))
 	if res.Packets > 0 {
 		fmt.Fprintf(w, "quota sharing\t%d leases observed, the largest %.2f of a base quota share; %.1f packets/s, %.0f bytes/s per courier\n", res.Leases, res.Widest, res.Packets, res.ShareBytes)
 	}
--- a/cmd/pineport-testbed/serve.go
+++ b/cmd/pineport-testbed/serve.go
@@ -40,13 +40,13 @@
 				return err
 			}
 			defer world.Close()
-			world.Guests = true
+			world.AllowUnknownMessages = true
 			if err := os.MkdirAll(filepath.Join(dir, "state"), 0o755); err != nil {
 				return err
 			}
 			for i := range d.Fleet.Couriers {
 				text, err := json.MarshalIndent(map[string]any{"name": fmt.Sprintf("n%d", i), "listen": fmt.Sprintf("%s:%d", listen, 7379+i),
-					"discovery": world.Discovery(i), "seed": strconv.FormatInt(seed+int64(i), 16), "known": world.Known(i), "settings": w.Settings(i),
+					"discovery": world.DirectoryAddress(i), "seed": strconv.FormatInt(seed+int64(i), 16), "known": world.InitialList(i), "settings": w.Settings(i),
 					"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024, "disk_mb": 3}}, "", "  ")
 				if err != nil {
 					return err
@@ -58,8 +58,8 @@
 				fmt.Fprintf(cmd.OutOrStdout(), "courier %d: RELAY_CONFIG=%s\n", i, path)
 			}
 			report.WriteTimeline(cmd.OutOrStdout(), w, 20)
-			ledger := invariants.New(invariants.ForDay(w)) // required by Begin; its verdict is not used
-			world.Begin(ledger, func(scenario.Act) {})
+			ledger := invariants.New(invariants.SetupFor(w)) // required by Begin; its verdict is not used
+			world.Start(ledger, func(scenario.Event) {})
 			<-cmd.Context().Done()
 			return nil
 		},
--- a/cmd/pineport/learned_test.go
+++ b/cmd/pineport/learned_test.go
@@ -38,7 +38,7 @@
 		return calls
 	}
 	before := hand("first")
-	file := filepath.Join(c.dir, "state", snapshot.Name)
+	file := filepath.Join(c.dir, "state", snapshot.FileName)
 	waitFor(t, "the file", 5*time.Second, func() bool { _, err := os.Stat(file); return err == nil })
 	time.Sleep(1200 * time.Millisecond) // what was learned in the last second
 	c.cmd.Process.Signal(syscall.SIGKILL)
--- a/cmd/pineport/reload_test.go
+++ b/cmd/pineport/reload_test.go
@@ -143,7 +143,7 @@
 			t.Fatal(err)
 		}
 	}
-	log, err := logging.New(io.Discard, logging.Options{Level: "info", Queue: 16})
+	log, err := logging.New(io.Discard, logging.Options{Level: "info", QueueSize: 16})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/pineport/spool.go
+++ b/cmd/pineport/spool.go
@@ -84,8 +84,8 @@
 		if n := len(message.Attempts); n > 0 {
 			last = cmp.Or(message.Attempts[n-1].Outcome, "out")
 		}
-		if message.Ended != "" {
-			state = message.Ended + ", notice not confirmed"
+		if message.FinalOutcome != "" {
+			state = message.FinalOutcome + ", notice not confirmed"
 		}
 		fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%d\t%s\t%s\n", message.ID, message.Class, message.Destination, time.UnixMicro(message.Deadline).Format(time.RFC3339), len(message.Attempts),
 			last, state)
--- a/cmd/pineport/state.go
+++ b/cmd/pineport/state.go
@@ -57,7 +57,7 @@
 
 func readState(path string) (state snapshot.State, size int, err error) {
 	if info, err := os.Stat(path); err == nil && info.IsDir() {
-		path = filepath.Join(path, snapshot.Name)
+		path = filepath.Join(path, snapshot.FileName)
 	}
 	content, err := os.ReadFile(path)
 	if err != nil {
--- a/handoff/folder.go
+++ b/handoff/folder.go
@@ -22,8 +22,8 @@
 	talkTimeout = 3 * time.Second
 )
 
-// Folder is the state folder, owned by this process.
-type Folder struct {
+// StateDir is the state folder, owned by this process.
+type StateDir struct {
 	dir      string
 	lock     *os.File
 	listener net.Listener
@@ -35,8 +35,8 @@
 
 // Acquire returns once this process owns the folder: at once where nobody does, or when its owner has handed it over or has
 // exited. The state and the link to the predecessor are nil unless it was handed over.
-func Acquire(ctx context.Context, dir, courier string, log *slog.Logger) (*Folder, *State, *Link, error) {
-	folder := &Folder{dir: dir}
+func Acquire(ctx context.Context, dir, courier string, log *slog.Logger) (*StateDir, *State, *Link, error) {
+	folder := &StateDir{dir: dir}
 	var err error
 	if folder.lock, err = os.OpenFile(filepath.Join(dir, lockName), os.O_CREATE|os.O_RDWR, 0o600); err != nil {
 		return nil, nil, nil, err
@@ -74,7 +74,7 @@
 }
 
 // awaitLock waits for the lock of a folder that was handed over: it is free before the state is sent.
-func (f *Folder) awaitLock(ctx context.Context, state *State, link *Link) (*Folder, *State, *Link, error) {
+func (f *StateDir) awaitLock(ctx context.Context, state *State, link *Link) (*StateDir, *State, *Link, error) {
 	for {
 		if free, err := f.tryLock(); free || err != nil {
 			return f, state, link, nil
@@ -89,7 +89,7 @@
 	}
 }
 
-func (f *Folder) tryLock() (bool, error) {
+func (f *StateDir) tryLock() (bool, error) {
 	err := syscall.Flock(int(f.lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 	if errors.Is(err, syscall.EWOULDBLOCK) {
 		return false, nil
@@ -98,12 +98,12 @@
 }
 
 // path is the path of the socket; the folder's own path may be too long for one.
-func (f *Folder) path() string {
+func (f *StateDir) path() string {
 	return fmt.Sprintf("/proc/self/fd/%d/%s", f.opened.Fd(), socketName)
 }
 
 // requestHandoff asks the owner to hand the folder over.
-func (f *Folder) requestHandoff(ctx context.Context, courier string) (*State, *Link, error) {
+func (f *StateDir) requestHandoff(ctx context.Context, courier string) (*State, *Link, error) {
 	conn, err := (&net.Dialer{Timeout: talkTimeout}).DialContext(ctx, "unix", f.path())
 	if err != nil {
 		return nil, nil, err
@@ -131,7 +131,7 @@
 }
 
 // Serve lets successors connect from now on; arrived is called for each, with its link and its hello.
-func (f *Folder) Serve(arrived func(*Link, *Hello)) error {
+func (f *StateDir) Serve(arrived func(*Link, *Hello)) error {
 	os.Remove(filepath.Join(f.dir, socketName)) // of an owner that has exited
 	l, err := net.Listen("unix", f.path())
 	if err != nil {
@@ -161,7 +161,7 @@
 }
 
 // Release frees the lock; whoever takes it owns the folder.
-func (f *Folder) Release() {
+func (f *StateDir) Release() {
 	if f.listener != nil {
 		f.listener.Close()
 	}
@@ -169,7 +169,7 @@
 }
 
 // Close frees the lock and the folder.
-func (f *Folder) Close() {
+func (f *StateDir) Close() {
 	f.Release()
 	f.opened.Close()
 }
--- a/handoff/folder_test.go
+++ b/handoff/folder_test.go
@@ -18,7 +18,7 @@
 
 var quiet = slog.New(slog.DiscardHandler)
 
-func acquire(t *testing.T, dir string) (*Folder, *State, *Link) {
+func acquire(t *testing.T, dir string) (*StateDir, *State, *Link) {
 	t.Helper()
 	folder, s, link, err := Acquire(t.Context(), dir, "n0", quiet)
 	if err != nil {
@@ -29,7 +29,7 @@
 }
 
 // serve plays an owner that gives to the first that knocks, and refuses all others.
-func serve(t *testing.T, folder *Folder, state *State) (links chan *Link) {
+func serve(t *testing.T, folder *StateDir, state *State) (links chan *Link) {
 	t.Helper()
 	links = make(chan *Link, 1)
 	g := NewPredecessor("n0")
--- a/handoff/machine.go
+++ b/handoff/machine.go
@@ -23,12 +23,12 @@
 
 // The decisions of a Predecessor.
 const (
-	Nothing  Decision = iota
-	Refuse            // send this successor a refusal, and close its link
-	HandOver          // stop deciding, free the folder, send the state, and report HandedOver
-	Apply             // carry out the message
-	Reclaim           // the successor is gone: own the folder again as soon as its lock is free
-	Drop              // close the link: the message makes no sense. SuccessorLost follows
+	Nothing   Decision = iota
+	Refuse             // send this successor a refusal, and close its link
+	HandOver           // stop deciding, free the folder, send the state, and report HandedOver
+	Apply              // carry out the message
+	Reclaim            // the successor is gone: own the folder again as soon as its lock is free
+	CloseLink          // close the link: the message makes no sense. SuccessorLost follows
 )
 
 // NewPredecessor returns the machine of a process that owns the folder of a courier.
@@ -71,7 +71,7 @@
 	case (message.Cancel != nil || message.RetryAfter != nil || message.Result != nil) && (p.phase == phaseHandedOver || p.phase == phaseForwarding):
 		return Apply
 	}
-	return Drop
+	return CloseLink
 }
 
 // SuccessorLost decides what to do when the link to the successor has ended.
--- a/handoff/machine_test.go
+++ b/handoff/machine_test.go
@@ -97,7 +97,7 @@
 			n := &m.news[i]
 			msg := n.toOld[0]
 			n.toOld = n.toOld[1:]
-			if m.predecessor.MessageReceived(&msg) == Drop {
+			if m.predecessor.MessageReceived(&msg) == CloseLink {
 				n.linked = false
 				m.lost()
 			}
@@ -176,11 +176,11 @@
 	if do, _ := g.HelloReceived(hello); do != Refuse {
 		t.Error("a second new process is not refused")
 	}
-	if g.MessageReceived(&Message{Serving: true}) != Drop {
+	if g.MessageReceived(&Message{Serving: true}) != CloseLink {
 		t.Error("serves before it was given anything")
 	}
-	if g.HandedOver(); g.Owns() || g.MessageReceived(&Message{State: &State{}}) != Drop || g.MessageReceived(&Message{Serving: true}) != Apply ||
-		g.MessageReceived(&Message{Serving: true}) != Drop || g.MessageReceived(&Message{Cancel: &AttemptID{}}) != Apply {
+	if g.HandedOver(); g.Owns() || g.MessageReceived(&Message{State: &State{}}) != CloseLink || g.MessageReceived(&Message{Serving: true}) != Apply ||
+		g.MessageReceived(&Message{Serving: true}) != CloseLink || g.MessageReceived(&Message{Cancel: &AttemptID{}}) != Apply {
 		t.Error("messages after the handoff")
 	}
 	if g.SuccessorLost() != Reclaim || !g.Owns() {
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -18,11 +18,11 @@
 
 // Options are how a log is kept.
 type Options struct {
-	Level   string
-	Levels  map[string]string // of single components
-	JSON    bool
-	Repeats time.Duration // a line that comes again within this is counted, and told once; 0: each is written
-	Queue   int           // lines that wait for the writer; further ones are dropped and counted
+	Level        string
+	Levels       map[string]string // of single components
+	JSON         bool
+	RepeatWindow time.Duration // a line that comes again within this is counted, and told once; 0: each is written
+	QueueSize    int           // lines that wait for the writer; further ones are dropped and counted
 }
 
 // Component is the attribute that says which part a line is of; levels go by it.
@@ -55,8 +55,8 @@
 
 // New begins a log that is written to out.
 func New(out io.Writer, o Options) (*Log, error) {
-	l := &Log{queue: make(chan []byte, max(1, o.Queue)), quit: make(chan struct{}), done: make(chan struct{}),
-		repeats: &repeats{within: o.Repeats, seen: map[string]*repeat{}}}
+	l := &Log{queue: make(chan []byte, max(1, o.QueueSize)), quit: make(chan struct{}), done: make(chan struct{}),
+		repeats: &repeats{within: o.RepeatWindow, seen: map[string]*repeat{}}}
 	if err := l.SetLevels(o.Level, o.Levels); err != nil {
 		return nil, err
 	}
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -35,7 +35,7 @@
 // TestLevels of components, and changed while it runs; a name that is no level changes nothing.
 func TestLevels(t *testing.T) {
 	var out sink
-	l, err := New(&out, Options{Level: "info", Levels: map[string]string{"spool": "debug", "links": "error"}, Queue: 100})
+	l, err := New(&out, Options{Level: "info", Levels: map[string]string{"spool": "debug", "links": "error"}, QueueSize: 100})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,7 +65,7 @@
 // TestRepeats: the same line is written once and counted; one with another value is another line. Every line is JSON.
 func TestRepeats(t *testing.T) {
 	var out sink
-	l, err := New(&out, Options{Level: "info", JSON: true, Repeats: time.Hour, Queue: 100})
+	l, err := New(&out, Options{Level: "info", JSON: true, RepeatWindow: time.Hour, QueueSize: 100})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -94,7 +94,7 @@
 // reads again.
 func TestStuckReader(t *testing.T) {
 	out := sink{stuck: make(chan struct{})}
-	l, err := New(&out, Options{Level: "info", Repeats: time.Second, Queue: 64})
+	l, err := New(&out, Options{Level: "info", RepeatWindow: time.Second, QueueSize: 64})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/maintenance/golden_test.go
+++ b/maintenance/golden_test.go
@@ -16,7 +16,7 @@
 	if err := NewWriter(dir, "n0").Write(1, map[string]bool{"s-1": true, "s-2": true}); err != nil {
 		t.Fatal(err)
 	}
-	content, err := os.ReadFile(filepath.Join(dir, Name))
+	content, err := os.ReadFile(filepath.Join(dir, FileName))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/maintenance/maintenance.go
+++ b/maintenance/maintenance.go
@@ -13,8 +13,8 @@
 	"pineport/atomicfile"
 )
 
-// Name of the file, in the folder that lasts.
-const Name = "maintenance.out"
+// FileName of the file, in the folder that lasts.
+const FileName = "maintenance.out"
 
 const (
 	magic   = "PPMT"
@@ -49,8 +49,8 @@
 
 // Read tells which endpoints are out, by the file in a folder; none where there is no file.
 func Read(dir, courier string) ([]string, error) {
-	content, err := atomicfile.Read(dir, Name, Limit)
-	if errors.Is(err, atomicfile.ErrAbsent) {
+	content, err := atomicfile.Read(dir, FileName, Limit)
+	if errors.Is(err, atomicfile.ErrNotExist) {
 		return nil, nil
 	}
 	if err != nil {
@@ -65,7 +65,7 @@
 	}
 	var b body
 	if err := json.Unmarshal(text, &b); err != nil {
-		return nil, fmt.Errorf("%w: %v", atomicfile.ErrTorn, err)
+		return nil, fmt.Errorf("%w: %v", atomicfile.ErrCorrupt, err)
 	}
 	if b.Courier != courier {
 		return nil, fmt.Errorf("%w: %q", ErrOtherCourier, b.Courier)
@@ -83,7 +83,7 @@
 
 // NewWriter makes a keeper for a folder, and removes what a write left behind that was cut off.
 func NewWriter(dir, courier string) *Writer {
-	atomicfile.RemoveLeftovers(dir, Name)
+	atomicfile.RemoveLeftovers(dir, FileName)
 	return &Writer{dir: dir, courier: courier}
 }
 
@@ -105,7 +105,7 @@
 	if turn <= k.written || k.stopped {
 		return nil
 	}
-	if err := atomicfile.Write(k.dir, Name, content); err != nil {
+	if err := atomicfile.Write(k.dir, FileName, content); err != nil {
 		return err
 	}
 	k.written = turn
--- a/maintenance/maintenance_test.go
+++ b/maintenance/maintenance_test.go
@@ -29,7 +29,7 @@
 	if out, err := Read(dir, "n0"); err != nil || !slices.Equal(out, []string{"a", "b"}) {
 		t.Fatalf("%v, %v", out, err)
 	}
-	sound, err := os.ReadFile(filepath.Join(dir, Name))
+	sound, err := os.ReadFile(filepath.Join(dir, FileName))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,15 +38,15 @@
 		courier string
 		fault   error
 	}{
-		"torn":         {sound[:len(sound)-1], "n0", atomicfile.ErrTorn},
-		"damaged":      {append(slices.Clone(sound[:len(sound)-1]), 'x'), "n0", atomicfile.ErrTorn},
-		"empty":        {nil, "n0", atomicfile.ErrTorn},
+		"torn":         {sound[:len(sound)-1], "n0", atomicfile.ErrCorrupt},
+		"damaged":      {append(slices.Clone(sound[:len(sound)-1]), 'x'), "n0", atomicfile.ErrCorrupt},
+		"empty":        {nil, "n0", atomicfile.ErrCorrupt},
 		"newer":        {atomicfile.Encode(magic, version+1, []byte("{}")), "n0", ErrVersion},
-		"other things": {atomicfile.Encode(magic, version, []byte("[]")), "n0", atomicfile.ErrTorn},
+		"other things": {atomicfile.Encode(magic, version, []byte("[]")), "n0", atomicfile.ErrCorrupt},
 		"stranger":     {sound, "n1", ErrOtherCourier},
 		"too large":    {make([]byte, Limit+1), "n0", atomicfile.ErrTooLarge},
 	} {
-		if err := os.WriteFile(filepath.Join(dir, Name), c.content, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, FileName), c.content, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if out, err := Read(dir, c.courier); len(out) > 0 || !errors.Is(err, c.fault) {
--- a/membership/incarnation/golden_test.go
+++ b/membership/incarnation/golden_test.go
@@ -15,7 +15,7 @@
 	if err := Store(dir, "n0", 41); err != nil {
 		t.Fatal(err)
 	}
-	content, err := os.ReadFile(filepath.Join(dir, Name))
+	content, err := os.ReadFile(filepath.Join(dir, FileName))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/server/admin.go
+++ b/server/admin.go
@@ -22,7 +22,7 @@
 	if dep.Ops == "" {
 		return 0
 	}
-	return min(16, dep.Sockets/24)
+	return min(16, dep.MaxDescriptors/24)
 }
 
 // command is one command of an operator; done gets its result once, after the step that carried it out.
@@ -55,13 +55,13 @@
 
 func (o *adminState) init(r *Server) {
 	o.server, o.disabled, o.drainAt, o.figuresAt = r, map[string]bool{}, never, never
-	o.writer = maintenance.NewWriter(r.deployment.Spool, r.deployment.Name)
+	o.writer = maintenance.NewWriter(r.deployment.StateDir, r.deployment.Name)
 	if r.deployment.Ops != "" {
 		o.figuresAt = 0
 	}
-	out, err := maintenance.Read(r.deployment.Spool, r.deployment.Name)
+	out, err := maintenance.Read(r.deployment.StateDir, r.deployment.Name)
 	if err != nil {
-		r.log.Error("disabled endpoints cannot be read: all are enabled", "file", maintenance.Name, "error", err)
+		r.log.Error("disabled endpoints cannot be read: all are enabled", "file", maintenance.FileName, "error", err)
 	}
 	for _, id := range out {
 		o.disabled[id] = true
--- a/server/calls.go
+++ b/server/calls.go
@@ -201,7 +201,7 @@
 	if a.BackoffMs > 0 {
 		s.keepRetryAfter(call.entry, s.now+dispatch.Micros(a.BackoffMs)*1000)
 	}
-	pressure := protocol.LoadValues(a.LoadReport, s.deployment.Report)
+	pressure := protocol.LoadValues(a.LoadReport, s.deployment.LoadReportFields)
 	for _, attempt := range call.attempts {
 		event := outcomeOf(a)
 		if ends != nil {
@@ -235,7 +235,7 @@
 
 // endpointTypeOf returns the type of an endpoint; false where the settings have none of that name.
 func (s *Server) endpointTypeOf(entry protocol.Endpoint) (dispatch.EndpointType, bool) {
-	i := slices.Index(s.deployment.Shapes, entry.EndpointType)
+	i := slices.Index(s.deployment.EndpointTypes, entry.EndpointType)
 	if i < 0 || i >= len(s.deployment.Dispatch.EndpointTypes) {
 		return dispatch.EndpointType{}, false
 	}
--- a/server/clients.go
+++ b/server/clients.go
@@ -30,7 +30,7 @@
 // clientLimits takes the limits of the deployment: four tenths of the descriptors, and half of them while many come at once, so that endpoints
 // and discovery always find some. An eighth of the memory goes to partial commands.
 func (s *Server) clientLimits() clientconn.Limits {
-	sockets := s.deployment.Sockets - AdminSockets(s.deployment)
+	sockets := s.deployment.MaxDescriptors - AdminSockets(s.deployment)
 	return clientconn.Limits{Conns: sockets * 4 / 10, Admitted: sockets / 2, PartialBytes: int64(s.deployment.MemoryMB) << 20 / 8}
 }
 
@@ -177,7 +177,7 @@
 			s.logSpoolError(err)
 		}
 		reply.text = protocol.ReplyBusy(0)
-		if errors.Is(err, spool.ErrBehind) {
+		if errors.Is(err, spool.ErrWriteFailed) {
 			reply.text = protocol.ReplyBusy(folderRetryMs)
 		}
 		s.count(stored.Class, rejected)
--- a/server/crossings_test.go
+++ b/server/crossings_test.go
@@ -89,7 +89,7 @@
 // onDisk is what a process that started now would find of a message.
 func onDisk(t *testing.T, r *Server, id string) *spool.Message {
 	t.Helper()
-	all, _, err := spool.Inspect(r.deployment.Spool)
+	all, _, err := spool.Inspect(r.deployment.StateDir)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/server/discovery.go
+++ b/server/discovery.go
@@ -234,7 +234,7 @@
 // addNotice owes the platform a notice for a message.
 func (p *discovery) addNotice(stored *spool.Message) {
 	p.notices = append(p.notices, &notice{until: dispatch.Micros(stored.Deadline) + noticeLifetime,
-		notice: protocol.Notice{ID: stored.ID, Rejected: stored.Ended == storedRejected, RetryAfterMs: stored.RetryAfterMs}})
+		notice: protocol.Notice{ID: stored.ID, Rejected: stored.FinalOutcome == storedRejected, RetryAfterMs: stored.RetryAfterMs}})
 }
 
 func (p *discovery) due() dispatch.Micros {
@@ -255,7 +255,7 @@
 // mustWait reports whether the end that a notice tells is not in the folder yet: a restart would take the message up again, and it could run
 // after its end was told. Past its deadline it would not.
 func (p *discovery) mustWait(n *notice) bool {
-	return p.server.spool.IsBehind(n.notice.ID) && p.server.now < n.until-noticeLifetime
+	return p.server.spool.InBacklog(n.notice.ID) && p.server.now < n.until-noticeLifetime
 }
 
 // tick does what is due.
@@ -326,7 +326,7 @@
 	}
 	for _, other := range call.notices {
 		if other.confirmed = other.confirmed || err == nil || p.server.now > other.until; other.confirmed {
-			p.server.logSpoolError(p.server.spool.Forget(other.notice.ID))
+			p.server.logSpoolError(p.server.spool.Remove(other.notice.ID))
 		} else {
 			other.next = min(other.next, p.callAt) // it failed at once
 		}
--- a/server/fleet.go
+++ b/server/fleet.go
@@ -5,9 +5,9 @@
 	"pineport/handoff"
 )
 
-// FleetSizeEstimated sets the size of the fleet for the dispatcher, from the next step on. It never waits, and no step waits for it:
+// SetFleetSize sets the size of the fleet for the dispatcher, from the next step on. It never waits, and no step waits for it:
 // whatever becomes of the membership, messages flow. Any goroutine may call it.
-func (s *Server) FleetSizeEstimated(couriers int) { s.estimatedSize.Store(int64(couriers)) }
+func (s *Server) SetFleetSize(couriers int) { s.estimatedSize.Store(int64(couriers)) }
 
 // OnHandoff has f give up this process's place in the fleet, at the instant at which a successor takes over.
 func (s *Server) OnHandoff(f func() *handoff.Membership) { s.onHandoff = f }
--- a/server/handoff.go
+++ b/server/handoff.go
@@ -15,8 +15,8 @@
 	"pineport/protocol"
 )
 
-// ErrReclaim is returned by Run where this process had handed over to a successor that has gone: it is to start again from the folder.
-var ErrReclaim = errors.New("the process that took over has gone")
+// ErrSuccessorLost is returned by Run where this process had handed over to a successor that has gone: it is to start again from the folder.
+var ErrSuccessorLost = errors.New("the process that took over has gone")
 
 type (
 	// successorArrived is a successor that is ready to take over.
@@ -52,16 +52,16 @@
 	u.server, u.machine, u.commands, u.release = r, handoff.NewPredecessor(r.deployment.Name), map[int64]chan commandResult{}, func() {}
 }
 
-// Successors lets successors take over; release frees the folder at that instant.
-func (s *Server) Successors(release func()) { s.handoff.release = release }
+// SetFolderRelease lets successors take over; release frees the folder at that instant.
+func (s *Server) SetFolderRelease(release func()) { s.handoff.release = release }
 
-// SuccessorArrived reports a successor that is ready to take over. Any goroutine may call it.
-func (s *Server) SuccessorArrived(link *handoff.Link, hello *handoff.Hello) {
+// SuccessorReady reports a successor that is ready to take over. Any goroutine may call it.
+func (s *Server) SuccessorReady(link *handoff.Link, hello *handoff.Hello) {
 	s.control <- successorArrived{link, hello}
 }
 
-// Predecessor joins the loop with the process that handed over to it.
-func (s *Server) Predecessor(link *handoff.Link) {
+// ConnectPredecessor joins the loop with the process that handed over to it.
+func (s *Server) ConnectPredecessor(link *handoff.Link) {
 	s.handoff.predecessor = link
 	go s.listenTo(link)
 }
@@ -172,7 +172,7 @@
 		}
 		r.operators.generation++
 		if err := r.operators.writer.Write(r.operators.generation, r.operators.disabled); err != nil {
-			r.log.Error("disabled endpoints cannot be stored", "file", maintenance.Name, "error", err)
+			r.log.Error("disabled endpoints cannot be stored", "file", maintenance.FileName, "error", err)
 		}
 	}
 	if state.Draining {
@@ -270,7 +270,7 @@
 	case event.link != u.successor:
 	case event.message == nil:
 		u.successorLost()
-	case u.machine.MessageReceived(event.message) == handoff.Drop:
+	case u.machine.MessageReceived(event.message) == handoff.CloseLink:
 		u.server.log.Error("unexpected message from the successor")
 		event.link.Close()
 	default:
@@ -375,7 +375,7 @@
 // same, and nobody decided any more.
 func (u *handoffState) successorLost() {
 	for _, done := range u.commands {
-		done <- commandResult{err: fmt.Errorf("asked in an upgrade: %w", ErrReclaim)}
+		done <- commandResult{err: fmt.Errorf("asked in an upgrade: %w", ErrSuccessorLost)}
 	}
 	clear(u.commands)
 	u.requested = false
@@ -386,8 +386,8 @@
 	}
 }
 
-// CountFrom continues the counters of an earlier event loop of this process.
-func (s *Server) CountFrom(before *Server) {
+// CopyCounters continues the counters of an earlier event loop of this process.
+func (s *Server) CopyCounters(before *Server) {
 	s.counters.endings, s.counters.calls = before.counters.endings, before.counters.calls
 	s.counters.grow(len(s.deployment.Classes))
 	s.operators.reloads = before.operators.reloads
--- a/server/message.go
+++ b/server/message.go
@@ -134,7 +134,7 @@
 	if !message.ended {
 		message.ended = true
 		s.counters.ended()
-		s.logSpoolError(s.spool.Forget(message.stored.ID))
+		s.logSpoolError(s.spool.Remove(message.stored.ID))
 	}
 }
 
--- a/server/quota.go
+++ b/server/quota.go
@@ -38,7 +38,7 @@
 }
 
 // sharesQuota reports whether limits are shared among couriers at all.
-func (s *Server) sharesQuota() bool { return s.deployment.Peers.Sharing() }
+func (s *Server) sharesQuota() bool { return s.deployment.Peers.SharesQuotas() }
 
 // reserveGranted is called at each start of a dispatcher: an earlier start, or a dispatcher that panicked, may have granted half of each
 // share.
--- a/server/recovery.go
+++ b/server/recovery.go
@@ -58,7 +58,7 @@
 		}
 	}
 	for _, kept := range unfinished {
-		if kept.Ended != "" {
+		if kept.FinalOutcome != "" {
 			s.discovery.addNotice(kept)
 			continue
 		}
--- a/server/reload.go
+++ b/server/reload.go
@@ -14,7 +14,7 @@
 // reload takes over a reloaded configuration while messages are held: unfinished messages, attempts in flight and Retry-After stay as they
 // are, and messages keep what they were promised when they were accepted. What must wait for a restart is logged.
 func (s *Server) reload(next *config.Deployment) {
-	waiting := s.deployment.Waiting(next)
+	waiting := s.deployment.RestartKeys(next)
 	merged := s.deployment.Merged(next)
 	if s.handoff.handedOver { // another process decides, by what it has read itself; should it go, the next event loop here begins with this
 		s.deployment = merged
@@ -36,10 +36,10 @@
 	s.counters.grow(len(merged.Classes))
 	s.clients.SetLimits(s.clientLimits())
 	s.endpointConns.SetLimits(s.endpointConnLimits())
-	if old.SpoolMB != merged.SpoolMB {
+	if old.DiskMB != merged.DiskMB {
 		s.spool.Resize(SpoolLimit(merged))
 	}
-	if !old.SameDecisions(merged) {
+	if !old.SameDispatch(merged) {
 		s.events = append(s.events, dispatch.Reconfigured{Config: s.dispatchConfig()})
 		s.shadow.reconfigure(s)
 	}
@@ -65,9 +65,9 @@
 
 // SpoolLimit is the spool's part of the state folder, in bytes.
 func SpoolLimit(dep *config.Deployment) int64 {
-	folder := int64(dep.SpoolMB * 1e6)
+	folder := int64(dep.DiskMB * 1e6)
 	left := folder - clock.Reserve
-	if dep.Learn > 0 {
+	if dep.SnapshotInterval > 0 {
 		room, _ := snapshot.Reserve(folder)
 		left -= room
 	}
--- a/server/server.go
+++ b/server/server.go
@@ -103,7 +103,7 @@
 	r.discovery.init(r)
 	r.counters.grow(len(dep.Classes))
 	r.operators.init(r)
-	list, err := protocol.ReadConfiguredList(dep.Known)
+	list, err := protocol.ReadConfiguredList(dep.KnownEndpoints)
 	if err != nil {
 		log.Warn("known endpoint list ignored", "key", "known", "error", err)
 	}
@@ -151,7 +151,7 @@
 		s.handoff.handOver()
 		if s.handoff.reclaim {
 			s.driver.Close()
-			return ErrReclaim
+			return ErrSuccessorLost
 		}
 		if s.mayExit() {
 			return s.finishShutdown()
@@ -189,14 +189,14 @@
 
 func (s *Server) openDriver() (*transport.Driver, error) {
 	var inherited net.Listener
-	if s.deployment.Socket > 0 {
-		l, err := transport.ListenerFromFD(s.deployment.Socket)
+	if s.deployment.SocketFD > 0 {
+		l, err := transport.ListenerFromFD(s.deployment.SocketFD)
 		if err != nil {
 			return nil, fmt.Errorf("socket_fd: %w", err)
 		}
 		inherited = l
 	}
-	return transport.Open(s.deployment.Listen, inherited, s.deployment.Sockets, s.log, s.clients.CanAccept, s.clients.Accept)
+	return transport.Open(s.deployment.Listen, inherited, s.deployment.MaxDescriptors, s.log, s.clients.CanAccept, s.clients.Accept)
 }
 
 func (s *Server) clock() dispatch.Micros {
@@ -208,7 +208,7 @@
 
 // spoolDue returns when the folder is tried again.
 func (s *Server) spoolDue() dispatch.Micros {
-	if s.spool.Behind() {
+	if s.spool.HasBacklog() {
 		return s.spoolRetryAt
 	}
 	return never
@@ -216,8 +216,8 @@
 
 // flushSpool writes what the folder did not take, now and then.
 func (s *Server) flushSpool() {
-	s.logSpoolError(s.spool.TakeFault())
-	if !s.spool.Behind() || s.now < s.spoolRetryAt {
+	s.logSpoolError(s.spool.TakeCompactionError())
+	if !s.spool.HasBacklog() || s.now < s.spoolRetryAt {
 		return
 	}
 	s.spoolRetryAt = s.now + spoolRetryInterval
--- a/server/shadow.go
+++ b/server/shadow.go
@@ -23,8 +23,8 @@
 	dispatch.StillAwaited: "waited_for", dispatch.OtherRetryAfter: "advised"}
 
 func (w *shadowState) start(r *Server) {
-	w.deployment, w.shadow = r.deployment.Watch, nil
-	w.interval = dispatch.Micros(r.deployment.WatchTell.Microseconds())
+	w.deployment, w.shadow = r.deployment.Shadow, nil
+	w.interval = dispatch.Micros(r.deployment.ShadowLogInterval.Microseconds())
 	if w.deployment != nil {
 		w.shadow, w.nextLogAt = dispatch.NewShadow(r.deployment.Merged(w.deployment).Dispatch), r.now+w.interval
 	}
--- a/server/snapshots.go
+++ b/server/snapshots.go
@@ -34,7 +34,7 @@
 	if before == nil || len(s.events) == 0 {
 		return
 	}
-	// CountFrom the list, which is the first event, and before the messages that were held.
+	// CopyCounters the list, which is the first event, and before the messages that were held.
 	s.events = append(s.events[:1:1], append([]dispatch.Event{dispatch.SnapshotRestored{Snapshot: *before}}, s.events[1:]...)...)
 }
 
--- a/snapshot/file.go
+++ b/snapshot/file.go
@@ -14,8 +14,8 @@
 	"pineport/dispatch"
 )
 
-// Name of the file, in the state folder.
-const Name = "learned.lore"
+// FileName of the file, in the state folder.
+const FileName = "learned.lore"
 
 // A file is that of package atomicfile, with CBOR in it.
 const (
@@ -27,8 +27,8 @@
 
 // Why a file is not used. Each is wrapped with what the file has in its place.
 var (
-	ErrAbsent       = atomicfile.ErrAbsent
-	ErrTorn         = atomicfile.ErrTorn
+	ErrNotExist     = atomicfile.ErrNotExist
+	ErrCorrupt      = atomicfile.ErrCorrupt
 	ErrTooLarge     = atomicfile.ErrTooLarge
 	ErrOlder        = errors.New("of a version that is too old")
 	ErrNewer        = errors.New("of a newer version")
@@ -107,7 +107,7 @@
 	case v == 1:
 		var b bodyV1
 		if err := decoder.Unmarshal(text, &b); err != nil {
-			return state, fmt.Errorf("%w: %v", ErrTorn, err)
+			return state, fmt.Errorf("%w: %v", ErrCorrupt, err)
 		}
 		state = State{b.Courier, dispatch.Snapshot{TakenAt: b.TakenAt, Groups: b.Groups, AnswerTimes: b.AnswerTimes}}
 	case v < 1:
@@ -115,7 +115,7 @@
 	default:
 		var b body
 		if err := decoder.Unmarshal(text, &b); err != nil {
-			return state, fmt.Errorf("%w: %v", ErrTorn, err)
+			return state, fmt.Errorf("%w: %v", ErrCorrupt, err)
 		}
 		state = State(b)
 	}
@@ -178,11 +178,11 @@
 }
 
 // Write replaces the file in a folder as a whole.
-func Write(dir string, content []byte) error { return atomicfile.Write(dir, Name, content) }
+func Write(dir string, content []byte) error { return atomicfile.Write(dir, FileName, content) }
 
 // Read reads the file in a folder for a courier, at an instant; an empty courier and an instant of 0 are not checked.
 func Read(dir, courier string, now dispatch.Micros, limit int) (State, error) {
-	content, err := atomicfile.Read(dir, Name, limit)
+	content, err := atomicfile.Read(dir, FileName, limit)
 	if err != nil {
 		return State{}, err
 	}
@@ -198,8 +198,8 @@
 	return state, nil
 }
 
-// Sweep removes what an interrupted write left behind, and returns how many files that were.
-func Sweep(dir string) (removed int) { return atomicfile.RemoveLeftovers(dir, Name) }
+// RemoveTempFiles removes what an interrupted write left behind, and returns how many files that were.
+func RemoveTempFiles(dir string) (removed int) { return atomicfile.RemoveLeftovers(dir, FileName) }
 
 // MaxSize is the most that a file may hold in any folder, in bytes.
 const MaxSize = 128 << 10
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -163,10 +163,10 @@
 		want    error
 	}{
 		"sound": {content, nil}, "older": {atomicfile.Encode(magic, 1, old), nil}, "oldest": {atomicfile.Encode(magic, 0, old), ErrOlder}, "newer": {atomicfile.Encode(magic, version+1, content[headSize:]), ErrNewer},
-		"empty": {nil, ErrTorn}, "huge": {make([]byte, 1<<17), ErrTooLarge}, "nonsense": {[]byte(strings.Repeat("x", 99)), ErrTorn},
+		"empty": {nil, ErrCorrupt}, "huge": {make([]byte, 1<<17), ErrTooLarge}, "nonsense": {[]byte(strings.Repeat("x", 99)), ErrCorrupt},
 	} {
 		dir := t.TempDir()
-		if err := os.WriteFile(filepath.Join(dir, Name), c.content, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, FileName), c.content, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		state, err := Read(dir, "n1", at+5, 1<<16)
@@ -175,7 +175,7 @@
 		}
 	}
 	dir := t.TempDir()
-	if _, err := Read(dir, "n1", at, 1<<16); !errors.Is(err, ErrAbsent) {
+	if _, err := Read(dir, "n1", at, 1<<16); !errors.Is(err, ErrNotExist) {
 		t.Error(err)
 	}
 	if err := Write(dir, content); err != nil {
@@ -188,16 +188,16 @@
 		t.Error(err)
 	}
 	for i := range content { // a write that was cut off at any byte leaves the old file, and is swept away
-		if err := os.WriteFile(filepath.Join(dir, "."+Name+"123"), content[:i], 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, "."+FileName+"123"), content[:i], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Read(dir, "n1", at, 1<<16); err != nil || Sweep(dir) != 1 {
+		if _, err := Read(dir, "n1", at, 1<<16); err != nil || RemoveTempFiles(dir) != 1 {
 			t.Fatal(i, err)
 		}
 	}
-	os.Remove(filepath.Join(dir, Name))
-	os.Mkdir(filepath.Join(dir, Name), 0o700)
-	if _, err := Read(dir, "n1", at, 1<<16); !errors.Is(err, ErrTorn) {
+	os.Remove(filepath.Join(dir, FileName))
+	os.Mkdir(filepath.Join(dir, FileName), 0o700)
+	if _, err := Read(dir, "n1", at, 1<<16); !errors.Is(err, ErrCorrupt) {
 		t.Error(err)
 	}
 	if room, limit := Reserve(3e6); room != int64(2*limit) || limit%block != 0 || limit < 64<<10 {
@@ -241,13 +241,13 @@
 			fmt.Sscan(line, &finished)
 		}
 		state, err := Read(dir, "n1", at+1e9, 1<<18)
-		if errors.Is(err, ErrAbsent) && finished == 0 {
+		if errors.Is(err, ErrNotExist) && finished == 0 {
 			continue
 		}
 		if err != nil || finished > 0 && int(state.Snapshot.TakenAt-at) < finished || len(state.Snapshot.Groups) != 300 {
 			t.Fatalf("kill %d: %v; %d finished, read %d", n, err, finished, state.Snapshot.TakenAt-at)
 		}
-		swept += Sweep(dir)
+		swept += RemoveTempFiles(dir)
 	}
 	t.Logf("%d kills, %d in the middle of a write", *kills, swept)
 }
--- a/spool/behind.go
+++ b/spool/behind.go
@@ -9,8 +9,8 @@
 // memory, and is written as a whole, in the order in which messages fell behind and before anything later, once the folder takes writes again.
 // So what waits is bounded by the messages that are held.
 
-// ErrBehind is returned where the folder fails, and what was to be stored is in memory alone.
-var ErrBehind = errors.New("spool: the folder fails")
+// ErrWriteFailed is returned where the folder fails, and what was to be stored is in memory alone.
+var ErrWriteFailed = errors.New("spool: the folder fails")
 
 // segmentFile is the segment that is written to, as the system has it.
 type segmentFile interface {
@@ -37,18 +37,18 @@
 	}
 }
 
-// Behind reports whether something is in memory alone. Flush writes it.
-func (s *Spool) Behind() bool { return len(s.backlog.order) > 0 }
+// HasBacklog reports whether something is in memory alone. Flush writes it.
+func (s *Spool) HasBacklog() bool { return len(s.backlog.order) > 0 }
 
-// IsBehind reports whether something of a message is in memory alone.
-func (s *Spool) IsBehind(id string) bool { return s.backlog.ids[id] }
+// InBacklog reports whether something of a message is in memory alone.
+func (s *Spool) InBacklog(id string) bool { return s.backlog.ids[id] }
 
 // Flush writes what is in memory alone; what fails stays there, and what comes after it.
 func (s *Spool) Flush() error {
 	for len(s.backlog.order) > 0 {
 		id := s.backlog.order[0]
 		if err := s.writeWhole(id); err != nil {
-			return errors.Join(ErrBehind, err)
+			return errors.Join(ErrWriteFailed, err)
 		}
 		s.backlog.order = s.backlog.order[1:]
 		delete(s.backlog.ids, id)
--- a/spool/behind_test.go
+++ b/spool/behind_test.go
@@ -108,13 +108,13 @@
 					t.Fatalf("seed %d: not discarded in a folder that is well", seed)
 				}
 			default:
-				_ = s.Forget(id)
+				_ = s.Remove(id)
 				delete(want, id)
 				ids = without(ids, id)
 			}
 		}
 		m.fails, m.noCuts = false, false
-		if err := s.Flush(); err != nil || s.Behind() {
+		if err := s.Flush(); err != nil || s.HasBacklog() {
 			t.Fatalf("seed %d: not written by a folder that is well: %v", seed, err)
 		}
 		struck, partial = struck+m.struck, partial+m.partial
@@ -169,9 +169,9 @@
 			t.Fatalf("stored %v, told %v", stored, err)
 		}
 		if err == nil {
-			must(t, s.Forget(id))
+			must(t, s.Remove(id))
 		}
-		if s.TakeFault() != nil {
+		if s.TakeCompactionError() != nil {
 			faults++
 		}
 	}
--- a/spool/entry.go
+++ b/spool/entry.go
@@ -66,7 +66,7 @@
 			entry.message.Attempts[update.Attempt].Outcome = update.Outcome
 		}
 	case kindEnd:
-		entry.message.Ended, entry.message.RetryAfterMs = update.Outcome, update.RetryAfterMs
+		entry.message.FinalOutcome, entry.message.RetryAfterMs = update.Outcome, update.RetryAfterMs
 	case kindForgotten:
 		s.forget(update.ID)
 	default:
--- a/spool/golden_test.go
+++ b/spool/golden_test.go
@@ -39,7 +39,7 @@
 	take("failed")
 	check(s.Finish("failed", "terminated", 0))
 	take("over")
-	check(s.Forget("over"))
+	check(s.Remove("over"))
 }
 
 // TestSegmentIsAsRecorded: messages of every state are written byte by byte as recorded; the recorded segment, which an earlier
--- a/spool/spool.go
+++ b/spool/spool.go
@@ -34,7 +34,7 @@
 	Resubmitted    bool      `json:"a,omitempty"`
 	Deadline       int64     `json:"c"`
 	Attempts       []Attempt `json:"t,omitempty"`
-	Ended          string    `json:"x,omitempty"` // how it ended, while its notice is not confirmed
+	FinalOutcome   string    `json:"x,omitempty"` // how it ended, while its notice is not confirmed
 	RetryAfterMs   int64     `json:"m,omitempty"`
 	Body           []byte    `json:"-"`
 }
@@ -166,14 +166,14 @@
 	}
 }
 
-// TakeFault returns a fault of a compaction, once.
-func (s *Spool) TakeFault() error {
+// TakeCompactionError returns a fault of a compaction, once.
+func (s *Spool) TakeCompactionError() error {
 	fault := s.fault
 	s.fault = nil
 	return fault
 }
 
-// BeginAttempt stores an attempt before it is sent; a message that is not held is ignored. After ErrBehind a restart would not know of it.
+// BeginAttempt stores an attempt before it is sent; a message that is not held is ignored. After ErrWriteFailed a restart would not know of it.
 func (s *Spool) BeginAttempt(id string, t Attempt) error {
 	if entry := s.entries[id]; entry != nil {
 		entry.message.Attempts = append(entry.message.Attempts, t)
@@ -194,7 +194,7 @@
 // Finish stores how a message ended, while its notice is to be confirmed.
 func (s *Spool) Finish(id, how string, againMs int64) error {
 	if entry := s.entries[id]; entry != nil {
-		entry.message.Ended, entry.message.RetryAfterMs = how, againMs
+		entry.message.FinalOutcome, entry.message.RetryAfterMs = how, againMs
 		return s.writeUpdate(kindEnd, update{ID: id, Outcome: how, RetryAfterMs: againMs})
 	}
 	return nil
@@ -209,15 +209,15 @@
 		return err
 	}
 	if err := s.write(encodeUpdate(kindForgotten, update{ID: id})); err != nil {
-		return errors.Join(ErrBehind, err)
+		return errors.Join(ErrWriteFailed, err)
 	}
 	s.forget(id)
 	s.compactNow()
 	return nil
 }
 
-// Forget stores that nothing more is owed for a message.
-func (s *Spool) Forget(id string) error {
+// Remove stores that nothing more is owed for a message.
+func (s *Spool) Remove(id string) error {
 	if s.entries[id] == nil {
 		return nil
 	}
@@ -228,13 +228,13 @@
 // writeUpdate writes a change that is in memory already. Failure: one that the folder did not take was never written again, and a message
 // that was over was owed after a restart.
 func (s *Spool) writeUpdate(kind byte, update update) error {
-	if s.Behind() {
+	if s.HasBacklog() {
 		s.backlog.add(update.ID)
 		return s.Flush()
 	}
 	if err := s.write(encodeUpdate(kind, update)); err != nil {
 		s.backlog.add(update.ID)
-		return errors.Join(ErrBehind, err)
+		return errors.Join(ErrWriteFailed, err)
 	}
 	s.compactNow()
 	return nil
--- a/spool/spool_test.go
+++ b/spool/spool_test.go
@@ -33,13 +33,13 @@
 	a := &Message{ID: "a", Class: "w", Destination: 3, Tenant: "p", OrderingKey: "k", IdempotencyKey: "m", Resubmitted: true, Deadline: 99, Body: []byte("\x00\r\n")}
 	must(t, s.Append(a), s.Append(&Message{ID: "b"}), s.Append(&Message{ID: "c"}), s.Append(&Message{ID: "d"}),
 		s.BeginAttempt("a", Attempt{Endpoint: "e", Zone: 1, SentAt: 5}), s.FinishAttempt("a", 0, "full"), s.BeginAttempt("a", Attempt{Endpoint: "f", SentAt: 6}),
-		s.Forget("b"), s.Finish("c", "bounced", 70))
+		s.Remove("b"), s.Finish("c", "bounced", 70))
 	if err := s.Append(&Message{ID: "a"}); err == nil {
 		t.Error("taken twice")
 	}
 	_, got, faults := open(t, dir, 1e6)
 	want := []*Message{{ID: "a", Number: 1, Class: "w", Destination: 3, Tenant: "p", OrderingKey: "k", IdempotencyKey: "m", Resubmitted: true, Deadline: 99, Body: []byte("\x00\r\n"),
-		Attempts: []Attempt{{"e", 1, 5, "full"}, {"f", 0, 6, ""}}}, {ID: "c", Number: 3, Ended: "bounced", RetryAfterMs: 70, Body: []byte{}}, {ID: "d", Number: 4, Body: []byte{}}}
+		Attempts: []Attempt{{"e", 1, 5, "full"}, {"f", 0, 6, ""}}}, {ID: "c", Number: 3, FinalOutcome: "bounced", RetryAfterMs: 70, Body: []byte{}}, {ID: "d", Number: 4, Body: []byte{}}}
 	if len(faults) > 0 || !reflect.DeepEqual(got, want) {
 		t.Errorf("%v, %+v", faults, got)
 	}
@@ -62,7 +62,7 @@
 	note(1)
 	must(t, s.Append(&Message{ID: "b"}))
 	note(2)
-	must(t, s.Forget("a"))
+	must(t, s.Remove("a"))
 	note(1)
 	name := s.path(s.segments[len(s.segments)-1].number)
 	whole, err := os.ReadFile(name)
@@ -135,7 +135,7 @@
 			}
 		default:
 			k := rng.Intn(len(ids))
-			must(t, s.Finish(ids[k], "bounced", 5), s.Forget(ids[k]))
+			must(t, s.Finish(ids[k], "bounced", 5), s.Remove(ids[k]))
 			delete(live, ids[k])
 			ids = append(ids[:k], ids[k+1:]...)
 		}
--- a/testbed/experiment/experiment.go
+++ b/testbed/experiment/experiment.go
@@ -90,7 +90,7 @@
 
 // Plan lists the scenarios, seeds and variants to run. Jobs is the number of concurrent runs.
 type Plan struct {
-	Days     []*scenario.Day
+	Days     []*scenario.Definition
 	Seeds    []int64
 	Variants []Variant
 	Jobs     int
@@ -129,7 +129,7 @@
 }
 
 // RunOne runs one scenario once.
-func RunOne(d *scenario.Day, seed int64, v Variant) (c Cell, err error) {
+func RunOne(d *scenario.Definition, seed int64, v Variant) (c Cell, err error) {
 	host, err := v.OpenHost()
 	if err != nil {
 		return Cell{}, err
--- a/testbed/fleet/fleet.go
+++ b/testbed/fleet/fleet.go
@@ -113,14 +113,14 @@
 	Deaths  []float64 `json:"deaths_known_s"`
 	Returns []float64 `json:"returns_known_s"`
 	// False counts deaths believed while the courier was up, by kind of fault that was on (none: no fault).
-	False    map[string]int  `json:"deaths_believed_that_were_none"`
-	Fewer    int             `json:"counted_fewer"` // looks at which a courier counted on fewer than there are
-	Whole    bool            `json:"whole_at_the_end"`
-	Healed   float64         `json:"whole_after_the_last_fault_s"`
-	Messages float64         `json:"packets_a_second_each"`
-	Bytes    float64         `json:"bytes_a_second_each"`
-	Hours    float64         `json:"process_hours"`
-	Drawn    *scenario.Drawn `json:"-"`
+	False    map[string]int     `json:"deaths_believed_that_were_none"`
+	Fewer    int                `json:"counted_fewer"` // looks at which a courier counted on fewer than there are
+	Whole    bool               `json:"whole_at_the_end"`
+	Healed   float64            `json:"whole_after_the_last_fault_s"`
+	Messages float64            `json:"packets_a_second_each"`
+	Bytes    float64            `json:"bytes_a_second_each"`
+	Hours    float64            `json:"process_hours"`
+	Drawn    *scenario.Instance `json:"-"`
 	// Of what couriers share: leases that were seen, what was wrong with them, and what was heard.
 	Leases     int      `json:"loans_seen"`
 	Widest     float64  `json:"widest_loan"` // of a base part
@@ -130,7 +130,7 @@
 	ShareBytes float64  `json:"commons_bytes_a_second_each"`
 }
 
-// Parts is what of each limit was granted and leased over time, as shares of it summed over couriers, by destination and invariants.Bin.
+// Parts is what of each limit was granted and leased over time, as shares of it summed over couriers, by destination and invariants.BinLength.
 type Parts map[int32]*LeaseTotals
 
 // LeaseTotals is one destination's.
@@ -143,7 +143,7 @@
 func (r *rig) total(now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	bin := int(now.Microseconds() / int64(invariants.Bin))
+	bin := int(now.Microseconds() / int64(invariants.BinLength))
 	sums := map[int32][2]float64{}
 	for _, s := range r.shared {
 		for _, l := range s.Groups {
@@ -213,7 +213,7 @@
 		d.Fleet.Couriers = p.Couriers
 	}
 	if p.Load > 0 {
-		d.Traffic.FullPerSec = p.Load * float64(d.Fleet.Couriers)
+		d.Traffic.FullLoadPerSec = p.Load * float64(d.Fleet.Couriers)
 	}
 	d.Length = p.Length
 	if o.Pace == 0 {
@@ -325,7 +325,7 @@
 func (r *rig) copies() map[int][]byte {
 	keep := map[int][]byte{}
 	for _, c := range r.field.Couriers() {
-		if text, err := os.ReadFile(filepath.Join(c.Dir, "state", incarnation.Name)); err == nil {
+		if text, err := os.ReadFile(filepath.Join(c.Dir, "state", incarnation.FileName)); err == nil {
 			keep[c.No] = text
 		}
 	}
@@ -362,7 +362,7 @@
 			if f.Kind == Roll {
 				part := f.Length / float64(len(f.From))
 				wait(f.At + float64(i)*part)
-				r.away(no, scenario.Asks, min(part, 5), stop, nil)
+				r.away(no, scenario.CourierStopRequested, min(part, 5), stop, nil)
 				return
 			}
 			r.process(f, no, stop, keep)
@@ -376,20 +376,20 @@
 	state := filepath.Join(c.Dir, "state")
 	switch f.Kind {
 	case Stop:
-		r.field.Act(scenario.Act{Kind: scenario.Stands, Courier: no, Span: dispatch.Micros(f.Length * 1e6)})
+		r.field.Act(scenario.Event{Kind: scenario.CourierPaused, Courier: no, Duration: dispatch.Micros(f.Length * 1e6)})
 		time.Sleep(time.Duration(f.Length * float64(time.Second)))
 	case Kill:
-		r.away(no, scenario.Kills, f.Length, stop, nil)
+		r.away(no, scenario.CourierKilled, f.Length, stop, nil)
 	case Empty:
-		r.away(no, scenario.Kills, f.Length, stop, func() { os.Remove(filepath.Join(state, incarnation.Name)) })
+		r.away(no, scenario.CourierKilled, f.Length, stop, func() { os.Remove(filepath.Join(state, incarnation.FileName)) })
 	case Older:
-		r.away(no, scenario.Kills, f.Length, stop, func() {
+		r.away(no, scenario.CourierKilled, f.Length, stop, func() {
 			if text := keep[no]; text != nil {
-				os.WriteFile(filepath.Join(state, incarnation.Name), text, 0o600)
+				os.WriteFile(filepath.Join(state, incarnation.FileName), text, 0o600)
 			}
 		})
 	case Address:
-		r.away(no, scenario.Kills, f.Length, stop, func() {
+		r.away(no, scenario.CourierKilled, f.Length, stop, func() {
 			if at, err := Free(no); err == nil {
 				r.mu.Lock()
 				r.gossip[no] = at
@@ -401,12 +401,12 @@
 }
 
 // away takes a courier down for a while and starts it again, after what is done to its folder.
-func (r *rig) away(no int, how scenario.ActKind, span float64, stop <-chan struct{}, meanwhile func()) {
+func (r *rig) away(no int, how scenario.EventKind, span float64, stop <-chan struct{}, meanwhile func()) {
 	r.mu.Lock()
 	r.down[no] = time.Now()
 	r.mu.Unlock()
-	r.field.Act(scenario.Act{Kind: how, Courier: no})
-	if how == scenario.Asks { // it goes on for some seconds
+	r.field.Act(scenario.Event{Kind: how, Courier: no})
+	if how == scenario.CourierStopRequested { // it goes on for some seconds
 		c := r.field.Couriers()[no]
 		for c.Running() {
 			select {
@@ -426,7 +426,7 @@
 	r.mu.Lock()
 	r.starts[no]++
 	r.mu.Unlock()
-	r.field.Act(scenario.Act{Kind: scenario.Starts, Courier: no})
+	r.field.Act(scenario.Event{Kind: scenario.CourierStarted, Courier: no})
 	r.mu.Lock()
 	delete(r.down, no)
 	r.back[no] = time.Now()
@@ -466,7 +466,7 @@
 		for _, line := range s.Groups {
 			var route []invariants.Lease
 			for _, lease := range of(line) {
-				route = append(route, invariants.Lease{Who: lease.Courier, No: lease.LeaseID, Units: int64(lease.Units), Base: int64(line.Base)})
+				route = append(route, invariants.Lease{Peer: lease.Courier, ID: lease.LeaseID, Units: int64(lease.Units), Base: int64(line.Base)})
 			}
 			all = append(all, route)
 		}
@@ -475,7 +475,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.shared[no] = s
-	r.leases.Saw(invariants.Look{Name: fmt.Sprintf("n%d", no), Start: s.Incarnation, From: dispatch.Micros(from.Microseconds()), To: dispatch.Micros(to.Microseconds()),
+	r.leases.Observe(invariants.Observation{Name: fmt.Sprintf("n%d", no), Incarnation: s.Incarnation, From: dispatch.Micros(from.Microseconds()), To: dispatch.Micros(to.Microseconds()),
 		Granted: leases(func(l quota.Status) []quota.LeaseStatus { return l.Grants }), Used: leases(func(l quota.Status) []quota.LeaseStatus { return l.Leases })})
 }
 
@@ -587,7 +587,7 @@
 		r.res.Messages += float64(l.Figures.Network.PacketsOut) / seconds
 		r.res.Bytes += float64(l.Figures.Network.BytesOut) / seconds
 	}
-	r.res.Leases, r.res.Widest, r.res.Overspent = r.leases.Seen, r.leases.Widest, r.leases.Breaches
+	r.res.Leases, r.res.Widest, r.res.Overspent = r.leases.LeaseCount, r.leases.MaxLeasedShare, r.leases.Breaches
 	for _, s := range r.shared {
 		r.res.Packets += float64(s.PacketsOut) / seconds
 		r.res.ShareBytes += float64(s.BytesOut) / seconds
--- a/testbed/fleet/fleet_test.go
+++ b/testbed/fleet/fleet_test.go
@@ -60,7 +60,7 @@
 	if !strings.Contains(trace.String(), `"what":"cut"`) {
 		t.Error("the trace does not show the cut")
 	}
-	t.Logf("%v; %d messages done, longest until a death was known %.1f s", res.Struck, res.Verdict.Counts.Done, longest(res.Deaths))
+	t.Logf("%v; %d messages done, longest until a death was known %.1f s", res.Struck, res.Verdict.Counts.Delivered, longest(res.Deaths))
 }
 
 // TestSharedLimits: twelve real couriers grant one another parts of few limits, on a day with too much for them, while half of them are
@@ -91,7 +91,7 @@
 	if res.Leases < 20 {
 		t.Errorf("only %d leases were seen", res.Leases)
 	}
-	t.Logf("%v; %d leases, at most %.2f of a part; %d refused, %d done", res.Struck, res.Leases, res.Widest, res.Verdict.Counts.Full, res.Verdict.Counts.Done)
+	t.Logf("%v; %d leases, at most %.2f of a part; %d refused, %d done", res.Struck, res.Leases, res.Widest, res.Verdict.Counts.Throttled, res.Verdict.Counts.Delivered)
 }
 
 func longest(all []float64) (most float64) {
--- a/testbed/realtime/client.go
+++ b/testbed/realtime/client.go
@@ -26,8 +26,8 @@
 // startClient submits message i of the scenario for the first time.
 func (r *run) startClient(i int) {
 	a := r.drawn.Arrivals[i]
-	class := r.drawn.Day.Classes[a.Class]
-	cl := &client{id: dispatch.MessageID("r" + strconv.Itoa(i)), arrival: a, dueAt: a.At, deadline: a.At + dispatch.Micros(class.CutOff*1e6)}
+	class := r.drawn.Definition.Classes[a.Class]
+	cl := &client{id: dispatch.MessageID("r" + strconv.Itoa(i)), arrival: a, dueAt: a.At, deadline: a.At + dispatch.Micros(class.Deadline*1e6)}
 	r.ledger.Offered(a.At, cl.id, int(a.Class), int(a.Tenant), dispatch.DestinationID(a.Dest))
 	r.addPending(1)
 	r.submit(cl, int(a.Courier), false, false)
@@ -58,7 +58,7 @@
 // nextCourier returns the courier for the next submission, after the given courier rejected the message or did not reply: the same courier if
 // each client has its own, else a random one.
 func (r *run) nextCourier(courier int) int {
-	if r.drawn.Day.Fleet.Entry == "own" {
+	if r.drawn.Definition.Fleet.ClientRouting == "own" {
 		return courier
 	}
 	r.mu.Lock()
@@ -90,16 +90,16 @@
 	r.clients[id] = cl
 	r.mu.Unlock()
 	a := cl.arrival
-	class := r.drawn.Day.Classes[a.Class]
+	class := r.drawn.Definition.Classes[a.Class]
 	key := dispatch.OrderingKey("")
 	if a.Key >= 0 {
 		key = dispatch.OrderingKey("k" + strconv.Itoa(int(a.Key)))
 	}
-	r.world.Expect(id, environment.Message{Origin: origin, Courier: courier, Work: int(a.Class), Dest: int(a.Dest)})
-	r.ledger.Taken(now, id, cl.id, courier, key, cl.deadline)
+	r.world.Expect(id, environment.Message{Origin: origin, Courier: courier, Class: int(a.Class), Dest: int(a.Dest)})
+	r.ledger.Accepted(now, id, cl.id, courier, key, cl.deadline)
 	message := load.Message{ID: string(id), Class: class.Name, TimeToLive: time.Duration(cl.deadline-now) * time.Microsecond, Dest: int(a.Dest),
 		OrderingKey: string(key), Resubmitted: resubmitted, MayBeHeld: mayBeHeld, Body: r.body}
-	if tenants := r.drawn.Day.Tenants; len(tenants) > 0 {
+	if tenants := r.drawn.Definition.Tenants; len(tenants) > 0 {
 		message.Tenant = tenants[a.Tenant].Name
 	}
 	reply := r.pools[courier].Do(load.EncodeEnqueue(message))
@@ -108,12 +108,12 @@
 	case load.OK:
 		// Accepted: the courier must now deliver the message or send a notice for it.
 	case load.Busy:
-		r.world.Drop(id)
-		r.ledger.Ended(now, id, invariants.Rejected)
+		r.world.MarkEnded(id)
+		r.ledger.MessageEnded(now, id, invariants.Rejected)
 		r.retryRejected(cl, courier, reply.RetryAfter)
 	case load.Failed:
-		r.world.Drop(id)
-		r.ledger.Ended(now, id, invariants.Failed)
+		r.world.MarkEnded(id)
+		r.ledger.MessageEnded(now, id, invariants.Failed)
 	default:
 		r.handleUnanswered(cl, id, courier, reply)
 	}
@@ -122,15 +122,15 @@
 // handleUnanswered handles a submission without a reply: the courier was unreachable, the connection ended, or the reply timed out.
 func (r *run) handleUnanswered(cl *client, id dispatch.MessageID, courier int, reply load.Reply) {
 	now := r.world.Clock.Now()
-	if reply.Kind == load.ConnectionLost && r.couriers[courier].Up() && !r.ledger.Excused(now, courier) {
+	if reply.Kind == load.ConnectionLost && r.couriers[courier].Up() && !r.ledger.IsExcused(now, courier) {
 		r.ledger.Unanswered(now, id, courier)
 	}
-	r.world.Drop(id)
-	r.ledger.Ended(now, id, invariants.Dropped)
+	r.world.MarkEnded(id)
+	r.ledger.MessageEnded(now, id, invariants.Dropped)
 	r.mu.Lock()
 	cl.unanswered++
 	r.mu.Unlock()
-	delay := r.randomDuration(r.drawn.Day.Clients.Again)
+	delay := r.randomDuration(r.drawn.Definition.Clients.ResubmitAfter)
 	if reply.Kind == load.Unreachable {
 		delay /= 4 // the client notices a refused connection sooner than a missing reply
 	}
@@ -139,19 +139,19 @@
 
 // retryRejected submits a rejected message again after a backoff, up to the configured number of retries.
 func (r *run) retryRejected(cl *client, courier int, retryAfter time.Duration) {
-	d := r.drawn.Day.Clients
+	d := r.drawn.Definition.Clients
 	r.mu.Lock()
 	if cl.retries >= d.Retries {
 		r.mu.Unlock()
 		return
 	}
-	followsRetryAfter := r.rng.Float64() < d.Heed
+	followsRetryAfter := r.rng.Float64() < d.HonorRetryAfterShare
 	n := cl.retries
 	cl.retries++
 	r.mu.Unlock()
 	wait := r.randomDuration(scenario.Range{d.Backoff[0] / 1000, d.Backoff[1] / 1000}) << n
 	if retryAfter > 0 && followsRetryAfter {
-		wait = min(retryAfter, time.Duration(r.drawn.Day.Fleet.LongestWait*float64(time.Second)))
+		wait = min(retryAfter, time.Duration(r.drawn.Definition.Fleet.MaxRetryAfter*float64(time.Second)))
 	}
 	r.submitLater(cl, wait, r.nextCourier(courier), true, false)
 }
--- a/testbed/realtime/realtime.go
+++ b/testbed/realtime/realtime.go
@@ -29,7 +29,7 @@
 	Log          *slog.Logger
 	ReadyTimeout time.Duration // limit for a courier to answer PING after its start; 0: 10 s
 	// OnAct is called for each scheduled event when it happens; nil: not called.
-	OnAct func(at dispatch.Micros, a scenario.Act)
+	OnAct func(at dispatch.Micros, a scenario.Event)
 	// Reload is the interval at which each courier's settings are changed and reloaded with SIGHUP; 0: never.
 	Reload time.Duration
 	// Extra returns additional configuration of a courier, which overrides the generated configuration key by key; nil: none.
@@ -50,7 +50,7 @@
 func (f *Field) Since() time.Duration { return time.Since(f.run.world.Clock.Start) }
 
 // Act carries out a scheduled event of a courier and records it in the ledger.
-func (f *Field) Act(a scenario.Act) { f.run.applyAct(a) }
+func (f *Field) Act(a scenario.Event) { f.run.applyAct(a) }
 
 // Cost holds the resources that a run used and the lateness of its load generator.
 type Cost struct {
@@ -68,7 +68,7 @@
 // run is one run of a scenario.
 type run struct {
 	Options
-	drawn    *scenario.Drawn
+	drawn    *scenario.Instance
 	ledger   *invariants.Ledger
 	world    *environment.World
 	couriers []*process.Courier
@@ -88,7 +88,7 @@
 
 // Play runs a scenario and returns its verdict. The run ends when all messages have a final answer, but at the latest 300 ms after the end of
 // the scenario. If ctx is done before, Play stops the run and marks the verdict as invalid.
-func Play(ctx context.Context, w *scenario.Drawn, o Options) (*invariants.Verdict, Cost, error) {
+func Play(ctx context.Context, w *scenario.Instance, o Options) (*invariants.Verdict, Cost, error) {
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
@@ -110,13 +110,13 @@
 		return nil, Cost{}, err
 	}
 	defer r.world.Close()
-	r.world.Noticed = r.handleNotice
+	r.world.OnNotice = r.handleNotice
 	defer r.killAll()
 	if err := r.startAll(); err != nil {
 		return nil, Cost{}, err
 	}
 	startedAt, cpu := time.Now(), ownCPU()
-	r.world.Begin(r.ledger, r.applyAct)
+	r.world.Start(r.ledger, r.applyAct)
 	onEnd := func() {}
 	if o.Begun != nil {
 		onEnd = o.Begun(&Field{r})
@@ -125,7 +125,7 @@
 	onEnd()
 	end := r.world.Clock.Now()
 	v := r.ledger.Finish(end)
-	cost := Cost{Wall: time.Since(startedAt).Seconds(), TestbedCPU: (ownCPU() - cpu).Seconds(), Connections: r.world.Busiest(), Restarts: r.restarts}
+	cost := Cost{Wall: time.Since(startedAt).Seconds(), TestbedCPU: (ownCPU() - cpu).Seconds(), Connections: r.world.MaxConnections(), Restarts: r.restarts}
 	cost.Reloads = r.reloads
 	p99, longest := r.late.P99AndMax()
 	cost.LateP99, cost.LateMax = p99.Seconds(), longest.Seconds()
@@ -135,12 +135,12 @@
 		cost.CourierCPU += used.Seconds()
 		cost.MaxRSS = max(cost.MaxRSS, rss)
 	}
-	v.Invalid = r.late.Violation()
+	v.InvalidReason = r.late.Violation()
 	switch {
 	case ctx.Err() != nil:
-		v.Invalid = "run canceled"
+		v.InvalidReason = "run canceled"
 	case r.invalid != "":
-		v.Invalid = r.invalid
+		v.InvalidReason = r.invalid
 	}
 	return v, cost, nil
 }
@@ -149,10 +149,10 @@
 // differ. Calls within WaitFrom (100 ms) after a requested wait may have been sent before the courier read it. A final answer may come AnswerSlack
 // (300 ms) after the deadline. For the time Excused (1.5 s) after its restart, a courier's overdue answers are not violations. The values are those
 // of the platform's protocol.
-func ledgerSetup(w *scenario.Drawn) invariants.Setup {
-	s := invariants.ForDay(w)
+func ledgerSetup(w *scenario.Instance) invariants.Setup {
+	s := invariants.SetupFor(w)
 	const ms = dispatch.Micros(1000)
-	s.Leeway, s.WaitFrom, s.AnswerSlack, s.Excused = 50*ms, 100*ms, 300*ms, 1500*ms
+	s.ClockTolerance, s.WaitGrace, s.AnswerGrace, s.RestartGrace = 50*ms, 100*ms, 300*ms, 1500*ms
 	return s
 }
 
@@ -166,7 +166,7 @@
 
 func (r *run) startAll() error {
 	var wg sync.WaitGroup
-	n := r.drawn.Day.Fleet.Couriers
+	n := r.drawn.Definition.Fleet.Couriers
 	errs := make([]error, n)
 	for i := range n {
 		c, err := process.New(i, r.Binary, r.Dir, r.recordCrash)
@@ -197,8 +197,8 @@
 	r.mu.Lock()
 	seed := r.rng.Uint64()
 	r.mu.Unlock()
-	all := map[string]any{"name": fmt.Sprintf("n%d", c.No), "listen": c.Listen, "discovery": r.world.Discovery(c.No),
-		"seed": strconv.FormatUint(seed, 16), "limits": limits, "known": r.world.Known(c.No), "settings": r.settings(c.No)}
+	all := map[string]any{"name": fmt.Sprintf("n%d", c.No), "listen": c.Listen, "discovery": r.world.DirectoryAddress(c.No),
+		"seed": strconv.FormatUint(seed, 16), "limits": limits, "known": r.world.InitialList(c.No), "settings": r.settings(c.No)}
 	if r.Extra != nil {
 		extra, err := r.Extra(c)
 		if err != nil {
@@ -235,9 +235,9 @@
 		return s
 	}
 	ceilings, family := s["ceilings"].(map[string]any), s["family-info"].(map[string]any)
-	ceilings["open-cap"] = r.drawn.Hold * (8 + round%5) / 10
+	ceilings["open-cap"] = r.drawn.QueueLimit * (8 + round%5) / 10
 	family["slots"] = max(2, r.drawn.Slots*(8+round%4)/10)
-	ceilings["try-limit"] = r.drawn.Day.Fleet.MaxAttempts - round%2
+	ceilings["try-limit"] = r.drawn.Definition.Fleet.MaxAttempts - round%2
 	if round%2 == 1 {
 		s["classes"] = append(s["classes"].([]any), map[string]any{"name": "passing", "slo-s": 1, "deadline-s": 2, "points": 1})
 	}
@@ -268,7 +268,7 @@
 	}
 }
 
-func (r *run) recordCrash(no int, why string) { r.ledger.Crashed(r.world.Clock.Now(), no, why) }
+func (r *run) recordCrash(no int, why string) { r.ledger.CourierCrashed(r.world.Clock.Now(), no, why) }
 
 // killAll kills all couriers concurrently, since the exit of each takes some time.
 func (r *run) killAll() {
@@ -286,23 +286,23 @@
 }
 
 // applyAct carries out a scheduled event of a courier and records it in the ledger.
-func (r *run) applyAct(a scenario.Act) {
+func (r *run) applyAct(a scenario.Event) {
 	now := r.world.Clock.Now()
 	if r.OnAct != nil {
 		r.OnAct(now, a)
 	}
 	c := r.couriers[a.Courier]
 	switch a.Kind {
-	case scenario.Kills:
+	case scenario.CourierKilled:
 		if c.Up() {
-			r.ledger.Down(now, a.Courier, false, false)
-			r.ledger.Killed(now, a.Courier)
+			r.ledger.CourierDown(now, a.Courier, false, false)
+			r.ledger.CourierKilled(now, a.Courier)
 		}
 		c.Kill()
-	case scenario.Asks:
-		r.ledger.Down(now, a.Courier, false, false)
+	case scenario.CourierStopRequested:
+		r.ledger.CourierDown(now, a.Courier, false, false)
 		c.Signal(syscall.SIGTERM)
-	case scenario.Starts:
+	case scenario.CourierStarted:
 		err := r.configure(c)
 		if err == nil {
 			err = c.Start(r.ReadyTimeout)
@@ -313,11 +313,11 @@
 		r.mu.Lock()
 		r.restarts++
 		r.mu.Unlock()
-		r.ledger.Back(r.world.Clock.Now(), a.Courier)
-	case scenario.Stands:
+		r.ledger.CourierUp(r.world.Clock.Now(), a.Courier)
+	case scenario.CourierPaused:
 		c.Signal(syscall.SIGSTOP)
-		r.ledger.Stood(now, a.Courier, now+a.Span+resumeAllowance)
-		r.world.Clock.After(now+a.Span, func() { c.Signal(syscall.SIGCONT) })
+		r.ledger.CourierPaused(now, a.Courier, now+a.Duration+resumeAllowance)
+		r.world.Clock.After(now+a.Duration, func() { c.Signal(syscall.SIGCONT) })
 	}
 }
 
@@ -343,11 +343,11 @@
 		func(i int) { r.startClient(i) }, r.late, r.stop)
 	// Between the rejection notice for a message and its next submission, the message counts neither as open nor as pending for a
 	// moment. So the run ends only after three consecutive checks without an open message or a pending submission.
-	for quietChecks := 0; r.world.Clock.Now() < r.drawn.End+300*1000 && quietChecks < 3; {
+	for quietChecks := 0; r.world.Clock.Now() < r.drawn.EndsAt+300*1000 && quietChecks < 3; {
 		r.mu.Lock()
 		pending := r.pending
 		r.mu.Unlock()
-		if quietChecks++; pending > 0 || r.ledger.Open() > 0 {
+		if quietChecks++; pending > 0 || r.ledger.OpenMessages() > 0 {
 			quietChecks = 0
 		}
 		select {
--- a/testbed/realtime/realtime_test.go
+++ b/testbed/realtime/realtime_test.go
@@ -26,17 +26,17 @@
 
 // shortScenario returns a scenario of 7 s with a courier that is killed, an unreachable endpoint, a drain, a paused courier and connection
 // resets.
-func shortScenario(t *testing.T) *scenario.Day {
+func shortScenario(t *testing.T) *scenario.Definition {
 	t.Helper()
 	d, err := scenario.Find("demo")
 	if err != nil {
 		t.Fatal(err)
 	}
 	d.Length = 7
-	at := func(kind string, from, length float64) scenario.Trouble {
-		return scenario.Trouble{Kind: kind, At: scenario.Range{from, from}, Length: scenario.Range{length, length}, Part: 0.5, By: "any", Whole: 1, Acts: 0.5}
+	at := func(kind string, from, length float64) scenario.FaultSpec {
+		return scenario.FaultSpec{Kind: kind, At: scenario.Range{from, from}, Length: scenario.Range{length, length}, Share: 0.5, Scope: "any", AllEndpointsChance: 1, EffectShare: 0.5}
 	}
-	d.Troubles = []scenario.Trouble{at("courier-kill", 1, 0.5), at("silent", 2, 2), at("drain", 1, 3), at("courier-stand", 4, 2), at("resets", 3, 3)}
+	d.Faults = []scenario.FaultSpec{at("courier-kill", 1, 0.5), at("silent", 2, 2), at("drain", 1, 3), at("courier-stand", 4, 2), at("resets", 3, 3)}
 	return d
 }
 
@@ -50,13 +50,13 @@
 	if !v.OK() {
 		t.Errorf("%s: %+v", v.Short(), v.Breaches)
 	}
-	if v.Counts.Done < v.Counts.Offered/2 || cost.Restarts == 0 || v.Counts.Offered == 0 {
+	if v.Counts.Delivered < v.Counts.Offered/2 || cost.Restarts == 0 || v.Counts.Offered == 0 {
 		t.Errorf("%+v, %+v", v.Counts, cost)
 	}
 }
 
 // TestBadCouriers checks a missing courier binary, a courier that exits at once, one that never answers and one that crashes. The
-// first three must give a clear error within 10 s; the crash must violate the invariant invariants.Crash.
+// first three must give a clear error within 10 s; the crash must violate the invariant invariants.NoCrash.
 func TestBadCouriers(t *testing.T) {
 	script := func(text string) string {
 		path := filepath.Join(t.TempDir(), "courier")
@@ -79,7 +79,7 @@
 	}
 	crashing := script("timeout -s KILL 2.5 " + buildCourier(t) + "; exit 1")
 	v, _, err := Play(context.Background(), w, Options{Binary: crashing})
-	if err != nil || v.Broken[invariants.Crash] == 0 || v.Figure != 0 {
+	if err != nil || v.BreachCounts[invariants.NoCrash] == 0 || v.Score != 0 {
 		t.Errorf("%v, %+v", err, v)
 	}
 }
@@ -90,7 +90,7 @@
 	defer stop()
 	began := time.Now()
 	v, _, err := Play(ctx, scenario.Draw(shortScenario(t), 1), Options{Binary: buildCourier(t)})
-	if err != nil || v.Invalid == "" || time.Since(began) > 8*time.Second {
+	if err != nil || v.InvalidReason == "" || time.Since(began) > 8*time.Second {
 		t.Errorf("%v, %+v after %v", err, v, time.Since(began))
 	}
 }
--- a/testbed/report/account.go
+++ b/testbed/report/account.go
@@ -13,32 +13,32 @@
 )
 
 // DescribeEvent describes a scheduled event of a scenario in words.
-func DescribeEvent(w *scenario.Drawn, a scenario.Act) string {
+func DescribeEvent(w *scenario.Instance, a scenario.Event) string {
 	at := func() string {
 		return fmt.Sprintf("endpoint %s of destination %d (%s)", a.Endpoint.ID, a.Dest, w.Destinations[a.Dest].KindName)
 	}
 	switch a.Kind {
-	case scenario.Begins:
+	case scenario.FaultBegins:
 		return at() + " " + faultDescriptions[string(a.Fault.Kind)]
-	case scenario.Ends:
+	case scenario.FaultEnds:
 		return at() + " recovers from its fault (" + string(a.Fault.Kind) + ")"
-	case scenario.Adds:
+	case scenario.EndpointAdded:
 		return at() + " starts"
-	case scenario.Drains:
+	case scenario.EndpointDraining:
 		return at() + " is listed as draining"
-	case scenario.Removes:
+	case scenario.EndpointRemoved:
 		return at() + " shuts down permanently"
-	case scenario.Kills:
+	case scenario.CourierKilled:
 		return fmt.Sprintf("courier %d is killed", a.Courier)
-	case scenario.Asks:
+	case scenario.CourierStopRequested:
 		return fmt.Sprintf("courier %d is asked to shut down", a.Courier)
-	case scenario.Starts:
+	case scenario.CourierStarted:
 		return fmt.Sprintf("courier %d restarts", a.Courier)
-	case scenario.Stands:
-		return fmt.Sprintf("courier %d is paused for %.0f ms", a.Courier, float64(a.Span)/1000)
-	case scenario.ListDown:
+	case scenario.CourierPaused:
+		return fmt.Sprintf("courier %d is paused for %.0f ms", a.Courier, float64(a.Duration)/1000)
+	case scenario.DirectoryDown:
 		return "discovery stops answering"
-	case scenario.ListUp:
+	case scenario.DirectoryUp:
 		return "discovery answers again"
 	}
 	return a.Text // the remaining kind, scenario.Tells, has its own text
@@ -52,7 +52,7 @@
 }
 
 // WriteOutages describes each outage of a destination and how the couriers reacted to it, based on the time series in the verdict.
-func WriteOutages(out io.Writer, w *scenario.Drawn, v *invariants.Verdict) {
+func WriteOutages(out io.Writer, w *scenario.Instance, v *invariants.Verdict) {
 	type outage struct {
 		dest     *invariants.DestSeries
 		from, to float64
@@ -79,7 +79,7 @@
 
 // countAndRate sums a series over the interval from..to, in seconds, and returns the sum and its rate per second.
 func countAndRate(values []float64, from, to float64) (n, perSec float64) {
-	bin := float64(invariants.Bin) / 1e6
+	bin := float64(invariants.BinLength) / 1e6
 	for i, x := range values {
 		if at := float64(i) * bin; at >= from && at < to {
 			n += x
@@ -91,11 +91,11 @@
 // describeOutage compares the calls during an outage with those of the 8 s before it and of the 6 s after the first successful call. The reasons
 // it prints are inferred from the numbers: a call rate below 70 % of the rate before the outage means that calls were held back.
 func describeOutage(out io.Writer, d *invariants.DestSeries, from, to float64) {
-	_, rateBefore := countAndRate(d.Calls, max(0, from-8), from)
-	calls, rateDuring := countAndRate(d.Calls, from, to)
+	_, rateBefore := countAndRate(d.Attempts, max(0, from-8), from)
+	calls, rateDuring := countAndRate(d.Attempts, from, to)
 	offered, _ := countAndRate(d.Offered, from, to)
 	failed, _ := countAndRate(d.Failed, from, to)
-	throttled, _ := countAndRate(d.Full, from, to)
+	throttled, _ := countAndRate(d.Throttled, from, to)
 	fmt.Fprintf(out, "  Before: %.1f calls/s. During the outage: %.1f calls/s (%.0f calls for %.0f messages offered); %.0f calls ended as failed, possibly sent earlier, and %.0f as throttled.\n",
 		rateBefore, rateDuring, calls, offered, failed, throttled)
 	var reasons []string
@@ -109,8 +109,8 @@
 		fmt.Fprintf(out, "  Probable reason: %s.\n", strings.Join(reasons, "; "))
 	}
 	firstServed := -1.0
-	for i, n := range d.Done {
-		if at := float64(i) * float64(invariants.Bin) / 1e6; n > 0 && at >= to {
+	for i, n := range d.Delivered {
+		if at := float64(i) * float64(invariants.BinLength) / 1e6; n > 0 && at >= to {
 			firstServed = at
 			break
 		}
@@ -119,8 +119,8 @@
 		fmt.Fprintln(out, "  No call to the destination succeeded after the outage.")
 		return
 	}
-	_, firstRate := countAndRate(d.Calls, firstServed, firstServed+3)
-	_, nextRate := countAndRate(d.Calls, firstServed+3, firstServed+6)
+	_, firstRate := countAndRate(d.Attempts, firstServed, firstServed+3)
+	_, nextRate := countAndRate(d.Attempts, firstServed+3, firstServed+6)
 	fmt.Fprintf(out, "  Recovery: the first call succeeded %.1f s after the outage; then %.1f calls/s for three seconds, while slow start applies, and %.1f calls/s in the next three.\n",
 		firstServed-to, firstRate, nextRate)
 }
@@ -129,20 +129,20 @@
 func WriteMessageCounts(out io.Writer, v *invariants.Verdict) {
 	n := v.Counts
 	fmt.Fprintf(out, "%d messages were submitted %d times: %d delivered, %d rejected (safe to submit again), %d failed, %d without a final answer.\n",
-		n.Offered, n.Taken, n.Done, n.Rejected, n.Failed, n.Lost)
+		n.Offered, n.Accepted, n.Delivered, n.Rejected, n.Failed, n.Lost)
 	if n.Repeats > 0 {
 		fmt.Fprintf(out, "%d deliveries repeated an earlier delivery of the same message.\n", n.Repeats)
 	}
 }
 
 // WriteTimeline lists the scheduled events of a scenario. Events within 200 ms share a row. After maxRows rows, a last row counts the rest.
-func WriteTimeline(out io.Writer, w *scenario.Drawn, maxRows int) {
+func WriteTimeline(out io.Writer, w *scenario.Instance, maxRows int) {
 	type row struct {
 		at    dispatch.Micros
 		texts []string
 	}
 	var rows []row
-	for _, a := range w.Acts {
+	for _, a := range w.Events {
 		if n := len(rows); n > 0 && a.At-rows[n-1].at < 200*1000 {
 			rows[n-1].texts = append(rows[n-1].texts, DescribeEvent(w, a))
 			continue
--- a/testbed/report/chart.go
+++ b/testbed/report/chart.go
@@ -32,7 +32,7 @@
 	return p
 }
 
-// addLine adds a series with one value per invariants.Bin to the plot, as a moving average over the last smooth values. The index
+// addLine adds a series with one value per invariants.BinLength to the plot, as a moving average over the last smooth values. The index
 // selects one of seven colors and, beyond seven lines, another dash pattern.
 func addLine(p *plot.Plot, name string, values []float64, index int, smooth int) error {
 	pts := make(plotter.XYs, len(values))
@@ -44,7 +44,7 @@
 		for _, v := range values[from : i+1] {
 			sum += v
 		}
-		pts[i].X, pts[i].Y = float64(i)*float64(invariants.Bin)/1e6, sum/float64(i+1-from)
+		pts[i].X, pts[i].Y = float64(i)*float64(invariants.BinLength)/1e6, sum/float64(i+1-from)
 	}
 	l, err := plotter.NewLine(pts)
 	if err != nil {
@@ -85,12 +85,12 @@
 	return top
 }
 
-// perSecond converts a count per invariants.Bin to a rate per second.
-const perSecond = 1e6 / float64(invariants.Bin)
+// perSecond converts a count per invariants.BinLength to a rate per second.
+const perSecond = 1e6 / float64(invariants.BinLength)
 
 // DrawScenario writes the charts of a run into a directory: the value offered and delivered, the messages held by all couriers, and the calls to
 // the four destinations that MostAffected selects. It returns the file names.
-func DrawScenario(dir string, w *scenario.Drawn, v *invariants.Verdict) (files []string, err error) {
+func DrawScenario(dir string, w *scenario.Instance, v *invariants.Verdict) (files []string, err error) {
 	s := v.Series
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
@@ -101,13 +101,13 @@
 			files = append(files, name)
 		}
 	}
-	p := newPlot("Value of "+w.Day.Name+", by the time the message was first offered", "value per second")
-	if err := addLines(p, 4, map[string][]float64{"asked": multiply(s.Asked, perSecond), "delivered": multiply(s.Won, perSecond)}); err != nil {
+	p := newPlot("Value of "+w.Definition.Name+", by the time the message was first offered", "value per second")
+	if err := addLines(p, 4, map[string][]float64{"asked": multiply(s.OfferedValue, perSecond), "delivered": multiply(s.EarnedValue, perSecond)}); err != nil {
 		return nil, err
 	}
 	save(p, "payoff.svg", height)
 	p = newPlot("Messages held by all couriers", "records")
-	if err := addLines(p, 1, map[string][]float64{"held": s.Held}); err != nil {
+	if err := addLines(p, 1, map[string][]float64{"held": s.OpenMessages}); err != nil {
 		return nil, err
 	}
 	save(p, "held.svg", height)
@@ -136,25 +136,25 @@
 }
 
 // plotDestination plots the calls of one destination by outcome, and its limit, which has line index 9 to differ in color and dash pattern.
-func plotDestination(w *scenario.Drawn, d *invariants.DestSeries) (*plot.Plot, error) {
+func plotDestination(w *scenario.Instance, d *invariants.DestSeries) (*plot.Plot, error) {
 	dst := &w.Destinations[d.Dest]
 	p := newPlot(fmt.Sprintf("Destination %d (%s): calls by outcome; shaded: outage", d.Dest, dst.KindName), "calls per second")
-	top := perSecond * maxValue(d.Calls, d.Offered)
+	top := perSecond * maxValue(d.Attempts, d.Offered)
 	for _, o := range d.Outages {
 		if err := shadeInterval(p, o[0], o[1], top); err != nil {
 			return nil, err
 		}
 	}
-	err := addLines(p, 2, map[string][]float64{"sent": multiply(d.Calls, perSecond), "done": multiply(d.Done, perSecond),
-		"full": multiply(d.Full, perSecond), "failed": multiply(d.Failed, perSecond), "offered": multiply(d.Offered, perSecond)})
+	err := addLines(p, 2, map[string][]float64{"sent": multiply(d.Attempts, perSecond), "done": multiply(d.Delivered, perSecond),
+		"full": multiply(d.Throttled, perSecond), "failed": multiply(d.Failed, perSecond), "offered": multiply(d.Offered, perSecond)})
 	if err != nil {
 		return nil, err
 	}
 	limit := dst.Limit.PerSec
-	if dst.Apart {
+	if dst.SeparateRoutes {
 		limit *= float64(len(dst.Endpoints))
 	}
-	flat := make([]float64, len(d.Calls))
+	flat := make([]float64, len(d.Attempts))
 	for i := range flat {
 		flat[i] = limit
 	}
@@ -176,7 +176,7 @@
 		for _, o := range d.Outages {
 			out += o[1] - o[0]
 		}
-		return min(1, out)*1e6 + 10*sum(d.Failed) + 3*sum(d.Full) + sum(d.Calls)/100
+		return min(1, out)*1e6 + 10*sum(d.Failed) + 3*sum(d.Throttled) + sum(d.Attempts)/100
 	}
 	slices.SortStableFunc(destinations, func(a, b *invariants.DestSeries) int { return cmp.Compare(weight(b), weight(a)) })
 	return destinations[:min(n, len(destinations))]
--- a/testbed/scale/realfleet.go
+++ b/testbed/scale/realfleet.go
@@ -51,7 +51,7 @@
 		return realLoad{}, err
 	}
 	traffic.Fleet.Couriers = f.size
-	traffic.Traffic.FullPerSec = loadPerSecond * float64(f.size)
+	traffic.Traffic.FullLoadPerSec = loadPerSecond * float64(f.size)
 	traffic.Length = (f.settle + f.observe + loadAfter).Seconds()
 	observer, err := newRealObserver(f)
 	if err != nil {
@@ -66,12 +66,12 @@
 		return realLoad{}, ctx.Err()
 	case observer.fault != nil:
 		return realLoad{}, observer.fault
-	case verdict.Invalid != "":
-		return realLoad{}, errors.New(verdict.Invalid)
-	case verdict.Counts.Done == 0:
+	case verdict.InvalidReason != "":
+		return realLoad{}, errors.New(verdict.InvalidReason)
+	case verdict.Counts.Delivered == 0:
 		return realLoad{}, errors.New("the real couriers delivered nothing")
 	}
-	observer.load.delivered = verdict.Counts.Done
+	observer.load.delivered = verdict.Counts.Delivered
 	return observer.load, nil
 }
 
--- a/testbed/simulation/restarts_test.go
+++ b/testbed/simulation/restarts_test.go
@@ -9,7 +9,7 @@
 )
 
 // readDay reads a day of testdata.
-func readDay(t *testing.T, name string) *scenario.Day {
+func readDay(t *testing.T, name string) *scenario.Definition {
 	t.Helper()
 	file := "testdata/" + name + ".toml"
 	text, err := os.ReadFile(file)
--- a/testbed/wirehost/host_test.go
+++ b/testbed/wirehost/host_test.go
@@ -40,8 +40,8 @@
 		if err := host.Close(); err != nil {
 			t.Error(err)
 		}
-		if !reflect.DeepEqual(inProcess.Counts, overWire.Counts) || inProcess.Figure != overWire.Figure {
-			t.Errorf("%s: %v %+v in process, %v %+v over the wire", name, inProcess.Figure, inProcess.Counts, overWire.Figure, overWire.Counts)
+		if !reflect.DeepEqual(inProcess.Counts, overWire.Counts) || inProcess.Score != overWire.Score {
+			t.Errorf("%s: %v %+v in process, %v %+v over the wire", name, inProcess.Score, inProcess.Counts, overWire.Score, overWire.Counts)
 		}
 	}
 }
