--- a/cmd/pineport-testbed/compare.go
+++ b/cmd/pineport-testbed/compare.go
@@ -16,6 +16,15 @@
 
 func jobs() int { return runtime.GOMAXPROCS(0) }
 
+// figures maps the values of --figure to what they read from a verdict:
+//   - figure: the overall score, which is service minus costs, or 0 if an invariant is violated
+//   - net: service minus costs, even if an invariant is violated
+//   - service: weighted mean of the value shares of the whole scenario, its worst 10 s, its worst class and its worst tenant
+//   - whole, window: share of the offered value that was delivered, in the whole scenario and in its worst 10 s
+//   - costs: deduction per offered message for wasted attempts, handshakes and throttled attempts
+//   - falls: number of recovering endpoints that were overloaded again
+//   - refused: number of throttled attempts
+//   - failed: number of attempts that failed, timed out, or found the endpoint unreachable or the connection broken
 var figures = map[string]func(*invariants.Verdict) float64{
 	"figure":  func(v *invariants.Verdict) float64 { return v.Score },
 	"service": func(v *invariants.Verdict) float64 { return v.ServiceScore },
@@ -31,33 +40,35 @@
 	"costs": func(v *invariants.Verdict) float64 { return v.Costs },
 }
 
-// stretch is a figure of a part of the day.
-func stretch(figure string, from, to float64) (func(*invariants.Verdict) float64, bool) {
-	pick := map[string]func(invariants.IntervalTotals) float64{
+// intervalFigure returns a function that reads a figure for the time between from and to, in seconds of scenario time. The second result is
+// false if the figure is not available for a part of a scenario.
+func intervalFigure(figure string, from, to float64) (func(*invariants.Verdict) float64, bool) {
+	figureOf := map[string]func(invariants.IntervalTotals) float64{
 		"whole":   func(w invariants.IntervalTotals) float64 { return w.ValueShare },
 		"failed":  func(w invariants.IntervalTotals) float64 { return w.Failed },
 		"refused": func(w invariants.IntervalTotals) float64 { return w.Throttled },
 	}[figure]
-	return func(v *invariants.Verdict) float64 { return pick(v.Series.Interval(from, to)) }, pick != nil
+	return func(v *invariants.Verdict) float64 { return figureOf(v.Series.Interval(from, to)) }, figureOf != nil
 }
 
-// figurePicker returns what reads a figure of a verdict: of the whole day, or of a stretch of it, in seconds.
-func figurePicker(figure string, from, to float64) (func(v *invariants.Verdict) float64, error) {
-	pick, ok := figures[figure]
+// figureSelector returns a function that reads a figure from a verdict: for the time between from and to, in seconds of scenario time, if to is
+// greater than from, else for the whole scenario.
+func figureSelector(figure string, from, to float64) (func(v *invariants.Verdict) float64, error) {
+	figureOf, ok := figures[figure]
 	if !ok {
-		return nil, fmt.Errorf("--figure: figure, net, service, whole, window, costs, falls, refused or failed was expected, not %q", figure)
+		return nil, fmt.Errorf("--figure: expected figure, net, service, whole, window, costs, falls, refused or failed, got %q", figure)
 	}
 	if to > from {
-		if pick, ok = stretch(figure, from, to); !ok {
-			return nil, fmt.Errorf("--figure: whole, failed or refused was expected for a stretch, not %q", figure)
+		if figureOf, ok = intervalFigure(figure, from, to); !ok {
+			return nil, fmt.Errorf("--figure: expected whole, failed or refused for a time interval, got %q", figure)
 		}
 	}
-	return pick, nil
+	return figureOf, nil
 }
 
-// comparison plans the plays of variants on days with seeds from 1.
-func comparison(days []string, seeds int, variants []string) (plan experiment.Plan, err error) {
-	for _, name := range days {
+// comparisonPlan returns a plan that runs every variant on every scenario with the seeds 1 to seeds.
+func comparisonPlan(scenarioNames []string, seeds int, variants []string) (plan experiment.Plan, err error) {
+	for _, name := range scenarioNames {
 		found, err := scenario.Find(name)
 		if err != nil {
 			return plan, err
@@ -78,32 +89,32 @@
 }
 
 func compareCmd() *cobra.Command {
-	var names []string
+	var scenarioNames []string
 	var seeds, workers int
 	var figure, output, out string
 	var from, to float64
 	cmd := &cobra.Command{
 		Use:   "compare VARIANT VARIANT...",
-		Short: "Play variants of the decisions on the same days and seeds, and tell how far they differ from the first",
+		Short: "Run variants of the decision logic on the same scenarios and seeds, and report how they differ from the first",
 		Example: `  pineport-testbed compare module baseline:textbook --day overload,chance --seeds 20
   pineport-testbed compare module "old=wire:/tmp/old/simadapter" --figure whole`,
 		Args: cobra.MinimumNArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			pick, err := figurePicker(figure, from, to)
+			figureOf, err := figureSelector(figure, from, to)
 			if err != nil {
 				return err
 			}
-			plan, err := comparison(names, seeds, args)
+			plan, err := comparisonPlan(scenarioNames, seeds, args)
 			if err != nil {
 				return err
 			}
 			plan.Jobs = workers
-			plan.Progress = progress(cmd.Name(), len(plan.Days)*len(plan.Seeds)*len(plan.Variants))
+			plan.Progress = progressBar(cmd.Name(), len(plan.Days)*len(plan.Seeds)*len(plan.Variants))
 			cells, err := experiment.Run(cmd.Context(), plan)
 			if err != nil {
 				return err
 			}
-			rows := experiment.Compare(cells, plan.Variants[0].Name, pick)
+			rows := experiment.Compare(cells, plan.Variants[0].Name, figureOf)
 			if out != "" {
 				if err := experiment.Write(out, cells, rows); err != nil {
 					return err
@@ -115,23 +126,23 @@
 				return err
 			}
 			if output != "table" {
-				return errors.New("--output: table or json was expected")
+				return errors.New("--output: expected table or json")
 			}
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 8, 2, ' ', 0)
-			fmt.Fprintf(w, "day\tvariant\tpairs\t%s of %s\tof it\tdifference\t95 %% interval\truns with a broken rule\n", figure, plan.Variants[0].Name)
+			fmt.Fprintf(w, "day\tvariant\tpairs\t%s of %s\t%[1]s of variant\tdifference\t95 %% interval\truns with a violated invariant\n", figure, plan.Variants[0].Name)
 			for _, r := range rows {
 				fmt.Fprintf(w, "%s\t%s\t%d\t%.3f\t%.3f\t%+.3f\t%+.3f to %+.3f\t%d\n", r.Day, r.Variant, r.Pairs, r.Base, r.Mean, r.Diff, r.Low, r.High, r.Broken)
 			}
 			return w.Flush()
 		},
 	}
-	cmd.Flags().StringSliceVar(&names, "day", []string{"chance"}, "days, by name or file")
-	cmd.Flags().IntVar(&seeds, "seeds", 10, "how many seeds of each day")
-	cmd.Flags().IntVar(&workers, "jobs", jobs(), "runs side by side")
-	cmd.Flags().StringVar(&figure, "figure", "figure", "what is compared: figure, net, service, whole, window, costs, falls, refused or failed")
-	cmd.Flags().Float64Var(&from, "from", 0, "count only what happened from this second of the day on ...")
-	cmd.Flags().Float64Var(&to, "to", 0, "... until this one (0: the whole day)")
-	cmd.Flags().StringVar(&output, "output", "table", "table or json")
-	cmd.Flags().StringVar(&out, "out", "", "folder for tables")
+	cmd.Flags().StringSliceVar(&scenarioNames, "day", []string{"chance"}, "scenarios, by name or file")
+	cmd.Flags().IntVar(&seeds, "seeds", 10, "number of seeds per scenario")
+	cmd.Flags().IntVar(&workers, "jobs", jobs(), "number of concurrent runs")
+	cmd.Flags().StringVar(&figure, "figure", "figure", "figure to compare: figure (net, but 0 if an invariant is violated), net (service minus costs), service, whole, window, costs, falls, refused (throttled attempts) or failed (failed attempts)")
+	cmd.Flags().Float64Var(&from, "from", 0, "start of the compared interval, in seconds of scenario time")
+	cmd.Flags().Float64Var(&to, "to", 0, "end of the compared interval, in seconds of scenario time (0: the whole scenario)")
+	cmd.Flags().StringVar(&output, "output", "table", "output format: table or json")
+	cmd.Flags().StringVar(&out, "out", "", "directory for the result tables")
 	return cmd
 }
--- a/cmd/pineport-testbed/main.go
+++ b/cmd/pineport-testbed/main.go
@@ -1,5 +1,6 @@
-// Command pineport-testbed is the project's testbed: days with troubles, played in virtual time or on loopback sockets against
-// the couriers' decisions, judged by the six rules and by value. docs/testbed.md says how to work with it.
+// Command pineport-testbed runs test scenarios with faults against the couriers' decision logic, in virtual time or on loopback
+// sockets. It checks each run against the six invariants (see package testbed/invariants), and measures the value of the delivered
+// messages: the points of their classes, reduced for late deliveries. See docs/testbed.md for usage.
 package main
 
 import (
@@ -15,12 +16,12 @@
 
 // Exit codes.
 const (
-	exitBroken = 1 // a rule broke, or a run does not count
-	exitUsage  = 2 // the command line or a file is at fault
+	exitRunFailed = 1 // an invariant is violated, a run is invalid, or a scale experiment failed
+	exitError     = 2 // any other error, such as an invalid command line or file
 )
 
-// errBroken ends the program with exitBroken after all has been said.
-var errBroken = errors.New("a rule broke")
+// errRunFailed makes the program exit with exitRunFailed and no further message: the command has printed its results already.
+var errRunFailed = errors.New("run failed, is invalid, or violates an invariant")
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
@@ -28,22 +29,22 @@
 	err := root().ExecuteContext(ctx)
 	switch {
 	case err == nil:
-	case errors.Is(err, errBroken):
-		os.Exit(exitBroken)
+	case errors.Is(err, errRunFailed):
+		os.Exit(exitRunFailed)
 	default:
 		fmt.Fprintln(os.Stderr, "pineport-testbed:", err)
-		os.Exit(exitUsage)
+		os.Exit(exitError)
 	}
 }
 
 func root() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "pineport-testbed",
-		Short: "Play days with troubles against the courier's decisions, and judge them",
-		Long: `pineport-testbed plays days with troubles against the courier's decisions, in virtual time or on loopback sockets, and judges
-them by the six rules and by payoff.
+		Short: "Run scenarios with faults against the courier's decision logic, and check the results",
+		Long: `pineport-testbed runs scenarios with faults against the courier's decision logic, in virtual time or on loopback sockets. It checks each
+run against the six invariants, and measures the value of the delivered messages: the points of their classes, reduced for late deliveries.
 
-Exit codes: 0 all well; 1 a rule broke, or a run does not count; 2 the command line or a file is at fault.`,
+Exit codes: 0 success; 1 an invariant is violated, a run is invalid, or a scale experiment failed; 2 any other error.`,
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
--- a/testbed/fleet/fleet.go
+++ b/testbed/fleet/fleet.go
@@ -188,7 +188,7 @@
 	net    *netfault.Net
 	ops    []string
 	gossip []string
-	field  *realtime.Field
+	field  *realtime.Session
 
 	mu     sync.Mutex
 	down   map[int]time.Time // since when a courier is away
@@ -236,9 +236,9 @@
 		return nil, err
 	}
 	defer r.net.Close()
-	lo := realtime.Options{Binary: o.Binary, Dir: o.Dir, Log: o.Log, Begun: r.begun}
+	lo := realtime.Options{Binary: o.Binary, Dir: o.Dir, Log: o.Log, OnStart: r.begun}
 	if o.Peers {
-		lo.Extra = r.configure
+		lo.ExtraConfiguration = r.configure
 	}
 	r.res.Drawn = scenario.Draw(d, o.Seed)
 	v, cost, err := realtime.Play(ctx, r.res.Drawn, lo)
@@ -285,14 +285,14 @@
 func (r *rig) configure(c *process.Courier) (map[string]any, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	join := []string{r.gossip[0], r.gossip[(c.No+1)%r.n], r.gossip[(c.No+r.n/2)%r.n]}
-	return map[string]any{"ops": r.ops[c.No], "peers": map[string]any{"listen": r.gossip[c.No], "join": join, "fleet": "lab",
-		"key": "000102030405060708090a0b0c0d0e0f", "pace_s": r.o.Pace.Seconds(), "share": r.o.Share, "through": r.net.Through(c.No)},
+	join := []string{r.gossip[0], r.gossip[(c.Number+1)%r.n], r.gossip[(c.Number+r.n/2)%r.n]}
+	return map[string]any{"ops": r.ops[c.Number], "peers": map[string]any{"listen": r.gossip[c.Number], "join": join, "fleet": "lab",
+		"key": "000102030405060708090a0b0c0d0e0f", "pace_s": r.o.Pace.Seconds(), "share": r.o.Share, "through": r.net.Through(c.Number)},
 		"settings": map[string]any{"ceilings": map[string]any{"peers": true}}}, nil
 }
 
 // begun has the faults happen and watches, until the day is over.
-func (r *rig) begun(f *realtime.Field) func() {
+func (r *rig) begun(f *realtime.Session) func() {
 	r.field = f
 	keep := r.copies()
 	stop := make(chan struct{})
@@ -326,7 +326,7 @@
 	keep := map[int][]byte{}
 	for _, c := range r.field.Couriers() {
 		if text, err := os.ReadFile(filepath.Join(c.Dir, "state", incarnation.FileName)); err == nil {
-			keep[c.No] = text
+			keep[c.Number] = text
 		}
 	}
 	return keep
@@ -335,7 +335,7 @@
 func (r *rig) fault(f netfault.Fault, stop <-chan struct{}, keep map[int][]byte) {
 	wait := func(until float64) {
 		select {
-		case <-time.After(time.Duration(until*float64(time.Second)) - r.field.Since()):
+		case <-time.After(time.Duration(until*float64(time.Second)) - r.field.Elapsed()):
 		case <-stop:
 		}
 	}
@@ -376,7 +376,7 @@
 	state := filepath.Join(c.Dir, "state")
 	switch f.Kind {
 	case Stop:
-		r.field.Act(scenario.Event{Kind: scenario.CourierPaused, Courier: no, Duration: dispatch.Micros(f.Length * 1e6)})
+		r.field.ApplyAct(scenario.Event{Kind: scenario.CourierPaused, Courier: no, Duration: dispatch.Micros(f.Length * 1e6)})
 		time.Sleep(time.Duration(f.Length * float64(time.Second)))
 	case Kill:
 		r.away(no, scenario.CourierKilled, f.Length, stop, nil)
@@ -405,7 +405,7 @@
 	r.mu.Lock()
 	r.down[no] = time.Now()
 	r.mu.Unlock()
-	r.field.Act(scenario.Event{Kind: how, Courier: no})
+	r.field.ApplyAct(scenario.Event{Kind: how, Courier: no})
 	if how == scenario.CourierStopRequested { // it goes on for some seconds
 		c := r.field.Couriers()[no]
 		for c.Running() {
@@ -426,7 +426,7 @@
 	r.mu.Lock()
 	r.starts[no]++
 	r.mu.Unlock()
-	r.field.Act(scenario.Event{Kind: scenario.CourierStarted, Courier: no})
+	r.field.ApplyAct(scenario.Event{Kind: scenario.CourierStarted, Courier: no})
 	r.mu.Lock()
 	delete(r.down, no)
 	r.back[no] = time.Now()
@@ -443,9 +443,9 @@
 func (r *rig) see(client *http.Client, no int) (l look, ok bool) {
 	if ok = get(client, r.ops[no], "/peers", &l); ok && r.o.Share {
 		var s exchange.Status
-		from := r.field.Since()
+		from := r.field.Elapsed()
 		if get(client, r.ops[no], "/commons", &s) {
-			r.borrow(no, from, r.field.Since(), s)
+			r.borrow(no, from, r.field.Elapsed(), s)
 		}
 	}
 	return l, ok
@@ -497,7 +497,7 @@
 		all.Wait()
 		now := time.Now()
 		if r.o.Share {
-			r.total(r.field.Since())
+			r.total(r.field.Elapsed())
 		}
 		for i := range r.n {
 			if ok[i] {
@@ -578,11 +578,11 @@
 	}
 }
 
-func (r *rig) sum(f *realtime.Field) {
+func (r *rig) sum(f *realtime.Session) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.res.Hours = f.Since().Hours() * float64(r.n)
-	seconds := f.Since().Seconds() * float64(r.n)
+	r.res.Hours = f.Elapsed().Hours() * float64(r.n)
+	seconds := f.Elapsed().Seconds() * float64(r.n)
 	for _, l := range r.looks { // of the last start of each: what an earlier one sent is not counted
 		r.res.Messages += float64(l.Figures.Network.PacketsOut) / seconds
 		r.res.Bytes += float64(l.Figures.Network.BytesOut) / seconds
--- a/testbed/realtime/client.go
+++ b/testbed/realtime/client.go
@@ -11,49 +11,54 @@
 	"pineport/testbed/scenario"
 )
 
-// client is who submitted a message first, and hands it in again where it may. The run's lock guards it.
+// client is the client of one message. It submits the message again after a rejection or a missing reply. run.mu guards the counters; the other
+// fields do not change.
 type client struct {
-	id      dispatch.MessageID
-	arrival scenario.Arrival
-	due     dispatch.Micros
-	cutOff  dispatch.Micros
-	tries   int
-	rejects int
-	dropped int // submissions that nobody answered: what comes of them counts for nothing
+	id          dispatch.MessageID
+	arrival     scenario.Arrival
+	dueAt       dispatch.Micros
+	deadline    dispatch.Micros
+	submissions int
+	retries     int // submissions after a rejection
+	unanswered  int // submissions without a reply; World.Drop ends them, so endpoints refuse later calls for them
 }
 
-func (r *run) offer(i int) {
-	a := r.day.Arrivals[i]
-	wl := r.day.Definition.Classes[a.Class]
-	cl := &client{id: dispatch.MessageID("r" + strconv.Itoa(i)), arrival: a, due: a.At, cutOff: a.At + dispatch.Micros(wl.Deadline*1e6)}
-	r.books.Offered(a.At, cl.id, int(a.Class), int(a.Tenant), dispatch.DestinationID(a.Dest))
-	r.pend(1)
-	r.handIn(cl, int(a.Courier), false, false)
+// startClient submits message i of the scenario for the first time.
+func (r *run) startClient(i int) {
+	a := r.drawn.Arrivals[i]
+	class := r.drawn.Definition.Classes[a.Class]
+	cl := &client{id: dispatch.MessageID("r" + strconv.Itoa(i)), arrival: a, dueAt: a.At, deadline: a.At + dispatch.Micros(class.Deadline*1e6)}
+	r.ledger.Offered(a.At, cl.id, int(a.Class), int(a.Tenant), dispatch.DestinationID(a.Dest))
+	r.addPending(1)
+	r.submit(cl, int(a.Courier), false, false)
 }
 
-func (r *run) pend(n int) {
+// addPending adds n to the number of submissions in progress or scheduled.
+func (r *run) addPending(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.pending += n
 }
 
-func (r *run) between(b scenario.Range) time.Duration {
+// randomDuration draws a duration from a range in seconds.
+func (r *run) randomDuration(b scenario.Range) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return time.Duration((b[0] + (b[1]-b[0])*r.rng.Float64()) * float64(time.Second))
 }
 
-// later submits again after a while, if there is time left then.
-func (r *run) later(cl *client, after time.Duration, courier int, again, afterDeath bool) {
-	if r.world.Clock.Now()+dispatch.Micros(after.Microseconds()) < cl.cutOff {
-		r.pend(1)
-		time.AfterFunc(after, func() { r.handIn(cl, courier, again, afterDeath) })
+// submitLater submits the message again after the given delay, unless its deadline is reached by then.
+func (r *run) submitLater(cl *client, after time.Duration, courier int, resubmitted, mayBeHeld bool) {
+	if r.world.Clock.Now()+dispatch.Micros(after.Microseconds()) < cl.deadline {
+		r.addPending(1)
+		time.AfterFunc(after, func() { r.submit(cl, courier, resubmitted, mayBeHeld) })
 	}
 }
 
-// other is where a client goes whose courier did not serve it.
-func (r *run) other(courier int) int {
-	if r.day.Definition.Fleet.ClientRouting == "own" {
+// nextCourier returns the courier for the next submission, after the given courier rejected the message or did not reply: the same courier if
+// each client has its own, else a random one.
+func (r *run) nextCourier(courier int) int {
+	if r.drawn.Definition.Fleet.ClientRouting == "own" {
 		return courier
 	}
 	r.mu.Lock()
@@ -61,105 +66,105 @@
 	return r.rng.IntN(len(r.couriers))
 }
 
-// handIn hands a message to a courier, and sees to what it answers.
-func (r *run) handIn(cl *client, courier int, again, afterDeath bool) {
-	defer r.pend(-1)
+// submit submits the message to a courier and handles the reply.
+func (r *run) submit(cl *client, courier int, resubmitted, mayBeHeld bool) {
+	defer r.addPending(-1)
 	select {
 	case <-r.stop:
 		return
 	default:
 	}
 	now := r.world.Clock.Now()
-	if now >= cl.cutOff {
+	if now >= cl.deadline {
 		return
 	}
 	r.mu.Lock()
 	id, origin := cl.id, cl.id
-	if cl.tries > 0 {
-		id += dispatch.MessageID("." + strconv.Itoa(cl.tries))
+	if cl.submissions > 0 {
+		id += dispatch.MessageID("." + strconv.Itoa(cl.submissions))
 	}
-	if cl.dropped > 0 { // what ran under an id that nobody answered for counts for nothing
-		origin += dispatch.MessageID("+" + strconv.Itoa(cl.dropped))
+	if cl.unanswered > 0 { // with a new origin, deliveries of unanswered submissions do not count as earlier deliveries of this one
+		origin += dispatch.MessageID("+" + strconv.Itoa(cl.unanswered))
 	}
-	cl.tries++
+	cl.submissions++
 	r.clients[id] = cl
 	r.mu.Unlock()
 	a := cl.arrival
-	wl := r.day.Definition.Classes[a.Class]
+	class := r.drawn.Definition.Classes[a.Class]
 	key := dispatch.OrderingKey("")
 	if a.Key >= 0 {
 		key = dispatch.OrderingKey("k" + strconv.Itoa(int(a.Key)))
 	}
 	r.world.Expect(id, environment.Message{Origin: origin, Courier: courier, Class: int(a.Class), Dest: int(a.Dest)})
-	r.books.Accepted(now, id, cl.id, courier, key, cl.cutOff)
-	rec := load.Message{ID: string(id), Class: wl.Name, Left: time.Duration(cl.cutOff-now) * time.Microsecond, Dest: int(a.Dest),
-		Key: string(key), Again: again, AfterDeath: afterDeath, Body: r.body}
-	if tenants := r.day.Definition.Tenants; len(tenants) > 0 {
-		rec.Tenant = tenants[a.Tenant].Name
+	r.ledger.Accepted(now, id, cl.id, courier, key, cl.deadline)
+	message := load.Message{ID: string(id), Class: class.Name, TimeToLive: time.Duration(cl.deadline-now) * time.Microsecond, Dest: int(a.Dest),
+		OrderingKey: string(key), Resubmitted: resubmitted, MayBeHeld: mayBeHeld, Body: r.body}
+	if tenants := r.drawn.Definition.Tenants; len(tenants) > 0 {
+		message.Tenant = tenants[a.Tenant].Name
 	}
-	reply := r.pools[courier].Do(load.Enqueue(rec))
+	reply := r.pools[courier].Do(load.EncodeEnqueue(message))
 	now = r.world.Clock.Now()
 	switch reply.Kind {
 	case load.OK:
-		// From now on its end is owed: a call answered with 200, or a notice.
+		// Accepted: the courier must now deliver the message or send a notice for it.
 	case load.Busy:
 		r.world.MarkEnded(id)
-		r.books.MessageEnded(now, id, invariants.Rejected)
-		r.comeAgain(cl, courier, reply.Again)
+		r.ledger.MessageEnded(now, id, invariants.Rejected)
+		r.retryRejected(cl, courier, reply.RetryAfter)
 	case load.Failed:
 		r.world.MarkEnded(id)
-		r.books.MessageEnded(now, id, invariants.Failed)
+		r.ledger.MessageEnded(now, id, invariants.Failed)
 	default:
-		r.unanswered(cl, id, courier, reply)
+		r.handleUnanswered(cl, id, courier, reply)
 	}
 }
 
-// unanswered is a submission that a courier did not answer: it was down, cut the connection or kept silent.
-func (r *run) unanswered(cl *client, id dispatch.MessageID, courier int, reply load.Reply) {
+// handleUnanswered handles a submission without a reply: the courier was unreachable, the connection ended, or the reply timed out.
+func (r *run) handleUnanswered(cl *client, id dispatch.MessageID, courier int, reply load.Reply) {
 	now := r.world.Clock.Now()
-	if reply.Kind == load.Cut && r.couriers[courier].Up() && !r.books.IsExcused(now, courier) {
-		r.books.Unanswered(now, id, courier)
+	if reply.Kind == load.ConnectionLost && r.couriers[courier].Up() && !r.ledger.IsExcused(now, courier) {
+		r.ledger.Unanswered(now, id, courier)
 	}
 	r.world.MarkEnded(id)
-	r.books.MessageEnded(now, id, invariants.Dropped)
+	r.ledger.MessageEnded(now, id, invariants.Dropped)
 	r.mu.Lock()
-	cl.dropped++
+	cl.unanswered++
 	r.mu.Unlock()
-	again := r.between(r.day.Definition.Clients.ResubmitAfter)
-	if reply.Kind == load.Down {
-		again /= 4
+	delay := r.randomDuration(r.drawn.Definition.Clients.ResubmitAfter)
+	if reply.Kind == load.Unreachable {
+		delay /= 4 // the client notices a refused connection sooner than a missing reply
 	}
-	r.later(cl, again, r.other(courier), true, reply.Kind != load.Down)
+	r.submitLater(cl, delay, r.nextCourier(courier), true, reply.Kind != load.Unreachable)
 }
 
-// comeAgain submits anew what was rejected, after a while.
-func (r *run) comeAgain(cl *client, courier int, advice time.Duration) {
-	d := r.day.Definition.Clients
+// retryRejected submits a rejected message again after a backoff, up to the configured number of retries.
+func (r *run) retryRejected(cl *client, courier int, retryAfter time.Duration) {
+	d := r.drawn.Definition.Clients
 	r.mu.Lock()
-	if cl.rejects >= d.Retries {
+	if cl.retries >= d.Retries {
 		r.mu.Unlock()
 		return
 	}
-	heeds := r.rng.Float64() < d.HonorRetryAfterShare
-	n := cl.rejects
-	cl.rejects++
+	followsRetryAfter := r.rng.Float64() < d.HonorRetryAfterShare
+	n := cl.retries
+	cl.retries++
 	r.mu.Unlock()
-	wait := r.between(scenario.Range{d.Backoff[0] / 1000, d.Backoff[1] / 1000}) << n
-	if advice > 0 && heeds {
-		wait = min(advice, time.Duration(r.day.Definition.Fleet.MaxRetryAfter*float64(time.Second)))
+	wait := r.randomDuration(scenario.Range{d.Backoff[0] / 1000, d.Backoff[1] / 1000}) << n
+	if retryAfter > 0 && followsRetryAfter {
+		wait = min(retryAfter, time.Duration(r.drawn.Definition.Fleet.MaxRetryAfter*float64(time.Second)))
 	}
-	r.later(cl, wait, r.other(courier), true, false)
+	r.submitLater(cl, wait, r.nextCourier(courier), true, false)
 }
 
-// noticed takes a notice for a message that a courier had taken on.
-func (r *run) noticed(id dispatch.MessageID, how invariants.End, again time.Duration) {
+// handleNotice handles a notice that ends an accepted message. After a rejection, the client submits the message again.
+func (r *run) handleNotice(id dispatch.MessageID, end invariants.End, retryAfter time.Duration) {
 	r.mu.Lock()
 	cl := r.clients[id]
 	r.mu.Unlock()
 	if cl == nil {
 		return
 	}
-	if how == invariants.Rejected {
-		r.comeAgain(cl, int(cl.arrival.Courier), again)
+	if end == invariants.Rejected {
+		r.retryRejected(cl, int(cl.arrival.Courier), retryAfter)
 	}
 }
--- a/testbed/scripted/scripted.go
+++ b/testbed/scripted/scripted.go
@@ -1,5 +1,6 @@
-// Package scripted plays discovery, the platform and a few endpoints on loopback, whose calls end as a test says, for the
-// end-to-end test. It is written from the pages that describe them and keeps books of what it saw.
+// Package scripted provides discovery, the platform's notice service and endpoints as stand-ins on loopback for the end-to-end tests. A test
+// decides how each call ends. The package is implemented from the protocol documentation, independently of the courier's code, and records
+// the calls and notices it receives.
 package scripted
 
 import (
@@ -17,59 +18,63 @@
 	"time"
 )
 
-// Fate is how an endpoint treats a call.
-type Fate struct {
-	Status int           // 0 closes the connection without an answer
-	After  time.Duration // work before the answer
-	WaitMs int
+// Response is how an endpoint answers a call.
+type Response struct {
+	Status    int           // HTTP status; 0 closes the connection without an answer
+	Delay     time.Duration // delay before the answer
+	BackoffMs int           // X-Backoff-Ms header in milliseconds, sent with a status other than 200; 0: no header
 }
 
-// Broken counts what an endpoint must never see.
-type Broken struct {
-	Early    int // calls within a wait that was notified over a tenth of a second before
-	Overlaps int // calls for a key while another message of it is out
-	Disorder int // calls for a key behind a later one
+// Violations counts calls that a correct courier never makes.
+type Violations struct {
+	EarlyCalls       int // calls to any endpoint during a wait that was requested more than 100 ms before the call
+	OverlappingCalls int // calls for an ordering key while a call for another message of the key is in flight
+	OutOfOrder       int // calls for a message of an ordering key after a call for a later message of the key
 }
 
-// line is a key whose messages go one at a time.
-type line struct {
-	out  map[string]int // calls, by message; one that a killed courier had out runs on beside its next
-	last int
+// orderedKey is an ordering key, whose messages are sent one at a time.
+type orderedKey struct {
+	inFlight map[string]int // number of calls in flight by message; a call of a killed courier can overlap with the next attempt of its message
+	highest  int            // highest message number called so far
 }
 
-// World is discovery and the endpoints of one destination.
+// World is a stand-in for the platform: discovery, the notice service and the endpoints.
 type World struct {
-	Discovery string // its address
+	Discovery string // address of discovery
 	Endpoints []string
-	Lists     func(index int) string // what discovery answers, in place of the list; empty for the list
+	// ListOverride, if set, returns the answer to a list request. The index is the list version that the courier knows, 0 if none. If ListOverride returns "",
+	// the answer is the normal list.
+	ListOverride func(index int) string
 
-	mu       sync.Mutex
-	fate     func(id string) Fate
-	seq      int
-	dests    []int         // of the endpoints
-	draining map[int]int   // endpoints that drain, and the version of the list since when
-	changed  chan struct{} // closed with each drain
-	calls    []*atomic.Int64
-	began    map[string]int // calls that were begun, by message
-	done     map[string]int
-	notices  map[string][]string
-	broken   Broken
-	notified time.Time // when the last wait was notified, and until when it holds
-	waitTo   time.Time
-	lines    map[string]*line
-	mute     int // calls with notices that will get no answer
-	servers  []*http.Server
-	home     *http.Server // discovery's
+	mu                sync.Mutex
+	respond           func(id string) Response
+	seq               int           // version of the endpoint list: "seq" in answers, "index" in requests
+	destinations      []int         // destination of each endpoint
+	draining          map[int]int   // draining endpoints, with the list version at which each started to drain
+	changed           chan struct{} // closed and replaced when an endpoint starts to drain
+	calls             []*atomic.Int64
+	startedCalls      map[string]int // by message; calls answered with 429 or 503 are not counted, as the endpoint does not process them
+	succeededCalls    map[string]int
+	notices           map[string][]string
+	violations        Violations
+	waitSentAt        time.Time // when an endpoint last requested a wait with X-Backoff-Ms
+	waitUntil         time.Time // end of that wait
+	orderedKeys       map[string]*orderedKey
+	unansweredNotices int // number of notice calls still to leave unanswered
+	servers           []*http.Server
+	discoveryServer   *http.Server // serves Discovery
 }
 
-// Open starts a world with so many endpoints; fate decides for each call.
-func Open(endpoints int, fate func(id string) Fate) (*World, error) {
-	w := &World{lines: map[string]*line{}, fate: fate, seq: 1 - endpoints, draining: map[int]int{}, changed: make(chan struct{}), began: map[string]int{}, done: map[string]int{}, notices: map[string][]string{}}
-	if err := w.settle(); err != nil {
+// Open starts a World with the given number of endpoints of destination 1. respond is called with the message id of
+// each call, the first id of a batch, and returns the answer.
+func Open(endpoints int, respond func(id string) Response) (*World, error) {
+	// The list version is 1 after the endpoints are added below.
+	w := &World{orderedKeys: map[string]*orderedKey{}, respond: respond, seq: 1 - endpoints, draining: map[int]int{}, changed: make(chan struct{}), startedCalls: map[string]int{}, succeededCalls: map[string]int{}, notices: map[string][]string{}}
+	if err := w.servePlatform(); err != nil {
 		return nil, err
 	}
 	for range endpoints {
-		if err := w.Grow(1); err != nil {
+		if err := w.AddEndpoint(1); err != nil {
 			return nil, err
 		}
 	}
@@ -87,24 +92,25 @@
 	return l.Addr().String(), nil
 }
 
-// settle serves discovery and the platform at a new address.
-func (w *World) settle() (err error) {
+// servePlatform serves discovery and the notice service at a new address.
+func (w *World) servePlatform() (err error) {
 	platform := http.NewServeMux()
 	platform.HandleFunc("GET /v1/servers", w.list)
 	platform.HandleFunc("POST /v1/notices", w.notice)
 	w.Discovery, err = w.serve(platform)
-	w.home = w.servers[len(w.servers)-1]
+	w.discoveryServer = w.servers[len(w.servers)-1]
 	return err
 }
 
-// Move serves discovery at a new address; leave ends the old one.
-func (w *World) Move() (leave func(), err error) {
-	old := w.home
-	return func() { old.Close() }, w.settle()
+// MoveDiscovery serves discovery and the notice service at a new address. closeOld closes the server at the old address.
+func (w *World) MoveDiscovery() (closeOld func(), err error) {
+	old := w.discoveryServer
+	return func() { old.Close() }, w.servePlatform()
 }
 
-// Grow adds an endpoint; whoever watches is not reported before the next list.
-func (w *World) Grow(dest int) error {
+// AddEndpoint adds an endpoint for the given destination. Unlike Drain, it does not answer pending watches: couriers learn of the endpoint with their
+// next list request.
+func (w *World) AddEndpoint(dest int) error {
 	mux := http.NewServeMux()
 	w.mu.Lock()
 	calls := new(atomic.Int64)
@@ -121,12 +127,12 @@
 	addr, err := w.serve(mux)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.Endpoints, w.dests = append(w.Endpoints, addr), append(w.dests, dest)
+	w.Endpoints, w.destinations = append(w.Endpoints, addr), append(w.destinations, dest)
 	w.seq++
 	return err
 }
 
-// Drain has discovery report an endpoint as draining, to whoever watches at once.
+// Drain marks an endpoint as draining and answers pending watches at once.
 func (w *World) Drain(endpoint int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -136,58 +142,59 @@
 	w.changed = make(chan struct{})
 }
 
-// CloseAfterAnswers has endpoints close each connection after its answer.
-func (w *World) CloseAfterAnswers() {
+// CloseAfterResponses makes the endpoints close each connection after its next answer.
+func (w *World) CloseAfterResponses() {
 	for _, server := range w.servers {
-		if server != w.home {
+		if server != w.discoveryServer {
 			server.SetKeepAlivesEnabled(false)
 		}
 	}
 }
 
-// Calls is how many calls have come to an endpoint.
+// Calls returns the number of calls that an endpoint has received.
 func (w *World) Calls(endpoint int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return int(w.calls[endpoint].Load())
 }
 
-// MuteNotices leaves so many calls with notices without an answer, unread.
-func (w *World) MuteNotices(calls int) {
+// LeaveNoticesUnanswered leaves the given number of the next notice calls unanswered and does not record their notices.
+func (w *World) LeaveNoticesUnanswered(calls int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.mute = calls
+	w.unansweredNotices = calls
 }
 
-// Close ends it.
+// Close closes all servers.
 func (w *World) Close() {
 	for _, s := range w.servers {
 		s.Close()
 	}
 }
 
-// Known is the list in discovery's form.
-func (w *World) Known() json.RawMessage {
+// EndpointList returns the complete endpoint list in discovery's format.
+func (w *World) EndpointList() json.RawMessage {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.listSince(-1)
 }
 
-// listSince returns what was drained after a version, or, for a negative one, the whole list. The caller holds the lock.
+// listSince returns the endpoints that started to drain after the given list version, or the complete list if version is negative. The caller
+// holds the lock.
 func (w *World) listSince(version int) json.RawMessage {
 	type host map[string]any
 	hosts := []host{}
 	for i, addr := range w.Endpoints {
-		since, drains := w.draining[i]
-		if version >= 0 && (!drains || since <= version) {
+		since, draining := w.draining[i]
+		if version >= 0 && (!draining || since <= version) {
 			continue
 		}
 		health := "in_service"
-		if drains {
+		if draining {
 			health = "terminating"
 		}
 		hosts = append(hosts, host{"host": fmt.Sprintf("s-%d", i), "dial": addr, "site": "a", "class": "plain",
-			"block": w.dests[i], "health": health, "share": 50.0, "born_ms": 0})
+			"block": w.destinations[i], "health": health, "share": 50.0, "born_ms": 0})
 	}
 	text, _ := json.Marshal(map[string]any{"seq": w.seq, "whole": version < 0, "hosts": hosts})
 	return text
@@ -198,8 +205,8 @@
 	if err != nil {
 		index = -1
 	}
-	if w.Lists != nil {
-		if text := w.Lists(max(index, 0)); text != "" {
+	if w.ListOverride != nil {
+		if text := w.ListOverride(max(index, 0)); text != "" {
 			fmt.Fprint(rw, text)
 			return
 		}
@@ -218,6 +225,7 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
+	// Once an endpoint drains, a courier with a list gets only the endpoints that started to drain since its version.
 	if index >= 0 && len(w.draining) > 0 || index >= w.seq {
 		rw.Write(w.listSince(index))
 		return
@@ -227,12 +235,12 @@
 
 func (w *World) notice(rw http.ResponseWriter, r *http.Request) {
 	w.mu.Lock()
-	mute := w.mute > 0
-	if mute {
-		w.mute--
+	unanswered := w.unansweredNotices > 0
+	if unanswered {
+		w.unansweredNotices--
 	}
 	w.mu.Unlock()
-	if mute {
+	if unanswered {
 		<-r.Context().Done()
 		return
 	}
@@ -250,22 +258,23 @@
 	rw.WriteHeader(http.StatusNoContent)
 }
 
-// call plays one call for some messages and tells whether it is answered.
+// call handles one call for the given messages. It returns true if the status is 200, in which case the caller may write a body; else
+// the answer is complete or the connection closed.
 func (w *World) call(rw http.ResponseWriter, ids ...string) bool {
 	w.mu.Lock()
-	if now := time.Now(); now.Before(w.waitTo) && now.After(w.notified.Add(100*time.Millisecond)) {
-		w.broken.Early++
+	if now := time.Now(); now.Before(w.waitUntil) && now.After(w.waitSentAt.Add(100*time.Millisecond)) {
+		w.violations.EarlyCalls++
 	}
-	fate := w.fate(ids[0])
+	response := w.respond(ids[0])
 	for _, id := range ids {
-		if fate.Status != 429 && fate.Status != 503 {
-			w.began[id]++
+		if response.Status != 429 && response.Status != 503 {
+			w.startedCalls[id]++
 		}
-		defer w.inLine(id)()
+		defer w.trackOrdering(id)()
 	}
 	w.mu.Unlock()
-	time.Sleep(fate.After)
-	switch fate.Status {
+	time.Sleep(response.Delay)
+	switch response.Status {
 	case 0:
 		if conn, _, err := rw.(http.Hijacker).Hijack(); err == nil {
 			conn.Close()
@@ -274,59 +283,59 @@
 	case 200:
 		w.mu.Lock()
 		for _, id := range ids {
-			w.done[id]++
+			w.succeededCalls[id]++
 		}
 		w.mu.Unlock()
 		return true
 	}
-	if fate.WaitMs > 0 {
+	if response.BackoffMs > 0 {
 		w.mu.Lock()
-		w.notified, w.waitTo = time.Now(), time.Now().Add(time.Duration(fate.WaitMs)*time.Millisecond)
+		w.waitSentAt, w.waitUntil = time.Now(), time.Now().Add(time.Duration(response.BackoffMs)*time.Millisecond)
 		w.mu.Unlock()
-		rw.Header().Set("X-Backoff-Ms", strconv.Itoa(fate.WaitMs))
+		rw.Header().Set("X-Backoff-Ms", strconv.Itoa(response.BackoffMs))
 	}
-	rw.WriteHeader(fate.Status)
+	rw.WriteHeader(response.Status)
 	return false
 }
 
-// inLine keeps the books of ids such as line-KEY-7, and returns what is to be done when the call is over. The caller holds
-// the lock, and does not when it is over.
-func (w *World) inLine(id string) func() {
+// trackOrdering checks the order of messages with ids such as line-KEY-7, in which 7 is the position for the ordering key KEY. It returns a
+// function to call when the call ends. The caller of trackOrdering holds the lock; the caller of the returned function does not.
+func (w *World) trackOrdering(id string) func() {
 	rest, ok := strings.CutPrefix(id, "line-")
 	key, number, found := strings.Cut(rest, "-")
 	n, err := strconv.Atoi(number)
 	if !ok || !found || err != nil {
 		return func() {}
 	}
-	l := w.lines[key]
-	if l == nil {
-		l = &line{out: map[string]int{}}
-		w.lines[key] = l
+	state := w.orderedKeys[key]
+	if state == nil {
+		state = &orderedKey{inFlight: map[string]int{}}
+		w.orderedKeys[key] = state
 	}
-	for other := range l.out {
+	for other := range state.inFlight {
 		if other != id {
-			w.broken.Overlaps++
+			w.violations.OverlappingCalls++
 		}
 	}
-	if n < l.last {
-		w.broken.Disorder++
+	if n < state.highest {
+		w.violations.OutOfOrder++
 	}
-	l.out[id]++
-	l.last = max(l.last, n)
+	state.inFlight[id]++
+	state.highest = max(state.highest, n)
 	return func() {
 		w.mu.Lock()
-		if l.out[id]--; l.out[id] == 0 {
-			delete(l.out, id)
+		if state.inFlight[id]--; state.inFlight[id] == 0 {
+			delete(state.inFlight, id)
 		}
 		w.mu.Unlock()
 	}
 }
 
-// Broken is what must never be, as far as it was seen.
-func (w *World) Broken() Broken {
+// Violations returns the violations seen so far.
+func (w *World) Violations() Violations {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.broken
+	return w.violations
 }
 
 func (w *World) hook(rw http.ResponseWriter, r *http.Request) {
@@ -358,21 +367,22 @@
 	}
 }
 
-// Seen tells how often a message's call was begun and answered as done, and the notices for it.
-func (w *World) Seen(id string) (began, done int, notices []string) {
+// MessageCalls returns how many calls for a message were started (without those answered with 429 or 503) and how many were answered with 200, and the
+// statuses of its notices.
+func (w *World) MessageCalls(id string) (started, succeeded int, notices []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.began[id], w.done[id], append([]string(nil), w.notices[id]...)
+	return w.startedCalls[id], w.succeededCalls[id], append([]string(nil), w.notices[id]...)
 }
 
-// Configuration is what a courier beside this world is notified.
-func (w *World) Configuration(name, listen string) []byte {
-	class := func(name, repeat string, points float64) map[string]any {
-		return map[string]any{"name": name, "idempotency": repeat, "points": points, "slo-s": 1.0, "deadline-s": 8.0,
+// CourierConfiguration returns the configuration of a courier that uses this World.
+func (w *World) CourierConfiguration(name, listen string) []byte {
+	class := func(name, idempotency string, points float64) map[string]any {
+		return map[string]any{"name": name, "idempotency": idempotency, "points": points, "slo-s": 1.0, "deadline-s": 8.0,
 			"late-worth": 0.5, "dedup-window-s": 5.0, "group": "all"}
 	}
 	text, _ := json.MarshalIndent(map[string]any{
-		"name": name, "listen": listen, "discovery": w.Discovery, "seed": "8c1f30d27a5be964", "known": w.Known(),
+		"name": name, "listen": listen, "discovery": w.Discovery, "seed": "8c1f30d27a5be964", "known": w.EndpointList(),
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024, "disk_mb": 3},
 		"settings": map[string]any{
 			"classes": []any{class("update", "free", 1), class("order", "single_shot", 2)},
--- a/testbed/soak/play.go
+++ b/testbed/soak/play.go
@@ -121,7 +121,7 @@
 		return err
 	}
 	rng, lock := rand.New(rand.NewSource(seed)), sync.Mutex{}
-	world, err := scripted.Open(endpoints, func(string) scripted.Fate { return fate(rng, p.plan.endpointsBad) })
+	world, err := scripted.Open(endpoints, func(string) scripted.Response { return fate(rng, p.plan.endpointsBad) })
 	if err != nil {
 		return err
 	}
@@ -145,7 +145,7 @@
 	}
 	letGo()
 	p.listen = address
-	if err := os.WriteFile(filepath.Join(p.folder, "config.json"), world.Configuration(fmt.Sprintf("soak-%d", p.options.Seed), address), 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(p.folder, "config.json"), world.CourierConfiguration(fmt.Sprintf("soak-%d", p.options.Seed), address), 0o644); err != nil {
 		return err
 	}
 	p.log, err = os.Create(filepath.Join(p.folder, "log"))
@@ -153,12 +153,12 @@
 }
 
 // fate draws what becomes of a call at an endpoint.
-func fate(rng *rand.Rand, bad float64) scripted.Fate {
+func fate(rng *rand.Rand, bad float64) scripted.Response {
 	work := time.Duration(5+rng.Intn(60)) * time.Millisecond
 	if rng.Float64() >= bad {
-		return scripted.Fate{Status: 200, After: work}
+		return scripted.Response{Status: 200, Delay: work}
 	}
-	fates := []scripted.Fate{{Status: 503}, {Status: 429, WaitMs: 100 + rng.Intn(700)}, {Status: 500, After: work}, {Status: 0, After: work}, {Status: 200, After: 1500 * time.Millisecond}}
+	fates := []scripted.Response{{Status: 503}, {Status: 429, BackoffMs: 100 + rng.Intn(700)}, {Status: 500, Delay: work}, {Status: 0, Delay: work}, {Status: 200, Delay: 1500 * time.Millisecond}}
 	return fates[rng.Intn(len(fates))]
 }
 
@@ -374,7 +374,7 @@
 	for _, id := range p.clients.acceptedIDs() {
 		for !p.isOver(id) {
 			if time.Now().After(deadline) {
-				began, _, _ := p.world.Seen(id)
+				began, _, _ := p.world.MessageCalls(id)
 				p.breach("final answer: %s was accepted and has none; begun %d times", id, began)
 				break
 			}
@@ -384,7 +384,7 @@
 }
 
 func (p *play) isOver(id string) bool {
-	_, done, notices := p.world.Seen(id)
+	_, done, notices := p.world.MessageCalls(id)
 	return done > 0 || len(notices) > 0
 }
 
--- a/testbed/wirehost/host_test.go
+++ b/testbed/wirehost/host_test.go
@@ -12,8 +12,8 @@
 	"pineport/testbed/simulation"
 )
 
-// TestSameOverTheWire: the same decisions over the simulator's wire come to the same day, to the last count. The wire
-// has no word for a planned end, so days with one are left out.
+// TestSameOverTheWire checks that the same decision logic gives exactly the same counts and figure in process and over the simulator's wire
+// protocol. The wire protocol has no event for a graceful shutdown, so the test uses scenarios without one.
 func TestSameOverTheWire(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "simadapter")
 	if out, err := exec.Command("go", "build", "-o", binary, "pineport/cmd/simadapter").CombinedOutput(); err != nil {
@@ -25,7 +25,7 @@
 			t.Fatal(err)
 		}
 		w := scenario.Draw(d, 3)
-		here, _, err := simulation.Play(w, simulation.NewLocal(nil), simulation.Options{})
+		inProcess, _, err := simulation.Play(w, simulation.NewLocal(nil), simulation.Options{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -33,28 +33,29 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		there, _, err := simulation.Play(w, host, simulation.Options{})
+		overWire, _, err := simulation.Play(w, host, simulation.Options{})
 		if err != nil {
 			t.Fatal(err)
 		}
 		if err := host.Close(); err != nil {
 			t.Error(err)
 		}
-		if !reflect.DeepEqual(here.Counts, there.Counts) || here.Score != there.Score {
-			t.Errorf("%s: %v %+v here, %v %+v over the wire", name, here.Score, here.Counts, there.Score, there.Counts)
+		if !reflect.DeepEqual(inProcess.Counts, overWire.Counts) || inProcess.Score != overWire.Score {
+			t.Errorf("%s: %v %+v in process, %v %+v over the wire", name, inProcess.Score, inProcess.Counts, overWire.Score, overWire.Counts)
 		}
 	}
 }
 
-// TestBrokenHosts: no program, one that ends at once, one that talks nonsense and one that reports a fault each give a
-// clear error or a broken day, and no hang.
-func TestBrokenHosts(t *testing.T) {
+// TestFaultyHosts checks a missing program, one that exits at once, one that writes invalid lines and one that reports an internal error. The
+// first three must give a clear error. An internal error concerns one courier only: it must not be returned as an error, but appear in the verdict
+// as a violation of the invariant on crashes.
+func TestFaultyHosts(t *testing.T) {
 	d, err := scenario.Find("calm")
 	if err != nil {
 		t.Fatal(err)
 	}
 	w := scenario.Draw(d, 1)
-	for command, want := range map[string]string{"/nowhere/at-all": "broke off", "true": "broke off", "yes nonsense": "before any courier"} {
+	for command, want := range map[string]string{"/nowhere/at-all": "reply ended early", "true": "reply ended early", "yes nonsense": "before the first at line"} {
 		host, err := Open(command)
 		if err != nil {
 			t.Fatal(err)
