--- a/testbed/faultproxy/faultproxy.go
+++ b/testbed/faultproxy/faultproxy.go
@@ -32,9 +32,9 @@
 	Spoilt            // the body is what Treatment.Edit makes of it
 )
 
-var names = [...]string{"none", "silent", "reset", "unavailable", "cut", "stuck", "duplicate", "late", "trickle", "endless", "spoilt"}
+var faultNames = [...]string{"none", "silent", "reset", "unavailable", "cut", "stuck", "duplicate", "late", "trickle", "endless", "spoilt"}
 
-func (f Fault) String() string { return names[f] }
+func (f Fault) String() string { return faultNames[f] }
 
 // Treatment is how a call is treated.
 type Treatment struct {
@@ -141,14 +141,14 @@
 		if err != nil {
 			return
 		}
-		call, treatment := p.begin(request)
-		if !p.treat(conn, call.Number, treatment, request, body) {
+		call, treatment := p.register(request)
+		if !p.handle(conn, call.Number, treatment, request, body) {
 			return
 		}
 	}
 }
 
-func (p *Proxy) begin(request *http.Request) (Call, Treatment) {
+func (p *Proxy) register(request *http.Request) (Call, Treatment) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	call := Call{Number: len(p.calls), Path: request.URL.Path, Query: request.URL.Query(), Read: time.Now()}
@@ -158,14 +158,14 @@
 	return call, treatment
 }
 
-func (p *Proxy) answered(number int) {
+func (p *Proxy) markAnswered(number int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.calls[number].Answered = time.Now()
 }
 
 // treat plays one call and reports whether its connection is kept.
-func (p *Proxy) treat(conn net.Conn, number int, treatment Treatment, request *http.Request, body []byte) bool {
+func (p *Proxy) handle(conn net.Conn, number int, treatment Treatment, request *http.Request, body []byte) bool {
 	switch treatment.Fault {
 	case Silent:
 		return true // it waits for another call, which does not come before the connection ends
@@ -183,7 +183,7 @@
 		reset(conn)
 		return false
 	}
-	defer p.answered(number)
+	defer p.markAnswered(number)
 	return p.deliver(conn, treatment, status, answer)
 }
 
@@ -193,27 +193,27 @@
 		body = treatment.Edit(body)
 	}
 	head := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n\r\n", status, http.StatusText(status), len(body))
-	whole := append(head, body...)
-	half := whole[:len(head)+len(body)/2]
+	response := append(head, body...)
+	truncated := response[:len(head)+len(body)/2]
 	switch treatment.Fault {
 	case Cut:
-		conn.Write(half)
+		conn.Write(truncated)
 		return false
 	case Stuck:
-		conn.Write(half)
+		conn.Write(truncated)
 		return true
 	case Duplicate:
-		whole = append(whole, whole...)
+		response = append(response, response...)
 	case Late:
 		p.pause(treatment.Delay)
 	case Trickle:
-		for _, b := range whole {
+		for _, b := range response {
 			conn.Write([]byte{b})
-			p.pause(treatment.Delay / time.Duration(len(whole)))
+			p.pause(treatment.Delay / time.Duration(len(response)))
 		}
 		return true
 	}
-	_, err := conn.Write(whole)
+	_, err := conn.Write(response)
 	return err == nil
 }
 
@@ -229,11 +229,11 @@
 
 // forward plays a call upstream.
 func (p *Proxy) forward(request *http.Request, body []byte) (status int, answer []byte, err error) {
-	onwards, err := http.NewRequest(request.Method, "http://"+p.upstream+request.URL.RequestURI(), bytes.NewReader(body))
+	forwarded, err := http.NewRequest(request.Method, "http://"+p.upstream+request.URL.RequestURI(), bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, err
 	}
-	response, err := p.client.Do(onwards)
+	response, err := p.client.Do(forwarded)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -242,9 +242,9 @@
 	return response.StatusCode, answer, err
 }
 
-func (p *Proxy) pause(span time.Duration) {
+func (p *Proxy) pause(length time.Duration) {
 	select {
-	case <-time.After(span):
+	case <-time.After(length):
 	case <-p.closed:
 	}
 }
--- a/testbed/fleet/fleet.go
+++ b/testbed/fleet/fleet.go
@@ -140,22 +140,22 @@
 }
 
 // total books what stands at an instant.
-func (r *rig) total(now time.Duration) {
+func (r *run) recordTotals(now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	bin := int(now.Microseconds() / int64(invariants.Bin))
 	sums := map[int32][2]float64{}
-	for _, s := range r.shared {
+	for _, s := range r.quotaStatuses {
 		for _, l := range s.Groups {
 			sum := sums[l.Dest]
 			sums[l.Dest] = [2]float64{sum[0] + float64(l.Granted)/1e6, sum[1] + float64(l.Leased)/1e6}
 		}
 	}
 	for dest, sum := range sums {
-		leases := r.res.Parts[dest]
+		leases := r.result.Parts[dest]
 		if leases == nil {
 			leases = &LeaseTotals{}
-			r.res.Parts[dest] = leases
+			r.result.Parts[dest] = leases
 		}
 		for len(leases.Granted) <= bin {
 			leases.Granted, leases.Leased = append(leases.Granted, 0), append(leases.Leased, 0)
@@ -165,7 +165,7 @@
 }
 
 // look is what a courier says of its fleet.
-type look struct {
+type courierStatus struct {
 	Status  string `json:"standing"`
 	Least   int    `json:"least"`
 	Most    int    `json:"most"`
@@ -181,26 +181,26 @@
 }
 
 // rig is a day under way.
-type rig struct {
-	plan   *Plan
-	o      Options
-	n      int
-	net    *netfault.Net
-	ops    []string
-	gossip []string
-	field  *realtime.Field
-
-	mu     sync.Mutex
-	down   map[int]time.Time // since when a courier is away
-	back   map[int]time.Time
-	starts map[int]int
-	on     map[string]int // faults that are on
-	saw    map[[2]int]string
-	res    *Result
-	looks  []look
-	leases invariants.Leases
-	shared []exchange.Status
-	idle   []string
+type run struct {
+	plan        *Plan
+	options     Options
+	couriers    int
+	net         *netfault.Net
+	adminAddrs  []string
+	gossipAddrs []string
+	field       *realtime.Field
+
+	mu            sync.Mutex
+	downSince     map[int]time.Time // since when a courier is away
+	restartedAt   map[int]time.Time
+	starts        map[int]int
+	activeFaults  map[string]int // faults that are on
+	memberStates  map[[2]int]string
+	result        *Result
+	statuses      []courierStatus
+	leases        invariants.Leases
+	quotaStatuses []exchange.Status
+	notTriggered  []string
 }
 
 // Play plays a plan.
@@ -227,37 +227,37 @@
 		defer os.RemoveAll(dir)
 		o.Dir = dir
 	}
-	r := &rig{plan: p, o: o, n: d.Fleet.Couriers, down: map[int]time.Time{}, back: map[int]time.Time{}, starts: map[int]int{}, on: map[string]int{},
-		saw: map[[2]int]string{}, looks: make([]look, d.Fleet.Couriers), shared: make([]exchange.Status, d.Fleet.Couriers), res: &Result{Couriers: d.Fleet.Couriers, False: map[string]int{}, Parts: Parts{}}}
+	r := &run{plan: p, options: o, couriers: d.Fleet.Couriers, downSince: map[int]time.Time{}, restartedAt: map[int]time.Time{}, starts: map[int]int{}, activeFaults: map[string]int{},
+		memberStates: map[[2]int]string{}, statuses: make([]courierStatus, d.Fleet.Couriers), quotaStatuses: make([]exchange.Status, d.Fleet.Couriers), result: &Result{Couriers: d.Fleet.Couriers, False: map[string]int{}, Parts: Parts{}}}
 	if err := r.addresses(); err != nil {
 		return nil, err
 	}
-	if r.net, err = netfault.Open(o.Seed, r.gossip, o.Trace); err != nil {
+	if r.net, err = netfault.Open(o.Seed, r.gossipAddrs, o.Trace); err != nil {
 		return nil, err
 	}
 	defer r.net.Close()
-	lo := realtime.Options{Binary: o.Binary, Dir: o.Dir, Log: o.Log, Begun: r.begun}
+	lo := realtime.Options{Binary: o.Binary, Dir: o.Dir, Log: o.Log, Begun: r.start}
 	if o.Peers {
 		lo.Extra = r.configure
 	}
-	r.res.Drawn = scenario.Draw(d, o.Seed)
-	v, cost, err := realtime.Play(ctx, r.res.Drawn, lo)
+	r.result.Drawn = scenario.Draw(d, o.Seed)
+	v, cost, err := realtime.Play(ctx, r.result.Drawn, lo)
 	if err != nil {
 		return nil, err
 	}
-	r.res.Verdict, r.res.Cost, r.res.Struck, r.res.Idle = v, cost, r.net.Struck(), r.idle
-	return r.res, nil
+	r.result.Verdict, r.result.Cost, r.result.Struck, r.result.Idle = v, cost, r.net.Struck(), r.notTriggered
+	return r.result, nil
 }
 
 // addresses finds, for each courier, one for operators and one for its fleet.
-func (r *rig) addresses() error {
-	for i := range r.n {
-		for _, list := range []*[]string{&r.ops, &r.gossip} {
+func (r *run) addresses() error {
+	for i := range r.couriers {
+		for _, addrs := range []*[]string{&r.adminAddrs, &r.gossipAddrs} {
 			at, err := Free(i)
 			if err != nil {
 				return err
 			}
-			*list = append(*list, at)
+			*addrs = append(*addrs, at)
 		}
 	}
 	return nil
@@ -282,57 +282,57 @@
 	return "", fmt.Errorf("no address free for both UDP and TCP")
 }
 
-func (r *rig) configure(c *process.Courier) (map[string]any, error) {
+func (r *run) configure(c *process.Courier) (map[string]any, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	join := []string{r.gossip[0], r.gossip[(c.No+1)%r.n], r.gossip[(c.No+r.n/2)%r.n]}
-	return map[string]any{"ops": r.ops[c.No], "peers": map[string]any{"listen": r.gossip[c.No], "join": join, "fleet": "lab",
-		"key": "000102030405060708090a0b0c0d0e0f", "pace_s": r.o.Pace.Seconds(), "share": r.o.Share, "through": r.net.Through(c.No)},
+	join := []string{r.gossipAddrs[0], r.gossipAddrs[(c.No+1)%r.couriers], r.gossipAddrs[(c.No+r.couriers/2)%r.couriers]}
+	return map[string]any{"ops": r.adminAddrs[c.No], "peers": map[string]any{"listen": r.gossipAddrs[c.No], "join": join, "fleet": "lab",
+		"key": "000102030405060708090a0b0c0d0e0f", "pace_s": r.options.Pace.Seconds(), "share": r.options.Share, "through": r.net.Through(c.No)},
 		"settings": map[string]any{"ceilings": map[string]any{"peers": true}}}, nil
 }
 
 // begun has the faults happen and watches, until the day is over.
-func (r *rig) begun(f *realtime.Field) func() {
+func (r *run) start(f *realtime.Field) func() {
 	r.field = f
-	keep := r.copies()
+	incarnations := r.readIncarnations()
 	stop := make(chan struct{})
 	var all sync.WaitGroup
 	for _, fault := range r.plan.Faults {
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			r.fault(fault, stop, keep)
+			r.injectFault(fault, stop, incarnations)
 		}()
 	}
-	watched := make(chan struct{})
-	if r.o.Peers {
-		go r.watch(stop, watched)
+	pollingDone := make(chan struct{})
+	if r.options.Peers {
+		go r.pollCouriers(stop, pollingDone)
 	} else {
-		close(watched)
+		close(pollingDone)
 	}
 	return func() {
 		all.Wait()
-		if r.o.Peers {
-			r.heal()
+		if r.options.Peers {
+			r.awaitConvergence()
 		}
 		close(stop)
-		<-watched
-		r.sum(f)
+		<-pollingDone
+		r.summarize(f)
 	}
 }
 
 // copies keeps each folder's start number as it is at the beginning, for restarts from an older copy.
-func (r *rig) copies() map[int][]byte {
-	keep := map[int][]byte{}
+func (r *run) readIncarnations() map[int][]byte {
+	incarnations := map[int][]byte{}
 	for _, c := range r.field.Couriers() {
 		if text, err := os.ReadFile(filepath.Join(c.Dir, "state", incarnation.Name)); err == nil {
-			keep[c.No] = text
+			incarnations[c.No] = text
 		}
 	}
-	return keep
+	return incarnations
 }
 
-func (r *rig) fault(f netfault.Fault, stop <-chan struct{}, keep map[int][]byte) {
+func (r *run) injectFault(f netfault.Fault, stop <-chan struct{}, incarnations map[int][]byte) {
 	wait := func(until float64) {
 		select {
 		case <-time.After(time.Duration(until*float64(time.Second)) - r.field.Since()):
@@ -340,16 +340,16 @@
 		}
 	}
 	wait(f.At)
-	r.mark(f.Kind, 1)
+	r.adjustActive(f.Kind, 1)
 	defer func() { // what was believed while it was on comes to light a little later
-		time.AfterFunc(25*r.o.Pace, func() { r.mark(f.Kind, -1) })
+		time.AfterFunc(25*r.options.Pace, func() { r.adjustActive(f.Kind, -1) })
 	}()
 	if netfault.OnNetwork(f.Kind) {
 		end := r.net.Begin(f)
 		wait(f.At + f.Length)
-		if err := end(); err != nil && r.o.Peers {
+		if err := end(); err != nil && r.options.Peers {
 			r.mu.Lock()
-			r.idle = append(r.idle, err.Error())
+			r.notTriggered = append(r.notTriggered, err.Error())
 			r.mu.Unlock()
 		}
 		return
@@ -360,18 +360,18 @@
 		go func() {
 			defer all.Done()
 			if f.Kind == Roll {
-				part := f.Length / float64(len(f.From))
-				wait(f.At + float64(i)*part)
-				r.away(no, scenario.Asks, min(part, 5), stop, nil)
+				slot := f.Length / float64(len(f.From))
+				wait(f.At + float64(i)*slot)
+				r.restartCourier(no, scenario.Asks, min(slot, 5), stop, nil)
 				return
 			}
-			r.process(f, no, stop, keep)
+			r.injectProcessFault(f, no, stop, incarnations)
 		}()
 	}
 	all.Wait()
 }
 
-func (r *rig) process(f netfault.Fault, no int, stop <-chan struct{}, keep map[int][]byte) {
+func (r *run) injectProcessFault(f netfault.Fault, no int, stop <-chan struct{}, incarnations map[int][]byte) {
 	c := r.field.Couriers()[no]
 	state := filepath.Join(c.Dir, "state")
 	switch f.Kind {
@@ -379,20 +379,20 @@
 		r.field.Act(scenario.Act{Kind: scenario.Stands, Courier: no, Span: dispatch.Micros(f.Length * 1e6)})
 		time.Sleep(time.Duration(f.Length * float64(time.Second)))
 	case Kill:
-		r.away(no, scenario.Kills, f.Length, stop, nil)
+		r.restartCourier(no, scenario.Kills, f.Length, stop, nil)
 	case Empty:
-		r.away(no, scenario.Kills, f.Length, stop, func() { os.Remove(filepath.Join(state, incarnation.Name)) })
+		r.restartCourier(no, scenario.Kills, f.Length, stop, func() { os.Remove(filepath.Join(state, incarnation.Name)) })
 	case Older:
-		r.away(no, scenario.Kills, f.Length, stop, func() {
-			if text := keep[no]; text != nil {
+		r.restartCourier(no, scenario.Kills, f.Length, stop, func() {
+			if text := incarnations[no]; text != nil {
 				os.WriteFile(filepath.Join(state, incarnation.Name), text, 0o600)
 			}
 		})
 	case Address:
-		r.away(no, scenario.Kills, f.Length, stop, func() {
+		r.restartCourier(no, scenario.Kills, f.Length, stop, func() {
 			if at, err := Free(no); err == nil {
 				r.mu.Lock()
-				r.gossip[no] = at
+				r.gossipAddrs[no] = at
 				r.mu.Unlock()
 				r.net.Moved(no, at)
 			}
@@ -401,12 +401,12 @@
 }
 
 // away takes a courier down for a while and starts it again, after what is done to its folder.
-func (r *rig) away(no int, how scenario.ActKind, span float64, stop <-chan struct{}, meanwhile func()) {
+func (r *run) restartCourier(no int, kind scenario.ActKind, seconds float64, stop <-chan struct{}, whileDown func()) {
 	r.mu.Lock()
-	r.down[no] = time.Now()
+	r.downSince[no] = time.Now()
 	r.mu.Unlock()
-	r.field.Act(scenario.Act{Kind: how, Courier: no})
-	if how == scenario.Asks { // it goes on for some seconds
+	r.field.Act(scenario.Act{Kind: kind, Courier: no})
+	if kind == scenario.Asks { // it goes on for some seconds
 		c := r.field.Couriers()[no]
 		for c.Running() {
 			select {
@@ -416,11 +416,11 @@
 			}
 		}
 	}
-	if meanwhile != nil {
-		meanwhile()
+	if whileDown != nil {
+		whileDown()
 	}
 	select {
-	case <-time.After(time.Duration(span * float64(time.Second))):
+	case <-time.After(time.Duration(seconds * float64(time.Second))):
 	case <-stop:
 	}
 	r.mu.Lock()
@@ -428,24 +428,24 @@
 	r.mu.Unlock()
 	r.field.Act(scenario.Act{Kind: scenario.Starts, Courier: no})
 	r.mu.Lock()
-	delete(r.down, no)
-	r.back[no] = time.Now()
+	delete(r.downSince, no)
+	r.restartedAt[no] = time.Now()
 	r.mu.Unlock()
 }
 
-func (r *rig) mark(kind string, by int) {
+func (r *run) adjustActive(kind string, by int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.on[kind] += by
+	r.activeFaults[kind] += by
 }
 
 // see asks a courier what it believes, and what it has granted and leased.
-func (r *rig) see(client *http.Client, no int) (l look, ok bool) {
-	if ok = get(client, r.ops[no], "/peers", &l); ok && r.o.Share {
+func (r *run) poll(client *http.Client, no int) (l courierStatus, ok bool) {
+	if ok = get(client, r.adminAddrs[no], "/peers", &l); ok && r.options.Share {
 		var s exchange.Status
 		from := r.field.Since()
-		if get(client, r.ops[no], "/commons", &s) {
-			r.borrow(no, from, r.field.Since(), s)
+		if get(client, r.adminAddrs[no], "/commons", &s) {
+			r.recordLeases(no, from, r.field.Since(), s)
 		}
 	}
 	return l, ok
@@ -461,47 +461,47 @@
 }
 
 // borrow holds what a courier shows of its leases against what the others show.
-func (r *rig) borrow(no int, from, to time.Duration, s exchange.Status) {
+func (r *run) recordLeases(no int, from, to time.Duration, s exchange.Status) {
 	leases := func(of func(quota.Status) []quota.LeaseStatus) (all [][]invariants.Lease) {
-		for _, line := range s.Groups {
-			var route []invariants.Lease
-			for _, lease := range of(line) {
-				route = append(route, invariants.Lease{Who: lease.Courier, No: lease.LeaseID, Units: int64(lease.Units), Base: int64(line.Base)})
+		for _, group := range s.Groups {
+			var routeLeases []invariants.Lease
+			for _, lease := range of(group) {
+				routeLeases = append(routeLeases, invariants.Lease{Who: lease.Courier, No: lease.LeaseID, Units: int64(lease.Units), Base: int64(group.Base)})
 			}
-			all = append(all, route)
+			all = append(all, routeLeases)
 		}
 		return all
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.shared[no] = s
+	r.quotaStatuses[no] = s
 	r.leases.Saw(invariants.Look{Name: fmt.Sprintf("n%d", no), Start: s.Incarnation, From: dispatch.Micros(from.Microseconds()), To: dispatch.Micros(to.Microseconds()),
 		Granted: leases(func(l quota.Status) []quota.LeaseStatus { return l.Grants }), Used: leases(func(l quota.Status) []quota.LeaseStatus { return l.Leases })})
 }
 
 // watch looks at every courier again and again, and books what changed.
-func (r *rig) watch(stop <-chan struct{}, watched chan<- struct{}) {
-	defer close(watched)
+func (r *run) pollCouriers(stop <-chan struct{}, pollingDone chan<- struct{}) {
+	defer close(pollingDone)
 	client := &http.Client{Timeout: 300 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
 		var all sync.WaitGroup
-		got := make([]look, r.n)
-		ok := make([]bool, r.n)
-		for i := range r.n {
+		statuses := make([]courierStatus, r.couriers)
+		ok := make([]bool, r.couriers)
+		for i := range r.couriers {
 			all.Add(1)
 			go func() {
 				defer all.Done()
-				got[i], ok[i] = r.see(client, i)
+				statuses[i], ok[i] = r.poll(client, i)
 			}()
 		}
 		all.Wait()
 		now := time.Now()
-		if r.o.Share {
-			r.total(r.field.Since())
+		if r.options.Share {
+			r.recordTotals(r.field.Since())
 		}
-		for i := range r.n {
+		for i := range r.couriers {
 			if ok[i] {
-				r.book(now, i, got[i])
+				r.recordStatus(now, i, statuses[i])
 			}
 		}
 		select {
@@ -512,40 +512,40 @@
 	}
 }
 
-func (r *rig) book(now time.Time, no int, l look) {
+func (r *run) recordStatus(now time.Time, no int, l courierStatus) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.looks[no] = l
-	if l.Most < r.n {
-		r.res.Fewer++
+	r.statuses[no] = l
+	if l.Most < r.couriers {
+		r.result.Fewer++
 	}
 	for _, m := range l.Members {
 		var other int
-		if _, err := fmt.Sscanf(m.Name, "n%d", &other); err != nil || other >= r.n {
+		if _, err := fmt.Sscanf(m.Name, "n%d", &other); err != nil || other >= r.couriers {
 			continue
 		}
 		key := [2]int{no, other}
-		was := r.saw[key]
-		if r.saw[key] = m.State; was == m.State {
+		previous := r.memberStates[key]
+		if r.memberStates[key] = m.State; previous == m.State {
 			continue
 		}
-		gone := m.State == "failed" || m.State == "left"
-		since, down := r.down[other]
+		down := m.State == "failed" || m.State == "left"
+		since, isDown := r.downSince[other]
 		switch {
-		case gone && down && was == "alive" || gone && down && was == "suspected":
-			r.res.Deaths = append(r.res.Deaths, now.Sub(since).Seconds())
-		case m.State == "failed" && !down && now.Sub(r.back[other]) > 15*r.o.Pace:
-			r.res.False[r.kinds()]++
-		case m.State == "alive" && (was == "failed" || was == "left") && !down && !r.back[other].IsZero() && now.Sub(r.back[other]) < 30*time.Second:
-			r.res.Returns = append(r.res.Returns, now.Sub(r.back[other]).Seconds())
+		case down && isDown && previous == "alive" || down && isDown && previous == "suspected":
+			r.result.Deaths = append(r.result.Deaths, now.Sub(since).Seconds())
+		case m.State == "failed" && !isDown && now.Sub(r.restartedAt[other]) > 15*r.options.Pace:
+			r.result.False[r.activeKinds()]++
+		case m.State == "alive" && (previous == "failed" || previous == "left") && !isDown && !r.restartedAt[other].IsZero() && now.Sub(r.restartedAt[other]) < 30*time.Second:
+			r.result.Returns = append(r.result.Returns, now.Sub(r.restartedAt[other]).Seconds())
 		}
 	}
 }
 
 // kinds are the faults that are on; the caller holds the lock.
-func (r *rig) kinds() string {
+func (r *run) activeKinds() string {
 	var all []string
-	for k, n := range r.on {
+	for k, n := range r.activeFaults {
 		if n > 0 {
 			all = append(all, k)
 		}
@@ -558,38 +558,38 @@
 }
 
 // healWithin bounds the wait for a whole fleet after the last fault.
-const healWithin = 40 * time.Second
+const convergenceTimeout = 40 * time.Second
 
 // heal waits until all couriers know of all.
-func (r *rig) heal() {
-	for begun := time.Now(); time.Since(begun) < healWithin; time.Sleep(50 * time.Millisecond) {
+func (r *run) awaitConvergence() {
+	for started := time.Now(); time.Since(started) < convergenceTimeout; time.Sleep(50 * time.Millisecond) {
 		r.mu.Lock()
-		whole := 0
-		for _, l := range r.looks {
-			if l.Status == "whole" && l.Least >= r.n {
-				whole++
+		converged := 0
+		for _, l := range r.statuses {
+			if l.Status == "whole" && l.Least >= r.couriers {
+				converged++
 			}
 		}
 		r.mu.Unlock()
-		if whole == r.n {
-			r.res.Whole, r.res.Healed = true, time.Since(begun).Seconds()
+		if converged == r.couriers {
+			r.result.Whole, r.result.Healed = true, time.Since(started).Seconds()
 			return
 		}
 	}
 }
 
-func (r *rig) sum(f *realtime.Field) {
+func (r *run) summarize(f *realtime.Field) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.res.Hours = f.Since().Hours() * float64(r.n)
-	seconds := f.Since().Seconds() * float64(r.n)
-	for _, l := range r.looks { // of the last start of each: what an earlier one sent is not counted
-		r.res.Messages += float64(l.Figures.Network.PacketsOut) / seconds
-		r.res.Bytes += float64(l.Figures.Network.BytesOut) / seconds
-	}
-	r.res.Leases, r.res.Widest, r.res.Overspent = r.leases.Seen, r.leases.Widest, r.leases.Breaches
-	for _, s := range r.shared {
-		r.res.Packets += float64(s.PacketsOut) / seconds
-		r.res.ShareBytes += float64(s.BytesOut) / seconds
+	r.result.Hours = f.Since().Hours() * float64(r.couriers)
+	seconds := f.Since().Seconds() * float64(r.couriers)
+	for _, l := range r.statuses { // of the last start of each: what an earlier one sent is not counted
+		r.result.Messages += float64(l.Figures.Network.PacketsOut) / seconds
+		r.result.Bytes += float64(l.Figures.Network.BytesOut) / seconds
+	}
+	r.result.Leases, r.result.Widest, r.result.Overspent = r.leases.Seen, r.leases.Widest, r.leases.Breaches
+	for _, s := range r.quotaStatuses {
+		r.result.Packets += float64(s.PacketsOut) / seconds
+		r.result.ShareBytes += float64(s.BytesOut) / seconds
 	}
 }
--- a/testbed/fleet/fleet_test.go
+++ b/testbed/fleet/fleet_test.go
@@ -21,9 +21,9 @@
 	return path
 }
 
-// TestProcesses: ten real couriers through kill, stop, a one-way cut, a partition and its heal, an old folder, none and another
+// TestFleetRecoversFromFaults: ten real couriers through kill, stop, a one-way cut, a partition and its heal, an old folder, none and another
 // address, under load. Bounds are counts, or wide: the verdict is the same on any machine.
-func TestProcesses(t *testing.T) {
+func TestFleetRecoversFromFaults(t *testing.T) {
 	p := &Plan{Day: "calm", Couriers: 10, Length: 24, Load: 3, Faults: []netfault.Fault{
 		{Kind: Kill, At: 2, Length: 3, From: []int{1, 2}},
 		{Kind: Stop, At: 3, Length: 4, From: []int{3}},
@@ -94,15 +94,15 @@
 	t.Logf("%v; %d leases, at most %.2f of a part; %d refused, %d done", res.Struck, res.Leases, res.Widest, res.Verdict.Counts.Full, res.Verdict.Counts.Done)
 }
 
-func longest(all []float64) (most float64) {
+func longest(all []float64) (result float64) {
 	for _, s := range all {
-		most = max(most, s)
+		result = max(result, s)
 	}
-	return most
+	return result
 }
 
-// TestIdleFaultsAreReported: a fault that never struck fails a run.
-func TestIdleFaultsAreReported(t *testing.T) {
+// TestFaultsWithoutEffectAreReported: a fault that never struck fails a run.
+func TestFaultsWithoutEffectAreReported(t *testing.T) {
 	n, err := netfault.Open(1, []string{"127.0.0.1:9", "127.0.0.1:9"}, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -115,8 +115,8 @@
 	}
 }
 
-// TestDaysAreSound: every day that comes along can be read.
-func TestDaysAreSound(t *testing.T) {
+// TestBuiltInScenariosAreValid: every day that comes along can be read.
+func TestBuiltInScenariosAreValid(t *testing.T) {
 	for _, name := range Days() {
 		if _, err := Find(name); err != nil {
 			t.Error(err)
--- a/testbed/netfault/conditions.go
+++ b/testbed/netfault/conditions.go
@@ -25,32 +25,32 @@
 
 // Kinds of fault, as they are counted when they fault.
 const (
-	Lost      = "lost"
-	Doubled   = "doubled"
-	Reordered = "reordered"
-	Delayed   = "delayed"
-	Throttled = "throttled"
-	Severed   = "cut"
-	Silenced  = "silent"
-	Torn      = "torn"
+	Lost       = "lost"
+	Duplicated = "doubled"
+	Reordered  = "reordered"
+	Delayed    = "delayed"
+	Throttled  = "throttled"
+	Severed    = "cut"
+	Silenced   = "silent"
+	Torn       = "torn"
 )
 
 // board holds the conditions of all pairs, and what has struck.
-type board struct {
-	mu     sync.Mutex
-	rng    *rand.Rand
-	n      int
-	now    [][]Conditions
-	change chan struct{} // closed and replaced at each change
-	struck map[string]int
-	trace  *json.Encoder
-	begun  time.Time
+type injector struct {
+	mu          sync.Mutex
+	rng         *rand.Rand
+	processes   int
+	current     [][]Conditions
+	changed     chan struct{} // closed and replaced at each change
+	faultCounts map[string]int
+	trace       *json.Encoder
+	startedAt   time.Time
 }
 
-func newBoard(n int, seed int64, trace io.Writer) *board {
-	b := &board{rng: rand.New(rand.NewSource(seed)), n: n, struck: map[string]int{}, change: make(chan struct{}), begun: time.Now()}
+func newInjector(n int, seed int64, trace io.Writer) *injector {
+	b := &injector{rng: rand.New(rand.NewSource(seed)), processes: n, faultCounts: map[string]int{}, changed: make(chan struct{}), startedAt: time.Now()}
 	for range n {
-		b.now = append(b.now, make([]Conditions, n))
+		b.current = append(b.current, make([]Conditions, n))
 	}
 	if trace != nil {
 		b.trace = json.NewEncoder(trace)
@@ -59,7 +59,7 @@
 }
 
 // line is one line of the trace.
-type line struct {
+type traceLine struct {
 	At   float64     `json:"at_s"`
 	From int         `json:"from"`
 	To   int         `json:"to"`
@@ -68,92 +68,92 @@
 	Now  *Conditions `json:"now,omitempty"`
 }
 
-func (b *board) tell(l line) {
+func (b *injector) writeTrace(l traceLine) {
 	if b.trace != nil {
-		l.At = time.Since(b.begun).Seconds()
+		l.At = time.Since(b.startedAt).Seconds()
 		b.trace.Encode(l)
 	}
 }
 
 // Set has conditions hold from one process to another from now on.
-func (b *board) Set(from, to int, c Conditions) {
+func (b *injector) Set(from, to int, c Conditions) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.now[from][to] == c {
+	if b.current[from][to] == c {
 		return
 	}
-	b.now[from][to] = c
-	b.tell(line{From: from, To: to, What: "set", Now: &c})
-	close(b.change)
-	b.change = make(chan struct{})
+	b.current[from][to] = c
+	b.writeTrace(traceLine{From: from, To: to, What: "set", Now: &c})
+	close(b.changed)
+	b.changed = make(chan struct{})
 }
 
 // Get is what holds from one process to another, and a channel that closes when anything changes.
-func (b *board) get(from, to int) (Conditions, <-chan struct{}) {
+func (b *injector) get(from, to int) (Conditions, <-chan struct{}) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.now[from][to], b.change
+	return b.current[from][to], b.changed
 }
 
 // Struck counts the faults that struck, by kind.
-func (b *board) Struck() map[string]int {
+func (b *injector) Struck() map[string]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	all := map[string]int{}
-	for k, n := range b.struck {
+	for k, n := range b.faultCounts {
 		all[k] = n
 	}
 	return all
 }
 
 // fault counts a fault; the caller holds the lock.
-func (b *board) fault(from, to int, kind string, size int) {
-	b.struck[kind]++
-	b.tell(line{From: from, To: to, What: kind, Size: size})
+func (b *injector) recordLocked(from, to int, kind string, size int) {
+	b.faultCounts[kind]++
+	b.writeTrace(traceLine{From: from, To: to, What: kind, Size: size})
 }
 
-func (b *board) hit(from, to int, kind string, size int) {
+func (b *injector) record(from, to int, kind string, size int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.fault(from, to, kind, size)
+	b.recordLocked(from, to, kind, size)
 }
 
 // packet decides what becomes of one: after which spans copies of it arrive; none where it is lost.
-func (b *board) packet(from, to, size int) (after []time.Duration) {
+func (b *injector) packetDelays(from, to, size int) (delays []time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	c := b.now[from][to]
+	c := b.current[from][to]
 	switch {
 	case c.Cut:
-		b.fault(from, to, Severed, size)
+		b.recordLocked(from, to, Severed, size)
 		return nil
 	case c.Silent:
-		b.fault(from, to, Silenced, size)
+		b.recordLocked(from, to, Silenced, size)
 		return nil
 	case c.Loss > 0 && b.rng.Float64() < c.Loss:
-		b.fault(from, to, Lost, size)
+		b.recordLocked(from, to, Lost, size)
 		return nil
 	}
 	copies := 1
 	if c.Duplicate > 0 && b.rng.Float64() < c.Duplicate {
-		b.fault(from, to, Doubled, size)
+		b.recordLocked(from, to, Duplicated, size)
 		copies = 2
 	}
 	for range copies {
-		wait := c.Delay
+		delay := c.Delay
 		if c.Jitter > 0 {
-			wait += time.Duration(b.rng.Int63n(int64(c.Jitter)))
+			delay += time.Duration(b.rng.Int63n(int64(c.Jitter)))
 		}
 		if c.Reorder > 0 && b.rng.Float64() < c.Reorder {
-			b.fault(from, to, Reordered, size)
-			wait += time.Duration(1+b.rng.Intn(50)) * time.Millisecond
+			b.recordLocked(from, to, Reordered, size)
+			delay += time.Duration(1+b.rng.Intn(50)) * time.Millisecond
 		}
 		if c.Delay > 0 || c.Jitter > 0 {
-			b.fault(from, to, Delayed, size)
+			b.recordLocked(from, to, Delayed, size)
 		}
-		after = append(after, wait)
+		delays = append(delays, delay)
 	}
-	return after
+	return delays
 }
 
 // Fault is one thing that goes wrong for a while. From and To name processes; with none, all others are meant.
@@ -168,7 +168,7 @@
 
 // network are the kinds of Fault on the network: what each does with its size, what it is counted as, and whether it holds
 // both ways.
-var network = map[string]struct {
+var networkFaults = map[string]struct {
 	make   func(size float64) Conditions
 	counts []string
 	both   bool
@@ -179,7 +179,7 @@
 	"loss":      {func(s float64) Conditions { return Conditions{Loss: s} }, []string{Lost}, true},
 	"slow":      {func(s float64) Conditions { return Conditions{Delay: ms(s), Jitter: ms(s)} }, []string{Delayed}, true},
 	"throttle":  {func(s float64) Conditions { return Conditions{Rate: s} }, []string{Throttled}, true},
-	"duplicate": {func(s float64) Conditions { return Conditions{Duplicate: s} }, []string{Doubled}, true},
+	"duplicate": {func(s float64) Conditions { return Conditions{Duplicate: s} }, []string{Duplicated}, true},
 	"reorder":   {func(s float64) Conditions { return Conditions{Reorder: s} }, []string{Reordered}, true},
 	"tear":      {func(s float64) Conditions { return Conditions{Tear: int(s)} }, []string{Torn}, true},
 	"flap":      {func(float64) Conditions { return Conditions{Cut: true} }, []string{Severed}, true},
@@ -188,7 +188,7 @@
 func ms(n float64) time.Duration { return time.Duration(n * float64(time.Millisecond)) }
 
 // OnNetwork tells whether a kind of fault is one of the network.
-func OnNetwork(kind string) bool { _, ok := network[kind]; return ok }
+func OnNetwork(kind string) bool { _, ok := networkFaults[kind]; return ok }
 
 // pairs are the directed pairs that a fault faults.
 func (f Fault) pairs(n int) (all [][2]int) {
@@ -209,7 +209,7 @@
 			if a == b || a >= n || b >= n {
 				continue
 			}
-			if all = append(all, [2]int{a, b}); network[f.Kind].both {
+			if all = append(all, [2]int{a, b}); networkFaults[f.Kind].both {
 				all = append(all, [2]int{b, a})
 			}
 		}
@@ -218,14 +218,14 @@
 }
 
 // Begin has a fault hold, and returns what ends it; that tells whether it struck at all.
-func (b *board) Begin(f Fault) (end func() error) {
-	what := network[f.Kind]
+func (b *injector) Begin(f Fault) (end func() error) {
+	spec := networkFaults[f.Kind]
 	before := b.Struck()
 	apply := func(on bool) {
-		for _, p := range f.pairs(b.n) {
+		for _, p := range f.pairs(b.processes) {
 			c := Conditions{}
 			if on {
-				c = what.make(f.Size)
+				c = spec.make(f.Size)
 			}
 			b.Set(p[0], p[1], c)
 		}
@@ -250,7 +250,7 @@
 		<-stopped
 		apply(false)
 		after := b.Struck()
-		for _, k := range what.counts {
+		for _, k := range spec.counts {
 			if after[k] > before[k] {
 				return nil
 			}
@@ -265,8 +265,8 @@
 	kinds := []string{"cut", "one-way", "silent", "loss", "slow", "duplicate", "reorder", "flap"}
 	size := map[string]float64{"loss": 0.3, "slow": 200, "duplicate": 0.5, "reorder": 0.5, "flap": 2}
 	for i := range n {
-		part := length / float64(n)
-		f := Fault{Kind: kinds[rng.Intn(len(kinds))], At: float64(i)*part + 0.1*part, Length: part * (0.4 + 0.4*rng.Float64())}
+		slot := length / float64(n)
+		f := Fault{Kind: kinds[rng.Intn(len(kinds))], At: float64(i)*slot + 0.1*slot, Length: slot * (0.4 + 0.4*rng.Float64())}
 		f.Size = size[f.Kind]
 		for range 1 + rng.Intn(max(1, processes/3)) {
 			f.From = append(f.From, rng.Intn(processes))
--- a/testbed/netfault/mesh.go
+++ b/testbed/netfault/mesh.go
@@ -12,30 +12,30 @@
 
 // Mesh is the same network in memory: members' transports, for tests in virtual time. Streams pass or break as a whole.
 type Mesh struct {
-	*board
+	*injector
 	mu    sync.Mutex
 	nodes []*Node
 	// Keep has every packet kept, for Replay.
-	Keep bool
-	kept []kept
+	Keep     bool
+	recorded []recordedPacket
 }
 
-type kept struct {
-	to   int
-	text []byte
-	from net.Addr
+type recordedPacket struct {
+	to      int
+	payload []byte
+	from    net.Addr
 }
 
 // Replay has every packet that was kept come in once more, as somebody who listened might send it.
 func (m *Mesh) Replay() (n int) {
 	m.mu.Lock()
-	all := m.kept
-	m.kept = nil
+	all := m.recorded
+	m.recorded = nil
 	m.mu.Unlock()
 	for _, k := range all {
 		if other, up := m.node(k.to); up {
 			select {
-			case other.packets <- &memberlist.Packet{Buf: append([]byte(nil), k.text...), From: k.from, Timestamp: time.Now()}:
+			case other.packets <- &memberlist.Packet{Buf: append([]byte(nil), k.payload...), From: k.from, Timestamp: time.Now()}:
 				n++
 			case <-time.After(time.Millisecond):
 			}
@@ -47,7 +47,7 @@
 // Node is one member's transport.
 type Node struct {
 	mesh    *Mesh
-	no      int
+	index   int
 	packets chan *memberlist.Packet
 	streams chan net.Conn
 	up      bool
@@ -57,9 +57,9 @@
 
 // NewMesh makes a network of so many members.
 func NewMesh(n int, seed int64) *Mesh {
-	m := &Mesh{board: newBoard(n, seed, nil)}
+	m := &Mesh{injector: newInjector(n, seed, nil)}
 	for i := range n {
-		m.nodes = append(m.nodes, &Node{mesh: m, no: i})
+		m.nodes = append(m.nodes, &Node{mesh: m, index: i})
 	}
 	return m
 }
@@ -67,7 +67,7 @@
 // At is a member's address.
 func (m *Mesh) At(i int) string { return fmt.Sprintf("10.%d.%d.1:%d", i/250, i%250, 7000) }
 
-func (m *Mesh) who(addr string) (int, bool) {
+func (m *Mesh) indexOf(addr string) (int, bool) {
 	host, _, err := net.SplitHostPort(addr)
 	ip := net.ParseIP(host).To4()
 	if err != nil || ip == nil {
@@ -91,7 +91,7 @@
 func (m *Mesh) Join(i int) *Node {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.nodes[i] = &Node{mesh: m, no: i, packets: make(chan *memberlist.Packet, 1024), streams: make(chan net.Conn, 64), up: true}
+	m.nodes[i] = &Node{mesh: m, index: i, packets: make(chan *memberlist.Packet, 1024), streams: make(chan net.Conn, 64), up: true}
 	return m.nodes[i]
 }
 
@@ -111,7 +111,7 @@
 
 // FinalAdvertiseAddr is the member's address.
 func (n *Node) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
-	host, port, err := net.SplitHostPort(n.mesh.At(n.no))
+	host, port, err := net.SplitHostPort(n.mesh.At(n.index))
 	if err != nil {
 		return nil, 0, err
 	}
@@ -122,33 +122,33 @@
 // WriteTo sends a packet, which may get lost.
 func (n *Node) WriteTo(b []byte, addr string) (time.Time, error) {
 	now := time.Now()
-	to, ok := n.mesh.who(addr)
-	if _, up := n.mesh.node(n.no); !ok || !up {
+	to, ok := n.mesh.indexOf(addr)
+	if _, up := n.mesh.node(n.index); !ok || !up {
 		return now, nil
 	}
 	n.mesh.mu.Lock()
 	n.Sent++
 	n.Bytes += len(b)
 	n.mesh.mu.Unlock()
-	from := &net.UDPAddr{IP: net.IPv4(10, byte(n.no/250), byte(n.no%250), 1), Port: 7000}
-	text := append([]byte(nil), b...)
+	from := &net.UDPAddr{IP: net.IPv4(10, byte(n.index/250), byte(n.index%250), 1), Port: 7000}
+	payload := append([]byte(nil), b...)
 	if n.mesh.mu.Lock(); n.mesh.Keep {
-		n.mesh.kept = append(n.mesh.kept, kept{to, text, from})
+		n.mesh.recorded = append(n.mesh.recorded, recordedPacket{to, payload, from})
 	}
 	n.mesh.mu.Unlock()
-	for _, after := range n.mesh.packet(n.no, to, len(b)) {
-		put := func() {
+	for _, delay := range n.mesh.packetDelays(n.index, to, len(b)) {
+		deliver := func() {
 			if other, up := n.mesh.node(to); up {
 				select {
-				case other.packets <- &memberlist.Packet{Buf: text, From: from, Timestamp: time.Now()}:
+				case other.packets <- &memberlist.Packet{Buf: payload, From: from, Timestamp: time.Now()}:
 				default:
 				}
 			}
 		}
-		if after == 0 {
-			put()
+		if delay == 0 {
+			deliver()
 		} else {
-			time.AfterFunc(after, put)
+			time.AfterFunc(delay, deliver)
 		}
 	}
 	return now, nil
@@ -159,28 +159,28 @@
 
 // DialTimeout begins a stream, where both directions let anything through.
 func (n *Node) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
-	to, ok := n.mesh.who(addr)
+	to, ok := n.mesh.indexOf(addr)
 	if !ok {
 		return nil, fmt.Errorf("%s: nobody", addr)
 	}
-	there, _ := n.mesh.get(n.no, to)
-	back, _ := n.mesh.get(to, n.no)
+	forward, _ := n.mesh.get(n.index, to)
+	reverse, _ := n.mesh.get(to, n.index)
 	other, up := n.mesh.node(to)
-	if _, self := n.mesh.node(n.no); !self || !up {
+	if _, self := n.mesh.node(n.index); !self || !up {
 		return nil, fmt.Errorf("%s: refused", addr)
 	}
-	if there.Cut || back.Cut || there.Silent || back.Silent {
-		n.mesh.hit(n.no, to, Severed, 0)
+	if forward.Cut || reverse.Cut || forward.Silent || reverse.Silent {
+		n.mesh.record(n.index, to, Severed, 0)
 		time.Sleep(timeout)
 		return nil, fmt.Errorf("%s: no answer", addr)
 	}
-	time.Sleep(there.Delay + back.Delay)
-	near, far := net.Pipe()
+	time.Sleep(forward.Delay + reverse.Delay)
+	local, remote := net.Pipe()
 	select {
-	case other.streams <- far:
-		return near, nil
+	case other.streams <- remote:
+		return local, nil
 	case <-time.After(timeout):
-		near.Close()
+		local.Close()
 		return nil, fmt.Errorf("%s: no answer", addr)
 	}
 }
--- a/testbed/netfault/netfault.go
+++ b/testbed/netfault/netfault.go
@@ -11,16 +11,16 @@
 
 // Net is the network between processes on loopback.
 type Net struct {
-	*board
-	mu    sync.Mutex
-	real  []string
-	via   [][]*way
-	done  chan struct{}
-	group sync.WaitGroup
+	*injector
+	mu      sync.Mutex
+	targets []string
+	proxies [][]*linkProxy
+	done    chan struct{}
+	group   sync.WaitGroup
 }
 
 // way is the address that leads from one process to another.
-type way struct {
+type linkProxy struct {
 	net      *Net
 	from, to int
 	tcp      *net.TCPListener
@@ -29,29 +29,29 @@
 
 // Open makes the ways between processes that listen at the addresses given. The trace has a line for each change and each
 // fault that faults; nil for none.
-func Open(seed int64, real []string, trace io.Writer) (*Net, error) {
-	n := &Net{board: newBoard(len(real), seed, trace), real: append([]string(nil), real...), done: make(chan struct{})}
-	for from := range real {
-		var row []*way
-		for to := range real {
+func Open(seed int64, targets []string, trace io.Writer) (*Net, error) {
+	n := &Net{injector: newInjector(len(targets), seed, trace), targets: append([]string(nil), targets...), done: make(chan struct{})}
+	for from := range targets {
+		var row []*linkProxy
+		for to := range targets {
 			if from == to {
 				row = append(row, nil)
 				continue
 			}
-			w, err := n.open(from, to)
+			w, err := n.openProxy(from, to)
 			if err != nil {
 				n.Close()
 				return nil, err
 			}
 			row = append(row, w)
 		}
-		n.via = append(n.via, row)
+		n.proxies = append(n.proxies, row)
 	}
 	return n, nil
 }
 
 // open takes an address of its own for each process that sends, so that none can be somebody's outgoing port.
-func (n *Net) open(from, to int) (*way, error) {
+func (n *Net) openProxy(from, to int) (*linkProxy, error) {
 	ip := net.IPv4(127, byte(200+(os.Getpid()>>8)%50), byte(os.Getpid()), byte(1+from%250))
 	for range 20 {
 		l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: ip})
@@ -63,47 +63,47 @@
 			l.Close()
 			continue
 		}
-		w := &way{net: n, from: from, to: to, tcp: l, udp: u}
+		w := &linkProxy{net: n, from: from, to: to, tcp: l, udp: u}
 		n.group.Add(2)
-		go w.packets()
-		go w.streams()
+		go w.forwardPackets()
+		go w.acceptStreams()
 		return w, nil
 	}
 	return nil, fmt.Errorf("no address free for both UDP and TCP")
 }
 
 // Via is where one process reaches another.
-func (n *Net) Via(from, to int) string { return n.via[from][to].tcp.Addr().String() }
+func (n *Net) Via(from, to int) string { return n.proxies[from][to].tcp.Addr().String() }
 
 // Through are the pairs of addresses that lead a process to all others.
 func (n *Net) Through(from int) (pairs []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for to, real := range n.real {
+	for to, target := range n.targets {
 		if to != from {
-			pairs = append(pairs, real+"="+n.Via(from, to))
+			pairs = append(pairs, target+"="+n.Via(from, to))
 		}
 	}
 	return pairs
 }
 
 // Moved says that a process listens elsewhere now.
-func (n *Net) Moved(to int, real string) {
+func (n *Net) Moved(to int, address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.real[to] = real
+	n.targets[to] = address
 }
 
-func (n *Net) at(i int) string {
+func (n *Net) target(i int) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.real[i]
+	return n.targets[i]
 }
 
 // Close ends all ways.
 func (n *Net) Close() {
 	close(n.done)
-	for _, row := range n.via {
+	for _, row := range n.proxies {
 		for _, w := range row {
 			if w != nil {
 				w.tcp.Close()
@@ -114,7 +114,7 @@
 	n.group.Wait()
 }
 
-func (w *way) packets() {
+func (w *linkProxy) forwardPackets() {
 	defer w.net.group.Done()
 	buf := make([]byte, 64<<10)
 	for {
@@ -127,25 +127,25 @@
 				continue
 			}
 		}
-		to, err := net.ResolveUDPAddr("udp", w.net.at(w.to))
+		to, err := net.ResolveUDPAddr("udp", w.net.target(w.to))
 		if err != nil {
 			continue
 		}
-		text := append([]byte(nil), buf[:size]...)
-		for _, after := range w.net.packet(w.from, w.to, size) {
-			if after == 0 {
-				w.udp.WriteTo(text, to)
+		payload := append([]byte(nil), buf[:size]...)
+		for _, delay := range w.net.packetDelays(w.from, w.to, size) {
+			if delay == 0 {
+				w.udp.WriteTo(payload, to)
 			} else {
-				time.AfterFunc(after, func() { w.udp.WriteTo(text, to) })
+				time.AfterFunc(delay, func() { w.udp.WriteTo(payload, to) })
 			}
 		}
 	}
 }
 
-func (w *way) streams() {
+func (w *linkProxy) acceptStreams() {
 	defer w.net.group.Done()
 	for {
-		near, err := w.tcp.Accept()
+		inbound, err := w.tcp.Accept()
 		if err != nil {
 			select {
 			case <-w.net.done:
@@ -155,53 +155,53 @@
 			}
 		}
 		w.net.group.Add(1)
-		go w.lead(near.(*net.TCPConn))
+		go w.forwardStream(inbound.(*net.TCPConn))
 	}
 }
 
 // lead carries a stream, both ways, each under its own conditions.
-func (w *way) lead(near *net.TCPConn) {
+func (w *linkProxy) forwardStream(inbound *net.TCPConn) {
 	n := w.net
 	defer n.group.Done()
-	defer near.Close()
-	there, _ := n.get(w.from, w.to)
-	back, _ := n.get(w.to, w.from)
-	if there.Cut && back.Cut {
-		n.hit(w.from, w.to, Severed, 0)
-		near.SetLinger(0)
+	defer inbound.Close()
+	forward, _ := n.get(w.from, w.to)
+	reverse, _ := n.get(w.to, w.from)
+	if forward.Cut && reverse.Cut {
+		n.record(w.from, w.to, Severed, 0)
+		inbound.SetLinger(0)
 		return
 	}
-	far, err := net.DialTimeout("tcp", n.at(w.to), 2*time.Second)
+	outbound, err := net.DialTimeout("tcp", n.target(w.to), 2*time.Second)
 	if err != nil {
-		near.SetLinger(0)
+		inbound.SetLinger(0)
 		return
 	}
-	defer far.Close()
-	ended := make(chan struct{})
-	var sides sync.WaitGroup
-	sides.Add(2)
+	defer outbound.Close()
+	finished := make(chan struct{})
+	var directions sync.WaitGroup
+	directions.Add(2)
 	carry := func(from, to int, in, out net.Conn) {
-		defer sides.Done()
-		n.carry(from, to, in, out)
+		defer directions.Done()
+		n.copyStream(from, to, in, out)
 	}
-	go carry(w.from, w.to, near, far)
-	go carry(w.to, w.from, far, near)
+	go carry(w.from, w.to, inbound, outbound)
+	go carry(w.to, w.from, outbound, inbound)
 	go func() {
 		select {
 		case <-n.done: // nothing that is read or written must hold up the end
-			near.Close()
-			far.Close()
-		case <-ended:
+			inbound.Close()
+			outbound.Close()
+		case <-finished:
 		}
 	}()
-	sides.Wait()
-	close(ended)
+	directions.Wait()
+	close(finished)
 }
 
 // carry takes bytes one way until they end. What is cut one way is silent, as its sender hears nothing of it.
-func (n *Net) carry(from, to int, in, out net.Conn) {
+func (n *Net) copyStream(from, to int, in, out net.Conn) {
 	buf := make([]byte, 16<<10)
-	passed := 0
+	forwarded := 0
 	for {
 		size, err := in.Read(buf)
 		if size > 0 {
@@ -210,9 +210,9 @@
 				out.Close()
 				return
 			}
-			if link, _ := n.get(from, to); link.Tear > 0 && passed+size > link.Tear {
-				n.hit(from, to, Torn, size)
-				out.Write(buf[:max(0, min(size-1, link.Tear-passed))])
+			if link, _ := n.get(from, to); link.Tear > 0 && forwarded+size > link.Tear {
+				n.record(from, to, Torn, size)
+				out.Write(buf[:max(0, min(size-1, link.Tear-forwarded))])
 				in.Close()
 				out.Close()
 				return
@@ -221,11 +221,11 @@
 				in.Close()
 				return
 			}
-			passed += size
+			forwarded += size
 		}
 		if err != nil {
-			if half, ok := out.(*net.TCPConn); ok {
-				half.CloseWrite()
+			if tcpConn, ok := out.(*net.TCPConn); ok {
+				tcpConn.CloseWrite()
 			}
 			return
 		}
@@ -237,15 +237,15 @@
 func (n *Net) awaitOpen(from, to, size int) bool {
 	for {
 		link, change := n.get(from, to)
-		back, _ := n.get(to, from)
-		if link.Cut && back.Cut {
-			n.hit(from, to, Severed, size)
+		reverse, _ := n.get(to, from)
+		if link.Cut && reverse.Cut {
+			n.record(from, to, Severed, size)
 			return false
 		}
 		if !link.Cut && !link.Silent {
 			return true
 		}
-		n.hit(from, to, map[bool]string{true: Severed, false: Silenced}[link.Cut], size)
+		n.record(from, to, map[bool]string{true: Severed, false: Silenced}[link.Cut], size)
 		select {
 		case <-change:
 		case <-n.done:
@@ -266,7 +266,7 @@
 	if link.Rate != 0 {
 		wait += time.Duration(float64(size) / max(link.Rate, 1e-9) * float64(time.Second))
 	}
-	n.hit(from, to, map[bool]string{true: Throttled, false: Delayed}[link.Rate > 0], size)
+	n.record(from, to, map[bool]string{true: Throttled, false: Delayed}[link.Rate > 0], size)
 	select {
 	case <-time.After(wait):
 		return true
--- a/testbed/simulation/call.go
+++ b/testbed/simulation/call.go
@@ -8,190 +8,190 @@
 )
 
 // load puts a message on a call; it returns the call if that is new.
-func (s *Sim) load(c *courier, a dispatch.Send, open map[dispatch.EndpointID]*call) *call {
-	at, r := s.at[a.Endpoint], c.messages[a.Message]
-	if at == nil || r != nil && at.dest != int(r.client.arrival.Dest) {
-		s.books.Crashed(s.now, c.no, "sent "+string(a.Message)+" to "+string(a.Endpoint)+", which is not of its destination")
+func (s *Sim) addToCall(c *courier, a dispatch.Send, openCalls map[dispatch.EndpointID]*call) *call {
+	at, r := s.endpoints[a.Endpoint], c.messages[a.Message]
+	if at == nil || r != nil && at.destination != int(r.client.arrival.Dest) {
+		s.ledger.Crashed(s.now, c.index, "sent "+string(a.Message)+" to "+string(a.Endpoint)+", which is not of its destination")
 		return nil
 	}
-	book := s.books.Sent(s.now, a.Message, invariants.Place{Dest: dispatch.DestinationID(at.dest), Route: at.route, Endpoint: a.Endpoint, Zone: at.endpoint.Zone})
+	ledgerNumber := s.ledger.Sent(s.now, a.Message, invariants.Place{Dest: dispatch.DestinationID(at.destination), Route: at.route, Endpoint: a.Endpoint, Zone: at.endpoint.Zone})
 	if r == nil {
 		return nil
 	}
-	t := &attempt{rec: r, no: dispatch.AttemptNumber(len(r.attempts)), book: book,
+	t := &attempt{message: r, number: dispatch.AttemptNumber(len(r.attempts)), ledgerNumber: ledgerNumber,
 		past: dispatch.PastAttempt{Endpoint: a.Endpoint, Zone: at.endpoint.Zone, SentAt: s.now}}
 	r.attempts = append(r.attempts, t)
-	r.out++
-	if r.over || len(r.attempts) > s.w.Day.Fleet.MaxAttempts {
-		s.settle(t, dispatch.AttemptFinished{Outcome: dispatch.Unprocessed})
+	r.openAttempts++
+	if r.done || len(r.attempts) > s.instance.Day.Fleet.MaxAttempts {
+		s.finishAttempt(t, dispatch.AttemptFinished{Outcome: dispatch.Unprocessed})
 		return nil
 	}
-	plan := s.partners[at.dest].Plan()
+	plan := s.destinations[at.destination].Plan()
 	item := s.item(r)
-	if cl := open[a.Endpoint]; cl != nil && len(cl.Items) < plan.PerCall {
+	if cl := openCalls[a.Endpoint]; cl != nil && len(cl.Items) < plan.PerCall {
 		cl.Items, cl.attempts, t.call = append(cl.Items, item), append(cl.attempts, t), cl
-		s.limit(t, a.Timeout)
+		s.setAttemptTimeout(t, a.Timeout)
 		return nil
 	}
-	if c.slots >= s.w.Slots {
-		s.settle(t, dispatch.AttemptFinished{Outcome: dispatch.Unprocessed})
+	if c.slotsUsed >= s.instance.Slots {
+		s.finishAttempt(t, dispatch.AttemptFinished{Outcome: dispatch.Unprocessed})
 		return nil
 	}
-	c.slots++
-	s.calls++
-	cl := &call{Call: endpointmodel.Call{ID: s.calls, Courier: c.no, Endpoint: a.Endpoint, Items: []endpointmodel.Item{item}}, courier: c,
-		life: c.life, at: at, attempts: []*attempt{t}, sent: s.now}
-	t.call, open[a.Endpoint] = cl, cl
-	s.limit(t, a.Timeout)
+	c.slotsUsed++
+	s.lastCallID++
+	cl := &call{Call: endpointmodel.Call{ID: s.lastCallID, Courier: c.index, Endpoint: a.Endpoint, Items: []endpointmodel.Item{item}}, courier: c,
+		incarnation: c.incarnation, endpoint: at, attempts: []*attempt{t}, sent: s.now}
+	t.call, openCalls[a.Endpoint] = cl, cl
+	s.setAttemptTimeout(t, a.Timeout)
 	return cl
 }
 
 func (s *Sim) item(r *message) endpointmodel.Item {
-	w := &s.w.Day.Classes[r.client.arrival.Class]
+	w := &s.instance.Day.Classes[r.client.arrival.Class]
 	return endpointmodel.Item{Message: r.id, Origin: r.client.id, Repeat: invariants.RepeatOf(w.Repeat), OneZone: w.OneZone,
 		Window: config.Micros(w.Window)}
 }
 
 // launch sends a call off, over a connection that rests or a new one.
-func (s *Sim) launch(cl *call) {
-	c, p, id := cl.courier, s.partners[cl.at.dest], cl.Endpoint
-	way := s.way(c.zone, cl.at.endpoint.Zone)
-	idle, rests := c.pools[id], config.Micros(s.w.Day.Fleet.Idle)
-	for len(idle) > 0 && s.now-idle[0] >= rests {
+func (s *Sim) sendCall(cl *call) {
+	c, p, id := cl.courier, s.destinations[cl.endpoint.destination], cl.Endpoint
+	latency := s.latency(c.zone, cl.endpoint.endpoint.Zone)
+	idle, idleTimeout := c.idleConns[id], config.Micros(s.instance.Day.Fleet.Idle)
+	for len(idle) > 0 && s.now-idle[0] >= idleTimeout {
 		idle = idle[1:]
 		p.Disconnect(id)
 	}
 	if n := len(idle); n > 0 {
-		c.pools[id] = idle[:n-1]
-		cl.linked = true
-		s.after(s.now+way, func() { s.reach(cl) })
+		c.idleConns[id] = idle[:n-1]
+		cl.connected = true
+		s.schedule(s.now+latency, func() { s.arriveAtEndpoint(cl) })
 		return
 	}
-	delete(c.pools, id)
-	s.after(s.now+way, func() {
-		if cl.over {
+	delete(c.idleConns, id)
+	s.schedule(s.now+latency, func() {
+		if cl.done {
 			return
 		}
 		switch p.Connect(s.now, id) {
 		case endpointmodel.Up:
-			s.books.Shook()
-			cl.linked = true
-			s.after(s.now+dispatch.Micros(2*s.w.Day.Network.Shakes*float64(way)), func() { s.reach(cl) })
+			s.ledger.Shook()
+			cl.connected = true
+			s.schedule(s.now+dispatch.Micros(2*s.instance.Day.Network.Shakes*float64(latency)), func() { s.arriveAtEndpoint(cl) })
 		case endpointmodel.Refused:
-			s.after(s.now+way, func() { s.outcome(cl, dispatch.Unreachable, 0, nil) })
+			s.schedule(s.now+latency, func() { s.finishCall(cl, dispatch.Unreachable, 0, nil) })
 		case endpointmodel.NoWord:
-			s.after(s.now-way+config.Micros(s.w.Day.Fleet.Connect/1000), func() { s.outcome(cl, dispatch.Unreachable, 0, nil) })
+			s.schedule(s.now-latency+config.Micros(s.instance.Day.Fleet.Connect/1000), func() { s.finishCall(cl, dispatch.Unreachable, 0, nil) })
 		}
 	})
 }
 
 // reach lets a call's last byte come to its endpoint.
-func (s *Sim) reach(cl *call) {
-	if !cl.over {
+func (s *Sim) arriveAtEndpoint(cl *call) {
+	if !cl.done {
 		s.inFlight[cl.ID] = cl
-		s.came(cl.at.dest, s.partners[cl.at.dest].Take(s.now, &cl.Call))
+		s.handleOutputs(cl.endpoint.destination, s.destinations[cl.endpoint.destination].Take(s.now, &cl.Call))
 	}
 }
 
 // answered carries an endpoint's answer back.
-func (s *Sim) answered(a endpointmodel.Answer) {
+func (s *Sim) receiveAnswer(a endpointmodel.Answer) {
 	cl := s.inFlight[a.Call.ID]
 	if cl == nil {
 		return // nobody waits for it any more
 	}
 	delete(s.inFlight, cl.ID)
-	s.after(s.now+s.way(cl.courier.zone, cl.at.endpoint.Zone), func() { s.outcome(cl, a.Outcome, a.Wait, a.Pressure) })
+	s.schedule(s.now+s.latency(cl.courier.zone, cl.endpoint.endpoint.Zone), func() { s.finishCall(cl, a.Outcome, a.Wait, a.Pressure) })
 }
 
 // limit ends an attempt's time: the attempts of one call have each their own.
-func (s *Sim) limit(t *attempt, limit dispatch.Micros) {
+func (s *Sim) setAttemptTimeout(t *attempt, limit dispatch.Micros) {
 	if limit <= 0 {
 		return
 	}
-	s.after(s.now+limit, func() {
-		if t.over || t.call.over {
+	s.schedule(s.now+limit, func() {
+		if t.done || t.call.done {
 			return
 		}
 		o := dispatch.TimedOut
-		if !t.call.linked {
+		if !t.call.connected {
 			o = dispatch.Unreachable // none of it was sent
 		}
-		s.giveUp(t, o)
+		s.abandonAttempt(t, o)
 	})
 }
 
 // giveUp ends one attempt; where no other is left on its call, that is called off.
-func (s *Sim) giveUp(t *attempt, o dispatch.Outcome) {
-	s.settle(t, dispatch.AttemptFinished{Outcome: o, Duration: s.now - t.call.sent})
+func (s *Sim) abandonAttempt(t *attempt, o dispatch.Outcome) {
+	s.finishAttempt(t, dispatch.AttemptFinished{Outcome: o, Duration: s.now - t.call.sent})
 	for _, other := range t.call.attempts {
-		if !other.over {
+		if !other.done {
 			return
 		}
 	}
-	if !t.call.over {
-		t.call.over = true
-		t.call.courier.slots--
-		s.hangUp(t.call)
+	if !t.call.done {
+		t.call.done = true
+		t.call.courier.slotsUsed--
+		s.disconnect(t.call)
 	}
 }
 
 // outcome ends a call at its courier.
-func (s *Sim) outcome(cl *call, o dispatch.Outcome, wait dispatch.Micros, pressure []float64) {
-	if cl.over {
+func (s *Sim) finishCall(cl *call, o dispatch.Outcome, retryAfter dispatch.Micros, loadReport []float64) {
+	if cl.done {
 		return
 	}
-	cl.over = true
+	cl.done = true
 	c := cl.courier
-	c.slots--
+	c.slotsUsed--
 	switch o {
 	case dispatch.Delivered, dispatch.Failure, dispatch.Throttled:
-		c.pools[cl.Endpoint] = append(c.pools[cl.Endpoint], s.now)
+		c.idleConns[cl.Endpoint] = append(c.idleConns[cl.Endpoint], s.now)
 	default:
-		s.hangUp(cl)
+		s.disconnect(cl)
 	}
 	for _, t := range cl.attempts {
-		s.settle(t, dispatch.AttemptFinished{Outcome: o, Duration: s.now - cl.sent, RetryAfter: wait, LoadReport: pressure})
+		s.finishAttempt(t, dispatch.AttemptFinished{Outcome: o, Duration: s.now - cl.sent, RetryAfter: retryAfter, LoadReport: loadReport})
 	}
 }
 
 // hangUp closes a call's connection.
-func (s *Sim) hangUp(cl *call) {
+func (s *Sim) disconnect(cl *call) {
 	delete(s.inFlight, cl.ID)
-	if !cl.linked {
+	if !cl.connected {
 		return
 	}
-	p := s.partners[cl.at.dest]
-	s.after(s.now+s.way(cl.courier.zone, cl.at.endpoint.Zone), func() {
+	p := s.destinations[cl.endpoint.destination]
+	s.schedule(s.now+s.latency(cl.courier.zone, cl.endpoint.endpoint.Zone), func() {
 		p.Disconnect(cl.Endpoint)
-		s.came(cl.at.dest, p.CallOff(s.now, &cl.Call))
+		s.handleOutputs(cl.endpoint.destination, p.CallOff(s.now, &cl.Call))
 	})
 }
 
 // settle tells a courier how an attempt ended.
-func (s *Sim) settle(t *attempt, e dispatch.AttemptFinished) {
-	if t.over {
+func (s *Sim) finishAttempt(t *attempt, e dispatch.AttemptFinished) {
+	if t.done {
 		return
 	}
-	t.over, t.past.Outcome = true, e.Outcome
-	r := t.rec
-	r.out--
-	s.books.Settled(s.now, r.id, t.book, e.Outcome, e.RetryAfter)
-	if e.Outcome == dispatch.Delivered && !r.over {
-		r.client.over = true
-		s.close(r)
+	t.done, t.past.Outcome = true, e.Outcome
+	r := t.message
+	r.openAttempts--
+	s.ledger.Settled(s.now, r.id, t.ledgerNumber, e.Outcome, e.RetryAfter)
+	if e.Outcome == dispatch.Delivered && !r.done {
+		r.client.done = true
+		s.release(r)
 	}
-	e.Message, e.Attempt, e.MessageDone = r.id, t.no, r.over
-	s.tell(r.courier, e)
-	if r.over {
-		s.close(r)
+	e.Message, e.Attempt, e.MessageDone = r.id, t.number, r.done
+	s.notify(r.courier, e)
+	if r.done {
+		s.release(r)
 	}
 }
 
 // cancel calls an attempt off.
-func (s *Sim) cancel(c *courier, a dispatch.Cancel) {
+func (s *Sim) cancelAttempt(c *courier, a dispatch.Cancel) {
 	r := c.messages[a.Message]
-	if r == nil || int(a.Attempt) >= len(r.attempts) || r.attempts[a.Attempt].over {
+	if r == nil || int(a.Attempt) >= len(r.attempts) || r.attempts[a.Attempt].done {
 		return
 	}
-	s.giveUp(r.attempts[a.Attempt], dispatch.Canceled)
+	s.abandonAttempt(r.attempts[a.Attempt], dispatch.Canceled)
 }
--- a/testbed/simulation/client.go
+++ b/testbed/simulation/client.go
@@ -11,99 +11,99 @@
 
 // client is who submitted a message first, and hands it in again where it may.
 type client struct {
-	id      dispatch.MessageID
-	arrival scenario.Arrival
-	cutOff  dispatch.Micros
-	tries   int // submissions that a courier took
-	rejects int
-	over    bool
-	held    *message // by the courier that has it now
+	id          dispatch.MessageID
+	arrival     scenario.Arrival
+	deadline    dispatch.Micros
+	submissions int // submissions that a courier took
+	rejections  int
+	done        bool
+	current     *message // by the courier that has it now
 }
 
 // arrive submits one message, and sees to the next.
-func (s *Sim) arrive(i int) {
-	if i >= len(s.w.Arrivals) {
+func (s *Sim) scheduleArrival(i int) {
+	if i >= len(s.instance.Arrivals) {
 		return
 	}
-	a := s.w.Arrivals[i]
-	s.after(a.At, func() {
+	a := s.instance.Arrivals[i]
+	s.schedule(a.At, func() {
 		s.offer(i, a)
-		s.arrive(i + 1)
+		s.scheduleArrival(i + 1)
 	})
 }
 
 func (s *Sim) offer(i int, a scenario.Arrival) {
 	id := dispatch.MessageID("r" + strconv.Itoa(i))
-	cl := &client{id: id, arrival: a, cutOff: s.now + config.Micros(s.w.Day.Classes[a.Class].CutOff)}
-	s.books.Offered(s.now, id, int(a.Class), int(a.Tenant), dispatch.DestinationID(a.Dest))
-	if s.rng.Float64() < s.w.Day.Clients.Leave {
-		s.after(s.now+dispatch.Micros(s.rng.Int64N(int64(cl.cutOff-s.now))), func() { s.leave(cl) })
+	cl := &client{id: id, arrival: a, deadline: s.now + config.Micros(s.instance.Day.Classes[a.Class].CutOff)}
+	s.ledger.Offered(s.now, id, int(a.Class), int(a.Tenant), dispatch.DestinationID(a.Dest))
+	if s.rng.Float64() < s.instance.Day.Clients.Leave {
+		s.schedule(s.now+dispatch.Micros(s.rng.Int64N(int64(cl.deadline-s.now))), func() { s.withdraw(cl) })
 	}
-	s.after(s.now+config.Micros(s.w.Day.Network.Client/1000), func() { s.handIn(cl, s.couriers[a.Courier], false) })
+	s.schedule(s.now+config.Micros(s.instance.Day.Network.Client/1000), func() { s.submit(cl, s.couriers[a.Courier], false) })
 }
 
 // handIn gives a message to a courier. One that is dead takes nothing: the client tries elsewhere, or later.
-func (s *Sim) handIn(cl *client, c *courier, again bool) {
+func (s *Sim) submit(cl *client, c *courier, resubmitted bool) {
 	switch {
-	case cl.over || s.now >= cl.cutOff:
+	case cl.done || s.now >= cl.deadline:
 		return
-	case !c.alive || c.closing && s.w.Day.Fleet.Entry == "front":
-		s.after(s.now+s.between(s.w.Day.Clients.Again)/4, func() { s.handIn(cl, s.other(c), again) })
+	case !c.alive || c.shuttingDown && s.instance.Day.Fleet.Entry == "front":
+		s.schedule(s.now+s.randomIn(s.instance.Day.Clients.Again)/4, func() { s.submit(cl, s.retryCourier(c), resubmitted) })
 		return
-	case c.held >= s.w.Hold: // rejected before the decisions hear of it
-		s.comeAgain(cl, c, 0)
+	case c.openMessages >= s.instance.Hold: // rejected before the decisions hear of it
+		s.resubmitLater(cl, c, 0)
 		return
 	}
 	id := cl.id
-	if cl.tries > 0 {
-		id += dispatch.MessageID("." + strconv.Itoa(cl.tries))
+	if cl.submissions > 0 {
+		id += dispatch.MessageID("." + strconv.Itoa(cl.submissions))
 	}
-	cl.tries++
-	s.taken++
-	r := &message{id: id, number: s.taken, client: cl, courier: c}
-	cl.held = r
+	cl.submissions++
+	s.accepted++
+	r := &message{id: id, number: s.accepted, client: cl, courier: c}
+	cl.current = r
 	c.messages[id] = r
-	c.held++
+	c.openMessages++
 	key := dispatch.OrderingKey("")
 	if cl.arrival.Key >= 0 {
 		key = dispatch.OrderingKey("k" + strconv.Itoa(int(cl.arrival.Key)))
 	}
-	s.books.Taken(s.now, id, cl.id, c.no, key, cl.cutOff)
-	r.taken = dispatch.MessageAccepted{Message: id, Destination: dispatch.DestinationID(cl.arrival.Dest), Class: dispatch.ClassID(cl.arrival.Class),
-		Tenant: dispatch.TenantID(cl.arrival.Tenant), OrderingKey: key, Deadline: cl.cutOff, Resubmitted: again}
-	s.tell(c, r.taken)
+	s.ledger.Taken(s.now, id, cl.id, c.index, key, cl.deadline)
+	r.accepted = dispatch.MessageAccepted{Message: id, Destination: dispatch.DestinationID(cl.arrival.Dest), Class: dispatch.ClassID(cl.arrival.Class),
+		Tenant: dispatch.TenantID(cl.arrival.Tenant), OrderingKey: key, Deadline: cl.deadline, Resubmitted: resubmitted}
+	s.notify(c, r.accepted)
 }
 
 // other is where a client goes whose courier did not serve it.
-func (s *Sim) other(c *courier) *courier {
-	if s.w.Day.Fleet.Entry == "own" {
+func (s *Sim) retryCourier(c *courier) *courier {
+	if s.instance.Day.Fleet.Entry == "own" {
 		return c
 	}
 	return s.couriers[s.rng.IntN(len(s.couriers))]
 }
 
 // comeAgain submits anew what was rejected, after a while.
-func (s *Sim) comeAgain(cl *client, c *courier, advice dispatch.Micros) {
-	d := s.w.Day.Clients
-	if cl.over || cl.rejects >= d.Retries {
+func (s *Sim) resubmitLater(cl *client, c *courier, retryAfter dispatch.Micros) {
+	d := s.instance.Day.Clients
+	if cl.done || cl.rejections >= d.Retries {
 		return
 	}
-	wait := s.between(scenario.Range{d.Backoff[0] / 1000, d.Backoff[1] / 1000}) << cl.rejects
-	if advice > 0 && s.rng.Float64() < d.Heed {
-		wait = advice
+	wait := s.randomIn(scenario.Range{d.Backoff[0] / 1000, d.Backoff[1] / 1000}) << cl.rejections
+	if retryAfter > 0 && s.rng.Float64() < d.Heed {
+		wait = retryAfter
 	}
-	cl.rejects++
-	s.after(s.now+wait, func() { s.handIn(cl, s.other(c), true) })
+	cl.rejections++
+	s.schedule(s.now+wait, func() { s.submit(cl, s.retryCourier(c), true) })
 }
 
 // leave withdraws a message.
-func (s *Sim) leave(cl *client) {
-	if cl.over {
+func (s *Sim) withdraw(cl *client) {
+	if cl.done {
 		return
 	}
-	cl.over = true
-	if r := cl.held; r != nil && !r.over {
-		s.end(r, invariants.Withdrawn)
-		s.tell(r.courier, dispatch.MessageCanceled{Message: r.id})
+	cl.done = true
+	if r := cl.current; r != nil && !r.done {
+		s.endMessage(r, invariants.Withdrawn)
+		s.notify(r.courier, dispatch.MessageCanceled{Message: r.id})
 	}
 }
--- a/testbed/simulation/courier.go
+++ b/testbed/simulation/courier.go
@@ -16,91 +16,91 @@
 
 // courier is the world's side of one courier: what its process, sockets and folder would be.
 type courier struct {
-	sim      *Sim
-	no       int
-	zone     dispatch.ZoneID
-	alive    bool
-	closing  bool
-	life     int        // counts its starts, so that what belongs to an earlier one is known
-	spooled  []*message // what its folder holds while it is down, in the order taken
-	standsTo dispatch.Micros
-	events   []dispatch.Event
-	due      dispatch.Micros // the tick at which it is notified them; 0: none
-	messages map[dispatch.MessageID]*message
-	held     int
-	slots    int                                            // taken
-	pools    map[dispatch.EndpointID][]dispatch.Micros      // idle connections, by when they began to rest
-	notified map[dispatch.EndpointID]dispatch.EndpointEntry // the list as it had it last
-	newsAt   dispatch.Micros
-	watching bool
-	quota    *quota.Allocator // nil: limits are not shared
+	sim          *Sim
+	index        int
+	zone         dispatch.ZoneID
+	alive        bool
+	shuttingDown bool
+	incarnation  int        // counts its starts, so that what belongs to an earlier one is known
+	spooled      []*message // what its folder holds while it is down, in the order taken
+	pausedUntil  dispatch.Micros
+	events       []dispatch.Event
+	stepAt       dispatch.Micros // the tick at which it is notified them; 0: none
+	messages     map[dispatch.MessageID]*message
+	openMessages int
+	slotsUsed    int                                            // taken
+	idleConns    map[dispatch.EndpointID][]dispatch.Micros      // idle connections, by when they began to rest
+	knownEntries map[dispatch.EndpointID]dispatch.EndpointEntry // the list as it had it last
+	lastChangeAt dispatch.Micros
+	watching     bool
+	quota        *quota.Allocator // nil: limits are not shared
 }
 
 // message is a message at one courier.
 type message struct {
-	id       dispatch.MessageID
-	client   *client
-	courier  *courier
-	number   int // in the order taken by all couriers
-	taken    dispatch.MessageAccepted
-	attempts []*attempt
-	out      int
-	over     bool
+	id           dispatch.MessageID
+	client       *client
+	courier      *courier
+	number       int // in the order taken by all couriers
+	accepted     dispatch.MessageAccepted
+	attempts     []*attempt
+	openAttempts int
+	done         bool
 }
 
 type attempt struct {
-	rec  *message
-	no   dispatch.AttemptNumber
-	book int // its number in the books
-	call *call
-	past dispatch.PastAttempt // as a folder has it; the outcome counts once it is over
-	over bool
+	message      *message
+	number       dispatch.AttemptNumber
+	ledgerNumber int // its number in the books
+	call         *call
+	past         dispatch.PastAttempt // as a folder has it; the outcome counts once it is over
+	done         bool
 }
 
 // call is one call on its way.
 type call struct {
 	endpointmodel.Call
-	courier  *courier
-	life     int
-	at       *spot
-	attempts []*attempt
-	sent     dispatch.Micros
-	linked   bool // its connection is up
-	over     bool // the courier knows its end, or waits no more
+	courier     *courier
+	incarnation int
+	endpoint    *endpointRecord
+	attempts    []*attempt
+	sent        dispatch.Micros
+	connected   bool // its connection is up
+	done        bool // the courier knows its end, or waits no more
 }
 
-func (s *Sim) start(c *courier) {
+func (s *Sim) startCourier(c *courier) {
 	if c.alive {
 		return
 	}
-	c.alive, c.closing, c.watching = true, false, false
-	c.life++
-	c.events, c.due, c.held, c.slots = nil, 0, 0, 0
-	c.messages, c.pools = map[dispatch.MessageID]*message{}, map[dispatch.EndpointID][]dispatch.Micros{}
+	c.alive, c.shuttingDown, c.watching = true, false, false
+	c.incarnation++
+	c.events, c.stepAt, c.openMessages, c.slotsUsed = nil, 0, 0, 0
+	c.messages, c.idleConns = map[dispatch.MessageID]*message{}, map[dispatch.EndpointID][]dispatch.Micros{}
 	salt := int64(s.rng.Uint64() >> 1)
-	ch, err := s.w.Config(c.no, salt)
+	ch, err := s.instance.Config(c.index, salt)
 	if err == nil {
-		err = s.host.Start(c.no, s.commune(c, ch), config.Flatten(s.w.Settings(c.no)))
+		err = s.host.Start(c.index, s.startQuota(c, ch), config.Flatten(s.instance.Settings(c.index)))
 	}
 	if err != nil {
 		s.fail("%w", err)
 		return
 	}
-	if c.life > 1 {
-		s.books.Back(s.now, c.no)
+	if c.incarnation > 1 {
+		s.ledger.Back(s.now, c.index)
 	}
-	s.tell(c, dispatch.EndpointUpdate{Kind: dispatch.CachedList, Entries: inOrder(c.notified)})
-	if snapshot, ok := s.lores[c.no]; ok {
-		s.tell(c, dispatch.SnapshotRestored{Snapshot: snapshot})
+	s.notify(c, dispatch.EndpointUpdate{Kind: dispatch.CachedList, Entries: sortedEntries(c.knownEntries)})
+	if snapshot, ok := s.snapshots[c.index]; ok {
+		s.notify(c, dispatch.SnapshotRestored{Snapshot: snapshot})
 	}
-	s.takeUpAgain(c)
-	if s.w.Day.Directory.Mode == "push" {
-		s.listed.fetch(c)
+	s.recoverSpool(c)
+	if s.instance.Day.Directory.Mode == "push" {
+		s.directory.fetch(c)
 	}
 }
 
 // inOrder lists entries by their names.
-func inOrder(all map[dispatch.EndpointID]dispatch.EndpointEntry) []dispatch.EndpointEntry {
+func sortedEntries(all map[dispatch.EndpointID]dispatch.EndpointEntry) []dispatch.EndpointEntry {
 	list := make([]dispatch.EndpointEntry, 0, len(all))
 	for _, id := range slices.Sorted(maps.Keys(all)) {
 		list = append(list, all[id])
@@ -109,121 +109,121 @@
 }
 
 // ask tells a courier that its process ends soon.
-func (s *Sim) ask(c *courier, span dispatch.Micros) {
+func (s *Sim) scheduleShutdown(c *courier, span dispatch.Micros) {
 	if c.alive {
-		c.closing = true
-		s.tell(c, dispatch.ShutdownScheduled{At: s.now + span})
+		c.shuttingDown = true
+		s.notify(c, dispatch.ShutdownScheduled{At: s.now + span})
 	}
 }
 
 // kill ends a courier; what it held goes back to its clients.
-func (s *Sim) kill(c *courier) {
+func (s *Sim) killCourier(c *courier) {
 	if !c.alive {
 		return
 	}
-	if c.closing && s.SnapshotInterval > 0 {
+	if c.shuttingDown && s.SnapshotInterval > 0 {
 		s.takeSnapshot(c)
 	}
 	c.alive = false
-	s.host.Kill(c.no)
-	for _, id := range slices.Sorted(maps.Keys(c.pools)) {
-		for range c.pools[id] {
-			s.partners[s.at[id].dest].Disconnect(id)
+	s.host.Kill(c.index)
+	for _, id := range slices.Sorted(maps.Keys(c.idleConns)) {
+		for range c.idleConns[id] {
+			s.destinations[s.endpoints[id].destination].Disconnect(id)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.messages)) {
 		r := c.messages[id]
 		for _, t := range r.attempts {
-			if !t.over && !t.call.over {
-				t.call.over = true
-				s.hangUp(t.call)
+			if !t.done && !t.call.done {
+				t.call.done = true
+				s.disconnect(t.call)
 			}
 		}
-		if r.over {
+		if r.done {
 			continue
 		}
 		if s.Spool {
-			s.cutOff(r)
+			s.breakAttempts(r)
 			c.spooled = append(c.spooled, r)
 			continue
 		}
-		r.over = true
-		if work := &s.w.Day.Classes[r.client.arrival.Class]; work.Repeat != "single-use" || !s.books.MayHaveRun(id) {
-			s.after(s.now+s.between(s.w.Day.Clients.Again), func() { s.handIn(r.client, s.other(c), true) })
+		r.done = true
+		if class := &s.instance.Day.Classes[r.client.arrival.Class]; class.Repeat != "single-use" || !s.ledger.MayHaveRun(id) {
+			s.schedule(s.now+s.randomIn(s.instance.Day.Clients.Again), func() { s.submit(r.client, s.retryCourier(c), true) })
 		}
 	}
 	slices.SortStableFunc(c.spooled, func(a, b *message) int { return cmp.Compare(a.number, b.number) })
-	s.books.Down(s.now, c.no, !s.Spool, s.SnapshotInterval == 0)
+	s.ledger.Down(s.now, c.index, !s.Spool, s.SnapshotInterval == 0)
 }
 
 // takeUpAgain hands a courier what its folder held.
-func (s *Sim) takeUpAgain(c *courier) {
+func (s *Sim) recoverSpool(c *courier) {
 	for _, r := range c.spooled {
-		if r.over {
+		if r.done {
 			continue // withdrawn meanwhile
 		}
-		e := dispatch.MessageRecovered{MessageAccepted: r.taken}
+		e := dispatch.MessageRecovered{MessageAccepted: r.accepted}
 		for _, t := range r.attempts {
 			e.Attempts = append(e.Attempts, t.past)
 		}
 		c.messages[r.id] = r
-		c.held++
-		s.tell(c, e)
+		c.openMessages++
+		s.notify(c, e)
 	}
 	c.spooled = nil
 }
 
 // cutOff ends what a killed courier had out. A folder knows of an attempt from its first byte on: before, it never was;
 // after, it may have run.
-func (s *Sim) cutOff(r *message) {
-	r.out = 0
+func (s *Sim) breakAttempts(r *message) {
+	r.openAttempts = 0
 	r.attempts = slices.DeleteFunc(r.attempts, func(t *attempt) bool {
-		if t.over {
+		if t.done {
 			return false
 		}
-		t.over, t.past.Outcome = true, dispatch.Broken
-		if !t.call.linked {
-			s.books.Settled(s.now, r.id, t.book, dispatch.Unreachable, 0)
+		t.done, t.past.Outcome = true, dispatch.Broken
+		if !t.call.connected {
+			s.ledger.Settled(s.now, r.id, t.ledgerNumber, dispatch.Unreachable, 0)
 		}
-		return !t.call.linked
+		return !t.call.connected
 	})
 }
 
 // tell puts something before a courier's next step.
-func (s *Sim) tell(c *courier, e dispatch.Event) {
+func (s *Sim) notify(c *courier, e dispatch.Event) {
 	if !c.alive {
 		return
 	}
 	c.events = append(c.events, e)
-	if c.due == 0 {
-		at := (max(s.now, c.standsTo)/s.tick + 1) * s.tick
-		c.due = at
-		if s.turns[at] == nil {
-			s.after(at, func() { s.turn(at) })
+	if c.stepAt == 0 {
+		at := (max(s.now, c.pausedUntil)/s.tickLength + 1) * s.tickLength
+		c.stepAt = at
+		if s.stepsDue[at] == nil {
+			s.schedule(at, func() { s.stepCouriers(at) })
 		}
-		s.turns[at] = append(s.turns[at], c)
+		s.stepsDue[at] = append(s.stepsDue[at], c)
 	}
 }
 
 // step lets all couriers decide that have something to be notified by now.
-func (s *Sim) turn(at dispatch.Micros) {
-	due := s.turns[at]
-	delete(s.turns, at)
+func (s *Sim) stepCouriers(at dispatch.Micros) {
+	due := s.stepsDue[at]
+	delete(s.stepsDue, at)
 	var batches []Batch
 	for _, c := range due {
-		if !c.alive || c.due != at {
+		if !c.alive || c.stepAt != at {
 			continue // killed since
 		}
-		c.due = 0
-		if c.standsTo > s.now { // stands still since it was notified
+		c.stepAt = 0
+		if c.pausedUntil > s.now { // stands still since it was notified
 			events := c.events
 			c.events = nil
 			for _, e := range events {
-				s.tell(c, e)
+				s.notify(c, e)
 			}
 			continue
 		}
-		batches = append(batches, Batch{c.no, c.events})
+		batches = append(batches, Batch{c.index, c.events})
 		c.events = nil
 	}
 	if len(batches) == 0 {
@@ -240,75 +240,75 @@
 		return
 	}
 	for i, b := range batches {
-		s.carryOut(s.couriers[b.Courier], all[i])
+		s.execute(s.couriers[b.Courier], all[i])
 	}
 }
 
 // carryOut does what a courier wants done.
-func (s *Sim) carryOut(c *courier, actions []dispatch.Action) {
+func (s *Sim) execute(c *courier, actions []dispatch.Action) {
 	s.stats.Actions += len(actions)
-	open := map[dispatch.EndpointID]*call{} // calls of this step that may carry more
+	openCalls := map[dispatch.EndpointID]*call{} // calls of this step that may carry more
 	var calls []*call
 	for _, action := range actions {
 		switch a := action.(type) {
 		case dispatch.Send:
-			if cl := s.load(c, a, open); cl != nil {
+			if cl := s.addToCall(c, a, openCalls); cl != nil {
 				calls = append(calls, cl)
 			}
 		case dispatch.Cancel:
-			s.cancel(c, a)
+			s.cancelAttempt(c, a)
 		case dispatch.Reject:
-			if r := s.ended(c, a.Message, invariants.Rejected); r != nil {
-				s.comeAgain(r.client, c, min(a.RetryAfter, config.Micros(s.w.Day.Fleet.LongestWait)))
+			if r := s.endOpenMessage(c, a.Message, invariants.Rejected); r != nil {
+				s.resubmitLater(r.client, c, min(a.RetryAfter, config.Micros(s.instance.Day.Fleet.LongestWait)))
 			}
 		case dispatch.Fail:
-			if r := s.ended(c, a.Message, invariants.Failed); r != nil {
-				r.client.over = true
+			if r := s.endOpenMessage(c, a.Message, invariants.Failed); r != nil {
+				r.client.done = true
 			}
 		case dispatch.SetTimer:
-			life := c.life
-			s.after(a.At, func() {
-				if c.life == life {
-					s.tell(c, dispatch.TimerFired{})
+			incarnation := c.incarnation
+			s.schedule(a.At, func() {
+				if c.incarnation == incarnation {
+					s.notify(c, dispatch.TimerFired{})
 				}
 			})
 		case dispatch.CloseIdle:
-			for range c.pools[a.Endpoint] {
-				s.partners[s.at[a.Endpoint].dest].Disconnect(a.Endpoint)
+			for range c.idleConns[a.Endpoint] {
+				s.destinations[s.endpoints[a.Endpoint].destination].Disconnect(a.Endpoint)
 			}
-			delete(c.pools, a.Endpoint)
+			delete(c.idleConns, a.Endpoint)
 		case dispatch.WatchEndpoints:
-			s.listed.fetch(c)
+			s.directory.fetch(c)
 		}
 	}
 	for _, cl := range calls {
-		s.launch(cl)
+		s.sendCall(cl)
 	}
 }
 
 // ended takes a courier's final answer for a message; nil where it had one already.
-func (s *Sim) ended(c *courier, id dispatch.MessageID, how invariants.End) *message {
+func (s *Sim) endOpenMessage(c *courier, id dispatch.MessageID, end invariants.End) *message {
 	r := c.messages[id]
-	if r == nil || r.over {
-		s.books.Ended(s.now, id, how) // they know what to think of it
+	if r == nil || r.done {
+		s.ledger.Ended(s.now, id, end) // they know what to think of it
 		return nil
 	}
-	s.end(r, how)
+	s.endMessage(r, end)
 	return r
 }
 
-func (s *Sim) end(r *message, how invariants.End) {
-	s.books.Ended(s.now, r.id, how)
-	s.close(r)
+func (s *Sim) endMessage(r *message, end invariants.End) {
+	s.ledger.Ended(s.now, r.id, end)
+	s.release(r)
 }
 
 // close forgets a message that is over, once nothing of it is out.
-func (s *Sim) close(r *message) {
-	if !r.over {
-		r.over = true
-		r.courier.held--
+func (s *Sim) release(r *message) {
+	if !r.done {
+		r.done = true
+		r.courier.openMessages--
 	}
-	if r.out == 0 {
+	if r.openAttempts == 0 {
 		delete(r.courier.messages, r.id)
 	}
 }
--- a/testbed/simulation/directory.go
+++ b/testbed/simulation/directory.go
@@ -18,19 +18,19 @@
 
 func newDirectory(s *Sim) *directory {
 	d := &directory{sim: s, entries: map[dispatch.EndpointID]dispatch.EndpointEntry{}}
-	for _, l := range s.w.List() {
+	for _, l := range s.instance.List() {
 		d.entries[l.Endpoint] = l
 	}
 	return d
 }
 
-func (d *directory) all() map[dispatch.EndpointID]dispatch.EndpointEntry {
+func (d *directory) snapshot() map[dispatch.EndpointID]dispatch.EndpointEntry {
 	return maps.Clone(d.entries)
 }
 
 // change notes that an entry changed, and tells whoever is notified by itself or watches.
-func (d *directory) change(dest int, e endpointmodel.Endpoint, phase dispatch.Phase) {
-	l := d.sim.w.Listing(dest, e.ID, e.Zone, phase)
+func (d *directory) update(dest int, e endpointmodel.Endpoint, phase dispatch.Phase) {
+	l := d.sim.instance.Listing(dest, e.ID, e.Zone, phase)
 	if phase == dispatch.Removed {
 		delete(d.entries, e.ID)
 	} else {
@@ -47,56 +47,56 @@
 		d.pending = append(d.pending, func() { d.notify(c, l) })
 		return
 	}
-	s, life := d.sim, c.life
-	c.newsAt = max(c.newsAt, s.now+s.between(s.w.Day.Directory.Notice))
-	s.after(c.newsAt, func() {
+	s, incarnation := d.sim, c.incarnation
+	c.lastChangeAt = max(c.lastChangeAt, s.now+s.randomIn(s.instance.Day.Directory.Notice))
+	s.schedule(c.lastChangeAt, func() {
 		switch {
-		case c.life != life || !c.alive || !c.watching:
+		case c.incarnation != incarnation || !c.alive || !c.watching:
 		case d.down: // it went down meanwhile
 			d.pending = append(d.pending, func() { d.notify(c, l) })
 		default:
-			d.hear(c, dispatch.PartialList, []dispatch.EndpointEntry{l})
+			d.apply(c, dispatch.PartialList, []dispatch.EndpointEntry{l})
 		}
 	})
 }
 
 // hear hands news to a courier.
-func (d *directory) hear(c *courier, how dispatch.UpdateKind, entries []dispatch.EndpointEntry) {
+func (d *directory) apply(c *courier, kind dispatch.UpdateKind, entries []dispatch.EndpointEntry) {
 	s := d.sim
-	before := c.notified
-	if how == dispatch.CompleteList {
-		c.notified = map[dispatch.EndpointID]dispatch.EndpointEntry{}
+	before := c.knownEntries
+	if kind == dispatch.CompleteList {
+		c.knownEntries = map[dispatch.EndpointID]dispatch.EndpointEntry{}
 	}
 	for _, l := range entries {
 		if l.Phase == dispatch.Removed {
-			delete(c.notified, l.Endpoint)
+			delete(c.knownEntries, l.Endpoint)
 		} else {
-			c.notified[l.Endpoint] = l
+			c.knownEntries[l.Endpoint] = l
 		}
-		s.books.Notified(s.now, c.no, l.Endpoint, l.Phase)
+		s.ledger.Notified(s.now, c.index, l.Endpoint, l.Phase)
 	}
 	for id := range before { // what is missing in a whole list is gone
-		if _, listed := c.notified[id]; !listed {
-			s.books.Notified(s.now, c.no, id, dispatch.Removed)
+		if _, listed := c.knownEntries[id]; !listed {
+			s.ledger.Notified(s.now, c.index, id, dispatch.Removed)
 		}
 	}
-	s.tell(c, dispatch.EndpointUpdate{Kind: how, Entries: entries})
+	s.notify(c, dispatch.EndpointUpdate{Kind: kind, Entries: entries})
 }
 
 // fetch answers a courier that asks for the list, or that is notified by itself from its start on.
 func (d *directory) fetch(c *courier) {
-	s, life := d.sim, c.life
-	r := s.w.Day.Directory.Call
-	s.after(s.now+s.between(scenario.Range{r[0] / 1000, r[1] / 1000}), func() {
+	s, incarnation := d.sim, c.incarnation
+	r := s.instance.Day.Directory.Call
+	s.schedule(s.now+s.randomIn(scenario.Range{r[0] / 1000, r[1] / 1000}), func() {
 		switch {
-		case c.life != life || !c.alive:
-		case d.down && s.w.Day.Directory.Mode == "ask":
-			s.tell(c, dispatch.EndpointUpdate{Kind: dispatch.ListFailed})
+		case c.incarnation != incarnation || !c.alive:
+		case d.down && s.instance.Day.Directory.Mode == "ask":
+			s.notify(c, dispatch.EndpointUpdate{Kind: dispatch.ListFailed})
 		case d.down:
 			d.pending = append(d.pending, func() { d.fetch(c) })
 		default:
 			c.watching = true
-			d.hear(c, dispatch.CompleteList, inOrder(d.entries))
+			d.apply(c, dispatch.CompleteList, sortedEntries(d.entries))
 		}
 	})
 }
@@ -104,13 +104,13 @@
 // goDown ends all watches.
 func (d *directory) goDown() {
 	d.down = true
-	if d.sim.w.Day.Directory.Mode != "ask" {
+	if d.sim.instance.Day.Directory.Mode != "ask" {
 		return
 	}
 	for _, c := range d.sim.couriers {
 		if c.watching {
 			c.watching = false
-			d.sim.tell(c, dispatch.EndpointUpdate{Kind: dispatch.ListFailed})
+			d.sim.notify(c, dispatch.EndpointUpdate{Kind: dispatch.ListFailed})
 		}
 	}
 }
@@ -120,7 +120,7 @@
 	d.down = false
 	pending := d.pending
 	d.pending = nil
-	for _, tell := range pending {
-		tell()
+	for _, notify := range pending {
+		notify()
 	}
 }
--- a/testbed/simulation/golden_test.go
+++ b/testbed/simulation/golden_test.go
@@ -52,13 +52,13 @@
 }
 
 // goldenPlay is one day whose actions are held against the golden file.
-type goldenPlay struct {
+type goldenRun struct {
 	day  string
 	seed int64
 }
 
 // goldenPlays are the built-in days with three seeds each, but for the day at full size, which takes a minute; and 100 drawn days.
-func goldenPlays() (plays []goldenPlay) {
+func goldenRuns() (plays []goldenRun) {
 	const (
 		fullSize   = "full-size"
 		largeFleet = "shared-300" // some seconds a play: with three seeds, and not drawn
@@ -74,17 +74,17 @@
 			drawn = append(drawn, name)
 		}
 		for seed := int64(1); seed <= 3; seed++ {
-			plays = append(plays, goldenPlay{name, seed})
+			plays = append(plays, goldenRun{name, seed})
 		}
 	}
 	for i := range drawnDays {
-		plays = append(plays, goldenPlay{drawn[i%len(drawn)], int64(firstDrawn + i)})
+		plays = append(plays, goldenRun{drawn[i%len(drawn)], int64(firstDrawn + i)})
 	}
 	return plays
 }
 
 // digest plays a day with what couriers keep over restarts, and with shared limits on the day that is about these.
-func (p goldenPlay) digest() (string, error) {
+func (p goldenRun) digest() (string, error) {
 	d, err := scenario.Find(p.day)
 	if err != nil {
 		return "", err
@@ -100,9 +100,9 @@
 	return fmt.Sprintf("%s %d %d %x", p.day, p.seed, actions, digest.Sum(nil)[:16]), err
 }
 
-// TestActionsAreAsRecorded: on every built-in day and on 100 drawn ones, the decisions are, action by action, those of the golden file.
-func TestActionsAreAsRecorded(t *testing.T) {
-	plays := goldenPlays()
+// TestActionsMatchGoldenFile: on every built-in day and on 100 drawn ones, the decisions are, action by action, those of the golden file.
+func TestActionsMatchGoldenFile(t *testing.T) {
+	plays := goldenRuns()
 	lines, faults := make([]string, len(plays)), make([]error, len(plays))
 	var all sync.WaitGroup
 	slots := make(chan struct{}, 8)
--- a/testbed/simulation/host.go
+++ b/testbed/simulation/host.go
@@ -39,8 +39,8 @@
 
 // Local runs the decisions in this process.
 type Local struct {
-	make     func(courier int, ch dispatch.Config) Decider
-	couriers map[int]Decider
+	newDecider func(courier int, ch dispatch.Config) Decider
+	couriers   map[int]Decider
 }
 
 // NewLocal hosts what make returns; nil stands for the module as it is.
@@ -53,7 +53,7 @@
 
 // Start implements Host.
 func (l *Local) Start(courier int, ch dispatch.Config, _ map[string]string) error {
-	l.couriers[courier] = l.make(courier, ch)
+	l.couriers[courier] = l.newDecider(courier, ch)
 	return nil
 }
 
@@ -65,14 +65,14 @@
 
 // Turn implements Host.
 func (l *Local) Turn(now dispatch.Micros, batches []Batch) (all [][]dispatch.Action, err error) {
-	at := 0
+	current := 0
 	defer func() {
-		if fault := recover(); fault != nil {
-			err = &CourierFault{at, fmt.Sprintf("%v\n%s", fault, debug.Stack())}
+		if recovered := recover(); recovered != nil {
+			err = &CourierFault{current, fmt.Sprintf("%v\n%s", recovered, debug.Stack())}
 		}
 	}()
 	for _, b := range batches {
-		at = b.Courier
+		current = b.Courier
 		all = append(all, l.couriers[b.Courier].Handle(now, b.Events))
 	}
 	return all, nil
--- a/testbed/simulation/quota.go
+++ b/testbed/simulation/quota.go
@@ -16,61 +16,61 @@
 
 const (
 	// A packet between couriers takes so long, drawn evenly: a network of one country.
-	packetLeast = 10 * 1000
-	packetMost  = 60 * 1000
+	minPacketDelay = 10 * 1000
+	maxPacketDelay = 60 * 1000
 )
 
 // commune has a courier that begins share limits; an earlier start may have granted half of each of its parts.
-func (s *Sim) commune(c *courier, ch dispatch.Config) dispatch.Config {
+func (s *Sim) startQuota(c *courier, ch dispatch.Config) dispatch.Config {
 	if s.Share.Interval <= 0 {
 		return ch
 	}
-	c.quota = quota.New(s.now, quota.Config{Self: nameOf(c.no), Incarnation: uint64(c.life), Couriers: ch.Couriers, Seed: int64(s.rng.Uint64() >> 1)})
-	life := c.life
-	s.after(s.now+dispatch.Micros(s.rng.Int64N(int64(s.Share.Interval))), func() { s.tickQuota(c, life) })
+	c.quota = quota.New(s.now, quota.Config{Self: memberName(c.index), Incarnation: uint64(c.incarnation), Couriers: ch.Couriers, Seed: int64(s.rng.Uint64() >> 1)})
+	incarnation := c.incarnation
+	s.schedule(s.now+dispatch.Micros(s.rng.Int64N(int64(s.Share.Interval))), func() { s.tickQuota(c, incarnation) })
 	ch.GrantedUntil = s.now + quota.GrantHorizon
 	return ch
 }
 
-func nameOf(no int) string { return fmt.Sprintf("n%d", no) }
+func memberName(no int) string { return fmt.Sprintf("n%d", no) }
 
 func (s *Sim) tickQuota(c *courier, life int) {
-	if !c.alive || c.life != life {
+	if !c.alive || c.incarnation != life {
 		return
 	}
-	s.after(s.now+s.Share.Interval, func() { s.tickQuota(c, life) })
+	s.schedule(s.now+s.Share.Interval, func() { s.tickQuota(c, life) })
 	local, ok := s.host.(*Local)
-	if !ok || s.now < c.standsTo {
+	if !ok || s.now < c.pausedUntil {
 		return
 	}
-	d, ok := local.Courier(c.no).(dispatch.DemandReporter)
+	d, ok := local.Courier(c.index).(dispatch.DemandReporter)
 	if !ok {
 		return
 	}
 	fleet := quota.FleetChanged{Couriers: len(s.couriers)}
 	for _, o := range s.couriers {
 		if o != c && o.alive {
-			fleet.Alive = append(fleet.Alive, nameOf(o.no))
+			fleet.Alive = append(fleet.Alive, memberName(o.index))
 		}
 	}
-	s.quota(c, fleet, quota.DemandsOf(d.Demands()), quota.Tick{})
+	s.stepQuota(c, fleet, quota.DemandsOf(d.Demands()), quota.Tick{})
 }
 
-func (s *Sim) quota(c *courier, events ...quota.Event) {
+func (s *Sim) stepQuota(c *courier, events ...quota.Event) {
 	for _, action := range c.quota.Handle(s.now, events...) {
 		switch a := action.(type) {
 		case quota.ShareChanged:
 			e := quota.ToDispatch(a.Shares, func(t dispatch.Micros) dispatch.Micros { return t }) // one clock
 			if len(e.Shares) > 0 {
-				s.tell(c, e)
+				s.notify(c, e)
 			}
 		case quota.SendPacket:
-			s.say(a)
+			s.sendQuotaPacket(a)
 		}
 	}
 }
 
-func (s *Sim) say(a quota.SendPacket) {
+func (s *Sim) sendQuotaPacket(a quota.SendPacket) {
 	var no int
 	if _, err := fmt.Sscanf(a.To, "n%d", &no); err != nil || no >= len(s.couriers) {
 		return
@@ -80,10 +80,10 @@
 		return
 	}
 	to := s.couriers[no]
-	life := to.life
-	s.after(s.now+packetLeast+dispatch.Micros(s.rng.Int64N(packetMost-packetLeast)), func() {
-		if to.alive && to.life == life && s.now >= to.standsTo {
-			s.quota(to, quota.PacketReceived{Packet: a.Packet})
+	incarnation := to.incarnation
+	s.schedule(s.now+minPacketDelay+dispatch.Micros(s.rng.Int64N(maxPacketDelay-minPacketDelay)), func() {
+		if to.alive && to.incarnation == incarnation && s.now >= to.pausedUntil {
+			s.stepQuota(to, quota.PacketReceived{Packet: a.Packet})
 		}
 	})
 }
--- a/testbed/simulation/restarts_test.go
+++ b/testbed/simulation/restarts_test.go
@@ -9,7 +9,7 @@
 )
 
 // readDay reads a day of testdata.
-func readDay(t *testing.T, name string) *scenario.Day {
+func readScenario(t *testing.T, name string) *scenario.Day {
 	t.Helper()
 	file := "testdata/" + name + ".toml"
 	text, err := os.ReadFile(file)
@@ -24,32 +24,32 @@
 }
 
 // recoveries counts what restarts found, by what may be done about it.
-type recoveries struct {
+type recoveryCounter struct {
 	Decider
-	seen *foundAtRestarts
+	recovered *recoveredMessages
 }
 
 // foundAtRestarts are messages with an idempotency key that restarts found, and how often such a one was sent afterwards.
-type foundAtRestarts struct {
-	window                            dispatch.Micros
-	classes                           map[dispatch.ClassID]bool // those with an idempotency key
-	untried, within, over             map[dispatch.MessageID]bool
-	sentUntried, sentWithin, sentOver int
+type recoveredMessages struct {
+	window                                       dispatch.Micros
+	classes                                      map[dispatch.ClassID]bool // those with an idempotency key
+	unsent, withinWindow, expired                map[dispatch.MessageID]bool
+	sendsUnsent, sendsWithinWindow, sendsExpired int
 }
 
-func newFoundAtRestarts(window dispatch.Micros, keyed ...dispatch.ClassID) *foundAtRestarts {
-	f := &foundAtRestarts{window: window, classes: map[dispatch.ClassID]bool{}, untried: map[dispatch.MessageID]bool{},
-		within: map[dispatch.MessageID]bool{}, over: map[dispatch.MessageID]bool{}}
-	for _, w := range keyed {
+func newRecoveredMessages(window dispatch.Micros, idempotentClasses ...dispatch.ClassID) *recoveredMessages {
+	f := &recoveredMessages{window: window, classes: map[dispatch.ClassID]bool{}, unsent: map[dispatch.MessageID]bool{},
+		withinWindow: map[dispatch.MessageID]bool{}, expired: map[dispatch.MessageID]bool{}}
+	for _, w := range idempotentClasses {
 		f.classes[w] = true
 	}
 	return f
 }
 
 // found sorts a message that a restart found.
-func (f *foundAtRestarts) found(now dispatch.Micros, e dispatch.MessageRecovered) {
-	delete(f.untried, e.Message)
-	delete(f.within, e.Message)
+func (f *recoveredMessages) add(now dispatch.Micros, e dispatch.MessageRecovered) {
+	delete(f.unsent, e.Message)
+	delete(f.withinWindow, e.Message)
 	if !f.classes[e.Class] {
 		return
 	}
@@ -58,55 +58,55 @@
 			continue
 		}
 		if now >= p.SentAt+f.window {
-			f.over[e.Message] = true
+			f.expired[e.Message] = true
 		} else {
-			f.within[e.Message] = true
+			f.withinWindow[e.Message] = true
 		}
 		return
 	}
-	f.untried[e.Message] = true
+	f.unsent[e.Message] = true
 }
 
-func (f *foundAtRestarts) sent(id dispatch.MessageID) {
+func (f *recoveredMessages) countSend(id dispatch.MessageID) {
 	switch {
-	case f.over[id]:
-		f.sentOver++
-	case f.within[id]:
-		f.sentWithin++
-	case f.untried[id]:
-		f.sentUntried++
+	case f.expired[id]:
+		f.sendsExpired++
+	case f.withinWindow[id]:
+		f.sendsWithinWindow++
+	case f.unsent[id]:
+		f.sendsUnsent++
 	}
 }
 
 // Handle implements Decider.
-func (r *recoveries) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
+func (r *recoveryCounter) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
 	for _, event := range events {
 		if e, ok := event.(dispatch.MessageRecovered); ok {
-			r.seen.found(now, e)
+			r.recovered.add(now, e)
 		}
 	}
 	actions := r.Decider.Handle(now, events)
 	for _, action := range actions {
 		if a, ok := action.(dispatch.Send); ok {
-			r.seen.sent(a.Message)
+			r.recovered.countSend(a.Message)
 		}
 	}
 	return actions
 }
 
-// TestShortWindowOverRestarts: on days full of restarts, with repeats known for a second only, all rules hold; what a restart
+// TestShortDedupWindowAcrossRestarts: on days full of restarts, with repeats known for a second only, all rules hold; what a restart
 // finds past its window never goes again, what is within it may, and what was never tried still is.
-func TestShortWindowOverRestarts(t *testing.T) {
+func TestShortDedupWindowAcrossRestarts(t *testing.T) {
 	const (
 		seeds  = 12
 		window = 1000 * 1000 // as the day has it for the first two classes
 	)
 	var untried, within, over, sentUntried, sentWithin, sentOver int
 	for seed := int64(1); seed <= seeds; seed++ {
-		w := scenario.Draw(readDay(t, "restarts"), seed)
-		found := newFoundAtRestarts(window, 0, 1)
+		w := scenario.Draw(readScenario(t, "restarts"), seed)
+		found := newRecoveredMessages(window, 0, 1)
 		v, _, err := Play(w, NewLocal(func(_ int, ch dispatch.Config) Decider {
-			return &recoveries{dispatch.New(ch), found}
+			return &recoveryCounter{dispatch.New(ch), found}
 		}), Options{Spool: true})
 		if err != nil {
 			t.Fatal(err)
@@ -114,8 +114,8 @@
 		if !v.OK() {
 			t.Errorf("seed %d: %s %v", seed, v.Short(), v.Breaches)
 		}
-		untried, within, over = untried+len(found.untried), within+len(found.within), over+len(found.over)
-		sentUntried, sentWithin, sentOver = sentUntried+found.sentUntried, sentWithin+found.sentWithin, sentOver+found.sentOver
+		untried, within, over = untried+len(found.unsent), within+len(found.withinWindow), over+len(found.expired)
+		sentUntried, sentWithin, sentOver = sentUntried+found.sendsUnsent, sentWithin+found.sendsWithinWindow, sentOver+found.sendsExpired
 	}
 	t.Logf("%d days: restarts found %d messages untried (%d attempts followed), %d within their window (%d attempts), %d past it (%d attempts)",
 		seeds, untried, sentUntried, within, sentWithin, over, sentOver)
--- a/testbed/simulation/returns_test.go
+++ b/testbed/simulation/returns_test.go
@@ -15,7 +15,7 @@
 
 // knowingShare of the calls that push a destination over must come from couriers that had seen the outage, or it is a fall
 // and no broken rule.
-const knowingShare = 2.0 / 3
+const informedShare = 2.0 / 3
 
 // returnBudget is how many calls a cold destination takes within the span of the rule: calls is what the settings allow,
 // and 2*sqrt(calls)+2 beyond it are put down to chance. It is of what all couriers of the fleet send together.
@@ -34,67 +34,69 @@
 
 // fleetCall is one call of one courier, as far as it weighs on a cold destination.
 type fleetCall struct {
-	at      dispatch.Micros
-	courier int
-	knowing bool // its courier had seen a call fail or be refused in the outage
+	at       dispatch.Micros
+	courier  int
+	informed bool // its courier had seen a call fail or be refused in the outage
 }
 
 // watchedRoute is what shares one return: a destination, or one of its endpoints where they are routes apart.
 type watchedRoute struct {
-	plan      *scenario.Destination
-	endpoints int
-	out, cold dispatch.Micros // when its outage began, and when it came back; out 0: it had none
-	knowing   map[int]bool    // the couriers that had seen the outage
-	window    []fleetCall     // the calls of the last span, of the whole fleet
-	worst     windowLoad
-	pushed    bool       // some span had too many calls, and they came from couriers that knew
-	worstSlow windowLoad // against the slow start budget
-	fell      bool       // some span was over the slow start budget, whoever sent the calls
-	fellKnown bool       // ... and its calls came from couriers that knew
+	plan                    *scenario.Destination
+	endpoints               int
+	outageStart, outageEnd  dispatch.Micros // when its outage began, and when it came back; out 0: it had none
+	informed                map[int]bool    // the couriers that had seen the outage
+	window                  []fleetCall     // the calls of the last span, of the whole fleet
+	maxLoad                 windowLoad
+	overloadedByInformed    bool       // some span had too many calls, and they came from couriers that knew
+	maxSlowStartLoad        windowLoad // against the slow start budget
+	overSlowStart           bool       // some span was over the slow start budget, whoever sent the calls
+	overSlowStartByInformed bool       // ... and its calls came from couriers that knew
 }
 
 // windowLoad is the calls of one span against what the destination takes in it.
 type windowLoad struct {
-	calls, knowing int
-	budget         float64
-	sinceCold      dispatch.Micros
+	calls, informedCalls int
+	budget               float64
+	sinceReturn          dispatch.Micros
 }
 
 func (w windowLoad) ratio() float64 { return float64(w.calls) / max(w.budget, 1e-9) }
 func (w windowLoad) over() bool     { return float64(w.calls) > w.budget }
 
 // known tells whether the calls came from couriers that had seen the outage.
-func (w windowLoad) known() bool { return float64(w.knowing) >= knowingShare*float64(w.calls) }
+func (w windowLoad) byInformed() bool {
+	return float64(w.informedCalls) >= informedShare*float64(w.calls)
+}
 
 // count adds a call at an instant of the ramp, and keeps the fullest span.
 func (r *watchedRoute) count(now dispatch.Micros, courier int) {
 	plan := &r.plan.Plan
-	if r.out == 0 || now < r.cold || now >= r.cold+plan.Ramp {
+	if r.outageStart == 0 || now < r.outageEnd || now >= r.outageEnd+plan.Ramp {
 		return
 	}
-	r.window = append(r.window, fleetCall{now, courier, r.knowing[courier]})
+	r.window = append(r.window, fleetCall{now, courier, r.informed[courier]})
 	for now-r.window[0].at > plan.FallSpan {
 		r.window = r.window[1:]
 	}
-	warm := plan.ColdFrom + (1-plan.ColdFrom)*float64(now-r.cold)/float64(plan.Ramp)
+	warm := plan.ColdFrom + (1-plan.ColdFrom)*float64(now-r.outageEnd)/float64(plan.Ramp)
 	capacity := plan.Capacity() * float64(r.endpoints) * warm
 	allowed := plan.Fall * capacity * float64(plan.FallSpan) / 1e6
-	load := windowLoad{calls: len(r.window), sinceCold: now - r.cold, budget: returnBudget(allowed)}
+	load := windowLoad{calls: len(r.window), sinceReturn: now - r.outageEnd, budget: returnBudget(allowed)}
 	for _, c := range r.window {
-		if c.knowing {
-			load.knowing++
+		if c.informed {
+			load.informedCalls++
 		}
 	}
-	if load.ratio() > r.worst.ratio() {
-		r.worst = load
+	if load.ratio() > r.maxLoad.ratio() {
+		r.maxLoad = load
 	}
-	r.pushed = r.pushed || load.over() && load.known()
+	r.overloadedByInformed = r.overloadedByInformed || load.over() && load.byInformed()
 	slow := load
-	if slow.budget = slowStartBudget(allowed); slow.ratio() > r.worstSlow.ratio() {
-		r.worstSlow = slow
+	if slow.budget = slowStartBudget(allowed); slow.ratio() > r.maxSlowStartLoad.ratio() {
+		r.maxSlowStartLoad = slow
 	}
-	r.fell = r.fell || slow.over()
-	r.fellKnown = r.fellKnown || slow.over() && slow.known()
+	r.overSlowStart = r.overSlowStart || slow.over()
+	r.overSlowStartByInformed = r.overSlowStartByInformed || slow.over() && slow.byInformed()
 }
 
 // returnCounter hosts the decisions as Local does, and counts what the whole fleet sends to destinations that come back.
@@ -114,7 +116,7 @@
 		var route *watchedRoute
 		for _, e := range d.Endpoints {
 			if route == nil || d.Apart {
-				route = &watchedRoute{plan: d, knowing: map[int]bool{}}
+				route = &watchedRoute{plan: d, informed: map[int]bool{}}
 			}
 			route.endpoints++
 			c.routes[e.ID] = route
@@ -123,9 +125,9 @@
 	for _, a := range w.Acts {
 		switch a.Kind {
 		case scenario.Begins:
-			c.routes[a.Endpoint.ID].out = a.At
+			c.routes[a.Endpoint.ID].outageStart = a.At
 		case scenario.Ends:
-			c.routes[a.Endpoint.ID].cold = a.At
+			c.routes[a.Endpoint.ID].outageEnd = a.At
 		}
 	}
 	return c
@@ -150,7 +152,7 @@
 // returned lists the routes that came back, each once.
 func (c *returnCounter) returned() (all []*watchedRoute) {
 	for _, id := range slices.Sorted(maps.Keys(c.routes)) {
-		if r := c.routes[id]; r.out > 0 && !slices.Contains(all, r) {
+		if r := c.routes[id]; r.outageStart > 0 && !slices.Contains(all, r) {
 			all = append(all, r)
 		}
 	}
@@ -165,8 +167,8 @@
 			continue
 		}
 		r := c.routes[c.attempts[b.Courier][e.Message][e.Attempt]]
-		if r.out > 0 && now >= r.out && now < r.cold {
-			r.knowing[b.Courier] = true
+		if r.outageStart > 0 && now >= r.outageStart && now < r.outageEnd {
+			r.informed[b.Courier] = true
 		}
 	}
 }
@@ -190,14 +192,14 @@
 }
 
 // rampRules are what settings say of a return.
-type rampRules struct {
+type recoverySettings struct {
 	coldFrom, multiple, span float64
 }
 
 // returnsDay is the day of testdata/returns.toml for a fleet, with one kind of outage.
-func returnsDay(t *testing.T, seed int64, couriers int, rules rampRules) *scenario.Drawn {
+func recoveryScenario(t *testing.T, seed int64, couriers int, rules recoverySettings) *scenario.Drawn {
 	t.Helper()
-	d := readDay(t, "returns")
+	d := readScenario(t, "returns")
 	d.Fleet.Couriers = couriers
 	d.Rules.ColdFrom, d.Rules.Fall, d.Rules.FallSpan = rules.coldFrom, rules.multiple, rules.span
 	outage := &d.Troubles[0]
@@ -210,7 +212,7 @@
 func outageKind(seed int64) string { return outageKinds[int(seed)%len(outageKinds)] }
 
 // neverFalls is the same day with destinations that take any load, so that each return is counted to its end.
-func neverFalls(w *scenario.Drawn) *scenario.Drawn {
+func withoutOverload(w *scenario.Drawn) *scenario.Drawn {
 	all := *w
 	all.Destinations = slices.Clone(w.Destinations)
 	for i := range all.Destinations {
@@ -221,13 +223,13 @@
 
 // fleetReturns is what the returns of one fleet came to over all seeds.
 type fleetReturns struct {
-	returns, over, pushed int // routes that came back; those sent too much; those sent too much by couriers that knew
-	seedsOver             int
-	worst                 windowLoad
-	worstSeed             int64
-	fell, fellKnown       int        // returns over the slow start budget; those by couriers that knew
-	worstSlow             windowLoad // against the slow start budget
-	worstSlowSeed         int64
+	returns, over, overByInformed          int // routes that came back; those sent too much; those sent too much by couriers that knew
+	seedsOver                              int
+	maxLoad                                windowLoad
+	maxLoadSeed                            int64
+	overSlowStart, overSlowStartByInformed int        // returns over the slow start budget; those by couriers that knew
+	maxSlowStartLoad                       windowLoad // against the slow start budget
+	maxSlowStartSeed                       int64
 }
 
 // add takes in the returns of one play.
@@ -236,27 +238,27 @@
 	before := f.over
 	for _, r := range c.returned() {
 		f.returns++
-		if r.pushed {
-			f.pushed++
+		if r.overloadedByInformed {
+			f.overByInformed++
 		}
-		if r.worst.over() {
+		if r.maxLoad.over() {
 			f.over++
 			t.Logf("seed %d, %s: %d calls, %d of them by couriers that knew, of %.1f at most, %.2f s after the return", seed,
-				outageKind(seed), r.worst.calls, r.worst.knowing, r.worst.budget, float64(r.worst.sinceCold)/1e6)
+				outageKind(seed), r.maxLoad.calls, r.maxLoad.informedCalls, r.maxLoad.budget, float64(r.maxLoad.sinceReturn)/1e6)
 		}
-		if r.worst.ratio() > f.worst.ratio() {
-			f.worst, f.worstSeed = r.worst, seed
+		if r.maxLoad.ratio() > f.maxLoad.ratio() {
+			f.maxLoad, f.maxLoadSeed = r.maxLoad, seed
 		}
-		if r.fell {
-			f.fell++
+		if r.overSlowStart {
+			f.overSlowStart++
 			t.Logf("seed %d, %s: over the slow start budget: %d calls, %d of them by couriers that knew, of %.1f at most, %.2f s after the return",
-				seed, outageKind(seed), r.worstSlow.calls, r.worstSlow.knowing, r.worstSlow.budget, float64(r.worstSlow.sinceCold)/1e6)
+				seed, outageKind(seed), r.maxSlowStartLoad.calls, r.maxSlowStartLoad.informedCalls, r.maxSlowStartLoad.budget, float64(r.maxSlowStartLoad.sinceReturn)/1e6)
 		}
-		if r.fellKnown {
-			f.fellKnown++
+		if r.overSlowStartByInformed {
+			f.overSlowStartByInformed++
 		}
-		if r.worstSlow.ratio() > f.worstSlow.ratio() {
-			f.worstSlow, f.worstSlowSeed = r.worstSlow, seed
+		if r.maxSlowStartLoad.ratio() > f.maxSlowStartLoad.ratio() {
+			f.maxSlowStartLoad, f.maxSlowStartSeed = r.maxSlowStartLoad, seed
 		}
 	}
 	if f.over > before {
@@ -264,71 +266,71 @@
 	}
 }
 
-func playReturns(t *testing.T, seeds int64, couriers int, rules rampRules, decide func(int, dispatch.Config) Decider) (f fleetReturns) {
+func playReturns(t *testing.T, seeds int64, couriers int, rules recoverySettings, decide func(int, dispatch.Config) Decider) (f fleetReturns) {
 	t.Helper()
 	for seed := int64(1); seed <= seeds; seed++ {
-		w := returnsDay(t, seed, couriers, rules)
+		w := recoveryScenario(t, seed, couriers, rules)
 		counter := newReturnCounter(w, NewLocal(decide))
-		if _, _, err := Play(neverFalls(w), counter, Options{}); err != nil {
+		if _, _, err := Play(withoutOverload(w), counter, Options{}); err != nil {
 			t.Fatal(err)
 		}
 		f.add(t, seed, counter)
 	}
 	t.Logf("%d couriers: %d returns, worst %.2f of what a cold destination takes (%d calls, %.1f taken, seed %d); %d of %d seeds over, %d pushed by who knew",
-		couriers, f.returns, f.worst.ratio(), f.worst.calls, f.worst.budget, f.worstSeed, f.seedsOver, seeds, f.pushed)
+		couriers, f.returns, f.maxLoad.ratio(), f.maxLoad.calls, f.maxLoad.budget, f.maxLoadSeed, f.seedsOver, seeds, f.overByInformed)
 	t.Logf("%d couriers, slow start budget: worst %.2f of it (%d calls, %.1f allowed, seed %d); %d of %d returns over, %d of these by who knew",
-		couriers, f.worstSlow.ratio(), f.worstSlow.calls, f.worstSlow.budget, f.worstSlowSeed, f.fell, f.returns, f.fellKnown)
+		couriers, f.maxSlowStartLoad.ratio(), f.maxSlowStartLoad.calls, f.maxSlowStartLoad.budget, f.maxSlowStartSeed, f.overSlowStart, f.returns, f.overSlowStartByInformed)
 	return f
 }
 
-// TestFleetReturns: whatever the size of the fleet, no cold destination gets more than its budget from couriers that had
+// TestFleetSlowStartAfterOutage: whatever the size of the fleet, no cold destination gets more than its budget from couriers that had
 // seen its outage, and hardly ever more from all together; and the slow start budget binds on every return, whoever sent the calls.
-func TestFleetReturns(t *testing.T) {
+func TestFleetSlowStartAfterOutage(t *testing.T) {
 	const seeds = 50
 	// maxSeedsOver bounds days on which couriers that had seen no outage sent too much all the same: no rule is broken by
 	// that, but the destination falls.
 	const maxSeedsOver = 2
-	usual := rampRules{coldFrom: 0.13, multiple: 2.5, span: 2}
+	usual := recoverySettings{coldFrom: 0.13, multiple: 2.5, span: 2}
 	for _, fleet := range []struct {
 		name     string
 		couriers int
-		rules    rampRules
+		rules    recoverySettings
 	}{
 		{"1 courier", 1, usual},
 		{"3 couriers", 3, usual},
 		{"5 couriers", 5, usual},
 		{"20 couriers", 20, usual},
 		{"30 couriers", 30, usual},
-		{"30 couriers, a smaller multiple over a short span", 30, rampRules{coldFrom: 0.2, multiple: 2, span: 1.5}},
-		{"30 couriers, the smallest multiple over a long span", 30, rampRules{coldFrom: 0.26, multiple: 1.5, span: 3}},
+		{"30 couriers, a smaller multiple over a short span", 30, recoverySettings{coldFrom: 0.2, multiple: 2, span: 1.5}},
+		{"30 couriers, the smallest multiple over a long span", 30, recoverySettings{coldFrom: 0.26, multiple: 1.5, span: 3}},
 	} {
 		t.Run(fleet.name, func(t *testing.T) {
 			f := playReturns(t, seeds, fleet.couriers, fleet.rules, nil)
 			if f.returns < seeds {
 				t.Errorf("%d returns on %d days: too few to tell", f.returns, seeds)
 			}
-			if f.pushed > 0 {
-				t.Errorf("%d returns were pushed over by couriers that had seen the outage", f.pushed)
+			if f.overByInformed > 0 {
+				t.Errorf("%d returns were pushed over by couriers that had seen the outage", f.overByInformed)
 			}
 			if f.seedsOver > maxSeedsOver {
 				t.Errorf("too many calls on %d of %d days, at most %d", f.seedsOver, seeds, maxSeedsOver)
 			}
-			if f.fell > 0 {
-				t.Errorf("%d returns got more than the slow start budget, %d of them from couriers that had seen the outage", f.fell, f.fellKnown)
+			if f.overSlowStart > 0 {
+				t.Errorf("%d returns got more than the slow start budget, %d of them from couriers that had seen the outage", f.overSlowStart, f.overSlowStartByInformed)
 			}
 		})
 	}
 }
 
-// TestReturnCounterSeesAPush: couriers that heed no return are caught by the count of TestFleetReturns.
-func TestReturnCounterSeesAPush(t *testing.T) {
-	f := playReturns(t, 2, 20, rampRules{coldFrom: 0.13, multiple: 2.5, span: 2}, func(_ int, ch dispatch.Config) Decider {
-		return &eager{ch: ch, list: map[dispatch.DestinationID][]dispatch.EndpointID{}, dest: map[dispatch.MessageID]dispatch.MessageAccepted{}}
+// TestReturnCounterDetectsOverload: couriers that heed no return are caught by the count of TestFleetSlowStartAfterOutage.
+func TestReturnCounterDetectsOverload(t *testing.T) {
+	f := playReturns(t, 2, 20, recoverySettings{coldFrom: 0.13, multiple: 2.5, span: 2}, func(_ int, ch dispatch.Config) Decider {
+		return &eagerDecider{config: ch, endpoints: map[dispatch.DestinationID][]dispatch.EndpointID{}, accepted: map[dispatch.MessageID]dispatch.MessageAccepted{}}
 	})
-	if f.pushed == 0 {
+	if f.overByInformed == 0 {
 		t.Error("no return counts as pushed over")
 	}
-	if f.fell == 0 || f.fellKnown == 0 {
-		t.Errorf("%d returns count as over the slow start budget, %d by who knew", f.fell, f.fellKnown)
+	if f.overSlowStart == 0 || f.overSlowStartByInformed == 0 {
+		t.Errorf("%d returns count as over the slow start budget, %d by who knew", f.overSlowStart, f.overSlowStartByInformed)
 	}
 }
--- a/testbed/simulation/simulation.go
+++ b/testbed/simulation/simulation.go
@@ -26,39 +26,39 @@
 
 // Sim is a day being played.
 type Sim struct {
-	w        *scenario.Drawn
-	books    *invariants.Ledger
-	host     Host
-	rng      *rand.Rand
-	now      dispatch.Micros
-	tick     dispatch.Micros
-	queue    queue
-	seq      int
-	partners []*site
-	at       map[dispatch.EndpointID]*spot
-	couriers []*courier
-	turns    map[dispatch.Micros][]*courier // who has something to be notified, by tick
-	listed   *directory
-	calls    uint64
-	taken    int              // messages, by all couriers
-	inFlight map[uint64]*call // those whose endpoint may still answer
-	stats    Stats
-	err      error
-	lores    map[int]dispatch.Snapshot
+	instance     *scenario.Drawn
+	ledger       *invariants.Ledger
+	host         Host
+	rng          *rand.Rand
+	now          dispatch.Micros
+	tickLength   dispatch.Micros
+	queue        eventQueue
+	seq          int
+	destinations []*destination
+	endpoints    map[dispatch.EndpointID]*endpointRecord
+	couriers     []*courier
+	stepsDue     map[dispatch.Micros][]*courier // who has something to be notified, by tick
+	directory    *directory
+	lastCallID   uint64
+	accepted     int              // messages, by all couriers
+	inFlight     map[uint64]*call // those whose endpoint may still answer
+	stats        Stats
+	err          error
+	snapshots    map[int]dispatch.Snapshot
 	Options
 }
 
 // site is a partner and when it was last asked to be stepped.
-type site struct {
+type destination struct {
 	*endpointmodel.Partner
 	dueAt dispatch.Micros
 }
 
 // spot is an endpoint that ever was.
-type spot struct {
-	dest     int
-	endpoint endpointmodel.Endpoint
-	route    int
+type endpointRecord struct {
+	destination int
+	endpoint    endpointmodel.Endpoint
+	route       int
 }
 
 // Options are how a day is played.
@@ -81,146 +81,146 @@
 	if o.Spool { // what fell due while a courier was down is answered in its first step
 		setup.Excused = config.Micros(w.Day.Fleet.Tick/1000) + setup.AnswerSlack
 	}
-	s := &Sim{w: w, books: invariants.New(setup), host: host, rng: rand.New(rand.NewPCG(uint64(w.Seed), 77)),
-		tick: config.Micros(w.Day.Fleet.Tick / 1000), at: map[dispatch.EndpointID]*spot{}, turns: map[dispatch.Micros][]*courier{},
-		inFlight: map[uint64]*call{}, lores: map[int]dispatch.Snapshot{}, Options: o}
-	s.listed = newDirectory(s)
+	s := &Sim{instance: w, ledger: invariants.New(setup), host: host, rng: rand.New(rand.NewPCG(uint64(w.Seed), 77)),
+		tickLength: config.Micros(w.Day.Fleet.Tick / 1000), endpoints: map[dispatch.EndpointID]*endpointRecord{}, stepsDue: map[dispatch.Micros][]*courier{},
+		inFlight: map[uint64]*call{}, snapshots: map[int]dispatch.Snapshot{}, Options: o}
+	s.directory = newDirectory(s)
 	for i := range w.Destinations {
 		p := endpointmodel.New(w.Destinations[i].Plan)
-		s.partners = append(s.partners, &site{p, endpointmodel.Never})
+		s.destinations = append(s.destinations, &destination{p, endpointmodel.Never})
 		for _, e := range w.Destinations[i].Endpoints {
-			s.at[e.ID] = &spot{i, e, p.Route(e.ID)}
+			s.endpoints[e.ID] = &endpointRecord{i, e, p.Route(e.ID)}
 		}
 	}
 	for i := range w.Day.Fleet.Couriers {
-		c := &courier{sim: s, no: i, zone: w.CourierZone[i], notified: s.listed.all()}
+		c := &courier{sim: s, index: i, zone: w.CourierZone[i], knownEntries: s.directory.snapshot()}
 		s.couriers = append(s.couriers, c)
-		s.start(c)
+		s.startCourier(c)
 	}
 	for _, a := range w.Acts {
-		s.after(a.At, func() { s.act(a) })
+		s.schedule(a.At, func() { s.applyEvent(a) })
 	}
-	s.arrive(0)
+	s.scheduleArrival(0)
 	if o.Watch != nil {
-		s.look()
+		s.watchPeriodically()
 	}
 	if o.SnapshotInterval > 0 {
 		for i, c := range s.couriers {
-			s.after(o.SnapshotInterval*dispatch.Micros(i)/dispatch.Micros(len(s.couriers)), func() { s.keepSnapshots(c) })
+			s.schedule(o.SnapshotInterval*dispatch.Micros(i)/dispatch.Micros(len(s.couriers)), func() { s.snapshotPeriodically(c) })
 		}
 	}
 	for s.err == nil && len(s.queue) > 0 && s.queue[0].at <= w.End {
 		e := heap.Pop(&s.queue).(event)
 		s.now = e.at
 		s.stats.Events++
-		e.do()
+		e.run()
 	}
-	var fault *CourierFault
-	if errors.As(s.err, &fault) {
-		s.books.Crashed(s.now, fault.Courier, fault.Text)
+	var courierFault *CourierFault
+	if errors.As(s.err, &courierFault) {
+		s.ledger.Crashed(s.now, courierFault.Courier, courierFault.Text)
 		s.err = nil
 	}
-	return s.books.Finish(w.End), s.stats, s.err
+	return s.ledger.Finish(w.End), s.stats, s.err
 }
 
 // keepLore keeps what a courier has learned, now and again after a while.
-func (s *Sim) keepSnapshots(c *courier) {
+func (s *Sim) snapshotPeriodically(c *courier) {
 	s.takeSnapshot(c)
-	s.after(s.now+s.SnapshotInterval, func() { s.keepSnapshots(c) })
+	s.schedule(s.now+s.SnapshotInterval, func() { s.snapshotPeriodically(c) })
 }
 
 func (s *Sim) takeSnapshot(c *courier) {
 	if local, ok := s.host.(*Local); ok && c.alive {
-		if d, ok := local.Courier(c.no).(dispatch.Snapshotter); ok {
-			s.lores[c.no] = d.Snapshot()
+		if d, ok := local.Courier(c.index).(dispatch.Snapshotter); ok {
+			s.snapshots[c.index] = d.Snapshot()
 		}
 	}
 }
 
-func (s *Sim) look() {
+func (s *Sim) watchPeriodically() {
 	s.Watch(s.now)
-	s.after(s.now+invariants.Bin, s.look)
+	s.schedule(s.now+invariants.Bin, s.watchPeriodically)
 }
 
 // after lets something happen at an instant.
-func (s *Sim) after(at dispatch.Micros, do func()) {
+func (s *Sim) schedule(at dispatch.Micros, do func()) {
 	s.seq++
 	heap.Push(&s.queue, event{max(at, s.now), s.seq, do})
 }
 
 // act is something that happens by itself.
-func (s *Sim) act(a scenario.Act) {
+func (s *Sim) applyEvent(a scenario.Act) {
 	switch a.Kind {
 	case scenario.Begins:
-		s.came(a.Dest, s.partners[a.Dest].Inject(s.now, a.Endpoint.ID, a.Fault))
+		s.handleOutputs(a.Dest, s.destinations[a.Dest].Inject(s.now, a.Endpoint.ID, a.Fault))
 	case scenario.Ends:
-		s.came(a.Dest, s.partners[a.Dest].Heal(s.now, a.Endpoint.ID, a.Fault.ID))
+		s.handleOutputs(a.Dest, s.destinations[a.Dest].Heal(s.now, a.Endpoint.ID, a.Fault.ID))
 	case scenario.Adds:
-		s.partners[a.Dest].Add(a.Endpoint)
-		s.at[a.Endpoint.ID] = &spot{a.Dest, a.Endpoint, s.partners[a.Dest].Route(a.Endpoint.ID)}
-		s.listed.change(a.Dest, a.Endpoint, dispatch.InService)
+		s.destinations[a.Dest].Add(a.Endpoint)
+		s.endpoints[a.Endpoint.ID] = &endpointRecord{a.Dest, a.Endpoint, s.destinations[a.Dest].Route(a.Endpoint.ID)}
+		s.directory.update(a.Dest, a.Endpoint, dispatch.InService)
 	case scenario.Drains:
-		s.listed.change(a.Dest, a.Endpoint, dispatch.Draining)
+		s.directory.update(a.Dest, a.Endpoint, dispatch.Draining)
 	case scenario.Removes:
-		s.came(a.Dest, s.partners[a.Dest].Remove(s.now, a.Endpoint.ID))
-		s.listed.change(a.Dest, a.Endpoint, dispatch.Removed)
+		s.handleOutputs(a.Dest, s.destinations[a.Dest].Remove(s.now, a.Endpoint.ID))
+		s.directory.update(a.Dest, a.Endpoint, dispatch.Removed)
 	case scenario.Kills:
-		s.kill(s.couriers[a.Courier])
+		s.killCourier(s.couriers[a.Courier])
 	case scenario.Asks:
-		s.ask(s.couriers[a.Courier], a.Span)
+		s.scheduleShutdown(s.couriers[a.Courier], a.Span)
 	case scenario.Starts:
-		s.start(s.couriers[a.Courier])
+		s.startCourier(s.couriers[a.Courier])
 	case scenario.Stands:
 		c := s.couriers[a.Courier]
-		c.standsTo = max(c.standsTo, s.now+a.Span)
-		s.books.Stood(s.now, c.no, c.standsTo+s.tick)
+		c.pausedUntil = max(c.pausedUntil, s.now+a.Span)
+		s.ledger.Stood(s.now, c.index, c.pausedUntil+s.tickLength)
 	case scenario.ListDown:
-		s.listed.goDown()
+		s.directory.goDown()
 	case scenario.ListUp:
-		s.listed.comeUp()
+		s.directory.comeUp()
 	}
 }
 
 // came takes in what came of something done to a partner, and sees to it that it is stepped when it is due.
-func (s *Sim) came(dest int, outs []endpointmodel.Output) {
-	for _, o := range outs {
+func (s *Sim) handleOutputs(dest int, outputs []endpointmodel.Output) {
+	for _, o := range outputs {
 		switch o := o.(type) {
 		case endpointmodel.Answer:
-			s.answered(o)
+			s.receiveAnswer(o)
 		case endpointmodel.Ran:
-			s.books.Ran(s.now, o.Item.Message, o.Endpoint, o.Before, o.Known)
+			s.ledger.Ran(s.now, o.Item.Message, o.Endpoint, o.Before, o.Known)
 		case endpointmodel.Fell:
-			s.books.Fell(s.now, dispatch.DestinationID(dest), o.Route, o.Sent)
+			s.ledger.Fell(s.now, dispatch.DestinationID(dest), o.Route, o.Sent)
 		case endpointmodel.Turned:
-			s.books.Turned(s.now, dispatch.DestinationID(dest), o.Route, o.Phase == endpointmodel.Out)
+			s.ledger.Turned(s.now, dispatch.DestinationID(dest), o.Route, o.Phase == endpointmodel.Out)
 		}
 	}
-	p := s.partners[dest]
+	p := s.destinations[dest]
 	if due := p.Due(); due < p.dueAt {
 		p.dueAt = due
-		s.after(due, func() { s.step(dest, due) })
+		s.schedule(due, func() { s.stepDestination(dest, due) })
 	}
 }
 
-func (s *Sim) step(dest int, due dispatch.Micros) {
-	p := s.partners[dest]
+func (s *Sim) stepDestination(dest int, due dispatch.Micros) {
+	p := s.destinations[dest]
 	if p.dueAt != due {
 		return // it was asked for earlier since
 	}
 	p.dueAt = endpointmodel.Never
-	s.came(dest, p.Step(s.now))
+	s.handleOutputs(dest, p.Step(s.now))
 }
 
 // way is how long something takes between a courier and an endpoint.
-func (s *Sim) way(a, b dispatch.ZoneID) dispatch.Micros {
-	r := s.w.Day.Network.Same
+func (s *Sim) latency(a, b dispatch.ZoneID) dispatch.Micros {
+	r := s.instance.Day.Network.Same
 	if a != b {
-		r = s.w.Day.Network.Cross
+		r = s.instance.Day.Network.Cross
 	}
 	return config.Micros((r[0] + (r[1]-r[0])*s.rng.Float64()) / 1000)
 }
 
-func (s *Sim) between(r scenario.Range) dispatch.Micros {
+func (s *Sim) randomIn(r scenario.Range) dispatch.Micros {
 	return config.Micros(r[0] + (r[1]-r[0])*s.rng.Float64())
 }
 
@@ -234,18 +234,18 @@
 type event struct {
 	at  dispatch.Micros
 	seq int
-	do  func()
+	run func()
 }
 
-type queue []event
+type eventQueue []event
 
-func (q queue) Len() int { return len(q) }
-func (q queue) Less(a, b int) bool {
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(a, b int) bool {
 	return q[a].at < q[b].at || q[a].at == q[b].at && q[a].seq < q[b].seq
 }
-func (q queue) Swap(a, b int) { q[a], q[b] = q[b], q[a] }
-func (q *queue) Push(x any)   { *q = append(*q, x.(event)) }
-func (q *queue) Pop() any {
+func (q eventQueue) Swap(a, b int) { q[a], q[b] = q[b], q[a] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
 	old[len(old)-1] = event{}
--- a/testbed/soak/clients.go
+++ b/testbed/soak/clients.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	clientCount = 4
-	interval    = 20 * time.Millisecond
+	clientCount    = 4
+	submitInterval = 20 * time.Millisecond
 	// replyTimeout is how long a client waits; then it closes, and what it submitted counts for nothing.
 	replyTimeout = 400 * time.Millisecond
 )
@@ -44,7 +44,7 @@
 	var conn net.Conn
 	var replies *bufio.Reader
 	for n := 0; !stopped.Load(); n++ {
-		time.Sleep(interval)
+		time.Sleep(submitInterval)
 		if conn != nil && n%(5+20*client) == 0 {
 			conn.Close()
 			conn = nil
@@ -62,7 +62,7 @@
 		conn.SetDeadline(time.Now().Add(replyTimeout))
 		fmt.Fprintf(conn, "*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$4\r\nbody\r\n", len(id), id, len(attributes), attributes)
 		reply, err := replies.ReadString('\n')
-		c.note(id, reply, err)
+		c.record(id, reply, err)
 		if err != nil {
 			conn.Close()
 			conn = nil
@@ -73,7 +73,7 @@
 	}
 }
 
-func (c *clients) note(id, reply string, err error) {
+func (c *clients) record(id, reply string, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
@@ -94,30 +94,30 @@
 }
 
 // judge looks at what endpoints and the platform saw of each message.
-func (c *clients) judge(p *play, r *Result) {
+func (c *clients) check(p *run, r *Result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r.Accepted, r.Rejected, r.Unanswered = len(c.accepted), len(c.rejected), c.unanswered
 	for _, id := range c.accepted {
-		began, done, notices := p.world.Seen(id)
-		if done > 0 {
+		starts, deliveries, notices := p.world.Seen(id)
+		if deliveries > 0 {
 			r.Delivered++
 		} else if len(notices) > 0 {
 			r.Notices++
 		}
-		if strings.HasPrefix(id, "order") && began > 1 {
-			r.Breaches = append(r.Breaches, fmt.Sprintf("double effect: %s ran %d times", id, began))
+		if strings.HasPrefix(id, "order") && starts > 1 {
+			r.Breaches = append(r.Breaches, fmt.Sprintf("double effect: %s ran %d times", id, starts))
 		}
-		if began > 0 && done == 0 && len(notices) > 0 && notices[0] == "deferred" && strings.HasPrefix(id, "order") {
+		if starts > 0 && deliveries == 0 && len(notices) > 0 && notices[0] == "deferred" && strings.HasPrefix(id, "order") {
 			r.Breaches = append(r.Breaches, fmt.Sprintf("rejected though it may have run: %s", id))
 		}
 	}
 	for _, id := range c.rejected {
-		if began, _, _ := p.world.Seen(id); began > 0 && strings.HasPrefix(id, "order") {
+		if starts, _, _ := p.world.Seen(id); starts > 0 && strings.HasPrefix(id, "order") {
 			r.Breaches = append(r.Breaches, fmt.Sprintf("refused, and ran: %s", id))
 		}
 	}
-	if c.unanswered > 0 && !p.plan.mayCloseOnRequests() {
+	if c.unanswered > 0 && !p.plan.mayCloseUnanswered() {
 		r.Breaches = append(r.Breaches, fmt.Sprintf("closed with no answer: %d requests", c.unanswered))
 	}
 	if r.Accepted == 0 {
--- a/testbed/soak/plan.go
+++ b/testbed/soak/plan.go
@@ -16,84 +16,88 @@
 )
 
 // act is something that is done to a courier at an instant of a play.
-type act struct {
-	at     time.Duration
-	what   string
-	call   string // the system call that fails, with effect, for a span
-	effect syscallfault.Effect
-	span   time.Duration
+type action struct {
+	at          time.Duration
+	name        string
+	syscallName string // the system call that fails, with effect, for a span
+	effect      syscallfault.Effect
+	duration    time.Duration
 }
 
 // The acts that are no failing system call.
 const (
-	actDrain  = "drain"
-	actKill   = "SIGKILL"
-	actEnd    = "SIGTERM"
-	actHangup = "SIGHUP"
-	actCrowd  = "crowd"
+	actionDrain           = "drain"
+	actionKill            = "SIGKILL"
+	actionTerminate       = "SIGTERM"
+	actionReload          = "SIGHUP"
+	actionOpenConnections = "crowd"
 )
 
 // plan is all that a seed draws.
 type plan struct {
-	quiet        time.Duration // before the first act
-	acts         []act
-	discoveryBad float64 // share of polls that come to nothing or are spoilt
-	endpointsBad float64 // share of calls that are not delivered
+	quietPeriod        time.Duration // before the first act
+	actions            []action
+	discoveryFaultRate float64 // share of polls that come to nothing or are spoilt
+	endpointFaultRate  float64 // share of calls that are not delivered
 }
 
 // systemFaults are failing system calls after which each request still has its answer.
-var systemFaults = []act{
-	{call: "accept4", effect: syscallfault.Effect{Errno: syscall.ECONNABORTED}}, {call: "accept4", effect: syscallfault.Effect{Errno: syscall.ENFILE}},
-	{call: "accept4", effect: syscallfault.Effect{Errno: syscall.ENOBUFS}}, {call: "socket", effect: syscallfault.Effect{Errno: syscall.EMFILE}},
-	{call: "socket", effect: syscallfault.Effect{Errno: syscall.ENOBUFS}}, {call: "connect", effect: syscallfault.Effect{Errno: syscall.EADDRNOTAVAIL}},
-	{call: "connect", effect: syscallfault.Effect{Errno: syscall.ENETUNREACH}}, {call: "connect", effect: syscallfault.Effect{Errno: syscall.ETIMEDOUT}},
-	{call: "connect", effect: syscallfault.Effect{Errno: syscall.EINTR, After: true}}, {call: "epoll_pwait", effect: syscallfault.Effect{Errno: syscall.EINTR}},
-	{call: "read", effect: syscallfault.Effect{Errno: syscall.EINTR}}, {call: "read", effect: syscallfault.Effect{Limit: 1}},
-	{call: "write", effect: syscallfault.Effect{Errno: syscall.EINTR}}, {call: "write", effect: syscallfault.Effect{Limit: 1}},
-	{call: folderCall, effect: syscallfault.Effect{Errno: syscall.ENOSPC}}, {call: folderCall, effect: syscallfault.Effect{Errno: syscall.EIO}},
-	{call: folderCall, effect: syscallfault.Effect{Limit: 5}},
+var syscallFaults = []action{
+	{syscallName: "accept4", effect: syscallfault.Effect{Errno: syscall.ECONNABORTED}}, {syscallName: "accept4", effect: syscallfault.Effect{Errno: syscall.ENFILE}},
+	{syscallName: "accept4", effect: syscallfault.Effect{Errno: syscall.ENOBUFS}}, {syscallName: "socket", effect: syscallfault.Effect{Errno: syscall.EMFILE}},
+	{syscallName: "socket", effect: syscallfault.Effect{Errno: syscall.ENOBUFS}}, {syscallName: "connect", effect: syscallfault.Effect{Errno: syscall.EADDRNOTAVAIL}},
+	{syscallName: "connect", effect: syscallfault.Effect{Errno: syscall.ENETUNREACH}}, {syscallName: "connect", effect: syscallfault.Effect{Errno: syscall.ETIMEDOUT}},
+	{syscallName: "connect", effect: syscallfault.Effect{Errno: syscall.EINTR, After: true}}, {syscallName: "epoll_pwait", effect: syscallfault.Effect{Errno: syscall.EINTR}},
+	{syscallName: "read", effect: syscallfault.Effect{Errno: syscall.EINTR}}, {syscallName: "read", effect: syscallfault.Effect{Limit: 1}},
+	{syscallName: "write", effect: syscallfault.Effect{Errno: syscall.EINTR}}, {syscallName: "write", effect: syscallfault.Effect{Limit: 1}},
+	{syscallName: stateDirCall, effect: syscallfault.Effect{Errno: syscall.ENOSPC}}, {syscallName: stateDirCall, effect: syscallfault.Effect{Errno: syscall.EIO}},
+	{syscallName: stateDirCall, effect: syscallfault.Effect{Limit: 5}},
 }
 
 // folderCall stands for every call that changes the state folder.
-const folderCall = "folder"
+const stateDirCall = "folder"
 
 // folderCalls are these calls.
-var folderCalls = []string{"write", "ftruncate", "fsync", "openat", "rename", "renameat", "renameat2", "unlinkat"}
+var stateDirCalls = []string{"write", "ftruncate", "fsync", "openat", "rename", "renameat", "renameat2", "unlinkat"}
 
 // tracedCalls are all calls that may fail in a play.
-var tracedCalls = append([]string{"accept4", "socket", "connect", "epoll_pwait", "read"}, folderCalls...)
+var tracedCalls = append([]string{"accept4", "socket", "connect", "epoll_pwait", "read"}, stateDirCalls...)
 
 // draw draws a play of a length.
-func draw(rng *rand.Rand, length time.Duration) plan {
-	p := plan{quiet: time.Duration(rng.Int63n(int64(length / 4))), discoveryBad: 0.25 * rng.Float64(), endpointsBad: 0.3 * rng.Float64()}
-	moment := func() time.Duration { return p.quiet + time.Duration(rng.Int63n(int64(length-p.quiet)*3/4)) }
+func drawPlan(rng *rand.Rand, length time.Duration) plan {
+	p := plan{quietPeriod: time.Duration(rng.Int63n(int64(length / 4))), discoveryFaultRate: 0.25 * rng.Float64(), endpointFaultRate: 0.3 * rng.Float64()}
+	randomStart := func() time.Duration {
+		return p.quietPeriod + time.Duration(rng.Int63n(int64(length-p.quietPeriod)*3/4))
+	}
 	for range 1 + rng.Intn(3) {
-		fault := systemFaults[rng.Intn(len(systemFaults))]
-		fault.at, fault.span = moment(), time.Duration(100+rng.Intn(1900))*time.Millisecond
-		fault.what = strings.TrimSpace(fault.call + " " + fault.effect.String())
-		p.acts = append(p.acts, fault)
+		fault := syscallFaults[rng.Intn(len(syscallFaults))]
+		fault.at, fault.duration = randomStart(), time.Duration(100+rng.Intn(1900))*time.Millisecond
+		fault.name = strings.TrimSpace(fault.syscallName + " " + fault.effect.String())
+		p.actions = append(p.actions, fault)
 	}
 	for range rng.Intn(3) {
-		p.acts = append(p.acts, act{at: moment(), what: []string{actKill, actEnd, actHangup}[rng.Intn(3)]})
+		p.actions = append(p.actions, action{at: randomStart(), name: []string{actionKill, actionTerminate, actionReload}[rng.Intn(3)]})
 	}
 	if rng.Intn(2) == 0 {
-		p.acts = append(p.acts, act{at: p.quiet + time.Duration(rng.Int63n(int64(length/4))), what: actDrain})
+		p.actions = append(p.actions, action{at: p.quietPeriod + time.Duration(rng.Int63n(int64(length/4))), name: actionDrain})
 	}
 	if rng.Intn(4) == 0 {
-		p.acts = append(p.acts, act{at: moment(), what: actCrowd})
+		p.actions = append(p.actions, action{at: randomStart(), name: actionOpenConnections})
 	}
 	return p
 }
 
 // mayCloseOnRequests reports whether a connection may end as a request comes: the process ends, or has to make room.
-func (p plan) mayCloseOnRequests() bool {
-	return slices.ContainsFunc(p.acts, func(a act) bool { return a.what == actKill || a.what == actEnd || a.what == actCrowd })
+func (p plan) mayCloseUnanswered() bool {
+	return slices.ContainsFunc(p.actions, func(a action) bool {
+		return a.name == actionKill || a.name == actionTerminate || a.name == actionOpenConnections
+	})
 }
 
 // strikes reports whether a system call is one of those that an act has fail.
-func (a act) strikes(call *syscallfault.Call, stateDir string) bool {
-	if a.call != folderCall {
-		return call.Name == a.call && (a.call != "read" && a.call != "write" || call.IsSocket())
+func (a action) matches(call *syscallfault.Call, stateDir string) bool {
+	if a.syscallName != stateDirCall {
+		return call.Name == a.syscallName && (a.syscallName != "read" && a.syscallName != "write" || call.IsSocket())
 	}
 	switch call.Name {
 	case "write", "ftruncate", "fsync":
@@ -107,14 +111,14 @@
 }
 
 // treatment draws what becomes of a call to discovery.
-func treatment(rng *rand.Rand, bad float64) faultproxy.Treatment {
+func drawTreatment(rng *rand.Rand, faultRate float64) faultproxy.Treatment {
 	faults := []faultproxy.Fault{faultproxy.Silent, faultproxy.Reset, faultproxy.Unavailable, faultproxy.Cut, faultproxy.Stuck, faultproxy.Duplicate,
 		faultproxy.Late, faultproxy.Trickle, faultproxy.Endless, faultproxy.Spoilt, faultproxy.Spoilt}
-	if rng.Float64() >= bad {
+	if rng.Float64() >= faultRate {
 		return faultproxy.Treatment{}
 	}
 	at, by := rng.Float64(), byte(' '+rng.Intn(95))
-	spoil := func(body []byte) []byte { // one byte, but none of an address: who is called then answers for nobody here
+	corrupt := func(body []byte) []byte { // one byte, but none of an address: who is called then answers for nobody here
 		i := int(at * float64(len(body)))
 		if strings.Contains(string(body[max(0, i-40):i]), `"dial"`) || i >= len(body) {
 			return body[:i]
@@ -122,5 +126,5 @@
 		body[i] = by
 		return body
 	}
-	return faultproxy.Treatment{Fault: faults[rng.Intn(len(faults))], Delay: time.Duration(200+rng.Intn(1500)) * time.Millisecond, Edit: spoil}
+	return faultproxy.Treatment{Fault: faults[rng.Intn(len(faults))], Delay: time.Duration(200+rng.Intn(1500)) * time.Millisecond, Edit: corrupt}
 }
--- a/testbed/soak/play.go
+++ b/testbed/soak/play.go
@@ -28,9 +28,9 @@
 	drainGrace     = 500 * time.Millisecond
 	timeToLive     = 5 * time.Second
 	// killAfter is how long after SIGTERM the process is killed, and downtime how long it then takes until it is started again.
-	killAfter   = 3700 * time.Millisecond
-	maxDowntime = 600 * time.Millisecond
-	readyWithin = 10 * time.Second
+	killAfter    = 3700 * time.Millisecond
+	maxDowntime  = 600 * time.Millisecond
+	readyTimeout = 10 * time.Second
 )
 
 // Options are how a seed is played.
@@ -56,40 +56,40 @@
 }
 
 // play is one play under way.
-type play struct {
+type run struct {
 	options Options
 	plan    plan
 	world   *scripted.World
 	proxy   *faultproxy.Proxy
-	listen  string
-	folder  string
+	address string
+	dir     string
 	log     *os.File
 	clients clients
 
-	mu       sync.Mutex
-	child    *syscallfault.Process
-	failing  []act // system calls that fail just now
-	began    time.Time
-	startAt  time.Time // of the process
-	ended    bool      // its end was asked for
-	struck   map[string]int
-	breaches []string
-	timeline []string
+	mu               sync.Mutex
+	child            *syscallfault.Process
+	activeFaults     []action // system calls that fail just now
+	startedAt        time.Time
+	processStartedAt time.Time // of the process
+	stopRequested    bool      // its end was asked for
+	faultCounts      map[string]int
+	breaches         []string
+	timeline         []string
 }
 
 // Play plays one seed. An error says that the play could not be set up.
 func Play(ctx context.Context, o Options) (*Result, error) {
-	folder := filepath.Join(o.Dir, fmt.Sprintf("seed-%d", o.Seed))
-	r, err := playIn(ctx, folder, o)
+	dir := filepath.Join(o.Dir, fmt.Sprintf("seed-%d", o.Seed))
+	r, err := runIn(ctx, dir, o)
 	if err != nil || len(r.Breaches) > 0 {
 		return r, err
 	}
-	return r, os.RemoveAll(folder) // now that its process has ended
+	return r, os.RemoveAll(dir) // now that its process has ended
 }
 
-func playIn(ctx context.Context, folder string, o Options) (*Result, error) {
+func runIn(ctx context.Context, dir string, o Options) (*Result, error) {
 	rng := rand.New(rand.NewSource(o.Seed))
-	p := &play{options: o, plan: draw(rng, o.Length), struck: map[string]int{}, folder: folder}
+	p := &run{options: o, plan: drawPlan(rng, o.Length), faultCounts: map[string]int{}, dir: dir}
 	if err := p.open(rng.Int63()); err != nil {
 		return nil, err
 	}
@@ -97,31 +97,31 @@
 	if err := p.start(); err != nil {
 		return nil, err
 	}
-	p.began = time.Now()
-	stopClients := p.clients.run(p.listen, o.Seed)
-	var acts sync.WaitGroup
-	playing, stop := context.WithTimeout(ctx, o.Length)
-	for _, a := range p.plan.acts {
-		acts.Go(func() { p.carryOut(playing, a) })
+	p.startedAt = time.Now()
+	stopClients := p.clients.run(p.address, o.Seed)
+	var running sync.WaitGroup
+	runCtx, stop := context.WithTimeout(ctx, o.Length)
+	for _, a := range p.plan.actions {
+		running.Go(func() { p.perform(runCtx, a) })
 	}
-	acts.Go(func() { p.watchProcess(playing) })
-	<-playing.Done()
+	running.Go(func() { p.watchProcess(runCtx) })
+	<-runCtx.Done()
 	stop()
-	acts.Wait()
+	running.Wait()
 	stopClients()
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	p.awaitEnds()
+	p.awaitOutcomes()
 	return p.result()
 }
 
-func (p *play) open(seed int64) error {
-	if err := os.MkdirAll(filepath.Join(p.folder, "state"), 0o755); err != nil {
+func (p *run) open(seed int64) error {
+	if err := os.MkdirAll(filepath.Join(p.dir, "state"), 0o755); err != nil {
 		return err
 	}
 	rng, lock := rand.New(rand.NewSource(seed)), sync.Mutex{}
-	world, err := scripted.Open(endpoints, func(string) scripted.Fate { return fate(rng, p.plan.endpointsBad) })
+	world, err := scripted.Open(endpoints, func(string) scripted.Fate { return drawFate(rng, p.plan.endpointFaultRate) })
 	if err != nil {
 		return err
 	}
@@ -130,42 +130,42 @@
 	p.proxy, err = faultproxy.Open(world.Discovery, func(call faultproxy.Call) faultproxy.Treatment {
 		lock.Lock()
 		defer lock.Unlock()
-		if !call.IsPoll() || time.Since(p.began) < p.plan.quiet {
+		if !call.IsPoll() || time.Since(p.startedAt) < p.plan.quietPeriod {
 			return faultproxy.Treatment{}
 		}
-		return treatment(polls, p.plan.discoveryBad)
+		return drawTreatment(polls, p.plan.discoveryFaultRate)
 	})
 	if err != nil {
 		return err
 	}
 	world.Discovery = p.proxy.Address
-	address, letGo, err := port.Reserve()
+	address, release, err := port.Reserve()
 	if err != nil {
 		return err
 	}
-	letGo()
-	p.listen = address
-	if err := os.WriteFile(filepath.Join(p.folder, "config.json"), world.Configuration(fmt.Sprintf("soak-%d", p.options.Seed), address), 0o644); err != nil {
+	release()
+	p.address = address
+	if err := os.WriteFile(filepath.Join(p.dir, "config.json"), world.Configuration(fmt.Sprintf("soak-%d", p.options.Seed), address), 0o644); err != nil {
 		return err
 	}
-	p.log, err = os.Create(filepath.Join(p.folder, "log"))
+	p.log, err = os.Create(filepath.Join(p.dir, "log"))
 	return err
 }
 
 // fate draws what becomes of a call at an endpoint.
-func fate(rng *rand.Rand, bad float64) scripted.Fate {
+func drawFate(rng *rand.Rand, faultRate float64) scripted.Fate {
 	work := time.Duration(5+rng.Intn(60)) * time.Millisecond
-	if rng.Float64() >= bad {
+	if rng.Float64() >= faultRate {
 		return scripted.Fate{Status: 200, After: work}
 	}
 	fates := []scripted.Fate{{Status: 503}, {Status: 429, WaitMs: 100 + rng.Intn(700)}, {Status: 500, After: work}, {Status: 0, After: work}, {Status: 200, After: 1500 * time.Millisecond}}
 	return fates[rng.Intn(len(fates))]
 }
 
-func (p *play) close() {
+func (p *run) close() {
 	p.mu.Lock()
 	child := p.child
-	p.ended = true
+	p.stopRequested = true
 	p.mu.Unlock()
 	if child != nil {
 		child.Signal(syscall.SIGKILL)
@@ -177,26 +177,26 @@
 }
 
 // start starts the courier, and returns once it answers.
-func (p *play) start() error {
-	state := filepath.Join(p.folder, "state")
-	env := append(os.Environ(), "RELAY_CONFIG="+filepath.Join(p.folder, "config.json"), "RELAY_STATE="+state)
-	child, err := syscallfault.Start(p.options.Binary, env, p.log, tracedCalls, func(call *syscallfault.Call) syscallfault.Effect { return p.effectOn(call, state) })
+func (p *run) start() error {
+	state := filepath.Join(p.dir, "state")
+	env := append(os.Environ(), "RELAY_CONFIG="+filepath.Join(p.dir, "config.json"), "RELAY_STATE="+state)
+	child, err := syscallfault.Start(p.options.Binary, env, p.log, tracedCalls, func(call *syscallfault.Call) syscallfault.Effect { return p.effectFor(call, state) })
 	if err != nil {
 		return err
 	}
 	p.mu.Lock()
-	p.child, p.startAt, p.ended = child, time.Now(), false
+	p.child, p.processStartedAt, p.stopRequested = child, time.Now(), false
 	p.mu.Unlock()
-	for deadline := time.Now().Add(readyWithin); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
-		if answersPing(p.listen) {
+	for deadline := time.Now().Add(readyTimeout); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
+		if respondsToPing(p.address) {
 			return nil
 		}
 	}
-	p.breach("not ready within %v of its start", readyWithin)
+	p.breachf("not ready within %v of its start", readyTimeout)
 	return nil
 }
 
-func answersPing(address string) bool {
+func respondsToPing(address string) bool {
 	conn, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return false
@@ -209,12 +209,12 @@
 	return err == nil && string(reply) == "+PONG\r\n"
 }
 
-func (p *play) effectOn(call *syscallfault.Call, state string) syscallfault.Effect {
+func (p *run) effectFor(call *syscallfault.Call, state string) syscallfault.Effect {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, a := range p.failing {
-		if a.strikes(call, state) {
-			p.struck[a.what]++
+	for _, a := range p.activeFaults {
+		if a.matches(call, state) {
+			p.faultCounts[a.name]++
 			return a.effect
 		}
 	}
@@ -222,56 +222,56 @@
 }
 
 // carryOut waits for an act's instant and carries it out.
-func (p *play) carryOut(ctx context.Context, a act) {
+func (p *run) perform(ctx context.Context, a action) {
 	if !wait(ctx, a.at) {
 		return
 	}
-	p.note("%s", a.what)
-	switch a.what {
-	case actDrain:
+	p.logf("%s", a.name)
+	switch a.name {
+	case actionDrain:
 		p.drain(ctx)
-	case actCrowd:
-		p.crowd(ctx)
-	case actKill, actEnd, actHangup:
-		p.signal(ctx, a.what)
+	case actionOpenConnections:
+		p.openConnections(ctx)
+	case actionKill, actionTerminate, actionReload:
+		p.signal(ctx, a.name)
 	default:
 		p.mu.Lock()
-		p.failing = append(p.failing, a)
+		p.activeFaults = append(p.activeFaults, a)
 		p.mu.Unlock()
-		wait(ctx, a.span)
+		wait(ctx, a.duration)
 		p.mu.Lock()
-		p.failing = slices.DeleteFunc(p.failing, func(other act) bool { return other.what == a.what })
+		p.activeFaults = slices.DeleteFunc(p.activeFaults, func(other action) bool { return other.name == a.name })
 		p.mu.Unlock()
-		p.note("%s is over", a.what)
+		p.logf("%s is over", a.name)
 	}
 }
 
 // wait waits for a span, and reports whether the play still goes on.
-func wait(ctx context.Context, span time.Duration) bool {
+func wait(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(span):
+	case <-time.After(duration):
 		return true
 	}
 }
 
 // signal sends a signal; a process that is to end is started again once it has.
-func (p *play) signal(ctx context.Context, what string) {
+func (p *run) signal(ctx context.Context, name string) {
 	p.mu.Lock()
-	child, busy := p.child, p.ended
-	if busy && what != actKill { // a kill may come in the middle of a shutdown
+	child, stopping := p.child, p.stopRequested
+	if stopping && name != actionKill { // a kill may come in the middle of a shutdown
 		p.mu.Unlock()
 		return
 	}
-	p.ended = p.ended || what != actHangup
-	p.struck[what]++
+	p.stopRequested = p.stopRequested || name != actionReload
+	p.faultCounts[name]++
 	p.mu.Unlock()
-	switch what {
-	case actHangup:
+	switch name {
+	case actionReload:
 		child.Signal(syscall.SIGHUP)
 		return
-	case actEnd:
+	case actionTerminate:
 		child.Signal(syscall.SIGTERM)
 		select {
 		case <-child.Done:
@@ -282,26 +282,26 @@
 		child.Signal(syscall.SIGKILL)
 	}
 	<-child.Done
-	if busy { // whoever ended it starts it
+	if stopping { // whoever ended it starts it
 		return
 	}
 	wait(ctx, time.Duration(p.options.Seed%6)*maxDowntime/6)
 	if err := p.start(); err != nil {
-		p.breach("not started again: %v", err)
+		p.breachf("not started again: %v", err)
 	}
-	p.note("started")
+	p.logf("started")
 }
 
 // watchProcess sees that the process does not end by itself.
-func (p *play) watchProcess(ctx context.Context) {
+func (p *run) watchProcess(ctx context.Context) {
 	for wait(ctx, 50*time.Millisecond) {
 		p.mu.Lock()
-		child, ended := p.child, p.ended
+		child, stopRequested := p.child, p.stopRequested
 		p.mu.Unlock()
 		select {
 		case <-child.Done:
-			if !ended {
-				p.breach("the process ended by itself: %v", child.Status())
+			if !stopRequested {
+				p.breachf("the process ended by itself: %v", child.Status())
 				return
 			}
 		default:
@@ -311,37 +311,37 @@
 
 // drain drains an endpoint and watches that nothing new goes there once that must be known. A process that has just started may have it from its
 // configuration, and is held to it like to a change.
-func (p *play) drain(ctx context.Context) {
+func (p *run) drain(ctx context.Context) {
 	drained := int(p.options.Seed % endpoints)
 	p.mu.Lock()
-	p.struck[actDrain]++
+	p.faultCounts[actionDrain]++
 	p.mu.Unlock()
 	at := time.Now()
 	p.world.Drain(drained)
 	calls := p.world.Calls(drained)
 	for wait(ctx, 20*time.Millisecond) {
 		p.mu.Lock()
-		known := at
-		if p.startAt.After(known) {
-			known = p.startAt
+		knownAt := at
+		if p.processStartedAt.After(knownAt) {
+			knownAt = p.processStartedAt
 		}
 		p.mu.Unlock()
-		now := p.world.Calls(drained)
-		if late := time.Since(known) - changeDeadline - drainGrace - 50*time.Millisecond; now > calls && late > 0 {
-			p.breach("drain: %d calls to a draining endpoint, %v after that must have been known", now-calls, late.Round(time.Millisecond))
+		current := p.world.Calls(drained)
+		if late := time.Since(knownAt) - changeDeadline - drainGrace - 50*time.Millisecond; current > calls && late > 0 {
+			p.breachf("drain: %d calls to a draining endpoint, %v after that must have been known", current-calls, late.Round(time.Millisecond))
 		}
-		calls = now
+		calls = current
 	}
 }
 
 // crowd fills the courier with idle connections.
-func (p *play) crowd(ctx context.Context) {
+func (p *run) openConnections(ctx context.Context) {
 	p.mu.Lock()
-	p.struck[actCrowd]++
+	p.faultCounts[actionOpenConnections]++
 	p.mu.Unlock()
 	var conns []net.Conn
 	for range 300 {
-		if conn, err := net.DialTimeout("tcp", p.listen, 100*time.Millisecond); err == nil {
+		if conn, err := net.DialTimeout("tcp", p.address, 100*time.Millisecond); err == nil {
 			conns = append(conns, conn)
 		}
 	}
@@ -351,31 +351,31 @@
 	}
 }
 
-func (p *play) note(format string, args ...any) {
+func (p *run) logf(format string, args ...any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.timeline = append(p.timeline, fmt.Sprintf("%8.3f %s", time.Since(p.began).Seconds(), fmt.Sprintf(format, args...)))
+	p.timeline = append(p.timeline, fmt.Sprintf("%8.3f %s", time.Since(p.startedAt).Seconds(), fmt.Sprintf(format, args...)))
 }
 
-func (p *play) breach(format string, args ...any) {
-	p.note("BREACH "+format, args...)
+func (p *run) breachf(format string, args ...any) {
+	p.logf("BREACH "+format, args...)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.breaches = append(p.breaches, fmt.Sprintf(format, args...))
 }
 
 // awaitEnds waits until every message that was accepted has ended, for as long as it may take.
-func (p *play) awaitEnds() {
+func (p *run) awaitOutcomes() {
 	const restart = 1500 * time.Millisecond
 	p.mu.Lock()
-	p.failing = nil
+	p.activeFaults = nil
 	p.mu.Unlock()
 	deadline := time.Now().Add(timeToLive + 350*time.Millisecond + restart)
 	for _, id := range p.clients.acceptedIDs() {
-		for !p.isOver(id) {
+		for !p.hasOutcome(id) {
 			if time.Now().After(deadline) {
-				began, _, _ := p.world.Seen(id)
-				p.breach("final answer: %s was accepted and has none; begun %d times", id, began)
+				starts, _, _ := p.world.Seen(id)
+				p.breachf("final answer: %s was accepted and has none; begun %d times", id, starts)
 				break
 			}
 			time.Sleep(10 * time.Millisecond)
@@ -383,28 +383,28 @@
 	}
 }
 
-func (p *play) isOver(id string) bool {
-	_, done, notices := p.world.Seen(id)
-	return done > 0 || len(notices) > 0
+func (p *run) hasOutcome(id string) bool {
+	_, deliveries, notices := p.world.Seen(id)
+	return deliveries > 0 || len(notices) > 0
 }
 
 // result judges what is over, and writes down a play that broke a rule.
-func (p *play) result() (*Result, error) {
+func (p *run) result() (*Result, error) {
 	r := &Result{Seed: p.options.Seed, Struck: map[string]int{}}
-	p.clients.judge(p, r)
+	p.clients.check(p, r)
 	for fault, n := range p.proxy.Struck() {
 		if fault != faultproxy.None {
 			r.Struck["discovery "+fault.String()] += n
 		}
 	}
 	p.mu.Lock()
-	for what, n := range p.struck {
-		r.Struck[what] += n
+	for name, n := range p.faultCounts {
+		r.Struck[name] += n
 	}
 	r.Breaches = append(r.Breaches, p.breaches...)
-	for _, a := range p.plan.acts {
-		if r.Struck[a.what] == 0 && !slices.Contains(r.NotStruck, a.what) {
-			r.NotStruck = append(r.NotStruck, a.what)
+	for _, a := range p.plan.actions {
+		if r.Struck[a.name] == 0 && !slices.Contains(r.NotStruck, a.name) {
+			r.NotStruck = append(r.NotStruck, a.name)
 		}
 	}
 	timeline := strings.Join(p.timeline, "\n")
@@ -412,9 +412,9 @@
 	if len(r.Breaches) == 0 {
 		return r, nil
 	}
-	r.Folder = p.folder
+	r.Folder = p.dir
 	for _, call := range p.proxy.Calls() {
-		timeline += fmt.Sprintf("\n%8.3f discovery %s %s %v, answered %.3f", call.Read.Sub(p.began).Seconds(), call.Path, call.Query.Encode(), call.Fault, call.Answered.Sub(p.began).Seconds())
+		timeline += fmt.Sprintf("\n%8.3f discovery %s %s %v, answered %.3f", call.Read.Sub(p.startedAt).Seconds(), call.Path, call.Query.Encode(), call.Fault, call.Answered.Sub(p.startedAt).Seconds())
 	}
-	return r, errors.Join(os.WriteFile(filepath.Join(p.folder, "timeline"), []byte(timeline+"\n"+strings.Join(r.Breaches, "\n")), 0o644))
+	return r, errors.Join(os.WriteFile(filepath.Join(p.dir, "timeline"), []byte(timeline+"\n"+strings.Join(r.Breaches, "\n")), 0o644))
 }
--- a/testbed/soak/soak_test.go
+++ b/testbed/soak/soak_test.go
@@ -11,30 +11,30 @@
 	"pineport/testbed/scripted"
 )
 
-// TestPlanIsTheSeeds: a seed draws the same plan each time, and many seeds draw every kind of fault.
-func TestPlanIsTheSeeds(t *testing.T) {
+// TestSeedDeterminesPlan: a seed draws the same plan each time, and many seeds draw every kind of fault.
+func TestSeedDeterminesPlan(t *testing.T) {
 	const length = 12 * time.Second
 	drawn := map[string]bool{}
 	for seed := range int64(300) {
-		plan := draw(rand.New(rand.NewSource(seed)), length)
-		if again := draw(rand.New(rand.NewSource(seed)), length); !reflect.DeepEqual(plan, again) {
+		plan := drawPlan(rand.New(rand.NewSource(seed)), length)
+		if again := drawPlan(rand.New(rand.NewSource(seed)), length); !reflect.DeepEqual(plan, again) {
 			t.Fatalf("seed %d: %+v, then %+v", seed, plan, again)
 		}
-		for _, a := range plan.acts {
-			drawn[a.what] = true
-			if a.at < plan.quiet || a.at > length {
-				t.Errorf("seed %d: %s at %v, quiet until %v", seed, a.what, a.at, plan.quiet)
+		for _, a := range plan.actions {
+			drawn[a.name] = true
+			if a.at < plan.quietPeriod || a.at > length {
+				t.Errorf("seed %d: %s at %v, quiet until %v", seed, a.name, a.at, plan.quietPeriod)
 			}
 		}
 	}
-	if want := len(systemFaults) + 5; len(drawn) != want {
+	if want := len(syscallFaults) + 5; len(drawn) != want {
 		t.Errorf("%d kinds drawn of %d: %v", len(drawn), want, drawn)
 	}
 }
 
-// TestJudgeSeesBreaches: a message that ran twice, one that was refused and ran, one that was rejected though it may have run, and a request
+// TestCheckReportsBreaches: a message that ran twice, one that was refused and ran, one that was rejected though it may have run, and a request
 // without an answer are told.
-func TestJudgeSeesBreaches(t *testing.T) {
+func TestCheckReportsBreaches(t *testing.T) {
 	status := 200
 	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: status} })
 	if err != nil {
@@ -65,10 +65,10 @@
 		t.Fatal(err)
 	}
 	response.Body.Close()
-	p := &play{world: world}
+	p := &run{world: world}
 	p.clients.accepted, p.clients.rejected, p.clients.unanswered = []string{"order-twice", "order-well", "order-deferred"}, []string{"order-refused"}, 1
 	r := &Result{}
-	p.clients.judge(p, r)
+	p.clients.check(p, r)
 	if len(r.Breaches) != 4 || r.Delivered != 2 || r.Notices != 1 {
 		t.Errorf("%+v", r)
 	}
--- a/testbed/syscallfault/call.go
+++ b/testbed/syscallfault/call.go
@@ -11,7 +11,7 @@
 )
 
 // numbers are the calls that can be led here.
-var numbers = map[string]uint64{
+var syscallNumbers = map[string]uint64{
 	"read": unix.SYS_READ, "write": unix.SYS_WRITE, "pwrite64": unix.SYS_PWRITE64, "writev": unix.SYS_WRITEV, "openat": unix.SYS_OPENAT,
 	"fsync": unix.SYS_FSYNC, "ftruncate": unix.SYS_FTRUNCATE, "rename": unix.SYS_RENAME, "renameat": unix.SYS_RENAMEAT,
 	"renameat2": unix.SYS_RENAMEAT2, "unlinkat": unix.SYS_UNLINKAT, "accept4": unix.SYS_ACCEPT4, "socket": unix.SYS_SOCKET,
--- a/testbed/syscallfault/process.go
+++ b/testbed/syscallfault/process.go
@@ -22,24 +22,24 @@
 	decide func(*Call) Effect
 	status syscall.WaitStatus
 
-	mu     sync.Mutex
-	struck map[string]int // effects that were carried out, by call and effect
+	mu           sync.Mutex
+	effectCounts map[string]int // effects that were carried out, by call and effect
 }
 
 // Start starts a child with an environment; decide is asked before each call of a kind in names, by one goroutine, and must not wait.
 // The child is killed if this process ends.
 func Start(binary string, env []string, stderr *os.File, names []string, decide func(*Call) Effect) (*Process, error) {
-	wanted := map[uint64]string{}
+	traced := map[uint64]string{}
 	for _, name := range names {
-		number, ok := numbers[name]
+		number, ok := syscallNumbers[name]
 		if !ok {
 			return nil, errors.New("syscallfault: no call is known by the name " + name)
 		}
-		wanted[number] = name
+		traced[number] = name
 	}
-	p := &Process{Done: make(chan struct{}), decide: decide, struck: map[string]int{}}
+	p := &Process{Done: make(chan struct{}), decide: decide, effectCounts: map[string]int{}}
 	started := make(chan error)
-	go p.run(binary, env, stderr, wanted, started)
+	go p.run(binary, env, stderr, traced, started)
 	return p, <-started
 }
 
@@ -57,14 +57,14 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	all := map[string]int{}
-	for what, n := range p.struck {
-		all[what] = n
+	for effect, n := range p.effectCounts {
+		all[effect] = n
 	}
 	return all
 }
 
 // run starts and traces the child; one thread must do both.
-func (p *Process) run(binary string, env []string, stderr *os.File, wanted map[uint64]string, started chan<- error) {
+func (p *Process) run(binary string, env []string, stderr *os.File, traced map[uint64]string, started chan<- error) {
 	runtime.LockOSThread() // and it ends with this goroutine
 	defer close(p.Done)
 	cmd := exec.Command(binary)
@@ -86,12 +86,12 @@
 	}
 	started <- err
 	if err == nil {
-		p.trace(wanted)
+		p.trace(traced)
 	}
 }
 
 // trace follows the child's threads until it has ended.
-func (p *Process) trace(wanted map[uint64]string) {
+func (p *Process) trace(traced map[uint64]string) {
 	pending := map[int]*Call{} // by thread: what is to be done as its call returns
 	for {
 		var status syscall.WaitStatus
@@ -113,7 +113,7 @@
 		deliver := 0
 		switch signal := status.StopSignal(); signal {
 		case syscall.SIGTRAP | 0x80:
-			p.stopped(thread, wanted, pending)
+			p.handleStop(thread, traced, pending)
 		case syscall.SIGTRAP, syscall.SIGSTOP: // of this package's own doing
 		default:
 			deliver = int(signal)
@@ -123,7 +123,7 @@
 }
 
 // entering reports whether a thread stands before its call rather than behind it.
-func entering(thread int) bool {
+func atSyscallEntry(thread int) bool {
 	const request, entry = 0x420e, 1 // PTRACE_GET_SYSCALL_INFO, PTRACE_SYSCALL_INFO_ENTRY
 	var info [88]byte
 	_, _, errno := syscall.RawSyscall6(syscall.SYS_PTRACE, request, uintptr(thread), uintptr(len(info)), uintptr(unsafe.Pointer(&info)), 0, 0)
@@ -131,19 +131,19 @@
 }
 
 // stopped is called as a thread stands before or behind a call.
-func (p *Process) stopped(thread int, wanted map[uint64]string, pending map[int]*Call) {
+func (p *Process) handleStop(thread int, traced map[uint64]string, pending map[int]*Call) {
 	var registers syscall.PtraceRegs
 	if syscall.PtraceGetRegs(thread, &registers) != nil {
 		return
 	}
-	if !entering(thread) {
+	if !atSyscallEntry(thread) {
 		if call := pending[thread]; call != nil {
 			delete(pending, thread)
-			p.leave(thread, call, &registers)
+			p.finishEffect(thread, call, &registers)
 		}
 		return
 	}
-	name, ok := wanted[registers.Orig_rax]
+	name, ok := traced[registers.Orig_rax]
 	if !ok {
 		return
 	}
@@ -152,11 +152,11 @@
 		return
 	}
 	pending[thread] = call
-	p.enter(thread, call, &registers)
+	p.prepareEffect(thread, call, &registers)
 }
 
 // enter prepares a call's effect before the call.
-func (p *Process) enter(thread int, call *Call, registers *syscall.PtraceRegs) {
+func (p *Process) prepareEffect(thread int, call *Call, registers *syscall.PtraceRegs) {
 	switch {
 	case call.effect.Errno != 0 && !call.effect.After:
 		registers.Orig_rax = ^uint64(0) // no call at all
@@ -169,14 +169,14 @@
 }
 
 // leave carries a call's effect out as the call returns.
-func (p *Process) leave(thread int, call *Call, registers *syscall.PtraceRegs) {
+func (p *Process) finishEffect(thread int, call *Call, registers *syscall.PtraceRegs) {
 	if call.effect.Errno != 0 {
 		registers.Rax = uint64(-int64(call.effect.Errno))
 	}
 	registers.Rdx = uint64(call.Size)
 	_ = syscall.PtraceSetRegs(thread, registers)
 	p.mu.Lock()
-	p.struck[call.Name+" "+call.effect.String()]++
+	p.effectCounts[call.Name+" "+call.effect.String()]++
 	p.mu.Unlock()
 	if call.effect.Kill {
 		_ = syscall.Kill(p.PID, syscall.SIGKILL)
