--- a/cmd/pineport-testbed/play.go
+++ b/cmd/pineport-testbed/play.go
@@ -190,8 +190,8 @@
 	if n.Falls > 0 {
 		fmt.Fprintf(w, "returns\t%d pushed over, by couriers that knew of the outage or did not\n", n.Falls)
 	}
-	if c.Stats.Turns > 0 {
-		fmt.Fprintf(w, "cost\t%d events, %d turns, %.2f s\n", c.Stats.Events, c.Stats.Turns, c.Wall)
+	if c.Stats.Steps > 0 {
+		fmt.Fprintf(w, "cost\t%d events, %d turns, %.2f s\n", c.Stats.Events, c.Stats.Steps, c.Wall)
 	}
 	if l := c.Live; l != nil {
 		fmt.Fprintf(w, "cost\t%.1f s; processor: couriers %.2f s, laboratory %.2f s; largest courier %.1f MB; restarts %d, reloads %d\n", l.Wall,
--- a/testbed/faultproxy/faultproxy.go
+++ b/testbed/faultproxy/faultproxy.go
@@ -102,8 +102,8 @@
 	return append([]Call(nil), p.calls...)
 }
 
-// Struck counts the calls by what happened to them; a fault that never struck was not tested.
-func (p *Proxy) Struck() map[Fault]int {
+// FaultCounts counts the calls by what happened to them; a fault that never struck was not tested.
+func (p *Proxy) FaultCounts() map[Fault]int {
 	struck := map[Fault]int{}
 	for _, call := range p.Calls() {
 		struck[call.Fault]++
--- a/testbed/fleet/fleet.go
+++ b/testbed/fleet/fleet.go
@@ -47,15 +47,15 @@
 
 // Process faults, beside those of the network: what happens to each courier named, At, for Length.
 const (
-	Kill    = "kill"         // killed outright, and started again with its folder
-	Stop    = "stop"         // stands still
-	Roll    = "roll"         // asked to end one after the other, and started again
-	Empty   = "lose-folder"  // killed, and started again without its folder
-	Older   = "older-folder" // killed, and started again with its folder as it was at the beginning
-	Address = "move"         // killed, and started again at another address
+	Kill        = "kill"         // killed outright, and started again with its folder
+	Stop        = "stop"         // stands still
+	Roll        = "roll"         // asked to end one after the other, and started again
+	LoseFolder  = "lose-folder"  // killed, and started again without its folder
+	OlderFolder = "older-folder" // killed, and started again with its folder as it was at the beginning
+	Move        = "move"         // killed, and started again at another address
 )
 
-var processFaults = []string{Kill, Stop, Roll, Empty, Older, Address}
+var processFaults = []string{Kill, Stop, Roll, LoseFolder, OlderFolder, Move}
 
 // Days lists the plans that come with the testbed.
 func Days() []string { return scenario.Names(builtIn) }
@@ -79,11 +79,11 @@
 func (p *Plan) check(name string) error {
 	for i, f := range p.Faults {
 		switch {
-		case !netfault.OnNetwork(f.Kind) && !slices.Contains(processFaults, f.Kind):
+		case !netfault.IsNetworkFault(f.Kind) && !slices.Contains(processFaults, f.Kind):
 			return fmt.Errorf("%s: fault.%d.kind: no fault has the name %q", name, i, f.Kind)
 		case f.At < 0 || f.Length <= 0 || f.At+f.Length > p.Length:
 			return fmt.Errorf("%s: fault.%d: a span within the day's %v s was expected, not %v s from %v s", name, i, p.Length, f.Length, f.At)
-		case len(f.From) == 0 && !netfault.OnNetwork(f.Kind):
+		case len(f.From) == 0 && !netfault.IsNetworkFault(f.Kind):
 			return fmt.Errorf("%s: fault.%d.from: the couriers that it affects were expected", name, i)
 		}
 	}
@@ -145,10 +145,10 @@
 	defer r.mu.Unlock()
 	bin := int(now.Microseconds() / int64(invariants.Bin))
 	sums := map[int32][2]float64{}
-	for _, s := range r.quotaStatuses {
-		for _, l := range s.Groups {
-			sum := sums[l.Dest]
-			sums[l.Dest] = [2]float64{sum[0] + float64(l.Granted)/1e6, sum[1] + float64(l.Leased)/1e6}
+	for _, status := range r.quotaStatuses {
+		for _, group := range status.Groups {
+			sum := sums[group.Dest]
+			sums[group.Dest] = [2]float64{sum[0] + float64(group.Granted)/1e6, sum[1] + float64(group.Leased)/1e6}
 		}
 	}
 	for dest, sum := range sums {
@@ -205,17 +205,17 @@
 
 // Play plays a plan.
 func Play(ctx context.Context, p *Plan, o Options) (*Result, error) {
-	d, err := scenario.Find(p.Day)
+	day, err := scenario.Find(p.Day)
 	if err != nil {
 		return nil, err
 	}
 	if p.Couriers > 0 {
-		d.Fleet.Couriers = p.Couriers
+		day.Fleet.Couriers = p.Couriers
 	}
 	if p.Load > 0 {
-		d.Traffic.FullPerSec = p.Load * float64(d.Fleet.Couriers)
+		day.Traffic.FullPerSec = p.Load * float64(day.Fleet.Couriers)
 	}
-	d.Length = p.Length
+	day.Length = p.Length
 	if o.Pace == 0 {
 		o.Pace = 200 * time.Millisecond
 	}
@@ -227,8 +227,8 @@
 		defer os.RemoveAll(dir)
 		o.Dir = dir
 	}
-	r := &run{plan: p, options: o, couriers: d.Fleet.Couriers, downSince: map[int]time.Time{}, restartedAt: map[int]time.Time{}, starts: map[int]int{}, activeFaults: map[string]int{},
-		memberStates: map[[2]int]string{}, statuses: make([]courierStatus, d.Fleet.Couriers), quotaStatuses: make([]exchange.Status, d.Fleet.Couriers), result: &Result{Couriers: d.Fleet.Couriers, False: map[string]int{}, Parts: Parts{}}}
+	r := &run{plan: p, options: o, couriers: day.Fleet.Couriers, downSince: map[int]time.Time{}, restartedAt: map[int]time.Time{}, starts: map[int]int{}, activeFaults: map[string]int{},
+		memberStates: map[[2]int]string{}, statuses: make([]courierStatus, day.Fleet.Couriers), quotaStatuses: make([]exchange.Status, day.Fleet.Couriers), result: &Result{Couriers: day.Fleet.Couriers, False: map[string]int{}, Parts: Parts{}}}
 	if err := r.addresses(); err != nil {
 		return nil, err
 	}
@@ -236,16 +236,16 @@
 		return nil, err
 	}
 	defer r.net.Close()
-	lo := realtime.Options{Binary: o.Binary, Dir: o.Dir, Log: o.Log, Begun: r.start}
+	realtimeOptions := realtime.Options{Binary: o.Binary, Dir: o.Dir, Log: o.Log, Begun: r.start}
 	if o.Peers {
-		lo.Extra = r.configure
+		realtimeOptions.Extra = r.configure
 	}
-	r.result.Drawn = scenario.Draw(d, o.Seed)
-	v, cost, err := realtime.Play(ctx, r.result.Drawn, lo)
+	r.result.Drawn = scenario.Draw(day, o.Seed)
+	v, cost, err := realtime.Play(ctx, r.result.Drawn, realtimeOptions)
 	if err != nil {
 		return nil, err
 	}
-	r.result.Verdict, r.result.Cost, r.result.Struck, r.result.Idle = v, cost, r.net.Struck(), r.notTriggered
+	r.result.Verdict, r.result.Cost, r.result.Struck, r.result.Idle = v, cost, r.net.FaultCounts(), r.notTriggered
 	return r.result, nil
 }
 
@@ -267,15 +267,15 @@
 func Free(i int) (string, error) {
 	ip := net.IPv4(127, byte(140+(os.Getpid()>>8)%50), byte(os.Getpid()), byte(1+i%250))
 	for range 20 {
-		l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: ip})
+		listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: ip})
 		if err != nil {
 			return "", err
 		}
-		at := l.Addr().(*net.TCPAddr)
-		u, err := net.ListenUDP("udp", &net.UDPAddr{IP: ip, Port: at.Port})
-		l.Close()
+		at := listener.Addr().(*net.TCPAddr)
+		udpConn, err := net.ListenUDP("udp", &net.UDPAddr{IP: ip, Port: at.Port})
+		listener.Close()
 		if err == nil {
-			u.Close()
+			udpConn.Close()
 			return at.String(), nil
 		}
 	}
@@ -287,7 +287,7 @@
 	defer r.mu.Unlock()
 	join := []string{r.gossipAddrs[0], r.gossipAddrs[(c.No+1)%r.couriers], r.gossipAddrs[(c.No+r.couriers/2)%r.couriers]}
 	return map[string]any{"ops": r.adminAddrs[c.No], "peers": map[string]any{"listen": r.gossipAddrs[c.No], "join": join, "fleet": "lab",
-		"key": "000102030405060708090a0b0c0d0e0f", "pace_s": r.options.Pace.Seconds(), "share": r.options.Share, "through": r.net.Through(c.No)},
+		"key": "000102030405060708090a0b0c0d0e0f", "pace_s": r.options.Pace.Seconds(), "share": r.options.Share, "through": r.net.AddressPairs(c.No)},
 		"settings": map[string]any{"ceilings": map[string]any{"peers": true}}}, nil
 }
 
@@ -344,7 +344,7 @@
 	defer func() { // what was believed while it was on comes to light a little later
 		time.AfterFunc(25*r.options.Pace, func() { r.adjustActive(f.Kind, -1) })
 	}()
-	if netfault.OnNetwork(f.Kind) {
+	if netfault.IsNetworkFault(f.Kind) {
 		end := r.net.Begin(f)
 		wait(f.At + f.Length)
 		if err := end(); err != nil && r.options.Peers {
@@ -380,21 +380,21 @@
 		time.Sleep(time.Duration(f.Length * float64(time.Second)))
 	case Kill:
 		r.restartCourier(no, scenario.Kills, f.Length, stop, nil)
-	case Empty:
+	case LoseFolder:
 		r.restartCourier(no, scenario.Kills, f.Length, stop, func() { os.Remove(filepath.Join(state, incarnation.Name)) })
-	case Older:
+	case OlderFolder:
 		r.restartCourier(no, scenario.Kills, f.Length, stop, func() {
 			if text := incarnations[no]; text != nil {
 				os.WriteFile(filepath.Join(state, incarnation.Name), text, 0o600)
 			}
 		})
-	case Address:
+	case Move:
 		r.restartCourier(no, scenario.Kills, f.Length, stop, func() {
 			if at, err := Free(no); err == nil {
 				r.mu.Lock()
 				r.gossipAddrs[no] = at
 				r.mu.Unlock()
-				r.net.Moved(no, at)
+				r.net.SetTarget(no, at)
 			}
 		})
 	}
@@ -440,15 +440,15 @@
 }
 
 // see asks a courier what it believes, and what it has granted and leased.
-func (r *run) poll(client *http.Client, no int) (l courierStatus, ok bool) {
-	if ok = get(client, r.adminAddrs[no], "/peers", &l); ok && r.options.Share {
-		var s exchange.Status
+func (r *run) poll(client *http.Client, no int) (status courierStatus, ok bool) {
+	if ok = get(client, r.adminAddrs[no], "/peers", &status); ok && r.options.Share {
+		var quotaStatus exchange.Status
 		from := r.field.Since()
-		if get(client, r.adminAddrs[no], "/commons", &s) {
-			r.recordLeases(no, from, r.field.Since(), s)
+		if get(client, r.adminAddrs[no], "/commons", &quotaStatus) {
+			r.recordLeases(no, from, r.field.Since(), quotaStatus)
 		}
 	}
-	return l, ok
+	return status, ok
 }
 
 func get(client *http.Client, addr, path string, to any) bool {
@@ -461,9 +461,9 @@
 }
 
 // borrow holds what a courier shows of its leases against what the others show.
-func (r *run) recordLeases(no int, from, to time.Duration, s exchange.Status) {
+func (r *run) recordLeases(no int, from, to time.Duration, status exchange.Status) {
 	leases := func(of func(quota.Status) []quota.LeaseStatus) (all [][]invariants.Lease) {
-		for _, group := range s.Groups {
+		for _, group := range status.Groups {
 			var routeLeases []invariants.Lease
 			for _, lease := range of(group) {
 				routeLeases = append(routeLeases, invariants.Lease{Who: lease.Courier, No: lease.LeaseID, Units: int64(lease.Units), Base: int64(group.Base)})
@@ -474,8 +474,8 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.quotaStatuses[no] = s
-	r.leases.Saw(invariants.Look{Name: fmt.Sprintf("n%d", no), Start: s.Incarnation, From: dispatch.Micros(from.Microseconds()), To: dispatch.Micros(to.Microseconds()),
+	r.quotaStatuses[no] = status
+	r.leases.Saw(invariants.Look{Name: fmt.Sprintf("n%d", no), Start: status.Incarnation, From: dispatch.Micros(from.Microseconds()), To: dispatch.Micros(to.Microseconds()),
 		Granted: leases(func(l quota.Status) []quota.LeaseStatus { return l.Grants }), Used: leases(func(l quota.Status) []quota.LeaseStatus { return l.Leases })})
 }
 
@@ -512,14 +512,14 @@
 	}
 }
 
-func (r *run) recordStatus(now time.Time, no int, l courierStatus) {
+func (r *run) recordStatus(now time.Time, no int, status courierStatus) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.statuses[no] = l
-	if l.Most < r.couriers {
+	r.statuses[no] = status
+	if status.Most < r.couriers {
 		r.result.Fewer++
 	}
-	for _, m := range l.Members {
+	for _, m := range status.Members {
 		var other int
 		if _, err := fmt.Sscanf(m.Name, "n%d", &other); err != nil || other >= r.couriers {
 			continue
@@ -565,8 +565,8 @@
 	for started := time.Now(); time.Since(started) < convergenceTimeout; time.Sleep(50 * time.Millisecond) {
 		r.mu.Lock()
 		converged := 0
-		for _, l := range r.statuses {
-			if l.Status == "whole" && l.Least >= r.couriers {
+		for _, status := range r.statuses {
+			if status.Status == "whole" && status.Least >= r.couriers {
 				converged++
 			}
 		}
@@ -583,13 +583,13 @@
 	defer r.mu.Unlock()
 	r.result.Hours = f.Since().Hours() * float64(r.couriers)
 	seconds := f.Since().Seconds() * float64(r.couriers)
-	for _, l := range r.statuses { // of the last start of each: what an earlier one sent is not counted
-		r.result.Messages += float64(l.Figures.Network.PacketsOut) / seconds
-		r.result.Bytes += float64(l.Figures.Network.BytesOut) / seconds
+	for _, status := range r.statuses { // of the last start of each: what an earlier one sent is not counted
+		r.result.Messages += float64(status.Figures.Network.PacketsOut) / seconds
+		r.result.Bytes += float64(status.Figures.Network.BytesOut) / seconds
 	}
 	r.result.Leases, r.result.Widest, r.result.Overspent = r.leases.Seen, r.leases.Widest, r.leases.Breaches
-	for _, s := range r.quotaStatuses {
-		r.result.Packets += float64(s.PacketsOut) / seconds
-		r.result.ShareBytes += float64(s.BytesOut) / seconds
+	for _, status := range r.quotaStatuses {
+		r.result.Packets += float64(status.PacketsOut) / seconds
+		r.result.ShareBytes += float64(status.BytesOut) / seconds
 	}
 }
--- a/testbed/fleet/fleet_test.go
+++ b/testbed/fleet/fleet_test.go
@@ -29,9 +29,9 @@
 		{Kind: Stop, At: 3, Length: 4, From: []int{3}},
 		{Kind: "one-way", At: 3, Length: 4, From: []int{4}, To: []int{5}},
 		{Kind: "cut", At: 8, Length: 5, From: []int{0, 6, 7}},
-		{Kind: Older, At: 14, Length: 2, From: []int{1}},
-		{Kind: Empty, At: 14, Length: 2, From: []int{2}},
-		{Kind: Address, At: 15, Length: 2, From: []int{8}},
+		{Kind: OlderFolder, At: 14, Length: 2, From: []int{1}},
+		{Kind: LoseFolder, At: 14, Length: 2, From: []int{2}},
+		{Kind: Move, At: 15, Length: 2, From: []int{8}},
 	}}
 	if err := p.check("here"); err != nil {
 		t.Fatal(err)
--- a/testbed/netfault/conditions.go
+++ b/testbed/netfault/conditions.go
@@ -48,14 +48,14 @@
 }
 
 func newInjector(n int, seed int64, trace io.Writer) *injector {
-	b := &injector{rng: rand.New(rand.NewSource(seed)), processes: n, faultCounts: map[string]int{}, changed: make(chan struct{}), startedAt: time.Now()}
+	in := &injector{rng: rand.New(rand.NewSource(seed)), processes: n, faultCounts: map[string]int{}, changed: make(chan struct{}), startedAt: time.Now()}
 	for range n {
-		b.current = append(b.current, make([]Conditions, n))
+		in.current = append(in.current, make([]Conditions, n))
 	}
 	if trace != nil {
-		b.trace = json.NewEncoder(trace)
+		in.trace = json.NewEncoder(trace)
 	}
-	return b
+	return in
 }
 
 // line is one line of the trace.
@@ -68,88 +68,88 @@
 	Now  *Conditions `json:"now,omitempty"`
 }
 
-func (b *injector) writeTrace(l traceLine) {
-	if b.trace != nil {
-		l.At = time.Since(b.startedAt).Seconds()
-		b.trace.Encode(l)
+func (in *injector) writeTrace(l traceLine) {
+	if in.trace != nil {
+		l.At = time.Since(in.startedAt).Seconds()
+		in.trace.Encode(l)
 	}
 }
 
 // Set has conditions hold from one process to another from now on.
-func (b *injector) Set(from, to int, c Conditions) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.current[from][to] == c {
+func (in *injector) Set(from, to int, c Conditions) {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	if in.current[from][to] == c {
 		return
 	}
-	b.current[from][to] = c
-	b.writeTrace(traceLine{From: from, To: to, What: "set", Now: &c})
-	close(b.changed)
-	b.changed = make(chan struct{})
+	in.current[from][to] = c
+	in.writeTrace(traceLine{From: from, To: to, What: "set", Now: &c})
+	close(in.changed)
+	in.changed = make(chan struct{})
 }
 
 // Get is what holds from one process to another, and a channel that closes when anything changes.
-func (b *injector) get(from, to int) (Conditions, <-chan struct{}) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.current[from][to], b.changed
+func (in *injector) get(from, to int) (Conditions, <-chan struct{}) {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	return in.current[from][to], in.changed
 }
 
-// Struck counts the faults that struck, by kind.
-func (b *injector) Struck() map[string]int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// FaultCounts counts the faults that struck, by kind.
+func (in *injector) FaultCounts() map[string]int {
+	in.mu.Lock()
+	defer in.mu.Unlock()
 	all := map[string]int{}
-	for k, n := range b.faultCounts {
+	for k, n := range in.faultCounts {
 		all[k] = n
 	}
 	return all
 }
 
 // fault counts a fault; the caller holds the lock.
-func (b *injector) recordLocked(from, to int, kind string, size int) {
-	b.faultCounts[kind]++
-	b.writeTrace(traceLine{From: from, To: to, What: kind, Size: size})
+func (in *injector) recordLocked(from, to int, kind string, size int) {
+	in.faultCounts[kind]++
+	in.writeTrace(traceLine{From: from, To: to, What: kind, Size: size})
 }
 
-func (b *injector) record(from, to int, kind string, size int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.recordLocked(from, to, kind, size)
+func (in *injector) record(from, to int, kind string, size int) {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	in.recordLocked(from, to, kind, size)
 }
 
 // packet decides what becomes of one: after which spans copies of it arrive; none where it is lost.
-func (b *injector) packetDelays(from, to, size int) (delays []time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	c := b.current[from][to]
+func (in *injector) packetDelays(from, to, size int) (delays []time.Duration) {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	c := in.current[from][to]
 	switch {
 	case c.Cut:
-		b.recordLocked(from, to, Severed, size)
+		in.recordLocked(from, to, Severed, size)
 		return nil
 	case c.Silent:
-		b.recordLocked(from, to, Silenced, size)
+		in.recordLocked(from, to, Silenced, size)
 		return nil
-	case c.Loss > 0 && b.rng.Float64() < c.Loss:
-		b.recordLocked(from, to, Lost, size)
+	case c.Loss > 0 && in.rng.Float64() < c.Loss:
+		in.recordLocked(from, to, Lost, size)
 		return nil
 	}
 	copies := 1
-	if c.Duplicate > 0 && b.rng.Float64() < c.Duplicate {
-		b.recordLocked(from, to, Duplicated, size)
+	if c.Duplicate > 0 && in.rng.Float64() < c.Duplicate {
+		in.recordLocked(from, to, Duplicated, size)
 		copies = 2
 	}
 	for range copies {
 		delay := c.Delay
 		if c.Jitter > 0 {
-			delay += time.Duration(b.rng.Int63n(int64(c.Jitter)))
+			delay += time.Duration(in.rng.Int63n(int64(c.Jitter)))
 		}
-		if c.Reorder > 0 && b.rng.Float64() < c.Reorder {
-			b.recordLocked(from, to, Reordered, size)
-			delay += time.Duration(1+b.rng.Intn(50)) * time.Millisecond
+		if c.Reorder > 0 && in.rng.Float64() < c.Reorder {
+			in.recordLocked(from, to, Reordered, size)
+			delay += time.Duration(1+in.rng.Intn(50)) * time.Millisecond
 		}
 		if c.Delay > 0 || c.Jitter > 0 {
-			b.recordLocked(from, to, Delayed, size)
+			in.recordLocked(from, to, Delayed, size)
 		}
 		delays = append(delays, delay)
 	}
@@ -187,8 +187,8 @@
 
 func ms(n float64) time.Duration { return time.Duration(n * float64(time.Millisecond)) }
 
-// OnNetwork tells whether a kind of fault is one of the network.
-func OnNetwork(kind string) bool { _, ok := networkFaults[kind]; return ok }
+// IsNetworkFault tells whether a kind of fault is one of the network.
+func IsNetworkFault(kind string) bool { _, ok := networkFaults[kind]; return ok }
 
 // pairs are the directed pairs that a fault faults.
 func (f Fault) pairs(n int) (all [][2]int) {
@@ -218,16 +218,16 @@
 }
 
 // Begin has a fault hold, and returns what ends it; that tells whether it struck at all.
-func (b *injector) Begin(f Fault) (end func() error) {
+func (in *injector) Begin(f Fault) (end func() error) {
 	spec := networkFaults[f.Kind]
-	before := b.Struck()
+	before := in.FaultCounts()
 	apply := func(on bool) {
-		for _, p := range f.pairs(b.processes) {
+		for _, p := range f.pairs(in.processes) {
 			c := Conditions{}
 			if on {
 				c = spec.make(f.Size)
 			}
-			b.Set(p[0], p[1], c)
+			in.Set(p[0], p[1], c)
 		}
 	}
 	apply(true)
@@ -249,7 +249,7 @@
 		close(stop)
 		<-stopped
 		apply(false)
-		after := b.Struck()
+		after := in.FaultCounts()
 		for _, k := range spec.counts {
 			if after[k] > before[k] {
 				return nil
--- a/testbed/netfault/mesh.go
+++ b/testbed/netfault/mesh.go
@@ -46,13 +46,13 @@
 
 // Node is one member's transport.
 type Node struct {
-	mesh    *Mesh
-	index   int
-	packets chan *memberlist.Packet
-	streams chan net.Conn
-	up      bool
-	Sent    int // packets, and bytes of them
-	Bytes   int
+	mesh        *Mesh
+	index       int
+	packets     chan *memberlist.Packet
+	streams     chan net.Conn
+	up          bool
+	PacketsSent int // packets, and bytes of them
+	BytesSent   int
 }
 
 // NewMesh makes a network of so many members.
@@ -82,7 +82,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, n := range m.nodes {
-		packets, bytes = packets+n.Sent, bytes+n.Bytes
+		packets, bytes = packets+n.PacketsSent, bytes+n.BytesSent
 	}
 	return packets, bytes
 }
@@ -127,8 +127,8 @@
 		return now, nil
 	}
 	n.mesh.mu.Lock()
-	n.Sent++
-	n.Bytes += len(b)
+	n.PacketsSent++
+	n.BytesSent += len(b)
 	n.mesh.mu.Unlock()
 	from := &net.UDPAddr{IP: net.IPv4(10, byte(n.index/250), byte(n.index%250), 1), Port: 7000}
 	payload := append([]byte(nil), b...)
--- a/testbed/netfault/netfault.go
+++ b/testbed/netfault/netfault.go
@@ -54,41 +54,41 @@
 func (n *Net) openProxy(from, to int) (*linkProxy, error) {
 	ip := net.IPv4(127, byte(200+(os.Getpid()>>8)%50), byte(os.Getpid()), byte(1+from%250))
 	for range 20 {
-		l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: ip})
+		listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: ip})
 		if err != nil {
 			return nil, err
 		}
-		u, err := net.ListenUDP("udp", &net.UDPAddr{IP: ip, Port: l.Addr().(*net.TCPAddr).Port})
+		udpConn, err := net.ListenUDP("udp", &net.UDPAddr{IP: ip, Port: listener.Addr().(*net.TCPAddr).Port})
 		if err != nil {
-			l.Close()
+			listener.Close()
 			continue
 		}
-		w := &linkProxy{net: n, from: from, to: to, tcp: l, udp: u}
+		p := &linkProxy{net: n, from: from, to: to, tcp: listener, udp: udpConn}
 		n.group.Add(2)
-		go w.forwardPackets()
-		go w.acceptStreams()
-		return w, nil
+		go p.forwardPackets()
+		go p.acceptStreams()
+		return p, nil
 	}
 	return nil, fmt.Errorf("no address free for both UDP and TCP")
 }
 
-// Via is where one process reaches another.
-func (n *Net) Via(from, to int) string { return n.proxies[from][to].tcp.Addr().String() }
+// ProxyAddr is where one process reaches another.
+func (n *Net) ProxyAddr(from, to int) string { return n.proxies[from][to].tcp.Addr().String() }
 
-// Through are the pairs of addresses that lead a process to all others.
-func (n *Net) Through(from int) (pairs []string) {
+// AddressPairs are the pairs of addresses that lead a process to all others.
+func (n *Net) AddressPairs(from int) (pairs []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for to, target := range n.targets {
 		if to != from {
-			pairs = append(pairs, target+"="+n.Via(from, to))
+			pairs = append(pairs, target+"="+n.ProxyAddr(from, to))
 		}
 	}
 	return pairs
 }
 
-// Moved says that a process listens elsewhere now.
-func (n *Net) Moved(to int, address string) {
+// SetTarget says that a process listens elsewhere now.
+func (n *Net) SetTarget(to int, address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.targets[to] = address
@@ -114,64 +114,64 @@
 	n.group.Wait()
 }
 
-func (w *linkProxy) forwardPackets() {
-	defer w.net.group.Done()
+func (p *linkProxy) forwardPackets() {
+	defer p.net.group.Done()
 	buf := make([]byte, 64<<10)
 	for {
-		size, _, err := w.udp.ReadFrom(buf)
+		size, _, err := p.udp.ReadFrom(buf)
 		if err != nil {
 			select {
-			case <-w.net.done:
+			case <-p.net.done:
 				return
 			case <-time.After(time.Millisecond): // such as word that nobody listens there
 				continue
 			}
 		}
-		to, err := net.ResolveUDPAddr("udp", w.net.target(w.to))
+		to, err := net.ResolveUDPAddr("udp", p.net.target(p.to))
 		if err != nil {
 			continue
 		}
 		payload := append([]byte(nil), buf[:size]...)
-		for _, delay := range w.net.packetDelays(w.from, w.to, size) {
+		for _, delay := range p.net.packetDelays(p.from, p.to, size) {
 			if delay == 0 {
-				w.udp.WriteTo(payload, to)
+				p.udp.WriteTo(payload, to)
 			} else {
-				time.AfterFunc(delay, func() { w.udp.WriteTo(payload, to) })
+				time.AfterFunc(delay, func() { p.udp.WriteTo(payload, to) })
 			}
 		}
 	}
 }
 
-func (w *linkProxy) acceptStreams() {
-	defer w.net.group.Done()
+func (p *linkProxy) acceptStreams() {
+	defer p.net.group.Done()
 	for {
-		inbound, err := w.tcp.Accept()
+		inbound, err := p.tcp.Accept()
 		if err != nil {
 			select {
-			case <-w.net.done:
+			case <-p.net.done:
 				return
 			case <-time.After(time.Millisecond):
 				continue
 			}
 		}
-		w.net.group.Add(1)
-		go w.forwardStream(inbound.(*net.TCPConn))
+		p.net.group.Add(1)
+		go p.forwardStream(inbound.(*net.TCPConn))
 	}
 }
 
 // lead carries a stream, both ways, each under its own conditions.
-func (w *linkProxy) forwardStream(inbound *net.TCPConn) {
-	n := w.net
+func (p *linkProxy) forwardStream(inbound *net.TCPConn) {
+	n := p.net
 	defer n.group.Done()
 	defer inbound.Close()
-	forward, _ := n.get(w.from, w.to)
-	reverse, _ := n.get(w.to, w.from)
+	forward, _ := n.get(p.from, p.to)
+	reverse, _ := n.get(p.to, p.from)
 	if forward.Cut && reverse.Cut {
-		n.record(w.from, w.to, Severed, 0)
+		n.record(p.from, p.to, Severed, 0)
 		inbound.SetLinger(0)
 		return
 	}
-	outbound, err := net.DialTimeout("tcp", n.target(w.to), 2*time.Second)
+	outbound, err := net.DialTimeout("tcp", n.target(p.to), 2*time.Second)
 	if err != nil {
 		inbound.SetLinger(0)
 		return
@@ -184,8 +184,8 @@
 		defer directions.Done()
 		n.copyStream(from, to, in, out)
 	}
-	go carry(w.from, w.to, inbound, outbound)
-	go carry(w.to, w.from, outbound, inbound)
+	go carry(p.from, p.to, inbound, outbound)
+	go carry(p.to, p.from, outbound, inbound)
 	go func() {
 		select {
 		case <-n.done: // nothing that is read or written must hold up the end
--- a/testbed/simulation/bench_test.go
+++ b/testbed/simulation/bench_test.go
@@ -23,17 +23,17 @@
 			d.Traffic.Destinations, d.Traffic.FullPerSec = size.destinations, float64(size.perSec)
 			w := scenario.Draw(d, 1)
 			b.ResetTimer()
-			var turns, messages int
+			var steps, messages int
 			for range b.N {
 				v, st, err := Play(w, NewLocal(nil), Options{})
 				if err != nil {
 					b.Fatal(err)
 				}
-				turns, messages = turns+st.Turns, messages+v.Counts.Taken
+				steps, messages = steps+st.Steps, messages+v.Counts.Taken
 			}
 			span := b.Elapsed().Seconds()
 			b.ReportMetric(float64(messages)/span, "records/s")
-			b.ReportMetric(float64(turns)/span, "turns/s")
+			b.ReportMetric(float64(steps)/span, "turns/s")
 			b.ReportMetric(float64(b.N)*float64(w.End)/1e6/span, "x-real-time")
 		})
 	}
--- a/testbed/simulation/call.go
+++ b/testbed/simulation/call.go
@@ -9,46 +9,46 @@
 
 // load puts a message on a call; it returns the call if that is new.
 func (s *Sim) addToCall(c *courier, a dispatch.Send, openCalls map[dispatch.EndpointID]*call) *call {
-	at, r := s.endpoints[a.Endpoint], c.messages[a.Message]
-	if at == nil || r != nil && at.destination != int(r.client.arrival.Dest) {
+	at, msg := s.endpoints[a.Endpoint], c.messages[a.Message]
+	if at == nil || msg != nil && at.destination != int(msg.client.arrival.Dest) {
 		s.ledger.Crashed(s.now, c.index, "sent "+string(a.Message)+" to "+string(a.Endpoint)+", which is not of its destination")
 		return nil
 	}
 	ledgerNumber := s.ledger.Sent(s.now, a.Message, invariants.Place{Dest: dispatch.DestinationID(at.destination), Route: at.route, Endpoint: a.Endpoint, Zone: at.endpoint.Zone})
-	if r == nil {
+	if msg == nil {
 		return nil
 	}
-	t := &attempt{message: r, number: dispatch.AttemptNumber(len(r.attempts)), ledgerNumber: ledgerNumber,
+	att := &attempt{message: msg, number: dispatch.AttemptNumber(len(msg.attempts)), ledgerNumber: ledgerNumber,
 		past: dispatch.PastAttempt{Endpoint: a.Endpoint, Zone: at.endpoint.Zone, SentAt: s.now}}
-	r.attempts = append(r.attempts, t)
-	r.openAttempts++
-	if r.done || len(r.attempts) > s.instance.Day.Fleet.MaxAttempts {
-		s.finishAttempt(t, dispatch.AttemptFinished{Outcome: dispatch.Unprocessed})
+	msg.attempts = append(msg.attempts, att)
+	msg.openAttempts++
+	if msg.done || len(msg.attempts) > s.instance.Day.Fleet.MaxAttempts {
+		s.finishAttempt(att, dispatch.AttemptFinished{Outcome: dispatch.Unprocessed})
 		return nil
 	}
 	plan := s.destinations[at.destination].Plan()
-	item := s.item(r)
+	item := s.item(msg)
 	if cl := openCalls[a.Endpoint]; cl != nil && len(cl.Items) < plan.PerCall {
-		cl.Items, cl.attempts, t.call = append(cl.Items, item), append(cl.attempts, t), cl
-		s.setAttemptTimeout(t, a.Timeout)
+		cl.Items, cl.attempts, att.call = append(cl.Items, item), append(cl.attempts, att), cl
+		s.setAttemptTimeout(att, a.Timeout)
 		return nil
 	}
 	if c.slotsUsed >= s.instance.Slots {
-		s.finishAttempt(t, dispatch.AttemptFinished{Outcome: dispatch.Unprocessed})
+		s.finishAttempt(att, dispatch.AttemptFinished{Outcome: dispatch.Unprocessed})
 		return nil
 	}
 	c.slotsUsed++
 	s.lastCallID++
 	cl := &call{Call: endpointmodel.Call{ID: s.lastCallID, Courier: c.index, Endpoint: a.Endpoint, Items: []endpointmodel.Item{item}}, courier: c,
-		incarnation: c.incarnation, endpoint: at, attempts: []*attempt{t}, sent: s.now}
-	t.call, openCalls[a.Endpoint] = cl, cl
-	s.setAttemptTimeout(t, a.Timeout)
+		incarnation: c.incarnation, endpoint: at, attempts: []*attempt{att}, sent: s.now}
+	att.call, openCalls[a.Endpoint] = cl, cl
+	s.setAttemptTimeout(att, a.Timeout)
 	return cl
 }
 
-func (s *Sim) item(r *message) endpointmodel.Item {
-	w := &s.instance.Day.Classes[r.client.arrival.Class]
-	return endpointmodel.Item{Message: r.id, Origin: r.client.id, Repeat: invariants.RepeatOf(w.Repeat), OneZone: w.OneZone,
+func (s *Sim) item(msg *message) endpointmodel.Item {
+	w := &s.instance.Day.Classes[msg.client.arrival.Class]
+	return endpointmodel.Item{Message: msg.id, Origin: msg.client.id, Repeat: invariants.RepeatOf(w.Repeat), OneZone: w.OneZone,
 		Window: config.Micros(w.Window)}
 }
 
@@ -104,34 +104,34 @@
 }
 
 // limit ends an attempt's time: the attempts of one call have each their own.
-func (s *Sim) setAttemptTimeout(t *attempt, limit dispatch.Micros) {
+func (s *Sim) setAttemptTimeout(att *attempt, limit dispatch.Micros) {
 	if limit <= 0 {
 		return
 	}
 	s.schedule(s.now+limit, func() {
-		if t.done || t.call.done {
+		if att.done || att.call.done {
 			return
 		}
 		o := dispatch.TimedOut
-		if !t.call.connected {
+		if !att.call.connected {
 			o = dispatch.Unreachable // none of it was sent
 		}
-		s.abandonAttempt(t, o)
+		s.abandonAttempt(att, o)
 	})
 }
 
 // giveUp ends one attempt; where no other is left on its call, that is called off.
-func (s *Sim) abandonAttempt(t *attempt, o dispatch.Outcome) {
-	s.finishAttempt(t, dispatch.AttemptFinished{Outcome: o, Duration: s.now - t.call.sent})
-	for _, other := range t.call.attempts {
+func (s *Sim) abandonAttempt(att *attempt, o dispatch.Outcome) {
+	s.finishAttempt(att, dispatch.AttemptFinished{Outcome: o, Duration: s.now - att.call.sent})
+	for _, other := range att.call.attempts {
 		if !other.done {
 			return
 		}
 	}
-	if !t.call.done {
-		t.call.done = true
-		t.call.courier.slotsUsed--
-		s.disconnect(t.call)
+	if !att.call.done {
+		att.call.done = true
+		att.call.courier.slotsUsed--
+		s.disconnect(att.call)
 	}
 }
 
@@ -149,8 +149,8 @@
 	default:
 		s.disconnect(cl)
 	}
-	for _, t := range cl.attempts {
-		s.finishAttempt(t, dispatch.AttemptFinished{Outcome: o, Duration: s.now - cl.sent, RetryAfter: retryAfter, LoadReport: loadReport})
+	for _, att := range cl.attempts {
+		s.finishAttempt(att, dispatch.AttemptFinished{Outcome: o, Duration: s.now - cl.sent, RetryAfter: retryAfter, LoadReport: loadReport})
 	}
 }
 
@@ -168,30 +168,30 @@
 }
 
 // settle tells a courier how an attempt ended.
-func (s *Sim) finishAttempt(t *attempt, e dispatch.AttemptFinished) {
-	if t.done {
+func (s *Sim) finishAttempt(att *attempt, e dispatch.AttemptFinished) {
+	if att.done {
 		return
 	}
-	t.done, t.past.Outcome = true, e.Outcome
-	r := t.message
-	r.openAttempts--
-	s.ledger.Settled(s.now, r.id, t.ledgerNumber, e.Outcome, e.RetryAfter)
-	if e.Outcome == dispatch.Delivered && !r.done {
-		r.client.done = true
-		s.release(r)
+	att.done, att.past.Outcome = true, e.Outcome
+	msg := att.message
+	msg.openAttempts--
+	s.ledger.Settled(s.now, msg.id, att.ledgerNumber, e.Outcome, e.RetryAfter)
+	if e.Outcome == dispatch.Delivered && !msg.done {
+		msg.client.done = true
+		s.release(msg)
 	}
-	e.Message, e.Attempt, e.MessageDone = r.id, t.number, r.done
-	s.notify(r.courier, e)
-	if r.done {
-		s.release(r)
+	e.Message, e.Attempt, e.MessageDone = msg.id, att.number, msg.done
+	s.notify(msg.courier, e)
+	if msg.done {
+		s.release(msg)
 	}
 }
 
 // cancel calls an attempt off.
 func (s *Sim) cancelAttempt(c *courier, a dispatch.Cancel) {
-	r := c.messages[a.Message]
-	if r == nil || int(a.Attempt) >= len(r.attempts) || r.attempts[a.Attempt].done {
+	msg := c.messages[a.Message]
+	if msg == nil || int(a.Attempt) >= len(msg.attempts) || msg.attempts[a.Attempt].done {
 		return
 	}
-	s.abandonAttempt(r.attempts[a.Attempt], dispatch.Canceled)
+	s.abandonAttempt(msg.attempts[a.Attempt], dispatch.Canceled)
 }
--- a/testbed/simulation/client.go
+++ b/testbed/simulation/client.go
@@ -60,18 +60,18 @@
 	}
 	cl.submissions++
 	s.accepted++
-	r := &message{id: id, number: s.accepted, client: cl, courier: c}
-	cl.current = r
-	c.messages[id] = r
+	msg := &message{id: id, number: s.accepted, client: cl, courier: c}
+	cl.current = msg
+	c.messages[id] = msg
 	c.openMessages++
 	key := dispatch.OrderingKey("")
 	if cl.arrival.Key >= 0 {
 		key = dispatch.OrderingKey("k" + strconv.Itoa(int(cl.arrival.Key)))
 	}
 	s.ledger.Taken(s.now, id, cl.id, c.index, key, cl.deadline)
-	r.accepted = dispatch.MessageAccepted{Message: id, Destination: dispatch.DestinationID(cl.arrival.Dest), Class: dispatch.ClassID(cl.arrival.Class),
+	msg.accepted = dispatch.MessageAccepted{Message: id, Destination: dispatch.DestinationID(cl.arrival.Dest), Class: dispatch.ClassID(cl.arrival.Class),
 		Tenant: dispatch.TenantID(cl.arrival.Tenant), OrderingKey: key, Deadline: cl.deadline, Resubmitted: resubmitted}
-	s.notify(c, r.accepted)
+	s.notify(c, msg.accepted)
 }
 
 // other is where a client goes whose courier did not serve it.
@@ -102,8 +102,8 @@
 		return
 	}
 	cl.done = true
-	if r := cl.current; r != nil && !r.done {
-		s.endMessage(r, invariants.Withdrawn)
-		s.notify(r.courier, dispatch.MessageCanceled{Message: r.id})
+	if msg := cl.current; msg != nil && !msg.done {
+		s.endMessage(msg, invariants.Withdrawn)
+		s.notify(msg.courier, dispatch.MessageCanceled{Message: msg.id})
 	}
 }
--- a/testbed/simulation/courier.go
+++ b/testbed/simulation/courier.go
@@ -132,24 +132,24 @@
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.messages)) {
-		r := c.messages[id]
-		for _, t := range r.attempts {
-			if !t.done && !t.call.done {
-				t.call.done = true
-				s.disconnect(t.call)
+		msg := c.messages[id]
+		for _, att := range msg.attempts {
+			if !att.done && !att.call.done {
+				att.call.done = true
+				s.disconnect(att.call)
 			}
 		}
-		if r.done {
+		if msg.done {
 			continue
 		}
 		if s.Spool {
-			s.breakAttempts(r)
-			c.spooled = append(c.spooled, r)
+			s.breakAttempts(msg)
+			c.spooled = append(c.spooled, msg)
 			continue
 		}
-		r.done = true
-		if class := &s.instance.Day.Classes[r.client.arrival.Class]; class.Repeat != "single-use" || !s.ledger.MayHaveRun(id) {
-			s.schedule(s.now+s.randomIn(s.instance.Day.Clients.Again), func() { s.submit(r.client, s.retryCourier(c), true) })
+		msg.done = true
+		if class := &s.instance.Day.Classes[msg.client.arrival.Class]; class.Repeat != "single-use" || !s.ledger.MayHaveRun(id) {
+			s.schedule(s.now+s.randomIn(s.instance.Day.Clients.Again), func() { s.submit(msg.client, s.retryCourier(c), true) })
 		}
 	}
 	slices.SortStableFunc(c.spooled, func(a, b *message) int { return cmp.Compare(a.number, b.number) })
@@ -158,15 +158,15 @@
 
 // takeUpAgain hands a courier what its folder held.
 func (s *Sim) recoverSpool(c *courier) {
-	for _, r := range c.spooled {
-		if r.done {
+	for _, msg := range c.spooled {
+		if msg.done {
 			continue // withdrawn meanwhile
 		}
-		e := dispatch.MessageRecovered{MessageAccepted: r.accepted}
-		for _, t := range r.attempts {
-			e.Attempts = append(e.Attempts, t.past)
+		e := dispatch.MessageRecovered{MessageAccepted: msg.accepted}
+		for _, att := range msg.attempts {
+			e.Attempts = append(e.Attempts, att.past)
 		}
-		c.messages[r.id] = r
+		c.messages[msg.id] = msg
 		c.openMessages++
 		s.notify(c, e)
 	}
@@ -175,17 +175,17 @@
 
 // cutOff ends what a killed courier had out. A folder knows of an attempt from its first byte on: before, it never was;
 // after, it may have run.
-func (s *Sim) breakAttempts(r *message) {
-	r.openAttempts = 0
-	r.attempts = slices.DeleteFunc(r.attempts, func(t *attempt) bool {
-		if t.done {
+func (s *Sim) breakAttempts(msg *message) {
+	msg.openAttempts = 0
+	msg.attempts = slices.DeleteFunc(msg.attempts, func(att *attempt) bool {
+		if att.done {
 			return false
 		}
-		t.done, t.past.Outcome = true, dispatch.Broken
-		if !t.call.connected {
-			s.ledger.Settled(s.now, r.id, t.ledgerNumber, dispatch.Unreachable, 0)
+		att.done, att.past.Outcome = true, dispatch.Broken
+		if !att.call.connected {
+			s.ledger.Settled(s.now, msg.id, att.ledgerNumber, dispatch.Unreachable, 0)
 		}
-		return !t.call.connected
+		return !att.call.connected
 	})
 }
 
@@ -229,7 +229,7 @@
 	if len(batches) == 0 {
 		return
 	}
-	s.stats.Turns += len(batches)
+	s.stats.Steps += len(batches)
 	all, err := s.host.Turn(s.now, batches)
 	if err != nil {
 		var fault *CourierFault
@@ -258,12 +258,12 @@
 		case dispatch.Cancel:
 			s.cancelAttempt(c, a)
 		case dispatch.Reject:
-			if r := s.endOpenMessage(c, a.Message, invariants.Rejected); r != nil {
-				s.resubmitLater(r.client, c, min(a.RetryAfter, config.Micros(s.instance.Day.Fleet.LongestWait)))
+			if msg := s.endOpenMessage(c, a.Message, invariants.Rejected); msg != nil {
+				s.resubmitLater(msg.client, c, min(a.RetryAfter, config.Micros(s.instance.Day.Fleet.LongestWait)))
 			}
 		case dispatch.Fail:
-			if r := s.endOpenMessage(c, a.Message, invariants.Failed); r != nil {
-				r.client.done = true
+			if msg := s.endOpenMessage(c, a.Message, invariants.Failed); msg != nil {
+				msg.client.done = true
 			}
 		case dispatch.SetTimer:
 			incarnation := c.incarnation
@@ -288,27 +288,27 @@
 
 // ended takes a courier's final answer for a message; nil where it had one already.
 func (s *Sim) endOpenMessage(c *courier, id dispatch.MessageID, end invariants.End) *message {
-	r := c.messages[id]
-	if r == nil || r.done {
+	msg := c.messages[id]
+	if msg == nil || msg.done {
 		s.ledger.Ended(s.now, id, end) // they know what to think of it
 		return nil
 	}
-	s.endMessage(r, end)
-	return r
+	s.endMessage(msg, end)
+	return msg
 }
 
-func (s *Sim) endMessage(r *message, end invariants.End) {
-	s.ledger.Ended(s.now, r.id, end)
-	s.release(r)
+func (s *Sim) endMessage(msg *message, end invariants.End) {
+	s.ledger.Ended(s.now, msg.id, end)
+	s.release(msg)
 }
 
 // close forgets a message that is over, once nothing of it is out.
-func (s *Sim) release(r *message) {
-	if !r.done {
-		r.done = true
-		r.courier.openMessages--
+func (s *Sim) release(msg *message) {
+	if !msg.done {
+		msg.done = true
+		msg.courier.openMessages--
 	}
-	if r.openAttempts == 0 {
-		delete(r.courier.messages, r.id)
+	if msg.openAttempts == 0 {
+		delete(msg.courier.messages, msg.id)
 	}
 }
--- a/testbed/simulation/simulation.go
+++ b/testbed/simulation/simulation.go
@@ -19,7 +19,7 @@
 // Stats tells what a run cost.
 type Stats struct {
 	Events  int // of the world
-	Turns   int // of couriers
+	Steps   int // of couriers
 	Actions int
 	Packets int // between couriers
 }
--- a/testbed/simulation/wrong_test.go
+++ b/testbed/simulation/wrong_test.go
@@ -20,43 +20,43 @@
 	retryAfterUntil map[dispatch.DestinationID]dispatch.Micros
 }
 
-func (w *faultyDecider) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
+func (d *faultyDecider) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
 	for _, e := range events {
 		switch e := e.(type) {
 		case dispatch.MessageAccepted:
-			w.accepted[e.Message] = e
+			d.accepted[e.Message] = e
 		case dispatch.AttemptFinished:
 			if e.MessageDone {
-				w.ended = append(w.ended, e.Message)
+				d.ended = append(d.ended, e.Message)
 			}
 			if e.RetryAfter > 0 {
-				w.retryAfterUntil[w.accepted[e.Message].Destination] = now + e.RetryAfter
+				d.retryAfterUntil[d.accepted[e.Message].Destination] = now + e.RetryAfter
 			}
 		case dispatch.EndpointUpdate:
 			for _, l := range e.Entries {
-				w.entries[l.Endpoint] = l
+				d.entries[l.Endpoint] = l
 				if l.Phase != dispatch.InService {
-					w.notInService[l.Endpoint] = l.Destination
+					d.notInService[l.Endpoint] = l.Destination
 				}
 			}
 		}
 	}
-	actions := w.Decider.Handle(now, events)
+	actions := d.Decider.Handle(now, events)
 	for _, a := range actions {
 		switch a := a.(type) {
 		case dispatch.Send:
-			w.attempts[a.Message]++
+			d.attempts[a.Message]++
 		case dispatch.Reject:
-			w.ended = append(w.ended, a.Message)
+			d.ended = append(d.ended, a.Message)
 		}
 	}
-	return w.modify(w, now, events, actions)
+	return d.modify(d, now, events, actions)
 }
 
 // endpointOf is any endpoint of a destination that is listed, the first by name.
-func (w *faultyDecider) endpointOf(d dispatch.DestinationID) (best dispatch.EndpointID) {
-	for id, l := range w.entries {
-		if l.Destination == d && l.Phase == dispatch.InService && (best == "" || id < best) {
+func (f *faultyDecider) endpointOf(dest dispatch.DestinationID) (best dispatch.EndpointID) {
+	for id, l := range f.entries {
+		if l.Destination == dest && l.Phase == dispatch.InService && (best == "" || id < best) {
 			best = id
 		}
 	}
@@ -173,25 +173,25 @@
 	attempts  int
 }
 
-func (e *eagerDecider) Handle(_ dispatch.Micros, events []dispatch.Event) (out []dispatch.Action) {
+func (d *eagerDecider) Handle(_ dispatch.Micros, events []dispatch.Event) (out []dispatch.Action) {
 	send := func(accepted dispatch.MessageAccepted) {
-		if at := e.endpoints[accepted.Destination]; len(at) > 0 {
-			e.attempts++
-			out = append(out, dispatch.Send{Message: accepted.Message, Endpoint: at[e.attempts%len(at)], Timeout: 2 * 1000 * 1000})
+		if at := d.endpoints[accepted.Destination]; len(at) > 0 {
+			d.attempts++
+			out = append(out, dispatch.Send{Message: accepted.Message, Endpoint: at[d.attempts%len(at)], Timeout: 2 * 1000 * 1000})
 		}
 	}
 	for _, event := range events {
 		switch event := event.(type) {
 		case dispatch.EndpointUpdate:
 			for _, l := range event.Entries {
-				e.endpoints[l.Destination] = append(e.endpoints[l.Destination], l.Endpoint)
+				d.endpoints[l.Destination] = append(d.endpoints[l.Destination], l.Endpoint)
 			}
 		case dispatch.MessageAccepted:
-			e.accepted[event.Message] = event
+			d.accepted[event.Message] = event
 			send(event)
 		case dispatch.AttemptFinished:
 			if !event.MessageDone && event.Attempt < 20 {
-				send(e.accepted[event.Message])
+				send(d.accepted[event.Message])
 			}
 		}
 	}
--- a/testbed/soak/clients.go
+++ b/testbed/soak/clients.go
@@ -94,33 +94,33 @@
 }
 
 // judge looks at what endpoints and the platform saw of each message.
-func (c *clients) check(p *run, r *Result) {
+func (c *clients) check(r *run, res *Result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r.Accepted, r.Rejected, r.Unanswered = len(c.accepted), len(c.rejected), c.unanswered
+	res.Accepted, res.Rejected, res.Unanswered = len(c.accepted), len(c.rejected), c.unanswered
 	for _, id := range c.accepted {
-		starts, deliveries, notices := p.world.Seen(id)
+		starts, deliveries, notices := r.world.Seen(id)
 		if deliveries > 0 {
-			r.Delivered++
+			res.Delivered++
 		} else if len(notices) > 0 {
-			r.Notices++
+			res.Notices++
 		}
 		if strings.HasPrefix(id, "order") && starts > 1 {
-			r.Breaches = append(r.Breaches, fmt.Sprintf("double effect: %s ran %d times", id, starts))
+			res.Breaches = append(res.Breaches, fmt.Sprintf("double effect: %s ran %d times", id, starts))
 		}
 		if starts > 0 && deliveries == 0 && len(notices) > 0 && notices[0] == "deferred" && strings.HasPrefix(id, "order") {
-			r.Breaches = append(r.Breaches, fmt.Sprintf("rejected though it may have run: %s", id))
+			res.Breaches = append(res.Breaches, fmt.Sprintf("rejected though it may have run: %s", id))
 		}
 	}
 	for _, id := range c.rejected {
-		if starts, _, _ := p.world.Seen(id); starts > 0 && strings.HasPrefix(id, "order") {
-			r.Breaches = append(r.Breaches, fmt.Sprintf("refused, and ran: %s", id))
+		if starts, _, _ := r.world.Seen(id); starts > 0 && strings.HasPrefix(id, "order") {
+			res.Breaches = append(res.Breaches, fmt.Sprintf("refused, and ran: %s", id))
 		}
 	}
-	if c.unanswered > 0 && !p.plan.mayCloseUnanswered() {
-		r.Breaches = append(r.Breaches, fmt.Sprintf("closed with no answer: %d requests", c.unanswered))
+	if c.unanswered > 0 && !r.plan.mayCloseUnanswered() {
+		res.Breaches = append(res.Breaches, fmt.Sprintf("closed with no answer: %d requests", c.unanswered))
 	}
-	if r.Accepted == 0 {
-		r.Breaches = append(r.Breaches, "nothing was accepted")
+	if res.Accepted == 0 {
+		res.Breaches = append(res.Breaches, "nothing was accepted")
 	}
 }
--- a/testbed/soak/play.go
+++ b/testbed/soak/play.go
@@ -89,22 +89,22 @@
 
 func runIn(ctx context.Context, dir string, o Options) (*Result, error) {
 	rng := rand.New(rand.NewSource(o.Seed))
-	p := &run{options: o, plan: drawPlan(rng, o.Length), faultCounts: map[string]int{}, dir: dir}
-	if err := p.open(rng.Int63()); err != nil {
+	r := &run{options: o, plan: drawPlan(rng, o.Length), faultCounts: map[string]int{}, dir: dir}
+	if err := r.open(rng.Int63()); err != nil {
 		return nil, err
 	}
-	defer p.close()
-	if err := p.start(); err != nil {
+	defer r.close()
+	if err := r.start(); err != nil {
 		return nil, err
 	}
-	p.startedAt = time.Now()
-	stopClients := p.clients.run(p.address, o.Seed)
+	r.startedAt = time.Now()
+	stopClients := r.clients.run(r.address, o.Seed)
 	var running sync.WaitGroup
 	runCtx, stop := context.WithTimeout(ctx, o.Length)
-	for _, a := range p.plan.actions {
-		running.Go(func() { p.perform(runCtx, a) })
+	for _, a := range r.plan.actions {
+		running.Go(func() { r.perform(runCtx, a) })
 	}
-	running.Go(func() { p.watchProcess(runCtx) })
+	running.Go(func() { r.watchProcess(runCtx) })
 	<-runCtx.Done()
 	stop()
 	running.Wait()
@@ -112,43 +112,43 @@
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	p.awaitOutcomes()
-	return p.result()
+	r.awaitOutcomes()
+	return r.result()
 }
 
-func (p *run) open(seed int64) error {
-	if err := os.MkdirAll(filepath.Join(p.dir, "state"), 0o755); err != nil {
+func (r *run) open(seed int64) error {
+	if err := os.MkdirAll(filepath.Join(r.dir, "state"), 0o755); err != nil {
 		return err
 	}
 	rng, lock := rand.New(rand.NewSource(seed)), sync.Mutex{}
-	world, err := scripted.Open(endpoints, func(string) scripted.Fate { return drawFate(rng, p.plan.endpointFaultRate) })
+	world, err := scripted.Open(endpoints, func(string) scripted.Fate { return drawFate(rng, r.plan.endpointFaultRate) })
 	if err != nil {
 		return err
 	}
-	p.world = world
+	r.world = world
 	polls := rand.New(rand.NewSource(seed + 1))
-	p.proxy, err = faultproxy.Open(world.Discovery, func(call faultproxy.Call) faultproxy.Treatment {
+	r.proxy, err = faultproxy.Open(world.Discovery, func(call faultproxy.Call) faultproxy.Treatment {
 		lock.Lock()
 		defer lock.Unlock()
-		if !call.IsPoll() || time.Since(p.startedAt) < p.plan.quietPeriod {
+		if !call.IsPoll() || time.Since(r.startedAt) < r.plan.quietPeriod {
 			return faultproxy.Treatment{}
 		}
-		return drawTreatment(polls, p.plan.discoveryFaultRate)
+		return drawTreatment(polls, r.plan.discoveryFaultRate)
 	})
 	if err != nil {
 		return err
 	}
-	world.Discovery = p.proxy.Address
+	world.Discovery = r.proxy.Address
 	address, release, err := port.Reserve()
 	if err != nil {
 		return err
 	}
 	release()
-	p.address = address
-	if err := os.WriteFile(filepath.Join(p.dir, "config.json"), world.Configuration(fmt.Sprintf("soak-%d", p.options.Seed), address), 0o644); err != nil {
+	r.address = address
+	if err := os.WriteFile(filepath.Join(r.dir, "config.json"), world.Configuration(fmt.Sprintf("soak-%d", r.options.Seed), address), 0o644); err != nil {
 		return err
 	}
-	p.log, err = os.Create(filepath.Join(p.dir, "log"))
+	r.log, err = os.Create(filepath.Join(r.dir, "log"))
 	return err
 }
 
@@ -162,37 +162,37 @@
 	return fates[rng.Intn(len(fates))]
 }
 
-func (p *run) close() {
-	p.mu.Lock()
-	child := p.child
-	p.stopRequested = true
-	p.mu.Unlock()
+func (r *run) close() {
+	r.mu.Lock()
+	child := r.child
+	r.stopRequested = true
+	r.mu.Unlock()
 	if child != nil {
 		child.Signal(syscall.SIGKILL)
 		<-child.Done
 	}
-	p.proxy.Close()
-	p.world.Close()
-	p.log.Close()
+	r.proxy.Close()
+	r.world.Close()
+	r.log.Close()
 }
 
 // start starts the courier, and returns once it answers.
-func (p *run) start() error {
-	state := filepath.Join(p.dir, "state")
-	env := append(os.Environ(), "RELAY_CONFIG="+filepath.Join(p.dir, "config.json"), "RELAY_STATE="+state)
-	child, err := syscallfault.Start(p.options.Binary, env, p.log, tracedCalls, func(call *syscallfault.Call) syscallfault.Effect { return p.effectFor(call, state) })
+func (r *run) start() error {
+	state := filepath.Join(r.dir, "state")
+	env := append(os.Environ(), "RELAY_CONFIG="+filepath.Join(r.dir, "config.json"), "RELAY_STATE="+state)
+	child, err := syscallfault.Start(r.options.Binary, env, r.log, tracedCalls, func(call *syscallfault.Call) syscallfault.Effect { return r.effectFor(call, state) })
 	if err != nil {
 		return err
 	}
-	p.mu.Lock()
-	p.child, p.processStartedAt, p.stopRequested = child, time.Now(), false
-	p.mu.Unlock()
+	r.mu.Lock()
+	r.child, r.processStartedAt, r.stopRequested = child, time.Now(), false
+	r.mu.Unlock()
 	for deadline := time.Now().Add(readyTimeout); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
-		if respondsToPing(p.address) {
+		if respondsToPing(r.address) {
 			return nil
 		}
 	}
-	p.breachf("not ready within %v of its start", readyTimeout)
+	r.breachf("not ready within %v of its start", readyTimeout)
 	return nil
 }
 
@@ -209,12 +209,12 @@
 	return err == nil && string(reply) == "+PONG\r\n"
 }
 
-func (p *run) effectFor(call *syscallfault.Call, state string) syscallfault.Effect {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, a := range p.activeFaults {
+func (r *run) effectFor(call *syscallfault.Call, state string) syscallfault.Effect {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, a := range r.activeFaults {
 		if a.matches(call, state) {
-			p.faultCounts[a.name]++
+			r.faultCounts[a.name]++
 			return a.effect
 		}
 	}
@@ -222,27 +222,27 @@
 }
 
 // carryOut waits for an act's instant and carries it out.
-func (p *run) perform(ctx context.Context, a action) {
+func (r *run) perform(ctx context.Context, a action) {
 	if !wait(ctx, a.at) {
 		return
 	}
-	p.logf("%s", a.name)
+	r.logf("%s", a.name)
 	switch a.name {
 	case actionDrain:
-		p.drain(ctx)
+		r.drain(ctx)
 	case actionOpenConnections:
-		p.openConnections(ctx)
+		r.openConnections(ctx)
 	case actionKill, actionTerminate, actionReload:
-		p.signal(ctx, a.name)
+		r.signal(ctx, a.name)
 	default:
-		p.mu.Lock()
-		p.activeFaults = append(p.activeFaults, a)
-		p.mu.Unlock()
+		r.mu.Lock()
+		r.activeFaults = append(r.activeFaults, a)
+		r.mu.Unlock()
 		wait(ctx, a.duration)
-		p.mu.Lock()
-		p.activeFaults = slices.DeleteFunc(p.activeFaults, func(other action) bool { return other.name == a.name })
-		p.mu.Unlock()
-		p.logf("%s is over", a.name)
+		r.mu.Lock()
+		r.activeFaults = slices.DeleteFunc(r.activeFaults, func(other action) bool { return other.name == a.name })
+		r.mu.Unlock()
+		r.logf("%s is over", a.name)
 	}
 }
 
@@ -257,16 +257,16 @@
 }
 
 // signal sends a signal; a process that is to end is started again once it has.
-func (p *run) signal(ctx context.Context, name string) {
-	p.mu.Lock()
-	child, stopping := p.child, p.stopRequested
+func (r *run) signal(ctx context.Context, name string) {
+	r.mu.Lock()
+	child, stopping := r.child, r.stopRequested
 	if stopping && name != actionKill { // a kill may come in the middle of a shutdown
-		p.mu.Unlock()
+		r.mu.Unlock()
 		return
 	}
-	p.stopRequested = p.stopRequested || name != actionReload
-	p.faultCounts[name]++
-	p.mu.Unlock()
+	r.stopRequested = r.stopRequested || name != actionReload
+	r.faultCounts[name]++
+	r.mu.Unlock()
 	switch name {
 	case actionReload:
 		child.Signal(syscall.SIGHUP)
@@ -285,23 +285,23 @@
 	if stopping { // whoever ended it starts it
 		return
 	}
-	wait(ctx, time.Duration(p.options.Seed%6)*maxDowntime/6)
-	if err := p.start(); err != nil {
-		p.breachf("not started again: %v", err)
+	wait(ctx, time.Duration(r.options.Seed%6)*maxDowntime/6)
+	if err := r.start(); err != nil {
+		r.breachf("not started again: %v", err)
 	}
-	p.logf("started")
+	r.logf("started")
 }
 
 // watchProcess sees that the process does not end by itself.
-func (p *run) watchProcess(ctx context.Context) {
+func (r *run) watchProcess(ctx context.Context) {
 	for wait(ctx, 50*time.Millisecond) {
-		p.mu.Lock()
-		child, stopRequested := p.child, p.stopRequested
-		p.mu.Unlock()
+		r.mu.Lock()
+		child, stopRequested := r.child, r.stopRequested
+		r.mu.Unlock()
 		select {
 		case <-child.Done:
 			if !stopRequested {
-				p.breachf("the process ended by itself: %v", child.Status())
+				r.breachf("the process ended by itself: %v", child.Status())
 				return
 			}
 		default:
@@ -311,37 +311,37 @@
 
 // drain drains an endpoint and watches that nothing new goes there once that must be known. A process that has just started may have it from its
 // configuration, and is held to it like to a change.
-func (p *run) drain(ctx context.Context) {
-	drained := int(p.options.Seed % endpoints)
-	p.mu.Lock()
-	p.faultCounts[actionDrain]++
-	p.mu.Unlock()
+func (r *run) drain(ctx context.Context) {
+	drained := int(r.options.Seed % endpoints)
+	r.mu.Lock()
+	r.faultCounts[actionDrain]++
+	r.mu.Unlock()
 	at := time.Now()
-	p.world.Drain(drained)
-	calls := p.world.Calls(drained)
+	r.world.Drain(drained)
+	calls := r.world.Calls(drained)
 	for wait(ctx, 20*time.Millisecond) {
-		p.mu.Lock()
+		r.mu.Lock()
 		knownAt := at
-		if p.processStartedAt.After(knownAt) {
-			knownAt = p.processStartedAt
+		if r.processStartedAt.After(knownAt) {
+			knownAt = r.processStartedAt
 		}
-		p.mu.Unlock()
-		current := p.world.Calls(drained)
+		r.mu.Unlock()
+		current := r.world.Calls(drained)
 		if late := time.Since(knownAt) - changeDeadline - drainGrace - 50*time.Millisecond; current > calls && late > 0 {
-			p.breachf("drain: %d calls to a draining endpoint, %v after that must have been known", current-calls, late.Round(time.Millisecond))
+			r.breachf("drain: %d calls to a draining endpoint, %v after that must have been known", current-calls, late.Round(time.Millisecond))
 		}
 		calls = current
 	}
 }
 
 // crowd fills the courier with idle connections.
-func (p *run) openConnections(ctx context.Context) {
-	p.mu.Lock()
-	p.faultCounts[actionOpenConnections]++
-	p.mu.Unlock()
+func (r *run) openConnections(ctx context.Context) {
+	r.mu.Lock()
+	r.faultCounts[actionOpenConnections]++
+	r.mu.Unlock()
 	var conns []net.Conn
 	for range 300 {
-		if conn, err := net.DialTimeout("tcp", p.address, 100*time.Millisecond); err == nil {
+		if conn, err := net.DialTimeout("tcp", r.address, 100*time.Millisecond); err == nil {
 			conns = append(conns, conn)
 		}
 	}
@@ -351,31 +351,31 @@
 	}
 }
 
-func (p *run) logf(format string, args ...any) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.timeline = append(p.timeline, fmt.Sprintf("%8.3f %s", time.Since(p.startedAt).Seconds(), fmt.Sprintf(format, args...)))
+func (r *run) logf(format string, args ...any) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.timeline = append(r.timeline, fmt.Sprintf("%8.3f %s", time.Since(r.startedAt).Seconds(), fmt.Sprintf(format, args...)))
 }
 
-func (p *run) breachf(format string, args ...any) {
-	p.logf("BREACH "+format, args...)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.breaches = append(p.breaches, fmt.Sprintf(format, args...))
+func (r *run) breachf(format string, args ...any) {
+	r.logf("BREACH "+format, args...)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.breaches = append(r.breaches, fmt.Sprintf(format, args...))
 }
 
 // awaitEnds waits until every message that was accepted has ended, for as long as it may take.
-func (p *run) awaitOutcomes() {
+func (r *run) awaitOutcomes() {
 	const restart = 1500 * time.Millisecond
-	p.mu.Lock()
-	p.activeFaults = nil
-	p.mu.Unlock()
+	r.mu.Lock()
+	r.activeFaults = nil
+	r.mu.Unlock()
 	deadline := time.Now().Add(timeToLive + 350*time.Millisecond + restart)
-	for _, id := range p.clients.acceptedIDs() {
-		for !p.hasOutcome(id) {
+	for _, id := range r.clients.acceptedIDs() {
+		for !r.hasOutcome(id) {
 			if time.Now().After(deadline) {
-				starts, _, _ := p.world.Seen(id)
-				p.breachf("final answer: %s was accepted and has none; begun %d times", id, starts)
+				starts, _, _ := r.world.Seen(id)
+				r.breachf("final answer: %s was accepted and has none; begun %d times", id, starts)
 				break
 			}
 			time.Sleep(10 * time.Millisecond)
@@ -383,38 +383,38 @@
 	}
 }
 
-func (p *run) hasOutcome(id string) bool {
-	_, deliveries, notices := p.world.Seen(id)
+func (r *run) hasOutcome(id string) bool {
+	_, deliveries, notices := r.world.Seen(id)
 	return deliveries > 0 || len(notices) > 0
 }
 
 // result judges what is over, and writes down a play that broke a rule.
-func (p *run) result() (*Result, error) {
-	r := &Result{Seed: p.options.Seed, Struck: map[string]int{}}
-	p.clients.check(p, r)
-	for fault, n := range p.proxy.Struck() {
+func (r *run) result() (*Result, error) {
+	res := &Result{Seed: r.options.Seed, Struck: map[string]int{}}
+	r.clients.check(r, res)
+	for fault, n := range r.proxy.FaultCounts() {
 		if fault != faultproxy.None {
-			r.Struck["discovery "+fault.String()] += n
+			res.Struck["discovery "+fault.String()] += n
 		}
 	}
-	p.mu.Lock()
-	for name, n := range p.faultCounts {
-		r.Struck[name] += n
+	r.mu.Lock()
+	for name, n := range r.faultCounts {
+		res.Struck[name] += n
 	}
-	r.Breaches = append(r.Breaches, p.breaches...)
-	for _, a := range p.plan.actions {
-		if r.Struck[a.name] == 0 && !slices.Contains(r.NotStruck, a.name) {
-			r.NotStruck = append(r.NotStruck, a.name)
+	res.Breaches = append(res.Breaches, r.breaches...)
+	for _, a := range r.plan.actions {
+		if res.Struck[a.name] == 0 && !slices.Contains(res.NotStruck, a.name) {
+			res.NotStruck = append(res.NotStruck, a.name)
 		}
 	}
-	timeline := strings.Join(p.timeline, "\n")
-	p.mu.Unlock()
-	if len(r.Breaches) == 0 {
-		return r, nil
+	timeline := strings.Join(r.timeline, "\n")
+	r.mu.Unlock()
+	if len(res.Breaches) == 0 {
+		return res, nil
 	}
-	r.Folder = p.dir
-	for _, call := range p.proxy.Calls() {
-		timeline += fmt.Sprintf("\n%8.3f discovery %s %s %v, answered %.3f", call.Read.Sub(p.startedAt).Seconds(), call.Path, call.Query.Encode(), call.Fault, call.Answered.Sub(p.startedAt).Seconds())
+	res.Folder = r.dir
+	for _, call := range r.proxy.Calls() {
+		timeline += fmt.Sprintf("\n%8.3f discovery %s %s %v, answered %.3f", call.Read.Sub(r.startedAt).Seconds(), call.Path, call.Query.Encode(), call.Fault, call.Answered.Sub(r.startedAt).Seconds())
 	}
-	return r, errors.Join(os.WriteFile(filepath.Join(p.dir, "timeline"), []byte(timeline+"\n"+strings.Join(r.Breaches, "\n")), 0o644))
+	return res, errors.Join(os.WriteFile(filepath.Join(r.dir, "timeline"), []byte(timeline+"\n"+strings.Join(res.Breaches, "\n")), 0o644))
 }
--- a/testbed/soak/soak_test.go
+++ b/testbed/soak/soak_test.go
@@ -65,11 +65,11 @@
 		t.Fatal(err)
 	}
 	response.Body.Close()
-	p := &run{world: world}
-	p.clients.accepted, p.clients.rejected, p.clients.unanswered = []string{"order-twice", "order-well", "order-deferred"}, []string{"order-refused"}, 1
-	r := &Result{}
-	p.clients.check(p, r)
-	if len(r.Breaches) != 4 || r.Delivered != 2 || r.Notices != 1 {
-		t.Errorf("%+v", r)
+	r := &run{world: world}
+	r.clients.accepted, r.clients.rejected, r.clients.unanswered = []string{"order-twice", "order-well", "order-deferred"}, []string{"order-refused"}, 1
+	res := &Result{}
+	r.clients.check(r, res)
+	if len(res.Breaches) != 4 || res.Delivered != 2 || res.Notices != 1 {
+		t.Errorf("%+v", res)
 	}
 }
