--- a/testbed/faultproxy/faultproxy.go
+++ b/testbed/faultproxy/faultproxy.go
@@ -1,5 +1,6 @@
-// Package faultproxy stands between a courier and discovery and treats each call as a test says: passes it on, refuses it, falls
-// silent, or spoils its answer on the way. It keeps both sides' times of every call.
+// Package faultproxy is an HTTP proxy between a courier and discovery that injects faults chosen by the test:
+// it forwards a call, refuses it, leaves it unanswered, or damages the response. It records when each call
+// was read and when its response was written.
 package faultproxy
 
 import (
@@ -14,49 +15,49 @@
 	"time"
 )
 
-// Fault is what happens to a call.
+// Fault is the fault injected into a call.
 type Fault int
 
-// The faults.
+// The faults that can be injected.
 const (
 	None        Fault = iota
-	Silent            // no answer, and the connection stays open
-	Reset             // the connection is reset once the call has been read
-	Unavailable       // 503 at once, as from an overloaded server
-	Cut               // the answer ends in the middle of its body
-	Stuck             // the same, but the connection stays open and silent
-	Duplicate         // the answer comes twice
-	Late              // the answer comes after Treatment.Delay
-	Trickle           // the answer comes byte by byte, over Treatment.Delay
-	Endless           // the head of the answer does not end
-	Spoilt            // the body is what Treatment.Edit makes of it
+	Silent            // no response; the connection stays open
+	Reset             // the connection is reset after the request has been read
+	Unavailable       // immediate 503 response, as from an overloaded server
+	Cut               // the connection closes after half of the response body
+	Stuck             // half of the response body is sent, then nothing; the connection stays open
+	Duplicate         // the response is sent twice
+	Late              // the response is sent after Treatment.Delay
+	Trickle           // the response is sent byte by byte over Treatment.Delay
+	Endless           // the response header never ends
+	Spoilt            // the response body is modified by Treatment.Edit
 )
 
 var faultNames = [...]string{"none", "silent", "reset", "unavailable", "cut", "stuck", "duplicate", "late", "trickle", "endless", "spoilt"}
 
 func (f Fault) String() string { return faultNames[f] }
 
-// Treatment is how a call is treated.
+// Treatment is the fault for one call and its parameters.
 type Treatment struct {
 	Fault Fault
 	Delay time.Duration
-	Edit  func(body []byte) []byte // of Spoilt
+	Edit  func(body []byte) []byte // modifies the response body for Spoilt
 }
 
-// Call is one call as the proxy saw it.
+// Call is one call as seen by the proxy.
 type Call struct {
-	Number   int // from 0, over all connections
+	Number   int // counted from 0 over all connections
 	Path     string
 	Query    url.Values
 	Fault    Fault
-	Read     time.Time // when the last byte of the call had been read
-	Answered time.Time // when the last byte that comes of the answer was written; zero for none
+	Read     time.Time // when the last byte of the request was read
+	Answered time.Time // when the last byte of the response was written; zero if none was
 }
 
-// IsPoll reports whether the call asks for the endpoint list.
+// IsPoll reports whether the call requests the endpoint list.
 func (c Call) IsPoll() bool { return c.Path == "/v1/servers" }
 
-// Proxy is one proxy.
+// Proxy is an HTTP proxy that injects faults.
 type Proxy struct {
 	Address string
 
@@ -71,7 +72,8 @@
 	conns map[net.Conn]bool
 }
 
-// Open starts a proxy on loopback in front of upstream, an address; decide is asked once for each call, by several goroutines.
+// Open starts a proxy on a loopback port in front of the address upstream. It calls decide once for each
+// call; calls of decide are serialized.
 func Open(upstream string, decide func(Call) Treatment) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -83,7 +85,7 @@
 	return p, nil
 }
 
-// Close ends it and all of its connections.
+// Close stops the proxy and closes all of its connections.
 func (p *Proxy) Close() {
 	close(p.closed)
 	p.listener.Close()
@@ -102,7 +104,7 @@
 	return append([]Call(nil), p.calls...)
 }
 
-// FaultCounts counts the calls by what happened to them; a fault that never struck was not tested.
+// FaultCounts returns the number of calls for each fault. A fault with a count of zero was not tested.
 func (p *Proxy) FaultCounts() map[Fault]int {
 	struck := map[Fault]int{}
 	for _, call := range p.Calls() {
@@ -164,11 +166,11 @@
 	p.calls[number].Answered = time.Now()
 }
 
-// treat plays one call and reports whether its connection is kept.
+// handle responds to one call with its fault, and reports whether the connection stays open.
 func (p *Proxy) handle(conn net.Conn, number int, treatment Treatment, request *http.Request, body []byte) bool {
 	switch treatment.Fault {
 	case Silent:
-		return true // it waits for another call, which does not come before the connection ends
+		return true // wait for the next request; the client closes the connection without sending one
 	case Reset:
 		reset(conn)
 		return false
@@ -187,7 +189,7 @@
 	return p.deliver(conn, treatment, status, answer)
 }
 
-// deliver writes an answer with its fault.
+// deliver writes a response with its fault, and reports whether the connection stays open.
 func (p *Proxy) deliver(conn net.Conn, treatment Treatment, status int, body []byte) bool {
 	if treatment.Fault == Spoilt {
 		body = treatment.Edit(body)
@@ -227,7 +229,7 @@
 	}
 }
 
-// forward plays a call upstream.
+// forward sends a request to the upstream server and reads the response.
 func (p *Proxy) forward(request *http.Request, body []byte) (status int, answer []byte, err error) {
 	forwarded, err := http.NewRequest(request.Method, "http://"+p.upstream+request.URL.RequestURI(), bytes.NewReader(body))
 	if err != nil {
--- a/testbed/fleet/fleet.go
+++ b/testbed/fleet/fleet.go
@@ -1,5 +1,6 @@
-// Package fleet plays a day with many real couriers that know each other, while the network between them fails and they are
-// killed, stopped and restarted: it brings up the rig, watches what each believes of the others, and measures.
+// Package fleet runs a fleet of real couriers that know each other through membership. During the run it
+// injects network faults between the couriers, kills, pauses and restarts them, polls each courier's view of
+// the members, and measures failure detection, convergence and traffic.
 package fleet
 
 import (
@@ -35,37 +36,38 @@
 //go:embed days/*.toml
 var builtIn embed.FS
 
-// Plan is a fleet's day: a day of the testbed, and what goes wrong between the couriers besides.
+// Plan is a fleet test: a testbed scenario plus the faults that are injected between and into its couriers.
 type Plan struct {
 	About    string           `toml:"about"`
-	Day      string           `toml:"day"`      // whose destinations, classes and traffic it takes
-	Couriers int              `toml:"couriers"` // 0: the day's own
+	Day      string           `toml:"day"`      // name of the scenario that supplies destinations, classes and traffic
+	Couriers int              `toml:"couriers"` // 0: as many as the scenario has
 	Length   float64          `toml:"length_s"`
-	Load     float64          `toml:"full_per_s"` // messages a second at full load, for each courier
+	Load     float64          `toml:"full_per_s"` // messages per second at full load, for each courier
 	Faults   []netfault.Fault `toml:"fault"`
 }
 
-// Process faults, beside those of the network: what happens to each courier named, At, for Length.
+// Process faults, in addition to the network faults: what happens to each courier in From, starting at At,
+// for Length.
 const (
-	Kill        = "kill"         // killed outright, and started again with its folder
-	Stop        = "stop"         // stands still
-	Roll        = "roll"         // asked to end one after the other, and started again
-	LoseFolder  = "lose-folder"  // killed, and started again without its folder
-	OlderFolder = "older-folder" // killed, and started again with its folder as it was at the beginning
-	Move        = "move"         // killed, and started again at another address
+	Kill        = "kill"         // killed with SIGKILL and restarted with its state folder
+	Stop        = "stop"         // paused for the length of the fault
+	Roll        = "roll"         // shut down gracefully and restarted, one courier after the other
+	LoseFolder  = "lose-folder"  // killed and restarted without its incarnation file
+	OlderFolder = "older-folder" // killed and restarted with its incarnation file as it was at the start of the run
+	Move        = "move"         // killed and restarted at another address
 )
 
 var processFaults = []string{Kill, Stop, Roll, LoseFolder, OlderFolder, Move}
 
-// Days lists the plans that come with the testbed.
+// Days returns the names of the built-in plans.
 func Days() []string { return scenario.Names(builtIn) }
 
-// Find reads a plan that comes with the testbed, or else a file.
+// Find returns the built-in plan of that name, or reads the plan file at that path.
 func Find(name string) (*Plan, error) {
 	text, err := builtIn.ReadFile(path.Join("days", name+".toml"))
 	if err != nil {
 		if text, err = os.ReadFile(name); err != nil {
-			return nil, fmt.Errorf("no fleet's day has the name %q; there are %s, and files", name, strings.Join(Days(), ", "))
+			return nil, fmt.Errorf("unknown plan %q: expected one of %s, or a file", name, strings.Join(Days(), ", "))
 		}
 	}
 	p := &Plan{}
@@ -80,66 +82,69 @@
 	for i, f := range p.Faults {
 		switch {
 		case !netfault.IsNetworkFault(f.Kind) && !slices.Contains(processFaults, f.Kind):
-			return fmt.Errorf("%s: fault.%d.kind: no fault has the name %q", name, i, f.Kind)
+			return fmt.Errorf("%s: fault.%d.kind: unknown kind %q", name, i, f.Kind)
 		case f.At < 0 || f.Length <= 0 || f.At+f.Length > p.Length:
-			return fmt.Errorf("%s: fault.%d: a span within the day's %v s was expected, not %v s from %v s", name, i, p.Length, f.Length, f.At)
+			return fmt.Errorf("%s: fault.%d: expected a time span within the run of %v s, got %v s from %v s", name, i, p.Length, f.Length, f.At)
 		case len(f.From) == 0 && !netfault.IsNetworkFault(f.Kind):
-			return fmt.Errorf("%s: fault.%d.from: the couriers that it affects were expected", name, i)
+			return fmt.Errorf("%s: fault.%d.from: expected the affected couriers", name, i)
 		}
 	}
 	return nil
 }
 
-// Options are how it is played.
+// Options are the settings of a run.
 type Options struct {
 	Binary string
 	Dir    string
 	Seed   int64
-	Peers  bool          // membership on
-	Share  bool          // limits are shared over it
-	Pace   time.Duration // of the detector; 0: 200 ms, so that a day of half a minute shows it
-	Trace  io.Writer     // of the network; nil: none
+	Peers  bool          // whether membership is on
+	Share  bool          // whether couriers share quotas over membership
+	Pace   time.Duration // probe interval of the failure detector; 0: 200 ms, short enough for a run of 30 s
+	Trace  io.Writer     // receives the network trace; nil: no trace
 	Log    *slog.Logger
 }
 
-// Result is what came of it.
+// Result is the outcome of a run.
 type Result struct {
 	Verdict  *invariants.Verdict `json:"verdict"`
 	Cost     realtime.Cost       `json:"cost"`
 	Couriers int                 `json:"couriers"`
 	Struck   map[string]int      `json:"struck"`
 	Idle     []string            `json:"faults_that_never_struck,omitempty"`
-	// Known are spans in seconds, one for each courier that came to know: of a death, and of a return.
+	// Deaths and Returns hold detection times in seconds, one for each courier that observed a failure or a
+	// return.
 	Deaths  []float64 `json:"deaths_known_s"`
 	Returns []float64 `json:"returns_known_s"`
-	// False counts deaths believed while the courier was up, by kind of fault that was on (none: no fault).
+	// False counts detected failures of couriers that were up, by the kinds of fault active at the time
+	// ("none" without a fault).
 	False    map[string]int  `json:"deaths_believed_that_were_none"`
-	Fewer    int             `json:"counted_fewer"` // looks at which a courier counted on fewer than there are
+	Fewer    int             `json:"counted_fewer"` // polls in which a courier's upper estimate of the fleet size was too low
 	Whole    bool            `json:"whole_at_the_end"`
 	Healed   float64         `json:"whole_after_the_last_fault_s"`
 	Messages float64         `json:"packets_a_second_each"`
 	Bytes    float64         `json:"bytes_a_second_each"`
 	Hours    float64         `json:"process_hours"`
 	Drawn    *scenario.Drawn `json:"-"`
-	// Of what couriers share: leases that were seen, what was wrong with them, and what was heard.
+	// Quota sharing: leases seen, violations of the lease rules, and the traffic between couriers.
 	Leases     int      `json:"loans_seen"`
-	Widest     float64  `json:"widest_loan"` // of a base part
+	Widest     float64  `json:"widest_loan"` // largest sum of one courier's leases for a route, as a multiple of its base part
 	Overspent  []string `json:"overspent,omitempty"`
 	Parts      Parts    `json:"parts,omitempty"`
 	Packets    float64  `json:"commons_packets_a_second_each"`
 	ShareBytes float64  `json:"commons_bytes_a_second_each"`
 }
 
-// Parts is what of each limit was granted and leased over time, as shares of it summed over couriers, by destination and invariants.Bin.
+// Parts holds, for each destination, how much of its limits was granted and leased over time. Values are
+// shares summed over all couriers, one for each invariants.Bin.
 type Parts map[int32]*LeaseTotals
 
-// LeaseTotals is one destination's.
+// LeaseTotals are the totals of one destination.
 type LeaseTotals struct {
 	Granted []float64 `json:"lent"`
 	Leased  []float64 `json:"borrowed"`
 }
 
-// total books what stands at an instant.
+// recordTotals adds the current grants and leases of all couriers to the time series.
 func (r *run) recordTotals(now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -164,7 +169,7 @@
 	}
 }
 
-// look is what a courier says of its fleet.
+// courierStatus is a courier's answer to GET /peers.
 type courierStatus struct {
 	Status  string `json:"standing"`
 	Least   int    `json:"least"`
@@ -180,7 +185,7 @@
 	} `json:"figures"`
 }
 
-// rig is a day under way.
+// run is the state of a fleet run in progress.
 type run struct {
 	plan        *Plan
 	options     Options
@@ -188,13 +193,13 @@
 	net         *netfault.Net
 	adminAddrs  []string
 	gossipAddrs []string
-	field       *realtime.Field
+	session     *realtime.Field
 
 	mu            sync.Mutex
-	downSince     map[int]time.Time // since when a courier is away
+	downSince     map[int]time.Time // when each stopped courier went down
 	restartedAt   map[int]time.Time
 	starts        map[int]int
-	activeFaults  map[string]int // faults that are on
+	activeFaults  map[string]int // number of active faults of each kind
 	memberStates  map[[2]int]string
 	result        *Result
 	statuses      []courierStatus
@@ -203,19 +208,19 @@
 	notTriggered  []string
 }
 
-// Play plays a plan.
+// Play runs a plan and returns its result.
 func Play(ctx context.Context, p *Plan, o Options) (*Result, error) {
-	day, err := scenario.Find(p.Day)
+	definition, err := scenario.Find(p.Day)
 	if err != nil {
 		return nil, err
 	}
 	if p.Couriers > 0 {
-		day.Fleet.Couriers = p.Couriers
+		definition.Fleet.Couriers = p.Couriers
 	}
 	if p.Load > 0 {
-		day.Traffic.FullPerSec = p.Load * float64(day.Fleet.Couriers)
+		definition.Traffic.FullPerSec = p.Load * float64(definition.Fleet.Couriers)
 	}
-	day.Length = p.Length
+	definition.Length = p.Length
 	if o.Pace == 0 {
 		o.Pace = 200 * time.Millisecond
 	}
@@ -227,8 +232,8 @@
 		defer os.RemoveAll(dir)
 		o.Dir = dir
 	}
-	r := &run{plan: p, options: o, couriers: day.Fleet.Couriers, downSince: map[int]time.Time{}, restartedAt: map[int]time.Time{}, starts: map[int]int{}, activeFaults: map[string]int{},
-		memberStates: map[[2]int]string{}, statuses: make([]courierStatus, day.Fleet.Couriers), quotaStatuses: make([]exchange.Status, day.Fleet.Couriers), result: &Result{Couriers: day.Fleet.Couriers, False: map[string]int{}, Parts: Parts{}}}
+	r := &run{plan: p, options: o, couriers: definition.Fleet.Couriers, downSince: map[int]time.Time{}, restartedAt: map[int]time.Time{}, starts: map[int]int{}, activeFaults: map[string]int{},
+		memberStates: map[[2]int]string{}, statuses: make([]courierStatus, definition.Fleet.Couriers), quotaStatuses: make([]exchange.Status, definition.Fleet.Couriers), result: &Result{Couriers: definition.Fleet.Couriers, False: map[string]int{}, Parts: Parts{}}}
 	if err := r.addresses(); err != nil {
 		return nil, err
 	}
@@ -240,7 +245,7 @@
 	if o.Peers {
 		realtimeOptions.Extra = r.configure
 	}
-	r.result.Drawn = scenario.Draw(day, o.Seed)
+	r.result.Drawn = scenario.Draw(definition, o.Seed)
 	v, cost, err := realtime.Play(ctx, r.result.Drawn, realtimeOptions)
 	if err != nil {
 		return nil, err
@@ -249,7 +254,7 @@
 	return r.result, nil
 }
 
-// addresses finds, for each courier, one for operators and one for its fleet.
+// addresses reserves an administration address and a gossip address for each courier.
 func (r *run) addresses() error {
 	for i := range r.couriers {
 		for _, addrs := range []*[]string{&r.adminAddrs, &r.gossipAddrs} {
@@ -263,7 +268,7 @@
 	return nil
 }
 
-// Free is an address of the rig's own that nobody uses, over UDP and TCP.
+// Free returns a loopback address, private to this process, whose port is free for both UDP and TCP.
 func Free(i int) (string, error) {
 	ip := net.IPv4(127, byte(140+(os.Getpid()>>8)%50), byte(os.Getpid()), byte(1+i%250))
 	for range 20 {
@@ -279,7 +284,7 @@
 			return at.String(), nil
 		}
 	}
-	return "", fmt.Errorf("no address free for both UDP and TCP")
+	return "", fmt.Errorf("no free port for both UDP and TCP")
 }
 
 func (r *run) configure(c *process.Courier) (map[string]any, error) {
@@ -291,9 +296,10 @@
 		"settings": map[string]any{"ceilings": map[string]any{"peers": true}}}, nil
 }
 
-// begun has the faults happen and watches, until the day is over.
-func (r *run) start(f *realtime.Field) func() {
-	r.field = f
+// start starts the faults and the polling. The returned function waits for the faults and for convergence,
+// stops the polling, and completes the result.
+func (r *run) start(session *realtime.Field) func() {
+	r.session = session
 	incarnations := r.readIncarnations()
 	stop := make(chan struct{})
 	var all sync.WaitGroup
@@ -317,14 +323,15 @@
 		}
 		close(stop)
 		<-pollingDone
-		r.summarize(f)
+		r.summarize(session)
 	}
 }
 
-// copies keeps each folder's start number as it is at the beginning, for restarts from an older copy.
+// readIncarnations returns each courier's incarnation file as it is at the start of the run, for the fault
+// OlderFolder.
 func (r *run) readIncarnations() map[int][]byte {
 	incarnations := map[int][]byte{}
-	for _, c := range r.field.Couriers() {
+	for _, c := range r.session.Couriers() {
 		if text, err := os.ReadFile(filepath.Join(c.Dir, "state", incarnation.Name)); err == nil {
 			incarnations[c.No] = text
 		}
@@ -335,13 +342,13 @@
 func (r *run) injectFault(f netfault.Fault, stop <-chan struct{}, incarnations map[int][]byte) {
 	wait := func(until float64) {
 		select {
-		case <-time.After(time.Duration(until*float64(time.Second)) - r.field.Since()):
+		case <-time.After(time.Duration(until*float64(time.Second)) - r.session.Since()):
 		case <-stop:
 		}
 	}
 	wait(f.At)
 	r.adjustActive(f.Kind, 1)
-	defer func() { // what was believed while it was on comes to light a little later
+	defer func() { // the fault stays marked as active for 25 probe intervals more, since its effects are detected with a delay
 		time.AfterFunc(25*r.options.Pace, func() { r.adjustActive(f.Kind, -1) })
 	}()
 	if netfault.IsNetworkFault(f.Kind) {
@@ -372,11 +379,11 @@
 }
 
 func (r *run) injectProcessFault(f netfault.Fault, no int, stop <-chan struct{}, incarnations map[int][]byte) {
-	c := r.field.Couriers()[no]
+	c := r.session.Couriers()[no]
 	state := filepath.Join(c.Dir, "state")
 	switch f.Kind {
 	case Stop:
-		r.field.Act(scenario.Act{Kind: scenario.Stands, Courier: no, Span: dispatch.Micros(f.Length * 1e6)})
+		r.session.Act(scenario.Act{Kind: scenario.Stands, Courier: no, Span: dispatch.Micros(f.Length * 1e6)})
 		time.Sleep(time.Duration(f.Length * float64(time.Second)))
 	case Kill:
 		r.restartCourier(no, scenario.Kills, f.Length, stop, nil)
@@ -400,14 +407,15 @@
 	}
 }
 
-// away takes a courier down for a while and starts it again, after what is done to its folder.
+// restartCourier stops a courier, calls whileDown once it has exited, and restarts it after a number of
+// seconds.
 func (r *run) restartCourier(no int, kind scenario.ActKind, seconds float64, stop <-chan struct{}, whileDown func()) {
 	r.mu.Lock()
 	r.downSince[no] = time.Now()
 	r.mu.Unlock()
-	r.field.Act(scenario.Act{Kind: kind, Courier: no})
-	if kind == scenario.Asks { // it goes on for some seconds
-		c := r.field.Couriers()[no]
+	r.session.Act(scenario.Act{Kind: kind, Courier: no})
+	if kind == scenario.Asks { // a graceful shutdown takes some seconds
+		c := r.session.Couriers()[no]
 		for c.Running() {
 			select {
 			case <-stop:
@@ -426,7 +434,7 @@
 	r.mu.Lock()
 	r.starts[no]++
 	r.mu.Unlock()
-	r.field.Act(scenario.Act{Kind: scenario.Starts, Courier: no})
+	r.session.Act(scenario.Act{Kind: scenario.Starts, Courier: no})
 	r.mu.Lock()
 	delete(r.downSince, no)
 	r.restartedAt[no] = time.Now()
@@ -439,13 +447,13 @@
 	r.activeFaults[kind] += by
 }
 
-// see asks a courier what it believes, and what it has granted and leased.
+// poll reads a courier's view of the members and, with shared quotas, its grants and leases.
 func (r *run) poll(client *http.Client, no int) (status courierStatus, ok bool) {
 	if ok = get(client, r.adminAddrs[no], "/peers", &status); ok && r.options.Share {
 		var quotaStatus exchange.Status
-		from := r.field.Since()
+		from := r.session.Since()
 		if get(client, r.adminAddrs[no], "/commons", &quotaStatus) {
-			r.recordLeases(no, from, r.field.Since(), quotaStatus)
+			r.recordLeases(no, from, r.session.Since(), quotaStatus)
 		}
 	}
 	return status, ok
@@ -460,7 +468,7 @@
 	return reply.StatusCode == http.StatusOK && json.NewDecoder(reply.Body).Decode(to) == nil
 }
 
-// borrow holds what a courier shows of its leases against what the others show.
+// recordLeases checks a courier's reported grants and leases against those that other couriers reported.
 func (r *run) recordLeases(no int, from, to time.Duration, status exchange.Status) {
 	leases := func(of func(quota.Status) []quota.LeaseStatus) (all [][]invariants.Lease) {
 		for _, group := range status.Groups {
@@ -479,7 +487,7 @@
 		Granted: leases(func(l quota.Status) []quota.LeaseStatus { return l.Grants }), Used: leases(func(l quota.Status) []quota.LeaseStatus { return l.Leases })})
 }
 
-// watch looks at every courier again and again, and books what changed.
+// pollCouriers polls all couriers every 100 ms and records what changed, until stop is closed.
 func (r *run) pollCouriers(stop <-chan struct{}, pollingDone chan<- struct{}) {
 	defer close(pollingDone)
 	client := &http.Client{Timeout: 300 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
@@ -497,7 +505,7 @@
 		all.Wait()
 		now := time.Now()
 		if r.options.Share {
-			r.recordTotals(r.field.Since())
+			r.recordTotals(r.session.Since())
 		}
 		for i := range r.couriers {
 			if ok[i] {
@@ -542,7 +550,7 @@
 	}
 }
 
-// kinds are the faults that are on; the caller holds the lock.
+// activeKinds returns the kinds of the active faults, joined by "+". The caller holds the lock.
 func (r *run) activeKinds() string {
 	var all []string
 	for k, n := range r.activeFaults {
@@ -557,10 +565,10 @@
 	return strings.Join(all, "+")
 }
 
-// healWithin bounds the wait for a whole fleet after the last fault.
+// convergenceTimeout limits the wait for all couriers to agree on the full fleet after the last fault.
 const convergenceTimeout = 40 * time.Second
 
-// heal waits until all couriers know of all.
+// awaitConvergence waits until every courier reports that all couriers are alive.
 func (r *run) awaitConvergence() {
 	for started := time.Now(); time.Since(started) < convergenceTimeout; time.Sleep(50 * time.Millisecond) {
 		r.mu.Lock()
@@ -578,12 +586,12 @@
 	}
 }
 
-func (r *run) summarize(f *realtime.Field) {
+func (r *run) summarize(session *realtime.Field) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.result.Hours = f.Since().Hours() * float64(r.couriers)
-	seconds := f.Since().Seconds() * float64(r.couriers)
-	for _, status := range r.statuses { // of the last start of each: what an earlier one sent is not counted
+	r.result.Hours = session.Since().Hours() * float64(r.couriers)
+	seconds := session.Since().Seconds() * float64(r.couriers)
+	for _, status := range r.statuses { // counters of each courier's last incarnation; packets sent before a restart are not counted
 		r.result.Messages += float64(status.Figures.Network.PacketsOut) / seconds
 		r.result.Bytes += float64(status.Figures.Network.BytesOut) / seconds
 	}
--- a/testbed/fleet/fleet_test.go
+++ b/testbed/fleet/fleet_test.go
@@ -11,7 +11,7 @@
 	"pineport/testbed/netfault"
 )
 
-// binary builds the courier once for all tests.
+// binary builds the courier.
 func binary(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "pineport")
@@ -21,8 +21,10 @@
 	return path
 }
 
-// TestFleetRecoversFromFaults: ten real couriers through kill, stop, a one-way cut, a partition and its heal, an old folder, none and another
-// address, under load. Bounds are counts, or wide: the verdict is the same on any machine.
+// TestFleetRecoversFromFaults runs ten couriers under load through kills, a pause, a one-way cut, a
+// partition, and restarts with an old state folder, without one, and at another address. The fleet must
+// converge and no rule may be broken. Limits are counts or generous times, so that the result does not depend
+// on the machine.
 func TestFleetRecoversFromFaults(t *testing.T) {
 	p := &Plan{Day: "calm", Couriers: 10, Length: 24, Load: 3, Faults: []netfault.Fault{
 		{Kind: Kill, At: 2, Length: 3, From: []int{1, 2}},
@@ -42,30 +44,31 @@
 		t.Fatal(err)
 	}
 	if !res.Verdict.OK() {
-		t.Errorf("rules: %s %+v", res.Verdict.Short(), res.Verdict.Breaches)
+		t.Errorf("broken rules: %s %+v", res.Verdict.Short(), res.Verdict.Breaches)
 	}
 	if res.Fewer > 0 {
-		t.Errorf("at %d looks a courier counted on fewer than there are", res.Fewer)
+		t.Errorf("in %d polls a courier's upper estimate of the fleet size was too low", res.Fewer)
 	}
 	if !res.Whole {
-		t.Error("the fleet was not whole again within 40 s of the last fault")
+		t.Error("the fleet did not converge within 40 s of the last fault")
 	}
 	for _, idle := range res.Idle {
 		t.Error(idle)
 	}
-	// Each of five deaths is seen by most of those that were up and not cut off.
+	// Each of the five kills is detected by most couriers that were up and not cut off.
 	if len(res.Deaths) < 20 || len(res.Returns) < 20 {
-		t.Errorf("%d deaths and %d returns were seen", len(res.Deaths), len(res.Returns))
+		t.Errorf("%d failures and %d returns were detected, want at least 20 of each", len(res.Deaths), len(res.Returns))
 	}
 	if !strings.Contains(trace.String(), `"what":"cut"`) {
-		t.Error("the trace does not show the cut")
+		t.Error("the trace does not contain the cut")
 	}
-	t.Logf("%v; %d messages done, longest until a death was known %.1f s", res.Struck, res.Verdict.Counts.Done, longest(res.Deaths))
+	t.Logf("%v; %d messages delivered, longest failure detection %.1f s", res.Struck, res.Verdict.Counts.Done, longest(res.Deaths))
 }
 
-// TestSharedLimits: twelve real couriers grant one another parts of few limits, on a day with too much for them, while half of them are
-// deaf one way, one stands still, two are killed and three are cut off. Judged from outside: nobody uses a lease that its grantor has back
-// or never gave, nobody grants more than half, and the rules are kept.
+// TestSharedLimits runs twelve couriers that lease quota to one another on an overloaded scenario, while six
+// cannot reach the other six, one is paused, two are killed and three are cut off. The couriers' own reports
+// must show that no lease is used after its grantor has it back or without a grant, and that no courier
+// grants more than half; and no rule of the scenario may be broken.
 func TestSharedLimits(t *testing.T) {
 	p := &Plan{Day: "shared-limits", Couriers: 12, Length: 26, Load: 4, Faults: []netfault.Fault{
 		{Kind: "one-way", At: 6, Length: 5, From: []int{0, 1, 2, 3, 4, 5}, To: []int{6, 7, 8, 9, 10, 11}},
@@ -83,15 +86,15 @@
 		t.Fatal(err)
 	}
 	if !res.Verdict.OK() {
-		t.Errorf("rules: %s %+v", res.Verdict.Short(), res.Verdict.Breaches)
+		t.Errorf("broken rules: %s %+v", res.Verdict.Short(), res.Verdict.Breaches)
 	}
 	for _, what := range append(res.Overspent, res.Idle...) {
 		t.Error(what)
 	}
 	if res.Leases < 20 {
-		t.Errorf("only %d leases were seen", res.Leases)
+		t.Errorf("%d leases were seen, want at least 20", res.Leases)
 	}
-	t.Logf("%v; %d leases, at most %.2f of a part; %d refused, %d done", res.Struck, res.Leases, res.Widest, res.Verdict.Counts.Full, res.Verdict.Counts.Done)
+	t.Logf("%v; %d leases, largest %.2f of a base part; %d throttled, %d delivered", res.Struck, res.Leases, res.Widest, res.Verdict.Counts.Full, res.Verdict.Counts.Done)
 }
 
 func longest(all []float64) (result float64) {
@@ -101,7 +104,8 @@
 	return result
 }
 
-// TestFaultsWithoutEffectAreReported: a fault that never struck fails a run.
+// TestFaultsWithoutEffectAreReported checks that ending a fault returns an error if the fault affected
+// nothing.
 func TestFaultsWithoutEffectAreReported(t *testing.T) {
 	n, err := netfault.Open(1, []string{"127.0.0.1:9", "127.0.0.1:9"}, nil)
 	if err != nil {
@@ -111,11 +115,12 @@
 	end := n.Begin(netfault.Fault{Kind: "cut", From: []int{0}})
 	time.Sleep(10 * time.Millisecond)
 	if end() == nil {
-		t.Error("a cut over which nothing went passes for one that struck")
+		t.Error("no error for a cut that affected no traffic")
 	}
 }
 
-// TestBuiltInScenariosAreValid: every day that comes along can be read.
+// TestBuiltInScenariosAreValid checks that every built-in plan can be read, and that invalid plans are
+// refused.
 func TestBuiltInScenariosAreValid(t *testing.T) {
 	for _, name := range Days() {
 		if _, err := Find(name); err != nil {
@@ -124,9 +129,9 @@
 	}
 	bad := filepath.Join(t.TempDir(), "bad.toml")
 	if _, err := Find(bad); err == nil {
-		t.Error("a day that is not there")
+		t.Error("no error for a missing plan file")
 	}
 	if err := (&Plan{Length: 5, Faults: []netfault.Fault{{Kind: "nonsense", Length: 1}}}).check("x"); err == nil {
-		t.Error("a fault of no kind")
+		t.Error("no error for an unknown kind of fault")
 	}
 }
--- a/testbed/netfault/conditions.go
+++ b/testbed/netfault/conditions.go
@@ -1,6 +1,7 @@
-// Package netfault is the network between processes, in user space: each directed pair of them has an address of its own that
-// leads to the other's, and what passes there can be lost, delayed, throttled, put out of order, doubled, torn or cut, one
-// way or both. The same conditions hold in memory (Mesh), for tests that run hundreds of members in virtual time.
+// Package netfault simulates network faults between processes in user space. Each ordered pair of processes
+// has its own proxy address, where packets and streams can be lost, delayed, throttled, reordered,
+// duplicated, truncated or cut, in one direction or in both. Mesh applies the same conditions in memory, for
+// tests that run hundreds of members in virtual time.
 package netfault
 
 import (
@@ -13,17 +14,17 @@
 	"time"
 )
 
-// Conditions are what holds on a directed pair.
+// Conditions are the network conditions from one process to another.
 type Conditions struct {
-	Loss, Duplicate, Reorder float64       // shares of packets
-	Delay, Jitter            time.Duration // of packets, and of what streams carry
-	Rate                     float64       // bytes a second of streams; 0: any
-	Cut                      bool          // packets vanish, streams break and none begin
-	Silent                   bool          // packets vanish; streams stay open and nothing comes through
-	Tear                     int           // streams break after so many bytes more, in the midst of what they carry; 0: never
+	Loss, Duplicate, Reorder float64       // shares of the packets, 0 to 1
+	Delay, Jitter            time.Duration // Delay applies to packets and stream data, Jitter (uniform, from 0) to packets
+	Rate                     float64       // limit for stream data, in bytes per second; 0: no limit
+	Cut                      bool          // drops packets; with both directions cut, breaks streams and refuses new ones; else stalls them
+	Silent                   bool          // drops packets; streams stay open but carry no data
+	Tear                     int           // breaks a stream that has carried more than this many bytes, in the middle of its data; 0: never
 }
 
-// Kinds of fault, as they are counted when they fault.
+// Kinds of fault, as they are named in the counts.
 const (
 	Lost       = "lost"
 	Duplicated = "doubled"
@@ -35,13 +36,13 @@
 	Torn       = "torn"
 )
 
-// board holds the conditions of all pairs, and what has struck.
+// injector holds the conditions of all pairs of processes and counts the faults that took effect.
 type injector struct {
 	mu          sync.Mutex
 	rng         *rand.Rand
 	processes   int
 	current     [][]Conditions
-	changed     chan struct{} // closed and replaced at each change
+	changed     chan struct{} // closed and replaced at each change of conditions
 	faultCounts map[string]int
 	trace       *json.Encoder
 	startedAt   time.Time
@@ -58,7 +59,7 @@
 	return in
 }
 
-// line is one line of the trace.
+// traceLine is one line of the trace.
 type traceLine struct {
 	At   float64     `json:"at_s"`
 	From int         `json:"from"`
@@ -75,7 +76,7 @@
 	}
 }
 
-// Set has conditions hold from one process to another from now on.
+// Set sets the conditions from one process to another.
 func (in *injector) Set(from, to int, c Conditions) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -88,14 +89,15 @@
 	in.changed = make(chan struct{})
 }
 
-// Get is what holds from one process to another, and a channel that closes when anything changes.
+// get returns the conditions from one process to another, and a channel that is closed at the next change of
+// any conditions.
 func (in *injector) get(from, to int) (Conditions, <-chan struct{}) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	return in.current[from][to], in.changed
 }
 
-// FaultCounts counts the faults that struck, by kind.
+// FaultCounts returns how often each kind of fault took effect.
 func (in *injector) FaultCounts() map[string]int {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -106,7 +108,7 @@
 	return all
 }
 
-// fault counts a fault; the caller holds the lock.
+// recordLocked counts and traces a fault that took effect. The caller holds the lock.
 func (in *injector) recordLocked(from, to int, kind string, size int) {
 	in.faultCounts[kind]++
 	in.writeTrace(traceLine{From: from, To: to, What: kind, Size: size})
@@ -118,7 +120,7 @@
 	in.recordLocked(from, to, kind, size)
 }
 
-// packet decides what becomes of one: after which spans copies of it arrive; none where it is lost.
+// packetDelays returns the delay of each copy of a packet that is delivered; none if the packet is lost.
 func (in *injector) packetDelays(from, to, size int) (delays []time.Duration) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -156,7 +158,8 @@
 	return delays
 }
 
-// Fault is one thing that goes wrong for a while. From and To name processes; with none, all others are meant.
+// Fault is a fault that lasts for a time. It affects the processes in From and To; an empty list means all
+// others.
 type Fault struct {
 	Kind   string  `toml:"kind" json:"kind"`
 	At     float64 `toml:"at_s" json:"at_s"`
@@ -166,8 +169,8 @@
 	Size   float64 `toml:"size" json:"size"`
 }
 
-// network are the kinds of Fault on the network: what each does with its size, what it is counted as, and whether it holds
-// both ways.
+// networkFaults are the kinds of network fault: the conditions for a Size, the names under which their
+// effects are counted, and whether the fault applies in both directions.
 var networkFaults = map[string]struct {
 	make   func(size float64) Conditions
 	counts []string
@@ -187,12 +190,12 @@
 
 func ms(n float64) time.Duration { return time.Duration(n * float64(time.Millisecond)) }
 
-// IsNetworkFault tells whether a kind of fault is one of the network.
+// IsNetworkFault reports whether a kind of fault is a network fault.
 func IsNetworkFault(kind string) bool { _, ok := networkFaults[kind]; return ok }
 
-// pairs are the directed pairs that a fault faults.
+// pairs returns the ordered pairs of processes that a fault affects.
 func (f Fault) pairs(n int) (all [][2]int) {
-	side := func(named, others []int) []int {
+	processes := func(named, others []int) []int {
 		if len(named) > 0 {
 			return named
 		}
@@ -204,8 +207,8 @@
 		}
 		return rest
 	}
-	for _, a := range side(f.From, f.To) {
-		for _, b := range side(f.To, f.From) {
+	for _, a := range processes(f.From, f.To) {
+		for _, b := range processes(f.To, f.From) {
 			if a == b || a >= n || b >= n {
 				continue
 			}
@@ -217,7 +220,7 @@
 	return all
 }
 
-// Begin has a fault hold, and returns what ends it; that tells whether it struck at all.
+// Begin starts a fault. The returned function ends it, and returns an error if the fault never took effect.
 func (in *injector) Begin(f Fault) (end func() error) {
 	spec := networkFaults[f.Kind]
 	before := in.FaultCounts()
@@ -255,11 +258,11 @@
 				return nil
 			}
 		}
-		return fmt.Errorf("the fault %s at %v s never struck", f.Kind, f.At)
+		return fmt.Errorf("fault %s at %v s never took effect", f.Kind, f.At)
 	}
 }
 
-// Draw makes so many faults of a seed, one after the other over a length in seconds.
+// Draw returns n random faults from a seed, one after the other over a length in seconds.
 func Draw(seed int64, n, processes int, length float64) (all []Fault) {
 	rng := rand.New(rand.NewSource(seed))
 	kinds := []string{"cut", "one-way", "silent", "loss", "slow", "duplicate", "reorder", "flap"}
--- a/testbed/netfault/mesh.go
+++ b/testbed/netfault/mesh.go
@@ -10,12 +10,13 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Mesh is the same network in memory: members' transports, for tests in virtual time. Streams pass or break as a whole.
+// Mesh is a network in memory with the same conditions: it provides memberlist transports for tests in
+// virtual time. Unlike with Net, conditions apply to a stream only when it is opened.
 type Mesh struct {
 	*injector
 	mu    sync.Mutex
 	nodes []*Node
-	// Keep has every packet kept, for Replay.
+	// Keep makes the mesh record every packet for Replay.
 	Keep     bool
 	recorded []recordedPacket
 }
@@ -26,7 +27,8 @@
 	from    net.Addr
 }
 
-// Replay has every packet that was kept come in once more, as somebody who listened might send it.
+// Replay delivers every recorded packet once more, as an attacker who recorded the traffic might, and returns
+// the number of packets delivered.
 func (m *Mesh) Replay() (n int) {
 	m.mu.Lock()
 	all := m.recorded
@@ -44,18 +46,18 @@
 	return n
 }
 
-// Node is one member's transport.
+// Node is the memberlist transport of one member.
 type Node struct {
 	mesh        *Mesh
 	index       int
 	packets     chan *memberlist.Packet
 	streams     chan net.Conn
 	up          bool
-	PacketsSent int // packets, and bytes of them
+	PacketsSent int // number of packets, and their total size
 	BytesSent   int
 }
 
-// NewMesh makes a network of so many members.
+// NewMesh returns a network for n members.
 func NewMesh(n int, seed int64) *Mesh {
 	m := &Mesh{injector: newInjector(n, seed, nil)}
 	for i := range n {
@@ -64,7 +66,7 @@
 	return m
 }
 
-// At is a member's address.
+// At returns the address of a member.
 func (m *Mesh) At(i int) string { return fmt.Sprintf("10.%d.%d.1:%d", i/250, i%250, 7000) }
 
 func (m *Mesh) indexOf(addr string) (int, bool) {
@@ -77,7 +79,7 @@
 	return i, i < len(m.nodes)
 }
 
-// Traffic is what all members have sent: packets, and bytes of them.
+// Traffic returns the number of packets and bytes that the current transports of all members have sent.
 func (m *Mesh) Traffic() (packets, bytes int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -87,7 +89,7 @@
 	return packets, bytes
 }
 
-// Join puts a member on the network, anew if it was there before.
+// Join connects a member to the network with a new transport, which replaces an earlier one.
 func (m *Mesh) Join(i int) *Node {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -95,7 +97,7 @@
 	return m.nodes[i]
 }
 
-// Drop takes a member off the network without a word.
+// Drop disconnects a member from the network without notice.
 func (m *Mesh) Drop(i int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -109,7 +111,7 @@
 	return n, n.up
 }
 
-// FinalAdvertiseAddr is the member's address.
+// FinalAdvertiseAddr returns the member's address.
 func (n *Node) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
 	host, port, err := net.SplitHostPort(n.mesh.At(n.index))
 	if err != nil {
@@ -119,7 +121,7 @@
 	return net.ParseIP(host), p, err
 }
 
-// WriteTo sends a packet, which may get lost.
+// WriteTo sends a packet, which the conditions may lose, duplicate or delay.
 func (n *Node) WriteTo(b []byte, addr string) (time.Time, error) {
 	now := time.Now()
 	to, ok := n.mesh.indexOf(addr)
@@ -154,25 +156,25 @@
 	return now, nil
 }
 
-// PacketCh is where packets come in.
+// PacketCh returns the channel of received packets.
 func (n *Node) PacketCh() <-chan *memberlist.Packet { return n.packets }
 
-// DialTimeout begins a stream, where both directions let anything through.
+// DialTimeout opens a stream. It fails if either direction is cut or silent.
 func (n *Node) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	to, ok := n.mesh.indexOf(addr)
 	if !ok {
-		return nil, fmt.Errorf("%s: nobody", addr)
+		return nil, fmt.Errorf("%s: no member has this address", addr)
 	}
 	forward, _ := n.mesh.get(n.index, to)
 	reverse, _ := n.mesh.get(to, n.index)
 	other, up := n.mesh.node(to)
 	if _, self := n.mesh.node(n.index); !self || !up {
-		return nil, fmt.Errorf("%s: refused", addr)
+		return nil, fmt.Errorf("%s: connection refused", addr)
 	}
 	if forward.Cut || reverse.Cut || forward.Silent || reverse.Silent {
 		n.mesh.record(n.index, to, Severed, 0)
 		time.Sleep(timeout)
-		return nil, fmt.Errorf("%s: no answer", addr)
+		return nil, fmt.Errorf("%s: connection timed out", addr)
 	}
 	time.Sleep(forward.Delay + reverse.Delay)
 	local, remote := net.Pipe()
@@ -181,14 +183,14 @@
 		return local, nil
 	case <-time.After(timeout):
 		local.Close()
-		return nil, fmt.Errorf("%s: no answer", addr)
+		return nil, fmt.Errorf("%s: connection timed out", addr)
 	}
 }
 
-// StreamCh is where streams come in.
+// StreamCh returns the channel of accepted streams.
 func (n *Node) StreamCh() <-chan net.Conn { return n.streams }
 
-// Shutdown takes it off the network.
+// Shutdown disconnects the member from the network.
 func (n *Node) Shutdown() error {
 	n.mesh.mu.Lock()
 	defer n.mesh.mu.Unlock()
--- a/testbed/netfault/netfault.go
+++ b/testbed/netfault/netfault.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Net is the network between processes on loopback.
+// Net is a network of proxies on loopback between processes.
 type Net struct {
 	*injector
 	mu      sync.Mutex
@@ -19,7 +19,7 @@
 	group   sync.WaitGroup
 }
 
-// way is the address that leads from one process to another.
+// linkProxy forwards packets and streams from one process to another.
 type linkProxy struct {
 	net      *Net
 	from, to int
@@ -27,8 +27,8 @@
 	udp      *net.UDPConn
 }
 
-// Open makes the ways between processes that listen at the addresses given. The trace has a line for each change and each
-// fault that faults; nil for none.
+// Open opens the proxies between processes that listen at the addresses in targets. The trace gets a line for
+// each change of conditions and each fault that takes effect; nil: no trace.
 func Open(seed int64, targets []string, trace io.Writer) (*Net, error) {
 	n := &Net{injector: newInjector(len(targets), seed, trace), targets: append([]string(nil), targets...), done: make(chan struct{})}
 	for from := range targets {
@@ -50,7 +50,8 @@
 	return n, nil
 }
 
-// open takes an address of its own for each process that sends, so that none can be somebody's outgoing port.
+// openProxy opens a proxy on a loopback IP address of the sending process, so that its port cannot collide
+// with the local port of an outgoing connection.
 func (n *Net) openProxy(from, to int) (*linkProxy, error) {
 	ip := net.IPv4(127, byte(200+(os.Getpid()>>8)%50), byte(os.Getpid()), byte(1+from%250))
 	for range 20 {
@@ -69,13 +70,14 @@
 		go p.acceptStreams()
 		return p, nil
 	}
-	return nil, fmt.Errorf("no address free for both UDP and TCP")
+	return nil, fmt.Errorf("no free port for both UDP and TCP")
 }
 
-// ProxyAddr is where one process reaches another.
+// ProxyAddr returns the address at which one process reaches another.
 func (n *Net) ProxyAddr(from, to int) string { return n.proxies[from][to].tcp.Addr().String() }
 
-// AddressPairs are the pairs of addresses that lead a process to all others.
+// AddressPairs returns the mapping "target=proxy" from the address of each other process to the proxy address
+// at which a process reaches it.
 func (n *Net) AddressPairs(from int) (pairs []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -87,7 +89,7 @@
 	return pairs
 }
 
-// SetTarget says that a process listens elsewhere now.
+// SetTarget changes the address at which a process listens.
 func (n *Net) SetTarget(to int, address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -100,7 +102,7 @@
 	return n.targets[i]
 }
 
-// Close ends all ways.
+// Close closes all proxies.
 func (n *Net) Close() {
 	close(n.done)
 	for _, row := range n.proxies {
@@ -123,7 +125,7 @@
 			select {
 			case <-p.net.done:
 				return
-			case <-time.After(time.Millisecond): // such as word that nobody listens there
+			case <-time.After(time.Millisecond): // for example an ICMP error: nobody listens at the target
 				continue
 			}
 		}
@@ -159,7 +161,7 @@
 	}
 }
 
-// lead carries a stream, both ways, each under its own conditions.
+// forwardStream forwards a stream in both directions, each under its own conditions.
 func (p *linkProxy) forwardStream(inbound *net.TCPConn) {
 	n := p.net
 	defer n.group.Done()
@@ -188,7 +190,7 @@
 	go carry(p.to, p.from, outbound, inbound)
 	go func() {
 		select {
-		case <-n.done: // nothing that is read or written must hold up the end
+		case <-n.done: // a blocked read or write must not delay Close
 			inbound.Close()
 			outbound.Close()
 		case <-finished:
@@ -198,7 +200,8 @@
 	close(finished)
 }
 
-// carry takes bytes one way until they end. What is cut one way is silent, as its sender hears nothing of it.
+// copyStream copies data in one direction until its end. If only this direction is cut, the data stalls,
+// since its sender cannot notice the cut.
 func (n *Net) copyStream(from, to int, in, out net.Conn) {
 	buf := make([]byte, 16<<10)
 	forwarded := 0
@@ -232,8 +235,8 @@
 	}
 }
 
-// awaitOpen waits until a link that is cut one way, or silent, carries bytes again. It is false where both ways are cut, after 30 s, as
-// whoever waits so long has gone, and at the end of the net.
+// awaitOpen waits until a link that is silent, or cut in one direction, carries data again. It returns false
+// if both directions are cut, after 30 s (the sender has given up by then), and when the network is closed.
 func (n *Net) awaitOpen(from, to, size int) bool {
 	for {
 		link, change := n.get(from, to)
@@ -256,7 +259,8 @@
 	}
 }
 
-// delay waits as long as a link takes for so many bytes. It is false at the end of the net.
+// delay waits for as long as the link takes to carry a number of bytes. It returns false when the network is
+// closed.
 func (n *Net) delay(from, to, size int) bool {
 	link, _ := n.get(from, to)
 	if link.Delay <= 0 && link.Rate <= 0 {
--- a/testbed/simulation/bench_test.go
+++ b/testbed/simulation/bench_test.go
@@ -7,9 +7,10 @@
 	"pineport/testbed/scenario"
 )
 
-// BenchmarkDay plays days at growing size, with as many messages for each endpoint: how cost grows is the question. It
-// reports messages and steps of couriers a second of real time, and how much faster than real time that is.
-func BenchmarkDay(b *testing.B) {
+// BenchmarkScenario runs scenarios of growing size with the same number of messages for each endpoint, to show how
+// the cost grows. It reports messages and courier steps per second of real time, and the speed relative to
+// real time.
+func BenchmarkScenario(b *testing.B) {
 	for _, size := range []struct{ couriers, destinations, perSec int }{{3, 10, 24}, {40, 125, 300}, {220, 500, 1200}, {220, 5000, 12000}} {
 		b.Run(fmt.Sprintf("endpoints=%d", 2*size.destinations), func(b *testing.B) {
 			if testing.Short() {
@@ -19,13 +20,13 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			d.Length, d.Fleet.Couriers, d.Chance.Troubles = 20, size.couriers, [2]int{} // calm: what rules do is not the question
+			d.Length, d.Fleet.Couriers, d.Chance.Troubles = 20, size.couriers, [2]int{} // without faults, since only the cost is measured
 			d.Traffic.Destinations, d.Traffic.FullPerSec = size.destinations, float64(size.perSec)
-			w := scenario.Draw(d, 1)
+			instance := scenario.Draw(d, 1)
 			b.ResetTimer()
 			var steps, messages int
 			for range b.N {
-				v, st, err := Play(w, NewLocal(nil), Options{})
+				v, st, err := Play(instance, NewLocal(nil), Options{})
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -34,7 +35,7 @@
 			span := b.Elapsed().Seconds()
 			b.ReportMetric(float64(messages)/span, "records/s")
 			b.ReportMetric(float64(steps)/span, "turns/s")
-			b.ReportMetric(float64(b.N)*float64(w.End)/1e6/span, "x-real-time")
+			b.ReportMetric(float64(b.N)*float64(instance.End)/1e6/span, "x-real-time")
 		})
 	}
 }
--- a/testbed/simulation/call.go
+++ b/testbed/simulation/call.go
@@ -7,11 +7,12 @@
 	"pineport/testbed/invariants"
 )
 
-// load puts a message on a call; it returns the call if that is new.
+// addToCall starts an attempt of a message on an open call to its endpoint, or on a new call. It returns the
+// call only if it is new.
 func (s *Sim) addToCall(c *courier, a dispatch.Send, openCalls map[dispatch.EndpointID]*call) *call {
 	at, msg := s.endpoints[a.Endpoint], c.messages[a.Message]
 	if at == nil || msg != nil && at.destination != int(msg.client.arrival.Dest) {
-		s.ledger.Crashed(s.now, c.index, "sent "+string(a.Message)+" to "+string(a.Endpoint)+", which is not of its destination")
+		s.ledger.Crashed(s.now, c.index, "sent "+string(a.Message)+" to "+string(a.Endpoint)+", which is not an endpoint of the message's destination")
 		return nil
 	}
 	ledgerNumber := s.ledger.Sent(s.now, a.Message, invariants.Place{Dest: dispatch.DestinationID(at.destination), Route: at.route, Endpoint: a.Endpoint, Zone: at.endpoint.Zone})
@@ -52,7 +53,7 @@
 		Window: config.Micros(w.Window)}
 }
 
-// launch sends a call off, over a connection that rests or a new one.
+// sendCall sends a call over an idle connection, or opens a new one.
 func (s *Sim) sendCall(cl *call) {
 	c, p, id := cl.courier, s.destinations[cl.endpoint.destination], cl.Endpoint
 	latency := s.latency(c.zone, cl.endpoint.endpoint.Zone)
@@ -85,7 +86,7 @@
 	})
 }
 
-// reach lets a call's last byte come to its endpoint.
+// arriveAtEndpoint delivers a complete call to its endpoint.
 func (s *Sim) arriveAtEndpoint(cl *call) {
 	if !cl.done {
 		s.inFlight[cl.ID] = cl
@@ -93,17 +94,17 @@
 	}
 }
 
-// answered carries an endpoint's answer back.
+// receiveAnswer sends an endpoint's answer back to the courier.
 func (s *Sim) receiveAnswer(a endpointmodel.Answer) {
 	cl := s.inFlight[a.Call.ID]
 	if cl == nil {
-		return // nobody waits for it any more
+		return // no courier waits for the answer any more
 	}
 	delete(s.inFlight, cl.ID)
 	s.schedule(s.now+s.latency(cl.courier.zone, cl.endpoint.endpoint.Zone), func() { s.finishCall(cl, a.Outcome, a.Wait, a.Pressure) })
 }
 
-// limit ends an attempt's time: the attempts of one call have each their own.
+// setAttemptTimeout schedules an attempt's timeout. Each attempt of a call has its own.
 func (s *Sim) setAttemptTimeout(att *attempt, limit dispatch.Micros) {
 	if limit <= 0 {
 		return
@@ -114,13 +115,13 @@
 		}
 		o := dispatch.TimedOut
 		if !att.call.connected {
-			o = dispatch.Unreachable // none of it was sent
+			o = dispatch.Unreachable // nothing was sent, since the connection is not up
 		}
 		s.abandonAttempt(att, o)
 	})
 }
 
-// giveUp ends one attempt; where no other is left on its call, that is called off.
+// abandonAttempt ends one attempt. If the call has no other open attempt, the call is canceled.
 func (s *Sim) abandonAttempt(att *attempt, o dispatch.Outcome) {
 	s.finishAttempt(att, dispatch.AttemptFinished{Outcome: o, Duration: s.now - att.call.sent})
 	for _, other := range att.call.attempts {
@@ -135,7 +136,7 @@
 	}
 }
 
-// outcome ends a call at its courier.
+// finishCall ends a call at its courier with an outcome for all of its attempts.
 func (s *Sim) finishCall(cl *call, o dispatch.Outcome, retryAfter dispatch.Micros, loadReport []float64) {
 	if cl.done {
 		return
@@ -154,7 +155,7 @@
 	}
 }
 
-// hangUp closes a call's connection.
+// disconnect closes a call's connection.
 func (s *Sim) disconnect(cl *call) {
 	delete(s.inFlight, cl.ID)
 	if !cl.connected {
@@ -167,7 +168,7 @@
 	})
 }
 
-// settle tells a courier how an attempt ended.
+// finishAttempt records the end of an attempt and notifies the courier.
 func (s *Sim) finishAttempt(att *attempt, e dispatch.AttemptFinished) {
 	if att.done {
 		return
@@ -187,7 +188,7 @@
 	}
 }
 
-// cancel calls an attempt off.
+// cancelAttempt cancels an attempt on request of the courier.
 func (s *Sim) cancelAttempt(c *courier, a dispatch.Cancel) {
 	msg := c.messages[a.Message]
 	if msg == nil || int(a.Attempt) >= len(msg.attempts) || msg.attempts[a.Attempt].done {
--- a/testbed/simulation/client.go
+++ b/testbed/simulation/client.go
@@ -9,18 +9,18 @@
 	"pineport/testbed/scenario"
 )
 
-// client is who submitted a message first, and hands it in again where it may.
+// client submits one message, and resubmits it after a rejection if the scenario allows that.
 type client struct {
 	id          dispatch.MessageID
 	arrival     scenario.Arrival
 	deadline    dispatch.Micros
-	submissions int // submissions that a courier took
+	submissions int // submissions that a courier accepted
 	rejections  int
 	done        bool
-	current     *message // by the courier that has it now
+	current     *message // the message at the courier that accepted it last
 }
 
-// arrive submits one message, and sees to the next.
+// scheduleArrival schedules the arrival i, and then the one after it.
 func (s *Sim) scheduleArrival(i int) {
 	if i >= len(s.instance.Arrivals) {
 		return
@@ -42,7 +42,8 @@
 	s.schedule(s.now+config.Micros(s.instance.Day.Network.Client/1000), func() { s.submit(cl, s.couriers[a.Courier], false) })
 }
 
-// handIn gives a message to a courier. One that is dead takes nothing: the client tries elsewhere, or later.
+// submit hands a message to a courier. If the courier is dead, or is shutting down behind a front, the client
+// tries again later, possibly at another courier.
 func (s *Sim) submit(cl *client, c *courier, resubmitted bool) {
 	switch {
 	case cl.done || s.now >= cl.deadline:
@@ -50,7 +51,7 @@
 	case !c.alive || c.shuttingDown && s.instance.Day.Fleet.Entry == "front":
 		s.schedule(s.now+s.randomIn(s.instance.Day.Clients.Again)/4, func() { s.submit(cl, s.retryCourier(c), resubmitted) })
 		return
-	case c.openMessages >= s.instance.Hold: // rejected before the decisions hear of it
+	case c.openMessages >= s.instance.Hold: // rejected at the queue limit, before the dispatcher sees it
 		s.resubmitLater(cl, c, 0)
 		return
 	}
@@ -74,7 +75,7 @@
 	s.notify(c, msg.accepted)
 }
 
-// other is where a client goes whose courier did not serve it.
+// retryCourier returns the courier to which a client submits next, after one that did not serve it.
 func (s *Sim) retryCourier(c *courier) *courier {
 	if s.instance.Day.Fleet.Entry == "own" {
 		return c
@@ -82,7 +83,8 @@
 	return s.couriers[s.rng.IntN(len(s.couriers))]
 }
 
-// comeAgain submits anew what was rejected, after a while.
+// resubmitLater submits a rejected message again, after the client's backoff or after the courier's
+// Retry-After.
 func (s *Sim) resubmitLater(cl *client, c *courier, retryAfter dispatch.Micros) {
 	d := s.instance.Day.Clients
 	if cl.done || cl.rejections >= d.Retries {
@@ -96,7 +98,7 @@
 	s.schedule(s.now+wait, func() { s.submit(cl, s.retryCourier(c), true) })
 }
 
-// leave withdraws a message.
+// withdraw cancels a message.
 func (s *Sim) withdraw(cl *client) {
 	if cl.done {
 		return
--- a/testbed/simulation/courier.go
+++ b/testbed/simulation/courier.go
@@ -14,34 +14,34 @@
 	"pineport/testbed/invariants"
 )
 
-// courier is the world's side of one courier: what its process, sockets and folder would be.
+// courier is the simulated process, connections and state folder of one courier.
 type courier struct {
 	sim          *Sim
 	index        int
 	zone         dispatch.ZoneID
 	alive        bool
 	shuttingDown bool
-	incarnation  int        // counts its starts, so that what belongs to an earlier one is known
-	spooled      []*message // what its folder holds while it is down, in the order taken
+	incarnation  int        // number of starts; identifies events that belong to an earlier run
+	spooled      []*message // messages in the spool while the courier is down, in the order accepted
 	pausedUntil  dispatch.Micros
 	events       []dispatch.Event
-	stepAt       dispatch.Micros // the tick at which it is notified them; 0: none
+	stepAt       dispatch.Micros // tick at which events are handed to the dispatcher; 0: none is scheduled
 	messages     map[dispatch.MessageID]*message
 	openMessages int
-	slotsUsed    int                                            // taken
-	idleConns    map[dispatch.EndpointID][]dispatch.Micros      // idle connections, by when they began to rest
-	knownEntries map[dispatch.EndpointID]dispatch.EndpointEntry // the list as it had it last
+	slotsUsed    int
+	idleConns    map[dispatch.EndpointID][]dispatch.Micros      // for each idle connection, since when it is idle
+	knownEntries map[dispatch.EndpointID]dispatch.EndpointEntry // the endpoint list as last received
 	lastChangeAt dispatch.Micros
 	watching     bool
-	quota        *quota.Allocator // nil: limits are not shared
+	quota        *quota.Allocator // nil if couriers do not share quotas
 }
 
-// message is a message at one courier.
+// message is a message accepted by one courier.
 type message struct {
 	id           dispatch.MessageID
 	client       *client
 	courier      *courier
-	number       int // in the order taken by all couriers
+	number       int // sequence number over all couriers
 	accepted     dispatch.MessageAccepted
 	attempts     []*attempt
 	openAttempts int
@@ -51,13 +51,13 @@
 type attempt struct {
 	message      *message
 	number       dispatch.AttemptNumber
-	ledgerNumber int // its number in the books
+	ledgerNumber int // the attempt's number in the ledger
 	call         *call
-	past         dispatch.PastAttempt // as a folder has it; the outcome counts once it is over
+	past         dispatch.PastAttempt // the attempt as the spool records it; Outcome is valid once done is set
 	done         bool
 }
 
-// call is one call on its way.
+// call is one call from a courier to an endpoint.
 type call struct {
 	endpointmodel.Call
 	courier     *courier
@@ -65,8 +65,8 @@
 	endpoint    *endpointRecord
 	attempts    []*attempt
 	sent        dispatch.Micros
-	connected   bool // its connection is up
-	done        bool // the courier knows its end, or waits no more
+	connected   bool
+	done        bool // the courier knows the outcome, or no longer waits for it
 }
 
 func (s *Sim) startCourier(c *courier) {
@@ -99,7 +99,7 @@
 	}
 }
 
-// inOrder lists entries by their names.
+// sortedEntries returns the entries in the order of their endpoint IDs.
 func sortedEntries(all map[dispatch.EndpointID]dispatch.EndpointEntry) []dispatch.EndpointEntry {
 	list := make([]dispatch.EndpointEntry, 0, len(all))
 	for _, id := range slices.Sorted(maps.Keys(all)) {
@@ -108,7 +108,7 @@
 	return list
 }
 
-// ask tells a courier that its process ends soon.
+// scheduleShutdown notifies a courier that its process will be stopped after a time.
 func (s *Sim) scheduleShutdown(c *courier, span dispatch.Micros) {
 	if c.alive {
 		c.shuttingDown = true
@@ -116,7 +116,8 @@
 	}
 }
 
-// kill ends a courier; what it held goes back to its clients.
+// killCourier ends a courier's process. Its open messages go to its spool, or without a spool back to their
+// clients.
 func (s *Sim) killCourier(c *courier) {
 	if !c.alive {
 		return
@@ -156,11 +157,11 @@
 	s.ledger.Down(s.now, c.index, !s.Spool, s.SnapshotInterval == 0)
 }
 
-// takeUpAgain hands a courier what its folder held.
+// recoverSpool hands a restarted courier the messages of its spool.
 func (s *Sim) recoverSpool(c *courier) {
 	for _, msg := range c.spooled {
 		if msg.done {
-			continue // withdrawn meanwhile
+			continue // canceled while the courier was down
 		}
 		e := dispatch.MessageRecovered{MessageAccepted: msg.accepted}
 		for _, att := range msg.attempts {
@@ -173,8 +174,9 @@
 	c.spooled = nil
 }
 
-// cutOff ends what a killed courier had out. A folder knows of an attempt from its first byte on: before, it never was;
-// after, it may have run.
+// breakAttempts ends the open attempts of a message whose courier was killed. The spool records an attempt
+// from its first byte on: an attempt without a connection is removed, any other is kept as broken, since it
+// may have taken effect.
 func (s *Sim) breakAttempts(msg *message) {
 	msg.openAttempts = 0
 	msg.attempts = slices.DeleteFunc(msg.attempts, func(att *attempt) bool {
@@ -189,7 +191,7 @@
 	})
 }
 
-// tell puts something before a courier's next step.
+// notify queues an event for a courier's next step.
 func (s *Sim) notify(c *courier, e dispatch.Event) {
 	if !c.alive {
 		return
@@ -205,17 +207,18 @@
 	}
 }
 
-// step lets all couriers decide that have something to be notified by now.
+// stepCouriers hands all events that are due at this tick to their couriers' dispatchers and executes the
+// resulting actions.
 func (s *Sim) stepCouriers(at dispatch.Micros) {
 	due := s.stepsDue[at]
 	delete(s.stepsDue, at)
 	var batches []Batch
 	for _, c := range due {
 		if !c.alive || c.stepAt != at {
-			continue // killed since
+			continue // killed or rescheduled in the meantime
 		}
 		c.stepAt = 0
-		if c.pausedUntil > s.now { // stands still since it was notified
+		if c.pausedUntil > s.now { // paused since the event was queued
 			events := c.events
 			c.events = nil
 			for _, e := range events {
@@ -234,7 +237,7 @@
 	if err != nil {
 		var fault *CourierFault
 		if !errors.As(err, &fault) {
-			err = fmt.Errorf("the host of the decisions: %w", err)
+			err = fmt.Errorf("host of the dispatchers: %w", err)
 		}
 		s.err = err
 		return
@@ -244,10 +247,10 @@
 	}
 }
 
-// carryOut does what a courier wants done.
+// execute carries out the actions that a courier's dispatcher returned.
 func (s *Sim) execute(c *courier, actions []dispatch.Action) {
 	s.stats.Actions += len(actions)
-	openCalls := map[dispatch.EndpointID]*call{} // calls of this step that may carry more
+	openCalls := map[dispatch.EndpointID]*call{} // calls of this step that can take more messages
 	var calls []*call
 	for _, action := range actions {
 		switch a := action.(type) {
@@ -286,11 +289,12 @@
 	}
 }
 
-// ended takes a courier's final answer for a message; nil where it had one already.
+// endOpenMessage records a courier's final answer for a message. It returns nil if the message had one
+// already.
 func (s *Sim) endOpenMessage(c *courier, id dispatch.MessageID, end invariants.End) *message {
 	msg := c.messages[id]
 	if msg == nil || msg.done {
-		s.ledger.Ended(s.now, id, end) // they know what to think of it
+		s.ledger.Ended(s.now, id, end) // the ledger reports a second final answer as a breach
 		return nil
 	}
 	s.endMessage(msg, end)
@@ -302,7 +306,7 @@
 	s.release(msg)
 }
 
-// close forgets a message that is over, once nothing of it is out.
+// release marks a message as done, and forgets it once none of its attempts is open.
 func (s *Sim) release(msg *message) {
 	if !msg.done {
 		msg.done = true
--- a/testbed/simulation/directory.go
+++ b/testbed/simulation/directory.go
@@ -8,12 +8,12 @@
 	"pineport/testbed/scenario"
 )
 
-// directory is the list of endpoints, and how word of it reaches the couriers.
+// directory simulates discovery: the endpoint list and its distribution to the couriers.
 type directory struct {
 	sim     *Sim
 	entries map[dispatch.EndpointID]dispatch.EndpointEntry
 	down    bool
-	pending []func() // what could not be notified while it was down
+	pending []func() // updates held back while the directory is down
 }
 
 func newDirectory(s *Sim) *directory {
@@ -28,7 +28,7 @@
 	return maps.Clone(d.entries)
 }
 
-// change notes that an entry changed, and tells whoever is notified by itself or watches.
+// update changes an entry and notifies the couriers. A courier that does not watch ignores the change.
 func (d *directory) update(dest int, e endpointmodel.Endpoint, phase dispatch.Phase) {
 	l := d.sim.instance.Listing(dest, e.ID, e.Zone, phase)
 	if phase == dispatch.Removed {
@@ -41,7 +41,7 @@
 	}
 }
 
-// notify tells one courier of one change, in the order of changes.
+// notify sends one change to one courier after a random delay. Changes arrive in order.
 func (d *directory) notify(c *courier, l dispatch.EndpointEntry) {
 	if d.down {
 		d.pending = append(d.pending, func() { d.notify(c, l) })
@@ -52,7 +52,7 @@
 	s.schedule(c.lastChangeAt, func() {
 		switch {
 		case c.incarnation != incarnation || !c.alive || !c.watching:
-		case d.down: // it went down meanwhile
+		case d.down: // the directory went down in the meantime
 			d.pending = append(d.pending, func() { d.notify(c, l) })
 		default:
 			d.apply(c, dispatch.PartialList, []dispatch.EndpointEntry{l})
@@ -60,7 +60,7 @@
 	})
 }
 
-// hear hands news to a courier.
+// apply updates a courier's known entries and hands the update to the courier.
 func (d *directory) apply(c *courier, kind dispatch.UpdateKind, entries []dispatch.EndpointEntry) {
 	s := d.sim
 	before := c.knownEntries
@@ -75,7 +75,7 @@
 		}
 		s.ledger.Notified(s.now, c.index, l.Endpoint, l.Phase)
 	}
-	for id := range before { // what is missing in a whole list is gone
+	for id := range before { // an endpoint that is missing from a complete list was removed
 		if _, listed := c.knownEntries[id]; !listed {
 			s.ledger.Notified(s.now, c.index, id, dispatch.Removed)
 		}
@@ -83,7 +83,7 @@
 	s.notify(c, dispatch.EndpointUpdate{Kind: kind, Entries: entries})
 }
 
-// fetch answers a courier that asks for the list, or that is notified by itself from its start on.
+// fetch sends the complete list to a courier that requested it, or that starts in push mode.
 func (d *directory) fetch(c *courier) {
 	s, incarnation := d.sim, c.incarnation
 	r := s.instance.Day.Directory.Call
@@ -101,7 +101,7 @@
 	})
 }
 
-// goDown ends all watches.
+// goDown stops the directory. In the mode "ask" it ends all watches.
 func (d *directory) goDown() {
 	d.down = true
 	if d.sim.instance.Day.Directory.Mode != "ask" {
@@ -115,7 +115,7 @@
 	}
 }
 
-// comeUp goes on, and tells what was to be notified.
+// comeUp restarts the directory and sends the updates that were held back.
 func (d *directory) comeUp() {
 	d.down = false
 	pending := d.pending
--- a/testbed/simulation/golden_test.go
+++ b/testbed/simulation/golden_test.go
@@ -13,7 +13,8 @@
 	"pineport/testbed/scenario"
 )
 
-// digestingDecider adds each action, in order and in full, to a digest that names no type and no field of the program.
+// digestingDecider adds every action to a digest, in order and in full. The digest contains no names of types
+// or fields, so that renames do not change it.
 type digestingDecider struct {
 	*dispatch.Dispatcher
 	digest  hash.Hash
@@ -45,78 +46,80 @@
 		case dispatch.Note:
 			fmt.Fprintf(d.digest, "8 %q\n", a.Text)
 		default:
-			panic(fmt.Sprintf("an action without a number: %T", action))
+			panic(fmt.Sprintf("no digest number for action type %T", action))
 		}
 	}
 	return actions
 }
 
-// goldenPlay is one day whose actions are held against the golden file.
+// goldenRun is a run of one scenario whose actions are compared with the golden file.
 type goldenRun struct {
-	day  string
-	seed int64
+	scenario string
+	seed     int64
 }
 
-// goldenPlays are the built-in days with three seeds each, but for the day at full size, which takes a minute; and 100 drawn days.
-func goldenRuns() (plays []goldenRun) {
+// goldenRuns returns the built-in scenarios with three seeds each, except the full-size one, which takes a
+// minute, and 100 runs with further seeds.
+func goldenRuns() (runs []goldenRun) {
 	const (
-		fullSize   = "full-size"
-		largeFleet = "shared-300" // some seconds a play: with three seeds, and not drawn
-		drawnDays  = 100
-		firstDrawn = 1001
+		fullSize       = "full-size"
+		largeFleet     = "shared-300" // takes some seconds per run: only with the three seeds
+		extraRuns      = 100
+		firstExtraSeed = 1001
 	)
-	var drawn []string
+	var eligible []string
 	for _, name := range scenario.BuiltIn() {
 		if name == fullSize {
 			continue
 		}
 		if name != largeFleet {
-			drawn = append(drawn, name)
+			eligible = append(eligible, name)
 		}
 		for seed := int64(1); seed <= 3; seed++ {
-			plays = append(plays, goldenRun{name, seed})
+			runs = append(runs, goldenRun{name, seed})
 		}
 	}
-	for i := range drawnDays {
-		plays = append(plays, goldenRun{drawn[i%len(drawn)], int64(firstDrawn + i)})
+	for i := range extraRuns {
+		runs = append(runs, goldenRun{eligible[i%len(eligible)], int64(firstExtraSeed + i)})
 	}
-	return plays
+	return runs
 }
 
-// digest plays a day with what couriers keep over restarts, and with shared limits on the day that is about these.
-func (p goldenRun) digest() (string, error) {
-	d, err := scenario.Find(p.day)
+// digest runs a scenario with snapshots and spool, and with shared quotas in the scenario for these.
+func (r goldenRun) digest() (string, error) {
+	d, err := scenario.Find(r.scenario)
 	if err != nil {
 		return "", err
 	}
 	options := Options{SnapshotInterval: 500 * 1000, Spool: true}
-	if p.day == "shared-limits" {
+	if r.scenario == "shared-limits" {
 		options.Share = Share{Interval: 500 * 1000, Loss: 0.1}
 	}
 	digest, actions := sha256.New(), 0
-	_, _, err = Play(scenario.Draw(d, p.seed), NewLocal(func(number int, ch dispatch.Config) Decider {
+	_, _, err = Play(scenario.Draw(d, r.seed), NewLocal(func(number int, ch dispatch.Config) Decider {
 		return &digestingDecider{dispatch.New(ch), digest, number, &actions}
 	}), options)
-	return fmt.Sprintf("%s %d %d %x", p.day, p.seed, actions, digest.Sum(nil)[:16]), err
+	return fmt.Sprintf("%s %d %d %x", r.scenario, r.seed, actions, digest.Sum(nil)[:16]), err
 }
 
-// TestActionsMatchGoldenFile: on every built-in day and on 100 drawn ones, the decisions are, action by action, those of the golden file.
+// TestActionsMatchGoldenFile checks that the dispatchers' actions match the golden file, on every built-in
+// scenario and on 100 runs with further seeds.
 func TestActionsMatchGoldenFile(t *testing.T) {
-	plays := goldenRuns()
-	lines, faults := make([]string, len(plays)), make([]error, len(plays))
+	runs := goldenRuns()
+	lines, errs := make([]string, len(runs)), make([]error, len(runs))
 	var all sync.WaitGroup
 	slots := make(chan struct{}, 8)
-	for i, p := range plays {
+	for i, p := range runs {
 		all.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			lines[i], faults[i] = p.digest()
+			lines[i], errs[i] = p.digest()
 		})
 	}
 	all.Wait()
-	for i, err := range faults {
+	for i, err := range errs {
 		if err != nil {
-			t.Fatalf("%s, seed %d: %v", plays[i].day, plays[i].seed, err)
+			t.Fatalf("%s, seed %d: %v", runs[i].scenario, runs[i].seed, err)
 		}
 	}
 	golden.Check(t, "actions.golden", []byte(strings.Join(lines, "\n")+"\n"))
--- a/testbed/simulation/host.go
+++ b/testbed/simulation/host.go
@@ -7,29 +7,30 @@
 	"pineport/dispatch"
 )
 
-// Batch is what happened to one courier since its last step.
+// Batch holds the events of one courier since its last step.
 type Batch struct {
 	Courier int
 	Events  []dispatch.Event
 }
 
-// Host runs the decisions of all couriers.
+// Host runs the dispatchers of all couriers.
 type Host interface {
-	// Start begins a courier that knows nothing.
+	// Start creates the dispatcher of a courier, without learned state.
 	Start(courier int, ch dispatch.Config, settings map[string]string) error
-	// Kill ends one.
+	// Kill discards the dispatcher of a courier.
 	Kill(courier int)
-	// Turn hands over what happened, and returns what each courier wants done, in the order of the batches.
+	// Turn hands each batch to its courier's dispatcher, and returns the actions of each in the order of the
+	// batches.
 	Turn(now dispatch.Micros, batches []Batch) ([][]dispatch.Action, error)
 	Close() error
 }
 
-// Decider is the decisions of one courier, as dispatch.Dispatcher.
+// Decider is the decision logic of one courier, such as dispatch.Dispatcher.
 type Decider interface {
 	Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action
 }
 
-// CourierFault is a courier whose decisions failed.
+// CourierFault reports a panic in a courier's dispatcher.
 type CourierFault struct {
 	Courier int
 	Text    string
@@ -37,13 +38,13 @@
 
 func (f *CourierFault) Error() string { return fmt.Sprintf("courier %d: %s", f.Courier, f.Text) }
 
-// Local runs the decisions in this process.
+// Local is a Host that runs the dispatchers in this process.
 type Local struct {
 	newDecider func(courier int, ch dispatch.Config) Decider
 	couriers   map[int]Decider
 }
 
-// NewLocal hosts what make returns; nil stands for the module as it is.
+// NewLocal returns a host that creates dispatchers with make; nil stands for dispatch.New.
 func NewLocal(make func(courier int, ch dispatch.Config) Decider) *Local {
 	if make == nil {
 		make = func(_ int, ch dispatch.Config) Decider { return dispatch.New(ch) }
@@ -78,5 +79,5 @@
 	return all, nil
 }
 
-// Courier gives a running courier's decisions, for whoever wants to look into them.
+// Courier returns a running courier's dispatcher, for inspection.
 func (l *Local) Courier(n int) Decider { return l.couriers[n] }
--- a/testbed/simulation/quota.go
+++ b/testbed/simulation/quota.go
@@ -7,20 +7,22 @@
 	"pineport/quota"
 )
 
-// Share is how couriers share limits, in virtual time; a Interval of 0: they do not. Membership is as if every courier knew at once who runs.
+// Share is how couriers share quotas in virtual time. With an Interval of 0 they do not share. Gossip is not
+// simulated: every courier knows at once which others are running.
 type Share struct {
 	Interval dispatch.Micros
-	Deaf     float64 // share of the couriers that hear nothing, and are heard
+	Deaf     float64 // share of the couriers that receive no packets but can send them
 	Loss     float64 // share of the packets that are lost
 }
 
 const (
-	// A packet between couriers takes so long, drawn evenly: a network of one country.
+	// Delay of a packet between couriers, in µs, drawn uniformly: typical of a network within one country.
 	minPacketDelay = 10 * 1000
 	maxPacketDelay = 60 * 1000
 )
 
-// commune has a courier that begins share limits; an earlier start may have granted half of each of its parts.
+// startQuota enables quota sharing for a courier that starts. Its earlier run may have granted up to half of
+// each of its parts, so grants count as outstanding until quota.GrantHorizon has passed.
 func (s *Sim) startQuota(c *courier, ch dispatch.Config) dispatch.Config {
 	if s.Share.Interval <= 0 {
 		return ch
@@ -60,7 +62,7 @@
 	for _, action := range c.quota.Handle(s.now, events...) {
 		switch a := action.(type) {
 		case quota.ShareChanged:
-			e := quota.ToDispatch(a.Shares, func(t dispatch.Micros) dispatch.Micros { return t }) // one clock
+			e := quota.ToDispatch(a.Shares, func(t dispatch.Micros) dispatch.Micros { return t }) // all couriers share one clock
 			if len(e.Shares) > 0 {
 				s.notify(c, e)
 			}
--- a/testbed/simulation/restarts_test.go
+++ b/testbed/simulation/restarts_test.go
@@ -8,7 +8,7 @@
 	"pineport/testbed/scenario"
 )
 
-// readDay reads a day of testdata.
+// readScenario reads a scenario from testdata.
 func readScenario(t *testing.T, name string) *scenario.Day {
 	t.Helper()
 	file := "testdata/" + name + ".toml"
@@ -23,58 +23,61 @@
 	return d
 }
 
-// recoveries counts what restarts found, by what may be done about it.
+// recoveryCounter passes events and actions through, and counts the messages recovered after restarts and
+// their attempts.
 type recoveryCounter struct {
 	Decider
 	recovered *recoveredMessages
 }
 
-// foundAtRestarts are messages with an idempotency key that restarts found, and how often such a one was sent afterwards.
+// recoveredMessages are the messages with an idempotency key that were recovered after restarts, with the
+// number of attempts that followed.
 type recoveredMessages struct {
 	window                                       dispatch.Micros
-	classes                                      map[dispatch.ClassID]bool // those with an idempotency key
+	classes                                      map[dispatch.ClassID]bool // classes with an idempotency key
 	unsent, withinWindow, expired                map[dispatch.MessageID]bool
 	sendsUnsent, sendsWithinWindow, sendsExpired int
 }
 
 func newRecoveredMessages(window dispatch.Micros, idempotentClasses ...dispatch.ClassID) *recoveredMessages {
-	f := &recoveredMessages{window: window, classes: map[dispatch.ClassID]bool{}, unsent: map[dispatch.MessageID]bool{},
+	r := &recoveredMessages{window: window, classes: map[dispatch.ClassID]bool{}, unsent: map[dispatch.MessageID]bool{},
 		withinWindow: map[dispatch.MessageID]bool{}, expired: map[dispatch.MessageID]bool{}}
 	for _, w := range idempotentClasses {
-		f.classes[w] = true
+		r.classes[w] = true
 	}
-	return f
+	return r
 }
 
-// found sorts a message that a restart found.
-func (f *recoveredMessages) add(now dispatch.Micros, e dispatch.MessageRecovered) {
-	delete(f.unsent, e.Message)
-	delete(f.withinWindow, e.Message)
-	if !f.classes[e.Class] {
+// add classifies a recovered message by whether it may have been sent, and whether its deduplication window
+// has passed.
+func (r *recoveredMessages) add(now dispatch.Micros, e dispatch.MessageRecovered) {
+	delete(r.unsent, e.Message)
+	delete(r.withinWindow, e.Message)
+	if !r.classes[e.Class] {
 		return
 	}
 	for _, p := range e.Attempts {
 		if p.Outcome == dispatch.Throttled || p.Outcome == dispatch.Unreachable || p.Outcome == dispatch.Unprocessed {
 			continue
 		}
-		if now >= p.SentAt+f.window {
-			f.expired[e.Message] = true
+		if now >= p.SentAt+r.window {
+			r.expired[e.Message] = true
 		} else {
-			f.withinWindow[e.Message] = true
+			r.withinWindow[e.Message] = true
 		}
 		return
 	}
-	f.unsent[e.Message] = true
+	r.unsent[e.Message] = true
 }
 
-func (f *recoveredMessages) countSend(id dispatch.MessageID) {
+func (r *recoveredMessages) countSend(id dispatch.MessageID) {
 	switch {
-	case f.expired[id]:
-		f.sendsExpired++
-	case f.withinWindow[id]:
-		f.sendsWithinWindow++
-	case f.unsent[id]:
-		f.sendsUnsent++
+	case r.expired[id]:
+		r.sendsExpired++
+	case r.withinWindow[id]:
+		r.sendsWithinWindow++
+	case r.unsent[id]:
+		r.sendsUnsent++
 	}
 }
 
@@ -94,19 +97,20 @@
 	return actions
 }
 
-// TestShortDedupWindowAcrossRestarts: on days full of restarts, with repeats known for a second only, all rules hold; what a restart
-// finds past its window never goes again, what is within it may, and what was never tried still is.
+// TestShortDedupWindowAcrossRestarts runs scenarios with many restarts and a deduplication window of one
+// second. A message that may have been sent must not be sent again after a restart if its window has passed.
+// Within the window it may be, and a message never sent still is.
 func TestShortDedupWindowAcrossRestarts(t *testing.T) {
 	const (
 		seeds  = 12
-		window = 1000 * 1000 // as the day has it for the first two classes
+		window = 1000 * 1000 // of the first two classes in the scenario file
 	)
-	var untried, within, over, sentUntried, sentWithin, sentOver int
+	var unsent, withinWindow, expired, sendsUnsent, sendsWithinWindow, sendsExpired int
 	for seed := int64(1); seed <= seeds; seed++ {
-		w := scenario.Draw(readScenario(t, "restarts"), seed)
-		found := newRecoveredMessages(window, 0, 1)
-		v, _, err := Play(w, NewLocal(func(_ int, ch dispatch.Config) Decider {
-			return &recoveryCounter{dispatch.New(ch), found}
+		instance := scenario.Draw(readScenario(t, "restarts"), seed)
+		recovered := newRecoveredMessages(window, 0, 1)
+		v, _, err := Play(instance, NewLocal(func(_ int, ch dispatch.Config) Decider {
+			return &recoveryCounter{dispatch.New(ch), recovered}
 		}), Options{Spool: true})
 		if err != nil {
 			t.Fatal(err)
@@ -114,15 +118,15 @@
 		if !v.OK() {
 			t.Errorf("seed %d: %s %v", seed, v.Short(), v.Breaches)
 		}
-		untried, within, over = untried+len(found.unsent), within+len(found.withinWindow), over+len(found.expired)
-		sentUntried, sentWithin, sentOver = sentUntried+found.sendsUnsent, sentWithin+found.sendsWithinWindow, sentOver+found.sendsExpired
+		unsent, withinWindow, expired = unsent+len(recovered.unsent), withinWindow+len(recovered.withinWindow), expired+len(recovered.expired)
+		sendsUnsent, sendsWithinWindow, sendsExpired = sendsUnsent+recovered.sendsUnsent, sendsWithinWindow+recovered.sendsWithinWindow, sendsExpired+recovered.sendsExpired
 	}
-	t.Logf("%d days: restarts found %d messages untried (%d attempts followed), %d within their window (%d attempts), %d past it (%d attempts)",
-		seeds, untried, sentUntried, within, sentWithin, over, sentOver)
-	if sentOver > 0 {
-		t.Errorf("%d attempts of messages that were past their window when a restart found them", sentOver)
+	t.Logf("%d runs: recovered %d messages never sent (%d attempts followed), %d within their window (%d attempts), %d past it (%d attempts)",
+		seeds, unsent, sendsUnsent, withinWindow, sendsWithinWindow, expired, sendsExpired)
+	if sendsExpired > 0 {
+		t.Errorf("%d attempts of messages that were past their deduplication window when recovered", sendsExpired)
 	}
-	if over == 0 || sentWithin == 0 || sentUntried == 0 {
-		t.Error("these days show too little")
+	if expired == 0 || sendsWithinWindow == 0 || sendsUnsent == 0 {
+		t.Error("the runs did not recover messages of every kind")
 	}
 }
--- a/testbed/simulation/returns_test.go
+++ b/testbed/simulation/returns_test.go
@@ -10,20 +10,20 @@
 	"pineport/testbed/scenario"
 )
 
-// outageKinds are the ways in which a destination may fail as a whole; the seeds of a fleet take them by steps.
+// outageKinds are the kinds of outage of a whole destination; consecutive seeds cycle through them.
 var outageKinds = []string{"refuse", "silent", "hang", "shut", "errors"}
 
-// knowingShare of the calls that push a destination over must come from couriers that had seen the outage, or it is a fall
-// and no broken rule.
+// informedShare is the share of the calls that must come from couriers that had seen the outage for an
+// overload to count as a broken rule. Below it the destination is overloaded but no rule is broken.
 const informedShare = 2.0 / 3
 
-// returnBudget is how many calls a cold destination takes within the span of the rule: calls is what the settings allow,
-// and 2*sqrt(calls)+2 beyond it are put down to chance. It is of what all couriers of the fleet send together.
+// returnBudget is how many calls a recovering destination may receive within the window of the rule, from all
+// couriers together. The settings allow calls; 2*sqrt(calls)+2 more are attributed to chance.
 func returnBudget(calls float64) float64 { return calls + 2*math.Sqrt(calls) + 2 }
 
-// slowStartBudget is how many calls a server in slow start may get in the span of the rule: calls is what the settings allow, and
-// 2*sqrt(calls)+2 beyond it (3*sqrt(calls)+3 under 30 calls) are put down to chance. It binds on every day, whoever sent the calls
-// and however many couriers run (RULES).
+// slowStartBudget is how many calls a server in slow start may receive within the window of the rule. The
+// settings allow calls; 2*sqrt(calls)+2 more (3*sqrt(calls)+3 below 30 calls) are attributed to chance. By
+// the testbed's rules the budget applies in every scenario, to the calls of all couriers, for any fleet size.
 func slowStartBudget(calls float64) float64 {
 	const fewCalls = 30
 	if calls < fewCalls {
@@ -32,28 +32,29 @@
 	return returnBudget(calls)
 }
 
-// fleetCall is one call of one courier, as far as it weighs on a cold destination.
+// fleetCall is a call of one courier to a recovering destination.
 type fleetCall struct {
 	at       dispatch.Micros
 	courier  int
-	informed bool // its courier had seen a call fail or be refused in the outage
+	informed bool // its courier had seen a call fail or be refused during the outage
 }
 
-// watchedRoute is what shares one return: a destination, or one of its endpoints where they are routes apart.
+// watchedRoute is a route that goes through an outage and slow start as a whole: a destination, or one
+// endpoint where routes are separate.
 type watchedRoute struct {
 	plan                    *scenario.Destination
 	endpoints               int
-	outageStart, outageEnd  dispatch.Micros // when its outage began, and when it came back; out 0: it had none
-	informed                map[int]bool    // the couriers that had seen the outage
-	window                  []fleetCall     // the calls of the last span, of the whole fleet
+	outageStart, outageEnd  dispatch.Micros // start is 0 without an outage
+	informed                map[int]bool    // couriers that had seen the outage
+	window                  []fleetCall     // calls of the whole fleet in the last window
 	maxLoad                 windowLoad
-	overloadedByInformed    bool       // some span had too many calls, and they came from couriers that knew
-	maxSlowStartLoad        windowLoad // against the slow start budget
-	overSlowStart           bool       // some span was over the slow start budget, whoever sent the calls
-	overSlowStartByInformed bool       // ... and its calls came from couriers that knew
+	overloadedByInformed    bool       // a window was over budget, mostly by calls of informed couriers
+	maxSlowStartLoad        windowLoad // relative to the slow start budget
+	overSlowStart           bool       // a window was over the slow start budget, whoever sent the calls
+	overSlowStartByInformed bool       // such a window had mostly calls of informed couriers
 }
 
-// windowLoad is the calls of one span against what the destination takes in it.
+// windowLoad compares the calls of one window with their budget.
 type windowLoad struct {
 	calls, informedCalls int
 	budget               float64
@@ -63,12 +64,12 @@
 func (w windowLoad) ratio() float64 { return float64(w.calls) / max(w.budget, 1e-9) }
 func (w windowLoad) over() bool     { return float64(w.calls) > w.budget }
 
-// known tells whether the calls came from couriers that had seen the outage.
+// byInformed reports whether enough of the calls came from couriers that had seen the outage.
 func (w windowLoad) byInformed() bool {
 	return float64(w.informedCalls) >= informedShare*float64(w.calls)
 }
 
-// count adds a call at an instant of the ramp, and keeps the fullest span.
+// count adds a call during the ramp after an outage, and keeps the window with the highest load.
 func (r *watchedRoute) count(now dispatch.Micros, courier int) {
 	plan := &r.plan.Plan
 	if r.outageStart == 0 || now < r.outageEnd || now >= r.outageEnd+plan.Ramp {
@@ -99,20 +100,20 @@
 	r.overSlowStartByInformed = r.overSlowStartByInformed || slow.over() && slow.byInformed()
 }
 
-// returnCounter hosts the decisions as Local does, and counts what the whole fleet sends to destinations that come back.
-// It sees what the couriers are notified and what they do, and nothing of the model of the destinations.
+// returnCounter is a Host that counts what the whole fleet sends to destinations in slow start. It uses only
+// the couriers' events and actions, and not the endpoint model.
 type returnCounter struct {
 	Host
 	routes   map[dispatch.EndpointID]*watchedRoute
-	attempts map[int]map[dispatch.MessageID][]dispatch.EndpointID // by courier: where each attempt of a message went
+	attempts map[int]map[dispatch.MessageID][]dispatch.EndpointID // by courier: the endpoint of each attempt of a message
 }
 
-// newReturnCounter watches the returns of a day on which each route has one outage at most.
-func newReturnCounter(w *scenario.Drawn, host Host) *returnCounter {
+// newReturnCounter returns a counter for a scenario in which each route has at most one outage.
+func newReturnCounter(instance *scenario.Drawn, host Host) *returnCounter {
 	c := &returnCounter{Host: host, routes: map[dispatch.EndpointID]*watchedRoute{},
 		attempts: map[int]map[dispatch.MessageID][]dispatch.EndpointID{}}
-	for i := range w.Destinations {
-		d := &w.Destinations[i]
+	for i := range instance.Destinations {
+		d := &instance.Destinations[i]
 		var route *watchedRoute
 		for _, e := range d.Endpoints {
 			if route == nil || d.Apart {
@@ -122,7 +123,7 @@
 			c.routes[e.ID] = route
 		}
 	}
-	for _, a := range w.Acts {
+	for _, a := range instance.Acts {
 		switch a.Kind {
 		case scenario.Begins:
 			c.routes[a.Endpoint.ID].outageStart = a.At
@@ -143,14 +144,14 @@
 func (c *returnCounter) Turn(now dispatch.Micros, batches []Batch) ([][]dispatch.Action, error) {
 	all, err := c.Host.Turn(now, batches)
 	for i := range all {
-		c.sent(now, batches[i].Courier, all[i])
-		c.learned(now, batches[i]) // known from the next batch on
+		c.countCalls(now, batches[i].Courier, all[i])
+		c.recordOutages(now, batches[i]) // counts for calls of later batches only
 	}
 	return all, err
 }
 
-// returned lists the routes that came back, each once.
-func (c *returnCounter) returned() (all []*watchedRoute) {
+// returned returns the routes that had an outage, each once.
+func (c *returnCounter) recoveredRoutes() (all []*watchedRoute) {
 	for _, id := range slices.Sorted(maps.Keys(c.routes)) {
 		if r := c.routes[id]; r.outageStart > 0 && !slices.Contains(all, r) {
 			all = append(all, r)
@@ -159,8 +160,8 @@
 	return all
 }
 
-// learned notes who has seen an outage while it lasts.
-func (c *returnCounter) learned(now dispatch.Micros, b Batch) {
+// learned records which couriers see an outage while it lasts.
+func (c *returnCounter) recordOutages(now dispatch.Micros, b Batch) {
 	for _, event := range b.Events {
 		e, ok := event.(dispatch.AttemptFinished)
 		if !ok || e.Outcome == dispatch.Delivered || e.Outcome == dispatch.Unprocessed || e.Outcome == dispatch.Canceled {
@@ -173,8 +174,9 @@
 	}
 }
 
-// sent counts the calls of one step: messages for one endpoint go together, as many as its kind takes.
-func (c *returnCounter) sent(now dispatch.Micros, courier int, actions []dispatch.Action) {
+// sent counts the calls of one step. Messages for the same endpoint share a call, up to the limit of the
+// destination.
+func (c *returnCounter) countCalls(now dispatch.Micros, courier int, actions []dispatch.Action) {
 	messages := map[dispatch.EndpointID]int{}
 	for _, action := range actions {
 		a, ok := action.(dispatch.Send)
@@ -191,12 +193,13 @@
 	}
 }
 
-// rampRules are what settings say of a return.
+// recoverySettings are the settings of a destination's recovery after an outage.
 type recoverySettings struct {
 	coldFrom, multiple, span float64
 }
 
-// returnsDay is the day of testdata/returns.toml for a fleet, with one kind of outage.
+// recoveryScenario returns the scenario testdata/returns.toml for a fleet size and the kind of outage of the
+// seed.
 func recoveryScenario(t *testing.T, seed int64, couriers int, rules recoverySettings) *scenario.Drawn {
 	t.Helper()
 	d := readScenario(t, "returns")
@@ -211,39 +214,40 @@
 
 func outageKind(seed int64) string { return outageKinds[int(seed)%len(outageKinds)] }
 
-// neverFalls is the same day with destinations that take any load, so that each return is counted to its end.
-func withoutOverload(w *scenario.Drawn) *scenario.Drawn {
-	all := *w
-	all.Destinations = slices.Clone(w.Destinations)
-	for i := range all.Destinations {
-		all.Destinations[i].Fall = 0
+// withoutOverload returns the same scenario with destinations that no load can overload, so that each
+// recovery is counted to its end.
+func withoutOverload(instance *scenario.Drawn) *scenario.Drawn {
+	result := *instance
+	result.Destinations = slices.Clone(instance.Destinations)
+	for i := range result.Destinations {
+		result.Destinations[i].Fall = 0
 	}
-	return &all
+	return &result
 }
 
-// fleetReturns is what the returns of one fleet came to over all seeds.
+// fleetReturns sums up the recoveries of one fleet over all seeds.
 type fleetReturns struct {
-	returns, over, overByInformed          int // routes that came back; those sent too much; those sent too much by couriers that knew
+	returns, over, overByInformed          int // recoveries; those over budget; those over budget through informed couriers
 	seedsOver                              int
 	maxLoad                                windowLoad
 	maxLoadSeed                            int64
-	overSlowStart, overSlowStartByInformed int        // returns over the slow start budget; those by couriers that knew
-	maxSlowStartLoad                       windowLoad // against the slow start budget
+	overSlowStart, overSlowStartByInformed int        // recoveries over the slow start budget; those of them through informed couriers
+	maxSlowStartLoad                       windowLoad // relative to the slow start budget
 	maxSlowStartSeed                       int64
 }
 
-// add takes in the returns of one play.
+// add adds the recoveries of one run.
 func (f *fleetReturns) add(t *testing.T, seed int64, c *returnCounter) {
 	t.Helper()
 	before := f.over
-	for _, r := range c.returned() {
+	for _, r := range c.recoveredRoutes() {
 		f.returns++
 		if r.overloadedByInformed {
 			f.overByInformed++
 		}
 		if r.maxLoad.over() {
 			f.over++
-			t.Logf("seed %d, %s: %d calls, %d of them by couriers that knew, of %.1f at most, %.2f s after the return", seed,
+			t.Logf("seed %d, %s: %d calls, %d of them by informed couriers, budget %.1f, %.2f s after the outage", seed,
 				outageKind(seed), r.maxLoad.calls, r.maxLoad.informedCalls, r.maxLoad.budget, float64(r.maxLoad.sinceReturn)/1e6)
 		}
 		if r.maxLoad.ratio() > f.maxLoad.ratio() {
@@ -251,7 +255,7 @@
 		}
 		if r.overSlowStart {
 			f.overSlowStart++
-			t.Logf("seed %d, %s: over the slow start budget: %d calls, %d of them by couriers that knew, of %.1f at most, %.2f s after the return",
+			t.Logf("seed %d, %s: over the slow start budget: %d calls, %d of them by informed couriers, budget %.1f, %.2f s after the outage",
 				seed, outageKind(seed), r.maxSlowStartLoad.calls, r.maxSlowStartLoad.informedCalls, r.maxSlowStartLoad.budget, float64(r.maxSlowStartLoad.sinceReturn)/1e6)
 		}
 		if r.overSlowStartByInformed {
@@ -266,71 +270,73 @@
 	}
 }
 
-func playReturns(t *testing.T, seeds int64, couriers int, rules recoverySettings, decide func(int, dispatch.Config) Decider) (f fleetReturns) {
+func runRecoveries(t *testing.T, seeds int64, couriers int, rules recoverySettings, decide func(int, dispatch.Config) Decider) (f fleetReturns) {
 	t.Helper()
 	for seed := int64(1); seed <= seeds; seed++ {
-		w := recoveryScenario(t, seed, couriers, rules)
-		counter := newReturnCounter(w, NewLocal(decide))
-		if _, _, err := Play(withoutOverload(w), counter, Options{}); err != nil {
+		instance := recoveryScenario(t, seed, couriers, rules)
+		counter := newReturnCounter(instance, NewLocal(decide))
+		if _, _, err := Play(withoutOverload(instance), counter, Options{}); err != nil {
 			t.Fatal(err)
 		}
 		f.add(t, seed, counter)
 	}
-	t.Logf("%d couriers: %d returns, worst %.2f of what a cold destination takes (%d calls, %.1f taken, seed %d); %d of %d seeds over, %d pushed by who knew",
+	t.Logf("%d couriers: %d recoveries, highest load %.2f of the budget (%d calls, budget %.1f, seed %d); %d of %d seeds over, %d recoveries over through informed couriers",
 		couriers, f.returns, f.maxLoad.ratio(), f.maxLoad.calls, f.maxLoad.budget, f.maxLoadSeed, f.seedsOver, seeds, f.overByInformed)
-	t.Logf("%d couriers, slow start budget: worst %.2f of it (%d calls, %.1f allowed, seed %d); %d of %d returns over, %d of these by who knew",
+	t.Logf("%d couriers, slow start budget: highest load %.2f of it (%d calls, budget %.1f, seed %d); %d of %d recoveries over, %d of these through informed couriers",
 		couriers, f.maxSlowStartLoad.ratio(), f.maxSlowStartLoad.calls, f.maxSlowStartLoad.budget, f.maxSlowStartSeed, f.overSlowStart, f.returns, f.overSlowStartByInformed)
 	return f
 }
 
-// TestFleetSlowStartAfterOutage: whatever the size of the fleet, no cold destination gets more than its budget from couriers that had
-// seen its outage, and hardly ever more from all together; and the slow start budget binds on every return, whoever sent the calls.
+// TestFleetSlowStartAfterOutage checks, for fleets of several sizes, that no recovering destination receives
+// more than its budget from couriers that had seen its outage, that the fleet as a whole exceeds the budget
+// on at most maxSeedsOver seeds, and that no recovery exceeds the slow start budget, whoever sent the calls.
 func TestFleetSlowStartAfterOutage(t *testing.T) {
 	const seeds = 50
-	// maxSeedsOver bounds days on which couriers that had seen no outage sent too much all the same: no rule is broken by
-	// that, but the destination falls.
+	// maxSeedsOver is the number of seeds on which couriers that had seen no outage may send too much. That
+	// breaks no rule, but it overloads the destination.
 	const maxSeedsOver = 2
-	usual := recoverySettings{coldFrom: 0.13, multiple: 2.5, span: 2}
+	defaults := recoverySettings{coldFrom: 0.13, multiple: 2.5, span: 2}
 	for _, fleet := range []struct {
 		name     string
 		couriers int
 		rules    recoverySettings
 	}{
-		{"1 courier", 1, usual},
-		{"3 couriers", 3, usual},
-		{"5 couriers", 5, usual},
-		{"20 couriers", 20, usual},
-		{"30 couriers", 30, usual},
+		{"1 courier", 1, defaults},
+		{"3 couriers", 3, defaults},
+		{"5 couriers", 5, defaults},
+		{"20 couriers", 20, defaults},
+		{"30 couriers", 30, defaults},
 		{"30 couriers, a smaller multiple over a short span", 30, recoverySettings{coldFrom: 0.2, multiple: 2, span: 1.5}},
 		{"30 couriers, the smallest multiple over a long span", 30, recoverySettings{coldFrom: 0.26, multiple: 1.5, span: 3}},
 	} {
 		t.Run(fleet.name, func(t *testing.T) {
-			f := playReturns(t, seeds, fleet.couriers, fleet.rules, nil)
+			f := runRecoveries(t, seeds, fleet.couriers, fleet.rules, nil)
 			if f.returns < seeds {
-				t.Errorf("%d returns on %d days: too few to tell", f.returns, seeds)
+				t.Errorf("%d recoveries with %d seeds, want at least one per seed", f.returns, seeds)
 			}
 			if f.overByInformed > 0 {
-				t.Errorf("%d returns were pushed over by couriers that had seen the outage", f.overByInformed)
+				t.Errorf("%d destinations were overloaded by couriers that had seen the outage", f.overByInformed)
 			}
 			if f.seedsOver > maxSeedsOver {
-				t.Errorf("too many calls on %d of %d days, at most %d", f.seedsOver, seeds, maxSeedsOver)
+				t.Errorf("too many calls with %d of %d seeds, want at most %d", f.seedsOver, seeds, maxSeedsOver)
 			}
 			if f.overSlowStart > 0 {
-				t.Errorf("%d returns got more than the slow start budget, %d of them from couriers that had seen the outage", f.overSlowStart, f.overSlowStartByInformed)
+				t.Errorf("%d recoveries exceeded the slow start budget, %d of them through couriers that had seen the outage", f.overSlowStart, f.overSlowStartByInformed)
 			}
 		})
 	}
 }
 
-// TestReturnCounterDetectsOverload: couriers that heed no return are caught by the count of TestFleetSlowStartAfterOutage.
+// TestReturnCounterDetectsOverload checks that the counts of TestFleetSlowStartAfterOutage detect couriers
+// without slow start.
 func TestReturnCounterDetectsOverload(t *testing.T) {
-	f := playReturns(t, 2, 20, recoverySettings{coldFrom: 0.13, multiple: 2.5, span: 2}, func(_ int, ch dispatch.Config) Decider {
+	f := runRecoveries(t, 2, 20, recoverySettings{coldFrom: 0.13, multiple: 2.5, span: 2}, func(_ int, ch dispatch.Config) Decider {
 		return &eagerDecider{config: ch, endpoints: map[dispatch.DestinationID][]dispatch.EndpointID{}, accepted: map[dispatch.MessageID]dispatch.MessageAccepted{}}
 	})
 	if f.overByInformed == 0 {
-		t.Error("no return counts as pushed over")
+		t.Error("no overload by informed couriers was counted")
 	}
 	if f.overSlowStart == 0 || f.overSlowStartByInformed == 0 {
-		t.Errorf("%d returns count as over the slow start budget, %d by who knew", f.overSlowStart, f.overSlowStartByInformed)
+		t.Errorf("%d recoveries were counted as over the slow start budget, %d through informed couriers; want some of both", f.overSlowStart, f.overSlowStartByInformed)
 	}
 }
--- a/testbed/simulation/simulation.go
+++ b/testbed/simulation/simulation.go
@@ -1,6 +1,6 @@
-// Package simulation plays a day in virtual time: clients, network, directory and partners are models, the couriers' decisions
-// are the real ones. One goroutine, no clock: an event's instant is the only time there is, and the same day against the
-// same decisions gives the same outcome to the last message.
+// Package simulation runs a scenario in virtual time. Clients, network, directory and destinations are
+// models; the couriers' dispatchers are the real ones. The simulation has one goroutine and no clock: time
+// advances from event to event, so the same scenario with the same dispatchers gives exactly the same result.
 package simulation
 
 import (
@@ -16,15 +16,15 @@
 	"pineport/testbed/scenario"
 )
 
-// Stats tells what a run cost.
+// Stats counts the work of a run.
 type Stats struct {
-	Events  int // of the world
-	Steps   int // of couriers
+	Events  int // simulation events
+	Steps   int // steps of the couriers' dispatchers
 	Actions int
-	Packets int // between couriers
+	Packets int // quota packets between couriers
 }
 
-// Sim is a day being played.
+// Sim is a simulation in progress.
 type Sim struct {
 	instance     *scenario.Drawn
 	ledger       *invariants.Ledger
@@ -37,67 +37,67 @@
 	destinations []*destination
 	endpoints    map[dispatch.EndpointID]*endpointRecord
 	couriers     []*courier
-	stepsDue     map[dispatch.Micros][]*courier // who has something to be notified, by tick
+	stepsDue     map[dispatch.Micros][]*courier // couriers with queued events, by tick
 	directory    *directory
 	lastCallID   uint64
-	accepted     int              // messages, by all couriers
-	inFlight     map[uint64]*call // those whose endpoint may still answer
+	accepted     int              // messages accepted by all couriers
+	inFlight     map[uint64]*call // calls that the endpoint may still answer, by ID
 	stats        Stats
 	err          error
 	snapshots    map[int]dispatch.Snapshot
 	Options
 }
 
-// site is a partner and when it was last asked to be stepped.
+// destination is a destination model and the time of its next scheduled step.
 type destination struct {
 	*endpointmodel.Partner
 	dueAt dispatch.Micros
 }
 
-// spot is an endpoint that ever was.
+// endpointRecord is an endpoint that exists or existed.
 type endpointRecord struct {
 	destination int
 	endpoint    endpointmodel.Endpoint
 	route       int
 }
 
-// Options are how a day is played.
+// Options are the settings of a run.
 type Options struct {
-	// Watch is called every half second of virtual time.
+	// Watch is called every 500 ms of virtual time.
 	Watch func(now dispatch.Micros)
-	// SnapshotInterval is how often each courier's learned state is kept for its next start, as a file would; 0: never. At a planned end it is
-	// kept last.
+	// SnapshotInterval is how often each courier's learned state is saved, as in a snapshot file, for its
+	// next start; 0: never. It is also saved at the end of a graceful shutdown.
 	SnapshotInterval dispatch.Micros
-	// Spool has what a killed courier held come back to it at its next start, as its folder would; else its clients hand it
-	// in anew.
+	// Spool returns the open messages of a killed courier to it at its next start, as its spool would.
+	// Without it, the clients submit them again.
 	Spool bool
-	// Share has couriers share limits.
+	// Share is how couriers share quotas.
 	Share Share
 }
 
-// Play plays a day.
-func Play(w *scenario.Drawn, host Host, o Options) (*invariants.Verdict, Stats, error) {
-	setup := invariants.ForDay(w)
-	if o.Spool { // what fell due while a courier was down is answered in its first step
-		setup.Excused = config.Micros(w.Day.Fleet.Tick/1000) + setup.AnswerSlack
+// Play runs a scenario.
+func Play(instance *scenario.Drawn, host Host, o Options) (*invariants.Verdict, Stats, error) {
+	setup := invariants.ForDay(instance)
+	if o.Spool { // deadlines that pass while a courier is down are answered in its first step
+		setup.Excused = config.Micros(instance.Day.Fleet.Tick/1000) + setup.AnswerSlack
 	}
-	s := &Sim{instance: w, ledger: invariants.New(setup), host: host, rng: rand.New(rand.NewPCG(uint64(w.Seed), 77)),
-		tickLength: config.Micros(w.Day.Fleet.Tick / 1000), endpoints: map[dispatch.EndpointID]*endpointRecord{}, stepsDue: map[dispatch.Micros][]*courier{},
+	s := &Sim{instance: instance, ledger: invariants.New(setup), host: host, rng: rand.New(rand.NewPCG(uint64(instance.Seed), 77)),
+		tickLength: config.Micros(instance.Day.Fleet.Tick / 1000), endpoints: map[dispatch.EndpointID]*endpointRecord{}, stepsDue: map[dispatch.Micros][]*courier{},
 		inFlight: map[uint64]*call{}, snapshots: map[int]dispatch.Snapshot{}, Options: o}
 	s.directory = newDirectory(s)
-	for i := range w.Destinations {
-		p := endpointmodel.New(w.Destinations[i].Plan)
+	for i := range instance.Destinations {
+		p := endpointmodel.New(instance.Destinations[i].Plan)
 		s.destinations = append(s.destinations, &destination{p, endpointmodel.Never})
-		for _, e := range w.Destinations[i].Endpoints {
+		for _, e := range instance.Destinations[i].Endpoints {
 			s.endpoints[e.ID] = &endpointRecord{i, e, p.Route(e.ID)}
 		}
 	}
-	for i := range w.Day.Fleet.Couriers {
-		c := &courier{sim: s, index: i, zone: w.CourierZone[i], knownEntries: s.directory.snapshot()}
+	for i := range instance.Day.Fleet.Couriers {
+		c := &courier{sim: s, index: i, zone: instance.CourierZone[i], knownEntries: s.directory.snapshot()}
 		s.couriers = append(s.couriers, c)
 		s.startCourier(c)
 	}
-	for _, a := range w.Acts {
+	for _, a := range instance.Acts {
 		s.schedule(a.At, func() { s.applyEvent(a) })
 	}
 	s.scheduleArrival(0)
@@ -109,7 +109,7 @@
 			s.schedule(o.SnapshotInterval*dispatch.Micros(i)/dispatch.Micros(len(s.couriers)), func() { s.snapshotPeriodically(c) })
 		}
 	}
-	for s.err == nil && len(s.queue) > 0 && s.queue[0].at <= w.End {
+	for s.err == nil && len(s.queue) > 0 && s.queue[0].at <= instance.End {
 		e := heap.Pop(&s.queue).(event)
 		s.now = e.at
 		s.stats.Events++
@@ -120,10 +120,10 @@
 		s.ledger.Crashed(s.now, courierFault.Courier, courierFault.Text)
 		s.err = nil
 	}
-	return s.ledger.Finish(w.End), s.stats, s.err
+	return s.ledger.Finish(instance.End), s.stats, s.err
 }
 
-// keepLore keeps what a courier has learned, now and again after a while.
+// snapshotPeriodically saves a courier's snapshot now and every SnapshotInterval.
 func (s *Sim) snapshotPeriodically(c *courier) {
 	s.takeSnapshot(c)
 	s.schedule(s.now+s.SnapshotInterval, func() { s.snapshotPeriodically(c) })
@@ -142,13 +142,13 @@
 	s.schedule(s.now+invariants.Bin, s.watchPeriodically)
 }
 
-// after lets something happen at an instant.
+// schedule runs a function at a virtual time.
 func (s *Sim) schedule(at dispatch.Micros, do func()) {
 	s.seq++
 	heap.Push(&s.queue, event{max(at, s.now), s.seq, do})
 }
 
-// act is something that happens by itself.
+// applyEvent applies an event of the scenario.
 func (s *Sim) applyEvent(a scenario.Act) {
 	switch a.Kind {
 	case scenario.Begins:
@@ -181,7 +181,7 @@
 	}
 }
 
-// came takes in what came of something done to a partner, and sees to it that it is stepped when it is due.
+// handleOutputs processes the outputs of a destination model, and schedules its next step.
 func (s *Sim) handleOutputs(dest int, outputs []endpointmodel.Output) {
 	for _, o := range outputs {
 		switch o := o.(type) {
@@ -205,13 +205,13 @@
 func (s *Sim) stepDestination(dest int, due dispatch.Micros) {
 	p := s.destinations[dest]
 	if p.dueAt != due {
-		return // it was asked for earlier since
+		return // an earlier step was scheduled in the meantime
 	}
 	p.dueAt = endpointmodel.Never
 	s.handleOutputs(dest, p.Step(s.now))
 }
 
-// way is how long something takes between a courier and an endpoint.
+// latency returns a random one-way network latency between two zones.
 func (s *Sim) latency(a, b dispatch.ZoneID) dispatch.Micros {
 	r := s.instance.Day.Network.Same
 	if a != b {
@@ -230,7 +230,8 @@
 	}
 }
 
-// event is something that happens at an instant; those of one instant happen in the order in which they were set.
+// event is a function scheduled at a time. Events of the same time run in the order in which they were
+// scheduled.
 type event struct {
 	at  dispatch.Micros
 	seq int
--- a/testbed/simulation/wrong_test.go
+++ b/testbed/simulation/wrong_test.go
@@ -8,7 +8,7 @@
 	"pineport/testbed/scenario"
 )
 
-// wrong is a courier that breaks one rule: it passes events and actions through and spoils what it is notified to.
+// faultyDecider breaks one rule: it passes events to a correct decider and modifies the actions.
 type faultyDecider struct {
 	Decider
 	modify          func(w *faultyDecider, now dispatch.Micros, events []dispatch.Event, actions []dispatch.Action) []dispatch.Action
@@ -53,7 +53,7 @@
 	return d.modify(d, now, events, actions)
 }
 
-// endpointOf is any endpoint of a destination that is listed, the first by name.
+// endpointOf returns the endpoint in service of a destination that comes first by ID.
 func (f *faultyDecider) endpointOf(dest dispatch.DestinationID) (best dispatch.EndpointID) {
 	for id, l := range f.entries {
 		if l.Destination == dest && l.Phase == dispatch.InService && (best == "" || id < best) {
@@ -63,28 +63,29 @@
 	return best
 }
 
-// TestFaultyDecidersAreDetected: for each rule a courier that breaks it, and nothing else, is named by just that rule; the
-// right courier on the same day by none. So a ledger that stopped looking would be found out.
+// TestFaultyDecidersAreDetected checks, for each rule, that a decider breaking that rule is reported under
+// it, and that the correct decider breaks no rule in the same scenario. It guards against a ledger that no
+// longer checks a rule.
 func TestFaultyDecidersAreDetected(t *testing.T) {
-	type modify = func(w *faultyDecider, now dispatch.Micros, events []dispatch.Event, actions []dispatch.Action) []dispatch.Action
+	type modify = func(instance *faultyDecider, now dispatch.Micros, events []dispatch.Event, actions []dispatch.Action) []dispatch.Action
 	for _, c := range []struct {
 		name, day string
 		rule      invariants.Rule
 		modify    modify
 	}{
-		{"repeats a single-use record that may have run", "acts-then-hangs", invariants.Twice,
-			func(w *faultyDecider, _ dispatch.Micros, events []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
+		{"resends a single-use message that may have run", "acts-then-hangs", invariants.Twice,
+			func(instance *faultyDecider, _ dispatch.Micros, events []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 				for _, e := range events {
 					s, ok := e.(dispatch.AttemptFinished)
 					mayRun := ok && (s.Outcome == dispatch.TimedOut || s.Outcome == dispatch.Broken || s.Outcome == dispatch.Canceled)
-					if mayRun && !s.MessageDone && w.accepted[s.Message].Class == 1 {
-						actions = append([]dispatch.Action{dispatch.Send{Message: s.Message, Endpoint: w.endpointOf(w.accepted[s.Message].Destination),
+					if mayRun && !s.MessageDone && instance.accepted[s.Message].Class == 1 {
+						actions = append([]dispatch.Action{dispatch.Send{Message: s.Message, Endpoint: instance.endpointOf(instance.accepted[s.Message].Destination),
 							Timeout: 1000}}, actions...)
 					}
 				}
 				return actions
 			}},
-		{"bounces what may have run", "acts-then-hangs", invariants.Twice,
+		{"rejects messages that may have run", "acts-then-hangs", invariants.Twice,
 			func(_ *faultyDecider, _ dispatch.Micros, _ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 				for i, a := range actions {
 					if end, ok := a.(dispatch.Fail); ok {
@@ -93,21 +94,21 @@
 				}
 				return actions
 			}},
-		{"sends in a told wait", "shrunk-limits", invariants.Waits,
-			func(w *faultyDecider, now dispatch.Micros, events []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
+		{"sends before Retry-After has passed", "shrunk-limits", invariants.Waits,
+			func(instance *faultyDecider, now dispatch.Micros, events []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 				for _, e := range events {
-					if accepted, ok := e.(dispatch.MessageAccepted); ok && w.retryAfterUntil[accepted.Destination] > now+10*1000 && w.accepted[accepted.Message].Class == 0 {
-						return append(actions, dispatch.Send{Message: accepted.Message, Endpoint: w.endpointOf(accepted.Destination), Timeout: 1000 * 1000})
+					if accepted, ok := e.(dispatch.MessageAccepted); ok && instance.retryAfterUntil[accepted.Destination] > now+10*1000 && instance.accepted[accepted.Message].Class == 0 {
+						return append(actions, dispatch.Send{Message: accepted.Message, Endpoint: instance.endpointOf(accepted.Destination), Timeout: 1000 * 1000})
 					}
 				}
 				return actions
 			}},
-		{"sends to what drains", "moving-house", invariants.Drain,
-			func(w *faultyDecider, _ dispatch.Micros, _ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
+		{"sends to draining endpoints", "moving-house", invariants.Drain,
+			func(instance *faultyDecider, _ dispatch.Micros, _ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 				for i, a := range actions {
 					if send, ok := a.(dispatch.Send); ok {
-						for id, d := range w.notInService {
-							if d == w.accepted[send.Message].Destination {
+						for id, d := range instance.notInService {
+							if d == instance.accepted[send.Message].Destination {
 								actions[i] = dispatch.Send{Message: send.Message, Endpoint: id, Timeout: send.Timeout}
 							}
 						}
@@ -115,7 +116,7 @@
 				}
 				return actions
 			}},
-		{"forgets a final answer", "acts-then-hangs", invariants.Final,
+		{"omits final answers", "acts-then-hangs", invariants.Final,
 			func(_ *faultyDecider, _ dispatch.Micros, _ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 				var kept []dispatch.Action
 				for _, a := range actions {
@@ -125,7 +126,7 @@
 				}
 				return kept
 			}},
-		{"answers twice", "silent-and-cold", invariants.Final,
+		{"answers a message twice", "silent-and-cold", invariants.Final,
 			func(_ *faultyDecider, _ dispatch.Micros, _ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 				for _, a := range actions {
 					if b, ok := a.(dispatch.Reject); ok {
@@ -134,24 +135,24 @@
 				}
 				return actions
 			}},
-		{"sends after the end", "calm", invariants.Final,
-			func(w *faultyDecider, _ dispatch.Micros, _ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
-				if n := len(w.ended); n > 0 {
-					id := w.ended[n-1]
-					w.ended = w.ended[:n-1]
-					actions = append(actions, dispatch.Send{Message: id, Endpoint: w.endpointOf(w.accepted[id].Destination), Timeout: 1000 * 1000})
+		{"sends a message after its final answer", "calm", invariants.Final,
+			func(instance *faultyDecider, _ dispatch.Micros, _ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
+				if n := len(instance.ended); n > 0 {
+					id := instance.ended[n-1]
+					instance.ended = instance.ended[:n-1]
+					actions = append(actions, dispatch.Send{Message: id, Endpoint: instance.endpointOf(instance.accepted[id].Destination), Timeout: 1000 * 1000})
 				}
 				return actions
 			}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d := findScenario(t, c.day)
-			w := scenario.Draw(d, 2)
-			correct, _, err := Play(w, NewLocal(nil), Options{})
+			instance := scenario.Draw(d, 2)
+			correct, _, err := Play(instance, NewLocal(nil), Options{})
 			if err != nil || !correct.OK() {
-				t.Fatalf("the right courier: %v, %s %v", err, correct.Short(), correct.Breaches)
+				t.Fatalf("the correct decider: %v, %s %v", err, correct.Short(), correct.Breaches)
 			}
-			v, _, err := Play(w, NewLocal(func(_ int, ch dispatch.Config) Decider {
+			v, _, err := Play(instance, NewLocal(func(_ int, ch dispatch.Config) Decider {
 				return &faultyDecider{Decider: dispatch.New(ch), modify: c.modify, accepted: map[dispatch.MessageID]dispatch.MessageAccepted{}, attempts: map[dispatch.MessageID]int{},
 					notInService: map[dispatch.EndpointID]dispatch.DestinationID{}, entries: map[dispatch.EndpointID]dispatch.EndpointEntry{}, retryAfterUntil: map[dispatch.DestinationID]dispatch.Micros{}}
 			}), Options{})
@@ -159,13 +160,14 @@
 				t.Fatal(err)
 			}
 			if v.Broken[c.rule] == 0 || v.Figure != 0 {
-				t.Errorf("not caught: %s, figure %v", v.Short(), v.Figure)
+				t.Errorf("breach not detected: %s, score %v", v.Short(), v.Figure)
 			}
 		})
 	}
 }
 
-// eager sends all at once, in any order, until it is done: it heeds neither returns nor the order of keys.
+// eagerDecider sends every message at once, up to 21 times until it is delivered. It ignores slow start and
+// ordering keys.
 type eagerDecider struct {
 	config    dispatch.Config
 	endpoints map[dispatch.DestinationID][]dispatch.EndpointID
--- a/testbed/soak/clients.go
+++ b/testbed/soak/clients.go
@@ -14,11 +14,12 @@
 const (
 	clientCount    = 4
 	submitInterval = 20 * time.Millisecond
-	// replyTimeout is how long a client waits; then it closes, and what it submitted counts for nothing.
+	// replyTimeout is how long a client waits for a reply. After that it closes the connection; the outcome
+	// of the message is unknown and not counted.
 	replyTimeout = 400 * time.Millisecond
 )
 
-// clients submit messages, and keep what they were told.
+// clients submit messages and record the replies.
 type clients struct {
 	mu         sync.Mutex
 	accepted   []string
@@ -26,7 +27,7 @@
 	unanswered int
 }
 
-// run starts the clients; stop ends them.
+// run starts the clients; the returned function stops them.
 func (c *clients) run(address string, seed int64) (stop func()) {
 	var stopped atomic.Bool
 	var all sync.WaitGroup
@@ -39,8 +40,8 @@
 	}
 }
 
-// submit submits over one connection, which it leaves every now and then.
-func (c *clients) submit(address, name string, client int, stopped *atomic.Bool) {
+// submit submits messages over one connection at a time, which it closes and reopens every few messages.
+func (c *clients) submit(address, idPrefix string, client int, stopped *atomic.Bool) {
 	var conn net.Conn
 	var replies *bufio.Reader
 	for n := 0; !stopped.Load(); n++ {
@@ -57,7 +58,7 @@
 			conn, replies = dialed, bufio.NewReader(dialed)
 		}
 		class := []string{"update", "order"}[n%2]
-		id := fmt.Sprintf("%s-%s-%d", class, name, n)
+		id := fmt.Sprintf("%s-%s-%d", class, idPrefix, n)
 		attributes := fmt.Sprintf("c=%s,d=%d,dest=1", class, timeToLive.Milliseconds())
 		conn.SetDeadline(time.Now().Add(replyTimeout))
 		fmt.Fprintf(conn, "*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$4\r\nbody\r\n", len(id), id, len(attributes), attributes)
@@ -79,7 +80,7 @@
 	switch {
 	case err == io.EOF:
 		c.unanswered++
-	case err != nil: // it gave up: what it submitted counts for nothing
+	case err != nil: // timeout or connection error: the outcome is unknown and not counted
 	case reply == "+OK\r\n":
 		c.accepted = append(c.accepted, id)
 	case strings.HasPrefix(reply, "-BUSY"):
@@ -93,7 +94,8 @@
 	return append([]string(nil), c.accepted...)
 }
 
-// judge looks at what endpoints and the platform saw of each message.
+// check compares the replies with what endpoints and discovery saw of each message, and adds counts and
+// breaches to the result.
 func (c *clients) check(r *run, res *Result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -106,21 +108,21 @@
 			res.Notices++
 		}
 		if strings.HasPrefix(id, "order") && starts > 1 {
-			res.Breaches = append(res.Breaches, fmt.Sprintf("double effect: %s ran %d times", id, starts))
+			res.Breaches = append(res.Breaches, fmt.Sprintf("duplicate effect: %s ran %d times", id, starts))
 		}
 		if starts > 0 && deliveries == 0 && len(notices) > 0 && notices[0] == "deferred" && strings.HasPrefix(id, "order") {
-			res.Breaches = append(res.Breaches, fmt.Sprintf("rejected though it may have run: %s", id))
+			res.Breaches = append(res.Breaches, fmt.Sprintf("rejected although it may have run: %s", id))
 		}
 	}
 	for _, id := range c.rejected {
 		if starts, _, _ := r.world.Seen(id); starts > 0 && strings.HasPrefix(id, "order") {
-			res.Breaches = append(res.Breaches, fmt.Sprintf("refused, and ran: %s", id))
+			res.Breaches = append(res.Breaches, fmt.Sprintf("refused but ran: %s", id))
 		}
 	}
 	if c.unanswered > 0 && !r.plan.mayCloseUnanswered() {
-		res.Breaches = append(res.Breaches, fmt.Sprintf("closed with no answer: %d requests", c.unanswered))
+		res.Breaches = append(res.Breaches, fmt.Sprintf("connection closed without an answer: %d requests", c.unanswered))
 	}
 	if res.Accepted == 0 {
-		res.Breaches = append(res.Breaches, "nothing was accepted")
+		res.Breaches = append(res.Breaches, "no message was accepted")
 	}
 }
--- a/testbed/soak/plan.go
+++ b/testbed/soak/plan.go
@@ -1,6 +1,7 @@
-// Package soak plays real couriers on loopback among faults of all kinds, drawn by a seed: system calls and the state folder, discovery behind a
-// fault proxy, endpoints, clients that come, go and crowd, signals in series, drains. It judges what clients and endpoints saw, and counts each
-// fault as struck or not: one that never struck was not tested.
+// Package soak runs real couriers on loopback under faults drawn from a seed: failing system calls, state
+// folder errors, discovery faults, endpoint failures, reconnecting clients, floods of connections, repeated
+// signals and drains. It checks what clients and endpoints saw, and counts how often each fault took effect.
+// A fault that never took effect was not tested.
 package soak
 
 import (
@@ -15,16 +16,16 @@
 	"pineport/testbed/syscallfault"
 )
 
-// act is something that is done to a courier at an instant of a play.
+// action is a fault or operation applied to a courier at a given time of the run.
 type action struct {
 	at          time.Duration
 	name        string
-	syscallName string // the system call that fails, with effect, for a span
+	syscallName string // the system call that fails with effect for duration
 	effect      syscallfault.Effect
 	duration    time.Duration
 }
 
-// The acts that are no failing system call.
+// The actions other than failing system calls.
 const (
 	actionDrain           = "drain"
 	actionKill            = "SIGKILL"
@@ -33,15 +34,15 @@
 	actionOpenConnections = "crowd"
 )
 
-// plan is all that a seed draws.
+// plan is everything that a seed determines.
 type plan struct {
-	quietPeriod        time.Duration // before the first act
+	quietPeriod        time.Duration // time before the first action
 	actions            []action
-	discoveryFaultRate float64 // share of polls that come to nothing or are spoilt
+	discoveryFaultRate float64 // share of polls with a fault
 	endpointFaultRate  float64 // share of calls that are not delivered
 }
 
-// systemFaults are failing system calls after which each request still has its answer.
+// syscallFaults are failing system calls under which every request must still be answered.
 var syscallFaults = []action{
 	{syscallName: "accept4", effect: syscallfault.Effect{Errno: syscall.ECONNABORTED}}, {syscallName: "accept4", effect: syscallfault.Effect{Errno: syscall.ENFILE}},
 	{syscallName: "accept4", effect: syscallfault.Effect{Errno: syscall.ENOBUFS}}, {syscallName: "socket", effect: syscallfault.Effect{Errno: syscall.EMFILE}},
@@ -54,16 +55,16 @@
 	{syscallName: stateDirCall, effect: syscallfault.Effect{Limit: 5}},
 }
 
-// folderCall stands for every call that changes the state folder.
+// stateDirCall stands for all system calls that change the state folder.
 const stateDirCall = "folder"
 
-// folderCalls are these calls.
+// stateDirCalls are the system calls that change the state folder.
 var stateDirCalls = []string{"write", "ftruncate", "fsync", "openat", "rename", "renameat", "renameat2", "unlinkat"}
 
-// tracedCalls are all calls that may fail in a play.
+// tracedCalls are all system calls that can fail in a run.
 var tracedCalls = append([]string{"accept4", "socket", "connect", "epoll_pwait", "read"}, stateDirCalls...)
 
-// draw draws a play of a length.
+// drawPlan draws the plan of a run of a given length.
 func drawPlan(rng *rand.Rand, length time.Duration) plan {
 	p := plan{quietPeriod: time.Duration(rng.Int63n(int64(length / 4))), discoveryFaultRate: 0.25 * rng.Float64(), endpointFaultRate: 0.3 * rng.Float64()}
 	randomStart := func() time.Duration {
@@ -87,14 +88,15 @@
 	return p
 }
 
-// mayCloseOnRequests reports whether a connection may end as a request comes: the process ends, or has to make room.
+// mayCloseUnanswered reports whether the courier may close a connection without answering a request: because
+// it stops, or because it must close connections to accept others.
 func (p plan) mayCloseUnanswered() bool {
 	return slices.ContainsFunc(p.actions, func(a action) bool {
 		return a.name == actionKill || a.name == actionTerminate || a.name == actionOpenConnections
 	})
 }
 
-// strikes reports whether a system call is one of those that an act has fail.
+// matches reports whether an action makes a system call fail.
 func (a action) matches(call *syscallfault.Call, stateDir string) bool {
 	if a.syscallName != stateDirCall {
 		return call.Name == a.syscallName && (a.syscallName != "read" && a.syscallName != "write" || call.IsSocket())
@@ -110,7 +112,7 @@
 	return false
 }
 
-// treatment draws what becomes of a call to discovery.
+// drawTreatment draws the fault of a call to discovery.
 func drawTreatment(rng *rand.Rand, faultRate float64) faultproxy.Treatment {
 	faults := []faultproxy.Fault{faultproxy.Silent, faultproxy.Reset, faultproxy.Unavailable, faultproxy.Cut, faultproxy.Stuck, faultproxy.Duplicate,
 		faultproxy.Late, faultproxy.Trickle, faultproxy.Endless, faultproxy.Spoilt, faultproxy.Spoilt}
@@ -118,7 +120,7 @@
 		return faultproxy.Treatment{}
 	}
 	at, by := rng.Float64(), byte(' '+rng.Intn(95))
-	corrupt := func(body []byte) []byte { // one byte, but none of an address: who is called then answers for nobody here
+	corrupt := func(body []byte) []byte { // replaces one byte, but none in a "dial" address: the courier would call an address outside the test
 		i := int(at * float64(len(body)))
 		if strings.Contains(string(body[max(0, i-40):i]), `"dial"`) || i >= len(body) {
 			return body[:i]
--- a/testbed/soak/play.go
+++ b/testbed/soak/play.go
@@ -23,25 +23,27 @@
 
 const (
 	endpoints = 3
-	// changeDeadline is when a drain counts as known at the latest, and drainGrace how long after that a new call may go there.
+	// changeDeadline is the time after which the courier must know of a drain; drainGrace is how long after
+	// that it may still start calls to the draining endpoint.
 	changeDeadline = 6 * time.Second
 	drainGrace     = 500 * time.Millisecond
 	timeToLive     = 5 * time.Second
-	// killAfter is how long after SIGTERM the process is killed, and downtime how long it then takes until it is started again.
+	// killAfter is the time from SIGTERM to SIGKILL; maxDowntime limits the time until the process is started
+	// again.
 	killAfter    = 3700 * time.Millisecond
 	maxDowntime  = 600 * time.Millisecond
 	readyTimeout = 10 * time.Second
 )
 
-// Options are how a seed is played.
+// Options are the settings of a run.
 type Options struct {
-	Binary string        // of the courier
-	Seed   int64         // draws all
-	Length time.Duration // of the play; messages then still have their time
-	Dir    string        // where the courier's files are; a play that breaks a rule leaves them there
+	Binary string        // path of the courier's binary
+	Seed   int64         // determines the plan
+	Length time.Duration // length of the run, without the wait for the outcomes of accepted messages
+	Dir    string        // parent of the run's folder, which is kept if the run breaks a rule
 }
 
-// Result is what a play came to.
+// Result is the outcome of a run.
 type Result struct {
 	Seed       int64          `json:"seed"`
 	Accepted   int            `json:"accepted"`
@@ -49,13 +51,13 @@
 	Delivered  int            `json:"delivered"`
 	Notices    int            `json:"notices"`
 	Unanswered int            `json:"unanswered"`
-	Struck     map[string]int `json:"struck"`     // faults, with how often
-	NotStruck  []string       `json:"not_struck"` // drawn, and never struck: not tested
+	Struck     map[string]int `json:"struck"`     // how often each fault took effect
+	NotStruck  []string       `json:"not_struck"` // faults that were drawn but never took effect, and so were not tested
 	Breaches   []string       `json:"breaches"`
-	Folder     string         `json:"folder,omitempty"` // with the log and the timeline, of a play that broke a rule
+	Folder     string         `json:"folder,omitempty"` // folder with the log and the timeline, if the run broke a rule
 }
 
-// play is one play under way.
+// run is the state of a run in progress.
 type run struct {
 	options Options
 	plan    plan
@@ -68,23 +70,23 @@
 
 	mu               sync.Mutex
 	child            *syscallfault.Process
-	activeFaults     []action // system calls that fail just now
+	activeFaults     []action // system call faults in effect now
 	startedAt        time.Time
-	processStartedAt time.Time // of the process
-	stopRequested    bool      // its end was asked for
+	processStartedAt time.Time
+	stopRequested    bool // the process was killed or asked to stop
 	faultCounts      map[string]int
 	breaches         []string
 	timeline         []string
 }
 
-// Play plays one seed. An error says that the play could not be set up.
+// Play runs one seed. An error means that the run could not be set up.
 func Play(ctx context.Context, o Options) (*Result, error) {
 	dir := filepath.Join(o.Dir, fmt.Sprintf("seed-%d", o.Seed))
 	r, err := runIn(ctx, dir, o)
 	if err != nil || len(r.Breaches) > 0 {
 		return r, err
 	}
-	return r, os.RemoveAll(dir) // now that its process has ended
+	return r, os.RemoveAll(dir) // the process has exited
 }
 
 func runIn(ctx context.Context, dir string, o Options) (*Result, error) {
@@ -126,14 +128,14 @@
 		return err
 	}
 	r.world = world
-	polls := rand.New(rand.NewSource(seed + 1))
+	pollRand := rand.New(rand.NewSource(seed + 1))
 	r.proxy, err = faultproxy.Open(world.Discovery, func(call faultproxy.Call) faultproxy.Treatment {
 		lock.Lock()
 		defer lock.Unlock()
 		if !call.IsPoll() || time.Since(r.startedAt) < r.plan.quietPeriod {
 			return faultproxy.Treatment{}
 		}
-		return drawTreatment(polls, r.plan.discoveryFaultRate)
+		return drawTreatment(pollRand, r.plan.discoveryFaultRate)
 	})
 	if err != nil {
 		return err
@@ -152,7 +154,7 @@
 	return err
 }
 
-// fate draws what becomes of a call at an endpoint.
+// drawFate draws how an endpoint treats a call.
 func drawFate(rng *rand.Rand, faultRate float64) scripted.Fate {
 	work := time.Duration(5+rng.Intn(60)) * time.Millisecond
 	if rng.Float64() >= faultRate {
@@ -176,7 +178,7 @@
 	r.log.Close()
 }
 
-// start starts the courier, and returns once it answers.
+// start starts the courier, and waits until it answers PING.
 func (r *run) start() error {
 	state := filepath.Join(r.dir, "state")
 	env := append(os.Environ(), "RELAY_CONFIG="+filepath.Join(r.dir, "config.json"), "RELAY_STATE="+state)
@@ -192,7 +194,7 @@
 			return nil
 		}
 	}
-	r.breachf("not ready within %v of its start", readyTimeout)
+	r.breachf("the courier did not answer PING within %v of its start", readyTimeout)
 	return nil
 }
 
@@ -221,7 +223,7 @@
 	return syscallfault.Effect{}
 }
 
-// carryOut waits for an act's instant and carries it out.
+// perform waits until an action is due and carries it out.
 func (r *run) perform(ctx context.Context, a action) {
 	if !wait(ctx, a.at) {
 		return
@@ -242,11 +244,11 @@
 		r.mu.Lock()
 		r.activeFaults = slices.DeleteFunc(r.activeFaults, func(other action) bool { return other.name == a.name })
 		r.mu.Unlock()
-		r.logf("%s is over", a.name)
+		r.logf("%s ended", a.name)
 	}
 }
 
-// wait waits for a span, and reports whether the play still goes on.
+// wait waits for a duration. It returns false if the run ends first.
 func wait(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -256,11 +258,12 @@
 	}
 }
 
-// signal sends a signal; a process that is to end is started again once it has.
+// signal sends a signal to the process. If the signal stops the process, signal waits for its exit and starts
+// it again.
 func (r *run) signal(ctx context.Context, name string) {
 	r.mu.Lock()
 	child, stopping := r.child, r.stopRequested
-	if stopping && name != actionKill { // a kill may come in the middle of a shutdown
+	if stopping && name != actionKill { // SIGKILL may arrive during a graceful shutdown
 		r.mu.Unlock()
 		return
 	}
@@ -282,17 +285,17 @@
 		child.Signal(syscall.SIGKILL)
 	}
 	<-child.Done
-	if stopping { // whoever ended it starts it
+	if stopping { // the call that stopped the process starts it again
 		return
 	}
 	wait(ctx, time.Duration(r.options.Seed%6)*maxDowntime/6)
 	if err := r.start(); err != nil {
-		r.breachf("not started again: %v", err)
+		r.breachf("the courier could not be restarted: %v", err)
 	}
 	r.logf("started")
 }
 
-// watchProcess sees that the process does not end by itself.
+// watchProcess reports a breach if the process exits without having been stopped.
 func (r *run) watchProcess(ctx context.Context) {
 	for wait(ctx, 50*time.Millisecond) {
 		r.mu.Lock()
@@ -301,7 +304,7 @@
 		select {
 		case <-child.Done:
 			if !stopRequested {
-				r.breachf("the process ended by itself: %v", child.Status())
+				r.breachf("the courier exited unexpectedly: %v", child.Status())
 				return
 			}
 		default:
@@ -309,8 +312,9 @@
 	}
 }
 
-// drain drains an endpoint and watches that nothing new goes there once that must be known. A process that has just started may have it from its
-// configuration, and is held to it like to a change.
+// drain drains an endpoint, and reports a breach if the courier starts calls to it after it must know of the
+// drain. A process that started after the drain may know it from its configuration; its deadline counts from
+// its start.
 func (r *run) drain(ctx context.Context) {
 	drained := int(r.options.Seed % endpoints)
 	r.mu.Lock()
@@ -328,13 +332,13 @@
 		r.mu.Unlock()
 		current := r.world.Calls(drained)
 		if late := time.Since(knownAt) - changeDeadline - drainGrace - 50*time.Millisecond; current > calls && late > 0 {
-			r.breachf("drain: %d calls to a draining endpoint, %v after that must have been known", current-calls, late.Round(time.Millisecond))
+			r.breachf("drain: %d calls to a draining endpoint, %v after the deadline", current-calls, late.Round(time.Millisecond))
 		}
 		calls = current
 	}
 }
 
-// crowd fills the courier with idle connections.
+// openConnections opens 300 idle connections to the courier.
 func (r *run) openConnections(ctx context.Context) {
 	r.mu.Lock()
 	r.faultCounts[actionOpenConnections]++
@@ -364,7 +368,8 @@
 	r.breaches = append(r.breaches, fmt.Sprintf(format, args...))
 }
 
-// awaitEnds waits until every message that was accepted has ended, for as long as it may take.
+// awaitOutcomes waits until every accepted message is delivered or has a notice, up to the time allowed for
+// that.
 func (r *run) awaitOutcomes() {
 	const restart = 1500 * time.Millisecond
 	r.mu.Lock()
@@ -375,7 +380,7 @@
 		for !r.hasOutcome(id) {
 			if time.Now().After(deadline) {
 				starts, _, _ := r.world.Seen(id)
-				r.breachf("final answer: %s was accepted and has none; begun %d times", id, starts)
+				r.breachf("no final answer for accepted message %s; %d attempts reached an endpoint", id, starts)
 				break
 			}
 			time.Sleep(10 * time.Millisecond)
@@ -388,7 +393,7 @@
 	return deliveries > 0 || len(notices) > 0
 }
 
-// result judges what is over, and writes down a play that broke a rule.
+// result checks the completed run, and writes the timeline of a run that broke a rule.
 func (r *run) result() (*Result, error) {
 	res := &Result{Seed: r.options.Seed, Struck: map[string]int{}}
 	r.clients.check(r, res)
--- a/testbed/soak/soak_test.go
+++ b/testbed/soak/soak_test.go
@@ -11,29 +11,30 @@
 	"pineport/testbed/scripted"
 )
 
-// TestSeedDeterminesPlan: a seed draws the same plan each time, and many seeds draw every kind of fault.
+// TestSeedDeterminesPlan checks that a seed always draws the same plan, and that 300 seeds draw every kind of
+// fault.
 func TestSeedDeterminesPlan(t *testing.T) {
 	const length = 12 * time.Second
 	drawn := map[string]bool{}
 	for seed := range int64(300) {
 		plan := drawPlan(rand.New(rand.NewSource(seed)), length)
 		if again := drawPlan(rand.New(rand.NewSource(seed)), length); !reflect.DeepEqual(plan, again) {
-			t.Fatalf("seed %d: %+v, then %+v", seed, plan, again)
+			t.Fatalf("seed %d drew two plans: %+v, then %+v", seed, plan, again)
 		}
 		for _, a := range plan.actions {
 			drawn[a.name] = true
 			if a.at < plan.quietPeriod || a.at > length {
-				t.Errorf("seed %d: %s at %v, quiet until %v", seed, a.name, a.at, plan.quietPeriod)
+				t.Errorf("seed %d: %s at %v, outside %v to the end of the run", seed, a.name, a.at, plan.quietPeriod)
 			}
 		}
 	}
 	if want := len(syscallFaults) + 5; len(drawn) != want {
-		t.Errorf("%d kinds drawn of %d: %v", len(drawn), want, drawn)
+		t.Errorf("%d of %d kinds of action drawn: %v", len(drawn), want, drawn)
 	}
 }
 
-// TestCheckReportsBreaches: a message that ran twice, one that was refused and ran, one that was rejected though it may have run, and a request
-// without an answer are told.
+// TestCheckReportsBreaches checks that these breaches are reported: a message that ran twice, a refused
+// message that ran, a message rejected although it may have run, and a request without an answer.
 func TestCheckReportsBreaches(t *testing.T) {
 	status := 200
 	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: status} })
--- a/testbed/syscallfault/call.go
+++ b/testbed/syscallfault/call.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// numbers are the calls that can be led here.
+// syscallNumbers are the system calls that can be intercepted.
 var syscallNumbers = map[string]uint64{
 	"read": unix.SYS_READ, "write": unix.SYS_WRITE, "pwrite64": unix.SYS_PWRITE64, "writev": unix.SYS_WRITEV, "openat": unix.SYS_OPENAT,
 	"fsync": unix.SYS_FSYNC, "ftruncate": unix.SYS_FTRUNCATE, "rename": unix.SYS_RENAME, "renameat": unix.SYS_RENAMEAT,
@@ -18,19 +18,19 @@
 	"connect": unix.SYS_CONNECT, "epoll_pwait": unix.SYS_EPOLL_PWAIT, "epoll_ctl": unix.SYS_EPOLL_CTL,
 }
 
-// Call is one system call of the child, before it is made.
+// Call is a system call of the child that is about to be made.
 type Call struct {
 	Name string
 	PID  int
-	FD   int // its first argument, where that is a descriptor
-	Size int // its third argument, where that is a number of bytes
-	// Flags is its third argument too, of openat.
+	FD   int // first argument, if that is a descriptor
+	Size int // third argument, if that is a number of bytes
+	// Flags is the third argument of openat.
 	Flags int
 
 	effect Effect
 }
 
-// Target returns what the descriptor leads to: a path, or a name such as socket:[1234]; empty where that is not known.
+// Target returns what the descriptor refers to: a path, or a name such as socket:[1234]; empty if unknown.
 func (c *Call) Target() string {
 	target, err := os.Readlink(fmt.Sprintf("/proc/%d/fd/%d", c.PID, c.FD))
 	if err != nil {
@@ -42,15 +42,15 @@
 // IsSocket reports whether the descriptor is a socket.
 func (c *Call) IsSocket() bool { return strings.HasPrefix(c.Target(), "socket:") }
 
-// IsFile reports whether the descriptor is a file whose path ends so.
+// IsFile reports whether the descriptor is a file whose path ends in suffix.
 func (c *Call) IsFile(suffix string) bool { return strings.HasSuffix(c.Target(), suffix) }
 
-// Effect is what becomes of a call; the zero value lets it be.
+// Effect is how a call is altered. The zero value leaves it unchanged.
 type Effect struct {
-	Errno syscall.Errno // it fails so
-	After bool          // with Errno: only after it was made
-	Limit int           // it takes so many bytes at most; 0 for all
-	Kill  bool          // the child is killed as it returns
+	Errno syscall.Errno // error that the call returns
+	After bool          // with Errno: the call is made before it returns the error
+	Limit int           // maximum number of bytes that the call transfers; 0: no limit
+	Kill  bool          // kill the child when the call returns
 }
 
 func (e Effect) String() string {
@@ -67,19 +67,19 @@
 	return strings.TrimSpace(text)
 }
 
-// Span is a span of time in which calls fail, from its first use on; the zero value does not begin.
+// Span is a period of time in which calls fail. The zero value includes no time.
 type Span struct {
 	from time.Time
 	to   time.Time
 }
 
-// NewSpan returns a span that lasts so long from now.
+// NewSpan returns a span from now that lasts for a length of time.
 func NewSpan(length time.Duration) Span {
 	now := time.Now()
 	return Span{now, now.Add(length)}
 }
 
-// Includes reports whether now is within the span.
+// Includes reports whether the current time is within the span.
 func (s Span) Includes() bool {
 	now := time.Now()
 	return !now.Before(s.from) && now.Before(s.to)
--- a/testbed/syscallfault/process.go
+++ b/testbed/syscallfault/process.go
@@ -1,5 +1,6 @@
-// Package syscallfault runs a program of ours as a child and has system calls of it fail, fall short, or end with the child killed, as
-// a test says. It leads the child's calls through ptrace, which takes no special rights; the child is not changed. Linux on amd64 only.
+// Package syscallfault runs a program as a child process and makes its system calls fail, transfer fewer
+// bytes, or end with the child killed, as a test decides. It intercepts system calls with ptrace, which needs
+// no special privileges and no change to the program. It supports Linux on amd64 only.
 package syscallfault
 
 import (
@@ -14,26 +15,26 @@
 	"golang.org/x/sys/unix"
 )
 
-// Process is a child whose system calls are led through this package.
+// Process is a child process whose system calls are intercepted.
 type Process struct {
 	PID  int
-	Done chan struct{} // closed when it has ended
+	Done chan struct{} // closed when the child has exited
 
 	decide func(*Call) Effect
 	status syscall.WaitStatus
 
 	mu           sync.Mutex
-	effectCounts map[string]int // effects that were carried out, by call and effect
+	effectCounts map[string]int // number of applied effects, by "CALL EFFECT"
 }
 
-// Start starts a child with an environment; decide is asked before each call of a kind in names, by one goroutine, and must not wait.
-// The child is killed if this process ends.
+// Start starts a child process with an environment. It calls decide from one goroutine before each system
+// call in names; decide must not block. The kernel kills the child if this process exits.
 func Start(binary string, env []string, stderr *os.File, names []string, decide func(*Call) Effect) (*Process, error) {
 	traced := map[uint64]string{}
 	for _, name := range names {
 		number, ok := syscallNumbers[name]
 		if !ok {
-			return nil, errors.New("syscallfault: no call is known by the name " + name)
+			return nil, errors.New("syscallfault: unknown system call " + name)
 		}
 		traced[number] = name
 	}
@@ -46,13 +47,13 @@
 // Signal sends a signal to the child.
 func (p *Process) Signal(signal syscall.Signal) error { return syscall.Kill(p.PID, signal) }
 
-// Status returns how the child ended, once it has.
+// Status waits for the child to exit, and returns its wait status.
 func (p *Process) Status() syscall.WaitStatus {
 	<-p.Done
 	return p.status
 }
 
-// Struck returns how often each effect was carried out, by "CALL EFFECT".
+// Struck returns how often each effect was applied, by "CALL EFFECT".
 func (p *Process) Struck() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -63,9 +64,9 @@
 	return all
 }
 
-// run starts and traces the child; one thread must do both.
+// run starts and traces the child. ptrace requires that one thread does both.
 func (p *Process) run(binary string, env []string, stderr *os.File, traced map[uint64]string, started chan<- error) {
-	runtime.LockOSThread() // and it ends with this goroutine
+	runtime.LockOSThread() // the thread ends with this goroutine
 	defer close(p.Done)
 	cmd := exec.Command(binary)
 	cmd.Env, cmd.Stderr, cmd.Stdout = env, stderr, stderr
@@ -90,9 +91,9 @@
 	}
 }
 
-// trace follows the child's threads until it has ended.
+// trace handles the stops of the child's threads until the child exits.
 func (p *Process) trace(traced map[uint64]string) {
-	pending := map[int]*Call{} // by thread: what is to be done as its call returns
+	pending := map[int]*Call{} // by thread: the call whose effect is applied when it returns
 	for {
 		var status syscall.WaitStatus
 		thread, err := syscall.Wait4(-1, &status, unix.WALL|unix.WNOTHREAD, nil)
@@ -114,15 +115,15 @@
 		switch signal := status.StopSignal(); signal {
 		case syscall.SIGTRAP | 0x80:
 			p.handleStop(thread, traced, pending)
-		case syscall.SIGTRAP, syscall.SIGSTOP: // of this package's own doing
+		case syscall.SIGTRAP, syscall.SIGSTOP: // caused by ptrace itself
 		default:
 			deliver = int(signal)
 		}
-		_ = syscall.PtraceSyscall(thread, deliver) // a thread that is gone by now is reported next
+		_ = syscall.PtraceSyscall(thread, deliver) // fails if the thread has exited; the next Wait4 reports that
 	}
 }
 
-// entering reports whether a thread stands before its call rather than behind it.
+// atSyscallEntry reports whether a thread is stopped at the entry of a system call, not at its exit.
 func atSyscallEntry(thread int) bool {
 	const request, entry = 0x420e, 1 // PTRACE_GET_SYSCALL_INFO, PTRACE_SYSCALL_INFO_ENTRY
 	var info [88]byte
@@ -130,7 +131,7 @@
 	return errno == 0 && info[0] == entry
 }
 
-// stopped is called as a thread stands before or behind a call.
+// handleStop handles a thread that is stopped at the entry or exit of a system call.
 func (p *Process) handleStop(thread int, traced map[uint64]string, pending map[int]*Call) {
 	var registers syscall.PtraceRegs
 	if syscall.PtraceGetRegs(thread, &registers) != nil {
@@ -155,11 +156,11 @@
 	p.prepareEffect(thread, call, &registers)
 }
 
-// enter prepares a call's effect before the call.
+// prepareEffect applies the part of an effect that precedes the call.
 func (p *Process) prepareEffect(thread int, call *Call, registers *syscall.PtraceRegs) {
 	switch {
 	case call.effect.Errno != 0 && !call.effect.After:
-		registers.Orig_rax = ^uint64(0) // no call at all
+		registers.Orig_rax = ^uint64(0) // an invalid number: the kernel makes no call
 	case call.effect.Limit > 0 && call.effect.Limit < call.Size:
 		registers.Rdx = uint64(call.effect.Limit)
 	default:
@@ -168,7 +169,7 @@
 	_ = syscall.PtraceSetRegs(thread, registers)
 }
 
-// leave carries a call's effect out as the call returns.
+// finishEffect applies the rest of an effect when the call returns.
 func (p *Process) finishEffect(thread int, call *Call, registers *syscall.PtraceRegs) {
 	if call.effect.Errno != 0 {
 		registers.Rax = uint64(-int64(call.effect.Errno))
