--- a/testbed/faultproxy/faultproxy.go
+++ b/testbed/faultproxy/faultproxy.go
@@ -72,8 +72,8 @@
 	conns map[net.Conn]bool
 }
 
-// Open starts a proxy on a loopback port in front of the address upstream. It calls decide once for each
-// call; calls of decide are serialized.
+// Open starts a proxy on a loopback port in front of the server at the address upstream. The proxy calls
+// decide once for each call: from several goroutines, but never concurrently.
 func Open(upstream string, decide func(Call) Treatment) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/testbed/fleet/fleet.go
+++ b/testbed/fleet/fleet.go
@@ -64,14 +64,14 @@
 
 // Find returns the built-in plan of that name, or reads the plan file at that path.
 func Find(name string) (*Plan, error) {
-	text, err := builtIn.ReadFile(path.Join("days", name+".toml"))
+	content, err := builtIn.ReadFile(path.Join("days", name+".toml"))
 	if err != nil {
-		if text, err = os.ReadFile(name); err != nil {
+		if content, err = os.ReadFile(name); err != nil {
 			return nil, fmt.Errorf("unknown plan %q: expected one of %s, or a file", name, strings.Join(Days(), ", "))
 		}
 	}
 	p := &Plan{}
-	dec := toml.NewDecoder(strings.NewReader(string(text))).DisallowUnknownFields()
+	dec := toml.NewDecoder(strings.NewReader(string(content))).DisallowUnknownFields()
 	if err := dec.Decode(p); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
@@ -110,7 +110,7 @@
 	Cost     realtime.Cost       `json:"cost"`
 	Couriers int                 `json:"couriers"`
 	Struck   map[string]int      `json:"struck"`
-	Idle     []string            `json:"faults_that_never_struck,omitempty"`
+	Idle     []string            `json:"faults_that_never_struck,omitempty"` // network faults that never took effect
 	// Deaths and Returns hold detection times in seconds, one for each courier that observed a failure or a
 	// return.
 	Deaths  []float64 `json:"deaths_known_s"`
@@ -118,11 +118,11 @@
 	// False counts detected failures of couriers that were up, by the kinds of fault active at the time
 	// ("none" without a fault).
 	False    map[string]int  `json:"deaths_believed_that_were_none"`
-	Fewer    int             `json:"counted_fewer"` // polls in which a courier's upper estimate of the fleet size was too low
-	Whole    bool            `json:"whole_at_the_end"`
-	Healed   float64         `json:"whole_after_the_last_fault_s"`
-	Messages float64         `json:"packets_a_second_each"`
-	Bytes    float64         `json:"bytes_a_second_each"`
+	Fewer    int             `json:"counted_fewer"`                // polls in which a courier's upper estimate of the fleet size was too low
+	Whole    bool            `json:"whole_at_the_end"`             // whether every courier knew all others at the end
+	Healed   float64         `json:"whole_after_the_last_fault_s"` // time from the last fault until then
+	Messages float64         `json:"packets_a_second_each"`        // gossip, per courier
+	Bytes    float64         `json:"bytes_a_second_each"`          // gossip, per courier
 	Hours    float64         `json:"process_hours"`
 	Drawn    *scenario.Drawn `json:"-"`
 	// Quota sharing: leases seen, violations of the lease rules, and the traffic between couriers.
@@ -144,7 +144,7 @@
 	Leased  []float64 `json:"borrowed"`
 }
 
-// recordTotals adds the current grants and leases of all couriers to the time series.
+// recordTotals records the current grants and leases of all couriers in the time series.
 func (r *run) recordTotals(now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -171,16 +171,16 @@
 
 // courierStatus is a courier's answer to GET /peers.
 type courierStatus struct {
-	Status  string `json:"standing"`
-	Least   int    `json:"least"`
-	Most    int    `json:"most"`
-	Start   uint64 `json:"start"`
-	Members []struct {
+	Status      string `json:"standing"`
+	MinCouriers int    `json:"least"`
+	MaxCouriers int    `json:"most"`
+	Start       uint64 `json:"start"`
+	Members     []struct {
 		Name  string `json:"name"`
 		Start uint64 `json:"start"`
 		State string `json:"state"`
 	} `json:"members"`
-	Figures struct {
+	Metrics struct {
 		Network struct{ PacketsOut, BytesOut int64 } `json:"network"`
 	} `json:"figures"`
 }
@@ -199,8 +199,8 @@
 	downSince     map[int]time.Time // when each stopped courier went down
 	restartedAt   map[int]time.Time
 	starts        map[int]int
-	activeFaults  map[string]int // number of active faults of each kind
-	memberStates  map[[2]int]string
+	activeFaults  map[string]int    // number of active faults of each kind
+	memberStates  map[[2]int]string // by observing and observed courier
 	result        *Result
 	statuses      []courierStatus
 	leases        invariants.Leases
@@ -258,11 +258,11 @@
 func (r *run) addresses() error {
 	for i := range r.couriers {
 		for _, addrs := range []*[]string{&r.adminAddrs, &r.gossipAddrs} {
-			at, err := Free(i)
+			addr, err := Free(i)
 			if err != nil {
 				return err
 			}
-			*addrs = append(*addrs, at)
+			*addrs = append(*addrs, addr)
 		}
 	}
 	return nil
@@ -332,8 +332,8 @@
 func (r *run) readIncarnations() map[int][]byte {
 	incarnations := map[int][]byte{}
 	for _, c := range r.session.Couriers() {
-		if text, err := os.ReadFile(filepath.Join(c.Dir, "state", incarnation.Name)); err == nil {
-			incarnations[c.No] = text
+		if content, err := os.ReadFile(filepath.Join(c.Dir, "state", incarnation.Name)); err == nil {
+			incarnations[c.No] = content
 		}
 	}
 	return incarnations
@@ -362,46 +362,46 @@
 		return
 	}
 	var all sync.WaitGroup
-	for i, no := range f.From {
+	for i, index := range f.From {
 		all.Add(1)
 		go func() {
 			defer all.Done()
 			if f.Kind == Roll {
 				slot := f.Length / float64(len(f.From))
 				wait(f.At + float64(i)*slot)
-				r.restartCourier(no, scenario.Asks, min(slot, 5), stop, nil)
+				r.restartCourier(index, scenario.Asks, min(slot, 5), stop, nil)
 				return
 			}
-			r.injectProcessFault(f, no, stop, incarnations)
+			r.injectProcessFault(f, index, stop, incarnations)
 		}()
 	}
 	all.Wait()
 }
 
-func (r *run) injectProcessFault(f netfault.Fault, no int, stop <-chan struct{}, incarnations map[int][]byte) {
-	c := r.session.Couriers()[no]
+func (r *run) injectProcessFault(f netfault.Fault, index int, stop <-chan struct{}, incarnations map[int][]byte) {
+	c := r.session.Couriers()[index]
 	state := filepath.Join(c.Dir, "state")
 	switch f.Kind {
 	case Stop:
-		r.session.Act(scenario.Act{Kind: scenario.Stands, Courier: no, Span: dispatch.Micros(f.Length * 1e6)})
+		r.session.Act(scenario.Act{Kind: scenario.Stands, Courier: index, Span: dispatch.Micros(f.Length * 1e6)})
 		time.Sleep(time.Duration(f.Length * float64(time.Second)))
 	case Kill:
-		r.restartCourier(no, scenario.Kills, f.Length, stop, nil)
+		r.restartCourier(index, scenario.Kills, f.Length, stop, nil)
 	case LoseFolder:
-		r.restartCourier(no, scenario.Kills, f.Length, stop, func() { os.Remove(filepath.Join(state, incarnation.Name)) })
+		r.restartCourier(index, scenario.Kills, f.Length, stop, func() { os.Remove(filepath.Join(state, incarnation.Name)) })
 	case OlderFolder:
-		r.restartCourier(no, scenario.Kills, f.Length, stop, func() {
-			if text := incarnations[no]; text != nil {
-				os.WriteFile(filepath.Join(state, incarnation.Name), text, 0o600)
+		r.restartCourier(index, scenario.Kills, f.Length, stop, func() {
+			if content := incarnations[index]; content != nil {
+				os.WriteFile(filepath.Join(state, incarnation.Name), content, 0o600)
 			}
 		})
 	case Move:
-		r.restartCourier(no, scenario.Kills, f.Length, stop, func() {
-			if at, err := Free(no); err == nil {
+		r.restartCourier(index, scenario.Kills, f.Length, stop, func() {
+			if addr, err := Free(index); err == nil {
 				r.mu.Lock()
-				r.gossipAddrs[no] = at
+				r.gossipAddrs[index] = addr
 				r.mu.Unlock()
-				r.net.SetTarget(no, at)
+				r.net.SetTarget(index, addr)
 			}
 		})
 	}
@@ -409,13 +409,13 @@
 
 // restartCourier stops a courier, calls whileDown once it has exited, and restarts it after a number of
 // seconds.
-func (r *run) restartCourier(no int, kind scenario.ActKind, seconds float64, stop <-chan struct{}, whileDown func()) {
+func (r *run) restartCourier(index int, kind scenario.ActKind, seconds float64, stop <-chan struct{}, whileDown func()) {
 	r.mu.Lock()
-	r.downSince[no] = time.Now()
+	r.downSince[index] = time.Now()
 	r.mu.Unlock()
-	r.session.Act(scenario.Act{Kind: kind, Courier: no})
+	r.session.Act(scenario.Act{Kind: kind, Courier: index})
 	if kind == scenario.Asks { // a graceful shutdown takes some seconds
-		c := r.session.Couriers()[no]
+		c := r.session.Couriers()[index]
 		for c.Running() {
 			select {
 			case <-stop:
@@ -432,12 +432,12 @@
 	case <-stop:
 	}
 	r.mu.Lock()
-	r.starts[no]++
+	r.starts[index]++
 	r.mu.Unlock()
-	r.session.Act(scenario.Act{Kind: scenario.Starts, Courier: no})
+	r.session.Act(scenario.Act{Kind: scenario.Starts, Courier: index})
 	r.mu.Lock()
-	delete(r.downSince, no)
-	r.restartedAt[no] = time.Now()
+	delete(r.downSince, index)
+	r.restartedAt[index] = time.Now()
 	r.mu.Unlock()
 }
 
@@ -448,12 +448,12 @@
 }
 
 // poll reads a courier's view of the members and, with shared quotas, its grants and leases.
-func (r *run) poll(client *http.Client, no int) (status courierStatus, ok bool) {
-	if ok = get(client, r.adminAddrs[no], "/peers", &status); ok && r.options.Share {
+func (r *run) poll(client *http.Client, index int) (status courierStatus, ok bool) {
+	if ok = get(client, r.adminAddrs[index], "/peers", &status); ok && r.options.Share {
 		var quotaStatus exchange.Status
 		from := r.session.Since()
-		if get(client, r.adminAddrs[no], "/commons", &quotaStatus) {
-			r.recordLeases(no, from, r.session.Since(), quotaStatus)
+		if get(client, r.adminAddrs[index], "/commons", &quotaStatus) {
+			r.recordLeases(index, from, r.session.Since(), quotaStatus)
 		}
 	}
 	return status, ok
@@ -469,7 +469,7 @@
 }
 
 // recordLeases checks a courier's reported grants and leases against those that other couriers reported.
-func (r *run) recordLeases(no int, from, to time.Duration, status exchange.Status) {
+func (r *run) recordLeases(index int, from, to time.Duration, status exchange.Status) {
 	leases := func(of func(quota.Status) []quota.LeaseStatus) (all [][]invariants.Lease) {
 		for _, group := range status.Groups {
 			var routeLeases []invariants.Lease
@@ -482,8 +482,8 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.quotaStatuses[no] = status
-	r.leases.Saw(invariants.Look{Name: fmt.Sprintf("n%d", no), Start: status.Incarnation, From: dispatch.Micros(from.Microseconds()), To: dispatch.Micros(to.Microseconds()),
+	r.quotaStatuses[index] = status
+	r.leases.Saw(invariants.Look{Name: fmt.Sprintf("n%d", index), Start: status.Incarnation, From: dispatch.Micros(from.Microseconds()), To: dispatch.Micros(to.Microseconds()),
 		Granted: leases(func(l quota.Status) []quota.LeaseStatus { return l.Grants }), Used: leases(func(l quota.Status) []quota.LeaseStatus { return l.Leases })})
 }
 
@@ -520,11 +520,11 @@
 	}
 }
 
-func (r *run) recordStatus(now time.Time, no int, status courierStatus) {
+func (r *run) recordStatus(now time.Time, index int, status courierStatus) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.statuses[no] = status
-	if status.Most < r.couriers {
+	r.statuses[index] = status
+	if status.MaxCouriers < r.couriers {
 		r.result.Fewer++
 	}
 	for _, m := range status.Members {
@@ -532,15 +532,15 @@
 		if _, err := fmt.Sscanf(m.Name, "n%d", &other); err != nil || other >= r.couriers {
 			continue
 		}
-		key := [2]int{no, other}
+		key := [2]int{index, other}
 		previous := r.memberStates[key]
 		if r.memberStates[key] = m.State; previous == m.State {
 			continue
 		}
-		down := m.State == "failed" || m.State == "left"
+		reportedDown := m.State == "failed" || m.State == "left"
 		since, isDown := r.downSince[other]
 		switch {
-		case down && isDown && previous == "alive" || down && isDown && previous == "suspected":
+		case reportedDown && isDown && previous == "alive" || reportedDown && isDown && previous == "suspected":
 			r.result.Deaths = append(r.result.Deaths, now.Sub(since).Seconds())
 		case m.State == "failed" && !isDown && now.Sub(r.restartedAt[other]) > 15*r.options.Pace:
 			r.result.False[r.activeKinds()]++
@@ -574,7 +574,7 @@
 		r.mu.Lock()
 		converged := 0
 		for _, status := range r.statuses {
-			if status.Status == "whole" && status.Least >= r.couriers {
+			if status.Status == "whole" && status.MinCouriers >= r.couriers {
 				converged++
 			}
 		}
@@ -592,8 +592,8 @@
 	r.result.Hours = session.Since().Hours() * float64(r.couriers)
 	seconds := session.Since().Seconds() * float64(r.couriers)
 	for _, status := range r.statuses { // counters of each courier's last incarnation; packets sent before a restart are not counted
-		r.result.Messages += float64(status.Figures.Network.PacketsOut) / seconds
-		r.result.Bytes += float64(status.Figures.Network.BytesOut) / seconds
+		r.result.Messages += float64(status.Metrics.Network.PacketsOut) / seconds
+		r.result.Bytes += float64(status.Metrics.Network.BytesOut) / seconds
 	}
 	r.result.Leases, r.result.Widest, r.result.Overspent = r.leases.Seen, r.leases.Widest, r.leases.Breaches
 	for _, status := range r.quotaStatuses {
--- a/testbed/netfault/conditions.go
+++ b/testbed/netfault/conditions.go
@@ -69,10 +69,10 @@
 	Now  *Conditions `json:"now,omitempty"`
 }
 
-func (in *injector) writeTrace(l traceLine) {
+func (in *injector) writeTrace(line traceLine) {
 	if in.trace != nil {
-		l.At = time.Since(in.startedAt).Seconds()
-		in.trace.Encode(l)
+		line.At = time.Since(in.startedAt).Seconds()
+		in.trace.Encode(line)
 	}
 }
 
@@ -172,9 +172,9 @@
 // networkFaults are the kinds of network fault: the conditions for a Size, the names under which their
 // effects are counted, and whether the fault applies in both directions.
 var networkFaults = map[string]struct {
-	make   func(size float64) Conditions
-	counts []string
-	both   bool
+	conditions func(size float64) Conditions
+	countedAs  []string
+	bothWays   bool
 }{
 	"cut":       {func(float64) Conditions { return Conditions{Cut: true} }, []string{Severed}, true},
 	"one-way":   {func(float64) Conditions { return Conditions{Cut: true} }, []string{Severed}, false},
@@ -212,7 +212,7 @@
 			if a == b || a >= n || b >= n {
 				continue
 			}
-			if all = append(all, [2]int{a, b}); networkFaults[f.Kind].both {
+			if all = append(all, [2]int{a, b}); networkFaults[f.Kind].bothWays {
 				all = append(all, [2]int{b, a})
 			}
 		}
@@ -228,7 +228,7 @@
 		for _, p := range f.pairs(in.processes) {
 			c := Conditions{}
 			if on {
-				c = spec.make(f.Size)
+				c = spec.conditions(f.Size)
 			}
 			in.Set(p[0], p[1], c)
 		}
@@ -253,7 +253,7 @@
 		<-stopped
 		apply(false)
 		after := in.FaultCounts()
-		for _, k := range spec.counts {
+		for _, k := range spec.countedAs {
 			if after[k] > before[k] {
 				return nil
 			}
--- a/testbed/netfault/mesh.go
+++ b/testbed/netfault/mesh.go
@@ -31,13 +31,13 @@
 // the number of packets delivered.
 func (m *Mesh) Replay() (n int) {
 	m.mu.Lock()
-	all := m.recorded
+	packets := m.recorded
 	m.recorded = nil
 	m.mu.Unlock()
-	for _, k := range all {
-		if other, up := m.node(k.to); up {
+	for _, packet := range packets {
+		if other, up := m.node(packet.to); up {
 			select {
-			case other.packets <- &memberlist.Packet{Buf: append([]byte(nil), k.payload...), From: k.from, Timestamp: time.Now()}:
+			case other.packets <- &memberlist.Packet{Buf: append([]byte(nil), packet.payload...), From: packet.from, Timestamp: time.Now()}:
 				n++
 			case <-time.After(time.Millisecond):
 			}
@@ -159,7 +159,8 @@
 // PacketCh returns the channel of received packets.
 func (n *Node) PacketCh() <-chan *memberlist.Packet { return n.packets }
 
-// DialTimeout opens a stream. It fails if either direction is cut or silent.
+// DialTimeout opens a stream. It fails if either member is disconnected, or if either direction is cut or
+// silent.
 func (n *Node) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	to, ok := n.mesh.indexOf(addr)
 	if !ok {
--- a/testbed/simulation/call.go
+++ b/testbed/simulation/call.go
@@ -10,24 +10,24 @@
 // addToCall starts an attempt of a message on an open call to its endpoint, or on a new call. It returns the
 // call only if it is new.
 func (s *Sim) addToCall(c *courier, a dispatch.Send, openCalls map[dispatch.EndpointID]*call) *call {
-	at, msg := s.endpoints[a.Endpoint], c.messages[a.Message]
-	if at == nil || msg != nil && at.destination != int(msg.client.arrival.Dest) {
+	target, msg := s.endpoints[a.Endpoint], c.messages[a.Message]
+	if target == nil || msg != nil && target.destination != int(msg.client.arrival.Dest) {
 		s.ledger.Crashed(s.now, c.index, "sent "+string(a.Message)+" to "+string(a.Endpoint)+", which is not an endpoint of the message's destination")
 		return nil
 	}
-	ledgerNumber := s.ledger.Sent(s.now, a.Message, invariants.Place{Dest: dispatch.DestinationID(at.destination), Route: at.route, Endpoint: a.Endpoint, Zone: at.endpoint.Zone})
+	ledgerNumber := s.ledger.Sent(s.now, a.Message, invariants.Place{Dest: dispatch.DestinationID(target.destination), Route: target.route, Endpoint: a.Endpoint, Zone: target.endpoint.Zone})
 	if msg == nil {
 		return nil
 	}
 	att := &attempt{message: msg, number: dispatch.AttemptNumber(len(msg.attempts)), ledgerNumber: ledgerNumber,
-		past: dispatch.PastAttempt{Endpoint: a.Endpoint, Zone: at.endpoint.Zone, SentAt: s.now}}
+		past: dispatch.PastAttempt{Endpoint: a.Endpoint, Zone: target.endpoint.Zone, SentAt: s.now}}
 	msg.attempts = append(msg.attempts, att)
 	msg.openAttempts++
 	if msg.done || len(msg.attempts) > s.instance.Day.Fleet.MaxAttempts {
 		s.finishAttempt(att, dispatch.AttemptFinished{Outcome: dispatch.Unprocessed})
 		return nil
 	}
-	plan := s.destinations[at.destination].Plan()
+	plan := s.destinations[target.destination].Plan()
 	item := s.item(msg)
 	if cl := openCalls[a.Endpoint]; cl != nil && len(cl.Items) < plan.PerCall {
 		cl.Items, cl.attempts, att.call = append(cl.Items, item), append(cl.attempts, att), cl
@@ -41,26 +41,26 @@
 	c.slotsUsed++
 	s.lastCallID++
 	cl := &call{Call: endpointmodel.Call{ID: s.lastCallID, Courier: c.index, Endpoint: a.Endpoint, Items: []endpointmodel.Item{item}}, courier: c,
-		incarnation: c.incarnation, endpoint: at, attempts: []*attempt{att}, sent: s.now}
+		incarnation: c.incarnation, endpoint: target, attempts: []*attempt{att}, sent: s.now}
 	att.call, openCalls[a.Endpoint] = cl, cl
 	s.setAttemptTimeout(att, a.Timeout)
 	return cl
 }
 
 func (s *Sim) item(msg *message) endpointmodel.Item {
-	w := &s.instance.Day.Classes[msg.client.arrival.Class]
-	return endpointmodel.Item{Message: msg.id, Origin: msg.client.id, Repeat: invariants.RepeatOf(w.Repeat), OneZone: w.OneZone,
-		Window: config.Micros(w.Window)}
+	class := &s.instance.Day.Classes[msg.client.arrival.Class]
+	return endpointmodel.Item{Message: msg.id, Origin: msg.client.id, Repeat: invariants.RepeatOf(class.Repeat), OneZone: class.OneZone,
+		Window: config.Micros(class.Window)}
 }
 
 // sendCall sends a call over an idle connection, or opens a new one.
 func (s *Sim) sendCall(cl *call) {
-	c, p, id := cl.courier, s.destinations[cl.endpoint.destination], cl.Endpoint
+	c, dest, id := cl.courier, s.destinations[cl.endpoint.destination], cl.Endpoint
 	latency := s.latency(c.zone, cl.endpoint.endpoint.Zone)
 	idle, idleTimeout := c.idleConns[id], config.Micros(s.instance.Day.Fleet.Idle)
 	for len(idle) > 0 && s.now-idle[0] >= idleTimeout {
 		idle = idle[1:]
-		p.Disconnect(id)
+		dest.Disconnect(id)
 	}
 	if n := len(idle); n > 0 {
 		c.idleConns[id] = idle[:n-1]
@@ -73,7 +73,7 @@
 		if cl.done {
 			return
 		}
-		switch p.Connect(s.now, id) {
+		switch dest.Connect(s.now, id) {
 		case endpointmodel.Up:
 			s.ledger.Shook()
 			cl.connected = true
@@ -161,10 +161,10 @@
 	if !cl.connected {
 		return
 	}
-	p := s.destinations[cl.endpoint.destination]
+	dest := s.destinations[cl.endpoint.destination]
 	s.schedule(s.now+s.latency(cl.courier.zone, cl.endpoint.endpoint.Zone), func() {
-		p.Disconnect(cl.Endpoint)
-		s.handleOutputs(cl.endpoint.destination, p.CallOff(s.now, &cl.Call))
+		dest.Disconnect(cl.Endpoint)
+		s.handleOutputs(cl.endpoint.destination, dest.CallOff(s.now, &cl.Call))
 	})
 }
 
--- a/testbed/simulation/courier.go
+++ b/testbed/simulation/courier.go
@@ -109,10 +109,10 @@
 }
 
 // scheduleShutdown notifies a courier that its process will be stopped after a time.
-func (s *Sim) scheduleShutdown(c *courier, span dispatch.Micros) {
+func (s *Sim) scheduleShutdown(c *courier, delay dispatch.Micros) {
 	if c.alive {
 		c.shuttingDown = true
-		s.notify(c, dispatch.ShutdownScheduled{At: s.now + span})
+		s.notify(c, dispatch.ShutdownScheduled{At: s.now + delay})
 	}
 }
 
--- a/testbed/simulation/directory.go
+++ b/testbed/simulation/directory.go
@@ -18,8 +18,8 @@
 
 func newDirectory(s *Sim) *directory {
 	d := &directory{sim: s, entries: map[dispatch.EndpointID]dispatch.EndpointEntry{}}
-	for _, l := range s.instance.List() {
-		d.entries[l.Endpoint] = l
+	for _, entry := range s.instance.List() {
+		d.entries[entry.Endpoint] = entry
 	}
 	return d
 }
@@ -30,21 +30,21 @@
 
 // update changes an entry and notifies the couriers. A courier that does not watch ignores the change.
 func (d *directory) update(dest int, e endpointmodel.Endpoint, phase dispatch.Phase) {
-	l := d.sim.instance.Listing(dest, e.ID, e.Zone, phase)
+	entry := d.sim.instance.Listing(dest, e.ID, e.Zone, phase)
 	if phase == dispatch.Removed {
 		delete(d.entries, e.ID)
 	} else {
-		d.entries[e.ID] = l
+		d.entries[e.ID] = entry
 	}
 	for _, c := range d.sim.couriers {
-		d.notify(c, l)
+		d.notify(c, entry)
 	}
 }
 
 // notify sends one change to one courier after a random delay. Changes arrive in order.
-func (d *directory) notify(c *courier, l dispatch.EndpointEntry) {
+func (d *directory) notify(c *courier, entry dispatch.EndpointEntry) {
 	if d.down {
-		d.pending = append(d.pending, func() { d.notify(c, l) })
+		d.pending = append(d.pending, func() { d.notify(c, entry) })
 		return
 	}
 	s, incarnation := d.sim, c.incarnation
@@ -53,9 +53,9 @@
 		switch {
 		case c.incarnation != incarnation || !c.alive || !c.watching:
 		case d.down: // the directory went down in the meantime
-			d.pending = append(d.pending, func() { d.notify(c, l) })
+			d.pending = append(d.pending, func() { d.notify(c, entry) })
 		default:
-			d.apply(c, dispatch.PartialList, []dispatch.EndpointEntry{l})
+			d.apply(c, dispatch.PartialList, []dispatch.EndpointEntry{entry})
 		}
 	})
 }
@@ -67,13 +67,13 @@
 	if kind == dispatch.CompleteList {
 		c.knownEntries = map[dispatch.EndpointID]dispatch.EndpointEntry{}
 	}
-	for _, l := range entries {
-		if l.Phase == dispatch.Removed {
-			delete(c.knownEntries, l.Endpoint)
+	for _, entry := range entries {
+		if entry.Phase == dispatch.Removed {
+			delete(c.knownEntries, entry.Endpoint)
 		} else {
-			c.knownEntries[l.Endpoint] = l
+			c.knownEntries[entry.Endpoint] = entry
 		}
-		s.ledger.Notified(s.now, c.index, l.Endpoint, l.Phase)
+		s.ledger.Notified(s.now, c.index, entry.Endpoint, entry.Phase)
 	}
 	for id := range before { // an endpoint that is missing from a complete list was removed
 		if _, listed := c.knownEntries[id]; !listed {
--- a/testbed/simulation/host.go
+++ b/testbed/simulation/host.go
@@ -44,12 +44,12 @@
 	couriers   map[int]Decider
 }
 
-// NewLocal returns a host that creates dispatchers with make; nil stands for dispatch.New.
-func NewLocal(make func(courier int, ch dispatch.Config) Decider) *Local {
-	if make == nil {
-		make = func(_ int, ch dispatch.Config) Decider { return dispatch.New(ch) }
+// NewLocal returns a host that creates dispatchers with newDecider; nil stands for dispatch.New.
+func NewLocal(newDecider func(courier int, ch dispatch.Config) Decider) *Local {
+	if newDecider == nil {
+		newDecider = func(_ int, ch dispatch.Config) Decider { return dispatch.New(ch) }
 	}
-	return &Local{make, map[int]Decider{}}
+	return &Local{newDecider, map[int]Decider{}}
 }
 
 // Start implements Host.
--- a/testbed/simulation/quota.go
+++ b/testbed/simulation/quota.go
@@ -34,13 +34,13 @@
 	return ch
 }
 
-func memberName(no int) string { return fmt.Sprintf("n%d", no) }
+func memberName(index int) string { return fmt.Sprintf("n%d", index) }
 
-func (s *Sim) tickQuota(c *courier, life int) {
-	if !c.alive || c.incarnation != life {
+func (s *Sim) tickQuota(c *courier, incarnation int) {
+	if !c.alive || c.incarnation != incarnation {
 		return
 	}
-	s.schedule(s.now+s.Share.Interval, func() { s.tickQuota(c, life) })
+	s.schedule(s.now+s.Share.Interval, func() { s.tickQuota(c, incarnation) })
 	local, ok := s.host.(*Local)
 	if !ok || s.now < c.pausedUntil {
 		return
@@ -50,9 +50,9 @@
 		return
 	}
 	fleet := quota.FleetChanged{Couriers: len(s.couriers)}
-	for _, o := range s.couriers {
-		if o != c && o.alive {
-			fleet.Alive = append(fleet.Alive, memberName(o.index))
+	for _, other := range s.couriers {
+		if other != c && other.alive {
+			fleet.Alive = append(fleet.Alive, memberName(other.index))
 		}
 	}
 	s.stepQuota(c, fleet, quota.DemandsOf(d.Demands()), quota.Tick{})
@@ -73,15 +73,15 @@
 }
 
 func (s *Sim) sendQuotaPacket(a quota.SendPacket) {
-	var no int
-	if _, err := fmt.Sscanf(a.To, "n%d", &no); err != nil || no >= len(s.couriers) {
+	var index int
+	if _, err := fmt.Sscanf(a.To, "n%d", &index); err != nil || index >= len(s.couriers) {
 		return
 	}
 	s.stats.Packets++
-	if s.rng.Float64() < s.Share.Loss || float64(no) < s.Share.Deaf*float64(len(s.couriers)) {
+	if s.rng.Float64() < s.Share.Loss || float64(index) < s.Share.Deaf*float64(len(s.couriers)) {
 		return
 	}
-	to := s.couriers[no]
+	to := s.couriers[index]
 	incarnation := to.incarnation
 	s.schedule(s.now+minPacketDelay+dispatch.Micros(s.rng.Int64N(maxPacketDelay-minPacketDelay)), func() {
 		if to.alive && to.incarnation == incarnation && s.now >= to.pausedUntil {
--- a/testbed/simulation/restarts_test.go
+++ b/testbed/simulation/restarts_test.go
@@ -23,9 +23,9 @@
 	return d
 }
 
-// recoveryCounter passes events and actions through, and counts the messages recovered after restarts and
+// spoolRecoveryCounter passes events and actions through, and counts the messages recovered after restarts and
 // their attempts.
-type recoveryCounter struct {
+type spoolRecoveryCounter struct {
 	Decider
 	recovered *recoveredMessages
 }
@@ -82,7 +82,7 @@
 }
 
 // Handle implements Decider.
-func (r *recoveryCounter) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
+func (r *spoolRecoveryCounter) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
 	for _, event := range events {
 		if e, ok := event.(dispatch.MessageRecovered); ok {
 			r.recovered.add(now, e)
@@ -110,7 +110,7 @@
 		instance := scenario.Draw(readScenario(t, "restarts"), seed)
 		recovered := newRecoveredMessages(window, 0, 1)
 		v, _, err := Play(instance, NewLocal(func(_ int, ch dispatch.Config) Decider {
-			return &recoveryCounter{dispatch.New(ch), recovered}
+			return &spoolRecoveryCounter{dispatch.New(ch), recovered}
 		}), Options{Spool: true})
 		if err != nil {
 			t.Fatal(err)
--- a/testbed/simulation/returns_test.go
+++ b/testbed/simulation/returns_test.go
@@ -17,9 +17,9 @@
 // overload to count as a broken rule. Below it the destination is overloaded but no rule is broken.
 const informedShare = 2.0 / 3
 
-// returnBudget is how many calls a recovering destination may receive within the window of the rule, from all
+// overloadBudget is how many calls a recovering destination may receive within the window of the rule, from all
 // couriers together. The settings allow calls; 2*sqrt(calls)+2 more are attributed to chance.
-func returnBudget(calls float64) float64 { return calls + 2*math.Sqrt(calls) + 2 }
+func overloadBudget(calls float64) float64 { return calls + 2*math.Sqrt(calls) + 2 }
 
 // slowStartBudget is how many calls a server in slow start may receive within the window of the rule. The
 // settings allow calls; 2*sqrt(calls)+2 more (3*sqrt(calls)+3 below 30 calls) are attributed to chance. By
@@ -29,7 +29,7 @@
 	if calls < fewCalls {
 		return calls + 3*math.Sqrt(calls) + 3
 	}
-	return returnBudget(calls)
+	return overloadBudget(calls)
 }
 
 // fleetCall is a call of one courier to a recovering destination.
@@ -46,7 +46,7 @@
 	endpoints               int
 	outageStart, outageEnd  dispatch.Micros // start is 0 without an outage
 	informed                map[int]bool    // couriers that had seen the outage
-	window                  []fleetCall     // calls of the whole fleet in the last window
+	recentCalls             []fleetCall     // calls of the whole fleet in the last window
 	maxLoad                 windowLoad
 	overloadedByInformed    bool       // a window was over budget, mostly by calls of informed couriers
 	maxSlowStartLoad        windowLoad // relative to the slow start budget
@@ -58,7 +58,7 @@
 type windowLoad struct {
 	calls, informedCalls int
 	budget               float64
-	sinceReturn          dispatch.Micros
+	sinceRecovery        dispatch.Micros
 }
 
 func (w windowLoad) ratio() float64 { return float64(w.calls) / max(w.budget, 1e-9) }
@@ -75,15 +75,15 @@
 	if r.outageStart == 0 || now < r.outageEnd || now >= r.outageEnd+plan.Ramp {
 		return
 	}
-	r.window = append(r.window, fleetCall{now, courier, r.informed[courier]})
-	for now-r.window[0].at > plan.FallSpan {
-		r.window = r.window[1:]
+	r.recentCalls = append(r.recentCalls, fleetCall{now, courier, r.informed[courier]})
+	for now-r.recentCalls[0].at > plan.FallSpan {
+		r.recentCalls = r.recentCalls[1:]
 	}
-	warm := plan.ColdFrom + (1-plan.ColdFrom)*float64(now-r.outageEnd)/float64(plan.Ramp)
-	capacity := plan.Capacity() * float64(r.endpoints) * warm
+	warmShare := plan.ColdFrom + (1-plan.ColdFrom)*float64(now-r.outageEnd)/float64(plan.Ramp)
+	capacity := plan.Capacity() * float64(r.endpoints) * warmShare
 	allowed := plan.Fall * capacity * float64(plan.FallSpan) / 1e6
-	load := windowLoad{calls: len(r.window), sinceReturn: now - r.outageEnd, budget: returnBudget(allowed)}
-	for _, c := range r.window {
+	load := windowLoad{calls: len(r.recentCalls), sinceRecovery: now - r.outageEnd, budget: overloadBudget(allowed)}
+	for _, c := range r.recentCalls {
 		if c.informed {
 			load.informedCalls++
 		}
@@ -92,25 +92,25 @@
 		r.maxLoad = load
 	}
 	r.overloadedByInformed = r.overloadedByInformed || load.over() && load.byInformed()
-	slow := load
-	if slow.budget = slowStartBudget(allowed); slow.ratio() > r.maxSlowStartLoad.ratio() {
-		r.maxSlowStartLoad = slow
+	slowStartLoad := load
+	if slowStartLoad.budget = slowStartBudget(allowed); slowStartLoad.ratio() > r.maxSlowStartLoad.ratio() {
+		r.maxSlowStartLoad = slowStartLoad
 	}
-	r.overSlowStart = r.overSlowStart || slow.over()
-	r.overSlowStartByInformed = r.overSlowStartByInformed || slow.over() && slow.byInformed()
+	r.overSlowStart = r.overSlowStart || slowStartLoad.over()
+	r.overSlowStartByInformed = r.overSlowStartByInformed || slowStartLoad.over() && slowStartLoad.byInformed()
 }
 
-// returnCounter is a Host that counts what the whole fleet sends to destinations in slow start. It uses only
+// slowStartCounter is a Host that counts what the whole fleet sends to destinations in slow start. It uses only
 // the couriers' events and actions, and not the endpoint model.
-type returnCounter struct {
+type slowStartCounter struct {
 	Host
 	routes   map[dispatch.EndpointID]*watchedRoute
 	attempts map[int]map[dispatch.MessageID][]dispatch.EndpointID // by courier: the endpoint of each attempt of a message
 }
 
-// newReturnCounter returns a counter for a scenario in which each route has at most one outage.
-func newReturnCounter(instance *scenario.Drawn, host Host) *returnCounter {
-	c := &returnCounter{Host: host, routes: map[dispatch.EndpointID]*watchedRoute{},
+// newSlowStartCounter returns a counter for a scenario in which each route has at most one outage.
+func newSlowStartCounter(instance *scenario.Drawn, host Host) *slowStartCounter {
+	c := &slowStartCounter{Host: host, routes: map[dispatch.EndpointID]*watchedRoute{},
 		attempts: map[int]map[dispatch.MessageID][]dispatch.EndpointID{}}
 	for i := range instance.Destinations {
 		d := &instance.Destinations[i]
@@ -135,13 +135,13 @@
 }
 
 // Start implements Host.
-func (c *returnCounter) Start(courier int, ch dispatch.Config, settings map[string]string) error {
+func (c *slowStartCounter) Start(courier int, ch dispatch.Config, settings map[string]string) error {
 	c.attempts[courier] = map[dispatch.MessageID][]dispatch.EndpointID{}
 	return c.Host.Start(courier, ch, settings)
 }
 
 // Turn implements Host.
-func (c *returnCounter) Turn(now dispatch.Micros, batches []Batch) ([][]dispatch.Action, error) {
+func (c *slowStartCounter) Turn(now dispatch.Micros, batches []Batch) ([][]dispatch.Action, error) {
 	all, err := c.Host.Turn(now, batches)
 	for i := range all {
 		c.countCalls(now, batches[i].Courier, all[i])
@@ -150,8 +150,8 @@
 	return all, err
 }
 
-// returned returns the routes that had an outage, each once.
-func (c *returnCounter) recoveredRoutes() (all []*watchedRoute) {
+// recoveredRoutes returns the routes that had an outage, each once.
+func (c *slowStartCounter) recoveredRoutes() (all []*watchedRoute) {
 	for _, id := range slices.Sorted(maps.Keys(c.routes)) {
 		if r := c.routes[id]; r.outageStart > 0 && !slices.Contains(all, r) {
 			all = append(all, r)
@@ -160,8 +160,8 @@
 	return all
 }
 
-// learned records which couriers see an outage while it lasts.
-func (c *returnCounter) recordOutages(now dispatch.Micros, b Batch) {
+// recordOutages records which couriers see an outage while it lasts.
+func (c *slowStartCounter) recordOutages(now dispatch.Micros, b Batch) {
 	for _, event := range b.Events {
 		e, ok := event.(dispatch.AttemptFinished)
 		if !ok || e.Outcome == dispatch.Delivered || e.Outcome == dispatch.Unprocessed || e.Outcome == dispatch.Canceled {
@@ -174,9 +174,9 @@
 	}
 }
 
-// sent counts the calls of one step. Messages for the same endpoint share a call, up to the limit of the
-// destination.
-func (c *returnCounter) countCalls(now dispatch.Micros, courier int, actions []dispatch.Action) {
+// countCalls counts the calls of one step. Messages for the same endpoint share a call, up to the limit of
+// the destination.
+func (c *slowStartCounter) countCalls(now dispatch.Micros, courier int, actions []dispatch.Action) {
 	messages := map[dispatch.EndpointID]int{}
 	for _, action := range actions {
 		a, ok := action.(dispatch.Send)
@@ -195,7 +195,7 @@
 
 // recoverySettings are the settings of a destination's recovery after an outage.
 type recoverySettings struct {
-	coldFrom, multiple, span float64
+	coldShare, overloadFactor, overloadWindow float64
 }
 
 // recoveryScenario returns the scenario testdata/returns.toml for a fleet size and the kind of outage of the
@@ -204,7 +204,7 @@
 	t.Helper()
 	d := readScenario(t, "returns")
 	d.Fleet.Couriers = couriers
-	d.Rules.ColdFrom, d.Rules.Fall, d.Rules.FallSpan = rules.coldFrom, rules.multiple, rules.span
+	d.Rules.ColdFrom, d.Rules.Fall, d.Rules.FallSpan = rules.coldShare, rules.overloadFactor, rules.overloadWindow
 	outage := &d.Troubles[0]
 	if outage.Kind = outageKind(seed); outage.Kind == "errors" {
 		outage.Size = scenario.Range{1, 1}
@@ -225,9 +225,9 @@
 	return &result
 }
 
-// fleetReturns sums up the recoveries of one fleet over all seeds.
-type fleetReturns struct {
-	returns, over, overByInformed          int // recoveries; those over budget; those over budget through informed couriers
+// fleetRecoveries sums up the recoveries of one fleet over all seeds.
+type fleetRecoveries struct {
+	recoveries, over, overByInformed       int // recoveries; those over budget; those over budget through informed couriers
 	seedsOver                              int
 	maxLoad                                windowLoad
 	maxLoadSeed                            int64
@@ -237,18 +237,18 @@
 }
 
 // add adds the recoveries of one run.
-func (f *fleetReturns) add(t *testing.T, seed int64, c *returnCounter) {
+func (f *fleetRecoveries) add(t *testing.T, seed int64, c *slowStartCounter) {
 	t.Helper()
 	before := f.over
 	for _, r := range c.recoveredRoutes() {
-		f.returns++
+		f.recoveries++
 		if r.overloadedByInformed {
 			f.overByInformed++
 		}
 		if r.maxLoad.over() {
 			f.over++
 			t.Logf("seed %d, %s: %d calls, %d of them by informed couriers, budget %.1f, %.2f s after the outage", seed,
-				outageKind(seed), r.maxLoad.calls, r.maxLoad.informedCalls, r.maxLoad.budget, float64(r.maxLoad.sinceReturn)/1e6)
+				outageKind(seed), r.maxLoad.calls, r.maxLoad.informedCalls, r.maxLoad.budget, float64(r.maxLoad.sinceRecovery)/1e6)
 		}
 		if r.maxLoad.ratio() > f.maxLoad.ratio() {
 			f.maxLoad, f.maxLoadSeed = r.maxLoad, seed
@@ -256,7 +256,7 @@
 		if r.overSlowStart {
 			f.overSlowStart++
 			t.Logf("seed %d, %s: over the slow start budget: %d calls, %d of them by informed couriers, budget %.1f, %.2f s after the outage",
-				seed, outageKind(seed), r.maxSlowStartLoad.calls, r.maxSlowStartLoad.informedCalls, r.maxSlowStartLoad.budget, float64(r.maxSlowStartLoad.sinceReturn)/1e6)
+				seed, outageKind(seed), r.maxSlowStartLoad.calls, r.maxSlowStartLoad.informedCalls, r.maxSlowStartLoad.budget, float64(r.maxSlowStartLoad.sinceRecovery)/1e6)
 		}
 		if r.overSlowStartByInformed {
 			f.overSlowStartByInformed++
@@ -270,20 +270,20 @@
 	}
 }
 
-func runRecoveries(t *testing.T, seeds int64, couriers int, rules recoverySettings, decide func(int, dispatch.Config) Decider) (f fleetReturns) {
+func runRecoveries(t *testing.T, seeds int64, couriers int, rules recoverySettings, decide func(int, dispatch.Config) Decider) (f fleetRecoveries) {
 	t.Helper()
 	for seed := int64(1); seed <= seeds; seed++ {
 		instance := recoveryScenario(t, seed, couriers, rules)
-		counter := newReturnCounter(instance, NewLocal(decide))
+		counter := newSlowStartCounter(instance, NewLocal(decide))
 		if _, _, err := Play(withoutOverload(instance), counter, Options{}); err != nil {
 			t.Fatal(err)
 		}
 		f.add(t, seed, counter)
 	}
 	t.Logf("%d couriers: %d recoveries, highest load %.2f of the budget (%d calls, budget %.1f, seed %d); %d of %d seeds over, %d recoveries over through informed couriers",
-		couriers, f.returns, f.maxLoad.ratio(), f.maxLoad.calls, f.maxLoad.budget, f.maxLoadSeed, f.seedsOver, seeds, f.overByInformed)
+		couriers, f.recoveries, f.maxLoad.ratio(), f.maxLoad.calls, f.maxLoad.budget, f.maxLoadSeed, f.seedsOver, seeds, f.overByInformed)
 	t.Logf("%d couriers, slow start budget: highest load %.2f of it (%d calls, budget %.1f, seed %d); %d of %d recoveries over, %d of these through informed couriers",
-		couriers, f.maxSlowStartLoad.ratio(), f.maxSlowStartLoad.calls, f.maxSlowStartLoad.budget, f.maxSlowStartSeed, f.overSlowStart, f.returns, f.overSlowStartByInformed)
+		couriers, f.maxSlowStartLoad.ratio(), f.maxSlowStartLoad.calls, f.maxSlowStartLoad.budget, f.maxSlowStartSeed, f.overSlowStart, f.recoveries, f.overSlowStartByInformed)
 	return f
 }
 
@@ -295,7 +295,7 @@
 	// maxSeedsOver is the number of seeds on which couriers that had seen no outage may send too much. That
 	// breaks no rule, but it overloads the destination.
 	const maxSeedsOver = 2
-	defaults := recoverySettings{coldFrom: 0.13, multiple: 2.5, span: 2}
+	defaults := recoverySettings{coldShare: 0.13, overloadFactor: 2.5, overloadWindow: 2}
 	for _, fleet := range []struct {
 		name     string
 		couriers int
@@ -306,13 +306,13 @@
 		{"5 couriers", 5, defaults},
 		{"20 couriers", 20, defaults},
 		{"30 couriers", 30, defaults},
-		{"30 couriers, a smaller multiple over a short span", 30, recoverySettings{coldFrom: 0.2, multiple: 2, span: 1.5}},
-		{"30 couriers, the smallest multiple over a long span", 30, recoverySettings{coldFrom: 0.26, multiple: 1.5, span: 3}},
+		{"30 couriers, a smaller multiple over a short span", 30, recoverySettings{coldShare: 0.2, overloadFactor: 2, overloadWindow: 1.5}},
+		{"30 couriers, the smallest multiple over a long span", 30, recoverySettings{coldShare: 0.26, overloadFactor: 1.5, overloadWindow: 3}},
 	} {
 		t.Run(fleet.name, func(t *testing.T) {
 			f := runRecoveries(t, seeds, fleet.couriers, fleet.rules, nil)
-			if f.returns < seeds {
-				t.Errorf("%d recoveries with %d seeds, want at least one per seed", f.returns, seeds)
+			if f.recoveries < seeds {
+				t.Errorf("%d recoveries with %d seeds, want at least one per seed", f.recoveries, seeds)
 			}
 			if f.overByInformed > 0 {
 				t.Errorf("%d destinations were overloaded by couriers that had seen the outage", f.overByInformed)
@@ -327,10 +327,10 @@
 	}
 }
 
-// TestReturnCounterDetectsOverload checks that the counts of TestFleetSlowStartAfterOutage detect couriers
+// TestSlowStartCounterDetectsOverload checks that the counts of TestFleetSlowStartAfterOutage detect couriers
 // without slow start.
-func TestReturnCounterDetectsOverload(t *testing.T) {
-	f := runRecoveries(t, 2, 20, recoverySettings{coldFrom: 0.13, multiple: 2.5, span: 2}, func(_ int, ch dispatch.Config) Decider {
+func TestSlowStartCounterDetectsOverload(t *testing.T) {
+	f := runRecoveries(t, 2, 20, recoverySettings{coldShare: 0.13, overloadFactor: 2.5, overloadWindow: 2}, func(_ int, ch dispatch.Config) Decider {
 		return &eagerDecider{config: ch, endpoints: map[dispatch.DestinationID][]dispatch.EndpointID{}, accepted: map[dispatch.MessageID]dispatch.MessageAccepted{}}
 	})
 	if f.overByInformed == 0 {
--- a/testbed/simulation/simulation.go
+++ b/testbed/simulation/simulation.go
@@ -143,9 +143,9 @@
 }
 
 // schedule runs a function at a virtual time.
-func (s *Sim) schedule(at dispatch.Micros, do func()) {
+func (s *Sim) schedule(at dispatch.Micros, run func()) {
 	s.seq++
-	heap.Push(&s.queue, event{max(at, s.now), s.seq, do})
+	heap.Push(&s.queue, event{max(at, s.now), s.seq, run})
 }
 
 // applyEvent applies an event of the scenario.
--- a/testbed/simulation/wrong_test.go
+++ b/testbed/simulation/wrong_test.go
@@ -11,7 +11,7 @@
 // faultyDecider breaks one rule: it passes events to a correct decider and modifies the actions.
 type faultyDecider struct {
 	Decider
-	modify          func(w *faultyDecider, now dispatch.Micros, events []dispatch.Event, actions []dispatch.Action) []dispatch.Action
+	modify          func(f *faultyDecider, now dispatch.Micros, events []dispatch.Event, actions []dispatch.Action) []dispatch.Action
 	accepted        map[dispatch.MessageID]dispatch.MessageAccepted
 	attempts        map[dispatch.MessageID]int
 	ended           []dispatch.MessageID
@@ -20,37 +20,37 @@
 	retryAfterUntil map[dispatch.DestinationID]dispatch.Micros
 }
 
-func (d *faultyDecider) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
+func (f *faultyDecider) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
 	for _, e := range events {
 		switch e := e.(type) {
 		case dispatch.MessageAccepted:
-			d.accepted[e.Message] = e
+			f.accepted[e.Message] = e
 		case dispatch.AttemptFinished:
 			if e.MessageDone {
-				d.ended = append(d.ended, e.Message)
+				f.ended = append(f.ended, e.Message)
 			}
 			if e.RetryAfter > 0 {
-				d.retryAfterUntil[d.accepted[e.Message].Destination] = now + e.RetryAfter
+				f.retryAfterUntil[f.accepted[e.Message].Destination] = now + e.RetryAfter
 			}
 		case dispatch.EndpointUpdate:
 			for _, l := range e.Entries {
-				d.entries[l.Endpoint] = l
+				f.entries[l.Endpoint] = l
 				if l.Phase != dispatch.InService {
-					d.notInService[l.Endpoint] = l.Destination
+					f.notInService[l.Endpoint] = l.Destination
 				}
 			}
 		}
 	}
-	actions := d.Decider.Handle(now, events)
+	actions := f.Decider.Handle(now, events)
 	for _, a := range actions {
 		switch a := a.(type) {
 		case dispatch.Send:
-			d.attempts[a.Message]++
+			f.attempts[a.Message]++
 		case dispatch.Reject:
-			d.ended = append(d.ended, a.Message)
+			f.ended = append(f.ended, a.Message)
 		}
 	}
-	return d.modify(d, now, events, actions)
+	return f.modify(f, now, events, actions)
 }
 
 // endpointOf returns the endpoint in service of a destination that comes first by ID.
@@ -67,19 +67,19 @@
 // it, and that the correct decider breaks no rule in the same scenario. It guards against a ledger that no
 // longer checks a rule.
 func TestFaultyDecidersAreDetected(t *testing.T) {
-	type modify = func(instance *faultyDecider, now dispatch.Micros, events []dispatch.Event, actions []dispatch.Action) []dispatch.Action
+	type modify = func(f *faultyDecider, now dispatch.Micros, events []dispatch.Event, actions []dispatch.Action) []dispatch.Action
 	for _, c := range []struct {
 		name, day string
 		rule      invariants.Rule
 		modify    modify
 	}{
 		{"resends a single-use message that may have run", "acts-then-hangs", invariants.Twice,
-			func(instance *faultyDecider, _ dispatch.Micros, events []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
+			func(f *faultyDecider, _ dispatch.Micros, events []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 				for _, e := range events {
 					s, ok := e.(dispatch.AttemptFinished)
 					mayRun := ok && (s.Outcome == dispatch.TimedOut || s.Outcome == dispatch.Broken || s.Outcome == dispatch.Canceled)
-					if mayRun && !s.MessageDone && instance.accepted[s.Message].Class == 1 {
-						actions = append([]dispatch.Action{dispatch.Send{Message: s.Message, Endpoint: instance.endpointOf(instance.accepted[s.Message].Destination),
+					if mayRun && !s.MessageDone && f.accepted[s.Message].Class == 1 {
+						actions = append([]dispatch.Action{dispatch.Send{Message: s.Message, Endpoint: f.endpointOf(f.accepted[s.Message].Destination),
 							Timeout: 1000}}, actions...)
 					}
 				}
@@ -95,20 +95,20 @@
 				return actions
 			}},
 		{"sends before Retry-After has passed", "shrunk-limits", invariants.Waits,
-			func(instance *faultyDecider, now dispatch.Micros, events []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
+			func(f *faultyDecider, now dispatch.Micros, events []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 				for _, e := range events {
-					if accepted, ok := e.(dispatch.MessageAccepted); ok && instance.retryAfterUntil[accepted.Destination] > now+10*1000 && instance.accepted[accepted.Message].Class == 0 {
-						return append(actions, dispatch.Send{Message: accepted.Message, Endpoint: instance.endpointOf(accepted.Destination), Timeout: 1000 * 1000})
+					if accepted, ok := e.(dispatch.MessageAccepted); ok && f.retryAfterUntil[accepted.Destination] > now+10*1000 && f.accepted[accepted.Message].Class == 0 {
+						return append(actions, dispatch.Send{Message: accepted.Message, Endpoint: f.endpointOf(accepted.Destination), Timeout: 1000 * 1000})
 					}
 				}
 				return actions
 			}},
 		{"sends to draining endpoints", "moving-house", invariants.Drain,
-			func(instance *faultyDecider, _ dispatch.Micros, _ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
+			func(f *faultyDecider, _ dispatch.Micros, _ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 				for i, a := range actions {
 					if send, ok := a.(dispatch.Send); ok {
-						for id, d := range instance.notInService {
-							if d == instance.accepted[send.Message].Destination {
+						for id, d := range f.notInService {
+							if d == f.accepted[send.Message].Destination {
 								actions[i] = dispatch.Send{Message: send.Message, Endpoint: id, Timeout: send.Timeout}
 							}
 						}
@@ -136,11 +136,11 @@
 				return actions
 			}},
 		{"sends a message after its final answer", "calm", invariants.Final,
-			func(instance *faultyDecider, _ dispatch.Micros, _ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
-				if n := len(instance.ended); n > 0 {
-					id := instance.ended[n-1]
-					instance.ended = instance.ended[:n-1]
-					actions = append(actions, dispatch.Send{Message: id, Endpoint: instance.endpointOf(instance.accepted[id].Destination), Timeout: 1000 * 1000})
+			func(f *faultyDecider, _ dispatch.Micros, _ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
+				if n := len(f.ended); n > 0 {
+					id := f.ended[n-1]
+					f.ended = f.ended[:n-1]
+					actions = append(actions, dispatch.Send{Message: id, Endpoint: f.endpointOf(f.accepted[id].Destination), Timeout: 1000 * 1000})
 				}
 				return actions
 			}},
@@ -200,7 +200,7 @@
 	return out
 }
 
-func TestEagerDeciderBreaksReturnsAndOrder(t *testing.T) {
+func TestEagerDeciderBreaksSlowStartAndOrder(t *testing.T) {
 	for name, rule := range map[string]invariants.Rule{"silent-and-cold": invariants.Pushed, "in-order": invariants.Order} {
 		d := findScenario(t, name)
 		d.Fleet.SlotsRoom, d.Fleet.MaxAttempts = 50, 100
--- a/testbed/soak/play.go
+++ b/testbed/soak/play.go
@@ -338,7 +338,7 @@
 	}
 }
 
-// openConnections opens 300 idle connections to the courier.
+// openConnections opens 300 idle connections to the courier and closes them after 2 s.
 func (r *run) openConnections(ctx context.Context) {
 	r.mu.Lock()
 	r.faultCounts[actionOpenConnections]++
