--- a/testbed/faultproxy/faultproxy.go
+++ b/testbed/faultproxy/faultproxy.go
@@ -51,7 +51,7 @@
 	Query    url.Values
 	Fault    Fault
 	Read     time.Time // when the last byte of the request was read
-	Answered time.Time // when the last byte of the response was written; zero if none was
+	Answered time.Time // when the proxy finished writing the response, even if truncated or failed; zero if it wrote none
 }
 
 // IsPoll reports whether the call requests the endpoint list.
@@ -104,13 +104,13 @@
 	return append([]Call(nil), p.calls...)
 }
 
-// FaultCounts returns the number of calls for each fault. A fault with a count of zero was not tested.
+// FaultCounts returns the number of calls for each fault. A fault that is missing was never injected.
 func (p *Proxy) FaultCounts() map[Fault]int {
-	struck := map[Fault]int{}
+	counts := map[Fault]int{}
 	for _, call := range p.Calls() {
-		struck[call.Fault]++
+		counts[call.Fault]++
 	}
-	return struck
+	return counts
 }
 
 func (p *Proxy) accept() {
@@ -170,7 +170,7 @@
 func (p *Proxy) handle(conn net.Conn, number int, treatment Treatment, request *http.Request, body []byte) bool {
 	switch treatment.Fault {
 	case Silent:
-		return true // wait for the next request; the client closes the connection without sending one
+		return true // leave the call unanswered and read on; clients are expected to close the connection
 	case Reset:
 		reset(conn)
 		return false
--- a/testbed/fleet/fleet.go
+++ b/testbed/fleet/fleet.go
@@ -46,18 +46,19 @@
 	Faults   []netfault.Fault `toml:"fault"`
 }
 
-// Process faults, in addition to the network faults: what happens to each courier in From, starting at At,
-// for Length.
+// Process faults. A fault affects each courier in Fault.From and begins at Fault.At. Fault.Length is how long
+// the courier is paused, or down until its restart. For Roll it is divided among the couriers: each has its
+// share of the time to shut down and restart, and stays down for that share, 5 s at most.
 const (
-	Kill        = "kill"         // killed with SIGKILL and restarted with its state folder
-	Stop        = "stop"         // paused for the length of the fault
-	Roll        = "roll"         // shut down gracefully and restarted, one courier after the other
-	LoseFolder  = "lose-folder"  // killed and restarted without its incarnation file
-	OlderFolder = "older-folder" // killed and restarted with its incarnation file as it was at the start of the run
-	Move        = "move"         // killed and restarted at another address
+	Kill            = "kill"         // killed with SIGKILL and restarted with its state folder
+	Pause           = "stop"         // process paused, then resumed
+	Roll            = "roll"         // shut down gracefully and restarted, one courier after the other
+	LoseIncarnation = "lose-folder"  // killed and restarted without its incarnation file; the rest of its state folder is kept
+	OldIncarnation  = "older-folder" // killed and restarted with its incarnation file as it was at the start of the run
+	Move            = "move"         // killed and restarted at another address
 )
 
-var processFaults = []string{Kill, Stop, Roll, LoseFolder, OlderFolder, Move}
+var processFaults = []string{Kill, Pause, Roll, LoseIncarnation, OldIncarnation, Move}
 
 // Days returns the names of the built-in plans.
 func Days() []string { return scenario.Names(builtIn) }
@@ -97,9 +98,9 @@
 	Binary string
 	Dir    string
 	Seed   int64
-	Peers  bool          // whether membership is on
+	Peers  bool          // whether the couriers form a fleet through membership
 	Share  bool          // whether couriers share quotas over membership
-	Pace   time.Duration // probe interval of the failure detector; 0: 200 ms, short enough for a run of 30 s
+	Pace   time.Duration // probe interval of the failure detector; 0: 200 ms, so that failures are detected within a run of 30 s
 	Trace  io.Writer     // receives the network trace; nil: no trace
 	Log    *slog.Logger
 }
@@ -109,39 +110,39 @@
 	Verdict  *invariants.Verdict `json:"verdict"`
 	Cost     realtime.Cost       `json:"cost"`
 	Couriers int                 `json:"couriers"`
-	Struck   map[string]int      `json:"struck"`
-	Idle     []string            `json:"faults_that_never_struck,omitempty"` // network faults that never took effect
-	// Deaths and Returns hold detection times in seconds, one for each courier that observed a failure or a
-	// return.
+	Struck   map[string]int      `json:"struck"`                             // how often each kind of network fault took effect
+	Idle     []string            `json:"faults_that_never_struck,omitempty"` // network faults that never took effect and so were not tested
+	// Deaths and Returns are the times, in seconds, until a failure or a return of a courier was detected:
+	// one for each courier that detected it.
 	Deaths  []float64 `json:"deaths_known_s"`
 	Returns []float64 `json:"returns_known_s"`
-	// False counts detected failures of couriers that were up, by the kinds of fault active at the time
+	// False counts reported failures of couriers that were up, by the kinds of fault active at the time
 	// ("none" without a fault).
 	False    map[string]int  `json:"deaths_believed_that_were_none"`
 	Fewer    int             `json:"counted_fewer"`                // polls in which a courier's upper estimate of the fleet size was too low
-	Whole    bool            `json:"whole_at_the_end"`             // whether every courier knew all others at the end
-	Healed   float64         `json:"whole_after_the_last_fault_s"` // time from the last fault until then
+	Whole    bool            `json:"whole_at_the_end"`             // whether every courier counted all others as alive within 40 s of the last fault
+	Healed   float64         `json:"whole_after_the_last_fault_s"` // seconds from the end of the last fault until every courier counted all others as alive
 	Messages float64         `json:"packets_a_second_each"`        // gossip, per courier
-	Bytes    float64         `json:"bytes_a_second_each"`          // gossip, per courier
-	Hours    float64         `json:"process_hours"`
+	Bytes    float64         `json:"bytes_a_second_each"`          // gossip bytes sent per second and courier
+	Hours    float64         `json:"process_hours"`                // length of the run in hours, times the number of couriers
 	Drawn    *scenario.Drawn `json:"-"`
 	// Quota sharing: leases seen, violations of the lease rules, and the traffic between couriers.
 	Leases     int      `json:"loans_seen"`
-	Widest     float64  `json:"widest_loan"` // largest sum of one courier's leases for a route, as a multiple of its base part
-	Overspent  []string `json:"overspent,omitempty"`
+	Widest     float64  `json:"widest_loan"`         // largest sum of one courier's leases for a route, as a multiple of its base share
+	Overspent  []string `json:"overspent,omitempty"` // violations of the lease rules
 	Parts      Parts    `json:"parts,omitempty"`
 	Packets    float64  `json:"commons_packets_a_second_each"`
 	ShareBytes float64  `json:"commons_bytes_a_second_each"`
 }
 
-// Parts holds, for each destination, how much of its limits was granted and leased over time. Values are
-// shares summed over all couriers, one for each invariants.Bin.
+// Parts holds the totals of granted and leased quota over time, by destination.
 type Parts map[int32]*LeaseTotals
 
-// LeaseTotals are the totals of one destination.
+// LeaseTotals are the totals of one destination. Each value is the sum over all couriers, in proportion to
+// the destination's limit; value i belongs to the i-th interval of length invariants.Bin.
 type LeaseTotals struct {
-	Granted []float64 `json:"lent"`
-	Leased  []float64 `json:"borrowed"`
+	Granted []float64 `json:"lent"`     // granted to other couriers
+	Leased  []float64 `json:"borrowed"` // leased from other couriers
 }
 
 // recordTotals records the current grants and leases of all couriers in the time series.
@@ -157,15 +158,15 @@
 		}
 	}
 	for dest, sum := range sums {
-		leases := r.result.Parts[dest]
-		if leases == nil {
-			leases = &LeaseTotals{}
-			r.result.Parts[dest] = leases
+		totals := r.result.Parts[dest]
+		if totals == nil {
+			totals = &LeaseTotals{}
+			r.result.Parts[dest] = totals
 		}
-		for len(leases.Granted) <= bin {
-			leases.Granted, leases.Leased = append(leases.Granted, 0), append(leases.Leased, 0)
+		for len(totals.Granted) <= bin {
+			totals.Granted, totals.Leased = append(totals.Granted, 0), append(totals.Leased, 0)
 		}
-		leases.Granted[bin], leases.Leased[bin] = sum[0], sum[1]
+		totals.Granted[bin], totals.Leased[bin] = sum[0], sum[1]
 	}
 }
 
@@ -174,11 +175,11 @@
 	Status      string `json:"standing"`
 	MinCouriers int    `json:"least"`
 	MaxCouriers int    `json:"most"`
-	Start       uint64 `json:"start"`
+	Incarnation uint64 `json:"start"`
 	Members     []struct {
-		Name  string `json:"name"`
-		Start uint64 `json:"start"`
-		State string `json:"state"`
+		Name        string `json:"name"`
+		Incarnation uint64 `json:"start"`
+		State       string `json:"state"`
 	} `json:"members"`
 	Metrics struct {
 		Network struct{ PacketsOut, BytesOut int64 } `json:"network"`
@@ -195,17 +196,17 @@
 	gossipAddrs []string
 	session     *realtime.Field
 
-	mu            sync.Mutex
-	downSince     map[int]time.Time // when each stopped courier went down
-	restartedAt   map[int]time.Time
-	starts        map[int]int
-	activeFaults  map[string]int    // number of active faults of each kind
-	memberStates  map[[2]int]string // by observing and observed courier
-	result        *Result
-	statuses      []courierStatus
-	leases        invariants.Leases
-	quotaStatuses []exchange.Status
-	notTriggered  []string
+	mu                  sync.Mutex
+	downSince           map[int]time.Time // when each courier that is down was stopped
+	restartedAt         map[int]time.Time
+	starts              map[int]int       // restarts of each courier
+	activeFaults        map[string]int    // number of active faults of each kind
+	memberStates        map[[2]int]string // last reported state, by reporting and reported courier
+	result              *Result
+	statuses            []courierStatus
+	leases              invariants.Leases
+	quotaStatuses       []exchange.Status
+	faultsWithoutEffect []string
 }
 
 // Play runs a plan and returns its result.
@@ -250,7 +251,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r.result.Verdict, r.result.Cost, r.result.Struck, r.result.Idle = v, cost, r.net.FaultCounts(), r.notTriggered
+	r.result.Verdict, r.result.Cost, r.result.Struck, r.result.Idle = v, cost, r.net.FaultCounts(), r.faultsWithoutEffect
 	return r.result, nil
 }
 
@@ -268,7 +269,8 @@
 	return nil
 }
 
-// Free returns a loopback address, private to this process, whose port is free for both UDP and TCP.
+// Free returns a loopback address whose port is free for both UDP and TCP. Its IP address is derived from the
+// process ID and i, to avoid collisions with other test processes.
 func Free(i int) (string, error) {
 	ip := net.IPv4(127, byte(140+(os.Getpid()>>8)%50), byte(os.Getpid()), byte(1+i%250))
 	for range 20 {
@@ -287,6 +289,8 @@
 	return "", fmt.Errorf("no free port for both UDP and TCP")
 }
 
+// configure returns a courier's settings for its administration address and for membership. It joins through
+// three couriers in different positions, so that one that is down does not keep it out.
 func (r *run) configure(c *process.Courier) (map[string]any, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -328,7 +332,7 @@
 }
 
 // readIncarnations returns each courier's incarnation file as it is at the start of the run, for the fault
-// OlderFolder.
+// OldIncarnation.
 func (r *run) readIncarnations() map[int][]byte {
 	incarnations := map[int][]byte{}
 	for _, c := range r.session.Couriers() {
@@ -356,7 +360,7 @@
 		wait(f.At + f.Length)
 		if err := end(); err != nil && r.options.Peers {
 			r.mu.Lock()
-			r.notTriggered = append(r.notTriggered, err.Error())
+			r.faultsWithoutEffect = append(r.faultsWithoutEffect, err.Error())
 			r.mu.Unlock()
 		}
 		return
@@ -382,14 +386,14 @@
 	c := r.session.Couriers()[index]
 	state := filepath.Join(c.Dir, "state")
 	switch f.Kind {
-	case Stop:
+	case Pause:
 		r.session.Act(scenario.Act{Kind: scenario.Stands, Courier: index, Span: dispatch.Micros(f.Length * 1e6)})
 		time.Sleep(time.Duration(f.Length * float64(time.Second)))
 	case Kill:
 		r.restartCourier(index, scenario.Kills, f.Length, stop, nil)
-	case LoseFolder:
+	case LoseIncarnation:
 		r.restartCourier(index, scenario.Kills, f.Length, stop, func() { os.Remove(filepath.Join(state, incarnation.Name)) })
-	case OlderFolder:
+	case OldIncarnation:
 		r.restartCourier(index, scenario.Kills, f.Length, stop, func() {
 			if content := incarnations[index]; content != nil {
 				os.WriteFile(filepath.Join(state, incarnation.Name), content, 0o600)
@@ -407,8 +411,8 @@
 	}
 }
 
-// restartCourier stops a courier, calls whileDown once it has exited, and restarts it after a number of
-// seconds.
+// restartCourier kills a courier (scenario.Kills) or shuts it down gracefully (scenario.Asks), calls
+// whileDown once it is down, and restarts it after a number of seconds.
 func (r *run) restartCourier(index int, kind scenario.ActKind, seconds float64, stop <-chan struct{}, whileDown func()) {
 	r.mu.Lock()
 	r.downSince[index] = time.Now()
@@ -451,9 +455,9 @@
 func (r *run) poll(client *http.Client, index int) (status courierStatus, ok bool) {
 	if ok = get(client, r.adminAddrs[index], "/peers", &status); ok && r.options.Share {
 		var quotaStatus exchange.Status
-		from := r.session.Since()
+		pollStart := r.session.Since()
 		if get(client, r.adminAddrs[index], "/commons", &quotaStatus) {
-			r.recordLeases(index, from, r.session.Since(), quotaStatus)
+			r.recordLeases(index, pollStart, r.session.Since(), quotaStatus)
 		}
 	}
 	return status, ok
@@ -468,12 +472,14 @@
 	return reply.StatusCode == http.StatusOK && json.NewDecoder(reply.Body).Decode(to) == nil
 }
 
-// recordLeases checks a courier's reported grants and leases against those that other couriers reported.
-func (r *run) recordLeases(index int, from, to time.Duration, status exchange.Status) {
-	leases := func(of func(quota.Status) []quota.LeaseStatus) (all [][]invariants.Lease) {
+// recordLeases checks the grants and leases that a courier reported in a poll from pollStart to pollEnd
+// against the reports of other couriers: a lease must have been granted, and must end before its grantor uses
+// that quota again.
+func (r *run) recordLeases(index int, pollStart, pollEnd time.Duration, status exchange.Status) {
+	leases := func(selectLeases func(quota.Status) []quota.LeaseStatus) (all [][]invariants.Lease) {
 		for _, group := range status.Groups {
 			var routeLeases []invariants.Lease
-			for _, lease := range of(group) {
+			for _, lease := range selectLeases(group) {
 				routeLeases = append(routeLeases, invariants.Lease{Who: lease.Courier, No: lease.LeaseID, Units: int64(lease.Units), Base: int64(group.Base)})
 			}
 			all = append(all, routeLeases)
@@ -483,7 +489,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.quotaStatuses[index] = status
-	r.leases.Saw(invariants.Look{Name: fmt.Sprintf("n%d", index), Start: status.Incarnation, From: dispatch.Micros(from.Microseconds()), To: dispatch.Micros(to.Microseconds()),
+	r.leases.Saw(invariants.Look{Name: fmt.Sprintf("n%d", index), Start: status.Incarnation, From: dispatch.Micros(pollStart.Microseconds()), To: dispatch.Micros(pollEnd.Microseconds()),
 		Granted: leases(func(l quota.Status) []quota.LeaseStatus { return l.Grants }), Used: leases(func(l quota.Status) []quota.LeaseStatus { return l.Leases })})
 }
 
@@ -520,6 +526,9 @@
 	}
 }
 
+// recordStatus records the changes of member states that a courier reports. A reported failure of a courier
+// that restarted less than 15 probe intervals ago is not counted as false, since it may still concern the
+// earlier incarnation. A return reported 30 s or more after a restart is not counted.
 func (r *run) recordStatus(now time.Time, index int, status courierStatus) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/testbed/fleet/fleet_test.go
+++ b/testbed/fleet/fleet_test.go
@@ -22,17 +22,17 @@
 }
 
 // TestFleetRecoversFromFaults runs ten couriers under load through kills, a pause, a one-way cut, a
-// partition, and restarts with an old state folder, without one, and at another address. The fleet must
+// partition, and restarts with an old incarnation file, without one, and at another address. The fleet must
 // converge and no rule may be broken. Limits are counts or generous times, so that the result does not depend
 // on the machine.
 func TestFleetRecoversFromFaults(t *testing.T) {
 	p := &Plan{Day: "calm", Couriers: 10, Length: 24, Load: 3, Faults: []netfault.Fault{
 		{Kind: Kill, At: 2, Length: 3, From: []int{1, 2}},
-		{Kind: Stop, At: 3, Length: 4, From: []int{3}},
+		{Kind: Pause, At: 3, Length: 4, From: []int{3}},
 		{Kind: "one-way", At: 3, Length: 4, From: []int{4}, To: []int{5}},
 		{Kind: "cut", At: 8, Length: 5, From: []int{0, 6, 7}},
-		{Kind: OlderFolder, At: 14, Length: 2, From: []int{1}},
-		{Kind: LoseFolder, At: 14, Length: 2, From: []int{2}},
+		{Kind: OldIncarnation, At: 14, Length: 2, From: []int{1}},
+		{Kind: LoseIncarnation, At: 14, Length: 2, From: []int{2}},
 		{Kind: Move, At: 15, Length: 2, From: []int{8}},
 	}}
 	if err := p.check("here"); err != nil {
@@ -52,8 +52,8 @@
 	if !res.Whole {
 		t.Error("the fleet did not converge within 40 s of the last fault")
 	}
-	for _, idle := range res.Idle {
-		t.Error(idle)
+	for _, fault := range res.Idle {
+		t.Error(fault)
 	}
 	// Each of the five kills is detected by most couriers that were up and not cut off.
 	if len(res.Deaths) < 20 || len(res.Returns) < 20 {
@@ -65,14 +65,14 @@
 	t.Logf("%v; %d messages delivered, longest failure detection %.1f s", res.Struck, res.Verdict.Counts.Done, longest(res.Deaths))
 }
 
-// TestSharedLimits runs twelve couriers that lease quota to one another on an overloaded scenario, while six
-// cannot reach the other six, one is paused, two are killed and three are cut off. The couriers' own reports
-// must show that no lease is used after its grantor has it back or without a grant, and that no courier
-// grants more than half; and no rule of the scenario may be broken.
-func TestSharedLimits(t *testing.T) {
+// TestSharedQuotasKeepLeaseRules runs twelve couriers that lease quota to one another in an overloaded
+// scenario, while six cannot send to the other six, one is paused, two are killed and three are cut off. By
+// the couriers' own reports, no courier may use a lease that was not granted or that has returned to its
+// grantor, and none may grant more than half of its base share. No rule of the scenario may be broken.
+func TestSharedQuotasKeepLeaseRules(t *testing.T) {
 	p := &Plan{Day: "shared-limits", Couriers: 12, Length: 26, Load: 4, Faults: []netfault.Fault{
 		{Kind: "one-way", At: 6, Length: 5, From: []int{0, 1, 2, 3, 4, 5}, To: []int{6, 7, 8, 9, 10, 11}},
-		{Kind: Stop, At: 8, Length: 5, From: []int{7}},
+		{Kind: Pause, At: 8, Length: 5, From: []int{7}},
 		{Kind: Kill, At: 9, Length: 2, From: []int{8, 9}},
 		{Kind: "cut", At: 14, Length: 5, From: []int{0, 10, 11}},
 		{Kind: "loss", At: 20, Length: 4, From: []int{1, 2, 3}, Size: 0.3},
@@ -88,13 +88,13 @@
 	if !res.Verdict.OK() {
 		t.Errorf("broken rules: %s %+v", res.Verdict.Short(), res.Verdict.Breaches)
 	}
-	for _, what := range append(res.Overspent, res.Idle...) {
-		t.Error(what)
+	for _, problem := range append(res.Overspent, res.Idle...) {
+		t.Error(problem)
 	}
 	if res.Leases < 20 {
 		t.Errorf("%d leases were seen, want at least 20", res.Leases)
 	}
-	t.Logf("%v; %d leases, largest %.2f of a base part; %d throttled, %d delivered", res.Struck, res.Leases, res.Widest, res.Verdict.Counts.Full, res.Verdict.Counts.Done)
+	t.Logf("%v; %d leases, largest sum of a courier %.2f of its base share; %d throttled, %d delivered", res.Struck, res.Leases, res.Widest, res.Verdict.Counts.Full, res.Verdict.Counts.Done)
 }
 
 func longest(all []float64) (result float64) {
@@ -119,9 +119,9 @@
 	}
 }
 
-// TestBuiltInScenariosAreValid checks that every built-in plan can be read, and that invalid plans are
-// refused.
-func TestBuiltInScenariosAreValid(t *testing.T) {
+// TestPlanValidation checks that every built-in plan is valid, and that a missing plan file and an unknown
+// kind of fault are refused.
+func TestPlanValidation(t *testing.T) {
 	for _, name := range Days() {
 		if _, err := Find(name); err != nil {
 			t.Error(err)
--- a/testbed/netfault/conditions.go
+++ b/testbed/netfault/conditions.go
@@ -1,7 +1,7 @@
 // Package netfault simulates network faults between processes in user space. Each ordered pair of processes
 // has its own proxy address, where packets and streams can be lost, delayed, throttled, reordered,
-// duplicated, truncated or cut, in one direction or in both. Mesh applies the same conditions in memory, for
-// tests that run hundreds of members in virtual time.
+// duplicated, broken or cut, in one direction or in both. Mesh does so in memory, without throttling and
+// breaking of streams, for tests that run hundreds of members in virtual time.
 package netfault
 
 import (
@@ -19,21 +19,21 @@
 	Loss, Duplicate, Reorder float64       // shares of the packets, 0 to 1
 	Delay, Jitter            time.Duration // Delay applies to packets and stream data, Jitter (uniform, from 0) to packets
 	Rate                     float64       // limit for stream data, in bytes per second; 0: no limit
-	Cut                      bool          // drops packets; with both directions cut, breaks streams and refuses new ones; else stalls them
-	Silent                   bool          // drops packets; streams stay open but carry no data
-	Tear                     int           // breaks a stream that has carried more than this many bytes, in the middle of its data; 0: never
+	Cut                      bool          // drops packets; cut in both directions: streams break, new ones fail; cut in one: its stream data stalls
+	Silent                   bool          // drops packets; streams stay open but carry no data (Mesh: new streams fail)
+	BreakAfter               int           `json:"Tear"` // breaks a stream within the data that exceeds this many bytes; 0: never
 }
 
-// Kinds of fault, as they are named in the counts.
+// Effects of faults on packets and streams, as they are named in the counts and in the trace.
 const (
-	Lost       = "lost"
-	Duplicated = "doubled"
-	Reordered  = "reordered"
-	Delayed    = "delayed"
-	Throttled  = "throttled"
-	Severed    = "cut"
-	Silenced   = "silent"
-	Torn       = "torn"
+	EffectLost       = "lost"
+	EffectDuplicated = "doubled"
+	EffectReordered  = "reordered"
+	EffectDelayed    = "delayed"
+	EffectThrottled  = "throttled"
+	EffectCut        = "cut"
+	EffectSilent     = "silent"
+	EffectBroken     = "torn"
 )
 
 // injector holds the conditions of all pairs of processes and counts the faults that took effect.
@@ -127,18 +127,18 @@
 	c := in.current[from][to]
 	switch {
 	case c.Cut:
-		in.recordLocked(from, to, Severed, size)
+		in.recordLocked(from, to, EffectCut, size)
 		return nil
 	case c.Silent:
-		in.recordLocked(from, to, Silenced, size)
+		in.recordLocked(from, to, EffectSilent, size)
 		return nil
 	case c.Loss > 0 && in.rng.Float64() < c.Loss:
-		in.recordLocked(from, to, Lost, size)
+		in.recordLocked(from, to, EffectLost, size)
 		return nil
 	}
 	copies := 1
 	if c.Duplicate > 0 && in.rng.Float64() < c.Duplicate {
-		in.recordLocked(from, to, Duplicated, size)
+		in.recordLocked(from, to, EffectDuplicated, size)
 		copies = 2
 	}
 	for range copies {
@@ -147,26 +147,31 @@
 			delay += time.Duration(in.rng.Int63n(int64(c.Jitter)))
 		}
 		if c.Reorder > 0 && in.rng.Float64() < c.Reorder {
-			in.recordLocked(from, to, Reordered, size)
+			in.recordLocked(from, to, EffectReordered, size)
 			delay += time.Duration(1+in.rng.Intn(50)) * time.Millisecond
 		}
 		if c.Delay > 0 || c.Jitter > 0 {
-			in.recordLocked(from, to, Delayed, size)
+			in.recordLocked(from, to, EffectDelayed, size)
 		}
 		delays = append(delays, delay)
 	}
 	return delays
 }
 
-// Fault is a fault that lasts for a time. It affects the processes in From and To; an empty list means all
-// others.
+// Fault is a network or process fault that begins at a time and lasts for a length of time. A network fault
+// affects the links from each process in From to each in To, and for most kinds also the links back. An empty
+// From means all processes that are not in To, and the reverse. A process fault affects the processes in
+// From.
 type Fault struct {
 	Kind   string  `toml:"kind" json:"kind"`
 	At     float64 `toml:"at_s" json:"at_s"`
 	Length float64 `toml:"length_s" json:"length_s"`
 	From   []int   `toml:"from" json:"from"`
 	To     []int   `toml:"to" json:"to"`
-	Size   float64 `toml:"size" json:"size"`
+	// Size is the probability for "loss", "duplicate" and "reorder", the delay and the maximum jitter in
+	// milliseconds for "slow", bytes per second for "throttle", bytes for "tear", and the period in seconds
+	// for "flap".
+	Size float64 `toml:"size" json:"size"`
 }
 
 // networkFaults are the kinds of network fault: the conditions for a Size, the names under which their
@@ -176,16 +181,16 @@
 	countedAs  []string
 	bothWays   bool
 }{
-	"cut":       {func(float64) Conditions { return Conditions{Cut: true} }, []string{Severed}, true},
-	"one-way":   {func(float64) Conditions { return Conditions{Cut: true} }, []string{Severed}, false},
-	"silent":    {func(float64) Conditions { return Conditions{Silent: true} }, []string{Silenced}, true},
-	"loss":      {func(s float64) Conditions { return Conditions{Loss: s} }, []string{Lost}, true},
-	"slow":      {func(s float64) Conditions { return Conditions{Delay: ms(s), Jitter: ms(s)} }, []string{Delayed}, true},
-	"throttle":  {func(s float64) Conditions { return Conditions{Rate: s} }, []string{Throttled}, true},
-	"duplicate": {func(s float64) Conditions { return Conditions{Duplicate: s} }, []string{Duplicated}, true},
-	"reorder":   {func(s float64) Conditions { return Conditions{Reorder: s} }, []string{Reordered}, true},
-	"tear":      {func(s float64) Conditions { return Conditions{Tear: int(s)} }, []string{Torn}, true},
-	"flap":      {func(float64) Conditions { return Conditions{Cut: true} }, []string{Severed}, true},
+	"cut":       {func(float64) Conditions { return Conditions{Cut: true} }, []string{EffectCut}, true},
+	"one-way":   {func(float64) Conditions { return Conditions{Cut: true} }, []string{EffectCut}, false},
+	"silent":    {func(float64) Conditions { return Conditions{Silent: true} }, []string{EffectSilent}, true},
+	"loss":      {func(s float64) Conditions { return Conditions{Loss: s} }, []string{EffectLost}, true},
+	"slow":      {func(s float64) Conditions { return Conditions{Delay: ms(s), Jitter: ms(s)} }, []string{EffectDelayed}, true},
+	"throttle":  {func(s float64) Conditions { return Conditions{Rate: s} }, []string{EffectThrottled}, true},
+	"duplicate": {func(s float64) Conditions { return Conditions{Duplicate: s} }, []string{EffectDuplicated}, true},
+	"reorder":   {func(s float64) Conditions { return Conditions{Reorder: s} }, []string{EffectReordered}, true},
+	"tear":      {func(s float64) Conditions { return Conditions{BreakAfter: int(s)} }, []string{EffectBroken}, true},
+	"flap":      {func(float64) Conditions { return Conditions{Cut: true} }, []string{EffectCut}, true}, // cut for half of each period
 }
 
 func ms(n float64) time.Duration { return time.Duration(n * float64(time.Millisecond)) }
@@ -220,7 +225,9 @@
 	return all
 }
 
-// Begin starts a fault. The returned function ends it, and returns an error if the fault never took effect.
+// Begin starts a fault by setting the conditions of all links that it affects, in place of their previous
+// conditions. The returned function ends it by clearing the conditions of these links, and returns an error
+// if the fault never took effect. Faults that overlap on a link therefore override each other.
 func (in *injector) Begin(f Fault) (end func() error) {
 	spec := networkFaults[f.Kind]
 	before := in.FaultCounts()
@@ -262,7 +269,7 @@
 	}
 }
 
-// Draw returns n random faults from a seed, one after the other over a length in seconds.
+// Draw returns n random faults from a seed, spread over a run of length seconds so that they do not overlap.
 func Draw(seed int64, n, processes int, length float64) (all []Fault) {
 	rng := rand.New(rand.NewSource(seed))
 	kinds := []string{"cut", "one-way", "silent", "loss", "slow", "duplicate", "reorder", "flap"}
--- a/testbed/netfault/mesh.go
+++ b/testbed/netfault/mesh.go
@@ -10,8 +10,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Mesh is a network in memory with the same conditions: it provides memberlist transports for tests in
-// virtual time. Unlike with Net, conditions apply to a stream only when it is opened.
+// Mesh is a network in memory that applies Conditions to memberlist transports, for tests in virtual time.
+// Unlike Net it applies them to a stream only when the stream is opened, and ignores Rate and BreakAfter.
 type Mesh struct {
 	*injector
 	mu    sync.Mutex
@@ -97,7 +97,7 @@
 	return m.nodes[i]
 }
 
-// Drop disconnects a member from the network without notice.
+// Drop disconnects a member from the network; the other members are not told.
 func (m *Mesh) Drop(i int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -169,11 +169,11 @@
 	forward, _ := n.mesh.get(n.index, to)
 	reverse, _ := n.mesh.get(to, n.index)
 	other, up := n.mesh.node(to)
-	if _, self := n.mesh.node(n.index); !self || !up {
+	if _, selfUp := n.mesh.node(n.index); !selfUp || !up {
 		return nil, fmt.Errorf("%s: connection refused", addr)
 	}
 	if forward.Cut || reverse.Cut || forward.Silent || reverse.Silent {
-		n.mesh.record(n.index, to, Severed, 0)
+		n.mesh.record(n.index, to, EffectCut, 0) // counts as a cut also if a direction is only silent
 		time.Sleep(timeout)
 		return nil, fmt.Errorf("%s: connection timed out", addr)
 	}
--- a/testbed/netfault/netfault.go
+++ b/testbed/netfault/netfault.go
@@ -38,20 +38,20 @@
 				row = append(row, nil)
 				continue
 			}
-			w, err := n.openProxy(from, to)
+			proxy, err := n.openProxy(from, to)
 			if err != nil {
 				n.Close()
 				return nil, err
 			}
-			row = append(row, w)
+			row = append(row, proxy)
 		}
 		n.proxies = append(n.proxies, row)
 	}
 	return n, nil
 }
 
-// openProxy opens a proxy on a loopback IP address of the sending process, so that its port cannot collide
-// with the local port of an outgoing connection.
+// openProxy opens a proxy. Its IP address, derived from the process ID and the sending process, is not
+// 127.0.0.1, so that its port cannot be in use as the local port of an outgoing connection.
 func (n *Net) openProxy(from, to int) (*linkProxy, error) {
 	ip := net.IPv4(127, byte(200+(os.Getpid()>>8)%50), byte(os.Getpid()), byte(1+from%250))
 	for range 20 {
@@ -64,11 +64,11 @@
 			listener.Close()
 			continue
 		}
-		p := &linkProxy{net: n, from: from, to: to, tcp: listener, udp: udpConn}
+		proxy := &linkProxy{net: n, from: from, to: to, tcp: listener, udp: udpConn}
 		n.group.Add(2)
-		go p.forwardPackets()
-		go p.acceptStreams()
-		return p, nil
+		go proxy.forwardPackets()
+		go proxy.acceptStreams()
+		return proxy, nil
 	}
 	return nil, fmt.Errorf("no free port for both UDP and TCP")
 }
@@ -106,10 +106,10 @@
 func (n *Net) Close() {
 	close(n.done)
 	for _, row := range n.proxies {
-		for _, w := range row {
-			if w != nil {
-				w.tcp.Close()
-				w.udp.Close()
+		for _, proxy := range row {
+			if proxy != nil {
+				proxy.tcp.Close()
+				proxy.udp.Close()
 			}
 		}
 	}
@@ -169,7 +169,7 @@
 	forward, _ := n.get(p.from, p.to)
 	reverse, _ := n.get(p.to, p.from)
 	if forward.Cut && reverse.Cut {
-		n.record(p.from, p.to, Severed, 0)
+		n.record(p.from, p.to, EffectCut, 0)
 		inbound.SetLinger(0)
 		return
 	}
@@ -208,14 +208,14 @@
 	for {
 		size, err := in.Read(buf)
 		if size > 0 {
-			if !n.awaitOpen(from, to, size) || !n.delay(from, to, size) {
+			if !n.awaitOpen(from, to, size) || !n.waitForLink(from, to, size) {
 				in.Close()
 				out.Close()
 				return
 			}
-			if link, _ := n.get(from, to); link.Tear > 0 && forwarded+size > link.Tear {
-				n.record(from, to, Torn, size)
-				out.Write(buf[:max(0, min(size-1, link.Tear-forwarded))])
+			if link, _ := n.get(from, to); link.BreakAfter > 0 && forwarded+size > link.BreakAfter {
+				n.record(from, to, EffectBroken, size)
+				out.Write(buf[:max(0, min(size-1, link.BreakAfter-forwarded))])
 				in.Close()
 				out.Close()
 				return
@@ -242,13 +242,13 @@
 		link, change := n.get(from, to)
 		reverse, _ := n.get(to, from)
 		if link.Cut && reverse.Cut {
-			n.record(from, to, Severed, size)
+			n.record(from, to, EffectCut, size)
 			return false
 		}
 		if !link.Cut && !link.Silent {
 			return true
 		}
-		n.record(from, to, map[bool]string{true: Severed, false: Silenced}[link.Cut], size)
+		n.record(from, to, map[bool]string{true: EffectCut, false: EffectSilent}[link.Cut], size)
 		select {
 		case <-change:
 		case <-n.done:
@@ -259,9 +259,9 @@
 	}
 }
 
-// delay waits for as long as the link takes to carry a number of bytes. It returns false when the network is
-// closed.
-func (n *Net) delay(from, to, size int) bool {
+// waitForLink waits for the delay of a link, and for the time that a number of bytes takes at its rate. It
+// returns false when the network is closed.
+func (n *Net) waitForLink(from, to, size int) bool {
 	link, _ := n.get(from, to)
 	if link.Delay <= 0 && link.Rate <= 0 {
 		return true
@@ -270,7 +270,7 @@
 	if link.Rate != 0 {
 		wait += time.Duration(float64(size) / max(link.Rate, 1e-9) * float64(time.Second))
 	}
-	n.record(from, to, map[bool]string{true: Throttled, false: Delayed}[link.Rate > 0], size)
+	n.record(from, to, map[bool]string{true: EffectThrottled, false: EffectDelayed}[link.Rate > 0], size)
 	select {
 	case <-time.After(wait):
 		return true
--- a/testbed/simulation/call.go
+++ b/testbed/simulation/call.go
@@ -12,7 +12,7 @@
 func (s *Sim) addToCall(c *courier, a dispatch.Send, openCalls map[dispatch.EndpointID]*call) *call {
 	target, msg := s.endpoints[a.Endpoint], c.messages[a.Message]
 	if target == nil || msg != nil && target.destination != int(msg.client.arrival.Dest) {
-		s.ledger.Crashed(s.now, c.index, "sent "+string(a.Message)+" to "+string(a.Endpoint)+", which is not an endpoint of the message's destination")
+		s.ledger.Crashed(s.now, c.index, "sent "+string(a.Message)+" to "+string(a.Endpoint)+", which is not an endpoint of the message's destination") // reported as a crash of the courier
 		return nil
 	}
 	ledgerNumber := s.ledger.Sent(s.now, a.Message, invariants.Place{Dest: dispatch.DestinationID(target.destination), Route: target.route, Endpoint: a.Endpoint, Zone: target.endpoint.Zone})
@@ -86,7 +86,7 @@
 	})
 }
 
-// arriveAtEndpoint delivers a complete call to its endpoint.
+// arriveAtEndpoint hands a call whose last byte has arrived to the endpoint model.
 func (s *Sim) arriveAtEndpoint(cl *call) {
 	if !cl.done {
 		s.inFlight[cl.ID] = cl
--- a/testbed/simulation/client.go
+++ b/testbed/simulation/client.go
@@ -27,29 +27,31 @@
 	}
 	a := s.instance.Arrivals[i]
 	s.schedule(a.At, func() {
-		s.offer(i, a)
+		s.createClient(i, a)
 		s.scheduleArrival(i + 1)
 	})
 }
 
-func (s *Sim) offer(i int, a scenario.Arrival) {
+// createClient creates the client of an arriving message and schedules its submission and, for a random share
+// of clients, its cancellation.
+func (s *Sim) createClient(i int, a scenario.Arrival) {
 	id := dispatch.MessageID("r" + strconv.Itoa(i))
 	cl := &client{id: id, arrival: a, deadline: s.now + config.Micros(s.instance.Day.Classes[a.Class].CutOff)}
 	s.ledger.Offered(s.now, id, int(a.Class), int(a.Tenant), dispatch.DestinationID(a.Dest))
 	if s.rng.Float64() < s.instance.Day.Clients.Leave {
-		s.schedule(s.now+dispatch.Micros(s.rng.Int64N(int64(cl.deadline-s.now))), func() { s.withdraw(cl) })
+		s.schedule(s.now+dispatch.Micros(s.rng.Int64N(int64(cl.deadline-s.now))), func() { s.cancelMessage(cl) })
 	}
 	s.schedule(s.now+config.Micros(s.instance.Day.Network.Client/1000), func() { s.submit(cl, s.couriers[a.Courier], false) })
 }
 
-// submit hands a message to a courier. If the courier is dead, or is shutting down behind a front, the client
-// tries again later, possibly at another courier.
+// submit hands a message to a courier. If the courier is dead, or is shutting down while clients can reach
+// any courier (entry "front"), the client tries again later, possibly at another courier.
 func (s *Sim) submit(cl *client, c *courier, resubmitted bool) {
 	switch {
 	case cl.done || s.now >= cl.deadline:
 		return
 	case !c.alive || c.shuttingDown && s.instance.Day.Fleet.Entry == "front":
-		s.schedule(s.now+s.randomIn(s.instance.Day.Clients.Again)/4, func() { s.submit(cl, s.retryCourier(c), resubmitted) })
+		s.schedule(s.now+s.randomDuration(s.instance.Day.Clients.Again)/4, func() { s.submit(cl, s.retryCourier(c), resubmitted) })
 		return
 	case c.openMessages >= s.instance.Hold: // rejected at the queue limit, before the dispatcher sees it
 		s.resubmitLater(cl, c, 0)
@@ -75,7 +77,8 @@
 	s.notify(c, msg.accepted)
 }
 
-// retryCourier returns the courier to which a client submits next, after one that did not serve it.
+// retryCourier returns the courier to which a client submits next, after courier c was dead, shutting down or
+// rejected the message.
 func (s *Sim) retryCourier(c *courier) *courier {
 	if s.instance.Day.Fleet.Entry == "own" {
 		return c
@@ -90,7 +93,7 @@
 	if cl.done || cl.rejections >= d.Retries {
 		return
 	}
-	wait := s.randomIn(scenario.Range{d.Backoff[0] / 1000, d.Backoff[1] / 1000}) << cl.rejections
+	wait := s.randomDuration(scenario.Range{d.Backoff[0] / 1000, d.Backoff[1] / 1000}) << cl.rejections
 	if retryAfter > 0 && s.rng.Float64() < d.Heed {
 		wait = retryAfter
 	}
@@ -98,8 +101,8 @@
 	s.schedule(s.now+wait, func() { s.submit(cl, s.retryCourier(c), true) })
 }
 
-// withdraw cancels a message.
-func (s *Sim) withdraw(cl *client) {
+// cancelMessage cancels a message on request of its client.
+func (s *Sim) cancelMessage(cl *client) {
 	if cl.done {
 		return
 	}
--- a/testbed/simulation/courier.go
+++ b/testbed/simulation/courier.go
@@ -16,24 +16,24 @@
 
 // courier is the simulated process, connections and state folder of one courier.
 type courier struct {
-	sim          *Sim
-	index        int
-	zone         dispatch.ZoneID
-	alive        bool
-	shuttingDown bool
-	incarnation  int        // number of starts; identifies events that belong to an earlier run
-	spooled      []*message // messages in the spool while the courier is down, in the order accepted
-	pausedUntil  dispatch.Micros
-	events       []dispatch.Event
-	stepAt       dispatch.Micros // tick at which events are handed to the dispatcher; 0: none is scheduled
-	messages     map[dispatch.MessageID]*message
-	openMessages int
-	slotsUsed    int
-	idleConns    map[dispatch.EndpointID][]dispatch.Micros      // for each idle connection, since when it is idle
-	knownEntries map[dispatch.EndpointID]dispatch.EndpointEntry // the endpoint list as last received
-	lastChangeAt dispatch.Micros
-	watching     bool
-	quota        *quota.Allocator // nil if couriers do not share quotas
+	sim                 *Sim
+	index               int
+	zone                dispatch.ZoneID
+	alive               bool
+	shuttingDown        bool
+	incarnation         int        // number of starts; identifies events that belong to an earlier run
+	spooled             []*message // messages in the spool while the courier is down, in the order accepted
+	pausedUntil         dispatch.Micros
+	events              []dispatch.Event
+	stepAt              dispatch.Micros // tick at which events are handed to the dispatcher; 0: none is scheduled
+	messages            map[dispatch.MessageID]*message
+	openMessages        int
+	slotsUsed           int
+	idleConns           map[dispatch.EndpointID][]dispatch.Micros      // for each idle connection, since when it is idle
+	knownEntries        map[dispatch.EndpointID]dispatch.EndpointEntry // the endpoint list as last received
+	lastChangeArrivesAt dispatch.Micros                                // when the latest list change sent to it arrives; keeps changes in order
+	watching            bool
+	quota               *quota.Allocator // nil if couriers do not share quotas
 }
 
 // message is a message accepted by one courier.
@@ -78,9 +78,9 @@
 	c.events, c.stepAt, c.openMessages, c.slotsUsed = nil, 0, 0, 0
 	c.messages, c.idleConns = map[dispatch.MessageID]*message{}, map[dispatch.EndpointID][]dispatch.Micros{}
 	salt := int64(s.rng.Uint64() >> 1)
-	ch, err := s.instance.Config(c.index, salt)
+	cfg, err := s.instance.Config(c.index, salt)
 	if err == nil {
-		err = s.host.Start(c.index, s.startQuota(c, ch), config.Flatten(s.instance.Settings(c.index)))
+		err = s.host.Start(c.index, s.startQuota(c, cfg), config.Flatten(s.instance.Settings(c.index)))
 	}
 	if err != nil {
 		s.fail("%w", err)
@@ -108,16 +108,17 @@
 	return list
 }
 
-// scheduleShutdown notifies a courier that its process will be stopped after a time.
-func (s *Sim) scheduleShutdown(c *courier, delay dispatch.Micros) {
+// announceShutdown notifies a courier that its process will be stopped after a time. The scenario stops it
+// with another event.
+func (s *Sim) announceShutdown(c *courier, delay dispatch.Micros) {
 	if c.alive {
 		c.shuttingDown = true
 		s.notify(c, dispatch.ShutdownScheduled{At: s.now + delay})
 	}
 }
 
-// killCourier ends a courier's process. Its open messages go to its spool, or without a spool back to their
-// clients.
+// killCourier ends a courier's process. Its open messages stay in its spool. Without a spool, clients submit
+// them again, except for single-use messages that may have taken effect.
 func (s *Sim) killCourier(c *courier) {
 	if !c.alive {
 		return
@@ -150,11 +151,11 @@
 		}
 		msg.done = true
 		if class := &s.instance.Day.Classes[msg.client.arrival.Class]; class.Repeat != "single-use" || !s.ledger.MayHaveRun(id) {
-			s.schedule(s.now+s.randomIn(s.instance.Day.Clients.Again), func() { s.submit(msg.client, s.retryCourier(c), true) })
+			s.schedule(s.now+s.randomDuration(s.instance.Day.Clients.Again), func() { s.submit(msg.client, s.retryCourier(c), true) })
 		}
 	}
 	slices.SortStableFunc(c.spooled, func(a, b *message) int { return cmp.Compare(a.number, b.number) })
-	s.ledger.Down(s.now, c.index, !s.Spool, s.SnapshotInterval == 0)
+	s.ledger.Down(s.now, c.index, !s.Spool, s.SnapshotInterval == 0) // messages lost, learned state lost
 }
 
 // recoverSpool hands a restarted courier the messages of its spool.
@@ -250,7 +251,7 @@
 // execute carries out the actions that a courier's dispatcher returned.
 func (s *Sim) execute(c *courier, actions []dispatch.Action) {
 	s.stats.Actions += len(actions)
-	openCalls := map[dispatch.EndpointID]*call{} // calls of this step that can take more messages
+	openCalls := map[dispatch.EndpointID]*call{} // the last call of this step to each endpoint, which may take more messages
 	var calls []*call
 	for _, action := range actions {
 		switch a := action.(type) {
@@ -289,12 +290,12 @@
 	}
 }
 
-// endOpenMessage records a courier's final answer for a message. It returns nil if the message had one
-// already.
+// endOpenMessage records a courier's final answer for a message. It returns nil if the message is unknown to
+// the courier or already had a final answer.
 func (s *Sim) endOpenMessage(c *courier, id dispatch.MessageID, end invariants.End) *message {
 	msg := c.messages[id]
 	if msg == nil || msg.done {
-		s.ledger.Ended(s.now, id, end) // the ledger reports a second final answer as a breach
+		s.ledger.Ended(s.now, id, end) // the ledger decides whether this is a breach
 		return nil
 	}
 	s.endMessage(msg, end)
--- a/testbed/simulation/directory.go
+++ b/testbed/simulation/directory.go
@@ -8,7 +8,9 @@
 	"pineport/testbed/scenario"
 )
 
-// directory simulates discovery: the endpoint list and its distribution to the couriers.
+// directory simulates discovery: the endpoint list and its distribution to the couriers. In the mode "push"
+// it sends changes to all couriers from their start on; in the mode "ask" only to those that requested the
+// list since their last failed watch.
 type directory struct {
 	sim     *Sim
 	entries map[dispatch.EndpointID]dispatch.EndpointEntry
@@ -28,7 +30,8 @@
 	return maps.Clone(d.entries)
 }
 
-// update changes an entry and notifies the couriers. A courier that does not watch ignores the change.
+// update changes an entry and sends the change to the couriers. The directory drops it for a courier that
+// does not watch when the change would arrive.
 func (d *directory) update(dest int, e endpointmodel.Endpoint, phase dispatch.Phase) {
 	entry := d.sim.instance.Listing(dest, e.ID, e.Zone, phase)
 	if phase == dispatch.Removed {
@@ -48,8 +51,8 @@
 		return
 	}
 	s, incarnation := d.sim, c.incarnation
-	c.lastChangeAt = max(c.lastChangeAt, s.now+s.randomIn(s.instance.Day.Directory.Notice))
-	s.schedule(c.lastChangeAt, func() {
+	c.lastChangeArrivesAt = max(c.lastChangeArrivesAt, s.now+s.randomDuration(s.instance.Day.Directory.Notice))
+	s.schedule(c.lastChangeArrivesAt, func() {
 		switch {
 		case c.incarnation != incarnation || !c.alive || !c.watching:
 		case d.down: // the directory went down in the meantime
@@ -87,7 +90,7 @@
 func (d *directory) fetch(c *courier) {
 	s, incarnation := d.sim, c.incarnation
 	r := s.instance.Day.Directory.Call
-	s.schedule(s.now+s.randomIn(scenario.Range{r[0] / 1000, r[1] / 1000}), func() {
+	s.schedule(s.now+s.randomDuration(scenario.Range{r[0] / 1000, r[1] / 1000}), func() {
 		switch {
 		case c.incarnation != incarnation || !c.alive:
 		case d.down && s.instance.Day.Directory.Mode == "ask":
@@ -101,7 +104,8 @@
 	})
 }
 
-// goDown stops the directory. In the mode "ask" it ends all watches.
+// goDown stops the directory. In the mode "ask" it ends all watches with a failure; in the mode "push"
+// updates wait until it is up again.
 func (d *directory) goDown() {
 	d.down = true
 	if d.sim.instance.Day.Directory.Mode != "ask" {
--- a/testbed/simulation/golden_test.go
+++ b/testbed/simulation/golden_test.go
@@ -18,7 +18,7 @@
 type digestingDecider struct {
 	*dispatch.Dispatcher
 	digest  hash.Hash
-	number  int
+	courier int
 	actions *int
 }
 
@@ -27,7 +27,7 @@
 	actions := d.Dispatcher.Handle(now, events)
 	for _, action := range actions {
 		*d.actions++
-		fmt.Fprintf(d.digest, "%d %d ", now, d.number)
+		fmt.Fprintf(d.digest, "%d %d ", now, d.courier)
 		switch a := action.(type) {
 		case dispatch.Send:
 			fmt.Fprintf(d.digest, "1 %q %q %d\n", a.Message, a.Endpoint, a.Timeout)
@@ -58,12 +58,12 @@
 	seed     int64
 }
 
-// goldenRuns returns the built-in scenarios with three seeds each, except the full-size one, which takes a
-// minute, and 100 runs with further seeds.
+// goldenRuns returns three runs, with different seeds, of each built-in scenario except the full-size one,
+// which takes a minute; then 100 runs of these scenarios with further seeds.
 func goldenRuns() (runs []goldenRun) {
 	const (
 		fullSize       = "full-size"
-		largeFleet     = "shared-300" // takes some seconds per run: only with the three seeds
+		largeFleet     = "shared-300" // takes some seconds per run, so it has no further seeds
 		extraRuns      = 100
 		firstExtraSeed = 1001
 	)
@@ -85,7 +85,7 @@
 	return runs
 }
 
-// digest runs a scenario with snapshots and spool, and with shared quotas in the scenario for these.
+// digest runs a scenario with snapshots and spool, and the scenario shared-limits also with shared quotas.
 func (r goldenRun) digest() (string, error) {
 	d, err := scenario.Find(r.scenario)
 	if err != nil {
@@ -96,24 +96,24 @@
 		options.Share = Share{Interval: 500 * 1000, Loss: 0.1}
 	}
 	digest, actions := sha256.New(), 0
-	_, _, err = Play(scenario.Draw(d, r.seed), NewLocal(func(number int, ch dispatch.Config) Decider {
-		return &digestingDecider{dispatch.New(ch), digest, number, &actions}
+	_, _, err = Play(scenario.Draw(d, r.seed), NewLocal(func(courier int, cfg dispatch.Config) Decider {
+		return &digestingDecider{dispatch.New(cfg), digest, courier, &actions}
 	}), options)
 	return fmt.Sprintf("%s %d %d %x", r.scenario, r.seed, actions, digest.Sum(nil)[:16]), err
 }
 
-// TestActionsMatchGoldenFile checks that the dispatchers' actions match the golden file, on every built-in
-// scenario and on 100 runs with further seeds.
+// TestActionsMatchGoldenFile checks that the dispatchers' actions in all runs of goldenRuns match the golden
+// file.
 func TestActionsMatchGoldenFile(t *testing.T) {
 	runs := goldenRuns()
 	lines, errs := make([]string, len(runs)), make([]error, len(runs))
 	var all sync.WaitGroup
 	slots := make(chan struct{}, 8)
-	for i, p := range runs {
+	for i, r := range runs {
 		all.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			lines[i], errs[i] = p.digest()
+			lines[i], errs[i] = r.digest()
 		})
 	}
 	all.Wait()
--- a/testbed/simulation/host.go
+++ b/testbed/simulation/host.go
@@ -15,8 +15,9 @@
 
 // Host runs the dispatchers of all couriers.
 type Host interface {
-	// Start creates the dispatcher of a courier, without learned state.
-	Start(courier int, ch dispatch.Config, settings map[string]string) error
+	// Start creates the dispatcher of a courier, without learned state. The settings are those that cfg was
+	// made from, for hosts in another process.
+	Start(courier int, cfg dispatch.Config, settings map[string]string) error
 	// Kill discards the dispatcher of a courier.
 	Kill(courier int)
 	// Turn hands each batch to its courier's dispatcher, and returns the actions of each in the order of the
@@ -40,26 +41,26 @@
 
 // Local is a Host that runs the dispatchers in this process.
 type Local struct {
-	newDecider func(courier int, ch dispatch.Config) Decider
-	couriers   map[int]Decider
+	newDecider func(courier int, cfg dispatch.Config) Decider
+	deciders   map[int]Decider
 }
 
 // NewLocal returns a host that creates dispatchers with newDecider; nil stands for dispatch.New.
-func NewLocal(newDecider func(courier int, ch dispatch.Config) Decider) *Local {
+func NewLocal(newDecider func(courier int, cfg dispatch.Config) Decider) *Local {
 	if newDecider == nil {
-		newDecider = func(_ int, ch dispatch.Config) Decider { return dispatch.New(ch) }
+		newDecider = func(_ int, cfg dispatch.Config) Decider { return dispatch.New(cfg) }
 	}
 	return &Local{newDecider, map[int]Decider{}}
 }
 
 // Start implements Host.
-func (l *Local) Start(courier int, ch dispatch.Config, _ map[string]string) error {
-	l.couriers[courier] = l.newDecider(courier, ch)
+func (l *Local) Start(courier int, cfg dispatch.Config, _ map[string]string) error {
+	l.deciders[courier] = l.newDecider(courier, cfg)
 	return nil
 }
 
 // Kill implements Host.
-func (l *Local) Kill(courier int) { delete(l.couriers, courier) }
+func (l *Local) Kill(courier int) { delete(l.deciders, courier) }
 
 // Close implements Host.
 func (l *Local) Close() error { return nil }
@@ -74,10 +75,10 @@
 	}()
 	for _, b := range batches {
 		current = b.Courier
-		all = append(all, l.couriers[b.Courier].Handle(now, b.Events))
+		all = append(all, l.deciders[b.Courier].Handle(now, b.Events))
 	}
 	return all, nil
 }
 
 // Courier returns a running courier's dispatcher, for inspection.
-func (l *Local) Courier(n int) Decider { return l.couriers[n] }
+func (l *Local) Courier(n int) Decider { return l.deciders[n] }
--- a/testbed/simulation/quota.go
+++ b/testbed/simulation/quota.go
@@ -7,12 +7,12 @@
 	"pineport/quota"
 )
 
-// Share is how couriers share quotas in virtual time. With an Interval of 0 they do not share. Gossip is not
-// simulated: every courier knows at once which others are running.
+// Share holds the settings of quota sharing in virtual time. With an Interval of 0 couriers do not share
+// quotas. Gossip is not simulated: every courier knows at once which others are running.
 type Share struct {
 	Interval dispatch.Micros
-	Deaf     float64 // share of the couriers that receive no packets but can send them
-	Loss     float64 // share of the packets that are lost
+	Deaf     float64 // proportion of the couriers, those with the lowest indexes, that send packets but receive none
+	Loss     float64 // proportion of the packets that are lost
 }
 
 const (
@@ -22,16 +22,16 @@
 )
 
 // startQuota enables quota sharing for a courier that starts. Its earlier run may have granted up to half of
-// each of its parts, so grants count as outstanding until quota.GrantHorizon has passed.
-func (s *Sim) startQuota(c *courier, ch dispatch.Config) dispatch.Config {
+// its base share of each quota, so grants count as outstanding until quota.GrantHorizon has passed.
+func (s *Sim) startQuota(c *courier, cfg dispatch.Config) dispatch.Config {
 	if s.Share.Interval <= 0 {
-		return ch
+		return cfg
 	}
-	c.quota = quota.New(s.now, quota.Config{Self: memberName(c.index), Incarnation: uint64(c.incarnation), Couriers: ch.Couriers, Seed: int64(s.rng.Uint64() >> 1)})
+	c.quota = quota.New(s.now, quota.Config{Self: memberName(c.index), Incarnation: uint64(c.incarnation), Couriers: cfg.Couriers, Seed: int64(s.rng.Uint64() >> 1)})
 	incarnation := c.incarnation
 	s.schedule(s.now+dispatch.Micros(s.rng.Int64N(int64(s.Share.Interval))), func() { s.tickQuota(c, incarnation) })
-	ch.GrantedUntil = s.now + quota.GrantHorizon
-	return ch
+	cfg.GrantedUntil = s.now + quota.GrantHorizon
+	return cfg
 }
 
 func memberName(index int) string { return fmt.Sprintf("n%d", index) }
--- a/testbed/simulation/restarts_test.go
+++ b/testbed/simulation/restarts_test.go
@@ -49,7 +49,7 @@
 }
 
 // add classifies a recovered message by whether it may have been sent, and whether its deduplication window
-// has passed.
+// has passed. An expired message stays expired after further restarts.
 func (r *recoveredMessages) add(now dispatch.Micros, e dispatch.MessageRecovered) {
 	delete(r.unsent, e.Message)
 	delete(r.withinWindow, e.Message)
@@ -98,8 +98,8 @@
 }
 
 // TestShortDedupWindowAcrossRestarts runs scenarios with many restarts and a deduplication window of one
-// second. A message that may have been sent must not be sent again after a restart if its window has passed.
-// Within the window it may be, and a message never sent still is.
+// second. A message that may have been sent must not be sent after a restart if its window has passed. Some
+// messages must be sent again within the window, and some that were never sent must still be sent.
 func TestShortDedupWindowAcrossRestarts(t *testing.T) {
 	const (
 		seeds  = 12
@@ -109,8 +109,8 @@
 	for seed := int64(1); seed <= seeds; seed++ {
 		instance := scenario.Draw(readScenario(t, "restarts"), seed)
 		recovered := newRecoveredMessages(window, 0, 1)
-		v, _, err := Play(instance, NewLocal(func(_ int, ch dispatch.Config) Decider {
-			return &spoolRecoveryCounter{dispatch.New(ch), recovered}
+		v, _, err := Play(instance, NewLocal(func(_ int, cfg dispatch.Config) Decider {
+			return &spoolRecoveryCounter{dispatch.New(cfg), recovered}
 		}), Options{Spool: true})
 		if err != nil {
 			t.Fatal(err)
@@ -127,6 +127,6 @@
 		t.Errorf("%d attempts of messages that were past their deduplication window when recovered", sendsExpired)
 	}
 	if expired == 0 || sendsWithinWindow == 0 || sendsUnsent == 0 {
-		t.Error("the runs did not recover messages of every kind")
+		t.Error("want recovered messages past their window, and attempts after a restart both within the window and of messages never sent")
 	}
 }
--- a/testbed/simulation/returns_test.go
+++ b/testbed/simulation/returns_test.go
@@ -10,26 +10,27 @@
 	"pineport/testbed/scenario"
 )
 
-// outageKinds are the kinds of outage of a whole destination; consecutive seeds cycle through them.
+// outageKinds are the kinds of outage in these tests; consecutive seeds cycle through them.
 var outageKinds = []string{"refuse", "silent", "hang", "shut", "errors"}
 
-// informedShare is the share of the calls that must come from couriers that had seen the outage for an
-// overload to count as a broken rule. Below it the destination is overloaded but no rule is broken.
+// informedShare is the proportion of a window's calls that must come from couriers that had seen the outage
+// for an overload to break the rule on recovering destinations. With a smaller proportion, an overload breaks
+// no rule.
 const informedShare = 2.0 / 3
 
-// overloadBudget is how many calls a recovering destination may receive within the window of the rule, from all
-// couriers together. The settings allow calls; 2*sqrt(calls)+2 more are attributed to chance.
-func overloadBudget(calls float64) float64 { return calls + 2*math.Sqrt(calls) + 2 }
+// overloadBudget returns how many calls a recovering destination may receive from all couriers in one window.
+// allowed is the number that the settings allow; 2*sqrt(allowed)+2 more calls are attributed to chance.
+func overloadBudget(allowed float64) float64 { return allowed + 2*math.Sqrt(allowed) + 2 }
 
-// slowStartBudget is how many calls a server in slow start may receive within the window of the rule. The
-// settings allow calls; 2*sqrt(calls)+2 more (3*sqrt(calls)+3 below 30 calls) are attributed to chance. By
-// the testbed's rules the budget applies in every scenario, to the calls of all couriers, for any fleet size.
-func slowStartBudget(calls float64) float64 {
-	const fewCalls = 30
-	if calls < fewCalls {
-		return calls + 3*math.Sqrt(calls) + 3
+// slowStartBudget returns how many calls a recovering destination may receive from all couriers in one window
+// during slow start, for any scenario and fleet size. allowed is the number that the settings allow;
+// 2*sqrt(allowed)+2 more calls (3*sqrt(allowed)+3 if fewer than 30 are allowed) are attributed to chance.
+func slowStartBudget(allowed float64) float64 {
+	const smallBudget = 30
+	if allowed < smallBudget {
+		return allowed + 3*math.Sqrt(allowed) + 3
 	}
-	return overloadBudget(calls)
+	return overloadBudget(allowed)
 }
 
 // fleetCall is a call of one courier to a recovering destination.
@@ -39,14 +40,14 @@
 	informed bool // its courier had seen a call fail or be refused during the outage
 }
 
-// watchedRoute is a route that goes through an outage and slow start as a whole: a destination, or one
-// endpoint where routes are separate.
-type watchedRoute struct {
+// routeLoad tracks the calls to one route during the recovery after its outage. A route is a destination, or
+// a single endpoint if the destination has separate routes.
+type routeLoad struct {
 	plan                    *scenario.Destination
 	endpoints               int
 	outageStart, outageEnd  dispatch.Micros // start is 0 without an outage
 	informed                map[int]bool    // couriers that had seen the outage
-	recentCalls             []fleetCall     // calls of the whole fleet in the last window
+	recentCalls             []fleetCall     // calls of the whole fleet in the last FallSpan of the plan
 	maxLoad                 windowLoad
 	overloadedByInformed    bool       // a window was over budget, mostly by calls of informed couriers
 	maxSlowStartLoad        windowLoad // relative to the slow start budget
@@ -54,7 +55,7 @@
 	overSlowStartByInformed bool       // such a window had mostly calls of informed couriers
 }
 
-// windowLoad compares the calls of one window with their budget.
+// windowLoad compares the calls of one window, a time of FallSpan, with their budget.
 type windowLoad struct {
 	calls, informedCalls int
 	budget               float64
@@ -70,7 +71,7 @@
 }
 
 // count adds a call during the ramp after an outage, and keeps the window with the highest load.
-func (r *watchedRoute) count(now dispatch.Micros, courier int) {
+func (r *routeLoad) count(now dispatch.Micros, courier int) {
 	plan := &r.plan.Plan
 	if r.outageStart == 0 || now < r.outageEnd || now >= r.outageEnd+plan.Ramp {
 		return
@@ -104,20 +105,20 @@
 // the couriers' events and actions, and not the endpoint model.
 type slowStartCounter struct {
 	Host
-	routes   map[dispatch.EndpointID]*watchedRoute
+	routes   map[dispatch.EndpointID]*routeLoad
 	attempts map[int]map[dispatch.MessageID][]dispatch.EndpointID // by courier: the endpoint of each attempt of a message
 }
 
 // newSlowStartCounter returns a counter for a scenario in which each route has at most one outage.
 func newSlowStartCounter(instance *scenario.Drawn, host Host) *slowStartCounter {
-	c := &slowStartCounter{Host: host, routes: map[dispatch.EndpointID]*watchedRoute{},
+	c := &slowStartCounter{Host: host, routes: map[dispatch.EndpointID]*routeLoad{},
 		attempts: map[int]map[dispatch.MessageID][]dispatch.EndpointID{}}
 	for i := range instance.Destinations {
 		d := &instance.Destinations[i]
-		var route *watchedRoute
+		var route *routeLoad
 		for _, e := range d.Endpoints {
 			if route == nil || d.Apart {
-				route = &watchedRoute{plan: d, informed: map[int]bool{}}
+				route = &routeLoad{plan: d, informed: map[int]bool{}}
 			}
 			route.endpoints++
 			c.routes[e.ID] = route
@@ -135,9 +136,9 @@
 }
 
 // Start implements Host.
-func (c *slowStartCounter) Start(courier int, ch dispatch.Config, settings map[string]string) error {
+func (c *slowStartCounter) Start(courier int, cfg dispatch.Config, settings map[string]string) error {
 	c.attempts[courier] = map[dispatch.MessageID][]dispatch.EndpointID{}
-	return c.Host.Start(courier, ch, settings)
+	return c.Host.Start(courier, cfg, settings)
 }
 
 // Turn implements Host.
@@ -145,13 +146,13 @@
 	all, err := c.Host.Turn(now, batches)
 	for i := range all {
 		c.countCalls(now, batches[i].Courier, all[i])
-		c.recordOutages(now, batches[i]) // counts for calls of later batches only
+		c.recordOutages(now, batches[i]) // what a courier learns from this batch makes it informed for calls of later batches only
 	}
 	return all, err
 }
 
 // recoveredRoutes returns the routes that had an outage, each once.
-func (c *slowStartCounter) recoveredRoutes() (all []*watchedRoute) {
+func (c *slowStartCounter) recoveredRoutes() (all []*routeLoad) {
 	for _, id := range slices.Sorted(maps.Keys(c.routes)) {
 		if r := c.routes[id]; r.outageStart > 0 && !slices.Contains(all, r) {
 			all = append(all, r)
@@ -193,13 +194,13 @@
 	}
 }
 
-// recoverySettings are the settings of a destination's recovery after an outage.
+// recoverySettings are the settings cold_from, fall_multiple and fall_span_s of a scenario.
 type recoverySettings struct {
-	coldShare, overloadFactor, overloadWindow float64
+	coldShare, overloadFactor, overloadWindow float64 // proportion of capacity, multiple of capacity, seconds
 }
 
-// recoveryScenario returns the scenario testdata/returns.toml for a fleet size and the kind of outage of the
-// seed.
+// recoveryScenario returns the scenario testdata/returns.toml with the given number of couriers and recovery
+// settings, and with the kind of outage for the seed.
 func recoveryScenario(t *testing.T, seed int64, couriers int, rules recoverySettings) *scenario.Drawn {
 	t.Helper()
 	d := readScenario(t, "returns")
@@ -227,11 +228,13 @@
 
 // fleetRecoveries sums up the recoveries of one fleet over all seeds.
 type fleetRecoveries struct {
-	recoveries, over, overByInformed       int // recoveries; those over budget; those over budget through informed couriers
+	// Number of recoveries, of those over overloadBudget, and of those in which the excess counts against
+	// informed couriers.
+	recoveries, over, overByInformed       int
 	seedsOver                              int
 	maxLoad                                windowLoad
 	maxLoadSeed                            int64
-	overSlowStart, overSlowStartByInformed int        // recoveries over the slow start budget; those of them through informed couriers
+	overSlowStart, overSlowStartByInformed int        // recoveries over slowStartBudget; those of them that count against informed couriers
 	maxSlowStartLoad                       windowLoad // relative to the slow start budget
 	maxSlowStartSeed                       int64
 }
@@ -280,9 +283,9 @@
 		}
 		f.add(t, seed, counter)
 	}
-	t.Logf("%d couriers: %d recoveries, highest load %.2f of the budget (%d calls, budget %.1f, seed %d); %d of %d seeds over, %d recoveries over through informed couriers",
+	t.Logf("%d couriers: %d recoveries, highest load %.2f of the budget (%d calls, budget %.1f, seed %d); %d of %d seeds over budget, %d recoveries over budget mostly by calls of informed couriers",
 		couriers, f.recoveries, f.maxLoad.ratio(), f.maxLoad.calls, f.maxLoad.budget, f.maxLoadSeed, f.seedsOver, seeds, f.overByInformed)
-	t.Logf("%d couriers, slow start budget: highest load %.2f of it (%d calls, budget %.1f, seed %d); %d of %d recoveries over, %d of these through informed couriers",
+	t.Logf("%d couriers, slow start budget: highest load %.2f of it (%d calls, budget %.1f, seed %d); %d of %d recoveries over budget, %d of these mostly by calls of informed couriers",
 		couriers, f.maxSlowStartLoad.ratio(), f.maxSlowStartLoad.calls, f.maxSlowStartLoad.budget, f.maxSlowStartSeed, f.overSlowStart, f.recoveries, f.overSlowStartByInformed)
 	return f
 }
@@ -292,8 +295,9 @@
 // on at most maxSeedsOver seeds, and that no recovery exceeds the slow start budget, whoever sent the calls.
 func TestFleetSlowStartAfterOutage(t *testing.T) {
 	const seeds = 50
-	// maxSeedsOver is the number of seeds on which couriers that had seen no outage may send too much. That
-	// breaks no rule, but it overloads the destination.
+	// maxSeedsOver is the number of seeds with which the calls of the whole fleet may exceed the budget.
+	// Calls of couriers that had not seen the outage break no rule, although they could overload a real
+	// destination.
 	const maxSeedsOver = 2
 	defaults := recoverySettings{coldShare: 0.13, overloadFactor: 2.5, overloadWindow: 2}
 	for _, fleet := range []struct {
@@ -306,8 +310,8 @@
 		{"5 couriers", 5, defaults},
 		{"20 couriers", 20, defaults},
 		{"30 couriers", 30, defaults},
-		{"30 couriers, a smaller multiple over a short span", 30, recoverySettings{coldShare: 0.2, overloadFactor: 2, overloadWindow: 1.5}},
-		{"30 couriers, the smallest multiple over a long span", 30, recoverySettings{coldShare: 0.26, overloadFactor: 1.5, overloadWindow: 3}},
+		{"30 couriers, lower overload factor, short window", 30, recoverySettings{coldShare: 0.2, overloadFactor: 2, overloadWindow: 1.5}},
+		{"30 couriers, lowest overload factor, long window", 30, recoverySettings{coldShare: 0.26, overloadFactor: 1.5, overloadWindow: 3}},
 	} {
 		t.Run(fleet.name, func(t *testing.T) {
 			f := runRecoveries(t, seeds, fleet.couriers, fleet.rules, nil)
@@ -321,7 +325,7 @@
 				t.Errorf("too many calls with %d of %d seeds, want at most %d", f.seedsOver, seeds, maxSeedsOver)
 			}
 			if f.overSlowStart > 0 {
-				t.Errorf("%d recoveries exceeded the slow start budget, %d of them through couriers that had seen the outage", f.overSlowStart, f.overSlowStartByInformed)
+				t.Errorf("%d recoveries exceeded the slow start budget, %d of them mostly by calls of couriers that had seen the outage", f.overSlowStart, f.overSlowStartByInformed)
 			}
 		})
 	}
@@ -330,13 +334,13 @@
 // TestSlowStartCounterDetectsOverload checks that the counts of TestFleetSlowStartAfterOutage detect couriers
 // without slow start.
 func TestSlowStartCounterDetectsOverload(t *testing.T) {
-	f := runRecoveries(t, 2, 20, recoverySettings{coldShare: 0.13, overloadFactor: 2.5, overloadWindow: 2}, func(_ int, ch dispatch.Config) Decider {
-		return &eagerDecider{config: ch, endpoints: map[dispatch.DestinationID][]dispatch.EndpointID{}, accepted: map[dispatch.MessageID]dispatch.MessageAccepted{}}
+	f := runRecoveries(t, 2, 20, recoverySettings{coldShare: 0.13, overloadFactor: 2.5, overloadWindow: 2}, func(_ int, cfg dispatch.Config) Decider {
+		return &eagerDecider{config: cfg, endpoints: map[dispatch.DestinationID][]dispatch.EndpointID{}, accepted: map[dispatch.MessageID]dispatch.MessageAccepted{}}
 	})
 	if f.overByInformed == 0 {
 		t.Error("no overload by informed couriers was counted")
 	}
 	if f.overSlowStart == 0 || f.overSlowStartByInformed == 0 {
-		t.Errorf("%d recoveries were counted as over the slow start budget, %d through informed couriers; want some of both", f.overSlowStart, f.overSlowStartByInformed)
+		t.Errorf("%d recoveries were counted as over the slow start budget, %d of them mostly by calls of informed couriers; want at least one of each", f.overSlowStart, f.overSlowStartByInformed)
 	}
 }
--- a/testbed/simulation/simulation.go
+++ b/testbed/simulation/simulation.go
@@ -66,19 +66,21 @@
 	// Watch is called every 500 ms of virtual time.
 	Watch func(now dispatch.Micros)
 	// SnapshotInterval is how often each courier's learned state is saved, as in a snapshot file, for its
-	// next start; 0: never. It is also saved at the end of a graceful shutdown.
+	// next start; 0: never. It is also saved at the end of a graceful shutdown. It has an effect only with
+	// the host Local.
 	SnapshotInterval dispatch.Micros
 	// Spool returns the open messages of a killed courier to it at its next start, as its spool would.
-	// Without it, the clients submit them again.
+	// Without it, the clients submit them again, except for single-use messages that may have taken effect.
 	Spool bool
-	// Share is how couriers share quotas.
+	// Share is how couriers share quotas. It has an effect only with the host Local.
 	Share Share
 }
 
-// Play runs a scenario.
+// Play runs a scenario and returns the verdict on it. A panic of a courier's dispatcher is part of the
+// verdict; an error means that the host or the configuration failed.
 func Play(instance *scenario.Drawn, host Host, o Options) (*invariants.Verdict, Stats, error) {
 	setup := invariants.ForDay(instance)
-	if o.Spool { // deadlines that pass while a courier is down are answered in its first step
+	if o.Spool { // messages whose deadlines pass while a courier is down are answered in its first step after the restart
 		setup.Excused = config.Micros(instance.Day.Fleet.Tick/1000) + setup.AnswerSlack
 	}
 	s := &Sim{instance: instance, ledger: invariants.New(setup), host: host, rng: rand.New(rand.NewPCG(uint64(instance.Seed), 77)),
@@ -167,7 +169,7 @@
 	case scenario.Kills:
 		s.killCourier(s.couriers[a.Courier])
 	case scenario.Asks:
-		s.scheduleShutdown(s.couriers[a.Courier], a.Span)
+		s.announceShutdown(s.couriers[a.Courier], a.Span)
 	case scenario.Starts:
 		s.startCourier(s.couriers[a.Courier])
 	case scenario.Stands:
@@ -220,7 +222,8 @@
 	return config.Micros((r[0] + (r[1]-r[0])*s.rng.Float64()) / 1000)
 }
 
-func (s *Sim) randomIn(r scenario.Range) dispatch.Micros {
+// randomDuration returns a random duration from a range in seconds.
+func (s *Sim) randomDuration(r scenario.Range) dispatch.Micros {
 	return config.Micros(r[0] + (r[1]-r[0])*s.rng.Float64())
 }
 
--- a/testbed/simulation/wrong_test.go
+++ b/testbed/simulation/wrong_test.go
@@ -8,7 +8,7 @@
 	"pineport/testbed/scenario"
 )
 
-// faultyDecider breaks one rule: it passes events to a correct decider and modifies the actions.
+// faultyDecider breaks one rule: it passes events to a correct decider, and modify changes the actions.
 type faultyDecider struct {
 	Decider
 	modify          func(f *faultyDecider, now dispatch.Micros, events []dispatch.Event, actions []dispatch.Action) []dispatch.Action
@@ -69,9 +69,9 @@
 func TestFaultyDecidersAreDetected(t *testing.T) {
 	type modify = func(f *faultyDecider, now dispatch.Micros, events []dispatch.Event, actions []dispatch.Action) []dispatch.Action
 	for _, c := range []struct {
-		name, day string
-		rule      invariants.Rule
-		modify    modify
+		name, scenario string
+		rule           invariants.Rule
+		modify         modify
 	}{
 		{"resends a single-use message that may have run", "acts-then-hangs", invariants.Twice,
 			func(f *faultyDecider, _ dispatch.Micros, events []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
@@ -97,6 +97,7 @@
 		{"sends before Retry-After has passed", "shrunk-limits", invariants.Waits,
 			func(f *faultyDecider, now dispatch.Micros, events []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 				for _, e := range events {
+					// Sends more than 10 ms before the end of a wait from Retry-After.
 					if accepted, ok := e.(dispatch.MessageAccepted); ok && f.retryAfterUntil[accepted.Destination] > now+10*1000 && f.accepted[accepted.Message].Class == 0 {
 						return append(actions, dispatch.Send{Message: accepted.Message, Endpoint: f.endpointOf(accepted.Destination), Timeout: 1000 * 1000})
 					}
@@ -146,21 +147,21 @@
 			}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d := findScenario(t, c.day)
+			d := findScenario(t, c.scenario)
 			instance := scenario.Draw(d, 2)
 			correct, _, err := Play(instance, NewLocal(nil), Options{})
 			if err != nil || !correct.OK() {
 				t.Fatalf("the correct decider: %v, %s %v", err, correct.Short(), correct.Breaches)
 			}
-			v, _, err := Play(instance, NewLocal(func(_ int, ch dispatch.Config) Decider {
-				return &faultyDecider{Decider: dispatch.New(ch), modify: c.modify, accepted: map[dispatch.MessageID]dispatch.MessageAccepted{}, attempts: map[dispatch.MessageID]int{},
+			v, _, err := Play(instance, NewLocal(func(_ int, cfg dispatch.Config) Decider {
+				return &faultyDecider{Decider: dispatch.New(cfg), modify: c.modify, accepted: map[dispatch.MessageID]dispatch.MessageAccepted{}, attempts: map[dispatch.MessageID]int{},
 					notInService: map[dispatch.EndpointID]dispatch.DestinationID{}, entries: map[dispatch.EndpointID]dispatch.EndpointEntry{}, retryAfterUntil: map[dispatch.DestinationID]dispatch.Micros{}}
 			}), Options{})
 			if err != nil {
 				t.Fatal(err)
 			}
 			if v.Broken[c.rule] == 0 || v.Figure != 0 {
-				t.Errorf("breach not detected: %s, score %v", v.Short(), v.Figure)
+				t.Errorf("breach not detected, or score not zero: %s, score %v", v.Short(), v.Figure)
 			}
 		})
 	}
@@ -200,13 +201,16 @@
 	return out
 }
 
+// TestEagerDeciderBreaksSlowStartAndOrder checks that the overload of recovering destinations and the
+// violation of key order are reported. The couriers get many slots and attempts, and destinations fall over
+// early, so that the decider reaches both.
 func TestEagerDeciderBreaksSlowStartAndOrder(t *testing.T) {
 	for name, rule := range map[string]invariants.Rule{"silent-and-cold": invariants.Pushed, "in-order": invariants.Order} {
 		d := findScenario(t, name)
 		d.Fleet.SlotsRoom, d.Fleet.MaxAttempts = 50, 100
 		d.Rules.Fall = 1.2
-		v, _, err := Play(scenario.Draw(d, 1), NewLocal(func(_ int, ch dispatch.Config) Decider {
-			return &eagerDecider{config: ch, endpoints: map[dispatch.DestinationID][]dispatch.EndpointID{}, accepted: map[dispatch.MessageID]dispatch.MessageAccepted{}}
+		v, _, err := Play(scenario.Draw(d, 1), NewLocal(func(_ int, cfg dispatch.Config) Decider {
+			return &eagerDecider{config: cfg, endpoints: map[dispatch.DestinationID][]dispatch.EndpointID{}, accepted: map[dispatch.MessageID]dispatch.MessageAccepted{}}
 		}), Options{})
 		if err != nil || v.Broken[rule] == 0 {
 			t.Errorf("%s: %v, %s", name, err, v.Short())
--- a/testbed/soak/clients.go
+++ b/testbed/soak/clients.go
@@ -40,7 +40,8 @@
 	}
 }
 
-// submit submits messages over one connection at a time, which it closes and reopens every few messages.
+// submit submits messages over one connection at a time. It opens a new connection every 5, 25, 45 or 65
+// messages, depending on the client.
 func (c *clients) submit(address, idPrefix string, client int, stopped *atomic.Bool) {
 	var conn net.Conn
 	var replies *bufio.Reader
@@ -101,26 +102,26 @@
 	defer c.mu.Unlock()
 	res.Accepted, res.Rejected, res.Unanswered = len(c.accepted), len(c.rejected), c.unanswered
 	for _, id := range c.accepted {
-		starts, deliveries, notices := r.world.Seen(id)
+		callsStarted, deliveries, notices := r.standIns.Seen(id)
 		if deliveries > 0 {
 			res.Delivered++
 		} else if len(notices) > 0 {
 			res.Notices++
 		}
-		if strings.HasPrefix(id, "order") && starts > 1 {
-			res.Breaches = append(res.Breaches, fmt.Sprintf("duplicate effect: %s ran %d times", id, starts))
+		if strings.HasPrefix(id, "order") && callsStarted > 1 {
+			res.Breaches = append(res.Breaches, fmt.Sprintf("duplicate effect: endpoints received message %s %d times", id, callsStarted))
 		}
-		if starts > 0 && deliveries == 0 && len(notices) > 0 && notices[0] == "deferred" && strings.HasPrefix(id, "order") {
-			res.Breaches = append(res.Breaches, fmt.Sprintf("rejected although it may have run: %s", id))
+		if callsStarted > 0 && deliveries == 0 && len(notices) > 0 && notices[0] == "deferred" && strings.HasPrefix(id, "order") {
+			res.Breaches = append(res.Breaches, fmt.Sprintf("notice \"deferred\" although an endpoint received the message: %s", id))
 		}
 	}
 	for _, id := range c.rejected {
-		if starts, _, _ := r.world.Seen(id); starts > 0 && strings.HasPrefix(id, "order") {
-			res.Breaches = append(res.Breaches, fmt.Sprintf("refused but ran: %s", id))
+		if callsStarted, _, _ := r.standIns.Seen(id); callsStarted > 0 && strings.HasPrefix(id, "order") {
+			res.Breaches = append(res.Breaches, fmt.Sprintf("rejected, but an endpoint received the message: %s", id))
 		}
 	}
 	if c.unanswered > 0 && !r.plan.mayCloseUnanswered() {
-		res.Breaches = append(res.Breaches, fmt.Sprintf("connection closed without an answer: %d requests", c.unanswered))
+		res.Breaches = append(res.Breaches, fmt.Sprintf("the courier closed connections without answering %d requests", c.unanswered))
 	}
 	if res.Accepted == 0 {
 		res.Breaches = append(res.Breaches, "no message was accepted")
--- a/testbed/soak/plan.go
+++ b/testbed/soak/plan.go
@@ -25,7 +25,7 @@
 	duration    time.Duration
 }
 
-// The actions other than failing system calls.
+// The actions other than system call faults.
 const (
 	actionDrain           = "drain"
 	actionKill            = "SIGKILL"
@@ -34,15 +34,16 @@
 	actionOpenConnections = "crowd"
 )
 
-// plan is everything that a seed determines.
+// plan holds the actions and fault rates that a seed determines.
 type plan struct {
 	quietPeriod        time.Duration // time before the first action
 	actions            []action
 	discoveryFaultRate float64 // share of polls with a fault
-	endpointFaultRate  float64 // share of calls that are not delivered
+	endpointFaultRate  float64 // share of calls to endpoints that end with an error, without a response, or late
 }
 
-// syscallFaults are failing system calls under which every request must still be answered.
+// syscallFaults are system calls that fail or transfer fewer bytes, under which every client request must
+// still be answered.
 var syscallFaults = []action{
 	{syscallName: "accept4", effect: syscallfault.Effect{Errno: syscall.ECONNABORTED}}, {syscallName: "accept4", effect: syscallfault.Effect{Errno: syscall.ENFILE}},
 	{syscallName: "accept4", effect: syscallfault.Effect{Errno: syscall.ENOBUFS}}, {syscallName: "socket", effect: syscallfault.Effect{Errno: syscall.EMFILE}},
@@ -51,14 +52,14 @@
 	{syscallName: "connect", effect: syscallfault.Effect{Errno: syscall.EINTR, After: true}}, {syscallName: "epoll_pwait", effect: syscallfault.Effect{Errno: syscall.EINTR}},
 	{syscallName: "read", effect: syscallfault.Effect{Errno: syscall.EINTR}}, {syscallName: "read", effect: syscallfault.Effect{Limit: 1}},
 	{syscallName: "write", effect: syscallfault.Effect{Errno: syscall.EINTR}}, {syscallName: "write", effect: syscallfault.Effect{Limit: 1}},
-	{syscallName: stateDirCall, effect: syscallfault.Effect{Errno: syscall.ENOSPC}}, {syscallName: stateDirCall, effect: syscallfault.Effect{Errno: syscall.EIO}},
-	{syscallName: stateDirCall, effect: syscallfault.Effect{Limit: 5}},
+	{syscallName: anyStateDirCall, effect: syscallfault.Effect{Errno: syscall.ENOSPC}}, {syscallName: anyStateDirCall, effect: syscallfault.Effect{Errno: syscall.EIO}},
+	{syscallName: anyStateDirCall, effect: syscallfault.Effect{Limit: 5}},
 }
 
-// stateDirCall stands for all system calls that change the state folder.
-const stateDirCall = "folder"
+// anyStateDirCall as an action's syscallName stands for all system calls that change the state folder.
+const anyStateDirCall = "folder"
 
-// stateDirCalls are the system calls that change the state folder.
+// stateDirCalls are the system calls that anyStateDirCall stands for.
 var stateDirCalls = []string{"write", "ftruncate", "fsync", "openat", "rename", "renameat", "renameat2", "unlinkat"}
 
 // tracedCalls are all system calls that can fail in a run.
@@ -96,9 +97,10 @@
 	})
 }
 
-// matches reports whether an action makes a system call fail.
+// matches reports whether an action alters this system call. Calls that change directory entries match for
+// any path, since only descriptors are checked against the state folder.
 func (a action) matches(call *syscallfault.Call, stateDir string) bool {
-	if a.syscallName != stateDirCall {
+	if a.syscallName != anyStateDirCall {
 		return call.Name == a.syscallName && (a.syscallName != "read" && a.syscallName != "write" || call.IsSocket())
 	}
 	switch call.Name {
@@ -119,13 +121,13 @@
 	if rng.Float64() >= faultRate {
 		return faultproxy.Treatment{}
 	}
-	at, by := rng.Float64(), byte(' '+rng.Intn(95))
-	corrupt := func(body []byte) []byte { // replaces one byte, but none in a "dial" address: the courier would call an address outside the test
-		i := int(at * float64(len(body)))
+	position, replacement := rng.Float64(), byte(' '+rng.Intn(95))
+	corrupt := func(body []byte) []byte { // replaces one byte; truncates instead in or near a "dial" address, which would send calls outside the test
+		i := int(position * float64(len(body)))
 		if strings.Contains(string(body[max(0, i-40):i]), `"dial"`) || i >= len(body) {
 			return body[:i]
 		}
-		body[i] = by
+		body[i] = replacement
 		return body
 	}
 	return faultproxy.Treatment{Fault: faults[rng.Intn(len(faults))], Delay: time.Duration(200+rng.Intn(1500)) * time.Millisecond, Edit: corrupt}
--- a/testbed/soak/play.go
+++ b/testbed/soak/play.go
@@ -51,22 +51,22 @@
 	Delivered  int            `json:"delivered"`
 	Notices    int            `json:"notices"`
 	Unanswered int            `json:"unanswered"`
-	Struck     map[string]int `json:"struck"`     // how often each fault took effect
-	NotStruck  []string       `json:"not_struck"` // faults that were drawn but never took effect, and so were not tested
+	Struck     map[string]int `json:"struck"`     // how often each action or discovery fault took effect
+	NotStruck  []string       `json:"not_struck"` // actions of the plan that never took effect, and so were not tested
 	Breaches   []string       `json:"breaches"`
 	Folder     string         `json:"folder,omitempty"` // folder with the log and the timeline, if the run broke a rule
 }
 
 // run is the state of a run in progress.
 type run struct {
-	options Options
-	plan    plan
-	world   *scripted.World
-	proxy   *faultproxy.Proxy
-	address string
-	dir     string
-	log     *os.File
-	clients clients
+	options  Options
+	plan     plan
+	standIns *scripted.World
+	proxy    *faultproxy.Proxy
+	address  string
+	dir      string
+	log      *os.File
+	clients  clients
 
 	mu               sync.Mutex
 	child            *syscallfault.Process
@@ -79,20 +79,21 @@
 	timeline         []string
 }
 
-// Play runs one seed. An error means that the run could not be set up.
+// Play runs the plan of one seed. Broken rules are reported in the result; an error means that the run could
+// not be set up or completed, for example because ctx was canceled.
 func Play(ctx context.Context, o Options) (*Result, error) {
 	dir := filepath.Join(o.Dir, fmt.Sprintf("seed-%d", o.Seed))
-	r, err := runIn(ctx, dir, o)
+	r, err := runInDir(ctx, dir, o)
 	if err != nil || len(r.Breaches) > 0 {
 		return r, err
 	}
-	return r, os.RemoveAll(dir) // the process has exited
+	return r, os.RemoveAll(dir) // the courier has exited, so nothing writes to the folder any more
 }
 
-func runIn(ctx context.Context, dir string, o Options) (*Result, error) {
+func runInDir(ctx context.Context, dir string, o Options) (*Result, error) {
 	rng := rand.New(rand.NewSource(o.Seed))
 	r := &run{options: o, plan: drawPlan(rng, o.Length), faultCounts: map[string]int{}, dir: dir}
-	if err := r.open(rng.Int63()); err != nil {
+	if err := r.setUp(rng.Int63()); err != nil {
 		return nil, err
 	}
 	defer r.close()
@@ -118,18 +119,19 @@
 	return r.result()
 }
 
-func (r *run) open(seed int64) error {
+// setUp starts the endpoints, discovery and the fault proxy, and writes the courier's configuration.
+func (r *run) setUp(seed int64) error {
 	if err := os.MkdirAll(filepath.Join(r.dir, "state"), 0o755); err != nil {
 		return err
 	}
 	rng, lock := rand.New(rand.NewSource(seed)), sync.Mutex{}
-	world, err := scripted.Open(endpoints, func(string) scripted.Fate { return drawFate(rng, r.plan.endpointFaultRate) })
+	standIns, err := scripted.Open(endpoints, func(string) scripted.Fate { return drawResponse(rng, r.plan.endpointFaultRate) })
 	if err != nil {
 		return err
 	}
-	r.world = world
+	r.standIns = standIns
 	pollRand := rand.New(rand.NewSource(seed + 1))
-	r.proxy, err = faultproxy.Open(world.Discovery, func(call faultproxy.Call) faultproxy.Treatment {
+	r.proxy, err = faultproxy.Open(standIns.Discovery, func(call faultproxy.Call) faultproxy.Treatment {
 		lock.Lock()
 		defer lock.Unlock()
 		if !call.IsPoll() || time.Since(r.startedAt) < r.plan.quietPeriod {
@@ -140,14 +142,14 @@
 	if err != nil {
 		return err
 	}
-	world.Discovery = r.proxy.Address
+	standIns.Discovery = r.proxy.Address
 	address, release, err := port.Reserve()
 	if err != nil {
 		return err
 	}
 	release()
 	r.address = address
-	if err := os.WriteFile(filepath.Join(r.dir, "config.json"), world.Configuration(fmt.Sprintf("soak-%d", r.options.Seed), address), 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(r.dir, "config.json"), standIns.Configuration(fmt.Sprintf("soak-%d", r.options.Seed), address), 0o644); err != nil {
 		return err
 	}
 	r.log, err = os.Create(filepath.Join(r.dir, "log"))
@@ -155,13 +157,13 @@
 }
 
 // drawFate draws how an endpoint treats a call.
-func drawFate(rng *rand.Rand, faultRate float64) scripted.Fate {
+func drawResponse(rng *rand.Rand, faultRate float64) scripted.Fate {
 	work := time.Duration(5+rng.Intn(60)) * time.Millisecond
 	if rng.Float64() >= faultRate {
 		return scripted.Fate{Status: 200, After: work}
 	}
-	fates := []scripted.Fate{{Status: 503}, {Status: 429, WaitMs: 100 + rng.Intn(700)}, {Status: 500, After: work}, {Status: 0, After: work}, {Status: 200, After: 1500 * time.Millisecond}}
-	return fates[rng.Intn(len(fates))]
+	responses := []scripted.Fate{{Status: 503}, {Status: 429, WaitMs: 100 + rng.Intn(700)}, {Status: 500, After: work}, {Status: 0, After: work}, {Status: 200, After: 1500 * time.Millisecond}}
+	return responses[rng.Intn(len(responses))]
 }
 
 func (r *run) close() {
@@ -174,15 +176,15 @@
 		<-child.Done
 	}
 	r.proxy.Close()
-	r.world.Close()
+	r.standIns.Close()
 	r.log.Close()
 }
 
 // start starts the courier, and waits until it answers PING.
 func (r *run) start() error {
-	state := filepath.Join(r.dir, "state")
-	env := append(os.Environ(), "RELAY_CONFIG="+filepath.Join(r.dir, "config.json"), "RELAY_STATE="+state)
-	child, err := syscallfault.Start(r.options.Binary, env, r.log, tracedCalls, func(call *syscallfault.Call) syscallfault.Effect { return r.effectFor(call, state) })
+	stateDir := filepath.Join(r.dir, "state")
+	env := append(os.Environ(), "RELAY_CONFIG="+filepath.Join(r.dir, "config.json"), "RELAY_STATE="+stateDir)
+	child, err := syscallfault.Start(r.options.Binary, env, r.log, tracedCalls, func(call *syscallfault.Call) syscallfault.Effect { return r.effectFor(call, stateDir) })
 	if err != nil {
 		return err
 	}
@@ -194,7 +196,7 @@
 			return nil
 		}
 	}
-	r.breachf("the courier did not answer PING within %v of its start", readyTimeout)
+	r.reportBreach("the courier did not answer PING within %v of its start", readyTimeout)
 	return nil
 }
 
@@ -211,11 +213,11 @@
 	return err == nil && string(reply) == "+PONG\r\n"
 }
 
-func (r *run) effectFor(call *syscallfault.Call, state string) syscallfault.Effect {
+func (r *run) effectFor(call *syscallfault.Call, stateDir string) syscallfault.Effect {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, a := range r.activeFaults {
-		if a.matches(call, state) {
+		if a.matches(call, stateDir) {
 			r.faultCounts[a.name]++
 			return a.effect
 		}
@@ -228,7 +230,7 @@
 	if !wait(ctx, a.at) {
 		return
 	}
-	r.logf("%s", a.name)
+	r.addToTimeline("%s", a.name)
 	switch a.name {
 	case actionDrain:
 		r.drain(ctx)
@@ -244,7 +246,7 @@
 		r.mu.Lock()
 		r.activeFaults = slices.DeleteFunc(r.activeFaults, func(other action) bool { return other.name == a.name })
 		r.mu.Unlock()
-		r.logf("%s ended", a.name)
+		r.addToTimeline("%s ended", a.name)
 	}
 }
 
@@ -285,14 +287,14 @@
 		child.Signal(syscall.SIGKILL)
 	}
 	<-child.Done
-	if stopping { // the call that stopped the process starts it again
+	if stopping { // the invocation of signal that stopped the process starts it again
 		return
 	}
 	wait(ctx, time.Duration(r.options.Seed%6)*maxDowntime/6)
 	if err := r.start(); err != nil {
-		r.breachf("the courier could not be restarted: %v", err)
+		r.reportBreach("the courier could not be restarted: %v", err)
 	}
-	r.logf("started")
+	r.addToTimeline("started")
 }
 
 // watchProcess reports a breach if the process exits without having been stopped.
@@ -304,7 +306,7 @@
 		select {
 		case <-child.Done:
 			if !stopRequested {
-				r.breachf("the courier exited unexpectedly: %v", child.Status())
+				r.reportBreach("the courier exited unexpectedly: %v", child.Status())
 				return
 			}
 		default:
@@ -312,17 +314,18 @@
 	}
 }
 
-// drain drains an endpoint, and reports a breach if the courier starts calls to it after it must know of the
-// drain. A process that started after the drain may know it from its configuration; its deadline counts from
-// its start.
+// drain drains an endpoint, and reports a breach if the courier starts calls to that endpoint once the
+// deadline for the change and the grace period have passed. The deadline counts from the drain, or from the
+// start of the process if that is later, since such a process may learn of the drain from its configuration.
+// 50 ms are added for the delay of the measurement.
 func (r *run) drain(ctx context.Context) {
 	drained := int(r.options.Seed % endpoints)
 	r.mu.Lock()
 	r.faultCounts[actionDrain]++
 	r.mu.Unlock()
 	at := time.Now()
-	r.world.Drain(drained)
-	calls := r.world.Calls(drained)
+	r.standIns.Drain(drained)
+	calls := r.standIns.Calls(drained)
 	for wait(ctx, 20*time.Millisecond) {
 		r.mu.Lock()
 		knownAt := at
@@ -330,9 +333,9 @@
 			knownAt = r.processStartedAt
 		}
 		r.mu.Unlock()
-		current := r.world.Calls(drained)
+		current := r.standIns.Calls(drained)
 		if late := time.Since(knownAt) - changeDeadline - drainGrace - 50*time.Millisecond; current > calls && late > 0 {
-			r.breachf("drain: %d calls to a draining endpoint, %v after the deadline", current-calls, late.Round(time.Millisecond))
+			r.reportBreach("drain: %d calls to a draining endpoint, %v after the deadline and the grace period", current-calls, late.Round(time.Millisecond))
 		}
 		calls = current
 	}
@@ -355,21 +358,22 @@
 	}
 }
 
-func (r *run) logf(format string, args ...any) {
+// addToTimeline adds a line with the time since the start of the run to the timeline.
+func (r *run) addToTimeline(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.timeline = append(r.timeline, fmt.Sprintf("%8.3f %s", time.Since(r.startedAt).Seconds(), fmt.Sprintf(format, args...)))
 }
 
-func (r *run) breachf(format string, args ...any) {
-	r.logf("BREACH "+format, args...)
+func (r *run) reportBreach(format string, args ...any) {
+	r.addToTimeline("BREACH "+format, args...)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.breaches = append(r.breaches, fmt.Sprintf(format, args...))
 }
 
-// awaitOutcomes waits until every accepted message is delivered or has a notice, up to the time allowed for
-// that.
+// awaitOutcomes waits until every accepted message is delivered or has a notice. It allows the time to live
+// of the messages, 350 ms more, and the time of a restart.
 func (r *run) awaitOutcomes() {
 	const restart = 1500 * time.Millisecond
 	r.mu.Lock()
@@ -379,8 +383,8 @@
 	for _, id := range r.clients.acceptedIDs() {
 		for !r.hasOutcome(id) {
 			if time.Now().After(deadline) {
-				starts, _, _ := r.world.Seen(id)
-				r.breachf("no final answer for accepted message %s; %d attempts reached an endpoint", id, starts)
+				callsStarted, _, _ := r.standIns.Seen(id)
+				r.reportBreach("no final answer for accepted message %s; %d attempts reached an endpoint", id, callsStarted)
 				break
 			}
 			time.Sleep(10 * time.Millisecond)
@@ -389,7 +393,7 @@
 }
 
 func (r *run) hasOutcome(id string) bool {
-	_, deliveries, notices := r.world.Seen(id)
+	_, deliveries, notices := r.standIns.Seen(id)
 	return deliveries > 0 || len(notices) > 0
 }
 
--- a/testbed/soak/soak_test.go
+++ b/testbed/soak/soak_test.go
@@ -28,23 +28,25 @@
 			}
 		}
 	}
+	// The plans also draw 5 actions other than system call faults.
 	if want := len(syscallFaults) + 5; len(drawn) != want {
 		t.Errorf("%d of %d kinds of action drawn: %v", len(drawn), want, drawn)
 	}
 }
 
-// TestCheckReportsBreaches checks that these breaches are reported: a message that ran twice, a refused
-// message that ran, a message rejected although it may have run, and a request without an answer.
+// TestCheckReportsBreaches checks that these breaches are reported: an accepted message that endpoints
+// received twice, a rejected message that an endpoint received, a notice "deferred" although an endpoint
+// received the message, and a request without an answer.
 func TestCheckReportsBreaches(t *testing.T) {
 	status := 200
-	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: status} })
+	standIns, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: status} })
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer world.Close()
+	defer standIns.Close()
 	call := func(id string) {
 		t.Helper()
-		request, err := http.NewRequest(http.MethodPost, "http://"+world.Endpoints[0]+"/hook", strings.NewReader("x"))
+		request, err := http.NewRequest(http.MethodPost, "http://"+standIns.Endpoints[0]+"/hook", strings.NewReader("x"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -61,16 +63,16 @@
 	call("order-well")
 	status = 500
 	call("order-deferred")
-	response, err := http.Post("http://"+world.Discovery+"/v1/notices", "", strings.NewReader(`{"id":"order-deferred","status":"deferred"}`))
+	response, err := http.Post("http://"+standIns.Discovery+"/v1/notices", "", strings.NewReader(`{"id":"order-deferred","status":"deferred"}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	response.Body.Close()
-	r := &run{world: world}
+	r := &run{standIns: standIns}
 	r.clients.accepted, r.clients.rejected, r.clients.unanswered = []string{"order-twice", "order-well", "order-deferred"}, []string{"order-refused"}, 1
 	res := &Result{}
 	r.clients.check(r, res)
 	if len(res.Breaches) != 4 || res.Delivered != 2 || res.Notices != 1 {
-		t.Errorf("%+v", res)
+		t.Errorf("want 4 breaches, 2 messages delivered and 1 notice, got %+v", res)
 	}
 }
--- a/testbed/syscallfault/call.go
+++ b/testbed/syscallfault/call.go
@@ -67,7 +67,7 @@
 	return strings.TrimSpace(text)
 }
 
-// Span is a period of time in which calls fail. The zero value includes no time.
+// Span is an interval of time, in which a test lets calls fail. The zero value includes no time.
 type Span struct {
 	from time.Time
 	to   time.Time
--- a/testbed/syscallfault/process.go
+++ b/testbed/syscallfault/process.go
@@ -53,7 +53,7 @@
 	return p.status
 }
 
-// Struck returns how often each effect was applied, by "CALL EFFECT".
+// Struck returns how often each effect was applied, by "CALL EFFECT", for example "write EINTR".
 func (p *Process) Struck() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
