--- a/cmd/pineport/config.go
+++ b/cmd/pineport/config.go
@@ -82,7 +82,7 @@
 			if err != nil {
 				return err
 			}
-			return printPlans(cmd.OutOrStdout(), old.Against(doc), output)
+			return printPlans(cmd.OutOrStdout(), old.Diff(doc), output)
 		},
 	}
 	f.add(cmd)
@@ -92,7 +92,7 @@
 	return cmd
 }
 
-func printPlans(out io.Writer, plans []config.Plan, output string) error {
+func printPlans(out io.Writer, plans []config.KeyChange, output string) error {
 	switch output {
 	case "json":
 		return printJSON(out, plans)
@@ -175,12 +175,12 @@
 				return fmt.Errorf("no key has the name %q; %s", args[0], hint)
 			}
 			out := cmd.OutOrStdout()
-			if k.Unread {
+			if k.Ignored {
 				fmt.Fprintf(out, "%s: of the platform; nothing here reads it\n", k.Path)
 				return nil
 			}
 			fmt.Fprintf(out, "%s: %s\n  expected: %s\n", k.Path, k.Doc, k.Expects())
-			for _, row := range [][2]string{{"unit", k.Unit}, {"default", k.Default}, {"variable", k.Variable}, {"on reload", k.OnReload()}} {
+			for _, row := range [][2]string{{"unit", k.Unit}, {"default", k.Default}, {"variable", k.EnvVar}, {"on reload", k.OnReload()}} {
 				if row[1] != "" {
 					fmt.Fprintf(out, "  %s: %s\n", row[0], row[1])
 				}
--- a/cmd/pineport/fleet.go
+++ b/cmd/pineport/fleet.go
@@ -26,7 +26,7 @@
 // it, and a fault of it is notified and stops nothing else.
 func (p *process) enter(ctx context.Context, router *server.Server, given *handoff.State) (end func()) {
 	dep, log := p.dep, p.log.With(logging.Component, "peers")
-	if !dep.Peers.On() {
+	if !dep.Peers.Enabled() {
 		if dep.Peers.Listen != "" {
 			log.Warn("membership is off: not allowed by the settings", "key", "settings.ceilings.peers")
 		}
@@ -75,20 +75,20 @@
 func (p *process) join(ctx context.Context, router *server.Server, given *handoff.State, log *slog.Logger) (*gossip.Member, *exchange.Exchange, error) {
 	dep := p.dep
 	o := gossip.Options{Name: dep.Name, FleetSize: dep.Dispatch.Couriers, Fleet: dep.Peers.Fleet, Listen: dep.Peers.Listen,
-		Advertise: dep.Peers.Advertise, Join: dep.Peers.Join, Key: dep.Peers.Key, Interval: dep.Peers.Pace, Seed: dep.Dispatch.Seed, Log: log, SizeEstimated: router.FleetSizeEstimated,
-		StoreIncarnation: func(start uint64) error { return incarnation.Store(dep.Spool, dep.Name, start) }}
+		Advertise: dep.Peers.Advertise, Join: dep.Peers.Join, Key: dep.Peers.Key, Interval: dep.Peers.ProbeInterval, Seed: dep.Dispatch.Seed, Log: log, SizeEstimated: router.FleetSizeEstimated,
+		StoreIncarnation: func(start uint64) error { return incarnation.Store(dep.StateDir, dep.Name, start) }}
 	if z := int(dep.Dispatch.Zone); z < len(dep.Zones) {
 		o.Zone = dep.Zones[z]
 	}
 	var err error
-	if o.Through, err = gossip.Pairs(dep.Peers.Through); err != nil {
+	if o.Through, err = gossip.Pairs(dep.Peers.AddressOverrides); err != nil {
 		return nil, nil, err
 	}
 	if given != nil && given.Membership != nil { // the same member, going on
 		o.Incarnation, o.Join = given.Membership.Incarnation, append(given.Membership.Members, o.Join...)
 	} else {
 		var fault error
-		if o.Incarnation, fault, err = incarnation.Next(dep.Spool, dep.Name); fault != nil {
+		if o.Incarnation, fault, err = incarnation.Next(dep.StateDir, dep.Name); fault != nil {
 			log.Warn("last incarnation unknown", "file", incarnation.Name, "error", fault)
 		}
 		if err != nil {
@@ -103,7 +103,7 @@
 	}
 	for until := clock.Instant().Add(enterWithin); ; {
 		member, err := gossip.Open(o)
-		if err == nil && dep.Peers.Sharing() {
+		if err == nil && dep.Peers.SharesQuotas() {
 			shares.Store(share(member, router, o, uint64(p.clock.Load().Now()/1000)))
 		}
 		if err == nil || clock.Instant().After(until) {
--- a/cmd/pineport/golden_test.go
+++ b/cmd/pineport/golden_test.go
@@ -34,7 +34,7 @@
 func TestOutputIsAsRecorded(t *testing.T) {
 	golden.Tagged(t, pictured{})
 	golden.Tagged(t, exchange.Status{})
-	golden.Tagged(t, config.Plan{})
+	golden.Tagged(t, config.KeyChange{})
 	golden.Tagged(t, config.Value{})
 	t.Setenv("RELAY_CONFIG", "")
 	dir := t.TempDir()
@@ -97,7 +97,7 @@
 func TestSettingsAreAsRecorded(t *testing.T) {
 	var lines strings.Builder
 	for _, k := range config.Schema {
-		fmt.Fprintf(&lines, "%s\n  unread %v, unit %q, default %q, variable %q, on reload %q, expects %q\n", k.Path, k.Unread, k.Unit, k.Default, k.Variable,
+		fmt.Fprintf(&lines, "%s\n  unread %v, unit %q, default %q, variable %q, on reload %q, expects %q\n", k.Path, k.Ignored, k.Unit, k.Default, k.EnvVar,
 			k.OnReload(), k.Expects())
 	}
 	golden.Check(t, "settings.golden", []byte(lines.String()))
--- a/cmd/pineport/main.go
+++ b/cmd/pineport/main.go
@@ -43,13 +43,13 @@
 }
 
 func (f *flags) sources() (config.Sources, error) {
-	sources := config.Sources{Getenv: os.Getenv, File: f.config, State: f.state, Set: map[string]string{}}
+	sources := config.Sources{Getenv: os.Getenv, File: f.config, State: f.state, Flags: map[string]string{}}
 	for _, pair := range f.set {
 		key, value, ok := strings.Cut(pair, "=")
 		if _, known := config.Lookup(key); !ok || !known {
 			return sources, fmt.Errorf("--set %s: KEY=VALUE with a known key was expected", pair)
 		}
-		sources.Set[key] = value
+		sources.Flags[key] = value
 	}
 	return sources, nil
 }
--- a/cmd/pineport/ready_test.go
+++ b/cmd/pineport/ready_test.go
@@ -30,7 +30,7 @@
 		c.t.Fatal(err)
 	}
 	room := server.SpoolLimit(dep)
-	kept, _, _, err := spool.Open(dep.Spool, room)
+	kept, _, _, err := spool.Open(dep.StateDir, room)
 	if err != nil {
 		c.t.Fatal(err)
 	}
--- a/cmd/pineport/run.go
+++ b/cmd/pineport/run.go
@@ -40,7 +40,7 @@
 func runBy(clocks clock.Source, sources config.Sources, out io.Writer) error {
 	hangups := make(chan os.Signal, 1) // first of all, or a hangup would end the process; one more stands for many
 	signal.Notify(hangups, syscall.SIGHUP)
-	dep, err := config.From(sources)
+	dep, err := config.LoadFrom(sources)
 	if err != nil {
 		return err
 	}
@@ -49,8 +49,8 @@
 		return err
 	}
 	defer log.Close(lastLines)
-	if dep.Socket > 0 { // before another process hands all over for nothing
-		l, err := transport.ListenerFromFD(dep.Socket)
+	if dep.SocketFD > 0 { // before another process hands all over for nothing
+		l, err := transport.ListenerFromFD(dep.SocketFD)
 		if err != nil {
 			return fmt.Errorf("socket_fd: %w", err)
 		}
@@ -109,9 +109,9 @@
 // hear reads the configuration anew at each hangup.
 func (p *process) hear(hangups <-chan os.Signal) {
 	sources := p.sources
-	sources.Anew = true
+	sources.IsReload = true
 	for range hangups {
-		next, err := config.From(sources)
+		next, err := config.LoadFrom(sources)
 		if err != nil {
 			p.log.Error("new configuration rejected", "error", err)
 			if r := p.router.Load(); r != nil {
@@ -136,11 +136,11 @@
 		case <-ctx.Done():
 		}
 	}()
-	folder, given, predecessor, err := handoff.Acquire(ctx, dep.Spool, dep.Name, log.With(logging.Component, "handover"))
+	folder, given, predecessor, err := handoff.Acquire(ctx, dep.StateDir, dep.Name, log.With(logging.Component, "handover"))
 	for err != nil && isFailing(err) && ctx.Err() == nil { // found by the soak: a start while the folder failed ended the process
 		log.Error("spool error", logging.Component, "spool", "error", err)
 		time.Sleep(openRetry)
-		folder, given, predecessor, err = handoff.Acquire(ctx, dep.Spool, dep.Name, log.With(logging.Component, "handover"))
+		folder, given, predecessor, err = handoff.Acquire(ctx, dep.StateDir, dep.Name, log.With(logging.Component, "handover"))
 	}
 	if ctx.Err() != nil {
 		return nil // asked to exit before there was anything to do
@@ -149,7 +149,7 @@
 		return fmt.Errorf("RELAY_STATE: %w", err)
 	}
 	defer folder.Close()
-	snapshot.RemoveTempFiles(dep.Spool) // before the spool takes that room
+	snapshot.RemoveTempFiles(dep.StateDir) // before the spool takes that room
 	kept, unfinished, faults, err := p.openSpool(ctx)
 	if err != nil || ctx.Err() != nil {
 		return err
@@ -180,7 +180,7 @@
 // openClock returns the time of the courier: that of the processes before this one, going on. Failure: each process took its time from
 // the wall clock, and one that had been stepped in between moved all deadlines, windows and waits in the folder.
 func (p *process) openClock(ctx context.Context, unfinished []*spool.Message, given *handoff.State) *clock.Clock {
-	dir, log := p.dep.Spool, p.log.With(logging.Component, "routing")
+	dir, log := p.dep.StateDir, p.log.With(logging.Component, "routing")
 	readings := p.clocks()
 	if given != nil {
 		readings.Wall = int64(given.Snapshot.TakenAt) // a moment ago, by the clock of whoever handed over
@@ -240,7 +240,7 @@
 // there is another matter, which the configuration's check has reported.
 func (p *process) openSpool(ctx context.Context) (kept *spool.Spool, unfinished []*spool.Message, faults []error, err error) {
 	for {
-		kept, unfinished, faults, err = spool.Open(p.dep.Spool, server.SpoolLimit(p.dep))
+		kept, unfinished, faults, err = spool.Open(p.dep.StateDir, server.SpoolLimit(p.dep))
 		if err == nil {
 			return kept, unfinished, faults, nil
 		}
@@ -263,10 +263,10 @@
 	if p.desk != nil {
 		p.desk.SetCourier(router)
 	}
-	if dep.Learn > 0 {
+	if dep.SnapshotInterval > 0 {
 		notes := log.With(logging.Component, "learned")
-		_, limit := snapshot.Reserve(int64(dep.SpoolMB * 1e6))
-		router.StoreSnapshots(snapshot.NewWriter(dep.Spool, dep.Name, limit, notes), dep.Learn)
+		_, limit := snapshot.Reserve(int64(dep.DiskMB * 1e6))
+		router.StoreSnapshots(snapshot.NewWriter(dep.StateDir, dep.Name, limit, notes), dep.SnapshotInterval)
 		if given == nil {
 			router.RestoreSnapshot(p.known(before, limit, notes))
 		}
@@ -297,7 +297,7 @@
 }
 
 func logOptions(dep *config.Deployment) logging.Options {
-	return logging.Options{Level: dep.Log.Level, Levels: dep.Log.Levels, JSON: dep.Log.JSON, RepeatWindow: dep.Log.Repeats, QueueSize: dep.Log.Queue}
+	return logging.Options{Level: dep.Log.Level, Levels: dep.Log.Levels, JSON: dep.Log.JSON, RepeatWindow: dep.Log.RepeatWindow, QueueSize: dep.Log.QueueSize}
 }
 
 // limits sets what the process itself must keep.
@@ -309,14 +309,14 @@
 // warn names the keys that nobody reads.
 func warn(log *slog.Logger, dep *config.Deployment) {
 	for _, w := range dep.Document.Warnings {
-		log.Warn("questionable key", "key", w.Key, "line", w.Line, "hint", w.Expected)
+		log.Warn("questionable key", "key", w.Key, "line", w.Line, "hint", w.Problem)
 	}
 }
 
 // earlier is what an earlier process learned; nil, and a line in the log, where it cannot be used.
 func earlier(dep *config.Deployment, clk *clock.Clock, limit int, log *slog.Logger) *dispatch.Snapshot {
 	now := dispatch.Micros(clk.Now())
-	state, err := snapshot.Read(dep.Spool, dep.Name, now, limit)
+	state, err := snapshot.Read(dep.StateDir, dep.Name, now, limit)
 	switch {
 	case errors.Is(err, snapshot.ErrNotExist):
 		return nil
--- a/cmd/pineport/tools_test.go
+++ b/cmd/pineport/tools_test.go
@@ -69,8 +69,8 @@
 		}
 	}
 	out, err := tool("config", "check", next, "--against", good, "--output", "json")
-	var plans []config.Plan
-	if err != nil || json.Unmarshal([]byte(out), &plans) != nil || len(plans) != 2 || plans[0].TakeOver || !plans[1].TakeOver {
+	var plans []config.KeyChange
+	if err != nil || json.Unmarshal([]byte(out), &plans) != nil || len(plans) != 2 || plans[0].AppliesNow || !plans[1].AppliesNow {
 		t.Errorf("%v %s", err, out)
 	}
 }
--- a/config/config.go
+++ b/config/config.go
@@ -20,26 +20,26 @@
 	Listen    string
 	Discovery string
 	Ops       string // where operators call; empty: nowhere
-	Socket    int    // descriptor of an inherited listening socket; 0: none
-	Spool     string // the folder that lasts
+	SocketFD    int    // descriptor of an inherited listening socket; 0: none
+	StateDir     string // the folder that lasts
 	Cores     float64
 	MemoryMB  int
-	Sockets   int
-	SpoolMB   float64
-	Known     json.RawMessage // the list as this courier had it last, in discovery's form
-	Learn     time.Duration   // how often at most what was learned is kept; 0: never
+	MaxDescriptors   int
+	DiskMB   float64
+	KnownEndpoints     json.RawMessage // the list as this courier had it last, in discovery's form
+	SnapshotInterval     time.Duration   // how often at most what was learned is kept; 0: never
 	Log       Log
 	Peers     Peers
-	Watch     *Deployment // whose settings are watched; nil for none
-	WatchTell time.Duration
+	Shadow     *Deployment // whose settings are watched; nil for none
+	ShadowLogInterval time.Duration
 
 	Dispatch       dispatch.Config
 	Classes        []string        // names, by the configuration's numbers
 	Retired        map[string]bool // classes that a reload removed: they take no more messages
 	Zones          []string
-	Shapes         []string
+	EndpointTypes         []string
 	Tenants        []string
-	Report         []string // names of the values in a report
+	LoadReportFields         []string // names of the values in a report
 	ConnectTimeout time.Duration
 
 	Document *Document
@@ -49,37 +49,37 @@
 type Peers struct {
 	Listen, Advertise string // empty: no membership
 	Fleet, Key        string
-	Join, Through     []string
-	Pace              time.Duration
+	Join, AddressOverrides     []string
+	ProbeInterval              time.Duration
 	Allowed           bool // by the configuration
 	Share             bool // parts of limits
 }
 
-// On tells whether there is to be a membership at all.
-func (p Peers) On() bool { return p.Listen != "" && p.Allowed }
+// Enabled tells whether there is to be a membership at all.
+func (p Peers) Enabled() bool { return p.Listen != "" && p.Allowed }
 
-// Sharing tells whether parts of limits are shared over it.
-func (p Peers) Sharing() bool { return p.On() && p.Share }
+// SharesQuotas tells whether parts of limits are shared over it.
+func (p Peers) SharesQuotas() bool { return p.Enabled() && p.Share }
 
 // Log is how the log is kept.
 type Log struct {
 	Level   string
 	Levels  map[string]string // of single components
 	JSON    bool
-	Repeats time.Duration
-	Queue   int
+	RepeatWindow time.Duration
+	QueueSize   int
 }
 
 // Load reads the variables and the file that they name.
-func Load(getenv func(string) string) (*Deployment, error) { return From(Sources{Getenv: getenv}) }
+func Load(getenv func(string) string) (*Deployment, error) { return LoadFrom(Sources{Getenv: getenv}) }
 
 // Reload reads the file anew for a process that runs.
 func Reload(getenv func(string) string) (*Deployment, error) {
-	return From(Sources{Getenv: getenv, Anew: true})
+	return LoadFrom(Sources{Getenv: getenv, IsReload: true})
 }
 
-// From reads a deployment from its sources; all faults are notified at once.
-func From(sources Sources) (*Deployment, error) {
+// LoadFrom reads a deployment from its sources; all faults are notified at once.
+func LoadFrom(sources Sources) (*Deployment, error) {
 	state := sources.State
 	if state == "" {
 		state = sources.Getenv("RELAY_STATE")
@@ -101,9 +101,9 @@
 	if err != nil {
 		return nil, err
 	}
-	deployment.Spool = state
+	deployment.StateDir = state
 	if path := doc.Values["watch.file"].Text; path != "" {
-		if deployment.Watch, err = watched(path, sources); err != nil {
+		if deployment.Shadow, err = watched(path, sources); err != nil {
 			return nil, fmt.Errorf("watch.file: %w", err)
 		}
 	}
@@ -112,7 +112,7 @@
 
 // watched reads the configuration to come, from its file and the defaults alone: nothing of it is put to use but settings.
 func watched(path string, sources Sources) (*Deployment, error) {
-	doc, err := ReadDocument(Sources{Getenv: func(string) string { return "" }, File: path, Anew: sources.Anew})
+	doc, err := ReadDocument(Sources{Getenv: func(string) string { return "" }, File: path, IsReload: sources.IsReload})
 	if err != nil {
 		return nil, err
 	}
@@ -136,11 +136,11 @@
 		}
 		return strings.Split(text(path), ",")
 	}
-	deployment := &Deployment{Name: text("name"), Listen: text("listen"), Ops: text("ops"), Socket: int(number("socket_fd")), Discovery: text("discovery"), Known: d.Known, Document: d,
-		Cores: number("limits.cores"), MemoryMB: int(number("limits.memory_mb")), Sockets: int(number("limits.sockets")),
-		SpoolMB: number("limits.disk_mb"), Learn: seconds("learned.every_s"), WatchTell: seconds("watch.every_s"), Retired: map[string]bool{},
+	deployment := &Deployment{Name: text("name"), Listen: text("listen"), Ops: text("ops"), SocketFD: int(number("socket_fd")), Discovery: text("discovery"), KnownEndpoints: d.Known, Document: d,
+		Cores: number("limits.cores"), MemoryMB: int(number("limits.memory_mb")), MaxDescriptors: int(number("limits.sockets")),
+		DiskMB: number("limits.disk_mb"), SnapshotInterval: seconds("learned.every_s"), ShadowLogInterval: seconds("watch.every_s"), Retired: map[string]bool{},
 		Log: Log{Level: text("log.level"), Levels: map[string]string{}, JSON: text("log.format") == "json",
-			Repeats: seconds("log.repeats_s"), Queue: int(number("log.queue"))}}
+			RepeatWindow: seconds("log.repeats_s"), QueueSize: int(number("log.queue"))}}
 	for _, pair := range words("log.levels") {
 		component, level, _ := strings.Cut(pair, "=")
 		deployment.Log.Levels[component] = level
@@ -153,7 +153,7 @@
 		}
 	}
 	var err error
-	if deployment.Dispatch, err = Dispatch(int64(seed), settings); err != nil {
+	if deployment.Dispatch, err = DispatchConfig(int64(seed), settings); err != nil {
 		return nil, fmt.Errorf("%s: %w", d.File, err)
 	}
 	for i := range deployment.Dispatch.Classes {
@@ -163,8 +163,8 @@
 		deployment.Tenants = append(deployment.Tenants, settings[fmt.Sprintf("tenants.%d.name", i)])
 	}
 	deployment.Peers = Peers{Listen: text("peers.listen"), Advertise: text("peers.advertise"), Fleet: text("peers.fleet"), Key: text("peers.key"),
-		Join: words("peers.join"), Through: words("peers.through"), Pace: seconds("peers.pace_s"), Allowed: text("settings.ceilings.peers") == "true", Share: text("peers.share") == "true"}
-	deployment.Zones, deployment.Shapes, deployment.Report = words("settings.zones"), words("settings.shapes"), words("settings.telemetry.fields")
+		Join: words("peers.join"), AddressOverrides: words("peers.through"), ProbeInterval: seconds("peers.pace_s"), Allowed: text("settings.ceilings.peers") == "true", Share: text("peers.share") == "true"}
+	deployment.Zones, deployment.EndpointTypes, deployment.LoadReportFields = words("settings.zones"), words("settings.shapes"), words("settings.telemetry.fields")
 	deployment.ConnectTimeout = seconds("settings.ceilings.connect-timeout-s")
 	return deployment, deployment.unique()
 }
@@ -172,7 +172,7 @@
 // unique tells of names that stand twice.
 func (d *Deployment) unique() error {
 	for key, names := range map[string][]string{"settings.classes": d.Classes, "settings.tenants": d.Tenants,
-		"settings.zones": d.Zones, "settings.shapes": d.Shapes} {
+		"settings.zones": d.Zones, "settings.shapes": d.EndpointTypes} {
 		seen := map[string]bool{}
 		for _, name := range names {
 			if seen[name] {
@@ -189,8 +189,8 @@
 // keeps its number; a class that is gone takes no more messages. What must wait for a start stays as it is.
 func (d *Deployment) Merged(next *Deployment) *Deployment {
 	m := *next
-	m.Name, m.Listen, m.Ops, m.Socket, m.Spool, m.Known, m.Learn = d.Name, d.Listen, d.Ops, d.Socket, d.Spool, d.Known, d.Learn
-	m.Watch, m.WatchTell, m.Peers = d.Watch, d.WatchTell, d.Peers
+	m.Name, m.Listen, m.Ops, m.SocketFD, m.StateDir, m.KnownEndpoints, m.SnapshotInterval = d.Name, d.Listen, d.Ops, d.SocketFD, d.StateDir, d.KnownEndpoints, d.SnapshotInterval
+	m.Shadow, m.ShadowLogInterval, m.Peers = d.Shadow, d.ShadowLogInterval, d.Peers
 	old, config := d.Dispatch, next.Dispatch
 	m.Retired = map[string]bool{}
 	var from []int
@@ -201,7 +201,7 @@
 			m.Retired[name] = true
 		}
 	}
-	m.Shapes, from = numbers(d.Shapes, next.Shapes)
+	m.EndpointTypes, from = numbers(d.EndpointTypes, next.EndpointTypes)
 	config.EndpointTypes = pick(from, next.Dispatch.EndpointTypes, old.EndpointTypes)
 	for i := range min(len(config.EndpointTypes), len(old.EndpointTypes)) {
 		config.EndpointTypes[i].Separate = old.EndpointTypes[i].Separate // settled when the routes were made
@@ -248,22 +248,22 @@
 	return items
 }
 
-// Waiting names what a configuration read anew says otherwise and a process that runs cannot take over.
-func (d *Deployment) Waiting(next *Deployment) (keys []string) {
-	for _, p := range d.Document.Against(next.Document) {
-		if !p.TakeOver {
+// RestartKeys names what a configuration read anew says otherwise and a process that runs cannot take over.
+func (d *Deployment) RestartKeys(next *Deployment) (keys []string) {
+	for _, p := range d.Document.Diff(next.Document) {
+		if !p.AppliesNow {
 			keys = append(keys, p.Key)
 		}
 	}
 	return keys
 }
 
-// SameDecisions tells whether two deployments hand the decisions the same.
-func (d *Deployment) SameDecisions(next *Deployment) bool {
+// SameDispatch tells whether two deployments hand the decisions the same.
+func (d *Deployment) SameDispatch(next *Deployment) bool {
 	return reflect.DeepEqual(d.Dispatch, next.Dispatch)
 }
 
-// Flatten steps settings as nested JSON has them into the pairs that Dispatch reads.
+// Flatten steps settings as nested JSON has them into the pairs that DispatchConfig reads.
 func Flatten(settings any) map[string]string {
 	values := map[string]string{}
 	flatten(values, "", settings)
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -49,7 +49,7 @@
 		t.Fatal(err)
 	}
 	config := deployment.Dispatch
-	if deployment.Name != "n4" || deployment.Listen != "127.0.0.1:6379" || deployment.Sockets != 1024 || len(deployment.Classes) != 2 || deployment.Classes[1] != "order" ||
+	if deployment.Name != "n4" || deployment.Listen != "127.0.0.1:6379" || deployment.MaxDescriptors != 1024 || len(deployment.Classes) != 2 || deployment.Classes[1] != "order" ||
 		config.Classes[1].Idempotency != dispatch.AtMostOnce || config.Classes[1].Priority != 2 || config.Slots != 20 || config.ReportRemainingIndex != 1 || config.ReportRateIndex != 0 ||
 		config.RateQuality != dispatch.NominalRates || len(config.EndpointTypes) != 1 || config.EndpointTypes[0].MaxPerCall != 1 || !config.MustPoll || config.Seed == 0 {
 		t.Errorf("%+v", deployment)
@@ -95,14 +95,14 @@
 		t.Fatal(first, err)
 	}
 	moved, err := load(t, Reload, func(top, _ map[string]any) { top["discovery"], top["seed"] = "127.0.0.3:1", "1" }, env)
-	if err != nil || moved.Discovery != "127.0.0.3:1" || len(first.Waiting(moved)) > 0 {
-		t.Error(moved, err, first.Waiting(moved))
+	if err != nil || moved.Discovery != "127.0.0.3:1" || len(first.RestartKeys(moved)) > 0 {
+		t.Error(moved, err, first.RestartKeys(moved))
 	}
 	other, err := load(t, Reload, func(top, settings map[string]any) {
 		top["limits"].(map[string]any)["sockets"], settings["tick-s"], top["listen"] = 99, 0.01, "127.0.0.1:1"
 	}, env)
-	if err != nil || !slices.Equal(first.Waiting(other), []string{"listen"}) {
-		t.Error(other, err, first.Waiting(other))
+	if err != nil || !slices.Equal(first.RestartKeys(other), []string{"listen"}) {
+		t.Error(other, err, first.RestartKeys(other))
 	}
 	if _, err := load(t, Reload, func(top, _ map[string]any) { delete(top, "discovery") }, env); err == nil {
 		t.Error("read without discovery")
@@ -137,7 +137,7 @@
 func TestLayers(t *testing.T) {
 	text := "name: file\nlisten: 127.0.0.1:1\nseed: \"12\"\n"
 	env := map[string]string{"RELAY_LISTEN": "127.0.0.1:2", "RELAY_NAME": "variable"}
-	d, err := parseDocument("c.yaml", []byte(text), Sources{Getenv: func(k string) string { return env[k] }, Set: map[string]string{"name": "flag"}})
+	d, err := parseDocument("c.yaml", []byte(text), Sources{Getenv: func(k string) string { return env[k] }, Flags: map[string]string{"name": "flag"}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/config/decode.go
+++ b/config/decode.go
@@ -19,21 +19,21 @@
 	File     string
 	Line     int // 0 where none is known
 	Key      string
-	Expected string
+	Problem string
 }
 
 func (f Fault) Error() string {
 	at := f.File
 	if at == "" {
-		return f.Key + ": " + f.Expected
+		return f.Key + ": " + f.Problem
 	}
 	if f.Line > 0 {
 		at += ":" + strconv.Itoa(f.Line)
 	}
 	if f.Key == "" {
-		return fmt.Sprintf("%s: %s", at, f.Expected)
+		return fmt.Sprintf("%s: %s", at, f.Problem)
 	}
-	return fmt.Sprintf("%s: %s: %s", at, f.Key, f.Expected)
+	return fmt.Sprintf("%s: %s: %s", at, f.Key, f.Problem)
 }
 
 // decode reads a file by its name's ending: TOML, YAML, or else JSON. It returns the tree, the line of each key by its
@@ -63,10 +63,10 @@
 		if errors.As(err, &syntax) {
 			line = 1 + bytes.Count(text[:min(int(syntax.Offset), len(text))], []byte("\n"))
 		}
-		return nil, nil, Fault{Line: line, Expected: "not a JSON object: " + err.Error()}
+		return nil, nil, Fault{Line: line, Problem: "not a JSON object: " + err.Error()}
 	}
 	if dec.More() {
-		return nil, nil, Fault{Expected: "something stands after the JSON object"}
+		return nil, nil, Fault{Problem: "something stands after the JSON object"}
 	}
 	return tree, jsonLines(text), nil
 }
@@ -167,10 +167,10 @@
 func decodeYAML(text []byte) (tree map[string]any, lines map[string]int, err error) {
 	var doc yaml.Node
 	if err := yaml.Unmarshal(text, &doc); err != nil {
-		return nil, nil, Fault{Expected: strings.TrimPrefix(err.Error(), "yaml: ")}
+		return nil, nil, Fault{Problem: strings.TrimPrefix(err.Error(), "yaml: ")}
 	}
 	if len(doc.Content) != 1 || doc.Content[0].Kind != yaml.MappingNode {
-		return nil, nil, Fault{Line: doc.Line, Expected: "a mapping was expected"}
+		return nil, nil, Fault{Line: doc.Line, Problem: "a mapping was expected"}
 	}
 	lines = map[string]int{}
 	value, err := fromYAML(doc.Content[0], "", lines, 0)
@@ -182,7 +182,7 @@
 		if n[i].Value == "known" {
 			var known any
 			if err := n[i+1].Decode(&known); err != nil {
-				return nil, nil, Fault{Line: n[i].Line, Key: "known", Expected: err.Error()}
+				return nil, nil, Fault{Line: n[i].Line, Key: "known", Problem: err.Error()}
 			}
 			tree["known"] = known
 		}
@@ -194,9 +194,9 @@
 func fromYAML(n *yaml.Node, path string, lines map[string]int, depth int) (any, error) {
 	switch {
 	case depth > 16:
-		return nil, Fault{Line: n.Line, Key: path, Expected: "nested too deep"}
+		return nil, Fault{Line: n.Line, Key: path, Problem: "nested too deep"}
 	case n.Kind == yaml.AliasNode:
-		return nil, Fault{Line: n.Line, Key: path, Expected: "an alias, which is not taken here"}
+		return nil, Fault{Line: n.Line, Key: path, Problem: "an alias, which is not taken here"}
 	case n.Kind == yaml.MappingNode:
 		m := map[string]any{}
 		for i := 0; i+1 < len(n.Content); i += 2 {
@@ -267,7 +267,7 @@
 
 // TOMLFault tells what go-toml found wrong with a file, with line and key where it knows them.
 func TOMLFault(file string, err error) Fault {
-	fault := Fault{File: file, Expected: strings.TrimPrefix(err.Error(), "toml: ")}
+	fault := Fault{File: file, Problem: strings.TrimPrefix(err.Error(), "toml: ")}
 	var wrong *toml.DecodeError
 	if errors.As(err, &wrong) {
 		fault.Line, _ = wrong.Position()
--- a/config/dispatch.go
+++ b/config/dispatch.go
@@ -60,18 +60,18 @@
 	for _, path := range slices.Sorted(maps.Keys(values)) {
 		text := values[path]
 		key, ok := Lookup("settings." + path)
-		if ok && !key.Unread && text != "" && text != "-" && !key.fits(text) {
-			return Fault{Key: path, Expected: fmt.Sprintf("%s was expected, not %q", key.Expects(), text)}
+		if ok && !key.Ignored && text != "" && text != "-" && !key.fits(text) {
+			return Fault{Key: path, Problem: fmt.Sprintf("%s was expected, not %q", key.Expects(), text)}
 		}
 		if cut := strings.TrimSuffix(path, "slo-s") + "deadline-s"; strings.HasSuffix(path, ".slo-s") && later(text, values[cut]) {
-			return Fault{Key: path, Expected: fmt.Sprintf("not after deadline-s of %s s, but %s s", values[cut], text)}
+			return Fault{Key: path, Problem: fmt.Sprintf("not after deadline-s of %s s, but %s s", values[cut], text)}
 		}
 	}
 	return nil
 }
 
-// Dispatch decodes the configuration of a dispatcher from the settings, by paths such as classes.0.points; seed is that of its draws.
-func Dispatch(seed int64, values map[string]string) (dispatch.Config, error) {
+// DispatchConfig decodes the configuration of a dispatcher from the settings, by paths such as classes.0.points; seed is that of its draws.
+func DispatchConfig(seed int64, values map[string]string) (dispatch.Config, error) {
 	p := &pairs{values: values, prefix: "settings."}
 	config := dispatch.Config{
 		Seed:                  seed,
--- a/config/document.go
+++ b/config/document.go
@@ -34,9 +34,9 @@
 	Getenv func(string) string
 	File   string            // empty: RELAY_CONFIG
 	State  string            // empty: RELAY_STATE
-	Set    map[string]string // flags, by path
-	// Anew: the process runs already. Its environment is as old as it is, so of the address of discovery the file knows better.
-	Anew bool
+	Flags    map[string]string // flags, by path
+	// IsReload: the process runs already. Its environment is as old as it is, so of the address of discovery the file knows better.
+	IsReload bool
 }
 
 // ReadDocument reads all layers and holds them against the schema; an error is one that leaves no document.
@@ -71,14 +71,14 @@
 		d.Values[path] = Value{Text: text, From: "file", Line: lines[path]}
 	}
 	for _, key := range Schema {
-		if key.Variable == "" || sources.Anew && key.Variable == "RELAY_DISCOVERY" {
+		if key.EnvVar == "" || sources.IsReload && key.EnvVar == "RELAY_DISCOVERY" {
 			continue
 		}
-		if text := sources.Getenv(key.Variable); text != "" {
-			d.Values[key.Path] = Value{Text: text, From: key.Variable}
+		if text := sources.Getenv(key.EnvVar); text != "" {
+			d.Values[key.Path] = Value{Text: text, From: key.EnvVar}
 		}
 	}
-	for path, text := range sources.Set {
+	for path, text := range sources.Flags {
 		d.Values[path] = Value{Text: text, From: "flag"}
 	}
 	d.check(lines)
@@ -133,12 +133,12 @@
 		switch {
 		case !ok:
 			d.unknown(path, v.Line)
-		case !key.Unread && !key.fits(v.Text):
+		case !key.Ignored && !key.fits(v.Text):
 			d.fault(path, v.Line, "%s was expected, not %q%s", key.Expects(), v.Text, from(v))
 		}
 	}
 	for _, key := range Schema {
-		if key.Unread || key.Kind == Any {
+		if key.Ignored || key.Kind == Any {
 			continue
 		}
 		for _, path := range d.Paths(key.Path) {
@@ -255,7 +255,7 @@
 		if strings.HasPrefix(key.Path, general(path)+"[]") {
 			return // a list: its items have paths of their own
 		}
-		if !key.Unread {
+		if !key.Ignored {
 			known = append(known, key.Path)
 		}
 	}
@@ -285,17 +285,17 @@
 	return err == nil && n >= 0 && n < 1<<16
 }
 
-// Plan is what a reload would do with a change of one key.
-type Plan struct {
+// KeyChange is what a reload would do with a change of one key.
+type KeyChange struct {
 	Key      string `json:"key"`
 	Old      string `json:"old"`
 	New      string `json:"new"`
-	TakeOver bool   `json:"taken_over"` // else it waits for the next start
+	AppliesNow bool   `json:"taken_over"` // else it waits for the next start
 	Effect   string `json:"effect"`
 }
 
-// Against tells what a reload from one document to another would do, key by key.
-func (d *Document) Against(next *Document) (plans []Plan) {
+// Diff tells what a reload from one document to another would do, key by key.
+func (d *Document) Diff(next *Document) (plans []KeyChange) {
 	var paths []string
 	for path := range d.Values {
 		paths = append(paths, path)
@@ -309,10 +309,10 @@
 	for _, path := range paths {
 		a, b := d.Values[path].Text, next.Values[path].Text
 		key, ok := Lookup(path)
-		if a == b || !ok || key.Unread || path == "seed" || strings.HasSuffix(path, ".count") {
+		if a == b || !ok || key.Ignored || path == "seed" || strings.HasSuffix(path, ".count") {
 			continue
 		}
-		plans = append(plans, Plan{path, a, b, !key.Restart, effect(key, b)})
+		plans = append(plans, KeyChange{path, a, b, !key.Restart, effect(key, b)})
 	}
 	return plans
 }
--- a/config/page.go
+++ b/config/page.go
@@ -17,7 +17,7 @@
 		"it says otherwise; a faulty file changes nothing.\n\n" +
 		"| key | what | unit | allowed | if missing | on reload |\n| --- | --- | --- | --- | --- | --- |\n")
 	for _, key := range Schema {
-		if key.Unread {
+		if key.Ignored {
 			continue
 		}
 		missing := key.Default
@@ -27,8 +27,8 @@
 			missing = "none"
 		}
 		doc := key.Doc
-		if key.Variable != "" {
-			doc += "; `" + key.Variable + "`"
+		if key.EnvVar != "" {
+			doc += "; `" + key.EnvVar + "`"
 		}
 		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s | %s |\n", key.Path, doc, key.Unit, key.Expects(), missing, key.OnReload())
 	}
@@ -49,7 +49,7 @@
 	table := ""
 	for _, list := range []bool{false, true} { // tables of lists last, as TOML wants it
 		for _, k := range Schema {
-			if k.Unread || k.Kind == Any || strings.Contains(k.Path, "[]") != list || strings.HasPrefix(k.Path, "settings.tenants") {
+			if k.Ignored || k.Kind == Any || strings.Contains(k.Path, "[]") != list || strings.HasPrefix(k.Path, "settings.tenants") {
 				continue
 			}
 			at := strings.LastIndexByte(k.Path, '.')
--- a/config/schema.go
+++ b/config/schema.go
@@ -33,20 +33,20 @@
 	Low      float64
 	High     float64
 	One      []string
-	Variable string // that goes before the file
+	EnvVar string // that goes before the file
 	Restart  bool   // a change waits for the next start
-	Unread   bool   // of the platform, and nothing here asks for it
+	Ignored   bool   // of the platform, and nothing here asks for it
 	Doc      string
 }
 
 // Schema lists every key, in the order of the page on configuration. It is the one place that says what a key means: the
 // checks, the defaults of the text, explain, init and the page all come of it.
 var Schema = []Key{
-	{Path: "name", Kind: Text, Needed: true, Variable: "RELAY_NAME", Restart: true, Doc: "the courier's name, the same after a restart"},
-	{Path: "listen", Kind: Address, Needed: true, Variable: "RELAY_LISTEN", Restart: true, Doc: "where clients connect"},
-	{Path: "discovery", Kind: Address, Needed: true, Variable: "RELAY_DISCOVERY", Doc: "where discovery and the platform are; a reload takes it from the file alone"},
-	{Path: "ops", Kind: Address, Variable: "RELAY_OPS", Restart: true, Doc: "where operators call; absent: nowhere"},
-	{Path: "socket_fd", Kind: Count, High: 1 << 20, Variable: "RELAY_SOCKET_FD", Restart: true, Doc: "descriptor of a listening socket that was inherited, in place of listening on listen; absent: none"},
+	{Path: "name", Kind: Text, Needed: true, EnvVar: "RELAY_NAME", Restart: true, Doc: "the courier's name, the same after a restart"},
+	{Path: "listen", Kind: Address, Needed: true, EnvVar: "RELAY_LISTEN", Restart: true, Doc: "where clients connect"},
+	{Path: "discovery", Kind: Address, Needed: true, EnvVar: "RELAY_DISCOVERY", Doc: "where discovery and the platform are; a reload takes it from the file alone"},
+	{Path: "ops", Kind: Address, EnvVar: "RELAY_OPS", Restart: true, Doc: "where operators call; absent: nowhere"},
+	{Path: "socket_fd", Kind: Count, High: 1 << 20, EnvVar: "RELAY_SOCKET_FD", Restart: true, Doc: "descriptor of a listening socket that was inherited, in place of listening on listen; absent: none"},
 	{Path: "seed", Kind: Hex, Needed: true, Restart: true, Doc: "seed of chance; new with each start"},
 	{Path: "known", Kind: Any, Doc: "the list of endpoints as held last, in discovery's form"},
 	{Path: "limits.cores", Kind: Number, Default: "1", Low: 0.01, High: 1024, Unit: "cores", Doc: "processor that it may use"},
@@ -64,9 +64,9 @@
 	{Path: "peers.key", Kind: Text, Restart: true, Doc: "16, 24 or 32 bytes in hex, the same for all: packets are encrypted and others are ignored; absent: not encrypted"},
 	{Path: "peers.pace_s", Kind: Number, Default: "1", Low: 0.02, High: 60, Unit: "s", Restart: true, Doc: "interval between health checks of members"},
 	{Path: "peers.share", Kind: Flag, Default: "false", Restart: true, Doc: "couriers lease one another shares of limits and report what they use; the same for all"},
-	{Path: "log.level", Kind: Text, Default: "info", One: []string{"debug", "info", "warn", "error"}, Variable: "PINEPORT_LOG_LEVEL", Doc: "what is logged"},
+	{Path: "log.level", Kind: Text, Default: "info", One: []string{"debug", "info", "warn", "error"}, EnvVar: "PINEPORT_LOG_LEVEL", Doc: "what is logged"},
 	{Path: "log.levels", Kind: Words, Doc: "levels of single components, such as spool=debug"},
-	{Path: "log.format", Kind: Text, Default: "text", One: []string{"text", "json"}, Variable: "PINEPORT_LOG_FORMAT", Restart: true, Doc: "form of a line"},
+	{Path: "log.format", Kind: Text, Default: "text", One: []string{"text", "json"}, EnvVar: "PINEPORT_LOG_FORMAT", Restart: true, Doc: "form of a line"},
 	{Path: "log.repeats_s", Kind: Number, Default: "10", Low: 0, High: 3600, Unit: "s", Doc: "a line that is repeated within this is counted, and written once; 0: each is written"},
 	{Path: "log.queue", Kind: Count, Default: "1024", Low: 1, High: 1e6, Unit: "lines", Restart: true, Doc: "lines that wait for a slow reader; further ones are dropped, and their number is logged"},
 
@@ -110,18 +110,18 @@
 	{Path: "settings.rules.key-rest-s", Kind: Number, High: 1e9, Unit: "s", Doc: "how long an ordering key is held after an attempt that may still run"},
 	{Path: "settings.prices.cross-zone", Kind: Number, High: 1e6, Doc: "cost of a call to another zone; ranks endpoints"},
 
-	{Path: "settings.classes[].aim-stretch", Unread: true}, {Path: "settings.classes[].streaming", Unread: true}, {Path: "settings.callers.marks-retry", Unread: true},
-	{Path: "settings.family", Unread: true}, {Path: "settings.family-info.notes", Unread: true}, {Path: "settings.family-info.refusal-cost", Unread: true},
-	{Path: "settings.family-info.report-x0", Unread: true}, {Path: "settings.family-info.report-x1", Unread: true}, {Path: "settings.goal.whole", Unread: true},
-	{Path: "settings.goal.worst-class", Unread: true}, {Path: "settings.goal.worst-tenant", Unread: true}, {Path: "settings.goal.worst-window", Unread: true},
-	{Path: "settings.ceilings.cpu-us-per-request", Unread: true}, {Path: "settings.ceilings.cpu-us-per-s", Unread: true},
-	{Path: "settings.ceilings.may-probe", Unread: true}, {Path: "settings.ceilings.may-duplicate", Unread: true}, {Path: "settings.ceilings.multiplex", Unread: true},
-	{Path: "settings.prices.connection", Unread: true}, {Path: "settings.prices.discovery", Unread: true}, {Path: "settings.prices.handshake", Unread: true},
-	{Path: "settings.prices.late-fail", Unread: true}, {Path: "settings.prices.moves", Unread: true}, {Path: "settings.prices.origin", Unread: true},
-	{Path: "settings.prices.peer", Unread: true}, {Path: "settings.prices.probe", Unread: true}, {Path: "settings.prices.waste", Unread: true},
-	{Path: "settings.telemetry.source", Unread: true}, {Path: "settings.rules.answer-slack-s", Unread: true}, {Path: "settings.rules.ask-within-s", Unread: true},
-	{Path: "settings.rules.drain-grace-s", Unread: true}, {Path: "settings.rules.tip-after-s", Unread: true}, {Path: "settings.tenants[].share", Unread: true},
-	{Path: "settings.tier", Unread: true}, {Path: "settings.tiers", Unread: true}, {Path: "settings.value-by", Unread: true},
+	{Path: "settings.classes[].aim-stretch", Ignored: true}, {Path: "settings.classes[].streaming", Ignored: true}, {Path: "settings.callers.marks-retry", Ignored: true},
+	{Path: "settings.family", Ignored: true}, {Path: "settings.family-info.notes", Ignored: true}, {Path: "settings.family-info.refusal-cost", Ignored: true},
+	{Path: "settings.family-info.report-x0", Ignored: true}, {Path: "settings.family-info.report-x1", Ignored: true}, {Path: "settings.goal.whole", Ignored: true},
+	{Path: "settings.goal.worst-class", Ignored: true}, {Path: "settings.goal.worst-tenant", Ignored: true}, {Path: "settings.goal.worst-window", Ignored: true},
+	{Path: "settings.ceilings.cpu-us-per-request", Ignored: true}, {Path: "settings.ceilings.cpu-us-per-s", Ignored: true},
+	{Path: "settings.ceilings.may-probe", Ignored: true}, {Path: "settings.ceilings.may-duplicate", Ignored: true}, {Path: "settings.ceilings.multiplex", Ignored: true},
+	{Path: "settings.prices.connection", Ignored: true}, {Path: "settings.prices.discovery", Ignored: true}, {Path: "settings.prices.handshake", Ignored: true},
+	{Path: "settings.prices.late-fail", Ignored: true}, {Path: "settings.prices.moves", Ignored: true}, {Path: "settings.prices.origin", Ignored: true},
+	{Path: "settings.prices.peer", Ignored: true}, {Path: "settings.prices.probe", Ignored: true}, {Path: "settings.prices.waste", Ignored: true},
+	{Path: "settings.telemetry.source", Ignored: true}, {Path: "settings.rules.answer-slack-s", Ignored: true}, {Path: "settings.rules.ask-within-s", Ignored: true},
+	{Path: "settings.rules.drain-grace-s", Ignored: true}, {Path: "settings.rules.tip-after-s", Ignored: true}, {Path: "settings.tenants[].share", Ignored: true},
+	{Path: "settings.tier", Ignored: true}, {Path: "settings.tiers", Ignored: true}, {Path: "settings.value-by", Ignored: true},
 }
 
 // general steps settings.classes.0.name into settings.classes[].name.
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -254,7 +254,7 @@
 	if os.Getenv("PINEPORT_DEEP") != "" {
 		depth = 5
 	}
-	modelcheck.Orders(depth, len(all), func(order []int) bool {
+	modelcheck.ForEachSequence(depth, len(all), func(order []int) bool {
 		n++
 		if err := run(order, all, nil); err != nil {
 			t.Errorf("%v: %v", order, err)
@@ -292,7 +292,7 @@
 		"counts without telling": func(v *Membership) { v.estimatedSize = 9 },
 	} {
 		caught := false
-		modelcheck.Orders(3, len(all), func(order []int) bool {
+		modelcheck.ForEachSequence(3, len(all), func(order []int) bool {
 			caught = run(order, all, plant) != nil
 			return !caught
 		})
@@ -306,7 +306,7 @@
 func TestRandomWalks(t *testing.T) {
 	all := steps()
 	for seed := range int64(2000) {
-		order := modelcheck.Walk(seed, 60, len(all))
+		order := modelcheck.RandomSequence(seed, 60, len(all))
 		if err := run(order, all, nil); err != nil {
 			t.Fatalf("seed %d, %v: %v", seed, order, err)
 		}
--- a/modelcheck/modelcheck.go
+++ b/modelcheck/modelcheck.go
@@ -3,8 +3,8 @@
 
 import "math/rand"
 
-// Orders has do play every order of depth steps out of so many, until it returns false. The slice is the same each time.
-func Orders(depth, steps int, do func(order []int) bool) {
+// ForEachSequence has do play every order of depth steps out of so many, until it returns false. The slice is the same each time.
+func ForEachSequence(depth, steps int, do func(order []int) bool) {
 	order := make([]int, depth)
 	for {
 		if !do(order) {
@@ -23,8 +23,8 @@
 	}
 }
 
-// Walk is an order of so many steps, the same for the same seed.
-func Walk(seed int64, length, steps int) []int {
+// RandomSequence is an order of so many steps, the same for the same seed.
+func RandomSequence(seed int64, length, steps int) []int {
 	rng := rand.New(rand.NewSource(seed))
 	order := make([]int, length)
 	for i := range order {
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -228,7 +228,7 @@
 	if os.Getenv("PINEPORT_DEEP") != "" {
 		depth = 5
 	}
-	modelcheck.Orders(depth, len(all), func(order []int) bool {
+	modelcheck.ForEachSequence(depth, len(all), func(order []int) bool {
 		n++
 		if err := run(order, all, nil); err != nil {
 			t.Errorf("%v: %v", order, err)
@@ -281,7 +281,7 @@
 
 // walk plays a long order drawn from a seed.
 func walk(seed int64, steps []func(*fleet), plant func(*fleet, int)) error {
-	return run(modelcheck.Walk(seed, 120, len(steps)), steps, plant)
+	return run(modelcheck.RandomSequence(seed, 120, len(steps)), steps, plant)
 }
 
 // TestRandomWalks goes beyond every order; PINEPORT_DEEP plays 10,000 seeds.
--- a/server/admin.go
+++ b/server/admin.go
@@ -23,7 +23,7 @@
 	if dep.Ops == "" {
 		return 0
 	}
-	return min(16, dep.Sockets/24)
+	return min(16, dep.MaxDescriptors/24)
 }
 
 // command is an operator's command. The event loop sends one result to done, after the step that executed
@@ -58,11 +58,11 @@
 
 func (a *adminState) init(s *Server) {
 	a.server, a.disabled, a.drainAt, a.metricsAt = s, map[string]bool{}, never, never
-	a.writer = maintenance.NewWriter(s.deployment.Spool, s.deployment.Name)
+	a.writer = maintenance.NewWriter(s.deployment.StateDir, s.deployment.Name)
 	if s.deployment.Ops != "" {
 		a.metricsAt = 0
 	}
-	disabled, err := maintenance.Read(s.deployment.Spool, s.deployment.Name)
+	disabled, err := maintenance.Read(s.deployment.StateDir, s.deployment.Name)
 	if err != nil {
 		s.log.Error("cannot read the disabled endpoints; all endpoints are enabled", "file", maintenance.FileName, "error", err)
 	}
--- a/server/calls.go
+++ b/server/calls.go
@@ -215,7 +215,7 @@
 	if answer.BackoffMs > 0 {
 		s.storeRetryAfter(call.entry, s.now+dispatch.Micros(answer.BackoffMs)*1000)
 	}
-	loadReport := protocol.LoadValues(answer.LoadReport, s.deployment.Report)
+	loadReport := protocol.LoadValues(answer.LoadReport, s.deployment.LoadReportFields)
 	for _, attempt := range call.attempts {
 		event := outcomeOf(answer)
 		if statusesByID != nil {
@@ -251,7 +251,7 @@
 
 // endpointTypeOf returns the type of an endpoint, and false if the configuration has no type of that name.
 func (s *Server) endpointTypeOf(entry protocol.Endpoint) (dispatch.EndpointType, bool) {
-	i := slices.Index(s.deployment.Shapes, entry.EndpointType)
+	i := slices.Index(s.deployment.EndpointTypes, entry.EndpointType)
 	if i < 0 || i >= len(s.deployment.Dispatch.EndpointTypes) {
 		return dispatch.EndpointType{}, false
 	}
--- a/server/clients.go
+++ b/server/clients.go
@@ -31,7 +31,7 @@
 // file descriptors, and use up to half of all during a burst of new connections, so that descriptors remain
 // for endpoints and discovery. Partially received commands may use 1/8 of the memory.
 func (s *Server) clientLimits() clientconn.Limits {
-	sockets := s.deployment.Sockets - AdminSockets(s.deployment)
+	sockets := s.deployment.MaxDescriptors - AdminSockets(s.deployment)
 	return clientconn.Limits{Conns: sockets * 4 / 10, Admitted: sockets / 2, PartialBytes: int64(s.deployment.MemoryMB) << 20 / 8}
 }
 
--- a/server/crossings_test.go
+++ b/server/crossings_test.go
@@ -91,7 +91,7 @@
 // storedMessage returns the message that a process started now would recover from the spool, or nil.
 func storedMessage(t *testing.T, s *Server, id string) *spool.Message {
 	t.Helper()
-	all, _, err := spool.Inspect(s.deployment.Spool)
+	all, _, err := spool.Inspect(s.deployment.StateDir)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/server/endpointconns.go
+++ b/server/endpointconns.go
@@ -30,7 +30,7 @@
 func (s *Server) endpointConnLimits() endpointconn.Limits {
 	idle := s.deployment.Dispatch.IdleTimeout
 	return endpointconn.Limits{
-		Conns:       (s.deployment.Sockets - AdminSockets(s.deployment)) * 4 / 10,
+		Conns:       (s.deployment.MaxDescriptors - AdminSockets(s.deployment)) * 4 / 10,
 		IdleTimeout: idle - min(idle/4, maxRoundTrip),
 	}
 }
--- a/server/endpoints.go
+++ b/server/endpoints.go
@@ -215,7 +215,7 @@
 	if phase == dispatch.InService && s.suspects[dispatch.EndpointID(entry.Host)] {
 		phase = dispatch.Draining
 	}
-	zone, kind := slices.Index(s.deployment.Zones, entry.Zone), slices.Index(s.deployment.Shapes, entry.EndpointType)
+	zone, kind := slices.Index(s.deployment.Zones, entry.Zone), slices.Index(s.deployment.EndpointTypes, entry.EndpointType)
 	return dispatch.EndpointEntry{Endpoint: dispatch.EndpointID(entry.Host), Zone: dispatch.ZoneID(zone), Type: dispatch.EndpointTypeID(kind),
 		Destination: dispatch.DestinationID(entry.Destination), Phase: phase, Rate: entry.Rate}, zone >= 0 && kind >= 0
 }
--- a/server/quota.go
+++ b/server/quota.go
@@ -40,7 +40,7 @@
 }
 
 // sharesQuota reports whether couriers share limits.
-func (s *Server) sharesQuota() bool { return s.deployment.Peers.Sharing() }
+func (s *Server) sharesQuota() bool { return s.deployment.Peers.SharesQuotas() }
 
 // reserveGranted reserves half of each quota share when a dispatcher starts: an earlier process, or a
 // dispatcher that panicked, may have granted that half to other couriers.
--- a/server/reload.go
+++ b/server/reload.go
@@ -15,7 +15,7 @@
 // are kept, and messages keep the terms under which they were accepted. Settings that need a restart are
 // logged.
 func (s *Server) reload(next *config.Deployment) {
-	needRestart := s.deployment.Waiting(next)
+	needRestart := s.deployment.RestartKeys(next)
 	merged := s.deployment.Merged(next)
 	if s.handoff.handedOver { // the successor has read the configuration itself; if this process resumes, its next event loop starts with the merged one
 		s.deployment = merged
@@ -37,10 +37,10 @@
 	s.counters.grow(len(merged.Classes))
 	s.clients.SetLimits(s.clientLimits())
 	s.endpointConns.SetLimits(s.endpointConnLimits())
-	if old.SpoolMB != merged.SpoolMB {
+	if old.DiskMB != merged.DiskMB {
 		s.spool.Resize(SpoolLimit(merged))
 	}
-	if !old.SameDecisions(merged) {
+	if !old.SameDispatch(merged) {
 		s.events = append(s.events, dispatch.Reconfigured{Config: s.dispatchConfig()})
 		s.shadow.reconfigure(s)
 	}
@@ -66,9 +66,9 @@
 
 // SpoolLimit returns the size limit of the spool within the state folder, in bytes.
 func SpoolLimit(dep *config.Deployment) int64 {
-	folderSize := int64(dep.SpoolMB * 1e6)
+	folderSize := int64(dep.DiskMB * 1e6)
 	remaining := folderSize - clock.Reserve
-	if dep.Learn > 0 {
+	if dep.SnapshotInterval > 0 {
 		reserved, _ := snapshot.Reserve(folderSize)
 		remaining -= reserved
 	}
--- a/server/server.go
+++ b/server/server.go
@@ -108,7 +108,7 @@
 	s.discovery.init(s)
 	s.counters.grow(len(dep.Classes))
 	s.admin.init(s)
-	list, err := protocol.ReadConfiguredList(dep.Known)
+	list, err := protocol.ReadConfiguredList(dep.KnownEndpoints)
 	if err != nil {
 		log.Warn("known endpoint list ignored", "key", "known", "error", err)
 	}
@@ -196,14 +196,14 @@
 
 func (s *Server) openDriver() (*transport.Driver, error) {
 	var inherited net.Listener
-	if s.deployment.Socket > 0 {
-		listener, err := transport.ListenerFromFD(s.deployment.Socket)
+	if s.deployment.SocketFD > 0 {
+		listener, err := transport.ListenerFromFD(s.deployment.SocketFD)
 		if err != nil {
 			return nil, fmt.Errorf("socket_fd: %w", err)
 		}
 		inherited = listener
 	}
-	return transport.Open(s.deployment.Listen, inherited, s.deployment.Sockets, s.log, s.clients.CanAccept, s.clients.Accept)
+	return transport.Open(s.deployment.Listen, inherited, s.deployment.MaxDescriptors, s.log, s.clients.CanAccept, s.clients.Accept)
 }
 
 func (s *Server) clock() dispatch.Micros {
--- a/server/shadow.go
+++ b/server/shadow.go
@@ -24,8 +24,8 @@
 	dispatch.StillAwaited: "waited_for", dispatch.OtherRetryAfter: "advised"}
 
 func (w *shadowState) start(s *Server) {
-	w.candidate, w.shadow = s.deployment.Watch, nil
-	w.interval = dispatch.Micros(s.deployment.WatchTell.Microseconds())
+	w.candidate, w.shadow = s.deployment.Shadow, nil
+	w.interval = dispatch.Micros(s.deployment.ShadowLogInterval.Microseconds())
 	if w.candidate != nil {
 		w.shadow, w.nextLogAt = dispatch.NewShadow(s.deployment.Merged(w.candidate).Dispatch), s.now+w.interval
 	}
--- a/simprotocol/read.go
+++ b/simprotocol/read.go
@@ -140,7 +140,7 @@
 		f.err = err
 		return nil
 	}
-	config, err := config.Dispatch(salt, values)
+	config, err := config.DispatchConfig(salt, values)
 	if err != nil {
 		f.err = err
 		return nil
--- a/testbed/capacity/check.go
+++ b/testbed/capacity/check.go
@@ -98,7 +98,7 @@
 }
 
 func (r *planReader) fault(path, format string, args ...any) {
-	r.faults = append(r.faults, Fault{File: r.file, Line: config.LineOf(r.lines, path), Key: path, Expected: fmt.Sprintf(format, args...)})
+	r.faults = append(r.faults, Fault{File: r.file, Line: config.LineOf(r.lines, path), Key: path, Problem: fmt.Sprintf(format, args...)})
 }
 
 // take puts one value into the plan, or tells what was expected.
@@ -218,7 +218,7 @@
 // err is all faults in the order of their lines.
 func (r *planReader) err() error {
 	slices.SortStableFunc(r.faults, func(a, b Fault) int {
-		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Key, b.Key), cmp.Compare(a.Expected, b.Expected))
+		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Key, b.Key), cmp.Compare(a.Problem, b.Problem))
 	})
 	var all []error
 	for _, fault := range r.faults {
--- a/testbed/fleet/fleet.go
+++ b/testbed/fleet/fleet.go
@@ -289,8 +289,8 @@
 	return "", fmt.Errorf("no free port for both UDP and TCP")
 }
 
-// configure returns a courier's settings for its administration address and for membership. It joins through
-// three couriers in different positions, so that one that is down does not keep it out.
+// configure returns a courier's settings for its administration address and for membership. The courier joins
+// through the first courier, the next one, and the one half of the fleet further.
 func (r *run) configure(c *process.Courier) (map[string]any, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -526,9 +526,9 @@
 	}
 }
 
-// recordStatus records the changes of member states that a courier reports. A reported failure of a courier
-// that restarted less than 15 probe intervals ago is not counted as false, since it may still concern the
-// earlier incarnation. A return reported 30 s or more after a restart is not counted.
+// recordStatus records the changes of member states that a courier reports. A reported failure counts as
+// false if the courier is up and did not restart within the last 15 probe intervals. A return counts if it is
+// reported within 30 s of the restart.
 func (r *run) recordStatus(now time.Time, index int, status courierStatus) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/testbed/scale/held.go
+++ b/testbed/scale/held.go
@@ -310,8 +310,8 @@
 	if err != nil {
 		return nil, err
 	}
-	return &config.Deployment{Name: "hollow", Spool: folder, MemoryMB: 1024, Sockets: 1024, SpoolMB: 1024, Known: known, Dispatch: settings,
-		Classes: []string{className}, Zones: []string{"a"}, Shapes: []string{"plain"}, Retired: map[string]bool{}}, nil
+	return &config.Deployment{Name: "hollow", StateDir: folder, MemoryMB: 1024, MaxDescriptors: 1024, DiskMB: 1024, KnownEndpoints: known, Dispatch: settings,
+		Classes: []string{className}, Zones: []string{"a"}, EndpointTypes: []string{"plain"}, Retired: map[string]bool{}}, nil
 }
 
 func fitHeld(results *Results) error {
--- a/testbed/scale/lists.go
+++ b/testbed/scale/lists.go
@@ -40,7 +40,7 @@
 	if err := json.Unmarshal(text, &file); err != nil {
 		return nil, err
 	}
-	config, err := config.Dispatch(1, config.Flatten(file.Settings))
+	config, err := config.DispatchConfig(1, config.Flatten(file.Settings))
 	if err != nil {
 		return nil, err
 	}
--- a/testbed/scale/reloads.go
+++ b/testbed/scale/reloads.go
@@ -97,7 +97,7 @@
 
 // read reads the file as a start does, or as a hangup does where the process runs already.
 func (h *hollowConfig) read(anew bool) (*config.Deployment, error) {
-	return config.From(config.Sources{Getenv: func(string) string { return "" }, File: h.file, State: h.state, Anew: anew})
+	return config.LoadFrom(config.Sources{Getenv: func(string) string { return "" }, File: h.file, State: h.state, IsReload: anew})
 }
 
 func (h *hollowConfig) start() (err error) {
@@ -114,11 +114,11 @@
 	if err != nil {
 		return err
 	}
-	if waiting := h.deployment.Waiting(next); len(waiting) > 0 {
+	if waiting := h.deployment.RestartKeys(next); len(waiting) > 0 {
 		return fmt.Errorf("%s: changes that wait for a start: %v", h.file, waiting)
 	}
 	merged := h.deployment.Merged(next)
-	if !h.deployment.SameDecisions(merged) {
+	if !h.deployment.SameDispatch(merged) {
 		h.courier.Handle(now, []dispatch.Event{dispatch.Reconfigured{Config: merged.Dispatch}})
 	}
 	h.deployment = merged
--- a/testbed/scenario/read.go
+++ b/testbed/scenario/read.go
@@ -49,7 +49,7 @@
 	for _, e := range strict.Errors {
 		line, _ := e.Position()
 		key := strings.Join(e.Key(), ".")
-		all = append(all, Fault{File: file, Line: line, Key: key, Expected: "no such key" + nearest(key)})
+		all = append(all, Fault{File: file, Line: line, Key: key, Problem: "no such key" + nearest(key)})
 	}
 	return errors.Join(all...)
 }
@@ -74,7 +74,7 @@
 }
 
 func (c *checker) fault(path, format string, args ...any) {
-	c.faults = append(c.faults, Fault{File: c.file, Line: config.LineOf(c.lines, path), Key: path, Expected: fmt.Sprintf(format, args...)})
+	c.faults = append(c.faults, Fault{File: c.file, Line: config.LineOf(c.lines, path), Key: path, Problem: fmt.Sprintf(format, args...)})
 }
 
 func (c *checker) table(path string, v reflect.Value) {
--- a/testbed/scenario/settings.go
+++ b/testbed/scenario/settings.go
@@ -66,7 +66,7 @@
 
 // Config is the same, as the decisions read it: through the same code that a real courier's configuration passes.
 func (w *Drawn) Config(courier int, salt int64) (dispatch.Config, error) {
-	ch, err := config.Dispatch(salt, config.Flatten(w.Settings(courier)))
+	ch, err := config.DispatchConfig(salt, config.Flatten(w.Settings(courier)))
 	if err != nil {
 		return ch, fmt.Errorf("day %s: %w", w.Day.Name, err)
 	}
--- a/testbed/simulation/wrong_test.go
+++ b/testbed/simulation/wrong_test.go
@@ -202,8 +202,8 @@
 }
 
 // TestEagerDeciderBreaksSlowStartAndOrder checks that the overload of recovering destinations and the
-// violation of key order are reported. The couriers get many slots and attempts, and destinations fall over
-// early, so that the decider reaches both.
+// violation of key order are reported. The couriers get many slots and attempts, and destinations a low
+// overload factor.
 func TestEagerDeciderBreaksSlowStartAndOrder(t *testing.T) {
 	for name, rule := range map[string]invariants.Rule{"silent-and-cold": invariants.Pushed, "in-order": invariants.Order} {
 		d := findScenario(t, name)
--- a/testbed/soak/play.go
+++ b/testbed/soak/play.go
@@ -315,9 +315,9 @@
 }
 
 // drain drains an endpoint, and reports a breach if the courier starts calls to that endpoint once the
-// deadline for the change and the grace period have passed. The deadline counts from the drain, or from the
-// start of the process if that is later, since such a process may learn of the drain from its configuration.
-// 50 ms are added for the delay of the measurement.
+// deadline for the change, the grace period and 50 ms more have passed. The deadline counts from the drain,
+// or from the start of the process if that is later, since such a process may learn of the drain from its
+// configuration.
 func (r *run) drain(ctx context.Context) {
 	drained := int(r.options.Seed % endpoints)
 	r.mu.Lock()
