--- a/admin/golden_test.go
+++ b/admin/golden_test.go
@@ -33,7 +33,7 @@
 
 // TestPagesAreAsRecorded: status and text of each call, without and with a courier behind the address.
 func TestPagesAreAsRecorded(t *testing.T) {
-	golden.Tagged(t, Metrics{})
+	golden.CheckTags(t, Metrics{})
 	var pages strings.Builder
 	s := &Server{log: slog.New(slog.DiscardHandler)}
 	handler := s.handler()
--- a/cmd/pineport-testbed/fleet.go
+++ b/cmd/pineport-testbed/fleet.go
@@ -121,7 +121,7 @@
 	} else {
 		printFleet(cmd.OutOrStdout(), name, res)
 	}
-	if !res.Verdict.OK() || res.Verdict.Invalid != "" || len(res.Idle) > 0 || len(res.Overspent) > 0 || o.Peers && (!res.Whole || res.Fewer > 0) {
+	if !res.Verdict.OK() || res.Verdict.InvalidReason != "" || len(res.Idle) > 0 || len(res.Overspent) > 0 || o.Peers && (!res.Whole || res.Fewer > 0) {
 		return errBroken
 	}
 	return nil
@@ -132,7 +132,7 @@
 	v := res.Verdict
 	fmt.Fprintf(w, "day\t%s, %d couriers\n", name, res.Couriers)
 	fmt.Fprintf(w, "judgement\t%s\n", v.Short())
-	fmt.Fprintf(w, "figure\t%.3f; offered %d, done %d, bounced %d, terminated %d, lost %d\n", v.Figure, v.Counts.Offered, v.Counts.Done, v.Counts.Rejected,
+	fmt.Fprintf(w, "figure\t%.3f; offered %d, done %d, bounced %d, terminated %d, lost %d\n", v.Score, v.Counts.Offered, v.Counts.Delivered, v.Counts.Rejected,
 		v.Counts.Failed, v.Counts.Lost)
 	spans := func(what string, all []float64) {
 		if len(all) > 0 {
@@ -149,7 +149,7 @@
 	fmt.Fprintf(w, "counted fewer than there are\t%d looks\n", res.Fewer)
 	fmt.Fprintf(w, "whole at the end\t%v, %.1f s after the last fault\n", res.Whole, res.Healed)
 	fmt.Fprintf(w, "each courier\t%.1f packets/s, %.0f bytes/s; largest %.1f MB\n", res.Messages, res.Bytes, float64(res.Cost.MaxRSS)/1024)
-	fmt.Fprintf(w, "trips\t%d, refused %d; %.3f refused for each done\n", v.Counts.Attempts, v.Counts.Full, float64(v.Counts.Full)/float64(max(1, v.Counts.Done)))
+	fmt.Fprintf(w, "trips\t%d, refused %d; %.3f refused for each done\n", v.Counts.Attempts, v.Counts.Throttled, float64(v.Counts.Throttled)/float64(max(1, v.Counts.Delivered)))
 	if res.Packets > 0 {
 		fmt.Fprintf(w, "shared\t%d loans seen, at most %.2f of a part; %.1f packets/s, %.0f bytes/s each\n", res.Leases, res.Widest, res.Packets, res.ShareBytes)
 	}
--- a/cmd/pineport/drain_test.go
+++ b/cmd/pineport/drain_test.go
@@ -100,7 +100,7 @@
 }
 
 func playDrain(t *testing.T, faults treatments) {
-	world, err := scripted.Open(2, func(string) scripted.Fate { return scripted.Fate{Status: 200, After: workTime} })
+	world, err := scripted.Open(2, func(string) scripted.Response { return scripted.Response{Status: 200, Delay: workTime} })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/pineport/folder_test.go
+++ b/cmd/pineport/folder_test.go
@@ -47,7 +47,7 @@
 
 func playFolderFault(t *testing.T, effect syscallfault.Effect, killed bool) {
 	const failing = 3 * time.Second
-	world, err := scripted.Open(2, func(string) scripted.Fate { return scripted.Fate{Status: 200, After: 30 * time.Millisecond} })
+	world, err := scripted.Open(2, func(string) scripted.Response { return scripted.Response{Status: 200, Delay: 30 * time.Millisecond} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,12 +91,12 @@
 		t.Errorf("nobody was refused while the folder failed: %d accepted", len(during.accepted))
 	}
 	for _, id := range during.rejected {
-		if began, _, _ := world.Seen(id); began > 0 {
+		if began, _, _ := world.MessageCalls(id); began > 0 {
 			t.Errorf("%s was refused, and ran", id)
 		}
 	}
 	for _, id := range finished { // Failure: ends that the folder did not take were never written, and what was over ran again after the kill
-		if began, _, _ := world.Seen(id); began > 1 {
+		if began, _, _ := world.MessageCalls(id); began > 1 {
 			t.Errorf("%s ran again after it was over", id)
 		}
 	}
@@ -115,7 +115,7 @@
 // ends, once where it may not run again, and each start is ready.
 func TestKilledInTheMiddleOfAWrite(t *testing.T) {
 	const rounds = 12
-	world, err := scripted.Open(2, func(string) scripted.Fate { return scripted.Fate{Status: 200, After: 30 * time.Millisecond} })
+	world, err := scripted.Open(2, func(string) scripted.Response { return scripted.Response{Status: 200, Delay: 30 * time.Millisecond} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -155,7 +155,7 @@
 	for _, errno := range []syscall.Errno{syscall.ENOSPC, syscall.EIO} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
-			world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
+			world, err := scripted.Open(1, func(string) scripted.Response { return scripted.Response{Status: 200} })
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -175,7 +175,7 @@
 			if got := c.ask(enqueue("one", "order", 4000)); got[0] != "+OK" {
 				t.Fatal(got)
 			}
-			waitFor(t, "the delivery", 3*time.Second, func() bool { _, done, _ := world.Seen("one"); return done == 1 })
+			waitFor(t, "the delivery", 3*time.Second, func() bool { _, done, _ := world.MessageCalls("one"); return done == 1 })
 		})
 	}
 }
--- a/config/config.go
+++ b/config/config.go
@@ -16,43 +16,43 @@
 
 // Deployment is what one real courier is notified.
 type Deployment struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Ops       string // where operators call; empty: nowhere
-	SocketFD    int    // descriptor of an inherited listening socket; 0: none
-	StateDir     string // the folder that lasts
-	Cores     float64
-	MemoryMB  int
-	MaxDescriptors   int
-	DiskMB   float64
-	KnownEndpoints     json.RawMessage // the list as this courier had it last, in discovery's form
-	SnapshotInterval     time.Duration   // how often at most what was learned is kept; 0: never
-	Log       Log
-	Peers     Peers
-	Shadow     *Deployment // whose settings are watched; nil for none
+	Name              string
+	Listen            string
+	Discovery         string
+	Ops               string // where operators call; empty: nowhere
+	SocketFD          int    // descriptor of an inherited listening socket; 0: none
+	StateDir          string // the folder that lasts
+	Cores             float64
+	MemoryMB          int
+	MaxDescriptors    int
+	DiskMB            float64
+	KnownEndpoints    json.RawMessage // the list as this courier had it last, in discovery's form
+	SnapshotInterval  time.Duration   // how often at most what was learned is kept; 0: never
+	Log               Log
+	Peers             Peers
+	Shadow            *Deployment // whose settings are watched; nil for none
 	ShadowLogInterval time.Duration
 
-	Dispatch       dispatch.Config
-	Classes        []string        // names, by the configuration's numbers
-	Retired        map[string]bool // classes that a reload removed: they take no more messages
-	Zones          []string
-	EndpointTypes         []string
-	Tenants        []string
-	LoadReportFields         []string // names of the values in a report
-	ConnectTimeout time.Duration
+	Dispatch         dispatch.Config
+	Classes          []string        // names, by the configuration's numbers
+	Retired          map[string]bool // classes that a reload removed: they take no more messages
+	Zones            []string
+	EndpointTypes    []string
+	Tenants          []string
+	LoadReportFields []string // names of the values in a report
+	ConnectTimeout   time.Duration
 
 	Document *Document
 }
 
 // Peers is how this courier knows the others of its fleet.
 type Peers struct {
-	Listen, Advertise string // empty: no membership
-	Fleet, Key        string
-	Join, AddressOverrides     []string
-	ProbeInterval              time.Duration
-	Allowed           bool // by the configuration
-	Share             bool // parts of limits
+	Listen, Advertise      string // empty: no membership
+	Fleet, Key             string
+	Join, AddressOverrides []string
+	ProbeInterval          time.Duration
+	Allowed                bool // by the configuration
+	Share                  bool // parts of limits
 }
 
 // Enabled tells whether there is to be a membership at all.
@@ -63,11 +63,11 @@
 
 // Log is how the log is kept.
 type Log struct {
-	Level   string
-	Levels  map[string]string // of single components
-	JSON    bool
+	Level        string
+	Levels       map[string]string // of single components
+	JSON         bool
 	RepeatWindow time.Duration
-	QueueSize   int
+	QueueSize    int
 }
 
 // Load reads the variables and the file that they name.
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -18,7 +18,7 @@
 	dir := t.TempDir()
 	var top map[string]any
 	w := scripted.World{Discovery: "127.0.0.1:8500"}
-	if err := json.Unmarshal(w.Configuration("n3", "127.0.0.1:6379"), &top); err != nil {
+	if err := json.Unmarshal(w.CourierConfiguration("n3", "127.0.0.1:6379"), &top); err != nil {
 		t.Fatal(err)
 	}
 	if edit != nil {
@@ -177,7 +177,7 @@
 // FuzzDocument: no text makes the reader panic, and every fault names a key or a line.
 func FuzzDocument(f *testing.F) {
 	w := scripted.World{Discovery: "127.0.0.1:8500"}
-	f.Add(0, w.Configuration("n3", "127.0.0.1:6379"))
+	f.Add(0, w.CourierConfiguration("n3", "127.0.0.1:6379"))
 	f.Add(1, []byte(Example()))
 	f.Add(2, []byte("name: n\nsettings: {classes: [{name: u}]}"))
 	f.Fuzz(func(t *testing.T, format int, text []byte) {
--- a/config/decode.go
+++ b/config/decode.go
@@ -16,9 +16,9 @@
 
 // Fault is what is wrong with one key of a file.
 type Fault struct {
-	File     string
-	Line     int // 0 where none is known
-	Key      string
+	File    string
+	Line    int // 0 where none is known
+	Key     string
 	Problem string
 }
 
--- a/config/document.go
+++ b/config/document.go
@@ -34,7 +34,7 @@
 	Getenv func(string) string
 	File   string            // empty: RELAY_CONFIG
 	State  string            // empty: RELAY_STATE
-	Flags    map[string]string // flags, by path
+	Flags  map[string]string // flags, by path
 	// IsReload: the process runs already. Its environment is as old as it is, so of the address of discovery the file knows better.
 	IsReload bool
 }
@@ -287,11 +287,11 @@
 
 // KeyChange is what a reload would do with a change of one key.
 type KeyChange struct {
-	Key      string `json:"key"`
-	Old      string `json:"old"`
-	New      string `json:"new"`
+	Key        string `json:"key"`
+	Old        string `json:"old"`
+	New        string `json:"new"`
 	AppliesNow bool   `json:"taken_over"` // else it waits for the next start
-	Effect   string `json:"effect"`
+	Effect     string `json:"effect"`
 }
 
 // Diff tells what a reload from one document to another would do, key by key.
--- a/config/schema.go
+++ b/config/schema.go
@@ -25,18 +25,18 @@
 
 // Key is all that is known of one key. Paths of lists have [] after the list's name.
 type Key struct {
-	Path     string
-	Kind     Kind
-	Unit     string
-	Default  string
-	Needed   bool
-	Low      float64
-	High     float64
-	One      []string
-	EnvVar string // that goes before the file
-	Restart  bool   // a change waits for the next start
-	Ignored   bool   // of the platform, and nothing here asks for it
-	Doc      string
+	Path    string
+	Kind    Kind
+	Unit    string
+	Default string
+	Needed  bool
+	Low     float64
+	High    float64
+	One     []string
+	EnvVar  string // that goes before the file
+	Restart bool   // a change waits for the next start
+	Ignored bool   // of the platform, and nothing here asks for it
+	Doc     string
 }
 
 // Schema lists every key, in the order of the page on configuration. It is the one place that says what a key means: the
--- a/testbed/experiment/experiment.go
+++ b/testbed/experiment/experiment.go
@@ -88,7 +88,7 @@
 
 // Plan is what is to be played.
 type Plan struct {
-	Days     []*scenario.Day
+	Days     []*scenario.Definition
 	Seeds    []int64
 	Variants []Variant
 	Jobs     int
@@ -126,7 +126,7 @@
 }
 
 // One plays one day once.
-func One(d *scenario.Day, seed int64, v Variant) (c Cell, err error) {
+func One(d *scenario.Definition, seed int64, v Variant) (c Cell, err error) {
 	host, err := v.Open()
 	if err != nil {
 		return Cell{}, err
--- a/testbed/fleet/fleet.go
+++ b/testbed/fleet/fleet.go
@@ -118,14 +118,14 @@
 	Returns []float64 `json:"returns_known_s"`
 	// False counts reported failures of couriers that were up, by the kinds of fault active at the time
 	// ("none" without a fault).
-	False    map[string]int  `json:"deaths_believed_that_were_none"`
-	Fewer    int             `json:"counted_fewer"`                // polls in which a courier's upper estimate of the fleet size was too low
-	Whole    bool            `json:"whole_at_the_end"`             // whether every courier counted all others as alive within 40 s of the last fault
-	Healed   float64         `json:"whole_after_the_last_fault_s"` // seconds from the end of the last fault until every courier counted all others as alive
-	Messages float64         `json:"packets_a_second_each"`        // gossip, per courier
-	Bytes    float64         `json:"bytes_a_second_each"`          // gossip bytes sent per second and courier
-	Hours    float64         `json:"process_hours"`                // length of the run in hours, times the number of couriers
-	Drawn    *scenario.Drawn `json:"-"`
+	False    map[string]int     `json:"deaths_believed_that_were_none"`
+	Fewer    int                `json:"counted_fewer"`                // polls in which a courier's upper estimate of the fleet size was too low
+	Whole    bool               `json:"whole_at_the_end"`             // whether every courier counted all others as alive within 40 s of the last fault
+	Healed   float64            `json:"whole_after_the_last_fault_s"` // seconds from the end of the last fault until every courier counted all others as alive
+	Messages float64            `json:"packets_a_second_each"`        // gossip, per courier
+	Bytes    float64            `json:"bytes_a_second_each"`          // gossip bytes sent per second and courier
+	Hours    float64            `json:"process_hours"`                // length of the run in hours, times the number of couriers
+	Drawn    *scenario.Instance `json:"-"`
 	// Quota sharing: leases seen, violations of the lease rules, and the traffic between couriers.
 	Leases     int      `json:"loans_seen"`
 	Widest     float64  `json:"widest_loan"`         // largest sum of one courier's leases for a route, as a multiple of its base share
@@ -139,7 +139,7 @@
 type Parts map[int32]*LeaseTotals
 
 // LeaseTotals are the totals of one destination. Each value is the sum over all couriers, in proportion to
-// the destination's limit; value i belongs to the i-th interval of length invariants.Bin.
+// the destination's limit; value i belongs to the i-th interval of length invariants.BinLength.
 type LeaseTotals struct {
 	Granted []float64 `json:"lent"`     // granted to other couriers
 	Leased  []float64 `json:"borrowed"` // leased from other couriers
@@ -149,7 +149,7 @@
 func (r *run) recordTotals(now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	bin := int(now.Microseconds() / int64(invariants.Bin))
+	bin := int(now.Microseconds() / int64(invariants.BinLength))
 	sums := map[int32][2]float64{}
 	for _, status := range r.quotaStatuses {
 		for _, group := range status.Groups {
@@ -194,7 +194,7 @@
 	net         *netfault.Net
 	adminAddrs  []string
 	gossipAddrs []string
-	session     *realtime.Field
+	session     *realtime.Session
 
 	mu                  sync.Mutex
 	downSince           map[int]time.Time // when each courier that is down was stopped
@@ -219,7 +219,7 @@
 		definition.Fleet.Couriers = p.Couriers
 	}
 	if p.Load > 0 {
-		definition.Traffic.FullPerSec = p.Load * float64(definition.Fleet.Couriers)
+		definition.Traffic.FullLoadPerSec = p.Load * float64(definition.Fleet.Couriers)
 	}
 	definition.Length = p.Length
 	if o.Pace == 0 {
@@ -242,9 +242,9 @@
 		return nil, err
 	}
 	defer r.net.Close()
-	realtimeOptions := realtime.Options{Binary: o.Binary, Dir: o.Dir, Log: o.Log, Begun: r.start}
+	realtimeOptions := realtime.Options{Binary: o.Binary, Dir: o.Dir, Log: o.Log, OnStart: r.start}
 	if o.Peers {
-		realtimeOptions.Extra = r.configure
+		realtimeOptions.ExtraConfiguration = r.configure
 	}
 	r.result.Drawn = scenario.Draw(definition, o.Seed)
 	v, cost, err := realtime.Play(ctx, r.result.Drawn, realtimeOptions)
@@ -294,15 +294,15 @@
 func (r *run) configure(c *process.Courier) (map[string]any, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	join := []string{r.gossipAddrs[0], r.gossipAddrs[(c.No+1)%r.couriers], r.gossipAddrs[(c.No+r.couriers/2)%r.couriers]}
-	return map[string]any{"ops": r.adminAddrs[c.No], "peers": map[string]any{"listen": r.gossipAddrs[c.No], "join": join, "fleet": "lab",
-		"key": "000102030405060708090a0b0c0d0e0f", "pace_s": r.options.Pace.Seconds(), "share": r.options.Share, "through": r.net.AddressPairs(c.No)},
+	join := []string{r.gossipAddrs[0], r.gossipAddrs[(c.Number+1)%r.couriers], r.gossipAddrs[(c.Number+r.couriers/2)%r.couriers]}
+	return map[string]any{"ops": r.adminAddrs[c.Number], "peers": map[string]any{"listen": r.gossipAddrs[c.Number], "join": join, "fleet": "lab",
+		"key": "000102030405060708090a0b0c0d0e0f", "pace_s": r.options.Pace.Seconds(), "share": r.options.Share, "through": r.net.AddressPairs(c.Number)},
 		"settings": map[string]any{"ceilings": map[string]any{"peers": true}}}, nil
 }
 
 // start starts the faults and the polling. The returned function waits for the faults and for convergence,
 // stops the polling, and completes the result.
-func (r *run) start(session *realtime.Field) func() {
+func (r *run) start(session *realtime.Session) func() {
 	r.session = session
 	incarnations := r.readIncarnations()
 	stop := make(chan struct{})
@@ -336,8 +336,8 @@
 func (r *run) readIncarnations() map[int][]byte {
 	incarnations := map[int][]byte{}
 	for _, c := range r.session.Couriers() {
-		if content, err := os.ReadFile(filepath.Join(c.Dir, "state", incarnation.Name)); err == nil {
-			incarnations[c.No] = content
+		if content, err := os.ReadFile(filepath.Join(c.Dir, "state", incarnation.FileName)); err == nil {
+			incarnations[c.Number] = content
 		}
 	}
 	return incarnations
@@ -346,7 +346,7 @@
 func (r *run) injectFault(f netfault.Fault, stop <-chan struct{}, incarnations map[int][]byte) {
 	wait := func(until float64) {
 		select {
-		case <-time.After(time.Duration(until*float64(time.Second)) - r.session.Since()):
+		case <-time.After(time.Duration(until*float64(time.Second)) - r.session.Elapsed()):
 		case <-stop:
 		}
 	}
@@ -373,7 +373,7 @@
 			if f.Kind == Roll {
 				slot := f.Length / float64(len(f.From))
 				wait(f.At + float64(i)*slot)
-				r.restartCourier(index, scenario.Asks, min(slot, 5), stop, nil)
+				r.restartCourier(index, scenario.CourierStopRequested, min(slot, 5), stop, nil)
 				return
 			}
 			r.injectProcessFault(f, index, stop, incarnations)
@@ -387,20 +387,20 @@
 	state := filepath.Join(c.Dir, "state")
 	switch f.Kind {
 	case Pause:
-		r.session.Act(scenario.Act{Kind: scenario.Stands, Courier: index, Span: dispatch.Micros(f.Length * 1e6)})
+		r.session.ApplyAct(scenario.Event{Kind: scenario.CourierPaused, Courier: index, Duration: dispatch.Micros(f.Length * 1e6)})
 		time.Sleep(time.Duration(f.Length * float64(time.Second)))
 	case Kill:
-		r.restartCourier(index, scenario.Kills, f.Length, stop, nil)
+		r.restartCourier(index, scenario.CourierKilled, f.Length, stop, nil)
 	case LoseIncarnation:
-		r.restartCourier(index, scenario.Kills, f.Length, stop, func() { os.Remove(filepath.Join(state, incarnation.Name)) })
+		r.restartCourier(index, scenario.CourierKilled, f.Length, stop, func() { os.Remove(filepath.Join(state, incarnation.FileName)) })
 	case OldIncarnation:
-		r.restartCourier(index, scenario.Kills, f.Length, stop, func() {
+		r.restartCourier(index, scenario.CourierKilled, f.Length, stop, func() {
 			if content := incarnations[index]; content != nil {
-				os.WriteFile(filepath.Join(state, incarnation.Name), content, 0o600)
+				os.WriteFile(filepath.Join(state, incarnation.FileName), content, 0o600)
 			}
 		})
 	case Move:
-		r.restartCourier(index, scenario.Kills, f.Length, stop, func() {
+		r.restartCourier(index, scenario.CourierKilled, f.Length, stop, func() {
 			if addr, err := Free(index); err == nil {
 				r.mu.Lock()
 				r.gossipAddrs[index] = addr
@@ -411,14 +411,14 @@
 	}
 }
 
-// restartCourier kills a courier (scenario.Kills) or shuts it down gracefully (scenario.Asks), calls
+// restartCourier kills a courier (scenario.CourierKilled) or shuts it down gracefully (scenario.CourierStopRequested), calls
 // whileDown once it is down, and restarts it after a number of seconds.
-func (r *run) restartCourier(index int, kind scenario.ActKind, seconds float64, stop <-chan struct{}, whileDown func()) {
+func (r *run) restartCourier(index int, kind scenario.EventKind, seconds float64, stop <-chan struct{}, whileDown func()) {
 	r.mu.Lock()
 	r.downSince[index] = time.Now()
 	r.mu.Unlock()
-	r.session.Act(scenario.Act{Kind: kind, Courier: index})
-	if kind == scenario.Asks { // a graceful shutdown takes some seconds
+	r.session.ApplyAct(scenario.Event{Kind: kind, Courier: index})
+	if kind == scenario.CourierStopRequested { // a graceful shutdown takes some seconds
 		c := r.session.Couriers()[index]
 		for c.Running() {
 			select {
@@ -438,7 +438,7 @@
 	r.mu.Lock()
 	r.starts[index]++
 	r.mu.Unlock()
-	r.session.Act(scenario.Act{Kind: scenario.Starts, Courier: index})
+	r.session.ApplyAct(scenario.Event{Kind: scenario.CourierStarted, Courier: index})
 	r.mu.Lock()
 	delete(r.downSince, index)
 	r.restartedAt[index] = time.Now()
@@ -455,9 +455,9 @@
 func (r *run) poll(client *http.Client, index int) (status courierStatus, ok bool) {
 	if ok = get(client, r.adminAddrs[index], "/peers", &status); ok && r.options.Share {
 		var quotaStatus exchange.Status
-		pollStart := r.session.Since()
+		pollStart := r.session.Elapsed()
 		if get(client, r.adminAddrs[index], "/commons", &quotaStatus) {
-			r.recordLeases(index, pollStart, r.session.Since(), quotaStatus)
+			r.recordLeases(index, pollStart, r.session.Elapsed(), quotaStatus)
 		}
 	}
 	return status, ok
@@ -480,7 +480,7 @@
 		for _, group := range status.Groups {
 			var routeLeases []invariants.Lease
 			for _, lease := range selectLeases(group) {
-				routeLeases = append(routeLeases, invariants.Lease{Who: lease.Courier, No: lease.LeaseID, Units: int64(lease.Units), Base: int64(group.Base)})
+				routeLeases = append(routeLeases, invariants.Lease{Peer: lease.Courier, ID: lease.LeaseID, Units: int64(lease.Units), Base: int64(group.Base)})
 			}
 			all = append(all, routeLeases)
 		}
@@ -489,7 +489,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.quotaStatuses[index] = status
-	r.leases.Saw(invariants.Look{Name: fmt.Sprintf("n%d", index), Start: status.Incarnation, From: dispatch.Micros(pollStart.Microseconds()), To: dispatch.Micros(pollEnd.Microseconds()),
+	r.leases.Observe(invariants.Observation{Name: fmt.Sprintf("n%d", index), Incarnation: status.Incarnation, From: dispatch.Micros(pollStart.Microseconds()), To: dispatch.Micros(pollEnd.Microseconds()),
 		Granted: leases(func(l quota.Status) []quota.LeaseStatus { return l.Grants }), Used: leases(func(l quota.Status) []quota.LeaseStatus { return l.Leases })})
 }
 
@@ -511,7 +511,7 @@
 		all.Wait()
 		now := time.Now()
 		if r.options.Share {
-			r.recordTotals(r.session.Since())
+			r.recordTotals(r.session.Elapsed())
 		}
 		for i := range r.couriers {
 			if ok[i] {
@@ -595,16 +595,16 @@
 	}
 }
 
-func (r *run) summarize(session *realtime.Field) {
+func (r *run) summarize(session *realtime.Session) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.result.Hours = session.Since().Hours() * float64(r.couriers)
-	seconds := session.Since().Seconds() * float64(r.couriers)
+	r.result.Hours = session.Elapsed().Hours() * float64(r.couriers)
+	seconds := session.Elapsed().Seconds() * float64(r.couriers)
 	for _, status := range r.statuses { // counters of each courier's last incarnation; packets sent before a restart are not counted
 		r.result.Messages += float64(status.Metrics.Network.PacketsOut) / seconds
 		r.result.Bytes += float64(status.Metrics.Network.BytesOut) / seconds
 	}
-	r.result.Leases, r.result.Widest, r.result.Overspent = r.leases.Seen, r.leases.Widest, r.leases.Breaches
+	r.result.Leases, r.result.Widest, r.result.Overspent = r.leases.LeaseCount, r.leases.MaxLeasedShare, r.leases.Breaches
 	for _, status := range r.quotaStatuses {
 		r.result.Packets += float64(status.PacketsOut) / seconds
 		r.result.ShareBytes += float64(status.BytesOut) / seconds
--- a/testbed/fleet/fleet_test.go
+++ b/testbed/fleet/fleet_test.go
@@ -62,7 +62,7 @@
 	if !strings.Contains(trace.String(), `"what":"cut"`) {
 		t.Error("the trace does not contain the cut")
 	}
-	t.Logf("%v; %d messages delivered, longest failure detection %.1f s", res.Struck, res.Verdict.Counts.Done, longest(res.Deaths))
+	t.Logf("%v; %d messages delivered, longest failure detection %.1f s", res.Struck, res.Verdict.Counts.Delivered, longest(res.Deaths))
 }
 
 // TestSharedQuotasKeepLeaseRules runs twelve couriers that lease quota to one another in an overloaded
@@ -94,7 +94,7 @@
 	if res.Leases < 20 {
 		t.Errorf("%d leases were seen, want at least 20", res.Leases)
 	}
-	t.Logf("%v; %d leases, largest sum of a courier %.2f of its base share; %d throttled, %d delivered", res.Struck, res.Leases, res.Widest, res.Verdict.Counts.Full, res.Verdict.Counts.Done)
+	t.Logf("%v; %d leases, largest sum of a courier %.2f of its base share; %d throttled, %d delivered", res.Struck, res.Leases, res.Widest, res.Verdict.Counts.Throttled, res.Verdict.Counts.Delivered)
 }
 
 func longest(all []float64) (result float64) {
--- a/testbed/scale/starts.go
+++ b/testbed/scale/starts.go
@@ -108,7 +108,7 @@
 	}
 	// The stream has ended, so what it carried waits before the view; what is said now comes after it.
 	t.couriers++
-	t.member.FleetResized(t.couriers)
+	t.member.SetFleetSize(t.couriers)
 	select {
 	case <-t.estimated:
 	case <-time.After(estimateWithin):
--- a/testbed/simulation/bench_test.go
+++ b/testbed/simulation/bench_test.go
@@ -20,8 +20,8 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			d.Length, d.Fleet.Couriers, d.Chance.Troubles = 20, size.couriers, [2]int{} // without faults, since only the cost is measured
-			d.Traffic.Destinations, d.Traffic.FullPerSec = size.destinations, float64(size.perSec)
+			d.Length, d.Fleet.Couriers, d.RandomFaults.Count = 20, size.couriers, [2]int{} // without faults, since only the cost is measured
+			d.Traffic.Destinations, d.Traffic.FullLoadPerSec = size.destinations, float64(size.perSec)
 			instance := scenario.Draw(d, 1)
 			b.ResetTimer()
 			var steps, messages int
@@ -30,12 +30,12 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				steps, messages = steps+st.Steps, messages+v.Counts.Taken
+				steps, messages = steps+st.Steps, messages+v.Counts.Accepted
 			}
 			span := b.Elapsed().Seconds()
 			b.ReportMetric(float64(messages)/span, "records/s")
 			b.ReportMetric(float64(steps)/span, "turns/s")
-			b.ReportMetric(float64(b.N)*float64(instance.End)/1e6/span, "x-real-time")
+			b.ReportMetric(float64(b.N)*float64(instance.EndsAt)/1e6/span, "x-real-time")
 		})
 	}
 }
--- a/testbed/simulation/call.go
+++ b/testbed/simulation/call.go
@@ -12,10 +12,10 @@
 func (s *Sim) addToCall(c *courier, a dispatch.Send, openCalls map[dispatch.EndpointID]*call) *call {
 	target, msg := s.endpoints[a.Endpoint], c.messages[a.Message]
 	if target == nil || msg != nil && target.destination != int(msg.client.arrival.Dest) {
-		s.ledger.Crashed(s.now, c.index, "sent "+string(a.Message)+" to "+string(a.Endpoint)+", which is not an endpoint of the message's destination") // reported as a crash of the courier
+		s.ledger.CourierCrashed(s.now, c.index, "sent "+string(a.Message)+" to "+string(a.Endpoint)+", which is not an endpoint of the message's destination") // reported as a crash of the courier
 		return nil
 	}
-	ledgerNumber := s.ledger.Sent(s.now, a.Message, invariants.Place{Dest: dispatch.DestinationID(target.destination), Route: target.route, Endpoint: a.Endpoint, Zone: target.endpoint.Zone})
+	ledgerNumber := s.ledger.AttemptSent(s.now, a.Message, invariants.Target{Dest: dispatch.DestinationID(target.destination), Route: target.route, Endpoint: a.Endpoint, Zone: target.endpoint.Zone})
 	if msg == nil {
 		return nil
 	}
@@ -23,7 +23,7 @@
 		past: dispatch.PastAttempt{Endpoint: a.Endpoint, Zone: target.endpoint.Zone, SentAt: s.now}}
 	msg.attempts = append(msg.attempts, att)
 	msg.openAttempts++
-	if msg.done || len(msg.attempts) > s.instance.Day.Fleet.MaxAttempts {
+	if msg.done || len(msg.attempts) > s.instance.Definition.Fleet.MaxAttempts {
 		s.finishAttempt(att, dispatch.AttemptFinished{Outcome: dispatch.Unprocessed})
 		return nil
 	}
@@ -48,16 +48,16 @@
 }
 
 func (s *Sim) item(msg *message) endpointmodel.Item {
-	class := &s.instance.Day.Classes[msg.client.arrival.Class]
-	return endpointmodel.Item{Message: msg.id, Origin: msg.client.id, Repeat: invariants.RepeatOf(class.Repeat), OneZone: class.OneZone,
-		Window: config.Micros(class.Window)}
+	class := &s.instance.Definition.Classes[msg.client.arrival.Class]
+	return endpointmodel.Item{Message: msg.id, Origin: msg.client.id, Repeat: invariants.ParseIdempotency(class.Idempotency), DedupOneZone: class.DedupOneZone,
+		DedupWindow: config.Micros(class.DedupWindow)}
 }
 
 // sendCall sends a call over an idle connection, or opens a new one.
 func (s *Sim) sendCall(cl *call) {
 	c, dest, id := cl.courier, s.destinations[cl.endpoint.destination], cl.Endpoint
 	latency := s.latency(c.zone, cl.endpoint.endpoint.Zone)
-	idle, idleTimeout := c.idleConns[id], config.Micros(s.instance.Day.Fleet.Idle)
+	idle, idleTimeout := c.idleConns[id], config.Micros(s.instance.Definition.Fleet.IdleTimeout)
 	for len(idle) > 0 && s.now-idle[0] >= idleTimeout {
 		idle = idle[1:]
 		dest.Disconnect(id)
@@ -74,14 +74,14 @@
 			return
 		}
 		switch dest.Connect(s.now, id) {
-		case endpointmodel.Up:
-			s.ledger.Shook()
+		case endpointmodel.Connected:
+			s.ledger.ConnectionOpened()
 			cl.connected = true
-			s.schedule(s.now+dispatch.Micros(2*s.instance.Day.Network.Shakes*float64(latency)), func() { s.arriveAtEndpoint(cl) })
+			s.schedule(s.now+dispatch.Micros(2*s.instance.Definition.Network.HandshakeRTTs*float64(latency)), func() { s.arriveAtEndpoint(cl) })
 		case endpointmodel.Refused:
 			s.schedule(s.now+latency, func() { s.finishCall(cl, dispatch.Unreachable, 0, nil) })
-		case endpointmodel.NoWord:
-			s.schedule(s.now-latency+config.Micros(s.instance.Day.Fleet.Connect/1000), func() { s.finishCall(cl, dispatch.Unreachable, 0, nil) })
+		case endpointmodel.NoResponse:
+			s.schedule(s.now-latency+config.Micros(s.instance.Definition.Fleet.ConnectTimeout/1000), func() { s.finishCall(cl, dispatch.Unreachable, 0, nil) })
 		}
 	})
 }
@@ -90,7 +90,7 @@
 func (s *Sim) arriveAtEndpoint(cl *call) {
 	if !cl.done {
 		s.inFlight[cl.ID] = cl
-		s.handleOutputs(cl.endpoint.destination, s.destinations[cl.endpoint.destination].Take(s.now, &cl.Call))
+		s.handleOutputs(cl.endpoint.destination, s.destinations[cl.endpoint.destination].Receive(s.now, &cl.Call))
 	}
 }
 
@@ -101,7 +101,7 @@
 		return // no courier waits for the answer any more
 	}
 	delete(s.inFlight, cl.ID)
-	s.schedule(s.now+s.latency(cl.courier.zone, cl.endpoint.endpoint.Zone), func() { s.finishCall(cl, a.Outcome, a.Wait, a.Pressure) })
+	s.schedule(s.now+s.latency(cl.courier.zone, cl.endpoint.endpoint.Zone), func() { s.finishCall(cl, a.Outcome, a.RetryAfter, a.LoadReport) })
 }
 
 // setAttemptTimeout schedules an attempt's timeout. Each attempt of a call has its own.
@@ -164,7 +164,7 @@
 	dest := s.destinations[cl.endpoint.destination]
 	s.schedule(s.now+s.latency(cl.courier.zone, cl.endpoint.endpoint.Zone), func() {
 		dest.Disconnect(cl.Endpoint)
-		s.handleOutputs(cl.endpoint.destination, dest.CallOff(s.now, &cl.Call))
+		s.handleOutputs(cl.endpoint.destination, dest.Cancel(s.now, &cl.Call))
 	})
 }
 
@@ -176,7 +176,7 @@
 	att.done, att.past.Outcome = true, e.Outcome
 	msg := att.message
 	msg.openAttempts--
-	s.ledger.Settled(s.now, msg.id, att.ledgerNumber, e.Outcome, e.RetryAfter)
+	s.ledger.AttemptEnded(s.now, msg.id, att.ledgerNumber, e.Outcome, e.RetryAfter)
 	if e.Outcome == dispatch.Delivered && !msg.done {
 		msg.client.done = true
 		s.release(msg)
--- a/testbed/simulation/client.go
+++ b/testbed/simulation/client.go
@@ -36,12 +36,12 @@
 // of clients, its cancellation.
 func (s *Sim) createClient(i int, a scenario.Arrival) {
 	id := dispatch.MessageID("r" + strconv.Itoa(i))
-	cl := &client{id: id, arrival: a, deadline: s.now + config.Micros(s.instance.Day.Classes[a.Class].CutOff)}
+	cl := &client{id: id, arrival: a, deadline: s.now + config.Micros(s.instance.Definition.Classes[a.Class].Deadline)}
 	s.ledger.Offered(s.now, id, int(a.Class), int(a.Tenant), dispatch.DestinationID(a.Dest))
-	if s.rng.Float64() < s.instance.Day.Clients.Leave {
+	if s.rng.Float64() < s.instance.Definition.Clients.CancelShare {
 		s.schedule(s.now+dispatch.Micros(s.rng.Int64N(int64(cl.deadline-s.now))), func() { s.cancelMessage(cl) })
 	}
-	s.schedule(s.now+config.Micros(s.instance.Day.Network.Client/1000), func() { s.submit(cl, s.couriers[a.Courier], false) })
+	s.schedule(s.now+config.Micros(s.instance.Definition.Network.Client/1000), func() { s.submit(cl, s.couriers[a.Courier], false) })
 }
 
 // submit hands a message to a courier. If the courier is dead, or is shutting down while clients can reach
@@ -50,10 +50,10 @@
 	switch {
 	case cl.done || s.now >= cl.deadline:
 		return
-	case !c.alive || c.shuttingDown && s.instance.Day.Fleet.Entry == "front":
-		s.schedule(s.now+s.randomDuration(s.instance.Day.Clients.Again)/4, func() { s.submit(cl, s.retryCourier(c), resubmitted) })
+	case !c.alive || c.shuttingDown && s.instance.Definition.Fleet.ClientRouting == "front":
+		s.schedule(s.now+s.randomDuration(s.instance.Definition.Clients.ResubmitAfter)/4, func() { s.submit(cl, s.retryCourier(c), resubmitted) })
 		return
-	case c.openMessages >= s.instance.Hold: // rejected at the queue limit, before the dispatcher sees it
+	case c.openMessages >= s.instance.QueueLimit: // rejected at the queue limit, before the dispatcher sees it
 		s.resubmitLater(cl, c, 0)
 		return
 	}
@@ -71,7 +71,7 @@
 	if cl.arrival.Key >= 0 {
 		key = dispatch.OrderingKey("k" + strconv.Itoa(int(cl.arrival.Key)))
 	}
-	s.ledger.Taken(s.now, id, cl.id, c.index, key, cl.deadline)
+	s.ledger.Accepted(s.now, id, cl.id, c.index, key, cl.deadline)
 	msg.accepted = dispatch.MessageAccepted{Message: id, Destination: dispatch.DestinationID(cl.arrival.Dest), Class: dispatch.ClassID(cl.arrival.Class),
 		Tenant: dispatch.TenantID(cl.arrival.Tenant), OrderingKey: key, Deadline: cl.deadline, Resubmitted: resubmitted}
 	s.notify(c, msg.accepted)
@@ -80,7 +80,7 @@
 // retryCourier returns the courier to which a client submits next, after courier c was dead, shutting down or
 // rejected the message.
 func (s *Sim) retryCourier(c *courier) *courier {
-	if s.instance.Day.Fleet.Entry == "own" {
+	if s.instance.Definition.Fleet.ClientRouting == "own" {
 		return c
 	}
 	return s.couriers[s.rng.IntN(len(s.couriers))]
@@ -89,12 +89,12 @@
 // resubmitLater submits a rejected message again, after the client's backoff or after the courier's
 // Retry-After.
 func (s *Sim) resubmitLater(cl *client, c *courier, retryAfter dispatch.Micros) {
-	d := s.instance.Day.Clients
+	d := s.instance.Definition.Clients
 	if cl.done || cl.rejections >= d.Retries {
 		return
 	}
 	wait := s.randomDuration(scenario.Range{d.Backoff[0] / 1000, d.Backoff[1] / 1000}) << cl.rejections
-	if retryAfter > 0 && s.rng.Float64() < d.Heed {
+	if retryAfter > 0 && s.rng.Float64() < d.HonorRetryAfterShare {
 		wait = retryAfter
 	}
 	cl.rejections++
--- a/testbed/simulation/courier.go
+++ b/testbed/simulation/courier.go
@@ -87,14 +87,14 @@
 		return
 	}
 	if c.incarnation > 1 {
-		s.ledger.Back(s.now, c.index)
+		s.ledger.CourierUp(s.now, c.index)
 	}
 	s.notify(c, dispatch.EndpointUpdate{Kind: dispatch.CachedList, Entries: sortedEntries(c.knownEntries)})
 	if snapshot, ok := s.snapshots[c.index]; ok {
 		s.notify(c, dispatch.SnapshotRestored{Snapshot: snapshot})
 	}
 	s.recoverSpool(c)
-	if s.instance.Day.Directory.Mode == "push" {
+	if s.instance.Definition.Directory.Mode == "push" {
 		s.directory.fetch(c)
 	}
 }
@@ -150,12 +150,12 @@
 			continue
 		}
 		msg.done = true
-		if class := &s.instance.Day.Classes[msg.client.arrival.Class]; class.Repeat != "single-use" || !s.ledger.MayHaveRun(id) {
-			s.schedule(s.now+s.randomDuration(s.instance.Day.Clients.Again), func() { s.submit(msg.client, s.retryCourier(c), true) })
+		if class := &s.instance.Definition.Classes[msg.client.arrival.Class]; class.Idempotency != "single-use" || !s.ledger.MayHaveRun(id) {
+			s.schedule(s.now+s.randomDuration(s.instance.Definition.Clients.ResubmitAfter), func() { s.submit(msg.client, s.retryCourier(c), true) })
 		}
 	}
 	slices.SortStableFunc(c.spooled, func(a, b *message) int { return cmp.Compare(a.number, b.number) })
-	s.ledger.Down(s.now, c.index, !s.Spool, s.SnapshotInterval == 0) // messages lost, learned state lost
+	s.ledger.CourierDown(s.now, c.index, !s.Spool, s.SnapshotInterval == 0) // messages lost, learned state lost
 }
 
 // recoverSpool hands a restarted courier the messages of its spool.
@@ -186,7 +186,7 @@
 		}
 		att.done, att.past.Outcome = true, dispatch.Broken
 		if !att.call.connected {
-			s.ledger.Settled(s.now, msg.id, att.ledgerNumber, dispatch.Unreachable, 0)
+			s.ledger.AttemptEnded(s.now, msg.id, att.ledgerNumber, dispatch.Unreachable, 0)
 		}
 		return !att.call.connected
 	})
@@ -263,7 +263,7 @@
 			s.cancelAttempt(c, a)
 		case dispatch.Reject:
 			if msg := s.endOpenMessage(c, a.Message, invariants.Rejected); msg != nil {
-				s.resubmitLater(msg.client, c, min(a.RetryAfter, config.Micros(s.instance.Day.Fleet.LongestWait)))
+				s.resubmitLater(msg.client, c, min(a.RetryAfter, config.Micros(s.instance.Definition.Fleet.MaxRetryAfter)))
 			}
 		case dispatch.Fail:
 			if msg := s.endOpenMessage(c, a.Message, invariants.Failed); msg != nil {
@@ -295,7 +295,7 @@
 func (s *Sim) endOpenMessage(c *courier, id dispatch.MessageID, end invariants.End) *message {
 	msg := c.messages[id]
 	if msg == nil || msg.done {
-		s.ledger.Ended(s.now, id, end) // the ledger decides whether this is a breach
+		s.ledger.MessageEnded(s.now, id, end) // the ledger decides whether this is a breach
 		return nil
 	}
 	s.endMessage(msg, end)
@@ -303,7 +303,7 @@
 }
 
 func (s *Sim) endMessage(msg *message, end invariants.End) {
-	s.ledger.Ended(s.now, msg.id, end)
+	s.ledger.MessageEnded(s.now, msg.id, end)
 	s.release(msg)
 }
 
--- a/testbed/simulation/directory.go
+++ b/testbed/simulation/directory.go
@@ -20,7 +20,7 @@
 
 func newDirectory(s *Sim) *directory {
 	d := &directory{sim: s, entries: map[dispatch.EndpointID]dispatch.EndpointEntry{}}
-	for _, entry := range s.instance.List() {
+	for _, entry := range s.instance.InitialEntries() {
 		d.entries[entry.Endpoint] = entry
 	}
 	return d
@@ -33,7 +33,7 @@
 // update changes an entry and sends the change to the couriers. The directory drops it for a courier that
 // does not watch when the change would arrive.
 func (d *directory) update(dest int, e endpointmodel.Endpoint, phase dispatch.Phase) {
-	entry := d.sim.instance.Listing(dest, e.ID, e.Zone, phase)
+	entry := d.sim.instance.Entry(dest, e.ID, e.Zone, phase)
 	if phase == dispatch.Removed {
 		delete(d.entries, e.ID)
 	} else {
@@ -51,7 +51,7 @@
 		return
 	}
 	s, incarnation := d.sim, c.incarnation
-	c.lastChangeArrivesAt = max(c.lastChangeArrivesAt, s.now+s.randomDuration(s.instance.Day.Directory.Notice))
+	c.lastChangeArrivesAt = max(c.lastChangeArrivesAt, s.now+s.randomDuration(s.instance.Definition.Directory.ChangeDelay))
 	s.schedule(c.lastChangeArrivesAt, func() {
 		switch {
 		case c.incarnation != incarnation || !c.alive || !c.watching:
@@ -76,11 +76,11 @@
 		} else {
 			c.knownEntries[entry.Endpoint] = entry
 		}
-		s.ledger.Notified(s.now, c.index, entry.Endpoint, entry.Phase)
+		s.ledger.EndpointNotified(s.now, c.index, entry.Endpoint, entry.Phase)
 	}
 	for id := range before { // an endpoint that is missing from a complete list was removed
 		if _, listed := c.knownEntries[id]; !listed {
-			s.ledger.Notified(s.now, c.index, id, dispatch.Removed)
+			s.ledger.EndpointNotified(s.now, c.index, id, dispatch.Removed)
 		}
 	}
 	s.notify(c, dispatch.EndpointUpdate{Kind: kind, Entries: entries})
@@ -89,11 +89,11 @@
 // fetch sends the complete list to a courier that requested it, or that starts in push mode.
 func (d *directory) fetch(c *courier) {
 	s, incarnation := d.sim, c.incarnation
-	r := s.instance.Day.Directory.Call
+	r := s.instance.Definition.Directory.ListTime
 	s.schedule(s.now+s.randomDuration(scenario.Range{r[0] / 1000, r[1] / 1000}), func() {
 		switch {
 		case c.incarnation != incarnation || !c.alive:
-		case d.down && s.instance.Day.Directory.Mode == "ask":
+		case d.down && s.instance.Definition.Directory.Mode == "ask":
 			s.notify(c, dispatch.EndpointUpdate{Kind: dispatch.ListFailed})
 		case d.down:
 			d.pending = append(d.pending, func() { d.fetch(c) })
@@ -108,7 +108,7 @@
 // updates wait until it is up again.
 func (d *directory) goDown() {
 	d.down = true
-	if d.sim.instance.Day.Directory.Mode != "ask" {
+	if d.sim.instance.Definition.Directory.Mode != "ask" {
 		return
 	}
 	for _, c := range d.sim.couriers {
--- a/testbed/simulation/restarts_test.go
+++ b/testbed/simulation/restarts_test.go
@@ -9,7 +9,7 @@
 )
 
 // readScenario reads a scenario from testdata.
-func readScenario(t *testing.T, name string) *scenario.Day {
+func readScenario(t *testing.T, name string) *scenario.Definition {
 	t.Helper()
 	file := "testdata/" + name + ".toml"
 	text, err := os.ReadFile(file)
--- a/testbed/simulation/returns_test.go
+++ b/testbed/simulation/returns_test.go
@@ -73,16 +73,16 @@
 // count adds a call during the ramp after an outage, and keeps the window with the highest load.
 func (r *routeLoad) count(now dispatch.Micros, courier int) {
 	plan := &r.plan.Plan
-	if r.outageStart == 0 || now < r.outageEnd || now >= r.outageEnd+plan.Ramp {
+	if r.outageStart == 0 || now < r.outageEnd || now >= r.outageEnd+plan.SlowStart {
 		return
 	}
 	r.recentCalls = append(r.recentCalls, fleetCall{now, courier, r.informed[courier]})
-	for now-r.recentCalls[0].at > plan.FallSpan {
+	for now-r.recentCalls[0].at > plan.OverloadWindow {
 		r.recentCalls = r.recentCalls[1:]
 	}
-	warmShare := plan.ColdFrom + (1-plan.ColdFrom)*float64(now-r.outageEnd)/float64(plan.Ramp)
+	warmShare := plan.SlowStartInitialShare + (1-plan.SlowStartInitialShare)*float64(now-r.outageEnd)/float64(plan.SlowStart)
 	capacity := plan.Capacity() * float64(r.endpoints) * warmShare
-	allowed := plan.Fall * capacity * float64(plan.FallSpan) / 1e6
+	allowed := plan.OverloadFactor * capacity * float64(plan.OverloadWindow) / 1e6
 	load := windowLoad{calls: len(r.recentCalls), sinceRecovery: now - r.outageEnd, budget: overloadBudget(allowed)}
 	for _, c := range r.recentCalls {
 		if c.informed {
@@ -110,25 +110,25 @@
 }
 
 // newSlowStartCounter returns a counter for a scenario in which each route has at most one outage.
-func newSlowStartCounter(instance *scenario.Drawn, host Host) *slowStartCounter {
+func newSlowStartCounter(instance *scenario.Instance, host Host) *slowStartCounter {
 	c := &slowStartCounter{Host: host, routes: map[dispatch.EndpointID]*routeLoad{},
 		attempts: map[int]map[dispatch.MessageID][]dispatch.EndpointID{}}
 	for i := range instance.Destinations {
 		d := &instance.Destinations[i]
 		var route *routeLoad
 		for _, e := range d.Endpoints {
-			if route == nil || d.Apart {
+			if route == nil || d.SeparateRoutes {
 				route = &routeLoad{plan: d, informed: map[int]bool{}}
 			}
 			route.endpoints++
 			c.routes[e.ID] = route
 		}
 	}
-	for _, a := range instance.Acts {
+	for _, a := range instance.Events {
 		switch a.Kind {
-		case scenario.Begins:
+		case scenario.FaultBegins:
 			c.routes[a.Endpoint.ID].outageStart = a.At
-		case scenario.Ends:
+		case scenario.FaultEnds:
 			c.routes[a.Endpoint.ID].outageEnd = a.At
 		}
 	}
@@ -201,12 +201,12 @@
 
 // recoveryScenario returns the scenario testdata/returns.toml with the given number of couriers and recovery
 // settings, and with the kind of outage for the seed.
-func recoveryScenario(t *testing.T, seed int64, couriers int, rules recoverySettings) *scenario.Drawn {
+func recoveryScenario(t *testing.T, seed int64, couriers int, rules recoverySettings) *scenario.Instance {
 	t.Helper()
 	d := readScenario(t, "returns")
 	d.Fleet.Couriers = couriers
-	d.Rules.ColdFrom, d.Rules.Fall, d.Rules.FallSpan = rules.coldShare, rules.overloadFactor, rules.overloadWindow
-	outage := &d.Troubles[0]
+	d.Rules.SlowStartInitialShare, d.Rules.OverloadFactor, d.Rules.OverloadWindow = rules.coldShare, rules.overloadFactor, rules.overloadWindow
+	outage := &d.Faults[0]
 	if outage.Kind = outageKind(seed); outage.Kind == "errors" {
 		outage.Size = scenario.Range{1, 1}
 	}
@@ -217,11 +217,11 @@
 
 // withoutOverload returns the same scenario with destinations that no load can overload, so that each
 // recovery is counted to its end.
-func withoutOverload(instance *scenario.Drawn) *scenario.Drawn {
+func withoutOverload(instance *scenario.Instance) *scenario.Instance {
 	result := *instance
 	result.Destinations = slices.Clone(instance.Destinations)
 	for i := range result.Destinations {
-		result.Destinations[i].Fall = 0
+		result.Destinations[i].OverloadFactor = 0
 	}
 	return &result
 }
--- a/testbed/simulation/simulation.go
+++ b/testbed/simulation/simulation.go
@@ -26,7 +26,7 @@
 
 // Sim is a simulation in progress.
 type Sim struct {
-	instance     *scenario.Drawn
+	instance     *scenario.Instance
 	ledger       *invariants.Ledger
 	host         Host
 	rng          *rand.Rand
@@ -50,7 +50,7 @@
 
 // destination is a destination model and the time of its next scheduled step.
 type destination struct {
-	*endpointmodel.Partner
+	*endpointmodel.Destination
 	dueAt dispatch.Micros
 }
 
@@ -78,13 +78,13 @@
 
 // Play runs a scenario and returns the verdict on it. A panic of a courier's dispatcher is part of the
 // verdict; an error means that the host or the configuration failed.
-func Play(instance *scenario.Drawn, host Host, o Options) (*invariants.Verdict, Stats, error) {
-	setup := invariants.ForDay(instance)
+func Play(instance *scenario.Instance, host Host, o Options) (*invariants.Verdict, Stats, error) {
+	setup := invariants.SetupFor(instance)
 	if o.Spool { // messages whose deadlines pass while a courier is down are answered in its first step after the restart
-		setup.Excused = config.Micros(instance.Day.Fleet.Tick/1000) + setup.AnswerSlack
+		setup.RestartGrace = config.Micros(instance.Definition.Fleet.Tick/1000) + setup.AnswerGrace
 	}
 	s := &Sim{instance: instance, ledger: invariants.New(setup), host: host, rng: rand.New(rand.NewPCG(uint64(instance.Seed), 77)),
-		tickLength: config.Micros(instance.Day.Fleet.Tick / 1000), endpoints: map[dispatch.EndpointID]*endpointRecord{}, stepsDue: map[dispatch.Micros][]*courier{},
+		tickLength: config.Micros(instance.Definition.Fleet.Tick / 1000), endpoints: map[dispatch.EndpointID]*endpointRecord{}, stepsDue: map[dispatch.Micros][]*courier{},
 		inFlight: map[uint64]*call{}, snapshots: map[int]dispatch.Snapshot{}, Options: o}
 	s.directory = newDirectory(s)
 	for i := range instance.Destinations {
@@ -94,12 +94,12 @@
 			s.endpoints[e.ID] = &endpointRecord{i, e, p.Route(e.ID)}
 		}
 	}
-	for i := range instance.Day.Fleet.Couriers {
+	for i := range instance.Definition.Fleet.Couriers {
 		c := &courier{sim: s, index: i, zone: instance.CourierZone[i], knownEntries: s.directory.snapshot()}
 		s.couriers = append(s.couriers, c)
 		s.startCourier(c)
 	}
-	for _, a := range instance.Acts {
+	for _, a := range instance.Events {
 		s.schedule(a.At, func() { s.applyEvent(a) })
 	}
 	s.scheduleArrival(0)
@@ -111,7 +111,7 @@
 			s.schedule(o.SnapshotInterval*dispatch.Micros(i)/dispatch.Micros(len(s.couriers)), func() { s.snapshotPeriodically(c) })
 		}
 	}
-	for s.err == nil && len(s.queue) > 0 && s.queue[0].at <= instance.End {
+	for s.err == nil && len(s.queue) > 0 && s.queue[0].at <= instance.EndsAt {
 		e := heap.Pop(&s.queue).(event)
 		s.now = e.at
 		s.stats.Events++
@@ -119,10 +119,10 @@
 	}
 	var courierFault *CourierFault
 	if errors.As(s.err, &courierFault) {
-		s.ledger.Crashed(s.now, courierFault.Courier, courierFault.Text)
+		s.ledger.CourierCrashed(s.now, courierFault.Courier, courierFault.Text)
 		s.err = nil
 	}
-	return s.ledger.Finish(instance.End), s.stats, s.err
+	return s.ledger.Finish(instance.EndsAt), s.stats, s.err
 }
 
 // snapshotPeriodically saves a courier's snapshot now and every SnapshotInterval.
@@ -141,7 +141,7 @@
 
 func (s *Sim) watchPeriodically() {
 	s.Watch(s.now)
-	s.schedule(s.now+invariants.Bin, s.watchPeriodically)
+	s.schedule(s.now+invariants.BinLength, s.watchPeriodically)
 }
 
 // schedule runs a function at a virtual time.
@@ -151,34 +151,34 @@
 }
 
 // applyEvent applies an event of the scenario.
-func (s *Sim) applyEvent(a scenario.Act) {
+func (s *Sim) applyEvent(a scenario.Event) {
 	switch a.Kind {
-	case scenario.Begins:
-		s.handleOutputs(a.Dest, s.destinations[a.Dest].Inject(s.now, a.Endpoint.ID, a.Fault))
-	case scenario.Ends:
-		s.handleOutputs(a.Dest, s.destinations[a.Dest].Heal(s.now, a.Endpoint.ID, a.Fault.ID))
-	case scenario.Adds:
+	case scenario.FaultBegins:
+		s.handleOutputs(a.Dest, s.destinations[a.Dest].StartFault(s.now, a.Endpoint.ID, a.Fault))
+	case scenario.FaultEnds:
+		s.handleOutputs(a.Dest, s.destinations[a.Dest].EndFault(s.now, a.Endpoint.ID, a.Fault.ID))
+	case scenario.EndpointAdded:
 		s.destinations[a.Dest].Add(a.Endpoint)
 		s.endpoints[a.Endpoint.ID] = &endpointRecord{a.Dest, a.Endpoint, s.destinations[a.Dest].Route(a.Endpoint.ID)}
 		s.directory.update(a.Dest, a.Endpoint, dispatch.InService)
-	case scenario.Drains:
+	case scenario.EndpointDraining:
 		s.directory.update(a.Dest, a.Endpoint, dispatch.Draining)
-	case scenario.Removes:
+	case scenario.EndpointRemoved:
 		s.handleOutputs(a.Dest, s.destinations[a.Dest].Remove(s.now, a.Endpoint.ID))
 		s.directory.update(a.Dest, a.Endpoint, dispatch.Removed)
-	case scenario.Kills:
+	case scenario.CourierKilled:
 		s.killCourier(s.couriers[a.Courier])
-	case scenario.Asks:
-		s.announceShutdown(s.couriers[a.Courier], a.Span)
-	case scenario.Starts:
+	case scenario.CourierStopRequested:
+		s.announceShutdown(s.couriers[a.Courier], a.Duration)
+	case scenario.CourierStarted:
 		s.startCourier(s.couriers[a.Courier])
-	case scenario.Stands:
+	case scenario.CourierPaused:
 		c := s.couriers[a.Courier]
-		c.pausedUntil = max(c.pausedUntil, s.now+a.Span)
-		s.ledger.Stood(s.now, c.index, c.pausedUntil+s.tickLength)
-	case scenario.ListDown:
+		c.pausedUntil = max(c.pausedUntil, s.now+a.Duration)
+		s.ledger.CourierPaused(s.now, c.index, c.pausedUntil+s.tickLength)
+	case scenario.DirectoryDown:
 		s.directory.goDown()
-	case scenario.ListUp:
+	case scenario.DirectoryUp:
 		s.directory.comeUp()
 	}
 }
@@ -189,16 +189,16 @@
 		switch o := o.(type) {
 		case endpointmodel.Answer:
 			s.receiveAnswer(o)
-		case endpointmodel.Ran:
-			s.ledger.Ran(s.now, o.Item.Message, o.Endpoint, o.Before, o.Known)
-		case endpointmodel.Fell:
-			s.ledger.Fell(s.now, dispatch.DestinationID(dest), o.Route, o.Sent)
-		case endpointmodel.Turned:
-			s.ledger.Turned(s.now, dispatch.DestinationID(dest), o.Route, o.Phase == endpointmodel.Out)
+		case endpointmodel.Effect:
+			s.ledger.EffectOccurred(s.now, o.Item.Message, o.Endpoint, o.EarlierEffects, o.Deduplicated)
+		case endpointmodel.RouteOverloaded:
+			s.ledger.RouteOverloaded(s.now, dispatch.DestinationID(dest), o.Route, o.Sent)
+		case endpointmodel.PhaseChanged:
+			s.ledger.RouteChanged(s.now, dispatch.DestinationID(dest), o.Route, o.Phase == endpointmodel.Outage)
 		}
 	}
 	p := s.destinations[dest]
-	if due := p.Due(); due < p.dueAt {
+	if due := p.NextDue(); due < p.dueAt {
 		p.dueAt = due
 		s.schedule(due, func() { s.stepDestination(dest, due) })
 	}
@@ -215,9 +215,9 @@
 
 // latency returns a random one-way network latency between two zones.
 func (s *Sim) latency(a, b dispatch.ZoneID) dispatch.Micros {
-	r := s.instance.Day.Network.Same
+	r := s.instance.Definition.Network.SameZone
 	if a != b {
-		r = s.instance.Day.Network.Cross
+		r = s.instance.Definition.Network.CrossZone
 	}
 	return config.Micros((r[0] + (r[1]-r[0])*s.rng.Float64()) / 1000)
 }
--- a/testbed/simulation/wrong_test.go
+++ b/testbed/simulation/wrong_test.go
@@ -73,7 +73,7 @@
 		rule           invariants.Rule
 		modify         modify
 	}{
-		{"resends a single-use message that may have run", "acts-then-hangs", invariants.Twice,
+		{"resends a single-use message that may have run", "acts-then-hangs", invariants.NoDuplicateEffect,
 			func(f *faultyDecider, _ dispatch.Micros, events []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 				for _, e := range events {
 					s, ok := e.(dispatch.AttemptFinished)
@@ -85,7 +85,7 @@
 				}
 				return actions
 			}},
-		{"rejects messages that may have run", "acts-then-hangs", invariants.Twice,
+		{"rejects messages that may have run", "acts-then-hangs", invariants.NoDuplicateEffect,
 			func(_ *faultyDecider, _ dispatch.Micros, _ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 				for i, a := range actions {
 					if end, ok := a.(dispatch.Fail); ok {
@@ -94,7 +94,7 @@
 				}
 				return actions
 			}},
-		{"sends before Retry-After has passed", "shrunk-limits", invariants.Waits,
+		{"sends before Retry-After has passed", "shrunk-limits", invariants.WaitRespected,
 			func(f *faultyDecider, now dispatch.Micros, events []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 				for _, e := range events {
 					// Sends more than 10 ms before the end of a wait from Retry-After.
@@ -104,7 +104,7 @@
 				}
 				return actions
 			}},
-		{"sends to draining endpoints", "moving-house", invariants.Drain,
+		{"sends to draining endpoints", "moving-house", invariants.DrainRespected,
 			func(f *faultyDecider, _ dispatch.Micros, _ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 				for i, a := range actions {
 					if send, ok := a.(dispatch.Send); ok {
@@ -117,7 +117,7 @@
 				}
 				return actions
 			}},
-		{"omits final answers", "acts-then-hangs", invariants.Final,
+		{"omits final answers", "acts-then-hangs", invariants.FinalAnswer,
 			func(_ *faultyDecider, _ dispatch.Micros, _ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 				var kept []dispatch.Action
 				for _, a := range actions {
@@ -127,7 +127,7 @@
 				}
 				return kept
 			}},
-		{"answers a message twice", "silent-and-cold", invariants.Final,
+		{"answers a message twice", "silent-and-cold", invariants.FinalAnswer,
 			func(_ *faultyDecider, _ dispatch.Micros, _ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 				for _, a := range actions {
 					if b, ok := a.(dispatch.Reject); ok {
@@ -136,7 +136,7 @@
 				}
 				return actions
 			}},
-		{"sends a message after its final answer", "calm", invariants.Final,
+		{"sends a message after its final answer", "calm", invariants.FinalAnswer,
 			func(f *faultyDecider, _ dispatch.Micros, _ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 				if n := len(f.ended); n > 0 {
 					id := f.ended[n-1]
@@ -160,8 +160,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if v.Broken[c.rule] == 0 || v.Figure != 0 {
-				t.Errorf("breach not detected, or score not zero: %s, score %v", v.Short(), v.Figure)
+			if v.BreachCounts[c.rule] == 0 || v.Score != 0 {
+				t.Errorf("breach not detected, or score not zero: %s, score %v", v.Short(), v.Score)
 			}
 		})
 	}
@@ -205,20 +205,20 @@
 // violation of key order are reported. The couriers get many slots and attempts, and destinations a low
 // overload factor.
 func TestEagerDeciderBreaksSlowStartAndOrder(t *testing.T) {
-	for name, rule := range map[string]invariants.Rule{"silent-and-cold": invariants.Pushed, "in-order": invariants.Order} {
+	for name, rule := range map[string]invariants.Rule{"silent-and-cold": invariants.NoRecoveryOverload, "in-order": invariants.KeyOrder} {
 		d := findScenario(t, name)
-		d.Fleet.SlotsRoom, d.Fleet.MaxAttempts = 50, 100
-		d.Rules.Fall = 1.2
+		d.Fleet.SlotsFactor, d.Fleet.MaxAttempts = 50, 100
+		d.Rules.OverloadFactor = 1.2
 		v, _, err := Play(scenario.Draw(d, 1), NewLocal(func(_ int, cfg dispatch.Config) Decider {
 			return &eagerDecider{config: cfg, endpoints: map[dispatch.DestinationID][]dispatch.EndpointID{}, accepted: map[dispatch.MessageID]dispatch.MessageAccepted{}}
 		}), Options{})
-		if err != nil || v.Broken[rule] == 0 {
+		if err != nil || v.BreachCounts[rule] == 0 {
 			t.Errorf("%s: %v, %s", name, err, v.Short())
 		}
 	}
 }
 
-func findScenario(t *testing.T, name string) *scenario.Day {
+func findScenario(t *testing.T, name string) *scenario.Definition {
 	t.Helper()
 	d, err := scenario.Find(name)
 	if err != nil {
--- a/testbed/soak/clients.go
+++ b/testbed/soak/clients.go
@@ -102,7 +102,7 @@
 	defer c.mu.Unlock()
 	res.Accepted, res.Rejected, res.Unanswered = len(c.accepted), len(c.rejected), c.unanswered
 	for _, id := range c.accepted {
-		callsStarted, deliveries, notices := r.standIns.Seen(id)
+		callsStarted, deliveries, notices := r.standIns.MessageCalls(id)
 		if deliveries > 0 {
 			res.Delivered++
 		} else if len(notices) > 0 {
@@ -116,7 +116,7 @@
 		}
 	}
 	for _, id := range c.rejected {
-		if callsStarted, _, _ := r.standIns.Seen(id); callsStarted > 0 && strings.HasPrefix(id, "order") {
+		if callsStarted, _, _ := r.standIns.MessageCalls(id); callsStarted > 0 && strings.HasPrefix(id, "order") {
 			res.Breaches = append(res.Breaches, fmt.Sprintf("rejected, but an endpoint received the message: %s", id))
 		}
 	}
--- a/testbed/soak/play.go
+++ b/testbed/soak/play.go
@@ -125,7 +125,7 @@
 		return err
 	}
 	rng, lock := rand.New(rand.NewSource(seed)), sync.Mutex{}
-	standIns, err := scripted.Open(endpoints, func(string) scripted.Fate { return drawResponse(rng, r.plan.endpointFaultRate) })
+	standIns, err := scripted.Open(endpoints, func(string) scripted.Response { return drawResponse(rng, r.plan.endpointFaultRate) })
 	if err != nil {
 		return err
 	}
@@ -149,7 +149,7 @@
 	}
 	release()
 	r.address = address
-	if err := os.WriteFile(filepath.Join(r.dir, "config.json"), standIns.Configuration(fmt.Sprintf("soak-%d", r.options.Seed), address), 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(r.dir, "config.json"), standIns.CourierConfiguration(fmt.Sprintf("soak-%d", r.options.Seed), address), 0o644); err != nil {
 		return err
 	}
 	r.log, err = os.Create(filepath.Join(r.dir, "log"))
@@ -157,12 +157,12 @@
 }
 
 // drawFate draws how an endpoint treats a call.
-func drawResponse(rng *rand.Rand, faultRate float64) scripted.Fate {
+func drawResponse(rng *rand.Rand, faultRate float64) scripted.Response {
 	work := time.Duration(5+rng.Intn(60)) * time.Millisecond
 	if rng.Float64() >= faultRate {
-		return scripted.Fate{Status: 200, After: work}
+		return scripted.Response{Status: 200, Delay: work}
 	}
-	responses := []scripted.Fate{{Status: 503}, {Status: 429, WaitMs: 100 + rng.Intn(700)}, {Status: 500, After: work}, {Status: 0, After: work}, {Status: 200, After: 1500 * time.Millisecond}}
+	responses := []scripted.Response{{Status: 503}, {Status: 429, BackoffMs: 100 + rng.Intn(700)}, {Status: 500, Delay: work}, {Status: 0, Delay: work}, {Status: 200, Delay: 1500 * time.Millisecond}}
 	return responses[rng.Intn(len(responses))]
 }
 
@@ -383,7 +383,7 @@
 	for _, id := range r.clients.acceptedIDs() {
 		for !r.hasOutcome(id) {
 			if time.Now().After(deadline) {
-				callsStarted, _, _ := r.standIns.Seen(id)
+				callsStarted, _, _ := r.standIns.MessageCalls(id)
 				r.reportBreach("no final answer for accepted message %s; %d attempts reached an endpoint", id, callsStarted)
 				break
 			}
@@ -393,7 +393,7 @@
 }
 
 func (r *run) hasOutcome(id string) bool {
-	_, deliveries, notices := r.standIns.Seen(id)
+	_, deliveries, notices := r.standIns.MessageCalls(id)
 	return deliveries > 0 || len(notices) > 0
 }
 
--- a/testbed/soak/soak_test.go
+++ b/testbed/soak/soak_test.go
@@ -39,7 +39,7 @@
 // received the message, and a request without an answer.
 func TestCheckReportsBreaches(t *testing.T) {
 	status := 200
-	standIns, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: status} })
+	standIns, err := scripted.Open(1, func(string) scripted.Response { return scripted.Response{Status: status} })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/testbed/wirehost/host_test.go
+++ b/testbed/wirehost/host_test.go
@@ -40,8 +40,8 @@
 		if err := host.Close(); err != nil {
 			t.Error(err)
 		}
-		if !reflect.DeepEqual(here.Counts, there.Counts) || here.Figure != there.Figure {
-			t.Errorf("%s: %v %+v here, %v %+v over the wire", name, here.Figure, here.Counts, there.Figure, there.Counts)
+		if !reflect.DeepEqual(here.Counts, there.Counts) || here.Score != there.Score {
+			t.Errorf("%s: %v %+v here, %v %+v over the wire", name, here.Score, here.Counts, there.Score, there.Counts)
 		}
 	}
 }
