--- a/cmd/pineport-testbed/fleet.go
+++ b/cmd/pineport-testbed/fleet.go
@@ -44,7 +44,7 @@
 		Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if f.list || len(args) == 0 {
-				for _, name := range fleet.Days() {
+				for _, name := range fleet.PlanNames() {
 					p, err := fleet.Find(name)
 					if err != nil {
 						return err
@@ -83,7 +83,7 @@
 		return err
 	}
 	defer clean()
-	o := fleet.Options{Binary: binary, Dir: f.dir, Seed: f.seed, Peers: !f.noMembership, Share: f.shareQuotas && !f.noMembership, Pace: f.probeInterval}
+	o := fleet.Options{Binary: binary, Dir: f.dir, Seed: f.seed, Membership: !f.noMembership, Share: f.shareQuotas && !f.noMembership, ProbeInterval: f.probeInterval}
 	if f.trace != "" {
 		file, err := os.Create(f.trace)
 		if err != nil {
@@ -107,11 +107,11 @@
 		if err := os.WriteFile(filepath.Join(f.out, "fleet.json"), text, 0o644); err != nil {
 			return err
 		}
-		if _, err := report.DrawScenario(f.out, res.Drawn, res.Verdict); err != nil {
+		if _, err := report.DrawScenario(f.out, res.Instance, res.Verdict); err != nil {
 			return err
 		}
-		if len(res.Parts) > 0 {
-			if _, err := report.DrawLeases(f.out, res.Parts); err != nil {
+		if len(res.LeaseHistory) > 0 {
+			if _, err := report.DrawLeases(f.out, res.LeaseHistory); err != nil {
 				return err
 			}
 		}
@@ -123,7 +123,7 @@
 	}
 	// Beyond the verdict, the run fails if a fault was never triggered or a quota was exceeded, or, with membership, if the couriers did not all
 	// know each other at the end or a courier underestimated the fleet size.
-	if !res.Verdict.OK() || res.Verdict.InvalidReason != "" || len(res.Idle) > 0 || len(res.Overspent) > 0 || o.Peers && (!res.Whole || res.Fewer > 0) {
+	if !res.Verdict.OK() || res.Verdict.InvalidReason != "" || len(res.FaultsWithoutEffect) > 0 || len(res.LeaseBreaches) > 0 || o.Membership && (!res.Converged || res.UnderestimatePolls > 0) {
 		return errRunFailed
 	}
 	return nil
@@ -143,25 +143,25 @@
 				stat.Quantile(0.99, stat.Empirical, all, nil), all[len(all)-1], len(all))
 		}
 	}
-	printDurations("failure detected after", res.Deaths)
-	printDurations("recovery detected after", res.Returns)
-	for _, k := range slices.Sorted(maps.Keys(res.False)) {
-		fmt.Fprintf(w, "false failure detections, %s\t%d (%.1f per process-hour)\n", k, res.False[k], float64(res.False[k])/res.Hours)
+	printDurations("failure detected after", res.FailureDetections)
+	printDurations("recovery detected after", res.ReturnDetections)
+	for _, k := range slices.Sorted(maps.Keys(res.FalseFailures)) {
+		fmt.Fprintf(w, "false failure detections, %s\t%d (%.1f per process-hour)\n", k, res.FalseFailures[k], float64(res.FalseFailures[k])/res.CourierHours)
 	}
-	fmt.Fprintf(w, "fleet size underestimated\tby a courier in %d samples\n", res.Fewer)
-	fmt.Fprintf(w, "membership complete at the end\t%v; if so, %.1f s after the last fault\n", res.Whole, res.Healed)
-	fmt.Fprintf(w, "each courier\tmembership %.1f packets/s, %.0f bytes/s; highest peak memory %.1f MB\n", res.Messages, res.Bytes, float64(res.Cost.MaxRSS)/1024)
+	fmt.Fprintf(w, "fleet size underestimated\tby a courier in %d samples\n", res.UnderestimatePolls)
+	fmt.Fprintf(w, "membership complete at the end\t%v; if so, %.1f s after the last fault\n", res.Converged, res.ConvergenceTime)
+	fmt.Fprintf(w, "each courier\tmembership %.1f packets/s, %.0f bytes/s; highest peak memory %.1f MB\n", res.GossipPacketsPerSec, res.GossipBytesPerSec, float64(res.Cost.MaxRSS)/1024)
 	fmt.Fprintf(w, "attempts\t%d, throttled %d; %.3f throttled per delivered message\n", v.Counts.Attempts, v.Counts.Throttled, float64(v.Counts.Throttled)/float64(max(1, v.Counts.Delivered)))
-	if res.Packets > 0 {
-		fmt.Fprintf(w, "quota sharing\t%d leases observed, the largest %.2f of a base quota share; %.1f packets/s, %.0f bytes/s per courier\n", res.Leases, res.Widest, res.Packets, res.ShareBytes)
+	if res.QuotaPacketsPerSec > 0 {
+		fmt.Fprintf(w, "quota sharing\t%d leases observed, the largest %.2f of a base quota share; %.1f packets/s, %.0f bytes/s per courier\n", res.LeaseCount, res.LargestLeasedShare, res.QuotaPacketsPerSec, res.QuotaBytesPerSec)
 	}
-	for _, b := range res.Overspent {
+	for _, b := range res.LeaseBreaches {
 		fmt.Fprintf(w, "overspent\t%s\n", b)
 	}
-	for _, k := range slices.Sorted(maps.Keys(res.Struck)) {
-		fmt.Fprintf(w, "fault triggered: %s\t%d\n", k, res.Struck[k])
+	for _, k := range slices.Sorted(maps.Keys(res.FaultCounts)) {
+		fmt.Fprintf(w, "fault triggered: %s\t%d\n", k, res.FaultCounts[k])
 	}
-	for _, fault := range res.Idle {
+	for _, fault := range res.FaultsWithoutEffect {
 		fmt.Fprintf(w, "fault not triggered\t%s\n", fault)
 	}
 	w.Flush()
--- a/cmd/pineport-testbed/play.go
+++ b/cmd/pineport-testbed/play.go
@@ -191,8 +191,8 @@
 	if n.RouteOverloads > 0 {
 		fmt.Fprintf(w, "failed recoveries\t%d recovering endpoints overloaded again\n", n.RouteOverloads)
 	}
-	if c.Stats.Turns > 0 {
-		fmt.Fprintf(w, "simulation\t%d events in %d steps of the decision logic, %.2f s wall time\n", c.Stats.Events, c.Stats.Turns, c.Wall)
+	if c.Stats.Steps > 0 {
+		fmt.Fprintf(w, "simulation\t%d events in %d steps of the decision logic, %.2f s wall time\n", c.Stats.Events, c.Stats.Steps, c.Wall)
 	}
 	if l := c.Live; l != nil {
 		fmt.Fprintf(w, "cost\t%.1f s wall time; CPU: couriers %.2f s, testbed %.2f s; highest peak memory of a courier %.1f MB; restarts %d, reloads %d\n", l.Wall,
--- a/cmd/pineport-testbed/soak.go
+++ b/cmd/pineport-testbed/soak.go
@@ -116,17 +116,17 @@
 	triggered, notTriggered, violating, accepted := map[string]int{}, map[string]int{}, 0, 0
 	for _, r := range results {
 		accepted += r.Accepted
-		for fault, n := range r.Struck {
+		for fault, n := range r.FaultCounts {
 			triggered[fault] += n
 		}
-		for _, fault := range r.NotStruck {
+		for _, fault := range r.FaultsWithoutEffect {
 			notTriggered[fault]++
 		}
 		if len(r.Breaches) == 0 {
 			continue
 		}
 		violating++
-		fmt.Fprintf(out, "seed %d: log and timeline in %s\n  repeat with: pineport-testbed soak --seeds 1 --from %d --seconds %g\n", r.Seed, r.Folder, r.Seed, f.seconds)
+		fmt.Fprintf(out, "seed %d: log and timeline in %s\n  repeat with: pineport-testbed soak --seeds 1 --from %d --seconds %g\n", r.Seed, r.Dir, r.Seed, f.seconds)
 		for _, breach := range r.Breaches {
 			fmt.Fprintf(out, "  %s\n", breach)
 		}
--- a/cmd/pineport/compat_test.go
+++ b/cmd/pineport/compat_test.go
@@ -185,7 +185,7 @@
 	}
 	t.Cleanup(world.Close)
 	for _, destination := range []int{downDestination, throttledDestination, failingDestination} {
-		if err := world.Grow(destination); err != nil {
+		if err := world.AddEndpoint(destination); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -194,7 +194,7 @@
 }
 
 // fate decides how a call ends.
-func (f *filling) fate(id string) scripted.Fate {
+func (f *filling) fate(id string) scripted.Response {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	kind, _, _ := strings.Cut(id, "-")
@@ -203,20 +203,20 @@
 			f.waited = time.Since(f.waitFrom)
 		}
 		f.begun = append(f.begun, id)
-		return scripted.Fate{Status: http.StatusOK, After: quickCall}
+		return scripted.Response{Status: http.StatusOK, Delay: quickCall}
 	}
 	switch kind {
 	case kindFailed, kindUnconfirmed:
-		return scripted.Fate{Status: http.StatusInternalServerError}
+		return scripted.Response{Status: http.StatusInternalServerError}
 	case kindTried, kindParked, kindRejected:
-		return scripted.Fate{Status: 0}
+		return scripted.Response{Status: 0}
 	case kindThrottled, kindDeferred:
 		f.waitFrom = time.Now()
-		return scripted.Fate{Status: http.StatusTooManyRequests, WaitMs: retryAfterMs}
+		return scripted.Response{Status: http.StatusTooManyRequests, BackoffMs: retryAfterMs}
 	case kindInFlight, kindBehind:
-		return scripted.Fate{Status: http.StatusOK, After: hangingCall}
+		return scripted.Response{Status: http.StatusOK, Delay: hangingCall}
 	}
-	return scripted.Fate{Status: http.StatusOK, After: quickCall}
+	return scripted.Response{Status: http.StatusOK, Delay: quickCall}
 }
 
 // configure gives a courier the classes of a filling, and a fleet of its own.
@@ -266,7 +266,7 @@
 
 // ends returns how often a message has had a final answer: delivered, or a notice.
 func (f *filling) ends(id string) (delivered, notices int) {
-	_, delivered, seen := f.world.Seen(id)
+	_, delivered, seen := f.world.MessageCalls(id)
 	return delivered, len(seen)
 }
 
@@ -440,7 +440,7 @@
 	t.Helper()
 	dir := filepath.Join(c.dir, "state")
 	f.send(c, kindRejected, "update", downDestination, 2, 1)
-	f.world.MuteNotices(1 << 30)
+	f.world.LeaveNoticesUnanswered(1 << 30)
 	f.send(c, kindUnconfirmed, "order", failingDestination, 3, usualDeadlineMs)
 	f.send(c, kindDeferred, "update", throttledDestination, 3, shortDeadlineMs)
 	has := func(wanted ...string) func() bool {
@@ -630,7 +630,7 @@
 }
 
 func (f *filling) seen(id string) seenEnds {
-	begun, delivered, notices := f.world.Seen(id)
+	begun, delivered, notices := f.world.MessageCalls(id)
 	return seenEnds{begun, delivered, strings.Join(notices, " ")}
 }
 
@@ -643,7 +643,7 @@
 		before[id] = f.seen(id)
 	}
 	callsBefore := f.world.Calls(disabledEndpoint)
-	f.world.MuteNotices(0)
+	f.world.LeaveNoticesUnanswered(0)
 	f.healed.Store(true)
 	c.binary = by.program
 	c.start()
@@ -833,7 +833,7 @@
 	dir := t.TempDir()
 	f := newFilling(t)
 	c := newCourier(t, f.world)
-	plain := string(f.world.Configuration("n0", c.listen))
+	plain := string(f.world.CourierConfiguration("n0", c.listen))
 	f.configure(c)
 	full, err := os.ReadFile(filepath.Join(c.dir, "config.json"))
 	if err != nil {
@@ -1182,7 +1182,7 @@
 func checkOneEnd(t *testing.T, world *scripted.World, ids []string) {
 	t.Helper()
 	for _, id := range ids {
-		if begun, delivered, notices := world.Seen(id); delivered+len(notices) != 1 {
+		if begun, delivered, notices := world.MessageCalls(id); delivered+len(notices) != 1 {
 			t.Errorf("%s: %d final answers: delivered %d, notices %v; sent %d times", id, delivered+len(notices), delivered, notices, begun)
 		}
 	}
--- a/cmd/pineport/folder_test.go
+++ b/cmd/pineport/folder_test.go
@@ -75,7 +75,7 @@
 	until.Store(time.Now().Add(failing).UnixNano())
 	submit(&during, 10, failing)
 	time.Sleep(300 * time.Millisecond)
-	if struck := child.Struck(); len(struck) == 0 {
+	if struck := child.EffectCounts(); len(struck) == 0 {
 		t.Error("the fault never struck")
 	}
 	finished := append(before.finished(world), during.finished(world)...)
@@ -130,7 +130,7 @@
 			if !c.changesFolder(call) || writes.Add(1) != at {
 				return syscallfault.Effect{}
 			}
-			return syscallfault.Effect{Limit: limit, Kill: true}
+			return syscallfault.Effect{Limit: limit, KillChild: true}
 		})
 		var stopped atomic.Bool
 		var clients sync.WaitGroup
@@ -169,7 +169,7 @@
 				return syscallfault.Effect{Errno: errno}
 			})
 			waitFor(t, "PONG", failing+3*time.Second, func() bool { return c.answersPing() })
-			if len(child.Struck()) == 0 {
+			if len(child.EffectCounts()) == 0 {
 				t.Error("the fault never struck")
 			}
 			if got := c.ask(enqueue("one", "order", 4000)); got[0] != "+OK" {
--- a/cmd/pineport/syscalls_test.go
+++ b/cmd/pineport/syscalls_test.go
@@ -189,7 +189,7 @@
 		time.Sleep(lasting)
 	} else {
 		once.Store(true)
-		waitFor(t, "the fault", 5*time.Second, func() bool { return child.Struck()[fault.String()] > 0 })
+		waitFor(t, "the fault", 5*time.Second, func() bool { return child.EffectCounts()[fault.String()] > 0 })
 	}
 	once.Store(false)
 	ended := world.Calls(0) + world.Calls(1)
@@ -203,7 +203,7 @@
 	}
 	stopped.Store(true)
 	clients.Wait()
-	struck := child.Struck()[fault.String()]
+	struck := child.EffectCounts()[fault.String()]
 	if struck == 0 {
 		t.Errorf("the fault never struck")
 	}
@@ -282,7 +282,7 @@
 				return syscallfault.Effect{Errno: errno}
 			})
 			waitFor(t, "PONG", failing+3*time.Second, func() bool { return c.answersPing() })
-			if len(child.Struck()) == 0 {
+			if len(child.EffectCounts()) == 0 {
 				t.Error("the fault never struck")
 			}
 			if got := c.ask(enqueue("one", "order", 4000)); got[0] != "+OK" {
--- a/testbed/experiment/experiment.go
+++ b/testbed/experiment/experiment.go
@@ -43,13 +43,13 @@
 	switch kind {
 	case "module":
 		o, err := moduleOptions(argument)
-		return Variant{name, func() (simulation.Host, error) { return simulation.NewLocal(nil), nil }, o}, err
+		return Variant{name, func() (simulation.Host, error) { return simulation.NewLocalHost(nil), nil }, o}, err
 	case "baseline":
 		if _, ok := baseline.Descriptions()[argument]; !ok {
 			return Variant{}, fmt.Errorf("no baseline is named %q; available: %s", argument, strings.Join(baseline.SortedNames(), ", "))
 		}
 		return Variant{name, func() (simulation.Host, error) {
-			return simulation.NewLocal(func(_ int, config dispatch.Config) simulation.Decider { return baseline.New(argument, config) }), nil
+			return simulation.NewLocalHost(func(_ int, config dispatch.Config) simulation.Decider { return baseline.New(argument, config) }), nil
 		}, simulation.Options{}}, nil
 	case "wire":
 		return Variant{name, func() (simulation.Host, error) { return wirehost.Open(argument) }, simulation.Options{}}, nil
@@ -66,11 +66,11 @@
 	case "lore":
 		o.SnapshotInterval = 1000 * 1000
 	case "share":
-		o.Share = simulation.Share{Interval: 500 * 1000}
+		o.Share = simulation.QuotaSharing{Interval: 500 * 1000}
 	case "share-deaf":
-		o.Share = simulation.Share{Interval: 500 * 1000, Deaf: 0.5}
+		o.Share = simulation.QuotaSharing{Interval: 500 * 1000, NoReceiveShare: 0.5}
 	case "share-lossy":
-		o.Share = simulation.Share{Interval: 500 * 1000, Loss: 0.3}
+		o.Share = simulation.QuotaSharing{Interval: 500 * 1000, Loss: 0.3}
 	default:
 		err = fmt.Errorf("module:%s: expected module, or module: followed by lore, share, share-deaf or share-lossy", text)
 	}
--- a/testbed/faultproxy/faultproxy.go
+++ b/testbed/faultproxy/faultproxy.go
@@ -1,5 +1,6 @@
-// Package faultproxy stands between a courier and discovery and treats each call as a test says: passes it on, refuses it, falls
-// silent, or spoils its answer on the way. It keeps both sides' times of every call.
+// Package faultproxy is an HTTP proxy between a courier and discovery that injects faults chosen by the test:
+// it forwards a call, refuses it, leaves it unanswered, or damages the response. It records when each call
+// was read and when its response was written.
 package faultproxy
 
 import (
@@ -14,54 +15,54 @@
 	"time"
 )
 
-// Fault is what happens to a call.
+// Fault is the fault injected into a call.
 type Fault int
 
-// The faults.
+// The faults that can be injected.
 const (
-	None        Fault = iota
-	Silent            // no answer, and the connection stays open
-	Reset             // the connection is reset once the call has been read
-	Unavailable       // 503 at once, as from an overloaded server
-	Cut               // the answer ends in the middle of its body
-	Stuck             // the same, but the connection stays open and silent
-	Duplicate         // the answer comes twice
-	Late              // the answer comes after Treatment.Delay
-	Trickle           // the answer comes byte by byte, over Treatment.Delay
-	Endless           // the head of the answer does not end
-	Spoilt            // the body is what Treatment.Edit makes of it
+	None          Fault = iota
+	NoResponse          // no response; the connection stays open
+	Reset               // the connection is reset after the request has been read
+	Unavailable         // immediate 503 response, as from an overloaded server
+	Truncated           // the connection closes after half of the response body
+	Stalled             // half of the response body is sent, then nothing; the connection stays open
+	Duplicate           // the response is sent twice
+	Delayed             // the response is sent after FaultSpec.Delay
+	SlowResponse        // the response is sent byte by byte over FaultSpec.Delay
+	EndlessHeader       // the response header never ends
+	Corrupted           // the response body is modified by FaultSpec.Edit
 )
 
-var names = [...]string{"none", "silent", "reset", "unavailable", "cut", "stuck", "duplicate", "late", "trickle", "endless", "spoilt"}
+var faultNames = [...]string{"none", "silent", "reset", "unavailable", "cut", "stuck", "duplicate", "late", "trickle", "endless", "spoilt"}
 
-func (f Fault) String() string { return names[f] }
+func (f Fault) String() string { return faultNames[f] }
 
-// Treatment is how a call is treated.
-type Treatment struct {
+// FaultSpec is the fault for one call and its parameters.
+type FaultSpec struct {
 	Fault Fault
 	Delay time.Duration
-	Edit  func(body []byte) []byte // of Spoilt
+	Edit  func(body []byte) []byte // modifies the response body for Corrupted
 }
 
-// Call is one call as the proxy saw it.
+// Call is one call as seen by the proxy.
 type Call struct {
-	Number   int // from 0, over all connections
+	Number   int // counted from 0 over all connections
 	Path     string
 	Query    url.Values
 	Fault    Fault
-	Read     time.Time // when the last byte of the call had been read
-	Answered time.Time // when the last byte that comes of the answer was written; zero for none
+	Read     time.Time // when the last byte of the request was read
+	Answered time.Time // when the proxy finished writing the response, even if truncated or failed; zero if it wrote none
 }
 
-// IsPoll reports whether the call asks for the endpoint list.
+// IsPoll reports whether the call requests the endpoint list.
 func (c Call) IsPoll() bool { return c.Path == "/v1/servers" }
 
-// Proxy is one proxy.
+// Proxy is an HTTP proxy that injects faults.
 type Proxy struct {
 	Address string
 
 	upstream string
-	decide   func(Call) Treatment
+	decide   func(Call) FaultSpec
 	listener net.Listener
 	client   *http.Client
 	closed   chan struct{}
@@ -71,8 +72,9 @@
 	conns map[net.Conn]bool
 }
 
-// Open starts a proxy on loopback in front of upstream, an address; decide is asked once for each call, by several goroutines.
-func Open(upstream string, decide func(Call) Treatment) (*Proxy, error) {
+// Open starts a proxy on a loopback port in front of the server at the address upstream. The proxy calls
+// decide once for each call: from several goroutines, but never concurrently.
+func Open(upstream string, decide func(Call) FaultSpec) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -83,7 +85,7 @@
 	return p, nil
 }
 
-// Close ends it and all of its connections.
+// Close stops the proxy and closes all of its connections.
 func (p *Proxy) Close() {
 	close(p.closed)
 	p.listener.Close()
@@ -102,13 +104,13 @@
 	return append([]Call(nil), p.calls...)
 }
 
-// Struck counts the calls by what happened to them; a fault that never struck was not tested.
-func (p *Proxy) Struck() map[Fault]int {
-	struck := map[Fault]int{}
+// FaultCounts returns the number of calls for each fault. A fault that is missing was never injected.
+func (p *Proxy) FaultCounts() map[Fault]int {
+	counts := map[Fault]int{}
 	for _, call := range p.Calls() {
-		struck[call.Fault]++
+		counts[call.Fault]++
 	}
-	return struck
+	return counts
 }
 
 func (p *Proxy) accept() {
@@ -141,14 +143,14 @@
 		if err != nil {
 			return
 		}
-		call, treatment := p.begin(request)
-		if !p.treat(conn, call.Number, treatment, request, body) {
+		call, treatment := p.register(request)
+		if !p.handle(conn, call.Number, treatment, request, body) {
 			return
 		}
 	}
 }
 
-func (p *Proxy) begin(request *http.Request) (Call, Treatment) {
+func (p *Proxy) register(request *http.Request) (Call, FaultSpec) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	call := Call{Number: len(p.calls), Path: request.URL.Path, Query: request.URL.Query(), Read: time.Now()}
@@ -158,24 +160,24 @@
 	return call, treatment
 }
 
-func (p *Proxy) answered(number int) {
+func (p *Proxy) markAnswered(number int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.calls[number].Answered = time.Now()
 }
 
-// treat plays one call and reports whether its connection is kept.
-func (p *Proxy) treat(conn net.Conn, number int, treatment Treatment, request *http.Request, body []byte) bool {
+// handle responds to one call with its fault, and reports whether the connection stays open.
+func (p *Proxy) handle(conn net.Conn, number int, treatment FaultSpec, request *http.Request, body []byte) bool {
 	switch treatment.Fault {
-	case Silent:
-		return true // it waits for another call, which does not come before the connection ends
+	case NoResponse:
+		return true // leave the call unanswered and read on; clients are expected to close the connection
 	case Reset:
 		reset(conn)
 		return false
 	case Unavailable:
 		io.WriteString(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 		return true
-	case Endless:
+	case EndlessHeader:
 		return p.writeEndless(conn)
 	}
 	status, answer, err := p.forward(request, body)
@@ -183,37 +185,37 @@
 		reset(conn)
 		return false
 	}
-	defer p.answered(number)
+	defer p.markAnswered(number)
 	return p.deliver(conn, treatment, status, answer)
 }
 
-// deliver writes an answer with its fault.
-func (p *Proxy) deliver(conn net.Conn, treatment Treatment, status int, body []byte) bool {
-	if treatment.Fault == Spoilt {
+// deliver writes a response with its fault, and reports whether the connection stays open.
+func (p *Proxy) deliver(conn net.Conn, treatment FaultSpec, status int, body []byte) bool {
+	if treatment.Fault == Corrupted {
 		body = treatment.Edit(body)
 	}
 	head := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n\r\n", status, http.StatusText(status), len(body))
-	whole := append(head, body...)
-	half := whole[:len(head)+len(body)/2]
+	response := append(head, body...)
+	truncated := response[:len(head)+len(body)/2]
 	switch treatment.Fault {
-	case Cut:
-		conn.Write(half)
+	case Truncated:
+		conn.Write(truncated)
 		return false
-	case Stuck:
-		conn.Write(half)
+	case Stalled:
+		conn.Write(truncated)
 		return true
 	case Duplicate:
-		whole = append(whole, whole...)
-	case Late:
+		response = append(response, response...)
+	case Delayed:
 		p.pause(treatment.Delay)
-	case Trickle:
-		for _, b := range whole {
+	case SlowResponse:
+		for _, b := range response {
 			conn.Write([]byte{b})
-			p.pause(treatment.Delay / time.Duration(len(whole)))
+			p.pause(treatment.Delay / time.Duration(len(response)))
 		}
 		return true
 	}
-	_, err := conn.Write(whole)
+	_, err := conn.Write(response)
 	return err == nil
 }
 
@@ -227,13 +229,13 @@
 	}
 }
 
-// forward plays a call upstream.
+// forward sends a request to the upstream server and reads the response.
 func (p *Proxy) forward(request *http.Request, body []byte) (status int, answer []byte, err error) {
-	onwards, err := http.NewRequest(request.Method, "http://"+p.upstream+request.URL.RequestURI(), bytes.NewReader(body))
+	forwarded, err := http.NewRequest(request.Method, "http://"+p.upstream+request.URL.RequestURI(), bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, err
 	}
-	response, err := p.client.Do(onwards)
+	response, err := p.client.Do(forwarded)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -242,9 +244,9 @@
 	return response.StatusCode, answer, err
 }
 
-func (p *Proxy) pause(span time.Duration) {
+func (p *Proxy) pause(length time.Duration) {
 	select {
-	case <-time.After(span):
+	case <-time.After(length):
 	case <-p.closed:
 	}
 }
--- a/testbed/fleet/fleet_test.go
+++ b/testbed/fleet/fleet_test.go
@@ -11,7 +11,7 @@
 	"pineport/testbed/netfault"
 )
 
-// binary builds the courier once for all tests.
+// binary builds the courier.
 func binary(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "pineport")
@@ -21,55 +21,58 @@
 	return path
 }
 
-// TestProcesses: ten real couriers through kill, stop, a one-way cut, a partition and its heal, an old folder, none and another
-// address, under load. Bounds are counts, or wide: the verdict is the same on any machine.
-func TestProcesses(t *testing.T) {
-	p := &Plan{Day: "calm", Couriers: 10, Length: 24, Load: 3, Faults: []netfault.Fault{
+// TestFleetRecoversFromFaults runs ten couriers under load through kills, a pause, a one-way cut, a
+// partition, and restarts with an old incarnation file, without one, and at another address. The fleet must
+// converge and no rule may be broken. Limits are counts or generous times, so that the result does not depend
+// on the machine.
+func TestFleetRecoversFromFaults(t *testing.T) {
+	p := &Plan{Scenario: "calm", Couriers: 10, Length: 24, Load: 3, Faults: []netfault.Fault{
 		{Kind: Kill, At: 2, Length: 3, From: []int{1, 2}},
-		{Kind: Stop, At: 3, Length: 4, From: []int{3}},
+		{Kind: Pause, At: 3, Length: 4, From: []int{3}},
 		{Kind: "one-way", At: 3, Length: 4, From: []int{4}, To: []int{5}},
 		{Kind: "cut", At: 8, Length: 5, From: []int{0, 6, 7}},
-		{Kind: Older, At: 14, Length: 2, From: []int{1}},
-		{Kind: Empty, At: 14, Length: 2, From: []int{2}},
-		{Kind: Address, At: 15, Length: 2, From: []int{8}},
+		{Kind: OldIncarnation, At: 14, Length: 2, From: []int{1}},
+		{Kind: LoseIncarnation, At: 14, Length: 2, From: []int{2}},
+		{Kind: Move, At: 15, Length: 2, From: []int{8}},
 	}}
 	if err := p.check("here"); err != nil {
 		t.Fatal(err)
 	}
 	var trace strings.Builder
-	res, err := Play(context.Background(), p, Options{Binary: binary(t), Seed: 1, Peers: true, Trace: &trace})
+	res, err := Play(context.Background(), p, Options{Binary: binary(t), Seed: 1, Membership: true, Trace: &trace})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !res.Verdict.OK() {
-		t.Errorf("rules: %s %+v", res.Verdict.Short(), res.Verdict.Breaches)
+		t.Errorf("broken rules: %s %+v", res.Verdict.Short(), res.Verdict.Breaches)
 	}
-	if res.Fewer > 0 {
-		t.Errorf("at %d looks a courier counted on fewer than there are", res.Fewer)
+	if res.UnderestimatePolls > 0 {
+		t.Errorf("in %d polls a courier's upper estimate of the fleet size was too low", res.UnderestimatePolls)
 	}
-	if !res.Whole {
-		t.Error("the fleet was not whole again within 40 s of the last fault")
+	if !res.Converged {
+		t.Error("the fleet did not converge within 40 s of the last fault")
 	}
-	for _, idle := range res.Idle {
-		t.Error(idle)
+	for _, fault := range res.FaultsWithoutEffect {
+		t.Error(fault)
 	}
-	// Each of five deaths is seen by most of those that were up and not cut off.
-	if len(res.Deaths) < 20 || len(res.Returns) < 20 {
-		t.Errorf("%d deaths and %d returns were seen", len(res.Deaths), len(res.Returns))
+	// Each of the five kills is detected by most couriers that were up and not cut off.
+	if len(res.FailureDetections) < 20 || len(res.ReturnDetections) < 20 {
+		t.Errorf("%d failures and %d returns were detected, want at least 20 of each", len(res.FailureDetections), len(res.ReturnDetections))
 	}
 	if !strings.Contains(trace.String(), `"what":"cut"`) {
-		t.Error("the trace does not show the cut")
+		t.Error("the trace does not contain the cut")
 	}
-	t.Logf("%v; %d messages done, longest until a death was known %.1f s", res.Struck, res.Verdict.Counts.Delivered, longest(res.Deaths))
+	t.Logf("%v; %d messages delivered, longest failure detection %.1f s", res.FaultCounts, res.Verdict.Counts.Delivered, longest(res.FailureDetections))
 }
 
-// TestSharedLimits: twelve real couriers grant one another parts of few limits, on a day with too much for them, while half of them are
-// deaf one way, one stands still, two are killed and three are cut off. Judged from outside: nobody uses a lease that its grantor has back
-// or never gave, nobody grants more than half, and the rules are kept.
-func TestSharedLimits(t *testing.T) {
-	p := &Plan{Day: "shared-limits", Couriers: 12, Length: 26, Load: 4, Faults: []netfault.Fault{
+// TestSharedQuotasKeepLeaseRules runs twelve couriers that lease quota to one another in an overloaded
+// scenario, while six cannot send to the other six, one is paused, two are killed and three are cut off. By
+// the couriers' own reports, no courier may use a lease that was not granted or that has returned to its
+// grantor, and none may grant more than half of its base share. No rule of the scenario may be broken.
+func TestSharedQuotasKeepLeaseRules(t *testing.T) {
+	p := &Plan{Scenario: "shared-limits", Couriers: 12, Length: 26, Load: 4, Faults: []netfault.Fault{
 		{Kind: "one-way", At: 6, Length: 5, From: []int{0, 1, 2, 3, 4, 5}, To: []int{6, 7, 8, 9, 10, 11}},
-		{Kind: Stop, At: 8, Length: 5, From: []int{7}},
+		{Kind: Pause, At: 8, Length: 5, From: []int{7}},
 		{Kind: Kill, At: 9, Length: 2, From: []int{8, 9}},
 		{Kind: "cut", At: 14, Length: 5, From: []int{0, 10, 11}},
 		{Kind: "loss", At: 20, Length: 4, From: []int{1, 2, 3}, Size: 0.3},
@@ -78,31 +81,32 @@
 	if err := p.check("here"); err != nil {
 		t.Fatal(err)
 	}
-	res, err := Play(context.Background(), p, Options{Binary: binary(t), Seed: 2, Peers: true, Share: true})
+	res, err := Play(context.Background(), p, Options{Binary: binary(t), Seed: 2, Membership: true, Share: true})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !res.Verdict.OK() {
-		t.Errorf("rules: %s %+v", res.Verdict.Short(), res.Verdict.Breaches)
+		t.Errorf("broken rules: %s %+v", res.Verdict.Short(), res.Verdict.Breaches)
 	}
-	for _, what := range append(res.Overspent, res.Idle...) {
-		t.Error(what)
+	for _, problem := range append(res.LeaseBreaches, res.FaultsWithoutEffect...) {
+		t.Error(problem)
 	}
-	if res.Leases < 20 {
-		t.Errorf("only %d leases were seen", res.Leases)
+	if res.LeaseCount < 20 {
+		t.Errorf("%d leases were seen, want at least 20", res.LeaseCount)
 	}
-	t.Logf("%v; %d leases, at most %.2f of a part; %d refused, %d done", res.Struck, res.Leases, res.Widest, res.Verdict.Counts.Throttled, res.Verdict.Counts.Delivered)
+	t.Logf("%v; %d leases, largest sum of a courier %.2f of its base share; %d throttled, %d delivered", res.FaultCounts, res.LeaseCount, res.LargestLeasedShare, res.Verdict.Counts.Throttled, res.Verdict.Counts.Delivered)
 }
 
-func longest(all []float64) (most float64) {
+func longest(all []float64) (result float64) {
 	for _, s := range all {
-		most = max(most, s)
+		result = max(result, s)
 	}
-	return most
+	return result
 }
 
-// TestIdleFaultsAreReported: a fault that never struck fails a run.
-func TestIdleFaultsAreReported(t *testing.T) {
+// TestFaultsWithoutEffectAreReported checks that ending a fault returns an error if the fault affected
+// nothing.
+func TestFaultsWithoutEffectAreReported(t *testing.T) {
 	n, err := netfault.Open(1, []string{"127.0.0.1:9", "127.0.0.1:9"}, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -111,22 +115,23 @@
 	end := n.Begin(netfault.Fault{Kind: "cut", From: []int{0}})
 	time.Sleep(10 * time.Millisecond)
 	if end() == nil {
-		t.Error("a cut over which nothing went passes for one that struck")
+		t.Error("no error for a cut that affected no traffic")
 	}
 }
 
-// TestDaysAreSound: every day that comes along can be read.
-func TestDaysAreSound(t *testing.T) {
-	for _, name := range Days() {
+// TestPlanValidation checks that every built-in plan is valid, and that a missing plan file and an unknown
+// kind of fault are refused.
+func TestPlanValidation(t *testing.T) {
+	for _, name := range PlanNames() {
 		if _, err := Find(name); err != nil {
 			t.Error(err)
 		}
 	}
 	bad := filepath.Join(t.TempDir(), "bad.toml")
 	if _, err := Find(bad); err == nil {
-		t.Error("a day that is not there")
+		t.Error("no error for a missing plan file")
 	}
 	if err := (&Plan{Length: 5, Faults: []netfault.Fault{{Kind: "nonsense", Length: 1}}}).check("x"); err == nil {
-		t.Error("a fault of no kind")
+		t.Error("no error for an unknown kind of fault")
 	}
 }
--- a/testbed/netfault/conditions.go
+++ b/testbed/netfault/conditions.go
@@ -1,6 +1,7 @@
-// Package netfault is the network between processes, in user space: each directed pair of them has an address of its own that
-// leads to the other's, and what passes there can be lost, delayed, throttled, put out of order, doubled, torn or cut, one
-// way or both. The same conditions hold in memory (Mesh), for tests that run hundreds of members in virtual time.
+// Package netfault simulates network faults between processes in user space. Each ordered pair of processes
+// has its own proxy address, where packets and streams can be lost, delayed, throttled, reordered,
+// duplicated, broken or cut, in one direction or in both. Mesh does so in memory, without throttling and
+// breaking of streams, for tests that run hundreds of members in virtual time.
 package netfault
 
 import (
@@ -13,53 +14,53 @@
 	"time"
 )
 
-// Conditions are what holds on a directed pair.
+// Conditions are the network conditions from one process to another.
 type Conditions struct {
-	Loss, Duplicate, Reorder float64       // shares of packets
-	Delay, Jitter            time.Duration // of packets, and of what streams carry
-	Rate                     float64       // bytes a second of streams; 0: any
-	Cut                      bool          // packets vanish, streams break and none begin
-	Silent                   bool          // packets vanish; streams stay open and nothing comes through
-	Tear                     int           // streams break after so many bytes more, in the midst of what they carry; 0: never
+	Loss, Duplicate, Reorder float64       // shares of the packets, 0 to 1
+	Delay, Jitter            time.Duration // Delay applies to packets and stream data, Jitter (uniform, from 0) to packets
+	Rate                     float64       // limit for stream data, in bytes per second; 0: no limit
+	Cut                      bool          // drops packets; cut in both directions: streams break, new ones fail; cut in one: its stream data stalls
+	Silent                   bool          // drops packets; streams stay open but carry no data (Mesh: new streams fail)
+	BreakAfter               int           `json:"Tear"` // breaks a stream within the data that exceeds this many bytes; 0: never
 }
 
-// Kinds of fault, as they are counted when they fault.
+// Effects of faults on packets and streams, as they are named in the counts and in the trace.
 const (
-	Lost      = "lost"
-	Doubled   = "doubled"
-	Reordered = "reordered"
-	Delayed   = "delayed"
-	Throttled = "throttled"
-	Severed   = "cut"
-	Silenced  = "silent"
-	Torn      = "torn"
+	EffectLost       = "lost"
+	EffectDuplicated = "doubled"
+	EffectReordered  = "reordered"
+	EffectDelayed    = "delayed"
+	EffectThrottled  = "throttled"
+	EffectCut        = "cut"
+	EffectSilent     = "silent"
+	EffectBroken     = "torn"
 )
 
-// board holds the conditions of all pairs, and what has struck.
-type board struct {
-	mu     sync.Mutex
-	rng    *rand.Rand
-	n      int
-	now    [][]Conditions
-	change chan struct{} // closed and replaced at each change
-	struck map[string]int
-	trace  *json.Encoder
-	begun  time.Time
+// injector holds the conditions of all pairs of processes and counts the faults that took effect.
+type injector struct {
+	mu          sync.Mutex
+	rng         *rand.Rand
+	processes   int
+	current     [][]Conditions
+	changed     chan struct{} // closed and replaced at each change of conditions
+	faultCounts map[string]int
+	trace       *json.Encoder
+	startedAt   time.Time
 }
 
-func newBoard(n int, seed int64, trace io.Writer) *board {
-	b := &board{rng: rand.New(rand.NewSource(seed)), n: n, struck: map[string]int{}, change: make(chan struct{}), begun: time.Now()}
+func newInjector(n int, seed int64, trace io.Writer) *injector {
+	in := &injector{rng: rand.New(rand.NewSource(seed)), processes: n, faultCounts: map[string]int{}, changed: make(chan struct{}), startedAt: time.Now()}
 	for range n {
-		b.now = append(b.now, make([]Conditions, n))
+		in.current = append(in.current, make([]Conditions, n))
 	}
 	if trace != nil {
-		b.trace = json.NewEncoder(trace)
+		in.trace = json.NewEncoder(trace)
 	}
-	return b
+	return in
 }
 
-// line is one line of the trace.
-type line struct {
+// traceLine is one line of the trace.
+type traceLine struct {
 	At   float64     `json:"at_s"`
 	From int         `json:"from"`
 	To   int         `json:"to"`
@@ -68,131 +69,138 @@
 	Now  *Conditions `json:"now,omitempty"`
 }
 
-func (b *board) tell(l line) {
-	if b.trace != nil {
-		l.At = time.Since(b.begun).Seconds()
-		b.trace.Encode(l)
+func (in *injector) writeTrace(line traceLine) {
+	if in.trace != nil {
+		line.At = time.Since(in.startedAt).Seconds()
+		in.trace.Encode(line)
 	}
 }
 
-// Set has conditions hold from one process to another from now on.
-func (b *board) Set(from, to int, c Conditions) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.now[from][to] == c {
+// Set sets the conditions from one process to another.
+func (in *injector) Set(from, to int, c Conditions) {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	if in.current[from][to] == c {
 		return
 	}
-	b.now[from][to] = c
-	b.tell(line{From: from, To: to, What: "set", Now: &c})
-	close(b.change)
-	b.change = make(chan struct{})
+	in.current[from][to] = c
+	in.writeTrace(traceLine{From: from, To: to, What: "set", Now: &c})
+	close(in.changed)
+	in.changed = make(chan struct{})
 }
 
-// Get is what holds from one process to another, and a channel that closes when anything changes.
-func (b *board) get(from, to int) (Conditions, <-chan struct{}) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.now[from][to], b.change
+// get returns the conditions from one process to another, and a channel that is closed at the next change of
+// any conditions.
+func (in *injector) get(from, to int) (Conditions, <-chan struct{}) {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	return in.current[from][to], in.changed
 }
 
-// Struck counts the faults that struck, by kind.
-func (b *board) Struck() map[string]int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// FaultCounts returns how often each kind of fault took effect.
+func (in *injector) FaultCounts() map[string]int {
+	in.mu.Lock()
+	defer in.mu.Unlock()
 	all := map[string]int{}
-	for k, n := range b.struck {
+	for k, n := range in.faultCounts {
 		all[k] = n
 	}
 	return all
 }
 
-// fault counts a fault; the caller holds the lock.
-func (b *board) fault(from, to int, kind string, size int) {
-	b.struck[kind]++
-	b.tell(line{From: from, To: to, What: kind, Size: size})
+// recordLocked counts and traces a fault that took effect. The caller holds the lock.
+func (in *injector) recordLocked(from, to int, kind string, size int) {
+	in.faultCounts[kind]++
+	in.writeTrace(traceLine{From: from, To: to, What: kind, Size: size})
 }
 
-func (b *board) hit(from, to int, kind string, size int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.fault(from, to, kind, size)
+func (in *injector) record(from, to int, kind string, size int) {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	in.recordLocked(from, to, kind, size)
 }
 
-// packet decides what becomes of one: after which spans copies of it arrive; none where it is lost.
-func (b *board) packet(from, to, size int) (after []time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	c := b.now[from][to]
+// packetDelays returns the delay of each copy of a packet that is delivered; none if the packet is lost.
+func (in *injector) packetDelays(from, to, size int) (delays []time.Duration) {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	c := in.current[from][to]
 	switch {
 	case c.Cut:
-		b.fault(from, to, Severed, size)
+		in.recordLocked(from, to, EffectCut, size)
 		return nil
 	case c.Silent:
-		b.fault(from, to, Silenced, size)
+		in.recordLocked(from, to, EffectSilent, size)
 		return nil
-	case c.Loss > 0 && b.rng.Float64() < c.Loss:
-		b.fault(from, to, Lost, size)
+	case c.Loss > 0 && in.rng.Float64() < c.Loss:
+		in.recordLocked(from, to, EffectLost, size)
 		return nil
 	}
 	copies := 1
-	if c.Duplicate > 0 && b.rng.Float64() < c.Duplicate {
-		b.fault(from, to, Doubled, size)
+	if c.Duplicate > 0 && in.rng.Float64() < c.Duplicate {
+		in.recordLocked(from, to, EffectDuplicated, size)
 		copies = 2
 	}
 	for range copies {
-		wait := c.Delay
+		delay := c.Delay
 		if c.Jitter > 0 {
-			wait += time.Duration(b.rng.Int63n(int64(c.Jitter)))
+			delay += time.Duration(in.rng.Int63n(int64(c.Jitter)))
 		}
-		if c.Reorder > 0 && b.rng.Float64() < c.Reorder {
-			b.fault(from, to, Reordered, size)
-			wait += time.Duration(1+b.rng.Intn(50)) * time.Millisecond
+		if c.Reorder > 0 && in.rng.Float64() < c.Reorder {
+			in.recordLocked(from, to, EffectReordered, size)
+			delay += time.Duration(1+in.rng.Intn(50)) * time.Millisecond
 		}
 		if c.Delay > 0 || c.Jitter > 0 {
-			b.fault(from, to, Delayed, size)
+			in.recordLocked(from, to, EffectDelayed, size)
 		}
-		after = append(after, wait)
+		delays = append(delays, delay)
 	}
-	return after
+	return delays
 }
 
-// Fault is one thing that goes wrong for a while. From and To name processes; with none, all others are meant.
+// Fault is a network or process fault that begins at a time and lasts for a length of time. A network fault
+// affects the links from each process in From to each in To, and for most kinds also the links back. An empty
+// From means all processes that are not in To, and the reverse. A process fault affects the processes in
+// From.
 type Fault struct {
 	Kind   string  `toml:"kind" json:"kind"`
 	At     float64 `toml:"at_s" json:"at_s"`
 	Length float64 `toml:"length_s" json:"length_s"`
 	From   []int   `toml:"from" json:"from"`
 	To     []int   `toml:"to" json:"to"`
-	Size   float64 `toml:"size" json:"size"`
+	// Size is the probability for "loss", "duplicate" and "reorder", the delay and the maximum jitter in
+	// milliseconds for "slow", bytes per second for "throttle", bytes for "tear", and the period in seconds
+	// for "flap".
+	Size float64 `toml:"size" json:"size"`
 }
 
-// network are the kinds of Fault on the network: what each does with its size, what it is counted as, and whether it holds
-// both ways.
-var network = map[string]struct {
-	make   func(size float64) Conditions
-	counts []string
-	both   bool
+// networkFaults are the kinds of network fault: the conditions for a Size, the names under which their
+// effects are counted, and whether the fault applies in both directions.
+var networkFaults = map[string]struct {
+	conditions func(size float64) Conditions
+	countedAs  []string
+	bothWays   bool
 }{
-	"cut":       {func(float64) Conditions { return Conditions{Cut: true} }, []string{Severed}, true},
-	"one-way":   {func(float64) Conditions { return Conditions{Cut: true} }, []string{Severed}, false},
-	"silent":    {func(float64) Conditions { return Conditions{Silent: true} }, []string{Silenced}, true},
-	"loss":      {func(s float64) Conditions { return Conditions{Loss: s} }, []string{Lost}, true},
-	"slow":      {func(s float64) Conditions { return Conditions{Delay: ms(s), Jitter: ms(s)} }, []string{Delayed}, true},
-	"throttle":  {func(s float64) Conditions { return Conditions{Rate: s} }, []string{Throttled}, true},
-	"duplicate": {func(s float64) Conditions { return Conditions{Duplicate: s} }, []string{Doubled}, true},
-	"reorder":   {func(s float64) Conditions { return Conditions{Reorder: s} }, []string{Reordered}, true},
-	"tear":      {func(s float64) Conditions { return Conditions{Tear: int(s)} }, []string{Torn}, true},
-	"flap":      {func(float64) Conditions { return Conditions{Cut: true} }, []string{Severed}, true},
+	"cut":       {func(float64) Conditions { return Conditions{Cut: true} }, []string{EffectCut}, true},
+	"one-way":   {func(float64) Conditions { return Conditions{Cut: true} }, []string{EffectCut}, false},
+	"silent":    {func(float64) Conditions { return Conditions{Silent: true} }, []string{EffectSilent}, true},
+	"loss":      {func(s float64) Conditions { return Conditions{Loss: s} }, []string{EffectLost}, true},
+	"slow":      {func(s float64) Conditions { return Conditions{Delay: ms(s), Jitter: ms(s)} }, []string{EffectDelayed}, true},
+	"throttle":  {func(s float64) Conditions { return Conditions{Rate: s} }, []string{EffectThrottled}, true},
+	"duplicate": {func(s float64) Conditions { return Conditions{Duplicate: s} }, []string{EffectDuplicated}, true},
+	"reorder":   {func(s float64) Conditions { return Conditions{Reorder: s} }, []string{EffectReordered}, true},
+	"tear":      {func(s float64) Conditions { return Conditions{BreakAfter: int(s)} }, []string{EffectBroken}, true},
+	"flap":      {func(float64) Conditions { return Conditions{Cut: true} }, []string{EffectCut}, true}, // cut for half of each period
 }
 
 func ms(n float64) time.Duration { return time.Duration(n * float64(time.Millisecond)) }
 
-// OnNetwork tells whether a kind of fault is one of the network.
-func OnNetwork(kind string) bool { _, ok := network[kind]; return ok }
+// IsNetworkFault reports whether a kind of fault is a network fault.
+func IsNetworkFault(kind string) bool { _, ok := networkFaults[kind]; return ok }
 
-// pairs are the directed pairs that a fault faults.
+// pairs returns the ordered pairs of processes that a fault affects.
 func (f Fault) pairs(n int) (all [][2]int) {
-	side := func(named, others []int) []int {
+	processes := func(named, others []int) []int {
 		if len(named) > 0 {
 			return named
 		}
@@ -204,12 +212,12 @@
 		}
 		return rest
 	}
-	for _, a := range side(f.From, f.To) {
-		for _, b := range side(f.To, f.From) {
+	for _, a := range processes(f.From, f.To) {
+		for _, b := range processes(f.To, f.From) {
 			if a == b || a >= n || b >= n {
 				continue
 			}
-			if all = append(all, [2]int{a, b}); network[f.Kind].both {
+			if all = append(all, [2]int{a, b}); networkFaults[f.Kind].bothWays {
 				all = append(all, [2]int{b, a})
 			}
 		}
@@ -217,17 +225,19 @@
 	return all
 }
 
-// Begin has a fault hold, and returns what ends it; that tells whether it struck at all.
-func (b *board) Begin(f Fault) (end func() error) {
-	what := network[f.Kind]
-	before := b.Struck()
+// Begin starts a fault by setting the conditions of all links that it affects, in place of their previous
+// conditions. The returned function ends it by clearing the conditions of these links, and returns an error
+// if the fault never took effect. Faults that overlap on a link therefore override each other.
+func (in *injector) Begin(f Fault) (end func() error) {
+	spec := networkFaults[f.Kind]
+	before := in.FaultCounts()
 	apply := func(on bool) {
-		for _, p := range f.pairs(b.n) {
+		for _, p := range f.pairs(in.processes) {
 			c := Conditions{}
 			if on {
-				c = what.make(f.Size)
+				c = spec.conditions(f.Size)
 			}
-			b.Set(p[0], p[1], c)
+			in.Set(p[0], p[1], c)
 		}
 	}
 	apply(true)
@@ -249,24 +259,24 @@
 		close(stop)
 		<-stopped
 		apply(false)
-		after := b.Struck()
-		for _, k := range what.counts {
+		after := in.FaultCounts()
+		for _, k := range spec.countedAs {
 			if after[k] > before[k] {
 				return nil
 			}
 		}
-		return fmt.Errorf("the fault %s at %v s never struck", f.Kind, f.At)
+		return fmt.Errorf("fault %s at %v s never took effect", f.Kind, f.At)
 	}
 }
 
-// Draw makes so many faults of a seed, one after the other over a length in seconds.
-func Draw(seed int64, n, processes int, length float64) (all []Fault) {
+// RandomFaults returns n random faults from a seed, spread over a run of length seconds so that they do not overlap.
+func RandomFaults(seed int64, n, processes int, length float64) (all []Fault) {
 	rng := rand.New(rand.NewSource(seed))
 	kinds := []string{"cut", "one-way", "silent", "loss", "slow", "duplicate", "reorder", "flap"}
 	size := map[string]float64{"loss": 0.3, "slow": 200, "duplicate": 0.5, "reorder": 0.5, "flap": 2}
 	for i := range n {
-		part := length / float64(n)
-		f := Fault{Kind: kinds[rng.Intn(len(kinds))], At: float64(i)*part + 0.1*part, Length: part * (0.4 + 0.4*rng.Float64())}
+		slot := length / float64(n)
+		f := Fault{Kind: kinds[rng.Intn(len(kinds))], At: float64(i)*slot + 0.1*slot, Length: slot * (0.4 + 0.4*rng.Float64())}
 		f.Size = size[f.Kind]
 		for range 1 + rng.Intn(max(1, processes/3)) {
 			f.From = append(f.From, rng.Intn(processes))
--- a/testbed/netfault/mesh.go
+++ b/testbed/netfault/mesh.go
@@ -10,32 +10,34 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Mesh is the same network in memory: members' transports, for tests in virtual time. Streams pass or break as a whole.
+// Mesh is a network in memory that applies Conditions to memberlist transports, for tests in virtual time.
+// Unlike Net it applies them to a stream only when the stream is opened, and ignores Rate and BreakAfter.
 type Mesh struct {
-	*board
+	*injector
 	mu    sync.Mutex
-	nodes []*Node
-	// Keep has every packet kept, for Replay.
-	Keep bool
-	kept []kept
+	nodes []*MemberTransport
+	// RecordPackets makes the mesh record every packet for Replay.
+	RecordPackets bool
+	recorded      []recordedPacket
 }
 
-type kept struct {
-	to   int
-	text []byte
-	from net.Addr
+type recordedPacket struct {
+	to      int
+	payload []byte
+	from    net.Addr
 }
 
-// Replay has every packet that was kept come in once more, as somebody who listened might send it.
+// Replay delivers every recorded packet once more, as an attacker who recorded the traffic might, and returns
+// the number of packets delivered.
 func (m *Mesh) Replay() (n int) {
 	m.mu.Lock()
-	all := m.kept
-	m.kept = nil
+	packets := m.recorded
+	m.recorded = nil
 	m.mu.Unlock()
-	for _, k := range all {
-		if other, up := m.node(k.to); up {
+	for _, packet := range packets {
+		if other, up := m.node(packet.to); up {
 			select {
-			case other.packets <- &memberlist.Packet{Buf: append([]byte(nil), k.text...), From: k.from, Timestamp: time.Now()}:
+			case other.packets <- &memberlist.Packet{Buf: append([]byte(nil), packet.payload...), From: packet.from, Timestamp: time.Now()}:
 				n++
 			case <-time.After(time.Millisecond):
 			}
@@ -44,30 +46,30 @@
 	return n
 }
 
-// Node is one member's transport.
-type Node struct {
-	mesh    *Mesh
-	no      int
-	packets chan *memberlist.Packet
-	streams chan net.Conn
-	up      bool
-	Sent    int // packets, and bytes of them
-	Bytes   int
+// MemberTransport is the memberlist transport of one member.
+type MemberTransport struct {
+	mesh        *Mesh
+	index       int
+	packets     chan *memberlist.Packet
+	streams     chan net.Conn
+	up          bool
+	PacketsSent int // number of packets, and their total size
+	BytesSent   int
 }
 
-// NewMesh makes a network of so many members.
+// NewMesh returns a network for n members.
 func NewMesh(n int, seed int64) *Mesh {
-	m := &Mesh{board: newBoard(n, seed, nil)}
+	m := &Mesh{injector: newInjector(n, seed, nil)}
 	for i := range n {
-		m.nodes = append(m.nodes, &Node{mesh: m, no: i})
+		m.nodes = append(m.nodes, &MemberTransport{mesh: m, index: i})
 	}
 	return m
 }
 
-// At is a member's address.
-func (m *Mesh) At(i int) string { return fmt.Sprintf("10.%d.%d.1:%d", i/250, i%250, 7000) }
+// Addr returns the address of a member.
+func (m *Mesh) Addr(i int) string { return fmt.Sprintf("10.%d.%d.1:%d", i/250, i%250, 7000) }
 
-func (m *Mesh) who(addr string) (int, bool) {
+func (m *Mesh) indexOf(addr string) (int, bool) {
 	host, _, err := net.SplitHostPort(addr)
 	ip := net.ParseIP(host).To4()
 	if err != nil || ip == nil {
@@ -77,41 +79,41 @@
 	return i, i < len(m.nodes)
 }
 
-// Traffic is what all members have sent: packets, and bytes of them.
+// Traffic returns the number of packets and bytes that the current transports of all members have sent.
 func (m *Mesh) Traffic() (packets, bytes int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, n := range m.nodes {
-		packets, bytes = packets+n.Sent, bytes+n.Bytes
+		packets, bytes = packets+n.PacketsSent, bytes+n.BytesSent
 	}
 	return packets, bytes
 }
 
-// Join puts a member on the network, anew if it was there before.
-func (m *Mesh) Join(i int) *Node {
+// Join connects a member to the network with a new transport, which replaces an earlier one.
+func (m *Mesh) Join(i int) *MemberTransport {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.nodes[i] = &Node{mesh: m, no: i, packets: make(chan *memberlist.Packet, 1024), streams: make(chan net.Conn, 64), up: true}
+	m.nodes[i] = &MemberTransport{mesh: m, index: i, packets: make(chan *memberlist.Packet, 1024), streams: make(chan net.Conn, 64), up: true}
 	return m.nodes[i]
 }
 
-// Drop takes a member off the network without a word.
-func (m *Mesh) Drop(i int) {
+// Disconnect disconnects a member from the network; the other members are not told.
+func (m *Mesh) Disconnect(i int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.nodes[i].up = false
 }
 
-func (m *Mesh) node(i int) (*Node, bool) {
+func (m *Mesh) node(i int) (*MemberTransport, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := m.nodes[i]
 	return n, n.up
 }
 
-// FinalAdvertiseAddr is the member's address.
-func (n *Node) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
-	host, port, err := net.SplitHostPort(n.mesh.At(n.no))
+// FinalAdvertiseAddr returns the member's address.
+func (n *MemberTransport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
+	host, port, err := net.SplitHostPort(n.mesh.Addr(n.index))
 	if err != nil {
 		return nil, 0, err
 	}
@@ -119,77 +121,78 @@
 	return net.ParseIP(host), p, err
 }
 
-// WriteTo sends a packet, which may get lost.
-func (n *Node) WriteTo(b []byte, addr string) (time.Time, error) {
+// WriteTo sends a packet, which the conditions may lose, duplicate or delay.
+func (n *MemberTransport) WriteTo(b []byte, addr string) (time.Time, error) {
 	now := time.Now()
-	to, ok := n.mesh.who(addr)
-	if _, up := n.mesh.node(n.no); !ok || !up {
+	to, ok := n.mesh.indexOf(addr)
+	if _, up := n.mesh.node(n.index); !ok || !up {
 		return now, nil
 	}
 	n.mesh.mu.Lock()
-	n.Sent++
-	n.Bytes += len(b)
+	n.PacketsSent++
+	n.BytesSent += len(b)
 	n.mesh.mu.Unlock()
-	from := &net.UDPAddr{IP: net.IPv4(10, byte(n.no/250), byte(n.no%250), 1), Port: 7000}
-	text := append([]byte(nil), b...)
-	if n.mesh.mu.Lock(); n.mesh.Keep {
-		n.mesh.kept = append(n.mesh.kept, kept{to, text, from})
+	from := &net.UDPAddr{IP: net.IPv4(10, byte(n.index/250), byte(n.index%250), 1), Port: 7000}
+	payload := append([]byte(nil), b...)
+	if n.mesh.mu.Lock(); n.mesh.RecordPackets {
+		n.mesh.recorded = append(n.mesh.recorded, recordedPacket{to, payload, from})
 	}
 	n.mesh.mu.Unlock()
-	for _, after := range n.mesh.packet(n.no, to, len(b)) {
-		put := func() {
+	for _, delay := range n.mesh.packetDelays(n.index, to, len(b)) {
+		deliver := func() {
 			if other, up := n.mesh.node(to); up {
 				select {
-				case other.packets <- &memberlist.Packet{Buf: text, From: from, Timestamp: time.Now()}:
+				case other.packets <- &memberlist.Packet{Buf: payload, From: from, Timestamp: time.Now()}:
 				default:
 				}
 			}
 		}
-		if after == 0 {
-			put()
+		if delay == 0 {
+			deliver()
 		} else {
-			time.AfterFunc(after, put)
+			time.AfterFunc(delay, deliver)
 		}
 	}
 	return now, nil
 }
 
-// PacketCh is where packets come in.
-func (n *Node) PacketCh() <-chan *memberlist.Packet { return n.packets }
+// PacketCh returns the channel of received packets.
+func (n *MemberTransport) PacketCh() <-chan *memberlist.Packet { return n.packets }
 
-// DialTimeout begins a stream, where both directions let anything through.
-func (n *Node) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
-	to, ok := n.mesh.who(addr)
+// DialTimeout opens a stream. It fails if either member is disconnected, or if either direction is cut or
+// silent.
+func (n *MemberTransport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+	to, ok := n.mesh.indexOf(addr)
 	if !ok {
-		return nil, fmt.Errorf("%s: nobody", addr)
+		return nil, fmt.Errorf("%s: no member has this address", addr)
 	}
-	there, _ := n.mesh.get(n.no, to)
-	back, _ := n.mesh.get(to, n.no)
+	forward, _ := n.mesh.get(n.index, to)
+	reverse, _ := n.mesh.get(to, n.index)
 	other, up := n.mesh.node(to)
-	if _, self := n.mesh.node(n.no); !self || !up {
-		return nil, fmt.Errorf("%s: refused", addr)
+	if _, selfUp := n.mesh.node(n.index); !selfUp || !up {
+		return nil, fmt.Errorf("%s: connection refused", addr)
 	}
-	if there.Cut || back.Cut || there.Silent || back.Silent {
-		n.mesh.hit(n.no, to, Severed, 0)
+	if forward.Cut || reverse.Cut || forward.Silent || reverse.Silent {
+		n.mesh.record(n.index, to, EffectCut, 0) // counts as a cut also if a direction is only silent
 		time.Sleep(timeout)
-		return nil, fmt.Errorf("%s: no answer", addr)
+		return nil, fmt.Errorf("%s: connection timed out", addr)
 	}
-	time.Sleep(there.Delay + back.Delay)
-	near, far := net.Pipe()
+	time.Sleep(forward.Delay + reverse.Delay)
+	local, remote := net.Pipe()
 	select {
-	case other.streams <- far:
-		return near, nil
+	case other.streams <- remote:
+		return local, nil
 	case <-time.After(timeout):
-		near.Close()
-		return nil, fmt.Errorf("%s: no answer", addr)
+		local.Close()
+		return nil, fmt.Errorf("%s: connection timed out", addr)
 	}
 }
 
-// StreamCh is where streams come in.
-func (n *Node) StreamCh() <-chan net.Conn { return n.streams }
+// StreamCh returns the channel of accepted streams.
+func (n *MemberTransport) StreamCh() <-chan net.Conn { return n.streams }
 
-// Shutdown takes it off the network.
-func (n *Node) Shutdown() error {
+// Shutdown disconnects the member from the network.
+func (n *MemberTransport) Shutdown() error {
 	n.mesh.mu.Lock()
 	defer n.mesh.mu.Unlock()
 	n.up = false
--- a/testbed/netfault/netfault.go
+++ b/testbed/netfault/netfault.go
@@ -9,210 +9,213 @@
 	"time"
 )
 
-// Net is the network between processes on loopback.
+// Net is a network of proxies on loopback between processes.
 type Net struct {
-	*board
-	mu    sync.Mutex
-	real  []string
-	via   [][]*way
-	done  chan struct{}
-	group sync.WaitGroup
+	*injector
+	mu      sync.Mutex
+	targets []string
+	proxies [][]*linkProxy
+	done    chan struct{}
+	group   sync.WaitGroup
 }
 
-// way is the address that leads from one process to another.
-type way struct {
+// linkProxy forwards packets and streams from one process to another.
+type linkProxy struct {
 	net      *Net
 	from, to int
 	tcp      *net.TCPListener
 	udp      *net.UDPConn
 }
 
-// Open makes the ways between processes that listen at the addresses given. The trace has a line for each change and each
-// fault that faults; nil for none.
-func Open(seed int64, real []string, trace io.Writer) (*Net, error) {
-	n := &Net{board: newBoard(len(real), seed, trace), real: append([]string(nil), real...), done: make(chan struct{})}
-	for from := range real {
-		var row []*way
-		for to := range real {
+// Open opens the proxies between processes that listen at the addresses in targets. The trace gets a line for
+// each change of conditions and each fault that takes effect; nil: no trace.
+func Open(seed int64, targets []string, trace io.Writer) (*Net, error) {
+	n := &Net{injector: newInjector(len(targets), seed, trace), targets: append([]string(nil), targets...), done: make(chan struct{})}
+	for from := range targets {
+		var row []*linkProxy
+		for to := range targets {
 			if from == to {
 				row = append(row, nil)
 				continue
 			}
-			w, err := n.open(from, to)
+			proxy, err := n.openProxy(from, to)
 			if err != nil {
 				n.Close()
 				return nil, err
 			}
-			row = append(row, w)
+			row = append(row, proxy)
 		}
-		n.via = append(n.via, row)
+		n.proxies = append(n.proxies, row)
 	}
 	return n, nil
 }
 
-// open takes an address of its own for each process that sends, so that none can be somebody's outgoing port.
-func (n *Net) open(from, to int) (*way, error) {
+// openProxy opens a proxy. Its IP address, derived from the process ID and the sending process, is not
+// 127.0.0.1, so that its port cannot be in use as the local port of an outgoing connection.
+func (n *Net) openProxy(from, to int) (*linkProxy, error) {
 	ip := net.IPv4(127, byte(200+(os.Getpid()>>8)%50), byte(os.Getpid()), byte(1+from%250))
 	for range 20 {
-		l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: ip})
+		listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: ip})
 		if err != nil {
 			return nil, err
 		}
-		u, err := net.ListenUDP("udp", &net.UDPAddr{IP: ip, Port: l.Addr().(*net.TCPAddr).Port})
+		udpConn, err := net.ListenUDP("udp", &net.UDPAddr{IP: ip, Port: listener.Addr().(*net.TCPAddr).Port})
 		if err != nil {
-			l.Close()
+			listener.Close()
 			continue
 		}
-		w := &way{net: n, from: from, to: to, tcp: l, udp: u}
+		proxy := &linkProxy{net: n, from: from, to: to, tcp: listener, udp: udpConn}
 		n.group.Add(2)
-		go w.packets()
-		go w.streams()
-		return w, nil
+		go proxy.forwardPackets()
+		go proxy.acceptStreams()
+		return proxy, nil
 	}
-	return nil, fmt.Errorf("no address free for both UDP and TCP")
+	return nil, fmt.Errorf("no free port for both UDP and TCP")
 }
 
-// Via is where one process reaches another.
-func (n *Net) Via(from, to int) string { return n.via[from][to].tcp.Addr().String() }
+// ProxyAddr returns the address at which one process reaches another.
+func (n *Net) ProxyAddr(from, to int) string { return n.proxies[from][to].tcp.Addr().String() }
 
-// Through are the pairs of addresses that lead a process to all others.
-func (n *Net) Through(from int) (pairs []string) {
+// AddressPairs returns the mapping "target=proxy" from the address of each other process to the proxy address
+// at which a process reaches it.
+func (n *Net) AddressPairs(from int) (pairs []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for to, real := range n.real {
+	for to, target := range n.targets {
 		if to != from {
-			pairs = append(pairs, real+"="+n.Via(from, to))
+			pairs = append(pairs, target+"="+n.ProxyAddr(from, to))
 		}
 	}
 	return pairs
 }
 
-// Moved says that a process listens elsewhere now.
-func (n *Net) Moved(to int, real string) {
+// SetTarget changes the address at which a process listens.
+func (n *Net) SetTarget(to int, address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.real[to] = real
+	n.targets[to] = address
 }
 
-func (n *Net) at(i int) string {
+func (n *Net) target(i int) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.real[i]
+	return n.targets[i]
 }
 
-// Close ends all ways.
+// Close closes all proxies.
 func (n *Net) Close() {
 	close(n.done)
-	for _, row := range n.via {
-		for _, w := range row {
-			if w != nil {
-				w.tcp.Close()
-				w.udp.Close()
+	for _, row := range n.proxies {
+		for _, proxy := range row {
+			if proxy != nil {
+				proxy.tcp.Close()
+				proxy.udp.Close()
 			}
 		}
 	}
 	n.group.Wait()
 }
 
-func (w *way) packets() {
-	defer w.net.group.Done()
+func (p *linkProxy) forwardPackets() {
+	defer p.net.group.Done()
 	buf := make([]byte, 64<<10)
 	for {
-		size, _, err := w.udp.ReadFrom(buf)
+		size, _, err := p.udp.ReadFrom(buf)
 		if err != nil {
 			select {
-			case <-w.net.done:
+			case <-p.net.done:
 				return
-			case <-time.After(time.Millisecond): // such as word that nobody listens there
+			case <-time.After(time.Millisecond): // for example an ICMP error: nobody listens at the target
 				continue
 			}
 		}
-		to, err := net.ResolveUDPAddr("udp", w.net.at(w.to))
+		to, err := net.ResolveUDPAddr("udp", p.net.target(p.to))
 		if err != nil {
 			continue
 		}
-		text := append([]byte(nil), buf[:size]...)
-		for _, after := range w.net.packet(w.from, w.to, size) {
-			if after == 0 {
-				w.udp.WriteTo(text, to)
+		payload := append([]byte(nil), buf[:size]...)
+		for _, delay := range p.net.packetDelays(p.from, p.to, size) {
+			if delay == 0 {
+				p.udp.WriteTo(payload, to)
 			} else {
-				time.AfterFunc(after, func() { w.udp.WriteTo(text, to) })
+				time.AfterFunc(delay, func() { p.udp.WriteTo(payload, to) })
 			}
 		}
 	}
 }
 
-func (w *way) streams() {
-	defer w.net.group.Done()
+func (p *linkProxy) acceptStreams() {
+	defer p.net.group.Done()
 	for {
-		near, err := w.tcp.Accept()
+		inbound, err := p.tcp.Accept()
 		if err != nil {
 			select {
-			case <-w.net.done:
+			case <-p.net.done:
 				return
 			case <-time.After(time.Millisecond):
 				continue
 			}
 		}
-		w.net.group.Add(1)
-		go w.lead(near.(*net.TCPConn))
+		p.net.group.Add(1)
+		go p.forwardStream(inbound.(*net.TCPConn))
 	}
 }
 
-// lead carries a stream, both ways, each under its own conditions.
-func (w *way) lead(near *net.TCPConn) {
-	n := w.net
+// forwardStream forwards a stream in both directions, each under its own conditions.
+func (p *linkProxy) forwardStream(inbound *net.TCPConn) {
+	n := p.net
 	defer n.group.Done()
-	defer near.Close()
-	there, _ := n.get(w.from, w.to)
-	back, _ := n.get(w.to, w.from)
-	if there.Cut && back.Cut {
-		n.hit(w.from, w.to, Severed, 0)
-		near.SetLinger(0)
+	defer inbound.Close()
+	forward, _ := n.get(p.from, p.to)
+	reverse, _ := n.get(p.to, p.from)
+	if forward.Cut && reverse.Cut {
+		n.record(p.from, p.to, EffectCut, 0)
+		inbound.SetLinger(0)
 		return
 	}
-	far, err := net.DialTimeout("tcp", n.at(w.to), 2*time.Second)
+	outbound, err := net.DialTimeout("tcp", n.target(p.to), 2*time.Second)
 	if err != nil {
-		near.SetLinger(0)
+		inbound.SetLinger(0)
 		return
 	}
-	defer far.Close()
-	ended := make(chan struct{})
-	var sides sync.WaitGroup
-	sides.Add(2)
+	defer outbound.Close()
+	finished := make(chan struct{})
+	var directions sync.WaitGroup
+	directions.Add(2)
 	carry := func(from, to int, in, out net.Conn) {
-		defer sides.Done()
-		n.carry(from, to, in, out)
+		defer directions.Done()
+		n.copyStream(from, to, in, out)
 	}
-	go carry(w.from, w.to, near, far)
-	go carry(w.to, w.from, far, near)
+	go carry(p.from, p.to, inbound, outbound)
+	go carry(p.to, p.from, outbound, inbound)
 	go func() {
 		select {
-		case <-n.done: // nothing that is read or written must hold up the end
-			near.Close()
-			far.Close()
-		case <-ended:
+		case <-n.done: // a blocked read or write must not delay Close
+			inbound.Close()
+			outbound.Close()
+		case <-finished:
 		}
 	}()
-	sides.Wait()
-	close(ended)
+	directions.Wait()
+	close(finished)
 }
 
-// carry takes bytes one way until they end. What is cut one way is silent, as its sender hears nothing of it.
-func (n *Net) carry(from, to int, in, out net.Conn) {
+// copyStream copies data in one direction until its end. If only this direction is cut, the data stalls,
+// since its sender cannot notice the cut.
+func (n *Net) copyStream(from, to int, in, out net.Conn) {
 	buf := make([]byte, 16<<10)
-	passed := 0
+	forwarded := 0
 	for {
 		size, err := in.Read(buf)
 		if size > 0 {
-			if !n.awaitOpen(from, to, size) || !n.delay(from, to, size) {
+			if !n.awaitOpen(from, to, size) || !n.waitForLink(from, to, size) {
 				in.Close()
 				out.Close()
 				return
 			}
-			if link, _ := n.get(from, to); link.Tear > 0 && passed+size > link.Tear {
-				n.hit(from, to, Torn, size)
-				out.Write(buf[:max(0, min(size-1, link.Tear-passed))])
+			if link, _ := n.get(from, to); link.BreakAfter > 0 && forwarded+size > link.BreakAfter {
+				n.record(from, to, EffectBroken, size)
+				out.Write(buf[:max(0, min(size-1, link.BreakAfter-forwarded))])
 				in.Close()
 				out.Close()
 				return
@@ -221,31 +224,31 @@
 				in.Close()
 				return
 			}
-			passed += size
+			forwarded += size
 		}
 		if err != nil {
-			if half, ok := out.(*net.TCPConn); ok {
-				half.CloseWrite()
+			if tcpConn, ok := out.(*net.TCPConn); ok {
+				tcpConn.CloseWrite()
 			}
 			return
 		}
 	}
 }
 
-// awaitOpen waits until a link that is cut one way, or silent, carries bytes again. It is false where both ways are cut, after 30 s, as
-// whoever waits so long has gone, and at the end of the net.
+// awaitOpen waits until a link that is silent, or cut in one direction, carries data again. It returns false
+// if both directions are cut, after 30 s (the sender has given up by then), and when the network is closed.
 func (n *Net) awaitOpen(from, to, size int) bool {
 	for {
 		link, change := n.get(from, to)
-		back, _ := n.get(to, from)
-		if link.Cut && back.Cut {
-			n.hit(from, to, Severed, size)
+		reverse, _ := n.get(to, from)
+		if link.Cut && reverse.Cut {
+			n.record(from, to, EffectCut, size)
 			return false
 		}
 		if !link.Cut && !link.Silent {
 			return true
 		}
-		n.hit(from, to, map[bool]string{true: Severed, false: Silenced}[link.Cut], size)
+		n.record(from, to, map[bool]string{true: EffectCut, false: EffectSilent}[link.Cut], size)
 		select {
 		case <-change:
 		case <-n.done:
@@ -256,8 +259,9 @@
 	}
 }
 
-// delay waits as long as a link takes for so many bytes. It is false at the end of the net.
-func (n *Net) delay(from, to, size int) bool {
+// waitForLink waits for the delay of a link, and for the time that a number of bytes takes at its rate. It
+// returns false when the network is closed.
+func (n *Net) waitForLink(from, to, size int) bool {
 	link, _ := n.get(from, to)
 	if link.Delay <= 0 && link.Rate <= 0 {
 		return true
@@ -266,7 +270,7 @@
 	if link.Rate != 0 {
 		wait += time.Duration(float64(size) / max(link.Rate, 1e-9) * float64(time.Second))
 	}
-	n.hit(from, to, map[bool]string{true: Throttled, false: Delayed}[link.Rate > 0], size)
+	n.record(from, to, map[bool]string{true: EffectThrottled, false: EffectDelayed}[link.Rate > 0], size)
 	select {
 	case <-time.After(wait):
 		return true
--- a/testbed/report/parts.go
+++ b/testbed/report/parts.go
@@ -12,7 +12,7 @@
 
 // DrawLeases draws, over time, the shares of the destinations' limits that couriers granted to other couriers and that couriers leased from
 // others: the sums over all destinations, and the leased shares of the four destinations with the highest sum over time.
-func DrawLeases(dir string, parts fleet.Parts) (file string, err error) {
+func DrawLeases(dir string, parts fleet.LeaseHistory) (file string, err error) {
 	sums := func(of func(*fleet.LeaseTotals) []float64) (all []float64) {
 		for _, leases := range parts {
 			for i, v := range of(leases) {
--- a/testbed/scale/realfleet.go
+++ b/testbed/scale/realfleet.go
@@ -88,7 +88,7 @@
 	o := &realObserver{fleet: f}
 	for i := range f.size {
 		for _, addresses := range []*[]string{&o.operators, &o.membership} {
-			address, err := fleet.Free(i)
+			address, err := fleet.FreeLoopbackAddr(i)
 			if err != nil {
 				return nil, err
 			}
--- a/testbed/simulation/call.go
+++ b/testbed/simulation/call.go
@@ -7,191 +7,192 @@
 	"pineport/testbed/invariants"
 )
 
-// load puts a message on a call; it returns the call if that is new.
-func (s *Sim) load(c *courier, a dispatch.Send, open map[dispatch.EndpointID]*call) *call {
-	at, r := s.at[a.Endpoint], c.messages[a.Message]
-	if at == nil || r != nil && at.dest != int(r.client.arrival.Dest) {
-		s.books.CourierCrashed(s.now, c.no, "sent "+string(a.Message)+" to "+string(a.Endpoint)+", which is not of its destination")
+// addToCall starts an attempt of a message on an open call to its endpoint, or on a new call. It returns the
+// call only if it is new.
+func (s *Sim) addToCall(c *courier, a dispatch.Send, openCalls map[dispatch.EndpointID]*call) *call {
+	target, msg := s.endpoints[a.Endpoint], c.messages[a.Message]
+	if target == nil || msg != nil && target.destination != int(msg.client.arrival.Dest) {
+		s.ledger.CourierCrashed(s.now, c.index, "sent "+string(a.Message)+" to "+string(a.Endpoint)+", which is not an endpoint of the message's destination") // reported as a crash of the courier
 		return nil
 	}
-	book := s.books.AttemptSent(s.now, a.Message, invariants.Target{Dest: dispatch.DestinationID(at.dest), Route: at.route, Endpoint: a.Endpoint, Zone: at.endpoint.Zone})
-	if r == nil {
+	ledgerNumber := s.ledger.AttemptSent(s.now, a.Message, invariants.Target{Dest: dispatch.DestinationID(target.destination), Route: target.route, Endpoint: a.Endpoint, Zone: target.endpoint.Zone})
+	if msg == nil {
 		return nil
 	}
-	t := &attempt{rec: r, no: dispatch.AttemptNumber(len(r.attempts)), book: book,
-		past: dispatch.PastAttempt{Endpoint: a.Endpoint, Zone: at.endpoint.Zone, SentAt: s.now}}
-	r.attempts = append(r.attempts, t)
-	r.out++
-	if r.over || len(r.attempts) > s.w.Definition.Fleet.MaxAttempts {
-		s.settle(t, dispatch.AttemptFinished{Outcome: dispatch.Unprocessed})
+	att := &attempt{message: msg, number: dispatch.AttemptNumber(len(msg.attempts)), ledgerNumber: ledgerNumber,
+		past: dispatch.PastAttempt{Endpoint: a.Endpoint, Zone: target.endpoint.Zone, SentAt: s.now}}
+	msg.attempts = append(msg.attempts, att)
+	msg.openAttempts++
+	if msg.done || len(msg.attempts) > s.instance.Definition.Fleet.MaxAttempts {
+		s.finishAttempt(att, dispatch.AttemptFinished{Outcome: dispatch.Unprocessed})
 		return nil
 	}
-	plan := s.partners[at.dest].Plan()
-	item := s.item(r)
-	if cl := open[a.Endpoint]; cl != nil && len(cl.Items) < plan.PerCall {
-		cl.Items, cl.attempts, t.call = append(cl.Items, item), append(cl.attempts, t), cl
-		s.limit(t, a.Timeout)
+	plan := s.destinations[target.destination].Plan()
+	item := s.item(msg)
+	if cl := openCalls[a.Endpoint]; cl != nil && len(cl.Items) < plan.PerCall {
+		cl.Items, cl.attempts, att.call = append(cl.Items, item), append(cl.attempts, att), cl
+		s.setAttemptTimeout(att, a.Timeout)
 		return nil
 	}
-	if c.slots >= s.w.Slots {
-		s.settle(t, dispatch.AttemptFinished{Outcome: dispatch.Unprocessed})
+	if c.slotsUsed >= s.instance.Slots {
+		s.finishAttempt(att, dispatch.AttemptFinished{Outcome: dispatch.Unprocessed})
 		return nil
 	}
-	c.slots++
-	s.calls++
-	cl := &call{Call: endpointmodel.Call{ID: s.calls, Courier: c.no, Endpoint: a.Endpoint, Items: []endpointmodel.Item{item}}, courier: c,
-		life: c.life, at: at, attempts: []*attempt{t}, sent: s.now}
-	t.call, open[a.Endpoint] = cl, cl
-	s.limit(t, a.Timeout)
+	c.slotsUsed++
+	s.lastCallID++
+	cl := &call{Call: endpointmodel.Call{ID: s.lastCallID, Courier: c.index, Endpoint: a.Endpoint, Items: []endpointmodel.Item{item}}, courier: c,
+		incarnation: c.incarnation, endpoint: target, attempts: []*attempt{att}, sent: s.now}
+	att.call, openCalls[a.Endpoint] = cl, cl
+	s.setAttemptTimeout(att, a.Timeout)
 	return cl
 }
 
-func (s *Sim) item(r *message) endpointmodel.Item {
-	w := &s.w.Definition.Classes[r.client.arrival.Class]
-	return endpointmodel.Item{Message: r.id, Origin: r.client.id, Repeat: invariants.ParseIdempotency(w.Idempotency), DedupOneZone: w.DedupOneZone,
-		DedupWindow: config.Micros(w.DedupWindow)}
+func (s *Sim) item(msg *message) endpointmodel.Item {
+	class := &s.instance.Definition.Classes[msg.client.arrival.Class]
+	return endpointmodel.Item{Message: msg.id, Origin: msg.client.id, Repeat: invariants.ParseIdempotency(class.Idempotency), DedupOneZone: class.DedupOneZone,
+		DedupWindow: config.Micros(class.DedupWindow)}
 }
 
-// launch sends a call off, over a connection that rests or a new one.
-func (s *Sim) launch(cl *call) {
-	c, p, id := cl.courier, s.partners[cl.at.dest], cl.Endpoint
-	way := s.way(c.zone, cl.at.endpoint.Zone)
-	idle, rests := c.pools[id], config.Micros(s.w.Definition.Fleet.IdleTimeout)
-	for len(idle) > 0 && s.now-idle[0] >= rests {
+// sendCall sends a call over an idle connection, or opens a new one.
+func (s *Sim) sendCall(cl *call) {
+	c, dest, id := cl.courier, s.destinations[cl.endpoint.destination], cl.Endpoint
+	latency := s.latency(c.zone, cl.endpoint.endpoint.Zone)
+	idle, idleTimeout := c.idleConns[id], config.Micros(s.instance.Definition.Fleet.IdleTimeout)
+	for len(idle) > 0 && s.now-idle[0] >= idleTimeout {
 		idle = idle[1:]
-		p.Disconnect(id)
+		dest.Disconnect(id)
 	}
 	if n := len(idle); n > 0 {
-		c.pools[id] = idle[:n-1]
-		cl.linked = true
-		s.after(s.now+way, func() { s.reach(cl) })
+		c.idleConns[id] = idle[:n-1]
+		cl.connected = true
+		s.schedule(s.now+latency, func() { s.arriveAtEndpoint(cl) })
 		return
 	}
-	delete(c.pools, id)
-	s.after(s.now+way, func() {
-		if cl.over {
+	delete(c.idleConns, id)
+	s.schedule(s.now+latency, func() {
+		if cl.done {
 			return
 		}
-		switch p.Connect(s.now, id) {
+		switch dest.Connect(s.now, id) {
 		case endpointmodel.Connected:
-			s.books.ConnectionOpened()
-			cl.linked = true
-			s.after(s.now+dispatch.Micros(2*s.w.Definition.Network.HandshakeRTTs*float64(way)), func() { s.reach(cl) })
+			s.ledger.ConnectionOpened()
+			cl.connected = true
+			s.schedule(s.now+dispatch.Micros(2*s.instance.Definition.Network.HandshakeRTTs*float64(latency)), func() { s.arriveAtEndpoint(cl) })
 		case endpointmodel.Refused:
-			s.after(s.now+way, func() { s.outcome(cl, dispatch.Unreachable, 0, nil) })
+			s.schedule(s.now+latency, func() { s.finishCall(cl, dispatch.Unreachable, 0, nil) })
 		case endpointmodel.NoResponse:
-			s.after(s.now-way+config.Micros(s.w.Definition.Fleet.ConnectTimeout/1000), func() { s.outcome(cl, dispatch.Unreachable, 0, nil) })
+			s.schedule(s.now-latency+config.Micros(s.instance.Definition.Fleet.ConnectTimeout/1000), func() { s.finishCall(cl, dispatch.Unreachable, 0, nil) })
 		}
 	})
 }
 
-// reach lets a call's last byte come to its endpoint.
-func (s *Sim) reach(cl *call) {
-	if !cl.over {
+// arriveAtEndpoint hands a call whose last byte has arrived to the endpoint model.
+func (s *Sim) arriveAtEndpoint(cl *call) {
+	if !cl.done {
 		s.inFlight[cl.ID] = cl
-		s.came(cl.at.dest, s.partners[cl.at.dest].Receive(s.now, &cl.Call))
+		s.handleOutputs(cl.endpoint.destination, s.destinations[cl.endpoint.destination].Receive(s.now, &cl.Call))
 	}
 }
 
-// answered carries an endpoint's answer back.
-func (s *Sim) answered(a endpointmodel.Answer) {
+// receiveAnswer sends an endpoint's answer back to the courier.
+func (s *Sim) receiveAnswer(a endpointmodel.Answer) {
 	cl := s.inFlight[a.Call.ID]
 	if cl == nil {
-		return // nobody waits for it any more
+		return // no courier waits for the answer any more
 	}
 	delete(s.inFlight, cl.ID)
-	s.after(s.now+s.way(cl.courier.zone, cl.at.endpoint.Zone), func() { s.outcome(cl, a.Outcome, a.RetryAfter, a.LoadReport) })
+	s.schedule(s.now+s.latency(cl.courier.zone, cl.endpoint.endpoint.Zone), func() { s.finishCall(cl, a.Outcome, a.RetryAfter, a.LoadReport) })
 }
 
-// limit ends an attempt's time: the attempts of one call have each their own.
-func (s *Sim) limit(t *attempt, limit dispatch.Micros) {
+// setAttemptTimeout schedules an attempt's timeout. Each attempt of a call has its own.
+func (s *Sim) setAttemptTimeout(att *attempt, limit dispatch.Micros) {
 	if limit <= 0 {
 		return
 	}
-	s.after(s.now+limit, func() {
-		if t.over || t.call.over {
+	s.schedule(s.now+limit, func() {
+		if att.done || att.call.done {
 			return
 		}
 		o := dispatch.TimedOut
-		if !t.call.linked {
-			o = dispatch.Unreachable // none of it was sent
+		if !att.call.connected {
+			o = dispatch.Unreachable // nothing was sent, since the connection is not up
 		}
-		s.giveUp(t, o)
+		s.abandonAttempt(att, o)
 	})
 }
 
-// giveUp ends one attempt; where no other is left on its call, that is called off.
-func (s *Sim) giveUp(t *attempt, o dispatch.Outcome) {
-	s.settle(t, dispatch.AttemptFinished{Outcome: o, Duration: s.now - t.call.sent})
-	for _, other := range t.call.attempts {
-		if !other.over {
+// abandonAttempt ends one attempt. If the call has no other open attempt, the call is canceled.
+func (s *Sim) abandonAttempt(att *attempt, o dispatch.Outcome) {
+	s.finishAttempt(att, dispatch.AttemptFinished{Outcome: o, Duration: s.now - att.call.sent})
+	for _, other := range att.call.attempts {
+		if !other.done {
 			return
 		}
 	}
-	if !t.call.over {
-		t.call.over = true
-		t.call.courier.slots--
-		s.hangUp(t.call)
+	if !att.call.done {
+		att.call.done = true
+		att.call.courier.slotsUsed--
+		s.disconnect(att.call)
 	}
 }
 
-// outcome ends a call at its courier.
-func (s *Sim) outcome(cl *call, o dispatch.Outcome, wait dispatch.Micros, pressure []float64) {
-	if cl.over {
+// finishCall ends a call at its courier with an outcome for all of its attempts.
+func (s *Sim) finishCall(cl *call, o dispatch.Outcome, retryAfter dispatch.Micros, loadReport []float64) {
+	if cl.done {
 		return
 	}
-	cl.over = true
+	cl.done = true
 	c := cl.courier
-	c.slots--
+	c.slotsUsed--
 	switch o {
 	case dispatch.Delivered, dispatch.Failure, dispatch.Throttled:
-		c.pools[cl.Endpoint] = append(c.pools[cl.Endpoint], s.now)
+		c.idleConns[cl.Endpoint] = append(c.idleConns[cl.Endpoint], s.now)
 	default:
-		s.hangUp(cl)
+		s.disconnect(cl)
 	}
-	for _, t := range cl.attempts {
-		s.settle(t, dispatch.AttemptFinished{Outcome: o, Duration: s.now - cl.sent, RetryAfter: wait, LoadReport: pressure})
+	for _, att := range cl.attempts {
+		s.finishAttempt(att, dispatch.AttemptFinished{Outcome: o, Duration: s.now - cl.sent, RetryAfter: retryAfter, LoadReport: loadReport})
 	}
 }
 
-// hangUp closes a call's connection.
-func (s *Sim) hangUp(cl *call) {
+// disconnect closes a call's connection.
+func (s *Sim) disconnect(cl *call) {
 	delete(s.inFlight, cl.ID)
-	if !cl.linked {
+	if !cl.connected {
 		return
 	}
-	p := s.partners[cl.at.dest]
-	s.after(s.now+s.way(cl.courier.zone, cl.at.endpoint.Zone), func() {
-		p.Disconnect(cl.Endpoint)
-		s.came(cl.at.dest, p.Cancel(s.now, &cl.Call))
+	dest := s.destinations[cl.endpoint.destination]
+	s.schedule(s.now+s.latency(cl.courier.zone, cl.endpoint.endpoint.Zone), func() {
+		dest.Disconnect(cl.Endpoint)
+		s.handleOutputs(cl.endpoint.destination, dest.Cancel(s.now, &cl.Call))
 	})
 }
 
-// settle tells a courier how an attempt ended.
-func (s *Sim) settle(t *attempt, e dispatch.AttemptFinished) {
-	if t.over {
+// finishAttempt records the end of an attempt and notifies the courier.
+func (s *Sim) finishAttempt(att *attempt, e dispatch.AttemptFinished) {
+	if att.done {
 		return
 	}
-	t.over, t.past.Outcome = true, e.Outcome
-	r := t.rec
-	r.out--
-	s.books.AttemptEnded(s.now, r.id, t.book, e.Outcome, e.RetryAfter)
-	if e.Outcome == dispatch.Delivered && !r.over {
-		r.client.over = true
-		s.close(r)
+	att.done, att.past.Outcome = true, e.Outcome
+	msg := att.message
+	msg.openAttempts--
+	s.ledger.AttemptEnded(s.now, msg.id, att.ledgerNumber, e.Outcome, e.RetryAfter)
+	if e.Outcome == dispatch.Delivered && !msg.done {
+		msg.client.done = true
+		s.release(msg)
 	}
-	e.Message, e.Attempt, e.MessageDone = r.id, t.no, r.over
-	s.tell(r.courier, e)
-	if r.over {
-		s.close(r)
+	e.Message, e.Attempt, e.MessageDone = msg.id, att.number, msg.done
+	s.notify(msg.courier, e)
+	if msg.done {
+		s.release(msg)
 	}
 }
 
-// cancel calls an attempt off.
-func (s *Sim) cancel(c *courier, a dispatch.Cancel) {
-	r := c.messages[a.Message]
-	if r == nil || int(a.Attempt) >= len(r.attempts) || r.attempts[a.Attempt].over {
+// cancelAttempt cancels an attempt on request of the courier.
+func (s *Sim) cancelAttempt(c *courier, a dispatch.Cancel) {
+	msg := c.messages[a.Message]
+	if msg == nil || int(a.Attempt) >= len(msg.attempts) || msg.attempts[a.Attempt].done {
 		return
 	}
-	s.giveUp(r.attempts[a.Attempt], dispatch.Canceled)
+	s.abandonAttempt(msg.attempts[a.Attempt], dispatch.Canceled)
 }
--- a/testbed/simulation/courier.go
+++ b/testbed/simulation/courier.go
@@ -14,93 +14,93 @@
 	"pineport/testbed/invariants"
 )
 
-// courier is the world's side of one courier: what its process, sockets and folder would be.
+// courier is the simulated process, connections and state folder of one courier.
 type courier struct {
-	sim      *Sim
-	no       int
-	zone     dispatch.ZoneID
-	alive    bool
-	closing  bool
-	life     int        // counts its starts, so that what belongs to an earlier one is known
-	spooled  []*message // what its folder holds while it is down, in the order taken
-	standsTo dispatch.Micros
-	events   []dispatch.Event
-	due      dispatch.Micros // the tick at which it is notified them; 0: none
-	messages map[dispatch.MessageID]*message
-	held     int
-	slots    int                                            // taken
-	pools    map[dispatch.EndpointID][]dispatch.Micros      // idle connections, by when they began to rest
-	notified map[dispatch.EndpointID]dispatch.EndpointEntry // the list as it had it last
-	newsAt   dispatch.Micros
-	watching bool
-	quota    *quota.Allocator // nil: limits are not shared
+	sim                 *Sim
+	index               int
+	zone                dispatch.ZoneID
+	alive               bool
+	shuttingDown        bool
+	incarnation         int        // number of starts; identifies events that belong to an earlier run
+	spooled             []*message // messages in the spool while the courier is down, in the order accepted
+	pausedUntil         dispatch.Micros
+	events              []dispatch.Event
+	stepAt              dispatch.Micros // tick at which events are handed to the dispatcher; 0: none is scheduled
+	messages            map[dispatch.MessageID]*message
+	openMessages        int
+	slotsUsed           int
+	idleConns           map[dispatch.EndpointID][]dispatch.Micros      // for each idle connection, since when it is idle
+	knownEntries        map[dispatch.EndpointID]dispatch.EndpointEntry // the endpoint list as last received
+	lastChangeArrivesAt dispatch.Micros                                // when the latest list change sent to it arrives; keeps changes in order
+	watching            bool
+	quota               *quota.Allocator // nil if couriers do not share quotas
 }
 
-// message is a message at one courier.
+// message is a message accepted by one courier.
 type message struct {
-	id       dispatch.MessageID
-	client   *client
-	courier  *courier
-	number   int // in the order taken by all couriers
-	taken    dispatch.MessageAccepted
-	attempts []*attempt
-	out      int
-	over     bool
+	id           dispatch.MessageID
+	client       *client
+	courier      *courier
+	number       int // sequence number over all couriers
+	accepted     dispatch.MessageAccepted
+	attempts     []*attempt
+	openAttempts int
+	done         bool
 }
 
 type attempt struct {
-	rec  *message
-	no   dispatch.AttemptNumber
-	book int // its number in the books
-	call *call
-	past dispatch.PastAttempt // as a folder has it; the outcome counts once it is over
-	over bool
+	message      *message
+	number       dispatch.AttemptNumber
+	ledgerNumber int // the attempt's number in the ledger
+	call         *call
+	past         dispatch.PastAttempt // the attempt as the spool records it; Outcome is valid once done is set
+	done         bool
 }
 
-// call is one call on its way.
+// call is one call from a courier to an endpoint.
 type call struct {
 	endpointmodel.Call
-	courier  *courier
-	life     int
-	at       *spot
-	attempts []*attempt
-	sent     dispatch.Micros
-	linked   bool // its connection is up
-	over     bool // the courier knows its end, or waits no more
+	courier     *courier
+	incarnation int
+	endpoint    *endpointRecord
+	attempts    []*attempt
+	sent        dispatch.Micros
+	connected   bool
+	done        bool // the courier knows the outcome, or no longer waits for it
 }
 
-func (s *Sim) start(c *courier) {
+func (s *Sim) startCourier(c *courier) {
 	if c.alive {
 		return
 	}
-	c.alive, c.closing, c.watching = true, false, false
-	c.life++
-	c.events, c.due, c.held, c.slots = nil, 0, 0, 0
-	c.messages, c.pools = map[dispatch.MessageID]*message{}, map[dispatch.EndpointID][]dispatch.Micros{}
+	c.alive, c.shuttingDown, c.watching = true, false, false
+	c.incarnation++
+	c.events, c.stepAt, c.openMessages, c.slotsUsed = nil, 0, 0, 0
+	c.messages, c.idleConns = map[dispatch.MessageID]*message{}, map[dispatch.EndpointID][]dispatch.Micros{}
 	salt := int64(s.rng.Uint64() >> 1)
-	ch, err := s.w.Config(c.no, salt)
+	cfg, err := s.instance.Config(c.index, salt)
 	if err == nil {
-		err = s.host.Start(c.no, s.commune(c, ch), config.Flatten(s.w.Settings(c.no)))
+		err = s.host.Start(c.index, s.startQuota(c, cfg), config.Flatten(s.instance.Settings(c.index)))
 	}
 	if err != nil {
 		s.fail("%w", err)
 		return
 	}
-	if c.life > 1 {
-		s.books.CourierUp(s.now, c.no)
+	if c.incarnation > 1 {
+		s.ledger.CourierUp(s.now, c.index)
 	}
-	s.tell(c, dispatch.EndpointUpdate{Kind: dispatch.CachedList, Entries: inOrder(c.notified)})
-	if snapshot, ok := s.lores[c.no]; ok {
-		s.tell(c, dispatch.SnapshotRestored{Snapshot: snapshot})
+	s.notify(c, dispatch.EndpointUpdate{Kind: dispatch.CachedList, Entries: sortedEntries(c.knownEntries)})
+	if snapshot, ok := s.snapshots[c.index]; ok {
+		s.notify(c, dispatch.SnapshotRestored{Snapshot: snapshot})
 	}
-	s.takeUpAgain(c)
-	if s.w.Definition.Directory.Mode == "push" {
-		s.listed.fetch(c)
+	s.recoverSpool(c)
+	if s.instance.Definition.Directory.Mode == "push" {
+		s.directory.fetch(c)
 	}
 }
 
-// inOrder lists entries by their names.
-func inOrder(all map[dispatch.EndpointID]dispatch.EndpointEntry) []dispatch.EndpointEntry {
+// sortedEntries returns the entries in the order of their endpoint IDs.
+func sortedEntries(all map[dispatch.EndpointID]dispatch.EndpointEntry) []dispatch.EndpointEntry {
 	list := make([]dispatch.EndpointEntry, 0, len(all))
 	for _, id := range slices.Sorted(maps.Keys(all)) {
 		list = append(list, all[id])
@@ -108,207 +108,212 @@
 	return list
 }
 
-// ask tells a courier that its process ends soon.
-func (s *Sim) ask(c *courier, span dispatch.Micros) {
+// announceShutdown notifies a courier that its process will be stopped after a time. The scenario stops it
+// with another event.
+func (s *Sim) announceShutdown(c *courier, delay dispatch.Micros) {
 	if c.alive {
-		c.closing = true
-		s.tell(c, dispatch.ShutdownScheduled{At: s.now + span})
+		c.shuttingDown = true
+		s.notify(c, dispatch.ShutdownScheduled{At: s.now + delay})
 	}
 }
 
-// kill ends a courier; what it held goes back to its clients.
-func (s *Sim) kill(c *courier) {
+// killCourier ends a courier's process. Its open messages stay in its spool. Without a spool, clients submit
+// them again, except for single-use messages that may have taken effect.
+func (s *Sim) killCourier(c *courier) {
 	if !c.alive {
 		return
 	}
-	if c.closing && s.SnapshotInterval > 0 {
+	if c.shuttingDown && s.SnapshotInterval > 0 {
 		s.takeSnapshot(c)
 	}
 	c.alive = false
-	s.host.Kill(c.no)
-	for _, id := range slices.Sorted(maps.Keys(c.pools)) {
-		for range c.pools[id] {
-			s.partners[s.at[id].dest].Disconnect(id)
+	s.host.Kill(c.index)
+	for _, id := range slices.Sorted(maps.Keys(c.idleConns)) {
+		for range c.idleConns[id] {
+			s.destinations[s.endpoints[id].destination].Disconnect(id)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.messages)) {
-		r := c.messages[id]
-		for _, t := range r.attempts {
-			if !t.over && !t.call.over {
-				t.call.over = true
-				s.hangUp(t.call)
+		msg := c.messages[id]
+		for _, att := range msg.attempts {
+			if !att.done && !att.call.done {
+				att.call.done = true
+				s.disconnect(att.call)
 			}
 		}
-		if r.over {
+		if msg.done {
 			continue
 		}
 		if s.Spool {
-			s.cutOff(r)
-			c.spooled = append(c.spooled, r)
+			s.breakAttempts(msg)
+			c.spooled = append(c.spooled, msg)
 			continue
 		}
-		r.over = true
-		if work := &s.w.Definition.Classes[r.client.arrival.Class]; work.Idempotency != "single-use" || !s.books.MayHaveRun(id) {
-			s.after(s.now+s.between(s.w.Definition.Clients.ResubmitAfter), func() { s.handIn(r.client, s.other(c), true) })
+		msg.done = true
+		if class := &s.instance.Definition.Classes[msg.client.arrival.Class]; class.Idempotency != "single-use" || !s.ledger.MayHaveRun(id) {
+			s.schedule(s.now+s.randomDuration(s.instance.Definition.Clients.ResubmitAfter), func() { s.submit(msg.client, s.retryCourier(c), true) })
 		}
 	}
 	slices.SortStableFunc(c.spooled, func(a, b *message) int { return cmp.Compare(a.number, b.number) })
-	s.books.CourierDown(s.now, c.no, !s.Spool, s.SnapshotInterval == 0)
+	s.ledger.CourierDown(s.now, c.index, !s.Spool, s.SnapshotInterval == 0) // messages lost, learned state lost
 }
 
-// takeUpAgain hands a courier what its folder held.
-func (s *Sim) takeUpAgain(c *courier) {
-	for _, r := range c.spooled {
-		if r.over {
-			continue // withdrawn meanwhile
+// recoverSpool hands a restarted courier the messages of its spool.
+func (s *Sim) recoverSpool(c *courier) {
+	for _, msg := range c.spooled {
+		if msg.done {
+			continue // canceled while the courier was down
 		}
-		e := dispatch.MessageRecovered{MessageAccepted: r.taken}
-		for _, t := range r.attempts {
-			e.Attempts = append(e.Attempts, t.past)
+		e := dispatch.MessageRecovered{MessageAccepted: msg.accepted}
+		for _, att := range msg.attempts {
+			e.Attempts = append(e.Attempts, att.past)
 		}
-		c.messages[r.id] = r
-		c.held++
-		s.tell(c, e)
+		c.messages[msg.id] = msg
+		c.openMessages++
+		s.notify(c, e)
 	}
 	c.spooled = nil
 }
 
-// cutOff ends what a killed courier had out. A folder knows of an attempt from its first byte on: before, it never was;
-// after, it may have run.
-func (s *Sim) cutOff(r *message) {
-	r.out = 0
-	r.attempts = slices.DeleteFunc(r.attempts, func(t *attempt) bool {
-		if t.over {
+// breakAttempts ends the open attempts of a message whose courier was killed. The spool records an attempt
+// from its first byte on: an attempt without a connection is removed, any other is kept as broken, since it
+// may have taken effect.
+func (s *Sim) breakAttempts(msg *message) {
+	msg.openAttempts = 0
+	msg.attempts = slices.DeleteFunc(msg.attempts, func(att *attempt) bool {
+		if att.done {
 			return false
 		}
-		t.over, t.past.Outcome = true, dispatch.Broken
-		if !t.call.linked {
-			s.books.AttemptEnded(s.now, r.id, t.book, dispatch.Unreachable, 0)
+		att.done, att.past.Outcome = true, dispatch.Broken
+		if !att.call.connected {
+			s.ledger.AttemptEnded(s.now, msg.id, att.ledgerNumber, dispatch.Unreachable, 0)
 		}
-		return !t.call.linked
+		return !att.call.connected
 	})
 }
 
-// tell puts something before a courier's next step.
-func (s *Sim) tell(c *courier, e dispatch.Event) {
+// notify queues an event for a courier's next step.
+func (s *Sim) notify(c *courier, e dispatch.Event) {
 	if !c.alive {
 		return
 	}
 	c.events = append(c.events, e)
-	if c.due == 0 {
-		at := (max(s.now, c.standsTo)/s.tick + 1) * s.tick
-		c.due = at
-		if s.turns[at] == nil {
-			s.after(at, func() { s.turn(at) })
+	if c.stepAt == 0 {
+		at := (max(s.now, c.pausedUntil)/s.tickLength + 1) * s.tickLength
+		c.stepAt = at
+		if s.stepsDue[at] == nil {
+			s.schedule(at, func() { s.stepCouriers(at) })
 		}
-		s.turns[at] = append(s.turns[at], c)
+		s.stepsDue[at] = append(s.stepsDue[at], c)
 	}
 }
 
-// step lets all couriers decide that have something to be notified by now.
-func (s *Sim) turn(at dispatch.Micros) {
-	due := s.turns[at]
-	delete(s.turns, at)
+// stepCouriers hands all events that are due at this tick to their couriers' dispatchers and executes the
+// resulting actions.
+func (s *Sim) stepCouriers(at dispatch.Micros) {
+	due := s.stepsDue[at]
+	delete(s.stepsDue, at)
 	var batches []Batch
 	for _, c := range due {
-		if !c.alive || c.due != at {
-			continue // killed since
+		if !c.alive || c.stepAt != at {
+			continue // killed or rescheduled in the meantime
 		}
-		c.due = 0
-		if c.standsTo > s.now { // stands still since it was notified
+		c.stepAt = 0
+		if c.pausedUntil > s.now { // paused since the event was queued
 			events := c.events
 			c.events = nil
 			for _, e := range events {
-				s.tell(c, e)
+				s.notify(c, e)
 			}
 			continue
 		}
-		batches = append(batches, Batch{c.no, c.events})
+		batches = append(batches, Batch{c.index, c.events})
 		c.events = nil
 	}
 	if len(batches) == 0 {
 		return
 	}
-	s.stats.Turns += len(batches)
-	all, err := s.host.Turn(s.now, batches)
+	s.stats.Steps += len(batches)
+	all, err := s.host.Step(s.now, batches)
 	if err != nil {
-		var fault *CourierFault
+		var fault *CourierPanic
 		if !errors.As(err, &fault) {
-			err = fmt.Errorf("the host of the decisions: %w", err)
+			err = fmt.Errorf("host of the dispatchers: %w", err)
 		}
 		s.err = err
 		return
 	}
 	for i, b := range batches {
-		s.carryOut(s.couriers[b.Courier], all[i])
+		s.execute(s.couriers[b.Courier], all[i])
 	}
 }
 
-// carryOut does what a courier wants done.
-func (s *Sim) carryOut(c *courier, actions []dispatch.Action) {
+// execute carries out the actions that a courier's dispatcher returned.
+func (s *Sim) execute(c *courier, actions []dispatch.Action) {
 	s.stats.Actions += len(actions)
-	open := map[dispatch.EndpointID]*call{} // calls of this step that may carry more
+	openCalls := map[dispatch.EndpointID]*call{} // the last call of this step to each endpoint, which may take more messages
 	var calls []*call
 	for _, action := range actions {
 		switch a := action.(type) {
 		case dispatch.Send:
-			if cl := s.load(c, a, open); cl != nil {
+			if cl := s.addToCall(c, a, openCalls); cl != nil {
 				calls = append(calls, cl)
 			}
 		case dispatch.Cancel:
-			s.cancel(c, a)
+			s.cancelAttempt(c, a)
 		case dispatch.Reject:
-			if r := s.ended(c, a.Message, invariants.Rejected); r != nil {
-				s.comeAgain(r.client, c, min(a.RetryAfter, config.Micros(s.w.Definition.Fleet.MaxRetryAfter)))
+			if msg := s.endOpenMessage(c, a.Message, invariants.Rejected); msg != nil {
+				s.resubmitLater(msg.client, c, min(a.RetryAfter, config.Micros(s.instance.Definition.Fleet.MaxRetryAfter)))
 			}
 		case dispatch.Fail:
-			if r := s.ended(c, a.Message, invariants.Failed); r != nil {
-				r.client.over = true
+			if msg := s.endOpenMessage(c, a.Message, invariants.Failed); msg != nil {
+				msg.client.done = true
 			}
 		case dispatch.SetTimer:
-			life := c.life
-			s.after(a.At, func() {
-				if c.life == life {
-					s.tell(c, dispatch.TimerFired{})
+			incarnation := c.incarnation
+			s.schedule(a.At, func() {
+				if c.incarnation == incarnation {
+					s.notify(c, dispatch.TimerFired{})
 				}
 			})
 		case dispatch.CloseIdle:
-			for range c.pools[a.Endpoint] {
-				s.partners[s.at[a.Endpoint].dest].Disconnect(a.Endpoint)
+			for range c.idleConns[a.Endpoint] {
+				s.destinations[s.endpoints[a.Endpoint].destination].Disconnect(a.Endpoint)
 			}
-			delete(c.pools, a.Endpoint)
+			delete(c.idleConns, a.Endpoint)
 		case dispatch.WatchEndpoints:
-			s.listed.fetch(c)
+			s.directory.fetch(c)
 		}
 	}
 	for _, cl := range calls {
-		s.launch(cl)
+		s.sendCall(cl)
 	}
 }
 
-// ended takes a courier's final answer for a message; nil where it had one already.
-func (s *Sim) ended(c *courier, id dispatch.MessageID, how invariants.End) *message {
-	r := c.messages[id]
-	if r == nil || r.over {
-		s.books.MessageEnded(s.now, id, how) // they know what to think of it
+// endOpenMessage records a courier's final answer for a message. It returns nil if the message is unknown to
+// the courier or already had a final answer.
+func (s *Sim) endOpenMessage(c *courier, id dispatch.MessageID, end invariants.End) *message {
+	msg := c.messages[id]
+	if msg == nil || msg.done {
+		s.ledger.MessageEnded(s.now, id, end) // the ledger decides whether this is a breach
 		return nil
 	}
-	s.end(r, how)
-	return r
+	s.endMessage(msg, end)
+	return msg
 }
 
-func (s *Sim) end(r *message, how invariants.End) {
-	s.books.MessageEnded(s.now, r.id, how)
-	s.close(r)
+func (s *Sim) endMessage(msg *message, end invariants.End) {
+	s.ledger.MessageEnded(s.now, msg.id, end)
+	s.release(msg)
 }
 
-// close forgets a message that is over, once nothing of it is out.
-func (s *Sim) close(r *message) {
-	if !r.over {
-		r.over = true
-		r.courier.held--
+// release marks a message as done, and forgets it once none of its attempts is open.
+func (s *Sim) release(msg *message) {
+	if !msg.done {
+		msg.done = true
+		msg.courier.openMessages--
 	}
-	if r.out == 0 {
-		delete(r.courier.messages, r.id)
+	if msg.openAttempts == 0 {
+		delete(msg.courier.messages, msg.id)
 	}
 }
--- a/testbed/simulation/directory.go
+++ b/testbed/simulation/directory.go
@@ -8,119 +8,123 @@
 	"pineport/testbed/scenario"
 )
 
-// directory is the list of endpoints, and how word of it reaches the couriers.
+// directory simulates discovery: the endpoint list and its distribution to the couriers. In the mode "push"
+// it sends changes to all couriers from their start on; in the mode "ask" only to those that requested the
+// list since their last failed watch.
 type directory struct {
 	sim     *Sim
 	entries map[dispatch.EndpointID]dispatch.EndpointEntry
 	down    bool
-	pending []func() // what could not be notified while it was down
+	pending []func() // updates held back while the directory is down
 }
 
 func newDirectory(s *Sim) *directory {
 	d := &directory{sim: s, entries: map[dispatch.EndpointID]dispatch.EndpointEntry{}}
-	for _, l := range s.w.InitialEntries() {
-		d.entries[l.Endpoint] = l
+	for _, entry := range s.instance.InitialEntries() {
+		d.entries[entry.Endpoint] = entry
 	}
 	return d
 }
 
-func (d *directory) all() map[dispatch.EndpointID]dispatch.EndpointEntry {
+func (d *directory) snapshot() map[dispatch.EndpointID]dispatch.EndpointEntry {
 	return maps.Clone(d.entries)
 }
 
-// change notes that an entry changed, and tells whoever is notified by itself or watches.
-func (d *directory) change(dest int, e endpointmodel.Endpoint, phase dispatch.Phase) {
-	l := d.sim.w.Entry(dest, e.ID, e.Zone, phase)
+// update changes an entry and sends the change to the couriers. The directory drops it for a courier that
+// does not watch when the change would arrive.
+func (d *directory) update(dest int, e endpointmodel.Endpoint, phase dispatch.Phase) {
+	entry := d.sim.instance.Entry(dest, e.ID, e.Zone, phase)
 	if phase == dispatch.Removed {
 		delete(d.entries, e.ID)
 	} else {
-		d.entries[e.ID] = l
+		d.entries[e.ID] = entry
 	}
 	for _, c := range d.sim.couriers {
-		d.notify(c, l)
+		d.notify(c, entry)
 	}
 }
 
-// notify tells one courier of one change, in the order of changes.
-func (d *directory) notify(c *courier, l dispatch.EndpointEntry) {
+// notify sends one change to one courier after a random delay. Changes arrive in order.
+func (d *directory) notify(c *courier, entry dispatch.EndpointEntry) {
 	if d.down {
-		d.pending = append(d.pending, func() { d.notify(c, l) })
+		d.pending = append(d.pending, func() { d.notify(c, entry) })
 		return
 	}
-	s, life := d.sim, c.life
-	c.newsAt = max(c.newsAt, s.now+s.between(s.w.Definition.Directory.ChangeDelay))
-	s.after(c.newsAt, func() {
+	s, incarnation := d.sim, c.incarnation
+	c.lastChangeArrivesAt = max(c.lastChangeArrivesAt, s.now+s.randomDuration(s.instance.Definition.Directory.ChangeDelay))
+	s.schedule(c.lastChangeArrivesAt, func() {
 		switch {
-		case c.life != life || !c.alive || !c.watching:
-		case d.down: // it went down meanwhile
-			d.pending = append(d.pending, func() { d.notify(c, l) })
+		case c.incarnation != incarnation || !c.alive || !c.watching:
+		case d.down: // the directory went down in the meantime
+			d.pending = append(d.pending, func() { d.notify(c, entry) })
 		default:
-			d.hear(c, dispatch.PartialList, []dispatch.EndpointEntry{l})
+			d.apply(c, dispatch.PartialList, []dispatch.EndpointEntry{entry})
 		}
 	})
 }
 
-// hear hands news to a courier.
-func (d *directory) hear(c *courier, how dispatch.UpdateKind, entries []dispatch.EndpointEntry) {
+// apply updates a courier's known entries and hands the update to the courier.
+func (d *directory) apply(c *courier, kind dispatch.UpdateKind, entries []dispatch.EndpointEntry) {
 	s := d.sim
-	before := c.notified
-	if how == dispatch.CompleteList {
-		c.notified = map[dispatch.EndpointID]dispatch.EndpointEntry{}
+	before := c.knownEntries
+	if kind == dispatch.CompleteList {
+		c.knownEntries = map[dispatch.EndpointID]dispatch.EndpointEntry{}
 	}
-	for _, l := range entries {
-		if l.Phase == dispatch.Removed {
-			delete(c.notified, l.Endpoint)
+	for _, entry := range entries {
+		if entry.Phase == dispatch.Removed {
+			delete(c.knownEntries, entry.Endpoint)
 		} else {
-			c.notified[l.Endpoint] = l
+			c.knownEntries[entry.Endpoint] = entry
 		}
-		s.books.EndpointNotified(s.now, c.no, l.Endpoint, l.Phase)
+		s.ledger.EndpointNotified(s.now, c.index, entry.Endpoint, entry.Phase)
 	}
-	for id := range before { // what is missing in a whole list is gone
-		if _, listed := c.notified[id]; !listed {
-			s.books.EndpointNotified(s.now, c.no, id, dispatch.Removed)
+	for id := range before { // an endpoint that is missing from a complete list was removed
+		if _, listed := c.knownEntries[id]; !listed {
+			s.ledger.EndpointNotified(s.now, c.index, id, dispatch.Removed)
 		}
 	}
-	s.tell(c, dispatch.EndpointUpdate{Kind: how, Entries: entries})
+	s.notify(c, dispatch.EndpointUpdate{Kind: kind, Entries: entries})
 }
 
-// fetch answers a courier that asks for the list, or that is notified by itself from its start on.
+// fetch sends the complete list to a courier that requested it, or that starts in push mode.
 func (d *directory) fetch(c *courier) {
-	s, life := d.sim, c.life
-	r := s.w.Definition.Directory.ListTime
-	s.after(s.now+s.between(scenario.Range{r[0] / 1000, r[1] / 1000}), func() {
+	s, incarnation := d.sim, c.incarnation
+	r := s.instance.Definition.Directory.ListTime
+	s.schedule(s.now+s.randomDuration(scenario.Range{r[0] / 1000, r[1] / 1000}), func() {
 		switch {
-		case c.life != life || !c.alive:
-		case d.down && s.w.Definition.Directory.Mode == "ask":
-			s.tell(c, dispatch.EndpointUpdate{Kind: dispatch.ListFailed})
+		case c.incarnation != incarnation || !c.alive:
+		case d.down && s.instance.Definition.Directory.Mode == "ask":
+			s.notify(c, dispatch.EndpointUpdate{Kind: dispatch.ListFailed})
 		case d.down:
 			d.pending = append(d.pending, func() { d.fetch(c) })
 		default:
 			c.watching = true
-			d.hear(c, dispatch.CompleteList, inOrder(d.entries))
+			d.apply(c, dispatch.CompleteList, sortedEntries(d.entries))
 		}
 	})
 }
 
-// goDown ends all watches.
+// goDown stops the directory. In the mode "ask" it ends all watches with a failure; in the mode "push"
+// updates wait until it is up again.
 func (d *directory) goDown() {
 	d.down = true
-	if d.sim.w.Definition.Directory.Mode != "ask" {
+	if d.sim.instance.Definition.Directory.Mode != "ask" {
 		return
 	}
 	for _, c := range d.sim.couriers {
 		if c.watching {
 			c.watching = false
-			d.sim.tell(c, dispatch.EndpointUpdate{Kind: dispatch.ListFailed})
+			d.sim.notify(c, dispatch.EndpointUpdate{Kind: dispatch.ListFailed})
 		}
 	}
 }
 
-// comeUp goes on, and tells what was to be notified.
+// comeUp restarts the directory and sends the updates that were held back.
 func (d *directory) comeUp() {
 	d.down = false
 	pending := d.pending
 	d.pending = nil
-	for _, tell := range pending {
-		tell()
+	for _, notify := range pending {
+		notify()
 	}
 }
--- a/testbed/simulation/host.go
+++ b/testbed/simulation/host.go
@@ -7,76 +7,78 @@
 	"pineport/dispatch"
 )
 
-// Batch is what happened to one courier since its last step.
+// Batch holds the events of one courier since its last step.
 type Batch struct {
 	Courier int
 	Events  []dispatch.Event
 }
 
-// Host runs the decisions of all couriers.
+// Host runs the dispatchers of all couriers.
 type Host interface {
-	// Start begins a courier that knows nothing.
-	Start(courier int, ch dispatch.Config, settings map[string]string) error
-	// Kill ends one.
+	// Start creates the dispatcher of a courier, without learned state. The settings are those that cfg was
+	// made from, for hosts in another process.
+	Start(courier int, cfg dispatch.Config, settings map[string]string) error
+	// Kill discards the dispatcher of a courier.
 	Kill(courier int)
-	// Turn hands over what happened, and returns what each courier wants done, in the order of the batches.
-	Turn(now dispatch.Micros, batches []Batch) ([][]dispatch.Action, error)
+	// Step hands each batch to its courier's dispatcher, and returns the actions of each in the order of the
+	// batches.
+	Step(now dispatch.Micros, batches []Batch) ([][]dispatch.Action, error)
 	Close() error
 }
 
-// Decider is the decisions of one courier, as dispatch.Dispatcher.
+// Decider is the decision logic of one courier, such as dispatch.Dispatcher.
 type Decider interface {
 	Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action
 }
 
-// CourierFault is a courier whose decisions failed.
-type CourierFault struct {
+// CourierPanic reports a panic in a courier's dispatcher.
+type CourierPanic struct {
 	Courier int
 	Text    string
 }
 
-func (f *CourierFault) Error() string { return fmt.Sprintf("courier %d: %s", f.Courier, f.Text) }
+func (f *CourierPanic) Error() string { return fmt.Sprintf("courier %d: %s", f.Courier, f.Text) }
 
-// Local runs the decisions in this process.
-type Local struct {
-	make     func(courier int, ch dispatch.Config) Decider
-	couriers map[int]Decider
+// LocalHost is a Host that runs the dispatchers in this process.
+type LocalHost struct {
+	newDecider func(courier int, cfg dispatch.Config) Decider
+	deciders   map[int]Decider
 }
 
-// NewLocal hosts what make returns; nil stands for the module as it is.
-func NewLocal(make func(courier int, ch dispatch.Config) Decider) *Local {
-	if make == nil {
-		make = func(_ int, ch dispatch.Config) Decider { return dispatch.New(ch) }
+// NewLocalHost returns a host that creates dispatchers with newDecider; nil stands for dispatch.New.
+func NewLocalHost(newDecider func(courier int, cfg dispatch.Config) Decider) *LocalHost {
+	if newDecider == nil {
+		newDecider = func(_ int, cfg dispatch.Config) Decider { return dispatch.New(cfg) }
 	}
-	return &Local{make, map[int]Decider{}}
+	return &LocalHost{newDecider, map[int]Decider{}}
 }
 
 // Start implements Host.
-func (l *Local) Start(courier int, ch dispatch.Config, _ map[string]string) error {
-	l.couriers[courier] = l.make(courier, ch)
+func (l *LocalHost) Start(courier int, cfg dispatch.Config, _ map[string]string) error {
+	l.deciders[courier] = l.newDecider(courier, cfg)
 	return nil
 }
 
 // Kill implements Host.
-func (l *Local) Kill(courier int) { delete(l.couriers, courier) }
+func (l *LocalHost) Kill(courier int) { delete(l.deciders, courier) }
 
 // Close implements Host.
-func (l *Local) Close() error { return nil }
+func (l *LocalHost) Close() error { return nil }
 
-// Turn implements Host.
-func (l *Local) Turn(now dispatch.Micros, batches []Batch) (all [][]dispatch.Action, err error) {
-	at := 0
+// Step implements Host.
+func (l *LocalHost) Step(now dispatch.Micros, batches []Batch) (all [][]dispatch.Action, err error) {
+	current := 0
 	defer func() {
-		if fault := recover(); fault != nil {
-			err = &CourierFault{at, fmt.Sprintf("%v\n%s", fault, debug.Stack())}
+		if recovered := recover(); recovered != nil {
+			err = &CourierPanic{current, fmt.Sprintf("%v\n%s", recovered, debug.Stack())}
 		}
 	}()
 	for _, b := range batches {
-		at = b.Courier
-		all = append(all, l.couriers[b.Courier].Handle(now, b.Events))
+		current = b.Courier
+		all = append(all, l.deciders[b.Courier].Handle(now, b.Events))
 	}
 	return all, nil
 }
 
-// Courier gives a running courier's decisions, for whoever wants to look into them.
-func (l *Local) Courier(n int) Decider { return l.couriers[n] }
+// Dispatcher returns a running courier's dispatcher, for inspection.
+func (l *LocalHost) Dispatcher(n int) Decider { return l.deciders[n] }
--- a/testbed/simulation/restarts_test.go
+++ b/testbed/simulation/restarts_test.go
@@ -8,8 +8,8 @@
 	"pineport/testbed/scenario"
 )
 
-// readDay reads a day of testdata.
-func readDay(t *testing.T, name string) *scenario.Definition {
+// readScenario reads a scenario from testdata.
+func readScenario(t *testing.T, name string) *scenario.Definition {
 	t.Helper()
 	file := "testdata/" + name + ".toml"
 	text, err := os.ReadFile(file)
@@ -23,90 +23,94 @@
 	return d
 }
 
-// recoveries counts what restarts found, by what may be done about it.
-type recoveries struct {
+// spoolRecoveryCounter passes events and actions through, and counts the messages recovered after restarts and
+// their attempts.
+type spoolRecoveryCounter struct {
 	Decider
-	seen *foundAtRestarts
+	recovered *recoveredMessages
 }
 
-// foundAtRestarts are messages with an idempotency key that restarts found, and how often such a one was sent afterwards.
-type foundAtRestarts struct {
-	window                            dispatch.Micros
-	classes                           map[dispatch.ClassID]bool // those with an idempotency key
-	untried, within, over             map[dispatch.MessageID]bool
-	sentUntried, sentWithin, sentOver int
+// recoveredMessages are the messages with an idempotency key that were recovered after restarts, with the
+// number of attempts that followed.
+type recoveredMessages struct {
+	window                                       dispatch.Micros
+	classes                                      map[dispatch.ClassID]bool // classes with an idempotency key
+	unsent, withinWindow, expired                map[dispatch.MessageID]bool
+	sendsUnsent, sendsWithinWindow, sendsExpired int
 }
 
-func newFoundAtRestarts(window dispatch.Micros, keyed ...dispatch.ClassID) *foundAtRestarts {
-	f := &foundAtRestarts{window: window, classes: map[dispatch.ClassID]bool{}, untried: map[dispatch.MessageID]bool{},
-		within: map[dispatch.MessageID]bool{}, over: map[dispatch.MessageID]bool{}}
-	for _, w := range keyed {
-		f.classes[w] = true
+func newRecoveredMessages(window dispatch.Micros, idempotentClasses ...dispatch.ClassID) *recoveredMessages {
+	r := &recoveredMessages{window: window, classes: map[dispatch.ClassID]bool{}, unsent: map[dispatch.MessageID]bool{},
+		withinWindow: map[dispatch.MessageID]bool{}, expired: map[dispatch.MessageID]bool{}}
+	for _, w := range idempotentClasses {
+		r.classes[w] = true
 	}
-	return f
+	return r
 }
 
-// found sorts a message that a restart found.
-func (f *foundAtRestarts) found(now dispatch.Micros, e dispatch.MessageRecovered) {
-	delete(f.untried, e.Message)
-	delete(f.within, e.Message)
-	if !f.classes[e.Class] {
+// add classifies a recovered message by whether it may have been sent, and whether its deduplication window
+// has passed. An expired message stays expired after further restarts.
+func (r *recoveredMessages) add(now dispatch.Micros, e dispatch.MessageRecovered) {
+	delete(r.unsent, e.Message)
+	delete(r.withinWindow, e.Message)
+	if !r.classes[e.Class] {
 		return
 	}
 	for _, p := range e.Attempts {
 		if p.Outcome == dispatch.Throttled || p.Outcome == dispatch.Unreachable || p.Outcome == dispatch.Unprocessed {
 			continue
 		}
-		if now >= p.SentAt+f.window {
-			f.over[e.Message] = true
+		if now >= p.SentAt+r.window {
+			r.expired[e.Message] = true
 		} else {
-			f.within[e.Message] = true
+			r.withinWindow[e.Message] = true
 		}
 		return
 	}
-	f.untried[e.Message] = true
+	r.unsent[e.Message] = true
 }
 
-func (f *foundAtRestarts) sent(id dispatch.MessageID) {
+func (r *recoveredMessages) countSend(id dispatch.MessageID) {
 	switch {
-	case f.over[id]:
-		f.sentOver++
-	case f.within[id]:
-		f.sentWithin++
-	case f.untried[id]:
-		f.sentUntried++
+	case r.expired[id]:
+		r.sendsExpired++
+	case r.withinWindow[id]:
+		r.sendsWithinWindow++
+	case r.unsent[id]:
+		r.sendsUnsent++
 	}
 }
 
 // Handle implements Decider.
-func (r *recoveries) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
+func (r *spoolRecoveryCounter) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
 	for _, event := range events {
 		if e, ok := event.(dispatch.MessageRecovered); ok {
-			r.seen.found(now, e)
+			r.recovered.add(now, e)
 		}
 	}
 	actions := r.Decider.Handle(now, events)
 	for _, action := range actions {
 		if a, ok := action.(dispatch.Send); ok {
-			r.seen.sent(a.Message)
+			r.recovered.countSend(a.Message)
 		}
 	}
 	return actions
 }
 
-// TestShortWindowOverRestarts: on days full of restarts, with repeats known for a second only, all rules hold; what a restart
-// finds past its window never goes again, what is within it may, and what was never tried still is.
-func TestShortWindowOverRestarts(t *testing.T) {
+// TestShortDedupWindowAcrossRestarts runs scenarios with many restarts and a deduplication window of one
+// second. A message that may have been sent must not be sent after a restart if its window has passed. Some
+// messages must be sent again within the window, and some that were never sent must still be sent.
+func TestShortDedupWindowAcrossRestarts(t *testing.T) {
 	const (
 		seeds  = 12
-		window = 1000 * 1000 // as the day has it for the first two classes
+		window = 1000 * 1000 // of the first two classes in the scenario file
 	)
-	var untried, within, over, sentUntried, sentWithin, sentOver int
+	var unsent, withinWindow, expired, sendsUnsent, sendsWithinWindow, sendsExpired int
 	for seed := int64(1); seed <= seeds; seed++ {
-		w := scenario.Draw(readDay(t, "restarts"), seed)
-		found := newFoundAtRestarts(window, 0, 1)
-		v, _, err := Play(w, NewLocal(func(_ int, ch dispatch.Config) Decider {
-			return &recoveries{dispatch.New(ch), found}
+		instance := scenario.Draw(readScenario(t, "restarts"), seed)
+		recovered := newRecoveredMessages(window, 0, 1)
+		v, _, err := Play(instance, NewLocalHost(func(_ int, cfg dispatch.Config) Decider {
+			return &spoolRecoveryCounter{dispatch.New(cfg), recovered}
 		}), Options{Spool: true})
 		if err != nil {
 			t.Fatal(err)
@@ -114,15 +118,15 @@
 		if !v.OK() {
 			t.Errorf("seed %d: %s %v", seed, v.Short(), v.Breaches)
 		}
-		untried, within, over = untried+len(found.untried), within+len(found.within), over+len(found.over)
-		sentUntried, sentWithin, sentOver = sentUntried+found.sentUntried, sentWithin+found.sentWithin, sentOver+found.sentOver
+		unsent, withinWindow, expired = unsent+len(recovered.unsent), withinWindow+len(recovered.withinWindow), expired+len(recovered.expired)
+		sendsUnsent, sendsWithinWindow, sendsExpired = sendsUnsent+recovered.sendsUnsent, sendsWithinWindow+recovered.sendsWithinWindow, sendsExpired+recovered.sendsExpired
 	}
-	t.Logf("%d days: restarts found %d messages untried (%d attempts followed), %d within their window (%d attempts), %d past it (%d attempts)",
-		seeds, untried, sentUntried, within, sentWithin, over, sentOver)
-	if sentOver > 0 {
-		t.Errorf("%d attempts of messages that were past their window when a restart found them", sentOver)
+	t.Logf("%d runs: recovered %d messages never sent (%d attempts followed), %d within their window (%d attempts), %d past it (%d attempts)",
+		seeds, unsent, sendsUnsent, withinWindow, sendsWithinWindow, expired, sendsExpired)
+	if sendsExpired > 0 {
+		t.Errorf("%d attempts of messages that were past their deduplication window when recovered", sendsExpired)
 	}
-	if over == 0 || sentWithin == 0 || sentUntried == 0 {
-		t.Error("these days show too little")
+	if expired == 0 || sendsWithinWindow == 0 || sendsUnsent == 0 {
+		t.Error("want recovered messages past their window, and attempts after a restart both within the window and of messages never sent")
 	}
 }
--- a/testbed/simulation/returns_test.go
+++ b/testbed/simulation/returns_test.go
@@ -10,169 +10,174 @@
 	"pineport/testbed/scenario"
 )
 
-// outageKinds are the ways in which a destination may fail as a whole; the seeds of a fleet take them by steps.
+// outageKinds are the kinds of outage in these tests; consecutive seeds cycle through them.
 var outageKinds = []string{"refuse", "silent", "hang", "shut", "errors"}
 
-// knowingShare of the calls that push a destination over must come from couriers that had seen the outage, or it is a fall
-// and no broken rule.
-const knowingShare = 2.0 / 3
+// informedShare is the proportion of a window's calls that must come from couriers that had seen the outage
+// for an overload to break the rule on recovering destinations. With a smaller proportion, an overload breaks
+// no rule.
+const informedShare = 2.0 / 3
 
-// returnBudget is how many calls a cold destination takes within the span of the rule: calls is what the settings allow,
-// and 2*sqrt(calls)+2 beyond it are put down to chance. It is of what all couriers of the fleet send together.
-func returnBudget(calls float64) float64 { return calls + 2*math.Sqrt(calls) + 2 }
+// overloadBudget returns how many calls a recovering destination may receive from all couriers in one window.
+// allowed is the number that the settings allow; 2*sqrt(allowed)+2 more calls are attributed to chance.
+func overloadBudget(allowed float64) float64 { return allowed + 2*math.Sqrt(allowed) + 2 }
 
-// slowStartBudget is how many calls a server in slow start may get in the span of the rule: calls is what the settings allow, and
-// 2*sqrt(calls)+2 beyond it (3*sqrt(calls)+3 under 30 calls) are put down to chance. It binds on every day, whoever sent the calls
-// and however many couriers run (RULES).
-func slowStartBudget(calls float64) float64 {
-	const fewCalls = 30
-	if calls < fewCalls {
-		return calls + 3*math.Sqrt(calls) + 3
+// slowStartBudget returns how many calls a recovering destination may receive from all couriers in one window
+// during slow start, for any scenario and fleet size. allowed is the number that the settings allow;
+// 2*sqrt(allowed)+2 more calls (3*sqrt(allowed)+3 if fewer than 30 are allowed) are attributed to chance.
+func slowStartBudget(allowed float64) float64 {
+	const smallBudget = 30
+	if allowed < smallBudget {
+		return allowed + 3*math.Sqrt(allowed) + 3
 	}
-	return returnBudget(calls)
+	return overloadBudget(allowed)
 }
 
-// fleetCall is one call of one courier, as far as it weighs on a cold destination.
+// fleetCall is a call of one courier to a recovering destination.
 type fleetCall struct {
-	at      dispatch.Micros
-	courier int
-	knowing bool // its courier had seen a call fail or be refused in the outage
+	at       dispatch.Micros
+	courier  int
+	informed bool // its courier had seen a call fail or be refused during the outage
 }
 
-// watchedRoute is what shares one return: a destination, or one of its endpoints where they are routes apart.
-type watchedRoute struct {
-	plan      *scenario.Destination
-	endpoints int
-	out, cold dispatch.Micros // when its outage began, and when it came back; out 0: it had none
-	knowing   map[int]bool    // the couriers that had seen the outage
-	window    []fleetCall     // the calls of the last span, of the whole fleet
-	worst     windowLoad
-	pushed    bool       // some span had too many calls, and they came from couriers that knew
-	worstSlow windowLoad // against the slow start budget
-	fell      bool       // some span was over the slow start budget, whoever sent the calls
-	fellKnown bool       // ... and its calls came from couriers that knew
+// routeLoad tracks the calls to one route during the recovery after its outage. A route is a destination, or
+// a single endpoint if the destination has separate routes.
+type routeLoad struct {
+	plan                    *scenario.Destination
+	endpoints               int
+	outageStart, outageEnd  dispatch.Micros // start is 0 without an outage
+	informed                map[int]bool    // couriers that had seen the outage
+	recentCalls             []fleetCall     // calls of the whole fleet in the last FallSpan of the plan
+	maxLoad                 windowLoad
+	overloadedByInformed    bool       // a window was over budget, mostly by calls of informed couriers
+	maxSlowStartLoad        windowLoad // relative to the slow start budget
+	overSlowStart           bool       // a window was over the slow start budget, whoever sent the calls
+	overSlowStartByInformed bool       // such a window had mostly calls of informed couriers
 }
 
-// windowLoad is the calls of one span against what the destination takes in it.
+// windowLoad compares the calls of one window, a time of FallSpan, with their budget.
 type windowLoad struct {
-	calls, knowing int
-	budget         float64
-	sinceCold      dispatch.Micros
+	calls, informedCalls int
+	budget               float64
+	sinceRecovery        dispatch.Micros
 }
 
 func (w windowLoad) ratio() float64 { return float64(w.calls) / max(w.budget, 1e-9) }
 func (w windowLoad) over() bool     { return float64(w.calls) > w.budget }
 
-// known tells whether the calls came from couriers that had seen the outage.
-func (w windowLoad) known() bool { return float64(w.knowing) >= knowingShare*float64(w.calls) }
+// byInformed reports whether enough of the calls came from couriers that had seen the outage.
+func (w windowLoad) byInformed() bool {
+	return float64(w.informedCalls) >= informedShare*float64(w.calls)
+}
 
-// count adds a call at an instant of the ramp, and keeps the fullest span.
-func (r *watchedRoute) count(now dispatch.Micros, courier int) {
+// count adds a call during the ramp after an outage, and keeps the window with the highest load.
+func (r *routeLoad) count(now dispatch.Micros, courier int) {
 	plan := &r.plan.Plan
-	if r.out == 0 || now < r.cold || now >= r.cold+plan.SlowStart {
+	if r.outageStart == 0 || now < r.outageEnd || now >= r.outageEnd+plan.SlowStart {
 		return
 	}
-	r.window = append(r.window, fleetCall{now, courier, r.knowing[courier]})
-	for now-r.window[0].at > plan.OverloadWindow {
-		r.window = r.window[1:]
+	r.recentCalls = append(r.recentCalls, fleetCall{now, courier, r.informed[courier]})
+	for now-r.recentCalls[0].at > plan.OverloadWindow {
+		r.recentCalls = r.recentCalls[1:]
 	}
-	warm := plan.SlowStartInitialShare + (1-plan.SlowStartInitialShare)*float64(now-r.cold)/float64(plan.SlowStart)
-	capacity := plan.Capacity() * float64(r.endpoints) * warm
+	warmShare := plan.SlowStartInitialShare + (1-plan.SlowStartInitialShare)*float64(now-r.outageEnd)/float64(plan.SlowStart)
+	capacity := plan.Capacity() * float64(r.endpoints) * warmShare
 	allowed := plan.OverloadFactor * capacity * float64(plan.OverloadWindow) / 1e6
-	load := windowLoad{calls: len(r.window), sinceCold: now - r.cold, budget: returnBudget(allowed)}
-	for _, c := range r.window {
-		if c.knowing {
-			load.knowing++
+	load := windowLoad{calls: len(r.recentCalls), sinceRecovery: now - r.outageEnd, budget: overloadBudget(allowed)}
+	for _, c := range r.recentCalls {
+		if c.informed {
+			load.informedCalls++
 		}
 	}
-	if load.ratio() > r.worst.ratio() {
-		r.worst = load
+	if load.ratio() > r.maxLoad.ratio() {
+		r.maxLoad = load
 	}
-	r.pushed = r.pushed || load.over() && load.known()
-	slow := load
-	if slow.budget = slowStartBudget(allowed); slow.ratio() > r.worstSlow.ratio() {
-		r.worstSlow = slow
+	r.overloadedByInformed = r.overloadedByInformed || load.over() && load.byInformed()
+	slowStartLoad := load
+	if slowStartLoad.budget = slowStartBudget(allowed); slowStartLoad.ratio() > r.maxSlowStartLoad.ratio() {
+		r.maxSlowStartLoad = slowStartLoad
 	}
-	r.fell = r.fell || slow.over()
-	r.fellKnown = r.fellKnown || slow.over() && slow.known()
+	r.overSlowStart = r.overSlowStart || slowStartLoad.over()
+	r.overSlowStartByInformed = r.overSlowStartByInformed || slowStartLoad.over() && slowStartLoad.byInformed()
 }
 
-// returnCounter hosts the decisions as Local does, and counts what the whole fleet sends to destinations that come back.
-// It sees what the couriers are notified and what they do, and nothing of the model of the destinations.
-type returnCounter struct {
+// slowStartCounter is a Host that counts what the whole fleet sends to destinations in slow start. It uses only
+// the couriers' events and actions, and not the endpoint model.
+type slowStartCounter struct {
 	Host
-	routes   map[dispatch.EndpointID]*watchedRoute
-	attempts map[int]map[dispatch.MessageID][]dispatch.EndpointID // by courier: where each attempt of a message went
+	routes   map[dispatch.EndpointID]*routeLoad
+	attempts map[int]map[dispatch.MessageID][]dispatch.EndpointID // by courier: the endpoint of each attempt of a message
 }
 
-// newReturnCounter watches the returns of a day on which each route has one outage at most.
-func newReturnCounter(w *scenario.Instance, host Host) *returnCounter {
-	c := &returnCounter{Host: host, routes: map[dispatch.EndpointID]*watchedRoute{},
+// newSlowStartCounter returns a counter for a scenario in which each route has at most one outage.
+func newSlowStartCounter(instance *scenario.Instance, host Host) *slowStartCounter {
+	c := &slowStartCounter{Host: host, routes: map[dispatch.EndpointID]*routeLoad{},
 		attempts: map[int]map[dispatch.MessageID][]dispatch.EndpointID{}}
-	for i := range w.Destinations {
-		d := &w.Destinations[i]
-		var route *watchedRoute
+	for i := range instance.Destinations {
+		d := &instance.Destinations[i]
+		var route *routeLoad
 		for _, e := range d.Endpoints {
 			if route == nil || d.SeparateRoutes {
-				route = &watchedRoute{plan: d, knowing: map[int]bool{}}
+				route = &routeLoad{plan: d, informed: map[int]bool{}}
 			}
 			route.endpoints++
 			c.routes[e.ID] = route
 		}
 	}
-	for _, a := range w.Events {
+	for _, a := range instance.Events {
 		switch a.Kind {
 		case scenario.FaultBegins:
-			c.routes[a.Endpoint.ID].out = a.At
+			c.routes[a.Endpoint.ID].outageStart = a.At
 		case scenario.FaultEnds:
-			c.routes[a.Endpoint.ID].cold = a.At
+			c.routes[a.Endpoint.ID].outageEnd = a.At
 		}
 	}
 	return c
 }
 
 // Start implements Host.
-func (c *returnCounter) Start(courier int, ch dispatch.Config, settings map[string]string) error {
+func (c *slowStartCounter) Start(courier int, cfg dispatch.Config, settings map[string]string) error {
 	c.attempts[courier] = map[dispatch.MessageID][]dispatch.EndpointID{}
-	return c.Host.Start(courier, ch, settings)
+	return c.Host.Start(courier, cfg, settings)
 }
 
-// Turn implements Host.
-func (c *returnCounter) Turn(now dispatch.Micros, batches []Batch) ([][]dispatch.Action, error) {
-	all, err := c.Host.Turn(now, batches)
+// Step implements Host.
+func (c *slowStartCounter) Turn(now dispatch.Micros, batches []Batch) ([][]dispatch.Action, error) {
+	all, err := c.Host.Step(now, batches)
 	for i := range all {
-		c.sent(now, batches[i].Courier, all[i])
-		c.learned(now, batches[i]) // known from the next batch on
+		c.countCalls(now, batches[i].Courier, all[i])
+		c.recordOutages(now, batches[i]) // what a courier learns from this batch makes it informed for calls of later batches only
 	}
 	return all, err
 }
 
-// returned lists the routes that came back, each once.
-func (c *returnCounter) returned() (all []*watchedRoute) {
+// recoveredRoutes returns the routes that had an outage, each once.
+func (c *slowStartCounter) recoveredRoutes() (all []*routeLoad) {
 	for _, id := range slices.Sorted(maps.Keys(c.routes)) {
-		if r := c.routes[id]; r.out > 0 && !slices.Contains(all, r) {
+		if r := c.routes[id]; r.outageStart > 0 && !slices.Contains(all, r) {
 			all = append(all, r)
 		}
 	}
 	return all
 }
 
-// learned notes who has seen an outage while it lasts.
-func (c *returnCounter) learned(now dispatch.Micros, b Batch) {
+// recordOutages records which couriers see an outage while it lasts.
+func (c *slowStartCounter) recordOutages(now dispatch.Micros, b Batch) {
 	for _, event := range b.Events {
 		e, ok := event.(dispatch.AttemptFinished)
 		if !ok || e.Outcome == dispatch.Delivered || e.Outcome == dispatch.Unprocessed || e.Outcome == dispatch.Canceled {
 			continue
 		}
 		r := c.routes[c.attempts[b.Courier][e.Message][e.Attempt]]
-		if r.out > 0 && now >= r.out && now < r.cold {
-			r.knowing[b.Courier] = true
+		if r.outageStart > 0 && now >= r.outageStart && now < r.outageEnd {
+			r.informed[b.Courier] = true
 		}
 	}
 }
 
-// sent counts the calls of one step: messages for one endpoint go together, as many as its kind takes.
-func (c *returnCounter) sent(now dispatch.Micros, courier int, actions []dispatch.Action) {
+// countCalls counts the calls of one step. Messages for the same endpoint share a call, up to the limit of
+// the destination.
+func (c *slowStartCounter) countCalls(now dispatch.Micros, courier int, actions []dispatch.Action) {
 	messages := map[dispatch.EndpointID]int{}
 	for _, action := range actions {
 		a, ok := action.(dispatch.Send)
@@ -189,17 +194,18 @@
 	}
 }
 
-// rampRules are what settings say of a return.
-type rampRules struct {
-	coldFrom, multiple, span float64
+// recoverySettings are the settings cold_from, fall_multiple and fall_span_s of a scenario.
+type recoverySettings struct {
+	coldShare, overloadFactor, overloadWindow float64 // proportion of capacity, multiple of capacity, seconds
 }
 
-// returnsDay is the day of testdata/returns.toml for a fleet, with one kind of outage.
-func returnsDay(t *testing.T, seed int64, couriers int, rules rampRules) *scenario.Instance {
+// recoveryScenario returns the scenario testdata/returns.toml with the given number of couriers and recovery
+// settings, and with the kind of outage for the seed.
+func recoveryScenario(t *testing.T, seed int64, couriers int, rules recoverySettings) *scenario.Instance {
 	t.Helper()
-	d := readDay(t, "returns")
+	d := readScenario(t, "returns")
 	d.Fleet.Couriers = couriers
-	d.Rules.SlowStartInitialShare, d.Rules.OverloadFactor, d.Rules.OverloadWindow = rules.coldFrom, rules.multiple, rules.span
+	d.Rules.SlowStartInitialShare, d.Rules.OverloadFactor, d.Rules.OverloadWindow = rules.coldShare, rules.overloadFactor, rules.overloadWindow
 	outage := &d.Faults[0]
 	if outage.Kind = outageKind(seed); outage.Kind == "errors" {
 		outage.Size = scenario.Range{1, 1}
@@ -209,54 +215,57 @@
 
 func outageKind(seed int64) string { return outageKinds[int(seed)%len(outageKinds)] }
 
-// neverFalls is the same day with destinations that take any load, so that each return is counted to its end.
-func neverFalls(w *scenario.Instance) *scenario.Instance {
-	all := *w
-	all.Destinations = slices.Clone(w.Destinations)
-	for i := range all.Destinations {
-		all.Destinations[i].OverloadFactor = 0
+// withoutOverload returns the same scenario with destinations that no load can overload, so that each
+// recovery is counted to its end.
+func withoutOverload(instance *scenario.Instance) *scenario.Instance {
+	result := *instance
+	result.Destinations = slices.Clone(instance.Destinations)
+	for i := range result.Destinations {
+		result.Destinations[i].OverloadFactor = 0
 	}
-	return &all
+	return &result
 }
 
-// fleetReturns is what the returns of one fleet came to over all seeds.
-type fleetReturns struct {
-	returns, over, pushed int // routes that came back; those sent too much; those sent too much by couriers that knew
-	seedsOver             int
-	worst                 windowLoad
-	worstSeed             int64
-	fell, fellKnown       int        // returns over the slow start budget; those by couriers that knew
-	worstSlow             windowLoad // against the slow start budget
-	worstSlowSeed         int64
+// fleetRecoveries sums up the recoveries of one fleet over all seeds.
+type fleetRecoveries struct {
+	// Number of recoveries, of those over overloadBudget, and of those in which the excess counts against
+	// informed couriers.
+	recoveries, over, overByInformed       int
+	seedsOver                              int
+	maxLoad                                windowLoad
+	maxLoadSeed                            int64
+	overSlowStart, overSlowStartByInformed int        // recoveries over slowStartBudget; those of them that count against informed couriers
+	maxSlowStartLoad                       windowLoad // relative to the slow start budget
+	maxSlowStartSeed                       int64
 }
 
-// add takes in the returns of one play.
-func (f *fleetReturns) add(t *testing.T, seed int64, c *returnCounter) {
+// add adds the recoveries of one run.
+func (f *fleetRecoveries) add(t *testing.T, seed int64, c *slowStartCounter) {
 	t.Helper()
 	before := f.over
-	for _, r := range c.returned() {
-		f.returns++
-		if r.pushed {
-			f.pushed++
+	for _, r := range c.recoveredRoutes() {
+		f.recoveries++
+		if r.overloadedByInformed {
+			f.overByInformed++
 		}
-		if r.worst.over() {
+		if r.maxLoad.over() {
 			f.over++
-			t.Logf("seed %d, %s: %d calls, %d of them by couriers that knew, of %.1f at most, %.2f s after the return", seed,
-				outageKind(seed), r.worst.calls, r.worst.knowing, r.worst.budget, float64(r.worst.sinceCold)/1e6)
+			t.Logf("seed %d, %s: %d calls, %d of them by informed couriers, budget %.1f, %.2f s after the outage", seed,
+				outageKind(seed), r.maxLoad.calls, r.maxLoad.informedCalls, r.maxLoad.budget, float64(r.maxLoad.sinceRecovery)/1e6)
 		}
-		if r.worst.ratio() > f.worst.ratio() {
-			f.worst, f.worstSeed = r.worst, seed
+		if r.maxLoad.ratio() > f.maxLoad.ratio() {
+			f.maxLoad, f.maxLoadSeed = r.maxLoad, seed
 		}
-		if r.fell {
-			f.fell++
-			t.Logf("seed %d, %s: over the slow start budget: %d calls, %d of them by couriers that knew, of %.1f at most, %.2f s after the return",
-				seed, outageKind(seed), r.worstSlow.calls, r.worstSlow.knowing, r.worstSlow.budget, float64(r.worstSlow.sinceCold)/1e6)
+		if r.overSlowStart {
+			f.overSlowStart++
+			t.Logf("seed %d, %s: over the slow start budget: %d calls, %d of them by informed couriers, budget %.1f, %.2f s after the outage",
+				seed, outageKind(seed), r.maxSlowStartLoad.calls, r.maxSlowStartLoad.informedCalls, r.maxSlowStartLoad.budget, float64(r.maxSlowStartLoad.sinceRecovery)/1e6)
 		}
-		if r.fellKnown {
-			f.fellKnown++
+		if r.overSlowStartByInformed {
+			f.overSlowStartByInformed++
 		}
-		if r.worstSlow.ratio() > f.worstSlow.ratio() {
-			f.worstSlow, f.worstSlowSeed = r.worstSlow, seed
+		if r.maxSlowStartLoad.ratio() > f.maxSlowStartLoad.ratio() {
+			f.maxSlowStartLoad, f.maxSlowStartSeed = r.maxSlowStartLoad, seed
 		}
 	}
 	if f.over > before {
@@ -264,71 +273,74 @@
 	}
 }
 
-func playReturns(t *testing.T, seeds int64, couriers int, rules rampRules, decide func(int, dispatch.Config) Decider) (f fleetReturns) {
+func runRecoveries(t *testing.T, seeds int64, couriers int, rules recoverySettings, decide func(int, dispatch.Config) Decider) (f fleetRecoveries) {
 	t.Helper()
 	for seed := int64(1); seed <= seeds; seed++ {
-		w := returnsDay(t, seed, couriers, rules)
-		counter := newReturnCounter(w, NewLocal(decide))
-		if _, _, err := Play(neverFalls(w), counter, Options{}); err != nil {
+		instance := recoveryScenario(t, seed, couriers, rules)
+		counter := newSlowStartCounter(instance, NewLocalHost(decide))
+		if _, _, err := Play(withoutOverload(instance), counter, Options{}); err != nil {
 			t.Fatal(err)
 		}
 		f.add(t, seed, counter)
 	}
-	t.Logf("%d couriers: %d returns, worst %.2f of what a cold destination takes (%d calls, %.1f taken, seed %d); %d of %d seeds over, %d pushed by who knew",
-		couriers, f.returns, f.worst.ratio(), f.worst.calls, f.worst.budget, f.worstSeed, f.seedsOver, seeds, f.pushed)
-	t.Logf("%d couriers, slow start budget: worst %.2f of it (%d calls, %.1f allowed, seed %d); %d of %d returns over, %d of these by who knew",
-		couriers, f.worstSlow.ratio(), f.worstSlow.calls, f.worstSlow.budget, f.worstSlowSeed, f.fell, f.returns, f.fellKnown)
+	t.Logf("%d couriers: %d recoveries, highest load %.2f of the budget (%d calls, budget %.1f, seed %d); %d of %d seeds over budget, %d recoveries over budget mostly by calls of informed couriers",
+		couriers, f.recoveries, f.maxLoad.ratio(), f.maxLoad.calls, f.maxLoad.budget, f.maxLoadSeed, f.seedsOver, seeds, f.overByInformed)
+	t.Logf("%d couriers, slow start budget: highest load %.2f of it (%d calls, budget %.1f, seed %d); %d of %d recoveries over budget, %d of these mostly by calls of informed couriers",
+		couriers, f.maxSlowStartLoad.ratio(), f.maxSlowStartLoad.calls, f.maxSlowStartLoad.budget, f.maxSlowStartSeed, f.overSlowStart, f.recoveries, f.overSlowStartByInformed)
 	return f
 }
 
-// TestFleetReturns: whatever the size of the fleet, no cold destination gets more than its budget from couriers that had
-// seen its outage, and hardly ever more from all together; and the slow start budget binds on every return, whoever sent the calls.
-func TestFleetReturns(t *testing.T) {
+// TestFleetSlowStartAfterOutage checks, for fleets of several sizes, that no recovering destination receives
+// more than its budget from couriers that had seen its outage, that the fleet as a whole exceeds the budget
+// on at most maxSeedsOver seeds, and that no recovery exceeds the slow start budget, whoever sent the calls.
+func TestFleetSlowStartAfterOutage(t *testing.T) {
 	const seeds = 50
-	// maxSeedsOver bounds days on which couriers that had seen no outage sent too much all the same: no rule is broken by
-	// that, but the destination falls.
+	// maxSeedsOver is the number of seeds with which the calls of the whole fleet may exceed the budget.
+	// Calls of couriers that had not seen the outage break no rule, although they could overload a real
+	// destination.
 	const maxSeedsOver = 2
-	usual := rampRules{coldFrom: 0.13, multiple: 2.5, span: 2}
+	defaults := recoverySettings{coldShare: 0.13, overloadFactor: 2.5, overloadWindow: 2}
 	for _, fleet := range []struct {
 		name     string
 		couriers int
-		rules    rampRules
+		rules    recoverySettings
 	}{
-		{"1 courier", 1, usual},
-		{"3 couriers", 3, usual},
-		{"5 couriers", 5, usual},
-		{"20 couriers", 20, usual},
-		{"30 couriers", 30, usual},
-		{"30 couriers, a smaller multiple over a short span", 30, rampRules{coldFrom: 0.2, multiple: 2, span: 1.5}},
-		{"30 couriers, the smallest multiple over a long span", 30, rampRules{coldFrom: 0.26, multiple: 1.5, span: 3}},
+		{"1 courier", 1, defaults},
+		{"3 couriers", 3, defaults},
+		{"5 couriers", 5, defaults},
+		{"20 couriers", 20, defaults},
+		{"30 couriers", 30, defaults},
+		{"30 couriers, lower overload factor, short window", 30, recoverySettings{coldShare: 0.2, overloadFactor: 2, overloadWindow: 1.5}},
+		{"30 couriers, lowest overload factor, long window", 30, recoverySettings{coldShare: 0.26, overloadFactor: 1.5, overloadWindow: 3}},
 	} {
 		t.Run(fleet.name, func(t *testing.T) {
-			f := playReturns(t, seeds, fleet.couriers, fleet.rules, nil)
-			if f.returns < seeds {
-				t.Errorf("%d returns on %d days: too few to tell", f.returns, seeds)
+			f := runRecoveries(t, seeds, fleet.couriers, fleet.rules, nil)
+			if f.recoveries < seeds {
+				t.Errorf("%d recoveries with %d seeds, want at least one per seed", f.recoveries, seeds)
 			}
-			if f.pushed > 0 {
-				t.Errorf("%d returns were pushed over by couriers that had seen the outage", f.pushed)
+			if f.overByInformed > 0 {
+				t.Errorf("%d destinations were overloaded by couriers that had seen the outage", f.overByInformed)
 			}
 			if f.seedsOver > maxSeedsOver {
-				t.Errorf("too many calls on %d of %d days, at most %d", f.seedsOver, seeds, maxSeedsOver)
+				t.Errorf("too many calls with %d of %d seeds, want at most %d", f.seedsOver, seeds, maxSeedsOver)
 			}
-			if f.fell > 0 {
-				t.Errorf("%d returns got more than the slow start budget, %d of them from couriers that had seen the outage", f.fell, f.fellKnown)
+			if f.overSlowStart > 0 {
+				t.Errorf("%d recoveries exceeded the slow start budget, %d of them mostly by calls of couriers that had seen the outage", f.overSlowStart, f.overSlowStartByInformed)
 			}
 		})
 	}
 }
 
-// TestReturnCounterSeesAPush: couriers that heed no return are caught by the count of TestFleetReturns.
-func TestReturnCounterSeesAPush(t *testing.T) {
-	f := playReturns(t, 2, 20, rampRules{coldFrom: 0.13, multiple: 2.5, span: 2}, func(_ int, ch dispatch.Config) Decider {
-		return &eager{ch: ch, list: map[dispatch.DestinationID][]dispatch.EndpointID{}, dest: map[dispatch.MessageID]dispatch.MessageAccepted{}}
+// TestSlowStartCounterDetectsOverload checks that the counts of TestFleetSlowStartAfterOutage detect couriers
+// without slow start.
+func TestSlowStartCounterDetectsOverload(t *testing.T) {
+	f := runRecoveries(t, 2, 20, recoverySettings{coldShare: 0.13, overloadFactor: 2.5, overloadWindow: 2}, func(_ int, cfg dispatch.Config) Decider {
+		return &eagerDecider{config: cfg, endpoints: map[dispatch.DestinationID][]dispatch.EndpointID{}, accepted: map[dispatch.MessageID]dispatch.MessageAccepted{}}
 	})
-	if f.pushed == 0 {
-		t.Error("no return counts as pushed over")
+	if f.overByInformed == 0 {
+		t.Error("no overload by informed couriers was counted")
 	}
-	if f.fell == 0 || f.fellKnown == 0 {
-		t.Errorf("%d returns count as over the slow start budget, %d by who knew", f.fell, f.fellKnown)
+	if f.overSlowStart == 0 || f.overSlowStartByInformed == 0 {
+		t.Errorf("%d recoveries were counted as over the slow start budget, %d of them mostly by calls of informed couriers; want at least one of each", f.overSlowStart, f.overSlowStartByInformed)
 	}
 }
--- a/testbed/simulation/simulation.go
+++ b/testbed/simulation/simulation.go
@@ -1,6 +1,6 @@
-// Package simulation plays a day in virtual time: clients, network, directory and partners are models, the couriers' decisions
-// are the real ones. One goroutine, no clock: an event's instant is the only time there is, and the same day against the
-// same decisions gives the same outcome to the last message.
+// Package simulation runs a scenario in virtual time. Clients, network, directory and destinations are
+// models; the couriers' dispatchers are the real ones. The simulation has one goroutine and no clock: time
+// advances from event to event, so the same scenario with the same dispatchers gives exactly the same result.
 package simulation
 
 import (
@@ -16,211 +16,214 @@
 	"pineport/testbed/scenario"
 )
 
-// Stats tells what a run cost.
+// Stats counts the work of a run.
 type Stats struct {
-	Events  int // of the world
-	Turns   int // of couriers
+	Events  int // simulation events
+	Steps   int // steps of the couriers' dispatchers
 	Actions int
-	Packets int // between couriers
+	Packets int // quota packets between couriers
 }
 
-// Sim is a day being played.
+// Sim is a simulation in progress.
 type Sim struct {
-	w        *scenario.Instance
-	books    *invariants.Ledger
-	host     Host
-	rng      *rand.Rand
-	now      dispatch.Micros
-	tick     dispatch.Micros
-	queue    queue
-	seq      int
-	partners []*site
-	at       map[dispatch.EndpointID]*spot
-	couriers []*courier
-	turns    map[dispatch.Micros][]*courier // who has something to be notified, by tick
-	listed   *directory
-	calls    uint64
-	taken    int              // messages, by all couriers
-	inFlight map[uint64]*call // those whose endpoint may still answer
-	stats    Stats
-	err      error
-	lores    map[int]dispatch.Snapshot
+	instance     *scenario.Instance
+	ledger       *invariants.Ledger
+	host         Host
+	rng          *rand.Rand
+	now          dispatch.Micros
+	tickLength   dispatch.Micros
+	queue        eventQueue
+	seq          int
+	destinations []*destination
+	endpoints    map[dispatch.EndpointID]*endpointRecord
+	couriers     []*courier
+	stepsDue     map[dispatch.Micros][]*courier // couriers with queued events, by tick
+	directory    *directory
+	lastCallID   uint64
+	accepted     int              // messages accepted by all couriers
+	inFlight     map[uint64]*call // calls that the endpoint may still answer, by ID
+	stats        Stats
+	err          error
+	snapshots    map[int]dispatch.Snapshot
 	Options
 }
 
-// site is a partner and when it was last asked to be stepped.
-type site struct {
+// destination is a destination model and the time of its next scheduled step.
+type destination struct {
 	*endpointmodel.Destination
 	dueAt dispatch.Micros
 }
 
-// spot is an endpoint that ever was.
-type spot struct {
-	dest     int
-	endpoint endpointmodel.Endpoint
-	route    int
+// endpointRecord is an endpoint that exists or existed.
+type endpointRecord struct {
+	destination int
+	endpoint    endpointmodel.Endpoint
+	route       int
 }
 
-// Options are how a day is played.
+// Options are the settings of a run.
 type Options struct {
-	// Watch is called every half second of virtual time.
-	Watch func(now dispatch.Micros)
-	// SnapshotInterval is how often each courier's learned state is kept for its next start, as a file would; 0: never. At a planned end it is
-	// kept last.
+	// OnInterval is called every 500 ms of virtual time.
+	OnInterval func(now dispatch.Micros)
+	// SnapshotInterval is how often each courier's learned state is saved, as in a snapshot file, for its
+	// next start; 0: never. It is also saved at the end of a graceful shutdown. It has an effect only with
+	// the host LocalHost.
 	SnapshotInterval dispatch.Micros
-	// Spool has what a killed courier held come back to it at its next start, as its folder would; else its clients hand it
-	// in anew.
+	// Spool returns the open messages of a killed courier to it at its next start, as its spool would.
+	// Without it, the clients submit them again, except for single-use messages that may have taken effect.
 	Spool bool
-	// Share has couriers share limits.
-	Share Share
+	// QuotaSharing is how couriers share quotas. It has an effect only with the host LocalHost.
+	Share QuotaSharing
 }
 
-// Play plays a day.
-func Play(w *scenario.Instance, host Host, o Options) (*invariants.Verdict, Stats, error) {
-	setup := invariants.SetupFor(w)
-	if o.Spool { // what fell due while a courier was down is answered in its first step
-		setup.RestartGrace = config.Micros(w.Definition.Fleet.Tick/1000) + setup.AnswerGrace
+// Play runs a scenario and returns the verdict on it. A panic of a courier's dispatcher is part of the
+// verdict; an error means that the host or the configuration failed.
+func Play(instance *scenario.Instance, host Host, o Options) (*invariants.Verdict, Stats, error) {
+	setup := invariants.SetupFor(instance)
+	if o.Spool { // messages whose deadlines pass while a courier is down are answered in its first step after the restart
+		setup.RestartGrace = config.Micros(instance.Definition.Fleet.Tick/1000) + setup.AnswerGrace
 	}
-	s := &Sim{w: w, books: invariants.New(setup), host: host, rng: rand.New(rand.NewPCG(uint64(w.Seed), 77)),
-		tick: config.Micros(w.Definition.Fleet.Tick / 1000), at: map[dispatch.EndpointID]*spot{}, turns: map[dispatch.Micros][]*courier{},
-		inFlight: map[uint64]*call{}, lores: map[int]dispatch.Snapshot{}, Options: o}
-	s.listed = newDirectory(s)
-	for i := range w.Destinations {
-		p := endpointmodel.New(w.Destinations[i].Plan)
-		s.partners = append(s.partners, &site{p, endpointmodel.Never})
-		for _, e := range w.Destinations[i].Endpoints {
-			s.at[e.ID] = &spot{i, e, p.Route(e.ID)}
+	s := &Sim{instance: instance, ledger: invariants.New(setup), host: host, rng: rand.New(rand.NewPCG(uint64(instance.Seed), 77)),
+		tickLength: config.Micros(instance.Definition.Fleet.Tick / 1000), endpoints: map[dispatch.EndpointID]*endpointRecord{}, stepsDue: map[dispatch.Micros][]*courier{},
+		inFlight: map[uint64]*call{}, snapshots: map[int]dispatch.Snapshot{}, Options: o}
+	s.directory = newDirectory(s)
+	for i := range instance.Destinations {
+		p := endpointmodel.New(instance.Destinations[i].Plan)
+		s.destinations = append(s.destinations, &destination{p, endpointmodel.Never})
+		for _, e := range instance.Destinations[i].Endpoints {
+			s.endpoints[e.ID] = &endpointRecord{i, e, p.Route(e.ID)}
 		}
 	}
-	for i := range w.Definition.Fleet.Couriers {
-		c := &courier{sim: s, no: i, zone: w.CourierZone[i], notified: s.listed.all()}
+	for i := range instance.Definition.Fleet.Couriers {
+		c := &courier{sim: s, index: i, zone: instance.CourierZone[i], knownEntries: s.directory.snapshot()}
 		s.couriers = append(s.couriers, c)
-		s.start(c)
+		s.startCourier(c)
 	}
-	for _, a := range w.Events {
-		s.after(a.At, func() { s.act(a) })
+	for _, a := range instance.Events {
+		s.schedule(a.At, func() { s.applyEvent(a) })
 	}
-	s.arrive(0)
-	if o.Watch != nil {
-		s.look()
+	s.scheduleArrival(0)
+	if o.OnInterval != nil {
+		s.watchPeriodically()
 	}
 	if o.SnapshotInterval > 0 {
 		for i, c := range s.couriers {
-			s.after(o.SnapshotInterval*dispatch.Micros(i)/dispatch.Micros(len(s.couriers)), func() { s.keepSnapshots(c) })
+			s.schedule(o.SnapshotInterval*dispatch.Micros(i)/dispatch.Micros(len(s.couriers)), func() { s.snapshotPeriodically(c) })
 		}
 	}
-	for s.err == nil && len(s.queue) > 0 && s.queue[0].at <= w.EndsAt {
+	for s.err == nil && len(s.queue) > 0 && s.queue[0].at <= instance.EndsAt {
 		e := heap.Pop(&s.queue).(event)
 		s.now = e.at
 		s.stats.Events++
-		e.do()
+		e.run()
 	}
-	var fault *CourierFault
-	if errors.As(s.err, &fault) {
-		s.books.CourierCrashed(s.now, fault.Courier, fault.Text)
+	var courierFault *CourierPanic
+	if errors.As(s.err, &courierFault) {
+		s.ledger.CourierCrashed(s.now, courierFault.Courier, courierFault.Text)
 		s.err = nil
 	}
-	return s.books.Finish(w.EndsAt), s.stats, s.err
+	return s.ledger.Finish(instance.EndsAt), s.stats, s.err
 }
 
-// keepLore keeps what a courier has learned, now and again after a while.
-func (s *Sim) keepSnapshots(c *courier) {
+// snapshotPeriodically saves a courier's snapshot now and every SnapshotInterval.
+func (s *Sim) snapshotPeriodically(c *courier) {
 	s.takeSnapshot(c)
-	s.after(s.now+s.SnapshotInterval, func() { s.keepSnapshots(c) })
+	s.schedule(s.now+s.SnapshotInterval, func() { s.snapshotPeriodically(c) })
 }
 
 func (s *Sim) takeSnapshot(c *courier) {
-	if local, ok := s.host.(*Local); ok && c.alive {
-		if d, ok := local.Courier(c.no).(dispatch.Snapshotter); ok {
-			s.lores[c.no] = d.Snapshot()
+	if local, ok := s.host.(*LocalHost); ok && c.alive {
+		if d, ok := local.Dispatcher(c.index).(dispatch.Snapshotter); ok {
+			s.snapshots[c.index] = d.Snapshot()
 		}
 	}
 }
 
-func (s *Sim) look() {
-	s.Watch(s.now)
-	s.after(s.now+invariants.BinLength, s.look)
+func (s *Sim) watchPeriodically() {
+	s.OnInterval(s.now)
+	s.schedule(s.now+invariants.BinLength, s.watchPeriodically)
 }
 
-// after lets something happen at an instant.
-func (s *Sim) after(at dispatch.Micros, do func()) {
+// schedule runs a function at a virtual time.
+func (s *Sim) schedule(at dispatch.Micros, run func()) {
 	s.seq++
-	heap.Push(&s.queue, event{max(at, s.now), s.seq, do})
+	heap.Push(&s.queue, event{max(at, s.now), s.seq, run})
 }
 
-// act is something that happens by itself.
-func (s *Sim) act(a scenario.Event) {
+// applyEvent applies an event of the scenario.
+func (s *Sim) applyEvent(a scenario.Event) {
 	switch a.Kind {
 	case scenario.FaultBegins:
-		s.came(a.Dest, s.partners[a.Dest].StartFault(s.now, a.Endpoint.ID, a.Fault))
+		s.handleOutputs(a.Dest, s.destinations[a.Dest].StartFault(s.now, a.Endpoint.ID, a.Fault))
 	case scenario.FaultEnds:
-		s.came(a.Dest, s.partners[a.Dest].EndFault(s.now, a.Endpoint.ID, a.Fault.ID))
+		s.handleOutputs(a.Dest, s.destinations[a.Dest].EndFault(s.now, a.Endpoint.ID, a.Fault.ID))
 	case scenario.EndpointAdded:
-		s.partners[a.Dest].Add(a.Endpoint)
-		s.at[a.Endpoint.ID] = &spot{a.Dest, a.Endpoint, s.partners[a.Dest].Route(a.Endpoint.ID)}
-		s.listed.change(a.Dest, a.Endpoint, dispatch.InService)
+		s.destinations[a.Dest].Add(a.Endpoint)
+		s.endpoints[a.Endpoint.ID] = &endpointRecord{a.Dest, a.Endpoint, s.destinations[a.Dest].Route(a.Endpoint.ID)}
+		s.directory.update(a.Dest, a.Endpoint, dispatch.InService)
 	case scenario.EndpointDraining:
-		s.listed.change(a.Dest, a.Endpoint, dispatch.Draining)
+		s.directory.update(a.Dest, a.Endpoint, dispatch.Draining)
 	case scenario.EndpointRemoved:
-		s.came(a.Dest, s.partners[a.Dest].Remove(s.now, a.Endpoint.ID))
-		s.listed.change(a.Dest, a.Endpoint, dispatch.Removed)
+		s.handleOutputs(a.Dest, s.destinations[a.Dest].Remove(s.now, a.Endpoint.ID))
+		s.directory.update(a.Dest, a.Endpoint, dispatch.Removed)
 	case scenario.CourierKilled:
-		s.kill(s.couriers[a.Courier])
+		s.killCourier(s.couriers[a.Courier])
 	case scenario.CourierStopRequested:
-		s.ask(s.couriers[a.Courier], a.Duration)
+		s.announceShutdown(s.couriers[a.Courier], a.Duration)
 	case scenario.CourierStarted:
-		s.start(s.couriers[a.Courier])
+		s.startCourier(s.couriers[a.Courier])
 	case scenario.CourierPaused:
 		c := s.couriers[a.Courier]
-		c.standsTo = max(c.standsTo, s.now+a.Duration)
-		s.books.CourierPaused(s.now, c.no, c.standsTo+s.tick)
+		c.pausedUntil = max(c.pausedUntil, s.now+a.Duration)
+		s.ledger.CourierPaused(s.now, c.index, c.pausedUntil+s.tickLength)
 	case scenario.DirectoryDown:
-		s.listed.goDown()
+		s.directory.goDown()
 	case scenario.DirectoryUp:
-		s.listed.comeUp()
+		s.directory.comeUp()
 	}
 }
 
-// came takes in what came of something done to a partner, and sees to it that it is stepped when it is due.
-func (s *Sim) came(dest int, outs []endpointmodel.Output) {
-	for _, o := range outs {
+// handleOutputs processes the outputs of a destination model, and schedules its next step.
+func (s *Sim) handleOutputs(dest int, outputs []endpointmodel.Output) {
+	for _, o := range outputs {
 		switch o := o.(type) {
 		case endpointmodel.Answer:
-			s.answered(o)
+			s.receiveAnswer(o)
 		case endpointmodel.Effect:
-			s.books.EffectOccurred(s.now, o.Item.Message, o.Endpoint, o.EarlierEffects, o.Deduplicated)
+			s.ledger.EffectOccurred(s.now, o.Item.Message, o.Endpoint, o.EarlierEffects, o.Deduplicated)
 		case endpointmodel.RouteOverloaded:
-			s.books.RouteOverloaded(s.now, dispatch.DestinationID(dest), o.Route, o.Sent)
+			s.ledger.RouteOverloaded(s.now, dispatch.DestinationID(dest), o.Route, o.Sent)
 		case endpointmodel.PhaseChanged:
-			s.books.RouteChanged(s.now, dispatch.DestinationID(dest), o.Route, o.Phase == endpointmodel.Outage)
+			s.ledger.RouteChanged(s.now, dispatch.DestinationID(dest), o.Route, o.Phase == endpointmodel.Outage)
 		}
 	}
-	p := s.partners[dest]
+	p := s.destinations[dest]
 	if due := p.NextDue(); due < p.dueAt {
 		p.dueAt = due
-		s.after(due, func() { s.step(dest, due) })
+		s.schedule(due, func() { s.stepDestination(dest, due) })
 	}
 }
 
-func (s *Sim) step(dest int, due dispatch.Micros) {
-	p := s.partners[dest]
+func (s *Sim) stepDestination(dest int, due dispatch.Micros) {
+	p := s.destinations[dest]
 	if p.dueAt != due {
-		return // it was asked for earlier since
+		return // an earlier step was scheduled in the meantime
 	}
 	p.dueAt = endpointmodel.Never
-	s.came(dest, p.Step(s.now))
+	s.handleOutputs(dest, p.Step(s.now))
 }
 
-// way is how long something takes between a courier and an endpoint.
-func (s *Sim) way(a, b dispatch.ZoneID) dispatch.Micros {
-	r := s.w.Definition.Network.SameZone
+// latency returns a random one-way network latency between two zones.
+func (s *Sim) latency(a, b dispatch.ZoneID) dispatch.Micros {
+	r := s.instance.Definition.Network.SameZone
 	if a != b {
-		r = s.w.Definition.Network.CrossZone
+		r = s.instance.Definition.Network.CrossZone
 	}
 	return config.Micros((r[0] + (r[1]-r[0])*s.rng.Float64()) / 1000)
 }
 
-func (s *Sim) between(r scenario.Range) dispatch.Micros {
+// randomDuration returns a random duration from a range in seconds.
+func (s *Sim) randomDuration(r scenario.Range) dispatch.Micros {
 	return config.Micros(r[0] + (r[1]-r[0])*s.rng.Float64())
 }
 
@@ -230,22 +233,23 @@
 	}
 }
 
-// event is something that happens at an instant; those of one instant happen in the order in which they were set.
+// event is a function scheduled at a time. Events of the same time run in the order in which they were
+// scheduled.
 type event struct {
 	at  dispatch.Micros
 	seq int
-	do  func()
+	run func()
 }
 
-type queue []event
+type eventQueue []event
 
-func (q queue) Len() int { return len(q) }
-func (q queue) Less(a, b int) bool {
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(a, b int) bool {
 	return q[a].at < q[b].at || q[a].at == q[b].at && q[a].seq < q[b].seq
 }
-func (q queue) Swap(a, b int) { q[a], q[b] = q[b], q[a] }
-func (q *queue) Push(x any)   { *q = append(*q, x.(event)) }
-func (q *queue) Pop() any {
+func (q eventQueue) Swap(a, b int) { q[a], q[b] = q[b], q[a] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
 	old[len(old)-1] = event{}
--- a/testbed/simulation/wrong_test.go
+++ b/testbed/simulation/wrong_test.go
@@ -8,84 +8,85 @@
 	"pineport/testbed/scenario"
 )
 
-// wrong is a courier that breaks one rule: it passes events and actions through and spoils what it is notified to.
-type wrong struct {
+// faultyDecider breaks one rule: it passes events to a correct decider, and modify changes the actions.
+type faultyDecider struct {
 	Decider
-	spoil    func(w *wrong, now dispatch.Micros, events []dispatch.Event, actions []dispatch.Action) []dispatch.Action
-	seen     map[dispatch.MessageID]dispatch.MessageAccepted
-	attempts map[dispatch.MessageID]int
-	ended    []dispatch.MessageID
-	gone     map[dispatch.EndpointID]dispatch.DestinationID
-	all      map[dispatch.EndpointID]dispatch.EndpointEntry
-	waits    map[dispatch.DestinationID]dispatch.Micros
+	modify          func(f *faultyDecider, now dispatch.Micros, events []dispatch.Event, actions []dispatch.Action) []dispatch.Action
+	accepted        map[dispatch.MessageID]dispatch.MessageAccepted
+	attempts        map[dispatch.MessageID]int
+	ended           []dispatch.MessageID
+	notInService    map[dispatch.EndpointID]dispatch.DestinationID
+	entries         map[dispatch.EndpointID]dispatch.EndpointEntry
+	retryAfterUntil map[dispatch.DestinationID]dispatch.Micros
 }
 
-func (w *wrong) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
+func (f *faultyDecider) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
 	for _, e := range events {
 		switch e := e.(type) {
 		case dispatch.MessageAccepted:
-			w.seen[e.Message] = e
+			f.accepted[e.Message] = e
 		case dispatch.AttemptFinished:
 			if e.MessageDone {
-				w.ended = append(w.ended, e.Message)
+				f.ended = append(f.ended, e.Message)
 			}
 			if e.RetryAfter > 0 {
-				w.waits[w.seen[e.Message].Destination] = now + e.RetryAfter
+				f.retryAfterUntil[f.accepted[e.Message].Destination] = now + e.RetryAfter
 			}
 		case dispatch.EndpointUpdate:
 			for _, l := range e.Entries {
-				w.all[l.Endpoint] = l
+				f.entries[l.Endpoint] = l
 				if l.Phase != dispatch.InService {
-					w.gone[l.Endpoint] = l.Destination
+					f.notInService[l.Endpoint] = l.Destination
 				}
 			}
 		}
 	}
-	actions := w.Decider.Handle(now, events)
+	actions := f.Decider.Handle(now, events)
 	for _, a := range actions {
 		switch a := a.(type) {
 		case dispatch.Send:
-			w.attempts[a.Message]++
+			f.attempts[a.Message]++
 		case dispatch.Reject:
-			w.ended = append(w.ended, a.Message)
+			f.ended = append(f.ended, a.Message)
 		}
 	}
-	return w.spoil(w, now, events, actions)
+	return f.modify(f, now, events, actions)
 }
 
-// endpointOf is any endpoint of a destination that is listed, the first by name.
-func (w *wrong) endpointOf(d dispatch.DestinationID) (best dispatch.EndpointID) {
-	for id, l := range w.all {
-		if l.Destination == d && l.Phase == dispatch.InService && (best == "" || id < best) {
+// endpointOf returns the endpoint in service of a destination that comes first by ID.
+func (f *faultyDecider) endpointOf(dest dispatch.DestinationID) (best dispatch.EndpointID) {
+	for id, l := range f.entries {
+		if l.Destination == dest && l.Phase == dispatch.InService && (best == "" || id < best) {
 			best = id
 		}
 	}
 	return best
 }
 
-// TestWrongCouriersAreCaught: for each rule a courier that breaks it, and nothing else, is named by just that rule; the
-// right courier on the same day by none. So a ledger that stopped looking would be found out.
-func TestWrongCouriersAreCaught(t *testing.T) {
-	type spoil = func(w *wrong, now dispatch.Micros, events []dispatch.Event, actions []dispatch.Action) []dispatch.Action
+// TestFaultyDecidersAreDetected checks, for each rule, that a decider breaking that rule is reported under
+// it, and that the correct decider breaks no rule in the same scenario. It guards against a ledger that no
+// longer checks a rule.
+func TestFaultyDecidersAreDetected(t *testing.T) {
+	type modify = func(f *faultyDecider, now dispatch.Micros, events []dispatch.Event, actions []dispatch.Action) []dispatch.Action
 	for _, c := range []struct {
-		name, day string
-		rule      invariants.Rule
-		spoil     spoil
+		name, scenario string
+		rule           invariants.Rule
+		modify         modify
 	}{
-		{"repeats a single-use record that may have run", "acts-then-hangs", invariants.NoDuplicateEffect,
-			func(w *wrong, _ dispatch.Micros, events []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
+		{"resends a single-use message that may have run", "acts-then-hangs", invariants.NoDuplicateEffect,
+			func(f *faultyDecider, _ dispatch.Micros, events []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 				for _, e := range events {
 					s, ok := e.(dispatch.AttemptFinished)
 					mayRun := ok && (s.Outcome == dispatch.TimedOut || s.Outcome == dispatch.Broken || s.Outcome == dispatch.Canceled)
-					if mayRun && !s.MessageDone && w.seen[s.Message].Class == 1 {
-						actions = append([]dispatch.Action{dispatch.Send{Message: s.Message, Endpoint: w.endpointOf(w.seen[s.Message].Destination),
+					if mayRun && !s.MessageDone && f.accepted[s.Message].Class == 1 {
+						actions = append([]dispatch.Action{dispatch.Send{Message: s.Message, Endpoint: f.endpointOf(f.accepted[s.Message].Destination),
 							Timeout: 1000}}, actions...)
 					}
 				}
 				return actions
 			}},
-		{"bounces what may have run", "acts-then-hangs", invariants.NoDuplicateEffect,
-			func(_ *wrong, _ dispatch.Micros, _ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
+		{"rejects messages that may have run", "acts-then-hangs", invariants.NoDuplicateEffect,
+			func(_ *faultyDecider, _ dispatch.Micros, _ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 				for i, a := range actions {
 					if end, ok := a.(dispatch.Fail); ok {
 						actions[i] = dispatch.Reject{Message: end.Message}
@@ -93,21 +94,22 @@
 				}
 				return actions
 			}},
-		{"sends in a told wait", "shrunk-limits", invariants.WaitRespected,
-			func(w *wrong, now dispatch.Micros, events []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
+		{"sends before Retry-After has passed", "shrunk-limits", invariants.WaitRespected,
+			func(f *faultyDecider, now dispatch.Micros, events []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 				for _, e := range events {
-					if taken, ok := e.(dispatch.MessageAccepted); ok && w.waits[taken.Destination] > now+10*1000 && w.seen[taken.Message].Class == 0 {
-						return append(actions, dispatch.Send{Message: taken.Message, Endpoint: w.endpointOf(taken.Destination), Timeout: 1000 * 1000})
+					// Sends more than 10 ms before the end of a wait from Retry-After.
+					if accepted, ok := e.(dispatch.MessageAccepted); ok && f.retryAfterUntil[accepted.Destination] > now+10*1000 && f.accepted[accepted.Message].Class == 0 {
+						return append(actions, dispatch.Send{Message: accepted.Message, Endpoint: f.endpointOf(accepted.Destination), Timeout: 1000 * 1000})
 					}
 				}
 				return actions
 			}},
-		{"sends to what drains", "moving-house", invariants.DrainRespected,
-			func(w *wrong, _ dispatch.Micros, _ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
+		{"sends to draining endpoints", "moving-house", invariants.DrainRespected,
+			func(f *faultyDecider, _ dispatch.Micros, _ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 				for i, a := range actions {
 					if send, ok := a.(dispatch.Send); ok {
-						for id, d := range w.gone {
-							if d == w.seen[send.Message].Destination {
+						for id, d := range f.notInService {
+							if d == f.accepted[send.Message].Destination {
 								actions[i] = dispatch.Send{Message: send.Message, Endpoint: id, Timeout: send.Timeout}
 							}
 						}
@@ -115,8 +117,8 @@
 				}
 				return actions
 			}},
-		{"forgets a final answer", "acts-then-hangs", invariants.FinalAnswer,
-			func(_ *wrong, _ dispatch.Micros, _ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
+		{"omits final answers", "acts-then-hangs", invariants.FinalAnswer,
+			func(_ *faultyDecider, _ dispatch.Micros, _ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 				var kept []dispatch.Action
 				for _, a := range actions {
 					if _, ok := a.(dispatch.Reject); !ok {
@@ -125,8 +127,8 @@
 				}
 				return kept
 			}},
-		{"answers twice", "silent-and-cold", invariants.FinalAnswer,
-			func(_ *wrong, _ dispatch.Micros, _ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
+		{"answers a message twice", "silent-and-cold", invariants.FinalAnswer,
+			func(_ *faultyDecider, _ dispatch.Micros, _ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 				for _, a := range actions {
 					if b, ok := a.(dispatch.Reject); ok {
 						return append(actions, dispatch.Fail{Message: b.Message})
@@ -134,77 +136,81 @@
 				}
 				return actions
 			}},
-		{"sends after the end", "calm", invariants.FinalAnswer,
-			func(w *wrong, _ dispatch.Micros, _ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
-				if n := len(w.ended); n > 0 {
-					id := w.ended[n-1]
-					w.ended = w.ended[:n-1]
-					actions = append(actions, dispatch.Send{Message: id, Endpoint: w.endpointOf(w.seen[id].Destination), Timeout: 1000 * 1000})
+		{"sends a message after its final answer", "calm", invariants.FinalAnswer,
+			func(f *faultyDecider, _ dispatch.Micros, _ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
+				if n := len(f.ended); n > 0 {
+					id := f.ended[n-1]
+					f.ended = f.ended[:n-1]
+					actions = append(actions, dispatch.Send{Message: id, Endpoint: f.endpointOf(f.accepted[id].Destination), Timeout: 1000 * 1000})
 				}
 				return actions
 			}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d := find(t, c.day)
-			w := scenario.Draw(d, 2)
-			right, _, err := Play(w, NewLocal(nil), Options{})
-			if err != nil || !right.OK() {
-				t.Fatalf("the right courier: %v, %s %v", err, right.Short(), right.Breaches)
+			d := findScenario(t, c.scenario)
+			instance := scenario.Draw(d, 2)
+			correct, _, err := Play(instance, NewLocalHost(nil), Options{})
+			if err != nil || !correct.OK() {
+				t.Fatalf("the correct decider: %v, %s %v", err, correct.Short(), correct.Breaches)
 			}
-			v, _, err := Play(w, NewLocal(func(_ int, ch dispatch.Config) Decider {
-				return &wrong{Decider: dispatch.New(ch), spoil: c.spoil, seen: map[dispatch.MessageID]dispatch.MessageAccepted{}, attempts: map[dispatch.MessageID]int{},
-					gone: map[dispatch.EndpointID]dispatch.DestinationID{}, all: map[dispatch.EndpointID]dispatch.EndpointEntry{}, waits: map[dispatch.DestinationID]dispatch.Micros{}}
+			v, _, err := Play(instance, NewLocalHost(func(_ int, cfg dispatch.Config) Decider {
+				return &faultyDecider{Decider: dispatch.New(cfg), modify: c.modify, accepted: map[dispatch.MessageID]dispatch.MessageAccepted{}, attempts: map[dispatch.MessageID]int{},
+					notInService: map[dispatch.EndpointID]dispatch.DestinationID{}, entries: map[dispatch.EndpointID]dispatch.EndpointEntry{}, retryAfterUntil: map[dispatch.DestinationID]dispatch.Micros{}}
 			}), Options{})
 			if err != nil {
 				t.Fatal(err)
 			}
 			if v.BreachCounts[c.rule] == 0 || v.Score != 0 {
-				t.Errorf("not caught: %s, figure %v", v.Short(), v.Score)
+				t.Errorf("breach not detected, or score not zero: %s, score %v", v.Short(), v.Score)
 			}
 		})
 	}
 }
 
-// eager sends all at once, in any order, until it is done: it heeds neither returns nor the order of keys.
-type eager struct {
-	ch       dispatch.Config
-	list     map[dispatch.DestinationID][]dispatch.EndpointID
-	dest     map[dispatch.MessageID]dispatch.MessageAccepted
-	attempts int
+// eagerDecider sends every message at once, up to 21 times until it is delivered. It ignores slow start and
+// ordering keys.
+type eagerDecider struct {
+	config    dispatch.Config
+	endpoints map[dispatch.DestinationID][]dispatch.EndpointID
+	accepted  map[dispatch.MessageID]dispatch.MessageAccepted
+	attempts  int
 }
 
-func (e *eager) Handle(_ dispatch.Micros, events []dispatch.Event) (out []dispatch.Action) {
-	send := func(taken dispatch.MessageAccepted) {
-		if at := e.list[taken.Destination]; len(at) > 0 {
-			e.attempts++
-			out = append(out, dispatch.Send{Message: taken.Message, Endpoint: at[e.attempts%len(at)], Timeout: 2 * 1000 * 1000})
+func (d *eagerDecider) Handle(_ dispatch.Micros, events []dispatch.Event) (out []dispatch.Action) {
+	send := func(accepted dispatch.MessageAccepted) {
+		if at := d.endpoints[accepted.Destination]; len(at) > 0 {
+			d.attempts++
+			out = append(out, dispatch.Send{Message: accepted.Message, Endpoint: at[d.attempts%len(at)], Timeout: 2 * 1000 * 1000})
 		}
 	}
 	for _, event := range events {
 		switch event := event.(type) {
 		case dispatch.EndpointUpdate:
 			for _, l := range event.Entries {
-				e.list[l.Destination] = append(e.list[l.Destination], l.Endpoint)
+				d.endpoints[l.Destination] = append(d.endpoints[l.Destination], l.Endpoint)
 			}
 		case dispatch.MessageAccepted:
-			e.dest[event.Message] = event
+			d.accepted[event.Message] = event
 			send(event)
 		case dispatch.AttemptFinished:
 			if !event.MessageDone && event.Attempt < 20 {
-				send(e.dest[event.Message])
+				send(d.accepted[event.Message])
 			}
 		}
 	}
 	return out
 }
 
-func TestEagerCourierBreaksReturnsAndOrder(t *testing.T) {
+// TestEagerDeciderBreaksSlowStartAndOrder checks that the overload of recovering destinations and the
+// violation of key order are reported. The couriers get many slots and attempts, and destinations a low
+// overload factor.
+func TestEagerDeciderBreaksSlowStartAndOrder(t *testing.T) {
 	for name, rule := range map[string]invariants.Rule{"silent-and-cold": invariants.NoRecoveryOverload, "in-order": invariants.KeyOrder} {
-		d := find(t, name)
+		d := findScenario(t, name)
 		d.Fleet.SlotsFactor, d.Fleet.MaxAttempts = 50, 100
 		d.Rules.OverloadFactor = 1.2
-		v, _, err := Play(scenario.Draw(d, 1), NewLocal(func(_ int, ch dispatch.Config) Decider {
-			return &eager{ch: ch, list: map[dispatch.DestinationID][]dispatch.EndpointID{}, dest: map[dispatch.MessageID]dispatch.MessageAccepted{}}
+		v, _, err := Play(scenario.Draw(d, 1), NewLocalHost(func(_ int, cfg dispatch.Config) Decider {
+			return &eagerDecider{config: cfg, endpoints: map[dispatch.DestinationID][]dispatch.EndpointID{}, accepted: map[dispatch.MessageID]dispatch.MessageAccepted{}}
 		}), Options{})
 		if err != nil || v.BreachCounts[rule] == 0 {
 			t.Errorf("%s: %v, %s", name, err, v.Short())
@@ -212,7 +218,7 @@
 	}
 }
 
-func find(t *testing.T, name string) *scenario.Definition {
+func findScenario(t *testing.T, name string) *scenario.Definition {
 	t.Helper()
 	d, err := scenario.Find(name)
 	if err != nil {
--- a/testbed/soak/clients.go
+++ b/testbed/soak/clients.go
@@ -12,13 +12,14 @@
 )
 
 const (
-	clientCount = 4
-	interval    = 20 * time.Millisecond
-	// replyTimeout is how long a client waits; then it closes, and what it submitted counts for nothing.
+	clientCount    = 4
+	submitInterval = 20 * time.Millisecond
+	// replyTimeout is how long a client waits for a reply. After that it closes the connection; the outcome
+	// of the message is unknown and not counted.
 	replyTimeout = 400 * time.Millisecond
 )
 
-// clients submit messages, and keep what they were told.
+// clients submit messages and record the replies.
 type clients struct {
 	mu         sync.Mutex
 	accepted   []string
@@ -26,7 +27,7 @@
 	unanswered int
 }
 
-// run starts the clients; stop ends them.
+// run starts the clients; the returned function stops them.
 func (c *clients) run(address string, seed int64) (stop func()) {
 	var stopped atomic.Bool
 	var all sync.WaitGroup
@@ -39,12 +40,13 @@
 	}
 }
 
-// submit submits over one connection, which it leaves every now and then.
-func (c *clients) submit(address, name string, client int, stopped *atomic.Bool) {
+// submit submits messages over one connection at a time. It opens a new connection every 5, 25, 45 or 65
+// messages, depending on the client.
+func (c *clients) submit(address, idPrefix string, client int, stopped *atomic.Bool) {
 	var conn net.Conn
 	var replies *bufio.Reader
 	for n := 0; !stopped.Load(); n++ {
-		time.Sleep(interval)
+		time.Sleep(submitInterval)
 		if conn != nil && n%(5+20*client) == 0 {
 			conn.Close()
 			conn = nil
@@ -57,12 +59,12 @@
 			conn, replies = dialed, bufio.NewReader(dialed)
 		}
 		class := []string{"update", "order"}[n%2]
-		id := fmt.Sprintf("%s-%s-%d", class, name, n)
+		id := fmt.Sprintf("%s-%s-%d", class, idPrefix, n)
 		attributes := fmt.Sprintf("c=%s,d=%d,dest=1", class, timeToLive.Milliseconds())
 		conn.SetDeadline(time.Now().Add(replyTimeout))
 		fmt.Fprintf(conn, "*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$4\r\nbody\r\n", len(id), id, len(attributes), attributes)
 		reply, err := replies.ReadString('\n')
-		c.note(id, reply, err)
+		c.record(id, reply, err)
 		if err != nil {
 			conn.Close()
 			conn = nil
@@ -73,13 +75,13 @@
 	}
 }
 
-func (c *clients) note(id, reply string, err error) {
+func (c *clients) record(id, reply string, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case err == io.EOF:
 		c.unanswered++
-	case err != nil: // it gave up: what it submitted counts for nothing
+	case err != nil: // timeout or connection error: the outcome is unknown and not counted
 	case reply == "+OK\r\n":
 		c.accepted = append(c.accepted, id)
 	case strings.HasPrefix(reply, "-BUSY"):
@@ -93,34 +95,35 @@
 	return append([]string(nil), c.accepted...)
 }
 
-// judge looks at what endpoints and the platform saw of each message.
-func (c *clients) judge(p *play, r *Result) {
+// check compares the replies with what endpoints and discovery saw of each message, and adds counts and
+// breaches to the result.
+func (c *clients) check(r *run, res *Result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r.Accepted, r.Rejected, r.Unanswered = len(c.accepted), len(c.rejected), c.unanswered
+	res.Accepted, res.Rejected, res.Unanswered = len(c.accepted), len(c.rejected), c.unanswered
 	for _, id := range c.accepted {
-		began, done, notices := p.world.MessageCalls(id)
-		if done > 0 {
-			r.Delivered++
+		callsStarted, deliveries, notices := r.standIns.MessageCalls(id)
+		if deliveries > 0 {
+			res.Delivered++
 		} else if len(notices) > 0 {
-			r.Notices++
+			res.Notices++
 		}
-		if strings.HasPrefix(id, "order") && began > 1 {
-			r.Breaches = append(r.Breaches, fmt.Sprintf("double effect: %s ran %d times", id, began))
+		if strings.HasPrefix(id, "order") && callsStarted > 1 {
+			res.Breaches = append(res.Breaches, fmt.Sprintf("duplicate effect: endpoints received message %s %d times", id, callsStarted))
 		}
-		if began > 0 && done == 0 && len(notices) > 0 && notices[0] == "deferred" && strings.HasPrefix(id, "order") {
-			r.Breaches = append(r.Breaches, fmt.Sprintf("rejected though it may have run: %s", id))
+		if callsStarted > 0 && deliveries == 0 && len(notices) > 0 && notices[0] == "deferred" && strings.HasPrefix(id, "order") {
+			res.Breaches = append(res.Breaches, fmt.Sprintf("notice \"deferred\" although an endpoint received the message: %s", id))
 		}
 	}
 	for _, id := range c.rejected {
-		if began, _, _ := p.world.MessageCalls(id); began > 0 && strings.HasPrefix(id, "order") {
-			r.Breaches = append(r.Breaches, fmt.Sprintf("refused, and ran: %s", id))
+		if callsStarted, _, _ := r.standIns.MessageCalls(id); callsStarted > 0 && strings.HasPrefix(id, "order") {
+			res.Breaches = append(res.Breaches, fmt.Sprintf("rejected, but an endpoint received the message: %s", id))
 		}
 	}
-	if c.unanswered > 0 && !p.plan.mayCloseOnRequests() {
-		r.Breaches = append(r.Breaches, fmt.Sprintf("closed with no answer: %d requests", c.unanswered))
+	if c.unanswered > 0 && !r.plan.mayCloseUnanswered() {
+		res.Breaches = append(res.Breaches, fmt.Sprintf("the courier closed connections without answering %d requests", c.unanswered))
 	}
-	if r.Accepted == 0 {
-		r.Breaches = append(r.Breaches, "nothing was accepted")
+	if res.Accepted == 0 {
+		res.Breaches = append(res.Breaches, "no message was accepted")
 	}
 }
