--- a/testbed/soak/play.go
+++ b/testbed/soak/play.go
@@ -23,180 +23,184 @@
 
 const (
 	endpoints = 3
-	// changeDeadline is when a drain counts as known at the latest, and drainGrace how long after that a new call may go there.
+	// changeDeadline is the time after which the courier must know of a drain; drainGrace is how long after
+	// that it may still start calls to the draining endpoint.
 	changeDeadline = 6 * time.Second
 	drainGrace     = 500 * time.Millisecond
 	timeToLive     = 5 * time.Second
-	// killAfter is how long after SIGTERM the process is killed, and downtime how long it then takes until it is started again.
-	killAfter   = 3700 * time.Millisecond
-	maxDowntime = 600 * time.Millisecond
-	readyWithin = 10 * time.Second
+	// killAfter is the time from SIGTERM to SIGKILL; maxDowntime limits the time until the process is started
+	// again.
+	killAfter    = 3700 * time.Millisecond
+	maxDowntime  = 600 * time.Millisecond
+	readyTimeout = 10 * time.Second
 )
 
-// Options are how a seed is played.
+// Options are the settings of a run.
 type Options struct {
-	Binary string        // of the courier
-	Seed   int64         // draws all
-	Length time.Duration // of the play; messages then still have their time
-	Dir    string        // where the courier's files are; a play that breaks a rule leaves them there
+	Binary string        // path of the courier's binary
+	Seed   int64         // determines the plan
+	Length time.Duration // length of the run, without the wait for the outcomes of accepted messages
+	Dir    string        // parent of the run's folder, which is kept if the run breaks a rule
 }
 
-// Result is what a play came to.
+// Result is the outcome of a run.
 type Result struct {
-	Seed       int64          `json:"seed"`
-	Accepted   int            `json:"accepted"`
-	Rejected   int            `json:"rejected"`
-	Delivered  int            `json:"delivered"`
-	Notices    int            `json:"notices"`
-	Unanswered int            `json:"unanswered"`
-	Struck     map[string]int `json:"struck"`     // faults, with how often
-	NotStruck  []string       `json:"not_struck"` // drawn, and never struck: not tested
-	Breaches   []string       `json:"breaches"`
-	Folder     string         `json:"folder,omitempty"` // with the log and the timeline, of a play that broke a rule
+	Seed                int64          `json:"seed"`
+	Accepted            int            `json:"accepted"`
+	Rejected            int            `json:"rejected"`
+	Delivered           int            `json:"delivered"`
+	Notices             int            `json:"notices"`
+	Unanswered          int            `json:"unanswered"`
+	FaultCounts         map[string]int `json:"struck"`     // how often each action or discovery fault took effect
+	FaultsWithoutEffect []string       `json:"not_struck"` // actions of the plan that never took effect, and so were not tested
+	Breaches            []string       `json:"breaches"`
+	Dir                 string         `json:"folder,omitempty"` // folder with the log and the timeline, if the run broke a rule
 }
 
-// play is one play under way.
-type play struct {
-	options Options
-	plan    plan
-	world   *scripted.World
-	proxy   *faultproxy.Proxy
-	listen  string
-	folder  string
-	log     *os.File
-	clients clients
+// run is the state of a run in progress.
+type run struct {
+	options  Options
+	plan     plan
+	standIns *scripted.World
+	proxy    *faultproxy.Proxy
+	address  string
+	dir      string
+	log      *os.File
+	clients  clients
 
-	mu       sync.Mutex
-	child    *syscallfault.Process
-	failing  []act // system calls that fail just now
-	began    time.Time
-	startAt  time.Time // of the process
-	ended    bool      // its end was asked for
-	struck   map[string]int
-	breaches []string
-	timeline []string
+	mu               sync.Mutex
+	child            *syscallfault.Process
+	activeFaults     []action // system call faults in effect now
+	startedAt        time.Time
+	processStartedAt time.Time
+	stopRequested    bool // the process was killed or asked to stop
+	faultCounts      map[string]int
+	breaches         []string
+	timeline         []string
 }
 
-// Play plays one seed. An error says that the play could not be set up.
+// Play runs the plan of one seed. Broken rules are reported in the result; an error means that the run could
+// not be set up or completed, for example because ctx was canceled.
 func Play(ctx context.Context, o Options) (*Result, error) {
-	folder := filepath.Join(o.Dir, fmt.Sprintf("seed-%d", o.Seed))
-	r, err := playIn(ctx, folder, o)
+	dir := filepath.Join(o.Dir, fmt.Sprintf("seed-%d", o.Seed))
+	r, err := runInDir(ctx, dir, o)
 	if err != nil || len(r.Breaches) > 0 {
 		return r, err
 	}
-	return r, os.RemoveAll(folder) // now that its process has ended
+	return r, os.RemoveAll(dir) // the courier has exited, so nothing writes to the folder any more
 }
 
-func playIn(ctx context.Context, folder string, o Options) (*Result, error) {
+func runInDir(ctx context.Context, dir string, o Options) (*Result, error) {
 	rng := rand.New(rand.NewSource(o.Seed))
-	p := &play{options: o, plan: draw(rng, o.Length), struck: map[string]int{}, folder: folder}
-	if err := p.open(rng.Int63()); err != nil {
+	r := &run{options: o, plan: drawPlan(rng, o.Length), faultCounts: map[string]int{}, dir: dir}
+	if err := r.setUp(rng.Int63()); err != nil {
 		return nil, err
 	}
-	defer p.close()
-	if err := p.start(); err != nil {
+	defer r.close()
+	if err := r.start(); err != nil {
 		return nil, err
 	}
-	p.began = time.Now()
-	stopClients := p.clients.run(p.listen, o.Seed)
-	var acts sync.WaitGroup
-	playing, stop := context.WithTimeout(ctx, o.Length)
-	for _, a := range p.plan.acts {
-		acts.Go(func() { p.carryOut(playing, a) })
+	r.startedAt = time.Now()
+	stopClients := r.clients.run(r.address, o.Seed)
+	var running sync.WaitGroup
+	runCtx, stop := context.WithTimeout(ctx, o.Length)
+	for _, a := range r.plan.actions {
+		running.Go(func() { r.perform(runCtx, a) })
 	}
-	acts.Go(func() { p.watchProcess(playing) })
-	<-playing.Done()
+	running.Go(func() { r.watchProcess(runCtx) })
+	<-runCtx.Done()
 	stop()
-	acts.Wait()
+	running.Wait()
 	stopClients()
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	p.awaitEnds()
-	return p.result()
+	r.awaitOutcomes()
+	return r.result()
 }
 
-func (p *play) open(seed int64) error {
-	if err := os.MkdirAll(filepath.Join(p.folder, "state"), 0o755); err != nil {
+// setUp starts the endpoints, discovery and the fault proxy, and writes the courier's configuration.
+func (r *run) setUp(seed int64) error {
+	if err := os.MkdirAll(filepath.Join(r.dir, "state"), 0o755); err != nil {
 		return err
 	}
 	rng, lock := rand.New(rand.NewSource(seed)), sync.Mutex{}
-	world, err := scripted.Open(endpoints, func(string) scripted.Response { return fate(rng, p.plan.endpointsBad) })
+	standIns, err := scripted.Open(endpoints, func(string) scripted.Response { return drawResponse(rng, r.plan.endpointFaultRate) })
 	if err != nil {
 		return err
 	}
-	p.world = world
-	polls := rand.New(rand.NewSource(seed + 1))
-	p.proxy, err = faultproxy.Open(world.Discovery, func(call faultproxy.Call) faultproxy.Treatment {
+	r.standIns = standIns
+	pollRand := rand.New(rand.NewSource(seed + 1))
+	r.proxy, err = faultproxy.Open(standIns.Discovery, func(call faultproxy.Call) faultproxy.FaultSpec {
 		lock.Lock()
 		defer lock.Unlock()
-		if !call.IsPoll() || time.Since(p.began) < p.plan.quiet {
-			return faultproxy.Treatment{}
+		if !call.IsPoll() || time.Since(r.startedAt) < r.plan.quietPeriod {
+			return faultproxy.FaultSpec{}
 		}
-		return treatment(polls, p.plan.discoveryBad)
+		return drawTreatment(pollRand, r.plan.discoveryFaultRate)
 	})
 	if err != nil {
 		return err
 	}
-	world.Discovery = p.proxy.Address
-	address, letGo, err := port.Reserve()
+	standIns.Discovery = r.proxy.Address
+	address, release, err := port.Reserve()
 	if err != nil {
 		return err
 	}
-	letGo()
-	p.listen = address
-	if err := os.WriteFile(filepath.Join(p.folder, "config.json"), world.CourierConfiguration(fmt.Sprintf("soak-%d", p.options.Seed), address), 0o644); err != nil {
+	release()
+	r.address = address
+	if err := os.WriteFile(filepath.Join(r.dir, "config.json"), standIns.CourierConfiguration(fmt.Sprintf("soak-%d", r.options.Seed), address), 0o644); err != nil {
 		return err
 	}
-	p.log, err = os.Create(filepath.Join(p.folder, "log"))
+	r.log, err = os.Create(filepath.Join(r.dir, "log"))
 	return err
 }
 
-// fate draws what becomes of a call at an endpoint.
-func fate(rng *rand.Rand, bad float64) scripted.Response {
+// drawFate draws how an endpoint treats a call.
+func drawResponse(rng *rand.Rand, faultRate float64) scripted.Response {
 	work := time.Duration(5+rng.Intn(60)) * time.Millisecond
-	if rng.Float64() >= bad {
+	if rng.Float64() >= faultRate {
 		return scripted.Response{Status: 200, Delay: work}
 	}
-	fates := []scripted.Response{{Status: 503}, {Status: 429, BackoffMs: 100 + rng.Intn(700)}, {Status: 500, Delay: work}, {Status: 0, Delay: work}, {Status: 200, Delay: 1500 * time.Millisecond}}
-	return fates[rng.Intn(len(fates))]
+	responses := []scripted.Response{{Status: 503}, {Status: 429, BackoffMs: 100 + rng.Intn(700)}, {Status: 500, Delay: work}, {Status: 0, Delay: work}, {Status: 200, Delay: 1500 * time.Millisecond}}
+	return responses[rng.Intn(len(responses))]
 }
 
-func (p *play) close() {
-	p.mu.Lock()
-	child := p.child
-	p.ended = true
-	p.mu.Unlock()
+func (r *run) close() {
+	r.mu.Lock()
+	child := r.child
+	r.stopRequested = true
+	r.mu.Unlock()
 	if child != nil {
 		child.Signal(syscall.SIGKILL)
 		<-child.Done
 	}
-	p.proxy.Close()
-	p.world.Close()
-	p.log.Close()
+	r.proxy.Close()
+	r.standIns.Close()
+	r.log.Close()
 }
 
-// start starts the courier, and returns once it answers.
-func (p *play) start() error {
-	state := filepath.Join(p.folder, "state")
-	env := append(os.Environ(), "RELAY_CONFIG="+filepath.Join(p.folder, "config.json"), "RELAY_STATE="+state)
-	child, err := syscallfault.Start(p.options.Binary, env, p.log, tracedCalls, func(call *syscallfault.Call) syscallfault.Effect { return p.effectOn(call, state) })
+// start starts the courier, and waits until it answers PING.
+func (r *run) start() error {
+	stateDir := filepath.Join(r.dir, "state")
+	env := append(os.Environ(), "RELAY_CONFIG="+filepath.Join(r.dir, "config.json"), "RELAY_STATE="+stateDir)
+	child, err := syscallfault.Start(r.options.Binary, env, r.log, tracedCalls, func(call *syscallfault.Call) syscallfault.Effect { return r.effectFor(call, stateDir) })
 	if err != nil {
 		return err
 	}
-	p.mu.Lock()
-	p.child, p.startAt, p.ended = child, time.Now(), false
-	p.mu.Unlock()
-	for deadline := time.Now().Add(readyWithin); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
-		if answersPing(p.listen) {
+	r.mu.Lock()
+	r.child, r.processStartedAt, r.stopRequested = child, time.Now(), false
+	r.mu.Unlock()
+	for deadline := time.Now().Add(readyTimeout); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
+		if respondsToPing(r.address) {
 			return nil
 		}
 	}
-	p.breach("not ready within %v of its start", readyWithin)
+	r.reportBreach("the courier did not answer PING within %v of its start", readyTimeout)
 	return nil
 }
 
-func answersPing(address string) bool {
+func respondsToPing(address string) bool {
 	conn, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return false
@@ -209,69 +213,70 @@
 	return err == nil && string(reply) == "+PONG\r\n"
 }
 
-func (p *play) effectOn(call *syscallfault.Call, state string) syscallfault.Effect {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, a := range p.failing {
-		if a.strikes(call, state) {
-			p.struck[a.what]++
+func (r *run) effectFor(call *syscallfault.Call, stateDir string) syscallfault.Effect {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, a := range r.activeFaults {
+		if a.matches(call, stateDir) {
+			r.faultCounts[a.name]++
 			return a.effect
 		}
 	}
 	return syscallfault.Effect{}
 }
 
-// carryOut waits for an act's instant and carries it out.
-func (p *play) carryOut(ctx context.Context, a act) {
+// perform waits until an action is due and carries it out.
+func (r *run) perform(ctx context.Context, a action) {
 	if !wait(ctx, a.at) {
 		return
 	}
-	p.note("%s", a.what)
-	switch a.what {
-	case actDrain:
-		p.drain(ctx)
-	case actCrowd:
-		p.crowd(ctx)
-	case actKill, actEnd, actHangup:
-		p.signal(ctx, a.what)
+	r.addToTimeline("%s", a.name)
+	switch a.name {
+	case actionDrain:
+		r.drain(ctx)
+	case actionOpenConnections:
+		r.openConnections(ctx)
+	case actionKill, actionTerminate, actionReload:
+		r.signal(ctx, a.name)
 	default:
-		p.mu.Lock()
-		p.failing = append(p.failing, a)
-		p.mu.Unlock()
-		wait(ctx, a.span)
-		p.mu.Lock()
-		p.failing = slices.DeleteFunc(p.failing, func(other act) bool { return other.what == a.what })
-		p.mu.Unlock()
-		p.note("%s is over", a.what)
+		r.mu.Lock()
+		r.activeFaults = append(r.activeFaults, a)
+		r.mu.Unlock()
+		wait(ctx, a.duration)
+		r.mu.Lock()
+		r.activeFaults = slices.DeleteFunc(r.activeFaults, func(other action) bool { return other.name == a.name })
+		r.mu.Unlock()
+		r.addToTimeline("%s ended", a.name)
 	}
 }
 
-// wait waits for a span, and reports whether the play still goes on.
-func wait(ctx context.Context, span time.Duration) bool {
+// wait waits for a duration. It returns false if the run ends first.
+func wait(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(span):
+	case <-time.After(duration):
 		return true
 	}
 }
 
-// signal sends a signal; a process that is to end is started again once it has.
-func (p *play) signal(ctx context.Context, what string) {
-	p.mu.Lock()
-	child, busy := p.child, p.ended
-	if busy && what != actKill { // a kill may come in the middle of a shutdown
-		p.mu.Unlock()
+// signal sends a signal to the process. If the signal stops the process, signal waits for its exit and starts
+// it again.
+func (r *run) signal(ctx context.Context, name string) {
+	r.mu.Lock()
+	child, stopping := r.child, r.stopRequested
+	if stopping && name != actionKill { // SIGKILL may arrive during a graceful shutdown
+		r.mu.Unlock()
 		return
 	}
-	p.ended = p.ended || what != actHangup
-	p.struck[what]++
-	p.mu.Unlock()
-	switch what {
-	case actHangup:
+	r.stopRequested = r.stopRequested || name != actionReload
+	r.faultCounts[name]++
+	r.mu.Unlock()
+	switch name {
+	case actionReload:
 		child.Signal(syscall.SIGHUP)
 		return
-	case actEnd:
+	case actionTerminate:
 		child.Signal(syscall.SIGTERM)
 		select {
 		case <-child.Done:
@@ -282,26 +287,26 @@
 		child.Signal(syscall.SIGKILL)
 	}
 	<-child.Done
-	if busy { // whoever ended it starts it
+	if stopping { // the invocation of signal that stopped the process starts it again
 		return
 	}
-	wait(ctx, time.Duration(p.options.Seed%6)*maxDowntime/6)
-	if err := p.start(); err != nil {
-		p.breach("not started again: %v", err)
+	wait(ctx, time.Duration(r.options.Seed%6)*maxDowntime/6)
+	if err := r.start(); err != nil {
+		r.reportBreach("the courier could not be restarted: %v", err)
 	}
-	p.note("started")
+	r.addToTimeline("started")
 }
 
-// watchProcess sees that the process does not end by itself.
-func (p *play) watchProcess(ctx context.Context) {
+// watchProcess reports a breach if the process exits without having been stopped.
+func (r *run) watchProcess(ctx context.Context) {
 	for wait(ctx, 50*time.Millisecond) {
-		p.mu.Lock()
-		child, ended := p.child, p.ended
-		p.mu.Unlock()
+		r.mu.Lock()
+		child, stopRequested := r.child, r.stopRequested
+		r.mu.Unlock()
 		select {
 		case <-child.Done:
-			if !ended {
-				p.breach("the process ended by itself: %v", child.Status())
+			if !stopRequested {
+				r.reportBreach("the courier exited unexpectedly: %v", child.Status())
 				return
 			}
 		default:
@@ -309,39 +314,41 @@
 	}
 }
 
-// drain drains an endpoint and watches that nothing new goes there once that must be known. A process that has just started may have it from its
-// configuration, and is held to it like to a change.
-func (p *play) drain(ctx context.Context) {
-	drained := int(p.options.Seed % endpoints)
-	p.mu.Lock()
-	p.struck[actDrain]++
-	p.mu.Unlock()
+// drain drains an endpoint, and reports a breach if the courier starts calls to that endpoint once the
+// deadline for the change, the grace period and 50 ms more have passed. The deadline counts from the drain,
+// or from the start of the process if that is later, since such a process may learn of the drain from its
+// configuration.
+func (r *run) drain(ctx context.Context) {
+	drained := int(r.options.Seed % endpoints)
+	r.mu.Lock()
+	r.faultCounts[actionDrain]++
+	r.mu.Unlock()
 	at := time.Now()
-	p.world.Drain(drained)
-	calls := p.world.Calls(drained)
+	r.standIns.Drain(drained)
+	calls := r.standIns.Calls(drained)
 	for wait(ctx, 20*time.Millisecond) {
-		p.mu.Lock()
-		known := at
-		if p.startAt.After(known) {
-			known = p.startAt
+		r.mu.Lock()
+		knownAt := at
+		if r.processStartedAt.After(knownAt) {
+			knownAt = r.processStartedAt
 		}
-		p.mu.Unlock()
-		now := p.world.Calls(drained)
-		if late := time.Since(known) - changeDeadline - drainGrace - 50*time.Millisecond; now > calls && late > 0 {
-			p.breach("drain: %d calls to a draining endpoint, %v after that must have been known", now-calls, late.Round(time.Millisecond))
+		r.mu.Unlock()
+		current := r.standIns.Calls(drained)
+		if late := time.Since(knownAt) - changeDeadline - drainGrace - 50*time.Millisecond; current > calls && late > 0 {
+			r.reportBreach("drain: %d calls to a draining endpoint, %v after the deadline and the grace period", current-calls, late.Round(time.Millisecond))
 		}
-		calls = now
+		calls = current
 	}
 }
 
-// crowd fills the courier with idle connections.
-func (p *play) crowd(ctx context.Context) {
-	p.mu.Lock()
-	p.struck[actCrowd]++
-	p.mu.Unlock()
+// openConnections opens 300 idle connections to the courier and closes them after 2 s.
+func (r *run) openConnections(ctx context.Context) {
+	r.mu.Lock()
+	r.faultCounts[actionOpenConnections]++
+	r.mu.Unlock()
 	var conns []net.Conn
 	for range 300 {
-		if conn, err := net.DialTimeout("tcp", p.listen, 100*time.Millisecond); err == nil {
+		if conn, err := net.DialTimeout("tcp", r.address, 100*time.Millisecond); err == nil {
 			conns = append(conns, conn)
 		}
 	}
@@ -351,31 +358,33 @@
 	}
 }
 
-func (p *play) note(format string, args ...any) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.timeline = append(p.timeline, fmt.Sprintf("%8.3f %s", time.Since(p.began).Seconds(), fmt.Sprintf(format, args...)))
+// addToTimeline adds a line with the time since the start of the run to the timeline.
+func (r *run) addToTimeline(format string, args ...any) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.timeline = append(r.timeline, fmt.Sprintf("%8.3f %s", time.Since(r.startedAt).Seconds(), fmt.Sprintf(format, args...)))
 }
 
-func (p *play) breach(format string, args ...any) {
-	p.note("BREACH "+format, args...)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.breaches = append(p.breaches, fmt.Sprintf(format, args...))
+func (r *run) reportBreach(format string, args ...any) {
+	r.addToTimeline("BREACH "+format, args...)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.breaches = append(r.breaches, fmt.Sprintf(format, args...))
 }
 
-// awaitEnds waits until every message that was accepted has ended, for as long as it may take.
-func (p *play) awaitEnds() {
+// awaitOutcomes waits until every accepted message is delivered or has a notice. It allows the time to live
+// of the messages, 350 ms more, and the time of a restart.
+func (r *run) awaitOutcomes() {
 	const restart = 1500 * time.Millisecond
-	p.mu.Lock()
-	p.failing = nil
-	p.mu.Unlock()
+	r.mu.Lock()
+	r.activeFaults = nil
+	r.mu.Unlock()
 	deadline := time.Now().Add(timeToLive + 350*time.Millisecond + restart)
-	for _, id := range p.clients.acceptedIDs() {
-		for !p.isOver(id) {
+	for _, id := range r.clients.acceptedIDs() {
+		for !r.hasOutcome(id) {
 			if time.Now().After(deadline) {
-				began, _, _ := p.world.MessageCalls(id)
-				p.breach("final answer: %s was accepted and has none; begun %d times", id, began)
+				callsStarted, _, _ := r.standIns.MessageCalls(id)
+				r.reportBreach("no final answer for accepted message %s; %d attempts reached an endpoint", id, callsStarted)
 				break
 			}
 			time.Sleep(10 * time.Millisecond)
@@ -383,38 +392,38 @@
 	}
 }
 
-func (p *play) isOver(id string) bool {
-	_, done, notices := p.world.MessageCalls(id)
-	return done > 0 || len(notices) > 0
+func (r *run) hasOutcome(id string) bool {
+	_, deliveries, notices := r.standIns.MessageCalls(id)
+	return deliveries > 0 || len(notices) > 0
 }
 
-// result judges what is over, and writes down a play that broke a rule.
-func (p *play) result() (*Result, error) {
-	r := &Result{Seed: p.options.Seed, Struck: map[string]int{}}
-	p.clients.judge(p, r)
-	for fault, n := range p.proxy.Struck() {
+// result checks the completed run, and writes the timeline of a run that broke a rule.
+func (r *run) result() (*Result, error) {
+	res := &Result{Seed: r.options.Seed, FaultCounts: map[string]int{}}
+	r.clients.check(r, res)
+	for fault, n := range r.proxy.FaultCounts() {
 		if fault != faultproxy.None {
-			r.Struck["discovery "+fault.String()] += n
+			res.FaultCounts["discovery "+fault.String()] += n
 		}
 	}
-	p.mu.Lock()
-	for what, n := range p.struck {
-		r.Struck[what] += n
+	r.mu.Lock()
+	for name, n := range r.faultCounts {
+		res.FaultCounts[name] += n
 	}
-	r.Breaches = append(r.Breaches, p.breaches...)
-	for _, a := range p.plan.acts {
-		if r.Struck[a.what] == 0 && !slices.Contains(r.NotStruck, a.what) {
-			r.NotStruck = append(r.NotStruck, a.what)
+	res.Breaches = append(res.Breaches, r.breaches...)
+	for _, a := range r.plan.actions {
+		if res.FaultCounts[a.name] == 0 && !slices.Contains(res.FaultsWithoutEffect, a.name) {
+			res.FaultsWithoutEffect = append(res.FaultsWithoutEffect, a.name)
 		}
 	}
-	timeline := strings.Join(p.timeline, "\n")
-	p.mu.Unlock()
-	if len(r.Breaches) == 0 {
-		return r, nil
+	timeline := strings.Join(r.timeline, "\n")
+	r.mu.Unlock()
+	if len(res.Breaches) == 0 {
+		return res, nil
 	}
-	r.Folder = p.folder
-	for _, call := range p.proxy.Calls() {
-		timeline += fmt.Sprintf("\n%8.3f discovery %s %s %v, answered %.3f", call.Read.Sub(p.began).Seconds(), call.Path, call.Query.Encode(), call.Fault, call.Answered.Sub(p.began).Seconds())
+	res.Dir = r.dir
+	for _, call := range r.proxy.Calls() {
+		timeline += fmt.Sprintf("\n%8.3f discovery %s %s %v, answered %.3f", call.Read.Sub(r.startedAt).Seconds(), call.Path, call.Query.Encode(), call.Fault, call.Answered.Sub(r.startedAt).Seconds())
 	}
-	return r, errors.Join(os.WriteFile(filepath.Join(p.folder, "timeline"), []byte(timeline+"\n"+strings.Join(r.Breaches, "\n")), 0o644))
+	return res, errors.Join(os.WriteFile(filepath.Join(r.dir, "timeline"), []byte(timeline+"\n"+strings.Join(res.Breaches, "\n")), 0o644))
 }
--- a/testbed/wirehost/host.go
+++ b/testbed/wirehost/host.go
@@ -70,11 +70,11 @@
 	return nil
 }
 
-// Kill implements simulation.Host. The program learns of the kill with the next Turn.
+// Kill implements simulation.Host. The program learns of the kill with the next Step.
 func (h *Host) Kill(courier int) { h.killed[courier] = true }
 
-// Turn implements simulation.Host. It sends the events of all batches, each of one courier, and reads the actions of these couriers.
-func (h *Host) Turn(now dispatch.Micros, batches []simulation.Batch) ([][]dispatch.Action, error) {
+// Step implements simulation.Host. It sends the events of all batches, each of one courier, and reads the actions of these couriers.
+func (h *Host) Step(now dispatch.Micros, batches []simulation.Batch) ([][]dispatch.Action, error) {
 	h.writeLine("mark", seconds(now))
 	for _, i := range slices.Sorted(maps.Keys(h.killed)) {
 		h.writeLine("on", strconv.Itoa(i))
@@ -172,7 +172,7 @@
 	h.writeLine("topology", strconv.Itoa(h.serial), strconv.Itoa(h.page), []string{"Persisted", "Complete", "Partial"}[e.Kind])
 }
 
-// readReply reads the reply to one Turn. It appends each action to all[i], where i is the batch index of the courier that the last at line names.
+// readReply reads the reply to one Step. It appends each action to all[i], where i is the batch index of the courier that the last at line names.
 func (h *Host) readReply(all [][]dispatch.Action, batchIndex map[int]int) error {
 	courier, batch := -1, -1
 	for {
@@ -198,14 +198,14 @@
 			}
 			courier, batch = n, i
 		case "internal_error":
-			return &simulation.CourierFault{Courier: courier, Text: strings.Join(f[1:], " ")}
+			return &simulation.CourierPanic{Courier: courier, Text: strings.Join(f[1:], " ")}
 		default:
 			if batch < 0 {
 				return fmt.Errorf("%q before the first at line", f[0])
 			}
 			a, err := parseAction(f)
 			if err != nil {
-				return &simulation.CourierFault{Courier: courier, Text: err.Error()}
+				return &simulation.CourierPanic{Courier: courier, Text: err.Error()}
 			}
 			if a != nil {
 				all[batch] = append(all[batch], a)
