--- a/testbed/scale/couriers.go
+++ b/testbed/scale/couriers.go
@@ -14,11 +14,12 @@
 	"pineport/testbed/slopes"
 )
 
-// couriers measures membership: hollow members in one process, the view by itself, and how many starts a full exchange may tell.
+// couriersExperiment measures membership: fleets of hollow members in one process, the membership state machine alone, and
+// how many incarnations a full exchange can carry.
 func couriersExperiment() Experiment {
 	return Experiment{
 		Name:    "couriers",
-		About:   "membership: packets, bytes, processor time and memory of a member, and how long deaths and returns take to be known",
+		About:   "membership: packets, bytes, processor time and memory of a member, and the time until all members know of a death or a return",
 		Plays:   3,
 		Timed:   true,
 		Measure: measureCouriers,
@@ -27,79 +28,81 @@
 	}
 }
 
-// Names of sizes.
+// Names of the sizes of this experiment.
 const (
-	sizeMembers   = "members"             // of a hollow fleet
-	sizeCompared  = "members_at_pace_1_s" // of one that is played at the usual pace, for comparison
-	sizeNames     = "names"               // that a view hears of
-	sizeForgotten = "forgotten"           // 1 where these are more than a view keeps
+	sizeMembers   = "members"             // members of a hollow fleet
+	sizeCompared  = "members_at_pace_1_s" // members of the fleet that is played at the default interval, for comparison
+	sizeNames     = "names"               // couriers that are reported to a view
+	sizeForgotten = "forgotten"           // 1 if these are more than a view keeps
 )
 
-// Figures of a hollow fleet. Rates and times are those of a pace of 1 s: what was counted a pace, and paces that passed.
+// Figures of a hollow fleet. Rates are counted per heartbeat interval, and times are measured in heartbeat intervals, so that
+// the values are those of the default interval of 1 s.
 const (
-	figurePackets       = "packets_per_s"
-	figurePacketBytes   = "packet_bytes_per_s"
-	figureExchangeBytes = "exchange_bytes_per_s"
-	figureExchanges     = "exchanges_per_s"
-	figureExchangeSize  = "exchange_bytes"
-	figureProcessor     = "processor_cores"
-	figureHeap          = "heap_bytes"
-	figureBusy          = "machine_share" // of the machine's cores that the whole process used: near 1 the process is the limit
-	figurePace          = "pace_s"        // at which it was played
-	figureWhole         = "whole_s"
-	figureDeathHalf     = "death_known_half_s"
-	figureDeathAll      = "death_known_all_s"
-	figureZoneDeath     = "zone_death_known_all_s"
-	figureZoneReturn    = "zone_return_known_all_s"
-	figureFewer         = "fewer_reckoned"
+	figurePackets        = "packets_per_s"
+	figurePacketBytes    = "packet_bytes_per_s"
+	figureExchangeBytes  = "exchange_bytes_per_s"
+	figureExchanges      = "exchanges_per_s"
+	figureExchangeSize   = "exchange_bytes"
+	figureProcessor      = "processor_cores"
+	figureHeap           = "heap_bytes"
+	figureMachineShare   = "machine_share" // share of all cores that this process used; near 1, the machine limits the result
+	figureInterval       = "pace_s"        // heartbeat interval of the play
+	figureComplete       = "whole_s"
+	figureDeathHalf      = "death_known_half_s"
+	figureDeathAll       = "death_known_all_s"
+	figureZoneDeath      = "zone_death_known_all_s"
+	figureZoneReturn     = "zone_return_known_all_s"
+	figureUnderestimates = "fewer_reckoned"
 )
 
-// fleetSize is one hollow fleet to be played.
+// fleetSize is a hollow fleet to be played.
 type fleetSize struct {
-	members  int
-	pace     time.Duration
-	compared bool // recorded apart, to show that figures by the pace do not go by its length
+	members      int
+	interval     time.Duration
+	isComparison bool // recorded under sizeCompared, to show that figures per interval do not depend on its length
 }
 
-// Paces are shorter than the usual second, as nothing in a member but the view's own waits after a standstill goes by seconds. The
-// largest fleet has a longer one: with 300 members at 250 ms, the joining of all took more processor time than eight cores had.
+// Heartbeat intervals are shorter than the default to save time. All timers of a member scale with the interval, except the
+// waits of the membership after a pause of the process. The largest fleet has a longer interval: with 300 members at 250 ms,
+// the joining of all members took more processor time than eight cores have.
 const (
-	quickPace = 50 * time.Millisecond
-	fullPace  = 250 * time.Millisecond
-	largePace = 500 * time.Millisecond
-	usualPace = time.Second
+	quickInterval   = 50 * time.Millisecond
+	fullInterval    = 250 * time.Millisecond
+	largeInterval   = 500 * time.Millisecond
+	defaultInterval = time.Second
 )
 
 func fleetSizes(quick bool) []fleetSize {
 	if quick {
-		return []fleetSize{{members: 10, pace: quickPace}, {members: 30, pace: quickPace}}
+		return []fleetSize{{members: 10, interval: quickInterval}, {members: 30, interval: quickInterval}}
 	}
-	return []fleetSize{{members: 30, pace: fullPace}, {members: 100, pace: fullPace}, {members: 300, pace: largePace}}
+	return []fleetSize{{members: 30, interval: fullInterval}, {members: 100, interval: fullInterval}, {members: 300, interval: largeInterval}}
 }
 
-// comparedFleet is played at the usual pace, in full runs and once.
-var comparedFleet = fleetSize{members: 30, pace: usualPace, compared: true}
+// comparedFleet is played at the default interval, once in each full run.
+var comparedFleet = fleetSize{members: 30, interval: defaultInterval, isComparison: true}
 
-// Full exchanges of memberlist: each member begins one with another every exchangePaces, later in larger fleets, and begins with a
-// wait of its own below that of a small fleet.
+// Full exchanges (push/pull) of memberlist: each member begins one with another member every exchangeIntervals heartbeat
+// intervals, and less often in larger fleets. Its first one follows after a random delay of less than exchangeIntervals.
 const (
-	exchangePaces   = 15
-	exchangeSmallUp = 32 // members up to which it is not later
+	exchangeIntervals = 15
+	smallFleet        = 32 // largest fleet without a longer period
 )
 
-// exchangePeriod is the paces in which each member of a fleet begins one full exchange.
+// exchangePeriod returns the number of heartbeat intervals between two full exchanges of a member.
 func exchangePeriod(members int) int {
-	if members <= exchangeSmallUp {
-		return exchangePaces
+	if members <= smallFleet {
+		return exchangeIntervals
 	}
-	doublings := math.Ceil(math.Log2(float64(members) / exchangeSmallUp))
-	return exchangePaces * (1 + int(doublings))
+	doublings := math.Ceil(math.Log2(float64(members) / smallFleet))
+	return exchangeIntervals * (1 + int(doublings))
 }
 
-// The planned fleet has 25 zones; of a small one, four members at least die at once.
+// The planned fleet has 25 zones. In small fleets, a zone has at least four members.
 const (
-	zones       = 25
-	zoneAtLeast = 4
+	zoneCount      = 25
+	minZoneMembers = 4
 )
 
 func measureCouriers(ctx context.Context, play *Play) error {
@@ -108,33 +111,33 @@
 		sizes = append(sizes, comparedFleet)
 	}
 	for _, size := range sizes {
-		play.Progress("%d members at a pace of %v", size.members, size.pace)
+		play.Progress("%d members with a heartbeat interval of %v", size.members, size.interval)
 		if err := measureFleet(ctx, play, size); err != nil {
 			return fmt.Errorf("%d members: %w", size.members, err)
 		}
 	}
-	play.Miss("members: more than 300 in one process", "not played: while all join, their full exchanges take more processor time than the machine has")
-	play.Progress("the view by itself")
+	play.ReportMissing("members: more than 300 in one process", "not played: while all members join, their full exchanges need more processor time than the machine has")
+	play.Progress("the membership view alone")
 	if err := measureViews(ctx, play); err != nil {
 		return err
 	}
-	play.Progress("full exchanges of starts")
+	play.Progress("full exchanges of incarnations")
 	return measureExchangeLimit(ctx, play)
 }
 
-// measureFleet brings up a hollow fleet, observes it at rest, and has one member and then a zone die.
+// measureFleet starts a hollow fleet, observes it at rest, and kills and restarts first one member and then a zone.
 func measureFleet(ctx context.Context, play *Play, size fleetSize) error {
-	fleet := newHollowFleet(size.members, size.pace, play.Seed)
+	fleet := newHollowFleet(size.members, size.interval, play.Seed)
 	defer fleet.close()
 	heapBefore := heapInUse()
 	if err := fleet.start(ctx); err != nil {
 		return err
 	}
-	whole, err := fleet.awaitWhole(ctx)
+	complete, err := fleet.awaitComplete(ctx)
 	if err != nil {
 		return err
 	}
-	if err := sleep(ctx, exchangePaces*size.pace); err != nil {
+	if err := sleep(ctx, exchangeIntervals*size.interval); err != nil {
 		return err
 	}
 	load, err := fleet.observe(ctx, exchangePeriod(size.members))
@@ -143,14 +146,14 @@
 	}
 	heap := float64(heapInUse()) - float64(heapBefore)
 	report := recorderOf(play, size)
-	report(figurePace, size.pace.Seconds())
-	report(figureWhole, inPaces(whole.all, size.pace))
+	report(figureInterval, size.interval.Seconds())
+	report(figureComplete, inIntervals(complete.all, size.interval))
 	report(figureHeap, heap/float64(size.members))
 	reportLoad(report, load, size)
 	if err := measureDeaths(ctx, fleet, report); err != nil {
 		return err
 	}
-	report(figureFewer, float64(fleet.fewer))
+	report(figureUnderestimates, float64(fleet.underestimates))
 	return nil
 }
 
@@ -158,56 +161,56 @@
 
 func recorderOf(play *Play, size fleetSize) recorder {
 	name := sizeMembers
-	if size.compared {
+	if size.isComparison {
 		name = sizeCompared
 	}
 	sizes := map[string]float64{name: float64(size.members)}
 	return func(figure string, value float64) { play.Report(sizes, figure, value) }
 }
 
-// inPaces is a span in paces, which are seconds at the usual pace.
-func inPaces(span, pace time.Duration) float64 { return span.Seconds() / pace.Seconds() }
+// inIntervals converts a duration to heartbeat intervals, which equal seconds at the default interval.
+func inIntervals(span, interval time.Duration) float64 { return span.Seconds() / interval.Seconds() }
 
-// recordLoad messages what one member took in a pace.
+// reportLoad reports the load of one member per heartbeat interval.
 func reportLoad(report recorder, load load, size fleetSize) {
-	memberPaces := float64(size.members) * inPaces(load.span, size.pace)
-	report(figurePackets, float64(load.sent.packets)/memberPaces)
-	report(figurePacketBytes, float64(load.sent.packetBytes)/memberPaces)
-	report(figureExchangeBytes, float64(load.sent.streamBytes)/memberPaces)
-	report(figureExchanges, float64(load.sent.streams)/memberPaces)
+	memberIntervals := float64(size.members) * inIntervals(load.span, size.interval)
+	report(figurePackets, float64(load.sent.packets)/memberIntervals)
+	report(figurePacketBytes, float64(load.sent.packetBytes)/memberIntervals)
+	report(figureExchangeBytes, float64(load.sent.streamBytes)/memberIntervals)
+	report(figureExchanges, float64(load.sent.streams)/memberIntervals)
 	if load.sent.streams > 0 {
 		report(figureExchangeSize, float64(load.sent.streamBytes)/float64(load.sent.streams))
 	}
-	report(figureProcessor, load.processor.Seconds()/memberPaces)
-	report(figureBusy, load.processor.Seconds()/load.span.Seconds()/float64(runtime.NumCPU()))
+	report(figureProcessor, load.processor.Seconds()/memberIntervals)
+	report(figureMachineShare, load.processor.Seconds()/load.span.Seconds()/float64(runtime.NumCPU()))
 }
 
-// measureDeaths has one member die and come back, and then a zone.
+// measureDeaths kills and restarts one member, and then a zone.
 func measureDeaths(ctx context.Context, fleet *hollowFleet, report recorder) error {
 	size := len(fleet.members)
-	one, err := dieAndReturn(ctx, fleet, []int{size / 2})
+	memberTimes, err := killAndRestart(ctx, fleet, []int{size / 2})
 	if err != nil {
 		return err
 	}
-	report(figureDeathHalf, inPaces(one.died.half, fleet.pace))
-	report(figureDeathAll, inPaces(one.died.all, fleet.pace))
+	report(figureDeathHalf, inIntervals(memberTimes.died.half, fleet.interval))
+	report(figureDeathAll, inIntervals(memberTimes.died.all, fleet.interval))
 	var zone []int
-	for i := range max(zoneAtLeast, size/zones) {
+	for i := range max(minZoneMembers, size/zoneCount) {
 		zone = append(zone, size-1-i)
 	}
-	many, err := dieAndReturn(ctx, fleet, zone)
+	zoneTimes, err := killAndRestart(ctx, fleet, zone)
 	if err != nil {
 		return err
 	}
-	report(figureZoneDeath, inPaces(many.died.all, fleet.pace))
-	report(figureZoneReturn, inPaces(many.returned.all, fleet.pace))
+	report(figureZoneDeath, inIntervals(zoneTimes.died.all, fleet.interval))
+	report(figureZoneReturn, inIntervals(zoneTimes.returned.all, fleet.interval))
 	return nil
 }
 
-// lifecycle is how long a death and the return after it took to be known.
-type lifecycle struct{ died, returned spread }
+// lifecycle holds the times until members know of a death and of the return after it.
+type lifecycle struct{ died, returned spreadTimes }
 
-func dieAndReturn(ctx context.Context, fleet *hollowFleet, dead []int) (lifecycle, error) {
+func killAndRestart(ctx context.Context, fleet *hollowFleet, dead []int) (lifecycle, error) {
 	fleet.kill(dead)
 	died, err := fleet.awaitDeaths(ctx, dead)
 	if err != nil {
@@ -216,7 +219,7 @@
 	if err := fleet.start(ctx); err != nil {
 		return lifecycle{}, err
 	}
-	returned, err := fleet.awaitWhole(ctx)
+	returned, err := fleet.awaitComplete(ctx)
 	return lifecycle{died, returned}, err
 }
 
@@ -229,28 +232,28 @@
 			Where: map[string]float64{sizeForgotten: forgotten}, Models: []slopes.Model{slopes.Linear, slopes.Power}}
 	}
 	const constant, linear, logarithm, power = slopes.Constant, slopes.Linear, slopes.Logarithm, slopes.Power
-	tellPaces(results)
+	reportIntervalRatios(results)
 	return results.FitAll([]Curve{
-		fleet("packets", figurePackets, "packets/s", "packets that a member sends at a pace of 1 s", constant, logarithm, linear, power),
-		fleet("packet_bytes", figurePacketBytes, "bytes/s", "bytes of these packets, headers of IP and UDP apart", logarithm, linear, power),
-		fleet("exchange_bytes", figureExchangeBytes, "bytes/s", "bytes of full exchanges, both directions, a member", linear, power),
+		fleet("packets", figurePackets, "packets/s", "packets sent by a member at a heartbeat interval of 1 s", constant, logarithm, linear, power),
+		fleet("packet_bytes", figurePacketBytes, "bytes/s", "bytes of these packets, without IP and UDP headers", logarithm, linear, power),
+		fleet("exchange_bytes", figureExchangeBytes, "bytes/s", "bytes of full exchanges in both directions, per member", linear, power),
 		fleet("exchange_size", figureExchangeSize, "bytes", "one full exchange, both directions", linear, power),
-		fleet("processor", figureProcessor, "cores", "processor time of a member at a pace of 1 s", linear, power),
+		fleet("processor", figureProcessor, "cores", "processor time of a member at a heartbeat interval of 1 s", linear, power),
 		fleet("heap", figureHeap, "bytes", "heap of a member", linear, power),
-		fleet("death.half", figureDeathHalf, "s", "from a death until half of the members know of it, pace 1 s", constant, logarithm),
-		fleet("death.all", figureDeathAll, "s", "from a death until all members know of it, pace 1 s", constant, logarithm),
-		fleet("zone_death.all", figureZoneDeath, "s", "from the death of a zone at once until all know all of it, pace 1 s", constant, logarithm),
-		fleet("zone_return.all", figureZoneReturn, "s", "from the return of a zone until all hear all, pace 1 s", constant, logarithm, linear),
-		view("word", figureWord, "s", "the view: one word of the detector, up to the names that it keeps", 0),
-		view("word.beyond", figureWord, "s", "the view: one word of the detector, of more names than it keeps", 1),
-		view("tick", figureTick, "s", "the view: one tick, up to the names that it keeps", 0),
-		view("look", figureLook, "s", "the view: one picture of it, up to the names that it keeps", 0),
-		view("heap", figureViewHeap, "bytes", "the view: heap, up to the names that it keeps", 0),
+		fleet("death.half", figureDeathHalf, "s", "from a death until half of the members know of it, heartbeat interval 1 s", constant, logarithm),
+		fleet("death.all", figureDeathAll, "s", "from a death until all members know of it, heartbeat interval 1 s", constant, logarithm),
+		fleet("zone_death.all", figureZoneDeath, "s", "from the simultaneous death of a zone until all members know of all deaths, heartbeat interval 1 s", constant, logarithm),
+		fleet("zone_return.all", figureZoneReturn, "s", "from the return of a zone until all members hear from all others, heartbeat interval 1 s", constant, logarithm, linear),
+		view("word", figureReport, "s", "the view: one report of the failure detector, no more names than it keeps", 0),
+		view("word.beyond", figureReport, "s", "the view: one report of the failure detector, more names than it keeps", 1),
+		view("tick", figureTick, "s", "the view: one tick, no more names than it keeps", 0),
+		view("look", figureSnapshot, "s", "the view: one snapshot, no more names than it keeps", 0),
+		view("heap", figureViewHeap, "bytes", "the view: heap, no more names than it keeps", 0),
 	})
 }
 
-// tellPaces notes how figures by the pace compare between the usual pace and the shorter one that was played.
-func tellPaces(results *Results) {
+// reportIntervalRatios records the ratios of the figures at the default heartbeat interval to those at the shorter one.
+func reportIntervalRatios(results *Results) {
 	at := map[string]float64{sizeMembers: float64(comparedFleet.members)}
 	var parts []string
 	for _, figure := range []string{figurePackets, figurePacketBytes, figureExchangeBytes, figureProcessor, figureHeap, figureDeathAll, figureZoneDeath} {
@@ -260,20 +263,20 @@
 			continue
 		}
 		if stat.Mean(usual, nil) <= 0 || stat.Mean(short, nil) <= 0 {
-			parts = append(parts, figure+" not told, as a reading lay at or below nought")
+			parts = append(parts, figure+" omitted, as a measured value was zero or negative")
 			continue
 		}
 		parts = append(parts, fmt.Sprintf("%s %.2f", figure, stat.Mean(usual, nil)/stat.Mean(short, nil)))
 	}
-	results.Miss("every size at a pace of 1 s", fmt.Sprintf("played at shorter paces and told by the pace; %d members at 1 s over the same at the pace played: %s",
+	results.AddMissing("every size at a heartbeat interval of 1 s", fmt.Sprintf("played at shorter intervals and reported per interval; ratio of %d members at 1 s to the same at the shorter interval: %s",
 		comparedFleet.members, strings.Join(parts, ", ")))
 }
 
-// Bounds of Check on what a member sends in a pace. At rest it probes one other, answers one probe and gossips some words; a
-// stand-in that loses what is sent, or a storm that does not end, lies far outside.
+// Bounds on the packets that a member sends per heartbeat interval. At rest, a member probes one other member, answers one
+// probe and gossips a few updates. A stand-in that loses packets, or an endless gossip storm, is far outside these bounds.
 const (
-	leastPackets = 0.5
-	mostPackets  = 40
+	minPackets = 0.5
+	maxPackets = 40
 )
 
 func checkCouriers(results *Results) error {
@@ -287,8 +290,8 @@
 		return errors.New("no fleet was observed")
 	}
 	for i, size := range sizes {
-		if packets[i] < leastPackets || packets[i] > mostPackets {
-			faults = append(faults, fmt.Errorf("%v members: %.2f packets a pace and member, %v to %v were expected", size, packets[i], leastPackets, mostPackets))
+		if packets[i] < minPackets || packets[i] > maxPackets {
+			faults = append(faults, fmt.Errorf("%v members: %.2f packets per heartbeat interval and member, want %v to %v", size, packets[i], minPackets, maxPackets))
 		}
 	}
 	sizes, exchanges := results.Values(figureExchanges, sizeMembers, nil)
@@ -297,10 +300,10 @@
 			faults = append(faults, fmt.Errorf("%v members: no full exchange was counted", size))
 		}
 	}
-	sizes, fewer := results.Values(figureFewer, sizeMembers, nil)
+	sizes, fewer := results.Values(figureUnderestimates, sizeMembers, nil)
 	for i, size := range sizes {
 		if fewer[i] != 0 {
-			faults = append(faults, fmt.Errorf("%v members: at %v looks a member reckoned with fewer", size, fewer[i]))
+			faults = append(faults, fmt.Errorf("%v members: in %v snapshots a member assumed fewer couriers than the fleet has", size, fewer[i]))
 		}
 	}
 	return errors.Join(faults...)
--- a/testbed/scale/destinations.go
+++ b/testbed/scale/destinations.go
@@ -8,41 +8,41 @@
 	"pineport/testbed/slopes"
 )
 
-// Sizes and figures of destinations.
+// Sizes and figures of the experiment destinations.
 const (
-	knownDestinations = "destinations" // on the list, one endpoint each
-	knownBytes        = "bytes"
-	knownFirst        = "first_list"
-	knownAgain        = "list_again"
+	knownDestinations = "destinations" // destinations on the endpoint list, with one endpoint each
+	knownHeap         = "bytes"
+	knownFirstList    = "first_list"
+	knownRelist       = "list_again"
 	knownChange       = "change"
 	knownStep         = "step"
 
-	knownLists        = 5   // times that the whole list comes again; their median counts
-	knownChanges      = 31  // likewise of one change
-	knownBatches      = 31  // of steps; their median counts
-	knownBatch        = 100 // steps timed together: one is shorter than a clock can tell
-	knownMessages     = 20  // to as many destinations, spread over the list
+	knownRelists      = 5   // repetitions of the unchanged complete list; the median is reported
+	knownChanges      = 31  // repetitions of one change; the median is reported
+	knownBatches      = 31  // batches of steps; the median is reported
+	knownBatch        = 100 // steps timed together, since one step is shorter than the resolution of the clock
+	knownMessages     = 20  // messages, each to another destination, spread evenly over the list
 	knownBatchesQuick = 3
 
-	// Counts, for the check.
-	knownUsed      = "count_in_use"
-	knownUsedAgain = "count_in_use_after_list_again"
-	knownMoved     = "count_changes_seen"
-	knownDelivered = "count_delivered"
-	knownUnasked   = "count_unasked"
-	knownDifferent = "count_replay_differs"
+	// Counts that the check validates.
+	knownInUse            = "count_in_use"
+	knownInUseAfterRelist = "count_in_use_after_list_again"
+	knownChangesSeen      = "count_changes_seen"
+	knownDelivered        = "count_delivered"
+	knownUnexpected       = "count_unasked"
+	knownReplayDiffers    = "count_replay_differs"
 )
 
-// destinations measures what it costs to know many destinations.
-type destinations struct{ decide decide }
+// destinations measures the cost of a long list of destinations.
+type destinations struct{ newDecider deciderFactory }
 
-func destinationsExperiment() Experiment { return destinations{realDecisions}.experiment() }
+func destinationsExperiment() Experiment { return destinations{newDispatcher}.experiment() }
 
 func (k destinations) experiment() Experiment {
 	return Experiment{Name: "destinations", Plays: 3, Timed: true,
-		About: "Destinations known to the decision module, one endpoint each and nothing to do: bytes of heap, the first list (once a play), " +
-			"the whole list again with nothing changed (median of 5), one change of it (median of 31), and a step of an idle courier (median of " +
-			"31 batches of 100).",
+		About: "Destinations known to the decision module, with one endpoint each and no traffic: bytes of heap; the step that handles the first list " +
+			"(once a play), the unchanged complete list (median of 5) or one change of it (median of 31); and a step of an idle courier " +
+			"(median of 31 batches of 100).",
 		Measure: k.measure, Fit: fitDestinations, Check: checkDestinations}
 }
 
@@ -62,13 +62,13 @@
 			if k.play(play, count, false) != trace {
 				differs = 1
 			}
-			play.Report(map[string]float64{knownDestinations: float64(count)}, knownDifferent, differs)
+			play.Report(map[string]float64{knownDestinations: float64(count)}, knownReplayDiffers, differs)
 		}
 	}
 	return nil
 }
 
-// play has a courier know so many destinations, messages what that costs if asked to, and returns a hash of all that it did.
+// play runs a courier with count destinations and returns a hash of its actions. It reports the cost if keep is set.
 func (k destinations) play(play *Play, count int, keep bool) (trace uint64) {
 	sizes := map[string]float64{knownDestinations: float64(count)}
 	report := func(figure string, value float64) {
@@ -76,22 +76,22 @@
 			play.Report(sizes, figure, value)
 		}
 	}
-	list := listings(count)
+	list := destinationEntries(count)
 	ids := messageIDs(knownMessages)
-	driver := newDriver(k.decide(courierSettings(play.Seed, 2*count)), 0, len(ids))
+	driver := newDriver(k.newDecider(courierSettings(play.Seed, 2*count)), 0, len(ids))
 
 	before := heapInUse()
 	driver.step(0, dispatch.EndpointUpdate{Kind: dispatch.CompleteList, Entries: list})
-	report(knownFirst, driver.took.Seconds())
-	report(knownBytes, float64(heapInUse())-float64(before))
-	report(knownUsed, float64(driver.inUse(list)))
+	report(knownFirstList, driver.stepDuration.Seconds())
+	report(knownHeap, float64(heapInUse())-float64(before))
+	report(knownInUse, float64(driver.inUse(list)))
 
-	report(knownAgain, median(driver.listAgain(list)))
-	report(knownUsedAgain, float64(driver.inUse(list)))
+	report(knownRelist, median(driver.resubmitList(list)))
+	report(knownInUseAfterRelist, float64(driver.inUse(list)))
 
-	took, seen := driver.changes(list)
+	took, seen := driver.toggleEndpoint(list)
 	report(knownChange, median(took))
-	report(knownMoved, float64(seen))
+	report(knownChangesSeen, float64(seen))
 
 	batches := knownBatches
 	if play.Quick {
@@ -99,18 +99,18 @@
 	}
 	took, sent := driver.idleSteps(batches)
 	report(knownStep, median(took))
-	report(knownUnasked, float64(sent+driver.counts.ended+driver.counts.invalid))
+	report(knownUnexpected, float64(sent+driver.counts.ended+driver.counts.invalid))
 
 	for number, id := range ids {
-		driver.step(millisecond, driver.message(id, number*(count/knownMessages)))
+		driver.step(millisecond, driver.newMessage(id, number*(count/knownMessages)))
 	}
 	driver.step(millisecond)
 	report(knownDelivered, float64(driver.counts.delivered))
 	keepAlive(list)
-	return driver.trace
+	return driver.traceHash
 }
 
-// inUse counts the endpoints that the courier would call.
+// inUse counts the listed endpoints that the courier does not avoid.
 func (d *memoryDriver) inUse(list []dispatch.EndpointEntry) (count int) {
 	courier, ok := d.courier.(interface {
 		Avoided(now dispatch.Micros, endpoint dispatch.EndpointID) bool
@@ -123,24 +123,25 @@
 	return count
 }
 
-// listAgain submits the whole list some times with nothing changed, and returns what each took, in seconds.
-func (d *memoryDriver) listAgain(list []dispatch.EndpointEntry) (took []float64) {
-	for range knownLists {
+// resubmitList submits the unchanged complete list several times and returns the duration of each step, in seconds.
+func (d *memoryDriver) resubmitList(list []dispatch.EndpointEntry) (took []float64) {
+	for range knownRelists {
 		d.step(millisecond, dispatch.EndpointUpdate{Kind: dispatch.CompleteList, Entries: list})
-		took = append(took, d.took.Seconds())
+		took = append(took, d.stepDuration.Seconds())
 	}
 	return took
 }
 
-// changes has one endpoint drain and return by steps; it returns what each change took, in seconds, and how many took effect.
-func (d *memoryDriver) changes(list []dispatch.EndpointEntry) (took []float64, seen int) {
+// toggleEndpoint drains one endpoint and returns it to service, in turn. It returns the duration of each step, in seconds,
+// and the number of changes that took effect.
+func (d *memoryDriver) toggleEndpoint(list []dispatch.EndpointEntry) (took []float64, seen int) {
 	for number := range knownChanges {
 		changed := list[len(list)/2]
 		if number%2 == 0 {
 			changed.Phase = dispatch.Draining
 		}
 		d.step(millisecond, dispatch.EndpointUpdate{Kind: dispatch.PartialList, Entries: []dispatch.EndpointEntry{changed}})
-		took = append(took, d.took.Seconds())
+		took = append(took, d.stepDuration.Seconds())
 		if used := d.inUse([]dispatch.EndpointEntry{changed}) == 1; used == (changed.Phase == dispatch.InService) {
 			seen++
 		}
@@ -149,14 +150,14 @@
 	return took, seen
 }
 
-// idleSteps lets time pass for a courier with nothing to do; it returns what a step took in each batch, in seconds, and how many
-// messages were sent.
+// idleSteps runs batches of steps of an idle courier. It returns the mean duration of a step in each batch, in seconds, and
+// the number of attempts sent.
 func (d *memoryDriver) idleSteps(batches int) (took []float64, sent int) {
 	for range batches {
 		var sum float64
 		for range knownBatch {
 			sent += d.step(millisecond, dispatch.TimerFired{})
-			sum += d.took.Seconds()
+			sum += d.stepDuration.Seconds()
 		}
 		took = append(took, sum/knownBatch)
 	}
@@ -166,12 +167,12 @@
 func fitDestinations(results *Results) error {
 	growing := []slopes.Model{slopes.Linear, slopes.Power}
 	anyGrowth := []slopes.Model{slopes.Constant, slopes.Logarithm, slopes.Linear, slopes.Power}
-	flat := []slopes.Model{slopes.Constant, slopes.Power} // neither falls below nought beyond the sizes measured
+	flat := []slopes.Model{slopes.Constant, slopes.Power} // both stay positive when extrapolated beyond the measured sizes
 	for _, curve := range []Curve{
-		{Figure: knownBytes, About: "heap of the decision module for the destinations that it knows", Unit: "bytes", Models: []slopes.Model{slopes.Linear}},
-		{Figure: knownFirst, About: "the step that takes in the first list", Unit: "s", Models: growing},
-		{Figure: knownAgain, About: "the step that takes in the whole list again with nothing changed", Unit: "s", Models: growing},
-		{Figure: knownChange, About: "the step that takes in one change of the list", Unit: "s", Models: anyGrowth},
+		{Figure: knownHeap, About: "heap of the decision module for the known destinations", Unit: "bytes", Models: []slopes.Model{slopes.Linear}},
+		{Figure: knownFirstList, About: "the step that handles the first list", Unit: "s", Models: growing},
+		{Figure: knownRelist, About: "the step that handles the unchanged complete list", Unit: "s", Models: growing},
+		{Figure: knownChange, About: "the step that handles one change of the list", Unit: "s", Models: anyGrowth},
 		{Figure: knownStep, About: "a step of an idle courier", Unit: "s", Models: flat},
 	} {
 		curve.Name, curve.Over = curve.Figure, knownDestinations
@@ -182,20 +183,20 @@
 	return nil
 }
 
-// checkDestinations: each destination listed is in use, also after the same list again; each change takes effect; an idle courier
-// does nothing; messages for known destinations are delivered; the same play does the same again.
+// checkDestinations fails unless each listed destination is in use, before and after the list is resubmitted, each change
+// takes effect, an idle courier neither sends nor ends a message, all messages are delivered, and a replay produces the same actions.
 func checkDestinations(results *Results) error {
 	for _, point := range results.Points() {
 		for _, expected := range []struct {
 			figure string
 			want   float64
 		}{
-			{knownUsed, point.Sizes[knownDestinations]},
-			{knownUsedAgain, point.Sizes[knownDestinations]},
-			{knownMoved, knownChanges},
-			{knownUnasked, 0},
+			{knownInUse, point.Sizes[knownDestinations]},
+			{knownInUseAfterRelist, point.Sizes[knownDestinations]},
+			{knownChangesSeen, knownChanges},
+			{knownUnexpected, 0},
 			{knownDelivered, knownMessages},
-			{knownDifferent, 0},
+			{knownReplayDiffers, 0},
 		} {
 			if err := equalCounts(point, expected.figure, expected.want); err != nil {
 				return fmt.Errorf("%v: %w", point.Sizes, err)
--- a/testbed/scale/destinations_test.go
+++ b/testbed/scale/destinations_test.go
@@ -7,85 +7,85 @@
 	"pineport/testbed/simulation"
 )
 
-// spoiltHearing is a courier whose events are malformed before it hears of them.
-type spoiltHearing struct {
+// eventFilter is a courier that receives its events through a filter, which can change or drop them.
+type eventFilter struct {
 	*dispatch.Dispatcher
-	hear func(event dispatch.Event) (dispatch.Event, bool)
+	filter func(event dispatch.Event) (dispatch.Event, bool)
 }
 
-func (h spoiltHearing) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
-	var heard []dispatch.Event
+func (h eventFilter) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
+	var kept []dispatch.Event
 	for _, event := range events {
-		if event, ok := h.hear(event); ok {
-			heard = append(heard, event)
+		if event, ok := h.filter(event); ok {
+			kept = append(kept, event)
 		}
 	}
-	return h.Dispatcher.Handle(now, heard)
+	return h.Dispatcher.Handle(now, kept)
 }
 
-func hearingOnly(hear func(event dispatch.Event) (dispatch.Event, bool)) decide {
-	return func(settings dispatch.Config) simulation.Decider { return spoiltHearing{dispatch.New(settings), hear} }
+func filterEvents(filter func(event dispatch.Event) (dispatch.Event, bool)) deciderFactory {
+	return func(settings dispatch.Config) simulation.Decider { return eventFilter{dispatch.New(settings), filter} }
 }
 
-// acting is a courier that does more than it decided.
-type acting struct {
+// actionAdder is a courier that returns additional actions.
+type actionAdder struct {
 	*dispatch.Dispatcher
 	add func(events []dispatch.Event) []dispatch.Action
 }
 
-func (a acting) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
+func (a actionAdder) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
 	return append(a.Dispatcher.Handle(now, events), a.add(events)...)
 }
 
-func TestDestinationsPassesWithTheRealModule(t *testing.T) {
+func TestDestinationsPassesWithRealDispatcher(t *testing.T) {
 	expectFailure(t, destinationsExperiment(), "")
 }
 
-// TestDestinationsFindsWrongModules: a module that misses an entry, a change or a message, that does what nobody asked for, or never
-// does the same twice, is found.
-func TestDestinationsFindsWrongModules(t *testing.T) {
+// TestDestinationsCheckRejectsFaultyDeciders checks that the experiment fails for a decision module that ignores an entry, a
+// change or a message, that acts without a request, or that is not deterministic.
+func TestDestinationsCheckRejectsFaultyDeciders(t *testing.T) {
 	plays, lists := 0, 0
-	for _, wrong := range []struct {
-		name, say string
-		decide    decide
+	for _, faulty := range []struct {
+		name, wantError string
+		newDecider      deciderFactory
 	}{
-		{"misses an entry", knownUsed + " is", hearingOnly(func(event dispatch.Event) (dispatch.Event, bool) {
-			if news, ok := event.(dispatch.EndpointUpdate); ok && news.Kind == dispatch.CompleteList {
-				news.Entries = news.Entries[1:]
-				return news, true
+		{"ignores an entry", knownInUse + " is", filterEvents(func(event dispatch.Event) (dispatch.Event, bool) {
+			if update, ok := event.(dispatch.EndpointUpdate); ok && update.Kind == dispatch.CompleteList {
+				update.Entries = update.Entries[1:]
+				return update, true
 			}
 			return event, true
 		})},
-		{"misses one when the list comes again", knownUsedAgain + " is", hearingOnly(func(event dispatch.Event) (dispatch.Event, bool) {
-			if news, ok := event.(dispatch.EndpointUpdate); ok && news.Kind == dispatch.CompleteList {
+		{"ignores an entry when the list is resubmitted", knownInUseAfterRelist + " is", filterEvents(func(event dispatch.Event) (dispatch.Event, bool) {
+			if update, ok := event.(dispatch.EndpointUpdate); ok && update.Kind == dispatch.CompleteList {
 				if lists++; lists > 1 {
-					news.Entries = news.Entries[1:]
+					update.Entries = update.Entries[1:]
 				}
-				return news, true
+				return update, true
 			}
 			return event, true
 		})},
-		{"misses changes", knownMoved, hearingOnly(func(event dispatch.Event) (dispatch.Event, bool) {
-			news, ok := event.(dispatch.EndpointUpdate)
-			return event, !ok || news.Kind != dispatch.PartialList
+		{"ignores changes", knownChangesSeen, filterEvents(func(event dispatch.Event) (dispatch.Event, bool) {
+			update, ok := event.(dispatch.EndpointUpdate)
+			return event, !ok || update.Kind != dispatch.PartialList
 		})},
-		{"misses a message", knownDelivered, hearingOnly(func(event dispatch.Event) (dispatch.Event, bool) {
-			taken, ok := event.(dispatch.MessageAccepted)
-			return event, !ok || taken.Message != messageIDs(1)[0]
+		{"ignores a message", knownDelivered, filterEvents(func(event dispatch.Event) (dispatch.Event, bool) {
+			accepted, ok := event.(dispatch.MessageAccepted)
+			return event, !ok || accepted.Message != messageIDs(1)[0]
 		})},
-		{"gives up what nobody handed in", knownUnasked, func(settings dispatch.Config) simulation.Decider {
-			return acting{dispatch.New(settings), func([]dispatch.Event) []dispatch.Action {
+		{"rejects an unknown message", knownUnexpected, func(settings dispatch.Config) simulation.Decider {
+			return actionAdder{dispatch.New(settings), func([]dispatch.Event) []dispatch.Action {
 				return []dispatch.Action{dispatch.Reject{Message: "nobody's"}}
 			}}
 		}},
-		{"acts by chance", knownDifferent, func(settings dispatch.Config) simulation.Decider {
+		{"is not deterministic", knownReplayDiffers, func(settings dispatch.Config) simulation.Decider {
 			plays++
 			at := dispatch.Micros(plays)
-			return acting{dispatch.New(settings), func([]dispatch.Event) []dispatch.Action { return []dispatch.Action{dispatch.SetTimer{At: at}} }}
+			return actionAdder{dispatch.New(settings), func([]dispatch.Event) []dispatch.Action { return []dispatch.Action{dispatch.SetTimer{At: at}} }}
 		}},
 	} {
-		t.Run(wrong.name, func(t *testing.T) {
-			expectFailure(t, destinations{wrong.decide}.experiment(), wrong.say)
+		t.Run(faulty.name, func(t *testing.T) {
+			expectFailure(t, destinations{faulty.newDecider}.experiment(), faulty.wantError)
 		})
 	}
 }
--- a/testbed/scale/directorychanges.go
+++ b/testbed/scale/directorychanges.go
@@ -12,21 +12,22 @@
 	"pineport/testbed/simulation"
 )
 
-// Figures of changes of the list, in virtual time.
+// Figures of endpoint list changes, in virtual time.
 const (
 	figureNotified        = "told_median_seconds"
 	figureNotifiedWorst   = "told_worst_seconds"
 	figureEverywhere      = "everywhere_median_seconds"
 	figureEverywhereWorst = "everywhere_worst_seconds"
-	figureReachableWorst  = "reachable_worst_seconds" // the same, from when discovery could be reached again
-	figureUntold          = "untold"                  // couriers that run to the end and were never reported of a change
+	figureReachableWorst  = "reachable_worst_seconds" // figureNotifiedWorst, counted from the time when discovery is reachable again
+	figureUnnotified      = "untold"                  // pairs of a change and a courier that never received it
 	figureChanges         = "list_changes"
-	// worstOf is the quantile that is called the worst.
-	worstOf = 0.999
+	// worstQuantile is the quantile that is reported as the worst value.
+	worstQuantile = 0.999
 )
 
-// directoryDay is a day of little traffic on which endpoints drain and are replaced; the file takes the number of couriers.
-const directoryDay = `
+// discoveryDay is a scenario with little traffic in which endpoints drain and are replaced. It is a format string that takes
+// the number of couriers.
+const discoveryDay = `
 name = "changes"
 length_s = 60
 load = [0.5, 0.5]
@@ -54,8 +55,8 @@
 size = [2, 5]
 `
 
-// directoryTroubles are restarts in step, kills, and some seconds without discovery.
-const directoryTroubles = `
+// discoveryTroubles adds a rolling restart, kills of couriers, and an outage of discovery of 5 s.
+const discoveryTroubles = `
 [[trouble]]
 kind = "courier-roll"
 at_s = [8, 10]
@@ -73,117 +74,118 @@
 length_s = [5, 5]
 `
 
-func measureDirectory(ctx context.Context, play *Play) error {
+func measureDiscovery(ctx context.Context, play *Play) error {
 	for _, couriers := range changeFleets(play.Quick) {
-		for trouble, troubles := range []string{"", directoryTroubles} {
+		for trouble, troubles := range []string{"", discoveryTroubles} {
 			if err := ctx.Err(); err != nil {
 				return err
 			}
-			play.Progress("changes of the list told to %d couriers", couriers)
+			play.Progress("endpoint list changes for %d couriers", couriers)
 			drawn, err := readDay(couriers, troubles, play.Seed)
 			if err != nil {
 				return err
 			}
-			host := newNotifiedHost(couriers)
+			host := newRecordingHost(couriers)
 			if _, _, err := simulation.Play(drawn, host, simulation.Options{}); err != nil {
 				return err
 			}
-			notified := host.against(drawn)
-			notified.report(play, map[string]float64{sizeCouriers: float64(couriers), sizeTrouble: float64(trouble)})
+			times := host.compare(drawn)
+			times.report(play, map[string]float64{sizeCouriers: float64(couriers), sizeTrouble: float64(trouble)})
 		}
 	}
 	return nil
 }
 
 func readDay(couriers int, troubles string, seed int64) (*scenario.Drawn, error) {
-	d, err := scenario.Read("changes.toml", []byte(fmt.Sprintf(directoryDay, couriers)+troubles))
+	d, err := scenario.Read("changes.toml", []byte(fmt.Sprintf(discoveryDay, couriers)+troubles))
 	if err != nil {
 		return nil, err
 	}
 	return scenario.Draw(d, seed), nil
 }
 
-// toldHost runs the decisions in this process, and notes what each courier is notified of the list, and when.
-type notifiedHost struct {
+// recordingHost runs the couriers in this process and records which list changes each courier receives, and when.
+type recordingHost struct {
 	*simulation.Local
-	news []map[dispatch.EndpointID][]notifiedPhase // by courier
+	phaseChanges []map[dispatch.EndpointID][]phaseChange // index: courier
 }
 
-// downTime is when a courier does not run; to is 0 where it never starts again.
+// downTime is the time from the kill of a courier until its next start. If to is 0, the courier does not start again.
 type downTime struct{ from, to dispatch.Micros }
 
-type notifiedPhase struct {
+type phaseChange struct {
 	at    dispatch.Micros
 	phase dispatch.Phase
 }
 
-func newNotifiedHost(couriers int) *notifiedHost {
-	h := &notifiedHost{Local: simulation.NewLocal(nil)}
+func newRecordingHost(couriers int) *recordingHost {
+	h := &recordingHost{Local: simulation.NewLocal(nil)}
 	for range couriers {
-		h.news = append(h.news, map[dispatch.EndpointID][]notifiedPhase{})
+		h.phaseChanges = append(h.phaseChanges, map[dispatch.EndpointID][]phaseChange{})
 	}
 	return h
 }
 
 // Turn implements simulation.Host.
-func (h *notifiedHost) Turn(now dispatch.Micros, batches []simulation.Batch) ([][]dispatch.Action, error) {
+func (h *recordingHost) Turn(now dispatch.Micros, batches []simulation.Batch) ([][]dispatch.Action, error) {
 	for _, b := range batches {
 		for _, event := range b.Events {
-			if news, ok := event.(dispatch.EndpointUpdate); ok {
-				h.note(now, b.Courier, news)
+			if update, ok := event.(dispatch.EndpointUpdate); ok {
+				h.record(now, b.Courier, update)
 			}
 		}
 	}
 	return h.Local.Turn(now, batches)
 }
 
-// note keeps news of the list. What a start hands over is as old as the process before it, and tells nothing new.
-func (h *notifiedHost) note(now dispatch.Micros, courier int, news dispatch.EndpointUpdate) {
-	known := h.news[courier]
-	tell := func(id dispatch.EndpointID, phase dispatch.Phase) {
+// record stores the phases in an update of the list. It ignores the cached list that a restarted courier loads, because the
+// previous process has already received it.
+func (h *recordingHost) record(now dispatch.Micros, courier int, update dispatch.EndpointUpdate) {
+	known := h.phaseChanges[courier]
+	recordPhase := func(id dispatch.EndpointID, phase dispatch.Phase) {
 		if all := known[id]; len(all) == 0 || all[len(all)-1].phase != phase {
-			known[id] = append(all, notifiedPhase{now, phase})
+			known[id] = append(all, phaseChange{now, phase})
 		}
 	}
-	if news.Kind == dispatch.ListFailed || news.Kind == dispatch.CachedList && len(known) > 0 {
+	if update.Kind == dispatch.ListFailed || update.Kind == dispatch.CachedList && len(known) > 0 {
 		return
 	}
 	listed := map[dispatch.EndpointID]bool{}
-	for _, entry := range news.Entries {
+	for _, entry := range update.Entries {
 		listed[entry.Endpoint] = true
-		tell(entry.Endpoint, entry.Phase)
+		recordPhase(entry.Endpoint, entry.Phase)
 	}
-	if news.Kind != dispatch.CompleteList {
+	if update.Kind != dispatch.CompleteList {
 		return
 	}
-	for id := range known { // what is missing in a whole list is gone
+	for id := range known { // an endpoint missing in a complete list has been removed
 		if !listed[id] {
-			tell(id, dispatch.Removed)
+			recordPhase(id, dispatch.Removed)
 		}
 	}
 }
 
-// toldAt is when a courier was first reported of a phase of an endpoint, or of a later one.
-func (h *notifiedHost) notifiedAt(courier int, id dispatch.EndpointID, phase dispatch.Phase) (dispatch.Micros, bool) {
-	for _, notified := range h.news[courier][id] {
-		if notified.phase >= phase {
-			return notified.at, true
+// notifiedAt returns the time when a courier first received the given phase of an endpoint, or a later phase.
+func (h *recordingHost) notifiedAt(courier int, id dispatch.EndpointID, phase dispatch.Phase) (dispatch.Micros, bool) {
+	for _, change := range h.phaseChanges[courier][id] {
+		if change.phase >= phase {
+			return change.at, true
 		}
 	}
 	return 0, false
 }
 
-// listTimes are how long changes took, in seconds.
-type listTimes struct {
-	changes, untold                 int
+// notificationTimes holds the counts of list changes and the times until couriers received them, in seconds.
+type notificationTimes struct {
+	changes, unnotified             int
 	notified, everywhere, reachable []float64
 }
 
-// against holds what was notified against the changes of the day. A courier that does not run at a change is to know it from its start on;
-// one that is never reported although it was listed and gone between two lists has nothing to know.
-func (h *notifiedHost) against(drawn *scenario.Drawn) (t listTimes) {
+// compare compares the recorded updates with the list changes of the scenario. For a courier that is down at the time of a
+// change, the time counts from its next start.
+func (h *recordingHost) compare(drawn *scenario.Drawn) (t notificationTimes) {
 	phases := map[scenario.ActKind]dispatch.Phase{scenario.Adds: dispatch.InService, scenario.Drains: dispatch.Draining, scenario.Removes: dispatch.Removed}
-	downs, away := downTimes(drawn), awayTimes(drawn)
+	downs, outages := downTimes(drawn), discoveryOutages(drawn)
 	for _, act := range drawn.Acts {
 		phase, ok := phases[act.Kind]
 		if !ok {
@@ -191,15 +193,15 @@
 		}
 		t.changes++
 		slowest := 0.0
-		for courier := range h.news {
-			from := runsFrom(downs[courier], act.At)
+		for courier := range h.phaseChanges {
+			from := runningFrom(downs[courier], act.At)
 			at, notified := h.notifiedAt(courier, act.Endpoint.ID, phase)
 			if !notified {
-				t.untold++
+				t.unnotified++
 				continue
 			}
 			t.notified = append(t.notified, seconds(at-from))
-			t.reachable = append(t.reachable, seconds(at-reachableFrom(away, from, at)))
+			t.reachable = append(t.reachable, seconds(at-reachableFrom(outages, from, at)))
 			slowest = max(slowest, seconds(at-from))
 		}
 		t.everywhere = append(t.everywhere, slowest)
@@ -214,22 +216,22 @@
 	return float64(max(0, span)) / float64(microsPerSecond)
 }
 
-// awayTimes are when discovery cannot be reached.
-func awayTimes(drawn *scenario.Drawn) (away []downTime) {
+// discoveryOutages returns the times during which discovery is unreachable.
+func discoveryOutages(drawn *scenario.Drawn) (outages []downTime) {
 	for _, act := range drawn.Acts {
 		switch act.Kind {
 		case scenario.ListDown:
-			away = append(away, downTime{from: act.At})
+			outages = append(outages, downTime{from: act.At})
 		case scenario.ListUp:
-			away[len(away)-1].to = act.At
+			outages[len(outages)-1].to = act.At
 		}
 	}
-	return away
+	return outages
 }
 
-// reachableFrom is when discovery came back, where it did so between a change and a courier being reported of it; else the change.
-func reachableFrom(away []downTime, from, notified dispatch.Micros) dispatch.Micros {
-	for _, a := range away {
+// reachableFrom returns the time of the last recovery of discovery between from and notified, or from if there is none.
+func reachableFrom(outages []downTime, from, notified dispatch.Micros) dispatch.Micros {
+	for _, a := range outages {
 		if from < a.to && notified >= a.to {
 			from = a.to
 		}
@@ -237,7 +239,7 @@
 	return from
 }
 
-// downTimes are when each courier does not run.
+// downTimes returns the down times of each courier.
 func downTimes(drawn *scenario.Drawn) map[int][]downTime {
 	downs := map[int][]downTime{}
 	for _, act := range drawn.Acts {
@@ -252,8 +254,8 @@
 	return downs
 }
 
-// runsFrom is the instant, or the first after it, at which a courier runs.
-func runsFrom(downs []downTime, at dispatch.Micros) dispatch.Micros {
+// runningFrom returns the first time at or after at when the courier is running.
+func runningFrom(downs []downTime, at dispatch.Micros) dispatch.Micros {
 	for _, down := range downs {
 		if at >= down.from && at < down.to {
 			return down.to
@@ -262,15 +264,15 @@
 	return at
 }
 
-func (t listTimes) report(play *Play, sizes map[string]float64) {
+func (t notificationTimes) report(play *Play, sizes map[string]float64) {
 	play.Report(sizes, figureChanges, float64(t.changes))
-	play.Report(sizes, figureUntold, float64(t.untold))
+	play.Report(sizes, figureUnnotified, float64(t.unnotified))
 	if len(t.notified) == 0 {
 		return
 	}
 	play.Report(sizes, figureNotified, stat.Quantile(0.5, stat.Empirical, t.notified, nil))
-	play.Report(sizes, figureNotifiedWorst, stat.Quantile(worstOf, stat.Empirical, t.notified, nil))
-	play.Report(sizes, figureReachableWorst, stat.Quantile(worstOf, stat.Empirical, t.reachable, nil))
+	play.Report(sizes, figureNotifiedWorst, stat.Quantile(worstQuantile, stat.Empirical, t.notified, nil))
+	play.Report(sizes, figureReachableWorst, stat.Quantile(worstQuantile, stat.Empirical, t.reachable, nil))
 	play.Report(sizes, figureEverywhere, stat.Quantile(0.5, stat.Empirical, t.everywhere, nil))
-	play.Report(sizes, figureEverywhereWorst, stat.Quantile(worstOf, stat.Empirical, t.everywhere, nil))
+	play.Report(sizes, figureEverywhereWorst, stat.Quantile(worstQuantile, stat.Empirical, t.everywhere, nil))
 }
--- a/testbed/scale/driver.go
+++ b/testbed/scale/driver.go
@@ -10,14 +10,14 @@
 	"pineport/testbed/simulation"
 )
 
-// decide makes the decisions of one courier.
-type decide func(settings dispatch.Config) simulation.Decider
+// deciderFactory creates the decision module of one courier.
+type deciderFactory func(settings dispatch.Config) simulation.Decider
 
-// realDecisions is the decision module as it is.
-func realDecisions(settings dispatch.Config) simulation.Decider { return dispatch.New(settings) }
+// newDispatcher creates the real decision module.
+func newDispatcher(settings dispatch.Config) simulation.Decider { return dispatch.New(settings) }
 
-// What every courier here is notified: one class of messages that may run again and live for a day, and destinations with a limit
-// far above what is sent, so that failures are judged on the ordinary path, by breakers.
+// Settings of all couriers in this package: one class of idempotent messages with a time to live of one day. The rate limit
+// of a destination is far above the traffic, so that failures are handled by the breakers alone.
 const (
 	second          dispatch.Micros = 1_000_000
 	millisecond                     = second / 1000
@@ -25,39 +25,39 @@
 	targetLatency                   = 3600 * second
 	couriersInFleet                 = 10
 	slots                           = 200
-	attemptsAtMost                  = 8
-	perDestination                  = 50.0 // calls a second that a destination takes from all couriers
-	firstInstant                    = 1000 * second
+	maxAttempts                     = 8
+	destinationRate                 = 50.0 // rate limit of a destination for all couriers together, in calls per second
+	startTime                       = 1000 * second
 )
 
-// courierSettings are for a courier that may hold so many messages.
-func courierSettings(seed int64, hold int) dispatch.Config {
-	return dispatch.Config{Seed: seed, Couriers: couriersInFleet, Slots: slots, QueueLimit: hold, MaxAttempts: attemptsAtMost, MaySendRetryAfter: true,
+// courierSettings returns the settings of a courier that holds at most queueLimit messages.
+func courierSettings(seed int64, queueLimit int) dispatch.Config {
+	return dispatch.Config{Seed: seed, Couriers: couriersInFleet, Slots: slots, QueueLimit: queueLimit, MaxAttempts: maxAttempts, MaySendRetryAfter: true,
 		Classes:       []dispatch.Class{{Objective: targetLatency, TimeToLive: messageDeadline, Priority: 1, LateFactor: 0.5, Idempotency: dispatch.Idempotent}},
 		EndpointTypes: []dispatch.EndpointType{{MaxPerCall: 1}},
 		MaxRetryAfter: 2 * second, IdleTimeout: 5 * second, Tick: 5 * millisecond, RateQuality: dispatch.NominalRates, ReportRemainingIndex: -1, ReportRateIndex: -1,
 		SlowStartInitialShare: 0.2, SlowStart: 10 * second, OverloadFactor: 2}
 }
 
-// listing lists a destination's one endpoint.
-func listing(destination int) dispatch.EndpointEntry {
-	return dispatch.EndpointEntry{Endpoint: endpointOf(destination), Destination: dispatch.DestinationID(destination), Phase: dispatch.InService, Rate: perDestination}
+// destinationEntry returns the list entry of the only endpoint of a destination.
+func destinationEntry(destination int) dispatch.EndpointEntry {
+	return dispatch.EndpointEntry{Endpoint: endpointID(destination), Destination: dispatch.DestinationID(destination), Phase: dispatch.InService, Rate: destinationRate}
 }
 
-func endpointOf(destination int) dispatch.EndpointID {
+func endpointID(destination int) dispatch.EndpointID {
 	return dispatch.EndpointID("endpoint-" + strconv.Itoa(destination))
 }
 
-// listings lists destinations 0 to count-1.
-func listings(count int) []dispatch.EndpointEntry {
+// destinationEntries returns the list entries of destinations 0 to count-1.
+func destinationEntries(count int) []dispatch.EndpointEntry {
 	all := make([]dispatch.EndpointEntry, 0, count)
 	for destination := range count {
-		all = append(all, listing(destination))
+		all = append(all, destinationEntry(destination))
 	}
 	return all
 }
 
-// messageIDs are count ids of 16 characters, by number.
+// messageIDs returns count message IDs: the numbers from 0 as 16 hexadecimal digits.
 func messageIDs(count int) []dispatch.MessageID {
 	ids := make([]dispatch.MessageID, count)
 	for i := range ids {
@@ -66,45 +66,46 @@
 	return ids
 }
 
-// memoryDriver stands in for clients, network and endpoints of one courier: it carries out each action at once, and tells how an
-// attempt ended in the next step. Endpoints of destinations below down refuse every connection, all others deliver.
+// memoryDriver is an in-memory stand-in for the clients, network and endpoints of one courier. It executes each action
+// immediately and reports the outcome of each attempt with the next step. Endpoints of destinations with a number below
+// downCount refuse every connection, all others deliver.
 type memoryDriver struct {
-	courier  simulation.Decider
-	now      dispatch.Micros
-	down     int
-	outcomes []dispatch.Event
-	attempts []uint8 // made of each message, by its number
-	took     time.Duration
-	counts   driverCounts
-	trace    uint64 // hash of all actions so far
+	courier      simulation.Decider
+	now          dispatch.Micros
+	downCount    int
+	outcomes     []dispatch.Event
+	attempts     []uint8 // attempts made so far, by message number
+	stepDuration time.Duration
+	counts       driverCounts
+	traceHash    uint64 // hash of all actions so far and their times
 }
 
-// driverCounts are sums over all steps.
+// driverCounts holds totals over all steps.
 type driverCounts struct {
-	given, delivered, ended int
-	sentDown                int // attempts at destinations that are down
-	invalid                 int // actions that nothing asked for
+	submitted, delivered, ended int
+	sentWhileDown               int // attempts to destinations that are down
+	invalid                     int // actions that refer to an unknown message or endpoint
 }
 
 func newDriver(courier simulation.Decider, down, messages int) *memoryDriver {
-	return &memoryDriver{courier: courier, now: firstInstant, down: down, attempts: make([]uint8, messages)}
+	return &memoryDriver{courier: courier, now: startTime, downCount: down, attempts: make([]uint8, messages)}
 }
 
-// message submits a message; its number says which.
-func (d *memoryDriver) message(id dispatch.MessageID, destination int) dispatch.MessageAccepted {
-	d.counts.given++
+// newMessage returns the event that submits a message, and counts it.
+func (d *memoryDriver) newMessage(id dispatch.MessageID, destination int) dispatch.MessageAccepted {
+	d.counts.submitted++
 	return dispatch.MessageAccepted{Message: id, Destination: dispatch.DestinationID(destination), Deadline: d.now + messageDeadline}
 }
 
-// step lets time pass and has the courier handle what came, with the outcomes of the step before. It returns how many messages
-// were sent.
-func (d *memoryDriver) step(pass dispatch.Micros, events ...dispatch.Event) (sent int) {
-	d.now += pass
+// step advances the clock and passes the outcomes of the previous step and the given events to the courier. It returns the
+// number of attempts that the courier sent.
+func (d *memoryDriver) step(elapsed dispatch.Micros, events ...dispatch.Event) (sent int) {
+	d.now += elapsed
 	events = append(d.outcomes, events...)
 	d.outcomes = nil
 	began := time.Now()
 	actions := d.courier.Handle(d.now, events)
-	d.took = time.Since(began)
+	d.stepDuration = time.Since(began)
 	for _, action := range actions {
 		switch a := action.(type) {
 		case dispatch.Send:
@@ -114,7 +115,7 @@
 			d.counts.ended++
 		}
 	}
-	d.note(actions)
+	d.hashActions(actions)
 	return sent
 }
 
@@ -127,7 +128,7 @@
 	outcome := dispatch.AttemptFinished{Message: a.Message, Attempt: dispatch.AttemptNumber(d.attempts[number]), Outcome: dispatch.Delivered, Duration: millisecond, MessageDone: true}
 	d.attempts[number]++
 	if d.isDown(a.Endpoint) {
-		d.counts.sentDown++
+		d.counts.sentWhileDown++
 		outcome.Outcome, outcome.MessageDone = dispatch.Unreachable, false
 	} else {
 		d.counts.delivered++
@@ -140,14 +141,14 @@
 	if _, err := fmt.Sscanf(string(endpoint), "endpoint-%d", &destination); err != nil {
 		d.counts.invalid++
 	}
-	return destination < d.down
+	return destination < d.downCount
 }
 
-func (d *memoryDriver) note(actions []dispatch.Action) {
+func (d *memoryDriver) hashActions(actions []dispatch.Action) {
 	h := fnv.New64a()
-	fmt.Fprintf(h, "%d %d", d.trace, d.now)
+	fmt.Fprintf(h, "%d %d", d.traceHash, d.now)
 	for _, action := range actions {
 		fmt.Fprintf(h, "%T%v", action, action)
 	}
-	d.trace = h.Sum64()
+	d.traceHash = h.Sum64()
 }
--- a/testbed/scale/hangups.go
+++ b/testbed/scale/hangups.go
@@ -18,26 +18,26 @@
 	"pineport/testbed/scripted"
 )
 
-// Figures of real couriers that are sent SIGHUP.
+// Figures of real couriers that reload their settings on SIGHUP.
 const (
 	figureHangup           = "hangup_median_seconds"
 	figureHangupWorst      = "hangup_worst_seconds"
-	figureHangupEverywhere = "hangup_everywhere_seconds" // the median change, at the last courier
+	figureHangupEverywhere = "hangup_everywhere_seconds" // median time of a change until the last courier has applied it
 	sizeReal               = "real_couriers"
 )
 
 const (
-	realCouriers  = 10
-	realChanges   = 20
-	readyWithin   = 20 * time.Second
-	inForceWithin = 10 * time.Second
-	logPolled     = 2 * time.Millisecond
-	// reloadedLine is what a courier logs once it goes by settings read anew.
+	realCouriers    = 10
+	realChanges     = 20
+	readyTimeout    = 20 * time.Second
+	reloadTimeout   = 10 * time.Second
+	logPollInterval = 2 * time.Millisecond
+	// reloadedLine is the message that a courier logs after it has applied new settings.
 	reloadedLine = "configuration reloaded"
 )
 
-// measureHangups has real couriers take over settings at SIGHUP, in full runs.
-func measureHangups(ctx context.Context, play *Play) error {
+// measureRealReloads measures, in full runs only, how long real couriers take to apply new settings on SIGHUP.
+func measureRealReloads(ctx context.Context, play *Play) error {
 	if play.Quick {
 		return nil
 	}
@@ -52,7 +52,7 @@
 	}
 	defer world.Close()
 	play.Progress("%d real couriers", realCouriers)
-	fleet, err := startReal(ctx, world, play.Courier, folder)
+	fleet, err := startRealCouriers(ctx, world, play.Courier, folder)
 	defer func() {
 		for _, c := range fleet {
 			c.Kill()
@@ -61,35 +61,35 @@
 	if err != nil {
 		return err
 	}
-	var each, last []float64
+	var all, slowest []float64
 	for generation := 1; generation <= realChanges; generation++ {
-		took, err := hangUpAll(ctx, fleet, world, generation)
+		took, err := reloadAll(ctx, fleet, world, generation)
 		if err != nil {
 			return err
 		}
-		each, last = append(each, took...), append(last, slices.Max(took))
+		all, slowest = append(all, took...), append(slowest, slices.Max(took))
 	}
-	slices.Sort(each)
-	slices.Sort(last)
+	slices.Sort(all)
+	slices.Sort(slowest)
 	sizes := map[string]float64{sizeReal: realCouriers}
-	play.Report(sizes, figureHangup, stat.Quantile(0.5, stat.Empirical, each, nil))
-	play.Report(sizes, figureHangupWorst, stat.Quantile(worstOf, stat.Empirical, each, nil))
-	play.Report(sizes, figureHangupEverywhere, stat.Quantile(0.5, stat.Empirical, last, nil))
+	play.Report(sizes, figureHangup, stat.Quantile(0.5, stat.Empirical, all, nil))
+	play.Report(sizes, figureHangupWorst, stat.Quantile(worstQuantile, stat.Empirical, all, nil))
+	play.Report(sizes, figureHangupEverywhere, stat.Quantile(0.5, stat.Empirical, slowest, nil))
 	return nil
 }
 
-// startReal starts couriers one after the other; those that were started are returned with an error, too.
-func startReal(ctx context.Context, world *scripted.World, binary, folder string) (fleet []*process.Courier, err error) {
+// startRealCouriers starts the couriers one by one. On error it also returns those that it has created.
+func startRealCouriers(ctx context.Context, world *scripted.World, binary, folder string) (fleet []*process.Courier, err error) {
 	for i := range realCouriers {
 		c, err := process.New(i, binary, folder, func(int, string) {})
 		if err != nil {
 			return fleet, err
 		}
-		if err := configureReal(c, world, 0); err != nil {
+		if err := writeRealConfig(c, world, 0); err != nil {
 			return fleet, err
 		}
 		fleet = append(fleet, c)
-		if err := c.Start(readyWithin); err != nil {
+		if err := c.Start(readyTimeout); err != nil {
 			return fleet, err
 		}
 		if err := ctx.Err(); err != nil {
@@ -99,47 +99,47 @@
 	return fleet, nil
 }
 
-// configureReal writes a courier's file: of each generation, another number of messages that it may hold.
-func configureReal(c *process.Courier, world *scripted.World, generation int) error {
+// writeRealConfig writes the configuration file of a courier. Each generation sets a different queue limit (open-cap).
+func writeRealConfig(c *process.Courier, world *scripted.World, generation int) error {
 	var file map[string]any
 	if err := json.Unmarshal(world.Configuration(fmt.Sprintf("n%d", c.No), c.Listen), &file); err != nil {
 		return err
 	}
 	ceilings := file["settings"].(map[string]any)["ceilings"].(map[string]any)
 	ceilings["open-cap"] = 200 + generation
-	file["log"] = map[string]any{"repeats_s": 0} // each line is written
+	file["log"] = map[string]any{"repeats_s": 0} // do not suppress repeated log lines
 	return c.Configure(file)
 }
 
-// hangUpAll writes each courier's file, sends all of them SIGHUP, and tells how many seconds each took to go by it.
-func hangUpAll(ctx context.Context, fleet []*process.Courier, world *scripted.World, generation int) ([]float64, error) {
+// reloadAll writes the files of all couriers, sends SIGHUP to each, and returns the seconds that each took to reload.
+func reloadAll(ctx context.Context, fleet []*process.Courier, world *scripted.World, generation int) ([]float64, error) {
 	for _, c := range fleet {
-		if err := configureReal(c, world, generation); err != nil {
+		if err := writeRealConfig(c, world, generation); err != nil {
 			return nil, err
 		}
 	}
-	took, faults := make([]float64, len(fleet)), make([]error, len(fleet))
+	durations, errs := make([]float64, len(fleet)), make([]error, len(fleet))
 	var all sync.WaitGroup
 	begun := time.Now()
 	for i, c := range fleet {
 		c.Signal(syscall.SIGHUP)
 		all.Go(func() {
-			faults[i] = waitForReload(ctx, c, generation)
-			took[i] = time.Since(begun).Seconds()
+			errs[i] = waitForReload(ctx, c, generation)
+			durations[i] = time.Since(begun).Seconds()
 		})
 	}
 	all.Wait()
-	for _, fault := range faults {
-		if fault != nil {
-			return nil, fault
+	for _, err := range errs {
+		if err != nil {
+			return nil, err
 		}
 	}
-	return took, nil
+	return durations, nil
 }
 
-// waitForReload waits until a courier's log tells of so many reloads.
+// waitForReload waits until the log of a courier contains the given number of reloads.
 func waitForReload(ctx context.Context, c *process.Courier, reloads int) error {
-	deadline := time.Now().Add(inForceWithin)
+	deadline := time.Now().Add(reloadTimeout)
 	for time.Now().Before(deadline) {
 		text, err := os.ReadFile(filepath.Join(c.Dir, "log"))
 		if err != nil {
@@ -151,8 +151,8 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(logPolled):
+		case <-time.After(logPollInterval):
 		}
 	}
-	return fmt.Errorf("courier %d did not take over its settings within %v of SIGHUP", c.No, inForceWithin)
+	return fmt.Errorf("courier %d did not reload its settings within %v of SIGHUP", c.No, reloadTimeout)
 }
--- a/testbed/scale/held.go
+++ b/testbed/scale/held.go
@@ -18,53 +18,53 @@
 	"pineport/testbed/slopes"
 )
 
-// Sizes and figures of held.
+// Sizes and figures of the experiment held.
 const (
-	heldMessages = "messages" // held, all for destinations that are down
-	heldDown     = "destinations"
-	heldStep     = "step"
-	heldArrival  = "step_arrival"
-	heldGrowth   = "growth"
-	heldModule   = "module"
-	heldRouter   = "router"
-	heldMemory   = "spool_memory"
-	heldDisk     = "spool_disk"
-	heldRestart  = "restart"
-
-	heldSteps      = 31 // each of them timed; their median counts
+	heldMessages     = "messages" // held messages, all for destinations that are down
+	heldDestinations = "destinations"
+	heldStep         = "step"
+	heldArrival      = "step_arrival"
+	heldGrowth       = "growth"
+	heldModule       = "module"
+	heldRouter       = "router"
+	heldSpoolMemory  = "spool_memory"
+	heldSpoolDisk    = "spool_disk"
+	heldRestart      = "restart"
+
+	heldSteps      = 31 // number of timed steps; the median is reported
 	heldStepsQuick = 5
-	heldBody       = 256 // bytes of a message
-
-	// Counts, for the check.
-	heldGiven      = "count_given"
-	heldStillHeld  = "count_held"
-	heldEnded      = "count_ended"
-	heldSentDown   = "count_sent_while_parked"
-	heldInvalid    = "count_invalid"
-	heldArrivals   = "count_arrivals"
-	heldDelivered  = "count_delivered"
-	heldDrained    = "count_delivered_after_return"
-	heldDifferent  = "count_replay_differs"
-	heldSpooled    = "count_spooled"
-	heldRecovered  = "count_recovered"
-	heldFirstEnded = "count_ended_at_restart"
+	heldBody       = 256 // bytes of a message body
+
+	// Counts that the check validates.
+	heldSubmitted            = "count_given"
+	heldStillHeld            = "count_held"
+	heldEnded                = "count_ended"
+	heldSentWhileParked      = "count_sent_while_parked"
+	heldInvalid              = "count_invalid"
+	heldArrivals             = "count_arrivals"
+	heldDelivered            = "count_delivered"
+	heldDeliveredAfterReturn = "count_delivered_after_return"
+	heldReplayDiffers        = "count_replay_differs"
+	heldSpooled              = "count_spooled"
+	heldRecovered            = "count_recovered"
+	heldEndedAtRestart       = "count_ended_at_restart"
 )
 
-// held measures what a backlog costs: messages held for destinations that are down.
+// held measures the cost of a backlog of messages for destinations that are down.
 type held struct {
-	decide   decide
-	recovers func(unfinished []*spool.Message) []*spool.Message // what a restart finds of a spool
+	newDecider    deciderFactory
+	afterRecovery func(unfinished []*spool.Message) []*spool.Message // replaces the messages recovered by a restart, for tests
 }
 
 func heldExperiment() Experiment {
-	return held{realDecisions, func(unfinished []*spool.Message) []*spool.Message { return unfinished }}.experiment()
+	return held{newDispatcher, func(unfinished []*spool.Message) []*spool.Message { return unfinished }}.experiment()
 }
 
 func (h held) experiment() Experiment {
 	return Experiment{Name: "held", Plays: 3, Timed: true,
-		About: "Messages held for 10 and for 1,000 destinations that are down, parked behind open breakers: one step of the decision module, " +
-			"alone and as a message for a healthy destination comes (medians of 31 steps), bytes of heap by message in module, router and spool " +
-			"(bodies of 256 bytes), and a restart until the first step is over (spool, router, first step; no sockets).",
+		About: "Messages held for 10 and for 1,000 destinations that are down, parked behind open breakers: one idle step of the decision module, and one " +
+			"with a message for a healthy destination (medians of 31 steps); bytes of heap of module, router and spool (bodies of 256 bytes); " +
+			"a restart until the end of the first step (spool, router, first step; no sockets).",
 		Measure: h.measure, Fit: fitHeld, Check: checkHeld}
 }
 
@@ -82,14 +82,14 @@
 			if err := ctx.Err(); err != nil {
 				return err
 			}
-			play.Progress("%d held for %d destinations", count, down)
-			h.steps(play, count, down)
+			play.Progress("%d messages held for %d destinations", count, down)
+			h.measureSteps(play, count, down)
 		}
 		for _, count := range restarted {
 			if err := ctx.Err(); err != nil {
 				return err
 			}
-			play.Progress("restart with %d held for %d destinations", count, down)
+			play.Progress("restart with %d messages held for %d destinations", count, down)
 			if err := h.restart(play, count, down); err != nil {
 				return err
 			}
@@ -98,16 +98,17 @@
 	return nil
 }
 
-// steps times steps of a courier that holds messages, while nothing falls due and as a message for a healthy destination comes.
-func (h held) steps(play *Play, count, down int) {
-	sizes := map[string]float64{heldMessages: float64(count), heldDown: float64(down)}
+// measureSteps measures steps of a courier that holds messages: steps in which nothing is due, and steps with a new message
+// for a healthy destination.
+func (h held) measureSteps(play *Play, count, down int) {
+	sizes := map[string]float64{heldMessages: float64(count), heldDestinations: float64(down)}
 	rounds := heldSteps
 	if play.Quick {
 		rounds = heldStepsQuick
 	}
 	ids := messageIDs(count + rounds)
-	driver := newDriver(h.decide(courierSettings(play.Seed, 2*count+rounds)), down, len(ids))
-	driver.step(0, dispatch.EndpointUpdate{Kind: dispatch.CompleteList, Entries: listings(down + 1)})
+	driver := newDriver(h.newDecider(courierSettings(play.Seed, 2*count+rounds)), down, len(ids))
+	driver.step(0, dispatch.EndpointUpdate{Kind: dispatch.CompleteList, Entries: destinationEntries(down + 1)})
 	before := heapInUse()
 	h.park(driver, ids[:count])
 	play.Report(sizes, heldModule, float64(heapInUse())-float64(before))
@@ -116,87 +117,89 @@
 	var idle, arrival []float64
 	for round := range rounds {
 		driver.step(millisecond, dispatch.TimerFired{})
-		idle = append(idle, driver.took.Seconds())
-		driver.step(millisecond, driver.message(ids[count+round], down))
-		arrival = append(arrival, driver.took.Seconds())
-		driver.step(millisecond) // hears of the delivery
+		idle = append(idle, driver.stepDuration.Seconds())
+		driver.step(millisecond, driver.newMessage(ids[count+round], down))
+		arrival = append(arrival, driver.stepDuration.Seconds())
+		driver.step(millisecond) // passes the outcome of the delivery
 	}
 	play.Report(sizes, heldStep, median(idle))
 	play.Report(sizes, heldArrival, median(arrival))
 	play.Report(sizes, heldGrowth, median(arrival)/median(idle))
 
-	play.Report(sizes, heldGiven, float64(driver.counts.given))
+	play.Report(sizes, heldSubmitted, float64(driver.counts.submitted))
 	play.Report(sizes, heldArrivals, float64(rounds))
 	play.Report(sizes, heldDelivered, float64(driver.counts.delivered))
 	play.Report(sizes, heldEnded, float64(driver.counts.ended))
-	play.Report(sizes, heldStillHeld, float64(driver.counts.given-driver.counts.delivered-driver.counts.ended))
-	play.Report(sizes, heldSentDown, float64(driver.counts.sentDown-parked.sentDown))
+	play.Report(sizes, heldStillHeld, float64(driver.counts.submitted-driver.counts.delivered-driver.counts.ended))
+	play.Report(sizes, heldSentWhileParked, float64(driver.counts.sentWhileDown-parked.sentWhileDown))
 	play.Report(sizes, heldInvalid, float64(driver.counts.invalid))
-	if count == replayed {
-		play.Report(sizes, heldDifferent, h.replay(play.Seed, down, ids, count, rounds, driver.trace))
-		play.Report(sizes, heldDrained, float64(driver.drain()))
+	if count == replayedMessages {
+		play.Report(sizes, heldReplayDiffers, h.replay(play.Seed, down, ids, count, rounds, driver.traceHash))
+		play.Report(sizes, heldDeliveredAfterReturn, float64(driver.drain()))
 	}
 }
 
-// replayed is the size that is played twice, and whose destinations return in the end.
-const replayed = 1000
+// replayedMessages is the number of messages for which the play is repeated, and for which the destinations return at the end.
+const replayedMessages = 1000
 
-// drain lets all destinations return and gives the courier time to deliver what it holds; it returns how many messages were
-// delivered in all.
+// drain returns all destinations to service and runs steps until all messages are delivered, for at most 600 s of virtual
+// time. It returns the total number of messages delivered.
 func (d *memoryDriver) drain() (delivered int) {
 	const longest, stepEvery = 600 * second, 20 * millisecond
-	d.down = 0
-	for until := d.now + longest; d.now < until && d.counts.delivered < d.counts.given; {
+	d.downCount = 0
+	for until := d.now + longest; d.now < until && d.counts.delivered < d.counts.submitted; {
 		d.step(stepEvery)
 	}
 	return d.counts.delivered
 }
 
 const (
-	// Failures open the breakers within parkFor; the first is then still open for longer than all steps that are timed take.
-	parkFor  = second
-	parkStep = 5 * millisecond
+	// Failures open the breakers within parkDuration. After that, even the breaker that opened first stays open for longer
+	// than all timed steps take.
+	parkDuration = second
+	parkStep     = 5 * millisecond
 )
 
-// park gives a courier messages for destinations that are down, one each first, until the breakers are open, and then all others.
+// park submits one message to each destination that is down, waits until the breakers are open, and then submits the others.
 func (h held) park(driver *memoryDriver, ids []dispatch.MessageID) {
-	first := min(driver.down, len(ids))
-	driver.step(parkStep, driver.messages(ids, 0, first)...)
-	for until := driver.now + parkFor; driver.now < until; {
+	first := min(driver.downCount, len(ids))
+	driver.step(parkStep, driver.newMessages(ids, 0, first)...)
+	for until := driver.now + parkDuration; driver.now < until; {
 		driver.step(parkStep)
 	}
-	driver.step(parkStep, driver.messages(ids, first, len(ids))...)
+	driver.step(parkStep, driver.newMessages(ids, first, len(ids))...)
 	driver.step(parkStep)
 }
 
-// messages submits those numbered from one up to another, spread over the destinations that are down.
-func (d *memoryDriver) messages(ids []dispatch.MessageID, from, to int) []dispatch.Event {
+// newMessages returns the events that submit the messages with the numbers from to to-1, spread over the destinations that
+// are down.
+func (d *memoryDriver) newMessages(ids []dispatch.MessageID, from, to int) []dispatch.Event {
 	var events []dispatch.Event
 	for number := from; number < to; number++ {
-		events = append(events, d.message(ids[number], number%d.down))
+		events = append(events, d.newMessage(ids[number], number%d.downCount))
 	}
 	return events
 }
 
-// replay plays the same again and tells whether any action differs: 1, or 0.
+// replay repeats the play of measureSteps and returns 1 if any action differs, otherwise 0.
 func (h held) replay(seed int64, down int, ids []dispatch.MessageID, count, rounds int, trace uint64) float64 {
-	driver := newDriver(h.decide(courierSettings(seed, 2*count+rounds)), down, len(ids))
-	driver.step(0, dispatch.EndpointUpdate{Kind: dispatch.CompleteList, Entries: listings(down + 1)})
+	driver := newDriver(h.newDecider(courierSettings(seed, 2*count+rounds)), down, len(ids))
+	driver.step(0, dispatch.EndpointUpdate{Kind: dispatch.CompleteList, Entries: destinationEntries(down + 1)})
 	h.park(driver, ids[:count])
 	for round := range rounds {
 		driver.step(millisecond, dispatch.TimerFired{})
-		driver.step(millisecond, driver.message(ids[count+round], down))
+		driver.step(millisecond, driver.newMessage(ids[count+round], down))
 		driver.step(millisecond)
 	}
-	if driver.trace != trace {
+	if driver.traceHash != trace {
 		return 1
 	}
 	return 0
 }
 
-// restart writes messages into a spool as a courier does, and measures what reading them takes and what they weigh afterwards.
+// restart writes messages to a spool as a courier does, and measures time and memory of a restart with that spool.
 func (h held) restart(play *Play, count, down int) error {
-	sizes := map[string]float64{heldMessages: float64(count), heldDown: float64(down)}
+	sizes := map[string]float64{heldMessages: float64(count), heldDestinations: float64(down)}
 	folder, err := os.MkdirTemp("", "pineport-scale-held-")
 	if err != nil {
 		return err
@@ -206,55 +209,57 @@
 	if err != nil {
 		return err
 	}
-	play.Report(sizes, heldDisk, float64(disk))
-	return h.startAgain(play, sizes, folder, count, down)
+	play.Report(sizes, heldSpoolDisk, float64(disk))
+	return h.measureRecovery(play, sizes, folder, count, down)
 }
 
-// spoolLimit is room for so many messages: a spool keeps as much again free, and for each message what its attempts may add.
+// spoolLimit returns a disk limit that is sufficient for the given number of messages. A spool reserves the same space again
+// as free space, and space for the records of the attempts of each message.
 func spoolLimit(messages int) int64 {
 	const entry, least = 2048, 1 << 20
 	return int64(messages)*2*entry + least
 }
 
-// fillSpool writes messages and returns what they take on disk, in bytes.
+// fillSpool writes messages to a spool and returns its size on disk in bytes.
 func fillSpool(folder string, count, down int) (disk int64, err error) {
-	kept, _, _, err := spool.Open(folder, spoolLimit(count))
+	store, _, _, err := spool.Open(folder, spoolLimit(count))
 	if err != nil {
 		return 0, err
 	}
-	defer kept.Close()
+	defer store.Close()
 	body := make([]byte, heldBody)
 	for number, id := range messageIDs(count) {
-		message := &spool.Message{ID: string(id), Class: className, Destination: number % down, Deadline: int64(realNow() + messageDeadline), Body: body}
-		if err := kept.Append(message); err != nil {
+		message := &spool.Message{ID: string(id), Class: className, Destination: number % down, Deadline: int64(wallClock() + messageDeadline), Body: body}
+		if err := store.Append(message); err != nil {
 			return 0, err
 		}
 	}
-	return kept.Size(), nil
+	return store.Size(), nil
 }
 
 const className = "update"
 
-func realNow() dispatch.Micros { return dispatch.Micros(time.Now().UnixMicro()) }
+func wallClock() dispatch.Micros { return dispatch.Micros(time.Now().UnixMicro()) }
 
-// startAgain does what a process does from its start until it takes clients, but for sockets: it reads the spool, makes the
-// event loop and has the decision module handle what was recovered. Times are of these parts alone, bytes are of what stays.
-func (h held) startAgain(play *Play, sizes map[string]float64, folder string, count, down int) error {
+// measureRecovery does what a process does from its start until it accepts clients, except for sockets: it reads the spool,
+// creates the event loop and passes the recovered messages to the decision module. It reports the time of these parts only,
+// and the memory that stays allocated.
+func (h held) measureRecovery(play *Play, sizes map[string]float64, folder string, count, down int) error {
 	settings := courierSettings(play.Seed, 2*count)
-	deployment, err := deploymentOf(settings, folder, down)
+	deployment, err := newDeployment(settings, folder, down)
 	if err != nil {
 		return err
 	}
 	heapBefore := heapInUse()
 
 	began := time.Now()
-	kept, unfinished, faults, err := spool.Open(folder, spoolLimit(count))
+	store, unfinished, faults, err := spool.Open(folder, spoolLimit(count))
 	took := time.Since(began)
 	if err != nil || len(faults) > 0 {
 		return fmt.Errorf("spool: %w, faults %v", err, faults)
 	}
-	defer kept.Close()
-	unfinished = h.recovers(unfinished)
+	defer store.Close()
+	unfinished = h.afterRecovery(unfinished)
 	heapSpool := heapInUse()
 
 	began = time.Now()
@@ -262,49 +267,50 @@
 	if err != nil {
 		return err
 	}
-	router, err := server.New(deployment, kept, unfinished, nil, clk, slog.New(slog.DiscardHandler))
+	router, err := server.New(deployment, store, unfinished, nil, clk, slog.New(slog.DiscardHandler))
 	took += time.Since(began)
 	if err != nil {
 		return err
 	}
 	heapRouter := heapInUse()
 
-	events := recovered(unfinished)
+	events := recoveryEvents(unfinished)
 	heapEvents := heapInUse()
-	driver := newDriver(h.decide(settings), down, count)
-	driver.now = realNow()
-	driver.step(0, append([]dispatch.Event{dispatch.EndpointUpdate{Kind: dispatch.CachedList, Entries: listings(down)}}, events...)...)
-	took += driver.took
+	driver := newDriver(h.newDecider(settings), down, count)
+	driver.now = wallClock()
+	driver.step(0, append([]dispatch.Event{dispatch.EndpointUpdate{Kind: dispatch.CachedList, Entries: destinationEntries(down)}}, events...)...)
+	took += driver.stepDuration
 
-	pointers := 8 * float64(cap(unfinished)) // of the slice that is dropped after the start
+	pointers := 8 * float64(cap(unfinished)) // of the slice, which is freed after the start
 	pending := float64(heapEvents) - float64(heapRouter)
 	play.Report(sizes, heldRestart, took.Seconds())
-	play.Report(sizes, heldMemory, float64(heapSpool)-float64(heapBefore)-pointers)
+	play.Report(sizes, heldSpoolMemory, float64(heapSpool)-float64(heapBefore)-pointers)
 	play.Report(sizes, heldRouter, float64(heapRouter)-float64(heapSpool)-pending)
 	play.Report(sizes, heldSpooled, float64(count))
 	play.Report(sizes, heldRecovered, float64(len(unfinished)))
-	play.Report(sizes, heldFirstEnded, float64(driver.counts.ended))
+	play.Report(sizes, heldEndedAtRestart, float64(driver.counts.ended))
 	keepAlive(router, unfinished, events)
 	return nil
 }
 
-// recovered is what the event loop tells the decisions of each message at its start, kept in the same way until the first step.
-func recovered(unfinished []*spool.Message) []dispatch.Event {
+// recoveryEvents returns the events that the event loop passes to the decision module for recovered messages. As in the
+// event loop, all of them are in memory until the first step.
+func recoveryEvents(unfinished []*spool.Message) []dispatch.Event {
 	var events []dispatch.Event
-	for _, kept := range unfinished {
-		events = append(events, dispatch.MessageRecovered{MessageAccepted: dispatch.MessageAccepted{Message: dispatch.MessageID(kept.ID), Destination: dispatch.DestinationID(kept.Destination),
-			Deadline: dispatch.Micros(kept.Deadline)}})
+	for _, message := range unfinished {
+		events = append(events, dispatch.MessageRecovered{MessageAccepted: dispatch.MessageAccepted{Message: dispatch.MessageID(message.ID), Destination: dispatch.DestinationID(message.Destination),
+			Deadline: dispatch.Micros(message.Deadline)}})
 	}
 	return events
 }
 
-// deploymentOf is the configuration of a real courier whose list names the destinations.
-func deploymentOf(settings dispatch.Config, folder string, destinations int) (*config.Deployment, error) {
+// newDeployment returns the configuration of a real courier whose endpoint list holds the destinations.
+func newDeployment(settings dispatch.Config, folder string, destinations int) (*config.Deployment, error) {
 	type host map[string]any
 	var hosts []host
 	for destination := range destinations {
-		hosts = append(hosts, host{"host": string(endpointOf(destination)), "dial": "127.0.0.1:1", "site": "a", "class": "plain",
-			"block": destination, "health": protocol.InService, "share": perDestination})
+		hosts = append(hosts, host{"host": string(endpointID(destination)), "dial": "127.0.0.1:1", "site": "a", "class": "plain",
+			"block": destination, "health": protocol.InService, "share": destinationRate})
 	}
 	known, err := json.Marshal(map[string]any{"seq": 1, "whole": true, "hosts": hosts})
 	if err != nil {
@@ -323,17 +329,17 @@
 		down float64
 	}{{"few", 10}, {"many", 1000}} {
 		for _, curve := range []Curve{
-			{Figure: heldStep, About: "one step of the decision module while nothing falls due", Unit: "s", Models: anyGrowth},
-			{Figure: heldArrival, About: "one step in which a message for a healthy destination comes and is sent", Unit: "s", Models: anyGrowth},
-			{Figure: heldGrowth, About: "a step with such a message over one in which nothing falls due", Unit: "ratio", Models: flat},
-			{Figure: heldModule, About: "heap of the decision module for the messages held", Unit: "bytes", Models: linear},
-			{Figure: heldRouter, About: "heap of the router for the messages held, its list of destinations included", Unit: "bytes", Models: linear},
-			{Figure: heldMemory, About: "heap of the spool for the messages held, with bodies of 256 bytes", Unit: "bytes", Models: linear},
-			{Figure: heldDisk, About: "files of the spool with the messages held, with bodies of 256 bytes", Unit: "bytes", Models: linear},
-			{Figure: heldRestart, About: "from the start until the first step is over, sockets not counted", Unit: "s", Models: linear},
+			{Figure: heldStep, About: "one step of the decision module in which nothing is due", Unit: "s", Models: anyGrowth},
+			{Figure: heldArrival, About: "one step in which a message for a healthy destination arrives and is sent", Unit: "s", Models: anyGrowth},
+			{Figure: heldGrowth, About: "ratio of a step with such a message to one in which nothing is due", Unit: "ratio", Models: flat},
+			{Figure: heldModule, About: "heap of the decision module for the held messages", Unit: "bytes", Models: linear},
+			{Figure: heldRouter, About: "heap of the router for the held messages, its list of destinations included", Unit: "bytes", Models: linear},
+			{Figure: heldSpoolMemory, About: "heap of the spool for the held messages, with bodies of 256 bytes", Unit: "bytes", Models: linear},
+			{Figure: heldSpoolDisk, About: "files of the spool with the held messages, with bodies of 256 bytes", Unit: "bytes", Models: linear},
+			{Figure: heldRestart, About: "from the start until the end of the first step, without sockets", Unit: "s", Models: linear},
 		} {
 			curve.Name, curve.Over = curve.Figure+"."+variant.name, heldMessages
-			curve.Where = map[string]float64{heldDown: variant.down}
+			curve.Where = map[string]float64{heldDestinations: variant.down}
 			if err := results.Fit(curve); err != nil {
 				return err
 			}
@@ -342,9 +348,9 @@
 	return nil
 }
 
-// checkHeld: all messages given are held still, but for those to the healthy destination, which were delivered, and are delivered
-// once all destinations have returned; nothing was sent to one that is down after it was parked; a restart finds all; the same
-// play does the same again.
+// checkHeld fails unless all messages for the healthy destination are delivered, all others stay held and are delivered after
+// all destinations have returned, nothing is sent to a parked destination, a restart recovers every message and ends none, and
+// a replay produces the same actions.
 func checkHeld(results *Results) error {
 	for _, point := range results.Points() {
 		if err := checkHeldPoint(point); err != nil {
@@ -363,13 +369,13 @@
 	if err := equalCounts(point, heldStillHeld, point.Sizes[heldMessages]); err != nil {
 		return err
 	}
-	for _, figure := range []string{heldEnded, heldSentDown, heldInvalid, heldDifferent, heldFirstEnded} {
+	for _, figure := range []string{heldEnded, heldSentWhileParked, heldInvalid, heldReplayDiffers, heldEndedAtRestart} {
 		if err := equalCounts(point, figure, 0); err != nil {
 			return err
 		}
 	}
-	for play, drained := range point.Values[heldDrained] {
-		if given := point.Values[heldGiven][play]; drained != given {
+	for play, drained := range point.Values[heldDeliveredAfterReturn] {
+		if given := point.Values[heldSubmitted][play]; drained != given {
 			return fmt.Errorf("%v of %v messages were delivered after all destinations had returned", drained, given)
 		}
 	}
@@ -381,17 +387,17 @@
 	return nil
 }
 
-// equalCounts holds every play's count against what is expected; a figure that was not recorded at this size is passed over.
+// equalCounts fails if the figure differs from want in any play. A figure that was not recorded at this point passes.
 func equalCounts(point slopes.Point, figure string, want float64) error {
 	for play, got := range point.Values[figure] {
 		if got != want {
-			return fmt.Errorf("play %d: %s is %v, not %v", play+1, figure, got, want)
+			return fmt.Errorf("play %d: %s is %v, want %v", play+1, figure, got, want)
 		}
 	}
 	return nil
 }
 
-// median of figures; 0 of none.
+// median returns the median, or the upper one of the two middle values of an even number. It returns 0 for no values.
 func median(figures []float64) float64 {
 	if len(figures) == 0 {
 		return 0
--- a/testbed/scale/held_test.go
+++ b/testbed/scale/held_test.go
@@ -10,85 +10,85 @@
 	"pineport/testbed/simulation"
 )
 
-// malformed passes events and actions through and spoils the actions.
-type spoilt struct {
+// actionFilter is a decider whose actions pass through a filter.
+type actionFilter struct {
 	simulation.Decider
-	spoil func(events []dispatch.Event, actions []dispatch.Action) []dispatch.Action
+	filter func(events []dispatch.Event, actions []dispatch.Action) []dispatch.Action
 }
 
-func (s spoilt) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
-	return s.spoil(events, s.Decider.Handle(now, events))
+func (s actionFilter) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
+	return s.filter(events, s.Decider.Handle(now, events))
 }
 
-// spoiling makes deciders whose actions are malformed.
-func spoiling(spoil func(events []dispatch.Event, actions []dispatch.Action) []dispatch.Action) decide {
-	return func(settings dispatch.Config) simulation.Decider { return spoilt{dispatch.New(settings), spoil} }
+// filterActions returns a factory of dispatchers whose actions pass through the filter.
+func filterActions(filter func(events []dispatch.Event, actions []dispatch.Action) []dispatch.Action) deciderFactory {
+	return func(settings dispatch.Config) simulation.Decider { return actionFilter{dispatch.New(settings), filter} }
 }
 
 func allRecovered(unfinished []*spool.Message) []*spool.Message { return unfinished }
 
-// expectFailure plays an experiment quickly and holds it against what its check is expected to say; empty: that it passes.
-func expectFailure(t *testing.T, experiment Experiment, say string) {
+// expectFailure runs an experiment in quick mode. The error must contain wantError; if that is empty, the run must pass.
+func expectFailure(t *testing.T, experiment Experiment, wantError string) {
 	t.Helper()
 	_, err := Run(context.Background(), experiment, Options{Quick: true, Seed: 1})
 	switch {
-	case say == "" && err != nil:
+	case wantError == "" && err != nil:
 		t.Error(err)
-	case say != "" && (err == nil || !strings.Contains(err.Error(), say)):
-		t.Errorf("a failure that says %q was expected: %v", say, err)
+	case wantError != "" && (err == nil || !strings.Contains(err.Error(), wantError)):
+		t.Errorf("want an error that contains %q, got %v", wantError, err)
 	}
 }
 
-func TestHeldPassesWithTheRealModule(t *testing.T) {
-	expectFailure(t, held{realDecisions, allRecovered}.experiment(), "")
+func TestHeldPassesWithRealDispatcher(t *testing.T) {
+	expectFailure(t, held{newDispatcher, allRecovered}.experiment(), "")
 }
 
-// TestHeldFindsWrongModules: a module that gives up, forgets, calls what is down, sends nothing, or never does the same twice, and a
-// spool that loses a message, are each found.
-func TestHeldFindsWrongModules(t *testing.T) {
+// TestHeldCheckRejectsFaultyDeciders checks that the experiment fails for a decision module that rejects or loses a message,
+// calls a parked destination, sends nothing, or is not deterministic, and for a spool that loses a message.
+func TestHeldCheckRejectsFaultyDeciders(t *testing.T) {
 	plays := 0
-	for _, wrong := range []struct {
-		name, say string
-		decide    decide
+	for _, faulty := range []struct {
+		name, wantError string
+		newDecider      deciderFactory
 	}{
-		{"rejects what it was given", "count_held", spoiling(func(events []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
+		{"rejects accepted messages", "count_held", filterActions(func(events []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 			for _, event := range events {
-				if taken, ok := event.(dispatch.MessageAccepted); ok && strings.HasSuffix(string(taken.Message), "7") {
-					return append(actions, dispatch.Reject{Message: taken.Message})
+				if accepted, ok := event.(dispatch.MessageAccepted); ok && strings.HasSuffix(string(accepted.Message), "7") {
+					return append(actions, dispatch.Reject{Message: accepted.Message})
 				}
 			}
 			return actions
 		})},
-		{"calls a destination that is parked", heldSentDown, spoiling(func(events []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
+		{"calls a parked destination", heldSentWhileParked, filterActions(func(events []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 			if len(events) == 1 && events[0] == (dispatch.TimerFired{}) {
-				return append(actions, dispatch.Send{Message: "0000000000000000", Endpoint: endpointOf(0)})
+				return append(actions, dispatch.Send{Message: "0000000000000000", Endpoint: endpointID(0)})
 			}
 			return actions
 		})},
-		{"sends nothing", "for the healthy destination were delivered", func(dispatch.Config) simulation.Decider { return idle{} }},
-		{"forgets one that it holds", "after all destinations had returned", func(settings dispatch.Config) simulation.Decider {
-			return forgetful{dispatch.New(settings)}
+		{"sends nothing", "for the healthy destination were delivered", func(dispatch.Config) simulation.Decider { return idleDecider{} }},
+		{"loses a held message", "after all destinations had returned", func(settings dispatch.Config) simulation.Decider {
+			return messageDropper{dispatch.New(settings)}
 		}},
-		{"acts by chance", heldDifferent, func(settings dispatch.Config) simulation.Decider {
+		{"is not deterministic", heldReplayDiffers, func(settings dispatch.Config) simulation.Decider {
 			plays++
-			return spoilt{dispatch.New(settings), func(_ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
+			return actionFilter{dispatch.New(settings), func(_ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 				return append(actions, dispatch.SetTimer{At: dispatch.Micros(plays)})
 			}}
 		}},
-		{"sends what nobody gave it", heldInvalid, spoiling(func(_ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
-			return append(actions, dispatch.Send{Message: "nobody's", Endpoint: endpointOf(0)})
+		{"sends an unknown message", heldInvalid, filterActions(func(_ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
+			return append(actions, dispatch.Send{Message: "nobody's", Endpoint: endpointID(0)})
 		})},
 	} {
-		t.Run(wrong.name, func(t *testing.T) {
-			expectFailure(t, held{wrong.decide, allRecovered}.experiment(), wrong.say)
+		t.Run(faulty.name, func(t *testing.T) {
+			expectFailure(t, held{faulty.newDecider, allRecovered}.experiment(), faulty.wantError)
 		})
 	}
-	t.Run("a restart loses one", func(t *testing.T) {
+	t.Run("a restart loses a message", func(t *testing.T) {
 		lossy := func(unfinished []*spool.Message) []*spool.Message { return unfinished[1:] }
-		expectFailure(t, held{realDecisions, lossy}.experiment(), "a restart found")
+		expectFailure(t, held{newDispatcher, lossy}.experiment(), "a restart found")
 	})
-	t.Run("a restart gives one up", func(t *testing.T) {
-		rejecting := spoiling(func(events []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
+	t.Run("a restart rejects a message", func(t *testing.T) {
+		rejecting := filterActions(func(events []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 			for _, event := range events {
 				if recovered, ok := event.(dispatch.MessageRecovered); ok {
 					return append(actions, dispatch.Reject{Message: recovered.Message})
@@ -96,24 +96,24 @@
 			}
 			return actions
 		})
-		expectFailure(t, held{rejecting, allRecovered}.experiment(), heldFirstEnded)
+		expectFailure(t, held{rejecting, allRecovered}.experiment(), heldEndedAtRestart)
 	})
 }
 
-// idle does nothing whatever comes.
-type idle struct{}
+// idleDecider never returns an action.
+type idleDecider struct{}
 
-func (idle) Handle(dispatch.Micros, []dispatch.Event) []dispatch.Action { return nil }
+func (idleDecider) Handle(dispatch.Micros, []dispatch.Event) []dispatch.Action { return nil }
 
-// forgetful never hears of the message with number 500.
-type forgetful struct{ simulation.Decider }
+// messageDropper drops the event that submits message number 500.
+type messageDropper struct{ simulation.Decider }
 
-func (f forgetful) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
-	var heard []dispatch.Event
+func (f messageDropper) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
+	var kept []dispatch.Event
 	for _, event := range events {
-		if taken, ok := event.(dispatch.MessageAccepted); !ok || taken.Message != messageIDs(501)[500] {
-			heard = append(heard, event)
+		if accepted, ok := event.(dispatch.MessageAccepted); !ok || accepted.Message != messageIDs(501)[500] {
+			kept = append(kept, event)
 		}
 	}
-	return f.Decider.Handle(now, heard)
+	return f.Decider.Handle(now, kept)
 }
--- a/testbed/scale/lists.go
+++ b/testbed/scale/lists.go
@@ -11,7 +11,7 @@
 	"pineport/protocol"
 )
 
-// Figures of discovery's list.
+// Figures of the endpoint list from discovery.
 const (
 	figureListBytes      = "list_bytes"
 	figureListSeconds    = "list_seconds"
@@ -19,18 +19,19 @@
 	figureChangeSeconds  = "change_seconds"
 	figureCatchUpBytes   = "catchup_bytes"
 	figureCatchUpSeconds = "catchup_seconds"
-	figureUnread         = "unread_entries" // entries that did not come through
+	figureSkipped        = "unread_entries" // entries that the parser left out
 )
 
-// lister is a courier that is notified lists: protocol's parser and the decisions, the event loop's books left out.
-type lister struct {
+// listReceiver is the part of a courier that handles endpoint lists: the parser of package protocol and the dispatcher. The
+// bookkeeping of the event loop is left out.
+type listReceiver struct {
 	courier *dispatch.Dispatcher
 	now     dispatch.Micros
 	seq     int64
 }
 
-func newLister() (*lister, error) {
-	text, err := settingsFile(fewTenants, 0, 0)
+func newListReceiver() (*listReceiver, error) {
+	text, err := settingsFile(defaultTenants, 0, 0)
 	if err != nil {
 		return nil, err
 	}
@@ -44,20 +45,20 @@
 	if err != nil {
 		return nil, err
 	}
-	return &lister{courier: dispatch.New(config)}, nil
+	return &listReceiver{courier: dispatch.New(config)}, nil
 }
 
-// listCost is what one answer of discovery costs a courier.
+// listCost is the cost of one discovery response for a courier.
 type listCost struct {
-	bytes, unread int
-	spent         time.Duration
+	bytes, skipped int
+	spent          time.Duration
 }
 
-// tell hands the courier one answer of discovery.
-func (l *lister) tell(whole bool, hosts []protocol.Endpoint) (cost listCost, err error) {
+// receive passes one discovery response to the courier.
+func (l *listReceiver) receive(whole bool, hosts []protocol.Endpoint) (cost listCost, err error) {
 	l.seq++
 	l.now += dispatch.Micros(microsPerSecond)
-	text, err := json.Marshal(listText{Seq: l.seq, Whole: whole, Hosts: hosts})
+	text, err := json.Marshal(discoveryList{Seq: l.seq, Whole: whole, Hosts: hosts})
 	if err != nil {
 		return cost, err
 	}
@@ -66,90 +67,90 @@
 	if err != nil {
 		return cost, err
 	}
-	news := dispatch.EndpointUpdate{Kind: dispatch.PartialList, Entries: make([]dispatch.EndpointEntry, 0, len(list.Hosts))}
+	update := dispatch.EndpointUpdate{Kind: dispatch.PartialList, Entries: make([]dispatch.EndpointEntry, 0, len(list.Hosts))}
 	if list.Complete {
-		news.Kind = dispatch.CompleteList
+		update.Kind = dispatch.CompleteList
 	}
 	for _, host := range list.Hosts {
-		news.Entries = append(news.Entries, listingOf(host))
+		update.Entries = append(update.Entries, entryFromHost(host))
 	}
-	l.courier.Handle(l.now, []dispatch.Event{news})
-	return listCost{bytes: len(text), unread: len(hosts) - len(list.Hosts), spent: time.Since(begun)}, nil
+	l.courier.Handle(l.now, []dispatch.Event{update})
+	return listCost{bytes: len(text), skipped: len(hosts) - len(list.Hosts), spent: time.Since(begun)}, nil
 }
 
-// listingOf is what the event loop makes of an entry.
-func listingOf(host protocol.Endpoint) dispatch.EndpointEntry {
+// entryFromHost converts an entry as the event loop does.
+func entryFromHost(host protocol.Endpoint) dispatch.EndpointEntry {
 	phases := map[protocol.Health]dispatch.Phase{protocol.InService: dispatch.InService, protocol.Draining: dispatch.Draining, protocol.Removed: dispatch.Removed}
 	return dispatch.EndpointEntry{Endpoint: dispatch.EndpointID(host.Host), Destination: dispatch.DestinationID(host.Destination), Phase: phases[host.Health], Rate: host.Rate}
 }
 
 func measureLists(ctx context.Context, play *Play) error {
-	listed, waiting, listedMeanwhile := []int{100, 1000, 10000, 100000}, []int{24, 240, changesInAnHour}, 10000
+	listed, waiting, catchUpListed := []int{100, 1000, 10000, 100000}, []int{24, 240, changesInAnHour}, 10000
 	if play.Quick {
-		listed, waiting, listedMeanwhile = []int{100, 300, 1000}, []int{24, 80, 240}, 1000
+		listed, waiting, catchUpListed = []int{100, 300, 1000}, []int{24, 80, 240}, 1000
 	}
 	for _, n := range listed {
 		if err := ctx.Err(); err != nil {
 			return err
 		}
-		play.Progress("a list of %d endpoints", n)
+		play.Progress("endpoint list with %d endpoints", n)
 		if err := measureList(play, n); err != nil {
 			return err
 		}
 	}
 	for _, n := range waiting {
-		play.Progress("%d changes that waited", n)
-		if err := measureCatchUp(play, listedMeanwhile, n); err != nil {
+		play.Progress("%d accumulated changes", n)
+		if err := measureCatchUp(play, catchUpListed, n); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// measureList tells a courier a list, the same list again, and some changes of it one by one.
+// measureList sends a courier a complete list, the same list again, and then several single changes.
 func measureList(play *Play, listed int) error {
-	const changesNotified = 5
-	l, err := newLister()
+	const changeCount = 5
+	l, err := newListReceiver()
 	if err != nil {
 		return err
 	}
 	hosts := listedHosts(listed)
-	first, err := l.tell(true, hosts)
+	first, err := l.receive(true, hosts)
 	if err != nil {
 		return err
 	}
-	again, err := l.tell(true, hosts)
+	again, err := l.receive(true, hosts)
 	if err != nil {
 		return err
 	}
 	var all listCost
-	for i := range changesNotified {
-		host := hosts[i*listed/changesNotified]
+	for i := range changeCount {
+		host := hosts[i*listed/changeCount]
 		host.Health = protocol.Draining
-		cost, err := l.tell(false, []protocol.Endpoint{host})
+		cost, err := l.receive(false, []protocol.Endpoint{host})
 		if err != nil {
 			return err
 		}
-		all = listCost{all.bytes + cost.bytes, all.unread + cost.unread, all.spent + cost.spent}
+		all = listCost{all.bytes + cost.bytes, all.skipped + cost.skipped, all.spent + cost.spent}
 	}
 	sizes := map[string]float64{sizeListed: float64(listed)}
 	for figure, value := range map[string]float64{
-		figureListBytes: float64(again.bytes), figureListSeconds: again.spent.Seconds(), figureChangeBytes: float64(all.bytes) / changesNotified,
-		figureChangeSeconds: all.spent.Seconds() / changesNotified, figureUnread: float64(first.unread + again.unread + all.unread),
+		figureListBytes: float64(again.bytes), figureListSeconds: again.spent.Seconds(), figureChangeBytes: float64(all.bytes) / changeCount,
+		figureChangeSeconds: all.spent.Seconds() / changeCount, figureSkipped: float64(first.skipped + again.skipped + all.skipped),
 	} {
 		play.Report(sizes, figure, value)
 	}
 	return nil
 }
 
-// measureCatchUp tells a courier that knows a list what changed of it while it was cut off, in one answer.
+// measureCatchUp sends a courier that has the list all changes that accumulated while it was cut off, in one response.
 func measureCatchUp(play *Play, listed, waiting int) error {
-	l, err := newLister()
+	l, err := newListReceiver()
 	if err != nil {
 		return err
 	}
 	hosts := listedHosts(listed)
-	if _, err := l.tell(true, hosts); err != nil {
+	if _, err := l.receive(true, hosts); err != nil {
 		return err
 	}
 	changed := make([]protocol.Endpoint, 0, waiting)
@@ -158,12 +159,12 @@
 		host.Health = protocol.Draining
 		changed = append(changed, host)
 	}
-	cost, err := l.tell(false, changed)
+	cost, err := l.receive(false, changed)
 	if err != nil {
 		return err
 	}
-	if cost.unread > 0 {
-		return fmt.Errorf("%d of %d changes did not come through", cost.unread, waiting)
+	if cost.skipped > 0 {
+		return fmt.Errorf("the parser left out %d of %d changes", cost.skipped, waiting)
 	}
 	sizes := map[string]float64{sizeWaiting: float64(waiting), sizeListed: float64(listed)}
 	play.Report(sizes, figureCatchUpBytes, float64(cost.bytes))
--- a/testbed/scale/machine.go
+++ b/testbed/scale/machine.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// machine tells on what a run was measured.
+// machine describes the machine that a run was measured on: cores, Go version and memory.
 func machine() string {
 	text := fmt.Sprintf("%d cores, %s", runtime.NumCPU(), runtime.Version())
 	var info unix.Sysinfo_t
@@ -18,7 +18,7 @@
 	return text
 }
 
-// processorTime is what this process has used so far, in user and system mode.
+// processorTime returns the user and system CPU time that this process has used so far.
 func processorTime() time.Duration {
 	var used unix.Rusage
 	if unix.Getrusage(unix.RUSAGE_SELF, &used) != nil {
@@ -27,7 +27,8 @@
 	return time.Duration(used.Utime.Nano() + used.Stime.Nano())
 }
 
-// heapInUse is what the heap holds after a full collection, in bytes. What a pool holds goes with the second one.
+// heapInUse returns the bytes of live heap objects. It collects twice because objects in a sync.Pool survive the first
+// collection.
 func heapInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
@@ -36,5 +37,5 @@
 	return stats.HeapAlloc
 }
 
-// keepAlive holds what a figure of the heap counts until it has been taken.
+// keepAlive keeps objects reachable until a heap measurement that includes them is done.
 func keepAlive(kept ...any) { runtime.KeepAlive(kept) }
--- a/testbed/scale/members.go
+++ b/testbed/scale/members.go
@@ -16,40 +16,40 @@
 	"pineport/testbed/netfault"
 )
 
-// Settings of a member, hollow or real: the same for both, so that what they send can be compared.
+// Settings of members, the same for hollow and real ones, so that their traffic can be compared.
 const (
 	fleetLabel = "lab"
-	fleetKey   = "000102030405060708090a0b0c0d0e0f" // hex; what members say is encrypted
+	fleetKey   = "000102030405060708090a0b0c0d0e0f" // hexadecimal; members encrypt their messages
 )
 
-// traffic counts what members put on the network. Headers of IP, UDP and TCP are not in it.
+// traffic counts what members send to the network, without IP, UDP and TCP headers.
 type traffic struct{ packets, packetBytes, streams, streamBytes atomic.Int64 }
 
-// sent is the state of traffic at an instant, or the difference of two.
-type sent struct{ packets, packetBytes, streams, streamBytes int64 }
+// trafficCounts is a reading of traffic, or the difference of two readings.
+type trafficCounts struct{ packets, packetBytes, streams, streamBytes int64 }
 
-func (t *traffic) read() sent {
-	return sent{t.packets.Load(), t.packetBytes.Load(), t.streams.Load(), t.streamBytes.Load()}
+func (t *traffic) read() trafficCounts {
+	return trafficCounts{t.packets.Load(), t.packetBytes.Load(), t.streams.Load(), t.streamBytes.Load()}
 }
 
-func (s sent) minus(earlier sent) sent {
-	return sent{s.packets - earlier.packets, s.packetBytes - earlier.packetBytes, s.streams - earlier.streams, s.streamBytes - earlier.streamBytes}
+func (s trafficCounts) minus(earlier trafficCounts) trafficCounts {
+	return trafficCounts{s.packets - earlier.packets, s.packetBytes - earlier.packetBytes, s.streams - earlier.streams, s.streamBytes - earlier.streamBytes}
 }
 
-// countingTransport is one member's way onto the network in memory, with all that it sends counted.
+// countingTransport connects a member to the in-memory network and counts what the member sends.
 type countingTransport struct {
 	*netfault.Node
 	traffic *traffic
 }
 
-// WriteTo sends a packet.
+// WriteTo sends and counts a packet.
 func (c countingTransport) WriteTo(packet []byte, address string) (time.Time, error) {
 	c.traffic.packets.Add(1)
 	c.traffic.packetBytes.Add(int64(len(packet)))
 	return c.Node.WriteTo(packet, address)
 }
 
-// DialTimeout begins a stream, whose bytes are counted both ways.
+// DialTimeout opens a stream and counts its bytes in both directions.
 func (c countingTransport) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
 	conn, err := c.Node.DialTimeout(address, timeout)
 	if err != nil {
@@ -59,7 +59,7 @@
 	return &countingStream{conn, c.traffic}, nil
 }
 
-// countingStream is the dialling end of a stream.
+// countingStream is the dialing end of a stream.
 type countingStream struct {
 	net.Conn
 	traffic *traffic
@@ -77,32 +77,33 @@
 	return n, err
 }
 
-// hollowFleet is members of one fleet in this process: the real membership over a network in memory.
+// hollowFleet is a fleet of members in this process. They run the real membership code over an in-memory network.
 type hollowFleet struct {
-	pace     time.Duration
-	seed     int64
-	mesh     *netfault.Mesh
-	traffic  traffic
-	members  []*gossip.Member // nil: down
-	starts   []uint64
-	patience time.Duration // with which await waits
-	fewer    int           // looks at which a member counted on fewer than the fleet's size
+	interval       time.Duration
+	seed           int64
+	mesh           *netfault.Mesh
+	traffic        traffic
+	members        []*gossip.Member // nil while the member is down
+	incarnations   []uint64
+	timeout        time.Duration // of await
+	underestimates int           // snapshots in which a member assumed fewer couriers than the fleet has
 }
 
-// memberName is the name of a member; real couriers of the testbed have the same names.
+// memberName returns the name of a member. Real couriers of the testbed have the same names.
 func memberName(i int) string { return fmt.Sprintf("n%d", i) }
 
-func newHollowFleet(size int, pace time.Duration, seed int64) *hollowFleet {
-	return &hollowFleet{pace: pace, seed: seed, mesh: netfault.NewMesh(size, seed), members: make([]*gossip.Member, size), starts: make([]uint64, size),
-		patience: max(leastPatience, patiencePaces*pace)}
+func newHollowFleet(size int, interval time.Duration, seed int64) *hollowFleet {
+	return &hollowFleet{interval: interval, seed: seed, mesh: netfault.NewMesh(size, seed), members: make([]*gossip.Member, size), incarnations: make([]uint64, size),
+		timeout: max(minTimeout, timeoutIntervals*interval)}
 }
 
-// startPaces is over how many paces the members of a fleet start: not at one instant, as no fleet does.
-const startPaces = 8
+// startIntervals is the number of heartbeat intervals over which the starts of the members are spread, as the couriers of a
+// real fleet do not start simultaneously.
+const startIntervals = 8
 
-// start opens every member that is down, one after the other.
+// start starts every member that is down, one by one.
 func (f *hollowFleet) start(ctx context.Context) error {
-	between := startPaces * f.pace / time.Duration(len(f.members))
+	between := startIntervals * f.interval / time.Duration(len(f.members))
 	for i, member := range f.members {
 		if member != nil {
 			continue
@@ -118,16 +119,16 @@
 }
 
 func (f *hollowFleet) open(i int) error {
-	f.starts[i]++
+	f.incarnations[i]++
 	size := len(f.members)
 	member, err := gossip.Open(gossip.Options{
 		Name:        memberName(i),
-		Incarnation: f.starts[i],
+		Incarnation: f.incarnations[i],
 		FleetSize:   size,
 		Fleet:       fleetLabel,
 		Key:         fleetKey,
 		Join:        []string{f.mesh.At(0), f.mesh.At((i + 1) % size), f.mesh.At((i + size/2) % size)},
-		Interval:    f.pace,
+		Interval:    f.interval,
 		Seed:        f.seed*int64(size) + int64(i),
 		Transport:   countingTransport{f.mesh.Join(i), &f.traffic},
 	})
@@ -138,7 +139,7 @@
 	return nil
 }
 
-// kill ends members without a word, all at once.
+// kill disconnects the given members simultaneously and stops them, without a notice to the others.
 func (f *hollowFleet) kill(dead []int) {
 	for _, i := range dead {
 		f.mesh.Drop(i)
@@ -149,7 +150,7 @@
 	}
 }
 
-// close ends the whole fleet.
+// close stops all members.
 func (f *hollowFleet) close() {
 	for i := range f.members {
 		f.mesh.Drop(i)
@@ -161,30 +162,31 @@
 	}
 }
 
-// looksPerPace is how often in a pace the members are asked for what they know, while something is waited for.
-const looksPerPace = 20
+// pollsPerInterval is how often await polls the members in each heartbeat interval.
+const pollsPerInterval = 20
 
-// leastPatience is the least time that is waited for the members to know something, however short the pace is.
-const leastPatience = time.Minute
+// minTimeout is the shortest timeout of await, however short the heartbeat interval is.
+const minTimeout = time.Minute
 
-// patiencePaces is how long that is waited for by the pace: memberlist gives a member up after some 15 of them at 1,000 members.
-const patiencePaces = 100
+// timeoutIntervals is the timeout of await in heartbeat intervals. At 1,000 members, memberlist declares a member dead after
+// about 15 of them.
+const timeoutIntervals = 100
 
-// spread is after how long members knew of something.
-type spread struct{ half, all time.Duration }
+// spreadTimes are the times until half of the members and all members know of a change.
+type spreadTimes struct{ half, all time.Duration }
 
-// await waits until every member that is up knows of something.
-func (f *hollowFleet) await(ctx context.Context, what string, knows func(picture membership.Snapshot) bool) (spread, error) {
+// await polls until knows is true for every running member. The text what names the awaited change in errors.
+func (f *hollowFleet) await(ctx context.Context, what string, knows func(snapshot membership.Snapshot) bool) (spreadTimes, error) {
 	begun := time.Now()
-	pending := f.up()
-	half, known := len(pending)/2, spread{}
+	pending := f.running()
+	half, known := len(pending)/2, spreadTimes{}
 	for {
 		pending = slices.DeleteFunc(pending, func(member *gossip.Member) bool {
-			picture := member.Snapshot()
-			if picture.MaxCouriers < len(f.members) {
-				f.fewer++
+			snapshot := member.Snapshot()
+			if snapshot.MaxCouriers < len(f.members) {
+				f.underestimates++
 			}
-			return knows(picture)
+			return knows(snapshot)
 		})
 		since := time.Since(begun)
 		if known.half == 0 && len(pending) <= half {
@@ -194,26 +196,26 @@
 			known.all = since
 			return known, nil
 		}
-		if since > f.patience {
-			return spread{}, fmt.Errorf("%d of %d members did not know of %s within %v; one of them: %s", len(pending), len(f.up()), what, f.patience,
+		if since > f.timeout {
+			return spreadTimes{}, fmt.Errorf("%d of %d members did not know of %s within %v; state of one of them: %s", len(pending), len(f.running()), what, f.timeout,
 				summary(pending[0].Snapshot()))
 		}
-		if err := sleep(ctx, f.pace/looksPerPace); err != nil {
-			return spread{}, err
+		if err := sleep(ctx, f.interval/pollsPerInterval); err != nil {
+			return spreadTimes{}, err
 		}
 	}
 }
 
-// summary tells how many members a picture has in which state.
-func summary(picture membership.Snapshot) string {
+// summary describes a snapshot: status, number of couriers, and members by state.
+func summary(snapshot membership.Snapshot) string {
 	states := map[string]int{}
-	for _, member := range picture.Members {
+	for _, member := range snapshot.Members {
 		states[member.StateName]++
 	}
-	return fmt.Sprintf("%s, %d to %d couriers, %v", picture.LocalStatus, picture.MinCouriers, picture.MaxCouriers, states)
+	return fmt.Sprintf("%s, %d to %d couriers, %v", snapshot.LocalStatus, snapshot.MinCouriers, snapshot.MaxCouriers, states)
 }
 
-func (f *hollowFleet) up() (all []*gossip.Member) {
+func (f *hollowFleet) running() (all []*gossip.Member) {
 	for _, member := range f.members {
 		if member != nil {
 			all = append(all, member)
@@ -222,47 +224,47 @@
 	return all
 }
 
-// awaitWhole waits until every member hears all others.
-func (f *hollowFleet) awaitWhole(ctx context.Context) (spread, error) {
+// awaitComplete waits until every running member hears from all others.
+func (f *hollowFleet) awaitComplete(ctx context.Context) (spreadTimes, error) {
 	size := len(f.members)
-	return f.await(ctx, "the whole fleet", func(picture membership.Snapshot) bool {
-		return picture.LocalStatus == membership.Complete.String() && picture.MinCouriers == size
+	return f.await(ctx, "the complete fleet", func(snapshot membership.Snapshot) bool {
+		return snapshot.LocalStatus == membership.Complete.String() && snapshot.MinCouriers == size
 	})
 }
 
-// awaitDeaths waits until every member that is up believes that all the dead have failed.
-func (f *hollowFleet) awaitDeaths(ctx context.Context, dead []int) (spread, error) {
-	return f.await(ctx, fmt.Sprintf("%d deaths", len(dead)), func(picture membership.Snapshot) bool {
-		return !slices.ContainsFunc(dead, func(i int) bool { return stateIn(picture, memberName(i)) != membership.Failed })
+// awaitDeaths waits until every running member considers all the given members failed.
+func (f *hollowFleet) awaitDeaths(ctx context.Context, dead []int) (spreadTimes, error) {
+	return f.await(ctx, fmt.Sprintf("%d deaths", len(dead)), func(snapshot membership.Snapshot) bool {
+		return !slices.ContainsFunc(dead, func(i int) bool { return stateIn(snapshot, memberName(i)) != membership.Failed })
 	})
 }
 
-// stateIn is what a picture, whose members are sorted by name, says of one of them.
-func stateIn(picture membership.Snapshot, name string) membership.State {
-	i, found := slices.BinarySearchFunc(picture.Members, name, func(m membership.Member, name string) int { return strings.Compare(string(m.Name), name) })
+// stateIn returns the state of a member in a snapshot, whose members are sorted by name.
+func stateIn(snapshot membership.Snapshot, name string) membership.State {
+	i, found := slices.BinarySearchFunc(snapshot.Members, name, func(m membership.Member, name string) int { return strings.Compare(string(m.Name), name) })
 	if !found {
 		return membership.Unknown
 	}
-	return picture.Members[i].State
+	return snapshot.Members[i].State
 }
 
-// load is what membership took over a span: of all members together.
+// load is the load that membership causes over a time span, for all members together.
 type load struct {
-	sent      sent
+	sent      trafficCounts
 	processor time.Duration
 	span      time.Duration
 }
 
-// observe measures the fleet over so many paces in which nothing happens.
-func (f *hollowFleet) observe(ctx context.Context, paces int) (load, error) {
+// observe measures the fleet at rest over the given number of heartbeat intervals.
+func (f *hollowFleet) observe(ctx context.Context, intervals int) (load, error) {
 	begun, sentBefore, processorBefore := time.Now(), f.traffic.read(), processorTime()
-	if err := sleep(ctx, time.Duration(paces)*f.pace); err != nil {
+	if err := sleep(ctx, time.Duration(intervals)*f.interval); err != nil {
 		return load{}, err
 	}
 	return load{f.traffic.read().minus(sentBefore), processorTime() - processorBefore, time.Since(begun)}, nil
 }
 
-// sleep waits, or returns the context's error if that ends first.
+// sleep waits for the given time, or returns the error of the context if that ends first.
 func sleep(ctx context.Context, span time.Duration) error {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
--- a/testbed/scale/outage.go
+++ b/testbed/scale/outage.go
@@ -12,56 +12,56 @@
 	"pineport/testbed/slopes"
 )
 
-// Sizes and figures of outage. All are sums or means over the whole fleet.
+// Sizes and figures of the experiment outage. All figures are sums or means over the whole fleet.
 const (
-	outageKind   = "kind"
-	outageFailed = "failed_calls"
-	outageShare  = "parked_share"
-	outageParked = "parked_after"
-	outageReturn = "return_calls"
-	outageFigure = "figure"
-	outagePushed = "pushed_over"
+	outageKind        = "kind"
+	outageFailed      = "failed_calls"
+	outageParkedShare = "parked_share"
+	outageParkedAfter = "parked_after"
+	outageReturnCalls = "return_calls"
+	outageScore       = "figure"
+	outageOverloaded  = "pushed_over"
 
-	// Counts, for the check.
-	outageStruck    = "count_destinations_down"
-	outageBroken    = "count_other_rules_broken"
-	outageUnended   = "count_without_end"
-	outageUnseen    = "count_attempts_unseen"
-	outageDifferent = "count_replay_differs"
+	// Counts that the check validates.
+	outageDownCount       = "count_destinations_down"
+	outageViolations      = "count_other_rules_broken"
+	outageUnanswered      = "count_without_end"
+	outageAttemptMismatch = "count_attempts_unseen"
+	outageReplayDiffers   = "count_replay_differs"
 )
 
-// The day that is played: constant traffic over destinations that are all alike, some of which are down for a while.
+// The scenario: constant traffic to identical destinations, some of which are down for a while.
 const (
-	outageTraffic      = 100.0 // messages a second, of all couriers together
-	outageDestinations = 40
-	outageDown         = 10
-	outageBegins       = 20.0 // seconds
-	outageLasts        = 30.0
-	outageAfterwards   = 30.0
-	outageDays         = 5 // drawn for each play; their mean counts
+	outageTraffic      = 100.0 // messages per second from all couriers together
+	outageDestinations = 40    // all destinations
+	outageDown         = 10    // destinations that are down
+	outageStart        = 20.0  // seconds from the start of the scenario
+	outageLasts        = 30.0  // seconds
+	outageRecovery     = 30.0  // seconds after the return of the destinations
+	outageDays         = 5     // scenarios drawn for each play; the mean is reported
 	outageDaysQuick    = 1
-	rampSecond         = second
+	returnWindow       = second // time after the return of a destination in which calls are counted
 )
 
-// outageKinds are how a destination can be down, and the number that stands for it among the sizes.
+// outageKinds are the ways in which a destination can be down. The number is the value of the size outageKind.
 var outageKinds = []struct {
 	name   string
 	number float64
-	kind   string // of the testbed's troubles
+	kind   string // kind of the trouble in the scenario
 }{
 	{"refusing", 1, "refuse"}, // connections are refused
-	{"throttling", 2, "shut"}, // every call is throttled, and some are notified when to come again
+	{"throttling", 2, "shut"}, // every call is throttled, some with a Retry-After
 }
 
-// outage measures how a fleet meets destinations that go down and return, each courier on its own.
-type outage struct{ decide decide }
+// outage measures how a fleet handles destinations that go down and return, without communication between couriers.
+type outage struct{ newDecider deciderFactory }
 
-func outageExperiment() Experiment { return outage{realDecisions}.experiment() }
+func outageExperiment() Experiment { return outage{newDispatcher}.experiment() }
 
 func (o outage) experiment() Experiment {
 	return Experiment{Name: "outage", Plays: 3,
-		About: "100 messages a second in all for 40 destinations, 10 of which are down for 30 s, over more and more couriers in virtual time; " +
-			"summed over the fleet, mean of 5 days a play. Refusing: no connection comes up; throttling: each call is answered as throttled.",
+		About: "100 messages per second in total to 40 destinations, 10 of which are down for 30 s, for fleets of increasing size in virtual time; " +
+			"sums over the fleet, mean of 5 scenarios per play. Refusing: connections are refused; throttling: each call is throttled.",
 		Measure: o.measure, Fit: fitOutage, Check: checkOutage}
 }
 
@@ -85,8 +85,8 @@
 	return nil
 }
 
-// days plays some days and messages their mean; the first of them twice, if asked to.
-func (o outage) days(play *Play, sizes map[string]float64, kind string, count, days int, again bool) error {
+// days plays several drawn scenarios and reports their mean. If replay is set, it plays the first one twice and compares.
+func (o outage) days(play *Play, sizes map[string]float64, kind string, count, days int, replay bool) error {
 	var all outageSums
 	for number := range days {
 		seed := play.Seed*1000 + int64(number)
@@ -95,7 +95,7 @@
 			return err
 		}
 		all.add(sums)
-		if number > 0 || !again {
+		if number > 0 || !replay {
 			continue
 		}
 		second, err := o.play(kind, count, seed)
@@ -106,50 +106,50 @@
 		if second != sums {
 			differs = 1
 		}
-		play.Report(sizes, outageDifferent, differs)
+		play.Report(sizes, outageReplayDiffers, differs)
 	}
 	each := 1 / float64(days)
 	play.Report(sizes, outageFailed, float64(all.failed)*each)
-	play.Report(sizes, outageShare, float64(all.parked)/float64(max(1, all.callers)))
-	play.Report(sizes, outageParked, all.parkedAfter/float64(max(1, all.callers)))
-	play.Report(sizes, outageReturn, float64(all.returned)*each)
-	play.Report(sizes, outageFigure, all.figure*each)
-	play.Report(sizes, outagePushed, float64(all.pushed)/float64(max(1, all.struck)))
-	play.Report(sizes, outageStruck, float64(all.struck)*each)
-	play.Report(sizes, outageBroken, float64(all.broken))
-	play.Report(sizes, outageUnended, float64(all.unended))
-	play.Report(sizes, outageUnseen, float64(all.unseen))
+	play.Report(sizes, outageParkedShare, float64(all.parkedPairs)/float64(max(1, all.callerPairs)))
+	play.Report(sizes, outageParkedAfter, all.parkedAfter/float64(max(1, all.callerPairs)))
+	play.Report(sizes, outageReturnCalls, float64(all.callsAfterReturn)*each)
+	play.Report(sizes, outageScore, all.score*each)
+	play.Report(sizes, outageOverloaded, float64(all.overloaded)/float64(max(1, all.destinationsDown)))
+	play.Report(sizes, outageDownCount, float64(all.destinationsDown)*each)
+	play.Report(sizes, outageViolations, float64(all.violations))
+	play.Report(sizes, outageUnanswered, float64(all.unanswered))
+	play.Report(sizes, outageAttemptMismatch, float64(all.attemptMismatch))
 	return nil
 }
 
-// outageSums are sums over a fleet's day.
+// outageSums are totals over one scenario and all couriers of a fleet.
 type outageSums struct {
-	failed      int     // attempts sent while their destination was down, and not delivered
-	callers     int     // pairs of a courier and a destination that is down with such an attempt
-	parked      int     // those of them that parked the destination before it returned
-	parkedAfter float64 // seconds from the begin of the outage until then, or until its end
-	returned    int     // attempts sent in the first second after the return
-	figure      float64
-	struck      int // destinations that were down
-	pushed      int // destinations that were pushed over on their return
-	broken      int // other rules, by how often
-	unended     int // messages taken without an answer
-	unseen      int // attempts that only the ledger saw, or only the couriers' watch
+	failed           int     // attempts sent while the destination was down, and not delivered
+	callerPairs      int     // pairs of a courier and a destination with such an attempt
+	parkedPairs      int     // pairs in which the courier parked the destination before it returned
+	parkedAfter      float64 // sum over all pairs: seconds from the start of the outage until the courier parked the destination, or until the end
+	callsAfterReturn int     // attempts sent to the destinations in the first second after their return
+	score            float64 // of the scenario, without the penalty for violated invariants
+	destinationsDown int     // destinations that were down
+	overloaded       int     // destinations that couriers overloaded on their return (invariants.Pushed)
+	violations       int     // violations of other invariants
+	unanswered       int     // accepted messages without a final notice
+	attemptMismatch  int     // difference between the attempts counted by the ledger and by the observer
 }
 
 func (s *outageSums) add(t outageSums) {
-	s.failed, s.callers, s.parked, s.returned = s.failed+t.failed, s.callers+t.callers, s.parked+t.parked, s.returned+t.returned
-	s.parkedAfter, s.figure, s.struck = s.parkedAfter+t.parkedAfter, s.figure+t.figure, s.struck+t.struck
-	s.pushed, s.broken, s.unended, s.unseen = s.pushed+t.pushed, s.broken+t.broken, s.unended+t.unended, s.unseen+t.unseen
+	s.failed, s.callerPairs, s.parkedPairs, s.callsAfterReturn = s.failed+t.failed, s.callerPairs+t.callerPairs, s.parkedPairs+t.parkedPairs, s.callsAfterReturn+t.callsAfterReturn
+	s.parkedAfter, s.score, s.destinationsDown = s.parkedAfter+t.parkedAfter, s.score+t.score, s.destinationsDown+t.destinationsDown
+	s.overloaded, s.violations, s.unanswered, s.attemptMismatch = s.overloaded+t.overloaded, s.violations+t.violations, s.unanswered+t.unanswered, s.attemptMismatch+t.attemptMismatch
 }
 
-// outageDay is the testbed's calm day with the traffic, fleet and trouble of this experiment.
+// outageDay returns the scenario "calm" with the traffic, fleet and trouble of this experiment.
 func outageDay(kind string, count int) (*scenario.Day, error) {
 	d, err := scenario.Find("calm")
 	if err != nil {
 		return nil, err
 	}
-	d.Length, d.Load = outageBegins+outageLasts+outageAfterwards, scenario.Range{1, 1}
+	d.Length, d.Load = outageStart+outageLasts+outageRecovery, scenario.Range{1, 1}
 	d.Fleet.Couriers = count
 	d.Traffic.FullPerSec, d.Traffic.Destinations = outageTraffic, outageDestinations
 	d.Traffic.Zipf, d.Traffic.Swing, d.Traffic.Clumps = 0, 0, scenario.Range{}
@@ -157,59 +157,59 @@
 	firms.Connections, firms.Endpoints = scenario.Range{}, scenario.Range{1, 1}
 	d.Kinds = []scenario.Kind{firms}
 	d.Classes = slices.DeleteFunc(d.Classes, func(w scenario.Class) bool { return w.Name != "update" })
-	d.Troubles = []scenario.Trouble{{Kind: kind, At: scenario.Range{outageBegins, outageBegins}, Length: scenario.Range{outageLasts, outageLasts},
+	d.Troubles = []scenario.Trouble{{Kind: kind, At: scenario.Range{outageStart, outageStart}, Length: scenario.Range{outageLasts, outageLasts},
 		Part: float64(outageDown) / outageDestinations, By: "any", Whole: 1}}
 	return d, nil
 }
 
-// play plays one day of a fleet.
+// play plays one drawn scenario.
 func (o outage) play(kind string, count int, seed int64) (outageSums, error) {
 	d, err := outageDay(kind, count)
 	if err != nil {
 		return outageSums{}, err
 	}
 	drawn := scenario.Draw(d, seed)
-	watch := newOutageWatch(drawn)
+	observer := newOutageWatch(drawn)
 	host := simulation.NewLocal(func(courier int, settings dispatch.Config) simulation.Decider {
-		return &outageWatcher{outageWatch: watch, courier: courier, decisions: o.decide(settings), into: map[attempt]dispatch.DestinationID{},
+		return &courierObserver{outageObserver: observer, courier: courier, decider: o.newDecider(settings), inFlight: map[attemptKey]dispatch.DestinationID{},
 			sent: map[dispatch.MessageID]dispatch.AttemptNumber{}}
 	})
 	verdict, _, err := simulation.Play(drawn, host, simulation.Options{})
 	if err != nil {
 		return outageSums{}, err
 	}
-	return watch.finish(verdict), nil
+	return observer.finish(verdict), nil
 }
 
-// outageWatch sees what a whole fleet sends to destinations that are down or have just returned.
-type outageWatch struct {
-	dest     map[dispatch.EndpointID]dispatch.DestinationID
-	down     map[dispatch.DestinationID]bool
-	from, to dispatch.Micros
-	parkedAt map[pair]dispatch.Micros // or never, for those that called without parking
-	attempts int
+// outageObserver records what the whole fleet sends to destinations that are down or have just returned.
+type outageObserver struct {
+	destinations map[dispatch.EndpointID]dispatch.DestinationID
+	down         map[dispatch.DestinationID]bool
+	from, to     dispatch.Micros
+	parkedAt     map[callerPair]dispatch.Micros // or notParked, for pairs with failed attempts only
+	attempts     int
 	outageSums
 }
 
-// pair is a courier and a destination that it called while that was down.
-type pair struct {
+// callerPair is a courier and a destination to which a call of the courier failed during the outage.
+type callerPair struct {
 	courier     int
 	destination dispatch.DestinationID
 }
 
-// attempt is one of a message's.
-type attempt struct {
+// attemptKey identifies an attempt of a message.
+type attemptKey struct {
 	message dispatch.MessageID
 	number  dispatch.AttemptNumber
 }
 
 const notParked dispatch.Micros = -1
 
-func newOutageWatch(drawn *scenario.Drawn) *outageWatch {
-	w := &outageWatch{dest: map[dispatch.EndpointID]dispatch.DestinationID{}, down: map[dispatch.DestinationID]bool{}, parkedAt: map[pair]dispatch.Micros{}}
+func newOutageWatch(drawn *scenario.Drawn) *outageObserver {
+	w := &outageObserver{destinations: map[dispatch.EndpointID]dispatch.DestinationID{}, down: map[dispatch.DestinationID]bool{}, parkedAt: map[callerPair]dispatch.Micros{}}
 	for number := range drawn.Destinations {
 		for _, endpoint := range drawn.Destinations[number].Endpoints {
-			w.dest[endpoint.ID] = dispatch.DestinationID(number)
+			w.destinations[endpoint.ID] = dispatch.DestinationID(number)
 		}
 	}
 	for _, act := range drawn.Acts {
@@ -223,49 +223,49 @@
 	return w
 }
 
-// finish sums up.
-func (w *outageWatch) finish(verdict *invariants.Verdict) outageSums {
+// finish returns the totals, completed from the verdict.
+func (w *outageObserver) finish(verdict *invariants.Verdict) outageSums {
 	sums := w.outageSums
-	sums.callers, sums.struck = len(w.parkedAt), len(w.down)
-	sums.figure = verdict.Service - verdict.Costs // the day's, which a broken rule would make nought
-	var parkedAfter dispatch.Micros               // whole microseconds, as the order of a map is none
+	sums.callerPairs, sums.destinationsDown = len(w.parkedAt), len(w.down)
+	sums.score = verdict.Service - verdict.Costs // verdict.Figure would be 0 if an invariant were violated
+	var parkedAfter dispatch.Micros              // integer microseconds: a float sum would depend on the iteration order of the map
 	for _, at := range w.parkedAt {
 		if at == notParked {
 			at = w.to
 		} else {
-			sums.parked++
+			sums.parkedPairs++
 		}
 		parkedAfter += at - w.from
 	}
 	sums.parkedAfter = float64(parkedAfter) / float64(second)
 	for rule, count := range verdict.Broken {
 		if rule == invariants.Pushed {
-			sums.pushed += count
+			sums.overloaded += count
 		} else {
-			sums.broken += count
+			sums.violations += count
 		}
 	}
 	counts := verdict.Counts
-	sums.unended = counts.Lost + max(counts.Taken-counts.Done-counts.Rejected-counts.Failed, 0)
-	sums.unseen = max(counts.Attempts-w.attempts, w.attempts-counts.Attempts)
+	sums.unanswered = counts.Lost + max(counts.Taken-counts.Done-counts.Rejected-counts.Failed, 0)
+	sums.attemptMismatch = max(counts.Attempts-w.attempts, w.attempts-counts.Attempts)
 	return sums
 }
 
-// outageWatcher sees what one courier does, and changes nothing.
-type outageWatcher struct {
-	*outageWatch
-	courier   int
-	decisions simulation.Decider
-	into      map[attempt]dispatch.DestinationID // sent while the destination was down, without an outcome
-	sent      map[dispatch.MessageID]dispatch.AttemptNumber
+// courierObserver records the events and actions of one courier without changing them.
+type courierObserver struct {
+	*outageObserver
+	courier  int
+	decider  simulation.Decider
+	inFlight map[attemptKey]dispatch.DestinationID // attempts sent while the destination was down, without an outcome yet
+	sent     map[dispatch.MessageID]dispatch.AttemptNumber
 }
 
 // Handle implements simulation.Decider.
-func (w *outageWatcher) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
-	actions := w.decisions.Handle(now, events)
+func (w *courierObserver) Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action {
+	actions := w.decider.Handle(now, events)
 	failed := w.outcomes(events)
 	if failed && now < w.to {
-		w.lookForParked(now)
+		w.recordParked(now)
 	}
 	for _, action := range actions {
 		if send, ok := action.(dispatch.Send); ok {
@@ -275,50 +275,50 @@
 	return actions
 }
 
-// outcomes counts attempts into the outage that failed, and tells whether there were any.
-func (w *outageWatcher) outcomes(events []dispatch.Event) (failed bool) {
+// outcomes counts failed attempts to destinations that are down, and reports whether there were any.
+func (w *courierObserver) outcomes(events []dispatch.Event) (failed bool) {
 	for _, event := range events {
-		settled, ok := event.(dispatch.AttemptFinished)
+		finished, ok := event.(dispatch.AttemptFinished)
 		if !ok {
 			continue
 		}
-		key := attempt{settled.Message, settled.Attempt}
-		destination, ok := w.into[key]
-		delete(w.into, key)
-		if !ok || settled.Outcome == dispatch.Delivered || settled.Outcome == dispatch.Unprocessed || settled.Outcome == dispatch.Canceled {
+		key := attemptKey{finished.Message, finished.Attempt}
+		destination, ok := w.inFlight[key]
+		delete(w.inFlight, key)
+		if !ok || finished.Outcome == dispatch.Delivered || finished.Outcome == dispatch.Unprocessed || finished.Outcome == dispatch.Canceled {
 			continue
 		}
 		failed = true
 		w.failed++
-		if called := (pair{w.courier, destination}); w.parkedAt[called] == 0 {
+		if called := (callerPair{w.courier, destination}); w.parkedAt[called] == 0 {
 			w.parkedAt[called] = notParked
 		}
 	}
 	return failed
 }
 
-func (w *outageWatcher) send(now dispatch.Micros, send dispatch.Send) {
+func (w *courierObserver) send(now dispatch.Micros, send dispatch.Send) {
 	w.attempts++
-	key := attempt{send.Message, w.sent[send.Message]}
+	key := attemptKey{send.Message, w.sent[send.Message]}
 	w.sent[send.Message]++
-	destination := w.dest[send.Endpoint]
+	destination := w.destinations[send.Endpoint]
 	switch {
 	case !w.down[destination]:
 	case now >= w.from && now < w.to:
-		w.into[key] = destination
-	case now >= w.to && now < w.to+rampSecond:
-		w.returned++
+		w.inFlight[key] = destination
+	case now >= w.to && now < w.to+returnWindow:
+		w.callsAfterReturn++
 	}
 }
 
-// lookForParked notes the destinations that this courier has come to hold back from: failing or waited for, or with an open breaker.
-func (w *outageWatcher) lookForParked(now dispatch.Micros) {
-	learned, ok := w.decisions.(dispatch.Snapshotter)
+// recordParked records the destinations that this courier has parked: see isParked.
+func (w *courierObserver) recordParked(now dispatch.Micros) {
+	learned, ok := w.decider.(dispatch.Snapshotter)
 	if !ok {
 		return
 	}
 	for _, route := range learned.Snapshot().Groups {
-		called := pair{w.courier, route.Destination}
+		called := callerPair{w.courier, route.Destination}
 		if w.parkedAt[called] == notParked && isParked(route, now) {
 			w.parkedAt[called] = now
 		}
@@ -330,22 +330,22 @@
 }
 
 func fitOutage(results *Results) error {
-	levelling := []slopes.Model{slopes.Constant, slopes.Logarithm, slopes.Power} // what is called at most is what comes in all
-	ratio := []slopes.Model{slopes.Constant, slopes.Power}                       // neither falls below nought beyond the sizes measured
+	saturating := []slopes.Model{slopes.Constant, slopes.Logarithm, slopes.Power} // bounded by the total traffic
+	ratio := []slopes.Model{slopes.Constant, slopes.Power}                        // both stay positive when extrapolated beyond the measured sizes
 	bounded := []slopes.Model{slopes.Constant, slopes.Logarithm}
 	for _, kind := range outageKinds {
 		for _, curve := range []Curve{
-			{Figure: outageFailed, About: "attempts into the outage that failed, of the whole fleet", Unit: "calls", Models: levelling},
-			{Figure: outageShare, About: "share of the couriers calling a destination that is down that park it before it returns", Unit: "ratio", Models: ratio},
-			{Figure: outageParked, About: "from the begin of the outage until a courier that calls parks it, or until its end after 30 s; mean", Unit: "s", Models: bounded},
-			{Figure: outageReturn, About: "attempts in the first second after the return, of the whole fleet", Unit: "calls", Models: levelling},
-			{Figure: outagePushed, About: "share of the returning destinations that are pushed over", Unit: "ratio", Models: ratio},
-			{Figure: outageFigure, About: "figure of the day, rules aside", Unit: "ratio", Models: ratio},
+			{Figure: outageFailed, About: "failed attempts to destinations that are down, of the whole fleet", Unit: "calls", Models: saturating},
+			{Figure: outageParkedShare, About: "share of the couriers calling a destination that is down which park it before it returns", Unit: "ratio", Models: ratio},
+			{Figure: outageParkedAfter, About: "from the start of the outage until a calling courier parks the destination, or until the end after 30 s; mean", Unit: "s", Models: bounded},
+			{Figure: outageReturnCalls, About: "attempts to the destinations in the first second after their return, of the whole fleet", Unit: "calls", Models: saturating},
+			{Figure: outageOverloaded, About: "share of the returning destinations that are overloaded on their return", Unit: "ratio", Models: ratio},
+			{Figure: outageScore, About: "score of the scenario, without the penalty for violated invariants", Unit: "ratio", Models: ratio},
 		} {
 			curve.Name, curve.Over = curve.Figure+"."+kind.name, sizeCouriers
 			curve.Where = map[string]float64{outageKind: kind.number}
 			if _, figures := results.Values(curve.Figure, curve.Over, curve.Where); slices.Min(figures) <= 0 {
-				results.Miss(curve.Name, "no curve: nothing was counted at one of the sizes")
+				results.AddMissing(curve.Name, "no curve: the figure is zero or negative at one of the sizes")
 				continue
 			}
 			if err := results.Fit(curve); err != nil {
@@ -356,30 +356,30 @@
 	return nil
 }
 
-// neverPushedOver is the largest fleet that is held to push over no return: the terms of the acceptance name 5, 20 and 30 couriers.
-// In larger ones it is measured how often that happens.
-const neverPushedOver = 30
+// maxFleetWithoutOverload is the largest fleet that must not overload a returning destination: the acceptance criteria name
+// fleets of 5, 20 and 30 couriers. In larger fleets the experiment only measures how often it happens.
+const maxFleetWithoutOverload = 30
 
-// checkOutage: as many destinations were down as planned and were called meanwhile; no rule was broken, but that larger fleets may
-// push over a return; each message taken had its answer; the ledger saw each attempt that the couriers made; the same day played
-// again is the same.
+// checkOutage fails unless the planned number of destinations was down and was called, no invariant was violated (overloads by
+// fleets above maxFleetWithoutOverload excepted), each accepted message had a final notice, the ledger counted each attempt of
+// the couriers, and a replay gave the same totals.
 func checkOutage(results *Results) error {
 	for _, point := range results.Points() {
-		if err := equalCounts(point, outageStruck, outageDown); err != nil {
+		if err := equalCounts(point, outageDownCount, outageDown); err != nil {
 			return fmt.Errorf("%v: %w", point.Sizes, err)
 		}
-		for _, figure := range []string{outageUnended, outageUnseen, outageDifferent, outageBroken} {
+		for _, figure := range []string{outageUnanswered, outageAttemptMismatch, outageReplayDiffers, outageViolations} {
 			if err := equalCounts(point, figure, 0); err != nil {
 				return fmt.Errorf("%v: %w", point.Sizes, err)
 			}
 		}
-		if point.Sizes[sizeCouriers] <= neverPushedOver {
-			if err := equalCounts(point, outagePushed, 0); err != nil {
+		if point.Sizes[sizeCouriers] <= maxFleetWithoutOverload {
+			if err := equalCounts(point, outageOverloaded, 0); err != nil {
 				return fmt.Errorf("%v: %w", point.Sizes, err)
 			}
 		}
 		if slices.Min(point.Values[outageFailed]) <= 0 {
-			return fmt.Errorf("%v: no attempt failed at destinations that were down", point.Sizes)
+			return fmt.Errorf("%v: no attempt to a destination that was down failed", point.Sizes)
 		}
 	}
 	return nil
--- a/testbed/scale/outage_test.go
+++ b/testbed/scale/outage_test.go
@@ -9,36 +9,37 @@
 	"pineport/testbed/slopes"
 )
 
-func TestOutagePassesWithTheRealModule(t *testing.T) {
+func TestOutagePassesWithRealDispatcher(t *testing.T) {
 	expectFailure(t, outageExperiment(), "")
 }
 
-// TestOutageDayFaultsAsPlanned: ten of forty destinations are down for thirty seconds, whatever the seed.
-func TestOutageDayFaultsAsPlanned(t *testing.T) {
+// TestOutageDayMatchesPlan checks that 10 of 40 destinations are down for 30 s with every seed.
+func TestOutageDayMatchesPlan(t *testing.T) {
 	for _, kind := range outageKinds {
 		for seed := range int64(20) {
 			d, err := outageDay(kind.kind, 10)
 			if err != nil {
 				t.Fatal(err)
 			}
-			watch := newOutageWatch(scenario.Draw(d, seed))
-			if len(watch.down) != outageDown || watch.to-watch.from != dispatch.Micros(outageLasts)*second {
-				t.Errorf("%s, seed %d: %d down, from %d to %d", kind.name, seed, len(watch.down), watch.from, watch.to)
+			observer := newOutageWatch(scenario.Draw(d, seed))
+			if len(observer.down) != outageDown || observer.to-observer.from != dispatch.Micros(outageLasts)*second {
+				t.Errorf("%s, seed %d: %d destinations down, from %d to %d", kind.name, seed, len(observer.down), observer.from, observer.to)
 			}
 		}
 	}
 }
 
-// TestOutageFindsWrongModules: a fleet that sends nothing, breaks a rule, or never does the same twice is found.
-func TestOutageFindsWrongModules(t *testing.T) {
+// TestOutageCheckRejectsFaultyDeciders checks that the experiment fails for a fleet that sends nothing, violates an invariant,
+// or is not deterministic.
+func TestOutageCheckRejectsFaultyDeciders(t *testing.T) {
 	started := 0
-	for _, wrong := range []struct {
-		name, say string
-		decide    decide
+	for _, faulty := range []struct {
+		name, wantError string
+		newDecider      deciderFactory
 	}{
-		{"sends nothing and keeps what it takes", outageUnended, func(dispatch.Config) simulation.Decider { return idle{} }},
-		{"rejects all", "no attempt failed", func(dispatch.Config) simulation.Decider { return rejecting{} }},
-		{"answers twice", outageBroken, spoiling(func(_ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
+		{"sends nothing and never ends a message", outageUnanswered, func(dispatch.Config) simulation.Decider { return idleDecider{} }},
+		{"rejects all messages", "no attempt to a destination that was down failed", func(dispatch.Config) simulation.Decider { return rejectingDecider{} }},
+		{"rejects twice", outageViolations, filterActions(func(_ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 			for _, action := range actions {
 				if rejected, ok := action.(dispatch.Reject); ok {
 					return append(actions, rejected)
@@ -46,36 +47,37 @@
 			}
 			return actions
 		})},
-		{"acts by chance", outageDifferent, func(settings dispatch.Config) simulation.Decider {
+		{"is not deterministic", outageReplayDiffers, func(settings dispatch.Config) simulation.Decider {
 			started++
 			settings.Seed += int64(started)
 			return dispatch.New(settings)
 		}},
 	} {
-		t.Run(wrong.name, func(t *testing.T) {
-			expectFailure(t, outage{wrong.decide}.experiment(), wrong.say)
+		t.Run(faulty.name, func(t *testing.T) {
+			expectFailure(t, outage{faulty.newDecider}.experiment(), faulty.wantError)
 		})
 	}
 }
 
-// rejecting rejects each message at once.
-type rejecting struct{}
+// rejectingDecider rejects each message immediately.
+type rejectingDecider struct{}
 
-func (rejecting) Handle(_ dispatch.Micros, events []dispatch.Event) (actions []dispatch.Action) {
+func (rejectingDecider) Handle(_ dispatch.Micros, events []dispatch.Event) (actions []dispatch.Action) {
 	for _, event := range events {
-		if taken, ok := event.(dispatch.MessageAccepted); ok {
-			actions = append(actions, dispatch.Reject{Message: taken.Message})
+		if accepted, ok := event.(dispatch.MessageAccepted); ok {
+			actions = append(actions, dispatch.Reject{Message: accepted.Message})
 		}
 	}
 	return actions
 }
 
-// TestOutageWatchCounts holds the watch of one courier against a made-up outage: what failed, what was parked and what came back.
-func TestOutageWatchCounts(t *testing.T) {
+// TestOutageObserverCounts checks the counts of the observer of one courier in a scripted outage: failed attempts, parked
+// destinations and calls after the return.
+func TestOutageObserverCounts(t *testing.T) {
 	decisions := &scriptedDecisions{}
-	watch := &outageWatch{dest: map[dispatch.EndpointID]dispatch.DestinationID{"e": 7, "f": 8}, down: map[dispatch.DestinationID]bool{7: true, 8: true},
-		from: 10 * second, to: 20 * second, parkedAt: map[pair]dispatch.Micros{}}
-	courier := &outageWatcher{outageWatch: watch, decisions: decisions, into: map[attempt]dispatch.DestinationID{}, sent: map[dispatch.MessageID]dispatch.AttemptNumber{}}
+	observer := &outageObserver{destinations: map[dispatch.EndpointID]dispatch.DestinationID{"e": 7, "f": 8}, down: map[dispatch.DestinationID]bool{7: true, 8: true},
+		from: 10 * second, to: 20 * second, parkedAt: map[callerPair]dispatch.Micros{}}
+	courier := &courierObserver{outageObserver: observer, decider: decisions, inFlight: map[attemptKey]dispatch.DestinationID{}, sent: map[dispatch.MessageID]dispatch.AttemptNumber{}}
 	handle := func(now dispatch.Micros, events []dispatch.Event, actions ...dispatch.Action) {
 		decisions.next = actions
 		courier.Handle(now, events)
@@ -88,18 +90,18 @@
 	handle(13*second, []dispatch.Event{dispatch.AttemptFinished{Message: "a", Attempt: 1, Outcome: dispatch.Delivered}})
 	handle(20*second, nil, dispatch.Send{Message: "c", Endpoint: "e"})
 	handle(21*second, nil, dispatch.Send{Message: "d", Endpoint: "e"})
-	if watch.failed != 2 || watch.returned != 1 || watch.attempts != 6 {
-		t.Errorf("%d failed, %d returned, %d attempts", watch.failed, watch.returned, watch.attempts)
+	if observer.failed != 2 || observer.callsAfterReturn != 1 || observer.attempts != 6 {
+		t.Errorf("%d failed, %d calls after the return, %d attempts", observer.failed, observer.callsAfterReturn, observer.attempts)
 	}
-	if at := watch.parkedAt[pair{0, 7}]; at != 12*second {
-		t.Errorf("parked at %d", at)
+	if at := observer.parkedAt[callerPair{0, 7}]; at != 12*second {
+		t.Errorf("destination 7 parked at %d", at)
 	}
-	if at := watch.parkedAt[pair{0, 8}]; at != notParked {
-		t.Errorf("not parked, and yet at %d", at)
+	if at := observer.parkedAt[callerPair{0, 8}]; at != notParked {
+		t.Errorf("destination 8 parked at %d, want not parked", at)
 	}
 }
 
-// scriptedDecisions does and knows what a test says.
+// scriptedDecisions is a decider that returns the actions and the snapshot set by a test.
 type scriptedDecisions struct {
 	next     []dispatch.Action
 	snapshot dispatch.Snapshot
@@ -110,13 +112,13 @@
 }
 func (s *scriptedDecisions) Snapshot() dispatch.Snapshot { return s.snapshot }
 
-// TestOutageCheckHoldsEachCount: a count that is off fails the check, whichever it is.
-func TestOutageCheckHoldsEachCount(t *testing.T) {
-	sound := map[string]float64{outageStruck: outageDown, outageUnended: 0, outageUnseen: 0, outageDifferent: 0, outageBroken: 0, outageFailed: 5, outagePushed: 0}
-	resultsOf := func(couriers float64, spoilt string, value float64) *Results {
-		results := &Results{run: "outage", point: map[string]*slopes.Point{}}
-		for figure, count := range sound {
-			if figure == spoilt {
+// TestOutageCheckRejectsInvalidResults checks that each single wrong count fails the check.
+func TestOutageCheckRejectsInvalidResults(t *testing.T) {
+	valid := map[string]float64{outageDownCount: outageDown, outageUnanswered: 0, outageAttemptMismatch: 0, outageReplayDiffers: 0, outageViolations: 0, outageFailed: 5, outageOverloaded: 0}
+	resultsOf := func(couriers float64, changedFigure string, value float64) *Results {
+		results := &Results{run: "outage", points: map[string]*slopes.Point{}}
+		for figure, count := range valid {
+			if figure == changedFigure {
 				count = value
 			}
 			results.add(map[string]float64{sizeCouriers: couriers}, figure, count)
@@ -126,12 +128,12 @@
 	if err := checkOutage(resultsOf(3, "", 0)); err != nil {
 		t.Error(err)
 	}
-	for figure, value := range map[string]float64{outageStruck: 9, outageUnended: 1, outageUnseen: 1, outageDifferent: 1, outageBroken: 1, outageFailed: 0, outagePushed: 0.1} {
-		if err := checkOutage(resultsOf(neverPushedOver, figure, value)); err == nil {
-			t.Errorf("%s of %v passed", figure, value)
+	for figure, value := range map[string]float64{outageDownCount: 9, outageUnanswered: 1, outageAttemptMismatch: 1, outageReplayDiffers: 1, outageViolations: 1, outageFailed: 0, outageOverloaded: 0.1} {
+		if err := checkOutage(resultsOf(maxFleetWithoutOverload, figure, value)); err == nil {
+			t.Errorf("%s = %v: check passed, want an error", figure, value)
 		}
 	}
-	if err := checkOutage(resultsOf(1000, outagePushed, 0.1)); err != nil {
+	if err := checkOutage(resultsOf(1000, outageOverloaded, 0.1)); err != nil {
 		t.Error(err)
 	}
 }
--- a/testbed/scale/realfleet.go
+++ b/testbed/scale/realfleet.go
@@ -16,43 +16,43 @@
 	"pineport/testbed/scenario"
 )
 
-// realFleet is a fleet of courier processes to be played on loopback, under load, without any fault.
+// realFleet is a fleet of courier processes on the loopback interface, under load and without injected faults.
 type realFleet struct {
 	binary     string
 	size       int
 	seed       int64
 	membership bool
-	pace       time.Duration
-	settle     time.Duration // from the start of the load until the couriers are observed
-	observe    time.Duration
+	interval   time.Duration
+	settle     time.Duration // time from the start of the load until the observation begins
+	observe    time.Duration // time of the observation
 }
 
-// Load on real couriers.
+// Settings of the load on real couriers.
 const (
-	loadDay       = "calm"
-	loadPerSecond = 5.0             // messages a second at full load, for each courier
-	loadAfter     = time.Second / 2 // goes on after the couriers were observed
-	askWithin     = 3 * time.Second // for a courier to tell of its members
+	loadScenario   = "calm"
+	loadPerSecond  = 5.0             // messages per second and courier at full load
+	loadTail       = time.Second / 2 // time for which the load continues after the observation
+	membersTimeout = 3 * time.Second // timeout of the admin request for the members
 )
 
-// realLoad is what all couriers of a real fleet took over a span.
+// realLoad is the load of all couriers of a real fleet over a time span.
 type realLoad struct {
-	packets, bytes int64 // on the network, by membership
+	packets, bytes int64 // sent by membership
 	processor      time.Duration
-	resident       int64 // bytes, at the end of the span
+	resident       int64 // resident memory in bytes at the end of the span
 	span           time.Duration
-	delivered      int // messages of the whole play
+	delivered      int // messages in the complete play
 }
 
-// play plays the fleet and returns what its couriers took while they were observed.
+// play runs the fleet and returns the load of its couriers during the observation.
 func (f realFleet) play(ctx context.Context) (realLoad, error) {
-	traffic, err := scenario.Find(loadDay)
+	traffic, err := scenario.Find(loadScenario)
 	if err != nil {
 		return realLoad{}, err
 	}
 	traffic.Fleet.Couriers = f.size
 	traffic.Traffic.FullPerSec = loadPerSecond * float64(f.size)
-	traffic.Length = (f.settle + f.observe + loadAfter).Seconds()
+	traffic.Length = (f.settle + f.observe + loadTail).Seconds()
 	observer, err := newRealObserver(f)
 	if err != nil {
 		return realLoad{}, err
@@ -64,8 +64,8 @@
 		return realLoad{}, err
 	case ctx.Err() != nil:
 		return realLoad{}, ctx.Err()
-	case observer.fault != nil:
-		return realLoad{}, observer.fault
+	case observer.err != nil:
+		return realLoad{}, observer.err
 	case verdict.Invalid != "":
 		return realLoad{}, errors.New(verdict.Invalid)
 	case verdict.Counts.Done == 0:
@@ -75,19 +75,19 @@
 	return observer.load, nil
 }
 
-// realObserver reads what courier processes took, from their own figures and from the system's.
+// realObserver reads the load of courier processes from their metrics and from the operating system.
 type realObserver struct {
-	fleet      realFleet
-	operators  []string // address of each courier's operators' interface
-	membership []string // and of its membership
-	load       realLoad
-	fault      error
+	fleet           realFleet
+	adminAddresses  []string // admin address of each courier
+	memberAddresses []string // membership address of each courier
+	load            realLoad
+	err             error
 }
 
 func newRealObserver(f realFleet) (*realObserver, error) {
 	o := &realObserver{fleet: f}
 	for i := range f.size {
-		for _, addresses := range []*[]string{&o.operators, &o.membership} {
+		for _, addresses := range []*[]string{&o.adminAddresses, &o.memberAddresses} {
 			address, err := fleet.Free(i)
 			if err != nil {
 				return nil, err
@@ -98,26 +98,26 @@
 	return o, nil
 }
 
-// configure is what a courier is notified besides what its day says; membership as hollowFleet has it.
+// configure returns the settings of a courier in addition to those of the scenario. Membership is set up as in hollowFleet.
 func (o *realObserver) configure(courier *process.Courier) (map[string]any, error) {
-	settings := map[string]any{"ops": o.operators[courier.No]}
+	settings := map[string]any{"ops": o.adminAddresses[courier.No]}
 	if !o.fleet.membership {
 		return settings, nil
 	}
 	size := o.fleet.size
-	join := []string{o.membership[0], o.membership[(courier.No+1)%size], o.membership[(courier.No+size/2)%size]}
-	settings["peers"] = map[string]any{"listen": o.membership[courier.No], "join": join, "fleet": fleetLabel, "key": fleetKey,
-		"pace_s": o.fleet.pace.Seconds()}
+	join := []string{o.memberAddresses[0], o.memberAddresses[(courier.No+1)%size], o.memberAddresses[(courier.No+size/2)%size]}
+	settings["peers"] = map[string]any{"listen": o.memberAddresses[courier.No], "join": join, "fleet": fleetLabel, "key": fleetKey,
+		"pace_s": o.fleet.interval.Seconds()}
 	settings["settings"] = map[string]any{"ceilings": map[string]any{"peers": true}}
 	return settings, nil
 }
 
-// begin observes the couriers beside the day, and returns what waits for that to end.
+// begin observes the couriers while the scenario runs. It returns a function that waits for the end of the observation.
 func (o *realObserver) begin(ctx context.Context, couriers []*process.Courier) (end func()) {
 	observed := make(chan struct{})
 	go func() {
 		defer close(observed)
-		o.fault = o.run(ctx, couriers)
+		o.err = o.run(ctx, couriers)
 	}()
 	return func() { <-observed }
 }
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// read sums what all couriers have taken so far.
+// read returns the sum of what all couriers have used so far.
 func (o *realObserver) read(ctx context.Context, couriers []*process.Courier) (realLoad, error) {
 	var total realLoad
 	for _, courier := range couriers {
@@ -156,40 +156,40 @@
 		if !o.fleet.membership {
 			continue
 		}
-		notified, err := askMembers(ctx, o.operators[courier.No])
+		members, err := fetchMembers(ctx, o.adminAddresses[courier.No])
 		if err != nil {
 			return realLoad{}, fmt.Errorf("courier %d: %w", courier.No, err)
 		}
-		if notified.Status != membership.Complete.String() {
-			return realLoad{}, fmt.Errorf("courier %d is %s, not %s", courier.No, notified.Status, membership.Complete)
+		if members.Status != membership.Complete.String() {
+			return realLoad{}, fmt.Errorf("courier %d: membership status is %s, want %s", courier.No, members.Status, membership.Complete)
 		}
-		total.packets += notified.Figures.Network.PacketsOut
-		total.bytes += notified.Figures.Network.BytesOut
+		total.packets += members.Figures.Network.PacketsOut
+		total.bytes += members.Figures.Network.BytesOut
 	}
 	return total, nil
 }
 
-// toldMembers is what a courier's operators' interface tells of its membership.
-type notifiedMembers struct {
+// membersReply is the reply of the admin interface to GET /peers.
+type membersReply struct {
 	Status  string         `json:"standing"`
 	Figures gossip.Metrics `json:"figures"`
 }
 
-func askMembers(ctx context.Context, address string) (notified notifiedMembers, err error) {
-	ctx, cancel := context.WithTimeout(ctx, askWithin)
+func fetchMembers(ctx context.Context, address string) (members membersReply, err error) {
+	ctx, cancel := context.WithTimeout(ctx, membersTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/peers", nil)
 	if err != nil {
-		return notified, err
+		return members, err
 	}
 	request.Close = true
 	reply, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return notified, err
+		return members, err
 	}
 	defer reply.Body.Close()
 	if reply.StatusCode != http.StatusOK {
-		return notified, fmt.Errorf("GET /peers: %s", reply.Status)
+		return members, fmt.Errorf("GET /peers: %s", reply.Status)
 	}
-	return notified, json.NewDecoder(reply.Body).Decode(&notified)
+	return members, json.NewDecoder(reply.Body).Decode(&members)
 }
--- a/testbed/scale/registry.go
+++ b/testbed/scale/registry.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Experiments are all scale runs, in the order in which they are played.
+// Experiments returns all experiments in the order in which they are played.
 func Experiments() []Experiment {
 	return []Experiment{
 		heldExperiment(),
@@ -18,7 +18,7 @@
 	}
 }
 
-// Find returns the experiment of a name.
+// Find returns the experiment with the given name.
 func Find(name string) (Experiment, error) {
 	var names []string
 	for _, experiment := range Experiments() {
@@ -27,5 +27,5 @@
 		}
 		names = append(names, experiment.Name)
 	}
-	return Experiment{}, fmt.Errorf("no scale run has the name %q; there are %s, and all", name, strings.Join(names, ", "))
+	return Experiment{}, fmt.Errorf("unknown scale run %q, want one of: %s, all", name, strings.Join(names, ", "))
 }
--- a/testbed/scale/reloads.go
+++ b/testbed/scale/reloads.go
@@ -14,38 +14,39 @@
 	"pineport/protocol"
 )
 
-// Figures of settings that are read anew.
+// Figures of settings that are reloaded.
 const (
-	figureReload      = "reload_seconds"
-	figureReloadCores = "reload_cores"
-	figureReloadKept  = "reload_kept_bytes"
-	figureReloadUsed  = "reload_used_bytes"
-	figureFile        = "file_bytes"
-	figureInForce     = "in_force" // 1: the decisions go by what the file says
-	figureHandout     = "handout_seconds"
-	figureStale       = "stale_ratio" // of the couriers, after a cut has ended
-	figureStaleAgain  = "stale_again" // couriers, after the settings were handed out once more
-	figureMissed      = "missed"      // couriers that were within reach and do not go by the new settings
+	figureReload          = "reload_seconds"
+	figureReloadCores     = "reload_cores"
+	figureReloadKept      = "reload_kept_bytes"
+	figureReloadUsed      = "reload_used_bytes"
+	figureFile            = "file_bytes"
+	figureInForce         = "in_force" // 1 if the dispatcher uses the settings of the file, otherwise 0
+	figureRollout         = "handout_seconds"
+	figureStale           = "stale_ratio" // share of couriers with previous settings after all are reachable again
+	figureStaleAfterRetry = "stale_again" // couriers with previous settings after a second rollout
+	figureMissed          = "missed"      // couriers that were reachable but do not use the new settings
 )
 
 const (
-	// fewTenants and fewKnown are in a file while the other size grows.
-	fewTenants = 10
-	fewKnown   = 10
-	// generationQuota is the quota of the first tenant, which tells generations of settings apart.
+	// defaultTenants and defaultKnown are the numbers of tenants and known endpoints in a file while the other one varies.
+	defaultTenants = 10
+	defaultKnown   = 10
+	// generationQuota is the quota of the first tenant at generation 0. Each generation adds 1 to it, which identifies the
+	// settings that a courier uses.
 	generationQuota = 1000
-	// cutEvery courier of a fleet is cut off while settings are handed out, and the one after it restarts.
-	cutEvery = 10
+	// Of each cutOffEvery couriers, the first is cut off during a rollout and the second restarts.
+	cutOffEvery = 10
 )
 
-// hollowConfig is a courier of which only configuration and decisions run. Its file lies in a folder of its own.
+// hollowConfig is a courier of which only configuration and dispatcher run. Its file is in a folder of its own.
 type hollowConfig struct {
 	file, state string
 	deployment  *config.Deployment
 	courier     *dispatch.Dispatcher
 }
 
-// settingsFile is a courier's file in the platform's form.
+// settingsFile returns the configuration file of a courier.
 func settingsFile(tenants, known, generation int) ([]byte, error) {
 	var entries []any
 	for i := range tenants {
@@ -61,11 +62,11 @@
 	}
 	return json.MarshalIndent(map[string]any{
 		"name": "n0", "listen": "127.0.0.1:6379", "discovery": "127.0.0.1:8500", "seed": "8c1f30d27a5be964",
-		"known":  listText{Seq: 1, Whole: true, Hosts: listedHosts(known)},
+		"known":  discoveryList{Seq: 1, Whole: true, Hosts: listedHosts(known)},
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024, "disk_mb": 3},
 		"settings": map[string]any{
 			"classes": []any{class("update", "free"), class("order", "single_shot")}, "tenants": entries,
-			"zones": []string{listedZone}, "shapes": []string{listedKind}, "fleet-size": 1, "ordinal": 0, "locality": 0,
+			"zones": []string{listedZone}, "shapes": []string{listedEndpointType}, "fleet-size": 1, "ordinal": 0, "locality": 0,
 			"tick-s": 0.005, "discovery": "subscribe", "weight-kind": "nominal",
 			"family-info": map[string]any{"slots": 20, "decay": "halves", "per-call": []int{1}, "separate-routes": []bool{false}},
 			"ceilings": map[string]any{"open-cap": 200, "try-limit": 6, "may-cancel": true, "retry-after": true, "max-retry-after-s": 2.0,
@@ -75,7 +76,7 @@
 	}, "", " ")
 }
 
-// startHollow writes a file and starts a courier on it.
+// startHollow writes a configuration file and starts a courier with it.
 func startHollow(folder string, tenants, known int) (*hollowConfig, error) {
 	h := &hollowConfig{file: filepath.Join(folder, "config.json"), state: filepath.Join(folder, "state")}
 	if err := os.MkdirAll(folder, 0o755); err != nil {
@@ -95,9 +96,9 @@
 	return os.WriteFile(h.file, text, 0o644)
 }
 
-// read reads the file as a start does, or as a hangup does where the process runs already.
-func (h *hollowConfig) read(anew bool) (*config.Deployment, error) {
-	return config.LoadFrom(config.Sources{Getenv: func(string) string { return "" }, File: h.file, State: h.state, IsReload: anew})
+// read reads the file as a courier does at its start, or on SIGHUP if isReload is set.
+func (h *hollowConfig) read(isReload bool) (*config.Deployment, error) {
+	return config.LoadFrom(config.Sources{Getenv: func(string) string { return "" }, File: h.file, State: h.state, IsReload: isReload})
 }
 
 func (h *hollowConfig) start() (err error) {
@@ -108,14 +109,14 @@
 	return nil
 }
 
-// hangup does what SIGHUP has a courier do: see cmd/pineport's process.hear and routing's Router.reload.
-func (h *hollowConfig) hangup(now dispatch.Micros) error {
+// reload does what a courier does on SIGHUP: see process.hear in cmd/pineport and Server.reload in package server.
+func (h *hollowConfig) reload(now dispatch.Micros) error {
 	next, err := h.read(true)
 	if err != nil {
 		return err
 	}
 	if waiting := h.deployment.RestartKeys(next); len(waiting) > 0 {
-		return fmt.Errorf("%s: changes that wait for a start: %v", h.file, waiting)
+		return fmt.Errorf("%s: keys that need a restart have changed: %v", h.file, waiting)
 	}
 	merged := h.deployment.Merged(next)
 	if !h.deployment.SameDispatch(merged) {
@@ -125,12 +126,12 @@
 	return nil
 }
 
-// generation is that of the settings in force.
+// generation returns the generation of the settings that the courier uses.
 func (h *hollowConfig) generation() int {
 	return int(h.deployment.Dispatch.Tenants[0].RatePerSecond) - generationQuota
 }
 
-// fileSize is one size of a settings file.
+// fileSize is the content of a settings file to be measured, with the name of the size that varies.
 type fileSize struct {
 	size           string
 	tenants, known int
@@ -142,10 +143,10 @@
 		tenants, known = []int{10, 100, 300}, []int{10, 100, 300}
 	}
 	for _, n := range tenants {
-		all = append(all, fileSize{sizeTenants, n, fewKnown})
+		all = append(all, fileSize{sizeTenants, n, defaultKnown})
 	}
 	for _, n := range known {
-		all = append(all, fileSize{sizeKnown, fewTenants, n})
+		all = append(all, fileSize{sizeKnown, defaultTenants, n})
 	}
 	return all
 }
@@ -160,7 +161,7 @@
 		if err := ctx.Err(); err != nil {
 			return err
 		}
-		play.Progress("settings of %d tenants and %d endpoints", size.tenants, size.known)
+		play.Progress("settings with %d tenants and %d known endpoints", size.tenants, size.known)
 		if err := size.measure(play, filepath.Join(folder, fmt.Sprint(i))); err != nil {
 			return err
 		}
@@ -186,12 +187,12 @@
 		if err := h.write(size.tenants, size.known, generation); err != nil {
 			return err
 		}
-		usedBefore, begun := allocated(), processorTime()
-		if err := h.hangup(dispatch.Micros(generation) * dispatch.Micros(microsPerSecond)); err != nil {
+		usedBefore, begun := totalAllocated(), processorTime()
+		if err := h.reload(dispatch.Micros(generation) * dispatch.Micros(microsPerSecond)); err != nil {
 			return err
 		}
 		spent += processorTime() - begun
-		used += allocated() - usedBefore
+		used += totalAllocated() - usedBefore
 		if h.generation() != generation {
 			inForce = 0
 		}
@@ -213,14 +214,14 @@
 	return nil
 }
 
-// allocated is all that was ever allocated, in bytes.
-func allocated() uint64 {
+// totalAllocated returns the bytes that this process has allocated so far, freed objects included.
+func totalAllocated() uint64 {
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return stats.TotalAlloc
 }
 
-// changeFleets are fleets that changes reach.
+// changeFleets returns the fleet sizes for which changes are measured.
 func changeFleets(quick bool) []int {
 	if quick {
 		return []int{10, 20, 30}
@@ -228,7 +229,7 @@
 	return []int{10, 30, 100, 300}
 }
 
-func measureHandouts(ctx context.Context, play *Play) error {
+func measureRollouts(ctx context.Context, play *Play) error {
 	folder, err := os.MkdirTemp("", "pineport-testbed-scale-")
 	if err != nil {
 		return err
@@ -238,19 +239,20 @@
 		if err := ctx.Err(); err != nil {
 			return err
 		}
-		play.Progress("settings handed out to %d couriers", couriers)
-		if err := measureHandout(play, filepath.Join(folder, fmt.Sprint(couriers)), couriers); err != nil {
+		play.Progress("rollout of settings to %d couriers", couriers)
+		if err := measureRollout(play, filepath.Join(folder, fmt.Sprint(couriers)), couriers); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// measureHandout hands settings out to a fleet of which some are cut off and some restart, and once more when the cut is over.
-func measureHandout(play *Play, folder string, couriers int) error {
+// measureRollout rolls settings out to a fleet in which some couriers are cut off and some restart, and repeats the rollout
+// when all are reachable again.
+func measureRollout(play *Play, folder string, couriers int) error {
 	var fleet []*hollowConfig
 	for i := range couriers {
-		h, err := startHollow(filepath.Join(folder, fmt.Sprint(i)), fewTenants, fewKnown)
+		h, err := startHollow(filepath.Join(folder, fmt.Sprint(i)), defaultTenants, defaultKnown)
 		if err != nil {
 			return err
 		}
@@ -258,14 +260,14 @@
 	}
 	var spent time.Duration
 	for i, h := range fleet {
-		if i%cutEvery == 0 {
-			continue // cut off: nobody can write its file
+		if i%cutOffEvery == 0 {
+			continue // cut off: its file cannot be written
 		}
-		if err := h.write(fewTenants, fewKnown, 1); err != nil {
+		if err := h.write(defaultTenants, defaultKnown, 1); err != nil {
 			return err
 		}
 		begun := processorTime()
-		if err := h.takeOver(i%cutEvery == 1); err != nil {
+		if err := h.apply(i%cutOffEvery == 1); err != nil {
 			return err
 		}
 		spent += processorTime() - begun
@@ -276,55 +278,55 @@
 			continue
 		}
 		stale++
-		if i%cutEvery != 0 {
+		if i%cutOffEvery != 0 {
 			missed++
 		}
 	}
-	again := 0
+	staleAfterRetry := 0
 	for _, h := range fleet {
-		if err := h.write(fewTenants, fewKnown, 1); err != nil {
+		if err := h.write(defaultTenants, defaultKnown, 1); err != nil {
 			return err
 		}
-		if err := h.takeOver(false); err != nil {
+		if err := h.apply(false); err != nil {
 			return err
 		}
 		if h.generation() != 1 {
-			again++
+			staleAfterRetry++
 		}
 	}
 	sizes := map[string]float64{sizeCouriers: float64(couriers)}
-	for figure, value := range map[string]float64{figureHandout: spent.Seconds(), figureStale: float64(stale) / float64(couriers), figureMissed: float64(missed), figureStaleAgain: float64(again)} {
+	for figure, value := range map[string]float64{figureRollout: spent.Seconds(), figureStale: float64(stale) / float64(couriers), figureMissed: float64(missed), figureStaleAfterRetry: float64(staleAfterRetry)} {
 		play.Report(sizes, figure, value)
 	}
 	return nil
 }
 
-// takeOver has a courier go by its file: at a hangup, or because it starts anew.
-func (h *hollowConfig) takeOver(restarts bool) error {
+// apply makes a courier read its file, by a restart or by a reload.
+func (h *hollowConfig) apply(restarts bool) error {
 	if restarts {
 		return h.start()
 	}
-	return h.hangup(dispatch.Micros(microsPerSecond))
+	return h.reload(dispatch.Micros(microsPerSecond))
 }
 
 const (
-	listedZone = "a"
-	listedKind = "plain"
+	listedZone         = "a"
+	listedEndpointType = "plain"
 )
 
-// listText is discovery's list as it is sent.
-type listText struct {
+// discoveryList is the endpoint list in the JSON form that discovery sends.
+type discoveryList struct {
 	Seq   int64               `json:"seq"`
 	Whole bool                `json:"whole"`
 	Hosts []protocol.Endpoint `json:"hosts"`
 }
 
-// listedHosts are so many endpoints, each of a destination of its own.
+// listedHosts returns n list entries, each for a destination of its own.
 func listedHosts(n int) []protocol.Endpoint {
 	hosts := make([]protocol.Endpoint, 0, n)
 	for i := range n {
 		hosts = append(hosts, protocol.Endpoint{Host: fmt.Sprintf("e%d-0", i), Address: fmt.Sprintf("10.%d.%d.%d:8080", i>>16&255, i>>8&255, i&255),
-			Zone: listedZone, EndpointType: listedKind, Destination: i, Health: protocol.InService, Rate: 50})
+			Zone: listedZone, EndpointType: listedEndpointType, Destination: i, Health: protocol.InService, Rate: 50})
 	}
 	return hosts
 }
--- a/testbed/scale/scale.go
+++ b/testbed/scale/scale.go
@@ -1,6 +1,10 @@
-// Package scale measures how the courier's cost and knowledge grow with the size of its fleet: hollow couriers that run the
-// real decisions, membership, sharing and configuration code in one process, with stand-ins in memory for clients, endpoints,
-// disk and sockets. Each experiment is a file of its own; this one plays them and keeps what they message.
+// Package scale measures how cost and state of a courier grow with the size of the fleet and of its configuration. It runs
+// hollow couriers: many instances of the real dispatcher, membership, quota or configuration code in one process, with
+// in-memory stand-ins for clients, endpoints and sockets. Each experiment has files of its own; this file runs the
+// experiments and collects the results.
+//
+// A play is one repetition of an experiment, with its own seed. A size is an independent variable, such as the number of
+// couriers. A figure is a value measured at a combination of sizes.
 package scale
 
 import (
@@ -16,68 +20,68 @@
 
 // Experiment is one scale run.
 type Experiment struct {
-	Name  string // as in pineport-testbed scale NAME
-	About string // what is played, in one sentence
-	Plays int    // how often each size is played in full; a quick run plays it once
-	// Timed experiments measure processor time: nothing else should run on the machine.
+	Name  string // argument NAME of the command pineport-testbed scale NAME
+	About string // what the experiment measures, in one sentence
+	Plays int    // repetitions of each size in a full run; a quick run plays each size once
+	// Timed marks experiments that measure processor time, which need an otherwise idle machine.
 	Timed bool
-	// Real experiments play real couriers beside hollow ones, in full runs.
+	// Real marks experiments that also start real courier processes in full runs.
 	Real bool
-	// Measure plays every size once and messages what it found.
+	// Measure plays every size once and reports the figures.
 	Measure func(ctx context.Context, play *Play) error
-	// Fit says which slopes the recorded points make.
+	// Fit fits the slopes of the experiment to the recorded points.
 	Fit func(results *Results) error
-	// Check judges a run by what it counted, never by what it timed, so that its verdict is the same each time.
+	// Check validates counts only, never times, so that its verdict is reproducible.
 	Check func(results *Results) error
 }
 
-// sizeCouriers is the size that several experiments have in common: how many couriers the fleet has.
+// sizeCouriers is the number of couriers in the fleet, a size that several experiments share.
 const sizeCouriers = "couriers"
 
-// Options are how an experiment is played.
+// Options control a run of an experiment.
 type Options struct {
-	Quick    bool  // the small sizes, once
-	Seed     int64 // of the first play; each further play takes the next
+	Quick    bool  // play the small sizes only, once
+	Seed     int64 // seed of the first play; each further play adds 1
 	Commit   string
 	Command  string
-	Courier  string            // path of the courier's binary, for experiments with real couriers
+	Courier  string            // path of the courier binary, for experiments with real couriers
 	Progress func(text string) // may be nil
 }
 
-// Play is one play of an experiment under way.
+// Play is one repetition of an experiment in progress.
 type Play struct {
-	Quick   bool
-	Number  int // from 0
-	Seed    int64
-	Courier string // path of the courier's binary
-	results *Results
-	tell    func(text string)
+	Quick    bool
+	Number   int // counted from 0
+	Seed     int64
+	Courier  string // path of the courier binary
+	results  *Results
+	progress func(text string)
 }
 
-// Report keeps a figure measured at a size.
+// Report records the value of a figure at the given sizes.
 func (p *Play) Report(sizes map[string]float64, figure string, value float64) {
 	p.results.add(sizes, figure, value)
 }
 
-// Miss notes that a figure could not be measured, and why.
-func (p *Play) Miss(figure, why string) { p.results.Miss(figure, why) }
+// ReportMissing records that a figure could not be measured, and why.
+func (p *Play) ReportMissing(figure, why string) { p.results.AddMissing(figure, why) }
 
-// Progress tells how far the play has come.
+// Progress passes a progress message to Options.Progress.
 func (p *Play) Progress(format string, args ...any) {
-	if p.tell != nil {
-		p.tell(fmt.Sprintf(format, args...))
+	if p.progress != nil {
+		p.progress(fmt.Sprintf(format, args...))
 	}
 }
 
-// Results are what an experiment recorded over all its plays.
+// Results collects what an experiment recorded in all plays.
 type Results struct {
-	run   string
-	plays int
-	point map[string]*slopes.Point
-	order []string
-	fits  []slopes.Slope
-	gaps  []slopes.Gap
-	// Verified says how hollow couriers compare with real ones, where the experiment measures that.
+	run     string
+	plays   int
+	points  map[string]*slopes.Point
+	order   []string
+	fitted  []slopes.Slope
+	missing []slopes.Gap
+	// Verified describes how hollow couriers compare with real ones, if the experiment measures that.
 	Verified string
 }
 
@@ -87,68 +91,69 @@
 		parts = append(parts, fmt.Sprintf("%s=%v", name, sizes[name]))
 	}
 	key := strings.Join(parts, " ")
-	point := r.point[key]
+	point := r.points[key]
 	if point == nil {
 		point = &slopes.Point{Sizes: maps.Clone(sizes), Values: map[string][]float64{}}
-		r.point[key] = point
+		r.points[key] = point
 		r.order = append(r.order, key)
 	}
 	point.Values[figure] = append(point.Values[figure], value)
 }
 
-// Miss notes that a figure could not be measured, and why.
-func (r *Results) Miss(figure, why string) {
+// AddMissing records that a figure could not be measured, and why. It ignores duplicates.
+func (r *Results) AddMissing(figure, why string) {
 	gap := slopes.Gap{Figure: figure, Why: why}
-	if !slices.Contains(r.gaps, gap) {
-		r.gaps = append(r.gaps, gap)
+	if !slices.Contains(r.missing, gap) {
+		r.missing = append(r.missing, gap)
 	}
 }
 
-// Points are all sizes in the order in which they were first recorded.
+// Points returns all points in the order in which they were first recorded.
 func (r *Results) Points() []slopes.Point {
 	var all []slopes.Point
 	for _, key := range r.order {
-		all = append(all, *r.point[key])
+		all = append(all, *r.points[key])
 	}
 	return all
 }
 
-// Values are all pairs of a size and a figure recorded there, over the points that have this size and whose other sizes are as given.
+// Values returns the pairs of a size and a figure recorded at that size, for the points that have the size named over and
+// whose other sizes equal where.
 func (r *Results) Values(figure, over string, where map[string]float64) (sizes, figures []float64) {
 	recorded := slopes.Run{Points: r.Points()}
 	return recorded.Values(figure, over, where)
 }
 
-// Curve is a slope to be fitted.
+// Curve describes a slope to be fitted.
 type Curve struct {
-	Name   string // after RUN. and before nothing: FIGURE or FIGURE.VARIANT
+	Name   string // name of the slope without the prefix "RUN.": FIGURE or FIGURE.VARIANT
 	Figure string
 	About  string
 	Unit   string
-	Over   string             // the size it grows with
-	Where  map[string]float64 // the other sizes
-	Models []slopes.Model     // the simplest first
+	Over   string             // name of the size that the figure grows with
+	Where  map[string]float64 // values of the other sizes
+	Models []slopes.Model     // candidates, the simplest first
 }
 
-// Fit fits a curve to what was recorded. In a quick run, whose sizes may be too few, a curve that cannot be fitted is left out.
+// Fit fits a curve to the recorded values. Run does not call it in quick runs, which may have too few sizes.
 func (r *Results) Fit(curve Curve) error {
 	sizes, figures := r.Values(curve.Figure, curve.Over, curve.Where)
 	name := r.run + "." + curve.Name
 	if len(sizes) == 0 {
-		return fmt.Errorf("%s: nothing was recorded as %s", name, curve.Figure)
+		return fmt.Errorf("%s: no value of %s was recorded", name, curve.Figure)
 	}
 	fit, err := slopes.Best(sizes, figures, curve.Models...)
 	if err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
-	different := slices.Compact(slices.Sorted(slices.Values(sizes)))
-	r.fits = append(r.fits, slopes.Slope{Name: name, About: curve.About, Unit: curve.Unit, Over: curve.Over,
-		From: different[0], To: different[len(different)-1], Points: len(different), Plays: r.plays, Fit: fit,
+	distinct := slices.Compact(slices.Sorted(slices.Values(sizes)))
+	r.fitted = append(r.fitted, slopes.Slope{Name: name, About: curve.About, Unit: curve.Unit, Over: curve.Over,
+		From: distinct[0], To: distinct[len(distinct)-1], Points: len(distinct), Plays: r.plays, Fit: fit,
 		Figure: curve.Figure, Where: curve.Where})
 	return nil
 }
 
-// FitAll fits curves one after the other, up to the first that cannot be fitted.
+// FitAll fits the curves in order and stops at the first error.
 func (r *Results) FitAll(curves []Curve) error {
 	for _, curve := range curves {
 		if err := r.Fit(curve); err != nil {
@@ -158,16 +163,16 @@
 	return nil
 }
 
-// Run plays an experiment and returns what it measured. A run that was stopped or failed returns no half of it.
+// Run plays an experiment and returns its results. If it fails or ctx ends, it returns an empty result and the error.
 func Run(ctx context.Context, experiment Experiment, o Options) (slopes.Run, error) {
 	plays := experiment.Plays
 	if o.Quick {
 		plays = 1
 	}
 	begun := time.Now()
-	results := &Results{run: experiment.Name, plays: plays, point: map[string]*slopes.Point{}}
+	results := &Results{run: experiment.Name, plays: plays, points: map[string]*slopes.Point{}}
 	for n := range plays {
-		play := &Play{Quick: o.Quick, Number: n, Seed: o.Seed + int64(n), Courier: o.Courier, results: results, tell: func(text string) {
+		play := &Play{Quick: o.Quick, Number: n, Seed: o.Seed + int64(n), Courier: o.Courier, results: results, progress: func(text string) {
 			if o.Progress != nil {
 				o.Progress(fmt.Sprintf("%s, play %d of %d: %s", experiment.Name, n+1, plays, text))
 			}
@@ -191,5 +196,5 @@
 	}
 	return slopes.Run{Name: experiment.Name, About: experiment.About, Command: o.Command, Commit: o.Commit, Taken: begun.UTC().Format(time.RFC3339),
 		Machine: machine(), Quick: o.Quick, Plays: plays, Seconds: time.Since(begun).Seconds(), Points: results.Points(),
-		Slopes: results.fits, Missing: results.gaps, Verified: results.Verified}, nil
+		Slopes: results.fitted, Missing: results.missing, Verified: results.Verified}, nil
 }
--- a/testbed/scale/scale_test.go
+++ b/testbed/scale/scale_test.go
@@ -9,15 +9,15 @@
 	"pineport/testbed/slopes"
 )
 
-func doubling() Experiment {
+func doublingExperiment() Experiment {
 	return Experiment{Name: "doubling", Plays: 3,
 		Measure: func(_ context.Context, play *Play) error {
 			for _, size := range []float64{1, 10, 100} {
 				play.Report(map[string]float64{"size": size, "kind": 1}, "twice", 2*size)
 				play.Report(map[string]float64{"size": size, "kind": 2}, "twice", 20*size)
 			}
-			play.Report(map[string]float64{"length": 7, "kind": 1}, "twice", 14) // grows with something else
-			play.Miss("thrice", "nobody asked")
+			play.Report(map[string]float64{"length": 7, "kind": 1}, "twice", 14) // point without the size "size"
+			play.ReportMissing("thrice", "not implemented")
 			return nil
 		},
 		Fit: func(results *Results) error {
@@ -25,7 +25,7 @@
 		},
 		Check: func(results *Results) error {
 			if _, figures := results.Values("twice", "size", nil); len(figures) == 0 {
-				return errors.New("nothing counted")
+				return errors.New("no value was recorded")
 			}
 			return nil
 		},
@@ -33,7 +33,7 @@
 }
 
 func TestRunKeepsPointsAndSlopes(t *testing.T) {
-	run, err := Run(context.Background(), doubling(), Options{Seed: 1})
+	run, err := Run(context.Background(), doublingExperiment(), Options{Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,24 +50,24 @@
 	if sizes, figures := run.Values(slope.Figure, slope.Over, slope.Where); len(sizes) != 9 || sizes[8] != 100 || figures[8] != 200 {
 		t.Errorf("points of the slope: %v, %v", sizes, figures)
 	}
-	quick, err := Run(context.Background(), doubling(), Options{Quick: true})
+	quick, err := Run(context.Background(), doublingExperiment(), Options{Quick: true})
 	if err != nil || quick.Plays != 1 || len(quick.Slopes) != 0 {
 		t.Errorf("quick: %+v, %v", quick, err)
 	}
 }
 
-func TestStoppedRunLeavesNothing(t *testing.T) {
+func TestStoppedRunReturnsNoPoints(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	stop()
-	if run, err := Run(ctx, doubling(), Options{}); err == nil || len(run.Points) > 0 {
+	if run, err := Run(ctx, doublingExperiment(), Options{}); err == nil || len(run.Points) > 0 {
 		t.Errorf("stopped: %+v, %v", run, err)
 	}
 }
 
-func TestFailedCheckFailsTheRun(t *testing.T) {
-	broken := doubling()
-	broken.Check = func(*Results) error { return errors.New("counted wrong") }
-	if _, err := Run(context.Background(), broken, Options{Quick: true}); err == nil || !strings.Contains(err.Error(), "counted wrong") {
+func TestFailedCheckFailsRun(t *testing.T) {
+	broken := doublingExperiment()
+	broken.Check = func(*Results) error { return errors.New("wrong count") }
+	if _, err := Run(context.Background(), broken, Options{Quick: true}); err == nil || !strings.Contains(err.Error(), "wrong count") {
 		t.Errorf("%v", err)
 	}
 	if _, err := Find("nothing-like-it"); err == nil || !strings.Contains(err.Error(), "nothing-like-it") {
