--- a/testbed/scale/sharingfleet.go
+++ b/testbed/scale/sharingfleet.go
@@ -13,82 +13,84 @@
 
 const (
 	fleetRoutes = 10
-	// fleetLoad is what all couriers use together of each limit; a quarter of them use heavyUse times as much as the others.
+	// fleetLoad is the share of each limit that all couriers use together. On each route, one in heavyEvery couriers uses
+	// heavyUse times as much as the others.
 	fleetLoad  = 0.8
 	heavyUse   = 3.0
 	heavyEvery = 4
-	// A packet takes so long, as in testbed/simulation: a network of one country.
-	packetLeast = 10 * microsPerSecond / 1000
-	packetMost  = 60 * microsPerSecond / 1000
-	// sharingWarmUp is longer than a start holds back what an earlier one may have granted, and than usage is measured over.
+	// Bounds of the network latency, as in testbed/simulation: a network within one country.
+	minPacketDelay = 10 * microsPerSecond / 1000
+	maxPacketDelay = 60 * microsPerSecond / 1000
+	// sharingWarmUp is longer than the time for which a started courier withholds what its predecessor may have granted, and
+	// longer than the averaging time of usage.
 	sharingWarmUp  = 8 * microsPerSecond
-	sharingLasts   = 20 * microsPerSecond
-	sharingSampled = microsPerSecond
-	// heardFresh is how old a count may be to say something of now, as in package quota.
-	heardFresh = 3 * microsPerSecond
-	// listenersSampled couriers have the packets that they hear gone through.
-	listenersSampled = 5
+	sharingEnd     = 20 * microsPerSecond
+	sampleInterval = microsPerSecond
+	// maxReportAge is the age up to which a sample counts, as in package quota.
+	maxReportAge = 3 * microsPerSecond
+	// trackedSharers is the number of couriers whose received samples are recorded.
+	trackedSharers = 5
 )
 
-// sharer is one hollow courier of the fleet.
+// sharer is a hollow courier of the fleet.
 type sharer struct {
-	name  string
-	quota *quota.Allocator
-	rates []float64 // calls a second, by route
-	calls []uint64
-	heard map[quota.Key]map[string]heardUse // nil: not gone through
+	name     string
+	quota    *quota.Allocator
+	rates    []float64 // calls per second, by route
+	calls    []uint64
+	reported map[quota.Key]map[string]reportedUse // latest usage of others by route and courier; nil if not recorded
 }
 
-// heardUse is what was said last of one courier's use.
-type heardUse struct {
+// reportedUse is the latest reported usage of a courier.
+type reportedUse struct {
 	usage quota.Units
 	at    quota.Micros
 }
 
-// sharingFleet is a fleet of hollow couriers in virtual time, on one goroutine.
+// sharingFleet is a fleet of hollow couriers in virtual time. It runs on one goroutine.
 type sharingFleet struct {
 	now     quota.Micros
 	rng     *rand.Rand
-	queue   laterQueue
+	queue   eventQueue
 	sharers []*sharer
 	byName  map[string]*sharer
 	names   []string
-	// expected is how many couriers each of them expects in the fleet.
+	// expected is the fleet size in the FleetChanged events of all couriers.
 	expected int
 
-	counting                     bool
-	packets, bytes               int
-	largest, spoilt, overGranted int
-	samples                      int
-	heardOf, useKnown, notified  float64 // sums over the samples
-	steppedDown                  time.Duration
-	fault                        error
+	measuring                       bool
+	packets, bytes                  int
+	largest, malformed, overGranted int
+	samples                         int
+	heardRatio, useRatio, loadRatio float64 // sums over all samples
+	samplingTime                    time.Duration
+	err                             error
 }
 
 func measureSharingFleet(ctx context.Context, play *Play, couriers int) error {
 	f := newSharingFleet(couriers, play.Seed)
 	f.run(ctx, sharingWarmUp)
-	f.counting = true
+	f.measuring = true
 	f.sample()
 	runtime.GC()
-	f.steppedDown = 0
+	f.samplingTime = 0
 	begun := processorTime()
-	f.run(ctx, sharingLasts)
-	used := processorTime() - begun - f.steppedDown
-	if f.fault != nil {
-		return f.fault
+	f.run(ctx, sharingEnd)
+	used := processorTime() - begun - f.samplingTime
+	if f.err != nil {
+		return f.err
 	}
 	leases := uint64(0)
 	for _, s := range f.sharers {
 		_, sums := s.quota.Status(f.now)
 		leases += sums.Leased
 	}
-	span := float64(sharingLasts-sharingWarmUp) / float64(microsPerSecond) * float64(couriers)
+	span := float64(sharingEnd-sharingWarmUp) / float64(microsPerSecond) * float64(couriers)
 	sizes := map[string]float64{sizeCouriers: float64(couriers), sizeRoutes: fleetRoutes}
 	for figure, value := range map[string]float64{
-		figureSaidPackets: float64(f.packets) / span, figureBytes: float64(f.bytes) / span, figureCores: used.Seconds() / span,
-		figureHeardOf: f.heardOf / float64(f.samples), figureHeard: f.heardOf / float64(f.samples) * float64(couriers-1), figureUseKnown: f.useKnown / float64(f.samples), figureNotifiedLoad: f.notified / float64(f.samples),
-		figureLeases: float64(leases), figureLargest: float64(f.largest), figureSpoilt: float64(f.spoilt), figureOverGranted: float64(f.overGranted),
+		figurePacketRate: float64(f.packets) / span, figureByteRate: float64(f.bytes) / span, figureCores: used.Seconds() / span,
+		figureHeardRatio: f.heardRatio / float64(f.samples), figureHeard: f.heardRatio / float64(f.samples) * float64(couriers-1), figureUseRatio: f.useRatio / float64(f.samples), figureLoadRatio: f.loadRatio / float64(f.samples),
+		figureLeases: float64(leases), figureLargest: float64(f.largest), figureMalformed: float64(f.malformed), figureOverGranted: float64(f.overGranted),
 	} {
 		play.Report(sizes, figure, value)
 	}
@@ -108,137 +110,140 @@
 				s.rates[route] = heavyUse * light
 			}
 		}
-		if i < listenersSampled {
-			s.heard = map[quota.Key]map[string]heardUse{}
+		if i < trackedSharers {
+			s.reported = map[quota.Key]map[string]reportedUse{}
 		}
 		f.sharers, f.byName[name] = append(f.sharers, s), s
 	}
 	for i, s := range f.sharers {
 		alive := make([]string, 0, couriers-1)
 		alive = append(append(alive, f.names[:i]...), f.names[i+1:]...)
-		f.after(f.now+quota.Micros(f.rng.Int64N(int64(tickSpan))), func() { f.interval(s, alive) })
+		f.schedule(f.now+quota.Micros(f.rng.Int64N(int64(tickSpan))), func() { f.tick(s, alive) })
 	}
-	f.after(sharingWarmUp+sharingSampled, f.sampleAgain)
+	f.schedule(sharingWarmUp+sampleInterval, f.samplePeriodically)
 	return f
 }
 
-// run plays until an instant.
+// run processes events up to the given time.
 func (f *sharingFleet) run(ctx context.Context, until quota.Micros) {
-	for f.fault == nil && f.queue.all[0].at <= until {
-		if f.fault = ctx.Err(); f.fault != nil {
+	for f.err == nil && f.queue.events[0].at <= until {
+		if f.err = ctx.Err(); f.err != nil {
 			return
 		}
-		next := heap.Pop(&f.queue).(later)
+		next := heap.Pop(&f.queue).(timedEvent)
 		f.now = next.at
-		next.do()
+		next.run()
 	}
 }
 
-func (f *sharingFleet) after(at quota.Micros, do func()) {
+func (f *sharingFleet) schedule(at quota.Micros, do func()) {
 	f.queue.number++
-	heap.Push(&f.queue, later{at, f.queue.number, do})
+	heap.Push(&f.queue, timedEvent{at, f.queue.number, do})
 }
 
-// tick has one courier tell what it used since its last tick, and say what it says.
-func (f *sharingFleet) interval(s *sharer, alive []string) {
-	f.after(f.now+tickSpan, func() { f.interval(s, alive) })
-	needs := quota.DemandsChanged{All: make([]quota.Demand, 0, fleetRoutes)}
+// tick passes the usage since the last tick to the quota allocator of a courier, and sends the resulting packets.
+func (f *sharingFleet) tick(s *sharer, alive []string) {
+	f.schedule(f.now+tickSpan, func() { f.tick(s, alive) })
+	demands := quota.DemandsChanged{All: make([]quota.Demand, 0, fleetRoutes)}
 	for route, rate := range s.rates {
-		s.calls[route] += f.calls(rate * float64(tickSpan) / float64(microsPerSecond))
-		needs.All = append(needs.All, quota.Demand{Key: quota.Key{Dest: int32(route)}, Limit: routeLimit, Calls: s.calls[route], Delivered: s.calls[route]})
+		s.calls[route] += f.drawCalls(rate * float64(tickSpan) / float64(microsPerSecond))
+		demands.All = append(demands.All, quota.Demand{Key: quota.Key{Dest: int32(route)}, Limit: routeLimit, Calls: s.calls[route], Delivered: s.calls[route]})
 	}
-	f.carry(s, quota.FleetChanged{Couriers: f.expected, Alive: alive}, needs, quota.Tick{})
+	f.handle(s, quota.FleetChanged{Couriers: f.expected, Alive: alive}, demands, quota.Tick{})
 }
 
-// calls draws how many calls are made where so many are usual, evenly spread in time: the whole part, and one more by chance.
-func (f *sharingFleet) calls(usual float64) uint64 {
-	whole := uint64(usual)
-	if f.rng.Float64() < usual-float64(whole) {
-		whole++
+// drawCalls returns a random integer with the mean usual: its integer part, plus 1 with the probability of its fraction.
+func (f *sharingFleet) drawCalls(mean float64) uint64 {
+	calls := uint64(mean)
+	if f.rng.Float64() < mean-float64(calls) {
+		calls++
 	}
-	return whole
+	return calls
 }
 
-// carry hands events to a courier's quota and carries what it says, as package exchange does: encoded.
-func (f *sharingFleet) carry(s *sharer, events ...quota.Event) {
+// handle passes events to the quota allocator of a courier and delivers the packets that it sends. Packets are encoded, as on
+// the real network.
+func (f *sharingFleet) handle(s *sharer, events ...quota.Event) {
 	for _, action := range s.quota.Handle(f.now, events...) {
-		say, ok := action.(quota.SendPacket)
+		send, ok := action.(quota.SendPacket)
 		if !ok {
 			continue
 		}
-		text, err := quota.Encode(say.Packet)
+		text, err := quota.Encode(send.Packet)
 		if err != nil {
-			f.fault = fmt.Errorf("%s: words that cannot be written: %w", s.name, err)
+			f.err = fmt.Errorf("%s: encode packet: %w", s.name, err)
 			return
 		}
-		if f.counting {
+		if f.measuring {
 			f.packets, f.bytes = f.packets+1, f.bytes+len(text)
 		}
 		f.largest = max(f.largest, len(text))
-		to := f.byName[say.To]
-		f.after(f.now+packetLeast+quota.Micros(f.rng.Int64N(int64(packetMost-packetLeast))), func() { f.hear(to, text) })
+		to := f.byName[send.To]
+		f.schedule(f.now+minPacketDelay+quota.Micros(f.rng.Int64N(int64(maxPacketDelay-minPacketDelay))), func() { f.receive(to, text) })
 	}
 }
 
-func (f *sharingFleet) hear(s *sharer, text []byte) {
-	words, err := quota.Decode(text)
+func (f *sharingFleet) receive(s *sharer, text []byte) {
+	packet, err := quota.Decode(text)
 	if err != nil {
-		f.spoilt++
+		f.malformed++
 		return
 	}
-	s.note(f.now, words)
-	f.carry(s, quota.PacketReceived{Packet: words})
+	s.recordUse(f.now, packet)
+	f.handle(s, quota.PacketReceived{Packet: packet})
 }
 
-// note keeps what a sampled courier was notified of others' use.
-func (s *sharer) note(now quota.Micros, words quota.Packet) {
-	if s.heard == nil {
+// recordUse records the usage of other couriers that a tracked courier receives.
+func (s *sharer) recordUse(now quota.Micros, packet quota.Packet) {
+	if s.reported == nil {
 		return
 	}
-	for _, count := range words.Samples {
-		of := s.heard[count.Key]
+	for _, count := range packet.Samples {
+		of := s.reported[count.Key]
 		if of == nil {
-			of = map[string]heardUse{}
-			s.heard[count.Key] = of
+			of = map[string]reportedUse{}
+			s.reported[count.Key] = of
 		}
 		if at := now - count.Age; count.Courier != s.name && at > of[count.Courier].at {
-			of[count.Courier] = heardUse{count.Usage, at}
+			of[count.Courier] = reportedUse{count.Usage, at}
 		}
 	}
 }
 
-// known is what a sampled courier has lately heard that others use of a route.
-func (s *sharer) known(now quota.Micros, key quota.Key) (sum quota.Units) {
-	for _, use := range s.heard[key] {
-		if now-use.at <= heardFresh {
+// knownUse returns the usage of a route by other couriers, from the samples that a tracked courier has received and that have
+// not expired.
+func (s *sharer) knownUse(now quota.Micros, key quota.Key) (sum quota.Units) {
+	for _, use := range s.reported[key] {
+		if now-use.at <= maxReportAge {
 			sum += use.usage
 		}
 	}
 	return sum
 }
 
-func (f *sharingFleet) sampleAgain() {
-	f.after(f.now+sharingSampled, f.sampleAgain)
+func (f *sharingFleet) samplePeriodically() {
+	f.schedule(f.now+sampleInterval, f.samplePeriodically)
 	begun := processorTime()
 	f.sample()
-	f.steppedDown += processorTime() - begun
+	f.samplingTime += processorTime() - begun
 }
 
-// sample holds the parts of each limit against the whole, and what couriers know of the others' use against what they use.
+// sample checks for each limit that the shares of all couriers do not exceed it, and compares the usage that couriers know of
+// with the actual usage.
 func (f *sharingFleet) sample() {
-	const whole = quota.Units(1000 * 1000)
+	const limit = quota.Units(1000 * 1000)
 	all := make([][]quota.Status, len(f.sharers))
 	for i, s := range f.sharers {
 		all[i], _ = s.quota.Status(f.now)
 	}
 	for route := range fleetRoutes {
-		var parts, use quota.Units
+		var shares, use quota.Units
 		for _, lines := range all {
 			line := &lines[route]
-			parts += line.Base - line.Granted + line.Leased
+			shares += line.Base - line.Granted + line.Leased
 			use += line.Usage
 		}
-		if parts > whole {
+		if shares > limit {
 			f.overGranted++
 		}
 		f.sampleRoute(all, route, use)
@@ -246,47 +251,47 @@
 }
 
 func (f *sharingFleet) sampleRoute(all [][]quota.Status, route int, use quota.Units) {
-	const whole = 1e6
+	const limit = 1e6
 	if use == 0 {
 		return
 	}
-	var heard, notified, known, others float64
+	var heardRatio, loadRatio, known, others float64
 	for i, lines := range all {
 		line := &lines[route]
-		heard += float64(line.CouriersHeard) / float64(len(all)-1)
-		notified += line.Load / (float64(use) / whole)
-		if s := f.sharers[i]; s.heard != nil {
-			known += float64(s.known(f.now, line.Key))
+		heardRatio += float64(line.CouriersHeard) / float64(len(all)-1)
+		loadRatio += line.Load / (float64(use) / limit)
+		if s := f.sharers[i]; s.reported != nil {
+			known += float64(s.knownUse(f.now, line.Key))
 			others += float64(use - line.Usage)
 		}
 	}
 	f.samples++
-	f.heardOf += heard / float64(len(all))
-	f.notified += notified / float64(len(all))
-	f.useKnown += known / max(others, 1)
+	f.heardRatio += heardRatio / float64(len(all))
+	f.loadRatio += loadRatio / float64(len(all))
+	f.useRatio += known / max(others, 1)
 }
 
-// later is something that happens at an instant; what is due at one instant happens in the order in which it was set.
-type later struct {
+// timedEvent is an event in virtual time. Events due at the same time run in the order in which they were scheduled.
+type timedEvent struct {
 	at     quota.Micros
 	number int
-	do     func()
+	run    func()
 }
 
-type laterQueue struct {
-	all    []later
+type eventQueue struct {
+	events []timedEvent
 	number int
 }
 
-func (q *laterQueue) Len() int { return len(q.all) }
-func (q *laterQueue) Less(a, b int) bool {
-	return q.all[a].at < q.all[b].at || q.all[a].at == q.all[b].at && q.all[a].number < q.all[b].number
+func (q *eventQueue) Len() int { return len(q.events) }
+func (q *eventQueue) Less(a, b int) bool {
+	return q.events[a].at < q.events[b].at || q.events[a].at == q.events[b].at && q.events[a].number < q.events[b].number
 }
-func (q *laterQueue) Swap(a, b int) { q.all[a], q.all[b] = q.all[b], q.all[a] }
-func (q *laterQueue) Push(x any)    { q.all = append(q.all, x.(later)) }
-func (q *laterQueue) Pop() any {
-	last := q.all[len(q.all)-1]
-	q.all[len(q.all)-1] = later{}
-	q.all = q.all[:len(q.all)-1]
+func (q *eventQueue) Swap(a, b int) { q.events[a], q.events[b] = q.events[b], q.events[a] }
+func (q *eventQueue) Push(x any)    { q.events = append(q.events, x.(timedEvent)) }
+func (q *eventQueue) Pop() any {
+	last := q.events[len(q.events)-1]
+	q.events[len(q.events)-1] = timedEvent{}
+	q.events = q.events[:len(q.events)-1]
 	return last
 }
--- a/testbed/scale/sidebyside.go
+++ b/testbed/scale/sidebyside.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// sideBySide compares hollow members with real couriers under load, before any figure of hollow ones is believed.
+// sideBySideExperiment compares hollow members with real couriers under load, to validate the figures of hollow members.
 func sideBySideExperiment() Experiment {
 	return Experiment{
 		Name:    "sidebyside",
-		About:   "hollow members beside real courier processes: packets, bytes, processor time and memory of membership, as ratios",
+		About:   "hollow members compared with real courier processes: ratios of packets, bytes, processor time and memory of membership",
 		Plays:   3,
 		Timed:   true,
 		Real:    true,
@@ -23,8 +23,9 @@
 	}
 }
 
-// Figures of a member a second at the pace played, hollow and real, and hollow over real. Bytes are of packets and full exchanges
-// together; processor time and memory of real couriers are those with membership less those without.
+// Figures of one member per second at the heartbeat interval of the play: hollow, real, and the ratio of hollow to real.
+// Bytes include packets and full exchanges. Processor time and memory of real couriers are the differences between couriers
+// with membership and couriers without.
 const (
 	figureHollowPackets   = "hollow_packets_per_s"
 	figureHollowBytes     = "hollow_bytes_per_s"
@@ -40,15 +41,15 @@
 	ratioMemory           = "ratio_memory"
 )
 
-// How the two sides are played. Both fleets are small enough for a full exchange of each member every exchangePaces.
+// Settings of both sides. Both fleets are so small that each member begins a full exchange every exchangeIntervals.
 const (
-	comparedPace    = 200 * time.Millisecond
-	comparedPeriods = 2                            // of full exchanges, over which both are observed
-	joinSpan        = time.Second                  // for real couriers to find each other
-	firstExchanges  = exchangePaces * comparedPace // from which on full exchanges come evenly
-	aloneSettle     = time.Second                  // for couriers without membership
-	aloneObserved   = 4 * time.Second
-	observedPaces   = comparedPeriods * exchangePaces
+	comparedInterval  = 200 * time.Millisecond
+	comparedPeriods   = 2                                    // periods of full exchanges over which both sides are observed
+	joinTime          = time.Second                          // time for real couriers to join each other
+	firstExchanges    = exchangeIntervals * comparedInterval // time until full exchanges occur at a steady rate
+	baselineSettle    = time.Second                          // settling time of couriers without membership
+	baselineObserve   = 4 * time.Second
+	observedIntervals = comparedPeriods * exchangeIntervals
 )
 
 func comparedSizes(quick bool) []int {
@@ -60,7 +61,7 @@
 
 func measureSideBySide(ctx context.Context, play *Play) error {
 	if play.Quick {
-		play.Miss("real couriers", "a quick run plays the hollow side only, as its verdict is to be the same on any machine")
+		play.ReportMissing("real couriers", "a quick run plays the hollow side only, so that its verdict does not depend on the machine")
 	}
 	for _, size := range comparedSizes(play.Quick) {
 		report := func(figure string, value float64) {
@@ -86,9 +87,9 @@
 	return nil
 }
 
-// memberCost is what membership takes of one member.
+// memberCost is the cost of membership for one member.
 type memberCost struct {
-	packets, bytes float64 // a second
+	packets, bytes float64 // per second
 	processor      float64 // cores
 	memory         float64 // bytes
 }
@@ -101,23 +102,23 @@
 }
 
 func measureHollow(ctx context.Context, play *Play, size int) (memberCost, error) {
-	pace := comparedPace
+	interval := comparedInterval
 	if play.Quick {
-		pace = quickPace
+		interval = quickInterval
 	}
-	fleet := newHollowFleet(size, pace, play.Seed)
+	fleet := newHollowFleet(size, interval, play.Seed)
 	defer fleet.close()
 	heapBefore := heapInUse()
 	if err := fleet.start(ctx); err != nil {
 		return memberCost{}, err
 	}
-	if _, err := fleet.awaitWhole(ctx); err != nil {
+	if _, err := fleet.awaitComplete(ctx); err != nil {
 		return memberCost{}, err
 	}
-	if err := sleep(ctx, exchangePaces*pace); err != nil {
+	if err := sleep(ctx, exchangeIntervals*interval); err != nil {
 		return memberCost{}, err
 	}
-	load, err := fleet.observe(ctx, observedPaces)
+	load, err := fleet.observe(ctx, observedIntervals)
 	if err != nil {
 		return memberCost{}, err
 	}
@@ -130,15 +131,15 @@
 	}, nil
 }
 
-// measureReal plays couriers with membership and without it, and returns the difference.
+// measureReal plays real couriers with and without membership and returns the cost of membership.
 func measureReal(ctx context.Context, play *Play, size int) (memberCost, error) {
-	fleet := realFleet{binary: play.Courier, size: size, seed: play.Seed, membership: true, pace: comparedPace, settle: joinSpan + firstExchanges,
-		observe: observedPaces * comparedPace}
+	fleet := realFleet{binary: play.Courier, size: size, seed: play.Seed, membership: true, interval: comparedInterval, settle: joinTime + firstExchanges,
+		observe: observedIntervals * comparedInterval}
 	with, err := fleet.play(ctx)
 	if err != nil {
 		return memberCost{}, fmt.Errorf("with membership: %w", err)
 	}
-	fleet.membership, fleet.settle, fleet.observe = false, aloneSettle, aloneObserved
+	fleet.membership, fleet.settle, fleet.observe = false, baselineSettle, baselineObserve
 	without, err := fleet.play(ctx)
 	if err != nil {
 		return memberCost{}, fmt.Errorf("without membership: %w", err)
@@ -163,14 +164,14 @@
 		{ratioMemory, hollow.memory, actual.memory},
 	} {
 		if ratio.actual <= 0 {
-			play.Miss(ratio.name, "in a play real couriers took no more with membership than without")
+			play.ReportMissing(ratio.name, "in one play, real couriers used no more with membership than without")
 			continue
 		}
 		report(ratio.name, ratio.hollow/ratio.actual)
 	}
 }
 
-// fitSideBySide fits no curve, as there are two sizes; it words the verdict.
+// fitSideBySide fits no curve, as there are only two sizes. It sets Results.Verified.
 func fitSideBySide(results *Results) error {
 	var parts []string
 	for _, ratio := range []struct{ figure, about string }{
@@ -182,22 +183,22 @@
 		}
 		parts = append(parts, fmt.Sprintf("%s %.2f to %.2f", ratio.about, slices.Min(values), slices.Max(values)))
 	}
-	results.Verified = fmt.Sprintf("hollow over real, at 10 and 30 couriers under load: %s; packets and bytes are held to %.2f to %.2f, the others are told",
-		strings.Join(parts, ", "), leastRatio, mostRatio)
+	results.Verified = fmt.Sprintf("ratio of hollow to real, at 10 and 30 couriers under load: %s; packets and bytes must be within %.2f to %.2f, the others are for information",
+		strings.Join(parts, ", "), minRatio, maxRatio)
 	return nil
 }
 
-// Bounds of what is counted, hollow over real.
+// Bounds of the ratios of hollow to real packets and bytes.
 const (
-	leastRatio = 0.8
-	mostRatio  = 1.25
+	minRatio = 0.8
+	maxRatio = 1.25
 )
 
 func checkSideBySide(results *Results) error {
 	return errors.Join(checkHollow(results), checkRatios(results))
 }
 
-// checkHollow: the hollow side talks as a member does, whether or not real couriers were played.
+// checkHollow fails if hollow members send nothing, or bytes that are implausible for the packets. It applies to quick runs too.
 func checkHollow(results *Results) error {
 	sizes, packets := results.Values(figureHollowPackets, sizeCouriers, nil)
 	_, bytes := results.Values(figureHollowBytes, sizeCouriers, nil)
@@ -206,24 +207,24 @@
 	}
 	for i, size := range sizes {
 		if packets[i] <= 0 || bytes[i] <= packets[i] {
-			return fmt.Errorf("%v hollow members: %.2f packets and %.0f bytes a second each", size, packets[i], bytes[i])
+			return fmt.Errorf("%v hollow members: implausible %.2f packets and %.0f bytes per second and member", size, packets[i], bytes[i])
 		}
 	}
 	return nil
 }
 
-// checkRatios: where real couriers were played, what hollow members send is what they send.
+// checkRatios fails if hollow members and real couriers, where played, send clearly different numbers of packets or bytes.
 func checkRatios(results *Results) error {
 	sizes, _ := results.Values(figureRealPackets, sizeCouriers, nil)
 	var faults []error
 	for _, figure := range []string{ratioPackets, ratioBytes} {
 		_, ratios := results.Values(figure, sizeCouriers, nil)
 		if len(ratios) != len(sizes) {
-			faults = append(faults, fmt.Errorf("%d plays of real couriers, and %s of %d", len(sizes), figure, len(ratios)))
+			faults = append(faults, fmt.Errorf("%d plays of real couriers, but %s was recorded %d times", len(sizes), figure, len(ratios)))
 		}
 		for _, ratio := range ratios {
-			if ratio < leastRatio || ratio > mostRatio {
-				faults = append(faults, fmt.Errorf("%s: hollow over real is %.2f, %v to %v was expected", figure, ratio, leastRatio, mostRatio))
+			if ratio < minRatio || ratio > maxRatio {
+				faults = append(faults, fmt.Errorf("%s: ratio of hollow to real is %.2f, want %v to %v", figure, ratio, minRatio, maxRatio))
 			}
 		}
 	}
--- a/testbed/scale/sidebyside_test.go
+++ b/testbed/scale/sidebyside_test.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// recordedPlay is a play of hollow and real couriers with ratios as given; nought leaves one out.
-func recordedPlay(t *testing.T, packets, bytes float64) *Results {
+// resultsWithRatios returns results of hollow and real couriers with the given ratios. A ratio of 0 is not recorded.
+func resultsWithRatios(t *testing.T, packets, bytes float64) *Results {
 	t.Helper()
-	return played(t, func(play *Play) {
+	return playOnce(t, func(play *Play) {
 		for _, size := range []float64{10, 30} {
 			report := func(figure string, value float64) { play.Report(map[string]float64{sizeCouriers: size}, figure, value) }
 			report(figureHollowPackets, 10)
@@ -30,33 +30,33 @@
 	})
 }
 
-func TestChecksOfRatiosFail(t *testing.T) {
-	if err := checkSideBySide(recordedPlay(t, 1.02, 0.97)); err != nil {
-		t.Errorf("sides that are alike: %v", err)
+func TestSideBySideCheckRejectsInvalidResults(t *testing.T) {
+	if err := checkSideBySide(resultsWithRatios(t, 1.02, 0.97)); err != nil {
+		t.Errorf("similar sides: %v", err)
 	}
 	for what, results := range map[string]*Results{
-		"twice the packets":     recordedPlay(t, 2, 1),
-		"half of the bytes":     recordedPlay(t, 1, 0.5),
-		"no ratio of bytes":     recordedPlay(t, 1, 0),
-		"nothing at all":        played(t, func(*Play) {}),
-		"a silent hollow fleet": played(t, func(play *Play) { silent(play) }),
+		"twice the packets":     resultsWithRatios(t, 2, 1),
+		"half of the bytes":     resultsWithRatios(t, 1, 0.5),
+		"no ratio of bytes":     resultsWithRatios(t, 1, 0),
+		"no results":            playOnce(t, func(*Play) {}),
+		"a silent hollow fleet": playOnce(t, func(play *Play) { reportSilentFleet(play) }),
 	} {
 		if err := checkSideBySide(results); err == nil {
-			t.Errorf("%s: passed", what)
+			t.Errorf("%s: check passed, want an error", what)
 		}
 	}
 }
 
-// silent messages a hollow fleet that sent nothing.
-func silent(play *Play) {
+// reportSilentFleet reports the figures of a hollow fleet that sent nothing.
+func reportSilentFleet(play *Play) {
 	sizes := map[string]float64{sizeCouriers: 10}
 	play.Report(sizes, figureHollowPackets, 0)
 	play.Report(sizes, figureHollowBytes, 0)
 }
 
-// TestRatiosOfUnlikeSides: a stand-in that sends twice as much as it should is seen from the two sides' figures.
-func TestRatiosOfUnlikeSides(t *testing.T) {
-	results := played(t, func(play *Play) {
+// TestRatiosOfDifferentCosts checks that hollow members that send twice as much as real couriers fail the check.
+func TestRatiosOfDifferentCosts(t *testing.T) {
+	results := playOnce(t, func(play *Play) {
 		report := func(figure string, value float64) { play.Report(map[string]float64{sizeCouriers: 10}, figure, value) }
 		hollow := memberCost{packets: 20, bytes: 2800, processor: 1, memory: 1}
 		actual := memberCost{packets: 10, bytes: 1400, processor: 0, memory: 4}
@@ -64,27 +64,28 @@
 		actual.report(report, figureRealPackets, figureRealBytes, figureRealProcessor, figureRealMemory)
 		reportRatios(play, report, hollow, actual)
 	})
-	if err := checkSideBySide(results); err == nil || !strings.Contains(err.Error(), "hollow over real is 2.00") {
+	if err := checkSideBySide(results); err == nil || !strings.Contains(err.Error(), "ratio of hollow to real is 2.00") {
 		t.Errorf("%v", err)
 	}
 	if err := fitSideBySide(results); err != nil || !strings.Contains(results.Verified, "packets 2.00 to 2.00") || !strings.Contains(results.Verified, "memory 0.25") {
 		t.Errorf("%q, %v", results.Verified, err)
 	}
-	if len(results.gaps) != 1 || results.gaps[0].Figure != ratioProcessor {
-		t.Errorf("gaps: %+v", results.gaps)
+	if len(results.missing) != 1 || results.missing[0].Figure != ratioProcessor {
+		t.Errorf("missing figures: %+v", results.missing)
 	}
 }
 
-// TestRealCouriersWithoutBinaryFail: a full run without real couriers does not pass for one with them.
-func TestRealCouriersWithoutBinaryFail(t *testing.T) {
-	fleet := realFleet{binary: filepath.Join(t.TempDir(), "none"), size: 1, seed: 1, pace: comparedPace, settle: time.Second, observe: time.Second}
+// TestRealFleetWithoutBinaryFails checks that a play of real couriers fails if the binary does not exist.
+func TestRealFleetWithoutBinaryFails(t *testing.T) {
+	fleet := realFleet{binary: filepath.Join(t.TempDir(), "none"), size: 1, seed: 1, interval: comparedInterval, settle: time.Second, observe: time.Second}
 	if _, err := fleet.play(context.Background()); err == nil {
-		t.Error("a courier that is not there was played")
+		t.Error("a play without a courier binary succeeded")
 	}
 }
 
-// TestStoppedRealCouriersLeaveNothing: a play that is stopped while couriers run ends soon, and leaves no process and no file.
-func TestStoppedRealCouriersLeaveNothing(t *testing.T) {
+// TestStoppedRealCouriersAreCleanedUp checks that a play that is stopped while couriers run ends within 50 s and leaves no
+// processes and files.
+func TestStoppedRealCouriersAreCleanedUp(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "pineport")
 	if out, err := exec.Command("go", "build", "-o", binary, "pineport/cmd/pineport").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
@@ -103,26 +104,26 @@
 		time.Sleep(time.Second)
 		seen <- most
 	}()
-	fleet := realFleet{binary: binary, size: 3, seed: 1, membership: true, pace: comparedPace, settle: time.Minute, observe: time.Minute}
+	fleet := realFleet{binary: binary, size: 3, seed: 1, membership: true, interval: comparedInterval, settle: time.Minute, observe: time.Minute}
 	begun := time.Now()
 	if _, err := fleet.play(ctx); !errors.Is(err, context.Canceled) {
 		t.Errorf("%v", err)
 	}
 	if most := <-seen; most != 3 {
-		t.Errorf("%d couriers were seen running, not 3", most)
+		t.Errorf("saw %d running couriers, want 3", most)
 	}
 	if took := time.Since(begun); took > 50*time.Second {
-		t.Errorf("it took %v to end", took)
+		t.Errorf("the play ended after %v", took)
 	}
 	if left := processesOf(binary); left != 0 {
-		t.Errorf("%d couriers are left", left)
+		t.Errorf("%d couriers are still running", left)
 	}
 	if left, err := os.ReadDir(folder); err != nil || len(left) != 0 {
-		t.Errorf("files are left: %v, %v", left, err)
+		t.Errorf("temporary files left: %v, %v", left, err)
 	}
 }
 
-// processesOf counts the processes of a binary that run.
+// processesOf counts the running processes of a binary.
 func processesOf(binary string) (n int) {
 	links, err := filepath.Glob("/proc/[0-9]*/exe")
 	if err != nil {
--- a/testbed/scale/starts.go
+++ b/testbed/scale/starts.go
@@ -17,166 +17,168 @@
 	"pineport/testbed/netfault"
 )
 
-// Figures of the full exchange of starts.
+// Sizes and figures of the full exchange of incarnations. "Starts" stands for incarnations by name of the courier.
 const (
-	figureStartsTaken = "starts_taken" // the largest map of starts that a member takes in
-	mostStartsTried   = 11000          // the planned fleet
-	keptStarts        = 4097           // what a member can tell: 4,096 names that its view keeps, and its own
-	sizeTried         = "starts_tried" // the largest map that was tried
+	figureStartsTaken = "starts_taken" // size of the largest map of incarnations that a member accepts
+	maxStartsTried    = 11000          // couriers in the planned fleet
+	maxKnownStarts    = 4097           // most incarnations that a member sends: 4,096 names that its view keeps, and its own
+	sizeTried         = "starts_tried" // size of the largest map that was tried
 )
 
-// measureExchangeLimit seeks the largest map of starts that a real member takes in.
+// measureExchangeLimit finds the largest map of incarnations that a real member accepts, by binary search.
 func measureExchangeLimit(ctx context.Context, play *Play) error {
-	teller, err := newStartsTeller(play.Seed)
+	peer, err := newExchangePeer(play.Seed)
 	if err != nil {
 		return err
 	}
-	defer teller.close()
+	defer peer.close()
 	var fault error
-	refused := 1 + sort.Search(mostStartsTried, func(i int) bool {
+	refused := 1 + sort.Search(maxStartsTried, func(i int) bool {
 		if fault == nil {
 			fault = ctx.Err()
 		}
 		if fault != nil {
 			return false
 		}
-		taken, err := teller.takes(i + 1)
+		taken, err := peer.accepts(i + 1)
 		fault = err
 		return !taken
 	})
 	if fault != nil {
 		return fault
 	}
-	play.Report(map[string]float64{sizeTried: mostStartsTried}, figureStartsTaken, float64(refused-1))
-	if refused <= mostStartsTried {
-		play.Miss("the error of a full exchange refused", fmt.Sprintf(
-			"a map of %d starts is dropped by the member without a log line, a count or an answer; none of %d starts gets through", refused, mostStartsTried))
+	play.Report(map[string]float64{sizeTried: maxStartsTried}, figureStartsTaken, float64(refused-1))
+	if refused <= maxStartsTried {
+		play.ReportMissing("the error of a rejected full exchange", fmt.Sprintf(
+			"the member drops a map of %d incarnations without a log line, a counter or a response; so a map of %d incarnations is never accepted", refused, maxStartsTried))
 	}
 	return nil
 }
 
-// startsTeller is a member of the detector's, not of the view's, that tells a real member as many starts as it is asked to.
-type startsTeller struct {
-	member    *gossip.Member
-	list      *memberlist.Memberlist
-	address   string
-	notified  atomic.Pointer[[]byte]
-	estimated chan int
-	couriers  int
-	start     uint64
+// exchangePeer is a memberlist node that sends a real member maps of incarnations of any size. The membership view of the
+// real member does not count it as a courier.
+type exchangePeer struct {
+	member      *gossip.Member
+	list        *memberlist.Memberlist
+	address     string
+	state       atomic.Pointer[[]byte]
+	estimated   chan int
+	couriers    int
+	incarnation uint64
 }
 
-const startsMember = "n0"
+const testedMember = "n0"
 
-func newStartsTeller(seed int64) (*startsTeller, error) {
+func newExchangePeer(seed int64) (*exchangePeer, error) {
 	mesh := netfault.NewMesh(2, seed)
-	teller := &startsTeller{address: mesh.At(0), estimated: make(chan int, 1), couriers: 2, start: 1}
-	member, err := gossip.Open(gossip.Options{Name: startsMember, Incarnation: teller.start, FleetSize: teller.couriers, Seed: seed,
-		Transport: mesh.Join(0), SizeEstimated: func(couriers int) { teller.estimated <- couriers }})
+	peer := &exchangePeer{address: mesh.At(0), estimated: make(chan int, 1), couriers: 2, incarnation: 1}
+	member, err := gossip.Open(gossip.Options{Name: testedMember, Incarnation: peer.incarnation, FleetSize: peer.couriers, Seed: seed,
+		Transport: mesh.Join(0), SizeEstimated: func(couriers int) { peer.estimated <- couriers }})
 	if err != nil {
 		return nil, err
 	}
-	teller.member = member
+	peer.member = member
 	config := memberlist.DefaultLANConfig()
-	config.Name, config.Transport, config.LogOutput = "teller", lastingTransport{mesh.Join(1)}, io.Discard
-	config.PushPullInterval, config.Delegate = 0, teller
-	if teller.list, err = memberlist.Create(config); err != nil {
+	config.Name, config.Transport, config.LogOutput = "teller", lingeringTransport{mesh.Join(1)}, io.Discard
+	config.PushPullInterval, config.Delegate = 0, peer
+	if peer.list, err = memberlist.Create(config); err != nil {
 		member.HandOff()
 		return nil, err
 	}
-	return teller, nil
+	return peer, nil
 }
 
-func (t *startsTeller) close() {
+func (t *exchangePeer) close() {
 	t.list.Shutdown()
 	t.member.HandOff()
 }
 
-// reckonWithin bounds the wait for a member to take in what was notified.
-const estimateWithin = 30 * time.Second
+// estimateTimeout bounds the wait until a member has handled what was sent.
+const estimateTimeout = 30 * time.Second
 
-// takes tells the member so many starts, among them a higher one of its own, and says whether it went on under a higher number.
-func (t *startsTeller) takes(starts int) (bool, error) {
+// accepts sends the member a map of the given number of incarnations. The map holds a higher incarnation of the member
+// itself, so a member that accepts the map raises its own incarnation.
+func (t *exchangePeer) accepts(starts int) (bool, error) {
 	before := t.member.Incarnation()
-	text, err := startsState(starts, before+1)
+	text, err := encodeState(starts, before+1)
 	if err != nil {
 		return false, err
 	}
-	t.notified.Store(&text)
+	t.state.Store(&text)
 	if _, err := t.list.Join([]string{t.address}); err != nil {
 		return false, err
 	}
-	// The stream has ended, so what it carried waits before the view; what is said now comes after it.
+	// The stream has ended, so its content is already queued for the view. The view handles the resize after it.
 	t.couriers++
 	t.member.FleetResized(t.couriers)
 	select {
 	case <-t.estimated:
-	case <-time.After(estimateWithin):
-		return false, fmt.Errorf("the member took nothing in within %v", estimateWithin)
+	case <-time.After(estimateTimeout):
+		return false, fmt.Errorf("the member did not handle the resize within %v", estimateTimeout)
 	}
 	return t.member.Incarnation() > before, nil
 }
 
-// startsState is the text of a full exchange, as membership/gossip writes it: version, sender, starts by name.
-func startsState(starts int, own uint64) ([]byte, error) {
-	all := map[string]uint64{startsMember: own}
+// encodeState encodes the state of a full exchange as membership/gossip does: version, sender, incarnations by name.
+func encodeState(starts int, own uint64) ([]byte, error) {
+	all := map[string]uint64{testedMember: own}
 	for i := 1; i < starts; i++ {
 		all[string(courierName(i))] = 1
 	}
 	return cbor.Marshal(map[int]any{1: gossip.Version, 2: "teller", 3: all})
 }
 
-// LocalState is what the member is notified.
-func (t *startsTeller) LocalState(bool) []byte {
-	if text := t.notified.Load(); text != nil {
+// LocalState returns the encoded map that a full exchange sends to the member.
+func (t *exchangePeer) LocalState(bool) []byte {
+	if text := t.state.Load(); text != nil {
 		return *text
 	}
 	return nil
 }
 
-// NodeMeta says nothing: the view passes over a member without a start.
-func (t *startsTeller) NodeMeta(int) []byte { return nil }
+// NodeMeta returns nothing: the view ignores nodes without an incarnation.
+func (t *exchangePeer) NodeMeta(int) []byte { return nil }
 
-// NotifyMsg takes nothing in.
-func (t *startsTeller) NotifyMsg([]byte) {}
+// NotifyMsg ignores messages.
+func (t *exchangePeer) NotifyMsg([]byte) {}
 
-// GetBroadcasts has nothing to say.
-func (t *startsTeller) GetBroadcasts(int, int) [][]byte { return nil }
+// GetBroadcasts returns nothing.
+func (t *exchangePeer) GetBroadcasts(int, int) [][]byte { return nil }
 
-// MergeRemoteState takes nothing in.
-func (t *startsTeller) MergeRemoteState([]byte, bool) {}
+// MergeRemoteState ignores the state of the member.
+func (t *exchangePeer) MergeRemoteState([]byte, bool) {}
 
-// lastingTransport begins streams whose Close waits until the other side has done.
-type lastingTransport struct{ *netfault.Node }
+// lingeringTransport opens streams whose Close waits until the other side has closed the stream.
+type lingeringTransport struct{ *netfault.Node }
 
-// DialTimeout begins a stream.
-func (l lastingTransport) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
+// DialTimeout opens a lingering stream.
+func (l lingeringTransport) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
 	conn, err := l.Node.DialTimeout(address, timeout)
 	if err != nil {
 		return nil, err
 	}
-	return lastingStream{conn}, nil
+	return lingeringStream{conn}, nil
 }
 
-// lastingStream ends only when the other side has done with it: its Close tells that what was sent has been taken in.
-type lastingStream struct{ net.Conn }
+// lingeringStream waits in Close until the other side has closed the stream, and so has read all that was sent.
+type lingeringStream struct{ net.Conn }
 
-// Close waits for the other side's end.
-func (s lastingStream) Close() error {
-	s.Conn.SetReadDeadline(time.Now().Add(estimateWithin))
+// Close waits for the other side to close the stream, at most estimateTimeout.
+func (s lingeringStream) Close() error {
+	s.Conn.SetReadDeadline(time.Now().Add(estimateTimeout))
 	io.Copy(io.Discard, s.Conn)
 	return s.Conn.Close()
 }
 
-// checkExchangeLimit: what the view keeps at most can be notified in full.
+// checkExchangeLimit fails if a member rejects a map as large as the largest that a member sends.
 func checkExchangeLimit(results *Results) error {
 	_, taken := results.Values(figureStartsTaken, sizeTried, nil)
 	if len(taken) == 0 {
-		return errors.New("no full exchange of starts was tried")
+		return errors.New("no full exchange of incarnations was tried")
 	}
 	for _, most := range taken {
-		if most < keptStarts {
-			return fmt.Errorf("a map of %v starts is the largest that is taken in; a member tells up to %d", most, keptStarts)
+		if most < maxKnownStarts {
+			return fmt.Errorf("members accept at most %v incarnations, but send up to %d", most, maxKnownStarts)
 		}
 	}
 	return nil
--- a/testbed/scale/views.go
+++ b/testbed/scale/views.go
@@ -11,28 +11,29 @@
 	"pineport/membership"
 )
 
-// Figures of the view by itself.
+// Figures of the membership view without a network.
 const (
-	figureWord      = "word_s"
-	figureTick      = "tick_s"
-	figureLook      = "look_s"
-	figureViewHeap  = "view_heap_bytes"
-	figureKept      = "names_kept"
-	figureEstimated = "reckoned"        // couriers that it counts on after it heard of each other one once
-	figureAgain     = "reckoned_again"  // after it heard of wordsAgain that are drawn once more
-	viewTick        = 200 * 1000        // microseconds between ticks, as at a pace of 1 s
-	viewSpan        = time.Second / 5   // for which each step is repeated
-	viewSpanQuick   = time.Second / 100 // in a quick run
-	viewAtLeast     = 20                // repetitions
-	wordsAgain      = 1000
+	figureReport         = "word_s"
+	figureTick           = "tick_s"
+	figureSnapshot       = "look_s"
+	figureViewHeap       = "view_heap_bytes"
+	figureNamesKept      = "names_kept"
+	figureEstimated      = "reckoned"        // estimated fleet size after one report of each other courier
+	figureEstimatedAgain = "reckoned_again"  // estimated fleet size after repeatedReports reports of random couriers
+	viewTickMicros       = 200 * 1000        // microseconds between ticks, as at a heartbeat interval of 1 s
+	viewSpan             = time.Second / 5   // time for which each operation is repeated
+	viewSpanQuick        = time.Second / 100 // the same in a quick run
+	minRepetitions       = 20                // least number of repetitions
+	repeatedReports      = 1000
 )
 
-// namesKept is what a view keeps at most, as membership bounds it. Beyond, each word on a forgotten name costs a search for another
-// one to be forgotten, so those sizes make curves of their own.
-const namesKept = 4096
+// maxNamesKept is the largest number of members that a view keeps (maxNames in package membership). Beyond it, each report of
+// an evicted member costs a search for another member to evict, so these sizes have curves of their own.
+const maxNamesKept = 4096
 
-// viewsAtOnce is how many names views hold together while their heap is measured, so that small ones can be weighed.
-const viewsAtOnce = 8000
+// totalViewNames is the number of names in all views whose heap is measured together. Several small views are measured at
+// once, because the heap of one is too small for a reliable reading.
+const totalViewNames = 8000
 
 func viewSizes(quick bool) []int {
 	if quick {
@@ -51,105 +52,105 @@
 	return nil
 }
 
-// viewPoint is the size of a view of a fleet: its names, and 1 where it cannot keep all of them.
-func viewPoint(names int) map[string]float64 {
+// viewSizeOf returns the sizes of a view of a fleet: the number of names, and sizeForgotten if it cannot keep all of them.
+func viewSizeOf(names int) map[string]float64 {
 	sizes := map[string]float64{sizeNames: float64(names)}
-	if forgotten := names - 1 - namesKept; forgotten > 0 {
+	if forgotten := names - 1 - maxNamesKept; forgotten > 0 {
 		sizes[sizeForgotten] = 1
 	}
 	return sizes
 }
 
-// measureView measures a view of a fleet of so many couriers, this one included.
+// measureView measures the view of one courier in a fleet of the given number of couriers, itself included.
 func measureView(play *Play, names int) {
-	sizes := viewPoint(names)
+	sizes := viewSizeOf(names)
 	report := func(figure string, value float64) { play.Report(sizes, figure, value) }
 	heapBefore := heapInUse()
-	views := make([]*hearing, max(1, viewsAtOnce/names))
+	views := make([]*viewDriver, max(1, totalViewNames/names))
 	for i := range views {
-		views[i] = newHearing(names, play.Seed)
-		views[i].hearAll()
+		views[i] = newViewDriver(names, play.Seed)
+		views[i].reportAll()
 	}
 	report(figureViewHeap, (float64(heapInUse())-float64(heapBefore))/float64(len(views)))
-	hearing := views[0]
-	report(figureEstimated, float64(hearing.view.EstimatedSize()))
-	report(figureKept, float64(len(hearing.view.Snapshot().Members)))
-	for range wordsAgain {
-		hearing.hearAny()
+	driver := views[0]
+	report(figureEstimated, float64(driver.view.EstimatedSize()))
+	report(figureNamesKept, float64(len(driver.view.Snapshot().Members)))
+	for range repeatedReports {
+		driver.reportRandom()
 	}
-	report(figureAgain, float64(hearing.view.EstimatedSize()))
+	report(figureEstimatedAgain, float64(driver.view.EstimatedSize()))
 
 	span := viewSpan
 	if play.Quick {
 		span = viewSpanQuick
 	}
-	report(figureWord, timeOf(span, hearing.hearAny))
-	report(figureTick, timeOf(span, hearing.tick))
-	report(figureLook, timeOf(span, func() { hearing.view.Snapshot() }))
+	report(figureReport, timePerCall(span, driver.reportRandom))
+	report(figureTick, timePerCall(span, driver.tick))
+	report(figureSnapshot, timePerCall(span, func() { driver.view.Snapshot() }))
 	runtime.KeepAlive(views)
 }
 
-// timeOf is how long a step takes, in seconds, over repetitions for a span.
-func timeOf(span time.Duration, step func()) float64 {
-	begun, times := time.Now(), 0
-	for times < viewAtLeast || time.Since(begun) < span {
+// timePerCall returns the mean duration of step in seconds, repeated for the given time.
+func timePerCall(span time.Duration, step func()) float64 {
+	begun, calls := time.Now(), 0
+	for calls < minRepetitions || time.Since(begun) < span {
 		step()
-		times++
+		calls++
 	}
-	return time.Since(begun).Seconds() / float64(times)
+	return time.Since(begun).Seconds() / float64(calls)
 }
 
-// hearing is a view that a detector talks to.
-type hearing struct {
+// viewDriver is a membership view with a stand-in for the failure detector.
+type viewDriver struct {
 	view  *membership.Membership
 	rng   *rand.Rand
 	now   membership.Micros
 	names int
 }
 
-func newHearing(names int, seed int64) *hearing {
-	terms := membership.Config{Self: courierName(0), Incarnation: 1, FleetSize: names, Tick: viewTick, Seed: seed}
-	return &hearing{view: membership.New(terms), rng: rand.New(rand.NewSource(seed)), names: names}
+func newViewDriver(names int, seed int64) *viewDriver {
+	config := membership.Config{Self: courierName(0), Incarnation: 1, FleetSize: names, Tick: viewTickMicros, Seed: seed}
+	return &viewDriver{view: membership.New(config), rng: rand.New(rand.NewSource(seed)), names: names}
 }
 
 func courierName(i int) membership.Name { return membership.Name(fmt.Sprintf("courier-%05d", i)) }
 
-// hear has the view hear that a courier is alive.
-func (h *hearing) hear(i int) {
+// reportAlive reports to the view that a courier is alive.
+func (h *viewDriver) reportAlive(i int) {
 	h.now++
 	h.view.Handle(h.now, membership.MemberReported{Name: courierName(i), Incarnation: 1, State: membership.Alive, Zone: "a", Address: "10.0.0.1:7000"})
 }
 
-// hearAll has it hear of all others, one after the other.
-func (h *hearing) hearAll() {
+// reportAll reports all other couriers, one by one.
+func (h *viewDriver) reportAll() {
 	for i := 1; i < h.names; i++ {
-		h.hear(i)
+		h.reportAlive(i)
 	}
 }
 
-// hearAny has it hear of one that is drawn.
-func (h *hearing) hearAny() { h.hear(1 + h.rng.Intn(h.names-1)) }
+// reportRandom reports a random other courier.
+func (h *viewDriver) reportRandom() { h.reportAlive(1 + h.rng.Intn(h.names-1)) }
 
-func (h *hearing) tick() {
-	h.now += viewTick
+func (h *viewDriver) tick() {
+	h.now += viewTickMicros
 	h.view.Handle(h.now, membership.Tick{})
 }
 
-// checkViews: a view never counts on fewer than there are, and with just as many where it keeps every name.
+// checkViews fails if a view estimates a smaller fleet than there is, or a wrong size although it keeps every name.
 func checkViews(results *Results) error {
 	sizes, estimated := results.Values(figureEstimated, sizeNames, nil)
-	_, again := results.Values(figureAgain, sizeNames, nil)
-	_, kept := results.Values(figureKept, sizeNames, nil)
+	_, again := results.Values(figureEstimatedAgain, sizeNames, nil)
+	_, kept := results.Values(figureNamesKept, sizeNames, nil)
 	if len(sizes) == 0 {
 		return errors.New("no view was measured")
 	}
 	var faults []error
 	for i, size := range sizes {
 		if estimated[i] < size || again[i] < size {
-			faults = append(faults, fmt.Errorf("a view of %v couriers reckons with %v, then %v", size, estimated[i], again[i]))
+			faults = append(faults, fmt.Errorf("a view of %v couriers estimates %v couriers, then %v", size, estimated[i], again[i]))
 		}
 		if kept[i] == size-1 && (estimated[i] != size || again[i] != size) {
-			faults = append(faults, fmt.Errorf("a view that keeps all %v other names reckons with %v, then %v", kept[i], estimated[i], again[i]))
+			faults = append(faults, fmt.Errorf("a view that keeps all %v other names estimates %v couriers, then %v", kept[i], estimated[i], again[i]))
 		}
 	}
 	return errors.Join(faults...)
--- a/testbed/slopes/fit.go
+++ b/testbed/slopes/fit.go
@@ -7,11 +7,11 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Model is the curve that was fitted.
+// Model names the shape of a fitted curve.
 type Model string
 
-// Models. Power is fitted to logarithms, the others to the figures weighted by one over their square, so that each point
-// counts by its relative error.
+// Power is fitted by least squares to the logarithms of sizes and figures. The other models are fitted to the figures
+// themselves, weighted by 1/figure², so that each value counts by its relative error.
 const (
 	Constant  Model = "constant"  // Base
 	Linear    Model = "linear"    // Base + Rate * size
@@ -19,16 +19,16 @@
 	Power     Model = "power"     // Base * size ^ Rate
 )
 
-// Fit is a fitted curve with its spread.
+// Fit is a fitted curve with its relative error.
 type Fit struct {
 	Model  Model   `json:"model"`
 	Base   float64 `json:"base"`
 	Rate   float64 `json:"rate"`
-	Spread float64 `json:"spread"` // root mean square of the relative residuals over all plays: 0.1 is ten in a hundred
-	Error  float64 `json:"error"`  // standard error of Rate, relative to it; 0 for Constant
+	Spread float64 `json:"spread"` // root mean square of the relative residuals of all values: 0.1 is 10 %
+	Error  float64 `json:"error"`  // standard error of Rate divided by Rate; 0 for Constant
 }
 
-// At is the fitted figure at a size.
+// At returns the value of the curve at a size.
 func (f Fit) At(size float64) float64 {
 	switch f.Model {
 	case Linear:
@@ -41,7 +41,8 @@
 	return f.Base
 }
 
-// SizeAt is the size at which the curve reaches a figure: 0 where it lies above it from the start, infinite where it never does.
+// SizeAt returns the size at which the curve reaches a figure. It returns 0 if the curve starts above the figure, and
+// +Inf if the curve never reaches it.
 func (f Fit) SizeAt(figure float64) float64 {
 	switch {
 	case f.Model == Constant || f.Rate == 0:
@@ -64,26 +65,26 @@
 	case Constant, Linear, Logarithm, Power:
 		return nil
 	}
-	return fmt.Errorf("fit.model: constant, linear, logarithm or power was expected, not %q", f.Model)
+	return fmt.Errorf("fit.model: unknown model %q, want constant, linear, logarithm or power", f.Model)
 }
 
-// minPoints of different size make a curve.
+// minPoints is the least number of distinct sizes that a curve is fitted to.
 const minPoints = 3
 
-// FitTo fits a model to sizes and the figures measured there, one pair for each play.
+// FitTo fits a model to pairs of a size and a figure measured at that size. A size occurs once for each play.
 func FitTo(model Model, sizes, figures []float64) (Fit, error) {
 	if len(sizes) != len(figures) {
-		return Fit{}, fmt.Errorf("%d sizes and %d figures", len(sizes), len(figures))
+		return Fit{}, fmt.Errorf("got %d sizes but %d figures", len(sizes), len(figures))
 	}
-	different := map[float64]bool{}
+	distinct := map[float64]bool{}
 	for i, size := range sizes {
 		if size <= 0 || figures[i] <= 0 || math.IsInf(figures[i], 0) || math.IsNaN(figures[i]) {
-			return Fit{}, fmt.Errorf("size %v: figure %v: both above nought were expected", size, figures[i])
+			return Fit{}, fmt.Errorf("size %v, figure %v: both must be positive and finite", size, figures[i])
 		}
-		different[size] = true
+		distinct[size] = true
 	}
-	if len(different) < minPoints {
-		return Fit{}, fmt.Errorf("%d sizes: %d different ones at least make a curve", len(different), minPoints)
+	if len(distinct) < minPoints {
+		return Fit{}, fmt.Errorf("got %d distinct sizes, a curve needs at least %d", len(distinct), minPoints)
 	}
 	fit, err := solve(model, sizes, figures)
 	if err != nil {
@@ -120,12 +121,12 @@
 		}
 		return fit, nil
 	}
-	return Fit{}, fmt.Errorf("no model has the name %q", model)
+	return Fit{}, fmt.Errorf("unknown model %q", model)
 }
 
-// relativeError is the standard error of the rate of a weighted regression, over that rate.
+// relativeError returns the standard error of the rate of a weighted regression, divided by that rate.
 func relativeError(x, y, weights []float64, base, rate float64) float64 {
-	const fitted = 2 // base and rate
+	const fitted = 2 // number of fitted parameters: base and rate
 	if len(x) <= fitted || rate == 0 {
 		return 0
 	}
@@ -142,8 +143,8 @@
 	return math.Abs(math.Sqrt(squares/float64(len(x)-fitted)/spread) / rate)
 }
 
-// Best fits several models and returns the one of the least spread; an earlier one is kept unless a later one has under nine
-// tenths of its spread, so the simplest is to be named first.
+// Best fits several models and returns the fit with the least spread. A later model replaces an earlier one only if its
+// spread is below 90 % of the earlier one's, so callers list the simplest model first.
 func Best(sizes, figures []float64, models ...Model) (Fit, error) {
 	const clearlyBetter = 0.9
 	var best Fit
--- a/testbed/slopes/slopes.go
+++ b/testbed/slopes/slopes.go
@@ -1,5 +1,6 @@
-// Package slopes holds what scale runs measured and how it grows: points, the curves fitted to them with their spread, and
-// the file that keeps both, docs/capacity/measured.json. It measures nothing itself; testbed/scale writes, testbed/capacity reads.
+// Package slopes stores the results of scale runs: the measured points, and the curves fitted to them, which describe how
+// a figure grows with a size. The results are kept in docs/capacity/measured.json. Package testbed/scale measures and
+// writes them, package testbed/capacity reads them.
 package slopes
 
 import (
@@ -15,72 +16,71 @@
 	"github.com/google/renameio/v2"
 )
 
-// Version of the file. A file of another version is refused.
+// Version is the format version of the file. Parse rejects any other version.
 const Version = 1
 
-// Measured is the whole file: one entry for each scale run, ordered by name.
+// Measured is the content of the file: one entry for each scale run, ordered by name.
 type Measured struct {
 	Version int   `json:"version"`
 	Runs    []Run `json:"runs"`
 }
 
-// Run is one scale run as it was played last.
+// Run is the latest result of one scale run.
 type Run struct {
-	Name     string  `json:"name"`               // as in pineport-testbed scale NAME
-	About    string  `json:"about"`              // what was played, in one sentence
-	Command  string  `json:"command"`            // the command line that repeats it
-	Commit   string  `json:"commit"`             // of the program measured; "+" at its end: with changes not committed
-	Taken    string  `json:"taken"`              // RFC 3339
-	Machine  string  `json:"machine"`            // cores, memory and Go version
-	Quick    bool    `json:"quick"`              // at the small sizes
-	Plays    int     `json:"plays"`              // of each point
-	Seconds  float64 `json:"seconds"`            // real time that the run took
-	Points   []Point `json:"points"`             //
-	Slopes   []Slope `json:"slopes"`             //
-	Missing  []Gap   `json:"missing,omitempty"`  // what the run set out to measure and could not
-	Verified string  `json:"verified,omitempty"` // how stand-ins compare with real processes, where the run has such
+	Name     string  `json:"name"`    // argument NAME of the command pineport-testbed scale NAME
+	About    string  `json:"about"`   // what the run measures, in one sentence
+	Command  string  `json:"command"` // command line that repeats the run
+	Commit   string  `json:"commit"`  // commit of the measured program; a trailing "+" stands for uncommitted changes
+	Taken    string  `json:"taken"`   // start of the run, in RFC 3339 form
+	Machine  string  `json:"machine"` // cores, memory and Go version
+	Quick    bool    `json:"quick"`   // played once, at the small sizes
+	Plays    int     `json:"plays"`   // repetitions of each point
+	Seconds  float64 `json:"seconds"` // wall-clock time of the run
+	Points   []Point `json:"points"`
+	Slopes   []Slope `json:"slopes"`
+	Missing  []Gap   `json:"missing,omitempty"`  // figures that the run could not measure
+	Verified string  `json:"verified,omitempty"` // comparison of stand-ins with real processes, if the run makes one
 }
 
-// Point is one size, with each figure once for each play.
+// Point holds the figures measured at one combination of sizes, with one value of each figure for each play.
 type Point struct {
-	Sizes  map[string]float64   `json:"sizes"`  // by the names that the run states, such as held, destinations, couriers
-	Values map[string][]float64 `json:"values"` // by figure, such as step_seconds; one value a play
+	Sizes  map[string]float64   `json:"sizes"`  // by name of the size, such as messages, destinations, couriers
+	Values map[string][]float64 `json:"values"` // by name of the figure, such as reload_seconds
 }
 
-// Gap says what was not measured, and why.
+// Gap is a figure that a run could not measure, with the reason.
 type Gap struct {
 	Figure string `json:"figure"`
 	Why    string `json:"why"`
 }
 
-// Slope is how a figure grows with one size.
+// Slope describes how a figure grows with one size.
 type Slope struct {
 	Name   string  `json:"name"`  // RUN.FIGURE or RUN.FIGURE.VARIANT, unique in the file
-	About  string  `json:"about"` // what the figure is, in a few words
+	About  string  `json:"about"` // short description of the figure
 	Unit   string  `json:"unit"`  // s, bytes, bytes/s, packets/s, calls, ratio, cores, ...
-	Over   string  `json:"over"`  // the size it grows with, as in Point.Sizes
+	Over   string  `json:"over"`  // name of the size that the figure grows with, as in Point.Sizes
 	From   float64 `json:"from"`  // smallest size measured
 	To     float64 `json:"to"`    // largest size measured
 	Points int     `json:"points"`
 	Plays  int     `json:"plays"`
 	Fit    Fit     `json:"fit"`
-	// Figure and Where tell which values of the run's points the curve was fitted to: those of this name, at the points whose other
-	// sizes are these.
+	// The curve was fitted to the values named Figure, at the points of the run whose other sizes equal Where.
 	Figure string             `json:"figure"`
 	Where  map[string]float64 `json:"where,omitempty"`
 }
 
-// At carries the figure to a size.
+// At returns the figure that the curve gives at a size, which may lie outside the measured range.
 func (s *Slope) At(size float64) float64 { return s.Fit.At(size) }
 
-// Carried is how many times beyond the largest size measured a size lies; 1 and less is within.
+// Carried returns size divided by the largest measured size. A result above 1 is an extrapolation.
 func (s *Slope) Carried(size float64) float64 { return size / s.To }
 
-// Values are all pairs of a size and a figure that a curve was fitted to, one for each play: those of the points that have that size,
-// and whose other sizes are as given; a size that a point does not have counts as nought.
+// Values returns the pairs of a size and a figure that a curve is fitted to, one pair for each play. It takes the points
+// that have the size named over and whose other sizes equal where. A size that a point lacks counts as 0.
 func (r *Run) Values(figure, over string, where map[string]float64) (sizes, figures []float64) {
 	for _, point := range r.Points {
-		if _, sized := point.Sizes[over]; !sized || !point.isAt(where) {
+		if _, sized := point.Sizes[over]; !sized || !point.hasSizes(where) {
 			continue
 		}
 		for _, value := range point.Values[figure] {
@@ -90,8 +90,8 @@
 	return sizes, figures
 }
 
-// isAt tells whether a point has these sizes, whatever its others are.
-func (p *Point) isAt(sizes map[string]float64) bool {
+// hasSizes reports whether the point has the given sizes. Other sizes of the point are ignored.
+func (p *Point) hasSizes(sizes map[string]float64) bool {
 	for name, want := range sizes {
 		if p.Sizes[name] != want {
 			return false
@@ -100,7 +100,7 @@
 	return true
 }
 
-// Find returns the slope of a name.
+// Find returns the slope with the given name, and its run.
 func (m *Measured) Find(name string) (*Slope, *Run, bool) {
 	for i := range m.Runs {
 		run := &m.Runs[i]
@@ -113,7 +113,7 @@
 	return nil, nil, false
 }
 
-// Put replaces the run of that name, or adds it.
+// Put replaces the run of the same name, or inserts it in the order of names.
 func (m *Measured) Put(run Run) {
 	i, found := slices.BinarySearchFunc(m.Runs, run.Name, func(r Run, name string) int { return strings.Compare(r.Name, name) })
 	if found {
@@ -123,7 +123,7 @@
 	m.Runs = slices.Insert(m.Runs, i, run)
 }
 
-// Load reads the file. One that is not there yet reads as empty.
+// Load reads the file. If the file does not exist, Load returns an empty Measured.
 func Load(path string) (*Measured, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -135,7 +135,7 @@
 	return Parse(path, text)
 }
 
-// Parse reads the text of the file; path is named in errors.
+// Parse decodes and validates the text of the file. The path appears in errors only.
 func Parse(path string, text []byte) (*Measured, error) {
 	m := &Measured{}
 	decoder := json.NewDecoder(bytes.NewReader(text))
@@ -144,13 +144,13 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if m.Version != Version {
-		return nil, fmt.Errorf("%s: version: %d was expected, not %d", path, Version, m.Version)
+		return nil, fmt.Errorf("%s: version: want %d, got %d", path, Version, m.Version)
 	}
 	seen := map[string]bool{}
 	for _, run := range m.Runs {
 		for _, slope := range run.Slopes {
 			if seen[slope.Name] {
-				return nil, fmt.Errorf("%s: runs.%s: the slope %q stands twice", path, run.Name, slope.Name)
+				return nil, fmt.Errorf("%s: runs.%s: duplicate slope %q", path, run.Name, slope.Name)
 			}
 			seen[slope.Name] = true
 			if err := slope.Fit.check(); err != nil {
@@ -161,7 +161,7 @@
 	return m, nil
 }
 
-// Save writes the file in one piece.
+// Save replaces the file atomically.
 func (m *Measured) Save(path string) error {
 	text, err := json.MarshalIndent(m, "", "  ")
 	if err != nil {
--- a/testbed/slopes/slopes_test.go
+++ b/testbed/slopes/slopes_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// sizes over two decades, three plays each, with figures off by up to two in a hundred.
-func drawn(curve func(float64) float64) (sizes, figures []float64) {
+// samples evaluates the curve at sizes over two decades, three times each, with errors of up to 2 %.
+func samples(curve func(float64) float64) (sizes, figures []float64) {
 	for _, size := range []float64{100, 1000, 10000} {
 		for _, off := range []float64{0.98, 1, 1.02} {
 			sizes, figures = append(sizes, size), append(figures, off*curve(size))
@@ -17,57 +17,57 @@
 	return sizes, figures
 }
 
-func TestFitsFindTheCurve(t *testing.T) {
+func TestFitRecoversCurve(t *testing.T) {
 	for _, want := range []Fit{
 		{Model: Constant, Base: 7},
 		{Model: Linear, Base: 3, Rate: 0.5},
 		{Model: Logarithm, Base: 2, Rate: 4},
 		{Model: Power, Base: 0.1, Rate: 1.5},
 	} {
-		sizes, figures := drawn(want.At)
+		sizes, figures := samples(want.At)
 		got, err := FitTo(want.Model, sizes, figures)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, size := range []float64{100, 5000, 100000} {
 			if ratio := got.At(size) / want.At(size); math.Abs(ratio-1) > 0.03 {
-				t.Errorf("%s at %v: %v, not %v", want.Model, size, got.At(size), want.At(size))
+				t.Errorf("%s at %v: got %v, want %v", want.Model, size, got.At(size), want.At(size))
 			}
 		}
 		if got.Spread < 0.005 || got.Spread > 0.05 {
-			t.Errorf("%s: spread %v of figures drawn within 0.02", want.Model, got.Spread)
+			t.Errorf("%s: spread %v for values with errors of up to 0.02", want.Model, got.Spread)
 		}
 		if want.Model != Constant {
 			if back := got.SizeAt(got.At(777)); math.Abs(back/777-1) > 1e-6 {
-				t.Errorf("%s: 777 there and back is %v", want.Model, back)
+				t.Errorf("%s: SizeAt(At(777)) is %v", want.Model, back)
 			}
 		}
 		best, err := Best(sizes, figures, Constant, Logarithm, Linear, Power)
 		if err != nil || math.Abs(best.At(5000)/want.At(5000)-1) > 0.05 {
-			t.Errorf("%s: best is %+v, %v", want.Model, best, err)
+			t.Errorf("%s: Best returned %+v, %v", want.Model, best, err)
 		}
 	}
 }
 
-func TestTooLittleForACurve(t *testing.T) {
+func TestFitRejectsInvalidInput(t *testing.T) {
 	for what, try := range map[string][2][]float64{
-		"two sizes":     {{1, 1, 2}, {1, 1, 2}},
-		"a nought":      {{1, 2, 3}, {1, 0, 2}},
-		"lost figure":   {{1, 2, 3}, {1, 2}},
-		"not a number":  {{1, 2, 3}, {1, math.NaN(), 2}},
-		"negative size": {{-1, 2, 3}, {1, 1, 2}},
+		"two sizes":      {{1, 1, 2}, {1, 1, 2}},
+		"a zero":         {{1, 2, 3}, {1, 0, 2}},
+		"missing figure": {{1, 2, 3}, {1, 2}},
+		"not a number":   {{1, 2, 3}, {1, math.NaN(), 2}},
+		"negative size":  {{-1, 2, 3}, {1, 1, 2}},
 	} {
 		if fit, err := FitTo(Linear, try[0], try[1]); err == nil {
-			t.Errorf("%s: fitted as %+v", what, fit)
+			t.Errorf("%s: got the fit %+v, want an error", what, fit)
 		}
 	}
 }
 
-func TestFileIsKeptAndChecked(t *testing.T) {
+func TestFileRoundTripAndValidation(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "measured.json")
 	m, err := Load(path)
 	if err != nil || len(m.Runs) != 0 {
-		t.Fatalf("a file that is not there: %+v, %v", m, err)
+		t.Fatalf("loading a missing file: %+v, %v", m, err)
 	}
 	m.Put(Run{Name: "held", Slopes: []Slope{{Name: "held.step_seconds", Fit: Fit{Model: Linear, Base: 1, Rate: 2}}}})
 	m.Put(Run{Name: "destinations"})
@@ -84,13 +84,13 @@
 		t.Errorf("read back: %+v", back)
 	}
 	for text, want := range map[string]string{
-		`{"version": 2}`: "version: 1 was expected",
+		`{"version": 2}`: "version: want 1, got 2",
 		`{"version": 1, "runs": [{"name": "a", "slopes": [{"name": "x", "fit": {"model": "wavy"}}]}]}`:                                              `slope "x": fit.model`,
-		`{"version": 1, "runs": [{"name": "a", "slopes": [{"name": "x", "fit": {"model": "linear"}}, {"name": "x", "fit": {"model": "linear"}}]}]}`: "stands twice",
+		`{"version": 1, "runs": [{"name": "a", "slopes": [{"name": "x", "fit": {"model": "linear"}}, {"name": "x", "fit": {"model": "linear"}}]}]}`: `duplicate slope "x"`,
 		`{"version": 1, "extra": 1}`: "extra",
 	} {
 		if _, err := Parse("measured.json", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v, not %s", text, err, want)
+			t.Errorf("%s: got error %v, want %q", text, err, want)
 		}
 	}
 }
