--- a/testbed/scale/couriers.go
+++ b/testbed/scale/couriers.go
@@ -63,9 +63,9 @@
 	isComparison bool // recorded under sizeCompared, to show that figures per interval do not depend on its length
 }
 
-// Heartbeat intervals are shorter than the default to save time. All timers of a member scale with the interval, except the
-// waits of the membership after a pause of the process. The largest fleet has a longer interval: with 300 members at 250 ms,
-// the joining of all members took more processor time than eight cores have.
+// Heartbeat intervals are shorter than the default. That does not distort the figures, because all timers of a member scale
+// with the interval, except the waits of the membership after a pause of the process. The largest fleet has a longer
+// interval: with 300 members at 250 ms, the joining of all members took more processor time than eight cores have.
 const (
 	quickInterval   = 50 * time.Millisecond
 	fullInterval    = 250 * time.Millisecond
--- a/testbed/scale/sharing.go
+++ b/testbed/scale/sharing.go
@@ -29,7 +29,7 @@
 	figureSamples     = "kept_counts"        // samples of other couriers kept
 	figureDropped     = "left_out"           // routes and samples dropped because the tables were full
 	figureLargest     = "largest_packet"     // bytes of the largest packet
-	figureOverGranted = "over_lent"          // samples in which the shares of all couriers exceeded the limit
+	figureOverGranted = "over_lent"          // observations in which the shares of all couriers exceeded the limit
 	figureMalformed   = "spoilt_packets"     // packets that the receiver could not decode
 	figureLeases      = "loans"              // leases accepted
 	figurePacketRate  = "packets_per_second" // sent by one courier
--- a/testbed/scale/sharing_test.go
+++ b/testbed/scale/sharing_test.go
@@ -84,18 +84,18 @@
 	}
 }
 
-// TestSharingDetectsOverGranting checks that the samples detect shares that exceed a limit. Couriers that expect half the
+// TestSharingDetectsOverGranting checks that observations detect shares that exceed a limit. Couriers that expect half the
 // fleet size each take twice their share.
 func TestSharingDetectsOverGranting(t *testing.T) {
 	for expected, want := range map[int]bool{10: false, 5: true} {
 		f := newSharingFleet(10, 1)
 		f.expected = expected
 		f.run(context.Background(), sharingEnd)
-		if f.err != nil || f.samples == 0 {
-			t.Fatalf("%v, %d samples", f.err, f.samples)
+		if f.err != nil || f.observations == 0 {
+			t.Fatalf("%v, %d observations", f.err, f.observations)
 		}
 		if over := f.overGranted > 0; over != want {
-			t.Errorf("%d of 10 couriers expected: %d samples with shares above the limit", expected, f.overGranted)
+			t.Errorf("%d of 10 couriers expected: %d observations with shares above the limit", expected, f.overGranted)
 		}
 	}
 }
--- a/testbed/scale/sharingfleet.go
+++ b/testbed/scale/sharingfleet.go
@@ -23,9 +23,9 @@
 	maxPacketDelay = 60 * microsPerSecond / 1000
 	// sharingWarmUp is longer than the time for which a started courier withholds what its predecessor may have granted, and
 	// longer than the averaging time of usage.
-	sharingWarmUp  = 8 * microsPerSecond
-	sharingEnd     = 20 * microsPerSecond
-	sampleInterval = microsPerSecond
+	sharingWarmUp       = 8 * microsPerSecond
+	sharingEnd          = 20 * microsPerSecond
+	observationInterval = microsPerSecond
 	// maxReportAge is the age up to which a sample counts, as in package quota.
 	maxReportAge = 3 * microsPerSecond
 	// trackedSharers is the number of couriers whose received samples are recorded.
@@ -61,9 +61,9 @@
 	measuring                       bool
 	packets, bytes                  int
 	largest, malformed, overGranted int
-	samples                         int
-	heardRatio, useRatio, loadRatio float64 // sums over all samples
-	samplingTime                    time.Duration
+	observations                    int           // of one route at one time
+	heardRatio, useRatio, loadRatio float64       // sums over all observations
+	observingTime                   time.Duration // processor time of observe, not counted as cost of the couriers
 	err                             error
 }
 
@@ -71,12 +71,12 @@
 	f := newSharingFleet(couriers, play.Seed)
 	f.run(ctx, sharingWarmUp)
 	f.measuring = true
-	f.sample()
+	f.observe()
 	runtime.GC()
-	f.samplingTime = 0
+	f.observingTime = 0
 	begun := processorTime()
 	f.run(ctx, sharingEnd)
-	used := processorTime() - begun - f.samplingTime
+	used := processorTime() - begun - f.observingTime
 	if f.err != nil {
 		return f.err
 	}
@@ -89,7 +89,7 @@
 	sizes := map[string]float64{sizeCouriers: float64(couriers), sizeRoutes: fleetRoutes}
 	for figure, value := range map[string]float64{
 		figurePacketRate: float64(f.packets) / span, figureByteRate: float64(f.bytes) / span, figureCores: used.Seconds() / span,
-		figureHeardRatio: f.heardRatio / float64(f.samples), figureHeard: f.heardRatio / float64(f.samples) * float64(couriers-1), figureUseRatio: f.useRatio / float64(f.samples), figureLoadRatio: f.loadRatio / float64(f.samples),
+		figureHeardRatio: f.heardRatio / float64(f.observations), figureHeard: f.heardRatio / float64(f.observations) * float64(couriers-1), figureUseRatio: f.useRatio / float64(f.observations), figureLoadRatio: f.loadRatio / float64(f.observations),
 		figureLeases: float64(leases), figureLargest: float64(f.largest), figureMalformed: float64(f.malformed), figureOverGranted: float64(f.overGranted),
 	} {
 		play.Report(sizes, figure, value)
@@ -120,7 +120,7 @@
 		alive = append(append(alive, f.names[:i]...), f.names[i+1:]...)
 		f.schedule(f.now+quota.Micros(f.rng.Int64N(int64(tickSpan))), func() { f.tick(s, alive) })
 	}
-	f.schedule(sharingWarmUp+sampleInterval, f.samplePeriodically)
+	f.schedule(sharingWarmUp+observationInterval, f.observePeriodically)
 	return f
 }
 
@@ -221,16 +221,16 @@
 	return sum
 }
 
-func (f *sharingFleet) samplePeriodically() {
-	f.schedule(f.now+sampleInterval, f.samplePeriodically)
+func (f *sharingFleet) observePeriodically() {
+	f.schedule(f.now+observationInterval, f.observePeriodically)
 	begun := processorTime()
-	f.sample()
-	f.samplingTime += processorTime() - begun
+	f.observe()
+	f.observingTime += processorTime() - begun
 }
 
-// sample checks for each limit that the shares of all couriers do not exceed it, and compares the usage that couriers know of
+// observe checks for each limit that the shares of all couriers do not exceed it, and compares the usage that couriers know of
 // with the actual usage.
-func (f *sharingFleet) sample() {
+func (f *sharingFleet) observe() {
 	const limit = quota.Units(1000 * 1000)
 	all := make([][]quota.Status, len(f.sharers))
 	for i, s := range f.sharers {
@@ -246,11 +246,11 @@
 		if shares > limit {
 			f.overGranted++
 		}
-		f.sampleRoute(all, route, use)
+		f.observeRoute(all, route, use)
 	}
 }
 
-func (f *sharingFleet) sampleRoute(all [][]quota.Status, route int, use quota.Units) {
+func (f *sharingFleet) observeRoute(all [][]quota.Status, route int, use quota.Units) {
 	const limit = 1e6
 	if use == 0 {
 		return
@@ -265,7 +265,7 @@
 			others += float64(use - line.Usage)
 		}
 	}
-	f.samples++
+	f.observations++
 	f.heardRatio += heardRatio / float64(len(all))
 	f.loadRatio += loadRatio / float64(len(all))
 	f.useRatio += known / max(others, 1)
