--- a/cmd/pineport/fleet.go
+++ b/cmd/pineport/fleet.go
@@ -39,7 +39,7 @@
 			return nil
 		}
 		go m.HandOff() // at once, as its successor wants the address
-		return &handoff.Membership{Incarnation: m.Incarnation(), Members: m.Members()}
+		return &handoff.Membership{Incarnation: m.Incarnation(), Members: m.MemberAddresses()}
 	})
 	go func() {
 		m, x, err := p.join(ctx, router, given, log)
@@ -75,13 +75,13 @@
 func (p *process) join(ctx context.Context, router *server.Server, given *handoff.State, log *slog.Logger) (*gossip.Member, *exchange.Exchange, error) {
 	dep := p.dep
 	o := gossip.Options{Name: dep.Name, FleetSize: dep.Dispatch.Couriers, Fleet: dep.Peers.Fleet, Listen: dep.Peers.Listen,
-		Advertise: dep.Peers.Advertise, Join: dep.Peers.Join, Key: dep.Peers.Key, Interval: dep.Peers.ProbeInterval, Seed: dep.Dispatch.Seed, Log: log, SizeEstimated: router.FleetSizeEstimated,
+		Advertise: dep.Peers.Advertise, Join: dep.Peers.Join, Key: dep.Peers.Key, Interval: dep.Peers.ProbeInterval, Seed: dep.Dispatch.Seed, Log: log, SizeEstimated: router.SetFleetSize,
 		StoreIncarnation: func(start uint64) error { return incarnation.Store(dep.StateDir, dep.Name, start) }}
 	if z := int(dep.Dispatch.Zone); z < len(dep.Zones) {
 		o.Zone = dep.Zones[z]
 	}
 	var err error
-	if o.Through, err = gossip.Pairs(dep.Peers.AddressOverrides); err != nil {
+	if o.DialAddresses, err = gossip.ParseDialAddresses(dep.Peers.AddressOverrides); err != nil {
 		return nil, nil, err
 	}
 	if given != nil && given.Membership != nil { // the same member, going on
@@ -89,7 +89,7 @@
 	} else {
 		var fault error
 		if o.Incarnation, fault, err = incarnation.Next(dep.StateDir, dep.Name); fault != nil {
-			log.Warn("last incarnation unknown", "file", incarnation.Name, "error", fault)
+			log.Warn("last incarnation unknown", "file", incarnation.FileName, "error", fault)
 		}
 		if err != nil {
 			return nil, nil, err // a number that is not kept might be used twice
--- a/cmd/pineport/members_test.go
+++ b/cmd/pineport/members_test.go
@@ -83,7 +83,7 @@
 	if n, _, err := heard.ReadFrom(make([]byte, 100)); err == nil {
 		t.Errorf("%d bytes were sent to a member", n)
 	}
-	if _, err := os.Stat(filepath.Join(c.dir, "state", incarnation.Name)); err == nil {
+	if _, err := os.Stat(filepath.Join(c.dir, "state", incarnation.FileName)); err == nil {
 		t.Error("a start is numbered")
 	}
 	for _, path := range []string{"/peers", "/commons"} {
--- a/cmd/pineport/quota.go
+++ b/cmd/pineport/quota.go
@@ -47,12 +47,12 @@
 func showQuota(out io.Writer, s exchange.Status) error {
 	table := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintf(table, "%d requests, %d granted, %d leased, %d late or unknown; %d packets out (%d bytes), %d in, %d malformed, %d dropped\n\n", s.Counters.Requested, s.Counters.Granted,
-		s.Counters.Leased, s.Counters.Late, s.PacketsOut, s.BytesOut, s.PacketsIn, s.PacketsMalformed, s.PacketsDropped)
+		s.Counters.Leased, s.Counters.Rejected, s.PacketsOut, s.BytesOut, s.PacketsIn, s.PacketsMalformed, s.PacketsDropped)
 	fmt.Fprintln(table, "DESTINATION\tENDPOINT\tLIMIT/s\tSHARE %\tGRANTED %\tLEASED %\tOWN USE %\tALL USE %\tCOURIERS\tCALLS\tDELIVERED\tTHROTTLED")
 	percent := func(ppm int64) string { return fmt.Sprintf("%.1f", float64(ppm)/1e4) }
 	for _, l := range s.Groups {
 		fmt.Fprintf(table, "%d\t%s\t%.1f\t%s\t%s\t%s\t%s\t%.0f\t%d\t%d\t%d\t%d\n", l.Dest, cmp.Or(l.Endpoint, "-"), l.Limit, percent(int64(l.Base)),
-			percent(int64(l.Granted)), percent(int64(l.Leased)), percent(int64(l.Usage)), 100*l.Load, l.CouriersHeard, l.Calls, l.Delivered, l.Throttled)
+			percent(int64(l.Granted)), percent(int64(l.Leased)), percent(int64(l.Usage)), 100*l.Load, l.ReportingCouriers, l.Calls, l.Delivered, l.Throttled)
 	}
 	return table.Flush()
 }
--- a/cmd/pineport/run.go
+++ b/cmd/pineport/run.go
@@ -74,7 +74,7 @@
 	}()
 	go p.hear(hangups)
 	for {
-		if err := p.serve(); !errors.Is(err, server.ErrReclaim) {
+		if err := p.serve(); !errors.Is(err, server.ErrSuccessorLost) {
 			return err
 		}
 	}
@@ -164,11 +164,11 @@
 	}
 	p.attach(router, given)
 	if predecessor != nil {
-		router.Predecessor(predecessor)
+		router.ConnectPredecessor(predecessor)
 	}
 	defer p.enter(ctx, router, given)()
-	router.Successors(folder.Release)
-	if err := folder.Serve(router.SuccessorArrived); err != nil {
+	router.SetFolderRelease(folder.Release)
+	if err := folder.Serve(router.SuccessorReady); err != nil {
 		log.Warn("handoff unavailable while this process runs", "error", err)
 	}
 	return router.Run(p.stop, p.reloads, grace)
@@ -258,7 +258,7 @@
 	dep, log := p.dep, p.log
 	before := p.router.Swap(router)
 	if before != nil {
-		router.CountFrom(before)
+		router.CopyCounters(before)
 	}
 	if p.desk != nil {
 		p.desk.SetCourier(router)
@@ -275,7 +275,7 @@
 		p.dep = next
 		limits(next)
 		if member := p.member.Load(); member != nil {
-			member.FleetResized(next.Dispatch.Couriers)
+			member.SetFleetSize(next.Dispatch.Couriers)
 		}
 		if err := log.SetLevels(next.Log.Level, next.Log.Levels); err != nil {
 			log.Warn("log levels unchanged", "error", err)
--- a/testbed/scale/changes_test.go
+++ b/testbed/scale/changes_test.go
@@ -140,12 +140,12 @@
 	h.record(12*s, 0, update(dispatch.ListFailed))
 	h.record(15*s, 1, update(dispatch.CachedList, entry("a", dispatch.InService)))
 	h.record(16*s, 1, update(dispatch.CompleteList)) // 1 s after discovery is reachable again
-	drawn := &scenario.Drawn{Acts: []scenario.Act{
-		{At: 9 * s, Kind: scenario.Kills, Courier: 1},
-		{At: 10 * s, Kind: scenario.Drains, Endpoint: endpointmodel.Endpoint{ID: "a"}},
-		{At: 13 * s, Kind: scenario.ListDown},
-		{At: 14 * s, Kind: scenario.Starts, Courier: 1},
-		{At: 15 * s, Kind: scenario.ListUp},
+	drawn := &scenario.Instance{Events: []scenario.Event{
+		{At: 9 * s, Kind: scenario.CourierKilled, Courier: 1},
+		{At: 10 * s, Kind: scenario.EndpointDraining, Endpoint: endpointmodel.Endpoint{ID: "a"}},
+		{At: 13 * s, Kind: scenario.DirectoryDown},
+		{At: 14 * s, Kind: scenario.CourierStarted, Courier: 1},
+		{At: 15 * s, Kind: scenario.DirectoryUp},
 	}}
 	got := h.compare(drawn)
 	if got.changes != 1 || got.unnotified != 1 || !slices.Equal(got.notified, []float64{1, 2}) || !slices.Equal(got.everywhere, []float64{2}) ||
--- a/testbed/scale/directorychanges.go
+++ b/testbed/scale/directorychanges.go
@@ -96,7 +96,7 @@
 	return nil
 }
 
-func drawDiscoveryScenario(couriers int, troubles string, seed int64) (*scenario.Drawn, error) {
+func drawDiscoveryScenario(couriers int, troubles string, seed int64) (*scenario.Instance, error) {
 	d, err := scenario.Read("changes.toml", []byte(fmt.Sprintf(discoveryScenario, couriers)+troubles))
 	if err != nil {
 		return nil, err
@@ -106,7 +106,7 @@
 
 // recordingHost runs the couriers in this process and records which list changes each courier receives, and when.
 type recordingHost struct {
-	*simulation.Local
+	*simulation.LocalHost
 	phaseChanges []map[dispatch.EndpointID][]phaseChange // index: courier
 }
 
@@ -119,7 +119,7 @@
 }
 
 func newRecordingHost(couriers int) *recordingHost {
-	h := &recordingHost{Local: simulation.NewLocal(nil)}
+	h := &recordingHost{LocalHost: simulation.NewLocalHost(nil)}
 	for range couriers {
 		h.phaseChanges = append(h.phaseChanges, map[dispatch.EndpointID][]phaseChange{})
 	}
@@ -135,7 +135,7 @@
 			}
 		}
 	}
-	return h.Local.Turn(now, batches)
+	return h.LocalHost.Step(now, batches)
 }
 
 // record stores the phases in an update of the list. It ignores the cached list that a restarted courier loads, because the
@@ -183,10 +183,10 @@
 
 // compare compares the recorded updates with the list changes of the scenario. For a courier that is down at the time of a
 // change, the time counts from its next start.
-func (h *recordingHost) compare(drawn *scenario.Drawn) (t notificationTimes) {
-	phases := map[scenario.ActKind]dispatch.Phase{scenario.Adds: dispatch.InService, scenario.Drains: dispatch.Draining, scenario.Removes: dispatch.Removed}
+func (h *recordingHost) compare(drawn *scenario.Instance) (t notificationTimes) {
+	phases := map[scenario.EventKind]dispatch.Phase{scenario.EndpointAdded: dispatch.InService, scenario.EndpointDraining: dispatch.Draining, scenario.EndpointRemoved: dispatch.Removed}
 	downs, outages := downTimes(drawn), discoveryOutages(drawn)
-	for _, act := range drawn.Acts {
+	for _, act := range drawn.Events {
 		phase, ok := phases[act.Kind]
 		if !ok {
 			continue
@@ -217,12 +217,12 @@
 }
 
 // discoveryOutages returns the times during which discovery is unreachable.
-func discoveryOutages(drawn *scenario.Drawn) (outages []downTime) {
-	for _, act := range drawn.Acts {
+func discoveryOutages(drawn *scenario.Instance) (outages []downTime) {
+	for _, act := range drawn.Events {
 		switch act.Kind {
-		case scenario.ListDown:
+		case scenario.DirectoryDown:
 			outages = append(outages, downTime{from: act.At})
-		case scenario.ListUp:
+		case scenario.DirectoryUp:
 			outages[len(outages)-1].to = act.At
 		}
 	}
@@ -240,14 +240,14 @@
 }
 
 // downTimes returns the down times of each courier.
-func downTimes(drawn *scenario.Drawn) map[int][]downTime {
+func downTimes(drawn *scenario.Instance) map[int][]downTime {
 	downs := map[int][]downTime{}
-	for _, act := range drawn.Acts {
+	for _, act := range drawn.Events {
 		all := downs[act.Courier]
 		switch {
-		case act.Kind == scenario.Kills:
+		case act.Kind == scenario.CourierKilled:
 			downs[act.Courier] = append(all, downTime{from: act.At})
-		case act.Kind == scenario.Starts && len(all) > 0 && all[len(all)-1].to == 0:
+		case act.Kind == scenario.CourierStarted && len(all) > 0 && all[len(all)-1].to == 0:
 			all[len(all)-1].to = act.At
 		}
 	}
--- a/testbed/scale/hangups.go
+++ b/testbed/scale/hangups.go
@@ -46,7 +46,7 @@
 		return err
 	}
 	defer os.RemoveAll(folder)
-	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
+	world, err := scripted.Open(1, func(string) scripted.Response { return scripted.Response{Status: 200} })
 	if err != nil {
 		return err
 	}
@@ -102,7 +102,7 @@
 // writeRealConfig writes the configuration file of a courier. Each generation sets a different queue limit (open-cap).
 func writeRealConfig(c *process.Courier, world *scripted.World, generation int) error {
 	var file map[string]any
-	if err := json.Unmarshal(world.Configuration(fmt.Sprintf("n%d", c.No), c.Listen), &file); err != nil {
+	if err := json.Unmarshal(world.CourierConfiguration(fmt.Sprintf("n%d", c.Number), c.Listen), &file); err != nil {
 		return err
 	}
 	ceilings := file["settings"].(map[string]any)["ceilings"].(map[string]any)
@@ -154,5 +154,5 @@
 		case <-time.After(logPollInterval):
 		}
 	}
-	return fmt.Errorf("courier %d did not reload its settings within %v of SIGHUP", c.No, reloadTimeout)
+	return fmt.Errorf("courier %d did not reload its settings within %v of SIGHUP", c.Number, reloadTimeout)
 }
--- a/testbed/scale/outage.go
+++ b/testbed/scale/outage.go
@@ -132,7 +132,7 @@
 	callsAfterReturn int     // attempts sent to the destinations in the first second after their return
 	score            float64 // of the scenario, without the penalty for violated invariants
 	destinationsDown int     // destinations that were down
-	overloaded       int     // destinations that couriers overloaded on their return (invariants.Pushed)
+	overloaded       int     // destinations that couriers overloaded on their return (invariants.NoRecoveryOverload)
 	violations       int     // violations of other invariants
 	unanswered       int     // accepted messages without a final notice
 	attemptMismatch  int     // difference between the attempts counted by the ledger of testbed/invariants and by the observer
@@ -145,21 +145,21 @@
 }
 
 // outageScenario returns the scenario "calm" with the traffic, fleet and trouble of this experiment.
-func outageScenario(kind string, count int) (*scenario.Day, error) {
+func outageScenario(kind string, count int) (*scenario.Definition, error) {
 	d, err := scenario.Find("calm")
 	if err != nil {
 		return nil, err
 	}
 	d.Length, d.Load = outageStart+outageLasts+outageRecovery, scenario.Range{1, 1}
 	d.Fleet.Couriers = count
-	d.Traffic.FullPerSec, d.Traffic.Destinations = outageTraffic, outageDestinations
-	d.Traffic.Zipf, d.Traffic.Swing, d.Traffic.Clumps = 0, 0, scenario.Range{}
+	d.Traffic.FullLoadPerSec, d.Traffic.Destinations = outageTraffic, outageDestinations
+	d.Traffic.Zipf, d.Traffic.Swing, d.Traffic.BurstShare = 0, 0, scenario.Range{}
 	firms := d.Kinds[slices.IndexFunc(d.Kinds, func(k scenario.Kind) bool { return k.Name == "firms" })]
 	firms.Connections, firms.Endpoints = scenario.Range{}, scenario.Range{1, 1}
 	d.Kinds = []scenario.Kind{firms}
 	d.Classes = slices.DeleteFunc(d.Classes, func(w scenario.Class) bool { return w.Name != "update" })
-	d.Troubles = []scenario.Trouble{{Kind: kind, At: scenario.Range{outageStart, outageStart}, Length: scenario.Range{outageLasts, outageLasts},
-		Part: float64(outageDown) / outageDestinations, By: "any", Whole: 1}}
+	d.Faults = []scenario.FaultSpec{{Kind: kind, At: scenario.Range{outageStart, outageStart}, Length: scenario.Range{outageLasts, outageLasts},
+		Share: float64(outageDown) / outageDestinations, Scope: "any", AllEndpointsChance: 1}}
 	return d, nil
 }
 
@@ -171,7 +171,7 @@
 	}
 	drawn := scenario.Draw(d, seed)
 	observer := newOutageObserver(drawn)
-	host := simulation.NewLocal(func(courier int, settings dispatch.Config) simulation.Decider {
+	host := simulation.NewLocalHost(func(courier int, settings dispatch.Config) simulation.Decider {
 		return &courierObserver{outageObserver: observer, courier: courier, decider: o.newDecider(settings), inFlight: map[attemptKey]dispatch.DestinationID{},
 			sent: map[dispatch.MessageID]dispatch.AttemptNumber{}}
 	})
@@ -206,18 +206,18 @@
 
 const notParked dispatch.Micros = -1
 
-func newOutageObserver(drawn *scenario.Drawn) *outageObserver {
+func newOutageObserver(drawn *scenario.Instance) *outageObserver {
 	w := &outageObserver{destinations: map[dispatch.EndpointID]dispatch.DestinationID{}, down: map[dispatch.DestinationID]bool{}, parkedAt: map[callerPair]dispatch.Micros{}}
 	for number := range drawn.Destinations {
 		for _, endpoint := range drawn.Destinations[number].Endpoints {
 			w.destinations[endpoint.ID] = dispatch.DestinationID(number)
 		}
 	}
-	for _, act := range drawn.Acts {
+	for _, act := range drawn.Events {
 		switch act.Kind {
-		case scenario.Begins:
+		case scenario.FaultBegins:
 			w.from, w.down[dispatch.DestinationID(act.Dest)] = act.At, true
-		case scenario.Ends:
+		case scenario.FaultEnds:
 			w.to = act.At
 		}
 	}
@@ -228,8 +228,8 @@
 func (w *outageObserver) finish(verdict *invariants.Verdict) outageSums {
 	sums := w.outageSums
 	sums.callerPairs, sums.destinationsDown = len(w.parkedAt), len(w.down)
-	sums.score = verdict.Service - verdict.Costs // verdict.Figure would be 0 if an invariant were violated
-	var parkedAfter dispatch.Micros              // integer microseconds: a float sum would depend on the iteration order of the map
+	sums.score = verdict.ServiceScore - verdict.Costs // verdict.Figure would be 0 if an invariant were violated
+	var parkedAfter dispatch.Micros                   // integer microseconds: a float sum would depend on the iteration order of the map
 	for _, at := range w.parkedAt {
 		if at == notParked {
 			at = w.to
@@ -239,15 +239,15 @@
 		parkedAfter += at - w.from
 	}
 	sums.parkedAfter = float64(parkedAfter) / float64(second)
-	for rule, count := range verdict.Broken {
-		if rule == invariants.Pushed {
+	for rule, count := range verdict.BreachCounts {
+		if rule == invariants.NoRecoveryOverload {
 			sums.overloaded += count
 		} else {
 			sums.violations += count
 		}
 	}
 	counts := verdict.Counts
-	sums.unanswered = counts.Lost + max(counts.Taken-counts.Done-counts.Rejected-counts.Failed, 0)
+	sums.unanswered = counts.Lost + max(counts.Accepted-counts.Delivered-counts.Rejected-counts.Failed, 0)
 	sums.attemptMismatch = max(counts.Attempts-w.attempts, w.attempts-counts.Attempts)
 	return sums
 }
--- a/testbed/scale/sharing.go
+++ b/testbed/scale/sharing.go
@@ -176,7 +176,7 @@
 	runtime.KeepAlive(incoming)
 	samples := 0
 	for _, status := range statuses {
-		samples += status.CouriersHeard
+		samples += status.ReportingCouriers
 	}
 	sizes := l.sizes()
 	for figure, value := range map[string]float64{
@@ -199,9 +199,9 @@
 // demands returns the demands of the courier after the given number of ticks. Some routes are used two and three times as
 // much as others.
 func (l receiverSize) demands(ticks int) quota.DemandsChanged {
-	demands := quota.DemandsChanged{All: make([]quota.Demand, 0, l.routes)}
+	demands := quota.DemandsChanged{Demands: make([]quota.Demand, 0, l.routes)}
 	for route := range l.routes {
-		demands.All = append(demands.All, quota.Demand{Key: quota.Key{Dest: int32(route)}, Limit: routeLimit, Calls: uint64(ticks * (1 + route%3))})
+		demands.Demands = append(demands.Demands, quota.Demand{Key: quota.Key{Dest: int32(route)}, Limit: routeLimit, Calls: uint64(ticks * (1 + route%3))})
 	}
 	return demands
 }
--- a/testbed/scale/sharingfleet.go
+++ b/testbed/scale/sharingfleet.go
@@ -144,10 +144,10 @@
 // tick passes the usage since the last tick to the quota allocator of a courier, and sends the resulting packets.
 func (f *sharingFleet) tick(s *sharer, alive []string) {
 	f.schedule(f.now+tickSpan, func() { f.tick(s, alive) })
-	demands := quota.DemandsChanged{All: make([]quota.Demand, 0, fleetRoutes)}
+	demands := quota.DemandsChanged{Demands: make([]quota.Demand, 0, fleetRoutes)}
 	for route, rate := range s.rates {
 		s.calls[route] += f.drawCalls(rate * float64(tickSpan) / float64(microsPerSecond))
-		demands.All = append(demands.All, quota.Demand{Key: quota.Key{Dest: int32(route)}, Limit: routeLimit, Calls: s.calls[route], Delivered: s.calls[route]})
+		demands.Demands = append(demands.Demands, quota.Demand{Key: quota.Key{Dest: int32(route)}, Limit: routeLimit, Calls: s.calls[route], Delivered: s.calls[route]})
 	}
 	f.handle(s, quota.FleetChanged{Couriers: f.expected, Alive: alive}, demands, quota.Tick{})
 }
@@ -258,7 +258,7 @@
 	var heardRatio, loadRatio, known, others float64
 	for i, statuses := range all {
 		status := &statuses[route]
-		heardRatio += float64(status.CouriersHeard) / float64(len(all)-1)
+		heardRatio += float64(status.ReportingCouriers) / float64(len(all)-1)
 		loadRatio += status.Load / (float64(use) / wholeLimit)
 		if s := f.sharers[i]; s.reported != nil {
 			known += float64(s.knownUse(f.now, status.Key))
--- a/testbed/scale/starts.go
+++ b/testbed/scale/starts.go
@@ -71,7 +71,7 @@
 
 func newExchangePeer(seed int64) (*exchangePeer, error) {
 	mesh := netfault.NewMesh(2, seed)
-	peer := &exchangePeer{address: mesh.At(0), estimated: make(chan int, 1), couriers: 2, incarnation: 1}
+	peer := &exchangePeer{address: mesh.Addr(0), estimated: make(chan int, 1), couriers: 2, incarnation: 1}
 	member, err := gossip.Open(gossip.Options{Name: testedMember, Incarnation: peer.incarnation, FleetSize: peer.couriers, Seed: seed,
 		Transport: mesh.Join(0), SizeEstimated: func(couriers int) { peer.estimated <- couriers }})
 	if err != nil {
@@ -111,7 +111,7 @@
 	// Join returns after lingeringStream.Close, so the member has read the map and queued it for its view. The view handles
 	// the resize after the map.
 	t.couriers++
-	t.member.FleetResized(t.couriers)
+	t.member.SetFleetSize(t.couriers)
 	select {
 	case <-t.estimated:
 	case <-time.After(estimateTimeout):
@@ -150,11 +150,11 @@
 func (t *exchangePeer) MergeRemoteState([]byte, bool) {}
 
 // lingeringTransport opens streams whose Close waits until the other side has closed the stream.
-type lingeringTransport struct{ *netfault.Node }
+type lingeringTransport struct{ *netfault.MemberTransport }
 
 // DialTimeout opens a lingering stream.
 func (l lingeringTransport) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
-	conn, err := l.Node.DialTimeout(address, timeout)
+	conn, err := l.MemberTransport.DialTimeout(address, timeout)
 	if err != nil {
 		return nil, err
 	}
