--- a/cmd/pineport-testbed/scale.go
+++ b/cmd/pineport-testbed/scale.go
@@ -101,7 +101,7 @@
 
 // courierForExperiments returns the path of the courier binary, or an empty path if no experiment of this run needs real couriers.
 func courierForExperiments(experiments []scale.Experiment, f scaleFlags) (path string, clean func(), err error) {
-	needsCourier := slices.ContainsFunc(experiments, func(experiment scale.Experiment) bool { return experiment.Real })
+	needsCourier := slices.ContainsFunc(experiments, func(experiment scale.Experiment) bool { return experiment.UsesRealCouriers })
 	if f.quick || !needsCourier {
 		return "", func() {}, nil
 	}
--- a/testbed/capacity/page.go
+++ b/testbed/capacity/page.go
@@ -119,7 +119,7 @@
 
 func (page *Page) runs() {
 	for _, run := range page.measured.Runs {
-		page.Runs = append(page.Runs, RunLine{Name: run.Name, About: run.About, Command: run.Command, Commit: run.Commit, Taken: run.Taken,
+		page.Runs = append(page.Runs, RunLine{Name: run.Name, About: run.About, Command: run.Command, Commit: run.Commit, Taken: run.StartedAt,
 			Machine: run.Machine, Plays: run.Plays, Seconds: run.Seconds, Verified: run.Verified})
 		for _, gap := range run.Missing {
 			page.Gaps = append(page.Gaps, Gap{Run: run.Name, Figure: gap.Figure, Why: gap.Why})
--- a/testbed/capacity/row.go
+++ b/testbed/capacity/row.go
@@ -296,7 +296,7 @@
 		if part.Times != nil {
 			used.Times = part.Times(plan, d)
 		}
-		used.Carried = slope.Carried(used.Size)
+		used.Carried = slope.Extrapolation(used.Size)
 		used.countPoints(slope, run)
 		a.Parts = append(a.Parts, used)
 		a.Spread = max(a.Spread, slope.Fit.Spread)
--- a/testbed/scale/destinations.go
+++ b/testbed/scale/destinations.go
@@ -8,41 +8,41 @@
 	"pineport/testbed/slopes"
 )
 
-// Sizes and figures of destinations.
+// Sizes and figures of the experiment destinations.
 const (
-	knownDestinations = "destinations" // on the list, one endpoint each
-	knownBytes        = "bytes"
-	knownFirst        = "first_list"
-	knownAgain        = "list_again"
-	knownChange       = "change"
-	knownStep         = "step"
-
-	knownLists        = 5   // times that the whole list comes again; their median counts
-	knownChanges      = 31  // likewise of one change
-	knownBatches      = 31  // of steps; their median counts
-	knownBatch        = 100 // steps timed together: one is shorter than a clock can tell
-	knownMessages     = 20  // to as many destinations, spread over the list
-	knownBatchesQuick = 3
-
-	// Counts, for the check.
-	knownUsed      = "count_in_use"
-	knownUsedAgain = "count_in_use_after_list_again"
-	knownMoved     = "count_changes_seen"
-	knownDelivered = "count_delivered"
-	knownUnasked   = "count_unasked"
-	knownDifferent = "count_replay_differs"
+	destinationsListed    = "destinations" // destinations on the endpoint list, with one endpoint each
+	destinationsHeap      = "bytes"
+	destinationsFirstList = "first_list"
+	destinationsRelist    = "list_again"
+	destinationsChange    = "change"
+	destinationsStep      = "step"
+
+	destinationsRelists      = 5   // repetitions of the unchanged complete list; the median is reported
+	destinationsChanges      = 31  // repetitions of one change; the median is reported
+	destinationsBatches      = 31  // batches of steps; the median is reported
+	destinationsBatch        = 100 // steps timed together, since one step is shorter than the resolution of the clock
+	destinationsMessages     = 20  // messages, each to another destination, spread evenly over the list
+	destinationsBatchesQuick = 3
+
+	// Counts that the check validates.
+	destinationsInUse            = "count_in_use"
+	destinationsInUseAfterRelist = "count_in_use_after_list_again"
+	destinationsChangesEffective = "count_changes_seen"
+	destinationsDelivered        = "count_delivered"
+	destinationsUnexpected       = "count_unasked" // attempts sent, messages ended and invalid actions of an idle courier
+	destinationsReplayDiffers    = "count_replay_differs"
 )
 
-// destinations measures what it costs to know many destinations.
-type destinations struct{ decide decide }
+// destinations measures the cost of a long list of destinations.
+type destinations struct{ newDecider deciderFactory }
 
-func destinationsExperiment() Experiment { return destinations{realDecisions}.experiment() }
+func destinationsExperiment() Experiment { return destinations{newDispatcher}.experiment() }
 
 func (k destinations) experiment() Experiment {
 	return Experiment{Name: "destinations", Plays: 3, Timed: true,
-		About: "Destinations known to the decision module, one endpoint each and nothing to do: bytes of heap, the first list (once a play), " +
-			"the whole list again with nothing changed (median of 5), one change of it (median of 31), and a step of an idle courier (median of " +
-			"31 batches of 100).",
+		About: "Destinations known to the decision module, with one endpoint each and no traffic: bytes of heap; the step that handles the first list " +
+			"(once a play), the unchanged complete list (median of 5) or one change of it (median of 31); and a step of an idle courier " +
+			"(median of 31 batches of 100).",
 		Measure: k.measure, Fit: fitDestinations, Check: checkDestinations}
 }
 
@@ -62,55 +62,55 @@
 			if k.play(play, count, false) != trace {
 				differs = 1
 			}
-			play.Report(map[string]float64{knownDestinations: float64(count)}, knownDifferent, differs)
+			play.Report(map[string]float64{destinationsListed: float64(count)}, destinationsReplayDiffers, differs)
 		}
 	}
 	return nil
 }
 
-// play has a courier know so many destinations, messages what that costs if asked to, and returns a hash of all that it did.
-func (k destinations) play(play *Play, count int, keep bool) (trace uint64) {
-	sizes := map[string]float64{knownDestinations: float64(count)}
+// play runs a courier with count destinations and returns a hash of its actions. It reports the cost if record is set.
+func (k destinations) play(play *Play, count int, record bool) (trace uint64) {
+	sizes := map[string]float64{destinationsListed: float64(count)}
 	report := func(figure string, value float64) {
-		if keep {
+		if record {
 			play.Report(sizes, figure, value)
 		}
 	}
-	list := listings(count)
-	ids := messageIDs(knownMessages)
-	driver := newDriver(k.decide(courierSettings(play.Seed, 2*count)), 0, len(ids))
+	list := destinationEntries(count)
+	ids := messageIDs(destinationsMessages)
+	driver := newDriver(k.newDecider(courierSettings(play.Seed, 2*count)), 0, len(ids))
 
 	before := heapInUse()
 	driver.step(0, dispatch.EndpointUpdate{Kind: dispatch.CompleteList, Entries: list})
-	report(knownFirst, driver.took.Seconds())
-	report(knownBytes, float64(heapInUse())-float64(before))
-	report(knownUsed, float64(driver.inUse(list)))
+	report(destinationsFirstList, driver.stepDuration.Seconds())
+	report(destinationsHeap, float64(heapInUse())-float64(before))
+	report(destinationsInUse, float64(driver.inUse(list)))
 
-	report(knownAgain, median(driver.listAgain(list)))
-	report(knownUsedAgain, float64(driver.inUse(list)))
+	report(destinationsRelist, median(driver.resubmitList(list)))
+	report(destinationsInUseAfterRelist, float64(driver.inUse(list)))
 
-	took, seen := driver.changes(list)
-	report(knownChange, median(took))
-	report(knownMoved, float64(seen))
+	took, effective := driver.toggleEndpoint(list)
+	report(destinationsChange, median(took))
+	report(destinationsChangesEffective, float64(effective))
 
-	batches := knownBatches
+	batches := destinationsBatches
 	if play.Quick {
-		batches = knownBatchesQuick
+		batches = destinationsBatchesQuick
 	}
 	took, sent := driver.idleSteps(batches)
-	report(knownStep, median(took))
-	report(knownUnasked, float64(sent+driver.counts.ended+driver.counts.invalid))
+	report(destinationsStep, median(took))
+	report(destinationsUnexpected, float64(sent+driver.counts.rejectedOrFailed+driver.counts.invalid))
 
 	for number, id := range ids {
-		driver.step(millisecond, driver.message(id, number*(count/knownMessages)))
+		driver.step(millisecond, driver.newMessage(id, number*(count/destinationsMessages)))
 	}
 	driver.step(millisecond)
-	report(knownDelivered, float64(driver.counts.delivered))
+	report(destinationsDelivered, float64(driver.counts.delivered))
 	keepAlive(list)
-	return driver.trace
+	return driver.traceHash
 }
 
-// inUse counts the endpoints that the courier would call.
+// inUse counts the listed endpoints that the courier does not avoid.
 func (d *memoryDriver) inUse(list []dispatch.EndpointEntry) (count int) {
 	courier, ok := d.courier.(interface {
 		Avoided(now dispatch.Micros, endpoint dispatch.EndpointID) bool
@@ -123,42 +123,43 @@
 	return count
 }
 
-// listAgain submits the whole list some times with nothing changed, and returns what each took, in seconds.
-func (d *memoryDriver) listAgain(list []dispatch.EndpointEntry) (took []float64) {
-	for range knownLists {
+// resubmitList submits the unchanged complete list several times and returns the duration of each step, in seconds.
+func (d *memoryDriver) resubmitList(list []dispatch.EndpointEntry) (took []float64) {
+	for range destinationsRelists {
 		d.step(millisecond, dispatch.EndpointUpdate{Kind: dispatch.CompleteList, Entries: list})
-		took = append(took, d.took.Seconds())
+		took = append(took, d.stepDuration.Seconds())
 	}
 	return took
 }
 
-// changes has one endpoint drain and return by steps; it returns what each change took, in seconds, and how many took effect.
-func (d *memoryDriver) changes(list []dispatch.EndpointEntry) (took []float64, seen int) {
-	for number := range knownChanges {
+// toggleEndpoint drains one endpoint and returns it to service, in turn. It returns the duration of each step, in seconds,
+// and the number of changes that took effect.
+func (d *memoryDriver) toggleEndpoint(list []dispatch.EndpointEntry) (took []float64, effective int) {
+	for number := range destinationsChanges {
 		changed := list[len(list)/2]
 		if number%2 == 0 {
 			changed.Phase = dispatch.Draining
 		}
 		d.step(millisecond, dispatch.EndpointUpdate{Kind: dispatch.PartialList, Entries: []dispatch.EndpointEntry{changed}})
-		took = append(took, d.took.Seconds())
+		took = append(took, d.stepDuration.Seconds())
 		if used := d.inUse([]dispatch.EndpointEntry{changed}) == 1; used == (changed.Phase == dispatch.InService) {
-			seen++
+			effective++
 		}
 	}
 	d.step(millisecond, dispatch.EndpointUpdate{Kind: dispatch.PartialList, Entries: []dispatch.EndpointEntry{list[len(list)/2]}})
-	return took, seen
+	return took, effective
 }
 
-// idleSteps lets time pass for a courier with nothing to do; it returns what a step took in each batch, in seconds, and how many
-// messages were sent.
+// idleSteps runs batches of steps of an idle courier. It returns the mean duration of a step in each batch, in seconds, and
+// the number of attempts sent.
 func (d *memoryDriver) idleSteps(batches int) (took []float64, sent int) {
 	for range batches {
 		var sum float64
-		for range knownBatch {
+		for range destinationsBatch {
 			sent += d.step(millisecond, dispatch.TimerFired{})
-			sum += d.took.Seconds()
+			sum += d.stepDuration.Seconds()
 		}
-		took = append(took, sum/knownBatch)
+		took = append(took, sum/destinationsBatch)
 	}
 	return took, sent
 }
@@ -166,15 +167,15 @@
 func fitDestinations(results *Results) error {
 	growing := []slopes.Model{slopes.Linear, slopes.Power}
 	anyGrowth := []slopes.Model{slopes.Constant, slopes.Logarithm, slopes.Linear, slopes.Power}
-	flat := []slopes.Model{slopes.Constant, slopes.Power} // neither falls below nought beyond the sizes measured
+	constantOrPower := []slopes.Model{slopes.Constant, slopes.Power} // both stay positive when extrapolated beyond the measured sizes
 	for _, curve := range []Curve{
-		{Figure: knownBytes, About: "heap of the decision module for the destinations that it knows", Unit: "bytes", Models: []slopes.Model{slopes.Linear}},
-		{Figure: knownFirst, About: "the step that takes in the first list", Unit: "s", Models: growing},
-		{Figure: knownAgain, About: "the step that takes in the whole list again with nothing changed", Unit: "s", Models: growing},
-		{Figure: knownChange, About: "the step that takes in one change of the list", Unit: "s", Models: anyGrowth},
-		{Figure: knownStep, About: "a step of an idle courier", Unit: "s", Models: flat},
+		{Figure: destinationsHeap, About: "heap of the decision module for the known destinations", Unit: "bytes", Models: []slopes.Model{slopes.Linear}},
+		{Figure: destinationsFirstList, About: "the step that handles the first list", Unit: "s", Models: growing},
+		{Figure: destinationsRelist, About: "the step that handles the unchanged complete list", Unit: "s", Models: growing},
+		{Figure: destinationsChange, About: "the step that handles one change of the list", Unit: "s", Models: anyGrowth},
+		{Figure: destinationsStep, About: "a step of an idle courier", Unit: "s", Models: constantOrPower},
 	} {
-		curve.Name, curve.Over = curve.Figure, knownDestinations
+		curve.Name, curve.Over = curve.Figure, destinationsListed
 		if err := results.Fit(curve); err != nil {
 			return err
 		}
@@ -182,20 +183,21 @@
 	return nil
 }
 
-// checkDestinations: each destination listed is in use, also after the same list again; each change takes effect; an idle courier
-// does nothing; messages for known destinations are delivered; the same play does the same again.
+// checkDestinations fails unless each listed destination is in use, before and after the list is resubmitted, each change
+// takes effect, an idle courier neither sends nor ends a message, all messages are delivered, and a replay produces the same
+// actions. A count that was not recorded passes.
 func checkDestinations(results *Results) error {
 	for _, point := range results.Points() {
 		for _, expected := range []struct {
 			figure string
 			want   float64
 		}{
-			{knownUsed, point.Sizes[knownDestinations]},
-			{knownUsedAgain, point.Sizes[knownDestinations]},
-			{knownMoved, knownChanges},
-			{knownUnasked, 0},
-			{knownDelivered, knownMessages},
-			{knownDifferent, 0},
+			{destinationsInUse, point.Sizes[destinationsListed]},
+			{destinationsInUseAfterRelist, point.Sizes[destinationsListed]},
+			{destinationsChangesEffective, destinationsChanges},
+			{destinationsUnexpected, 0},
+			{destinationsDelivered, destinationsMessages},
+			{destinationsReplayDiffers, 0},
 		} {
 			if err := equalCounts(point, expected.figure, expected.want); err != nil {
 				return fmt.Errorf("%v: %w", point.Sizes, err)
--- a/testbed/simulation/returns_test.go
+++ b/testbed/simulation/returns_test.go
@@ -142,7 +142,7 @@
 }
 
 // Step implements Host.
-func (c *slowStartCounter) Turn(now dispatch.Micros, batches []Batch) ([][]dispatch.Action, error) {
+func (c *slowStartCounter) Step(now dispatch.Micros, batches []Batch) ([][]dispatch.Action, error) {
 	all, err := c.Host.Step(now, batches)
 	for i := range all {
 		c.countCalls(now, batches[i].Courier, all[i])
