--- a/testbed/capacity/arithmetic_test.go
+++ b/testbed/capacity/arithmetic_test.go
@@ -10,49 +10,50 @@
 	"testing"
 )
 
-// TestArithmeticOfThePlan holds the arithmetic against figures worked out by hand from the sizes alone.
+// TestArithmeticOfThePlan compares the computed figures of the example plan with figures calculated by hand.
 func TestArithmeticOfThePlan(t *testing.T) {
-	plan := planned(t)
+	plan := examplePlan(t)
 	d := Derive(plan)
 	for what, pair := range map[string][2]float64{
-		"events a courier":         {d.EventsPerCourier, 354.5},
-		"held a courier":           {d.HeldPerCourier, 17.27e6},
+		"events per courier":       {d.EventsPerCourier, 354.5},
+		"held per courier":         {d.HeldPerCourier, 17.27e6},
 		"down":                     {d.DestinationsDown, 172_800},
-		"events a destination":     {d.EventsPerDestination, 1.0833},
-		"meeting":                  {d.MeetingSeconds, 2.82 * 3600},
+		"events per destination":   {d.EventsPerDestination, 1.0833},
+		"meeting":                  {d.EventIntervalSeconds, 2.82 * 3600},
 		"five failures":            {d.FiveFailuresSeconds, 14.1 * 3600},
-		"opening":                  {d.OpeningSeconds, 16.92 * 3600},
+		"opening":                  {d.BreakerOpeningSeconds, 16.92 * 3600},
 		"zone":                     {d.CouriersPerZone, 440},
 		"region":                   {d.CouriersPerRegion, 1100},
 		"control":                  {d.CouriersPerControl, 314.3},
 		"changes":                  {d.ChangesPerSecond, 0.6713},
 		"waiting":                  {d.ChangesWaitingAfterCut, 2417},
-		"lately called":            {d.RoutesLately, 42_295},
+		"recently called":          {d.RecentRoutes, 42_295},
 		"backlog of a destination": {d.BacklogPerDestination, 1.0995e6},
-		"gone words":               {d.GoneWordsPerDay, 308_000},
+		"removal commands":         {d.RemovalCommandsPerDay, 308_000},
 	} {
 		if math.Abs(pair[0]/pair[1]-1) > 1e-3 {
-			t.Errorf("%s: %v, not %v", what, pair[0], pair[1])
+			t.Errorf("%s: got %v, want %v", what, pair[0], pair[1])
 		}
 	}
 }
 
-// TestStatedArithmetic: what was done by hand agrees, but for the half day until five failures.
+// TestStatedArithmetic checks that all stated figures of the example plan agree with the computed ones, except the time of half a day until
+// five failures.
 func TestStatedArithmetic(t *testing.T) {
-	plan := planned(t)
+	plan := examplePlan(t)
 	d := Derive(plan)
 	checked := Check(plan, &d)
 	if len(checked) != 10 {
-		t.Fatalf("%d stated figures, not 10: %+v", len(checked), checked)
+		t.Fatalf("%d stated figures, want 10: %+v", len(checked), checked)
 	}
 	for _, c := range checked {
 		if c.Agrees == (c.Key == "five_failures_s") {
-			t.Errorf("%s: stated %v, worked out %v, agrees: %v", c.Key, c.Stated, c.Worked, c.Agrees)
+			t.Errorf("%s: stated %v, computed %v, agrees: %v", c.Key, c.Stated, c.Computed, c.Agrees)
 		}
 	}
 	plan.Stated = Stated{CouriersPerZone: 380}
-	if checked = Check(plan, &d); len(checked) != 1 || checked[0].Agrees || math.Abs(checked[0].Off+60.0/440) > 1e-9 {
-		t.Errorf("380 couriers a zone: %+v", checked)
+	if checked = Check(plan, &d); len(checked) != 1 || checked[0].Agrees || math.Abs(checked[0].RelativeError+60.0/440) > 1e-9 {
+		t.Errorf("380 couriers per zone: %+v", checked)
 	}
 }
 
@@ -61,26 +62,26 @@
 	for _, key := range Keys() {
 		if name, isStated := statedName(key); isStated {
 			if figure, found := figures[name]; !found || figure.Unit != key.Unit {
-				t.Errorf("%s: the arithmetic has %+v", key.Path, figure)
+				t.Errorf("%s: the computed figure is %+v", key.Path, figure)
 			}
 		}
 	}
 }
 
-// TestAssumedFiguresAreSeen: what rests on an assumed figure says so, and nothing else does.
-func TestAssumedFiguresAreSeen(t *testing.T) {
-	plan := planned(t)
+// TestAssumedFiguresAreMarked checks that assumedBehind finds the assumed keys that a figure depends on, and no others.
+func TestAssumedFiguresAreMarked(t *testing.T) {
+	plan := examplePlan(t)
 	drain := assumedBehind(plan, func(_ *Plan, d *Derived) float64 { return d.DrainSeconds })
 	if len(drain) != 1 || drain[0] != "traffic.headroom" {
-		t.Errorf("the drain rests on %v", drain)
+		t.Errorf("the drain time depends on %v", drain)
 	}
 	if stated := assumedBehind(plan, heldMessages.At); len(stated) != 0 {
-		t.Errorf("messages held rest on %v", stated)
+		t.Errorf("the number of messages held depends on %v", stated)
 	}
 }
 
-// TestConstantsOfTheCode holds figures that this package repeats against the code that has them: they are not exported there.
-func TestConstantsOfTheCode(t *testing.T) {
+// TestConstantsMatchCode compares constants that this package repeats with the source files that define them, where they are not exported.
+func TestConstantsMatchCode(t *testing.T) {
 	type constant struct {
 		file, pattern string
 		figure        float64
@@ -90,8 +91,8 @@
 		{"membership/gossip/gossip.go", `ticksPerInterval\s+= (\d+)\s`, gossipTicks},
 		{"server/discovery.go", `watchWait\s+= (\d+) \* 1000\n`, 1000 * watchSeconds},
 		{"cmd/pineport/fleet.go", `Interval: min\(o\.Interval/(\d+), maxExchangeInterval\)`, sharingTicks},
-		{"spool/spool.go", `reservedBytes: (\d+)}`, keptFreeEach},
-		{"server/queue.go", `const pauseThreshold = (\d+) \* 1000`, 1000 * planned(t).Budget.Courier.StepSeconds},
+		{"spool/spool.go", `reservedBytes: (\d+)}`, reservedPerMessage},
+		{"server/queue.go", `const pauseThreshold = (\d+) \* 1000`, 1000 * examplePlan(t).Budget.Courier.StepSeconds},
 	}
 	bounds := 0
 	for _, row := range Rows() {
@@ -101,7 +102,7 @@
 		}
 	}
 	if bounds != 3 {
-		t.Errorf("%d bounds of the code, not 3", bounds)
+		t.Errorf("%d limits in the code, want 3", bounds)
 	}
 	for _, c := range all {
 		text, err := os.ReadFile(filepath.Join("../..", c.file))
@@ -114,19 +115,20 @@
 			continue
 		}
 		if figure, _ := strconv.ParseFloat(found[1], 64); figure != c.figure {
-			t.Errorf("%s: %s is %v there, %v here", c.file, c.pattern, figure, c.figure)
+			t.Errorf("%s: %s is %v there and %v in this package", c.file, c.pattern, figure, c.figure)
 		}
 	}
 }
 
-// TestOutageIsPlayedAsTakenFor holds what this package takes of the run outage against that run, as soon as either is there.
-func TestOutageIsPlayedAsTakenFor(t *testing.T) {
+// TestOutageConstantsMatchScaleRun compares the constants of the run outage in this package with the source of that run. It fails if slopes
+// are measured but that source does not exist.
+func TestOutageConstantsMatchScaleRun(t *testing.T) {
 	const run = "../scale/outage.go"
 	if !exists(t, run) {
 		if exists(t, measuredFile) {
-			t.Errorf("slopes are measured, and there is no %s to hold its figures against", run)
+			t.Errorf("docs/capacity/measured.json exists, but not %s, which its figures come from", run)
 		}
-		t.Log("the run is not there yet, and nothing is measured")
+		t.Log("neither the source of the run nor docs/capacity/measured.json exists")
 		return
 	}
 	text, err := os.ReadFile(run)
@@ -146,15 +148,15 @@
 		return value
 	}
 	if rate := figure("outageTraffic") / figure("outageDestinations"); rate != outageRate {
-		t.Errorf("%v messages a second for one destination there, %v here", rate, outageRate)
+		t.Errorf("%v messages per second for one destination in the run, %v in this package", rate, outageRate)
 	}
 	if down, lasts := figure("outageDown"), figure("outageLasts"); down != outageDown || lasts != outageSeconds {
-		t.Errorf("%v destinations down for %v s there, %v for %v s here", down, lasts, outageDown, outageSeconds)
+		t.Errorf("%v destinations down for %v s in the run, %v for %v s in this package", down, lasts, outageDown, outageSeconds)
 	}
 }
 
-// TestPromisesAreHeld: the tests that a promise names are there, and so are the pages.
-func TestPromisesAreHeld(t *testing.T) {
+// TestPromisesNameExistingTests checks that the tests and pages that each promise names exist.
+func TestPromisesNameExistingTests(t *testing.T) {
 	for _, promise := range Promises() {
 		if _, err := os.Stat(filepath.Join("../..", promise.Page)); err != nil {
 			t.Errorf("%s: %v", promise.Piece, err)
@@ -173,7 +175,7 @@
 		}
 		for _, name := range promise.ShownBy {
 			if !strings.Contains(text.String(), "func "+name+"(t *testing.T)") {
-				t.Errorf("%s: no test of %s is called %s", promise.Piece, promise.Package, name)
+				t.Errorf("%s: %s has no test named %s", promise.Piece, promise.Package, name)
 			}
 		}
 	}
--- a/testbed/capacity/assumed.go
+++ b/testbed/capacity/assumed.go
@@ -2,10 +2,11 @@
 
 import "reflect"
 
-// nudge is how far an assumed figure is moved to see what rests on it.
-const nudge = 1.01
+// perturbation is the factor applied to an assumed value to find the figures that depend on it.
+const perturbation = 1.01
 
-// assumedBehind are the assumed keys of a plan, budgets apart, on which a figure rests: those that move it when they are moved.
+// assumedBehind returns the assumed keys of a plan that a figure depends on, that is, the keys whose perturbation changes the figure.
+// Budgets do not occur among them as long as the figure does not read them.
 func assumedBehind(plan *Plan, figure func(*Plan, *Derived) float64) (keys []string) {
 	derived := Derive(plan)
 	before := figure(plan, &derived)
@@ -13,18 +14,18 @@
 		if !plan.IsAssumed(key.Path) {
 			continue
 		}
-		moved := *plan
-		field := reflect.ValueOf(&moved).Elem().FieldByIndex(key.index)
-		field.SetFloat(nudge * field.Float())
-		after := Derive(&moved)
-		if figure(&moved, &after) != before {
+		perturbed := *plan
+		field := reflect.ValueOf(&perturbed).Elem().FieldByIndex(key.index)
+		field.SetFloat(perturbation * field.Float())
+		after := Derive(&perturbed)
+		if figure(&perturbed, &after) != before {
 			keys = append(keys, key.Path)
 		}
 	}
 	return keys
 }
 
-// figureOf picks a figure of the arithmetic by its place.
+// figureOf returns a function that reads the field of Derived with the given index.
 func figureOf(index int) func(*Plan, *Derived) float64 {
 	return func(_ *Plan, d *Derived) float64 { return reflect.ValueOf(d).Elem().Field(index).Float() }
 }
--- a/testbed/capacity/cells.go
+++ b/testbed/capacity/cells.go
@@ -7,35 +7,35 @@
 	"pineport/testbed/slopes"
 )
 
-// empty is printed where there is nothing to say.
-const empty = "-"
+// emptyCell is printed in a cell without content.
+const emptyCell = "-"
 
-// figureCell is a row's figure at the planned size.
-func figureCell(a *Answer) string {
+// figureCell returns the figure of a row at the planned size.
+func figureCell(a *RowResult) string {
 	if len(a.Counts) > 0 {
 		return countsText(a.Counts, a.Unit)
 	}
 	if a.Figure == nil {
 		return string(NotMeasured)
 	}
-	text := Text(*a.Figure, a.Unit)
+	text := Format(*a.Figure, a.Unit)
 	if a.AtLeast {
 		return "at least " + text + ", in part " + string(NotMeasured)
 	}
 	return text
 }
 
-// restsCell says what the figure rests on.
-func restsCell(a *Answer) string {
+// basisCell returns the slopes, arithmetic and assumed keys that the figure is based on.
+func basisCell(a *RowResult) string {
 	var parts []string
 	for _, part := range a.Parts {
 		parts = append(parts, fmt.Sprintf("`%s` (%s)", part.Slope, fitText(&part, a.Unit)))
 	}
 	if a.Added > 0 {
-		parts = append(parts, "and "+Text(a.Added, a.Unit)+" by "+string(Arithmetic))
+		parts = append(parts, "and "+Format(a.Added, a.Unit)+" by "+string(Arithmetic))
 	}
 	if len(parts) > 0 {
-		parts[len(parts)-1] += assumedText(a.Assumes)
+		parts[len(parts)-1] += assumedText(a.AssumedKeys)
 	}
 	for _, missing := range a.Missing {
 		if len(a.Parts) > 0 || a.Evidence != NotMeasured || isSlopeName(missing) {
@@ -47,38 +47,39 @@
 		parts = append(parts, "`"+a.Counts[0].Figure+"` ("+string(a.Evidence)+")")
 	}
 	if len(parts) == 0 {
-		parts = append(parts, string(a.Evidence)+assumedText(a.Assumes))
+		parts = append(parts, string(a.Evidence)+assumedText(a.AssumedKeys))
 	}
 	return strings.Join(parts, "; ")
 }
 
-// wideSpread is the spread of a fit from which on the page points at it.
-const wideSpread = 0.3
+// highlightedSpread is the spread of a fit from which the page prints it in bold.
+const highlightedSpread = 0.3
 
-// lastFarOff is how far the figure at the largest size may lie off the curve before the page points at it.
-const lastFarOff = 1.25
+// highlightedLastPoint is the ratio of the figure at the largest measured size to the fitted curve, in either direction, beyond which
+// the page prints it in bold.
+const highlightedLastPoint = 1.25
 
-// fitText says what curve was fitted, how far its points lie off it, and what bounds it.
+// fitText describes the fitted curve: its model, its spread, the deviation at the largest measured size, and its upper bound.
 func fitText(part *PartUsed, unit string) string {
 	text := string(part.Fit.Model)
 	if part.Fit.Model == slopes.Power {
-		text += " " + plain(part.Fit.Rate)
+		text += " " + formatRounded(part.Fit.Rate)
 	}
 	spread := "spread " + percent(roundedSpread(part.Fit.Spread))
-	if part.Fit.Spread >= wideSpread {
+	if part.Fit.Spread >= highlightedSpread {
 		spread = "**" + spread + "**"
 	}
 	text += ", " + spread
-	if part.Last > lastFarOff || part.Last > 0 && part.Last < 1/lastFarOff {
-		text += ", **last point " + plain(part.Last) + " x the curve**"
+	if part.LastPointRatio > highlightedLastPoint || part.LastPointRatio > 0 && part.LastPointRatio < 1/highlightedLastPoint {
+		text += ", **last point " + formatRounded(part.LastPointRatio) + " x the curve**"
 	}
 	if part.AtMost > 0 {
-		text += ", " + Text(part.Times*part.AtMost, unit) + " at most"
+		text += ", " + Format(part.Factor*part.AtMost, unit) + " at most"
 	}
 	return text
 }
 
-// roundedSpread is nought where a spread is that of rounding alone.
+// roundedSpread returns 0 for a spread that is only floating-point error.
 func roundedSpread(spread float64) float64 {
 	const rounding = 1e-9
 	if spread < rounding {
@@ -87,7 +88,7 @@
 	return spread
 }
 
-// countsText tells counts by their sizes; sizes that follow each other with the same count are notified together.
+// countsText lists counts with their sizes. Consecutive sizes with the same count are printed as one range.
 func countsText(counts []Count, unit string) string {
 	var parts []string
 	for from := 0; from < len(counts); {
@@ -95,17 +96,17 @@
 		for to+1 < len(counts) && counts[to+1].Mean == counts[from].Mean {
 			to++
 		}
-		sizes := plain(counts[from].Size)
+		sizes := formatRounded(counts[from].Size)
 		if to > from {
-			sizes += " to " + plain(counts[to].Size)
+			sizes += " to " + formatRounded(counts[to].Size)
 		}
-		parts = append(parts, fmt.Sprintf("%s at %s %s", Text(counts[from].Mean, unit), sizes, counts[from].Over))
+		parts = append(parts, fmt.Sprintf("%s at %s %s", Format(counts[from].Mean, unit), sizes, counts[from].Over))
 		from = to + 1
 	}
 	return strings.Join(parts, ", ")
 }
 
-// assumedText names the assumed figures on which another one rests.
+// assumedText lists the assumed keys that a figure depends on.
 func assumedText(keys []string) string {
 	if len(keys) == 0 {
 		return ""
@@ -113,74 +114,74 @@
 	return " (assumed: `" + strings.Join(keys, "`, `") + "`)"
 }
 
-// isSlopeName tells a slope from a reason in words.
+// isSlopeName reports whether a text is the name of a slope rather than a reason in words.
 func isSlopeName(text string) bool {
 	return strings.Contains(text, ".") && !strings.Contains(text, " ")
 }
 
-// carriedCell says over which sizes the slopes were measured, and how far they are carried.
-func carriedCell(a *Answer) string {
+// measuredRangeCell returns the range of sizes over which each slope was measured, and how far it is extrapolated.
+func measuredRangeCell(a *RowResult) string {
 	var parts []string
 	for _, part := range a.Parts {
-		text := fmt.Sprintf("%s to %s %s, ", plain(part.From), plain(part.To), part.Over)
+		text := fmt.Sprintf("%s to %s %s, ", formatRounded(part.From), formatRounded(part.To), part.Over)
 		switch {
-		case part.Carried > markedBeyond:
-			text += "**carried " + plain(part.Carried) + " x**"
-		case part.Carried > 1:
-			text += "carried " + plain(part.Carried) + " x"
+		case part.Extrapolation > maxUnmarkedExtrapolation:
+			text += "**extrapolated " + formatRounded(part.Extrapolation) + " x**"
+		case part.Extrapolation > 1:
+			text += "extrapolated " + formatRounded(part.Extrapolation) + " x"
 		default:
 			text += "within"
 		}
 		parts = append(parts, text)
 	}
 	if len(parts) == 0 {
-		return empty
+		return emptyCell
 	}
 	return strings.Join(parts, "; ")
 }
 
-func budgetCell(a *Answer) string {
+func budgetCell(a *RowResult) string {
 	switch {
 	case a.Budget == nil:
-		return "none stated"
+		return "no budget"
 	case a.Budget.Assumed:
-		return Text(a.Budget.Figure, a.Unit) + " (assumed)"
+		return Format(a.Budget.Figure, a.Unit) + " (assumed)"
 	case a.Budget.Key == "":
-		return exact(a.Budget.Figure) + " " + a.Unit + " (" + a.Budget.Source + ")"
+		return formatExact(a.Budget.Figure) + " " + a.Unit + " (" + a.Budget.Source + ")"
 	}
-	return Text(a.Budget.Figure, a.Unit)
+	return Format(a.Budget.Figure, a.Unit)
 }
 
-// shareCell says at which share of the planned size the budget breaks.
-func shareCell(a *Answer) string {
+// shareCell returns the share of the planned size at which the budget is exceeded.
+func shareCell(a *RowResult) string {
 	switch {
 	case a.Budget == nil:
-		return empty
+		return emptyCell
 	case a.Figure == nil:
 		return string(NotMeasured)
-	case a.Never:
+	case a.NeverBreaks:
 		return "never"
 	}
 	text := percent(*a.Share)
 	if a.AtLeast {
 		text = "at most " + text
 	}
-	if a.Seen {
-		text += " (seen there)"
+	if a.MeasuredBreak {
+		text += " (measured there)"
 	}
 	if a.Reported != "" {
-		text += " (told only)"
+		text += " (not ranked)"
 	}
 	return text
 }
 
-// agreement says whether a stated figure is what the arithmetic gives.
-func agreement(c *Checked) string {
+// agreement describes whether a stated figure matches the computed one.
+func agreement(c *StatedCheck) string {
 	if c.Agrees {
 		return "agrees"
 	}
-	if c.Off > 0 {
-		return "**off**: " + percent(c.Off) + " too large"
+	if c.RelativeError > 0 {
+		return "**off**: " + percent(c.RelativeError) + " too large"
 	}
-	return "**off**: " + percent(-c.Off) + " too small"
+	return "**off**: " + percent(-c.RelativeError) + " too small"
 }
--- a/testbed/capacity/check.go
+++ b/testbed/capacity/check.go
@@ -15,14 +15,14 @@
 	"pineport/config"
 )
 
-// Fault is what is wrong with one key of a plan.
+// Fault is an error in one key of a plan.
 type Fault = config.Fault
 
-// Key is one key of a plan's file.
+// Key describes one key of a plan file.
 type Key struct {
-	Path      string // as plan.toml spells it, with dots
+	Path      string // as in plan.toml, with dots
 	Doc, Unit string
-	Low, High float64 // of a number
+	Low, High float64 // inclusive bounds of a numeric value
 	Optional  bool
 	kind      reflect.Kind
 	index     []int
@@ -30,20 +30,20 @@
 
 const stringList = reflect.Slice
 
-// Keys lists all keys of a plan, in the order of the file.
+// Keys returns all keys of a plan, in the order of the fields of Plan.
 func Keys() []Key { return keysOf("", nil, false, reflect.TypeFor[Plan]()) }
 
 func keysOf(table string, index []int, optional bool, structure reflect.Type) (all []Key) {
 	for i := range structure.NumField() {
 		field := structure.Field(i)
 		path := strings.TrimPrefix(table+"."+field.Tag.Get("toml"), ".")
-		at := append(slices.Clone(index), i)
+		fieldIndex := append(slices.Clone(index), i)
 		if field.Type.Kind() == reflect.Struct {
-			all = append(all, keysOf(path, at, field.Tag.Get("optional") != "", field.Type)...)
+			all = append(all, keysOf(path, fieldIndex, field.Tag.Get("optional") != "", field.Type)...)
 			continue
 		}
 		low, high, _ := strings.Cut(field.Tag.Get("in"), "..")
-		key := Key{Path: path, Doc: field.Tag.Get("doc"), Unit: field.Tag.Get("unit"), Optional: optional, kind: field.Type.Kind(), index: at}
+		key := Key{Path: path, Doc: field.Tag.Get("doc"), Unit: field.Tag.Get("unit"), Optional: optional, kind: field.Type.Kind(), index: fieldIndex}
 		key.Low, _ = strconv.ParseFloat(low, 64)
 		key.High, _ = strconv.ParseFloat(high, 64)
 		all = append(all, key)
@@ -51,15 +51,15 @@
 	return all
 }
 
-// Number is the figure that a plan gives for a key that is a number.
+// Number returns the value of a numeric key.
 func (p *Plan) Number(key Key) float64 {
 	return reflect.ValueOf(p).Elem().FieldByIndex(key.index).Float()
 }
 
-// IsAssumed tells whether nobody stated the figure of a key.
+// IsAssumed reports whether the value of a key is an assumption.
 func (p *Plan) IsAssumed(path string) bool { return slices.Contains(p.Assumed, path) }
 
-// ReadPlan reads a plan; all faults of it are notified at once, each with file, line, key and what was expected.
+// ReadPlan parses and validates a plan. Its error lists all faults of the file, each with file, line, key and the expected value.
 func ReadPlan(file string, text []byte) (*Plan, error) {
 	var tree map[string]any
 	if err := toml.Unmarshal(text, &tree); err != nil {
@@ -70,19 +70,19 @@
 	plan := &Plan{}
 	known := Keys()
 	for _, key := range known {
-		reader.take(plan, key)
+		reader.set(plan, key)
 	}
-	reader.strange(known)
-	reader.assumptions(plan, known)
-	reader.together(plan)
+	reader.reportUnknownKeys(known)
+	reader.checkAssumed(plan, known)
+	reader.checkCombinations(plan)
 	return plan, reader.err()
 }
 
-// planReader holds the values of a file against the schema.
+// planReader validates the values of a plan file against the tags of Plan and collects the faults.
 type planReader struct {
 	file   string
 	lines  map[string]int
-	given  map[string]any // by path; tables are not in it
+	given  map[string]any // values by path, without tables
 	faults []Fault
 }
 
@@ -101,12 +101,12 @@
 	r.faults = append(r.faults, Fault{File: r.file, Line: config.LineOf(r.lines, path), Key: path, Problem: fmt.Sprintf(format, args...)})
 }
 
-// take puts one value into the plan, or tells what was expected.
-func (r *planReader) take(plan *Plan, key Key) {
+// set stores the value of one key in the plan, or records a fault.
+func (r *planReader) set(plan *Plan, key Key) {
 	value, given := r.given[key.Path]
 	if !given {
 		if !key.Optional {
-			r.fault(key.Path, "must be given: %s", described(key))
+			r.fault(key.Path, "must be given: %s", describe(key))
 		}
 		return
 	}
@@ -119,18 +119,18 @@
 	case reflect.String:
 		text, ok := value.(string)
 		if !ok || text == "" {
-			r.fault(key.Path, "a text was expected, not %v: %s", value, key.Doc)
+			r.fault(key.Path, "expected a text, got %v: %s", value, key.Doc)
 			return
 		}
 		field.SetString(text)
 	case stringList:
-		if words, ok := r.words(key, value); ok {
+		if words, ok := r.stringsOf(key, value); ok {
 			field.Set(reflect.ValueOf(words))
 		}
 	}
 }
 
-func described(key Key) string {
+func describe(key Key) string {
 	if key.Unit == "" {
 		return key.Doc
 	}
@@ -145,17 +145,17 @@
 	case float64:
 		number = v
 	default:
-		r.fault(key.Path, "a number from %v to %v was expected, not %q: %s", key.Low, key.High, fmt.Sprint(value), described(key))
+		r.fault(key.Path, "expected a number from %v to %v, got %q: %s", key.Low, key.High, fmt.Sprint(value), describe(key))
 		return 0, false
 	}
 	if math.IsNaN(number) || number < key.Low || number > key.High {
-		r.fault(key.Path, "a number from %v to %v was expected, not %v: %s", key.Low, key.High, number, described(key))
+		r.fault(key.Path, "expected a number from %v to %v, got %v: %s", key.Low, key.High, number, describe(key))
 		return 0, false
 	}
 	return number, true
 }
 
-func (r *planReader) words(key Key, value any) (words []string, ok bool) {
+func (r *planReader) stringsOf(key Key, value any) (words []string, ok bool) {
 	list, ok := value.([]any)
 	for _, item := range list {
 		word, isText := item.(string)
@@ -163,13 +163,13 @@
 		words = append(words, word)
 	}
 	if !ok {
-		r.fault(key.Path, "a list of texts was expected, not %v: %s", value, key.Doc)
+		r.fault(key.Path, "expected a list of texts, got %v: %s", value, key.Doc)
 	}
 	return words, ok
 }
 
-// strange tells of keys that no plan has.
-func (r *planReader) strange(known []Key) {
+// reportUnknownKeys records a fault for each key that a plan does not have.
+func (r *planReader) reportUnknownKeys(known []Key) {
 	var names []string
 	isKnown := map[string]bool{}
 	for _, key := range known {
@@ -180,42 +180,42 @@
 		if isKnown[path] {
 			continue
 		}
-		text := "no such key"
+		text := "unknown key"
 		if nearest := config.Nearest(path, names); nearest != "" {
-			text += fmt.Sprintf("; %q?", nearest)
+			text += fmt.Sprintf("; did you mean %q?", nearest)
 		}
 		r.fault(path, "%s", text)
 	}
 }
 
-// assumptions checks that what is assumed names numbers of the plan.
-func (r *planReader) assumptions(plan *Plan, known []Key) {
+// checkAssumed records a fault for each entry of the assumed list that is not a numeric key of the plan.
+func (r *planReader) checkAssumed(plan *Plan, known []Key) {
 	for _, path := range plan.Assumed {
 		isNumber := func(key Key) bool { return key.Path == path && key.kind == reflect.Float64 }
 		if !slices.ContainsFunc(known, isNumber) {
-			r.fault("assumed", "the name of a key with a number was expected, not %q", path)
+			r.fault("assumed", "expected the name of a numeric key, got %q", path)
 		}
 	}
 }
 
-// together checks what no single key shows.
-func (r *planReader) together(plan *Plan) {
+// checkCombinations records faults that involve more than one key.
+func (r *planReader) checkCombinations(plan *Plan) {
 	if plan.Fleet.Zones > 0 && plan.Fleet.Zones < plan.Fleet.Regions {
-		r.fault("fleet.zones", "at least as many as the %v regions were expected, not %v", plan.Fleet.Regions, plan.Fleet.Zones)
+		r.fault("fleet.zones", "expected at least as many zones as regions (%v), got %v", plan.Fleet.Regions, plan.Fleet.Zones)
 	}
 	if plan.Fleet.Couriers > 0 && plan.Fleet.Couriers < plan.Fleet.Zones {
-		r.fault("fleet.couriers", "at least as many as the %v zones were expected, not %v", plan.Fleet.Zones, plan.Fleet.Couriers)
+		r.fault("fleet.couriers", "expected at least as many couriers as zones (%v), got %v", plan.Fleet.Zones, plan.Fleet.Couriers)
 	}
 	if plan.Failures.RackCouriers > plan.Fleet.Couriers && plan.Fleet.Couriers > 0 {
-		r.fault("failures.rack_couriers", "at most the %v couriers were expected, not %v", plan.Fleet.Couriers, plan.Failures.RackCouriers)
+		r.fault("failures.rack_couriers", "expected at most the number of couriers (%v), got %v", plan.Fleet.Couriers, plan.Failures.RackCouriers)
 	}
 	if plan.Failures.DestinationsBackAtOnce > plan.Traffic.Destinations && plan.Traffic.Destinations > 0 {
-		r.fault("failures.destinations_back_at_once", "at most the %v destinations were expected, not %v", plan.Traffic.Destinations,
+		r.fault("failures.destinations_back_at_once", "expected at most the number of destinations (%v), got %v", plan.Traffic.Destinations,
 			plan.Failures.DestinationsBackAtOnce)
 	}
 }
 
-// err is all faults in the order of their lines.
+// err returns all faults joined in the order of their lines, or nil.
 func (r *planReader) err() error {
 	slices.SortStableFunc(r.faults, func(a, b Fault) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Key, b.Key), cmp.Compare(a.Problem, b.Problem))
--- a/testbed/capacity/choice.go
+++ b/testbed/capacity/choice.go
@@ -6,24 +6,24 @@
 	"slices"
 )
 
-// closeBy is how many times a share may lie over the smallest one and still be close to it: measured slopes that are carried far and
-// budgets that are round numbers don't order shares any finer.
-const closeBy = 2
+// closeFactor is the ratio to the smallest share up to which another share counts as close to it. Far extrapolations and round-number
+// budgets are too imprecise to rank shares more finely.
+const closeFactor = 2
 
-// Candidate is a mechanism with the share of the planned size at which the first of its budgets breaks.
+// Candidate is a mechanism that may be replaced, with the smallest share of the planned size at which one of its budgets is exceeded.
 type Candidate struct {
 	Mechanism Mechanism `json:"mechanism"`
-	Share     *float64  `json:"share,omitempty"` // nil: none of its rows with a budget is measured, or none breaks
-	Row       string    `json:"row,omitempty"`   // whose budget breaks first
+	Share     *float64  `json:"share,omitempty"` // nil: none of its rows with a budget is measured, or none exceeds its budget
+	Row       string    `json:"row,omitempty"`   // the row whose budget is exceeded first
 	Assumed   bool      `json:"assumed_budget,omitempty"`
-	Rests     int       `json:"rows_resting_on_it"`
+	RowCount  int       `json:"rows_resting_on_it"`
 	Why       string    `json:"why"`
 }
 
-// Candidates are all mechanisms in the order in which they are missing: by the rule, the one whose budget breaks at the smallest
-// share of the planned size; of those that are close, the one on a message's way, and then the one on which more rows rest.
-// Those without a share come last, in the order of Mechanisms.
-func Candidates(answers []Answer) []Candidate {
+// Candidates returns all mechanisms in the order in which they should be replaced: first the one whose budget is exceeded at the
+// smallest share of the planned size; among shares that are close, one on the message path, and then the one with more rows.
+// Mechanisms without a share come last, in the order of Mechanisms.
+func Candidates(answers []RowResult) []Candidate {
 	var open, without []Candidate
 	for _, mechanism := range Mechanisms() {
 		candidate := candidateOf(mechanism, answers)
@@ -36,7 +36,7 @@
 	slices.SortStableFunc(open, func(a, b Candidate) int { return cmp.Compare(*a.Share, *b.Share) })
 	var ordered []Candidate
 	for len(open) > 0 {
-		chosen := pick(open)
+		chosen := pickNext(open)
 		candidate := open[chosen]
 		candidate.Why = reason(open, chosen)
 		ordered = append(ordered, candidate)
@@ -45,61 +45,61 @@
 	return append(ordered, without...)
 }
 
-func candidateOf(mechanism Mechanism, answers []Answer) Candidate {
-	candidate := Candidate{Mechanism: mechanism, Why: "no budget of it is measured, or none breaks: no place in the order"}
+func candidateOf(mechanism Mechanism, answers []RowResult) Candidate {
+	candidate := Candidate{Mechanism: mechanism, Why: "none of its budgets is measured, or none is exceeded: not ranked"}
 	for i := range answers {
-		answer := &answers[i]
-		if answer.Mechanism != mechanism.ID {
+		result := &answers[i]
+		if result.Mechanism != mechanism.ID {
 			continue
 		}
-		candidate.Rests++
-		if answer.Share == nil || answer.Reported != "" {
+		candidate.RowCount++
+		if result.Share == nil || result.Reported != "" {
 			continue
 		}
-		if candidate.Share == nil || *answer.Share < *candidate.Share {
-			candidate.Share, candidate.Row, candidate.Assumed = answer.Share, answer.What, answer.Budget.Assumed
+		if candidate.Share == nil || *result.Share < *candidate.Share {
+			candidate.Share, candidate.Row, candidate.Assumed = result.Share, result.What, result.Budget.Assumed
 		}
 	}
 	return candidate
 }
 
-// isClose tells whether a share is close to the smallest one.
-func isClose(share, smallest float64) bool { return share <= closeBy*smallest }
+// isClose reports whether a share is within closeFactor of the smallest one.
+func isClose(share, smallest float64) bool { return share <= closeFactor*smallest }
 
-// pick chooses among candidates in the order of their shares.
-func pick(open []Candidate) int {
+// pickNext returns the index of the candidate that ranks next. The candidates are sorted by share.
+func pickNext(open []Candidate) int {
 	best := 0
 	for i := 1; i < len(open) && isClose(*open[i].Share, *open[0].Share); i++ {
-		if goesBefore(open[i], open[best]) {
+		if precedes(open[i], open[best]) {
 			best = i
 		}
 	}
 	return best
 }
 
-// goesBefore tells which of two close candidates is to be taken.
-func goesBefore(a, b Candidate) bool {
-	if a.Mechanism.OnPath != b.Mechanism.OnPath {
-		return a.Mechanism.OnPath
+// precedes reports whether a ranks before b, given that their shares are close.
+func precedes(a, b Candidate) bool {
+	if a.Mechanism.OnMessagePath != b.Mechanism.OnMessagePath {
+		return a.Mechanism.OnMessagePath
 	}
-	return a.Rests > b.Rests
+	return a.RowCount > b.RowCount
 }
 
 func reason(open []Candidate, chosen int) string {
 	if chosen == 0 {
 		if len(open) > 1 && isClose(*open[1].Share, *open[0].Share) {
-			return "smallest share of those left; of those close to it, none goes before it"
+			return "smallest share of the remaining mechanisms; no mechanism with a close share precedes it"
 		}
-		return "smallest share of those left"
+		return "smallest share of the remaining mechanisms"
 	}
 	smallest, taken := open[0], open[chosen]
-	if taken.Mechanism.OnPath && !smallest.Mechanism.OnPath {
-		return fmt.Sprintf("close to %q, and on a message's way", smallest.Mechanism.ID)
+	if taken.Mechanism.OnMessagePath && !smallest.Mechanism.OnMessagePath {
+		return fmt.Sprintf("share close to that of %q, and on the message path", smallest.Mechanism.ID)
 	}
-	return fmt.Sprintf("close to %q, and more rows rest on it (%d and %d)", smallest.Mechanism.ID, taken.Rests, smallest.Rests)
+	return fmt.Sprintf("share close to that of %q, and more rows use it (%d against %d)", smallest.Mechanism.ID, taken.RowCount, smallest.RowCount)
 }
 
-// reason is why a candidate stands where it does, with what no run can show of it.
+// reason returns why a candidate has its rank, and which part of its task no run can measure.
 func (c *Candidate) reason() string {
 	if c.Mechanism.Unshown == "" {
 		return c.Why
@@ -107,12 +107,12 @@
 	return c.Why + "; " + c.Mechanism.Unshown
 }
 
-// Trial is the choice made again with other budgets.
+// Trial is the first-ranked mechanism with all assumed budgets scaled by a factor.
 type Trial struct {
-	Times float64     `json:"times"` // the assumed budgets
-	First MechanismID `json:"first"`
-	Share float64     `json:"share"`
+	Factor float64     `json:"times"` // applied to the assumed budgets
+	First  MechanismID `json:"first"`
+	Share  float64     `json:"share"`
 }
 
-// trialTimes are how many times smaller and larger the assumed budgets are taken.
-var trialTimes = []float64{0.1, 10}
+// trialFactors are the factors by which the trials scale the assumed budgets.
+var trialFactors = []float64{0.1, 10}
--- a/testbed/capacity/choice_test.go
+++ b/testbed/capacity/choice_test.go
@@ -6,13 +6,13 @@
 	"testing"
 )
 
-// broken is a row of a mechanism whose budget breaks at a share.
-func broken(mechanism MechanismID, share float64) Answer {
-	return Answer{What: "row of " + string(mechanism), Mechanism: mechanism, Share: &share, Budget: &Budget{}}
+// breakingRow returns a row of a mechanism whose budget breaks at the given share.
+func breakingRow(mechanism MechanismID, share float64) RowResult {
+	return RowResult{What: "row of " + string(mechanism), Mechanism: mechanism, Share: &share, Budget: &Budget{}}
 }
 
-// order is the candidates with a share, in their order.
-func order(answers ...Answer) (ids []MechanismID) {
+// candidateOrder returns the mechanisms of the candidates with a share, by rank.
+func candidateOrder(answers ...RowResult) (ids []MechanismID) {
 	for _, candidate := range Candidates(answers) {
 		if candidate.Share != nil {
 			ids = append(ids, candidate.Mechanism.ID)
@@ -22,49 +22,49 @@
 }
 
 func TestChoice(t *testing.T) {
-	onPath := func(id MechanismID) bool { mechanism, _ := MechanismOf(id); return mechanism.OnPath }
+	onPath := func(id MechanismID) bool { mechanism, _ := MechanismOf(id); return mechanism.OnMessagePath }
 	if !onPath(HeldWork) || !onPath(OutageAlone) || onPath(Membership) || onPath(Sharing) {
-		t.Fatal("the cases below take these for on a message's way, and not")
+		t.Fatal("the cases below expect HeldWork and OutageAlone on the message path, and Membership and Sharing not")
 	}
-	another := Answer{What: "without a budget", Mechanism: OutageAlone}
-	notified := broken(FullList, 0.0001)
-	notified.Reported = "for information"
+	withoutBudget := RowResult{What: "without a budget", Mechanism: OutageAlone}
+	informational := breakingRow(FullList, 0.0001)
+	informational.Reported = "for information"
 	for what, try := range map[string]struct {
-		answers []Answer
+		answers []RowResult
 		want    []MechanismID
 	}{
-		"the smallest share":                           {[]Answer{broken(Membership, 0.3), broken(HeldWork, 0.1), broken(Sharing, 0.01)}, []MechanismID{Sharing, HeldWork, Membership}},
-		"close, and on a message's way":                {[]Answer{broken(Membership, 0.01), broken(HeldWork, 0.019)}, []MechanismID{HeldWork, Membership}},
-		"on a message's way, but not close":            {[]Answer{broken(Membership, 0.01), broken(HeldWork, 0.021)}, []MechanismID{Membership, HeldWork}},
-		"close, both on the way, more rows":            {[]Answer{broken(HeldWork, 0.01), broken(OutageAlone, 0.015), another}, []MechanismID{OutageAlone, HeldWork}},
-		"close, both on the way, as many rows":         {[]Answer{broken(HeldWork, 0.01), broken(OutageAlone, 0.015)}, []MechanismID{HeldWork, OutageAlone}},
-		"the first of a mechanism's rows":              {[]Answer{broken(HeldWork, 0.5), broken(HeldWork, 0.01), broken(Sharing, 0.1)}, []MechanismID{HeldWork, Sharing}},
-		"rows for information don't choose":            {[]Answer{notified, broken(Sharing, 0.1)}, []MechanismID{Sharing}},
-		"close to the smallest left, not to the first": {[]Answer{broken(HeldWork, 0.01), broken(Membership, 0.018), broken(OutageAlone, 0.03)}, []MechanismID{HeldWork, OutageAlone, Membership}},
+		"the smallest share":                                {[]RowResult{breakingRow(Membership, 0.3), breakingRow(HeldWork, 0.1), breakingRow(Sharing, 0.01)}, []MechanismID{Sharing, HeldWork, Membership}},
+		"close, and on the message path":                    {[]RowResult{breakingRow(Membership, 0.01), breakingRow(HeldWork, 0.019)}, []MechanismID{HeldWork, Membership}},
+		"on the message path, but not close":                {[]RowResult{breakingRow(Membership, 0.01), breakingRow(HeldWork, 0.021)}, []MechanismID{Membership, HeldWork}},
+		"close, both on the path, more rows":                {[]RowResult{breakingRow(HeldWork, 0.01), breakingRow(OutageAlone, 0.015), withoutBudget}, []MechanismID{OutageAlone, HeldWork}},
+		"close, both on the path, equally many rows":        {[]RowResult{breakingRow(HeldWork, 0.01), breakingRow(OutageAlone, 0.015)}, []MechanismID{HeldWork, OutageAlone}},
+		"smallest share of a mechanism's rows":              {[]RowResult{breakingRow(HeldWork, 0.5), breakingRow(HeldWork, 0.01), breakingRow(Sharing, 0.1)}, []MechanismID{HeldWork, Sharing}},
+		"informational rows do not count":                   {[]RowResult{informational, breakingRow(Sharing, 0.1)}, []MechanismID{Sharing}},
+		"close to the smallest remaining, not to the first": {[]RowResult{breakingRow(HeldWork, 0.01), breakingRow(Membership, 0.018), breakingRow(OutageAlone, 0.03)}, []MechanismID{HeldWork, OutageAlone, Membership}},
 	} {
-		if got := order(try.answers...); !slices.Equal(got, try.want) {
-			t.Errorf("%s: %v, not %v", what, got, try.want)
+		if got := candidateOrder(try.answers...); !slices.Equal(got, try.want) {
+			t.Errorf("%s: got %v, want %v", what, got, try.want)
 		}
 	}
 }
 
-// TestChoiceShowsAll: each mechanism is notified with its figures and a reason, also those without a share.
-func TestChoiceShowsAll(t *testing.T) {
-	candidates := Candidates([]Answer{broken(Membership, 0.01), broken(HeldWork, 0.019)})
+// TestChoiceListsAllMechanisms checks that every mechanism is listed with a reason, including those without a share.
+func TestChoiceListsAllMechanisms(t *testing.T) {
+	candidates := Candidates([]RowResult{breakingRow(Membership, 0.01), breakingRow(HeldWork, 0.019)})
 	if len(candidates) != len(Mechanisms()) {
 		t.Fatalf("%d candidates of %d mechanisms", len(candidates), len(Mechanisms()))
 	}
-	if why := candidates[0].Why; !strings.Contains(why, "on a message's way") || !strings.Contains(why, string(Membership)) {
-		t.Errorf("chosen as %q", why)
+	if why := candidates[0].Why; !strings.Contains(why, "on the message path") || !strings.Contains(why, string(Membership)) {
+		t.Errorf("reason of the first candidate: %q", why)
 	}
 	for _, candidate := range candidates[2:] {
-		if candidate.Share != nil || !strings.Contains(candidate.Why, "no place") {
+		if candidate.Share != nil || !strings.Contains(candidate.Why, "not ranked") {
 			t.Errorf("%+v", candidate)
 		}
 	}
 }
 
-// TestRowsNameMechanisms: every row with a budget that takes part in the choice belongs to a mechanism, and every mechanism has a row.
+// TestRowsNameMechanisms checks that every row whose budget counts in the choice belongs to a mechanism, and that every mechanism has a row.
 func TestRowsNameMechanisms(t *testing.T) {
 	rests := map[MechanismID]int{}
 	rows := Rows()
@@ -78,26 +78,26 @@
 	for _, row := range rows {
 		_, found := MechanismOf(row.Mechanism)
 		if hasBudget := row.Budget != nil || row.CodeBound != nil; hasBudget && row.Reported == "" && !found {
-			t.Errorf("%s: no mechanism is called %q", row.What, row.Mechanism)
+			t.Errorf("%s: unknown mechanism %q", row.What, row.Mechanism)
 		}
 		rests[row.Mechanism]++
 	}
 	for _, mechanism := range Mechanisms() {
 		if rests[mechanism.ID] == 0 {
-			t.Errorf("no row rests on %s", mechanism.ID)
+			t.Errorf("no row belongs to %s", mechanism.ID)
 		}
 	}
 }
 
-// TestTrialsMoveOnlyWhatIsAssumed: budgets that somebody stated stay in the trials.
-func TestTrialsMoveOnlyWhatIsAssumed(t *testing.T) {
-	plan := planned(t)
-	other := plan.withBudgets(10)
-	if other.Budget.Courier.StepSeconds != 10*plan.Budget.Courier.StepSeconds || other.Budget.Control != plan.Budget.Control ||
-		other.Budget.Courier.ReadySeconds != plan.Budget.Courier.ReadySeconds || other.Traffic != plan.Traffic {
-		t.Errorf("ten times as large: %+v", other)
+// TestTrialsScaleOnlyAssumedBudgets checks that trials leave budgets that are stated requirements unchanged.
+func TestTrialsScaleOnlyAssumedBudgets(t *testing.T) {
+	plan := examplePlan(t)
+	scaled := plan.withBudgets(10)
+	if scaled.Budget.Courier.StepSeconds != 10*plan.Budget.Courier.StepSeconds || scaled.Budget.Control != plan.Budget.Control ||
+		scaled.Budget.Courier.ReadySeconds != plan.Budget.Courier.ReadySeconds || scaled.Traffic != plan.Traffic {
+		t.Errorf("budgets scaled by 10: %+v", scaled)
 	}
-	if page := workedOut(t); len(page.Trials) != len(trialTimes) {
+	if page := fixturePage(t); len(page.Trials) != len(trialFactors) {
 		t.Errorf("trials: %+v", page.Trials)
 	}
 }
--- a/testbed/capacity/figures.go
+++ b/testbed/capacity/figures.go
@@ -5,13 +5,13 @@
 	"strings"
 )
 
-// Figure is one figure of the arithmetic with what it is.
+// Figure is one field of Derived with its name, description and unit.
 type Figure struct {
 	Name, Doc, Unit string
 	Value           float64
 }
 
-// Figures are all figures of the arithmetic, in order.
+// Figures returns all fields of Derived, in order.
 func (d *Derived) Figures() (all []Figure) {
 	value := reflect.ValueOf(d).Elem()
 	for i := range value.NumField() {
@@ -29,5 +29,6 @@
 	return all
 }
 
-// statedName is the figure of the arithmetic that a key of the plan's table "stated" tells by hand.
+// statedName returns the name of the Derived figure that a key of the plan's table "stated" gives as calculated by hand.
+// It returns false for a key of any other table.
 func statedName(key Key) (name string, ok bool) { return strings.CutPrefix(key.Path, "stated.") }
--- a/testbed/capacity/markdown.go
+++ b/testbed/capacity/markdown.go
@@ -5,18 +5,18 @@
 	"strings"
 )
 
-// ChartFolder is where the page looks for its charts, from docs/.
+// ChartFolder is the folder of the charts, relative to docs/.
 const ChartFolder = "capacity"
 
-// markdown gathers the text of the page.
+// markdown builds the text of the page.
 type markdown struct{ strings.Builder }
 
-func (m *markdown) say(format string, args ...any) { fmt.Fprintf(m, format, args...) }
+func (m *markdown) printf(format string, args ...any) { fmt.Fprintf(m, format, args...) }
 
-// paragraph is a text with an empty line after it.
-func (m *markdown) paragraph(format string, args ...any) { m.say(format+"\n\n", args...) }
+// paragraph writes a text and an empty line after it.
+func (m *markdown) paragraph(format string, args ...any) { m.printf(format+"\n\n", args...) }
 
-func (m *markdown) head(columns ...string) {
+func (m *markdown) header(columns ...string) {
 	m.row(columns...)
 	rule := make([]string, len(columns))
 	for i := range rule {
@@ -25,62 +25,62 @@
 	m.row(rule...)
 }
 
-// row is a line of a table; a bar in a cell would end it.
+// row writes one line of a table. It escapes bars, as a bar would end the cell.
 func (m *markdown) row(cells ...string) {
 	for i, cell := range cells {
 		cells[i] = strings.ReplaceAll(cell, "|", "\\|")
 	}
-	m.say("| %s |\n", strings.Join(cells, " | "))
+	m.printf("| %s |\n", strings.Join(cells, " | "))
 }
 
-// Markdown writes the page.
+// Markdown returns the page as Markdown.
 func (page *Page) Markdown() string {
 	m := &markdown{}
-	page.opening(m)
+	page.introduction(m)
 	page.planned(m)
 	page.arithmetic(m)
 	page.roles(m)
 	page.events(m)
 	page.promises(m)
 	page.notMeasured(m)
-	page.missing(m)
+	page.choice(m)
 	page.charts(m)
-	page.measuredBy(m)
+	page.runTable(m)
 	return strings.TrimRight(m.String(), "\n") + "\n"
 }
 
-func (page *Page) opening(m *markdown) {
+func (page *Page) introduction(m *markdown) {
 	m.paragraph("# Capacity: %s", page.Plan.Name)
 	m.paragraph("Written by `pineport-testbed capacity --write docs/CAPACITY.md --charts docs/capacity` from `docs/capacity/plan.toml` and " +
-		"`docs/capacity/measured.json`; do not edit: a test holds the page against the two files. " +
-		"`pineport-testbed capacity --plan FILE` answers for another fleet.")
-	m.say("How to read it:\n\n")
-	m.say("- A *courier* is one process that takes messages (*events*), holds them on its disk and calls the endpoints of their *destinations*. Its decision " +
-		"module works in *steps*: what came meanwhile goes in, what to do comes out, and no message moves on while it works. A destination that fails is " +
-		"*parked*: its messages are *held* without calls, and further tries come rarely. A *route* is a destination as one class of messages uses it. " +
-		"*Membership* is what couriers know of each other; *sharing* divides a destination's limit among them, in *beats* twice a second. *Discovery* is " +
-		"the platform's list of endpoints.\n")
-	m.say("- A figure at the planned size is a slope that a scale run measured, carried there. *Carried* is how far beyond the largest size " +
-		"measured; over tenfold is in **bold**: read it as a direction, not as a figure. The spread is that of the fit, over all plays; from 30 %% on it is bold too. " +
-		"*power 1.4*: the figure goes with the size to the power of 1.4, so more than linearly; a power under 0 falls. *Last point 1.5 x the curve*: at the largest size the figure " +
-		"lies so far above the curve, which is then too low beyond.\n")
-	m.say("- *Breaks at*: the share of the planned size at which the budget is used up; under 100 %% the planned size does not fit. *Seen there*: a size of the run already passed the budget, where the curve is " +
-		"still below it. Budgets that " +
-		"nobody stated are marked as assumed.\n")
-	m.say("- *runs today*: in the courier as it is. *shown with hollow couriers*: the real code, many couriers in one process, stand-ins for " +
-		"sockets, disk and partners. *on paper only*: no code.\n")
+		"`docs/capacity/measured.json`; do not edit: a test compares the page with the two files. " +
+		"`pineport-testbed capacity --plan FILE` computes it for another fleet.")
+	m.printf("How to read it:\n\n")
+	m.printf("- A *courier* is one process that accepts messages (*events*), stores them on its disk and calls the endpoints of their *destinations*. Its " +
+		"dispatcher (*the decisions*) works in *steps*: each takes the inputs since the previous step and returns the actions to carry out, and no message proceeds " +
+		"during a step. A destination that fails is *parked*: its messages are *held* without calls, and trials are rare. A *route* is the pair of a " +
+		"destination and a class of messages. *Membership* is what couriers know of each other; *sharing* divides a destination's limit among them, in " +
+		"*beats*, which are rounds of the quota exchange, two per second. A member is *heard* if its packets of that exchange arrive. *Discovery* is the platform's endpoint list.\n")
+	m.printf("- A figure at the planned size is extrapolated from a *slope*, which is a curve fitted to the points of a scale run. *Extrapolated 3 x*: the planned size is 3 times the largest measured size; " +
+		"more than 10 x is in **bold** and shows only a tendency. The spread is the root mean square of the relative deviations of all points from the curve; 30 %% and more is in bold. " +
+		"*power 1.4*: the figure grows with the size to the power of 1.4; with a negative power it falls. *Last point 1.5 x the curve*: at the largest measured size the figure " +
+		"is 1.5 times the value of the curve, so the curve is too low for larger sizes. *Counted, not carried*: counted at the sizes of the run, and not extrapolated.\n")
+	m.printf("- *Breaks at*: the share of the planned size at which the budget is used up; below 100 %% the planned size does not fit. *Measured there*: the run itself exceeded the budget at this size, although the curve is " +
+		"still below it. *Not ranked*: the row does not count in the choice of the mechanism to replace first. " +
+		"Budgets that are not stated requirements are marked as assumed.\n")
+	m.printf("- *runs today*: part of the courier. *shown with hollow couriers*: the real code, with many couriers in one process and stand-ins for " +
+		"sockets, disk, clients and endpoints. *on paper only*: there is no code.\n")
 	for _, run := range page.Runs {
 		if run.Verified != "" {
-			m.say("- Hollow couriers beside real ones (run `%s`): %s. Where hollow ones take less, rows on them are low by as much.\n", run.Name, run.Verified)
+			m.printf("- Hollow couriers compared with real ones (run `%s`): %s. Where a hollow courier uses less than a real one, the rows measured with hollow couriers are too low by that amount.\n", run.Name, run.Verified)
 		}
 	}
-	m.say("- *not measured* means just that: no figure was made up in its place.\n\n")
+	m.printf("- *not measured*: there is no figure, and none was estimated.\n\n")
 }
 
 func (page *Page) planned(m *markdown) {
 	m.paragraph("## The planned size")
-	m.paragraph("%s. 1 MB is 1,000,000 bytes, 1 kB is 1,000.", capital(page.Plan.About))
-	m.head("key", "figure", "unit", "what", "")
+	m.paragraph("%s. 1 MB is 1,000,000 bytes, 1 kB is 1,000.", capitalized(page.Plan.About))
+	m.header("key", "figure", "unit", "what", "")
 	for _, key := range Keys() {
 		if _, isStated := statedName(key); isStated || key.Unit == "" {
 			continue
@@ -89,77 +89,77 @@
 		if page.Plan.IsAssumed(key.Path) {
 			source = "assumed"
 		}
-		m.row("`"+key.Path+"`", exact(page.Plan.Number(key)), key.Unit, key.Doc, source)
+		m.row("`"+key.Path+"`", formatExact(page.Plan.Number(key)), key.Unit, key.Doc, source)
 	}
-	m.say("\n")
+	m.printf("\n")
 }
 
 func (page *Page) arithmetic(m *markdown) {
 	m.paragraph("## Arithmetic")
-	m.head("what", "figure")
+	m.header("what", "figure")
 	for i, figure := range page.Derived.Figures() {
-		m.row(figure.Doc+assumedText(assumedBehind(page.Plan, figureOf(i))), Text(figure.Value, figure.Unit))
+		m.row(figure.Doc+assumedText(assumedBehind(page.Plan, figureOf(i))), Format(figure.Value, figure.Unit))
 	}
-	m.say("\n")
+	m.printf("\n")
 	page.checkedArithmetic(m)
-	page.forgetting(m)
+	page.breakerNotes(m)
 }
 
 func (page *Page) checkedArithmetic(m *markdown) {
 	if len(page.Checked) == 0 {
 		return
 	}
-	m.paragraph("Done by hand before, and checked (a figure rounded by hand may lie off by %s):", percent(roundedWithin))
-	m.head("what", "by hand", "worked out", "")
+	m.paragraph("Figures calculated by hand, compared with the computed ones (a deviation of up to %s counts as rounding):", percent(roundingTolerance))
+	m.header("what", "by hand", "computed figure", "")
 	for _, checked := range page.Checked {
-		m.row(checked.Doc, Text(checked.Stated, checked.Unit), Text(checked.Worked, checked.Unit), agreement(&checked))
+		m.row(checked.Doc, Format(checked.Stated, checked.Unit), Format(checked.Computed, checked.Unit), agreement(&checked))
 	}
-	m.say("\n")
+	m.printf("\n")
 }
 
-// forgetting says what the pace of meetings means for a breaker that only counts its own courier's calls.
-func (page *Page) forgetting(m *markdown) {
+// breakerNotes explains what the interval between calls to a destination means for a breaker that only counts the calls of its own courier.
+func (page *Page) breakerNotes(m *markdown) {
 	d := &page.Derived
-	m.paragraph("A breaker opens after more than %d failures in a row, so at the %dth and not at the %dth: %s.",
-		statedFailures, openingFailures, statedFailures, Text(d.OpeningSeconds, "s"))
-	if d.MeetingSeconds > forgetAfter {
-		m.paragraph("That is still too hopeful: a closed breaker that was not used for %s is dropped (`forgetAfter` in `dispatch/breaker.go`), and a courier "+
-			"meets a destination every %s, so its count begins anew each time. By first attempts of new messages alone it never opens; "+
-			"further attempts of messages that wait there add to it, where they follow within those %s.",
-			Text(forgetAfter, "s"), Text(d.MeetingSeconds, "s"), Text(forgetAfter, "s"))
+	m.paragraph("A breaker opens after more than %d consecutive failures, that is at the %dth and not at the %dth: after %s.",
+		statedFailures, failuresToOpen, statedFailures, Format(d.BreakerOpeningSeconds, "s"))
+	if d.EventIntervalSeconds > forgetAfter {
+		m.paragraph("In practice it takes longer: a closed breaker that was not used for %s is reset (`forgetAfter` in `dispatch/breaker.go`), and a courier "+
+			"calls a destination for a new message only every %s, so its failure count restarts each time. First attempts of new messages alone never open the breaker; "+
+			"retries of waiting messages count if they follow within %s.",
+			Format(forgetAfter, "s"), Format(d.EventIntervalSeconds, "s"), Format(forgetAfter, "s"))
 	}
 	if page.Plan.Traffic.BacklogEvents > 0 && d.DestinationsDown > 0 {
-		m.paragraph("The full backlog, spread over the destinations that are down, is %s of their traffic: it tells of outages that last so long, or of fewer "+
-			"destinations with far more traffic than the mean.", Text(d.BacklogAgeSeconds, "s"))
+		m.paragraph("The full backlog, spread over the destinations that are down, is their traffic of %s. It comes from outages of that duration, or from fewer "+
+			"destinations with far more traffic than the mean.", Format(d.BacklogAgeSeconds, "s"))
 	}
 }
 
 func (page *Page) roles(m *markdown) {
 	m.paragraph("## Roles")
 	for _, role := range []Role{RoleCourier, RoleControl, RoleSpeaker, RoleDiscovery, RolePartners} {
-		m.paragraph("### %s", capital(string(role)))
+		m.paragraph("### %s", capitalized(string(role)))
 		if role == RoleSpeaker {
-			m.paragraph("%s.", capital(noSpeaker))
+			m.paragraph("%s.", capitalized(noSpeakerReason))
 		}
-		m.head("resource", "what", "at the planned size", "rests on", "measured over", "budget", "breaks at", "carried by", "today")
+		m.header("resource", "what", "at the planned size", "based on", "measured over", "budget", "breaks at", "Go package", "today")
 		for i := range page.Rows {
-			if answer := &page.Rows[i]; answer.Role == role {
-				m.row(string(answer.Resource), answer.What, figureCell(answer), restsCell(answer), carriedCell(answer), budgetCell(answer),
-					shareCell(answer), answer.Package, string(answer.Status))
+			if result := &page.Rows[i]; result.Role == role {
+				m.row(string(result.Resource), result.What, figureCell(result), basisCell(result), measuredRangeCell(result), budgetCell(result),
+					shareCell(result), result.Package, string(result.Status))
 			}
 		}
-		m.say("\n")
+		m.printf("\n")
 		page.reportedOnly(m, role)
 	}
 }
 
-// toldOnly gives the reasons why rows of a role take no part in the choice.
+// reportedOnly explains why rows of a role do not count in the choice of the mechanism to replace first.
 func (page *Page) reportedOnly(m *markdown, role Role) {
-	said := map[string]bool{}
-	for _, answer := range page.Rows {
-		if answer.Role == role && answer.Reported != "" && answer.Budget != nil && !said[answer.Reported] {
-			said[answer.Reported] = true
-			m.say("Told only (%s): %s.\n\n", answer.What, answer.Reported)
+	printed := map[string]bool{}
+	for _, result := range page.Rows {
+		if result.Role == role && result.Reported != "" && result.Budget != nil && !printed[result.Reported] {
+			printed[result.Reported] = true
+			m.printf("Not ranked (%s): %s.\n\n", result.What, result.Reported)
 		}
 	}
 }
@@ -167,95 +167,95 @@
 func (page *Page) events(m *markdown) {
 	m.paragraph("## Events")
 	for _, event := range page.Events {
-		m.paragraph("### %s: %s %s", capital(event.Name), plain(event.Count), event.Often)
-		m.head("", "what", "figure", "rests on", "measured over", "budget", "breaks at")
+		m.paragraph("### %s: %s %s", capitalized(event.Name), formatRounded(event.Count), event.Frequency)
+		m.header("", "what", "figure", "based on", "measured over", "budget", "breaks at")
 		for _, line := range event.Lines {
-			if line.Answer == nil {
+			if line.Result == nil {
 				m.row(string(line.Aspect), line.Text, "", "", "", "", "")
 				continue
 			}
-			answer := line.Answer
-			m.row(string(line.Aspect), answer.What, figureCell(answer), restsCell(answer), carriedCell(answer), budgetCell(answer), shareCell(answer))
+			result := line.Result
+			m.row(string(line.Aspect), result.What, figureCell(result), basisCell(result), measuredRangeCell(result), budgetCell(result), shareCell(result))
 		}
-		m.say("\n")
+		m.printf("\n")
 	}
 }
 
 func (page *Page) promises(m *markdown) {
-	m.paragraph("## While parts cannot hear each other")
-	m.head("piece", "promised", "not promised", "page", "held by tests of")
+	m.paragraph("## Promises during a partition")
+	m.header("piece", "promised", "not promised", "page", "tested in")
 	for _, promise := range page.Promises {
-		m.row(promise.Piece, promise.Holds, promise.Not, "`"+promise.Page+"`", "`"+promise.Package+"`: "+strings.Join(promise.ShownBy, ", "))
+		m.row(promise.Piece, promise.Holds, promise.DoesNotHold, "`"+promise.Page+"`", "`"+promise.Package+"`: "+strings.Join(promise.ShownBy, ", "))
 	}
-	m.say("\n")
+	m.printf("\n")
 }
 
 func (page *Page) notMeasured(m *markdown) {
 	m.paragraph("## What was not measured")
-	if len(page.NotKnown) > 0 {
-		m.say("Rows of this page without a figure, or with a part of one:\n\n")
-		for _, text := range page.NotKnown {
-			m.say("- %s\n", text)
+	if len(page.NotMeasured) > 0 {
+		m.printf("Rows of this page whose figure is missing or partial:\n\n")
+		for _, text := range page.NotMeasured {
+			m.printf("- %s\n", text)
 		}
-		m.say("\n")
+		m.printf("\n")
 	}
 	if len(page.Gaps) > 0 {
-		m.say("What the scale runs say of themselves:\n\n")
+		m.printf("Figures that the scale runs could not measure:\n\n")
 		for _, gap := range page.Gaps {
-			m.say("- `%s`: %s: %s\n", gap.Run, gap.Figure, gap.Why)
+			m.printf("- `%s`: %s: %s\n", gap.Run, gap.Figure, gap.Why)
 		}
-		m.say("\n")
+		m.printf("\n")
 	}
 }
 
-func (page *Page) missing(m *markdown) {
-	m.paragraph("## What is missing first")
-	m.paragraph("The rule: the mechanism whose budget, or whose main job, breaks at the smallest share of the planned size; of two that are close (within %v "+
-		"times), the one on a message's way, and then the one on which more rows of this page rest. Bounds of the code count as budgets.", float64(closeBy))
-	m.head("", "mechanism today", "breaks at", "by", "on a message's way", "rows", "why here", "what would come in its place")
-	for i, candidate := range page.Missing {
-		share, by, place := string(NotMeasured), empty, empty
+func (page *Page) choice(m *markdown) {
+	m.paragraph("## What to replace first")
+	m.paragraph("The rule: the mechanism whose budget is exceeded, or which stops working, at the smallest share of the planned size; of two whose shares are close (within a factor of %v), "+
+		"the one on the message path, and then the one with more rows on this page. Limits in the code count as budgets.", float64(closeFactor))
+	m.header("", "mechanism today", "breaks at", "by", "on the message path", "rows", "reason for the rank", "possible replacement")
+	for i, candidate := range page.Candidates {
+		share, by, place := string(NotMeasured), emptyCell, emptyCell
 		if candidate.Share != nil {
 			share, by, place = percent(*candidate.Share), candidate.Row, fmt.Sprint(i+1)
 		}
 		if candidate.Assumed {
 			by += " (assumed budget)"
 		}
-		m.row(place, candidate.Mechanism.Today, share, by, yes(candidate.Mechanism.OnPath), fmt.Sprint(candidate.Rests), candidate.reason(), candidate.Mechanism.Missing)
+		m.row(place, candidate.Mechanism.Today, share, by, yesNo(candidate.Mechanism.OnMessagePath), fmt.Sprint(candidate.RowCount), candidate.reason(), candidate.Mechanism.Replacement)
 	}
-	m.say("\n")
-	page.chosen(m)
+	m.printf("\n")
+	page.choiceSummary(m)
 	page.byShare(m)
 }
 
-// chosen says in words which one it is, and whether it hangs on what is assumed.
-func (page *Page) chosen(m *markdown) {
-	first := page.Missing[0]
+// choiceSummary names the first-ranked mechanism and whether the rank depends on assumed budgets.
+func (page *Page) choiceSummary(m *markdown) {
+	first := page.Candidates[0]
 	if first.Share == nil {
-		m.paragraph("No budget was measured: nothing can be chosen.")
+		m.paragraph("No row with a budget was measured, so no mechanism is ranked.")
 		return
 	}
-	m.paragraph("**Missing first: %s**, in place of: %s. Its budget breaks at %s of the planned size (%s): %s.", first.Mechanism.Missing, first.Mechanism.Today,
+	m.paragraph("**Needed first: %s**. It replaces: %s. Its budget breaks at %s of the planned size (%s): %s.", first.Mechanism.Replacement, first.Mechanism.Today,
 		percent(*first.Share), first.Row, first.Why)
 	for _, trial := range page.Trials {
-		same := "the same"
+		same := "the same mechanism"
 		if trial.First != first.Mechanism.ID {
 			mechanism, _ := MechanismOf(trial.First)
-			same = "another one: " + mechanism.Today
+			same = "another mechanism: " + mechanism.Today
 		}
-		m.paragraph("With the assumed budgets %s times as large: %s, at %s.", plain(trial.Times), same, percent(trial.Share))
+		m.paragraph("With the assumed budgets multiplied by %s: %s, at %s.", formatRounded(trial.Factor), same, percent(trial.Share))
 	}
 }
 
-// byShare lists every row with a share in its order.
+// byShare lists every row with a budget, sorted by share.
 func (page *Page) byShare(m *markdown) {
 	m.paragraph("All rows with a budget, by the share at which it breaks:")
-	m.head("breaks at", "role", "what", "at the planned size", "budget", "carried", "mechanism")
-	for _, answer := range page.ordered() {
-		m.row(shareCell(&answer), string(answer.Role), answer.What+" ("+string(answer.Resource)+")", figureCell(&answer), budgetCell(&answer), carriedCell(&answer),
-			orEmpty(string(answer.Mechanism)))
+	m.header("breaks at", "role", "what", "at the planned size", "budget", "carried", "mechanism")
+	for _, result := range page.rowsByShare() {
+		m.row(shareCell(&result), string(result.Role), result.What+" ("+string(result.Resource)+")", figureCell(&result), budgetCell(&result), measuredRangeCell(&result),
+			orEmpty(string(result.Mechanism)))
 	}
-	m.say("\n")
+	m.printf("\n")
 }
 
 func (page *Page) charts(m *markdown) {
@@ -264,23 +264,23 @@
 		return
 	}
 	m.paragraph("## Charts")
-	m.paragraph("Each slope that a row rests on: points of all plays, the fitted curve, the planned size, and the budget where one row alone has it.")
+	m.paragraph("One chart for each slope that a row uses: the points of all repetitions, the fitted curve, the planned size, and the budget if the row uses no other slope.")
 	for _, chart := range charts {
-		m.say("- [`%s`](%s/%s): %s\n", chart.Slope, ChartFolder, chart.File, chart.About)
+		m.printf("- [`%s`](%s/%s): %s\n", chart.Slope, ChartFolder, chart.File, chart.About)
 	}
-	m.say("\n")
+	m.printf("\n")
 }
 
-func (page *Page) measuredBy(m *markdown) {
+func (page *Page) runTable(m *markdown) {
 	m.paragraph("## The runs")
-	m.head("run", "what was played", "command", "commit", "taken", "machine", "plays", "took", "hollow beside real")
+	m.header("run", "scenario run", "command", "commit", "taken", "machine", "plays", "took", "hollow and real couriers compared")
 	for _, run := range page.Runs {
-		m.row(run.Name, run.About, "`"+run.Command+"`", run.Commit, run.Taken, run.Machine, fmt.Sprint(run.Plays), Text(run.Seconds, "s"), orEmpty(run.Verified))
+		m.row(run.Name, run.About, "`"+run.Command+"`", run.Commit, run.Taken, run.Machine, fmt.Sprint(run.Plays), Format(run.Seconds, "s"), orEmpty(run.Verified))
 	}
-	m.say("\n")
+	m.printf("\n")
 }
 
-func yes(is bool) string {
+func yesNo(is bool) string {
 	if is {
 		return "yes"
 	}
@@ -289,13 +289,13 @@
 
 func orEmpty(text string) string {
 	if text == "" {
-		return empty
+		return emptyCell
 	}
 	return text
 }
 
-// capital begins a sentence.
-func capital(text string) string {
+// capitalized returns a text with its first letter in upper case.
+func capitalized(text string) string {
 	if text == "" {
 		return text
 	}
--- a/testbed/capacity/mechanism.go
+++ b/testbed/capacity/mechanism.go
@@ -1,9 +1,9 @@
 package capacity
 
-// MechanismID names a mechanism that carries rows of the page.
+// MechanismID identifies a mechanism of pineport that rows of the page belong to.
 type MechanismID string
 
-// Mechanisms whose successors the page weighs.
+// Mechanisms for which the page ranks a replacement.
 const (
 	HeldWork    MechanismID = "held-work"
 	HeldMemory  MechanismID = "held-memory"
@@ -17,35 +17,35 @@
 	OnlyCopy    MechanismID = "only-copy"
 )
 
-// Mechanism is what carries rows today, and what would have to come in its place.
+// Mechanism is a mechanism of pineport with the one that would replace it in a larger fleet.
 type Mechanism struct {
-	ID      MechanismID `json:"id"`
-	Today   string      `json:"today"`
-	Missing string      `json:"missing"`
-	OnPath  bool        `json:"on_a_messages_way"`
-	// Unshown is a part of its main job that no run can show today, in words; empty: none.
+	ID            MechanismID `json:"id"`
+	Today         string      `json:"today"`
+	Replacement   string      `json:"missing"`
+	OnMessagePath bool        `json:"on_a_messages_way"`
+	// Unshown describes the part of its task that no run can measure today; empty: there is none.
 	Unshown string `json:"unshown,omitempty"`
 }
 
-// Mechanisms are all of them, in no order of merit.
+// Mechanisms returns all mechanisms. Their order does not express a ranking.
 func Mechanisms() []Mechanism {
 	return []Mechanism{
-		{HeldWork, "each step of the decisions goes through all messages held", "work in a step by what is due or has changed: timers and an index", true, ""},
-		{HeldMemory, "every message held stands in memory: decisions, router, spool", "backlog parked on disk behind an open breaker, its front in memory", true, ""},
-		{HeldRestart, "a restart reads every message held before it is ready", "a restart that reads the front of the backlog, and the rest while it runs", true, ""},
-		{OutageAlone, "each courier learns of an outage by its own calls", "a breaker's verdict as shared state, and one trial for all under a lease", true, ""},
-		{FullList, "each courier knows every destination; each change goes through all", "interest: a courier knows the destinations that it has to do with; changes as deltas with a generation", true, ""},
-		{Membership, "one flat membership: everybody knows everybody", "cells: membership in full within a zone, a digest of each zone beyond it", false, ""},
-		{Sharing, "parts of limits among all couriers, counts of all said to all", "quota: leases of limits in a tree of courier, zone and region", false, ""},
-		{HandOut, "no hand-out of changes: a file at each courier, read again on a signal, and the list of discovery", "changes handed out in stages by the machines set aside for control", false,
-			"its main job, settings in force everywhere, is carried by nothing today, so no run can show where it breaks"},
-		{Connections, "a connection for each destination that is called, closed when it rests", "ownership: destinations by rendezvous hash to a few couriers, which keep their connections", true, ""},
-		{OnlyCopy, "one copy of each message taken on, on its courier's disk", "a second copy before a message is taken on; nobody has asked for one yet", true,
-			"what is lost with a disk is lost at any size"},
+		{HeldWork, "each dispatcher step visits all held messages", "dispatcher steps that visit only what is due or has changed, with timers and an index", true, ""},
+		{HeldMemory, "dispatcher, router and spool keep every held message in memory", "the backlog of an open breaker on disk, with only its oldest messages in memory", true, ""},
+		{HeldRestart, "a restarted courier reads every held message before it is ready", "a restart that reads the oldest messages of the backlog first, and the rest while the courier serves", true, ""},
+		{OutageAlone, "each courier detects an outage by its own calls only", "breaker states shared between couriers, and one trial for the whole fleet under a lease", true, ""},
+		{FullList, "each courier knows every destination, and each change of the list visits all of them", "subscriptions: a courier knows only the destinations that it uses, and gets changes as deltas with a generation", true, ""},
+		{Membership, "flat membership: every courier knows every other courier", "cells: full membership within a zone, and a digest of each other zone", false, ""},
+		{Sharing, "quota shares of limits among all couriers, with every courier sending its counts to all others", "hierarchical quota: leases of limits in a tree of courier, zone and region", false, ""},
+		{HandOut, "no distribution of changes: each courier rereads its own file on a signal, and gets the endpoint list from discovery", "changes distributed in stages by the machines set aside for control", false,
+			"nothing distributes settings to all couriers today, so no run can show at which size that would fail"},
+		{Connections, "one connection for each destination that is called, closed when idle", "ownership: a rendezvous hash assigns each destination to a few couriers, which keep their connections open", true, ""},
+		{OnlyCopy, "one copy of each accepted message, on the disk of its courier", "a second copy before a message is accepted; not required so far", true,
+			"the messages on a failed disk are lost at any fleet size"},
 	}
 }
 
-// MechanismOf returns the mechanism of a name.
+// MechanismOf returns the mechanism with the given ID.
 func MechanismOf(id MechanismID) (Mechanism, bool) {
 	for _, mechanism := range Mechanisms() {
 		if mechanism.ID == id {
--- a/testbed/capacity/order.go
+++ b/testbed/capacity/order.go
@@ -6,24 +6,25 @@
 	"slices"
 )
 
-// ordered are all rows with a budget by their shares: those that never break, and then those that are not measured, come last.
-func (page *Page) ordered() []Answer {
-	var all []Answer
-	for _, answer := range page.allAnswers() {
-		if answer.Budget != nil {
-			all = append(all, answer)
+// rowsByShare returns all rows with a budget, sorted by share. Rows that never exceed their budget come last but for the rows that are
+// not measured.
+func (page *Page) rowsByShare() []RowResult {
+	var all []RowResult
+	for _, result := range page.allResults() {
+		if result.Budget != nil {
+			all = append(all, result)
 		}
 	}
-	slices.SortStableFunc(all, func(a, b Answer) int { return cmp.Compare(a.rank(), b.rank()) })
+	slices.SortStableFunc(all, func(a, b RowResult) int { return cmp.Compare(a.rank(), b.rank()) })
 	return all
 }
 
-// rank orders rows by their shares.
-func (a *Answer) rank() float64 {
+// rank returns the sort key of a row: its share, or a larger value if it has none.
+func (a *RowResult) rank() float64 {
 	switch {
 	case a.Share != nil:
 		return *a.Share
-	case a.Never:
+	case a.NeverBreaks:
 		return math.MaxFloat64
 	}
 	return math.Inf(1)
--- a/testbed/capacity/page.go
+++ b/testbed/capacity/page.go
@@ -10,32 +10,32 @@
 	"pineport/testbed/slopes"
 )
 
-// Page is all that follows from a plan and from what was measured.
+// Page holds all results for a plan and a set of measured slopes.
 type Page struct {
-	Plan     *Plan            `json:"-"`
-	Keys     map[string]any   `json:"plan"` // by the keys of plan.toml
-	Derived  Derived          `json:"derived"`
-	Checked  []Checked        `json:"checked"`
-	Rows     []Answer         `json:"rows"`
-	Events   []EventAnswer    `json:"events"`
-	Promises []Promise        `json:"promises"`
-	Missing  []Candidate      `json:"missing_first"`
-	Trials   []Trial          `json:"trials"`
-	NotKnown []string         `json:"not_measured"`
-	Gaps     []Gap            `json:"gaps"`
-	Runs     []RunLine        `json:"runs"`
-	measured *slopes.Measured // for charts
+	Plan        *Plan            `json:"-"`
+	PlanValues  map[string]any   `json:"plan"` // values by the keys of plan.toml
+	Derived     Derived          `json:"derived"`
+	Checked     []StatedCheck    `json:"checked"`
+	Rows        []RowResult      `json:"rows"`
+	Events      []EventResult    `json:"events"`
+	Promises    []Promise        `json:"promises"`
+	Candidates  []Candidate      `json:"missing_first"`
+	Trials      []Trial          `json:"trials"`
+	NotMeasured []string         `json:"not_measured"`
+	Gaps        []Gap            `json:"gaps"`
+	Runs        []RunSummary     `json:"runs"`
+	measured    *slopes.Measured // for charts
 }
 
-// Gap is what a scale run set out to measure and could not.
+// Gap is a figure that a scale run was meant to measure but could not.
 type Gap struct {
 	Run    string `json:"run"`
 	Figure string `json:"figure"`
 	Why    string `json:"why"`
 }
 
-// RunLine is what the page says of a scale run.
-type RunLine struct {
+// RunSummary describes a scale run on the page.
+type RunSummary struct {
 	Name     string  `json:"name"`
 	About    string  `json:"about"`
 	Command  string  `json:"command"`
@@ -47,8 +47,8 @@
 	Verified string  `json:"verified,omitempty"`
 }
 
-// Load reads the two files; it is all the I/O of this package. A file of measured slopes that is not there is an error: what is not
-// measured is notified from what was not found.
+// Load reads the plan and the measured slopes. No other function of this package does I/O. It returns an error if either file does not
+// exist. A slope that is not in the file is no error: rows that use it are shown as not measured.
 func Load(planFile, measuredFile string) (*Plan, *slopes.Measured, error) {
 	text, err := os.ReadFile(planFile)
 	if err != nil {
@@ -63,63 +63,63 @@
 	return plan, measured, errors.Join(planErr, err)
 }
 
-// Work works out the whole page.
+// Work computes the whole page.
 func Work(plan *Plan, measured *slopes.Measured) (*Page, error) {
-	page := &Page{Plan: plan, Keys: plan.values(), Derived: Derive(plan), Promises: Promises(), measured: measured}
+	page := &Page{Plan: plan, PlanValues: plan.values(), Derived: Derive(plan), Promises: Promises(), measured: measured}
 	page.Checked = Check(plan, &page.Derived)
-	if err := page.work(); err != nil {
+	if err := page.evaluate(); err != nil {
 		return nil, err
 	}
-	page.Missing = Candidates(page.allAnswers())
-	page.NotKnown = page.unmeasured()
+	page.Candidates = Candidates(page.allResults())
+	page.NotMeasured = page.listNotMeasured()
 	page.runs()
 	return page, page.trials()
 }
 
-func (page *Page) work() error {
+func (page *Page) evaluate() error {
 	var faults []error
 	for _, row := range Rows() {
-		answer, err := row.Work(page.Plan, &page.Derived, page.measured)
-		page.Rows, faults = append(page.Rows, answer), append(faults, err)
+		result, err := row.Evaluate(page.Plan, &page.Derived, page.measured)
+		page.Rows, faults = append(page.Rows, result), append(faults, err)
 	}
 	for _, event := range Events() {
-		answer, err := event.Work(page.Plan, &page.Derived, page.measured)
-		page.Events, faults = append(page.Events, answer), append(faults, err)
+		result, err := event.Evaluate(page.Plan, &page.Derived, page.measured)
+		page.Events, faults = append(page.Events, result), append(faults, err)
 	}
 	return errors.Join(faults...)
 }
 
-// allAnswers are the rows of both parts.
-func (page *Page) allAnswers() []Answer {
-	all := append([]Answer(nil), page.Rows...)
+// allResults returns the results of the rows and of the event lines.
+func (page *Page) allResults() []RowResult {
+	all := append([]RowResult(nil), page.Rows...)
 	for _, event := range page.Events {
 		for _, line := range event.Lines {
-			if line.Answer != nil {
-				all = append(all, *line.Answer)
+			if line.Result != nil {
+				all = append(all, *line.Result)
 			}
 		}
 	}
 	return all
 }
 
-// unmeasured tells in words what the page has no figure for, or only a part of one.
-func (page *Page) unmeasured() (all []string) {
-	for _, answer := range page.allAnswers() {
-		if len(answer.Missing) == 0 {
+// listNotMeasured returns one text for each row whose figure is missing or partial.
+func (page *Page) listNotMeasured() (all []string) {
+	for _, result := range page.allResults() {
+		if len(result.Missing) == 0 {
 			continue
 		}
-		what := fmt.Sprintf("%s: %s (%s): not measured", answer.Role, answer.What, answer.Resource)
-		if answer.AtLeast {
+		what := fmt.Sprintf("%s: %s (%s): not measured", result.Role, result.What, result.Resource)
+		if result.AtLeast {
 			what += " in part"
 		}
-		all = append(all, what+": "+strings.Join(answer.Missing, ", "))
+		all = append(all, what+": "+strings.Join(result.Missing, ", "))
 	}
 	return all
 }
 
 func (page *Page) runs() {
 	for _, run := range page.measured.Runs {
-		page.Runs = append(page.Runs, RunLine{Name: run.Name, About: run.About, Command: run.Command, Commit: run.Commit, Taken: run.Taken,
+		page.Runs = append(page.Runs, RunSummary{Name: run.Name, About: run.About, Command: run.Command, Commit: run.Commit, Taken: run.Taken,
 			Machine: run.Machine, Plays: run.Plays, Seconds: run.Seconds, Verified: run.Verified})
 		for _, gap := range run.Missing {
 			page.Gaps = append(page.Gaps, Gap{Run: run.Name, Figure: gap.Figure, Why: gap.Why})
@@ -127,21 +127,21 @@
 	}
 }
 
-// trials makes the choice again with assumed budgets that are smaller and larger.
+// trials repeats the choice with the assumed budgets scaled by each of trialFactors.
 func (page *Page) trials() error {
-	for _, times := range trialTimes {
-		other := &Page{Plan: page.Plan.withBudgets(times), Derived: page.Derived, measured: page.measured}
-		if err := other.work(); err != nil {
+	for _, times := range trialFactors {
+		scaled := &Page{Plan: page.Plan.withBudgets(times), Derived: page.Derived, measured: page.measured}
+		if err := scaled.evaluate(); err != nil {
 			return err
 		}
-		if first := Candidates(other.allAnswers())[0]; first.Share != nil {
-			page.Trials = append(page.Trials, Trial{Times: times, First: first.Mechanism.ID, Share: *first.Share})
+		if first := Candidates(scaled.allResults())[0]; first.Share != nil {
+			page.Trials = append(page.Trials, Trial{Factor: times, First: first.Mechanism.ID, Share: *first.Share})
 		}
 	}
 	return nil
 }
 
-// values are all figures of a plan by their keys.
+// values returns all values of a plan by their keys.
 func (p *Plan) values() map[string]any {
 	all := map[string]any{}
 	for _, key := range Keys() {
@@ -150,14 +150,14 @@
 	return all
 }
 
-// withBudgets is the plan with its assumed budgets so many times as large.
+// withBudgets returns a copy of the plan with its assumed budgets multiplied by a factor.
 func (p *Plan) withBudgets(times float64) *Plan {
-	other := *p
+	scaled := *p
 	for _, key := range Keys() {
 		if p.IsAssumed(key.Path) && strings.HasPrefix(key.Path, "budget.") {
-			field := reflect.ValueOf(&other).Elem().FieldByIndex(key.index)
+			field := reflect.ValueOf(&scaled).Elem().FieldByIndex(key.index)
 			field.SetFloat(times * field.Float())
 		}
 	}
-	return &other
+	return &scaled
 }
--- a/testbed/capacity/plan_test.go
+++ b/testbed/capacity/plan_test.go
@@ -9,27 +9,27 @@
 	"testing"
 )
 
-const plannedFile = "../../docs/capacity/plan.toml"
+const examplePlanFile = "../../docs/capacity/plan.toml"
 
-func plannedText(t *testing.T) string {
+func examplePlanText(t *testing.T) string {
 	t.Helper()
-	text, err := os.ReadFile(plannedFile)
+	text, err := os.ReadFile(examplePlanFile)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return string(text)
 }
 
-func planned(t *testing.T) *Plan {
+func examplePlan(t *testing.T) *Plan {
 	t.Helper()
-	plan, err := ReadPlan("plan.toml", []byte(plannedText(t)))
+	plan, err := ReadPlan("plan.toml", []byte(examplePlanText(t)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return plan
 }
 
-// lineOf finds the line on which a key of a table is given, from 1; 0 where it isn't.
+// lineOf returns the number of the line that sets a key, counted from 1, or 0 if there is none.
 func lineOf(text, path string) int {
 	table, name := "", path
 	if dot := strings.LastIndexByte(path, '.'); dot >= 0 {
@@ -47,15 +47,15 @@
 	return 0
 }
 
-// withLine is the text with the line of a key replaced.
+// withLine returns the text with the line of a key replaced.
 func withLine(t *testing.T, text, path, line string) string {
 	t.Helper()
 	number := lineOf(text, path)
 	if number == 0 {
-		t.Fatalf("no line gives %s", path)
+		t.Fatalf("no line sets %s", path)
 	}
 	lines := strings.Split(text, "\n")
-	for strings.HasSuffix(lines[number-1], "[") && lines[number] != "]" { // a list over several lines
+	for strings.HasSuffix(lines[number-1], "[") && lines[number] != "]" { // removes the other lines of a list
 		lines = slices.Delete(lines, number, number+1)
 	}
 	if strings.HasSuffix(lines[number-1], "[") {
@@ -68,34 +68,35 @@
 func nameOf(path string) string { return path[strings.LastIndexByte(path, '.')+1:] }
 
 func TestPlanGivesEveryKey(t *testing.T) {
-	text, plan := plannedText(t), planned(t)
+	text, plan := examplePlanText(t), examplePlan(t)
 	for _, key := range Keys() {
 		if lineOf(text, key.Path) == 0 {
 			t.Errorf("%s is not in plan.toml", key.Path)
 		}
 		if key.Doc == "" || key.kind == reflect.Float64 && (key.Unit == "" || key.High <= key.Low) {
-			t.Errorf("%s: doc, unit and bounds were expected: %+v", key.Path, key)
+			t.Errorf("%s: doc, unit or bounds are missing: %+v", key.Path, key)
 		}
 	}
 	if plan.Fleet.Couriers != 11000 || plan.Traffic.BacklogEvents != 190e9 || plan.Budget.Control.Cores != 0.019 || plan.Changes.PerDay != 58000 {
-		t.Errorf("read as %+v", plan)
+		t.Errorf("unexpected values: %+v", plan)
 	}
 }
 
-// TestFaultyKeys: each key missing, of the wrong kind and out of its bounds is notified by file, line, key and what was expected.
+// TestFaultyKeys checks that each key that is missing, of the wrong type or out of bounds is reported with file, line, key and the expected
+// value.
 func TestFaultyKeys(t *testing.T) {
-	text := plannedText(t)
+	text := examplePlanText(t)
 	for _, key := range Keys() {
-		wrong := map[string]string{"= true": " was expected, not "}
+		wrong := map[string]string{"= true": ", got true: "}
 		if key.kind == reflect.Float64 {
-			bounds := fmt.Sprintf("a number from %v to %v was expected, not", key.Low, key.High)
+			bounds := fmt.Sprintf("expected a number from %v to %v, got", key.Low, key.High)
 			wrong = map[string]string{`= "many"`: bounds, fmt.Sprintf("= %v", -1-key.Low): bounds, fmt.Sprintf("= %v", 10*key.High): bounds, "= nan": bounds}
 		}
 		for value, expected := range wrong {
 			_, err := ReadPlan("plan.toml", []byte(withLine(t, text, key.Path, nameOf(key.Path)+" "+value)))
 			at := fmt.Sprintf("plan.toml:%d: %s: ", lineOf(text, key.Path), key.Path)
 			if err == nil || !strings.Contains(err.Error(), at) || !strings.Contains(err.Error(), expected) {
-				t.Errorf("%s %s: %v, not %s%s", key.Path, value, err, at, expected)
+				t.Errorf("%s %s: error %v, want %s%s", key.Path, value, err, at, expected)
 			}
 		}
 		_, err := ReadPlan("plan.toml", []byte(withLine(t, text, key.Path, "")))
@@ -110,7 +111,7 @@
 }
 
 func TestAllFaultsAtOnce(t *testing.T) {
-	text := plannedText(t)
+	text := examplePlanText(t)
 	text = withLine(t, text, "fleet.couriers", "couriers = 0")
 	text = withLine(t, text, "budget.control.cores", "cors = 0.019")
 	text = withLine(t, text, "changes.per_day", `per_day = "58,000"`)
@@ -118,31 +119,31 @@
 	text = strings.Replace(text, `"traffic.call_s"`, `"traffic.nothing"`, 1)
 	_, err := ReadPlan("plan.toml", []byte(text))
 	if err == nil {
-		t.Fatal("no fault was notified")
+		t.Fatal("no fault was reported")
 	}
 	for _, want := range []string{
-		"fleet.couriers: a number from 1 to 1e+07 was expected, not 0",
-		`budget.control.cors: no such key; "budget.control.cores"?`,
+		"fleet.couriers: expected a number from 1 to 1e+07, got 0",
+		`budget.control.cors: unknown key; did you mean "budget.control.cores"?`,
 		"budget.control.cores: must be given",
-		"changes.per_day: a number from 0 to 1e+09 was expected, not \"58,000\"",
-		"fleet.zones: at least as many as the 10 regions were expected, not 3",
-		`assumed: the name of a key with a number was expected, not "traffic.nothing"`,
+		"changes.per_day: expected a number from 0 to 1e+09, got \"58,000\"",
+		"fleet.zones: expected at least as many zones as regions (10), got 3",
+		`assumed: expected the name of a numeric key, got "traffic.nothing"`,
 	} {
 		if !strings.Contains(err.Error(), want) {
 			t.Errorf("%q is not among the faults:\n%v", want, err)
 		}
 	}
 	if lines := strings.Split(err.Error(), "\n"); len(lines) != 6 {
-		t.Errorf("%d faults, not 6:\n%v", len(lines), err)
+		t.Errorf("%d faults, want 6:\n%v", len(lines), err)
 	}
 }
 
-func TestWhatNoSingleKeyShows(t *testing.T) {
-	text := plannedText(t)
+func TestFaultyCombinationsOfKeys(t *testing.T) {
+	text := examplePlanText(t)
 	for path, want := range map[string]string{
-		"fleet.couriers = 24":                            "fleet.couriers: at least as many as the 25 zones were expected, not 24",
-		"failures.rack_couriers = 12000":                 "failures.rack_couriers: at most the 11000 couriers were expected, not 12000",
-		"failures.destinations_back_at_once = 9_000_000": "failures.destinations_back_at_once: at most the 3.6e+06 destinations were expected, not 9e+06",
+		"fleet.couriers = 24":                            "fleet.couriers: expected at least as many couriers as zones (25), got 24",
+		"failures.rack_couriers = 12000":                 "failures.rack_couriers: expected at most the number of couriers (11000), got 12000",
+		"failures.destinations_back_at_once = 9_000_000": "failures.destinations_back_at_once: expected at most the number of destinations (3.6e+06), got 9e+06",
 	} {
 		key, value, _ := strings.Cut(path, " ")
 		_, err := ReadPlan("plan.toml", []byte(withLine(t, text, key, nameOf(key)+" "+value)))
@@ -157,8 +158,8 @@
 	if err == nil || !strings.Contains(err.Error(), "plan.toml:2") {
 		t.Errorf("%v", err)
 	}
-	if _, err := ReadPlan("plan.toml", []byte("fleet = 3\n")); err == nil || !strings.Contains(err.Error(), "fleet: no such key") ||
+	if _, err := ReadPlan("plan.toml", []byte("fleet = 3\n")); err == nil || !strings.Contains(err.Error(), "fleet: unknown key") ||
 		!strings.Contains(err.Error(), "fleet.couriers: must be given") {
-		t.Errorf("a number in place of a table: %v", err)
+		t.Errorf("a number instead of a table: %v", err)
 	}
 }
--- a/testbed/capacity/promises.go
+++ b/testbed/capacity/promises.go
@@ -1,42 +1,42 @@
 package capacity
 
-// Promise is one piece of what holds, and what doesn't, while parts of a fleet cannot hear each other.
+// Promise states what one area guarantees, and what it does not, while parts of a fleet cannot reach each other.
 type Promise struct {
-	Piece   string   `json:"piece"`
-	Holds   string   `json:"holds"`
-	Not     string   `json:"does_not_hold"`
-	Page    string   `json:"page"`     // that says so
-	Package string   `json:"package"`  // whose tests hold it
-	ShownBy []string `json:"shown_by"` // names of those tests
+	Piece       string   `json:"piece"`
+	Holds       string   `json:"holds"`
+	DoesNotHold string   `json:"does_not_hold"`
+	Page        string   `json:"page"`     // that documents it
+	Package     string   `json:"package"`  // whose tests check it
+	ShownBy     []string `json:"shown_by"` // names of the tests
 }
 
-// Promises are all pieces, in the order of a message's way and then of control.
+// Promises returns all guarantees: first those along the path of a message, then those on control.
 func Promises() []Promise {
 	return []Promise{
-		{"messages taken on", "each is delivered or answered by the courier that took it, alone; nothing on its way waits for another courier",
-			"a second copy: what is on a lost disk is lost", "docs/design.md", "spool", []string{"TestReopenRestoresMessages", "TestTruncationAtEveryByte"}},
-		{"the decisions", "with nothing heard they are those of a courier alone, one by one; no rule rests on a word of another courier",
-			"that outages are known sooner than a courier's own calls show them", "docs/quota.md", "dispatch", []string{"TestExpiredLeasesHaveNoEffect", "TestSharedLoadOnlySlowsDown"}},
-		{"how many couriers to reckon with", "never fewer by what others say: alive, suspected, unknown and failed are all counted, so parts only shrink",
-			"that two couriers have the same view; that a death is known within a bound", "docs/membership.md", "membership",
+		{"accepted messages", "the courier that accepted a message delivers it or reports its end without any other courier; no part of its path waits for another courier",
+			"a second copy: the messages on a lost disk are lost", "docs/design.md", "spool", []string{"TestReopenRestoresMessages", "TestTruncationAtEveryByte"}},
+		{"dispatcher decisions", "without packets from others, each decision is the same as that of a single courier; no rule depends on a packet of another courier",
+			"that a courier detects an outage earlier than by its own calls", "docs/quota.md", "dispatch", []string{"TestExpiredLeasesHaveNoEffect", "TestSharedLoadOnlySlowsDown"}},
+		{"the fleet size that quota shares are computed from", "reports of others never reduce it: alive, suspected, unknown and failed members all count, so quota shares only shrink",
+			"that two couriers have the same view; that a failure is detected within a fixed time", "docs/membership.md", "membership",
 			[]string{"TestPartitionedMemberCountsTheLargest", "TestEveryOrder", "TestRandomWalks"}},
-		{"a cut, and its end", "each side counts the other; all are whole again after it",
-			"that a courier which is gone for good is told from one that is cut off: an operator says so, to each courier", "docs/membership.md", "membership/gossip",
+		{"a partition and its end", "each side counts the members of the other; after it ends every member sees all others again",
+			"that a courier that was removed is distinguished from one that is partitioned: an operator has to tell each courier", "docs/membership.md", "membership/gossip",
 			[]string{"TestPartitionAndHeal", "TestOneWay"}},
-		{"a courier that stood still", "it believes nothing until three others have answered, and gives nobody up for 10 s",
+		{"a courier that was suspended", "it trusts no state until three other members have answered, and declares no member as failed for 10 s",
 			"that the others wait for it", "docs/membership.md", "membership", []string{"TestRecoveringTrustsNothing", "TestRecoveryEnds"}},
-		{"names and starts", "words on a start that is over say nothing; an older folder goes on under a higher number",
-			"that replayed words are refused; without a key whoever reaches the address is heard", "docs/membership.md", "membership/gossip",
+		{"names and incarnations", "packets about an earlier incarnation have no effect; a courier that starts with an older folder continues with a higher incarnation",
+			"that replayed packets are rejected; without a key, packets from anybody who can reach the address are accepted", "docs/membership.md", "membership/gossip",
 			[]string{"TestStaleIncarnationAndNameConflict", "TestReplays"}},
-		{"shared limits", "parts in use never sum to more than the limit, whatever words are lost, late, doubled or replayed; a loan lapses 4 s after it was asked for",
-			"that a part that lies idle is found; that a load is right; across a cut nothing is lent", "docs/quota.md", "quota",
+		{"shared limits", "the quota shares in use never add up to more than the limit, even if packets are lost, delayed, duplicated or replayed; a lease expires 4 s after it was requested",
+			"that an unused quota share is found; that a reported load is exact; that quota is lent across a partition", "docs/quota.md", "quota",
 			[]string{"TestEveryOrder", "TestRandomWalks", "TestFleetChanges"}},
-		{"what was learned", "an older file makes no bolder than a younger one; nothing older than 30 s is believed",
-			"that more than the routes called last are kept", "docs/learned-state.md", "dispatch", []string{"TestOlderSnapshotIsMoreCautious"}},
-		{"the list of endpoints", "a courier goes on with the list that it has; one that broke off is heeded as far as it came, and asked for again",
+		{"learned state", "an older snapshot never makes a courier less cautious than a newer one; a snapshot older than 30 s is not used",
+			"that any routes but the most recently called ones are kept", "docs/learned-state.md", "dispatch", []string{"TestOlderSnapshotIsMoreCautious"}},
+		{"the endpoint list", "a courier keeps its current list; a truncated list is applied as far as it was received, and polled again",
 			"that two couriers have the same list at the same time", "docs/design.md", "server", []string{"TestTruncatedListIsPolledAgain", "TestDiscoverySilentAfterAnyByte"}},
-		{"settings", "a courier goes on with the settings that it has; a faulty file changes nothing",
-			"that a change reaches a courier that cannot be reached, or all at the same time: nothing hands changes out", "docs/settings-design.md", "cmd/pineport",
+		{"settings", "a courier keeps its current settings; a faulty file has no effect",
+			"that a change takes effect on an unreachable courier, or on all couriers at the same time: nothing distributes changes", "docs/settings-design.md", "cmd/pineport",
 			[]string{"TestSettingsUnderFire"}},
 	}
 }
--- a/testbed/capacity/row.go
+++ b/testbed/capacity/row.go
@@ -10,10 +10,10 @@
 	"pineport/testbed/slopes"
 )
 
-// Role is a part of a deployment that the page speaks of.
+// Role is the part of a deployment that a row describes.
 type Role string
 
-// Roles, in the order of the page.
+// Roles, in the order in which the page lists them.
 const (
 	RoleCourier   Role = "courier"
 	RoleControl   Role = "machines set aside for control"
@@ -23,7 +23,7 @@
 	RoleEvent     Role = "events" // rows of the second part of the page
 )
 
-// Resource is what a row is about.
+// Resource is the resource or quantity that a row measures.
 type Resource string
 
 // Resources.
@@ -40,102 +40,103 @@
 	Calls       Resource = "calls"
 )
 
-// Status is how far a mechanism has come.
+// Status is the state of implementation of a mechanism.
 type Status string
 
-// Standings.
+// Values of Status.
 const (
 	RunsToday Status = "runs today"
 	Hollow    Status = "shown with hollow couriers"
 	Paper     Status = "on paper only"
 )
 
-// Size is a size of a plan that a slope is carried to.
+// Size is a size of a plan to which slopes are extrapolated.
 type Size struct {
-	Name string // as the scale run calls it: Slope.Over
+	Name string // the name that scale runs use: Slope.Over
 	At   func(*Plan, *Derived) float64
 }
 
-// Part is one slope of a row: its figure at a size, times something of the plan.
+// Part is one term of a row: the figure of a slope at a size, multiplied by a factor that depends on the plan.
 type Part struct {
-	Slope string // RUN.FIGURE[.VARIANT], as the scale runs write it
-	Unit  string // that the slope is to have
-	Over  Size
-	Times func(*Plan, *Derived) float64 // nil: 1
-	// AtMost bounds the slope's figure, where the way it is measured does; 0: nothing bounds it.
+	Slope  string // RUN.FIGURE[.VARIANT], as the scale runs write it
+	Unit   string // expected unit of the slope
+	Over   Size
+	Factor func(*Plan, *Derived) float64 // nil: 1
+	// AtMost is the largest figure that the measurement of the slope can give; 0: no upper bound.
 	AtMost float64
 }
 
-// Counted is a figure of a run that is notified at the sizes where it was counted, and carried nowhere.
+// Counted is a figure of a run that is reported at the sizes of the run and not extrapolated.
 type Counted struct {
 	Run, Figure, Over string
 	Where             map[string]float64
 }
 
-// Budget is what a row is held against.
+// Budget is the limit that the figure of a row is compared with.
 type Budget struct {
-	Key     string  `json:"key,omitempty"` // of the plan; empty: fixed by the code, Source says where
+	Key     string  `json:"key,omitempty"` // key of the plan; empty: a constant of the code, named in Source
 	Source  string  `json:"source"`
 	Figure  float64 `json:"figure"`
-	Assumed bool    `json:"assumed,omitempty"` // nobody stated it
+	Assumed bool    `json:"assumed,omitempty"` // not a stated requirement
 }
 
-// Row is one line of the page before it is worked out. One of Parts, Worked, CodeBound, Counted and None says where its figure comes from.
+// Row defines one row of the page. Exactly one of these gives the source of its figure: Parts, Computed, CodeBound together with Computed,
+// Counted, or NoFigureReason.
 type Row struct {
 	Role     Role
 	Resource Resource
 	What     string
 	Unit     string
 	Parts    []Part
-	Added    func(*Plan, *Derived) float64 // arithmetic on top of Parts, in proportion to the share of the planned size; nil: none
-	Worked   func(*Plan, *Derived) float64 // arithmetic alone
+	Added    func(*Plan, *Derived) float64 // computed term added to Parts, proportional to the share of the planned size; nil: none
+	Computed func(*Plan, *Derived) float64 // figure computed from the plan alone
 	Counted  *Counted
-	// CodeBound is a bound that the code has: it is the budget of Worked, the size that has to fit.
-	CodeBound *CodeBound
-	None      string // why there is no figure at all
-	Budget    func(*Plan) Budget
-	Mechanism MechanismID
-	Package   string // that carries it
-	Status    Status
-	// Reported rows are for information: their budget doesn't take part in the choice, and Reported says why.
+	// CodeBound is a limit in the code. It is the budget of Computed, which gives the size that must not exceed it.
+	CodeBound      *CodeBound
+	NoFigureReason string // why the row has no figure
+	Budget         func(*Plan) Budget
+	Mechanism      MechanismID
+	Package        string // Go packages that implement the mechanism
+	Status         Status
+	// Reported is the reason why the row is only informational: its budget does not count in the choice of Candidates. Empty: it counts.
 	Reported string
 }
 
-// CodeBound is a constant of the code that bounds a size.
+// CodeBound is a constant of the code that limits a size.
 type CodeBound struct {
-	Name   string // of the constant, or of the field
-	File   string // from the root of the repository
+	Name   string // of the constant or field
+	File   string // path from the root of the repository
 	Figure float64
 }
 
-// Answer is a row worked out.
-type Answer struct {
-	Role      Role        `json:"role"`
-	Resource  Resource    `json:"resource"`
-	What      string      `json:"what"`
-	Unit      string      `json:"unit"`
-	Evidence  Evidence    `json:"evidence"`
-	Figure    *float64    `json:"figure,omitempty"` // at the planned size; nil: not measured
-	AtLeast   bool        `json:"at_least,omitempty"`
-	Parts     []PartUsed  `json:"parts,omitempty"`
-	Added     float64     `json:"added,omitempty"`   // arithmetic on top of the parts, at the planned size
-	Counts    []Count     `json:"counts,omitempty"`  // at the sizes of a run, carried nowhere
-	Missing   []string    `json:"missing,omitempty"` // slopes that are not measured, or why there is no figure
-	Spread    float64     `json:"spread,omitempty"`  // largest of the fits
-	Carried   float64     `json:"carried,omitempty"` // times beyond the largest size measured, the largest of the parts
-	Marked    bool        `json:"marked,omitempty"`  // carried over tenfold
-	Budget    *Budget     `json:"budget,omitempty"`
-	Share     *float64    `json:"share,omitempty"` // of the planned size, at which the budget breaks
-	Never     bool        `json:"never_breaks,omitempty"`
-	Seen      bool        `json:"seen_to_break,omitempty"` // the share is that of a size measured, which the curve would have passed
-	Mechanism MechanismID `json:"mechanism,omitempty"`
-	Package   string      `json:"package"`
-	Status    Status      `json:"standing,omitempty"` // empty for lines of events: that of the rows of their mechanism
-	Reported  string      `json:"told,omitempty"`
-	Assumes   []string    `json:"assumes,omitempty"` // keys whose figures nobody stated, on which the figure rests
+// RowResult is a row with its computed figures.
+type RowResult struct {
+	Role          Role        `json:"role"`
+	Resource      Resource    `json:"resource"`
+	What          string      `json:"what"`
+	Unit          string      `json:"unit"`
+	Evidence      Evidence    `json:"evidence"`
+	Figure        *float64    `json:"figure,omitempty"` // at the planned size; nil: not measured
+	AtLeast       bool        `json:"at_least,omitempty"`
+	Parts         []PartUsed  `json:"parts,omitempty"`
+	Added         float64     `json:"added,omitempty"`   // term added to the parts, at the planned size
+	Counts        []Count     `json:"counts,omitempty"`  // at the sizes of a run, not extrapolated
+	Missing       []string    `json:"missing,omitempty"` // slopes that are not measured, or the reason why there is no figure
+	Spread        float64     `json:"spread,omitempty"`  // largest spread of the fits
+	Extrapolation float64     `json:"carried,omitempty"` // planned size / largest measured size, the largest of the parts
+	Marked        bool        `json:"marked,omitempty"`  // Extrapolation is over 10
+	Budget        *Budget     `json:"budget,omitempty"`
+	Share         *float64    `json:"share,omitempty"` // of the planned size at which the budget is exceeded
+	NeverBreaks   bool        `json:"never_breaks,omitempty"`
+	MeasuredBreak bool        `json:"seen_to_break,omitempty"` // Share is a measured size over the budget, where the curve is still below the budget
+	Mechanism     MechanismID `json:"mechanism,omitempty"`
+	Package       string      `json:"package"`
+	Status        Status      `json:"standing,omitempty"` // empty for lines of events, where the status of the mechanism's rows applies
+	Reported      string      `json:"told,omitempty"`
+	AssumedKeys   []string    `json:"assumes,omitempty"` // assumed keys that the figure depends on
 }
 
-// Evidence is what a figure rests on.
+// Evidence is the source of a figure.
 type Evidence string
 
 // Kinds of evidence.
@@ -147,40 +148,43 @@
 	NotMeasured Evidence = "not measured"
 )
 
-// PartUsed is a slope as a row uses it.
+// PartUsed is a Part with the fit and the range of its slope, at the planned size.
 type PartUsed struct {
-	Slope   string     `json:"slope"`
-	Run     string     `json:"run"`
-	Over    string     `json:"over"`
-	From    float64    `json:"from"`
-	To      float64    `json:"to"`
-	Size    float64    `json:"size"` // planned
-	Carried float64    `json:"carried"`
-	Times   float64    `json:"times"`
-	AtMost  float64    `json:"at_most,omitempty"` // of the slope's figure
-	Fit     slopes.Fit `json:"fit"`
-	Unit    string     `json:"unit"`
-	// Last is what was measured at the largest size, the mean of its plays, over the curve there; 0: the run's points tell nothing.
-	Last   float64 `json:"last,omitempty"`
-	counts []Count // of the run's points, by size
+	Slope         string     `json:"slope"`
+	Run           string     `json:"run"`
+	Over          string     `json:"over"`
+	From          float64    `json:"from"`
+	To            float64    `json:"to"`
+	Size          float64    `json:"size"` // planned size
+	Extrapolation float64    `json:"carried"`
+	Factor        float64    `json:"times"`
+	AtMost        float64    `json:"at_most,omitempty"` // upper bound of the slope's figure
+	Fit           slopes.Fit `json:"fit"`
+	Unit          string     `json:"unit"`
+	// LastPointRatio is the mean of the figures measured at the largest size, divided by the value of the curve there; 0: the run has no
+	// points for this slope.
+	LastPointRatio float64 `json:"last,omitempty"`
+	counts         []Count // of the points of the run, by size
 }
 
-// markedBeyond is how far a slope may be carried without a mark.
-const markedBeyond = 10
+// maxUnmarkedExtrapolation is the ratio of planned to measured size above which a figure is marked.
+const maxUnmarkedExtrapolation = 10
 
-// Count is a figure as a run counted it at one size.
+// Count is a figure that a run counted at one size.
 type Count struct {
 	Figure string  `json:"figure"` // RUN.FIGURE
 	Over   string  `json:"over"`
 	Size   float64 `json:"size"`
-	Mean   float64 `json:"mean"` // over all plays
+	Mean   float64 `json:"mean"` // over all repetitions
 	Plays  int     `json:"plays"`
 }
 
-// at is the figure of a part at a share of the planned size.
-func (u *PartUsed) at(share float64) float64 { return u.Times * u.bounded(u.Fit.At(share*u.Size)) }
+// figureAt returns the figure of a part at a share of the planned size.
+func (u *PartUsed) figureAt(share float64) float64 {
+	return u.Factor * u.bounded(u.Fit.At(share*u.Size))
+}
 
-// bounded is a figure of the slope within its bound.
+// bounded limits a figure of the slope to its upper bound.
 func (u *PartUsed) bounded(figure float64) float64 {
 	if u.AtMost > 0 {
 		return min(figure, u.AtMost)
@@ -188,48 +192,48 @@
 	return figure
 }
 
-// shareAt is the share of the planned size at which the part reaches a figure.
+// shareAt returns the share of the planned size at which the part reaches a figure.
 func (u *PartUsed) shareAt(figure float64) float64 {
-	if u.Times == 0 || u.AtMost > 0 && figure/u.Times >= u.AtMost {
+	if u.Factor == 0 || u.AtMost > 0 && figure/u.Factor >= u.AtMost {
 		return math.Inf(1)
 	}
-	return u.Fit.SizeAt(figure/u.Times) / u.Size
+	return u.Fit.SizeAt(figure/u.Factor) / u.Size
 }
 
-// Work carries a row to the plan's size. Its error tells of a slope that is not what the row takes it for.
-func (row *Row) Work(plan *Plan, d *Derived, measured *slopes.Measured) (Answer, error) {
-	answer := Answer{Role: row.Role, Resource: row.Resource, What: row.What, Unit: row.Unit, Mechanism: row.Mechanism, Package: row.Package,
+// Evaluate computes the figures of a row at the planned size. It returns an error if a slope has another unit or size than the row expects.
+func (row *Row) Evaluate(plan *Plan, d *Derived, measured *slopes.Measured) (RowResult, error) {
+	result := RowResult{Role: row.Role, Resource: row.Resource, What: row.What, Unit: row.Unit, Mechanism: row.Mechanism, Package: row.Package,
 		Status: row.Status, Reported: row.Reported}
 	if row.Budget != nil {
 		budget := row.Budget(plan)
-		answer.Budget = &budget
+		result.Budget = &budget
 	}
 	switch {
-	case row.None != "":
-		answer.Evidence, answer.Missing = NotMeasured, []string{row.None}
+	case row.NoFigureReason != "":
+		result.Evidence, result.Missing = NotMeasured, []string{row.NoFigureReason}
 	case row.CodeBound != nil:
-		answer.Assumes = assumedBehind(plan, row.Worked)
-		answer.bound(row.CodeBound, row.Worked(plan, d))
-	case row.Worked != nil:
-		answer.Assumes = assumedBehind(plan, row.Worked)
-		answer.worked(row.Worked(plan, d))
+		result.AssumedKeys = assumedBehind(plan, row.Computed)
+		result.setCodeBound(row.CodeBound, row.Computed(plan, d))
+	case row.Computed != nil:
+		result.AssumedKeys = assumedBehind(plan, row.Computed)
+		result.setComputed(row.Computed(plan, d))
 	case row.Counted != nil:
-		answer.count(row.Counted, measured)
+		result.setCounts(row.Counted, measured)
 	default:
-		answer.Assumes = row.assumedBehindParts(plan)
+		result.AssumedKeys = row.assumedBehindParts(plan)
 		if row.Added != nil {
-			answer.Added = row.Added(plan, d)
+			result.Added = row.Added(plan, d)
 		}
-		return answer, answer.carry(row.Parts, plan, d, measured)
+		return result, result.extrapolate(row.Parts, plan, d, measured)
 	}
-	return answer, nil
+	return result, nil
 }
 
-// assumedBehindParts are the assumed keys on which the sizes and factors of a row's slopes rest, and what is added to them.
+// assumedBehindParts returns the assumed keys that the sizes and factors of a row's slopes and its added term depend on.
 func (row *Row) assumedBehindParts(plan *Plan) (keys []string) {
 	figures := []func(*Plan, *Derived) float64{row.Added}
 	for _, part := range row.Parts {
-		figures = append(figures, part.Over.At, part.Times)
+		figures = append(figures, part.Over.At, part.Factor)
 	}
 	for _, figure := range figures {
 		if figure != nil {
@@ -240,21 +244,21 @@
 	return slices.Compact(keys)
 }
 
-func (a *Answer) bound(bound *CodeBound, planned float64) {
+func (a *RowResult) setCodeBound(bound *CodeBound, planned float64) {
 	a.Evidence, a.Figure = InTheCode, &planned
 	a.Budget = &Budget{Source: bound.Name + " in " + bound.File, Figure: bound.Figure}
-	a.breakAt(bound.Figure / planned)
+	a.setShare(bound.Figure / planned)
 }
 
-func (a *Answer) worked(figure float64) {
+func (a *RowResult) setComputed(figure float64) {
 	a.Evidence, a.Figure = Arithmetic, &figure
 	if a.Budget != nil && figure > 0 {
-		a.breakAt(a.Budget.Figure / figure)
+		a.setShare(a.Budget.Figure / figure)
 	}
 }
 
-// count takes what a run counted at each of its sizes.
-func (a *Answer) count(counted *Counted, measured *slopes.Measured) {
+// setCounts stores the mean that a run counted at each of its sizes.
+func (a *RowResult) setCounts(counted *Counted, measured *slopes.Measured) {
 	i := slices.IndexFunc(measured.Runs, func(run slopes.Run) bool { return run.Name == counted.Run })
 	if i >= 0 {
 		sizes, figures := measured.Runs[i].Values(counted.Figure, counted.Over, counted.Where)
@@ -267,7 +271,7 @@
 	a.Evidence = CountedOnly
 }
 
-// countsOf makes one count of all plays at a size, smallest size first.
+// countsOf averages the figures of all repetitions at each size, sorted by size.
 func countsOf(figure, over string, sizes, figures []float64) (all []Count) {
 	sums, plays := map[float64]float64{}, map[float64]int{}
 	for i, size := range sizes {
@@ -280,8 +284,8 @@
 	return all
 }
 
-// carry takes every slope of a row to its size.
-func (a *Answer) carry(parts []Part, plan *Plan, d *Derived, measured *slopes.Measured) error {
+// extrapolate computes the figure of a row from its slopes at the planned size.
+func (a *RowResult) extrapolate(parts []Part, plan *Plan, d *Derived, measured *slopes.Measured) error {
 	for _, part := range parts {
 		slope, run, found := measured.Find(part.Slope)
 		if !found {
@@ -289,90 +293,91 @@
 			continue
 		}
 		if slope.Unit != part.Unit || slope.Over != part.Over.Name {
-			return fmt.Errorf("slope %q: %s over %s was expected, not %s over %s", part.Slope, part.Unit, part.Over.Name, slope.Unit, slope.Over)
+			return fmt.Errorf("slope %q: expected %s over %s, got %s over %s", part.Slope, part.Unit, part.Over.Name, slope.Unit, slope.Over)
 		}
-		used := PartUsed{Slope: part.Slope, Run: run.Name, Over: slope.Over, From: slope.From, To: slope.To, Size: part.Over.At(plan, d), Times: 1,
+		used := PartUsed{Slope: part.Slope, Run: run.Name, Over: slope.Over, From: slope.From, To: slope.To, Size: part.Over.At(plan, d), Factor: 1,
 			AtMost: part.AtMost, Fit: slope.Fit, Unit: slope.Unit}
-		if part.Times != nil {
-			used.Times = part.Times(plan, d)
+		if part.Factor != nil {
+			used.Factor = part.Factor(plan, d)
 		}
-		used.Carried = slope.Carried(used.Size)
+		used.Extrapolation = slope.Carried(used.Size)
 		used.countPoints(slope, run)
 		a.Parts = append(a.Parts, used)
 		a.Spread = max(a.Spread, slope.Fit.Spread)
-		a.Carried = max(a.Carried, used.Carried)
+		a.Extrapolation = max(a.Extrapolation, used.Extrapolation)
 	}
 	if len(a.Parts) == 0 {
 		a.Evidence = NotMeasured
 		return nil
 	}
-	a.Evidence, a.AtLeast, a.Marked = Measured, len(a.Missing) > 0, a.Carried > markedBeyond
+	a.Evidence, a.AtLeast, a.Marked = Measured, len(a.Missing) > 0, a.Extrapolation > maxUnmarkedExtrapolation
 	figure := a.sum(1)
 	a.Figure = &figure
 	if a.Budget != nil {
-		a.breakAt(a.shareAt(a.Budget.Figure))
-		a.brokenThroughout()
-		a.seenToBreak()
+		a.setShare(a.shareAt(a.Budget.Figure))
+		a.markBrokenAtEverySize()
+		a.applyMeasuredBreak()
 	}
 	return nil
 }
 
-// seenToBreak mends the share of a figure that was measured over its budget at a size where the curve is still below.
-func (a *Answer) seenToBreak() {
+// applyMeasuredBreak lowers the share to the smallest measured size from which on all measured figures are over the budget, if the curve
+// crosses the budget only at a larger size.
+func (a *RowResult) applyMeasuredBreak() {
 	if len(a.Parts) != 1 || a.Added != 0 {
 		return
 	}
 	part := &a.Parts[0]
-	for i := len(part.counts) - 1; i >= 0 && part.Times*part.counts[i].Mean > a.Budget.Figure; i-- {
-		if share := part.counts[i].Size / part.Size; a.Never || share < *a.Share {
-			a.Never, a.Seen, a.Share = false, true, &share
+	for i := len(part.counts) - 1; i >= 0 && part.Factor*part.counts[i].Mean > a.Budget.Figure; i-- {
+		if share := part.counts[i].Size / part.Size; a.NeverBreaks || share < *a.Share {
+			a.NeverBreaks, a.MeasuredBreak, a.Share = false, true, &share
 		}
 	}
 }
 
-// countPoints takes what the run measured, and tells how the largest size compares with the curve.
+// countPoints stores the measured points and the ratio of the figure at the largest measured size to the curve.
 func (u *PartUsed) countPoints(slope *slopes.Slope, run *slopes.Run) {
 	sizes, figures := run.Values(slope.Figure, slope.Over, slope.Where)
 	u.counts = countsOf(slope.Name, slope.Over, sizes, figures)
 	if len(u.counts) > 0 {
 		last := u.counts[len(u.counts)-1]
-		u.Last = last.Mean / slope.At(last.Size)
+		u.LastPointRatio = last.Mean / slope.At(last.Size)
 	}
 }
 
-// brokenThroughout mends the share of a figure that falls as the size grows and is over its budget at the planned size all the same.
-func (a *Answer) brokenThroughout() {
-	if a.Never && *a.Figure > a.Budget.Figure {
-		a.Never = false
-		a.breakAt(0)
+// markBrokenAtEverySize sets the share to 0 if the figure falls with the size and is still over its budget at the planned size.
+func (a *RowResult) markBrokenAtEverySize() {
+	if a.NeverBreaks && *a.Figure > a.Budget.Figure {
+		a.NeverBreaks = false
+		a.setShare(0)
 	}
 }
 
-// sum is the row's figure at a share of the planned size.
-func (a *Answer) sum(share float64) (figure float64) {
+// sum returns the row's figure at a share of the planned size.
+func (a *RowResult) sum(share float64) (figure float64) {
 	for i := range a.Parts {
-		figure += a.Parts[i].at(share)
+		figure += a.Parts[i].figureAt(share)
 	}
 	return figure + share*a.Added
 }
 
-// shareAt is the share of the planned size at which the row reaches a figure.
-func (a *Answer) shareAt(figure float64) float64 {
+// shareAt returns the share of the planned size at which the row reaches a figure.
+func (a *RowResult) shareAt(figure float64) float64 {
 	if len(a.Parts) == 1 && a.Added == 0 {
 		return a.Parts[0].shareAt(figure)
 	}
 	return a.shareOfSum(figure)
 }
 
-// Bounds of the search for a share, and the relative width at which it ends.
+// Bounds of the bisection for a share, and the relative width at which it ends.
 const (
 	smallestShare = 1e-9
 	largestShare  = 1e9
 	shareWidth    = 1e-9
 )
 
-// shareOfSum searches by halving, on a logarithmic scale, where the sum of several slopes reaches a figure.
-func (a *Answer) shareOfSum(figure float64) float64 {
+// shareOfSum finds the share at which the sum of several slopes reaches a figure, by bisection on a logarithmic scale.
+func (a *RowResult) shareOfSum(figure float64) float64 {
 	low, high := smallestShare, largestShare
 	switch {
 	case a.sum(low) >= figure:
@@ -391,16 +396,16 @@
 	return high
 }
 
-func (a *Answer) breakAt(share float64) {
+func (a *RowResult) setShare(share float64) {
 	if math.IsInf(share, 1) {
-		a.Never = true
+		a.NeverBreaks = true
 		return
 	}
 	a.Share = &share
 }
 
-// Slopes names what the row rests on, whether it is measured or not.
-func (a *Answer) Slopes() string {
+// Slopes returns the names of the measured slopes that the row uses, joined by " + ".
+func (a *RowResult) Slopes() string {
 	var names []string
 	for _, part := range a.Parts {
 		names = append(names, part.Slope)
--- a/testbed/capacity/units.go
+++ b/testbed/capacity/units.go
@@ -6,11 +6,12 @@
 	"strings"
 )
 
-// digits that a figure is printed with.
-const digits = 3
+// significantDigits is the precision of printed figures.
+const significantDigits = 3
 
-// Text prints a figure with its unit, for people: three digits, thousands set apart, seconds and bytes in a fitting multiple.
-func Text(value float64, unit string) string {
+// Format returns a figure with its unit for human readers: three significant digits, thousands separated by commas, and seconds and
+// bytes in a suitable multiple.
+func Format(value float64, unit string) string {
 	base, per, isRate := strings.Cut(unit, "/")
 	suffix := ""
 	if isRate {
@@ -24,12 +25,12 @@
 	case "share":
 		return percent(value)
 	case "ratio", "-":
-		return plain(value)
+		return formatRounded(value)
 	}
-	return plain(value) + " " + singular(value, unit)
+	return formatRounded(value) + " " + singular(value, unit)
 }
 
-// singular takes the s off the unit of one thing; rates keep it.
+// singular removes the final "s" of the unit if the value is 1. Rates keep it.
 func singular(value float64, unit string) string {
 	if value == 1 && !strings.Contains(unit, "/") {
 		return strings.TrimSuffix(unit, "s")
@@ -37,8 +38,10 @@
 	return unit
 }
 
-// exact prints all digits of a number, with thousands set apart.
-func exact(value float64) string { return thousands(strconv.FormatFloat(value, 'f', -1, 64)) }
+// formatExact returns a number with all its digits, and thousands separated by commas.
+func formatExact(value float64) string {
+	return groupThousands(strconv.FormatFloat(value, 'f', -1, 64))
+}
 
 func secondsText(value float64) string {
 	const minute, hour, day = 60.0, 3600.0, 86400.0
@@ -46,17 +49,17 @@
 	case value == 0:
 		return "0 s"
 	case value < 1e-3:
-		return plain(value*1e6) + " µs"
+		return formatRounded(value*1e6) + " µs"
 	case value < 1:
-		return plain(value*1e3) + " ms"
+		return formatRounded(value*1e3) + " ms"
 	case value < 2*minute:
-		return plain(value) + " s"
+		return formatRounded(value) + " s"
 	case value < 2*hour:
-		return plain(value/minute) + " min"
+		return formatRounded(value/minute) + " min"
 	case value < 2*day:
-		return plain(value/hour) + " h"
+		return formatRounded(value/hour) + " h"
 	}
-	return plain(value/day) + " days"
+	return formatRounded(value/day) + " days"
 }
 
 func scaled(value float64, units []string) string {
@@ -65,28 +68,28 @@
 		value /= 1000
 		i++
 	}
-	return plain(value) + " " + units[i]
+	return formatRounded(value) + " " + units[i]
 }
 
-// Shares are printed as a multiple from twice the whole on, and no further than a million times.
+// Shares of multipleThreshold and more are printed as a multiple; those above maxMultiple only as more than that.
 const (
-	multipleFrom = 2
-	multipleMost = 1e6
+	multipleThreshold = 2
+	maxMultiple       = 1e6
 )
 
-// percent prints a share.
+// percent formats a share as a percentage or as a multiple.
 func percent(share float64) string {
 	switch {
-	case share > multipleMost:
-		return "over " + plain(multipleMost) + " x"
-	case share >= multipleFrom:
-		return plain(share) + " x"
+	case share > maxMultiple:
+		return "over " + formatRounded(maxMultiple) + " x"
+	case share >= multipleThreshold:
+		return formatRounded(share) + " x"
 	}
-	return plain(100*share) + " %"
+	return formatRounded(100*share) + " %"
 }
 
-// plain prints a number with three digits, and thousands set apart.
-func plain(value float64) string {
+// formatRounded returns a number with three significant digits, and thousands separated by commas.
+func formatRounded(value float64) string {
 	switch {
 	case math.IsNaN(value) || math.IsInf(value, 0):
 		return strconv.FormatFloat(value, 'g', -1, 64)
@@ -95,18 +98,18 @@
 	}
 	magnitude := int(math.Floor(math.Log10(math.Abs(value))))
 	if magnitude < -4 {
-		return strconv.FormatFloat(value, 'g', digits, 64)
+		return strconv.FormatFloat(value, 'g', significantDigits, 64)
 	}
-	step := math.Pow(10, float64(magnitude-digits+1))
+	step := math.Pow(10, float64(magnitude-significantDigits+1))
 	rounded := math.Round(value/step) * step
-	text := strconv.FormatFloat(rounded, 'f', max(0, digits-1-magnitude), 64)
+	text := strconv.FormatFloat(rounded, 'f', max(0, significantDigits-1-magnitude), 64)
 	if strings.Contains(text, ".") {
 		text = strings.TrimRight(strings.TrimRight(text, "0"), ".")
 	}
-	return thousands(text)
+	return groupThousands(text)
 }
 
-func thousands(text string) string {
+func groupThousands(text string) string {
 	whole, fraction, hasFraction := strings.Cut(text, ".")
 	sign := ""
 	if strings.HasPrefix(whole, "-") {
--- a/testbed/capacity/units_test.go
+++ b/testbed/capacity/units_test.go
@@ -14,11 +14,11 @@
 		{0.0174, "share", "1.74 %"}, {1.03, "share", "103 %"}, {35.61, "share", "35.6 x"}, {1e300, "share", "over 1,000,000 x"}, {0.5, "ratio", "0.5"},
 		{0.0000174, "cores", "1.74e-05 cores"}, {-0.091, "ratio", "-0.091"},
 	} {
-		if got := Text(try.value, try.unit); got != try.want {
-			t.Errorf("%v %s: %q, not %q", try.value, try.unit, got, try.want)
+		if got := Format(try.value, try.unit); got != try.want {
+			t.Errorf("%v %s: got %q, want %q", try.value, try.unit, got, try.want)
 		}
 	}
-	if got := exact(65536); got != "65,536" {
+	if got := formatExact(65536); got != "65,536" {
 		t.Errorf("exact: %q", got)
 	}
 }
