--- a/testbed/capacity/events.go
+++ b/testbed/capacity/events.go
@@ -16,7 +16,7 @@
 // Event is a failure or change in a fleet of the planned size.
 type Event struct {
 	Name      string
-	Frequency func(*Plan, *Derived) (count float64, often string) // for example 28, "a day"
+	Frequency func(*Plan, *Derived) (count float64, frequency string) // for example 28, "a day"
 	Lines     []EventLine
 }
 
@@ -107,7 +107,7 @@
 }
 
 func machineFails() Event {
-	return Event{Name: "a machine fails and takes its disk along",
+	return Event{Name: "a machine fails, and its disk is lost",
 		Frequency: func(p *Plan, _ *Derived) (float64, string) { return p.Failures.MachinesPerDay, "a day" },
 		Lines: []EventLine{
 			withMechanism(arithmeticLine(AspectMessages, "messages whose only copy was on its disk, at the full backlog", "events",
@@ -175,7 +175,7 @@
 }
 
 func regionCut() Event {
-	return Event{Name: "a region is cut off, and back",
+	return Event{Name: "a region is cut off and reconnected",
 		Frequency: func(p *Plan, _ *Derived) (float64, string) { return p.Failures.RegionCutsPerYear, "a year" },
 		Lines: []EventLine{
 			arithmeticLine(AspectMessages, "couriers on its side", "couriers", func(_ *Plan, d *Derived) float64 { return d.CouriersPerRegion }),
--- a/testbed/capacity/order.go
+++ b/testbed/capacity/order.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// rowsByShare returns all rows with a budget, sorted by share. Rows that never exceed their budget come last but for the rows that are
-// not measured.
+// rowsByShare returns all rows with a budget, sorted by share. Rows that never exceed their budget come after those that do, and rows
+// that are not measured come last.
 func (page *Page) rowsByShare() []RowResult {
 	var all []RowResult
 	for _, result := range page.allResults() {
--- a/testbed/capacity/page.go
+++ b/testbed/capacity/page.go
@@ -129,13 +129,13 @@
 
 // trials repeats the choice with the assumed budgets scaled by each of trialFactors.
 func (page *Page) trials() error {
-	for _, times := range trialFactors {
-		scaled := &Page{Plan: page.Plan.withBudgets(times), Derived: page.Derived, measured: page.measured}
+	for _, factor := range trialFactors {
+		scaled := &Page{Plan: page.Plan.withBudgets(factor), Derived: page.Derived, measured: page.measured}
 		if err := scaled.evaluate(); err != nil {
 			return err
 		}
 		if first := Candidates(scaled.allResults())[0]; first.Share != nil {
-			page.Trials = append(page.Trials, Trial{Factor: times, First: first.Mechanism.ID, Share: *first.Share})
+			page.Trials = append(page.Trials, Trial{Factor: factor, First: first.Mechanism.ID, Share: *first.Share})
 		}
 	}
 	return nil
@@ -151,12 +151,12 @@
 }
 
 // withBudgets returns a copy of the plan with its assumed budgets multiplied by a factor.
-func (p *Plan) withBudgets(times float64) *Plan {
+func (p *Plan) withBudgets(factor float64) *Plan {
 	scaled := *p
 	for _, key := range Keys() {
 		if p.IsAssumed(key.Path) && strings.HasPrefix(key.Path, "budget.") {
 			field := reflect.ValueOf(&scaled).Elem().FieldByIndex(key.index)
-			field.SetFloat(times * field.Float())
+			field.SetFloat(factor * field.Float())
 		}
 	}
 	return &scaled
--- a/testbed/capacity/page_test.go
+++ b/testbed/capacity/page_test.go
@@ -49,7 +49,7 @@
 func TestFiguresBudgetsAndShares(t *testing.T) {
 	page := fixturePage(t)
 	const held, destinations = 190e9 / 11000, 3.6e6
-	for slope, want := range map[string]struct{ figure, budget, share, carried float64 }{
+	for slope, want := range map[string]struct{ figure, budget, share, extrapolation float64 }{
 		"held.step.many":       {2e-6 + 1e-7*held, 0.05, (0.05 - 2e-6) / 1e-7 / held, held / 1e5},
 		"held.module.many":     {1000 + 300*held, 16e9, (16e9 - 1000) / 300 / held, held / 1e5},
 		"held.spool_disk.many": {1000 + 600*held, 100e9, (100e9 - 1000) / 600 / held, held / 1e5},
@@ -58,7 +58,7 @@
 		"couriers.heap":        {90000 + 700*11000, 128e6, (128e6 - 90000) / 700 / 11000, 11000.0 / 300},
 	} {
 		row := rowOnSlope(t, page, slope)
-		if !closeTo(*row.Figure, want.figure) || !closeTo(row.Budget.Figure, want.budget) || !closeTo(*row.Share, want.share) || !closeTo(row.Extrapolation, want.carried) {
+		if !closeTo(*row.Figure, want.figure) || !closeTo(row.Budget.Figure, want.budget) || !closeTo(*row.Share, want.share) || !closeTo(row.Extrapolation, want.extrapolation) {
 			t.Errorf("%s: figure %v, budget %v, share %v, extrapolation %v, want %+v", slope, *row.Figure, row.Budget.Figure, *row.Share, row.Extrapolation, want)
 		}
 		if !row.Marked {
--- a/testbed/capacity/plan.go
+++ b/testbed/capacity/plan.go
@@ -1,7 +1,8 @@
-// Package capacity computes the load that a fleet of a planned size puts on each part of pineport. It extrapolates the slopes measured
-// by scale runs (testbed/slopes) to the sizes of a plan, compares them with the plan's budgets, and reports the share of the planned size
-// at which each budget is exceeded ("breaks"). It measures nothing, and only Load does I/O. Its output is docs/CAPACITY.md and the
-// output of the command pineport-testbed capacity.
+// Package capacity computes the load that a fleet of a planned size puts on each part of pineport. A slope is a curve that testbed/slopes
+// fits to the measurements of a scale run over one size, such as the number of couriers. The package extrapolates the slopes to the sizes
+// of a plan, compares the figures with the plan's budgets, and reports the share of the planned size at which each budget is exceeded
+// ("breaks"). It measures nothing, and only Load does I/O. Its output is docs/CAPACITY.md and the output of the command
+// pineport-testbed capacity.
 package capacity
 
 // Plan holds the planned size of a fleet with its failure rates and budgets, as read from plan.toml. The tags define each key: its
--- a/testbed/capacity/row.go
+++ b/testbed/capacity/row.go
@@ -45,9 +45,9 @@
 
 // Values of Status.
 const (
-	RunsToday Status = "runs today"
-	Hollow    Status = "shown with hollow couriers"
-	Paper     Status = "on paper only"
+	RunsToday Status = "runs today"                 // part of the courier
+	Hollow    Status = "shown with hollow couriers" // many couriers in one process, with stand-ins for sockets, disk, clients and endpoints
+	Paper     Status = "on paper only"              // there is no code
 )
 
 // Size is a size of a plan to which slopes are extrapolated.
@@ -141,10 +141,10 @@
 
 // Kinds of evidence.
 const (
-	Measured    Evidence = "slope"
-	Arithmetic  Evidence = "arithmetic"
+	Measured    Evidence = "slope"      // extrapolated from the slopes of scale runs
+	Arithmetic  Evidence = "arithmetic" // computed from the plan alone
 	InTheCode   Evidence = "bound in the code"
-	CountedOnly Evidence = "counted, not carried"
+	CountedOnly Evidence = "counted, not carried" // printed at the sizes of the run, not extrapolated
 	NotMeasured Evidence = "not measured"
 )
 
--- a/testbed/capacity/sizes.go
+++ b/testbed/capacity/sizes.go
@@ -12,7 +12,7 @@
 	listedEndpoints   = Size{"listed", func(p *Plan, _ *Derived) float64 { return p.Traffic.Destinations }} // at least one endpoint per destination
 	waitingChanges    = Size{"waiting", func(_ *Plan, d *Derived) float64 { return d.ChangesWaitingAfterCut }}
 	settingsTenants   = Size{"tenants", func(p *Plan, _ *Derived) float64 { return p.Traffic.Tenants }}
-	// equivalentCouriers is the number of couriers at which, in the run outage, one courier calls a destination as rarely as in the plan.
+	// equivalentCouriers is the number of couriers at which, in the run outage, each courier calls a destination as rarely as in the plan.
 	// It differs from the planned number of couriers because the run sends outageRate messages per second to each destination.
 	equivalentCouriers = Size{"couriers", func(p *Plan, d *Derived) float64 { return p.Fleet.Couriers * outageRate / d.EventsPerDestination }}
 	sharedRoutes       = Size{"routes", func(_ *Plan, d *Derived) float64 { return d.RecentRoutes }}
--- a/testbed/capacity/units.go
+++ b/testbed/capacity/units.go
@@ -71,7 +71,8 @@
 	return formatRounded(value) + " " + units[i]
 }
 
-// Shares of multipleThreshold and more are printed as a multiple; those above maxMultiple only as more than that.
+// Shares of at least multipleThreshold are printed as a multiple, such as "2.5 x". Shares above maxMultiple are printed as "over" that
+// multiple.
 const (
 	multipleThreshold = 2
 	maxMultiple       = 1e6
--- a/testbed/capacity/units_test.go
+++ b/testbed/capacity/units_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestText(t *testing.T) {
+func TestFormat(t *testing.T) {
 	for _, try := range []struct {
 		value float64
 		unit  string
