--- a/testbed/capacity/arithmetic.go
+++ b/testbed/capacity/arithmetic.go
@@ -3,12 +3,14 @@
 import "math"
 
 const (
-	secondsPerDay  = 24 * 60 * 60
-	daysPerYear    = 365
-	bytesPerKB     = 1000
-	bytesPerMB     = 1000 * 1000
-	statedFailures = 5 // consecutive failures that the hand calculation assumed to open a breaker
-	// failuresToOpen is the number of consecutive failures that open a breaker: more than 5, see docs/design.md, "Kept".
+	secondsPerDay = 24 * 60 * 60
+	daysPerYear   = 365
+	bytesPerKB    = 1000
+	bytesPerMB    = 1000 * 1000
+	// statedFailures is the number of consecutive failures that the hand calculation assumed to open a breaker. It is kept for the
+	// comparison with the stated figure five_failures_s.
+	statedFailures = 5
+	// failuresToOpen is the number of consecutive failures that open a breaker: more than 5, see section "Kept" of docs/design.md.
 	failuresToOpen = statedFailures + 1
 	// forgetAfter is the time in seconds after the last call for which the dispatcher treats a route as recently called and keeps the
 	// failure count of its closed breaker. It equals forgetAfter in dispatch/breaker.go.
@@ -23,7 +25,7 @@
 	EventsPerDestination   float64 `json:"events_per_destination" unit:"events/s" doc:"events for one destination from all couriers together: events / destinations"`
 	EventIntervalSeconds   float64 `json:"meeting_s" unit:"s" doc:"mean time between two events of one courier for the same destination: couriers / events per destination"`
 	FiveFailuresSeconds    float64 `json:"five_failures_s" unit:"s" doc:"mean time until one courier has had five events for the same destination, counted from any moment: 5 intervals"`
-	BreakerOpeningSeconds  float64 `json:"opening_s" unit:"s" doc:"mean time until one courier opens its breaker by its own calls: 6 intervals, as a breaker opens after more than 5 consecutive failures"`
+	BreakerOpeningSeconds  float64 `json:"opening_s" unit:"s" doc:"mean time until one courier opens its breaker by its own calls: 6 intervals, as a breaker opens after more than 5 consecutive failures; the reset of a breaker that is not used for 120 s is ignored"`
 	RecentRoutes           float64 `json:"routes_lately" unit:"routes" doc:"destinations that a courier called within the last 120 s, expected value"`
 	CouriersPerZone        float64 `json:"couriers_per_zone" unit:"couriers" doc:"couriers / zones"`
 	CouriersPerRegion      float64 `json:"couriers_per_region" unit:"couriers" doc:"couriers / regions"`
--- a/testbed/capacity/arithmetic_test.go
+++ b/testbed/capacity/arithmetic_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestStatedArithmetic checks that all stated figures of the example plan agree with the computed ones, except the time of half a day until
-// five failures.
+// TestStatedArithmetic checks that all stated figures of the example plan agree with the computed ones, except five_failures_s:
+// the plan states half a day, and the computed time is 14.1 h.
 func TestStatedArithmetic(t *testing.T) {
 	plan := examplePlan(t)
 	d := Derive(plan)
--- a/testbed/capacity/cells.go
+++ b/testbed/capacity/cells.go
@@ -52,7 +52,7 @@
 	return strings.Join(parts, "; ")
 }
 
-// highlightedSpread is the spread of a fit from which the page prints it in bold.
+// highlightedSpread is the spread of a fit at or above which the page prints it in bold.
 const highlightedSpread = 0.3
 
 // highlightedLastPoint is the ratio of the figure at the largest measured size to the fitted curve, in either direction, beyond which
@@ -169,7 +169,7 @@
 	if a.MeasuredBreak {
 		text += " (measured there)"
 	}
-	if a.Reported != "" {
+	if a.NotRankedReason != "" {
 		text += " (not ranked)"
 	}
 	return text
--- a/testbed/capacity/choice.go
+++ b/testbed/capacity/choice.go
@@ -23,10 +23,10 @@
 // Candidates returns all mechanisms in the order in which they should be replaced: first the one whose budget is exceeded at the
 // smallest share of the planned size; among shares that are close, one on the message path, and then the one with more rows.
 // Mechanisms without a share come last, in the order of Mechanisms.
-func Candidates(answers []RowResult) []Candidate {
+func Candidates(results []RowResult) []Candidate {
 	var open, without []Candidate
 	for _, mechanism := range Mechanisms() {
-		candidate := candidateOf(mechanism, answers)
+		candidate := candidateOf(mechanism, results)
 		if candidate.Share == nil {
 			without = append(without, candidate)
 			continue
@@ -45,15 +45,15 @@
 	return append(ordered, without...)
 }
 
-func candidateOf(mechanism Mechanism, answers []RowResult) Candidate {
+func candidateOf(mechanism Mechanism, results []RowResult) Candidate {
 	candidate := Candidate{Mechanism: mechanism, Why: "none of its budgets is measured, or none is exceeded: not ranked"}
-	for i := range answers {
-		result := &answers[i]
+	for i := range results {
+		result := &results[i]
 		if result.Mechanism != mechanism.ID {
 			continue
 		}
 		candidate.RowCount++
-		if result.Share == nil || result.Reported != "" {
+		if result.Share == nil || result.NotRankedReason != "" {
 			continue
 		}
 		if candidate.Share == nil || *result.Share < *candidate.Share {
@@ -101,18 +101,18 @@
 
 // reason returns why a candidate has its rank, and which part of its task no run can measure.
 func (c *Candidate) reason() string {
-	if c.Mechanism.Unshown == "" {
+	if c.Mechanism.NotMeasurable == "" {
 		return c.Why
 	}
-	return c.Why + "; " + c.Mechanism.Unshown
+	return c.Why + "; " + c.Mechanism.NotMeasurable
 }
 
-// Trial is the first-ranked mechanism with all assumed budgets scaled by a factor.
-type Trial struct {
+// Variation is the first-ranked mechanism with all assumed budgets scaled by a factor.
+type Variation struct {
 	Factor float64     `json:"times"` // applied to the assumed budgets
 	First  MechanismID `json:"first"`
 	Share  float64     `json:"share"`
 }
 
-// trialFactors are the factors by which the trials scale the assumed budgets.
-var trialFactors = []float64{0.1, 10}
+// variationFactors are the factors by which the variations scale the assumed budgets.
+var variationFactors = []float64{0.1, 10}
--- a/testbed/capacity/choice_test.go
+++ b/testbed/capacity/choice_test.go
@@ -12,8 +12,8 @@
 }
 
 // candidateOrder returns the mechanisms of the candidates with a share, by rank.
-func candidateOrder(answers ...RowResult) (ids []MechanismID) {
-	for _, candidate := range Candidates(answers) {
+func candidateOrder(results ...RowResult) (ids []MechanismID) {
+	for _, candidate := range Candidates(results) {
 		if candidate.Share != nil {
 			ids = append(ids, candidate.Mechanism.ID)
 		}
@@ -28,7 +28,7 @@
 	}
 	withoutBudget := RowResult{What: "without a budget", Mechanism: OutageAlone}
 	informational := breakingRow(FullList, 0.0001)
-	informational.Reported = "for information"
+	informational.NotRankedReason = "for information"
 	for what, try := range map[string]struct {
 		answers []RowResult
 		want    []MechanismID
@@ -66,7 +66,7 @@
 
 // TestRowsNameMechanisms checks that every row whose budget counts in the choice belongs to a mechanism, and that every mechanism has a row.
 func TestRowsNameMechanisms(t *testing.T) {
-	rests := map[MechanismID]int{}
+	rowCount := map[MechanismID]int{}
 	rows := Rows()
 	for _, event := range Events() {
 		for _, line := range event.Lines {
@@ -77,27 +77,27 @@
 	}
 	for _, row := range rows {
 		_, found := MechanismOf(row.Mechanism)
-		if hasBudget := row.Budget != nil || row.CodeBound != nil; hasBudget && row.Reported == "" && !found {
+		if hasBudget := row.Budget != nil || row.CodeBound != nil; hasBudget && row.NotRankedReason == "" && !found {
 			t.Errorf("%s: unknown mechanism %q", row.What, row.Mechanism)
 		}
-		rests[row.Mechanism]++
+		rowCount[row.Mechanism]++
 	}
 	for _, mechanism := range Mechanisms() {
-		if rests[mechanism.ID] == 0 {
+		if rowCount[mechanism.ID] == 0 {
 			t.Errorf("no row belongs to %s", mechanism.ID)
 		}
 	}
 }
 
-// TestTrialsScaleOnlyAssumedBudgets checks that trials leave budgets that are stated requirements unchanged.
-func TestTrialsScaleOnlyAssumedBudgets(t *testing.T) {
+// TestVariationsScaleOnlyAssumedBudgets checks that variations leave budgets that are stated requirements unchanged.
+func TestVariationsScaleOnlyAssumedBudgets(t *testing.T) {
 	plan := examplePlan(t)
 	scaled := plan.withBudgets(10)
 	if scaled.Budget.Courier.StepSeconds != 10*plan.Budget.Courier.StepSeconds || scaled.Budget.Control != plan.Budget.Control ||
 		scaled.Budget.Courier.ReadySeconds != plan.Budget.Courier.ReadySeconds || scaled.Traffic != plan.Traffic {
 		t.Errorf("budgets scaled by 10: %+v", scaled)
 	}
-	if page := fixturePage(t); len(page.Trials) != len(trialFactors) {
-		t.Errorf("trials: %+v", page.Trials)
+	if page := fixturePage(t); len(page.Variations) != len(variationFactors) {
+		t.Errorf("variations: %+v", page.Variations)
 	}
 }
--- a/testbed/capacity/events.go
+++ b/testbed/capacity/events.go
@@ -116,7 +116,7 @@
 				func(_ *Plan, d *Derived) float64 { return d.RemovalCommandsPerDay }), Membership, "membership"),
 			slopeLine(AspectKnown, "until all know of it", "s", "couriers.death.all", "s", fleetMembers, nil),
 			slopeLine(AspectKnown, "until half of them do", "s", "couriers.death.half", "s", fleetMembers, nil),
-			textLine(AspectMeanwhile, "the other couriers still count it, so no quota share grows; its clients switch to other couriers by themselves"),
+			textLine(AspectMeanwhile, "the other couriers still count the failed one, so no quota share grows; clients of the failed courier switch to other couriers"),
 			textLine(AspectCaughtUp, "quota that it lent to others expires after 4 s, and quota lent to it returns after 4.1 s; its own quota share is unused until "+
 				"an operator declares it as removed; messages whose only copy was on its disk are lost"),
 		}}
@@ -127,8 +127,8 @@
 		Frequency: func(p *Plan, _ *Derived) (float64, string) { return p.Failures.RestartsPerDay, "a day" },
 		Lines: []EventLine{
 			arithmeticLine(AspectMessages, "whole lists asked of discovery", "lists/s", restartRate),
-			textLine(AspectKnown, "a courier that shuts down on purpose announces it, and those that get the packet know at once; any other end is detected as a failure"),
-			textLine(AspectMeanwhile, "clients are rejected and use other couriers; its messages wait on its disk; its learned state stays valid for 30 s, for the "+
+			textLine(AspectKnown, "a courier announces a planned shutdown, and couriers that receive the announcement know at once; any other exit is detected as a failure"),
+			textLine(AspectMeanwhile, "the courier rejects its clients, which use other couriers; its messages wait on its disk; the courier's learned state stays valid for 30 s, for the "+
 				"most recently called routes that fit into 256 KiB (about 950)"),
 			withBudget(slopeLine(AspectCaughtUp, "until the first step with a full backlog is over", "s", "held.restart.many", "s", heldMessages, nil),
 				readySeconds, HeldRestart, "spool, server, dispatch"),
@@ -150,8 +150,8 @@
 			arithmeticLine(AspectMessages, "messages that wait behind it, at the full backlog", "events",
 				func(p *Plan, d *Derived) float64 { return p.Failures.RackCouriers * d.HeldPerCourier }),
 			unmeasuredLine(AspectKnown, "until all know that all of it is gone", "s", "no run lets so many couriers fail at once; the failures of one courier and of a zone are measured"),
-			textLine(AspectMeanwhile, "as for one machine; couriers behind a failed switch may still be running, and are counted"),
-			textLine(AspectCaughtUp, "after the failure of a switch: as after the cut of a region; after the loss of a rack: as for one machine, for each of its couriers"),
+			textLine(AspectMeanwhile, "the same as for one machine; couriers behind a failed switch may still be running, and are counted"),
+			textLine(AspectCaughtUp, "if a switch failed: the same as after a region is cut off; if the rack was lost: the same as after a failed machine, for each courier of the rack"),
 		}}
 }
 
--- a/testbed/capacity/markdown.go
+++ b/testbed/capacity/markdown.go
@@ -67,11 +67,11 @@
 	m.printf("- *Breaks at*: the share of the planned size at which the budget is used up; below 100 %% the planned size does not fit. *Measured there*: the run itself exceeded the budget at this size, although the curve is " +
 		"still below it. *Not ranked*: the row does not count in the choice of the mechanism to replace first. " +
 		"Budgets that are not stated requirements are marked as assumed.\n")
-	m.printf("- *runs today*: part of the courier. *shown with hollow couriers*: the real code, with many couriers in one process and stand-ins for " +
+	m.printf("- *runs today*: part of the courier. *shown with hollow couriers*: measured with hollow couriers, which are many couriers in one process that run the real code with stand-ins for " +
 		"sockets, disk, clients and endpoints. *on paper only*: there is no code.\n")
 	for _, run := range page.Runs {
-		if run.Verified != "" {
-			m.printf("- Hollow couriers compared with real ones (run `%s`): %s. Where a hollow courier uses less than a real one, the rows measured with hollow couriers are too low by that amount.\n", run.Name, run.Verified)
+		if run.HollowComparison != "" {
+			m.printf("- Hollow couriers compared with real ones (run `%s`): %s. Where a hollow courier uses less than a real one, the rows measured with hollow couriers are too low by that amount.\n", run.Name, run.HollowComparison)
 		}
 	}
 	m.printf("- *not measured*: there is no figure, and none was estimated.\n\n")
@@ -129,7 +129,7 @@
 			Format(forgetAfter, "s"), Format(d.EventIntervalSeconds, "s"), Format(forgetAfter, "s"))
 	}
 	if page.Plan.Traffic.BacklogEvents > 0 && d.DestinationsDown > 0 {
-		m.paragraph("The full backlog, spread over the destinations that are down, is their traffic of %s. It comes from outages of that duration, or from fewer "+
+		m.paragraph("The full backlog, spread over the destinations that are down, equals their traffic during %s. It comes from outages of that duration, or from fewer "+
 			"destinations with far more traffic than the mean.", Format(d.BacklogAgeSeconds, "s"))
 	}
 }
@@ -149,17 +149,17 @@
 			}
 		}
 		m.printf("\n")
-		page.reportedOnly(m, role)
+		page.notRanked(m, role)
 	}
 }
 
-// reportedOnly explains why rows of a role do not count in the choice of the mechanism to replace first.
-func (page *Page) reportedOnly(m *markdown, role Role) {
+// notRanked explains why rows of a role do not count in the choice of the mechanism to replace first.
+func (page *Page) notRanked(m *markdown, role Role) {
 	printed := map[string]bool{}
 	for _, result := range page.Rows {
-		if result.Role == role && result.Reported != "" && result.Budget != nil && !printed[result.Reported] {
-			printed[result.Reported] = true
-			m.printf("Not ranked (%s): %s.\n\n", result.What, result.Reported)
+		if result.Role == role && result.NotRankedReason != "" && result.Budget != nil && !printed[result.NotRankedReason] {
+			printed[result.NotRankedReason] = true
+			m.printf("Not ranked (%s): %s.\n\n", result.What, result.NotRankedReason)
 		}
 	}
 }
@@ -221,7 +221,7 @@
 		if candidate.Assumed {
 			by += " (assumed budget)"
 		}
-		m.row(place, candidate.Mechanism.Today, share, by, yesNo(candidate.Mechanism.OnMessagePath), fmt.Sprint(candidate.RowCount), candidate.reason(), candidate.Mechanism.Replacement)
+		m.row(place, candidate.Mechanism.Current, share, by, yesNo(candidate.Mechanism.OnMessagePath), fmt.Sprint(candidate.RowCount), candidate.reason(), candidate.Mechanism.Replacement)
 	}
 	m.printf("\n")
 	page.choiceSummary(m)
@@ -235,15 +235,15 @@
 		m.paragraph("No row with a budget was measured, so no mechanism is ranked.")
 		return
 	}
-	m.paragraph("**Needed first: %s**. It replaces: %s. Its budget breaks at %s of the planned size (%s): %s.", first.Mechanism.Replacement, first.Mechanism.Today,
+	m.paragraph("**Needed first: %s**. It replaces: %s. Its budget breaks at %s of the planned size (%s): %s.", first.Mechanism.Replacement, first.Mechanism.Current,
 		percent(*first.Share), first.Row, first.Why)
-	for _, trial := range page.Trials {
+	for _, variation := range page.Variations {
 		same := "the same mechanism"
-		if trial.First != first.Mechanism.ID {
-			mechanism, _ := MechanismOf(trial.First)
-			same = "another mechanism: " + mechanism.Today
+		if variation.First != first.Mechanism.ID {
+			mechanism, _ := MechanismOf(variation.First)
+			same = "another mechanism: " + mechanism.Current
 		}
-		m.paragraph("With the assumed budgets multiplied by %s: %s, at %s.", formatRounded(trial.Factor), same, percent(trial.Share))
+		m.paragraph("With the assumed budgets multiplied by %s: %s, at %s.", formatRounded(variation.Factor), same, percent(variation.Share))
 	}
 }
 
@@ -275,7 +275,7 @@
 	m.paragraph("## The runs")
 	m.header("run", "scenario run", "command", "commit", "taken", "machine", "plays", "took", "hollow and real couriers compared")
 	for _, run := range page.Runs {
-		m.row(run.Name, run.About, "`"+run.Command+"`", run.Commit, run.Taken, run.Machine, fmt.Sprint(run.Plays), Format(run.Seconds, "s"), orEmpty(run.Verified))
+		m.row(run.Name, run.About, "`"+run.Command+"`", run.Commit, run.Date, run.Machine, fmt.Sprint(run.Repetitions), Format(run.Seconds, "s"), orEmpty(run.HollowComparison))
 	}
 	m.printf("\n")
 }
--- a/testbed/capacity/mechanism.go
+++ b/testbed/capacity/mechanism.go
@@ -5,26 +5,26 @@
 
 // Mechanisms for which the page ranks a replacement.
 const (
-	HeldWork    MechanismID = "held-work"
-	HeldMemory  MechanismID = "held-memory"
-	HeldRestart MechanismID = "held-restart"
-	OutageAlone MechanismID = "outage-alone"
-	FullList    MechanismID = "full-list"
-	Membership  MechanismID = "flat-membership"
-	Sharing     MechanismID = "flat-sharing"
-	HandOut     MechanismID = "hand-out"
-	Connections MechanismID = "connections"
-	OnlyCopy    MechanismID = "only-copy"
+	HeldWork    MechanismID = "held-work"       // work per held message in each dispatcher step
+	HeldMemory  MechanismID = "held-memory"     // memory per held message
+	HeldRestart MechanismID = "held-restart"    // time to read the held messages after a restart
+	OutageAlone MechanismID = "outage-alone"    // detection of outages by each courier on its own
+	FullList    MechanismID = "full-list"       // full endpoint list on each courier
+	Membership  MechanismID = "flat-membership" // membership in which every courier knows all others
+	Sharing     MechanismID = "flat-sharing"    // quota exchange between all couriers
+	HandOut     MechanismID = "hand-out"        // distribution of settings to the couriers
+	Connections MechanismID = "connections"     // connections to destinations
+	OnlyCopy    MechanismID = "only-copy"       // storage of each message on a single disk
 )
 
 // Mechanism is a mechanism of pineport with the one that would replace it in a larger fleet.
 type Mechanism struct {
 	ID            MechanismID `json:"id"`
-	Today         string      `json:"today"`
+	Current       string      `json:"today"`
 	Replacement   string      `json:"missing"`
 	OnMessagePath bool        `json:"on_a_messages_way"`
-	// Unshown describes the part of its task that no run can measure today; empty: there is none.
-	Unshown string `json:"unshown,omitempty"`
+	// NotMeasurable describes the part of the task of the mechanism that no run can measure today; empty: there is none.
+	NotMeasurable string `json:"unshown,omitempty"`
 }
 
 // Mechanisms returns all mechanisms. Their order does not express a ranking.
--- a/testbed/capacity/page.go
+++ b/testbed/capacity/page.go
@@ -20,7 +20,7 @@
 	Events      []EventResult    `json:"events"`
 	Promises    []Promise        `json:"promises"`
 	Candidates  []Candidate      `json:"missing_first"`
-	Trials      []Trial          `json:"trials"`
+	Variations  []Variation      `json:"trials"`
 	NotMeasured []string         `json:"not_measured"`
 	Gaps        []Gap            `json:"gaps"`
 	Runs        []RunSummary     `json:"runs"`
@@ -36,15 +36,15 @@
 
 // RunSummary describes a scale run on the page.
 type RunSummary struct {
-	Name     string  `json:"name"`
-	About    string  `json:"about"`
-	Command  string  `json:"command"`
-	Commit   string  `json:"commit"`
-	Taken    string  `json:"taken"`
-	Machine  string  `json:"machine"`
-	Plays    int     `json:"plays"`
-	Seconds  float64 `json:"seconds"`
-	Verified string  `json:"verified,omitempty"`
+	Name             string  `json:"name"`
+	About            string  `json:"about"`
+	Command          string  `json:"command"`
+	Commit           string  `json:"commit"`
+	Date             string  `json:"taken"`
+	Machine          string  `json:"machine"`
+	Repetitions      int     `json:"plays"`
+	Seconds          float64 `json:"seconds"`
+	HollowComparison string  `json:"verified,omitempty"`
 }
 
 // Load reads the plan and the measured slopes. No other function of this package does I/O. It returns an error if either file does not
@@ -73,7 +73,7 @@
 	page.Candidates = Candidates(page.allResults())
 	page.NotMeasured = page.listNotMeasured()
 	page.runs()
-	return page, page.trials()
+	return page, page.variations()
 }
 
 func (page *Page) evaluate() error {
@@ -119,23 +119,23 @@
 
 func (page *Page) runs() {
 	for _, run := range page.measured.Runs {
-		page.Runs = append(page.Runs, RunSummary{Name: run.Name, About: run.About, Command: run.Command, Commit: run.Commit, Taken: run.Taken,
-			Machine: run.Machine, Plays: run.Plays, Seconds: run.Seconds, Verified: run.Verified})
+		page.Runs = append(page.Runs, RunSummary{Name: run.Name, About: run.About, Command: run.Command, Commit: run.Commit, Date: run.Taken,
+			Machine: run.Machine, Repetitions: run.Plays, Seconds: run.Seconds, HollowComparison: run.Verified})
 		for _, gap := range run.Missing {
 			page.Gaps = append(page.Gaps, Gap{Run: run.Name, Figure: gap.Figure, Why: gap.Why})
 		}
 	}
 }
 
-// trials repeats the choice with the assumed budgets scaled by each of trialFactors.
-func (page *Page) trials() error {
-	for _, factor := range trialFactors {
+// variations repeats the choice with the assumed budgets scaled by each of variationFactors.
+func (page *Page) variations() error {
+	for _, factor := range variationFactors {
 		scaled := &Page{Plan: page.Plan.withBudgets(factor), Derived: page.Derived, measured: page.measured}
 		if err := scaled.evaluate(); err != nil {
 			return err
 		}
 		if first := Candidates(scaled.allResults())[0]; first.Share != nil {
-			page.Trials = append(page.Trials, Trial{Factor: factor, First: first.Mechanism.ID, Share: *first.Share})
+			page.Variations = append(page.Variations, Variation{Factor: factor, First: first.Mechanism.ID, Share: *first.Share})
 		}
 	}
 	return nil
--- a/testbed/capacity/page_test.go
+++ b/testbed/capacity/page_test.go
@@ -36,7 +36,7 @@
 func rowOnSlope(t *testing.T, page *Page, slope string) *RowResult {
 	t.Helper()
 	for i := range page.Rows {
-		if result := &page.Rows[i]; result.Slopes() == slope && result.Reported == "" {
+		if result := &page.Rows[i]; result.Slopes() == slope && result.NotRankedReason == "" {
 			return result
 		}
 	}
@@ -69,7 +69,7 @@
 		t.Errorf("a constant figure under its budget breaks: %+v", row)
 	}
 	if row := rowOnSlope(t, page, "couriers.view.tick"); row.Marked || !closeTo(row.Extrapolation, 4096.0/11000) || !closeTo(*row.Figure, 5*(1e-6+1e-8*4096)) {
-		t.Errorf("a slope measured beyond the number of names that a view keeps: %+v", row)
+		t.Errorf("a slope measured up to more names than a view keeps is marked as extrapolated, or has a wrong figure: %+v", row)
 	}
 	if row := rowOnSlope(t, page, "sharing.kept_bytes.routes_over_room"); row.Marked || row.Extrapolation < 4 || row.Extrapolation > 5 {
 		t.Errorf("a slope extrapolated fourfold: %+v", row)
--- a/testbed/capacity/plan.go
+++ b/testbed/capacity/plan.go
@@ -1,5 +1,6 @@
 // Package capacity computes the load that a fleet of a planned size puts on each part of pineport. A slope is a curve that testbed/slopes
-// fits to the measurements of a scale run over one size, such as the number of couriers. The package extrapolates the slopes to the sizes
+// fits to the figures of a scale run as a function of one size, such as the number of couriers; a scale run (testbed/scale) measures parts of
+// pineport at several sizes. The package extrapolates the slopes to the sizes
 // of a plan, compares the figures with the plan's budgets, and reports the share of the planned size at which each budget is exceeded
 // ("breaks"). It measures nothing, and only Load does I/O. Its output is docs/CAPACITY.md and the output of the command
 // pineport-testbed capacity.
--- a/testbed/capacity/row.go
+++ b/testbed/capacity/row.go
@@ -17,10 +17,10 @@
 const (
 	RoleCourier   Role = "courier"
 	RoleControl   Role = "machines set aside for control"
-	RoleSpeaker   Role = "speakers of zones and regions"
-	RoleDiscovery Role = "discovery, as it is asked"
-	RolePartners  Role = "clients and endpoints, as couriers load them"
-	RoleEvent     Role = "events" // rows of the second part of the page
+	RoleSpeaker   Role = "speakers of zones and regions"                // couriers that would exchange packets on behalf of their zone or region
+	RoleDiscovery Role = "discovery, as it is asked"                    // load of the couriers on discovery
+	RolePartners  Role = "clients and endpoints, as couriers load them" // load of the couriers on clients and endpoints
+	RoleEvent     Role = "events"                                       // rows of the second part of the page
 )
 
 // Resource is the resource or quantity that a row measures.
@@ -98,8 +98,8 @@
 	Mechanism      MechanismID
 	Package        string // Go packages that implement the mechanism
 	Status         Status
-	// Reported is the reason why the row is only informational: its budget does not count in the choice of Candidates. Empty: it counts.
-	Reported string
+	// NotRankedReason is the reason why the row is only informational: its budget does not count in the choice of Candidates. Empty: it counts.
+	NotRankedReason string
 }
 
 // CodeBound is a constant of the code that limits a size.
@@ -111,29 +111,29 @@
 
 // RowResult is a row with its computed figures.
 type RowResult struct {
-	Role          Role        `json:"role"`
-	Resource      Resource    `json:"resource"`
-	What          string      `json:"what"`
-	Unit          string      `json:"unit"`
-	Evidence      Evidence    `json:"evidence"`
-	Figure        *float64    `json:"figure,omitempty"` // at the planned size; nil: not measured
-	AtLeast       bool        `json:"at_least,omitempty"`
-	Parts         []PartUsed  `json:"parts,omitempty"`
-	Added         float64     `json:"added,omitempty"`   // term added to the parts, at the planned size
-	Counts        []Count     `json:"counts,omitempty"`  // at the sizes of a run, not extrapolated
-	Missing       []string    `json:"missing,omitempty"` // slopes that are not measured, or the reason why there is no figure
-	Spread        float64     `json:"spread,omitempty"`  // largest spread of the fits
-	Extrapolation float64     `json:"carried,omitempty"` // planned size / largest measured size, the largest of the parts
-	Marked        bool        `json:"marked,omitempty"`  // Extrapolation is over 10
-	Budget        *Budget     `json:"budget,omitempty"`
-	Share         *float64    `json:"share,omitempty"` // of the planned size at which the budget is exceeded
-	NeverBreaks   bool        `json:"never_breaks,omitempty"`
-	MeasuredBreak bool        `json:"seen_to_break,omitempty"` // Share is a measured size over the budget, where the curve is still below the budget
-	Mechanism     MechanismID `json:"mechanism,omitempty"`
-	Package       string      `json:"package"`
-	Status        Status      `json:"standing,omitempty"` // empty for lines of events, where the status of the mechanism's rows applies
-	Reported      string      `json:"told,omitempty"`
-	AssumedKeys   []string    `json:"assumes,omitempty"` // assumed keys that the figure depends on
+	Role            Role        `json:"role"`
+	Resource        Resource    `json:"resource"`
+	What            string      `json:"what"`
+	Unit            string      `json:"unit"`
+	Evidence        Evidence    `json:"evidence"`
+	Figure          *float64    `json:"figure,omitempty"` // at the planned size; nil: not measured
+	AtLeast         bool        `json:"at_least,omitempty"`
+	Parts           []PartUsed  `json:"parts,omitempty"`
+	Added           float64     `json:"added,omitempty"`   // term added to the parts, at the planned size
+	Counts          []Count     `json:"counts,omitempty"`  // at the sizes of a run, not extrapolated
+	Missing         []string    `json:"missing,omitempty"` // slopes that are not measured, or the reason why there is no figure
+	Spread          float64     `json:"spread,omitempty"`  // largest spread of the fits: root mean square of the relative residuals
+	Extrapolation   float64     `json:"carried,omitempty"` // planned size / largest measured size, the largest of the parts
+	Marked          bool        `json:"marked,omitempty"`  // Extrapolation is over 10
+	Budget          *Budget     `json:"budget,omitempty"`
+	Share           *float64    `json:"share,omitempty"` // of the planned size at which the budget is exceeded
+	NeverBreaks     bool        `json:"never_breaks,omitempty"`
+	MeasuredBreak   bool        `json:"seen_to_break,omitempty"` // Share is a measured size over the budget, where the curve is still below the budget
+	Mechanism       MechanismID `json:"mechanism,omitempty"`
+	Package         string      `json:"package"`
+	Status          Status      `json:"standing,omitempty"` // empty for lines of events, where the status of the mechanism's rows applies
+	NotRankedReason string      `json:"told,omitempty"`
+	AssumedKeys     []string    `json:"assumes,omitempty"` // assumed keys that the figure depends on
 }
 
 // Evidence is the source of a figure.
@@ -164,19 +164,19 @@
 	// LastPointRatio is the mean of the figures measured at the largest size, divided by the value of the curve there; 0: the run has no
 	// points for this slope.
 	LastPointRatio float64 `json:"last,omitempty"`
-	counts         []Count // of the points of the run, by size
+	points         []Count // of the points of the run, by size
 }
 
 // maxUnmarkedExtrapolation is the ratio of planned to measured size above which a figure is marked.
 const maxUnmarkedExtrapolation = 10
 
-// Count is a figure that a run counted at one size.
+// Count is the mean of a figure that a run measured or counted at one size.
 type Count struct {
-	Figure string  `json:"figure"` // RUN.FIGURE
-	Over   string  `json:"over"`
-	Size   float64 `json:"size"`
-	Mean   float64 `json:"mean"` // over all repetitions
-	Plays  int     `json:"plays"`
+	Figure      string  `json:"figure"` // RUN.FIGURE
+	Over        string  `json:"over"`
+	Size        float64 `json:"size"`
+	Mean        float64 `json:"mean"` // over all repetitions
+	Repetitions int     `json:"plays"`
 }
 
 // figureAt returns the figure of a part at a share of the planned size.
@@ -203,7 +203,7 @@
 // Evaluate computes the figures of a row at the planned size. It returns an error if a slope has another unit or size than the row expects.
 func (row *Row) Evaluate(plan *Plan, d *Derived, measured *slopes.Measured) (RowResult, error) {
 	result := RowResult{Role: row.Role, Resource: row.Resource, What: row.What, Unit: row.Unit, Mechanism: row.Mechanism, Package: row.Package,
-		Status: row.Status, Reported: row.Reported}
+		Status: row.Status, NotRankedReason: row.NotRankedReason}
 	if row.Budget != nil {
 		budget := row.Budget(plan)
 		result.Budget = &budget
@@ -273,13 +273,13 @@
 
 // countsOf averages the figures of all repetitions at each size, sorted by size.
 func countsOf(figure, over string, sizes, figures []float64) (all []Count) {
-	sums, plays := map[float64]float64{}, map[float64]int{}
+	sums, repetitions := map[float64]float64{}, map[float64]int{}
 	for i, size := range sizes {
 		sums[size] += figures[i]
-		plays[size]++
+		repetitions[size]++
 	}
 	for _, size := range slices.Sorted(maps.Keys(sums)) {
-		all = append(all, Count{Figure: figure, Over: over, Size: size, Mean: sums[size] / float64(plays[size]), Plays: plays[size]})
+		all = append(all, Count{Figure: figure, Over: over, Size: size, Mean: sums[size] / float64(repetitions[size]), Repetitions: repetitions[size]})
 	}
 	return all
 }
@@ -301,7 +301,7 @@
 			used.Factor = part.Factor(plan, d)
 		}
 		used.Extrapolation = slope.Carried(used.Size)
-		used.countPoints(slope, run)
+		used.storePoints(slope, run)
 		a.Parts = append(a.Parts, used)
 		a.Spread = max(a.Spread, slope.Fit.Spread)
 		a.Extrapolation = max(a.Extrapolation, used.Extrapolation)
@@ -328,19 +328,19 @@
 		return
 	}
 	part := &a.Parts[0]
-	for i := len(part.counts) - 1; i >= 0 && part.Factor*part.counts[i].Mean > a.Budget.Figure; i-- {
-		if share := part.counts[i].Size / part.Size; a.NeverBreaks || share < *a.Share {
+	for i := len(part.points) - 1; i >= 0 && part.Factor*part.points[i].Mean > a.Budget.Figure; i-- {
+		if share := part.points[i].Size / part.Size; a.NeverBreaks || share < *a.Share {
 			a.NeverBreaks, a.MeasuredBreak, a.Share = false, true, &share
 		}
 	}
 }
 
 // countPoints stores the measured points and the ratio of the figure at the largest measured size to the curve.
-func (u *PartUsed) countPoints(slope *slopes.Slope, run *slopes.Run) {
+func (u *PartUsed) storePoints(slope *slopes.Slope, run *slopes.Run) {
 	sizes, figures := run.Values(slope.Figure, slope.Over, slope.Where)
-	u.counts = countsOf(slope.Name, slope.Over, sizes, figures)
-	if len(u.counts) > 0 {
-		last := u.counts[len(u.counts)-1]
+	u.points = countsOf(slope.Name, slope.Over, sizes, figures)
+	if len(u.points) > 0 {
+		last := u.points[len(u.points)-1]
 		u.LastPointRatio = last.Mean / slope.At(last.Size)
 	}
 }
--- a/testbed/capacity/rows_courier.go
+++ b/testbed/capacity/rows_courier.go
@@ -46,7 +46,7 @@
 			Parts: singleSlope("held.step_arrival.few", "s", heldMessages, nil), Budget: stepSeconds, Mechanism: HeldWork, Package: dispatchPkg, Status: RunsToday},
 		{Role: RoleCourier, Resource: Processor, What: "decisions, were there a step for each message", Unit: "cores",
 			Parts: singleSlope("held.step_arrival.many", "s", heldMessages, eventRate), Budget: courierCores, Mechanism: HeldWork, Package: dispatchPkg,
-			Status: RunsToday, Reported: batchedReason},
+			Status: RunsToday, NotRankedReason: batchedReason},
 		{Role: RoleCourier, Resource: Memory, What: "messages held, in the decisions", Unit: "bytes", Parts: []Part{memory("held.module.many")},
 			Budget: courierMemory, Mechanism: HeldMemory, Package: dispatchPkg, Status: RunsToday},
 		{Role: RoleCourier, Resource: Memory, What: "messages held, in the router", Unit: "bytes", Parts: []Part{memory("held.router.many")},
@@ -122,7 +122,7 @@
 	tick := view(Processor, "ticks of the view, with all names that it keeps", "couriers.view.tick", "s", namesKept, controlCores)
 	tick.Unit, tick.Parts[0].Factor = "cores", ticksPerSecond
 	viewRead := view(Latency, "one picture of the view, with all names that it keeps", "couriers.view.look", "s", namesKept, nil)
-	viewRead.Reported = rarelyReadReason
+	viewRead.NotRankedReason = rarelyReadReason
 	return []Row{
 		{Role: RoleCourier, Resource: Bound, What: "members that a view keeps by name; the failed beyond are counted on", Unit: "couriers",
 			Computed: fleetMembers.At, CodeBound: &CodeBound{"maxMembers", "membership/membership.go", maxNamedMembers}, Mechanism: Membership, Package: "membership", Status: RunsToday},
@@ -142,8 +142,8 @@
 }
 
 // smallFleetsReason explains why the processor time of whole fleets that share limits is only informational.
-const smallFleetsReason = "up to 300 couriers, the cost per member heard hardly shows; the row over the members heard contains it and " +
-	"counts instead"
+const smallFleetsReason = "up to 300 couriers, the cost per member whose packets arrive hardly shows; the row measured over the number of these members contains " +
+	"this cost and counts instead"
 
 func sharingRows() []Row {
 	share := func(resource Resource, what, slope, unit string, over Size, budget func(*Plan) Budget) Row {
@@ -155,7 +155,7 @@
 	othersLoad := share(Processor, "beats of sharing, over the others that are heard", "sharing.beat_seconds.heard_over_room", "s", otherMembers, controlCores)
 	othersLoad.Unit, othersLoad.Parts[0].Factor = "cores", sharingTicksPerSecond
 	fleetLoad := share(Processor, "sharing of ten limits in a whole fleet", "sharing.cores", "cores", fleetCouriers, controlCores)
-	fleetLoad.Reported = smallFleetsReason
+	fleetLoad.NotRankedReason = smallFleetsReason
 	return []Row{
 		{Role: RoleCourier, Resource: Bound, What: "routes whose limits are shared, of those called within two minutes; others are left out", Unit: "routes",
 			Computed: sharedRoutes.At, CodeBound: &CodeBound{"maxKeys", "quota/quota.go", 1024}, Mechanism: Sharing, Package: "quota", Status: RunsToday},
@@ -193,18 +193,18 @@
 			{Slope: "couriers.processor", Unit: "cores", Over: fleetMembers},
 			{Slope: "sharing.beat_seconds.heard_over_room", Unit: "s", Over: otherMembers, Factor: sharingTicksPerSecond},
 			{Slope: "destinations.change", Unit: "s", Over: knownDestinations, Factor: changeRate},
-		}, Budget: controlCores, Package: "membership, quota, dispatch", Status: Hollow, Reported: sumReason},
+		}, Budget: controlCores, Package: "membership, quota, dispatch", Status: Hollow, NotRankedReason: sumReason},
 		{Role: RoleCourier, Resource: Memory, What: "control, all together: membership, sharing, the list", Unit: "bytes", Parts: []Part{
 			{Slope: "couriers.heap", Unit: "bytes", Over: fleetMembers},
 			{Slope: "sharing.kept_bytes.routes_over_room", Unit: "bytes", Over: sharedRoutes},
 			{Slope: "destinations.bytes", Unit: "bytes", Over: knownDestinations},
-		}, Budget: controlMemory, Package: "membership, quota, dispatch", Status: Hollow, Reported: sumReason},
+		}, Budget: controlMemory, Package: "membership, quota, dispatch", Status: Hollow, NotRankedReason: sumReason},
 		{Role: RoleCourier, Resource: Bytes, What: "control, all together: membership, sharing, changes of the list", Unit: "bytes/s", Parts: []Part{
 			{Slope: "couriers.packet_bytes", Unit: "bytes/s", Over: fleetMembers},
 			{Slope: "couriers.exchange_bytes", Unit: "bytes/s", Over: fleetMembers},
 			{Slope: "sharing.bytes_per_second", Unit: "bytes/s", Over: fleetCouriers},
 			{Slope: "changes.change_bytes", Unit: "bytes", Over: listedEndpoints, Factor: changeRate},
-		}, Budget: controlBytes, Package: "membership, quota, protocol", Status: Hollow, Reported: sumReason},
+		}, Budget: controlBytes, Package: "membership, quota, protocol", Status: Hollow, NotRankedReason: sumReason},
 	}
 }
 
@@ -216,6 +216,6 @@
 			Computed: func(_ *Plan, d *Derived) float64 { return d.CallsInFlight + d.IdleConnections }, Budget: descriptors,
 			Mechanism: Connections, Package: routerPkg, Status: RunsToday},
 		{Role: RoleCourier, Resource: Processor, What: "taking, parsing, writing and calling, sockets included", Unit: "cores",
-			NoFigureReason: "no scale run uses sockets; the standing test measures them with a few couriers", Mechanism: Connections, Package: routerPkg, Status: RunsToday},
+			NoFigureReason: "no scale run uses sockets; the standing test of the testbed measures them with a few couriers", Mechanism: Connections, Package: routerPkg, Status: RunsToday},
 	}
 }
--- a/testbed/capacity/rows_others.go
+++ b/testbed/capacity/rows_others.go
@@ -35,7 +35,8 @@
 	}
 }
 
-// noSpeakerReason explains why there is no figure on speakers of zones and regions.
+// noSpeakerReason explains why there is no figure on speakers. A speaker would be a courier that exchanges packets on behalf of its zone
+// or region.
 const noSpeakerReason = "there are no speakers today: every courier exchanges packets with all others directly"
 
 func speakerRows() []Row {
--- a/testbed/capacity/sizes.go
+++ b/testbed/capacity/sizes.go
@@ -1,21 +1,21 @@
 package capacity
 
-// Sizes of a plan, with the names that the scale runs give them.
+// Sizes of a plan. The strings are the names that the scale runs give them.
 var (
-	heldMessages      = Size{"messages", func(_ *Plan, d *Derived) float64 { return d.HeldPerCourier }}
-	knownDestinations = Size{"destinations", func(p *Plan, _ *Derived) float64 { return p.Traffic.Destinations }}
-	fleetMembers      = Size{"members", func(p *Plan, _ *Derived) float64 { return p.Fleet.Couriers }}
-	namesKept         = Size{"names", func(p *Plan, _ *Derived) float64 { return min(p.Fleet.Couriers, maxNamedMembers) }}
-	moreThanNamesKept = Size{"names", func(p *Plan, _ *Derived) float64 { return max(p.Fleet.Couriers, maxNamedMembers+1) }}
+	heldMessages      = Size{"messages", func(_ *Plan, d *Derived) float64 { return d.HeldPerCourier }}                      // messages that one courier holds
+	knownDestinations = Size{"destinations", func(p *Plan, _ *Derived) float64 { return p.Traffic.Destinations }}            // destinations that one courier knows
+	fleetMembers      = Size{"members", func(p *Plan, _ *Derived) float64 { return p.Fleet.Couriers }}                       // members of the fleet
+	namesKept         = Size{"names", func(p *Plan, _ *Derived) float64 { return min(p.Fleet.Couriers, maxNamedMembers) }}   // members that a view keeps by name
+	moreThanNamesKept = Size{"names", func(p *Plan, _ *Derived) float64 { return max(p.Fleet.Couriers, maxNamedMembers+1) }} // members of a fleet with more than a view keeps by name
 	fleetCouriers     = Size{"couriers", func(p *Plan, _ *Derived) float64 { return p.Fleet.Couriers }}
-	otherMembers      = Size{"heard", func(p *Plan, _ *Derived) float64 { return p.Fleet.Couriers - 1 }}
-	listedEndpoints   = Size{"listed", func(p *Plan, _ *Derived) float64 { return p.Traffic.Destinations }} // at least one endpoint per destination
-	waitingChanges    = Size{"waiting", func(_ *Plan, d *Derived) float64 { return d.ChangesWaitingAfterCut }}
-	settingsTenants   = Size{"tenants", func(p *Plan, _ *Derived) float64 { return p.Traffic.Tenants }}
+	otherMembers      = Size{"heard", func(p *Plan, _ *Derived) float64 { return p.Fleet.Couriers - 1 }}       // other couriers whose quota packets arrive
+	listedEndpoints   = Size{"listed", func(p *Plan, _ *Derived) float64 { return p.Traffic.Destinations }}    // endpoints on the list, at least one per destination
+	waitingChanges    = Size{"waiting", func(_ *Plan, d *Derived) float64 { return d.ChangesWaitingAfterCut }} // changes pending after the cut of a region
+	settingsTenants   = Size{"tenants", func(p *Plan, _ *Derived) float64 { return p.Traffic.Tenants }}        // tenants in the settings of a courier
 	// equivalentCouriers is the number of couriers at which, in the run outage, each courier calls a destination as rarely as in the plan.
 	// It differs from the planned number of couriers because the run sends outageRate messages per second to each destination.
 	equivalentCouriers = Size{"couriers", func(p *Plan, d *Derived) float64 { return p.Fleet.Couriers * outageRate / d.EventsPerDestination }}
-	sharedRoutes       = Size{"routes", func(_ *Plan, d *Derived) float64 { return d.RecentRoutes }}
+	sharedRoutes       = Size{"routes", func(_ *Plan, d *Derived) float64 { return d.RecentRoutes }} // routes that a courier called recently
 )
 
 // maxNamedMembers is the number of members that a view keeps by name. It equals maxMembers in membership/membership.go.
--- a/testbed/capacity/table.go
+++ b/testbed/capacity/table.go
@@ -13,7 +13,7 @@
 	w := tabwriter.NewWriter(text, 0, 8, 2, ' ', 0)
 	page.tableOfRows(w)
 	page.tableOfEvents(w)
-	page.tableOfMissing(w)
+	page.tableOfCandidates(w)
 	w.Flush()
 	return text.String()
 }
@@ -52,7 +52,7 @@
 	}
 }
 
-func (page *Page) tableOfMissing(w *tabwriter.Writer) {
+func (page *Page) tableOfCandidates(w *tabwriter.Writer) {
 	fmt.Fprintln(w, "\nRANK\tBREAKS AT\tROW\tREASON\tREPLACEMENT")
 	for i, candidate := range page.Candidates {
 		place, share := fmt.Sprint(i+1), string(NotMeasured)
