--- a/cmd/pineport/crowd_test.go
+++ b/cmd/pineport/crowd_test.go
@@ -98,7 +98,7 @@
 		downFor   = 5 * time.Second
 		backAfter = 6 * time.Second // what is notified counts as reported by then
 	)
-	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
+	world, err := scripted.Open(1, func(string) scripted.Response { return scripted.Response{Status: 200} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -157,5 +157,5 @@
 		got := c.ask(strings.Replace(enqueue("next", "update", 8000), "dest=1", "dest=2", 1))
 		return got[0] == "+OK"
 	})
-	waitFor(t, "next", 5*time.Second, func() bool { _, done, _ := world.Seen("next"); return done == 1 })
+	waitFor(t, "next", 5*time.Second, func() bool { _, done, _ := world.MessageCalls("next"); return done == 1 })
 }
--- a/cmd/pineport/drain_test.go
+++ b/cmd/pineport/drain_test.go
@@ -38,36 +38,36 @@
 )
 
 // treatments are what discovery's answers come to from the drain on, one poll after the other; the polls after them are well.
-type treatments []faultproxy.Treatment
+type treatments []faultproxy.FaultSpec
 
 func plain(faults ...faultproxy.Fault) (all treatments) {
 	for _, fault := range faults {
-		all = append(all, faultproxy.Treatment{Fault: fault, Delay: 2 * time.Second})
+		all = append(all, faultproxy.FaultSpec{Fault: fault, Delay: 2 * time.Second})
 	}
 	return all
 }
 
-func replacing(old, with string) faultproxy.Treatment {
-	return faultproxy.Treatment{Fault: faultproxy.Spoilt, Edit: func(body []byte) []byte {
+func replacing(old, with string) faultproxy.FaultSpec {
+	return faultproxy.FaultSpec{Fault: faultproxy.Corrupted, Edit: func(body []byte) []byte {
 		return bytes.Replace(body, []byte(old), []byte(with), 1)
 	}}
 }
 
-var silentThen = func(rest ...faultproxy.Treatment) treatments { return append(plain(faultproxy.Silent), rest...) }
+var silentThen = func(rest ...faultproxy.FaultSpec) treatments { return append(plain(faultproxy.NoResponse), rest...) }
 
 // drainsLearnedLate are the ways in which a drain is learned late: what happens to the watch that is open as it is made, and to the
 // polls after it.
 var drainsLearnedLate = map[string]treatments{
-	"silent":                               plain(faultproxy.Silent),
-	"silent, unavailable":                  plain(faultproxy.Silent, faultproxy.Unavailable),
-	"silent, unavailable three times":      plain(faultproxy.Silent, faultproxy.Unavailable, faultproxy.Unavailable, faultproxy.Unavailable),
-	"silent, reset":                        plain(faultproxy.Silent, faultproxy.Reset),
-	"silent, cut, unavailable":             plain(faultproxy.Silent, faultproxy.Cut, faultproxy.Unavailable),
-	"silent, silent":                       plain(faultproxy.Silent, faultproxy.Silent),
-	"silent, late":                         plain(faultproxy.Silent, faultproxy.Late),
-	"silent, stuck, reset":                 plain(faultproxy.Silent, faultproxy.Stuck, faultproxy.Reset),
-	"silent, endless":                      plain(faultproxy.Silent, faultproxy.Endless),
-	"silent, trickle":                      plain(faultproxy.Silent, faultproxy.Trickle),
+	"silent":                               plain(faultproxy.NoResponse),
+	"silent, unavailable":                  plain(faultproxy.NoResponse, faultproxy.Unavailable),
+	"silent, unavailable three times":      plain(faultproxy.NoResponse, faultproxy.Unavailable, faultproxy.Unavailable, faultproxy.Unavailable),
+	"silent, reset":                        plain(faultproxy.NoResponse, faultproxy.Reset),
+	"silent, cut, unavailable":             plain(faultproxy.NoResponse, faultproxy.Truncated, faultproxy.Unavailable),
+	"silent, silent":                       plain(faultproxy.NoResponse, faultproxy.NoResponse),
+	"silent, late":                         plain(faultproxy.NoResponse, faultproxy.Delayed),
+	"silent, stuck, reset":                 plain(faultproxy.NoResponse, faultproxy.Stalled, faultproxy.Reset),
+	"silent, endless":                      plain(faultproxy.NoResponse, faultproxy.EndlessHeader),
+	"silent, trickle":                      plain(faultproxy.NoResponse, faultproxy.SlowResponse),
 	"silent, not JSON":                     silentThen(replacing("{", "[")),
 	"silent, unknown health":               silentThen(replacing(`"terminating"`, `"terminatinh"`)),
 	"unknown health":                       {replacing(`"terminating"`, `"terminatinh"`)},
@@ -100,20 +100,20 @@
 }
 
 func playDrain(t *testing.T, faults treatments) {
-	world, err := scripted.Open(2, func(string) scripted.Fate { return scripted.Fate{Status: 200, After: workTime} })
+	world, err := scripted.Open(2, func(string) scripted.Response { return scripted.Response{Status: 200, Delay: workTime} })
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(world.Close)
 	var next atomic.Int64
-	proxy, err := faultproxy.Open(world.Discovery, func(call faultproxy.Call) faultproxy.Treatment {
+	proxy, err := faultproxy.Open(world.Discovery, func(call faultproxy.Call) faultproxy.FaultSpec {
 		if !call.IsPoll() {
-			return faultproxy.Treatment{}
+			return faultproxy.FaultSpec{}
 		}
 		if n := int(next.Add(1)) - 1; n < len(faults) {
 			return faults[n]
 		}
-		return faultproxy.Treatment{}
+		return faultproxy.FaultSpec{}
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/pineport/final_answer_test.go
+++ b/cmd/pineport/final_answer_test.go
@@ -91,7 +91,7 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 	})
-	world.Lists = func(int) string { return "{]" } // discovery answers nothing that can be used
+	world.ListOverride = func(int) string { return "{]" } // discovery answers nothing that can be used
 	c := newCourier(t, world)
 	c.start()
 
@@ -129,7 +129,7 @@
 	delivered, noticed, refused := 0, 0, 0
 	for _, all := range replies {
 		for id, reply := range all {
-			_, done, notices := world.Seen(id)
+			_, done, notices := world.MessageCalls(id)
 			if _, ok := halfAnswered.Load(id); ok {
 				done++
 			}
--- a/cmd/pineport/folder_test.go
+++ b/cmd/pineport/folder_test.go
@@ -47,7 +47,7 @@
 
 func playFolderFault(t *testing.T, effect syscallfault.Effect, killed bool) {
 	const failing = 3 * time.Second
-	world, err := scripted.Open(2, func(string) scripted.Fate { return scripted.Fate{Status: 200, After: 30 * time.Millisecond} })
+	world, err := scripted.Open(2, func(string) scripted.Response { return scripted.Response{Status: 200, Delay: 30 * time.Millisecond} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,7 +75,7 @@
 	until.Store(time.Now().Add(failing).UnixNano())
 	submit(&during, 10, failing)
 	time.Sleep(300 * time.Millisecond)
-	if struck := child.Struck(); len(struck) == 0 {
+	if struck := child.EffectCounts(); len(struck) == 0 {
 		t.Error("the fault never struck")
 	}
 	finished := append(before.finished(world), during.finished(world)...)
@@ -91,12 +91,12 @@
 		t.Errorf("nobody was refused while the folder failed: %d accepted", len(during.accepted))
 	}
 	for _, id := range during.rejected {
-		if began, _, _ := world.Seen(id); began > 0 {
+		if began, _, _ := world.MessageCalls(id); began > 0 {
 			t.Errorf("%s was refused, and ran", id)
 		}
 	}
 	for _, id := range finished { // Failure: ends that the folder did not take were never written, and what was over ran again after the kill
-		if began, _, _ := world.Seen(id); began > 1 {
+		if began, _, _ := world.MessageCalls(id); began > 1 {
 			t.Errorf("%s ran again after it was over", id)
 		}
 	}
@@ -115,7 +115,7 @@
 // ends, once where it may not run again, and each start is ready.
 func TestKilledInTheMiddleOfAWrite(t *testing.T) {
 	const rounds = 12
-	world, err := scripted.Open(2, func(string) scripted.Fate { return scripted.Fate{Status: 200, After: 30 * time.Millisecond} })
+	world, err := scripted.Open(2, func(string) scripted.Response { return scripted.Response{Status: 200, Delay: 30 * time.Millisecond} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -130,7 +130,7 @@
 			if !c.changesFolder(call) || writes.Add(1) != at {
 				return syscallfault.Effect{}
 			}
-			return syscallfault.Effect{Limit: limit, Kill: true}
+			return syscallfault.Effect{Limit: limit, KillChild: true}
 		})
 		var stopped atomic.Bool
 		var clients sync.WaitGroup
@@ -155,7 +155,7 @@
 	for _, errno := range []syscall.Errno{syscall.ENOSPC, syscall.EIO} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
-			world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
+			world, err := scripted.Open(1, func(string) scripted.Response { return scripted.Response{Status: 200} })
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -169,13 +169,13 @@
 				return syscallfault.Effect{Errno: errno}
 			})
 			waitFor(t, "PONG", failing+3*time.Second, func() bool { return c.answersPing() })
-			if len(child.Struck()) == 0 {
+			if len(child.EffectCounts()) == 0 {
 				t.Error("the fault never struck")
 			}
 			if got := c.ask(enqueue("one", "order", 4000)); got[0] != "+OK" {
 				t.Fatal(got)
 			}
-			waitFor(t, "the delivery", 3*time.Second, func() bool { _, done, _ := world.Seen("one"); return done == 1 })
+			waitFor(t, "the delivery", 3*time.Second, func() bool { _, done, _ := world.MessageCalls("one"); return done == 1 })
 		})
 	}
 }
--- a/cmd/pineport/golden_test.go
+++ b/cmd/pineport/golden_test.go
@@ -32,10 +32,10 @@
 
 // TestOutputIsAsRecorded: what the commands print for scripts, over stored data that an earlier program wrote.
 func TestOutputIsAsRecorded(t *testing.T) {
-	golden.Tagged(t, pictured{})
-	golden.Tagged(t, exchange.Status{})
-	golden.Tagged(t, config.KeyChange{})
-	golden.Tagged(t, config.Value{})
+	golden.CheckTags(t, pictured{})
+	golden.CheckTags(t, exchange.Status{})
+	golden.CheckTags(t, config.KeyChange{})
+	golden.CheckTags(t, config.Value{})
 	t.Setenv("RELAY_CONFIG", "")
 	dir := t.TempDir()
 	copyRecorded(t, "../../spool/testdata/segment.golden", dir, "0000000001.seg")
--- a/cmd/pineport/learned_test.go
+++ b/cmd/pineport/learned_test.go
@@ -16,7 +16,7 @@
 // TestLearnedOverRestart: a courier that is killed while a destination is down knows so when it is back, and finds it out
 // by no more than a trial; after a planned end what it learned last is there. A malformed file stops nothing.
 func TestLearnedOverRestart(t *testing.T) {
-	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 0} })
+	world, err := scripted.Open(1, func(string) scripted.Response { return scripted.Response{Status: 0} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,8 +31,8 @@
 		c.ask(all...)
 		for i := range 12 {
 			id := fmt.Sprintf("%s-%d", round, i)
-			waitFor(t, id, 6*time.Second, func() bool { _, _, notices := world.Seen(id); return len(notices) > 0 })
-			began, _, _ := world.Seen(id)
+			waitFor(t, id, 6*time.Second, func() bool { _, _, notices := world.MessageCalls(id); return len(notices) > 0 })
+			began, _, _ := world.MessageCalls(id)
 			calls += began
 		}
 		return calls
--- a/cmd/pineport/main_test.go
+++ b/cmd/pineport/main_test.go
@@ -69,7 +69,7 @@
 	if err := os.Mkdir(filepath.Join(dir, "state"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(filepath.Join(dir, "config.json"), world.Configuration("n0", c.listen), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, "config.json"), world.CourierConfiguration("n0", c.listen), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
@@ -168,30 +168,30 @@
 }
 
 // fates by the first letters of an id; the first call of some differs from the rest.
-func fates() func(id string) scripted.Fate {
+func fates() func(id string) scripted.Response {
 	var mu sync.Mutex
 	calls := map[string]int{}
-	return func(id string) scripted.Fate {
+	return func(id string) scripted.Response {
 		mu.Lock()
 		defer mu.Unlock()
 		calls[id]++
 		switch id[:4] {
 		case "slow":
-			return scripted.Fate{Status: 200, After: 700 * time.Millisecond}
+			return scripted.Response{Status: 200, Delay: 700 * time.Millisecond}
 		case "full":
 			if calls[id] == 1 {
-				return scripted.Fate{Status: 429, WaitMs: 100}
+				return scripted.Response{Status: 429, BackoffMs: 100}
 			}
 		case "fail":
 			if calls[id] == 1 {
-				return scripted.Fate{Status: 500}
+				return scripted.Response{Status: 500}
 			}
 		case "brok":
 			if calls[id] == 1 {
-				return scripted.Fate{Status: 0}
+				return scripted.Response{Status: 0}
 			}
 		}
-		return scripted.Fate{Status: 200, After: 20 * time.Millisecond}
+		return scripted.Response{Status: 200, Delay: 20 * time.Millisecond}
 	}
 }
 
@@ -254,7 +254,7 @@
 	c.start()
 	for _, id := range ids {
 		waitFor(t, id, 25*time.Second, func() bool {
-			_, done, notices := world.Seen(id)
+			_, done, notices := world.MessageCalls(id)
 			return done > 0 || len(notices) > 0
 		})
 	}
@@ -262,7 +262,7 @@
 		t.Error("nothing was taken up again after the SIGKILL")
 	}
 	for _, id := range ids {
-		began, done, notices := world.Seen(id)
+		began, done, notices := world.MessageCalls(id)
 		if strings.Contains(id, "order") && began > 1 {
 			t.Errorf("%s is at-most-once and was begun %d times", id, began)
 		}
@@ -280,7 +280,7 @@
 
 // TestBadInput: an error reply for what can't be used, and the connection goes on or closes as it should.
 func TestBadInput(t *testing.T) {
-	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
+	world, err := scripted.Open(1, func(string) scripted.Response { return scripted.Response{Status: 200} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -303,24 +303,24 @@
 		got[1] != "+OK" {
 		t.Errorf("an unknown destination, and an id that is there: %v", got)
 	}
-	if began, _, _ := world.Seen("x"); began > 0 {
+	if began, _, _ := world.MessageCalls("x"); began > 0 {
 		t.Error("what could not be used was sent")
 	}
 	// Handed in again it is another message if the first was done by then, as on a loaded machine.
-	waitFor(t, "y", 5*time.Second, func() bool { _, done, _ := world.Seen("y"); return done >= 1 })
+	waitFor(t, "y", 5*time.Second, func() bool { _, done, _ := world.MessageCalls("y"); return done >= 1 })
 }
 
 // TestReload: on SIGHUP a faulty file changes nothing and its key is logged; a sound one moves watch and notices, those
 // not confirmed too, while what is held stays. Twice in a row, beside messages that come in.
 func TestReload(t *testing.T) {
-	world, err := scripted.Open(1, func(id string) scripted.Fate {
+	world, err := scripted.Open(1, func(id string) scripted.Response {
 		switch id[:4] {
 		case "slow":
-			return scripted.Fate{Status: 200, After: 900 * time.Millisecond}
+			return scripted.Response{Status: 200, Delay: 900 * time.Millisecond}
 		case "fail":
-			return scripted.Fate{Status: 500, After: 400 * time.Millisecond}
+			return scripted.Response{Status: 500, Delay: 400 * time.Millisecond}
 		}
-		return scripted.Fate{Status: 200}
+		return scripted.Response{Status: 200}
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -339,39 +339,39 @@
 		waitFor(t, says, 5*time.Second, func() bool { return strings.Count(c.said(), says) > before })
 	}
 	reload([]byte(`{"name":"n0"}`), "listen: ")
-	reload([]byte(strings.ReplaceAll(string(world.Configuration("n0", c.listen)), world.Discovery, "nowhere")), "discovery: ")
+	reload([]byte(strings.ReplaceAll(string(world.CourierConfiguration("n0", c.listen)), world.Discovery, "nowhere")), "discovery: ")
 	for round := range 2 {
-		world.MuteNotices(100) // the old address confirms nothing any more
+		world.LeaveNoticesUnanswered(100) // the old address confirms nothing any more
 		var all []string
 		for _, kind := range []string{"slow", "fail"} {
 			all = append(all, enqueue(fmt.Sprintf("%s-%d", kind, round), "order", 8000))
 		}
 		c.ask(all...)
 		time.Sleep(600 * time.Millisecond) // one has failed, and its notice is out
-		leave, err := world.Move()
+		leave, err := world.MoveDiscovery()
 		if err != nil {
 			t.Fatal(err)
 		}
-		world.MuteNotices(0)
-		if err := world.Grow(2 + round); err != nil {
+		world.LeaveNoticesUnanswered(0)
+		if err := world.AddEndpoint(2 + round); err != nil {
 			t.Fatal(err)
 		}
-		reload(world.Configuration("n0", c.listen), "configuration reloaded")
+		reload(world.CourierConfiguration("n0", c.listen), "configuration reloaded")
 		leave()
 		waitFor(t, "notice", 2*time.Second, func() bool {
-			_, _, notices := world.Seen(fmt.Sprintf("fail-%d", round))
+			_, _, notices := world.MessageCalls(fmt.Sprintf("fail-%d", round))
 			return len(notices) > 0
 		})
 		waitFor(t, "slow", 2*time.Second, func() bool {
-			_, done, _ := world.Seen(fmt.Sprintf("slow-%d", round))
+			_, done, _ := world.MessageCalls(fmt.Sprintf("slow-%d", round))
 			return done == 1
 		})
 		id := fmt.Sprintf("next-%d", round) // to a destination that only the new address knows of
 		c.ask(strings.Replace(enqueue(id, "update", 8000), "dest=1", fmt.Sprint("dest=", 2+round), 1))
-		waitFor(t, id, 2*time.Second, func() bool { _, done, _ := world.Seen(id); return done == 1 })
+		waitFor(t, id, 2*time.Second, func() bool { _, done, _ := world.MessageCalls(id); return done == 1 })
 	}
 	for round := range 2 {
-		if began, _, _ := world.Seen(fmt.Sprintf("slow-%d", round)); began != 1 {
+		if began, _, _ := world.MessageCalls(fmt.Sprintf("slow-%d", round)); began != 1 {
 			t.Errorf("round %d: begun %d times", round, began)
 		}
 	}
@@ -386,7 +386,7 @@
 // TestHostileClients: hundreds of silent connections, half commands, endless lines and huge values at once; each is
 // closed or reported of its fault within 3 s, and usual clients are served beside them. Nothing of it is taken on.
 func TestHostileClients(t *testing.T) {
-	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
+	world, err := scripted.Open(1, func(string) scripted.Response { return scripted.Response{Status: 200} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -422,10 +422,10 @@
 	all.Wait()
 	for i := range 20 {
 		id := fmt.Sprintf("usual-%d", i)
-		waitFor(t, id, 5*time.Second, func() bool { _, done, _ := world.Seen(id); return done == 1 })
+		waitFor(t, id, 5*time.Second, func() bool { _, done, _ := world.MessageCalls(id); return done == 1 })
 	}
 	for _, id := range []string{"half", "none"} {
-		if began, _, notices := world.Seen(id); began > 0 || len(notices) > 0 {
+		if began, _, notices := world.MessageCalls(id); began > 0 || len(notices) > 0 {
 			t.Errorf("%s was taken on", id)
 		}
 	}
@@ -442,7 +442,7 @@
 	c := newCourier(t, world)
 	c.start()
 	seen := func(id string) func() bool {
-		return func() bool { _, done, _ := world.Seen(id); return done > 0 }
+		return func() bool { _, done, _ := world.MessageCalls(id); return done > 0 }
 	}
 	for i := range 40 { // so that it expects quick answers, and waits little longer than 2 s
 		id := fmt.Sprintf("okay-%d", i)
@@ -463,7 +463,7 @@
 	}
 	time.Sleep(time.Second)
 	for i := range 5 {
-		if began, done, notices := world.Seen(fmt.Sprintf("slow-%d", i)); began != 1 || done != 1 || len(notices) > 0 {
+		if began, done, notices := world.MessageCalls(fmt.Sprintf("slow-%d", i)); began != 1 || done != 1 || len(notices) > 0 {
 			t.Errorf("slow-%d: begun %d times, done %d, notices %v", i, began, done, notices)
 		}
 	}
@@ -491,7 +491,7 @@
 	if got := c.ask(enqueue("okay", "update", 20000)); got[0] != "+OK" {
 		t.Error(got)
 	}
-	waitFor(t, "okay", 5*time.Second, func() bool { _, done, _ := world.Seen("okay"); return done == 1 })
+	waitFor(t, "okay", 5*time.Second, func() bool { _, done, _ := world.MessageCalls("okay"); return done == 1 })
 	fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", c.cmd.Process.Pid))
 	if err != nil {
 		t.Skip("no /proc here")
--- a/cmd/pineport/ops_test.go
+++ b/cmd/pineport/ops_test.go
@@ -107,11 +107,11 @@
 			continue
 		}
 		waitFor(t, id, 10*time.Second, func() bool {
-			_, done, notices := world.Seen(id)
+			_, done, notices := world.MessageCalls(id)
 			return done > 0 || len(notices) > 0
 		})
 		class := strings.Split(id, "-")[1]
-		switch _, done, notices := world.Seen(id); {
+		switch _, done, notices := world.MessageCalls(id); {
 		case done > 0:
 			want.Success[class]++
 		case notices[0] == "deferred":
@@ -137,7 +137,7 @@
 // TestMaintenance: an endpoint that people have taken out gets nothing until it is put back, over a reload and a kill.
 // Failure: the ban was forgotten with the process, or an unknown endpoint was said to be out.
 func TestMaintenance(t *testing.T) {
-	world, err := scripted.Open(2, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
+	world, err := scripted.Open(2, func(string) scripted.Response { return scripted.Response{Status: 200} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -153,7 +153,7 @@
 		}
 		c.ask(all...)
 		for i := n - 19; i <= n; i++ {
-			waitFor(t, "a record", 8*time.Second, func() bool { _, done, _ := world.Seen(fmt.Sprint("okay-", i)); return done > 0 })
+			waitFor(t, "a record", 8*time.Second, func() bool { _, done, _ := world.MessageCalls(fmt.Sprint("okay-", i)); return done > 0 })
 		}
 	}
 	hand()
@@ -194,7 +194,7 @@
 
 // TestSentAway: a drain, and its undoing. Failure: clients were kept for as long as they stayed.
 func TestSentAway(t *testing.T) {
-	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
+	world, err := scripted.Open(1, func(string) scripted.Response { return scripted.Response{Status: 200} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -228,7 +228,7 @@
 		if got := line(""); got != "+OK" {
 			t.Errorf("a message over a connection that is up: %s", got)
 		}
-		waitFor(t, id, 5*time.Second, func() bool { _, done, _ := world.Seen(id); return done == 1 })
+		waitFor(t, id, 5*time.Second, func() bool { _, done, _ := world.MessageCalls(id); return done == 1 })
 		if got, err := in.ReadString('\n'); err != io.EOF {
 			t.Errorf("not closed between two requests: %q %v", got, err)
 		}
@@ -242,7 +242,7 @@
 
 // TestOpsUnderAFlood: an operator's call is answered in time beside clients at full speed on one core.
 func TestOpsUnderAFlood(t *testing.T) {
-	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
+	world, err := scripted.Open(1, func(string) scripted.Response { return scripted.Response{Status: 200} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -289,7 +289,7 @@
 
 // TestOpsTaken: faults of the address are notified at the start.
 func TestOpsTaken(t *testing.T) {
-	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
+	world, err := scripted.Open(1, func(string) scripted.Response { return scripted.Response{Status: 200} })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/pineport/reload_test.go
+++ b/cmd/pineport/reload_test.go
@@ -21,11 +21,11 @@
 // held, some of a file that is only half written, one that moves the directory, one in a standstill, and one that takes a
 // class away that holds messages. Every message ends once, at-most-once ones run once, and the courier goes on.
 func TestSettingsUnderFire(t *testing.T) {
-	world, err := scripted.Open(1, func(id string) scripted.Fate {
+	world, err := scripted.Open(1, func(id string) scripted.Response {
 		if strings.HasPrefix(id, "full") {
-			return scripted.Fate{Status: 429, WaitMs: 1500}
+			return scripted.Response{Status: 429, BackoffMs: 1500}
 		}
-		return scripted.Fate{Status: 200, After: 300 * time.Millisecond}
+		return scripted.Response{Status: 200, Delay: 300 * time.Millisecond}
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -36,7 +36,7 @@
 	file := filepath.Join(c.dir, "config.json")
 	write := func(change func(settings, ceilings, family map[string]any)) {
 		var top map[string]any
-		if err := json.Unmarshal(world.Configuration("n0", c.listen), &top); err != nil {
+		if err := json.Unmarshal(world.CourierConfiguration("n0", c.listen), &top); err != nil {
 			t.Fatal(err)
 		}
 		s := top["settings"].(map[string]any)
@@ -69,14 +69,14 @@
 	for round := range 10 {
 		switch round {
 		case 3: // half written
-			if err := os.WriteFile(file, bytes.TrimSpace(world.Configuration("n0", c.listen))[:300], 0o600); err != nil {
+			if err := os.WriteFile(file, bytes.TrimSpace(world.CourierConfiguration("n0", c.listen))[:300], 0o600); err != nil {
 				t.Fatal(err)
 			}
 		case 5:
 			c.cmd.Process.Signal(syscall.SIGSTOP)
 		case 6:
 			c.cmd.Process.Signal(syscall.SIGCONT)
-			leave, err := world.Move()
+			leave, err := world.MoveDiscovery()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -112,10 +112,10 @@
 		t.Error("a message of the class that stayed was not taken")
 	}
 	for _, id := range ids {
-		waitFor(t, id, 9*time.Second, func() bool { _, done, notices := world.Seen(id); return done+len(notices) > 0 })
+		waitFor(t, id, 9*time.Second, func() bool { _, done, notices := world.MessageCalls(id); return done+len(notices) > 0 })
 	}
 	for _, id := range ids {
-		began, done, notices := world.Seen(id)
+		began, done, notices := world.MessageCalls(id)
 		again := len(notices) > 1 && notices[0] != notices[1] // not confirmed before the directory moved, one goes again, the same
 		if strings.Contains(id, "order") && began > 1 || again || done > 0 && len(notices) > 0 {
 			t.Errorf("%s: begun %d times, done %d, notices %v", id, began, done, notices)
@@ -129,14 +129,14 @@
 // TestHangupsBetweenTwoRouters: hangups that come while no event loop takes configurations are not lost: the next event loop takes, last, what the
 // file says by then.
 func TestHangupsBetweenTwoRouters(t *testing.T) {
-	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
+	world, err := scripted.Open(1, func(string) scripted.Response { return scripted.Response{Status: 200} })
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(world.Close)
 	path := filepath.Join(t.TempDir(), "config.json")
 	says := func(name string) {
-		if err := os.WriteFile(path+".new", world.Configuration(name, "127.0.0.1:1"), 0o600); err != nil {
+		if err := os.WriteFile(path+".new", world.CourierConfiguration(name, "127.0.0.1:1"), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if err := os.Rename(path+".new", path); err != nil {
--- a/cmd/pineport/short_window_test.go
+++ b/cmd/pineport/short_window_test.go
@@ -39,18 +39,18 @@
 	const window = time.Second
 	first := map[string]bool{}
 	var mu sync.Mutex
-	world, err := scripted.Open(1, func(id string) scripted.Fate {
+	world, err := scripted.Open(1, func(id string) scripted.Response {
 		mu.Lock()
 		defer mu.Unlock()
 		again := first[id]
 		first[id] = true
 		switch {
 		case again:
-			return scripted.Fate{Status: 200}
+			return scripted.Response{Status: 200}
 		case strings.HasPrefix(id, "refused"):
-			return scripted.Fate{Status: 429, WaitMs: 300}
+			return scripted.Response{Status: 429, BackoffMs: 300}
 		}
-		return scripted.Fate{Status: 0, After: 2 * window} // out as its courier is killed
+		return scripted.Response{Status: 0, Delay: 2 * window} // out as its courier is killed
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -79,11 +79,11 @@
 	killedWhileOut("over")
 	time.Sleep(window + window/5)
 	c.start()
-	waitFor(t, "the final answer of what is past its window", 5*time.Second, func() bool { _, _, notices := world.Seen("over"); return len(notices) > 0 })
+	waitFor(t, "the final answer of what is past its window", 5*time.Second, func() bool { _, _, notices := world.MessageCalls("over"); return len(notices) > 0 })
 
 	killedWhileOut("refused")
 	c.start()
-	waitFor(t, "what never ran", 8*time.Second, func() bool { _, done, _ := world.Seen("refused"); return done == 1 })
+	waitFor(t, "what never ran", 8*time.Second, func() bool { _, done, _ := world.MessageCalls("refused"); return done == 1 })
 
 	within := ""
 	const tries = 5
@@ -92,8 +92,8 @@
 		at := killedWhileOut(id)
 		c.start()
 		took := time.Since(at)
-		waitFor(t, id, 5*time.Second, func() bool { _, done, notices := world.Seen(id); return done > 0 || len(notices) > 0 })
-		if _, done, _ := world.Seen(id); done > 0 {
+		waitFor(t, id, 5*time.Second, func() bool { _, done, notices := world.MessageCalls(id); return done > 0 || len(notices) > 0 })
+		if _, done, _ := world.MessageCalls(id); done > 0 {
 			within = id
 		} else if took < window/2 {
 			t.Errorf("%s did not go again, though the courier was back after %v", id, took)
@@ -102,10 +102,10 @@
 	if within == "" {
 		t.Errorf("of %d that a restart found within their window none went again", tries)
 	}
-	if began, _, notices := world.Seen("over"); began != 1 || len(notices) != 1 {
+	if began, _, notices := world.MessageCalls("over"); began != 1 || len(notices) != 1 {
 		t.Errorf("past its window: begun %d times, notices %v", began, notices)
 	}
-	if _, _, notices := world.Seen("refused"); len(notices) > 0 {
+	if _, _, notices := world.MessageCalls("refused"); len(notices) > 0 {
 		t.Errorf("what never ran: notices %v", notices)
 	}
 }
--- a/cmd/pineport/syscalls_test.go
+++ b/cmd/pineport/syscalls_test.go
@@ -159,12 +159,12 @@
 
 func playSystemFault(t *testing.T, fault systemFault, lasting time.Duration) {
 	const maxPerSecond = 400 // failing calls of a kind; a loop that spins makes many thousands
-	world, err := scripted.Open(2, func(string) scripted.Fate { return scripted.Fate{Status: 200, After: 30 * time.Millisecond} })
+	world, err := scripted.Open(2, func(string) scripted.Response { return scripted.Response{Status: 200, Delay: 30 * time.Millisecond} })
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(world.Close)
-	world.CloseAfterAnswers() // so that each call needs a connection
+	world.CloseAfterResponses() // so that each call needs a connection
 	c := newCourier(t, world)
 	var until atomic.Int64
 	var once atomic.Bool
@@ -189,7 +189,7 @@
 		time.Sleep(lasting)
 	} else {
 		once.Store(true)
-		waitFor(t, "the fault", 5*time.Second, func() bool { return child.Struck()[fault.String()] > 0 })
+		waitFor(t, "the fault", 5*time.Second, func() bool { return child.EffectCounts()[fault.String()] > 0 })
 	}
 	once.Store(false)
 	ended := world.Calls(0) + world.Calls(1)
@@ -203,7 +203,7 @@
 	}
 	stopped.Store(true)
 	clients.Wait()
-	struck := child.Struck()[fault.String()]
+	struck := child.EffectCounts()[fault.String()]
 	if struck == 0 {
 		t.Errorf("the fault never struck")
 	}
@@ -220,7 +220,7 @@
 // finished returns what has been delivered by now.
 func (l *tally) finished(world *scripted.World) (ids []string) {
 	for _, id := range l.accepted {
-		if _, done, _ := world.Seen(id); done > 0 {
+		if _, done, _ := world.MessageCalls(id); done > 0 {
 			ids = append(ids, id)
 		}
 	}
@@ -236,7 +236,7 @@
 	deadline := time.Now().Add(8 * time.Second)
 	for _, id := range l.accepted {
 		for {
-			began, done, notices := world.Seen(id)
+			began, done, notices := world.MessageCalls(id)
 			if strings.HasPrefix(id, "order") && began > 1 {
 				t.Errorf("%s ran %d times", id, began)
 			}
@@ -267,7 +267,7 @@
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
-			world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
+			world, err := scripted.Open(1, func(string) scripted.Response { return scripted.Response{Status: 200} })
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -282,13 +282,13 @@
 				return syscallfault.Effect{Errno: errno}
 			})
 			waitFor(t, "PONG", failing+3*time.Second, func() bool { return c.answersPing() })
-			if len(child.Struck()) == 0 {
+			if len(child.EffectCounts()) == 0 {
 				t.Error("the fault never struck")
 			}
 			if got := c.ask(enqueue("one", "order", 4000)); got[0] != "+OK" {
 				t.Fatal(got)
 			}
-			waitFor(t, "the delivery", 3*time.Second, func() bool { _, done, _ := world.Seen("one"); return done == 1 })
+			waitFor(t, "the delivery", 3*time.Second, func() bool { _, done, _ := world.MessageCalls("one"); return done == 1 })
 		})
 	}
 }
--- a/cmd/pineport/upgrade_test.go
+++ b/cmd/pineport/upgrade_test.go
@@ -234,13 +234,13 @@
 	}
 	for _, id := range s.taken {
 		waitFor(t, id, 10*time.Second, func() bool {
-			_, done, notices := world.Seen(id)
+			_, done, notices := world.MessageCalls(id)
 			return done > 0 || len(notices) > 0
 		})
 	}
 	ends := map[string]int{}
 	for _, id := range s.taken {
-		began, done, notices := world.Seen(id)
+		began, done, notices := world.MessageCalls(id)
 		var client, n int
 		kind, rest, _ := strings.Cut(id, "-")
 		fmt.Sscanf(rest, "%d-%d", &client, &n)
@@ -256,7 +256,7 @@
 			ends[notices[0]]++
 		}
 	}
-	if broken := world.Broken(); broken != (scripted.Broken{}) {
+	if broken := world.Violations(); broken != (scripted.Violations{}) {
 		t.Errorf("rules: %+v", broken)
 	}
 	if upgrades > 0 && s.again > 2*upgrades { // where processes are killed, connections break
@@ -269,10 +269,10 @@
 	t.Helper()
 	usual := fates()
 	waits := map[string]bool{}
-	world, err := scripted.Open(2, func(id string) scripted.Fate {
+	world, err := scripted.Open(2, func(id string) scripted.Response {
 		if strings.HasPrefix(id, "wait") && !waits[id] {
 			waits[id] = true
-			return scripted.Fate{Status: 429, WaitMs: 300}
+			return scripted.Response{Status: 429, BackoffMs: 300}
 		}
 		return usual(id)
 	})
@@ -463,7 +463,7 @@
 // TestBothProcessesOfAnUpgradeRest: after a handoff, neither the predecessor, which nobody has told to end yet, nor its successor takes much
 // processor time. Failure: the predecessor kept a timer that it does not serve any more, and its loop went round without a pause.
 func TestBothProcessesOfAnUpgradeRest(t *testing.T) {
-	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 429, WaitMs: 1900} })
+	world, err := scripted.Open(1, func(string) scripted.Response { return scripted.Response{Status: 429, BackoffMs: 1900} })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/pineport/watch_test.go
+++ b/cmd/pineport/watch_test.go
@@ -16,8 +16,8 @@
 // back, as one slot is too few, it is counted and nothing else happens. The same settings differ nowhere. A faulty file
 // is notified before anything listens.
 func TestWatchedSettings(t *testing.T) {
-	world, err := scripted.Open(1, func(string) scripted.Fate {
-		return scripted.Fate{Status: 200, After: 150 * time.Millisecond}
+	world, err := scripted.Open(1, func(string) scripted.Response {
+		return scripted.Response{Status: 200, Delay: 150 * time.Millisecond}
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -28,7 +28,7 @@
 		file, watched := filepath.Join(c.dir, "config.json"), filepath.Join(c.dir, "to-come.json")
 		write := func(path string, change func(top map[string]any)) {
 			var top map[string]any
-			if err := json.Unmarshal(world.Configuration("n0", c.listen), &top); err != nil {
+			if err := json.Unmarshal(world.CourierConfiguration("n0", c.listen), &top); err != nil {
 				t.Fatal(err)
 			}
 			change(top)
@@ -65,7 +65,7 @@
 		c.ask(all...)
 		for i := range 6 {
 			id := fmt.Sprintf("w%v-%d", slots, i)
-			waitFor(t, id, 5*time.Second, func() bool { _, done, _ := world.Seen(id); return done == 1 })
+			waitFor(t, id, 5*time.Second, func() bool { _, done, _ := world.MessageCalls(id); return done == 1 })
 		}
 		c.cmd.Process.Signal(os.Interrupt)
 		c.cmd.Wait()
--- a/membership/gossip/gossip_test.go
+++ b/membership/gossip/gossip_test.go
@@ -25,7 +25,7 @@
 
 func (f *fleet) start(i int) {
 	f.incarnations[i]++
-	member, err := Open(Options{Name: fmt.Sprintf("n%d", i), Incarnation: f.incarnations[i], FleetSize: len(f.members), Join: []string{f.mesh.At(0), f.mesh.At((i + 1) % len(f.members))},
+	member, err := Open(Options{Name: fmt.Sprintf("n%d", i), Incarnation: f.incarnations[i], FleetSize: len(f.members), Join: []string{f.mesh.Addr(0), f.mesh.Addr((i + 1) % len(f.members))},
 		Seed: int64(i), Transport: f.mesh.Join(i)})
 	if err != nil {
 		f.t.Fatal(err)
@@ -107,7 +107,7 @@
 			f := startFleet(t, n, int64(seed))
 			defer f.stop()
 			f.settle(2*time.Minute, isComplete)
-			for _, fault := range netfault.Draw(int64(seed), 4, n, 120) {
+			for _, fault := range netfault.RandomFaults(int64(seed), 4, n, 120) {
 				end := f.mesh.Begin(fault)
 				for range int(fault.Length * 10) {
 					time.Sleep(100 * time.Millisecond)
@@ -136,7 +136,7 @@
 		var stopped []int
 		for i := 0; i < n; i += 10 {
 			stopped = append(stopped, i)
-			f.mesh.Drop(i)
+			f.mesh.Disconnect(i)
 			f.members[i].HandOff()
 		}
 		detectionTime := f.settle(3*time.Minute, func(_ int, member *Member) bool {
@@ -233,13 +233,13 @@
 			f.start(1)
 			f.settle(time.Minute, isComplete)
 		}
-		f.mesh.Drop(1)
+		f.mesh.Disconnect(1)
 		f.members[1].HandOff()
 		f.incarnations[1] = 0 // the state folder is an older copy
 		f.start(1)
 		f.settle(time.Minute, func(_ int, member *Member) bool { return isComplete(0, member) && f.members[1].Incarnation() > 4 })
 
-		duplicate, err := Open(Options{Name: "n1", Incarnation: 5000, FleetSize: 5, Join: []string{f.mesh.At(0)}, Transport: f.mesh.Join(5)})
+		duplicate, err := Open(Options{Name: "n1", Incarnation: 5000, FleetSize: 5, Join: []string{f.mesh.Addr(0)}, Transport: f.mesh.Join(5)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -266,7 +266,7 @@
 			if len(junk) > 0 && rng.Intn(2) == 0 {
 				junk[0] = byte(rng.Intn(14)) // a valid memberlist message type
 			}
-			from.WriteTo(junk, f.mesh.At(1))
+			from.WriteTo(junk, f.mesh.Addr(1))
 			delegate{f.members[1]}.MergeRemoteState(junk, false)
 		}
 		f.start(0)
@@ -297,7 +297,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleet(t, 4, 13)
 		defer f.stop()
-		f.mesh.Keep = true
+		f.mesh.RecordPackets = true
 		f.settle(time.Minute, isComplete)
 		f.members[3].Leave()
 		f.settle(time.Minute, func(_ int, member *Member) bool { return stateOf(member, "n3") == membership.Left }, 3)
@@ -433,7 +433,7 @@
 			sent2, bytes2 := f.mesh.Traffic()
 			runtime.GC()
 			runtime.ReadMemStats(&after)
-			f.mesh.Drop(n / 2)
+			f.mesh.Disconnect(n / 2)
 			f.members[n/2].HandOff()
 			firstDetection := f.settle(10*time.Minute, func(i int, member *Member) bool {
 				return i != 0 || stateOf(member, fmt.Sprintf("n%d", n/2)) == membership.Failed
--- a/membership/incarnation/golden_test.go
+++ b/membership/incarnation/golden_test.go
@@ -11,7 +11,7 @@
 // TestFileIsAsRecorded verifies that the file is written byte by byte as recorded, and that Next continues
 // from the recorded file.
 func TestFileIsAsRecorded(t *testing.T) {
-	golden.Tagged(t, record{})
+	golden.CheckTags(t, record{})
 	dir := t.TempDir()
 	if err := Store(dir, "n0", 41); err != nil {
 		t.Fatal(err)
--- a/quota/golden_test.go
+++ b/quota/golden_test.go
@@ -11,7 +11,7 @@
 
 // TestPacketIsAsRecorded compares the encoding of a packet with every field set byte by byte with the recorded file, and decodes it again.
 func TestPacketIsAsRecorded(t *testing.T) {
-	golden.Tagged(t, Packet{})
+	golden.CheckTags(t, Packet{})
 	var packet Packet
 	golden.Fill(&packet)
 	packet.Version = Version
@@ -27,8 +27,8 @@
 
 // TestStatusIsAsRecorded compares the JSON keys of Status and Counters, which scripts read, with the recorded file.
 func TestStatusIsAsRecorded(t *testing.T) {
-	golden.Tagged(t, Status{})
-	golden.Tagged(t, Counters{})
+	golden.CheckTags(t, Status{})
+	golden.CheckTags(t, Counters{})
 	var shown struct {
 		Line Status
 		Sums Counters
--- a/testbed/capacity/page.go
+++ b/testbed/capacity/page.go
@@ -119,7 +119,7 @@
 
 func (page *Page) runs() {
 	for _, run := range page.measured.Runs {
-		page.Runs = append(page.Runs, RunSummary{Name: run.Name, About: run.About, Command: run.Command, Commit: run.Commit, Date: run.Taken,
+		page.Runs = append(page.Runs, RunSummary{Name: run.Name, About: run.About, Command: run.Command, Commit: run.Commit, Date: run.StartedAt,
 			Machine: run.Machine, Repetitions: run.Plays, Seconds: run.Seconds, HollowComparison: run.Verified})
 		for _, gap := range run.Missing {
 			page.Gaps = append(page.Gaps, Gap{Run: run.Name, Figure: gap.Figure, Why: gap.Why})
--- a/testbed/capacity/row.go
+++ b/testbed/capacity/row.go
@@ -300,7 +300,7 @@
 		if part.Factor != nil {
 			used.Factor = part.Factor(plan, d)
 		}
-		used.Extrapolation = slope.Carried(used.Size)
+		used.Extrapolation = slope.Extrapolation(used.Size)
 		used.storePoints(slope, run)
 		a.Parts = append(a.Parts, used)
 		a.Spread = max(a.Spread, slope.Fit.Spread)
--- a/testbed/realtime/realtime.go
+++ b/testbed/realtime/realtime.go
@@ -32,25 +32,25 @@
 	Watch func(at dispatch.Micros, a scenario.Event)
 	// Reload is how often each courier's configuration is written anew, with other settings, and read on SIGHUP; 0: never.
 	Reload time.Duration
-	// Extra is what a courier is configured with besides; it goes over the rest, key by key.
-	Extra func(c *process.Courier) (map[string]any, error)
-	// Begun is notified, once, when the day begins; what it returns is called when the last message has its answer.
-	Begun func(f *Field) (end func())
+	// ExtraConfiguration is what a courier is configured with besides; it goes over the rest, key by key.
+	ExtraConfiguration func(c *process.Courier) (map[string]any, error)
+	// OnStart is notified, once, when the day begins; what it returns is called when the last message has its answer.
+	OnStart func(f *Session) (end func())
 	// Limits of a courier, in the platform's form; nil: 1 core, 192 MB, 1,024 descriptors, 3 MB of disk.
 	Limits map[string]any
 }
 
-// Field is a day under way, for who adds troubles of its own.
-type Field struct{ run *run }
+// Session is a day under way, for who adds troubles of its own.
+type Session struct{ run *run }
 
 // Couriers are those of the day, by number.
-func (f *Field) Couriers() []*process.Courier { return f.run.couriers }
+func (f *Session) Couriers() []*process.Courier { return f.run.couriers }
 
-// Since is how long the day has been on.
-func (f *Field) Since() time.Duration { return time.Since(f.run.world.Clock.Start) }
+// Elapsed is how long the day has been on.
+func (f *Session) Elapsed() time.Duration { return time.Since(f.run.world.Clock.Start) }
 
-// Act carries out a trouble of a courier, and books it.
-func (f *Field) Act(a scenario.Event) { f.run.act(a) }
+// ApplyAct carries out a trouble of a courier, and books it.
+func (f *Session) ApplyAct(a scenario.Event) { f.run.act(a) }
 
 // Cost is what a run took of the machine.
 type Cost struct {
@@ -118,8 +118,8 @@
 	began, cpu := time.Now(), ownCPU()
 	r.world.Start(r.books, r.act)
 	ended := func() {}
-	if o.Begun != nil {
-		ended = o.Begun(&Field{r})
+	if o.OnStart != nil {
+		ended = o.OnStart(&Session{r})
 	}
 	r.play(ctx)
 	ended()
@@ -131,7 +131,7 @@
 	cost.LateP99, cost.LateMax = p99.Seconds(), most.Seconds()
 	r.killAll()
 	for _, c := range r.couriers {
-		used, rss := c.Used()
+		used, rss := c.TotalUsage()
 		cost.CourierCPU += used.Seconds()
 		cost.MaxRSS = max(cost.MaxRSS, rss)
 	}
@@ -194,10 +194,10 @@
 	r.mu.Lock()
 	seed := r.rng.Uint64()
 	r.mu.Unlock()
-	all := map[string]any{"name": fmt.Sprintf("n%d", c.No), "listen": c.Listen, "discovery": r.world.DirectoryAddress(c.No),
-		"seed": strconv.FormatUint(seed, 16), "limits": limits, "known": r.world.InitialList(c.No), "settings": r.settings(c.No)}
-	if r.Extra != nil {
-		extra, err := r.Extra(c)
+	all := map[string]any{"name": fmt.Sprintf("n%d", c.Number), "listen": c.Listen, "discovery": r.world.DirectoryAddress(c.Number),
+		"seed": strconv.FormatUint(seed, 16), "limits": limits, "known": r.world.InitialList(c.Number), "settings": r.settings(c.Number)}
+	if r.ExtraConfiguration != nil {
+		extra, err := r.ExtraConfiguration(c)
 		if err != nil {
 			return err
 		}
--- a/testbed/scale/directorychanges.go
+++ b/testbed/scale/directorychanges.go
@@ -105,7 +105,7 @@
 
 // toldHost runs the decisions in this process, and notes what each courier is notified of the list, and when.
 type notifiedHost struct {
-	*simulation.Local
+	*simulation.LocalHost
 	news []map[dispatch.EndpointID][]notifiedPhase // by courier
 }
 
@@ -118,7 +118,7 @@
 }
 
 func newNotifiedHost(couriers int) *notifiedHost {
-	h := &notifiedHost{Local: simulation.NewLocal(nil)}
+	h := &notifiedHost{LocalHost: simulation.NewLocalHost(nil)}
 	for range couriers {
 		h.news = append(h.news, map[dispatch.EndpointID][]notifiedPhase{})
 	}
@@ -134,7 +134,7 @@
 			}
 		}
 	}
-	return h.Local.Turn(now, batches)
+	return h.LocalHost.Step(now, batches)
 }
 
 // note keeps news of the list. What a start hands over is as old as the process before it, and tells nothing new.
--- a/testbed/scale/outage.go
+++ b/testbed/scale/outage.go
@@ -170,7 +170,7 @@
 	}
 	drawn := scenario.Draw(d, seed)
 	watch := newOutageWatch(drawn)
-	host := simulation.NewLocal(func(courier int, settings dispatch.Config) simulation.Decider {
+	host := simulation.NewLocalHost(func(courier int, settings dispatch.Config) simulation.Decider {
 		return &outageWatcher{outageWatch: watch, courier: courier, decisions: o.decide(settings), into: map[attempt]dispatch.DestinationID{},
 			sent: map[dispatch.MessageID]dispatch.AttemptNumber{}}
 	})
--- a/testbed/simulation/bench_test.go
+++ b/testbed/simulation/bench_test.go
@@ -25,7 +25,7 @@
 			b.ResetTimer()
 			var turns, messages int
 			for range b.N {
-				v, st, err := Play(w, NewLocal(nil), Options{})
+				v, st, err := Play(w, NewLocalHost(nil), Options{})
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/testbed/simulation/courier.go
+++ b/testbed/simulation/courier.go
@@ -230,9 +230,9 @@
 		return
 	}
 	s.stats.Turns += len(batches)
-	all, err := s.host.Turn(s.now, batches)
+	all, err := s.host.Step(s.now, batches)
 	if err != nil {
-		var fault *CourierFault
+		var fault *CourierPanic
 		if !errors.As(err, &fault) {
 			err = fmt.Errorf("the host of the decisions: %w", err)
 		}
--- a/testbed/simulation/returns_test.go
+++ b/testbed/simulation/returns_test.go
@@ -97,7 +97,7 @@
 	r.fellKnown = r.fellKnown || slow.over() && slow.known()
 }
 
-// returnCounter hosts the decisions as Local does, and counts what the whole fleet sends to destinations that come back.
+// returnCounter hosts the decisions as LocalHost does, and counts what the whole fleet sends to destinations that come back.
 // It sees what the couriers are notified and what they do, and nothing of the model of the destinations.
 type returnCounter struct {
 	Host
@@ -137,9 +137,9 @@
 	return c.Host.Start(courier, ch, settings)
 }
 
-// Turn implements Host.
+// Step implements Host.
 func (c *returnCounter) Turn(now dispatch.Micros, batches []Batch) ([][]dispatch.Action, error) {
-	all, err := c.Host.Turn(now, batches)
+	all, err := c.Host.Step(now, batches)
 	for i := range all {
 		c.sent(now, batches[i].Courier, all[i])
 		c.learned(now, batches[i]) // known from the next batch on
@@ -268,7 +268,7 @@
 	t.Helper()
 	for seed := int64(1); seed <= seeds; seed++ {
 		w := returnsDay(t, seed, couriers, rules)
-		counter := newReturnCounter(w, NewLocal(decide))
+		counter := newReturnCounter(w, NewLocalHost(decide))
 		if _, _, err := Play(neverFalls(w), counter, Options{}); err != nil {
 			t.Fatal(err)
 		}
--- a/testbed/simulation/simulation.go
+++ b/testbed/simulation/simulation.go
@@ -63,16 +63,16 @@
 
 // Options are how a day is played.
 type Options struct {
-	// Watch is called every half second of virtual time.
-	Watch func(now dispatch.Micros)
+	// OnInterval is called every half second of virtual time.
+	OnInterval func(now dispatch.Micros)
 	// SnapshotInterval is how often each courier's learned state is kept for its next start, as a file would; 0: never. At a planned end it is
 	// kept last.
 	SnapshotInterval dispatch.Micros
 	// Spool has what a killed courier held come back to it at its next start, as its folder would; else its clients hand it
 	// in anew.
 	Spool bool
-	// Share has couriers share limits.
-	Share Share
+	// QuotaSharing has couriers share limits.
+	Share QuotaSharing
 }
 
 // Play plays a day.
@@ -101,7 +101,7 @@
 		s.after(a.At, func() { s.act(a) })
 	}
 	s.arrive(0)
-	if o.Watch != nil {
+	if o.OnInterval != nil {
 		s.look()
 	}
 	if o.SnapshotInterval > 0 {
@@ -115,7 +115,7 @@
 		s.stats.Events++
 		e.do()
 	}
-	var fault *CourierFault
+	var fault *CourierPanic
 	if errors.As(s.err, &fault) {
 		s.books.CourierCrashed(s.now, fault.Courier, fault.Text)
 		s.err = nil
@@ -130,15 +130,15 @@
 }
 
 func (s *Sim) takeSnapshot(c *courier) {
-	if local, ok := s.host.(*Local); ok && c.alive {
-		if d, ok := local.Courier(c.no).(dispatch.Snapshotter); ok {
+	if local, ok := s.host.(*LocalHost); ok && c.alive {
+		if d, ok := local.Dispatcher(c.no).(dispatch.Snapshotter); ok {
 			s.lores[c.no] = d.Snapshot()
 		}
 	}
 }
 
 func (s *Sim) look() {
-	s.Watch(s.now)
+	s.OnInterval(s.now)
 	s.after(s.now+invariants.BinLength, s.look)
 }
 
--- a/testbed/simulation/wrong_test.go
+++ b/testbed/simulation/wrong_test.go
@@ -147,11 +147,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			d := find(t, c.day)
 			w := scenario.Draw(d, 2)
-			right, _, err := Play(w, NewLocal(nil), Options{})
+			right, _, err := Play(w, NewLocalHost(nil), Options{})
 			if err != nil || !right.OK() {
 				t.Fatalf("the right courier: %v, %s %v", err, right.Short(), right.Breaches)
 			}
-			v, _, err := Play(w, NewLocal(func(_ int, ch dispatch.Config) Decider {
+			v, _, err := Play(w, NewLocalHost(func(_ int, ch dispatch.Config) Decider {
 				return &wrong{Decider: dispatch.New(ch), spoil: c.spoil, seen: map[dispatch.MessageID]dispatch.MessageAccepted{}, attempts: map[dispatch.MessageID]int{},
 					gone: map[dispatch.EndpointID]dispatch.DestinationID{}, all: map[dispatch.EndpointID]dispatch.EndpointEntry{}, waits: map[dispatch.DestinationID]dispatch.Micros{}}
 			}), Options{})
@@ -203,7 +203,7 @@
 		d := find(t, name)
 		d.Fleet.SlotsFactor, d.Fleet.MaxAttempts = 50, 100
 		d.Rules.OverloadFactor = 1.2
-		v, _, err := Play(scenario.Draw(d, 1), NewLocal(func(_ int, ch dispatch.Config) Decider {
+		v, _, err := Play(scenario.Draw(d, 1), NewLocalHost(func(_ int, ch dispatch.Config) Decider {
 			return &eager{ch: ch, list: map[dispatch.DestinationID][]dispatch.EndpointID{}, dest: map[dispatch.MessageID]dispatch.MessageAccepted{}}
 		}), Options{})
 		if err != nil || v.BreachCounts[rule] == 0 {
