--- a/cmd/pineport-testbed/capacity.go
+++ b/cmd/pineport-testbed/capacity.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		return err
 	}
-	page, err := capacity.Work(plan, measured)
+	page, err := capacity.Evaluate(plan, measured)
 	if err != nil {
 		return fmt.Errorf("%s: %w", f.measured, err)
 	}
