--- a/cmd/pineport/compat_test.go
+++ b/cmd/pineport/compat_test.go
@@ -773,6 +773,9 @@
 	pageVariable  = regexp.MustCompile("`([A-Z]+(?:_[A-Z]+)+)`")
 	boundsNumbers = regexp.MustCompile(`-?[0-9][0-9.]*(?:e[+-]?[0-9]+)?`)
 	oneOfWords    = regexp.MustCompile(`^one of (.*)$`)
+
+	// requiredFallbacks are the words of builds for a key without a default: up to 51eb2d1 "a fault".
+	requiredFallbacks = []string{"a fault", "none (required)"}
 )
 
 // schemaOf returns all keys of a build, by its page on configuration.
@@ -781,6 +784,9 @@
 	keys := map[string]schemaKey{}
 	for _, row := range pageRow.FindAllStringSubmatch(b.must(t, "config", "page"), -1) {
 		key := schemaKey{path: row[1], unit: row[3], fallback: row[5]}
+		if slices.Contains(requiredFallbacks, key.fallback) {
+			key.fallback = "required"
+		}
 		key.bounds = strings.Join(boundsNumbers.FindAllString(row[4], -1), " to ")
 		if words := oneOfWords.FindStringSubmatch(row[4]); words != nil {
 			key.bounds = words[1]
