--- a/cmd/pineport/clock_test.go
+++ b/cmd/pineport/clock_test.go
@@ -22,9 +22,9 @@
 )
 
 // wallStep has this test program run as a courier on a machine whose wall clock is off by so much.
-const wallStep = "PINEPORT_TEST_WALL_STEP"
+const wallStepEnv = "PINEPORT_TEST_WALL_STEP"
 
-func runStepped(step string) {
+func runWithWallStep(step string) {
 	by, err := time.ParseDuration(step)
 	if err != nil {
 		panic(err)
@@ -34,7 +34,7 @@
 		readings.Wall += by.Microseconds()
 		return readings
 	}
-	if err := runBy(stepped, config.Sources{Getenv: os.Getenv}, os.Stderr); err != nil {
+	if err := runWithClock(stepped, config.Sources{Getenv: os.Getenv}, os.Stderr); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
@@ -48,22 +48,22 @@
 // Failure: times in the folder were Unix time, and each process took its own from the wall clock: an hour forward had all messages given up
 // without a call, an hour back kept them for an hour longer.
 func TestWallClockStepsBetweenProcesses(t *testing.T) {
-	var all sync.WaitGroup
+	var cases sync.WaitGroup
 	for _, step := range []string{"2s", "90s", "1h", "-2s", "-90s", "-1h"} {
-		for _, handsOver := range []bool{false, true} {
-			all.Go(func() {
-				t.Run(fmt.Sprintf("%s, hands over %v", step, handsOver), func(t *testing.T) { playWallStep(t, step, handsOver) })
+		for _, withHandoff := range []bool{false, true} {
+			cases.Go(func() {
+				t.Run(fmt.Sprintf("%s, hands over %v", step, withHandoff), func(t *testing.T) { runWallStep(t, step, withHandoff) })
 			})
 		}
 	}
-	all.Wait()
+	cases.Wait()
 }
 
-func playWallStep(t *testing.T, step string, handsOver bool) {
+func runWallStep(t *testing.T, step string, withHandoff bool) {
 	const shortMs = 3000
-	var open atomic.Bool // until then the endpoint turns all away
+	var available atomic.Bool // until then the endpoint turns all away
 	world, err := scripted.Open(1, func(id string) scripted.Fate {
-		if open.Load() && strings.HasPrefix(id, "keep") {
+		if available.Load() && strings.HasPrefix(id, "keep") {
 			return scripted.Fate{Status: 200}
 		}
 		return scripted.Fate{Status: 429, WaitMs: 1000} // nothing is in flight as the process is killed
@@ -73,32 +73,32 @@
 	}
 	t.Cleanup(world.Close)
 	c := newCourier(t, world)
-	c.binary, c.env = os.Args[0], []string{wallStep + "=0s"}
+	c.binary, c.env = os.Args[0], []string{wallStepEnv + "=0s"}
 	c.start()
 	began := time.Now()
 	for _, class := range []string{"update", "order"} {
 		for n := range 3 {
-			replies := c.ask(enqueue(fmt.Sprintf("keep-%s-%d", class, n), class, 8000), enqueue(fmt.Sprintf("short-%s-%d", class, n), class, shortMs))
+			replies := c.send(enqueue(fmt.Sprintf("keep-%s-%d", class, n), class, 8000), enqueue(fmt.Sprintf("short-%s-%d", class, n), class, shortMs))
 			if replies[0] != "+OK" || replies[1] != "+OK" {
 				t.Fatalf("replies %q", replies)
 			}
 		}
 	}
 	time.Sleep(300 * time.Millisecond)
-	before := c.cmd
-	c.env = []string{wallStep + "=" + step}
-	if !handsOver {
-		before.Process.Kill()
-		before.Wait()
+	previous := c.cmd
+	c.env = []string{wallStepEnv + "=" + step}
+	if !withHandoff {
+		previous.Process.Kill()
+		previous.Wait()
 		c.start()
 	} else {
-		t.Cleanup(func() { before.Process.Kill() })
+		t.Cleanup(func() { previous.Process.Kill() })
 		c.start()
-		waitFor(t, "a handoff", 5*time.Second, func() bool { return strings.Contains(c.said(), "handed over to the successor") })
-		before.Process.Signal(syscall.SIGTERM)
-		go before.Wait()
+		waitFor(t, "a handoff", 5*time.Second, func() bool { return strings.Contains(c.logText(), "handed over to the successor") })
+		previous.Process.Signal(syscall.SIGTERM)
+		go previous.Wait()
 	}
-	open.Store(true)
+	available.Store(true)
 	for _, class := range []string{"update", "order"} {
 		for n := range 3 {
 			keep, short := fmt.Sprintf("keep-%s-%d", class, n), fmt.Sprintf("short-%s-%d", class, n)
@@ -111,12 +111,12 @@
 	}
 }
 
-// TestOnlyClockReadsTheClocks: no other package of the courier reads a system's clock, by itself or through package time.
-func TestOnlyClockReadsTheClocks(t *testing.T) {
-	couriers := []string{"admin", "atomicfile", "cmd/pineport", "config", "dispatch", "handoff", "logging", "maintenance", "membership", "protocol", "quota", "server",
+// TestOnlyClockPackageReadsClocks: no other package of the courier reads a system's clock, by itself or through package time.
+func TestOnlyClockPackageReadsClocks(t *testing.T) {
+	packages := []string{"admin", "atomicfile", "cmd/pineport", "config", "dispatch", "handoff", "logging", "maintenance", "membership", "protocol", "quota", "server",
 		"snapshot", "spool", "transport"}
-	readers := map[string]bool{"time.Now": true, "time.Since": true, "time.Until": true, "unix.ClockGettime": true, "syscall.Gettimeofday": true}
-	for _, dir := range couriers {
+	clockReads := map[string]bool{"time.Now": true, "time.Since": true, "time.Until": true, "unix.ClockGettime": true, "syscall.Gettimeofday": true}
+	for _, dir := range packages {
 		err := filepath.WalkDir(filepath.Join("..", "..", dir), func(path string, _ fs.DirEntry, err error) error {
 			if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 				return err
@@ -131,7 +131,7 @@
 			}
 			ast.Inspect(file, func(node ast.Node) bool {
 				if selector, ok := node.(*ast.SelectorExpr); ok {
-					if of, ok := selector.X.(*ast.Ident); ok && readers[of.Name+"."+selector.Sel.Name] {
+					if of, ok := selector.X.(*ast.Ident); ok && clockReads[of.Name+"."+selector.Sel.Name] {
 						t.Errorf("%s reads a clock by %s.%s", path, of.Name, selector.Sel.Name)
 					}
 				}
--- a/cmd/pineport/config.go
+++ b/cmd/pineport/config.go
@@ -35,7 +35,7 @@
 }
 
 // document reads the configuration named by an argument, or as run would.
-func document(f *flags, args []string) (*config.Document, error) {
+func readDocument(f *flags, args []string) (*config.Document, error) {
 	if len(args) > 0 {
 		f.config = args[0]
 	}
@@ -57,7 +57,7 @@
   pineport config check next.toml --against courier.toml`,
 		Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			doc, err := document(&f, args)
+			doc, err := readDocument(&f, args)
 			if err != nil {
 				return err
 			}
@@ -82,7 +82,7 @@
 			if err != nil {
 				return err
 			}
-			return printPlans(cmd.OutOrStdout(), old.Diff(doc), output)
+			return printChanges(cmd.OutOrStdout(), old.Diff(doc), output)
 		},
 	}
 	f.add(cmd)
@@ -92,16 +92,16 @@
 	return cmd
 }
 
-func printPlans(out io.Writer, plans []config.KeyChange, output string) error {
+func printChanges(out io.Writer, changes []config.KeyChange, output string) error {
 	switch output {
 	case "json":
-		return printJSON(out, plans)
+		return printJSON(out, changes)
 	case "table":
 		table := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
-		if len(plans) == 0 {
+		if len(changes) == 0 {
 			fmt.Fprintln(table, "nothing would change")
 		}
-		for _, p := range plans {
+		for _, p := range changes {
 			fmt.Fprintf(table, "%s\t%s -> %s\t%s\n", p.Key, cmp.Or(p.Old, "-"), cmp.Or(p.New, "-"), p.Effect)
 		}
 		return table.Flush()
@@ -117,7 +117,7 @@
 		Short: "Print every value and where it came from",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			doc, err := document(&f, args)
+			doc, err := readDocument(&f, args)
 			if err != nil {
 				return err
 			}
@@ -134,7 +134,7 @@
 			table := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 8, 2, ' ', 0)
 			for _, path := range paths {
 				v := doc.Values[path]
-				fmt.Fprintf(table, "%s\t%s\t%s\n", path, v.Text, source(doc.File, v))
+				fmt.Fprintf(table, "%s\t%s\t%s\n", path, v.Text, valueOrigin(doc.File, v))
 			}
 			if err := table.Flush(); err != nil {
 				return err
@@ -147,7 +147,7 @@
 	return cmd
 }
 
-func source(file string, v config.Value) string {
+func valueOrigin(file string, v config.Value) string {
 	if v.From == "file" {
 		return fmt.Sprintf("%s:%d", file, v.Line)
 	}
@@ -169,8 +169,8 @@
 					known = append(known, k.Path)
 				}
 				hint := "pineport config page lists them"
-				if best := config.Nearest(args[0], known); best != "" {
-					hint = best + "?"
+				if nearest := config.Nearest(args[0], known); nearest != "" {
+					hint = nearest + "?"
 				}
 				return fmt.Errorf("no key has the name %q; %s", args[0], hint)
 			}
@@ -188,13 +188,13 @@
 			if f.config == "" && os.Getenv("RELAY_CONFIG") == "" {
 				return nil
 			}
-			doc, err := document(&f, nil)
+			doc, err := readDocument(&f, nil)
 			if err != nil {
 				return err
 			}
 			for _, path := range doc.Paths(k.Path) {
 				if v, ok := doc.Values[path]; ok && strings.TrimSpace(v.Text) != "" {
-					fmt.Fprintf(out, "  now: %s = %s (%s)\n", path, v.Text, source(doc.File, v))
+					fmt.Fprintf(out, "  now: %s = %s (%s)\n", path, v.Text, valueOrigin(doc.File, v))
 				}
 			}
 			return nil
--- a/cmd/pineport/crowd_test.go
+++ b/cmd/pineport/crowd_test.go
@@ -29,29 +29,29 @@
 }
 
 // crowd is clients that come, say nothing or half a command, and come again at once when they are drained.
-type crowd struct {
-	stopped chan struct{}
-	all     sync.WaitGroup
-	up      atomic.Int64
+type idleClients struct {
+	stopping  chan struct{}
+	done      sync.WaitGroup
+	connected atomic.Int64
 }
 
-func gatherCrowd(address string, clients int) *crowd {
-	w := &crowd{stopped: make(chan struct{})}
+func startIdleClients(address string, clients int) *idleClients {
+	w := &idleClients{stopping: make(chan struct{})}
 	for i := range clients {
-		w.all.Add(1)
+		w.done.Add(1)
 		go func() {
-			defer w.all.Done()
-			for !w.over() {
-				w.visit(address, i%2 == 0)
+			defer w.done.Done()
+			for !w.isStopped() {
+				w.connectOnce(address, i%2 == 0)
 			}
 		}()
 	}
 	return w
 }
 
-func (w *crowd) over() bool {
+func (w *idleClients) isStopped() bool {
 	select {
-	case <-w.stopped:
+	case <-w.stopping:
 		return true
 	default:
 		return false
@@ -59,23 +59,23 @@
 }
 
 // visit stays on one connection until it is closed.
-func (w *crowd) visit(address string, halfACommand bool) {
+func (w *idleClients) connectOnce(address string, halfACommand bool) {
 	conn, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		time.Sleep(10 * time.Millisecond)
 		return
 	}
 	defer conn.Close()
-	w.up.Add(1)
-	defer w.up.Add(-1)
+	w.connected.Add(1)
+	defer w.connected.Add(-1)
 	if halfACommand {
 		fmt.Fprint(conn, "*5\r\n$7\r\nENQ")
 	}
-	for !w.over() {
+	for !w.isStopped() {
 		conn.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 		_, err := conn.Read(make([]byte, 64))
-		var late net.Error
-		if errors.As(err, &late) && late.Timeout() {
+		var netErr net.Error
+		if errors.As(err, &netErr) && netErr.Timeout() {
 			continue
 		}
 		if err != nil {
@@ -84,49 +84,49 @@
 	}
 }
 
-func (w *crowd) leave() {
-	close(w.stopped)
-	w.all.Wait()
+func (w *idleClients) stop() {
+	close(w.stopping)
+	w.done.Wait()
 }
 
-// TestDiscoveryIsReachedThroughACrowd: idle clients take all the descriptors that they can get while discovery is down; when it
+// TestDiscoveryIsPolledDespiteIdleClients: idle clients take all the descriptors that they can get while discovery is down; when it
 // is back it is asked again, in time, with the crowd still there.
-func TestDiscoveryIsReachedThroughACrowd(t *testing.T) {
+func TestDiscoveryIsPolledDespiteIdleClients(t *testing.T) {
 	const (
-		sockets   = 128
-		clients   = 4 * sockets
-		downFor   = 5 * time.Second
-		backAfter = 6 * time.Second // what is notified counts as reported by then
+		sockets      = 128
+		clients      = 4 * sockets
+		downtime     = 5 * time.Second
+		pollDeadline = 6 * time.Second // what is notified counts as reported by then
 	)
 	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer world.Close()
-	discovery, letGo, err := port.Reserve()
+	discovery, release, err := port.Reserve()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer letGo()
+	defer release()
 	world.Discovery = discovery
 	c := newCourier(t, world)
-	c.rewrite(`"sockets": 1024`, fmt.Sprintf(`"sockets": %d`, sockets))
+	c.replaceInConfig(`"sockets": 1024`, fmt.Sprintf(`"sockets": %d`, sockets))
 	c.start()
 	limit := unix.Rlimit{Cur: sockets, Max: sockets}
 	if err := unix.Prlimit(c.cmd.Process.Pid, unix.RLIMIT_NOFILE, &limit, nil); err != nil {
 		t.Fatal(err)
 	}
-	crowd := gatherCrowd(c.listen, clients)
-	leave := sync.OnceFunc(crowd.leave)
-	defer leave()
-	most := 0
-	for began := time.Now(); time.Since(began) < downFor; time.Sleep(50 * time.Millisecond) {
-		most = max(most, c.descriptors())
+	idle := startIdleClients(c.listen, clients)
+	stopIdle := sync.OnceFunc(idle.stop)
+	defer stopIdle()
+	maxDescriptors := 0
+	for began := time.Now(); time.Since(began) < downtime; time.Sleep(50 * time.Millisecond) {
+		maxDescriptors = max(maxDescriptors, c.descriptors())
 	}
-	if most < sockets*4/10 {
-		t.Errorf("%d descriptors of %d: no crowd", most, sockets)
+	if maxDescriptors < sockets*4/10 {
+		t.Errorf("%d descriptors of %d: no crowd", maxDescriptors, sockets)
 	}
-	asked := make(chan time.Time, 1)
+	polledAt := make(chan time.Time, 1)
 	list := fmt.Sprintf(`{"seq":9,"whole":true,"hosts":[{"host":"s-9","dial":%q,"site":"a","class":"plain","block":2,`+
 		`"health":"in_service","share":50.0,"born_ms":0}]}`, world.Endpoints[0])
 	var calls atomic.Int64
@@ -135,26 +135,26 @@
 			<-r.Context().Done() // nothing newer
 			return
 		}
-		asked <- time.Now()
+		polledAt <- time.Now()
 		fmt.Fprint(rw, list)
 	})}
 	listener, err := net.Listen("tcp", discovery)
 	if err != nil {
 		t.Fatal(err)
 	}
-	back := time.Now()
+	availableAt := time.Now()
 	go server.Serve(listener)
 	defer server.Close()
 	select {
-	case at := <-asked:
-		t.Logf("at most %d descriptors of %d held, %d clients connected; discovery was asked %v after it was back", most, sockets, crowd.up.Load(),
-			at.Sub(back).Round(10*time.Millisecond))
-	case <-time.After(backAfter):
-		t.Fatalf("discovery was not asked within %v; %d descriptors held", backAfter, c.descriptors())
+	case at := <-polledAt:
+		t.Logf("at most %d descriptors of %d held, %d clients connected; discovery was asked %v after it was back", maxDescriptors, sockets, idle.connected.Load(),
+			at.Sub(availableAt).Round(10*time.Millisecond))
+	case <-time.After(pollDeadline):
+		t.Fatalf("discovery was not asked within %v; %d descriptors held", pollDeadline, c.descriptors())
 	}
-	leave()
+	stopIdle()
 	waitFor(t, "a message for what the list brought", 5*time.Second, func() bool {
-		got := c.ask(strings.Replace(enqueue("next", "update", 8000), "dest=1", "dest=2", 1))
+		got := c.send(strings.Replace(enqueue("next", "update", 8000), "dest=1", "dest=2", 1))
 		return got[0] == "+OK"
 	})
 	waitFor(t, "next", 5*time.Second, func() bool { _, done, _ := world.Seen("next"); return done == 1 })
--- a/cmd/pineport/docs_test.go
+++ b/cmd/pineport/docs_test.go
@@ -10,12 +10,12 @@
 )
 
 // repository is the root of the checkout, from this package.
-const repository = "../.."
+const repositoryRoot = "../.."
 
 // readPage reads a page of docs.
 func readPage(t *testing.T, name string) string {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join(repository, "docs", name))
+	text, err := os.ReadFile(filepath.Join(repositoryRoot, "docs", name))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,7 +28,7 @@
 	logCall := regexp.MustCompile(`\.(?:Debug|Info|Warn|Error)\("([^"]+)"`)
 	dropped := regexp.MustCompile(`NewRecord\([^"]*"([^"]+)"`)
 	messages := map[string]bool{}
-	err := filepath.WalkDir(repository, func(path string, entry fs.DirEntry, err error) error {
+	err := filepath.WalkDir(repositoryRoot, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
@@ -53,14 +53,14 @@
 }
 
 // column returns the quoted texts in a column of all tables of a page; the first column is 1.
-func column(page string, number int) (quotes []string) {
+func column(page string, index int) (quotes []string) {
 	quoted := regexp.MustCompile("`([^`]+)`")
 	for _, line := range strings.Split(page, "\n") {
 		cells := strings.Split(line, "|")
-		if len(cells) <= number+1 || strings.HasPrefix(strings.TrimSpace(cells[1]), "---") {
+		if len(cells) <= index+1 || strings.HasPrefix(strings.TrimSpace(cells[1]), "---") {
 			continue
 		}
-		for _, found := range quoted.FindAllStringSubmatch(cells[number], -1) {
+		for _, found := range quoted.FindAllStringSubmatch(cells[index], -1) {
 			quotes = append(quotes, found[1])
 		}
 	}
@@ -79,14 +79,14 @@
 		}
 	}
 	// What stands in the column of signs and is no log line: outcomes, replies, metrics and texts within lines.
-	others := map[string]bool{"unreachable": true, "timed_out": true, "-BUSY": true, "targets_disabled": true, "truncated=true": true,
+	otherQuotes := map[string]bool{"unreachable": true, "timed_out": true, "-BUSY": true, "targets_disabled": true, "truncated=true": true,
 		"torn or damaged": true, "unknown version": true}
 	quotes := column(readPage(t, "oncall.md"), 2)
 	if len(quotes) < 20 {
 		t.Errorf("%d quotes in oncall.md: the page is not read", len(quotes))
 	}
 	for _, quote := range quotes {
-		if line := attributes.ReplaceAllString(quote, ""); !others[quote] && !messages[line] {
+		if line := attributes.ReplaceAllString(quote, ""); !otherQuotes[quote] && !messages[line] {
 			t.Errorf("oncall.md: no log line %q", line)
 		}
 	}
@@ -97,7 +97,7 @@
 	t.Helper()
 	declared := regexp.MustCompile(`(?m)^(?:func (?:\([^)]*\) )?|type |\t)([A-Za-z]\w*)`)
 	names := map[string]bool{}
-	err := filepath.WalkDir(repository, func(path string, entry fs.DirEntry, err error) error {
+	err := filepath.WalkDir(repositoryRoot, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
@@ -119,25 +119,25 @@
 	return names
 }
 
-// TestArchitectureNamesWhatExists: each package, program, file, function and type that the page on the architecture names exists.
-func TestArchitectureNamesWhatExists(t *testing.T) {
+// TestArchitecturePageNamesExist: each package, program, file, function and type that the page on the architecture names exists.
+func TestArchitecturePageNamesExist(t *testing.T) {
 	page := readPage(t, "ARCHITECTURE.md")
 	names := declarations(t)
 	quoted := regexp.MustCompile("`([^`\n]+)`")
 	// Files of the state folder, and a key and commands of other pages.
-	others := map[string]bool{"learned.lore": true, "peers.start": true, "maintenance.out": true, "owner.lock": true, "known": true, "policy": true,
+	otherQuotes := map[string]bool{"learned.lore": true, "peers.start": true, "maintenance.out": true, "owner.lock": true, "known": true, "policy": true,
 		"pineport config page": true, "state": true, "members": true}
 	paths, identifiers := 0, 0
 	for _, found := range quoted.FindAllStringSubmatch(page, -1) {
 		quote := found[1]
-		if _, err := os.Stat(filepath.Join(repository, quote)); err == nil {
+		if _, err := os.Stat(filepath.Join(repositoryRoot, quote)); err == nil {
 			paths++
 			continue
 		}
 		parts := strings.Split(quote, ".")
 		if last := parts[len(parts)-1]; names[last] {
 			identifiers++
-		} else if !others[quote] {
+		} else if !otherQuotes[quote] {
 			t.Errorf("%q is no path, and %q is declared nowhere", quote, last)
 		}
 	}
@@ -148,7 +148,7 @@
 
 // TestReadmeNamesPathsThatExist: each path in the README's table of parts exists.
 func TestReadmeNamesPathsThatExist(t *testing.T) {
-	text, err := os.ReadFile(filepath.Join(repository, "README.md"))
+	text, err := os.ReadFile(filepath.Join(repositoryRoot, "README.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -162,7 +162,7 @@
 		t.Errorf("%d paths: the table is not read", len(paths))
 	}
 	for _, path := range paths {
-		if _, err := os.Stat(filepath.Join(repository, path)); err != nil {
+		if _, err := os.Stat(filepath.Join(repositoryRoot, path)); err != nil {
 			t.Errorf("README.md: %v", err)
 		}
 	}
--- a/cmd/pineport/drain_test.go
+++ b/cmd/pineport/drain_test.go
@@ -34,73 +34,75 @@
 	// drainGrace is how long after that a new request may go to an endpoint that drains; the shortest in use.
 	drainGrace = 500 * time.Millisecond
 	// workTime is how long an endpoint works on a call: several messages are in flight, which takes both endpoints.
-	workTime = 60 * time.Millisecond
+	callDuration = 60 * time.Millisecond
 )
 
 // treatments are what discovery's answers come to from the drain on, one poll after the other; the polls after them are well.
-type treatments []faultproxy.Treatment
+type pollTreatments []faultproxy.Treatment
 
-func plain(faults ...faultproxy.Fault) (all treatments) {
+func withFaults(faults ...faultproxy.Fault) (treatments pollTreatments) {
 	for _, fault := range faults {
-		all = append(all, faultproxy.Treatment{Fault: fault, Delay: 2 * time.Second})
+		treatments = append(treatments, faultproxy.Treatment{Fault: fault, Delay: 2 * time.Second})
 	}
-	return all
+	return treatments
 }
 
-func replacing(old, with string) faultproxy.Treatment {
+func replaceInAnswer(old, with string) faultproxy.Treatment {
 	return faultproxy.Treatment{Fault: faultproxy.Spoilt, Edit: func(body []byte) []byte {
 		return bytes.Replace(body, []byte(old), []byte(with), 1)
 	}}
 }
 
-var silentThen = func(rest ...faultproxy.Treatment) treatments { return append(plain(faultproxy.Silent), rest...) }
+var silentFirst = func(rest ...faultproxy.Treatment) pollTreatments {
+	return append(withFaults(faultproxy.Silent), rest...)
+}
 
 // drainsLearnedLate are the ways in which a drain is learned late: what happens to the watch that is open as it is made, and to the
 // polls after it.
-var drainsLearnedLate = map[string]treatments{
-	"silent":                               plain(faultproxy.Silent),
-	"silent, unavailable":                  plain(faultproxy.Silent, faultproxy.Unavailable),
-	"silent, unavailable three times":      plain(faultproxy.Silent, faultproxy.Unavailable, faultproxy.Unavailable, faultproxy.Unavailable),
-	"silent, reset":                        plain(faultproxy.Silent, faultproxy.Reset),
-	"silent, cut, unavailable":             plain(faultproxy.Silent, faultproxy.Cut, faultproxy.Unavailable),
-	"silent, silent":                       plain(faultproxy.Silent, faultproxy.Silent),
-	"silent, late":                         plain(faultproxy.Silent, faultproxy.Late),
-	"silent, stuck, reset":                 plain(faultproxy.Silent, faultproxy.Stuck, faultproxy.Reset),
-	"silent, endless":                      plain(faultproxy.Silent, faultproxy.Endless),
-	"silent, trickle":                      plain(faultproxy.Silent, faultproxy.Trickle),
-	"silent, not JSON":                     silentThen(replacing("{", "[")),
-	"silent, unknown health":               silentThen(replacing(`"terminating"`, `"terminatinh"`)),
-	"unknown health":                       {replacing(`"terminating"`, `"terminatinh"`)},
-	"health under another key":             {replacing(`"health"`, `"heaith"`)},
-	"health is a number":                   {replacing(`"terminating"`, `7`)},
-	"no name":                              {replacing(`"host":"s-0"`, `"hast":"s-0"`)},
-	"name is a number":                     {replacing(`"s-0"`, `5`)},
-	"name with a bad byte":                 {replacing(`"s-0"`, "\"s-\x010\"")},
-	"name of nobody":                       {replacing(`"s-0"`, `"s-8"`)},
-	"no address":                           {replacing(`"dial"`, `"dia1"`)},
-	"bad address":                          {replacing(`127.0.0.1:`, `127.0.0.1;`)},
-	"no destination":                       {replacing(`"block"`, `"blocc"`)},
-	"unknown zone":                         {replacing(`"site":"a"`, `"site":"q"`)},
-	"unknown type":                         {replacing(`"class":"plain"`, `"class":"plaim"`)},
-	"entry is no object":                   {replacing(`[{`, `[5,{`), replacing(`"host":"s-0"`, `"host":[]`)},
-	"list under another key":               {replacing(`"hosts"`, `"hostt"`)},
-	"not JSON":                             {replacing("{", "[")},
-	"not JSON at its end":                  {replacing("]", "}")},
-	"unknown health twice, then no answer": {replacing(`"terminating"`, `"terminatinh"`), replacing(`"terminating"`, `"x"`), {Fault: faultproxy.Reset}},
+var lateDrainCases = map[string]pollTreatments{
+	"silent":                               withFaults(faultproxy.Silent),
+	"silent, unavailable":                  withFaults(faultproxy.Silent, faultproxy.Unavailable),
+	"silent, unavailable three times":      withFaults(faultproxy.Silent, faultproxy.Unavailable, faultproxy.Unavailable, faultproxy.Unavailable),
+	"silent, reset":                        withFaults(faultproxy.Silent, faultproxy.Reset),
+	"silent, cut, unavailable":             withFaults(faultproxy.Silent, faultproxy.Cut, faultproxy.Unavailable),
+	"silent, silent":                       withFaults(faultproxy.Silent, faultproxy.Silent),
+	"silent, late":                         withFaults(faultproxy.Silent, faultproxy.Late),
+	"silent, stuck, reset":                 withFaults(faultproxy.Silent, faultproxy.Stuck, faultproxy.Reset),
+	"silent, endless":                      withFaults(faultproxy.Silent, faultproxy.Endless),
+	"silent, trickle":                      withFaults(faultproxy.Silent, faultproxy.Trickle),
+	"silent, not JSON":                     silentFirst(replaceInAnswer("{", "[")),
+	"silent, unknown health":               silentFirst(replaceInAnswer(`"terminating"`, `"terminatinh"`)),
+	"unknown health":                       {replaceInAnswer(`"terminating"`, `"terminatinh"`)},
+	"health under another key":             {replaceInAnswer(`"health"`, `"heaith"`)},
+	"health is a number":                   {replaceInAnswer(`"terminating"`, `7`)},
+	"no name":                              {replaceInAnswer(`"host":"s-0"`, `"hast":"s-0"`)},
+	"name is a number":                     {replaceInAnswer(`"s-0"`, `5`)},
+	"name with a bad byte":                 {replaceInAnswer(`"s-0"`, "\"s-\x010\"")},
+	"name of nobody":                       {replaceInAnswer(`"s-0"`, `"s-8"`)},
+	"no address":                           {replaceInAnswer(`"dial"`, `"dia1"`)},
+	"bad address":                          {replaceInAnswer(`127.0.0.1:`, `127.0.0.1;`)},
+	"no destination":                       {replaceInAnswer(`"block"`, `"blocc"`)},
+	"unknown zone":                         {replaceInAnswer(`"site":"a"`, `"site":"q"`)},
+	"unknown type":                         {replaceInAnswer(`"class":"plain"`, `"class":"plaim"`)},
+	"entry is no object":                   {replaceInAnswer(`[{`, `[5,{`), replaceInAnswer(`"host":"s-0"`, `"host":[]`)},
+	"list under another key":               {replaceInAnswer(`"hosts"`, `"hostt"`)},
+	"not JSON":                             {replaceInAnswer("{", "[")},
+	"not JSON at its end":                  {replaceInAnswer("]", "}")},
+	"unknown health twice, then no answer": {replaceInAnswer(`"terminating"`, `"terminatinh"`), replaceInAnswer(`"terminating"`, `"x"`), {Fault: faultproxy.Reset}},
 }
 
-// TestDrainIsHeededInTime: a drain is heeded 6 s after discovery had it, and the grace, at the latest, whatever one or two calls to
+// TestDrainTakesEffectInTime: a drain is heeded 6 s after discovery had it, and the grace, at the latest, whatever one or two calls to
 // discovery come to meanwhile; real processes on loopback, discovery behind a proxy.
-func TestDrainIsHeededInTime(t *testing.T) {
-	var all sync.WaitGroup // not t.Parallel: they mostly wait, and all at once take the time of one
-	for name, faults := range drainsLearnedLate {
-		all.Go(func() { t.Run(name, func(t *testing.T) { playDrain(t, faults) }) })
+func TestDrainTakesEffectInTime(t *testing.T) {
+	var cases sync.WaitGroup // not t.Parallel: they mostly wait, and all at once take the time of one
+	for name, faults := range lateDrainCases {
+		cases.Go(func() { t.Run(name, func(t *testing.T) { runDrainCase(t, faults) }) })
 	}
-	all.Wait()
+	cases.Wait()
 }
 
-func playDrain(t *testing.T, faults treatments) {
-	world, err := scripted.Open(2, func(string) scripted.Fate { return scripted.Fate{Status: 200, After: workTime} })
+func runDrainCase(t *testing.T, faults pollTreatments) {
+	world, err := scripted.Open(2, func(string) scripted.Fate { return scripted.Fate{Status: 200, After: callDuration} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -132,7 +134,7 @@
 	time.Sleep(2500 * time.Millisecond)
 	client.stop()
 	if late := world.Calls(0) - before; late > 0 {
-		t.Errorf("%d calls to the endpoint that drains, later than %v after its drain; polls: %s", late, changeDeadline+drainGrace, polls(proxy, drained))
+		t.Errorf("%d calls to the endpoint that drains, later than %v after its drain; polls: %s", late, changeDeadline+drainGrace, formatPolls(proxy, drained))
 	}
 	if world.Calls(1) == 0 {
 		t.Error("no call to the endpoint that stays")
@@ -140,7 +142,7 @@
 }
 
 // polls is what discovery was asked, for a failure's text.
-func polls(proxy *faultproxy.Proxy, from time.Time) (text string) {
+func formatPolls(proxy *faultproxy.Proxy, from time.Time) (text string) {
 	for _, call := range proxy.Calls() {
 		if call.IsPoll() {
 			text += fmt.Sprintf("\n%.3f s: index %s, %v", call.Read.Sub(from).Seconds(), call.Query.Get("index"), call.Fault)
--- a/cmd/pineport/final_answer_test.go
+++ b/cmd/pineport/final_answer_test.go
@@ -63,24 +63,24 @@
 	}
 }
 
-// TestFinalAnswerAmongAllFaults: with hostile clients, malformed answers, endpoints that hang and discovery down, all at once, each request
+// TestFinalAnswerUnderAllFaults: with hostile clients, malformed answers, endpoints that hang and discovery down, all at once, each request
 // of a usual client gets its reply, and each message that was accepted ends once, in time: delivered or with one notice.
-func TestFinalAnswerAmongAllFaults(t *testing.T) {
+func TestFinalAnswerUnderAllFaults(t *testing.T) {
 	const (
 		clients   = 4
 		perClient = 25
 		lifetime  = 4 * time.Second
 		slack     = 500 * time.Millisecond
 	)
-	world, err := scripted.Open(4, fates())
+	world, err := scripted.Open(4, responsesByPrefix())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer world.Close()
-	hung := make(chan struct{})
+	release := make(chan struct{})
 	var halfAnswered sync.Map
-	defer close(hung)
-	world.Endpoints[1] = rawEndpoint(t, func(net.Conn, string) { <-hung })
+	defer close(release)
+	world.Endpoints[1] = rawEndpoint(t, func(net.Conn, string) { <-release })
 	world.Endpoints[2] = rawEndpoint(t, func(conn net.Conn, _ string) { io.WriteString(conn, "HTTP/1.1 2x0 \x00\r\nContent-Length: -7\r\n\r\n") })
 	world.Endpoints[3] = rawEndpoint(t, func(conn net.Conn, id string) { // a head without an end; its first line is the delivery
 		halfAnswered.Store(id, true)
@@ -96,37 +96,37 @@
 	c.start()
 
 	var stopped atomic.Bool
-	var hostile sync.WaitGroup
+	var hostileClients sync.WaitGroup
 	for range 4 {
-		hostile.Go(func() { flood(c.listen, &stopped) })
+		hostileClients.Go(func() { flood(c.listen, &stopped) })
 	}
-	hostile.Go(func() {
+	hostileClients.Go(func() {
 		for !stopped.Load() {
-			c.raw("*1\r\n$99999999999999999999\r\n")
+			c.sendRaw("*1\r\n$99999999999999999999\r\n")
 		}
 	})
-	idle := gatherCrowd(c.listen, 50)
+	idleClients := startIdleClients(c.listen, 50)
 
 	began := time.Now()
-	var usual sync.WaitGroup
+	var normalClients sync.WaitGroup
 	replies := make([]map[string]string, clients)
 	for client := range clients {
 		replies[client] = map[string]string{}
-		usual.Go(func() {
+		normalClients.Go(func() {
 			for i := range perClient {
 				kind := []string{"okay", "slow", "full", "fail", "brok"}[i%5]
 				class := []string{"update", "order"}[i/5%2]
 				id := fmt.Sprintf("%s-%s-%d-%d", kind, class, client, i)
-				replies[client][id] = c.ask(enqueue(id, class, int(lifetime/time.Millisecond)))[0]
+				replies[client][id] = c.send(enqueue(id, class, int(lifetime/time.Millisecond)))[0]
 				time.Sleep(20 * time.Millisecond)
 			}
 		})
 	}
-	usual.Wait()
+	normalClients.Wait()
 	ended := time.Now()
 	t.Logf("asked for %v", ended.Sub(began))
 	time.Sleep(time.Until(ended.Add(lifetime + slack)))
-	delivered, noticed, refused := 0, 0, 0
+	delivered, notified, rejected := 0, 0, 0
 	for _, all := range replies {
 		for id, reply := range all {
 			_, done, notices := world.Seen(id)
@@ -135,7 +135,7 @@
 			}
 			switch {
 			case strings.HasPrefix(reply, "-BUSY"):
-				refused++
+				rejected++
 			case reply != "+OK":
 				t.Errorf("%s: answered %q", id, reply)
 			case done == 0 && len(notices) == 0:
@@ -145,15 +145,15 @@
 			case done > 0:
 				delivered++
 			default:
-				noticed++
+				notified++
 			}
 		}
 	}
-	t.Logf("of %d requests: %d delivered, %d with a notice, %d rejected at once", clients*perClient, delivered, noticed, refused)
+	t.Logf("of %d requests: %d delivered, %d with a notice, %d rejected at once", clients*perClient, delivered, notified, rejected)
 	if delivered < clients*perClient/4 {
 		t.Errorf("%d of %d delivered: too few to tell", delivered, clients*perClient)
 	}
 	stopped.Store(true)
-	idle.leave()
-	hostile.Wait()
+	idleClients.stop()
+	hostileClients.Wait()
 }
--- a/cmd/pineport/fleet.go
+++ b/cmd/pineport/fleet.go
@@ -17,14 +17,14 @@
 )
 
 // enterWithin is how long a process that took over tries for the address that the one before it gives up.
-const enterWithin = 2 * time.Second
+const joinTimeout = 2 * time.Second
 
 // beatMost: a lease lasts for eight ticks of the exchange at least, however slowly members are asked whether they are there.
 const maxExchangeInterval = 500 * time.Millisecond
 
 // enter makes this process a member of its fleet, where it is to be one, and returns what ends that. Messages do not wait for
 // it, and a fault of it is notified and stops nothing else.
-func (p *process) enter(ctx context.Context, router *server.Server, given *handoff.State) (end func()) {
+func (p *process) startMembership(ctx context.Context, srv *server.Server, inherited *handoff.State) (end func()) {
 	dep, log := p.dep, p.log.With(logging.Component, "peers")
 	if !dep.Peers.Enabled() {
 		if dep.Peers.Listen != "" {
@@ -32,8 +32,8 @@
 		}
 		return func() {}
 	}
-	member := make(chan *gossip.Member, 1)
-	router.OnHandoff(func() *handoff.Membership {
+	joined := make(chan *gossip.Member, 1)
+	srv.OnHandoff(func() *handoff.Membership {
 		m := p.member.Swap(nil)
 		if m == nil {
 			return nil
@@ -42,17 +42,17 @@
 		return &handoff.Membership{Incarnation: m.Incarnation(), Members: m.Members()}
 	})
 	go func() {
-		m, x, err := p.join(ctx, router, given, log)
+		m, x, err := p.openMembership(ctx, srv, inherited, log)
 		if err != nil {
 			log.Error("membership failed to start", "error", err)
-			close(member)
+			close(joined)
 			return
 		}
 		p.member.Store(m)
-		if p.desk != nil {
-			p.desk.SetFleet(fleet{m, x})
+		if p.adminServer != nil {
+			p.adminServer.SetFleet(fleetView{m, x})
 		}
-		member <- m
+		joined <- m
 		<-ctx.Done() // reported to end, or ended: others hear it as early as clients do
 		if x != nil {
 			x.Close()
@@ -63,7 +63,7 @@
 	}()
 	return func() {
 		select {
-		case m := <-member:
+		case m := <-joined:
 			if m != nil && p.member.CompareAndSwap(m, nil) {
 				m.Leave()
 			}
@@ -72,11 +72,13 @@
 	}
 }
 
-func (p *process) join(ctx context.Context, router *server.Server, given *handoff.State, log *slog.Logger) (*gossip.Member, *exchange.Exchange, error) {
+func (p *process) openMembership(ctx context.Context, srv *server.Server, inherited *handoff.State, log *slog.Logger) (*gossip.Member, *exchange.Exchange, error) {
 	dep := p.dep
 	o := gossip.Options{Name: dep.Name, FleetSize: dep.Dispatch.Couriers, Fleet: dep.Peers.Fleet, Listen: dep.Peers.Listen,
-		Advertise: dep.Peers.Advertise, Join: dep.Peers.Join, Key: dep.Peers.Key, Interval: dep.Peers.ProbeInterval, Seed: dep.Dispatch.Seed, Log: log, SizeEstimated: router.FleetSizeEstimated,
-		StoreIncarnation: func(start uint64) error { return incarnation.Store(dep.StateDir, dep.Name, start) }}
+		Advertise: dep.Peers.Advertise, Join: dep.Peers.Join, Key: dep.Peers.Key, Interval: dep.Peers.ProbeInterval, Seed: dep.Dispatch.Seed, Log: log, SizeEstimated: srv.FleetSizeEstimated,
+		StoreIncarnation: func(incarnationNumber uint64) error {
+			return incarnation.Store(dep.StateDir, dep.Name, incarnationNumber)
+		}}
 	if z := int(dep.Dispatch.Zone); z < len(dep.Zones) {
 		o.Zone = dep.Zones[z]
 	}
@@ -84,8 +86,8 @@
 	if o.Through, err = gossip.Pairs(dep.Peers.AddressOverrides); err != nil {
 		return nil, nil, err
 	}
-	if given != nil && given.Membership != nil { // the same member, going on
-		o.Incarnation, o.Join = given.Membership.Incarnation, append(given.Membership.Members, o.Join...)
+	if inherited != nil && inherited.Membership != nil { // the same member, going on
+		o.Incarnation, o.Join = inherited.Membership.Incarnation, append(inherited.Membership.Members, o.Join...)
 	} else {
 		var fault error
 		if o.Incarnation, fault, err = incarnation.Next(dep.StateDir, dep.Name); fault != nil {
@@ -95,19 +97,19 @@
 			return nil, nil, err // a number that is not kept might be used twice
 		}
 	}
-	var shares atomic.Pointer[exchange.Exchange]
+	var quotaExchange atomic.Pointer[exchange.Exchange]
 	o.Receive = func(text []byte) {
-		if x := shares.Load(); x != nil {
+		if x := quotaExchange.Load(); x != nil {
 			x.Receive(text)
 		}
 	}
-	for until := clock.Instant().Add(enterWithin); ; {
+	for deadline := clock.Instant().Add(joinTimeout); ; {
 		member, err := gossip.Open(o)
 		if err == nil && dep.Peers.SharesQuotas() {
-			shares.Store(share(member, router, o, uint64(p.clock.Load().Now()/1000)))
+			quotaExchange.Store(openExchange(member, srv, o, uint64(p.clock.Load().Now()/1000)))
 		}
-		if err == nil || clock.Instant().After(until) {
-			return member, shares.Load(), err
+		if err == nil || clock.Instant().After(deadline) {
+			return member, quotaExchange.Load(), err
 		}
 		select {
 		case <-ctx.Done():
@@ -118,39 +120,39 @@
 }
 
 // share has this courier grant and borrow parts of limits, at half the pace of membership or faster.
-func share(member *gossip.Member, router *server.Server, o gossip.Options, sequence uint64) *exchange.Exchange {
-	heard := func() (couriers int, alive []string) {
-		p := member.Snapshot()
-		for _, one := range p.Members {
-			if one.State == membership.Alive {
-				alive = append(alive, string(one.Name))
+func openExchange(self *gossip.Member, srv *server.Server, o gossip.Options, sequence uint64) *exchange.Exchange {
+	fleetMembers := func() (couriers int, alive []string) {
+		p := self.Snapshot()
+		for _, member := range p.Members {
+			if member.State == membership.Alive {
+				alive = append(alive, string(member.Name))
 			}
 		}
 		return p.MaxCouriers, alive
 	}
-	return exchange.Open(exchange.Options{Self: o.Name, Incarnation: member.Incarnation(), Interval: min(o.Interval/2, maxExchangeInterval), Log: o.Log, Fleet: heard, Send: member.Send,
-		FirstSequence: sequence, Demands: router.Demands, Apply: router.ApplyShares})
+	return exchange.Open(exchange.Options{Self: o.Name, Incarnation: self.Incarnation(), Interval: min(o.Interval/2, maxExchangeInterval), Log: o.Log, Fleet: fleetMembers, Send: self.Send,
+		FirstSequence: sequence, Demands: srv.Demands, Apply: srv.ApplyShares})
 }
 
 // fleet is what operators see of it.
-type fleet struct {
-	m *gossip.Member
-	x *exchange.Exchange // nil: nothing is shared
+type fleetView struct {
+	member *gossip.Member
+	quotas *exchange.Exchange // nil: nothing is shared
 }
 
 // pictured is what GET /peers says.
-type pictured struct {
+type membersReport struct {
 	membership.Snapshot
-	Figures gossip.Metrics `json:"figures"`
+	Metrics gossip.Metrics `json:"figures"`
 }
 
-func (f fleet) Members() any       { return pictured{f.m.Snapshot(), f.m.Metrics()} }
-func (f fleet) Remove(name string) { f.m.Remove(name) }
+func (f fleetView) Members() any       { return membersReport{f.member.Snapshot(), f.member.Metrics()} }
+func (f fleetView) Remove(name string) { f.member.Remove(name) }
 
 // Quota is what GET /quota says; nil where nothing is shared.
-func (f fleet) Quota() any {
-	if f.x != nil {
-		if s, ok := f.x.Status(); ok {
+func (f fleetView) Quota() any {
+	if f.quotas != nil {
+		if s, ok := f.quotas.Status(); ok {
 			return s
 		}
 	}
--- a/cmd/pineport/folder_test.go
+++ b/cmd/pineport/folder_test.go
@@ -16,10 +16,10 @@
 )
 
 // writesToFolder are the calls by which a courier changes its state folder.
-var writesToFolder = []string{"write", "ftruncate", "fsync", "openat", "rename", "renameat", "renameat2", "unlinkat"}
+var stateDirCalls = []string{"write", "ftruncate", "fsync", "openat", "rename", "renameat", "renameat2", "unlinkat"}
 
 // changesFolder reports whether a call changes the state folder: it is no call for a socket, a pipe or the log.
-func (c *courier) changesFolder(call *syscallfault.Call) bool {
+func (c *courier) changesStateDir(call *syscallfault.Call) bool {
 	switch call.Name {
 	case "write", "ftruncate", "fsync":
 		return strings.HasPrefix(call.Target(), c.dir+"/state/")
@@ -29,64 +29,64 @@
 	return true
 }
 
-// TestFolderFails: every write, sync, truncation and rename in the state folder fails for 3 s, or the writes fall short. Nobody is taken on
+// TestStateDirFaults: every write, sync, truncation and rename in the state folder fails for 3 s, or the writes fall short. Nobody is taken on
 // meanwhile, with a word when to come back; what was taken on goes on where it may run again, and ends once; after it all is as before, also
 // over a kill and a start.
-func TestFolderFails(t *testing.T) {
+func TestStateDirFaults(t *testing.T) {
 	faults := map[string]syscallfault.Effect{"ENOSPC": {Errno: syscall.ENOSPC}, "EIO": {Errno: syscall.EIO}, "EDQUOT": {Errno: syscall.EDQUOT}, "short": {Limit: 3}}
-	var all sync.WaitGroup
+	var cases sync.WaitGroup
 	for name, effect := range faults {
 		for _, killed := range []bool{false, true} {
-			all.Go(func() {
-				t.Run(fmt.Sprintf("%s, killed after %v", name, killed), func(t *testing.T) { playFolderFault(t, effect, killed) })
+			cases.Go(func() {
+				t.Run(fmt.Sprintf("%s, killed after %v", name, killed), func(t *testing.T) { runStateDirFault(t, effect, killed) })
 			})
 		}
 	}
-	all.Wait()
+	cases.Wait()
 }
 
-func playFolderFault(t *testing.T, effect syscallfault.Effect, killed bool) {
-	const failing = 3 * time.Second
+func runStateDirFault(t *testing.T, effect syscallfault.Effect, killed bool) {
+	const faultDuration = 3 * time.Second
 	world, err := scripted.Open(2, func(string) scripted.Fate { return scripted.Fate{Status: 200, After: 30 * time.Millisecond} })
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(world.Close)
 	c := newCourier(t, world)
-	var until atomic.Int64
-	child := c.startTraced(writesToFolder, func(call *syscallfault.Call) syscallfault.Effect {
-		if time.Now().UnixNano() >= until.Load() || !c.changesFolder(call) || effect.Limit > 0 && call.Name != "write" {
+	var faultEnd atomic.Int64
+	child := c.startTraced(stateDirCalls, func(call *syscallfault.Call) syscallfault.Effect {
+		if time.Now().UnixNano() >= faultEnd.Load() || !c.changesStateDir(call) || effect.Limit > 0 && call.Name != "write" {
 			return syscallfault.Effect{}
 		}
 		return effect
 	})
-	var before, during, after tally
-	submit := func(to *tally, client int, lasting time.Duration) {
+	var before, during, after requestResults
+	submit := func(to *requestResults, client int, duration time.Duration) {
 		var stopped atomic.Bool
 		var clients sync.WaitGroup
 		for n := range 3 {
-			clients.Go(func() { to.submitOver(c.listen, client+n, &stopped) })
+			clients.Go(func() { to.submitUntilStopped(c.listen, client+n, &stopped) })
 		}
-		time.Sleep(lasting)
+		time.Sleep(duration)
 		stopped.Store(true)
 		clients.Wait()
 	}
 	submit(&before, 0, 500*time.Millisecond)
-	until.Store(time.Now().Add(failing).UnixNano())
-	submit(&during, 10, failing)
+	faultEnd.Store(time.Now().Add(faultDuration).UnixNano())
+	submit(&during, 10, faultDuration)
 	time.Sleep(300 * time.Millisecond)
 	if struck := child.Struck(); len(struck) == 0 {
 		t.Error("the fault never struck")
 	}
-	finished := append(before.finished(world), during.finished(world)...)
+	finished := append(before.delivered(world), during.delivered(world)...)
 	if killed {
 		child.Signal(syscall.SIGKILL)
 		<-child.Done
 		c.start()
 	}
 	submit(&after, 20, 800*time.Millisecond)
-	before.judge(t, world)
-	after.judge(t, world)
+	before.verify(t, world)
+	after.verify(t, world)
 	if effect.Errno != 0 && len(during.rejected) == 0 {
 		t.Errorf("nobody was refused while the folder failed: %d accepted", len(during.accepted))
 	}
@@ -101,19 +101,19 @@
 		}
 	}
 	if len(during.accepted) > 0 {
-		during.judge(t, world)
+		during.verify(t, world)
 	}
-	if lost := len(before.unanswered) + len(during.unanswered) + len(after.unanswered); lost > 0 {
-		t.Errorf("%d requests have no answer: %v %v %v", lost, before.unanswered, during.unanswered, after.unanswered)
+	if unanswered := len(before.unanswered) + len(during.unanswered) + len(after.unanswered); unanswered > 0 {
+		t.Errorf("%d requests have no answer: %v %v %v", unanswered, before.unanswered, during.unanswered, after.unanswered)
 	}
 	if len(after.accepted) < 20 {
 		t.Errorf("%d accepted after the fault", len(after.accepted))
 	}
 }
 
-// TestKilledInTheMiddleOfAWrite: the process is killed after any number of bytes of a write to its folder, time after time. What was taken on
+// TestKillDuringWrite: the process is killed after any number of bytes of a write to its folder, time after time. What was taken on
 // ends, once where it may not run again, and each start is ready.
-func TestKilledInTheMiddleOfAWrite(t *testing.T) {
+func TestKillDuringWrite(t *testing.T) {
 	const rounds = 12
 	world, err := scripted.Open(2, func(string) scripted.Fate { return scripted.Fate{Status: 200, After: 30 * time.Millisecond} })
 	if err != nil {
@@ -122,12 +122,12 @@
 	t.Cleanup(world.Close)
 	c := newCourier(t, world)
 	rng := rand.New(rand.NewSource(1))
-	var requests tally
+	var requests requestResults
 	for round := range rounds {
 		at, limit := int64(20+rng.Intn(200)), 1+rng.Intn(150)
 		var writes atomic.Int64
 		child := c.startTraced([]string{"write"}, func(call *syscallfault.Call) syscallfault.Effect {
-			if !c.changesFolder(call) || writes.Add(1) != at {
+			if !c.changesStateDir(call) || writes.Add(1) != at {
 				return syscallfault.Effect{}
 			}
 			return syscallfault.Effect{Limit: limit, Kill: true}
@@ -135,7 +135,7 @@
 		var stopped atomic.Bool
 		var clients sync.WaitGroup
 		for n := range 3 {
-			clients.Go(func() { requests.submitOver(c.listen, 100*round+n, &stopped) })
+			clients.Go(func() { requests.submitUntilStopped(c.listen, 100*round+n, &stopped) })
 		}
 		select {
 		case <-child.Done:
@@ -146,12 +146,12 @@
 		clients.Wait()
 	}
 	c.start()
-	requests.judge(t, world)
+	requests.verify(t, world)
 }
 
-// TestStartsWhileFolderFails: a process that is started while its folder takes nothing is ready once it does. Failure, found by the soak: it ended.
-func TestStartsWhileFolderFails(t *testing.T) {
-	const failing = 1500 * time.Millisecond
+// TestStartWhileStateDirFails: a process that is started while its folder takes nothing is ready once it does. Failure, found by the soak: it ended.
+func TestStartWhileStateDirFails(t *testing.T) {
+	const faultDuration = 1500 * time.Millisecond
 	for _, errno := range []syscall.Errno{syscall.ENOSPC, syscall.EIO} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
@@ -161,18 +161,18 @@
 			}
 			t.Cleanup(world.Close)
 			c := newCourier(t, world)
-			until := time.Now().Add(failing)
-			child := c.beginTraced(writesToFolder, func(call *syscallfault.Call) syscallfault.Effect {
-				if time.Now().After(until) || !c.changesFolder(call) {
+			faultEnd := time.Now().Add(faultDuration)
+			child := c.launchTraced(stateDirCalls, func(call *syscallfault.Call) syscallfault.Effect {
+				if time.Now().After(faultEnd) || !c.changesStateDir(call) {
 					return syscallfault.Effect{}
 				}
 				return syscallfault.Effect{Errno: errno}
 			})
-			waitFor(t, "PONG", failing+3*time.Second, func() bool { return c.answersPing() })
+			waitFor(t, "PONG", faultDuration+3*time.Second, func() bool { return c.answersPing() })
 			if len(child.Struck()) == 0 {
 				t.Error("the fault never struck")
 			}
-			if got := c.ask(enqueue("one", "order", 4000)); got[0] != "+OK" {
+			if got := c.send(enqueue("one", "order", 4000)); got[0] != "+OK" {
 				t.Fatal(got)
 			}
 			waitFor(t, "the delivery", 3*time.Second, func() bool { _, done, _ := world.Seen("one"); return done == 1 })
--- a/cmd/pineport/golden_test.go
+++ b/cmd/pineport/golden_test.go
@@ -19,7 +19,7 @@
 )
 
 // copyRecorded puts a recorded file of another package into a folder.
-func copyRecorded(t *testing.T, from, dir, name string) {
+func copyGolden(t *testing.T, from, dir, name string) {
 	t.Helper()
 	content, err := os.ReadFile(from)
 	if err == nil {
@@ -30,16 +30,16 @@
 	}
 }
 
-// TestOutputIsAsRecorded: what the commands print for scripts, over stored data that an earlier program wrote.
-func TestOutputIsAsRecorded(t *testing.T) {
-	golden.Tagged(t, pictured{})
+// TestCommandOutputMatchesGolden: what the commands print for scripts, over stored data that an earlier program wrote.
+func TestCommandOutputMatchesGolden(t *testing.T) {
+	golden.Tagged(t, membersReport{})
 	golden.Tagged(t, exchange.Status{})
 	golden.Tagged(t, config.KeyChange{})
 	golden.Tagged(t, config.Value{})
 	t.Setenv("RELAY_CONFIG", "")
 	dir := t.TempDir()
-	copyRecorded(t, "../../spool/testdata/segment.golden", dir, "0000000001.seg")
-	copyRecorded(t, "../../snapshot/testdata/version-2.golden", dir, snapshot.FileName)
+	copyGolden(t, "../../spool/testdata/segment.golden", dir, "0000000001.seg")
+	copyGolden(t, "../../snapshot/testdata/version-2.golden", dir, snapshot.FileName)
 	write := func(name, text string) string {
 		path := filepath.Join(dir, name)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -50,20 +50,20 @@
 	good := write("good.toml", config.Example())
 	next := write("next.toml", strings.Replace(config.Example(), "slots = 20", "slots = 10", 1))
 
-	var members pictured
-	var shared exchange.Status
+	var members membersReport
+	var quotas exchange.Status
 	golden.Fill(&members)
-	golden.Fill(&shared)
-	desk := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	golden.Fill(&quotas)
+	adminServer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
 		case "/peers":
 			json.NewEncoder(w).Encode(members)
 		case "/commons":
-			json.NewEncoder(w).Encode(shared)
+			json.NewEncoder(w).Encode(quotas)
 		}
 	}))
-	defer desk.Close()
-	ops := strings.TrimPrefix(desk.URL, "http://")
+	defer adminServer.Close()
+	ops := strings.TrimPrefix(adminServer.URL, "http://")
 
 	for name, args := range map[string]string{
 		"spool-ls":     "spool ls --output json " + dir,
@@ -75,7 +75,7 @@
 		"peers-ls":     "members ls --output json --ops " + ops,
 		"commons-show": "quota show --output json --ops " + ops,
 	} {
-		out, err := tool(strings.Fields(args)...)
+		out, err := runCommand(strings.Fields(args)...)
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 			continue
@@ -83,9 +83,9 @@
 		golden.Check(t, name+".golden", []byte(out))
 	}
 	for alias, name := range map[string]string{"peers ls": "members ls", "commons show": "quota show"} {
-		asked := strings.Fields(alias + " --output json --ops " + ops)
-		out, err := tool(asked...)
-		want, wantErr := tool(strings.Fields(name + " --output json --ops " + ops)...)
+		aliasArgs := strings.Fields(alias + " --output json --ops " + ops)
+		out, err := runCommand(aliasArgs...)
+		want, wantErr := runCommand(strings.Fields(name + " --output json --ops " + ops)...)
 		warning, rest, _ := strings.Cut(out, "\n")
 		if err != nil || wantErr != nil || rest != want || !strings.Contains(warning, "deprecated: use pineport "+strings.Fields(name)[0]) {
 			t.Errorf("%s: %v, %v: %s", alias, err, wantErr, out)
@@ -93,8 +93,8 @@
 	}
 }
 
-// TestSettingsAreAsRecorded: every key of the settings with its form, unit, default, variable and what a reload does with it.
-func TestSettingsAreAsRecorded(t *testing.T) {
+// TestSettingsMatchGolden: every key of the settings with its form, unit, default, variable and what a reload does with it.
+func TestSettingsMatchGolden(t *testing.T) {
 	var lines strings.Builder
 	for _, k := range config.Schema {
 		fmt.Fprintf(&lines, "%s\n  unread %v, unit %q, default %q, variable %q, on reload %q, expects %q\n", k.Path, k.Ignored, k.Unit, k.Default, k.EnvVar,
@@ -114,7 +114,7 @@
 		"version": 0, "config check " + good: 0, "config init": 0, "spool verify " + dir: 0,
 		"config check " + dir + "/none.toml": 1, "spool ls " + dir + "/none": 1, "state verify " + dir: 1, "nonsense": 1, "spool ls": 1,
 	} {
-		cmd := exec.Command(binary(), strings.Fields(args)...)
+		cmd := exec.Command(buildBinary(), strings.Fields(args)...)
 		cmd.Env = append(os.Environ(), "RELAY_CONFIG=")
 		var stderr strings.Builder
 		cmd.Stderr = &stderr
--- a/cmd/pineport/learned_test.go
+++ b/cmd/pineport/learned_test.go
@@ -13,9 +13,9 @@
 	"pineport/testbed/scripted"
 )
 
-// TestLearnedOverRestart: a courier that is killed while a destination is down knows so when it is back, and finds it out
+// TestLearnedStateAfterRestart: a courier that is killed while a destination is down knows so when it is back, and finds it out
 // by no more than a trial; after a planned end what it learned last is there. A malformed file stops nothing.
-func TestLearnedOverRestart(t *testing.T) {
+func TestLearnedStateAfterRestart(t *testing.T) {
 	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 0} })
 	if err != nil {
 		t.Fatal(err)
@@ -23,12 +23,12 @@
 	defer world.Close()
 	c := newCourier(t, world)
 	c.start()
-	hand := func(round string) (calls int) {
-		var all []string
+	submit := func(round string) (calls int) {
+		var commands []string
 		for i := range 12 {
-			all = append(all, enqueue(fmt.Sprintf("%s-%d", round, i), "order", 2500))
+			commands = append(commands, enqueue(fmt.Sprintf("%s-%d", round, i), "order", 2500))
 		}
-		c.ask(all...)
+		c.send(commands...)
 		for i := range 12 {
 			id := fmt.Sprintf("%s-%d", round, i)
 			waitFor(t, id, 6*time.Second, func() bool { _, _, notices := world.Seen(id); return len(notices) > 0 })
@@ -37,14 +37,14 @@
 		}
 		return calls
 	}
-	before := hand("first")
+	before := submit("first")
 	file := filepath.Join(c.dir, "state", snapshot.FileName)
 	waitFor(t, "the file", 5*time.Second, func() bool { _, err := os.Stat(file); return err == nil })
 	time.Sleep(1200 * time.Millisecond) // what was learned in the last second
 	c.cmd.Process.Signal(syscall.SIGKILL)
 	c.cmd.Wait()
 	c.start()
-	if after := hand("second"); before < 6 || after > 3 {
+	if after := submit("second"); before < 6 || after > 3 {
 		t.Errorf("%d calls found the outage; %d after the restart", before, after)
 	}
 	c.cmd.Process.Signal(syscall.SIGTERM)
@@ -59,7 +59,7 @@
 		t.Fatal(err)
 	}
 	c.start()
-	if n := strings.Count(c.said(), "snapshot not used"); n != 1 {
-		t.Errorf("a malformed file is notified %d times:\n%s", n, c.said())
+	if n := strings.Count(c.logText(), "snapshot not used"); n != 1 {
+		t.Errorf("a malformed file is notified %d times:\n%s", n, c.logText())
 	}
 }
--- a/cmd/pineport/main.go
+++ b/cmd/pineport/main.go
@@ -109,8 +109,8 @@
 }
 
 // printJSON writes what a script reads.
-func printJSON(out io.Writer, what any) error {
+func printJSON(out io.Writer, value any) error {
 	enc := json.NewEncoder(out)
 	enc.SetIndent("", "  ")
-	return enc.Encode(what)
+	return enc.Encode(value)
 }
--- a/cmd/pineport/main_test.go
+++ b/cmd/pineport/main_test.go
@@ -20,31 +20,31 @@
 
 // courier is a real process beside a stand-in for the world around it.
 type courier struct {
-	t      *testing.T
-	binary string
-	dir    string
-	listen string
-	ops    string // the operators' address; empty for none
-	env    []string
-	cmd    *exec.Cmd
-	log    *os.File
+	t         *testing.T
+	binary    string
+	dir       string
+	listen    string
+	adminAddr string // the operators' address; empty for none
+	env       []string
+	cmd       *exec.Cmd
+	log       *os.File
 }
 
 // binary is the program, built once for all tests.
-var binary func() string
+var buildBinary func() string
 
 func TestMain(m *testing.M) {
-	if os.Getenv(hangs) != "" {
-		hang()
+	if os.Getenv(hangEnv) != "" {
+		runHangingSuccessor()
 	}
-	if step := os.Getenv(wallStep); step != "" {
-		runStepped(step)
+	if step := os.Getenv(wallStepEnv); step != "" {
+		runWithWallStep(step)
 	}
 	dir, err := os.MkdirTemp("", "pineport-test")
 	if err != nil {
 		panic(err)
 	}
-	binary = sync.OnceValue(func() string {
+	buildBinary = sync.OnceValue(func() string {
 		path := filepath.Join(dir, "pineport")
 		if out, err := exec.Command("go", "build", "-o", path, ".").CombinedOutput(); err != nil {
 			panic(fmt.Sprintf("%v: %s", err, out))
@@ -59,7 +59,7 @@
 func newCourier(t *testing.T, world *scripted.World) *courier {
 	t.Helper()
 	dir := t.TempDir()
-	c := &courier{t: t, dir: dir, binary: binary()}
+	c := &courier{t: t, dir: dir, binary: buildBinary()}
 	log, err := os.Create(filepath.Join(dir, "log"))
 	if err != nil {
 		t.Fatal(err)
@@ -79,7 +79,7 @@
 		c.cmd.Process.Kill()
 		c.cmd.Wait()
 		if t.Failed() {
-			t.Log(c.said())
+			t.Log(c.logText())
 		}
 	})
 	return c
@@ -90,7 +90,7 @@
 	c.t.Helper()
 	c.cmd = exec.Command(c.binary)
 	c.cmd.Env = append(os.Environ(), "RELAY_CONFIG="+filepath.Join(c.dir, "config.json"), "RELAY_STATE="+filepath.Join(c.dir, "state"),
-		"RELAY_OPS="+c.ops)
+		"RELAY_OPS="+c.adminAddr)
 	c.cmd.Env = append(c.cmd.Env, c.env...)
 	c.cmd.Stderr = c.log
 	if err := c.cmd.Start(); err != nil {
@@ -108,7 +108,7 @@
 	c.t.Fatal("no PONG")
 }
 
-func (c *courier) said() string {
+func (c *courier) logText() string {
 	text, err := os.ReadFile(c.log.Name())
 	if err != nil {
 		c.t.Fatal(err)
@@ -124,12 +124,12 @@
 	return s
 }
 
-func enqueue(id, class string, leftMs int) string {
-	return command("ENQUEUE", "0", id, fmt.Sprintf("c=%s,d=%d,dest=1", class, leftMs), "body of\r\n"+id)
+func enqueue(id, class string, deadlineMs int) string {
+	return command("ENQUEUE", "0", id, fmt.Sprintf("c=%s,d=%d,dest=1", class, deadlineMs), "body of\r\n"+id)
 }
 
 // ask sends all at once and returns as many lines.
-func (c *courier) ask(all ...string) []string {
+func (c *courier) send(commands ...string) []string {
 	c.t.Helper()
 	conn, err := net.Dial("tcp", c.listen)
 	if err != nil {
@@ -137,9 +137,9 @@
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(5 * time.Second))
-	fmt.Fprint(conn, strings.Join(all, ""))
+	fmt.Fprint(conn, strings.Join(commands, ""))
 	in, lines := bufio.NewReader(conn), []string{}
-	for range all {
+	for range commands {
 		line, err := in.ReadString('\n')
 		if err != nil {
 			c.t.Fatalf("after %q: %v", lines, err)
@@ -150,7 +150,7 @@
 }
 
 // raw sends bytes and returns what came until the other side closed.
-func (c *courier) raw(text string) string {
+func (c *courier) sendRaw(text string) string {
 	c.t.Helper()
 	conn, err := net.Dial("tcp", c.listen)
 	if err != nil {
@@ -159,16 +159,16 @@
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(5 * time.Second))
 	io.WriteString(conn, text)
-	all, err := io.ReadAll(conn)
-	var late net.Error
-	if errors.As(err, &late) && late.Timeout() {
+	received, err := io.ReadAll(conn)
+	var netErr net.Error
+	if errors.As(err, &netErr) && netErr.Timeout() {
 		c.t.Errorf("%.40q: neither an error nor a close", text)
 	}
-	return string(all)
+	return string(received)
 }
 
 // fates by the first letters of an id; the first call of some differs from the rest.
-func fates() func(id string) scripted.Fate {
+func responsesByPrefix() func(id string) scripted.Fate {
 	var mu sync.Mutex
 	calls := map[string]int{}
 	return func(id string) scripted.Fate {
@@ -195,19 +195,19 @@
 	}
 }
 
-func waitFor(t *testing.T, what string, within time.Duration, ok func() bool) {
+func waitFor(t *testing.T, condition string, timeout time.Duration, ok func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(within); !ok(); time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(timeout); !ok(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("%s: not within %v", what, within)
+			t.Fatalf("%s: not within %v", condition, timeout)
 		}
 	}
 }
 
-// TestKilledAndBack: each message taken on ends once, over a SIGKILL and a SIGTERM in the midst of calls, and no
+// TestRecoveryAfterKill: each message taken on ends once, over a SIGKILL and a SIGTERM in the midst of calls, and no
 // at-most-once message is begun twice.
-func TestKilledAndBack(t *testing.T) {
-	world, err := scripted.Open(2, fates())
+func TestRecoveryAfterKill(t *testing.T) {
+	world, err := scripted.Open(2, responsesByPrefix())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -215,32 +215,32 @@
 	c := newCourier(t, world)
 	c.start()
 	var ids []string
-	hand := func(round string) {
-		var all []string
+	submit := func(round string) {
+		var commands []string
 		for i := range 5 {
 			for _, kind := range []string{"okay", "slow", "full", "fail", "brok"} {
 				for _, class := range []string{"update", "order"} {
 					id := fmt.Sprintf("%s-%s-%s-%d", kind, class, round, i)
 					ids = append(ids, id)
-					all = append(all, enqueue(id, class, 20000))
+					commands = append(commands, enqueue(id, class, 20000))
 				}
 			}
 		}
-		for i, line := range c.ask(all...) {
+		for i, line := range c.send(commands...) {
 			if line != "+OK" {
-				t.Fatalf("%s: %s", ids[len(ids)-len(all)+i], line)
+				t.Fatalf("%s: %s", ids[len(ids)-len(commands)+i], line)
 			}
 		}
 	}
-	hand("a")
+	submit("a")
 	time.Sleep(150 * time.Millisecond)
 	c.cmd.Process.Signal(syscall.SIGKILL)
 	c.cmd.Wait()
 	c.start()
-	hand("b")
+	submit("b")
 	time.Sleep(150 * time.Millisecond)
 	c.cmd.Process.Signal(syscall.SIGTERM)
-	hand("c")
+	submit("c")
 	ended := make(chan error, 1)
 	go func() { ended <- c.cmd.Wait() }()
 	select {
@@ -258,7 +258,7 @@
 			return done > 0 || len(notices) > 0
 		})
 	}
-	if !strings.Contains(c.said(), "recovered after restart") {
+	if !strings.Contains(c.logText(), "recovered after restart") {
 		t.Error("nothing was taken up again after the SIGKILL")
 	}
 	for _, id := range ids {
@@ -287,19 +287,19 @@
 	defer world.Close()
 	c := newCourier(t, world)
 	c.start()
-	got := c.ask(command("NONSENSE"), command("PING", "x"), command("ENQUEUE", "0"), enqueue("x", "nobody", 5), command("ENQUEUE", "0",
+	got := c.send(command("NONSENSE"), command("PING", "x"), command("ENQUEUE", "0"), enqueue("x", "nobody", 5), command("ENQUEUE", "0",
 		"x", "c=update,dest=1", ""), command("ENQUEUE", "0", "x", "c=update,d=1", ""), command("ping"), enqueue("y", "update", 8000))
 	for i, want := range []string{"-ERR", "-ERR", "-ERR", "-ERR", "-ERR", "-ERR", "+PONG", "+OK"} {
 		if !strings.HasPrefix(got[i], want) {
 			t.Errorf("line %d: %q, want %s", i, got[i], want)
 		}
 	}
-	for _, bad := range []string{"GET / HTTP/1.1\r\n\r\n", "*1\r\n$70000\r\n", "*1\r\n$-5\r\n", strings.Repeat("x", 100)} {
-		if got := c.raw(command("PING") + bad); !strings.HasPrefix(got, "+PONG\r\n-ERR ") {
-			t.Errorf("%q: %q", bad, got)
+	for _, input := range []string{"GET / HTTP/1.1\r\n\r\n", "*1\r\n$70000\r\n", "*1\r\n$-5\r\n", strings.Repeat("x", 100)} {
+		if got := c.sendRaw(command("PING") + input); !strings.HasPrefix(got, "+PONG\r\n-ERR ") {
+			t.Errorf("%q: %q", input, got)
 		}
 	}
-	if got := c.ask(strings.Replace(enqueue("x", "update", 8000), "dest=1", "dest=9", 1), enqueue("y", "update", 8000)); got[0][:4] != "-ERR" ||
+	if got := c.send(strings.Replace(enqueue("x", "update", 8000), "dest=1", "dest=9", 1), enqueue("y", "update", 8000)); got[0][:4] != "-ERR" ||
 		got[1] != "+OK" {
 		t.Errorf("an unknown destination, and an id that is there: %v", got)
 	}
@@ -329,26 +329,26 @@
 	c := newCourier(t, world)
 	c.start()
 	file := filepath.Join(c.dir, "config.json")
-	reload := func(text []byte, says string) {
+	reload := func(text []byte, logLine string) {
 		t.Helper()
-		before := strings.Count(c.said(), says)
+		before := strings.Count(c.logText(), logLine)
 		if err := os.WriteFile(file, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		c.cmd.Process.Signal(syscall.SIGHUP)
-		waitFor(t, says, 5*time.Second, func() bool { return strings.Count(c.said(), says) > before })
+		waitFor(t, logLine, 5*time.Second, func() bool { return strings.Count(c.logText(), logLine) > before })
 	}
 	reload([]byte(`{"name":"n0"}`), "listen: ")
 	reload([]byte(strings.ReplaceAll(string(world.Configuration("n0", c.listen)), world.Discovery, "nowhere")), "discovery: ")
 	for round := range 2 {
 		world.MuteNotices(100) // the old address confirms nothing any more
-		var all []string
+		var commands []string
 		for _, kind := range []string{"slow", "fail"} {
-			all = append(all, enqueue(fmt.Sprintf("%s-%d", kind, round), "order", 8000))
+			commands = append(commands, enqueue(fmt.Sprintf("%s-%d", kind, round), "order", 8000))
 		}
-		c.ask(all...)
+		c.send(commands...)
 		time.Sleep(600 * time.Millisecond) // one has failed, and its notice is out
-		leave, err := world.Move()
+		closeOld, err := world.Move()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -357,7 +357,7 @@
 			t.Fatal(err)
 		}
 		reload(world.Configuration("n0", c.listen), "configuration reloaded")
-		leave()
+		closeOld()
 		waitFor(t, "notice", 2*time.Second, func() bool {
 			_, _, notices := world.Seen(fmt.Sprintf("fail-%d", round))
 			return len(notices) > 0
@@ -367,7 +367,7 @@
 			return done == 1
 		})
 		id := fmt.Sprintf("next-%d", round) // to a destination that only the new address knows of
-		c.ask(strings.Replace(enqueue(id, "update", 8000), "dest=1", fmt.Sprint("dest=", 2+round), 1))
+		c.send(strings.Replace(enqueue(id, "update", 8000), "dest=1", fmt.Sprint("dest=", 2+round), 1))
 		waitFor(t, id, 2*time.Second, func() bool { _, done, _ := world.Seen(id); return done == 1 })
 	}
 	for round := range 2 {
@@ -393,20 +393,20 @@
 	defer world.Close()
 	c := newCourier(t, world)
 	c.start()
-	half := enqueue("half", "update", 8000)
-	bad := []string{"", "*5\r\n$7\r\nENQ", half[:len(half)-3], strings.Repeat("y", 1<<20), "*1\r\n$60000000\r\n" + strings.Repeat("z", 60_000_000),
+	truncated := enqueue("half", "update", 8000)
+	inputs := []string{"", "*5\r\n$7\r\nENQ", truncated[:len(truncated)-3], strings.Repeat("y", 1<<20), "*1\r\n$60000000\r\n" + strings.Repeat("z", 60_000_000),
 		"*1\r\n$99999999999999999999\r\n", enqueue("none", "nobody", 8000) + "*\r\n", strings.Repeat(command("NONSENSE"), 500) + "\r\n"}
-	var all sync.WaitGroup
+	var clients sync.WaitGroup
 	for i := range 300 {
-		text := bad[i%len(bad)]
+		text := inputs[i%len(inputs)]
 		if len(text) > 1e6 && i > 50 {
 			text = ""
 		}
-		all.Add(1)
+		clients.Add(1)
 		go func() {
-			defer all.Done()
+			defer clients.Done()
 			began := time.Now()
-			c.raw(text)
+			c.sendRaw(text)
 			if took := time.Since(began); took > 3*time.Second {
 				t.Errorf("%.40q: closed after %v", text, took)
 			}
@@ -414,12 +414,12 @@
 	}
 	for i := range 20 {
 		id := fmt.Sprintf("usual-%d", i)
-		if got := c.ask(enqueue(id, "update", 8000)); got[0] != "+OK" {
+		if got := c.send(enqueue(id, "update", 8000)); got[0] != "+OK" {
 			t.Error(id, got)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	all.Wait()
+	clients.Wait()
 	for i := range 20 {
 		id := fmt.Sprintf("usual-%d", i)
 		waitFor(t, id, 5*time.Second, func() bool { _, done, _ := world.Seen(id); return done == 1 })
@@ -431,34 +431,34 @@
 	}
 }
 
-// TestStoodStill: a process that stood still takes its own delay for nobody's silence. The answers are there when it
+// TestSuspendedProcess: a process that stood still takes its own delay for nobody's silence. The answers are there when it
 // goes on, so nothing goes twice though every limit has passed.
-func TestStoodStill(t *testing.T) {
-	world, err := scripted.Open(1, fates())
+func TestSuspendedProcess(t *testing.T) {
+	world, err := scripted.Open(1, responsesByPrefix())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer world.Close()
 	c := newCourier(t, world)
 	c.start()
-	seen := func(id string) func() bool {
+	isDelivered := func(id string) func() bool {
 		return func() bool { _, done, _ := world.Seen(id); return done > 0 }
 	}
 	for i := range 40 { // so that it expects quick answers, and waits little longer than 2 s
 		id := fmt.Sprintf("okay-%d", i)
-		c.ask(enqueue(id, "update", 20000))
-		waitFor(t, id, 5*time.Second, seen(id))
+		c.send(enqueue(id, "update", 20000))
+		waitFor(t, id, 5*time.Second, isDelivered(id))
 	}
-	var all []string
+	var commands []string
 	for i := range 5 {
-		all = append(all, enqueue(fmt.Sprintf("slow-%d", i), "update", 20000))
+		commands = append(commands, enqueue(fmt.Sprintf("slow-%d", i), "update", 20000))
 	}
-	c.ask(all...)
+	c.send(commands...)
 	time.Sleep(50 * time.Millisecond)
 	c.cmd.Process.Signal(syscall.SIGSTOP)
 	time.Sleep(3500 * time.Millisecond)
 	c.cmd.Process.Signal(syscall.SIGCONT)
-	if got := c.ask(command("PING")); got[0] != "+PONG" {
+	if got := c.send(command("PING")); got[0] != "+PONG" {
 		t.Errorf("after it stood still: %v", got)
 	}
 	time.Sleep(time.Second)
@@ -471,7 +471,7 @@
 
 // TestManyClients: more connections than there is room for, some stuck in a command; one that asks is still served.
 func TestManyClients(t *testing.T) {
-	world, err := scripted.Open(1, fates())
+	world, err := scripted.Open(1, responsesByPrefix())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -488,7 +488,7 @@
 			fmt.Fprint(conn, "*5\r\n$7\r\nENQ")
 		}
 	}
-	if got := c.ask(enqueue("okay", "update", 20000)); got[0] != "+OK" {
+	if got := c.send(enqueue("okay", "update", 20000)); got[0] != "+OK" {
 		t.Error(got)
 	}
 	waitFor(t, "okay", 5*time.Second, func() bool { _, done, _ := world.Seen("okay"); return done == 1 })
@@ -502,7 +502,7 @@
 }
 
 // second runs the program once more beside the courier, for what it says before it ends.
-func (c *courier) second(ops string) (said string, err error) {
+func (c *courier) runAgain(ops string) (output string, err error) {
 	cmd := exec.Command(c.binary)
 	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+filepath.Join(c.dir, "config.json"), "RELAY_STATE="+c.t.TempDir(), "RELAY_OPS="+ops)
 	out, err := cmd.CombinedOutput()
--- a/cmd/pineport/members.go
+++ b/cmd/pineport/members.go
@@ -19,10 +19,10 @@
 )
 
 // answerTimeout is how long a courier may take to show its fleet.
-const answerTimeout = 3 * time.Second
+const responseTimeout = 3 * time.Second
 
 // maxAnswer bounds what is read of an answer: some thousand members.
-const maxAnswer = 4 << 20
+const maxResponseSize = 4 << 20
 
 // membersQuery asks a courier about its fleet.
 type membersQuery struct {
@@ -31,12 +31,12 @@
 	output string
 }
 
-func (q *membersQuery) ask(method, path string) ([]byte, error) {
-	return askAdmin(&q.flags, q.admin, method, path)
+func (q *membersQuery) request(method, path string) ([]byte, error) {
+	return requestAdmin(&q.flags, q.admin, method, path)
 }
 
-func (q *membersQuery) fetch() (fleet pictured, err error) {
-	text, err := q.ask(http.MethodGet, "/peers")
+func (q *membersQuery) fetch() (fleet membersReport, err error) {
+	text, err := q.request(http.MethodGet, "/peers")
 	if err == nil {
 		err = json.Unmarshal(text, &fleet)
 	}
@@ -50,8 +50,8 @@
 		return err
 	}
 	if name != "" {
-		others := func(member membership.Member) bool { return string(member.Name) != name }
-		if fleet.Members = slices.DeleteFunc(fleet.Members, others); len(fleet.Members) == 0 {
+		isOther := func(member membership.Member) bool { return string(member.Name) != name }
+		if fleet.Members = slices.DeleteFunc(fleet.Members, isOther); len(fleet.Members) == 0 {
 			return fmt.Errorf("no member has the name %q", name)
 		}
 	}
@@ -65,22 +65,22 @@
 }
 
 // watch prints the fleet each time that it has changed, until the context ends.
-func (q *membersQuery) watch(ctx context.Context, out io.Writer, every time.Duration) error {
-	for last := uint64(0); ; {
+func (q *membersQuery) watch(ctx context.Context, out io.Writer, interval time.Duration) error {
+	for lastVersion := uint64(0); ; {
 		fleet, err := q.fetch()
 		if err != nil {
 			return err
 		}
-		if fleet.Version != last || last == 0 {
+		if fleet.Version != lastVersion || lastVersion == 0 {
 			if err := q.show(out, ""); err != nil {
 				return err
 			}
 		}
-		last = fleet.Version
+		lastVersion = fleet.Version
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(every):
+		case <-time.After(interval):
 		}
 	}
 }
@@ -89,7 +89,7 @@
 	cmd := &cobra.Command{Use: "members", Short: "Show the fleet as one courier knows it",
 		Long: "Show the fleet as one courier knows it, from its admin address: --ops, or ops of its configuration."}
 	var query membersQuery
-	var every time.Duration
+	var watchInterval time.Duration
 	list := &cobra.Command{Use: "ls", Short: "List the members, their states and this courier's own status", Args: cobra.NoArgs,
 		Example: "  pineport members ls --ops 127.0.0.1:8081\n  pineport members ls --config courier.toml --output json",
 		RunE:    func(cmd *cobra.Command, _ []string) error { return query.show(cmd.OutOrStdout(), "") }}
@@ -97,13 +97,13 @@
 		RunE: func(cmd *cobra.Command, args []string) error { return query.show(cmd.OutOrStdout(), args[0]) }}
 	watch := &cobra.Command{Use: "watch", Short: "List the members each time they change, until interrupted", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return query.watch(cmd.Context(), cmd.OutOrStdout(), every)
+			return query.watch(cmd.Context(), cmd.OutOrStdout(), watchInterval)
 		}}
-	watch.Flags().DurationVar(&every, "every", time.Second, "how often to look")
+	watch.Flags().DurationVar(&watchInterval, "every", time.Second, "how often to look")
 	gone := &cobra.Command{Use: "gone NAME", Short: "Report that a failed member will not come back, so that it is not counted any more", Args: cobra.ExactArgs(1),
 		Long: "Report that a failed member will not come back. Only the courier that is asked stops counting it: report it to each.",
 		RunE: func(_ *cobra.Command, args []string) error {
-			_, err := query.ask(http.MethodPost, "/peers/gone/"+url.PathEscape(args[0]))
+			_, err := query.request(http.MethodPost, "/peers/gone/"+url.PathEscape(args[0]))
 			return err
 		}}
 	for _, command := range []*cobra.Command{list, show, watch, gone} {
@@ -116,7 +116,7 @@
 }
 
 // askAdmin calls a courier at its admin address: the one given, or ops of its configuration.
-func askAdmin(f *flags, addr, method, path string) ([]byte, error) {
+func requestAdmin(f *flags, addr, method, path string) ([]byte, error) {
 	if addr == "" {
 		sources, err := f.sources()
 		if err != nil {
@@ -134,21 +134,21 @@
 	if err != nil {
 		return nil, err
 	}
-	reply, err := (&http.Client{Timeout: answerTimeout}).Do(req)
+	response, err := (&http.Client{Timeout: responseTimeout}).Do(req)
 	if err != nil {
 		return nil, err
 	}
-	defer reply.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(reply.Body, maxAnswer))
-	if err == nil && reply.StatusCode == http.StatusNotFound {
+	defer response.Body.Close()
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseSize))
+	if err == nil && response.StatusCode == http.StatusNotFound {
 		err = fmt.Errorf("the courier at %s is in no fleet, or shares nothing", addr)
-	} else if err == nil && reply.StatusCode != http.StatusOK {
-		err = fmt.Errorf("the courier at %s says: %s", addr, reply.Status)
+	} else if err == nil && response.StatusCode != http.StatusOK {
+		err = fmt.Errorf("the courier at %s says: %s", addr, response.Status)
 	}
 	return text, err
 }
 
-func showMembers(out io.Writer, p pictured) error {
+func showMembers(out io.Writer, p membersReport) error {
 	table := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintf(table, "courier %s, incarnation %d: %s; %d to %d couriers; %d revoked, %d stale reports\n\n", p.Self, p.Incarnation, p.LocalStatus,
 		p.MinCouriers, p.MaxCouriers, p.Revoked, p.StaleReports)
--- a/cmd/pineport/members_test.go
+++ b/cmd/pineport/members_test.go
@@ -14,10 +14,10 @@
 )
 
 // talk has a courier's file allow talk, or not, and name an address for it.
-func talk(t *testing.T, dir string, allowed bool, join ...string) (listen string) {
+func configurePeers(t *testing.T, dir string, allowed bool, join ...string) (listen string) {
 	t.Helper()
 	listen = freePort(t)
-	configured(t, dir, func(top map[string]any) {
+	editConfig(t, dir, func(top map[string]any) {
 		top["peers"] = map[string]any{"listen": listen, "pace_s": 0.1, "fleet": "f", "join": join, "share": true}
 		top["settings"].(map[string]any)["ceilings"].(map[string]any)["peers"] = allowed
 	})
@@ -25,7 +25,7 @@
 }
 
 // footprint is what a process holds: sockets it listens on or has open over UDP, and threads.
-func footprint(t *testing.T, pid int) (udp, threads int) {
+func socketsAndThreads(t *testing.T, pid int) (udp, threads int) {
 	t.Helper()
 	dir := filepath.Join("/proc", strconv.Itoa(pid))
 	inodes := map[string]bool{}
@@ -56,21 +56,21 @@
 	return udp, len(tasks)
 }
 
-// TestNoMembershipWhereForbidden: where the configuration has no peers, as at Dakar, there is no socket and no byte, the key set or not, and
+// TestNoMembershipIfNotAllowed: where the configuration has no peers, as at Dakar, there is no socket and no byte, the key set or not, and
 // nothing is counted or kept of it.
-func TestNoMembershipWhereForbidden(t *testing.T) {
-	world := upgradeWorld(t)
-	heard, err := net.ListenPacket("udp", "127.0.0.1:0")
+func TestNoMembershipIfNotAllowed(t *testing.T) {
+	world := newUpgradeWorld(t)
+	peer, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer heard.Close()
+	defer peer.Close()
 	c := newCourier(t, world)
-	c.ops = freePort(t)
-	listen := talk(t, c.dir, false, heard.LocalAddr().String())
+	c.adminAddr = freePort(t)
+	listen := configurePeers(t, c.dir, false, peer.LocalAddr().String())
 	c.start()
 	time.Sleep(500 * time.Millisecond) // five paces
-	if udp, _ := footprint(t, c.cmd.Process.Pid); udp != 0 {
+	if udp, _ := socketsAndThreads(t, c.cmd.Process.Pid); udp != 0 {
 		t.Errorf("%d UDP sockets", udp)
 	}
 	l, err := net.Listen("tcp", listen)
@@ -79,34 +79,34 @@
 	} else {
 		l.Close()
 	}
-	heard.SetReadDeadline(time.Now().Add(10 * time.Millisecond))
-	if n, _, err := heard.ReadFrom(make([]byte, 100)); err == nil {
+	peer.SetReadDeadline(time.Now().Add(10 * time.Millisecond))
+	if n, _, err := peer.ReadFrom(make([]byte, 100)); err == nil {
 		t.Errorf("%d bytes were sent to a member", n)
 	}
 	if _, err := os.Stat(filepath.Join(c.dir, "state", incarnation.Name)); err == nil {
 		t.Error("a start is numbered")
 	}
 	for _, path := range []string{"/peers", "/commons"} {
-		if status, _ := c.call("GET", path); status != 404 {
+		if status, _ := c.callAdmin("GET", path); status != 404 {
 			t.Errorf("%s: %d", path, status)
 		}
 	}
-	if !strings.Contains(c.said(), "settings.ceilings.peers") {
+	if !strings.Contains(c.logText(), "settings.ceilings.peers") {
 		t.Error("the log does not say why there is no membership")
 	}
 }
 
-// TestUpgradeIsOneMember: over an upgrade the fleet sees one member with one start, never given up; a restart is a new start.
-func TestUpgradeIsOneMember(t *testing.T) {
-	world := upgradeWorld(t)
-	p := newPlatform(t, world)
-	at := talk(t, p.dir, true)
+// TestUpgradeKeepsMember: over an upgrade the fleet sees one member with one start, never given up; a restart is a new start.
+func TestUpgradeKeepsMember(t *testing.T) {
+	world := newUpgradeWorld(t)
+	p := newSupervisor(t, world)
+	at := configurePeers(t, p.dir, true)
 	other, err := gossip.Open(gossip.Options{Name: "other", Incarnation: 1, FleetSize: 2, Fleet: "f", Listen: freePort(t), Join: []string{at}, Interval: 100 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer other.HandOff()
-	seen := func() (state string, start uint64) {
+	memberState := func() (state string, incarnationNumber uint64) {
 		for _, m := range other.Snapshot().Members {
 			if m.Name == "n0" {
 				return m.State.String(), uint64(m.Incarnation)
@@ -114,47 +114,50 @@
 		}
 		return "", 0
 	}
-	old := p.begin(p.binary)
-	p.must(old)
-	waitFor(t, "the courier to be heard", 10*time.Second, func() bool { s, _ := seen(); return s == "alive" })
-	_, first := seen()
-	load := p.steady(4)
+	old := p.startProcess(p.binary)
+	p.requireReady(old)
+	waitFor(t, "the courier to be heard", 10*time.Second, func() bool { s, _ := memberState(); return s == "alive" })
+	_, firstIncarnation := memberState()
+	load := p.startLoad(4)
 	for range 3 {
-		next := p.begin(p.binary)
-		p.must(next)
-		p.leave(old)
-		p.ended.Wait()
+		next := p.startProcess(p.binary)
+		p.requireReady(next)
+		p.terminate(old)
+		p.exits.Wait()
 		waitFor(t, "the successor to be heard", 10*time.Second, func() bool {
-			udp, _ := footprint(t, next.cmd.Process.Pid)
-			s, _ := seen()
+			udp, _ := socketsAndThreads(t, next.cmd.Process.Pid)
+			s, _ := memberState()
 			return udp == 1 && s == "alive"
 		})
 		time.Sleep(time.Second) // ten paces: longer than a suspicion lasts among two
-		if s, start := seen(); s != "alive" || start != first {
-			t.Errorf("after an upgrade it is %s, start %d; it was %d", s, start, first)
+		if s, incarnationNumber := memberState(); s != "alive" || incarnationNumber != firstIncarnation {
+			t.Errorf("after an upgrade it is %s, start %d; it was %d", s, incarnationNumber, firstIncarnation)
 		}
 		old = next
 	}
-	load.end(world, 3)
-	out, err := tool("peers", "ls", "--ops", old.ops)
+	load.verify(world, 3)
+	out, err := runCommand("peers", "ls", "--ops", old.ops)
 	if err != nil || !strings.Contains(out, "other") || !strings.Contains(out, "whole") {
 		t.Errorf("peers ls: %v\n%s", err, out)
 	}
-	if out, err := tool("peers", "show", "other", "--ops", old.ops, "--output", "json"); err != nil || !strings.Contains(out, `"state": "alive"`) {
+	if out, err := runCommand("peers", "show", "other", "--ops", old.ops, "--output", "json"); err != nil || !strings.Contains(out, `"state": "alive"`) {
 		t.Errorf("peers show: %v\n%s", err, out)
 	}
-	if out, err := tool("quota", "show", "--ops", old.ops); err != nil || !strings.Contains(out, "LEASED") {
+	if out, err := runCommand("quota", "show", "--ops", old.ops); err != nil || !strings.Contains(out, "LEASED") {
 		t.Errorf("quota show: %v\n%s", err, out)
 	}
-	if _, err := tool("peers", "show", "nobody", "--ops", old.ops); err == nil {
+	if _, err := runCommand("peers", "show", "nobody", "--ops", old.ops); err == nil {
 		t.Error("a member that is not there is shown")
 	}
-	p.leave(old)
-	p.ended.Wait()
-	waitFor(t, "word that it left", 10*time.Second, func() bool { s, _ := seen(); return s == "left" })
-	last := p.begin(p.binary)
-	p.must(last)
-	waitFor(t, "its next start", 10*time.Second, func() bool { s, start := seen(); return s == "alive" && start == first+1 })
+	p.terminate(old)
+	p.exits.Wait()
+	waitFor(t, "word that it left", 10*time.Second, func() bool { s, _ := memberState(); return s == "left" })
+	last := p.startProcess(p.binary)
+	p.requireReady(last)
+	waitFor(t, "its next start", 10*time.Second, func() bool {
+		s, incarnationNumber := memberState()
+		return s == "alive" && incarnationNumber == firstIncarnation+1
+	})
 	if other.Snapshot().Revoked > 0 {
 		t.Errorf("%d deaths were believed that were none", other.Snapshot().Revoked)
 	}
--- a/cmd/pineport/ops_test.go
+++ b/cmd/pineport/ops_test.go
@@ -18,31 +18,31 @@
 )
 
 // operated is a courier with an address for operators, that serves.
-func operated(t *testing.T, world *scripted.World) *courier {
+func startWithAdmin(t *testing.T, world *scripted.World) *courier {
 	t.Helper()
 	c := newCourier(t, world)
-	c.ops = freePort(t)
+	c.adminAddr = freePort(t)
 	c.start()
 	return c
 }
 
 func freePort(t *testing.T) string {
 	t.Helper()
-	addr, letGo, err := port.Reserve()
+	addr, release, err := port.Reserve()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(letGo)
+	t.Cleanup(release)
 	return addr
 }
 
 // call returns the status and the body of the answer.
-func (c *courier) call(method, path string) (int, []byte) {
+func (c *courier) callAdmin(method, path string) (int, []byte) {
 	c.t.Helper()
-	return callTo(c.t, c.ops, method, path)
+	return callAdminAt(c.t, c.adminAddr, method, path)
 }
 
-func callTo(t *testing.T, addr, method, path string) (int, []byte) {
+func callAdminAt(t *testing.T, addr, method, path string) (int, []byte) {
 	t.Helper()
 	r, err := http.NewRequest(method, "http://"+addr+path, nil)
 	if err != nil {
@@ -58,52 +58,52 @@
 	return a.StatusCode, body
 }
 
-func (c *courier) yes(method, path string) {
+func (c *courier) mustCallAdmin(method, path string) {
 	c.t.Helper()
-	if status, body := c.call(method, path); status != 200 {
+	if status, body := c.callAdmin(method, path); status != 200 {
 		c.t.Fatalf("%s %s: %d %s", method, path, status, body)
 	}
 }
 
-func (c *courier) figures() (f admin.Metrics) {
+func (c *courier) metrics() (f admin.Metrics) {
 	c.t.Helper()
-	status, body := c.call("GET", "/status/metrics")
+	status, body := c.callAdmin("GET", "/status/metrics")
 	if err := json.Unmarshal(body, &f); status != 200 || err != nil {
 		c.t.Fatalf("figures: %d %s %v", status, body, err)
 	}
 	return f
 }
 
-// TestFigures holds each figure against what the world around the courier saw. Failure: there were none.
-func TestFigures(t *testing.T) {
-	world, err := scripted.Open(2, fates())
+// TestMetrics holds each figure against what the world around the courier saw. Failure: there were none.
+func TestMetrics(t *testing.T) {
+	world, err := scripted.Open(2, responsesByPrefix())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer world.Close()
-	c := operated(t, world)
-	if f := c.figures(); f.Success["order"] != 0 || len(f.Success) != 2 || len(f.Overload) != 2 || len(f.Error) != 2 || f.Targets != 2 {
+	c := startWithAdmin(t, world)
+	if f := c.metrics(); f.Success["order"] != 0 || len(f.Success) != 2 || len(f.Overload) != 2 || len(f.Error) != 2 || f.Targets != 2 {
 		t.Errorf("at the start: %+v", f)
 	}
-	var ids, all []string
+	var ids, commands []string
 	for i := range 8 {
 		for _, kind := range []string{"okay", "slow", "full", "fail", "brok"} {
 			for _, class := range []string{"update", "order"} {
 				ids = append(ids, fmt.Sprintf("%s-%s-%d", kind, class, i))
-				all = append(all, enqueue(ids[len(ids)-1], class, 6000))
+				commands = append(commands, enqueue(ids[len(ids)-1], class, 6000))
 			}
 		}
 	}
 	want := admin.Metrics{Success: map[string]int64{}, Overload: map[string]int64{}, Error: map[string]int64{}}
-	taken := map[string]bool{}
-	for i, line := range c.ask(all...) {
-		if taken[ids[i]] = line == "+OK"; !taken[ids[i]] {
+	accepted := map[string]bool{}
+	for i, line := range c.send(commands...) {
+		if accepted[ids[i]] = line == "+OK"; !accepted[ids[i]] {
 			want.Overload[strings.Split(ids[i], "-")[1]]++
 		}
 	}
-	waitFor(t, "something held while slow calls are out", 2*time.Second, func() bool { return c.figures().Concurrent > 0 })
+	waitFor(t, "something held while slow calls are out", 2*time.Second, func() bool { return c.metrics().Concurrent > 0 })
 	for _, id := range ids {
-		if !taken[id] {
+		if !accepted[id] {
 			continue
 		}
 		waitFor(t, id, 10*time.Second, func() bool {
@@ -121,13 +121,13 @@
 		}
 	}
 	waitFor(t, "the figures of what has ended", 5*time.Second, func() bool {
-		f := c.figures()
-		same := f.Concurrent == 0 && f.Dispatches == int64(world.Calls(0)+world.Calls(1))
+		f := c.metrics()
+		matches := f.Concurrent == 0 && f.Dispatches == int64(world.Calls(0)+world.Calls(1))
 		for _, class := range []string{"update", "order"} {
-			same = same && f.Success[class] == want.Success[class] && f.Overload[class] == want.Overload[class] &&
+			matches = matches && f.Success[class] == want.Success[class] && f.Overload[class] == want.Overload[class] &&
 				f.Error[class] == want.Error[class]
 		}
-		return same
+		return matches
 	})
 	if want.Success["update"] < 30 || want.Error["order"] < 5 {
 		t.Errorf("too little has happened: %+v", want)
@@ -142,99 +142,99 @@
 		t.Fatal(err)
 	}
 	defer world.Close()
-	c := operated(t, world)
+	c := startWithAdmin(t, world)
 	n := 0
-	hand := func() {
+	submit := func() {
 		t.Helper()
-		var all []string
+		var commands []string
 		for range 20 {
 			n++
-			all = append(all, enqueue(fmt.Sprint("okay-", n), "update", 6000))
+			commands = append(commands, enqueue(fmt.Sprint("okay-", n), "update", 6000))
 		}
-		c.ask(all...)
+		c.send(commands...)
 		for i := n - 19; i <= n; i++ {
 			waitFor(t, "a record", 8*time.Second, func() bool { _, done, _ := world.Seen(fmt.Sprint("okay-", i)); return done > 0 })
 		}
 	}
-	hand()
+	submit()
 	if world.Calls(0) == 0 || world.Calls(1) == 0 {
 		t.Fatal("one endpoint gets nothing even so")
 	}
 	for _, verb := range []string{"enter", "exit"} {
-		if status, _ := c.call("POST", "/maintenance/"+verb+"/s-7"); status != 404 {
+		if status, _ := c.callAdmin("POST", "/maintenance/"+verb+"/s-7"); status != 404 {
 			t.Errorf("%s of a stranger: %d", verb, status)
 		}
 	}
-	c.yes("POST", "/maintenance/exit/s-0") // is not out: nothing changes
-	c.yes("POST", "/maintenance/enter/s-0")
-	c.yes("POST", "/maintenance/enter/s-0")
+	c.mustCallAdmin("POST", "/maintenance/exit/s-0") // is not out: nothing changes
+	c.mustCallAdmin("POST", "/maintenance/enter/s-0")
+	c.mustCallAdmin("POST", "/maintenance/enter/s-0")
 	before := world.Calls(0)
-	hand()
-	if f := c.figures(); f.Targets != 2 || f.TargetsDisabled != 1 {
+	submit()
+	if f := c.metrics(); f.Targets != 2 || f.TargetsDisabled != 1 {
 		t.Errorf("%+v", f)
 	}
 	c.cmd.Process.Signal(syscall.SIGHUP)
-	waitFor(t, "the reload", 5*time.Second, func() bool { return strings.Contains(c.said(), "configuration reloaded") })
-	hand()
+	waitFor(t, "the reload", 5*time.Second, func() bool { return strings.Contains(c.logText(), "configuration reloaded") })
+	submit()
 	c.cmd.Process.Signal(syscall.SIGKILL)
 	c.cmd.Wait()
 	c.start()
-	hand()
+	submit()
 	if got := world.Calls(0); got != before {
 		t.Fatalf("%d calls to the endpoint that is out", got-before)
 	}
-	c.yes("POST", "/maintenance/exit/s-0")
+	c.mustCallAdmin("POST", "/maintenance/exit/s-0")
 	for range 20 {
-		if hand(); world.Calls(0) > before {
+		if submit(); world.Calls(0) > before {
 			return
 		}
 	}
 	t.Error("put back, and it gets nothing")
 }
 
-// TestSentAway: a drain, and its undoing. Failure: clients were kept for as long as they stayed.
-func TestSentAway(t *testing.T) {
+// TestDrainAndReactivate: a drain, and its undoing. Failure: clients were kept for as long as they stayed.
+func TestDrainAndReactivate(t *testing.T) {
 	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer world.Close()
-	c := operated(t, world)
+	c := startWithAdmin(t, world)
 	for round := range 2 {
-		kept, err := net.Dial("tcp", c.listen)
+		conn, err := net.Dial("tcp", c.listen)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer kept.Close()
-		kept.SetDeadline(time.Now().Add(10 * time.Second))
-		in := bufio.NewReader(kept)
-		line := func(text string) string {
-			io.WriteString(kept, text)
-			line, _ := in.ReadString('\n')
-			return strings.TrimSpace(line)
+		defer conn.Close()
+		conn.SetDeadline(time.Now().Add(10 * time.Second))
+		in := bufio.NewReader(conn)
+		request := func(text string) string {
+			io.WriteString(conn, text)
+			request, _ := in.ReadString('\n')
+			return strings.TrimSpace(request)
 		}
-		if got := line(command("PING")); got != "+PONG" {
+		if got := request(command("PING")); got != "+PONG" {
 			t.Fatalf("before: %s", got)
 		}
-		c.yes("POST", "/standby")
-		c.yes("POST", "/standby")
-		if status, _ := c.call("GET", "/status"); status != 503 {
+		c.mustCallAdmin("POST", "/standby")
+		c.mustCallAdmin("POST", "/standby")
+		if status, _ := c.callAdmin("GET", "/status"); status != 503 {
 			t.Errorf("drained, and status says %d", status)
 		}
 		id := fmt.Sprint("late-", round)
-		if got := line(command("PING") + enqueue(id, "update", 8000)); !strings.HasPrefix(got, "-ERR") {
+		if got := request(command("PING") + enqueue(id, "update", 8000)); !strings.HasPrefix(got, "-ERR") {
 			t.Errorf("PING while clients are drained: %s", got)
 		}
-		if got := line(""); got != "+OK" {
+		if got := request(""); got != "+OK" {
 			t.Errorf("a message over a connection that is up: %s", got)
 		}
 		waitFor(t, id, 5*time.Second, func() bool { _, done, _ := world.Seen(id); return done == 1 })
 		if got, err := in.ReadString('\n'); err != io.EOF {
 			t.Errorf("not closed between two requests: %q %v", got, err)
 		}
-		c.yes("POST", "/active")
-		c.yes("GET", "/status")
-		if got := c.ask(command("PING")); got[0] != "+PONG" {
+		c.mustCallAdmin("POST", "/active")
+		c.mustCallAdmin("GET", "/status")
+		if got := c.send(command("PING")); got[0] != "+PONG" {
 			t.Errorf("after the drain: %v", got)
 		}
 	}
@@ -247,13 +247,13 @@
 		t.Fatal(err)
 	}
 	defer world.Close()
-	c := operated(t, world)
+	c := startWithAdmin(t, world)
 	stop := make(chan struct{})
 	done := make(chan struct{})
 	for range 5 {
 		go func() {
 			defer func() { done <- struct{}{} }()
-			many := strings.Repeat(command("PING"), 500)
+			commands := strings.Repeat(command("PING"), 500)
 			for {
 				select {
 				case <-stop:
@@ -267,7 +267,7 @@
 				conn.SetDeadline(time.Now().Add(2 * time.Second))
 				go io.Copy(io.Discard, conn)
 				for range 100 {
-					if _, err := io.WriteString(conn, many); err != nil {
+					if _, err := io.WriteString(conn, commands); err != nil {
 						break
 					}
 				}
@@ -276,10 +276,10 @@
 		}()
 	}
 	for range 20 {
-		c.yes("GET", "/status")
-		c.yes("GET", "/status/metrics")
-		c.yes("POST", "/maintenance/enter/s-0") // through the event loop
-		c.yes("POST", "/maintenance/exit/s-0")
+		c.mustCallAdmin("GET", "/status")
+		c.mustCallAdmin("GET", "/status/metrics")
+		c.mustCallAdmin("POST", "/maintenance/enter/s-0") // through the event loop
+		c.mustCallAdmin("POST", "/maintenance/exit/s-0")
 	}
 	close(stop)
 	for range 5 {
@@ -287,21 +287,21 @@
 	}
 }
 
-// TestOpsTaken: faults of the address are notified at the start.
-func TestOpsTaken(t *testing.T) {
+// TestInvalidOpsAddress: faults of the address are notified at the start.
+func TestInvalidOpsAddress(t *testing.T) {
 	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer world.Close()
-	c := operated(t, world)
-	for _, addr := range []string{c.ops, c.listen, "nowhere"} {
-		out, err := c.second(addr)
+	c := startWithAdmin(t, world)
+	for _, addr := range []string{c.adminAddr, c.listen, "nowhere"} {
+		out, err := c.runAgain(addr)
 		if err == nil || !strings.Contains(out, "ops") {
 			t.Errorf("ops=%s: %v, %s", addr, err, out)
 		}
 	}
-	if got := c.ask(command("PING")); got[0] != "+PONG" {
+	if got := c.send(command("PING")); got[0] != "+PONG" {
 		t.Error(got)
 	}
 }
--- a/cmd/pineport/quota.go
+++ b/cmd/pineport/quota.go
@@ -19,7 +19,7 @@
 	show := &cobra.Command{Use: "show", Short: "Show the shares of limits that one courier has granted and leased, and what is known to be in use", Args: cobra.NoArgs,
 		Example: "  pineport quota show --ops 127.0.0.1:8081\n  pineport quota show --config courier.toml --output json",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			text, err := askAdmin(&f, at, http.MethodGet, "/commons")
+			text, err := requestAdmin(&f, at, http.MethodGet, "/commons")
 			if err != nil {
 				return err
 			}
--- a/cmd/pineport/ready_test.go
+++ b/cmd/pineport/ready_test.go
@@ -21,7 +21,7 @@
 )
 
 // fill puts as many messages into the courier's folder as it takes, each with a history of attempts, and returns how many it added.
-func (c *courier) fill(round, body int) (messages int) {
+func (c *courier) fillSpool(round, body int) (messages int) {
 	c.t.Helper()
 	dep, err := config.Load(func(key string) string {
 		return map[string]string{"RELAY_CONFIG": filepath.Join(c.dir, "config.json"), "RELAY_STATE": filepath.Join(c.dir, "state")}[key]
@@ -29,28 +29,28 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	room := server.SpoolLimit(dep)
-	kept, _, _, err := spool.Open(dep.StateDir, room)
+	spoolLimit := server.SpoolLimit(dep)
+	store, _, _, err := spool.Open(dep.StateDir, spoolLimit)
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	defer kept.Close()
+	defer store.Close()
 	for ; ; messages++ {
 		id := fmt.Sprintf("kept-%d-%d", round, messages)
-		err := kept.Append(&spool.Message{ID: id, Class: []string{"update", "order"}[messages%2], Destination: 1,
+		err := store.Append(&spool.Message{ID: id, Class: []string{"update", "order"}[messages%2], Destination: 1,
 			Deadline: time.Now().Add(time.Hour).UnixMicro(), Body: bytes.Repeat([]byte("x"), body)})
 		if errors.Is(err, spool.ErrFull) {
 			break
 		}
 		for n := range 3 {
-			err = errors.Join(err, kept.BeginAttempt(id, spool.Attempt{Endpoint: "s-0", SentAt: time.Now().UnixMicro()}), kept.FinishAttempt(id, n, "unreachable"))
+			err = errors.Join(err, store.BeginAttempt(id, spool.Attempt{Endpoint: "s-0", SentAt: time.Now().UnixMicro()}), store.FinishAttempt(id, n, "unreachable"))
 		}
 		if err != nil {
 			c.t.Fatal(err)
 		}
 	}
 	if round == 0 {
-		c.t.Logf("%d messages of %d bytes, %d of %d bytes of the folder", messages, body, kept.Size(), room)
+		c.t.Logf("%d messages of %d bytes, %d of %d bytes of the folder", messages, body, store.Size(), spoolLimit)
 	}
 	return messages
 }
@@ -58,7 +58,7 @@
 // startTimed starts the courier and returns how long it took until it answered a PING.
 func (c *courier) startTimed() time.Duration {
 	c.t.Helper()
-	const crashAfter = 30 * time.Second // one that is not ready by then fails the day
+	const startTimeout = 30 * time.Second // one that is not ready by then fails the day
 	began := time.Now()
 	c.cmd = exec.Command(c.binary)
 	c.cmd.Env = append(os.Environ(), "RELAY_CONFIG="+filepath.Join(c.dir, "config.json"), "RELAY_STATE="+filepath.Join(c.dir, "state"))
@@ -66,12 +66,12 @@
 	if err := c.cmd.Start(); err != nil {
 		c.t.Fatal(err)
 	}
-	for ; time.Since(began) < crashAfter; time.Sleep(time.Millisecond) {
+	for ; time.Since(began) < startTimeout; time.Sleep(time.Millisecond) {
 		if c.answersPing() {
 			return time.Since(began)
 		}
 	}
-	c.t.Fatalf("not ready within %v", crashAfter)
+	c.t.Fatalf("not ready within %v", startTimeout)
 	return 0
 }
 
@@ -87,9 +87,9 @@
 	return err == nil && line == "+PONG\r\n"
 }
 
-// TestReadyWithAFullFolder: nine in ten restarted processes are ready within 10 s, with a folder as full as it gets, of many small
+// TestReadyWithFullSpool: nine in ten restarted processes are ready within 10 s, with a folder as full as it gets, of many small
 // messages or of few large ones, at the size of folder that the platform gives and at one ten times as large.
-func TestReadyWithAFullFolder(t *testing.T) {
+func TestReadyWithFullSpool(t *testing.T) {
 	const (
 		restarts    = 10
 		readyWithin = 10 * time.Second
@@ -105,20 +105,20 @@
 			}
 			defer world.Close()
 			c := newCourier(t, world)
-			c.rewrite(`"disk_mb": 3`, fmt.Sprintf(`"disk_mb": %d`, folder.diskMB))
-			var took []time.Duration
+			c.replaceInConfig(`"disk_mb": 3`, fmt.Sprintf(`"disk_mb": %d`, folder.diskMB))
+			var startTimes []time.Duration
 			for round := range restarts {
-				if added := c.fill(round, folder.body); round == 0 && added == 0 {
+				if added := c.fillSpool(round, folder.body); round == 0 && added == 0 {
 					t.Fatal("nothing fits into the folder")
 				}
-				took = append(took, c.startTimed().Round(time.Millisecond))
+				startTimes = append(startTimes, c.startTimed().Round(time.Millisecond))
 				c.cmd.Process.Signal(syscall.SIGKILL)
 				c.cmd.Wait()
 			}
-			t.Logf("ready after %v", took)
-			slices.Sort(took)
-			if ninth := took[restarts*9/10-1]; ninth > readyWithin {
-				t.Errorf("nine in ten were ready within %v, and not within %v", ninth, readyWithin)
+			t.Logf("ready after %v", startTimes)
+			slices.Sort(startTimes)
+			if percentile := startTimes[restarts*9/10-1]; percentile > readyWithin {
+				t.Errorf("nine in ten were ready within %v, and not within %v", percentile, readyWithin)
 			}
 		})
 	}
--- a/cmd/pineport/reload_test.go
+++ b/cmd/pineport/reload_test.go
@@ -50,22 +50,22 @@
 		}
 	}
 	var ids []string
-	hand := func(kind, class string, n int) (taken int) {
-		var all []string
+	submit := func(kind, class string, n int) (accepted int) {
+		var commands []string
 		for i := range n {
 			id := fmt.Sprintf("%s-%s-%d-%d", kind, class, len(ids), i)
-			all = append(all, enqueue(id, class, 6000))
+			commands = append(commands, enqueue(id, class, 6000))
 		}
-		for i, line := range c.ask(all...) {
+		for i, line := range c.send(commands...) {
 			if line == "+OK" {
-				taken++
-				ids = append(ids, strings.Split(all[i], "\r\n")[6])
+				accepted++
+				ids = append(ids, strings.Split(commands[i], "\r\n")[6])
 			}
 		}
-		return taken
+		return accepted
 	}
-	hand("full", "update", 10)
-	hand("okay", "order", 20)
+	submit("full", "update", 10)
+	submit("okay", "order", 20)
 	for round := range 10 {
 		switch round {
 		case 3: // half written
@@ -76,11 +76,11 @@
 			c.cmd.Process.Signal(syscall.SIGSTOP)
 		case 6:
 			c.cmd.Process.Signal(syscall.SIGCONT)
-			leave, err := world.Move()
+			closeOld, err := world.Move()
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer leave()
+			defer closeOld()
 		}
 		if round != 3 {
 			write(func(_, ceilings, family map[string]any) {
@@ -89,26 +89,26 @@
 		}
 		c.cmd.Process.Signal(syscall.SIGHUP)
 		if round != 5 {
-			hand("okay", "order", 3)
+			submit("okay", "order", 3)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 	write(func(_, _, _ map[string]any) {})
 	c.cmd.Process.Signal(syscall.SIGHUP)
 	time.Sleep(200 * time.Millisecond)
-	if hand("full", "update", 3) != 3 {
+	if submit("full", "update", 3) != 3 {
 		t.Error("with the usual room again, messages were not taken")
 	}
 	write(func(settings, _, _ map[string]any) { settings["classes"] = settings["classes"].([]any)[1:] })
 	c.cmd.Process.Signal(syscall.SIGHUP)
-	waitFor(t, "the workload is taken away", 3*time.Second, func() bool { return strings.Contains(c.said(), "class removed") })
-	if strings.Contains(c.said(), "unfinished=0\n") {
+	waitFor(t, "the workload is taken away", 3*time.Second, func() bool { return strings.Contains(c.logText(), "class removed") })
+	if strings.Contains(c.logText(), "unfinished=0\n") {
 		t.Error("nothing was held of the class that was taken away")
 	}
-	if got := c.ask(enqueue("late", "update", 5000))[0]; !strings.HasPrefix(got, "-ERR unknown workload") {
+	if got := c.send(enqueue("late", "update", 5000))[0]; !strings.HasPrefix(got, "-ERR unknown workload") {
 		t.Errorf("a message of a class that is gone: %s", got)
 	}
-	if hand("okay", "order", 2) != 2 {
+	if submit("okay", "order", 2) != 2 {
 		t.Error("a message of the class that stayed was not taken")
 	}
 	for _, id := range ids {
@@ -116,26 +116,26 @@
 	}
 	for _, id := range ids {
 		began, done, notices := world.Seen(id)
-		again := len(notices) > 1 && notices[0] != notices[1] // not confirmed before the directory moved, one goes again, the same
-		if strings.Contains(id, "order") && began > 1 || again || done > 0 && len(notices) > 0 {
+		conflicting := len(notices) > 1 && notices[0] != notices[1] // not confirmed before the directory moved, one goes again, the same
+		if strings.Contains(id, "order") && began > 1 || conflicting || done > 0 && len(notices) > 0 {
 			t.Errorf("%s: begun %d times, done %d, notices %v", id, began, done, notices)
 		}
 	}
-	if !strings.Contains(c.said(), "new configuration rejected") || strings.Contains(c.said(), "panic") {
-		t.Error(c.said())
+	if !strings.Contains(c.logText(), "new configuration rejected") || strings.Contains(c.logText(), "panic") {
+		t.Error(c.logText())
 	}
 }
 
-// TestHangupsBetweenTwoRouters: hangups that come while no event loop takes configurations are not lost: the next event loop takes, last, what the
+// TestHangupsBetweenEventLoops: hangups that come while no event loop takes configurations are not lost: the next event loop takes, last, what the
 // file says by then.
-func TestHangupsBetweenTwoRouters(t *testing.T) {
+func TestHangupsBetweenEventLoops(t *testing.T) {
 	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(world.Close)
 	path := filepath.Join(t.TempDir(), "config.json")
-	says := func(name string) {
+	writeConfig := func(name string) {
 		if err := os.WriteFile(path+".new", world.Configuration(name, "127.0.0.1:1"), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -151,15 +151,15 @@
 	p := &process{sources: config.Sources{Getenv: func(string) string { return "" }, File: path, State: t.TempDir()}, log: log,
 		reloads: make(chan *config.Deployment)}
 	hangups := make(chan os.Signal, 1)
-	heard := make(chan struct{})
+	returned := make(chan struct{})
 	go func() {
-		p.hear(hangups)
-		close(heard)
+		p.handleHangups(hangups)
+		close(returned)
 	}()
-	says("first")
+	writeConfig("first")
 	hangups <- syscall.SIGHUP
 	hangups <- syscall.SIGHUP // taken once the first is read, and nobody takes what that brought
-	says("last")
+	writeConfig("last")
 	var dep *config.Deployment
 	for range 2 {
 		select {
@@ -172,5 +172,5 @@
 		t.Errorf("the next event loop goes on by %q", dep.Name)
 	}
 	close(hangups)
-	<-heard
+	<-returned
 }
--- a/cmd/pineport/run.go
+++ b/cmd/pineport/run.go
@@ -28,16 +28,18 @@
 )
 
 // grace is how long the courier goes on after SIGTERM: SIGKILL comes no sooner than 3.7 s after it.
-const grace = 3400 * time.Millisecond
+const shutdownGrace = 3400 * time.Millisecond
 
 // lastLines is how long the end of the process waits for a reader of its log.
-const lastLines = 50 * time.Millisecond
+const logFlushTimeout = 50 * time.Millisecond
 
 // run is the courier, until it is notified to end.
-func run(sources config.Sources, out io.Writer) error { return runBy(clock.System, sources, out) }
+func run(sources config.Sources, out io.Writer) error {
+	return runWithClock(clock.System, sources, out)
+}
 
 // runBy is run with the clocks that the courier's time is taken from.
-func runBy(clocks clock.Source, sources config.Sources, out io.Writer) error {
+func runWithClock(clockSource clock.Source, sources config.Sources, out io.Writer) error {
 	hangups := make(chan os.Signal, 1) // first of all, or a hangup would end the process; one more stands for many
 	signal.Notify(hangups, syscall.SIGHUP)
 	dep, err := config.LoadFrom(sources)
@@ -48,7 +50,7 @@
 	if err != nil {
 		return err
 	}
-	defer log.Close(lastLines)
+	defer log.Close(logFlushTimeout)
 	if dep.SocketFD > 0 { // before another process hands all over for nothing
 		l, err := transport.ListenerFromFD(dep.SocketFD)
 		if err != nil {
@@ -56,23 +58,23 @@
 		}
 		l.Close()
 	}
-	var desk *admin.Server
+	var adminServer *admin.Server
 	if dep.Ops != "" { // answers from the start: with no, until there is an event loop
-		if desk, err = openDesk(dep, log); err != nil {
+		if adminServer, err = openAdminServer(dep, log); err != nil {
 			return fmt.Errorf("ops: %w", err)
 		}
-		defer desk.Close()
+		defer adminServer.Close()
 	}
-	warn(log.Logger, dep)
-	limits(dep)
-	p := &process{clocks: clocks, sources: sources, dep: dep, log: log, desk: desk, stop: make(chan struct{}), reloads: make(chan *config.Deployment)}
+	logWarnings(log.Logger, dep)
+	applyLimits(dep)
+	p := &process{clockSource: clockSource, sources: sources, dep: dep, log: log, adminServer: adminServer, stop: make(chan struct{}), reloads: make(chan *config.Deployment)}
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	go func() {
 		<-signals
 		close(p.stop)
 	}()
-	go p.hear(hangups)
+	go p.handleHangups(hangups)
 	for {
 		if err := p.serve(); !errors.Is(err, server.ErrReclaim) {
 			return err
@@ -81,46 +83,46 @@
 }
 
 // openDesk listens for operators, as often as it takes where this machine is short of something.
-func openDesk(dep *config.Deployment, log *logging.Log) (*admin.Server, error) {
+func openAdminServer(dep *config.Deployment, log *logging.Log) (*admin.Server, error) {
 	for {
-		desk, err := admin.Open(dep.Ops, server.AdminSockets(dep)-2, log.With(logging.Component, "ops"))
+		adminServer, err := admin.Open(dep.Ops, server.AdminSockets(dep)-2, log.With(logging.Component, "ops"))
 		if !transport.IsTemporary(err) {
-			return desk, err
+			return adminServer, err
 		}
 		log.Warn("not listening yet", "error", err)
-		time.Sleep(openRetry)
+		time.Sleep(openRetryInterval)
 	}
 }
 
 // process is what lasts while one event loop follows another.
 type process struct {
-	sources config.Sources
-	dep     *config.Deployment
-	log     *logging.Log
-	desk    *admin.Server // nil: none
-	stop    chan struct{}
-	reloads chan *config.Deployment
-	router  atomic.Pointer[server.Server]
-	member  atomic.Pointer[gossip.Member] // of the fleet; nil: none
-	clocks  clock.Source
-	clock   atomic.Pointer[clock.Clock]
+	sources     config.Sources
+	dep         *config.Deployment
+	log         *logging.Log
+	adminServer *admin.Server // nil: none
+	stop        chan struct{}
+	reloads     chan *config.Deployment
+	server      atomic.Pointer[server.Server]
+	member      atomic.Pointer[gossip.Member] // of the fleet; nil: none
+	clockSource clock.Source
+	clock       atomic.Pointer[clock.Clock]
 }
 
 // hear reads the configuration anew at each hangup.
-func (p *process) hear(hangups <-chan os.Signal) {
+func (p *process) handleHangups(hangups <-chan os.Signal) {
 	sources := p.sources
 	sources.IsReload = true
 	for range hangups {
-		next, err := config.LoadFrom(sources)
+		dep, err := config.LoadFrom(sources)
 		if err != nil {
 			p.log.Error("new configuration rejected", "error", err)
-			if r := p.router.Load(); r != nil {
+			if r := p.server.Load(); r != nil {
 				r.CountFailedReload()
 			}
 			continue
 		}
-		warn(p.log.Logger, next)
-		p.reloads <- next
+		logWarnings(p.log.Logger, dep)
+		p.reloads <- dep
 	}
 }
 
@@ -136,11 +138,11 @@
 		case <-ctx.Done():
 		}
 	}()
-	folder, given, predecessor, err := handoff.Acquire(ctx, dep.StateDir, dep.Name, log.With(logging.Component, "handover"))
-	for err != nil && isFailing(err) && ctx.Err() == nil { // found by the soak: a start while the folder failed ended the process
+	stateDir, inherited, predecessor, err := handoff.Acquire(ctx, dep.StateDir, dep.Name, log.With(logging.Component, "handover"))
+	for err != nil && isTransient(err) && ctx.Err() == nil { // found by the soak: a start while the folder failed ended the process
 		log.Error("spool error", logging.Component, "spool", "error", err)
-		time.Sleep(openRetry)
-		folder, given, predecessor, err = handoff.Acquire(ctx, dep.StateDir, dep.Name, log.With(logging.Component, "handover"))
+		time.Sleep(openRetryInterval)
+		stateDir, inherited, predecessor, err = handoff.Acquire(ctx, dep.StateDir, dep.Name, log.With(logging.Component, "handover"))
 	}
 	if ctx.Err() != nil {
 		return nil // asked to exit before there was anything to do
@@ -148,42 +150,42 @@
 	if err != nil {
 		return fmt.Errorf("RELAY_STATE: %w", err)
 	}
-	defer folder.Close()
+	defer stateDir.Close()
 	snapshot.RemoveTempFiles(dep.StateDir) // before the spool takes that room
-	kept, unfinished, faults, err := p.openSpool(ctx)
+	store, unfinished, faults, err := p.openSpool(ctx)
 	if err != nil || ctx.Err() != nil {
 		return err
 	}
 	for _, fault := range faults {
 		log.With(logging.Component, "spool").Warn("spool error", "error", fault)
 	}
-	clk := p.openClock(ctx, unfinished, given)
-	router, err := server.New(dep, kept, unfinished, given, clk, log.With(logging.Component, "routing"))
+	clk := p.openClock(ctx, unfinished, inherited)
+	srv, err := server.New(dep, store, unfinished, inherited, clk, log.With(logging.Component, "routing"))
 	if err != nil {
 		return err
 	}
-	p.attach(router, given)
+	p.attach(srv, inherited)
 	if predecessor != nil {
-		router.Predecessor(predecessor)
+		srv.Predecessor(predecessor)
 	}
-	defer p.enter(ctx, router, given)()
-	router.Successors(folder.Release)
-	if err := folder.Serve(router.SuccessorArrived); err != nil {
+	defer p.startMembership(ctx, srv, inherited)()
+	srv.Successors(stateDir.Release)
+	if err := stateDir.Serve(srv.SuccessorArrived); err != nil {
 		log.Warn("handoff unavailable while this process runs", "error", err)
 	}
-	return router.Run(p.stop, p.reloads, grace)
+	return srv.Run(p.stop, p.reloads, shutdownGrace)
 }
 
 // anchorRetry is how often it is tried to store the clock's anchor, where that fails.
-const anchorRetry = time.Second
+const anchorRetryInterval = time.Second
 
 // openClock returns the time of the courier: that of the processes before this one, going on. Failure: each process took its time from
 // the wall clock, and one that had been stepped in between moved all deadlines, windows and waits in the folder.
-func (p *process) openClock(ctx context.Context, unfinished []*spool.Message, given *handoff.State) *clock.Clock {
+func (p *process) openClock(ctx context.Context, unfinished []*spool.Message, inherited *handoff.State) *clock.Clock {
 	dir, log := p.dep.StateDir, p.log.With(logging.Component, "routing")
-	readings := p.clocks()
-	if given != nil {
-		readings.Wall = int64(given.Snapshot.TakenAt) // a moment ago, by the clock of whoever handed over
+	readings := p.clockSource()
+	if inherited != nil {
+		readings.Wall = int64(inherited.Snapshot.TakenAt) // a moment ago, by the clock of whoever handed over
 	}
 	clk, err := clock.Open(dir, readings, latestTime(dir, p.dep.Name, unfinished))
 	if err != nil {
@@ -205,7 +207,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(anchorRetry):
+		case <-time.After(anchorRetryInterval):
 		}
 	}
 }
@@ -224,12 +226,12 @@
 }
 
 // openRetry is how often it is tried to open the spool, where the folder fails.
-const openRetry = 100 * time.Millisecond
+const openRetryInterval = 100 * time.Millisecond
 
 // isFailing reports whether the folder, or this machine, fails for a while, rather than being set up wrongly.
-func isFailing(err error) bool {
-	for _, failing := range []error{syscall.ENOSPC, syscall.EIO, syscall.EDQUOT} {
-		if errors.Is(err, failing) {
+func isTransient(err error) bool {
+	for _, errno := range []error{syscall.ENOSPC, syscall.EIO, syscall.EDQUOT} {
+		if errors.Is(err, errno) {
 			return true
 		}
 	}
@@ -238,42 +240,42 @@
 
 // openSpool opens the spool, as often as it takes: what was taken on is still owed, and a process that ends helps nobody. A folder that is not
 // there is another matter, which the configuration's check has reported.
-func (p *process) openSpool(ctx context.Context) (kept *spool.Spool, unfinished []*spool.Message, faults []error, err error) {
+func (p *process) openSpool(ctx context.Context) (store *spool.Spool, unfinished []*spool.Message, faults []error, err error) {
 	for {
-		kept, unfinished, faults, err = spool.Open(p.dep.StateDir, server.SpoolLimit(p.dep))
+		store, unfinished, faults, err = spool.Open(p.dep.StateDir, server.SpoolLimit(p.dep))
 		if err == nil {
-			return kept, unfinished, faults, nil
+			return store, unfinished, faults, nil
 		}
 		p.log.With(logging.Component, "spool").Error("spool error", "error", err)
 		select {
 		case <-ctx.Done():
 			return nil, nil, nil, nil
-		case <-time.After(openRetry):
+		case <-time.After(openRetryInterval):
 		}
 	}
 }
 
 // attach joins a new event loop with the parts of the process that outlast it; given is what a predecessor handed over, or nil.
-func (p *process) attach(router *server.Server, given *handoff.State) {
+func (p *process) attach(srv *server.Server, inherited *handoff.State) {
 	dep, log := p.dep, p.log
-	before := p.router.Swap(router)
-	if before != nil {
-		router.CountFrom(before)
+	previous := p.server.Swap(srv)
+	if previous != nil {
+		srv.CountFrom(previous)
 	}
-	if p.desk != nil {
-		p.desk.SetCourier(router)
+	if p.adminServer != nil {
+		p.adminServer.SetCourier(srv)
 	}
 	if dep.SnapshotInterval > 0 {
-		notes := log.With(logging.Component, "learned")
+		snapshotLog := log.With(logging.Component, "learned")
 		_, limit := snapshot.Reserve(int64(dep.DiskMB * 1e6))
-		router.StoreSnapshots(snapshot.NewWriter(dep.StateDir, dep.Name, limit, notes), dep.SnapshotInterval)
-		if given == nil {
-			router.RestoreSnapshot(p.known(before, limit, notes))
+		srv.StoreSnapshots(snapshot.NewWriter(dep.StateDir, dep.Name, limit, snapshotLog), dep.SnapshotInterval)
+		if inherited == nil {
+			srv.RestoreSnapshot(p.learnedState(previous, limit, snapshotLog))
 		}
 	}
-	router.OnReload(func(next *config.Deployment) {
+	srv.OnReload(func(next *config.Deployment) {
 		p.dep = next
-		limits(next)
+		applyLimits(next)
 		if member := p.member.Load(); member != nil {
 			member.FleetResized(next.Dispatch.Couriers)
 		}
@@ -284,16 +286,16 @@
 }
 
 // known is what was learned by an earlier process, or by this one before it handed all over: the younger, with all waits.
-func (p *process) known(before *server.Server, limit int, log *slog.Logger) *dispatch.Snapshot {
-	snapshot := earlier(p.dep, p.clock.Load(), limit, log)
-	if before == nil {
-		return snapshot
+func (p *process) learnedState(previous *server.Server, limit int, log *slog.Logger) *dispatch.Snapshot {
+	stored := readSnapshot(p.dep, p.clock.Load(), limit, log)
+	if previous == nil {
+		return stored
 	}
-	own := before.SnapshotAtHandoff()
-	if snapshot == nil || snapshot.TakenAt < own.TakenAt {
+	own := previous.SnapshotAtHandoff()
+	if stored == nil || stored.TakenAt < own.TakenAt {
 		return own
 	}
-	return server.MergeRetryAfter(snapshot, own)
+	return server.MergeRetryAfter(stored, own)
 }
 
 func logOptions(dep *config.Deployment) logging.Options {
@@ -301,20 +303,20 @@
 }
 
 // limits sets what the process itself must keep.
-func limits(dep *config.Deployment) {
+func applyLimits(dep *config.Deployment) {
 	runtime.GOMAXPROCS(max(1, int(dep.Cores+0.5)))
 	debug.SetMemoryLimit(int64(dep.MemoryMB) << 20 * 6 / 10) // the collector works harder before the limit kills
 }
 
 // warn names the keys that nobody reads.
-func warn(log *slog.Logger, dep *config.Deployment) {
+func logWarnings(log *slog.Logger, dep *config.Deployment) {
 	for _, w := range dep.Document.Warnings {
 		log.Warn("questionable key", "key", w.Key, "line", w.Line, "hint", w.Problem)
 	}
 }
 
 // earlier is what an earlier process learned; nil, and a line in the log, where it cannot be used.
-func earlier(dep *config.Deployment, clk *clock.Clock, limit int, log *slog.Logger) *dispatch.Snapshot {
+func readSnapshot(dep *config.Deployment, clk *clock.Clock, limit int, log *slog.Logger) *dispatch.Snapshot {
 	now := dispatch.Micros(clk.Now())
 	state, err := snapshot.Read(dep.StateDir, dep.Name, now, limit)
 	switch {
--- a/cmd/pineport/short_window_test.go
+++ b/cmd/pineport/short_window_test.go
@@ -15,7 +15,7 @@
 )
 
 // rewrite changes the configuration that the courier's next start reads: each pair is a text of it and its replacement.
-func (c *courier) rewrite(pairs ...string) {
+func (c *courier) replaceInConfig(pairs ...string) {
 	c.t.Helper()
 	file := filepath.Join(c.dir, "config.json")
 	text, err := os.ReadFile(file)
@@ -33,19 +33,19 @@
 	}
 }
 
-// TestShortWindowOverARestart: the window for repeats is a second. What may have run and is past its window at the restart never goes
+// TestShortDedupWindowAcrossRestart: the window for repeats is a second. What may have run and is past its window at the restart never goes
 // again and gets its final answer; what is within it goes again; what never ran is still tried.
-func TestShortWindowOverARestart(t *testing.T) {
+func TestShortDedupWindowAcrossRestart(t *testing.T) {
 	const window = time.Second
-	first := map[string]bool{}
+	called := map[string]bool{}
 	var mu sync.Mutex
 	world, err := scripted.Open(1, func(id string) scripted.Fate {
 		mu.Lock()
 		defer mu.Unlock()
-		again := first[id]
-		first[id] = true
+		repeated := called[id]
+		called[id] = true
 		switch {
-		case again:
+		case repeated:
 			return scripted.Fate{Status: 200}
 		case strings.HasPrefix(id, "refused"):
 			return scripted.Fate{Status: 429, WaitMs: 300}
@@ -57,18 +57,18 @@
 	}
 	defer world.Close()
 	c := newCourier(t, world)
-	c.rewrite(`"single_shot"`, `"guarded"`, `"dedup-window-s": 5`, `"dedup-window-s": 1`)
+	c.replaceInConfig(`"single_shot"`, `"guarded"`, `"dedup-window-s": 5`, `"dedup-window-s": 1`)
 	c.start()
-	called := func(id string) func() bool {
-		return func() bool { mu.Lock(); defer mu.Unlock(); return first[id] }
+	isCalled := func(id string) func() bool {
+		return func() bool { mu.Lock(); defer mu.Unlock(); return called[id] }
 	}
 	// killedWhileOut hands a message in and kills the courier once its call has come; it returns when that was.
-	killedWhileOut := func(id string) time.Time {
+	killDuringCall := func(id string) time.Time {
 		t.Helper()
-		if got := c.ask(enqueue(id, "order", 20000)); got[0] != "+OK" {
+		if got := c.send(enqueue(id, "order", 20000)); got[0] != "+OK" {
 			t.Fatal(id, got)
 		}
-		for !called(id)() {
+		for !isCalled(id)() {
 			time.Sleep(time.Millisecond)
 		}
 		at := time.Now()
@@ -76,12 +76,12 @@
 		c.cmd.Wait()
 		return at
 	}
-	killedWhileOut("over")
+	killDuringCall("over")
 	time.Sleep(window + window/5)
 	c.start()
 	waitFor(t, "the final answer of what is past its window", 5*time.Second, func() bool { _, _, notices := world.Seen("over"); return len(notices) > 0 })
 
-	killedWhileOut("refused")
+	killDuringCall("refused")
 	c.start()
 	waitFor(t, "what never ran", 8*time.Second, func() bool { _, done, _ := world.Seen("refused"); return done == 1 })
 
@@ -89,7 +89,7 @@
 	const tries = 5
 	for n := 0; within == "" && n < tries; n++ { // a loaded machine may take longer than the window to restart it
 		id := fmt.Sprint("within-", n)
-		at := killedWhileOut(id)
+		at := killDuringCall(id)
 		c.start()
 		took := time.Since(at)
 		waitFor(t, id, 5*time.Second, func() bool { _, done, notices := world.Seen(id); return done > 0 || len(notices) > 0 })
--- a/cmd/pineport/signals_test.go
+++ b/cmd/pineport/signals_test.go
@@ -13,16 +13,16 @@
 	"pineport/testbed/scripted"
 )
 
-// TestSignalsAtAnyMoment: a hangup, an end and an end once more at any moment of a start, whose spool holds a message. The process ends by
+// TestSignalsDuringStart: a hangup, an end and an end once more at any moment of a start, whose spool holds a message. The process ends by
 // itself, in time and without a fault, or is ended by the first signal where that comes before it listens for any; the next start
 // still brings the message to its endpoint.
-func TestSignalsAtAnyMoment(t *testing.T) {
+func TestSignalsDuringStart(t *testing.T) {
 	for _, after := range []time.Duration{0, 2, 4, 8, 16, 32, 64, 128, 512} {
 		t.Run(fmt.Sprint(int64(after)), func(t *testing.T) {
 			t.Parallel()
-			var open atomic.Bool
+			var deliverable atomic.Bool
 			world, err := scripted.Open(1, func(string) scripted.Fate {
-				if open.Load() {
+				if deliverable.Load() {
 					return scripted.Fate{Status: 200}
 				}
 				return scripted.Fate{Status: 429, WaitMs: 1900}
@@ -35,8 +35,8 @@
 			began := time.Now()
 			c.start()
 			// Signals are listened for first of all, 32 ms after the start at the latest; on a machine that is busy, half of what a whole start takes.
-			listening := max(32*time.Millisecond, time.Since(began)/2)
-			if got := c.ask(enqueue("held", "update", 60000)); got[0] != "+OK" {
+			listeningAfter := max(32*time.Millisecond, time.Since(began)/2)
+			if got := c.send(enqueue("held", "update", 60000)); got[0] != "+OK" {
 				t.Fatal(got)
 			}
 			c.cmd.Process.Kill()
@@ -54,20 +54,20 @@
 			}
 			ended := make(chan error, 1)
 			go func() { ended <- c.cmd.Wait() }()
-			var fault error
+			var exitErr error
 			select {
-			case fault = <-ended:
-			case <-time.After(grace + 5*time.Second):
+			case exitErr = <-ended:
+			case <-time.After(shutdownGrace + 5*time.Second):
 				t.Fatal("it does not end")
 			}
 			var exit *exec.ExitError
-			if errors.As(fault, &exit) && exit.Sys().(syscall.WaitStatus).Signaled() && after*time.Millisecond < listening {
-				fault = nil // by the first signal
+			if errors.As(exitErr, &exit) && exit.Sys().(syscall.WaitStatus).Signaled() && after*time.Millisecond < listeningAfter {
+				exitErr = nil // by the first signal
 			}
-			if fault != nil {
-				t.Errorf("ended with %v", fault)
+			if exitErr != nil {
+				t.Errorf("ended with %v", exitErr)
 			}
-			open.Store(true)
+			deliverable.Store(true)
 			c.start()
 			waitFor(t, "the record is delivered", 20*time.Second, func() bool {
 				_, done, _ := world.Seen("held")
--- a/cmd/pineport/state.go
+++ b/cmd/pineport/state.go
@@ -33,7 +33,7 @@
 			case "json":
 				return printJSON(cmd.OutOrStdout(), state)
 			case "table":
-				return showState(cmd.OutOrStdout(), folderOf(args[0]), state, size)
+				return showState(cmd.OutOrStdout(), dirOf(args[0]), state, size)
 			}
 			return fmt.Errorf("--output: table or json was expected, not %q", output)
 		},
@@ -47,7 +47,7 @@
 			state, size, err := readState(args[0])
 			if err == nil {
 				fmt.Fprintf(cmd.OutOrStdout(), "sound: courier %s, %d groups, %d endpoints, %d bytes, %s old\n", state.Courier,
-					len(state.Snapshot.Groups), len(state.Snapshot.Endpoints), size, age(folderOf(args[0]), state.Snapshot.TakenAt))
+					len(state.Snapshot.Groups), len(state.Snapshot.Endpoints), size, age(dirOf(args[0]), state.Snapshot.TakenAt))
 			}
 			return err
 		},
@@ -59,18 +59,18 @@
 	if info, err := os.Stat(path); err == nil && info.IsDir() {
 		path = filepath.Join(path, snapshot.FileName)
 	}
-	content, err := os.ReadFile(path)
+	data, err := os.ReadFile(path)
 	if err != nil {
 		return state, 0, err
 	}
-	if state, err = snapshot.Decode(content); err != nil {
+	if state, err = snapshot.Decode(data); err != nil {
 		err = fmt.Errorf("%s: %w", path, err)
 	}
-	return state, len(content), err
+	return state, len(data), err
 }
 
 // folderOf returns the folder that a file, or the folder itself, stands for.
-func folderOf(path string) string {
+func dirOf(path string) string {
 	if info, err := os.Stat(path); err == nil && info.IsDir() {
 		return path
 	}
@@ -107,14 +107,14 @@
 		}
 		mean := "-"
 		if group.AnswerTimes.Weight > 0.01 {
-			mean = span(dispatch.Micros(group.AnswerTimes.Total / group.AnswerTimes.Weight))
+			mean = formatDuration(dispatch.Micros(group.AnswerTimes.Total / group.AnswerTimes.Weight))
 		}
 		limit := "-"
 		if group.ReportedRate > 0 {
 			limit = fmt.Sprintf("%.2f", group.ReportedRate)
 		}
-		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%s\t%s\t%s\t%.1f\t%s\n", group.Destination, cmp.Or(string(group.Endpoint), "(all)"), health, breakers, span(group.Interval),
-			span(max(0, group.RetryAfterUntil-l.TakenAt)), mean, group.Deliveries.Weight, limit)
+		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%s\t%s\t%s\t%.1f\t%s\n", group.Destination, cmp.Or(string(group.Endpoint), "(all)"), health, breakers, formatDuration(group.Interval),
+			formatDuration(max(0, group.RetryAfterUntil-l.TakenAt)), mean, group.Deliveries.Weight, limit)
 	}
 	for _, endpoint := range l.Endpoints {
 		fmt.Fprintf(table, "\nendpoint %s: %d failures in a row\n", endpoint.Endpoint, endpoint.FailureRuns[0].Failures)
@@ -122,6 +122,6 @@
 	return table.Flush()
 }
 
-func span(t dispatch.Micros) string {
+func formatDuration(t dispatch.Micros) string {
 	return (time.Duration(t) * time.Microsecond).Round(time.Millisecond).String()
 }
--- a/cmd/pineport/syscalls_test.go
+++ b/cmd/pineport/syscalls_test.go
@@ -21,15 +21,15 @@
 // startTraced starts the courier with its system calls led through package syscallfault.
 func (c *courier) startTraced(names []string, decide func(*syscallfault.Call) syscallfault.Effect) *syscallfault.Process {
 	c.t.Helper()
-	child := c.beginTraced(names, decide)
+	child := c.launchTraced(names, decide)
 	waitFor(c.t, "PONG", 10*time.Second, func() bool { return c.answersPing() })
 	return child
 }
 
 // beginTraced is startTraced that does not wait until the courier answers.
-func (c *courier) beginTraced(names []string, decide func(*syscallfault.Call) syscallfault.Effect) *syscallfault.Process {
+func (c *courier) launchTraced(names []string, decide func(*syscallfault.Call) syscallfault.Effect) *syscallfault.Process {
 	c.t.Helper()
-	env := append(os.Environ(), "RELAY_CONFIG="+filepath.Join(c.dir, "config.json"), "RELAY_STATE="+filepath.Join(c.dir, "state"), "RELAY_OPS="+c.ops)
+	env := append(os.Environ(), "RELAY_CONFIG="+filepath.Join(c.dir, "config.json"), "RELAY_STATE="+filepath.Join(c.dir, "state"), "RELAY_OPS="+c.adminAddr)
 	child, err := syscallfault.Start(c.binary, append(env, c.env...), c.log, names, decide)
 	if err != nil {
 		c.t.Fatal(err)
@@ -38,7 +38,7 @@
 		child.Signal(syscall.SIGKILL)
 		<-child.Done
 		if c.t.Failed() {
-			c.t.Log(c.said())
+			c.t.Log(c.logText())
 		}
 	})
 	return child
@@ -51,14 +51,14 @@
 	// harmless: the system goes on after it, and each request has its answer; else connections may end by it.
 	harmless bool
 	// kept says of which connections it is, where the call has one; nil for all.
-	kept func(*syscallfault.Call) bool
+	appliesTo func(*syscallfault.Call) bool
 }
 
 func (f systemFault) String() string { return f.call + " " + f.effect.String() }
 
 // eachIsAnEvent reports whether the system says so for an event of its own each time, so that going on at once is right: it was interrupted, a
 // connection that had come is gone, or bytes came or went.
-func (f systemFault) eachIsAnEvent() bool {
+func (f systemFault) isPerEvent() bool {
 	return f.effect.Errno == syscall.EINTR || f.effect.Errno == syscall.ECONNABORTED || f.call == "read" || f.call == "write"
 }
 
@@ -66,9 +66,9 @@
 
 // systemFaults are the errors that Linux documents for calls of a courier to its sockets.
 func systemFaults() (all []systemFault) {
-	add := func(call string, harmless bool, kept func(*syscallfault.Call) bool, errnos ...syscall.Errno) {
+	add := func(call string, harmless bool, appliesTo func(*syscallfault.Call) bool, errnos ...syscall.Errno) {
 		for _, errno := range errnos {
-			all = append(all, systemFault{call, syscallfault.Effect{Errno: errno}, harmless, kept})
+			all = append(all, systemFault{call, syscallfault.Effect{Errno: errno}, harmless, appliesTo})
 		}
 	}
 	add("accept4", true, nil, syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EINTR, syscall.ENETDOWN, syscall.EPERM)
@@ -86,7 +86,7 @@
 }
 
 // tally is what became of the requests of some clients.
-type tally struct {
+type requestResults struct {
 	mu         sync.Mutex
 	accepted   []string
 	rejected   []string
@@ -94,7 +94,7 @@
 }
 
 // submitOver submits messages until stopped, over one connection for as long as that lasts.
-func (l *tally) submitOver(address string, client int, stopped *atomic.Bool) {
+func (l *requestResults) submitUntilStopped(address string, client int, stopped *atomic.Bool) {
 	var conn net.Conn
 	var replies *bufio.Reader
 	for n := 0; !stopped.Load(); n++ {
@@ -115,7 +115,7 @@
 		conn.SetDeadline(time.Now().Add(5 * time.Second))
 		io.WriteString(conn, enqueue(id, class, 6000))
 		line, err := replies.ReadString('\n')
-		l.note(id, strings.TrimSpace(line), err)
+		l.record(id, strings.TrimSpace(line), err)
 		if err != nil {
 			conn.Close()
 			conn = nil
@@ -126,7 +126,7 @@
 	}
 }
 
-func (l *tally) note(id, reply string, err error) {
+func (l *requestResults) record(id, reply string, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
@@ -143,21 +143,21 @@
 // requests have their answers where the system goes on, nothing spins, deliveries go on within a second of the fault's end, and descriptors
 // return to where they were.
 func TestSystemCallsFail(t *testing.T) {
-	for _, lasting := range []time.Duration{0, 2 * time.Second} {
-		var all sync.WaitGroup
+	for _, duration := range []time.Duration{0, 2 * time.Second} {
+		var cases sync.WaitGroup
 		running := make(chan struct{}, 12)
 		for _, fault := range systemFaults() {
-			all.Go(func() {
+			cases.Go(func() {
 				running <- struct{}{}
 				defer func() { <-running }()
-				t.Run(fmt.Sprintf("%v for %v", fault, lasting), func(t *testing.T) { playSystemFault(t, fault, lasting) })
+				t.Run(fmt.Sprintf("%v for %v", fault, duration), func(t *testing.T) { runSystemFault(t, fault, duration) })
 			})
 		}
-		all.Wait()
+		cases.Wait()
 	}
 }
 
-func playSystemFault(t *testing.T, fault systemFault, lasting time.Duration) {
+func runSystemFault(t *testing.T, fault systemFault, duration time.Duration) {
 	const maxPerSecond = 400 // failing calls of a kind; a loop that spins makes many thousands
 	world, err := scripted.Open(2, func(string) scripted.Fate { return scripted.Fate{Status: 200, After: 30 * time.Millisecond} })
 	if err != nil {
@@ -166,39 +166,39 @@
 	t.Cleanup(world.Close)
 	world.CloseAfterAnswers() // so that each call needs a connection
 	c := newCourier(t, world)
-	var until atomic.Int64
+	var faultEnd atomic.Int64
 	var once atomic.Bool
 	child := c.startTraced([]string{fault.call}, func(call *syscallfault.Call) syscallfault.Effect {
-		if time.Now().UnixNano() >= until.Load() && !once.Load() || fault.kept != nil && !fault.kept(call) {
+		if time.Now().UnixNano() >= faultEnd.Load() && !once.Load() || fault.appliesTo != nil && !fault.appliesTo(call) {
 			return syscallfault.Effect{}
 		}
 		once.Store(false)
 		return fault.effect
 	})
 	c.cmd = nil
-	var requests tally
+	var requests requestResults
 	var stopped atomic.Bool
 	var clients sync.WaitGroup
 	for client := range 4 {
-		clients.Go(func() { requests.submitOver(c.listen, client, &stopped) })
+		clients.Go(func() { requests.submitUntilStopped(c.listen, client, &stopped) })
 	}
 	time.Sleep(500 * time.Millisecond)
 	before := countDescriptors(child.PID)
-	if lasting > 0 {
-		until.Store(time.Now().Add(lasting).UnixNano())
-		time.Sleep(lasting)
+	if duration > 0 {
+		faultEnd.Store(time.Now().Add(duration).UnixNano())
+		time.Sleep(duration)
 	} else {
 		once.Store(true)
 		waitFor(t, "the fault", 5*time.Second, func() bool { return child.Struck()[fault.String()] > 0 })
 	}
 	once.Store(false)
-	ended := world.Calls(0) + world.Calls(1)
+	callsAtFaultEnd := world.Calls(0) + world.Calls(1)
 	time.Sleep(1500 * time.Millisecond)
-	wanted := 50
+	minCalls := 50
 	if !fault.harmless || fault.call == "read" { // nothing was heard for long: breakers open and are tried, as after any outage
-		wanted = 5
+		minCalls = 5
 	}
-	if resumed := world.Calls(0) + world.Calls(1) - ended; resumed < wanted {
+	if resumed := world.Calls(0) + world.Calls(1) - callsAtFaultEnd; resumed < minCalls {
 		t.Errorf("%d calls in 1.5 s after the fault", resumed)
 	}
 	stopped.Store(true)
@@ -207,10 +207,10 @@
 	if struck == 0 {
 		t.Errorf("the fault never struck")
 	}
-	if limit := int(maxPerSecond * max(1, lasting.Seconds())); struck > limit && !fault.eachIsAnEvent() {
+	if limit := int(maxPerSecond * max(1, duration.Seconds())); struck > limit && !fault.isPerEvent() {
 		t.Errorf("%d calls failed: a loop spins", struck)
 	}
-	requests.judge(t, world)
+	requests.verify(t, world)
 	if fault.harmless && len(requests.unanswered) > 0 {
 		t.Errorf("of %d requests have no answer: %v", len(requests.accepted)+len(requests.rejected)+len(requests.unanswered), requests.unanswered)
 	}
@@ -218,7 +218,7 @@
 }
 
 // finished returns what has been delivered by now.
-func (l *tally) finished(world *scripted.World) (ids []string) {
+func (l *requestResults) delivered(world *scripted.World) (ids []string) {
 	for _, id := range l.accepted {
 		if _, done, _ := world.Seen(id); done > 0 {
 			ids = append(ids, id)
@@ -228,7 +228,7 @@
 }
 
 // judge waits until all that was accepted has ended, and looks at how.
-func (l *tally) judge(t *testing.T, world *scripted.World) {
+func (l *requestResults) verify(t *testing.T, world *scripted.World) {
 	t.Helper()
 	if len(l.accepted) == 0 {
 		t.Error("nothing was accepted")
@@ -261,9 +261,9 @@
 	return len(entries)
 }
 
-// TestStartsWhileSocketsFail: a process that is started while no socket can be had is ready once it can, and delivers what it is given.
-func TestStartsWhileSocketsFail(t *testing.T) {
-	const failing = 1500 * time.Millisecond
+// TestStartWhileSocketsFail: a process that is started while no socket can be had is ready once it can, and delivers what it is given.
+func TestStartWhileSocketsFail(t *testing.T) {
+	const faultDuration = 1500 * time.Millisecond
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
@@ -273,19 +273,19 @@
 			}
 			t.Cleanup(world.Close)
 			c := newCourier(t, world)
-			c.ops = freePort(t)
-			until := time.Now().Add(failing)
-			child := c.beginTraced([]string{"socket"}, func(*syscallfault.Call) syscallfault.Effect {
-				if time.Now().After(until) {
+			c.adminAddr = freePort(t)
+			faultEnd := time.Now().Add(faultDuration)
+			child := c.launchTraced([]string{"socket"}, func(*syscallfault.Call) syscallfault.Effect {
+				if time.Now().After(faultEnd) {
 					return syscallfault.Effect{}
 				}
 				return syscallfault.Effect{Errno: errno}
 			})
-			waitFor(t, "PONG", failing+3*time.Second, func() bool { return c.answersPing() })
+			waitFor(t, "PONG", faultDuration+3*time.Second, func() bool { return c.answersPing() })
 			if len(child.Struck()) == 0 {
 				t.Error("the fault never struck")
 			}
-			if got := c.ask(enqueue("one", "order", 4000)); got[0] != "+OK" {
+			if got := c.send(enqueue("one", "order", 4000)); got[0] != "+OK" {
 				t.Fatal(got)
 			}
 			waitFor(t, "the delivery", 3*time.Second, func() bool { _, done, _ := world.Seen("one"); return done == 1 })
--- a/cmd/pineport/tools_test.go
+++ b/cmd/pineport/tools_test.go
@@ -13,7 +13,7 @@
 )
 
 // tool runs a command line in this process.
-func tool(args ...string) (string, error) {
+func runCommand(args ...string) (string, error) {
 	cmd := root()
 	var out bytes.Buffer
 	cmd.SetOut(&out)
@@ -23,8 +23,8 @@
 	return out.String(), err
 }
 
-// TestTools: what scripts rely on: output, JSON, and a fault for what is wrong.
-func TestTools(t *testing.T) {
+// TestCommands: what scripts rely on: output, JSON, and a fault for what is wrong.
+func TestCommands(t *testing.T) {
 	dir := t.TempDir()
 	t.Setenv("RELAY_CONFIG", "")
 	write := func(name, text string) string {
@@ -36,19 +36,19 @@
 	}
 	good := write("good.toml", config.Example())
 	next := write("next.toml", strings.Replace(strings.Replace(config.Example(), "slots = 20", "slots = 10", 1), `name = "n0"`, `name = "n1"`, 1))
-	odd := write("odd.toml", strings.Replace(config.Example(), "[limits]", "[limits]\nmemory_md = 9", 1))
-	bad := write("bad.toml", strings.Replace(config.Example(), "slots = 20", "slots = 0", 1))
-	late := write("late.toml", strings.Replace(config.Example(), "slo-s = ", "slo-s = 7", 1))
+	unknownKey := write("odd.toml", strings.Replace(config.Example(), "[limits]", "[limits]\nmemory_md = 9", 1))
+	invalid := write("bad.toml", strings.Replace(config.Example(), "slots = 20", "slots = 0", 1))
+	invalidLatency := write("late.toml", strings.Replace(config.Example(), "slo-s = ", "slo-s = 7", 1))
 	for _, c := range []struct {
-		args  string
-		want  string
-		fault string
+		args    string
+		want    string
+		wantErr string
 	}{
 		{"config check " + good, "sound", ""},
-		{"config check " + odd, "limits.memory_mb?", ""},
-		{"config check --strict " + odd, "", "limits.memory_md: no such key"},
-		{"config check " + bad, "", "settings.family-info.slots: a count from 1"},
-		{"config check " + late, "", "slo-s: must not exceed deadline-s"},
+		{"config check " + unknownKey, "limits.memory_mb?", ""},
+		{"config check --strict " + unknownKey, "", "limits.memory_md: no such key"},
+		{"config check " + invalid, "", "settings.family-info.slots: a count from 1"},
+		{"config check " + invalidLatency, "", "slo-s: must not exceed deadline-s"},
 		{"config check " + good + " --set peers.key=abc", "", "peers.key: 16, 24 or 32 bytes"},
 		{"config check " + good + " --set peers.through=1.2.3.4:5", "", "peers.through: address:port=address:port"},
 		{"config check " + next + " --against " + good, "waits for the next start", ""},
@@ -63,20 +63,20 @@
 		{"completion bash", "bash completion", ""},
 		{"nonsense", "", "unknown command"},
 	} {
-		out, err := tool(strings.Fields(c.args)...)
-		if c.fault == "" && (err != nil || !strings.Contains(out, c.want)) || c.fault != "" && (err == nil || !strings.Contains(err.Error(), c.fault)) {
+		out, err := runCommand(strings.Fields(c.args)...)
+		if c.wantErr == "" && (err != nil || !strings.Contains(out, c.want)) || c.wantErr != "" && (err == nil || !strings.Contains(err.Error(), c.wantErr)) {
 			t.Errorf("%s: %v\n%s", c.args, err, out)
 		}
 	}
-	out, err := tool("config", "check", next, "--against", good, "--output", "json")
-	var plans []config.KeyChange
-	if err != nil || json.Unmarshal([]byte(out), &plans) != nil || len(plans) != 2 || plans[0].AppliesNow || !plans[1].AppliesNow {
+	out, err := runCommand("config", "check", next, "--against", good, "--output", "json")
+	var changes []config.KeyChange
+	if err != nil || json.Unmarshal([]byte(out), &changes) != nil || len(changes) != 2 || changes[0].AppliesNow || !changes[1].AppliesNow {
 		t.Errorf("%v %s", err, out)
 	}
 }
 
-// TestSpoolIsLookedAt: a spool is listed beside its running courier, and nothing of it changes.
-func TestSpoolIsLookedAt(t *testing.T) {
+// TestSpoolInspection: a spool is listed beside its running courier, and nothing of it changes.
+func TestSpoolInspection(t *testing.T) {
 	dir := t.TempDir()
 	s, _, _, err := spool.Open(dir, 1<<20)
 	if err != nil {
@@ -99,13 +99,13 @@
 		return n
 	}
 	before := size()
-	if out, err := tool("spool", "ls", dir); err != nil || strings.Count(out, "update") != 2 || !strings.Contains(out, "out") {
+	if out, err := runCommand("spool", "ls", dir); err != nil || strings.Count(out, "update") != 2 || !strings.Contains(out, "out") {
 		t.Errorf("%v\n%s", err, out)
 	}
-	if out, err := tool("spool", "show", dir, "a"); err != nil || !strings.Contains(out, `"body": "eA=="`) {
+	if out, err := runCommand("spool", "show", dir, "a"); err != nil || !strings.Contains(out, `"body": "eA=="`) {
 		t.Errorf("%v\n%s", err, out)
 	}
-	if _, err := tool("spool", "verify", dir); err != nil || size() != before {
+	if _, err := runCommand("spool", "verify", dir); err != nil || size() != before {
 		t.Errorf("%v, %d bytes and %d", err, before, size())
 	}
 	s.Close()
@@ -113,7 +113,7 @@
 	content, _ := os.ReadFile(files[0])
 	content[len(content)/2] ^= 1
 	os.WriteFile(files[0], content, 0o600)
-	if _, err := tool("spool", "verify", dir); err == nil {
+	if _, err := runCommand("spool", "verify", dir); err == nil {
 		t.Error("damaged, and called sound")
 	}
 }
--- a/cmd/pineport/upgrade_test.go
+++ b/cmd/pineport/upgrade_test.go
@@ -26,9 +26,9 @@
 )
 
 // hangs names the variable that has this test's own program play a new version that takes all over and then says nothing.
-const hangs = "PINEPORT_TEST_HANGS"
+const hangEnv = "PINEPORT_TEST_HANGS"
 
-func hang() {
+func runHangingSuccessor() {
 	folder, _, _, _ := handoff.Acquire(context.Background(), os.Getenv("RELAY_STATE"), "n0", slog.New(slog.DiscardHandler))
 	for {
 		time.Sleep(time.Hour)
@@ -37,16 +37,16 @@
 }
 
 // platform holds the clients' listening socket and starts processes that inherit it.
-type platform struct {
+type supervisor struct {
 	*courier
 	socket  *os.File
-	ended   sync.WaitGroup
+	exits   sync.WaitGroup
 	started int
 }
 
-func newPlatform(t *testing.T, world *scripted.World) *platform {
+func newSupervisor(t *testing.T, world *scripted.World) *supervisor {
 	t.Helper()
-	p := &platform{courier: newCourier(t, world)}
+	p := &supervisor{courier: newCourier(t, world)}
 	l, err := net.Listen("tcp", p.listen)
 	if err != nil {
 		t.Fatal(err)
@@ -56,7 +56,7 @@
 	}
 	l.Close()
 	t.Cleanup(func() { p.socket.Close() })
-	configured(t, p.dir, func(top map[string]any) {
+	editConfig(t, p.dir, func(top map[string]any) {
 		settings := top["settings"].(map[string]any)
 		settings["classes"] = append(settings["classes"].([]any), map[string]any{"name": "line", "idempotency": "free", "points": 1, "slo-s": 2.0,
 			"deadline-s": 8.0, "late-worth": 0.5, "in-order": true})
@@ -66,7 +66,7 @@
 }
 
 // configured changes what a courier's file says.
-func configured(t *testing.T, dir string, change func(top map[string]any)) {
+func editConfig(t *testing.T, dir string, change func(top map[string]any)) {
 	t.Helper()
 	file := filepath.Join(dir, "config.json")
 	text, err := os.ReadFile(file)
@@ -87,17 +87,17 @@
 }
 
 // running is one run of a program on the platform.
-type running struct {
+type instance struct {
 	cmd *exec.Cmd
 	ops string
 }
 
-func (p *platform) begin(program string, more ...string) *running {
+func (p *supervisor) startProcess(program string, env ...string) *instance {
 	p.t.Helper()
-	running := &running{cmd: exec.Command(program), ops: freePort(p.t)}
+	running := &instance{cmd: exec.Command(program), ops: freePort(p.t)}
 	p.started++
 	running.cmd.Env = append(append(os.Environ(), "RELAY_CONFIG="+filepath.Join(p.dir, "config.json"), "RELAY_STATE="+filepath.Join(p.dir, "state"),
-		"RELAY_OPS="+running.ops, "RELAY_SOCKET_FD=3"), more...)
+		"RELAY_OPS="+running.ops, "RELAY_SOCKET_FD=3"), env...)
 	running.cmd.ExtraFiles = []*os.File{p.socket}
 	running.cmd.Stderr = p.log
 	if err := running.cmd.Start(); err != nil {
@@ -107,26 +107,26 @@
 	return running
 }
 
-func (p *platform) says(running *running, within time.Duration) bool {
-	for deadline := time.Now().Add(within); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
-		if status, _ := callTo(p.t, running.ops, "GET", "/status"); status == 200 {
+func (p *supervisor) isReadyWithin(running *instance, timeout time.Duration) bool {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
+		if status, _ := callAdminAt(p.t, running.ops, "GET", "/status"); status == 200 {
 			return true
 		}
 	}
 	return false
 }
 
-func (p *platform) must(running *running) {
+func (p *supervisor) requireReady(running *instance) {
 	p.t.Helper()
-	if !p.says(running, 10*time.Second) {
+	if !p.isReadyWithin(running, 10*time.Second) {
 		p.t.Fatal("no yes")
 	}
 }
 
 // leave tells an old process to end and sees that it does.
-func (p *platform) leave(running *running) {
+func (p *supervisor) terminate(running *instance) {
 	running.cmd.Process.Signal(syscall.SIGTERM)
-	p.ended.Go(func() {
+	p.exits.Go(func() {
 		kill := time.AfterFunc(6*time.Second, func() { running.cmd.Process.Kill() })
 		if err := running.cmd.Wait(); err != nil {
 			p.t.Errorf("an old process: %v", err)
@@ -136,28 +136,28 @@
 }
 
 // steady submits messages over some connections until it is stopped, and keeps what became of each.
-type steady struct {
-	p     *platform
-	stop  chan struct{}
-	once  sync.Once
-	done  sync.WaitGroup
-	mu    sync.Mutex
-	taken []string
-	lost  int // no answer: the connection closed
-	again int // sent once more on a new connection
+type load struct {
+	p          *supervisor
+	stop       chan struct{}
+	stopOnce   sync.Once
+	done       sync.WaitGroup
+	mu         sync.Mutex
+	accepted   []string
+	unanswered int // no answer: the connection closed
+	retried    int // sent once more on a new connection
 }
 
-func (p *platform) steady(clients int) *steady {
-	s := &steady{p: p, stop: make(chan struct{})}
-	p.t.Cleanup(s.finish)
+func (p *supervisor) startLoad(clients int) *load {
+	s := &load{p: p, stop: make(chan struct{})}
+	p.t.Cleanup(s.stopClients)
 	for i := range clients {
-		s.done.Go(func() { s.client(i) })
+		s.done.Go(func() { s.runClient(i) })
 	}
 	return s
 }
 
-func (s *steady) client(number int) {
-	chance := rand.New(rand.NewSource(int64(number)))
+func (s *load) runClient(number int) {
+	rng := rand.New(rand.NewSource(int64(number)))
 	kinds := append(slices.Repeat([]string{"okay"}, 140), "slow", "slow", "slow", "slow", "full", "full", "fail", "fail", "brok", "wait")
 	var conn net.Conn
 	var in *bufio.Reader
@@ -165,16 +165,16 @@
 		select {
 		case <-s.stop:
 			return
-		case <-time.After(time.Duration(20+chance.Intn(40)) * time.Millisecond):
+		case <-time.After(time.Duration(20+rng.Intn(40)) * time.Millisecond):
 		}
-		class, id := []string{"update", "order"}[n%2], fmt.Sprintf("%s-%d-%d", kinds[chance.Intn(len(kinds))], number, n)
+		class, id := []string{"update", "order"}[n%2], fmt.Sprintf("%s-%d-%d", kinds[rng.Intn(len(kinds))], number, n)
 		opts := ""
 		if n%4 == 0 {
 			class, id, opts = "line", fmt.Sprintf("line-c%d-%d", number, n), fmt.Sprintf(",about=c%d", number)
 		}
 		text := command("ENQUEUE", "0", id, fmt.Sprintf("c=%s,d=8000,dest=1%s", class, opts), "x")
-		answer := ""
-		for try := 0; try < 2 && answer == ""; try++ {
+		reply := ""
+		for attempt := 0; attempt < 2 && reply == ""; attempt++ {
 			if conn != nil { // closed between two requests: no message is turned back by that
 				conn.SetReadDeadline(time.Now().Add(time.Millisecond))
 				if _, err := in.Peek(1); err == io.EOF {
@@ -197,8 +197,8 @@
 				conn.Close()
 				conn = nil
 				s.mu.Lock()
-				if try == 0 {
-					s.again++
+				if attempt == 0 {
+					s.retried++
 				}
 				s.mu.Unlock()
 				if class == "order" {
@@ -206,75 +206,75 @@
 				}
 				continue
 			}
-			answer = strings.TrimSpace(line)
+			reply = strings.TrimSpace(line)
 		}
 		s.mu.Lock()
-		if answer == "" {
-			s.lost++
-		} else if answer == "+OK" {
-			s.taken = append(s.taken, id)
+		if reply == "" {
+			s.unanswered++
+		} else if reply == "+OK" {
+			s.accepted = append(s.accepted, id)
 		}
 		s.mu.Unlock()
 	}
 }
 
 // finish stops the clients.
-func (s *steady) finish() {
-	s.once.Do(func() { close(s.stop) })
+func (s *load) stopClients() {
+	s.stopOnce.Do(func() { close(s.stop) })
 	s.done.Wait()
 }
 
 // end stops the clients and holds what the world saw against what was taken; upgrades is nought where processes were killed.
-func (s *steady) end(world *scripted.World, upgrades int) {
+func (s *load) verify(world *scripted.World, upgrades int) {
 	t := s.p.t
 	t.Helper()
-	s.finish()
-	if len(s.taken) < 50 {
-		t.Errorf("only %d messages were taken", len(s.taken))
+	s.stopClients()
+	if len(s.accepted) < 50 {
+		t.Errorf("only %d messages were taken", len(s.accepted))
 	}
-	for _, id := range s.taken {
+	for _, id := range s.accepted {
 		waitFor(t, id, 10*time.Second, func() bool {
 			_, done, notices := world.Seen(id)
 			return done > 0 || len(notices) > 0
 		})
 	}
-	ends := map[string]int{}
-	for _, id := range s.taken {
+	outcomes := map[string]int{}
+	for _, id := range s.accepted {
 		began, done, notices := world.Seen(id)
 		var client, n int
 		kind, rest, _ := strings.Cut(id, "-")
 		fmt.Sscanf(rest, "%d-%d", &client, &n)
-		if single := kind != "line" && n%2 == 1; single && began > 1 {
+		if atMostOnce := kind != "line" && n%2 == 1; atMostOnce && began > 1 {
 			t.Errorf("%s is at-most-once and was begun %d times", id, began)
-		} else if !single && upgrades > 0 && done > 0 && len(notices) > 0 {
+		} else if !atMostOnce && upgrades > 0 && done > 0 && len(notices) > 0 {
 			t.Errorf("%s was done %d times, and yet %v", id, done, notices)
 		}
 		switch {
 		case done > 0:
-			ends["done"]++
+			outcomes["done"]++
 		default:
-			ends[notices[0]]++
+			outcomes[notices[0]]++
 		}
 	}
 	if broken := world.Broken(); broken != (scripted.Broken{}) {
 		t.Errorf("rules: %+v", broken)
 	}
-	if upgrades > 0 && s.again > 2*upgrades { // where processes are killed, connections break
-		t.Errorf("%d messages were turned back unheard in %d upgrades", s.again, upgrades)
+	if upgrades > 0 && s.retried > 2*upgrades { // where processes are killed, connections break
+		t.Errorf("%d messages were turned back unheard in %d upgrades", s.retried, upgrades)
 	}
-	t.Logf("%d upgrades: taken %d, ended %v, sent again %d, unheard %d", upgrades, len(s.taken), ends, s.again, s.lost)
+	t.Logf("%d upgrades: taken %d, ended %v, sent again %d, unheard %d", upgrades, len(s.accepted), outcomes, s.retried, s.unanswered)
 }
 
-func upgradeWorld(t *testing.T) *scripted.World {
+func newUpgradeWorld(t *testing.T) *scripted.World {
 	t.Helper()
-	usual := fates()
-	waits := map[string]bool{}
+	respond := responsesByPrefix()
+	delayed := map[string]bool{}
 	world, err := scripted.Open(2, func(id string) scripted.Fate {
-		if strings.HasPrefix(id, "wait") && !waits[id] {
-			waits[id] = true
+		if strings.HasPrefix(id, "wait") && !delayed[id] {
+			delayed[id] = true
 			return scripted.Fate{Status: 429, WaitMs: 300}
 		}
-		return usual(id)
+		return respond(id)
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -286,143 +286,143 @@
 // TestFiftyUpgrades: one after the other under load, without a fault: nothing lost, doubled, early or out of order. Failure: the
 // second process ended, as its address was taken.
 func TestFiftyUpgrades(t *testing.T) {
-	world := upgradeWorld(t)
-	p := newPlatform(t, world)
-	now := p.begin(p.binary)
-	p.must(now)
-	load := p.steady(6)
+	world := newUpgradeWorld(t)
+	p := newSupervisor(t, world)
+	current := p.startProcess(p.binary)
+	p.requireReady(current)
+	load := p.startLoad(6)
 	for range 50 {
 		time.Sleep(150 * time.Millisecond)
-		next := p.begin(p.binary)
-		p.must(next)
-		p.leave(now)
-		now = next
-	}
-	load.end(world, 50)
-	p.leave(now)
-	p.ended.Wait()
+		next := p.startProcess(p.binary)
+		p.requireReady(next)
+		p.terminate(current)
+		current = next
+	}
+	load.verify(world, 50)
+	p.terminate(current)
+	p.exits.Wait()
 	for _, line := range []string{"handed over to the successor", "exited after the handoff"} {
-		if n := strings.Count(p.said(), line+`"`); n != 50 {
+		if n := strings.Count(p.logText(), line+`"`); n != 50 {
 			t.Errorf("%q stands %d times in the log", line, n)
 		}
 	}
 }
 
-// TestUpgradesThatFail: either side killed at a chance moment, a new version that ends at once and one that takes over and hangs.
+// TestFailedUpgrades: either side killed at a chance moment, a new version that ends at once and one that takes over and hangs.
 // Failure: the courier was gone with the new process, or what it had taken was lost.
-func TestUpgradesThatFail(t *testing.T) {
-	world := upgradeWorld(t)
-	p := newPlatform(t, world)
-	now := p.begin(p.binary)
-	p.must(now)
-	load := p.steady(4)
-	chance := rand.New(rand.NewSource(3))
-	moment := func() { time.Sleep(time.Duration(chance.Intn(60)) * time.Millisecond) }
+func TestFailedUpgrades(t *testing.T) {
+	world := newUpgradeWorld(t)
+	p := newSupervisor(t, world)
+	current := p.startProcess(p.binary)
+	p.requireReady(current)
+	load := p.startLoad(4)
+	rng := rand.New(rand.NewSource(3))
+	randomPause := func() { time.Sleep(time.Duration(rng.Intn(60)) * time.Millisecond) }
 	for round := range 16 {
 		time.Sleep(200 * time.Millisecond)
 		switch round % 4 {
 		case 0: // the new one is killed
-			next := p.begin(p.binary)
-			moment()
+			next := p.startProcess(p.binary)
+			randomPause()
 			next.cmd.Process.Kill()
 			next.cmd.Wait()
-			p.must(now)
+			p.requireReady(current)
 		case 1: // the old one is killed
-			next := p.begin(p.binary)
-			moment()
-			now.cmd.Process.Kill()
-			now.cmd.Wait()
-			p.must(next)
-			now = next
+			next := p.startProcess(p.binary)
+			randomPause()
+			current.cmd.Process.Kill()
+			current.cmd.Wait()
+			p.requireReady(next)
+			current = next
 		case 2: // a version that ends at once, one that hangs, and beside that a third
-			p.begin("/bin/false").cmd.Wait()
-			hung := p.begin(os.Args[0], hangs+"=1")
+			p.startProcess("/bin/false").cmd.Wait()
+			hanging := p.startProcess(os.Args[0], hangEnv+"=1")
 			waitFor(t, "the hanging one has it all", 5*time.Second, func() bool {
-				status, _ := callTo(t, now.ops, "GET", "/status")
+				status, _ := callAdminAt(t, current.ops, "GET", "/status")
 				return status != 200
 			})
-			if third := p.begin(p.binary); p.says(third, 200*time.Millisecond) {
+			if third := p.startProcess(p.binary); p.isReadyWithin(third, 200*time.Millisecond) {
 				t.Error("a third process serves beside one that hangs")
 			} else {
 				third.cmd.Process.Kill()
 				third.cmd.Wait()
 			}
-			hung.cmd.Process.Kill()
-			hung.cmd.Wait()
-			p.must(now)
+			hanging.cmd.Process.Kill()
+			hanging.cmd.Wait()
+			p.requireReady(current)
 		case 3: // a good one, between
-			next := p.begin(p.binary)
-			p.must(next)
-			p.leave(now)
-			now = next
+			next := p.startProcess(p.binary)
+			p.requireReady(next)
+			p.terminate(current)
+			current = next
 		}
 	}
-	load.end(world, 0)
-	p.leave(now)
-	p.ended.Wait()
+	load.verify(world, 0)
+	p.terminate(current)
+	p.exits.Wait()
 }
 
-// TestMaintenanceOverAnUpgrade: what is out stays out, and calls to the old process's address act on the courier as a whole.
-func TestMaintenanceOverAnUpgrade(t *testing.T) {
-	world := upgradeWorld(t)
-	p := newPlatform(t, world)
-	old := p.begin(p.binary)
-	p.must(old)
-	yes := func(running *running, path string) {
+// TestMaintenanceDuringUpgrade: what is out stays out, and calls to the old process's address act on the courier as a whole.
+func TestMaintenanceDuringUpgrade(t *testing.T) {
+	world := newUpgradeWorld(t)
+	p := newSupervisor(t, world)
+	old := p.startProcess(p.binary)
+	p.requireReady(old)
+	mustPost := func(running *instance, path string) {
 		t.Helper()
-		if status, body := callTo(t, running.ops, "POST", path); status != 200 {
+		if status, body := callAdminAt(t, running.ops, "POST", path); status != 200 {
 			t.Fatalf("%s: %d %s", path, status, body)
 		}
 	}
-	yes(old, "/maintenance/enter/s-0")
-	next := p.begin(p.binary)
-	p.must(next)
-	if p.says(old, 50*time.Millisecond) {
+	mustPost(old, "/maintenance/enter/s-0")
+	next := p.startProcess(p.binary)
+	p.requireReady(next)
+	if p.isReadyWithin(old, 50*time.Millisecond) {
 		t.Error("the old process says that it takes clients")
 	}
-	if status, _ := callTo(t, old.ops, "POST", "/maintenance/enter/s-7"); status != 404 {
+	if status, _ := callAdminAt(t, old.ops, "POST", "/maintenance/enter/s-7"); status != 404 {
 		t.Errorf("a stranger, asked of the old process: %d", status)
 	}
-	load := p.steady(6)
+	load := p.startLoad(6)
 	time.Sleep(400 * time.Millisecond)
 	if got := world.Calls(0); got > 0 {
 		t.Errorf("%d calls to what is out", got)
 	}
-	yes(old, "/maintenance/exit/s-0")
-	yes(old, "/maintenance/enter/s-1")
+	mustPost(old, "/maintenance/exit/s-0")
+	mustPost(old, "/maintenance/enter/s-1")
 	before := world.Calls(1)
 	waitFor(t, "calls to what is back", 5*time.Second, func() bool { return world.Calls(0) > 0 })
 	time.Sleep(300 * time.Millisecond)
 	if got := world.Calls(1); got > before+3 { // those that were out
 		t.Errorf("%d calls to what the old process was notified is out", got-before)
 	}
-	yes(old, "/standby")
-	if p.says(next, 50*time.Millisecond) {
+	mustPost(old, "/standby")
+	if p.isReadyWithin(next, 50*time.Millisecond) {
 		t.Error("drained by a call to the old process, and clients are taken")
 	}
-	yes(next, "/active")
-	p.must(next)
-	p.leave(old)
-	p.ended.Wait()
-	load.end(world, 1)
-	p.leave(next)
-	p.ended.Wait()
+	mustPost(next, "/active")
+	p.requireReady(next)
+	p.terminate(old)
+	p.exits.Wait()
+	load.verify(world, 1)
+	p.terminate(next)
+	p.exits.Wait()
 }
 
-// TestSuccessorsThatLeave: whoever says hello and leaves at once, or says nothing more, takes nothing along.
-func TestSuccessorsThatLeave(t *testing.T) {
-	world := upgradeWorld(t)
-	p := newPlatform(t, world)
-	now := p.begin(p.binary)
-	p.must(now)
+// TestSuccessorsThatDisconnect: whoever says hello and leaves at once, or says nothing more, takes nothing along.
+func TestSuccessorsThatDisconnect(t *testing.T) {
+	world := newUpgradeWorld(t)
+	p := newSupervisor(t, world)
+	current := p.startProcess(p.binary)
+	p.requireReady(current)
 	hello, err := json.Marshal(handoff.Message{Hello: &handoff.Hello{Version: handoff.Version, Courier: "n0"}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	// As many as there are to be, however long this machine takes to own the folder anew in between: with 12 tries 20 ms apart, a busy one
 	// left room for one or two.
-	left := 0
-	for deadline := time.Now().Add(20 * time.Second); left < 12 && time.Now().Before(deadline); {
+	disconnected := 0
+	for deadline := time.Now().Add(20 * time.Second); disconnected < 12 && time.Now().Before(deadline); {
 		conn, err := net.Dial("unix", filepath.Join(p.dir, "state", "upgrade.sock"))
 		if err != nil {
 			time.Sleep(20 * time.Millisecond) // the folder is being owned anew
@@ -430,23 +430,23 @@
 		}
 		conn.Write(append(hello, '\n'))
 		conn.Close()
-		left++
-		p.must(now)
+		disconnected++
+		p.requireReady(current)
 	}
-	if left < 12 {
-		t.Errorf("only %d successors", left)
+	if disconnected < 12 {
+		t.Errorf("only %d successors", disconnected)
 	}
-	p.leave(now)
-	p.ended.Wait()
+	p.terminate(current)
+	p.exits.Wait()
 }
 
-// TestNoSocket: a descriptor that is no listening socket is a fault that names its key. Failure: it was found only after the process
+// TestInvalidSocketFD: a descriptor that is no listening socket is a fault that names its key. Failure: it was found only after the process
 // that served had handed all over.
-func TestNoSocket(t *testing.T) {
-	world := upgradeWorld(t)
-	c := newPlatform(t, world)
-	now := c.begin(c.binary)
-	c.must(now)
+func TestInvalidSocketFD(t *testing.T) {
+	world := newUpgradeWorld(t)
+	c := newSupervisor(t, world)
+	current := c.startProcess(c.binary)
+	c.requireReady(current)
 	for _, fd := range []string{"1", "99", "x"} {
 		cmd := exec.Command(c.binary)
 		cmd.Env = append(os.Environ(), "RELAY_CONFIG="+filepath.Join(c.dir, "config.json"), "RELAY_STATE="+filepath.Join(c.dir, "state"),
@@ -455,30 +455,30 @@
 			t.Errorf("%s: %v %s", fd, err, out)
 		}
 	}
-	if strings.Contains(c.said(), "handed over to the successor") {
+	if strings.Contains(c.logText(), "handed over to the successor") {
 		t.Error("the courier handed all over to a process that cannot listen")
 	}
 }
 
-// TestBothProcessesOfAnUpgradeRest: after a handoff, neither the predecessor, which nobody has told to end yet, nor its successor takes much
+// TestNoBusyLoopAfterHandoff: after a handoff, neither the predecessor, which nobody has told to end yet, nor its successor takes much
 // processor time. Failure: the predecessor kept a timer that it does not serve any more, and its loop went round without a pause.
-func TestBothProcessesOfAnUpgradeRest(t *testing.T) {
+func TestNoBusyLoopAfterHandoff(t *testing.T) {
 	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 429, WaitMs: 1900} })
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(world.Close)
-	p := newPlatform(t, world)
-	first := p.begin(p.binary)
-	p.must(first)
+	p := newSupervisor(t, world)
+	first := p.startProcess(p.binary)
+	p.requireReady(first)
 	for n := range 12 { // they wait, and the dispatcher has a timer for them
-		if got := p.ask(enqueue(fmt.Sprintf("waits-%d", n), "update", 30000)); got[0] != "+OK" {
+		if got := p.send(enqueue(fmt.Sprintf("waits-%d", n), "update", 30000)); got[0] != "+OK" {
 			t.Fatal(got)
 		}
 	}
-	next := p.begin(p.binary)
-	p.must(next)
-	waitFor(t, "a handoff", 5*time.Second, func() bool { return strings.Contains(p.said(), "successor is serving") })
+	next := p.startProcess(p.binary)
+	p.requireReady(next)
+	waitFor(t, "a handoff", 5*time.Second, func() bool { return strings.Contains(p.logText(), "successor is serving") })
 	time.Sleep(time.Second)
 	processes := map[string]int{"predecessor": first.cmd.Process.Pid, "successor": next.cmd.Process.Pid}
 	before := map[string]time.Duration{}
@@ -491,9 +491,9 @@
 			t.Errorf("%s: %v of processor time in 2 s of rest: a loop spins", name, took)
 		}
 	}
-	p.leave(first)
-	p.leave(next)
-	p.ended.Wait()
+	p.terminate(first)
+	p.terminate(next)
+	p.exits.Wait()
 }
 
 // processorTime returns what a process has used.
--- a/cmd/pineport/watch_test.go
+++ b/cmd/pineport/watch_test.go
@@ -12,10 +12,10 @@
 	"pineport/testbed/scripted"
 )
 
-// TestWatchedSettings: beside a courier that serves as before, settings to come are decided by; where they would have held
+// TestShadowConfiguration: beside a courier that serves as before, settings to come are decided by; where they would have held
 // back, as one slot is too few, it is counted and nothing else happens. The same settings differ nowhere. A faulty file
 // is notified before anything listens.
-func TestWatchedSettings(t *testing.T) {
+func TestShadowConfiguration(t *testing.T) {
 	world, err := scripted.Open(1, func(string) scripted.Fate {
 		return scripted.Fate{Status: 200, After: 150 * time.Millisecond}
 	})
@@ -25,7 +25,7 @@
 	defer world.Close()
 	for _, slots := range []float64{0, 1} { // 0: as they are
 		c := newCourier(t, world)
-		file, watched := filepath.Join(c.dir, "config.json"), filepath.Join(c.dir, "to-come.json")
+		file, shadowFile := filepath.Join(c.dir, "config.json"), filepath.Join(c.dir, "to-come.json")
 		write := func(path string, change func(top map[string]any)) {
 			var top map[string]any
 			if err := json.Unmarshal(world.Configuration("n0", c.listen), &top); err != nil {
@@ -40,39 +40,39 @@
 				t.Fatal(err)
 			}
 		}
-		toCome := func(slots float64) {
-			write(watched, func(top map[string]any) {
+		writeShadow := func(slots float64) {
+			write(shadowFile, func(top map[string]any) {
 				if slots != 0 {
 					top["settings"].(map[string]any)["family-info"].(map[string]any)["slots"] = slots
 				}
 			})
 		}
 		write(file, func(top map[string]any) {
-			top["watch"] = map[string]any{"file": watched, "every_s": 0.2}
+			top["watch"] = map[string]any{"file": shadowFile, "every_s": 0.2}
 		})
-		toCome(-1)
-		out, err := tool("run", "--config", file, "--state", filepath.Join(c.dir, "state"))
-		if said := fmt.Sprint(out, err); err == nil || !strings.Contains(said, "watch.file") ||
-			!strings.Contains(said, "settings.family-info.slots") {
-			t.Errorf("a faulty file to watch: %s", said)
+		writeShadow(-1)
+		out, err := runCommand("run", "--config", file, "--state", filepath.Join(c.dir, "state"))
+		if output := fmt.Sprint(out, err); err == nil || !strings.Contains(output, "watch.file") ||
+			!strings.Contains(output, "settings.family-info.slots") {
+			t.Errorf("a faulty file to watch: %s", output)
 		}
-		toCome(slots)
+		writeShadow(slots)
 		c.start()
-		var all []string
+		var commands []string
 		for i := range 6 {
-			all = append(all, enqueue(fmt.Sprintf("w%v-%d", slots, i), "update", 6000))
+			commands = append(commands, enqueue(fmt.Sprintf("w%v-%d", slots, i), "update", 6000))
 		}
-		c.ask(all...)
+		c.send(commands...)
 		for i := range 6 {
 			id := fmt.Sprintf("w%v-%d", slots, i)
 			waitFor(t, id, 5*time.Second, func() bool { _, done, _ := world.Seen(id); return done == 1 })
 		}
 		c.cmd.Process.Signal(os.Interrupt)
 		c.cmd.Wait()
-		said := c.said()
-		line := said[strings.LastIndex(said, "shadow configuration compared"):]
-		held := !strings.Contains(line, " later=0 ")
-		if held != (slots == 1) {
+		output := c.logText()
+		line := output[strings.LastIndex(output, "shadow configuration compared"):]
+		differs := !strings.Contains(line, " later=0 ")
+		if differs != (slots == 1) {
 			t.Errorf("with %v slots to come: %s", slots, line)
 		}
 	}
