--- a/cmd/pineport/clock_test.go
+++ b/cmd/pineport/clock_test.go
@@ -21,7 +21,7 @@
 	"pineport/testbed/scripted"
 )
 
-// wallStep has this test program run as a courier on a machine whose wall clock is off by so much.
+// wallStepEnv names the environment variable that makes the test binary run as a courier whose wall clock is stepped by the given duration.
 const wallStepEnv = "PINEPORT_TEST_WALL_STEP"
 
 func runWithWallStep(step string) {
@@ -34,19 +34,19 @@
 		readings.Wall += by.Microseconds()
 		return readings
 	}
-	if err := runWithClock(stepped, config.Sources{Getenv: os.Getenv}, os.Stderr); err != nil {
+	if err := runUsing(stepped, config.Sources{Getenv: os.Getenv}, os.Stderr); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 	os.Exit(0)
 }
 
-// TestWallClockStepsBetweenProcesses: the wall clock is stepped between a process that is killed, or hands over, and the next, forward and
-// back. What was taken on and untried is still delivered; what cannot be delivered ends in its time, by the real clock; a Retry-After that
-// was told still holds, and no longer than it was told.
+// TestWallClockStepsBetweenProcesses steps the wall clock forward or back between a process that is killed or hands over and the next one.
+// Accepted messages must still be delivered, messages that cannot be delivered must end at their deadline by the real time, and a Retry-After
+// must hold for as long as it was given, not longer.
 //
-// Failure: times in the folder were Unix time, and each process took its own from the wall clock: an hour forward had all messages given up
-// without a call, an hour back kept them for an hour longer.
+// Incident: times in the state directory were Unix times, and each process used its wall clock. After a step of an hour forward all messages
+// ended without a call; after a step of an hour back they were kept for an hour longer.
 func TestWallClockStepsBetweenProcesses(t *testing.T) {
 	var cases sync.WaitGroup
 	for _, step := range []string{"2s", "90s", "1h", "-2s", "-90s", "-1h"} {
@@ -61,12 +61,12 @@
 
 func runWallStep(t *testing.T, step string, withHandoff bool) {
 	const shortMs = 3000
-	var available atomic.Bool // until then the endpoint turns all away
+	var available atomic.Bool // until set, the endpoint throttles every call
 	world, err := scripted.Open(1, func(id string) scripted.Fate {
 		if available.Load() && strings.HasPrefix(id, "keep") {
 			return scripted.Fate{Status: 200}
 		}
-		return scripted.Fate{Status: 429, WaitMs: 1000} // nothing is in flight as the process is killed
+		return scripted.Fate{Status: 429, WaitMs: 1000} // no call is in flight when the process is killed
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -111,7 +111,7 @@
 	}
 }
 
-// TestOnlyClockPackageReadsClocks: no other package of the courier reads a system's clock, by itself or through package time.
+// TestOnlyClockPackageReadsClocks checks that no package of the courier except clock reads a system clock, directly or through package time.
 func TestOnlyClockPackageReadsClocks(t *testing.T) {
 	packages := []string{"admin", "atomicfile", "cmd/pineport", "config", "dispatch", "handoff", "logging", "maintenance", "membership", "protocol", "quota", "server",
 		"snapshot", "spool", "transport"}
--- a/cmd/pineport/config.go
+++ b/cmd/pineport/config.go
@@ -19,7 +19,7 @@
 	cmd := &cobra.Command{Use: "config", Short: "Check, show and explain the configuration"}
 	cmd.AddCommand(configCheckCmd(), configShowCmd(), configExplainCmd(), &cobra.Command{
 		Use:   "init",
-		Short: "Write a commented example, in TOML",
+		Short: "Write a commented example configuration in TOML",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			_, err := io.WriteString(cmd.OutOrStdout(), config.Example())
@@ -27,14 +27,14 @@
 		},
 	}, &cobra.Command{
 		Use:   "page",
-		Short: "Write the page on configuration, from the schema",
+		Short: "Write the reference page of all configuration keys",
 		Args:  cobra.NoArgs,
 		RunE:  func(cmd *cobra.Command, _ []string) error { return config.WritePage(cmd.OutOrStdout()) },
 	})
 	return cmd
 }
 
-// document reads the configuration named by an argument, or as run would.
+// readDocument reads the configuration file named by the first argument or, without arguments, the one that run would read.
 func readDocument(f *flags, args []string) (*config.Document, error) {
 	if len(args) > 0 {
 		f.config = args[0]
@@ -52,7 +52,7 @@
 	var against, output string
 	cmd := &cobra.Command{
 		Use:   "check [FILE]",
-		Short: "Tell all faults of a configuration, and what a reload from another one would do",
+		Short: "Report all errors of a configuration, or what a reload from another one would change",
 		Example: `  pineport config check courier.toml --strict
   pineport config check next.toml --against courier.toml`,
 		Args: cobra.MaximumNArgs(1),
@@ -61,11 +61,11 @@
 			if err != nil {
 				return err
 			}
-			for _, w := range doc.Warnings {
+			for _, warning := range doc.Warnings {
 				if strict {
-					doc.Faults = append(doc.Faults, w)
+					doc.Faults = append(doc.Faults, warning)
 				} else {
-					fmt.Fprintln(cmd.ErrOrStderr(), "warning:", w)
+					fmt.Fprintln(cmd.ErrOrStderr(), "warning:", warning)
 				}
 			}
 			if err := doc.Err(); err != nil {
@@ -86,8 +86,8 @@
 		},
 	}
 	f.add(cmd)
-	cmd.Flags().BoolVar(&strict, "strict", false, "unknown keys, and settings that come to nothing beside others, are faults")
-	cmd.Flags().StringVar(&against, "against", "", "the file that a running courier has: tell what a reload would do")
+	cmd.Flags().BoolVar(&strict, "strict", false, "treat warnings as errors: unknown keys, and settings without effect because of others")
+	cmd.Flags().StringVar(&against, "against", "", "configuration file of a running courier: show what a reload would change")
 	cmd.Flags().StringVar(&output, "output", "table", "table or json")
 	return cmd
 }
@@ -101,12 +101,12 @@
 		if len(changes) == 0 {
 			fmt.Fprintln(table, "nothing would change")
 		}
-		for _, p := range changes {
-			fmt.Fprintf(table, "%s\t%s -> %s\t%s\n", p.Key, cmp.Or(p.Old, "-"), cmp.Or(p.New, "-"), p.Effect)
+		for _, change := range changes {
+			fmt.Fprintf(table, "%s\t%s -> %s\t%s\n", change.Key, cmp.Or(change.Old, "-"), cmp.Or(change.New, "-"), change.Effect)
 		}
 		return table.Flush()
 	}
-	return errors.New("--output: table or json was expected")
+	return errors.New("--output: want table or json")
 }
 
 func configShowCmd() *cobra.Command {
@@ -114,7 +114,7 @@
 	var output string
 	cmd := &cobra.Command{
 		Use:   "show [FILE]",
-		Short: "Print every value and where it came from",
+		Short: "Print every value and its source",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			doc, err := readDocument(&f, args)
@@ -133,8 +133,8 @@
 			}
 			table := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 8, 2, ' ', 0)
 			for _, path := range paths {
-				v := doc.Values[path]
-				fmt.Fprintf(table, "%s\t%s\t%s\n", path, v.Text, valueOrigin(doc.File, v))
+				value := doc.Values[path]
+				fmt.Fprintf(table, "%s\t%s\t%s\n", path, value.Text, valueOrigin(doc.File, value))
 			}
 			if err := table.Flush(); err != nil {
 				return err
@@ -147,40 +147,40 @@
 	return cmd
 }
 
-func valueOrigin(file string, v config.Value) string {
-	if v.From == "file" {
-		return fmt.Sprintf("%s:%d", file, v.Line)
+func valueOrigin(file string, value config.Value) string {
+	if value.From == "file" {
+		return fmt.Sprintf("%s:%d", file, value.Line)
 	}
-	return v.From
+	return value.From
 }
 
 func configExplainCmd() *cobra.Command {
 	var f flags
 	cmd := &cobra.Command{
 		Use:     "explain KEY",
-		Short:   "Say what a key means, its unit, range and default, and where its value comes from",
+		Short:   "Explain a key: meaning, unit, range, default, and the source of its value",
 		Example: "  pineport config explain settings.family-info.slots --config courier.json",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			k, ok := config.Lookup(args[0])
+			key, ok := config.Lookup(args[0])
 			if !ok {
 				var known []string
-				for _, k := range config.Schema {
-					known = append(known, k.Path)
+				for _, key := range config.Schema {
+					known = append(known, key.Path)
 				}
-				hint := "pineport config page lists them"
+				hint := "pineport config page lists all keys"
 				if nearest := config.Nearest(args[0], known); nearest != "" {
 					hint = nearest + "?"
 				}
 				return fmt.Errorf("no key has the name %q; %s", args[0], hint)
 			}
 			out := cmd.OutOrStdout()
-			if k.Ignored {
-				fmt.Fprintf(out, "%s: of the platform; nothing here reads it\n", k.Path)
+			if key.Ignored {
+				fmt.Fprintf(out, "%s: used by the platform; pineport does not read it\n", key.Path)
 				return nil
 			}
-			fmt.Fprintf(out, "%s: %s\n  expected: %s\n", k.Path, k.Doc, k.Expects())
-			for _, row := range [][2]string{{"unit", k.Unit}, {"default", k.Default}, {"variable", k.EnvVar}, {"on reload", k.OnReload()}} {
+			fmt.Fprintf(out, "%s: %s\n  expected: %s\n", key.Path, key.Doc, key.Expects())
+			for _, row := range [][2]string{{"unit", key.Unit}, {"default", key.Default}, {"variable", key.EnvVar}, {"on reload", key.OnReload()}} {
 				if row[1] != "" {
 					fmt.Fprintf(out, "  %s: %s\n", row[0], row[1])
 				}
@@ -192,9 +192,9 @@
 			if err != nil {
 				return err
 			}
-			for _, path := range doc.Paths(k.Path) {
-				if v, ok := doc.Values[path]; ok && strings.TrimSpace(v.Text) != "" {
-					fmt.Fprintf(out, "  now: %s = %s (%s)\n", path, v.Text, valueOrigin(doc.File, v))
+			for _, path := range doc.Paths(key.Path) {
+				if value, ok := doc.Values[path]; ok && strings.TrimSpace(value.Text) != "" {
+					fmt.Fprintf(out, "  now: %s = %s (%s)\n", path, value.Text, valueOrigin(doc.File, value))
 				}
 			}
 			return nil
--- a/cmd/pineport/crowd_test.go
+++ b/cmd/pineport/crowd_test.go
@@ -18,7 +18,7 @@
 	"pineport/testbed/scripted"
 )
 
-// descriptors is how many the courier's process holds.
+// descriptors returns the number of open file descriptors of the courier's process.
 func (c *courier) descriptors() int {
 	c.t.Helper()
 	all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", c.cmd.Process.Pid))
@@ -28,7 +28,7 @@
 	return len(all)
 }
 
-// crowd is clients that come, say nothing or half a command, and come again at once when they are drained.
+// idleClients are clients that connect, send nothing or a truncated command, and reconnect at once when the courier closes the connection.
 type idleClients struct {
 	stopping  chan struct{}
 	done      sync.WaitGroup
@@ -58,7 +58,7 @@
 	}
 }
 
-// visit stays on one connection until it is closed.
+// connectOnce opens one connection and keeps it until the courier closes it or the clients are stopped.
 func (w *idleClients) connectOnce(address string, halfACommand bool) {
 	conn, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
@@ -89,14 +89,14 @@
 	w.done.Wait()
 }
 
-// TestDiscoveryIsPolledDespiteIdleClients: idle clients take all the descriptors that they can get while discovery is down; when it
-// is back it is asked again, in time, with the crowd still there.
+// TestDiscoveryIsPolledDespiteIdleClients has idle clients take all descriptors that they can get while discovery is down. Once discovery is
+// available again, the courier must poll it in time although the clients are still connected.
 func TestDiscoveryIsPolledDespiteIdleClients(t *testing.T) {
 	const (
 		sockets      = 128
 		clients      = 4 * sockets
 		downtime     = 5 * time.Second
-		pollDeadline = 6 * time.Second // what is notified counts as reported by then
+		pollDeadline = 6 * time.Second // the time within which a courier must apply a change
 	)
 	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
 	if err != nil {
@@ -124,7 +124,7 @@
 		maxDescriptors = max(maxDescriptors, c.descriptors())
 	}
 	if maxDescriptors < sockets*4/10 {
-		t.Errorf("%d descriptors of %d: no crowd", maxDescriptors, sockets)
+		t.Errorf("the courier has %d descriptors open at most, of %d: too few idle clients connected", maxDescriptors, sockets)
 	}
 	polledAt := make(chan time.Time, 1)
 	list := fmt.Sprintf(`{"seq":9,"whole":true,"hosts":[{"host":"s-9","dial":%q,"site":"a","class":"plain","block":2,`+
@@ -132,7 +132,7 @@
 	var calls atomic.Int64
 	server := &http.Server{Handler: http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		if calls.Add(1) > 1 {
-			<-r.Context().Done() // nothing newer
+			<-r.Context().Done() // no newer version of the list
 			return
 		}
 		polledAt <- time.Now()
@@ -147,13 +147,13 @@
 	defer server.Close()
 	select {
 	case at := <-polledAt:
-		t.Logf("at most %d descriptors of %d held, %d clients connected; discovery was asked %v after it was back", maxDescriptors, sockets, idle.connected.Load(),
+		t.Logf("at most %d of %d descriptors open, %d clients connected; discovery was polled %v after it was available again", maxDescriptors, sockets, idle.connected.Load(),
 			at.Sub(availableAt).Round(10*time.Millisecond))
 	case <-time.After(pollDeadline):
-		t.Fatalf("discovery was not asked within %v; %d descriptors held", pollDeadline, c.descriptors())
+		t.Fatalf("discovery was not polled within %v; %d descriptors open", pollDeadline, c.descriptors())
 	}
 	stopIdle()
-	waitFor(t, "a message for what the list brought", 5*time.Second, func() bool {
+	waitFor(t, "a message to the listed destination to be accepted", 5*time.Second, func() bool {
 		got := c.send(strings.Replace(enqueue("next", "update", 8000), "dest=1", "dest=2", 1))
 		return got[0] == "+OK"
 	})
--- a/cmd/pineport/docs_test.go
+++ b/cmd/pineport/docs_test.go
@@ -9,10 +9,10 @@
 	"testing"
 )
 
-// repository is the root of the checkout, from this package.
+// repositoryRoot is the root of the repository, relative to this package.
 const repositoryRoot = "../.."
 
-// readPage reads a page of docs.
+// readPage returns a page of docs/.
 func readPage(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(repositoryRoot, "docs", name))
@@ -22,7 +22,7 @@
 	return string(text)
 }
 
-// logMessages are the texts of all log lines in the source of the courier.
+// logMessages returns the messages of all log calls in the courier's source.
 func logMessages(t *testing.T) map[string]bool {
 	t.Helper()
 	logCall := regexp.MustCompile(`\.(?:Debug|Info|Warn|Error)\("([^"]+)"`)
@@ -52,7 +52,7 @@
 	return messages
 }
 
-// column returns the quoted texts in a column of all tables of a page; the first column is 1.
+// column returns the code-quoted texts in one column of all tables of a page. The first column has index 1.
 func column(page string, index int) (quotes []string) {
 	quoted := regexp.MustCompile("`([^`]+)`")
 	for _, line := range strings.Split(page, "\n") {
@@ -67,10 +67,10 @@
 	return quotes
 }
 
-// attributes of a quoted log line, with which its text ends.
+// attributes matches the attributes at the end of a quoted log line.
 var attributes = regexp.MustCompile(` [a-z_]+=.*$`)
 
-// TestPagesQuoteLogLines: every log line that the pages for operators quote is written by the source.
+// TestPagesQuoteLogLines checks that every log message quoted in the operators' pages exists in the source.
 func TestPagesQuoteLogLines(t *testing.T) {
 	messages := logMessages(t)
 	for _, quote := range column(readPage(t, "logs.md"), 1) {
@@ -78,12 +78,12 @@
 			t.Errorf("logs.md: no log line %q", quote)
 		}
 	}
-	// What stands in the column of signs and is no log line: outcomes, replies, metrics and texts within lines.
+	// These quotes in the symptoms column are no log messages but outcomes, replies, metrics and parts of log lines.
 	otherQuotes := map[string]bool{"unreachable": true, "timed_out": true, "-BUSY": true, "targets_disabled": true, "truncated=true": true,
 		"torn or damaged": true, "unknown version": true}
 	quotes := column(readPage(t, "oncall.md"), 2)
 	if len(quotes) < 20 {
-		t.Errorf("%d quotes in oncall.md: the page is not read", len(quotes))
+		t.Errorf("only %d quotes found in oncall.md: the page was not parsed", len(quotes))
 	}
 	for _, quote := range quotes {
 		if line := attributes.ReplaceAllString(quote, ""); !otherQuotes[quote] && !messages[line] {
@@ -92,7 +92,7 @@
 	}
 }
 
-// declarations are the names of functions, methods, types, fields and constants in the source of the courier.
+// declarations returns the names of functions, methods, types, fields and constants in the courier's source.
 func declarations(t *testing.T) map[string]bool {
 	t.Helper()
 	declared := regexp.MustCompile(`(?m)^(?:func (?:\([^)]*\) )?|type |\t)([A-Za-z]\w*)`)
@@ -119,12 +119,12 @@
 	return names
 }
 
-// TestArchitecturePageNamesExist: each package, program, file, function and type that the page on the architecture names exists.
+// TestArchitecturePageNamesExist checks that every package, program, file, function and type named in ARCHITECTURE.md exists.
 func TestArchitecturePageNamesExist(t *testing.T) {
 	page := readPage(t, "ARCHITECTURE.md")
 	names := declarations(t)
 	quoted := regexp.MustCompile("`([^`\n]+)`")
-	// Files of the state folder, and a key and commands of other pages.
+	// Files of the state directory, a configuration key, and commands.
 	otherQuotes := map[string]bool{"learned.lore": true, "peers.start": true, "maintenance.out": true, "owner.lock": true, "known": true, "policy": true,
 		"pineport config page": true, "state": true, "members": true}
 	paths, identifiers := 0, 0
@@ -138,15 +138,15 @@
 		if last := parts[len(parts)-1]; names[last] {
 			identifiers++
 		} else if !otherQuotes[quote] {
-			t.Errorf("%q is no path, and %q is declared nowhere", quote, last)
+			t.Errorf("%q is not a path, and %q is not declared", quote, last)
 		}
 	}
 	if paths < 30 || identifiers < 30 {
-		t.Errorf("%d paths and %d identifiers: the page is not read", paths, identifiers)
+		t.Errorf("only %d paths and %d identifiers found: the page was not parsed", paths, identifiers)
 	}
 }
 
-// TestReadmeNamesPathsThatExist: each path in the README's table of parts exists.
+// TestReadmeNamesPathsThatExist checks that every path in the README's table of packages exists.
 func TestReadmeNamesPathsThatExist(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join(repositoryRoot, "README.md"))
 	if err != nil {
@@ -159,7 +159,7 @@
 	parts, _, _ = strings.Cut(parts, "## Under the bench")
 	paths := column(parts, 1)
 	if len(paths) < 20 {
-		t.Errorf("%d paths: the table is not read", len(paths))
+		t.Errorf("only %d paths found in README.md: the table was not parsed", len(paths))
 	}
 	for _, path := range paths {
 		if _, err := os.Stat(filepath.Join(repositoryRoot, path)); err != nil {
--- a/cmd/pineport/drain_test.go
+++ b/cmd/pineport/drain_test.go
@@ -15,32 +15,32 @@
 	"pineport/testbed/scripted"
 )
 
-// Incident: requests went to a draining endpoint for up to 1.1 s after its drain counted as known, which is 6 s after discovery had
-// it, and with that past the grace.
+// Incident: the courier sent requests to a draining endpoint for up to 1.1 s after the limit of changeDeadline, 6 s after discovery
+// had the drain, and so beyond drainGrace.
 //
-// Seen: a watch of the endpoint list fell silent just before the drain, was given up after 5.5 s and asked anew at once; that call
-// was refused (503), and the next one came 2.8 s later.
+// Sequence: a watch of the endpoint list became silent just before the drain. The courier gave it up after 5.5 s and polled again at
+// once; that poll failed with status 503, and the next one followed 2.8 s later.
 //
-// Cause: when to ask again was decided by the last call alone. A failed call began a pause of 1 to 4 s, however much of the 6 s the
-// calls before it had taken. Of the same class, found while looking for it: the version moved on to that of an answer of which a part
-// could not be used, so that a drain in it was never asked for again.
+// Cause: the time of the next poll depended on the last poll alone. A failed poll started a backoff of 1 to 4 s, regardless of how much of
+// the 6 s earlier polls had used. A related fault was found in the investigation: the courier adopted the version of an answer that was
+// partly unusable, so that it never requested a drain in the unusable part again.
 //
-// Proof: the log of the courier that sent them; and each case below of a second fault after the silent watch, or of an entry that
-// cannot be used, had calls at the drained endpoint past the grace (22 of 29), and has none with the mend.
+// Evidence: the log of the courier; and before the fix, 22 of the 29 cases below, those with a second fault after the silent watch or with an
+// unusable entry, had calls to the draining endpoint beyond the grace. With the fix none has.
 
 const (
-	// changeDeadline is when a change counts as known at the latest, after discovery had it and could be reached.
+	// changeDeadline is the time within which a courier must apply a change, once discovery has it and is reachable.
 	changeDeadline = 6 * time.Second
-	// drainGrace is how long after that a new request may go to an endpoint that drains; the shortest in use.
+	// drainGrace is how long after changeDeadline new requests may still go to a draining endpoint. It is the shortest grace in use.
 	drainGrace = 500 * time.Millisecond
-	// workTime is how long an endpoint works on a call: several messages are in flight, which takes both endpoints.
+	// callDuration is the time an endpoint takes for a call. It is long enough that several messages are in flight and both endpoints are used.
 	callDuration = 60 * time.Millisecond
 )
 
-// treatments are what discovery's answers come to from the drain on, one poll after the other; the polls after them are well.
-type pollTreatments []faultproxy.Treatment
+// pollFaults are the faults of successive polls, starting with the watch that is open when the drain happens. Later polls succeed.
+type pollFaults []faultproxy.Treatment
 
-func withFaults(faults ...faultproxy.Fault) (treatments pollTreatments) {
+func withFaults(faults ...faultproxy.Fault) (treatments pollFaults) {
 	for _, fault := range faults {
 		treatments = append(treatments, faultproxy.Treatment{Fault: fault, Delay: 2 * time.Second})
 	}
@@ -53,13 +53,13 @@
 	}}
 }
 
-var silentFirst = func(rest ...faultproxy.Treatment) pollTreatments {
+var silentFirst = func(rest ...faultproxy.Treatment) pollFaults {
 	return append(withFaults(faultproxy.Silent), rest...)
 }
 
-// drainsLearnedLate are the ways in which a drain is learned late: what happens to the watch that is open as it is made, and to the
-// polls after it.
-var lateDrainCases = map[string]pollTreatments{
+// lateDrainCases lists ways in which the courier learns of a drain late: the fault of the watch that is open when the drain happens, and the
+// faults of the polls after it.
+var lateDrainCases = map[string]pollFaults{
 	"silent":                               withFaults(faultproxy.Silent),
 	"silent, unavailable":                  withFaults(faultproxy.Silent, faultproxy.Unavailable),
 	"silent, unavailable three times":      withFaults(faultproxy.Silent, faultproxy.Unavailable, faultproxy.Unavailable, faultproxy.Unavailable),
@@ -91,17 +91,17 @@
 	"unknown health twice, then no answer": {replaceInAnswer(`"terminating"`, `"terminatinh"`), replaceInAnswer(`"terminating"`, `"x"`), {Fault: faultproxy.Reset}},
 }
 
-// TestDrainTakesEffectInTime: a drain is heeded 6 s after discovery had it, and the grace, at the latest, whatever one or two calls to
-// discovery come to meanwhile; real processes on loopback, discovery behind a proxy.
+// TestDrainTakesEffectInTime checks that a draining endpoint gets no new requests later than changeDeadline plus drainGrace after the drain,
+// whatever faults the next polls of discovery have. It runs real processes on loopback, with discovery behind a fault proxy.
 func TestDrainTakesEffectInTime(t *testing.T) {
-	var cases sync.WaitGroup // not t.Parallel: they mostly wait, and all at once take the time of one
+	var cases sync.WaitGroup // not t.Parallel, which limits concurrency: the cases mostly wait, so all can run at once
 	for name, faults := range lateDrainCases {
 		cases.Go(func() { t.Run(name, func(t *testing.T) { runDrainCase(t, faults) }) })
 	}
 	cases.Wait()
 }
 
-func runDrainCase(t *testing.T, faults pollTreatments) {
+func runDrainCase(t *testing.T, faults pollFaults) {
 	world, err := scripted.Open(2, func(string) scripted.Fate { return scripted.Fate{Status: 200, After: callDuration} })
 	if err != nil {
 		t.Fatal(err)
@@ -123,7 +123,7 @@
 	t.Cleanup(proxy.Close)
 	world.Discovery = proxy.Address
 	c := newCourier(t, world)
-	c.start() // its first watch has the first fault
+	c.start() // its first watch gets the first fault
 	client := c.submitSteadily(10 * time.Millisecond)
 	waitFor(t, "a call to each endpoint", 3*time.Second, func() bool { return world.Calls(0) > 0 && world.Calls(1) > 0 })
 	drained := time.Now()
@@ -134,14 +134,14 @@
 	time.Sleep(2500 * time.Millisecond)
 	client.stop()
 	if late := world.Calls(0) - before; late > 0 {
-		t.Errorf("%d calls to the endpoint that drains, later than %v after its drain; polls: %s", late, changeDeadline+drainGrace, formatPolls(proxy, drained))
+		t.Errorf("%d calls to the draining endpoint later than %v after its drain; polls: %s", late, changeDeadline+drainGrace, formatPolls(proxy, drained))
 	}
 	if world.Calls(1) == 0 {
-		t.Error("no call to the endpoint that stays")
+		t.Error("no calls to the endpoint that is not draining")
 	}
 }
 
-// polls is what discovery was asked, for a failure's text.
+// formatPolls lists the polls of the endpoint list with times relative to from, for a failure message.
 func formatPolls(proxy *faultproxy.Proxy, from time.Time) (text string) {
 	for _, call := range proxy.Calls() {
 		if call.IsPoll() {
@@ -151,7 +151,7 @@
 	return text
 }
 
-// submitter is a client that submits messages at a steady rate, whatever it is answered.
+// submitter is a client that submits messages at a constant rate, regardless of the replies.
 type submitter struct {
 	stopping chan struct{}
 	done     sync.WaitGroup
--- a/cmd/pineport/final_answer_test.go
+++ b/cmd/pineport/final_answer_test.go
@@ -16,7 +16,7 @@
 	"pineport/testbed/scripted"
 )
 
-// rawEndpoint is an endpoint that reads calls and treats each as answer says; it ends with the test.
+// rawEndpoint starts an endpoint that reads one call on each connection and lets answer write the response. It stops when the test ends.
 func rawEndpoint(t *testing.T, answer func(conn net.Conn, id string)) (address string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -44,7 +44,7 @@
 	return l.Addr().String()
 }
 
-// flood sends commands and reads no reply until stopped, on one connection after the other: 100,000 commands a second at most.
+// flood sends commands and reads no replies until it is stopped, on one connection after another, at most 100,000 commands per second.
 func flood(address string, stopped *atomic.Bool) {
 	const pause = 10 * time.Millisecond
 	text := strings.Repeat(command("PING"), 1000)
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestFinalAnswerUnderAllFaults: with hostile clients, malformed answers, endpoints that hang and discovery down, all at once, each request
-// of a usual client gets its reply, and each message that was accepted ends once, in time: delivered or with one notice.
+// TestFinalAnswerUnderAllFaults combines hostile clients, malformed answers, hanging endpoints and unusable answers of discovery. Each request
+// of a normal client must get a reply, and each accepted message must end in time, once: delivered or with one notice.
 func TestFinalAnswerUnderAllFaults(t *testing.T) {
 	const (
 		clients   = 4
@@ -82,7 +82,7 @@
 	defer close(release)
 	world.Endpoints[1] = rawEndpoint(t, func(net.Conn, string) { <-release })
 	world.Endpoints[2] = rawEndpoint(t, func(conn net.Conn, _ string) { io.WriteString(conn, "HTTP/1.1 2x0 \x00\r\nContent-Length: -7\r\n\r\n") })
-	world.Endpoints[3] = rawEndpoint(t, func(conn net.Conn, id string) { // a head without an end; its first line is the delivery
+	world.Endpoints[3] = rawEndpoint(t, func(conn net.Conn, id string) { // an endless header; the status line counts as the delivery
 		halfAnswered.Store(id, true)
 		for {
 			if _, err := io.WriteString(conn, "HTTP/1.1 200 OK\r\nX: y\r\n"); err != nil {
@@ -91,7 +91,7 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 	})
-	world.Lists = func(int) string { return "{]" } // discovery answers nothing that can be used
+	world.Lists = func(int) string { return "{]" } // discovery's answers are unusable
 	c := newCourier(t, world)
 	c.start()
 
@@ -124,7 +124,7 @@
 	}
 	normalClients.Wait()
 	ended := time.Now()
-	t.Logf("asked for %v", ended.Sub(began))
+	t.Logf("submitted messages for %v", ended.Sub(began))
 	time.Sleep(time.Until(ended.Add(lifetime + slack)))
 	delivered, notified, rejected := 0, 0, 0
 	for _, all := range replies {
@@ -137,10 +137,10 @@
 			case strings.HasPrefix(reply, "-BUSY"):
 				rejected++
 			case reply != "+OK":
-				t.Errorf("%s: answered %q", id, reply)
+				t.Errorf("%s: got reply %q, want +OK or -BUSY", id, reply)
 			case done == 0 && len(notices) == 0:
 				t.Errorf("%s was accepted and has no final answer", id)
-			case len(slices.Compact(notices)) > 1: // one that was not confirmed in time goes again, alike
+			case len(slices.Compact(notices)) > 1: // an unconfirmed notice is sent again with the same content
 				t.Errorf("%s: notices %v", id, notices)
 			case done > 0:
 				delivered++
@@ -151,7 +151,7 @@
 	}
 	t.Logf("of %d requests: %d delivered, %d with a notice, %d rejected at once", clients*perClient, delivered, notified, rejected)
 	if delivered < clients*perClient/4 {
-		t.Errorf("%d of %d delivered: too few to tell", delivered, clients*perClient)
+		t.Errorf("only %d of %d messages delivered, want at least a quarter", delivered, clients*perClient)
 	}
 	stopped.Store(true)
 	idleClients.stop()
--- a/cmd/pineport/fleet.go
+++ b/cmd/pineport/fleet.go
@@ -16,14 +16,15 @@
 	"pineport/server"
 )
 
-// enterWithin is how long a process that took over tries for the address that the one before it gives up.
+// joinTimeout bounds how long a successor retries to listen on the membership address, which its predecessor gives up during the handoff.
 const joinTimeout = 2 * time.Second
 
-// beatMost: a lease lasts for eight ticks of the exchange at least, however slowly members are asked whether they are there.
+// maxExchangeInterval bounds the interval of the quota exchange, however long the interval between health checks of members is: a quota lease
+// must last for at least eight ticks of the exchange.
 const maxExchangeInterval = 500 * time.Millisecond
 
-// enter makes this process a member of its fleet, where it is to be one, and returns what ends that. Messages do not wait for
-// it, and a fault of it is notified and stops nothing else.
+// startMembership makes this process a member of its fleet if the configuration enables that, and returns a function that ends the membership.
+// It runs in the background: messages do not wait for it, and an error is logged and affects nothing else.
 func (p *process) startMembership(ctx context.Context, srv *server.Server, inherited *handoff.State) (end func()) {
 	dep, log := p.dep, p.log.With(logging.Component, "peers")
 	if !dep.Peers.Enabled() {
@@ -38,11 +39,11 @@
 		if m == nil {
 			return nil
 		}
-		go m.HandOff() // at once, as its successor wants the address
+		go m.HandOff() // at once, because the successor needs the address
 		return &handoff.Membership{Incarnation: m.Incarnation(), Members: m.Members()}
 	})
 	go func() {
-		m, x, err := p.openMembership(ctx, srv, inherited, log)
+		m, quotas, err := p.openMembership(ctx, srv, inherited, log)
 		if err != nil {
 			log.Error("membership failed to start", "error", err)
 			close(joined)
@@ -50,12 +51,12 @@
 		}
 		p.member.Store(m)
 		if p.adminServer != nil {
-			p.adminServer.SetFleet(fleetView{m, x})
+			p.adminServer.SetFleet(fleetView{m, quotas})
 		}
 		joined <- m
-		<-ctx.Done() // reported to end, or ended: others hear it as early as clients do
-		if x != nil {
-			x.Close()
+		<-ctx.Done() // on SIGTERM, so that members learn of the shutdown as early as clients, or after the event loop has ended
+		if quotas != nil {
+			quotas.Close()
 		}
 		if p.member.CompareAndSwap(m, nil) {
 			m.Leave()
@@ -76,17 +77,15 @@
 	dep := p.dep
 	o := gossip.Options{Name: dep.Name, FleetSize: dep.Dispatch.Couriers, Fleet: dep.Peers.Fleet, Listen: dep.Peers.Listen,
 		Advertise: dep.Peers.Advertise, Join: dep.Peers.Join, Key: dep.Peers.Key, Interval: dep.Peers.ProbeInterval, Seed: dep.Dispatch.Seed, Log: log, SizeEstimated: srv.FleetSizeEstimated,
-		StoreIncarnation: func(incarnationNumber uint64) error {
-			return incarnation.Store(dep.StateDir, dep.Name, incarnationNumber)
-		}}
-	if z := int(dep.Dispatch.Zone); z < len(dep.Zones) {
-		o.Zone = dep.Zones[z]
+		StoreIncarnation: func(value uint64) error { return incarnation.Store(dep.StateDir, dep.Name, value) }}
+	if zone := int(dep.Dispatch.Zone); zone < len(dep.Zones) {
+		o.Zone = dep.Zones[zone]
 	}
 	var err error
 	if o.Through, err = gossip.Pairs(dep.Peers.AddressOverrides); err != nil {
 		return nil, nil, err
 	}
-	if inherited != nil && inherited.Membership != nil { // the same member, going on
+	if inherited != nil && inherited.Membership != nil { // continue as the same member
 		o.Incarnation, o.Join = inherited.Membership.Incarnation, append(inherited.Membership.Members, o.Join...)
 	} else {
 		var fault error
@@ -94,13 +93,13 @@
 			log.Warn("last incarnation unknown", "file", incarnation.Name, "error", fault)
 		}
 		if err != nil {
-			return nil, nil, err // a number that is not kept might be used twice
+			return nil, nil, err // an incarnation that is not stored might be used twice
 		}
 	}
 	var quotaExchange atomic.Pointer[exchange.Exchange]
 	o.Receive = func(text []byte) {
-		if x := quotaExchange.Load(); x != nil {
-			x.Receive(text)
+		if quotas := quotaExchange.Load(); quotas != nil {
+			quotas.Receive(text)
 		}
 	}
 	for deadline := clock.Instant().Add(joinTimeout); ; {
@@ -119,28 +118,29 @@
 	}
 }
 
-// share has this courier grant and borrow parts of limits, at half the pace of membership or faster.
+// openExchange starts the exchange of quota shares with other couriers. Its interval is half the interval between health checks of
+// members, and at most maxExchangeInterval.
 func openExchange(self *gossip.Member, srv *server.Server, o gossip.Options, sequence uint64) *exchange.Exchange {
 	fleetMembers := func() (couriers int, alive []string) {
-		p := self.Snapshot()
-		for _, member := range p.Members {
+		snapshot := self.Snapshot()
+		for _, member := range snapshot.Members {
 			if member.State == membership.Alive {
 				alive = append(alive, string(member.Name))
 			}
 		}
-		return p.MaxCouriers, alive
+		return snapshot.MaxCouriers, alive
 	}
 	return exchange.Open(exchange.Options{Self: o.Name, Incarnation: self.Incarnation(), Interval: min(o.Interval/2, maxExchangeInterval), Log: o.Log, Fleet: fleetMembers, Send: self.Send,
 		FirstSequence: sequence, Demands: srv.Demands, Apply: srv.ApplyShares})
 }
 
-// fleet is what operators see of it.
+// fleetView is the view of the fleet that the admin server serves.
 type fleetView struct {
 	member *gossip.Member
-	quotas *exchange.Exchange // nil: nothing is shared
+	quotas *exchange.Exchange // nil if couriers share no quotas
 }
 
-// pictured is what GET /peers says.
+// membersReport is the response to GET /peers.
 type membersReport struct {
 	membership.Snapshot
 	Metrics gossip.Metrics `json:"figures"`
@@ -149,11 +149,11 @@
 func (f fleetView) Members() any       { return membersReport{f.member.Snapshot(), f.member.Metrics()} }
 func (f fleetView) Remove(name string) { f.member.Remove(name) }
 
-// Quota is what GET /quota says; nil where nothing is shared.
+// Quota returns the response to GET /commons, or nil if couriers share no quotas.
 func (f fleetView) Quota() any {
 	if f.quotas != nil {
-		if s, ok := f.quotas.Status(); ok {
-			return s
+		if status, ok := f.quotas.Status(); ok {
+			return status
 		}
 	}
 	return nil
--- a/cmd/pineport/folder_test.go
+++ b/cmd/pineport/folder_test.go
@@ -15,10 +15,10 @@
 	"pineport/testbed/syscallfault"
 )
 
-// writesToFolder are the calls by which a courier changes its state folder.
+// stateDirCalls lists the system calls with which a courier changes its state directory.
 var stateDirCalls = []string{"write", "ftruncate", "fsync", "openat", "rename", "renameat", "renameat2", "unlinkat"}
 
-// changesFolder reports whether a call changes the state folder: it is no call for a socket, a pipe or the log.
+// changesStateDir reports whether a system call changes the state directory, as opposed to a socket, a pipe or the log.
 func (c *courier) changesStateDir(call *syscallfault.Call) bool {
 	switch call.Name {
 	case "write", "ftruncate", "fsync":
@@ -29,9 +29,9 @@
 	return true
 }
 
-// TestStateDirFaults: every write, sync, truncation and rename in the state folder fails for 3 s, or the writes fall short. Nobody is taken on
-// meanwhile, with a word when to come back; what was taken on goes on where it may run again, and ends once; after it all is as before, also
-// over a kill and a start.
+// TestStateDirFaults makes every write, sync, truncation and rename in the state directory fail for 3 s, or makes writes short. While calls
+// fail, the courier must reject new messages; accepted messages that may be repeated continue. Every accepted message must end once. After
+// the fault the courier must work as before, also if it is killed and restarted.
 func TestStateDirFaults(t *testing.T) {
 	faults := map[string]syscallfault.Effect{"ENOSPC": {Errno: syscall.ENOSPC}, "EIO": {Errno: syscall.EIO}, "EDQUOT": {Errno: syscall.EDQUOT}, "short": {Limit: 3}}
 	var cases sync.WaitGroup
@@ -76,7 +76,7 @@
 	submit(&during, 10, faultDuration)
 	time.Sleep(300 * time.Millisecond)
 	if struck := child.Struck(); len(struck) == 0 {
-		t.Error("the fault never struck")
+		t.Error("no system call failed")
 	}
 	finished := append(before.delivered(world), during.delivered(world)...)
 	if killed {
@@ -88,31 +88,32 @@
 	before.verify(t, world)
 	after.verify(t, world)
 	if effect.Errno != 0 && len(during.rejected) == 0 {
-		t.Errorf("nobody was refused while the folder failed: %d accepted", len(during.accepted))
+		t.Errorf("no message was rejected while the state directory failed: %d accepted", len(during.accepted))
 	}
 	for _, id := range during.rejected {
 		if began, _, _ := world.Seen(id); began > 0 {
-			t.Errorf("%s was refused, and ran", id)
+			t.Errorf("%s was rejected but sent", id)
 		}
 	}
-	for _, id := range finished { // Failure: ends that the folder did not take were never written, and what was over ran again after the kill
+	// Incident: outcomes that could not be written during the fault were never written later, and delivered messages were sent again after a kill.
+	for _, id := range finished {
 		if began, _, _ := world.Seen(id); began > 1 {
-			t.Errorf("%s ran again after it was over", id)
+			t.Errorf("%s was sent again after its delivery", id)
 		}
 	}
 	if len(during.accepted) > 0 {
 		during.verify(t, world)
 	}
 	if unanswered := len(before.unanswered) + len(during.unanswered) + len(after.unanswered); unanswered > 0 {
-		t.Errorf("%d requests have no answer: %v %v %v", unanswered, before.unanswered, during.unanswered, after.unanswered)
+		t.Errorf("%d requests got no reply: before the fault %v, during it %v, after it %v", unanswered, before.unanswered, during.unanswered, after.unanswered)
 	}
 	if len(after.accepted) < 20 {
-		t.Errorf("%d accepted after the fault", len(after.accepted))
+		t.Errorf("%d messages accepted after the fault, want at least 20", len(after.accepted))
 	}
 }
 
-// TestKillDuringWrite: the process is killed after any number of bytes of a write to its folder, time after time. What was taken on
-// ends, once where it may not run again, and each start is ready.
+// TestKillDuringWrite repeatedly kills the process after a random number of bytes of a write to its state directory. Every restart must succeed
+// and every accepted message must end; at-most-once messages may be sent only once.
 func TestKillDuringWrite(t *testing.T) {
 	const rounds = 12
 	world, err := scripted.Open(2, func(string) scripted.Fate { return scripted.Fate{Status: 200, After: 30 * time.Millisecond} })
@@ -140,7 +141,7 @@
 		select {
 		case <-child.Done:
 		case <-time.After(10 * time.Second):
-			t.Fatalf("round %d: not killed after %d writes", round, writes.Load())
+			t.Fatalf("round %d: process still alive after %d writes", round, writes.Load())
 		}
 		stopped.Store(true)
 		clients.Wait()
@@ -149,7 +150,8 @@
 	requests.verify(t, world)
 }
 
-// TestStartWhileStateDirFails: a process that is started while its folder takes nothing is ready once it does. Failure, found by the soak: it ended.
+// TestStartWhileStateDirFails starts a process while writes to its state directory fail. It must become ready once they succeed. Incident, found
+// in a soak test: the process exited.
 func TestStartWhileStateDirFails(t *testing.T) {
 	const faultDuration = 1500 * time.Millisecond
 	for _, errno := range []syscall.Errno{syscall.ENOSPC, syscall.EIO} {
@@ -170,7 +172,7 @@
 			})
 			waitFor(t, "PONG", faultDuration+3*time.Second, func() bool { return c.answersPing() })
 			if len(child.Struck()) == 0 {
-				t.Error("the fault never struck")
+				t.Error("no system call failed")
 			}
 			if got := c.send(enqueue("one", "order", 4000)); got[0] != "+OK" {
 				t.Fatal(got)
--- a/cmd/pineport/golden_test.go
+++ b/cmd/pineport/golden_test.go
@@ -18,7 +18,7 @@
 	"pineport/testbed/golden"
 )
 
-// copyRecorded puts a recorded file of another package into a folder.
+// copyGolden copies a golden file of another package into dir as name.
 func copyGolden(t *testing.T, from, dir, name string) {
 	t.Helper()
 	content, err := os.ReadFile(from)
@@ -30,7 +30,7 @@
 	}
 }
 
-// TestCommandOutputMatchesGolden: what the commands print for scripts, over stored data that an earlier program wrote.
+// TestCommandOutputMatchesGolden compares the output of commands for scripts with golden files. The input is data stored by an earlier version.
 func TestCommandOutputMatchesGolden(t *testing.T) {
 	golden.Tagged(t, membersReport{})
 	golden.Tagged(t, exchange.Status{})
@@ -93,7 +93,8 @@
 	}
 }
 
-// TestSettingsMatchGolden: every key of the settings with its form, unit, default, variable and what a reload does with it.
+// TestSettingsMatchGolden compares every configuration key, with its format, unit, default, environment variable and reload behavior, with a
+// golden file.
 func TestSettingsMatchGolden(t *testing.T) {
 	var lines strings.Builder
 	for _, k := range config.Schema {
@@ -103,7 +104,7 @@
 	golden.Check(t, "settings.golden", []byte(lines.String()))
 }
 
-// TestExitCodes: 0 where all is well, 1 where there is a fault, which is named on standard error.
+// TestExitCodes checks that commands exit with 0 on success, and with 1 and an error message on standard error on failure.
 func TestExitCodes(t *testing.T) {
 	dir := t.TempDir()
 	good := filepath.Join(dir, "good.toml")
@@ -127,7 +128,7 @@
 			t.Fatal(err)
 		}
 		if code != want || (code != 0) != strings.HasPrefix(stderr.String(), "pineport: ") {
-			t.Errorf("%s: exit code %d, %q", args, code, stderr.String())
+			t.Errorf("%s: unexpected exit code %d or standard error %q", args, code, stderr.String())
 		}
 	}
 }
--- a/cmd/pineport/learned_test.go
+++ b/cmd/pineport/learned_test.go
@@ -13,8 +13,8 @@
 	"pineport/testbed/scripted"
 )
 
-// TestLearnedStateAfterRestart: a courier that is killed while a destination is down knows so when it is back, and finds it out
-// by no more than a trial; after a planned end what it learned last is there. A malformed file stops nothing.
+// TestLearnedStateAfterRestart kills a courier during an outage of a destination. After the restart the courier must still know of the outage
+// and send only trials. After a graceful shutdown the snapshot must contain the outage. A malformed snapshot must not prevent the start.
 func TestLearnedStateAfterRestart(t *testing.T) {
 	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 0} })
 	if err != nil {
@@ -40,12 +40,12 @@
 	before := submit("first")
 	file := filepath.Join(c.dir, "state", snapshot.FileName)
 	waitFor(t, "the file", 5*time.Second, func() bool { _, err := os.Stat(file); return err == nil })
-	time.Sleep(1200 * time.Millisecond) // what was learned in the last second
+	time.Sleep(1200 * time.Millisecond) // longer than the interval between snapshots, so that the latest state is stored
 	c.cmd.Process.Signal(syscall.SIGKILL)
 	c.cmd.Wait()
 	c.start()
 	if after := submit("second"); before < 6 || after > 3 {
-		t.Errorf("%d calls found the outage; %d after the restart", before, after)
+		t.Errorf("%d calls before the restart, want at least 6; %d after it, want 3 at most", before, after)
 	}
 	c.cmd.Process.Signal(syscall.SIGTERM)
 	if err := c.cmd.Wait(); err != nil {
@@ -53,13 +53,13 @@
 	}
 	state, err := snapshot.Read(filepath.Join(c.dir, "state"), "n0", 0, 1<<20)
 	if err != nil || len(state.Snapshot.Groups) != 1 || !state.Snapshot.Groups[0].Outage {
-		t.Errorf("after a planned end: %+v, %v", state, err)
+		t.Errorf("snapshot after a graceful shutdown: got %+v, %v, want one group with an outage", state, err)
 	}
 	if err := os.WriteFile(file, []byte("spoilt"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	c.start()
 	if n := strings.Count(c.logText(), "snapshot not used"); n != 1 {
-		t.Errorf("a malformed file is notified %d times:\n%s", n, c.logText())
+		t.Errorf("a malformed snapshot was logged %d times, want 1:\n%s", n, c.logText())
 	}
 }
--- a/cmd/pineport/main.go
+++ b/cmd/pineport/main.go
@@ -1,5 +1,5 @@
-// Command pineport runs one courier on sockets, and has tools beside it; docs/ and README.md say how it is notified what it
-// needs.
+// Command pineport runs one courier process and provides tools to check its configuration and to inspect its spool, learned state,
+// fleet and quota shares. README.md and docs/ describe how to configure it.
 package main
 
 import (
@@ -14,12 +14,12 @@
 	"pineport/config"
 )
 
-// version is set by the linker where a release is built.
+// version is set by the linker in release builds.
 var version = "devel"
 
 func main() {
 	var err error
-	if len(os.Args) == 1 { // the running courier has no use for the command line's machinery, and its memory is tight
+	if len(os.Args) == 1 { // without arguments, skip cobra to save memory in the running courier
 		err = run(config.Sources{Getenv: os.Getenv}, os.Stderr)
 	} else {
 		err = root().Execute()
@@ -30,7 +30,7 @@
 	}
 }
 
-// flags are the topmost layer of the configuration.
+// flags holds the configuration given on the command line. It takes precedence over environment variables and the file.
 type flags struct {
 	config, state string
 	set           []string
@@ -38,8 +38,8 @@
 
 func (f *flags) add(cmd *cobra.Command) {
 	cmd.Flags().StringVar(&f.config, "config", "", "configuration file (empty: RELAY_CONFIG)")
-	cmd.Flags().StringVar(&f.state, "state", "", "folder that lasts (empty: RELAY_STATE)")
-	cmd.Flags().StringArrayVar(&f.set, "set", nil, "KEY=VALUE, over the file and the variables; may be given again")
+	cmd.Flags().StringVar(&f.state, "state", "", "state directory, kept across restarts (empty: RELAY_STATE)")
+	cmd.Flags().StringArrayVar(&f.set, "set", nil, "KEY=VALUE, overrides the file and the environment; may be repeated")
 }
 
 func (f *flags) sources() (config.Sources, error) {
@@ -47,7 +47,7 @@
 	for _, pair := range f.set {
 		key, value, ok := strings.Cut(pair, "=")
 		if _, known := config.Lookup(key); !ok || !known {
-			return sources, fmt.Errorf("--set %s: KEY=VALUE with a known key was expected", pair)
+			return sources, fmt.Errorf("--set %s: want KEY=VALUE with a known key", pair)
 		}
 		sources.Flags[key] = value
 	}
@@ -65,11 +65,11 @@
 	}
 	cmd := &cobra.Command{
 		Use:   "pineport",
-		Short: "Deliver messages to outside receivers",
-		Long: `pineport runs a courier: it accepts messages from clients and delivers them to outside receivers. Without a sub-command it
+		Short: "Deliver messages to external endpoints",
+		Long: `pineport runs a courier: it accepts messages from clients and delivers them to external endpoints. Without a subcommand it
 does the same as run.
 
-Exit codes: 0 all well; 1 a fault, named on standard error.`,
+Exit codes: 0 success; 1 failure, with the error on standard error.`,
 		Version:       version,
 		SilenceUsage:  true,
 		SilenceErrors: true,
@@ -98,7 +98,7 @@
 	return cmd
 }
 
-// deprecatedAlias returns a command under its older name: it works as before, is not listed, and says what it is called now.
+// deprecatedAlias returns cmd under its old name alias. The alias is hidden from the help and prints a warning that names the new command.
 func deprecatedAlias(cmd *cobra.Command, alias string) *cobra.Command {
 	name := cmd.Name()
 	cmd.Use, cmd.Hidden = alias, true
@@ -108,7 +108,7 @@
 	return cmd
 }
 
-// printJSON writes what a script reads.
+// printJSON writes value as indented JSON, for scripts.
 func printJSON(out io.Writer, value any) error {
 	enc := json.NewEncoder(out)
 	enc.SetIndent("", "  ")
--- a/cmd/pineport/main_test.go
+++ b/cmd/pineport/main_test.go
@@ -18,19 +18,19 @@
 	"pineport/testbed/scripted"
 )
 
-// courier is a real process beside a stand-in for the world around it.
+// courier runs the real binary as a child process. A scripted.World stands in for discovery, the platform and the endpoints.
 type courier struct {
 	t         *testing.T
 	binary    string
 	dir       string
 	listen    string
-	adminAddr string // the operators' address; empty for none
+	adminAddr string // empty: no admin address
 	env       []string
 	cmd       *exec.Cmd
 	log       *os.File
 }
 
-// binary is the program, built once for all tests.
+// buildBinary builds the program on its first call and returns its path.
 var buildBinary func() string
 
 func TestMain(m *testing.M) {
@@ -85,7 +85,7 @@
 	return c
 }
 
-// start returns once the courier answers PING.
+// start starts the process and returns once it answers PING.
 func (c *courier) start() {
 	c.t.Helper()
 	c.cmd = exec.Command(c.binary)
@@ -105,7 +105,7 @@
 			}
 		}
 	}
-	c.t.Fatal("no PONG")
+	c.t.Fatal("got no +PONG reply within 10 s")
 }
 
 func (c *courier) logText() string {
@@ -128,7 +128,7 @@
 	return command("ENQUEUE", "0", id, fmt.Sprintf("c=%s,d=%d,dest=1", class, deadlineMs), "body of\r\n"+id)
 }
 
-// ask sends all at once and returns as many lines.
+// send sends all commands at once on a new connection and returns one reply line for each.
 func (c *courier) send(commands ...string) []string {
 	c.t.Helper()
 	conn, err := net.Dial("tcp", c.listen)
@@ -149,7 +149,7 @@
 	return lines
 }
 
-// raw sends bytes and returns what came until the other side closed.
+// sendRaw sends text on a new connection and returns what it receives until the courier closes the connection.
 func (c *courier) sendRaw(text string) string {
 	c.t.Helper()
 	conn, err := net.Dial("tcp", c.listen)
@@ -162,12 +162,13 @@
 	received, err := io.ReadAll(conn)
 	var netErr net.Error
 	if errors.As(err, &netErr) && netErr.Timeout() {
-		c.t.Errorf("%.40q: neither an error nor a close", text)
+		c.t.Errorf("%.40q: the courier did not close the connection within 5 s", text)
 	}
 	return string(received)
 }
 
-// fates by the first letters of an id; the first call of some differs from the rest.
+// responsesByPrefix returns a function that chooses the endpoint's response by the first four letters of the message ID. For some
+// prefixes the first call gets another response than later calls.
 func responsesByPrefix() func(id string) scripted.Fate {
 	var mu sync.Mutex
 	calls := map[string]int{}
@@ -199,13 +200,13 @@
 	t.Helper()
 	for deadline := time.Now().Add(timeout); !ok(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("%s: not within %v", condition, timeout)
+			t.Fatalf("%s: condition not met within %v", condition, timeout)
 		}
 	}
 }
 
-// TestRecoveryAfterKill: each message taken on ends once, over a SIGKILL and a SIGTERM in the midst of calls, and no
-// at-most-once message is begun twice.
+// TestRecoveryAfterKill sends SIGKILL and later SIGTERM while calls are in flight. Every accepted message must end exactly
+// once, and no at-most-once message may be sent twice.
 func TestRecoveryAfterKill(t *testing.T) {
 	world, err := scripted.Open(2, responsesByPrefix())
 	if err != nil {
@@ -249,7 +250,7 @@
 			t.Fatalf("after SIGTERM: %v", err)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("it does not end by itself")
+		t.Fatal("the process did not exit within 20 s after SIGTERM")
 	}
 	c.start()
 	for _, id := range ids {
@@ -259,26 +260,27 @@
 		})
 	}
 	if !strings.Contains(c.logText(), "recovered after restart") {
-		t.Error("nothing was taken up again after the SIGKILL")
+		t.Error("no messages were recovered after SIGKILL")
 	}
 	for _, id := range ids {
 		began, done, notices := world.Seen(id)
 		if strings.Contains(id, "order") && began > 1 {
-			t.Errorf("%s is at-most-once and was begun %d times", id, began)
+			t.Errorf("%s is at-most-once and was sent %d times", id, began)
 		}
 		if len(notices) > 1 || strings.Contains(id, "update") && len(notices) > 0 && done > 0 {
-			t.Errorf("%s: done %d times, notices %v", id, done, notices)
+			t.Errorf("%s: delivered %d times, notices %v", id, done, notices)
 		}
 		if strings.HasPrefix(id, "okay-update") && done == 0 {
 			t.Errorf("%s was not delivered: %v", id, notices)
 		}
 		if strings.HasPrefix(id, "fail-order") && (len(notices) != 1 || notices[0] != "undeliverable") {
-			t.Errorf("%s failed and may have run: %v", id, notices)
+			t.Errorf("%s failed and may have been executed: got notices %v, want [undeliverable]", id, notices)
 		}
 	}
 }
 
-// TestBadInput: an error reply for what can't be used, and the connection goes on or closes as it should.
+// TestBadInput checks that invalid input gets an error reply, and that the connection stays open after invalid arguments and closes after a
+// protocol error.
 func TestBadInput(t *testing.T) {
 	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
 	if err != nil {
@@ -301,17 +303,18 @@
 	}
 	if got := c.send(strings.Replace(enqueue("x", "update", 8000), "dest=1", "dest=9", 1), enqueue("y", "update", 8000)); got[0][:4] != "-ERR" ||
 		got[1] != "+OK" {
-		t.Errorf("an unknown destination, and an id that is there: %v", got)
+		t.Errorf("message for an unknown destination, and an ID that may be in the spool: got %v, want -ERR and +OK", got)
 	}
 	if began, _, _ := world.Seen("x"); began > 0 {
-		t.Error("what could not be used was sent")
+		t.Error("a rejected message was sent")
 	}
-	// Handed in again it is another message if the first was done by then, as on a loaded machine.
+	// The second y is another message if the first has already been delivered, as happens on a loaded machine.
 	waitFor(t, "y", 5*time.Second, func() bool { _, done, _ := world.Seen("y"); return done >= 1 })
 }
 
-// TestReload: on SIGHUP a faulty file changes nothing and its key is logged; a sound one moves watch and notices, those
-// not confirmed too, while what is held stays. Twice in a row, beside messages that come in.
+// TestReload reloads the configuration with SIGHUP. A file with an error changes nothing, and the key is logged. A valid file with a new
+// discovery address moves the watch of the endpoint list and the notices, including unconfirmed ones, and keeps accepted messages. The
+// test reloads twice in a row while messages are submitted.
 func TestReload(t *testing.T) {
 	world, err := scripted.Open(1, func(id string) scripted.Fate {
 		switch id[:4] {
@@ -341,13 +344,13 @@
 	reload([]byte(`{"name":"n0"}`), "listen: ")
 	reload([]byte(strings.ReplaceAll(string(world.Configuration("n0", c.listen)), world.Discovery, "nowhere")), "discovery: ")
 	for round := range 2 {
-		world.MuteNotices(100) // the old address confirms nothing any more
+		world.MuteNotices(100) // the old address no longer confirms notices
 		var commands []string
 		for _, kind := range []string{"slow", "fail"} {
 			commands = append(commands, enqueue(fmt.Sprintf("%s-%d", kind, round), "order", 8000))
 		}
 		c.send(commands...)
-		time.Sleep(600 * time.Millisecond) // one has failed, and its notice is out
+		time.Sleep(600 * time.Millisecond) // fail-N has failed, and its notice is unconfirmed
 		closeOld, err := world.Move()
 		if err != nil {
 			t.Fatal(err)
@@ -366,25 +369,25 @@
 			_, done, _ := world.Seen(fmt.Sprintf("slow-%d", round))
 			return done == 1
 		})
-		id := fmt.Sprintf("next-%d", round) // to a destination that only the new address knows of
+		id := fmt.Sprintf("next-%d", round) // to a destination that only the new address reports
 		c.send(strings.Replace(enqueue(id, "update", 8000), "dest=1", fmt.Sprint("dest=", 2+round), 1))
 		waitFor(t, id, 2*time.Second, func() bool { _, done, _ := world.Seen(id); return done == 1 })
 	}
 	for round := range 2 {
 		if began, _, _ := world.Seen(fmt.Sprintf("slow-%d", round)); began != 1 {
-			t.Errorf("round %d: begun %d times", round, began)
+			t.Errorf("slow-%d: sent %d times, want 1", round, began)
 		}
 	}
 	c.cmd.Process.Signal(syscall.SIGTERM)
 	time.Sleep(100 * time.Millisecond)
-	c.cmd.Process.Signal(syscall.SIGHUP) // while it ends
+	c.cmd.Process.Signal(syscall.SIGHUP) // during shutdown
 	if err := c.cmd.Wait(); err != nil {
 		t.Errorf("after SIGHUP: %v", err)
 	}
 }
 
-// TestHostileClients: hundreds of silent connections, half commands, endless lines and huge values at once; each is
-// closed or reported of its fault within 3 s, and usual clients are served beside them. Nothing of it is taken on.
+// TestHostileClients opens hundreds of connections at once that are silent or send truncated commands, endless lines or huge values.
+// Each must be closed within 3 s, normal clients must be served meanwhile, and no message of the hostile clients may be accepted.
 func TestHostileClients(t *testing.T) {
 	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
 	if err != nil {
@@ -408,7 +411,7 @@
 			began := time.Now()
 			c.sendRaw(text)
 			if took := time.Since(began); took > 3*time.Second {
-				t.Errorf("%.40q: closed after %v", text, took)
+				t.Errorf("%.40q: connection closed after %v, want 3 s at most", text, took)
 			}
 		}()
 	}
@@ -426,13 +429,13 @@
 	}
 	for _, id := range []string{"half", "none"} {
 		if began, _, notices := world.Seen(id); began > 0 || len(notices) > 0 {
-			t.Errorf("%s was taken on", id)
+			t.Errorf("%s was accepted", id)
 		}
 	}
 }
 
-// TestSuspendedProcess: a process that stood still takes its own delay for nobody's silence. The answers are there when it
-// goes on, so nothing goes twice though every limit has passed.
+// TestSuspendedProcess stops the process with SIGSTOP for longer than its call timeouts. The process must not take its own pause for missing
+// answers: when it resumes, the answers have arrived, so no message may be sent twice.
 func TestSuspendedProcess(t *testing.T) {
 	world, err := scripted.Open(1, responsesByPrefix())
 	if err != nil {
@@ -444,7 +447,7 @@
 	isDelivered := func(id string) func() bool {
 		return func() bool { _, done, _ := world.Seen(id); return done > 0 }
 	}
-	for i := range 40 { // so that it expects quick answers, and waits little longer than 2 s
+	for i := range 40 { // teaches the courier short answer times, so that its timeouts are little more than 2 s
 		id := fmt.Sprintf("okay-%d", i)
 		c.send(enqueue(id, "update", 20000))
 		waitFor(t, id, 5*time.Second, isDelivered(id))
@@ -459,17 +462,17 @@
 	time.Sleep(3500 * time.Millisecond)
 	c.cmd.Process.Signal(syscall.SIGCONT)
 	if got := c.send(command("PING")); got[0] != "+PONG" {
-		t.Errorf("after it stood still: %v", got)
+		t.Errorf("PING after SIGCONT: got %v, want +PONG", got)
 	}
 	time.Sleep(time.Second)
 	for i := range 5 {
 		if began, done, notices := world.Seen(fmt.Sprintf("slow-%d", i)); began != 1 || done != 1 || len(notices) > 0 {
-			t.Errorf("slow-%d: begun %d times, done %d, notices %v", i, began, done, notices)
+			t.Errorf("slow-%d: sent %d times, delivered %d times, notices %v", i, began, done, notices)
 		}
 	}
 }
 
-// TestManyClients: more connections than there is room for, some stuck in a command; one that asks is still served.
+// TestManyClients opens more connections than the courier allows, half of them with a truncated command. Another client must still be served.
 func TestManyClients(t *testing.T) {
 	world, err := scripted.Open(1, responsesByPrefix())
 	if err != nil {
@@ -494,14 +497,14 @@
 	waitFor(t, "okay", 5*time.Second, func() bool { _, done, _ := world.Seen("okay"); return done == 1 })
 	fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", c.cmd.Process.Pid))
 	if err != nil {
-		t.Skip("no /proc here")
+		t.Skip("/proc is not available")
 	}
 	if len(fds) > 500 {
-		t.Errorf("%d descriptors held", len(fds))
+		t.Errorf("the courier has %d open file descriptors, want 500 at most", len(fds))
 	}
 }
 
-// second runs the program once more beside the courier, for what it says before it ends.
+// runAgain runs a second process with the given admin address beside the courier and returns its output once it has exited.
 func (c *courier) runAgain(ops string) (output string, err error) {
 	cmd := exec.Command(c.binary)
 	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+filepath.Join(c.dir, "config.json"), "RELAY_STATE="+c.t.TempDir(), "RELAY_OPS="+ops)
--- a/cmd/pineport/members.go
+++ b/cmd/pineport/members.go
@@ -18,16 +18,16 @@
 	"pineport/membership"
 )
 
-// answerTimeout is how long a courier may take to show its fleet.
+// responseTimeout bounds a request to the courier's admin server.
 const responseTimeout = 3 * time.Second
 
-// maxAnswer bounds what is read of an answer: some thousand members.
+// maxResponseSize bounds the response body that is read, in bytes; it has room for some thousand members.
 const maxResponseSize = 4 << 20
 
-// membersQuery asks a courier about its fleet.
+// membersQuery queries a courier's admin server about its fleet.
 type membersQuery struct {
 	flags  flags
-	admin  string // address; empty: from the configuration
+	admin  string // admin address; empty: taken from the configuration
 	output string
 }
 
@@ -43,7 +43,7 @@
 	return fleet, err
 }
 
-// show prints the fleet, or one member of it.
+// show prints the fleet, or only the member called name if name is not empty.
 func (q *membersQuery) show(out io.Writer, name string) error {
 	fleet, err := q.fetch()
 	if err != nil {
@@ -61,10 +61,10 @@
 	case "table":
 		return showMembers(out, fleet)
 	}
-	return fmt.Errorf("--output: table or json was expected, not %q", q.output)
+	return fmt.Errorf("--output: want table or json, not %q", q.output)
 }
 
-// watch prints the fleet each time that it has changed, until the context ends.
+// watch prints the fleet each time it has changed, until ctx is done.
 func (q *membersQuery) watch(ctx context.Context, out io.Writer, interval time.Duration) error {
 	for lastVersion := uint64(0); ; {
 		fleet, err := q.fetch()
@@ -87,10 +87,10 @@
 
 func membersCmd() *cobra.Command {
 	cmd := &cobra.Command{Use: "members", Short: "Show the fleet as one courier knows it",
-		Long: "Show the fleet as one courier knows it, from its admin address: --ops, or ops of its configuration."}
+		Long: "Show the fleet as one courier knows it. The courier is reached at its admin address: --ops, or ops in its configuration."}
 	var query membersQuery
 	var watchInterval time.Duration
-	list := &cobra.Command{Use: "ls", Short: "List the members, their states and this courier's own status", Args: cobra.NoArgs,
+	list := &cobra.Command{Use: "ls", Short: "List the members with their states, and the status of the courier itself", Args: cobra.NoArgs,
 		Example: "  pineport members ls --ops 127.0.0.1:8081\n  pineport members ls --config courier.toml --output json",
 		RunE:    func(cmd *cobra.Command, _ []string) error { return query.show(cmd.OutOrStdout(), "") }}
 	show := &cobra.Command{Use: "show NAME", Short: "Show one member", Args: cobra.ExactArgs(1),
@@ -99,9 +99,9 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return query.watch(cmd.Context(), cmd.OutOrStdout(), watchInterval)
 		}}
-	watch.Flags().DurationVar(&watchInterval, "every", time.Second, "how often to look")
-	gone := &cobra.Command{Use: "gone NAME", Short: "Report that a failed member will not come back, so that it is not counted any more", Args: cobra.ExactArgs(1),
-		Long: "Report that a failed member will not come back. Only the courier that is asked stops counting it: report it to each.",
+	watch.Flags().DurationVar(&watchInterval, "every", time.Second, "interval between requests")
+	gone := &cobra.Command{Use: "gone NAME", Short: "Stop counting a failed member that will not come back", Args: cobra.ExactArgs(1),
+		Long: "Stop counting a failed member that will not come back. This affects only the courier that gets the request: run the command for each courier.",
 		RunE: func(_ *cobra.Command, args []string) error {
 			_, err := query.request(http.MethodPost, "/peers/gone/"+url.PathEscape(args[0]))
 			return err
@@ -115,7 +115,7 @@
 	return cmd
 }
 
-// askAdmin calls a courier at its admin address: the one given, or ops of its configuration.
+// requestAdmin sends a request to a courier's admin address, addr or, if that is empty, ops in its configuration, and returns the response body.
 func requestAdmin(f *flags, addr, method, path string) ([]byte, error) {
 	if addr == "" {
 		sources, err := f.sources()
@@ -127,7 +127,7 @@
 			return nil, err
 		}
 		if addr = doc.Values["ops"].Text; addr == "" {
-			return nil, fmt.Errorf("ops: not set in the configuration, and no --ops given")
+			return nil, fmt.Errorf("no admin address: --ops is not given and ops is not set in the configuration")
 		}
 	}
 	req, err := http.NewRequest(method, "http://"+addr+path, nil)
@@ -141,21 +141,21 @@
 	defer response.Body.Close()
 	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseSize))
 	if err == nil && response.StatusCode == http.StatusNotFound {
-		err = fmt.Errorf("the courier at %s is in no fleet, or shares nothing", addr)
+		err = fmt.Errorf("the courier at %s is not a member of a fleet or does not share quotas", addr)
 	} else if err == nil && response.StatusCode != http.StatusOK {
-		err = fmt.Errorf("the courier at %s says: %s", addr, response.Status)
+		err = fmt.Errorf("the courier at %s answered with status %s", addr, response.Status)
 	}
 	return text, err
 }
 
-func showMembers(out io.Writer, p membersReport) error {
+func showMembers(out io.Writer, report membersReport) error {
 	table := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
-	fmt.Fprintf(table, "courier %s, incarnation %d: %s; %d to %d couriers; %d revoked, %d stale reports\n\n", p.Self, p.Incarnation, p.LocalStatus,
-		p.MinCouriers, p.MaxCouriers, p.Revoked, p.StaleReports)
+	fmt.Fprintf(table, "courier %s, incarnation %d: %s; %d to %d couriers; %d revoked, %d stale reports\n\n", report.Self, report.Incarnation, report.LocalStatus,
+		report.MinCouriers, report.MaxCouriers, report.Revoked, report.StaleReports)
 	fmt.Fprintln(table, "NAME\tSTATE\tINCARNATION\tSINCE\tZONE\tADDRESS")
-	for _, m := range p.Members {
-		fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%s\t%s\n", m.Name, m.StateName, m.Incarnation, (time.Duration(m.Since) * time.Microsecond).Round(time.Millisecond),
-			cmp.Or(m.Zone, "-"), cmp.Or(m.Address, "-"))
+	for _, member := range report.Members {
+		fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%s\t%s\n", member.Name, member.StateName, member.Incarnation, (time.Duration(member.Since) * time.Microsecond).Round(time.Millisecond),
+			cmp.Or(member.Zone, "-"), cmp.Or(member.Address, "-"))
 	}
 	return table.Flush()
 }
--- a/cmd/pineport/members_test.go
+++ b/cmd/pineport/members_test.go
@@ -13,7 +13,8 @@
 	"pineport/membership/incarnation"
 )
 
-// talk has a courier's file allow talk, or not, and name an address for it.
+// configurePeers configures membership with a free listen address in a courier's configuration file and returns the address. allowed sets
+// settings.ceilings.peers.
 func configurePeers(t *testing.T, dir string, allowed bool, join ...string) (listen string) {
 	t.Helper()
 	listen = freePort(t)
@@ -24,7 +25,7 @@
 	return listen
 }
 
-// footprint is what a process holds: sockets it listens on or has open over UDP, and threads.
+// socketsAndThreads returns the number of UDP sockets and threads of a process.
 func socketsAndThreads(t *testing.T, pid int) (udp, threads int) {
 	t.Helper()
 	dir := filepath.Join("/proc", strconv.Itoa(pid))
@@ -56,8 +57,8 @@
 	return udp, len(tasks)
 }
 
-// TestNoMembershipIfNotAllowed: where the configuration has no peers, as at Dakar, there is no socket and no byte, the key set or not, and
-// nothing is counted or kept of it.
+// TestNoMembershipIfNotAllowed checks that a courier whose settings do not allow membership, as in the Dakar deployment, opens no socket for
+// it and sends nothing to members even if peers.listen is set, stores no incarnation and serves no membership data.
 func TestNoMembershipIfNotAllowed(t *testing.T) {
 	world := newUpgradeWorld(t)
 	peer, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -69,13 +70,13 @@
 	c.adminAddr = freePort(t)
 	listen := configurePeers(t, c.dir, false, peer.LocalAddr().String())
 	c.start()
-	time.Sleep(500 * time.Millisecond) // five paces
+	time.Sleep(500 * time.Millisecond) // five intervals between health checks
 	if udp, _ := socketsAndThreads(t, c.cmd.Process.Pid); udp != 0 {
-		t.Errorf("%d UDP sockets", udp)
+		t.Errorf("the courier has %d UDP sockets, want 0", udp)
 	}
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
-		t.Errorf("somebody listens at peers.listen: %v", err)
+		t.Errorf("the address peers.listen is in use: %v", err)
 	} else {
 		l.Close()
 	}
@@ -84,19 +85,20 @@
 		t.Errorf("%d bytes were sent to a member", n)
 	}
 	if _, err := os.Stat(filepath.Join(c.dir, "state", incarnation.Name)); err == nil {
-		t.Error("a start is numbered")
+		t.Error("an incarnation was stored")
 	}
 	for _, path := range []string{"/peers", "/commons"} {
 		if status, _ := c.callAdmin("GET", path); status != 404 {
-			t.Errorf("%s: %d", path, status)
+			t.Errorf("GET %s: got status %d, want 404", path, status)
 		}
 	}
 	if !strings.Contains(c.logText(), "settings.ceilings.peers") {
-		t.Error("the log does not say why there is no membership")
+		t.Error("the log does not give the reason why membership is off")
 	}
 }
 
-// TestUpgradeKeepsMember: over an upgrade the fleet sees one member with one start, never given up; a restart is a new start.
+// TestUpgradeKeepsMember checks that another member sees a courier with the same incarnation across upgrades, never as failed, and that a
+// restart after a shutdown has the next incarnation.
 func TestUpgradeKeepsMember(t *testing.T) {
 	world := newUpgradeWorld(t)
 	p := newSupervisor(t, world)
@@ -106,7 +108,7 @@
 		t.Fatal(err)
 	}
 	defer other.HandOff()
-	memberState := func() (state string, incarnationNumber uint64) {
+	memberState := func() (state string, number uint64) {
 		for _, m := range other.Snapshot().Members {
 			if m.Name == "n0" {
 				return m.State.String(), uint64(m.Incarnation)
@@ -116,22 +118,22 @@
 	}
 	old := p.startProcess(p.binary)
 	p.requireReady(old)
-	waitFor(t, "the courier to be heard", 10*time.Second, func() bool { s, _ := memberState(); return s == "alive" })
-	_, firstIncarnation := memberState()
+	waitFor(t, "the courier to be alive", 10*time.Second, func() bool { s, _ := memberState(); return s == "alive" })
+	_, first := memberState()
 	load := p.startLoad(4)
 	for range 3 {
 		next := p.startProcess(p.binary)
 		p.requireReady(next)
 		p.terminate(old)
 		p.exits.Wait()
-		waitFor(t, "the successor to be heard", 10*time.Second, func() bool {
+		waitFor(t, "the successor to be alive", 10*time.Second, func() bool {
 			udp, _ := socketsAndThreads(t, next.cmd.Process.Pid)
 			s, _ := memberState()
 			return udp == 1 && s == "alive"
 		})
-		time.Sleep(time.Second) // ten paces: longer than a suspicion lasts among two
-		if s, incarnationNumber := memberState(); s != "alive" || incarnationNumber != firstIncarnation {
-			t.Errorf("after an upgrade it is %s, start %d; it was %d", s, incarnationNumber, firstIncarnation)
+		time.Sleep(time.Second) // ten intervals between health checks: longer than a suspicion lasts with two members
+		if s, number := memberState(); s != "alive" || number != first {
+			t.Errorf("after an upgrade the member is %s with incarnation %d, want alive with %d", s, number, first)
 		}
 		old = next
 	}
@@ -147,18 +149,15 @@
 		t.Errorf("quota show: %v\n%s", err, out)
 	}
 	if _, err := runCommand("peers", "show", "nobody", "--ops", old.ops); err == nil {
-		t.Error("a member that is not there is shown")
+		t.Error("peers show of an unknown member reported no error")
 	}
 	p.terminate(old)
 	p.exits.Wait()
-	waitFor(t, "word that it left", 10*time.Second, func() bool { s, _ := memberState(); return s == "left" })
+	waitFor(t, "the courier to have left", 10*time.Second, func() bool { s, _ := memberState(); return s == "left" })
 	last := p.startProcess(p.binary)
 	p.requireReady(last)
-	waitFor(t, "its next start", 10*time.Second, func() bool {
-		s, incarnationNumber := memberState()
-		return s == "alive" && incarnationNumber == firstIncarnation+1
-	})
+	waitFor(t, "the next incarnation to be alive", 10*time.Second, func() bool { s, n := memberState(); return s == "alive" && n == first+1 })
 	if other.Snapshot().Revoked > 0 {
-		t.Errorf("%d deaths were believed that were none", other.Snapshot().Revoked)
+		t.Errorf("a live member was reported as failed %d times", other.Snapshot().Revoked)
 	}
 }
--- a/cmd/pineport/ops_test.go
+++ b/cmd/pineport/ops_test.go
@@ -17,7 +17,7 @@
 	"pineport/testbed/scripted"
 )
 
-// operated is a courier with an address for operators, that serves.
+// startWithAdmin starts a courier with an admin address and returns once it serves.
 func startWithAdmin(t *testing.T, world *scripted.World) *courier {
 	t.Helper()
 	c := newCourier(t, world)
@@ -36,7 +36,7 @@
 	return addr
 }
 
-// call returns the status and the body of the answer.
+// callAdmin sends a request to the courier's admin address and returns the status and body of the response; the status is 0 if there is none.
 func (c *courier) callAdmin(method, path string) (int, []byte) {
 	c.t.Helper()
 	return callAdminAt(c.t, c.adminAddr, method, path)
@@ -69,12 +69,12 @@
 	c.t.Helper()
 	status, body := c.callAdmin("GET", "/status/metrics")
 	if err := json.Unmarshal(body, &f); status != 200 || err != nil {
-		c.t.Fatalf("figures: %d %s %v", status, body, err)
+		c.t.Fatalf("GET /status/metrics: status %d, body %s, error %v", status, body, err)
 	}
 	return f
 }
 
-// TestMetrics holds each figure against what the world around the courier saw. Failure: there were none.
+// TestMetrics compares each metric with what the endpoints and clients observed. Incident: the courier had no metrics.
 func TestMetrics(t *testing.T) {
 	world, err := scripted.Open(2, responsesByPrefix())
 	if err != nil {
@@ -83,7 +83,7 @@
 	defer world.Close()
 	c := startWithAdmin(t, world)
 	if f := c.metrics(); f.Success["order"] != 0 || len(f.Success) != 2 || len(f.Overload) != 2 || len(f.Error) != 2 || f.Targets != 2 {
-		t.Errorf("at the start: %+v", f)
+		t.Errorf("metrics at the start: %+v", f)
 	}
 	var ids, commands []string
 	for i := range 8 {
@@ -101,7 +101,7 @@
 			want.Overload[strings.Split(ids[i], "-")[1]]++
 		}
 	}
-	waitFor(t, "something held while slow calls are out", 2*time.Second, func() bool { return c.metrics().Concurrent > 0 })
+	waitFor(t, "accepted messages while slow calls are in flight", 2*time.Second, func() bool { return c.metrics().Concurrent > 0 })
 	for _, id := range ids {
 		if !accepted[id] {
 			continue
@@ -120,7 +120,7 @@
 			want.Error[class]++
 		}
 	}
-	waitFor(t, "the figures of what has ended", 5*time.Second, func() bool {
+	waitFor(t, "metrics that match the outcomes", 5*time.Second, func() bool {
 		f := c.metrics()
 		matches := f.Concurrent == 0 && f.Dispatches == int64(world.Calls(0)+world.Calls(1))
 		for _, class := range []string{"update", "order"} {
@@ -130,12 +130,12 @@
 		return matches
 	})
 	if want.Success["update"] < 30 || want.Error["order"] < 5 {
-		t.Errorf("too little has happened: %+v", want)
+		t.Errorf("too few messages were delivered or failed for this test: %+v", want)
 	}
 }
 
-// TestMaintenance: an endpoint that people have taken out gets nothing until it is put back, over a reload and a kill.
-// Failure: the ban was forgotten with the process, or an unknown endpoint was said to be out.
+// TestMaintenance checks that an endpoint disabled by an operator gets no calls until it is enabled again, also after a reload and a kill.
+// Incidents: the process lost the setting on a restart, or an unknown endpoint was reported as disabled.
 func TestMaintenance(t *testing.T) {
 	world, err := scripted.Open(2, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
 	if err != nil {
@@ -153,19 +153,19 @@
 		}
 		c.send(commands...)
 		for i := n - 19; i <= n; i++ {
-			waitFor(t, "a record", 8*time.Second, func() bool { _, done, _ := world.Seen(fmt.Sprint("okay-", i)); return done > 0 })
+			waitFor(t, "a message", 8*time.Second, func() bool { _, done, _ := world.Seen(fmt.Sprint("okay-", i)); return done > 0 })
 		}
 	}
 	submit()
 	if world.Calls(0) == 0 || world.Calls(1) == 0 {
-		t.Fatal("one endpoint gets nothing even so")
+		t.Fatal("one endpoint gets no calls although none is disabled")
 	}
 	for _, verb := range []string{"enter", "exit"} {
 		if status, _ := c.callAdmin("POST", "/maintenance/"+verb+"/s-7"); status != 404 {
-			t.Errorf("%s of a stranger: %d", verb, status)
+			t.Errorf("%s of an unknown endpoint: got status %d, want 404", verb, status)
 		}
 	}
-	c.mustCallAdmin("POST", "/maintenance/exit/s-0") // is not out: nothing changes
+	c.mustCallAdmin("POST", "/maintenance/exit/s-0") // is not disabled: nothing changes
 	c.mustCallAdmin("POST", "/maintenance/enter/s-0")
 	c.mustCallAdmin("POST", "/maintenance/enter/s-0")
 	before := world.Calls(0)
@@ -181,7 +181,7 @@
 	c.start()
 	submit()
 	if got := world.Calls(0); got != before {
-		t.Fatalf("%d calls to the endpoint that is out", got-before)
+		t.Fatalf("%d calls to the disabled endpoint", got-before)
 	}
 	c.mustCallAdmin("POST", "/maintenance/exit/s-0")
 	for range 20 {
@@ -189,10 +189,10 @@
 			return
 		}
 	}
-	t.Error("put back, and it gets nothing")
+	t.Error("the endpoint gets no calls after it was enabled again")
 }
 
-// TestDrainAndReactivate: a drain, and its undoing. Failure: clients were kept for as long as they stayed.
+// TestDrainAndReactivate drains the clients and reverts that. Incident: the courier kept connections open until the clients closed them.
 func TestDrainAndReactivate(t *testing.T) {
 	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
 	if err != nil {
@@ -214,33 +214,33 @@
 			return strings.TrimSpace(request)
 		}
 		if got := request(command("PING")); got != "+PONG" {
-			t.Fatalf("before: %s", got)
+			t.Fatalf("PING before the drain: got %s, want +PONG", got)
 		}
 		c.mustCallAdmin("POST", "/standby")
 		c.mustCallAdmin("POST", "/standby")
 		if status, _ := c.callAdmin("GET", "/status"); status != 503 {
-			t.Errorf("drained, and status says %d", status)
+			t.Errorf("GET /status while clients are drained: got status %d, want 503", status)
 		}
 		id := fmt.Sprint("late-", round)
 		if got := request(command("PING") + enqueue(id, "update", 8000)); !strings.HasPrefix(got, "-ERR") {
-			t.Errorf("PING while clients are drained: %s", got)
+			t.Errorf("PING while clients are drained: got %s, want -ERR", got)
 		}
 		if got := request(""); got != "+OK" {
-			t.Errorf("a message over a connection that is up: %s", got)
+			t.Errorf("ENQUEUE on an open connection while clients are drained: got %s, want +OK", got)
 		}
 		waitFor(t, id, 5*time.Second, func() bool { _, done, _ := world.Seen(id); return done == 1 })
 		if got, err := in.ReadString('\n'); err != io.EOF {
-			t.Errorf("not closed between two requests: %q %v", got, err)
+			t.Errorf("connection not closed between two requests: got %q, %v", got, err)
 		}
 		c.mustCallAdmin("POST", "/active")
 		c.mustCallAdmin("GET", "/status")
 		if got := c.send(command("PING")); got[0] != "+PONG" {
-			t.Errorf("after the drain: %v", got)
+			t.Errorf("PING after the drain: got %v, want +PONG", got)
 		}
 	}
 }
 
-// TestOpsUnderAFlood: an operator's call is answered in time beside clients at full speed on one core.
+// TestOpsUnderAFlood checks that admin requests are answered in time while clients send commands at full speed, on one core.
 func TestOpsUnderAFlood(t *testing.T) {
 	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
 	if err != nil {
@@ -287,7 +287,7 @@
 	}
 }
 
-// TestInvalidOpsAddress: faults of the address are notified at the start.
+// TestInvalidOpsAddress checks that a process with an admin address that is in use or invalid exits with an error that names the key.
 func TestInvalidOpsAddress(t *testing.T) {
 	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
 	if err != nil {
--- a/cmd/pineport/ready_test.go
+++ b/cmd/pineport/ready_test.go
@@ -20,7 +20,7 @@
 	"pineport/testbed/scripted"
 )
 
-// fill puts as many messages into the courier's folder as it takes, each with a history of attempts, and returns how many it added.
+// fillSpool adds messages of body bytes, each with three attempts, until the courier's spool is full, and returns how many it added.
 func (c *courier) fillSpool(round, body int) (messages int) {
 	c.t.Helper()
 	dep, err := config.Load(func(key string) string {
@@ -50,15 +50,15 @@
 		}
 	}
 	if round == 0 {
-		c.t.Logf("%d messages of %d bytes, %d of %d bytes of the folder", messages, body, store.Size(), spoolLimit)
+		c.t.Logf("%d messages of %d bytes use %d of %d bytes of the spool", messages, body, store.Size(), spoolLimit)
 	}
 	return messages
 }
 
-// startTimed starts the courier and returns how long it took until it answered a PING.
+// startTimed starts the courier and returns the time until it answers PING.
 func (c *courier) startTimed() time.Duration {
 	c.t.Helper()
-	const startTimeout = 30 * time.Second // one that is not ready by then fails the day
+	const startTimeout = 30 * time.Second // a process that is not ready by then counts as crashed and fails the test
 	began := time.Now()
 	c.cmd = exec.Command(c.binary)
 	c.cmd.Env = append(os.Environ(), "RELAY_CONFIG="+filepath.Join(c.dir, "config.json"), "RELAY_STATE="+filepath.Join(c.dir, "state"))
@@ -71,7 +71,7 @@
 			return time.Since(began)
 		}
 	}
-	c.t.Fatalf("not ready within %v", startTimeout)
+	c.t.Fatalf("the courier was not ready within %v", startTimeout)
 	return 0
 }
 
@@ -87,8 +87,8 @@
 	return err == nil && line == "+PONG\r\n"
 }
 
-// TestReadyWithFullSpool: nine in ten restarted processes are ready within 10 s, with a folder as full as it gets, of many small
-// messages or of few large ones, at the size of folder that the platform gives and at one ten times as large.
+// TestReadyWithFullSpool checks that 9 of 10 restarts are ready within 10 s with a full spool, of many small or few large messages, for the
+// state directory size that the platform gives and for ten times that size.
 func TestReadyWithFullSpool(t *testing.T) {
 	const (
 		restarts    = 10
@@ -97,7 +97,7 @@
 	for _, folder := range []struct {
 		name         string
 		diskMB, body int
-	}{{"many small messages", 3, 20}, {"few large messages", 3, 60000}, {"ten times the folder", 30, 20}} {
+	}{{"many small messages", 3, 20}, {"few large messages", 3, 60000}, {"ten times the disk limit", 30, 20}} {
 		t.Run(folder.name, func(t *testing.T) {
 			world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 429, WaitMs: 60000} })
 			if err != nil {
@@ -109,16 +109,16 @@
 			var startTimes []time.Duration
 			for round := range restarts {
 				if added := c.fillSpool(round, folder.body); round == 0 && added == 0 {
-					t.Fatal("nothing fits into the folder")
+					t.Fatal("no message fits into the spool")
 				}
 				startTimes = append(startTimes, c.startTimed().Round(time.Millisecond))
 				c.cmd.Process.Signal(syscall.SIGKILL)
 				c.cmd.Wait()
 			}
-			t.Logf("ready after %v", startTimes)
+			t.Logf("times until ready: %v", startTimes)
 			slices.Sort(startTimes)
 			if percentile := startTimes[restarts*9/10-1]; percentile > readyWithin {
-				t.Errorf("nine in ten were ready within %v, and not within %v", percentile, readyWithin)
+				t.Errorf("9 of 10 restarts were ready within %v, want %v at most", percentile, readyWithin)
 			}
 		})
 	}
--- a/cmd/pineport/reload_test.go
+++ b/cmd/pineport/reload_test.go
@@ -17,9 +17,10 @@
 	"pineport/testbed/scripted"
 )
 
-// TestSettingsUnderFire: ten reloads in a second while messages are held and come in, each with other limits below what is
-// held, some of a file that is only half written, one that moves the directory, one in a standstill, and one that takes a
-// class away that holds messages. Every message ends once, at-most-once ones run once, and the courier goes on.
+// TestSettingsUnderFire reloads the configuration ten times in a second while messages are held and submitted. The reloads lower the limits
+// below the number of held messages; one reads a truncated file, one moves discovery, one comes while the process is suspended, and a
+// last one removes a class that has messages. Every message must end once, at-most-once messages must be sent once, and the courier
+// must continue.
 func TestSettingsUnderFire(t *testing.T) {
 	world, err := scripted.Open(1, func(id string) scripted.Fate {
 		if strings.HasPrefix(id, "full") {
@@ -68,7 +69,7 @@
 	submit("okay", "order", 20)
 	for round := range 10 {
 		switch round {
-		case 3: // half written
+		case 3: // a truncated file
 			if err := os.WriteFile(file, bytes.TrimSpace(world.Configuration("n0", c.listen))[:300], 0o600); err != nil {
 				t.Fatal(err)
 			}
@@ -97,28 +98,29 @@
 	c.cmd.Process.Signal(syscall.SIGHUP)
 	time.Sleep(200 * time.Millisecond)
 	if submit("full", "update", 3) != 3 {
-		t.Error("with the usual room again, messages were not taken")
+		t.Error("messages were not accepted after the limits were restored")
 	}
 	write(func(settings, _, _ map[string]any) { settings["classes"] = settings["classes"].([]any)[1:] })
 	c.cmd.Process.Signal(syscall.SIGHUP)
-	waitFor(t, "the workload is taken away", 3*time.Second, func() bool { return strings.Contains(c.logText(), "class removed") })
+	waitFor(t, "the class to be removed", 3*time.Second, func() bool { return strings.Contains(c.logText(), "class removed") })
 	if strings.Contains(c.logText(), "unfinished=0\n") {
-		t.Error("nothing was held of the class that was taken away")
+		t.Error("the removed class had no unfinished messages")
 	}
 	if got := c.send(enqueue("late", "update", 5000))[0]; !strings.HasPrefix(got, "-ERR unknown workload") {
-		t.Errorf("a message of a class that is gone: %s", got)
+		t.Errorf("a message of a removed class: got %s, want -ERR unknown workload", got)
 	}
 	if submit("okay", "order", 2) != 2 {
-		t.Error("a message of the class that stayed was not taken")
+		t.Error("messages of the remaining class were not accepted")
 	}
 	for _, id := range ids {
 		waitFor(t, id, 9*time.Second, func() bool { _, done, notices := world.Seen(id); return done+len(notices) > 0 })
 	}
 	for _, id := range ids {
 		began, done, notices := world.Seen(id)
-		conflicting := len(notices) > 1 && notices[0] != notices[1] // not confirmed before the directory moved, one goes again, the same
+		// A notice that was unconfirmed when discovery moved is sent again with the same content.
+		conflicting := len(notices) > 1 && notices[0] != notices[1]
 		if strings.Contains(id, "order") && began > 1 || conflicting || done > 0 && len(notices) > 0 {
-			t.Errorf("%s: begun %d times, done %d, notices %v", id, began, done, notices)
+			t.Errorf("%s: sent %d times, delivered %d times, notices %v", id, began, done, notices)
 		}
 	}
 	if !strings.Contains(c.logText(), "new configuration rejected") || strings.Contains(c.logText(), "panic") {
@@ -126,8 +128,8 @@
 	}
 }
 
-// TestHangupsBetweenEventLoops: hangups that come while no event loop takes configurations are not lost: the next event loop takes, last, what the
-// file says by then.
+// TestHangupsBetweenEventLoops checks that SIGHUPs are not lost while no event loop receives configurations: the last configuration that the
+// next event loop receives has the latest content of the file.
 func TestHangupsBetweenEventLoops(t *testing.T) {
 	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
 	if err != nil {
@@ -158,18 +160,18 @@
 	}()
 	writeConfig("first")
 	hangups <- syscall.SIGHUP
-	hangups <- syscall.SIGHUP // taken once the first is read, and nobody takes what that brought
+	hangups <- syscall.SIGHUP // handled after the first file is read, while nothing receives the first configuration
 	writeConfig("last")
 	var dep *config.Deployment
 	for range 2 {
 		select {
 		case dep = <-p.reloads:
 		case <-time.After(10 * time.Second):
-			t.Fatal("a hangup was lost")
+			t.Fatal("a SIGHUP was lost")
 		}
 	}
 	if dep.Name != "last" {
-		t.Errorf("the next event loop goes on by %q", dep.Name)
+		t.Errorf("the next event loop received the configuration %q last", dep.Name)
 	}
 	close(hangups)
 	<-returned
--- a/cmd/pineport/run.go
+++ b/cmd/pineport/run.go
@@ -27,20 +27,19 @@
 	"pineport/transport"
 )
 
-// grace is how long the courier goes on after SIGTERM: SIGKILL comes no sooner than 3.7 s after it.
+// shutdownGrace is the time limit of a graceful shutdown. The platform sends SIGKILL 3.7 s after SIGTERM at the earliest.
 const shutdownGrace = 3400 * time.Millisecond
 
-// lastLines is how long the end of the process waits for a reader of its log.
+// logFlushTimeout bounds how long the exiting process waits until its last log lines are written.
 const logFlushTimeout = 50 * time.Millisecond
 
-// run is the courier, until it is notified to end.
-func run(sources config.Sources, out io.Writer) error {
-	return runWithClock(clock.System, sources, out)
-}
+// run runs the courier until SIGTERM or SIGINT.
+func run(sources config.Sources, out io.Writer) error { return runUsing(clock.System, sources, out) }
 
-// runBy is run with the clocks that the courier's time is taken from.
-func runWithClock(clockSource clock.Source, sources config.Sources, out io.Writer) error {
-	hangups := make(chan os.Signal, 1) // first of all, or a hangup would end the process; one more stands for many
+// runUsing is run with the clocks that the courier reads; tests replace them.
+func runUsing(clockSource clock.Source, sources config.Sources, out io.Writer) error {
+	// SIGHUP is caught before anything else, as it would otherwise end the process. One queued signal stands for any number.
+	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	dep, err := config.LoadFrom(sources)
 	if err != nil {
@@ -51,15 +50,15 @@
 		return err
 	}
 	defer log.Close(logFlushTimeout)
-	if dep.SocketFD > 0 { // before another process hands all over for nothing
-		l, err := transport.ListenerFromFD(dep.SocketFD)
+	if dep.SocketFD > 0 { // checked before a predecessor hands over to a process that cannot listen
+		listener, err := transport.ListenerFromFD(dep.SocketFD)
 		if err != nil {
 			return fmt.Errorf("socket_fd: %w", err)
 		}
-		l.Close()
+		listener.Close()
 	}
 	var adminServer *admin.Server
-	if dep.Ops != "" { // answers from the start: with no, until there is an event loop
+	if dep.Ops != "" { // listens from the start, and answers 503 until an event loop runs
 		if adminServer, err = openAdminServer(dep, log); err != nil {
 			return fmt.Errorf("ops: %w", err)
 		}
@@ -67,22 +66,22 @@
 	}
 	logWarnings(log.Logger, dep)
 	applyLimits(dep)
-	p := &process{clockSource: clockSource, sources: sources, dep: dep, log: log, adminServer: adminServer, stop: make(chan struct{}), reloads: make(chan *config.Deployment)}
+	proc := &process{clockSource: clockSource, sources: sources, dep: dep, log: log, adminServer: adminServer, stop: make(chan struct{}), reloads: make(chan *config.Deployment)}
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	go func() {
 		<-signals
-		close(p.stop)
+		close(proc.stop)
 	}()
-	go p.handleHangups(hangups)
+	go proc.handleHangups(hangups)
 	for {
-		if err := p.serve(); !errors.Is(err, server.ErrReclaim) {
+		if err := proc.serve(); !errors.Is(err, server.ErrReclaim) {
 			return err
 		}
 	}
 }
 
-// openDesk listens for operators, as often as it takes where this machine is short of something.
+// openAdminServer opens the admin server. It retries without limit while the error is temporary, such as a lack of file descriptors.
 func openAdminServer(dep *config.Deployment, log *logging.Log) (*admin.Server, error) {
 	for {
 		adminServer, err := admin.Open(dep.Ops, server.AdminSockets(dep)-2, log.With(logging.Component, "ops"))
@@ -94,21 +93,21 @@
 	}
 }
 
-// process is what lasts while one event loop follows another.
+// process holds what outlives an event loop. A process starts a second event loop if its successor exits.
 type process struct {
 	sources     config.Sources
 	dep         *config.Deployment
 	log         *logging.Log
-	adminServer *admin.Server // nil: none
+	adminServer *admin.Server // nil: no admin address is configured
 	stop        chan struct{}
 	reloads     chan *config.Deployment
 	server      atomic.Pointer[server.Server]
-	member      atomic.Pointer[gossip.Member] // of the fleet; nil: none
+	member      atomic.Pointer[gossip.Member] // nil while this process is not a member of the fleet
 	clockSource clock.Source
 	clock       atomic.Pointer[clock.Clock]
 }
 
-// hear reads the configuration anew at each hangup.
+// handleHangups reloads the configuration on each SIGHUP.
 func (p *process) handleHangups(hangups <-chan os.Signal) {
 	sources := p.sources
 	sources.IsReload = true
@@ -116,8 +115,8 @@
 		dep, err := config.LoadFrom(sources)
 		if err != nil {
 			p.log.Error("new configuration rejected", "error", err)
-			if r := p.server.Load(); r != nil {
-				r.CountFailedReload()
+			if srv := p.server.Load(); srv != nil {
+				srv.CountFailedReload()
 			}
 			continue
 		}
@@ -126,7 +125,7 @@
 	}
 }
 
-// serve owns the state folder, once nobody else does, and runs an event loop on it.
+// serve waits until this process owns the state directory and then runs an event loop on it.
 func (p *process) serve() error {
 	dep, log := p.dep, p.log
 	ctx, cancel := context.WithCancel(context.Background())
@@ -139,19 +138,20 @@
 		}
 	}()
 	stateDir, inherited, predecessor, err := handoff.Acquire(ctx, dep.StateDir, dep.Name, log.With(logging.Component, "handover"))
-	for err != nil && isTransient(err) && ctx.Err() == nil { // found by the soak: a start while the folder failed ended the process
+	// Incident, found in a soak test: a process that started while writes to the state directory failed exited at once.
+	for err != nil && isTransient(err) && ctx.Err() == nil {
 		log.Error("spool error", logging.Component, "spool", "error", err)
 		time.Sleep(openRetryInterval)
 		stateDir, inherited, predecessor, err = handoff.Acquire(ctx, dep.StateDir, dep.Name, log.With(logging.Component, "handover"))
 	}
 	if ctx.Err() != nil {
-		return nil // asked to exit before there was anything to do
+		return nil // told to exit before an event loop ran
 	}
 	if err != nil {
 		return fmt.Errorf("RELAY_STATE: %w", err)
 	}
 	defer stateDir.Close()
-	snapshot.RemoveTempFiles(dep.StateDir) // before the spool takes that room
+	snapshot.RemoveTempFiles(dep.StateDir) // before the spool uses that disk space
 	store, unfinished, faults, err := p.openSpool(ctx)
 	if err != nil || ctx.Err() != nil {
 		return err
@@ -176,16 +176,17 @@
 	return srv.Run(p.stop, p.reloads, shutdownGrace)
 }
 
-// anchorRetry is how often it is tried to store the clock's anchor, where that fails.
+// anchorRetryInterval is the interval between attempts to store the clock anchor while storing it fails.
 const anchorRetryInterval = time.Second
 
-// openClock returns the time of the courier: that of the processes before this one, going on. Failure: each process took its time from
-// the wall clock, and one that had been stepped in between moved all deadlines, windows and waits in the folder.
+// openClock returns the courier's clock, which continues from the clock of the previous process. Incident: each process used to start from
+// the wall clock; if the wall clock was stepped between two processes, all deadlines, deduplication windows and Retry-After times in the
+// state directory moved by the step.
 func (p *process) openClock(ctx context.Context, unfinished []*spool.Message, inherited *handoff.State) *clock.Clock {
 	dir, log := p.dep.StateDir, p.log.With(logging.Component, "routing")
 	readings := p.clockSource()
 	if inherited != nil {
-		readings.Wall = int64(inherited.Snapshot.TakenAt) // a moment ago, by the clock of whoever handed over
+		readings.Wall = int64(inherited.Snapshot.TakenAt) // the time of the handoff, by the predecessor's clock
 	}
 	clk, err := clock.Open(dir, readings, latestTime(dir, p.dep.Name, unfinished))
 	if err != nil {
@@ -196,7 +197,7 @@
 	return clk
 }
 
-// storeAnchor stores the anchor of a clock, as often as it takes.
+// storeAnchor stores the clock anchor. It retries until that succeeds or ctx is done.
 func storeAnchor(ctx context.Context, clk *clock.Clock, log *slog.Logger) {
 	for {
 		err := clk.Store()
@@ -212,7 +213,7 @@
 	}
 }
 
-// latestTime returns the latest time that is known of earlier processes: no later one begins before it.
+// latestTime returns the latest time that earlier processes left in the state directory. The clock of this process must not start before it.
 func latestTime(dir, courier string, unfinished []*spool.Message) (latest int64) {
 	if state, err := snapshot.Read(dir, courier, 0, snapshot.MaxSize); err == nil {
 		latest = max(latest, int64(state.Snapshot.TakenAt))
@@ -225,10 +226,10 @@
 	return latest
 }
 
-// openRetry is how often it is tried to open the spool, where the folder fails.
+// openRetryInterval is the interval between attempts to open the admin server, the state directory or the spool while they fail.
 const openRetryInterval = 100 * time.Millisecond
 
-// isFailing reports whether the folder, or this machine, fails for a while, rather than being set up wrongly.
+// isTransient reports whether err is a failure of the disk or the machine that can pass, as opposed to a wrong configuration.
 func isTransient(err error) bool {
 	for _, errno := range []error{syscall.ENOSPC, syscall.EIO, syscall.EDQUOT} {
 		if errors.Is(err, errno) {
@@ -238,8 +239,8 @@
 	return transport.IsTemporary(err)
 }
 
-// openSpool opens the spool, as often as it takes: what was taken on is still owed, and a process that ends helps nobody. A folder that is not
-// there is another matter, which the configuration's check has reported.
+// openSpool opens the spool. It retries on every error until ctx is done, because accepted messages must still be delivered and exiting does not
+// help. A missing state directory is reported earlier, when the configuration is checked.
 func (p *process) openSpool(ctx context.Context) (store *spool.Spool, unfinished []*spool.Message, faults []error, err error) {
 	for {
 		store, unfinished, faults, err = spool.Open(p.dep.StateDir, server.SpoolLimit(p.dep))
@@ -255,7 +256,7 @@
 	}
 }
 
-// attach joins a new event loop with the parts of the process that outlast it; given is what a predecessor handed over, or nil.
+// attach connects a new event loop to the parts of the process that outlive it. inherited is the state that a predecessor handed over, or nil.
 func (p *process) attach(srv *server.Server, inherited *handoff.State) {
 	dep, log := p.dep, p.log
 	previous := p.server.Swap(srv)
@@ -285,7 +286,8 @@
 	})
 }
 
-// known is what was learned by an earlier process, or by this one before it handed all over: the younger, with all waits.
+// learnedState returns the newer of the stored snapshot and the state that this process had learned before it handed over. If the
+// stored snapshot is newer, the Retry-After times of this process are merged into it. previous is the event loop that handed over, or nil.
 func (p *process) learnedState(previous *server.Server, limit int, log *slog.Logger) *dispatch.Snapshot {
 	stored := readSnapshot(p.dep, p.clock.Load(), limit, log)
 	if previous == nil {
@@ -302,20 +304,20 @@
 	return logging.Options{Level: dep.Log.Level, Levels: dep.Log.Levels, JSON: dep.Log.JSON, RepeatWindow: dep.Log.RepeatWindow, QueueSize: dep.Log.QueueSize}
 }
 
-// limits sets what the process itself must keep.
+// applyLimits sets the Go runtime's CPU and memory limits from the configuration.
 func applyLimits(dep *config.Deployment) {
 	runtime.GOMAXPROCS(max(1, int(dep.Cores+0.5)))
-	debug.SetMemoryLimit(int64(dep.MemoryMB) << 20 * 6 / 10) // the collector works harder before the limit kills
+	debug.SetMemoryLimit(int64(dep.MemoryMB) << 20 * 6 / 10) // 60 %: garbage is collected more often before the memory limit kills the process
 }
 
-// warn names the keys that nobody reads.
+// logWarnings logs the warnings of the configuration, such as unknown keys.
 func logWarnings(log *slog.Logger, dep *config.Deployment) {
-	for _, w := range dep.Document.Warnings {
-		log.Warn("questionable key", "key", w.Key, "line", w.Line, "hint", w.Problem)
+	for _, warning := range dep.Document.Warnings {
+		log.Warn("questionable key", "key", warning.Key, "line", warning.Line, "hint", warning.Problem)
 	}
 }
 
-// earlier is what an earlier process learned; nil, and a line in the log, where it cannot be used.
+// readSnapshot returns the stored snapshot of the learned state. It returns nil if there is none, and logs a warning if it cannot be used.
 func readSnapshot(dep *config.Deployment, clk *clock.Clock, limit int, log *slog.Logger) *dispatch.Snapshot {
 	now := dispatch.Micros(clk.Now())
 	state, err := snapshot.Read(dep.StateDir, dep.Name, now, limit)
--- a/cmd/pineport/short_window_test.go
+++ b/cmd/pineport/short_window_test.go
@@ -14,7 +14,7 @@
 	"pineport/testbed/scripted"
 )
 
-// rewrite changes the configuration that the courier's next start reads: each pair is a text of it and its replacement.
+// replaceInConfig edits the configuration file for the courier's next start: each pair is a text in the file and its replacement.
 func (c *courier) replaceInConfig(pairs ...string) {
 	c.t.Helper()
 	file := filepath.Join(c.dir, "config.json")
@@ -33,8 +33,9 @@
 	}
 }
 
-// TestShortDedupWindowAcrossRestart: the window for repeats is a second. What may have run and is past its window at the restart never goes
-// again and gets its final answer; what is within it goes again; what never ran is still tried.
+// TestShortDedupWindowAcrossRestart uses a deduplication window of one second. After a restart, a message that may have been executed and whose
+// window has passed must not be sent again and must get a notice; one within its window must be sent again, and so must one that was never
+// executed.
 func TestShortDedupWindowAcrossRestart(t *testing.T) {
 	const window = time.Second
 	called := map[string]bool{}
@@ -50,7 +51,7 @@
 		case strings.HasPrefix(id, "refused"):
 			return scripted.Fate{Status: 429, WaitMs: 300}
 		}
-		return scripted.Fate{Status: 0, After: 2 * window} // out as its courier is killed
+		return scripted.Fate{Status: 0, After: 2 * window} // in flight when the courier is killed
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -62,7 +63,7 @@
 	isCalled := func(id string) func() bool {
 		return func() bool { mu.Lock(); defer mu.Unlock(); return called[id] }
 	}
-	// killedWhileOut hands a message in and kills the courier once its call has come; it returns when that was.
+	// killDuringCall submits a message, kills the courier once the endpoint has received the call, and returns that time.
 	killDuringCall := func(id string) time.Time {
 		t.Helper()
 		if got := c.send(enqueue(id, "order", 20000)); got[0] != "+OK" {
@@ -79,15 +80,15 @@
 	killDuringCall("over")
 	time.Sleep(window + window/5)
 	c.start()
-	waitFor(t, "the final answer of what is past its window", 5*time.Second, func() bool { _, _, notices := world.Seen("over"); return len(notices) > 0 })
+	waitFor(t, "the notice for the message past its window", 5*time.Second, func() bool { _, _, notices := world.Seen("over"); return len(notices) > 0 })
 
 	killDuringCall("refused")
 	c.start()
-	waitFor(t, "what never ran", 8*time.Second, func() bool { _, done, _ := world.Seen("refused"); return done == 1 })
+	waitFor(t, "delivery of the message that was never executed", 8*time.Second, func() bool { _, done, _ := world.Seen("refused"); return done == 1 })
 
 	within := ""
 	const tries = 5
-	for n := 0; within == "" && n < tries; n++ { // a loaded machine may take longer than the window to restart it
+	for n := 0; within == "" && n < tries; n++ { // on a loaded machine the restart may take longer than the window
 		id := fmt.Sprint("within-", n)
 		at := killDuringCall(id)
 		c.start()
@@ -96,16 +97,16 @@
 		if _, done, _ := world.Seen(id); done > 0 {
 			within = id
 		} else if took < window/2 {
-			t.Errorf("%s did not go again, though the courier was back after %v", id, took)
+			t.Errorf("%s was not sent again, although the courier restarted within %v", id, took)
 		}
 	}
 	if within == "" {
-		t.Errorf("of %d that a restart found within their window none went again", tries)
+		t.Errorf("none of %d messages was sent again after a restart within its window", tries)
 	}
 	if began, _, notices := world.Seen("over"); began != 1 || len(notices) != 1 {
-		t.Errorf("past its window: begun %d times, notices %v", began, notices)
+		t.Errorf("message past its window: sent %d times, notices %v, want 1 and one notice", began, notices)
 	}
 	if _, _, notices := world.Seen("refused"); len(notices) > 0 {
-		t.Errorf("what never ran: notices %v", notices)
+		t.Errorf("message that was never executed: got notices %v, want none", notices)
 	}
 }
--- a/cmd/pineport/signals_test.go
+++ b/cmd/pineport/signals_test.go
@@ -13,9 +13,9 @@
 	"pineport/testbed/scripted"
 )
 
-// TestSignalsDuringStart: a hangup, an end and an end once more at any moment of a start, whose spool holds a message. The process ends by
-// itself, in time and without a fault, or is ended by the first signal where that comes before it listens for any; the next start
-// still brings the message to its endpoint.
+// TestSignalsDuringStart sends SIGHUP, SIGTERM, SIGTERM and SIGHUP at various times after the start of a process with a message in its spool.
+// The process must exit in time and without an error, or be killed by the first signal if that comes before it handles signals. The next
+// process must deliver the message.
 func TestSignalsDuringStart(t *testing.T) {
 	for _, after := range []time.Duration{0, 2, 4, 8, 16, 32, 64, 128, 512} {
 		t.Run(fmt.Sprint(int64(after)), func(t *testing.T) {
@@ -34,7 +34,7 @@
 			c := newCourier(t, world)
 			began := time.Now()
 			c.start()
-			// Signals are listened for first of all, 32 ms after the start at the latest; on a machine that is busy, half of what a whole start takes.
+			// The process handles signals within 32 ms of its start, or on a busy machine within half of the time that a complete start takes.
 			listeningAfter := max(32*time.Millisecond, time.Since(began)/2)
 			if got := c.send(enqueue("held", "update", 60000)); got[0] != "+OK" {
 				t.Fatal(got)
@@ -58,18 +58,18 @@
 			select {
 			case exitErr = <-ended:
 			case <-time.After(shutdownGrace + 5*time.Second):
-				t.Fatal("it does not end")
+				t.Fatal("the process did not exit in time")
 			}
 			var exit *exec.ExitError
 			if errors.As(exitErr, &exit) && exit.Sys().(syscall.WaitStatus).Signaled() && after*time.Millisecond < listeningAfter {
-				exitErr = nil // by the first signal
+				exitErr = nil // killed by the first signal, which the process did not handle yet
 			}
 			if exitErr != nil {
-				t.Errorf("ended with %v", exitErr)
+				t.Errorf("the process exited with %v", exitErr)
 			}
 			deliverable.Store(true)
 			c.start()
-			waitFor(t, "the record is delivered", 20*time.Second, func() bool {
+			waitFor(t, "the message is delivered", 20*time.Second, func() bool {
 				_, done, _ := world.Seen("held")
 				return done == 1
 			})
--- a/cmd/pineport/spool.go
+++ b/cmd/pineport/spool.go
@@ -15,10 +15,10 @@
 
 func spoolCmd() *cobra.Command {
 	var output string
-	cmd := &cobra.Command{Use: "spool", Short: "Show the messages that a courier has accepted; it need not be stopped"}
+	cmd := &cobra.Command{Use: "spool", Short: "Show the messages that a courier has accepted; the courier may be running"}
 	list := &cobra.Command{
 		Use:     "ls DIR",
-		Short:   "List the messages without a final answer, and those whose notice is not confirmed",
+		Short:   "List the messages without a final outcome, and those with an unconfirmed notice",
 		Example: "  pineport spool ls /var/lib/pineport --output json",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -29,7 +29,7 @@
 			if output == "json" {
 				return printJSON(cmd.OutOrStdout(), messages)
 			} else if output != "table" {
-				return errors.New("--output: table or json was expected")
+				return errors.New("--output: want table or json")
 			}
 			return showMessages(cmd.OutOrStdout(), messages)
 		},
@@ -52,12 +52,12 @@
 					}{message, message.Body})
 				}
 			}
-			return fmt.Errorf("no message %s is held in %s", args[1], args[0])
+			return fmt.Errorf("message %s is not in the spool in %s", args[1], args[0])
 		},
 	}
 	verify := &cobra.Command{
 		Use:   "verify DIR",
-		Short: "Read a spool and tell what is damaged; exit code 1 where something is",
+		Short: "Check a spool for damage; exit code 1 if there is any",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			messages, faults, err := spool.Inspect(args[0])
@@ -75,7 +75,7 @@
 	return cmd
 }
 
-// showMessages lists messages as a table.
+// showMessages prints messages as a table.
 func showMessages(out io.Writer, messages []*spool.Message) error {
 	table := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(table, "ID\tCLASS\tDESTINATION\tDEADLINE\tATTEMPTS\tLAST\tSTATE")
--- a/cmd/pineport/state.go
+++ b/cmd/pineport/state.go
@@ -21,7 +21,7 @@
 	var output string
 	show := &cobra.Command{
 		Use:     "show FILE",
-		Short:   "Print what a file holds; FILE may be the folder that it is in",
+		Short:   "Print a snapshot of the learned state; FILE is the snapshot or the directory that contains it",
 		Example: "  pineport state show /var/lib/pineport\n  pineport state show learned.lore --output json",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -35,13 +35,13 @@
 			case "table":
 				return showState(cmd.OutOrStdout(), dirOf(args[0]), state, size)
 			}
-			return fmt.Errorf("--output: table or json was expected, not %q", output)
+			return fmt.Errorf("--output: want table or json, not %q", output)
 		},
 	}
 	show.Flags().StringVar(&output, "output", "table", "table or json")
 	cmd.AddCommand(show, &cobra.Command{
 		Use:   "verify FILE",
-		Short: "Tell whether a file could be used; exit code 1 and the reason where it could not",
+		Short: "Check whether a snapshot can be used; if not, exit code 1 and the reason",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			state, size, err := readState(args[0])
@@ -69,7 +69,7 @@
 	return state, len(data), err
 }
 
-// folderOf returns the folder that a file, or the folder itself, stands for.
+// dirOf returns path if it is a directory, and otherwise the directory that contains it.
 func dirOf(path string) string {
 	if info, err := os.Stat(path); err == nil && info.IsDir() {
 		return path
@@ -77,17 +77,17 @@
 	return filepath.Dir(path)
 }
 
-// age returns how old a time of a courier is, by the anchor beside the file.
+// age returns the time since at, a time of the courier's clock. The clock is reconstructed from the anchor in dir.
 func age(dir string, at dispatch.Micros) time.Duration {
 	return (time.Duration(clock.Peek(dir)-int64(at)) * time.Microsecond).Round(time.Millisecond)
 }
 
 func showState(out io.Writer, dir string, state snapshot.State, size int) error {
-	l := state.Snapshot
+	learned := state.Snapshot
 	table := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
-	fmt.Fprintf(table, "courier %s, kept %s (%s ago), %d bytes\n\n", state.Courier, time.UnixMicro(int64(l.TakenAt)).Format(time.RFC3339Nano), age(dir, l.TakenAt), size)
+	fmt.Fprintf(table, "courier %s, kept %s (%s ago), %d bytes\n\n", state.Courier, time.UnixMicro(int64(learned.TakenAt)).Format(time.RFC3339Nano), age(dir, learned.TakenAt), size)
 	fmt.Fprintln(table, "DESTINATION\tENDPOINT\tHEALTH\tBREAKERS\tINTERVAL\tRETRY AFTER\tANSWER TIME\tDELIVERED\tLIMIT/S")
-	for _, group := range l.Groups {
+	for _, group := range learned.Groups {
 		health := "healthy"
 		if group.Outage {
 			health = "outage"
@@ -95,12 +95,12 @@
 			health = "warming up"
 		}
 		breakers := ""
-		for _, b := range group.Breakers {
+		for _, breaker := range group.Breakers {
 			switch {
-			case b.OpenUntil > 0:
+			case breaker.OpenUntil > 0:
 				breakers += "open "
-			case b.Failures > 0:
-				breakers += fmt.Sprintf("%d-failed ", b.Failures)
+			case breaker.Failures > 0:
+				breakers += fmt.Sprintf("%d-failed ", breaker.Failures)
 			default:
 				breakers += "closed "
 			}
@@ -114,9 +114,9 @@
 			limit = fmt.Sprintf("%.2f", group.ReportedRate)
 		}
 		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%s\t%s\t%s\t%.1f\t%s\n", group.Destination, cmp.Or(string(group.Endpoint), "(all)"), health, breakers, formatDuration(group.Interval),
-			formatDuration(max(0, group.RetryAfterUntil-l.TakenAt)), mean, group.Deliveries.Weight, limit)
+			formatDuration(max(0, group.RetryAfterUntil-learned.TakenAt)), mean, group.Deliveries.Weight, limit)
 	}
-	for _, endpoint := range l.Endpoints {
+	for _, endpoint := range learned.Endpoints {
 		fmt.Fprintf(table, "\nendpoint %s: %d failures in a row\n", endpoint.Endpoint, endpoint.FailureRuns[0].Failures)
 	}
 	return table.Flush()
--- a/cmd/pineport/syscalls_test.go
+++ b/cmd/pineport/syscalls_test.go
@@ -18,7 +18,7 @@
 	"pineport/testbed/syscallfault"
 )
 
-// startTraced starts the courier with its system calls led through package syscallfault.
+// startTraced starts the courier with the named system calls traced by package syscallfault, and returns once it answers PING.
 func (c *courier) startTraced(names []string, decide func(*syscallfault.Call) syscallfault.Effect) *syscallfault.Process {
 	c.t.Helper()
 	child := c.launchTraced(names, decide)
@@ -26,7 +26,7 @@
 	return child
 }
 
-// beginTraced is startTraced that does not wait until the courier answers.
+// launchTraced is like startTraced but does not wait until the courier answers PING.
 func (c *courier) launchTraced(names []string, decide func(*syscallfault.Call) syscallfault.Effect) *syscallfault.Process {
 	c.t.Helper()
 	env := append(os.Environ(), "RELAY_CONFIG="+filepath.Join(c.dir, "config.json"), "RELAY_STATE="+filepath.Join(c.dir, "state"), "RELAY_OPS="+c.adminAddr)
@@ -44,27 +44,27 @@
 	return child
 }
 
-// systemFault is a fault of one system call.
+// systemFault is one kind of fault of a system call.
 type systemFault struct {
 	call   string
 	effect syscallfault.Effect
-	// harmless: the system goes on after it, and each request has its answer; else connections may end by it.
+	// harmless means that the fault closes no connection, so that every request gets its reply.
 	harmless bool
-	// kept says of which connections it is, where the call has one; nil for all.
+	// appliesTo selects the calls that get the fault; nil: all.
 	appliesTo func(*syscallfault.Call) bool
 }
 
 func (f systemFault) String() string { return f.call + " " + f.effect.String() }
 
-// eachIsAnEvent reports whether the system says so for an event of its own each time, so that going on at once is right: it was interrupted, a
-// connection that had come is gone, or bytes came or went.
+// isPerEvent reports whether each occurrence of the fault has its own cause, such as a signal, an aborted connection or transferred bytes.
+// The courier may then repeat the call at once.
 func (f systemFault) isPerEvent() bool {
 	return f.effect.Errno == syscall.EINTR || f.effect.Errno == syscall.ECONNABORTED || f.call == "read" || f.call == "write"
 }
 
 func isSocket(c *syscallfault.Call) bool { return c.IsSocket() }
 
-// systemFaults are the errors that Linux documents for calls of a courier to its sockets.
+// systemFaults returns the errors that Linux documents for the socket calls of a courier.
 func systemFaults() (all []systemFault) {
 	add := func(call string, harmless bool, appliesTo func(*syscallfault.Call) bool, errnos ...syscall.Errno) {
 		for _, errno := range errnos {
@@ -75,7 +75,7 @@
 	add("socket", true, nil, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM)
 	add("connect", true, nil, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENOBUFS, syscall.EAGAIN)
 	add("connect", false, nil, syscall.ETIMEDOUT, syscall.EHOSTUNREACH)
-	// A connect that is interrupted goes on by itself.
+	// An interrupted connect continues in the kernel.
 	all = append(all, systemFault{"connect", syscallfault.Effect{Errno: syscall.EINTR, After: true}, true, nil})
 	add("epoll_pwait", true, nil, syscall.EINTR)
 	add("read", true, isSocket, syscall.EINTR)
@@ -85,21 +85,21 @@
 	return append(all, systemFault{"read", syscallfault.Effect{Limit: 1}, true, isSocket}, systemFault{"write", syscallfault.Effect{Limit: 1}, true, isSocket})
 }
 
-// tally is what became of the requests of some clients.
+// requestResults collects the message IDs of some clients' requests by the reply.
 type requestResults struct {
 	mu         sync.Mutex
 	accepted   []string
 	rejected   []string
-	unanswered []string // with what came instead
+	unanswered []string // with the error and its time
 }
 
-// submitOver submits messages until stopped, over one connection for as long as that lasts.
+// submitUntilStopped submits messages one after another until stopped is set. It reconnects after every second message and after errors.
 func (l *requestResults) submitUntilStopped(address string, client int, stopped *atomic.Bool) {
 	var conn net.Conn
 	var replies *bufio.Reader
 	for n := 0; !stopped.Load(); n++ {
 		time.Sleep(15 * time.Millisecond)
-		if conn != nil && n%2 == 0 { // connections come and go
+		if conn != nil && n%2 == 0 { // reconnect, so that the courier also accepts connections during the fault
 			conn.Close()
 			conn = nil
 		}
@@ -139,9 +139,9 @@
 	}
 }
 
-// TestSystemCallsFail: each error that Linux documents, once and for 2 s, at each call: what was taken on ends, at-most-once messages run once,
-// requests have their answers where the system goes on, nothing spins, deliveries go on within a second of the fault's end, and descriptors
-// return to where they were.
+// TestSystemCallsFail injects each error that Linux documents into each socket call, once and for 2 s. Accepted messages must end, at-most-once
+// messages must be sent once, requests must get replies if the fault is harmless, no loop may spin, deliveries must resume within 1.5 s after
+// the fault, and the number of descriptors must return to its value before the fault.
 func TestSystemCallsFail(t *testing.T) {
 	for _, duration := range []time.Duration{0, 2 * time.Second} {
 		var cases sync.WaitGroup
@@ -158,7 +158,7 @@
 }
 
 func runSystemFault(t *testing.T, fault systemFault, duration time.Duration) {
-	const maxPerSecond = 400 // failing calls of a kind; a loop that spins makes many thousands
+	const maxPerSecond = 400 // failing calls per second; a spinning loop makes many thousands
 	world, err := scripted.Open(2, func(string) scripted.Fate { return scripted.Fate{Status: 200, After: 30 * time.Millisecond} })
 	if err != nil {
 		t.Fatal(err)
@@ -195,29 +195,30 @@
 	callsAtFaultEnd := world.Calls(0) + world.Calls(1)
 	time.Sleep(1500 * time.Millisecond)
 	minCalls := 50
-	if !fault.harmless || fault.call == "read" { // nothing was heard for long: breakers open and are tried, as after any outage
+	// Without answers during the fault, breakers have opened and send only trials at first, as after any outage.
+	if !fault.harmless || fault.call == "read" {
 		minCalls = 5
 	}
 	if resumed := world.Calls(0) + world.Calls(1) - callsAtFaultEnd; resumed < minCalls {
-		t.Errorf("%d calls in 1.5 s after the fault", resumed)
+		t.Errorf("only %d calls in 1.5 s after the fault", resumed)
 	}
 	stopped.Store(true)
 	clients.Wait()
 	struck := child.Struck()[fault.String()]
 	if struck == 0 {
-		t.Errorf("the fault never struck")
+		t.Errorf("no system call failed")
 	}
 	if limit := int(maxPerSecond * max(1, duration.Seconds())); struck > limit && !fault.isPerEvent() {
-		t.Errorf("%d calls failed: a loop spins", struck)
+		t.Errorf("%d system calls failed: a loop spins", struck)
 	}
 	requests.verify(t, world)
 	if fault.harmless && len(requests.unanswered) > 0 {
-		t.Errorf("of %d requests have no answer: %v", len(requests.accepted)+len(requests.rejected)+len(requests.unanswered), requests.unanswered)
+		t.Errorf("of %d requests, these got no reply: %v", len(requests.accepted)+len(requests.rejected)+len(requests.unanswered), requests.unanswered)
 	}
-	waitFor(t, fmt.Sprintf("%d descriptors as before", before), 8*time.Second, func() bool { return countDescriptors(child.PID) <= before+4 })
+	waitFor(t, fmt.Sprintf("at most 4 descriptors more than the %d before the fault", before), 8*time.Second, func() bool { return countDescriptors(child.PID) <= before+4 })
 }
 
-// finished returns what has been delivered by now.
+// delivered returns the IDs of accepted messages that have been delivered so far.
 func (l *requestResults) delivered(world *scripted.World) (ids []string) {
 	for _, id := range l.accepted {
 		if _, done, _ := world.Seen(id); done > 0 {
@@ -227,24 +228,24 @@
 	return ids
 }
 
-// judge waits until all that was accepted has ended, and looks at how.
+// verify waits until all accepted messages have ended and checks that at-most-once messages were sent only once.
 func (l *requestResults) verify(t *testing.T, world *scripted.World) {
 	t.Helper()
 	if len(l.accepted) == 0 {
-		t.Error("nothing was accepted")
+		t.Error("no message was accepted")
 	}
 	deadline := time.Now().Add(8 * time.Second)
 	for _, id := range l.accepted {
 		for {
 			began, done, notices := world.Seen(id)
 			if strings.HasPrefix(id, "order") && began > 1 {
-				t.Errorf("%s ran %d times", id, began)
+				t.Errorf("%s is at-most-once and was sent %d times", id, began)
 			}
 			if done > 0 || len(notices) > 0 {
 				break
 			}
 			if time.Now().After(deadline) {
-				t.Errorf("%s was accepted and has no end, begun %d times", id, began)
+				t.Errorf("%s was accepted and did not end; it was sent %d times", id, began)
 				break
 			}
 			time.Sleep(10 * time.Millisecond)
@@ -252,7 +253,7 @@
 	}
 }
 
-// countDescriptors returns how many descriptors a process has open.
+// countDescriptors returns the number of open file descriptors of a process, or 0 if it cannot be read.
 func countDescriptors(pid int) int {
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
@@ -261,7 +262,7 @@
 	return len(entries)
 }
 
-// TestStartWhileSocketsFail: a process that is started while no socket can be had is ready once it can, and delivers what it is given.
+// TestStartWhileSocketsFail starts a process while it cannot open sockets. The process must become ready and deliver messages once it can.
 func TestStartWhileSocketsFail(t *testing.T) {
 	const faultDuration = 1500 * time.Millisecond
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM} {
@@ -283,7 +284,7 @@
 			})
 			waitFor(t, "PONG", faultDuration+3*time.Second, func() bool { return c.answersPing() })
 			if len(child.Struck()) == 0 {
-				t.Error("the fault never struck")
+				t.Error("no system call failed")
 			}
 			if got := c.send(enqueue("one", "order", 4000)); got[0] != "+OK" {
 				t.Fatal(got)
--- a/cmd/pineport/tools_test.go
+++ b/cmd/pineport/tools_test.go
@@ -12,7 +12,7 @@
 	"pineport/spool"
 )
 
-// tool runs a command line in this process.
+// runCommand runs a pineport command line in this process and returns its output.
 func runCommand(args ...string) (string, error) {
 	cmd := root()
 	var out bytes.Buffer
@@ -23,7 +23,7 @@
 	return out.String(), err
 }
 
-// TestCommands: what scripts rely on: output, JSON, and a fault for what is wrong.
+// TestCommands checks what scripts rely on: the output, the JSON form and the errors of commands.
 func TestCommands(t *testing.T) {
 	dir := t.TempDir()
 	t.Setenv("RELAY_CONFIG", "")
@@ -55,7 +55,7 @@
 		{"config explain settings.family-info.slots --config " + good, "now: settings.family-info.slots = 20 (good.toml:", ""},
 		{"config explain settings.family-info.slot", "", "settings.family-info.slots?"},
 		{"config show " + good + " --set limits.sockets=99", "flag", ""},
-		{"config show " + good + " --set limits.socket=99", "", "with a known key was expected"},
+		{"config show " + good + " --set limits.socket=99", "", "want KEY=VALUE with a known key"},
 		{"config init", "[settings.family-info]", ""},
 		{"version", "pineport", ""},
 		{"spool ls " + dir + "/none", "", "no such directory"},
@@ -75,7 +75,7 @@
 	}
 }
 
-// TestSpoolInspection: a spool is listed beside its running courier, and nothing of it changes.
+// TestSpoolInspection checks that the spool commands work while a courier has the spool open and do not change it, and that verify finds damage.
 func TestSpoolInspection(t *testing.T) {
 	dir := t.TempDir()
 	s, _, _, err := spool.Open(dir, 1<<20)
@@ -106,7 +106,7 @@
 		t.Errorf("%v\n%s", err, out)
 	}
 	if _, err := runCommand("spool", "verify", dir); err != nil || size() != before {
-		t.Errorf("%v, %d bytes and %d", err, before, size())
+		t.Errorf("verify: %v; the spool had %d bytes before and has %d now", err, before, size())
 	}
 	s.Close()
 	files, _ := filepath.Glob(filepath.Join(dir, "*.seg"))
@@ -114,6 +114,6 @@
 	content[len(content)/2] ^= 1
 	os.WriteFile(files[0], content, 0o600)
 	if _, err := runCommand("spool", "verify", dir); err == nil {
-		t.Error("damaged, and called sound")
+		t.Error("verify reported no error for a damaged spool")
 	}
 }
--- a/cmd/pineport/upgrade_test.go
+++ b/cmd/pineport/upgrade_test.go
@@ -25,7 +25,7 @@
 	"pineport/testbed/scripted"
 )
 
-// hangs names the variable that has this test's own program play a new version that takes all over and then says nothing.
+// hangEnv names the environment variable that makes the test binary run as a successor that takes over and then hangs.
 const hangEnv = "PINEPORT_TEST_HANGS"
 
 func runHangingSuccessor() {
@@ -36,7 +36,7 @@
 	}
 }
 
-// platform holds the clients' listening socket and starts processes that inherit it.
+// supervisor plays the platform: it holds the listening socket for clients and starts processes that inherit it.
 type supervisor struct {
 	*courier
 	socket  *os.File
@@ -65,7 +65,7 @@
 	return p
 }
 
-// configured changes what a courier's file says.
+// editConfig applies change to the configuration file in a courier's directory.
 func editConfig(t *testing.T, dir string, change func(top map[string]any)) {
 	t.Helper()
 	file := filepath.Join(dir, "config.json")
@@ -86,7 +86,7 @@
 	}
 }
 
-// running is one run of a program on the platform.
+// instance is one process of the supervisor, with its admin address.
 type instance struct {
 	cmd *exec.Cmd
 	ops string
@@ -119,23 +119,23 @@
 func (p *supervisor) requireReady(running *instance) {
 	p.t.Helper()
 	if !p.isReadyWithin(running, 10*time.Second) {
-		p.t.Fatal("no yes")
+		p.t.Fatal("the process was not ready within 10 s")
 	}
 }
 
-// leave tells an old process to end and sees that it does.
+// terminate sends SIGTERM to an old process and checks in the background that it exits without an error. It kills the process after 6 s.
 func (p *supervisor) terminate(running *instance) {
 	running.cmd.Process.Signal(syscall.SIGTERM)
 	p.exits.Go(func() {
 		kill := time.AfterFunc(6*time.Second, func() { running.cmd.Process.Kill() })
 		if err := running.cmd.Wait(); err != nil {
-			p.t.Errorf("an old process: %v", err)
+			p.t.Errorf("an old process exited with %v", err)
 		}
 		kill.Stop()
 	})
 }
 
-// steady submits messages over some connections until it is stopped, and keeps what became of each.
+// load submits messages over several connections until it is stopped, and records the accepted ones.
 type load struct {
 	p          *supervisor
 	stop       chan struct{}
@@ -143,8 +143,8 @@
 	done       sync.WaitGroup
 	mu         sync.Mutex
 	accepted   []string
-	unanswered int // no answer: the connection closed
-	retried    int // sent once more on a new connection
+	unanswered int // messages without a reply, because the connection closed
+	retried    int // messages sent again on a new connection
 }
 
 func (p *supervisor) startLoad(clients int) *load {
@@ -175,7 +175,7 @@
 		text := command("ENQUEUE", "0", id, fmt.Sprintf("c=%s,d=8000,dest=1%s", class, opts), "x")
 		reply := ""
 		for attempt := 0; attempt < 2 && reply == ""; attempt++ {
-			if conn != nil { // closed between two requests: no message is turned back by that
+			if conn != nil { // detect a connection that was closed between two requests, which counts as no retry
 				conn.SetReadDeadline(time.Now().Add(time.Millisecond))
 				if _, err := in.Peek(1); err == io.EOF {
 					conn.Close()
@@ -202,7 +202,7 @@
 				}
 				s.mu.Unlock()
 				if class == "order" {
-					break // it may have been taken by a process that was killed
+					break // the message may have been accepted by a process that was then killed
 				}
 				continue
 			}
@@ -218,19 +218,19 @@
 	}
 }
 
-// finish stops the clients.
+// stopClients stops the clients and waits for them.
 func (s *load) stopClients() {
 	s.stopOnce.Do(func() { close(s.stop) })
 	s.done.Wait()
 }
 
-// end stops the clients and holds what the world saw against what was taken; upgrades is nought where processes were killed.
+// verify stops the clients and compares the accepted messages with what the endpoints received. upgrades is 0 if processes were killed.
 func (s *load) verify(world *scripted.World, upgrades int) {
 	t := s.p.t
 	t.Helper()
 	s.stopClients()
 	if len(s.accepted) < 50 {
-		t.Errorf("only %d messages were taken", len(s.accepted))
+		t.Errorf("only %d messages were accepted", len(s.accepted))
 	}
 	for _, id := range s.accepted {
 		waitFor(t, id, 10*time.Second, func() bool {
@@ -245,9 +245,9 @@
 		kind, rest, _ := strings.Cut(id, "-")
 		fmt.Sscanf(rest, "%d-%d", &client, &n)
 		if atMostOnce := kind != "line" && n%2 == 1; atMostOnce && began > 1 {
-			t.Errorf("%s is at-most-once and was begun %d times", id, began)
+			t.Errorf("%s is at-most-once and was sent %d times", id, began)
 		} else if !atMostOnce && upgrades > 0 && done > 0 && len(notices) > 0 {
-			t.Errorf("%s was done %d times, and yet %v", id, done, notices)
+			t.Errorf("%s was delivered %d times, but also has notices %v", id, done, notices)
 		}
 		switch {
 		case done > 0:
@@ -257,12 +257,12 @@
 		}
 	}
 	if broken := world.Broken(); broken != (scripted.Broken{}) {
-		t.Errorf("rules: %+v", broken)
+		t.Errorf("endpoints observed violations: %+v", broken)
 	}
-	if upgrades > 0 && s.retried > 2*upgrades { // where processes are killed, connections break
-		t.Errorf("%d messages were turned back unheard in %d upgrades", s.retried, upgrades)
+	if upgrades > 0 && s.retried > 2*upgrades { // killed processes close connections in the middle of requests
+		t.Errorf("%d messages were sent again after a connection closed, in %d upgrades", s.retried, upgrades)
 	}
-	t.Logf("%d upgrades: taken %d, ended %v, sent again %d, unheard %d", upgrades, len(s.accepted), outcomes, s.retried, s.unanswered)
+	t.Logf("%d upgrades: accepted %d, outcomes %v, sent again %d, without a reply %d", upgrades, len(s.accepted), outcomes, s.retried, s.unanswered)
 }
 
 func newUpgradeWorld(t *testing.T) *scripted.World {
@@ -283,8 +283,8 @@
 	return world
 }
 
-// TestFiftyUpgrades: one after the other under load, without a fault: nothing lost, doubled, early or out of order. Failure: the
-// second process ended, as its address was taken.
+// TestFiftyUpgrades makes 50 upgrades one after another under load. No message may be lost, duplicated, early or out of order. Incident: the
+// second process exited because its address was in use.
 func TestFiftyUpgrades(t *testing.T) {
 	world := newUpgradeWorld(t)
 	p := newSupervisor(t, world)
@@ -303,13 +303,13 @@
 	p.exits.Wait()
 	for _, line := range []string{"handed over to the successor", "exited after the handoff"} {
 		if n := strings.Count(p.logText(), line+`"`); n != 50 {
-			t.Errorf("%q stands %d times in the log", line, n)
+			t.Errorf("%q is logged %d times, want 50", line, n)
 		}
 	}
 }
 
-// TestFailedUpgrades: either side killed at a chance moment, a new version that ends at once and one that takes over and hangs.
-// Failure: the courier was gone with the new process, or what it had taken was lost.
+// TestFailedUpgrades kills either process of an upgrade at a random time, and tries a new version that exits at once and one that takes
+// over and hangs. Incidents: the courier was down once the new process had exited, or lost messages that it had accepted.
 func TestFailedUpgrades(t *testing.T) {
 	world := newUpgradeWorld(t)
 	p := newSupervisor(t, world)
@@ -321,28 +321,28 @@
 	for round := range 16 {
 		time.Sleep(200 * time.Millisecond)
 		switch round % 4 {
-		case 0: // the new one is killed
+		case 0: // the new process is killed
 			next := p.startProcess(p.binary)
 			randomPause()
 			next.cmd.Process.Kill()
 			next.cmd.Wait()
 			p.requireReady(current)
-		case 1: // the old one is killed
+		case 1: // the old process is killed
 			next := p.startProcess(p.binary)
 			randomPause()
 			current.cmd.Process.Kill()
 			current.cmd.Wait()
 			p.requireReady(next)
 			current = next
-		case 2: // a version that ends at once, one that hangs, and beside that a third
+		case 2: // a version that exits at once, one that hangs, and a third process while that hangs
 			p.startProcess("/bin/false").cmd.Wait()
 			hanging := p.startProcess(os.Args[0], hangEnv+"=1")
-			waitFor(t, "the hanging one has it all", 5*time.Second, func() bool {
+			waitFor(t, "the hanging process to take over", 5*time.Second, func() bool {
 				status, _ := callAdminAt(t, current.ops, "GET", "/status")
 				return status != 200
 			})
 			if third := p.startProcess(p.binary); p.isReadyWithin(third, 200*time.Millisecond) {
-				t.Error("a third process serves beside one that hangs")
+				t.Error("a third process serves while the process that took over hangs")
 			} else {
 				third.cmd.Process.Kill()
 				third.cmd.Wait()
@@ -350,7 +350,7 @@
 			hanging.cmd.Process.Kill()
 			hanging.cmd.Wait()
 			p.requireReady(current)
-		case 3: // a good one, between
+		case 3: // a successful upgrade
 			next := p.startProcess(p.binary)
 			p.requireReady(next)
 			p.terminate(current)
@@ -362,7 +362,8 @@
 	p.exits.Wait()
 }
 
-// TestMaintenanceDuringUpgrade: what is out stays out, and calls to the old process's address act on the courier as a whole.
+// TestMaintenanceDuringUpgrade checks that disabled endpoints stay disabled across an upgrade, and that the old process forwards admin requests
+// to the new one.
 func TestMaintenanceDuringUpgrade(t *testing.T) {
 	world := newUpgradeWorld(t)
 	p := newSupervisor(t, world)
@@ -378,27 +379,27 @@
 	next := p.startProcess(p.binary)
 	p.requireReady(next)
 	if p.isReadyWithin(old, 50*time.Millisecond) {
-		t.Error("the old process says that it takes clients")
+		t.Error("the old process reports that it accepts clients")
 	}
 	if status, _ := callAdminAt(t, old.ops, "POST", "/maintenance/enter/s-7"); status != 404 {
-		t.Errorf("a stranger, asked of the old process: %d", status)
+		t.Errorf("unknown endpoint, request to the old process: got status %d, want 404", status)
 	}
 	load := p.startLoad(6)
 	time.Sleep(400 * time.Millisecond)
 	if got := world.Calls(0); got > 0 {
-		t.Errorf("%d calls to what is out", got)
+		t.Errorf("%d calls to a disabled endpoint", got)
 	}
 	mustPost(old, "/maintenance/exit/s-0")
 	mustPost(old, "/maintenance/enter/s-1")
 	before := world.Calls(1)
-	waitFor(t, "calls to what is back", 5*time.Second, func() bool { return world.Calls(0) > 0 })
+	waitFor(t, "calls to the endpoint that was enabled again", 5*time.Second, func() bool { return world.Calls(0) > 0 })
 	time.Sleep(300 * time.Millisecond)
-	if got := world.Calls(1); got > before+3 { // those that were out
-		t.Errorf("%d calls to what the old process was notified is out", got-before)
+	if got := world.Calls(1); got > before+3 { // calls that were in flight
+		t.Errorf("%d calls to an endpoint that was disabled through the old process", got-before)
 	}
 	mustPost(old, "/standby")
 	if p.isReadyWithin(next, 50*time.Millisecond) {
-		t.Error("drained by a call to the old process, and clients are taken")
+		t.Error("the new process accepts clients although they are drained through the old process")
 	}
 	mustPost(next, "/active")
 	p.requireReady(next)
@@ -409,7 +410,7 @@
 	p.exits.Wait()
 }
 
-// TestSuccessorsThatDisconnect: whoever says hello and leaves at once, or says nothing more, takes nothing along.
+// TestSuccessorsThatDisconnect checks that the courier continues to serve after successors that send a hello and disconnect at once.
 func TestSuccessorsThatDisconnect(t *testing.T) {
 	world := newUpgradeWorld(t)
 	p := newSupervisor(t, world)
@@ -419,13 +420,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// As many as there are to be, however long this machine takes to own the folder anew in between: with 12 tries 20 ms apart, a busy one
-	// left room for one or two.
+	// Counts successful connections instead of attempts, because the courier takes the state directory again after each of them: with 12 attempts
+	// 20 ms apart, only one or two connected on a busy machine.
 	disconnected := 0
 	for deadline := time.Now().Add(20 * time.Second); disconnected < 12 && time.Now().Before(deadline); {
 		conn, err := net.Dial("unix", filepath.Join(p.dir, "state", "upgrade.sock"))
 		if err != nil {
-			time.Sleep(20 * time.Millisecond) // the folder is being owned anew
+			time.Sleep(20 * time.Millisecond) // the courier is taking the state directory again
 			continue
 		}
 		conn.Write(append(hello, '\n'))
@@ -434,14 +435,14 @@
 		p.requireReady(current)
 	}
 	if disconnected < 12 {
-		t.Errorf("only %d successors", disconnected)
+		t.Errorf("only %d successors connected, want 12", disconnected)
 	}
 	p.terminate(current)
 	p.exits.Wait()
 }
 
-// TestInvalidSocketFD: a descriptor that is no listening socket is a fault that names its key. Failure: it was found only after the process
-// that served had handed all over.
+// TestInvalidSocketFD checks that a descriptor that is not a listening socket is reported with its key, before the handoff. Incident: it was
+// detected only after the predecessor had handed over.
 func TestInvalidSocketFD(t *testing.T) {
 	world := newUpgradeWorld(t)
 	c := newSupervisor(t, world)
@@ -456,12 +457,12 @@
 		}
 	}
 	if strings.Contains(c.logText(), "handed over to the successor") {
-		t.Error("the courier handed all over to a process that cannot listen")
+		t.Error("the courier handed over to a process that cannot listen")
 	}
 }
 
-// TestNoBusyLoopAfterHandoff: after a handoff, neither the predecessor, which nobody has told to end yet, nor its successor takes much
-// processor time. Failure: the predecessor kept a timer that it does not serve any more, and its loop went round without a pause.
+// TestNoBusyLoopAfterHandoff checks that after a handoff neither the successor nor the predecessor, which has not got SIGTERM yet, uses much CPU
+// time. Incident: the predecessor kept an expired timer that it no longer handled, and its event loop spun.
 func TestNoBusyLoopAfterHandoff(t *testing.T) {
 	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 429, WaitMs: 1900} })
 	if err != nil {
@@ -471,7 +472,7 @@
 	p := newSupervisor(t, world)
 	first := p.startProcess(p.binary)
 	p.requireReady(first)
-	for n := range 12 { // they wait, and the dispatcher has a timer for them
+	for n := range 12 { // messages that wait for Retry-After, so that the dispatcher has a timer
 		if got := p.send(enqueue(fmt.Sprintf("waits-%d", n), "update", 30000)); got[0] != "+OK" {
 			t.Fatal(got)
 		}
@@ -488,7 +489,7 @@
 	time.Sleep(2 * time.Second)
 	for name, pid := range processes {
 		if took := processorTime(t, pid) - before[name]; took > 400*time.Millisecond {
-			t.Errorf("%s: %v of processor time in 2 s of rest: a loop spins", name, took)
+			t.Errorf("%s: %v of CPU time in 2 idle seconds: a loop spins", name, took)
 		}
 	}
 	p.terminate(first)
@@ -496,7 +497,7 @@
 	p.exits.Wait()
 }
 
-// processorTime returns what a process has used.
+// processorTime returns the CPU time that a process has used.
 func processorTime(t *testing.T, pid int) time.Duration {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
@@ -505,7 +506,7 @@
 	}
 	fields := strings.Fields(string(text)[strings.LastIndex(string(text), ")")+2:])
 	total := 0
-	for _, field := range fields[11:13] { // of the user and of the system, in hundredths of a second
+	for _, field := range fields[11:13] { // utime and stime, in ticks of 10 ms
 		n, err := strconv.Atoi(field)
 		if err != nil {
 			t.Fatal(err)
--- a/cmd/pineport/watch_test.go
+++ b/cmd/pineport/watch_test.go
@@ -12,9 +12,9 @@
 	"pineport/testbed/scripted"
 )
 
-// TestShadowConfiguration: beside a courier that serves as before, settings to come are decided by; where they would have held
-// back, as one slot is too few, it is counted and nothing else happens. The same settings differ nowhere. A faulty file
-// is notified before anything listens.
+// TestShadowConfiguration runs couriers with a shadow configuration. If the shadow configuration has a single slot, calls that it would have delayed
+// are counted, and messages are delivered as usual. With identical settings no difference is counted. A shadow file with an error is reported
+// before the courier listens.
 func TestShadowConfiguration(t *testing.T) {
 	world, err := scripted.Open(1, func(string) scripted.Fate {
 		return scripted.Fate{Status: 200, After: 150 * time.Millisecond}
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	defer world.Close()
-	for _, slots := range []float64{0, 1} { // 0: as they are
+	for _, slots := range []float64{0, 1} { // slots of the shadow configuration; 0: unchanged
 		c := newCourier(t, world)
 		file, shadowFile := filepath.Join(c.dir, "config.json"), filepath.Join(c.dir, "to-come.json")
 		write := func(path string, change func(top map[string]any)) {
@@ -54,7 +54,7 @@
 		out, err := runCommand("run", "--config", file, "--state", filepath.Join(c.dir, "state"))
 		if output := fmt.Sprint(out, err); err == nil || !strings.Contains(output, "watch.file") ||
 			!strings.Contains(output, "settings.family-info.slots") {
-			t.Errorf("a faulty file to watch: %s", output)
+			t.Errorf("invalid shadow configuration: got %s, want an error that names watch.file and the key", output)
 		}
 		writeShadow(slots)
 		c.start()
@@ -73,7 +73,7 @@
 		line := output[strings.LastIndex(output, "shadow configuration compared"):]
 		differs := !strings.Contains(line, " later=0 ")
 		if differs != (slots == 1) {
-			t.Errorf("with %v slots to come: %s", slots, line)
+			t.Errorf("with %v slots in the shadow configuration: %s", slots, line)
 		}
 	}
 }
