--- a/cmd/pineport/clock_test.go
+++ b/cmd/pineport/clock_test.go
@@ -41,9 +41,9 @@
 	os.Exit(0)
 }
 
-// TestWallClockStepsBetweenProcesses steps the wall clock forward or back between a process that is killed or hands over and the next one.
-// Accepted messages must still be delivered, messages that cannot be delivered must end at their deadline by the real time, and a Retry-After
-// must hold for as long as it was given, not longer.
+// TestWallClockStepsBetweenProcesses ends a process by a kill or a handoff and steps the wall clock forward or back before the next process starts.
+// Accepted messages must still be delivered, messages that cannot be delivered must end at their deadline regardless of the step, and a
+// Retry-After must hold for as long as it was given, not longer.
 //
 // Incident: times in the state directory were Unix times, and each process used its wall clock. After a step of an hour forward all messages
 // ended without a call; after a step of an hour back they were kept for an hour longer.
@@ -52,7 +52,7 @@
 	for _, step := range []string{"2s", "90s", "1h", "-2s", "-90s", "-1h"} {
 		for _, withHandoff := range []bool{false, true} {
 			cases.Go(func() {
-				t.Run(fmt.Sprintf("%s, hands over %v", step, withHandoff), func(t *testing.T) { runWallStep(t, step, withHandoff) })
+				t.Run(fmt.Sprintf("%s, handoff: %v", step, withHandoff), func(t *testing.T) { runWallStep(t, step, withHandoff) })
 			})
 		}
 	}
@@ -78,7 +78,7 @@
 	began := time.Now()
 	for _, class := range []string{"update", "order"} {
 		for n := range 3 {
-			replies := c.send(enqueue(fmt.Sprintf("keep-%s-%d", class, n), class, 8000), enqueue(fmt.Sprintf("short-%s-%d", class, n), class, shortMs))
+			replies := c.send(encodeEnqueue(fmt.Sprintf("keep-%s-%d", class, n), class, 8000), encodeEnqueue(fmt.Sprintf("short-%s-%d", class, n), class, shortMs))
 			if replies[0] != "+OK" || replies[1] != "+OK" {
 				t.Fatalf("replies %q", replies)
 			}
@@ -112,6 +112,7 @@
 }
 
 // TestOnlyClockPackageReadsClocks checks that no package of the courier except clock reads a system clock, directly or through package time.
+// Timers are allowed.
 func TestOnlyClockPackageReadsClocks(t *testing.T) {
 	packages := []string{"admin", "atomicfile", "cmd/pineport", "config", "dispatch", "handoff", "logging", "maintenance", "membership", "protocol", "quota", "server",
 		"snapshot", "spool", "transport"}
--- a/cmd/pineport/config.go
+++ b/cmd/pineport/config.go
@@ -170,13 +170,13 @@
 				}
 				hint := "pineport config page lists all keys"
 				if nearest := config.Nearest(args[0], known); nearest != "" {
-					hint = nearest + "?"
+					hint = nearest + "?" // completes the error to: "no key has the name ...; NEAREST?"
 				}
 				return fmt.Errorf("no key has the name %q; %s", args[0], hint)
 			}
 			out := cmd.OutOrStdout()
 			if key.Ignored {
-				fmt.Fprintf(out, "%s: used by the platform; pineport does not read it\n", key.Path)
+				fmt.Fprintf(out, "%s: used by the platform; couriers do not read it\n", key.Path)
 				return nil
 			}
 			fmt.Fprintf(out, "%s: %s\n  expected: %s\n", key.Path, key.Doc, key.Expects())
--- a/cmd/pineport/crowd_test.go
+++ b/cmd/pineport/crowd_test.go
@@ -19,7 +19,7 @@
 )
 
 // descriptors returns the number of open file descriptors of the courier's process.
-func (c *courier) descriptors() int {
+func (c *testCourier) descriptors() int {
 	c.t.Helper()
 	all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", c.cmd.Process.Pid))
 	if err != nil {
@@ -36,22 +36,22 @@
 }
 
 func startIdleClients(address string, clients int) *idleClients {
-	w := &idleClients{stopping: make(chan struct{})}
+	c := &idleClients{stopping: make(chan struct{})}
 	for i := range clients {
-		w.done.Add(1)
+		c.done.Add(1)
 		go func() {
-			defer w.done.Done()
-			for !w.isStopped() {
-				w.connectOnce(address, i%2 == 0)
+			defer c.done.Done()
+			for !c.isStopped() {
+				c.connectOnce(address, i%2 == 0)
 			}
 		}()
 	}
-	return w
+	return c
 }
 
-func (w *idleClients) isStopped() bool {
+func (c *idleClients) isStopped() bool {
 	select {
-	case <-w.stopping:
+	case <-c.stopping:
 		return true
 	default:
 		return false
@@ -59,19 +59,19 @@
 }
 
 // connectOnce opens one connection and keeps it until the courier closes it or the clients are stopped.
-func (w *idleClients) connectOnce(address string, halfACommand bool) {
+func (c *idleClients) connectOnce(address string, sendTruncated bool) {
 	conn, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		time.Sleep(10 * time.Millisecond)
 		return
 	}
 	defer conn.Close()
-	w.connected.Add(1)
-	defer w.connected.Add(-1)
-	if halfACommand {
+	c.connected.Add(1)
+	defer c.connected.Add(-1)
+	if sendTruncated {
 		fmt.Fprint(conn, "*5\r\n$7\r\nENQ")
 	}
-	for !w.isStopped() {
+	for !c.isStopped() {
 		conn.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 		_, err := conn.Read(make([]byte, 64))
 		var netErr net.Error
@@ -84,13 +84,13 @@
 	}
 }
 
-func (w *idleClients) stop() {
-	close(w.stopping)
-	w.done.Wait()
+func (c *idleClients) stop() {
+	close(c.stopping)
+	c.done.Wait()
 }
 
-// TestDiscoveryIsPolledDespiteIdleClients has idle clients take all descriptors that they can get while discovery is down. Once discovery is
-// available again, the courier must poll it in time although the clients are still connected.
+// TestDiscoveryIsPolledDespiteIdleClients has idle clients occupy as many of the courier's descriptors as they can while discovery is down.
+// Once discovery is available again, the courier must poll it in time although the clients are still connected.
 func TestDiscoveryIsPolledDespiteIdleClients(t *testing.T) {
 	const (
 		sockets      = 128
@@ -154,7 +154,7 @@
 	}
 	stopIdle()
 	waitFor(t, "a message to the listed destination to be accepted", 5*time.Second, func() bool {
-		got := c.send(strings.Replace(enqueue("next", "update", 8000), "dest=1", "dest=2", 1))
+		got := c.send(strings.Replace(encodeEnqueue("next", "update", 8000), "dest=1", "dest=2", 1))
 		return got[0] == "+OK"
 	})
 	waitFor(t, "next", 5*time.Second, func() bool { _, done, _ := world.Seen("next"); return done == 1 })
--- a/cmd/pineport/docs_test.go
+++ b/cmd/pineport/docs_test.go
@@ -26,7 +26,7 @@
 func logMessages(t *testing.T) map[string]bool {
 	t.Helper()
 	logCall := regexp.MustCompile(`\.(?:Debug|Info|Warn|Error)\("([^"]+)"`)
-	dropped := regexp.MustCompile(`NewRecord\([^"]*"([^"]+)"`)
+	recordCall := regexp.MustCompile(`NewRecord\([^"]*"([^"]+)"`)
 	messages := map[string]bool{}
 	err := filepath.WalkDir(repositoryRoot, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
@@ -39,7 +39,7 @@
 			return nil
 		}
 		text, err := os.ReadFile(path)
-		for _, pattern := range []*regexp.Regexp{logCall, dropped} {
+		for _, pattern := range []*regexp.Regexp{logCall, recordCall} {
 			for _, found := range pattern.FindAllStringSubmatch(string(text), -1) {
 				messages[found[1]] = true
 			}
@@ -78,7 +78,7 @@
 			t.Errorf("logs.md: no log line %q", quote)
 		}
 	}
-	// These quotes in the symptoms column are no log messages but outcomes, replies, metrics and parts of log lines.
+	// These quotes in the symptoms column are not messages of log lines: outcomes, replies, metrics, and attributes or error texts in log lines.
 	otherQuotes := map[string]bool{"unreachable": true, "timed_out": true, "-BUSY": true, "targets_disabled": true, "truncated=true": true,
 		"torn or damaged": true, "unknown version": true}
 	quotes := column(readPage(t, "oncall.md"), 2)
@@ -92,7 +92,8 @@
 	}
 }
 
-// declarations returns the names of functions, methods, types, fields and constants in the courier's source.
+// declarations returns the names of functions, methods, types, fields and constants in the courier's source. The pattern also matches words
+// that begin a line indented by one tab.
 func declarations(t *testing.T) map[string]bool {
 	t.Helper()
 	declared := regexp.MustCompile(`(?m)^(?:func (?:\([^)]*\) )?|type |\t)([A-Za-z]\w*)`)
@@ -124,7 +125,7 @@
 	page := readPage(t, "ARCHITECTURE.md")
 	names := declarations(t)
 	quoted := regexp.MustCompile("`([^`\n]+)`")
-	// Files of the state directory, a configuration key, and commands.
+	// Quotes that are neither paths nor identifiers: files of the state directory, configuration keys, and commands.
 	otherQuotes := map[string]bool{"learned.lore": true, "peers.start": true, "maintenance.out": true, "owner.lock": true, "known": true, "policy": true,
 		"pineport config page": true, "state": true, "members": true}
 	paths, identifiers := 0, 0
--- a/cmd/pineport/drain_test.go
+++ b/cmd/pineport/drain_test.go
@@ -15,25 +15,25 @@
 	"pineport/testbed/scripted"
 )
 
-// Incident: the courier sent requests to a draining endpoint for up to 1.1 s after the limit of changeDeadline, 6 s after discovery
-// had the drain, and so beyond drainGrace.
+// Incident: the courier sent requests to a draining endpoint for up to 1.1 s after changeDeadline, which is 6 s after discovery knew of
+// the drain. This exceeded drainGrace.
 //
-// Sequence: a watch of the endpoint list became silent just before the drain. The courier gave it up after 5.5 s and polled again at
+// Sequence: a watch of the endpoint list became silent just before the drain. After 5.5 s the courier closed the watch and polled again at
 // once; that poll failed with status 503, and the next one followed 2.8 s later.
 //
 // Cause: the time of the next poll depended on the last poll alone. A failed poll started a backoff of 1 to 4 s, regardless of how much of
-// the 6 s earlier polls had used. A related fault was found in the investigation: the courier adopted the version of an answer that was
-// partly unusable, so that it never requested a drain in the unusable part again.
+// the 6 s earlier polls had used. A related bug was found in the investigation: the courier adopted the version of an answer that was
+// partly unusable, so that it never fetched the unusable entries again, even if one of them was a drain.
 //
-// Evidence: the log of the courier; and before the fix, 22 of the 29 cases below, those with a second fault after the silent watch or with an
-// unusable entry, had calls to the draining endpoint beyond the grace. With the fix none has.
+// Evidence: the log of the courier; and before the fix, 22 of the then 29 cases below, those with a second fault after the silent watch or
+// with an unusable entry, had calls to the draining endpoint later than drainGrace allows. After the fix no case had.
 
 const (
 	// changeDeadline is the time within which a courier must apply a change, once discovery has it and is reachable.
 	changeDeadline = 6 * time.Second
 	// drainGrace is how long after changeDeadline new requests may still go to a draining endpoint. It is the shortest grace in use.
 	drainGrace = 500 * time.Millisecond
-	// callDuration is the time an endpoint takes for a call. It is long enough that several messages are in flight and both endpoints are used.
+	// callDuration is the time an endpoint takes for a call. With a message every 10 ms, several are in flight and both endpoints are used.
 	callDuration = 60 * time.Millisecond
 )
 
@@ -78,16 +78,16 @@
 	"no name":                              {replaceInAnswer(`"host":"s-0"`, `"hast":"s-0"`)},
 	"name is a number":                     {replaceInAnswer(`"s-0"`, `5`)},
 	"name with a bad byte":                 {replaceInAnswer(`"s-0"`, "\"s-\x010\"")},
-	"name of nobody":                       {replaceInAnswer(`"s-0"`, `"s-8"`)},
+	"unknown name":                         {replaceInAnswer(`"s-0"`, `"s-8"`)},
 	"no address":                           {replaceInAnswer(`"dial"`, `"dia1"`)},
 	"bad address":                          {replaceInAnswer(`127.0.0.1:`, `127.0.0.1;`)},
 	"no destination":                       {replaceInAnswer(`"block"`, `"blocc"`)},
 	"unknown zone":                         {replaceInAnswer(`"site":"a"`, `"site":"q"`)},
-	"unknown type":                         {replaceInAnswer(`"class":"plain"`, `"class":"plaim"`)},
-	"entry is no object":                   {replaceInAnswer(`[{`, `[5,{`), replaceInAnswer(`"host":"s-0"`, `"host":[]`)},
+	"unknown endpoint type":                {replaceInAnswer(`"class":"plain"`, `"class":"plaim"`)},
+	"entry is a number, name is a list":    {replaceInAnswer(`[{`, `[5,{`), replaceInAnswer(`"host":"s-0"`, `"host":[]`)},
 	"list under another key":               {replaceInAnswer(`"hosts"`, `"hostt"`)},
 	"not JSON":                             {replaceInAnswer("{", "[")},
-	"not JSON at its end":                  {replaceInAnswer("]", "}")},
+	"wrong closing bracket":                {replaceInAnswer("]", "}")},
 	"unknown health twice, then no answer": {replaceInAnswer(`"terminating"`, `"terminatinh"`), replaceInAnswer(`"terminating"`, `"x"`), {Fault: faultproxy.Reset}},
 }
 
@@ -131,7 +131,7 @@
 	limit := drained.Add(changeDeadline + drainGrace)
 	time.Sleep(time.Until(limit))
 	before := world.Calls(0)
-	time.Sleep(2500 * time.Millisecond)
+	time.Sleep(2500 * time.Millisecond) // longer than the 1.1 s of the incident
 	client.stop()
 	if late := world.Calls(0) - before; late > 0 {
 		t.Errorf("%d calls to the draining endpoint later than %v after its drain; polls: %s", late, changeDeadline+drainGrace, formatPolls(proxy, drained))
@@ -157,7 +157,7 @@
 	done     sync.WaitGroup
 }
 
-func (c *courier) submitSteadily(interval time.Duration) *submitter {
+func (c *testCourier) submitSteadily(interval time.Duration) *submitter {
 	s := &submitter{stopping: make(chan struct{})}
 	s.done.Go(func() {
 		ticker := time.NewTicker(interval)
@@ -178,7 +178,7 @@
 				conn, replies = dialed, bufio.NewReader(dialed)
 			}
 			conn.SetDeadline(time.Now().Add(time.Second))
-			io.WriteString(conn, enqueue(fmt.Sprintf("steady-%d", n), "update", 4000))
+			io.WriteString(conn, encodeEnqueue(fmt.Sprintf("steady-%d", n), "update", 4000))
 			if _, err := replies.ReadString('\n'); err != nil {
 				conn.Close()
 				conn = nil
--- a/cmd/pineport/final_answer_test.go
+++ b/cmd/pineport/final_answer_test.go
@@ -44,10 +44,10 @@
 	return l.Addr().String()
 }
 
-// flood sends commands and reads no replies until it is stopped, on one connection after another, at most 100,000 commands per second.
+// flood sends commands until it is stopped, at most 100,000 per second, and never reads replies. It reconnects when a write fails.
 func flood(address string, stopped *atomic.Bool) {
 	const pause = 10 * time.Millisecond
-	text := strings.Repeat(command("PING"), 1000)
+	text := strings.Repeat(encodeCommand("PING"), 1000)
 	for !stopped.Load() {
 		conn, err := net.Dial("tcp", address)
 		if err != nil {
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestFinalAnswerUnderAllFaults combines hostile clients, malformed answers, hanging endpoints and unusable answers of discovery. Each request
+// TestFinalOutcomeUnderCombinedFaults combines hostile clients, malformed answers, hanging endpoints and unusable answers of discovery. Each request
 // of a normal client must get a reply, and each accepted message must end in time, once: delivered or with one notice.
-func TestFinalAnswerUnderAllFaults(t *testing.T) {
+func TestFinalOutcomeUnderCombinedFaults(t *testing.T) {
 	const (
 		clients   = 4
 		perClient = 25
@@ -78,12 +78,12 @@
 	}
 	defer world.Close()
 	release := make(chan struct{})
-	var halfAnswered sync.Map
+	var statusLineSent sync.Map
 	defer close(release)
 	world.Endpoints[1] = rawEndpoint(t, func(net.Conn, string) { <-release })
 	world.Endpoints[2] = rawEndpoint(t, func(conn net.Conn, _ string) { io.WriteString(conn, "HTTP/1.1 2x0 \x00\r\nContent-Length: -7\r\n\r\n") })
 	world.Endpoints[3] = rawEndpoint(t, func(conn net.Conn, id string) { // an endless header; the status line counts as the delivery
-		halfAnswered.Store(id, true)
+		statusLineSent.Store(id, true)
 		for {
 			if _, err := io.WriteString(conn, "HTTP/1.1 200 OK\r\nX: y\r\n"); err != nil {
 				return
@@ -91,7 +91,7 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 	})
-	world.Lists = func(int) string { return "{]" } // discovery's answers are unusable
+	world.Lists = func(int) string { return "{]" } // replaces the endpoint list in discovery's answers with unusable text
 	c := newCourier(t, world)
 	c.start()
 
@@ -117,7 +117,7 @@
 				kind := []string{"okay", "slow", "full", "fail", "brok"}[i%5]
 				class := []string{"update", "order"}[i/5%2]
 				id := fmt.Sprintf("%s-%s-%d-%d", kind, class, client, i)
-				replies[client][id] = c.send(enqueue(id, class, int(lifetime/time.Millisecond)))[0]
+				replies[client][id] = c.send(encodeEnqueue(id, class, int(lifetime/time.Millisecond)))[0]
 				time.Sleep(20 * time.Millisecond)
 			}
 		})
@@ -130,7 +130,7 @@
 	for _, all := range replies {
 		for id, reply := range all {
 			_, done, notices := world.Seen(id)
-			if _, ok := halfAnswered.Load(id); ok {
+			if _, ok := statusLineSent.Load(id); ok {
 				done++
 			}
 			switch {
@@ -150,7 +150,7 @@
 		}
 	}
 	t.Logf("of %d requests: %d delivered, %d with a notice, %d rejected at once", clients*perClient, delivered, notified, rejected)
-	if delivered < clients*perClient/4 {
+	if delivered < clients*perClient/4 { // one of the four endpoints works
 		t.Errorf("only %d of %d messages delivered, want at least a quarter", delivered, clients*perClient)
 	}
 	stopped.Store(true)
--- a/cmd/pineport/fleet.go
+++ b/cmd/pineport/fleet.go
@@ -16,20 +16,20 @@
 	"pineport/server"
 )
 
-// joinTimeout bounds how long a successor retries to listen on the membership address, which its predecessor gives up during the handoff.
+// joinTimeout bounds how long a successor retries to listen on the membership address, on which its predecessor stops listening in the handoff.
 const joinTimeout = 2 * time.Second
 
-// maxExchangeInterval bounds the interval of the quota exchange, however long the interval between health checks of members is: a quota lease
-// must last for at least eight ticks of the exchange.
+// maxExchangeInterval bounds the interval of the quota exchange, even if the interval between health checks of members is long. A quota lease
+// lasts for 4 s, which must be at least eight intervals.
 const maxExchangeInterval = 500 * time.Millisecond
 
 // startMembership makes this process a member of its fleet if the configuration enables that, and returns a function that ends the membership.
-// It runs in the background: messages do not wait for it, and an error is logged and affects nothing else.
+// The process joins in the background: messages do not wait for that, and an error is logged and affects nothing else.
 func (p *process) startMembership(ctx context.Context, srv *server.Server, inherited *handoff.State) (end func()) {
 	dep, log := p.dep, p.log.With(logging.Component, "peers")
 	if !dep.Peers.Enabled() {
 		if dep.Peers.Listen != "" {
-			log.Warn("membership is off: not allowed by the settings", "key", "settings.ceilings.peers")
+			log.Warn("membership is off: settings.ceilings.peers is not true", "key", "settings.ceilings.peers")
 		}
 		return func() {}
 	}
@@ -54,7 +54,8 @@
 			p.adminServer.SetFleet(fleetView{m, quotas})
 		}
 		joined <- m
-		<-ctx.Done() // on SIGTERM, so that members learn of the shutdown as early as clients, or after the event loop has ended
+		// ctx is done on SIGTERM, so that members learn of the shutdown as early as clients, or when serve returns.
+		<-ctx.Done()
 		if quotas != nil {
 			quotas.Close()
 		}
@@ -88,12 +89,12 @@
 	if inherited != nil && inherited.Membership != nil { // continue as the same member
 		o.Incarnation, o.Join = inherited.Membership.Incarnation, append(inherited.Membership.Members, o.Join...)
 	} else {
-		var fault error
-		if o.Incarnation, fault, err = incarnation.Next(dep.StateDir, dep.Name); fault != nil {
-			log.Warn("last incarnation unknown", "file", incarnation.Name, "error", fault)
+		var readErr error
+		if o.Incarnation, readErr, err = incarnation.Next(dep.StateDir, dep.Name); readErr != nil {
+			log.Warn("last incarnation cannot be read; incarnations start again at 1", "file", incarnation.Name, "error", readErr)
 		}
 		if err != nil {
-			return nil, nil, err // an incarnation that is not stored might be used twice
+			return nil, nil, err // no membership: an incarnation that is not stored might be used again
 		}
 	}
 	var quotaExchange atomic.Pointer[exchange.Exchange]
@@ -119,7 +120,8 @@
 }
 
 // openExchange starts the exchange of quota shares with other couriers. Its interval is half the interval between health checks of
-// members, and at most maxExchangeInterval.
+// members, and at most maxExchangeInterval. sequence is the first sequence number: the time in milliseconds, so that it is higher than
+// those of a predecessor with the same incarnation.
 func openExchange(self *gossip.Member, srv *server.Server, o gossip.Options, sequence uint64) *exchange.Exchange {
 	fleetMembers := func() (couriers int, alive []string) {
 		snapshot := self.Snapshot()
--- a/cmd/pineport/folder_test.go
+++ b/cmd/pineport/folder_test.go
@@ -18,8 +18,9 @@
 // stateDirCalls lists the system calls with which a courier changes its state directory.
 var stateDirCalls = []string{"write", "ftruncate", "fsync", "openat", "rename", "renameat", "renameat2", "unlinkat"}
 
-// changesStateDir reports whether a system call changes the state directory, as opposed to a socket, a pipe or the log.
-func (c *courier) changesStateDir(call *syscallfault.Call) bool {
+// changesStateDir reports whether a system call changes the state directory, as opposed to a socket, a pipe or the log. The path is not
+// checked for calls that create, rename or remove files, because the courier makes them only in its state directory.
+func (c *testCourier) changesStateDir(call *syscallfault.Call) bool {
 	switch call.Name {
 	case "write", "ftruncate", "fsync":
 		return strings.HasPrefix(call.Target(), c.dir+"/state/")
@@ -30,15 +31,15 @@
 }
 
 // TestStateDirFaults makes every write, sync, truncation and rename in the state directory fail for 3 s, or makes writes short. While calls
-// fail, the courier must reject new messages; accepted messages that may be repeated continue. Every accepted message must end once. After
-// the fault the courier must work as before, also if it is killed and restarted.
+// fail, the courier must reject new messages, and sends accepted messages only if they may be repeated. Every accepted message must end
+// once. After the fault the courier must work as before, also if it is killed and restarted. Short writes need not cause rejections.
 func TestStateDirFaults(t *testing.T) {
 	faults := map[string]syscallfault.Effect{"ENOSPC": {Errno: syscall.ENOSPC}, "EIO": {Errno: syscall.EIO}, "EDQUOT": {Errno: syscall.EDQUOT}, "short": {Limit: 3}}
 	var cases sync.WaitGroup
 	for name, effect := range faults {
 		for _, killed := range []bool{false, true} {
 			cases.Go(func() {
-				t.Run(fmt.Sprintf("%s, killed after %v", name, killed), func(t *testing.T) { runStateDirFault(t, effect, killed) })
+				t.Run(fmt.Sprintf("%s, killed afterwards: %v", name, killed), func(t *testing.T) { runStateDirFault(t, effect, killed) })
 			})
 		}
 	}
@@ -75,7 +76,7 @@
 	faultEnd.Store(time.Now().Add(faultDuration).UnixNano())
 	submit(&during, 10, faultDuration)
 	time.Sleep(300 * time.Millisecond)
-	if struck := child.Struck(); len(struck) == 0 {
+	if injected := child.Struck(); len(injected) == 0 {
 		t.Error("no system call failed")
 	}
 	finished := append(before.delivered(world), during.delivered(world)...)
@@ -112,8 +113,8 @@
 	}
 }
 
-// TestKillDuringWrite repeatedly kills the process after a random number of bytes of a write to its state directory. Every restart must succeed
-// and every accepted message must end; at-most-once messages may be sent only once.
+// TestKillDuringWrite repeatedly kills the process in a random write to its state directory, after a random number of bytes. Every restart must
+// succeed and every accepted message must end; at-most-once messages may be sent only once.
 func TestKillDuringWrite(t *testing.T) {
 	const rounds = 12
 	world, err := scripted.Open(2, func(string) scripted.Fate { return scripted.Fate{Status: 200, After: 30 * time.Millisecond} })
@@ -125,10 +126,10 @@
 	rng := rand.New(rand.NewSource(1))
 	var requests requestResults
 	for round := range rounds {
-		at, limit := int64(20+rng.Intn(200)), 1+rng.Intn(150)
+		killAtWrite, limit := int64(20+rng.Intn(200)), 1+rng.Intn(150)
 		var writes atomic.Int64
 		child := c.startTraced([]string{"write"}, func(call *syscallfault.Call) syscallfault.Effect {
-			if !c.changesStateDir(call) || writes.Add(1) != at {
+			if !c.changesStateDir(call) || writes.Add(1) != killAtWrite {
 				return syscallfault.Effect{}
 			}
 			return syscallfault.Effect{Limit: limit, Kill: true}
@@ -174,7 +175,7 @@
 			if len(child.Struck()) == 0 {
 				t.Error("no system call failed")
 			}
-			if got := c.send(enqueue("one", "order", 4000)); got[0] != "+OK" {
+			if got := c.send(encodeEnqueue("one", "order", 4000)); got[0] != "+OK" {
 				t.Fatal(got)
 			}
 			waitFor(t, "the delivery", 3*time.Second, func() bool { _, done, _ := world.Seen("one"); return done == 1 })
--- a/cmd/pineport/golden_test.go
+++ b/cmd/pineport/golden_test.go
@@ -30,7 +30,8 @@
 	}
 }
 
-// TestCommandOutputMatchesGolden compares the output of commands for scripts with golden files. The input is data stored by an earlier version.
+// TestCommandOutputMatchesGolden compares the output of commands for scripts with golden files. The spool and the snapshot are data that an
+// earlier version stored.
 func TestCommandOutputMatchesGolden(t *testing.T) {
 	golden.Tagged(t, membersReport{})
 	golden.Tagged(t, exchange.Status{})
--- a/cmd/pineport/learned_test.go
+++ b/cmd/pineport/learned_test.go
@@ -14,7 +14,8 @@
 )
 
 // TestLearnedStateAfterRestart kills a courier during an outage of a destination. After the restart the courier must still know of the outage
-// and send only trials. After a graceful shutdown the snapshot must contain the outage. A malformed snapshot must not prevent the start.
+// and send only trials: 3 calls at most, where the first round needs 6 or more to detect it. After a
+// graceful shutdown the snapshot must contain the outage. A malformed snapshot must not prevent the start.
 func TestLearnedStateAfterRestart(t *testing.T) {
 	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 0} })
 	if err != nil {
@@ -26,7 +27,7 @@
 	submit := func(round string) (calls int) {
 		var commands []string
 		for i := range 12 {
-			commands = append(commands, enqueue(fmt.Sprintf("%s-%d", round, i), "order", 2500))
+			commands = append(commands, encodeEnqueue(fmt.Sprintf("%s-%d", round, i), "order", 2500))
 		}
 		c.send(commands...)
 		for i := range 12 {
@@ -39,7 +40,7 @@
 	}
 	before := submit("first")
 	file := filepath.Join(c.dir, "state", snapshot.FileName)
-	waitFor(t, "the file", 5*time.Second, func() bool { _, err := os.Stat(file); return err == nil })
+	waitFor(t, "the snapshot file", 5*time.Second, func() bool { _, err := os.Stat(file); return err == nil })
 	time.Sleep(1200 * time.Millisecond) // longer than the interval between snapshots, so that the latest state is stored
 	c.cmd.Process.Signal(syscall.SIGKILL)
 	c.cmd.Wait()
--- a/cmd/pineport/main_test.go
+++ b/cmd/pineport/main_test.go
@@ -19,7 +19,7 @@
 )
 
 // courier runs the real binary as a child process. A scripted.World stands in for discovery, the platform and the endpoints.
-type courier struct {
+type testCourier struct {
 	t         *testing.T
 	binary    string
 	dir       string
@@ -56,10 +56,10 @@
 	os.Exit(code)
 }
 
-func newCourier(t *testing.T, world *scripted.World) *courier {
+func newCourier(t *testing.T, world *scripted.World) *testCourier {
 	t.Helper()
 	dir := t.TempDir()
-	c := &courier{t: t, dir: dir, binary: buildBinary()}
+	c := &testCourier{t: t, dir: dir, binary: buildBinary()}
 	log, err := os.Create(filepath.Join(dir, "log"))
 	if err != nil {
 		t.Fatal(err)
@@ -86,7 +86,7 @@
 }
 
 // start starts the process and returns once it answers PING.
-func (c *courier) start() {
+func (c *testCourier) start() {
 	c.t.Helper()
 	c.cmd = exec.Command(c.binary)
 	c.cmd.Env = append(os.Environ(), "RELAY_CONFIG="+filepath.Join(c.dir, "config.json"), "RELAY_STATE="+filepath.Join(c.dir, "state"),
@@ -108,7 +108,7 @@
 	c.t.Fatal("got no +PONG reply within 10 s")
 }
 
-func (c *courier) logText() string {
+func (c *testCourier) logText() string {
 	text, err := os.ReadFile(c.log.Name())
 	if err != nil {
 		c.t.Fatal(err)
@@ -116,7 +116,7 @@
 	return string(text)
 }
 
-func command(args ...string) string {
+func encodeCommand(args ...string) string {
 	s := fmt.Sprintf("*%d\r\n", len(args))
 	for _, a := range args {
 		s += fmt.Sprintf("$%d\r\n%s\r\n", len(a), a)
@@ -124,12 +124,12 @@
 	return s
 }
 
-func enqueue(id, class string, deadlineMs int) string {
-	return command("ENQUEUE", "0", id, fmt.Sprintf("c=%s,d=%d,dest=1", class, deadlineMs), "body of\r\n"+id)
+func encodeEnqueue(id, class string, deadlineMs int) string {
+	return encodeCommand("ENQUEUE", "0", id, fmt.Sprintf("c=%s,d=%d,dest=1", class, deadlineMs), "body of\r\n"+id)
 }
 
 // send sends all commands at once on a new connection and returns one reply line for each.
-func (c *courier) send(commands ...string) []string {
+func (c *testCourier) send(commands ...string) []string {
 	c.t.Helper()
 	conn, err := net.Dial("tcp", c.listen)
 	if err != nil {
@@ -150,7 +150,7 @@
 }
 
 // sendRaw sends text on a new connection and returns what it receives until the courier closes the connection.
-func (c *courier) sendRaw(text string) string {
+func (c *testCourier) sendRaw(text string) string {
 	c.t.Helper()
 	conn, err := net.Dial("tcp", c.listen)
 	if err != nil {
@@ -172,7 +172,7 @@
 func responsesByPrefix() func(id string) scripted.Fate {
 	var mu sync.Mutex
 	calls := map[string]int{}
-	return func(id string) scripted.Fate {
+	return func(id string) scripted.Fate { // status 0 closes the connection without an answer
 		mu.Lock()
 		defer mu.Unlock()
 		calls[id]++
@@ -223,7 +223,7 @@
 				for _, class := range []string{"update", "order"} {
 					id := fmt.Sprintf("%s-%s-%s-%d", kind, class, round, i)
 					ids = append(ids, id)
-					commands = append(commands, enqueue(id, class, 20000))
+					commands = append(commands, encodeEnqueue(id, class, 20000))
 				}
 			}
 		}
@@ -274,7 +274,7 @@
 			t.Errorf("%s was not delivered: %v", id, notices)
 		}
 		if strings.HasPrefix(id, "fail-order") && (len(notices) != 1 || notices[0] != "undeliverable") {
-			t.Errorf("%s failed and may have been executed: got notices %v, want [undeliverable]", id, notices)
+			t.Errorf("%s: at-most-once message with a status 500, which may have been executed: got notices %v, want [undeliverable]", id, notices)
 		}
 	}
 }
@@ -289,32 +289,33 @@
 	defer world.Close()
 	c := newCourier(t, world)
 	c.start()
-	got := c.send(command("NONSENSE"), command("PING", "x"), command("ENQUEUE", "0"), enqueue("x", "nobody", 5), command("ENQUEUE", "0",
-		"x", "c=update,dest=1", ""), command("ENQUEUE", "0", "x", "c=update,d=1", ""), command("ping"), enqueue("y", "update", 8000))
+	got := c.send(encodeCommand("NONSENSE"), encodeCommand("PING", "x"), encodeCommand("ENQUEUE", "0"), encodeEnqueue("x", "nobody", 5), encodeCommand("ENQUEUE", "0",
+		"x", "c=update,dest=1", ""), encodeCommand("ENQUEUE", "0", "x", "c=update,d=1", ""), encodeCommand("ping"), encodeEnqueue("y", "update", 8000))
 	for i, want := range []string{"-ERR", "-ERR", "-ERR", "-ERR", "-ERR", "-ERR", "+PONG", "+OK"} {
 		if !strings.HasPrefix(got[i], want) {
 			t.Errorf("line %d: %q, want %s", i, got[i], want)
 		}
 	}
 	for _, input := range []string{"GET / HTTP/1.1\r\n\r\n", "*1\r\n$70000\r\n", "*1\r\n$-5\r\n", strings.Repeat("x", 100)} {
-		if got := c.sendRaw(command("PING") + input); !strings.HasPrefix(got, "+PONG\r\n-ERR ") {
+		if got := c.sendRaw(encodeCommand("PING") + input); !strings.HasPrefix(got, "+PONG\r\n-ERR ") {
 			t.Errorf("%q: %q", input, got)
 		}
 	}
-	if got := c.send(strings.Replace(enqueue("x", "update", 8000), "dest=1", "dest=9", 1), enqueue("y", "update", 8000)); got[0][:4] != "-ERR" ||
+	if got := c.send(strings.Replace(encodeEnqueue("x", "update", 8000), "dest=1", "dest=9", 1), encodeEnqueue("y", "update", 8000)); got[0][:4] != "-ERR" ||
 		got[1] != "+OK" {
-		t.Errorf("message for an unknown destination, and an ID that may be in the spool: got %v, want -ERR and +OK", got)
+		t.Errorf("message for an unknown destination, and a repeated ID: got %v, want -ERR and +OK", got)
 	}
 	if began, _, _ := world.Seen("x"); began > 0 {
 		t.Error("a rejected message was sent")
 	}
-	// The second y is another message if the first has already been delivered, as happens on a loaded machine.
+	// The second submission of y is ignored as a duplicate, or is a new message if the first has already been delivered, as happens on a loaded
+	// machine.
 	waitFor(t, "y", 5*time.Second, func() bool { _, done, _ := world.Seen("y"); return done >= 1 })
 }
 
-// TestReload reloads the configuration with SIGHUP. A file with an error changes nothing, and the key is logged. A valid file with a new
-// discovery address moves the watch of the endpoint list and the notices, including unconfirmed ones, and keeps accepted messages. The
-// test reloads twice in a row while messages are submitted.
+// TestReload reloads the configuration with SIGHUP. A file with an error changes nothing, and the key is logged. After a reload with
+// a new discovery address, the courier watches the endpoint list there and sends notices there, including unconfirmed ones, and keeps its
+// accepted messages. The test reloads twice in a row while messages are submitted.
 func TestReload(t *testing.T) {
 	world, err := scripted.Open(1, func(id string) scripted.Fate {
 		switch id[:4] {
@@ -344,13 +345,13 @@
 	reload([]byte(`{"name":"n0"}`), "listen: ")
 	reload([]byte(strings.ReplaceAll(string(world.Configuration("n0", c.listen)), world.Discovery, "nowhere")), "discovery: ")
 	for round := range 2 {
-		world.MuteNotices(100) // the old address no longer confirms notices
+		world.MuteNotices(100) // the old address does not confirm the next 100 notices
 		var commands []string
 		for _, kind := range []string{"slow", "fail"} {
-			commands = append(commands, enqueue(fmt.Sprintf("%s-%d", kind, round), "order", 8000))
+			commands = append(commands, encodeEnqueue(fmt.Sprintf("%s-%d", kind, round), "order", 8000))
 		}
 		c.send(commands...)
-		time.Sleep(600 * time.Millisecond) // fail-N has failed, and its notice is unconfirmed
+		time.Sleep(600 * time.Millisecond) // by now fail-N, which takes 400 ms, has failed, and its notice is unconfirmed
 		closeOld, err := world.Move()
 		if err != nil {
 			t.Fatal(err)
@@ -369,8 +370,8 @@
 			_, done, _ := world.Seen(fmt.Sprintf("slow-%d", round))
 			return done == 1
 		})
-		id := fmt.Sprintf("next-%d", round) // to a destination that only the new address reports
-		c.send(strings.Replace(enqueue(id, "update", 8000), "dest=1", fmt.Sprint("dest=", 2+round), 1))
+		id := fmt.Sprintf("next-%d", round) // to a destination that only the endpoint list at the new address contains
+		c.send(strings.Replace(encodeEnqueue(id, "update", 8000), "dest=1", fmt.Sprint("dest=", 2+round), 1))
 		waitFor(t, id, 2*time.Second, func() bool { _, done, _ := world.Seen(id); return done == 1 })
 	}
 	for round := range 2 {
@@ -396,13 +397,13 @@
 	defer world.Close()
 	c := newCourier(t, world)
 	c.start()
-	truncated := enqueue("half", "update", 8000)
+	truncated := encodeEnqueue("half", "update", 8000)
 	inputs := []string{"", "*5\r\n$7\r\nENQ", truncated[:len(truncated)-3], strings.Repeat("y", 1<<20), "*1\r\n$60000000\r\n" + strings.Repeat("z", 60_000_000),
-		"*1\r\n$99999999999999999999\r\n", enqueue("none", "nobody", 8000) + "*\r\n", strings.Repeat(command("NONSENSE"), 500) + "\r\n"}
+		"*1\r\n$99999999999999999999\r\n", encodeEnqueue("none", "nobody", 8000) + "*\r\n", strings.Repeat(encodeCommand("NONSENSE"), 500) + "\r\n"}
 	var clients sync.WaitGroup
 	for i := range 300 {
 		text := inputs[i%len(inputs)]
-		if len(text) > 1e6 && i > 50 {
+		if len(text) > 1e6 && i > 50 { // send large inputs only a few times
 			text = ""
 		}
 		clients.Add(1)
@@ -417,7 +418,7 @@
 	}
 	for i := range 20 {
 		id := fmt.Sprintf("usual-%d", i)
-		if got := c.send(enqueue(id, "update", 8000)); got[0] != "+OK" {
+		if got := c.send(encodeEnqueue(id, "update", 8000)); got[0] != "+OK" {
 			t.Error(id, got)
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -434,8 +435,8 @@
 	}
 }
 
-// TestSuspendedProcess stops the process with SIGSTOP for longer than its call timeouts. The process must not take its own pause for missing
-// answers: when it resumes, the answers have arrived, so no message may be sent twice.
+// TestSuspendedProcess stops the process with SIGSTOP for longer than its call timeouts. The process must not count its own pause
+// as time without an answer: when it resumes, the answers have arrived, so no message may be sent twice.
 func TestSuspendedProcess(t *testing.T) {
 	world, err := scripted.Open(1, responsesByPrefix())
 	if err != nil {
@@ -447,21 +448,21 @@
 	isDelivered := func(id string) func() bool {
 		return func() bool { _, done, _ := world.Seen(id); return done > 0 }
 	}
-	for i := range 40 { // teaches the courier short answer times, so that its timeouts are little more than 2 s
+	for i := range 40 { // the courier learns short answer times, so that its timeouts are little more than 2 s
 		id := fmt.Sprintf("okay-%d", i)
-		c.send(enqueue(id, "update", 20000))
+		c.send(encodeEnqueue(id, "update", 20000))
 		waitFor(t, id, 5*time.Second, isDelivered(id))
 	}
 	var commands []string
 	for i := range 5 {
-		commands = append(commands, enqueue(fmt.Sprintf("slow-%d", i), "update", 20000))
+		commands = append(commands, encodeEnqueue(fmt.Sprintf("slow-%d", i), "update", 20000))
 	}
 	c.send(commands...)
 	time.Sleep(50 * time.Millisecond)
 	c.cmd.Process.Signal(syscall.SIGSTOP)
 	time.Sleep(3500 * time.Millisecond)
 	c.cmd.Process.Signal(syscall.SIGCONT)
-	if got := c.send(command("PING")); got[0] != "+PONG" {
+	if got := c.send(encodeCommand("PING")); got[0] != "+PONG" {
 		t.Errorf("PING after SIGCONT: got %v, want +PONG", got)
 	}
 	time.Sleep(time.Second)
@@ -472,7 +473,8 @@
 	}
 }
 
-// TestManyClients opens more connections than the courier allows, half of them with a truncated command. Another client must still be served.
+// TestManyClients opens 700 connections, more than the courier allows, half of them with a truncated command. Another client must still be
+// served, and the courier must hold 500 descriptors at most.
 func TestManyClients(t *testing.T) {
 	world, err := scripted.Open(1, responsesByPrefix())
 	if err != nil {
@@ -491,7 +493,7 @@
 			fmt.Fprint(conn, "*5\r\n$7\r\nENQ")
 		}
 	}
-	if got := c.send(enqueue("okay", "update", 20000)); got[0] != "+OK" {
+	if got := c.send(encodeEnqueue("okay", "update", 20000)); got[0] != "+OK" {
 		t.Error(got)
 	}
 	waitFor(t, "okay", 5*time.Second, func() bool { _, done, _ := world.Seen("okay"); return done == 1 })
@@ -504,8 +506,9 @@
 	}
 }
 
-// runAgain runs a second process with the given admin address beside the courier and returns its output once it has exited.
-func (c *courier) runAgain(ops string) (output string, err error) {
+// runSecondProcess runs another process beside the courier, with the given admin address and its own state directory. It returns the output
+// once the process has exited.
+func (c *testCourier) runSecondProcess(ops string) (output string, err error) {
 	cmd := exec.Command(c.binary)
 	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+filepath.Join(c.dir, "config.json"), "RELAY_STATE="+c.t.TempDir(), "RELAY_OPS="+ops)
 	out, err := cmd.CombinedOutput()
--- a/cmd/pineport/members.go
+++ b/cmd/pineport/members.go
@@ -21,7 +21,7 @@
 // responseTimeout bounds a request to the courier's admin server.
 const responseTimeout = 3 * time.Second
 
-// maxResponseSize bounds the response body that is read, in bytes; it has room for some thousand members.
+// maxResponseSize bounds the response body that is read, in bytes. Several thousand members fit into it.
 const maxResponseSize = 4 << 20
 
 // membersQuery queries a courier's admin server about its fleet.
@@ -100,13 +100,13 @@
 			return query.watch(cmd.Context(), cmd.OutOrStdout(), watchInterval)
 		}}
 	watch.Flags().DurationVar(&watchInterval, "every", time.Second, "interval between requests")
-	gone := &cobra.Command{Use: "gone NAME", Short: "Stop counting a failed member that will not come back", Args: cobra.ExactArgs(1),
-		Long: "Stop counting a failed member that will not come back. This affects only the courier that gets the request: run the command for each courier.",
+	removeMember := &cobra.Command{Use: "gone NAME", Short: "Do not count a failed member any more in the fleet size, because it will not come back", Args: cobra.ExactArgs(1),
+		Long: "Do not count a failed member any more in the fleet size, because it will not come back. This affects only the courier that gets the request: run the command for each courier.",
 		RunE: func(_ *cobra.Command, args []string) error {
 			_, err := query.request(http.MethodPost, "/peers/gone/"+url.PathEscape(args[0]))
 			return err
 		}}
-	for _, command := range []*cobra.Command{list, show, watch, gone} {
+	for _, command := range []*cobra.Command{list, show, watch, removeMember} {
 		query.flags.add(command)
 		command.Flags().StringVar(&query.admin, "ops", "", "the courier's admin address (empty: from its configuration)")
 		command.Flags().StringVar(&query.output, "output", "table", "table or json")
@@ -141,7 +141,7 @@
 	defer response.Body.Close()
 	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseSize))
 	if err == nil && response.StatusCode == http.StatusNotFound {
-		err = fmt.Errorf("the courier at %s is not a member of a fleet or does not share quotas", addr)
+		err = fmt.Errorf("the courier at %s answered with status 404: it is not a member of a fleet, or does not share quotas", addr)
 	} else if err == nil && response.StatusCode != http.StatusOK {
 		err = fmt.Errorf("the courier at %s answered with status %s", addr, response.Status)
 	}
--- a/cmd/pineport/members_test.go
+++ b/cmd/pineport/members_test.go
@@ -57,8 +57,8 @@
 	return udp, len(tasks)
 }
 
-// TestNoMembershipIfNotAllowed checks that a courier whose settings do not allow membership, as in the Dakar deployment, opens no socket for
-// it and sends nothing to members even if peers.listen is set, stores no incarnation and serves no membership data.
+// TestNoMembershipIfNotAllowed checks a courier whose settings do not allow membership, as in the deployment called Dakar. Even if peers.listen
+// is set, it must open no socket for membership, send nothing to members, store no incarnation and serve no membership data.
 func TestNoMembershipIfNotAllowed(t *testing.T) {
 	world := newUpgradeWorld(t)
 	peer, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -97,8 +97,8 @@
 	}
 }
 
-// TestUpgradeKeepsMember checks that another member sees a courier with the same incarnation across upgrades, never as failed, and that a
-// restart after a shutdown has the next incarnation.
+// TestUpgradeKeepsMember observes a courier from another member. Across upgrades the courier must keep its incarnation and never be reported
+// as failed. After a shutdown and a restart it must have the next incarnation.
 func TestUpgradeKeepsMember(t *testing.T) {
 	world := newUpgradeWorld(t)
 	p := newSupervisor(t, world)
@@ -131,7 +131,8 @@
 			s, _ := memberState()
 			return udp == 1 && s == "alive"
 		})
-		time.Sleep(time.Second) // ten intervals between health checks: longer than a suspicion lasts with two members
+		// Ten intervals between health checks: longer than a fleet of two suspects a silent member before it declares it failed.
+		time.Sleep(time.Second)
 		if s, number := memberState(); s != "alive" || number != first {
 			t.Errorf("after an upgrade the member is %s with incarnation %d, want alive with %d", s, number, first)
 		}
@@ -158,6 +159,6 @@
 	p.requireReady(last)
 	waitFor(t, "the next incarnation to be alive", 10*time.Second, func() bool { s, n := memberState(); return s == "alive" && n == first+1 })
 	if other.Snapshot().Revoked > 0 {
-		t.Errorf("a live member was reported as failed %d times", other.Snapshot().Revoked)
+		t.Errorf("%d reports that a member had failed were revoked, want 0", other.Snapshot().Revoked)
 	}
 }
--- a/cmd/pineport/ops_test.go
+++ b/cmd/pineport/ops_test.go
@@ -18,7 +18,7 @@
 )
 
 // startWithAdmin starts a courier with an admin address and returns once it serves.
-func startWithAdmin(t *testing.T, world *scripted.World) *courier {
+func startWithAdmin(t *testing.T, world *scripted.World) *testCourier {
 	t.Helper()
 	c := newCourier(t, world)
 	c.adminAddr = freePort(t)
@@ -37,7 +37,7 @@
 }
 
 // callAdmin sends a request to the courier's admin address and returns the status and body of the response; the status is 0 if there is none.
-func (c *courier) callAdmin(method, path string) (int, []byte) {
+func (c *testCourier) callAdmin(method, path string) (int, []byte) {
 	c.t.Helper()
 	return callAdminAt(c.t, c.adminAddr, method, path)
 }
@@ -58,23 +58,23 @@
 	return a.StatusCode, body
 }
 
-func (c *courier) mustCallAdmin(method, path string) {
+func (c *testCourier) mustCallAdmin(method, path string) {
 	c.t.Helper()
 	if status, body := c.callAdmin(method, path); status != 200 {
 		c.t.Fatalf("%s %s: %d %s", method, path, status, body)
 	}
 }
 
-func (c *courier) metrics() (f admin.Metrics) {
+func (c *testCourier) metrics() (m admin.Metrics) {
 	c.t.Helper()
 	status, body := c.callAdmin("GET", "/status/metrics")
-	if err := json.Unmarshal(body, &f); status != 200 || err != nil {
+	if err := json.Unmarshal(body, &m); status != 200 || err != nil {
 		c.t.Fatalf("GET /status/metrics: status %d, body %s, error %v", status, body, err)
 	}
-	return f
+	return m
 }
 
-// TestMetrics compares each metric with what the endpoints and clients observed. Incident: the courier had no metrics.
+// TestMetrics compares each metric with what the endpoints and clients observed. It was added when the courier had no metrics.
 func TestMetrics(t *testing.T) {
 	world, err := scripted.Open(2, responsesByPrefix())
 	if err != nil {
@@ -82,15 +82,15 @@
 	}
 	defer world.Close()
 	c := startWithAdmin(t, world)
-	if f := c.metrics(); f.Success["order"] != 0 || len(f.Success) != 2 || len(f.Overload) != 2 || len(f.Error) != 2 || f.Targets != 2 {
-		t.Errorf("metrics at the start: %+v", f)
+	if m := c.metrics(); m.Success["order"] != 0 || len(m.Success) != 2 || len(m.Overload) != 2 || len(m.Error) != 2 || m.Targets != 2 {
+		t.Errorf("metrics at the start: %+v", m)
 	}
 	var ids, commands []string
 	for i := range 8 {
 		for _, kind := range []string{"okay", "slow", "full", "fail", "brok"} {
 			for _, class := range []string{"update", "order"} {
 				ids = append(ids, fmt.Sprintf("%s-%s-%d", kind, class, i))
-				commands = append(commands, enqueue(ids[len(ids)-1], class, 6000))
+				commands = append(commands, encodeEnqueue(ids[len(ids)-1], class, 6000))
 			}
 		}
 	}
@@ -101,7 +101,7 @@
 			want.Overload[strings.Split(ids[i], "-")[1]]++
 		}
 	}
-	waitFor(t, "accepted messages while slow calls are in flight", 2*time.Second, func() bool { return c.metrics().Concurrent > 0 })
+	waitFor(t, "a Concurrent metric above 0 while slow calls are in flight", 2*time.Second, func() bool { return c.metrics().Concurrent > 0 })
 	for _, id := range ids {
 		if !accepted[id] {
 			continue
@@ -114,18 +114,18 @@
 		switch _, done, notices := world.Seen(id); {
 		case done > 0:
 			want.Success[class]++
-		case notices[0] == "deferred":
+		case notices[0] == "deferred": // throttled
 			want.Overload[class]++
 		default:
 			want.Error[class]++
 		}
 	}
 	waitFor(t, "metrics that match the outcomes", 5*time.Second, func() bool {
-		f := c.metrics()
-		matches := f.Concurrent == 0 && f.Dispatches == int64(world.Calls(0)+world.Calls(1))
+		m := c.metrics()
+		matches := m.Concurrent == 0 && m.Dispatches == int64(world.Calls(0)+world.Calls(1))
 		for _, class := range []string{"update", "order"} {
-			matches = matches && f.Success[class] == want.Success[class] && f.Overload[class] == want.Overload[class] &&
-				f.Error[class] == want.Error[class]
+			matches = matches && m.Success[class] == want.Success[class] && m.Overload[class] == want.Overload[class] &&
+				m.Error[class] == want.Error[class]
 		}
 		return matches
 	})
@@ -135,7 +135,7 @@
 }
 
 // TestMaintenance checks that an endpoint disabled by an operator gets no calls until it is enabled again, also after a reload and a kill.
-// Incidents: the process lost the setting on a restart, or an unknown endpoint was reported as disabled.
+// Incidents: the process lost the setting on a restart; a request for an unknown endpoint was reported as successful.
 func TestMaintenance(t *testing.T) {
 	world, err := scripted.Open(2, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
 	if err != nil {
@@ -149,7 +149,7 @@
 		var commands []string
 		for range 20 {
 			n++
-			commands = append(commands, enqueue(fmt.Sprint("okay-", n), "update", 6000))
+			commands = append(commands, encodeEnqueue(fmt.Sprint("okay-", n), "update", 6000))
 		}
 		c.send(commands...)
 		for i := n - 19; i <= n; i++ {
@@ -170,8 +170,8 @@
 	c.mustCallAdmin("POST", "/maintenance/enter/s-0")
 	before := world.Calls(0)
 	submit()
-	if f := c.metrics(); f.Targets != 2 || f.TargetsDisabled != 1 {
-		t.Errorf("%+v", f)
+	if m := c.metrics(); m.Targets != 2 || m.TargetsDisabled != 1 {
+		t.Errorf("%+v", m)
 	}
 	c.cmd.Process.Signal(syscall.SIGHUP)
 	waitFor(t, "the reload", 5*time.Second, func() bool { return strings.Contains(c.logText(), "configuration reloaded") })
@@ -192,7 +192,8 @@
 	t.Error("the endpoint gets no calls after it was enabled again")
 }
 
-// TestDrainAndReactivate drains the clients and reverts that. Incident: the courier kept connections open until the clients closed them.
+// TestDrainAndReactivate drains the clients and then accepts clients again. Incident: during a drain the courier kept connections open until the
+// clients closed them.
 func TestDrainAndReactivate(t *testing.T) {
 	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
 	if err != nil {
@@ -208,12 +209,12 @@
 		defer conn.Close()
 		conn.SetDeadline(time.Now().Add(10 * time.Second))
 		in := bufio.NewReader(conn)
-		request := func(text string) string {
+		sendLine := func(text string) string {
 			io.WriteString(conn, text)
-			request, _ := in.ReadString('\n')
-			return strings.TrimSpace(request)
+			reply, _ := in.ReadString('\n')
+			return strings.TrimSpace(reply)
 		}
-		if got := request(command("PING")); got != "+PONG" {
+		if got := sendLine(encodeCommand("PING")); got != "+PONG" {
 			t.Fatalf("PING before the drain: got %s, want +PONG", got)
 		}
 		c.mustCallAdmin("POST", "/standby")
@@ -222,10 +223,10 @@
 			t.Errorf("GET /status while clients are drained: got status %d, want 503", status)
 		}
 		id := fmt.Sprint("late-", round)
-		if got := request(command("PING") + enqueue(id, "update", 8000)); !strings.HasPrefix(got, "-ERR") {
+		if got := sendLine(encodeCommand("PING") + encodeEnqueue(id, "update", 8000)); !strings.HasPrefix(got, "-ERR") {
 			t.Errorf("PING while clients are drained: got %s, want -ERR", got)
 		}
-		if got := request(""); got != "+OK" {
+		if got := sendLine(""); got != "+OK" { // the reply to ENQUEUE, the second command of the previous call
 			t.Errorf("ENQUEUE on an open connection while clients are drained: got %s, want +OK", got)
 		}
 		waitFor(t, id, 5*time.Second, func() bool { _, done, _ := world.Seen(id); return done == 1 })
@@ -234,13 +235,14 @@
 		}
 		c.mustCallAdmin("POST", "/active")
 		c.mustCallAdmin("GET", "/status")
-		if got := c.send(command("PING")); got[0] != "+PONG" {
+		if got := c.send(encodeCommand("PING")); got[0] != "+PONG" {
 			t.Errorf("PING after the drain: got %v, want +PONG", got)
 		}
 	}
 }
 
-// TestOpsUnderAFlood checks that admin requests are answered in time while clients send commands at full speed, on one core.
+// TestOpsUnderAFlood checks that admin requests are answered in time while clients send commands at full speed. The courier uses one core, the
+// default of limits.cores.
 func TestOpsUnderAFlood(t *testing.T) {
 	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
 	if err != nil {
@@ -253,7 +255,7 @@
 	for range 5 {
 		go func() {
 			defer func() { done <- struct{}{} }()
-			commands := strings.Repeat(command("PING"), 500)
+			commands := strings.Repeat(encodeCommand("PING"), 500)
 			for {
 				select {
 				case <-stop:
@@ -287,8 +289,8 @@
 	}
 }
 
-// TestInvalidOpsAddress checks that a process with an admin address that is in use or invalid exits with an error that names the key.
-func TestInvalidOpsAddress(t *testing.T) {
+// TestInvalidAdminAddress checks that a process with an admin address that is in use or invalid exits with an error that names the key.
+func TestInvalidAdminAddress(t *testing.T) {
 	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
 	if err != nil {
 		t.Fatal(err)
@@ -296,12 +298,12 @@
 	defer world.Close()
 	c := startWithAdmin(t, world)
 	for _, addr := range []string{c.adminAddr, c.listen, "nowhere"} {
-		out, err := c.runAgain(addr)
+		out, err := c.runSecondProcess(addr)
 		if err == nil || !strings.Contains(out, "ops") {
 			t.Errorf("ops=%s: %v, %s", addr, err, out)
 		}
 	}
-	if got := c.send(command("PING")); got[0] != "+PONG" {
+	if got := c.send(encodeCommand("PING")); got[0] != "+PONG" {
 		t.Error(got)
 	}
 }
--- a/cmd/pineport/quota.go
+++ b/cmd/pineport/quota.go
@@ -16,7 +16,7 @@
 func quotaCmd() *cobra.Command {
 	var f flags
 	var adminAddr, output string
-	show := &cobra.Command{Use: "show", Short: "Show the shares of rate limits that one courier has granted and leased, and the reported use", Args: cobra.NoArgs,
+	show := &cobra.Command{Use: "show", Short: "Show the shares of rate limits that one courier has granted and leased, and the use of the limits as reported by all couriers", Args: cobra.NoArgs,
 		Example: "  pineport quota show --ops 127.0.0.1:8081\n  pineport quota show --config courier.toml --output json",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			text, err := requestAdmin(&f, adminAddr, http.MethodGet, "/commons")
--- a/cmd/pineport/ready_test.go
+++ b/cmd/pineport/ready_test.go
@@ -20,8 +20,8 @@
 	"pineport/testbed/scripted"
 )
 
-// fillSpool adds messages of body bytes, each with three attempts, until the courier's spool is full, and returns how many it added.
-func (c *courier) fillSpool(round, body int) (messages int) {
+// fillSpool adds messages with bodies of bodySize bytes and three attempts each until the courier's spool is full. It returns how many it added.
+func (c *testCourier) fillSpool(round, bodySize int) (messages int) {
 	c.t.Helper()
 	dep, err := config.Load(func(key string) string {
 		return map[string]string{"RELAY_CONFIG": filepath.Join(c.dir, "config.json"), "RELAY_STATE": filepath.Join(c.dir, "state")}[key]
@@ -38,7 +38,7 @@
 	for ; ; messages++ {
 		id := fmt.Sprintf("kept-%d-%d", round, messages)
 		err := store.Append(&spool.Message{ID: id, Class: []string{"update", "order"}[messages%2], Destination: 1,
-			Deadline: time.Now().Add(time.Hour).UnixMicro(), Body: bytes.Repeat([]byte("x"), body)})
+			Deadline: time.Now().Add(time.Hour).UnixMicro(), Body: bytes.Repeat([]byte("x"), bodySize)})
 		if errors.Is(err, spool.ErrFull) {
 			break
 		}
@@ -50,15 +50,15 @@
 		}
 	}
 	if round == 0 {
-		c.t.Logf("%d messages of %d bytes use %d of %d bytes of the spool", messages, body, store.Size(), spoolLimit)
+		c.t.Logf("%d messages of %d bytes use %d of %d bytes of the spool", messages, bodySize, store.Size(), spoolLimit)
 	}
 	return messages
 }
 
 // startTimed starts the courier and returns the time until it answers PING.
-func (c *courier) startTimed() time.Duration {
+func (c *testCourier) startTimed() time.Duration {
 	c.t.Helper()
-	const startTimeout = 30 * time.Second // a process that is not ready by then counts as crashed and fails the test
+	const startTimeout = 30 * time.Second // a process that is not ready by then fails the test
 	began := time.Now()
 	c.cmd = exec.Command(c.binary)
 	c.cmd.Env = append(os.Environ(), "RELAY_CONFIG="+filepath.Join(c.dir, "config.json"), "RELAY_STATE="+filepath.Join(c.dir, "state"))
@@ -75,40 +75,40 @@
 	return 0
 }
 
-func (c *courier) answersPing() bool {
+func (c *testCourier) answersPing() bool {
 	conn, err := net.Dial("tcp", c.listen)
 	if err != nil {
 		return false
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(30 * time.Second))
-	fmt.Fprint(conn, command("PING"))
+	fmt.Fprint(conn, encodeCommand("PING"))
 	line, err := bufio.NewReader(conn).ReadString('\n')
 	return err == nil && line == "+PONG\r\n"
 }
 
-// TestReadyWithFullSpool checks that 9 of 10 restarts are ready within 10 s with a full spool, of many small or few large messages, for the
-// state directory size that the platform gives and for ten times that size.
+// TestReadyWithFullSpool restarts a courier whose spool is full of many small or few large messages. In 9 of 10 restarts the process must be
+// ready within 10 s, for the disk limit that the platform gives and for ten times that limit.
 func TestReadyWithFullSpool(t *testing.T) {
 	const (
 		restarts    = 10
 		readyWithin = 10 * time.Second
 	)
-	for _, folder := range []struct {
+	for _, testCase := range []struct {
 		name         string
 		diskMB, body int
 	}{{"many small messages", 3, 20}, {"few large messages", 3, 60000}, {"ten times the disk limit", 30, 20}} {
-		t.Run(folder.name, func(t *testing.T) {
+		t.Run(testCase.name, func(t *testing.T) {
 			world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 429, WaitMs: 60000} })
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer world.Close()
 			c := newCourier(t, world)
-			c.replaceInConfig(`"disk_mb": 3`, fmt.Sprintf(`"disk_mb": %d`, folder.diskMB))
+			c.replaceInConfig(`"disk_mb": 3`, fmt.Sprintf(`"disk_mb": %d`, testCase.diskMB))
 			var startTimes []time.Duration
 			for round := range restarts {
-				if added := c.fillSpool(round, folder.body); round == 0 && added == 0 {
+				if added := c.fillSpool(round, testCase.body); round == 0 && added == 0 {
 					t.Fatal("no message fits into the spool")
 				}
 				startTimes = append(startTimes, c.startTimed().Round(time.Millisecond))
@@ -118,7 +118,7 @@
 			t.Logf("times until ready: %v", startTimes)
 			slices.Sort(startTimes)
 			if percentile := startTimes[restarts*9/10-1]; percentile > readyWithin {
-				t.Errorf("9 of 10 restarts were ready within %v, want %v at most", percentile, readyWithin)
+				t.Errorf("the 9th of 10 start times in ascending order is %v, want %v at most", percentile, readyWithin)
 			}
 		})
 	}
--- a/cmd/pineport/reload_test.go
+++ b/cmd/pineport/reload_test.go
@@ -17,10 +17,10 @@
 	"pineport/testbed/scripted"
 )
 
-// TestSettingsUnderFire reloads the configuration ten times in a second while messages are held and submitted. The reloads lower the limits
-// below the number of held messages; one reads a truncated file, one moves discovery, one comes while the process is suspended, and a
-// last one removes a class that has messages. Every message must end once, at-most-once messages must be sent once, and the courier
-// must continue.
+// TestSettingsUnderFire reloads the configuration ten times in a second while messages are unfinished and new ones are submitted. The reloads
+// lower the limits below the number of held messages; one reads a truncated file, one moves discovery, one comes while the process is
+// suspended, and a last one removes a class that has messages. Every message must end once, at-most-once messages must be sent once, and the
+// courier must continue.
 func TestSettingsUnderFire(t *testing.T) {
 	world, err := scripted.Open(1, func(id string) scripted.Fate {
 		if strings.HasPrefix(id, "full") {
@@ -55,12 +55,12 @@
 		var commands []string
 		for i := range n {
 			id := fmt.Sprintf("%s-%s-%d-%d", kind, class, len(ids), i)
-			commands = append(commands, enqueue(id, class, 6000))
+			commands = append(commands, encodeEnqueue(id, class, 6000))
 		}
 		for i, line := range c.send(commands...) {
 			if line == "+OK" {
 				accepted++
-				ids = append(ids, strings.Split(commands[i], "\r\n")[6])
+				ids = append(ids, strings.Split(commands[i], "\r\n")[6]) // the ID in the encoded ENQUEUE
 			}
 		}
 		return accepted
@@ -106,7 +106,7 @@
 	if strings.Contains(c.logText(), "unfinished=0\n") {
 		t.Error("the removed class had no unfinished messages")
 	}
-	if got := c.send(enqueue("late", "update", 5000))[0]; !strings.HasPrefix(got, "-ERR unknown workload") {
+	if got := c.send(encodeEnqueue("late", "update", 5000))[0]; !strings.HasPrefix(got, "-ERR unknown workload") {
 		t.Errorf("a message of a removed class: got %s, want -ERR unknown workload", got)
 	}
 	if submit("okay", "order", 2) != 2 {
@@ -128,8 +128,8 @@
 	}
 }
 
-// TestHangupsBetweenEventLoops checks that SIGHUPs are not lost while no event loop receives configurations: the last configuration that the
-// next event loop receives has the latest content of the file.
+// TestHangupsBetweenEventLoops checks that SIGHUPs are not lost while no event loop receives configurations. After the last SIGHUP, the next event
+// loop must get the current content of the file.
 func TestHangupsBetweenEventLoops(t *testing.T) {
 	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
 	if err != nil {
@@ -160,7 +160,7 @@
 	}()
 	writeConfig("first")
 	hangups <- syscall.SIGHUP
-	hangups <- syscall.SIGHUP // handled after the first file is read, while nothing receives the first configuration
+	hangups <- syscall.SIGHUP // accepted by the channel once the first SIGHUP is being handled
 	writeConfig("last")
 	var dep *config.Deployment
 	for range 2 {
--- a/cmd/pineport/run.go
+++ b/cmd/pineport/run.go
@@ -36,9 +36,10 @@
 // run runs the courier until SIGTERM or SIGINT.
 func run(sources config.Sources, out io.Writer) error { return runUsing(clock.System, sources, out) }
 
-// runUsing is run with the clocks that the courier reads; tests replace them.
+// runUsing does what run does, but reads the clocks from clockSource, which tests replace.
 func runUsing(clockSource clock.Source, sources config.Sources, out io.Writer) error {
-	// SIGHUP is caught before anything else, as it would otherwise end the process. One queued signal stands for any number.
+	// SIGHUP is caught before anything else, as it would otherwise end the process. The channel holds
+	// one signal: further SIGHUPs before it is handled need no reload of their own.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	dep, err := config.LoadFrom(sources)
@@ -50,7 +51,7 @@
 		return err
 	}
 	defer log.Close(logFlushTimeout)
-	if dep.SocketFD > 0 { // checked before a predecessor hands over to a process that cannot listen
+	if dep.SocketFD > 0 { // checked here, so that no predecessor hands over to a process that cannot listen
 		listener, err := transport.ListenerFromFD(dep.SocketFD)
 		if err != nil {
 			return fmt.Errorf("socket_fd: %w", err)
@@ -125,7 +126,7 @@
 	}
 }
 
-// serve waits until this process owns the state directory and then runs an event loop on it.
+// serve waits until this process owns the state directory and then runs an event loop.
 func (p *process) serve() error {
 	dep, log := p.dep, p.log
 	ctx, cancel := context.WithCancel(context.Background())
@@ -138,14 +139,15 @@
 		}
 	}()
 	stateDir, inherited, predecessor, err := handoff.Acquire(ctx, dep.StateDir, dep.Name, log.With(logging.Component, "handover"))
-	// Incident, found in a soak test: a process that started while writes to the state directory failed exited at once.
+	// The state directory could not be acquired; this is also logged as a spool error. Incident, found in a soak test: a process that started
+	// while writes to the state directory failed exited at once.
 	for err != nil && isTransient(err) && ctx.Err() == nil {
 		log.Error("spool error", logging.Component, "spool", "error", err)
 		time.Sleep(openRetryInterval)
 		stateDir, inherited, predecessor, err = handoff.Acquire(ctx, dep.StateDir, dep.Name, log.With(logging.Component, "handover"))
 	}
 	if ctx.Err() != nil {
-		return nil // told to exit before an event loop ran
+		return nil // SIGTERM or SIGINT came before an event loop ran
 	}
 	if err != nil {
 		return fmt.Errorf("RELAY_STATE: %w", err)
@@ -156,7 +158,7 @@
 	if err != nil || ctx.Err() != nil {
 		return err
 	}
-	for _, fault := range faults {
+	for _, fault := range faults { // damaged records and files, which Open has skipped
 		log.With(logging.Component, "spool").Warn("spool error", "error", fault)
 	}
 	clk := p.openClock(ctx, unfinished, inherited)
@@ -181,7 +183,7 @@
 
 // openClock returns the courier's clock, which continues from the clock of the previous process. Incident: each process used to start from
 // the wall clock; if the wall clock was stepped between two processes, all deadlines, deduplication windows and Retry-After times in the
-// state directory moved by the step.
+// state directory were wrong by the step.
 func (p *process) openClock(ctx context.Context, unfinished []*spool.Message, inherited *handoff.State) *clock.Clock {
 	dir, log := p.dep.StateDir, p.log.With(logging.Component, "routing")
 	readings := p.clockSource()
@@ -213,9 +215,10 @@
 	}
 }
 
-// latestTime returns the latest time that earlier processes left in the state directory. The clock of this process must not start before it.
-func latestTime(dir, courier string, unfinished []*spool.Message) (latest int64) {
-	if state, err := snapshot.Read(dir, courier, 0, snapshot.MaxSize); err == nil {
+// latestTime returns the latest time in the stored snapshot and the attempts of unfinished messages. The clock of this process must not
+// start before it.
+func latestTime(dir, courierName string, unfinished []*spool.Message) (latest int64) {
+	if state, err := snapshot.Read(dir, courierName, 0, snapshot.MaxSize); err == nil {
 		latest = max(latest, int64(state.Snapshot.TakenAt))
 	}
 	for _, message := range unfinished {
@@ -226,7 +229,7 @@
 	return latest
 }
 
-// openRetryInterval is the interval between attempts to open the admin server, the state directory or the spool while they fail.
+// openRetryInterval is the interval between attempts to open the admin server, the state directory or the spool.
 const openRetryInterval = 100 * time.Millisecond
 
 // isTransient reports whether err is a failure of the disk or the machine that can pass, as opposed to a wrong configuration.
@@ -240,7 +243,7 @@
 }
 
 // openSpool opens the spool. It retries on every error until ctx is done, because accepted messages must still be delivered and exiting does not
-// help. A missing state directory is reported earlier, when the configuration is checked.
+// help. If ctx is done, all results are nil. A missing state directory is reported earlier, when the configuration is checked.
 func (p *process) openSpool(ctx context.Context) (store *spool.Spool, unfinished []*spool.Message, faults []error, err error) {
 	for {
 		store, unfinished, faults, err = spool.Open(p.dep.StateDir, server.SpoolLimit(p.dep))
@@ -307,7 +310,7 @@
 // applyLimits sets the Go runtime's CPU and memory limits from the configuration.
 func applyLimits(dep *config.Deployment) {
 	runtime.GOMAXPROCS(max(1, int(dep.Cores+0.5)))
-	debug.SetMemoryLimit(int64(dep.MemoryMB) << 20 * 6 / 10) // 60 %: garbage is collected more often before the memory limit kills the process
+	debug.SetMemoryLimit(int64(dep.MemoryMB) << 20 * 6 / 10) // soft limit of 60 %: collect more often before the kernel kills the process
 }
 
 // logWarnings logs the warnings of the configuration, such as unknown keys.
--- a/cmd/pineport/short_window_test.go
+++ b/cmd/pineport/short_window_test.go
@@ -15,7 +15,7 @@
 )
 
 // replaceInConfig edits the configuration file for the courier's next start: each pair is a text in the file and its replacement.
-func (c *courier) replaceInConfig(pairs ...string) {
+func (c *testCourier) replaceInConfig(pairs ...string) {
 	c.t.Helper()
 	file := filepath.Join(c.dir, "config.json")
 	text, err := os.ReadFile(file)
@@ -33,9 +33,10 @@
 	}
 }
 
-// TestShortDedupWindowAcrossRestart uses a deduplication window of one second. After a restart, a message that may have been executed and whose
-// window has passed must not be sent again and must get a notice; one within its window must be sent again, and so must one that was never
-// executed.
+// TestShortDedupWindowAcrossRestart uses a deduplication window of one second and restarts the courier with three kinds of messages:
+//   - a message that may have been executed and whose window has passed must not be sent again and must get a notice;
+//   - a message that may have been executed and whose window has not passed must be sent again;
+//   - a message that was never executed must be sent again.
 func TestShortDedupWindowAcrossRestart(t *testing.T) {
 	const window = time.Second
 	called := map[string]bool{}
@@ -58,7 +59,7 @@
 	}
 	defer world.Close()
 	c := newCourier(t, world)
-	c.replaceInConfig(`"single_shot"`, `"guarded"`, `"dedup-window-s": 5`, `"dedup-window-s": 1`)
+	c.replaceInConfig(`"single_shot"`, `"guarded"`, `"dedup-window-s": 5`, `"dedup-window-s": 1`) // for class order
 	c.start()
 	isCalled := func(id string) func() bool {
 		return func() bool { mu.Lock(); defer mu.Unlock(); return called[id] }
@@ -66,7 +67,7 @@
 	// killDuringCall submits a message, kills the courier once the endpoint has received the call, and returns that time.
 	killDuringCall := func(id string) time.Time {
 		t.Helper()
-		if got := c.send(enqueue(id, "order", 20000)); got[0] != "+OK" {
+		if got := c.send(encodeEnqueue(id, "order", 20000)); got[0] != "+OK" {
 			t.Fatal(id, got)
 		}
 		for !isCalled(id)() {
--- a/cmd/pineport/signals_test.go
+++ b/cmd/pineport/signals_test.go
@@ -14,10 +14,10 @@
 )
 
 // TestSignalsDuringStart sends SIGHUP, SIGTERM, SIGTERM and SIGHUP at various times after the start of a process with a message in its spool.
-// The process must exit in time and without an error, or be killed by the first signal if that comes before it handles signals. The next
-// process must deliver the message.
+// The process must exit without an error within shutdownGrace and 5 s, or be killed by the first signal if that comes before it handles signals.
+// The next process must deliver the message.
 func TestSignalsDuringStart(t *testing.T) {
-	for _, after := range []time.Duration{0, 2, 4, 8, 16, 32, 64, 128, 512} {
+	for _, after := range []time.Duration{0, 2, 4, 8, 16, 32, 64, 128, 512} { // in milliseconds
 		t.Run(fmt.Sprint(int64(after)), func(t *testing.T) {
 			t.Parallel()
 			var deliverable atomic.Bool
@@ -34,9 +34,9 @@
 			c := newCourier(t, world)
 			began := time.Now()
 			c.start()
-			// The process handles signals within 32 ms of its start, or on a busy machine within half of the time that a complete start takes.
+			// The process is expected to handle signals within 32 ms of its start, or on a busy machine within half the time of a complete start.
 			listeningAfter := max(32*time.Millisecond, time.Since(began)/2)
-			if got := c.send(enqueue("held", "update", 60000)); got[0] != "+OK" {
+			if got := c.send(encodeEnqueue("held", "update", 60000)); got[0] != "+OK" {
 				t.Fatal(got)
 			}
 			c.cmd.Process.Kill()
@@ -69,7 +69,7 @@
 			}
 			deliverable.Store(true)
 			c.start()
-			waitFor(t, "the message is delivered", 20*time.Second, func() bool {
+			waitFor(t, "the delivery of the message", 20*time.Second, func() bool {
 				_, done, _ := world.Seen("held")
 				return done == 1
 			})
--- a/cmd/pineport/state.go
+++ b/cmd/pineport/state.go
@@ -17,7 +17,7 @@
 )
 
 func stateCmd() *cobra.Command {
-	cmd := &cobra.Command{Use: "state", Short: "Show what a courier has learned and stored for its next start"}
+	cmd := &cobra.Command{Use: "state", Short: "Show the stored snapshot of a courier's learned state"}
 	var output string
 	show := &cobra.Command{
 		Use:     "show FILE",
@@ -106,7 +106,7 @@
 			}
 		}
 		mean := "-"
-		if group.AnswerTimes.Weight > 0.01 {
+		if group.AnswerTimes.Weight > 0.01 { // otherwise all answers are too long ago for a mean
 			mean = formatDuration(dispatch.Micros(group.AnswerTimes.Total / group.AnswerTimes.Weight))
 		}
 		limit := "-"
@@ -116,7 +116,7 @@
 		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%s\t%s\t%s\t%.1f\t%s\n", group.Destination, cmp.Or(string(group.Endpoint), "(all)"), health, breakers, formatDuration(group.Interval),
 			formatDuration(max(0, group.RetryAfterUntil-learned.TakenAt)), mean, group.Deliveries.Weight, limit)
 	}
-	for _, endpoint := range learned.Endpoints {
+	for _, endpoint := range learned.Endpoints { // FailureRuns[0] is over all classes
 		fmt.Fprintf(table, "\nendpoint %s: %d failures in a row\n", endpoint.Endpoint, endpoint.FailureRuns[0].Failures)
 	}
 	return table.Flush()
--- a/cmd/pineport/syscalls_test.go
+++ b/cmd/pineport/syscalls_test.go
@@ -18,8 +18,9 @@
 	"pineport/testbed/syscallfault"
 )
 
-// startTraced starts the courier with the named system calls traced by package syscallfault, and returns once it answers PING.
-func (c *courier) startTraced(names []string, decide func(*syscallfault.Call) syscallfault.Effect) *syscallfault.Process {
+// startTraced starts the courier and returns once it answers PING. Package syscallfault traces the named system calls, and decide chooses the
+// fault of each call.
+func (c *testCourier) startTraced(names []string, decide func(*syscallfault.Call) syscallfault.Effect) *syscallfault.Process {
 	c.t.Helper()
 	child := c.launchTraced(names, decide)
 	waitFor(c.t, "PONG", 10*time.Second, func() bool { return c.answersPing() })
@@ -27,7 +28,7 @@
 }
 
 // launchTraced is like startTraced but does not wait until the courier answers PING.
-func (c *courier) launchTraced(names []string, decide func(*syscallfault.Call) syscallfault.Effect) *syscallfault.Process {
+func (c *testCourier) launchTraced(names []string, decide func(*syscallfault.Call) syscallfault.Effect) *syscallfault.Process {
 	c.t.Helper()
 	env := append(os.Environ(), "RELAY_CONFIG="+filepath.Join(c.dir, "config.json"), "RELAY_STATE="+filepath.Join(c.dir, "state"), "RELAY_OPS="+c.adminAddr)
 	child, err := syscallfault.Start(c.binary, append(env, c.env...), c.log, names, decide)
@@ -48,23 +49,23 @@
 type systemFault struct {
 	call   string
 	effect syscallfault.Effect
-	// harmless means that the fault closes no connection, so that every request gets its reply.
-	harmless bool
+	// keepsConnections means that no connection of a client ends because of the fault, so that every request gets its reply.
+	keepsConnections bool
 	// appliesTo selects the calls that get the fault; nil: all.
 	appliesTo func(*syscallfault.Call) bool
 }
 
 func (f systemFault) String() string { return f.call + " " + f.effect.String() }
 
-// isPerEvent reports whether each occurrence of the fault has its own cause, such as a signal, an aborted connection or transferred bytes.
-// The courier may then repeat the call at once.
-func (f systemFault) isPerEvent() bool {
+// isPerEvent reports whether the courier may repeat a failed call at once without a busy loop, because each occurrence of the fault has its
+// own cause: a signal, an aborted connection or transferred bytes.
+func (f systemFault) mayRetryAtOnce() bool {
 	return f.effect.Errno == syscall.EINTR || f.effect.Errno == syscall.ECONNABORTED || f.call == "read" || f.call == "write"
 }
 
 func isSocket(c *syscallfault.Call) bool { return c.IsSocket() }
 
-// systemFaults returns the errors that Linux documents for the socket calls of a courier.
+// systemFaults returns the faults to inject: errors that Linux documents for the socket calls of a courier, and reads and writes of one byte.
 func systemFaults() (all []systemFault) {
 	add := func(call string, harmless bool, appliesTo func(*syscallfault.Call) bool, errnos ...syscall.Errno) {
 		for _, errno := range errnos {
@@ -85,7 +86,7 @@
 	return append(all, systemFault{"read", syscallfault.Effect{Limit: 1}, true, isSocket}, systemFault{"write", syscallfault.Effect{Limit: 1}, true, isSocket})
 }
 
-// requestResults collects the message IDs of some clients' requests by the reply.
+// requestResults collects the message IDs of clients' requests, grouped by the kind of reply.
 type requestResults struct {
 	mu         sync.Mutex
 	accepted   []string
@@ -94,7 +95,7 @@
 }
 
 // submitUntilStopped submits messages one after another until stopped is set. It reconnects after every second message and after errors.
-func (l *requestResults) submitUntilStopped(address string, client int, stopped *atomic.Bool) {
+func (r *requestResults) submitUntilStopped(address string, client int, stopped *atomic.Bool) {
 	var conn net.Conn
 	var replies *bufio.Reader
 	for n := 0; !stopped.Load(); n++ {
@@ -113,9 +114,9 @@
 		class := []string{"update", "order"}[n%2]
 		id := fmt.Sprintf("%s-%d-%d", class, client, n)
 		conn.SetDeadline(time.Now().Add(5 * time.Second))
-		io.WriteString(conn, enqueue(id, class, 6000))
+		io.WriteString(conn, encodeEnqueue(id, class, 6000))
 		line, err := replies.ReadString('\n')
-		l.record(id, strings.TrimSpace(line), err)
+		r.record(id, strings.TrimSpace(line), err)
 		if err != nil {
 			conn.Close()
 			conn = nil
@@ -126,22 +127,22 @@
 	}
 }
 
-func (l *requestResults) record(id, reply string, err error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (r *requestResults) record(id, reply string, err error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	switch {
 	case err != nil:
-		l.unanswered = append(l.unanswered, fmt.Sprintf("%s: %v at %s", id, err, time.Now().Format("05.000")))
+		r.unanswered = append(r.unanswered, fmt.Sprintf("%s: %v at %s", id, err, time.Now().Format("05.000")))
 	case reply == "+OK":
-		l.accepted = append(l.accepted, id)
+		r.accepted = append(r.accepted, id)
 	default:
-		l.rejected = append(l.rejected, id)
+		r.rejected = append(r.rejected, id)
 	}
 }
 
-// TestSystemCallsFail injects each error that Linux documents into each socket call, once and for 2 s. Accepted messages must end, at-most-once
-// messages must be sent once, requests must get replies if the fault is harmless, no loop may spin, deliveries must resume within 1.5 s after
-// the fault, and the number of descriptors must return to its value before the fault.
+// TestSystemCallsFail injects each fault of systemFaults in two runs: into a single call (duration 0), and into all calls for 2 s. Accepted messages
+// must end, at-most-once messages must be sent once, requests must get replies if the fault keeps connections, no loop may spin, deliveries
+// must resume within 1.5 s after the fault, and the number of descriptors must return to its value before the fault, with a tolerance of 4.
 func TestSystemCallsFail(t *testing.T) {
 	for _, duration := range []time.Duration{0, 2 * time.Second} {
 		var cases sync.WaitGroup
@@ -175,7 +176,7 @@
 		once.Store(false)
 		return fault.effect
 	})
-	c.cmd = nil
+	c.cmd = nil // launchTraced cleans up the process
 	var requests requestResults
 	var stopped atomic.Bool
 	var clients sync.WaitGroup
@@ -195,8 +196,8 @@
 	callsAtFaultEnd := world.Calls(0) + world.Calls(1)
 	time.Sleep(1500 * time.Millisecond)
 	minCalls := 50
-	// Without answers during the fault, breakers have opened and send only trials at first, as after any outage.
-	if !fault.harmless || fault.call == "read" {
+	// If connections ended or no answers were read during the fault, breakers have opened and send only trials at first, as after any outage.
+	if !fault.keepsConnections || fault.call == "read" {
 		minCalls = 5
 	}
 	if resumed := world.Calls(0) + world.Calls(1) - callsAtFaultEnd; resumed < minCalls {
@@ -204,23 +205,23 @@
 	}
 	stopped.Store(true)
 	clients.Wait()
-	struck := child.Struck()[fault.String()]
-	if struck == 0 {
+	injected := child.Struck()[fault.String()]
+	if injected == 0 {
 		t.Errorf("no system call failed")
 	}
-	if limit := int(maxPerSecond * max(1, duration.Seconds())); struck > limit && !fault.isPerEvent() {
-		t.Errorf("%d system calls failed: a loop spins", struck)
+	if limit := int(maxPerSecond * max(1, duration.Seconds())); injected > limit && !fault.mayRetryAtOnce() {
+		t.Errorf("%d system calls failed: a loop spins", injected)
 	}
 	requests.verify(t, world)
-	if fault.harmless && len(requests.unanswered) > 0 {
+	if fault.keepsConnections && len(requests.unanswered) > 0 {
 		t.Errorf("of %d requests, these got no reply: %v", len(requests.accepted)+len(requests.rejected)+len(requests.unanswered), requests.unanswered)
 	}
 	waitFor(t, fmt.Sprintf("at most 4 descriptors more than the %d before the fault", before), 8*time.Second, func() bool { return countDescriptors(child.PID) <= before+4 })
 }
 
 // delivered returns the IDs of accepted messages that have been delivered so far.
-func (l *requestResults) delivered(world *scripted.World) (ids []string) {
-	for _, id := range l.accepted {
+func (r *requestResults) delivered(world *scripted.World) (ids []string) {
+	for _, id := range r.accepted {
 		if _, done, _ := world.Seen(id); done > 0 {
 			ids = append(ids, id)
 		}
@@ -229,13 +230,13 @@
 }
 
 // verify waits until all accepted messages have ended and checks that at-most-once messages were sent only once.
-func (l *requestResults) verify(t *testing.T, world *scripted.World) {
+func (r *requestResults) verify(t *testing.T, world *scripted.World) {
 	t.Helper()
-	if len(l.accepted) == 0 {
+	if len(r.accepted) == 0 {
 		t.Error("no message was accepted")
 	}
 	deadline := time.Now().Add(8 * time.Second)
-	for _, id := range l.accepted {
+	for _, id := range r.accepted {
 		for {
 			began, done, notices := world.Seen(id)
 			if strings.HasPrefix(id, "order") && began > 1 {
@@ -286,7 +287,7 @@
 			if len(child.Struck()) == 0 {
 				t.Error("no system call failed")
 			}
-			if got := c.send(enqueue("one", "order", 4000)); got[0] != "+OK" {
+			if got := c.send(encodeEnqueue("one", "order", 4000)); got[0] != "+OK" {
 				t.Fatal(got)
 			}
 			waitFor(t, "the delivery", 3*time.Second, func() bool { _, done, _ := world.Seen("one"); return done == 1 })
--- a/cmd/pineport/tools_test.go
+++ b/cmd/pineport/tools_test.go
@@ -36,6 +36,7 @@
 	}
 	good := write("good.toml", config.Example())
 	next := write("next.toml", strings.Replace(strings.Replace(config.Example(), "slots = 20", "slots = 10", 1), `name = "n0"`, `name = "n1"`, 1))
+	// memory_md is a misspelled key.
 	unknownKey := write("odd.toml", strings.Replace(config.Example(), "[limits]", "[limits]\nmemory_md = 9", 1))
 	invalid := write("bad.toml", strings.Replace(config.Example(), "slots = 20", "slots = 0", 1))
 	invalidLatency := write("late.toml", strings.Replace(config.Example(), "slo-s = ", "slo-s = 7", 1))
--- a/cmd/pineport/upgrade_test.go
+++ b/cmd/pineport/upgrade_test.go
@@ -29,16 +29,16 @@
 const hangEnv = "PINEPORT_TEST_HANGS"
 
 func runHangingSuccessor() {
-	folder, _, _, _ := handoff.Acquire(context.Background(), os.Getenv("RELAY_STATE"), "n0", slog.New(slog.DiscardHandler))
+	stateDir, _, _, _ := handoff.Acquire(context.Background(), os.Getenv("RELAY_STATE"), "n0", slog.New(slog.DiscardHandler))
 	for {
 		time.Sleep(time.Hour)
-		runtime.KeepAlive(folder)
+		runtime.KeepAlive(stateDir) // a finalizer would close the lock file
 	}
 }
 
-// supervisor plays the platform: it holds the listening socket for clients and starts processes that inherit it.
+// supervisor stands in for the platform: it holds the listening socket for clients and starts processes that inherit it.
 type supervisor struct {
-	*courier
+	*testCourier
 	socket  *os.File
 	exits   sync.WaitGroup
 	started int
@@ -46,7 +46,7 @@
 
 func newSupervisor(t *testing.T, world *scripted.World) *supervisor {
 	t.Helper()
-	p := &supervisor{courier: newCourier(t, world)}
+	p := &supervisor{testCourier: newCourier(t, world)}
 	l, err := net.Listen("tcp", p.listen)
 	if err != nil {
 		t.Fatal(err)
@@ -137,7 +137,7 @@
 
 // load submits messages over several connections until it is stopped, and records the accepted ones.
 type load struct {
-	p          *supervisor
+	supervisor *supervisor
 	stop       chan struct{}
 	stopOnce   sync.Once
 	done       sync.WaitGroup
@@ -148,22 +148,22 @@
 }
 
 func (p *supervisor) startLoad(clients int) *load {
-	s := &load{p: p, stop: make(chan struct{})}
-	p.t.Cleanup(s.stopClients)
+	l := &load{supervisor: p, stop: make(chan struct{})}
+	p.t.Cleanup(l.stopClients)
 	for i := range clients {
-		s.done.Go(func() { s.runClient(i) })
+		l.done.Go(func() { l.runClient(i) })
 	}
-	return s
+	return l
 }
 
-func (s *load) runClient(number int) {
+func (l *load) runClient(number int) {
 	rng := rand.New(rand.NewSource(int64(number)))
 	kinds := append(slices.Repeat([]string{"okay"}, 140), "slow", "slow", "slow", "slow", "full", "full", "fail", "fail", "brok", "wait")
 	var conn net.Conn
 	var in *bufio.Reader
 	for n := 0; ; n++ {
 		select {
-		case <-s.stop:
+		case <-l.stop:
 			return
 		case <-time.After(time.Duration(20+rng.Intn(40)) * time.Millisecond):
 		}
@@ -172,10 +172,10 @@
 		if n%4 == 0 {
 			class, id, opts = "line", fmt.Sprintf("line-c%d-%d", number, n), fmt.Sprintf(",about=c%d", number)
 		}
-		text := command("ENQUEUE", "0", id, fmt.Sprintf("c=%s,d=8000,dest=1%s", class, opts), "x")
+		text := encodeCommand("ENQUEUE", "0", id, fmt.Sprintf("c=%s,d=8000,dest=1%s", class, opts), "x")
 		reply := ""
 		for attempt := 0; attempt < 2 && reply == ""; attempt++ {
-			if conn != nil { // detect a connection that was closed between two requests, which counts as no retry
+			if conn != nil { // a connection that was closed between two requests is replaced and not counted as a retry
 				conn.SetReadDeadline(time.Now().Add(time.Millisecond))
 				if _, err := in.Peek(1); err == io.EOF {
 					conn.Close()
@@ -184,7 +184,7 @@
 			}
 			if conn == nil {
 				var err error
-				if conn, err = net.DialTimeout("tcp", s.p.listen, time.Second); err != nil {
+				if conn, err = net.DialTimeout("tcp", l.supervisor.listen, time.Second); err != nil {
 					conn = nil
 					break
 				}
@@ -196,11 +196,11 @@
 			if err != nil {
 				conn.Close()
 				conn = nil
-				s.mu.Lock()
+				l.mu.Lock()
 				if attempt == 0 {
-					s.retried++
+					l.retried++
 				}
-				s.mu.Unlock()
+				l.mu.Unlock()
 				if class == "order" {
 					break // the message may have been accepted by a process that was then killed
 				}
@@ -208,38 +208,38 @@
 			}
 			reply = strings.TrimSpace(line)
 		}
-		s.mu.Lock()
+		l.mu.Lock()
 		if reply == "" {
-			s.unanswered++
+			l.unanswered++
 		} else if reply == "+OK" {
-			s.accepted = append(s.accepted, id)
+			l.accepted = append(l.accepted, id)
 		}
-		s.mu.Unlock()
+		l.mu.Unlock()
 	}
 }
 
 // stopClients stops the clients and waits for them.
-func (s *load) stopClients() {
-	s.stopOnce.Do(func() { close(s.stop) })
-	s.done.Wait()
+func (l *load) stopClients() {
+	l.stopOnce.Do(func() { close(l.stop) })
+	l.done.Wait()
 }
 
 // verify stops the clients and compares the accepted messages with what the endpoints received. upgrades is 0 if processes were killed.
-func (s *load) verify(world *scripted.World, upgrades int) {
-	t := s.p.t
+func (l *load) verify(world *scripted.World, upgrades int) {
+	t := l.supervisor.t
 	t.Helper()
-	s.stopClients()
-	if len(s.accepted) < 50 {
-		t.Errorf("only %d messages were accepted", len(s.accepted))
+	l.stopClients()
+	if len(l.accepted) < 50 {
+		t.Errorf("only %d messages were accepted", len(l.accepted))
 	}
-	for _, id := range s.accepted {
+	for _, id := range l.accepted {
 		waitFor(t, id, 10*time.Second, func() bool {
 			_, done, notices := world.Seen(id)
 			return done > 0 || len(notices) > 0
 		})
 	}
 	outcomes := map[string]int{}
-	for _, id := range s.accepted {
+	for _, id := range l.accepted {
 		began, done, notices := world.Seen(id)
 		var client, n int
 		kind, rest, _ := strings.Cut(id, "-")
@@ -259,10 +259,10 @@
 	if broken := world.Broken(); broken != (scripted.Broken{}) {
 		t.Errorf("endpoints observed violations: %+v", broken)
 	}
-	if upgrades > 0 && s.retried > 2*upgrades { // killed processes close connections in the middle of requests
-		t.Errorf("%d messages were sent again after a connection closed, in %d upgrades", s.retried, upgrades)
+	if upgrades > 0 && l.retried > 2*upgrades { // not checked if processes are killed, which closes connections during requests
+		t.Errorf("%d messages were sent again after a connection closed, in %d upgrades", l.retried, upgrades)
 	}
-	t.Logf("%d upgrades: accepted %d, outcomes %v, sent again %d, without a reply %d", upgrades, len(s.accepted), outcomes, s.retried, s.unanswered)
+	t.Logf("%d upgrades: accepted %d, outcomes %v, sent again %d, without a reply %d", upgrades, len(l.accepted), outcomes, l.retried, l.unanswered)
 }
 
 func newUpgradeWorld(t *testing.T) *scripted.World {
@@ -283,8 +283,8 @@
 	return world
 }
 
-// TestFiftyUpgrades makes 50 upgrades one after another under load. No message may be lost, duplicated, early or out of order. Incident: the
-// second process exited because its address was in use.
+// TestFiftyUpgrades makes 50 upgrades one after another under load. No message may be lost, duplicated, sent before a Retry-After has passed, or
+// out of order. Incident: the second process exited because its address was in use.
 func TestFiftyUpgrades(t *testing.T) {
 	world := newUpgradeWorld(t)
 	p := newSupervisor(t, world)
@@ -309,7 +309,7 @@
 }
 
 // TestFailedUpgrades kills either process of an upgrade at a random time, and tries a new version that exits at once and one that takes
-// over and hangs. Incidents: the courier was down once the new process had exited, or lost messages that it had accepted.
+// over and hangs. Incidents: the courier was down after the new process had exited; accepted messages were lost.
 func TestFailedUpgrades(t *testing.T) {
 	world := newUpgradeWorld(t)
 	p := newSupervisor(t, world)
@@ -334,7 +334,7 @@
 			current.cmd.Wait()
 			p.requireReady(next)
 			current = next
-		case 2: // a version that exits at once, one that hangs, and a third process while that hangs
+		case 2: // a version that exits at once, then one that hangs, and a third process while the second one hangs
 			p.startProcess("/bin/false").cmd.Wait()
 			hanging := p.startProcess(os.Args[0], hangEnv+"=1")
 			waitFor(t, "the hanging process to take over", 5*time.Second, func() bool {
@@ -420,8 +420,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Counts successful connections instead of attempts, because the courier takes the state directory again after each of them: with 12 attempts
-	// 20 ms apart, only one or two connected on a busy machine.
+	// The loop counts connections, not attempts: after each connection the courier takes the state directory again, and on a busy machine only
+	// one or two of 12 attempts 20 ms apart succeeded.
 	disconnected := 0
 	for deadline := time.Now().Add(20 * time.Second); disconnected < 12 && time.Now().Before(deadline); {
 		conn, err := net.Dial("unix", filepath.Join(p.dir, "state", "upgrade.sock"))
@@ -461,7 +461,7 @@
 	}
 }
 
-// TestNoBusyLoopAfterHandoff checks that after a handoff neither the successor nor the predecessor, which has not got SIGTERM yet, uses much CPU
+// TestNoBusyLoopAfterHandoff checks that after a handoff neither the successor nor the predecessor, which has not yet received SIGTERM, uses much CPU
 // time. Incident: the predecessor kept an expired timer that it no longer handled, and its event loop spun.
 func TestNoBusyLoopAfterHandoff(t *testing.T) {
 	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 429, WaitMs: 1900} })
@@ -473,7 +473,7 @@
 	first := p.startProcess(p.binary)
 	p.requireReady(first)
 	for n := range 12 { // messages that wait for Retry-After, so that the dispatcher has a timer
-		if got := p.send(enqueue(fmt.Sprintf("waits-%d", n), "update", 30000)); got[0] != "+OK" {
+		if got := p.send(encodeEnqueue(fmt.Sprintf("waits-%d", n), "update", 30000)); got[0] != "+OK" {
 			t.Fatal(got)
 		}
 	}
--- a/cmd/pineport/watch_test.go
+++ b/cmd/pineport/watch_test.go
@@ -13,8 +13,8 @@
 )
 
 // TestShadowConfiguration runs couriers with a shadow configuration. If the shadow configuration has a single slot, calls that it would have delayed
-// are counted, and messages are delivered as usual. With identical settings no difference is counted. A shadow file with an error is reported
-// before the courier listens.
+// are counted in the log line as later=N, and messages are delivered as usual. With identical settings later is 0. A shadow file with an error is
+// reported before the courier listens.
 func TestShadowConfiguration(t *testing.T) {
 	world, err := scripted.Open(1, func(string) scripted.Fate {
 		return scripted.Fate{Status: 200, After: 150 * time.Millisecond}
@@ -50,7 +50,7 @@
 		write(file, func(top map[string]any) {
 			top["watch"] = map[string]any{"file": shadowFile, "every_s": 0.2}
 		})
-		writeShadow(-1)
+		writeShadow(-1) // invalid
 		out, err := runCommand("run", "--config", file, "--state", filepath.Join(c.dir, "state"))
 		if output := fmt.Sprint(out, err); err == nil || !strings.Contains(output, "watch.file") ||
 			!strings.Contains(output, "settings.family-info.slots") {
@@ -60,7 +60,7 @@
 		c.start()
 		var commands []string
 		for i := range 6 {
-			commands = append(commands, enqueue(fmt.Sprintf("w%v-%d", slots, i), "update", 6000))
+			commands = append(commands, encodeEnqueue(fmt.Sprintf("w%v-%d", slots, i), "update", 6000))
 		}
 		c.send(commands...)
 		for i := range 6 {
