--- a/cmd/pineport/members.go
+++ b/cmd/pineport/members.go
@@ -87,7 +87,11 @@
 
 func membersCmd() *cobra.Command {
 	cmd := &cobra.Command{Use: "members", Short: "Show the fleet as one courier knows it",
-		Long: "Show the fleet as one courier knows it. The courier is reached at its admin address: --ops, or ops in its configuration."}
+		Long: `Show the fleet as one courier knows it. The courier is reached at its admin address: --ops, or ops in its configuration.
+
+The first line gives the status of the courier in its fleet: alone (no other member is alive), part (some are), whole (all are),
+just woken (the process was paused or its clock jumped), or stood back (a newer courier of this name is a member).
+SINCE is when a member entered its state, as the time after the courier started its membership.`}
 	var query membersQuery
 	var watchInterval time.Duration
 	list := &cobra.Command{Use: "ls", Short: "List the members with their states, and the status of the courier itself", Args: cobra.NoArgs,
--- a/cmd/pineport/quota.go
+++ b/cmd/pineport/quota.go
@@ -39,7 +39,7 @@
 	show.Flags().StringVar(&adminAddr, "ops", "", "the courier's admin address (empty: from its configuration)")
 	show.Flags().StringVar(&output, "output", "table", "table or json")
 	cmd := &cobra.Command{Use: "quota", Short: "Show the rate limits that couriers share, as one courier knows them",
-		Long: "Show the rate limits that couriers share, as one courier knows them. The courier is reached at its admin address: --ops, or ops in its configuration."}
+		Long: "Show the rate limits that couriers share, as one courier knows them. The courier is reached at its admin address: --ops, or ops in its configuration. Late or unknown are leases that arrived too late or were not requested."}
 	cmd.AddCommand(show)
 	return cmd
 }
--- a/cmd/pineport/upgrade_test.go
+++ b/cmd/pineport/upgrade_test.go
@@ -56,6 +56,7 @@
 	}
 	l.Close()
 	t.Cleanup(func() { p.socket.Close() })
+	// Adds a class whose messages have an ordering key, which is held for 1 s after an attempt that may still be executing.
 	editConfig(t, p.dir, func(top map[string]any) {
 		settings := top["settings"].(map[string]any)
 		settings["classes"] = append(settings["classes"].([]any), map[string]any{"name": "line", "idempotency": "free", "points": 1, "slo-s": 2.0,
