--- a/admin/golden_test.go
+++ b/admin/golden_test.go
@@ -34,7 +34,7 @@
 // TestResponsesMatchGolden compares the status, content type and body of each response with the golden file, before and
 // after SetCourier.
 func TestResponsesMatchGolden(t *testing.T) {
-	golden.Tagged(t, Metrics{}) // every field has a JSON name
+	golden.CheckTags(t, Metrics{}) // every field has a JSON name
 	var pages strings.Builder
 	s := &Server{log: slog.New(slog.DiscardHandler)}
 	handler := s.handler()
--- a/cmd/pineport-testbed/capacity.go
+++ b/cmd/pineport-testbed/capacity.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return err
 	}
-	page, err := capacity.Work(plan, measured)
+	page, err := capacity.Evaluate(plan, measured)
 	if err != nil {
 		return fmt.Errorf("%s: %w", f.measured, err)
 	}
--- a/cmd/pineport-testbed/check.go
+++ b/cmd/pineport-testbed/check.go
@@ -59,8 +59,8 @@
 			broken := false
 			fmt.Fprintln(w, "day\tseed\tfigure\tjudgement")
 			for _, c := range cells {
-				fmt.Fprintf(w, "%s\t%d\t%.3f\t%s\n", c.Day+where(c), c.Seed, c.Verdict.Figure, c.Verdict.Short())
-				broken = broken || !c.Verdict.OK() || c.Verdict.Invalid != ""
+				fmt.Fprintf(w, "%s\t%d\t%.3f\t%s\n", c.Day+where(c), c.Seed, c.Verdict.Score, c.Verdict.Short())
+				broken = broken || !c.Verdict.OK() || c.Verdict.InvalidReason != ""
 			}
 			w.Flush()
 			for _, c := range cells {
--- a/cmd/pineport-testbed/compare.go
+++ b/cmd/pineport-testbed/compare.go
@@ -17,13 +17,13 @@
 func jobs() int { return runtime.GOMAXPROCS(0) }
 
 var figures = map[string]func(*invariants.Verdict) float64{
-	"figure":  func(v *invariants.Verdict) float64 { return v.Figure },
-	"service": func(v *invariants.Verdict) float64 { return v.Service },
-	"whole":   func(v *invariants.Verdict) float64 { return v.Whole },
-	"window":  func(v *invariants.Verdict) float64 { return v.Window },
-	"net":     func(v *invariants.Verdict) float64 { return v.Service - v.Costs },
-	"falls":   func(v *invariants.Verdict) float64 { return float64(v.Counts.Falls) },
-	"refused": func(v *invariants.Verdict) float64 { return float64(v.Counts.Full) },
+	"figure":  func(v *invariants.Verdict) float64 { return v.Score },
+	"service": func(v *invariants.Verdict) float64 { return v.ServiceScore },
+	"whole":   func(v *invariants.Verdict) float64 { return v.Overall },
+	"window":  func(v *invariants.Verdict) float64 { return v.WorstWindow },
+	"net":     func(v *invariants.Verdict) float64 { return v.ServiceScore - v.Costs },
+	"falls":   func(v *invariants.Verdict) float64 { return float64(v.Counts.RouteOverloads) },
+	"refused": func(v *invariants.Verdict) float64 { return float64(v.Counts.Throttled) },
 	"failed": func(v *invariants.Verdict) float64 {
 		n := v.Counts
 		return float64(n.Failures + n.TimedOut + n.Unreachable + n.Broken)
@@ -33,12 +33,12 @@
 
 // stretch is a figure of a part of the day.
 func stretch(figure string, from, to float64) (func(*invariants.Verdict) float64, bool) {
-	pick := map[string]func(invariants.Within) float64{
-		"whole":   func(w invariants.Within) float64 { return w.Priority },
-		"failed":  func(w invariants.Within) float64 { return w.Fails },
-		"refused": func(w invariants.Within) float64 { return w.Refused },
+	pick := map[string]func(invariants.IntervalTotals) float64{
+		"whole":   func(w invariants.IntervalTotals) float64 { return w.ValueShare },
+		"failed":  func(w invariants.IntervalTotals) float64 { return w.Failed },
+		"refused": func(w invariants.IntervalTotals) float64 { return w.Throttled },
 	}[figure]
-	return func(v *invariants.Verdict) float64 { return pick(v.Series.Between(from, to)) }, pick != nil
+	return func(v *invariants.Verdict) float64 { return pick(v.Series.Interval(from, to)) }, pick != nil
 }
 
 // figurePicker returns what reads a figure of a verdict: of the whole day, or of a stretch of it, in seconds.
--- a/cmd/pineport-testbed/demo.go
+++ b/cmd/pineport-testbed/demo.go
@@ -32,16 +32,16 @@
 			say := func(format string, args ...any) { fmt.Fprintf(cmd.OutOrStdout(), format, args...) }
 			say("%s\n\n", d.About)
 			say("%d couriers, %d destinations, about %.0f records a second for %.0f s, all on loopback.\n", d.Fleet.Couriers,
-				len(w.Destinations), d.Traffic.FullPerSec*w.Load, d.Length)
+				len(w.Destinations), d.Traffic.FullLoadPerSec*w.Load, d.Length)
 			for i, dst := range w.Destinations {
 				say("  destination %d: %s, %d endpoints, takes %.1f calls a second, answers in %.0f ms\n", i, dst.KindName,
-					len(dst.Endpoints), dst.Limit.PerSec, float64(dst.Answer)/1000)
+					len(dst.Endpoints), dst.Limit.PerSec, float64(dst.ServiceTime)/1000)
 			}
 			say("\nWhat will go wrong:\n")
 			report.Timeline(cmd.OutOrStdout(), w, 10)
 			say("\nPlaying ...\n")
 			var mu sync.Mutex
-			v, cost, err := realtime.Play(cmd.Context(), w, realtime.Options{Binary: binary, Watch: func(at dispatch.Micros, a scenario.Act) {
+			v, cost, err := realtime.Play(cmd.Context(), w, realtime.Options{Binary: binary, Watch: func(at dispatch.Micros, a scenario.Event) {
 				mu.Lock()
 				defer mu.Unlock()
 				say("  %5.1f s  %s\n", float64(at)/1e6, report.Event(w, a))
@@ -53,7 +53,7 @@
 			report.Account(cmd.OutOrStdout(), w, v)
 			say("\n")
 			report.Answers(cmd.OutOrStdout(), v)
-			say("Payoff: %.0f %% of what was asked; judgement: %s. The couriers took %.2f s of processor time.\n", 100*v.Whole, v.Short(),
+			say("Payoff: %.0f %% of what was asked; judgement: %s. The couriers took %.2f s of processor time.\n", 100*v.Overall, v.Short(),
 				cost.CourierCPU)
 			if out != "" {
 				files, err := report.Day(out, w, v)
@@ -62,7 +62,7 @@
 				}
 				say("Charts in %s: %v\n", out, files)
 			}
-			if !v.OK() || v.Invalid != "" {
+			if !v.OK() || v.InvalidReason != "" {
 				return errBroken
 			}
 			return nil
--- a/cmd/pineport-testbed/fleet.go
+++ b/cmd/pineport-testbed/fleet.go
@@ -44,7 +44,7 @@
 		Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if f.list || len(args) == 0 {
-				for _, name := range fleet.Days() {
+				for _, name := range fleet.PlanNames() {
 					p, err := fleet.Find(name)
 					if err != nil {
 						return err
@@ -83,7 +83,7 @@
 		return err
 	}
 	defer clean()
-	o := fleet.Options{Binary: binary, Dir: f.dir, Seed: f.seed, Peers: !f.alone, Share: f.share && !f.alone, Pace: f.pace}
+	o := fleet.Options{Binary: binary, Dir: f.dir, Seed: f.seed, Membership: !f.alone, Share: f.share && !f.alone, ProbeInterval: f.pace}
 	if f.trace != "" {
 		file, err := os.Create(f.trace)
 		if err != nil {
@@ -107,11 +107,11 @@
 		if err := os.WriteFile(filepath.Join(f.out, "fleet.json"), text, 0o644); err != nil {
 			return err
 		}
-		if _, err := report.Day(f.out, res.Drawn, res.Verdict); err != nil {
+		if _, err := report.Day(f.out, res.Instance, res.Verdict); err != nil {
 			return err
 		}
-		if len(res.Parts) > 0 {
-			if _, err := report.Parts(f.out, res.Parts); err != nil {
+		if len(res.LeaseHistory) > 0 {
+			if _, err := report.Parts(f.out, res.LeaseHistory); err != nil {
 				return err
 			}
 		}
@@ -121,7 +121,7 @@
 	} else {
 		printFleet(cmd.OutOrStdout(), name, res)
 	}
-	if !res.Verdict.OK() || res.Verdict.Invalid != "" || len(res.Idle) > 0 || len(res.Overspent) > 0 || o.Peers && (!res.Whole || res.Fewer > 0) {
+	if !res.Verdict.OK() || res.Verdict.InvalidReason != "" || len(res.FaultsWithoutEffect) > 0 || len(res.LeaseBreaches) > 0 || o.Membership && (!res.Converged || res.UnderestimatePolls > 0) {
 		return errBroken
 	}
 	return nil
@@ -132,7 +132,7 @@
 	v := res.Verdict
 	fmt.Fprintf(w, "day\t%s, %d couriers\n", name, res.Couriers)
 	fmt.Fprintf(w, "judgement\t%s\n", v.Short())
-	fmt.Fprintf(w, "figure\t%.3f; offered %d, done %d, bounced %d, terminated %d, lost %d\n", v.Figure, v.Counts.Offered, v.Counts.Done, v.Counts.Rejected,
+	fmt.Fprintf(w, "figure\t%.3f; offered %d, done %d, bounced %d, terminated %d, lost %d\n", v.Score, v.Counts.Offered, v.Counts.Delivered, v.Counts.Rejected,
 		v.Counts.Failed, v.Counts.Lost)
 	spans := func(what string, all []float64) {
 		if len(all) > 0 {
@@ -141,25 +141,25 @@
 				stat.Quantile(0.99, stat.Empirical, all, nil), all[len(all)-1], len(all))
 		}
 	}
-	spans("a death known after", res.Deaths)
-	spans("a return known after", res.Returns)
-	for _, k := range slices.Sorted(maps.Keys(res.False)) {
-		fmt.Fprintf(w, "deaths believed that were none, %s\t%d (%.1f a process-hour)\n", k, res.False[k], float64(res.False[k])/res.Hours)
+	spans("a death known after", res.FailureDetections)
+	spans("a return known after", res.ReturnDetections)
+	for _, k := range slices.Sorted(maps.Keys(res.FalseFailures)) {
+		fmt.Fprintf(w, "deaths believed that were none, %s\t%d (%.1f a process-hour)\n", k, res.FalseFailures[k], float64(res.FalseFailures[k])/res.CourierHours)
 	}
-	fmt.Fprintf(w, "counted fewer than there are\t%d looks\n", res.Fewer)
-	fmt.Fprintf(w, "whole at the end\t%v, %.1f s after the last fault\n", res.Whole, res.Healed)
-	fmt.Fprintf(w, "each courier\t%.1f packets/s, %.0f bytes/s; largest %.1f MB\n", res.Messages, res.Bytes, float64(res.Cost.MaxRSS)/1024)
-	fmt.Fprintf(w, "trips\t%d, refused %d; %.3f refused for each done\n", v.Counts.Attempts, v.Counts.Full, float64(v.Counts.Full)/float64(max(1, v.Counts.Done)))
-	if res.Packets > 0 {
-		fmt.Fprintf(w, "shared\t%d loans seen, at most %.2f of a part; %.1f packets/s, %.0f bytes/s each\n", res.Leases, res.Widest, res.Packets, res.ShareBytes)
+	fmt.Fprintf(w, "counted fewer than there are\t%d looks\n", res.UnderestimatePolls)
+	fmt.Fprintf(w, "whole at the end\t%v, %.1f s after the last fault\n", res.Converged, res.ConvergenceTime)
+	fmt.Fprintf(w, "each courier\t%.1f packets/s, %.0f bytes/s; largest %.1f MB\n", res.GossipPacketsPerSec, res.GossipBytesPerSec, float64(res.Cost.MaxRSS)/1024)
+	fmt.Fprintf(w, "trips\t%d, refused %d; %.3f refused for each done\n", v.Counts.Attempts, v.Counts.Throttled, float64(v.Counts.Throttled)/float64(max(1, v.Counts.Delivered)))
+	if res.QuotaPacketsPerSec > 0 {
+		fmt.Fprintf(w, "shared\t%d loans seen, at most %.2f of a part; %.1f packets/s, %.0f bytes/s each\n", res.LeaseCount, res.LargestLeasedShare, res.QuotaPacketsPerSec, res.QuotaBytesPerSec)
 	}
-	for _, b := range res.Overspent {
+	for _, b := range res.LeaseBreaches {
 		fmt.Fprintf(w, "overspent\t%s\n", b)
 	}
-	for _, k := range slices.Sorted(maps.Keys(res.Struck)) {
-		fmt.Fprintf(w, "struck: %s\t%d\n", k, res.Struck[k])
+	for _, k := range slices.Sorted(maps.Keys(res.FaultCounts)) {
+		fmt.Fprintf(w, "struck: %s\t%d\n", k, res.FaultCounts[k])
 	}
-	for _, idle := range res.Idle {
+	for _, idle := range res.FaultsWithoutEffect {
 		fmt.Fprintf(w, "does not count\t%s\n", idle)
 	}
 	w.Flush()
--- a/cmd/pineport-testbed/play.go
+++ b/cmd/pineport-testbed/play.go
@@ -117,14 +117,14 @@
 	} else {
 		printCell(cmd.OutOrStdout(), cell)
 	}
-	if !cell.Verdict.OK() || cell.Verdict.Invalid != "" {
+	if !cell.Verdict.OK() || cell.Verdict.InvalidReason != "" {
 		return errBroken
 	}
 	return nil
 }
 
 // playLive plays on sockets.
-func playLive(cmd *cobra.Command, d *scenario.Day, seed int64, f playFlags) (experiment.Cell, error) {
+func playLive(cmd *cobra.Command, d *scenario.Definition, seed int64, f playFlags) (experiment.Cell, error) {
 	binary, clean, err := courierBinary(f.courier)
 	if err != nil {
 		return experiment.Cell{}, err
@@ -176,19 +176,19 @@
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintf(w, "day\t%s, seed %d, %s\n", c.Day, c.Seed, c.Variant)
 	fmt.Fprintf(w, "judgement\t%s\n", v.Short())
-	fmt.Fprintf(w, "figure\t%.3f (service %.3f less costs %.3f)\n", v.Figure, v.Service, v.Costs)
-	fmt.Fprintf(w, "payoff\twhole day %.3f, worst 10 s %.3f (from %.0f s)\n", v.Whole, v.Window, v.WindowAt)
+	fmt.Fprintf(w, "figure\t%.3f (service %.3f less costs %.3f)\n", v.Score, v.ServiceScore, v.Costs)
+	fmt.Fprintf(w, "payoff\twhole day %.3f, worst 10 s %.3f (from %.0f s)\n", v.Overall, v.WorstWindow, v.WorstWindowAt)
 	for _, l := range v.Latency {
 		fmt.Fprintf(w, "workload %s\tpayoff %.3f; done %d; 50 %% within %.2f s, 90 %% %.2f s, 99 %% %.2f s, longest %.2f s\n",
-			l.Class, v.Class[l.Class], l.Count, l.P50, l.P90, l.P99, l.Max)
+			l.Class, v.ClassShares[l.Class], l.Count, l.P50, l.P90, l.P99, l.Max)
 	}
-	fmt.Fprintf(w, "records\toffered %d, taken %d, done %d, bounced %d, terminated %d, lost %d\n", n.Offered, n.Taken, n.Done,
+	fmt.Fprintf(w, "records\toffered %d, taken %d, done %d, bounced %d, terminated %d, lost %d\n", n.Offered, n.Accepted, n.Delivered,
 		n.Rejected, n.Failed, n.Lost)
 	fmt.Fprintf(w, "trips\t%d: full %d, failures %d, timed out %d, unreachable %d, broken %d, withdrawn %d, void %d\n", n.Attempts,
-		n.Full, n.Failures, n.TimedOut, n.Unreachable, n.Broken, n.Withdrawn, n.Unprocessed)
+		n.Throttled, n.Failures, n.TimedOut, n.Unreachable, n.Broken, n.Canceled, n.Unprocessed)
 	fmt.Fprintf(w, "connections\t%d opened\n", n.Handshakes)
-	if n.Falls > 0 {
-		fmt.Fprintf(w, "returns\t%d pushed over, by couriers that knew of the outage or did not\n", n.Falls)
+	if n.RouteOverloads > 0 {
+		fmt.Fprintf(w, "returns\t%d pushed over, by couriers that knew of the outage or did not\n", n.RouteOverloads)
 	}
 	if c.Stats.Turns > 0 {
 		fmt.Fprintf(w, "cost\t%d events, %d turns, %.2f s\n", c.Stats.Events, c.Stats.Turns, c.Wall)
--- a/cmd/pineport-testbed/scale.go
+++ b/cmd/pineport-testbed/scale.go
@@ -99,7 +99,7 @@
 
 // courierOf finds the courier's binary where a run plays real couriers.
 func courierOf(experiments []scale.Experiment, f scaleFlags) (path string, clean func(), err error) {
-	playsReal := slices.ContainsFunc(experiments, func(experiment scale.Experiment) bool { return experiment.Real })
+	playsReal := slices.ContainsFunc(experiments, func(experiment scale.Experiment) bool { return experiment.UsesRealCouriers })
 	if f.quick || !playsReal {
 		return "", func() {}, nil
 	}
--- a/cmd/pineport-testbed/serve.go
+++ b/cmd/pineport-testbed/serve.go
@@ -40,13 +40,13 @@
 				return err
 			}
 			defer o.Close()
-			o.Guests = true
+			o.AllowUnknownMessages = true
 			if err := os.MkdirAll(filepath.Join(dir, "state"), 0o755); err != nil {
 				return err
 			}
 			for i := range d.Fleet.Couriers {
 				text, err := json.MarshalIndent(map[string]any{"name": fmt.Sprintf("n%d", i), "listen": fmt.Sprintf("%s:%d", listen, 7379+i),
-					"discovery": o.Discovery(i), "seed": strconv.FormatInt(seed+int64(i), 16), "known": o.Known(i), "settings": w.Settings(i),
+					"discovery": o.DirectoryAddress(i), "seed": strconv.FormatInt(seed+int64(i), 16), "known": o.InitialList(i), "settings": w.Settings(i),
 					"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024, "disk_mb": 3}}, "", "  ")
 				if err != nil {
 					return err
@@ -58,8 +58,8 @@
 				fmt.Fprintf(cmd.OutOrStdout(), "courier %d: RELAY_CONFIG=%s\n", i, path)
 			}
 			report.Timeline(cmd.OutOrStdout(), w, 20)
-			books := invariants.New(invariants.ForDay(w))
-			o.Begin(books, func(scenario.Act) {})
+			books := invariants.New(invariants.SetupFor(w))
+			o.Start(books, func(scenario.Event) {})
 			<-cmd.Context().Done()
 			return nil
 		},
--- a/cmd/pineport-testbed/soak.go
+++ b/cmd/pineport-testbed/soak.go
@@ -115,17 +115,17 @@
 	struck, notStruck, broken, accepted := map[string]int{}, map[string]int{}, 0, 0
 	for _, r := range results {
 		accepted += r.Accepted
-		for what, n := range r.Struck {
+		for what, n := range r.FaultCounts {
 			struck[what] += n
 		}
-		for _, what := range r.NotStruck {
+		for _, what := range r.FaultsWithoutEffect {
 			notStruck[what]++
 		}
 		if len(r.Breaches) == 0 {
 			continue
 		}
 		broken++
-		fmt.Fprintf(out, "seed %d: %s\n  again: pineport-testbed soak --seeds 1 --from %d --seconds %g\n", r.Seed, r.Folder, r.Seed, f.seconds)
+		fmt.Fprintf(out, "seed %d: %s\n  again: pineport-testbed soak --seeds 1 --from %d --seconds %g\n", r.Seed, r.Dir, r.Seed, f.seconds)
 		for _, breach := range r.Breaches {
 			fmt.Fprintf(out, "  %s\n", breach)
 		}
--- a/cmd/pineport/clock_test.go
+++ b/cmd/pineport/clock_test.go
@@ -62,11 +62,11 @@
 func runWallStep(t *testing.T, step string, withHandoff bool) {
 	const shortMs = 3000
 	var available atomic.Bool // until set, the endpoint throttles every call
-	world, err := scripted.Open(1, func(id string) scripted.Fate {
+	world, err := scripted.Open(1, func(id string) scripted.Response {
 		if available.Load() && strings.HasPrefix(id, "keep") {
-			return scripted.Fate{Status: 200}
+			return scripted.Response{Status: 200}
 		}
-		return scripted.Fate{Status: 429, WaitMs: 1000} // no call is in flight when the process is killed
+		return scripted.Response{Status: 429, BackoffMs: 1000} // no call is in flight when the process is killed
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -102,9 +102,9 @@
 	for _, class := range []string{"update", "order"} {
 		for n := range 3 {
 			keep, short := fmt.Sprintf("keep-%s-%d", class, n), fmt.Sprintf("short-%s-%d", class, n)
-			waitFor(t, keep+" is delivered", 7*time.Second, func() bool { _, done, _ := world.Seen(keep); return done == 1 })
+			waitFor(t, keep+" is delivered", 7*time.Second, func() bool { _, done, _ := world.MessageCalls(keep); return done == 1 })
 			waitFor(t, short+" ends with a notice", time.Until(began.Add(shortMs*time.Millisecond+1800*time.Millisecond)), func() bool {
-				_, _, notices := world.Seen(short)
+				_, _, notices := world.MessageCalls(short)
 				return len(notices) > 0
 			})
 		}
--- a/cmd/pineport/crowd_test.go
+++ b/cmd/pineport/crowd_test.go
@@ -98,7 +98,7 @@
 		downtime     = 5 * time.Second
 		pollDeadline = 6 * time.Second // the time within which a courier must apply a change
 	)
-	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
+	world, err := scripted.Open(1, func(string) scripted.Response { return scripted.Response{Status: 200} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -157,5 +157,5 @@
 		got := c.send(strings.Replace(encodeEnqueue("next", "update", 8000), "dest=1", "dest=2", 1))
 		return got[0] == "+OK"
 	})
-	waitFor(t, "next", 5*time.Second, func() bool { _, done, _ := world.Seen("next"); return done == 1 })
+	waitFor(t, "next", 5*time.Second, func() bool { _, done, _ := world.MessageCalls("next"); return done == 1 })
 }
--- a/cmd/pineport/drain_test.go
+++ b/cmd/pineport/drain_test.go
@@ -38,38 +38,38 @@
 )
 
 // pollFaults are the faults of successive polls, starting with the watch that is open when the drain happens. Later polls succeed.
-type pollFaults []faultproxy.Treatment
+type pollFaults []faultproxy.FaultSpec
 
 func withFaults(faults ...faultproxy.Fault) (treatments pollFaults) {
 	for _, fault := range faults {
-		treatments = append(treatments, faultproxy.Treatment{Fault: fault, Delay: 2 * time.Second})
+		treatments = append(treatments, faultproxy.FaultSpec{Fault: fault, Delay: 2 * time.Second})
 	}
 	return treatments
 }
 
-func replaceInAnswer(old, with string) faultproxy.Treatment {
-	return faultproxy.Treatment{Fault: faultproxy.Spoilt, Edit: func(body []byte) []byte {
+func replaceInAnswer(old, with string) faultproxy.FaultSpec {
+	return faultproxy.FaultSpec{Fault: faultproxy.Corrupted, Edit: func(body []byte) []byte {
 		return bytes.Replace(body, []byte(old), []byte(with), 1)
 	}}
 }
 
-var silentFirst = func(rest ...faultproxy.Treatment) pollFaults {
-	return append(withFaults(faultproxy.Silent), rest...)
+var silentFirst = func(rest ...faultproxy.FaultSpec) pollFaults {
+	return append(withFaults(faultproxy.NoResponse), rest...)
 }
 
 // lateDrainCases lists ways in which the courier learns of a drain late: the fault of the watch that is open when the drain happens, and the
 // faults of the polls after it.
 var lateDrainCases = map[string]pollFaults{
-	"silent":                               withFaults(faultproxy.Silent),
-	"silent, unavailable":                  withFaults(faultproxy.Silent, faultproxy.Unavailable),
-	"silent, unavailable three times":      withFaults(faultproxy.Silent, faultproxy.Unavailable, faultproxy.Unavailable, faultproxy.Unavailable),
-	"silent, reset":                        withFaults(faultproxy.Silent, faultproxy.Reset),
-	"silent, cut, unavailable":             withFaults(faultproxy.Silent, faultproxy.Cut, faultproxy.Unavailable),
-	"silent, silent":                       withFaults(faultproxy.Silent, faultproxy.Silent),
-	"silent, late":                         withFaults(faultproxy.Silent, faultproxy.Late),
-	"silent, stuck, reset":                 withFaults(faultproxy.Silent, faultproxy.Stuck, faultproxy.Reset),
-	"silent, endless":                      withFaults(faultproxy.Silent, faultproxy.Endless),
-	"silent, trickle":                      withFaults(faultproxy.Silent, faultproxy.Trickle),
+	"silent":                               withFaults(faultproxy.NoResponse),
+	"silent, unavailable":                  withFaults(faultproxy.NoResponse, faultproxy.Unavailable),
+	"silent, unavailable three times":      withFaults(faultproxy.NoResponse, faultproxy.Unavailable, faultproxy.Unavailable, faultproxy.Unavailable),
+	"silent, reset":                        withFaults(faultproxy.NoResponse, faultproxy.Reset),
+	"silent, cut, unavailable":             withFaults(faultproxy.NoResponse, faultproxy.Truncated, faultproxy.Unavailable),
+	"silent, silent":                       withFaults(faultproxy.NoResponse, faultproxy.NoResponse),
+	"silent, late":                         withFaults(faultproxy.NoResponse, faultproxy.Delayed),
+	"silent, stuck, reset":                 withFaults(faultproxy.NoResponse, faultproxy.Stalled, faultproxy.Reset),
+	"silent, endless":                      withFaults(faultproxy.NoResponse, faultproxy.EndlessHeader),
+	"silent, trickle":                      withFaults(faultproxy.NoResponse, faultproxy.SlowResponse),
 	"silent, not JSON":                     silentFirst(replaceInAnswer("{", "[")),
 	"silent, unknown health":               silentFirst(replaceInAnswer(`"terminating"`, `"terminatinh"`)),
 	"unknown health":                       {replaceInAnswer(`"terminating"`, `"terminatinh"`)},
@@ -102,20 +102,20 @@
 }
 
 func runDrainCase(t *testing.T, faults pollFaults) {
-	world, err := scripted.Open(2, func(string) scripted.Fate { return scripted.Fate{Status: 200, After: callDuration} })
+	world, err := scripted.Open(2, func(string) scripted.Response { return scripted.Response{Status: 200, Delay: callDuration} })
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(world.Close)
 	var next atomic.Int64
-	proxy, err := faultproxy.Open(world.Discovery, func(call faultproxy.Call) faultproxy.Treatment {
+	proxy, err := faultproxy.Open(world.Discovery, func(call faultproxy.Call) faultproxy.FaultSpec {
 		if !call.IsPoll() {
-			return faultproxy.Treatment{}
+			return faultproxy.FaultSpec{}
 		}
 		if n := int(next.Add(1)) - 1; n < len(faults) {
 			return faults[n]
 		}
-		return faultproxy.Treatment{}
+		return faultproxy.FaultSpec{}
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/pineport/final_answer_test.go
+++ b/cmd/pineport/final_answer_test.go
@@ -91,7 +91,7 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 	})
-	world.Lists = func(int) string { return "{]" } // replaces the endpoint list in discovery's answers with unusable text
+	world.ListOverride = func(int) string { return "{]" } // replaces the endpoint list in discovery's answers with unusable text
 	c := newCourier(t, world)
 	c.start()
 
@@ -129,7 +129,7 @@
 	delivered, notified, rejected := 0, 0, 0
 	for _, all := range replies {
 		for id, reply := range all {
-			_, done, notices := world.Seen(id)
+			_, done, notices := world.MessageCalls(id)
 			if _, ok := statusLineSent.Load(id); ok {
 				done++
 			}
--- a/cmd/pineport/fleet.go
+++ b/cmd/pineport/fleet.go
@@ -40,7 +40,7 @@
 			return nil
 		}
 		go m.HandOff() // at once, because the successor needs the address
-		return &handoff.Membership{Incarnation: m.Incarnation(), Members: m.Members()}
+		return &handoff.Membership{Incarnation: m.Incarnation(), Members: m.MemberAddresses()}
 	})
 	go func() {
 		m, quotas, err := p.openMembership(ctx, srv, inherited, log)
@@ -77,13 +77,13 @@
 func (p *process) openMembership(ctx context.Context, srv *server.Server, inherited *handoff.State, log *slog.Logger) (*gossip.Member, *exchange.Exchange, error) {
 	dep := p.dep
 	o := gossip.Options{Name: dep.Name, FleetSize: dep.Dispatch.Couriers, Fleet: dep.Peers.Fleet, Listen: dep.Peers.Listen,
-		Advertise: dep.Peers.Advertise, Join: dep.Peers.Join, Key: dep.Peers.Key, Interval: dep.Peers.ProbeInterval, Seed: dep.Dispatch.Seed, Log: log, SizeEstimated: srv.FleetSizeEstimated,
+		Advertise: dep.Peers.Advertise, Join: dep.Peers.Join, Key: dep.Peers.Key, Interval: dep.Peers.ProbeInterval, Seed: dep.Dispatch.Seed, Log: log, SizeEstimated: srv.SetFleetSize,
 		StoreIncarnation: func(value uint64) error { return incarnation.Store(dep.StateDir, dep.Name, value) }}
 	if zone := int(dep.Dispatch.Zone); zone < len(dep.Zones) {
 		o.Zone = dep.Zones[zone]
 	}
 	var err error
-	if o.Through, err = gossip.Pairs(dep.Peers.AddressOverrides); err != nil {
+	if o.DialAddresses, err = gossip.ParseDialAddresses(dep.Peers.AddressOverrides); err != nil {
 		return nil, nil, err
 	}
 	if inherited != nil && inherited.Membership != nil { // continue as the same member
@@ -91,7 +91,7 @@
 	} else {
 		var readErr error
 		if o.Incarnation, readErr, err = incarnation.Next(dep.StateDir, dep.Name); readErr != nil {
-			log.Warn("last incarnation cannot be read; incarnations start again at 1", "file", incarnation.Name, "error", readErr)
+			log.Warn("last incarnation cannot be read; incarnations start again at 1", "file", incarnation.FileName, "error", readErr)
 		}
 		if err != nil {
 			return nil, nil, err // no membership: an incarnation that is not stored might be used again
--- a/cmd/pineport/folder_test.go
+++ b/cmd/pineport/folder_test.go
@@ -48,7 +48,7 @@
 
 func runStateDirFault(t *testing.T, effect syscallfault.Effect, killed bool) {
 	const faultDuration = 3 * time.Second
-	world, err := scripted.Open(2, func(string) scripted.Fate { return scripted.Fate{Status: 200, After: 30 * time.Millisecond} })
+	world, err := scripted.Open(2, func(string) scripted.Response { return scripted.Response{Status: 200, Delay: 30 * time.Millisecond} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,7 +76,7 @@
 	faultEnd.Store(time.Now().Add(faultDuration).UnixNano())
 	submit(&during, 10, faultDuration)
 	time.Sleep(300 * time.Millisecond)
-	if injected := child.Struck(); len(injected) == 0 {
+	if injected := child.EffectCounts(); len(injected) == 0 {
 		t.Error("no system call failed")
 	}
 	finished := append(before.delivered(world), during.delivered(world)...)
@@ -92,13 +92,13 @@
 		t.Errorf("no message was rejected while the state directory failed: %d accepted", len(during.accepted))
 	}
 	for _, id := range during.rejected {
-		if began, _, _ := world.Seen(id); began > 0 {
+		if began, _, _ := world.MessageCalls(id); began > 0 {
 			t.Errorf("%s was rejected but sent", id)
 		}
 	}
 	// Incident: outcomes that could not be written during the fault were never written later, and delivered messages were sent again after a kill.
 	for _, id := range finished {
-		if began, _, _ := world.Seen(id); began > 1 {
+		if began, _, _ := world.MessageCalls(id); began > 1 {
 			t.Errorf("%s was sent again after its delivery", id)
 		}
 	}
@@ -117,7 +117,7 @@
 // succeed and every accepted message must end; at-most-once messages may be sent only once.
 func TestKillDuringWrite(t *testing.T) {
 	const rounds = 12
-	world, err := scripted.Open(2, func(string) scripted.Fate { return scripted.Fate{Status: 200, After: 30 * time.Millisecond} })
+	world, err := scripted.Open(2, func(string) scripted.Response { return scripted.Response{Status: 200, Delay: 30 * time.Millisecond} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -132,7 +132,7 @@
 			if !c.changesStateDir(call) || writes.Add(1) != killAtWrite {
 				return syscallfault.Effect{}
 			}
-			return syscallfault.Effect{Limit: limit, Kill: true}
+			return syscallfault.Effect{Limit: limit, KillChild: true}
 		})
 		var stopped atomic.Bool
 		var clients sync.WaitGroup
@@ -158,7 +158,7 @@
 	for _, errno := range []syscall.Errno{syscall.ENOSPC, syscall.EIO} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
-			world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
+			world, err := scripted.Open(1, func(string) scripted.Response { return scripted.Response{Status: 200} })
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -172,13 +172,13 @@
 				return syscallfault.Effect{Errno: errno}
 			})
 			waitFor(t, "PONG", faultDuration+3*time.Second, func() bool { return c.answersPing() })
-			if len(child.Struck()) == 0 {
+			if len(child.EffectCounts()) == 0 {
 				t.Error("no system call failed")
 			}
 			if got := c.send(encodeEnqueue("one", "order", 4000)); got[0] != "+OK" {
 				t.Fatal(got)
 			}
-			waitFor(t, "the delivery", 3*time.Second, func() bool { _, done, _ := world.Seen("one"); return done == 1 })
+			waitFor(t, "the delivery", 3*time.Second, func() bool { _, done, _ := world.MessageCalls("one"); return done == 1 })
 		})
 	}
 }
--- a/cmd/pineport/golden_test.go
+++ b/cmd/pineport/golden_test.go
@@ -33,10 +33,10 @@
 // TestCommandOutputMatchesGolden compares the output of commands for scripts with golden files. The spool and the snapshot are data that an
 // earlier version stored.
 func TestCommandOutputMatchesGolden(t *testing.T) {
-	golden.Tagged(t, membersReport{})
-	golden.Tagged(t, exchange.Status{})
-	golden.Tagged(t, config.KeyChange{})
-	golden.Tagged(t, config.Value{})
+	golden.CheckTags(t, membersReport{})
+	golden.CheckTags(t, exchange.Status{})
+	golden.CheckTags(t, config.KeyChange{})
+	golden.CheckTags(t, config.Value{})
 	t.Setenv("RELAY_CONFIG", "")
 	dir := t.TempDir()
 	copyGolden(t, "../../spool/testdata/segment.golden", dir, "0000000001.seg")
--- a/cmd/pineport/learned_test.go
+++ b/cmd/pineport/learned_test.go
@@ -17,7 +17,7 @@
 // and send only trials: 3 calls at most, where the first round needs 6 or more to detect it. After a
 // graceful shutdown the snapshot must contain the outage. A malformed snapshot must not prevent the start.
 func TestLearnedStateAfterRestart(t *testing.T) {
-	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 0} })
+	world, err := scripted.Open(1, func(string) scripted.Response { return scripted.Response{Status: 0} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,8 +32,8 @@
 		c.send(commands...)
 		for i := range 12 {
 			id := fmt.Sprintf("%s-%d", round, i)
-			waitFor(t, id, 6*time.Second, func() bool { _, _, notices := world.Seen(id); return len(notices) > 0 })
-			began, _, _ := world.Seen(id)
+			waitFor(t, id, 6*time.Second, func() bool { _, _, notices := world.MessageCalls(id); return len(notices) > 0 })
+			began, _, _ := world.MessageCalls(id)
 			calls += began
 		}
 		return calls
--- a/cmd/pineport/main_test.go
+++ b/cmd/pineport/main_test.go
@@ -69,7 +69,7 @@
 	if err := os.Mkdir(filepath.Join(dir, "state"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(filepath.Join(dir, "config.json"), world.Configuration("n0", c.listen), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, "config.json"), world.CourierConfiguration("n0", c.listen), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
@@ -169,30 +169,30 @@
 
 // responsesByPrefix returns a function that chooses the endpoint's response by the first four letters of the message ID. For some
 // prefixes the first call gets another response than later calls.
-func responsesByPrefix() func(id string) scripted.Fate {
+func responsesByPrefix() func(id string) scripted.Response {
 	var mu sync.Mutex
 	calls := map[string]int{}
-	return func(id string) scripted.Fate { // status 0 closes the connection without an answer
+	return func(id string) scripted.Response { // status 0 closes the connection without an answer
 		mu.Lock()
 		defer mu.Unlock()
 		calls[id]++
 		switch id[:4] {
 		case "slow":
-			return scripted.Fate{Status: 200, After: 700 * time.Millisecond}
+			return scripted.Response{Status: 200, Delay: 700 * time.Millisecond}
 		case "full":
 			if calls[id] == 1 {
-				return scripted.Fate{Status: 429, WaitMs: 100}
+				return scripted.Response{Status: 429, BackoffMs: 100}
 			}
 		case "fail":
 			if calls[id] == 1 {
-				return scripted.Fate{Status: 500}
+				return scripted.Response{Status: 500}
 			}
 		case "brok":
 			if calls[id] == 1 {
-				return scripted.Fate{Status: 0}
+				return scripted.Response{Status: 0}
 			}
 		}
-		return scripted.Fate{Status: 200, After: 20 * time.Millisecond}
+		return scripted.Response{Status: 200, Delay: 20 * time.Millisecond}
 	}
 }
 
@@ -255,7 +255,7 @@
 	c.start()
 	for _, id := range ids {
 		waitFor(t, id, 25*time.Second, func() bool {
-			_, done, notices := world.Seen(id)
+			_, done, notices := world.MessageCalls(id)
 			return done > 0 || len(notices) > 0
 		})
 	}
@@ -263,7 +263,7 @@
 		t.Error("no messages were recovered after SIGKILL")
 	}
 	for _, id := range ids {
-		began, done, notices := world.Seen(id)
+		began, done, notices := world.MessageCalls(id)
 		if strings.Contains(id, "order") && began > 1 {
 			t.Errorf("%s is at-most-once and was sent %d times", id, began)
 		}
@@ -282,7 +282,7 @@
 // TestBadInput checks that invalid input gets an error reply, and that the connection stays open after invalid arguments and closes after a
 // protocol error.
 func TestBadInput(t *testing.T) {
-	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
+	world, err := scripted.Open(1, func(string) scripted.Response { return scripted.Response{Status: 200} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -305,26 +305,26 @@
 		got[1] != "+OK" {
 		t.Errorf("message for an unknown destination, and a repeated ID: got %v, want -ERR and +OK", got)
 	}
-	if began, _, _ := world.Seen("x"); began > 0 {
+	if began, _, _ := world.MessageCalls("x"); began > 0 {
 		t.Error("a rejected message was sent")
 	}
 	// The second submission of y is ignored as a duplicate, or is a new message if the first has already been delivered, as happens on a loaded
 	// machine.
-	waitFor(t, "y", 5*time.Second, func() bool { _, done, _ := world.Seen("y"); return done >= 1 })
+	waitFor(t, "y", 5*time.Second, func() bool { _, done, _ := world.MessageCalls("y"); return done >= 1 })
 }
 
 // TestReload reloads the configuration with SIGHUP. A file with an error changes nothing, and the key is logged. After a reload with
 // a new discovery address, the courier watches the endpoint list there and sends notices there, including unconfirmed ones, and keeps its
 // accepted messages. The test reloads twice in a row while messages are submitted.
 func TestReload(t *testing.T) {
-	world, err := scripted.Open(1, func(id string) scripted.Fate {
+	world, err := scripted.Open(1, func(id string) scripted.Response {
 		switch id[:4] {
 		case "slow":
-			return scripted.Fate{Status: 200, After: 900 * time.Millisecond}
+			return scripted.Response{Status: 200, Delay: 900 * time.Millisecond}
 		case "fail":
-			return scripted.Fate{Status: 500, After: 400 * time.Millisecond}
+			return scripted.Response{Status: 500, Delay: 400 * time.Millisecond}
 		}
-		return scripted.Fate{Status: 200}
+		return scripted.Response{Status: 200}
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -343,39 +343,39 @@
 		waitFor(t, logLine, 5*time.Second, func() bool { return strings.Count(c.logText(), logLine) > before })
 	}
 	reload([]byte(`{"name":"n0"}`), "listen: ")
-	reload([]byte(strings.ReplaceAll(string(world.Configuration("n0", c.listen)), world.Discovery, "nowhere")), "discovery: ")
+	reload([]byte(strings.ReplaceAll(string(world.CourierConfiguration("n0", c.listen)), world.Discovery, "nowhere")), "discovery: ")
 	for round := range 2 {
-		world.MuteNotices(100) // the old address does not confirm the next 100 notices
+		world.LeaveNoticesUnanswered(100) // the old address does not confirm the next 100 notices
 		var commands []string
 		for _, kind := range []string{"slow", "fail"} {
 			commands = append(commands, encodeEnqueue(fmt.Sprintf("%s-%d", kind, round), "order", 8000))
 		}
 		c.send(commands...)
 		time.Sleep(600 * time.Millisecond) // by now fail-N, which takes 400 ms, has failed, and its notice is unconfirmed
-		closeOld, err := world.Move()
+		closeOld, err := world.MoveDiscovery()
 		if err != nil {
 			t.Fatal(err)
 		}
-		world.MuteNotices(0)
-		if err := world.Grow(2 + round); err != nil {
+		world.LeaveNoticesUnanswered(0)
+		if err := world.AddEndpoint(2 + round); err != nil {
 			t.Fatal(err)
 		}
-		reload(world.Configuration("n0", c.listen), "configuration reloaded")
+		reload(world.CourierConfiguration("n0", c.listen), "configuration reloaded")
 		closeOld()
 		waitFor(t, "notice", 2*time.Second, func() bool {
-			_, _, notices := world.Seen(fmt.Sprintf("fail-%d", round))
+			_, _, notices := world.MessageCalls(fmt.Sprintf("fail-%d", round))
 			return len(notices) > 0
 		})
 		waitFor(t, "slow", 2*time.Second, func() bool {
-			_, done, _ := world.Seen(fmt.Sprintf("slow-%d", round))
+			_, done, _ := world.MessageCalls(fmt.Sprintf("slow-%d", round))
 			return done == 1
 		})
 		id := fmt.Sprintf("next-%d", round) // to a destination that only the endpoint list at the new address contains
 		c.send(strings.Replace(encodeEnqueue(id, "update", 8000), "dest=1", fmt.Sprint("dest=", 2+round), 1))
-		waitFor(t, id, 2*time.Second, func() bool { _, done, _ := world.Seen(id); return done == 1 })
+		waitFor(t, id, 2*time.Second, func() bool { _, done, _ := world.MessageCalls(id); return done == 1 })
 	}
 	for round := range 2 {
-		if began, _, _ := world.Seen(fmt.Sprintf("slow-%d", round)); began != 1 {
+		if began, _, _ := world.MessageCalls(fmt.Sprintf("slow-%d", round)); began != 1 {
 			t.Errorf("slow-%d: sent %d times, want 1", round, began)
 		}
 	}
@@ -390,7 +390,7 @@
 // TestHostileClients opens hundreds of connections at once that are silent or send truncated commands, endless lines or huge values.
 // Each must be closed within 3 s, normal clients must be served meanwhile, and no message of the hostile clients may be accepted.
 func TestHostileClients(t *testing.T) {
-	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
+	world, err := scripted.Open(1, func(string) scripted.Response { return scripted.Response{Status: 200} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -426,10 +426,10 @@
 	clients.Wait()
 	for i := range 20 {
 		id := fmt.Sprintf("usual-%d", i)
-		waitFor(t, id, 5*time.Second, func() bool { _, done, _ := world.Seen(id); return done == 1 })
+		waitFor(t, id, 5*time.Second, func() bool { _, done, _ := world.MessageCalls(id); return done == 1 })
 	}
 	for _, id := range []string{"half", "none"} {
-		if began, _, notices := world.Seen(id); began > 0 || len(notices) > 0 {
+		if began, _, notices := world.MessageCalls(id); began > 0 || len(notices) > 0 {
 			t.Errorf("%s was accepted", id)
 		}
 	}
@@ -446,7 +446,7 @@
 	c := newCourier(t, world)
 	c.start()
 	isDelivered := func(id string) func() bool {
-		return func() bool { _, done, _ := world.Seen(id); return done > 0 }
+		return func() bool { _, done, _ := world.MessageCalls(id); return done > 0 }
 	}
 	for i := range 40 { // the courier learns short answer times, so that its timeouts are little more than 2 s
 		id := fmt.Sprintf("okay-%d", i)
@@ -467,7 +467,7 @@
 	}
 	time.Sleep(time.Second)
 	for i := range 5 {
-		if began, done, notices := world.Seen(fmt.Sprintf("slow-%d", i)); began != 1 || done != 1 || len(notices) > 0 {
+		if began, done, notices := world.MessageCalls(fmt.Sprintf("slow-%d", i)); began != 1 || done != 1 || len(notices) > 0 {
 			t.Errorf("slow-%d: sent %d times, delivered %d times, notices %v", i, began, done, notices)
 		}
 	}
@@ -496,7 +496,7 @@
 	if got := c.send(encodeEnqueue("okay", "update", 20000)); got[0] != "+OK" {
 		t.Error(got)
 	}
-	waitFor(t, "okay", 5*time.Second, func() bool { _, done, _ := world.Seen("okay"); return done == 1 })
+	waitFor(t, "okay", 5*time.Second, func() bool { _, done, _ := world.MessageCalls("okay"); return done == 1 })
 	fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", c.cmd.Process.Pid))
 	if err != nil {
 		t.Skip("/proc is not available")
--- a/cmd/pineport/members_test.go
+++ b/cmd/pineport/members_test.go
@@ -84,7 +84,7 @@
 	if n, _, err := peer.ReadFrom(make([]byte, 100)); err == nil {
 		t.Errorf("%d bytes were sent to a member", n)
 	}
-	if _, err := os.Stat(filepath.Join(c.dir, "state", incarnation.Name)); err == nil {
+	if _, err := os.Stat(filepath.Join(c.dir, "state", incarnation.FileName)); err == nil {
 		t.Error("an incarnation was stored")
 	}
 	for _, path := range []string{"/peers", "/commons"} {
--- a/cmd/pineport/ops_test.go
+++ b/cmd/pineport/ops_test.go
@@ -107,11 +107,11 @@
 			continue
 		}
 		waitFor(t, id, 10*time.Second, func() bool {
-			_, done, notices := world.Seen(id)
+			_, done, notices := world.MessageCalls(id)
 			return done > 0 || len(notices) > 0
 		})
 		class := strings.Split(id, "-")[1]
-		switch _, done, notices := world.Seen(id); {
+		switch _, done, notices := world.MessageCalls(id); {
 		case done > 0:
 			want.Success[class]++
 		case notices[0] == "deferred": // throttled
@@ -137,7 +137,7 @@
 // TestMaintenance checks that an endpoint disabled by an operator gets no calls until it is enabled again, also after a reload and a kill.
 // Incidents: the process lost the setting on a restart; a request for an unknown endpoint was reported as successful.
 func TestMaintenance(t *testing.T) {
-	world, err := scripted.Open(2, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
+	world, err := scripted.Open(2, func(string) scripted.Response { return scripted.Response{Status: 200} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -153,7 +153,7 @@
 		}
 		c.send(commands...)
 		for i := n - 19; i <= n; i++ {
-			waitFor(t, "a message", 8*time.Second, func() bool { _, done, _ := world.Seen(fmt.Sprint("okay-", i)); return done > 0 })
+			waitFor(t, "a message", 8*time.Second, func() bool { _, done, _ := world.MessageCalls(fmt.Sprint("okay-", i)); return done > 0 })
 		}
 	}
 	submit()
@@ -195,7 +195,7 @@
 // TestDrainAndReactivate drains the clients and then accepts clients again. Incident: during a drain the courier kept connections open until the
 // clients closed them.
 func TestDrainAndReactivate(t *testing.T) {
-	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
+	world, err := scripted.Open(1, func(string) scripted.Response { return scripted.Response{Status: 200} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -229,7 +229,7 @@
 		if got := sendLine(""); got != "+OK" { // the reply to ENQUEUE, the second command of the previous call
 			t.Errorf("ENQUEUE on an open connection while clients are drained: got %s, want +OK", got)
 		}
-		waitFor(t, id, 5*time.Second, func() bool { _, done, _ := world.Seen(id); return done == 1 })
+		waitFor(t, id, 5*time.Second, func() bool { _, done, _ := world.MessageCalls(id); return done == 1 })
 		if got, err := in.ReadString('\n'); err != io.EOF {
 			t.Errorf("connection not closed between two requests: got %q, %v", got, err)
 		}
@@ -244,7 +244,7 @@
 // TestOpsUnderAFlood checks that admin requests are answered in time while clients send commands at full speed. The courier uses one core, the
 // default of limits.cores.
 func TestOpsUnderAFlood(t *testing.T) {
-	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
+	world, err := scripted.Open(1, func(string) scripted.Response { return scripted.Response{Status: 200} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -291,7 +291,7 @@
 
 // TestInvalidAdminAddress checks that a process with an admin address that is in use or invalid exits with an error that names the key.
 func TestInvalidAdminAddress(t *testing.T) {
-	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
+	world, err := scripted.Open(1, func(string) scripted.Response { return scripted.Response{Status: 200} })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/pineport/quota.go
+++ b/cmd/pineport/quota.go
@@ -47,12 +47,12 @@
 func showQuota(out io.Writer, status exchange.Status) error {
 	table := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintf(table, "%d requests, %d granted, %d leased, %d late or unknown; %d packets out (%d bytes), %d in, %d malformed, %d dropped\n\n", status.Counters.Requested, status.Counters.Granted,
-		status.Counters.Leased, status.Counters.Late, status.PacketsOut, status.BytesOut, status.PacketsIn, status.PacketsMalformed, status.PacketsDropped)
+		status.Counters.Leased, status.Counters.Rejected, status.PacketsOut, status.BytesOut, status.PacketsIn, status.PacketsMalformed, status.PacketsDropped)
 	fmt.Fprintln(table, "DESTINATION\tENDPOINT\tLIMIT/s\tSHARE %\tGRANTED %\tLEASED %\tOWN USE %\tALL USE %\tCOURIERS\tCALLS\tDELIVERED\tTHROTTLED")
 	percent := func(ppm int64) string { return fmt.Sprintf("%.1f", float64(ppm)/1e4) }
 	for _, group := range status.Groups {
 		fmt.Fprintf(table, "%d\t%s\t%.1f\t%s\t%s\t%s\t%s\t%.0f\t%d\t%d\t%d\t%d\n", group.Dest, cmp.Or(group.Endpoint, "-"), group.Limit, percent(int64(group.Base)),
-			percent(int64(group.Granted)), percent(int64(group.Leased)), percent(int64(group.Usage)), 100*group.Load, group.CouriersHeard, group.Calls, group.Delivered, group.Throttled)
+			percent(int64(group.Granted)), percent(int64(group.Leased)), percent(int64(group.Usage)), 100*group.Load, group.ReportingCouriers, group.Calls, group.Delivered, group.Throttled)
 	}
 	return table.Flush()
 }
--- a/cmd/pineport/ready_test.go
+++ b/cmd/pineport/ready_test.go
@@ -99,7 +99,7 @@
 		diskMB, body int
 	}{{"many small messages", 3, 20}, {"few large messages", 3, 60000}, {"ten times the disk limit", 30, 20}} {
 		t.Run(testCase.name, func(t *testing.T) {
-			world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 429, WaitMs: 60000} })
+			world, err := scripted.Open(1, func(string) scripted.Response { return scripted.Response{Status: 429, BackoffMs: 60000} })
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/cmd/pineport/reload_test.go
+++ b/cmd/pineport/reload_test.go
@@ -22,11 +22,11 @@
 // suspended, and a last one removes a class that has messages. Every message must end once, at-most-once messages must be sent once, and the
 // courier must continue.
 func TestSettingsUnderFire(t *testing.T) {
-	world, err := scripted.Open(1, func(id string) scripted.Fate {
+	world, err := scripted.Open(1, func(id string) scripted.Response {
 		if strings.HasPrefix(id, "full") {
-			return scripted.Fate{Status: 429, WaitMs: 1500}
+			return scripted.Response{Status: 429, BackoffMs: 1500}
 		}
-		return scripted.Fate{Status: 200, After: 300 * time.Millisecond}
+		return scripted.Response{Status: 200, Delay: 300 * time.Millisecond}
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -37,7 +37,7 @@
 	file := filepath.Join(c.dir, "config.json")
 	write := func(change func(settings, ceilings, family map[string]any)) {
 		var top map[string]any
-		if err := json.Unmarshal(world.Configuration("n0", c.listen), &top); err != nil {
+		if err := json.Unmarshal(world.CourierConfiguration("n0", c.listen), &top); err != nil {
 			t.Fatal(err)
 		}
 		s := top["settings"].(map[string]any)
@@ -70,14 +70,14 @@
 	for round := range 10 {
 		switch round {
 		case 3: // a truncated file
-			if err := os.WriteFile(file, bytes.TrimSpace(world.Configuration("n0", c.listen))[:300], 0o600); err != nil {
+			if err := os.WriteFile(file, bytes.TrimSpace(world.CourierConfiguration("n0", c.listen))[:300], 0o600); err != nil {
 				t.Fatal(err)
 			}
 		case 5:
 			c.cmd.Process.Signal(syscall.SIGSTOP)
 		case 6:
 			c.cmd.Process.Signal(syscall.SIGCONT)
-			closeOld, err := world.Move()
+			closeOld, err := world.MoveDiscovery()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -113,10 +113,10 @@
 		t.Error("messages of the remaining class were not accepted")
 	}
 	for _, id := range ids {
-		waitFor(t, id, 9*time.Second, func() bool { _, done, notices := world.Seen(id); return done+len(notices) > 0 })
+		waitFor(t, id, 9*time.Second, func() bool { _, done, notices := world.MessageCalls(id); return done+len(notices) > 0 })
 	}
 	for _, id := range ids {
-		began, done, notices := world.Seen(id)
+		began, done, notices := world.MessageCalls(id)
 		// A notice that was unconfirmed when discovery moved is sent again with the same content.
 		conflicting := len(notices) > 1 && notices[0] != notices[1]
 		if strings.Contains(id, "order") && began > 1 || conflicting || done > 0 && len(notices) > 0 {
@@ -131,14 +131,14 @@
 // TestHangupsBetweenEventLoops checks that SIGHUPs are not lost while no event loop receives configurations. After the last SIGHUP, the next event
 // loop must get the current content of the file.
 func TestHangupsBetweenEventLoops(t *testing.T) {
-	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
+	world, err := scripted.Open(1, func(string) scripted.Response { return scripted.Response{Status: 200} })
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(world.Close)
 	path := filepath.Join(t.TempDir(), "config.json")
 	writeConfig := func(name string) {
-		if err := os.WriteFile(path+".new", world.Configuration(name, "127.0.0.1:1"), 0o600); err != nil {
+		if err := os.WriteFile(path+".new", world.CourierConfiguration(name, "127.0.0.1:1"), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if err := os.Rename(path+".new", path); err != nil {
--- a/cmd/pineport/run.go
+++ b/cmd/pineport/run.go
@@ -76,7 +76,7 @@
 	}()
 	go proc.handleHangups(hangups)
 	for {
-		if err := proc.serve(); !errors.Is(err, server.ErrReclaim) {
+		if err := proc.serve(); !errors.Is(err, server.ErrSuccessorLost) {
 			return err
 		}
 	}
@@ -168,11 +168,11 @@
 	}
 	p.attach(srv, inherited)
 	if predecessor != nil {
-		srv.Predecessor(predecessor)
+		srv.ConnectPredecessor(predecessor)
 	}
 	defer p.startMembership(ctx, srv, inherited)()
-	srv.Successors(stateDir.Release)
-	if err := stateDir.Serve(srv.SuccessorArrived); err != nil {
+	srv.SetFolderRelease(stateDir.Release)
+	if err := stateDir.Serve(srv.SuccessorReady); err != nil {
 		log.Warn("handoff unavailable while this process runs", "error", err)
 	}
 	return srv.Run(p.stop, p.reloads, shutdownGrace)
@@ -264,7 +264,7 @@
 	dep, log := p.dep, p.log
 	previous := p.server.Swap(srv)
 	if previous != nil {
-		srv.CountFrom(previous)
+		srv.CopyCounters(previous)
 	}
 	if p.adminServer != nil {
 		p.adminServer.SetCourier(srv)
@@ -281,7 +281,7 @@
 		p.dep = next
 		applyLimits(next)
 		if member := p.member.Load(); member != nil {
-			member.FleetResized(next.Dispatch.Couriers)
+			member.SetFleetSize(next.Dispatch.Couriers)
 		}
 		if err := log.SetLevels(next.Log.Level, next.Log.Levels); err != nil {
 			log.Warn("log levels unchanged", "error", err)
--- a/cmd/pineport/short_window_test.go
+++ b/cmd/pineport/short_window_test.go
@@ -41,18 +41,18 @@
 	const window = time.Second
 	called := map[string]bool{}
 	var mu sync.Mutex
-	world, err := scripted.Open(1, func(id string) scripted.Fate {
+	world, err := scripted.Open(1, func(id string) scripted.Response {
 		mu.Lock()
 		defer mu.Unlock()
 		repeated := called[id]
 		called[id] = true
 		switch {
 		case repeated:
-			return scripted.Fate{Status: 200}
+			return scripted.Response{Status: 200}
 		case strings.HasPrefix(id, "refused"):
-			return scripted.Fate{Status: 429, WaitMs: 300}
+			return scripted.Response{Status: 429, BackoffMs: 300}
 		}
-		return scripted.Fate{Status: 0, After: 2 * window} // in flight when the courier is killed
+		return scripted.Response{Status: 0, Delay: 2 * window} // in flight when the courier is killed
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -81,11 +81,11 @@
 	killDuringCall("over")
 	time.Sleep(window + window/5)
 	c.start()
-	waitFor(t, "the notice for the message past its window", 5*time.Second, func() bool { _, _, notices := world.Seen("over"); return len(notices) > 0 })
+	waitFor(t, "the notice for the message past its window", 5*time.Second, func() bool { _, _, notices := world.MessageCalls("over"); return len(notices) > 0 })
 
 	killDuringCall("refused")
 	c.start()
-	waitFor(t, "delivery of the message that was never executed", 8*time.Second, func() bool { _, done, _ := world.Seen("refused"); return done == 1 })
+	waitFor(t, "delivery of the message that was never executed", 8*time.Second, func() bool { _, done, _ := world.MessageCalls("refused"); return done == 1 })
 
 	within := ""
 	const tries = 5
@@ -94,8 +94,8 @@
 		at := killDuringCall(id)
 		c.start()
 		took := time.Since(at)
-		waitFor(t, id, 5*time.Second, func() bool { _, done, notices := world.Seen(id); return done > 0 || len(notices) > 0 })
-		if _, done, _ := world.Seen(id); done > 0 {
+		waitFor(t, id, 5*time.Second, func() bool { _, done, notices := world.MessageCalls(id); return done > 0 || len(notices) > 0 })
+		if _, done, _ := world.MessageCalls(id); done > 0 {
 			within = id
 		} else if took < window/2 {
 			t.Errorf("%s was not sent again, although the courier restarted within %v", id, took)
@@ -104,10 +104,10 @@
 	if within == "" {
 		t.Errorf("none of %d messages was sent again after a restart within its window", tries)
 	}
-	if began, _, notices := world.Seen("over"); began != 1 || len(notices) != 1 {
+	if began, _, notices := world.MessageCalls("over"); began != 1 || len(notices) != 1 {
 		t.Errorf("message past its window: sent %d times, notices %v, want 1 and one notice", began, notices)
 	}
-	if _, _, notices := world.Seen("refused"); len(notices) > 0 {
+	if _, _, notices := world.MessageCalls("refused"); len(notices) > 0 {
 		t.Errorf("message that was never executed: got notices %v, want none", notices)
 	}
 }
--- a/cmd/pineport/signals_test.go
+++ b/cmd/pineport/signals_test.go
@@ -21,11 +21,11 @@
 		t.Run(fmt.Sprint(int64(after)), func(t *testing.T) {
 			t.Parallel()
 			var deliverable atomic.Bool
-			world, err := scripted.Open(1, func(string) scripted.Fate {
+			world, err := scripted.Open(1, func(string) scripted.Response {
 				if deliverable.Load() {
-					return scripted.Fate{Status: 200}
+					return scripted.Response{Status: 200}
 				}
-				return scripted.Fate{Status: 429, WaitMs: 1900}
+				return scripted.Response{Status: 429, BackoffMs: 1900}
 			})
 			if err != nil {
 				t.Fatal(err)
@@ -70,7 +70,7 @@
 			deliverable.Store(true)
 			c.start()
 			waitFor(t, "the delivery of the message", 20*time.Second, func() bool {
-				_, done, _ := world.Seen("held")
+				_, done, _ := world.MessageCalls("held")
 				return done == 1
 			})
 		})
--- a/cmd/pineport/syscalls_test.go
+++ b/cmd/pineport/syscalls_test.go
@@ -160,12 +160,12 @@
 
 func runSystemFault(t *testing.T, fault systemFault, duration time.Duration) {
 	const maxPerSecond = 400 // failing calls per second; a spinning loop makes many thousands
-	world, err := scripted.Open(2, func(string) scripted.Fate { return scripted.Fate{Status: 200, After: 30 * time.Millisecond} })
+	world, err := scripted.Open(2, func(string) scripted.Response { return scripted.Response{Status: 200, Delay: 30 * time.Millisecond} })
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(world.Close)
-	world.CloseAfterAnswers() // so that each call needs a connection
+	world.CloseAfterResponses() // so that each call needs a connection
 	c := newCourier(t, world)
 	var faultEnd atomic.Int64
 	var once atomic.Bool
@@ -190,7 +190,7 @@
 		time.Sleep(duration)
 	} else {
 		once.Store(true)
-		waitFor(t, "the fault", 5*time.Second, func() bool { return child.Struck()[fault.String()] > 0 })
+		waitFor(t, "the fault", 5*time.Second, func() bool { return child.EffectCounts()[fault.String()] > 0 })
 	}
 	once.Store(false)
 	callsAtFaultEnd := world.Calls(0) + world.Calls(1)
@@ -205,7 +205,7 @@
 	}
 	stopped.Store(true)
 	clients.Wait()
-	injected := child.Struck()[fault.String()]
+	injected := child.EffectCounts()[fault.String()]
 	if injected == 0 {
 		t.Errorf("no system call failed")
 	}
@@ -222,7 +222,7 @@
 // delivered returns the IDs of accepted messages that have been delivered so far.
 func (r *requestResults) delivered(world *scripted.World) (ids []string) {
 	for _, id := range r.accepted {
-		if _, done, _ := world.Seen(id); done > 0 {
+		if _, done, _ := world.MessageCalls(id); done > 0 {
 			ids = append(ids, id)
 		}
 	}
@@ -238,7 +238,7 @@
 	deadline := time.Now().Add(8 * time.Second)
 	for _, id := range r.accepted {
 		for {
-			began, done, notices := world.Seen(id)
+			began, done, notices := world.MessageCalls(id)
 			if strings.HasPrefix(id, "order") && began > 1 {
 				t.Errorf("%s is at-most-once and was sent %d times", id, began)
 			}
@@ -269,7 +269,7 @@
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
-			world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
+			world, err := scripted.Open(1, func(string) scripted.Response { return scripted.Response{Status: 200} })
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -284,13 +284,13 @@
 				return syscallfault.Effect{Errno: errno}
 			})
 			waitFor(t, "PONG", faultDuration+3*time.Second, func() bool { return c.answersPing() })
-			if len(child.Struck()) == 0 {
+			if len(child.EffectCounts()) == 0 {
 				t.Error("no system call failed")
 			}
 			if got := c.send(encodeEnqueue("one", "order", 4000)); got[0] != "+OK" {
 				t.Fatal(got)
 			}
-			waitFor(t, "the delivery", 3*time.Second, func() bool { _, done, _ := world.Seen("one"); return done == 1 })
+			waitFor(t, "the delivery", 3*time.Second, func() bool { _, done, _ := world.MessageCalls("one"); return done == 1 })
 		})
 	}
 }
--- a/cmd/pineport/upgrade_test.go
+++ b/cmd/pineport/upgrade_test.go
@@ -235,13 +235,13 @@
 	}
 	for _, id := range l.accepted {
 		waitFor(t, id, 10*time.Second, func() bool {
-			_, done, notices := world.Seen(id)
+			_, done, notices := world.MessageCalls(id)
 			return done > 0 || len(notices) > 0
 		})
 	}
 	outcomes := map[string]int{}
 	for _, id := range l.accepted {
-		began, done, notices := world.Seen(id)
+		began, done, notices := world.MessageCalls(id)
 		var client, n int
 		kind, rest, _ := strings.Cut(id, "-")
 		fmt.Sscanf(rest, "%d-%d", &client, &n)
@@ -257,7 +257,7 @@
 			outcomes[notices[0]]++
 		}
 	}
-	if broken := world.Broken(); broken != (scripted.Broken{}) {
+	if broken := world.Violations(); broken != (scripted.Violations{}) {
 		t.Errorf("endpoints observed violations: %+v", broken)
 	}
 	if upgrades > 0 && l.retried > 2*upgrades { // not checked if processes are killed, which closes connections during requests
@@ -270,10 +270,10 @@
 	t.Helper()
 	respond := responsesByPrefix()
 	delayed := map[string]bool{}
-	world, err := scripted.Open(2, func(id string) scripted.Fate {
+	world, err := scripted.Open(2, func(id string) scripted.Response {
 		if strings.HasPrefix(id, "wait") && !delayed[id] {
 			delayed[id] = true
-			return scripted.Fate{Status: 429, WaitMs: 300}
+			return scripted.Response{Status: 429, BackoffMs: 300}
 		}
 		return respond(id)
 	})
@@ -465,7 +465,7 @@
 // TestNoBusyLoopAfterHandoff checks that after a handoff neither the successor nor the predecessor, which has not yet received SIGTERM, uses much CPU
 // time. Incident: the predecessor kept an expired timer that it no longer handled, and its event loop spun.
 func TestNoBusyLoopAfterHandoff(t *testing.T) {
-	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 429, WaitMs: 1900} })
+	world, err := scripted.Open(1, func(string) scripted.Response { return scripted.Response{Status: 429, BackoffMs: 1900} })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/pineport/watch_test.go
+++ b/cmd/pineport/watch_test.go
@@ -16,8 +16,8 @@
 // are counted in the log line as later=N, and messages are delivered as usual. With identical settings later is 0. A shadow file with an error is
 // reported before the courier listens.
 func TestShadowConfiguration(t *testing.T) {
-	world, err := scripted.Open(1, func(string) scripted.Fate {
-		return scripted.Fate{Status: 200, After: 150 * time.Millisecond}
+	world, err := scripted.Open(1, func(string) scripted.Response {
+		return scripted.Response{Status: 200, Delay: 150 * time.Millisecond}
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -28,7 +28,7 @@
 		file, shadowFile := filepath.Join(c.dir, "config.json"), filepath.Join(c.dir, "to-come.json")
 		write := func(path string, change func(top map[string]any)) {
 			var top map[string]any
-			if err := json.Unmarshal(world.Configuration("n0", c.listen), &top); err != nil {
+			if err := json.Unmarshal(world.CourierConfiguration("n0", c.listen), &top); err != nil {
 				t.Fatal(err)
 			}
 			change(top)
@@ -65,7 +65,7 @@
 		c.send(commands...)
 		for i := range 6 {
 			id := fmt.Sprintf("w%v-%d", slots, i)
-			waitFor(t, id, 5*time.Second, func() bool { _, done, _ := world.Seen(id); return done == 1 })
+			waitFor(t, id, 5*time.Second, func() bool { _, done, _ := world.MessageCalls(id); return done == 1 })
 		}
 		c.cmd.Process.Signal(os.Interrupt)
 		c.cmd.Wait()
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -18,7 +18,7 @@
 	dir := t.TempDir()
 	var top map[string]any
 	w := scripted.World{Discovery: "127.0.0.1:8500"}
-	if err := json.Unmarshal(w.Configuration("n3", "127.0.0.1:6379"), &top); err != nil {
+	if err := json.Unmarshal(w.CourierConfiguration("n3", "127.0.0.1:6379"), &top); err != nil {
 		t.Fatal(err)
 	}
 	if edit != nil {
@@ -182,7 +182,7 @@
 // faults yields a deployment unless a name is duplicate.
 func FuzzDocument(f *testing.F) {
 	w := scripted.World{Discovery: "127.0.0.1:8500"}
-	f.Add(0, w.Configuration("n3", "127.0.0.1:6379"))
+	f.Add(0, w.CourierConfiguration("n3", "127.0.0.1:6379"))
 	f.Add(1, []byte(Example()))
 	f.Add(2, []byte("name: n\nsettings: {classes: [{name: u}]}"))
 	f.Fuzz(func(t *testing.T, format int, text []byte) {
--- a/handoff/golden_test.go
+++ b/handoff/golden_test.go
@@ -12,7 +12,7 @@
 // TestMessagesMatchGolden: the encoding of each kind of message, with every field set, must be byte-identical to the golden file,
 // and decoding it must return the same message.
 func TestMessagesMatchGolden(t *testing.T) {
-	golden.Tagged(t, Message{})
+	golden.CheckTags(t, Message{})
 	var lines bytes.Buffer
 	kinds := reflect.TypeOf(Message{}).NumField()
 	for kind := range kinds {
--- a/maintenance/golden_test.go
+++ b/maintenance/golden_test.go
@@ -12,7 +12,7 @@
 // TestFileMatchesGolden: the written file must be byte-identical to the golden file, and reading it must return the endpoints
 // that were written.
 func TestFileMatchesGolden(t *testing.T) {
-	golden.Tagged(t, body{})
+	golden.CheckTags(t, body{})
 	dir := t.TempDir()
 	if err := NewWriter(dir, "n0").Write(1, map[string]bool{"s-1": true, "s-2": true}); err != nil {
 		t.Fatal(err)
--- a/membership/gossip/golden_test.go
+++ b/membership/gossip/golden_test.go
@@ -15,7 +15,7 @@
 func TestPacketsAreAsRecorded(t *testing.T) {
 	var lines strings.Builder
 	for _, packet := range []any{&metadata{}, &pushPullState{}, &nameConflict{}, &userPacket{}} {
-		golden.Tagged(t, packet)
+		golden.CheckTags(t, packet)
 		golden.Fill(packet)
 		text, err := cbor.Marshal(packet)
 		if err != nil {
--- a/membership/gossip/gossip.go
+++ b/membership/gossip/gossip.go
@@ -24,19 +24,19 @@
 
 // Options are what a member is notified.
 type Options struct {
-	Name        string
-	Incarnation uint64
-	FleetSize   int // of the fleet, as the settings say
-	Fleet       string
-	Zone        string
-	Listen      string
-	Advertise   string // where others reach it, if not at Listen
-	Join        []string
-	Through     map[string]string
-	Key         string // hex, of 16, 24 or 32 bytes; empty: none
-	Interval    time.Duration
-	Seed        int64
-	Log         *slog.Logger
+	Name          string
+	Incarnation   uint64
+	FleetSize     int // of the fleet, as the settings say
+	Fleet         string
+	Zone          string
+	Listen        string
+	Advertise     string // where others reach it, if not at Listen
+	Join          []string
+	DialAddresses map[string]string
+	Key           string // hex, of 16, 24 or 32 bytes; empty: none
+	Interval      time.Duration
+	Seed          int64
+	Log           *slog.Logger
 	// StoreIncarnation writes a start's number down, before it is used.
 	StoreIncarnation func(start uint64) error
 	// SizeEstimated is notified how many couriers the decisions are to count on. It must not wait.
@@ -120,7 +120,7 @@
 	end            sync.Once
 }
 
-// Open joins the fleet. Members that cannot be reached are tried again, with pauses.
+// Open joins the fleet. MemberAddresses that cannot be reached are tried again, with pauses.
 func Open(o Options) (*Member, error) {
 	if o.Interval == 0 {
 		o.Interval = time.Second
@@ -141,7 +141,7 @@
 	member.publish()
 	c := member.settings(key)
 	if o.Transport == nil {
-		if member.sockets, err = listen(o.Listen, o.Advertise, o.Through); err != nil {
+		if member.sockets, err = listen(o.Listen, o.Advertise, o.DialAddresses); err != nil {
 			return nil, fmt.Errorf("peers.listen: %w", err)
 		}
 		c.Transport = member.sockets
@@ -357,16 +357,16 @@
 	return fmt.Errorf("peers: no member has the name %q", to)
 }
 
-// FleetResized tells that the settings name another number of couriers.
-func (m *Member) FleetResized(couriers int) { m.enqueue(membership.FleetResized{FleetSize: couriers}) }
+// SetFleetSize tells that the settings name another number of couriers.
+func (m *Member) SetFleetSize(couriers int) { m.enqueue(membership.FleetResized{FleetSize: couriers}) }
 
 // Remove tells that a member will not come back, as an operator says.
 func (m *Member) Remove(name string) {
 	m.enqueue(membership.MemberRemoved{Name: membership.Name(name)})
 }
 
-// Members are the addresses of those heard, for a process that takes over.
-func (m *Member) Members() (at []string) {
+// MemberAddresses are the addresses of those heard, for a process that takes over.
+func (m *Member) MemberAddresses() (at []string) {
 	for _, member := range m.Snapshot().Members {
 		if member.State != membership.Left && member.Address != "" {
 			at = append(at, member.Address)
--- a/membership/gossip/gossip_test.go
+++ b/membership/gossip/gossip_test.go
@@ -25,7 +25,7 @@
 
 func (f *fleet) begin(i int) {
 	f.starts[i]++
-	member, err := Open(Options{Name: fmt.Sprintf("n%d", i), Incarnation: f.starts[i], FleetSize: len(f.members), Join: []string{f.mesh.At(0), f.mesh.At((i + 1) % len(f.members))},
+	member, err := Open(Options{Name: fmt.Sprintf("n%d", i), Incarnation: f.starts[i], FleetSize: len(f.members), Join: []string{f.mesh.Addr(0), f.mesh.Addr((i + 1) % len(f.members))},
 		Seed: int64(i), Transport: f.mesh.Join(i)})
 	if err != nil {
 		f.t.Fatal(err)
@@ -107,7 +107,7 @@
 			f := begin(t, n, int64(seed))
 			defer f.end()
 			f.settle(2*time.Minute, whole)
-			for _, fault := range netfault.Draw(int64(seed), 4, n, 120) {
+			for _, fault := range netfault.RandomFaults(int64(seed), 4, n, 120) {
 				end := f.mesh.Begin(fault)
 				for range int(fault.Length * 10) {
 					time.Sleep(100 * time.Millisecond)
@@ -136,7 +136,7 @@
 		var dead []int
 		for i := 0; i < n; i += 10 {
 			dead = append(dead, i)
-			f.mesh.Drop(i)
+			f.mesh.Disconnect(i)
 			f.members[i].HandOff()
 		}
 		took := f.settle(3*time.Minute, func(_ int, member *Member) bool {
@@ -231,13 +231,13 @@
 			f.begin(1)
 			f.settle(time.Minute, whole)
 		}
-		f.mesh.Drop(1)
+		f.mesh.Disconnect(1)
 		f.members[1].HandOff()
 		f.starts[1] = 0 // the folder is an older copy
 		f.begin(1)
 		f.settle(time.Minute, func(_ int, member *Member) bool { return whole(0, member) && f.members[1].Incarnation() > 4 })
 
-		twin, err := Open(Options{Name: "n1", Incarnation: 5000, FleetSize: 5, Join: []string{f.mesh.At(0)}, Transport: f.mesh.Join(5)})
+		twin, err := Open(Options{Name: "n1", Incarnation: 5000, FleetSize: 5, Join: []string{f.mesh.Addr(0)}, Transport: f.mesh.Join(5)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -263,7 +263,7 @@
 			if len(junk) > 0 && rng.Intn(2) == 0 {
 				junk[0] = byte(rng.Intn(14)) // a kind of word that there is
 			}
-			from.WriteTo(junk, f.mesh.At(1))
+			from.WriteTo(junk, f.mesh.Addr(1))
 			delegate{f.members[1]}.MergeRemoteState(junk, false)
 		}
 		f.begin(0)
@@ -294,7 +294,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := begin(t, 4, 13)
 		defer f.end()
-		f.mesh.Keep = true
+		f.mesh.RecordPackets = true
 		f.settle(time.Minute, whole)
 		f.members[3].Leave()
 		f.settle(time.Minute, func(_ int, member *Member) bool { return stateOf(member, "n3") == membership.Left }, 3)
@@ -429,7 +429,7 @@
 			sent2, bytes2 := f.mesh.Traffic()
 			runtime.GC()
 			runtime.ReadMemStats(&after)
-			f.mesh.Drop(n / 2)
+			f.mesh.Disconnect(n / 2)
 			f.members[n/2].HandOff()
 			first := f.settle(10*time.Minute, func(i int, member *Member) bool {
 				return i != 0 || stateOf(member, fmt.Sprintf("n%d", n/2)) == membership.Failed
--- a/membership/gossip/transport.go
+++ b/membership/gossip/transport.go
@@ -40,7 +40,7 @@
 	return Counts{c.packetsIn.Load(), c.packetsOut.Load(), c.bytesIn.Load(), c.bytesOut.Load(), c.streams.Load(), c.turned.Load()}
 }
 
-// sockets is the detector's way over UDP and TCP. Through leads addresses elsewhere, as past a translating event loop.
+// sockets is the detector's way over UDP and TCP. DialAddresses leads addresses elsewhere, as past a translating event loop.
 type sockets struct {
 	udp       *net.UDPConn
 	tcp       net.Listener
@@ -227,8 +227,8 @@
 	return nil
 }
 
-// Pairs reads address=address words.
-func Pairs(words []string) (map[string]string, error) {
+// ParseDialAddresses reads address=address words.
+func ParseDialAddresses(words []string) (map[string]string, error) {
 	pairs := map[string]string{}
 	for _, w := range words {
 		from, to, _ := strings.Cut(w, "=")
--- a/membership/incarnation/golden_test.go
+++ b/membership/incarnation/golden_test.go
@@ -10,12 +10,12 @@
 
 // TestFileIsAsRecorded: the file is written byte by byte as recorded, and the recorded one is gone on from.
 func TestFileIsAsRecorded(t *testing.T) {
-	golden.Tagged(t, body{})
+	golden.CheckTags(t, body{})
 	dir := t.TempDir()
 	if err := Store(dir, "n0", 41); err != nil {
 		t.Fatal(err)
 	}
-	content, err := os.ReadFile(filepath.Join(dir, Name))
+	content, err := os.ReadFile(filepath.Join(dir, FileName))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/membership/incarnation/incarnation.go
+++ b/membership/incarnation/incarnation.go
@@ -10,8 +10,8 @@
 	"pineport/atomicfile"
 )
 
-// Name of the file, in the folder that lasts.
-const Name = "peers.start"
+// FileName of the file, in the folder that lasts.
+const FileName = "peers.start"
 
 const (
 	magic   = "PPST"
@@ -39,11 +39,11 @@
 	if err != nil {
 		return err
 	}
-	return atomicfile.Write(dir, Name, atomicfile.Encode(magic, version, text))
+	return atomicfile.Write(dir, FileName, atomicfile.Encode(magic, version, text))
 }
 
 func read(dir, courier string) (uint64, error) {
-	content, err := atomicfile.Read(dir, Name, limit)
+	content, err := atomicfile.Read(dir, FileName, limit)
 	if errors.Is(err, atomicfile.ErrNotExist) {
 		return 0, nil
 	}
--- a/membership/incarnation/incarnation_test.go
+++ b/membership/incarnation/incarnation_test.go
@@ -17,7 +17,7 @@
 	if got, fault, _ := Next(dir, "n1"); got != 1 || fault == nil {
 		t.Errorf("another courier's number is taken: %d, %v", got, fault)
 	}
-	path := filepath.Join(dir, Name)
+	path := filepath.Join(dir, FileName)
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
--- a/quota/decisions.go
+++ b/quota/decisions.go
@@ -5,7 +5,7 @@
 // DemandsOf returns the demands of a dispatcher as an event.
 func DemandsOf(all []dispatch.Demand) (changed DemandsChanged) {
 	for _, demand := range all {
-		changed.All = append(changed.All, Demand{Key: Key{Dest: int32(demand.Destination), Endpoint: string(demand.Endpoint)}, Limit: demand.Limit,
+		changed.Demands = append(changed.Demands, Demand{Key: Key{Dest: int32(demand.Destination), Endpoint: string(demand.Endpoint)}, Limit: demand.Limit,
 			Calls: uint64(demand.Calls), Delivered: uint64(demand.Delivered), Throttled: uint64(demand.Throttled), Waiting: demand.Waiting})
 	}
 	return changed
--- a/quota/events.go
+++ b/quota/events.go
@@ -5,7 +5,7 @@
 
 type (
 	// DemandsChanged brings what the dispatcher does at its groups.
-	DemandsChanged struct{ All []Demand }
+	DemandsChanged struct{ Demands []Demand }
 	// Demand is what the dispatcher does at one group; the counts are since the process started.
 	Demand struct {
 		Key
--- a/quota/golden_test.go
+++ b/quota/golden_test.go
@@ -11,7 +11,7 @@
 
 // TestPacketIsAsRecorded: a packet with every field set is written byte by byte as recorded, and reads as what was written.
 func TestPacketIsAsRecorded(t *testing.T) {
-	golden.Tagged(t, Packet{})
+	golden.CheckTags(t, Packet{})
 	var packet Packet
 	golden.Fill(&packet)
 	packet.Version = Version
@@ -27,8 +27,8 @@
 
 // TestShownIsAsRecorded: the keys that scripts read of what is shown.
 func TestShownIsAsRecorded(t *testing.T) {
-	golden.Tagged(t, Status{})
-	golden.Tagged(t, Counters{})
+	golden.CheckTags(t, Status{})
+	golden.CheckTags(t, Counters{})
 	var shown struct {
 		Line Status
 		Sums Counters
--- a/quota/leasing.go
+++ b/quota/leasing.go
@@ -54,7 +54,7 @@
 	}
 	a, ok := rt.requests[l.LeaseID]
 	if !ok || a.courier != from || l.Units > a.units || c.now >= a.at+leaseSpan {
-		c.counters.Late++
+		c.counters.Rejected++
 		return
 	}
 	delete(rt.requests, l.LeaseID)
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -132,7 +132,7 @@
 	for _, event := range events {
 		switch e := event.(type) {
 		case DemandsChanged:
-			c.demandsChanged(e.All)
+			c.demandsChanged(e.Demands)
 		case FleetChanged:
 			c.config.Couriers, c.alive = e.Couriers, slices.Clone(e.Alive)
 		case PacketReceived:
--- a/quota/show.go
+++ b/quota/show.go
@@ -10,25 +10,25 @@
 	Requested uint64 `json:"Asked"`     // requests sent
 	Granted   uint64 `json:"Lent"`      // leases granted
 	Leased    uint64 `json:"Taken"`     // leases accepted
-	Late      uint64 `json:"Late"`      // leases that came too late or were not requested
+	Rejected  uint64 `json:"Late"`      // leases that came too late or were not requested
 	Dropped   uint64 `json:"Forgotten"` // groups and samples dropped for want of room
 }
 
 // Status is what holds for one group.
 type Status struct {
 	Key
-	Limit         float64       `json:"limit_per_s"`
-	Base          Units         `json:"base_ppm"`
-	Granted       Units         `json:"lent_ppm"`
-	Leased        Units         `json:"borrowed_ppm"`
-	Usage         Units         `json:"usage_ppm"`
-	Load          float64       `json:"load"`
-	CouriersHeard int           `json:"couriers_heard"`
-	Calls         uint64        `json:"calls"`
-	Delivered     uint64        `json:"done"`
-	Throttled     uint64        `json:"refused"`
-	Grants        []LeaseStatus `json:"lent_to,omitempty"`
-	Leases        []LeaseStatus `json:"borrowed_from,omitempty"`
+	Limit             float64       `json:"limit_per_s"`
+	Base              Units         `json:"base_ppm"`
+	Granted           Units         `json:"lent_ppm"`
+	Leased            Units         `json:"borrowed_ppm"`
+	Usage             Units         `json:"usage_ppm"`
+	Load              float64       `json:"load"`
+	ReportingCouriers int           `json:"couriers_heard"`
+	Calls             uint64        `json:"calls"`
+	Delivered         uint64        `json:"done"`
+	Throttled         uint64        `json:"refused"`
+	Grants            []LeaseStatus `json:"lent_to,omitempty"`
+	Leases            []LeaseStatus `json:"borrowed_from,omitempty"`
 }
 
 // LeaseStatus is one lease: the other courier, its id, and how long it still holds.
@@ -59,7 +59,7 @@
 			Calls: route.demand.Calls, Delivered: route.demand.Delivered, Throttled: route.demand.Throttled, Grants: c.leaseStatuses(route.grants), Leases: c.leaseStatuses(route.leases)}
 		for _, slot := range route.peerSamples {
 			if c.now-slot.at <= sampleLifetime {
-				status.CouriersHeard++
+				status.ReportingCouriers++
 				status.Calls, status.Delivered, status.Throttled = status.Calls+slot.count.Calls, status.Delivered+slot.count.Delivered, status.Throttled+slot.count.Throttled
 			}
 		}
--- a/server/crossings_test.go
+++ b/server/crossings_test.go
@@ -293,7 +293,7 @@
 	s.step()
 	resume := blockPoller(t, s)
 	conn.CloseWrite()
-	if !port.Arrived(conn) {
+	if !port.WaitAcknowledged(conn) {
 		t.Fatal("the endpoint's FIN never arrived")
 	}
 	if err := s.spool.Append(newMessage("two")); err != nil {
@@ -367,7 +367,7 @@
 				}
 				resume := blockPoller(t, s)
 				io.WriteString(conn, tc.bytes)
-				if !port.Arrived(conn) {
+				if !port.WaitAcknowledged(conn) {
 					t.Fatal("the bytes never arrived")
 				}
 				s.events, s.now = nil, s.clock()
@@ -418,7 +418,7 @@
 	conn := sendToEndpoint(t, s, listener)
 	blockPoller(t, s)
 	io.WriteString(conn, okAnswer)
-	if !port.Arrived(conn) {
+	if !port.WaitAcknowledged(conn) {
 		t.Fatal("the bytes never arrived")
 	}
 	attempt := s.messages["one"].attempts[0]
@@ -586,7 +586,7 @@
 	if got := second.reply(); got != "+OK" || s.messages["one"] != nil {
 		t.Errorf("got reply %q, held again %v", got, s.messages["one"] != nil)
 	}
-	if began, _, _ := world.Seen("one"); began != 1 {
+	if began, _, _ := world.MessageCalls("one"); began != 1 {
 		t.Errorf("got %d calls", began)
 	}
 }
@@ -642,7 +642,7 @@
 	resume := blockPoller(t, s)
 	scheduleExit(s)
 	io.WriteString(client, enqueue("one"))
-	if !port.Arrived(client) {
+	if !port.WaitAcknowledged(client) {
 		t.Fatal("the bytes never arrived")
 	}
 	checked := false
@@ -659,7 +659,7 @@
 	if got := client.reply(); got != "+OK" {
 		t.Errorf("got reply %q", got)
 	}
-	if began, _, _ := world.Seen("one"); began == 0 && storedMessage(t, s, "one") == nil {
+	if began, _, _ := world.MessageCalls("one"); began == 0 && storedMessage(t, s, "one") == nil {
 		t.Error("the message was accepted but neither sent nor stored")
 	}
 }
@@ -722,7 +722,7 @@
 	s := steppedServer(t, openWorld(t, 0))
 	partial, idle, flooder := connectClient(t, s), connectClient(t, s), connectClient(t, s)
 	io.WriteString(partial, enqueue("half")[:40])
-	if !port.Arrived(partial) {
+	if !port.WaitAcknowledged(partial) {
 		t.Fatal("the bytes never arrived")
 	}
 	flooding := make(chan struct{})
@@ -811,7 +811,7 @@
 	s.discovery.poll(dispatch.WatchEndpoints{})
 	s.handle(endpointEvent{waitForEvent(t, s, func(e endpointconn.Opened) bool { return ofDiscovery(e.Conn) })})
 	answer := waitForEvent(t, s, func(e endpointconn.ResponseReceived) bool { return ofDiscovery(e.Conn) })
-	if _, err := world.Move(); err != nil {
+	if _, err := world.MoveDiscovery(); err != nil {
 		t.Fatal(err)
 	}
 	next := *s.deployment
--- a/server/fleet.go
+++ b/server/fleet.go
@@ -5,10 +5,10 @@
 	"pineport/handoff"
 )
 
-// FleetSizeEstimated sets the fleet size used by the dispatcher from the next step on. It does not block,
+// SetFleetSize sets the fleet size used by the dispatcher from the next step on. It does not block,
 // and the event loop does not wait for it, so messages are still delivered if the fleet membership fails.
 // Any goroutine may call it.
-func (s *Server) FleetSizeEstimated(couriers int) { s.estimatedFleetSize.Store(int64(couriers)) }
+func (s *Server) SetFleetSize(couriers int) { s.estimatedFleetSize.Store(int64(couriers)) }
 
 // OnHandoff sets f to be called when a successor takes over. f gives up this process's membership in the
 // fleet and returns it for the successor.
--- a/server/handoff.go
+++ b/server/handoff.go
@@ -15,9 +15,9 @@
 	"pineport/protocol"
 )
 
-// ErrReclaim is returned by Run if the successor has exited during or after a handoff. The caller must then
+// ErrSuccessorLost is returned by Run if the successor has exited during or after a handoff. The caller must then
 // take the state folder again and start a new event loop.
-var ErrReclaim = errors.New("the process that took over has gone")
+var ErrSuccessorLost = errors.New("the process that took over has gone")
 
 type (
 	// successorReady reports a successor that is ready to take over.
@@ -55,16 +55,16 @@
 	h.server, h.stateMachine, h.commands, h.releaseFolder = s, handoff.NewPredecessor(s.deployment.Name), map[int64]chan commandResult{}, func() {}
 }
 
-// Successors sets the function that unlocks the state folder during a handoff.
-func (s *Server) Successors(releaseFolder func()) { s.handoff.releaseFolder = releaseFolder }
+// SetFolderRelease sets the function that unlocks the state folder during a handoff.
+func (s *Server) SetFolderRelease(releaseFolder func()) { s.handoff.releaseFolder = releaseFolder }
 
-// SuccessorArrived reports a successor that is ready to take over. Any goroutine may call it.
-func (s *Server) SuccessorArrived(link *handoff.Link, hello *handoff.Hello) {
+// SuccessorReady reports a successor that is ready to take over. Any goroutine may call it.
+func (s *Server) SuccessorReady(link *handoff.Link, hello *handoff.Hello) {
 	s.control <- successorReady{link, hello}
 }
 
-// Predecessor sets the link to the process that handed over to this one and starts receiving its messages.
-func (s *Server) Predecessor(link *handoff.Link) {
+// ConnectPredecessor sets the link to the process that handed over to this one and starts receiving its messages.
+func (s *Server) ConnectPredecessor(link *handoff.Link) {
 	s.handoff.predecessor = link
 	go s.receiveMessages(link)
 }
@@ -384,7 +384,7 @@
 // during the handoff, the state was handed over to it anyway, and no process ran the dispatcher.
 func (h *handoffState) successorLost() {
 	for _, done := range h.commands {
-		done <- commandResult{err: fmt.Errorf("asked in an upgrade: %w", ErrReclaim)}
+		done <- commandResult{err: fmt.Errorf("asked in an upgrade: %w", ErrSuccessorLost)}
 	}
 	clear(h.commands)
 	h.requested = false
@@ -395,8 +395,8 @@
 	}
 }
 
-// CountFrom copies the counters of an earlier event loop of this process.
-func (s *Server) CountFrom(previous *Server) {
+// CopyCounters copies the counters of an earlier event loop of this process.
+func (s *Server) CopyCounters(previous *Server) {
 	s.counters.endings, s.counters.attempts = previous.counters.endings, previous.counters.attempts
 	s.counters.grow(len(s.deployment.Classes))
 	s.admin.reloads = previous.admin.reloads
--- a/server/lists_test.go
+++ b/server/lists_test.go
@@ -55,7 +55,7 @@
 // version. The version of the list may be stored only if the drain was applied.
 func TestCorruptListIsAppliedOrPolledAgain(t *testing.T) {
 	world := openWorld(t, 0)
-	if err := world.Grow(1); err != nil {
+	if err := world.AddEndpoint(1); err != nil {
 		t.Fatal(err)
 	}
 	for _, health := range []string{"terminating", "terminated"} {
@@ -118,7 +118,7 @@
 func TestConfirmedListIsAccepted(t *testing.T) {
 	world := openWorld(t, 0)
 	for range 2 {
-		if err := world.Grow(1); err != nil {
+		if err := world.AddEndpoint(1); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/server/repeat_window_test.go
+++ b/server/repeat_window_test.go
@@ -65,7 +65,7 @@
 	endpoint := &slowEndpoint{TCPListener: listener.(*net.TCPListener)}
 	defer endpoint.Close()
 	endpoint.SetDeadline(time.Now().Add(20 * time.Second))
-	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
+	world, err := scripted.Open(1, func(string) scripted.Response { return scripted.Response{Status: 200} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -112,7 +112,7 @@
 		t.Fatalf("the connection was opened after %v, within the window, so the test shows nothing", openedAfter)
 	}
 	for deadline := time.Now().Add(5 * time.Second); ; time.Sleep(10 * time.Millisecond) {
-		if _, _, notices := world.Seen("keyed"); len(notices) > 0 {
+		if _, _, notices := world.MessageCalls("keyed"); len(notices) > 0 {
 			t.Logf("the connection was opened %v after the first call; the message ended with %v", openedAfter.Round(time.Millisecond), notices)
 			return
 		}
--- a/server/server.go
+++ b/server/server.go
@@ -156,7 +156,7 @@
 		s.handoff.handOver()
 		if s.handoff.reclaim {
 			s.driver.Close()
-			return ErrReclaim
+			return ErrSuccessorLost
 		}
 		if s.tryExit() {
 			return s.finishShutdown()
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -64,7 +64,7 @@
 	}
 	t.Cleanup(release)
 	path := filepath.Join(dir, "config.json")
-	if err := os.WriteFile(path, edit(world.Configuration("n0", listen)), 0o600); err != nil {
+	if err := os.WriteFile(path, edit(world.CourierConfiguration("n0", listen)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	dep, err := config.Load(func(key string) string { return map[string]string{"RELAY_CONFIG": path, "RELAY_STATE": dir}[key] })
@@ -169,7 +169,7 @@
 
 func openWorld(t *testing.T, after time.Duration) *scripted.World {
 	t.Helper()
-	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200, After: after} })
+	world, err := scripted.Open(1, func(string) scripted.Response { return scripted.Response{Status: 200, Delay: after} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -181,7 +181,7 @@
 func waitForEnd(t *testing.T, world *scripted.World, id string) string {
 	t.Helper()
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
-		_, done, notices := world.Seen(id)
+		_, done, notices := world.MessageCalls(id)
 		if len(notices) > 0 {
 			return strings.Join(notices, ",")
 		}
@@ -199,7 +199,7 @@
 	listen := startServer(t, world, 1)
 	submit(t, listen, "out")
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
-		if began, _, _ := world.Seen("out"); began > 0 {
+		if began, _, _ := world.MessageCalls("out"); began > 0 {
 			break
 		}
 	}
@@ -211,7 +211,7 @@
 			t.Errorf("%s: %s, want %s", id, got, want)
 		}
 	}
-	if began, _, _ := world.Seen("out"); began != 1 {
+	if began, _, _ := world.MessageCalls("out"); began != 1 {
 		t.Errorf("got %d calls", began)
 	}
 }
@@ -219,12 +219,12 @@
 // TestUnconfirmedNoticeIsRetried: a call that hangs delays neither the retry of its notice nor the next
 // notice.
 func TestUnconfirmedNoticeIsRetried(t *testing.T) {
-	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 500} })
+	world, err := scripted.Open(1, func(string) scripted.Response { return scripted.Response{Status: 500} })
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(world.Close)
-	world.MuteNotices(1)
+	world.LeaveNoticesUnanswered(1)
 	listen := startServer(t, world, 0)
 	submit(t, listen, "first")
 	began := time.Now()
@@ -336,7 +336,7 @@
 	<-calls
 	got := done
 	for deadline := time.Now().Add(1500 * time.Millisecond); time.Now().Before(deadline) && got == done; time.Sleep(10 * time.Millisecond) {
-		if _, _, notices := world.Seen("one"); len(notices) > 0 {
+		if _, _, notices := world.MessageCalls("one"); len(notices) > 0 {
 			got = notices[0]
 		} else if len(calls) > 0 {
 			got = calledAgain
@@ -457,7 +457,7 @@
 			t.Errorf("%q: the next call went over the same connection", extra)
 		}
 		time.Sleep(200 * time.Millisecond)
-		if _, _, notices := world.Seen("two"); len(notices) > 0 {
+		if _, _, notices := world.MessageCalls("two"); len(notices) > 0 {
 			t.Errorf("%q: the next message ended with %v", extra, notices)
 		}
 	}
@@ -502,7 +502,7 @@
 			t.Parallel()
 			world := openWorld(t, 0)
 			var polls atomic.Int64
-			world.Lists = func(int) string {
+			world.ListOverride = func(int) string {
 				if polls.Add(1) > 1 && name == "unknown state" {
 					return "" // this list is sent only once
 				}
@@ -560,7 +560,7 @@
 			}
 			submit(t, listen, "one")
 			time.Sleep(200 * time.Millisecond)
-			if began, _, _ := world.Seen("one"); began > 0 {
+			if began, _, _ := world.MessageCalls("one"); began > 0 {
 				t.Error("sent to an endpoint whose drain is in the readable part of the list")
 			}
 		})
@@ -692,7 +692,7 @@
 	if err := <-ended; err == nil || !strings.Contains(err.Error(), "timeout") {
 		t.Errorf("the courier closed the connection: %v", err)
 	}
-	if _, _, notices := world.Seen("one"); len(notices) > 0 {
+	if _, _, notices := world.MessageCalls("one"); len(notices) > 0 {
 		t.Errorf("message ended with %v", notices)
 	}
 }
--- a/server/standing_terms_test.go
+++ b/server/standing_terms_test.go
@@ -261,7 +261,7 @@
 	// Times of recovery after the start of the courier: during its first call, between two calls, and after
 	// several calls.
 	recoveries := []time.Duration{200 * time.Millisecond, 2500 * time.Millisecond, 7100 * time.Millisecond}
-	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
+	world, err := scripted.Open(1, func(string) scripted.Response { return scripted.Response{Status: 200} })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/snapshot/golden_test.go
+++ b/snapshot/golden_test.go
@@ -24,8 +24,8 @@
 // TestEncodeMatchesGolden: a file of the current version must be byte-identical to the golden file, and decoding it must
 // return the encoded state.
 func TestEncodeMatchesGolden(t *testing.T) {
-	golden.Tagged(t, body{})
-	golden.Tagged(t, State{})
+	golden.CheckTags(t, body{})
+	golden.CheckTags(t, State{})
 	content, err := Encode(goldenState(), 1<<16)
 	if err != nil {
 		t.Fatal(err)
--- a/spool/golden_test.go
+++ b/spool/golden_test.go
@@ -45,8 +45,8 @@
 // TestSegmentMatchesGolden: a segment with messages in every state must be byte-identical to the golden file. Reading
 // the golden file, which stands for a segment of an earlier version, must return the same messages.
 func TestSegmentMatchesGolden(t *testing.T) {
-	golden.Tagged(t, Message{})
-	golden.Tagged(t, update{})
+	golden.CheckTags(t, Message{})
+	golden.CheckTags(t, update{})
 	dir := t.TempDir()
 	s, _, _, err := Open(dir, 1<<20)
 	if err != nil {
--- a/testbed/capacity/events.go
+++ b/testbed/capacity/events.go
@@ -42,7 +42,7 @@
 	Answer *Answer `json:"answer,omitempty"`
 }
 
-// Work works an event out.
+// Evaluate works an event out.
 func (e *Event) Work(plan *Plan, d *Derived, measured *slopes.Measured) (EventAnswer, error) {
 	answer := EventAnswer{Name: e.Name}
 	answer.Count, answer.Often = e.Often(plan, d)
--- a/testbed/capacity/page.go
+++ b/testbed/capacity/page.go
@@ -63,8 +63,8 @@
 	return plan, measured, errors.Join(planErr, err)
 }
 
-// Work works out the whole page.
-func Work(plan *Plan, measured *slopes.Measured) (*Page, error) {
+// Evaluate works out the whole page.
+func Evaluate(plan *Plan, measured *slopes.Measured) (*Page, error) {
 	page := &Page{Plan: plan, Keys: plan.values(), Derived: Derive(plan), Promises: Promises(), measured: measured}
 	page.Checked = Check(plan, &page.Derived)
 	if err := page.work(); err != nil {
@@ -119,7 +119,7 @@
 
 func (page *Page) runs() {
 	for _, run := range page.measured.Runs {
-		page.Runs = append(page.Runs, RunLine{Name: run.Name, About: run.About, Command: run.Command, Commit: run.Commit, Taken: run.Taken,
+		page.Runs = append(page.Runs, RunLine{Name: run.Name, About: run.About, Command: run.Command, Commit: run.Commit, Taken: run.StartedAt,
 			Machine: run.Machine, Plays: run.Plays, Seconds: run.Seconds, Verified: run.Verified})
 		for _, gap := range run.Missing {
 			page.Gaps = append(page.Gaps, Gap{Run: run.Name, Figure: gap.Figure, Why: gap.Why})
--- a/testbed/capacity/page_test.go
+++ b/testbed/capacity/page_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	page, err := Work(plan, measured)
+	page, err := Evaluate(plan, measured)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -195,7 +195,7 @@
 func TestMissingSlopes(t *testing.T) {
 	plan := planned(t)
 	full := workedOut(t)
-	page, err := Work(plan, &slopes.Measured{Version: slopes.Version})
+	page, err := Evaluate(plan, &slopes.Measured{Version: slopes.Version})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -240,7 +240,7 @@
 		run := &measured.Runs[i]
 		run.Slopes = slices.DeleteFunc(run.Slopes, func(s slopes.Slope) bool { return s.Name == "held.router.many" })
 	}
-	page, err := Work(plan, measured)
+	page, err := Evaluate(plan, measured)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -269,7 +269,7 @@
 		}
 		slope, _, _ := measured.Find("held.step.many")
 		spoil(slope)
-		if _, err := Work(plan, measured); err == nil || !strings.Contains(err.Error(), `slope "held.step.many": s over messages was expected`) {
+		if _, err := Evaluate(plan, measured); err == nil || !strings.Contains(err.Error(), `slope "held.step.many": s over messages was expected`) {
 			t.Errorf("%v", err)
 		}
 	}
@@ -290,7 +290,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	page, err := Work(plan, measured)
+	page, err := Evaluate(plan, measured)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -370,7 +370,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	page, err := Work(plan, measured)
+	page, err := Evaluate(plan, measured)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/testbed/capacity/row.go
+++ b/testbed/capacity/row.go
@@ -196,7 +196,7 @@
 	return u.Fit.SizeAt(figure/u.Times) / u.Size
 }
 
-// Work carries a row to the plan's size. Its error tells of a slope that is not what the row takes it for.
+// Evaluate carries a row to the plan's size. Its error tells of a slope that is not what the row takes it for.
 func (row *Row) Work(plan *Plan, d *Derived, measured *slopes.Measured) (Answer, error) {
 	answer := Answer{Role: row.Role, Resource: row.Resource, What: row.What, Unit: row.Unit, Mechanism: row.Mechanism, Package: row.Package,
 		Status: row.Status, Reported: row.Reported}
@@ -296,7 +296,7 @@
 		if part.Times != nil {
 			used.Times = part.Times(plan, d)
 		}
-		used.Carried = slope.Carried(used.Size)
+		used.Carried = slope.Extrapolation(used.Size)
 		used.countPoints(slope, run)
 		a.Parts = append(a.Parts, used)
 		a.Spread = max(a.Spread, slope.Fit.Spread)
--- a/testbed/endpointmodel/endpoint.go
+++ b/testbed/endpointmodel/endpoint.go
@@ -42,15 +42,15 @@
 		case Silent:
 			ep.silent = true
 		case Hang:
-			ep.hangs, ep.hangActs = true, max(ep.hangActs, s.Acts)
+			ep.hangs, ep.hangActs = true, max(ep.hangActs, s.EffectShare)
 		case Shut:
 			ep.shut, ep.until = true, max(ep.until, s.Until)
 		case Errors:
-			ep.errors, ep.errorActs = max(ep.errors, s.Size), max(ep.errorActs, s.Acts)
+			ep.errors, ep.errorActs = max(ep.errors, s.Size), max(ep.errorActs, s.EffectShare)
 		case Swallow:
 			ep.swallow = max(ep.swallow, s.Size)
 		case Resets:
-			ep.resets, ep.resetActs = max(ep.resets, s.Size), max(ep.resetActs, s.Acts)
+			ep.resets, ep.resetActs = max(ep.resets, s.Size), max(ep.resetActs, s.EffectShare)
 		case Slow:
 			ep.slow *= max(1, s.Size)
 		case Stand:
--- a/testbed/endpointmodel/endpointmodel.go
+++ b/testbed/endpointmodel/endpointmodel.go
@@ -14,8 +14,8 @@
 // Never is an instant that does not come.
 const Never = dispatch.Micros(math.MaxInt64)
 
-// Partner is one destination.
-type Partner struct {
+// Destination is one destination.
+type Destination struct {
 	plan      Plan
 	rng       *rand.Rand
 	spread    distuv.LogNormal // of the time of service, with the mean 1
@@ -35,10 +35,10 @@
 }
 
 // New makes a destination.
-func New(plan Plan) *Partner {
+func New(plan Plan) *Destination {
 	source := rand.NewPCG(plan.Seed, 0x70617274)
 	variance := math.Log(1 + plan.Spread*plan.Spread)
-	p := &Partner{plan: plan, rng: rand.New(source), endpoints: map[dispatch.EndpointID]*endpoint{},
+	p := &Destination{plan: plan, rng: rand.New(source), endpoints: map[dispatch.EndpointID]*endpoint{},
 		spread: distuv.LogNormal{Mu: -variance / 2, Sigma: math.Sqrt(variance), Src: source},
 		ran:    map[dispatch.MessageID][]effect{}}
 	for _, e := range plan.Endpoints {
@@ -48,11 +48,11 @@
 }
 
 // Plan is what the destination was made from.
-func (p *Partner) Plan() *Plan { return &p.plan }
+func (p *Destination) Plan() *Plan { return &p.plan }
 
 // Add puts up an endpoint.
-func (p *Partner) Add(e Endpoint) {
-	if len(p.routes) == 0 || p.plan.Apart {
+func (p *Destination) Add(e Endpoint) {
+	if len(p.routes) == 0 || p.plan.SeparateRoutes {
 		p.routes = append(p.routes, newRoute(len(p.routes), &p.plan, p.rng))
 	}
 	ep := &endpoint{Endpoint: e, route: p.routes[len(p.routes)-1]}
@@ -63,7 +63,7 @@
 }
 
 // Route is the number of the route that an endpoint belongs to; -1 for a strange endpoint.
-func (p *Partner) Route(id dispatch.EndpointID) int {
+func (p *Destination) Route(id dispatch.EndpointID) int {
 	if ep := p.endpoints[id]; ep != nil {
 		return ep.route.no
 	}
@@ -71,7 +71,7 @@
 }
 
 // Remove takes an endpoint away: what it had in hand is cut off, connections are refused from now on.
-func (p *Partner) Remove(_ dispatch.Micros, id dispatch.EndpointID) []Output {
+func (p *Destination) Remove(_ dispatch.Micros, id dispatch.EndpointID) []Output {
 	p.out = nil
 	if ep := p.endpoints[id]; ep != nil && !ep.gone {
 		ep.gone = true
@@ -81,23 +81,23 @@
 }
 
 // Connect asks an endpoint for a connection.
-func (p *Partner) Connect(_ dispatch.Micros, id dispatch.EndpointID) Link {
+func (p *Destination) Connect(_ dispatch.Micros, id dispatch.EndpointID) Link {
 	link := p.Door(id)
-	if link == Up {
+	if link == Connected {
 		p.endpoints[id].open++
 	}
 	return link
 }
 
 // Disconnect gives a connection back.
-func (p *Partner) Disconnect(id dispatch.EndpointID) {
+func (p *Destination) Disconnect(id dispatch.EndpointID) {
 	if ep := p.endpoints[id]; ep != nil && ep.open > 0 {
 		ep.open--
 	}
 }
 
-// Take takes a call over a connection that is up.
-func (p *Partner) Take(now dispatch.Micros, c *Call) []Output {
+// Receive takes a call over a connection that is up.
+func (p *Destination) Receive(now dispatch.Micros, c *Call) []Output {
 	p.out = nil
 	ep := p.endpoints[c.Endpoint]
 	if ep == nil || ep.gone || ep.refuses {
@@ -111,7 +111,7 @@
 		return p.out
 	}
 	if sent, since, falls := ep.route.press(now, c.Courier); falls {
-		p.say(Fell{Route: ep.route.no, Since: since, Sent: sent})
+		p.say(RouteOverloaded{Route: ep.route.no, Since: since, Sent: sent})
 		p.fall(now, ep.route)
 		if ep.refuses {
 			p.say(Answer{Call: c, Outcome: dispatch.Broken})
@@ -126,7 +126,7 @@
 const quick = 1000
 
 // judge settles what comes of a call, as far as health, limit and queue go.
-func (p *Partner) judge(now dispatch.Micros, j *job) {
+func (p *Destination) judge(now dispatch.Micros, j *job) {
 	ep := j.ep
 	full := func(wait dispatch.Micros) {
 		j.fate = fate{outcome: dispatch.Throttled, wait: (wait + quick - 1) / quick * quick} // reported in whole milliseconds
@@ -174,24 +174,24 @@
 	}
 }
 
-func (p *Partner) begin(now dispatch.Micros, j *job) {
+func (p *Destination) begin(now dispatch.Micros, j *job) {
 	j.began = true
 	j.ep.busy++
 	p.after(now+p.service(now, j), j)
 }
 
 // service draws how long a call takes.
-func (p *Partner) service(now dispatch.Micros, j *job) dispatch.Micros {
+func (p *Destination) service(now dispatch.Micros, j *job) dispatch.Micros {
 	work := 1 + p.plan.ItemCost*float64(len(j.call.Items)-1)
-	span := float64(p.plan.Answer) * work * j.ep.slow / j.ep.route.warm(now)
+	span := float64(p.plan.ServiceTime) * work * j.ep.slow / j.ep.route.warm(now)
 	if p.plan.Spread > 0 {
 		span *= p.spread.Rand()
 	}
 	return max(quick, dispatch.Micros(span))
 }
 
-// CallOff tells that nobody waits for a call any more: what has not begun is dropped, what has runs on.
-func (p *Partner) CallOff(_ dispatch.Micros, c *Call) []Output {
+// Cancel tells that nobody waits for a call any more: what has not begun is dropped, what has runs on.
+func (p *Destination) Cancel(_ dispatch.Micros, c *Call) []Output {
 	p.out = nil
 	j := c.job
 	if j == nil {
@@ -208,8 +208,8 @@
 	return p.out
 }
 
-// Due is when something happens next by itself.
-func (p *Partner) Due() dispatch.Micros {
+// NextDue is when something happens next by itself.
+func (p *Destination) NextDue() dispatch.Micros {
 	if len(p.timers) == 0 {
 		return Never
 	}
@@ -217,7 +217,7 @@
 }
 
 // Step lets happen what is due.
-func (p *Partner) Step(now dispatch.Micros) []Output {
+func (p *Destination) Step(now dispatch.Micros) []Output {
 	p.out = nil
 	for len(p.timers) > 0 && p.timers[0].at <= now {
 		t := heap.Pop(&p.timers).(timer)
@@ -235,7 +235,7 @@
 }
 
 // finish ends a job: its effect, its answer, and the next in the queue.
-func (p *Partner) finish(now dispatch.Micros, j *job) {
+func (p *Destination) finish(now dispatch.Micros, j *job) {
 	ep := j.ep
 	j.over = true
 	if j.fate.acts {
@@ -253,7 +253,7 @@
 	}
 }
 
-func (p *Partner) nextInQueue(now dispatch.Micros, ep *endpoint) {
+func (p *Destination) nextInQueue(now dispatch.Micros, ep *endpoint) {
 	for len(ep.queue) > 0 && ep.busy < p.plan.Workers {
 		next := ep.queue[0]
 		ep.queue = ep.queue[1:]
@@ -261,10 +261,10 @@
 	}
 }
 
-func (p *Partner) answer(now dispatch.Micros, j *job) {
-	a := Answer{Call: j.call, Outcome: j.fate.outcome, Wait: j.fate.wait}
+func (p *Destination) answer(now dispatch.Micros, j *job) {
+	a := Answer{Call: j.call, Outcome: j.fate.outcome, RetryAfter: j.fate.wait}
 	if p.plan.Reports {
-		a.Pressure = j.ep.route.meter.report(now)
+		a.LoadReport = j.ep.route.meter.report(now)
 	}
 	if !j.called {
 		p.say(a)
@@ -272,24 +272,24 @@
 }
 
 // act lets the messages of a call take effect, but for repeats that are known by their mark.
-func (p *Partner) act(now dispatch.Micros, j *job) {
+func (p *Destination) act(now dispatch.Micros, j *job) {
 	for _, item := range j.call.Items {
 		before := p.ran[item.Origin]
 		known := false
 		if item.Repeat == dispatch.IdempotencyKey {
 			for _, e := range before {
-				known = known || now-e.at <= item.Window && (!item.OneZone || e.zone == j.ep.Zone)
+				known = known || now-e.at <= item.DedupWindow && (!item.DedupOneZone || e.zone == j.ep.Zone)
 			}
 		}
 		if !known {
 			p.ran[item.Origin] = append(before, effect{now, j.ep.Zone})
 		}
-		p.say(Ran{Item: item, Endpoint: j.ep.ID, Courier: j.call.Courier, Before: len(before), Known: known})
+		p.say(Effect{Item: item, Endpoint: j.ep.ID, Courier: j.call.Courier, EarlierEffects: len(before), Deduplicated: known})
 	}
 }
 
 // cutOff breaks what an endpoint has in hand; it comes to nothing.
-func (p *Partner) cutOff(ep *endpoint) {
+func (p *Destination) cutOff(ep *endpoint) {
 	for _, j := range append(slices.Clone(ep.hand), ep.lost...) {
 		if j.call != nil && !j.called {
 			p.say(Answer{Call: j.call, Outcome: dispatch.Broken})
@@ -299,9 +299,9 @@
 	ep.hand, ep.queue, ep.lost, ep.busy = nil, nil, nil, 0
 }
 
-func (p *Partner) say(o Output) { p.out = append(p.out, o) }
+func (p *Destination) say(o Output) { p.out = append(p.out, o) }
 
-func (p *Partner) after(at dispatch.Micros, j *job) {
+func (p *Destination) after(at dispatch.Micros, j *job) {
 	p.seq++
 	heap.Push(&p.timers, timer{at: at, seq: p.seq, job: j})
 }
@@ -330,21 +330,21 @@
 }
 
 // Door tells how an endpoint treats who asks for a connection just now, without opening one.
-func (p *Partner) Door(id dispatch.EndpointID) Link {
+func (p *Destination) Door(id dispatch.EndpointID) Link {
 	ep := p.endpoints[id]
 	switch {
 	case p.Dead(id):
 		return Refused
 	case ep.silent:
-		return NoWord
+		return NoResponse
 	case p.plan.Connections > 0 && float64(ep.open) >= float64(p.plan.Connections)*ep.table:
 		return Refused
 	}
-	return Up
+	return Connected
 }
 
 // Dead tells whether an endpoint's process does not run: no connection to it lives.
-func (p *Partner) Dead(id dispatch.EndpointID) bool {
+func (p *Destination) Dead(id dispatch.EndpointID) bool {
 	ep := p.endpoints[id]
 	return ep == nil || ep.gone || ep.refuses
 }
--- a/testbed/endpointmodel/endpointmodel_test.go
+++ b/testbed/endpointmodel/endpointmodel_test.go
@@ -11,23 +11,23 @@
 const ms = dispatch.Micros(1000)
 
 func plan() Plan {
-	return Plan{Endpoints: []Endpoint{{ID: "a", Zone: 0}, {ID: "b", Zone: 1}}, Workers: 2, Queue: 1, Answer: 100 * ms, PerCall: 5,
-		ColdFrom: 0.2, Ramp: 10000 * ms, Fall: 2, FallSpan: 2000 * ms, FallDown: 5000 * ms, Limit: Limit{Tells: 1}}
+	return Plan{Endpoints: []Endpoint{{ID: "a", Zone: 0}, {ID: "b", Zone: 1}}, Workers: 2, Queue: 1, ServiceTime: 100 * ms, PerCall: 5,
+		SlowStartInitialShare: 0.2, SlowStart: 10000 * ms, OverloadFactor: 2, OverloadWindow: 2000 * ms, FallDown: 5000 * ms, Limit: Limit{Tells: 1}}
 }
 
 // until steps a partner up to an instant and returns what came of it.
-func until(p *Partner, to dispatch.Micros) (all []Output) {
-	for p.Due() <= to {
-		all = append(all, p.Step(p.Due())...)
+func until(p *Destination, to dispatch.Micros) (all []Output) {
+	for p.NextDue() <= to {
+		all = append(all, p.Step(p.NextDue())...)
 	}
 	return all
 }
 
-func take(p *Partner, at dispatch.Micros, id uint64, ep dispatch.EndpointID, items ...Item) []Output {
+func take(p *Destination, at dispatch.Micros, id uint64, ep dispatch.EndpointID, items ...Item) []Output {
 	if len(items) == 0 {
 		items = []Item{{Message: "r", Origin: "r"}}
 	}
-	return p.Take(at, &Call{ID: id, Endpoint: ep, Items: items})
+	return p.Receive(at, &Call{ID: id, Endpoint: ep, Items: items})
 }
 
 func outcomes(outs []Output) (done, full, broken, ran int) {
@@ -42,8 +42,8 @@
 			case dispatch.Broken:
 				broken++
 			}
-		case Ran:
-			if !o.Known {
+		case Effect:
+			if !o.Deduplicated {
 				ran++
 			}
 		}
@@ -66,7 +66,7 @@
 // TestActsAndHangs: an effect without an answer must be notified from an answer.
 func TestActsAndHangs(t *testing.T) {
 	p := New(plan())
-	p.Inject(0, "a", Fault{ID: 1, Kind: Hang, Acts: 1})
+	p.StartFault(0, "a", Fault{ID: 1, Kind: Hang, EffectShare: 1})
 	all := append(take(p, 0, 1, "a"), until(p, 5000*ms)...)
 	if done, full, broken, ran := outcomes(all); done+full+broken != 0 || ran != 1 {
 		t.Errorf("answered %d %d %d, ran %d", done, full, broken, ran)
@@ -75,7 +75,7 @@
 
 func TestKnowsRepeatsInWindowAndZone(t *testing.T) {
 	p := New(plan())
-	item := Item{Message: "x", Origin: "x", Repeat: dispatch.IdempotencyKey, Window: 1000 * ms, OneZone: true}
+	item := Item{Message: "x", Origin: "x", Repeat: dispatch.IdempotencyKey, DedupWindow: 1000 * ms, DedupOneZone: true}
 	var all []Output
 	for _, c := range []struct {
 		at dispatch.Micros
@@ -97,14 +97,14 @@
 		falls int
 	}{{20 * ms, 1}, {400 * ms, 0}} {
 		p := New(plan())
-		p.Inject(0, "a", Fault{ID: 1, Kind: Shut})
-		p.Inject(0, "b", Fault{ID: 1, Kind: Shut})
-		p.Heal(1000*ms, "a", 1)
-		p.Heal(1000*ms, "b", 1)
+		p.StartFault(0, "a", Fault{ID: 1, Kind: Shut})
+		p.StartFault(0, "b", Fault{ID: 1, Kind: Shut})
+		p.EndFault(1000*ms, "a", 1)
+		p.EndFault(1000*ms, "b", 1)
 		falls := 0
 		for at := 1000 * ms; at < 3500*ms; at += c.every {
 			for _, o := range append(until(p, at), take(p, at, uint64(at), "a")...) {
-				if f, ok := o.(Fell); ok {
+				if f, ok := o.(RouteOverloaded); ok {
 					falls++
 					if f.Sent[0] < 5 {
 						t.Errorf("fell after %v calls", f.Sent)
@@ -126,11 +126,11 @@
 
 // TestEveryCallEndsOnce: whatever faults when, a call gets one answer at most, and none after its courier hung up.
 func TestEveryCallEndsOnce(t *testing.T) {
-	kinds := []Trouble{Refuse, Silent, Hang, Shut, Errors, Swallow, Resets, Slow, Stand, Shrink, Crowd}
+	kinds := []FaultKind{Refuse, Silent, Hang, Shut, Errors, Swallow, Resets, Slow, Stand, Shrink, Crowd}
 	rapid.Check(t, func(t *rapid.T) {
 		pl := plan()
 		pl.Spread, pl.Seed = 0.5, rapid.Uint64().Draw(t, "seed")
-		pl.Limit = Limit{Kind: LimitKind(rapid.IntRange(0, 2).Draw(t, "limit")), PerSec: 20, Span: 500 * ms, Tells: 0.5}
+		pl.Limit = Limit{Kind: LimitKind(rapid.IntRange(0, 2).Draw(t, "limit")), PerSec: 20, Window: 500 * ms, Tells: 0.5}
 		p := New(pl)
 		answers, off := map[uint64]int{}, map[uint64]bool{}
 		calls := map[uint64]*Call{}
@@ -153,19 +153,19 @@
 			ep := []dispatch.EndpointID{"a", "b"}[rapid.IntRange(0, 1).Draw(t, "endpoint")]
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
-				see(p.Inject(at, ep, Fault{ID: i, Kind: rapid.SampledFrom(kinds).Draw(t, "kind"), Size: 0.5, Acts: 0.5, Until: at + 1000*ms}))
+				see(p.StartFault(at, ep, Fault{ID: i, Kind: rapid.SampledFrom(kinds).Draw(t, "kind"), Size: 0.5, EffectShare: 0.5, Until: at + 1000*ms}))
 			case 1:
-				see(p.Heal(at, ep, rapid.IntRange(0, i).Draw(t, "strike")))
+				see(p.EndFault(at, ep, rapid.IntRange(0, i).Draw(t, "strike")))
 			case 2:
 				if c := calls[uint64(rapid.IntRange(0, i).Draw(t, "call"))]; c != nil {
 					off[c.ID] = true
-					see(p.CallOff(at, c))
+					see(p.Cancel(at, c))
 				}
 			default:
-				if p.Connect(at, ep) == Up {
+				if p.Connect(at, ep) == Connected {
 					c := &Call{ID: uint64(i), Endpoint: ep, Items: []Item{{Message: "r", Origin: "r"}}}
 					calls[c.ID] = c
-					see(p.Take(at, c))
+					see(p.Receive(at, c))
 				}
 			}
 		}
--- a/testbed/endpointmodel/health.go
+++ b/testbed/endpointmodel/health.go
@@ -7,8 +7,8 @@
 	"pineport/dispatch"
 )
 
-// Inject lets a fault begin at an endpoint.
-func (p *Partner) Inject(now dispatch.Micros, id dispatch.EndpointID, s Fault) []Output {
+// StartFault lets a fault begin at an endpoint.
+func (p *Destination) StartFault(now dispatch.Micros, id dispatch.EndpointID, s Fault) []Output {
 	p.out = nil
 	ep := p.endpoints[id]
 	if ep == nil || ep.gone {
@@ -20,8 +20,8 @@
 	return p.out
 }
 
-// Heal ends a trouble at an endpoint.
-func (p *Partner) Heal(now dispatch.Micros, id dispatch.EndpointID, fault int) []Output {
+// EndFault ends a trouble at an endpoint.
+func (p *Destination) EndFault(now dispatch.Micros, id dispatch.EndpointID, fault int) []Output {
 	p.out = nil
 	ep := p.endpoints[id]
 	if ep == nil {
@@ -34,7 +34,7 @@
 }
 
 // changed carries out what new or ended faults mean for what is in hand.
-func (p *Partner) changed(now dispatch.Micros, ep *endpoint, before ill) {
+func (p *Destination) changed(now dispatch.Micros, ep *endpoint, before ill) {
 	ep.diagnose(ep.route.fellTo > now)
 	shrunk := 1.0
 	for _, other := range ep.route.endpoints {
@@ -67,7 +67,7 @@
 }
 
 // goOn ends a standstill: what fell due in it ends now.
-func (p *Partner) goOn(now dispatch.Micros, ep *endpoint) {
+func (p *Destination) goOn(now dispatch.Micros, ep *endpoint) {
 	for _, j := range ep.hand {
 		if j.after > 0 && !j.over {
 			j.after = 0
@@ -77,7 +77,7 @@
 }
 
 // look brings the phase of a route up to date.
-func (p *Partner) look(now dispatch.Micros, rt *route) {
+func (p *Destination) look(now dispatch.Micros, rt *route) {
 	if rt.fellTo > 0 && now >= rt.fellTo {
 		rt.fellTo = 0
 		for _, ep := range rt.endpoints {
@@ -86,21 +86,21 @@
 	}
 	out := rt.out()
 	switch {
-	case out && rt.phase != Out:
-		rt.phase = Out
-		p.say(Turned{rt.no, Out})
-	case !out && rt.phase == Out:
+	case out && rt.phase != Outage:
+		rt.phase = Outage
+		p.say(PhaseChanged{rt.no, Outage})
+	case !out && rt.phase == Outage:
 		rt.phase, rt.coldSince, rt.load = Cold, now, nil
-		p.say(Turned{rt.no, Cold})
-		p.lookAt(now+p.plan.Ramp, rt)
-	case rt.phase == Cold && now >= rt.coldSince+p.plan.Ramp:
+		p.say(PhaseChanged{rt.no, Cold})
+		p.lookAt(now+p.plan.SlowStart, rt)
+	case rt.phase == Cold && now >= rt.coldSince+p.plan.SlowStart:
 		rt.phase = Well
-		p.say(Turned{rt.no, Well})
+		p.say(PhaseChanged{rt.no, Well})
 	}
 }
 
 // fall puts a route down that was sent too much on its return.
-func (p *Partner) fall(now dispatch.Micros, rt *route) {
+func (p *Destination) fall(now dispatch.Micros, rt *route) {
 	rt.fellTo = now + p.plan.FallDown
 	for _, ep := range rt.endpoints {
 		ep.diagnose(true)
@@ -111,7 +111,7 @@
 	p.look(now, rt)
 }
 
-func (p *Partner) lookAt(at dispatch.Micros, rt *route) {
+func (p *Destination) lookAt(at dispatch.Micros, rt *route) {
 	p.seq++
 	heap.Push(&p.timers, timer{at: at, seq: p.seq, route: rt})
 }
--- a/testbed/endpointmodel/limit.go
+++ b/testbed/endpointmodel/limit.go
@@ -33,13 +33,13 @@
 		m.tokens = min(m.saved(), m.tokens+m.rate()*float64(now-m.at)/1e6)
 		m.at = now
 	case Window:
-		if span := int64(now / m.limit.Span); span != m.span {
+		if span := int64(now / m.limit.Window); span != m.span {
 			m.span, m.used = span, 0
 		}
 	}
 }
 
-func (m *meter) windowful() int { return max(1, int(m.rate()*float64(m.limit.Span)/1e6)) }
+func (m *meter) windowful() int { return max(1, int(m.rate()*float64(m.limit.Window)/1e6)) }
 
 // take tells whether a call is within the limit; where it is not, how long to wait, if that is notified.
 func (m *meter) take(now dispatch.Micros) (ok bool, wait dispatch.Micros) {
@@ -52,7 +52,7 @@
 			m.used++
 			return true, 0
 		}
-		wait = dispatch.Micros(m.span+1)*m.limit.Span - now
+		wait = dispatch.Micros(m.span+1)*m.limit.Window - now
 	default:
 		if m.tokens >= 1 {
 			m.tokens--
--- a/testbed/endpointmodel/plan.go
+++ b/testbed/endpointmodel/plan.go
@@ -21,7 +21,7 @@
 type Limit struct {
 	Kind         LimitKind
 	PerSec       float64
-	Span         dispatch.Micros // of a Window
+	Window       dispatch.Micros // of a DedupWindow
 	RefusedCount bool            // refused calls use it up as well
 	Tells        float64         // share of refusals that tell how long to wait
 	LeastWait    dispatch.Micros // the shortest wait that is notified
@@ -35,39 +35,39 @@
 
 // Plan is what a destination is made from.
 type Plan struct {
-	Dest        dispatch.DestinationID
-	Kind        dispatch.EndpointTypeID
-	Apart       bool // each endpoint is a route of its own, with its own limit, outages and return
-	PerCall     int  // messages in a call at most
-	ItemCost    float64
-	Endpoints   []Endpoint
-	Workers     int             // calls that an endpoint serves at once
-	Queue       int             // calls that wait at an endpoint at most
-	Connections int             // that an endpoint holds, idle ones counted; 0: any number
-	Answer      dispatch.Micros // mean time of service
-	Spread      float64         // coefficient of variation of it (lognormal)
-	ErrorRate   float64         // of calls in good health
-	Limit       Limit
-	Reports     bool // answers tell how much of the limit is left, and the limit
-	ReportEvery dispatch.Micros
-	ReportNoise float64
-	ColdFrom    float64 // share of the capacity at a return
-	Ramp        dispatch.Micros
-	Fall        float64 // sent more than this multiple of its present capacity ...
-	FallSpan    dispatch.Micros
-	FallDown    dispatch.Micros // ... for so long, it falls over, and is down for so long
-	Seed        uint64
+	Dest                  dispatch.DestinationID
+	Kind                  dispatch.EndpointTypeID
+	SeparateRoutes        bool // each endpoint is a route of its own, with its own limit, outages and return
+	PerCall               int  // messages in a call at most
+	ItemCost              float64
+	Endpoints             []Endpoint
+	Workers               int             // calls that an endpoint serves at once
+	Queue                 int             // calls that wait at an endpoint at most
+	Connections           int             // that an endpoint holds, idle ones counted; 0: any number
+	ServiceTime           dispatch.Micros // mean time of service
+	Spread                float64         // coefficient of variation of it (lognormal)
+	ErrorRate             float64         // of calls in good health
+	Limit                 Limit
+	Reports               bool // answers tell how much of the limit is left, and the limit
+	ReportEvery           dispatch.Micros
+	ReportNoise           float64
+	SlowStartInitialShare float64 // share of the capacity at a return
+	SlowStart             dispatch.Micros
+	OverloadFactor        float64 // sent more than this multiple of its present capacity ...
+	OverloadWindow        dispatch.Micros
+	FallDown              dispatch.Micros // ... for so long, it falls over, and is down for so long
+	Seed                  uint64
 }
 
 // Capacity is how many calls a second an endpoint in good health serves.
-func (p *Plan) Capacity() float64 { return float64(p.Workers) / float64(p.Answer) * 1e6 }
+func (p *Plan) Capacity() float64 { return float64(p.Workers) / float64(p.ServiceTime) * 1e6 }
 
 // Item is one message within a call. Origin stays the same when a client hands a message in again.
 type Item struct {
 	Message, Origin dispatch.MessageID
 	Repeat          dispatch.Idempotency
-	OneZone         bool            // with an idempotency key: only this zone's endpoints know a repeat
-	Window          dispatch.Micros // with an idempotency key: for so long
+	DedupOneZone    bool            // with an idempotency key: only this zone's endpoints know a repeat
+	DedupWindow     dispatch.Micros // with an idempotency key: for so long
 }
 
 // Call is one call whose last byte has come.
@@ -85,37 +85,37 @@
 type (
 	// Answer ends a call. Outcome is Done, Failure, Full, or Broken where its connection breaks.
 	Answer struct {
-		Call     *Call
-		Outcome  dispatch.Outcome
-		Wait     dispatch.Micros
-		Pressure []float64 // share of the limit left, and the limit in calls a second
+		Call       *Call
+		Outcome    dispatch.Outcome
+		RetryAfter dispatch.Micros
+		LoadReport []float64 // share of the limit left, and the limit in calls a second
 	}
-	// Ran is an effect: Before is how often this message had taken effect before. Where the destination knew the repeat
-	// by its mark, nothing ran and Known is set.
-	Ran struct {
-		Item     Item
-		Endpoint dispatch.EndpointID
-		Courier  int
-		Before   int
-		Known    bool
+	// Effect is an effect: EarlierEffects is how often this message had taken effect before. Where the destination knew the repeat
+	// by its mark, nothing ran and Deduplicated is set.
+	Effect struct {
+		Item           Item
+		Endpoint       dispatch.EndpointID
+		Courier        int
+		EarlierEffects int
+		Deduplicated   bool
 	}
-	// Fell reports that a recovering route was sent more than it could take, and is down again. Sent has what each courier sent.
-	Fell struct {
+	// RouteOverloaded reports that a recovering route was sent more than it could take, and is down again. Sent has what each courier sent.
+	RouteOverloaded struct {
 		Route int
 		Since dispatch.Micros
 		Sent  map[int]float64
 	}
-	// Turned tells of the health of a route: an outage began, it came back cold, or it is warm again.
-	Turned struct {
+	// PhaseChanged tells of the health of a route: an outage began, it came back cold, or it is warm again.
+	PhaseChanged struct {
 		Route int
 		Phase Phase
 	}
 )
 
-func (Answer) output() {}
-func (Ran) output()    {}
-func (Fell) output()   {}
-func (Turned) output() {}
+func (Answer) output()          {}
+func (Effect) output()          {}
+func (RouteOverloaded) output() {}
+func (PhaseChanged) output()    {}
 
 // Phase is where a route stands.
 type Phase int
@@ -123,7 +123,7 @@
 // The phases of a route.
 const (
 	Well Phase = iota
-	Out
+	Outage
 	Cold
 )
 
@@ -134,36 +134,36 @@
 
 // What may come of asking for a connection.
 const (
-	Up Link = iota
+	Connected Link = iota
 	Refused
-	NoWord // nothing comes back
+	NoResponse // nothing comes back
 )
 
-// Trouble is a way in which an endpoint goes wrong.
-type Trouble string
+// FaultKind is a way in which an endpoint goes wrong.
+type FaultKind string
 
-// The troubles that an endpoint knows; Size and Acts of a Fault mean what stands beside them.
+// The troubles that an endpoint knows; Size and EffectShare of a Fault mean what stands beside them.
 const (
-	Refuse  Trouble = "refuse"  // its process is dead: connections are refused, what was in hand is cut off
-	Silent  Trouble = "silent"  // its machine is gone: nothing comes back, connections never come up
-	Hang    Trouble = "hang"    // takes calls and answers none; Acts: share that takes effect all the same
-	Shut    Trouble = "shut"    // answers full to everything, and may tell when it opens
-	Errors  Trouble = "errors"  // Size: share of calls that fail quickly; Acts: share of those that took effect
-	Swallow Trouble = "swallow" // Size: share of answers that never come, though the call took effect
-	Resets  Trouble = "resets"  // Size: share of calls whose connection breaks; Acts: share of those that took effect
-	Slow    Trouble = "slow"    // Size: times as long
-	Stand   Trouble = "stand"   // stands still until the fault ends
-	Shrink  Trouble = "shrink"  // Size: what is left of its limit
-	Crowd   Trouble = "crowd"   // Size: what is left of its connection table
+	Refuse  FaultKind = "refuse"  // its process is dead: connections are refused, what was in hand is cut off
+	Silent  FaultKind = "silent"  // its machine is gone: nothing comes back, connections never come up
+	Hang    FaultKind = "hang"    // takes calls and answers none; EffectShare: share that takes effect all the same
+	Shut    FaultKind = "shut"    // answers full to everything, and may tell when it opens
+	Errors  FaultKind = "errors"  // Size: share of calls that fail quickly; EffectShare: share of those that took effect
+	Swallow FaultKind = "swallow" // Size: share of answers that never come, though the call took effect
+	Resets  FaultKind = "resets"  // Size: share of calls whose connection breaks; EffectShare: share of those that took effect
+	Slow    FaultKind = "slow"    // Size: times as long
+	Stand   FaultKind = "stand"   // stands still until the fault ends
+	Shrink  FaultKind = "shrink"  // Size: what is left of its limit
+	Crowd   FaultKind = "crowd"   // Size: what is left of its connection table
 )
 
 // Fault is one trouble at one endpoint. ID tells faults apart, so that overlapping ones end singly.
 type Fault struct {
-	ID    int
-	Kind  Trouble
-	Size  float64
-	Acts  float64
-	Until dispatch.Micros // when it ends, as far as a destination itself may tell: when a shut one opens
+	ID          int
+	Kind        FaultKind
+	Size        float64
+	EffectShare float64
+	Until       dispatch.Micros // when it ends, as far as a destination itself may tell: when a shut one opens
 }
 
 // outage tells whether a fault is one from which a route comes back cold.
--- a/testbed/endpointmodel/route.go
+++ b/testbed/endpointmodel/route.go
@@ -15,7 +15,7 @@
 	phase     Phase
 	coldSince dispatch.Micros
 	fellTo    dispatch.Micros // down from a fall until then
-	load      []arrival       // of the last FallSpan of a return
+	load      []arrival       // of the last OverloadWindow of a return
 }
 
 type arrival struct {
@@ -40,11 +40,11 @@
 
 // warm is the share of its capacity that the route has.
 func (r *route) warm(now dispatch.Micros) float64 {
-	if r.phase != Cold || r.plan.Ramp <= 0 {
+	if r.phase != Cold || r.plan.SlowStart <= 0 {
 		return 1
 	}
-	passed := float64(now-r.coldSince) / float64(r.plan.Ramp)
-	return min(1, r.plan.ColdFrom+(1-r.plan.ColdFrom)*passed)
+	passed := float64(now-r.coldSince) / float64(r.plan.SlowStart)
+	return min(1, r.plan.SlowStartInitialShare+(1-r.plan.SlowStartInitialShare)*passed)
 }
 
 // capacity is what all endpoints of the route that are up serve in a second.
@@ -63,16 +63,16 @@
 
 // press counts a call at a cold route and tells whether it falls over.
 func (r *route) press(now dispatch.Micros, courier int) (sent map[int]float64, since dispatch.Micros, falls bool) {
-	if r.phase != Cold || r.plan.Fall <= 0 {
+	if r.phase != Cold || r.plan.OverloadFactor <= 0 {
 		return nil, 0, false
 	}
 	r.load = append(r.load, arrival{now, courier})
 	from := 0
-	for now-r.load[from].at > r.plan.FallSpan {
+	for now-r.load[from].at > r.plan.OverloadWindow {
 		from++
 	}
 	r.load = r.load[from:]
-	if float64(len(r.load)) <= r.plan.Fall*r.capacity(now)*float64(r.plan.FallSpan)/1e6+slack {
+	if float64(len(r.load)) <= r.plan.OverloadFactor*r.capacity(now)*float64(r.plan.OverloadWindow)/1e6+slack {
 		return nil, 0, false
 	}
 	sent = map[int]float64{}
--- a/testbed/environment/directory.go
+++ b/testbed/environment/directory.go
@@ -58,15 +58,15 @@
 var health = map[dispatch.Phase]string{dispatch.InService: "in_service", dispatch.Draining: "terminating", dispatch.Removed: "terminated"}
 
 func (w *World) entry(dest int, e endpointmodel.Endpoint, phase dispatch.Phase, born int64) entry {
-	dst := &w.Day.Destinations[dest]
-	return entry{Host: e.ID, Dial: w.endpoint(e.ID).address, Site: w.Day.Day.Fleet.Zones[e.Zone], Class: dst.KindName, Block: dest,
+	dst := &w.Scenario.Destinations[dest]
+	return entry{Host: e.ID, Dial: w.endpoint(e.ID).address, Site: w.Scenario.Definition.Fleet.Zones[e.Zone], Class: dst.KindName, Block: dest,
 		Health: health[phase], Share: dst.Listed, Born: born}
 }
 
 func openDirectory(w *World, courier int) (*directory, error) {
 	d := &directory{world: w, courier: courier, seq: 1, entries: map[dispatch.EndpointID]entry{}, changed: make(chan struct{})}
-	for i := range w.Day.Destinations {
-		for _, e := range w.Day.Destinations[i].Endpoints {
+	for i := range w.Scenario.Destinations {
+		for _, e := range w.Scenario.Destinations[i].Endpoints {
 			d.entries[e.ID] = w.entry(i, e, dispatch.InService, 0)
 		}
 	}
@@ -209,7 +209,7 @@
 func (d *directory) callTime() time.Duration {
 	d.world.mu.Lock()
 	defer d.world.mu.Unlock()
-	r := d.world.Day.Day.Directory.Call
+	r := d.world.Scenario.Definition.Directory.ListTime
 	return time.Duration((r[0] + (r[1]-r[0])*d.world.rng.Float64()) * float64(time.Millisecond))
 }
 
@@ -227,7 +227,7 @@
 	for _, en := range l.Hosts {
 		for phase, word := range health {
 			if word == en.Health {
-				d.world.Books.Notified(now, d.courier, en.Host, phase)
+				d.world.Books.EndpointNotified(now, d.courier, en.Host, phase)
 			}
 		}
 	}
@@ -250,12 +250,12 @@
 		if n.Status == "deferred" {
 			how = invariants.Rejected
 		}
-		if w.Books == nil || !w.Books.Noticed(w.Clock.Now(), n.ID, how) {
+		if w.Books == nil || !w.Books.NoticeReceived(w.Clock.Now(), n.ID, how) {
 			continue
 		}
-		w.Drop(n.ID)
-		if w.Noticed != nil {
-			w.Noticed(n.ID, how, time.Duration(n.AgainMs)*time.Millisecond)
+		w.MarkEnded(n.ID)
+		if w.OnNotice != nil {
+			w.OnNotice(n.ID, how, time.Duration(n.AgainMs)*time.Millisecond)
 		}
 	}
 	rw.WriteHeader(http.StatusNoContent)
@@ -267,13 +267,13 @@
 	AgainMs int64              `json:"again_ms"`
 }
 
-// Known is the list that a courier is handed at its start, in the platform's form.
-func (w *World) Known(courier int) any {
+// InitialList is the list that a courier is handed at its start, in the platform's form.
+func (w *World) InitialList(courier int) any {
 	d := w.directory[courier]
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.whole()
 }
 
-// Discovery is where a courier finds its directory.
-func (w *World) Discovery(courier int) string { return w.directory[courier].address }
+// DirectoryAddress is where a courier finds its directory.
+func (w *World) DirectoryAddress(courier int) string { return w.directory[courier].address }
--- a/testbed/environment/endpoint.go
+++ b/testbed/environment/endpoint.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		return err
 	}
-	e.listener, e.address, e.door = l.(*net.TCPListener), l.Addr().String(), endpointmodel.Up
+	e.listener, e.address, e.door = l.(*net.TCPListener), l.Addr().String(), endpointmodel.Connected
 	e.world.wg.Add(1)
 	go e.accept(e.listener)
 	return nil
@@ -79,17 +79,17 @@
 			return
 		}
 		link := endpointmodel.Refused
-		e.site.do(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
+		e.site.do(func(p *endpointmodel.Destination, now dispatch.Micros) []endpointmodel.Output {
 			link = p.Connect(now, e.ID)
 			return nil
 		})
-		if link != endpointmodel.Up {
+		if link != endpointmodel.Connected {
 			reset(conn)
 			e.gate()
 			continue
 		}
 		if books := e.world.Books; books != nil {
-			books.Shook()
+			books.ConnectionOpened()
 		}
 		e.mu.Lock()
 		e.conns[conn] = true
@@ -116,16 +116,16 @@
 	was := e.door
 	e.door = want
 	switch {
-	case want == endpointmodel.NoWord:
+	case want == endpointmodel.NoResponse:
 		e.stuff()
-	case was == endpointmodel.NoWord:
+	case was == endpointmodel.NoResponse:
 		for _, c := range e.plugs {
 			reset(c.(*net.TCPConn))
 		}
 		e.plugs = nil
 		e.shut()
 		e.resetAll()
-		if want == endpointmodel.Up {
+		if want == endpointmodel.Connected {
 			e.reopen()
 		}
 	case want == endpointmodel.Refused:
@@ -156,7 +156,7 @@
 		if err := e.listen(); err != nil {
 			return
 		}
-		e.door = endpointmodel.NoWord
+		e.door = endpointmodel.NoResponse
 	}
 	e.listener.SetDeadline(time.Now())
 	if raw, err := e.listener.SyscallConn(); err == nil {
@@ -225,7 +225,7 @@
 	delete(e.conns, conn)
 	e.mu.Unlock()
 	if mine { // else it was cut off, and the partner has counted it out
-		e.site.do(func(p *endpointmodel.Partner, _ dispatch.Micros) []endpointmodel.Output {
+		e.site.do(func(p *endpointmodel.Destination, _ dispatch.Micros) []endpointmodel.Output {
 			p.Disconnect(e.ID)
 			return nil
 		})
@@ -319,11 +319,11 @@
 	a.ends, a.courier = map[dispatch.MessageID]string{}, -1
 	for _, id := range ids {
 		r := w.messages[id]
-		if r == nil && w.Guests {
+		if r == nil && w.AllowUnknownMessages {
 			r = &Message{Origin: id, Dest: e.site.no}
 			w.messages[id] = r
 			w.Books.Offered(in.first, id, 0, 0, dispatch.DestinationID(r.Dest))
-			w.Books.Taken(in.first, id, id, 0, "", in.first+dispatch.Micros(w.Day.Day.Classes[0].CutOff*1e6))
+			w.Books.Accepted(in.first, id, id, 0, "", in.first+dispatch.Micros(w.Scenario.Definition.Classes[0].Deadline*1e6))
 		}
 		switch {
 		case r == nil:
@@ -332,23 +332,23 @@
 			return a, fmt.Sprintf("%s is for destination %d and came to %s, which is of %d", id, r.Dest, e.ID, e.site.no)
 		}
 		a.courier = r.Courier
-		wl := &w.Day.Day.Classes[r.Work]
+		wl := &w.Scenario.Definition.Classes[r.Class]
 		switch r.Attempts++; {
 		case r.Over:
 			a.ends[id] = "expired"
-		case r.Attempts > w.Day.Day.Fleet.MaxAttempts:
+		case r.Attempts > w.Scenario.Definition.Fleet.MaxAttempts:
 			a.ends[id] = "no_more"
 		default:
 			a.ids = append(a.ids, id)
-			a.items = append(a.items, endpointmodel.Item{Message: id, Origin: r.Origin, Repeat: invariants.RepeatOf(wl.Repeat),
-				OneZone: wl.OneZone, Window: dispatch.Micros(wl.Window * 1e6)})
+			a.items = append(a.items, endpointmodel.Item{Message: id, Origin: r.Origin, Repeat: invariants.ParseIdempotency(wl.Idempotency),
+				DedupOneZone: wl.DedupOneZone, DedupWindow: dispatch.Micros(wl.DedupWindow * 1e6)})
 		}
 	}
-	if a.full = w.out[a.courier] >= w.Day.Slots; !a.full {
+	if a.full = w.out[a.courier] >= w.Scenario.Slots; !a.full {
 		w.out[a.courier]++
 	}
 	for _, id := range a.ids {
-		a.attempts = append(a.attempts, w.Books.Sent(in.first, id, invariants.Place{Dest: dispatch.DestinationID(e.site.no),
+		a.attempts = append(a.attempts, w.Books.AttemptSent(in.first, id, invariants.Target{Dest: dispatch.DestinationID(e.site.no),
 			Route: e.site.route(e.ID), Endpoint: e.ID, Zone: e.Zone}))
 	}
 	return a, ""
@@ -365,12 +365,12 @@
 	w := e.world
 	a, fault := e.admit(in, ids)
 	if fault != "" {
-		w.Books.Crashed(in.first, max(0, a.courier), fault)
+		w.Books.CourierCrashed(in.first, max(0, a.courier), fault)
 		return e.write(conn, 400, "", fault)
 	}
 	settle := func(o dispatch.Outcome, wait dispatch.Micros) {
 		for i, id := range a.ids {
-			w.Books.Settled(w.Clock.Now(), id, a.attempts[i], o, wait)
+			w.Books.AttemptEnded(w.Clock.Now(), id, a.attempts[i], o, wait)
 		}
 	}
 	if a.full {
@@ -395,9 +395,9 @@
 	answer := make(chan endpointmodel.Answer, 1)
 	way := w.way(a.courier, e.Zone)
 	time.AfterFunc(way, func() {
-		e.site.do(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
+		e.site.do(func(p *endpointmodel.Destination, now dispatch.Micros) []endpointmodel.Output {
 			e.site.waiting[call.ID] = answer
-			return p.Take(now, call)
+			return p.Receive(now, call)
 		})
 		e.site.gates()
 	})
@@ -405,9 +405,9 @@
 	select {
 	case got = <-answer:
 	case <-closed: // the courier hung up, or was cut off
-		e.site.do(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
+		e.site.do(func(p *endpointmodel.Destination, now dispatch.Micros) []endpointmodel.Output {
 			delete(e.site.waiting, call.ID)
-			return p.CallOff(now, call)
+			return p.Cancel(now, call)
 		})
 		settle(dispatch.TimedOut, 0)
 		return false
@@ -418,23 +418,23 @@
 		return false
 	}
 	time.Sleep(way)
-	settle(got.Outcome, got.Wait) // before it is written, as the courier may act on it at once
+	settle(got.Outcome, got.RetryAfter) // before it is written, as the courier may act on it at once
 	return e.reply(conn, ids, a, got, several)
 }
 
 func (e *endpoint) reply(conn net.Conn, ids []dispatch.MessageID, a admitted, got endpointmodel.Answer, several bool) bool {
 	head := ""
-	if len(got.Pressure) == 2 {
-		head = fmt.Sprintf("X-Load-Report: x0=%.4f,x1=%.4f\r\n", got.Pressure[0], got.Pressure[1])
+	if len(got.LoadReport) == 2 {
+		head = fmt.Sprintf("X-Load-Report: x0=%.4f,x1=%.4f\r\n", got.LoadReport[0], got.LoadReport[1])
 	}
 	status, body := 200, ""
 	switch got.Outcome {
 	case dispatch.Failure:
 		status = 500
 	case dispatch.Throttled:
-		if status = 503; got.Wait > 0 {
+		if status = 503; got.RetryAfter > 0 {
 			status = 429
-			head += fmt.Sprintf("X-Backoff-Ms: %d\r\n", int64(got.Wait+999)/1000)
+			head += fmt.Sprintf("X-Backoff-Ms: %d\r\n", int64(got.RetryAfter+999)/1000)
 		}
 	default:
 		if several {
--- a/testbed/environment/environment.go
+++ b/testbed/environment/environment.go
@@ -33,7 +33,7 @@
 type Message struct {
 	Origin   dispatch.MessageID
 	Courier  int
-	Work     int
+	Class    int
 	Dest     int
 	Over     bool
 	Attempts int
@@ -41,14 +41,14 @@
 
 // World is the outside of one day.
 type World struct {
-	Day   *scenario.Drawn
-	Books *invariants.Ledger
-	Clock Clock
-	// Noticed is notified of each notice that ends a message: how, and for a reject when to come again.
-	Noticed func(id dispatch.MessageID, how invariants.End, again time.Duration)
+	Scenario *scenario.Instance
+	Books    *invariants.Ledger
+	Clock    Clock
+	// OnNotice is notified of each notice that ends a message: how, and for a reject when to come again.
+	OnNotice func(id dispatch.MessageID, how invariants.End, again time.Duration)
 
-	// Guests lets in messages that nobody announced, for clients that are not ours: of the first class, from courier 0.
-	Guests bool
+	// AllowUnknownMessages lets in messages that nobody announced, for clients that are not ours: of the first class, from courier 0.
+	AllowUnknownMessages bool
 
 	log       *slog.Logger
 	mu        sync.Mutex
@@ -71,16 +71,16 @@
 	world   *World
 	no      int
 	mu      sync.Mutex
-	partner *endpointmodel.Partner
+	partner *endpointmodel.Destination
 	timer   *time.Timer
 	dueAt   dispatch.Micros
 	waiting map[uint64]chan endpointmodel.Answer
 }
 
-// Open puts up the world of a day; nothing goes wrong in it before Begin.
-func Open(w *scenario.Drawn, log *slog.Logger) (*World, error) {
-	o := &World{Day: w, log: log, rng: rand.New(rand.NewPCG(uint64(w.Seed), 99)), endpoints: map[dispatch.EndpointID]*endpoint{},
-		messages: map[dispatch.MessageID]*Message{}, out: make([]int, w.Day.Fleet.Couriers), Clock: Clock{time.Now()}}
+// Open puts up the world of a day; nothing goes wrong in it before Start.
+func Open(w *scenario.Instance, log *slog.Logger) (*World, error) {
+	o := &World{Scenario: w, log: log, rng: rand.New(rand.NewPCG(uint64(w.Seed), 99)), endpoints: map[dispatch.EndpointID]*endpoint{},
+		messages: map[dispatch.MessageID]*Message{}, out: make([]int, w.Definition.Fleet.Couriers), Clock: Clock{time.Now()}}
 	for i := range w.Destinations {
 		s := &site{world: o, no: i, partner: endpointmodel.New(w.Destinations[i].Plan), dueAt: endpointmodel.Never,
 			waiting: map[uint64]chan endpointmodel.Answer{}}
@@ -92,7 +92,7 @@
 			}
 		}
 	}
-	for i := range w.Day.Fleet.Couriers {
+	for i := range w.Definition.Fleet.Couriers {
 		d, err := openDirectory(o, i)
 		if err != nil {
 			o.Close()
@@ -103,38 +103,38 @@
 	return o, nil
 }
 
-// Begin starts the day: from now on its clock runs and its troubles come. Each act is notified to courier first; those of couriers are its to
+// Start starts the day: from now on its clock runs and its troubles come. Each act is notified to courier first; those of couriers are its to
 // carry out.
-func (w *World) Begin(books *invariants.Ledger, courier func(scenario.Act)) {
+func (w *World) Start(books *invariants.Ledger, courier func(scenario.Event)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.Books, w.Clock = books, Clock{time.Now()}
-	for _, a := range w.Day.Acts {
+	for _, a := range w.Scenario.Events {
 		w.timers = append(w.timers, w.Clock.After(a.At, func() { w.act(a, courier) }))
 	}
 }
 
-func (w *World) act(a scenario.Act, courier func(scenario.Act)) {
+func (w *World) act(a scenario.Event, courier func(scenario.Event)) {
 	courier(a)
 	var s *site
-	if a.Kind <= scenario.Removes {
+	if a.Kind <= scenario.EndpointRemoved {
 		s = w.sites[a.Dest]
 	}
 	switch a.Kind {
-	case scenario.Begins:
-		s.do(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
-			return p.Inject(now, a.Endpoint.ID, a.Fault)
+	case scenario.FaultBegins:
+		s.do(func(p *endpointmodel.Destination, now dispatch.Micros) []endpointmodel.Output {
+			return p.StartFault(now, a.Endpoint.ID, a.Fault)
 		})
-	case scenario.Ends:
-		s.do(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
-			return p.Heal(now, a.Endpoint.ID, a.Fault.ID)
+	case scenario.FaultEnds:
+		s.do(func(p *endpointmodel.Destination, now dispatch.Micros) []endpointmodel.Output {
+			return p.EndFault(now, a.Endpoint.ID, a.Fault.ID)
 		})
-	case scenario.Adds:
+	case scenario.EndpointAdded:
 		address := ""
 		if old := w.endpoint(a.Address); old != nil {
 			address = old.address
 		}
-		s.do(func(p *endpointmodel.Partner, _ dispatch.Micros) []endpointmodel.Output {
+		s.do(func(p *endpointmodel.Destination, _ dispatch.Micros) []endpointmodel.Output {
 			p.Add(a.Endpoint)
 			return nil
 		})
@@ -142,16 +142,16 @@
 			w.log.Warn("endpoint not put up", "endpoint", a.Endpoint.ID, "error", err)
 		}
 		w.listed(a.Dest, a.Endpoint, dispatch.InService)
-	case scenario.Drains:
+	case scenario.EndpointDraining:
 		w.listed(a.Dest, a.Endpoint, dispatch.Draining)
-	case scenario.Removes:
-		s.do(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output {
+	case scenario.EndpointRemoved:
+		s.do(func(p *endpointmodel.Destination, now dispatch.Micros) []endpointmodel.Output {
 			return p.Remove(now, a.Endpoint.ID)
 		})
 		w.listed(a.Dest, a.Endpoint, dispatch.Removed)
-	case scenario.ListDown, scenario.ListUp:
+	case scenario.DirectoryDown, scenario.DirectoryUp:
 		for _, d := range w.directory {
-			d.down(a.Kind == scenario.ListDown)
+			d.down(a.Kind == scenario.DirectoryDown)
 		}
 	}
 	if s != nil {
@@ -162,7 +162,7 @@
 func (w *World) listed(dest int, e endpointmodel.Endpoint, phase dispatch.Phase) {
 	for _, d := range w.directory {
 		w.mu.Lock()
-		r := w.Day.Day.Directory.Notice
+		r := w.Scenario.Definition.Directory.ChangeDelay
 		late := config.Micros(r[0] + (r[1]-r[0])*w.rng.Float64())
 		w.mu.Unlock()
 		d.later(late, dest, e, phase)
@@ -182,8 +182,8 @@
 	w.messages[id] = &r
 }
 
-// Drop tells that what is still sent for a message counts for nothing.
-func (w *World) Drop(id dispatch.MessageID) {
+// MarkEnded tells that what is still sent for a message counts for nothing.
+func (w *World) MarkEnded(id dispatch.MessageID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if r := w.messages[id]; r != nil {
@@ -191,8 +191,8 @@
 	}
 }
 
-// Busiest is how many connections the endpoints held at most, together.
-func (w *World) Busiest() int {
+// MaxConnections is how many connections the endpoints held at most, together.
+func (w *World) MaxConnections() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.busiest
@@ -235,19 +235,19 @@
 func (w *World) way(courier int, zone dispatch.ZoneID) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	r := w.Day.Day.Network.Same
-	if w.Day.CourierZone[courier] != zone {
-		r = w.Day.Day.Network.Cross
+	r := w.Scenario.Definition.Network.SameZone
+	if w.Scenario.CourierZone[courier] != zone {
+		r = w.Scenario.Definition.Network.CrossZone
 	}
 	return time.Duration((r[0] + (r[1]-r[0])*w.rng.Float64()) * float64(time.Millisecond))
 }
 
 // do has something done to the partner, and takes in what comes of it.
-func (s *site) do(what func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output) {
+func (s *site) do(what func(p *endpointmodel.Destination, now dispatch.Micros) []endpointmodel.Output) {
 	s.mu.Lock()
 	now := s.world.Clock.Now()
 	outs := what(s.partner, now)
-	due := s.partner.Due()
+	due := s.partner.NextDue()
 	if due < s.dueAt {
 		s.dueAt = due
 		if s.timer != nil {
@@ -277,7 +277,7 @@
 	s.mu.Lock()
 	s.dueAt = endpointmodel.Never
 	s.mu.Unlock()
-	s.do(func(p *endpointmodel.Partner, now dispatch.Micros) []endpointmodel.Output { return p.Step(now) })
+	s.do(func(p *endpointmodel.Destination, now dispatch.Micros) []endpointmodel.Output { return p.Step(now) })
 	s.gates()
 }
 
@@ -287,12 +287,12 @@
 		return
 	}
 	switch o := o.(type) {
-	case endpointmodel.Ran:
-		books.Ran(now, o.Item.Message, o.Endpoint, o.Before, o.Known)
-	case endpointmodel.Fell:
-		books.Fell(now, dispatch.DestinationID(s.no), o.Route, o.Sent)
-	case endpointmodel.Turned:
-		books.Turned(now, dispatch.DestinationID(s.no), o.Route, o.Phase == endpointmodel.Out)
+	case endpointmodel.Effect:
+		books.EffectOccurred(now, o.Item.Message, o.Endpoint, o.EarlierEffects, o.Deduplicated)
+	case endpointmodel.RouteOverloaded:
+		books.RouteOverloaded(now, dispatch.DestinationID(s.no), o.Route, o.Sent)
+	case endpointmodel.PhaseChanged:
+		books.RouteChanged(now, dispatch.DestinationID(s.no), o.Route, o.Phase == endpointmodel.Outage)
 	}
 }
 
--- a/testbed/experiment/experiment.go
+++ b/testbed/experiment/experiment.go
@@ -42,13 +42,13 @@
 	switch kind {
 	case "module":
 		o, err := options(rest)
-		return Variant{name, func() (simulation.Host, error) { return simulation.NewLocal(nil), nil }, o}, err
+		return Variant{name, func() (simulation.Host, error) { return simulation.NewLocalHost(nil), nil }, o}, err
 	case "baseline":
 		if _, ok := baseline.Names()[rest]; !ok {
 			return Variant{}, fmt.Errorf("no baseline has the name %q; there are %s", rest, strings.Join(baseline.Sorted(), ", "))
 		}
 		return Variant{name, func() (simulation.Host, error) {
-			return simulation.NewLocal(func(_ int, ch dispatch.Config) simulation.Decider { return baseline.New(rest, ch) }), nil
+			return simulation.NewLocalHost(func(_ int, ch dispatch.Config) simulation.Decider { return baseline.New(rest, ch) }), nil
 		}, simulation.Options{}}, nil
 	case "wire":
 		return Variant{name, func() (simulation.Host, error) { return wirehost.Open(rest) }, simulation.Options{}}, nil
@@ -64,11 +64,11 @@
 	case "lore":
 		o.SnapshotInterval = 1000 * 1000
 	case "share":
-		o.Share = simulation.Share{Interval: 500 * 1000}
+		o.Share = simulation.QuotaSharing{Interval: 500 * 1000}
 	case "share-deaf":
-		o.Share = simulation.Share{Interval: 500 * 1000, Deaf: 0.5}
+		o.Share = simulation.QuotaSharing{Interval: 500 * 1000, NoReceiveShare: 0.5}
 	case "share-lossy":
-		o.Share = simulation.Share{Interval: 500 * 1000, Loss: 0.3}
+		o.Share = simulation.QuotaSharing{Interval: 500 * 1000, Loss: 0.3}
 	default:
 		err = fmt.Errorf("module:%s: module, or module: with lore, share, share-deaf or share-lossy was expected", text)
 	}
@@ -88,7 +88,7 @@
 
 // Plan is what is to be played.
 type Plan struct {
-	Days     []*scenario.Day
+	Days     []*scenario.Definition
 	Seeds    []int64
 	Variants []Variant
 	Jobs     int
@@ -126,7 +126,7 @@
 }
 
 // One plays one day once.
-func One(d *scenario.Day, seed int64, v Variant) (c Cell, err error) {
+func One(d *scenario.Definition, seed int64, v Variant) (c Cell, err error) {
 	host, err := v.Open()
 	if err != nil {
 		return Cell{}, err
--- a/testbed/experiment/experiment_test.go
+++ b/testbed/experiment/experiment_test.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	plan := Plan{Days: []*scenario.Day{d}, Seeds: []int64{1, 2, 3, 4}, Jobs: 4}
+	plan := Plan{Days: []*scenario.Definition{d}, Seeds: []int64{1, 2, 3, 4}, Jobs: 4}
 	for _, text := range []string{"module", "same=module:", "baseline:once"} {
 		v, err := Parse(text)
 		if err != nil {
@@ -41,7 +41,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	rows := Compare(cells, "module", func(v *invariants.Verdict) float64 { return v.Whole })
+	rows := Compare(cells, "module", func(v *invariants.Verdict) float64 { return v.Overall })
 	for _, r := range rows {
 		switch r.Variant {
 		case "same":
@@ -59,7 +59,7 @@
 		t.Fatal(err)
 	}
 	back, err := ReadCells(dir)
-	if err != nil || len(back) != len(cells) || back[1].Verdict.Figure != cells[1].Verdict.Figure {
+	if err != nil || len(back) != len(cells) || back[1].Verdict.Score != cells[1].Verdict.Score {
 		t.Errorf("%v", err)
 	}
 	if _, err := ReadCells(dir + "/none"); err == nil || !strings.Contains(err.Error(), "none") {
--- a/testbed/experiment/write.go
+++ b/testbed/experiment/write.go
@@ -25,8 +25,8 @@
 		"done", "bounced", "terminated", "lost", "trips", "full", "timed_out", "handshakes"}}
 	for _, c := range cells {
 		v, n := c.Verdict, c.Verdict.Counts
-		row := []string{c.Day, strconv.FormatInt(c.Seed, 10), c.Variant, f(v.Figure), f(v.Service), f(v.Whole), f(v.Window), f(v.Costs)}
-		for _, count := range []int{len(v.Broken), n.Offered, n.Done, n.Rejected, n.Failed, n.Lost, n.Attempts, n.Full, n.TimedOut, n.Handshakes} {
+		row := []string{c.Day, strconv.FormatInt(c.Seed, 10), c.Variant, f(v.Score), f(v.ServiceScore), f(v.Overall), f(v.WorstWindow), f(v.Costs)}
+		for _, count := range []int{len(v.BreachCounts), n.Offered, n.Delivered, n.Rejected, n.Failed, n.Lost, n.Attempts, n.Throttled, n.TimedOut, n.Handshakes} {
 			row = append(row, strconv.Itoa(count))
 		}
 		table = append(table, row)
--- a/testbed/faultproxy/faultproxy.go
+++ b/testbed/faultproxy/faultproxy.go
@@ -19,28 +19,28 @@
 
 // The faults.
 const (
-	None        Fault = iota
-	Silent            // no answer, and the connection stays open
-	Reset             // the connection is reset once the call has been read
-	Unavailable       // 503 at once, as from an overloaded server
-	Cut               // the answer ends in the middle of its body
-	Stuck             // the same, but the connection stays open and silent
-	Duplicate         // the answer comes twice
-	Late              // the answer comes after Treatment.Delay
-	Trickle           // the answer comes byte by byte, over Treatment.Delay
-	Endless           // the head of the answer does not end
-	Spoilt            // the body is what Treatment.Edit makes of it
+	None          Fault = iota
+	NoResponse          // no answer, and the connection stays open
+	Reset               // the connection is reset once the call has been read
+	Unavailable         // 503 at once, as from an overloaded server
+	Truncated           // the answer ends in the middle of its body
+	Stalled             // the same, but the connection stays open and silent
+	Duplicate           // the answer comes twice
+	Delayed             // the answer comes after FaultSpec.Delay
+	SlowResponse        // the answer comes byte by byte, over FaultSpec.Delay
+	EndlessHeader       // the head of the answer does not end
+	Corrupted           // the body is what FaultSpec.Edit makes of it
 )
 
 var names = [...]string{"none", "silent", "reset", "unavailable", "cut", "stuck", "duplicate", "late", "trickle", "endless", "spoilt"}
 
 func (f Fault) String() string { return names[f] }
 
-// Treatment is how a call is treated.
-type Treatment struct {
+// FaultSpec is how a call is treated.
+type FaultSpec struct {
 	Fault Fault
 	Delay time.Duration
-	Edit  func(body []byte) []byte // of Spoilt
+	Edit  func(body []byte) []byte // of Corrupted
 }
 
 // Call is one call as the proxy saw it.
@@ -61,7 +61,7 @@
 	Address string
 
 	upstream string
-	decide   func(Call) Treatment
+	decide   func(Call) FaultSpec
 	listener net.Listener
 	client   *http.Client
 	closed   chan struct{}
@@ -72,7 +72,7 @@
 }
 
 // Open starts a proxy on loopback in front of upstream, an address; decide is asked once for each call, by several goroutines.
-func Open(upstream string, decide func(Call) Treatment) (*Proxy, error) {
+func Open(upstream string, decide func(Call) FaultSpec) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -148,7 +148,7 @@
 	}
 }
 
-func (p *Proxy) begin(request *http.Request) (Call, Treatment) {
+func (p *Proxy) begin(request *http.Request) (Call, FaultSpec) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	call := Call{Number: len(p.calls), Path: request.URL.Path, Query: request.URL.Query(), Read: time.Now()}
@@ -165,9 +165,9 @@
 }
 
 // treat plays one call and reports whether its connection is kept.
-func (p *Proxy) treat(conn net.Conn, number int, treatment Treatment, request *http.Request, body []byte) bool {
+func (p *Proxy) treat(conn net.Conn, number int, treatment FaultSpec, request *http.Request, body []byte) bool {
 	switch treatment.Fault {
-	case Silent:
+	case NoResponse:
 		return true // it waits for another call, which does not come before the connection ends
 	case Reset:
 		reset(conn)
@@ -175,7 +175,7 @@
 	case Unavailable:
 		io.WriteString(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 		return true
-	case Endless:
+	case EndlessHeader:
 		return p.writeEndless(conn)
 	}
 	status, answer, err := p.forward(request, body)
@@ -188,25 +188,25 @@
 }
 
 // deliver writes an answer with its fault.
-func (p *Proxy) deliver(conn net.Conn, treatment Treatment, status int, body []byte) bool {
-	if treatment.Fault == Spoilt {
+func (p *Proxy) deliver(conn net.Conn, treatment FaultSpec, status int, body []byte) bool {
+	if treatment.Fault == Corrupted {
 		body = treatment.Edit(body)
 	}
 	head := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n\r\n", status, http.StatusText(status), len(body))
 	whole := append(head, body...)
 	half := whole[:len(head)+len(body)/2]
 	switch treatment.Fault {
-	case Cut:
+	case Truncated:
 		conn.Write(half)
 		return false
-	case Stuck:
+	case Stalled:
 		conn.Write(half)
 		return true
 	case Duplicate:
 		whole = append(whole, whole...)
-	case Late:
+	case Delayed:
 		p.pause(treatment.Delay)
-	case Trickle:
+	case SlowResponse:
 		for _, b := range whole {
 			conn.Write([]byte{b})
 			p.pause(treatment.Delay / time.Duration(len(whole)))
--- a/testbed/fleet/fleet.go
+++ b/testbed/fleet/fleet.go
@@ -38,7 +38,7 @@
 // Plan is a fleet's day: a day of the testbed, and what goes wrong between the couriers besides.
 type Plan struct {
 	About    string           `toml:"about"`
-	Day      string           `toml:"day"`      // whose destinations, classes and traffic it takes
+	Scenario string           `toml:"day"`      // whose destinations, classes and traffic it takes
 	Couriers int              `toml:"couriers"` // 0: the day's own
 	Length   float64          `toml:"length_s"`
 	Load     float64          `toml:"full_per_s"` // messages a second at full load, for each courier
@@ -57,15 +57,15 @@
 
 var processFaults = []string{Kill, Stop, Roll, Empty, Older, Address}
 
-// Days lists the plans that come with the testbed.
-func Days() []string { return scenario.Names(builtIn) }
+// PlanNames lists the plans that come with the testbed.
+func PlanNames() []string { return scenario.Names(builtIn) }
 
 // Find reads a plan that comes with the testbed, or else a file.
 func Find(name string) (*Plan, error) {
 	text, err := builtIn.ReadFile(path.Join("days", name+".toml"))
 	if err != nil {
 		if text, err = os.ReadFile(name); err != nil {
-			return nil, fmt.Errorf("no fleet's day has the name %q; there are %s, and files", name, strings.Join(Days(), ", "))
+			return nil, fmt.Errorf("no fleet's day has the name %q; there are %s, and files", name, strings.Join(PlanNames(), ", "))
 		}
 	}
 	p := &Plan{}
@@ -92,46 +92,46 @@
 
 // Options are how it is played.
 type Options struct {
-	Binary string
-	Dir    string
-	Seed   int64
-	Peers  bool          // membership on
-	Share  bool          // limits are shared over it
-	Pace   time.Duration // of the detector; 0: 200 ms, so that a day of half a minute shows it
-	Trace  io.Writer     // of the network; nil: none
-	Log    *slog.Logger
+	Binary        string
+	Dir           string
+	Seed          int64
+	Membership    bool          // membership on
+	Share         bool          // limits are shared over it
+	ProbeInterval time.Duration // of the detector; 0: 200 ms, so that a day of half a minute shows it
+	Trace         io.Writer     // of the network; nil: none
+	Log           *slog.Logger
 }
 
 // Result is what came of it.
 type Result struct {
-	Verdict  *invariants.Verdict `json:"verdict"`
-	Cost     realtime.Cost       `json:"cost"`
-	Couriers int                 `json:"couriers"`
-	Struck   map[string]int      `json:"struck"`
-	Idle     []string            `json:"faults_that_never_struck,omitempty"`
+	Verdict             *invariants.Verdict `json:"verdict"`
+	Cost                realtime.Cost       `json:"cost"`
+	Couriers            int                 `json:"couriers"`
+	FaultCounts         map[string]int      `json:"struck"`
+	FaultsWithoutEffect []string            `json:"faults_that_never_struck,omitempty"`
 	// Known are spans in seconds, one for each courier that came to know: of a death, and of a return.
-	Deaths  []float64 `json:"deaths_known_s"`
-	Returns []float64 `json:"returns_known_s"`
-	// False counts deaths believed while the courier was up, by kind of fault that was on (none: no fault).
-	False    map[string]int  `json:"deaths_believed_that_were_none"`
-	Fewer    int             `json:"counted_fewer"` // looks at which a courier counted on fewer than there are
-	Whole    bool            `json:"whole_at_the_end"`
-	Healed   float64         `json:"whole_after_the_last_fault_s"`
-	Messages float64         `json:"packets_a_second_each"`
-	Bytes    float64         `json:"bytes_a_second_each"`
-	Hours    float64         `json:"process_hours"`
-	Drawn    *scenario.Drawn `json:"-"`
+	FailureDetections []float64 `json:"deaths_known_s"`
+	ReturnDetections  []float64 `json:"returns_known_s"`
+	// FalseFailures counts deaths believed while the courier was up, by kind of fault that was on (none: no fault).
+	FalseFailures       map[string]int     `json:"deaths_believed_that_were_none"`
+	UnderestimatePolls  int                `json:"counted_fewer"` // looks at which a courier counted on fewer than there are
+	Converged           bool               `json:"whole_at_the_end"`
+	ConvergenceTime     float64            `json:"whole_after_the_last_fault_s"`
+	GossipPacketsPerSec float64            `json:"packets_a_second_each"`
+	GossipBytesPerSec   float64            `json:"bytes_a_second_each"`
+	CourierHours        float64            `json:"process_hours"`
+	Instance            *scenario.Instance `json:"-"`
 	// Of what couriers share: leases that were seen, what was wrong with them, and what was heard.
-	Leases     int      `json:"loans_seen"`
-	Widest     float64  `json:"widest_loan"` // of a base part
-	Overspent  []string `json:"overspent,omitempty"`
-	Parts      Parts    `json:"parts,omitempty"`
-	Packets    float64  `json:"commons_packets_a_second_each"`
-	ShareBytes float64  `json:"commons_bytes_a_second_each"`
+	LeaseCount         int          `json:"loans_seen"`
+	LargestLeasedShare float64      `json:"widest_loan"` // of a base part
+	LeaseBreaches      []string     `json:"overspent,omitempty"`
+	LeaseHistory       LeaseHistory `json:"parts,omitempty"`
+	QuotaPacketsPerSec float64      `json:"commons_packets_a_second_each"`
+	QuotaBytesPerSec   float64      `json:"commons_bytes_a_second_each"`
 }
 
-// Parts is what of each limit was granted and leased over time, as shares of it summed over couriers, by destination and invariants.Bin.
-type Parts map[int32]*LeaseTotals
+// LeaseHistory is what of each limit was granted and leased over time, as shares of it summed over couriers, by destination and invariants.BinLength.
+type LeaseHistory map[int32]*LeaseTotals
 
 // LeaseTotals is one destination's.
 type LeaseTotals struct {
@@ -143,7 +143,7 @@
 func (r *rig) total(now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	bin := int(now.Microseconds() / int64(invariants.Bin))
+	bin := int(now.Microseconds() / int64(invariants.BinLength))
 	sums := map[int32][2]float64{}
 	for _, s := range r.shared {
 		for _, l := range s.Groups {
@@ -152,10 +152,10 @@
 		}
 	}
 	for dest, sum := range sums {
-		leases := r.res.Parts[dest]
+		leases := r.res.LeaseHistory[dest]
 		if leases == nil {
 			leases = &LeaseTotals{}
-			r.res.Parts[dest] = leases
+			r.res.LeaseHistory[dest] = leases
 		}
 		for len(leases.Granted) <= bin {
 			leases.Granted, leases.Leased = append(leases.Granted, 0), append(leases.Leased, 0)
@@ -188,7 +188,7 @@
 	net    *netfault.Net
 	ops    []string
 	gossip []string
-	field  *realtime.Field
+	field  *realtime.Session
 
 	mu     sync.Mutex
 	down   map[int]time.Time // since when a courier is away
@@ -205,7 +205,7 @@
 
 // Play plays a plan.
 func Play(ctx context.Context, p *Plan, o Options) (*Result, error) {
-	d, err := scenario.Find(p.Day)
+	d, err := scenario.Find(p.Scenario)
 	if err != nil {
 		return nil, err
 	}
@@ -213,11 +213,11 @@
 		d.Fleet.Couriers = p.Couriers
 	}
 	if p.Load > 0 {
-		d.Traffic.FullPerSec = p.Load * float64(d.Fleet.Couriers)
+		d.Traffic.FullLoadPerSec = p.Load * float64(d.Fleet.Couriers)
 	}
 	d.Length = p.Length
-	if o.Pace == 0 {
-		o.Pace = 200 * time.Millisecond
+	if o.ProbeInterval == 0 {
+		o.ProbeInterval = 200 * time.Millisecond
 	}
 	if o.Dir == "" {
 		dir, err := os.MkdirTemp("", "pineport-testbed-fleet-")
@@ -228,7 +228,7 @@
 		o.Dir = dir
 	}
 	r := &rig{plan: p, o: o, n: d.Fleet.Couriers, down: map[int]time.Time{}, back: map[int]time.Time{}, starts: map[int]int{}, on: map[string]int{},
-		saw: map[[2]int]string{}, looks: make([]look, d.Fleet.Couriers), shared: make([]exchange.Status, d.Fleet.Couriers), res: &Result{Couriers: d.Fleet.Couriers, False: map[string]int{}, Parts: Parts{}}}
+		saw: map[[2]int]string{}, looks: make([]look, d.Fleet.Couriers), shared: make([]exchange.Status, d.Fleet.Couriers), res: &Result{Couriers: d.Fleet.Couriers, FalseFailures: map[string]int{}, LeaseHistory: LeaseHistory{}}}
 	if err := r.addresses(); err != nil {
 		return nil, err
 	}
@@ -236,16 +236,16 @@
 		return nil, err
 	}
 	defer r.net.Close()
-	lo := realtime.Options{Binary: o.Binary, Dir: o.Dir, Log: o.Log, Begun: r.begun}
-	if o.Peers {
-		lo.Extra = r.configure
+	lo := realtime.Options{Binary: o.Binary, Dir: o.Dir, Log: o.Log, OnStart: r.begun}
+	if o.Membership {
+		lo.ExtraConfiguration = r.configure
 	}
-	r.res.Drawn = scenario.Draw(d, o.Seed)
-	v, cost, err := realtime.Play(ctx, r.res.Drawn, lo)
+	r.res.Instance = scenario.Draw(d, o.Seed)
+	v, cost, err := realtime.Play(ctx, r.res.Instance, lo)
 	if err != nil {
 		return nil, err
 	}
-	r.res.Verdict, r.res.Cost, r.res.Struck, r.res.Idle = v, cost, r.net.Struck(), r.idle
+	r.res.Verdict, r.res.Cost, r.res.FaultCounts, r.res.FaultsWithoutEffect = v, cost, r.net.Struck(), r.idle
 	return r.res, nil
 }
 
@@ -253,7 +253,7 @@
 func (r *rig) addresses() error {
 	for i := range r.n {
 		for _, list := range []*[]string{&r.ops, &r.gossip} {
-			at, err := Free(i)
+			at, err := FreeLoopbackAddr(i)
 			if err != nil {
 				return err
 			}
@@ -263,8 +263,8 @@
 	return nil
 }
 
-// Free is an address of the rig's own that nobody uses, over UDP and TCP.
-func Free(i int) (string, error) {
+// FreeLoopbackAddr is an address of the rig's own that nobody uses, over UDP and TCP.
+func FreeLoopbackAddr(i int) (string, error) {
 	ip := net.IPv4(127, byte(140+(os.Getpid()>>8)%50), byte(os.Getpid()), byte(1+i%250))
 	for range 20 {
 		l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: ip})
@@ -285,14 +285,14 @@
 func (r *rig) configure(c *process.Courier) (map[string]any, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	join := []string{r.gossip[0], r.gossip[(c.No+1)%r.n], r.gossip[(c.No+r.n/2)%r.n]}
-	return map[string]any{"ops": r.ops[c.No], "peers": map[string]any{"listen": r.gossip[c.No], "join": join, "fleet": "lab",
-		"key": "000102030405060708090a0b0c0d0e0f", "pace_s": r.o.Pace.Seconds(), "share": r.o.Share, "through": r.net.Through(c.No)},
+	join := []string{r.gossip[0], r.gossip[(c.Number+1)%r.n], r.gossip[(c.Number+r.n/2)%r.n]}
+	return map[string]any{"ops": r.ops[c.Number], "peers": map[string]any{"listen": r.gossip[c.Number], "join": join, "fleet": "lab",
+		"key": "000102030405060708090a0b0c0d0e0f", "pace_s": r.o.ProbeInterval.Seconds(), "share": r.o.Share, "through": r.net.Through(c.Number)},
 		"settings": map[string]any{"ceilings": map[string]any{"peers": true}}}, nil
 }
 
 // begun has the faults happen and watches, until the day is over.
-func (r *rig) begun(f *realtime.Field) func() {
+func (r *rig) begun(f *realtime.Session) func() {
 	r.field = f
 	keep := r.copies()
 	stop := make(chan struct{})
@@ -305,14 +305,14 @@
 		}()
 	}
 	watched := make(chan struct{})
-	if r.o.Peers {
+	if r.o.Membership {
 		go r.watch(stop, watched)
 	} else {
 		close(watched)
 	}
 	return func() {
 		all.Wait()
-		if r.o.Peers {
+		if r.o.Membership {
 			r.heal()
 		}
 		close(stop)
@@ -325,8 +325,8 @@
 func (r *rig) copies() map[int][]byte {
 	keep := map[int][]byte{}
 	for _, c := range r.field.Couriers() {
-		if text, err := os.ReadFile(filepath.Join(c.Dir, "state", incarnation.Name)); err == nil {
-			keep[c.No] = text
+		if text, err := os.ReadFile(filepath.Join(c.Dir, "state", incarnation.FileName)); err == nil {
+			keep[c.Number] = text
 		}
 	}
 	return keep
@@ -335,19 +335,19 @@
 func (r *rig) fault(f netfault.Fault, stop <-chan struct{}, keep map[int][]byte) {
 	wait := func(until float64) {
 		select {
-		case <-time.After(time.Duration(until*float64(time.Second)) - r.field.Since()):
+		case <-time.After(time.Duration(until*float64(time.Second)) - r.field.Elapsed()):
 		case <-stop:
 		}
 	}
 	wait(f.At)
 	r.mark(f.Kind, 1)
 	defer func() { // what was believed while it was on comes to light a little later
-		time.AfterFunc(25*r.o.Pace, func() { r.mark(f.Kind, -1) })
+		time.AfterFunc(25*r.o.ProbeInterval, func() { r.mark(f.Kind, -1) })
 	}()
 	if netfault.OnNetwork(f.Kind) {
 		end := r.net.Begin(f)
 		wait(f.At + f.Length)
-		if err := end(); err != nil && r.o.Peers {
+		if err := end(); err != nil && r.o.Membership {
 			r.mu.Lock()
 			r.idle = append(r.idle, err.Error())
 			r.mu.Unlock()
@@ -362,7 +362,7 @@
 			if f.Kind == Roll {
 				part := f.Length / float64(len(f.From))
 				wait(f.At + float64(i)*part)
-				r.away(no, scenario.Asks, min(part, 5), stop, nil)
+				r.away(no, scenario.CourierStopRequested, min(part, 5), stop, nil)
 				return
 			}
 			r.process(f, no, stop, keep)
@@ -376,21 +376,21 @@
 	state := filepath.Join(c.Dir, "state")
 	switch f.Kind {
 	case Stop:
-		r.field.Act(scenario.Act{Kind: scenario.Stands, Courier: no, Span: dispatch.Micros(f.Length * 1e6)})
+		r.field.ApplyAct(scenario.Event{Kind: scenario.CourierPaused, Courier: no, Duration: dispatch.Micros(f.Length * 1e6)})
 		time.Sleep(time.Duration(f.Length * float64(time.Second)))
 	case Kill:
-		r.away(no, scenario.Kills, f.Length, stop, nil)
+		r.away(no, scenario.CourierKilled, f.Length, stop, nil)
 	case Empty:
-		r.away(no, scenario.Kills, f.Length, stop, func() { os.Remove(filepath.Join(state, incarnation.Name)) })
+		r.away(no, scenario.CourierKilled, f.Length, stop, func() { os.Remove(filepath.Join(state, incarnation.FileName)) })
 	case Older:
-		r.away(no, scenario.Kills, f.Length, stop, func() {
+		r.away(no, scenario.CourierKilled, f.Length, stop, func() {
 			if text := keep[no]; text != nil {
-				os.WriteFile(filepath.Join(state, incarnation.Name), text, 0o600)
+				os.WriteFile(filepath.Join(state, incarnation.FileName), text, 0o600)
 			}
 		})
 	case Address:
-		r.away(no, scenario.Kills, f.Length, stop, func() {
-			if at, err := Free(no); err == nil {
+		r.away(no, scenario.CourierKilled, f.Length, stop, func() {
+			if at, err := FreeLoopbackAddr(no); err == nil {
 				r.mu.Lock()
 				r.gossip[no] = at
 				r.mu.Unlock()
@@ -401,12 +401,12 @@
 }
 
 // away takes a courier down for a while and starts it again, after what is done to its folder.
-func (r *rig) away(no int, how scenario.ActKind, span float64, stop <-chan struct{}, meanwhile func()) {
+func (r *rig) away(no int, how scenario.EventKind, span float64, stop <-chan struct{}, meanwhile func()) {
 	r.mu.Lock()
 	r.down[no] = time.Now()
 	r.mu.Unlock()
-	r.field.Act(scenario.Act{Kind: how, Courier: no})
-	if how == scenario.Asks { // it goes on for some seconds
+	r.field.ApplyAct(scenario.Event{Kind: how, Courier: no})
+	if how == scenario.CourierStopRequested { // it goes on for some seconds
 		c := r.field.Couriers()[no]
 		for c.Running() {
 			select {
@@ -426,7 +426,7 @@
 	r.mu.Lock()
 	r.starts[no]++
 	r.mu.Unlock()
-	r.field.Act(scenario.Act{Kind: scenario.Starts, Courier: no})
+	r.field.ApplyAct(scenario.Event{Kind: scenario.CourierStarted, Courier: no})
 	r.mu.Lock()
 	delete(r.down, no)
 	r.back[no] = time.Now()
@@ -443,9 +443,9 @@
 func (r *rig) see(client *http.Client, no int) (l look, ok bool) {
 	if ok = get(client, r.ops[no], "/peers", &l); ok && r.o.Share {
 		var s exchange.Status
-		from := r.field.Since()
+		from := r.field.Elapsed()
 		if get(client, r.ops[no], "/commons", &s) {
-			r.borrow(no, from, r.field.Since(), s)
+			r.borrow(no, from, r.field.Elapsed(), s)
 		}
 	}
 	return l, ok
@@ -466,7 +466,7 @@
 		for _, line := range s.Groups {
 			var route []invariants.Lease
 			for _, lease := range of(line) {
-				route = append(route, invariants.Lease{Who: lease.Courier, No: lease.LeaseID, Units: int64(lease.Units), Base: int64(line.Base)})
+				route = append(route, invariants.Lease{Peer: lease.Courier, ID: lease.LeaseID, Units: int64(lease.Units), Base: int64(line.Base)})
 			}
 			all = append(all, route)
 		}
@@ -475,7 +475,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.shared[no] = s
-	r.leases.Saw(invariants.Look{Name: fmt.Sprintf("n%d", no), Start: s.Incarnation, From: dispatch.Micros(from.Microseconds()), To: dispatch.Micros(to.Microseconds()),
+	r.leases.Observe(invariants.Observation{Name: fmt.Sprintf("n%d", no), Incarnation: s.Incarnation, From: dispatch.Micros(from.Microseconds()), To: dispatch.Micros(to.Microseconds()),
 		Granted: leases(func(l quota.Status) []quota.LeaseStatus { return l.Grants }), Used: leases(func(l quota.Status) []quota.LeaseStatus { return l.Leases })})
 }
 
@@ -497,7 +497,7 @@
 		all.Wait()
 		now := time.Now()
 		if r.o.Share {
-			r.total(r.field.Since())
+			r.total(r.field.Elapsed())
 		}
 		for i := range r.n {
 			if ok[i] {
@@ -517,7 +517,7 @@
 	defer r.mu.Unlock()
 	r.looks[no] = l
 	if l.Most < r.n {
-		r.res.Fewer++
+		r.res.UnderestimatePolls++
 	}
 	for _, m := range l.Members {
 		var other int
@@ -533,11 +533,11 @@
 		since, down := r.down[other]
 		switch {
 		case gone && down && was == "alive" || gone && down && was == "suspected":
-			r.res.Deaths = append(r.res.Deaths, now.Sub(since).Seconds())
-		case m.State == "failed" && !down && now.Sub(r.back[other]) > 15*r.o.Pace:
-			r.res.False[r.kinds()]++
+			r.res.FailureDetections = append(r.res.FailureDetections, now.Sub(since).Seconds())
+		case m.State == "failed" && !down && now.Sub(r.back[other]) > 15*r.o.ProbeInterval:
+			r.res.FalseFailures[r.kinds()]++
 		case m.State == "alive" && (was == "failed" || was == "left") && !down && !r.back[other].IsZero() && now.Sub(r.back[other]) < 30*time.Second:
-			r.res.Returns = append(r.res.Returns, now.Sub(r.back[other]).Seconds())
+			r.res.ReturnDetections = append(r.res.ReturnDetections, now.Sub(r.back[other]).Seconds())
 		}
 	}
 }
@@ -572,24 +572,24 @@
 		}
 		r.mu.Unlock()
 		if whole == r.n {
-			r.res.Whole, r.res.Healed = true, time.Since(begun).Seconds()
+			r.res.Converged, r.res.ConvergenceTime = true, time.Since(begun).Seconds()
 			return
 		}
 	}
 }
 
-func (r *rig) sum(f *realtime.Field) {
+func (r *rig) sum(f *realtime.Session) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.res.Hours = f.Since().Hours() * float64(r.n)
-	seconds := f.Since().Seconds() * float64(r.n)
+	r.res.CourierHours = f.Elapsed().Hours() * float64(r.n)
+	seconds := f.Elapsed().Seconds() * float64(r.n)
 	for _, l := range r.looks { // of the last start of each: what an earlier one sent is not counted
-		r.res.Messages += float64(l.Figures.Network.PacketsOut) / seconds
-		r.res.Bytes += float64(l.Figures.Network.BytesOut) / seconds
+		r.res.GossipPacketsPerSec += float64(l.Figures.Network.PacketsOut) / seconds
+		r.res.GossipBytesPerSec += float64(l.Figures.Network.BytesOut) / seconds
 	}
-	r.res.Leases, r.res.Widest, r.res.Overspent = r.leases.Seen, r.leases.Widest, r.leases.Breaches
+	r.res.LeaseCount, r.res.LargestLeasedShare, r.res.LeaseBreaches = r.leases.LeaseCount, r.leases.MaxLeasedShare, r.leases.Breaches
 	for _, s := range r.shared {
-		r.res.Packets += float64(s.PacketsOut) / seconds
-		r.res.ShareBytes += float64(s.BytesOut) / seconds
+		r.res.QuotaPacketsPerSec += float64(s.PacketsOut) / seconds
+		r.res.QuotaBytesPerSec += float64(s.BytesOut) / seconds
 	}
 }
--- a/testbed/golden/golden.go
+++ b/testbed/golden/golden.go
@@ -94,9 +94,9 @@
 	}
 }
 
-// Tagged fails the test where a field that is encoded with a value has no tag with its name in the encoding ("json" or "cbor"):
+// CheckTags fails the test where a field that is encoded with a value has no tag with its name in the encoding ("json" or "cbor"):
 // the name of the field in the program would be its name in the format, and a rename would change it.
-func Tagged(t testing.TB, value any) {
+func CheckTags(t testing.TB, value any) {
 	t.Helper()
 	tagged(t, reflect.TypeOf(value), map[reflect.Type]bool{})
 }
--- a/testbed/invariants/fromday.go
+++ b/testbed/invariants/fromday.go
@@ -7,16 +7,16 @@
 	"pineport/testbed/scenario"
 )
 
-// ForDay is the setup for a day in virtual time.
-func ForDay(w *scenario.Drawn) Setup {
-	d, us := w.Day, func(s float64) dispatch.Micros { return dispatch.Micros(math.Round(s * 1e6)) }
+// SetupFor is the setup for a day in virtual time.
+func SetupFor(w *scenario.Instance) Setup {
+	d, us := w.Definition, func(s float64) dispatch.Micros { return dispatch.Micros(math.Round(s * 1e6)) }
 	setup := Setup{OverShare: d.Rules.OverShare, Halves: d.Rules.Decay == "halves", Length: w.Length,
-		AnswerSlack: us(d.Rules.AnswerSlack), DrainGrace: us(d.Rules.DrainGrace), KeyRest: us(d.Rules.KeyRest),
-		Goal:   Weights{d.Goal.Whole, d.Goal.Window, d.Goal.Class, d.Goal.Tenant},
+		AnswerGrace: us(d.Rules.AnswerGrace), DrainGrace: us(d.Rules.DrainGrace), KeyRest: us(d.Rules.KeyRest),
+		Goal:   Weights{d.Goal.Overall, d.Goal.WorstWindow, d.Goal.Class, d.Goal.Tenant},
 		Prices: Prices{d.Prices.Waste, d.Prices.Handshake, d.Prices.Refused}}
 	for _, wl := range d.Classes {
-		setup.Classes = append(setup.Classes, Class{Name: wl.Name, Objective: us(wl.Objective), Life: us(wl.CutOff),
-			Priority: wl.Priority, LatePart: wl.LatePart, Repeat: RepeatOf(wl.Repeat), Window: us(wl.Window), OneZone: wl.OneZone,
+		setup.Classes = append(setup.Classes, Class{Name: wl.Name, Objective: us(wl.Objective), Life: us(wl.Deadline),
+			Priority: wl.Priority, LatePart: wl.LatePart, Idempotency: ParseIdempotency(wl.Idempotency), DedupWindow: us(wl.DedupWindow), DedupOneZone: wl.DedupOneZone,
 			InOrder: wl.InOrder})
 	}
 	for _, p := range d.Tenants {
@@ -26,8 +26,8 @@
 	return setup
 }
 
-// RepeatOf reads the word of a day's file.
-func RepeatOf(word string) dispatch.Idempotency {
+// ParseIdempotency reads the word of a day's file.
+func ParseIdempotency(word string) dispatch.Idempotency {
 	switch word {
 	case "replayable":
 		return dispatch.Idempotent
--- a/testbed/invariants/invariants.go
+++ b/testbed/invariants/invariants.go
@@ -1,5 +1,5 @@
 // Package invariants judges a day by what was seen of it from outside: what was submitted, sent, answered, reported and what
-// took effect. It keeps the books of value and holds every courier against the six rules. No other part of the
+// took effect. It keeps the books of value and holds every courier against the six rules. ID other part of the
 // testbed says whether a day was good, and it knows neither whether the day was virtual nor which decisions were made.
 package invariants
 
@@ -17,9 +17,9 @@
 	Objective, Life dispatch.Micros
 	Priority        float64
 	LatePart        float64
-	Repeat          dispatch.Idempotency
-	Window          dispatch.Micros
-	OneZone         bool
+	Idempotency     dispatch.Idempotency
+	DedupWindow     dispatch.Micros
+	DedupOneZone    bool
 	InOrder         bool
 }
 
@@ -31,27 +31,27 @@
 	OverShare   float64
 	Halves      bool // value halves with each further latency objective, else falls evenly
 	Length      dispatch.Micros
-	AnswerSlack dispatch.Micros
+	AnswerGrace dispatch.Micros
 	DrainGrace  dispatch.Micros
 	KeyRest     dispatch.Micros
 	Goal        Weights
 	Prices      Prices
-	// Leeway is what is granted for clocks of two tenants that do not see the same instant; 0 in virtual time.
-	Leeway dispatch.Micros
-	// WaitFrom: calls that come so soon after a wait was notified crossed it; 0 in virtual time.
-	WaitFrom dispatch.Micros
-	// Excused is how long after a courier is up again no answer is overdue.
-	Excused dispatch.Micros
+	// ClockTolerance is what is granted for clocks of two tenants that do not see the same instant; 0 in virtual time.
+	ClockTolerance dispatch.Micros
+	// WaitGrace: calls that come so soon after a wait was notified crossed it; 0 in virtual time.
+	WaitGrace dispatch.Micros
+	// IsExcused is how long after a courier is up again no answer is overdue.
+	RestartGrace dispatch.Micros
 }
 
 // Weights of a day's figure.
-type Weights struct{ Whole, Window, Class, Tenant float64 }
+type Weights struct{ Overall, WorstWindow, Class, Tenant float64 }
 
 // Prices come off it, each times its count over the messages offered.
 type Prices struct{ Waste, Handshake, Refused float64 }
 
-// Place is where a call goes.
-type Place struct {
+// Target is where a call goes.
+type Target struct {
 	Dest     dispatch.DestinationID
 	Route    int
 	Endpoint dispatch.EndpointID
@@ -111,7 +111,7 @@
 }
 
 type attempt struct {
-	place   Place
+	place   Target
 	sent    dispatch.Micros
 	over    bool
 	outcome dispatch.Outcome
@@ -212,19 +212,19 @@
 	return true
 }
 
-// Taken notes that a courier accepted a message, and owes its final answer from now on.
-func (l *Ledger) Taken(at dispatch.Micros, id, originID dispatch.MessageID, courier int, key dispatch.OrderingKey, cutOff dispatch.Micros) {
+// Accepted notes that a courier accepted a message, and owes its final answer from now on.
+func (l *Ledger) Accepted(at dispatch.Micros, id, originID dispatch.MessageID, courier int, key dispatch.OrderingKey, cutOff dispatch.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	o := l.origins[originID]
 	if o == nil {
-		l.breach(Final, at, "courier %d was handed %s, which nobody offered", courier, originID)
+		l.breach(FinalAnswer, at, "courier %d was handed %s, which nobody offered", courier, originID)
 		return
 	}
 	r := &message{id: id, origin: o, work: &l.setup.Classes[o.work], courier: courier, key: key, cutOff: cutOff, taken: at}
 	l.messages[id] = r
 	l.all = append(l.all, r)
-	l.counts.Taken++
+	l.counts.Accepted++
 	l.series.held(at, 1)
 	if r.work.InOrder && key != "" {
 		k := keyOf{courier, key}
@@ -235,13 +235,13 @@
 	}
 }
 
-// Sent notes that a courier began an attempt of a message, and returns its number.
-func (l *Ledger) Sent(at dispatch.Micros, id dispatch.MessageID, p Place) (no int) {
+// AttemptSent notes that a courier began an attempt of a message, and returns its number.
+func (l *Ledger) AttemptSent(at dispatch.Micros, id dispatch.MessageID, p Target) (no int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.messages[id]
 	if r == nil {
-		l.breach(Final, at, "a call for %s, which no courier had taken", id)
+		l.breach(FinalAnswer, at, "a call for %s, which no courier had taken", id)
 		return -1
 	}
 	l.counts.Attempts++
@@ -252,8 +252,8 @@
 	return len(r.attempts) - 1
 }
 
-// Settled notes that a courier has the outcome of an attempt, or has stopped waiting for it.
-func (l *Ledger) Settled(at dispatch.Micros, id dispatch.MessageID, no int, o dispatch.Outcome, notified dispatch.Micros) {
+// AttemptEnded notes that a courier has the outcome of an attempt, or has stopped waiting for it.
+func (l *Ledger) AttemptEnded(at dispatch.Micros, id dispatch.MessageID, no int, o dispatch.Outcome, notified dispatch.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.messages[id]
@@ -303,7 +303,7 @@
 	if r.end == Open {
 		r.end, r.endAt = Delivered, at
 		l.series.held(at, -1)
-		l.counts.Done++
+		l.counts.Delivered++
 	}
 	o := r.origin
 	if o.end == Delivered {
@@ -319,7 +319,7 @@
 	w := &l.setup.Classes[o.work]
 	late := float64(at - o.at - w.Objective)
 	switch {
-	case at > o.at+w.Life+l.setup.AnswerSlack+l.setup.Leeway:
+	case at > o.at+w.Life+l.setup.AnswerGrace+l.setup.ClockTolerance:
 		return 0
 	case late <= 0:
 		return 1
@@ -329,8 +329,8 @@
 	return 1 - (1-w.LatePart)*min(1, late/float64(w.Life-w.Objective))
 }
 
-// Ended notes that a message has its final answer without having been delivered.
-func (l *Ledger) Ended(at dispatch.Micros, id dispatch.MessageID, how End) {
+// MessageEnded notes that a message has its final answer without having been delivered.
+func (l *Ledger) MessageEnded(at dispatch.Micros, id dispatch.MessageID, how End) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ended(at, id, how)
@@ -340,13 +340,13 @@
 	r := l.messages[id]
 	if r == nil {
 		if how == Rejected || how == Failed {
-			l.breach(Final, at, "%s was %s and had never been taken", id, how)
+			l.breach(FinalAnswer, at, "%s was %s and had never been taken", id, how)
 		}
 		return
 	}
 	if r.end != Open {
 		if how == Rejected || how == Failed {
-			l.breach(Final, at, "%s was %s after it was %s", id, how, r.end)
+			l.breach(FinalAnswer, at, "%s was %s after it was %s", id, how, r.end)
 		}
 		return
 	}
@@ -366,9 +366,9 @@
 	}
 }
 
-// Noticed takes a notice for a message; it tells whether that ended it. Notices are sent until they are confirmed, and one
+// NoticeReceived takes a notice for a message; it tells whether that ended it. Notices are sent until they are confirmed, and one
 // for a message that is over does no harm.
-func (l *Ledger) Noticed(at dispatch.Micros, id dispatch.MessageID, how End) bool {
+func (l *Ledger) NoticeReceived(at dispatch.Micros, id dispatch.MessageID, how End) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if r := l.messages[id]; r != nil && r.end != Open {
@@ -386,8 +386,8 @@
 	return r != nil && (r.mayRan || r.out > 0)
 }
 
-// Ran notes that a message took effect; before is how often it had done so already, known whether the repeat was recognized.
-func (l *Ledger) Ran(at dispatch.Micros, id dispatch.MessageID, where dispatch.EndpointID, before int, known bool) {
+// EffectOccurred notes that a message took effect; before is how often it had done so already, known whether the repeat was recognized.
+func (l *Ledger) EffectOccurred(at dispatch.Micros, id dispatch.MessageID, where dispatch.EndpointID, before int, known bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts.Effects++
@@ -397,13 +397,13 @@
 	}
 	l.counts.Repeats++
 	// A with an idempotency key message's repeats are judged when they are sent: a submission after a courier died is its client's.
-	if r.work.Repeat == dispatch.AtMostOnce && r.end != Dropped {
-		l.breach(Twice, at, "%s took effect for the %d. time, at %s", id, before+1, where)
+	if r.work.Idempotency == dispatch.AtMostOnce && r.end != Dropped {
+		l.breach(NoDuplicateEffect, at, "%s took effect for the %d. time, at %s", id, before+1, where)
 	}
 }
 
-// Notified notes that a courier was notified that an endpoint drains or is gone, or is in service again.
-func (l *Ledger) Notified(at dispatch.Micros, courier int, endpoint dispatch.EndpointID, phase dispatch.Phase) {
+// EndpointNotified notes that a courier was notified that an endpoint drains or is gone, or is in service again.
+func (l *Ledger) EndpointNotified(at dispatch.Micros, courier int, endpoint dispatch.EndpointID, phase dispatch.Phase) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := notifiedKey{courier, endpoint}
@@ -414,9 +414,9 @@
 	}
 }
 
-// Down notes that a courier is away, until Back. Where lost is set, what it held went with it; where it forgets, nothing that it had
+// CourierDown notes that a courier is away, until CourierUp. Where lost is set, what it held went with it; where it forgets, nothing that it had
 // learned survives, and nobody can ask it to know.
-func (l *Ledger) Down(at dispatch.Micros, courier int, lost, forgets bool) {
+func (l *Ledger) CourierDown(at dispatch.Micros, courier int, lost, forgets bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.downs[courier] = append(l.downs[courier], down{at, math.MaxInt64})
@@ -451,38 +451,38 @@
 	}
 }
 
-// Killed notes that a courier was killed. An answer that was on its way to it then may not have been read: what it was for may
+// CourierKilled notes that a courier was killed. An answer that was on its way to it then may not have been read: what it was for may
 // go again, as far as its class allows.
-func (l *Ledger) Killed(at dispatch.Micros, courier int) {
+func (l *Ledger) CourierKilled(at dispatch.Micros, courier int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.killed[courier] = at
 	for _, r := range l.all {
-		r.unheard = r.unheard || r.courier == courier && r.end == Delivered && r.endAt+l.setup.Leeway >= at
+		r.unheard = r.unheard || r.courier == courier && r.end == Delivered && r.endAt+l.setup.ClockTolerance >= at
 	}
 }
 
-// Back notes that a courier serves again.
-func (l *Ledger) Back(at dispatch.Micros, courier int) {
+// CourierUp notes that a courier serves again.
+func (l *Ledger) CourierUp(at dispatch.Micros, courier int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.killed, courier)
 	for i, d := range l.downs[courier] {
 		if d.to == math.MaxInt64 {
-			l.downs[courier][i].to = at + l.setup.Excused
+			l.downs[courier][i].to = at + l.setup.RestartGrace
 		}
 	}
 }
 
-// Stood notes that a courier was paused, and could answer nothing until then.
-func (l *Ledger) Stood(at dispatch.Micros, courier int, to dispatch.Micros) {
+// CourierPaused notes that a courier was paused, and could answer nothing until then.
+func (l *Ledger) CourierPaused(at dispatch.Micros, courier int, to dispatch.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.downs[courier] = append(l.downs[courier], down{at, to})
 }
 
-// Turned notes that the health of a route changed.
-func (l *Ledger) Turned(at dispatch.Micros, dest dispatch.DestinationID, route int, out bool) {
+// RouteChanged notes that the health of a route changed.
+func (l *Ledger) RouteChanged(at dispatch.Micros, dest dispatch.DestinationID, route int, out bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := routeKey{dest, route}
@@ -497,11 +497,11 @@
 	}
 }
 
-// Fell notes that a recovering route was sent more than it could take; sent has what each courier sent of that.
-func (l *Ledger) Fell(at dispatch.Micros, dest dispatch.DestinationID, route int, sent map[int]float64) {
+// RouteOverloaded notes that a recovering route was sent more than it could take; sent has what each courier sent of that.
+func (l *Ledger) RouteOverloaded(at dispatch.Micros, dest dispatch.DestinationID, route int, sent map[int]float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.counts.Falls++
+	l.counts.RouteOverloads++
 	og, knowing, all := l.outages[routeKey{dest, route}], 0.0, 0.0
 	for courier, n := range sent {
 		all += n
@@ -510,36 +510,36 @@
 		}
 	}
 	if knowing >= all*2/3 {
-		l.breach(Pushed, at, "destination %d was pushed over on its return: %.0f of %.0f calls came from couriers that knew",
+		l.breach(NoRecoveryOverload, at, "destination %d was pushed over on its return: %.0f of %.0f calls came from couriers that knew",
 			dest, knowing, all)
 	}
 }
 
-// Shook notes that a courier opened a new connection.
-func (l *Ledger) Shook() {
+// ConnectionOpened notes that a courier opened a new connection.
+func (l *Ledger) ConnectionOpened() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts.Handshakes++
 }
 
-// Crashed notes that a courier exited by itself, or its decisions failed.
-func (l *Ledger) Crashed(at dispatch.Micros, courier int, why string) {
+// CourierCrashed notes that a courier exited by itself, or its decisions failed.
+func (l *Ledger) CourierCrashed(at dispatch.Micros, courier int, why string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.breach(Crash, at, "courier %d: %s", courier, why)
+	l.breach(NoCrash, at, "courier %d: %s", courier, why)
 }
 
 func seconds(t dispatch.Micros) string { return fmt.Sprintf("%.3f s", float64(t)/1e6) }
 
-// Open is how many messages are taken and have no final answer.
-func (l *Ledger) Open() int {
+// OpenMessages is how many messages are taken and have no final answer.
+func (l *Ledger) OpenMessages() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.series.holding
 }
 
-// Excused tells whether a courier owes no answers at an instant.
-func (l *Ledger) Excused(at dispatch.Micros, courier int) bool {
+// IsExcused tells whether a courier owes no answers at an instant.
+func (l *Ledger) IsExcused(at dispatch.Micros, courier int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.excused(courier, at) != at
@@ -549,5 +549,5 @@
 func (l *Ledger) Unanswered(at dispatch.Micros, id dispatch.MessageID, courier int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.breach(Final, at, "courier %d closed a connection without an answer to %s", courier, id)
+	l.breach(FinalAnswer, at, "courier %d closed a connection without an answer to %s", courier, id)
 }
--- a/testbed/invariants/leases.go
+++ b/testbed/invariants/leases.go
@@ -10,11 +10,11 @@
 // lease must have been granted it, and must end with it before its grantor has it back. Looks take time, so only what was seen strictly
 // one after the other counts.
 type Leases struct {
-	all      map[uint64]*seenLease
-	starts   map[string]uint64
-	Breaches []string
-	Seen     int     // leases seen at a lessee
-	Widest   float64 // of a base part, that one lessee had in all for one route
+	all            map[uint64]*seenLease
+	starts         map[string]uint64
+	Breaches       []string
+	LeaseCount     int     // leases seen at a lessee
+	MaxLeasedShare float64 // of a base part, that one lessee had in all for one route
 }
 
 type seenLease struct {
@@ -26,34 +26,34 @@
 
 // Lease is a lease as one side shows it.
 type Lease struct {
-	Who   string
-	No    uint64
+	Peer  string
+	ID    uint64
 	Units int64
 	Base  int64 // the part of whoever shows it
 }
 
-// Look is what one courier showed, between two instants.
-type Look struct {
+// Observation is what one courier showed, between two instants.
+type Observation struct {
 	Name          string
-	Start         uint64
+	Incarnation   uint64
 	From, To      dispatch.Micros
 	Granted, Used [][]Lease // by route
 }
 
-// Saw takes in a look. Looks at one courier come in order.
-func (l *Leases) Saw(k Look) {
+// Observe takes in a look. Looks at one courier come in order.
+func (l *Leases) Observe(k Observation) {
 	if l.all == nil {
 		l.all, l.starts = map[uint64]*seenLease{}, map[string]uint64{}
 	}
-	l.starts[k.Name] = k.Start
+	l.starts[k.Name] = k.Incarnation
 	granted := map[uint64]bool{}
 	for _, route := range k.Granted {
 		away, base := int64(0), int64(0)
 		for _, lease := range route {
-			granted[lease.No], base = true, lease.Base
+			granted[lease.ID], base = true, lease.Base
 			away += lease.Units
-			if s := l.all[lease.No]; s != nil && s.lender == k.Name {
-				s.start = k.Start
+			if s := l.all[lease.ID]; s != nil && s.lender == k.Name {
+				s.start = k.Incarnation
 			}
 		}
 		if away > base/2+1 {
@@ -63,9 +63,9 @@
 	for no, s := range l.all { // in any order: each is judged by itself
 		switch {
 		case s.lender != k.Name || granted[no] || s.used == 0 || s.used > k.From:
-		case s.start != 0 && s.start != k.Start: // it began anew, and holds as much back
+		case s.start != 0 && s.start != k.Incarnation: // it began anew, and holds as much back
 		case s.missing == 0:
-			s.missing, s.start = k.To, k.Start
+			s.missing, s.start = k.To, k.Incarnation
 		}
 	}
 	for _, route := range k.Used {
@@ -73,20 +73,20 @@
 		for _, lease := range route {
 			base = max(1, lease.Base)
 			sum += lease.Units
-			s := l.all[lease.No]
+			s := l.all[lease.ID]
 			if s == nil {
-				l.Seen++
-				s = &seenLease{lender: lease.Who, start: l.starts[lease.Who]}
-				l.all[lease.No] = s
+				l.LeaseCount++
+				s = &seenLease{lender: lease.Peer, start: l.starts[lease.Peer]}
+				l.all[lease.ID] = s
 			}
-			if s.missing != 0 && s.missing <= k.From && s.start == l.starts[lease.Who] {
-				l.breach("%s uses %d of %s, which has it back or never lent it", k.Name, lease.Units, lease.Who)
+			if s.missing != 0 && s.missing <= k.From && s.start == l.starts[lease.Peer] {
+				l.breach("%s uses %d of %s, which has it back or never lent it", k.Name, lease.Units, lease.Peer)
 			}
 			if s.used == 0 {
 				s.used = k.To
 			}
 		}
-		l.Widest = max(l.Widest, float64(sum)/float64(base))
+		l.MaxLeasedShare = max(l.MaxLeasedShare, float64(sum)/float64(base))
 	}
 }
 
--- a/testbed/invariants/rules.go
+++ b/testbed/invariants/rules.go
@@ -12,17 +12,19 @@
 
 // The rules, by what they ask for.
 const (
-	Final  Rule = "one final answer"
-	Twice  Rule = "no effect twice"
-	Drain  Rule = "drains kept"
-	Pushed Rule = "no return pushed over"
-	Waits  Rule = "waits heeded"
-	Order  Rule = "order kept"
-	Crash  Rule = "no crash"
+	FinalAnswer        Rule = "one final answer"
+	NoDuplicateEffect  Rule = "no effect twice"
+	DrainRespected     Rule = "drains kept"
+	NoRecoveryOverload Rule = "no return pushed over"
+	WaitRespected      Rule = "waits heeded"
+	KeyOrder           Rule = "order kept"
+	NoCrash            Rule = "no crash"
 )
 
 // Rules lists them in order.
-func Rules() []Rule { return []Rule{Final, Twice, Drain, Pushed, Waits, Order, Crash} }
+func Rules() []Rule {
+	return []Rule{FinalAnswer, NoDuplicateEffect, DrainRespected, NoRecoveryOverload, WaitRespected, KeyOrder, NoCrash}
+}
 
 // breach is how often a rule was broken, and the first times.
 type breach struct {
@@ -51,16 +53,16 @@
 }
 
 // judgeSend holds an attempt against the rules on ends, effects, drains, waits and order.
-func (l *Ledger) judgeSend(at dispatch.Micros, r *message, p Place) {
-	if r.end != Open && r.end != Dropped && !r.unheard && at > r.endAt+l.setup.Leeway {
-		l.breach(Final, at, "%s was sent to %s after it was %s at %s", r.id, p.Endpoint, r.end, seconds(r.endAt))
+func (l *Ledger) judgeSend(at dispatch.Micros, r *message, p Target) {
+	if r.end != Open && r.end != Dropped && !r.unheard && at > r.endAt+l.setup.ClockTolerance {
+		l.breach(FinalAnswer, at, "%s was sent to %s after it was %s at %s", r.id, p.Endpoint, r.end, seconds(r.endAt))
 	}
 	l.judgeRepeat(at, r, p)
-	if notified, ok := l.notified[notifiedKey{r.courier, p.Endpoint}]; ok && at > notified+l.setup.DrainGrace+l.setup.Leeway {
-		l.breach(Drain, at, "%s went to %s, which drains or is gone, as courier %d was told at %s", r.id, p.Endpoint, r.courier, seconds(notified))
+	if notified, ok := l.notified[notifiedKey{r.courier, p.Endpoint}]; ok && at > notified+l.setup.DrainGrace+l.setup.ClockTolerance {
+		l.breach(DrainRespected, at, "%s went to %s, which drains or is gone, as courier %d was told at %s", r.id, p.Endpoint, r.courier, seconds(notified))
 	}
-	if w, ok := l.waits[waitKey{r.courier, routeKey{p.Dest, p.Route}}]; ok && at > w.from+l.setup.WaitFrom && at < w.to-l.setup.Leeway {
-		l.breach(Waits, at, "%s went to %s, while courier %d was told to wait until %s", r.id, p.Endpoint, r.courier, seconds(w.to))
+	if w, ok := l.waits[waitKey{r.courier, routeKey{p.Dest, p.Route}}]; ok && at > w.from+l.setup.WaitGrace && at < w.to-l.setup.ClockTolerance {
+		l.breach(WaitRespected, at, "%s went to %s, while courier %d was told to wait until %s", r.id, p.Endpoint, r.courier, seconds(w.to))
 	}
 	if r.work.InOrder && r.key != "" {
 		l.judgeOrder(at, r)
@@ -69,8 +71,8 @@
 
 // judgeRepeat: an at-most-once message goes again only if every earlier attempt provably never ran; one with an idempotency key that may
 // have run only in its window and group.
-func (l *Ledger) judgeRepeat(at dispatch.Micros, r *message, p Place) {
-	if r.work.Repeat == dispatch.Idempotent || len(r.attempts) == 0 {
+func (l *Ledger) judgeRepeat(at dispatch.Micros, r *message, p Target) {
+	if r.work.Idempotency == dispatch.Idempotent || len(r.attempts) == 0 {
 		return
 	}
 	may, ranAt, zone := r.mayRan, r.ranAt, r.ranZone
@@ -81,20 +83,20 @@
 	}
 	switch {
 	case !may:
-	case r.work.Repeat == dispatch.AtMostOnce:
-		l.breach(Twice, at, "%s, single-use, went to %s though an earlier trip may have run", r.id, p.Endpoint)
-	case at > ranAt+r.work.Window+l.setup.Leeway:
-		l.breach(Twice, at, "%s, referenced, went to %s after its window of %s", r.id, p.Endpoint, seconds(r.work.Window))
-	case r.work.OneZone && p.Zone != zone:
-		l.breach(Twice, at, "%s, referenced, went to %s, which does not know the repeat", r.id, p.Endpoint)
+	case r.work.Idempotency == dispatch.AtMostOnce:
+		l.breach(NoDuplicateEffect, at, "%s, single-use, went to %s though an earlier trip may have run", r.id, p.Endpoint)
+	case at > ranAt+r.work.DedupWindow+l.setup.ClockTolerance:
+		l.breach(NoDuplicateEffect, at, "%s, referenced, went to %s after its window of %s", r.id, p.Endpoint, seconds(r.work.DedupWindow))
+	case r.work.DedupOneZone && p.Zone != zone:
+		l.breach(NoDuplicateEffect, at, "%s, referenced, went to %s, which does not know the repeat", r.id, p.Endpoint)
 	}
 }
 
 // judgeBounce: a reject says that trying again is harmless.
 func (l *Ledger) judgeReject(at dispatch.Micros, r *message) {
 	may := r.mayRan || r.out > 0
-	if may && (r.work.Repeat == dispatch.AtMostOnce || r.work.Repeat == dispatch.IdempotencyKey && r.work.OneZone) {
-		l.breach(Twice, at, "%s was bounced though a trip may have run", r.id)
+	if may && (r.work.Idempotency == dispatch.AtMostOnce || r.work.Idempotency == dispatch.IdempotencyKey && r.work.DedupOneZone) {
+		l.breach(NoDuplicateEffect, at, "%s was bounced though a trip may have run", r.id)
 	}
 }
 
@@ -103,24 +105,24 @@
 	line := l.lines[keyOf{r.courier, r.key}]
 	line.messages = slices.DeleteFunc(line.messages, func(o *message) bool { return o.end != Open && o.out == 0 })
 	if len(line.messages) > 0 && line.messages[0] != r {
-		l.breach(Order, at, "%s went out of turn: %s of the same key is not over", r.id, line.messages[0].id)
+		l.breach(KeyOrder, at, "%s went out of turn: %s of the same key is not over", r.id, line.messages[0].id)
 		return
 	}
-	if at < line.restTo-l.setup.Leeway && len(r.attempts) == 0 {
-		l.breach(Order, at, "%s went while its key had to rest until %s", r.id, seconds(line.restTo))
+	if at < line.restTo-l.setup.ClockTolerance && len(r.attempts) == 0 {
+		l.breach(KeyOrder, at, "%s went while its key had to rest until %s", r.id, seconds(line.restTo))
 	}
 }
 
 // overdue holds what was taken against its deadline, at the end of the day.
 func (l *Ledger) overdue(end dispatch.Micros) {
 	for _, r := range l.all {
-		by := l.excused(r.courier, r.cutOff+l.setup.AnswerSlack+l.setup.Leeway)
+		by := l.excused(r.courier, r.cutOff+l.setup.AnswerGrace+l.setup.ClockTolerance)
 		switch {
 		case r.end == Open && end > by:
-			l.breach(Final, by, "%s was never answered", r.id)
+			l.breach(FinalAnswer, by, "%s was never answered", r.id)
 			l.counts.Lost++
 		case (r.end == Rejected || r.end == Failed || r.end == Delivered) && r.endAt > by:
-			l.breach(Final, r.endAt, "%s was %s %s after its cut-off", r.id, r.end, seconds(r.endAt-r.cutOff))
+			l.breach(FinalAnswer, r.endAt, "%s was %s %s after its cut-off", r.id, r.end, seconds(r.endAt-r.cutOff))
 		}
 	}
 }
