--- a/testbed/invariants/series.go
+++ b/testbed/invariants/series.go
@@ -6,23 +6,23 @@
 	"pineport/dispatch"
 )
 
-// Bin is the span of one point of a series.
-const Bin = dispatch.Micros(500 * 1000)
+// BinLength is the span of one point of a series.
+const BinLength = dispatch.Micros(500 * 1000)
 
 // Series is a day over time, in bins of half a second.
 type Series struct {
-	Asked, Won []float64 // value, by when the message was due
-	Held       []float64 // messages taken and not ended, at the end of the bin
-	Dests      []*DestSeries
+	OfferedValue, EarnedValue []float64 // value, by when the message was due
+	OpenMessages              []float64 // messages taken and not ended, at the end of the bin
+	Dests                     []*DestSeries
 }
 
 // DestSeries is what went to one destination.
 type DestSeries struct {
-	Dest                      dispatch.DestinationID
-	Offered                   []float64
-	Calls, Done, Full, Failed []float64
-	Outages                   [][2]float64 // in seconds
-	routesOut                 int
+	Dest                                   dispatch.DestinationID
+	Offered                                []float64
+	Attempts, Delivered, Throttled, Failed []float64
+	Outages                                [][2]float64 // in seconds
+	routesOut                              int
 }
 
 type series struct {
@@ -33,7 +33,7 @@
 
 // put adds to a bin; what lies before the day counts to its first bin.
 func put(s []float64, at dispatch.Micros, n float64) []float64 {
-	i := max(0, int(at/Bin))
+	i := max(0, int(at/BinLength))
 	for len(s) <= i {
 		s = append(s, 0)
 	}
@@ -43,7 +43,7 @@
 
 func (s *series) held(at dispatch.Micros, n int) {
 	s.holding += n
-	i := max(0, int(at/Bin))
+	i := max(0, int(at/BinLength))
 	for len(s.heldAt) <= i {
 		s.heldAt = append(s.heldAt, -1) // unchanged
 	}
@@ -61,15 +61,15 @@
 
 func (s *series) call(at dispatch.Micros, id dispatch.DestinationID) {
 	d := s.dest(id)
-	d.Calls = put(d.Calls, at, 1)
+	d.Attempts = put(d.Attempts, at, 1)
 }
 
 func (s *series) settled(at dispatch.Micros, id dispatch.DestinationID, o dispatch.Outcome) {
 	switch d := s.dest(id); o {
 	case dispatch.Delivered:
-		d.Done = put(d.Done, at, 1)
+		d.Delivered = put(d.Delivered, at, 1)
 	case dispatch.Throttled:
-		d.Full = put(d.Full, at, 1)
+		d.Throttled = put(d.Throttled, at, 1)
 	case dispatch.Unprocessed, dispatch.Canceled:
 	default:
 		d.Failed = put(d.Failed, at, 1)
@@ -92,10 +92,10 @@
 }
 
 func (s *series) finish(l *Ledger, end dispatch.Micros) *Series {
-	out, bins := &Series{}, int(end/Bin)+1
+	out, bins := &Series{}, int(end/BinLength)+1
 	for _, o := range l.order {
-		out.Asked = put(out.Asked, o.at, o.value)
-		out.Won = put(out.Won, o.at, o.won)
+		out.OfferedValue = put(out.OfferedValue, o.at, o.value)
+		out.EarnedValue = put(out.EarnedValue, o.at, o.won)
 		d := s.dest(o.dest)
 		d.Offered = put(d.Offered, o.at, 1)
 	}
@@ -104,7 +104,7 @@
 		if h >= 0 {
 			level = h
 		}
-		out.Held = append(out.Held, level)
+		out.OpenMessages = append(out.OpenMessages, level)
 	}
 	pad := func(all ...*[]float64) {
 		for _, p := range all {
@@ -113,9 +113,9 @@
 			}
 		}
 	}
-	pad(&out.Asked, &out.Won, &out.Held)
+	pad(&out.OfferedValue, &out.EarnedValue, &out.OpenMessages)
 	for _, d := range s.dests {
-		pad(&d.Offered, &d.Calls, &d.Done, &d.Full, &d.Failed)
+		pad(&d.Offered, &d.Attempts, &d.Delivered, &d.Throttled, &d.Failed)
 		for i := range d.Outages {
 			if d.Outages[i][1] < 0 {
 				d.Outages[i][1] = float64(end) / 1e6
--- a/testbed/invariants/verdict.go
+++ b/testbed/invariants/verdict.go
@@ -12,30 +12,30 @@
 
 // Counts are sums over a day.
 type Counts struct {
-	Offered     int `json:"offered"` // messages, first tries
-	Taken       int `json:"taken"`
-	Done        int `json:"done"`
-	Rejected    int `json:"bounced"`
-	Failed      int `json:"terminated"`
-	Lost        int `json:"lost"`
-	Attempts    int `json:"trips"`
-	Full        int `json:"full"`
-	Failures    int `json:"failures"`
-	TimedOut    int `json:"timed_out"`
-	Unreachable int `json:"unreachable"`
-	Broken      int `json:"broken"`
-	Withdrawn   int `json:"withdrawn"`
-	Unprocessed int `json:"void"`
-	Handshakes  int `json:"handshakes"`
-	Effects     int `json:"effects"`
-	Repeats     int `json:"repeats"` // effects that were not the first and not dropped
-	Falls       int `json:"falls"`
+	Offered        int `json:"offered"` // messages, first tries
+	Accepted       int `json:"taken"`
+	Delivered      int `json:"done"`
+	Rejected       int `json:"bounced"`
+	Failed         int `json:"terminated"`
+	Lost           int `json:"lost"`
+	Attempts       int `json:"trips"`
+	Throttled      int `json:"full"`
+	Failures       int `json:"failures"`
+	TimedOut       int `json:"timed_out"`
+	Unreachable    int `json:"unreachable"`
+	Broken         int `json:"broken"`
+	Canceled       int `json:"withdrawn"`
+	Unprocessed    int `json:"void"`
+	Handshakes     int `json:"handshakes"`
+	Effects        int `json:"effects"`
+	Repeats        int `json:"repeats"` // effects that were not the first and not dropped
+	RouteOverloads int `json:"falls"`
 }
 
 func (c *Counts) settle(o dispatch.Outcome) {
 	switch o {
 	case dispatch.Throttled:
-		c.Full++
+		c.Throttled++
 	case dispatch.Failure:
 		c.Failures++
 	case dispatch.TimedOut:
@@ -45,7 +45,7 @@
 	case dispatch.Broken:
 		c.Broken++
 	case dispatch.Canceled:
-		c.Withdrawn++
+		c.Canceled++
 	case dispatch.Unprocessed:
 		c.Unprocessed++
 	}
@@ -53,36 +53,36 @@
 
 // Verdict is the judgement of a day.
 type Verdict struct {
-	Figure   float64            `json:"figure"` // 0 where a rule broke
-	Service  float64            `json:"service"`
-	Whole    float64            `json:"whole"`
-	Window   float64            `json:"worst_window"`
-	WindowAt float64            `json:"worst_window_at_s"`
-	Class    map[string]float64 `json:"workloads"`
-	Tenant   map[string]float64 `json:"parties,omitempty"`
-	Costs    float64            `json:"costs"`
-	Counts   Counts             `json:"counts"`
-	Broken   map[Rule]int       `json:"broken,omitempty"`
-	Breaches []Breach           `json:"breaches,omitempty"`
-	Latency  []Latency          `json:"latency"`
-	Invalid  string             `json:"void,omitempty"` // why the run does not count
-	Series   *Series            `json:"-"`
+	Score         float64            `json:"figure"` // 0 where a rule broke
+	ServiceScore  float64            `json:"service"`
+	Overall       float64            `json:"whole"`
+	WorstWindow   float64            `json:"worst_window"`
+	WorstWindowAt float64            `json:"worst_window_at_s"`
+	ClassShares   map[string]float64 `json:"workloads"`
+	Tenant        map[string]float64 `json:"parties,omitempty"`
+	Costs         float64            `json:"costs"`
+	Counts        Counts             `json:"counts"`
+	BreachCounts  map[Rule]int       `json:"broken,omitempty"`
+	Breaches      []Breach           `json:"breaches,omitempty"`
+	Latency       []Latency          `json:"latency"`
+	InvalidReason string             `json:"void,omitempty"` // why the run does not count
+	Series        *Series            `json:"-"`
 }
 
 // OK tells whether all rules were kept.
-func (v *Verdict) OK() bool { return len(v.Broken) == 0 }
+func (v *Verdict) OK() bool { return len(v.BreachCounts) == 0 }
 
 // Short is the verdict in a few words.
 func (v *Verdict) Short() string {
-	if v.Invalid != "" {
-		return "does not count: " + v.Invalid
+	if v.InvalidReason != "" {
+		return "does not count: " + v.InvalidReason
 	}
 	if v.OK() {
 		return "rules kept"
 	}
 	var parts []string
 	for _, r := range Rules() {
-		if n := v.Broken[r]; n > 0 {
+		if n := v.BreachCounts[r]; n > 0 {
 			parts = append(parts, fmt.Sprintf("%s: broken %d times", r, n))
 		}
 	}
@@ -96,7 +96,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.overdue(end)
-	v := &Verdict{Counts: l.counts, Class: map[string]float64{}, Tenant: map[string]float64{}, Broken: map[Rule]int{},
+	v := &Verdict{Counts: l.counts, ClassShares: map[string]float64{}, Tenant: map[string]float64{}, BreachCounts: map[Rule]int{},
 		Latency: l.latency.table(), Series: l.series.finish(l, end)}
 	var whole sum
 	works, tenants := make([]sum, len(l.setup.Classes)), make([]sum, len(l.setup.Tenants))
@@ -110,11 +110,11 @@
 			tenants[o.tenant].add(o) // within its share
 		}
 	}
-	v.Whole, v.Window = whole.share(), whole.share()
+	v.Overall, v.WorstWindow = whole.share(), whole.share()
 	for i := 0; i+1 < len(halves); i++ {
 		pair := sum{halves[i].asked + halves[i+1].asked, halves[i].won + halves[i+1].won}
-		if s := pair.share(); s < v.Window && pair.asked > 0.05*whole.asked*windowSpan/float64(max(windowSpan, l.setup.Length)) {
-			v.Window, v.WindowAt = s, float64(i)*half/1e6
+		if s := pair.share(); s < v.WorstWindow && pair.asked > 0.05*whole.asked*windowSpan/float64(max(windowSpan, l.setup.Length)) {
+			v.WorstWindow, v.WorstWindowAt = s, float64(i)*half/1e6
 		}
 	}
 	least := func(names func(int) string, sums []sum, into map[string]float64) float64 {
@@ -126,23 +126,23 @@
 			}
 		}
 		if math.IsInf(low, 1) {
-			return v.Whole
+			return v.Overall
 		}
 		return low
 	}
-	worstWork := least(func(i int) string { return l.setup.Classes[i].Name }, works, v.Class)
+	worstWork := least(func(i int) string { return l.setup.Classes[i].Name }, works, v.ClassShares)
 	worstTenant := least(func(i int) string { return l.setup.Tenants[i] }, tenants, v.Tenant)
 	g := l.setup.Goal
-	v.Service = (g.Whole*v.Whole + g.Window*v.Window + g.Class*worstWork + g.Tenant*worstTenant) / (g.Whole + g.Window + g.Class + g.Tenant)
+	v.ServiceScore = (g.Overall*v.Overall + g.WorstWindow*v.WorstWindow + g.Class*worstWork + g.Tenant*worstTenant) / (g.Overall + g.WorstWindow + g.Class + g.Tenant)
 	offered, p := float64(max(1, l.counts.Offered)), l.setup.Prices
-	wasted := float64(max(0, l.counts.Attempts-l.counts.Unprocessed-l.counts.Done))
-	v.Costs = (p.Waste*wasted + p.Handshake*float64(l.counts.Handshakes) + p.Refused*float64(l.counts.Full)) / offered
-	v.Figure = v.Service - v.Costs
+	wasted := float64(max(0, l.counts.Attempts-l.counts.Unprocessed-l.counts.Delivered))
+	v.Costs = (p.Waste*wasted + p.Handshake*float64(l.counts.Handshakes) + p.Refused*float64(l.counts.Throttled)) / offered
+	v.Score = v.ServiceScore - v.Costs
 	for _, r := range Rules() {
 		if b := l.breaches[r]; b != nil {
-			v.Broken[r] = b.count
+			v.BreachCounts[r] = b.count
 			v.Breaches = append(v.Breaches, b.first...)
-			v.Figure = 0
+			v.Score = 0
 		}
 	}
 	return v
--- a/testbed/netfault/conditions.go
+++ b/testbed/netfault/conditions.go
@@ -259,8 +259,8 @@
 	}
 }
 
-// Draw makes so many faults of a seed, one after the other over a length in seconds.
-func Draw(seed int64, n, processes int, length float64) (all []Fault) {
+// RandomFaults makes so many faults of a seed, one after the other over a length in seconds.
+func RandomFaults(seed int64, n, processes int, length float64) (all []Fault) {
 	rng := rand.New(rand.NewSource(seed))
 	kinds := []string{"cut", "one-way", "silent", "loss", "slow", "duplicate", "reorder", "flap"}
 	size := map[string]float64{"loss": 0.3, "slow": 200, "duplicate": 0.5, "reorder": 0.5, "flap": 2}
--- a/testbed/netfault/mesh.go
+++ b/testbed/netfault/mesh.go
@@ -14,10 +14,10 @@
 type Mesh struct {
 	*board
 	mu    sync.Mutex
-	nodes []*Node
-	// Keep has every packet kept, for Replay.
-	Keep bool
-	kept []kept
+	nodes []*MemberTransport
+	// RecordPackets has every packet kept, for Replay.
+	RecordPackets bool
+	kept          []kept
 }
 
 type kept struct {
@@ -44,8 +44,8 @@
 	return n
 }
 
-// Node is one member's transport.
-type Node struct {
+// MemberTransport is one member's transport.
+type MemberTransport struct {
 	mesh    *Mesh
 	no      int
 	packets chan *memberlist.Packet
@@ -59,13 +59,13 @@
 func NewMesh(n int, seed int64) *Mesh {
 	m := &Mesh{board: newBoard(n, seed, nil)}
 	for i := range n {
-		m.nodes = append(m.nodes, &Node{mesh: m, no: i})
+		m.nodes = append(m.nodes, &MemberTransport{mesh: m, no: i})
 	}
 	return m
 }
 
-// At is a member's address.
-func (m *Mesh) At(i int) string { return fmt.Sprintf("10.%d.%d.1:%d", i/250, i%250, 7000) }
+// Addr is a member's address.
+func (m *Mesh) Addr(i int) string { return fmt.Sprintf("10.%d.%d.1:%d", i/250, i%250, 7000) }
 
 func (m *Mesh) who(addr string) (int, bool) {
 	host, _, err := net.SplitHostPort(addr)
@@ -88,21 +88,21 @@
 }
 
 // Join puts a member on the network, anew if it was there before.
-func (m *Mesh) Join(i int) *Node {
+func (m *Mesh) Join(i int) *MemberTransport {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.nodes[i] = &Node{mesh: m, no: i, packets: make(chan *memberlist.Packet, 1024), streams: make(chan net.Conn, 64), up: true}
+	m.nodes[i] = &MemberTransport{mesh: m, no: i, packets: make(chan *memberlist.Packet, 1024), streams: make(chan net.Conn, 64), up: true}
 	return m.nodes[i]
 }
 
-// Drop takes a member off the network without a word.
-func (m *Mesh) Drop(i int) {
+// Disconnect takes a member off the network without a word.
+func (m *Mesh) Disconnect(i int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.nodes[i].up = false
 }
 
-func (m *Mesh) node(i int) (*Node, bool) {
+func (m *Mesh) node(i int) (*MemberTransport, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := m.nodes[i]
@@ -110,8 +110,8 @@
 }
 
 // FinalAdvertiseAddr is the member's address.
-func (n *Node) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
-	host, port, err := net.SplitHostPort(n.mesh.At(n.no))
+func (n *MemberTransport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
+	host, port, err := net.SplitHostPort(n.mesh.Addr(n.no))
 	if err != nil {
 		return nil, 0, err
 	}
@@ -120,7 +120,7 @@
 }
 
 // WriteTo sends a packet, which may get lost.
-func (n *Node) WriteTo(b []byte, addr string) (time.Time, error) {
+func (n *MemberTransport) WriteTo(b []byte, addr string) (time.Time, error) {
 	now := time.Now()
 	to, ok := n.mesh.who(addr)
 	if _, up := n.mesh.node(n.no); !ok || !up {
@@ -132,7 +132,7 @@
 	n.mesh.mu.Unlock()
 	from := &net.UDPAddr{IP: net.IPv4(10, byte(n.no/250), byte(n.no%250), 1), Port: 7000}
 	text := append([]byte(nil), b...)
-	if n.mesh.mu.Lock(); n.mesh.Keep {
+	if n.mesh.mu.Lock(); n.mesh.RecordPackets {
 		n.mesh.kept = append(n.mesh.kept, kept{to, text, from})
 	}
 	n.mesh.mu.Unlock()
@@ -155,10 +155,10 @@
 }
 
 // PacketCh is where packets come in.
-func (n *Node) PacketCh() <-chan *memberlist.Packet { return n.packets }
+func (n *MemberTransport) PacketCh() <-chan *memberlist.Packet { return n.packets }
 
 // DialTimeout begins a stream, where both directions let anything through.
-func (n *Node) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+func (n *MemberTransport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	to, ok := n.mesh.who(addr)
 	if !ok {
 		return nil, fmt.Errorf("%s: nobody", addr)
@@ -186,10 +186,10 @@
 }
 
 // StreamCh is where streams come in.
-func (n *Node) StreamCh() <-chan net.Conn { return n.streams }
+func (n *MemberTransport) StreamCh() <-chan net.Conn { return n.streams }
 
 // Shutdown takes it off the network.
-func (n *Node) Shutdown() error {
+func (n *MemberTransport) Shutdown() error {
 	n.mesh.mu.Lock()
 	defer n.mesh.mu.Unlock()
 	n.up = false
--- a/testbed/port/port.go
+++ b/testbed/port/port.go
@@ -34,9 +34,9 @@
 	return netip.AddrPortFrom(netip.AddrFrom4(in.Addr), uint16(in.Port)).String(), letGo, nil
 }
 
-// Arrived waits until the other side's system has all that was written to a connection, and its end where it was ended for writing, and
+// WaitAcknowledged waits until the other side's system has all that was written to a connection, and its end where it was ended for writing, and
 // tells whether that came to pass within a bound: from then on it lies there, read or not.
-func Arrived(conn syscall.Conn) bool {
+func WaitAcknowledged(conn syscall.Conn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return false
--- a/testbed/process/process.go
+++ b/testbed/process/process.go
@@ -18,7 +18,7 @@
 
 // Courier is one courier, through all its starts.
 type Courier struct {
-	No      int
+	Number  int
 	Listen  string
 	Dir     string
 	binary  string
@@ -48,7 +48,7 @@
 		return nil, err
 	}
 	defer l.Close()
-	return &Courier{No: no, Listen: l.Addr().String(), Dir: dir, binary: binary, crashed: crashed}, nil
+	return &Courier{Number: no, Listen: l.Addr().String(), Dir: dir, binary: binary, crashed: crashed}, nil
 }
 
 // Configure writes what the courier is notified.
@@ -78,7 +78,7 @@
 	if err := cmd.Start(); err != nil {
 		c.mu.Unlock()
 		log.Close()
-		return fmt.Errorf("courier %d: %w", c.No, err)
+		return fmt.Errorf("courier %d: %w", c.Number, err)
 	}
 	exited := make(chan struct{})
 	c.cmd, c.exited, c.wanted = cmd, exited, true
@@ -102,7 +102,7 @@
 	c.mu.Unlock()
 	close(exited)
 	if unasked {
-		c.crashed(c.No, fmt.Sprintf("its process ended by itself: %v; the last of its log: %s", err, c.tail()))
+		c.crashed(c.Number, fmt.Sprintf("its process ended by itself: %v; the last of its log: %s", err, c.tail()))
 	}
 }
 
@@ -122,14 +122,14 @@
 	for deadline := time.Now().Add(within); time.Now().Before(deadline); {
 		select {
 		case <-exited:
-			return fmt.Errorf("courier %d ended before it was ready; the last of its log: %s", c.No, c.tail())
+			return fmt.Errorf("courier %d ended before it was ready; the last of its log: %s", c.Number, c.tail())
 		case <-time.After(10 * time.Millisecond):
 		}
 		if ping(c.Listen) {
 			return nil
 		}
 	}
-	return fmt.Errorf("courier %d did not answer PING within %v; the last of its log: %s", c.No, within, c.tail())
+	return fmt.Errorf("courier %d did not answer PING within %v; the last of its log: %s", c.Number, within, c.tail())
 }
 
 func ping(address string) bool {
@@ -202,13 +202,13 @@
 // clockTick is the unit of processor time in /proc/PID/stat.
 const clockTick = 10 * time.Millisecond
 
-// Taken is what the process that runs has taken so far on the processor, and what it has resident, in bytes, read of /proc.
-func (c *Courier) Taken() (cpu time.Duration, resident int64, err error) {
+// CurrentUsage is what the process that runs has taken so far on the processor, and what it has resident, in bytes, read of /proc.
+func (c *Courier) CurrentUsage() (cpu time.Duration, resident int64, err error) {
 	c.mu.Lock()
 	cmd := c.cmd
 	c.mu.Unlock()
 	if cmd == nil {
-		return 0, 0, fmt.Errorf("courier %d does not run", c.No)
+		return 0, 0, fmt.Errorf("courier %d does not run", c.Number)
 	}
 	text, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(cmd.Process.Pid), "stat"))
 	if err != nil {
@@ -234,8 +234,8 @@
 	return time.Duration(values[0]+values[1]) * clockTick, values[2] * int64(os.Getpagesize()), nil
 }
 
-// Used is what all its processes took: time on the processor, and resident memory at most.
-func (c *Courier) Used() (cpu time.Duration, maxRSSKiB int64) {
+// TotalUsage is what all its processes took: time on the processor, and resident memory at most.
+func (c *Courier) TotalUsage() (cpu time.Duration, maxRSSKiB int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.user + c.system, c.maxRSS
--- a/testbed/process/process_test.go
+++ b/testbed/process/process_test.go
@@ -20,7 +20,7 @@
 }
 
 func TestTakenNeedsAProcess(t *testing.T) {
-	if _, _, err := (&Courier{No: 1}).Taken(); err == nil {
+	if _, _, err := (&Courier{Number: 1}).CurrentUsage(); err == nil {
 		t.Error("a courier that does not run has taken something")
 	}
 }
--- a/testbed/realtime/client.go
+++ b/testbed/realtime/client.go
@@ -24,8 +24,8 @@
 
 func (r *run) offer(i int) {
 	a := r.day.Arrivals[i]
-	wl := r.day.Day.Classes[a.Class]
-	cl := &client{id: dispatch.MessageID("r" + strconv.Itoa(i)), arrival: a, due: a.At, cutOff: a.At + dispatch.Micros(wl.CutOff*1e6)}
+	wl := r.day.Definition.Classes[a.Class]
+	cl := &client{id: dispatch.MessageID("r" + strconv.Itoa(i)), arrival: a, due: a.At, cutOff: a.At + dispatch.Micros(wl.Deadline*1e6)}
 	r.books.Offered(a.At, cl.id, int(a.Class), int(a.Tenant), dispatch.DestinationID(a.Dest))
 	r.pend(1)
 	r.handIn(cl, int(a.Courier), false, false)
@@ -53,7 +53,7 @@
 
 // other is where a client goes whose courier did not serve it.
 func (r *run) other(courier int) int {
-	if r.day.Day.Fleet.Entry == "own" {
+	if r.day.Definition.Fleet.ClientRouting == "own" {
 		return courier
 	}
 	r.mu.Lock()
@@ -85,16 +85,16 @@
 	r.clients[id] = cl
 	r.mu.Unlock()
 	a := cl.arrival
-	wl := r.day.Day.Classes[a.Class]
+	wl := r.day.Definition.Classes[a.Class]
 	key := dispatch.OrderingKey("")
 	if a.Key >= 0 {
 		key = dispatch.OrderingKey("k" + strconv.Itoa(int(a.Key)))
 	}
-	r.world.Expect(id, environment.Message{Origin: origin, Courier: courier, Work: int(a.Class), Dest: int(a.Dest)})
-	r.books.Taken(now, id, cl.id, courier, key, cl.cutOff)
+	r.world.Expect(id, environment.Message{Origin: origin, Courier: courier, Class: int(a.Class), Dest: int(a.Dest)})
+	r.books.Accepted(now, id, cl.id, courier, key, cl.cutOff)
 	rec := load.Message{ID: string(id), Class: wl.Name, Left: time.Duration(cl.cutOff-now) * time.Microsecond, Dest: int(a.Dest),
 		Key: string(key), Again: again, AfterDeath: afterDeath, Body: r.body}
-	if tenants := r.day.Day.Tenants; len(tenants) > 0 {
+	if tenants := r.day.Definition.Tenants; len(tenants) > 0 {
 		rec.Tenant = tenants[a.Tenant].Name
 	}
 	reply := r.pools[courier].Do(load.Enqueue(rec))
@@ -103,12 +103,12 @@
 	case load.OK:
 		// From now on its end is owed: a call answered with 200, or a notice.
 	case load.Busy:
-		r.world.Drop(id)
-		r.books.Ended(now, id, invariants.Rejected)
+		r.world.MarkEnded(id)
+		r.books.MessageEnded(now, id, invariants.Rejected)
 		r.comeAgain(cl, courier, reply.Again)
 	case load.Failed:
-		r.world.Drop(id)
-		r.books.Ended(now, id, invariants.Failed)
+		r.world.MarkEnded(id)
+		r.books.MessageEnded(now, id, invariants.Failed)
 	default:
 		r.unanswered(cl, id, courier, reply)
 	}
@@ -117,15 +117,15 @@
 // unanswered is a submission that a courier did not answer: it was down, cut the connection or kept silent.
 func (r *run) unanswered(cl *client, id dispatch.MessageID, courier int, reply load.Reply) {
 	now := r.world.Clock.Now()
-	if reply.Kind == load.Cut && r.couriers[courier].Up() && !r.books.Excused(now, courier) {
+	if reply.Kind == load.Cut && r.couriers[courier].Up() && !r.books.IsExcused(now, courier) {
 		r.books.Unanswered(now, id, courier)
 	}
-	r.world.Drop(id)
-	r.books.Ended(now, id, invariants.Dropped)
+	r.world.MarkEnded(id)
+	r.books.MessageEnded(now, id, invariants.Dropped)
 	r.mu.Lock()
 	cl.dropped++
 	r.mu.Unlock()
-	again := r.between(r.day.Day.Clients.Again)
+	again := r.between(r.day.Definition.Clients.ResubmitAfter)
 	if reply.Kind == load.Down {
 		again /= 4
 	}
@@ -134,19 +134,19 @@
 
 // comeAgain submits anew what was rejected, after a while.
 func (r *run) comeAgain(cl *client, courier int, advice time.Duration) {
-	d := r.day.Day.Clients
+	d := r.day.Definition.Clients
 	r.mu.Lock()
 	if cl.rejects >= d.Retries {
 		r.mu.Unlock()
 		return
 	}
-	heeds := r.rng.Float64() < d.Heed
+	heeds := r.rng.Float64() < d.HonorRetryAfterShare
 	n := cl.rejects
 	cl.rejects++
 	r.mu.Unlock()
 	wait := r.between(scenario.Range{d.Backoff[0] / 1000, d.Backoff[1] / 1000}) << n
 	if advice > 0 && heeds {
-		wait = min(advice, time.Duration(r.day.Day.Fleet.LongestWait*float64(time.Second)))
+		wait = min(advice, time.Duration(r.day.Definition.Fleet.MaxRetryAfter*float64(time.Second)))
 	}
 	r.later(cl, wait, r.other(courier), true, false)
 }
--- a/testbed/realtime/realtime.go
+++ b/testbed/realtime/realtime.go
@@ -29,28 +29,28 @@
 	Log    *slog.Logger
 	Ready  time.Duration // for a courier to answer PING
 	// Watch is notified of what happens by itself, as it happens.
-	Watch func(at dispatch.Micros, a scenario.Act)
+	Watch func(at dispatch.Micros, a scenario.Event)
 	// Reload is how often each courier's configuration is written anew, with other settings, and read on SIGHUP; 0: never.
 	Reload time.Duration
-	// Extra is what a courier is configured with besides; it goes over the rest, key by key.
-	Extra func(c *process.Courier) (map[string]any, error)
-	// Begun is notified, once, when the day begins; what it returns is called when the last message has its answer.
-	Begun func(f *Field) (end func())
+	// ExtraConfiguration is what a courier is configured with besides; it goes over the rest, key by key.
+	ExtraConfiguration func(c *process.Courier) (map[string]any, error)
+	// OnStart is notified, once, when the day begins; what it returns is called when the last message has its answer.
+	OnStart func(f *Session) (end func())
 	// Limits of a courier, in the platform's form; nil: 1 core, 192 MB, 1,024 descriptors, 3 MB of disk.
 	Limits map[string]any
 }
 
-// Field is a day under way, for who adds troubles of its own.
-type Field struct{ run *run }
+// Session is a day under way, for who adds troubles of its own.
+type Session struct{ run *run }
 
 // Couriers are those of the day, by number.
-func (f *Field) Couriers() []*process.Courier { return f.run.couriers }
+func (f *Session) Couriers() []*process.Courier { return f.run.couriers }
 
-// Since is how long the day has been on.
-func (f *Field) Since() time.Duration { return time.Since(f.run.world.Clock.Start) }
+// Elapsed is how long the day has been on.
+func (f *Session) Elapsed() time.Duration { return time.Since(f.run.world.Clock.Start) }
 
-// Act carries out a trouble of a courier, and books it.
-func (f *Field) Act(a scenario.Act) { f.run.act(a) }
+// ApplyAct carries out a trouble of a courier, and books it.
+func (f *Session) ApplyAct(a scenario.Event) { f.run.act(a) }
 
 // Cost is what a run took of the machine.
 type Cost struct {
@@ -68,7 +68,7 @@
 // run is one day being played.
 type run struct {
 	Options
-	day      *scenario.Drawn
+	day      *scenario.Instance
 	books    *invariants.Ledger
 	world    *environment.World
 	couriers []*process.Courier
@@ -88,7 +88,7 @@
 
 // Play plays a day, and returns its judgement. The run ends when all messages have their answer, at the day's end at the
 // latest, or when ctx is done.
-func Play(ctx context.Context, w *scenario.Drawn, o Options) (*invariants.Verdict, Cost, error) {
+func Play(ctx context.Context, w *scenario.Instance, o Options) (*invariants.Verdict, Cost, error) {
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
@@ -110,46 +110,46 @@
 		return nil, Cost{}, err
 	}
 	defer r.world.Close()
-	r.world.Noticed = r.noticed
+	r.world.OnNotice = r.noticed
 	defer r.killAll()
 	if err := r.startAll(); err != nil {
 		return nil, Cost{}, err
 	}
 	began, cpu := time.Now(), ownCPU()
-	r.world.Begin(r.books, r.act)
+	r.world.Start(r.books, r.act)
 	ended := func() {}
-	if o.Begun != nil {
-		ended = o.Begun(&Field{r})
+	if o.OnStart != nil {
+		ended = o.OnStart(&Session{r})
 	}
 	r.play(ctx)
 	ended()
 	end := r.world.Clock.Now()
 	v := r.books.Finish(end)
-	cost := Cost{Wall: time.Since(began).Seconds(), LabCPU: (ownCPU() - cpu).Seconds(), Connections: r.world.Busiest(), Restarts: r.restarts}
+	cost := Cost{Wall: time.Since(began).Seconds(), LabCPU: (ownCPU() - cpu).Seconds(), Connections: r.world.MaxConnections(), Restarts: r.restarts}
 	cost.Reloads = r.reloads
 	p99, most := r.late.Quantiles()
 	cost.LateP99, cost.LateMax = p99.Seconds(), most.Seconds()
 	r.killAll()
 	for _, c := range r.couriers {
-		used, rss := c.Used()
+		used, rss := c.TotalUsage()
 		cost.CourierCPU += used.Seconds()
 		cost.MaxRSS = max(cost.MaxRSS, rss)
 	}
-	v.Invalid = r.late.Behind()
+	v.InvalidReason = r.late.Behind()
 	switch {
 	case ctx.Err() != nil:
-		v.Invalid = "it was broken off"
+		v.InvalidReason = "it was broken off"
 	case r.fault != "":
-		v.Invalid = r.fault
+		v.InvalidReason = r.fault
 	}
 	return v, cost, nil
 }
 
 // setup grants what clocks of several processes need. The figures are those of the platform's protocol.
-func setup(w *scenario.Drawn) invariants.Setup {
-	s := invariants.ForDay(w)
+func setup(w *scenario.Instance) invariants.Setup {
+	s := invariants.SetupFor(w)
 	const ms = dispatch.Micros(1000)
-	s.Leeway, s.WaitFrom, s.AnswerSlack, s.Excused = 50*ms, 100*ms, 300*ms, 1500*ms
+	s.ClockTolerance, s.WaitGrace, s.AnswerGrace, s.RestartGrace = 50*ms, 100*ms, 300*ms, 1500*ms
 	return s
 }
 
@@ -163,7 +163,7 @@
 
 func (r *run) startAll() error {
 	var wg sync.WaitGroup
-	n := r.day.Day.Fleet.Couriers
+	n := r.day.Definition.Fleet.Couriers
 	faults := make([]error, n)
 	for i := range n {
 		c, err := process.New(i, r.Binary, r.Dir, r.crashed)
@@ -194,10 +194,10 @@
 	r.mu.Lock()
 	seed := r.rng.Uint64()
 	r.mu.Unlock()
-	all := map[string]any{"name": fmt.Sprintf("n%d", c.No), "listen": c.Listen, "discovery": r.world.Discovery(c.No),
-		"seed": strconv.FormatUint(seed, 16), "limits": limits, "known": r.world.Known(c.No), "settings": r.settings(c.No)}
-	if r.Extra != nil {
-		extra, err := r.Extra(c)
+	all := map[string]any{"name": fmt.Sprintf("n%d", c.Number), "listen": c.Listen, "discovery": r.world.DirectoryAddress(c.Number),
+		"seed": strconv.FormatUint(seed, 16), "limits": limits, "known": r.world.InitialList(c.Number), "settings": r.settings(c.Number)}
+	if r.ExtraConfiguration != nil {
+		extra, err := r.ExtraConfiguration(c)
 		if err != nil {
 			return err
 		}
@@ -230,9 +230,9 @@
 		return s
 	}
 	ceilings, family := s["ceilings"].(map[string]any), s["family-info"].(map[string]any)
-	ceilings["open-cap"] = r.day.Hold * (8 + round%5) / 10
+	ceilings["open-cap"] = r.day.QueueLimit * (8 + round%5) / 10
 	family["slots"] = max(2, r.day.Slots*(8+round%4)/10)
-	ceilings["try-limit"] = r.day.Day.Fleet.MaxAttempts - round%2
+	ceilings["try-limit"] = r.day.Definition.Fleet.MaxAttempts - round%2
 	if round%2 == 1 {
 		s["classes"] = append(s["classes"].([]any), map[string]any{"name": "passing", "slo-s": 1, "deadline-s": 2, "points": 1})
 	}
@@ -263,7 +263,7 @@
 	}
 }
 
-func (r *run) crashed(no int, why string) { r.books.Crashed(r.world.Clock.Now(), no, why) }
+func (r *run) crashed(no int, why string) { r.books.CourierCrashed(r.world.Clock.Now(), no, why) }
 
 // killAll ends the couriers: side by side, as each takes a moment.
 func (r *run) killAll() {
@@ -281,23 +281,23 @@
 }
 
 // act carries out what happens to couriers by itself.
-func (r *run) act(a scenario.Act) {
+func (r *run) act(a scenario.Event) {
 	now := r.world.Clock.Now()
 	if r.Watch != nil {
 		r.Watch(now, a)
 	}
 	c := r.couriers[a.Courier]
 	switch a.Kind {
-	case scenario.Kills:
+	case scenario.CourierKilled:
 		if c.Up() {
-			r.books.Down(now, a.Courier, false, false)
-			r.books.Killed(now, a.Courier)
+			r.books.CourierDown(now, a.Courier, false, false)
+			r.books.CourierKilled(now, a.Courier)
 		}
 		c.Kill()
-	case scenario.Asks:
-		r.books.Down(now, a.Courier, false, false)
+	case scenario.CourierStopRequested:
+		r.books.CourierDown(now, a.Courier, false, false)
 		c.Signal(syscall.SIGTERM)
-	case scenario.Starts:
+	case scenario.CourierStarted:
 		err := r.configure(c)
 		if err == nil {
 			err = c.Start(r.Ready)
@@ -308,11 +308,11 @@
 		r.mu.Lock()
 		r.restarts++
 		r.mu.Unlock()
-		r.books.Back(r.world.Clock.Now(), a.Courier)
-	case scenario.Stands:
+		r.books.CourierUp(r.world.Clock.Now(), a.Courier)
+	case scenario.CourierPaused:
 		c.Signal(syscall.SIGSTOP)
-		r.books.Stood(now, a.Courier, now+a.Span+standsLonger)
-		r.world.Clock.After(now+a.Span, func() { c.Signal(syscall.SIGCONT) })
+		r.books.CourierPaused(now, a.Courier, now+a.Duration+standsLonger)
+		r.world.Clock.After(now+a.Duration, func() { c.Signal(syscall.SIGCONT) })
 	}
 }
 
@@ -337,11 +337,11 @@
 	load.Run(r.world.Clock.Start, len(all), func(i int) time.Duration { return time.Duration(all[i].At) * time.Microsecond },
 		func(i int) { r.offer(i) }, r.late, r.stop)
 	// Between a notice and the submission that it leads to nothing is open for a moment: only a lasting calm is the end.
-	for calm := 0; r.world.Clock.Now() < r.day.End+300*1000 && calm < 3; {
+	for calm := 0; r.world.Clock.Now() < r.day.EndsAt+300*1000 && calm < 3; {
 		r.mu.Lock()
 		pending := r.pending
 		r.mu.Unlock()
-		if calm++; pending > 0 || r.books.Open() > 0 {
+		if calm++; pending > 0 || r.books.OpenMessages() > 0 {
 			calm = 0
 		}
 		select {
--- a/testbed/realtime/realtime_test.go
+++ b/testbed/realtime/realtime_test.go
@@ -25,17 +25,17 @@
 }
 
 // short is a day of a few seconds with a restart, a kill, a silence, a drain and a standstill.
-func short(t *testing.T) *scenario.Day {
+func short(t *testing.T) *scenario.Definition {
 	t.Helper()
 	d, err := scenario.Find("demo")
 	if err != nil {
 		t.Fatal(err)
 	}
 	d.Length = 7
-	at := func(kind string, from, length float64) scenario.Trouble {
-		return scenario.Trouble{Kind: kind, At: scenario.Range{from, from}, Length: scenario.Range{length, length}, Part: 0.5, By: "any", Whole: 1, Acts: 0.5}
+	at := func(kind string, from, length float64) scenario.FaultSpec {
+		return scenario.FaultSpec{Kind: kind, At: scenario.Range{from, from}, Length: scenario.Range{length, length}, Share: 0.5, Scope: "any", AllEndpointsChance: 1, EffectShare: 0.5}
 	}
-	d.Troubles = []scenario.Trouble{at("courier-kill", 1, 0.5), at("silent", 2, 2), at("drain", 1, 3), at("courier-stand", 4, 2), at("resets", 3, 3)}
+	d.Faults = []scenario.FaultSpec{at("courier-kill", 1, 0.5), at("silent", 2, 2), at("drain", 1, 3), at("courier-stand", 4, 2), at("resets", 3, 3)}
 	return d
 }
 
@@ -49,7 +49,7 @@
 	if !v.OK() {
 		t.Errorf("%s: %+v", v.Short(), v.Breaches)
 	}
-	if v.Counts.Done < v.Counts.Offered/2 || cost.Restarts == 0 || v.Counts.Offered == 0 {
+	if v.Counts.Delivered < v.Counts.Offered/2 || cost.Restarts == 0 || v.Counts.Offered == 0 {
 		t.Errorf("%+v, %+v", v.Counts, cost)
 	}
 }
@@ -77,7 +77,7 @@
 	}
 	crashing := script("timeout -s KILL 2.5 " + build(t) + "; exit 1")
 	v, _, err := Play(context.Background(), w, Options{Binary: crashing})
-	if err != nil || v.Broken[invariants.Crash] == 0 || v.Figure != 0 {
+	if err != nil || v.BreachCounts[invariants.NoCrash] == 0 || v.Score != 0 {
 		t.Errorf("%v, %+v", err, v)
 	}
 }
@@ -88,7 +88,7 @@
 	defer stop()
 	began := time.Now()
 	v, _, err := Play(ctx, scenario.Draw(short(t), 1), Options{Binary: build(t)})
-	if err != nil || v.Invalid == "" || time.Since(began) > 8*time.Second {
+	if err != nil || v.InvalidReason == "" || time.Since(began) > 8*time.Second {
 		t.Errorf("%v, %+v after %v", err, v, time.Since(began))
 	}
 }
--- a/testbed/report/account.go
+++ b/testbed/report/account.go
@@ -13,32 +13,32 @@
 )
 
 // Event says in words what happens by itself on a day.
-func Event(w *scenario.Drawn, a scenario.Act) string {
+func Event(w *scenario.Instance, a scenario.Event) string {
 	at := func() string {
 		return fmt.Sprintf("endpoint %s of destination %d (%s)", a.Endpoint.ID, a.Dest, w.Destinations[a.Dest].KindName)
 	}
 	switch a.Kind {
-	case scenario.Begins:
+	case scenario.FaultBegins:
 		return at() + " " + begun[string(a.Fault.Kind)]
-	case scenario.Ends:
+	case scenario.FaultEnds:
 		return at() + " is over its trouble (" + string(a.Fault.Kind) + ")"
-	case scenario.Adds:
+	case scenario.EndpointAdded:
 		return at() + " goes up"
-	case scenario.Drains:
+	case scenario.EndpointDraining:
 		return at() + " is listed as draining"
-	case scenario.Removes:
+	case scenario.EndpointRemoved:
 		return at() + " goes down for good"
-	case scenario.Kills:
+	case scenario.CourierKilled:
 		return fmt.Sprintf("courier %d is killed", a.Courier)
-	case scenario.Asks:
+	case scenario.CourierStopRequested:
 		return fmt.Sprintf("courier %d is asked to end", a.Courier)
-	case scenario.Starts:
+	case scenario.CourierStarted:
 		return fmt.Sprintf("courier %d starts again", a.Courier)
-	case scenario.Stands:
-		return fmt.Sprintf("courier %d stands still for %.0f ms", a.Courier, float64(a.Span)/1000)
-	case scenario.ListDown:
+	case scenario.CourierPaused:
+		return fmt.Sprintf("courier %d stands still for %.0f ms", a.Courier, float64(a.Duration)/1000)
+	case scenario.DirectoryDown:
 		return "the directory stops answering"
-	case scenario.ListUp:
+	case scenario.DirectoryUp:
 		return "the directory answers again"
 	}
 	return a.Text
@@ -52,7 +52,7 @@
 }
 
 // Account tells, for each destination that had an outage, what the couriers did about it, as the books have it.
-func Account(out io.Writer, w *scenario.Drawn, v *invariants.Verdict) {
+func Account(out io.Writer, w *scenario.Instance, v *invariants.Verdict) {
 	type stretch struct {
 		dest     *invariants.DestSeries
 		from, to float64
@@ -79,7 +79,7 @@
 
 // rate is how much of a series fell into a stretch, and how much a second.
 func rate(values []float64, from, to float64) (n, perSec float64) {
-	bin := float64(invariants.Bin) / 1e6
+	bin := float64(invariants.BinLength) / 1e6
 	for i, x := range values {
 		if at := float64(i) * bin; at >= from && at < to {
 			n += x
@@ -89,11 +89,11 @@
 }
 
 func describe(out io.Writer, d *invariants.DestSeries, from, to float64) {
-	_, usual := rate(d.Calls, max(0, from-8), from)
-	tried, during := rate(d.Calls, from, to)
+	_, usual := rate(d.Attempts, max(0, from-8), from)
+	tried, during := rate(d.Attempts, from, to)
 	offered, _ := rate(d.Offered, from, to)
 	failed, _ := rate(d.Failed, from, to)
-	full, _ := rate(d.Full, from, to)
+	full, _ := rate(d.Throttled, from, to)
 	fmt.Fprintf(out, "  Before: %.1f calls a second. While it was out: %.1f a second (%.0f calls for %.0f records handed in; %.0f failed, some sent before it, and %.0f were refused).\n",
 		usual, during, tried, offered, failed, full)
 	var why []string
@@ -107,8 +107,8 @@
 		fmt.Fprintf(out, "  Why: %s.\n", strings.Join(why, "; "))
 	}
 	first := -1.0
-	for i, n := range d.Done {
-		if at := float64(i) * float64(invariants.Bin) / 1e6; n > 0 && at >= to {
+	for i, n := range d.Delivered {
+		if at := float64(i) * float64(invariants.BinLength) / 1e6; n > 0 && at >= to {
 			first = at
 			break
 		}
@@ -117,8 +117,8 @@
 		fmt.Fprintln(out, "  Nothing was served there afterwards.")
 		return
 	}
-	_, early := rate(d.Calls, first, first+3)
-	_, later := rate(d.Calls, first+3, first+6)
+	_, early := rate(d.Attempts, first, first+3)
+	_, later := rate(d.Attempts, first+3, first+6)
 	fmt.Fprintf(out, "  Back: the first call was served %.1f s after the outage; then %.1f calls a second for three seconds, as it is cold, and %.1f in the next three.\n",
 		first-to, early, later)
 }
@@ -127,20 +127,20 @@
 func Answers(out io.Writer, v *invariants.Verdict) {
 	n := v.Counts
 	fmt.Fprintf(out, "%d records were handed in %d times: %d delivered, %d bounced (trying again is harmless), %d terminated, %d without an answer.\n",
-		n.Offered, n.Taken, n.Done, n.Rejected, n.Failed, n.Lost)
+		n.Offered, n.Accepted, n.Delivered, n.Rejected, n.Failed, n.Lost)
 	if n.Repeats > 0 {
 		fmt.Fprintf(out, "%d effects were repeats of replayable records.\n", n.Repeats)
 	}
 }
 
 // Timeline lists what happens by itself, those that fall together in one line.
-func Timeline(out io.Writer, w *scenario.Drawn, most int) {
+func Timeline(out io.Writer, w *scenario.Instance, most int) {
 	type row struct {
 		at    dispatch.Micros
 		texts []string
 	}
 	var rows []row
-	for _, a := range w.Acts {
+	for _, a := range w.Events {
 		if n := len(rows); n > 0 && a.At-rows[n-1].at < 200*1000 {
 			rows[n-1].texts = append(rows[n-1].texts, Event(w, a))
 			continue
--- a/testbed/report/chart.go
+++ b/testbed/report/chart.go
@@ -43,7 +43,7 @@
 		for _, v := range values[from : i+1] {
 			sum += v
 		}
-		pts[i].X, pts[i].Y = float64(i)*float64(invariants.Bin)/1e6, sum/float64(i+1-from)
+		pts[i].X, pts[i].Y = float64(i)*float64(invariants.BinLength)/1e6, sum/float64(i+1-from)
 	}
 	l, err := plotter.NewLine(pts)
 	if err != nil {
@@ -85,11 +85,11 @@
 }
 
 // perSecond steps counts of a bin into a rate.
-const perSecond = 1e6 / float64(invariants.Bin)
+const perSecond = 1e6 / float64(invariants.BinLength)
 
 // Day draws a day's charts into a folder: value, held messages, and calls of the destinations that had trouble or most
 // traffic. It returns the files.
-func Day(dir string, w *scenario.Drawn, v *invariants.Verdict) (files []string, err error) {
+func Day(dir string, w *scenario.Instance, v *invariants.Verdict) (files []string, err error) {
 	s := v.Series
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
@@ -100,13 +100,13 @@
 			files = append(files, name)
 		}
 	}
-	p := newPlot("Payoff of "+w.Day.Name+", by when a record was due", "payoff a second")
-	if err := addAll(p, 4, map[string][]float64{"asked": scale(s.Asked, perSecond), "delivered": scale(s.Won, perSecond)}); err != nil {
+	p := newPlot("Payoff of "+w.Definition.Name+", by when a record was due", "payoff a second")
+	if err := addAll(p, 4, map[string][]float64{"asked": scale(s.OfferedValue, perSecond), "delivered": scale(s.EarnedValue, perSecond)}); err != nil {
 		return nil, err
 	}
 	save(p, "payoff.svg", height)
 	p = newPlot("Records held by all couriers", "records")
-	if err := addAll(p, 1, map[string][]float64{"held": s.Held}); err != nil {
+	if err := addAll(p, 1, map[string][]float64{"held": s.OpenMessages}); err != nil {
 		return nil, err
 	}
 	save(p, "held.svg", height)
@@ -135,25 +135,25 @@
 }
 
 // destination draws the calls of one destination against what it can do.
-func destination(w *scenario.Drawn, d *invariants.DestSeries) (*plot.Plot, error) {
+func destination(w *scenario.Instance, d *invariants.DestSeries) (*plot.Plot, error) {
 	dst := &w.Destinations[d.Dest]
 	p := newPlot(fmt.Sprintf("Destination %d (%s): calls by outcome; shaded: out", d.Dest, dst.KindName), "calls a second")
-	top := perSecond * most(d.Calls, d.Offered)
+	top := perSecond * most(d.Attempts, d.Offered)
 	for _, o := range d.Outages {
 		if err := shade(p, o[0], o[1], top); err != nil {
 			return nil, err
 		}
 	}
-	err := addAll(p, 2, map[string][]float64{"sent": scale(d.Calls, perSecond), "done": scale(d.Done, perSecond),
-		"full": scale(d.Full, perSecond), "failed": scale(d.Failed, perSecond), "offered": scale(d.Offered, perSecond)})
+	err := addAll(p, 2, map[string][]float64{"sent": scale(d.Attempts, perSecond), "done": scale(d.Delivered, perSecond),
+		"full": scale(d.Throttled, perSecond), "failed": scale(d.Failed, perSecond), "offered": scale(d.Offered, perSecond)})
 	if err != nil {
 		return nil, err
 	}
 	limit := dst.Limit.PerSec
-	if dst.Apart {
+	if dst.SeparateRoutes {
 		limit *= float64(len(dst.Endpoints))
 	}
-	flat := make([]float64, len(d.Calls))
+	flat := make([]float64, len(d.Attempts))
 	for i := range flat {
 		flat[i] = limit
 	}
@@ -174,7 +174,7 @@
 		for _, o := range d.Outages {
 			out += o[1] - o[0]
 		}
-		return min(1, out)*1e6 + 10*sum(d.Failed) + 3*sum(d.Full) + sum(d.Calls)/100
+		return min(1, out)*1e6 + 10*sum(d.Failed) + 3*sum(d.Throttled) + sum(d.Attempts)/100
 	}
 	slices.SortStableFunc(all, func(a, b *invariants.DestSeries) int { return cmp.Compare(weight(b), weight(a)) })
 	return all[:min(n, len(all))]
--- a/testbed/report/parts.go
+++ b/testbed/report/parts.go
@@ -11,7 +11,7 @@
 )
 
 // Parts draws what of the limits couriers granted and leased over time: summed, and for the destinations with most of it.
-func Parts(dir string, parts fleet.Parts) (file string, err error) {
+func Parts(dir string, parts fleet.LeaseHistory) (file string, err error) {
 	sums := func(of func(*fleet.LeaseTotals) []float64) (all []float64) {
 		for _, leases := range parts {
 			for i, v := range of(leases) {
--- a/testbed/scale/changes.go
+++ b/testbed/scale/changes.go
@@ -30,7 +30,7 @@
 		Name: "changes",
 		About: "settings: a file for each courier read anew, by the code that a hangup runs; endpoints: discovery's list as testbed/simulation plays it (a change is " +
 			"told 20 to 200 ms after it, restarts and 5 s without discovery meanwhile) and by protocol's parser; nothing carries settings between machines",
-		Plays: 3, Timed: true, Real: true, Measure: measureChanges, Fit: fitChanges, Check: checkChanges,
+		Plays: 3, Timed: true, UsesRealCouriers: true, Measure: measureChanges, Fit: fitChanges, Check: checkChanges,
 	}
 }
 
--- a/testbed/scale/changes_test.go
+++ b/testbed/scale/changes_test.go
@@ -138,12 +138,12 @@
 	h.note(12*s, 0, news(dispatch.ListFailed))
 	h.note(15*s, 1, news(dispatch.CachedList, entry("a", dispatch.InService)))
 	h.note(16*s, 1, news(dispatch.CompleteList)) // a second after discovery came back
-	drawn := &scenario.Drawn{Acts: []scenario.Act{
-		{At: 9 * s, Kind: scenario.Kills, Courier: 1},
-		{At: 10 * s, Kind: scenario.Drains, Endpoint: endpointmodel.Endpoint{ID: "a"}},
-		{At: 13 * s, Kind: scenario.ListDown},
-		{At: 14 * s, Kind: scenario.Starts, Courier: 1},
-		{At: 15 * s, Kind: scenario.ListUp},
+	drawn := &scenario.Instance{Events: []scenario.Event{
+		{At: 9 * s, Kind: scenario.CourierKilled, Courier: 1},
+		{At: 10 * s, Kind: scenario.EndpointDraining, Endpoint: endpointmodel.Endpoint{ID: "a"}},
+		{At: 13 * s, Kind: scenario.DirectoryDown},
+		{At: 14 * s, Kind: scenario.CourierStarted, Courier: 1},
+		{At: 15 * s, Kind: scenario.DirectoryUp},
 	}}
 	got := h.against(drawn)
 	if got.changes != 1 || got.untold != 1 || !slices.Equal(got.notified, []float64{1, 2}) || !slices.Equal(got.everywhere, []float64{2}) ||
--- a/testbed/scale/directorychanges.go
+++ b/testbed/scale/directorychanges.go
@@ -95,7 +95,7 @@
 	return nil
 }
 
-func readDay(couriers int, troubles string, seed int64) (*scenario.Drawn, error) {
+func readDay(couriers int, troubles string, seed int64) (*scenario.Instance, error) {
 	d, err := scenario.Read("changes.toml", []byte(fmt.Sprintf(directoryDay, couriers)+troubles))
 	if err != nil {
 		return nil, err
@@ -105,7 +105,7 @@
 
 // toldHost runs the decisions in this process, and notes what each courier is notified of the list, and when.
 type notifiedHost struct {
-	*simulation.Local
+	*simulation.LocalHost
 	news []map[dispatch.EndpointID][]notifiedPhase // by courier
 }
 
@@ -118,7 +118,7 @@
 }
 
 func newNotifiedHost(couriers int) *notifiedHost {
-	h := &notifiedHost{Local: simulation.NewLocal(nil)}
+	h := &notifiedHost{LocalHost: simulation.NewLocalHost(nil)}
 	for range couriers {
 		h.news = append(h.news, map[dispatch.EndpointID][]notifiedPhase{})
 	}
@@ -134,7 +134,7 @@
 			}
 		}
 	}
-	return h.Local.Turn(now, batches)
+	return h.LocalHost.Step(now, batches)
 }
 
 // note keeps news of the list. What a start hands over is as old as the process before it, and tells nothing new.
@@ -181,10 +181,10 @@
 
 // against holds what was notified against the changes of the day. A courier that does not run at a change is to know it from its start on;
 // one that is never reported although it was listed and gone between two lists has nothing to know.
-func (h *notifiedHost) against(drawn *scenario.Drawn) (t listTimes) {
-	phases := map[scenario.ActKind]dispatch.Phase{scenario.Adds: dispatch.InService, scenario.Drains: dispatch.Draining, scenario.Removes: dispatch.Removed}
+func (h *notifiedHost) against(drawn *scenario.Instance) (t listTimes) {
+	phases := map[scenario.EventKind]dispatch.Phase{scenario.EndpointAdded: dispatch.InService, scenario.EndpointDraining: dispatch.Draining, scenario.EndpointRemoved: dispatch.Removed}
 	downs, away := downTimes(drawn), awayTimes(drawn)
-	for _, act := range drawn.Acts {
+	for _, act := range drawn.Events {
 		phase, ok := phases[act.Kind]
 		if !ok {
 			continue
@@ -215,12 +215,12 @@
 }
 
 // awayTimes are when discovery cannot be reached.
-func awayTimes(drawn *scenario.Drawn) (away []downTime) {
-	for _, act := range drawn.Acts {
+func awayTimes(drawn *scenario.Instance) (away []downTime) {
+	for _, act := range drawn.Events {
 		switch act.Kind {
-		case scenario.ListDown:
+		case scenario.DirectoryDown:
 			away = append(away, downTime{from: act.At})
-		case scenario.ListUp:
+		case scenario.DirectoryUp:
 			away[len(away)-1].to = act.At
 		}
 	}
@@ -238,14 +238,14 @@
 }
 
 // downTimes are when each courier does not run.
-func downTimes(drawn *scenario.Drawn) map[int][]downTime {
+func downTimes(drawn *scenario.Instance) map[int][]downTime {
 	downs := map[int][]downTime{}
-	for _, act := range drawn.Acts {
+	for _, act := range drawn.Events {
 		all := downs[act.Courier]
 		switch {
-		case act.Kind == scenario.Kills:
+		case act.Kind == scenario.CourierKilled:
 			downs[act.Courier] = append(all, downTime{from: act.At})
-		case act.Kind == scenario.Starts && len(all) > 0 && all[len(all)-1].to == 0:
+		case act.Kind == scenario.CourierStarted && len(all) > 0 && all[len(all)-1].to == 0:
 			all[len(all)-1].to = act.At
 		}
 	}
--- a/testbed/scale/hangups.go
+++ b/testbed/scale/hangups.go
@@ -46,7 +46,7 @@
 		return err
 	}
 	defer os.RemoveAll(folder)
-	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: 200} })
+	world, err := scripted.Open(1, func(string) scripted.Response { return scripted.Response{Status: 200} })
 	if err != nil {
 		return err
 	}
@@ -102,7 +102,7 @@
 // configureReal writes a courier's file: of each generation, another number of messages that it may hold.
 func configureReal(c *process.Courier, world *scripted.World, generation int) error {
 	var file map[string]any
-	if err := json.Unmarshal(world.Configuration(fmt.Sprintf("n%d", c.No), c.Listen), &file); err != nil {
+	if err := json.Unmarshal(world.CourierConfiguration(fmt.Sprintf("n%d", c.Number), c.Listen), &file); err != nil {
 		return err
 	}
 	ceilings := file["settings"].(map[string]any)["ceilings"].(map[string]any)
@@ -154,5 +154,5 @@
 		case <-time.After(logPolled):
 		}
 	}
-	return fmt.Errorf("courier %d did not take over its settings within %v of SIGHUP", c.No, inForceWithin)
+	return fmt.Errorf("courier %d did not take over its settings within %v of SIGHUP", c.Number, inForceWithin)
 }
--- a/testbed/scale/members.go
+++ b/testbed/scale/members.go
@@ -38,7 +38,7 @@
 
 // countingTransport is one member's way onto the network in memory, with all that it sends counted.
 type countingTransport struct {
-	*netfault.Node
+	*netfault.MemberTransport
 	traffic *traffic
 }
 
@@ -46,12 +46,12 @@
 func (c countingTransport) WriteTo(packet []byte, address string) (time.Time, error) {
 	c.traffic.packets.Add(1)
 	c.traffic.packetBytes.Add(int64(len(packet)))
-	return c.Node.WriteTo(packet, address)
+	return c.MemberTransport.WriteTo(packet, address)
 }
 
 // DialTimeout begins a stream, whose bytes are counted both ways.
 func (c countingTransport) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
-	conn, err := c.Node.DialTimeout(address, timeout)
+	conn, err := c.MemberTransport.DialTimeout(address, timeout)
 	if err != nil {
 		return nil, err
 	}
@@ -126,7 +126,7 @@
 		FleetSize:   size,
 		Fleet:       fleetLabel,
 		Key:         fleetKey,
-		Join:        []string{f.mesh.At(0), f.mesh.At((i + 1) % size), f.mesh.At((i + size/2) % size)},
+		Join:        []string{f.mesh.Addr(0), f.mesh.Addr((i + 1) % size), f.mesh.Addr((i + size/2) % size)},
 		Interval:    f.pace,
 		Seed:        f.seed*int64(size) + int64(i),
 		Transport:   countingTransport{f.mesh.Join(i), &f.traffic},
@@ -141,7 +141,7 @@
 // kill ends members without a word, all at once.
 func (f *hollowFleet) kill(dead []int) {
 	for _, i := range dead {
-		f.mesh.Drop(i)
+		f.mesh.Disconnect(i)
 	}
 	for _, i := range dead {
 		f.members[i].HandOff()
@@ -152,7 +152,7 @@
 // close ends the whole fleet.
 func (f *hollowFleet) close() {
 	for i := range f.members {
-		f.mesh.Drop(i)
+		f.mesh.Disconnect(i)
 	}
 	for _, member := range f.members {
 		if member != nil {
--- a/testbed/scale/outage.go
+++ b/testbed/scale/outage.go
@@ -144,21 +144,21 @@
 }
 
 // outageDay is the testbed's calm day with the traffic, fleet and trouble of this experiment.
-func outageDay(kind string, count int) (*scenario.Day, error) {
+func outageDay(kind string, count int) (*scenario.Definition, error) {
 	d, err := scenario.Find("calm")
 	if err != nil {
 		return nil, err
 	}
 	d.Length, d.Load = outageBegins+outageLasts+outageAfterwards, scenario.Range{1, 1}
 	d.Fleet.Couriers = count
-	d.Traffic.FullPerSec, d.Traffic.Destinations = outageTraffic, outageDestinations
-	d.Traffic.Zipf, d.Traffic.Swing, d.Traffic.Clumps = 0, 0, scenario.Range{}
+	d.Traffic.FullLoadPerSec, d.Traffic.Destinations = outageTraffic, outageDestinations
+	d.Traffic.Zipf, d.Traffic.Swing, d.Traffic.BurstShare = 0, 0, scenario.Range{}
 	firms := d.Kinds[slices.IndexFunc(d.Kinds, func(k scenario.Kind) bool { return k.Name == "firms" })]
 	firms.Connections, firms.Endpoints = scenario.Range{}, scenario.Range{1, 1}
 	d.Kinds = []scenario.Kind{firms}
 	d.Classes = slices.DeleteFunc(d.Classes, func(w scenario.Class) bool { return w.Name != "update" })
-	d.Troubles = []scenario.Trouble{{Kind: kind, At: scenario.Range{outageBegins, outageBegins}, Length: scenario.Range{outageLasts, outageLasts},
-		Part: float64(outageDown) / outageDestinations, By: "any", Whole: 1}}
+	d.Faults = []scenario.FaultSpec{{Kind: kind, At: scenario.Range{outageBegins, outageBegins}, Length: scenario.Range{outageLasts, outageLasts},
+		Share: float64(outageDown) / outageDestinations, Scope: "any", AllEndpointsChance: 1}}
 	return d, nil
 }
 
@@ -170,7 +170,7 @@
 	}
 	drawn := scenario.Draw(d, seed)
 	watch := newOutageWatch(drawn)
-	host := simulation.NewLocal(func(courier int, settings dispatch.Config) simulation.Decider {
+	host := simulation.NewLocalHost(func(courier int, settings dispatch.Config) simulation.Decider {
 		return &outageWatcher{outageWatch: watch, courier: courier, decisions: o.decide(settings), into: map[attempt]dispatch.DestinationID{},
 			sent: map[dispatch.MessageID]dispatch.AttemptNumber{}}
 	})
@@ -205,18 +205,18 @@
 
 const notParked dispatch.Micros = -1
 
-func newOutageWatch(drawn *scenario.Drawn) *outageWatch {
+func newOutageWatch(drawn *scenario.Instance) *outageWatch {
 	w := &outageWatch{dest: map[dispatch.EndpointID]dispatch.DestinationID{}, down: map[dispatch.DestinationID]bool{}, parkedAt: map[pair]dispatch.Micros{}}
 	for number := range drawn.Destinations {
 		for _, endpoint := range drawn.Destinations[number].Endpoints {
 			w.dest[endpoint.ID] = dispatch.DestinationID(number)
 		}
 	}
-	for _, act := range drawn.Acts {
+	for _, act := range drawn.Events {
 		switch act.Kind {
-		case scenario.Begins:
+		case scenario.FaultBegins:
 			w.from, w.down[dispatch.DestinationID(act.Dest)] = act.At, true
-		case scenario.Ends:
+		case scenario.FaultEnds:
 			w.to = act.At
 		}
 	}
@@ -227,8 +227,8 @@
 func (w *outageWatch) finish(verdict *invariants.Verdict) outageSums {
 	sums := w.outageSums
 	sums.callers, sums.struck = len(w.parkedAt), len(w.down)
-	sums.figure = verdict.Service - verdict.Costs // the day's, which a broken rule would make nought
-	var parkedAfter dispatch.Micros               // whole microseconds, as the order of a map is none
+	sums.figure = verdict.ServiceScore - verdict.Costs // the day's, which a broken rule would make nought
+	var parkedAfter dispatch.Micros                    // whole microseconds, as the order of a map is none
 	for _, at := range w.parkedAt {
 		if at == notParked {
 			at = w.to
@@ -238,15 +238,15 @@
 		parkedAfter += at - w.from
 	}
 	sums.parkedAfter = float64(parkedAfter) / float64(second)
-	for rule, count := range verdict.Broken {
-		if rule == invariants.Pushed {
+	for rule, count := range verdict.BreachCounts {
+		if rule == invariants.NoRecoveryOverload {
 			sums.pushed += count
 		} else {
 			sums.broken += count
 		}
 	}
 	counts := verdict.Counts
-	sums.unended = counts.Lost + max(counts.Taken-counts.Done-counts.Rejected-counts.Failed, 0)
+	sums.unended = counts.Lost + max(counts.Accepted-counts.Delivered-counts.Rejected-counts.Failed, 0)
 	sums.unseen = max(counts.Attempts-w.attempts, w.attempts-counts.Attempts)
 	return sums
 }
--- a/testbed/scale/realfleet.go
+++ b/testbed/scale/realfleet.go
@@ -51,14 +51,14 @@
 		return realLoad{}, err
 	}
 	traffic.Fleet.Couriers = f.size
-	traffic.Traffic.FullPerSec = loadPerSecond * float64(f.size)
+	traffic.Traffic.FullLoadPerSec = loadPerSecond * float64(f.size)
 	traffic.Length = (f.settle + f.observe + loadAfter).Seconds()
 	observer, err := newRealObserver(f)
 	if err != nil {
 		return realLoad{}, err
 	}
-	verdict, _, err := realtime.Play(ctx, scenario.Draw(traffic, f.seed), realtime.Options{Binary: f.binary, Extra: observer.configure,
-		Begun: func(field *realtime.Field) func() { return observer.begin(ctx, field.Couriers()) }})
+	verdict, _, err := realtime.Play(ctx, scenario.Draw(traffic, f.seed), realtime.Options{Binary: f.binary, ExtraConfiguration: observer.configure,
+		OnStart: func(field *realtime.Session) func() { return observer.begin(ctx, field.Couriers()) }})
 	switch {
 	case err != nil:
 		return realLoad{}, err
@@ -66,12 +66,12 @@
 		return realLoad{}, ctx.Err()
 	case observer.fault != nil:
 		return realLoad{}, observer.fault
-	case verdict.Invalid != "":
-		return realLoad{}, errors.New(verdict.Invalid)
-	case verdict.Counts.Done == 0:
+	case verdict.InvalidReason != "":
+		return realLoad{}, errors.New(verdict.InvalidReason)
+	case verdict.Counts.Delivered == 0:
 		return realLoad{}, errors.New("the real couriers delivered nothing")
 	}
-	observer.load.delivered = verdict.Counts.Done
+	observer.load.delivered = verdict.Counts.Delivered
 	return observer.load, nil
 }
 
@@ -88,7 +88,7 @@
 	o := &realObserver{fleet: f}
 	for i := range f.size {
 		for _, addresses := range []*[]string{&o.operators, &o.membership} {
-			address, err := fleet.Free(i)
+			address, err := fleet.FreeLoopbackAddr(i)
 			if err != nil {
 				return nil, err
 			}
@@ -100,13 +100,13 @@
 
 // configure is what a courier is notified besides what its day says; membership as hollowFleet has it.
 func (o *realObserver) configure(courier *process.Courier) (map[string]any, error) {
-	settings := map[string]any{"ops": o.operators[courier.No]}
+	settings := map[string]any{"ops": o.operators[courier.Number]}
 	if !o.fleet.membership {
 		return settings, nil
 	}
 	size := o.fleet.size
-	join := []string{o.membership[0], o.membership[(courier.No+1)%size], o.membership[(courier.No+size/2)%size]}
-	settings["peers"] = map[string]any{"listen": o.membership[courier.No], "join": join, "fleet": fleetLabel, "key": fleetKey,
+	join := []string{o.membership[0], o.membership[(courier.Number+1)%size], o.membership[(courier.Number+size/2)%size]}
+	settings["peers"] = map[string]any{"listen": o.membership[courier.Number], "join": join, "fleet": fleetLabel, "key": fleetKey,
 		"pace_s": o.fleet.pace.Seconds()}
 	settings["settings"] = map[string]any{"ceilings": map[string]any{"peers": true}}
 	return settings, nil
@@ -147,7 +147,7 @@
 func (o *realObserver) read(ctx context.Context, couriers []*process.Courier) (realLoad, error) {
 	var total realLoad
 	for _, courier := range couriers {
-		processor, resident, err := courier.Taken()
+		processor, resident, err := courier.CurrentUsage()
 		if err != nil {
 			return realLoad{}, err
 		}
@@ -156,12 +156,12 @@
 		if !o.fleet.membership {
 			continue
 		}
-		notified, err := askMembers(ctx, o.operators[courier.No])
+		notified, err := askMembers(ctx, o.operators[courier.Number])
 		if err != nil {
-			return realLoad{}, fmt.Errorf("courier %d: %w", courier.No, err)
+			return realLoad{}, fmt.Errorf("courier %d: %w", courier.Number, err)
 		}
 		if notified.Status != membership.Complete.String() {
-			return realLoad{}, fmt.Errorf("courier %d is %s, not %s", courier.No, notified.Status, membership.Complete)
+			return realLoad{}, fmt.Errorf("courier %d is %s, not %s", courier.Number, notified.Status, membership.Complete)
 		}
 		total.packets += notified.Figures.Network.PacketsOut
 		total.bytes += notified.Figures.Network.BytesOut
--- a/testbed/scale/scale.go
+++ b/testbed/scale/scale.go
@@ -21,8 +21,8 @@
 	Plays int    // how often each size is played in full; a quick run plays it once
 	// Timed experiments measure processor time: nothing else should run on the machine.
 	Timed bool
-	// Real experiments play real couriers beside hollow ones, in full runs.
-	Real bool
+	// UsesRealCouriers experiments play real couriers beside hollow ones, in full runs.
+	UsesRealCouriers bool
 	// Measure plays every size once and messages what it found.
 	Measure func(ctx context.Context, play *Play) error
 	// Fit says which slopes the recorded points make.
@@ -189,7 +189,7 @@
 			return slopes.Run{}, err
 		}
 	}
-	return slopes.Run{Name: experiment.Name, About: experiment.About, Command: o.Command, Commit: o.Commit, Taken: begun.UTC().Format(time.RFC3339),
+	return slopes.Run{Name: experiment.Name, About: experiment.About, Command: o.Command, Commit: o.Commit, StartedAt: begun.UTC().Format(time.RFC3339),
 		Machine: machine(), Quick: o.Quick, Plays: plays, Seconds: time.Since(begun).Seconds(), Points: results.Points(),
 		Slopes: results.fits, Missing: results.gaps, Verified: results.Verified}, nil
 }
--- a/testbed/scale/sharing.go
+++ b/testbed/scale/sharing.go
@@ -174,7 +174,7 @@
 	runtime.KeepAlive(words)
 	counts := 0
 	for _, line := range lines {
-		counts += line.CouriersHeard
+		counts += line.ReportingCouriers
 	}
 	sizes := l.sizes()
 	for figure, value := range map[string]float64{
@@ -196,9 +196,9 @@
 
 // needs are those of the courier after so many ticks: some routes are used twice and three times as much as others.
 func (l listener) needs(intervals int) quota.DemandsChanged {
-	needs := quota.DemandsChanged{All: make([]quota.Demand, 0, l.routes)}
+	needs := quota.DemandsChanged{Demands: make([]quota.Demand, 0, l.routes)}
 	for route := range l.routes {
-		needs.All = append(needs.All, quota.Demand{Key: quota.Key{Dest: int32(route)}, Limit: routeLimit, Calls: uint64(intervals * (1 + route%3))})
+		needs.Demands = append(needs.Demands, quota.Demand{Key: quota.Key{Dest: int32(route)}, Limit: routeLimit, Calls: uint64(intervals * (1 + route%3))})
 	}
 	return needs
 }
--- a/testbed/scale/sharingfleet.go
+++ b/testbed/scale/sharingfleet.go
@@ -142,10 +142,10 @@
 // tick has one courier tell what it used since its last tick, and say what it says.
 func (f *sharingFleet) interval(s *sharer, alive []string) {
 	f.after(f.now+tickSpan, func() { f.interval(s, alive) })
-	needs := quota.DemandsChanged{All: make([]quota.Demand, 0, fleetRoutes)}
+	needs := quota.DemandsChanged{Demands: make([]quota.Demand, 0, fleetRoutes)}
 	for route, rate := range s.rates {
 		s.calls[route] += f.calls(rate * float64(tickSpan) / float64(microsPerSecond))
-		needs.All = append(needs.All, quota.Demand{Key: quota.Key{Dest: int32(route)}, Limit: routeLimit, Calls: s.calls[route], Delivered: s.calls[route]})
+		needs.Demands = append(needs.Demands, quota.Demand{Key: quota.Key{Dest: int32(route)}, Limit: routeLimit, Calls: s.calls[route], Delivered: s.calls[route]})
 	}
 	f.carry(s, quota.FleetChanged{Couriers: f.expected, Alive: alive}, needs, quota.Tick{})
 }
@@ -253,7 +253,7 @@
 	var heard, notified, known, others float64
 	for i, lines := range all {
 		line := &lines[route]
-		heard += float64(line.CouriersHeard) / float64(len(all)-1)
+		heard += float64(line.ReportingCouriers) / float64(len(all)-1)
 		notified += line.Load / (float64(use) / whole)
 		if s := f.sharers[i]; s.heard != nil {
 			known += float64(s.known(f.now, line.Key))
--- a/testbed/scale/sidebyside.go
+++ b/testbed/scale/sidebyside.go
@@ -12,14 +12,14 @@
 // sideBySide compares hollow members with real couriers under load, before any figure of hollow ones is believed.
 func sideBySideExperiment() Experiment {
 	return Experiment{
-		Name:    "sidebyside",
-		About:   "hollow members beside real courier processes: packets, bytes, processor time and memory of membership, as ratios",
-		Plays:   3,
-		Timed:   true,
-		Real:    true,
-		Measure: measureSideBySide,
-		Fit:     fitSideBySide,
-		Check:   checkSideBySide,
+		Name:             "sidebyside",
+		About:            "hollow members beside real courier processes: packets, bytes, processor time and memory of membership, as ratios",
+		Plays:            3,
+		Timed:            true,
+		UsesRealCouriers: true,
+		Measure:          measureSideBySide,
+		Fit:              fitSideBySide,
+		Check:            checkSideBySide,
 	}
 }
 
--- a/testbed/scale/starts.go
+++ b/testbed/scale/starts.go
@@ -70,7 +70,7 @@
 
 func newStartsTeller(seed int64) (*startsTeller, error) {
 	mesh := netfault.NewMesh(2, seed)
-	teller := &startsTeller{address: mesh.At(0), estimated: make(chan int, 1), couriers: 2, start: 1}
+	teller := &startsTeller{address: mesh.Addr(0), estimated: make(chan int, 1), couriers: 2, start: 1}
 	member, err := gossip.Open(gossip.Options{Name: startsMember, Incarnation: teller.start, FleetSize: teller.couriers, Seed: seed,
 		Transport: mesh.Join(0), SizeEstimated: func(couriers int) { teller.estimated <- couriers }})
 	if err != nil {
@@ -108,7 +108,7 @@
 	}
 	// The stream has ended, so what it carried waits before the view; what is said now comes after it.
 	t.couriers++
-	t.member.FleetResized(t.couriers)
+	t.member.SetFleetSize(t.couriers)
 	select {
 	case <-t.estimated:
 	case <-time.After(estimateWithin):
@@ -147,11 +147,11 @@
 func (t *startsTeller) MergeRemoteState([]byte, bool) {}
 
 // lastingTransport begins streams whose Close waits until the other side has done.
-type lastingTransport struct{ *netfault.Node }
+type lastingTransport struct{ *netfault.MemberTransport }
 
 // DialTimeout begins a stream.
 func (l lastingTransport) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
-	conn, err := l.Node.DialTimeout(address, timeout)
+	conn, err := l.MemberTransport.DialTimeout(address, timeout)
 	if err != nil {
 		return nil, err
 	}
--- a/testbed/scenario/days.go
+++ b/testbed/scenario/days.go
@@ -26,7 +26,7 @@
 }
 
 // Find reads a day that comes with the testbed, or else a file.
-func Find(name string) (*Day, error) {
+func Find(name string) (*Definition, error) {
 	file := path.Join("days", name+".toml")
 	if text, err := builtIn.ReadFile(file); err == nil {
 		return Read(file, text)
--- a/testbed/scenario/draw.go
+++ b/testbed/scenario/draw.go
@@ -11,18 +11,18 @@
 	"pineport/testbed/endpointmodel"
 )
 
-// Drawn is a day as it happens: what is fixed by the file and a seed.
-type Drawn struct {
-	Day          *Day
-	Seed         int64
-	Load         float64
-	Length       dispatch.Micros // messages arrive until then
-	End          dispatch.Micros // all is over
-	Destinations []Destination
-	Arrivals     []Arrival // by instant
-	Acts         []Act     // by instant
-	Slots, Hold  int       // of a courier
-	CourierZone  []dispatch.ZoneID
+// Instance is a day as it happens: what is fixed by the file and a seed.
+type Instance struct {
+	Definition        *Definition
+	Seed              int64
+	Load              float64
+	Length            dispatch.Micros // messages arrive until then
+	EndsAt            dispatch.Micros // all is over
+	Destinations      []Destination
+	Arrivals          []Arrival // by instant
+	Events            []Event   // by instant
+	Slots, QueueLimit int       // of a courier
+	CourierZone       []dispatch.ZoneID
 }
 
 // Destination is a partner and its traffic.
@@ -44,37 +44,37 @@
 	Key     int32 // -1: none
 }
 
-// ActKind is what happens in an Act.
-type ActKind int
+// EventKind is what happens in an Event.
+type EventKind int
 
 // What happens by itself on a day.
 const (
-	Begins   ActKind = iota // a fault begins
-	Ends                    // and ends
-	Adds                    // an endpoint goes up and is listed
-	Drains                  // an endpoint is listed as draining
-	Removes                 // an endpoint goes down and is taken off the list
-	Kills                   // a courier is killed
-	Asks                    // a courier is asked to end, as before a planned restart
-	Starts                  // a courier starts
-	Stands                  // a courier stands still for Span
-	ListDown                // the directory stops answering
-	ListUp                  // and goes on
-	Tells                   // nothing but a line for the account: a flood began or ended
+	FaultBegins          EventKind = iota // a fault begins
+	FaultEnds                             // and ends
+	EndpointAdded                         // an endpoint goes up and is listed
+	EndpointDraining                      // an endpoint is listed as draining
+	EndpointRemoved                       // an endpoint goes down and is taken off the list
+	CourierKilled                         // a courier is killed
+	CourierStopRequested                  // a courier is asked to end, as before a planned restart
+	CourierStarted                        // a courier starts
+	CourierPaused                         // a courier stands still for Duration
+	DirectoryDown                         // the directory stops answering
+	DirectoryUp                           // and goes on
+	Tells                                 // nothing but a line for the account: a flood began or ended
 )
 
-// Act is one thing that happens by itself.
-type Act struct {
-	At       dispatch.Micros
-	Kind     ActKind
-	Trouble  int // its number, from 1; 0 for none
-	Dest     int
-	Endpoint endpointmodel.Endpoint
-	Address  dispatch.EndpointID // Adds: the endpoint whose address it takes over; empty: a new address
-	Fault    endpointmodel.Fault
-	Courier  int
-	Span     dispatch.Micros
-	Text     string
+// Event is one thing that happens by itself.
+type Event struct {
+	At          dispatch.Micros
+	Kind        EventKind
+	FaultNumber int // its number, from 1; 0 for none
+	Dest        int
+	Endpoint    endpointmodel.Endpoint
+	Address     dispatch.EndpointID // EndpointAdded: the endpoint whose address it takes over; empty: a new address
+	Fault       endpointmodel.Fault
+	Courier     int
+	Duration    dispatch.Micros
+	Text        string
 }
 
 func micros(seconds float64) dispatch.Micros { return dispatch.Micros(math.Round(seconds * 1e6)) }
@@ -93,18 +93,18 @@
 }
 
 // Draw makes a day of a file.
-func Draw(d *Day, seed int64) *Drawn {
-	w := &Drawn{Day: d, Seed: seed, Length: micros(d.Length), Load: d.Load.draw(stream(seed, 1))}
+func Draw(d *Definition, seed int64) *Instance {
+	w := &Instance{Definition: d, Seed: seed, Length: micros(d.Length), Load: d.Load.draw(stream(seed, 1))}
 	last := 0.0
 	for _, wl := range d.Classes {
-		last = max(last, wl.CutOff)
+		last = max(last, wl.Deadline)
 	}
-	w.End = w.Length + micros(last+d.Rules.AnswerSlack+0.5)
+	w.EndsAt = w.Length + micros(last+d.Rules.AnswerGrace+0.5)
 	w.destinations()
 	w.couriers()
 	floods := w.troubles()
 	w.arrivals(floods)
-	slices.SortStableFunc(w.Acts, func(a, b Act) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(w.Events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 	return w
 }
 
@@ -122,8 +122,8 @@
 	return all
 }
 
-func (w *Drawn) destinations() {
-	d, rng := w.Day, stream(w.Seed, 2)
+func (w *Instance) destinations() {
+	d, rng := w.Definition, stream(w.Seed, 2)
 	share := weights(d.Traffic.Destinations, d.Traffic.Zipf, rng)
 	kinds := w.kindOf(share, rng)
 	order := make([]int, len(d.Tenants))
@@ -133,7 +133,7 @@
 	owed := make([]float64, len(d.Tenants))
 	for i, usual := range share {
 		kind := d.Kinds[kinds[i]]
-		dst := Destination{KindName: kind.Name, Usual: usual * d.Traffic.FullPerSec, Tenant: -1}
+		dst := Destination{KindName: kind.Name, Usual: usual * d.Traffic.FullLoadPerSec, Tenant: -1}
 		if len(order) > 0 { // to the tenant that is furthest behind its share
 			dst.Tenant = slices.MinFunc(order, func(a, b int) int { return cmp.Compare(owed[a], owed[b]) })
 			owed[dst.Tenant] += usual / max(1e-9, d.Tenants[dst.Tenant].Share)
@@ -144,8 +144,8 @@
 }
 
 // kindOf gives each destination a kind; kinds that lean to the busy take from the front of the busiest.
-func (w *Drawn) kindOf(share []float64, rng *rand.Rand) []int {
-	kinds, sum := w.Day.Kinds, 0.0
+func (w *Instance) kindOf(share []float64, rng *rand.Rand) []int {
+	kinds, sum := w.Definition.Kinds, 0.0
 	for _, k := range kinds {
 		sum += k.Share
 	}
@@ -181,29 +181,29 @@
 	return of
 }
 
-func (w *Drawn) plan(dst *Destination, k Kind, number, kind int, rng *rand.Rand) {
-	d := w.Day
+func (w *Instance) plan(dst *Destination, k Kind, number, kind int, rng *rand.Rand) {
+	d := w.Definition
 	endpoints := int(math.Round(k.Endpoints.draw(rng)))
-	answer := k.Answer.drawLog(rng) / 1000
+	answer := k.ServiceTime.drawLog(rng) / 1000
 	limit := max(k.Least.draw(rng), dst.Usual*k.Headroom.draw(rng))
 	perEndpoint := limit * k.Spare.draw(rng) / float64(endpoints)
 	workers := max(1, math.Ceil(perEndpoint*answer))
 	answer = workers / perEndpoint // so that the capacity is just that
-	if answer > k.Answer[1]/1000 {
-		answer = k.Answer[1] / 1000
+	if answer > k.ServiceTime[1]/1000 {
+		answer = k.ServiceTime[1] / 1000
 	}
-	p := endpointmodel.Plan{Dest: dispatch.DestinationID(number), Kind: dispatch.EndpointTypeID(kind), Apart: k.Apart, PerCall: k.PerCall,
-		ItemCost: k.ItemCost, Workers: int(workers), Answer: micros(answer), Spread: k.Spread.draw(rng),
+	p := endpointmodel.Plan{Dest: dispatch.DestinationID(number), Kind: dispatch.EndpointTypeID(kind), SeparateRoutes: k.SeparateRoutes, PerCall: k.PerCall,
+		ItemCost: k.ItemCost, Workers: int(workers), ServiceTime: micros(answer), Spread: k.Spread.draw(rng),
 		Queue: int(math.Ceil(perEndpoint * k.Queue.draw(rng))), ErrorRate: k.ErrorRate.draw(rng),
 		Reports: k.Reports, ReportEvery: micros(k.ReportEvery / 1000), ReportNoise: k.ReportNoise,
-		ColdFrom: d.Rules.ColdFrom, Ramp: micros(d.Rules.Ramp), Fall: d.Rules.Fall, FallSpan: micros(d.Rules.FallSpan),
+		SlowStartInitialShare: d.Rules.SlowStartInitialShare, SlowStart: micros(d.Rules.SlowStart), OverloadFactor: d.Rules.OverloadFactor, OverloadWindow: micros(d.Rules.OverloadWindow),
 		FallDown: micros(d.Rules.FallDown), Seed: rng.Uint64()}
 	perRoute := limit
-	if k.Apart {
+	if k.SeparateRoutes {
 		perRoute /= float64(endpoints)
 	}
-	p.Limit = endpointmodel.Limit{PerSec: perRoute, Span: micros(k.WindowSpan / 1000), Tells: k.Tells.draw(rng),
-		LeastWait: micros(k.Wait.draw(rng) / 1000), RefusedCount: rng.Float64() < k.RefusedCount}
+	p.Limit = endpointmodel.Limit{PerSec: perRoute, Window: micros(k.WindowSpan / 1000), Tells: k.Tells.draw(rng),
+		LeastWait: micros(k.MinRetryAfter.draw(rng) / 1000), RefusedCount: rng.Float64() < k.RefusedCount}
 	switch k.Limits[rng.IntN(len(k.Limits))] {
 	case "rate":
 		p.Limit.Kind = endpointmodel.Rate
@@ -230,15 +230,15 @@
 	return dispatch.EndpointID(fmt.Sprintf("e%d-%d", dest, n))
 }
 
-func (w *Drawn) couriers() {
-	d := w.Day
+func (w *Instance) couriers() {
+	d := w.Definition
 	busy := 0.0
 	for _, dst := range w.Destinations {
-		busy += dst.Usual * (float64(dst.Answer)/1e6 + d.Network.Same[1]/1000)
+		busy += dst.Usual * (float64(dst.ServiceTime)/1e6 + d.Network.SameZone[1]/1000)
 	}
 	n := float64(d.Fleet.Couriers)
-	w.Slots = max(d.Fleet.LeastSlots, int(math.Ceil(d.Fleet.SlotsRoom*busy/n)))
-	w.Hold = max(d.Fleet.LeastHold, int(math.Ceil(d.Fleet.HoldFor*d.Traffic.FullPerSec/n)))
+	w.Slots = max(d.Fleet.LeastSlots, int(math.Ceil(d.Fleet.SlotsFactor*busy/n)))
+	w.QueueLimit = max(d.Fleet.LeastHold, int(math.Ceil(d.Fleet.HoldFor*d.Traffic.FullLoadPerSec/n)))
 	for i := range d.Fleet.Couriers {
 		w.CourierZone = append(w.CourierZone, dispatch.ZoneID(i%len(d.Fleet.Zones)))
 	}
@@ -252,12 +252,12 @@
 }
 
 // trafficShares is the usual traffic of each destination, and its sum.
-func (w *Drawn) trafficShares() (share []float64, total float64) {
+func (w *Instance) trafficShares() (share []float64, total float64) {
 	share = make([]float64, len(w.Destinations))
 	for i, destination := range w.Destinations {
 		usage := 1.0
 		if destination.Tenant >= 0 {
-			usage = w.Day.Tenants[destination.Tenant].Usage
+			usage = w.Definition.Tenants[destination.Tenant].Usage
 		}
 		share[i] = destination.Usual * usage
 		total += share[i]
@@ -265,12 +265,12 @@
 	return share, total
 }
 
-func (w *Drawn) arrivals(floods []flood) {
-	d, rng := w.Day, stream(w.Seed, 4)
+func (w *Instance) arrivals(floods []flood) {
+	d, rng := w.Definition, stream(w.Seed, 4)
 	share, total := w.trafficShares()
 	pick := newPicker(share)
 	works := w.classesByKind()
-	clumps := d.Traffic.Clumps.draw(rng)
+	clumps := d.Traffic.BurstShare.draw(rng)
 	phase := rng.Float64() * 2 * math.Pi
 	most := 1.0
 	for _, f := range floods {
@@ -311,7 +311,7 @@
 			add(now, dest)
 		}
 	}
-	// Clumps: as many messages for one destination as its limit takes in some time, within a fifth of a second.
+	// BurstShare: as many messages for one destination as its limit takes in some time, within a fifth of a second.
 	for left := total * w.Load * clumps * d.Length; left >= 1; {
 		dest, at := pick.draw(rng), rng.Float64()*d.Length
 		size := max(1, math.Round(w.Destinations[dest].Limit.PerSec*d.Traffic.ClumpFor.draw(rng)))
@@ -325,11 +325,11 @@
 }
 
 // workloadsByKind has, for each kind of destination, which classes it gets.
-func (w *Drawn) classesByKind() []picker {
+func (w *Instance) classesByKind() []picker {
 	var all []picker
-	for _, k := range w.Day.Kinds {
-		share := make([]float64, len(w.Day.Classes))
-		for i, wl := range w.Day.Classes {
+	for _, k := range w.Definition.Kinds {
+		share := make([]float64, len(w.Definition.Classes))
+		for i, wl := range w.Definition.Classes {
 			if len(wl.Kinds) == 0 || slices.Contains(wl.Kinds, k.Name) {
 				share[i] = wl.Share
 			}
--- a/testbed/scenario/format.go
+++ b/testbed/scenario/format.go
@@ -11,7 +11,7 @@
 type KeyDoc struct{ Table, Key, Doc, Unit, Default, Allowed string }
 
 // Keys lists all keys of a day's file, in order.
-func Keys() []KeyDoc { return keys("", reflect.TypeFor[Day]()) }
+func Keys() []KeyDoc { return keys("", reflect.TypeFor[Definition]()) }
 
 func keys(table string, t reflect.Type) (all []KeyDoc) {
 	var later []KeyDoc
--- a/testbed/scenario/read.go
+++ b/testbed/scenario/read.go
@@ -19,7 +19,7 @@
 type Fault = config.Fault
 
 // Load reads a day's file.
-func Load(path string) (*Day, error) {
+func Load(path string) (*Definition, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -28,8 +28,8 @@
 }
 
 // Read reads a day; all faults of it are notified at once, each with file, line, key and what was expected.
-func Read(file string, text []byte) (*Day, error) {
-	var d Day
+func Read(file string, text []byte) (*Definition, error) {
+	var d Definition
 	dec := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
 	if err := dec.Decode(&d); err != nil {
 		return nil, decodeFaults(file, err)
@@ -176,7 +176,7 @@
 }
 
 // whole checks what no single key shows.
-func (c *checker) whole(d *Day) {
+func (c *checker) whole(d *Definition) {
 	if len(d.Kinds) == 0 {
 		c.fault("kind", "at least one kind of destination was expected")
 	}
@@ -196,7 +196,7 @@
 				c.fault(fmt.Sprintf("workload.%d.kinds", i), "no kind has the name %q", k)
 			}
 		}
-		if w.CutOff < w.Objective {
+		if w.Deadline < w.Objective {
 			c.fault(fmt.Sprintf("workload.%d.cut_off_s", i), "not before the quoted time of %v s", w.Objective)
 		}
 	}
@@ -212,7 +212,7 @@
 	if share > 1.0001 {
 		c.fault("party", "shares of 1 at most together were expected, not %v", share)
 	}
-	for i, t := range d.Troubles {
+	for i, t := range d.Faults {
 		tenant := func(p Tenant) bool { return p.Name == t.Of }
 		switch {
 		case t.Kind == "flood" && (len(d.Tenants) > 0 || t.Of != "") && !slices.ContainsFunc(d.Tenants, tenant):
@@ -221,12 +221,12 @@
 			c.fault(fmt.Sprintf("trouble.%d.of", i), "the name of a kind was expected, not %q", t.Of)
 		}
 	}
-	for _, k := range d.Chance.Kinds {
+	for _, k := range d.RandomFaults.Kinds {
 		if _, ok := usual[k]; !ok {
 			c.fault("chance.kinds", "no trouble has the name %q", k)
 		}
 	}
-	if g := d.Goal; g.Whole+g.Window+g.Class+g.Tenant <= 0 {
+	if g := d.Goal; g.Overall+g.WorstWindow+g.Class+g.Tenant <= 0 {
 		c.fault("goal", "a weight above 0 was expected")
 	}
 }
--- a/testbed/scenario/scenario_test.go
+++ b/testbed/scenario/scenario_test.go
@@ -49,12 +49,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if d.Traffic.FullPerSec > 500 {
+		if d.Traffic.FullLoadPerSec > 500 {
 			continue
 		}
 		print := func(seed int64) string {
 			w := Draw(d, seed)
-			return fmt.Sprintf("%+v %+v %+v", w.Destinations, w.Arrivals, w.Acts)
+			return fmt.Sprintf("%+v %+v %+v", w.Destinations, w.Arrivals, w.Events)
 		}
 		if first, again := print(4), print(4); first != again {
 			t.Errorf("%s: the same seed gave two days", name)
@@ -74,21 +74,21 @@
 	for seed := range int64(20) {
 		w := Draw(d, seed)
 		begun, over := 0, 0
-		for i, a := range w.Acts {
-			if i > 0 && a.At < w.Acts[i-1].At {
+		for i, a := range w.Events {
+			if i > 0 && a.At < w.Events[i-1].At {
 				t.Fatal("acts out of order")
 			}
 			switch a.Kind {
-			case Begins:
+			case FaultBegins:
 				begun++
-			case Ends:
+			case FaultEnds:
 				over++
 			}
 		}
 		if begun != over {
 			t.Errorf("seed %d: %d faults begin, %d end", seed, begun, over)
 		}
-		want := w.Load * d.Traffic.FullPerSec * d.Length
+		want := w.Load * d.Traffic.FullLoadPerSec * d.Length
 		if n := float64(len(w.Arrivals)); n < 0.75*want || n > 1.25*want && !flooded(w) {
 			t.Errorf("seed %d: %v messages, %v were to be expected", seed, n, want)
 		}
@@ -104,8 +104,8 @@
 	}
 }
 
-func flooded(w *Drawn) bool {
-	for _, a := range w.Acts {
+func flooded(w *Instance) bool {
+	for _, a := range w.Events {
 		if a.Kind == Tells {
 			return true
 		}
@@ -133,10 +133,10 @@
 	}
 	f.Fuzz(func(_ *testing.T, text []byte) {
 		d, err := Read("fuzz.toml", text)
-		if err != nil || d.Traffic.FullPerSec*d.Length*max(1, d.Load[1]) > 1e4 || d.Traffic.Destinations > 20 || d.Fleet.Couriers > 100 {
+		if err != nil || d.Traffic.FullLoadPerSec*d.Length*max(1, d.Load[1]) > 1e4 || d.Traffic.Destinations > 20 || d.Fleet.Couriers > 100 {
 			return
 		}
-		for _, tr := range d.Troubles {
+		for _, tr := range d.Faults {
 			if tr.Length[1] > 1e3 || tr.Size[1] > 100 {
 				return
 			}
--- a/testbed/scenario/settings.go
+++ b/testbed/scenario/settings.go
@@ -8,22 +8,22 @@
 )
 
 // Settings is what a courier of this day is handed at its start, in the form of its configuration's "settings".
-func (w *Drawn) Settings(courier int) map[string]any {
-	d := w.Day
+func (w *Instance) Settings(courier int) map[string]any {
+	d := w.Definition
 	var classes, tenants []any
 	for _, wl := range d.Classes {
 		group, repeat := "all", "single_shot"
-		if wl.OneZone {
+		if wl.DedupOneZone {
 			group = "zone"
 		}
-		switch wl.Repeat {
+		switch wl.Idempotency {
 		case "replayable":
 			repeat = "free"
 		case "referenced":
 			repeat = "guarded"
 		}
-		classes = append(classes, map[string]any{"name": wl.Name, "slo-s": wl.Objective, "deadline-s": wl.CutOff,
-			"points": wl.Priority, "late-worth": wl.LatePart, "idempotency": repeat, "dedup-window-s": wl.Window,
+		classes = append(classes, map[string]any{"name": wl.Name, "slo-s": wl.Objective, "deadline-s": wl.Deadline,
+			"points": wl.Priority, "late-worth": wl.LatePart, "idempotency": repeat, "dedup-window-s": wl.DedupWindow,
 			"group": group, "in-order": wl.InOrder})
 	}
 	for _, p := range d.Tenants {
@@ -34,7 +34,7 @@
 	var perCall []int
 	var fields []string
 	for _, k := range d.Kinds {
-		shapes, apart, perCall = append(shapes, k.Name), append(apart, k.Apart), append(perCall, k.PerCall)
+		shapes, apart, perCall = append(shapes, k.Name), append(apart, k.SeparateRoutes), append(perCall, k.PerCall)
 		if k.Reports {
 			fields = []string{"x0", "x1"}
 		}
@@ -53,38 +53,38 @@
 		"tick-s": d.Fleet.Tick / 1000, "over-share-worth": r.OverShare, "telemetry": map[string]any{"fields": fields},
 		"family-info": map[string]any{"slots": w.Slots, "decay": map[string]string{"halves": "halves", "evenly": "line"}[r.Decay],
 			"per-call": perCall, "separate-routes": apart},
-		"ceilings": map[string]any{"open-cap": w.Hold, "try-limit": d.Fleet.MaxAttempts, "may-cancel": d.Fleet.MayCancel,
-			"retry-after": d.Fleet.MayAdvise, "max-retry-after-s": d.Fleet.LongestWait, "conn-idle-s": d.Fleet.Idle,
-			"connect-timeout-s": d.Fleet.Connect / 1000},
-		"rules": map[string]any{"cold-from": r.ColdFrom, "ramp-time-s": r.Ramp, "fall-multiple": r.Fall, "key-rest-s": r.KeyRest,
+		"ceilings": map[string]any{"open-cap": w.QueueLimit, "try-limit": d.Fleet.MaxAttempts, "may-cancel": d.Fleet.MayCancel,
+			"retry-after": d.Fleet.MayAdvise, "max-retry-after-s": d.Fleet.MaxRetryAfter, "conn-idle-s": d.Fleet.IdleTimeout,
+			"connect-timeout-s": d.Fleet.ConnectTimeout / 1000},
+		"rules": map[string]any{"cold-from": r.SlowStartInitialShare, "ramp-time-s": r.SlowStart, "fall-multiple": r.OverloadFactor, "key-rest-s": r.KeyRest,
 			"drain-grace-s": r.DrainGrace},
 	}
 }
 
 // Quota is what a tenant may send within its share, in messages a second.
-func (w *Drawn) Quota(p Tenant) float64 { return p.Share * w.Day.Traffic.FullPerSec }
+func (w *Instance) Quota(p Tenant) float64 { return p.Share * w.Definition.Traffic.FullLoadPerSec }
 
 // Config is the same, as the decisions read it: through the same code that a real courier's configuration passes.
-func (w *Drawn) Config(courier int, salt int64) (dispatch.Config, error) {
+func (w *Instance) Config(courier int, salt int64) (dispatch.Config, error) {
 	ch, err := config.DispatchConfig(salt, config.Flatten(w.Settings(courier)))
 	if err != nil {
-		return ch, fmt.Errorf("day %s: %w", w.Day.Name, err)
+		return ch, fmt.Errorf("day %s: %w", w.Definition.Name, err)
 	}
 	return ch, nil
 }
 
-// List is the endpoints that are listed at the start of the day.
-func (w *Drawn) List() (all []dispatch.EndpointEntry) {
+// InitialEntries is the endpoints that are listed at the start of the day.
+func (w *Instance) InitialEntries() (all []dispatch.EndpointEntry) {
 	for i := range w.Destinations {
 		for _, e := range w.Destinations[i].Endpoints {
-			all = append(all, w.Listing(i, e.ID, e.Zone, dispatch.InService))
+			all = append(all, w.Entry(i, e.ID, e.Zone, dispatch.InService))
 		}
 	}
 	return all
 }
 
-// Listing is one endpoint as the list has it.
-func (w *Drawn) Listing(dest int, id dispatch.EndpointID, zone dispatch.ZoneID, phase dispatch.Phase) dispatch.EndpointEntry {
+// Entry is one endpoint as the list has it.
+func (w *Instance) Entry(dest int, id dispatch.EndpointID, zone dispatch.ZoneID, phase dispatch.Phase) dispatch.EndpointEntry {
 	dst := &w.Destinations[dest]
 	return dispatch.EndpointEntry{Endpoint: id, Zone: zone, Type: dst.Plan.Kind, Destination: dispatch.DestinationID(dest), Phase: phase, Rate: dst.Listed}
 }
--- a/testbed/scripted/scripted.go
+++ b/testbed/scripted/scripted.go
@@ -17,18 +17,18 @@
 	"time"
 )
 
-// Fate is how an endpoint treats a call.
-type Fate struct {
-	Status int           // 0 closes the connection without an answer
-	After  time.Duration // work before the answer
-	WaitMs int
+// Response is how an endpoint treats a call.
+type Response struct {
+	Status    int           // 0 closes the connection without an answer
+	Delay     time.Duration // work before the answer
+	BackoffMs int
 }
 
-// Broken counts what an endpoint must never see.
-type Broken struct {
-	Early    int // calls within a wait that was notified over a tenth of a second before
-	Overlaps int // calls for a key while another message of it is out
-	Disorder int // calls for a key behind a later one
+// Violations counts what an endpoint must never see.
+type Violations struct {
+	EarlyCalls       int // calls within a wait that was notified over a tenth of a second before
+	OverlappingCalls int // calls for a key while another message of it is out
+	OutOfOrder       int // calls for a key behind a later one
 }
 
 // line is a key whose messages go one at a time.
@@ -39,12 +39,12 @@
 
 // World is discovery and the endpoints of one destination.
 type World struct {
-	Discovery string // its address
-	Endpoints []string
-	Lists     func(index int) string // what discovery answers, in place of the list; empty for the list
+	Discovery    string // its address
+	Endpoints    []string
+	ListOverride func(index int) string // what discovery answers, in place of the list; empty for the list
 
 	mu       sync.Mutex
-	fate     func(id string) Fate
+	fate     func(id string) Response
 	seq      int
 	dests    []int         // of the endpoints
 	draining map[int]int   // endpoints that drain, and the version of the list since when
@@ -53,7 +53,7 @@
 	began    map[string]int // calls that were begun, by message
 	done     map[string]int
 	notices  map[string][]string
-	broken   Broken
+	broken   Violations
 	notified time.Time // when the last wait was notified, and until when it holds
 	waitTo   time.Time
 	lines    map[string]*line
@@ -63,13 +63,13 @@
 }
 
 // Open starts a world with so many endpoints; fate decides for each call.
-func Open(endpoints int, fate func(id string) Fate) (*World, error) {
+func Open(endpoints int, fate func(id string) Response) (*World, error) {
 	w := &World{lines: map[string]*line{}, fate: fate, seq: 1 - endpoints, draining: map[int]int{}, changed: make(chan struct{}), began: map[string]int{}, done: map[string]int{}, notices: map[string][]string{}}
 	if err := w.settle(); err != nil {
 		return nil, err
 	}
 	for range endpoints {
-		if err := w.Grow(1); err != nil {
+		if err := w.AddEndpoint(1); err != nil {
 			return nil, err
 		}
 	}
@@ -97,14 +97,14 @@
 	return err
 }
 
-// Move serves discovery at a new address; leave ends the old one.
-func (w *World) Move() (leave func(), err error) {
+// MoveDiscovery serves discovery at a new address; leave ends the old one.
+func (w *World) MoveDiscovery() (leave func(), err error) {
 	old := w.home
 	return func() { old.Close() }, w.settle()
 }
 
-// Grow adds an endpoint; whoever watches is not reported before the next list.
-func (w *World) Grow(dest int) error {
+// AddEndpoint adds an endpoint; whoever watches is not reported before the next list.
+func (w *World) AddEndpoint(dest int) error {
 	mux := http.NewServeMux()
 	w.mu.Lock()
 	calls := new(atomic.Int64)
@@ -136,8 +136,8 @@
 	w.changed = make(chan struct{})
 }
 
-// CloseAfterAnswers has endpoints close each connection after its answer.
-func (w *World) CloseAfterAnswers() {
+// CloseAfterResponses has endpoints close each connection after its answer.
+func (w *World) CloseAfterResponses() {
 	for _, server := range w.servers {
 		if server != w.home {
 			server.SetKeepAlivesEnabled(false)
@@ -152,8 +152,8 @@
 	return int(w.calls[endpoint].Load())
 }
 
-// MuteNotices leaves so many calls with notices without an answer, unread.
-func (w *World) MuteNotices(calls int) {
+// LeaveNoticesUnanswered leaves so many calls with notices without an answer, unread.
+func (w *World) LeaveNoticesUnanswered(calls int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.mute = calls
@@ -198,8 +198,8 @@
 	if err != nil {
 		index = -1
 	}
-	if w.Lists != nil {
-		if text := w.Lists(max(index, 0)); text != "" {
+	if w.ListOverride != nil {
+		if text := w.ListOverride(max(index, 0)); text != "" {
 			fmt.Fprint(rw, text)
 			return
 		}
@@ -254,7 +254,7 @@
 func (w *World) call(rw http.ResponseWriter, ids ...string) bool {
 	w.mu.Lock()
 	if now := time.Now(); now.Before(w.waitTo) && now.After(w.notified.Add(100*time.Millisecond)) {
-		w.broken.Early++
+		w.broken.EarlyCalls++
 	}
 	fate := w.fate(ids[0])
 	for _, id := range ids {
@@ -264,7 +264,7 @@
 		defer w.inLine(id)()
 	}
 	w.mu.Unlock()
-	time.Sleep(fate.After)
+	time.Sleep(fate.Delay)
 	switch fate.Status {
 	case 0:
 		if conn, _, err := rw.(http.Hijacker).Hijack(); err == nil {
@@ -279,11 +279,11 @@
 		w.mu.Unlock()
 		return true
 	}
-	if fate.WaitMs > 0 {
+	if fate.BackoffMs > 0 {
 		w.mu.Lock()
-		w.notified, w.waitTo = time.Now(), time.Now().Add(time.Duration(fate.WaitMs)*time.Millisecond)
+		w.notified, w.waitTo = time.Now(), time.Now().Add(time.Duration(fate.BackoffMs)*time.Millisecond)
 		w.mu.Unlock()
-		rw.Header().Set("X-Backoff-Ms", strconv.Itoa(fate.WaitMs))
+		rw.Header().Set("X-Backoff-Ms", strconv.Itoa(fate.BackoffMs))
 	}
 	rw.WriteHeader(fate.Status)
 	return false
@@ -305,11 +305,11 @@
 	}
 	for other := range l.out {
 		if other != id {
-			w.broken.Overlaps++
+			w.broken.OverlappingCalls++
 		}
 	}
 	if n < l.last {
-		w.broken.Disorder++
+		w.broken.OutOfOrder++
 	}
 	l.out[id]++
 	l.last = max(l.last, n)
@@ -322,8 +322,8 @@
 	}
 }
 
-// Broken is what must never be, as far as it was seen.
-func (w *World) Broken() Broken {
+// Violations is what must never be, as far as it was seen.
+func (w *World) Violations() Violations {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.broken
@@ -358,15 +358,15 @@
 	}
 }
 
-// Seen tells how often a message's call was begun and answered as done, and the notices for it.
-func (w *World) Seen(id string) (began, done int, notices []string) {
+// MessageCalls tells how often a message's call was begun and answered as done, and the notices for it.
+func (w *World) MessageCalls(id string) (began, done int, notices []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.began[id], w.done[id], append([]string(nil), w.notices[id]...)
 }
 
-// Configuration is what a courier beside this world is notified.
-func (w *World) Configuration(name, listen string) []byte {
+// CourierConfiguration is what a courier beside this world is notified.
+func (w *World) CourierConfiguration(name, listen string) []byte {
 	class := func(name, repeat string, points float64) map[string]any {
 		return map[string]any{"name": name, "idempotency": repeat, "points": points, "slo-s": 1.0, "deadline-s": 8.0,
 			"late-worth": 0.5, "dedup-window-s": 5.0, "group": "all"}
--- a/testbed/simulation/bench_test.go
+++ b/testbed/simulation/bench_test.go
@@ -19,22 +19,22 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			d.Length, d.Fleet.Couriers, d.Chance.Troubles = 20, size.couriers, [2]int{} // calm: what rules do is not the question
-			d.Traffic.Destinations, d.Traffic.FullPerSec = size.destinations, float64(size.perSec)
+			d.Length, d.Fleet.Couriers, d.RandomFaults.Count = 20, size.couriers, [2]int{} // calm: what rules do is not the question
+			d.Traffic.Destinations, d.Traffic.FullLoadPerSec = size.destinations, float64(size.perSec)
 			w := scenario.Draw(d, 1)
 			b.ResetTimer()
 			var turns, messages int
 			for range b.N {
-				v, st, err := Play(w, NewLocal(nil), Options{})
+				v, st, err := Play(w, NewLocalHost(nil), Options{})
 				if err != nil {
 					b.Fatal(err)
 				}
-				turns, messages = turns+st.Turns, messages+v.Counts.Taken
+				turns, messages = turns+st.Turns, messages+v.Counts.Accepted
 			}
 			span := b.Elapsed().Seconds()
 			b.ReportMetric(float64(messages)/span, "records/s")
 			b.ReportMetric(float64(turns)/span, "turns/s")
-			b.ReportMetric(float64(b.N)*float64(w.End)/1e6/span, "x-real-time")
+			b.ReportMetric(float64(b.N)*float64(w.EndsAt)/1e6/span, "x-real-time")
 		})
 	}
 }
--- a/testbed/simulation/call.go
+++ b/testbed/simulation/call.go
@@ -11,10 +11,10 @@
 func (s *Sim) load(c *courier, a dispatch.Send, open map[dispatch.EndpointID]*call) *call {
 	at, r := s.at[a.Endpoint], c.messages[a.Message]
 	if at == nil || r != nil && at.dest != int(r.client.arrival.Dest) {
-		s.books.Crashed(s.now, c.no, "sent "+string(a.Message)+" to "+string(a.Endpoint)+", which is not of its destination")
+		s.books.CourierCrashed(s.now, c.no, "sent "+string(a.Message)+" to "+string(a.Endpoint)+", which is not of its destination")
 		return nil
 	}
-	book := s.books.Sent(s.now, a.Message, invariants.Place{Dest: dispatch.DestinationID(at.dest), Route: at.route, Endpoint: a.Endpoint, Zone: at.endpoint.Zone})
+	book := s.books.AttemptSent(s.now, a.Message, invariants.Target{Dest: dispatch.DestinationID(at.dest), Route: at.route, Endpoint: a.Endpoint, Zone: at.endpoint.Zone})
 	if r == nil {
 		return nil
 	}
@@ -22,7 +22,7 @@
 		past: dispatch.PastAttempt{Endpoint: a.Endpoint, Zone: at.endpoint.Zone, SentAt: s.now}}
 	r.attempts = append(r.attempts, t)
 	r.out++
-	if r.over || len(r.attempts) > s.w.Day.Fleet.MaxAttempts {
+	if r.over || len(r.attempts) > s.w.Definition.Fleet.MaxAttempts {
 		s.settle(t, dispatch.AttemptFinished{Outcome: dispatch.Unprocessed})
 		return nil
 	}
@@ -47,16 +47,16 @@
 }
 
 func (s *Sim) item(r *message) endpointmodel.Item {
-	w := &s.w.Day.Classes[r.client.arrival.Class]
-	return endpointmodel.Item{Message: r.id, Origin: r.client.id, Repeat: invariants.RepeatOf(w.Repeat), OneZone: w.OneZone,
-		Window: config.Micros(w.Window)}
+	w := &s.w.Definition.Classes[r.client.arrival.Class]
+	return endpointmodel.Item{Message: r.id, Origin: r.client.id, Repeat: invariants.ParseIdempotency(w.Idempotency), DedupOneZone: w.DedupOneZone,
+		DedupWindow: config.Micros(w.DedupWindow)}
 }
 
 // launch sends a call off, over a connection that rests or a new one.
 func (s *Sim) launch(cl *call) {
 	c, p, id := cl.courier, s.partners[cl.at.dest], cl.Endpoint
 	way := s.way(c.zone, cl.at.endpoint.Zone)
-	idle, rests := c.pools[id], config.Micros(s.w.Day.Fleet.Idle)
+	idle, rests := c.pools[id], config.Micros(s.w.Definition.Fleet.IdleTimeout)
 	for len(idle) > 0 && s.now-idle[0] >= rests {
 		idle = idle[1:]
 		p.Disconnect(id)
@@ -73,14 +73,14 @@
 			return
 		}
 		switch p.Connect(s.now, id) {
-		case endpointmodel.Up:
-			s.books.Shook()
+		case endpointmodel.Connected:
+			s.books.ConnectionOpened()
 			cl.linked = true
-			s.after(s.now+dispatch.Micros(2*s.w.Day.Network.Shakes*float64(way)), func() { s.reach(cl) })
+			s.after(s.now+dispatch.Micros(2*s.w.Definition.Network.HandshakeRTTs*float64(way)), func() { s.reach(cl) })
 		case endpointmodel.Refused:
 			s.after(s.now+way, func() { s.outcome(cl, dispatch.Unreachable, 0, nil) })
-		case endpointmodel.NoWord:
-			s.after(s.now-way+config.Micros(s.w.Day.Fleet.Connect/1000), func() { s.outcome(cl, dispatch.Unreachable, 0, nil) })
+		case endpointmodel.NoResponse:
+			s.after(s.now-way+config.Micros(s.w.Definition.Fleet.ConnectTimeout/1000), func() { s.outcome(cl, dispatch.Unreachable, 0, nil) })
 		}
 	})
 }
@@ -89,7 +89,7 @@
 func (s *Sim) reach(cl *call) {
 	if !cl.over {
 		s.inFlight[cl.ID] = cl
-		s.came(cl.at.dest, s.partners[cl.at.dest].Take(s.now, &cl.Call))
+		s.came(cl.at.dest, s.partners[cl.at.dest].Receive(s.now, &cl.Call))
 	}
 }
 
@@ -100,7 +100,7 @@
 		return // nobody waits for it any more
 	}
 	delete(s.inFlight, cl.ID)
-	s.after(s.now+s.way(cl.courier.zone, cl.at.endpoint.Zone), func() { s.outcome(cl, a.Outcome, a.Wait, a.Pressure) })
+	s.after(s.now+s.way(cl.courier.zone, cl.at.endpoint.Zone), func() { s.outcome(cl, a.Outcome, a.RetryAfter, a.LoadReport) })
 }
 
 // limit ends an attempt's time: the attempts of one call have each their own.
@@ -163,7 +163,7 @@
 	p := s.partners[cl.at.dest]
 	s.after(s.now+s.way(cl.courier.zone, cl.at.endpoint.Zone), func() {
 		p.Disconnect(cl.Endpoint)
-		s.came(cl.at.dest, p.CallOff(s.now, &cl.Call))
+		s.came(cl.at.dest, p.Cancel(s.now, &cl.Call))
 	})
 }
 
@@ -175,7 +175,7 @@
 	t.over, t.past.Outcome = true, e.Outcome
 	r := t.rec
 	r.out--
-	s.books.Settled(s.now, r.id, t.book, e.Outcome, e.RetryAfter)
+	s.books.AttemptEnded(s.now, r.id, t.book, e.Outcome, e.RetryAfter)
 	if e.Outcome == dispatch.Delivered && !r.over {
 		r.client.over = true
 		s.close(r)
--- a/testbed/simulation/client.go
+++ b/testbed/simulation/client.go
@@ -34,12 +34,12 @@
 
 func (s *Sim) offer(i int, a scenario.Arrival) {
 	id := dispatch.MessageID("r" + strconv.Itoa(i))
-	cl := &client{id: id, arrival: a, cutOff: s.now + config.Micros(s.w.Day.Classes[a.Class].CutOff)}
+	cl := &client{id: id, arrival: a, cutOff: s.now + config.Micros(s.w.Definition.Classes[a.Class].Deadline)}
 	s.books.Offered(s.now, id, int(a.Class), int(a.Tenant), dispatch.DestinationID(a.Dest))
-	if s.rng.Float64() < s.w.Day.Clients.Leave {
+	if s.rng.Float64() < s.w.Definition.Clients.CancelShare {
 		s.after(s.now+dispatch.Micros(s.rng.Int64N(int64(cl.cutOff-s.now))), func() { s.leave(cl) })
 	}
-	s.after(s.now+config.Micros(s.w.Day.Network.Client/1000), func() { s.handIn(cl, s.couriers[a.Courier], false) })
+	s.after(s.now+config.Micros(s.w.Definition.Network.Client/1000), func() { s.handIn(cl, s.couriers[a.Courier], false) })
 }
 
 // handIn gives a message to a courier. One that is dead takes nothing: the client tries elsewhere, or later.
@@ -47,10 +47,10 @@
 	switch {
 	case cl.over || s.now >= cl.cutOff:
 		return
-	case !c.alive || c.closing && s.w.Day.Fleet.Entry == "front":
-		s.after(s.now+s.between(s.w.Day.Clients.Again)/4, func() { s.handIn(cl, s.other(c), again) })
+	case !c.alive || c.closing && s.w.Definition.Fleet.ClientRouting == "front":
+		s.after(s.now+s.between(s.w.Definition.Clients.ResubmitAfter)/4, func() { s.handIn(cl, s.other(c), again) })
 		return
-	case c.held >= s.w.Hold: // rejected before the decisions hear of it
+	case c.held >= s.w.QueueLimit: // rejected before the decisions hear of it
 		s.comeAgain(cl, c, 0)
 		return
 	}
@@ -68,7 +68,7 @@
 	if cl.arrival.Key >= 0 {
 		key = dispatch.OrderingKey("k" + strconv.Itoa(int(cl.arrival.Key)))
 	}
-	s.books.Taken(s.now, id, cl.id, c.no, key, cl.cutOff)
+	s.books.Accepted(s.now, id, cl.id, c.no, key, cl.cutOff)
 	r.taken = dispatch.MessageAccepted{Message: id, Destination: dispatch.DestinationID(cl.arrival.Dest), Class: dispatch.ClassID(cl.arrival.Class),
 		Tenant: dispatch.TenantID(cl.arrival.Tenant), OrderingKey: key, Deadline: cl.cutOff, Resubmitted: again}
 	s.tell(c, r.taken)
@@ -76,7 +76,7 @@
 
 // other is where a client goes whose courier did not serve it.
 func (s *Sim) other(c *courier) *courier {
-	if s.w.Day.Fleet.Entry == "own" {
+	if s.w.Definition.Fleet.ClientRouting == "own" {
 		return c
 	}
 	return s.couriers[s.rng.IntN(len(s.couriers))]
@@ -84,12 +84,12 @@
 
 // comeAgain submits anew what was rejected, after a while.
 func (s *Sim) comeAgain(cl *client, c *courier, advice dispatch.Micros) {
-	d := s.w.Day.Clients
+	d := s.w.Definition.Clients
 	if cl.over || cl.rejects >= d.Retries {
 		return
 	}
 	wait := s.between(scenario.Range{d.Backoff[0] / 1000, d.Backoff[1] / 1000}) << cl.rejects
-	if advice > 0 && s.rng.Float64() < d.Heed {
+	if advice > 0 && s.rng.Float64() < d.HonorRetryAfterShare {
 		wait = advice
 	}
 	cl.rejects++
--- a/testbed/simulation/courier.go
+++ b/testbed/simulation/courier.go
@@ -87,14 +87,14 @@
 		return
 	}
 	if c.life > 1 {
-		s.books.Back(s.now, c.no)
+		s.books.CourierUp(s.now, c.no)
 	}
 	s.tell(c, dispatch.EndpointUpdate{Kind: dispatch.CachedList, Entries: inOrder(c.notified)})
 	if snapshot, ok := s.lores[c.no]; ok {
 		s.tell(c, dispatch.SnapshotRestored{Snapshot: snapshot})
 	}
 	s.takeUpAgain(c)
-	if s.w.Day.Directory.Mode == "push" {
+	if s.w.Definition.Directory.Mode == "push" {
 		s.listed.fetch(c)
 	}
 }
@@ -148,12 +148,12 @@
 			continue
 		}
 		r.over = true
-		if work := &s.w.Day.Classes[r.client.arrival.Class]; work.Repeat != "single-use" || !s.books.MayHaveRun(id) {
-			s.after(s.now+s.between(s.w.Day.Clients.Again), func() { s.handIn(r.client, s.other(c), true) })
+		if work := &s.w.Definition.Classes[r.client.arrival.Class]; work.Idempotency != "single-use" || !s.books.MayHaveRun(id) {
+			s.after(s.now+s.between(s.w.Definition.Clients.ResubmitAfter), func() { s.handIn(r.client, s.other(c), true) })
 		}
 	}
 	slices.SortStableFunc(c.spooled, func(a, b *message) int { return cmp.Compare(a.number, b.number) })
-	s.books.Down(s.now, c.no, !s.Spool, s.SnapshotInterval == 0)
+	s.books.CourierDown(s.now, c.no, !s.Spool, s.SnapshotInterval == 0)
 }
 
 // takeUpAgain hands a courier what its folder held.
@@ -183,7 +183,7 @@
 		}
 		t.over, t.past.Outcome = true, dispatch.Broken
 		if !t.call.linked {
-			s.books.Settled(s.now, r.id, t.book, dispatch.Unreachable, 0)
+			s.books.AttemptEnded(s.now, r.id, t.book, dispatch.Unreachable, 0)
 		}
 		return !t.call.linked
 	})
@@ -230,9 +230,9 @@
 		return
 	}
 	s.stats.Turns += len(batches)
-	all, err := s.host.Turn(s.now, batches)
+	all, err := s.host.Step(s.now, batches)
 	if err != nil {
-		var fault *CourierFault
+		var fault *CourierPanic
 		if !errors.As(err, &fault) {
 			err = fmt.Errorf("the host of the decisions: %w", err)
 		}
@@ -259,7 +259,7 @@
 			s.cancel(c, a)
 		case dispatch.Reject:
 			if r := s.ended(c, a.Message, invariants.Rejected); r != nil {
-				s.comeAgain(r.client, c, min(a.RetryAfter, config.Micros(s.w.Day.Fleet.LongestWait)))
+				s.comeAgain(r.client, c, min(a.RetryAfter, config.Micros(s.w.Definition.Fleet.MaxRetryAfter)))
 			}
 		case dispatch.Fail:
 			if r := s.ended(c, a.Message, invariants.Failed); r != nil {
@@ -290,7 +290,7 @@
 func (s *Sim) ended(c *courier, id dispatch.MessageID, how invariants.End) *message {
 	r := c.messages[id]
 	if r == nil || r.over {
-		s.books.Ended(s.now, id, how) // they know what to think of it
+		s.books.MessageEnded(s.now, id, how) // they know what to think of it
 		return nil
 	}
 	s.end(r, how)
@@ -298,7 +298,7 @@
 }
 
 func (s *Sim) end(r *message, how invariants.End) {
-	s.books.Ended(s.now, r.id, how)
+	s.books.MessageEnded(s.now, r.id, how)
 	s.close(r)
 }
 
--- a/testbed/simulation/directory.go
+++ b/testbed/simulation/directory.go
@@ -18,7 +18,7 @@
 
 func newDirectory(s *Sim) *directory {
 	d := &directory{sim: s, entries: map[dispatch.EndpointID]dispatch.EndpointEntry{}}
-	for _, l := range s.w.List() {
+	for _, l := range s.w.InitialEntries() {
 		d.entries[l.Endpoint] = l
 	}
 	return d
@@ -30,7 +30,7 @@
 
 // change notes that an entry changed, and tells whoever is notified by itself or watches.
 func (d *directory) change(dest int, e endpointmodel.Endpoint, phase dispatch.Phase) {
-	l := d.sim.w.Listing(dest, e.ID, e.Zone, phase)
+	l := d.sim.w.Entry(dest, e.ID, e.Zone, phase)
 	if phase == dispatch.Removed {
 		delete(d.entries, e.ID)
 	} else {
@@ -48,7 +48,7 @@
 		return
 	}
 	s, life := d.sim, c.life
-	c.newsAt = max(c.newsAt, s.now+s.between(s.w.Day.Directory.Notice))
+	c.newsAt = max(c.newsAt, s.now+s.between(s.w.Definition.Directory.ChangeDelay))
 	s.after(c.newsAt, func() {
 		switch {
 		case c.life != life || !c.alive || !c.watching:
@@ -73,11 +73,11 @@
 		} else {
 			c.notified[l.Endpoint] = l
 		}
-		s.books.Notified(s.now, c.no, l.Endpoint, l.Phase)
+		s.books.EndpointNotified(s.now, c.no, l.Endpoint, l.Phase)
 	}
 	for id := range before { // what is missing in a whole list is gone
 		if _, listed := c.notified[id]; !listed {
-			s.books.Notified(s.now, c.no, id, dispatch.Removed)
+			s.books.EndpointNotified(s.now, c.no, id, dispatch.Removed)
 		}
 	}
 	s.tell(c, dispatch.EndpointUpdate{Kind: how, Entries: entries})
@@ -86,11 +86,11 @@
 // fetch answers a courier that asks for the list, or that is notified by itself from its start on.
 func (d *directory) fetch(c *courier) {
 	s, life := d.sim, c.life
-	r := s.w.Day.Directory.Call
+	r := s.w.Definition.Directory.ListTime
 	s.after(s.now+s.between(scenario.Range{r[0] / 1000, r[1] / 1000}), func() {
 		switch {
 		case c.life != life || !c.alive:
-		case d.down && s.w.Day.Directory.Mode == "ask":
+		case d.down && s.w.Definition.Directory.Mode == "ask":
 			s.tell(c, dispatch.EndpointUpdate{Kind: dispatch.ListFailed})
 		case d.down:
 			d.pending = append(d.pending, func() { d.fetch(c) })
@@ -104,7 +104,7 @@
 // goDown ends all watches.
 func (d *directory) goDown() {
 	d.down = true
-	if d.sim.w.Day.Directory.Mode != "ask" {
+	if d.sim.w.Definition.Directory.Mode != "ask" {
 		return
 	}
 	for _, c := range d.sim.couriers {
--- a/testbed/simulation/golden_test.go
+++ b/testbed/simulation/golden_test.go
@@ -91,10 +91,10 @@
 	}
 	options := Options{SnapshotInterval: 500 * 1000, Spool: true}
 	if p.day == "shared-limits" {
-		options.Share = Share{Interval: 500 * 1000, Loss: 0.1}
+		options.Share = QuotaSharing{Interval: 500 * 1000, Loss: 0.1}
 	}
 	digest, actions := sha256.New(), 0
-	_, _, err = Play(scenario.Draw(d, p.seed), NewLocal(func(number int, ch dispatch.Config) Decider {
+	_, _, err = Play(scenario.Draw(d, p.seed), NewLocalHost(func(number int, ch dispatch.Config) Decider {
 		return &digestingDecider{dispatch.New(ch), digest, number, &actions}
 	}), options)
 	return fmt.Sprintf("%s %d %d %x", p.day, p.seed, actions, digest.Sum(nil)[:16]), err
--- a/testbed/simulation/host.go
+++ b/testbed/simulation/host.go
@@ -19,8 +19,8 @@
 	Start(courier int, ch dispatch.Config, settings map[string]string) error
 	// Kill ends one.
 	Kill(courier int)
-	// Turn hands over what happened, and returns what each courier wants done, in the order of the batches.
-	Turn(now dispatch.Micros, batches []Batch) ([][]dispatch.Action, error)
+	// Step hands over what happened, and returns what each courier wants done, in the order of the batches.
+	Step(now dispatch.Micros, batches []Batch) ([][]dispatch.Action, error)
 	Close() error
 }
 
@@ -29,46 +29,46 @@
 	Handle(now dispatch.Micros, events []dispatch.Event) []dispatch.Action
 }
 
-// CourierFault is a courier whose decisions failed.
-type CourierFault struct {
+// CourierPanic is a courier whose decisions failed.
+type CourierPanic struct {
 	Courier int
 	Text    string
 }
 
-func (f *CourierFault) Error() string { return fmt.Sprintf("courier %d: %s", f.Courier, f.Text) }
+func (f *CourierPanic) Error() string { return fmt.Sprintf("courier %d: %s", f.Courier, f.Text) }
 
-// Local runs the decisions in this process.
-type Local struct {
+// LocalHost runs the decisions in this process.
+type LocalHost struct {
 	make     func(courier int, ch dispatch.Config) Decider
 	couriers map[int]Decider
 }
 
-// NewLocal hosts what make returns; nil stands for the module as it is.
-func NewLocal(make func(courier int, ch dispatch.Config) Decider) *Local {
+// NewLocalHost hosts what make returns; nil stands for the module as it is.
+func NewLocalHost(make func(courier int, ch dispatch.Config) Decider) *LocalHost {
 	if make == nil {
 		make = func(_ int, ch dispatch.Config) Decider { return dispatch.New(ch) }
 	}
-	return &Local{make, map[int]Decider{}}
+	return &LocalHost{make, map[int]Decider{}}
 }
 
 // Start implements Host.
-func (l *Local) Start(courier int, ch dispatch.Config, _ map[string]string) error {
+func (l *LocalHost) Start(courier int, ch dispatch.Config, _ map[string]string) error {
 	l.couriers[courier] = l.make(courier, ch)
 	return nil
 }
 
 // Kill implements Host.
-func (l *Local) Kill(courier int) { delete(l.couriers, courier) }
+func (l *LocalHost) Kill(courier int) { delete(l.couriers, courier) }
 
 // Close implements Host.
-func (l *Local) Close() error { return nil }
+func (l *LocalHost) Close() error { return nil }
 
-// Turn implements Host.
-func (l *Local) Turn(now dispatch.Micros, batches []Batch) (all [][]dispatch.Action, err error) {
+// Step implements Host.
+func (l *LocalHost) Step(now dispatch.Micros, batches []Batch) (all [][]dispatch.Action, err error) {
 	at := 0
 	defer func() {
 		if fault := recover(); fault != nil {
-			err = &CourierFault{at, fmt.Sprintf("%v\n%s", fault, debug.Stack())}
+			err = &CourierPanic{at, fmt.Sprintf("%v\n%s", fault, debug.Stack())}
 		}
 	}()
 	for _, b := range batches {
@@ -78,5 +78,5 @@
 	return all, nil
 }
 
-// Courier gives a running courier's decisions, for whoever wants to look into them.
-func (l *Local) Courier(n int) Decider { return l.couriers[n] }
+// Dispatcher gives a running courier's decisions, for whoever wants to look into them.
+func (l *LocalHost) Dispatcher(n int) Decider { return l.couriers[n] }
--- a/testbed/simulation/quota.go
+++ b/testbed/simulation/quota.go
@@ -7,11 +7,11 @@
 	"pineport/quota"
 )
 
-// Share is how couriers share limits, in virtual time; a Interval of 0: they do not. Membership is as if every courier knew at once who runs.
-type Share struct {
-	Interval dispatch.Micros
-	Deaf     float64 // share of the couriers that hear nothing, and are heard
-	Loss     float64 // share of the packets that are lost
+// QuotaSharing is how couriers share limits, in virtual time; a Interval of 0: they do not. Membership is as if every courier knew at once who runs.
+type QuotaSharing struct {
+	Interval       dispatch.Micros
+	NoReceiveShare float64 // share of the couriers that hear nothing, and are heard
+	Loss           float64 // share of the packets that are lost
 }
 
 const (
@@ -39,11 +39,11 @@
 		return
 	}
 	s.after(s.now+s.Share.Interval, func() { s.tickQuota(c, life) })
-	local, ok := s.host.(*Local)
+	local, ok := s.host.(*LocalHost)
 	if !ok || s.now < c.standsTo {
 		return
 	}
-	d, ok := local.Courier(c.no).(dispatch.DemandReporter)
+	d, ok := local.Dispatcher(c.no).(dispatch.DemandReporter)
 	if !ok {
 		return
 	}
@@ -76,7 +76,7 @@
 		return
 	}
 	s.stats.Packets++
-	if s.rng.Float64() < s.Share.Loss || float64(no) < s.Share.Deaf*float64(len(s.couriers)) {
+	if s.rng.Float64() < s.Share.Loss || float64(no) < s.Share.NoReceiveShare*float64(len(s.couriers)) {
 		return
 	}
 	to := s.couriers[no]
--- a/testbed/simulation/restarts_test.go
+++ b/testbed/simulation/restarts_test.go
@@ -9,7 +9,7 @@
 )
 
 // readDay reads a day of testdata.
-func readDay(t *testing.T, name string) *scenario.Day {
+func readDay(t *testing.T, name string) *scenario.Definition {
 	t.Helper()
 	file := "testdata/" + name + ".toml"
 	text, err := os.ReadFile(file)
@@ -105,7 +105,7 @@
 	for seed := int64(1); seed <= seeds; seed++ {
 		w := scenario.Draw(readDay(t, "restarts"), seed)
 		found := newFoundAtRestarts(window, 0, 1)
-		v, _, err := Play(w, NewLocal(func(_ int, ch dispatch.Config) Decider {
+		v, _, err := Play(w, NewLocalHost(func(_ int, ch dispatch.Config) Decider {
 			return &recoveries{dispatch.New(ch), found}
 		}), Options{Spool: true})
 		if err != nil {
--- a/testbed/simulation/returns_test.go
+++ b/testbed/simulation/returns_test.go
@@ -69,16 +69,16 @@
 // count adds a call at an instant of the ramp, and keeps the fullest span.
 func (r *watchedRoute) count(now dispatch.Micros, courier int) {
 	plan := &r.plan.Plan
-	if r.out == 0 || now < r.cold || now >= r.cold+plan.Ramp {
+	if r.out == 0 || now < r.cold || now >= r.cold+plan.SlowStart {
 		return
 	}
 	r.window = append(r.window, fleetCall{now, courier, r.knowing[courier]})
-	for now-r.window[0].at > plan.FallSpan {
+	for now-r.window[0].at > plan.OverloadWindow {
 		r.window = r.window[1:]
 	}
-	warm := plan.ColdFrom + (1-plan.ColdFrom)*float64(now-r.cold)/float64(plan.Ramp)
+	warm := plan.SlowStartInitialShare + (1-plan.SlowStartInitialShare)*float64(now-r.cold)/float64(plan.SlowStart)
 	capacity := plan.Capacity() * float64(r.endpoints) * warm
-	allowed := plan.Fall * capacity * float64(plan.FallSpan) / 1e6
+	allowed := plan.OverloadFactor * capacity * float64(plan.OverloadWindow) / 1e6
 	load := windowLoad{calls: len(r.window), sinceCold: now - r.cold, budget: returnBudget(allowed)}
 	for _, c := range r.window {
 		if c.knowing {
@@ -97,7 +97,7 @@
 	r.fellKnown = r.fellKnown || slow.over() && slow.known()
 }
 
-// returnCounter hosts the decisions as Local does, and counts what the whole fleet sends to destinations that come back.
+// returnCounter hosts the decisions as LocalHost does, and counts what the whole fleet sends to destinations that come back.
 // It sees what the couriers are notified and what they do, and nothing of the model of the destinations.
 type returnCounter struct {
 	Host
@@ -106,25 +106,25 @@
 }
 
 // newReturnCounter watches the returns of a day on which each route has one outage at most.
-func newReturnCounter(w *scenario.Drawn, host Host) *returnCounter {
+func newReturnCounter(w *scenario.Instance, host Host) *returnCounter {
 	c := &returnCounter{Host: host, routes: map[dispatch.EndpointID]*watchedRoute{},
 		attempts: map[int]map[dispatch.MessageID][]dispatch.EndpointID{}}
 	for i := range w.Destinations {
 		d := &w.Destinations[i]
 		var route *watchedRoute
 		for _, e := range d.Endpoints {
-			if route == nil || d.Apart {
+			if route == nil || d.SeparateRoutes {
 				route = &watchedRoute{plan: d, knowing: map[int]bool{}}
 			}
 			route.endpoints++
 			c.routes[e.ID] = route
 		}
 	}
-	for _, a := range w.Acts {
+	for _, a := range w.Events {
 		switch a.Kind {
-		case scenario.Begins:
+		case scenario.FaultBegins:
 			c.routes[a.Endpoint.ID].out = a.At
-		case scenario.Ends:
+		case scenario.FaultEnds:
 			c.routes[a.Endpoint.ID].cold = a.At
 		}
 	}
@@ -137,9 +137,9 @@
 	return c.Host.Start(courier, ch, settings)
 }
 
-// Turn implements Host.
+// Step implements Host.
 func (c *returnCounter) Turn(now dispatch.Micros, batches []Batch) ([][]dispatch.Action, error) {
-	all, err := c.Host.Turn(now, batches)
+	all, err := c.Host.Step(now, batches)
 	for i := range all {
 		c.sent(now, batches[i].Courier, all[i])
 		c.learned(now, batches[i]) // known from the next batch on
@@ -195,12 +195,12 @@
 }
 
 // returnsDay is the day of testdata/returns.toml for a fleet, with one kind of outage.
-func returnsDay(t *testing.T, seed int64, couriers int, rules rampRules) *scenario.Drawn {
+func returnsDay(t *testing.T, seed int64, couriers int, rules rampRules) *scenario.Instance {
 	t.Helper()
 	d := readDay(t, "returns")
 	d.Fleet.Couriers = couriers
-	d.Rules.ColdFrom, d.Rules.Fall, d.Rules.FallSpan = rules.coldFrom, rules.multiple, rules.span
-	outage := &d.Troubles[0]
+	d.Rules.SlowStartInitialShare, d.Rules.OverloadFactor, d.Rules.OverloadWindow = rules.coldFrom, rules.multiple, rules.span
+	outage := &d.Faults[0]
 	if outage.Kind = outageKind(seed); outage.Kind == "errors" {
 		outage.Size = scenario.Range{1, 1}
 	}
@@ -210,11 +210,11 @@
 func outageKind(seed int64) string { return outageKinds[int(seed)%len(outageKinds)] }
 
 // neverFalls is the same day with destinations that take any load, so that each return is counted to its end.
-func neverFalls(w *scenario.Drawn) *scenario.Drawn {
+func neverFalls(w *scenario.Instance) *scenario.Instance {
 	all := *w
 	all.Destinations = slices.Clone(w.Destinations)
 	for i := range all.Destinations {
-		all.Destinations[i].Fall = 0
+		all.Destinations[i].OverloadFactor = 0
 	}
 	return &all
 }
@@ -268,7 +268,7 @@
 	t.Helper()
 	for seed := int64(1); seed <= seeds; seed++ {
 		w := returnsDay(t, seed, couriers, rules)
-		counter := newReturnCounter(w, NewLocal(decide))
+		counter := newReturnCounter(w, NewLocalHost(decide))
 		if _, _, err := Play(neverFalls(w), counter, Options{}); err != nil {
 			t.Fatal(err)
 		}
--- a/testbed/simulation/simulation.go
+++ b/testbed/simulation/simulation.go
@@ -26,7 +26,7 @@
 
 // Sim is a day being played.
 type Sim struct {
-	w        *scenario.Drawn
+	w        *scenario.Instance
 	books    *invariants.Ledger
 	host     Host
 	rng      *rand.Rand
@@ -50,7 +50,7 @@
 
 // site is a partner and when it was last asked to be stepped.
 type site struct {
-	*endpointmodel.Partner
+	*endpointmodel.Destination
 	dueAt dispatch.Micros
 }
 
@@ -63,26 +63,26 @@
 
 // Options are how a day is played.
 type Options struct {
-	// Watch is called every half second of virtual time.
-	Watch func(now dispatch.Micros)
+	// OnInterval is called every half second of virtual time.
+	OnInterval func(now dispatch.Micros)
 	// SnapshotInterval is how often each courier's learned state is kept for its next start, as a file would; 0: never. At a planned end it is
 	// kept last.
 	SnapshotInterval dispatch.Micros
 	// Spool has what a killed courier held come back to it at its next start, as its folder would; else its clients hand it
 	// in anew.
 	Spool bool
-	// Share has couriers share limits.
-	Share Share
+	// QuotaSharing has couriers share limits.
+	Share QuotaSharing
 }
 
 // Play plays a day.
-func Play(w *scenario.Drawn, host Host, o Options) (*invariants.Verdict, Stats, error) {
-	setup := invariants.ForDay(w)
+func Play(w *scenario.Instance, host Host, o Options) (*invariants.Verdict, Stats, error) {
+	setup := invariants.SetupFor(w)
 	if o.Spool { // what fell due while a courier was down is answered in its first step
-		setup.Excused = config.Micros(w.Day.Fleet.Tick/1000) + setup.AnswerSlack
+		setup.RestartGrace = config.Micros(w.Definition.Fleet.Tick/1000) + setup.AnswerGrace
 	}
 	s := &Sim{w: w, books: invariants.New(setup), host: host, rng: rand.New(rand.NewPCG(uint64(w.Seed), 77)),
-		tick: config.Micros(w.Day.Fleet.Tick / 1000), at: map[dispatch.EndpointID]*spot{}, turns: map[dispatch.Micros][]*courier{},
+		tick: config.Micros(w.Definition.Fleet.Tick / 1000), at: map[dispatch.EndpointID]*spot{}, turns: map[dispatch.Micros][]*courier{},
 		inFlight: map[uint64]*call{}, lores: map[int]dispatch.Snapshot{}, Options: o}
 	s.listed = newDirectory(s)
 	for i := range w.Destinations {
@@ -92,16 +92,16 @@
 			s.at[e.ID] = &spot{i, e, p.Route(e.ID)}
 		}
 	}
-	for i := range w.Day.Fleet.Couriers {
+	for i := range w.Definition.Fleet.Couriers {
 		c := &courier{sim: s, no: i, zone: w.CourierZone[i], notified: s.listed.all()}
 		s.couriers = append(s.couriers, c)
 		s.start(c)
 	}
-	for _, a := range w.Acts {
+	for _, a := range w.Events {
 		s.after(a.At, func() { s.act(a) })
 	}
 	s.arrive(0)
-	if o.Watch != nil {
+	if o.OnInterval != nil {
 		s.look()
 	}
 	if o.SnapshotInterval > 0 {
@@ -109,18 +109,18 @@
 			s.after(o.SnapshotInterval*dispatch.Micros(i)/dispatch.Micros(len(s.couriers)), func() { s.keepSnapshots(c) })
 		}
 	}
-	for s.err == nil && len(s.queue) > 0 && s.queue[0].at <= w.End {
+	for s.err == nil && len(s.queue) > 0 && s.queue[0].at <= w.EndsAt {
 		e := heap.Pop(&s.queue).(event)
 		s.now = e.at
 		s.stats.Events++
 		e.do()
 	}
-	var fault *CourierFault
+	var fault *CourierPanic
 	if errors.As(s.err, &fault) {
-		s.books.Crashed(s.now, fault.Courier, fault.Text)
+		s.books.CourierCrashed(s.now, fault.Courier, fault.Text)
 		s.err = nil
 	}
-	return s.books.Finish(w.End), s.stats, s.err
+	return s.books.Finish(w.EndsAt), s.stats, s.err
 }
 
 // keepLore keeps what a courier has learned, now and again after a while.
@@ -130,16 +130,16 @@
 }
 
 func (s *Sim) takeSnapshot(c *courier) {
-	if local, ok := s.host.(*Local); ok && c.alive {
-		if d, ok := local.Courier(c.no).(dispatch.Snapshotter); ok {
+	if local, ok := s.host.(*LocalHost); ok && c.alive {
+		if d, ok := local.Dispatcher(c.no).(dispatch.Snapshotter); ok {
 			s.lores[c.no] = d.Snapshot()
 		}
 	}
 }
 
 func (s *Sim) look() {
-	s.Watch(s.now)
-	s.after(s.now+invariants.Bin, s.look)
+	s.OnInterval(s.now)
+	s.after(s.now+invariants.BinLength, s.look)
 }
 
 // after lets something happen at an instant.
@@ -149,34 +149,34 @@
 }
 
 // act is something that happens by itself.
-func (s *Sim) act(a scenario.Act) {
+func (s *Sim) act(a scenario.Event) {
 	switch a.Kind {
-	case scenario.Begins:
-		s.came(a.Dest, s.partners[a.Dest].Inject(s.now, a.Endpoint.ID, a.Fault))
-	case scenario.Ends:
-		s.came(a.Dest, s.partners[a.Dest].Heal(s.now, a.Endpoint.ID, a.Fault.ID))
-	case scenario.Adds:
+	case scenario.FaultBegins:
+		s.came(a.Dest, s.partners[a.Dest].StartFault(s.now, a.Endpoint.ID, a.Fault))
+	case scenario.FaultEnds:
+		s.came(a.Dest, s.partners[a.Dest].EndFault(s.now, a.Endpoint.ID, a.Fault.ID))
+	case scenario.EndpointAdded:
 		s.partners[a.Dest].Add(a.Endpoint)
 		s.at[a.Endpoint.ID] = &spot{a.Dest, a.Endpoint, s.partners[a.Dest].Route(a.Endpoint.ID)}
 		s.listed.change(a.Dest, a.Endpoint, dispatch.InService)
-	case scenario.Drains:
+	case scenario.EndpointDraining:
 		s.listed.change(a.Dest, a.Endpoint, dispatch.Draining)
-	case scenario.Removes:
+	case scenario.EndpointRemoved:
 		s.came(a.Dest, s.partners[a.Dest].Remove(s.now, a.Endpoint.ID))
 		s.listed.change(a.Dest, a.Endpoint, dispatch.Removed)
-	case scenario.Kills:
+	case scenario.CourierKilled:
 		s.kill(s.couriers[a.Courier])
-	case scenario.Asks:
-		s.ask(s.couriers[a.Courier], a.Span)
-	case scenario.Starts:
+	case scenario.CourierStopRequested:
+		s.ask(s.couriers[a.Courier], a.Duration)
+	case scenario.CourierStarted:
 		s.start(s.couriers[a.Courier])
-	case scenario.Stands:
+	case scenario.CourierPaused:
 		c := s.couriers[a.Courier]
-		c.standsTo = max(c.standsTo, s.now+a.Span)
-		s.books.Stood(s.now, c.no, c.standsTo+s.tick)
-	case scenario.ListDown:
+		c.standsTo = max(c.standsTo, s.now+a.Duration)
+		s.books.CourierPaused(s.now, c.no, c.standsTo+s.tick)
+	case scenario.DirectoryDown:
 		s.listed.goDown()
-	case scenario.ListUp:
+	case scenario.DirectoryUp:
 		s.listed.comeUp()
 	}
 }
@@ -187,16 +187,16 @@
 		switch o := o.(type) {
 		case endpointmodel.Answer:
 			s.answered(o)
-		case endpointmodel.Ran:
-			s.books.Ran(s.now, o.Item.Message, o.Endpoint, o.Before, o.Known)
-		case endpointmodel.Fell:
-			s.books.Fell(s.now, dispatch.DestinationID(dest), o.Route, o.Sent)
-		case endpointmodel.Turned:
-			s.books.Turned(s.now, dispatch.DestinationID(dest), o.Route, o.Phase == endpointmodel.Out)
+		case endpointmodel.Effect:
+			s.books.EffectOccurred(s.now, o.Item.Message, o.Endpoint, o.EarlierEffects, o.Deduplicated)
+		case endpointmodel.RouteOverloaded:
+			s.books.RouteOverloaded(s.now, dispatch.DestinationID(dest), o.Route, o.Sent)
+		case endpointmodel.PhaseChanged:
+			s.books.RouteChanged(s.now, dispatch.DestinationID(dest), o.Route, o.Phase == endpointmodel.Outage)
 		}
 	}
 	p := s.partners[dest]
-	if due := p.Due(); due < p.dueAt {
+	if due := p.NextDue(); due < p.dueAt {
 		p.dueAt = due
 		s.after(due, func() { s.step(dest, due) })
 	}
@@ -213,9 +213,9 @@
 
 // way is how long something takes between a courier and an endpoint.
 func (s *Sim) way(a, b dispatch.ZoneID) dispatch.Micros {
-	r := s.w.Day.Network.Same
+	r := s.w.Definition.Network.SameZone
 	if a != b {
-		r = s.w.Day.Network.Cross
+		r = s.w.Definition.Network.CrossZone
 	}
 	return config.Micros((r[0] + (r[1]-r[0])*s.rng.Float64()) / 1000)
 }
--- a/testbed/simulation/wrong_test.go
+++ b/testbed/simulation/wrong_test.go
@@ -72,7 +72,7 @@
 		rule      invariants.Rule
 		spoil     spoil
 	}{
-		{"repeats a single-use record that may have run", "acts-then-hangs", invariants.Twice,
+		{"repeats a single-use record that may have run", "acts-then-hangs", invariants.NoDuplicateEffect,
 			func(w *wrong, _ dispatch.Micros, events []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 				for _, e := range events {
 					s, ok := e.(dispatch.AttemptFinished)
@@ -84,7 +84,7 @@
 				}
 				return actions
 			}},
-		{"bounces what may have run", "acts-then-hangs", invariants.Twice,
+		{"bounces what may have run", "acts-then-hangs", invariants.NoDuplicateEffect,
 			func(_ *wrong, _ dispatch.Micros, _ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 				for i, a := range actions {
 					if end, ok := a.(dispatch.Fail); ok {
@@ -93,7 +93,7 @@
 				}
 				return actions
 			}},
-		{"sends in a told wait", "shrunk-limits", invariants.Waits,
+		{"sends in a told wait", "shrunk-limits", invariants.WaitRespected,
 			func(w *wrong, now dispatch.Micros, events []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 				for _, e := range events {
 					if taken, ok := e.(dispatch.MessageAccepted); ok && w.waits[taken.Destination] > now+10*1000 && w.seen[taken.Message].Class == 0 {
@@ -102,7 +102,7 @@
 				}
 				return actions
 			}},
-		{"sends to what drains", "moving-house", invariants.Drain,
+		{"sends to what drains", "moving-house", invariants.DrainRespected,
 			func(w *wrong, _ dispatch.Micros, _ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 				for i, a := range actions {
 					if send, ok := a.(dispatch.Send); ok {
@@ -115,7 +115,7 @@
 				}
 				return actions
 			}},
-		{"forgets a final answer", "acts-then-hangs", invariants.Final,
+		{"forgets a final answer", "acts-then-hangs", invariants.FinalAnswer,
 			func(_ *wrong, _ dispatch.Micros, _ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 				var kept []dispatch.Action
 				for _, a := range actions {
@@ -125,7 +125,7 @@
 				}
 				return kept
 			}},
-		{"answers twice", "silent-and-cold", invariants.Final,
+		{"answers twice", "silent-and-cold", invariants.FinalAnswer,
 			func(_ *wrong, _ dispatch.Micros, _ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 				for _, a := range actions {
 					if b, ok := a.(dispatch.Reject); ok {
@@ -134,7 +134,7 @@
 				}
 				return actions
 			}},
-		{"sends after the end", "calm", invariants.Final,
+		{"sends after the end", "calm", invariants.FinalAnswer,
 			func(w *wrong, _ dispatch.Micros, _ []dispatch.Event, actions []dispatch.Action) []dispatch.Action {
 				if n := len(w.ended); n > 0 {
 					id := w.ended[n-1]
@@ -147,19 +147,19 @@
 		t.Run(c.name, func(t *testing.T) {
 			d := find(t, c.day)
 			w := scenario.Draw(d, 2)
-			right, _, err := Play(w, NewLocal(nil), Options{})
+			right, _, err := Play(w, NewLocalHost(nil), Options{})
 			if err != nil || !right.OK() {
 				t.Fatalf("the right courier: %v, %s %v", err, right.Short(), right.Breaches)
 			}
-			v, _, err := Play(w, NewLocal(func(_ int, ch dispatch.Config) Decider {
+			v, _, err := Play(w, NewLocalHost(func(_ int, ch dispatch.Config) Decider {
 				return &wrong{Decider: dispatch.New(ch), spoil: c.spoil, seen: map[dispatch.MessageID]dispatch.MessageAccepted{}, attempts: map[dispatch.MessageID]int{},
 					gone: map[dispatch.EndpointID]dispatch.DestinationID{}, all: map[dispatch.EndpointID]dispatch.EndpointEntry{}, waits: map[dispatch.DestinationID]dispatch.Micros{}}
 			}), Options{})
 			if err != nil {
 				t.Fatal(err)
 			}
-			if v.Broken[c.rule] == 0 || v.Figure != 0 {
-				t.Errorf("not caught: %s, figure %v", v.Short(), v.Figure)
+			if v.BreachCounts[c.rule] == 0 || v.Score != 0 {
+				t.Errorf("not caught: %s, figure %v", v.Short(), v.Score)
 			}
 		})
 	}
@@ -199,20 +199,20 @@
 }
 
 func TestEagerCourierBreaksReturnsAndOrder(t *testing.T) {
-	for name, rule := range map[string]invariants.Rule{"silent-and-cold": invariants.Pushed, "in-order": invariants.Order} {
+	for name, rule := range map[string]invariants.Rule{"silent-and-cold": invariants.NoRecoveryOverload, "in-order": invariants.KeyOrder} {
 		d := find(t, name)
-		d.Fleet.SlotsRoom, d.Fleet.MaxAttempts = 50, 100
-		d.Rules.Fall = 1.2
-		v, _, err := Play(scenario.Draw(d, 1), NewLocal(func(_ int, ch dispatch.Config) Decider {
+		d.Fleet.SlotsFactor, d.Fleet.MaxAttempts = 50, 100
+		d.Rules.OverloadFactor = 1.2
+		v, _, err := Play(scenario.Draw(d, 1), NewLocalHost(func(_ int, ch dispatch.Config) Decider {
 			return &eager{ch: ch, list: map[dispatch.DestinationID][]dispatch.EndpointID{}, dest: map[dispatch.MessageID]dispatch.MessageAccepted{}}
 		}), Options{})
-		if err != nil || v.Broken[rule] == 0 {
+		if err != nil || v.BreachCounts[rule] == 0 {
 			t.Errorf("%s: %v, %s", name, err, v.Short())
 		}
 	}
 }
 
-func find(t *testing.T, name string) *scenario.Day {
+func find(t *testing.T, name string) *scenario.Definition {
 	t.Helper()
 	d, err := scenario.Find(name)
 	if err != nil {
--- a/testbed/slopes/slopes.go
+++ b/testbed/slopes/slopes.go
@@ -26,19 +26,19 @@
 
 // Run is one scale run as it was played last.
 type Run struct {
-	Name     string  `json:"name"`               // as in pineport-testbed scale NAME
-	About    string  `json:"about"`              // what was played, in one sentence
-	Command  string  `json:"command"`            // the command line that repeats it
-	Commit   string  `json:"commit"`             // of the program measured; "+" at its end: with changes not committed
-	Taken    string  `json:"taken"`              // RFC 3339
-	Machine  string  `json:"machine"`            // cores, memory and Go version
-	Quick    bool    `json:"quick"`              // at the small sizes
-	Plays    int     `json:"plays"`              // of each point
-	Seconds  float64 `json:"seconds"`            // real time that the run took
-	Points   []Point `json:"points"`             //
-	Slopes   []Slope `json:"slopes"`             //
-	Missing  []Gap   `json:"missing,omitempty"`  // what the run set out to measure and could not
-	Verified string  `json:"verified,omitempty"` // how stand-ins compare with real processes, where the run has such
+	Name      string  `json:"name"`               // as in pineport-testbed scale NAME
+	About     string  `json:"about"`              // what was played, in one sentence
+	Command   string  `json:"command"`            // the command line that repeats it
+	Commit    string  `json:"commit"`             // of the program measured; "+" at its end: with changes not committed
+	StartedAt string  `json:"taken"`              // RFC 3339
+	Machine   string  `json:"machine"`            // cores, memory and Go version
+	Quick     bool    `json:"quick"`              // at the small sizes
+	Plays     int     `json:"plays"`              // of each point
+	Seconds   float64 `json:"seconds"`            // real time that the run took
+	Points    []Point `json:"points"`             //
+	Slopes    []Slope `json:"slopes"`             //
+	Missing   []Gap   `json:"missing,omitempty"`  // what the run set out to measure and could not
+	Verified  string  `json:"verified,omitempty"` // how stand-ins compare with real processes, where the run has such
 }
 
 // Point is one size, with each figure once for each play.
@@ -73,8 +73,8 @@
 // At carries the figure to a size.
 func (s *Slope) At(size float64) float64 { return s.Fit.At(size) }
 
-// Carried is how many times beyond the largest size measured a size lies; 1 and less is within.
-func (s *Slope) Carried(size float64) float64 { return size / s.To }
+// Extrapolation is how many times beyond the largest size measured a size lies; 1 and less is within.
+func (s *Slope) Extrapolation(size float64) float64 { return size / s.To }
 
 // Values are all pairs of a size and a figure that a curve was fitted to, one for each play: those of the points that have that size,
 // and whose other sizes are as given; a size that a point does not have counts as nought.
--- a/testbed/soak/clients.go
+++ b/testbed/soak/clients.go
@@ -99,7 +99,7 @@
 	defer c.mu.Unlock()
 	r.Accepted, r.Rejected, r.Unanswered = len(c.accepted), len(c.rejected), c.unanswered
 	for _, id := range c.accepted {
-		began, done, notices := p.world.Seen(id)
+		began, done, notices := p.world.MessageCalls(id)
 		if done > 0 {
 			r.Delivered++
 		} else if len(notices) > 0 {
@@ -113,7 +113,7 @@
 		}
 	}
 	for _, id := range c.rejected {
-		if began, _, _ := p.world.Seen(id); began > 0 && strings.HasPrefix(id, "order") {
+		if began, _, _ := p.world.MessageCalls(id); began > 0 && strings.HasPrefix(id, "order") {
 			r.Breaches = append(r.Breaches, fmt.Sprintf("refused, and ran: %s", id))
 		}
 	}
--- a/testbed/soak/plan.go
+++ b/testbed/soak/plan.go
@@ -107,11 +107,11 @@
 }
 
 // treatment draws what becomes of a call to discovery.
-func treatment(rng *rand.Rand, bad float64) faultproxy.Treatment {
-	faults := []faultproxy.Fault{faultproxy.Silent, faultproxy.Reset, faultproxy.Unavailable, faultproxy.Cut, faultproxy.Stuck, faultproxy.Duplicate,
-		faultproxy.Late, faultproxy.Trickle, faultproxy.Endless, faultproxy.Spoilt, faultproxy.Spoilt}
+func treatment(rng *rand.Rand, bad float64) faultproxy.FaultSpec {
+	faults := []faultproxy.Fault{faultproxy.NoResponse, faultproxy.Reset, faultproxy.Unavailable, faultproxy.Truncated, faultproxy.Stalled, faultproxy.Duplicate,
+		faultproxy.Delayed, faultproxy.SlowResponse, faultproxy.EndlessHeader, faultproxy.Corrupted, faultproxy.Corrupted}
 	if rng.Float64() >= bad {
-		return faultproxy.Treatment{}
+		return faultproxy.FaultSpec{}
 	}
 	at, by := rng.Float64(), byte(' '+rng.Intn(95))
 	spoil := func(body []byte) []byte { // one byte, but none of an address: who is called then answers for nobody here
@@ -122,5 +122,5 @@
 		body[i] = by
 		return body
 	}
-	return faultproxy.Treatment{Fault: faults[rng.Intn(len(faults))], Delay: time.Duration(200+rng.Intn(1500)) * time.Millisecond, Edit: spoil}
+	return faultproxy.FaultSpec{Fault: faults[rng.Intn(len(faults))], Delay: time.Duration(200+rng.Intn(1500)) * time.Millisecond, Edit: spoil}
 }
--- a/testbed/soak/play.go
+++ b/testbed/soak/play.go
@@ -43,16 +43,16 @@
 
 // Result is what a play came to.
 type Result struct {
-	Seed       int64          `json:"seed"`
-	Accepted   int            `json:"accepted"`
-	Rejected   int            `json:"rejected"`
-	Delivered  int            `json:"delivered"`
-	Notices    int            `json:"notices"`
-	Unanswered int            `json:"unanswered"`
-	Struck     map[string]int `json:"struck"`     // faults, with how often
-	NotStruck  []string       `json:"not_struck"` // drawn, and never struck: not tested
-	Breaches   []string       `json:"breaches"`
-	Folder     string         `json:"folder,omitempty"` // with the log and the timeline, of a play that broke a rule
+	Seed                int64          `json:"seed"`
+	Accepted            int            `json:"accepted"`
+	Rejected            int            `json:"rejected"`
+	Delivered           int            `json:"delivered"`
+	Notices             int            `json:"notices"`
+	Unanswered          int            `json:"unanswered"`
+	FaultCounts         map[string]int `json:"struck"`     // faults, with how often
+	FaultsWithoutEffect []string       `json:"not_struck"` // drawn, and never struck: not tested
+	Breaches            []string       `json:"breaches"`
+	Dir                 string         `json:"folder,omitempty"` // with the log and the timeline, of a play that broke a rule
 }
 
 // play is one play under way.
@@ -121,17 +121,17 @@
 		return err
 	}
 	rng, lock := rand.New(rand.NewSource(seed)), sync.Mutex{}
-	world, err := scripted.Open(endpoints, func(string) scripted.Fate { return fate(rng, p.plan.endpointsBad) })
+	world, err := scripted.Open(endpoints, func(string) scripted.Response { return fate(rng, p.plan.endpointsBad) })
 	if err != nil {
 		return err
 	}
 	p.world = world
 	polls := rand.New(rand.NewSource(seed + 1))
-	p.proxy, err = faultproxy.Open(world.Discovery, func(call faultproxy.Call) faultproxy.Treatment {
+	p.proxy, err = faultproxy.Open(world.Discovery, func(call faultproxy.Call) faultproxy.FaultSpec {
 		lock.Lock()
 		defer lock.Unlock()
 		if !call.IsPoll() || time.Since(p.began) < p.plan.quiet {
-			return faultproxy.Treatment{}
+			return faultproxy.FaultSpec{}
 		}
 		return treatment(polls, p.plan.discoveryBad)
 	})
@@ -145,7 +145,7 @@
 	}
 	letGo()
 	p.listen = address
-	if err := os.WriteFile(filepath.Join(p.folder, "config.json"), world.Configuration(fmt.Sprintf("soak-%d", p.options.Seed), address), 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(p.folder, "config.json"), world.CourierConfiguration(fmt.Sprintf("soak-%d", p.options.Seed), address), 0o644); err != nil {
 		return err
 	}
 	p.log, err = os.Create(filepath.Join(p.folder, "log"))
@@ -153,12 +153,12 @@
 }
 
 // fate draws what becomes of a call at an endpoint.
-func fate(rng *rand.Rand, bad float64) scripted.Fate {
+func fate(rng *rand.Rand, bad float64) scripted.Response {
 	work := time.Duration(5+rng.Intn(60)) * time.Millisecond
 	if rng.Float64() >= bad {
-		return scripted.Fate{Status: 200, After: work}
+		return scripted.Response{Status: 200, Delay: work}
 	}
-	fates := []scripted.Fate{{Status: 503}, {Status: 429, WaitMs: 100 + rng.Intn(700)}, {Status: 500, After: work}, {Status: 0, After: work}, {Status: 200, After: 1500 * time.Millisecond}}
+	fates := []scripted.Response{{Status: 503}, {Status: 429, BackoffMs: 100 + rng.Intn(700)}, {Status: 500, Delay: work}, {Status: 0, Delay: work}, {Status: 200, Delay: 1500 * time.Millisecond}}
 	return fates[rng.Intn(len(fates))]
 }
 
@@ -374,7 +374,7 @@
 	for _, id := range p.clients.acceptedIDs() {
 		for !p.isOver(id) {
 			if time.Now().After(deadline) {
-				began, _, _ := p.world.Seen(id)
+				began, _, _ := p.world.MessageCalls(id)
 				p.breach("final answer: %s was accepted and has none; begun %d times", id, began)
 				break
 			}
@@ -384,27 +384,27 @@
 }
 
 func (p *play) isOver(id string) bool {
-	_, done, notices := p.world.Seen(id)
+	_, done, notices := p.world.MessageCalls(id)
 	return done > 0 || len(notices) > 0
 }
 
 // result judges what is over, and writes down a play that broke a rule.
 func (p *play) result() (*Result, error) {
-	r := &Result{Seed: p.options.Seed, Struck: map[string]int{}}
+	r := &Result{Seed: p.options.Seed, FaultCounts: map[string]int{}}
 	p.clients.judge(p, r)
 	for fault, n := range p.proxy.Struck() {
 		if fault != faultproxy.None {
-			r.Struck["discovery "+fault.String()] += n
+			r.FaultCounts["discovery "+fault.String()] += n
 		}
 	}
 	p.mu.Lock()
 	for what, n := range p.struck {
-		r.Struck[what] += n
+		r.FaultCounts[what] += n
 	}
 	r.Breaches = append(r.Breaches, p.breaches...)
 	for _, a := range p.plan.acts {
-		if r.Struck[a.what] == 0 && !slices.Contains(r.NotStruck, a.what) {
-			r.NotStruck = append(r.NotStruck, a.what)
+		if r.FaultCounts[a.what] == 0 && !slices.Contains(r.FaultsWithoutEffect, a.what) {
+			r.FaultsWithoutEffect = append(r.FaultsWithoutEffect, a.what)
 		}
 	}
 	timeline := strings.Join(p.timeline, "\n")
@@ -412,7 +412,7 @@
 	if len(r.Breaches) == 0 {
 		return r, nil
 	}
-	r.Folder = p.folder
+	r.Dir = p.folder
 	for _, call := range p.proxy.Calls() {
 		timeline += fmt.Sprintf("\n%8.3f discovery %s %s %v, answered %.3f", call.Read.Sub(p.began).Seconds(), call.Path, call.Query.Encode(), call.Fault, call.Answered.Sub(p.began).Seconds())
 	}
--- a/testbed/soak/soak_test.go
+++ b/testbed/soak/soak_test.go
@@ -36,7 +36,7 @@
 // without an answer are told.
 func TestJudgeSeesBreaches(t *testing.T) {
 	status := 200
-	world, err := scripted.Open(1, func(string) scripted.Fate { return scripted.Fate{Status: status} })
+	world, err := scripted.Open(1, func(string) scripted.Response { return scripted.Response{Status: status} })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/testbed/syscallfault/call.go
+++ b/testbed/syscallfault/call.go
@@ -47,10 +47,10 @@
 
 // Effect is what becomes of a call; the zero value lets it be.
 type Effect struct {
-	Errno syscall.Errno // it fails so
-	After bool          // with Errno: only after it was made
-	Limit int           // it takes so many bytes at most; 0 for all
-	Kill  bool          // the child is killed as it returns
+	Errno     syscall.Errno // it fails so
+	After     bool          // with Errno: only after it was made
+	Limit     int           // it takes so many bytes at most; 0 for all
+	KillChild bool          // the child is killed as it returns
 }
 
 func (e Effect) String() string {
@@ -61,7 +61,7 @@
 	if e.Limit > 0 {
 		text += " short"
 	}
-	if e.Kill {
+	if e.KillChild {
 		text += " killed"
 	}
 	return strings.TrimSpace(text)
--- a/testbed/syscallfault/process.go
+++ b/testbed/syscallfault/process.go
@@ -52,8 +52,8 @@
 	return p.status
 }
 
-// Struck returns how often each effect was carried out, by "CALL EFFECT".
-func (p *Process) Struck() map[string]int {
+// EffectCounts returns how often each effect was carried out, by "CALL EFFECT".
+func (p *Process) EffectCounts() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	all := map[string]int{}
@@ -178,7 +178,7 @@
 	p.mu.Lock()
 	p.struck[call.Name+" "+call.effect.String()]++
 	p.mu.Unlock()
-	if call.effect.Kill {
+	if call.effect.KillChild {
 		_ = syscall.Kill(p.PID, syscall.SIGKILL)
 	}
 }
--- a/testbed/wirehost/host.go
+++ b/testbed/wirehost/host.go
@@ -73,8 +73,8 @@
 // Kill implements simulation.Host.
 func (h *Host) Kill(courier int) { h.killed[courier] = true }
 
-// Turn implements simulation.Host.
-func (h *Host) Turn(now dispatch.Micros, batches []simulation.Batch) ([][]dispatch.Action, error) {
+// Step implements simulation.Host.
+func (h *Host) Step(now dispatch.Micros, batches []simulation.Batch) ([][]dispatch.Action, error) {
 	h.line("mark", seconds(now))
 	for _, i := range slices.Sorted(maps.Keys(h.killed)) {
 		h.line("on", strconv.Itoa(i))
@@ -198,14 +198,14 @@
 			}
 			courier, here = n, i
 		case "internal_error":
-			return &simulation.CourierFault{Courier: courier, Text: strings.Join(f[1:], " ")}
+			return &simulation.CourierPanic{Courier: courier, Text: strings.Join(f[1:], " ")}
 		default:
 			if here < 0 {
 				return fmt.Errorf("%q before any courier", f[0])
 			}
 			a, err := action(f)
 			if err != nil {
-				return &simulation.CourierFault{Courier: courier, Text: err.Error()}
+				return &simulation.CourierPanic{Courier: courier, Text: err.Error()}
 			}
 			if a != nil {
 				all[here] = append(all[here], a)
--- a/testbed/wirehost/host_test.go
+++ b/testbed/wirehost/host_test.go
@@ -25,7 +25,7 @@
 			t.Fatal(err)
 		}
 		w := scenario.Draw(d, 3)
-		here, _, err := simulation.Play(w, simulation.NewLocal(nil), simulation.Options{})
+		here, _, err := simulation.Play(w, simulation.NewLocalHost(nil), simulation.Options{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -40,8 +40,8 @@
 		if err := host.Close(); err != nil {
 			t.Error(err)
 		}
-		if !reflect.DeepEqual(here.Counts, there.Counts) || here.Figure != there.Figure {
-			t.Errorf("%s: %v %+v here, %v %+v over the wire", name, here.Figure, here.Counts, there.Figure, there.Counts)
+		if !reflect.DeepEqual(here.Counts, there.Counts) || here.Score != there.Score {
+			t.Errorf("%s: %v %+v here, %v %+v over the wire", name, here.Score, here.Counts, there.Score, there.Counts)
 		}
 	}
 }
@@ -71,7 +71,7 @@
 	}
 	defer host.Close()
 	v, _, err := simulation.Play(w, host, simulation.Options{})
-	var fault *simulation.CourierFault
+	var fault *simulation.CourierPanic
 	if errors.As(err, &fault) || v == nil || v.OK() || !strings.Contains(v.Short(), "no crash") {
 		t.Errorf("%v, %+v", err, v)
 	}
--- a/transport/crossings_test.go
+++ b/transport/crossings_test.go
@@ -106,7 +106,7 @@
 	peer := dial(t, addr)
 	h := accepted.next(t)
 	io.WriteString(peer, "request")
-	if !port.Arrived(peer) {
+	if !port.WaitAcknowledged(peer) {
 		t.Fatal("the request did not arrive")
 	}
 	if h.conn.CloseIf(alwaysTrue) {
@@ -148,7 +148,7 @@
 		}
 	}
 	peer.(*net.TCPConn).CloseWrite()
-	if !port.Arrived(peer.(*net.TCPConn)) {
+	if !port.WaitAcknowledged(peer.(*net.TCPConn)) {
 		t.Fatal("the end of file did not arrive")
 	}
 	if conn.WhileIdle(func() {}) {
@@ -270,7 +270,7 @@
 	for i := range peers {
 		peers[i] = dial(t, driver.engine.Addrs[0])
 		io.WriteString(peers[i], "hello")
-		if !port.Arrived(peers[i]) {
+		if !port.WaitAcknowledged(peers[i]) {
 			t.Fatal("the request did not arrive")
 		}
 	}
